--- a/policy/api.go
+++ b/policy/api.go
@@ -85,6 +85,7 @@
 	Zone           int // where this node stands
 	Classes        []Class
 	Tenants        []Tenant
+	Quotas         *Quotas       // of the tenants, where Balancers of one node share them; nil: a table of Tenants
 	OverShareWorth float64       // worth of a request beyond its tenant's share, as a share of its class's
 	WorthByWork    bool          // worth counts for each unit of work instead of for each request
 	ListAsked      bool          // the server list comes only to those who watch it; else it is pushed
--- a/policy/knowledge.go
+++ b/policy/knowledge.go
@@ -87,7 +87,7 @@
 			e.ReopenIn = max(0, s.reopenAt-now)
 		}
 		for i := range s.kept {
-			o := &s.ring[(s.head+outcomesKept-s.kept+i)%outcomesKept]
+			o := s.outcome(i)
 			age := (now - o.at).Truncate(recentStep)
 			last := len(e.Recent) - 1
 			if last < 0 || e.Recent[last].Age != age {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,6 +11,7 @@
 
 const (
 	outcomesKept   = 100              // outcomes a server is judged by
+	firstOutcomes  = 4                // room for them that a server has at first
 	outcomesFor    = 10 * time.Second // and for how long: an avoided server is forgotten, then met again
 	priorOutcomes  = 3.0              // weight of the fleet's mean beside a server's own outcomes
 	successPart    = 0.7              // of the score
@@ -367,7 +368,7 @@
 	r := b.newRequest(q, c)
 	b.begins(now, r, q.Left)
 	r.worth = c.Worth
-	if q.Tenant >= 0 && q.Tenant < len(b.tenants) && !b.tenants[q.Tenant].take(now) {
+	if !b.quotas.take(now, q.Tenant) {
 		r.worth *= b.set.OverShareWorth
 	}
 	b.arrivals.add(now, 1)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -28,11 +28,18 @@
 
 // New makes a Balancer. An impossible setting gives an error that names it.
 func New(set Settings, seed uint64, host Host) (*Balancer, error) {
-	if err := set.check(); err != nil {
+	if err := set.Check(); err != nil {
 		return nil, err
 	}
+	quotas := set.Quotas
+	if quotas == nil {
+		var err error
+		if quotas, err = NewQuotas(set.Tenants, set.Nodes); err != nil {
+			return nil, err
+		}
+	}
 	b := &Balancer{
-		set: set, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
+		set: set, host: host, rng: rand.New(rand.NewPCG(seed, 0)), quotas: quotas,
 		servers: map[ServerID]*server{}, requests: map[RequestID]*request{},
 		meanSuccess: 1, meanLatency: 1, refreshed: -1, watchDelay: watchAgain, sweepAt: never,
 		limit: float64(min(3, set.Nodes)), sharers: float64(set.Nodes), warmPart: leastPart, part: 1, again: 1,
@@ -53,19 +60,20 @@
 		}
 	}
 	b.typical = b.classes[0].lone
-	for _, t := range set.Tenants {
-		rate := t.QuotaPerS / float64(set.Nodes)
-		b.tenants = append(b.tenants, bucket{perSecond: rate, tokens: rate})
-	}
 	return b, nil
 }
 
-// check returns an error that names the first impossible field.
-func (s *Settings) check() error {
-	bad := func(field string, v any) error {
-		return fmt.Errorf("policy: setting %s is impossible: %v", field, v)
-	}
-	number := func(v, least float64) bool { return v >= least && !math.IsInf(v, 1) } // NaN fails too
+// impossible is the error of a setting that makes no sense.
+func impossible(field string, v any) error {
+	return fmt.Errorf("policy: setting %s is impossible: %v", field, v)
+}
+
+// finiteFrom tells whether a number is finite and not below least; NaN is not.
+func finiteFrom(v, least float64) bool { return v >= least && !math.IsInf(v, 1) }
+
+// Check returns an error that names the first impossible field. Tenants are checked by NewQuotas.
+func (s *Settings) Check() error {
+	bad, number := impossible, finiteFrom
 	switch {
 	case s.Nodes < 1:
 		return bad("Nodes", s.Nodes)
@@ -121,10 +129,5 @@
 			return bad(field("Window"), c.Window)
 		}
 	}
-	for i, t := range s.Tenants {
-		if !number(t.QuotaPerS, 0) {
-			return bad(fmt.Sprintf("Tenants[%d].QuotaPerS", i), t.QuotaPerS)
-		}
-	}
 	return nil
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -40,7 +40,7 @@
 	reopenAt  time.Duration // when open: turns half-open
 	trial     *attempt      // when half-open: the one trial that is out
 
-	ring       [outcomesKept]outcome
+	ring       []outcome // grows up to outcomesKept
 	head, kept int
 	good       int     // successes in the ring
 	latencySum float64 // of the successes in the ring
@@ -111,29 +111,13 @@
 	hinted   float64
 }
 
-// bucket is a token bucket of one second's worth; without a rate it never ends.
-type bucket struct {
-	perSecond, tokens float64
-	at                time.Duration
-}
-
-func (t *bucket) take(now time.Duration) bool {
-	t.tokens = min(max(t.perSecond, 1), t.tokens+t.perSecond*(now-t.at).Seconds())
-	t.at = now
-	if t.perSecond > 0 && t.tokens < 1 {
-		return false
-	}
-	t.tokens--
-	return true
-}
-
 // Balancer decides for one node. Create it with New.
 type Balancer struct {
 	set     Settings
 	host    Host
 	rng     *rand.Rand
 	classes []class
-	tenants []bucket
+	quotas  *Quotas
 
 	servers map[ServerID]*server
 	ready   []*server // listed as ready, in the order of the ring
@@ -186,11 +170,15 @@
 }
 
 func (s *server) record(now time.Duration, ok bool, latency float64) {
-	if s.kept == outcomesKept {
-		s.forget(&s.ring[s.head])
+	switch {
+	case s.kept < len(s.ring):
+	case s.kept < outcomesKept:
+		s.grow()
+	default:
+		s.forget(s.outcome(0))
 	}
 	s.ring[s.head] = outcome{now, ok, latency}
-	s.head = (s.head + 1) % outcomesKept
+	s.head = (s.head + 1) % len(s.ring)
 	s.kept++
 	if ok {
 		s.good++
@@ -198,13 +186,27 @@
 	}
 }
 
+// outcome gives one of those kept, the oldest first.
+func (s *server) outcome(i int) *outcome {
+	return &s.ring[(s.head+len(s.ring)-s.kept+i)%len(s.ring)]
+}
+
+// grow makes room for more outcomes in a ring that is full: most servers of a large fleet are met rarely.
+func (s *server) grow() {
+	ring := make([]outcome, min(max(firstOutcomes, 2*len(s.ring)), outcomesKept))
+	for i := range s.kept {
+		ring[i] = *s.outcome(i)
+	}
+	s.ring, s.head = ring, s.kept
+}
+
 // tally drops outcomes that are too old and sums up the rest over the fleet.
 func (b *Balancer) tally(now time.Duration) {
 	kept, good, latency := 0, 0, 0.0
 	b.warm = 0
 	for _, s := range b.mine {
 		for s.kept > 0 {
-			oldest := &s.ring[(s.head+outcomesKept-s.kept)%outcomesKept]
+			oldest := s.outcome(0)
 			if now-oldest.at < outcomesFor {
 				break
 			}
