--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -56,9 +56,9 @@
 type state struct {
 	program  *config.Program
 	version  *cluster.Version
-	tenants  map[string]int
-	byCert   map[string]int // tenants by names in clients' certificates
-	clusters map[string]*running
+	tenants  *tenantTable
+	settings *policy.Settings // of all clusters
+	clusters map[string]*managedCluster
 	refused  map[string]string // by class: why its requests are refused for now
 	// take counts what was taken; since gives, by class, the take from which on its requests are decided by the
 	// rules that it has: those decided earlier send nothing any more.
@@ -84,6 +84,7 @@
 func New(first *files.Snapshot, o Options) (*App, error) {
 	a := &App{Options: o, clock: engine.NewClock()}
 	a.ctx, a.stop = context.WithCancel(context.Background())
+	a.state.Store(&state{clusters: map[string]*managedCluster{}})
 	if set := first.Program.Repeats; set.Entries > 0 {
 		a.once = once.New(repeat.Limits{
 			Entries: set.Entries, Bytes: set.Bytes, Joiners: maxJoiners, Tenants: len(first.Program.Tenants),
@@ -96,11 +97,11 @@
 			return nil, err
 		}
 	}
-	a.state.Store(&state{clusters: map[string]*running{}})
 	if err := a.Take(first); err != nil {
 		a.Close()
 		return nil, err
 	}
+	a.retired.Go(a.watchIdle)
 	return a, nil
 }
 
@@ -152,35 +153,26 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	old := a.state.Load()
-	settings := a.settings(s.Program)
+	tenants, err := newTenantTable(old.tenants, s.Program)
+	if err != nil {
+		return err
+	}
+	settings, err := newSettings(old.settings, s.Program, tenants)
+	if err != nil {
+		return err
+	}
 	next := &state{
-		program: s.Program, version: s.Version, tenants: map[string]int{}, byCert: map[string]int{},
-		clusters: map[string]*running{}, refused: refused, take: old.take + 1,
+		program: s.Program, version: s.Version, tenants: tenants, settings: settings,
+		clusters: map[string]*managedCluster{}, refused: refused, take: old.take + 1,
 	}
 	next.since = since(old, next)
-	for i, t := range s.Program.Tenants {
-		next.tenants[t.Name] = i
-		for _, name := range t.Certificates {
-			next.byCert[name] = i
-		}
-	}
-	var started []*running
-	for name := range s.Version.Clusters {
-		r := old.clusters[name]
-		by := s.Version.Clusters[name].Transport
-		if r != nil && reflect.DeepEqual(r.settings, settings) && r.upstream == s.Program.Upstream && reflect.DeepEqual(r.transport, by) {
+	var started []*managedCluster
+	for name, c := range s.Version.Clusters {
+		if r := old.clusters[name]; r != nil && r.settings == settings && r.upstream == s.Program.Upstream && reflect.DeepEqual(r.transport, c.Transport) {
 			next.clusters[name] = r
 			continue
 		}
-		r, err := a.start(name, settings, s.Program.Upstream, by)
-		if err == nil {
-			for _, c := range s.Program.Classes {
-				r.classes = append(r.classes, c.Name)
-			}
-			for _, t := range s.Program.Tenants {
-				r.tenants = append(r.tenants, t.Name)
-			}
-		}
+		r, err := a.start(name, next, c.Transport)
 		if err != nil { // nothing has been changed yet
 			for _, r := range started {
 				r.abort()
@@ -194,7 +186,7 @@
 		r := next.clusters[name]
 		r.tell(told, c)
 		if before := old.clusters[name]; before != nil && before != r {
-			r.learn(before, old.program.Classes, s.Program.Classes)
+			r.inherit(before)
 		}
 	}
 	a.state.Store(next)
@@ -255,7 +247,9 @@
 	return g.Cluster.Do(ctx, q)
 }
 
-func (a *App) settings(p *config.Program) policy.Settings {
+// newSettings gives what the clusters of a version decide by: the settings of the version before, where they are the
+// same.
+func newSettings(before *policy.Settings, p *config.Program, tenants *tenantTable) (*policy.Settings, error) {
 	s := policy.Defaults()
 	s.Nodes, s.Node, s.Zone = p.Nodes, p.Node, zone(p.Zone)
 	s.Limits, s.Rules = p.Limits, p.Rules
@@ -263,10 +257,20 @@
 	for _, c := range p.Classes {
 		s.Classes = append(s.Classes, c.Class)
 	}
-	for _, t := range p.Tenants {
-		s.Tenants = append(s.Tenants, t.Tenant)
+	s.Quotas = tenants.quotas
+	if err := s.Check(); err != nil {
+		return nil, err
 	}
-	return s
+	// The buckets are told apart by the table that they are in: to compare them would race with requests.
+	if before != nil && before.Quotas == s.Quotas && sameButQuotas(*before, s) {
+		return before, nil
+	}
+	return &s, nil
+}
+
+func sameButQuotas(x, y policy.Settings) bool {
+	x.Quotas, y.Quotas = nil, nil
+	return reflect.DeepEqual(x, y)
 }
 
 // zone gives a number that is the same at every node.
@@ -337,9 +341,9 @@
 	}
 	out := ingress.Destination{
 		Cluster: to, Class: class, Effect: c.Effect, Window: c.Window, Deadline: deadline,
-		Tenants: s.tenants, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
+		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
 		Streams:     httpup.StreamLimits{Stall: c.Progress, Whole: c.Stream, Drain: c.Drain},
-		MaxAttempts: m.Route.MaxAttempts, PerTry: m.Route.PerTry, Certified: s.byCert,
+		MaxAttempts: m.Route.MaxAttempts, PerTry: m.Route.PerTry, Certified: s.tenants.byCertificate,
 		Pick: m.Route.Processor == "pick" || m.Route.Processor == "" && s.program.ExtProc.Pick,
 	}
 	if a.May != nil {
--- /dev/null
+++ b/internal/app/idle_test.go
@@ -0,0 +1,367 @@
+package app
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"runtime"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"yokestall/internal/cluster"
+	"yokestall/internal/config"
+	"yokestall/internal/files"
+	"yokestall/internal/standin/appbox"
+	"yokestall/internal/testkit"
+	"yokestall/policy"
+)
+
+// services is a program with a route to each of a number of clusters, and the clusters, all on the same servers.
+func services(t testing.TB, count int, boxes ...*appbox.Box) *files.Snapshot {
+	t.Helper()
+	text := strings.Builder{}
+	text.WriteString(program)
+	for i := range count {
+		fmt.Fprintf(&text, "[[host]]\ndomains = [\"s%d.example\"]\n[[host.route]]\nprefix = \"/\"\nclass = \"read\"\ncluster = \"s%d\"\n", i, i)
+	}
+	var list []*cluster.Cluster
+	for i := range count {
+		list = append(list, service(i, boxes...))
+	}
+	return snapshot(parse(t, text.String()), list...)
+}
+
+func service(i int, boxes ...*appbox.Box) *cluster.Cluster {
+	var endpoints []cluster.Endpoint
+	for _, b := range boxes {
+		endpoints = append(endpoints, at(b))
+	}
+	c := rooms(endpoints...)
+	c.Name = fmt.Sprint("s", i)
+	return c
+}
+
+// ask has a service answer a request, and gives the status.
+func (s *serving) ask(service int) int {
+	r, err := http.NewRequest(http.MethodGet, s.url+"/", nil)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	r.Host = fmt.Sprintf("s%d.example", service)
+	resp, err := s.client.Do(r)
+	if err != nil {
+		s.t.Error(err)
+		return 0
+	}
+	defer resp.Body.Close()
+	io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode
+}
+
+// idleNow is a time at which each cluster that is not in use has been idle for long enough.
+func (a *App) idleNow() time.Duration {
+	return a.clock.Now() + a.idleAfter(a.state.Load()) + time.Second
+}
+
+// Guards against a cost of clusters that exist and aren't used: they hold no goroutine, and those without requests give
+// theirs up.
+func TestClustersAreActiveWhileUsed(t *testing.T) {
+	const count = 200
+	box := testkit.Box(t, "b")
+	before := runtime.NumGoroutine()
+	s := serve(t, services(t, count, box))
+	if n := runtime.NumGoroutine() - before; n > count/4 {
+		t.Errorf("%d goroutines more for %d clusters that nobody asks", n, count)
+	}
+	for i := range 3 {
+		if got := s.ask(i); got != http.StatusOK {
+			t.Fatalf("service %d: status %d", i, got)
+		}
+	}
+	if n := s.app.ActiveClusters(); n != 3 {
+		t.Errorf("%d clusters are active after requests to 3", n)
+	}
+	if n := s.app.deactivateIdle(s.app.clock.Now()); n != 0 {
+		t.Errorf("%d clusters were given up right after a request", n)
+	}
+	if n := s.app.deactivateIdle(s.app.idleNow()); n != 3 || s.app.ActiveClusters() != 0 {
+		t.Errorf("%d clusters were given up of 3 without requests; %d are active", n, s.app.ActiveClusters())
+	}
+	if got := s.ask(1); got != http.StatusOK || s.app.ActiveClusters() != 1 {
+		t.Errorf("status %d of a service that was idle; %d are active", got, s.app.ActiveClusters())
+	}
+}
+
+// Guards against a request that falls between a cluster's looks at whether it is in use: all are answered while the
+// cluster is given up again and again.
+func TestRequestsMeetClustersThatAreGivenUp(t *testing.T) {
+	box := testkit.Box(t, "b")
+	s := serve(t, services(t, 1, box))
+	const clients, times = 2, 15
+	var refused atomic.Int64
+	var over atomic.Bool
+	answered := make(chan struct{})
+	var asking sync.WaitGroup
+	for range clients {
+		asking.Go(func() {
+			for !over.Load() {
+				if s.ask(0) != http.StatusOK {
+					refused.Add(1)
+				}
+				answered <- struct{}{}
+			}
+		})
+	}
+	go func() { asking.Wait(); close(answered) }()
+	asked, ended := 0, 0
+	for range answered { // the other client's request is anywhere on its way
+		asked++
+		ended += s.app.deactivateIdle(s.app.idleNow())
+		over.Store(ended >= times)
+	}
+	if n := refused.Load(); n > 0 {
+		t.Errorf("%d of %d requests were not served while the cluster was given up %d times", n, asked, ended)
+	}
+}
+
+// The same without sockets, for the race between a look and a request alone: a request that begins at any moment of a
+// look has engines that last until its end.
+func TestDeactivationRace(t *testing.T) {
+	const requests = 2000
+	s := serve(t, services(t, 1, testkit.Box(t, "b")))
+	r := s.app.state.Load().clusters["s0"]
+	looked := make(chan struct{}, 1) // the next request begins beside the look at the last one's end
+	go func() {
+		defer close(looked)
+		for i := range requests {
+			for range i % 8 {
+				runtime.Gosched() // a look is at another place each time
+			}
+			r.open.Add(1)
+			tiers, err := r.activate()
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			for range 4 { // the look that may have begun before the request is over then
+				looked <- struct{}{}
+			}
+			select {
+			case <-tiers.list[0].cluster.Ended():
+				t.Errorf("request %d: its engine ended under it", i)
+				return
+			default:
+			}
+			r.close()
+			looked <- struct{}{}
+		}
+	}()
+	ended := 0
+	for range looked {
+		ended += s.app.deactivateIdle(s.app.idleNow())
+	}
+	if !t.Failed() && ended < requests/10 {
+		t.Errorf("the cluster was given up %d times over %d requests", ended, requests)
+	}
+}
+
+// Guards against news that a cluster without engines misses: a server that was taken out meanwhile gets nothing.
+func TestNewsWhileIdle(t *testing.T) {
+	stays, leaves := testkit.Box(t, "stays"), testkit.Box(t, "leaves")
+	first := services(t, 1, stays, leaves)
+	s := serve(t, first)
+	s.ask(0)
+	if s.app.deactivateIdle(s.app.idleNow()) != 1 {
+		t.Fatal("the cluster is still active")
+	}
+	next := service(0, stays, leaves)
+	for i := range next.Endpoints {
+		if e := &next.Endpoints[i]; e.ID == leaves.Name {
+			e.Health = cluster.Draining
+		}
+	}
+	if !s.app.TakeClusters(time.Now(), []*cluster.Cluster{next}) {
+		t.Fatal("the version was not taken")
+	}
+	if s.app.ActiveClusters() != 0 {
+		t.Error("news activated a cluster that nobody asks")
+	}
+	before := leaves.Count()
+	for range 40 {
+		if got := s.ask(0); got != http.StatusOK {
+			t.Fatalf("status %d", got)
+		}
+	}
+	if n := leaves.Count() - before; n != 0 {
+		t.Errorf("%d of 40 requests went to a server that drains", n)
+	}
+}
+
+// knowledge gives what a cluster's only engine knows, or remembers where it is idle.
+func (s *serving) knowledge(name string) policy.Knowledge {
+	s.t.Helper()
+	r := s.app.state.Load().clusters[name]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	m := r.remember()
+	if m == nil || len(m.tiers) != 1 {
+		s.t.Fatalf("cluster %s remembers %v", name, m)
+	}
+	for _, k := range m.tiers {
+		return k
+	}
+	return policy.Knowledge{}
+}
+
+// What is known of servers outlives the engines: through idleness, a change of settings while idle, and both again.
+func TestKnowledgeOutlivesEngines(t *testing.T) {
+	bad := testkit.Box(t, "bad")
+	bad.SetFailing(true)
+	first := services(t, 1, bad)
+	s := serve(t, first)
+	opened := func() (count int) {
+		for _, k := range s.knowledge("s0").Servers {
+			if k.Open {
+				count++
+			}
+		}
+		return count
+	}
+	testkit.Until(t, "the failing server's breaker to open", func() bool { s.ask(0); return opened() == 1 })
+	if s.app.deactivateIdle(s.app.idleNow()); opened() != 1 {
+		t.Error("an idle cluster forgot the open breaker")
+	}
+	for round := range 2 {
+		changed := *first.Program
+		changed.Limits.MaxRetryAfter += time.Duration(round+1) * time.Millisecond
+		if err := s.app.Take(&files.Snapshot{Program: &changed, Version: first.Version}); err != nil {
+			t.Fatal(err)
+		}
+		if s.app.ActiveClusters() != 0 || opened() != 1 {
+			t.Errorf("change %d of settings: %d active clusters, %d open breakers remembered", round, s.app.ActiveClusters(), opened())
+		}
+	}
+	s.ask(0)
+	if s.app.ActiveClusters() != 1 || opened() != 1 {
+		t.Error("an engine that was started anew forgot the open breaker")
+	}
+}
+
+// A cluster with an open stream that its class bounds stays active, so that a drain still reaches the stream.
+func TestStreamsKeepClustersActive(t *testing.T) {
+	begun, end := make(chan struct{}), make(chan struct{})
+	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("Content-Type", "text/event-stream")
+		io.WriteString(w, strings.Repeat("x", 1<<10))
+		w.(http.Flusher).Flush()
+		begun <- struct{}{}
+		select {
+		case <-end:
+		case <-r.Context().Done():
+		}
+	})
+	text := strings.Replace(program, "effect = \"safe\"\ndeadline = \"5s\"", "effect = \"safe\"\ndeadline = \"5s\"\nstream = \"1h\"", 1)
+	s := serve(t, snapshot(parse(t, text), rooms(cluster.Endpoint{ID: "b", Address: server.Addr(), Weight: 1})))
+	ctx, leave := context.WithCancel(t.Context())
+	defer leave()
+	r, _ := http.NewRequestWithContext(ctx, http.MethodGet, s.url+"/", nil)
+	resp, err := s.client.Do(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	testkit.Wait(t, begun, "the stream")
+	rooms := s.app.state.Load().clusters["rooms"]
+	testkit.Until(t, "the request's end", func() bool { return rooms.open.Load() == 0 })
+	if n := s.app.deactivateIdle(s.app.idleNow()); n != 0 {
+		t.Error("a cluster with an open stream was given up")
+	}
+	close(end)
+	io.Copy(io.Discard, resp.Body)
+	resp.Body.Close()
+	testkit.Until(t, "the cluster to be given up", func() bool { return s.app.deactivateIdle(s.app.idleNow()) == 1 })
+}
+
+// A cluster stays active until servers that were cold at its last request are warm, and late answers are not listened
+// for any more.
+func TestIdleAfterFollowsSettings(t *testing.T) {
+	for name, c := range map[string]struct {
+		change func(p *config.Program)
+		want   time.Duration
+	}{
+		"nothing longer":   {func(p *config.Program) { p.Rules.ColdFor = 0 }, 2 * time.Minute},
+		"as the file says": {func(p *config.Program) { p.ClusterIdle = time.Hour }, time.Hour},
+		"servers are cold": {func(p *config.Program) { p.Rules.ColdFor, p.Rules.FallFor = time.Hour, time.Second }, time.Hour + time.Second},
+		"late answers": {func(p *config.Program) {
+			p.Repeats.Late, p.Classes[0].Window = true, 24*time.Hour
+		}, 24 * time.Hour},
+	} {
+		p := *parse(t, program)
+		p.Classes = append([]config.Class(nil), p.Classes...)
+		c.change(&p)
+		s := serve(t, snapshot(&p, rooms(at(testkit.Box(t, "b")))))
+		if got := s.app.idleAfter(s.app.state.Load()); got != c.want {
+			t.Errorf("%s: idle after %v, want %v", name, got, c.want)
+		}
+	}
+}
+
+// Guards against what a version leaves behind: after many changes of settings the heap holds what it held after few.
+func TestChangesLeaveNothing(t *testing.T) {
+	const count = 100
+	box := testkit.Box(t, "b")
+	first := services(t, count, box)
+	s := serve(t, first)
+	change := func(times int) (heap uint64) {
+		for i := range times {
+			p := *first.Program
+			p.Limits.MaxRetryAfter += time.Duration(1+i%2) * time.Millisecond
+			if err := s.app.Take(&files.Snapshot{Program: &p, Version: first.Version}); err != nil {
+				t.Fatal(err)
+			}
+			s.ask(i % count) // so that engines are among what is replaced
+		}
+		s.app.deactivateIdle(s.app.idleNow())
+		runtime.GC()
+		runtime.GC()
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		return m.HeapAlloc
+	}
+	few := change(20)
+	many := change(200)
+	if grown := int64(many) - int64(few); grown > 200*count*16 { // 16 bytes for each cluster of each version
+		t.Errorf("200 changes of settings left %d bytes, %d for each cluster of each", grown, grown/200/count)
+	}
+}
+
+// Versions with equal tenants share one table, whose quotas hold over all clusters; another list takes over what is left.
+func TestTenantTables(t *testing.T) {
+	text := program + "[[tenant]]\nname = \"a\"\nquota_per_s = 5\ncertificates = [\"a.example\"]\n[[tenant]]\nname = \"b\"\n"
+	s := serve(t, snapshot(parse(t, text), rooms(at(testkit.Box(t, "b")))))
+	take := func(text string) *tenantTable {
+		if err := s.app.Take(snapshot(parse(t, text), rooms(at(testkit.Box(t, "b"))))); err != nil {
+			t.Fatal(err)
+		}
+		return s.app.state.Load().tenants
+	}
+	first := s.app.state.Load().tenants
+	if again := take(strings.Replace(text, `max_retry_after = "600ms"`, `max_retry_after = "601ms"`, 1)); again != first {
+		t.Error("a version with the same tenants has a table of its own")
+	}
+	if first.byName["b"] != 1 || first.byCertificate["a.example"] != 0 || first.place("c") >= 0 {
+		t.Errorf("places %v, by certificate %v", first.byName, first.byCertificate)
+	}
+	for name, change := range map[string][2]string{
+		"a quota":       {"quota_per_s = 5", "quota_per_s = 6"},
+		"a certificate": {"a.example", "b.example"},
+		"a name":        {`name = "b"`, `name = "c"`},
+	} {
+		if other := take(strings.Replace(text, change[0], change[1], 1)); other == first {
+			t.Errorf("%s changed, and the table is the same", name)
+		}
+	}
+}
--- a/internal/app/streams.go
+++ b/internal/app/streams.go
@@ -53,6 +53,13 @@
 	s.arm()
 }
 
+// count tells how many streams are held.
+func (s *streams) count() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.table.Len()
+}
+
 // drain tells of servers that drain or are gone since a time on the clock.
 func (s *streams) drain(since time.Duration, servers []policy.ServerID) {
 	s.mu.Lock()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -110,20 +110,22 @@
 	Listeners []Listener // all of them
 	Keys      Keys
 	Upstream  Upstream
-	Files     Files
-	Limits    policy.Limits
-	Rules     policy.Rules
-	Nodes     int
-	Node      int
-	Zone      string
-	Classes   []Class
-	Tenants   []Tenant
-	Hosts     []route.VirtualHost
-	Table     *route.Table // nil: routes are to come from a control plane
-	XDS       XDS
-	ExtProc   ExtProc
-	Repeats   Repeats
-	Agree     Agree
+	// ClusterIdle is how long a cluster without requests keeps its decisions' state and its connections.
+	ClusterIdle time.Duration
+	Files       Files
+	Limits      policy.Limits
+	Rules       policy.Rules
+	Nodes       int
+	Node        int
+	Zone        string
+	Classes     []Class
+	Tenants     []Tenant
+	Hosts       []route.VirtualHost
+	Table       *route.Table // nil: routes are to come from a control plane
+	XDS         XDS
+	ExtProc     ExtProc
+	Repeats     Repeats
+	Agree       Agree
 }
 
 // Repeats is the store of keys of keyed requests over HTTP; off without entries.
@@ -202,6 +204,7 @@
 		Connections    int      `toml:"connections"`
 		Idle           Duration `toml:"idle"`
 		ConnectTimeout Duration `toml:"connect_timeout"`
+		ClusterIdle    Duration `toml:"cluster_idle"`
 	} `toml:"upstream"`
 	Files struct {
 		Clusters string   `toml:"clusters"`
@@ -316,6 +319,7 @@
 	f.Keys.Poll.Duration = time.Second
 	f.Upstream.Connections, f.Upstream.Idle.Duration = 512, 15*time.Second
 	f.Upstream.ConnectTimeout.Duration = 250 * time.Millisecond
+	f.Upstream.ClusterIdle.Duration = 2 * time.Minute
 	f.Files.MaxShare, f.Files.Poll.Duration = 0.5, time.Second
 	f.Limits.Attempts = 3
 	f.Fleet.Nodes = 1
@@ -358,6 +362,8 @@
 	}
 	within("upstream", "idle", p.Upstream.Idle, 100*time.Millisecond, time.Hour)
 	within("upstream", "connect_timeout", p.Upstream.ConnectTimeout, time.Millisecond, time.Minute)
+	p.ClusterIdle = f.Upstream.ClusterIdle.Duration
+	within("upstream", "cluster_idle", p.ClusterIdle, time.Second, 24*time.Hour)
 	p.classes(&f.classFile, report)
 	p.tenants(&f.classFile, report)
 	p.xds(&f, report)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -30,8 +30,8 @@
 	// backstop is how long after a request's end the engine waits for the Balancer's
 	// answer before it gives one itself.
 	backstop = 5 * time.Millisecond
-	// eventQueue is how many events of a cluster may wait before their senders do.
-	eventQueue = 1024
+	// EventQueue is Options.EventQueue where that is 0.
+	EventQueue = 1024
 	// clockStart keeps a server that started before this program on the positive side
 	// of the clock: the Balancer takes 0 and less for "long ago".
 	clockStart = time.Hour
@@ -101,6 +101,9 @@
 	// still begin; 0: the constant of that name. Whoever has a figure from its settings gives a
 	// part of it, which leaves the rest to the word's own way here.
 	DrainGrace time.Duration
+	// EventQueue is how many events may wait before their senders do; 0: the constant of that name. Its memory, about
+	// a hundred bytes an event, is held from the start: whoever has many clusters gives less.
+	EventQueue int
 	// Watch is called where the Balancer wants to follow a list that has to be asked
 	// for; nil if lists are pushed. It must not block.
 	Watch func()
@@ -173,9 +176,13 @@
 // New starts a cluster with no servers. It ends with the context; what is open then
 // gets no answer, so Abandon or Retire it first.
 func New(ctx context.Context, set policy.Settings, ex Exchanger, o Options) (*Cluster, error) {
+	queue := o.EventQueue
+	if queue == 0 {
+		queue = EventQueue
+	}
 	c := &Cluster{
 		clock: o.Clock, ex: ex, watch: o.Watch, sent: o.Sent,
-		events: make(chan event, eventQueue), gone: make(chan struct{}),
+		events: make(chan event, queue), gone: make(chan struct{}),
 		members: map[policy.ServerID]*member{}, requests: map[policy.RequestID]*Request{},
 		classes: set.Classes, maxTries: set.Limits.MaxAttempts, comeBack: set.Limits.MaxRetryAfter,
 	}
