--- a/internal/cli/agree.go
+++ b/internal/cli/agree.go
@@ -17,7 +17,7 @@
 // fleetConfig gives what a program's file says of its fleet, as a node of it wants it. keys may be nil.
 func fleetConfig(p *config.Program, path string, keys *tlskeys.Store, log *slog.Logger) peers.Config {
 	a := &p.Agree
-	c := peers.Config{Fleet: a.Name, Name: a.Node, Dir: files.Beside(path, a.Folder), Terms: a.Terms, Alone: a.Alone, Log: log}
+	c := peers.Config{Fleet: a.Name, Name: a.Node, Dir: files.Beside(path, a.Folder), Lease: a.Lease, Disconnected: a.Disconnected, Log: log}
 	for _, v := range a.Voters {
 		c.Voters = append(c.Voters, peers.Voter{Name: v.Name, Address: v.Address})
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -183,9 +183,9 @@
 					fmt.Fprintln(out, "warning:", w)
 				}
 				if err == nil && s != nil && s.Program.Agree.On() {
-					t := s.Program.Agree.Terms
+					t := s.Program.Agree.Lease
 					fmt.Fprintf(out, "%s: a version that contradicts is in force, and acted on by no one else than by all, %v after it is taken up at the latest;\n"+
-						"  a node acts on its rules for %v without a word from a majority of the voters, and then alone\n", path, t.Bound().Round(time.Millisecond), t.Hold().Round(time.Millisecond))
+						"  a node acts on its rules for %v without a word from a majority of the voters, and then alone\n", path, t.ActivationBound().Round(time.Millisecond), t.HolderTerm().Round(time.Millisecond))
 				}
 				if err != nil {
 					bad = true
--- a/internal/cli/versions.go
+++ b/internal/cli/versions.go
@@ -17,7 +17,7 @@
 
 // labVersions plays processes that agree on versions while parts of them fail.
 func labVersions(out io.Writer) *cobra.Command {
-	v := lab.Versions{Terms: terms.Terms{Take: 250 * time.Millisecond}}
+	v := lab.Versions{Terms: terms.LeaseConfig{ApplyTimeout: 250 * time.Millisecond}}
 	first, seeds := uint64(1), 3
 	c := &cobra.Command{
 		Use:   "versions",
@@ -55,8 +55,8 @@
 	f.IntVar(&v.Voters, "voters", 3, "of which so many vote")
 	f.IntVar(&v.Boxes, "servers", 4, "stand-in servers")
 	f.Float64Var(&v.Rate, "rate", 150, "requests a second over all processes")
-	f.DurationVar(&v.Terms.Lease, "lease", 600*time.Millisecond, "of the nodes")
-	f.Float64Var(&v.Terms.Drift, "drift", 0.1, "most that a clock may differ")
+	f.DurationVar(&v.Terms.Duration, "lease", 600*time.Millisecond, "of the nodes")
+	f.Float64Var(&v.Terms.MaxClockDrift, "drift", 0.1, "most that a clock may differ")
 	f.BoolVar(&v.Release, "release", false, "in place of versions have a release take each server out and back")
 	f.BoolVar(&v.Power, "power", false, "in place of drawn faults cut the power of all processes twice; they come back one by one")
 	f.BoolVar(&v.Clocks, "clocks", true, "give the processes clocks that are fast and slow by that much")
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -13,15 +13,15 @@
 
 // Agree is how this node takes part in what its fleet agrees on; the zero value: it doesn't.
 type Agree struct {
-	Name   string // the fleet's
-	Node   string // this node's
-	Folder string // of its store; relative to the program's file
-	Listen string // host:port, for other nodes; "": it is no voter
-	Voters []Voter
-	Roots  string // to which other nodes' certificates have to lead; "": clear text, on loopback alone
-	Shows  string // the pair that is shown to them
-	Terms  terms.Terms
-	Alone  terms.Alone
+	Name         string // the fleet's
+	Node         string // this node's
+	Folder       string // of its store; relative to the program's file
+	Listen       string // host:port, for other nodes; "": it is no voter
+	Voters       []Voter
+	Roots        string // to which other nodes' certificates have to lead; "": clear text, on loopback alone
+	Shows        string // the pair that is shown to them
+	Lease        terms.LeaseConfig
+	Disconnected terms.DisconnectedPolicy
 }
 
 // Voter is a node that votes.
@@ -63,7 +63,7 @@
 	}
 	a := &p.Agree
 	*a = Agree{Name: f.Name, Node: f.Node, Folder: f.Folder, Listen: f.Listen, Roots: f.Roots, Shows: f.Shows,
-		Terms: terms.Terms{Lease: f.Lease.Duration, Drift: f.Drift, Take: f.Take.Duration}}
+		Lease: terms.LeaseConfig{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration}}
 	for _, n := range []struct{ key, name string }{{"name", f.Name}, {"node", f.Node}} {
 		if n.name == "" || len(n.name) > cluster.MaxName {
 			report(agreeTable, -1, n.key, "1 to %d bytes", cluster.MaxName)
@@ -114,13 +114,13 @@
 	if d := f.Alone.For.Duration; d < 0 {
 		report(agreeTable, -1, "alone.for", "%v is below 0", d)
 	}
-	a.Alone.For = f.Alone.For.Duration
+	a.Disconnected.MaxDuration = f.Alone.For.Duration
 	for _, k := range []struct {
 		key, word string
-		to        *terms.Caution
-	}{{"effects", f.Alone.Effects, &a.Alone.Effects}, {"routes", f.Alone.Routes, &a.Alone.Routes}, {"lists", f.Alone.Lists, &a.Alone.Lists}} {
+		to        *terms.DisconnectedAction
+	}{{"effects", f.Alone.Effects, &a.Disconnected.Effects}, {"routes", f.Alone.Routes, &a.Disconnected.Routes}, {"lists", f.Alone.Lists, &a.Disconnected.Servers}} {
 		var err error
-		if *k.to, err = terms.ParseCaution(k.word); err != nil {
+		if *k.to, err = terms.ParseDisconnectedAction(k.word); err != nil {
 			report(agreeTable+".alone", -1, k.key, "%v", err)
 		}
 	}
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -38,8 +38,8 @@
 		t.Fatal(err)
 	}
 	a := p.Agree
-	if !a.On() || len(a.Voters) != 3 || a.Folder != "agree" || a.Alone != (terms.Alone{Effects: terms.Cautious, Routes: terms.Cautious, Lists: terms.Cautious}) || a.Terms.Bound() > 2*time.Second {
-		t.Errorf("%+v, bound %v", a, a.Terms.Bound())
+	if !a.On() || len(a.Voters) != 3 || a.Folder != "agree" || a.Disconnected != (terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious}) || a.Lease.ActivationBound() > 2*time.Second {
+		t.Errorf("%+v, bound %v", a, a.Lease.ActivationBound())
 	}
 	if plain, err := ParseProgram("n.toml", []byte(strings.Replace(agreeing, agreeing[strings.Index(agreeing, "[fleet.agree]"):strings.Index(agreeing, "[[class]]")], "", 1))); err != nil || plain.Agree.On() {
 		t.Errorf("without it: %v", err)
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -60,7 +60,7 @@
 			err = errors.Join(err, n.close())
 		}
 	}()
-	t := terms.Terms{Lease: o.Lease, Drift: 0.05, Take: 50 * time.Millisecond}
+	t := terms.LeaseConfig{Duration: o.Lease, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
 	var voters []peers.Voter
 	for i := range fleetNodes {
 		n := &fleetNode{name: string(rune('a' + i))}
@@ -87,7 +87,7 @@
 	}
 	defer client.Close()
 	d := &fleetDemo{ctx: ctx, out: o.Out, nodes: nodes, client: client}
-	fmt.Fprintf(o.Out, "five nodes; a, b and c vote; a lease lasts %v, so a version that contradicts is in force after %v at the latest\n\n", t.Lease, t.Bound().Round(time.Millisecond))
+	fmt.Fprintf(o.Out, "five nodes; a, b and c vote; a lease lasts %v, so a version that contradicts is in force after %v at the latest\n\n", t.Duration, t.ActivationBound().Round(time.Millisecond))
 	d.publish("keys are dropped for 6 s", "6s")
 	d.all("all act on it", "6s")
 	d.publish("keys are dropped for 2 s: nodes that still count on 6 s would send again what the servers have forgotten", "2s")
@@ -108,10 +108,10 @@
 }
 
 // open opens a node with a link to each voter but itself.
-func (n *fleetNode) open(dir string, t terms.Terms, voters []peers.Voter, votes bool) error {
+func (n *fleetNode) open(dir string, t terms.LeaseConfig, voters []peers.Voter, votes bool) error {
 	c := peers.Config{
-		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Terms: t, Log: slog.New(slog.DiscardHandler),
-		Alone: terms.Alone{Effects: terms.Cautious, Routes: terms.Cautious, Lists: terms.Cautious},
+		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: t, Log: slog.New(slog.DiscardHandler),
+		Disconnected: terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious},
 		Parse: func(list []config.File) (*agree.Version, error) {
 			s, err := files.Unbundle(list)
 			if err != nil {
--- a/internal/fleet/agree/alone.go
+++ b/internal/fleet/agree/alone.go
@@ -12,7 +12,7 @@
 
 // Alone gives what a node acts on without a lease, by what it acted on last, at a wall-clock time that only serves to
 // tell which servers had started lately when the lease ended.
-func Alone(last Acting, rules terms.Alone, ended time.Time) Acting {
+func Alone(last Acting, rules terms.DisconnectedPolicy, ended time.Time) Acting {
 	p := *last.Program
 	p.Classes = slices.Clone(p.Classes)
 	out := Acting{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
@@ -27,13 +27,13 @@
 			c.Effect = policy.Unsafe
 		}
 		switch {
-		case rules.Effects == terms.Refuse, rules.Lists == terms.Refuse, rules.Routes == terms.Refuse:
+		case rules.Effects == terms.Refuse, rules.Servers == terms.Refuse, rules.Routes == terms.Refuse:
 			out.Refused[c.Name] = "the node is cut off from the fleet"
-		case !safe && (rules.Routes == terms.Cautious || rules.Lists == terms.Cautious):
+		case !safe && (rules.Routes == terms.Cautious || rules.Servers == terms.Cautious):
 			out.Refused[c.Name] = "the node is cut off from the fleet, and the class's routes or servers may have changed"
 		}
 	}
-	if rules.Lists != terms.ServeLast {
+	if rules.Servers != terms.ServeLast {
 		out.Clusters = map[string]*cluster.Cluster{}
 		for name, c := range last.Clusters {
 			out.Clusters[name] = withoutCold(c, p.Rules.ColdFor, ended)
--- a/internal/fleet/agree/lease.go
+++ b/internal/fleet/agree/lease.go
@@ -9,8 +9,8 @@
 	"yokestall/internal/fleet/terms"
 )
 
-// Terms are the figures of leases.
-type Terms = terms.Terms
+// LeaseConfig is the timing of leases.
+type LeaseConfig = terms.LeaseConfig
 
 // Facts are what a voter has learnt from the log, at an index. They were true of it once, whoever tells them.
 type Facts struct {
@@ -58,7 +58,7 @@
 // Desk is a voter's record of the leases that it has granted. It lives in memory: one that starts waits until
 // all that an earlier life may have granted is over. Times are on the voter's own clock.
 type Desk struct {
-	terms   Terms
+	terms   LeaseConfig
 	quiet   time.Duration // it clears nothing before
 	holders map[holder]*held
 }
@@ -71,8 +71,8 @@
 }
 
 // NewDesk starts a desk.
-func NewDesk(now time.Duration, t Terms) *Desk {
-	return &Desk{terms: t, quiet: now + t.Keep(), holders: map[holder]*held{}}
+func NewDesk(now time.Duration, t LeaseConfig) *Desk {
+	return &Desk{terms: t, quiet: now + t.GranterTerm(), holders: map[holder]*held{}}
 }
 
 // Ask grants a lease up to what the voter has heard of.
@@ -91,7 +91,7 @@
 	if h.epochs.end <= now {
 		h.since = now
 	}
-	end := now + d.terms.Keep()
+	end := now + d.terms.GranterTerm()
 	h.epochs.grant(s.Upto(), a.Confirmed, end)
 	h.works.grant(s.Set(a.Node, a.Life), a.Set, end)
 	return Grant{Voter: voter, Seq: a.Seq, Upto: h.epochs.mark, Set: h.works.mark, Facts: s.Facts()}, nil
@@ -155,7 +155,7 @@
 // moment of each decision and of each send; there is no flag that ages. Times are on the node's own clock, which must
 // count the time in which the machine or the process was suspended.
 type Lease struct {
-	terms     Terms
+	terms     LeaseConfig
 	voters    int
 	facts     Facts
 	confirmed uint64
@@ -177,7 +177,7 @@
 const asksMost = 64
 
 // NewLease starts a node's side; holds tells which versions it could act on.
-func NewLease(t Terms, voters int, holds func(number uint64) bool) *Lease {
+func NewLease(t LeaseConfig, voters int, holds func(number uint64) bool) *Lease {
 	return &Lease{terms: t, voters: voters, holds: holds, asked: map[uint64]time.Duration{}, grants: map[uint64][]lent{}, sets: map[uint64][]lent{}}
 }
 
@@ -196,7 +196,7 @@
 	if !known || len(l.grants) >= 2*l.voters && l.grants[g.Voter] == nil {
 		return
 	}
-	end := at + l.terms.Hold()
+	end := at + l.terms.HolderTerm()
 	l.grants[g.Voter] = lend(l.grants[g.Voter], g.Upto, end, l.facts.Epoch)
 	l.sets[g.Voter] = lend(l.sets[g.Voter], g.Set, end, l.set+1)
 }
--- a/internal/fleet/agree/log_test.go
+++ b/internal/fleet/agree/log_test.go
@@ -139,8 +139,8 @@
 	s.nodes[followers/2].cutUntil = s.now + time.Minute
 	s.publish("second", true)
 	s.run(s.now + 3*time.Second)
-	if s.versions != 2 || s.longest == 0 || s.longest > s.terms.Bound() || s.longest < s.terms.Hold()/2 {
-		t.Errorf("%d versions, in force after %v, and the bound is %v", s.versions, s.longest, s.terms.Bound())
+	if s.versions != 2 || s.longest == 0 || s.longest > s.terms.ActivationBound() || s.longest < s.terms.HolderTerm()/2 {
+		t.Errorf("%d versions, in force after %v, and the bound is %v", s.versions, s.longest, s.terms.ActivationBound())
 	}
 	on := 0
 	for _, n := range s.nodes {
@@ -177,7 +177,7 @@
 	if err := ask(time.Second, 7); err != nil {
 		t.Errorf("one that has a lease: %v", err)
 	}
-	if err := ask(simTerms.Keep()+time.Millisecond, MaxHolders); err != nil || len(d.holders) != 2 {
+	if err := ask(simTerms.GranterTerm()+time.Millisecond, MaxHolders); err != nil || len(d.holders) != 2 {
 		t.Errorf("once they are over: %v, %d", err, len(d.holders))
 	}
 }
--- a/internal/fleet/agree/sim_test.go
+++ b/internal/fleet/agree/sim_test.go
@@ -51,7 +51,7 @@
 	t       testing.TB
 	rng     *rand.Rand
 	out     without
-	terms   Terms
+	terms   LeaseConfig
 	now     time.Duration
 	queue   eventQueue
 	order   int
@@ -113,20 +113,20 @@
 	return x
 }
 
-var simTerms = Terms{Lease: 1500 * time.Millisecond, Drift: 0.1, Take: 100 * time.Millisecond}
+var simTerms = LeaseConfig{Duration: 1500 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 100 * time.Millisecond}
 
 func newSim(t testing.TB, seed uint64, voters, followers int, out without) *fleetSim {
 	s := &fleetSim{t: t, rng: rand.New(rand.NewPCG(seed, 39)), out: out, terms: simTerms, acked: map[string]uint64{}, epochs: map[uint64]uint64{}, pendingAt: map[uint64]time.Duration{}, tokens: map[string]uint64{}, asking: rand.New(rand.NewPCG(seed, 40))}
 	if out == drift {
-		s.terms.Drift = 0
+		s.terms.MaxClockDrift = 0
 	}
 	for i := range voters {
 		s.voters = append(s.voters, uint64(i+1))
 	}
 	for i := range voters + followers {
-		n := &simNode{id: uint64(i + 1), name: fmt.Sprint("n", i+1), rate: 1 + simTerms.Drift*(2*s.rng.Float64()-1), offset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
+		n := &simNode{id: uint64(i + 1), name: fmt.Sprint("n", i+1), rate: 1 + simTerms.MaxClockDrift*(2*s.rng.Float64()-1), offset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
 		if s.rng.IntN(3) == 0 { // the ends of what is allowed
-			n.rate = 1 + simTerms.Drift*float64(2*s.rng.IntN(2)-1)
+			n.rate = 1 + simTerms.MaxClockDrift*float64(2*s.rng.IntN(2)-1)
 		}
 		if i < voters {
 			n.disk = First(s.voters)
@@ -238,7 +238,7 @@
 }
 
 func (s *fleetSim) asks(n *simNode) {
-	s.on(n, time.Duration(float64(s.terms.Renew())/n.rate), func() {
+	s.on(n, time.Duration(float64(s.terms.RenewInterval())/n.rate), func() {
 		s.ask(n)
 		s.take(n)
 		s.asks(n)
--- a/internal/fleet/agree/voter.go
+++ b/internal/fleet/agree/voter.go
@@ -85,7 +85,7 @@
 }
 
 // NewVoter starts a voter from its disk.
-func NewVoter(now time.Duration, id uint64, t Terms, disk Stored) (*Voter, error) {
+func NewVoter(now time.Duration, id uint64, t LeaseConfig, disk Stored) (*Voter, error) {
 	v := &Voter{ID: id, storage: raft.NewMemoryStorage(), state: &State{}, desk: NewDesk(now, t)}
 	if disk.Snapshot == nil {
 		return nil, errors.New("the store has no beginning: it was not made by init")
--- a/internal/fleet/agree/works.go
+++ b/internal/fleet/agree/works.go
@@ -211,7 +211,7 @@
 		if w.Asked != 0 || there && l.Life == w.Life {
 			continue
 		}
-		node, life := Candidate(name, live, v.Eligible, now, time.Duration(settleLeases)*v.desk.terms.Lease)
+		node, life := Candidate(name, live, v.Eligible, now, time.Duration(settleLeases)*v.desk.terms.Duration)
 		if node == "" || !v.due("own "+name, w.Token) {
 			continue
 		}
--- a/internal/fleet/peers/dial.go
+++ b/internal/fleet/peers/dial.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return
 	}
-	silent := time.AfterFunc(2*n.Terms.Lease, stop)
+	silent := time.AfterFunc(2*n.Lease.Duration, stop)
 	defer silent.Stop()
 	over := make(chan struct{})
 	go func() {
@@ -135,7 +135,7 @@
 				n.Log.Warn("a voter's reply can't be read", "voter", c.Target(), "err", err)
 				return
 			}
-			silent.Reset(2 * n.Terms.Lease)
+			silent.Reset(2 * n.Lease.Duration)
 			if r.Error != "" {
 				n.Log.Warn("a voter grants no lease", "voter", c.Target(), "err", r.Error)
 				continue
@@ -144,7 +144,7 @@
 		}
 	}()
 	defer func() { stop(); <-over }()
-	t := time.NewTicker(n.Terms.Renew())
+	t := time.NewTicker(n.Lease.RenewInterval())
 	defer t.Stop()
 	for {
 		a, now := n.nextAsk()
--- a/internal/fleet/peers/node.go
+++ b/internal/fleet/peers/node.go
@@ -28,14 +28,14 @@
 
 // Config is what a node is told.
 type Config struct {
-	Fleet, Name string
-	Dir         string // of its store
-	Voters      []Voter
-	Terms       terms.Terms
-	Alone       terms.Alone
-	ServerTLS   *tls.Config // nil: clear text, on loopback alone
-	ClientTLS   *tls.Config
-	Log         *slog.Logger
+	Fleet, Name  string
+	Dir          string // of its store
+	Voters       []Voter
+	Lease        terms.LeaseConfig
+	Disconnected terms.DisconnectedPolicy
+	ServerTLS    *tls.Config // nil: clear text, on loopback alone
+	ClientTLS    *tls.Config
+	Log          *slog.Logger
 	// Clock counts leases: it goes on while the process is suspended. nil: BootTime.
 	Clock func() time.Duration
 	// Parse reads a version's files by this program's checks: an error is why this node can't hold it.
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.lease = agree.NewLease(c.Terms, len(c.Voters), n.holds)
+	n.lease = agree.NewLease(c.Lease, len(c.Voters), n.holds)
 	if err := n.open(); err != nil {
 		n.Close()
 		return nil, err
@@ -183,7 +183,7 @@
 	if id.Fleet != n.Fleet || id.ID != own || !slices.Equal(id.Voters, ids(n.Voters)) {
 		return fmt.Errorf("%s: the store is of the voter %s of the fleet %q, among others: %s", n.Dir, id.Name, id.Fleet, "the configuration names another, or other voters")
 	}
-	v, err := agree.NewVoter(n.Clock(), own, n.Terms, disk)
+	v, err := agree.NewVoter(n.Clock(), own, n.Lease, disk)
 	if err != nil {
 		return err
 	}
@@ -476,7 +476,7 @@
 }
 
 func (n *Node) attendSelf() {
-	t := time.NewTicker(n.Terms.Renew())
+	t := time.NewTicker(n.Lease.RenewInterval())
 	defer t.Stop()
 	for {
 		_, changed := n.newState()
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-var quick = terms.Terms{Lease: 400 * time.Millisecond, Drift: 0.05, Take: 50 * time.Millisecond}
+var quick = terms.LeaseConfig{Duration: 400 * time.Millisecond, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
 
 // bundle is a version of a program, which says how its one class behaves.
 func bundle(effect string) []config.File {
@@ -111,8 +111,8 @@
 func (g *group) config(i int) Config {
 	n := g.nodes[i]
 	c := Config{
-		Fleet: "f", Name: n.name, Dir: filepath.Join(g.dir, n.name), Voters: g.voters, Terms: quick, Log: slog.New(slog.DiscardHandler),
-		Alone: terms.Alone{Effects: terms.Cautious, Routes: terms.Cautious, Lists: terms.Cautious},
+		Fleet: "f", Name: n.name, Dir: filepath.Join(g.dir, n.name), Voters: g.voters, Lease: quick, Log: slog.New(slog.DiscardHandler),
+		Disconnected: terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious},
 		Parse: func(list []config.File) (*agree.Version, error) {
 			n.mu.Lock()
 			n.parsed++
--- a/internal/fleet/peers/take.go
+++ b/internal/fleet/peers/take.go
@@ -285,10 +285,10 @@
 			n.take(want)
 		case !may && cur != nil:
 			n.goAlone(cur.rules)
-		case cur == nil && now-began > n.Terms.Lease:
+		case cur == nil && now-began > n.Lease.Duration:
 			n.wakeAlone()
 		}
-		next := n.Terms.Renew()
+		next := n.Lease.RenewInterval()
 		if a := n.acting.Load(); a != nil && !a.alone {
 			next = min(next, a.until-n.Clock())
 		}
@@ -385,12 +385,12 @@
 }
 
 func (n *Node) alone(a agree.Acting, last agree.Rules) {
-	if err := n.Take(agree.Alone(a, n.Config.Alone, time.Now())); err != nil {
+	if err := n.Take(agree.Alone(a, n.Config.Disconnected, time.Now())); err != nil {
 		n.Log.Error("nothing is served without a lease", "err", err)
 		return
 	}
 	until := time.Duration(math.MaxInt64)
-	if most := n.Config.Alone.For; most > 0 {
+	if most := n.Config.Disconnected.MaxDuration; most > 0 {
 		until = n.Clock() + most
 	}
 	n.acting.Store(&acting{rules: last, alone: true, until: until})
--- a/internal/fleet/terms/terms.go
+++ b/internal/fleet/terms/terms.go
@@ -1,4 +1,4 @@
-// Package terms holds the figures by which a fleet agrees: what a lease is worth, and what a node does without one. It is pure.
+// Package terms defines the lease timing of a fleet and the policy of a node that has lost its lease. It has no state and does no I/O.
 package terms
 
 import (
@@ -9,56 +9,62 @@
 	"time"
 )
 
-// Terms are the figures of leases, the same at every node of a fleet.
-type Terms struct {
-	Lease time.Duration // that a voter grants, in true time
-	Drift float64       // most that a clock's rate differs from true time: 0.1 is a tenth
-	Take  time.Duration // that a node needs to take a version once it has heard of it
+// renewalsPerTerm is how many times a holder renews within the term that it counts on: three attempts may fail.
+const renewalsPerTerm = 4
+
+// LeaseConfig is the timing of leases. All nodes of a fleet must use the same values.
+type LeaseConfig struct {
+	Duration      time.Duration // of a lease, in true time
+	MaxClockDrift float64       // largest deviation of a clock's rate from true time: 0.1 is 10 %
+	ApplyTimeout  time.Duration // within which a node applies a version that it has heard of
 }
 
-// Hold is how long the one who was granted a lease counts on it, by its own clock: no longer than the lease on the
-// slowest clock allowed, which shows less time than has passed.
-func (t Terms) Hold() time.Duration { return time.Duration(float64(t.Lease) * (1 - t.Drift)) }
+// HolderTerm is how long a lease's holder may rely on it, measured on the holder's clock. A slow clock shows less time than has passed,
+// so the term is the lease's duration as the slowest allowed clock shows it.
+func (c LeaseConfig) HolderTerm() time.Duration {
+	return time.Duration(float64(c.Duration) * (1 - c.MaxClockDrift))
+}
 
-// Keep is how long the one who granted it counts on it: no less than the lease, on the fastest clock allowed.
-func (t Terms) Keep() time.Duration {
-	return time.Duration(math.Ceil(float64(t.Lease) * (1 + t.Drift)))
+// GranterTerm is how long the voter that granted a lease has to honor it, measured on the voter's clock: the lease's duration as the
+// fastest allowed clock shows it.
+func (c LeaseConfig) GranterTerm() time.Duration {
+	return time.Duration(math.Ceil(float64(c.Duration) * (1 + c.MaxClockDrift)))
 }
 
-// Bound is the longest time from a version's place in the log until nobody acts on what it contradicts: every node has
-// confirmed, or its last lease has ended on the clock of the slowest voter that counts it.
-func (t Terms) Bound() time.Duration {
-	return time.Duration(float64(t.Keep())/(1-t.Drift)) + t.Take
+// ActivationBound is the longest time from when a version is committed to the log until no node acts on a version that it contradicts:
+// by then each node has confirmed, or its last lease has expired even on the slowest voter's clock.
+func (c LeaseConfig) ActivationBound() time.Duration {
+	return time.Duration(float64(c.GranterTerm())/(1-c.MaxClockDrift)) + c.ApplyTimeout
 }
 
-// Renew is how often a lease is asked for again: three tries fit before it ends.
-func (t Terms) Renew() time.Duration { return t.Hold() / 4 }
+// RenewInterval is the time between two lease requests of a holder.
+func (c LeaseConfig) RenewInterval() time.Duration { return c.HolderTerm() / renewalsPerTerm }
 
-// Caution is what a node does by a kind of rule once its lease is over: then it can't know what the others act on.
-type Caution uint8
+// DisconnectedAction is how a node without a lease treats one kind of rule. Such a node can't know which version the others act on.
+type DisconnectedAction uint8
 
-// The cautions, from the strictest.
+// The actions, the strictest first.
 const (
-	Refuse    Caution = iota // nothing that the rule touches is served
-	Cautious                 // what contradicts no version that could follow; where nothing does, refuse
-	ServeLast                // as the last version says: it may contradict one that has followed
+	Refuse    DisconnectedAction = iota // refuse every request that the rule affects
+	Cautious                            // do only what no later version could contradict, and refuse the rest
+	ServeLast                           // go on as the last known version says, which a later version may contradict
 )
 
-var cautions = map[string]Caution{"refuse": Refuse, "cautious": Cautious, "serve-last": ServeLast}
+var disconnectedActions = map[string]DisconnectedAction{"refuse": Refuse, "cautious": Cautious, "serve-last": ServeLast}
 
-// ParseCaution reads a caution's word.
-func ParseCaution(word string) (Caution, error) {
-	if c, ok := cautions[word]; ok {
-		return c, nil
+// ParseDisconnectedAction parses an action as configuration files write it.
+func ParseDisconnectedAction(word string) (DisconnectedAction, error) {
+	if action, ok := disconnectedActions[word]; ok {
+		return action, nil
 	}
-	return 0, fmt.Errorf("%q is none of %v", word, slices.Sorted(maps.Keys(cautions)))
+	return 0, fmt.Errorf("%q is none of %v", word, slices.Sorted(maps.Keys(disconnectedActions)))
 }
 
-// Alone say what a node does that has lost its lease, by kind of rule.
-type Alone struct {
-	Effects Caution // effect, scope and window of classes. Cautious: one attempt for each request, no copy, no repeat
-	Routes  Caution // where classes that are not safe lead. Cautious: their requests are refused
-	Lists   Caution // servers. Cautious: only safe requests go to them, none to servers that may still be cold
-	// For is how long after its lease's end anything is served at all; 0: for as long as it lasts.
-	For time.Duration
+// DisconnectedPolicy is what a node does after its lease has expired, by kind of rule.
+type DisconnectedPolicy struct {
+	Effects DisconnectedAction // effect, scope and window of classes. Cautious: one attempt for each request, no second copy, no retry
+	Routes  DisconnectedAction // routes of classes that are not safe. Cautious: their requests are refused
+	Servers DisconnectedAction // the lists of servers. Cautious: only safe requests are served, and none by servers that may still be cold
+	// MaxDuration is how long after its lease's end the node serves at all; 0: without limit.
+	MaxDuration time.Duration
 }
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -38,7 +38,7 @@
 	Faults        int           // drawn
 	Release       bool          // instead of versions a release takes each server out and back
 	Power         bool          // instead of drawn faults all processes lose power twice, and come back one by one
-	Terms         terms.Terms
+	Terms         terms.LeaseConfig
 	Rate          float64 // requests a second, over all processes
 	Clocks        bool    // the processes' clocks for leases are fast and slow in turn, by as much as the terms allow
 }
@@ -100,7 +100,7 @@
 	defer r.rig.Close()
 	if v.Clocks {
 		for i, p := range r.rig.Processes {
-			rate := 1 + v.Terms.Drift*[]float64{1, -1, 0}[i%3]
+			rate := 1 + v.Terms.MaxClockDrift*[]float64{1, -1, 0}[i%3]
 			p.Command = append(command[:len(command):len(command)], "lab", "serve", fmt.Sprint("--rate=", rate), "-c")
 		}
 	}
@@ -182,7 +182,7 @@
 	fmt.Fprintf(&b, "[listen]\naddress = %q\n[files]\nclusters = \"clusters\"\n[limits]\nattempts = 3\nmax_retry_after = \"1s\"\n", r.rig.Processes[node].Addr)
 	fmt.Fprintf(&b, "[fleet]\nnodes = %d\nnode = %d\n", r.Nodes, node)
 	if stamp == 0 {
-		fmt.Fprintf(&b, "[fleet.agree]\nname = \"lab\"\nnode = \"n%d\"\nlisten = %q\nlease = %q\ndrift = %v\ntake = %q\nvoters = [", node, r.asked[node], r.Terms.Lease, r.Terms.Drift, r.Terms.Take)
+		fmt.Fprintf(&b, "[fleet.agree]\nname = \"lab\"\nnode = \"n%d\"\nlisten = %q\nlease = %q\ndrift = %v\ntake = %q\nvoters = [", node, r.asked[node], r.Terms.Duration, r.Terms.MaxClockDrift, r.Terms.ApplyTimeout)
 		for v := range r.Voters {
 			addr := r.asked[v]
 			if v != node {
@@ -492,7 +492,7 @@
 
 func (r *versionRun) judge() {
 	o := &r.out
-	o.Bound = r.Terms.Bound()
+	o.Bound = r.Terms.ActivationBound()
 	o.Asked, o.Served, o.Refused, o.Failed = int(r.asks.Load()), int(r.served.Load()), int(r.refused.Load()), int(r.failed.Load())
 	slices.Sort(o.Times)
 	events := r.rig.Record.Events()
