--- a/internal/cli/agree.go
+++ b/internal/cli/agree.go
@@ -73,7 +73,7 @@
 	p := first.Program
 	var source *app.Agreed
 	var m *member
-	o.May = func() bool { return m.node.May() }
+	o.May = func() bool { return m.node.MayServe() }
 	c := fleetConfig(p, path, o.Keys, o.Log)
 	c.Clock = clock
 	a, err := app.New(app.Blank(p), o)
@@ -81,7 +81,7 @@
 		return nil, nil, nil, err
 	}
 	source = app.NewAgreed(a, p)
-	c.Parse, c.Extend, c.Take = source.Parse, source.Extend, source.Take
+	c.Parse, c.Extend, c.Apply = source.Parse, source.Extend, source.Take
 	if m, err = join(c, p); err != nil {
 		a.Close()
 		return nil, nil, nil, err
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -142,14 +142,14 @@
 }
 
 // line prints a voter's status.
-func (f *fleetCommands) line(a peers.Answer) {
+func (f *fleetCommands) line(a peers.VoterStatus) {
 	s := a.Status
 	switch {
 	case s == nil:
 		fmt.Fprintf(f.out, "%-12s does not answer: %s\n", a.Voter, a.Error)
 		return
-	case !s.Voter && s.Store != "":
-		fmt.Fprintf(f.out, "%-12s votes no more: %s\n", a.Voter, s.Store)
+	case !s.Voter && s.VotingError != "":
+		fmt.Fprintf(f.out, "%-12s votes no more: %s\n", a.Voter, s.VotingError)
 		return
 	case !s.Voter:
 		fmt.Fprintf(f.out, "%-12s follows: its store was not made by init\n", a.Voter)
@@ -159,26 +159,26 @@
 	if leader == "" {
 		leader = "none"
 	}
-	fmt.Fprintf(f.out, "%-12s version %d in force (epoch %d), leader %s in term %d, acts on %v", a.Voter, s.Facts.Number, s.Facts.Epoch, leader, s.Term, s.Acts)
-	if s.Alone {
+	fmt.Fprintf(f.out, "%-12s version %d in force (epoch %d), leader %s in term %d, acts on %v", a.Voter, s.LogStatus.Number, s.LogStatus.Epoch, leader, s.Term, s.Applied)
+	if s.Disconnected {
 		fmt.Fprint(f.out, " alone")
 	} else {
-		fmt.Fprintf(f.out, " for %d ms", s.LeftMs)
+		fmt.Fprintf(f.out, " for %d ms", s.LeaseLeftMs)
 	}
-	if s.Facts.Pending != 0 {
-		fmt.Fprintf(f.out, "; version %d waits", s.Facts.Pending)
-		if len(s.Waits) > 0 {
-			fmt.Fprintf(f.out, " for %s", strings.Join(s.Waits, ", "))
+	if s.LogStatus.Pending != 0 {
+		fmt.Fprintf(f.out, "; version %d waits", s.LogStatus.Pending)
+		if len(s.WaitingFor) > 0 {
+			fmt.Fprintf(f.out, " for %s", strings.Join(s.WaitingFor, ", "))
 		}
 	}
-	fmt.Fprintf(f.out, "; leases: %s\n", strings.Join(s.Nodes, ", "))
+	fmt.Fprintf(f.out, "; leases: %s\n", strings.Join(s.LeaseHolders, ", "))
 }
 
 // result is what a publish prints.
 type result struct {
 	ID string `json:"id"`
-	*peers.Published
-	*peers.Outcome
+	*peers.PublishReply
+	*peers.PublishOutcome
 }
 
 func (f *fleetCommands) publish() *cobra.Command {
@@ -196,15 +196,15 @@
 				if err != nil {
 					return err
 				}
-				return f.submit(cmd.Context(), o, func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.Published, error) {
-					return c.Change(ctx, id, base, config.File{Name: args[0], Text: text})
+				return f.submit(cmd.Context(), o, func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.PublishReply, error) {
+					return c.PublishChange(ctx, id, base, config.File{Name: args[0], Text: text})
 				})
 			}
 			list, err := files.Bundle(args[0])
 			if err != nil {
 				return err
 			}
-			return f.submit(cmd.Context(), o, func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.Published, error) {
+			return f.submit(cmd.Context(), o, func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.PublishReply, error) {
 				return c.Publish(ctx, id, base, list)
 			})
 		},
@@ -228,7 +228,7 @@
 }
 
 // submitter has a client take up a version under an id, made from a base.
-type submitter func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.Published, error)
+type submitter func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.PublishReply, error)
 
 func (f *fleetCommands) rollback() *cobra.Command {
 	var o submission
@@ -241,7 +241,7 @@
 			if err != nil {
 				return fmt.Errorf("%q is no version's number", args[0])
 			}
-			return f.submit(cmd.Context(), o, func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.Published, error) {
+			return f.submit(cmd.Context(), o, func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.PublishReply, error) {
 				return c.Rollback(ctx, id, base, number)
 			})
 		},
@@ -260,8 +260,8 @@
 	at, err := strconv.ParseUint(by.base, 10, 64)
 	if by.base == "present" {
 		var s *peers.Status
-		if s, err = c.Newest(ctx); err == nil {
-			at = s.Facts.Number
+		if s, err = c.LatestStatus(ctx); err == nil {
+			at = s.LogStatus.Number
 		}
 	}
 	if err != nil {
@@ -274,23 +274,23 @@
 	if err != nil {
 		return err
 	}
-	r := result{ID: id, Published: p}
+	r := result{ID: id, PublishReply: p}
 	if p.Number > 0 && wait > 0 {
 		ctx, stop := context.WithTimeout(ctx, wait)
 		defer stop()
-		o, err := c.Wait(ctx, p.Number, func(o peers.Outcome) {
-			if !f.json && len(o.Waits) > 0 {
-				fmt.Fprintf(f.out, "version %d waits for %s\n", p.Number, strings.Join(o.Waits, ", "))
+		o, err := c.WaitForVersion(ctx, p.Number, func(o peers.PublishOutcome) {
+			if !f.json && len(o.WaitingFor) > 0 {
+				fmt.Fprintf(f.out, "version %d waits for %s\n", p.Number, strings.Join(o.WaitingFor, ", "))
 			}
 		})
-		if r.Outcome = &o; err != nil && !f.json {
+		if r.PublishOutcome = &o; err != nil && !f.json {
 			fmt.Fprintf(f.out, "version %d is not in force after %v; it goes on waiting\n", p.Number, wait)
 		}
 	}
 	if err := f.print(r, func() { f.say(r) }); err != nil {
 		return err
 	}
-	if p.Number == 0 || p.Error != "" || r.Outcome != nil && !r.Outcome.InForce {
+	if p.Number == 0 || p.Error != "" || r.PublishOutcome != nil && !r.PublishOutcome.InForce {
 		return ErrReported
 	}
 	return nil
@@ -300,15 +300,15 @@
 	switch {
 	case r.Number == 0:
 		fmt.Fprintf(f.out, "nothing is published: %s\n", r.Error)
-		for _, d := range r.Differs {
-			fmt.Fprintf(f.out, "  from the version in force, %d: %s\n", r.Present, d)
+		for _, d := range r.Differences {
+			fmt.Fprintf(f.out, "  from the version in force, %d: %s\n", r.ActiveVersion, d)
 		}
-		if r.Again {
+		if r.Retry {
 			fmt.Fprintf(f.out, "try again with --id %s\n", r.ID)
 		}
-	case r.Outcome != nil && r.Refused != "":
-		fmt.Fprintf(f.out, "version %d is refused, and nobody acts on it: %s\n", r.Number, r.Refused)
-	case r.Outcome != nil && r.InForce:
+	case r.PublishOutcome != nil && r.RefusalReason != "":
+		fmt.Fprintf(f.out, "version %d is refused, and nobody acts on it: %s\n", r.Number, r.RefusalReason)
+	case r.PublishOutcome != nil && r.InForce:
 		fmt.Fprintf(f.out, "version %d is in force\n", r.Number)
 	default:
 		fmt.Fprintf(f.out, "version %d is taken up\n", r.Number)
@@ -317,7 +317,7 @@
 
 func (f *fleetCommands) history() *cobra.Command {
 	return f.report("history", "List the latest versions", func(ctx context.Context, c *peers.Client) error {
-		s, err := c.Newest(ctx)
+		s, err := c.LatestStatus(ctx)
 		if err != nil {
 			return err
 		}
@@ -327,9 +327,9 @@
 				switch {
 				case m.Refused != "":
 					note = ", refused: " + m.Refused
-				case m.Number == s.Facts.Number:
+				case m.Number == s.LogStatus.Number:
 					note = ", in force"
-				case m.Number == s.Facts.Pending:
+				case m.Number == s.LogStatus.Pending:
 					note = ", waits"
 				}
 				if m.Contradicts {
@@ -343,15 +343,15 @@
 
 func (f *fleetCommands) owners() *cobra.Command {
 	return f.report("owners", "Say which node does each work on behalf of the fleet, by which token, and for how long its lease lasts", func(ctx context.Context, c *peers.Client) error {
-		s, err := c.Newest(ctx)
+		s, err := c.LatestStatus(ctx)
 		if err != nil {
 			return err
 		}
-		list := s.Owners
+		list := s.Tasks
 		for _, a := range c.Status(ctx) { // the owner itself knows its lease
 			for i := range list {
-				if a.Status != nil && i < len(a.Status.Owners) && a.Status.Owners[i].Acts && a.Status.Owners[i].Token == list[i].Token {
-					list[i] = a.Status.Owners[i]
+				if a.Status != nil && i < len(a.Status.Tasks) && a.Status.Tasks[i].Active && a.Status.Tasks[i].Token == list[i].Token {
+					list[i] = a.Status.Tasks[i]
 				}
 			}
 		}
@@ -359,13 +359,13 @@
 			for _, o := range list {
 				switch {
 				case o.Owner == "":
-					fmt.Fprintf(f.out, "%s: nobody; each node has an equal part\n", o.Work)
-				case o.Leaving != "":
-					fmt.Fprintf(f.out, "%s: %s by token %d, and %s once that one can't act any more\n", o.Work, o.Owner, o.Token, o.Leaving)
-				case o.Acts:
-					fmt.Fprintf(f.out, "%s: %s by token %d, for %d ms\n", o.Work, o.Owner, o.Token, o.LeftMs)
+					fmt.Fprintf(f.out, "%s: nobody; each node has an equal part\n", o.Task)
+				case o.NextOwner != "":
+					fmt.Fprintf(f.out, "%s: %s by token %d, and %s once that one can't act any more\n", o.Task, o.Owner, o.Token, o.NextOwner)
+				case o.Active:
+					fmt.Fprintf(f.out, "%s: %s by token %d, for %d ms\n", o.Task, o.Owner, o.Token, o.LeaseLeftMs)
 				default:
-					fmt.Fprintf(f.out, "%s: %s by token %d, without a lease at present\n", o.Work, o.Owner, o.Token)
+					fmt.Fprintf(f.out, "%s: %s by token %d, without a lease at present\n", o.Task, o.Owner, o.Token)
 				}
 			}
 		})
--- a/internal/cli/release.go
+++ b/internal/cli/release.go
@@ -75,7 +75,7 @@
 			if id != "" {
 				r.ID = id
 			}
-			return f.control(cmd, peers.Control{Begin: r})
+			return f.control(cmd, peers.ReleaseCommand{Start: r})
 		},
 	}
 	c.Flags().StringVar(&id, "id", "", "of an earlier try: the same id again is the same release")
@@ -91,7 +91,7 @@
 			if word == "status" {
 				word = ""
 			}
-			return f.control(cmd, peers.Control{Word: word, Why: why})
+			return f.control(cmd, peers.ReleaseCommand{Action: word, Reason: why})
 		}}
 		if w.word == "abort" {
 			sub.Flags().StringVar(&why, "why", "by hand", "for the record")
@@ -101,9 +101,9 @@
 	return c
 }
 
-func (f *fleetCommands) control(cmd *cobra.Command, in peers.Control) error {
+func (f *fleetCommands) control(cmd *cobra.Command, in peers.ReleaseCommand) error {
 	return f.with(func(c *peers.Client) error {
-		r, err := c.Control(cmd.Context(), in)
+		r, err := c.ControlRelease(cmd.Context(), in)
 		if err != nil {
 			return err
 		}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -119,7 +119,7 @@
 			}
 			return &agree.Version{Program: s.Program, Clusters: s.Version.Clusters}, nil
 		},
-		Take: func(a agree.Acting) error {
+		Apply: func(a agree.Acting) error {
 			k := &a.Program.Classes[0]
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -164,7 +164,7 @@
 func (n *fleetNode) now() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.node.May() {
+	if !n.node.MayServe() {
 		return ""
 	}
 	return n.acts
@@ -193,14 +193,14 @@
 	list := []config.File{{Name: files.ProgramPart, Text: []byte(text)}, {Name: "rooms.toml", Text: []byte("[cluster]\nname = \"rooms\"\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n")}}
 	began, id := time.Now(), peers.NewID()
 	for ctx.Err() == nil {
-		s, err := d.client.Newest(ctx)
+		s, err := d.client.LatestStatus(ctx)
 		if err == nil {
-			var p *peers.Published
-			if p, err = d.client.Publish(ctx, id, s.Facts.Number, list); err == nil && p.Number > 0 {
+			var p *peers.PublishReply
+			if p, err = d.client.Publish(ctx, id, s.LogStatus.Number, list); err == nil && p.Number > 0 {
 				waits := ""
-				o, err := d.client.Wait(ctx, p.Number, func(o peers.Outcome) {
-					if len(o.Waits) > 0 {
-						waits = fmt.Sprintf(", having waited for %v", o.Waits)
+				o, err := d.client.WaitForVersion(ctx, p.Number, func(o peers.PublishOutcome) {
+					if len(o.WaitingFor) > 0 {
+						waits = fmt.Sprintf(", having waited for %v", o.WaitingFor)
 					}
 				})
 				if err != nil || !o.InForce {
--- a/internal/fleet/peers/admit.go
+++ b/internal/fleet/peers/admit.go
@@ -16,13 +16,13 @@
 // count, kept on its disk, and each voter keeps the latest start of the others that it has met: before it votes, a voter is admitted by
 // half of the others, and one whom any of them has met in a later life votes no more.
 
-// Met is a voter's answer to another one's start.
-type Met struct {
-	OK     bool       `json:"ok"`
-	Latest store.Life `json:"latest"`
+// StartReply is a voter's answer to another one's start.
+type StartReply struct {
+	Admitted bool       `json:"ok"`
+	Latest   store.Life `json:"latest"`
 }
 
-func (n *Node) hello(_ context.Context, in *store.Life) (*Met, error) {
+func (n *Node) serveHello(_ context.Context, in *store.Life) (*StartReply, error) {
 	known := false
 	for _, v := range n.Voters {
 		known = known || v.Name == in.Name
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Met{ok, latest}, nil
+	return &StartReply{ok, latest}, nil
 }
 
 // admit has the others meet this start of the voter; false: it may not vote, or the node ends.
@@ -42,7 +42,7 @@
 	need := (len(n.conns) + 1) / 2
 	met := make(chan bool, len(n.conns))
 	for _, c := range n.conns {
-		n.run.Go(func() { met <- n.meet(c) })
+		n.background.Go(func() { met <- n.introduce(c) })
 	}
 	for need > 0 {
 		select {
@@ -57,26 +57,26 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.voter, n.standing = n.standing, nil
+	n.voter, n.unadmitted = n.unadmitted, nil
 	return n.voter != nil
 }
 
-// meet goes on until another voter has said whether it has met a later life of this one.
-func (n *Node) meet(c *Conn) bool {
+// introduce goes on until another voter has said whether it has met a later life of this one.
+func (n *Node) introduce(c *Conn) bool {
 	for n.ctx.Err() == nil {
 		ctx, stop := context.WithTimeout(n.ctx, time.Second)
-		m, err := call[Met](ctx, c, "Hello", n.start)
+		m, err := call[StartReply](ctx, c, "Hello", n.ownStart)
 		stop()
 		switch {
-		case err == nil && m.OK:
+		case err == nil && m.Admitted:
 			return true
 		case err == nil:
 			n.mu.Lock()
-			n.breakOff(fmt.Errorf("%s: an old copy of this voter's disk: it is at start %d, and another voter has met start %d", n.Dir, n.start.Count, m.Latest.Count))
+			n.stopVoting(fmt.Errorf("%s: an old copy of this voter's disk: it is at start %d, and another voter has met start %d", n.Dir, n.ownStart.Count, m.Latest.Count))
 			n.mu.Unlock()
 			return false
 		}
-		n.pause(dialLeast)
+		n.sleep(minDialBackoff)
 	}
 	return false
 }
--- a/internal/fleet/peers/change_test.go
+++ b/internal/fleet/peers/change_test.go
@@ -31,7 +31,7 @@
 func TestChangesOfAList(t *testing.T) {
 	endpoints, changes := 10_000, 100
 	if testing.Short() || raced {
-		endpoints, changes = 500, foldAfter+5
+		endpoints, changes = 500, maxChangesPerVersion+5
 	}
 	g := newGroup(t, 3, 2)
 	g.publish("one", 0, many(endpoints))
@@ -45,7 +45,7 @@
 			health = "healthy"
 		}
 		for id := fmt.Sprint("c", i); ; {
-			p, err := g.client.Change(g.patience(), id, base, change(i/2, health))
+			p, err := g.client.PublishChange(g.patience(), id, base, change(i/2, health))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -53,33 +53,33 @@
 				base = p.Number
 				break
 			}
-			if !p.Again && !strings.Contains(p.Error, "not the present one") {
+			if !p.Retry && !strings.Contains(p.Error, "not the present one") {
 				t.Fatalf("%+v", p)
 			}
 		}
 		testkit.Until(t, "it to be in force", func() bool { return g.nodes[0].node.state().Number == base })
 	}
 	took := time.Since(began)
-	if bad, err := g.client.Change(g.patience(), "bad", base, config.File{Name: "c", Text: []byte("[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"s-none\"]\n[end]\nendpoints = 0\n")}); err != nil || bad.Number != 0 || !strings.Contains(bad.Error, "not in the list") {
+	if bad, err := g.client.PublishChange(g.patience(), "bad", base, config.File{Name: "c", Text: []byte("[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"s-none\"]\n[end]\nendpoints = 0\n")}); err != nil || bad.Number != 0 || !strings.Contains(bad.Error, "not in the list") {
 		t.Errorf("%+v, %v", bad, err)
 	}
-	drain, err := g.client.Change(g.patience(), "last", base, change(7, "draining"))
+	drain, err := g.client.PublishChange(g.patience(), "last", base, change(7, "draining"))
 	if err != nil || !g.inForce(drain.Number).InForce {
 		t.Fatalf("%+v, %v", drain, err)
 	}
 	for i, n := range g.nodes {
 		var v *agree.Version
 		testkit.Until(t, n.name+" to hold it", func() bool {
-			n.node.heldMu.Lock()
-			defer n.node.heldMu.Unlock()
-			v = n.node.held[drain.Number]
+			n.node.versionsMu.Lock()
+			defer n.node.versionsMu.Unlock()
+			v = n.node.versions[drain.Number]
 			return v != nil
 		})
 		if c := v.Clusters["rooms"]; len(c.Endpoints) != endpoints || c.Endpoints[7].Serves() || !c.Endpoints[8].Serves() {
 			t.Errorf("%s has another list", n.name)
 		}
 		n.mu.Lock()
-		if most := 1 + (changes+foldAfter-1)/foldAfter; n.parsed > most { // at first, and where changes are folded
+		if most := 1 + (changes+maxChangesPerVersion-1)/maxChangesPerVersion; n.parsed > most { // at first, and where changes are folded
 			t.Errorf("node %d read the whole %d times over %d changes; %d at most", i, n.parsed, changes, most)
 		}
 		n.mu.Unlock()
--- a/internal/fleet/peers/client.go
+++ b/internal/fleet/peers/client.go
@@ -46,22 +46,22 @@
 	}
 }
 
-// askFor is how long a voter has to say how things stand.
-const askFor = 2 * time.Second
+// statusTimeout is how long a voter has to say how things stand.
+const statusTimeout = 2 * time.Second
 
-// Answer is a voter's status, or why there is none.
-type Answer struct {
+// VoterStatus is a voter's status, or why there is none.
+type VoterStatus struct {
 	Voter  string  `json:"voter"`
 	Status *Status `json:"status,omitempty"`
 	Error  string  `json:"error,omitempty"`
 }
 
 // Status asks all voters at once.
-func (c *Client) Status(ctx context.Context) []Answer {
-	ctx, stop := context.WithTimeout(ctx, askFor)
+func (c *Client) Status(ctx context.Context) []VoterStatus {
+	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
-	out := make([]Answer, len(c.conns))
-	each(c.conns, func(i int, conn *Conn) {
+	out := make([]VoterStatus, len(c.conns))
+	forEachConn(c.conns, func(i int, conn *Conn) {
 		out[i].Voter = c.voters[i].Name
 		s, err := conn.Status(ctx)
 		if out[i].Status = s; err != nil {
@@ -71,7 +71,7 @@
 	return out
 }
 
-func each(conns []*Conn, do func(i int, c *Conn)) {
+func forEachConn(conns []*Conn, do func(i int, c *Conn)) {
 	done := make(chan struct{})
 	for i, c := range conns {
 		go func() {
@@ -84,11 +84,11 @@
 	}
 }
 
-// ErrMajority is that too few voters answer.
-var ErrMajority = errors.New("no majority of the voters answers")
+// ErrNoQuorum is that too few voters answer.
+var ErrNoQuorum = errors.New("no majority of the voters answers")
 
-// Newest gives the status of the voter that has read furthest; an error where less than a majority answers.
-func (c *Client) Newest(ctx context.Context) (*Status, error) {
+// LatestStatus gives the status of the voter that has read furthest; an error where less than a majority answers.
+func (c *Client) LatestStatus(ctx context.Context) (*Status, error) {
 	var newest *Status
 	got := 0
 	var last string
@@ -97,19 +97,19 @@
 			last = fmt.Sprint(a.Voter, ": ", a.Error)
 			continue
 		}
-		if got++; newest == nil || a.Status.Facts.Index > newest.Facts.Index {
+		if got++; newest == nil || a.Status.LogStatus.Index > newest.LogStatus.Index {
 			newest = a.Status
 		}
 	}
 	if got <= len(c.conns)/2 {
-		return nil, fmt.Errorf("%w: %d of %d (%s)", ErrMajority, got, len(c.conns), last)
+		return nil, fmt.Errorf("%w: %d of %d (%s)", ErrNoQuorum, got, len(c.conns), last)
 	}
 	return newest, nil
 }
 
-// Probe asks a voter, by its place, for the token by which it owns a work at this moment; 0: it doesn't.
-func (c *Client) Probe(ctx context.Context, at int, work string) (token uint64, err error) {
-	r, err := call[Owned](ctx, c.conns[at], "Owns", Owned{Work: work})
+// OwnershipToken asks a voter, by its place, for the token by which it owns a work at this moment; 0: it doesn't.
+func (c *Client) OwnershipToken(ctx context.Context, at int, work string) (token uint64, err error) {
+	r, err := call[OwnershipQuery](ctx, c.conns[at], "Owns", OwnershipQuery{Task: work})
 	if err != nil {
 		return 0, err
 	}
@@ -126,8 +126,8 @@
 // Publish has a version taken up that was made from another. Its content is at a majority of the voters before it is
 // proposed, so that none that is in force can be lost with a minority. An answer without a number says why; with Again the same
 // publish may be sent again.
-func (c *Client) Publish(ctx context.Context, id string, base uint64, list []config.File) (*Published, error) {
-	p := Publish{ID: id, Base: base}
+func (c *Client) Publish(ctx context.Context, id string, base uint64, list []config.File) (*PublishReply, error) {
+	p := PublishRequest{ID: id, Base: base}
 	content := map[string][]byte{}
 	for _, f := range list {
 		h := hash(f.Text)
@@ -137,12 +137,12 @@
 	return c.publish(ctx, p, content)
 }
 
-// foldAfter is how many changes of a list a version has at most; the next one takes the list up whole.
-const foldAfter = 64
+// maxChangesPerVersion is how many changes of a list a version has at most; the next one takes the list up whole.
+const maxChangesPerVersion = 64
 
-// Change has a version taken up that differs from another in one cluster's list: only the change travels. With foldAfter of them beside
+// PublishChange has a version taken up that differs from another in one cluster's list: only the change travels. With maxChangesPerVersion of them beside
 // a list, it is written anew, whole.
-func (c *Client) Change(ctx context.Context, id string, base uint64, change config.File) (*Published, error) {
+func (c *Client) PublishChange(ctx context.Context, id string, base uint64, change config.File) (*PublishReply, error) {
 	patch, err := config.ParseChange(change)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 	var m *agree.Manifest
 	var at *Conn
 	for _, conn := range c.conns {
-		one, stop := context.WithTimeout(ctx, askFor)
+		one, stop := context.WithTimeout(ctx, statusTimeout)
 		m, err = conn.Describe(one, base)
 		if at = conn; err == nil {
 			stop()
@@ -168,19 +168,19 @@
 		}
 	}
 	h := hash(change.Text)
-	p := Publish{ID: id, Base: base, Extends: true, Parts: []agree.Part{{Name: files.ChangePart(patch.Name, others), Hash: h, Size: len(change.Text)}}}
-	if others < foldAfter {
+	p := PublishRequest{ID: id, Base: base, Extends: true, Parts: []agree.Part{{Name: files.ChangePart(patch.Name, others), Hash: h, Size: len(change.Text)}}}
+	if others < maxChangesPerVersion {
 		return c.publish(ctx, p, map[string][]byte{h: change.Text})
 	}
-	list, err := fold(ctx, at, m, change)
+	list, err := mergeChanges(ctx, at, m, change)
 	if err != nil {
 		return nil, err
 	}
 	return c.Publish(ctx, id, base, list)
 }
 
-// fold gives a version's files with a change, and all that came before it, in the lists themselves.
-func fold(ctx context.Context, conn *Conn, m *agree.Manifest, change config.File) ([]config.File, error) {
+// mergeChanges gives a version's files with a change, and all that came before it, in the lists themselves.
+func mergeChanges(ctx context.Context, conn *Conn, m *agree.Manifest, change config.File) ([]config.File, error) {
 	var list, out []config.File
 	for _, p := range m.Parts {
 		data, err := conn.Fetch(ctx, p)
@@ -203,26 +203,26 @@
 }
 
 // Rollback has a version of the history taken up again, as a new one.
-func (c *Client) Rollback(ctx context.Context, id string, base, number uint64) (*Published, error) {
-	last := fmt.Errorf("version %d: %w", number, ErrMajority)
+func (c *Client) Rollback(ctx context.Context, id string, base, number uint64) (*PublishReply, error) {
+	last := fmt.Errorf("version %d: %w", number, ErrNoQuorum)
 	for _, conn := range c.conns {
-		one, stop := context.WithTimeout(ctx, askFor)
+		one, stop := context.WithTimeout(ctx, statusTimeout)
 		m, err := conn.Describe(one, number)
 		stop()
 		if err != nil {
 			last = err
 			continue
 		}
-		return c.publish(ctx, Publish{ID: id, Base: base, Parts: m.Parts}, nil)
+		return c.publish(ctx, PublishRequest{ID: id, Base: base, Parts: m.Parts}, nil)
 	}
 	return nil, last
 }
 
-func (c *Client) publish(ctx context.Context, p Publish, content map[string][]byte) (*Published, error) {
+func (c *Client) publish(ctx context.Context, p PublishRequest, content map[string][]byte) (*PublishReply, error) {
 	errs := make([]error, len(c.conns))
 	if content != nil {
-		each(c.conns, func(i int, conn *Conn) {
-			one, stop := context.WithTimeout(ctx, publishFor)
+		forEachConn(c.conns, func(i int, conn *Conn) {
+			one, stop := context.WithTimeout(ctx, publishTimeout)
 			defer stop()
 			errs[i] = conn.Put(one, content)
 		})
@@ -234,17 +234,17 @@
 		}
 	}
 	if good <= len(c.conns)/2 {
-		return nil, fmt.Errorf("%w: %w", ErrMajority, errors.Join(errs...))
+		return nil, fmt.Errorf("%w: %w", ErrNoQuorum, errors.Join(errs...))
 	}
 	var last error
 	for i, conn := range c.conns {
 		if errs[i] != nil {
 			continue
 		}
-		one, stop := context.WithTimeout(ctx, publishFor+askFor)
+		one, stop := context.WithTimeout(ctx, publishTimeout+statusTimeout)
 		out, err := conn.Publish(one, p)
 		stop()
-		if err == nil && (out.Number > 0 || !out.Again) {
+		if err == nil && (out.Number > 0 || !out.Retry) {
 			return out, nil
 		}
 		if status.Code(err) == codes.InvalidArgument {
@@ -255,32 +255,32 @@
 		}
 		last = err
 	}
-	return &Published{Error: last.Error(), Again: true}, nil
+	return &PublishReply{Error: last.Error(), Retry: true}, nil
 }
 
-// Outcome is how a version that was taken up came out.
-type Outcome struct {
-	InForce bool     `json:"in_force"`
-	Refused string   `json:"refused,omitempty"`
-	Waits   []string `json:"waits,omitempty"` // nodes that have neither confirmed nor lost their lease
+// PublishOutcome is how a version that was taken up came out.
+type PublishOutcome struct {
+	InForce       bool     `json:"in_force"`
+	RefusalReason string   `json:"refused,omitempty"`
+	WaitingFor    []string `json:"waits,omitempty"` // nodes that have neither confirmed nor lost their lease
 }
 
-// Wait waits until a version is in force or refused, and tells meanwhile who is waited for. When ctx ends first, it
+// WaitForVersion waits until a version is in force or refused, and tells meanwhile who is waited for. When ctx ends first, it
 // gives what it knows, with ctx's error.
-func (c *Client) Wait(ctx context.Context, number uint64, tell func(Outcome)) (Outcome, error) {
-	var last Outcome
+func (c *Client) WaitForVersion(ctx context.Context, number uint64, tell func(PublishOutcome)) (PublishOutcome, error) {
+	var last PublishOutcome
 	t := time.NewTicker(20 * time.Millisecond)
 	defer t.Stop()
 	for {
-		if s, err := c.Newest(ctx); err == nil {
-			now := Outcome{InForce: s.Facts.Number >= number && s.Facts.Pending != number, Waits: s.Waits}
+		if s, err := c.LatestStatus(ctx); err == nil {
+			now := PublishOutcome{InForce: s.LogStatus.Number >= number && s.LogStatus.Pending != number, WaitingFor: s.WaitingFor}
 			for i := range s.History {
 				if m := &s.History[i]; m.Number == number && m.Refused != "" {
-					now.InForce, now.Refused = false, m.Refused
+					now.InForce, now.RefusalReason = false, m.Refused
 				}
 			}
-			if now.InForce || now.Refused != "" {
-				now.Waits = nil
+			if now.InForce || now.RefusalReason != "" {
+				now.WaitingFor = nil
 				return now, nil
 			}
 			if fmt.Sprint(now) != fmt.Sprint(last) {
--- a/internal/fleet/peers/dial.go
+++ b/internal/fleet/peers/dial.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	dialLeast = 50 * time.Millisecond
-	dialMost  = 500 * time.Millisecond // between two tries to connect: a link that is back is used at once
-	dialFor   = time.Second
+	minDialBackoff = 50 * time.Millisecond
+	maxDialBackoff = 500 * time.Millisecond // between two tries to connect: a link that is back is used at once
+	dialTimeout    = time.Second
 )
 
 // Dial gives a connection to a voter, which is made when it is needed, and again when it breaks.
@@ -33,8 +33,8 @@
 		grpc.WithTransportCredentials(creds),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: dialLeast, Multiplier: 1.6, Jitter: 0.2, MaxDelay: dialMost},
-			MinConnectTimeout: dialFor,
+			Backoff:           backoff.Config{BaseDelay: minDialBackoff, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxDialBackoff},
+			MinConnectTimeout: dialTimeout,
 		}))
 	if err != nil {
 		return nil, err
@@ -42,21 +42,21 @@
 	return &Conn{c, fleet}, nil
 }
 
-// carryTo carries messages to a voter, until the node ends.
-func (n *Node) carryTo(id uint64, c *Conn, queue <-chan *pb.Message) {
+// sendRaftMessages carries messages to a voter, until the node ends.
+func (n *Node) sendRaftMessages(id uint64, c *Conn, queue <-chan *pb.Message) {
 	for n.ctx.Err() == nil {
-		n.carryOver(id, c, queue)
-		n.pause(dialLeast)
+		n.sendRaftStream(id, c, queue)
+		n.sleep(minDialBackoff)
 	}
 }
 
-// carryOver does so over one stream, until that breaks.
-func (n *Node) carryOver(id uint64, c *Conn, queue <-chan *pb.Message) {
+// sendRaftStream does so over one stream, until that breaks.
+func (n *Node) sendRaftStream(id uint64, c *Conn, queue <-chan *pb.Message) {
 	ctx, stop := context.WithCancel(n.ctx)
 	defer stop()
 	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true}, "/"+service+"/Carry")
 	lost := func(m *pb.Message) {
-		n.with(func(v *agree.Voter) error {
+		n.withVoter(func(v *agree.Voter) error {
 			v.Unreachable(id)
 			if m.GetType() == pb.MsgSnap {
 				v.SnapshotSent(id, false)
@@ -97,22 +97,22 @@
 				return
 			}
 			if m.GetType() == pb.MsgSnap {
-				n.with(func(v *agree.Voter) error { v.SnapshotSent(id, true); return nil })
+				n.withVoter(func(v *agree.Voter) error { v.SnapshotSent(id, true); return nil })
 			}
 		}
 	}
 }
 
-// attendTo asks a voter for leases, until the node ends.
-func (n *Node) attendTo(c *Conn) {
+// renewLeaseWith asks a voter for leases, until the node ends.
+func (n *Node) renewLeaseWith(c *Conn) {
 	for n.ctx.Err() == nil {
-		n.attendOver(c)
-		n.pause(dialLeast)
+		n.renewLeaseStream(c)
+		n.sleep(minDialBackoff)
 	}
 }
 
-// attendOver does so over one stream, until that breaks, or says nothing for longer than two leases.
-func (n *Node) attendOver(c *Conn) {
+// renewLeaseStream does so over one stream, until that breaks, or says nothing for longer than two leases.
+func (n *Node) renewLeaseStream(c *Conn) {
 	ctx, stop := context.WithCancel(n.ctx)
 	defer stop()
 	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, "/"+service+"/Attend")
@@ -130,7 +130,7 @@
 			if s.RecvMsg(in) != nil {
 				return
 			}
-			var r Reply
+			var r LeaseReply
 			if err := json.Unmarshal(in.GetValue(), &r); err != nil {
 				n.Log.Warn("a voter's reply can't be read", "voter", c.Target(), "err", err)
 				return
@@ -140,14 +140,14 @@
 				n.Log.Warn("a voter grants no lease", "voter", c.Target(), "err", r.Error)
 				continue
 			}
-			n.heard(r.Grant, r.News)
+			n.handleLeaseReply(r.Grant, r.LogStatus)
 		}
 	}()
 	defer func() { stop(); <-over }()
 	t := time.NewTicker(n.Lease.RenewInterval())
 	defer t.Stop()
 	for {
-		a, now := n.nextAsk()
+		a, now := n.nextLeaseRequest()
 		out, err := pack(a)
 		if err != nil || s.SendMsg(out) != nil {
 			return
--- a/internal/fleet/peers/node.go
+++ b/internal/fleet/peers/node.go
@@ -43,62 +43,62 @@
 	// Extend is Parse for the files of a version that was read and changes of lists beside them; nil: all is read anew.
 	Extend func(v *agree.Version, changes []config.File) (*agree.Version, error)
 	// Take has the program act on something; what it took before is over when it returns.
-	Take func(a agree.Acting) error
+	Apply func(a agree.Acting) error
 }
 
 // Node is a node of a fleet. Create it with Open.
 type Node struct {
 	Config
-	life  string
-	store *store.Store
-	ctx   context.Context
-	stop  context.CancelFunc
-	run   sync.WaitGroup
-	puts  chan struct{}
-	conns map[uint64]*Conn // to voters but itself
-	out   map[uint64]chan *pb.Message
+	incarnation string
+	store       *store.Store
+	ctx         context.Context
+	stop        context.CancelFunc
+	background  sync.WaitGroup
+	uploads     chan struct{}
+	conns       map[uint64]*Conn // to voters but itself
+	outbox      map[uint64]chan *pb.Message
 
-	start store.Life // of a voter
+	ownStart store.Life // of a voter
 
-	mu       sync.Mutex   // guards what follows
-	standing *agree.Voter // that has not been admitted yet
-	voter    *agree.Voter
-	broken   error         // why it votes no more
-	changed  chan struct{} // closed when the voter's state is another
-	recent   map[string]time.Time
+	mu            sync.Mutex   // guards what follows
+	unadmitted    *agree.Voter // that has not been admitted yet
+	voter         *agree.Voter
+	votingError   error         // why it votes no more
+	stateChanged  chan struct{} // closed when the voter's state is another
+	recentContent map[string]time.Time
 
-	leaseMu sync.Mutex
-	lease   *agree.Lease
-	askNow  chan struct{} // closed to have all voters asked
+	leaseMu  sync.Mutex
+	lease    *agree.Lease
+	renewNow chan struct{} // closed to have all voters asked
 
-	acting atomic.Pointer[acting]
-	kick   chan struct{}
+	applied atomic.Pointer[appliedRules]
+	wake    chan struct{}
 
-	heldMu sync.Mutex
-	held   map[uint64]*agree.Version
-	cannot map[uint64]string
-	coming map[uint64]bool
-	known  map[uint64]*agree.Manifest // of those held
+	versionsMu sync.Mutex
+	versions   map[uint64]*agree.Version
+	rejected   map[uint64]string
+	fetching   map[uint64]bool
+	manifests  map[uint64]*agree.Manifest // of those held
 
-	readMu    sync.Mutex // guards the version that was read whole last
-	readLast  *agree.Version
-	readParts []agree.Part
+	parseMu         sync.Mutex // guards the version that was read whole last
+	lastParsed      *agree.Version
+	lastParsedParts []agree.Part
 
-	works ownership
+	ownership ownership
 }
 
-// acting is what the program acts on, and until when on the node's clock.
-type acting struct {
-	rules agree.Rules
-	alone bool
-	until time.Duration
+// appliedRules is what the program acts on, and until when on the node's clock.
+type appliedRules struct {
+	rules        agree.Rules
+	disconnected bool
+	until        time.Duration
 }
 
 const (
-	outMost    = 1024 // messages to a voter that wait; raft sends again what is lost
-	heldMost   = 4    // versions that are kept read
-	retryAfter = 100 * time.Millisecond
-	recentFor  = time.Minute // content that no version names yet is kept so long
+	maxOutbox              = 1024 // messages to a voter that wait; raft sends again what is lost
+	maxCachedVersions      = 4    // versions that are kept read
+	retryDelay             = 100 * time.Millisecond
+	recentContentRetention = time.Minute // content that no version names yet is kept so long
 )
 
 func voterID(name string) uint64 {
@@ -116,10 +116,10 @@
 		return err
 	}
 	defer s.Close()
-	return s.Init(store.Identity{Fleet: c.Fleet, Name: c.Name, ID: voterID(c.Name), Voters: ids(c.Voters)})
+	return s.Init(store.Identity{Fleet: c.Fleet, Name: c.Name, ID: voterID(c.Name), Voters: voterIDs(c.Voters)})
 }
 
-func ids(voters []Voter) (list []uint64) {
+func voterIDs(voters []Voter) (list []uint64) {
 	for _, v := range voters {
 		list = append(list, v.ID())
 	}
@@ -133,31 +133,31 @@
 		c.Clock = BootTime
 	}
 	n := &Node{
-		Config: c, life: NewID(), puts: make(chan struct{}, maxPuts), conns: map[uint64]*Conn{}, out: map[uint64]chan *pb.Message{},
-		changed: make(chan struct{}), recent: map[string]time.Time{}, askNow: make(chan struct{}), kick: make(chan struct{}, 1),
-		held: map[uint64]*agree.Version{}, cannot: map[uint64]string{}, coming: map[uint64]bool{}, known: map[uint64]*agree.Manifest{},
+		Config: c, incarnation: NewID(), uploads: make(chan struct{}, maxUploads), conns: map[uint64]*Conn{}, outbox: map[uint64]chan *pb.Message{},
+		stateChanged: make(chan struct{}), recentContent: map[string]time.Time{}, renewNow: make(chan struct{}), wake: make(chan struct{}, 1),
+		versions: map[uint64]*agree.Version{}, rejected: map[uint64]string{}, fetching: map[uint64]bool{}, manifests: map[uint64]*agree.Manifest{},
 	}
 	var err error
 	if n.store, err = store.Open(c.Dir); err != nil {
 		return nil, err
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.lease = agree.NewLease(c.Lease, len(c.Voters), n.holds)
-	if err := n.open(); err != nil {
+	n.lease = agree.NewLease(c.Lease, len(c.Voters), n.hasVersion)
+	if err := n.connect(); err != nil {
 		n.Close()
 		return nil, err
 	}
 	return n, nil
 }
 
-func (n *Node) open() error {
+func (n *Node) connect() error {
 	own := voterID(n.Name)
 	for _, v := range n.Voters {
 		if v.ID() == own {
-			if err := n.vote(own); err != nil {
+			if err := n.loadVoter(own); err != nil {
 				return err
 			}
-			if n.standing != nil {
+			if n.unadmitted != nil {
 				continue
 			}
 		}
@@ -170,8 +170,8 @@
 	return nil
 }
 
-// vote takes up the voter of the store; none, if the store was not made one's.
-func (n *Node) vote(own uint64) error {
+// loadVoter takes up the voter of the store; none, if the store was not made one's.
+func (n *Node) loadVoter(own uint64) error {
 	id, disk, err := n.store.Voter()
 	if errors.Is(err, store.ErrNotInit) {
 		n.Log.Warn("this node is named as a voter and its store is none's: it follows, and doesn't vote", "store", n.Dir)
@@ -180,19 +180,19 @@
 	if err != nil {
 		return err
 	}
-	if id.Fleet != n.Fleet || id.ID != own || !slices.Equal(id.Voters, ids(n.Voters)) {
+	if id.Fleet != n.Fleet || id.ID != own || !slices.Equal(id.Voters, voterIDs(n.Voters)) {
 		return fmt.Errorf("%s: the store is of the voter %s of the fleet %q, among others: %s", n.Dir, id.Name, id.Fleet, "the configuration names another, or other voters")
 	}
 	v, err := agree.NewVoter(n.Clock(), own, n.Lease, disk)
 	if err != nil {
 		return err
 	}
-	v.Works, v.Life = works(), rand.Uint64()
+	v.Works, v.Life = singletonTasks(), rand.Uint64()
 	for _, other := range n.Voters {
 		v.Eligible = append(v.Eligible, other.Name)
 	}
-	n.standing = v
-	n.start, err = n.store.NextLife(n.Name, n.life)
+	n.unadmitted = v
+	n.ownStart, err = n.store.NextLife(n.Name, n.incarnation)
 	return err
 }
 
@@ -200,31 +200,31 @@
 func (n *Node) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, n.stop)
 	defer stop()
-	votes := n.standing != nil
+	votes := n.unadmitted != nil
 	for id, c := range n.conns {
 		if votes {
-			n.out[id] = make(chan *pb.Message, outMost)
+			n.outbox[id] = make(chan *pb.Message, maxOutbox)
 		}
-		n.run.Go(func() { n.attendTo(c) })
+		n.background.Go(func() { n.renewLeaseWith(c) })
 	}
 	if votes {
-		n.run.Go(n.takePart)
+		n.background.Go(n.runVoter)
 	}
-	n.run.Go(n.takes)
-	n.run.Wait()
+	n.background.Go(n.reconcile)
+	n.background.Wait()
 }
 
-// takePart has the voter take part, once it has been admitted.
-func (n *Node) takePart() {
+// runVoter has the voter take part, once it has been admitted.
+func (n *Node) runVoter() {
 	if !n.admit() {
 		return
 	}
-	for id, queue := range n.out {
-		n.run.Go(func() { n.carryTo(id, n.conns[id], queue) })
+	for id, queue := range n.outbox {
+		n.background.Go(func() { n.sendRaftMessages(id, n.conns[id], queue) })
 	}
-	n.run.Go(n.tick)
-	n.run.Go(n.attendSelf)
-	n.run.Go(n.releases)
+	n.background.Go(n.runTicker)
+	n.background.Go(n.renewOwnLease)
+	n.background.Go(n.runReleases)
 }
 
 // Close ends what Open opened; Run must have returned.
@@ -236,15 +236,15 @@
 	return n.store.Close()
 }
 
-// May tells whether the program may act, at this moment, on what it was given last.
-func (n *Node) May() bool {
-	a := n.acting.Load()
+// MayServe tells whether the program may act, at this moment, on what it was given last.
+func (n *Node) MayServe() bool {
+	a := n.applied.Load()
 	return a != nil && n.Clock() < a.until
 }
 
 // The voter.
 
-func (n *Node) votes() bool {
+func (n *Node) isVoter() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.voter != nil
@@ -252,45 +252,45 @@
 
 // state gives what the log says here; nil: this node has none.
 func (n *Node) state() *agree.State {
-	s, _ := n.newState()
+	s, _ := n.stateAndChange()
 	return s
 }
 
-// newState gives the state, nil if this node has none, with a channel that is closed when there is another.
-func (n *Node) newState() (*agree.State, <-chan struct{}) {
+// stateAndChange gives the state, nil if this node has none, with a channel that is closed when there is another.
+func (n *Node) stateAndChange() (*agree.State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.voter == nil {
-		return nil, n.changed
+		return nil, n.stateChanged
 	}
-	return n.voter.State(), n.changed
+	return n.voter.State(), n.stateChanged
 }
 
-// readAgain is how often a voter asks the leader how far the log goes until it has an answer.
-const readAgain = 5 * agree.Tick
+// readRetryInterval is how often a voter asks the leader how far the log goes until it has an answer.
+const readRetryInterval = 5 * agree.Tick
 
-// present gives the state with all that was taken up anywhere before the call. What a voter has of the
+// currentState gives the state with all that was taken up anywhere before the call. What a voter has of the
 // log may be behind: what it answers by that may have been true once.
-func (n *Node) present(ctx context.Context) (*agree.State, error) {
-	ctx, stop := context.WithTimeout(ctx, askFor)
+func (n *Node) currentState(ctx context.Context) (*agree.State, error) {
+	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
 	first := uint64(0)
 	read := func() error {
-		return n.with(func(v *agree.Voter) error {
+		return n.withVoter(func(v *agree.Voter) error {
 			if id := v.Read(); first == 0 {
 				first = id
 			}
 			return nil
 		})
 	}
-	again := time.NewTicker(readAgain)
+	again := time.NewTicker(readRetryInterval)
 	defer again.Stop()
 	for err := read(); ; {
 		if err != nil {
 			return nil, err
 		}
 		n.mu.Lock()
-		voter, changed := n.voter, n.changed
+		voter, changed := n.voter, n.stateChanged
 		if voter != nil && voter.Seen(first) {
 			defer n.mu.Unlock()
 			return voter.State(), nil
@@ -306,7 +306,7 @@
 	}
 }
 
-func (n *Node) tick() {
+func (n *Node) runTicker() {
 	t := time.NewTicker(agree.Tick)
 	defer t.Stop()
 	for {
@@ -314,27 +314,27 @@
 		case <-n.ctx.Done():
 			return
 		case <-t.C:
-			n.with(func(v *agree.Voter) error { v.Tick(n.Clock()); return nil })
+			n.withVoter(func(v *agree.Voter) error { v.Tick(n.Clock()); return nil })
 		}
 	}
 }
 
-// with does something with the voter, and what follows from it.
-func (n *Node) with(do func(v *agree.Voter) error) error {
+// withVoter does something with the voter, and what follows from it.
+func (n *Node) withVoter(do func(v *agree.Voter) error) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.voter == nil {
-		return errNoVoter
+		return errNotVoter
 	}
 	if err := do(n.voter); err != nil {
 		return err
 	}
-	return n.pump()
+	return n.processReady()
 }
 
-// pump does what the voter wants done; n.mu is held. After a write that failed the node votes no more: what it
+// processReady does what the voter wants done; n.mu is held. After a write that failed the node votes no more: what it
 // has said may be lost.
-func (n *Node) pump() error {
+func (n *Node) processReady() error {
 	before, reads := n.voter.State().Facts(), n.voter.Reads()
 	for {
 		w, some := n.voter.Ready()
@@ -345,57 +345,57 @@
 		var snap *pb.Snapshot
 		if err == nil {
 			for _, m := range w.Messages {
-				n.post(m)
+				n.send(m)
 			}
 			snap, err = n.voter.Done(w)
 		}
 		if err == nil && snap != nil {
-			err = n.begin(snap)
+			err = n.compactLog(snap)
 		}
 		if err != nil {
-			n.breakOff(err)
+			n.stopVoting(err)
 			return err
 		}
 	}
 	if now := n.voter.State(); now.Facts() != before || n.voter.Reads() != reads {
-		n.tell()
+		n.notifyStateChanged()
 	}
 	return nil
 }
 
-// tell says that the state is another; n.mu is held.
-func (n *Node) tell() {
-	close(n.changed)
-	n.changed = make(chan struct{})
+// notifyStateChanged says that the state is another; n.mu is held.
+func (n *Node) notifyStateChanged() {
+	close(n.stateChanged)
+	n.stateChanged = make(chan struct{})
 }
 
-// breakOff has the node vote no more; n.mu is held.
-func (n *Node) breakOff(err error) {
-	n.broken, n.voter, n.standing = err, nil, nil
+// stopVoting has the node vote no more; n.mu is held.
+func (n *Node) stopVoting(err error) {
+	n.votingError, n.voter, n.unadmitted = err, nil, nil
 	n.Log.Error("this node votes no more", "err", err)
-	n.tell()
+	n.notifyStateChanged()
 }
 
-// begin has the log begin anew, and forgets content that no version names.
-func (n *Node) begin(snap *pb.Snapshot) error {
+// compactLog has the log begin anew, and forgets content that no version names.
+func (n *Node) compactLog(snap *pb.Snapshot) error {
 	if err := n.store.Begin(snap); err != nil {
 		return err
 	}
 	keep := n.voter.State().Hashes()
-	for h, at := range n.recent {
-		if time.Since(at) < recentFor {
+	for h, at := range n.recentContent {
+		if time.Since(at) < recentContentRetention {
 			keep[h] = 0
 		} else {
-			delete(n.recent, h)
+			delete(n.recentContent, h)
 		}
 	}
 	return n.store.Sweep(keep)
 }
 
-// post hands a message to who carries it; one that finds no place is lost.
-func (n *Node) post(m *pb.Message) {
+// send hands a message to who carries it; one that finds no place is lost.
+func (n *Node) send(m *pb.Message) {
 	select {
-	case n.out[m.GetTo()] <- m:
+	case n.outbox[m.GetTo()] <- m:
 	default:
 		n.voter.Unreachable(m.GetTo())
 		if m.GetType() == pb.MsgSnap {
@@ -404,10 +404,10 @@
 	}
 }
 
-func (n *Node) step(m *pb.Message) error {
-	return n.with(func(v *agree.Voter) error {
+func (n *Node) receive(m *pb.Message) error {
+	return n.withVoter(func(v *agree.Voter) error {
 		if m.GetTo() != v.ID || !slices.Contains(v.Voters(), m.GetFrom()) || m.GetFrom() == v.ID {
-			return errNoVoter
+			return errNotVoter
 		}
 		v.Step(m) // what it refuses is a message out of its time
 		return nil
@@ -415,11 +415,11 @@
 }
 
 func (n *Node) propose(e *agree.Entry) error {
-	return n.with(func(v *agree.Voter) error { return v.Propose(e) })
+	return n.withVoter(func(v *agree.Voter) error { return v.Propose(e) })
 }
 
-func (n *Node) ask(a agree.Ask) (g agree.Grant, err error) {
-	err = n.with(func(v *agree.Voter) error {
+func (n *Node) grantLease(a agree.Ask) (g agree.Grant, err error) {
+	err = n.withVoter(func(v *agree.Voter) error {
 		if g, err = v.Ask(n.Clock(), a); err != nil {
 			return err
 		}
@@ -431,24 +431,24 @@
 
 // The node's lease.
 
-func (n *Node) nextAsk() (agree.Ask, <-chan struct{}) {
+func (n *Node) nextLeaseRequest() (agree.Ask, <-chan struct{}) {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
 	a := n.lease.Ask(n.Clock())
-	a.Node, a.Life = n.Name, n.life
-	return a, n.askNow
+	a.Node, a.Life = n.Name, n.incarnation
+	return a, n.renewNow
 }
 
-// asks has all voters asked at once.
-func (n *Node) asks() {
+// renewLeasesNow has all voters asked at once.
+func (n *Node) renewLeasesNow() {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
-	close(n.askNow)
-	n.askNow = make(chan struct{})
+	close(n.renewNow)
+	n.renewNow = make(chan struct{})
 }
 
-// heard takes what a voter says.
-func (n *Node) heard(g *agree.Grant, news *agree.Facts) {
+// handleLeaseReply takes what a voter says.
+func (n *Node) handleLeaseReply(g *agree.Grant, news *agree.Facts) {
 	n.leaseMu.Lock()
 	if g != nil {
 		n.lease.Granted(*g)
@@ -456,18 +456,18 @@
 	if news != nil {
 		n.lease.News(*news)
 	}
-	if a := n.acting.Load(); a != nil && !a.alone {
-		n.acting.Store(&acting{rules: a.rules, until: n.until(a.rules)})
+	if a := n.applied.Load(); a != nil && !a.disconnected {
+		n.applied.Store(&appliedRules{rules: a.rules, until: n.leaseEnd(a.rules)})
 	}
 	n.leaseMu.Unlock()
 	select {
-	case n.kick <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// until gives when the lease for rules ends; n.leaseMu is held.
-func (n *Node) until(r agree.Rules) time.Duration {
+// leaseEnd gives when the lease for rules ends; n.leaseMu is held.
+func (n *Node) leaseEnd(r agree.Rules) time.Duration {
 	now := n.Clock()
 	if !n.lease.May(now, r) {
 		return 0
@@ -475,14 +475,14 @@
 	return now + n.lease.Left(now, r)
 }
 
-func (n *Node) attendSelf() {
+func (n *Node) renewOwnLease() {
 	t := time.NewTicker(n.Lease.RenewInterval())
 	defer t.Stop()
 	for {
-		_, changed := n.newState()
-		a, now := n.nextAsk()
-		if g, err := n.ask(a); err == nil {
-			n.heard(&g, nil)
+		_, changed := n.stateAndChange()
+		a, now := n.nextLeaseRequest()
+		if g, err := n.grantLease(a); err == nil {
+			n.handleLeaseReply(&g, nil)
 		}
 		select {
 		case <-n.ctx.Done():
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -134,7 +134,7 @@
 			clusters, err := files.Change(v.Clusters, changes)
 			return &agree.Version{Program: v.Program, Clusters: clusters}, err
 		},
-		Take: func(a agree.Acting) error {
+		Apply: func(a agree.Acting) error {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			c := a.Program.Classes[0]
@@ -193,20 +193,20 @@
 }
 
 // publish publishes until it is known what became of it.
-func (g *group) publish(id string, base uint64, list []config.File) *Published {
+func (g *group) publish(id string, base uint64, list []config.File) *PublishReply {
 	g.t.Helper()
-	var out *Published
+	var out *PublishReply
 	testkit.Until(g.t, "word of the publish "+id, func() bool {
 		p, err := g.client.Publish(g.patience(), id, base, list)
 		out = p
-		return err == nil && (p.Number > 0 || !p.Again)
+		return err == nil && (p.Number > 0 || !p.Retry)
 	})
 	return out
 }
 
-func (g *group) inForce(number uint64) Outcome {
+func (g *group) inForce(number uint64) PublishOutcome {
 	g.t.Helper()
-	o, err := g.client.Wait(g.patience(), number, func(Outcome) {})
+	o, err := g.client.WaitForVersion(g.patience(), number, func(PublishOutcome) {})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 	testkit.Until(g.t, n.name+" to act on "+effect, func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return len(n.acts) > 0 && n.acts[len(n.acts)-1] == effect && n.node.May()
+		return len(n.acts) > 0 && n.acts[len(n.acts)-1] == effect && n.node.MayServe()
 	})
 }
 
@@ -234,7 +234,7 @@
 	for i := range g.nodes {
 		g.acts(i, "safe")
 	}
-	results := make(chan *Published, 2)
+	results := make(chan *PublishReply, 2)
 	for _, effect := range []string{"unsafe", "keyed\"\nscope = \"all\"\nwindow = \"5s"} {
 		go func() { results <- g.publish("two-"+effect, 1, bundle(effect)) }()
 	}
@@ -249,7 +249,7 @@
 		t.Fatal("not in force")
 	}
 	late := g.publish("three", 1, bundle("unsafe"))
-	if late.Number != 0 || !strings.Contains(late.Error, "not the present one") || late.Present != 2 {
+	if late.Number != 0 || !strings.Contains(late.Error, "not the present one") || late.ActiveVersion != 2 {
 		t.Errorf("from an old version: %+v", late)
 	}
 	if again := g.publish("one", 0, bundle("safe")); again.Number != 1 {
@@ -278,10 +278,10 @@
 		return nil
 	}
 	p := g.publish("two", 1, bundle("unsafe"))
-	if o := g.inForce(p.Number); o.InForce || !strings.HasPrefix(o.Refused, "n3: an older program") {
+	if o := g.inForce(p.Number); o.InForce || !strings.HasPrefix(o.RefusalReason, "n3: an older program") {
 		t.Errorf("%+v", o)
 	}
-	if s, err := g.client.Newest(g.patience()); err != nil || s.Facts.Number != 1 || s.Facts.Pending != 0 {
+	if s, err := g.client.LatestStatus(g.patience()); err != nil || s.LogStatus.Number != 1 || s.LogStatus.Pending != 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for i := range g.nodes {
@@ -303,7 +303,7 @@
 	for i := range g.nodes {
 		g.acts(i, "safe")
 	}
-	s, err := g.client.Newest(g.patience())
+	s, err := g.client.LatestStatus(g.patience())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -313,7 +313,7 @@
 			leader = i
 		}
 	}
-	done := make(chan *Published, 1)
+	done := make(chan *PublishReply, 1)
 	go func() { done <- g.publish("two", 1, bundle("unsafe")) }()
 	g.kill(leader)
 	if p := testkit.Wait(t, done, "what became of the publish"); p.Number != 2 || !g.inForce(2).InForce {
@@ -329,7 +329,7 @@
 	g.kill(3)
 	g.nodes[3].acts = nil
 	g.start(3)
-	g.nodes[3].node.heard(nil, &agree.Facts{Index: 1, Number: 2}) // one voter alone can be heard of
+	g.nodes[3].node.handleLeaseReply(nil, &agree.Facts{Index: 1, Number: 2}) // one voter alone can be heard of
 	g.acts(3, "-")
 	for i := range g.voters {
 		g.start(i)
@@ -353,7 +353,7 @@
 	}
 	testkit.Until(t, "the voter to say so", func() bool {
 		a := g.client.Status(g.patience())[1]
-		return a.Status != nil && !a.Status.Voter && strings.Contains(a.Status.Store, "nothing is written after a failure")
+		return a.Status != nil && !a.Status.Voter && strings.Contains(a.Status.VotingError, "nothing is written after a failure")
 	})
 	g.publish("three", 2, bundle("safe"))
 	g.acts(1, "safe")
@@ -381,7 +381,7 @@
 	g.start(1)
 	testkit.Until(t, "the voter to say so", func() bool {
 		a := g.client.Status(g.patience())[1]
-		return a.Status != nil && !a.Status.Voter && strings.Contains(a.Status.Store, "an old copy of this voter's disk")
+		return a.Status != nil && !a.Status.Voter && strings.Contains(a.Status.VotingError, "an old copy of this voter's disk")
 	})
 	if p := g.publish("three", 2, bundle("safe")); !g.inForce(p.Number).InForce {
 		t.Fatalf("%+v", p)
--- a/internal/fleet/peers/release.go
+++ b/internal/fleet/peers/release.go
@@ -15,81 +15,81 @@
 	"yokestall/internal/fleet/agree"
 )
 
-// Control is an operator's word on releases: one to begin, or a word on the one that goes on.
-type Control struct {
-	Begin *agree.Release `json:"begin,omitempty"`
-	Word  string         `json:"word,omitempty"` // "pause", "resume", "abort"; "": how it stands
-	Why   string         `json:"why,omitempty"`
+// ReleaseCommand is an operator's word on releases: one to begin, or a word on the one that goes on.
+type ReleaseCommand struct {
+	Start  *agree.Release `json:"begin,omitempty"`
+	Action string         `json:"word,omitempty"` // "pause", "resume", "abort"; "": how it stands
+	Reason string         `json:"why,omitempty"`
 }
 
-// Controlled is how the release stands.
-type Controlled struct {
+// ReleaseReply is how the release stands.
+type ReleaseReply struct {
 	Error    string          `json:"error,omitempty"`
 	Progress *agree.Progress `json:"progress,omitempty"`
 }
 
-const releaseLook = 50 * time.Millisecond // how often an owner looks whether a phase is over
+const releasePollInterval = 50 * time.Millisecond // how often an owner looks whether a phase is over
 
-// control takes an operator's word.
-func (n *Node) control(ctx context.Context, in *Control) (*Controlled, error) {
-	s, err := n.present(ctx)
-	if asks := in.Begin == nil && in.Word == ""; err != nil && asks && n.state() != nil {
+// serveReleaseCommand takes an operator's word.
+func (n *Node) serveReleaseCommand(ctx context.Context, in *ReleaseCommand) (*ReleaseReply, error) {
+	s, err := n.currentState(ctx)
+	if asks := in.Start == nil && in.Action == ""; err != nil && asks && n.state() != nil {
 		s, err = n.state(), nil // how it stands as far as is known here
 	}
 	switch {
 	case err != nil:
 		return nil, err
-	case in.Begin != nil:
-		if err := in.Begin.Check(); err != nil {
-			return &Controlled{Error: err.Error()}, nil
+	case in.Start != nil:
+		if err := in.Start.Check(); err != nil {
+			return &ReleaseReply{Error: err.Error()}, nil
 		}
-		if p := s.Release; p != nil && p.Ended == "" && p.Release.ID != in.Begin.ID {
-			return &Controlled{Error: fmt.Sprintf("the release %s goes on", p.Release.ID), Progress: p}, nil
+		if p := s.Release; p != nil && p.Ended == "" && p.Release.ID != in.Start.ID {
+			return &ReleaseReply{Error: fmt.Sprintf("the release %s goes on", p.Release.ID), Progress: p}, nil
 		}
-		v, err := n.version(ctx, s, s.Number)
+		v, err := n.versionInLog(ctx, s, s.Number)
 		if err != nil {
-			return &Controlled{Error: err.Error()}, nil
+			return &ReleaseReply{Error: err.Error()}, nil
 		}
-		if err := feasible(in.Begin, v.Clusters[in.Begin.Cluster]); err != nil {
-			return &Controlled{Error: err.Error()}, nil
+		if err := checkFeasible(in.Start, v.Clusters[in.Start.Cluster]); err != nil {
+			return &ReleaseReply{Error: err.Error()}, nil
 		}
-		return n.settles(ctx, &agree.Entry{Release: in.Begin}, func(p *agree.Progress) bool { return p != nil && p.Release.ID == in.Begin.ID })
-	case s.Release == nil || s.Release.Ended != "" && in.Word != "":
-		return &Controlled{Error: "no release goes on", Progress: s.Release}, nil
-	case in.Word == "":
-		return &Controlled{Progress: s.Release}, nil
-	case !slices.Contains([]string{"pause", "resume", "abort"}, in.Word):
-		return nil, status.Errorf(codes.InvalidArgument, "%q is no word on a release", in.Word)
+		return n.proposeUntil(ctx, &agree.Entry{Release: in.Start}, func(p *agree.Progress) bool { return p != nil && p.Release.ID == in.Start.ID })
+	case s.Release == nil || s.Release.Ended != "" && in.Action != "":
+		return &ReleaseReply{Error: "no release goes on", Progress: s.Release}, nil
+	case in.Action == "":
+		return &ReleaseReply{Progress: s.Release}, nil
+	case !slices.Contains([]string{"pause", "resume", "abort"}, in.Action):
+		return nil, status.Errorf(codes.InvalidArgument, "%q is no word on a release", in.Action)
 	}
-	return n.settles(ctx, &agree.Entry{Move: &agree.Move{ID: s.Release.Release.ID, Word: in.Word, Why: in.Why}}, func(p *agree.Progress) bool {
-		return p.Ended != "" || in.Word == "abort" && p.Stops != "" || in.Word != "abort" && p.Paused == (in.Word == "pause")
+	return n.proposeUntil(ctx, &agree.Entry{Move: &agree.Move{ID: s.Release.Release.ID, Word: in.Action, Why: in.Reason}}, func(p *agree.Progress) bool {
+		return p.Ended != "" || in.Action == "abort" && p.Stops != "" || in.Action != "abort" && p.Paused == (in.Action == "pause")
 	})
 }
 
-// settles proposes an entry until the log shows it.
-func (n *Node) settles(ctx context.Context, e *agree.Entry, there func(p *agree.Progress) bool) (*Controlled, error) {
-	ctx, stop := context.WithTimeout(ctx, publishFor)
+// proposeUntil proposes an entry until the log shows it.
+func (n *Node) proposeUntil(ctx context.Context, e *agree.Entry, there func(p *agree.Progress) bool) (*ReleaseReply, error) {
+	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
 	again := time.NewTicker(time.Second)
 	defer again.Stop()
 	err := n.propose(e)
 	for {
-		s, changed := n.newState()
+		s, changed := n.stateAndChange()
 		if s != nil && there(s.Release) {
-			return &Controlled{Progress: s.Release}, nil
+			return &ReleaseReply{Progress: s.Release}, nil
 		}
 		select {
 		case <-changed:
 		case <-again.C:
 			err = n.propose(e)
 		case <-ctx.Done():
-			return &Controlled{Error: fmt.Sprintf("it is not known whether it was taken up: %v", errors.Join(err, ctx.Err()))}, nil
+			return &ReleaseReply{Error: fmt.Sprintf("it is not known whether it was taken up: %v", errors.Join(err, ctx.Err()))}, nil
 		}
 	}
 }
 
-// feasible tells why a release can't be begun: a server that isn't in use, or a floor that can't be kept.
-func feasible(r *agree.Release, c *cluster.Cluster) error {
+// checkFeasible tells why a release can't be begun: a server that isn't in use, or a floor that can't be kept.
+func checkFeasible(r *agree.Release, c *cluster.Cluster) error {
 	if c == nil {
 		return fmt.Errorf("cluster: there is no %s in the version in force", r.Cluster)
 	}
@@ -101,7 +101,7 @@
 	}
 	for i, w := range r.Waves {
 		for _, id := range w {
-			if at := find(c, id); at < 0 || !c.Endpoints[at].Serves() {
+			if at := findServer(c, id); at < 0 || !c.Endpoints[at].Serves() {
 				return fmt.Errorf("waves: the %d. names %s, which is not in use in the version in force", i+1, id)
 			}
 		}
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func find(c *cluster.Cluster, id string) int {
+func findServer(c *cluster.Cluster, id string) int {
 	at, ok := slices.BinarySearchFunc(c.Endpoints, id, func(e cluster.Endpoint, id string) int {
 		switch {
 		case e.ID < id:
@@ -128,15 +128,15 @@
 	return at
 }
 
-// releases carries releases on while this node owns that work, until the node ends.
-func (n *Node) releases() {
+// runReleases carries releases on while this node owns that work, until the node ends.
+func (n *Node) runReleases() {
 	var in agree.Progress
 	var since time.Duration
 	var token uint64
-	look := time.NewTicker(releaseLook)
+	look := time.NewTicker(releasePollInterval)
 	defer look.Stop()
 	for {
-		s, changed := n.newState()
+		s, changed := n.stateAndChange()
 		goes := s != nil && s.Release != nil && s.Release.Ended == ""
 		var tick <-chan time.Time // phases end by the clock
 		if goes {
@@ -149,7 +149,7 @@
 			continue
 		case <-tick:
 		}
-		now, ok := n.Owns(ReleaseWork)
+		now, ok := n.Owns(ReleaseTask)
 		if !ok {
 			token = 0
 			continue
@@ -159,24 +159,24 @@
 			// A new owner counts a phase from when it took it over: longer than wanted, never shorter.
 			token, in, since = now, *p, n.Clock()
 		}
-		if over, err := n.phaseOver(s, p, since); err != nil {
+		if over, err := n.advancePhase(s, p, since); err != nil {
 			n.Log.Error("a release stops", "release", p.Release.ID, "wave", p.Wave, "phase", p.Phase.String(), "err", err)
 			n.propose(&agree.Entry{Move: &agree.Move{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase, Word: "fail", Why: err.Error()}})
-		} else if over && n.still(token) {
+		} else if over && n.stillOwnsReleases(token) {
 			n.propose(&agree.Entry{Move: &agree.Move{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase}})
 		}
 	}
 }
 
-// still tells whether this node owns releases by a token, right before something is done by it.
-func (n *Node) still(token uint64) bool {
-	now, ok := n.Owns(ReleaseWork)
+// stillOwnsReleases tells whether this node owns releases by a token, right before something is done by it.
+func (n *Node) stillOwnsReleases(token uint64) bool {
+	now, ok := n.Owns(ReleaseTask)
 	return ok && now == token
 }
 
-// phaseOver does what a phase asks for, and tells whether it is over. The version that it publishes has the phase's own id, so that it is one
+// advancePhase does what a phase asks for, and tells whether it is over. The version that it publishes has the phase's own id, so that it is one
 // version whoever publishes it, an owner that wakes late too; and it is made from the version in force, or not taken.
-func (n *Node) phaseOver(s *agree.State, p *agree.Progress, since time.Duration) (bool, error) {
+func (n *Node) advancePhase(s *agree.State, p *agree.Progress, since time.Duration) (bool, error) {
 	if p.Phase != agree.Taking && p.Phase != agree.Giving {
 		return !p.Paused && n.Clock()-since >= p.Length(), nil
 	}
@@ -189,7 +189,7 @@
 		}
 		return s.Number >= m.Number && s.Pending != m.Number, nil
 	}
-	v, err := n.version(n.ctx, s, s.Number)
+	v, err := n.versionInLog(n.ctx, s, s.Number)
 	if err != nil {
 		return false, nil // its content is on its way
 	}
@@ -200,25 +200,25 @@
 	if change == nil { // none of the wave is left to change
 		return true, nil
 	}
-	if !n.still(s.Works[ReleaseWork].Token) {
+	if !n.stillOwnsReleases(s.Works[ReleaseTask].Token) {
 		return false, nil
 	}
-	ctx, stop := context.WithTimeout(n.ctx, askFor)
+	ctx, stop := context.WithTimeout(n.ctx, statusTimeout)
 	defer stop()
-	c, err := n.self()
+	c, err := n.newClient()
 	if err != nil {
 		return false, nil
 	}
 	defer c.Close()
-	_, err = c.Change(ctx, p.PublishID(), s.Number, *change)
+	_, err = c.PublishChange(ctx, p.PublishID(), s.Number, *change)
 	if err != nil {
 		n.Log.Warn("a release's version is not taken yet", "id", p.PublishID(), "err", err)
 	}
 	return false, nil
 }
 
-// self is a client of the fleet, as an operator would have it.
-func (n *Node) self() (*Client, error) { return NewClient(n.Fleet, n.Voters, n.ClientTLS) }
+// newClient is a client of the fleet, as an operator would have it.
+func (n *Node) newClient() (*Client, error) { return NewClient(n.Fleet, n.Voters, n.ClientTLS) }
 
 // waveChange is the change by which a phase takes effect: the wave's servers out, or back as started now. A server that left the list, or that was taken
 // out by hand, stays as it is; nil: there is nothing to change. Out with less than the floor left in use is an error.
@@ -234,7 +234,7 @@
 	}
 	out := cluster.Cluster{Name: c.Name}
 	for _, id := range p.Waves[p.Wave] {
-		at := find(c, id)
+		at := findServer(c, id)
 		if at < 0 {
 			continue
 		}
@@ -258,12 +258,12 @@
 	return &config.File{Name: p.PublishID(), Text: config.FormatChange(&out)}, nil
 }
 
-// Control gives an operator's word to any voter that answers.
-func (c *Client) Control(ctx context.Context, in Control) (*Controlled, error) {
-	last := ErrMajority
+// ControlRelease gives an operator's word to any voter that answers.
+func (c *Client) ControlRelease(ctx context.Context, in ReleaseCommand) (*ReleaseReply, error) {
+	last := ErrNoQuorum
 	for _, conn := range c.conns {
-		one, stop := context.WithTimeout(ctx, publishFor+askFor)
-		out, err := call[Controlled](one, conn, "Release", in)
+		one, stop := context.WithTimeout(ctx, publishTimeout+statusTimeout)
+		out, err := call[ReleaseReply](one, conn, "Release", in)
 		stop()
 		if err == nil {
 			return out, nil
--- a/internal/fleet/peers/release_test.go
+++ b/internal/fleet/peers/release_test.go
@@ -15,7 +15,7 @@
 func (g *group) ownerOf() (at int, token uint64) {
 	for i := range g.voters {
 		if n := g.nodes[i]; n.stop != nil {
-			if token, ok := n.node.Owns(ReleaseWork); ok {
+			if token, ok := n.node.Owns(ReleaseTask); ok {
 				return i, token
 			}
 		}
@@ -23,11 +23,11 @@
 	return -1, 0
 }
 
-func (g *group) control(in Control) *Controlled {
+func (g *group) control(in ReleaseCommand) *ReleaseReply {
 	g.t.Helper()
-	var out *Controlled
+	var out *ReleaseReply
 	testkit.Until(g.t, "an answer on the release", func() bool {
-		r, err := g.client.Control(g.patience(), in)
+		r, err := g.client.ControlRelease(g.patience(), in)
 		out = r
 		return err == nil
 	})
@@ -55,16 +55,16 @@
 	} {
 		try := r
 		bad.change(&try)
-		if out := g.control(Control{Begin: &try}); !strings.Contains(out.Error, bad.want) || out.Progress != nil {
+		if out := g.control(ReleaseCommand{Start: &try}); !strings.Contains(out.Error, bad.want) || out.Progress != nil {
 			t.Errorf("%q: %+v", bad.want, out)
 		}
 	}
-	if out := g.control(Control{Begin: &r}); out.Error != "" {
+	if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 		t.Fatalf("%+v", out)
 	}
 	testkit.Until(t, "the first wave to be out", func() bool {
-		s, err := g.client.Newest(g.patience())
-		return err == nil && s.Facts.Number >= 2
+		s, err := g.client.LatestStatus(g.patience())
+		return err == nil && s.LogStatus.Number >= 2
 	})
 	first, before := g.ownerOf()
 	if first < 0 {
@@ -72,17 +72,17 @@
 	}
 	g.kill(first)
 	testkit.Until(t, "the release to end", func() bool {
-		out := g.control(Control{})
+		out := g.control(ReleaseCommand{})
 		return out.Progress != nil && out.Progress.Ended != ""
 	})
-	if out := g.control(Control{}); out.Progress.Ended != "done" {
+	if out := g.control(ReleaseCommand{}); out.Progress.Ended != "done" {
 		t.Errorf("%+v", out.Progress)
 	}
 	if at, after := g.ownerOf(); at < 0 || at == first || after <= before {
 		t.Errorf("owner %d by %d after %d by %d", at, after, first, before)
 	}
 	g.start(first)
-	s, err := g.client.Newest(g.patience())
+	s, err := g.client.LatestStatus(g.patience())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,13 +96,13 @@
 	}
 	v := g.nodes[3].node
 	testkit.Until(t, "the follower to hold the last version", func() bool {
-		v.heldMu.Lock()
-		defer v.heldMu.Unlock()
-		return v.held[s.Facts.Number] != nil
+		v.versionsMu.Lock()
+		defer v.versionsMu.Unlock()
+		return v.versions[s.LogStatus.Number] != nil
 	})
-	v.heldMu.Lock()
-	defer v.heldMu.Unlock()
-	for _, e := range v.held[s.Facts.Number].Clusters["rooms"].Endpoints {
+	v.versionsMu.Lock()
+	defer v.versionsMu.Unlock()
+	for _, e := range v.versions[s.LogStatus.Number].Clusters["rooms"].Endpoints {
 		if !e.Serves() || e.Started == 0 {
 			t.Errorf("%+v is not back", e)
 		}
@@ -114,29 +114,29 @@
 	g := newGroup(t, 3, 0)
 	g.publish("one", 0, many(4))
 	r := agree.Release{ID: "r", Cluster: "rooms", Waves: [][]string{{"s-00000"}, {"s-00001"}}, Away: time.Hour}
-	if out := g.control(Control{Word: "pause"}); out.Error != "no release goes on" {
+	if out := g.control(ReleaseCommand{Action: "pause"}); out.Error != "no release goes on" {
 		t.Errorf("%+v", out)
 	}
-	if out := g.control(Control{Begin: &r}); out.Error != "" {
+	if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 		t.Fatalf("%+v", out)
 	}
-	testkit.Until(t, "the first wave to be away", func() bool { p := g.control(Control{}).Progress; return p.Phase == agree.Away })
-	if out := g.control(Control{Word: "pause"}); !out.Progress.Paused {
+	testkit.Until(t, "the first wave to be away", func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == agree.Away })
+	if out := g.control(ReleaseCommand{Action: "pause"}); !out.Progress.Paused {
 		t.Errorf("%+v", out)
 	}
 	other := r
 	other.ID = "other"
-	if out := g.control(Control{Begin: &other}); !strings.Contains(out.Error, "goes on") {
+	if out := g.control(ReleaseCommand{Start: &other}); !strings.Contains(out.Error, "goes on") {
 		t.Errorf("two at once: %+v", out)
 	}
-	if out := g.control(Control{Word: "abort", Why: "the new program fails"}); out.Error != "" {
+	if out := g.control(ReleaseCommand{Action: "abort", Reason: "the new program fails"}); out.Error != "" {
 		t.Errorf("%+v", out)
 	}
-	testkit.Until(t, "the release to end", func() bool { return g.control(Control{}).Progress.Ended != "" })
-	if p := g.control(Control{}).Progress; p.Ended != "abort: the new program fails" {
+	testkit.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Ended != "" })
+	if p := g.control(ReleaseCommand{}).Progress; p.Ended != "abort: the new program fails" {
 		t.Errorf("%+v", p)
 	}
-	s, err := g.client.Newest(g.patience())
+	s, err := g.client.LatestStatus(g.patience())
 	if err != nil || len(s.History) != 3 || s.History[2].ID != "release/r/0/in" {
 		t.Errorf("%+v, %v", s.History, err)
 	}
@@ -152,49 +152,49 @@
 		}
 		r := agree.Release{ID: fmt.Sprint("r", i), Cluster: "rooms", Waves: [][]string{{fmt.Sprint("s-0000", i)}}, Away: time.Hour}
 		if i > 0 { // what it has not heard of, or only the begin of
-			if out := g.control(Control{Begin: &r}); out.Error != "" {
+			if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 				t.Fatalf("%+v", out)
 			}
 		}
 		g.start(i)
 		n := g.nodes[i].node
-		ask := func(in Control) (out *Controlled) {
+		ask := func(in ReleaseCommand) (out *ReleaseReply) {
 			testkit.Until(t, "a leader", func() bool {
 				var err error
-				out, err = n.control(g.patience(), &in)
+				out, err = n.serveReleaseCommand(g.patience(), &in)
 				return err == nil
 			})
 			return out
 		}
 		if i == 0 {
-			if out := ask(Control{Begin: &r}); out.Error != "" {
+			if out := ask(ReleaseCommand{Start: &r}); out.Error != "" {
 				t.Errorf("asked of who missed the version: %+v", out)
 			}
 		}
-		if out := ask(Control{}); out.Error != "" || out.Progress.Release.ID != r.ID {
+		if out := ask(ReleaseCommand{}); out.Error != "" || out.Progress.Release.ID != r.ID {
 			t.Errorf("asked of who missed the release: %+v", out)
 		}
-		if out := ask(Control{Word: "abort", Why: "test"}); out.Error != "" {
+		if out := ask(ReleaseCommand{Action: "abort", Reason: "test"}); out.Error != "" {
 			t.Errorf("%+v", out)
 		}
-		testkit.Until(t, "the release to end", func() bool { return g.control(Control{}).Progress.Ended != "" })
+		testkit.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Ended != "" })
 	}
 	// A publisher is told of the present version, not of one that was.
 	var s *Status
 	testkit.Until(t, "the last release to be back", func() (calm bool) {
 		var err error
-		s, err = g.client.Newest(g.patience())
-		return err == nil && s.Facts.Pending == 0
+		s, err = g.client.LatestStatus(g.patience())
+		return err == nil && s.LogStatus.Pending == 0
 	})
 	parts := g.nodes[1].node.state().Version(1).Parts
 	g.kill(0)
-	g.inForce(g.publish("two", s.Facts.Number, many(5)).Number)
+	g.inForce(g.publish("two", s.LogStatus.Number, many(5)).Number)
 	g.start(0)
 	n := g.nodes[0].node
 	testkit.Until(t, "a leader", func() bool {
-		out, err := n.publish(g.patience(), &Publish{ID: "three", Base: s.Facts.Number, Parts: parts})
-		if err == nil && out.Present != s.Facts.Number+1 {
-			t.Errorf("%+v, and version %d is there", out, s.Facts.Number+1)
+		out, err := n.servePublish(g.patience(), &PublishRequest{ID: "three", Base: s.LogStatus.Number, Parts: parts})
+		if err == nil && out.ActiveVersion != s.LogStatus.Number+1 {
+			t.Errorf("%+v, and version %d is there", out, s.LogStatus.Number+1)
 		}
 		return err == nil
 	})
--- a/internal/fleet/peers/serve.go
+++ b/internal/fleet/peers/serve.go
@@ -26,27 +26,27 @@
 )
 
 const (
-	maxConns   = agree.MaxHolders + 256
-	maxStreams = 64 // calls of a connection at once
-	maxPuts    = 4  // contents that come at once
-	maxHead    = 16 << 10
-	pingAfter  = 2 * time.Second
-	publishFor = 10 * time.Second // the longest that a publish waits to be taken up
+	maxConns          = agree.MaxHolders + 256
+	maxStreams        = 64 // calls of a connection at once
+	maxUploads        = 4  // contents that come at once
+	maxHeaderBytes    = 16 << 10
+	keepaliveInterval = 2 * time.Second
+	publishTimeout    = 10 * time.Second // the longest that a publish waits to be taken up
 )
 
 // Serve answers other nodes on a listener until ctx ends.
 func (n *Node) Serve(ctx context.Context, l net.Listener) error {
 	options := []grpc.ServerOption{
 		grpc.MaxConcurrentStreams(maxStreams), grpc.MaxRecvMsgSize(maxMessage), grpc.MaxSendMsgSize(maxMessage),
-		grpc.MaxHeaderListSize(maxHead), grpc.ConnectionTimeout(5 * time.Second),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingAfter / 2, PermitWithoutStream: true}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingAfter}),
+		grpc.MaxHeaderListSize(maxHeaderBytes), grpc.ConnectionTimeout(5 * time.Second),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveInterval / 2, PermitWithoutStream: true}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveInterval}),
 	}
 	if n.ServerTLS != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(n.ServerTLS)))
 	}
 	srv := grpc.NewServer(options...)
-	srv.RegisterService(description(), n)
+	srv.RegisterService(serviceDescription(), n)
 	stop := context.AfterFunc(ctx, srv.Stop)
 	defer stop()
 	err := srv.Serve(netutil.LimitListener(l, maxConns))
@@ -56,39 +56,39 @@
 	return err
 }
 
-var errNoVoter = status.Error(codes.FailedPrecondition, "this node doesn't vote")
+var errNotVoter = status.Error(codes.FailedPrecondition, "this node doesn't vote")
 
-// carry takes another voter's messages.
-func (n *Node) carry(s grpc.ServerStream) error {
-	if !n.votes() {
-		return errNoVoter
+// serveRaftMessages takes another voter's messages.
+func (n *Node) serveRaftMessages(s grpc.ServerStream) error {
+	if !n.isVoter() {
+		return errNotVoter
 	}
 	for {
 		in := &wrapperspb.BytesValue{}
 		if err := s.RecvMsg(in); err != nil {
-			return ended(err)
+			return ignoreEOF(err)
 		}
 		m := &pb.Message{}
 		if err := proto.Unmarshal(in.GetValue(), m); err != nil {
 			return status.Errorf(codes.InvalidArgument, "a voter's message: %v", err)
 		}
-		if err := n.step(m); err != nil {
+		if err := n.receive(m); err != nil {
 			return err
 		}
 	}
 }
 
-func ended(err error) error {
+func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-// attend grants leases to a node for as long as it asks, and tells it when there is news.
-func (n *Node) attend(s grpc.ServerStream) error {
-	if !n.votes() {
-		return errNoVoter
+// serveLeases grants leases to a node for as long as it asks, and tells it when there is news.
+func (n *Node) serveLeases(s grpc.ServerStream) error {
+	if !n.isVoter() {
+		return errNotVoter
 	}
 	asks, failed := make(chan agree.Ask), make(chan error, 1)
 	ctx := s.Context()
@@ -96,7 +96,7 @@
 		for {
 			in := &wrapperspb.BytesValue{}
 			if err := s.RecvMsg(in); err != nil {
-				failed <- ended(err)
+				failed <- ignoreEOF(err)
 				return
 			}
 			var a agree.Ask
@@ -116,15 +116,15 @@
 		}
 	}()
 	for {
-		_, changed := n.newState()
-		var r Reply
+		_, changed := n.stateAndChange()
+		var r LeaseReply
 		select {
 		case err := <-failed:
 			return err
 		case <-n.ctx.Done():
 			return nil
 		case a := <-asks:
-			g, err := n.ask(a)
+			g, err := n.grantLease(a)
 			if err != nil {
 				r.Error = err.Error()
 			} else {
@@ -133,10 +133,10 @@
 		case <-changed:
 			s := n.state()
 			if s == nil {
-				return errNoVoter
+				return errNotVoter
 			}
 			facts := s.Facts()
-			r.News = &facts
+			r.LogStatus = &facts
 		}
 		out, err := pack(r)
 		if err != nil {
@@ -148,13 +148,13 @@
 	}
 }
 
-func (n *Node) describe(_ context.Context, in *Number) (*agree.Manifest, error) {
+func (n *Node) serveDescribe(_ context.Context, in *DescribeRequest) (*agree.Manifest, error) {
 	state := n.state()
 	if state == nil {
-		return nil, errNoVoter
+		return nil, errNotVoter
 	}
 	if m := state.Version(in.Number); m != nil {
-		if in.Short && m.Extends {
+		if in.OwnPartsOnly && m.Extends {
 			short := *m
 			short.Parts = m.Parts[len(m.Parts)-m.Own:]
 			return &short, nil
@@ -167,23 +167,23 @@
 // rawBytes is content, which travels as it is.
 type rawBytes []byte
 
-func (n *Node) fetch(_ context.Context, in *Piece) (*rawBytes, error) {
+func (n *Node) serveFetch(_ context.Context, in *FetchRequest) (*rawBytes, error) {
 	data, err := n.store.Get(in.Hash)
 	if err != nil {
 		return nil, err
 	}
-	if data == nil || in.From < 0 || in.From > len(data) {
+	if data == nil || in.Offset < 0 || in.Offset > len(data) {
 		return nil, status.Error(codes.NotFound, "content that is not here")
 	}
-	out := rawBytes(data[in.From:min(len(data), in.From+pieceSize)])
+	out := rawBytes(data[in.Offset:min(len(data), in.Offset+chunkSize)])
 	return &out, nil
 }
 
-func (n *Node) have(_ context.Context, in *Have) (*Have, error) {
+func (n *Node) serveMissing(_ context.Context, in *ContentHashes) (*ContentHashes, error) {
 	if len(in.Hashes) > agree.MaxFiles {
 		return nil, status.Errorf(codes.InvalidArgument, "%d hashes; %d at most", len(in.Hashes), agree.MaxFiles)
 	}
-	out := &Have{}
+	out := &ContentHashes{}
 	for _, h := range in.Hashes {
 		data, err := n.store.Get(h)
 		if err != nil {
@@ -196,11 +196,11 @@
 	return out, nil
 }
 
-// put keeps content.
-func (n *Node) put(s grpc.ServerStream) error {
+// servePut keeps content.
+func (n *Node) servePut(s grpc.ServerStream) error {
 	select {
-	case n.puts <- struct{}{}:
-		defer func() { <-n.puts }()
+	case n.uploads <- struct{}{}:
+		defer func() { <-n.uploads }()
 	case <-s.Context().Done():
 		return s.Context().Err()
 	}
@@ -219,60 +219,60 @@
 		}
 		data = append(data, in.GetValue()...)
 	}
-	if err := n.keepContent(data); err != nil {
+	if err := n.storeContent(data); err != nil {
 		return status.Error(codes.ResourceExhausted, err.Error())
 	}
 	return s.SendMsg(&wrapperspb.BytesValue{})
 }
 
-// refuse takes a node's word that it can't hold a version that waits.
-func (n *Node) refuse(_ context.Context, in *agree.Refuse) (*struct{}, error) {
+// serveRefusal takes a node's word that it can't hold a version that waits.
+func (n *Node) serveRefusal(_ context.Context, in *agree.Refuse) (*struct{}, error) {
 	if len(in.Node) > agree.MaxName || len(in.Why) > maxReason {
 		return nil, status.Error(codes.InvalidArgument, "a name or a reason that is too long")
 	}
-	if !n.votes() {
-		return nil, errNoVoter
+	if !n.isVoter() {
+		return nil, errNotVoter
 	}
 	return &struct{}{}, n.propose(&agree.Entry{Refuse: in})
 }
 
-// publish takes up a version: its content has to be here and whole, and is held against all that nodes may act on.
-func (n *Node) publish(ctx context.Context, in *Publish) (*Published, error) {
-	ctx, stop := context.WithTimeout(ctx, publishFor)
+// servePublish takes up a version: its content has to be here and whole, and is held against all that nodes may act on.
+func (n *Node) servePublish(ctx context.Context, in *PublishRequest) (*PublishReply, error) {
+	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
 	m := &agree.Manifest{ID: in.ID, Base: in.Base, By: n.Name, Parts: in.Parts, Extends: in.Extends}
 	if err := m.Check(); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	state, err := n.present(ctx)
+	state, err := n.currentState(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if out := outcome(state, in.ID); out != nil {
+	if out := publishReply(state, in.ID); out != nil {
 		return out, nil // it was sent twice
 	}
 	whole := *m
 	if whole.Own = len(m.Parts); m.Extends {
 		base := state.Version(m.Base)
 		if base == nil {
-			return &Published{Error: fmt.Sprintf("version %d is not in the history", m.Base), Present: state.Number}, nil
+			return &PublishReply{Error: fmt.Sprintf("version %d is not in the history", m.Base), ActiveVersion: state.Number}, nil
 		}
 		if err := whole.Extend(base); err != nil {
-			return &Published{Error: err.Error(), Present: state.Number}, nil
+			return &PublishReply{Error: err.Error(), ActiveVersion: state.Number}, nil
 		}
 	}
 	if err := state.May(m); errors.Is(err, agree.ErrWaiting) { // before anything is read for it
-		return &Published{Error: err.Error(), Again: true, Present: state.Number}, nil
+		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.Number}, nil
 	}
-	next, err := n.read(ctx, &whole)
+	next, err := n.parseVersion(ctx, &whole)
 	if err != nil {
-		return &Published{Error: err.Error(), Present: state.Number}, nil
+		return &PublishReply{Error: err.Error(), ActiveVersion: state.Number}, nil
 	}
 	if err := state.May(m); err != nil {
-		out := &Published{Error: err.Error(), Present: state.Number}
-		if present, err := n.version(ctx, state, state.Number); err == nil {
+		out := &PublishReply{Error: err.Error(), ActiveVersion: state.Number}
+		if present, err := n.versionInLog(ctx, state, state.Number); err == nil {
 			for _, d := range agree.Differences(present, next) {
-				if out.Differs = append(out.Differs, d.String()); len(out.Differs) == 100 {
+				if out.Differences = append(out.Differences, d.String()); len(out.Differences) == 100 {
 					break
 				}
 			}
@@ -280,7 +280,7 @@
 		return out, nil
 	}
 	for _, number := range state.Alive {
-		alive, err := n.version(ctx, state, number)
+		alive, err := n.versionInLog(ctx, state, number)
 		if err != nil {
 			return nil, err
 		}
@@ -292,75 +292,75 @@
 	again := time.NewTicker(time.Second) // a leader may be lost with it; its id keeps it one
 	defer again.Stop()
 	if err := n.propose(&agree.Entry{Propose: m}); err != nil {
-		return &Published{Error: err.Error(), Again: true, Present: state.Number}, nil
+		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.Number}, nil
 	}
 	for {
-		state, changed := n.newState()
+		state, changed := n.stateAndChange()
 		if state == nil { // its disk failed: another voter knows
-			return nil, errNoVoter
+			return nil, errNotVoter
 		}
-		if out := outcome(state, in.ID); out != nil {
-			n.heldMu.Lock()
-			n.keep(state.Version(out.Number), next) // it was read already
-			n.heldMu.Unlock()
+		if out := publishReply(state, in.ID); out != nil {
+			n.versionsMu.Lock()
+			n.cacheVersion(state.Version(out.Number), next) // it was read already
+			n.versionsMu.Unlock()
 			return out, nil
 		}
 		if err := state.May(m); err != nil {
-			return &Published{Error: err.Error(), Again: errors.Is(err, agree.ErrWaiting), Present: state.Number}, nil
+			return &PublishReply{Error: err.Error(), Retry: errors.Is(err, agree.ErrWaiting), ActiveVersion: state.Number}, nil
 		}
 		select {
 		case <-changed:
 		case <-again.C:
 			n.propose(&agree.Entry{Propose: m})
 		case <-ctx.Done():
-			return &Published{Error: "it is not known whether it was taken up: ask again with the same id", Again: true, Present: state.Number}, nil
+			return &PublishReply{Error: "it is not known whether it was taken up: ask again with the same id", Retry: true, ActiveVersion: state.Number}, nil
 		}
 	}
 }
 
-// outcome is what a publisher is told of its version; nil: the log has none of its id.
-func outcome(s *agree.State, id string) *Published {
+// publishReply is what a publisher is told of its version; nil: the log has none of its id.
+func publishReply(s *agree.State, id string) *PublishReply {
 	m := s.Published(id)
 	if m == nil {
 		return nil
 	}
-	out := &Published{Number: m.Number, Contradicts: m.Contradicts, Present: s.Number}
+	out := &PublishReply{Number: m.Number, Contradicts: m.Contradicts, ActiveVersion: s.Number}
 	if m.Refused != "" {
 		out.Error = "refused: " + m.Refused
 	}
 	return out
 }
 
-func (n *Node) status(context.Context, *struct{}) (*Status, error) {
+func (n *Node) serveStatus(context.Context, *struct{}) (*Status, error) {
 	out := &Status{Node: n.Name, Fleet: n.Fleet}
 	now := n.Clock()
 	n.leaseMu.Lock()
-	out.Facts = n.lease.Facts()
+	out.LogStatus = n.lease.Facts()
 	n.leaseMu.Unlock()
-	if a := n.acting.Load(); a != nil {
-		out.Acts, out.Alone = a.rules, a.alone
-		if left := a.until - now; !a.alone && a.until != math.MaxInt64 {
-			out.LeftMs = max(0, left).Milliseconds()
+	if a := n.applied.Load(); a != nil {
+		out.Applied, out.Disconnected = a.rules, a.disconnected
+		if left := a.until - now; !a.disconnected && a.until != math.MaxInt64 {
+			out.LeaseLeftMs = max(0, left).Milliseconds()
 		}
 	}
 	if s := n.state(); s != nil {
-		out.Owners = n.owners(s)
+		out.Tasks = n.taskStatuses(s)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.broken != nil {
-		out.Store = n.broken.Error()
+	if n.votingError != nil {
+		out.VotingError = n.votingError.Error()
 	}
 	if n.voter == nil {
 		return out, nil
 	}
-	out.Voter, out.Term, out.Facts = true, n.voter.Term(), n.voter.State().Facts()
+	out.Voter, out.Term, out.LogStatus = true, n.voter.Term(), n.voter.State().Facts()
 	for _, v := range n.Voters {
 		if v.ID() == n.voter.Leader() {
 			out.Leader = v.Name
 		}
 	}
-	out.Waits, out.Nodes = n.voter.Clear(now), n.voter.Nodes(now)
+	out.WaitingFor, out.LeaseHolders = n.voter.Clear(now), n.voter.Nodes(now)
 	out.History = slices.Clone(n.voter.State().History)
 	if most := 32; len(out.History) > most {
 		out.History = out.History[len(out.History)-most:]
--- a/internal/fleet/peers/take.go
+++ b/internal/fleet/peers/take.go
@@ -13,48 +13,48 @@
 	"yokestall/internal/fleet/agree"
 )
 
-// holds tells whether a version is here, read and checked; where not, it is on its way from then on. n.leaseMu is held.
-func (n *Node) holds(number uint64) bool {
-	n.heldMu.Lock()
-	defer n.heldMu.Unlock()
-	if n.held[number] != nil {
+// hasVersion tells whether a version is here, read and checked; where not, it is on its way from then on. n.leaseMu is held.
+func (n *Node) hasVersion(number uint64) bool {
+	n.versionsMu.Lock()
+	defer n.versionsMu.Unlock()
+	if n.versions[number] != nil {
 		return true
 	}
-	if number != 0 && !n.coming[number] && n.cannot[number] == "" {
-		n.coming[number] = true
-		n.run.Go(func() { n.get(number) })
+	if number != 0 && !n.fetching[number] && n.rejected[number] == "" {
+		n.fetching[number] = true
+		n.background.Go(func() { n.fetchVersion(number) })
 	}
 	return false
 }
 
-// get brings a version here. One that can't be held is refused, as long as it waits.
-func (n *Node) get(number uint64) {
+// fetchVersion brings a version here. One that can't be held is refused, as long as it waits.
+func (n *Node) fetchVersion(number uint64) {
 	for n.ctx.Err() == nil {
-		m, err := n.manifest(n.ctx, number)
+		m, err := n.fetchManifest(n.ctx, number)
 		var v *agree.Version
 		if err == nil {
-			v, err = n.read(n.ctx, m)
+			v, err = n.parseVersion(n.ctx, m)
 		}
-		var can *cannot
+		var can *invalidVersionError
 		if err == nil || errors.As(err, &can) {
-			n.heldMu.Lock()
-			delete(n.coming, number)
+			n.versionsMu.Lock()
+			delete(n.fetching, number)
 			if err == nil {
-				n.keep(m, v)
+				n.cacheVersion(m, v)
 			} else {
-				n.cannot[number] = err.Error()
-				for old := range n.cannot {
-					if old+heldMost < number {
-						delete(n.cannot, old)
+				n.rejected[number] = err.Error()
+				for old := range n.rejected {
+					if old+maxCachedVersions < number {
+						delete(n.rejected, old)
 					}
 				}
 			}
-			n.heldMu.Unlock()
+			n.versionsMu.Unlock()
 			if err != nil {
 				n.Log.Error("a version can't be held here", "version", number, "err", err)
-				n.cry(number, err.Error())
+				n.reportRefusal(number, err.Error())
 			}
-			n.heard(nil, nil)
+			n.handleLeaseReply(nil, nil)
 			return
 		}
 		n.leaseMu.Lock()
@@ -63,14 +63,14 @@
 		if number != f.Number && number != f.Pending { // it is past
 			break
 		}
-		n.pause(retryAfter)
+		n.sleep(retryDelay)
 	}
-	n.heldMu.Lock()
-	delete(n.coming, number)
-	n.heldMu.Unlock()
+	n.versionsMu.Lock()
+	delete(n.fetching, number)
+	n.versionsMu.Unlock()
 }
 
-func (n *Node) pause(d time.Duration) {
+func (n *Node) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -79,27 +79,27 @@
 	}
 }
 
-// keep keeps a version read; n.heldMu is held, and n.mu is not. The oldest that nothing needs goes.
-func (n *Node) keep(m *agree.Manifest, v *agree.Version) {
-	n.held[m.Number], n.known[m.Number] = v, m
+// cacheVersion keeps a version read; n.heldMu is held, and n.mu is not. The oldest that nothing needs goes.
+func (n *Node) cacheVersion(m *agree.Manifest, v *agree.Version) {
+	n.versions[m.Number], n.manifests[m.Number] = v, m
 	var alive []uint64 // a voter holds a new version against each of them
 	if s := n.state(); s != nil {
 		alive = s.Alive
 	}
-	for len(n.held) > heldMost+len(alive) {
+	for len(n.versions) > maxCachedVersions+len(alive) {
 		oldest := uint64(math.MaxUint64)
-		for k := range n.held {
-			if a := n.acting.Load(); (a == nil || k != a.rules.Number && k != a.rules.Pending) && !slices.Contains(alive, k) {
+		for k := range n.versions {
+			if a := n.applied.Load(); (a == nil || k != a.rules.Number && k != a.rules.Pending) && !slices.Contains(alive, k) {
 				oldest = min(oldest, k)
 			}
 		}
-		delete(n.held, oldest)
-		delete(n.known, oldest)
+		delete(n.versions, oldest)
+		delete(n.manifests, oldest)
 	}
 }
 
-// cry tells voters that a version that waits can't be held here, until one has it in the log or it waits no more.
-func (n *Node) cry(number uint64, why string) {
+// reportRefusal tells voters that a version that waits can't be held here, until one has it in the log or it waits no more.
+func (n *Node) reportRefusal(number uint64, why string) {
 	for n.ctx.Err() == nil {
 		n.leaseMu.Lock()
 		waits := n.lease.Facts().Pending == number
@@ -114,16 +114,16 @@
 			call[struct{}](ctx, c, "Refuse", r)
 			stop()
 		}
-		n.pause(retryAfter)
+		n.sleep(retryDelay)
 	}
 }
 
-// cannot is that this node can't hold a version, rather than that it isn't here yet.
-type cannot struct{ error }
+// invalidVersionError is that this node can't hold a version, rather than that it isn't here yet.
+type invalidVersionError struct{ error }
 
-func (c *cannot) Unwrap() error { return c.error }
+func (c *invalidVersionError) Unwrap() error { return c.error }
 
-func (n *Node) manifest(ctx context.Context, number uint64) (*agree.Manifest, error) {
+func (n *Node) fetchManifest(ctx context.Context, number uint64) (*agree.Manifest, error) {
 	if s := n.state(); s != nil {
 		if m := s.Version(number); m != nil {
 			return m, nil
@@ -132,7 +132,7 @@
 	last := fmt.Errorf("no voter has version %d", number)
 	for _, c := range n.conns {
 		one, stop := context.WithTimeout(ctx, time.Second)
-		m, err := n.describeBy(one, c, number)
+		m, err := n.describeFrom(one, c, number)
 		stop()
 		if err == nil && m.Number == number {
 			return m, m.Check()
@@ -144,26 +144,26 @@
 	return nil, last
 }
 
-// describeBy asks a voter for a manifest: for what it adds to its base, if that is known here.
-func (n *Node) describeBy(ctx context.Context, c *Conn, number uint64) (*agree.Manifest, error) {
-	m, err := call[agree.Manifest](ctx, c, "Describe", Number{Number: number, Short: true})
+// describeFrom asks a voter for a manifest: for what it adds to its base, if that is known here.
+func (n *Node) describeFrom(ctx context.Context, c *Conn, number uint64) (*agree.Manifest, error) {
+	m, err := call[agree.Manifest](ctx, c, "Describe", DescribeRequest{Number: number, OwnPartsOnly: true})
 	if err != nil || !m.Extends {
 		return m, err
 	}
-	n.heldMu.Lock()
-	base := n.known[m.Base]
-	n.heldMu.Unlock()
+	n.versionsMu.Lock()
+	base := n.manifests[m.Base]
+	n.versionsMu.Unlock()
 	if base == nil {
 		return c.Describe(ctx, number)
 	}
 	return m, m.Extend(base)
 }
 
-// extend reads a version from its base, if that is held and nothing but changes of lists were added.
-func (n *Node) extend(ctx context.Context, m *agree.Manifest) (*agree.Version, error) {
-	n.heldMu.Lock()
-	base, known := n.held[m.Base], n.known[m.Base]
-	n.heldMu.Unlock()
+// extendBase reads a version from its base, if that is held and nothing but changes of lists were added.
+func (n *Node) extendBase(ctx context.Context, m *agree.Manifest) (*agree.Version, error) {
+	n.versionsMu.Lock()
+	base, known := n.versions[m.Base], n.manifests[m.Base]
+	n.versionsMu.Unlock()
 	if n.Extend == nil || !m.Extends || base == nil || len(known.Parts)+m.Own != len(m.Parts) {
 		return nil, nil
 	}
@@ -172,7 +172,7 @@
 		if !files.IsChange(p.Name) {
 			return nil, nil
 		}
-		data, err := n.content(ctx, p)
+		data, err := n.fetchContent(ctx, p)
 		if err != nil {
 			return nil, err
 		}
@@ -180,41 +180,41 @@
 	}
 	v, err := n.Extend(base, changes)
 	if err != nil {
-		return nil, &cannot{err}
+		return nil, &invalidVersionError{err}
 	}
 	return v, nil
 }
 
-// read gets a version's content, from here or from voters, and reads it.
-func (n *Node) read(ctx context.Context, m *agree.Manifest) (*agree.Version, error) {
-	if v, err := n.extend(ctx, m); v != nil || err != nil {
+// parseVersion gets a version's content, from here or from voters, and reads it.
+func (n *Node) parseVersion(ctx context.Context, m *agree.Manifest) (*agree.Version, error) {
+	if v, err := n.extendBase(ctx, m); v != nil || err != nil {
 		return v, err
 	}
 	var list []config.File
 	for _, p := range m.Parts {
-		data, err := n.content(ctx, p)
+		data, err := n.fetchContent(ctx, p)
 		if err != nil {
 			return nil, err
 		}
 		list = append(list, config.File{Name: p.Name, Text: data})
 	}
 	// Who publishes a version and who is to act on it want the same at one time: it is read once.
-	n.readMu.Lock()
-	defer n.readMu.Unlock()
-	if n.readLast != nil && slices.Equal(n.readParts, m.Parts) {
-		return n.readLast, nil
+	n.parseMu.Lock()
+	defer n.parseMu.Unlock()
+	if n.lastParsed != nil && slices.Equal(n.lastParsedParts, m.Parts) {
+		return n.lastParsed, nil
 	}
 	v, err := n.Parse(list)
 	if err != nil {
-		return nil, &cannot{err}
+		return nil, &invalidVersionError{err}
 	}
-	n.readLast, n.readParts = v, m.Parts
+	n.lastParsed, n.lastParsedParts = v, m.Parts
 	return v, nil
 }
 
-func (n *Node) content(ctx context.Context, p agree.Part) ([]byte, error) {
+func (n *Node) fetchContent(ctx context.Context, p agree.Part) ([]byte, error) {
 	if p.Size > config.MaxFile {
-		return nil, &cannot{fmt.Errorf("%s: %d bytes; %d at most", p.Name, p.Size, config.MaxFile)}
+		return nil, &invalidVersionError{fmt.Errorf("%s: %d bytes; %d at most", p.Name, p.Size, config.MaxFile)}
 	}
 	data, err := n.store.Get(p.Hash)
 	if data != nil {
@@ -229,7 +229,7 @@
 		data, err := c.Fetch(one, p)
 		stop()
 		if err == nil {
-			if err := n.keepContent(data); err != nil {
+			if err := n.storeContent(data); err != nil {
 				n.Log.Warn("content is not kept here", "file", p.Name, "err", err)
 			}
 			return data, nil
@@ -239,18 +239,18 @@
 	return nil, last
 }
 
-func (n *Node) keepContent(data []byte) error {
+func (n *Node) storeContent(data []byte) error {
 	n.mu.Lock()
-	n.recent[hash(data)] = time.Now()
+	n.recentContent[hash(data)] = time.Now()
 	n.mu.Unlock()
 	return n.store.Put(data)
 }
 
-// version gives a version of the log, read.
-func (n *Node) version(ctx context.Context, s *agree.State, number uint64) (*agree.Version, error) {
-	n.heldMu.Lock()
-	v := n.held[number]
-	n.heldMu.Unlock()
+// versionInLog gives a version of the log, read.
+func (n *Node) versionInLog(ctx context.Context, s *agree.State, number uint64) (*agree.Version, error) {
+	n.versionsMu.Lock()
+	v := n.versions[number]
+	n.versionsMu.Unlock()
 	if v != nil {
 		return v, nil
 	}
@@ -258,11 +258,11 @@
 	if m == nil {
 		return nil, fmt.Errorf("version %d is not in the history", number)
 	}
-	return n.read(ctx, m)
+	return n.parseVersion(ctx, m)
 }
 
-// takes has the program act on what the lease allows, until the node ends.
-func (n *Node) takes() {
+// reconcile has the program act on what the lease allows, until the node ends.
+func (n *Node) reconcile() {
 	began := n.Clock()
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -270,37 +270,37 @@
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-n.kick:
+		case <-n.wake:
 		case <-t.C:
 		}
-		n.takeSet()
+		n.applyOwnership()
 		n.leaseMu.Lock()
 		now := n.Clock()
 		want := n.lease.Want(now)
-		cur := n.acting.Load()
-		may := cur != nil && (cur.alone || n.lease.May(now, cur.rules))
+		cur := n.applied.Load()
+		may := cur != nil && (cur.disconnected || n.lease.May(now, cur.rules))
 		n.leaseMu.Unlock()
 		switch {
-		case want.Number != 0 && (cur == nil || cur.alone || want != cur.rules):
-			n.take(want)
+		case want.Number != 0 && (cur == nil || cur.disconnected || want != cur.rules):
+			n.applyRules(want)
 		case !may && cur != nil:
-			n.goAlone(cur.rules)
+			n.enterDisconnected(cur.rules)
 		case cur == nil && now-began > n.Lease.Duration:
-			n.wakeAlone()
+			n.startDisconnected()
 		}
 		next := n.Lease.RenewInterval()
-		if a := n.acting.Load(); a != nil && !a.alone {
+		if a := n.applied.Load(); a != nil && !a.disconnected {
 			next = min(next, a.until-n.Clock())
 		}
 		t.Reset(max(next, time.Millisecond))
 	}
 }
 
-// take has the program act on rules that the lease allows.
-func (n *Node) take(r agree.Rules) {
-	n.heldMu.Lock()
-	v, next := n.held[r.Number], n.held[r.Pending]
-	n.heldMu.Unlock()
+// applyRules has the program act on rules that the lease allows.
+func (n *Node) applyRules(r agree.Rules) {
+	n.versionsMu.Lock()
+	v, next := n.versions[r.Number], n.versions[r.Pending]
+	n.versionsMu.Unlock()
 	if v == nil || r.Pending != 0 && next == nil {
 		return // it went meanwhile, and comes again
 	}
@@ -315,37 +315,37 @@
 		}
 	}
 	n.leaseMu.Lock()
-	cur := n.acting.Load()
-	if cur == nil || cur.alone { // what it acts on next is bound by the lease from its first moment on
-		n.acting.Store(&acting{rules: r, until: n.until(r)})
+	cur := n.applied.Load()
+	if cur == nil || cur.disconnected { // what it acts on next is bound by the lease from its first moment on
+		n.applied.Store(&appliedRules{rules: r, until: n.leaseEnd(r)})
 	}
 	n.leaseMu.Unlock()
-	if err := n.Take(a); err != nil {
-		n.acting.Store(cur) // that is what the program still acts on
-		n.heldMu.Lock()
-		n.cannot[max(r.Number, r.Pending)] = err.Error()
-		delete(n.held, max(r.Number, r.Pending))
-		n.heldMu.Unlock()
+	if err := n.Apply(a); err != nil {
+		n.applied.Store(cur) // that is what the program still acts on
+		n.versionsMu.Lock()
+		n.rejected[max(r.Number, r.Pending)] = err.Error()
+		delete(n.versions, max(r.Number, r.Pending))
+		n.versionsMu.Unlock()
 		n.Log.Error("a version can't be taken", "rules", r, "err", err)
 		if r.Pending != 0 {
-			n.run.Go(func() { n.cry(r.Pending, err.Error()) })
+			n.background.Go(func() { n.reportRefusal(r.Pending, err.Error()) })
 		}
 		return
 	}
 	n.leaseMu.Lock()
 	n.lease.Took(r)
-	n.acting.Store(&acting{rules: r, until: n.until(r)})
+	n.applied.Store(&appliedRules{rules: r, until: n.leaseEnd(r)})
 	n.leaseMu.Unlock()
 	n.Log.Info("acts on", "rules", r.String(), "epoch", r.Epoch, "boot", int64(BootTime()))
-	n.asks() // confirms
+	n.renewLeasesNow() // confirms
 	if r.Pending == 0 {
-		n.run.Go(func() { n.remember(r.Number) })
+		n.background.Go(func() { n.saveLastVersion(r.Number) })
 	}
 }
 
-// remember keeps a version as the last one for a start without a word from anyone.
-func (n *Node) remember(number uint64) {
-	m, err := n.manifest(n.ctx, number)
+// saveLastVersion keeps a version as the last one for a start without a word from anyone.
+func (n *Node) saveLastVersion(number uint64) {
+	m, err := n.fetchManifest(n.ctx, number)
 	if err == nil {
 		err = n.store.SetLast(m)
 	}
@@ -354,38 +354,38 @@
 	}
 }
 
-// goAlone has the program act on what is cautious without a lease, by the rules that it acted on last.
-func (n *Node) goAlone(last agree.Rules) {
-	n.heldMu.Lock()
-	v, next := n.held[last.Number], n.held[last.Pending]
-	n.heldMu.Unlock()
+// enterDisconnected has the program act on what is cautious without a lease, by the rules that it acted on last.
+func (n *Node) enterDisconnected(last agree.Rules) {
+	n.versionsMu.Lock()
+	v, next := n.versions[last.Number], n.versions[last.Pending]
+	n.versionsMu.Unlock()
 	switch {
 	case v != nil && next != nil:
-		n.alone(agree.Stricter(v, next), last)
+		n.applyDisconnected(agree.Stricter(v, next), last)
 	case v != nil:
-		n.alone(agree.Acting{Version: v}, last)
+		n.applyDisconnected(agree.Acting{Version: v}, last)
 	}
 }
 
-// wakeAlone is goAlone for a node that started and reaches no majority of the voters.
-func (n *Node) wakeAlone() {
+// startDisconnected is enterDisconnected for a node that started and reaches no majority of the voters.
+func (n *Node) startDisconnected() {
 	m, err := n.store.Last()
 	if m == nil || err != nil {
 		return
 	}
-	v, err := n.read(n.ctx, m)
+	v, err := n.parseVersion(n.ctx, m)
 	if err != nil {
 		n.Log.Error("the last version can't be read", "err", err)
 		return
 	}
-	n.heldMu.Lock()
-	n.keep(m, v)
-	n.heldMu.Unlock()
-	n.alone(agree.Acting{Version: v}, agree.Rules{Number: m.Number})
+	n.versionsMu.Lock()
+	n.cacheVersion(m, v)
+	n.versionsMu.Unlock()
+	n.applyDisconnected(agree.Acting{Version: v}, agree.Rules{Number: m.Number})
 }
 
-func (n *Node) alone(a agree.Acting, last agree.Rules) {
-	if err := n.Take(agree.Alone(a, n.Config.Disconnected, time.Now())); err != nil {
+func (n *Node) applyDisconnected(a agree.Acting, last agree.Rules) {
+	if err := n.Apply(agree.Alone(a, n.Config.Disconnected, time.Now())); err != nil {
 		n.Log.Error("nothing is served without a lease", "err", err)
 		return
 	}
@@ -393,6 +393,6 @@
 	if most := n.Config.Disconnected.MaxDuration; most > 0 {
 		until = n.Clock() + most
 	}
-	n.acting.Store(&acting{rules: last, alone: true, until: until})
+	n.applied.Store(&appliedRules{rules: last, disconnected: true, until: until})
 	n.Log.Warn("the lease is over: acts alone", "rules", last.String(), "boot", int64(BootTime()))
 }
--- a/internal/fleet/peers/wire.go
+++ b/internal/fleet/peers/wire.go
@@ -22,31 +22,31 @@
 	service    = "yokestall.fleet.v1.Fleet"
 	fleetKey   = "yokestall-fleet" // the name of the fleet that a call is for
 	maxMessage = 4 << 20           // bytes of a message: a whole history fits
-	pieceSize  = 256 << 10         // bytes of content in a message
+	chunkSize  = 256 << 10         // bytes of content in a message
 	maxReason  = 4 << 10           // bytes of a node's reason
 )
 
-// Number asks for a version.
-type Number struct {
-	Number uint64 `json:"number"`
-	Short  bool   `json:"short"` // what it adds to its base is enough
+// DescribeRequest asks for a version.
+type DescribeRequest struct {
+	Number       uint64 `json:"number"`
+	OwnPartsOnly bool   `json:"short"` // what it adds to its base is enough
 }
 
-// Piece asks for content from a place on.
-type Piece struct {
-	Hash string `json:"hash"`
-	From int    `json:"from"`
+// FetchRequest asks for content from a place on.
+type FetchRequest struct {
+	Hash   string `json:"hash"`
+	Offset int    `json:"from"`
 }
 
-// Reply is a voter's answer to an ask, or news without one.
-type Reply struct {
-	Grant *agree.Grant `json:"grant,omitempty"`
-	News  *agree.Facts `json:"news,omitempty"`
-	Error string       `json:"error,omitempty"`
+// LeaseReply is a voter's answer to an ask, or news without one.
+type LeaseReply struct {
+	Grant     *agree.Grant `json:"grant,omitempty"`
+	LogStatus *agree.Facts `json:"news,omitempty"`
+	Error     string       `json:"error,omitempty"`
 }
 
-// Publish asks for a version. Its content has been put to voters before.
-type Publish struct {
+// PublishRequest asks for a version. Its content has been put to voters before.
+type PublishRequest struct {
 	ID    string       `json:"id"`
 	Base  uint64       `json:"base"`
 	Parts []agree.Part `json:"parts"`
@@ -54,37 +54,37 @@
 	Extends bool `json:"extends,omitempty"`
 }
 
-// Published says what became of it.
-type Published struct {
-	Number      uint64   `json:"number"` // 0: it was not taken up
-	Contradicts bool     `json:"contradicts"`
-	Error       string   `json:"error,omitempty"`
-	Again       bool     `json:"again"`             // another try may succeed as it is
-	Present     uint64   `json:"present"`           // the version in force
-	Differs     []string `json:"differs,omitempty"` // from the version in force
+// PublishReply says what became of it.
+type PublishReply struct {
+	Number        uint64   `json:"number"` // 0: it was not taken up
+	Contradicts   bool     `json:"contradicts"`
+	Error         string   `json:"error,omitempty"`
+	Retry         bool     `json:"again"`             // another try may succeed as it is
+	ActiveVersion uint64   `json:"present"`           // the version in force
+	Differences   []string `json:"differs,omitempty"` // from the version in force
 }
 
-// Have asks which of these hashes are not there.
-type Have struct {
+// ContentHashes asks which of these hashes are not there.
+type ContentHashes struct {
 	Hashes []string `json:"hashes"`
 }
 
 // Status is how a node sees the fleet.
 type Status struct {
-	Node    string           `json:"node"`
-	Fleet   string           `json:"fleet"`
-	Voter   bool             `json:"voter"`
-	Leader  string           `json:"leader,omitempty"` // "": none is known here
-	Term    uint64           `json:"term,omitempty"`
-	Facts   agree.Facts      `json:"facts"`
-	Acts    agree.Rules      `json:"acts"`
-	Alone   bool             `json:"alone"`
-	LeftMs  int64            `json:"left_ms"` // of its lease
-	Waits   []string         `json:"waits,omitempty"`
-	Nodes   []string         `json:"nodes,omitempty"` // that this voter has granted leases
-	History []agree.Manifest `json:"history,omitempty"`
-	Store   string           `json:"store,omitempty"` // what is wrong with it
-	Owners  []OwnerStatus    `json:"owners,omitempty"`
+	Node         string           `json:"node"`
+	Fleet        string           `json:"fleet"`
+	Voter        bool             `json:"voter"`
+	Leader       string           `json:"leader,omitempty"` // "": none is known here
+	Term         uint64           `json:"term,omitempty"`
+	LogStatus    agree.Facts      `json:"facts"`
+	Applied      agree.Rules      `json:"acts"`
+	Disconnected bool             `json:"alone"`
+	LeaseLeftMs  int64            `json:"left_ms"` // of its lease
+	WaitingFor   []string         `json:"waits,omitempty"`
+	LeaseHolders []string         `json:"nodes,omitempty"` // that this voter has granted leases
+	History      []agree.Manifest `json:"history,omitempty"`
+	VotingError  string           `json:"store,omitempty"` // what is wrong with it
+	Tasks        []TaskStatus     `json:"owners,omitempty"`
 }
 
 func pack(v any) (*wrapperspb.BytesValue, error) {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// belongs turns away who speaks for another fleet, before anything else that it sent is read.
-func (n *Node) belongs(ctx context.Context) error {
+// checkFleet turns away who speaks for another fleet, before anything else that it sent is read.
+func (n *Node) checkFleet(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if got := md.Get(fleetKey); len(got) != 1 || got[0] != n.Fleet {
 		return status.Errorf(codes.PermissionDenied, "this is a node of the fleet %q", n.Fleet)
@@ -111,11 +111,11 @@
 	return nil
 }
 
-// method makes a unary method of a function.
-func method[In, Out any](name string, do func(n *Node, ctx context.Context, in *In) (*Out, error)) grpc.MethodDesc {
+// unaryMethod makes a unary method of a function.
+func unaryMethod[In, Out any](name string, do func(n *Node, ctx context.Context, in *In) (*Out, error)) grpc.MethodDesc {
 	return grpc.MethodDesc{MethodName: name, Handler: func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		n := srv.(*Node)
-		if err := n.belongs(ctx); err != nil {
+		if err := n.checkFleet(ctx); err != nil {
 			return nil, err
 		}
 		raw := &wrapperspb.BytesValue{}
@@ -137,26 +137,26 @@
 	}}
 }
 
-// stream makes a streaming method.
-func stream(name string, up, down bool, do func(n *Node, s grpc.ServerStream) error) grpc.StreamDesc {
+// streamMethod makes a streaming method.
+func streamMethod(name string, up, down bool, do func(n *Node, s grpc.ServerStream) error) grpc.StreamDesc {
 	return grpc.StreamDesc{StreamName: name, ClientStreams: up, ServerStreams: down, Handler: func(srv any, s grpc.ServerStream) error {
 		n := srv.(*Node)
-		if err := n.belongs(s.Context()); err != nil {
+		if err := n.checkFleet(s.Context()); err != nil {
 			return err
 		}
 		return do(n, s)
 	}}
 }
 
-func description() *grpc.ServiceDesc {
+func serviceDescription() *grpc.ServiceDesc {
 	return &grpc.ServiceDesc{
 		ServiceName: service, HandlerType: (*any)(nil),
 		Methods: []grpc.MethodDesc{
-			method("Describe", (*Node).describe), method("Fetch", (*Node).fetch), method("Have", (*Node).have),
-			method("Publish", (*Node).publish), method("Refuse", (*Node).refuse), method("Status", (*Node).status), method("Owns", (*Node).owns), method("Hello", (*Node).hello), method("Release", (*Node).control),
+			unaryMethod("Describe", (*Node).serveDescribe), unaryMethod("Fetch", (*Node).serveFetch), unaryMethod("Have", (*Node).serveMissing),
+			unaryMethod("Publish", (*Node).servePublish), unaryMethod("Refuse", (*Node).serveRefusal), unaryMethod("Status", (*Node).serveStatus), unaryMethod("Owns", (*Node).serveOwnership), unaryMethod("Hello", (*Node).serveHello), unaryMethod("Release", (*Node).serveReleaseCommand),
 		},
 		Streams: []grpc.StreamDesc{
-			stream("Carry", true, false, (*Node).carry), stream("Attend", true, true, (*Node).attend), stream("Put", true, false, (*Node).put),
+			streamMethod("Carry", true, false, (*Node).serveRaftMessages), streamMethod("Attend", true, true, (*Node).serveLeases), streamMethod("Put", true, false, (*Node).servePut),
 		},
 	}
 }
@@ -187,7 +187,7 @@
 
 // Describe asks for a version's manifest.
 func (c *Conn) Describe(ctx context.Context, number uint64) (*agree.Manifest, error) {
-	return call[agree.Manifest](ctx, c, "Describe", Number{Number: number})
+	return call[agree.Manifest](ctx, c, "Describe", DescribeRequest{Number: number})
 }
 
 // Status asks how the node sees the fleet.
@@ -196,8 +196,8 @@
 }
 
 // Publish asks for a version to be taken up.
-func (c *Conn) Publish(ctx context.Context, p Publish) (*Published, error) {
-	return call[Published](ctx, c, "Publish", p)
+func (c *Conn) Publish(ctx context.Context, p PublishRequest) (*PublishReply, error) {
+	return call[PublishReply](ctx, c, "Publish", p)
 }
 
 // Fetch gets content whole, and checks it.
@@ -205,7 +205,7 @@
 	var data []byte
 	for len(data) < part.Size {
 		out := &wrapperspb.BytesValue{}
-		raw, err := pack(Piece{part.Hash, len(data)})
+		raw, err := pack(FetchRequest{part.Hash, len(data)})
 		if err != nil {
 			return nil, err
 		}
@@ -225,11 +225,11 @@
 
 // Put has the node keep what of the content it hasn't, for good when the error is nil.
 func (c *Conn) Put(ctx context.Context, content map[string][]byte) error {
-	var all Have
+	var all ContentHashes
 	for h := range content {
 		all.Hashes = append(all.Hashes, h)
 	}
-	missing, err := call[Have](ctx, c, "Have", all)
+	missing, err := call[ContentHashes](ctx, c, "Have", all)
 	if err != nil {
 		return err
 	}
@@ -242,8 +242,8 @@
 		if err != nil {
 			return err
 		}
-		for at := 0; at < len(data) || at == 0; at += pieceSize {
-			if err := s.SendMsg(wrapperspb.Bytes(data[at:min(len(data), at+pieceSize)])); err != nil {
+		for at := 0; at < len(data) || at == 0; at += chunkSize {
+			if err := s.SendMsg(wrapperspb.Bytes(data[at:min(len(data), at+chunkSize)])); err != nil {
 				break // RecvMsg says why
 			}
 		}
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -284,13 +284,13 @@
 	defer stop()
 	id, began := peers.NewID(), time.Now()
 	for {
-		s, err := c.Newest(ctx)
+		s, err := c.LatestStatus(ctx)
 		if err == nil {
-			var p *peers.Published
-			if p, err = c.Publish(ctx, id, s.Facts.Number, r.bundle(stamp)); err == nil && p.Number > 0 {
+			var p *peers.PublishReply
+			if p, err = c.Publish(ctx, id, s.LogStatus.Number, r.bundle(stamp)); err == nil && p.Number > 0 {
 				r.out.Published++
 				r.acked[p.Number] = id
-				o, err := c.Wait(ctx, p.Number, func(peers.Outcome) {})
+				o, err := c.WaitForVersion(ctx, p.Number, func(peers.PublishOutcome) {})
 				if err != nil || !o.InForce {
 					return 0, fmt.Errorf("version %d: %+v: %w", stamp, o, err)
 				}
@@ -307,7 +307,7 @@
 
 // kept looks for all versions that were acknowledged.
 func (r *versionRun) kept(ctx context.Context, c *peers.Client) error {
-	s, err := c.Newest(ctx)
+	s, err := c.LatestStatus(ctx)
 	if err != nil {
 		return err
 	}
@@ -404,18 +404,18 @@
 		want = append(want, fmt.Sprintf("release/lab/%d/out", i), fmt.Sprintf("release/lab/%d/in", i))
 	}
 	began := time.Now()
-	in, seen := peers.Control{Begin: &rel}, 1
+	in, seen := peers.ReleaseCommand{Start: &rel}, 1
 	for {
-		out, err := c.Control(ctx, in)
+		out, err := c.ControlRelease(ctx, in)
 		if err == nil && out.Error == "" {
-			in = peers.Control{}
+			in = peers.ReleaseCommand{}
 		}
-		if s, err := c.Newest(ctx); err == nil {
-			for ; seen < len(s.History) && s.History[seen].Number <= s.Facts.Number; seen++ { // it is in force
+		if s, err := c.LatestStatus(ctx); err == nil {
+			for ; seen < len(s.History) && s.History[seen].Number <= s.LogStatus.Number; seen++ { // it is in force
 				r.rig.Record.Add(fleet.Event{What: fleet.Told, Who: (seen - 1) / 2, Over: seen%2 == 0})
 				r.out.Published++
 			}
-			if in.Begin == nil && out != nil && out.Progress != nil && out.Progress.Ended != "" && seen == len(s.History) {
+			if in.Start == nil && out != nil && out.Progress != nil && out.Progress.Ended != "" && seen == len(s.History) {
 				r.out.Times = append(r.out.Times, time.Since(began))
 				if out.Progress.Ended != "done" || len(s.History) != len(want) {
 					return fmt.Errorf("the release ended by %q with %d versions of %d", out.Progress.Ended, len(s.History), len(want))
@@ -459,7 +459,7 @@
 			one, stop := context.WithTimeout(ctx, 4*time.Second) // an answer of a process that woke counts
 			defer stop()
 			asked := r.rig.Record.Since()
-			if token, err := c.Probe(one, at, peers.ReleaseWork); err == nil && token > 0 {
+			if token, err := c.OwnershipToken(one, at, peers.ReleaseTask); err == nil && token > 0 {
 				r.rig.Record.Add(fleet.Event{What: fleet.Owned, Who: at, By: asked, Stamp: int(token)})
 			}
 		})
