--- a/internal/app/agreed.go
+++ b/internal/app/agreed.go
@@ -17,7 +17,7 @@
 
 	mu   sync.Mutex
 	own  *config.Program
-	last *agree.Acting // nil: nothing yet
+	last *agree.EffectiveVersion // nil: nothing yet
 }
 
 // NewAgreed makes a source for an app that serves nothing yet.
@@ -55,7 +55,7 @@
 }
 
 // Take acts on something from now on.
-func (s *Agreed) Take(a agree.Acting) error {
+func (s *Agreed) Take(a agree.EffectiveVersion) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.take(s.own, &a); err != nil {
@@ -78,7 +78,7 @@
 	s.own = own
 }
 
-func (s *Agreed) take(own *config.Program, a *agree.Acting) error {
+func (s *Agreed) take(own *config.Program, a *agree.EffectiveVersion) error {
 	p, err := own.Agreed(a.Program)
 	if err != nil {
 		return err
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -159,14 +159,14 @@
 	if leader == "" {
 		leader = "none"
 	}
-	fmt.Fprintf(f.out, "%-12s version %d in force (epoch %d), leader %s in term %d, acts on %v", a.Voter, s.LogStatus.Number, s.LogStatus.Epoch, leader, s.Term, s.Applied)
+	fmt.Fprintf(f.out, "%-12s version %d in force (epoch %d), leader %s in term %d, acts on %v", a.Voter, s.LogStatus.ActiveVersion, s.LogStatus.Epoch, leader, s.Term, s.Applied)
 	if s.Disconnected {
 		fmt.Fprint(f.out, " alone")
 	} else {
 		fmt.Fprintf(f.out, " for %d ms", s.LeaseLeftMs)
 	}
-	if s.LogStatus.Pending != 0 {
-		fmt.Fprintf(f.out, "; version %d waits", s.LogStatus.Pending)
+	if s.LogStatus.PendingVersion != 0 {
+		fmt.Fprintf(f.out, "; version %d waits", s.LogStatus.PendingVersion)
 		if len(s.WaitingFor) > 0 {
 			fmt.Fprintf(f.out, " for %s", strings.Join(s.WaitingFor, ", "))
 		}
@@ -261,7 +261,7 @@
 	if by.base == "present" {
 		var s *peers.Status
 		if s, err = c.LatestStatus(ctx); err == nil {
-			at = s.LogStatus.Number
+			at = s.LogStatus.ActiveVersion
 		}
 	}
 	if err != nil {
@@ -325,17 +325,17 @@
 			for _, m := range s.History {
 				note := ""
 				switch {
-				case m.Refused != "":
-					note = ", refused: " + m.Refused
-				case m.Number == s.LogStatus.Number:
+				case m.RefusalReason != "":
+					note = ", refused: " + m.RefusalReason
+				case m.Number == s.LogStatus.ActiveVersion:
 					note = ", in force"
-				case m.Number == s.LogStatus.Pending:
+				case m.Number == s.LogStatus.PendingVersion:
 					note = ", waits"
 				}
 				if m.Contradicts {
 					note = ", contradicted what was in force" + note
 				}
-				fmt.Fprintf(f.out, "%d from %d, by %s, id %s%s\n", m.Number, m.Base, m.By, m.ID, note)
+				fmt.Fprintf(f.out, "%d from %d, by %s, id %s%s\n", m.Number, m.Base, m.Proposer, m.ID, note)
 			}
 		})
 	})
--- a/internal/cli/release.go
+++ b/internal/cli/release.go
@@ -42,7 +42,7 @@
 		return nil, fail("at_once", fmt.Sprintf("%d is below 1", f.AtOnce))
 	}
 	r := &agree.Release{
-		ID: peers.NewID(), Cluster: f.Cluster, Waves: f.Waves, Floor: f.Floor, Drain: f.Drain.Duration, Away: f.Away.Duration, Warm: f.Warm.Duration,
+		ID: peers.NewID(), Cluster: f.Cluster, Waves: f.Waves, Floor: f.Floor, Drain: f.Drain.Duration, Restart: f.Away.Duration, Warm: f.Warm.Duration,
 	}
 	for left := f.Servers; len(left) > 0; {
 		n := min(f.AtOnce, len(left))
@@ -114,15 +114,15 @@
 			p := r.Progress
 			switch {
 			case p == nil:
-			case p.Ended != "":
-				fmt.Fprintf(f.out, "release %s: %s\n", p.Release.ID, p.Ended)
+			case p.Result != "":
+				fmt.Fprintf(f.out, "release %s: %s\n", p.Release.ID, p.Result)
 			default:
 				fmt.Fprintf(f.out, "release %s: wave %d of %d, %v", p.Release.ID, p.Wave+1, len(p.Waves), p.Phase)
 				if p.Paused {
 					fmt.Fprint(f.out, ", paused")
 				}
-				if p.Stops != "" {
-					fmt.Fprint(f.out, ", ends with this wave: ", p.Stops)
+				if p.StopReason != "" {
+					fmt.Fprint(f.out, ", ends with this wave: ", p.StopReason)
 				}
 				fmt.Fprintln(f.out)
 			}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -119,7 +119,7 @@
 			}
 			return &agree.Version{Program: s.Program, Clusters: s.Version.Clusters}, nil
 		},
-		Apply: func(a agree.Acting) error {
+		Apply: func(a agree.EffectiveVersion) error {
 			k := &a.Program.Classes[0]
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -196,7 +196,7 @@
 		s, err := d.client.LatestStatus(ctx)
 		if err == nil {
 			var p *peers.PublishReply
-			if p, err = d.client.Publish(ctx, id, s.LogStatus.Number, list); err == nil && p.Number > 0 {
+			if p, err = d.client.Publish(ctx, id, s.LogStatus.ActiveVersion, list); err == nil && p.Number > 0 {
 				waits := ""
 				o, err := d.client.WaitForVersion(ctx, p.Number, func(o peers.PublishOutcome) {
 					if len(o.WaitingFor) > 0 {
--- a/internal/fleet/agree/contradict.go
+++ b/internal/fleet/agree/contradict.go
@@ -1,8 +1,9 @@
-// Package agree is what the nodes of a fleet agree on, and which differences of it contradict. It is pure.
+// Package agree is the replicated state of a fleet: the log of its configuration versions, leases for acting on them, the ownership of
+// singleton tasks, and the rules for which versions contradict each other. It does no I/O and reads no clock.
 //
-// Two versions contradict where a node that acts on the one and a node that acts on the other could together break a
-// rule that each of them keeps: they may not be acted on at one time. Versions that differ otherwise may: each request is
-// decided by one node, so that what only says how well it is served needs no agreement.
+// Two versions contradict each other where a node that acts on one and a node that acts on the other could together break a rule that
+// each of them keeps by itself. No two nodes may act on such versions at the same time. Other versions may coexist: each request is decided by
+// one node, so what only affects how well it is served needs no agreement.
 package agree
 
 import (
@@ -33,16 +34,16 @@
 	ClassScope
 	ClassWindow
 	ClassService
-	ClassComes
-	ClassGoes
+	ClassAdded
+	ClassRemoved
 	TenantQuota
 	Attempts
 	Nodes
 	Cold
 	RouteOfKeys
 	RouteOfSafe
-	ServerOut
-	ServerIn
+	ServerRemoved
+	ServerAdded
 	ServerMoved
 	ServerStarted
 	ServerGroup
@@ -65,16 +66,16 @@
 		{ClassScope, "scope of a keyed class", true, "rule 2: they differ on which servers drop a repeat"},
 		{ClassWindow, "window of a keyed class", true, "rule 2: one sends again when the other's servers have forgotten the key"},
 		{ClassService, "deadline, aim, worth or stream bounds of a class", false, "a request is decided by one node, within what its client was promised there"},
-		{ClassComes, "a class more", false, "who does not know it has no route to it"},
-		{ClassGoes, "a class less", false, "requests of it are refused by one node and served by the other"},
+		{ClassAdded, "a class more", false, "who does not know it has no route to it"},
+		{ClassRemoved, "a class less", false, "requests of it are refused by one node and served by the other"},
 		{TenantQuota, "a tenant, or its quota", false, "the sum of the nodes' parts lies between both quotas"},
 		{Attempts, "attempts, second copies, cancels, waits", false, "they are counted by request, at one node"},
 		{Nodes, "number of nodes", true, "rule 4: parts of cold servers' budgets add up to more than the whole"},
 		{Cold, "figures of cold servers", true, "rule 4: one node sends what the other's figures say pushes a server over"},
 		{RouteOfKeys, "route of a class that is not safe", true, "rule 2: a key goes to servers that have not seen it, or to a class with another effect"},
 		{RouteOfSafe, "route of a safe class", false, "what it reaches may run twice"},
-		{ServerOut, "a server goes, drains or is not healthy", true, "rule 3: one node sends to it past the grace"},
-		{ServerIn, "a server comes, or comes back", false, "who does not know it sends nothing there"},
+		{ServerRemoved, "a server goes, drains or is not healthy", true, "rule 3: one node sends to it past the grace"},
+		{ServerAdded, "a server comes, or comes back", false, "who does not know it sends nothing there"},
 		{ServerMoved, "address of a server", true, "rule 3: at the old one is another process, or none"},
 		{ServerStarted, "start of a server", true, "rule 4: who does not know of it sends as to a warm one"},
 		{ServerGroup, "zone or cell of a server", true, "rule 2: they differ on which servers drop a repeat together"},
@@ -139,7 +140,7 @@
 		a := from.Classes[i]
 		at := to.Class(a.Name)
 		if at < 0 {
-			d.list = append(d.list, Difference{Kind: ClassGoes, Name: a.Name, Contradicts: d.table[ClassGoes].Contradicts})
+			d.list = append(d.list, Difference{Kind: ClassRemoved, Name: a.Name, Contradicts: d.table[ClassRemoved].Contradicts})
 			continue
 		}
 		b := to.Classes[at]
@@ -153,7 +154,7 @@
 	}
 	for i := range to.Classes {
 		if name := to.Classes[i].Name; from.Class(name) < 0 {
-			d.list = append(d.list, Difference{Kind: ClassComes, Name: name, Contradicts: d.table[ClassComes].Contradicts})
+			d.list = append(d.list, Difference{Kind: ClassAdded, Name: name, Contradicts: d.table[ClassAdded].Contradicts})
 		}
 	}
 	d.note(TenantQuota, "tenants", from.Tenants, to.Tenants)
@@ -170,7 +171,7 @@
 // routes compares hosts by their domains. Of a host that changed all routes from the first one that differs on
 // count, since the first that fits a request is taken.
 func (d *differ) routes(from, to *config.Program) {
-	tails(from, to, func(host string, a, b []route.Route, same int) {
+	differingRoutes(from, to, func(host string, a, b []route.Route, same int) {
 		kind := RouteOfSafe
 		if keyed(from, a) || keyed(to, b) {
 			kind = RouteOfKeys
@@ -210,7 +211,7 @@
 	walk(from, to, func(a, b *cluster.Endpoint) {
 		switch {
 		case a == nil && b.Serves():
-			d.note(ServerIn, in+"/"+b.ID, "none", b.Health.String())
+			d.note(ServerAdded, in+"/"+b.ID, "none", b.Health.String())
 			return
 		case a == nil, b != nil && *a == *b, b == nil && !a.Serves(): // nothing was sent to it, or is to be
 			return
@@ -218,13 +219,13 @@
 		name := in + "/" + a.ID
 		switch {
 		case b == nil:
-			d.note(ServerOut, name, a.Health.String(), "gone")
+			d.note(ServerRemoved, name, a.Health.String(), "gone")
 			return
 		case a.Serves() && !b.Serves():
-			d.note(ServerOut, name, a.Health.String(), b.Health.String())
+			d.note(ServerRemoved, name, a.Health.String(), b.Health.String())
 			return
 		case !a.Serves() && b.Serves():
-			d.note(ServerIn, name, a.Health.String(), b.Health.String())
+			d.note(ServerAdded, name, a.Health.String(), b.Health.String())
 			return
 		case !a.Serves():
 			return
--- a/internal/fleet/agree/contradict_test.go
+++ b/internal/fleet/agree/contradict_test.go
@@ -85,7 +85,7 @@
 	{"scope = \"all\"", "scope = \"zone\"", ClassScope, ClassScope},
 	{"window = \"6s\"", "window = \"2m\"", ClassWindow, ClassWindow},
 	{"deadline = \"1s\"", "deadline = \"2s\"", ClassService, ClassService},
-	{"[[host]]\n[[host.route]]\nprefix = \"/read\"", "[[class]]\nname = \"more\"\neffect = \"unsafe\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/read\"", ClassComes, ClassGoes},
+	{"[[host]]\n[[host.route]]\nprefix = \"/read\"", "[[class]]\nname = \"more\"\neffect = \"unsafe\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/read\"", ClassAdded, ClassRemoved},
 	{"quota_per_s = 10", "quota_per_s = 20", TenantQuota, TenantQuota},
 	{"attempts = 3", "attempts = 2", Attempts, Attempts},
 	{"nodes = 3", "nodes = 5", Nodes, Nodes},
@@ -96,9 +96,9 @@
 	{"zone = \"a\"\nweight = 1\n[[", "zone = \"a\"\nweight = 1\nstarted_ms = 5\n[[", ServerStarted, ServerStarted},
 	{"zone = \"a\"\nweight = 1\n[[", "zone = \"b\"\nweight = 1\n[[", ServerGroup, ServerGroup},
 	{"weight = 1\n[[", "weight = 2\n[[", ServerSize, ServerSize},
-	{"weight = 1\n[[", "weight = 1\nhealth = \"unhealthy\"\n[[", ServerOut, ServerIn},
-	{"health = \"draining\"", "health = \"healthy\"", ServerIn, ServerOut},
-	{"id = \"s-1\"", "id = \"s-0\"", ServerOut, ServerOut},
+	{"weight = 1\n[[", "weight = 1\nhealth = \"unhealthy\"\n[[", ServerRemoved, ServerAdded},
+	{"health = \"draining\"", "health = \"healthy\"", ServerAdded, ServerRemoved},
+	{"id = \"s-1\"", "id = \"s-0\"", ServerRemoved, ServerRemoved},
 }
 
 // Each kind of difference is found, as what it is and nothing else, and contradicts as the table says.
@@ -151,7 +151,7 @@
 				t.Fatalf("%v\ndifferences: %v", err, Differences(a, b))
 			}
 		}
-		there, back := AsStrict(Acting{Version: a}, b), AsStrict(Acting{Version: b}, a)
+		there, back := AsStrict(EffectiveVersion{Version: a}, b), AsStrict(EffectiveVersion{Version: b}, a)
 		if Contradicts(Differences(a, b)) && there == nil && back == nil {
 			t.Fatalf("neither is laxer: %v", Differences(a, b))
 		}
@@ -165,7 +165,7 @@
 	for _, tc := range changes { // of one kind alone, too
 		a := version(t, program, servers)
 		b := version(t, strings.Replace(program, tc.old, tc.new, 1), strings.Replace(servers, tc.old, tc.new, 1))
-		if row := Table()[tc.want]; row.Contradicts && AsStrict(Acting{Version: a}, b) == nil && AsStrict(Acting{Version: b}, a) == nil {
+		if row := Table()[tc.want]; row.Contradicts && AsStrict(EffectiveVersion{Version: a}, b) == nil && AsStrict(EffectiveVersion{Version: b}, a) == nil {
 			t.Errorf("%s: neither is laxer", row.What)
 		}
 	}
--- a/internal/fleet/agree/alone.go
+++ b/internal/fleet/agree/disconnected.go
@@ -10,12 +10,12 @@
 	"yokestall/policy"
 )
 
-// Alone gives what a node acts on without a lease, by what it acted on last, at a wall-clock time that only serves to
-// tell which servers had started lately when the lease ended.
-func Alone(last Acting, rules terms.DisconnectedPolicy, ended time.Time) Acting {
+// DisconnectedVersion restricts what a node acted on last to what its policy allows without a lease. The wall-clock time only tells
+// which servers had been started shortly before the lease ended.
+func DisconnectedVersion(last EffectiveVersion, rules terms.DisconnectedPolicy, ended time.Time) EffectiveVersion {
 	p := *last.Program
 	p.Classes = slices.Clone(p.Classes)
-	out := Acting{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
+	out := EffectiveVersion{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
 	maps.Copy(out.Refused, last.Refused) // what was refused between two versions is no less in doubt now
 	if rules.Effects == terms.Cautious {
 		p.Limits.MaxAttempts, p.Limits.SecondCopies = 1, false
@@ -36,15 +36,15 @@
 	if rules.Servers != terms.ServeLast {
 		out.Clusters = map[string]*cluster.Cluster{}
 		for name, c := range last.Clusters {
-			out.Clusters[name] = withoutCold(c, p.Rules.ColdFor, ended)
+			out.Clusters[name] = withoutColdServers(c, p.Rules.ColdFor, ended)
 		}
 	}
 	return out
 }
 
-// withoutCold gives a cluster without servers that had started so short a time ago that they may be cold: their
-// budget is a part of a whole that may have been dealt out anew.
-func withoutCold(c *cluster.Cluster, coldFor time.Duration, at time.Time) *cluster.Cluster {
+// withoutColdServers drains the servers that were started so shortly before that they may still be cold: the parts of their budget may
+// have been redistributed among the other nodes.
+func withoutColdServers(c *cluster.Cluster, coldFor time.Duration, at time.Time) *cluster.Cluster {
 	cold := func(e cluster.Endpoint) bool {
 		return e.Serves() && e.Started > 0 && at.Sub(time.UnixMilli(e.Started)) < coldFor
 	}
--- a/internal/fleet/agree/alone_test.go
+++ b/internal/fleet/agree/disconnected_test.go
@@ -16,7 +16,7 @@
 	now := time.UnixMilli(3000)
 	for range 300 {
 		last, next := drawn(t, rng), drawn(t, rng)
-		a := Alone(Acting{Version: last}, terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious}, now)
+		a := DisconnectedVersion(EffectiveVersion{Version: last}, terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious}, now)
 		if a.Program.Limits.MaxAttempts != 1 || a.Program.Limits.SecondCopies {
 			t.Fatalf("attempts: %+v", a.Program.Limits)
 		}
@@ -38,15 +38,15 @@
 		}
 	}
 	last := version(t, program, servers)
-	if a := Alone(Acting{Version: last}, terms.DisconnectedPolicy{Effects: terms.ServeLast, Routes: terms.ServeLast, Servers: terms.ServeLast}, now); AsStrict(a, last) != nil || AsStrict(Acting{Version: last}, a.Version) != nil || len(a.Refused) > 0 {
+	if a := DisconnectedVersion(EffectiveVersion{Version: last}, terms.DisconnectedPolicy{Effects: terms.ServeLast, Routes: terms.ServeLast, Servers: terms.ServeLast}, now); AsStrict(a, last) != nil || AsStrict(EffectiveVersion{Version: last}, a.Version) != nil || len(a.Refused) > 0 {
 		t.Errorf("not as the last: %v", a.Refused)
 	}
-	between := Acting{last, map[string]string{"push": "its routes change"}}
-	if a := Alone(between, terms.DisconnectedPolicy{Effects: terms.ServeLast, Routes: terms.ServeLast, Servers: terms.ServeLast}, now); a.Refused["push"] == "" {
+	between := EffectiveVersion{last, map[string]string{"push": "its routes change"}}
+	if a := DisconnectedVersion(between, terms.DisconnectedPolicy{Effects: terms.ServeLast, Routes: terms.ServeLast, Servers: terms.ServeLast}, now); a.Refused["push"] == "" {
 		t.Error("what was refused between two versions is served alone")
 	}
 	for _, r := range []terms.DisconnectedPolicy{{Effects: terms.Refuse, Routes: terms.ServeLast, Servers: terms.ServeLast}, {Effects: terms.ServeLast, Routes: terms.Refuse, Servers: terms.ServeLast}, {Effects: terms.ServeLast, Routes: terms.ServeLast, Servers: terms.Refuse}} {
-		if a := Alone(Acting{Version: last}, r, now); len(a.Refused) != 2 {
+		if a := DisconnectedVersion(EffectiveVersion{Version: last}, r, now); len(a.Refused) != 2 {
 			t.Errorf("%+v: %v", r, a.Refused)
 		}
 	}
--- a/internal/fleet/agree/log.go
+++ b/internal/fleet/agree/log.go
@@ -8,91 +8,91 @@
 	"slices"
 )
 
-// The bounds of what the log keeps.
+// The limits of what the log keeps.
 const (
 	MaxHistory = 256     // versions that can be gone back to
 	MaxFiles   = 1100    // files of a version
 	maxParts   = 16384   // of all versions in the history together, so that a snapshot fits a message
 	MaxName    = 255     // bytes of a file's or a node's name
 	MaxEntry   = 1 << 20 // bytes of an entry; content goes by hash beside it
-	// epochMost is how many versions may share an epoch. Each new one is held against all of them, since "does not
-	// contradict" doesn't pass on from one pair of versions to the next.
-	epochMost = 16
+	// maxVersionsPerEpoch is how many versions may share an epoch. Each new version is compared with all of them, since
+	// "does not contradict" is not transitive.
+	maxVersionsPerEpoch = 16
 )
 
-// Part is a file of a version: its content goes by its hash, so that only what changed travels.
+// Part is a file of a version. It refers to its content by hash, so that only changed files are sent.
 type Part struct {
 	Name string `json:"name"`
 	Hash string `json:"hash"` // SHA-256, hexadecimal
 	Size int    `json:"size"` // bytes
 }
 
-// Manifest is a version as the log has it.
+// Manifest is a version as the log has it: its files by hash, without their content.
 type Manifest struct {
 	Number      uint64 `json:"number"` // by the log's order, from 1
 	Base        uint64 `json:"base"`   // the version that it was made from; 0: none
 	ID          string `json:"id"`     // its publisher's, so that a publish sent twice is one
-	By          string `json:"by"`     // the node that proposed it
+	Proposer    string `json:"by"`     // the node that proposed it
 	Contradicts bool   `json:"contradicts"`
 	Parts       []Part `json:"parts"`
-	// Extends says that the base's parts are this version's too, and come first; the log has Own of them from then on.
-	Extends bool `json:"extends,omitempty"`
-	Own     int  `json:"own,omitempty"`
-	// Refused says which node can't hold it, and why; "": none said so.
-	Refused string `json:"refused,omitempty"`
+	// Extends says that the base's parts come before this version's own, of which there are OwnParts.
+	Extends  bool `json:"extends,omitempty"`
+	OwnParts int  `json:"own,omitempty"`
+	// RefusalReason names the node that can't use the version, and why; "": no node said so.
+	RefusalReason string `json:"refused,omitempty"`
 }
 
-// Entry is what goes into the log: one of its fields is set.
+// Entry is a command in the log: exactly one of its fields is set.
 type Entry struct {
-	Propose *Manifest `json:"propose,omitempty"`
-	Clear   *Clear    `json:"clear,omitempty"`
-	Refuse  *Refuse   `json:"refuse,omitempty"`
-	Own     *Own      `json:"own,omitempty"`
-	Free    *Free     `json:"free,omitempty"`
-	Release *Release  `json:"release,omitempty"`
-	Move    *Move     `json:"move,omitempty"`
+	Propose       *Manifest       `json:"propose,omitempty"`
+	EpochAck      *EpochAck       `json:"clear,omitempty"`
+	Refusal       *Refusal        `json:"refuse,omitempty"`
+	Assignment    *TaskAssignment `json:"own,omitempty"`
+	TaskRelease   *TaskRelease    `json:"free,omitempty"`
+	Release       *Release        `json:"release,omitempty"`
+	ReleaseUpdate *ReleaseUpdate  `json:"move,omitempty"`
 }
 
-// Clear is a voter's word that nobody whom it granted a lease acts on what came before an epoch any more.
-type Clear struct {
+// EpochAck is a voter's word that no node that it granted a lease acts on anything before an epoch any more.
+type EpochAck struct {
 	Epoch uint64 `json:"epoch"`
 	Voter uint64 `json:"voter"`
 }
 
-// Refuse is a node's word that it can't hold a version that waits.
-type Refuse struct {
+// Refusal is a node's word that it can't use a pending version.
+type Refusal struct {
 	Number uint64 `json:"number"`
 	Node   string `json:"node"`
-	Why    string `json:"why"`
+	Reason string `json:"why"`
 }
 
-// State is what all entries up to an index come to: the same at every voter. Its epochs part versions that
-// contradict: within one, nodes may act on different versions at one time.
+// State is the state machine of the log: the result of all entries up to an index, the same at every voter. Epochs separate versions
+// that contradict each other; within one epoch, nodes may act on different versions at the same time.
 type State struct {
-	Index   uint64     `json:"index"`   // of the last entry
-	Epoch   uint64     `json:"epoch"`   // of the version in force
-	Number  uint64     `json:"number"`  // of the version in force; 0: none yet
-	Pending uint64     `json:"pending"` // the version that waits for its epoch, Epoch+1; 0: none
-	Cleared []uint64   `json:"cleared"` // voters that cleared it, ascending
-	Alive   []uint64   `json:"alive"`   // versions of this epoch, any of which some node may act on; ascending
-	Last    uint64     `json:"last"`    // the highest number given out
-	History []Manifest `json:"history"` // ascending
+	Index          uint64     `json:"index"`   // of the last entry
+	Epoch          uint64     `json:"epoch"`   // of the version in force
+	ActiveVersion  uint64     `json:"number"`  // of the version in force; 0: none yet
+	PendingVersion uint64     `json:"pending"` // comes into force with epoch Epoch+1; 0: none
+	EpochAcks      []uint64   `json:"cleared"` // voters that have acknowledged the pending version's epoch, ascending
+	EpochVersions  []uint64   `json:"alive"`   // versions of this epoch, any of which some node may act on; ascending
+	LastNumber     uint64     `json:"last"`    // the highest number given out
+	History        []Manifest `json:"history"` // ascending
 
-	Works map[string]Ownership `json:"works,omitempty"`
-	Sets  map[string]uint64    `json:"sets,omitempty"` // see Set
+	Tasks              map[string]TaskOwnership `json:"works,omitempty"`
+	OwnershipRevisions map[string]uint64        `json:"sets,omitempty"` // by process: see OwnershipRevision
 
-	Release *Progress `json:"release,omitempty"` // the latest; nil: there was none
+	Release *ReleaseProgress `json:"release,omitempty"` // the latest one; nil: there has been none
 }
 
-// Upto is the epoch up to which a lease that is granted now goes.
-func (s *State) Upto() uint64 {
-	if s.Pending != 0 {
+// LeaseEpoch is the epoch up to which a lease that is granted now reaches.
+func (s *State) LeaseEpoch() uint64 {
+	if s.PendingVersion != 0 {
 		return s.Epoch + 1
 	}
 	return s.Epoch
 }
 
-// Version gives a version of the history; nil if it has none of the number.
+// Version returns a version of the history; nil if it has none of the number.
 func (s *State) Version(number uint64) *Manifest {
 	i, ok := slices.BinarySearchFunc(s.History, number, func(m Manifest, n uint64) int {
 		return int(int64(m.Number) - int64(n))
@@ -103,7 +103,7 @@
 	return &s.History[i]
 }
 
-// Published gives the version that a publisher's id led to; nil: none in the history.
+// Published returns the version that a publisher's id led to; nil if the history has none.
 func (s *State) Published(id string) *Manifest {
 	for i := len(s.History) - 1; i >= 0; i-- {
 		if s.History[i].ID == id {
@@ -113,33 +113,33 @@
 	return nil
 }
 
-// Clone gives a copy that shares nothing that Apply changes.
+// Clone returns a copy that shares nothing that Apply changes.
 func (s *State) Clone() *State {
 	out := *s
-	out.Cleared, out.Alive, out.History = slices.Clone(s.Cleared), slices.Clone(s.Alive), slices.Clone(s.History)
-	out.Works, out.Sets = maps.Clone(s.Works), maps.Clone(s.Sets)
+	out.EpochAcks, out.EpochVersions, out.History = slices.Clone(s.EpochAcks), slices.Clone(s.EpochVersions), slices.Clone(s.History)
+	out.Tasks, out.OwnershipRevisions = maps.Clone(s.Tasks), maps.Clone(s.OwnershipRevisions)
 	return &out
 }
 
-// The reasons why a version is not taken up, as errors that callers can tell apart.
+// The errors of CheckProposal.
 var (
-	ErrBase    = errors.New("it was made from a version that is not the present one")
-	ErrWaiting = errors.New("another version waits to come into force")
+	ErrStaleBase      = errors.New("it was made from a version that is not the present one")
+	ErrVersionPending = errors.New("another version waits to come into force")
 )
 
-// May tells whether a version may be proposed as things stand.
-func (s *State) May(m *Manifest) error {
+// CheckProposal returns why a version can't be proposed at present.
+func (s *State) CheckProposal(m *Manifest) error {
 	switch {
-	case s.Pending != 0:
-		return fmt.Errorf("%w: %d", ErrWaiting, s.Pending)
-	case m.Base != s.Number:
-		return fmt.Errorf("%w: %d, not %d", ErrBase, s.Number, m.Base)
+	case s.PendingVersion != 0:
+		return fmt.Errorf("%w: %d", ErrVersionPending, s.PendingVersion)
+	case m.Base != s.ActiveVersion:
+		return fmt.Errorf("%w: %d, not %d", ErrStaleBase, s.ActiveVersion, m.Base)
 	}
 	return nil
 }
 
-// Apply takes an entry, at its index. Entries that came too late for what they say change nothing. voters is how many there are.
-// An entry that can't be read is an error: it was not written by this program.
+// Apply applies an entry at its index; voters is how many voters the fleet has. An entry that came too late changes nothing. One that
+// can't be parsed is an error: no voter wrote it.
 func (s *State) Apply(index uint64, data []byte, voters int) error {
 	s.Index = index
 	if len(data) == 0 {
@@ -151,38 +151,38 @@
 	}
 	switch {
 	case e.Propose != nil:
-		s.propose(e.Propose)
-	case e.Clear != nil:
-		s.clear(e.Clear, voters)
-	case e.Refuse != nil:
-		s.refuse(e.Refuse)
-	case e.Own != nil:
-		s.own(index, e.Own)
-	case e.Free != nil:
-		s.free(index, e.Free, voters)
+		s.addVersion(e.Propose)
+	case e.EpochAck != nil:
+		s.acknowledgeEpoch(e.EpochAck, voters)
+	case e.Refusal != nil:
+		s.refuseVersion(e.Refusal)
+	case e.Assignment != nil:
+		s.assignTask(index, e.Assignment)
+	case e.TaskRelease != nil:
+		s.releaseTask(index, e.TaskRelease, voters)
 	case e.Release != nil:
-		s.begin(e.Release)
-	case e.Move != nil:
-		s.move(e.Move)
+		s.startRelease(e.Release)
+	case e.ReleaseUpdate != nil:
+		s.updateRelease(e.ReleaseUpdate)
 	}
 	return nil
 }
 
-func (s *State) propose(in *Manifest) {
-	if s.May(in) != nil || s.Published(in.ID) != nil {
+func (s *State) addVersion(in *Manifest) {
+	if s.CheckProposal(in) != nil || s.Published(in.ID) != nil {
 		return // the publisher finds out by its id
 	}
 	m := *in
-	if m.Own = len(m.Parts); m.Extends {
+	if m.OwnParts = len(m.Parts); m.Extends {
 		base := s.Version(m.Base)
 		if base == nil || m.Extend(base) != nil {
 			return
 		}
 	}
-	s.Last++
-	m.Number, m.Refused = s.Last, ""
-	m.Contradicts = m.Contradicts || len(s.Alive) >= epochMost
-	if s.Number == 0 {
+	s.LastNumber++
+	m.Number, m.RefusalReason = s.LastNumber, ""
+	m.Contradicts = m.Contradicts || len(s.EpochVersions) >= maxVersionsPerEpoch
+	if s.ActiveVersion == 0 {
 		m.Contradicts = false // there is nothing that it could contradict
 	}
 	s.History = append(s.History, m)
@@ -191,22 +191,22 @@
 		parts += len(s.History[i].Parts)
 	}
 	for len(s.History) > MaxHistory || parts > maxParts {
-		gone := s.forget(m.Number)
+		gone := s.dropOldestVersion(m.Number)
 		if parts -= gone; gone == 0 {
 			break
 		}
 	}
 	if m.Contradicts {
-		s.Pending, s.Cleared = m.Number, nil
+		s.PendingVersion, s.EpochAcks = m.Number, nil
 		return
 	}
-	s.Number, s.Alive = m.Number, append(s.Alive, m.Number)
+	s.ActiveVersion, s.EpochVersions = m.Number, append(s.EpochVersions, m.Number)
 }
 
-// forget drops the oldest version that nobody may act on, nor is new, and gives how many parts it had.
-func (s *State) forget(fresh uint64) int {
+// dropOldestVersion removes the oldest version that nobody may act on, other than the newest, and returns how many parts it had.
+func (s *State) dropOldestVersion(fresh uint64) int {
 	for i := range s.History {
-		if n := s.History[i].Number; n != fresh && n != s.Number && !slices.Contains(s.Alive, n) {
+		if n := s.History[i].Number; n != fresh && n != s.ActiveVersion && !slices.Contains(s.EpochVersions, n) {
 			parts := len(s.History[i].Parts)
 			s.History = slices.Delete(s.History, i, i+1)
 			return parts
@@ -215,30 +215,30 @@
 	return 0
 }
 
-func (s *State) clear(c *Clear, voters int) {
-	if s.Pending == 0 || c.Epoch != s.Epoch+1 {
+func (s *State) acknowledgeEpoch(c *EpochAck, voters int) {
+	if s.PendingVersion == 0 || c.Epoch != s.Epoch+1 {
 		return
 	}
-	at, there := slices.BinarySearch(s.Cleared, c.Voter)
+	at, there := slices.BinarySearch(s.EpochAcks, c.Voter)
 	if there {
 		return
 	}
-	if s.Cleared = slices.Insert(s.Cleared, at, c.Voter); len(s.Cleared) > voters/2 {
-		s.Epoch, s.Number, s.Alive = s.Epoch+1, s.Pending, []uint64{s.Pending}
-		s.Pending, s.Cleared = 0, nil
+	if s.EpochAcks = slices.Insert(s.EpochAcks, at, c.Voter); len(s.EpochAcks) > voters/2 {
+		s.Epoch, s.ActiveVersion, s.EpochVersions = s.Epoch+1, s.PendingVersion, []uint64{s.PendingVersion}
+		s.PendingVersion, s.EpochAcks = 0, nil
 	}
 }
 
-// refuse drops the version that waits. Its epoch is used up: leases up to it have been granted.
-func (s *State) refuse(r *Refuse) {
-	if s.Pending == 0 || r.Number != s.Pending {
+// refuseVersion drops the pending version. Its epoch is used up, since leases for it have been granted.
+func (s *State) refuseVersion(r *Refusal) {
+	if s.PendingVersion == 0 || r.Number != s.PendingVersion {
 		return
 	}
-	s.Version(r.Number).Refused = r.Node + ": " + r.Why
-	s.Epoch, s.Pending, s.Cleared = s.Epoch+1, 0, nil
+	s.Version(r.Number).RefusalReason = r.Node + ": " + r.Reason
+	s.Epoch, s.PendingVersion, s.EpochAcks = s.Epoch+1, 0, nil
 }
 
-// ParseEntry reads an entry of the log.
+// ParseEntry parses and validates an entry.
 func ParseEntry(data []byte) (*Entry, error) {
 	if len(data) > MaxEntry {
 		return nil, fmt.Errorf("%d bytes; %d at most", len(data), MaxEntry)
@@ -248,7 +248,7 @@
 		return nil, err
 	}
 	set := 0
-	for _, there := range []bool{e.Propose != nil, e.Clear != nil, e.Refuse != nil, e.Own != nil, e.Free != nil, e.Release != nil, e.Move != nil} {
+	for _, there := range []bool{e.Propose != nil, e.EpochAck != nil, e.Refusal != nil, e.Assignment != nil, e.TaskRelease != nil, e.Release != nil, e.ReleaseUpdate != nil} {
 		if there {
 			set++
 		}
@@ -262,15 +262,15 @@
 	if e.Release != nil {
 		return e, e.Release.Check()
 	}
-	if o := e.Own; o != nil && (o.Work == "" || o.Node == "" || len(o.Work) > MaxName || len(o.Node) > MaxName || len(o.Life) > MaxName) {
+	if o := e.Assignment; o != nil && (o.Task == "" || o.Node == "" || len(o.Task) > MaxName || len(o.Node) > MaxName || len(o.Incarnation) > MaxName) {
 		return nil, fmt.Errorf("own: a work, a node and a life of at most %d bytes", MaxName)
 	}
 	return e, nil
 }
 
-// Check tells what is wrong with a manifest.
+// Check validates a manifest.
 func (m *Manifest) Check() error {
-	if m.ID == "" || len(m.ID) > MaxName || len(m.By) > MaxName {
+	if m.ID == "" || len(m.ID) > MaxName || len(m.Proposer) > MaxName {
 		return fmt.Errorf("id: 1 to %d bytes", MaxName)
 	}
 	if n := len(m.Parts); n == 0 || n > MaxFiles {
@@ -289,13 +289,13 @@
 	return nil
 }
 
-// Extend puts the base's parts before the version's own.
+// Extend puts the base's parts before the manifest's own.
 func (m *Manifest) Extend(base *Manifest) error {
 	m.Parts = slices.Concat(base.Parts, m.Parts)
 	return m.Check()
 }
 
-// Marshal gives an entry as the log has it.
+// Marshal encodes an entry for the log.
 func (e *Entry) Marshal() []byte {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -304,8 +304,8 @@
 	return data
 }
 
-// Hashes gives the hashes of all content that the state refers to.
-func (s *State) Hashes() map[string]int {
+// ContentHashes returns the hash and the size of all content that the state refers to.
+func (s *State) ContentHashes() map[string]int {
 	out := map[string]int{}
 	for i := range s.History {
 		for _, p := range s.History[i].Parts {
--- a/internal/fleet/agree/log_test.go
+++ b/internal/fleet/agree/log_test.go
@@ -35,7 +35,7 @@
 				e.Propose = m
 				if waits == 0 && m.Base == present && !slices.Contains(list, id) {
 					list = append(list, id)
-					if n := uint64(len(list)); present != 0 && (m.Contradicts || alive >= epochMost) {
+					if n := uint64(len(list)); present != 0 && (m.Contradicts || alive >= maxVersionsPerEpoch) {
 						waits, cleared = n, map[uint64]bool{}
 					} else {
 						present = n
@@ -43,8 +43,8 @@
 					}
 				}
 			case 2, 3:
-				c := &Clear{Epoch: epoch + uint64(rng.IntN(3)), Voter: uint64(1 + rng.IntN(3))}
-				e.Clear = c
+				c := &EpochAck{Epoch: epoch + uint64(rng.IntN(3)), Voter: uint64(1 + rng.IntN(3))}
+				e.EpochAck = c
 				if waits != 0 && c.Epoch == epoch+1 {
 					if cleared[c.Voter] = true; len(cleared) == 2 {
 						present, waits, epoch, alive = waits, 0, epoch+1, 1
@@ -54,8 +54,8 @@
 				if rng.IntN(4) > 0 {
 					continue
 				}
-				r := &Refuse{Number: uint64(rng.IntN(len(list) + 2)), Node: "n", Why: "no"}
-				e.Refuse = r
+				r := &Refusal{Number: uint64(rng.IntN(len(list) + 2)), Node: "n", Reason: "no"}
+				e.Refusal = r
 				if waits != 0 && r.Number == waits {
 					waits, epoch = 0, epoch+1
 				}
@@ -63,8 +63,8 @@
 			if err := s.Apply(i+1, e.Marshal(), 3); err != nil {
 				t.Fatal(err)
 			}
-			if s.Number != present || s.Pending != waits || s.Epoch != epoch || s.Last != uint64(len(list)) || len(s.Alive) != alive {
-				t.Fatalf("seed %d, entry %d: %+v; want %d in force, %d waits, epoch %d, %d alive", seed, i, s.Facts(), present, waits, epoch, alive)
+			if s.ActiveVersion != present || s.PendingVersion != waits || s.Epoch != epoch || s.LastNumber != uint64(len(list)) || len(s.EpochVersions) != alive {
+				t.Fatalf("seed %d, entry %d: %+v; want %d in force, %d waits, epoch %d, %d alive", seed, i, s.LogStatus(), present, waits, epoch, alive)
 			}
 			for n, id := range list {
 				if m := s.Version(uint64(n + 1)); m == nil || m.ID != id {
@@ -83,18 +83,18 @@
 		if i > 2*MaxHistory {
 			parts = MaxFiles
 		}
-		s.propose(manifest(fmt.Sprint(i), s.Number, i%3 == 0, parts))
-		if s.Pending != 0 {
-			s.clear(&Clear{Epoch: s.Epoch + 1, Voter: 1}, 1)
+		s.addVersion(manifest(fmt.Sprint(i), s.ActiveVersion, i%3 == 0, parts))
+		if s.PendingVersion != 0 {
+			s.acknowledgeEpoch(&EpochAck{Epoch: s.Epoch + 1, Voter: 1}, 1)
 		}
 		total := 0
 		for _, m := range s.History {
 			total += len(m.Parts)
 		}
-		if len(s.History) > MaxHistory || total > maxParts+(epochMost+1)*MaxFiles || s.Version(s.Number) == nil {
-			t.Fatalf("%d versions of %d files, %d in force", len(s.History), total, s.Number)
+		if len(s.History) > MaxHistory || total > maxParts+(maxVersionsPerEpoch+1)*MaxFiles || s.Version(s.ActiveVersion) == nil {
+			t.Fatalf("%d versions of %d files, %d in force", len(s.History), total, s.ActiveVersion)
 		}
-		for _, n := range s.Alive {
+		for _, n := range s.EpochVersions {
 			if s.Version(n) == nil {
 				t.Fatalf("version %d may be acted on and is forgotten", n)
 			}
@@ -109,17 +109,17 @@
 	s.run(2 * time.Second)
 	n := s.nodes[2]
 	n.down = true
-	for i := range compactEvery + 2*compactKeep {
+	for i := range compactionInterval + 2*compactionRetained {
 		s.publish(fmt.Sprint("v", i), false)
 		s.run(s.now + 100*time.Millisecond)
 	}
-	if first := s.nodes[0].disk.Snapshot.GetMetadata().GetIndex(); first < compactEvery/2 {
+	if first := s.nodes[0].disk.Snapshot.GetMetadata().GetIndex(); first < compactionInterval/2 {
 		t.Fatalf("the log was not begun anew: %d", first)
 	}
 	s.start(n)
 	s.run(s.now + 10*time.Second)
 	s.healed()
-	if len(s.broken) > 0 || s.versions < compactEvery {
+	if len(s.broken) > 0 || s.versions < compactionInterval {
 		t.Errorf("%d versions: %v", s.versions, s.broken)
 	}
 }
@@ -144,7 +144,7 @@
 	}
 	on := 0
 	for _, n := range s.nodes {
-		if a := s.acts(n); a.Number == 2 && a.Pending == 0 {
+		if a := s.acts(n); a.Version == 2 && a.PendingVersion == 0 {
 			on++
 		}
 	}
@@ -152,18 +152,18 @@
 		t.Errorf("%d of %d act on it; %v", on, len(s.nodes), s.broken)
 	}
 	for _, id := range s.voters {
-		if held := len(s.nodes[id-1].voter.desk.holders); held < followers || held > MaxHolders {
+		if held := len(s.nodes[id-1].voter.leases.holders); held < followers || held > MaxHolders {
 			t.Errorf("voter %d has %d leases out", id, held)
 		}
 	}
 }
 
 // A voter grants so many leases and no more; those that are over make room.
-func TestDeskIsFull(t *testing.T) {
-	d := NewDesk(0, simTerms)
+func TestLeaseTableIsFull(t *testing.T) {
+	d := NewLeaseTable(0, simTerms)
 	s := &State{}
 	ask := func(now time.Duration, i int) error {
-		_, err := d.Ask(now, 1, Ask{Node: fmt.Sprint(i), Life: "a"}, s)
+		_, err := d.Grant(now, 1, LeaseRequest{Node: fmt.Sprint(i), Incarnation: "a"}, s)
 		return err
 	}
 	for i := range MaxHolders {
@@ -171,7 +171,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := ask(time.Second, MaxHolders); err != ErrFull {
+	if err := ask(time.Second, MaxHolders); err != ErrTooManyLeases {
 		t.Errorf("one more: %v", err)
 	}
 	if err := ask(time.Second, 7); err != nil {
--- a/internal/fleet/agree/release.go
+++ b/internal/fleet/agree/release.go
@@ -13,15 +13,15 @@
 	Waves   [][]string    `json:"waves"` // ids of servers, each in one wave
 	Floor   float64       `json:"floor"` // share of the cluster's servers that has to be in use at any time
 	Drain   time.Duration `json:"drain"` // from when a wave is out until nothing of it is under way any more
-	Away    time.Duration `json:"away"`  // then, for the restart
+	Restart time.Duration `json:"away"`  // then, for the restart
 	Warm    time.Duration `json:"warm"`  // from when it is back until the next wave
 }
 
 // The bounds of a release.
 const (
-	MaxWaves        = 1000
-	MaxWave         = 10_000 // servers of all waves
-	maxReleaseTimes = time.Hour
+	MaxWaves           = 1000
+	MaxReleaseServers  = 10_000 // servers of all waves
+	maxReleaseDuration = time.Hour
 )
 
 // Check tells what is wrong with a release by itself.
@@ -38,9 +38,9 @@
 	for _, t := range []struct {
 		key string
 		d   time.Duration
-	}{{"drain", r.Drain}, {"away", r.Away}, {"warm", r.Warm}} {
-		if t.d < 0 || t.d > maxReleaseTimes {
-			return fmt.Errorf("%s: %v is not from 0 to %v", t.key, t.d, maxReleaseTimes)
+	}{{"drain", r.Drain}, {"away", r.Restart}, {"warm", r.Warm}} {
+		if t.d < 0 || t.d > maxReleaseDuration {
+			return fmt.Errorf("%s: %v is not from 0 to %v", t.key, t.d, maxReleaseDuration)
 		}
 	}
 	seen := map[string]bool{}
@@ -55,8 +55,8 @@
 			seen[id] = true
 		}
 	}
-	if len(seen) > MaxWave {
-		return fmt.Errorf("waves: %d servers; %d at most", len(seen), MaxWave)
+	if len(seen) > MaxReleaseServers {
+		return fmt.Errorf("waves: %d servers; %d at most", len(seen), MaxReleaseServers)
 	}
 	return nil
 }
@@ -66,95 +66,95 @@
 
 // The phases of a wave, in their order.
 const (
-	Taking   Phase = iota // a version with the wave out is to come into force
-	Draining              // what is under way there finishes
-	Away                  // it is restarted
-	Giving                // a version with the wave back is to come into force
+	TakingOut   Phase = iota // a version with the wave out is to come into force
+	Draining                 // what is under way there finishes
+	Restarting               // it is restarted
+	PuttingBack              // a version with the wave back is to come into force
 	Warming
-	phases
+	phaseCount
 )
 
-var phaseWords = [...]string{"taking it out", "draining", "away", "giving it back", "warming"}
+var phaseNames = [...]string{"taking it out", "draining", "away", "giving it back", "warming"}
 
 // String says it as operators read it.
-func (p Phase) String() string { return phaseWords[p%phases] }
+func (p Phase) String() string { return phaseNames[p%phaseCount] }
 
-// Progress is a release as the log has it: wave and phase only go on, one after the other, whoever moves them.
-type Progress struct {
+// ReleaseProgress is a release as the log has it: wave and phase only go on, one after the other, whoever moves them.
+type ReleaseProgress struct {
 	Release
 	Wave   int    `json:"wave"` // from 0; len(Waves): all are done
 	Phase  Phase  `json:"phase"`
 	Paused bool   `json:"paused,omitempty"`
-	Ended  string `json:"ended,omitempty"` // why; "done"; "": it goes on
+	Result string `json:"ended,omitempty"` // why; "done"; "": it goes on
 	// Stops says why it ends with this wave, once that is back in use; "": it doesn't.
-	Stops string `json:"stops,omitempty"`
+	StopReason string `json:"stops,omitempty"`
 }
 
-// Move takes a release on, or an operator's word on it.
-type Move struct {
-	ID    string `json:"id"`
-	Wave  int    `json:"wave"` // that it is in, and the phase: if it isn't any more, a phase is not over, nor does it fail
-	Phase Phase  `json:"phase"`
-	Word  string `json:"word,omitempty"` // "pause", "resume", "abort", "fail"; "": the phase is over
-	Why   string `json:"why,omitempty"`
+// ReleaseUpdate takes a release on, or an operator's word on it.
+type ReleaseUpdate struct {
+	ID     string `json:"id"`
+	Wave   int    `json:"wave"` // that it is in, and the phase: if it isn't any more, a phase is not over, nor does it fail
+	Phase  Phase  `json:"phase"`
+	Action string `json:"word,omitempty"` // "pause", "resume", "abort", "fail"; "": the phase is over
+	Reason string `json:"why,omitempty"`
 }
 
-// begin takes up a release, if none goes on.
-func (s *State) begin(r *Release) {
-	if s.Release != nil && (s.Release.Ended == "" || s.Release.ID == r.ID) {
+// startRelease takes up a release, if none goes on.
+func (s *State) startRelease(r *Release) {
+	if s.Release != nil && (s.Release.Result == "" || s.Release.ID == r.ID) {
 		return
 	}
-	s.Release = &Progress{Release: *r}
+	s.Release = &ReleaseProgress{Release: *r}
 }
 
-func (s *State) move(m *Move) {
-	if s.Release == nil || s.Release.ID != m.ID || s.Release.Ended != "" {
+func (s *State) updateRelease(m *ReleaseUpdate) {
+	if s.Release == nil || s.Release.ID != m.ID || s.Release.Result != "" {
 		return
 	}
 	p := *s.Release // those who were given the state keep theirs
 	s.Release = &p
-	switch m.Word {
+	switch m.Action {
 	case "pause", "resume":
-		p.Paused = m.Word == "pause"
+		p.Paused = m.Action == "pause"
 	case "abort":
-		p.stop(m)
+		p.stopAfterWave(m)
 	case "fail": // of the phase that it names, once
 		switch {
 		case m.Wave != p.Wave || m.Phase != p.Phase:
-		case p.Phase < Giving:
-			p.stop(m)
+		case p.Phase < PuttingBack:
+			p.stopAfterWave(m)
 		default: // nor can it be given back: that is a person's
-			p.Ended = m.Word + ": " + m.Why
+			p.Result = m.Action + ": " + m.Reason
 		}
 	case "":
-		if m.Wave != p.Wave || m.Phase != p.Phase || p.Paused && p.Phase != Giving {
+		if m.Wave != p.Wave || m.Phase != p.Phase || p.Paused && p.Phase != PuttingBack {
 			return
 		}
-		if p.Phase++; p.Phase == phases {
-			p.Wave, p.Phase = p.Wave+1, Taking
+		if p.Phase++; p.Phase == phaseCount {
+			p.Wave, p.Phase = p.Wave+1, TakingOut
 		}
 		if p.Wave == len(p.Waves) {
-			if p.Ended = "done"; p.Stops != "" {
-				p.Ended = p.Stops
+			if p.Result = "done"; p.StopReason != "" {
+				p.Result = p.StopReason
 			}
 		}
 	}
 }
 
-// stop has the present wave given back, and the release end with it.
-func (p *Progress) stop(m *Move) {
-	p.Stops, p.Paused = m.Word+": "+m.Why, false
+// stopAfterWave has the present wave given back, and the release end with it.
+func (p *ReleaseProgress) stopAfterWave(m *ReleaseUpdate) {
+	p.StopReason, p.Paused = m.Action+": "+m.Reason, false
 	p.Waves = slices.Clone(p.Waves[:p.Wave+1])
-	p.Phase = max(p.Phase, Giving)
+	p.Phase = max(p.Phase, PuttingBack)
 }
 
-// Length is how long a phase lasts from when it began; 0 where it ends with a version in force.
-func (p *Progress) Length() time.Duration {
+// PhaseDuration is how long a phase lasts from when it began; 0 where it ends with a version in force.
+func (p *ReleaseProgress) PhaseDuration() time.Duration {
 	switch p.Phase {
 	case Draining:
 		return p.Drain
-	case Away:
-		return p.Away
+	case Restarting:
+		return p.Restart
 	case Warming:
 		return p.Warm
 	}
@@ -162,6 +162,6 @@
 }
 
 // ID of the publish by which a phase takes effect: whoever publishes it, and however often, it is one version.
-func (p *Progress) PublishID() string {
-	return fmt.Sprintf("release/%s/%d/%s", p.Release.ID, p.Wave, map[Phase]string{Taking: "out", Giving: "in"}[p.Phase])
+func (p *ReleaseProgress) PublishID() string {
+	return fmt.Sprintf("release/%s/%d/%s", p.Release.ID, p.Wave, map[Phase]string{TakingOut: "out", PuttingBack: "in"}[p.Phase])
 }
--- a/internal/fleet/agree/release_test.go
+++ b/internal/fleet/agree/release_test.go
@@ -6,39 +6,39 @@
 func TestReleaseMoves(t *testing.T) {
 	s := &State{}
 	r := &Release{ID: "r", Cluster: "c", Waves: [][]string{{"a"}, {"b"}, {"c"}}}
-	s.begin(r)
-	s.begin(&Release{ID: "other", Cluster: "c", Waves: [][]string{{"a"}}})
+	s.startRelease(r)
+	s.startRelease(&Release{ID: "other", Cluster: "c", Waves: [][]string{{"a"}}})
 	at := func(wave int, phase Phase, ended string) {
 		t.Helper()
-		if p := s.Release; p.Release.ID != "r" || p.Wave != wave || p.Phase != phase || p.Ended != ended {
+		if p := s.Release; p.Release.ID != "r" || p.Wave != wave || p.Phase != phase || p.Result != ended {
 			t.Fatalf("%+v; want wave %d, %v, %q", p, wave, phase, ended)
 		}
 	}
-	at(0, Taking, "")
-	for phase := range phases { // each said three times
+	at(0, TakingOut, "")
+	for phase := range phaseCount { // each said three times
 		for range 3 {
-			s.move(&Move{ID: "r", Wave: 0, Phase: phase})
+			s.updateRelease(&ReleaseUpdate{ID: "r", Wave: 0, Phase: phase})
 		}
 	}
-	at(1, Taking, "")
-	s.move(&Move{ID: "r", Word: "pause"})
-	s.move(&Move{ID: "r", Wave: 1, Phase: Taking})
-	at(1, Taking, "")
-	s.move(&Move{ID: "r", Word: "resume"})
-	s.move(&Move{ID: "r", Wave: 1, Phase: Taking})
+	at(1, TakingOut, "")
+	s.updateRelease(&ReleaseUpdate{ID: "r", Action: "pause"})
+	s.updateRelease(&ReleaseUpdate{ID: "r", Wave: 1, Phase: TakingOut})
+	at(1, TakingOut, "")
+	s.updateRelease(&ReleaseUpdate{ID: "r", Action: "resume"})
+	s.updateRelease(&ReleaseUpdate{ID: "r", Wave: 1, Phase: TakingOut})
 	at(1, Draining, "")
 	for range 3 { // late failures of other phases change nothing
-		s.move(&Move{ID: "r", Wave: 1, Phase: Draining, Word: "fail", Why: "x"})
-		s.move(&Move{ID: "r", Wave: 0, Phase: Giving, Word: "fail", Why: "y"})
+		s.updateRelease(&ReleaseUpdate{ID: "r", Wave: 1, Phase: Draining, Action: "fail", Reason: "x"})
+		s.updateRelease(&ReleaseUpdate{ID: "r", Wave: 0, Phase: PuttingBack, Action: "fail", Reason: "y"})
 	}
-	at(1, Giving, "")
+	at(1, PuttingBack, "")
 	before := *s.Release
-	s.move(&Move{ID: "r", Wave: 1, Phase: Giving})
-	s.move(&Move{ID: "r", Wave: 1, Phase: Warming})
-	at(2, Taking, "fail: x")
+	s.updateRelease(&ReleaseUpdate{ID: "r", Wave: 1, Phase: PuttingBack})
+	s.updateRelease(&ReleaseUpdate{ID: "r", Wave: 1, Phase: Warming})
+	at(2, TakingOut, "fail: x")
 	s.Release = &before
-	s.move(&Move{ID: "r", Wave: 1, Phase: Giving, Word: "fail", Why: "z"})
-	at(1, Giving, "fail: z")
-	s.move(&Move{ID: "r", Word: "abort"})
-	at(1, Giving, "fail: z")
+	s.updateRelease(&ReleaseUpdate{ID: "r", Wave: 1, Phase: PuttingBack, Action: "fail", Reason: "z"})
+	at(1, PuttingBack, "fail: z")
+	s.updateRelease(&ReleaseUpdate{ID: "r", Action: "abort"})
+	at(1, PuttingBack, "fail: z")
 }
--- a/internal/fleet/agree/sim_test.go
+++ b/internal/fleet/agree/sim_test.go
@@ -80,9 +80,9 @@
 	rate        float64
 	offset      time.Duration
 	voter       *Voter
-	disk        Stored
+	disk        DiskState
 	lease       *Lease
-	acting      Rules
+	acting      ActiveRules
 	flag        bool // for atWake
 	owned       map[string]uint64
 	down        bool
@@ -129,7 +129,7 @@
 			n.rate = 1 + simTerms.MaxClockDrift*float64(2*s.rng.IntN(2)-1)
 		}
 		if i < voters {
-			n.disk = First(s.voters)
+			n.disk = InitialDiskState(s.voters)
 		}
 		s.nodes = append(s.nodes, n)
 		s.start(n)
@@ -164,7 +164,7 @@
 
 func (s *fleetSim) start(n *simNode) {
 	n.life++
-	n.down, n.acting, n.late, n.pausedUntil, n.owned, n.reads = false, Rules{}, nil, 0, nil, map[uint64]uint64{}
+	n.down, n.acting, n.late, n.pausedUntil, n.owned, n.reads = false, ActiveRules{}, nil, 0, nil, map[uint64]uint64{}
 	now := n.clock(s.now)
 	voters := len(s.voters)
 	heard := map[uint64]time.Duration{}
@@ -183,17 +183,17 @@
 			s.t.Fatal(err)
 		}
 		if s.out == quietStart {
-			v.desk.quiet = 0
+			v.leases.quietUntil = 0
 		}
 		n.voter = v
 		if s.out != lives {
-			v.Life = uint64(n.life)
+			v.Incarnation = uint64(n.life)
 		}
 		for i := range 6 {
-			v.Works = append(v.Works, fmt.Sprint("w", i))
+			v.Tasks = append(v.Tasks, fmt.Sprint("w", i))
 		}
 		for i := range voters {
-			v.Eligible = append(v.Eligible, fmt.Sprint("n", i+1))
+			v.EligibleOwners = append(v.EligibleOwners, fmt.Sprint("n", i+1))
 		}
 		s.ticks(n)
 	}
@@ -204,7 +204,7 @@
 	s.on(n, time.Duration(float64(Tick)/n.rate), func() {
 		n.voter.Tick(n.clock(s.now))
 		if s.rng.IntN(10) == 0 {
-			n.reads[n.voter.Read()] = s.applied
+			n.reads[n.voter.StartRead()] = s.applied
 		}
 		s.probe(n)
 		s.ticks(n)
@@ -227,7 +227,7 @@
 // read holds what a voter says is all of the log against what had been applied when it was asked.
 func (s *fleetSim) read(n *simNode) {
 	for id, upto := range n.reads {
-		if s.out != reading && !n.voter.Seen(id) {
+		if s.out != reading && !n.voter.ReadDone(id) {
 			continue
 		}
 		if delete(n.reads, id); n.voter.State().Index < upto {
@@ -246,22 +246,22 @@
 }
 
 func (s *fleetSim) ask(n *simNode) {
-	a := n.lease.Ask(n.clock(s.now))
-	a.Node, a.Life = n.name, fmt.Sprint(n.life)
-	if s.out == confirmed && n.lease.facts.Pending != 0 {
-		a.Confirmed = n.lease.facts.Epoch + 1
+	a := n.lease.NextRequest(n.clock(s.now))
+	a.Node, a.Incarnation = n.name, fmt.Sprint(n.life)
+	if s.out == confirmed && n.lease.logStatus.PendingVersion != 0 {
+		a.ConfirmedEpoch = n.lease.logStatus.Epoch + 1
 	}
 	for _, id := range s.voters {
 		to := s.nodes[id-1]
 		s.send(n, to, func() {
-			g, err := to.voter.Ask(to.clock(s.now), a)
+			g, err := to.voter.GrantLease(to.clock(s.now), a)
 			if err == nil {
-				to.voter.Clear(to.clock(s.now))
+				to.voter.AcknowledgeEpoch(to.clock(s.now))
 				s.send(to, n, func() {
 					if s.out == fromAnswer {
-						n.lease.asked[g.Seq] = n.clock(s.now)
+						n.lease.requestedAt[g.Sequence] = n.clock(s.now)
 					}
-					n.lease.Granted(g)
+					n.lease.HandleGrant(g)
 				})
 			}
 		})
@@ -318,7 +318,7 @@
 				}
 			}
 			before := v.State()
-			snap, err := v.Done(w)
+			snap, err := v.Advance(w)
 			if err != nil {
 				s.t.Fatal(err)
 			}
@@ -327,12 +327,12 @@
 				n.disk.Entries = slices.DeleteFunc(n.disk.Entries, func(e *pb.Entry) bool { return e.GetIndex() <= snap.GetMetadata().GetIndex() })
 			}
 			s.note(before, v.State())
-			if before.Facts() != v.State().Facts() {
-				n.lease.News(v.State().Facts())
+			if before.LogStatus() != v.State().LogStatus() {
+				n.lease.UpdateLogStatus(v.State().LogStatus())
 				for _, to := range s.nodes { // who is connected hears of it
 					s.send(n, to, func() {
-						if f := v.State().Facts(); f.Index > to.lease.facts.Index {
-							to.lease.News(f)
+						if f := v.State().LogStatus(); f.Index > to.lease.logStatus.Index {
+							to.lease.UpdateLogStatus(f)
 							s.take(to)
 							s.ask(to)
 						}
@@ -340,19 +340,19 @@
 				}
 			}
 		}
-		if s.out == freed && slices.ContainsFunc(slices.Collect(maps.Values(v.State().Works)), func(w Ownership) bool { return w.Asked != 0 }) {
-			v.desk.holders, v.desk.quiet = map[holder]*held{}, 0
+		if s.out == freed && slices.ContainsFunc(slices.Collect(maps.Values(v.State().Tasks)), func(w TaskOwnership) bool { return w.TransferIndex != 0 }) {
+			v.leases.holders, v.leases.quietUntil = map[process]*processLeases{}, 0
 		}
-		if set := v.State().Set(n.name, fmt.Sprint(n.life)); set > n.lease.set {
-			n.owned = v.State().Owned(n.name, fmt.Sprint(n.life))
-			n.lease.TookSet(set)
+		if set := v.State().OwnershipRevision(n.name, fmt.Sprint(n.life)); set > n.lease.ownershipRevision {
+			n.owned = v.State().OwnedTasks(n.name, fmt.Sprint(n.life))
+			n.lease.ConfirmOwnership(set)
 			s.takeovers++
 			s.ask(n)
 		}
 		s.read(n)
 		s.judgeOwners()
-		if s.out == waiting && v.State().Pending != 0 {
-			v.desk.holders, v.desk.quiet = map[holder]*held{}, 0
+		if s.out == waiting && v.State().PendingVersion != 0 {
+			v.leases.holders, v.leases.quietUntil = map[process]*processLeases{}, 0
 		}
 	}
 	s.take(n)
@@ -372,21 +372,21 @@
 			s.acked[m.ID] = m.Number
 		}
 	}
-	if p := now.Pending; p != 0 && s.pendingAt[p] == 0 {
+	if p := now.PendingVersion; p != 0 && s.pendingAt[p] == 0 {
 		s.pendingAt[p] = s.now
 	}
-	if p := before.Pending; p != 0 && now.Number == p && s.pendingAt[p] > 0 {
+	if p := before.PendingVersion; p != 0 && now.ActiveVersion == p && s.pendingAt[p] > 0 {
 		s.longest = max(s.longest, s.now-s.pendingAt[p])
 		s.pendingAt[p] = -1
 	}
 }
 
-func (s *fleetSim) save(n *simNode, w Work) {
+func (s *fleetSim) save(n *simNode, w ReadyWork) {
 	if w.Snapshot != nil {
 		n.disk.Snapshot, n.disk.Entries = w.Snapshot, nil
 	}
-	if w.Hard != nil {
-		n.disk.Hard = w.Hard
+	if w.HardState != nil {
+		n.disk.HardState = w.HardState
 	}
 	if len(w.Entries) > 0 {
 		first := w.Entries[0].GetIndex()
@@ -398,34 +398,34 @@
 // take has a node change over to what it should act on.
 func (s *fleetSim) take(n *simNode) {
 	now := n.clock(s.now)
-	if r := n.lease.Want(now); r.Number != 0 && r != n.acting {
+	if r := n.lease.DesiredRules(now); r.Version != 0 && r != n.acting {
 		n.acting = r
-		n.lease.Took(r)
+		n.lease.ConfirmRules(r)
 		s.changes++
 		s.judge(n)
-		if r.Pending != 0 {
+		if r.PendingVersion != 0 {
 			s.ask(n) // confirms
 		}
 	}
-	n.flag = n.lease.May(now, n.acting)
+	n.flag = n.lease.Permits(now, n.acting)
 }
 
 // acts gives what a node acts on at this moment.
-func (s *fleetSim) acts(n *simNode) Rules {
+func (s *fleetSim) acts(n *simNode) ActiveRules {
 	switch {
 	case n.down || n.pausedUntil > s.now:
-		return Rules{}
+		return ActiveRules{}
 	case s.out == leaseCheck:
 		return n.acting
-	case s.out == atWake && n.flag || n.lease.May(n.clock(s.now), n.acting):
+	case s.out == atWake && n.flag || n.lease.Permits(n.clock(s.now), n.acting):
 		return n.acting
 	}
-	return Rules{}
+	return ActiveRules{}
 }
 
 // owns gives the works that a node acts as the owner of at this moment.
 func (s *fleetSim) owns(n *simNode) map[string]uint64 {
-	if n.down || n.pausedUntil > s.now || len(n.owned) == 0 || s.out != ownLease && !n.lease.MayOwn(n.clock(s.now)) {
+	if n.down || n.pausedUntil > s.now || len(n.owned) == 0 || s.out != ownLease && !n.lease.PermitsOwnership(n.clock(s.now)) {
 		return nil
 	}
 	return n.owned
@@ -451,18 +451,18 @@
 // judge holds what a node acts on against all others: from the epochs alone, by the table in contradict.go.
 func (s *fleetSim) judge(n *simNode) {
 	a := s.acts(n)
-	if a.Number == 0 {
+	if a.Version == 0 {
 		return
 	}
 	for _, other := range s.nodes {
 		b := s.acts(other)
-		if other == n || b.Number == 0 || a.Number == b.Number || a.Pending != 0 && a.Pending == b.Number || b.Pending != 0 && b.Pending == a.Number {
+		if other == n || b.Version == 0 || a.Version == b.Version || a.PendingVersion != 0 && a.PendingVersion == b.Version || b.PendingVersion != 0 && b.PendingVersion == a.Version {
 			continue
 		}
-		if a.Epoch == b.Epoch || a.Pending != 0 && b.Epoch == a.Epoch-1 || b.Pending != 0 && a.Epoch == b.Epoch-1 {
+		if a.Epoch == b.Epoch || a.PendingVersion != 0 && b.Epoch == a.Epoch-1 || b.PendingVersion != 0 && a.Epoch == b.Epoch-1 {
 			continue
 		}
-		if a.Pending != 0 && b.Pending != 0 && (a.Number == b.Pending || b.Number == a.Pending) {
+		if a.PendingVersion != 0 && b.PendingVersion != 0 && (a.Version == b.PendingVersion || b.Version == a.PendingVersion) {
 			continue
 		}
 		s.broken = append(s.broken, fmt.Sprintf("%v: %s acts on %v, %s on %v", s.now, n.name, a, other.name, b))
@@ -481,8 +481,8 @@
 	}
 	n := up[s.rng.IntN(len(up))]
 	s.on(n, 0, func() {
-		m := &Manifest{ID: id, Base: n.voter.State().Number, Contradicts: contradicts, By: n.name, Parts: []Part{{Name: "a", Hash: fmt.Sprintf("%064d", 1)}}}
-		if n.voter.State().May(m) == nil {
+		m := &Manifest{ID: id, Base: n.voter.State().ActiveVersion, Contradicts: contradicts, Proposer: n.name, Parts: []Part{{Name: "a", Hash: fmt.Sprintf("%064d", 1)}}}
+		if n.voter.State().CheckProposal(m) == nil {
 			n.voter.Propose(&Entry{Propose: m})
 		}
 	})
@@ -583,10 +583,10 @@
 			s.broken = append(s.broken, fmt.Sprintf("version %d, %s, was acknowledged and is gone", number, id))
 		}
 	}
-	if first.Pending != 0 {
-		s.broken = append(s.broken, fmt.Sprintf("version %d still waits", first.Pending))
+	if first.PendingVersion != 0 {
+		s.broken = append(s.broken, fmt.Sprintf("version %d still waits", first.PendingVersion))
 	}
-	for _, work := range s.nodes[0].voter.Works {
+	for _, work := range s.nodes[0].voter.Tasks {
 		owners := 0
 		for _, id := range s.voters {
 			if _, owns := s.owns(s.nodes[id-1])[work]; owns {
@@ -598,8 +598,8 @@
 		}
 	}
 	for _, n := range s.nodes {
-		if a := s.acts(n); a.Number != first.Number || a.Pending != 0 {
-			s.broken = append(s.broken, fmt.Sprintf("%s acts on %v, not on %d", n.name, a, first.Number))
+		if a := s.acts(n); a.Version != first.ActiveVersion || a.PendingVersion != 0 {
+			s.broken = append(s.broken, fmt.Sprintf("%s acts on %v, not on %d", n.name, a, first.ActiveVersion))
 		}
 	}
 }
--- a/internal/fleet/agree/splits_test.go
+++ b/internal/fleet/agree/splits_test.go
@@ -117,11 +117,11 @@
 	clear(s.pendingAt)
 	now, after := kept()
 	state := s.nodes[0].voter.State()
-	if state.Last < 6000 || len(state.History) > MaxHistory {
-		t.Fatalf("%d versions, %d in the history", state.Last, len(state.History))
+	if state.LastNumber < 6000 || len(state.History) > MaxHistory {
+		t.Fatalf("%d versions, %d in the history", state.LastNumber, len(state.History))
 	}
-	if now > entries+3*(compactEvery+compactKeep) || after > before+before/4 {
+	if now > entries+3*(compactionInterval+compactionRetained) || after > before+before/4 {
 		t.Errorf("%d entries and %d KiB after a quarter of an hour, %d and %d KiB after the hour", entries, before>>10, now, after>>10)
 	}
-	t.Logf("%d versions: %d entries and %d KiB after a quarter of an hour, %d and %d KiB after the hour", state.Last, entries, before>>10, now, after>>10)
+	t.Logf("%d versions: %d entries and %d KiB after a quarter of an hour, %d and %d KiB after the hour", state.LastNumber, entries, before>>10, now, after>>10)
 }
--- a/internal/fleet/agree/stricter.go
+++ b/internal/fleet/agree/stricter.go
@@ -13,19 +13,19 @@
 	"yokestall/policy"
 )
 
-// Acting is what a node is to act on: a version, and classes of it whose requests are refused, since nothing
-// cautious can be done with them.
-type Acting struct {
+// EffectiveVersion is what a node acts on: a version, and those of its classes whose requests are refused because no safe choice exists
+// for them.
+type EffectiveVersion struct {
 	*Version
 	Refused map[string]string // by class: why
 }
 
-// Stricter gives what contradicts neither of two versions that contradict each other: of each kind of rule the stricter one. A node
-// acts on it from when it has heard of the second until that one is in force, so that it harms neither those that still act on
-// the first nor those that act on the second already.
-func Stricter(from, to *Version) Acting {
+// Stricter combines two versions that contradict each other into rules that contradict neither: for each kind of rule the stricter one. A
+// node acts on it from when it has heard of the second version until that one is in force, so that it harms neither nodes that still
+// act on the first nor those that act on the second already.
+func Stricter(from, to *Version) EffectiveVersion {
 	p := *from.Program
-	out := Acting{&Version{Program: &p, Clusters: map[string]*cluster.Cluster{}}, map[string]string{}}
+	out := EffectiveVersion{&Version{Program: &p, Clusters: map[string]*cluster.Cluster{}}, map[string]string{}}
 	p.Classes = slices.Clone(p.Classes)
 	for i := range p.Classes {
 		a := &p.Classes[i]
@@ -45,7 +45,7 @@
 	a, b := &p.Rules, &to.Program.Rules
 	a.ColdFrom, a.ColdFor = min(a.ColdFrom, b.ColdFrom), max(a.ColdFor, b.ColdFor)
 	a.FallMultiple, a.FallFor = min(a.FallMultiple, b.FallMultiple), min(a.FallFor, b.FallFor)
-	for name := range keyedRoutes(from.Program, to.Program) {
+	for name := range changedUnsafeRoutes(from.Program, to.Program) {
 		out.Refused[name] = "its routes change"
 	}
 	for name, c := range from.Clusters {
@@ -81,10 +81,10 @@
 	return &out
 }
 
-// keyedRoutes gives the classes that are not safe, of either version, to which routes lead that differ.
-func keyedRoutes(from, to *config.Program) map[string]bool {
+// changedUnsafeRoutes returns the classes, other than safe ones, whose routes differ between two versions.
+func changedUnsafeRoutes(from, to *config.Program) map[string]bool {
 	out := map[string]bool{}
-	tails(from, to, func(_ string, a, b []route.Route, _ int) {
+	differingRoutes(from, to, func(_ string, a, b []route.Route, _ int) {
 		for _, of := range []struct {
 			p    *config.Program
 			list []route.Route
@@ -99,8 +99,9 @@
 	return out
 }
 
-// tails gives, for each host of either program by its domains, the routes from the first that differs on, and its place from 0.
-func tails(from, to *config.Program, found func(host string, a, b []route.Route, same int)) {
+// differingRoutes calls found for each host of either program whose routes differ, with the routes from the first difference on and its
+// index.
+func differingRoutes(from, to *config.Program, found func(host string, a, b []route.Route, same int)) {
 	type host struct{ from, to []route.Route }
 	hosts := map[string]*host{}
 	at := func(h *route.VirtualHost) *host {
@@ -130,8 +131,8 @@
 	}
 }
 
-// AsStrict tells whether acting on a can break no rule that b keeps, kind by kind; else what is laxer. It doesn't know how a was made.
-func AsStrict(a Acting, b *Version) error {
+// AsStrict returns how acting on a could break a rule that b keeps; nil: it can't. It compares the rules alone, however a was made.
+func AsStrict(a EffectiveVersion, b *Version) error {
 	for i := range a.Program.Classes {
 		x := &a.Program.Classes[i]
 		at := b.Program.Class(x.Name)
@@ -147,7 +148,7 @@
 		}
 	}
 	var laxer error
-	tails(a.Program, b.Program, func(host string, mine, theirs []route.Route, _ int) {
+	differingRoutes(a.Program, b.Program, func(host string, mine, theirs []route.Route, _ int) {
 		for _, r := range mine {
 			if at := b.Program.Class(r.Class); at >= 0 && b.Program.Classes[at].Effect != policy.Safe && a.Refused[r.Class] == "" {
 				laxer = fmt.Errorf("host %s: route %s of class %s leads elsewhere in the other", host, r.Name, r.Class)
--- a/internal/fleet/agree/voter.go
+++ b/internal/fleet/agree/voter.go
@@ -14,79 +14,78 @@
 )
 
 const (
-	electionTicks  = 10 // without a word from a leader, before another is elected
-	heartbeatTicks = 2
-	clearTicks     = 5    // until a voter says again what the log has not taken
-	compactEvery   = 1000 // entries, after which the log's begin is put together
-	compactKeep    = 200  // entries that a voter that is behind may still need
-	maxMessage     = 1 << 20
-	maxInflight    = 64
-	maxUncommitted = 16 << 20 // bytes of proposals that the leader takes up
+	electionTicks      = 10 // without a heartbeat, before an election
+	heartbeatTicks     = 2
+	ackRetryTicks      = 5    // after which a voter repeats an acknowledgment that the log doesn't show
+	compactionInterval = 1000 // applied entries between two snapshots
+	compactionRetained = 200  // entries that are kept for voters that lag behind
+	maxMessage         = 1 << 20
+	maxInflight        = 64
+	maxUncommitted     = 16 << 20 // bytes of proposals that the leader accepts
 )
 
-// Tick is how often Voter.Tick is called. A leader is missed after ten of them.
+// Tick is the interval at which Voter.Tick has to be called.
 const Tick = 30 * time.Millisecond
 
-// Stored is what a voter keeps on its disk.
-type Stored struct {
-	Hard     *pb.HardState
-	Snapshot *pb.Snapshot
-	Entries  []*pb.Entry // that follow the snapshot's
+// DiskState is what a voter keeps on its disk.
+type DiskState struct {
+	HardState *pb.HardState
+	Snapshot  *pb.Snapshot
+	Entries   []*pb.Entry // after the snapshot
 }
 
-// First is the disk of a voter of a new fleet: all of its voters start from the same.
-func First(voters []uint64) Stored {
+// InitialDiskState is the disk of each voter of a new fleet.
+func InitialDiskState(voters []uint64) DiskState {
 	index, term := uint64(1), uint64(1)
 	data, err := json.Marshal(&State{Index: index})
 	if err != nil {
 		panic(err)
 	}
-	return Stored{
-		Hard:     &pb.HardState{Term: &term, Commit: &index},
-		Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &pb.ConfState{Voters: voters}}},
+	return DiskState{
+		HardState: &pb.HardState{Term: &term, Commit: &index},
+		Snapshot:  &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &pb.ConfState{Voters: voters}}},
 	}
 }
 
-// Work is what a voter wants done, in this order: Hard, Entries and Snapshot are on the disk, for good, before Messages
-// are sent and Voter.Done is called.
-type Work struct {
-	Hard     *pb.HardState
-	Entries  []*pb.Entry
-	Snapshot *pb.Snapshot
-	Messages []*pb.Message
-	ready    raft.Ready
+// ReadyWork is what a voter needs done: HardState, Entries and Snapshot have to be durable on the disk before Messages are sent and
+// Voter.Advance is called.
+type ReadyWork struct {
+	HardState *pb.HardState
+	Entries   []*pb.Entry
+	Snapshot  *pb.Snapshot
+	Messages  []*pb.Message
+	ready     raft.Ready
 }
 
-// Voter is a voter of the log. It is pure: what comes and the time are given to it, what it wants done is
-// taken from it. It is not safe for concurrent use.
+// Voter is a voter's raft node with its state machine and lease table. It does no I/O and reads no clock: messages and the time are passed
+// in, and Ready returns what is to be done. It is not safe for concurrent use.
 type Voter struct {
 	ID uint64
-	// Life is a number that no earlier life of the voter had: what comes late for one of these is told
-	// apart by it.
-	Life uint64
-	// Works are to have owners among Eligible.
-	Works    []string
-	Eligible []string
+	// Incarnation is a number that no earlier run of the voter had. It tells late replies to an earlier run apart.
+	Incarnation uint64
+	// Tasks are the singleton tasks, and EligibleOwners the nodes that may own them.
+	Tasks          []string
+	EligibleOwners []string
 
-	node    *raft.RawNode
-	storage *raft.MemoryStorage
-	conf    *pb.ConfState
-	state   *State
-	desk    *Desk
-	said    int // ticks since it last said that it cleared the version that waits
-	saidOf  uint64
-	commit  uint64
-	ticks   int
-	told    map[string]told
+	node            *raft.RawNode
+	storage         *raft.MemoryStorage
+	conf            *pb.ConfState
+	state           *State
+	leases          *LeaseTable
+	ticksSinceAck   int // ticks since it last said that it cleared the version that waits
+	ackedEpoch      uint64
+	commit          uint64
+	ticks           int
+	recentProposals map[string]recentProposal
 
-	reads    uint64 // how often Read was called
-	read     uint64 // the latest of them that was answered
-	readUpto uint64 // what is to be applied for it
+	readsStarted  uint64 // how often Read was called
+	readsAnswered uint64 // the latest of them that was answered
+	readIndex     uint64 // what is to be applied for it
 }
 
 // NewVoter starts a voter from its disk.
-func NewVoter(now time.Duration, id uint64, t LeaseConfig, disk Stored) (*Voter, error) {
-	v := &Voter{ID: id, storage: raft.NewMemoryStorage(), state: &State{}, desk: NewDesk(now, t)}
+func NewVoter(now time.Duration, id uint64, t LeaseConfig, disk DiskState) (*Voter, error) {
+	v := &Voter{ID: id, storage: raft.NewMemoryStorage(), state: &State{}, leases: NewLeaseTable(now, t)}
 	if disk.Snapshot == nil {
 		return nil, errors.New("the store has no beginning: it was not made by init")
 	}
@@ -96,11 +95,11 @@
 	if err := v.storage.Append(disk.Entries); err != nil {
 		return nil, err
 	}
-	if disk.Hard != nil {
-		if err := v.storage.SetHardState(disk.Hard); err != nil {
+	if disk.HardState != nil {
+		if err := v.storage.SetHardState(disk.HardState); err != nil {
 			return nil, err
 		}
-		v.commit = disk.Hard.GetCommit()
+		v.commit = disk.HardState.GetCommit()
 	}
 	var err error
 	v.node, err = raft.NewRawNode(&raft.Config{
@@ -124,25 +123,25 @@
 	return nil
 }
 
-// State is what the log says, as far as this voter has it. It must not be changed.
+// State returns the log's state as far as this voter has applied it. It must not be changed.
 func (v *Voter) State() *State { return v.state }
 
-// Voters gives the ids of all voters.
+// Voters returns the ids of all voters.
 func (v *Voter) Voters() []uint64 { return v.conf.GetVoters() }
 
-// Leader gives the id of the leader; 0: none is known.
+// Leader returns the id of the leader; 0: none is known.
 func (v *Voter) Leader() uint64 { return v.node.BasicStatus().Lead }
 
-// Term gives the present term.
+// Term returns the current raft term.
 func (v *Voter) Term() uint64 { return v.node.BasicStatus().HardState.GetTerm() }
 
-// Step takes a message of another voter.
+// Step handles a message of another voter.
 func (v *Voter) Step(m *pb.Message) error { return v.node.Step(m) }
 
-// Unreachable says that a message to a voter was lost.
+// Unreachable reports that a message to a voter was lost.
 func (v *Voter) Unreachable(id uint64) { v.node.ReportUnreachable(id) }
 
-// SnapshotSent says how the sending of a snapshot ended.
+// SnapshotSent reports how the sending of a snapshot ended.
 func (v *Voter) SnapshotSent(id uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
@@ -151,7 +150,7 @@
 	v.node.ReportSnapshot(id, status)
 }
 
-// Propose hands an entry to the log. nil doesn't say that it got there: State does, in time.
+// Propose proposes an entry. A nil error doesn't mean that it gets committed: State shows that in time.
 func (v *Voter) Propose(e *Entry) error {
 	data := e.Marshal()
 	if len(data) > MaxEntry {
@@ -160,89 +159,91 @@
 	return v.node.Propose(data)
 }
 
-// Read asks the leader how far the log goes at this moment, and gives a number for Seen. Without a
-// leader, or where a message is lost, there is no answer: it is to be called again after a while.
-func (v *Voter) Read() uint64 {
-	v.reads++
+// StartRead starts a linearizable read: it asks the leader for its commit index and returns a number for ReadDone. A read may get lost, as
+// without a leader, so it has to be started again after a while.
+func (v *Voter) StartRead() uint64 {
+	v.readsStarted++
 	var of []byte // a leader tells the reads of all voters apart by this alone
-	for _, n := range []uint64{v.ID, v.Life, v.reads} {
+	for _, n := range []uint64{v.ID, v.Incarnation, v.readsStarted} {
 		of = binary.BigEndian.AppendUint64(of, n)
 	}
 	v.node.ReadIndex(of)
-	return v.reads
+	return v.readsStarted
 }
 
-// Seen tells whether State has all that was committed anywhere when a Read was called.
-func (v *Voter) Seen(read uint64) bool { return v.read >= read && v.state.Index >= v.readUpto }
+// ReadDone reports whether State has everything that was committed anywhere when StartRead returned the number.
+func (v *Voter) ReadDone(read uint64) bool {
+	return v.readsAnswered >= read && v.state.Index >= v.readIndex
+}
 
-// Reads is how far reads have been answered: it grows.
-func (v *Voter) Reads() uint64 { return v.read }
+// ReadsAnswered returns the number of the latest read that the leader has answered.
+func (v *Voter) ReadsAnswered() uint64 { return v.readsAnswered }
 
-// Ask grants a lease, if the voter has caught up with what it knew before it started.
-func (v *Voter) Ask(now time.Duration, a Ask) (Grant, error) {
+// GrantLease grants a lease once the voter has applied what it knew to be committed when it started.
+func (v *Voter) GrantLease(now time.Duration, a LeaseRequest) (Grant, error) {
 	if v.state.Index < v.commit {
 		return Grant{}, errors.New("the voter has not read its log yet")
 	}
-	return v.desk.Ask(now, v.ID, a, v.state)
+	return v.leases.Grant(now, v.ID, a, v.state)
 }
 
-// Nodes names who holds a lease of this voter's.
-func (v *Voter) Nodes(now time.Duration) []string { return v.desk.Nodes(now) }
+// LeaseHolders returns the nodes that hold a lease of this voter.
+func (v *Voter) LeaseHolders(now time.Duration) []string { return v.leases.Holders(now) }
 
-// Tick is called every Tick.
+// Tick advances the voter's timers. It has to be called every Tick.
 func (v *Voter) Tick(now time.Duration) {
 	v.node.Tick()
-	v.said++
+	v.ticksSinceAck++
 	v.ticks++
-	v.Clear(now)
+	v.AcknowledgeEpoch(now)
 	if v.state.Index >= v.commit {
-		v.works(now)
+		v.manageTasks(now)
 	}
 }
 
-// Clear says that nobody whom this voter granted a lease acts on what came before the version that waits, once that is
-// so; it names those that are waited for. Tick does it too; it may be called as soon as a node has confirmed.
-func (v *Voter) Clear(now time.Duration) (waits []string) {
+// AcknowledgeEpoch proposes this voter's EpochAck for the pending version as soon as no lease of this voter prevents it, and returns the
+// nodes that are waited for. Tick calls it too; calling it after a grant saves the time until the next Tick.
+func (v *Voter) AcknowledgeEpoch(now time.Duration) (waits []string) {
 	s := v.state
-	if s.Pending == 0 || v.state.Index < v.commit {
+	if s.PendingVersion == 0 || v.state.Index < v.commit {
 		return nil
 	}
-	ok, waits := v.desk.Clear(now, s.Epoch+1)
-	if !ok || v.saidOf == s.Epoch+1 && v.said < clearTicks {
+	ok, waits := v.leases.CanAcknowledge(now, s.Epoch+1)
+	if !ok || v.ackedEpoch == s.Epoch+1 && v.ticksSinceAck < ackRetryTicks {
 		return waits
 	}
-	if v.Propose(&Entry{Clear: &Clear{Epoch: s.Epoch + 1, Voter: v.ID}}) == nil {
-		v.said, v.saidOf = 0, s.Epoch+1
+	if v.Propose(&Entry{EpochAck: &EpochAck{Epoch: s.Epoch + 1, Voter: v.ID}}) == nil {
+		v.ticksSinceAck, v.ackedEpoch = 0, s.Epoch+1
 	}
 	return nil
 }
 
-// Ready gives what is to be done next, and whether there is anything.
-func (v *Voter) Ready() (Work, bool) {
+// Ready returns what is to be done next, and whether there is anything.
+func (v *Voter) Ready() (ReadyWork, bool) {
 	if !v.node.HasReady() {
-		return Work{}, false
+		return ReadyWork{}, false
 	}
 	r := v.node.Ready()
-	w := Work{Hard: r.HardState, Entries: r.Entries, Messages: r.Messages, ready: r}
+	w := ReadyWork{HardState: r.HardState, Entries: r.Entries, Messages: r.Messages, ready: r}
 	if !raft.IsEmptySnap(r.Snapshot) {
 		w.Snapshot = r.Snapshot
 	}
-	if w.Hard != nil && raft.IsEmptyHardState(w.Hard) {
-		w.Hard = nil
+	if w.HardState != nil && raft.IsEmptyHardState(w.HardState) {
+		w.HardState = nil
 	}
 	return w, true
 }
 
-// Done takes note that the work is done, and applies what has been committed. The snapshot that it may return begins the log
-// anew: it is to be saved in its own time, with what follows it.
-func (v *Voter) Done(w Work) (*pb.Snapshot, error) {
+// Advance records that the work is done and applies the entries that were committed. If it returns a snapshot, the log before it is no
+// longer needed, and the store may replace it by the snapshot at any later time.
+func (v *Voter) Advance(w ReadyWork) (*pb.Snapshot, error) {
 	if w.Snapshot != nil {
 		if err := v.restore(w.Snapshot); err != nil {
 			return nil, err
 		}
 	}
-	if w.Hard != nil {
-		if err := v.storage.SetHardState(w.Hard); err != nil {
+	if w.HardState != nil {
+		if err := v.storage.SetHardState(w.HardState); err != nil {
 			return nil, err
 		}
 	}
@@ -251,8 +252,8 @@
 	}
 	for _, r := range w.ready.ReadStates {
 		life, n := binary.BigEndian.Uint64(r.RequestCtx[8:]), binary.BigEndian.Uint64(r.RequestCtx[16:])
-		if life == v.Life && n > v.read { // each answers those before it too
-			v.read, v.readUpto = n, r.Index
+		if life == v.Incarnation && n > v.readsAnswered { // each answers those before it too
+			v.readsAnswered, v.readIndex = n, r.Index
 		}
 	}
 	if len(w.ready.CommittedEntries) > 0 {
@@ -274,7 +275,7 @@
 
 func (v *Voter) compact() (*pb.Snapshot, error) {
 	first, err := v.storage.FirstIndex()
-	if err != nil || v.state.Index < first+compactEvery+compactKeep {
+	if err != nil || v.state.Index < first+compactionInterval+compactionRetained {
 		return nil, err
 	}
 	data, err := json.Marshal(v.state)
@@ -285,5 +286,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return s, v.storage.Compact(v.state.Index - compactKeep)
+	return s, v.storage.Compact(v.state.Index - compactionRetained)
 }
--- a/internal/fleet/peers/admit.go
+++ b/internal/fleet/peers/admit.go
@@ -18,11 +18,11 @@
 
 // StartReply is a voter's answer to another one's start.
 type StartReply struct {
-	Admitted bool       `json:"ok"`
-	Latest   store.Life `json:"latest"`
+	Admitted bool             `json:"ok"`
+	Latest   store.VoterStart `json:"latest"`
 }
 
-func (n *Node) serveHello(_ context.Context, in *store.Life) (*StartReply, error) {
+func (n *Node) serveHello(_ context.Context, in *store.VoterStart) (*StartReply, error) {
 	known := false
 	for _, v := range n.Voters {
 		known = known || v.Name == in.Name
@@ -30,7 +30,7 @@
 	if !known {
 		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", in.Name[:min(len(in.Name), agree.MaxName)])
 	}
-	ok, latest, err := n.store.Met(*in)
+	ok, latest, err := n.store.RecordStart(*in)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fleet/peers/change_test.go
+++ b/internal/fleet/peers/change_test.go
@@ -57,7 +57,7 @@
 				t.Fatalf("%+v", p)
 			}
 		}
-		testkit.Until(t, "it to be in force", func() bool { return g.nodes[0].node.state().Number == base })
+		testkit.Until(t, "it to be in force", func() bool { return g.nodes[0].node.state().ActiveVersion == base })
 	}
 	took := time.Since(began)
 	if bad, err := g.client.PublishChange(g.patience(), "bad", base, config.File{Name: "c", Text: []byte("[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"s-none\"]\n[end]\nendpoints = 0\n")}); err != nil || bad.Number != 0 || !strings.Contains(bad.Error, "not in the list") {
--- a/internal/fleet/peers/client.go
+++ b/internal/fleet/peers/client.go
@@ -273,10 +273,10 @@
 	defer t.Stop()
 	for {
 		if s, err := c.LatestStatus(ctx); err == nil {
-			now := PublishOutcome{InForce: s.LogStatus.Number >= number && s.LogStatus.Pending != number, WaitingFor: s.WaitingFor}
+			now := PublishOutcome{InForce: s.LogStatus.ActiveVersion >= number && s.LogStatus.PendingVersion != number, WaitingFor: s.WaitingFor}
 			for i := range s.History {
-				if m := &s.History[i]; m.Number == number && m.Refused != "" {
-					now.InForce, now.RefusalReason = false, m.Refused
+				if m := &s.History[i]; m.Number == number && m.RefusalReason != "" {
+					now.InForce, now.RefusalReason = false, m.RefusalReason
 				}
 			}
 			if now.InForce || now.RefusalReason != "" {
--- a/internal/fleet/peers/node.go
+++ b/internal/fleet/peers/node.go
@@ -43,7 +43,7 @@
 	// Extend is Parse for the files of a version that was read and changes of lists beside them; nil: all is read anew.
 	Extend func(v *agree.Version, changes []config.File) (*agree.Version, error)
 	// Take has the program act on something; what it took before is over when it returns.
-	Apply func(a agree.Acting) error
+	Apply func(a agree.EffectiveVersion) error
 }
 
 // Node is a node of a fleet. Create it with Open.
@@ -58,7 +58,7 @@
 	conns       map[uint64]*Conn // to voters but itself
 	outbox      map[uint64]chan *pb.Message
 
-	ownStart store.Life // of a voter
+	ownStart store.VoterStart // of a voter
 
 	mu            sync.Mutex   // guards what follows
 	unadmitted    *agree.Voter // that has not been admitted yet
@@ -89,7 +89,7 @@
 
 // appliedRules is what the program acts on, and until when on the node's clock.
 type appliedRules struct {
-	rules        agree.Rules
+	rules        agree.ActiveRules
 	disconnected bool
 	until        time.Duration
 }
@@ -173,7 +173,7 @@
 // loadVoter takes up the voter of the store; none, if the store was not made one's.
 func (n *Node) loadVoter(own uint64) error {
 	id, disk, err := n.store.Voter()
-	if errors.Is(err, store.ErrNotInit) {
+	if errors.Is(err, store.ErrNotInitialized) {
 		n.Log.Warn("this node is named as a voter and its store is none's: it follows, and doesn't vote", "store", n.Dir)
 		return nil
 	}
@@ -187,12 +187,12 @@
 	if err != nil {
 		return err
 	}
-	v.Works, v.Life = singletonTasks(), rand.Uint64()
+	v.Tasks, v.Incarnation = singletonTasks(), rand.Uint64()
 	for _, other := range n.Voters {
-		v.Eligible = append(v.Eligible, other.Name)
+		v.EligibleOwners = append(v.EligibleOwners, other.Name)
 	}
 	n.unadmitted = v
-	n.ownStart, err = n.store.NextLife(n.Name, n.incarnation)
+	n.ownStart, err = n.store.NextStart(n.Name, n.incarnation)
 	return err
 }
 
@@ -277,7 +277,7 @@
 	first := uint64(0)
 	read := func() error {
 		return n.withVoter(func(v *agree.Voter) error {
-			if id := v.Read(); first == 0 {
+			if id := v.StartRead(); first == 0 {
 				first = id
 			}
 			return nil
@@ -291,7 +291,7 @@
 		}
 		n.mu.Lock()
 		voter, changed := n.voter, n.stateChanged
-		if voter != nil && voter.Seen(first) {
+		if voter != nil && voter.ReadDone(first) {
 			defer n.mu.Unlock()
 			return voter.State(), nil
 		}
@@ -335,7 +335,7 @@
 // processReady does what the voter wants done; n.mu is held. After a write that failed the node votes no more: what it
 // has said may be lost.
 func (n *Node) processReady() error {
-	before, reads := n.voter.State().Facts(), n.voter.Reads()
+	before, reads := n.voter.State().LogStatus(), n.voter.ReadsAnswered()
 	for {
 		w, some := n.voter.Ready()
 		if !some {
@@ -347,7 +347,7 @@
 			for _, m := range w.Messages {
 				n.send(m)
 			}
-			snap, err = n.voter.Done(w)
+			snap, err = n.voter.Advance(w)
 		}
 		if err == nil && snap != nil {
 			err = n.compactLog(snap)
@@ -357,7 +357,7 @@
 			return err
 		}
 	}
-	if now := n.voter.State(); now.Facts() != before || n.voter.Reads() != reads {
+	if now := n.voter.State(); now.LogStatus() != before || n.voter.ReadsAnswered() != reads {
 		n.notifyStateChanged()
 	}
 	return nil
@@ -378,10 +378,10 @@
 
 // compactLog has the log begin anew, and forgets content that no version names.
 func (n *Node) compactLog(snap *pb.Snapshot) error {
-	if err := n.store.Begin(snap); err != nil {
+	if err := n.store.CompactTo(snap); err != nil {
 		return err
 	}
-	keep := n.voter.State().Hashes()
+	keep := n.voter.State().ContentHashes()
 	for h, at := range n.recentContent {
 		if time.Since(at) < recentContentRetention {
 			keep[h] = 0
@@ -418,12 +418,12 @@
 	return n.withVoter(func(v *agree.Voter) error { return v.Propose(e) })
 }
 
-func (n *Node) grantLease(a agree.Ask) (g agree.Grant, err error) {
+func (n *Node) grantLease(a agree.LeaseRequest) (g agree.Grant, err error) {
 	err = n.withVoter(func(v *agree.Voter) error {
-		if g, err = v.Ask(n.Clock(), a); err != nil {
+		if g, err = v.GrantLease(n.Clock(), a); err != nil {
 			return err
 		}
-		v.Clear(n.Clock())
+		v.AcknowledgeEpoch(n.Clock())
 		return nil
 	})
 	return g, err
@@ -431,11 +431,11 @@
 
 // The node's lease.
 
-func (n *Node) nextLeaseRequest() (agree.Ask, <-chan struct{}) {
+func (n *Node) nextLeaseRequest() (agree.LeaseRequest, <-chan struct{}) {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
-	a := n.lease.Ask(n.Clock())
-	a.Node, a.Life = n.Name, n.incarnation
+	a := n.lease.NextRequest(n.Clock())
+	a.Node, a.Incarnation = n.Name, n.incarnation
 	return a, n.renewNow
 }
 
@@ -448,13 +448,13 @@
 }
 
 // handleLeaseReply takes what a voter says.
-func (n *Node) handleLeaseReply(g *agree.Grant, news *agree.Facts) {
+func (n *Node) handleLeaseReply(g *agree.Grant, news *agree.LogStatus) {
 	n.leaseMu.Lock()
 	if g != nil {
-		n.lease.Granted(*g)
+		n.lease.HandleGrant(*g)
 	}
 	if news != nil {
-		n.lease.News(*news)
+		n.lease.UpdateLogStatus(*news)
 	}
 	if a := n.applied.Load(); a != nil && !a.disconnected {
 		n.applied.Store(&appliedRules{rules: a.rules, until: n.leaseEnd(a.rules)})
@@ -467,12 +467,12 @@
 }
 
 // leaseEnd gives when the lease for rules ends; n.leaseMu is held.
-func (n *Node) leaseEnd(r agree.Rules) time.Duration {
+func (n *Node) leaseEnd(r agree.ActiveRules) time.Duration {
 	now := n.Clock()
-	if !n.lease.May(now, r) {
+	if !n.lease.Permits(now, r) {
 		return 0
 	}
-	return now + n.lease.Left(now, r)
+	return now + n.lease.Remaining(now, r)
 }
 
 func (n *Node) renewOwnLease() {
--- a/internal/fleet/peers/owner.go
+++ b/internal/fleet/peers/owner.go
@@ -27,16 +27,16 @@
 		return
 	}
 	n.ownership.mu.Lock()
-	set := s.Set(n.Name, n.incarnation)
+	set := s.OwnershipRevision(n.Name, n.incarnation)
 	if set <= n.ownership.revision {
 		n.ownership.mu.Unlock()
 		return
 	}
-	n.ownership.revision, n.ownership.tokens = set, s.Owned(n.Name, n.incarnation)
+	n.ownership.revision, n.ownership.tokens = set, s.OwnedTasks(n.Name, n.incarnation)
 	owned := len(n.ownership.tokens)
 	n.ownership.mu.Unlock()
 	n.leaseMu.Lock()
-	n.lease.TookSet(set)
+	n.lease.ConfirmOwnership(set)
 	n.leaseMu.Unlock()
 	n.Log.Info("owns", "works", owned, "set", set, "boot", int64(BootTime()))
 	n.renewLeasesNow() // confirms
@@ -52,7 +52,7 @@
 	}
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
-	return token, n.lease.MayOwn(n.Clock())
+	return token, n.lease.PermitsOwnership(n.Clock())
 }
 
 // OwnershipQuery asks whether a node owns a work, and answers by which token; 0: it doesn't, or may not act.
@@ -82,15 +82,15 @@
 // taskStatuses lists the works for a status; n.mu is not held.
 func (n *Node) taskStatuses(s *agree.State) (list []TaskStatus) {
 	for _, name := range singletonTasks() {
-		w := s.Works[name]
+		w := s.Tasks[name]
 		o := TaskStatus{Task: name, Owner: w.Owner, Token: w.Token}
-		if w.Asked != 0 {
-			o.NextOwner = w.Next
+		if w.TransferIndex != 0 {
+			o.NextOwner = w.NextOwner
 		}
 		if token, ok := n.Owns(name); ok && token == w.Token {
 			o.Active = true
 			n.leaseMu.Lock()
-			o.LeaseLeftMs = n.lease.OwnLeft(n.Clock()).Milliseconds()
+			o.LeaseLeftMs = n.lease.OwnershipRemaining(n.Clock()).Milliseconds()
 			n.leaseMu.Unlock()
 		}
 		list = append(list, o)
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -134,7 +134,7 @@
 			clusters, err := files.Change(v.Clusters, changes)
 			return &agree.Version{Program: v.Program, Clusters: clusters}, err
 		},
-		Apply: func(a agree.Acting) error {
+		Apply: func(a agree.EffectiveVersion) error {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			c := a.Program.Classes[0]
@@ -281,7 +281,7 @@
 	if o := g.inForce(p.Number); o.InForce || !strings.HasPrefix(o.RefusalReason, "n3: an older program") {
 		t.Errorf("%+v", o)
 	}
-	if s, err := g.client.LatestStatus(g.patience()); err != nil || s.LogStatus.Number != 1 || s.LogStatus.Pending != 0 {
+	if s, err := g.client.LatestStatus(g.patience()); err != nil || s.LogStatus.ActiveVersion != 1 || s.LogStatus.PendingVersion != 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for i := range g.nodes {
@@ -329,7 +329,7 @@
 	g.kill(3)
 	g.nodes[3].acts = nil
 	g.start(3)
-	g.nodes[3].node.handleLeaseReply(nil, &agree.Facts{Index: 1, Number: 2}) // one voter alone can be heard of
+	g.nodes[3].node.handleLeaseReply(nil, &agree.LogStatus{Index: 1, ActiveVersion: 2}) // one voter alone can be heard of
 	g.acts(3, "-")
 	for i := range g.voters {
 		g.start(i)
--- a/internal/fleet/peers/release.go
+++ b/internal/fleet/peers/release.go
@@ -24,8 +24,8 @@
 
 // ReleaseReply is how the release stands.
 type ReleaseReply struct {
-	Error    string          `json:"error,omitempty"`
-	Progress *agree.Progress `json:"progress,omitempty"`
+	Error    string                 `json:"error,omitempty"`
+	Progress *agree.ReleaseProgress `json:"progress,omitempty"`
 }
 
 const releasePollInterval = 50 * time.Millisecond // how often an owner looks whether a phase is over
@@ -43,31 +43,31 @@
 		if err := in.Start.Check(); err != nil {
 			return &ReleaseReply{Error: err.Error()}, nil
 		}
-		if p := s.Release; p != nil && p.Ended == "" && p.Release.ID != in.Start.ID {
+		if p := s.Release; p != nil && p.Result == "" && p.Release.ID != in.Start.ID {
 			return &ReleaseReply{Error: fmt.Sprintf("the release %s goes on", p.Release.ID), Progress: p}, nil
 		}
-		v, err := n.versionInLog(ctx, s, s.Number)
+		v, err := n.versionInLog(ctx, s, s.ActiveVersion)
 		if err != nil {
 			return &ReleaseReply{Error: err.Error()}, nil
 		}
 		if err := checkFeasible(in.Start, v.Clusters[in.Start.Cluster]); err != nil {
 			return &ReleaseReply{Error: err.Error()}, nil
 		}
-		return n.proposeUntil(ctx, &agree.Entry{Release: in.Start}, func(p *agree.Progress) bool { return p != nil && p.Release.ID == in.Start.ID })
-	case s.Release == nil || s.Release.Ended != "" && in.Action != "":
+		return n.proposeUntil(ctx, &agree.Entry{Release: in.Start}, func(p *agree.ReleaseProgress) bool { return p != nil && p.Release.ID == in.Start.ID })
+	case s.Release == nil || s.Release.Result != "" && in.Action != "":
 		return &ReleaseReply{Error: "no release goes on", Progress: s.Release}, nil
 	case in.Action == "":
 		return &ReleaseReply{Progress: s.Release}, nil
 	case !slices.Contains([]string{"pause", "resume", "abort"}, in.Action):
 		return nil, status.Errorf(codes.InvalidArgument, "%q is no word on a release", in.Action)
 	}
-	return n.proposeUntil(ctx, &agree.Entry{Move: &agree.Move{ID: s.Release.Release.ID, Word: in.Action, Why: in.Reason}}, func(p *agree.Progress) bool {
-		return p.Ended != "" || in.Action == "abort" && p.Stops != "" || in.Action != "abort" && p.Paused == (in.Action == "pause")
+	return n.proposeUntil(ctx, &agree.Entry{ReleaseUpdate: &agree.ReleaseUpdate{ID: s.Release.Release.ID, Action: in.Action, Reason: in.Reason}}, func(p *agree.ReleaseProgress) bool {
+		return p.Result != "" || in.Action == "abort" && p.StopReason != "" || in.Action != "abort" && p.Paused == (in.Action == "pause")
 	})
 }
 
 // proposeUntil proposes an entry until the log shows it.
-func (n *Node) proposeUntil(ctx context.Context, e *agree.Entry, there func(p *agree.Progress) bool) (*ReleaseReply, error) {
+func (n *Node) proposeUntil(ctx context.Context, e *agree.Entry, there func(p *agree.ReleaseProgress) bool) (*ReleaseReply, error) {
 	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
 	again := time.NewTicker(time.Second)
@@ -130,14 +130,14 @@
 
 // runReleases carries releases on while this node owns that work, until the node ends.
 func (n *Node) runReleases() {
-	var in agree.Progress
+	var in agree.ReleaseProgress
 	var since time.Duration
 	var token uint64
 	look := time.NewTicker(releasePollInterval)
 	defer look.Stop()
 	for {
 		s, changed := n.stateAndChange()
-		goes := s != nil && s.Release != nil && s.Release.Ended == ""
+		goes := s != nil && s.Release != nil && s.Release.Result == ""
 		var tick <-chan time.Time // phases end by the clock
 		if goes {
 			tick = look.C
@@ -161,9 +161,9 @@
 		}
 		if over, err := n.advancePhase(s, p, since); err != nil {
 			n.Log.Error("a release stops", "release", p.Release.ID, "wave", p.Wave, "phase", p.Phase.String(), "err", err)
-			n.propose(&agree.Entry{Move: &agree.Move{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase, Word: "fail", Why: err.Error()}})
+			n.propose(&agree.Entry{ReleaseUpdate: &agree.ReleaseUpdate{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase, Action: "fail", Reason: err.Error()}})
 		} else if over && n.stillOwnsReleases(token) {
-			n.propose(&agree.Entry{Move: &agree.Move{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase}})
+			n.propose(&agree.Entry{ReleaseUpdate: &agree.ReleaseUpdate{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase}})
 		}
 	}
 }
@@ -176,20 +176,20 @@
 
 // advancePhase does what a phase asks for, and tells whether it is over. The version that it publishes has the phase's own id, so that it is one
 // version whoever publishes it, an owner that wakes late too; and it is made from the version in force, or not taken.
-func (n *Node) advancePhase(s *agree.State, p *agree.Progress, since time.Duration) (bool, error) {
-	if p.Phase != agree.Taking && p.Phase != agree.Giving {
-		return !p.Paused && n.Clock()-since >= p.Length(), nil
+func (n *Node) advancePhase(s *agree.State, p *agree.ReleaseProgress, since time.Duration) (bool, error) {
+	if p.Phase != agree.TakingOut && p.Phase != agree.PuttingBack {
+		return !p.Paused && n.Clock()-since >= p.PhaseDuration(), nil
 	}
-	if p.Paused && p.Phase == agree.Taking {
+	if p.Paused && p.Phase == agree.TakingOut {
 		return false, nil
 	}
 	if m := s.Published(p.PublishID()); m != nil {
-		if m.Refused != "" {
-			return false, errors.New(m.Refused)
+		if m.RefusalReason != "" {
+			return false, errors.New(m.RefusalReason)
 		}
-		return s.Number >= m.Number && s.Pending != m.Number, nil
+		return s.ActiveVersion >= m.Number && s.PendingVersion != m.Number, nil
 	}
-	v, err := n.versionInLog(n.ctx, s, s.Number)
+	v, err := n.versionInLog(n.ctx, s, s.ActiveVersion)
 	if err != nil {
 		return false, nil // its content is on its way
 	}
@@ -200,7 +200,7 @@
 	if change == nil { // none of the wave is left to change
 		return true, nil
 	}
-	if !n.stillOwnsReleases(s.Works[ReleaseTask].Token) {
+	if !n.stillOwnsReleases(s.Tasks[ReleaseTask].Token) {
 		return false, nil
 	}
 	ctx, stop := context.WithTimeout(n.ctx, statusTimeout)
@@ -210,7 +210,7 @@
 		return false, nil
 	}
 	defer c.Close()
-	_, err = c.PublishChange(ctx, p.PublishID(), s.Number, *change)
+	_, err = c.PublishChange(ctx, p.PublishID(), s.ActiveVersion, *change)
 	if err != nil {
 		n.Log.Warn("a release's version is not taken yet", "id", p.PublishID(), "err", err)
 	}
@@ -222,7 +222,7 @@
 
 // waveChange is the change by which a phase takes effect: the wave's servers out, or back as started now. A server that left the list, or that was taken
 // out by hand, stays as it is; nil: there is nothing to change. Out with less than the floor left in use is an error.
-func waveChange(c *cluster.Cluster, p *agree.Progress, now time.Time) (*config.File, error) {
+func waveChange(c *cluster.Cluster, p *agree.ReleaseProgress, now time.Time) (*config.File, error) {
 	if c == nil {
 		return nil, fmt.Errorf("cluster %s is gone", p.Cluster)
 	}
@@ -240,9 +240,9 @@
 		}
 		e := c.Endpoints[at]
 		switch {
-		case p.Phase == agree.Taking && e.Serves():
+		case p.Phase == agree.TakingOut && e.Serves():
 			e.Health = cluster.Draining
-		case p.Phase == agree.Giving && e.Health == cluster.Draining:
+		case p.Phase == agree.PuttingBack && e.Health == cluster.Draining:
 			e.Health, e.Started = cluster.Healthy, now.UnixMilli()
 		default:
 			continue
@@ -252,7 +252,7 @@
 	if len(out.Endpoints) == 0 {
 		return nil, nil
 	}
-	if left := serving - len(out.Endpoints); p.Phase == agree.Taking && float64(left) < p.Floor*float64(len(c.Endpoints)) {
+	if left := serving - len(out.Endpoints); p.Phase == agree.TakingOut && float64(left) < p.Floor*float64(len(c.Endpoints)) {
 		return nil, fmt.Errorf("with the %d. wave out %d of %d servers are in use, and the floor is %.0f %%", p.Wave+1, left, len(c.Endpoints), 100*p.Floor)
 	}
 	return &config.File{Name: p.PublishID(), Text: config.FormatChange(&out)}, nil
--- a/internal/fleet/peers/release_test.go
+++ b/internal/fleet/peers/release_test.go
@@ -40,7 +40,7 @@
 	g := newGroup(t, 3, 1)
 	g.publish("one", 0, many(6))
 	g.acts(3, "safe")
-	r := agree.Release{ID: "r", Cluster: "rooms", Floor: 0.6, Drain: 20 * time.Millisecond, Away: 20 * time.Millisecond, Warm: 20 * time.Millisecond}
+	r := agree.Release{ID: "r", Cluster: "rooms", Floor: 0.6, Drain: 20 * time.Millisecond, Restart: 20 * time.Millisecond, Warm: 20 * time.Millisecond}
 	for i := range 3 {
 		r.Waves = append(r.Waves, []string{fmt.Sprintf("s-%05d", 2*i), fmt.Sprintf("s-%05d", 2*i+1)})
 	}
@@ -64,7 +64,7 @@
 	}
 	testkit.Until(t, "the first wave to be out", func() bool {
 		s, err := g.client.LatestStatus(g.patience())
-		return err == nil && s.LogStatus.Number >= 2
+		return err == nil && s.LogStatus.ActiveVersion >= 2
 	})
 	first, before := g.ownerOf()
 	if first < 0 {
@@ -73,9 +73,9 @@
 	g.kill(first)
 	testkit.Until(t, "the release to end", func() bool {
 		out := g.control(ReleaseCommand{})
-		return out.Progress != nil && out.Progress.Ended != ""
+		return out.Progress != nil && out.Progress.Result != ""
 	})
-	if out := g.control(ReleaseCommand{}); out.Progress.Ended != "done" {
+	if out := g.control(ReleaseCommand{}); out.Progress.Result != "done" {
 		t.Errorf("%+v", out.Progress)
 	}
 	if at, after := g.ownerOf(); at < 0 || at == first || after <= before {
@@ -98,11 +98,11 @@
 	testkit.Until(t, "the follower to hold the last version", func() bool {
 		v.versionsMu.Lock()
 		defer v.versionsMu.Unlock()
-		return v.versions[s.LogStatus.Number] != nil
+		return v.versions[s.LogStatus.ActiveVersion] != nil
 	})
 	v.versionsMu.Lock()
 	defer v.versionsMu.Unlock()
-	for _, e := range v.versions[s.LogStatus.Number].Clusters["rooms"].Endpoints {
+	for _, e := range v.versions[s.LogStatus.ActiveVersion].Clusters["rooms"].Endpoints {
 		if !e.Serves() || e.Started == 0 {
 			t.Errorf("%+v is not back", e)
 		}
@@ -113,14 +113,14 @@
 func TestReleaseStops(t *testing.T) {
 	g := newGroup(t, 3, 0)
 	g.publish("one", 0, many(4))
-	r := agree.Release{ID: "r", Cluster: "rooms", Waves: [][]string{{"s-00000"}, {"s-00001"}}, Away: time.Hour}
+	r := agree.Release{ID: "r", Cluster: "rooms", Waves: [][]string{{"s-00000"}, {"s-00001"}}, Restart: time.Hour}
 	if out := g.control(ReleaseCommand{Action: "pause"}); out.Error != "no release goes on" {
 		t.Errorf("%+v", out)
 	}
 	if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 		t.Fatalf("%+v", out)
 	}
-	testkit.Until(t, "the first wave to be away", func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == agree.Away })
+	testkit.Until(t, "the first wave to be away", func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == agree.Restarting })
 	if out := g.control(ReleaseCommand{Action: "pause"}); !out.Progress.Paused {
 		t.Errorf("%+v", out)
 	}
@@ -132,8 +132,8 @@
 	if out := g.control(ReleaseCommand{Action: "abort", Reason: "the new program fails"}); out.Error != "" {
 		t.Errorf("%+v", out)
 	}
-	testkit.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Ended != "" })
-	if p := g.control(ReleaseCommand{}).Progress; p.Ended != "abort: the new program fails" {
+	testkit.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Result != "" })
+	if p := g.control(ReleaseCommand{}).Progress; p.Result != "abort: the new program fails" {
 		t.Errorf("%+v", p)
 	}
 	s, err := g.client.LatestStatus(g.patience())
@@ -150,7 +150,7 @@
 		if i == 0 {
 			g.publish("one", 0, many(4))
 		}
-		r := agree.Release{ID: fmt.Sprint("r", i), Cluster: "rooms", Waves: [][]string{{fmt.Sprint("s-0000", i)}}, Away: time.Hour}
+		r := agree.Release{ID: fmt.Sprint("r", i), Cluster: "rooms", Waves: [][]string{{fmt.Sprint("s-0000", i)}}, Restart: time.Hour}
 		if i > 0 { // what it has not heard of, or only the begin of
 			if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 				t.Fatalf("%+v", out)
@@ -177,24 +177,24 @@
 		if out := ask(ReleaseCommand{Action: "abort", Reason: "test"}); out.Error != "" {
 			t.Errorf("%+v", out)
 		}
-		testkit.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Ended != "" })
+		testkit.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Result != "" })
 	}
 	// A publisher is told of the present version, not of one that was.
 	var s *Status
 	testkit.Until(t, "the last release to be back", func() (calm bool) {
 		var err error
 		s, err = g.client.LatestStatus(g.patience())
-		return err == nil && s.LogStatus.Pending == 0
+		return err == nil && s.LogStatus.PendingVersion == 0
 	})
 	parts := g.nodes[1].node.state().Version(1).Parts
 	g.kill(0)
-	g.inForce(g.publish("two", s.LogStatus.Number, many(5)).Number)
+	g.inForce(g.publish("two", s.LogStatus.ActiveVersion, many(5)).Number)
 	g.start(0)
 	n := g.nodes[0].node
 	testkit.Until(t, "a leader", func() bool {
-		out, err := n.servePublish(g.patience(), &PublishRequest{ID: "three", Base: s.LogStatus.Number, Parts: parts})
-		if err == nil && out.ActiveVersion != s.LogStatus.Number+1 {
-			t.Errorf("%+v, and version %d is there", out, s.LogStatus.Number+1)
+		out, err := n.servePublish(g.patience(), &PublishRequest{ID: "three", Base: s.LogStatus.ActiveVersion, Parts: parts})
+		if err == nil && out.ActiveVersion != s.LogStatus.ActiveVersion+1 {
+			t.Errorf("%+v, and version %d is there", out, s.LogStatus.ActiveVersion+1)
 		}
 		return err == nil
 	})
--- a/internal/fleet/peers/serve.go
+++ b/internal/fleet/peers/serve.go
@@ -90,7 +90,7 @@
 	if !n.isVoter() {
 		return errNotVoter
 	}
-	asks, failed := make(chan agree.Ask), make(chan error, 1)
+	asks, failed := make(chan agree.LeaseRequest), make(chan error, 1)
 	ctx := s.Context()
 	go func() {
 		for {
@@ -99,12 +99,12 @@
 				failed <- ignoreEOF(err)
 				return
 			}
-			var a agree.Ask
+			var a agree.LeaseRequest
 			if err := unpack(in, &a); err != nil {
 				failed <- err
 				return
 			}
-			if a.Node == "" || len(a.Node) > agree.MaxName || len(a.Life) > agree.MaxName {
+			if a.Node == "" || len(a.Node) > agree.MaxName || len(a.Incarnation) > agree.MaxName {
 				failed <- status.Error(codes.InvalidArgument, "an ask without a good name")
 				return
 			}
@@ -135,7 +135,7 @@
 			if s == nil {
 				return errNotVoter
 			}
-			facts := s.Facts()
+			facts := s.LogStatus()
 			r.LogStatus = &facts
 		}
 		out, err := pack(r)
@@ -156,7 +156,7 @@
 	if m := state.Version(in.Number); m != nil {
 		if in.OwnPartsOnly && m.Extends {
 			short := *m
-			short.Parts = m.Parts[len(m.Parts)-m.Own:]
+			short.Parts = m.Parts[len(m.Parts)-m.OwnParts:]
 			return &short, nil
 		}
 		return m, nil
@@ -226,21 +226,21 @@
 }
 
 // serveRefusal takes a node's word that it can't hold a version that waits.
-func (n *Node) serveRefusal(_ context.Context, in *agree.Refuse) (*struct{}, error) {
-	if len(in.Node) > agree.MaxName || len(in.Why) > maxReason {
+func (n *Node) serveRefusal(_ context.Context, in *agree.Refusal) (*struct{}, error) {
+	if len(in.Node) > agree.MaxName || len(in.Reason) > maxReason {
 		return nil, status.Error(codes.InvalidArgument, "a name or a reason that is too long")
 	}
 	if !n.isVoter() {
 		return nil, errNotVoter
 	}
-	return &struct{}{}, n.propose(&agree.Entry{Refuse: in})
+	return &struct{}{}, n.propose(&agree.Entry{Refusal: in})
 }
 
 // servePublish takes up a version: its content has to be here and whole, and is held against all that nodes may act on.
 func (n *Node) servePublish(ctx context.Context, in *PublishRequest) (*PublishReply, error) {
 	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
-	m := &agree.Manifest{ID: in.ID, Base: in.Base, By: n.Name, Parts: in.Parts, Extends: in.Extends}
+	m := &agree.Manifest{ID: in.ID, Base: in.Base, Proposer: n.Name, Parts: in.Parts, Extends: in.Extends}
 	if err := m.Check(); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -252,25 +252,25 @@
 		return out, nil // it was sent twice
 	}
 	whole := *m
-	if whole.Own = len(m.Parts); m.Extends {
+	if whole.OwnParts = len(m.Parts); m.Extends {
 		base := state.Version(m.Base)
 		if base == nil {
-			return &PublishReply{Error: fmt.Sprintf("version %d is not in the history", m.Base), ActiveVersion: state.Number}, nil
+			return &PublishReply{Error: fmt.Sprintf("version %d is not in the history", m.Base), ActiveVersion: state.ActiveVersion}, nil
 		}
 		if err := whole.Extend(base); err != nil {
-			return &PublishReply{Error: err.Error(), ActiveVersion: state.Number}, nil
+			return &PublishReply{Error: err.Error(), ActiveVersion: state.ActiveVersion}, nil
 		}
 	}
-	if err := state.May(m); errors.Is(err, agree.ErrWaiting) { // before anything is read for it
-		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.Number}, nil
+	if err := state.CheckProposal(m); errors.Is(err, agree.ErrVersionPending) { // before anything is read for it
+		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.ActiveVersion}, nil
 	}
 	next, err := n.parseVersion(ctx, &whole)
 	if err != nil {
-		return &PublishReply{Error: err.Error(), ActiveVersion: state.Number}, nil
+		return &PublishReply{Error: err.Error(), ActiveVersion: state.ActiveVersion}, nil
 	}
-	if err := state.May(m); err != nil {
-		out := &PublishReply{Error: err.Error(), ActiveVersion: state.Number}
-		if present, err := n.versionInLog(ctx, state, state.Number); err == nil {
+	if err := state.CheckProposal(m); err != nil {
+		out := &PublishReply{Error: err.Error(), ActiveVersion: state.ActiveVersion}
+		if present, err := n.versionInLog(ctx, state, state.ActiveVersion); err == nil {
 			for _, d := range agree.Differences(present, next) {
 				if out.Differences = append(out.Differences, d.String()); len(out.Differences) == 100 {
 					break
@@ -279,7 +279,7 @@
 		}
 		return out, nil
 	}
-	for _, number := range state.Alive {
+	for _, number := range state.EpochVersions {
 		alive, err := n.versionInLog(ctx, state, number)
 		if err != nil {
 			return nil, err
@@ -292,7 +292,7 @@
 	again := time.NewTicker(time.Second) // a leader may be lost with it; its id keeps it one
 	defer again.Stop()
 	if err := n.propose(&agree.Entry{Propose: m}); err != nil {
-		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.Number}, nil
+		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.ActiveVersion}, nil
 	}
 	for {
 		state, changed := n.stateAndChange()
@@ -305,15 +305,15 @@
 			n.versionsMu.Unlock()
 			return out, nil
 		}
-		if err := state.May(m); err != nil {
-			return &PublishReply{Error: err.Error(), Retry: errors.Is(err, agree.ErrWaiting), ActiveVersion: state.Number}, nil
+		if err := state.CheckProposal(m); err != nil {
+			return &PublishReply{Error: err.Error(), Retry: errors.Is(err, agree.ErrVersionPending), ActiveVersion: state.ActiveVersion}, nil
 		}
 		select {
 		case <-changed:
 		case <-again.C:
 			n.propose(&agree.Entry{Propose: m})
 		case <-ctx.Done():
-			return &PublishReply{Error: "it is not known whether it was taken up: ask again with the same id", Retry: true, ActiveVersion: state.Number}, nil
+			return &PublishReply{Error: "it is not known whether it was taken up: ask again with the same id", Retry: true, ActiveVersion: state.ActiveVersion}, nil
 		}
 	}
 }
@@ -324,9 +324,9 @@
 	if m == nil {
 		return nil
 	}
-	out := &PublishReply{Number: m.Number, Contradicts: m.Contradicts, ActiveVersion: s.Number}
-	if m.Refused != "" {
-		out.Error = "refused: " + m.Refused
+	out := &PublishReply{Number: m.Number, Contradicts: m.Contradicts, ActiveVersion: s.ActiveVersion}
+	if m.RefusalReason != "" {
+		out.Error = "refused: " + m.RefusalReason
 	}
 	return out
 }
@@ -335,7 +335,7 @@
 	out := &Status{Node: n.Name, Fleet: n.Fleet}
 	now := n.Clock()
 	n.leaseMu.Lock()
-	out.LogStatus = n.lease.Facts()
+	out.LogStatus = n.lease.LogStatus()
 	n.leaseMu.Unlock()
 	if a := n.applied.Load(); a != nil {
 		out.Applied, out.Disconnected = a.rules, a.disconnected
@@ -354,13 +354,13 @@
 	if n.voter == nil {
 		return out, nil
 	}
-	out.Voter, out.Term, out.LogStatus = true, n.voter.Term(), n.voter.State().Facts()
+	out.Voter, out.Term, out.LogStatus = true, n.voter.Term(), n.voter.State().LogStatus()
 	for _, v := range n.Voters {
 		if v.ID() == n.voter.Leader() {
 			out.Leader = v.Name
 		}
 	}
-	out.WaitingFor, out.LeaseHolders = n.voter.Clear(now), n.voter.Nodes(now)
+	out.WaitingFor, out.LeaseHolders = n.voter.AcknowledgeEpoch(now), n.voter.LeaseHolders(now)
 	out.History = slices.Clone(n.voter.State().History)
 	if most := 32; len(out.History) > most {
 		out.History = out.History[len(out.History)-most:]
--- a/internal/fleet/peers/take.go
+++ b/internal/fleet/peers/versions.go
@@ -58,9 +58,9 @@
 			return
 		}
 		n.leaseMu.Lock()
-		f := n.lease.Facts()
+		f := n.lease.LogStatus()
 		n.leaseMu.Unlock()
-		if number != f.Number && number != f.Pending { // it is past
+		if number != f.ActiveVersion && number != f.PendingVersion { // it is past
 			break
 		}
 		n.sleep(retryDelay)
@@ -84,12 +84,12 @@
 	n.versions[m.Number], n.manifests[m.Number] = v, m
 	var alive []uint64 // a voter holds a new version against each of them
 	if s := n.state(); s != nil {
-		alive = s.Alive
+		alive = s.EpochVersions
 	}
 	for len(n.versions) > maxCachedVersions+len(alive) {
 		oldest := uint64(math.MaxUint64)
 		for k := range n.versions {
-			if a := n.applied.Load(); (a == nil || k != a.rules.Number && k != a.rules.Pending) && !slices.Contains(alive, k) {
+			if a := n.applied.Load(); (a == nil || k != a.rules.Version && k != a.rules.PendingVersion) && !slices.Contains(alive, k) {
 				oldest = min(oldest, k)
 			}
 		}
@@ -102,13 +102,13 @@
 func (n *Node) reportRefusal(number uint64, why string) {
 	for n.ctx.Err() == nil {
 		n.leaseMu.Lock()
-		waits := n.lease.Facts().Pending == number
+		waits := n.lease.LogStatus().PendingVersion == number
 		n.leaseMu.Unlock()
 		if !waits {
 			return
 		}
-		r := &agree.Refuse{Number: number, Node: n.Name, Why: why[:min(len(why), maxReason/2)]}
-		n.propose(&agree.Entry{Refuse: r})
+		r := &agree.Refusal{Number: number, Node: n.Name, Reason: why[:min(len(why), maxReason/2)]}
+		n.propose(&agree.Entry{Refusal: r})
 		for _, c := range n.conns {
 			ctx, stop := context.WithTimeout(n.ctx, time.Second)
 			call[struct{}](ctx, c, "Refuse", r)
@@ -164,7 +164,7 @@
 	n.versionsMu.Lock()
 	base, known := n.versions[m.Base], n.manifests[m.Base]
 	n.versionsMu.Unlock()
-	if n.Extend == nil || !m.Extends || base == nil || len(known.Parts)+m.Own != len(m.Parts) {
+	if n.Extend == nil || !m.Extends || base == nil || len(known.Parts)+m.OwnParts != len(m.Parts) {
 		return nil, nil
 	}
 	var changes []config.File
@@ -276,12 +276,12 @@
 		n.applyOwnership()
 		n.leaseMu.Lock()
 		now := n.Clock()
-		want := n.lease.Want(now)
+		want := n.lease.DesiredRules(now)
 		cur := n.applied.Load()
-		may := cur != nil && (cur.disconnected || n.lease.May(now, cur.rules))
+		may := cur != nil && (cur.disconnected || n.lease.Permits(now, cur.rules))
 		n.leaseMu.Unlock()
 		switch {
-		case want.Number != 0 && (cur == nil || cur.disconnected || want != cur.rules):
+		case want.Version != 0 && (cur == nil || cur.disconnected || want != cur.rules):
 			n.applyRules(want)
 		case !may && cur != nil:
 			n.enterDisconnected(cur.rules)
@@ -297,15 +297,15 @@
 }
 
 // applyRules has the program act on rules that the lease allows.
-func (n *Node) applyRules(r agree.Rules) {
+func (n *Node) applyRules(r agree.ActiveRules) {
 	n.versionsMu.Lock()
-	v, next := n.versions[r.Number], n.versions[r.Pending]
+	v, next := n.versions[r.Version], n.versions[r.PendingVersion]
 	n.versionsMu.Unlock()
-	if v == nil || r.Pending != 0 && next == nil {
+	if v == nil || r.PendingVersion != 0 && next == nil {
 		return // it went meanwhile, and comes again
 	}
-	a := agree.Acting{Version: v}
-	if r.Pending != 0 {
+	a := agree.EffectiveVersion{Version: v}
+	if r.PendingVersion != 0 {
 		a = agree.Stricter(v, next)
 		if err := errors.Join(agree.AsStrict(a, v), agree.AsStrict(a, next)); err != nil {
 			n.Log.Error("nothing is served in between: the stricter of two versions is laxer than one of them", "rules", r, "err", err)
@@ -323,23 +323,23 @@
 	if err := n.Apply(a); err != nil {
 		n.applied.Store(cur) // that is what the program still acts on
 		n.versionsMu.Lock()
-		n.rejected[max(r.Number, r.Pending)] = err.Error()
-		delete(n.versions, max(r.Number, r.Pending))
+		n.rejected[max(r.Version, r.PendingVersion)] = err.Error()
+		delete(n.versions, max(r.Version, r.PendingVersion))
 		n.versionsMu.Unlock()
 		n.Log.Error("a version can't be taken", "rules", r, "err", err)
-		if r.Pending != 0 {
-			n.background.Go(func() { n.reportRefusal(r.Pending, err.Error()) })
+		if r.PendingVersion != 0 {
+			n.background.Go(func() { n.reportRefusal(r.PendingVersion, err.Error()) })
 		}
 		return
 	}
 	n.leaseMu.Lock()
-	n.lease.Took(r)
+	n.lease.ConfirmRules(r)
 	n.applied.Store(&appliedRules{rules: r, until: n.leaseEnd(r)})
 	n.leaseMu.Unlock()
 	n.Log.Info("acts on", "rules", r.String(), "epoch", r.Epoch, "boot", int64(BootTime()))
 	n.renewLeasesNow() // confirms
-	if r.Pending == 0 {
-		n.background.Go(func() { n.saveLastVersion(r.Number) })
+	if r.PendingVersion == 0 {
+		n.background.Go(func() { n.saveLastVersion(r.Version) })
 	}
 }
 
@@ -347,7 +347,7 @@
 func (n *Node) saveLastVersion(number uint64) {
 	m, err := n.fetchManifest(n.ctx, number)
 	if err == nil {
-		err = n.store.SetLast(m)
+		err = n.store.SaveLastVersion(m)
 	}
 	if err != nil && n.ctx.Err() == nil {
 		n.Log.Warn("the last version is not kept for a start alone", "version", number, "err", err)
@@ -355,21 +355,21 @@
 }
 
 // enterDisconnected has the program act on what is cautious without a lease, by the rules that it acted on last.
-func (n *Node) enterDisconnected(last agree.Rules) {
+func (n *Node) enterDisconnected(last agree.ActiveRules) {
 	n.versionsMu.Lock()
-	v, next := n.versions[last.Number], n.versions[last.Pending]
+	v, next := n.versions[last.Version], n.versions[last.PendingVersion]
 	n.versionsMu.Unlock()
 	switch {
 	case v != nil && next != nil:
 		n.applyDisconnected(agree.Stricter(v, next), last)
 	case v != nil:
-		n.applyDisconnected(agree.Acting{Version: v}, last)
+		n.applyDisconnected(agree.EffectiveVersion{Version: v}, last)
 	}
 }
 
 // startDisconnected is enterDisconnected for a node that started and reaches no majority of the voters.
 func (n *Node) startDisconnected() {
-	m, err := n.store.Last()
+	m, err := n.store.LastVersion()
 	if m == nil || err != nil {
 		return
 	}
@@ -381,11 +381,11 @@
 	n.versionsMu.Lock()
 	n.cacheVersion(m, v)
 	n.versionsMu.Unlock()
-	n.applyDisconnected(agree.Acting{Version: v}, agree.Rules{Number: m.Number})
+	n.applyDisconnected(agree.EffectiveVersion{Version: v}, agree.ActiveRules{Version: m.Number})
 }
 
-func (n *Node) applyDisconnected(a agree.Acting, last agree.Rules) {
-	if err := n.Apply(agree.Alone(a, n.Config.Disconnected, time.Now())); err != nil {
+func (n *Node) applyDisconnected(a agree.EffectiveVersion, last agree.ActiveRules) {
+	if err := n.Apply(agree.DisconnectedVersion(a, n.Config.Disconnected, time.Now())); err != nil {
 		n.Log.Error("nothing is served without a lease", "err", err)
 		return
 	}
--- a/internal/fleet/peers/wire.go
+++ b/internal/fleet/peers/wire.go
@@ -40,9 +40,9 @@
 
 // LeaseReply is a voter's answer to an ask, or news without one.
 type LeaseReply struct {
-	Grant     *agree.Grant `json:"grant,omitempty"`
-	LogStatus *agree.Facts `json:"news,omitempty"`
-	Error     string       `json:"error,omitempty"`
+	Grant     *agree.Grant     `json:"grant,omitempty"`
+	LogStatus *agree.LogStatus `json:"news,omitempty"`
+	Error     string           `json:"error,omitempty"`
 }
 
 // PublishRequest asks for a version. Its content has been put to voters before.
@@ -71,20 +71,20 @@
 
 // Status is how a node sees the fleet.
 type Status struct {
-	Node         string           `json:"node"`
-	Fleet        string           `json:"fleet"`
-	Voter        bool             `json:"voter"`
-	Leader       string           `json:"leader,omitempty"` // "": none is known here
-	Term         uint64           `json:"term,omitempty"`
-	LogStatus    agree.Facts      `json:"facts"`
-	Applied      agree.Rules      `json:"acts"`
-	Disconnected bool             `json:"alone"`
-	LeaseLeftMs  int64            `json:"left_ms"` // of its lease
-	WaitingFor   []string         `json:"waits,omitempty"`
-	LeaseHolders []string         `json:"nodes,omitempty"` // that this voter has granted leases
-	History      []agree.Manifest `json:"history,omitempty"`
-	VotingError  string           `json:"store,omitempty"` // what is wrong with it
-	Tasks        []TaskStatus     `json:"owners,omitempty"`
+	Node         string            `json:"node"`
+	Fleet        string            `json:"fleet"`
+	Voter        bool              `json:"voter"`
+	Leader       string            `json:"leader,omitempty"` // "": none is known here
+	Term         uint64            `json:"term,omitempty"`
+	LogStatus    agree.LogStatus   `json:"facts"`
+	Applied      agree.ActiveRules `json:"acts"`
+	Disconnected bool              `json:"alone"`
+	LeaseLeftMs  int64             `json:"left_ms"` // of its lease
+	WaitingFor   []string          `json:"waits,omitempty"`
+	LeaseHolders []string          `json:"nodes,omitempty"` // that this voter has granted leases
+	History      []agree.Manifest  `json:"history,omitempty"`
+	VotingError  string            `json:"store,omitempty"` // what is wrong with it
+	Tasks        []TaskStatus      `json:"owners,omitempty"`
 }
 
 func pack(v any) (*wrapperspb.BytesValue, error) {
--- a/internal/fleet/store/life.go
+++ b/internal/fleet/store/start.go
@@ -6,31 +6,32 @@
 	"go.etcd.io/bbolt"
 )
 
-// Life is one start of a voter: its disk counts them. Two with one count and different nonces are of two copies of a disk.
-type Life struct {
+// VoterStart identifies one start of a voter. Its disk counts them; two starts with the same count and different nonces come from two
+// copies of one disk.
+type VoterStart struct {
 	Name  string `json:"name"`
 	Count uint64 `json:"count"`
 	Nonce string `json:"nonce"`
 }
 
-var keyLife = []byte("life")
+var keyStart = []byte("life")
 
-// NextLife counts a start of the voter whose store this is; the nonce is of this start alone.
-func (s *Store) NextLife(name, nonce string) (life Life, err error) {
+// NextStart counts a start of the voter that the store belongs to. The nonce must differ for each start.
+func (s *Store) NextStart(name, nonce string) (life VoterStart, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
-		if err := getJSON(meta, keyLife, &life); err != nil {
+		if err := getJSON(meta, keyStart, &life); err != nil {
 			return err
 		}
-		life = Life{name, life.Count + 1, nonce}
-		return putJSON(meta, keyLife, life)
+		life = VoterStart{name, life.Count + 1, nonce}
+		return putJSON(meta, keyStart, life)
 	})
 	return life, err
 }
 
-// Met keeps the latest start of another voter that this one has met, and tells whether one that says who it is may be that or a later
-// one; if not, its disk is an older copy than the one that was met.
-func (s *Store) Met(life Life) (ok bool, latest Life, err error) {
+// RecordStart records another voter's start if it is the latest one seen of that voter, and reports whether it is. If it isn't, the
+// voter runs on an older copy of its disk.
+func (s *Store) RecordStart(life VoterStart) (ok bool, latest VoterStart, err error) {
 	key := append([]byte("met/"), life.Name...)
 	err = s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -55,16 +56,16 @@
 	if err != nil {
 		return err
 	}
-	return b.Put(key, sealed(text))
+	return b.Put(key, withChecksum(text))
 }
 
-// getJSON reads a value; one that is not there leaves what is given as it is.
+// getJSON decodes a value. A missing value leaves to unchanged.
 func getJSON(b *bbolt.Bucket, key []byte, to any) error {
 	value := b.Get(key)
 	if value == nil {
 		return nil
 	}
-	text, err := opened(string(key), value)
+	text, err := verifyChecksum(string(key), value)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps what a node of a fleet must know after a crash: a voter's log, and the content of versions. It is one
-// file of an embedded database, whose transactions are there whole or not at all.
+// Package store is the durable state of a node of a fleet: a voter's raft log and the content of versions. It is one bbolt file, whose
+// transactions are atomic.
 package store
 
 import (
@@ -25,23 +25,23 @@
 	"yokestall/internal/fleet/agree"
 )
 
-// MaxContent is how many bytes of content are kept; a version that leads beyond is turned away.
+// MaxContent is how many bytes of content a store holds at most. A version that needs more is refused.
 const MaxContent = 1 << 30
 
 const lockWait = 300 * time.Millisecond // for another process to let go of the file
 
 var (
-	bucketMeta    = []byte("meta")
-	bucketLog     = []byte("log")
-	bucketContent = []byte("content")
-	keyIdentity   = []byte("identity")
-	keyHard       = []byte("hard")
-	keySnapshot   = []byte("snapshot")
-	keyLast       = []byte("last")
-	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
+	bucketMeta     = []byte("meta")
+	bucketLog      = []byte("log")
+	bucketContent  = []byte("content")
+	keyIdentity    = []byte("identity")
+	keyHardState   = []byte("hard")
+	keySnapshot    = []byte("snapshot")
+	keyLastVersion = []byte("last")
+	castagnoli     = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Identity is who the store belongs to, from its init on.
+// Identity says which voter a store belongs to. Init writes it once.
 type Identity struct {
 	Fleet  string   `json:"fleet"`
 	Name   string   `json:"name"`
@@ -49,8 +49,8 @@
 	Voters []uint64 `json:"voters"`
 }
 
-// Store is an open store. Its methods are safe for concurrent use. After a write that failed nothing is written any more: what the
-// disk has then is not known.
+// Store is an open store. Its methods are safe for concurrent use. After a failed write nothing is written any more, since it is unknown
+// what the disk has then.
 type Store struct {
 	path string
 	db   *bbolt.DB
@@ -60,10 +60,10 @@
 	size   int64 // bytes of content
 }
 
-// ErrNotInit is that a store has no beginning: it was never made a voter's, or was lost.
-var ErrNotInit = errors.New("the store was not made by `yokestall fleet init`")
+// ErrNotInitialized is returned for a store that Init was never called on, or that was lost.
+var ErrNotInitialized = errors.New("the store was not made by `yokestall fleet init`")
 
-// Open opens the store of a folder, made anew if there is none.
+// Open opens the store of a folder and creates it if there is none.
 func Open(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -98,9 +98,8 @@
 	return s, nil
 }
 
-// guarded makes an error of what the library does at a file that was damaged: it panics, or reads past the end of
-// a mapped file that was cut short.
-func guarded(err *error) func() {
+// recoverDamage turns into an error what the library does on a damaged file: it panics, or faults past the end of a truncated mapping.
+func recoverDamage(err *error) func() {
 	was := debug.SetPanicOnFault(true)
 	return func() {
 		debug.SetPanicOnFault(was)
@@ -111,21 +110,21 @@
 }
 
 func open(path string) (db *bbolt.DB, err error) {
-	defer guarded(&err)()
+	defer recoverDamage(&err)()
 	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait})
 }
 
 // Close closes it.
 func (s *Store) Close() error { return s.db.Close() }
 
-// update writes one transaction, unless one has failed.
+// update runs a write transaction, unless an earlier one failed.
 func (s *Store) update(do func(*bbolt.Tx) error) (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failed != nil {
 		return s.failed
 	}
-	var refused *refusal
+	var refused *refusedError
 	if err = s.try(s.db.Update, do); err != nil && !errors.As(err, &refused) {
 		s.failed = fmt.Errorf("%s: nothing is written after a failure: %w", s.path, err)
 		return s.failed
@@ -133,9 +132,9 @@
 	return err
 }
 
-// try runs a transaction.
+// try runs a transaction and turns panics into errors.
 func (s *Store) try(run func(func(*bbolt.Tx) error) error, do func(*bbolt.Tx) error) (err error) {
-	defer guarded(&err)()
+	defer recoverDamage(&err)()
 	return run(do)
 }
 
@@ -146,62 +145,62 @@
 	return nil
 }
 
-// refusal is a transaction that was not wanted, rather than one that failed.
-type refusal struct{ text string }
+// refusedError is why a transaction was refused, rather than failed.
+type refusedError struct{ text string }
 
-func (r *refusal) Error() string { return r.text }
+func (r *refusedError) Error() string { return r.text }
 
-// sealed puts a checksum before a value: the database has none for its pages.
-func sealed(data []byte) []byte {
+// withChecksum prepends a checksum to a value, since the database has none for its pages.
+func withChecksum(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(data, castagnoli)), data...)
 }
 
-func opened(what string, value []byte) ([]byte, error) {
+func verifyChecksum(what string, value []byte) ([]byte, error) {
 	if len(value) < 4 || binary.BigEndian.Uint32(value) != crc32.Checksum(value[4:], castagnoli) {
 		return nil, fmt.Errorf("%s is damaged: its checksum doesn't fit", what)
 	}
 	return bytes.Clone(value[4:]), nil
 }
 
-// Init makes the store that of a voter of a new fleet; once.
+// Init makes the store that of a voter of a new fleet. It fails if the store belongs to a voter already.
 func (s *Store) Init(id Identity) error {
-	first := agree.First(id.Voters)
+	first := agree.InitialDiskState(id.Voters)
 	return s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if meta.Get(keyIdentity) != nil {
-			return &refusal{s.path + ": is a voter's already"}
+			return &refusedError{s.path + ": is a voter's already"}
 		}
 		text, err := json.Marshal(id)
 		if err != nil {
 			return err
 		}
-		if err := meta.Put(keyIdentity, sealed(text)); err != nil {
+		if err := meta.Put(keyIdentity, withChecksum(text)); err != nil {
 			return err
 		}
-		if err := putMessage(meta, keyHard, first.Hard); err != nil {
+		if err := putMessage(meta, keyHardState, first.HardState); err != nil {
 			return err
 		}
 		return putMessage(meta, keySnapshot, first.Snapshot)
 	})
 }
 
-// Voter gives whose store it is, and the log.
-func (s *Store) Voter() (id Identity, disk agree.Stored, err error) {
+// Voter returns whose store it is, and the voter's log.
+func (s *Store) Voter() (id Identity, disk agree.DiskState, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		value := meta.Get(keyIdentity)
 		if value == nil {
-			return ErrNotInit
+			return ErrNotInitialized
 		}
-		text, err := opened("the identity", value)
+		text, err := verifyChecksum("the identity", value)
 		if err != nil {
 			return err
 		}
 		if err := json.Unmarshal(text, &id); err != nil {
 			return err
 		}
-		disk = agree.Stored{Hard: &pb.HardState{}, Snapshot: &pb.Snapshot{}}
-		if err := getMessage(meta, keyHard, disk.Hard); err != nil {
+		disk = agree.DiskState{HardState: &pb.HardState{}, Snapshot: &pb.Snapshot{}}
+		if err := getMessage(meta, keyHardState, disk.HardState); err != nil {
 			return err
 		}
 		if err := getMessage(meta, keySnapshot, disk.Snapshot); err != nil {
@@ -210,7 +209,7 @@
 		next := disk.Snapshot.GetMetadata().GetIndex() + 1
 		c := tx.Bucket(bucketLog).Cursor()
 		for k, v := c.Seek(key(next)); k != nil; k, v = c.Next() {
-			data, err := opened(fmt.Sprintf("entry %d", next), v)
+			data, err := verifyChecksum(fmt.Sprintf("entry %d", next), v)
 			if err != nil {
 				return err
 			}
@@ -224,7 +223,7 @@
 			disk.Entries = append(disk.Entries, e)
 			next++
 		}
-		if c := disk.Hard.GetCommit(); c >= next {
+		if c := disk.HardState.GetCommit(); c >= next {
 			return fmt.Errorf("the log ends at %d, and %d had been committed", next-1, c)
 		}
 		return nil
@@ -239,11 +238,11 @@
 	if err != nil {
 		return err
 	}
-	return b.Put(name, sealed(data))
+	return b.Put(name, withChecksum(data))
 }
 
 func getMessage(b *bbolt.Bucket, name []byte, to proto.Message) error {
-	data, err := opened(string(name), b.Get(name))
+	data, err := verifyChecksum(string(name), b.Get(name))
 	if err != nil {
 		return err
 	}
@@ -253,26 +252,26 @@
 	return nil
 }
 
-// Save puts a voter's work on the disk, whole. When it returns nil, it is there.
-func (s *Store) Save(w agree.Work) error {
-	if w.Hard == nil && w.Snapshot == nil && len(w.Entries) == 0 {
+// Save makes a voter's work durable, atomically.
+func (s *Store) Save(w agree.ReadyWork) error {
+	if w.HardState == nil && w.Snapshot == nil && len(w.Entries) == 0 {
 		return nil
 	}
 	return s.update(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 		if w.Snapshot != nil {
-			if err := begin(meta, log, w.Snapshot, ^uint64(0)); err != nil {
+			if err := saveSnapshot(meta, log, w.Snapshot, ^uint64(0)); err != nil {
 				return err
 			}
 		}
-		if w.Hard != nil {
-			if err := putMessage(meta, keyHard, w.Hard); err != nil {
+		if w.HardState != nil {
+			if err := putMessage(meta, keyHardState, w.HardState); err != nil {
 				return err
 			}
 		}
 		for i, e := range w.Entries {
 			if i == 0 { // what followed an entry that is replaced goes with it
-				if err := cut(log, e.GetIndex(), ^uint64(0)); err != nil {
+				if err := deleteEntries(log, e.GetIndex(), ^uint64(0)); err != nil {
 					return err
 				}
 			}
@@ -284,22 +283,22 @@
 	})
 }
 
-// Begin has the log begin with a snapshot: what it covers is forgotten.
-func (s *Store) Begin(snap *pb.Snapshot) error {
+// CompactTo replaces the log up to a snapshot by that snapshot.
+func (s *Store) CompactTo(snap *pb.Snapshot) error {
 	return s.update(func(tx *bbolt.Tx) error {
-		return begin(tx.Bucket(bucketMeta), tx.Bucket(bucketLog), snap, snap.GetMetadata().GetIndex())
+		return saveSnapshot(tx.Bucket(bucketMeta), tx.Bucket(bucketLog), snap, snap.GetMetadata().GetIndex())
 	})
 }
 
-func begin(meta, log *bbolt.Bucket, snap *pb.Snapshot, to uint64) error {
+func saveSnapshot(meta, log *bbolt.Bucket, snap *pb.Snapshot, to uint64) error {
 	if err := putMessage(meta, keySnapshot, snap); err != nil {
 		return err
 	}
-	return cut(log, 0, to)
+	return deleteEntries(log, 0, to)
 }
 
-// cut removes the entries from one index to another.
-func cut(log *bbolt.Bucket, from, to uint64) error {
+// deleteEntries deletes the entries from one index to another, both included.
+func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	c := log.Cursor()
 	for k, _ := c.Seek(key(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
 		if err := c.Delete(); err != nil {
@@ -309,13 +308,13 @@
 	return nil
 }
 
-// Hash is what content goes by.
+// Hash is the key of content: its SHA-256 in hexadecimal.
 func Hash(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// Put keeps content, for good when it returns nil.
+// Put stores content. It is durable when Put returns nil.
 func (s *Store) Put(data []byte) error {
 	name := []byte(Hash(data))
 	added := int64(0)
@@ -325,7 +324,7 @@
 			return nil
 		}
 		if s.size+int64(len(data)) > MaxContent {
-			return &refusal{fmt.Sprintf("%s: over %d bytes of content", s.path, int64(MaxContent))}
+			return &refusedError{fmt.Sprintf("%s: over %d bytes of content", s.path, int64(MaxContent))}
 		}
 		added = int64(len(data))
 		return b.Put(name, data)
@@ -338,8 +337,8 @@
 	return err
 }
 
-// Get gives content; nil without an error: it is not there. Content that doesn't fit its hash any more is not there either, and
-// comes again from another node.
+// Get returns content; nil without an error if it isn't there. Content that no longer matches its hash is deleted, and has to be fetched from
+// another node again.
 func (s *Store) Get(hash string) (data []byte, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		data = bytes.Clone(tx.Bucket(bucketContent).Get([]byte(hash)))
@@ -351,7 +350,7 @@
 	return data, err
 }
 
-// Sweep forgets content that is not among these hashes.
+// Sweep deletes content whose hash is not in the map.
 func (s *Store) Sweep(keep map[string]int) error {
 	size := int64(0)
 	err := s.update(func(tx *bbolt.Tx) error {
@@ -373,23 +372,23 @@
 	return err
 }
 
-// SetLast keeps which version the node acted on last, whole: it is what it may act on alone after a start.
-func (s *Store) SetLast(m *agree.Manifest) error {
+// SaveLastVersion records the version that the node acted on last, for a start without a quorum.
+func (s *Store) SaveLastVersion(m *agree.Manifest) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return s.update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyLast, sealed(text)) })
+	return s.update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyLastVersion, withChecksum(text)) })
 }
 
-// Last gives it; nil: none.
-func (s *Store) Last() (m *agree.Manifest, err error) {
+// LastVersion returns the version that SaveLastVersion recorded; nil: none.
+func (s *Store) LastVersion() (m *agree.Manifest, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		value := tx.Bucket(bucketMeta).Get(keyLast)
+		value := tx.Bucket(bucketMeta).Get(keyLastVersion)
 		if value == nil {
 			return nil
 		}
-		text, err := opened("the last version", value)
+		text, err := verifyChecksum("the last version", value)
 		if err != nil {
 			return err
 		}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -53,7 +53,7 @@
 				at := first + uint64(n/2)
 				data := []byte("{}")
 				snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: &at, Term: &term, ConfState: &pb.ConfState{Voters: me.Voters}}}
-				if err := s.Begin(snap); err != nil {
+				if err := s.CompactTo(snap); err != nil {
 					t.Fatal(err)
 				}
 				list = list[at-first+1:]
@@ -66,7 +66,7 @@
 				t.Fatal(err)
 			}
 		}
-		w := agree.Work{Hard: hard(term, first-1)}
+		w := agree.ReadyWork{HardState: hard(term, first-1)}
 		for range 1 + rng.IntN(3) {
 			text := fmt.Sprint(i, rng.IntN(100))
 			w.Entries = append(w.Entries, entry(first+uint64(len(list)), term, text))
@@ -83,7 +83,7 @@
 		for _, e := range disk.Entries {
 			got = append(got, string(e.Data))
 		}
-		if !slices.Equal(got, list) || disk.Hard.GetTerm() != term || id.Name != me.Name {
+		if !slices.Equal(got, list) || disk.HardState.GetTerm() != term || id.Name != me.Name {
 			t.Fatalf("%v; want %v", got, list)
 		}
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := s.Voter(); !errors.Is(err, ErrNotInit) {
+	if _, _, err := s.Voter(); !errors.Is(err, ErrNotInitialized) {
 		t.Errorf("an empty store: %v", err)
 	}
 	if err := s.Init(me); err != nil {
@@ -111,13 +111,13 @@
 	if _, err := Open(dir); err == nil {
 		t.Error("two have it open")
 	}
-	if m, err := s.Last(); m != nil || err != nil {
+	if m, err := s.LastVersion(); m != nil || err != nil {
 		t.Errorf("%v, %v", m, err)
 	}
-	if err := s.SetLast(&agree.Manifest{Number: 7}); err != nil {
+	if err := s.SaveLastVersion(&agree.Manifest{Number: 7}); err != nil {
 		t.Fatal(err)
 	}
-	if m, err := s.Last(); err != nil || m.Number != 7 {
+	if m, err := s.LastVersion(); err != nil || m.Number != 7 {
 		t.Errorf("%v, %v", m, err)
 	}
 	s.Close()
@@ -157,7 +157,7 @@
 	dir := t.TempDir()
 	s := made(t, dir)
 	for i := range uint64(6) {
-		if err := s.Save(agree.Work{Hard: hard(1, 1), Entries: []*pb.Entry{entry(2+i, 1, fmt.Sprint("text ", i))}}); err != nil {
+		if err := s.Save(agree.ReadyWork{HardState: hard(1, 1), Entries: []*pb.Entry{entry(2+i, 1, fmt.Sprint("text ", i))}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -210,7 +210,7 @@
 	if err := s.update(func(*bbolt.Tx) error { return boom }); !errors.Is(err, boom) {
 		t.Fatal(err)
 	}
-	if err := s.Save(agree.Work{Hard: hard(2, 1)}); !errors.Is(err, boom) {
+	if err := s.Save(agree.ReadyWork{HardState: hard(2, 1)}); !errors.Is(err, boom) {
 		t.Errorf("written after a failure: %v", err)
 	}
 	s.Close()
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -287,7 +287,7 @@
 		s, err := c.LatestStatus(ctx)
 		if err == nil {
 			var p *peers.PublishReply
-			if p, err = c.Publish(ctx, id, s.LogStatus.Number, r.bundle(stamp)); err == nil && p.Number > 0 {
+			if p, err = c.Publish(ctx, id, s.LogStatus.ActiveVersion, r.bundle(stamp)); err == nil && p.Number > 0 {
 				r.out.Published++
 				r.acked[p.Number] = id
 				o, err := c.WaitForVersion(ctx, p.Number, func(peers.PublishOutcome) {})
@@ -397,7 +397,7 @@
 func (r *versionRun) release(ctx context.Context, c *peers.Client) error {
 	ctx, stop := context.WithTimeout(ctx, r.Length+2*versionWait)
 	defer stop()
-	rel := agree.Release{ID: "lab", Cluster: "rooms", Floor: 0.5, Drain: 100 * time.Millisecond, Away: 100 * time.Millisecond, Warm: 100 * time.Millisecond}
+	rel := agree.Release{ID: "lab", Cluster: "rooms", Floor: 0.5, Drain: 100 * time.Millisecond, Restart: 100 * time.Millisecond, Warm: 100 * time.Millisecond}
 	want := []string{""} // the first version
 	for i := range r.Boxes {
 		rel.Waves = append(rel.Waves, []string{fmt.Sprint("s-", i)})
@@ -411,14 +411,14 @@
 			in = peers.ReleaseCommand{}
 		}
 		if s, err := c.LatestStatus(ctx); err == nil {
-			for ; seen < len(s.History) && s.History[seen].Number <= s.LogStatus.Number; seen++ { // it is in force
+			for ; seen < len(s.History) && s.History[seen].Number <= s.LogStatus.ActiveVersion; seen++ { // it is in force
 				r.rig.Record.Add(fleet.Event{What: fleet.Told, Who: (seen - 1) / 2, Over: seen%2 == 0})
 				r.out.Published++
 			}
-			if in.Start == nil && out != nil && out.Progress != nil && out.Progress.Ended != "" && seen == len(s.History) {
+			if in.Start == nil && out != nil && out.Progress != nil && out.Progress.Result != "" && seen == len(s.History) {
 				r.out.Times = append(r.out.Times, time.Since(began))
-				if out.Progress.Ended != "done" || len(s.History) != len(want) {
-					return fmt.Errorf("the release ended by %q with %d versions of %d", out.Progress.Ended, len(s.History), len(want))
+				if out.Progress.Result != "done" || len(s.History) != len(want) {
+					return fmt.Errorf("the release ended by %q with %d versions of %d", out.Progress.Result, len(s.History), len(want))
 				}
 				for i, id := range want[1:] {
 					if s.History[i+1].ID != id {
