--- a/internal/cli/release.go
+++ b/internal/cli/release.go
@@ -91,7 +91,7 @@
 			if word == "status" {
 				word = ""
 			}
-			return f.control(cmd, peers.ReleaseCommand{Action: word, Reason: why})
+			return f.control(cmd, peers.ReleaseCommand{Action: agree.ReleaseAction(word), Reason: why})
 		}}
 		if w.word == "abort" {
 			sub.Flags().StringVar(&why, "why", "by hand", "for the record")
@@ -114,7 +114,7 @@
 			p := r.Progress
 			switch {
 			case p == nil:
-			case p.Result != "":
+			case p.Ended():
 				fmt.Fprintf(f.out, "release %s: %s\n", p.Release.ID, p.Result)
 			default:
 				fmt.Fprintf(f.out, "release %s: wave %d of %d, %v", p.Release.ID, p.Wave+1, len(p.Waves), p.Phase)
--- /dev/null
+++ b/internal/fleet/agree/leasetable.go
@@ -0,0 +1,162 @@
+package agree
+
+import (
+	"errors"
+	"slices"
+	"time"
+)
+
+// MaxHolders is how many processes a voter grants leases to at once. A process that ended counts until its lease expires.
+const MaxHolders = 4096
+
+// waitingForEarlierLeases stands in a list of nodes for the leases that a voter granted before it was restarted.
+const waitingForEarlierLeases = "leases of an earlier life"
+
+// ErrTooManyLeases is returned by a voter that has granted MaxHolders leases.
+var ErrTooManyLeases = errors.New("the voter grants as many leases as it may; ask again later")
+
+// LeaseTable records the leases that a voter has granted. It is kept in memory only: after a restart it acknowledges nothing until
+// every lease that the voter may have granted before has expired. Times are on the voter's own clock.
+type LeaseTable struct {
+	config     LeaseConfig
+	quietUntil time.Duration // nothing is acknowledged before
+	holders    map[process]*processLeases
+}
+
+// process is one run of a node's program.
+type process struct{ node, incarnation string }
+
+// processLeases are the promises made to one process.
+type processLeases struct {
+	epochs, ownership promise
+	continuousSince   time.Duration // since when the process has held leases without a gap
+}
+
+// promise is the sum of a voter's grants of one kind to one process: the voter goes along with everything up to a revision.
+type promise struct {
+	revision   uint64
+	end        time.Duration // of the latest grant
+	earlierEnd time.Duration // of the latest grant for a smaller revision
+	confirmed  uint64        // the process no longer acts on anything before this revision
+}
+
+// NewLeaseTable creates the table of a voter that has just been started.
+func NewLeaseTable(now time.Duration, config LeaseConfig) *LeaseTable {
+	return &LeaseTable{config: config, quietUntil: now + config.GranterTerm(), holders: map[process]*processLeases{}}
+}
+
+// Grant grants a lease for the voter's latest state and records what the request confirms.
+func (t *LeaseTable) Grant(now time.Duration, voter uint64, request LeaseRequest, s *State) (Grant, error) {
+	leases, err := t.leasesOf(now, process{request.Node, request.Incarnation})
+	if err != nil {
+		return Grant{}, err
+	}
+	if leases.epochs.end <= now {
+		leases.continuousSince = now
+	}
+	end := now + t.config.GranterTerm()
+	leases.epochs.extend(s.LeaseEpoch(), request.ConfirmedEpoch, end)
+	leases.ownership.extend(s.OwnershipRevision(request.Node, request.Incarnation), request.ConfirmedOwnership, end)
+	return Grant{
+		Voter: voter, Sequence: request.Sequence, LogStatus: s.LogStatus(),
+		MaxEpoch: leases.epochs.revision, OwnershipRevision: leases.ownership.revision,
+	}, nil
+}
+
+// leasesOf returns the record of a process and creates it if there is none.
+func (t *LeaseTable) leasesOf(now time.Duration, p process) (*processLeases, error) {
+	if leases := t.holders[p]; leases != nil {
+		return leases, nil
+	}
+	if len(t.holders) >= MaxHolders {
+		t.removeExpired(now)
+	}
+	if len(t.holders) >= MaxHolders {
+		return nil, ErrTooManyLeases
+	}
+	leases := &processLeases{continuousSince: now}
+	t.holders[p] = leases
+	return leases, nil
+}
+
+// removeExpired removes the records of processes whose leases have expired.
+func (t *LeaseTable) removeExpired(now time.Duration) {
+	for p, leases := range t.holders {
+		if leases.epochs.end <= now {
+			delete(t.holders, p)
+		}
+	}
+}
+
+// Holders returns the names of the nodes that hold a lease, sorted.
+func (t *LeaseTable) Holders(now time.Duration) (nodes []string) {
+	for p, leases := range t.holders {
+		if leases.epochs.end > now {
+			nodes = append(nodes, p.node)
+		}
+	}
+	slices.Sort(nodes)
+	return slices.Compact(nodes)
+}
+
+// CanAcknowledge reports whether no process that this voter granted a lease acts on anything before an epoch any more; if one may, it
+// returns the nodes that are waited for.
+func (t *LeaseTable) CanAcknowledge(now time.Duration, epoch uint64) (ok bool, waitingFor []string) {
+	if now < t.quietUntil {
+		return false, []string{waitingForEarlierLeases}
+	}
+	for p, leases := range t.holders {
+		if !leases.epochs.expired(now, epoch) {
+			waitingFor = append(waitingFor, p.node)
+		}
+	}
+	slices.Sort(waitingFor)
+	return len(waitingFor) == 0, slices.Compact(waitingFor)
+}
+
+// CanRelease reports whether the former owner of a task no longer acts as its owner, as far as this voter granted it leases.
+func (t *LeaseTable) CanRelease(now time.Duration, task TaskOwnership) bool {
+	if now < t.quietUntil {
+		return false
+	}
+	leases := t.holders[process{task.Owner, task.Incarnation}]
+	return leases == nil || leases.ownership.expired(now, task.TransferIndex)
+}
+
+// LiveProcess is a process that holds a lease.
+type LiveProcess struct {
+	Incarnation string
+	Since       time.Duration // it has held leases without a gap since then
+}
+
+// LiveProcesses returns the process of each node that holds a lease; where a node has several, the one that started last.
+func (t *LeaseTable) LiveProcesses(now time.Duration) map[string]LiveProcess {
+	live := map[string]LiveProcess{}
+	for p, leases := range t.holders {
+		if leases.epochs.end <= now {
+			continue
+		}
+		if other, known := live[p.node]; !known || leases.continuousSince > other.Since {
+			live[p.node] = LiveProcess{p.incarnation, leases.continuousSince}
+		}
+	}
+	return live
+}
+
+// extend records a grant. A grant for a larger revision leaves the end of those for smaller ones as it is.
+func (p *promise) extend(revision, confirmed uint64, end time.Duration) {
+	p.confirmed = max(p.confirmed, confirmed)
+	if revision > p.revision {
+		p.revision, p.earlierEnd = revision, max(p.earlierEnd, p.end)
+	}
+	p.end = end
+}
+
+// expired reports whether the process can no longer act on anything before a revision.
+func (p *promise) expired(now time.Duration, revision uint64) bool {
+	end := p.earlierEnd
+	if p.revision < revision {
+		end = p.end
+	}
+	return p.confirmed >= revision || now >= end
+}
--- a/internal/fleet/agree/release.go
+++ b/internal/fleet/agree/release.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Release is a wave after wave of servers of a cluster that are taken out of use, may be restarted, and come back.
+// Release is a rolling restart of a cluster's servers: wave after wave is taken out of use, may be restarted, and is put back.
 type Release struct {
 	ID      string        `json:"id"`
 	Cluster string        `json:"cluster"`
 	Waves   [][]string    `json:"waves"` // ids of servers, each in one wave
 	Floor   float64       `json:"floor"` // share of the cluster's servers that has to be in use at any time
-	Drain   time.Duration `json:"drain"` // from when a wave is out until nothing of it is under way any more
+	Drain   time.Duration `json:"drain"` // from when a wave is out of use until its requests have finished
 	Restart time.Duration `json:"away"`  // then, for the restart
-	Warm    time.Duration `json:"warm"`  // from when it is back until the next wave
+	Warm    time.Duration `json:"warm"`  // from when the wave is back until the next one
 }
 
-// The bounds of a release.
+// The limits of a release.
 const (
 	MaxWaves           = 1000
-	MaxReleaseServers  = 10_000 // servers of all waves
+	MaxReleaseServers  = 10_000 // of all waves together
 	maxReleaseDuration = time.Hour
 )
 
-// Check tells what is wrong with a release by itself.
+// Check validates a release by itself, without the cluster that it is for.
 func (r *Release) Check() error {
 	if r.ID == "" || len(r.ID) > MaxName || r.Cluster == "" || len(r.Cluster) > MaxName {
 		return fmt.Errorf("id and cluster: 1 to %d bytes", MaxName)
@@ -35,20 +35,25 @@
 	if !(r.Floor >= 0 && r.Floor <= 1) {
 		return fmt.Errorf("floor: %v is not from 0 to 1", r.Floor)
 	}
-	for _, t := range []struct {
-		key string
-		d   time.Duration
+	for _, d := range []struct {
+		key   string
+		value time.Duration
 	}{{"drain", r.Drain}, {"away", r.Restart}, {"warm", r.Warm}} {
-		if t.d < 0 || t.d > maxReleaseDuration {
-			return fmt.Errorf("%s: %v is not from 0 to %v", t.key, t.d, maxReleaseDuration)
+		if d.value < 0 || d.value > maxReleaseDuration {
+			return fmt.Errorf("%s: %v is not from 0 to %v", d.key, d.value, maxReleaseDuration)
 		}
 	}
+	return r.checkWaves()
+}
+
+// checkWaves validates that each server is in one wave.
+func (r *Release) checkWaves() error {
 	seen := map[string]bool{}
-	for i, w := range r.Waves {
-		if len(w) == 0 {
+	for i, wave := range r.Waves {
+		if len(wave) == 0 {
 			return fmt.Errorf("waves: the %d. is empty", i+1)
 		}
-		for _, id := range w {
+		for _, id := range wave {
 			if seen[id] || id == "" || len(id) > MaxName {
 				return fmt.Errorf("waves: the %d. names %q, which is another's, or no id", i+1, id)
 			}
@@ -61,94 +66,129 @@
 	return nil
 }
 
-// Phase is what a wave is in.
+// Phase is a step of a wave.
 type Phase uint8
 
 // The phases of a wave, in their order.
 const (
-	TakingOut   Phase = iota // a version with the wave out is to come into force
-	Draining                 // what is under way there finishes
-	Restarting               // it is restarted
-	PuttingBack              // a version with the wave back is to come into force
-	Warming
+	TakingOut   Phase = iota // the version without the wave has yet to come into force
+	Draining                 // the wave's last requests finish
+	Restarting               // the servers may be restarted
+	PuttingBack              // the version with the wave has yet to come into force
+	Warming                  // the servers are back and still cold
 	phaseCount
 )
 
 var phaseNames = [...]string{"taking it out", "draining", "away", "giving it back", "warming"}
 
-// String says it as operators read it.
+// String formats the phase for operators.
 func (p Phase) String() string { return phaseNames[p%phaseCount] }
 
-// ReleaseProgress is a release as the log has it: wave and phase only go on, one after the other, whoever moves them.
+// ReleaseProgress is a release's state in the log. Waves and phases only advance, whichever node proposes it.
 type ReleaseProgress struct {
 	Release
 	Wave   int    `json:"wave"` // from 0; len(Waves): all are done
 	Phase  Phase  `json:"phase"`
 	Paused bool   `json:"paused,omitempty"`
-	Result string `json:"ended,omitempty"` // why; "done"; "": it goes on
-	// Stops says why it ends with this wave, once that is back in use; "": it doesn't.
+	Result string `json:"ended,omitempty"` // how the release ended: "done", or why it was stopped; "": it goes on
+	// StopReason is set once the release is to end with its present wave, as soon as that is back in use.
 	StopReason string `json:"stops,omitempty"`
 }
 
-// ReleaseUpdate takes a release on, or an operator's word on it.
+// ReleaseDone is the result of a release that was not stopped.
+const ReleaseDone = "done"
+
+// Ended reports whether the release has ended.
+func (p *ReleaseProgress) Ended() bool { return p.Result != "" }
+
+// ReleaseAction says what a ReleaseUpdate does.
+type ReleaseAction string
+
+// The actions on a release.
+const (
+	AdvanceRelease ReleaseAction = ""       // the phase is over
+	PauseRelease   ReleaseAction = "pause"  // an operator's
+	ResumeRelease  ReleaseAction = "resume" // an operator's
+	AbortRelease   ReleaseAction = "abort"  // an operator's
+	FailRelease    ReleaseAction = "fail"   // the phase has failed
+)
+
+// ReleaseUpdate changes a release that goes on. It advances or fails only the wave and phase that it names.
 type ReleaseUpdate struct {
-	ID     string `json:"id"`
-	Wave   int    `json:"wave"` // that it is in, and the phase: if it isn't any more, a phase is not over, nor does it fail
-	Phase  Phase  `json:"phase"`
-	Action string `json:"word,omitempty"` // "pause", "resume", "abort", "fail"; "": the phase is over
-	Reason string `json:"why,omitempty"`
+	ID     string        `json:"id"`
+	Wave   int           `json:"wave"`
+	Phase  Phase         `json:"phase"`
+	Action ReleaseAction `json:"word,omitempty"`
+	Reason string        `json:"why,omitempty"`
 }
 
-// startRelease takes up a release, if none goes on.
+// result formats the update as the reason why a release ended.
+func (u *ReleaseUpdate) result() string { return string(u.Action) + ": " + u.Reason }
+
+// startRelease begins a release, unless another one goes on.
 func (s *State) startRelease(r *Release) {
-	if s.Release != nil && (s.Release.Result == "" || s.Release.ID == r.ID) {
+	if s.Release != nil && (!s.Release.Ended() || s.Release.ID == r.ID) {
 		return
 	}
 	s.Release = &ReleaseProgress{Release: *r}
 }
 
-func (s *State) updateRelease(m *ReleaseUpdate) {
-	if s.Release == nil || s.Release.ID != m.ID || s.Release.Result != "" {
+func (s *State) updateRelease(u *ReleaseUpdate) {
+	if s.Release == nil || s.Release.ID != u.ID || s.Release.Ended() {
 		return
 	}
-	p := *s.Release // those who were given the state keep theirs
-	s.Release = &p
-	switch m.Action {
-	case "pause", "resume":
-		p.Paused = m.Action == "pause"
-	case "abort":
-		p.stopAfterWave(m)
-	case "fail": // of the phase that it names, once
-		switch {
-		case m.Wave != p.Wave || m.Phase != p.Phase:
-		case p.Phase < PuttingBack:
-			p.stopAfterWave(m)
-		default: // nor can it be given back: that is a person's
-			p.Result = m.Action + ": " + m.Reason
+	progress := *s.Release // earlier copies of the state share the old one
+	s.Release = &progress
+	current := u.Wave == progress.Wave && u.Phase == progress.Phase
+	switch u.Action {
+	case PauseRelease, ResumeRelease:
+		progress.Paused = u.Action == PauseRelease
+	case AbortRelease:
+		progress.stopAfterWave(u)
+	case FailRelease:
+		if current {
+			progress.fail(u)
 		}
-	case "":
-		if m.Wave != p.Wave || m.Phase != p.Phase || p.Paused && p.Phase != PuttingBack {
-			return
-		}
-		if p.Phase++; p.Phase == phaseCount {
-			p.Wave, p.Phase = p.Wave+1, TakingOut
-		}
-		if p.Wave == len(p.Waves) {
-			if p.Result = "done"; p.StopReason != "" {
-				p.Result = p.StopReason
-			}
+	case AdvanceRelease:
+		if current {
+			progress.advance()
 		}
 	}
 }
 
-// stopAfterWave has the present wave given back, and the release end with it.
-func (p *ReleaseProgress) stopAfterWave(m *ReleaseUpdate) {
-	p.StopReason, p.Paused = m.Action+": "+m.Reason, false
+// stopAfterWave puts the present wave back and ends the release with it.
+func (p *ReleaseProgress) stopAfterWave(u *ReleaseUpdate) {
+	p.StopReason, p.Paused = u.result(), false
 	p.Waves = slices.Clone(p.Waves[:p.Wave+1])
 	p.Phase = max(p.Phase, PuttingBack)
 }
 
-// PhaseDuration is how long a phase lasts from when it began; 0 where it ends with a version in force.
+// fail stops a release. A wave that can't be put back is left to an operator.
+func (p *ReleaseProgress) fail(u *ReleaseUpdate) {
+	if p.Phase < PuttingBack {
+		p.stopAfterWave(u)
+		return
+	}
+	p.Result = u.result()
+}
+
+// advance begins the next phase, the next wave or ends the release.
+func (p *ReleaseProgress) advance() {
+	if p.Paused && p.Phase != PuttingBack {
+		return
+	}
+	if p.Phase++; p.Phase == phaseCount {
+		p.Wave, p.Phase = p.Wave+1, TakingOut
+	}
+	if p.Wave < len(p.Waves) {
+		return
+	}
+	if p.Result = ReleaseDone; p.StopReason != "" {
+		p.Result = p.StopReason
+	}
+}
+
+// PhaseDuration is how long the present phase lasts; 0 where it ends with a version in force.
 func (p *ReleaseProgress) PhaseDuration() time.Duration {
 	switch p.Phase {
 	case Draining:
@@ -161,7 +201,8 @@
 	return 0
 }
 
-// ID of the publish by which a phase takes effect: whoever publishes it, and however often, it is one version.
+// PublishID is the id of the version by which the present phase takes effect: the same whichever node publishes it, and however often.
 func (p *ReleaseProgress) PublishID() string {
-	return fmt.Sprintf("release/%s/%d/%s", p.Release.ID, p.Wave, map[Phase]string{TakingOut: "out", PuttingBack: "in"}[p.Phase])
+	direction := map[Phase]string{TakingOut: "out", PuttingBack: "in"}[p.Phase]
+	return fmt.Sprintf("release/%s/%d/%s", p.Release.ID, p.Wave, direction)
 }
--- a/internal/fleet/agree/tasks.go
+++ b/internal/fleet/agree/tasks.go
@@ -9,22 +9,30 @@
 	"time"
 )
 
-// MaxTasks is how many works have owners at most.
+// MaxTasks is the largest number of singleton tasks of a fleet.
 const MaxTasks = 1024
 
-// TaskOwnership is who does a work for the fleet, one node at a time. Its token only grows: it is a place in the log.
+// maxOwnershipRevisions is how many revisions the state keeps before it drops those of processes without tasks.
+const maxOwnershipRevisions = 4 * MaxTasks
+
+// TaskOwnership says which node runs a singleton task. The token is a fencing token: an index of the log, so that it only grows.
 type TaskOwnership struct {
 	Owner       string `json:"owner"` // node; "": nobody
 	Incarnation string `json:"life"`  // of the node's process
 	Token       uint64 `json:"token"`
-	// Asked is the place in the log from which on the owner is to be another; 0: it is not.
+	// TransferIndex is the index of the log from which on the task is moved to NextOwner; 0: it is not moved.
 	TransferIndex   uint64   `json:"asked,omitempty"`
 	NextOwner       string   `json:"next,omitempty"`
 	NextIncarnation string   `json:"next_life,omitempty"`
-	ReleasedBy      []uint64 `json:"freed,omitempty"` // voters that say that the old owner is none any more
+	ReleasedBy      []uint64 `json:"freed,omitempty"` // voters that say that the old owner no longer acts as such
+}
+
+// isOwner reports whether a process owns the task, or did until it is moved.
+func (t TaskOwnership) isOwner(node, incarnation string) bool {
+	return t.Owner == node && t.Incarnation == incarnation
 }
 
-// OwnParts asks for a work's owner to be a node. Seen is the token that the asker knew: if it is another by then, nothing happens.
+// TaskAssignment gives a task to a node, unless its token is no longer ExpectedToken.
 type TaskAssignment struct {
 	Task          string `json:"work"`
 	Node          string `json:"node"`
@@ -32,211 +40,183 @@
 	ExpectedToken uint64 `json:"seen"`
 }
 
-// TaskRelease is a voter's word that nobody it granted a lease acts as the owner that is to be replaced any more.
+// TaskRelease is a voter's word that the former owner of a task no longer acts as its owner, by the leases that this voter granted.
 type TaskRelease struct {
 	Task          string `json:"work"`
 	TransferIndex uint64 `json:"asked"`
 	Voter         uint64 `json:"voter"`
 }
 
-// processKey is what leases and works go by: a node in one life.
-func processKey(node, life string) string { return node + "\x00" + life }
+// processKey identifies a process in the state.
+func processKey(node, incarnation string) string { return node + "\x00" + incarnation }
 
-// OwnershipRevision gives the place in the log at which the works of a process changed last: a lease covers the works of a set.
-func (s *State) OwnershipRevision(node, life string) uint64 {
-	return s.OwnershipRevisions[processKey(node, life)]
+// OwnershipRevision returns the index of the log at which the tasks of a process changed last. Leases for ownership cover a revision.
+func (s *State) OwnershipRevision(node, incarnation string) uint64 {
+	return s.OwnershipRevisions[processKey(node, incarnation)]
 }
 
-// OwnedTasks gives the works of a process with their tokens, but for those that are to be another's.
-func (s *State) OwnedTasks(node, life string) map[string]uint64 {
-	out := map[string]uint64{}
-	for name, w := range s.Tasks {
-		if w.Owner == node && w.Incarnation == life && w.TransferIndex == 0 {
-			out[name] = w.Token
+// OwnedTasks returns the tasks of a process with their tokens, without those that are moved to another.
+func (s *State) OwnedTasks(node, incarnation string) map[string]uint64 {
+	tokens := map[string]uint64{}
+	for name, task := range s.Tasks {
+		if task.isOwner(node, incarnation) && task.TransferIndex == 0 {
+			tokens[name] = task.Token
 		}
 	}
-	return out
+	return tokens
 }
 
-func (s *State) assignTask(index uint64, o *TaskAssignment) {
-	w, known := s.Tasks[o.Task]
+func (s *State) assignTask(index uint64, a *TaskAssignment) {
+	task, known := s.Tasks[a.Task]
 	switch {
-	case !known && len(s.Tasks) >= MaxTasks, w.Token != o.ExpectedToken, w.TransferIndex != 0, known && w.Owner == o.Node && w.Incarnation == o.Incarnation:
+	case !known && len(s.Tasks) >= MaxTasks, task.Token != a.ExpectedToken, task.TransferIndex != 0:
+		return
+	case known && task.isOwner(a.Node, a.Incarnation):
 		return
 	}
 	if s.Tasks == nil {
 		s.Tasks, s.OwnershipRevisions = map[string]TaskOwnership{}, map[string]uint64{}
 	}
-	if w.Owner == "" {
-		s.Tasks[o.Task] = TaskOwnership{Owner: o.Node, Incarnation: o.Incarnation, Token: index}
-		s.OwnershipRevisions[processKey(o.Node, o.Incarnation)] = index
+	if task.Owner == "" {
+		s.Tasks[a.Task] = TaskOwnership{Owner: a.Node, Incarnation: a.Incarnation, Token: index}
+		s.OwnershipRevisions[processKey(a.Node, a.Incarnation)] = index
 		return
 	}
-	w.TransferIndex, w.NextOwner, w.NextIncarnation = index, o.Node, o.Incarnation
-	s.Tasks[o.Task] = w
-	s.OwnershipRevisions[processKey(w.Owner, w.Incarnation)] = index
+	task.TransferIndex, task.NextOwner, task.NextIncarnation = index, a.Node, a.Incarnation
+	s.Tasks[a.Task] = task
+	s.OwnershipRevisions[processKey(task.Owner, task.Incarnation)] = index
 }
 
-func (s *State) releaseTask(index uint64, f *TaskRelease, voters int) {
-	w, known := s.Tasks[f.Task]
-	if !known || w.TransferIndex == 0 || w.TransferIndex != f.TransferIndex {
+func (s *State) releaseTask(index uint64, r *TaskRelease, voters int) {
+	task, known := s.Tasks[r.Task]
+	if !known || task.TransferIndex == 0 || task.TransferIndex != r.TransferIndex {
 		return
 	}
-	at, there := slices.BinarySearch(w.ReleasedBy, f.Voter)
-	if there {
+	at, released := slices.BinarySearch(task.ReleasedBy, r.Voter)
+	if released {
 		return
 	}
-	w.ReleasedBy = slices.Insert(slices.Clone(w.ReleasedBy), at, f.Voter)
-	if len(w.ReleasedBy) > voters/2 {
-		w = TaskOwnership{Owner: w.NextOwner, Incarnation: w.NextIncarnation, Token: index}
-		s.OwnershipRevisions[processKey(w.Owner, w.Incarnation)] = index
+	task.ReleasedBy = slices.Insert(slices.Clone(task.ReleasedBy), at, r.Voter)
+	if len(task.ReleasedBy) > voters/2 {
+		task = TaskOwnership{Owner: task.NextOwner, Incarnation: task.NextIncarnation, Token: index}
+		s.OwnershipRevisions[processKey(task.Owner, task.Incarnation)] = index
 		s.pruneOwnershipRevisions()
 	}
-	s.Tasks[f.Task] = w
+	s.Tasks[r.Task] = task
 }
 
-// pruneOwnershipRevisions forgets the sets of processes that own nothing and are to own nothing; a lease of theirs covers nothing.
+// pruneOwnershipRevisions drops the revisions of processes that neither own a task nor are to own one.
 func (s *State) pruneOwnershipRevisions() {
-	if len(s.OwnershipRevisions) < 4*MaxTasks {
+	if len(s.OwnershipRevisions) < maxOwnershipRevisions {
 		return
 	}
 	used := map[string]bool{}
-	for _, w := range s.Tasks {
-		used[processKey(w.Owner, w.Incarnation)], used[processKey(w.NextOwner, w.NextIncarnation)] = true, true
+	for _, task := range s.Tasks {
+		used[processKey(task.Owner, task.Incarnation)] = true
+		used[processKey(task.NextOwner, task.NextIncarnation)] = true
 	}
-	maps.DeleteFunc(s.OwnershipRevisions, func(p string, _ uint64) bool { return !used[p] })
-}
-
-// promise is what a voter's leases of a kind come to for one process: it goes along with everything up to a mark.
-type promise struct {
-	revision   uint64
-	end        time.Duration // of the last grant
-	earlierEnd time.Duration // of the last grant by an earlier mark
-	confirmed  uint64        // the process acts on nothing before this mark any more
-}
-
-// extend books a grant that ends at a time; one by a later mark ends nothing of those before.
-func (p *promise) extend(mark, seen uint64, end time.Duration) {
-	p.confirmed = max(p.confirmed, seen)
-	if mark > p.revision {
-		p.revision, p.earlierEnd = mark, max(p.earlierEnd, p.end)
-	}
-	p.end = end
-}
-
-// expired tells whether the process can't act on anything before a mark any more.
-func (p *promise) expired(now time.Duration, mark uint64) bool {
-	end := p.earlierEnd
-	if p.revision < mark {
-		end = p.end
-	}
-	return p.confirmed >= mark || now >= end
-}
-
-// CanRelease tells whether the process that owned a work acts as its owner no more, as far as this voter granted it leases.
-func (d *LeaseTable) CanRelease(now time.Duration, w TaskOwnership) bool {
-	if now < d.quietUntil {
-		return false
-	}
-	h := d.holders[process{w.Owner, w.Incarnation}]
-	return h == nil || h.ownership.expired(now, w.TransferIndex)
-}
-
-// LiveProcess gives the processes that hold a lease, with the time since when they have without a gap, one for each node: its latest.
-func (d *LeaseTable) LiveProcesses(now time.Duration) map[string]LiveProcess {
-	out := map[string]LiveProcess{}
-	for key, h := range d.holders {
-		if was, there := out[key.node]; h.epochs.end > now && (!there || h.continuousSince > was.Since) {
-			out[key.node] = LiveProcess{key.incarnation, h.continuousSince}
-		}
-	}
-	return out
-}
-
-// LiveProcess is a process that holds a lease.
-type LiveProcess struct {
-	Incarnation string
-	Since       time.Duration
+	maps.DeleteFunc(s.OwnershipRevisions, func(key string, _ uint64) bool { return !used[key] })
 }
 
 const (
-	leasesBeforeOwning    = 2 // a node owns nothing before it has held a lease for so many without a gap
-	maxAssignmentsPerTick = 8 // works given an owner in one tick: a takeover of many is spread
-	proposalRetryTicks    = 10
+	leasesBeforeOwning    = 2  // leases' durations for which a node has to hold leases without a gap before it owns a task
+	maxAssignmentsPerTick = 8  // so that the takeover of many tasks is spread over time
+	proposalRetryTicks    = 10 // after which a proposal that the log doesn't show is repeated
 )
 
-// ChooseOwner gives the node that should own a work: of those that have held leases for long enough, the one whose hash with the work is
-// highest, so that a node that goes moves nobody's works but its own.
-func ChooseOwner(work string, live map[string]LiveProcess, eligible []string, now, settle time.Duration) (node, life string) {
+// ChooseOwner returns the process that should own a task, by rendezvous hashing over the eligible nodes that have held leases for long
+// enough: a node that fails moves no tasks but its own.
+func ChooseOwner(task string, live map[string]LiveProcess, eligible []string, now, minHeld time.Duration) (node, incarnation string) {
 	best := uint64(0)
 	for _, name := range eligible {
-		l, there := live[name]
-		if !there || now-l.Since < settle {
+		p, isLive := live[name]
+		if !isLive || now-p.Since < minHeld {
 			continue
 		}
-		h := fnv.New64a()
-		io.WriteString(h, name)
-		h.Write([]byte{0})
-		io.WriteString(h, work)
-		if sum := splitMix64(h.Sum64()); node == "" || sum > best || sum == best && cmp.Less(name, node) {
-			best, node, life = sum, name, l.Incarnation
+		if score := ownerScore(name, task); node == "" || score > best || score == best && cmp.Less(name, node) {
+			best, node, incarnation = score, name, p.Incarnation
 		}
 	}
-	return node, life
+	return node, incarnation
+}
+
+// ownerScore is the rendezvous hash of a node and a task.
+func ownerScore(node, task string) uint64 {
+	h := fnv.New64a()
+	io.WriteString(h, node)
+	h.Write([]byte{0})
+	io.WriteString(h, task)
+	return splitMix64(h.Sum64())
 }
 
-// splitMix64 spreads a sum whose last bytes differ over all of its bits (the finalizer of SplitMix64).
+// splitMix64 is the finalizer of SplitMix64: it spreads a difference in a hash's low bits over all of its bits.
 func splitMix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// manageTasks sees to the owners of works: a voter says whom it has freed, and the leader has works that nobody owns, or whose owner holds no
-// lease, given to others.
+// manageTasks proposes what this voter has to say on the owners of tasks.
 func (v *Voter) manageTasks(now time.Duration) {
-	s := v.state
-	for _, name := range slices.Sorted(maps.Keys(s.Tasks)) {
-		w := s.Tasks[name]
-		if w.TransferIndex != 0 && !slices.Contains(w.ReleasedBy, v.ID) && v.shouldPropose("free "+name, w.TransferIndex) && v.leases.CanRelease(now, w) {
-			v.Propose(&Entry{TaskRelease: &TaskRelease{Task: name, TransferIndex: w.TransferIndex, Voter: v.ID}})
+	v.releaseTasks(now)
+	if v.Leader() == v.ID && now >= v.leases.quietUntil {
+		v.assignTasks(now)
+	}
+}
+
+// releaseTasks tells the log of tasks that are moved and whose former owner no longer acts on a lease of this voter.
+func (v *Voter) releaseTasks(now time.Duration) {
+	for _, name := range slices.Sorted(maps.Keys(v.state.Tasks)) {
+		task := v.state.Tasks[name]
+		if task.TransferIndex == 0 || slices.Contains(task.ReleasedBy, v.ID) {
+			continue
+		}
+		if v.shouldPropose("free "+name, task.TransferIndex) && v.leases.CanRelease(now, task) {
+			v.Propose(&Entry{TaskRelease: &TaskRelease{Task: name, TransferIndex: task.TransferIndex, Voter: v.ID}})
 		}
 	}
-	if v.Leader() != v.ID || len(v.Tasks) == 0 || now < v.leases.quietUntil {
+}
+
+// assignTasks gives tasks without an owner, or whose owner holds no lease, to other nodes.
+func (v *Voter) assignTasks(now time.Duration) {
+	if len(v.Tasks) == 0 {
 		return
 	}
 	live := v.leases.LiveProcesses(now)
-	left := maxAssignmentsPerTick
+	assigned := 0
 	for _, name := range v.Tasks {
-		w := s.Tasks[name]
-		l, there := live[w.Owner]
-		if w.TransferIndex != 0 || there && l.Incarnation == w.Incarnation {
+		task := v.state.Tasks[name]
+		owner, isLive := live[task.Owner]
+		if task.TransferIndex != 0 || isLive && owner.Incarnation == task.Incarnation {
 			continue
 		}
-		node, life := ChooseOwner(name, live, v.EligibleOwners, now, time.Duration(leasesBeforeOwning)*v.leases.config.Duration)
-		if node == "" || !v.shouldPropose("own "+name, w.Token) {
+		node, incarnation := ChooseOwner(name, live, v.EligibleOwners, now, leasesBeforeOwning*v.leases.config.Duration)
+		if node == "" || !v.shouldPropose("own "+name, task.Token) {
 			continue
 		}
-		v.Propose(&Entry{Assignment: &TaskAssignment{Task: name, Node: node, Incarnation: life, ExpectedToken: w.Token}})
-		if left--; left == 0 {
+		v.Propose(&Entry{Assignment: &TaskAssignment{Task: name, Node: node, Incarnation: incarnation, ExpectedToken: task.Token}})
+		if assigned++; assigned == maxAssignmentsPerTick {
 			return
 		}
 	}
 }
 
-// shouldPropose tells whether something was not said in the last ticks of the same place in the log.
-func (v *Voter) shouldPropose(what string, mark uint64) bool {
-	if was, there := v.recentProposals[what]; there && was.revision == mark && v.ticks-was.tick < proposalRetryTicks {
+// recentProposal is when something was proposed last, and at which state of its subject.
+type recentProposal struct {
+	revision uint64
+	tick     int
+}
+
+// shouldPropose reports whether something has not been proposed within the last ticks for the same revision of its subject, and records
+// that it is proposed now.
+func (v *Voter) shouldPropose(what string, revision uint64) bool {
+	last, known := v.recentProposals[what]
+	if known && last.revision == revision && v.ticks-last.tick < proposalRetryTicks {
 		return false
 	}
-	if v.recentProposals == nil || len(v.recentProposals) > 4*MaxTasks {
+	if v.recentProposals == nil || len(v.recentProposals) > maxOwnershipRevisions {
 		v.recentProposals = map[string]recentProposal{}
 	}
-	v.recentProposals[what] = recentProposal{mark, v.ticks}
+	v.recentProposals[what] = recentProposal{revision, v.ticks}
 	return true
 }
-
-type recentProposal struct {
-	revision uint64
-	tick     int
-}
--- a/internal/fleet/peers/admit.go
+++ b/internal/fleet/peers/admit.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"slices"
 	"time"
 
 	"google.golang.org/grpc/codes"
@@ -12,42 +13,51 @@
 	"yokestall/internal/fleet/store"
 )
 
-// A voter that came back on an older copy of its disk has forgotten whom it voted for and what it promised. Each start of a voter has a
-// count, kept on its disk, and each voter keeps the latest start of the others that it has met: before it votes, a voter is admitted by
-// half of the others, and one whom any of them has met in a later life votes no more.
+// A voter that starts on an older copy of its disk has forgotten its votes and promises, so it must not vote. Each voter counts its starts
+// on its own disk, and records the latest start of every other voter that it has seen. Before a voter votes, half of the others have to
+// admit it. A voter of which any other has seen a later start stays a follower.
 
-// StartReply is a voter's answer to another one's start.
+// helloTimeout is how long one attempt to be admitted by another voter takes at most.
+const helloTimeout = time.Second
+
+// StartReply is a voter's answer to another voter's start.
 type StartReply struct {
 	Admitted bool             `json:"ok"`
-	Latest   store.VoterStart `json:"latest"`
+	Latest   store.VoterStart `json:"latest"` // start that the voter has seen
 }
 
-func (n *Node) serveHello(_ context.Context, in *store.VoterStart) (*StartReply, error) {
-	known := false
-	for _, v := range n.Voters {
-		known = known || v.Name == in.Name
-	}
-	if !known {
-		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", in.Name[:min(len(in.Name), agree.MaxName)])
+// oldDiskError is why a voter that runs on an older copy of its disk doesn't vote.
+type oldDiskError struct {
+	dir         string
+	own, latest uint64 // counts of starts
+}
+
+func (e *oldDiskError) Error() string {
+	return fmt.Sprintf("%s: an old copy of this voter's disk: it is at start %d, and another voter has met start %d", e.dir, e.own, e.latest)
+}
+
+func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*StartReply, error) {
+	if !slices.ContainsFunc(n.Voters, func(v Voter) bool { return v.Name == start.Name }) {
+		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", start.Name[:min(len(start.Name), agree.MaxName)])
 	}
-	ok, latest, err := n.store.RecordStart(*in)
+	admitted, latest, err := n.store.RecordStart(*start)
 	if err != nil {
 		return nil, err
 	}
-	return &StartReply{ok, latest}, nil
+	return &StartReply{admitted, latest}, nil
 }
 
-// admit has the others meet this start of the voter; false: it may not vote, or the node ends.
+// admit asks the other voters to admit this start of the voter. It returns false if one refused, or the node stops.
 func (n *Node) admit() bool {
 	need := (len(n.conns) + 1) / 2
-	met := make(chan bool, len(n.conns))
+	replies := make(chan bool, len(n.conns))
 	for _, c := range n.conns {
-		n.background.Go(func() { met <- n.introduce(c) })
+		n.background.Go(func() { replies <- n.introduce(c) })
 	}
 	for need > 0 {
 		select {
-		case ok := <-met:
-			if !ok {
+		case admitted := <-replies:
+			if !admitted {
 				return false
 			}
 			need--
@@ -61,22 +71,22 @@
 	return n.voter != nil
 }
 
-// introduce goes on until another voter has said whether it has met a later life of this one.
+// introduce asks another voter until it admits this start, or refuses it, which ends this node's voting.
 func (n *Node) introduce(c *Conn) bool {
 	for n.ctx.Err() == nil {
-		ctx, stop := context.WithTimeout(n.ctx, time.Second)
-		m, err := call[StartReply](ctx, c, "Hello", n.ownStart)
+		ctx, stop := context.WithTimeout(n.ctx, helloTimeout)
+		reply, err := call[StartReply](ctx, c, methodHello, n.ownStart)
 		stop()
-		switch {
-		case err == nil && m.Admitted:
-			return true
-		case err == nil:
+		if err != nil {
+			n.sleep(minDialBackoff)
+			continue
+		}
+		if !reply.Admitted {
 			n.mu.Lock()
-			n.stopVoting(fmt.Errorf("%s: an old copy of this voter's disk: it is at start %d, and another voter has met start %d", n.Dir, n.ownStart.Count, m.Latest.Count))
+			n.stopVoting(&oldDiskError{n.Dir, n.ownStart.Count, reply.Latest.Count})
 			n.mu.Unlock()
-			return false
 		}
-		n.sleep(minDialBackoff)
+		return reply.Admitted
 	}
 	return false
 }
--- /dev/null
+++ b/internal/fleet/peers/apply.go
@@ -0,0 +1,175 @@
+package peers
+
+import (
+	"errors"
+	"math"
+	"time"
+
+	"yokestall/internal/fleet/agree"
+)
+
+// minReconcileDelay is the shortest time between two rounds of reconcile that nothing woke.
+const minReconcileDelay = time.Millisecond
+
+// reconcile makes the program act on what the lease permits, until the node stops.
+func (n *Node) reconcile() {
+	started := n.Clock()
+	t := time.NewTimer(0)
+	defer t.Stop()
+	for {
+		select {
+		case <-n.ctx.Done():
+			return
+		case <-n.wake:
+		case <-t.C:
+		}
+		n.applyOwnership()
+		n.reconcileRules(started)
+		next := n.Lease.RenewInterval()
+		if a := n.applied.Load(); a != nil && !a.disconnected {
+			next = min(next, a.until-n.Clock())
+		}
+		t.Reset(max(next, minReconcileDelay))
+	}
+}
+
+// reconcileRules applies other rules where the lease asks for them, and the disconnected policy where there is no lease.
+func (n *Node) reconcileRules(started time.Duration) {
+	n.leaseMu.Lock()
+	now := n.Clock()
+	desired := n.lease.DesiredRules(now)
+	current := n.applied.Load()
+	permitted := current != nil && (current.disconnected || n.lease.Permits(now, current.rules))
+	n.leaseMu.Unlock()
+	switch {
+	case desired.Version != 0 && (current == nil || current.disconnected || desired != current.rules):
+		n.applyRules(desired)
+	case !permitted && current != nil:
+		n.enterDisconnected(current.rules)
+	case current == nil && now-started > n.Lease.Duration:
+		n.startDisconnected()
+	}
+}
+
+// applyRules makes the program act on rules that the lease permits.
+func (n *Node) applyRules(rules agree.ActiveRules) {
+	effective, ok := n.effectiveVersion(rules)
+	if !ok {
+		return // a version was evicted meanwhile, and is fetched again
+	}
+	previous := n.boundByLease(rules)
+	if err := n.Apply(effective); err != nil {
+		n.applied.Store(previous) // the program still acts on that
+		n.rejectRules(rules, err)
+		return
+	}
+	n.leaseMu.Lock()
+	n.lease.ConfirmRules(rules)
+	n.applied.Store(&appliedRules{rules: rules, until: n.leaseEnd(rules)})
+	n.leaseMu.Unlock()
+	n.Log.Info("acts on", "rules", rules.String(), "epoch", rules.Epoch, "boot", int64(BootTime()))
+	n.renewLeasesNow() // tells the voters of the confirmation
+	if rules.PendingVersion == 0 {
+		n.background.Go(func() { n.saveLastVersion(rules.Version) })
+	}
+}
+
+// effectiveVersion returns the version, or the stricter of two, that rules stand for; false: one of them is not cached.
+func (n *Node) effectiveVersion(rules agree.ActiveRules) (agree.EffectiveVersion, bool) {
+	n.versionsMu.Lock()
+	active, pending := n.versions[rules.Version], n.versions[rules.PendingVersion]
+	n.versionsMu.Unlock()
+	switch {
+	case active == nil || rules.PendingVersion != 0 && pending == nil:
+		return agree.EffectiveVersion{}, false
+	case rules.PendingVersion == 0:
+		return agree.EffectiveVersion{Version: active}, true
+	}
+	stricter := agree.Stricter(active, pending)
+	if err := errors.Join(agree.AsStrict(stricter, active), agree.AsStrict(stricter, pending)); err != nil {
+		n.Log.Error("nothing is served in between: the stricter of two versions is laxer than one of them", "rules", rules, "err", err)
+		for _, c := range stricter.Program.Classes {
+			stricter.Refused[c.Name] = "the rules change"
+		}
+	}
+	return stricter, true
+}
+
+// boundByLease binds a program that acts on nothing, or without a lease, to the lease of the rules that it is about to apply, so that it
+// is bound from the first moment on. It returns what the program acts on.
+func (n *Node) boundByLease(rules agree.ActiveRules) *appliedRules {
+	n.leaseMu.Lock()
+	defer n.leaseMu.Unlock()
+	current := n.applied.Load()
+	if current == nil || current.disconnected {
+		n.applied.Store(&appliedRules{rules: rules, until: n.leaseEnd(rules)})
+	}
+	return current
+}
+
+// rejectRules records that the program can't apply the newest version of rules, and reports it while that version is pending.
+func (n *Node) rejectRules(rules agree.ActiveRules, err error) {
+	newest := max(rules.Version, rules.PendingVersion)
+	n.versionsMu.Lock()
+	n.rejected[newest] = err.Error()
+	delete(n.versions, newest)
+	n.versionsMu.Unlock()
+	n.Log.Error("a version can't be taken", "rules", rules, "err", err)
+	if rules.PendingVersion != 0 {
+		n.background.Go(func() { n.reportRefusal(rules.PendingVersion, err.Error()) })
+	}
+}
+
+// saveLastVersion records a version as the one for a start without a quorum.
+func (n *Node) saveLastVersion(number uint64) {
+	m, err := n.fetchManifest(n.ctx, number)
+	if err == nil {
+		err = n.store.SaveLastVersion(m)
+	}
+	if err != nil && n.ctx.Err() == nil {
+		n.Log.Warn("the last version is not kept for a start alone", "version", number, "err", err)
+	}
+}
+
+// enterDisconnected restricts the program to the disconnected policy after the lease has expired.
+func (n *Node) enterDisconnected(last agree.ActiveRules) {
+	n.versionsMu.Lock()
+	active, pending := n.versions[last.Version], n.versions[last.PendingVersion]
+	n.versionsMu.Unlock()
+	switch {
+	case active != nil && pending != nil:
+		n.applyDisconnected(agree.Stricter(active, pending), last)
+	case active != nil:
+		n.applyDisconnected(agree.EffectiveVersion{Version: active}, last)
+	}
+}
+
+// startDisconnected is enterDisconnected for a node that has reached no quorum since its start.
+func (n *Node) startDisconnected() {
+	m, err := n.store.LastVersion()
+	if m == nil || err != nil {
+		return
+	}
+	v, err := n.parseVersion(n.ctx, m)
+	if err != nil {
+		n.Log.Error("the last version can't be read", "err", err)
+		return
+	}
+	n.versionsMu.Lock()
+	n.cacheVersion(m, v)
+	n.versionsMu.Unlock()
+	n.applyDisconnected(agree.EffectiveVersion{Version: v}, agree.ActiveRules{Version: m.Number})
+}
+
+func (n *Node) applyDisconnected(effective agree.EffectiveVersion, last agree.ActiveRules) {
+	if err := n.Apply(agree.DisconnectedVersion(effective, n.Disconnected, time.Now())); err != nil {
+		n.Log.Error("nothing is served without a lease", "err", err)
+		return
+	}
+	until := time.Duration(math.MaxInt64)
+	if limit := n.Disconnected.MaxDuration; limit > 0 {
+		until = n.Clock() + limit
+	}
+	n.applied.Store(&appliedRules{rules: last, disconnected: true, until: until})
+	n.Log.Warn("the lease is over: acts alone", "rules", last.String(), "boot", int64(BootTime()))
+}
--- a/internal/fleet/peers/client.go
+++ b/internal/fleet/peers/client.go
@@ -9,6 +9,7 @@
 	"fmt"
 	"maps"
 	"slices"
+	"sync"
 	"time"
 
 	"google.golang.org/grpc/codes"
@@ -19,13 +20,23 @@
 	"yokestall/internal/fleet/agree"
 )
 
-// Client speaks to a fleet's voters on behalf of an operator.
+const (
+	statusTimeout      = 2 * time.Second // for a voter's status
+	statusPollInterval = 20 * time.Millisecond
+	// maxChangesPerVersion is how many changes of lists a version may consist of; the next one replaces the lists as a whole.
+	maxChangesPerVersion = 64
+)
+
+// ErrNoQuorum is returned when fewer than a majority of the voters answer.
+var ErrNoQuorum = errors.New("no majority of the voters answers")
+
+// Client is an operator's client of a fleet's voters.
 type Client struct {
 	voters []Voter
 	conns  []*Conn
 }
 
-// NewClient makes a client; connections are made when they are needed.
+// NewClient creates a client. Its connections are established when they are needed.
 func NewClient(fleet string, voters []Voter, with *tls.Config) (*Client, error) {
 	c := &Client{voters: voters}
 	for _, v := range voters {
@@ -39,16 +50,13 @@
 	return c, nil
 }
 
-// Close closes its connections.
+// Close closes the client's connections.
 func (c *Client) Close() {
 	for _, conn := range c.conns {
 		conn.Close()
 	}
 }
 
-// statusTimeout is how long a voter has to say how things stand.
-const statusTimeout = 2 * time.Second
-
 // VoterStatus is a voter's status, or why there is none.
 type VoterStatus struct {
 	Voter  string  `json:"voter"`
@@ -56,132 +64,129 @@
 	Error  string  `json:"error,omitempty"`
 }
 
-// Status asks all voters at once.
+// Status asks all voters for their status at the same time.
 func (c *Client) Status(ctx context.Context) []VoterStatus {
 	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
-	out := make([]VoterStatus, len(c.conns))
+	statuses := make([]VoterStatus, len(c.conns))
 	forEachConn(c.conns, func(i int, conn *Conn) {
-		out[i].Voter = c.voters[i].Name
+		statuses[i].Voter = c.voters[i].Name
 		s, err := conn.Status(ctx)
-		if out[i].Status = s; err != nil {
-			out[i].Error = err.Error()
+		if statuses[i].Status = s; err != nil {
+			statuses[i].Error = err.Error()
 		}
 	})
-	return out
+	return statuses
 }
 
+// forEachConn calls do for all connections at the same time and waits for all calls.
 func forEachConn(conns []*Conn, do func(i int, c *Conn)) {
-	done := make(chan struct{})
+	var calls sync.WaitGroup
 	for i, c := range conns {
-		go func() {
-			do(i, c)
-			done <- struct{}{}
-		}()
-	}
-	for range conns {
-		<-done
+		calls.Go(func() { do(i, c) })
 	}
+	calls.Wait()
 }
 
-// ErrNoQuorum is that too few voters answer.
-var ErrNoQuorum = errors.New("no majority of the voters answers")
-
-// LatestStatus gives the status of the voter that has read furthest; an error where less than a majority answers.
+// LatestStatus returns the status of the voter that has applied most of the log, if a majority of the voters answers.
 func (c *Client) LatestStatus(ctx context.Context) (*Status, error) {
-	var newest *Status
-	got := 0
-	var last string
+	var latest *Status
+	answers := 0
+	var lastError string
 	for _, a := range c.Status(ctx) {
 		if a.Status == nil || !a.Status.Voter {
-			last = fmt.Sprint(a.Voter, ": ", a.Error)
+			lastError = fmt.Sprint(a.Voter, ": ", a.Error)
 			continue
 		}
-		if got++; newest == nil || a.Status.LogStatus.Index > newest.LogStatus.Index {
-			newest = a.Status
+		if answers++; latest == nil || a.Status.LogStatus.Index > latest.LogStatus.Index {
+			latest = a.Status
 		}
 	}
-	if got <= len(c.conns)/2 {
-		return nil, fmt.Errorf("%w: %d of %d (%s)", ErrNoQuorum, got, len(c.conns), last)
+	if !c.isQuorum(answers) {
+		return nil, fmt.Errorf("%w: %d of %d (%s)", ErrNoQuorum, answers, len(c.conns), lastError)
 	}
-	return newest, nil
+	return latest, nil
 }
 
-// OwnershipToken asks a voter, by its place, for the token by which it owns a work at this moment; 0: it doesn't.
-func (c *Client) OwnershipToken(ctx context.Context, at int, work string) (token uint64, err error) {
-	r, err := call[OwnershipQuery](ctx, c.conns[at], "Owns", OwnershipQuery{Task: work})
+func (c *Client) isQuorum(voters int) bool { return voters > len(c.conns)/2 }
+
+// OwnershipToken asks the voter at an index of the client's voters for the fencing token by which it owns a task at this moment; 0: it doesn't.
+func (c *Client) OwnershipToken(ctx context.Context, voter int, task string) (token uint64, err error) {
+	reply, err := call[OwnershipQuery](ctx, c.conns[voter], methodOwnership, OwnershipQuery{Task: task})
 	if err != nil {
 		return 0, err
 	}
-	return r.Token, nil
+	return reply.Token, nil
 }
 
-// NewID gives an id for a publish: the same one again is the same publish.
+// NewID creates an id for a publish. A publish that is repeated with the same id takes effect once.
 func NewID() string {
 	b := make([]byte, 16)
 	rand.Read(b)
 	return hex.EncodeToString(b)
 }
 
-// Publish has a version taken up that was made from another. Its content is at a majority of the voters before it is
-// proposed, so that none that is in force can be lost with a minority. An answer without a number says why; with Again the same
-// publish may be sent again.
+// Publish publishes a version that was made from a base. Its content is stored by a majority of the voters before the version is proposed,
+// so that no version is lost with a minority. A reply without a number says why; if its Retry is set, the same call may succeed later.
 func (c *Client) Publish(ctx context.Context, id string, base uint64, list []config.File) (*PublishReply, error) {
-	p := PublishRequest{ID: id, Base: base}
+	request := PublishRequest{ID: id, Base: base}
 	content := map[string][]byte{}
 	for _, f := range list {
 		h := hash(f.Text)
 		content[h] = f.Text
-		p.Parts = append(p.Parts, agree.Part{Name: f.Name, Hash: h, Size: len(f.Text)})
+		request.Parts = append(request.Parts, agree.Part{Name: f.Name, Hash: h, Size: len(f.Text)})
 	}
-	return c.publish(ctx, p, content)
+	return c.publish(ctx, request, content)
 }
 
-// maxChangesPerVersion is how many changes of a list a version has at most; the next one takes the list up whole.
-const maxChangesPerVersion = 64
-
-// PublishChange has a version taken up that differs from another in one cluster's list: only the change travels. With maxChangesPerVersion of them beside
-// a list, it is written anew, whole.
+// PublishChange publishes a version that differs from its base in one cluster's list; only the change is sent. Once a version consists of
+// maxChangesPerVersion changes, the lists are sent as a whole.
 func (c *Client) PublishChange(ctx context.Context, id string, base uint64, change config.File) (*PublishReply, error) {
 	patch, err := config.ParseChange(change)
 	if err != nil {
 		return nil, err
 	}
-	var m *agree.Manifest
-	var at *Conn
-	for _, conn := range c.conns {
-		one, stop := context.WithTimeout(ctx, statusTimeout)
-		m, err = conn.Describe(one, base)
-		if at = conn; err == nil {
-			stop()
-			break
-		}
-		stop()
-	}
+	m, conn, err := c.describe(ctx, base)
 	if err != nil {
 		return nil, fmt.Errorf("version %d: %w", base, err)
 	}
-	others := 0
+	changes := 0
 	for _, p := range m.Parts {
 		if files.IsChange(p.Name) {
-			others++
+			changes++
 		}
 	}
-	h := hash(change.Text)
-	p := PublishRequest{ID: id, Base: base, Extends: true, Parts: []agree.Part{{Name: files.ChangePart(patch.Name, others), Hash: h, Size: len(change.Text)}}}
-	if others < maxChangesPerVersion {
-		return c.publish(ctx, p, map[string][]byte{h: change.Text})
+	if changes >= maxChangesPerVersion {
+		list, err := mergeChanges(ctx, conn, m, change)
+		if err != nil {
+			return nil, err
+		}
+		return c.Publish(ctx, id, base, list)
 	}
-	list, err := mergeChanges(ctx, at, m, change)
-	if err != nil {
-		return nil, err
+	h := hash(change.Text)
+	part := agree.Part{Name: files.ChangePart(patch.Name, changes), Hash: h, Size: len(change.Text)}
+	request := PublishRequest{ID: id, Base: base, Extends: true, Parts: []agree.Part{part}}
+	return c.publish(ctx, request, map[string][]byte{h: change.Text})
+}
+
+// describe returns a version's manifest from the first voter that has it, and the connection to that voter.
+func (c *Client) describe(ctx context.Context, number uint64) (*agree.Manifest, *Conn, error) {
+	last := error(ErrNoQuorum)
+	for _, conn := range c.conns {
+		one, stop := context.WithTimeout(ctx, statusTimeout)
+		m, err := conn.Describe(one, number)
+		stop()
+		if err == nil {
+			return m, conn, nil
+		}
+		last = err
 	}
-	return c.Publish(ctx, id, base, list)
+	return nil, nil, last
 }
 
-// mergeChanges gives a version's files with a change, and all that came before it, in the lists themselves.
+// mergeChanges returns the files of a version with its changes, and a further one, applied to the lists.
 func mergeChanges(ctx context.Context, conn *Conn, m *agree.Manifest, change config.File) ([]config.File, error) {
-	var list, out []config.File
+	var list, merged []config.File
 	for _, p := range m.Parts {
 		data, err := conn.Fetch(ctx, p)
 		if err != nil {
@@ -189,7 +194,7 @@
 		}
 		f := config.File{Name: p.Name, Text: data}
 		if list = append(list, f); p.Name == files.ProgramPart {
-			out = append(out, f)
+			merged = append(merged, f)
 		}
 	}
 	s, err := files.Unbundle(append(list, config.File{Name: files.ChangePart("", 0), Text: change.Text}))
@@ -197,43 +202,30 @@
 		return nil, err
 	}
 	for i, name := range slices.Sorted(maps.Keys(s.Version.Clusters)) {
-		out = append(out, config.File{Name: fmt.Sprintf("list-%04d.toml", i), Text: config.FormatCluster(s.Version.Clusters[name])})
+		merged = append(merged, config.File{Name: fmt.Sprintf("list-%04d.toml", i), Text: config.FormatCluster(s.Version.Clusters[name])})
 	}
-	return out, nil
+	return merged, nil
 }
 
-// Rollback has a version of the history taken up again, as a new one.
+// Rollback publishes a version of the history again, as a new one.
 func (c *Client) Rollback(ctx context.Context, id string, base, number uint64) (*PublishReply, error) {
-	last := fmt.Errorf("version %d: %w", number, ErrNoQuorum)
-	for _, conn := range c.conns {
-		one, stop := context.WithTimeout(ctx, statusTimeout)
-		m, err := conn.Describe(one, number)
-		stop()
-		if err != nil {
-			last = err
-			continue
-		}
-		return c.publish(ctx, PublishRequest{ID: id, Base: base, Parts: m.Parts}, nil)
+	m, _, err := c.describe(ctx, number)
+	if err != nil {
+		return nil, err
 	}
-	return nil, last
+	return c.publish(ctx, PublishRequest{ID: id, Base: base, Parts: m.Parts}, nil)
 }
 
-func (c *Client) publish(ctx context.Context, p PublishRequest, content map[string][]byte) (*PublishReply, error) {
-	errs := make([]error, len(c.conns))
-	if content != nil {
-		forEachConn(c.conns, func(i int, conn *Conn) {
-			one, stop := context.WithTimeout(ctx, publishTimeout)
-			defer stop()
-			errs[i] = conn.Put(one, content)
-		})
-	}
-	good := 0
+// publish uploads content to a majority of the voters and has one of them publish a version.
+func (c *Client) publish(ctx context.Context, request PublishRequest, content map[string][]byte) (*PublishReply, error) {
+	errs := c.upload(ctx, content)
+	uploaded := 0
 	for _, err := range errs {
 		if err == nil {
-			good++
+			uploaded++
 		}
 	}
-	if good <= len(c.conns)/2 {
+	if !c.isQuorum(uploaded) {
 		return nil, fmt.Errorf("%w: %w", ErrNoQuorum, errors.Join(errs...))
 	}
 	var last error
@@ -242,49 +234,56 @@
 			continue
 		}
 		one, stop := context.WithTimeout(ctx, publishTimeout+statusTimeout)
-		out, err := conn.Publish(one, p)
+		reply, err := conn.Publish(one, request)
 		stop()
-		if err == nil && (out.Number > 0 || !out.Retry) {
-			return out, nil
-		}
-		if status.Code(err) == codes.InvalidArgument {
-			return nil, err // it will be no better
-		}
-		if err == nil {
-			err = errors.New(out.Error)
+		switch {
+		case err == nil && (reply.Number > 0 || !reply.Retry):
+			return reply, nil
+		case status.Code(err) == codes.InvalidArgument: // any voter would refuse it
+			return nil, err
+		case err == nil:
+			err = errors.New(reply.Error)
 		}
 		last = err
 	}
 	return &PublishReply{Error: last.Error(), Retry: true}, nil
 }
 
-// PublishOutcome is how a version that was taken up came out.
+// upload stores content at all voters at the same time and returns their errors.
+func (c *Client) upload(ctx context.Context, content map[string][]byte) []error {
+	errs := make([]error, len(c.conns))
+	if content == nil {
+		return errs
+	}
+	forEachConn(c.conns, func(i int, conn *Conn) {
+		one, stop := context.WithTimeout(ctx, publishTimeout)
+		defer stop()
+		errs[i] = conn.Put(one, content)
+	})
+	return errs
+}
+
+// PublishOutcome is what became of a version that is in the log.
 type PublishOutcome struct {
 	InForce       bool     `json:"in_force"`
 	RefusalReason string   `json:"refused,omitempty"`
 	WaitingFor    []string `json:"waits,omitempty"` // nodes that have neither confirmed nor lost their lease
 }
 
-// WaitForVersion waits until a version is in force or refused, and tells meanwhile who is waited for. When ctx ends first, it
-// gives what it knows, with ctx's error.
-func (c *Client) WaitForVersion(ctx context.Context, number uint64, tell func(PublishOutcome)) (PublishOutcome, error) {
+// WaitForVersion waits until a version is in force or refused, and calls progress whenever the outcome so far changes. If ctx ends first, it
+// returns the outcome so far and ctx's error.
+func (c *Client) WaitForVersion(ctx context.Context, number uint64, progress func(PublishOutcome)) (PublishOutcome, error) {
 	var last PublishOutcome
-	t := time.NewTicker(20 * time.Millisecond)
+	t := time.NewTicker(statusPollInterval)
 	defer t.Stop()
 	for {
 		if s, err := c.LatestStatus(ctx); err == nil {
-			now := PublishOutcome{InForce: s.LogStatus.ActiveVersion >= number && s.LogStatus.PendingVersion != number, WaitingFor: s.WaitingFor}
-			for i := range s.History {
-				if m := &s.History[i]; m.Number == number && m.RefusalReason != "" {
-					now.InForce, now.RefusalReason = false, m.RefusalReason
-				}
-			}
+			now := s.outcome(number)
 			if now.InForce || now.RefusalReason != "" {
-				now.WaitingFor = nil
 				return now, nil
 			}
 			if fmt.Sprint(now) != fmt.Sprint(last) {
-				tell(now)
+				progress(now)
 			}
 			last = now
 		}
@@ -295,3 +294,16 @@
 		}
 	}
 }
+
+// outcome returns what has become of a version by a voter's status.
+func (s *Status) outcome(number uint64) PublishOutcome {
+	for i := range s.History {
+		if m := &s.History[i]; m.Number == number && m.RefusalReason != "" {
+			return PublishOutcome{RefusalReason: m.RefusalReason}
+		}
+	}
+	if s.LogStatus.ActiveVersion >= number && s.LogStatus.PendingVersion != number {
+		return PublishOutcome{InForce: true}
+	}
+	return PublishOutcome{WaitingFor: s.WaitingFor}
+}
--- a/internal/fleet/peers/dial.go
+++ b/internal/fleet/peers/dial.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"crypto/tls"
-	"encoding/json"
 	"time"
 
 	pb "go.etcd.io/raft/v3/raftpb"
@@ -19,11 +18,11 @@
 
 const (
 	minDialBackoff = 50 * time.Millisecond
-	maxDialBackoff = 500 * time.Millisecond // between two tries to connect: a link that is back is used at once
+	maxDialBackoff = 500 * time.Millisecond // short, so that a link that is back is soon used
 	dialTimeout    = time.Second
 )
 
-// Dial gives a connection to a voter, which is made when it is needed, and again when it breaks.
+// Dial returns a connection to a voter. It is established when it is first used, and again whenever it breaks.
 func Dial(v Voter, with *tls.Config, fleet string) (*Conn, error) {
 	creds := insecure.NewCredentials()
 	if with != nil {
@@ -42,121 +41,63 @@
 	return &Conn{c, fleet}, nil
 }
 
-// sendRaftMessages carries messages to a voter, until the node ends.
-func (n *Node) sendRaftMessages(id uint64, c *Conn, queue <-chan *pb.Message) {
+// sendRaftMessages sends the queued messages to another voter until the node stops.
+func (n *Node) sendRaftMessages(c *Conn, queue <-chan *pb.Message) {
 	for n.ctx.Err() == nil {
-		n.sendRaftStream(id, c, queue)
+		n.sendRaftStream(c, queue)
 		n.sleep(minDialBackoff)
 	}
 }
 
-// sendRaftStream does so over one stream, until that breaks.
-func (n *Node) sendRaftStream(id uint64, c *Conn, queue <-chan *pb.Message) {
+// sendRaftStream sends queued messages over one stream until that breaks.
+func (n *Node) sendRaftStream(c *Conn, queue <-chan *pb.Message) {
 	ctx, stop := context.WithCancel(n.ctx)
 	defer stop()
-	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true}, "/"+service+"/Carry")
-	lost := func(m *pb.Message) {
-		n.withVoter(func(v *agree.Voter) error {
-			v.Unreachable(id)
-			if m.GetType() == pb.MsgSnap {
-				v.SnapshotSent(id, false)
-			}
-			return nil
-		})
-	}
+	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true}, methodPath(streamRaftMessages))
 	if err != nil {
-		for { // what waited meanwhile is old
-			select {
-			case m := <-queue:
-				lost(m)
-				continue
-			default:
-			}
-			return
-		}
+		n.dropQueued(queue)
+		return
 	}
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		s.RecvMsg(&wrapperspb.BytesValue{})
-		close(over)
+		close(ended)
 	}()
-	defer func() { stop(); <-over }()
+	defer func() { stop(); <-ended }()
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-over:
+		case <-ended:
 			return
 		case m := <-queue:
-			data, err := proto.Marshal(m)
-			if err == nil {
-				err = s.SendMsg(wrapperspb.Bytes(data))
-			}
-			if err != nil {
-				lost(m)
+			if err := sendRaftMessage(s, m); err != nil {
+				n.withVoter(func(v *agree.Voter) error { reportLost(v, m); return nil })
 				return
 			}
 			if m.GetType() == pb.MsgSnap {
-				n.withVoter(func(v *agree.Voter) error { v.SnapshotSent(id, true); return nil })
+				n.withVoter(func(v *agree.Voter) error { v.SnapshotSent(m.GetTo(), true); return nil })
 			}
 		}
 	}
 }
 
-// renewLeaseWith asks a voter for leases, until the node ends.
-func (n *Node) renewLeaseWith(c *Conn) {
-	for n.ctx.Err() == nil {
-		n.renewLeaseStream(c)
-		n.sleep(minDialBackoff)
+func sendRaftMessage(s grpc.ClientStream, m *pb.Message) error {
+	data, err := proto.Marshal(m)
+	if err != nil {
+		return err
 	}
+	return s.SendMsg(wrapperspb.Bytes(data))
 }
 
-// renewLeaseStream does so over one stream, until that breaks, or says nothing for longer than two leases.
-func (n *Node) renewLeaseStream(c *Conn) {
-	ctx, stop := context.WithCancel(n.ctx)
-	defer stop()
-	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, "/"+service+"/Attend")
-	if err != nil {
-		return
-	}
-	silent := time.AfterFunc(2*n.Lease.Duration, stop)
-	defer silent.Stop()
-	over := make(chan struct{})
-	go func() {
-		defer close(over)
-		defer stop()
-		for {
-			in := &wrapperspb.BytesValue{}
-			if s.RecvMsg(in) != nil {
-				return
-			}
-			var r LeaseReply
-			if err := json.Unmarshal(in.GetValue(), &r); err != nil {
-				n.Log.Warn("a voter's reply can't be read", "voter", c.Target(), "err", err)
-				return
-			}
-			silent.Reset(2 * n.Lease.Duration)
-			if r.Error != "" {
-				n.Log.Warn("a voter grants no lease", "voter", c.Target(), "err", r.Error)
-				continue
-			}
-			n.handleLeaseReply(r.Grant, r.LogStatus)
-		}
-	}()
-	defer func() { stop(); <-over }()
-	t := time.NewTicker(n.Lease.RenewInterval())
-	defer t.Stop()
+// dropQueued drops the queued messages: they are too old once the connection is back.
+func (n *Node) dropQueued(queue <-chan *pb.Message) {
 	for {
-		a, now := n.nextLeaseRequest()
-		out, err := pack(a)
-		if err != nil || s.SendMsg(out) != nil {
-			return
-		}
 		select {
-		case <-ctx.Done():
+		case m := <-queue:
+			n.withVoter(func(v *agree.Voter) error { reportLost(v, m); return nil })
+		default:
 			return
-		case <-t.C:
-		case <-now:
 		}
 	}
 }
--- /dev/null
+++ b/internal/fleet/peers/lease.go
@@ -0,0 +1,220 @@
+package peers
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/protobuf/types/known/wrapperspb"
+
+	"yokestall/internal/fleet/agree"
+)
+
+// silentLeases is after how many leases' durations a stream over which no reply comes is closed.
+const silentLeases = 2
+
+// nextLeaseRequest returns the next request, and a channel that is closed when the one after it should be sent at once.
+func (n *Node) nextLeaseRequest() (agree.LeaseRequest, <-chan struct{}) {
+	n.leaseMu.Lock()
+	defer n.leaseMu.Unlock()
+	request := n.lease.NextRequest(n.Clock())
+	request.Node, request.Incarnation = n.Name, n.incarnation
+	return request, n.renewNow
+}
+
+// renewLeasesNow renews the lease at all voters at once.
+func (n *Node) renewLeasesNow() {
+	n.leaseMu.Lock()
+	defer n.leaseMu.Unlock()
+	close(n.renewNow)
+	n.renewNow = make(chan struct{})
+}
+
+// handleLeaseReply records a grant and the log's status, either of which may be nil, and wakes reconcile.
+func (n *Node) handleLeaseReply(grant *agree.Grant, status *agree.LogStatus) {
+	n.leaseMu.Lock()
+	if grant != nil {
+		n.lease.HandleGrant(*grant)
+	}
+	if status != nil {
+		n.lease.UpdateLogStatus(*status)
+	}
+	if a := n.applied.Load(); a != nil && !a.disconnected {
+		n.applied.Store(&appliedRules{rules: a.rules, until: n.leaseEnd(a.rules)})
+	}
+	n.leaseMu.Unlock()
+	select {
+	case n.wake <- struct{}{}:
+	default:
+	}
+}
+
+// leaseEnd returns when the lease for rules ends; n.leaseMu is held.
+func (n *Node) leaseEnd(rules agree.ActiveRules) time.Duration {
+	now := n.Clock()
+	if !n.lease.Permits(now, rules) {
+		return 0
+	}
+	return now + n.lease.Remaining(now, rules)
+}
+
+// logStatus returns the latest state of the log that this node has heard of.
+func (n *Node) logStatus() agree.LogStatus {
+	n.leaseMu.Lock()
+	defer n.leaseMu.Unlock()
+	return n.lease.LogStatus()
+}
+
+// renewOwnLease renews the lease that a voter grants to its own node.
+func (n *Node) renewOwnLease() {
+	t := time.NewTicker(n.Lease.RenewInterval())
+	defer t.Stop()
+	for {
+		_, changed := n.stateAndChange()
+		request, now := n.nextLeaseRequest()
+		if grant, err := n.grantLease(request); err == nil {
+			n.handleLeaseReply(&grant, nil)
+		}
+		select {
+		case <-n.ctx.Done():
+			return
+		case <-t.C:
+		case <-now:
+		case <-changed:
+		}
+	}
+}
+
+// renewLeaseWith renews the lease at another voter until the node stops.
+func (n *Node) renewLeaseWith(c *Conn) {
+	for n.ctx.Err() == nil {
+		n.renewLeaseStream(c)
+		n.sleep(minDialBackoff)
+	}
+}
+
+// renewLeaseStream renews the lease over one stream until that breaks or is silent for too long.
+func (n *Node) renewLeaseStream(c *Conn) {
+	ctx, stop := context.WithCancel(n.ctx)
+	defer stop()
+	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, methodPath(streamLeases))
+	if err != nil {
+		return
+	}
+	silent := time.AfterFunc(silentLeases*n.Lease.Duration, stop)
+	defer silent.Stop()
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		defer stop()
+		n.receiveLeaseReplies(c, s, silent)
+	}()
+	defer func() { stop(); <-ended }()
+	n.sendLeaseRequests(ctx, s)
+}
+
+// sendLeaseRequests sends requests until the stream breaks.
+func (n *Node) sendLeaseRequests(ctx context.Context, s grpc.ClientStream) {
+	t := time.NewTicker(n.Lease.RenewInterval())
+	defer t.Stop()
+	for {
+		request, now := n.nextLeaseRequest()
+		out, err := pack(request)
+		if err != nil || s.SendMsg(out) != nil {
+			return
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-t.C:
+		case <-now:
+		}
+	}
+}
+
+// receiveLeaseReplies handles replies until the stream breaks. Each reply sets the timer back.
+func (n *Node) receiveLeaseReplies(c *Conn, s grpc.ClientStream, silent *time.Timer) {
+	for {
+		in := &wrapperspb.BytesValue{}
+		if s.RecvMsg(in) != nil {
+			return
+		}
+		var reply LeaseReply
+		if err := json.Unmarshal(in.GetValue(), &reply); err != nil {
+			n.Log.Warn("a voter's reply can't be read", "voter", c.Target(), "err", err)
+			return
+		}
+		silent.Reset(silentLeases * n.Lease.Duration)
+		if reply.Error != "" {
+			n.Log.Warn("a voter grants no lease", "voter", c.Target(), "err", reply.Error)
+			continue
+		}
+		n.handleLeaseReply(reply.Grant, reply.LogStatus)
+	}
+}
+
+// serveLeases grants leases to another node for as long as its stream lasts, and tells it when the log's status changes.
+func (n *Node) serveLeases(s grpc.ServerStream) error {
+	if !n.isVoter() {
+		return errNotVoter
+	}
+	requests, failed := make(chan agree.LeaseRequest), make(chan error, 1)
+	go func() { failed <- receiveLeaseRequests(s, requests) }()
+	for {
+		_, changed := n.stateAndChange()
+		var reply LeaseReply
+		select {
+		case err := <-failed:
+			return err
+		case <-n.ctx.Done():
+			return nil
+		case request := <-requests:
+			reply = n.replyToLeaseRequest(request)
+		case <-changed:
+			state := n.state()
+			if state == nil {
+				return errNotVoter
+			}
+			status := state.LogStatus()
+			reply.LogStatus = &status
+		}
+		out, err := pack(reply)
+		if err != nil {
+			return err
+		}
+		if err := s.SendMsg(out); err != nil {
+			return err
+		}
+	}
+}
+
+func (n *Node) replyToLeaseRequest(request agree.LeaseRequest) LeaseReply {
+	grant, err := n.grantLease(request)
+	if err != nil {
+		return LeaseReply{Error: err.Error()}
+	}
+	return LeaseReply{Grant: &grant}
+}
+
+// receiveLeaseRequests passes a node's requests on until its stream ends, and returns why it did.
+func receiveLeaseRequests(s grpc.ServerStream, requests chan<- agree.LeaseRequest) error {
+	for {
+		in := &wrapperspb.BytesValue{}
+		if err := s.RecvMsg(in); err != nil {
+			return ignoreEOF(err)
+		}
+		var request agree.LeaseRequest
+		if err := unpack(in, &request); err != nil {
+			return err
+		}
+		if err := checkLeaseRequest(request); err != nil {
+			return err
+		}
+		select {
+		case requests <- request:
+		case <-s.Context().Done():
+			return s.Context().Err()
+		}
+	}
+}
--- a/internal/fleet/peers/node.go
+++ b/internal/fleet/peers/node.go
@@ -1,5 +1,5 @@
-// Package peers is the shell around what a fleet agrees on: it runs the pure modules of fleet/agree over RPC, a store and clocks, and
-// gives the program a version to act on, with the time for which it may.
+// Package peers runs a node of a fleet: it drives the state machines of fleet/agree with RPCs, a store and clocks, and has the program
+// apply the configuration version that the node's lease permits.
 package peers
 
 import (
@@ -17,8 +17,6 @@
 	"time"
 
 	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
 
 	"yokestall/internal/config"
 	"yokestall/internal/fleet/agree"
@@ -26,90 +24,103 @@
 	"yokestall/internal/fleet/terms"
 )
 
-// Config is what a node is told.
+// Voter is the name and the address of a voter of the fleet.
+type Voter struct{ Name, Address string }
+
+// ID returns the voter's id in the log.
+func (v Voter) ID() uint64 { return voterID(v.Name) }
+
+func voterID(name string) uint64 {
+	h := fnv.New64a()
+	io.WriteString(h, name)
+	return max(1, h.Sum64()) // 0 is no voter
+}
+
+func hash(data []byte) string { return store.Hash(data) }
+
+func voterIDs(voters []Voter) (ids []uint64) {
+	for _, v := range voters {
+		ids = append(ids, v.ID())
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// Config configures a node.
 type Config struct {
 	Fleet, Name  string
-	Dir          string // of its store
+	Dir          string // of the store
 	Voters       []Voter
 	Lease        terms.LeaseConfig
 	Disconnected terms.DisconnectedPolicy
-	ServerTLS    *tls.Config // nil: clear text, on loopback alone
-	ClientTLS    *tls.Config
+	ServerTLS    *tls.Config // nil: clear text, for loopback only
+	ClientTLS    *tls.Config // nil: clear text
 	Log          *slog.Logger
-	// Clock counts leases: it goes on while the process is suspended. nil: BootTime.
+	// Clock measures leases. It has to advance while the process is suspended. nil: BootTime.
 	Clock func() time.Duration
-	// Parse reads a version's files by this program's checks: an error is why this node can't hold it.
+	// Parse parses and validates a version's files. An error means that this node can't use the version.
 	Parse func(list []config.File) (*agree.Version, error)
-	// Extend is Parse for the files of a version that was read and changes of lists beside them; nil: all is read anew.
+	// Extend applies changes of cluster lists to a version that Parse returned; nil: every version is parsed as a whole.
 	Extend func(v *agree.Version, changes []config.File) (*agree.Version, error)
-	// Take has the program act on something; what it took before is over when it returns.
-	Apply func(a agree.EffectiveVersion) error
+	// Apply makes the program act on a version. The program no longer acts on the one before when Apply returns.
+	Apply func(v agree.EffectiveVersion) error
 }
 
-// Node is a node of a fleet. Create it with Open.
+// Node is a node of a fleet: a voter of the log, or a follower that only applies versions. Create it with Open.
 type Node struct {
 	Config
-	incarnation string
+	incarnation string // of this process
 	store       *store.Store
 	ctx         context.Context
 	stop        context.CancelFunc
 	background  sync.WaitGroup
-	uploads     chan struct{}
-	conns       map[uint64]*Conn // to voters but itself
-	outbox      map[uint64]chan *pb.Message
-
-	ownStart store.VoterStart // of a voter
+	uploads     chan struct{}               // a slot for each upload of content that is under way
+	conns       map[uint64]*Conn            // to the other voters
+	outbox      map[uint64]chan *pb.Message // raft messages for the other voters
+	ownStart    store.VoterStart            // of a voter
 
-	mu            sync.Mutex   // guards what follows
-	unadmitted    *agree.Voter // that has not been admitted yet
+	mu            sync.Mutex   // guards the fields up to recentContent
+	unadmitted    *agree.Voter // the voter until the other voters admit it
 	voter         *agree.Voter
-	votingError   error         // why it votes no more
-	stateChanged  chan struct{} // closed when the voter's state is another
+	votingError   error         // why this node no longer votes
+	stateChanged  chan struct{} // closed when the voter's state changes
 	recentContent map[string]time.Time
 
-	leaseMu  sync.Mutex
+	leaseMu  sync.Mutex // guards the lease
 	lease    *agree.Lease
-	renewNow chan struct{} // closed to have all voters asked
+	renewNow chan struct{} // closed to renew the lease at all voters at once
 
 	applied atomic.Pointer[appliedRules]
-	wake    chan struct{}
+	wake    chan struct{} // wakes reconcile
 
-	versionsMu sync.Mutex
+	versionsMu sync.Mutex // guards the versions
 	versions   map[uint64]*agree.Version
-	rejected   map[uint64]string
+	manifests  map[uint64]*agree.Manifest // of versions
+	rejected   map[uint64]string          // why this node can't use a version
 	fetching   map[uint64]bool
-	manifests  map[uint64]*agree.Manifest // of those held
 
-	parseMu         sync.Mutex // guards the version that was read whole last
+	parseMu         sync.Mutex // guards the last version that was parsed as a whole
 	lastParsed      *agree.Version
 	lastParsedParts []agree.Part
 
 	ownership ownership
 }
 
-// appliedRules is what the program acts on, and until when on the node's clock.
+// appliedRules is what the program acts on.
 type appliedRules struct {
 	rules        agree.ActiveRules
-	disconnected bool
-	until        time.Duration
+	disconnected bool          // restricted by the disconnected policy
+	until        time.Duration // on the node's clock
 }
 
 const (
-	maxOutbox              = 1024 // messages to a voter that wait; raft sends again what is lost
-	maxCachedVersions      = 4    // versions that are kept read
+	maxOutbox              = 1024 // messages to a voter; raft repeats those that are dropped
+	maxCachedVersions      = 4    // besides those of the present epoch
 	retryDelay             = 100 * time.Millisecond
-	recentContentRetention = time.Minute // content that no version names yet is kept so long
+	recentContentRetention = time.Minute // for content that no version names yet
 )
 
-func voterID(name string) uint64 {
-	h := fnv.New64a()
-	io.WriteString(h, name)
-	return max(1, h.Sum64()) // 0 is none
-}
-
-func hash(data []byte) string { return store.Hash(data) }
-
-// Init makes the store of a folder that of a voter of a new fleet.
+// Init makes the store in c.Dir that of a voter of a new fleet.
 func Init(c Config) error {
 	s, err := store.Open(c.Dir)
 	if err != nil {
@@ -119,23 +130,18 @@
 	return s.Init(store.Identity{Fleet: c.Fleet, Name: c.Name, ID: voterID(c.Name), Voters: voterIDs(c.Voters)})
 }
 
-func voterIDs(voters []Voter) (list []uint64) {
-	for _, v := range voters {
-		list = append(list, v.ID())
-	}
-	slices.Sort(list)
-	return list
-}
-
-// Open starts a node. It votes if the configuration says so and its store was made by Init; else it follows.
+// Open opens a node. It is a voter if the configuration names it as one and its store was made by Init; otherwise it is a follower.
 func Open(c Config) (*Node, error) {
 	if c.Clock == nil {
 		c.Clock = BootTime
 	}
 	n := &Node{
-		Config: c, incarnation: NewID(), uploads: make(chan struct{}, maxUploads), conns: map[uint64]*Conn{}, outbox: map[uint64]chan *pb.Message{},
-		stateChanged: make(chan struct{}), recentContent: map[string]time.Time{}, renewNow: make(chan struct{}), wake: make(chan struct{}, 1),
-		versions: map[uint64]*agree.Version{}, rejected: map[uint64]string{}, fetching: map[uint64]bool{}, manifests: map[uint64]*agree.Manifest{},
+		Config: c, incarnation: NewID(), uploads: make(chan struct{}, maxUploads),
+		conns: map[uint64]*Conn{}, outbox: map[uint64]chan *pb.Message{},
+		stateChanged: make(chan struct{}), recentContent: map[string]time.Time{},
+		renewNow: make(chan struct{}), wake: make(chan struct{}, 1),
+		versions: map[uint64]*agree.Version{}, manifests: map[uint64]*agree.Manifest{},
+		rejected: map[uint64]string{}, fetching: map[uint64]bool{},
 	}
 	var err error
 	if n.store, err = store.Open(c.Dir); err != nil {
@@ -150,6 +156,7 @@
 	return n, nil
 }
 
+// connect loads this node's voter, if it has one, and creates connections to the others.
 func (n *Node) connect() error {
 	own := voterID(n.Name)
 	for _, v := range n.Voters {
@@ -170,7 +177,7 @@
 	return nil
 }
 
-// loadVoter takes up the voter of the store; none, if the store was not made one's.
+// loadVoter loads the voter from the store. There is none if the store was not made by Init.
 func (n *Node) loadVoter(own uint64) error {
 	id, disk, err := n.store.Voter()
 	if errors.Is(err, store.ErrNotInitialized) {
@@ -196,7 +203,7 @@
 	return err
 }
 
-// Run has the node take part until ctx ends.
+// Run runs the node until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, n.stop)
 	defer stop()
@@ -214,20 +221,7 @@
 	n.background.Wait()
 }
 
-// runVoter has the voter take part, once it has been admitted.
-func (n *Node) runVoter() {
-	if !n.admit() {
-		return
-	}
-	for id, queue := range n.outbox {
-		n.background.Go(func() { n.sendRaftMessages(id, n.conns[id], queue) })
-	}
-	n.background.Go(n.runTicker)
-	n.background.Go(n.renewOwnLease)
-	n.background.Go(n.runReleases)
-}
-
-// Close ends what Open opened; Run must have returned.
+// Close closes the store and the connections. Run must have returned.
 func (n *Node) Close() error {
 	n.stop()
 	for _, c := range n.conns {
@@ -236,260 +230,18 @@
 	return n.store.Close()
 }
 
-// MayServe tells whether the program may act, at this moment, on what it was given last.
+// MayServe reports whether the program may act, at this moment, on what it applied last.
 func (n *Node) MayServe() bool {
 	a := n.applied.Load()
 	return a != nil && n.Clock() < a.until
 }
 
-// The voter.
-
-func (n *Node) isVoter() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.voter != nil
-}
-
-// state gives what the log says here; nil: this node has none.
-func (n *Node) state() *agree.State {
-	s, _ := n.stateAndChange()
-	return s
-}
-
-// stateAndChange gives the state, nil if this node has none, with a channel that is closed when there is another.
-func (n *Node) stateAndChange() (*agree.State, <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.voter == nil {
-		return nil, n.stateChanged
-	}
-	return n.voter.State(), n.stateChanged
-}
-
-// readRetryInterval is how often a voter asks the leader how far the log goes until it has an answer.
-const readRetryInterval = 5 * agree.Tick
-
-// currentState gives the state with all that was taken up anywhere before the call. What a voter has of the
-// log may be behind: what it answers by that may have been true once.
-func (n *Node) currentState(ctx context.Context) (*agree.State, error) {
-	ctx, stop := context.WithTimeout(ctx, statusTimeout)
-	defer stop()
-	first := uint64(0)
-	read := func() error {
-		return n.withVoter(func(v *agree.Voter) error {
-			if id := v.StartRead(); first == 0 {
-				first = id
-			}
-			return nil
-		})
-	}
-	again := time.NewTicker(readRetryInterval)
-	defer again.Stop()
-	for err := read(); ; {
-		if err != nil {
-			return nil, err
-		}
-		n.mu.Lock()
-		voter, changed := n.voter, n.stateChanged
-		if voter != nil && voter.ReadDone(first) {
-			defer n.mu.Unlock()
-			return voter.State(), nil
-		}
-		n.mu.Unlock()
-		select {
-		case <-changed:
-		case <-again.C:
-			err = read()
-		case <-ctx.Done():
-			return nil, status.Error(codes.Unavailable, "no leader of the log answers") // another voter may have one
-		}
-	}
-}
-
-func (n *Node) runTicker() {
-	t := time.NewTicker(agree.Tick)
+// sleep waits for a time, or until the node stops.
+func (n *Node) sleep(d time.Duration) {
+	t := time.NewTimer(d)
 	defer t.Stop()
-	for {
-		select {
-		case <-n.ctx.Done():
-			return
-		case <-t.C:
-			n.withVoter(func(v *agree.Voter) error { v.Tick(n.Clock()); return nil })
-		}
-	}
-}
-
-// withVoter does something with the voter, and what follows from it.
-func (n *Node) withVoter(do func(v *agree.Voter) error) error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.voter == nil {
-		return errNotVoter
-	}
-	if err := do(n.voter); err != nil {
-		return err
-	}
-	return n.processReady()
-}
-
-// processReady does what the voter wants done; n.mu is held. After a write that failed the node votes no more: what it
-// has said may be lost.
-func (n *Node) processReady() error {
-	before, reads := n.voter.State().LogStatus(), n.voter.ReadsAnswered()
-	for {
-		w, some := n.voter.Ready()
-		if !some {
-			break
-		}
-		err := n.store.Save(w)
-		var snap *pb.Snapshot
-		if err == nil {
-			for _, m := range w.Messages {
-				n.send(m)
-			}
-			snap, err = n.voter.Advance(w)
-		}
-		if err == nil && snap != nil {
-			err = n.compactLog(snap)
-		}
-		if err != nil {
-			n.stopVoting(err)
-			return err
-		}
-	}
-	if now := n.voter.State(); now.LogStatus() != before || n.voter.ReadsAnswered() != reads {
-		n.notifyStateChanged()
-	}
-	return nil
-}
-
-// notifyStateChanged says that the state is another; n.mu is held.
-func (n *Node) notifyStateChanged() {
-	close(n.stateChanged)
-	n.stateChanged = make(chan struct{})
-}
-
-// stopVoting has the node vote no more; n.mu is held.
-func (n *Node) stopVoting(err error) {
-	n.votingError, n.voter, n.unadmitted = err, nil, nil
-	n.Log.Error("this node votes no more", "err", err)
-	n.notifyStateChanged()
-}
-
-// compactLog has the log begin anew, and forgets content that no version names.
-func (n *Node) compactLog(snap *pb.Snapshot) error {
-	if err := n.store.CompactTo(snap); err != nil {
-		return err
-	}
-	keep := n.voter.State().ContentHashes()
-	for h, at := range n.recentContent {
-		if time.Since(at) < recentContentRetention {
-			keep[h] = 0
-		} else {
-			delete(n.recentContent, h)
-		}
-	}
-	return n.store.Sweep(keep)
-}
-
-// send hands a message to who carries it; one that finds no place is lost.
-func (n *Node) send(m *pb.Message) {
-	select {
-	case n.outbox[m.GetTo()] <- m:
-	default:
-		n.voter.Unreachable(m.GetTo())
-		if m.GetType() == pb.MsgSnap {
-			n.voter.SnapshotSent(m.GetTo(), false)
-		}
-	}
-}
-
-func (n *Node) receive(m *pb.Message) error {
-	return n.withVoter(func(v *agree.Voter) error {
-		if m.GetTo() != v.ID || !slices.Contains(v.Voters(), m.GetFrom()) || m.GetFrom() == v.ID {
-			return errNotVoter
-		}
-		v.Step(m) // what it refuses is a message out of its time
-		return nil
-	})
-}
-
-func (n *Node) propose(e *agree.Entry) error {
-	return n.withVoter(func(v *agree.Voter) error { return v.Propose(e) })
-}
-
-func (n *Node) grantLease(a agree.LeaseRequest) (g agree.Grant, err error) {
-	err = n.withVoter(func(v *agree.Voter) error {
-		if g, err = v.GrantLease(n.Clock(), a); err != nil {
-			return err
-		}
-		v.AcknowledgeEpoch(n.Clock())
-		return nil
-	})
-	return g, err
-}
-
-// The node's lease.
-
-func (n *Node) nextLeaseRequest() (agree.LeaseRequest, <-chan struct{}) {
-	n.leaseMu.Lock()
-	defer n.leaseMu.Unlock()
-	a := n.lease.NextRequest(n.Clock())
-	a.Node, a.Incarnation = n.Name, n.incarnation
-	return a, n.renewNow
-}
-
-// renewLeasesNow has all voters asked at once.
-func (n *Node) renewLeasesNow() {
-	n.leaseMu.Lock()
-	defer n.leaseMu.Unlock()
-	close(n.renewNow)
-	n.renewNow = make(chan struct{})
-}
-
-// handleLeaseReply takes what a voter says.
-func (n *Node) handleLeaseReply(g *agree.Grant, news *agree.LogStatus) {
-	n.leaseMu.Lock()
-	if g != nil {
-		n.lease.HandleGrant(*g)
-	}
-	if news != nil {
-		n.lease.UpdateLogStatus(*news)
-	}
-	if a := n.applied.Load(); a != nil && !a.disconnected {
-		n.applied.Store(&appliedRules{rules: a.rules, until: n.leaseEnd(a.rules)})
-	}
-	n.leaseMu.Unlock()
 	select {
-	case n.wake <- struct{}{}:
-	default:
-	}
-}
-
-// leaseEnd gives when the lease for rules ends; n.leaseMu is held.
-func (n *Node) leaseEnd(r agree.ActiveRules) time.Duration {
-	now := n.Clock()
-	if !n.lease.Permits(now, r) {
-		return 0
-	}
-	return now + n.lease.Remaining(now, r)
-}
-
-func (n *Node) renewOwnLease() {
-	t := time.NewTicker(n.Lease.RenewInterval())
-	defer t.Stop()
-	for {
-		_, changed := n.stateAndChange()
-		a, now := n.nextLeaseRequest()
-		if g, err := n.grantLease(a); err == nil {
-			n.handleLeaseReply(&g, nil)
-		}
-		select {
-		case <-n.ctx.Done():
-			return
-		case <-t.C:
-		case <-now:
-		case <-changed:
-		}
+	case <-t.C:
+	case <-n.ctx.Done():
 	}
 }
--- a/internal/fleet/peers/release.go
+++ b/internal/fleet/peers/release.go
@@ -1,6 +1,7 @@
 package peers
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -15,67 +16,111 @@
 	"yokestall/internal/fleet/agree"
 )
 
-// ReleaseCommand is an operator's word on releases: one to begin, or a word on the one that goes on.
+// ReleaseCommand is an operator's command: it starts a release, acts on the one that goes on, or, empty, asks for its progress.
 type ReleaseCommand struct {
-	Start  *agree.Release `json:"begin,omitempty"`
-	Action string         `json:"word,omitempty"` // "pause", "resume", "abort"; "": how it stands
-	Reason string         `json:"why,omitempty"`
+	Start  *agree.Release      `json:"begin,omitempty"`
+	Action agree.ReleaseAction `json:"word,omitempty"` // PauseRelease, ResumeRelease or AbortRelease
+	Reason string              `json:"why,omitempty"`
 }
 
-// ReleaseReply is how the release stands.
+// ReleaseReply is the progress of a release after a command.
 type ReleaseReply struct {
 	Error    string                 `json:"error,omitempty"`
 	Progress *agree.ReleaseProgress `json:"progress,omitempty"`
 }
 
-const releasePollInterval = 50 * time.Millisecond // how often an owner looks whether a phase is over
+// releasePollInterval is how often the owner of releases checks whether a phase is over.
+const releasePollInterval = 50 * time.Millisecond
 
-// serveReleaseCommand takes an operator's word.
-func (n *Node) serveReleaseCommand(ctx context.Context, in *ReleaseCommand) (*ReleaseReply, error) {
-	s, err := n.currentState(ctx)
-	if asks := in.Start == nil && in.Action == ""; err != nil && asks && n.state() != nil {
-		s, err = n.state(), nil // how it stands as far as is known here
+// ControlRelease sends an operator's command to the first voter that answers.
+func (c *Client) ControlRelease(ctx context.Context, command ReleaseCommand) (*ReleaseReply, error) {
+	last := ErrNoQuorum
+	for _, conn := range c.conns {
+		one, stop := context.WithTimeout(ctx, publishTimeout+statusTimeout)
+		reply, err := call[ReleaseReply](one, conn, methodRelease, command)
+		stop()
+		if err == nil {
+			return reply, nil
+		}
+		last = err
+	}
+	return nil, last
+}
+
+func (n *Node) serveReleaseCommand(ctx context.Context, command *ReleaseCommand) (*ReleaseReply, error) {
+	if command.Start == nil && command.Action == "" {
+		return n.releaseProgress(ctx)
 	}
+	s, err := n.currentState(ctx)
 	switch {
 	case err != nil:
 		return nil, err
-	case in.Start != nil:
-		if err := in.Start.Check(); err != nil {
-			return &ReleaseReply{Error: err.Error()}, nil
-		}
-		if p := s.Release; p != nil && p.Result == "" && p.Release.ID != in.Start.ID {
-			return &ReleaseReply{Error: fmt.Sprintf("the release %s goes on", p.Release.ID), Progress: p}, nil
-		}
-		v, err := n.versionInLog(ctx, s, s.ActiveVersion)
-		if err != nil {
-			return &ReleaseReply{Error: err.Error()}, nil
-		}
-		if err := checkFeasible(in.Start, v.Clusters[in.Start.Cluster]); err != nil {
-			return &ReleaseReply{Error: err.Error()}, nil
-		}
-		return n.proposeUntil(ctx, &agree.Entry{Release: in.Start}, func(p *agree.ReleaseProgress) bool { return p != nil && p.Release.ID == in.Start.ID })
-	case s.Release == nil || s.Release.Result != "" && in.Action != "":
+	case command.Start != nil:
+		return n.startRelease(ctx, s, command.Start)
+	case s.Release == nil || s.Release.Ended():
 		return &ReleaseReply{Error: "no release goes on", Progress: s.Release}, nil
-	case in.Action == "":
-		return &ReleaseReply{Progress: s.Release}, nil
-	case !slices.Contains([]string{"pause", "resume", "abort"}, in.Action):
-		return nil, status.Errorf(codes.InvalidArgument, "%q is no word on a release", in.Action)
 	}
-	return n.proposeUntil(ctx, &agree.Entry{ReleaseUpdate: &agree.ReleaseUpdate{ID: s.Release.Release.ID, Action: in.Action, Reason: in.Reason}}, func(p *agree.ReleaseProgress) bool {
-		return p.Result != "" || in.Action == "abort" && p.StopReason != "" || in.Action != "abort" && p.Paused == (in.Action == "pause")
-	})
+	return n.changeRelease(ctx, s.Release, command)
 }
 
-// proposeUntil proposes an entry until the log shows it.
-func (n *Node) proposeUntil(ctx context.Context, e *agree.Entry, there func(p *agree.ReleaseProgress) bool) (*ReleaseReply, error) {
+// releaseProgress returns the progress of the latest release, as far as this node knows if no leader answers.
+func (n *Node) releaseProgress(ctx context.Context) (*ReleaseReply, error) {
+	s, err := n.currentState(ctx)
+	if err != nil {
+		if s = n.state(); s == nil {
+			return nil, err
+		}
+	}
+	if s.Release == nil {
+		return &ReleaseReply{Error: "no release goes on"}, nil
+	}
+	return &ReleaseReply{Progress: s.Release}, nil
+}
+
+func (n *Node) startRelease(ctx context.Context, s *agree.State, r *agree.Release) (*ReleaseReply, error) {
+	if err := r.Check(); err != nil {
+		return &ReleaseReply{Error: err.Error()}, nil
+	}
+	if p := s.Release; p != nil && !p.Ended() && p.Release.ID != r.ID {
+		return &ReleaseReply{Error: fmt.Sprintf("the release %s goes on", p.Release.ID), Progress: p}, nil
+	}
+	v, err := n.versionInLog(ctx, s, s.ActiveVersion)
+	if err != nil {
+		return &ReleaseReply{Error: err.Error()}, nil
+	}
+	if err := checkFeasible(r, v.Clusters[r.Cluster]); err != nil {
+		return &ReleaseReply{Error: err.Error()}, nil
+	}
+	started := func(p *agree.ReleaseProgress) bool { return p != nil && p.Release.ID == r.ID }
+	return n.proposeUntil(ctx, &agree.Entry{Release: r}, started)
+}
+
+func (n *Node) changeRelease(ctx context.Context, current *agree.ReleaseProgress, command *ReleaseCommand) (*ReleaseReply, error) {
+	var done func(p *agree.ReleaseProgress) bool
+	switch command.Action {
+	case agree.PauseRelease:
+		done = func(p *agree.ReleaseProgress) bool { return p.Paused }
+	case agree.ResumeRelease:
+		done = func(p *agree.ReleaseProgress) bool { return !p.Paused }
+	case agree.AbortRelease:
+		done = func(p *agree.ReleaseProgress) bool { return p.StopReason != "" }
+	default:
+		return nil, status.Errorf(codes.InvalidArgument, "%q is no word on a release", command.Action)
+	}
+	update := &agree.ReleaseUpdate{ID: current.Release.ID, Action: command.Action, Reason: command.Reason}
+	return n.proposeUntil(ctx, &agree.Entry{ReleaseUpdate: update}, func(p *agree.ReleaseProgress) bool { return p.Ended() || done(p) })
+}
+
+// proposeUntil proposes an entry until the release in the log shows that it was applied.
+func (n *Node) proposeUntil(ctx context.Context, e *agree.Entry, done func(p *agree.ReleaseProgress) bool) (*ReleaseReply, error) {
 	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
-	again := time.NewTicker(time.Second)
+	again := time.NewTicker(proposeAgain)
 	defer again.Stop()
 	err := n.propose(e)
 	for {
 		s, changed := n.stateAndChange()
-		if s != nil && there(s.Release) {
+		if s != nil && done(s.Release) {
 			return &ReleaseReply{Progress: s.Release}, nil
 		}
 		select {
@@ -88,59 +133,63 @@
 	}
 }
 
-// checkFeasible tells why a release can't be begun: a server that isn't in use, or a floor that can't be kept.
+// checkFeasible returns why a release can't start: a server that isn't in use, or a floor that can't be held.
 func checkFeasible(r *agree.Release, c *cluster.Cluster) error {
 	if c == nil {
 		return fmt.Errorf("cluster: there is no %s in the version in force", r.Cluster)
 	}
-	serving := 0
-	for i := range c.Endpoints {
-		if c.Endpoints[i].Serves() {
-			serving++
-		}
-	}
-	for i, w := range r.Waves {
-		for _, id := range w {
-			if at := findServer(c, id); at < 0 || !c.Endpoints[at].Serves() {
+	serving := countServing(c)
+	for i, wave := range r.Waves {
+		for _, id := range wave {
+			if e := findServer(c, id); e == nil || !e.Serves() {
 				return fmt.Errorf("waves: the %d. names %s, which is not in use in the version in force", i+1, id)
 			}
 		}
-		if left := serving - len(w); float64(left) < r.Floor*float64(serving) {
+		if left := serving - len(wave); float64(left) < r.Floor*float64(serving) {
 			return fmt.Errorf("floor: with the %d. wave out %d of %d servers are in use, and %.0f %% are wanted", i+1, left, serving, 100*r.Floor)
 		}
 	}
 	return nil
 }
 
-func findServer(c *cluster.Cluster, id string) int {
-	at, ok := slices.BinarySearchFunc(c.Endpoints, id, func(e cluster.Endpoint, id string) int {
-		switch {
-		case e.ID < id:
-			return -1
-		case e.ID > id:
-			return 1
+// findServer returns a cluster's server by its id; nil if there is none.
+func findServer(c *cluster.Cluster, id string) *cluster.Endpoint {
+	at, found := slices.BinarySearchFunc(c.Endpoints, id, func(e cluster.Endpoint, id string) int { return cmp.Compare(e.ID, id) })
+	if !found {
+		return nil
+	}
+	return &c.Endpoints[at]
+}
+
+// countServing returns how many servers of a cluster are in use.
+func countServing(c *cluster.Cluster) (serving int) {
+	for i := range c.Endpoints {
+		if c.Endpoints[i].Serves() {
+			serving++
 		}
-		return 0
-	})
-	if !ok {
-		return -1
 	}
-	return at
+	return serving
 }
 
-// runReleases carries releases on while this node owns that work, until the node ends.
+// currentPhase is the phase that the owner of releases works on.
+type currentPhase struct {
+	token   uint64 // by which this node owns releases
+	release string
+	wave    int
+	phase   agree.Phase
+}
+
+// runReleases carries out releases while this node owns that task, until the node stops.
 func (n *Node) runReleases() {
-	var in agree.ReleaseProgress
+	var current currentPhase
 	var since time.Duration
-	var token uint64
-	look := time.NewTicker(releasePollInterval)
-	defer look.Stop()
+	poll := time.NewTicker(releasePollInterval)
+	defer poll.Stop()
 	for {
 		s, changed := n.stateAndChange()
-		goes := s != nil && s.Release != nil && s.Release.Result == ""
 		var tick <-chan time.Time // phases end by the clock
-		if goes {
-			tick = look.C
+		if s != nil && s.Release != nil && !s.Release.Ended() {
+			tick = poll.C
 		}
 		select {
 		case <-n.ctx.Done():
@@ -149,34 +198,44 @@
 			continue
 		case <-tick:
 		}
-		now, ok := n.Owns(ReleaseTask)
+		token, ok := n.Owns(ReleaseTask)
 		if !ok {
-			token = 0
+			current = currentPhase{}
 			continue
 		}
 		p := s.Release
-		if now != token || p.Release.ID != in.Release.ID || p.Wave != in.Wave || p.Phase != in.Phase {
-			// A new owner counts a phase from when it took it over: longer than wanted, never shorter.
-			token, in, since = now, *p, n.Clock()
-		}
-		if over, err := n.advancePhase(s, p, since); err != nil {
-			n.Log.Error("a release stops", "release", p.Release.ID, "wave", p.Wave, "phase", p.Phase.String(), "err", err)
-			n.propose(&agree.Entry{ReleaseUpdate: &agree.ReleaseUpdate{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase, Action: "fail", Reason: err.Error()}})
-		} else if over && n.stillOwnsReleases(token) {
-			n.propose(&agree.Entry{ReleaseUpdate: &agree.ReleaseUpdate{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase}})
+		if now := (currentPhase{token, p.Release.ID, p.Wave, p.Phase}); now != current {
+			// A new owner measures a phase from when it took over: the phase may last longer than asked for, never shorter.
+			current, since = now, n.Clock()
 		}
+		n.runPhase(s, token, since)
 	}
 }
 
-// stillOwnsReleases tells whether this node owns releases by a token, right before something is done by it.
+// runPhase does what the present phase needs, and proposes the next one when it is over.
+func (n *Node) runPhase(s *agree.State, token uint64, since time.Duration) {
+	p := s.Release
+	update := &agree.ReleaseUpdate{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase, Action: agree.AdvanceRelease}
+	over, err := n.phaseOver(s, since)
+	switch {
+	case err != nil:
+		n.Log.Error("a release stops", "release", p.Release.ID, "wave", p.Wave, "phase", p.Phase.String(), "err", err)
+		update.Action, update.Reason = agree.FailRelease, err.Error()
+		n.propose(&agree.Entry{ReleaseUpdate: update})
+	case over && n.stillOwnsReleases(token):
+		n.propose(&agree.Entry{ReleaseUpdate: update})
+	}
+}
+
+// stillOwnsReleases reports whether this node owns releases by a token. It is called right before the node does something by it.
 func (n *Node) stillOwnsReleases(token uint64) bool {
 	now, ok := n.Owns(ReleaseTask)
 	return ok && now == token
 }
 
-// advancePhase does what a phase asks for, and tells whether it is over. The version that it publishes has the phase's own id, so that it is one
-// version whoever publishes it, an owner that wakes late too; and it is made from the version in force, or not taken.
-func (n *Node) advancePhase(s *agree.State, p *agree.ReleaseProgress, since time.Duration) (bool, error) {
+// phaseOver reports whether the present phase is over. A phase that takes effect by a version publishes that version first.
+func (n *Node) phaseOver(s *agree.State, since time.Duration) (bool, error) {
+	p := s.Release
 	if p.Phase != agree.TakingOut && p.Phase != agree.PuttingBack {
 		return !p.Paused && n.Clock()-since >= p.PhaseDuration(), nil
 	}
@@ -191,54 +250,50 @@
 	}
 	v, err := n.versionInLog(n.ctx, s, s.ActiveVersion)
 	if err != nil {
-		return false, nil // its content is on its way
+		return false, nil // its content is still being fetched
 	}
 	change, err := waveChange(v.Clusters[p.Cluster], p, time.Now())
 	if err != nil {
 		return false, err
 	}
-	if change == nil { // none of the wave is left to change
+	if change == nil {
 		return true, nil
 	}
-	if !n.stillOwnsReleases(s.Tasks[ReleaseTask].Token) {
-		return false, nil
+	if n.stillOwnsReleases(s.Tasks[ReleaseTask].Token) {
+		n.publishWave(p.PublishID(), s.ActiveVersion, *change)
 	}
+	return false, nil
+}
+
+// publishWave publishes the version by which a phase takes effect. Its id makes it one version whichever owner publishes it, also one
+// whose time is past; and it is made from the active version, or refused.
+func (n *Node) publishWave(id string, base uint64, change config.File) {
 	ctx, stop := context.WithTimeout(n.ctx, statusTimeout)
 	defer stop()
-	c, err := n.newClient()
+	c, err := NewClient(n.Fleet, n.Voters, n.ClientTLS)
 	if err != nil {
-		return false, nil
+		return
 	}
 	defer c.Close()
-	_, err = c.PublishChange(ctx, p.PublishID(), s.ActiveVersion, *change)
-	if err != nil {
-		n.Log.Warn("a release's version is not taken yet", "id", p.PublishID(), "err", err)
+	if _, err := c.PublishChange(ctx, id, base, change); err != nil {
+		n.Log.Warn("a release's version is not taken yet", "id", id, "err", err)
 	}
-	return false, nil
 }
 
-// newClient is a client of the fleet, as an operator would have it.
-func (n *Node) newClient() (*Client, error) { return NewClient(n.Fleet, n.Voters, n.ClientTLS) }
-
-// waveChange is the change by which a phase takes effect: the wave's servers out, or back as started now. A server that left the list, or that was taken
-// out by hand, stays as it is; nil: there is nothing to change. Out with less than the floor left in use is an error.
+// waveChange returns the change by which the present phase takes effect: the wave's servers are taken out, or put back as started now. A
+// server that left the list, or that an operator took out, stays as it is. It returns nil if there is nothing to change, and an error if fewer
+// servers than the floor would be left in use.
 func waveChange(c *cluster.Cluster, p *agree.ReleaseProgress, now time.Time) (*config.File, error) {
 	if c == nil {
 		return nil, fmt.Errorf("cluster %s is gone", p.Cluster)
 	}
-	serving := 0
-	for i := range c.Endpoints {
-		if c.Endpoints[i].Serves() {
-			serving++
-		}
-	}
-	out := cluster.Cluster{Name: c.Name}
+	changed := cluster.Cluster{Name: c.Name}
 	for _, id := range p.Waves[p.Wave] {
-		at := findServer(c, id)
-		if at < 0 {
+		found := findServer(c, id)
+		if found == nil {
 			continue
 		}
-		e := c.Endpoints[at]
+		e := *found
 		switch {
 		case p.Phase == agree.TakingOut && e.Serves():
 			e.Health = cluster.Draining
@@ -247,28 +302,14 @@
 		default:
 			continue
 		}
-		out.Endpoints = append(out.Endpoints, e)
+		changed.Endpoints = append(changed.Endpoints, e)
 	}
-	if len(out.Endpoints) == 0 {
+	if len(changed.Endpoints) == 0 {
 		return nil, nil
 	}
-	if left := serving - len(out.Endpoints); p.Phase == agree.TakingOut && float64(left) < p.Floor*float64(len(c.Endpoints)) {
-		return nil, fmt.Errorf("with the %d. wave out %d of %d servers are in use, and the floor is %.0f %%", p.Wave+1, left, len(c.Endpoints), 100*p.Floor)
+	left, all := countServing(c)-len(changed.Endpoints), len(c.Endpoints)
+	if p.Phase == agree.TakingOut && float64(left) < p.Floor*float64(all) {
+		return nil, fmt.Errorf("with the %d. wave out %d of %d servers are in use, and the floor is %.0f %%", p.Wave+1, left, all, 100*p.Floor)
 	}
-	return &config.File{Name: p.PublishID(), Text: config.FormatChange(&out)}, nil
-}
-
-// ControlRelease gives an operator's word to any voter that answers.
-func (c *Client) ControlRelease(ctx context.Context, in ReleaseCommand) (*ReleaseReply, error) {
-	last := ErrNoQuorum
-	for _, conn := range c.conns {
-		one, stop := context.WithTimeout(ctx, publishTimeout+statusTimeout)
-		out, err := call[ReleaseReply](one, conn, "Release", in)
-		stop()
-		if err == nil {
-			return out, nil
-		}
-		last = err
-	}
-	return nil, last
+	return &config.File{Name: p.PublishID(), Text: config.FormatChange(&changed)}, nil
 }
--- a/internal/fleet/peers/serve.go
+++ b/internal/fleet/peers/serve.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"math"
 	"net"
@@ -27,18 +26,19 @@
 
 const (
 	maxConns          = agree.MaxHolders + 256
-	maxStreams        = 64 // calls of a connection at once
-	maxUploads        = 4  // contents that come at once
+	maxStreams        = 64 // concurrent calls of a connection
+	maxUploads        = 4  // of content at the same time
 	maxHeaderBytes    = 16 << 10
+	maxStatusHistory  = 32 // versions in a Status
 	keepaliveInterval = 2 * time.Second
-	publishTimeout    = 10 * time.Second // the longest that a publish waits to be taken up
+	connectTimeout    = 5 * time.Second
 )
 
-// Serve answers other nodes on a listener until ctx ends.
+// Serve serves the other nodes on a listener until ctx ends.
 func (n *Node) Serve(ctx context.Context, l net.Listener) error {
 	options := []grpc.ServerOption{
 		grpc.MaxConcurrentStreams(maxStreams), grpc.MaxRecvMsgSize(maxMessage), grpc.MaxSendMsgSize(maxMessage),
-		grpc.MaxHeaderListSize(maxHeaderBytes), grpc.ConnectionTimeout(5 * time.Second),
+		grpc.MaxHeaderListSize(maxHeaderBytes), grpc.ConnectionTimeout(connectTimeout),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveInterval / 2, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveInterval}),
 	}
@@ -56,9 +56,7 @@
 	return err
 }
 
-var errNotVoter = status.Error(codes.FailedPrecondition, "this node doesn't vote")
-
-// serveRaftMessages takes another voter's messages.
+// serveRaftMessages handles another voter's raft messages until its stream ends.
 func (n *Node) serveRaftMessages(s grpc.ServerStream) error {
 	if !n.isVoter() {
 		return errNotVoter
@@ -85,67 +83,12 @@
 	return err
 }
 
-// serveLeases grants leases to a node for as long as it asks, and tells it when there is news.
-func (n *Node) serveLeases(s grpc.ServerStream) error {
-	if !n.isVoter() {
-		return errNotVoter
-	}
-	asks, failed := make(chan agree.LeaseRequest), make(chan error, 1)
-	ctx := s.Context()
-	go func() {
-		for {
-			in := &wrapperspb.BytesValue{}
-			if err := s.RecvMsg(in); err != nil {
-				failed <- ignoreEOF(err)
-				return
-			}
-			var a agree.LeaseRequest
-			if err := unpack(in, &a); err != nil {
-				failed <- err
-				return
-			}
-			if a.Node == "" || len(a.Node) > agree.MaxName || len(a.Incarnation) > agree.MaxName {
-				failed <- status.Error(codes.InvalidArgument, "an ask without a good name")
-				return
-			}
-			select {
-			case asks <- a:
-			case <-ctx.Done():
-				return
-			}
-		}
-	}()
-	for {
-		_, changed := n.stateAndChange()
-		var r LeaseReply
-		select {
-		case err := <-failed:
-			return err
-		case <-n.ctx.Done():
-			return nil
-		case a := <-asks:
-			g, err := n.grantLease(a)
-			if err != nil {
-				r.Error = err.Error()
-			} else {
-				r.Grant = &g
-			}
-		case <-changed:
-			s := n.state()
-			if s == nil {
-				return errNotVoter
-			}
-			facts := s.LogStatus()
-			r.LogStatus = &facts
-		}
-		out, err := pack(r)
-		if err != nil {
-			return err
-		}
-		if err := s.SendMsg(out); err != nil {
-			return err
-		}
+// checkLeaseRequest validates the names in a request.
+func checkLeaseRequest(request agree.LeaseRequest) error {
+	if request.Node == "" || len(request.Node) > agree.MaxName || len(request.Incarnation) > agree.MaxName {
+		return status.Error(codes.InvalidArgument, "an ask without a good name")
 	}
+	return nil
 }
 
 func (n *Node) serveDescribe(_ context.Context, in *DescribeRequest) (*agree.Manifest, error) {
@@ -153,18 +96,19 @@
 	if state == nil {
 		return nil, errNotVoter
 	}
-	if m := state.Version(in.Number); m != nil {
-		if in.OwnPartsOnly && m.Extends {
-			short := *m
-			short.Parts = m.Parts[len(m.Parts)-m.OwnParts:]
-			return &short, nil
-		}
-		return m, nil
+	m := state.Version(in.Number)
+	if m == nil {
+		return nil, status.Errorf(codes.NotFound, "version %d is not in the history", in.Number)
+	}
+	if in.OwnPartsOnly && m.Extends {
+		short := *m
+		short.Parts = m.Parts[len(m.Parts)-m.OwnParts:]
+		return &short, nil
 	}
-	return nil, status.Errorf(codes.NotFound, "version %d is not in the history", in.Number)
+	return m, nil
 }
 
-// rawBytes is content, which travels as it is.
+// rawBytes is content, which is sent as it is instead of as JSON.
 type rawBytes []byte
 
 func (n *Node) serveFetch(_ context.Context, in *FetchRequest) (*rawBytes, error) {
@@ -179,24 +123,25 @@
 	return &out, nil
 }
 
+// serveMissing returns which of the hashes name content that this node doesn't have.
 func (n *Node) serveMissing(_ context.Context, in *ContentHashes) (*ContentHashes, error) {
 	if len(in.Hashes) > agree.MaxFiles {
 		return nil, status.Errorf(codes.InvalidArgument, "%d hashes; %d at most", len(in.Hashes), agree.MaxFiles)
 	}
-	out := &ContentHashes{}
+	missing := &ContentHashes{}
 	for _, h := range in.Hashes {
 		data, err := n.store.Get(h)
 		if err != nil {
 			return nil, err
 		}
 		if data == nil {
-			out.Hashes = append(out.Hashes, h)
+			missing.Hashes = append(missing.Hashes, h)
 		}
 	}
-	return out, nil
+	return missing, nil
 }
 
-// servePut keeps content.
+// servePut stores uploaded content.
 func (n *Node) servePut(s grpc.ServerStream) error {
 	select {
 	case n.uploads <- struct{}{}:
@@ -204,28 +149,36 @@
 	case <-s.Context().Done():
 		return s.Context().Err()
 	}
+	data, err := receiveContent(s)
+	if err != nil {
+		return err
+	}
+	if err := n.storeContent(data); err != nil {
+		return status.Error(codes.ResourceExhausted, err.Error())
+	}
+	return s.SendMsg(&wrapperspb.BytesValue{})
+}
+
+// receiveContent receives the chunks of an upload until the client has sent them all.
+func receiveContent(s grpc.ServerStream) ([]byte, error) {
 	var data []byte
 	for {
 		in := &wrapperspb.BytesValue{}
 		err := s.RecvMsg(in)
 		if errors.Is(err, io.EOF) {
-			break
+			return data, nil
 		}
 		if err != nil {
-			return err
+			return nil, err
 		}
 		if len(data)+len(in.GetValue()) > config.MaxFile {
-			return status.Errorf(codes.InvalidArgument, "a file of over %d bytes", config.MaxFile)
+			return nil, status.Errorf(codes.InvalidArgument, "a file of over %d bytes", config.MaxFile)
 		}
 		data = append(data, in.GetValue()...)
 	}
-	if err := n.storeContent(data); err != nil {
-		return status.Error(codes.ResourceExhausted, err.Error())
-	}
-	return s.SendMsg(&wrapperspb.BytesValue{})
 }
 
-// serveRefusal takes a node's word that it can't hold a version that waits.
+// serveRefusal proposes a node's refusal of a pending version.
 func (n *Node) serveRefusal(_ context.Context, in *agree.Refusal) (*struct{}, error) {
 	if len(in.Node) > agree.MaxName || len(in.Reason) > maxReason {
 		return nil, status.Error(codes.InvalidArgument, "a name or a reason that is too long")
@@ -236,107 +189,9 @@
 	return &struct{}{}, n.propose(&agree.Entry{Refusal: in})
 }
 
-// servePublish takes up a version: its content has to be here and whole, and is held against all that nodes may act on.
-func (n *Node) servePublish(ctx context.Context, in *PublishRequest) (*PublishReply, error) {
-	ctx, stop := context.WithTimeout(ctx, publishTimeout)
-	defer stop()
-	m := &agree.Manifest{ID: in.ID, Base: in.Base, Proposer: n.Name, Parts: in.Parts, Extends: in.Extends}
-	if err := m.Check(); err != nil {
-		return nil, status.Error(codes.InvalidArgument, err.Error())
-	}
-	state, err := n.currentState(ctx)
-	if err != nil {
-		return nil, err
-	}
-	if out := publishReply(state, in.ID); out != nil {
-		return out, nil // it was sent twice
-	}
-	whole := *m
-	if whole.OwnParts = len(m.Parts); m.Extends {
-		base := state.Version(m.Base)
-		if base == nil {
-			return &PublishReply{Error: fmt.Sprintf("version %d is not in the history", m.Base), ActiveVersion: state.ActiveVersion}, nil
-		}
-		if err := whole.Extend(base); err != nil {
-			return &PublishReply{Error: err.Error(), ActiveVersion: state.ActiveVersion}, nil
-		}
-	}
-	if err := state.CheckProposal(m); errors.Is(err, agree.ErrVersionPending) { // before anything is read for it
-		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.ActiveVersion}, nil
-	}
-	next, err := n.parseVersion(ctx, &whole)
-	if err != nil {
-		return &PublishReply{Error: err.Error(), ActiveVersion: state.ActiveVersion}, nil
-	}
-	if err := state.CheckProposal(m); err != nil {
-		out := &PublishReply{Error: err.Error(), ActiveVersion: state.ActiveVersion}
-		if present, err := n.versionInLog(ctx, state, state.ActiveVersion); err == nil {
-			for _, d := range agree.Differences(present, next) {
-				if out.Differences = append(out.Differences, d.String()); len(out.Differences) == 100 {
-					break
-				}
-			}
-		}
-		return out, nil
-	}
-	for _, number := range state.EpochVersions {
-		alive, err := n.versionInLog(ctx, state, number)
-		if err != nil {
-			return nil, err
-		}
-		if agree.Contradicts(agree.Differences(alive, next)) {
-			m.Contradicts = true
-			break
-		}
-	}
-	again := time.NewTicker(time.Second) // a leader may be lost with it; its id keeps it one
-	defer again.Stop()
-	if err := n.propose(&agree.Entry{Propose: m}); err != nil {
-		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.ActiveVersion}, nil
-	}
-	for {
-		state, changed := n.stateAndChange()
-		if state == nil { // its disk failed: another voter knows
-			return nil, errNotVoter
-		}
-		if out := publishReply(state, in.ID); out != nil {
-			n.versionsMu.Lock()
-			n.cacheVersion(state.Version(out.Number), next) // it was read already
-			n.versionsMu.Unlock()
-			return out, nil
-		}
-		if err := state.CheckProposal(m); err != nil {
-			return &PublishReply{Error: err.Error(), Retry: errors.Is(err, agree.ErrVersionPending), ActiveVersion: state.ActiveVersion}, nil
-		}
-		select {
-		case <-changed:
-		case <-again.C:
-			n.propose(&agree.Entry{Propose: m})
-		case <-ctx.Done():
-			return &PublishReply{Error: "it is not known whether it was taken up: ask again with the same id", Retry: true, ActiveVersion: state.ActiveVersion}, nil
-		}
-	}
-}
-
-// publishReply is what a publisher is told of its version; nil: the log has none of its id.
-func publishReply(s *agree.State, id string) *PublishReply {
-	m := s.Published(id)
-	if m == nil {
-		return nil
-	}
-	out := &PublishReply{Number: m.Number, Contradicts: m.Contradicts, ActiveVersion: s.ActiveVersion}
-	if m.RefusalReason != "" {
-		out.Error = "refused: " + m.RefusalReason
-	}
-	return out
-}
-
 func (n *Node) serveStatus(context.Context, *struct{}) (*Status, error) {
-	out := &Status{Node: n.Name, Fleet: n.Fleet}
+	out := &Status{Node: n.Name, Fleet: n.Fleet, LogStatus: n.logStatus()}
 	now := n.Clock()
-	n.leaseMu.Lock()
-	out.LogStatus = n.lease.LogStatus()
-	n.leaseMu.Unlock()
 	if a := n.applied.Load(); a != nil {
 		out.Applied, out.Disconnected = a.rules, a.disconnected
 		if left := a.until - now; !a.disconnected && a.until != math.MaxInt64 {
@@ -351,9 +206,14 @@
 	if n.votingError != nil {
 		out.VotingError = n.votingError.Error()
 	}
-	if n.voter == nil {
-		return out, nil
+	if n.voter != nil {
+		n.addVoterStatus(out, now)
 	}
+	return out, nil
+}
+
+// addVoterStatus adds what a voter knows to a status; n.mu is held.
+func (n *Node) addVoterStatus(out *Status, now time.Duration) {
 	out.Voter, out.Term, out.LogStatus = true, n.voter.Term(), n.voter.State().LogStatus()
 	for _, v := range n.Voters {
 		if v.ID() == n.voter.Leader() {
@@ -362,17 +222,10 @@
 	}
 	out.WaitingFor, out.LeaseHolders = n.voter.AcknowledgeEpoch(now), n.voter.LeaseHolders(now)
 	out.History = slices.Clone(n.voter.State().History)
-	if most := 32; len(out.History) > most {
-		out.History = out.History[len(out.History)-most:]
+	if extra := len(out.History) - maxStatusHistory; extra > 0 {
+		out.History = out.History[extra:]
 	}
-	for i := range out.History { // the parts are asked for by number
+	for i := range out.History { // Describe returns the parts
 		out.History[i].Parts = nil
 	}
-	return out, nil
 }
-
-// Voter is a voter of the fleet.
-type Voter struct{ Name, Address string }
-
-// ID is the voter's in the log.
-func (v Voter) ID() uint64 { return voterID(v.Name) }
--- a/internal/fleet/peers/versions.go
+++ b/internal/fleet/peers/versions.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"maps"
 	"math"
 	"slices"
 	"time"
@@ -13,7 +14,18 @@
 	"yokestall/internal/fleet/agree"
 )
 
-// hasVersion tells whether a version is here, read and checked; where not, it is on its way from then on. n.leaseMu is held.
+const (
+	manifestTimeout = time.Second
+	contentTimeout  = 5 * time.Second
+	refusalTimeout  = time.Second
+)
+
+// invalidVersionError is that this node can't use a version, rather than that the version isn't here yet.
+type invalidVersionError struct{ error }
+
+func (e *invalidVersionError) Unwrap() error { return e.error }
+
+// hasVersion reports whether a version is cached, and begins to fetch it if not; n.leaseMu is held.
 func (n *Node) hasVersion(number uint64) bool {
 	n.versionsMu.Lock()
 	defer n.versionsMu.Unlock()
@@ -27,40 +39,16 @@
 	return false
 }
 
-// fetchVersion brings a version here. One that can't be held is refused, as long as it waits.
+// fetchVersion fetches a version until it is cached, found invalid, or no longer needed.
 func (n *Node) fetchVersion(number uint64) {
 	for n.ctx.Err() == nil {
-		m, err := n.fetchManifest(n.ctx, number)
-		var v *agree.Version
-		if err == nil {
-			v, err = n.parseVersion(n.ctx, m)
-		}
-		var can *invalidVersionError
-		if err == nil || errors.As(err, &can) {
-			n.versionsMu.Lock()
-			delete(n.fetching, number)
-			if err == nil {
-				n.cacheVersion(m, v)
-			} else {
-				n.rejected[number] = err.Error()
-				for old := range n.rejected {
-					if old+maxCachedVersions < number {
-						delete(n.rejected, old)
-					}
-				}
-			}
-			n.versionsMu.Unlock()
-			if err != nil {
-				n.Log.Error("a version can't be held here", "version", number, "err", err)
-				n.reportRefusal(number, err.Error())
-			}
-			n.handleLeaseReply(nil, nil)
+		m, v, err := n.fetchOnce(number)
+		var invalid *invalidVersionError
+		if err == nil || errors.As(err, &invalid) {
+			n.finishFetch(number, m, v, err)
 			return
 		}
-		n.leaseMu.Lock()
-		f := n.lease.LogStatus()
-		n.leaseMu.Unlock()
-		if number != f.ActiveVersion && number != f.PendingVersion { // it is past
+		if status := n.logStatus(); number != status.ActiveVersion && number != status.PendingVersion {
 			break
 		}
 		n.sleep(retryDelay)
@@ -70,27 +58,45 @@
 	n.versionsMu.Unlock()
 }
 
-func (n *Node) sleep(d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-n.ctx.Done():
+func (n *Node) fetchOnce(number uint64) (*agree.Manifest, *agree.Version, error) {
+	m, err := n.fetchManifest(n.ctx, number)
+	if err != nil {
+		return nil, nil, err
+	}
+	v, err := n.parseVersion(n.ctx, m)
+	return m, v, err
+}
+
+// finishFetch caches a version, or rejects it for an error.
+func (n *Node) finishFetch(number uint64, m *agree.Manifest, v *agree.Version, err error) {
+	n.versionsMu.Lock()
+	delete(n.fetching, number)
+	if err == nil {
+		n.cacheVersion(m, v)
+	} else {
+		n.rejected[number] = err.Error()
+		maps.DeleteFunc(n.rejected, func(old uint64, _ string) bool { return old+maxCachedVersions < number })
+	}
+	n.versionsMu.Unlock()
+	if err != nil {
+		n.Log.Error("a version can't be held here", "version", number, "err", err)
+		n.reportRefusal(number, err.Error())
 	}
+	n.handleLeaseReply(nil, nil)
 }
 
-// cacheVersion keeps a version read; n.heldMu is held, and n.mu is not. The oldest that nothing needs goes.
+// cacheVersion caches a version and evicts the oldest ones that nothing needs; n.versionsMu is held, and n.mu must not be.
 func (n *Node) cacheVersion(m *agree.Manifest, v *agree.Version) {
 	n.versions[m.Number], n.manifests[m.Number] = v, m
-	var alive []uint64 // a voter holds a new version against each of them
+	var ofEpoch []uint64 // a voter compares a new version with each of them
 	if s := n.state(); s != nil {
-		alive = s.EpochVersions
+		ofEpoch = s.EpochVersions
 	}
-	for len(n.versions) > maxCachedVersions+len(alive) {
+	for len(n.versions) > maxCachedVersions+len(ofEpoch) {
 		oldest := uint64(math.MaxUint64)
-		for k := range n.versions {
-			if a := n.applied.Load(); (a == nil || k != a.rules.Version && k != a.rules.PendingVersion) && !slices.Contains(alive, k) {
-				oldest = min(oldest, k)
+		for number := range n.versions {
+			if !n.isApplied(number) && !slices.Contains(ofEpoch, number) {
+				oldest = min(oldest, number)
 			}
 		}
 		delete(n.versions, oldest)
@@ -98,31 +104,30 @@
 	}
 }
 
-// reportRefusal tells voters that a version that waits can't be held here, until one has it in the log or it waits no more.
-func (n *Node) reportRefusal(number uint64, why string) {
+// isApplied reports whether the program acts on a version.
+func (n *Node) isApplied(number uint64) bool {
+	a := n.applied.Load()
+	return a != nil && (number == a.rules.Version || number == a.rules.PendingVersion)
+}
+
+// reportRefusal tells the voters that this node can't use a version, until it is no longer pending.
+func (n *Node) reportRefusal(number uint64, reason string) {
 	for n.ctx.Err() == nil {
-		n.leaseMu.Lock()
-		waits := n.lease.LogStatus().PendingVersion == number
-		n.leaseMu.Unlock()
-		if !waits {
+		if n.logStatus().PendingVersion != number {
 			return
 		}
-		r := &agree.Refusal{Number: number, Node: n.Name, Reason: why[:min(len(why), maxReason/2)]}
-		n.propose(&agree.Entry{Refusal: r})
+		refusal := &agree.Refusal{Number: number, Node: n.Name, Reason: reason[:min(len(reason), maxReason/2)]}
+		n.propose(&agree.Entry{Refusal: refusal})
 		for _, c := range n.conns {
-			ctx, stop := context.WithTimeout(n.ctx, time.Second)
-			call[struct{}](ctx, c, "Refuse", r)
+			ctx, stop := context.WithTimeout(n.ctx, refusalTimeout)
+			call[struct{}](ctx, c, methodRefuse, refusal)
 			stop()
 		}
 		n.sleep(retryDelay)
 	}
 }
 
-// invalidVersionError is that this node can't hold a version, rather than that it isn't here yet.
-type invalidVersionError struct{ error }
-
-func (c *invalidVersionError) Unwrap() error { return c.error }
-
+// fetchManifest returns a version's manifest, from this node's own log or from a voter.
 func (n *Node) fetchManifest(ctx context.Context, number uint64) (*agree.Manifest, error) {
 	if s := n.state(); s != nil {
 		if m := s.Version(number); m != nil {
@@ -131,7 +136,7 @@
 	}
 	last := fmt.Errorf("no voter has version %d", number)
 	for _, c := range n.conns {
-		one, stop := context.WithTimeout(ctx, time.Second)
+		one, stop := context.WithTimeout(ctx, manifestTimeout)
 		m, err := n.describeFrom(one, c, number)
 		stop()
 		if err == nil && m.Number == number {
@@ -144,9 +149,9 @@
 	return nil, last
 }
 
-// describeFrom asks a voter for a manifest: for what it adds to its base, if that is known here.
+// describeFrom asks a voter for a manifest. Of one that extends a known base, only the own parts are sent.
 func (n *Node) describeFrom(ctx context.Context, c *Conn, number uint64) (*agree.Manifest, error) {
-	m, err := call[agree.Manifest](ctx, c, "Describe", DescribeRequest{Number: number, OwnPartsOnly: true})
+	m, err := call[agree.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number, OwnPartsOnly: true})
 	if err != nil || !m.Extends {
 		return m, err
 	}
@@ -159,24 +164,44 @@
 	return m, m.Extend(base)
 }
 
-// extendBase reads a version from its base, if that is held and nothing but changes of lists were added.
+// parseVersion fetches a version's content and parses it.
+func (n *Node) parseVersion(ctx context.Context, m *agree.Manifest) (*agree.Version, error) {
+	if v, err := n.extendBase(ctx, m); v != nil || err != nil {
+		return v, err
+	}
+	list, err := n.fetchFiles(ctx, m.Parts)
+	if err != nil {
+		return nil, err
+	}
+	// The publisher of a version and the node that is to apply it often parse it at the same time: it is done once.
+	n.parseMu.Lock()
+	defer n.parseMu.Unlock()
+	if n.lastParsed != nil && slices.Equal(n.lastParsedParts, m.Parts) {
+		return n.lastParsed, nil
+	}
+	v, err := n.Parse(list)
+	if err != nil {
+		return nil, &invalidVersionError{err}
+	}
+	n.lastParsed, n.lastParsedParts = v, m.Parts
+	return v, nil
+}
+
+// extendBase makes a version from its base, if that is cached and only changes of lists were added to it; otherwise it returns nil.
 func (n *Node) extendBase(ctx context.Context, m *agree.Manifest) (*agree.Version, error) {
 	n.versionsMu.Lock()
-	base, known := n.versions[m.Base], n.manifests[m.Base]
+	base, baseManifest := n.versions[m.Base], n.manifests[m.Base]
 	n.versionsMu.Unlock()
-	if n.Extend == nil || !m.Extends || base == nil || len(known.Parts)+m.OwnParts != len(m.Parts) {
+	if n.Extend == nil || !m.Extends || base == nil || len(baseManifest.Parts)+m.OwnParts != len(m.Parts) {
 		return nil, nil
 	}
-	var changes []config.File
-	for _, p := range m.Parts[len(known.Parts):] {
-		if !files.IsChange(p.Name) {
-			return nil, nil
-		}
-		data, err := n.fetchContent(ctx, p)
-		if err != nil {
-			return nil, err
-		}
-		changes = append(changes, config.File{Name: p.Name, Text: data})
+	added := m.Parts[len(baseManifest.Parts):]
+	if slices.ContainsFunc(added, func(p agree.Part) bool { return !files.IsChange(p.Name) }) {
+		return nil, nil
+	}
+	changes, err := n.fetchFiles(ctx, added)
+	if err != nil {
+		return nil, err
 	}
 	v, err := n.Extend(base, changes)
 	if err != nil {
@@ -185,33 +210,20 @@
 	return v, nil
 }
 
-// parseVersion gets a version's content, from here or from voters, and reads it.
-func (n *Node) parseVersion(ctx context.Context, m *agree.Manifest) (*agree.Version, error) {
-	if v, err := n.extendBase(ctx, m); v != nil || err != nil {
-		return v, err
-	}
+// fetchFiles returns the content of parts.
+func (n *Node) fetchFiles(ctx context.Context, parts []agree.Part) ([]config.File, error) {
 	var list []config.File
-	for _, p := range m.Parts {
+	for _, p := range parts {
 		data, err := n.fetchContent(ctx, p)
 		if err != nil {
 			return nil, err
 		}
 		list = append(list, config.File{Name: p.Name, Text: data})
 	}
-	// Who publishes a version and who is to act on it want the same at one time: it is read once.
-	n.parseMu.Lock()
-	defer n.parseMu.Unlock()
-	if n.lastParsed != nil && slices.Equal(n.lastParsedParts, m.Parts) {
-		return n.lastParsed, nil
-	}
-	v, err := n.Parse(list)
-	if err != nil {
-		return nil, &invalidVersionError{err}
-	}
-	n.lastParsed, n.lastParsedParts = v, m.Parts
-	return v, nil
+	return list, nil
 }
 
+// fetchContent returns a part's content, from the store or from a voter.
 func (n *Node) fetchContent(ctx context.Context, p agree.Part) ([]byte, error) {
 	if p.Size > config.MaxFile {
 		return nil, &invalidVersionError{fmt.Errorf("%s: %d bytes; %d at most", p.Name, p.Size, config.MaxFile)}
@@ -221,11 +233,11 @@
 		return data, nil
 	}
 	last := fmt.Errorf("%s: no voter has its content", p.Name)
-	if err != nil { // a disk that failed ends no service: others have it
+	if err != nil { // a failed disk doesn't end service: the voters have the content
 		last = err
 	}
 	for _, c := range n.conns {
-		one, stop := context.WithTimeout(ctx, 5*time.Second)
+		one, stop := context.WithTimeout(ctx, contentTimeout)
 		data, err := c.Fetch(one, p)
 		stop()
 		if err == nil {
@@ -246,7 +258,7 @@
 	return n.store.Put(data)
 }
 
-// versionInLog gives a version of the log, read.
+// versionInLog returns a version of the log's history, parsed.
 func (n *Node) versionInLog(ctx context.Context, s *agree.State, number uint64) (*agree.Version, error) {
 	n.versionsMu.Lock()
 	v := n.versions[number]
@@ -260,139 +272,3 @@
 	}
 	return n.parseVersion(ctx, m)
 }
-
-// reconcile has the program act on what the lease allows, until the node ends.
-func (n *Node) reconcile() {
-	began := n.Clock()
-	t := time.NewTimer(0)
-	defer t.Stop()
-	for {
-		select {
-		case <-n.ctx.Done():
-			return
-		case <-n.wake:
-		case <-t.C:
-		}
-		n.applyOwnership()
-		n.leaseMu.Lock()
-		now := n.Clock()
-		want := n.lease.DesiredRules(now)
-		cur := n.applied.Load()
-		may := cur != nil && (cur.disconnected || n.lease.Permits(now, cur.rules))
-		n.leaseMu.Unlock()
-		switch {
-		case want.Version != 0 && (cur == nil || cur.disconnected || want != cur.rules):
-			n.applyRules(want)
-		case !may && cur != nil:
-			n.enterDisconnected(cur.rules)
-		case cur == nil && now-began > n.Lease.Duration:
-			n.startDisconnected()
-		}
-		next := n.Lease.RenewInterval()
-		if a := n.applied.Load(); a != nil && !a.disconnected {
-			next = min(next, a.until-n.Clock())
-		}
-		t.Reset(max(next, time.Millisecond))
-	}
-}
-
-// applyRules has the program act on rules that the lease allows.
-func (n *Node) applyRules(r agree.ActiveRules) {
-	n.versionsMu.Lock()
-	v, next := n.versions[r.Version], n.versions[r.PendingVersion]
-	n.versionsMu.Unlock()
-	if v == nil || r.PendingVersion != 0 && next == nil {
-		return // it went meanwhile, and comes again
-	}
-	a := agree.EffectiveVersion{Version: v}
-	if r.PendingVersion != 0 {
-		a = agree.Stricter(v, next)
-		if err := errors.Join(agree.AsStrict(a, v), agree.AsStrict(a, next)); err != nil {
-			n.Log.Error("nothing is served in between: the stricter of two versions is laxer than one of them", "rules", r, "err", err)
-			for _, c := range a.Program.Classes {
-				a.Refused[c.Name] = "the rules change"
-			}
-		}
-	}
-	n.leaseMu.Lock()
-	cur := n.applied.Load()
-	if cur == nil || cur.disconnected { // what it acts on next is bound by the lease from its first moment on
-		n.applied.Store(&appliedRules{rules: r, until: n.leaseEnd(r)})
-	}
-	n.leaseMu.Unlock()
-	if err := n.Apply(a); err != nil {
-		n.applied.Store(cur) // that is what the program still acts on
-		n.versionsMu.Lock()
-		n.rejected[max(r.Version, r.PendingVersion)] = err.Error()
-		delete(n.versions, max(r.Version, r.PendingVersion))
-		n.versionsMu.Unlock()
-		n.Log.Error("a version can't be taken", "rules", r, "err", err)
-		if r.PendingVersion != 0 {
-			n.background.Go(func() { n.reportRefusal(r.PendingVersion, err.Error()) })
-		}
-		return
-	}
-	n.leaseMu.Lock()
-	n.lease.ConfirmRules(r)
-	n.applied.Store(&appliedRules{rules: r, until: n.leaseEnd(r)})
-	n.leaseMu.Unlock()
-	n.Log.Info("acts on", "rules", r.String(), "epoch", r.Epoch, "boot", int64(BootTime()))
-	n.renewLeasesNow() // confirms
-	if r.PendingVersion == 0 {
-		n.background.Go(func() { n.saveLastVersion(r.Version) })
-	}
-}
-
-// saveLastVersion keeps a version as the last one for a start without a word from anyone.
-func (n *Node) saveLastVersion(number uint64) {
-	m, err := n.fetchManifest(n.ctx, number)
-	if err == nil {
-		err = n.store.SaveLastVersion(m)
-	}
-	if err != nil && n.ctx.Err() == nil {
-		n.Log.Warn("the last version is not kept for a start alone", "version", number, "err", err)
-	}
-}
-
-// enterDisconnected has the program act on what is cautious without a lease, by the rules that it acted on last.
-func (n *Node) enterDisconnected(last agree.ActiveRules) {
-	n.versionsMu.Lock()
-	v, next := n.versions[last.Version], n.versions[last.PendingVersion]
-	n.versionsMu.Unlock()
-	switch {
-	case v != nil && next != nil:
-		n.applyDisconnected(agree.Stricter(v, next), last)
-	case v != nil:
-		n.applyDisconnected(agree.EffectiveVersion{Version: v}, last)
-	}
-}
-
-// startDisconnected is enterDisconnected for a node that started and reaches no majority of the voters.
-func (n *Node) startDisconnected() {
-	m, err := n.store.LastVersion()
-	if m == nil || err != nil {
-		return
-	}
-	v, err := n.parseVersion(n.ctx, m)
-	if err != nil {
-		n.Log.Error("the last version can't be read", "err", err)
-		return
-	}
-	n.versionsMu.Lock()
-	n.cacheVersion(m, v)
-	n.versionsMu.Unlock()
-	n.applyDisconnected(agree.EffectiveVersion{Version: v}, agree.ActiveRules{Version: m.Number})
-}
-
-func (n *Node) applyDisconnected(a agree.EffectiveVersion, last agree.ActiveRules) {
-	if err := n.Apply(agree.DisconnectedVersion(a, n.Config.Disconnected, time.Now())); err != nil {
-		n.Log.Error("nothing is served without a lease", "err", err)
-		return
-	}
-	until := time.Duration(math.MaxInt64)
-	if most := n.Config.Disconnected.MaxDuration; most > 0 {
-		until = n.Clock() + most
-	}
-	n.applied.Store(&appliedRules{rules: last, disconnected: true, until: until})
-	n.Log.Warn("the lease is over: acts alone", "rules", last.String(), "boot", int64(BootTime()))
-}
--- /dev/null
+++ b/internal/fleet/peers/voter.go
@@ -0,0 +1,231 @@
+package peers
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"yokestall/internal/fleet/agree"
+)
+
+// readRetryInterval is how often a linearizable read is repeated until the leader answers.
+const readRetryInterval = 5 * agree.Tick
+
+var errNotVoter = status.Error(codes.FailedPrecondition, "this node doesn't vote")
+
+// runVoter runs the voter once the other voters have admitted it.
+func (n *Node) runVoter() {
+	if !n.admit() {
+		return
+	}
+	for id, queue := range n.outbox {
+		n.background.Go(func() { n.sendRaftMessages(n.conns[id], queue) })
+	}
+	n.background.Go(n.runTicker)
+	n.background.Go(n.renewOwnLease)
+	n.background.Go(n.runReleases)
+}
+
+func (n *Node) runTicker() {
+	t := time.NewTicker(agree.Tick)
+	defer t.Stop()
+	for {
+		select {
+		case <-n.ctx.Done():
+			return
+		case <-t.C:
+			n.withVoter(func(v *agree.Voter) error { v.Tick(n.Clock()); return nil })
+		}
+	}
+}
+
+func (n *Node) isVoter() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.voter != nil
+}
+
+// state returns the log's state as far as this node has applied it; nil on a node that doesn't vote.
+func (n *Node) state() *agree.State {
+	s, _ := n.stateAndChange()
+	return s
+}
+
+// stateAndChange returns the state, nil on a node that doesn't vote, and a channel that is closed when it changes.
+func (n *Node) stateAndChange() (*agree.State, <-chan struct{}) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.voter == nil {
+		return nil, n.stateChanged
+	}
+	return n.voter.State(), n.stateChanged
+}
+
+// currentState is a linearizable read: it returns a state with everything that was committed before the call. The state that a voter
+// has at hand may be older.
+func (n *Node) currentState(ctx context.Context) (*agree.State, error) {
+	ctx, stop := context.WithTimeout(ctx, statusTimeout)
+	defer stop()
+	first := uint64(0)
+	startRead := func() error {
+		return n.withVoter(func(v *agree.Voter) error {
+			if id := v.StartRead(); first == 0 {
+				first = id
+			}
+			return nil
+		})
+	}
+	retry := time.NewTicker(readRetryInterval)
+	defer retry.Stop()
+	for err := startRead(); ; {
+		if err != nil {
+			return nil, err
+		}
+		s, changed := n.stateOfRead(first)
+		if s != nil {
+			return s, nil
+		}
+		select {
+		case <-changed:
+		case <-retry.C:
+			err = startRead()
+		case <-ctx.Done():
+			return nil, status.Error(codes.Unavailable, "no leader of the log answers") // another voter may have one
+		}
+	}
+}
+
+// stateOfRead returns the state once a read is done; nil before, with a channel that is closed when that may have changed.
+func (n *Node) stateOfRead(read uint64) (*agree.State, <-chan struct{}) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.voter == nil || !n.voter.ReadDone(read) {
+		return nil, n.stateChanged
+	}
+	return n.voter.State(), nil
+}
+
+// withVoter calls the voter and does what it needs done afterwards.
+func (n *Node) withVoter(do func(v *agree.Voter) error) error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.voter == nil {
+		return errNotVoter
+	}
+	if err := do(n.voter); err != nil {
+		return err
+	}
+	return n.processReady()
+}
+
+// processReady does everything that the voter needs done; n.mu is held. After a failed write the node stops voting, since what it has
+// promised may be lost.
+func (n *Node) processReady() error {
+	before, reads := n.voter.State().LogStatus(), n.voter.ReadsAnswered()
+	for {
+		work, some := n.voter.Ready()
+		if !some {
+			break
+		}
+		if err := n.doWork(work); err != nil {
+			n.stopVoting(err)
+			return err
+		}
+	}
+	if now := n.voter.State(); now.LogStatus() != before || n.voter.ReadsAnswered() != reads {
+		n.notifyStateChanged()
+	}
+	return nil
+}
+
+// doWork saves, sends and applies what the voter is ready for; n.mu is held.
+func (n *Node) doWork(work agree.ReadyWork) error {
+	if err := n.store.Save(work); err != nil {
+		return err
+	}
+	for _, m := range work.Messages {
+		n.send(m)
+	}
+	snapshot, err := n.voter.Advance(work)
+	if err != nil || snapshot == nil {
+		return err
+	}
+	return n.compactLog(snapshot)
+}
+
+// notifyStateChanged wakes everything that waits for a change of the state; n.mu is held.
+func (n *Node) notifyStateChanged() {
+	close(n.stateChanged)
+	n.stateChanged = make(chan struct{})
+}
+
+// stopVoting makes the node a follower for good; n.mu is held.
+func (n *Node) stopVoting(err error) {
+	n.votingError, n.voter, n.unadmitted = err, nil, nil
+	n.Log.Error("this node votes no more", "err", err)
+	n.notifyStateChanged()
+}
+
+// compactLog replaces the start of the log by a snapshot, and deletes content that no version names; n.mu is held.
+func (n *Node) compactLog(snapshot *pb.Snapshot) error {
+	if err := n.store.CompactTo(snapshot); err != nil {
+		return err
+	}
+	keep := n.voter.State().ContentHashes()
+	for hash, at := range n.recentContent {
+		if time.Since(at) < recentContentRetention {
+			keep[hash] = 0
+		} else {
+			delete(n.recentContent, hash)
+		}
+	}
+	return n.store.Sweep(keep)
+}
+
+// send queues a message for another voter, or drops it if the queue is full; n.mu is held.
+func (n *Node) send(m *pb.Message) {
+	select {
+	case n.outbox[m.GetTo()] <- m:
+	default:
+		reportLost(n.voter, m)
+	}
+}
+
+// reportLost tells a voter that a message was not delivered.
+func reportLost(v *agree.Voter, m *pb.Message) {
+	v.Unreachable(m.GetTo())
+	if m.GetType() == pb.MsgSnap {
+		v.SnapshotSent(m.GetTo(), false)
+	}
+}
+
+// receive handles another voter's message.
+func (n *Node) receive(m *pb.Message) error {
+	return n.withVoter(func(v *agree.Voter) error {
+		if m.GetTo() != v.ID || !slices.Contains(v.Voters(), m.GetFrom()) || m.GetFrom() == v.ID {
+			return errNotVoter
+		}
+		v.Step(m) // an error means that the message came too late
+		return nil
+	})
+}
+
+func (n *Node) propose(e *agree.Entry) error {
+	return n.withVoter(func(v *agree.Voter) error { return v.Propose(e) })
+}
+
+// grantLease grants a lease as a voter.
+func (n *Node) grantLease(request agree.LeaseRequest) (grant agree.Grant, err error) {
+	err = n.withVoter(func(v *agree.Voter) error {
+		if grant, err = v.GrantLease(n.Clock(), request); err != nil {
+			return err
+		}
+		v.AcknowledgeEpoch(n.Clock())
+		return nil
+	})
+	return grant, err
+}
--- a/internal/fleet/peers/wire.go
+++ b/internal/fleet/peers/wire.go
@@ -15,75 +15,91 @@
 	"yokestall/internal/fleet/agree"
 )
 
-// What nodes say to each other. It travels over gRPC: raft's messages as their library writes them, content as it is, the rest as
-// JSON, each in a google.protobuf.BytesValue.
+// The nodes of a fleet talk over gRPC. Every message is a google.protobuf.BytesValue: of a raft message as the raft library encodes it, of
+// content as it is, or of JSON. The names of methods and of JSON fields are fixed, since nodes of several versions run side by side.
 
 const (
 	service    = "yokestall.fleet.v1.Fleet"
-	fleetKey   = "yokestall-fleet" // the name of the fleet that a call is for
-	maxMessage = 4 << 20           // bytes of a message: a whole history fits
+	fleetKey   = "yokestall-fleet" // metadata: the name of the fleet that a call is for
+	maxMessage = 4 << 20           // bytes of a message, enough for the whole history
 	chunkSize  = 256 << 10         // bytes of content in a message
-	maxReason  = 4 << 10           // bytes of a node's reason
+	maxReason  = 4 << 10           // bytes of a node's reason for a refusal
 )
 
-// DescribeRequest asks for a version.
+// The names of the service's methods.
+const (
+	methodDescribe     = "Describe"
+	methodFetch        = "Fetch"
+	methodMissing      = "Have"
+	methodPublish      = "Publish"
+	methodRefuse       = "Refuse"
+	methodStatus       = "Status"
+	methodOwnership    = "Owns"
+	methodHello        = "Hello"
+	methodRelease      = "Release"
+	streamRaftMessages = "Carry"
+	streamLeases       = "Attend"
+	streamPut          = "Put"
+)
+
+// DescribeRequest asks for a version's manifest.
 type DescribeRequest struct {
 	Number       uint64 `json:"number"`
-	OwnPartsOnly bool   `json:"short"` // what it adds to its base is enough
+	OwnPartsOnly bool   `json:"short"` // without the parts of the base
 }
 
-// FetchRequest asks for content from a place on.
+// FetchRequest asks for a chunk of content.
 type FetchRequest struct {
 	Hash   string `json:"hash"`
 	Offset int    `json:"from"`
 }
 
-// LeaseReply is a voter's answer to an ask, or news without one.
+// LeaseReply is a voter's reply to a lease request, or news of the log without a request.
 type LeaseReply struct {
 	Grant     *agree.Grant     `json:"grant,omitempty"`
 	LogStatus *agree.LogStatus `json:"news,omitempty"`
 	Error     string           `json:"error,omitempty"`
 }
 
-// PublishRequest asks for a version. Its content has been put to voters before.
+// PublishRequest asks a voter to publish a version whose content is stored by a majority of the voters.
 type PublishRequest struct {
 	ID    string       `json:"id"`
 	Base  uint64       `json:"base"`
 	Parts []agree.Part `json:"parts"`
-	// Extends says that the parts are beside all those of the base.
+	// Extends says that the version consists of the base's parts, followed by Parts.
 	Extends bool `json:"extends,omitempty"`
 }
 
-// PublishReply says what became of it.
+// PublishReply is the result of a PublishRequest.
 type PublishReply struct {
-	Number        uint64   `json:"number"` // 0: it was not taken up
+	Number        uint64   `json:"number"` // 0: the version was not published
 	Contradicts   bool     `json:"contradicts"`
 	Error         string   `json:"error,omitempty"`
-	Retry         bool     `json:"again"`             // another try may succeed as it is
-	ActiveVersion uint64   `json:"present"`           // the version in force
-	Differences   []string `json:"differs,omitempty"` // from the version in force
+	Retry         bool     `json:"again"` // the same request may succeed later
+	ActiveVersion uint64   `json:"present"`
+	Differences   []string `json:"differs,omitempty"` // from the active version
 }
 
-// ContentHashes asks which of these hashes are not there.
+// ContentHashes names content. It asks which of it a node doesn't have, and is the reply to that.
 type ContentHashes struct {
 	Hashes []string `json:"hashes"`
 }
 
-// Status is how a node sees the fleet.
+// Status is a node's view of the fleet.
 type Status struct {
 	Node         string            `json:"node"`
 	Fleet        string            `json:"fleet"`
 	Voter        bool              `json:"voter"`
-	Leader       string            `json:"leader,omitempty"` // "": none is known here
+	Leader       string            `json:"leader,omitempty"` // "": the node knows of none
 	Term         uint64            `json:"term,omitempty"`
 	LogStatus    agree.LogStatus   `json:"facts"`
-	Applied      agree.ActiveRules `json:"acts"`
+	Applied      agree.ActiveRules `json:"acts"` // what the node acts on
 	Disconnected bool              `json:"alone"`
-	LeaseLeftMs  int64             `json:"left_ms"` // of its lease
-	WaitingFor   []string          `json:"waits,omitempty"`
-	LeaseHolders []string          `json:"nodes,omitempty"` // that this voter has granted leases
+	LeaseLeftMs  int64             `json:"left_ms"`         // milliseconds left of the node's own lease
+	WaitingFor   []string          `json:"waits,omitempty"` // nodes that keep this voter from acknowledging the pending version
+	LeaseHolders []string          `json:"nodes,omitempty"` // nodes that hold a lease of this voter
 	History      []agree.Manifest  `json:"history,omitempty"`
-	VotingError  string            `json:"store,omitempty"` // what is wrong with it
+	VotingError  string            `json:"store,omitempty"` // why the node no longer votes
 	Tasks        []TaskStatus      `json:"owners,omitempty"`
 }
 
@@ -102,7 +118,7 @@
 	return nil
 }
 
-// checkFleet turns away who speaks for another fleet, before anything else that it sent is read.
+// checkFleet refuses a call that is for another fleet, before its message is decoded.
 func (n *Node) checkFleet(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if got := md.Get(fleetKey); len(got) != 1 || got[0] != n.Fleet {
@@ -111,7 +127,7 @@
 	return nil
 }
 
-// unaryMethod makes a unary method of a function.
+// unaryMethod describes a method of one request and one reply.
 func unaryMethod[In, Out any](name string, do func(n *Node, ctx context.Context, in *In) (*Out, error)) grpc.MethodDesc {
 	return grpc.MethodDesc{MethodName: name, Handler: func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		n := srv.(*Node)
@@ -137,7 +153,7 @@
 	}}
 }
 
-// streamMethod makes a streaming method.
+// streamMethod describes a streaming method; up and down say which side sends several messages.
 func streamMethod(name string, up, down bool, do func(n *Node, s grpc.ServerStream) error) grpc.StreamDesc {
 	return grpc.StreamDesc{StreamName: name, ClientStreams: up, ServerStreams: down, Handler: func(srv any, s grpc.ServerStream) error {
 		n := srv.(*Node)
@@ -148,19 +164,32 @@
 	}}
 }
 
+// serviceDescription describes the gRPC service that a node serves.
 func serviceDescription() *grpc.ServiceDesc {
 	return &grpc.ServiceDesc{
 		ServiceName: service, HandlerType: (*any)(nil),
 		Methods: []grpc.MethodDesc{
-			unaryMethod("Describe", (*Node).serveDescribe), unaryMethod("Fetch", (*Node).serveFetch), unaryMethod("Have", (*Node).serveMissing),
-			unaryMethod("Publish", (*Node).servePublish), unaryMethod("Refuse", (*Node).serveRefusal), unaryMethod("Status", (*Node).serveStatus), unaryMethod("Owns", (*Node).serveOwnership), unaryMethod("Hello", (*Node).serveHello), unaryMethod("Release", (*Node).serveReleaseCommand),
+			unaryMethod(methodDescribe, (*Node).serveDescribe),
+			unaryMethod(methodFetch, (*Node).serveFetch),
+			unaryMethod(methodMissing, (*Node).serveMissing),
+			unaryMethod(methodPublish, (*Node).servePublish),
+			unaryMethod(methodRefuse, (*Node).serveRefusal),
+			unaryMethod(methodStatus, (*Node).serveStatus),
+			unaryMethod(methodOwnership, (*Node).serveOwnership),
+			unaryMethod(methodHello, (*Node).serveHello),
+			unaryMethod(methodRelease, (*Node).serveReleaseCommand),
 		},
 		Streams: []grpc.StreamDesc{
-			streamMethod("Carry", true, false, (*Node).serveRaftMessages), streamMethod("Attend", true, true, (*Node).serveLeases), streamMethod("Put", true, false, (*Node).servePut),
+			streamMethod(streamRaftMessages, true, false, (*Node).serveRaftMessages),
+			streamMethod(streamLeases, true, true, (*Node).serveLeases),
+			streamMethod(streamPut, true, false, (*Node).servePut),
 		},
 	}
 }
 
+// methodPath is the path of a method in gRPC calls.
+func methodPath(name string) string { return "/" + service + "/" + name }
+
 // Conn is a connection to a node.
 type Conn struct {
 	*grpc.ClientConn
@@ -178,29 +207,29 @@
 		return nil, err
 	}
 	back := &wrapperspb.BytesValue{}
-	if err := c.Invoke(c.context(ctx), "/"+service+"/"+name, raw, back); err != nil {
+	if err := c.Invoke(c.context(ctx), methodPath(name), raw, back); err != nil {
 		return nil, err
 	}
 	out := new(Out)
 	return out, json.Unmarshal(back.GetValue(), out)
 }
 
-// Describe asks for a version's manifest.
+// Describe returns a version's manifest.
 func (c *Conn) Describe(ctx context.Context, number uint64) (*agree.Manifest, error) {
-	return call[agree.Manifest](ctx, c, "Describe", DescribeRequest{Number: number})
+	return call[agree.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number})
 }
 
-// Status asks how the node sees the fleet.
+// Status returns the node's view of the fleet.
 func (c *Conn) Status(ctx context.Context) (*Status, error) {
-	return call[Status](ctx, c, "Status", struct{}{})
+	return call[Status](ctx, c, methodStatus, struct{}{})
 }
 
-// Publish asks for a version to be taken up.
+// Publish asks the node to publish a version.
 func (c *Conn) Publish(ctx context.Context, p PublishRequest) (*PublishReply, error) {
-	return call[PublishReply](ctx, c, "Publish", p)
+	return call[PublishReply](ctx, c, methodPublish, p)
 }
 
-// Fetch gets content whole, and checks it.
+// Fetch returns content and verifies its hash.
 func (c *Conn) Fetch(ctx context.Context, part agree.Part) ([]byte, error) {
 	var data []byte
 	for len(data) < part.Size {
@@ -209,7 +238,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := c.Invoke(c.context(ctx), "/"+service+"/Fetch", raw, out); err != nil {
+		if err := c.Invoke(c.context(ctx), methodPath(methodFetch), raw, out); err != nil {
 			return nil, err
 		}
 		if len(out.GetValue()) == 0 {
@@ -223,13 +252,13 @@
 	return data, nil
 }
 
-// Put has the node keep what of the content it hasn't, for good when the error is nil.
+// Put uploads the content that the node doesn't have. The node has stored all of it when the error is nil.
 func (c *Conn) Put(ctx context.Context, content map[string][]byte) error {
 	var all ContentHashes
 	for h := range content {
 		all.Hashes = append(all.Hashes, h)
 	}
-	missing, err := call[ContentHashes](ctx, c, "Have", all)
+	missing, err := call[ContentHashes](ctx, c, methodMissing, all)
 	if err != nil {
 		return err
 	}
@@ -238,21 +267,26 @@
 		if !ok {
 			return errors.New("the node wants what was not offered")
 		}
-		s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true}, "/"+service+"/Put")
-		if err != nil {
-			return err
-		}
-		for at := 0; at < len(data) || at == 0; at += chunkSize {
-			if err := s.SendMsg(wrapperspb.Bytes(data[at:min(len(data), at+chunkSize)])); err != nil {
-				break // RecvMsg says why
-			}
-		}
-		if err := s.CloseSend(); err != nil {
-			return err
-		}
-		if err := s.RecvMsg(&wrapperspb.BytesValue{}); err != nil {
+		if err := c.upload(ctx, data); err != nil {
 			return err
 		}
 	}
 	return nil
 }
+
+// upload sends content in chunks and waits until the node has stored it.
+func (c *Conn) upload(ctx context.Context, data []byte) error {
+	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true}, methodPath(streamPut))
+	if err != nil {
+		return err
+	}
+	for at := 0; at < len(data) || at == 0; at += chunkSize {
+		if err := s.SendMsg(wrapperspb.Bytes(data[at:min(len(data), at+chunkSize)])); err != nil {
+			break // RecvMsg returns why
+		}
+	}
+	if err := s.CloseSend(); err != nil {
+		return err
+	}
+	return s.RecvMsg(&wrapperspb.BytesValue{})
+}
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -415,9 +415,9 @@
 				r.rig.Record.Add(fleet.Event{What: fleet.Told, Who: (seen - 1) / 2, Over: seen%2 == 0})
 				r.out.Published++
 			}
-			if in.Start == nil && out != nil && out.Progress != nil && out.Progress.Result != "" && seen == len(s.History) {
+			if in.Start == nil && out != nil && out.Progress != nil && out.Progress.Ended() && seen == len(s.History) {
 				r.out.Times = append(r.out.Times, time.Since(began))
-				if out.Progress.Result != "done" || len(s.History) != len(want) {
+				if out.Progress.Result != agree.ReleaseDone || len(s.History) != len(want) {
 					return fmt.Errorf("the release ended by %q with %d versions of %d", out.Progress.Result, len(s.History), len(want))
 				}
 				for i, id := range want[1:] {
