--- a/internal/extproc/machine.go
+++ b/internal/extproc/machine.go
@@ -41,7 +41,7 @@
 
 // way is one direction of an exchange.
 type way struct {
-	head, ended, trailers bool
+	head, ended bool
 }
 
 // Machine holds a stream's messages to the protocol's order. It is pure: it knows no stream and no
--- a/internal/fleet/owner/share_test.go
+++ b/internal/fleet/owner/share_test.go
@@ -53,7 +53,6 @@
 	down   bool
 	late   []func()
 	epoch  uint64
-	owner  *dealing // set: the node is where it deals
 }
 
 type dealing struct {
--- a/internal/h2front/h2front.go
+++ b/internal/h2front/h2front.go
@@ -3,6 +3,8 @@
 // while requests over HTTP/1.1 go on.
 package h2front
 
+//lint:file-ignore SA1019 golang.org/x/net/http2 gives control over each server connection that net/http does not offer
+
 import (
 	"context"
 	"crypto/tls"
--- a/internal/h2up/h2up.go
+++ b/internal/h2up/h2up.go
@@ -2,6 +2,8 @@
 // nothing is sent again by itself.
 package h2up
 
+//lint:file-ignore SA1019 golang.org/x/net/http2 gives control over each client connection that net/http does not offer
+
 import (
 	"bytes"
 	"context"
--- a/internal/repeat/table_test.go
+++ b/internal/repeat/table_test.go
@@ -82,11 +82,11 @@
 		got := Verdict(255)
 		switch event {
 		case "asks":
-			got, e, _ = s.Ask(now, key, print, window, true)
+			got, _, _ = s.Ask(now, key, print, window, true)
 		case "asks, not to wait":
-			got, e, _ = s.Ask(now, key, print, window, false)
+			got, _, _ = s.Ask(now, key, print, window, false)
 		case "asks for another":
-			got, e, _ = s.Ask(now, key, another, window, true)
+			got, _, _ = s.Ask(now, key, another, window, true)
 			if before == "none" {
 				print, another = another, print // it is the one that runs now
 			}
--- a/internal/standin/controlplane/controlplane.go
+++ b/internal/standin/controlplane/controlplane.go
@@ -56,7 +56,6 @@
 	server  *grpc.Server // nil while it is down
 	ended   chan struct{}
 	types   map[string]*kind
-	order   []string      // of the types' first resources
 	changed chan struct{} // closed at the next change
 	answers []Answer
 	faults  []Fault // for the responses to come
--- a/internal/xds/translate/routes.go
+++ b/internal/xds/translate/routes.go
@@ -190,14 +190,19 @@
 	case *routev3.HeaderMatcher_PresentMatch:
 		c.Kind, c.Invert = route.HeaderPresent, c.Invert == m.PresentMatch
 	case *routev3.HeaderMatcher_ExactMatch:
+		//lint:ignore SA1019 control planes in use still send the deprecated forms
 		c.Kind, c.Value = route.HeaderExact, m.ExactMatch
 	case *routev3.HeaderMatcher_PrefixMatch:
+		//lint:ignore SA1019 control planes in use still send the deprecated forms
 		c.Kind, c.Value = route.HeaderPrefix, m.PrefixMatch
 	case *routev3.HeaderMatcher_SuffixMatch:
+		//lint:ignore SA1019 control planes in use still send the deprecated forms
 		c.Kind, c.Value = route.HeaderSuffix, m.SuffixMatch
 	case *routev3.HeaderMatcher_ContainsMatch:
+		//lint:ignore SA1019 control planes in use still send the deprecated forms
 		c.Kind, c.Value = route.HeaderContains, m.ContainsMatch
 	case *routev3.HeaderMatcher_SafeRegexMatch:
+		//lint:ignore SA1019 control planes in use still send the deprecated forms
 		c.Kind, c.Value = route.HeaderRegex, m.SafeRegexMatch.GetRegex()
 	case *routev3.HeaderMatcher_StringMatch:
 		if err := stringMatch(m.StringMatch, &c); err != nil {
--- a/internal/xds/translate/transport.go
+++ b/internal/xds/translate/transport.go
@@ -19,6 +19,7 @@
 // transport gives how a cluster's servers are spoken to. Keys are not taken from the control
 // plane: secrets are named, and have to be entries of the program's own keys.
 func transport(c *clusterv3.Cluster) (out cluster.Transport, err error) {
+	//lint:ignore SA1019 control planes in use still send the deprecated field
 	out.HTTP2 = c.GetHttp2ProtocolOptions() != nil
 	if a := c.GetTypedExtensionProtocolOptions()[protocolOptions]; a != nil {
 		var m upstreamv3.HttpProtocolOptions
--- a/internal/xds/translate/transport_test.go
+++ b/internal/xds/translate/transport_test.go
@@ -45,6 +45,7 @@
 		says string
 	}{
 		{"nothing", &clusterv3.Cluster{}, cluster.Transport{}, ""},
+		//lint:ignore SA1019 the deprecated field is what is tested
 		{"HTTP/2, the former way", &clusterv3.Cluster{Http2ProtocolOptions: &corev3.Http2ProtocolOptions{}}, cluster.Transport{HTTP2: true}, ""},
 		{"HTTP/2", &clusterv3.Cluster{TypedExtensionProtocolOptions: map[string]*anypb.Any{protocolOptions: explicit}}, cluster.Transport{HTTP2: true}, ""},
 		{"TLS", &clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{Sni: "a.test", CommonTlsContext: named})},
