--- a/internal/cli/agree.go
+++ b/internal/cli/agree.go
@@ -17,7 +17,7 @@
 // fleetConfig gives what a program's file says of its fleet, as a node of it wants it. keys may be nil.
 func fleetConfig(p *config.Program, path string, keys *tlskeys.Store, log *slog.Logger) peers.Config {
 	a := &p.Agree
-	c := peers.Config{Fleet: a.Name, Name: a.Node, Dir: files.Beside(path, a.Folder), Terms: a.Terms, Alone: a.Alone, Log: log}
+	c := peers.Config{Fleet: a.Name, Name: a.Node, Dir: files.Beside(path, a.Folder), Lease: a.Lease, Disconnected: a.Disconnected, Log: log}
 	for _, v := range a.Voters {
 		c.Voters = append(c.Voters, peers.Voter{Name: v.Name, Address: v.Address})
 	}
@@ -73,7 +73,7 @@
 	p := first.Program
 	var source *app.Agreed
 	var m *member
-	o.May = func() bool { return m.node.May() }
+	o.May = func() bool { return m.node.MayServe() }
 	c := fleetConfig(p, path, o.Keys, o.Log)
 	c.Clock = clock
 	a, err := app.New(app.Blank(p), o)
@@ -81,7 +81,7 @@
 		return nil, nil, nil, err
 	}
 	source = app.NewAgreed(a, p)
-	c.Parse, c.Extend, c.Take = source.Parse, source.Extend, source.Take
+	c.Parse, c.Extend, c.Apply = source.Parse, source.Extend, source.Take
 	if m, err = join(c, p); err != nil {
 		a.Close()
 		return nil, nil, nil, err
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -60,7 +60,7 @@
 			err = errors.Join(err, n.close())
 		}
 	}()
-	t := terms.Terms{Lease: o.Lease, Drift: 0.05, Take: 50 * time.Millisecond}
+	t := terms.LeaseConfig{Duration: o.Lease, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
 	var voters []peers.Voter
 	for i := range fleetNodes {
 		n := &fleetNode{name: string(rune('a' + i))}
@@ -87,7 +87,7 @@
 	}
 	defer client.Close()
 	d := &fleetDemo{ctx: ctx, out: o.Out, nodes: nodes, client: client}
-	fmt.Fprintf(o.Out, "five nodes; a, b and c vote; a lease lasts %v, so a version that contradicts is in force after %v at the latest\n\n", t.Lease, t.Bound().Round(time.Millisecond))
+	fmt.Fprintf(o.Out, "five nodes; a, b and c vote; a lease lasts %v, so a version that contradicts is in force after %v at the latest\n\n", t.Duration, t.ActivationBound().Round(time.Millisecond))
 	d.publish("keys are dropped for 6 s", "6s")
 	d.all("all act on it", "6s")
 	d.publish("keys are dropped for 2 s: nodes that still count on 6 s would send again what the servers have forgotten", "2s")
@@ -108,10 +108,10 @@
 }
 
 // open opens a node with a link to each voter but itself.
-func (n *fleetNode) open(dir string, t terms.Terms, voters []peers.Voter, votes bool) error {
+func (n *fleetNode) open(dir string, t terms.LeaseConfig, voters []peers.Voter, votes bool) error {
 	c := peers.Config{
-		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Terms: t, Log: slog.New(slog.DiscardHandler),
-		Alone: terms.Alone{Effects: terms.Cautious, Routes: terms.Cautious, Lists: terms.Cautious},
+		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: t, Log: slog.New(slog.DiscardHandler),
+		Disconnected: terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious},
 		Parse: func(list []config.File) (*agree.Version, error) {
 			s, err := files.Unbundle(list)
 			if err != nil {
@@ -119,7 +119,7 @@
 			}
 			return &agree.Version{Program: s.Program, Clusters: s.Version.Clusters}, nil
 		},
-		Take: func(a agree.Acting) error {
+		Apply: func(a agree.EffectiveVersion) error {
 			k := &a.Program.Classes[0]
 			n.mu.Lock()
 			defer n.mu.Unlock()
@@ -164,7 +164,7 @@
 func (n *fleetNode) now() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.node.May() {
+	if !n.node.MayServe() {
 		return ""
 	}
 	return n.acts
@@ -193,14 +193,14 @@
 	list := []config.File{{Name: files.ProgramPart, Text: []byte(text)}, {Name: "rooms.toml", Text: []byte("[cluster]\nname = \"rooms\"\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n")}}
 	began, id := time.Now(), peers.NewID()
 	for ctx.Err() == nil {
-		s, err := d.client.Newest(ctx)
+		s, err := d.client.LatestStatus(ctx)
 		if err == nil {
-			var p *peers.Published
-			if p, err = d.client.Publish(ctx, id, s.Facts.Number, list); err == nil && p.Number > 0 {
+			var p *peers.PublishReply
+			if p, err = d.client.Publish(ctx, id, s.LogStatus.ActiveVersion, list); err == nil && p.Number > 0 {
 				waits := ""
-				o, err := d.client.Wait(ctx, p.Number, func(o peers.Outcome) {
-					if len(o.Waits) > 0 {
-						waits = fmt.Sprintf(", having waited for %v", o.Waits)
+				o, err := d.client.WaitForVersion(ctx, p.Number, func(o peers.PublishOutcome) {
+					if len(o.WaitingFor) > 0 {
+						waits = fmt.Sprintf(", having waited for %v", o.WaitingFor)
 					}
 				})
 				if err != nil || !o.InForce {
--- a/internal/fleet/agree/lease.go
+++ b/internal/fleet/agree/lease.go
@@ -1,7 +1,6 @@
 package agree
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"time"
@@ -9,286 +8,219 @@
 	"yokestall/internal/fleet/terms"
 )
 
-// Terms are the figures of leases.
-type Terms = terms.Terms
+// LeaseConfig is the timing of leases.
+type LeaseConfig = terms.LeaseConfig
 
-// Facts are what a voter has learnt from the log, at an index. They were true of it once, whoever tells them.
-type Facts struct {
-	Index   uint64 `json:"index"`
-	Epoch   uint64 `json:"epoch"`
-	Number  uint64 `json:"number"`
-	Pending uint64 `json:"pending"`
+// LogStatus is the log's state at an index, as a voter has applied it. It stays true of that index, whoever passes it on.
+type LogStatus struct {
+	Index          uint64 `json:"index"`
+	Epoch          uint64 `json:"epoch"`
+	ActiveVersion  uint64 `json:"number"`
+	PendingVersion uint64 `json:"pending"`
 }
 
-// Facts gives the state's.
-func (s *State) Facts() Facts { return Facts{s.Index, s.Epoch, s.Number, s.Pending} }
-
-func (f Facts) upto() uint64 {
-	if f.Pending != 0 {
-		return f.Epoch + 1
-	}
-	return f.Epoch
+// LogStatus returns the state's summary for nodes that don't vote.
+func (s *State) LogStatus() LogStatus {
+	return LogStatus{s.Index, s.Epoch, s.ActiveVersion, s.PendingVersion}
 }
 
-// Ask is what a node asks each voter for, again and again.
-type Ask struct {
-	Node      string `json:"node"`
-	Life      string `json:"life"`      // of the process: another one after each start
-	Seq       uint64 `json:"seq"`       // by which the answer is told from those to earlier asks
-	Confirmed uint64 `json:"confirmed"` // it acts on nothing any more that came before this epoch
-	Set       uint64 `json:"set"`       // nor as the owner of works by a set before this one
+// LeaseRequest is a node's heartbeat to each voter: it asks for a new lease and confirms what the node has left behind.
+type LeaseRequest struct {
+	Node               string `json:"node"`
+	Incarnation        string `json:"life"`      // of the process: different after each start
+	Sequence           uint64 `json:"seq"`       // matches grants to requests
+	ConfirmedEpoch     uint64 `json:"confirmed"` // the node no longer acts on anything before this epoch
+	ConfirmedOwnership uint64 `json:"set"`       // nor as the owner of tasks by an ownership revision before this one
 }
 
-// Grant is a voter's promise: for the length of a lease from the ask on, it clears no epoch past Upto, and frees no work of the process that it
-// is to lose past Set, unless the node confirms it.
+// Grant is a voter's promise for a lease's duration from the request on: unless the node confirms, the voter acknowledges no epoch after
+// MaxEpoch, and releases no task that the node's process loses after OwnershipRevision.
 type Grant struct {
-	Voter uint64 `json:"voter"`
-	Seq   uint64 `json:"seq"`
-	Upto  uint64 `json:"upto"`
-	Set   uint64 `json:"set"`
-	Facts Facts  `json:"facts"`
+	Voter             uint64    `json:"voter"`
+	Sequence          uint64    `json:"seq"`
+	MaxEpoch          uint64    `json:"upto"`
+	OwnershipRevision uint64    `json:"set"`
+	LogStatus         LogStatus `json:"facts"`
 }
 
-// MaxHolders is how many processes a voter grants leases to at once. Those of processes that ended count until they end.
-const MaxHolders = 4096
-
-// ErrFull is that a voter grants as many leases as it may.
-var ErrFull = errors.New("the voter grants as many leases as it may; ask again later")
+// ActiveRules identifies what a node acts on: one version, or, with PendingVersion, the stricter rules of two versions that contradict each
+// other. The zero value is no version at all.
+type ActiveRules struct {
+	Epoch          uint64 `json:"epoch"` // that a lease has to cover
+	Version        uint64 `json:"number"`
+	PendingVersion uint64 `json:"pending"`
+}
 
-// Desk is a voter's record of the leases that it has granted. It lives in memory: one that starts waits until
-// all that an earlier life may have granted is over. Times are on the voter's own clock.
-type Desk struct {
-	terms   Terms
-	quiet   time.Duration // it clears nothing before
-	holders map[holder]*held
+// String formats the rules for operators.
+func (r ActiveRules) String() string {
+	switch {
+	case r.Version == 0:
+		return "nothing"
+	case r.PendingVersion != 0:
+		return fmt.Sprintf("the stricter of %d and %d", r.Version, r.PendingVersion)
+	}
+	return fmt.Sprint("version ", r.Version)
 }
 
-type holder struct{ node, life string }
+// maxOutstandingRequests is how many requests may be unanswered. Grants for older ones are ignored.
+const maxOutstandingRequests = 64
 
-type held struct {
-	epochs, works promise
-	since         time.Duration // it has held leases without a gap
+// Lease is a node's side of its leases: what it may act on, and for how long, by the grants of the voters. It has to be asked at the moment
+// of each decision and of each send, since no flag of it goes stale. Times are on the node's own clock, which must also count the time
+// for which the machine or the process was suspended.
+type Lease struct {
+	config            LeaseConfig
+	voters            int
+	logStatus         LogStatus
+	confirmedEpoch    uint64
+	sequence          uint64
+	requestedAt       map[uint64]time.Duration // when each outstanding request was made, by sequence
+	epochGrants       voterGrants
+	ownershipGrants   voterGrants
+	ownershipRevision uint64                        // that the node acts on
+	hasVersion        func(number uint64) (ok bool) // whether the node has a version's content, checked
 }
 
-// NewDesk starts a desk.
-func NewDesk(now time.Duration, t Terms) *Desk {
-	return &Desk{terms: t, quiet: now + t.Keep(), holders: map[holder]*held{}}
+// voterGrants are the grants of one kind, by voter.
+type voterGrants map[uint64][]activeGrant
+
+// activeGrant is a grant on its holder's clock.
+type activeGrant struct {
+	revision uint64 // an epoch or an ownership revision
+	end      time.Duration
 }
 
-// Ask grants a lease up to what the voter has heard of.
-func (d *Desk) Ask(now time.Duration, voter uint64, a Ask, s *State) (Grant, error) {
-	key := holder{a.Node, a.Life}
-	h := d.holders[key]
-	if h == nil {
-		if len(d.holders) >= MaxHolders {
-			if d.sweep(now); len(d.holders) >= MaxHolders {
-				return Grant{}, ErrFull
-			}
-		}
-		h = &held{since: now}
-		d.holders[key] = h
-	}
-	if h.epochs.end <= now {
-		h.since = now
+// NewLease creates a node's side of its leases; hasVersion tells which versions it could act on.
+func NewLease(config LeaseConfig, voters int, hasVersion func(number uint64) bool) *Lease {
+	return &Lease{
+		config: config, voters: voters, hasVersion: hasVersion,
+		requestedAt: map[uint64]time.Duration{}, epochGrants: voterGrants{}, ownershipGrants: voterGrants{},
 	}
-	end := now + d.terms.Keep()
-	h.epochs.grant(s.Upto(), a.Confirmed, end)
-	h.works.grant(s.Set(a.Node, a.Life), a.Set, end)
-	return Grant{Voter: voter, Seq: a.Seq, Upto: h.epochs.mark, Set: h.works.mark, Facts: s.Facts()}, nil
 }
 
-// Nodes names the processes that hold a lease, once each, in order.
-func (d *Desk) Nodes(now time.Duration) (list []string) {
-	for key, h := range d.holders {
-		if h.epochs.end > now {
-			list = append(list, key.node)
-		}
-	}
-	slices.Sort(list)
-	return slices.Compact(list)
+// NextRequest creates the next request. Its lease counts from now on, so the request should be sent at once.
+func (l *Lease) NextRequest(now time.Duration) LeaseRequest {
+	l.sequence++
+	l.requestedAt[l.sequence] = now
+	delete(l.requestedAt, l.sequence-maxOutstandingRequests)
+	return LeaseRequest{Sequence: l.sequence, ConfirmedEpoch: l.confirmedEpoch, ConfirmedOwnership: l.ownershipRevision}
 }
 
-// sweep forgets leases that are over.
-func (d *Desk) sweep(now time.Duration) {
-	for key, h := range d.holders {
-		if h.epochs.end <= now {
-			delete(d.holders, key)
-		}
+// HandleGrant records a grant. One that arrives late or twice counts from its request on, like any other.
+func (l *Lease) HandleGrant(g Grant) {
+	l.UpdateLogStatus(g.LogStatus)
+	requested, known := l.requestedAt[g.Sequence]
+	if !known || len(l.epochGrants) >= 2*l.voters && l.epochGrants[g.Voter] == nil {
+		return
 	}
+	end := requested + l.config.HolderTerm()
+	l.epochGrants.add(g.Voter, activeGrant{g.MaxEpoch, end}, l.logStatus.Epoch)
+	l.ownershipGrants.add(g.Voter, activeGrant{g.OwnershipRevision, end}, l.ownershipRevision+1)
 }
 
-// Clear tells whether an epoch may be cleared: nobody who was granted a lease that ends before it still holds one without
-// having confirmed it. Else it names those who are waited for.
-func (d *Desk) Clear(now time.Duration, epoch uint64) (ok bool, waits []string) {
-	if now < d.quiet {
-		return false, []string{"leases of an earlier life"}
+// UpdateLogStatus records what a voter says of the log.
+func (l *Lease) UpdateLogStatus(status LogStatus) {
+	if status.Index > l.logStatus.Index {
+		l.logStatus = status
 	}
-	for key, h := range d.holders {
-		if !h.epochs.over(now, epoch) {
-			waits = append(waits, key.node)
-		}
-	}
-	slices.Sort(waits)
-	return len(waits) == 0, slices.Compact(waits)
 }
 
-// Rules is what a node acts on: a version whole, or two that contradict together, each by the stricter of both; or
-// neither (Number 0), alone.
-type Rules struct {
-	Epoch   uint64 `json:"epoch"` // up to which a lease has to go for it
-	Number  uint64 `json:"number"`
-	Pending uint64 `json:"pending"` // with Number, the stricter of both
-}
+// LogStatus returns the latest state of the log that the node has heard of.
+func (l *Lease) LogStatus() LogStatus { return l.logStatus }
 
-// String says it as operators read it.
-func (r Rules) String() string {
+// DesiredRules returns what the node should act on now, by the log, the grants and the versions that it has.
+func (l *Lease) DesiredRules(now time.Duration) ActiveRules {
+	status := l.logStatus
+	if status.ActiveVersion == 0 {
+		return ActiveRules{}
+	}
+	single := ActiveRules{Epoch: status.Epoch, Version: status.ActiveVersion}
+	joint := ActiveRules{Epoch: status.Epoch + 1, Version: status.ActiveVersion, PendingVersion: status.PendingVersion}
 	switch {
-	case r.Number == 0:
-		return "nothing"
-	case r.Pending != 0:
-		return fmt.Sprintf("the stricter of %d and %d", r.Number, r.Pending)
+	case status.PendingVersion != 0 && l.hasVersion(status.PendingVersion) && l.hasVersion(status.ActiveVersion) && l.Permits(now, joint):
+		return joint
+	case l.hasVersion(status.ActiveVersion) && l.Permits(now, single):
+		return single
 	}
-	return fmt.Sprint("version ", r.Number)
-}
-
-// Lease is a node's side: what it may act on, and for how long, by what voters granted it. The node is asked at the
-// moment of each decision and of each send; there is no flag that ages. Times are on the node's own clock, which must
-// count the time in which the machine or the process was suspended.
-type Lease struct {
-	terms     Terms
-	voters    int
-	facts     Facts
-	confirmed uint64
-	seq       uint64
-	asked     map[uint64]time.Duration      // when each ask of late was sent
-	grants    map[uint64][]lent             // by voter: epochs
-	sets      map[uint64][]lent             // by voter: sets of works
-	set       uint64                        // the set that the node acts on
-	holds     func(number uint64) (ok bool) // whether the node has a version's content, checked
+	return ActiveRules{}
 }
 
-// lent is a grant as its holder counts it.
-type lent struct {
-	upto uint64
-	end  time.Duration
+// Permits reports whether the node may act on rules at this moment.
+func (l *Lease) Permits(now time.Duration, r ActiveRules) bool {
+	return r.Version != 0 && r.Epoch >= l.confirmedEpoch && l.isQuorum(l.epochGrants.count(now, r.Epoch))
 }
 
-// asksMost is how many asks may be unanswered; an answer to an older one counts for nothing.
-const asksMost = 64
+// ConfirmRules records that the node acts on rules from now on, and on nothing earlier; the next request confirms it to the voters.
+func (l *Lease) ConfirmRules(r ActiveRules) { l.confirmedEpoch = max(l.confirmedEpoch, r.Epoch) }
 
-// NewLease starts a node's side; holds tells which versions it could act on.
-func NewLease(t Terms, voters int, holds func(number uint64) bool) *Lease {
-	return &Lease{terms: t, voters: voters, holds: holds, asked: map[uint64]time.Duration{}, grants: map[uint64][]lent{}, sets: map[uint64][]lent{}}
+// ConfirmOwnership records that the node owns the tasks of an ownership revision from now on, and no others; the next request confirms it.
+func (l *Lease) ConfirmOwnership(revision uint64) {
+	l.ownershipRevision = max(l.ownershipRevision, revision)
 }
 
-// Ask gives the next ask; it counts from now on, so it must not be sent late on purpose.
-func (l *Lease) Ask(now time.Duration) Ask {
-	l.seq++
-	l.asked[l.seq] = now
-	delete(l.asked, l.seq-asksMost)
-	return Ask{Seq: l.seq, Confirmed: l.confirmed, Set: l.set}
+// PermitsOwnership reports whether the node may act at this moment as the owner of the tasks that it confirmed last.
+func (l *Lease) PermitsOwnership(now time.Duration) bool {
+	return l.ownershipRevision > 0 && l.isQuorum(l.ownershipGrants.count(now, l.ownershipRevision))
 }
 
-// Granted takes an answer. One that arrives twice, or late, counts as it would have at its time.
-func (l *Lease) Granted(g Grant) {
-	l.News(g.Facts)
-	at, known := l.asked[g.Seq]
-	if !known || len(l.grants) >= 2*l.voters && l.grants[g.Voter] == nil {
-		return
+// Remaining is how long the node may go on acting on rules without a further grant.
+func (l *Lease) Remaining(now time.Duration, r ActiveRules) time.Duration {
+	if r.Version == 0 {
+		return 0
 	}
-	end := at + l.terms.Hold()
-	l.grants[g.Voter] = lend(l.grants[g.Voter], g.Upto, end, l.facts.Epoch)
-	l.sets[g.Voter] = lend(l.sets[g.Voter], g.Set, end, l.set+1)
+	return l.remaining(l.epochGrants, now, r.Epoch)
 }
 
-// lend adds a promise to those of a voter. Of those by marks that are past only the latest but one matters.
-func lend(list []lent, upto uint64, end time.Duration, now uint64) []lent {
-	if i := slices.IndexFunc(list, func(x lent) bool { return x.upto == upto }); i >= 0 {
-		list[i].end = max(list[i].end, end)
-		return list
-	}
-	list = slices.DeleteFunc(list, func(x lent) bool { return x.upto+1 < now })
-	return append(list, lent{upto, end})
+// OwnershipRemaining is how long the node may go on acting as the owner of its tasks without a further grant.
+func (l *Lease) OwnershipRemaining(now time.Duration) time.Duration {
+	return l.remaining(l.ownershipGrants, now, l.ownershipRevision)
 }
 
-// News takes what a voter says of the log without a promise.
-func (l *Lease) News(f Facts) {
-	if f.Index > l.facts.Index {
-		l.facts = f
+// remaining is how long a quorum of the grants that cover a revision lasts.
+func (l *Lease) remaining(grants voterGrants, now time.Duration, revision uint64) time.Duration {
+	ends := grants.ends(revision)
+	slices.Sort(ends)
+	quorum := l.voters/2 + 1
+	if len(ends) < quorum {
+		return 0
 	}
+	return max(0, ends[len(ends)-quorum]-now)
 }
 
-// Facts gives the latest that were heard.
-func (l *Lease) Facts() Facts { return l.facts }
-
-// count gives how many voters' promises keep epochs past one from being cleared.
-func (l *Lease) count(now time.Duration, epoch uint64) (n int) { return count(l.grants, now, epoch) }
+func (l *Lease) isQuorum(voters int) bool { return voters > l.voters/2 }
 
-func count(grants map[uint64][]lent, now time.Duration, upto uint64) (n int) {
-	for _, list := range grants {
-		if slices.ContainsFunc(list, func(x lent) bool { return x.upto <= upto && now < x.end }) {
-			n++
-		}
-	}
-	return n
-}
-
-// Want gives what the node should act on now, by all that it has heard and holds.
-func (l *Lease) Want(now time.Duration) Rules {
-	f := l.facts
-	whole := Rules{Epoch: f.Epoch, Number: f.Number}
-	joint := Rules{Epoch: f.Epoch + 1, Number: f.Number, Pending: f.Pending}
-	switch {
-	case f.Number == 0:
-	case f.Pending != 0 && l.holds(f.Pending) && l.holds(f.Number) && l.May(now, joint):
-		return joint
-	case l.holds(f.Number) && l.May(now, whole):
-		return whole
+// add records a voter's grant. Of its grants for revisions before the current one only the latest revision is kept.
+func (g voterGrants) add(voter uint64, grant activeGrant, current uint64) {
+	list := g[voter]
+	if i := slices.IndexFunc(list, func(other activeGrant) bool { return other.revision == grant.revision }); i >= 0 {
+		list[i].end = max(list[i].end, grant.end)
+		return
 	}
-	return Rules{}
-}
-
-// May tells whether the node may act on rules at this moment.
-func (l *Lease) May(now time.Duration, r Rules) bool {
-	return r.Number != 0 && r.Epoch >= l.confirmed && l.count(now, r.Epoch) > l.voters/2
-}
-
-// Took says that the node acts on rules from now on, and on nothing earlier any more; the next ask confirms it.
-func (l *Lease) Took(r Rules) { l.confirmed = max(l.confirmed, r.Epoch) }
-
-// TookSet says that the node acts as the owner by a set of works from now on, and by none before; the next ask confirms it.
-func (l *Lease) TookSet(set uint64) { l.set = max(l.set, set) }
-
-// MayOwn tells whether the node may act at this moment as the owner of the works of the set that it took last.
-func (l *Lease) MayOwn(now time.Duration) bool {
-	return l.set > 0 && count(l.sets, now, l.set) > l.voters/2
+	list = slices.DeleteFunc(list, func(other activeGrant) bool { return other.revision+1 < current })
+	g[voter] = append(list, grant)
 }
 
-// Left is how long the node may go on acting on rules if it hears nothing more.
-func (l *Lease) Left(now time.Duration, r Rules) time.Duration {
-	if r.Number == 0 {
-		return 0
+// count returns how many voters have promised not to go past a revision at this moment.
+func (g voterGrants) count(now time.Duration, revision uint64) (voters int) {
+	for _, list := range g {
+		if slices.ContainsFunc(list, func(grant activeGrant) bool { return grant.revision <= revision && now < grant.end }) {
+			voters++
+		}
 	}
-	return l.left(l.grants, now, r.Epoch)
+	return voters
 }
 
-// OwnLeft is how long it may go on acting as the owner of its works.
-func (l *Lease) OwnLeft(now time.Duration) time.Duration { return l.left(l.sets, now, l.set) }
-
-func (l *Lease) left(grants map[uint64][]lent, now time.Duration, upto uint64) time.Duration {
+// ends returns, for each voter, when its promise not to go past a revision ends; 0: it has made none.
+func (g voterGrants) ends(revision uint64) []time.Duration {
 	var ends []time.Duration
-	for _, list := range grants {
-		best := time.Duration(0)
-		for _, x := range list {
-			if x.upto <= upto {
-				best = max(best, x.end)
+	for _, list := range g {
+		latest := time.Duration(0)
+		for _, grant := range list {
+			if grant.revision <= revision {
+				latest = max(latest, grant.end)
 			}
 		}
-		ends = append(ends, best)
-	}
-	slices.Sort(ends)
-	if need := l.voters/2 + 1; len(ends) >= need {
-		return max(0, ends[len(ends)-need]-now)
+		ends = append(ends, latest)
 	}
-	return 0
+	return ends
 }
