--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -536,7 +536,7 @@
 }
 
 // nullHost takes a Balancer's actions and does nothing.
-type nullHost struct{ id, sent policy.RequestID }
+type nullHost struct{ sent policy.RequestID }
 
 func (h *nullHost) Send(id policy.RequestID, _ policy.ServerID, _ time.Duration) { h.sent = id }
 func (h *nullHost) Cancel(policy.RequestID, int)                                 {}
