--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -204,19 +204,21 @@
 
 // follow watches the list at one address until the context ends.
 func (d *discovery) follow(ctx context.Context, s *source, watching bool, ready func()) {
+	failed := false // the last question did
+	turn := turns{wanted: d.wanted, rest: d.terms.Rest}
 	for ctx.Err() == nil {
 		if !watching {
-			select {
-			case <-d.wanted:
-			case <-ctx.Done():
+			turn.wait(ctx)
+			if ctx.Err() != nil {
 				return
 			}
 		}
 		asked := time.Now()
-		answer, err := d.get(ctx, s)
+		answer, err := d.get(ctx, s, failed)
 		if ctx.Err() != nil {
 			return
 		}
+		failed = err != nil
 		if err == nil {
 			if !d.take(s, answer) {
 				return
@@ -233,9 +235,12 @@
 			continue
 		}
 		s.complain(d.log, err)
+		s.client.CloseIdleConnections() // they may be as dead as the one that failed
 		if d.asked && d.current(s) {
 			watching = false
-			d.to.Members(policy.ListFailed, nil) // it asks again after a while
+			if turn.failed() {
+				d.to.Members(policy.ListFailed, nil) // it asks again after a while
+			}
 			continue
 		}
 		// Nodes that lost discovery together must not come back in step.
@@ -365,8 +370,9 @@
 
 // get asks for what is newer than the list at hand, and waits for it. With no list at hand it asks
 // for all. Where the answer is overdue it looks again beside, as the terms say, and takes what comes
-// first; the error is that of the call that failed last.
-func (d *discovery) get(ctx context.Context, s *source) (*registry.Answer, error) {
+// first; the error is that of the call that failed last. Behind a question that failed the first call
+// does not wait for news: one that waits says nothing of whether discovery can be reached.
+func (d *discovery) get(ctx context.Context, s *source, failed bool) (*registry.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the calls that nobody waits for any more
 	d.mu.Lock()
@@ -375,7 +381,7 @@
 		wait = min(wait, time.Until(d.recheckAt))
 		whole = whole || wait <= 0
 	}
-	if !d.told || whole {
+	if !d.told || whole || failed {
 		wait = 0 // what there is is wanted now
 	}
 	d.mu.Unlock()
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -13,6 +13,9 @@
 	Look    time.Duration // after which a look is given up
 	Most    int           // calls at a time, looks included; at least 2
 	Pace    Pace          // after a failure
+	// MostRest is the longest time between a question that failed and the next one, whatever else
+	// says when to ask.
+	MostRest time.Duration
 	// Start is how long a process waits for its first answer before it serves by the list that
 	// it was given, and Ready how long until it calls itself ready by that.
 	Start, Ready time.Duration
@@ -25,6 +28,10 @@
 	askedDoubt = 1200 * time.Millisecond
 	// askedQueue is longer than calls wait for their turn at discovery.
 	askedQueue = 2500 * time.Millisecond
+	// askedRest keeps the news within 6 s of discovery's return (the protocol's figure): a call may
+	// have fallen silent just before and takes askedQueue to be given up, and the next one waits for
+	// its turn for up to 2 s.
+	askedRest = 1500 * time.Millisecond
 	// An agent answers at once: what takes longer is due to this machine.
 	leastLook = 10 * time.Millisecond
 	mostLook  = 250 * time.Millisecond
@@ -44,7 +51,7 @@
 	look := min(max(grace/4, leastLook), mostLook)
 	return Terms{
 		Wait: 2 * look, Doubt: look, Patient: agentDies, Again: look, Look: max(lookLives, 4*look), Most: mostCalls,
-		Pace:  Pace{First: min(5*time.Millisecond, look), Most: look},
+		Pace:  Pace{First: min(5*time.Millisecond, look), Most: look}, MostRest: look,
 		Start: 2 * look, Ready: agentStart,
 	}
 }
@@ -53,10 +60,16 @@
 func Asked() Terms {
 	return Terms{
 		Wait: askedWait, Doubt: askedDoubt, Patient: askedQueue, Again: askedQueue, Look: askedQueue, Most: 2,
-		Pace: Pace{First: 250 * time.Millisecond, Most: time.Second},
+		Pace: Pace{First: 250 * time.Millisecond, Most: time.Second}, MostRest: askedRest,
 	}
 }
 
+// Rest gives the longest time until the question behind one that failed; draw is from 0 to 1 and
+// spreads it from half of MostRest to the whole: nodes that failed together must not come in step.
+func (t Terms) Rest(draw float64) time.Duration {
+	return time.Duration(float64(t.MostRest) * (0.5 + draw/2))
+}
+
 // Calls says when a further call is made beside one that is open, and how long each may take. It
 // is about one question: with its answer, or when all calls have failed, it is over.
 type Calls struct {
--- a/internal/registry/calls_test.go
+++ b/internal/registry/calls_test.go
@@ -86,3 +86,17 @@
 		t.Error("over with another call than the last")
 	}
 }
+
+// Behind a failure the news is known within 6 s of discovery's return (the protocol's figure): where a call
+// fell silent just before it, this one is given up, a rest goes by, and the next call waits for its turn.
+func TestAskedAgainBehindAFailure(t *testing.T) {
+	t.Parallel()
+	terms := Asked()
+	const turn = 2 * time.Second // the longest that calls wait for theirs
+	if calls, takes := terms.Ask(0); takes+terms.Rest(1)+turn > 6*time.Second || terms.Look+terms.Rest(1)+turn > 6*time.Second || calls.Next() > takes {
+		t.Errorf("a call takes %v, the rest behind it %v", takes, terms.Rest(1))
+	}
+	if least, most := terms.Rest(0), terms.Rest(1); least <= 0 || most < 2*least {
+		t.Errorf("rests from %v to %v: nodes that failed together come back together", least, most)
+	}
+}
