--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -51,7 +51,7 @@
 	look := min(max(grace/4, leastLook), mostLook)
 	return Terms{
 		Wait: 2 * look, Doubt: look, Patient: agentDies, Again: look, Look: max(lookLives, 4*look), Most: mostCalls,
-		Pace:  Pace{First: min(5*time.Millisecond, look), Most: look}, MostRest: look,
+		Pace: Pace{First: min(5*time.Millisecond, look), Most: look}, MostRest: look,
 		Start: 2 * look, Ready: agentStart,
 	}
 }
