--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -147,6 +147,33 @@
 	testkit.Wait(t, h.over, "the request to be given up")
 }
 
+// The look-out comes within 0.1 s of a client's end: nobody may begin an attempt for it later. Of some tries the
+// shortest counts, which leaves the machine's lateness out.
+func TestLookOutComesInTime(t *testing.T) {
+	t.Parallel()
+	const tries, rule = 6, 100 * time.Millisecond
+	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
+	f := New(h, Options{Clock: engine.NewClock(), Places: conntable.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
+	addr := serve(t, f)
+	shortest := time.Hour
+	for range tries {
+		nc, err := net.Dial("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: %p\r\nX-Timeout-Ms: 3000000\r\n\r\n", nc)
+		testkit.Wait(t, h.came, "the request")
+		io.WriteString(nc, "GET /x") // else net/http sees the end by itself
+		nc.Close()
+		left := time.Now()
+		testkit.Wait(t, h.over, "the request to be given up")
+		shortest = min(shortest, time.Since(left))
+	}
+	if shortest > rule {
+		t.Errorf("given up %v after its client left", shortest)
+	}
+}
+
 // What is read ahead is bounded for a connection and for all of them, and nothing of it is lost: the
 // requests behind the first one get their answers.
 func TestReadAheadIsBoundedAndKept(t *testing.T) {
