--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -15,6 +15,7 @@
 	"path/filepath"
 	"slices"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -36,6 +37,9 @@
 	app         *App
 }
 
+// matrixProgram has answers keep their worth up to the deadline: a further attempt is made where an answer to it
+// would come in time, as what was learnt of latencies tells, and where a late one earned nothing that would be
+// within the aim. On a busy machine it is not, and what the matrix holds is no matter of time.
 const matrixProgram = `[files]
 clusters = "clusters"
 max_removed_share = 1
@@ -49,11 +53,13 @@
 effect = "safe"
 deadline = "20s"
 aim = "400ms"
+late_worth = 1
 [[class]]
 name = "pay"
 effect = "unsafe"
 deadline = "20s"
 aim = "400ms"
+late_worth = 1
 [[host]]
 [[host.route]]
 prefix = "/pay/"
@@ -477,6 +483,42 @@
 	return list
 }
 
+// Latencies beyond the aim, as a busy machine's, leave a further attempt its time: what the matrix holds of servers
+// that break it holds whatever was learnt before.
+func TestMatrixWhateverWasLearnt(t *testing.T) {
+	t.Parallel()
+	const slow, takes = 4, 600 * time.Millisecond // beyond the aim
+	var broken atomic.Int32
+	serve := func(w http.ResponseWriter, r *http.Request) {
+		switch {
+		case r.Header.Get("X-Do") == "slow":
+			time.Sleep(takes)
+			testkit.OK(w, r)
+		case broken.Add(1)%2 == 1:
+			panic(http.ErrAbortHandler)
+		default:
+			io.WriteString(w, "second")
+		}
+	}
+	a, b := testkit.NewBackend(t, serve), testkit.NewBackend(t, serve)
+	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{}, a.Addr(), b.Addr())
+	for range slow {
+		if resp, _, err := c.ask("GET", "/x", "slow", nil, 0); err != nil || resp.StatusCode != http.StatusOK {
+			t.Fatalf("a slow one: %v, %v", resp, err)
+		}
+	}
+	for range 3 {
+		resp, text, err := c.ask("GET", "/x", "break-once", nil, 0)
+		if err != nil || string(text) != "second" {
+			t.Errorf("a safe request: %v, %q, %v", resp, text, err)
+		}
+		resp, text, err = c.ask("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(50_000))), -1)
+		if err != nil || string(text) != "second" {
+			t.Errorf("a short upload: %v, %q, %v", resp, text, err)
+		}
+	}
+}
+
 // atEnd does something when what stands before it has been read.
 type atEnd func()
 
