--- /dev/null
+++ b/internal/fleetsim/race_test.go
@@ -0,0 +1,5 @@
+//go:build race
+
+package fleetsim
+
+const raced = true
