--- a/internal/cli/agree.go
+++ b/internal/cli/agree.go
@@ -69,13 +69,16 @@
 }
 
 // agreed starts an app that acts on what the fleet agrees on.
-func agreed(first *files.Snapshot, o app.Options, path string, clock func() time.Duration) (*app.App, *app.Agreed, *member, error) {
+func agreed(first *files.Snapshot, o app.Options, path string, clock func() time.Duration, hooks *peers.Hooks) (*app.App, *app.Agreed, *member, error) {
 	p := first.Program
 	var source *app.Agreed
 	var m *member
 	o.May = func() bool { return m.node.May() }
 	c := fleetConfig(p, path, o.Keys, o.Log)
 	c.Clock = clock
+	if hooks != nil {
+		c.Hooks = *hooks
+	}
 	a, err := app.New(app.Blank(p), o)
 	if err != nil {
 		return nil, nil, nil, err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -21,6 +21,7 @@
 	"yokestall/internal/config"
 	"yokestall/internal/demo"
 	"yokestall/internal/files"
+	"yokestall/internal/fleet/peers"
 	"yokestall/internal/node"
 	"yokestall/internal/tlskeys"
 	"yokestall/internal/xds"
@@ -71,11 +72,11 @@
 // Serve runs the program by its files until ctx ends. ready, if given, is called with
 // the address once it listens.
 func Serve(ctx context.Context, path string, log *slog.Logger, ready func(net.Addr)) error {
-	return serveBy(ctx, path, log, ready, nil)
+	return serveBy(ctx, path, log, ready, nil, nil)
 }
 
-// serveBy is Serve with a clock for the leases of [fleet.agree]; nil: the machine's.
-func serveBy(ctx context.Context, path string, log *slog.Logger, ready func(net.Addr), clock func() time.Duration) error {
+// serveBy is Serve with a clock for the leases of [fleet.agree], nil: the machine's, and a rig's hooks into the node's part of the fleet, or nil.
+func serveBy(ctx context.Context, path string, log *slog.Logger, ready func(net.Addr), clock func() time.Duration, hooks *peers.Hooks) error {
 	watcher, first, err := files.Open(path, log)
 	if err != nil {
 		return err
@@ -91,7 +92,7 @@
 	var own *app.Agreed
 	var fleet *member
 	if first.Program.Agree.On() {
-		a, own, fleet, err = agreed(first, o, path, clock)
+		a, own, fleet, err = agreed(first, o, path, clock, hooks)
 	} else {
 		a, err = app.New(first, o)
 	}
--- a/internal/cli/versions.go
+++ b/internal/cli/versions.go
@@ -103,7 +103,7 @@
 			clock := func() time.Duration {
 				return began + time.Duration(float64(peers.BootTime()-began)*rate)
 			}
-			return serveBy(cmd.Context(), path, slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)), nil, clock)
+			return serveBy(cmd.Context(), path, slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)), nil, clock, nil)
 		},
 	}
 	c.Flags().StringVarP(&path, "config", "c", "", "the program's `file`")
--- a/internal/fleet/peers/client.go
+++ b/internal/fleet/peers/client.go
@@ -11,6 +11,7 @@
 	"slices"
 	"time"
 
+	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
@@ -26,10 +27,10 @@
 }
 
 // NewClient makes a client; connections are made when they are needed.
-func NewClient(fleet string, voters []Voter, with *tls.Config) (*Client, error) {
+func NewClient(fleet string, voters []Voter, with *tls.Config, more ...grpc.DialOption) (*Client, error) {
 	c := &Client{voters: voters}
 	for _, v := range voters {
-		conn, err := Dial(v, with, fleet)
+		conn, err := Dial(v, with, fleet, more...)
 		if err != nil {
 			c.Close()
 			return nil, err
--- a/internal/fleet/peers/dial.go
+++ b/internal/fleet/peers/dial.go
@@ -24,18 +24,20 @@
 )
 
 // Dial gives a connection to a voter, which is made when it is needed, and again when it breaks.
-func Dial(v Voter, with *tls.Config, fleet string) (*Conn, error) {
+func Dial(v Voter, with *tls.Config, fleet string, more ...grpc.DialOption) (*Conn, error) {
 	creds := insecure.NewCredentials()
 	if with != nil {
 		creds = credentials.NewTLS(with)
 	}
-	c, err := grpc.NewClient("passthrough:///"+v.Address,
+	options := append([]grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: dialLeast, Multiplier: 1.6, Jitter: 0.2, MaxDelay: dialMost},
 			MinConnectTimeout: dialFor,
-		}))
+		}),
+	}, more...)
+	c, err := grpc.NewClient("passthrough:///"+v.Address, options...)
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/fleet/peers/hooks.go
@@ -0,0 +1,53 @@
+package peers
+
+import (
+	"context"
+	"net"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/stats"
+
+	"yokestall/internal/fleet/agree"
+)
+
+// Hooks let a rig measure a node's control traffic and fail its links. All of them are nil in a program that serves.
+type Hooks struct {
+	// Dial makes a connection to a voter in place of the network.
+	Dial func(ctx context.Context, address string) (net.Conn, error)
+	// Listen wraps the listener on which other nodes ask this one.
+	Listen func(l net.Listener) net.Listener
+	// Stats is told of each RPC and message, of both sides.
+	Stats stats.Handler
+	// Acted is told what the program acts on from now on. It must not block.
+	Acted func(rules agree.Rules, alone bool)
+}
+
+func (h *Hooks) dialOptions() (options []grpc.DialOption) {
+	if h.Dial != nil {
+		options = append(options, grpc.WithContextDialer(h.Dial))
+	}
+	if h.Stats != nil {
+		options = append(options, grpc.WithStatsHandler(h.Stats))
+	}
+	return options
+}
+
+func (h *Hooks) serverOptions() []grpc.ServerOption {
+	if h.Stats == nil {
+		return nil
+	}
+	return []grpc.ServerOption{grpc.StatsHandler(h.Stats)}
+}
+
+func (h *Hooks) listener(l net.Listener) net.Listener {
+	if h.Listen == nil {
+		return l
+	}
+	return h.Listen(l)
+}
+
+func (h *Hooks) acted(rules agree.Rules, alone bool) {
+	if h.Acted != nil {
+		h.Acted(rules, alone)
+	}
+}
--- a/internal/fleet/peers/node.go
+++ b/internal/fleet/peers/node.go
@@ -44,6 +44,7 @@
 	Extend func(v *agree.Version, changes []config.File) (*agree.Version, error)
 	// Take has the program act on something; what it took before is over when it returns.
 	Take func(a agree.Acting) error
+	Hooks
 }
 
 // Node is a node of a fleet. Create it with Open.
@@ -161,7 +162,7 @@
 				continue
 			}
 		}
-		c, err := Dial(v, n.ClientTLS, n.Fleet)
+		c, err := Dial(v, n.ClientTLS, n.Fleet, n.dialOptions()...)
 		if err != nil {
 			return err
 		}
--- a/internal/fleet/peers/serve.go
+++ b/internal/fleet/peers/serve.go
@@ -45,11 +45,12 @@
 	if n.ServerTLS != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(n.ServerTLS)))
 	}
+	options = append(options, n.serverOptions()...)
 	srv := grpc.NewServer(options...)
 	srv.RegisterService(description(), n)
 	stop := context.AfterFunc(ctx, srv.Stop)
 	defer stop()
-	err := srv.Serve(netutil.LimitListener(l, maxConns))
+	err := srv.Serve(netutil.LimitListener(n.listener(l), maxConns))
 	if ctx.Err() != nil || errors.Is(err, grpc.ErrServerStopped) {
 		return nil
 	}
--- a/internal/fleet/peers/take.go
+++ b/internal/fleet/peers/take.go
@@ -337,6 +337,7 @@
 	n.acting.Store(&acting{rules: r, until: n.until(r)})
 	n.leaseMu.Unlock()
 	n.Log.Info("acts on", "rules", r.String(), "epoch", r.Epoch, "boot", int64(BootTime()))
+	n.acted(r, false)
 	n.asks() // confirms
 	if r.Pending == 0 {
 		n.run.Go(func() { n.remember(r.Number) })
@@ -394,5 +395,6 @@
 		until = n.Clock() + most
 	}
 	n.acting.Store(&acting{rules: last, alone: true, until: until})
+	n.acted(last, true)
 	n.Log.Warn("the lease is over: acts alone", "rules", last.String(), "boot", int64(BootTime()))
 }
