--- a/internal/standin/fleet/process.go
+++ b/internal/standin/fleet/process.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"net"
 	"os"
@@ -19,11 +20,16 @@
 	Dir, Addr string
 	Command   []string // that starts it, the configuration's path left out; not changed while it runs
 	env       []string
+	// Piped has it take commands on its standard input and answer on its standard output, which Pipes gives. Start doesn't
+	// wait until it listens then: it says itself when it is ready. Not changed while it runs.
+	Piped bool
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	ended  chan struct{}
 	frozen bool
+	in     io.WriteCloser
+	out    *os.File
 }
 
 // NewProcess gives one that has not been started. Its port was free a moment ago, and is again while it is
@@ -55,7 +61,7 @@
 	defer log.Close()
 	cmd := exec.Command(p.Command[0], append(p.Command[1:len(p.Command):len(p.Command)], p.Config())...)
 	cmd.Env, cmd.Stdout, cmd.Stderr = append(os.Environ(), p.env...), log, log
-	if err := cmd.Start(); err != nil {
+	if err := p.launch(cmd); err != nil {
 		return fmt.Errorf("%s: %w", p.Dir, err)
 	}
 	ended := make(chan struct{})
@@ -64,6 +70,9 @@
 		cmd.Wait()
 		close(ended)
 	}()
+	if p.Piped {
+		return nil
+	}
 	for {
 		if nc, err := net.DialTimeout("tcp", p.Addr, time.Second); err == nil {
 			nc.Close()
@@ -81,6 +90,32 @@
 	}
 }
 
+// launch starts a command, with pipes if it is to have some.
+func (p *Process) launch(cmd *exec.Cmd) error {
+	if !p.Piped {
+		return cmd.Start()
+	}
+	in, err := cmd.StdinPipe()
+	if err != nil {
+		return err
+	}
+	out, answers, err := os.Pipe() // cmd.Wait would close a StdoutPipe that is still read
+	if err != nil {
+		return err
+	}
+	defer answers.Close() // the process has its own
+	cmd.Stdout = answers
+	if err := cmd.Start(); err != nil {
+		out.Close()
+		return err
+	}
+	p.in, p.out = in, out
+	return nil
+}
+
+// Pipes gives where a piped process that was started takes commands, and where it answers.
+func (p *Process) Pipes() (in io.WriteCloser, out io.Reader) { return p.in, p.out }
+
 // Kill ends it at once, as a power cut would.
 func (p *Process) Kill() {
 	p.mu.Lock()
@@ -90,6 +125,9 @@
 	}
 	p.cmd.Process.Kill() // a stopped one too
 	<-p.ended
+	if p.Piped {
+		p.out.Close()
+	}
 	p.cmd = nil
 }
 
