--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -138,6 +138,9 @@
 				return errors.Join(fmt.Errorf("%s: no days", folder), err)
 			}
 			for _, path := range paths {
+				if scalePlan(path) {
+					continue
+				}
 				e, err := experiment(path)
 				if err != nil {
 					return err
@@ -147,7 +150,7 @@
 			return nil
 		},
 	}
-	c.AddCommand(run, sockets, processes, compare, list, labVersions(out), labServe())
+	c.AddCommand(run, sockets, processes, compare, list, labVersions(out), labServe(), labScale(out), labHollow())
 	return c
 }
 
--- a/internal/cli/versions.go
+++ b/internal/cli/versions.go
@@ -90,9 +90,11 @@
 	return held, nil
 }
 
-// labServe is serve with a clock that is fast or slow, for the lab's processes.
+// labServe is serve with a clock that is fast or slow, or under command, for the lab's processes.
 func labServe() *cobra.Command {
 	path, rate := "", 1.0
+	controlled := false
+	var at placement
 	c := &cobra.Command{
 		Use: "serve", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -103,10 +105,16 @@
 			clock := func() time.Duration {
 				return began + time.Duration(float64(peers.BootTime()-began)*rate)
 			}
-			return serveBy(cmd.Context(), path, slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)), nil, clock, nil)
+			log := slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil))
+			if controlled {
+				return serveControlled(cmd.Context(), path, log, at, clock)
+			}
+			return serveBy(cmd.Context(), path, log, nil, clock, nil)
 		},
 	}
 	c.Flags().StringVarP(&path, "config", "c", "", "the program's `file`")
 	c.Flags().Float64Var(&rate, "rate", rate, "of the clock for leases, to true time")
+	c.Flags().BoolVar(&controlled, "controlled", false, "take commands on standard input, and end with them")
+	at.flags(c)
 	return c
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -37,6 +37,9 @@
 		t.Fatalf("%d days, %v", len(files), err)
 	}
 	for _, path := range files {
+		if strings.HasPrefix(filepath.Base(path), "scale-") { // a plan of internal/lab/scale, which tests that all of them are read
+			continue
+		}
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			t.Parallel()
 			e, _ := read(t, filepath.Base(path))
--- /dev/null
+++ b/internal/lab/scale/figures.go
@@ -0,0 +1,149 @@
+package scale
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"slices"
+)
+
+// Series is a figure at each size of a run.
+type Series struct {
+	Unit   string  `json:"unit"`
+	Per    string  `json:"per,omitempty"` // what At counts; "": hollow nodes
+	Points []Point `json:"points"`
+	Mean   float64 `json:"mean"`
+	Most   float64 `json:"most"`
+	Fit    *Fit    `json:"fit,omitempty"` // none with less than two sizes
+}
+
+// Machine is where a run was made.
+type Machine struct {
+	Cores    int    `json:"cores"`
+	MemoryMB int64  `json:"memory_mb"`
+	System   string `json:"system"`
+	Go       string `json:"go"`
+	// Load is the machine's load average over a minute before each size: others were at work beside the run.
+	Load []float64 `json:"load"`
+}
+
+// Untold are nodes that did not act on what they should within a step's wait.
+type Untold struct {
+	Step  string   `json:"step"`
+	Size  int      `json:"size"`
+	Count int      `json:"count"`
+	Nodes []string `json:"nodes"` // the first of them
+	By    []int    `json:"by_region"`
+}
+
+// Figures are what came of a run, as their file has it.
+type Figures struct {
+	Name    string   `json:"name"`
+	Says    string   `json:"says,omitempty"`
+	Command string   `json:"command"`
+	Plan    string   `json:"plan"` // its file
+	Seed    uint64   `json:"seed"`
+	Sizes   []int    `json:"sizes"`
+	Voters  int      `json:"voters"`
+	Serves  int      `json:"serves"`
+	Regions int      `json:"regions"`
+	Zones   int      `json:"zones"`
+	TLS     bool     `json:"tls"`
+	Lease   string   `json:"lease"`
+	Renew   string   `json:"renew"`
+	Content Content  `json:"content"`
+	Machine Machine  `json:"machine"`
+	Counts  string   `json:"counts"` // what a byte and a message is
+	Untold  []Untold `json:"untold,omitempty"`
+	// Series are by key: STEP.ROLE.QUANTITY.
+	Series map[string]*Series `json:"series"`
+}
+
+// counts says what the counters count.
+const counts = "bytes: what the program reads and writes on its sockets, with HTTP/2's frames and, with TLS, its records and handshakes; " +
+	"without headers of TCP and IP, acknowledgements and repeats. messages: of RPCs, each at both of its ends. " +
+	"cpu: user and system time of a process by getrusage; of a hollow node, its process's divided by the nodes in it"
+
+// add adds a point to a series.
+func (f *Figures) add(key, unit string, at, value float64) {
+	s := f.Series[key]
+	if s == nil {
+		s = &Series{Unit: unit}
+		f.Series[key] = s
+	}
+	s.Points = append(s.Points, Point{at, value})
+}
+
+// finish works out what follows from the points, and rounds.
+func (f *Figures) finish() {
+	for _, s := range f.Series {
+		total := 0.0
+		s.Most = s.Points[0].Value
+		for _, p := range s.Points {
+			total += p.Value
+			s.Most = max(s.Most, p.Value)
+		}
+		s.Mean, s.Most = round(total/float64(len(s.Points))), round(s.Most)
+		s.Fit = FitLine(s.Points).rounded()
+		for i := range s.Points {
+			s.Points[i].Value = round(s.Points[i].Value)
+		}
+	}
+}
+
+// Write writes figures to a file.
+func (f *Figures) Write(path string) error {
+	text, err := json.MarshalIndent(f, "", " ")
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, append(text, '\n'), 0o644)
+}
+
+// ReadFigures reads a file of figures, and checks that its fits are those of its points.
+func ReadFigures(path string) (*Figures, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	f := &Figures{}
+	if err := json.Unmarshal(text, f); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	for key, s := range f.Series {
+		if err := s.check(); err != nil {
+			return nil, fmt.Errorf("%s: %s: %w", path, key, err)
+		}
+	}
+	return f, nil
+}
+
+// near tells whether a figure is another one, but for the digits that a file doesn't keep.
+func near(a, b, scale float64) bool {
+	d := a - b
+	return max(d, -d) <= 1e-3*scale+1e-9
+}
+
+// check tells whether what a series says follows from its points.
+func (s *Series) check() error {
+	if len(s.Points) == 0 {
+		return fmt.Errorf("it has no points")
+	}
+	again := &Figures{Series: map[string]*Series{"": {Points: slices.Clone(s.Points)}}}
+	again.finish()
+	want := again.Series[""]
+	scale := max(s.Most, -s.Most)
+	switch {
+	case !near(s.Mean, want.Mean, scale):
+		return fmt.Errorf("mean is %v, and its points give %v", s.Mean, want.Mean)
+	case !near(s.Most, want.Most, scale):
+		return fmt.Errorf("most is %v, and its points give %v", s.Most, want.Most)
+	case (s.Fit == nil) != (want.Fit == nil):
+		return fmt.Errorf("a fit wants two sizes")
+	case s.Fit != nil && !near(s.Fit.Intercept, want.Fit.Intercept, scale):
+		return fmt.Errorf("intercept is %v, and its points give %v", s.Fit.Intercept, want.Fit.Intercept)
+	case s.Fit != nil && !near(s.Fit.Slope, want.Fit.Slope, max(s.Fit.Slope, -s.Fit.Slope)+scale/1e4):
+		return fmt.Errorf("slope is %v, and its points give %v", s.Fit.Slope, want.Fit.Slope)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/lab/scale/plan.go
@@ -0,0 +1,266 @@
+package scale
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"yokestall/internal/config"
+	"yokestall/internal/fleet/terms"
+)
+
+// Plan is a run of hollow nodes, as its file says.
+type Plan struct {
+	Name, Says string
+	Seed       uint64
+	Limit      time.Duration // the whole run takes no longer
+	Sizes      []int         // hollow nodes: the steps are played at each size, one after the other
+	PerProcess int           // hollow nodes that share a process
+	Voters     int           // each a process of its own, as are the following
+	Serves     int           // that follow, with everything that a node has
+	Regions    int           // over which all processes and nodes are spread in turn
+	Zones      int           // likewise
+	TLS        bool
+	Terms      terms.Terms
+	Content    Content
+	Steps      []Step
+}
+
+// Content is the size of the configuration that the fleet agrees on.
+type Content struct {
+	Clusters int `toml:"clusters" json:"clusters"`
+	Servers  int `toml:"servers" json:"servers"` // over all clusters
+	Routes   int `toml:"routes" json:"routes"`
+	Tenants  int `toml:"tenants" json:"tenants"`
+}
+
+// Kind is a kind of step.
+type Kind string
+
+// The kinds of steps.
+const (
+	Idle     Kind = "idle"     // nothing changes
+	Settings Kind = "settings" // versions that differ in their settings are published, one after the other
+	List     Kind = "list"     // changes of one cluster's list
+	Restart  Kind = "restart"  // a share of the hollow nodes, or those of a zone, are restarted at once
+	Apart    Kind = "apart"    // the regions hear nothing of each other from now on
+	Together Kind = "together" // they do again
+	Return   Kind = "return"   // all hollow nodes are stopped, and come back at once
+)
+
+var kinds = []Kind{Idle, Settings, List, Restart, Apart, Together, Return}
+
+// Step is a part of a run that is measured by itself.
+type Step struct {
+	Name        string // the kind unless the file says otherwise
+	Kind        Kind
+	Length      time.Duration // idle, apart: how long it lasts
+	Count       int           // settings, list: changes
+	Contradicts bool          // settings: each version contradicts the one before
+	Share       float64       // restart: of the hollow nodes
+	Zone        int           // restart: the nodes of this zone, from 0, in place of a share; -1: none
+	Empty       bool          // restart, return: on emptied stores
+	Wait        time.Duration // the longest until all nodes act on what they should
+}
+
+// Bounds of a plan.
+const (
+	MaxNodes     = 4000
+	MaxProcesses = 300
+	maxSteps     = 64
+	maxSizes     = 16
+	maxChanges   = 1000
+)
+
+type planFile struct {
+	Name       string          `toml:"name"`
+	Says       string          `toml:"says"`
+	Seed       uint64          `toml:"seed"`
+	Limit      config.Duration `toml:"limit"`
+	Sizes      []int           `toml:"sizes"`
+	PerProcess int             `toml:"per_process"`
+	Voters     int             `toml:"voters"`
+	Serves     int             `toml:"serves"`
+	Regions    int             `toml:"regions"`
+	Zones      int             `toml:"zones"`
+	TLS        bool            `toml:"tls"`
+	Lease      config.Duration `toml:"lease"`
+	Drift      float64         `toml:"drift"`
+	Take       config.Duration `toml:"take"`
+	Content    Content         `toml:"content"`
+	Step       []stepFile      `toml:"step"`
+}
+
+type stepFile struct {
+	Name        string          `toml:"name"`
+	Kind        string          `toml:"kind"`
+	Length      config.Duration `toml:"length"`
+	Count       int             `toml:"count"`
+	Contradicts bool            `toml:"contradicts"`
+	Share       float64         `toml:"share"`
+	Zone        *int            `toml:"zone"`
+	Stores      string          `toml:"stores"`
+	Wait        config.Duration `toml:"wait"`
+}
+
+// Parse reads a plan; name is what messages call the file.
+func Parse(name string, text []byte) (*Plan, error) {
+	f := planFile{Seed: 1, PerProcess: 200, Voters: 3, Regions: 1, Zones: 1, Drift: 0.05, Content: Content{Clusters: 1, Servers: 4, Routes: 3}}
+	f.Limit.Duration = 2 * time.Minute
+	f.Lease.Duration, f.Take.Duration = 1500*time.Millisecond, 250*time.Millisecond
+	if err := config.Decode(name, text, &f); err != nil {
+		return nil, err
+	}
+	report, faults := config.Reporter(name, text)
+	c := &checker{report: report}
+	c.plan(&f)
+	p := &Plan{
+		Name: f.Name, Says: f.Says, Seed: f.Seed, Limit: f.Limit.Duration, Sizes: f.Sizes, PerProcess: f.PerProcess, Voters: f.Voters,
+		Serves: f.Serves, Regions: f.Regions, Zones: f.Zones, TLS: f.TLS, Content: f.Content,
+		Terms: terms.Terms{Lease: f.Lease.Duration, Drift: f.Drift, Take: f.Take.Duration},
+	}
+	names := map[string]bool{}
+	for i := range f.Step {
+		s := c.step(&f, i)
+		if names[s.Name] {
+			report("step", i, "name", "%q is there twice: name steps of one kind", s.Name)
+		}
+		names[s.Name] = true
+		p.Steps = append(p.Steps, s)
+	}
+	return p, faults()
+}
+
+type checker struct {
+	report func(table string, index int, key, format string, args ...any)
+}
+
+func (c *checker) number(table string, index int, key string, v, least, most float64) {
+	if math.IsNaN(v) || v < least || v > most {
+		c.report(table, index, key, "%v is not from %v to %v", v, least, most)
+	}
+}
+
+func (c *checker) span(table string, index int, key string, d config.Duration, least, most time.Duration) {
+	if d.Duration < least || d.Duration > most {
+		c.report(table, index, key, "%v is not from %v to %v", d, least, most)
+	}
+}
+
+func (c *checker) plan(f *planFile) {
+	if !isName(f.Name) {
+		c.report("", -1, "name", "%q: lower-case letters, digits and _ make a name", f.Name)
+	}
+	if len(f.Sizes) == 0 || len(f.Sizes) > maxSizes {
+		c.report("", -1, "sizes", "%d; from 1 to %d", len(f.Sizes), maxSizes)
+	}
+	for i, n := range f.Sizes {
+		c.number("", -1, "sizes", float64(n), 1, MaxNodes)
+		if i > 0 && n <= f.Sizes[i-1] {
+			c.report("", -1, "sizes", "%d does not come after %d: they ascend", n, f.Sizes[i-1])
+		}
+	}
+	c.number("", -1, "per_process", float64(f.PerProcess), 1, MaxNodes)
+	if f.Voters != 1 && f.Voters != 3 && f.Voters != 5 && f.Voters != 7 {
+		c.report("", -1, "voters", "%d; 1, 3, 5 or 7 vote", f.Voters)
+	}
+	c.number("", -1, "serves", float64(f.Serves), 0, 64)
+	c.number("", -1, "regions", float64(f.Regions), 1, 8)
+	c.number("", -1, "zones", float64(f.Zones), 1, 64)
+	c.number("", -1, "drift", f.Drift, 0, 0.25)
+	c.span("", -1, "limit", f.Limit, time.Second, 2*time.Hour)
+	c.span("", -1, "lease", f.Lease, 100*time.Millisecond, time.Minute)
+	c.span("", -1, "take", f.Take, time.Millisecond, time.Minute)
+	c.number("content", -1, "clusters", float64(f.Content.Clusters), 1, 1000)
+	c.number("content", -1, "servers", float64(f.Content.Servers), float64(f.Content.Clusters), 100_000)
+	c.number("content", -1, "routes", float64(f.Content.Routes), float64(len(classes)), 100_000)
+	c.number("content", -1, "tenants", float64(f.Content.Tenants), 0, 1_000_000)
+	if len(f.Sizes) > 0 && f.PerProcess > 0 {
+		if n := f.Voters + f.Serves + processes(f.Sizes[len(f.Sizes)-1], f.PerProcess); n > MaxProcesses {
+			c.report("", -1, "per_process", "%d processes at the largest size; %d at most", n, MaxProcesses)
+		}
+	}
+	if len(f.Step) == 0 || len(f.Step) > maxSteps {
+		c.report("", -1, "step", "%d steps; from 1 to %d", len(f.Step), maxSteps)
+	}
+}
+
+// step checks a step, and gives it.
+func (c *checker) step(f *planFile, i int) Step {
+	in := &f.Step[i]
+	s := Step{Name: in.Name, Kind: Kind(in.Kind), Length: in.Length.Duration, Count: in.Count, Contradicts: in.Contradicts, Share: in.Share, Zone: -1, Wait: in.Wait.Duration}
+	if s.Name == "" {
+		s.Name = in.Kind
+	}
+	if s.Wait == 0 {
+		s.Wait = 10 * time.Second
+	}
+	if in.Zone != nil {
+		s.Zone = *in.Zone
+	}
+	if !slices.Contains(kinds, s.Kind) {
+		c.report("step", i, "kind", "%q is none of %v", in.Kind, kinds)
+		return s
+	}
+	if !isName(s.Name) {
+		c.report("step", i, "name", "%q: lower-case letters, digits and _ make a name", s.Name)
+	}
+	c.span("step", i, "wait", config.Duration{Duration: s.Wait}, time.Millisecond, 10*time.Minute)
+	if s.Kind == Idle || s.Kind == Apart {
+		c.span("step", i, "length", in.Length, 100*time.Millisecond, time.Hour)
+	} else if s.Length != 0 {
+		c.report("step", i, "length", "is of idle and apart alone")
+	}
+	if s.Kind == Settings || s.Kind == List {
+		if s.Count == 0 {
+			s.Count = 1
+		}
+		c.number("step", i, "count", float64(s.Count), 1, maxChanges)
+	} else if s.Count != 0 {
+		c.report("step", i, "count", "is of settings and list alone")
+	}
+	if s.Contradicts && s.Kind != Settings {
+		c.report("step", i, "contradicts", "is of settings alone")
+	}
+	c.restart(f, i, &s)
+	return s
+}
+
+func (c *checker) restart(f *planFile, i int, s *Step) {
+	in := &f.Step[i]
+	switch {
+	case s.Kind != Restart && (s.Share != 0 || in.Zone != nil):
+		c.report("step", i, "share", "share and zone are of restart alone")
+	case s.Kind == Restart && in.Zone == nil:
+		c.number("step", i, "share", s.Share, 0.0001, 1)
+	case s.Kind == Restart && s.Share != 0:
+		c.report("step", i, "zone", "a share or a zone is restarted, not both")
+	case s.Kind == Restart:
+		c.number("step", i, "zone", float64(s.Zone), 0, float64(f.Zones-1))
+	}
+	switch {
+	case in.Stores == "" || in.Stores == "kept":
+	case in.Stores != "empty":
+		c.report("step", i, "stores", "%q is neither kept nor empty", in.Stores)
+	case s.Kind != Restart && s.Kind != Return:
+		c.report("step", i, "stores", "is of restart and return alone")
+	default:
+		s.Empty = true
+	}
+	if (s.Kind == Apart || s.Kind == Together) && f.Regions < 2 {
+		c.report("step", i, "kind", "%s: there is one region", s.Kind)
+	}
+}
+
+// isName tells whether a word may be a part of a figure's key.
+func isName(word string) bool {
+	for i, r := range word {
+		if !(r == '_' || r >= 'a' && r <= 'z' || i > 0 && r >= '0' && r <= '9') {
+			return false
+		}
+	}
+	return word != ""
+}
+
+// processes gives how many processes so many hollow nodes need.
+func processes(nodes, perProcess int) int { return (nodes + perProcess - 1) / perProcess }
