--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -17,27 +17,49 @@
 	"yokestall/internal/config"
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/agree"
+	"yokestall/internal/lab/capacity"
 	"yokestall/internal/lab/scale"
 	"yokestall/internal/tlskeys"
 )
 
 // labScale plays fleets of hollow nodes and measures what control costs.
 func labScale(out io.Writer) *cobra.Command {
-	var to string
+	to, check := "", ""
 	c := &cobra.Command{
 		Use:   "scale FILE",
 		Short: "Measure what control costs at several sizes: real voters and nodes, and hollow nodes that share processes",
 		Long: "A hollow node takes part in the fleet by a node's own code, and serves nothing. All processes are on loopback addresses of this machine,\n" +
-			"and end with this one. The figures go to a file of JSON, from which pages of figures are checked.",
-		Args: cobra.ExactArgs(1),
+			"and end with this one. The figures go to a file of JSON. --check PAGE runs nothing: it says where a page of figures is not what the files in\n" +
+			"the folder capacity beside it say.",
+		Args: func(cmd *cobra.Command, args []string) error {
+			if check != "" {
+				return cobra.NoArgs(cmd, args)
+			}
+			return cobra.ExactArgs(1)(cmd, args)
+		},
 		RunE: func(cmd *cobra.Command, args []string) error {
+			if check != "" {
+				return checkPage(out, check)
+			}
 			return playScale(cmd.Context(), out, cmd.ErrOrStderr(), args[0], to)
 		},
 	}
 	c.Flags().StringVar(&to, "out", "", "the `file` for the figures; without one only a summary is printed")
+	c.Flags().StringVar(&check, "check", "", "a `page` of figures")
 	return c
 }
 
+// checkPage says where a page of figures parts from the files of measured runs.
+func checkPage(out io.Writer, page string) error {
+	err := capacity.CheckFile(page)
+	if err == nil {
+		fmt.Fprintf(out, "%s: its figures are those of the files\n", page)
+		return nil
+	}
+	fmt.Fprintln(out, err)
+	return ErrReported
+}
+
 func playScale(ctx context.Context, out, progress io.Writer, path, to string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- /dev/null
+++ b/internal/lab/capacity/capacity_test.go
@@ -0,0 +1,143 @@
+package capacity
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"yokestall/internal/lab/scale"
+)
+
+// files are a run's figures with a line of 2 a node from 10, and the plan.
+func files(t *testing.T) (Files, string) {
+	t.Helper()
+	folder := filepath.Join(t.TempDir(), "capacity")
+	if err := os.Mkdir(folder, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	run := &scale.Figures{Name: "run", Voters: 3, Series: map[string]*scale.Series{
+		"idle.voter.cpu": {Unit: "ms/s", Points: []scale.Point{{At: 50, Value: 110}, {At: 100, Value: 210}, {At: 200, Value: 410}, {At: 400, Value: 810}}},
+		"idle.node.in":   {Unit: "B/s", Points: []scale.Point{{At: 50, Value: 1651.7}}},
+	}}
+	for _, s := range run.Series {
+		s.Finish()
+	}
+	plan := &scale.Figures{Name: "plan", Numbers: map[string]float64{"nodes": 1900}}
+	for _, f := range []*scale.Figures{run, plan} {
+		if err := f.Write(filepath.Join(folder, f.Name+".json")); err != nil {
+			t.Fatal(err)
+		}
+	}
+	read, err := Read(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return read, folder
+}
+
+// A page whose figures follow from the files is good.
+func TestGoodPage(t *testing.T) {
+	all, _ := files(t)
+	page := `# Capacity
+A voter needs 3,810 ms/s<!-- fig: run:idle.voter.cpu.slope * plan:nodes + run:idle.voter.cpu.intercept -->, or 3.8 cores<!-- fig: run:idle.voter.cpu.at(plan:nodes)/1000 -->.
+| voter | 2 ms/s<!-- fig: run:idle.voter.cpu.slope --> a node | 0.0 %<!-- fig: 100 * run:idle.voter.cpu.relative --> |
+| some 4,000<!-- fig: run:idle.voter.cpu.at(1900) to 1000 --> | 410<!-- fig: run:idle.voter.cpu.n200 --> | 1.65 KB/s<!-- fig: run:idle.node.in.mean / 1000 --> |
+With 3 voters<!-- fig: run:voters -->; -2.50 is left<!-- fig: 7.5 - (run:voters + 7) -->; no mark on 17.`
+	if err := Check("page.md", page, all); err != nil {
+		t.Error(err)
+	}
+}
+
+// A figure that was changed on the page is found, with its line.
+func TestChangedFigureOnPage(t *testing.T) {
+	all, _ := files(t)
+	for number, good := range map[string]bool{"2": true, "2.0": true, "2.1": false, "1.9": false, "3": false, "-2": false, "20": false} {
+		page := fmt.Sprintf("# Capacity\n\n%s ms/s<!-- fig: run:idle.voter.cpu.slope -->\n", number)
+		err := Check("page.md", page, all)
+		if (err == nil) != good || err != nil && !strings.HasPrefix(err.Error(), "page.md:3: the page has "+number) {
+			t.Errorf("%s: %v", number, err)
+		}
+	}
+}
+
+// A figure that was changed in a file is found: on the page, or as one that does not follow from the file's points.
+func TestChangedFigureInFile(t *testing.T) {
+	page := "\n2 ms/s<!-- fig: run:idle.voter.cpu.slope -->, 410<!-- fig: run:idle.voter.cpu.n200 -->, 385<!-- fig: run:idle.voter.cpu.mean -->, 1,900<!-- fig: plan:nodes -->\n"
+	for _, change := range []struct{ file, old, new, want string }{
+		{"run.json", `"value": 410`, `"value": 430`, "run.json:"},
+		{"run.json", `"slope": 2`, `"slope": 2.1`, "slope is 2.1, and its points give 2"},
+		{"run.json", `"intercept": 10`, `"intercept": 12`, "intercept is 12"},
+		{"run.json", `"mean": 385`, `"mean": 380`, "mean is 380"},
+		{"plan.json", `1900`, `1901`, "page.md:2: the page has 1,900, and plan:nodes is 1901"},
+		{"run.json", `"seed"`, `"sed"`, `unknown field "sed"`},
+	} {
+		_, folder := files(t)
+		path := filepath.Join(filepath.Dir(folder), "page.md")
+		if err := os.WriteFile(path, []byte(page), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := CheckFile(path); err != nil {
+			t.Fatal("before the change: ", err)
+		}
+		name := filepath.Join(folder, change.file)
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		changed := strings.Replace(string(text), change.old, change.new, 1)
+		if changed == string(text) {
+			t.Fatalf("%s has no %s", change.file, change.old)
+		}
+		if err := os.WriteFile(name, []byte(changed), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := CheckFile(path); err == nil || !strings.Contains(err.Error(), change.want) {
+			t.Errorf("%s to %s: %v", change.old, change.new, err)
+		}
+	}
+}
+
+// What is wrong with a page is said with its place.
+func TestBadPages(t *testing.T) {
+	all, _ := files(t)
+	for _, bad := range []struct{ page, want string }{
+		{"nothing", "page.md: has no figure"},
+		{"\n2<!-- fig: run:idle.voter.cpu.slope\n-->", `page.md:2: a mark has no "-->"`},
+		{"| 2 | ms<!-- fig: run:voters -->", "page.md:1: no number stands before"},
+		{"2<!-- fig: 2 --> and<!-- fig: 2 -->", "no number stands before"},
+		{"2<!-- fig: run:idle.voter.cpu -->", "run.json has no series idle.voter"},
+		{"2<!-- fig: run:idle.voter.cpu.slop -->", "there is no field slop"},
+		{"2<!-- fig: run:idle.voter.cpu.n70 -->", "it was not measured at 70"},
+		{"2<!-- fig: run:idle.node.in.slope -->", "there is no line"},
+		{"2<!-- fig: run:idle.node.in.at(3) -->", "there is no line"},
+		{"2<!-- fig: other:voters -->", "there is no file of figures other.json"},
+		{"2<!-- fig: run:words -->", "run.json has no words"},
+		{"2<!-- fig: voters -->", "is not FILE:NAME"},
+		{"2<!-- fig: 1 + -->", "ends too soon"},
+		{"2<!-- fig: (1 + 1 -->", "parenthesis is missing"},
+		{"2<!-- fig: 1 1 -->", "is not expected here"},
+		{"2<!-- fig: 1 % 1 -->", "is not expected here"},
+		{"2<!-- fig: 1.2.3 -->", "is no number"},
+		{"2<!-- fig: 2 to 0 -->", "a step above 0"},
+		{"2<!-- fig: 2 / (3 - run:voters) -->", "division by zero"},
+		{"2<!-- fig: " + strings.Repeat("(", 100) + " -->", "nested too deep"},
+	} {
+		if err := Check("page.md", bad.page, all); err == nil || !strings.Contains(err.Error(), bad.want) {
+			t.Errorf("%q: %v", bad.page, err)
+		}
+	}
+}
+
+// The repository's own files of figures are good, and so is its page, once there is one.
+func TestOwnPage(t *testing.T) {
+	const folder, page = "../../../docs/capacity", "../../../docs/CAPACITY.md"
+	if _, err := Read(folder); err != nil {
+		t.Error(err)
+	}
+	if err := CheckFile(page); err != nil && !errors.Is(err, os.ErrNotExist) {
+		t.Error(err)
+	}
+}
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -1,10 +1,14 @@
 package scale
 
 import (
+	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"maps"
 	"os"
 	"slices"
+	"strconv"
 )
 
 // Series is a figure at each size of a run.
@@ -55,8 +59,10 @@
 	Machine Machine  `json:"machine"`
 	Counts  string   `json:"counts"` // what a byte and a message is
 	Untold  []Untold `json:"untold,omitempty"`
+	// Numbers are named numbers of a file that no run has written.
+	Numbers map[string]float64 `json:"numbers,omitempty"`
 	// Series are by key: STEP.ROLE.QUANTITY.
-	Series map[string]*Series `json:"series"`
+	Series map[string]*Series `json:"series,omitempty"`
 }
 
 // counts says what the counters count.
@@ -74,20 +80,25 @@
 	s.Points = append(s.Points, Point{at, value})
 }
 
-// finish works out what follows from the points, and rounds.
+// finish works out what follows from the points of all series.
 func (f *Figures) finish() {
 	for _, s := range f.Series {
-		total := 0.0
-		s.Most = s.Points[0].Value
-		for _, p := range s.Points {
-			total += p.Value
-			s.Most = max(s.Most, p.Value)
-		}
-		s.Mean, s.Most = round(total/float64(len(s.Points))), round(s.Most)
-		s.Fit = FitLine(s.Points).rounded()
-		for i := range s.Points {
-			s.Points[i].Value = round(s.Points[i].Value)
-		}
+		s.Finish()
+	}
+}
+
+// Finish works out what follows from the points, and rounds all of it.
+func (s *Series) Finish() {
+	total := 0.0
+	s.Most = s.Points[0].Value
+	for _, p := range s.Points {
+		total += p.Value
+		s.Most = max(s.Most, p.Value)
+	}
+	s.Mean, s.Most = round(total/float64(len(s.Points))), round(s.Most)
+	s.Fit = FitLine(s.Points).rounded()
+	for i := range s.Points {
+		s.Points[i].Value = round(s.Points[i].Value)
 	}
 }
 
@@ -100,22 +111,31 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// ReadFigures reads a file of figures, and checks that its fits are those of its points.
+// ReadFigures reads a file of figures, and checks that its lines are those of its points.
 func ReadFigures(path string) (*Figures, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	f := &Figures{}
-	if err := json.Unmarshal(text, f); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.DisallowUnknownFields()
+	if err := d.Decode(f); err != nil {
+		return nil, fmt.Errorf("%s:%d: %w", path, lineAt(text, int(d.InputOffset())), err)
 	}
-	for key, s := range f.Series {
-		if err := s.check(); err != nil {
-			return nil, fmt.Errorf("%s: %s: %w", path, key, err)
+	var found []error
+	for _, key := range slices.Sorted(maps.Keys(f.Series)) {
+		if err := f.Series[key].check(); err != nil {
+			at := bytes.Index(text, []byte(strconv.Quote(key)))
+			found = append(found, fmt.Errorf("%s:%d: %s: %w", path, lineAt(text, at), key, err))
 		}
 	}
-	return f, nil
+	return f, errors.Join(found...)
+}
+
+// lineAt gives the line, from 1, of a place in a text.
+func lineAt(text []byte, at int) int {
+	return 1 + bytes.Count(text[:max(0, min(at, len(text)))], []byte("\n"))
 }
 
 // near tells whether a figure is another one, but for the digits that a file doesn't keep.
@@ -129,9 +149,8 @@
 	if len(s.Points) == 0 {
 		return fmt.Errorf("it has no points")
 	}
-	again := &Figures{Series: map[string]*Series{"": {Points: slices.Clone(s.Points)}}}
-	again.finish()
-	want := again.Series[""]
+	want := &Series{Points: slices.Clone(s.Points)}
+	want.Finish()
 	scale := max(s.Most, -s.Most)
 	switch {
 	case !near(s.Mean, want.Mean, scale):
