--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -82,7 +82,7 @@
 func Decode(name string, text []byte, to any) error { return decode(name, text, to) }
 
 // Reporter collects what is wrong with a file's content, by the line of a table's key. index counts
-// tables of the same name from 0; below 0: there is one. Err gives all of it.
+// tables of the same name from 0; below 0: there is one. The table "" is the file's own keys. Err gives all of it.
 func Reporter(name string, text []byte) (report func(table string, index int, key, format string, args ...any), err func() error) {
 	var found []error
 	lines := newLines(text)
@@ -91,7 +91,10 @@
 		if p.Field = table; index >= 0 {
 			p.Field += " " + strconv.Itoa(index+1)
 		}
-		if key != "" {
+		switch {
+		case table == "":
+			p.Field = key
+		case key != "":
 			p.Field += ": " + key
 		}
 		found = append(found, p)
@@ -108,9 +111,10 @@
 func newLines(text []byte) lines { return lines{strings.Split(string(text), "\n")} }
 
 // of gives the line of a key in the table with an index among those of its name (below
-// 0: the first), the table's where the key is not there, 0 where the table is not.
+// 0: the first), the table's where the key is not there, 0 where the table is not. "" is the
+// file's own, before all tables.
 func (l lines) of(table string, index int, key string) int {
-	found, inside, n := 0, false, -1
+	found, inside, n := 0, table == "", -1
 	for i, line := range l.text {
 		if m := tableLine.FindStringSubmatch(line); m != nil {
 			if inside {
