--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -67,10 +67,10 @@
 func TestChangedFigureInFile(t *testing.T) {
 	page := "\n2 ms/s<!-- fig: run:idle.voter.cpu.slope -->, 410<!-- fig: run:idle.voter.cpu.n200 -->, 385<!-- fig: run:idle.voter.cpu.mean -->, 1,900<!-- fig: plan:nodes -->\n"
 	for _, change := range []struct{ file, old, new, want string }{
-		{"run.json", `"value": 410`, `"value": 430`, "run.json:"},
-		{"run.json", `"slope": 2`, `"slope": 2.1`, "slope is 2.1, and its points give 2"},
-		{"run.json", `"intercept": 10`, `"intercept": 12`, "intercept is 12"},
-		{"run.json", `"mean": 385`, `"mean": 380`, "mean is 380"},
+		{"run.json", `"value":410`, `"value":430`, "run.json:"},
+		{"run.json", `"slope":2`, `"slope":2.1`, "slope is 2.1, and its points give 2"},
+		{"run.json", `"intercept":10`, `"intercept":12`, "intercept is 12"},
+		{"run.json", `"mean":385`, `"mean":380`, "mean is 380"},
 		{"plan.json", `1900`, `1901`, "page.md:2: the page has 1,900, and plan:nodes is 1901"},
 		{"run.json", `"seed"`, `"sed"`, `unknown field "sed"`},
 	} {
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -67,7 +67,8 @@
 
 // counts says what the counters count.
 const counts = "bytes: what the program reads and writes on its sockets, with HTTP/2's frames and, with TLS, its records and handshakes; " +
-	"without headers of TCP and IP, acknowledgements and repeats. messages: of RPCs, each at both of its ends. " +
+	"without headers of TCP and IP. packets: TCP's segments, acknowledgements among them, by the kernel's count. " +
+	"wire: bytes both ways and 52 a packet (IPv4, TCP and its timestamps; no link's frame). messages: of RPCs, each at both of its ends. " +
 	"cpu: user and system time of a process by getrusage; of a hollow node, its process's divided by the nodes in it"
 
 // add adds a point to a series.
@@ -102,13 +103,29 @@
 	}
 }
 
-// Write writes figures to a file.
+// Write writes figures to a file, a line for each series.
 func (f *Figures) Write(path string) error {
-	text, err := json.MarshalIndent(f, "", " ")
+	head := *f
+	head.Series = nil
+	text, err := json.MarshalIndent(head, "", " ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, append(text, '\n'), 0o644)
+	out := bytes.NewBuffer(bytes.TrimSuffix(text, []byte("\n}")))
+	separator := ",\n \"series\": {\n"
+	for _, key := range slices.Sorted(maps.Keys(f.Series)) {
+		line, err := json.Marshal(f.Series[key])
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(out, "%s  %q: %s", separator, key, line)
+		separator = ",\n"
+	}
+	if len(f.Series) > 0 {
+		out.WriteString("\n }")
+	}
+	out.WriteString("\n}\n")
+	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
 // ReadFigures reads a file of figures, and checks that its lines are those of its points.
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -1,54 +1,75 @@
 package scale
 
-import "time"
+import (
+	"math"
+	"strings"
+	"time"
+)
 
 // rate is what a process uses in a time, of each quantity that is counted.
 type rate struct {
-	seconds, cpu, in, out, sent, received float64
+	seconds float64
+	used    [len(quantities)]float64
 }
 
+// headers are the bytes of IPv4's and TCP's headers in a packet, with the time stamps that each has.
+const headers = 20 + 20 + 12
+
+// quantity is one that is counted.
+type quantity struct {
+	name, unit string
+	of         func(r *Report) float64 // since the process started
+}
+
+var quantities = [...]quantity{
+	{"cpu", "ms", func(r *Report) float64 { return float64(r.CPU) / float64(time.Millisecond) }},
+	{"in", "B", func(r *Report) float64 { return float64(r.Dialed.In + r.Accepted.In) }},
+	{"out", "B", func(r *Report) float64 { return float64(r.Dialed.Out + r.Accepted.Out) }},
+	{"peers_in", "B", func(r *Report) float64 { return float64(r.Dialed.In) }},
+	{"peers_out", "B", func(r *Report) float64 { return float64(r.Dialed.Out) }},
+	{"wire", "B", func(r *Report) float64 { return float64(r.Dialed.wire() + r.Accepted.wire()) }},
+	{"packets", "packets", func(r *Report) float64 { return float64(r.Dialed.packets() + r.Accepted.packets()) }},
+	{"sent", "messages", func(r *Report) float64 { return float64(r.Sent) }},
+	{"received", "messages", func(r *Report) float64 { return float64(r.Received) }},
+	{"connections", "connections", func(r *Report) float64 { return float64(r.Dialed.Connections + r.Accepted.Connections) }},
+}
+
+func (t *Traffic) packets() int64 { return t.PacketsIn + t.PacketsOut }
+
+// wire gives the bytes both ways, with headers.
+func (t *Traffic) wire() int64 { return t.In + t.Out + headers*t.packets() }
+
 // between gives what a process used between two reports.
-func between(a, b Report) rate {
-	return rate{
-		seconds:  (b.At - a.At).Seconds(),
-		cpu:      float64(b.CPU-a.CPU) / float64(time.Millisecond),
-		in:       float64(b.Dialed.In + b.Accepted.In - a.Dialed.In - a.Accepted.In),
-		out:      float64(b.Dialed.Out + b.Accepted.Out - a.Dialed.Out - a.Accepted.Out),
-		sent:     float64(b.Sent - a.Sent),
-		received: float64(b.Received - a.Received),
+func between(a, b *Report) rate {
+	r := rate{seconds: (b.At - a.At).Seconds()}
+	for i, q := range quantities {
+		r.used[i] = q.of(b) - q.of(a)
 	}
+	return r
 }
 
 // perSecond gives it for a second.
 func (r rate) perSecond() rate {
-	return rate{1, r.cpu / r.seconds, r.in / r.seconds, r.out / r.seconds, r.sent / r.seconds, r.received / r.seconds}
+	for i := range r.used {
+		r.used[i] /= r.seconds
+	}
+	r.seconds = 1
+	return r
 }
 
 // beyond gives what is more than another rate, which is for a second, over the same time.
 func (r rate) beyond(o rate) rate {
-	t := r.seconds
-	return rate{t, r.cpu - o.cpu*t, r.in - o.in*t, r.out - o.out*t, r.sent - o.sent*t, r.received - o.received*t}
-}
-
-// quantity is one of what a rate counts.
-type quantity struct {
-	name, unit string
-	of         func(r rate) float64
-}
-
-var quantities = []quantity{
-	{"cpu", "ms", func(r rate) float64 { return r.cpu }},
-	{"in", "B", func(r rate) float64 { return r.in }},
-	{"out", "B", func(r rate) float64 { return r.out }},
-	{"sent", "messages", func(r rate) float64 { return r.sent }},
-	{"received", "messages", func(r rate) float64 { return r.received }},
+	for i := range r.used {
+		r.used[i] -= o.used[i] * r.seconds
+	}
+	return r
 }
 
 // measure adds a step's figures: of an idle one for a second, of others over the step, and what of it goes beyond the idle one before.
 func (w *player) measure(s Step, before, after []Report) {
 	var all []rate
 	for i := range after {
-		all = append(all, between(before[i], after[i]))
+		all = append(all, between(&before[i], &after[i]))
 	}
 	if s.Kind == Idle {
 		for i := range all {
@@ -61,7 +82,7 @@
 	}
 	w.figures.add(s.Name+".run.length", "s", float64(w.size), all[0].seconds)
 	w.use(s.Name, "", "", all)
-	if w.idle == nil {
+	if w.idle == nil || s.Kind == Apart || s.Kind == Together { // then less is said, and on purpose
 		return
 	}
 	for i := range all {
@@ -70,16 +91,20 @@
 	w.use(s.Name, "extra_", "", all)
 }
 
-// use adds the figures of what processes used: by role the mean, for a hollow node its share of its process's, and of voters the most too.
+// use adds the figures of what processes used: by role the mean, for a hollow node its share of its process's, and of voters the most too. What
+// goes between voters is told apart for them alone: others dial nobody else, and are dialed by none.
 func (w *player) use(step, prefix, per string, all []rate) {
 	for _, role := range []Role{VoterRole, ServeRole, NodeRole} {
-		for _, q := range quantities {
-			total, most, nodes := 0.0, 0.0, 0
+		for at, q := range quantities {
+			if role != VoterRole && strings.HasPrefix(q.name, "peers_") {
+				continue
+			}
+			total, most, nodes := 0.0, math.Inf(-1), 0
 			for i, m := range w.members {
 				if m.role != role {
 					continue
 				}
-				v := q.of(all[i])
+				v := all[i].used[at]
 				total += v
 				most = max(most, v)
 				nodes += m.nodes
@@ -89,7 +114,7 @@
 			}
 			key := step + "." + string(role) + "." + prefix + q.name
 			w.figures.add(key, q.unit+per, float64(w.size), total/float64(nodes))
-			if role == VoterRole {
+			if role == VoterRole && prefix == "" {
 				w.figures.add(key+"_most", q.unit+per, float64(w.size), most)
 			}
 		}
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -11,16 +11,19 @@
 	"syscall"
 	"time"
 
+	"golang.org/x/sys/unix"
 	"google.golang.org/grpc/stats"
 
 	"yokestall/internal/fleet/peers"
 )
 
-// Bytes are those of connections, as the program reads and writes them on its sockets: messages with gRPC's and HTTP/2's frames, and with
-// TLS its records and handshakes. Headers of TCP and IP, acknowledgements and repeats are not in them.
-type Bytes struct {
-	In          int64 `json:"in"`
+// Traffic is what connections have carried. Bytes are those that the program reads and writes on its sockets: messages with gRPC's and HTTP/2's
+// frames and, with TLS, its records and handshakes. Packets are TCP's segments by the kernel's count, acknowledgements among them.
+type Traffic struct {
+	In          int64 `json:"in"` // bytes
 	Out         int64 `json:"out"`
+	PacketsIn   int64 `json:"packets_in"`
+	PacketsOut  int64 `json:"packets_out"`
 	Connections int64 `json:"connections"` // that were made, over all time
 }
 
@@ -29,17 +32,54 @@
 	At       time.Duration `json:"at"`     // by the machine's clock since boot
 	CPU      time.Duration `json:"cpu"`    // of the process, user and system
 	Memory   int64         `json:"memory"` // bytes resident at present
-	Dialed   Bytes         `json:"dialed"` // by connections that the process made
-	Accepted Bytes         `json:"accepted"`
+	Dialed   Traffic       `json:"dialed"` // by connections that the process made
+	Accepted Traffic       `json:"accepted"`
 	Sent     int64         `json:"sent"` // messages of RPCs
 	Received int64         `json:"received"`
 	Nodes    int           `json:"nodes"` // that are in the process
 }
 
-// traffic counts the bytes of connections.
-type traffic struct{ in, out, connections atomic.Int64 }
+// traffic counts what connections carry.
+type traffic struct {
+	in, out, connections atomic.Int64
 
-func (t *traffic) bytes() Bytes { return Bytes{t.in.Load(), t.out.Load(), t.connections.Load()} }
+	mu                    sync.Mutex
+	open                  map[*conn]struct{}
+	packetsIn, packetsOut int64 // of those that are closed
+}
+
+// total gives what all connections have carried so far.
+func (t *traffic) total() Traffic {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	sum := Traffic{t.in.Load(), t.out.Load(), t.packetsIn, t.packetsOut, t.connections.Load()}
+	for c := range t.open {
+		in, out := c.packets()
+		sum.PacketsIn += in
+		sum.PacketsOut += out
+	}
+	return sum
+}
+
+func (t *traffic) add(c *conn) {
+	t.connections.Add(1)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.open == nil {
+		t.open = map[*conn]struct{}{}
+	}
+	t.open[c] = struct{}{}
+}
+
+// remove forgets a connection that is about to be closed, but for its packets.
+func (t *traffic) remove(c *conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	in, out := c.packets()
+	t.packetsIn += in
+	t.packetsOut += out
+	delete(t.open, c)
+}
 
 // Meter counts a process's control traffic, and parts it from other regions. Create it with NewMeter.
 type Meter struct {
@@ -95,8 +135,7 @@
 		if err != nil {
 			return nil, err
 		}
-		m.dialed.connections.Add(1)
-		return &conn{Conn: c, meter: m, count: &m.dialed, far: far, closed: make(chan struct{})}, nil
+		return m.wrap(c, &m.dialed, far), nil
 	}
 }
 
@@ -132,8 +171,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.meter.accepted.connections.Add(1)
-	return &conn{Conn: c, meter: l.meter, count: &l.meter.accepted, closed: make(chan struct{})}, nil
+	return l.meter.wrap(c, &l.meter.accepted, false), nil
 }
 
 // conn counts what it carries. One to another region carries nothing, either way, while that is apart: nobody is told, as by a network
@@ -147,6 +185,31 @@
 	closed chan struct{}
 }
 
+// wrap has a connection counted, and cut while the regions are apart if it is to another one.
+func (m *Meter) wrap(c net.Conn, count *traffic, far bool) *conn {
+	w := &conn{Conn: c, meter: m, count: count, far: far, closed: make(chan struct{})}
+	count.add(w)
+	return w
+}
+
+// packets gives how many segments the kernel has received and sent; none, if it doesn't say.
+func (c *conn) packets() (in, out int64) {
+	tcp, is := c.Conn.(*net.TCPConn)
+	if !is {
+		return 0, 0
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return 0, 0
+	}
+	raw.Control(func(fd uintptr) {
+		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			in, out = int64(info.Segs_in), int64(info.Segs_out)
+		}
+	})
+	return in, out
+}
+
 func (c *conn) pass() error {
 	if !c.far {
 		return nil
@@ -176,7 +239,10 @@
 
 // Close ends it.
 func (c *conn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.once.Do(func() {
+		close(c.closed)
+		c.count.remove(c)
+	})
 	return c.Conn.Close()
 }
 
@@ -213,7 +279,7 @@
 		return Report{}, err
 	}
 	return Report{
-		At: peers.BootTime(), CPU: cpu, Memory: memory, Dialed: m.dialed.bytes(), Accepted: m.accepted.bytes(),
+		At: peers.BootTime(), CPU: cpu, Memory: memory, Dialed: m.dialed.total(), Accepted: m.accepted.total(),
 		Sent: m.sent.Load(), Received: m.received.Load(),
 	}, nil
 }
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -14,6 +14,7 @@
 	"strings"
 	"time"
 
+	"yokestall/internal/files"
 	"yokestall/internal/fleet/peers"
 )
 
@@ -39,6 +40,9 @@
 		return nil, err
 	}
 	f.Machine.MemoryMB = memory >> 20
+	if _, err := files.Unbundle(p.Content.bundle(2, first)); err != nil {
+		return nil, fmt.Errorf("%s: content: a node would refuse it: %w", p.Name, err)
+	}
 	for _, size := range p.Sizes {
 		f.Machine.Load = append(f.Machine.Load, load())
 		if err := playSize(ctx, p, size, memory/2, o, f); err != nil {
