--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -196,6 +196,7 @@
 		return fmt.Errorf("all processes have %d MB, and half of the machine's memory is %d: choose smaller sizes", total>>20, w.memory>>20)
 	}
 	w.measure(s, before, after)
+	w.tell("%d nodes: step %s, %v, all processes have %d MB", w.size, s.Name, (after[0].At - before[0].At).Round(time.Millisecond), total>>20)
 	return nil
 }
 
