--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -19,19 +19,29 @@
 type quantity struct {
 	name, unit string
 	of         func(r *Report) float64 // since the process started
+	told       telling
 }
 
+// telling is in how many ways a quantity is told.
+type telling uint8
+
+const (
+	plain telling = iota // as it is
+	extra                // also what goes beyond the idle rate
+	full                 // and of the voter that has the most of it
+)
+
 var quantities = [...]quantity{
-	{"cpu", "ms", func(r *Report) float64 { return float64(r.CPU) / float64(time.Millisecond) }},
-	{"in", "B", func(r *Report) float64 { return float64(r.Dialed.In + r.Accepted.In) }},
-	{"out", "B", func(r *Report) float64 { return float64(r.Dialed.Out + r.Accepted.Out) }},
-	{"peers_in", "B", func(r *Report) float64 { return float64(r.Dialed.In) }},
-	{"peers_out", "B", func(r *Report) float64 { return float64(r.Dialed.Out) }},
-	{"wire", "B", func(r *Report) float64 { return float64(r.Dialed.wire() + r.Accepted.wire()) }},
-	{"packets", "packets", func(r *Report) float64 { return float64(r.Dialed.packets() + r.Accepted.packets()) }},
-	{"sent", "messages", func(r *Report) float64 { return float64(r.Sent) }},
-	{"received", "messages", func(r *Report) float64 { return float64(r.Received) }},
-	{"connections", "connections", func(r *Report) float64 { return float64(r.Dialed.Connections + r.Accepted.Connections) }},
+	{"cpu", "ms", func(r *Report) float64 { return float64(r.CPU) / float64(time.Millisecond) }, full},
+	{"in", "B", func(r *Report) float64 { return float64(r.Dialed.In + r.Accepted.In) }, full},
+	{"out", "B", func(r *Report) float64 { return float64(r.Dialed.Out + r.Accepted.Out) }, full},
+	{"peers_in", "B", func(r *Report) float64 { return float64(r.Dialed.In) }, plain},
+	{"peers_out", "B", func(r *Report) float64 { return float64(r.Dialed.Out) }, plain},
+	{"wire", "B", func(r *Report) float64 { return float64(r.Dialed.wire() + r.Accepted.wire()) }, extra},
+	{"packets", "packets", func(r *Report) float64 { return float64(r.Dialed.packets() + r.Accepted.packets()) }, plain},
+	{"sent", "messages", func(r *Report) float64 { return float64(r.Sent) }, plain},
+	{"received", "messages", func(r *Report) float64 { return float64(r.Received) }, plain},
+	{"connections", "connections", func(r *Report) float64 { return float64(r.Dialed.Connections + r.Accepted.Connections) }, plain},
 }
 
 func (t *Traffic) packets() int64 { return t.PacketsIn + t.PacketsOut }
@@ -96,7 +106,7 @@
 func (w *player) use(step, prefix, per string, all []rate) {
 	for _, role := range []Role{VoterRole, ServeRole, NodeRole} {
 		for at, q := range quantities {
-			if role != VoterRole && strings.HasPrefix(q.name, "peers_") {
+			if role != VoterRole && strings.HasPrefix(q.name, "peers_") || prefix != "" && q.told < extra {
 				continue
 			}
 			total, most, nodes := 0.0, math.Inf(-1), 0
@@ -114,7 +124,7 @@
 			}
 			key := step + "." + string(role) + "." + prefix + q.name
 			w.figures.add(key, q.unit+per, float64(w.size), total/float64(nodes))
-			if role == VoterRole && prefix == "" {
+			if role == VoterRole && prefix == "" && q.told == full {
 				w.figures.add(key+"_most", q.unit+per, float64(w.size), most)
 			}
 		}
