--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -2,8 +2,10 @@
 
 import (
 	"context"
+	"crypto/tls"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net"
 	"os"
 	"os/exec"
@@ -12,9 +14,6 @@
 	"sync"
 	"time"
 
-	"crypto/tls"
-	"log/slog"
-
 	"google.golang.org/grpc"
 
 	"yokestall/internal/fleet/peers"
@@ -251,7 +250,7 @@
 	return list, nil
 }
 
-// states gives what all nodes act on, by process, once all act on a version or so much time has passed.
+// await gives what all nodes act on, by process, once all act on a version or so much time has passed.
 func (r *rig) await(ctx context.Context, number uint64, longest time.Duration) ([][]State, error) {
 	replies, err := r.members.ask(ctx, same(Command{Op: OpAwait, Number: number, For: longest}))
 	if err != nil {
