--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"maps"
+	"math"
 	"os"
 	"slices"
 	"strconv"
@@ -88,19 +89,19 @@
 	}
 }
 
-// Finish works out what follows from the points, and rounds all of it.
+// Finish rounds the points, and works out what follows from them as they are then: it can be worked out again from the file.
 func (s *Series) Finish() {
 	total := 0.0
+	for i := range s.Points {
+		s.Points[i].Value = round(s.Points[i].Value)
+		total += s.Points[i].Value
+	}
 	s.Most = s.Points[0].Value
 	for _, p := range s.Points {
-		total += p.Value
 		s.Most = max(s.Most, p.Value)
 	}
-	s.Mean, s.Most = round(total/float64(len(s.Points))), round(s.Most)
+	s.Mean = round(total / float64(len(s.Points)))
 	s.Fit = FitLine(s.Points).rounded()
-	for i := range s.Points {
-		s.Points[i].Value = round(s.Points[i].Value)
-	}
 }
 
 // Write writes figures to a file, a line for each series.
@@ -155,31 +156,40 @@
 	return 1 + bytes.Count(text[:max(0, min(at, len(text)))], []byte("\n"))
 }
 
-// near tells whether a figure is another one, but for the digits that a file doesn't keep.
+// near tells whether a figure is another one, but for what floating point leaves over in a series of this scale.
 func near(a, b, scale float64) bool {
-	d := a - b
-	return max(d, -d) <= 1e-3*scale+1e-9
+	return math.Abs(a-b) <= 1e-4*max(math.Abs(a), math.Abs(b))+1e-9*scale
 }
 
 // check tells whether what a series says follows from its points.
 func (s *Series) check() error {
 	if len(s.Points) == 0 {
-		return fmt.Errorf("it has no points")
+		return errors.New("it has no points")
 	}
 	want := &Series{Points: slices.Clone(s.Points)}
 	want.Finish()
-	scale := max(s.Most, -s.Most)
-	switch {
-	case !near(s.Mean, want.Mean, scale):
-		return fmt.Errorf("mean is %v, and its points give %v", s.Mean, want.Mean)
-	case !near(s.Most, want.Most, scale):
-		return fmt.Errorf("most is %v, and its points give %v", s.Most, want.Most)
-	case (s.Fit == nil) != (want.Fit == nil):
-		return fmt.Errorf("a fit wants two sizes")
-	case s.Fit != nil && !near(s.Fit.Intercept, want.Fit.Intercept, scale):
-		return fmt.Errorf("intercept is %v, and its points give %v", s.Fit.Intercept, want.Fit.Intercept)
-	case s.Fit != nil && !near(s.Fit.Slope, want.Fit.Slope, max(s.Fit.Slope, -s.Fit.Slope)+scale/1e4):
-		return fmt.Errorf("slope is %v, and its points give %v", s.Fit.Slope, want.Fit.Slope)
+	if (s.Fit == nil) != (want.Fit == nil) {
+		return errors.New("a line wants two sizes")
+	}
+	has, wanted := s.derived(), want.derived()
+	for i, d := range has {
+		if !near(d.value, wanted[i].value, math.Abs(s.Most)) {
+			return fmt.Errorf("%s is %v, and its points give %v", d.name, d.value, wanted[i].value)
+		}
 	}
 	return nil
 }
+
+// derived is a figure that follows from a series' points.
+type derived struct {
+	name  string
+	value float64
+}
+
+func (s *Series) derived() []derived {
+	list := []derived{{"mean", s.Mean}, {"most", s.Most}}
+	if f := s.Fit; f != nil {
+		list = append(list, derived{"slope", f.Slope}, derived{"intercept", f.Intercept}, derived{"residual", f.Residual}, derived{"relative", f.Relative}, derived{"r2", f.R2})
+	}
+	return list
+}
