--- a/internal/fleet/peers/apply.go
+++ b/internal/fleet/peers/apply.go
@@ -68,6 +68,7 @@
 	n.applied.Store(&appliedRules{rules: rules, until: n.leaseEnd(rules)})
 	n.leaseMu.Unlock()
 	n.Log.Info("acts on", "rules", rules.String(), "epoch", rules.Epoch, "boot", int64(BootTime()))
+	n.notifyApplied(rules, false)
 	n.renewLeasesNow() // tells the voters of the confirmation
 	if rules.PendingVersion == 0 {
 		n.background.Go(func() { n.saveLastVersion(rules.Version) })
@@ -171,5 +172,6 @@
 		until = n.Clock() + limit
 	}
 	n.applied.Store(&appliedRules{rules: last, disconnected: true, until: until})
+	n.notifyApplied(last, true)
 	n.Log.Warn("the lease is over: acts alone", "rules", last.String(), "boot", int64(BootTime()))
 }
--- a/internal/fleet/peers/client.go
+++ b/internal/fleet/peers/client.go
@@ -12,6 +12,7 @@
 	"sync"
 	"time"
 
+	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
@@ -37,10 +38,10 @@
 }
 
 // NewClient creates a client. Its connections are established when they are needed.
-func NewClient(fleet string, voters []Voter, with *tls.Config) (*Client, error) {
+func NewClient(fleet string, voters []Voter, with *tls.Config, more ...grpc.DialOption) (*Client, error) {
 	c := &Client{voters: voters}
 	for _, v := range voters {
-		conn, err := Dial(v, with, fleet)
+		conn, err := Dial(v, with, fleet, more...)
 		if err != nil {
 			c.Close()
 			return nil, err
--- a/internal/fleet/peers/node.go
+++ b/internal/fleet/peers/node.go
@@ -64,6 +64,7 @@
 	Extend func(v *agree.Version, changes []config.File) (*agree.Version, error)
 	// Apply makes the program act on a version. The program no longer acts on the one before when Apply returns.
 	Apply func(v agree.EffectiveVersion) error
+	Hooks
 }
 
 // Node is a node of a fleet: a voter of the log, or a follower that only applies versions. Create it with Open.
@@ -168,7 +169,7 @@
 				continue
 			}
 		}
-		c, err := Dial(v, n.ClientTLS, n.Fleet)
+		c, err := Dial(v, n.ClientTLS, n.Fleet, n.dialOptions()...)
 		if err != nil {
 			return err
 		}
--- /dev/null
+++ b/internal/lab/scale/figures.go
@@ -0,0 +1,195 @@
+package scale
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"math"
+	"os"
+	"slices"
+	"strconv"
+)
+
+// Series is a figure at each size of a run.
+type Series struct {
+	Unit   string  `json:"unit"`
+	Per    string  `json:"per,omitempty"` // what At counts; "": hollow nodes
+	Points []Point `json:"points"`
+	Mean   float64 `json:"mean"`
+	Most   float64 `json:"most"`
+	Fit    *Fit    `json:"fit,omitempty"` // none with less than two sizes
+}
+
+// Machine is where a run was made.
+type Machine struct {
+	Cores    int    `json:"cores"`
+	MemoryMB int64  `json:"memory_mb"`
+	System   string `json:"system"`
+	Go       string `json:"go"`
+	// Load is the machine's load average over a minute before each size: others were at work beside the run.
+	Load []float64 `json:"load"`
+}
+
+// Untold are nodes that did not act on what they should within a step's wait.
+type Untold struct {
+	Step  string   `json:"step"`
+	Size  int      `json:"size"`
+	Count int      `json:"count"`
+	Nodes []string `json:"nodes"` // the first of them
+	By    []int    `json:"by_region"`
+}
+
+// Figures are what came of a run, as their file has it.
+type Figures struct {
+	Name    string   `json:"name"`
+	Says    string   `json:"says,omitempty"`
+	Command string   `json:"command"`
+	Plan    string   `json:"plan"` // its file
+	Seed    uint64   `json:"seed"`
+	Sizes   []int    `json:"sizes"`
+	Voters  int      `json:"voters"`
+	Serves  int      `json:"serves"`
+	Regions int      `json:"regions"`
+	Zones   int      `json:"zones"`
+	TLS     bool     `json:"tls"`
+	Lease   string   `json:"lease"`
+	Renew   string   `json:"renew"`
+	Content Content  `json:"content"`
+	Machine Machine  `json:"machine"`
+	Counts  string   `json:"counts"` // what a byte and a message is
+	Untold  []Untold `json:"untold,omitempty"`
+	// Numbers are named numbers of a file that no run has written.
+	Numbers map[string]float64 `json:"numbers,omitempty"`
+	// Series are by key: STEP.ROLE.QUANTITY.
+	Series map[string]*Series `json:"series,omitempty"`
+}
+
+// counts says what the counters count.
+const counts = "bytes: what the program reads and writes on its sockets, with HTTP/2's frames and, with TLS, its records and handshakes; " +
+	"without headers of TCP and IP. packets: TCP's segments, acknowledgements among them, by the kernel's count. " +
+	"wire: bytes both ways and 52 a packet (IPv4, TCP and its timestamps; no link's frame). messages: of RPCs, each at both of its ends. " +
+	"cpu: user and system time of a process by getrusage; of a hollow node, its process's divided by the nodes in it"
+
+// add adds a point to a series.
+func (f *Figures) add(key, unit string, at, value float64) {
+	s := f.Series[key]
+	if s == nil {
+		s = &Series{Unit: unit}
+		f.Series[key] = s
+	}
+	s.Points = append(s.Points, Point{at, value})
+}
+
+// finish works out what follows from the points of all series.
+func (f *Figures) finish() {
+	for _, s := range f.Series {
+		s.Finish()
+	}
+}
+
+// Finish rounds the points, and works out what follows from them as they are then: it can be worked out again from the file.
+func (s *Series) Finish() {
+	total := 0.0
+	for i := range s.Points {
+		s.Points[i].Value = round(s.Points[i].Value)
+		total += s.Points[i].Value
+	}
+	s.Most = s.Points[0].Value
+	for _, p := range s.Points {
+		s.Most = max(s.Most, p.Value)
+	}
+	s.Mean = round(total / float64(len(s.Points)))
+	s.Fit = FitLine(s.Points).rounded()
+}
+
+// Write writes figures to a file, a line for each series.
+func (f *Figures) Write(path string) error {
+	head := *f
+	head.Series = nil
+	text, err := json.MarshalIndent(head, "", " ")
+	if err != nil {
+		return err
+	}
+	out := bytes.NewBuffer(bytes.TrimSuffix(text, []byte("\n}")))
+	separator := ",\n \"series\": {\n"
+	for _, key := range slices.Sorted(maps.Keys(f.Series)) {
+		line, err := json.Marshal(f.Series[key])
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(out, "%s  %q: %s", separator, key, line)
+		separator = ",\n"
+	}
+	if len(f.Series) > 0 {
+		out.WriteString("\n }")
+	}
+	out.WriteString("\n}\n")
+	return os.WriteFile(path, out.Bytes(), 0o644)
+}
+
+// ReadFigures reads a file of figures, and checks that its lines are those of its points.
+func ReadFigures(path string) (*Figures, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	f := &Figures{}
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.DisallowUnknownFields()
+	if err := d.Decode(f); err != nil {
+		return nil, fmt.Errorf("%s:%d: %w", path, lineAt(text, int(d.InputOffset())), err)
+	}
+	var found []error
+	for _, key := range slices.Sorted(maps.Keys(f.Series)) {
+		if err := f.Series[key].check(); err != nil {
+			at := bytes.Index(text, []byte(strconv.Quote(key)))
+			found = append(found, fmt.Errorf("%s:%d: %s: %w", path, lineAt(text, at), key, err))
+		}
+	}
+	return f, errors.Join(found...)
+}
+
+// lineAt gives the line, from 1, of a place in a text.
+func lineAt(text []byte, at int) int {
+	return 1 + bytes.Count(text[:max(0, min(at, len(text)))], []byte("\n"))
+}
+
+// near tells whether a figure is another one, but for what floating point leaves over in a series of this scale.
+func near(a, b, scale float64) bool {
+	return math.Abs(a-b) <= 1e-4*max(math.Abs(a), math.Abs(b))+1e-9*scale
+}
+
+// check tells whether what a series says follows from its points.
+func (s *Series) check() error {
+	if len(s.Points) == 0 {
+		return errors.New("it has no points")
+	}
+	want := &Series{Points: slices.Clone(s.Points)}
+	want.Finish()
+	if (s.Fit == nil) != (want.Fit == nil) {
+		return errors.New("a line wants two sizes")
+	}
+	has, wanted := s.derived(), want.derived()
+	for i, d := range has {
+		if !near(d.value, wanted[i].value, math.Abs(s.Most)) {
+			return fmt.Errorf("%s is %v, and its points give %v", d.name, d.value, wanted[i].value)
+		}
+	}
+	return nil
+}
+
+// derived is a figure that follows from a series' points.
+type derived struct {
+	name  string
+	value float64
+}
+
+func (s *Series) derived() []derived {
+	list := []derived{{"mean", s.Mean}, {"most", s.Most}}
+	if f := s.Fit; f != nil {
+		list = append(list, derived{"slope", f.Slope}, derived{"intercept", f.Intercept}, derived{"residual", f.Residual}, derived{"relative", f.Relative}, derived{"r2", f.R2})
+	}
+	return list
+}
