--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -147,7 +147,7 @@
 			return nil
 		},
 	}
-	c.AddCommand(run, sockets, processes, compare, list, labVersions(out), labServe())
+	c.AddCommand(run, sockets, processes, compare, list, labVersions(out), labServe(), labProcess(out))
 	return c
 }
 
--- /dev/null
+++ b/internal/lab/process/generate.go
@@ -0,0 +1,198 @@
+package process
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"net/http"
+
+	"yokestall/internal/cluster"
+	"yokestall/internal/config"
+)
+
+// Place is where a generated configuration stands: the process and its stand-in servers.
+type Place struct {
+	Listen string
+	// Server gives the address of server j, the same for each service: services share the stand-ins.
+	Server func(j int) string
+}
+
+// DefaultPlace is for files that are looked at and not served by: addresses of loopback.
+func DefaultPlace() Place {
+	return Place{Listen: "127.0.0.1:8080", Server: func(j int) string {
+		return fmt.Sprintf("127.%d.%d.%d:9001", 1+j/62500, j/250%250, 1+j%250)
+	}}
+}
+
+// Generator writes the files of one size. It is pure: the same size, seed and place give the same bytes.
+type Generator struct {
+	Size  Size
+	Seed  uint64
+	Place Place
+}
+
+// routeKind is the form of a generated route.
+type routeKind int
+
+const (
+	templateRoute routeKind = iota
+	prefixRoute
+	exactRoute
+	regexRoute
+	writeRoute // a template that takes POST alone, of the keyed class
+	restRoute  // the last route of a host: everything else
+)
+
+// kindTurns has each ten routes of a host be four templates, three prefixes, one exact path, one expression and one write.
+var kindTurns = [...]routeKind{
+	templateRoute, prefixRoute, templateRoute, exactRoute, prefixRoute, templateRoute, regexRoute, prefixRoute, writeRoute, templateRoute,
+}
+
+// quotaSpread is the sigma of the tenants' quotas, which are log-normal: a few are large, most are small.
+const quotaSpread = 1.5
+
+// ServiceName names service i, its cluster and its host.
+func ServiceName(i int) string { return fmt.Sprintf("service-%04d", i) }
+
+// TenantName names tenant i.
+func TenantName(i int) string { return fmt.Sprintf("tenant-%07d", i) }
+
+// hostName is the domain of service i.
+func hostName(i int) string { return ServiceName(i) + ".example.org" }
+
+// routesOf gives how many routes service i has; they differ by one at most.
+func (g *Generator) routesOf(i int) int {
+	n := g.Size.Routes / g.Size.Services
+	if i < g.Size.Routes%g.Size.Services {
+		n++
+	}
+	return n
+}
+
+// kind gives the form of route j of service i.
+func (g *Generator) kind(i, j int) routeKind {
+	if j == g.routesOf(i)-1 {
+		return restRoute
+	}
+	return kindTurns[j%len(kindTurns)]
+}
+
+// Settings are what changes of a configuration replace.
+type Settings struct {
+	Version int // told by the version route, so that a change that is in force can be seen
+	// Step is added to the first tenant's quota, or where there are no tenants to max_retry_after: a change of settings.
+	Step int
+	// Text is what one route answers: a change of a route alone.
+	Text int
+}
+
+// VersionHost is the host at which a request is answered with the version in force, by Settings.
+const VersionHost = "version.example.org"
+
+// VersionText is the answer of the version route.
+func VersionText(s Settings) string { return fmt.Sprintf("version %d", s.Version) }
+
+// Program writes the program's own file.
+func (g *Generator) Program(s Settings) []byte {
+	var b bytes.Buffer
+	fmt.Fprintf(&b, "[listen]\naddress = %q\n\n[files]\nclusters = \"clusters\"\n\n", g.Place.Listen)
+	wait := 600
+	if g.Size.Tenants == 0 {
+		wait += s.Step
+	}
+	fmt.Fprintf(&b, "[limits]\nattempts = 3\nsecond_copies = true\ncancel = true\nmax_retry_after = \"%dms\"\n\n", wait)
+	fmt.Fprintf(&b, "[fleet]\nnodes = %d\nnode = 0\nzone = \"zone-0\"\n\n", g.Size.Nodes)
+	b.WriteString("[[class]]\nname = \"read\"\neffect = \"safe\"\ndeadline = \"1400ms\"\naim = \"580ms\"\nworth = 2\n\n" +
+		"[[class]]\nname = \"write\"\neffect = \"keyed\"\nscope = \"all\"\nwindow = \"6s\"\ndeadline = \"1900ms\"\naim = \"750ms\"\nworth = 8\n\n")
+	rng := rand.New(rand.NewPCG(g.Seed, 1))
+	for i := range g.Size.Tenants {
+		quota := math.Ceil(100*math.Exp(quotaSpread*rng.NormFloat64())) / 10
+		if i == 0 {
+			quota = float64(1000 + s.Step)
+		}
+		fmt.Fprintf(&b, "[[tenant]]\nname = %q\nquota_per_s = %g\n", TenantName(i), quota)
+	}
+	fmt.Fprintf(&b, "\n[[host]]\nname = \"version\"\ndomains = [%q]\n[[host.route]]\nname = \"version\"\npath = \"/version\"\n"+
+		"answer = { status = 200, text = %q }\n[[host.route]]\nname = \"text\"\npath = \"/text\"\nanswer = { status = 200, text = \"text %d\" }\n",
+		VersionHost, VersionText(s), s.Text)
+	for i := range g.Size.Services {
+		g.host(&b, i)
+	}
+	return b.Bytes()
+}
+
+func (g *Generator) host(b *bytes.Buffer, i int) {
+	fmt.Fprintf(b, "\n[[host]]\nname = %q\ndomains = [%q]\n", ServiceName(i), hostName(i))
+	for j := range g.routesOf(i) {
+		class := "read"
+		fmt.Fprintf(b, "[[host.route]]\nname = \"r%d\"\n", j)
+		switch g.kind(i, j) {
+		case templateRoute:
+			fmt.Fprintf(b, "template = \"/orders-%d/{order}/items/{item}\"\n", j)
+		case prefixRoute:
+			fmt.Fprintf(b, "prefix = \"/files-%d/\"\n", j)
+		case exactRoute:
+			fmt.Fprintf(b, "path = \"/reports-%d/daily\"\n", j)
+		case regexRoute:
+			fmt.Fprintf(b, "regex = \"/search-%d/[a-z]+\"\n", j)
+		case writeRoute:
+			class = "write"
+			fmt.Fprintf(b, "template = \"/bookings-%d/{booking}\"\nmethods = [\"POST\"]\n", j)
+		case restRoute:
+			b.WriteString("prefix = \"/\"\n")
+		}
+		fmt.Fprintf(b, "class = %q\ncluster = %q\n", class, ServiceName(i))
+	}
+}
+
+// Cluster writes the file of service i. change alters the weight of its first server: a change of one cluster's list.
+func (g *Generator) Cluster(i, change int) []byte {
+	const zones, cells = 3, 2
+	c := &cluster.Cluster{Name: ServiceName(i)}
+	for j := range g.Size.Servers {
+		weight := 1.0
+		if j == 0 {
+			weight += float64(change)
+		}
+		c.Endpoints = append(c.Endpoints, cluster.Endpoint{
+			ID: fmt.Sprintf("%s-%05d", c.Name, j), Address: g.Place.Server(j),
+			Zone: fmt.Sprintf("zone-%d", j%zones), Cell: j / zones % cells, Weight: weight,
+		})
+	}
+	return config.FormatCluster(c)
+}
+
+// Ask is a request of the load.
+type Ask struct {
+	Service            int
+	Method, Host, Path string
+	Tenant             string // "": the size has none
+	Key                string // of a write
+}
+
+// Ask draws request n, among the first services that are in use.
+func (g *Generator) Ask(n, inUse int) Ask {
+	rng := rand.New(rand.NewPCG(g.Seed, uint64(n)<<8|2))
+	i := n % inUse
+	j := rng.IntN(g.routesOf(i))
+	a := Ask{Service: i, Method: http.MethodGet, Host: hostName(i)}
+	if g.Size.Tenants > 0 {
+		a.Tenant = TenantName(rng.IntN(g.Size.Tenants))
+	}
+	switch g.kind(i, j) {
+	case templateRoute:
+		a.Path = fmt.Sprintf("/orders-%d/%d/items/%d", j, n, rng.IntN(100))
+	case prefixRoute:
+		a.Path = fmt.Sprintf("/files-%d/%d", j, rng.IntN(1000))
+	case exactRoute:
+		a.Path = fmt.Sprintf("/reports-%d/daily", j)
+	case regexRoute:
+		a.Path = fmt.Sprintf("/search-%d/word", j)
+	case writeRoute:
+		a.Method, a.Path, a.Key = http.MethodPost, fmt.Sprintf("/bookings-%d/%d", j, n), fmt.Sprintf("key-%d-%d", g.Seed, n)
+	case restRoute:
+		a.Path = fmt.Sprintf("/else/%d", rng.IntN(1000))
+	}
+	return a
+}
--- /dev/null
+++ b/internal/lab/process/plan.go
@@ -0,0 +1,159 @@
+// Package process measures one real process of the program at a size that is given as data: what its configuration costs to
+// check, to start with, to hold, to change and to decide by, and how these grow with the size.
+package process
+
+import (
+	"fmt"
+	"os"
+	"time"
+
+	"yokestall/internal/config"
+)
+
+// The bounds of a size, beyond which the measurement itself does not fit on one machine.
+const (
+	maxServices = 2000
+	maxServers  = 200_000 // of one service
+	maxRoutes   = 2_000_000
+	maxTenants  = 20_000_000
+	maxWindow   = 10 * time.Minute
+)
+
+// Size is how much one process is told.
+type Size struct {
+	Name     string `toml:"name"`
+	Services int    `toml:"services"`
+	Servers  int    `toml:"servers"` // of each service
+	Routes   int    `toml:"routes"`  // over all services
+	Tenants  int    `toml:"tenants"`
+	Nodes    int    `toml:"nodes"` // of the fleet that the process is one of
+}
+
+// Plan is what is measured, at which sizes.
+type Plan struct {
+	Seed uint64 `toml:"seed"`
+	// TenantsIfRefused is measured with where the program refuses as many tenants as a size has.
+	TenantsIfRefused int             `toml:"tenants_if_refused"`
+	Rates            []float64       `toml:"rates"`         // requests a second, each in turn
+	InUse            []int           `toml:"in_use"`        // services that requests are spread over, each in turn; 0: all
+	ServerTime       config.Duration `toml:"server_time"`   // what a stand-in server takes for an answer
+	Load             config.Duration `toml:"load"`          // how long each rate is asked for
+	Rest             config.Duration `toml:"rest"`          // how long the process is watched at rest
+	Changes          []int           `toml:"changes"`       // of settings, counted from the start; figures are taken at each
+	RouteChanges     int             `toml:"route_changes"` // of one route, after these
+	ListChanges      int             `toml:"list_changes"`  // of one cluster's list, after those
+	Sizes            []Size          `toml:"size"`
+	Slopes           []Slope         `toml:"slope"`
+}
+
+// Slope names sizes over which figures are held against one dimension of them.
+type Slope struct {
+	Name  string   `toml:"name"`
+	Per   string   `toml:"per"` // services, routes or tenants
+	Sizes []string `toml:"sizes"`
+}
+
+// ReadPlan reads a plan's file.
+func ReadPlan(path string) (*Plan, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return ParsePlan(path, text)
+}
+
+// ParsePlan reads a plan. Faults are told by file and line.
+func ParsePlan(name string, text []byte) (*Plan, error) {
+	var p Plan
+	if err := config.Decode(name, text, &p); err != nil {
+		return nil, err
+	}
+	report, faults := config.Reporter(name, text)
+	within := func(index int, key string, value, least, most int) {
+		if value < least || value > most {
+			report("size", index, key, "%d is not from %d to %d", value, least, most)
+		}
+	}
+	if len(p.Sizes) == 0 {
+		report("size", -1, "", "no [[size]]: nothing would be measured")
+	}
+	known := map[string]bool{}
+	for i, s := range p.Sizes {
+		if s.Name == "" || known[s.Name] {
+			report("size", i, "name", "wants a name of its own")
+		}
+		known[s.Name] = true
+		within(i, "services", s.Services, 1, maxServices)
+		within(i, "servers", s.Servers, 1, maxServers)
+		within(i, "routes", s.Routes, s.Services, maxRoutes)
+		within(i, "tenants", s.Tenants, 0, maxTenants)
+		within(i, "nodes", s.Nodes, 1, 100_000)
+	}
+	for i, s := range p.Slopes {
+		if dimensions[s.Per] == nil {
+			report("slope", i, "per", "%q is none of services, routes, tenants", s.Per)
+		}
+		if len(s.Sizes) < 3 {
+			report("slope", i, "sizes", "%d sizes; a slope with a residual wants 3", len(s.Sizes))
+		}
+		for _, size := range s.Sizes {
+			if !known[size] {
+				report("slope", i, "sizes", "%q is no [[size]]", size)
+			}
+		}
+	}
+	for key, d := range map[string]config.Duration{"server_time": p.ServerTime, "load": p.Load, "rest": p.Rest} {
+		if d.Duration < 0 || d.Duration > maxWindow {
+			report("", -1, key, "%v is not from 0 to %v", d.Duration, maxWindow)
+		}
+	}
+	last := 0
+	for _, n := range p.Changes {
+		if n <= last {
+			report("", -1, "changes", "%d does not go up from %d", n, last)
+		}
+		last = n
+	}
+	if err := faults(); err != nil {
+		return nil, err
+	}
+	return &p, nil
+}
+
+// Size gives the size of a name.
+func (p *Plan) Size(name string) (Size, error) {
+	for _, s := range p.Sizes {
+		if s.Name == name {
+			return s, nil
+		}
+	}
+	return Size{}, fmt.Errorf("no size %q", name)
+}
+
+// Refused gives the size that is measured in place of one that is refused for its tenants; false: it has no more than that.
+func (p *Plan) Refused(s Size) (Size, bool) {
+	if s.Tenants <= p.TenantsIfRefused {
+		return s, false
+	}
+	s.Tenants = p.TenantsIfRefused
+	s.Name = fmt.Sprintf("%s-%d-tenants", s.Name, s.Tenants)
+	return s, true
+}
+
+// Written gives all sizes whose files may be wanted: those of the plan, and what is measured in place of refused ones.
+func (p *Plan) Written() (list []Size) {
+	for _, s := range p.Sizes {
+		list = append(list, s)
+		if less, ok := p.Refused(s); ok {
+			list = append(list, less)
+		}
+	}
+	return list
+}
+
+// dimensions are what a slope may go by.
+var dimensions = map[string]func(Size) int{
+	"services": func(s Size) int { return s.Services },
+	"routes":   func(s Size) int { return s.Routes },
+	"tenants":  func(s Size) int { return s.Tenants },
+}
