--- a/internal/lab/process/generate.go
+++ b/internal/lab/process/generate.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"io"
 	"math"
 	"math/rand/v2"
 	"net/http"
@@ -93,17 +94,23 @@
 // VersionText is the answer of the version route.
 func VersionText(s Settings) string { return fmt.Sprintf("version %d", s.Version) }
 
-// Program writes the program's own file.
+// Program gives the program's own file.
 func (g *Generator) Program(s Settings) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "[listen]\naddress = %q\n\n[files]\nclusters = \"clusters\"\n\n", g.Place.Listen)
+	g.WriteProgram(&b, s)
+	return b.Bytes()
+}
+
+// WriteProgram writes the program's own file. Errors are the writer's to keep, as bufio's does.
+func (g *Generator) WriteProgram(b io.Writer, s Settings) {
+	fmt.Fprintf(b, "[listen]\naddress = %q\n\n[files]\nclusters = \"clusters\"\n\n", g.Place.Listen)
 	wait := 600
 	if g.Size.Tenants == 0 {
 		wait += s.Step
 	}
-	fmt.Fprintf(&b, "[limits]\nattempts = 3\nsecond_copies = true\ncancel = true\nmax_retry_after = \"%dms\"\n\n", wait)
-	fmt.Fprintf(&b, "[fleet]\nnodes = %d\nnode = 0\nzone = \"zone-0\"\n\n", g.Size.Nodes)
-	b.WriteString("[[class]]\nname = \"read\"\neffect = \"safe\"\ndeadline = \"1400ms\"\naim = \"580ms\"\nworth = 2\n\n" +
+	fmt.Fprintf(b, "[limits]\nattempts = 3\nsecond_copies = true\ncancel = true\nmax_retry_after = \"%dms\"\n\n", wait)
+	fmt.Fprintf(b, "[fleet]\nnodes = %d\nnode = 0\nzone = \"zone-0\"\n\n", g.Size.Nodes)
+	io.WriteString(b, "[[class]]\nname = \"read\"\neffect = \"safe\"\ndeadline = \"1400ms\"\naim = \"580ms\"\nworth = 2\n\n"+
 		"[[class]]\nname = \"write\"\neffect = \"keyed\"\nscope = \"all\"\nwindow = \"6s\"\ndeadline = \"1900ms\"\naim = \"750ms\"\nworth = 8\n\n")
 	rng := rand.New(rand.NewPCG(g.Seed, 1))
 	for i := range g.Size.Tenants {
@@ -111,18 +118,17 @@
 		if i == 0 {
 			quota = float64(1000 + s.Step)
 		}
-		fmt.Fprintf(&b, "[[tenant]]\nname = %q\nquota_per_s = %g\n", TenantName(i), quota)
+		fmt.Fprintf(b, "[[tenant]]\nname = %q\nquota_per_s = %g\n", TenantName(i), quota)
 	}
-	fmt.Fprintf(&b, "\n[[host]]\nname = \"version\"\ndomains = [%q]\n[[host.route]]\nname = \"version\"\npath = \"/version\"\n"+
+	fmt.Fprintf(b, "\n[[host]]\nname = \"version\"\ndomains = [%q]\n[[host.route]]\nname = \"version\"\npath = \"/version\"\n"+
 		"answer = { status = 200, text = %q }\n[[host.route]]\nname = \"text\"\npath = \"/text\"\nanswer = { status = 200, text = \"text %d\" }\n",
 		VersionHost, VersionText(s), s.Text)
 	for i := range g.Size.Services {
-		g.host(&b, i)
+		g.host(b, i)
 	}
-	return b.Bytes()
 }
 
-func (g *Generator) host(b *bytes.Buffer, i int) {
+func (g *Generator) host(b io.Writer, i int) {
 	fmt.Fprintf(b, "\n[[host]]\nname = %q\ndomains = [%q]\n", ServiceName(i), hostName(i))
 	for j := range g.routesOf(i) {
 		class := "read"
@@ -140,7 +146,7 @@
 			class = "write"
 			fmt.Fprintf(b, "template = \"/bookings-%d/{booking}\"\nmethods = [\"POST\"]\n", j)
 		case restRoute:
-			b.WriteString("prefix = \"/\"\n")
+			io.WriteString(b, "prefix = \"/\"\n")
 		}
 		fmt.Fprintf(b, "class = %q\ncluster = %q\n", class, ServiceName(i))
 	}
--- a/internal/lab/process/plan.go
+++ b/internal/lab/process/plan.go
@@ -5,6 +5,7 @@
 import (
 	"fmt"
 	"os"
+	"slices"
 	"time"
 
 	"yokestall/internal/config"
@@ -21,12 +22,14 @@
 
 // Size is how much one process is told.
 type Size struct {
-	Name     string `toml:"name"`
-	Services int    `toml:"services"`
-	Servers  int    `toml:"servers"` // of each service
-	Routes   int    `toml:"routes"`  // over all services
-	Tenants  int    `toml:"tenants"`
-	Nodes    int    `toml:"nodes"` // of the fleet that the process is one of
+	Name     string `toml:"name" json:"name"`
+	Services int    `toml:"services" json:"services"`
+	Servers  int    `toml:"servers" json:"servers"` // of each service
+	Routes   int    `toml:"routes" json:"routes"`   // over all services
+	Tenants  int    `toml:"tenants" json:"tenants"`
+	Nodes    int    `toml:"nodes" json:"nodes"` // of the fleet that the process is one of
+	// OnlyIfTaken leaves the size at its check where the program refuses it, in place of measuring with fewer tenants.
+	OnlyIfTaken bool `toml:"only_if_taken" json:"-"`
 }
 
 // Plan is what is measured, at which sizes.
@@ -120,14 +123,21 @@
 	return &p, nil
 }
 
-// Size gives the size of a name.
-func (p *Plan) Size(name string) (Size, error) {
-	for _, s := range p.Sizes {
-		if s.Name == name {
-			return s, nil
+// Only keeps sizes by their names; none: all.
+func (p *Plan) Only(names []string) error {
+	if len(names) == 0 {
+		return nil
+	}
+	var kept []Size
+	for _, name := range names {
+		i := slices.IndexFunc(p.Sizes, func(s Size) bool { return s.Name == name })
+		if i < 0 {
+			return fmt.Errorf("no size %q", name)
 		}
+		kept = append(kept, p.Sizes[i])
 	}
-	return Size{}, fmt.Errorf("no size %q", name)
+	p.Sizes = kept
+	return nil
 }
 
 // Refused gives the size that is measured in place of one that is refused for its tenants; false: it has no more than that.
--- /dev/null
+++ b/internal/lab/process/usage.go
@@ -0,0 +1,118 @@
+package process
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// clockTick is the unit of times in /proc/PID/stat: USER_HZ is 100 on every architecture that Go runs on.
+const clockTick = 10 * time.Millisecond
+
+// Usage is what a process has used, by /proc.
+type Usage struct {
+	CPU  time.Duration // user and system time, of all its threads
+	RSS  int64         // bytes resident now
+	Peak int64         // the most that were
+}
+
+// ReadUsage gives what a process has used so far.
+func ReadUsage(pid int) (Usage, error) {
+	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	if err != nil {
+		return Usage{}, err
+	}
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		return Usage{}, err
+	}
+	return parseUsage(string(stat), string(status))
+}
+
+// parseUsage reads the content of /proc/PID/stat and /proc/PID/status (proc(5)).
+func parseUsage(stat, status string) (u Usage, err error) {
+	const userTime, systemTime = 11, 12 // fields behind the command's name, which is in brackets and may hold anything
+	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
+	if len(fields) <= systemTime {
+		return u, fmt.Errorf("stat of a process: %d fields", len(fields))
+	}
+	for _, i := range []int{userTime, systemTime} {
+		ticks, err := strconv.ParseInt(fields[i], 10, 64)
+		if err != nil {
+			return u, fmt.Errorf("stat of a process: %w", err)
+		}
+		u.CPU += time.Duration(ticks) * clockTick
+	}
+	if u.RSS, err = statusBytes(status, "VmRSS:"); err != nil {
+		return u, err
+	}
+	u.Peak, err = statusBytes(status, "VmHWM:")
+	return u, err
+}
+
+// statusBytes gives a line of /proc/PID/status that is in kB.
+func statusBytes(status, name string) (int64, error) {
+	for line := range strings.Lines(status) {
+		if rest, ok := strings.CutPrefix(line, name); ok {
+			kB, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(rest), " kB"), 10, 64)
+			return kB << 10, err
+		}
+	}
+	return 0, fmt.Errorf("status of a process: no %s", name)
+}
+
+// How memory is found to have settled: two windows in a row whose medians differ by less than a share.
+const (
+	settleEvery  = 250 * time.Millisecond
+	settleWindow = 16 // samples
+	settleShare  = 0.02
+	settleMost   = 60 * time.Second
+)
+
+// Settled waits until a process's resident memory stands still, and gives the median of the last samples. ok is false where
+// it had not after a minute.
+func Settled(ctx context.Context, pid int) (rss int64, ok bool, err error) {
+	var samples []int64
+	tick := time.NewTicker(settleEvery)
+	defer tick.Stop()
+	for range settleMost / settleEvery {
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+			return 0, false, ctx.Err()
+		}
+		u, err := ReadUsage(pid)
+		if err != nil {
+			return 0, false, err
+		}
+		samples = append(samples, u.RSS)
+		if len(samples) < 2*settleWindow {
+			continue
+		}
+		if before, now := lastWindows(samples); settled(before, now) {
+			return now, true, nil
+		}
+	}
+	_, now := lastWindows(samples)
+	return now, false, nil
+}
+
+// lastWindows gives the medians of the last window of samples and of the one before.
+func lastWindows(samples []int64) (before, now int64) {
+	n := len(samples)
+	return median(samples[n-2*settleWindow : n-settleWindow]), median(samples[n-settleWindow:])
+}
+
+func settled(before, now int64) bool {
+	d := float64(now - before)
+	return max(d, -d) < settleShare*float64(before)
+}
+
+func median(list []int64) int64 {
+	sorted := slices.Sorted(slices.Values(list))
+	return sorted[len(sorted)/2]
+}
--- a/internal/standin/appbox/appbox.go
+++ b/internal/standin/appbox/appbox.go
@@ -10,6 +10,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -31,6 +32,7 @@
 
 	addr  string
 	delay atomic.Int64 // ns, of each answer
+	conns atomic.Int64 // connections taken so far
 	fail  atomic.Bool
 
 	mu     sync.Mutex
@@ -40,12 +42,25 @@
 	lost   int
 }
 
+// OwnTime is the field of an answer with the time that the box took for it, in nanoseconds, from the whole request to the
+// answer's first byte.
+const OwnTime = "X-Box-Time-Ns"
+
 // Start starts a box on a free port of 127.0.0.1.
 func Start(name string) (*Box, error) {
 	b := &Box{Name: name, addr: "127.0.0.1:0"}
 	return b, b.Up()
 }
 
+// Connections is how many connections the box has taken so far.
+func (b *Box) Connections() int64 { return b.conns.Load() }
+
+func (b *Box) count(_ net.Conn, is http.ConnState) {
+	if is == http.StateNew {
+		b.conns.Add(1)
+	}
+}
+
 // Addr is where the box listens, the same after Down and Up.
 func (b *Box) Addr() string {
 	b.mu.Lock()
@@ -71,7 +86,7 @@
 		return fmt.Errorf("box %s: %w", b.Name, err)
 	}
 	b.addr = l.Addr().String()
-	s := &http.Server{Handler: b}
+	s := &http.Server{Handler: b, ConnState: b.count}
 	ended := make(chan struct{})
 	b.server, b.ended = s, ended
 	go func() {
@@ -121,6 +136,7 @@
 		return
 	}
 	w.Header().Set("X-Box", b.Name)
+	w.Header().Set(OwnTime, strconv.FormatInt(time.Since(seen.At).Nanoseconds(), 10))
 	fmt.Fprintf(w, "%s served %s (%d bytes)\n", b.Name, seen.ID, len(body))
 }
 
--- a/internal/standin/fleet/process.go
+++ b/internal/standin/fleet/process.go
@@ -18,7 +18,10 @@
 type Process struct {
 	Dir, Addr string
 	Command   []string // that starts it, the configuration's path left out; not changed while it runs
-	env       []string
+	// Log is the file that its log is appended to: Dir/log, unless it is set before Start. The program watches the folder of
+	// its configuration, so that a log there has it look at its files after each line.
+	Log string
+	env []string
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
@@ -35,26 +38,38 @@
 		return nil, err
 	}
 	defer l.Close()
-	return &Process{Dir: dir, Addr: l.Addr().String(), Command: command, env: env}, os.MkdirAll(dir, 0o700)
+	p := &Process{Dir: dir, Addr: l.Addr().String(), Command: command, Log: filepath.Join(dir, "log"), env: env}
+	return p, os.MkdirAll(dir, 0o700)
 }
 
 // Config is the path of its configuration.
 func (p *Process) Config() string { return filepath.Join(p.Dir, "yokestall.toml") }
 
-// Start starts it and waits until it listens. What it logs is appended to its folder's log.
+// PID is the number of the process that runs, 0 if none does.
+func (p *Process) PID() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
+		return 0
+	}
+	return p.cmd.Process.Pid
+}
+
+// Start starts it and waits until it listens. What it logs is appended to Log. It ends with the program that started it.
 func (p *Process) Start(ctx context.Context) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return fmt.Errorf("%s runs already", p.Dir)
 	}
-	log, err := os.OpenFile(filepath.Join(p.Dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
 	cmd := exec.Command(p.Command[0], append(p.Command[1:len(p.Command):len(p.Command)], p.Config())...)
 	cmd.Env, cmd.Stdout, cmd.Stderr = append(os.Environ(), p.env...), log, log
+	EndWithParent(cmd)
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("%s: %w", p.Dir, err)
 	}
