--- a/internal/lab/process/measure.go
+++ b/internal/lab/process/measure.go
@@ -163,12 +163,12 @@
 
 // memory waits until the process's memory has settled, and takes it.
 func (m *measurement) memory(ctx context.Context, what string) error {
-	rss, ok, err := Settled(ctx, m.served.process.PID())
+	rss, ok, err := Settled(ctx, m.served.process.PID(), m.plan.Settle.Duration)
 	if err != nil {
 		return err
 	}
 	if !ok {
-		m.note("%s had not settled after %v", what, settleMost)
+		m.note("%s had not settled after %v", what, settleMost*m.plan.Settle.Duration)
 	}
 	m.putMemory(what, rss)
 	return nil
--- a/internal/lab/process/plan.go
+++ b/internal/lab/process/plan.go
@@ -42,6 +42,7 @@
 	ServerTime       config.Duration `toml:"server_time"`   // what a stand-in server takes for an answer
 	Load             config.Duration `toml:"load"`          // how long each rate is asked for
 	Rest             config.Duration `toml:"rest"`          // how long the process is watched at rest
+	Settle           config.Duration `toml:"settle"`        // memory has settled where it is the same in two windows so long
 	Changes          []int           `toml:"changes"`       // of settings, counted from the start; figures are taken at each
 	RouteChanges     int             `toml:"route_changes"` // of one route, after these
 	ListChanges      int             `toml:"list_changes"`  // of one cluster's list, after those
@@ -67,7 +68,7 @@
 
 // ParsePlan reads a plan. Faults are told by file and line.
 func ParsePlan(name string, text []byte) (*Plan, error) {
-	var p Plan
+	p := Plan{Settle: config.Duration{Duration: 4 * time.Second}}
 	if err := config.Decode(name, text, &p); err != nil {
 		return nil, err
 	}
@@ -105,7 +106,7 @@
 			}
 		}
 	}
-	for key, d := range map[string]config.Duration{"server_time": p.ServerTime, "load": p.Load, "rest": p.Rest} {
+	for key, d := range map[string]config.Duration{"server_time": p.ServerTime, "load": p.Load, "rest": p.Rest, "settle": p.Settle} {
 		if d.Duration < 0 || d.Duration > maxWindow {
 			report("", -1, key, "%v is not from 0 to %v", d.Duration, maxWindow)
 		}
--- a/internal/lab/process/usage.go
+++ b/internal/lab/process/usage.go
@@ -65,46 +65,40 @@
 	return 0, fmt.Errorf("status of a process: no %s", name)
 }
 
-// How memory is found to have settled: two windows in a row whose medians differ by less than a share.
+// How memory is found to have settled: two windows of samples in a row whose medians differ by less than a share.
 const (
-	settleEvery  = 250 * time.Millisecond
 	settleWindow = 16 // samples
 	settleShare  = 0.02
-	settleMost   = 60 * time.Second
+	settleMost   = 15 // windows
 )
 
-// Settled waits until a process's resident memory stands still, and gives the median of the last samples. ok is false where
-// it had not after a minute.
-func Settled(ctx context.Context, pid int) (rss int64, ok bool, err error) {
-	var samples []int64
-	tick := time.NewTicker(settleEvery)
+// Settled waits until a process's resident memory stands still from one window of a length to the next, and gives the median of
+// the last one. ok is false where it had not within a number of windows.
+func Settled(ctx context.Context, pid int, window time.Duration) (rss int64, ok bool, err error) {
+	tick := time.NewTicker(max(time.Millisecond, window/settleWindow))
 	defer tick.Stop()
-	for range settleMost / settleEvery {
-		select {
-		case <-tick.C:
-		case <-ctx.Done():
-			return 0, false, ctx.Err()
+	var before int64
+	for turn := range settleMost {
+		var samples []int64
+		for range settleWindow {
+			select {
+			case <-tick.C:
+			case <-ctx.Done():
+				return 0, false, ctx.Err()
+			}
+			u, err := ReadUsage(pid)
+			if err != nil {
+				return 0, false, err
+			}
+			samples = append(samples, u.RSS)
 		}
-		u, err := ReadUsage(pid)
-		if err != nil {
-			return 0, false, err
-		}
-		samples = append(samples, u.RSS)
-		if len(samples) < 2*settleWindow {
-			continue
-		}
-		if before, now := lastWindows(samples); settled(before, now) {
-			return now, true, nil
+		rss = median(samples)
+		if turn > 0 && settled(before, rss) {
+			return rss, true, nil
 		}
+		before = rss
 	}
-	_, now := lastWindows(samples)
-	return now, false, nil
-}
-
-// lastWindows gives the medians of the last window of samples and of the one before.
-func lastWindows(samples []int64) (before, now int64) {
-	n := len(samples)
-	return median(samples[n-2*settleWindow : n-settleWindow]), median(samples[n-settleWindow:])
+	return rss, false, nil
 }
 
 func settled(before, now int64) bool {
