--- a/internal/lab/process/measure.go
+++ b/internal/lab/process/measure.go
@@ -82,6 +82,9 @@
 		}
 	}
 	m.report.Sizes = append(m.report.Sizes, m.size)
+	if load, err := loadAverage(); err == nil {
+		m.note("the machine's load average as it began: %.1f", load)
+	}
 	steps := []func(context.Context) error{m.start, m.atRest, m.load, m.changeSettings, m.changeRoutes, m.changeLists}
 	defer func() {
 		if m.served != nil {
