--- a/internal/lab/process/real_test.go
+++ b/internal/lab/process/real_test.go
@@ -15,6 +15,7 @@
 	"testing"
 
 	"yokestall/internal/cli"
+	"yokestall/internal/config"
 	"yokestall/internal/lab/process"
 	"yokestall/internal/testkit"
 )
@@ -103,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plan.Sizes[0].Tenants = 400_000 // beyond what a file of 16 MB holds
+	plan.Sizes[0].Tenants = config.MaxTenants + 1
 	itself, env := testkit.Itself()
 	r, err := process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
 	if err != nil {
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -18,6 +18,10 @@
 
 // child is the program of these tests' processes: it listens where its configuration says and counts its starts in its folder.
 func child() {
+	if len(os.Args) > 2 && os.Args[1] == asParent {
+		parent(os.Args[2])
+		return
+	}
 	path := os.Args[len(os.Args)-1]
 	addr, err := os.ReadFile(path)
 	if err != nil {
--- /dev/null
+++ b/internal/standin/fleet/parent_linux_test.go
@@ -0,0 +1,46 @@
+package fleet
+
+import (
+	"bufio"
+	"io"
+	"os"
+	"os/exec"
+	"testing"
+
+	"yokestall/internal/testkit"
+)
+
+// A process does not outlive the program that started it, even if that is killed.
+func TestEndsWithParent(t *testing.T) {
+	command, env := testkit.Itself()
+	cmd := exec.Command(command[0], asParent, t.TempDir())
+	cmd.Env = append(os.Environ(), env...)
+	if _, err := cmd.StdinPipe(); err != nil { // kept open: it waits on it
+		t.Fatal(err)
+	}
+	out, write, err := os.Pipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	cmd.Stdout = write
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	write.Close()
+	lines := bufio.NewReader(out)
+	line, err := lines.ReadString('\n')
+	cmd.Process.Kill()
+	cmd.Wait()
+	if err != nil || line != "started\n" {
+		t.Fatalf("%q, %v", line, err)
+	}
+	ended := make(chan error, 1)
+	go func() {
+		_, err := io.Copy(io.Discard, lines) // until nobody holds it open for writing
+		ended <- err
+	}()
+	if err := testkit.Wait(t, ended, "the process to end with its parent"); err != nil {
+		t.Error(err)
+	}
+}
