--- a/internal/lab/process/measure.go
+++ b/internal/lab/process/measure.go
@@ -14,25 +14,30 @@
 const megabyte = 1 << 20
 
 // Measure measures a plan's sizes, each with processes of its own that command starts, in folders below dir. What is found goes
-// to out as it comes.
+// to out as it comes. Where the run ends early, the report has what was measured until then.
 func Measure(ctx context.Context, p *Plan, dir string, command, env []string, out io.Writer) (*Report, error) {
 	r := &Report{Commit: revision(), Began: time.Now().UTC().Format(time.RFC3339), Seed: p.Seed, Machine: machine()}
+	err := r.measureSizes(ctx, p, dir, command, env, out)
+	for _, s := range p.Slopes {
+		r.slope(s)
+	}
+	return r, err
+}
+
+func (r *Report) measureSizes(ctx context.Context, p *Plan, dir string, command, env []string, out io.Writer) error {
 	for _, size := range p.Sizes {
 		m := &measurement{plan: p, size: size, dir: filepath.Join(dir, size.Name), command: command, env: env, report: r, out: out}
 		if err := os.MkdirAll(m.dir, 0o700); err != nil {
-			return r, err
+			return err
 		}
 		if err := m.run(ctx); err != nil {
-			return r, fmt.Errorf("%s: %w", size.Name, err)
+			return fmt.Errorf("%s: %w", size.Name, err)
 		}
 		if err := os.RemoveAll(m.dir); err != nil {
-			return r, err
+			return err
 		}
 	}
-	for _, s := range p.Slopes {
-		r.slope(s)
-	}
-	return r, nil
+	return nil
 }
 
 // measurement is the measuring of one size.
