--- a/internal/lab/process/measure.go
+++ b/internal/lab/process/measure.go
@@ -90,7 +90,7 @@
 	if load, err := loadAverage(); err == nil {
 		m.note("the machine's load average as it began: %.1f", load)
 	}
-	steps := []func(context.Context) error{m.start, m.atRest, m.load, m.changeSettings, m.changeRoutes, m.changeLists}
+	steps := []func(context.Context) error{m.start, m.atRest, m.load, m.changeSettings, m.changeRoutes, m.changeLists, m.peak}
 	defer func() {
 		if m.served != nil {
 			m.served.Close()
@@ -269,6 +269,15 @@
 	return m.memory(ctx, fmt.Sprintf("list.%d.memory", m.plan.ListChanges))
 }
 
+// peak takes the most memory that the process had, over all that was done to it.
+func (m *measurement) peak(context.Context) error {
+	u, err := m.served.Usage()
+	if err == nil {
+		m.putMemory("end.peak", u.Peak)
+	}
+	return err
+}
+
 // changes makes changes one after the other, each when the one before is in force, and takes the CPU time of one. What the last
 // one has the process do after it is in force is not counted.
 func (m *measurement) changes(ctx context.Context, kind string, count int, change func(context.Context) error) error {
