--- a/internal/config/clusters.go
+++ b/internal/config/clusters.go
@@ -219,19 +219,28 @@
 // ParseClusters reads all cluster files of a version. Any fault in any of them is a
 // fault of the version.
 func ParseClusters(files []File) (map[string]*cluster.Cluster, error) {
-	if len(files) > MaxFiles {
-		return nil, fmt.Errorf("%d cluster files; %d at most", len(files), MaxFiles)
+	names := make([]string, len(files))
+	for i := range files {
+		names[i] = files[i].Name
+	}
+	return GatherClusters(names, func(i int) (*cluster.Cluster, error) { return ParseCluster(files[i]) })
+}
+
+// GatherClusters is ParseClusters for files with these names, of which parse gives the cluster of each.
+func GatherClusters(names []string, parse func(i int) (*cluster.Cluster, error)) (map[string]*cluster.Cluster, error) {
+	if len(names) > MaxFiles {
+		return nil, fmt.Errorf("%d cluster files; %d at most", len(names), MaxFiles)
 	}
 	var found []error
 	clusters := map[string]*cluster.Cluster{}
-	for _, f := range files {
-		c, err := ParseCluster(f)
+	for i, name := range names {
+		c, err := parse(i)
 		if err != nil {
 			found = append(found, err)
 			continue
 		}
 		if first := clusters[c.Name]; first != nil {
-			found = append(found, &cluster.Problem{Source: f.Name, Text: fmt.Sprintf("cluster %s is %s's too", c.Name, first.Source)})
+			found = append(found, &cluster.Problem{Source: name, Text: fmt.Sprintf("cluster %s is %s's too", c.Name, first.Source)})
 			continue
 		}
 		clusters[c.Name] = c
--- a/internal/files/bundle.go
+++ b/internal/files/bundle.go
@@ -16,25 +16,50 @@
 // Bundle reads a configuration as the files of a version that a fleet can agree on: the program's own, and its cluster files. It
 // has to be good by Unbundle.
 func Bundle(path string) ([]config.File, error) {
-	r, err := read(path)
+	v, err := newReader(path).scan(NewParser())
 	if err != nil {
 		return nil, err
 	}
-	list := []config.File{{Name: ProgramPart, Text: r.program.Text}}
-	for _, f := range r.clusters {
-		name := filepath.Base(f.Name)
+	v.program.name = ProgramPart
+	parts := []part{v.program}
+	for _, f := range v.clusters {
+		name := filepath.Base(f.name)
 		if name == ProgramPart || IsChange(name) {
-			return nil, &cluster.Problem{Source: f.Name, Text: "a cluster file of a version can't have this name"}
+			return nil, &cluster.Problem{Source: f.name, Text: "a cluster file of a version can't have this name"}
 		}
-		list = append(list, config.File{Name: name, Text: f.Text})
+		f.name = name
+		parts = append(parts, f)
+	}
+	var list []config.File
+	for _, f := range parts {
+		text, err := f.text()
+		if err != nil {
+			return nil, err
+		}
+		list = append(list, config.File{Name: f.name, Text: text})
 	}
 	_, err = Unbundle(list)
 	return list, err
 }
 
 // Unbundle reads and checks a version's files, as Load does those of a folder.
-func Unbundle(list []config.File) (*Snapshot, error) {
-	r := &raw{}
+func Unbundle(list []config.File) (*Snapshot, error) { return NewParser().Unbundle(list) }
+
+// Unbundle is as the function, at the cost of what differs from the two versions before.
+func (p *Parser) Unbundle(list []config.File) (*Snapshot, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s, err := p.unbundle(list)
+	if err != nil {
+		p.end(dropped)
+		return nil, err
+	}
+	p.end(followed)
+	return s, nil
+}
+
+func (p *Parser) unbundle(list []config.File) (*Snapshot, error) {
+	v := &version{}
 	var changes []config.File
 	total := 0
 	for _, f := range list {
@@ -43,32 +68,32 @@
 		}
 		switch {
 		case f.Name == ProgramPart:
-			r.program = f
+			v.program = partOf(f)
 		case IsChange(f.Name):
 			changes = append(changes, f)
 		default:
-			r.clusters = append(r.clusters, f)
+			v.clusters = append(v.clusters, partOf(f))
 		}
 	}
-	if r.program.Name == "" {
+	if v.program.name == "" {
 		return nil, &cluster.Problem{Source: ProgramPart, Text: "is missing"}
 	}
 	var err error
-	if r.parsed, err = config.ParseProgram(ProgramPart, r.program.Text); err != nil {
+	if v.parsed, err = p.program(v.program); err != nil {
 		return nil, err
 	}
-	if r.parsed.XDS.On() {
+	if v.parsed.XDS.On() {
 		return nil, &cluster.Problem{Source: ProgramPart, Field: "xds", Text: "a version can't follow a control plane"}
 	}
-	if len(r.parsed.Hosts) == 0 {
+	if len(v.parsed.Hosts) == 0 {
 		return nil, &cluster.Problem{Source: ProgramPart, Field: "host", Text: "a version has routes"}
 	}
-	out, err := r.check()
+	s, err := p.check(v)
 	if err != nil {
 		return nil, err
 	}
-	out.Version.Clusters, err = Change(out.Version.Clusters, changes)
-	return out, err
+	s.Version.Clusters, err = Change(s.Version.Clusters, changes)
+	return s, err
 }
 
 // ChangePart names the change of a cluster's list that follows so many others.
--- /dev/null
+++ b/internal/files/plan_test.go
@@ -0,0 +1,179 @@
+package files
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// The operators' plan.
+const (
+	planClusters = 500
+	planServers  = 30 // of a cluster
+	planRoutes   = 28 // to a cluster
+	planTenants  = 140_000
+)
+
+const planHead = `[listen]
+address = "127.0.0.1:0"
+[files]
+clusters = "clusters"
+[fleet]
+nodes = 1900
+node = 7
+zone = "z1"
+[[class]]
+name = "read"
+effect = "safe"
+deadline = "1400ms"
+aim = "580ms"
+[[class]]
+name = "push"
+effect = "keyed"
+scope = "all"
+window = "6s"
+deadline = "1900ms"
+`
+
+// planProgram is a program's file of the plan's size.
+func planProgram(tenants int) string {
+	var b strings.Builder
+	b.WriteString(planHead)
+	b.WriteString(tenantsText(tenants, 20))
+	for h := range planClusters {
+		fmt.Fprintf(&b, "[[host]]\nname = \"svc-%03d\"\ndomains = [\"svc-%03d.example\"]\n", h, h)
+		for r := range planRoutes {
+			class := "read"
+			if r%7 == 0 {
+				class = "push"
+			}
+			fmt.Fprintf(&b, "[[host.route]]\nname = \"r%d\"\nprefix = \"/api/v%d/\"\nclass = %q\ncluster = \"svc-%03d\"\n", r, r, class, h)
+		}
+	}
+	return b.String()
+}
+
+// tenantsText is so many [[tenant]] tables; the first has this quota.
+func tenantsText(n, first int) string {
+	var b bytes.Buffer
+	for t := range n {
+		quota := 20
+		if t == 0 {
+			quota = first
+		}
+		fmt.Fprintf(&b, "[[tenant]]\nname = \"tenant-%06d\"\nquota_per_s = %d\n", t, quota)
+	}
+	return b.String()
+}
+
+// planCluster is the list of a cluster; the first server has this weight.
+func planCluster(s int, weight float64) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "[cluster]\nname = \"svc-%03d\"\n", s)
+	for e := range planServers {
+		n := s*planServers + e
+		fmt.Fprintf(&b, "[[endpoint]]\nid = \"s%d\"\naddress = \"127.%d.%d.%d:9001\"\nzone = \"z%d\"\ncell = %d\n", n, 1+n>>14, n>>7&127, 1+n&127, e%6, e%3)
+		if e == 0 {
+			fmt.Fprintf(&b, "weight = %g\n", weight)
+		}
+	}
+	fmt.Fprintf(&b, "[end]\nendpoints = %d\n", planServers)
+	return b.String()
+}
+
+// planFolder writes a configuration of the plan's size and watches it.
+func planFolder(t testing.TB, tenants int) (*Watcher, string) {
+	t.Helper()
+	dir := t.TempDir()
+	path := filepath.Join(dir, "yokestall.toml")
+	if err := os.Mkdir(filepath.Join(dir, "clusters"), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	write(t, path, planProgram(tenants))
+	for s := range planClusters {
+		write(t, filepath.Join(dir, "clusters", fmt.Sprintf("svc-%03d.toml", s)), planCluster(s, 1))
+	}
+	return planWatcher(t, path), path
+}
+
+func write(t testing.TB, name, text string) {
+	t.Helper()
+	if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// processor gives the processor time of the process.
+func processor() time.Duration {
+	var u syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+		return 0
+	}
+	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+}
+
+// measure reports the processor time of an operation, all threads' and the collector's included; prepare is not counted.
+func measure(b *testing.B, prepare func(i int), operation func()) {
+	b.Helper()
+	var used time.Duration
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		b.StopTimer()
+		prepare(i)
+		runtime.GC()
+		before := processor()
+		b.StartTimer()
+		operation()
+		b.StopTimer()
+		used += processor() - before
+		b.StartTimer()
+	}
+	b.ReportMetric(float64(used.Nanoseconds())/float64(b.N), "cpu-ns/op")
+}
+
+// A poll at which nothing has changed.
+func BenchmarkPollAtRest(b *testing.B) {
+	for _, tenants := range []int{1000, planTenants} {
+		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
+			w, _ := planFolder(b, tenants)
+			b.ReportAllocs()
+			before := processor()
+			for b.Loop() {
+				if w.look(true) != nil {
+					b.Fatal("a version is taken")
+				}
+			}
+			b.ReportMetric(float64((processor()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
+		})
+	}
+}
+
+// A change of one class, of one list, or of one tenant, until the version is there.
+func BenchmarkChange(b *testing.B) {
+	for _, tenants := range []int{1000, planTenants} {
+		w, path := planFolder(b, tenants)
+		text := planProgram(tenants)
+		list := filepath.Join(filepath.Dir(path), "clusters", "svc-007.toml")
+		for name, change := range map[string]func(i int){
+			"class": func(i int) { write(b, path, strings.Replace(text, "1400ms", fmt.Sprintf("%dms", 1400+i%100), 1)) },
+			"list":  func(i int) { write(b, list, planCluster(7, float64(2+i%100))) },
+			"tenant": func(i int) {
+				write(b, path, strings.Replace(text, "per_s = 20", fmt.Sprintf("per_s = %d", 100+i%100), 1))
+			},
+		} {
+			b.Run(fmt.Sprintf("tenants=%d/%s", tenants, name), func(b *testing.B) {
+				measure(b, func(i int) { change(i + 1) }, func() {
+					if w.look(true) == nil {
+						b.Fatal("no version is taken")
+					}
+				})
+			})
+		}
+	}
+}
