--- a/internal/app/agreed.go
+++ b/internal/app/agreed.go
@@ -13,7 +13,8 @@
 // Agreed has an app take what its fleet agrees on. What the node's own file says of the same things is not acted
 // on; the rest of that file is the node's.
 type Agreed struct {
-	app *App
+	app    *App
+	parser files.Parser // so that a new version costs what it changes
 
 	mu   sync.Mutex
 	own  *config.Program
@@ -32,7 +33,7 @@
 
 // Parse reads a version's files; an error is why this node can't hold it.
 func (s *Agreed) Parse(list []config.File) (*agree.Version, error) {
-	snap, err := files.Unbundle(list)
+	snap, err := s.parser.Unbundle(list)
 	if err != nil {
 		return nil, err
 	}
@@ -47,7 +48,7 @@
 // Extend is Parse for a version that has the files of another one and changes of lists beside them, at the cost of
 // these.
 func (s *Agreed) Extend(v *agree.Version, changes []config.File) (*agree.Version, error) {
-	clusters, err := files.Change(v.Clusters, changes)
+	clusters, err := s.parser.Change(v.Clusters, changes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/files/bundle.go
+++ b/internal/files/bundle.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"path/filepath"
 	"strings"
 
@@ -55,6 +54,7 @@
 		return nil, err
 	}
 	p.end(followed)
+	clear(p.extended)
 	return s, nil
 }
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Version.Clusters, err = Change(s.Version.Clusters, changes)
+	s.Version.Clusters, _, err = p.change(s.Version.Clusters, changes)
 	return s, err
 }
 
@@ -104,22 +104,5 @@
 
 // Change gives clusters as changes make them, in their order; those that none changes are the same ones.
 func Change(clusters map[string]*cluster.Cluster, changes []config.File) (map[string]*cluster.Cluster, error) {
-	if len(changes) == 0 {
-		return clusters, nil
-	}
-	out := maps.Clone(clusters)
-	for _, f := range changes {
-		p, err := config.ParseChange(f)
-		if err != nil {
-			return nil, err
-		}
-		c := out[p.Name]
-		if c == nil {
-			return nil, &cluster.Problem{Source: f.Name, Text: fmt.Sprintf("there is no cluster %s", p.Name)}
-		}
-		if out[p.Name], err = c.Apply(p); err != nil {
-			return nil, err
-		}
-	}
-	return out, nil
+	return NewParser().Change(clusters, changes)
 }
--- a/internal/files/bundle_test.go
+++ b/internal/files/bundle_test.go
@@ -1,11 +1,13 @@
 package files
 
 import (
+	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"yokestall/internal/cluster"
 	"yokestall/internal/config"
 )
 
@@ -69,3 +71,98 @@
 		}
 	})
 }
+
+// A version costs what it changes against the two before it: what stays is the same value, changes of lists included.
+func TestUnbundleKeeps(t *testing.T) {
+	other := strings.Replace(roomsList, "rooms", "suites", 1)
+	settings := strings.Replace(bundled, "1s", "2s", 1)
+	bundle := func(program, list string, changes ...string) []config.File {
+		files := []config.File{{Name: ProgramPart, Text: []byte(program)}, {Name: "rooms.toml", Text: []byte(list)}, {Name: "suites.toml", Text: []byte(other)}}
+		for i, text := range changes {
+			files = append(files, config.File{Name: ChangePart("rooms", i), Text: []byte(text)})
+		}
+		return files
+	}
+	var p Parser
+	unbundle := func(list []config.File, parses int) *Snapshot {
+		t.Helper()
+		before := p.parses()
+		s, err := p.Unbundle(list)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if n := p.parses() - before; n != parses {
+			t.Errorf("%d files are parsed, want %d", n, parses)
+		}
+		return s
+	}
+	back := "[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"c\"]\n[end]\nendpoints = 0\n"
+	first := unbundle(bundle(bundled, roomsList, roomsChange), 4)
+	second := unbundle(bundle(settings, roomsList, roomsChange), 1)
+	if second.Program == first.Program || second.Version.Clusters["rooms"] != first.Version.Clusters["rooms"] || second.Version.Clusters["suites"] != first.Version.Clusters["suites"] {
+		t.Error("a change of settings gives other clusters")
+	}
+	extended, err := p.Change(second.Version.Clusters, []config.File{{Name: ChangePart("rooms", 1), Text: []byte(back)}})
+	if err != nil || len(extended["rooms"].Endpoints) != 1 || extended["suites"] != second.Version.Clusters["suites"] {
+		t.Fatalf("%+v, %v", extended, err)
+	}
+	third := unbundle(bundle(bundled, roomsList, roomsChange, back), 1) // the change alone
+	if third.Program != first.Program || third.Version.Clusters["rooms"] != extended["rooms"] {
+		t.Error("a version that was extended gives other clusters when it is read whole")
+	}
+	if _, err := p.Unbundle(bundle(settings, "x")); err == nil {
+		t.Error("half a list is taken")
+	}
+	longer := strings.Replace(roomsList, "10.0.0.1", "10.0.0.9", 1)
+	if s := unbundle(bundle(bundled, longer), 1); s.Program != first.Program || s.Version.Clusters["suites"] != first.Version.Clusters["suites"] || s.Version.Clusters["rooms"].Endpoints[0].Address != "10.0.0.9:80" {
+		t.Errorf("after a version that can't be read: %+v", s)
+	}
+	for i := range 50 { // nothing of them stays for long
+		settings := strings.Replace(bundled, "1s", fmt.Sprintf("%ds", 3+i), 1)
+		unbundle(bundle(settings, roomsList, roomsChange), 1)
+		for range 5 {
+			clusters := map[string]*cluster.Cluster{"rooms": first.Version.Clusters["rooms"]}
+			if _, err := p.Change(clusters, []config.File{{Name: ChangePart("rooms", 1), Text: []byte(back)}}); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	if n := len(p.clusters.inForce) + len(p.clusters.last) + len(p.programs.inForce) + len(p.programs.last) +
+		len(p.changed.inForce) + len(p.changed.last) + len(p.patches.inForce) + len(p.patches.last) + len(p.extended); n > 2*(2+1+1+1)+1 {
+		t.Errorf("%d values are kept of two versions", n)
+	}
+}
+
+// Rows of changes that end alike are not taken for each other.
+func TestOtherChanges(t *testing.T) {
+	var p Parser
+	put := func(id string, port int) string {
+		return fmt.Sprintf("[cluster]\nname = \"rooms\"\nchange = true\n[[endpoint]]\nid = %q\naddress = \"10.0.1.1:%d\"\n[end]\nendpoints = 1\n", id, port)
+	}
+	for port := 80; port < 83; port++ {
+		s, err := p.Unbundle([]config.File{{Name: ProgramPart, Text: []byte(bundled)}, {Name: "rooms.toml", Text: []byte(roomsList)},
+			{Name: ChangePart("rooms", 0), Text: []byte(put("c", port))}, {Name: ChangePart("rooms", 1), Text: []byte(put("d", 99))}})
+		if err != nil || s.Version.Clusters["rooms"].Endpoints[2].Address != fmt.Sprint("10.0.1.1:", port) {
+			t.Errorf("port %d: %+v, %v", port, s, err)
+		}
+	}
+}
+
+// A long row of changes of one list holds one list beside that of its version.
+func TestChangesHoldOneList(t *testing.T) {
+	var p Parser
+	s, err := p.Unbundle([]config.File{{Name: ProgramPart, Text: []byte(bundled)}, {Name: "rooms.toml", Text: []byte(roomsList)}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	clusters := s.Version.Clusters
+	for i := range 100 {
+		text := fmt.Sprintf("[cluster]\nname = \"rooms\"\nchange = true\n[[endpoint]]\nid = \"c\"\naddress = \"10.0.1.%d:80\"\n[end]\nendpoints = 1\n", i)
+		if clusters, err = p.Change(clusters, []config.File{{Name: ChangePart("rooms", i), Text: []byte(text)}}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if n := len(p.changed.inForce) + len(p.changed.last) + len(p.patches.inForce) + len(p.patches.last) + len(p.extended); n != 1 {
+		t.Errorf("%d values are kept", n)
+	}
+}
--- a/internal/files/cache.go
+++ b/internal/files/cache.go
@@ -38,6 +38,18 @@
 	c.next[key] = v
 }
 
+// keyOf gives the key of a value of the versions that are kept.
+func keyOf[K, V comparable](c *cache[K, V], v V) (key K, held bool) {
+	for _, values := range [...]map[K]V{c.last, c.inForce} {
+		for k, value := range values {
+			if value == v {
+				return k, true
+			}
+		}
+	}
+	return key, false
+}
+
 // end tells what became of the version that was looked at.
 func (c *cache[K, V]) end(o outcome) {
 	switch o {
--- a/internal/files/parser.go
+++ b/internal/files/parser.go
@@ -63,6 +63,9 @@
 	clusters cache[partKey, *cluster.Cluster]
 	views    cache[hash, *xdsfile.View]
 	routed   cache[routedKey, *config.Program]
+	patches  cache[partKey, *cluster.Patch]
+	changed  cache[changedKey, *cluster.Cluster]
+	extended map[*cluster.Cluster]extension // of a list as its file has it
 }
 
 // routedKey names a program with the routes of files in xDS form.
@@ -79,10 +82,14 @@
 	p.clusters.end(o)
 	p.views.end(o)
 	p.routed.end(o)
+	p.patches.end(o)
+	p.changed.end(o)
 }
 
 // parses counts what had to be parsed.
-func (p *Parser) parses() int { return p.programs.made + p.clusters.made + p.views.made }
+func (p *Parser) parses() int {
+	return p.programs.made + p.clusters.made + p.views.made + p.patches.made
+}
 
 func (p *Parser) program(f part) (*config.Program, error) {
 	return p.programs.get(f.key(), func() (*config.Program, error) {
--- a/internal/files/plan_test.go
+++ b/internal/files/plan_test.go
@@ -10,6 +10,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"yokestall/internal/config"
 )
 
 // The operators' plan.
@@ -160,15 +162,20 @@
 		w, path := planFolder(b, tenants)
 		text := planProgram(tenants)
 		list := filepath.Join(filepath.Dir(path), "clusters", "svc-007.toml")
-		for name, change := range map[string]func(i int){
-			"class": func(i int) { write(b, path, strings.Replace(text, "1400ms", fmt.Sprintf("%dms", 1400+i%100), 1)) },
-			"list":  func(i int) { write(b, list, planCluster(7, float64(2+i%100))) },
-			"tenant": func(i int) {
+		for _, change := range []struct {
+			name string
+			make func(i int)
+		}{
+			{"list", func(i int) { write(b, list, planCluster(7, float64(2+i%100))) }},
+			{"class", func(i int) {
+				write(b, path, strings.Replace(text, "1400ms", fmt.Sprintf("%dms", 1400+i%100), 1))
+			}},
+			{"tenant", func(i int) {
 				write(b, path, strings.Replace(text, "per_s = 20", fmt.Sprintf("per_s = %d", 100+i%100), 1))
-			},
+			}},
 		} {
-			b.Run(fmt.Sprintf("tenants=%d/%s", tenants, name), func(b *testing.B) {
-				measure(b, func(i int) { change(i + 1) }, func() {
+			b.Run(fmt.Sprintf("tenants=%d/%s", tenants, change.name), func(b *testing.B) {
+				measure(b, func(i int) { change.make(i + 1) }, func() {
 					if w.look(true) == nil {
 						b.Fatal("no version is taken")
 					}
@@ -177,3 +184,35 @@
 		}
 	}
 }
+
+// A version of the fleet that differs from the one before in a class, or in one list.
+func BenchmarkUnbundle(b *testing.B) {
+	for _, tenants := range []int{1000, planTenants} {
+		text := planProgram(tenants)
+		list := []config.File{{Name: ProgramPart, Text: []byte(text)}}
+		for s := range planClusters {
+			list = append(list, config.File{Name: fmt.Sprintf("svc-%03d.toml", s), Text: []byte(planCluster(s, 1))})
+		}
+		unbundle := planUnbundle()
+		if _, err := unbundle(list); err != nil {
+			b.Fatal(err)
+		}
+		for _, change := range []struct {
+			name string
+			by   func(i int)
+		}{
+			{"list", func(i int) { list[8].Text = []byte(planCluster(7, float64(2+i%100))) }},
+			{"class", func(i int) {
+				list[0].Text = []byte(strings.Replace(text, "1400ms", fmt.Sprintf("%dms", 1400+i%100), 1))
+			}},
+		} {
+			b.Run(fmt.Sprintf("tenants=%d/%s", tenants, change.name), func(b *testing.B) {
+				measure(b, func(i int) { change.by(i + 1) }, func() {
+					if _, err := unbundle(list); err != nil {
+						b.Fatal(err)
+					}
+				})
+			})
+		}
+	}
+}
--- a/internal/files/planwatcher_test.go
+++ b/internal/files/planwatcher_test.go
@@ -4,6 +4,8 @@
 	"log/slog"
 	"testing"
 	"time"
+
+	"yokestall/internal/config"
 )
 
 // planWatcher watches files that are at rest.
@@ -17,3 +19,6 @@
 	w.look(true)
 	return w
 }
+
+// planUnbundle gives what reads the versions of a fleet, one after the other.
+func planUnbundle() func([]config.File) (*Snapshot, error) { return NewParser().Unbundle }
