--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -172,7 +172,7 @@
 func check(out io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check configuration files with the cluster files that they point to, or cluster files alone",
+		Short: "Check configuration files with the cluster files that they point to, or cluster files and files of tenants alone",
 		Long:  "Prints file:line: what is wrong, and exits with 1 if anything is. The running program gives the same verdict.",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, paths []string) error {
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -14,6 +14,7 @@
 
 // classFile is the part of a file on classes and tenants.
 type classFile struct {
+	tenantTables
 	Class []struct {
 		Name      string   `toml:"name" json:"name"`
 		Effect    string   `toml:"effect" json:"effect"`
@@ -27,6 +28,10 @@
 		Stream    Duration `toml:"stream" json:"stream"`
 		Drain     Duration `toml:"stream_drain" json:"stream_drain"`
 	} `toml:"class" json:"classes"`
+}
+
+// tenantTables is the part of a file on tenants.
+type tenantTables struct {
 	Tenant []struct {
 		Name      string  `toml:"name" json:"name"`
 		QuotaPerS float64 `toml:"quota_per_s" json:"quota_per_s"`
@@ -53,7 +58,7 @@
 	if len(f.Class) > 0 {
 		p.classes(&f, report)
 	}
-	p.tenants(&f, report)
+	p.tenants(&f.tenantTables, report)
 	return p.Classes, p.Tenants, errors.Join(found...)
 }
 
@@ -115,7 +120,7 @@
 	}
 }
 
-func (p *Program) tenants(f *classFile, report reporter) {
+func (p *Program) tenants(f *tenantTables, report reporter) {
 	if n := len(f.Tenant); n > MaxTenants {
 		report("tenant", -1, "", "%d tenants; %d at most", n, MaxTenants)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -64,6 +64,7 @@
 // Files is where cluster files are and how they are taken.
 type Files struct {
 	Folder   string // as written; relative to the program's file
+	Tenants  string // the tenants' own file, likewise; "": they stand in the program's file
 	MaxShare float64
 	Poll     time.Duration
 }
@@ -205,6 +206,7 @@
 	} `toml:"upstream"`
 	Files struct {
 		Clusters string   `toml:"clusters"`
+		Tenants  string   `toml:"tenants"`
 		MaxShare float64  `toml:"max_removed_share"`
 		Poll     Duration `toml:"poll"`
 	} `toml:"files"`
@@ -339,7 +341,7 @@
 	}
 	p := &Program{
 		Upstream: Upstream{f.Upstream.Connections, f.Upstream.Idle.Duration, f.Upstream.ConnectTimeout.Duration},
-		Files:    Files{f.Files.Clusters, f.Files.MaxShare, f.Files.Poll.Duration},
+		Files:    Files{f.Files.Clusters, f.Files.Tenants, f.Files.MaxShare, f.Files.Poll.Duration},
 		Limits: policy.Limits{
 			MaxAttempts: f.Limits.Attempts, SecondCopies: f.Limits.SecondCopies, Cancel: f.Limits.Cancel,
 			MaxRetryAfter: f.Limits.MaxRetryAfter.Duration,
@@ -359,7 +361,10 @@
 	within("upstream", "idle", p.Upstream.Idle, 100*time.Millisecond, time.Hour)
 	within("upstream", "connect_timeout", p.Upstream.ConnectTimeout, time.Millisecond, time.Minute)
 	p.classes(&f.classFile, report)
-	p.tenants(&f.classFile, report)
+	p.tenants(&f.tenantTables, report)
+	if f.Files.Tenants != "" && len(f.Tenant) > 0 {
+		report("files", -1, "tenants", "%s is to have the tenants, and %s has [[tenant]] too: one of them", f.Files.Tenants, name)
+	}
 	p.xds(&f, report)
 	if p.Files.Folder == "" && !p.XDS.On() {
 		report("files", -1, "clusters", "is missing: the folder of the cluster files")
--- a/internal/files/bundle.go
+++ b/internal/files/bundle.go
@@ -9,8 +9,12 @@
 	"yokestall/internal/config"
 )
 
-// ProgramPart is the name of the program's own file in a bundle; its cluster files go by their base names.
-const ProgramPart = "yokestall.toml"
+const (
+	// ProgramPart is the name of the program's own file in a bundle; its cluster files go by their base names.
+	ProgramPart = "yokestall.toml"
+	// TenantsPart is that of the tenants' own file. No cluster file has it, whose names end in .toml.
+	TenantsPart = "tenants"
+)
 
 // Bundle reads a configuration as the files of a version that a fleet can agree on: the program's own, and its cluster files. It
 // has to be good by Unbundle.
@@ -21,6 +25,10 @@
 	}
 	v.program.name = ProgramPart
 	parts := []part{v.program}
+	for _, f := range v.tenants {
+		f.name = TenantsPart
+		parts = append(parts, f)
+	}
 	for _, f := range v.clusters {
 		name := filepath.Base(f.name)
 		if name == ProgramPart || IsChange(name) {
@@ -69,6 +77,8 @@
 		switch {
 		case f.Name == ProgramPart:
 			v.program = partOf(f)
+		case f.Name == TenantsPart:
+			v.tenants = append(v.tenants, partOf(f))
 		case IsChange(f.Name):
 			changes = append(changes, f)
 		default:
@@ -82,6 +92,12 @@
 	if v.parsed, err = p.program(v.program); err != nil {
 		return nil, err
 	}
+	switch named, given := v.parsed.Files.Tenants != "", len(v.tenants); {
+	case named && given != 1:
+		return nil, &cluster.Problem{Source: TenantsPart, Text: "is missing, or is there twice: " + ProgramPart + " names a file of tenants"}
+	case !named && given > 0:
+		return nil, &cluster.Problem{Source: TenantsPart, Text: ProgramPart + " names no file of tenants"}
+	}
 	if v.parsed.XDS.On() {
 		return nil, &cluster.Problem{Source: ProgramPart, Field: "xds", Text: "a version can't follow a control plane"}
 	}
--- a/internal/files/files.go
+++ b/internal/files/files.go
@@ -40,7 +40,7 @@
 }
 
 // Check checks one file of the configuration: the program's own, with the cluster files and
-// the keys that it points to, which it gives then, or a cluster file alone. The warnings are of what will be wrong
+// the keys that it points to, which it gives then, or a cluster file or one of tenants alone. The warnings are of what will be wrong
 // before long.
 func Check(path string) (s *Snapshot, warnings []string, err error) {
 	text, err := readFile(path)
@@ -50,6 +50,10 @@
 	if xdsfile.Is(path) {
 		return nil, nil, checkXDS(path, text)
 	}
+	if config.IsTenants(text) {
+		_, err = config.ParseTenants(config.File{Name: path, Text: text})
+		return nil, nil, err
+	}
 	if config.IsCluster(text) {
 		_, err = config.ParseCluster(config.File{Name: path, Text: text})
 		return nil, nil, err
--- a/internal/files/parser.go
+++ b/internal/files/parser.go
@@ -33,6 +33,7 @@
 // version is the files of a version and the program's one parsed, not yet looked at further.
 type version struct {
 	program  part
+	tenants  []part // one, where they have a file of their own
 	clusters []part
 	xds      []part
 	parsed   *config.Program // of program
@@ -41,7 +42,7 @@
 // sum is that of all files.
 func (v *version) sum() (sum hash) {
 	h := sha256.New()
-	for _, list := range [][]part{{v.program}, v.clusters, v.xds} {
+	for _, list := range [][]part{{v.program}, v.tenants, v.clusters, v.xds} {
 		sumOf(h, list)
 	}
 	h.Sum(sum[:0])
@@ -60,6 +61,8 @@
 type Parser struct {
 	mu       sync.Mutex
 	programs cache[partKey, *config.Program]
+	tenants  cache[partKey, []config.Tenant]
+	joined   cache[joinedKey, *config.Program]
 	clusters cache[partKey, *cluster.Cluster]
 	views    cache[hash, *xdsfile.View]
 	routed   cache[routedKey, *config.Program]
@@ -68,6 +71,12 @@
 	extended map[*cluster.Cluster]extension // of a list as its file has it
 }
 
+// joinedKey names a program with the tenants of their own file.
+type joinedKey struct {
+	program *config.Program
+	tenants partKey
+}
+
 // routedKey names a program with the routes of files in xDS form.
 type routedKey struct {
 	program *config.Program
@@ -79,6 +88,8 @@
 
 func (p *Parser) end(o outcome) {
 	p.programs.end(o)
+	p.tenants.end(o)
+	p.joined.end(o)
 	p.clusters.end(o)
 	p.views.end(o)
 	p.routed.end(o)
@@ -88,7 +99,7 @@
 
 // parses counts what had to be parsed.
 func (p *Parser) parses() int {
-	return p.programs.made + p.clusters.made + p.views.made + p.patches.made
+	return p.programs.made + p.tenants.made + p.clusters.made + p.views.made + p.patches.made
 }
 
 func (p *Parser) program(f part) (*config.Program, error) {
@@ -111,8 +122,31 @@
 	})
 }
 
+// withTenants gives the version's program, with the tenants of their own file if they have one.
+func (p *Parser) withTenants(v *version) (*config.Program, error) {
+	if len(v.tenants) == 0 {
+		return v.parsed, nil
+	}
+	f := v.tenants[0]
+	tenants, err := p.tenants.get(f.key(), func() ([]config.Tenant, error) {
+		text, err := f.text()
+		if err != nil {
+			return nil, err
+		}
+		return config.ParseTenants(config.File{Name: f.name, Text: text})
+	})
+	if err != nil {
+		return nil, err
+	}
+	return p.joined.get(joinedKey{v.parsed, f.key()}, func() (*config.Program, error) { return v.parsed.WithTenants(tenants), nil })
+}
+
 // check parses a version's files and checks it as a whole.
 func (p *Parser) check(v *version) (*Snapshot, error) {
+	program, err := p.withTenants(v)
+	if err != nil {
+		return nil, err
+	}
 	names := make([]string, len(v.clusters))
 	for i := range v.clusters {
 		names[i] = v.clusters[i].name
@@ -121,8 +155,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Snapshot{Program: v.parsed, Version: &cluster.Version{Clusters: clusters}, sum: v.sum()}
-	if v.parsed.XDS.Folder == "" {
+	s := &Snapshot{Program: program, Version: &cluster.Version{Clusters: clusters}, sum: v.sum()}
+	if program.XDS.Folder == "" {
 		return s, nil
 	}
 	return s, p.addView(s, v)
@@ -145,8 +179,8 @@
 	if r == nil {
 		return nil
 	}
-	s.Program, err = p.routed.get(routedKey{v.parsed, view}, func() (*config.Program, error) {
-		return v.parsed.Routed(r.Table, r.Hosts, r.Classes, r.Tenants)
+	s.Program, err = p.routed.get(routedKey{s.Program, view}, func() (*config.Program, error) {
+		return s.Program.Routed(r.Table, r.Hosts, r.Classes, r.Tenants)
 	})
 	return err
 }
--- a/internal/files/plan_test.go
+++ b/internal/files/plan_test.go
@@ -216,3 +216,34 @@
 		}
 	}
 }
+
+// A change of one class, of one list, or of one tenant, where the tenants have a file of their own.
+func BenchmarkChangeOwnTenants(b *testing.B) {
+	w, path := planFolder(b, 0)
+	tenants := filepath.Join(filepath.Dir(path), "tenants.toml")
+	list := filepath.Join(filepath.Dir(path), "clusters", "svc-007.toml")
+	text := strings.Replace(planProgram(0), "[files]\n", "[files]\n"+tenantsProgram, 1)
+	write(b, tenants, tenantsFile(planTenants, 20))
+	write(b, path, text)
+	if w.look(true) == nil {
+		b.Fatal("no version is taken")
+	}
+	for _, change := range []struct {
+		name string
+		make func(i int)
+	}{
+		{"list", func(i int) { write(b, list, planCluster(7, float64(2+i%100))) }},
+		{"class", func(i int) {
+			write(b, path, strings.Replace(text, "1400ms", fmt.Sprintf("%dms", 1400+i%100), 1))
+		}},
+		{"tenant", func(i int) { write(b, tenants, tenantsFile(planTenants, 100+i%100)) }},
+	} {
+		b.Run(change.name, func(b *testing.B) {
+			measure(b, func(i int) { change.make(i + 1) }, func() {
+				if w.look(true) == nil {
+					b.Fatal("no version is taken")
+				}
+			})
+		})
+	}
+}
--- a/internal/files/reader.go
+++ b/internal/files/reader.go
@@ -107,6 +107,13 @@
 	if v.parsed, err = p.program(v.program); err != nil {
 		return nil, err
 	}
+	if name := v.parsed.Files.Tenants; name != "" {
+		tenants, err := r.file(Beside(r.path, name))
+		if err != nil {
+			return nil, err
+		}
+		v.tenants = []part{tenants}
+	}
 	if folder := v.parsed.Files.Folder; folder != "" {
 		if v.clusters, err = r.files(folder, "cluster files", isClusterFile); err != nil {
 			return nil, err
--- a/internal/files/watcher.go
+++ b/internal/files/watcher.go
@@ -118,6 +118,11 @@
 			all = append(all, Beside(w.path, folder))
 		}
 	}
+	if p.Files.Tenants != "" {
+		if folder := filepath.Dir(Beside(w.path, p.Files.Tenants)); !slices.Contains(all, folder) {
+			all = append(all, folder)
+		}
+	}
 	return all
 }
 
