--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -252,7 +252,7 @@
 	}
 	if deal > 0 {
 		dealt := *e
-		dealt.Day.Deal = deal
+		dealt.Day.PledgeDuration = deal
 		o, err := lab.Run(&dealt, "dealt", fleetsim.Program, max(1, seeds))
 		if err != nil {
 			return false, err
--- a/internal/fleet/owner/share.go
+++ b/internal/fleet/owner/share.go
@@ -1,10 +1,11 @@
-// Package owner holds works that one node at a time does for its fleet. It is pure: times are passed in, on each node's own clock.
+// Package owner distributes the fleet's budget for cold servers among its nodes, by demand. It is one of the fleet's singleton tasks: one node
+// at a time, the task's owner, allocates. The package does no I/O and reads no clock: times are passed in, on each node's own clock.
 //
-// The first of them is the fleet's budget for cold servers. A server sees the sum of what all nodes send, so each may send a part of a whole; equal parts
-// are less than one request at a hundred nodes, whoever has the traffic. Nodes lend what they don't need: a pledge is booked where it comes from
-// before it is sent, and the owner of the work deals pledges out to who has demand, as slices with an end. The sum of all parts that could still
-// be used never passes the whole, whoever owns the work, or believes so: a slice ends before its pledge does, and a pledge counts against its
-// node's own part from the moment it is sent.
+// A cold server sees the sum of what all nodes send it, so each node may send only its share of the whole budget. Equal shares amount to less
+// than one request each at a hundred nodes, also where one node has all the traffic. So nodes lend what they don't need: a node pledges a part of
+// its own share to the owner, which grants pledges to nodes with demand. The sum of all shares in use never exceeds the whole, whichever node
+// owns the task or believes so: a grant ends before the pledge that it comes from, and a pledge is deducted from its node's own share
+// before it is sent.
 package owner
 
 import (
@@ -12,237 +13,264 @@
 	"time"
 )
 
-// Terms are the figures of lending, the same at every node.
-type Terms struct {
-	Pledge time.Duration // for so long a node does without what it lends, in true time
-	Drift  float64       // most that a clock's rate differs from true time
+const (
+	requestsPerPledge      = 4   // requests of a node in the time for which it pledges
+	maxOutstandingRequests = 16  // replies to older ones are ignored
+	minKeptShare           = 0.1 // part of its own share that a node never lends, for the first requests that come
+	worthwhileFraction     = 100 // a loan of less than a hundredth of the node's own share is not worth it
+	maxLoans               = 64  // of a kind, at a node
+)
+
+// MaxNodes is how many nodes an allocator knows. It takes nothing from further ones and grants them nothing.
+const MaxNodes = 4096
+
+// LendingConfig is the timing of lending. All nodes of a fleet must use the same values.
+type LendingConfig struct {
+	PledgeDuration time.Duration // for which a node does without what it lends, in true time
+	MaxClockDrift  float64       // largest deviation of a clock's rate from true time: 0.1 is 10 %
 }
 
-// least is what the slowest clock shows at the end of a true time: who counts so far on any clock is not behind its end.
-func (t Terms) least(d time.Duration) time.Duration { return time.Duration(float64(d) * (1 - t.Drift)) }
+// onSlowestClock is what the slowest allowed clock shows after a true time. Whatever the clock, it has not passed the time's end then.
+func (c LendingConfig) onSlowestClock(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 - c.MaxClockDrift))
+}
 
-// most is what the fastest clock shows at the end of a true time.
-func (t Terms) most(d time.Duration) time.Duration {
-	return time.Duration(float64(d)*(1+t.Drift)) + 1
+// onFastestClock is what the fastest allowed clock shows after a true time.
+func (c LendingConfig) onFastestClock(d time.Duration) time.Duration {
+	return time.Duration(float64(d)*(1+c.MaxClockDrift)) + 1
 }
 
-// Renew is how often a node trades.
-func (t Terms) Renew() time.Duration { return t.Pledge / 4 }
+// RenewInterval is the time between two requests of a node.
+func (c LendingConfig) RenewInterval() time.Duration { return c.PledgeDuration / requestsPerPledge }
 
-// Nonce is an owner's mark of a moment: who echoes it said so later than that.
+// Nonce marks a moment on an owner's clock. A message that echoes it was sent later than that.
 type Nonce struct {
 	Token uint64        `json:"token"`
 	At    time.Duration `json:"at"` // on the owner's clock
 }
 
-// Trade is what a node tells the owner.
-type Trade struct {
-	Node   string  `json:"node"`
-	Life   string  `json:"life"`
-	Seq    uint64  `json:"seq"`
-	Demand float64 `json:"demand"` // requests a second
-	Home   float64 `json:"home"`   // its own part of the whole
-	Pledge float64 `json:"pledge"` // of its own part, that it does without from now on
-	Echo   Nonce   `json:"echo"`
+// ShareRequest is what a node sends to the owner: its demand, and what it lends.
+type ShareRequest struct {
+	Node        string  `json:"node"`
+	Incarnation string  `json:"life"`
+	Sequence    uint64  `json:"seq"`
+	Demand      float64 `json:"demand"` // requests a second
+	OwnShare    float64 `json:"home"`   // without lending
+	Pledge      float64 `json:"pledge"` // part of OwnShare that the node does without from now on
+	Echo        Nonce   `json:"echo"`   // of the latest reply
 }
 
-// Deal is the owner's answer.
-type Deal struct {
-	Token  uint64        `json:"token"`
-	Seq    uint64        `json:"seq"` // of the trade
-	Nonce  Nonce         `json:"nonce"`
-	Demand float64       `json:"demand"` // of all nodes
-	Slice  float64       `json:"slice"`  // of the whole
-	For    time.Duration `json:"for"`    // from the trade on, in true time
+// ShareReply is the owner's reply.
+type ShareReply struct {
+	Token    uint64        `json:"token"` // fencing token of the owner
+	Sequence uint64        `json:"seq"`   // of the request
+	Nonce    Nonce         `json:"nonce"`
+	Demand   float64       `json:"demand"` // of all nodes
+	Granted  float64       `json:"slice"`  // share of the whole, in addition to the node's own
+	Duration time.Duration `json:"for"`    // of the grant, from the request on, in true time
 }
 
-// loan is a part of the whole until a time.
+// loan is a share of the whole that is lent until a time.
 type loan struct {
-	part  float64
+	share float64
 	until time.Duration
 }
 
-// Share is a node's part of the whole. It is not safe for concurrent use.
-type Share struct {
-	terms  Terms
-	fence  uint64 // highest token that was heard
-	booked []loan // lent out
-	slices []loan // borrowed
-	asked  map[uint64]time.Duration
-	seq    uint64
-	echo   Nonce
-	all    float64 // the fleet's demand, as it was heard last
+// removeEnded removes the loans that have ended.
+func removeEnded(loans []loan, now time.Duration) []loan {
+	return slices.DeleteFunc(loans, func(l loan) bool { return l.until <= now })
 }
 
-const (
-	tradesMost = 16  // that may be unanswered
-	keepLeast  = 0.1 // of its own part a node keeps, for the first requests that come
-	loansMost  = 64  // of a kind, at a node
-)
+// Share is a node's side: its share of the whole. It is not safe for concurrent use.
+type Share struct {
+	config       LendingConfig
+	highestToken uint64
+	lent         []loan
+	borrowed     []loan
+	requestedAt  map[uint64]time.Duration // by sequence
+	sequence     uint64
+	echo         Nonce
+	fleetDemand  float64 // by the latest reply
+}
 
-// NewShare starts a node's share. What an earlier life of it may have lent is taken to be all of its own part.
-func NewShare(now time.Duration, t Terms) *Share {
-	return &Share{terms: t, asked: map[uint64]time.Duration{}, booked: []loan{{1, now + t.most(t.Pledge)}}}
+// NewShare creates a node's share after a start. An earlier run of the node may have lent all of its own share.
+func NewShare(now time.Duration, config LendingConfig) *Share {
+	earlier := loan{1, now + config.onFastestClock(config.PledgeDuration)}
+	return &Share{config: config, requestedAt: map[uint64]time.Duration{}, lent: []loan{earlier}}
 }
 
-// Part gives the part of the whole that the node may use from now until a time, at which it asks again; home is its own part. That may
-// change at all nodes together, as versions do: a node lends no more than its part was, and one that comes with more nodes starts with
-// nothing, until what was dealt is over.
-func (s *Share) Part(now, until time.Duration, home float64) float64 {
-	own := home
-	for _, l := range s.booked {
+// Usable returns the share of the whole that the node may use from now until a time, at which it has to ask again. own is its share without
+// lending. That may change at all nodes together, as versions do: a node never lends more than its share was, and one that comes with more
+// nodes starts with nothing until the earlier loans have ended.
+func (s *Share) Usable(now, until time.Duration, own float64) float64 {
+	left := own
+	for _, l := range s.lent {
 		if now < l.until {
-			own -= l.part
+			left -= l.share
 		}
 	}
-	part := max(0, own)
-	for _, l := range s.slices {
+	usable := max(0, left)
+	for _, l := range s.borrowed {
 		if until < l.until {
-			part += l.part
+			usable += l.share
 		}
 	}
-	return part
+	return usable
 }
 
-// Trade gives what is to be sent to the owner now: what it pledges is lent from this moment on, whether it arrives or not.
-func (s *Share) Trade(now time.Duration, home, demand float64) Trade {
-	s.booked = slices.DeleteFunc(s.booked, func(l loan) bool { return l.until <= now })
-	s.slices = slices.DeleteFunc(s.slices, func(l loan) bool { return l.until <= now })
-	s.seq++
-	s.asked[s.seq] = now
-	delete(s.asked, s.seq-tradesMost)
-	t := Trade{Seq: s.seq, Demand: demand, Home: home, Echo: s.echo}
-	if s.echo.Token == 0 || s.all <= 0 || len(s.booked) >= loansMost {
-		return t
+// NextRequest creates the next request to the owner. What it pledges is lent from now on, whether the request arrives or not.
+func (s *Share) NextRequest(now time.Duration, own, demand float64) ShareRequest {
+	s.lent, s.borrowed = removeEnded(s.lent, now), removeEnded(s.borrowed, now)
+	s.sequence++
+	s.requestedAt[s.sequence] = now
+	delete(s.requestedAt, s.sequence-maxOutstandingRequests)
+	request := ShareRequest{Sequence: s.sequence, Demand: demand, OwnShare: own, Echo: s.echo}
+	if s.echo.Token == 0 || s.fleetDemand <= 0 || len(s.lent) >= maxLoans {
+		return request
 	}
-	free := home
-	for _, l := range s.booked {
-		free -= l.part
+	if spare := s.spare(own, demand); spare > own/worthwhileFraction {
+		request.Pledge = spare
+		s.lent = append(s.lent, loan{spare, now + s.config.onFastestClock(s.config.PledgeDuration)})
 	}
-	need := max(home*keepLeast, demand/s.all)
-	if p := free - need; p > home/100 {
-		t.Pledge = p
-		s.booked = append(s.booked, loan{p, now + s.terms.most(s.terms.Pledge)})
+	return request
+}
+
+// spare is what the node doesn't need of its own share.
+func (s *Share) spare(own, demand float64) float64 {
+	free := own
+	for _, l := range s.lent {
+		free -= l.share
 	}
-	return t
+	return free - max(own*minKeptShare, demand/s.fleetDemand)
 }
 
-// Dealt takes an owner's answer; false: it is fenced off, by a token that was passed, or it answers nothing that was asked.
-func (s *Share) Dealt(now time.Duration, d Deal) bool {
-	if d.Token < s.fence {
+// HandleReply records an owner's reply. It returns false, and ignores the reply, if the owner's token is no longer the highest or the reply
+// belongs to no outstanding request.
+func (s *Share) HandleReply(now time.Duration, reply ShareReply) bool {
+	if reply.Token < s.highestToken {
 		return false
 	}
-	at, known := s.asked[d.Seq]
-	if !known {
+	requested, outstanding := s.requestedAt[reply.Sequence]
+	if !outstanding {
 		return false
 	}
-	delete(s.asked, d.Seq) // one that comes twice counts once
-	s.fence = d.Token
-	s.echo, s.all = d.Nonce, d.Demand
-	if end := at + s.terms.least(d.For); d.Slice > 0 && now < end && len(s.slices) < loansMost {
-		s.slices = append(s.slices, loan{d.Slice, end})
+	delete(s.requestedAt, reply.Sequence) // a reply that comes twice counts once
+	s.highestToken = reply.Token
+	s.echo, s.fleetDemand = reply.Nonce, reply.Demand
+	end := requested + s.config.onSlowestClock(reply.Duration)
+	if reply.Granted > 0 && now < end && len(s.borrowed) < maxLoans {
+		s.borrowed = append(s.borrowed, loan{reply.Granted, end})
 	}
 	return true
 }
 
-// Fence gives the highest token that was heard.
-func (s *Share) Fence() uint64 { return s.fence }
+// HighestToken returns the highest fencing token of an owner's replies.
+func (s *Share) HighestToken() uint64 { return s.highestToken }
 
-// Dealer is the owner's side, for one token. Another token is another dealer, which knows nothing of what this one dealt, and needs not.
-type Dealer struct {
-	terms   Terms
+// Allocator is the owner's side for one fencing token. An owner with another token starts with a new allocator, which needs to know nothing
+// of what earlier ones granted.
+type Allocator struct {
+	config  LendingConfig
 	token   uint64
 	pledges []loan
-	nodes   map[string]*trader
+	nodes   map[string]*nodeState
 }
 
-type trader struct {
-	life   string
-	seq    uint64
-	demand float64
-	heard  time.Duration
-	dealt  []loan
+// nodeState is what an allocator knows of a node.
+type nodeState struct {
+	incarnation string
+	sequence    uint64
+	demand      float64
+	lastRequest time.Duration
+	borrowed    []loan
 }
 
-// MaxTraders is how many nodes a dealer knows; of further ones it takes nothing and gives them nothing.
-const MaxTraders = 4096
-
-// NewDealer starts to deal by a token.
-func NewDealer(token uint64, t Terms) *Dealer {
-	return &Dealer{terms: t, token: token, nodes: map[string]*trader{}}
+// NewAllocator creates the allocator of an owner's token.
+func NewAllocator(token uint64, config LendingConfig) *Allocator {
+	return &Allocator{config: config, token: token, nodes: map[string]*nodeState{}}
 }
 
-// Trade answers a node. The caller has looked at its lease for the token right before, and sends the answer at once.
-func (d *Dealer) Trade(now time.Duration, t Trade) Deal {
-	out := Deal{Token: d.token, Seq: t.Seq, Nonce: Nonce{d.token, now}}
-	d.sweep(now)
-	n := d.nodes[t.Node]
+// Allocate replies to a node's request. The caller has to check its lease for the token right before, and to send the reply at once.
+func (a *Allocator) Allocate(now time.Duration, request ShareRequest) ShareReply {
+	reply := ShareReply{Token: a.token, Sequence: request.Sequence, Nonce: Nonce{a.token, now}}
+	a.removeExpired(now)
+	n := a.nodes[request.Node]
 	if n == nil {
-		if len(d.nodes) >= MaxTraders {
-			return out
-		}
-		n = &trader{}
-		d.nodes[t.Node] = n
-	}
-	fresh := n.life != t.Life || t.Seq > n.seq
-	if n.life != t.Life {
-		n.life, n.seq = t.Life, 0
-	}
-	if fresh {
-		n.seq, n.demand, n.heard = t.Seq, t.Demand, now
-		// Whoever echoes a moment pledged after it, so the pledge lasts at least that long from then on.
-		if end := t.Echo.At + d.terms.least(d.terms.Pledge); t.Pledge > 0 && t.Echo.Token == d.token && now < end {
-			d.pledges = append(d.pledges, loan{t.Pledge, end})
+		if len(a.nodes) >= MaxNodes {
+			return reply
 		}
+		n = &nodeState{}
+		a.nodes[request.Node] = n
+	}
+	isNew := n.isNew(request)
+	if isNew {
+		a.record(now, n, request)
+	}
+	for _, other := range a.nodes {
+		reply.Demand += other.demand
+	}
+	if isNew && reply.Demand > 0 {
+		a.grant(now, n, request, &reply)
 	}
-	for _, other := range d.nodes {
-		out.Demand += other.demand
+	return reply
+}
+
+// isNew reports whether a request is later than those that have been recorded.
+func (n *nodeState) isNew(request ShareRequest) bool {
+	return n.incarnation != request.Incarnation || request.Sequence > n.sequence
+}
+
+// record records a request's demand and pledge.
+func (a *Allocator) record(now time.Duration, n *nodeState, request ShareRequest) {
+	n.incarnation, n.sequence, n.demand, n.lastRequest = request.Incarnation, request.Sequence, request.Demand, now
+	if request.Pledge <= 0 || request.Echo.Token != a.token {
+		return
 	}
-	if fresh && out.Demand > 0 {
-		d.deal(now, n, t, &out)
+	// The node pledged after the moment that it echoes, so the pledge lasts at least its duration from that moment on.
+	if end := request.Echo.At + a.config.onSlowestClock(a.config.PledgeDuration); now < end {
+		a.pledges = append(a.pledges, loan{request.Pledge, end})
 	}
-	return out
 }
 
-// deal gives a node what others have pledged, up to its part of the demand.
-func (d *Dealer) deal(now time.Duration, n *trader, t Trade, out *Deal) {
-	want := t.Demand/out.Demand - t.Home
-	for _, l := range n.dealt {
-		want -= l.part
+// grant grants a node what others have pledged, up to its share of the demand.
+func (a *Allocator) grant(now time.Duration, n *nodeState, request ShareRequest, reply *ShareReply) {
+	want := request.Demand/reply.Demand - request.OwnShare
+	for _, l := range n.borrowed {
+		want -= l.share
 	}
-	if want <= t.Home/100 {
+	if want <= request.OwnShare/worthwhileFraction {
 		return
 	}
-	slices.SortFunc(d.pledges, func(x, y loan) int { return int(y.until - x.until) })
+	slices.SortFunc(a.pledges, func(x, y loan) int { return int(y.until - x.until) })
 	end := time.Duration(0)
-	for i := range d.pledges {
-		l := &d.pledges[i]
-		if l.until-now < d.terms.Pledge/4 || l.part <= 0 {
+	for i := range a.pledges {
+		pledge := &a.pledges[i]
+		if pledge.until-now < a.config.RenewInterval() || pledge.share <= 0 {
 			continue
 		}
-		part := min(l.part, want)
-		l.part -= part
-		want -= part
-		out.Slice += part
-		if end = l.until; want <= 0 {
+		granted := min(pledge.share, want)
+		pledge.share -= granted
+		want -= granted
+		reply.Granted += granted
+		if end = pledge.until; want <= 0 {
 			break
 		}
 	}
-	if out.Slice == 0 {
+	if reply.Granted == 0 {
 		return
 	}
-	// The pledge's end was put as early as the slowest clock shows it; on that clock as much true time is left as this.
-	out.For = time.Duration(float64(end-now) / (1 - d.terms.Drift))
-	n.dealt = append(n.dealt, loan{out.Slice, end})
+	// A pledge's end is counted as early as the slowest clock shows it. At least this much true time is left on that clock.
+	reply.Duration = time.Duration(float64(end-now) / (1 - a.config.MaxClockDrift))
+	n.borrowed = append(n.borrowed, loan{reply.Granted, end})
 }
 
-// sweep forgets what is over, and nodes that have not been heard for long.
-func (d *Dealer) sweep(now time.Duration) {
-	d.pledges = slices.DeleteFunc(d.pledges, func(l loan) bool { return l.until <= now || l.part <= 0 })
-	for name, n := range d.nodes {
-		n.dealt = slices.DeleteFunc(n.dealt, func(l loan) bool { return l.until <= now })
-		if now-n.heard > 2*d.terms.Pledge {
-			delete(d.nodes, name)
+// removeExpired removes loans that have ended, and nodes that have sent nothing for long.
+func (a *Allocator) removeExpired(now time.Duration) {
+	a.pledges = slices.DeleteFunc(a.pledges, func(l loan) bool { return l.until <= now || l.share <= 0 })
+	for name, n := range a.nodes {
+		n.borrowed = removeEnded(n.borrowed, now)
+		if now-n.lastRequest > 2*a.config.PledgeDuration {
+			delete(a.nodes, name)
 		}
 	}
 }
--- a/internal/fleet/owner/share_test.go
+++ b/internal/fleet/owner/share_test.go
@@ -23,12 +23,12 @@
 	quietStart without = "a node that starts forgets what it lent"
 )
 
-var simTerms = Terms{Pledge: 2 * time.Second, Drift: 0.1}
+var simTerms = LendingConfig{PledgeDuration: 2 * time.Second, MaxClockDrift: 0.1}
 
 type sim struct {
 	rng    *rand.Rand
 	out    without
-	terms  Terms
+	terms  LendingConfig
 	now    time.Duration
 	queue  queue
 	order  int
@@ -57,7 +57,7 @@
 
 type dealing struct {
 	at     *node
-	dealer *Dealer
+	dealer *Allocator
 }
 
 type event struct {
@@ -86,10 +86,10 @@
 func newSim(seed uint64, nodes int, out without) *sim {
 	s := &sim{rng: rand.New(rand.NewPCG(40, seed)), out: out, terms: simTerms, homes: []float64{1 / float64(nodes)}}
 	if out == drift {
-		s.terms.Drift = 0
+		s.terms.MaxClockDrift = 0
 	}
 	for i := range nodes {
-		n := &node{name: fmt.Sprint("n", i), rate: 1 + simTerms.Drift*float64(s.rng.IntN(3)-1), offset: time.Duration(s.rng.Int64N(int64(time.Hour))), demand: 1}
+		n := &node{name: fmt.Sprint("n", i), rate: 1 + simTerms.MaxClockDrift*float64(s.rng.IntN(3)-1), offset: time.Duration(s.rng.Int64N(int64(time.Hour))), demand: 1}
 		s.nodes = append(s.nodes, n)
 		s.start(n)
 	}
@@ -100,7 +100,7 @@
 // own has another node deal, by a token that is higher; those before go on.
 func (s *sim) own() {
 	at := s.nodes[s.rng.IntN(len(s.nodes))]
-	s.owners = append(s.owners, &dealing{at, NewDealer(uint64(len(s.owners)+1), s.terms)})
+	s.owners = append(s.owners, &dealing{at, NewAllocator(uint64(len(s.owners)+1), s.terms)})
 }
 
 func (s *sim) at(in time.Duration, do func()) {
@@ -127,17 +127,17 @@
 	n.down, n.paused, n.late = false, 0, nil
 	n.share = NewShare(n.clock(s.now), s.terms)
 	if s.out == quietStart {
-		n.share.booked = nil
+		n.share.lent = nil
 	}
 	s.trades(n)
 }
 
 func (s *sim) trades(n *node) {
-	s.on(n, time.Duration(float64(s.terms.Renew())/n.rate), func() {
-		t := n.share.Trade(n.clock(s.now), s.homes[n.epoch], n.demand)
-		t.Node, t.Life = n.name, fmt.Sprint(n.life)
+	s.on(n, time.Duration(float64(s.terms.RenewInterval())/n.rate), func() {
+		t := n.share.NextRequest(n.clock(s.now), s.homes[n.epoch], n.demand)
+		t.Node, t.Incarnation = n.name, fmt.Sprint(n.life)
 		if s.out == bookFirst && t.Pledge > 0 {
-			n.share.booked = n.share.booked[:len(n.share.booked)-1]
+			n.share.lent = n.share.lent[:len(n.share.lent)-1]
 		}
 		o := s.owners[len(s.owners)-1]
 		if s.rng.IntN(4) == 0 { // it believes in one that is past
@@ -149,20 +149,20 @@
 			}
 			if s.out == onceOnly {
 				if known := o.dealer.nodes[t.Node]; known != nil {
-					known.seq = 0
+					known.sequence = 0
 				}
 			}
-			d := o.dealer.Trade(o.at.clock(s.now), t)
+			d := o.dealer.Allocate(o.at.clock(s.now), t)
 			s.send(o.at, n, func() {
 				if s.out == fromAsk {
-					if _, known := n.share.asked[d.Seq]; known {
-						n.share.asked[d.Seq] = n.clock(s.now)
+					if _, known := n.share.requestedAt[d.Sequence]; known {
+						n.share.requestedAt[d.Sequence] = n.clock(s.now)
 					}
 				}
-				if n.share.Dealt(n.clock(s.now), d) && s.out == bookFirst && t.Pledge > 0 {
-					n.share.booked = append(n.share.booked, loan{t.Pledge, n.clock(s.now) + s.terms.most(s.terms.Pledge)})
+				if n.share.HandleReply(n.clock(s.now), d) && s.out == bookFirst && t.Pledge > 0 {
+					n.share.lent = append(n.share.lent, loan{t.Pledge, n.clock(s.now) + s.terms.onFastestClock(s.terms.PledgeDuration)})
 				}
-				s.borrowed += d.Slice
+				s.borrowed += d.Granted
 			})
 		})
 		s.trades(n)
@@ -191,7 +191,7 @@
 		if n.down || n.paused > s.now {
 			continue
 		}
-		part := n.share.Part(n.clock(s.now), n.clock(s.now), s.homes[n.epoch])
+		part := n.share.Usable(n.clock(s.now), n.clock(s.now), s.homes[n.epoch])
 		s.largest = max(s.largest, part/s.homes[n.epoch])
 		sum += part
 	}
@@ -218,7 +218,7 @@
 		case 0:
 			s.own()
 		case 4:
-			n.lag = time.Duration(s.rng.Int64N(int64(2 * simTerms.Pledge)))
+			n.lag = time.Duration(s.rng.Int64N(int64(2 * simTerms.PledgeDuration)))
 			s.at(4*time.Second, func() { n.lag = 0 })
 		case 1:
 			n.paused = s.now + time.Duration(s.rng.Int64N(int64(4*time.Second)))
@@ -300,36 +300,36 @@
 
 // A slice ends before its pledge does on any three clocks, and not long before.
 func TestSliceEndsBeforeItsPledge(t *testing.T) {
-	rates := []float64{1 - simTerms.Drift, 1, 1 + simTerms.Drift}
+	rates := []float64{1 - simTerms.MaxClockDrift, 1, 1 + simTerms.MaxClockDrift}
 	for i := range 27 {
 		lenderRate, ownerRate, borrowerRate := rates[i%3], rates[i/3%3], rates[i/9]
 		clock := func(rate float64, at time.Duration) time.Duration { return time.Duration(rate * float64(at)) }
-		lender, borrower, d := NewShare(-time.Hour, simTerms), NewShare(-time.Hour, simTerms), NewDealer(1, simTerms)
-		ask := func(at time.Duration, s *Share, rate float64, name string, demand float64) (Trade, Deal) {
-			tr := s.Trade(clock(rate, at), 0.5, demand)
-			tr.Node, tr.Life = name, "1"
-			return tr, d.Trade(clock(ownerRate, at), tr)
+		lender, borrower, d := NewShare(-time.Hour, simTerms), NewShare(-time.Hour, simTerms), NewAllocator(1, simTerms)
+		ask := func(at time.Duration, s *Share, rate float64, name string, demand float64) (ShareRequest, ShareReply) {
+			tr := s.NextRequest(clock(rate, at), 0.5, demand)
+			tr.Node, tr.Incarnation = name, "1"
+			return tr, d.Allocate(clock(ownerRate, at), tr)
 		}
 		for _, at := range []time.Duration{time.Hour, time.Hour + time.Millisecond} { // the owner's nonce, and then a pledge
 			_, deal := ask(at, borrower, borrowerRate, "b", 100)
-			borrower.Dealt(clock(borrowerRate, at), deal)
+			borrower.HandleReply(clock(borrowerRate, at), deal)
 			_, deal = ask(at, lender, lenderRate, "l", 1)
-			lender.Dealt(clock(lenderRate, at), deal)
+			lender.HandleReply(clock(lenderRate, at), deal)
 		}
 		at := time.Hour + 200*time.Millisecond
 		tr, deal := ask(at, borrower, borrowerRate, "b", 100)
-		if deal.Slice < 0.4 || tr.Seq != deal.Seq || !borrower.Dealt(clock(borrowerRate, at), deal) || borrower.Dealt(clock(borrowerRate, at), deal) {
+		if deal.Granted < 0.4 || tr.Sequence != deal.Sequence || !borrower.HandleReply(clock(borrowerRate, at), deal) || borrower.HandleReply(clock(borrowerRate, at), deal) {
 			t.Fatalf("%+v", deal)
 		}
-		slice := time.Duration(float64(borrower.slices[0].until) / borrowerRate)
-		pledge := time.Duration(float64(lender.booked[0].until) / lenderRate)
-		if slice > pledge || pledge-slice > simTerms.Pledge {
+		slice := time.Duration(float64(borrower.borrowed[0].until) / borrowerRate)
+		pledge := time.Duration(float64(lender.lent[0].until) / lenderRate)
+		if slice > pledge || pledge-slice > simTerms.PledgeDuration {
 			t.Errorf("lender %.1f, owner %.1f, borrower %.1f: the slice ends %v, the pledge %v", lenderRate, ownerRate, borrowerRate, slice-time.Hour, pledge-time.Hour)
 		}
-		if part := lender.Part(clock(lenderRate, at), clock(lenderRate, at), 0.5) + borrower.Part(clock(borrowerRate, at), clock(borrowerRate, at), 0.5); part > 1 {
+		if part := lender.Usable(clock(lenderRate, at), clock(lenderRate, at), 0.5) + borrower.Usable(clock(borrowerRate, at), clock(borrowerRate, at), 0.5); part > 1 {
 			t.Errorf("%.3f of the whole", part)
 		}
-		if borrower.Dealt(0, Deal{Token: 0}) {
+		if borrower.HandleReply(0, ShareReply{Token: 0}) {
 			t.Error("an owner that was passed is heard")
 		}
 	}
@@ -337,14 +337,14 @@
 
 // A dealer takes so many nodes and no more.
 func TestTradersMost(t *testing.T) {
-	d := NewDealer(1, simTerms)
-	for i := range MaxTraders + 10 {
-		d.Trade(0, Trade{Node: fmt.Sprint(i), Life: "a", Seq: 1, Demand: 1})
+	d := NewAllocator(1, simTerms)
+	for i := range MaxNodes + 10 {
+		d.Allocate(0, ShareRequest{Node: fmt.Sprint(i), Incarnation: "a", Sequence: 1, Demand: 1})
 	}
-	if len(d.nodes) != MaxTraders {
+	if len(d.nodes) != MaxNodes {
 		t.Errorf("%d nodes", len(d.nodes))
 	}
-	d.Trade(3*simTerms.Pledge, Trade{Node: "late", Life: "a", Seq: 1})
+	d.Allocate(3*simTerms.PledgeDuration, ShareRequest{Node: "late", Incarnation: "a", Sequence: 1})
 	if len(d.nodes) != 1 {
 		t.Errorf("%d nodes once they are silent", len(d.nodes))
 	}
--- a/internal/fleetsim/events.go
+++ b/internal/fleetsim/events.go
@@ -14,35 +14,35 @@
 type kind uint8
 
 const (
-	evArrival kind = iota // of a client's request, class
-	evTry                 // of a request, at a node
-	evSend                // at a server
-	evReply               // back at the node
-	evTimeout             // of an attempt
-	evEnd                 // of a try's time
-	evTimer               // of a Decider
-	evDone                // a server's next job may have ended
-	evTrouble             // begins or ends
-	evNews                // of the list, to all nodes
-	evPart                // a node looks at its part of cold servers' budgets, and trades at times
-	evTrade               // reaches the owner
-	evDeal                // is back at the node
+	evArrival      kind = iota // of a client's request, class
+	evTry                      // of a request, at a node
+	evSend                     // at a server
+	evReply                    // back at the node
+	evTimeout                  // of an attempt
+	evEnd                      // of a try's time
+	evTimer                    // of a Decider
+	evDone                     // a server's next job may have ended
+	evTrouble                  // begins or ends
+	evNews                     // of the list, to all nodes
+	evUpdateShare              // a node's share of cold servers' budgets
+	evShareRequest             // reaches the owner
+	evShareReply               // is back at the node
 )
 
 // event is something that happens at a time. Which of the fields are set depends on its kind.
 type event struct {
-	at     time.Duration
-	seq    uint64
-	kind   kind
-	status policy.Status
-	node   *node
-	try    *try
-	index  int
-	token  uint64
-	server int
-	call   *call
-	trade  owner.Trade
-	deal   owner.Deal
+	at      time.Duration
+	seq     uint64
+	kind    kind
+	status  policy.Status
+	node    *node
+	try     *try
+	index   int
+	token   uint64
+	server  int
+	call    *call
+	request owner.ShareRequest
+	reply   owner.ShareReply
 }
 
 // events is a heap of events, the earliest first, and of those at one time the one that was posted first.
@@ -98,8 +98,8 @@
 		} else {
 			s.unanswered(e.call)
 		}
-	case evPart, evTrade, evDeal:
-		s.lend(e)
+	case evUpdateShare, evShareRequest, evShareReply:
+		s.stepLending(e)
 	case evSend:
 		s.reach(e)
 	case evReply:
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -74,25 +74,25 @@
 	Delay    time.Duration // of the network, one way; drawn up to half as long again
 	News     time.Duration // after which a change of the list is told
 	Lead     float64       // share of the requests that goes to node 0; 0: as to each
-	// Deal is how long a node does without what it lends of cold servers' budgets, where an owner deals them out; 0: equal parts.
-	Deal time.Duration
+	// PledgeDuration is how long a node does without what it lends of cold servers' budgets; 0: nodes lend nothing, and their shares are equal.
+	PledgeDuration time.Duration
 }
 
 // sim is a day while it is played.
 type sim struct {
-	day     *Day
-	rng     *rand.Rand
-	now     time.Duration
-	seq     uint64
-	queue   events
-	nodes   []*node
-	members []*member
-	lastID  policy.ServerID
-	result  *Result
-	seconds []struct{ earned, wanted float64 }
-	with    MakeDecider
-	seed    uint64
-	dealer  *owner.Dealer
+	day       *Day
+	rng       *rand.Rand
+	now       time.Duration
+	seq       uint64
+	queue     events
+	nodes     []*node
+	members   []*member
+	lastID    policy.ServerID
+	result    *Result
+	seconds   []struct{ earned, wanted float64 }
+	with      MakeDecider
+	seed      uint64
+	allocator *owner.Allocator
 }
 
 // node hosts a Decider.
@@ -138,8 +138,8 @@
 	for class := range day.Classes {
 		s.arrive(class)
 	}
-	if day.Deal > 0 {
-		s.dealer = owner.NewDealer(1, s.lendTerms())
+	if day.PledgeDuration > 0 {
+		s.allocator = owner.NewAllocator(1, s.lendingConfig())
 	}
 	for i := range day.Troubles {
 		s.post(event{at: day.Troubles[i].From, kind: evTrouble, index: i})
--- a/internal/fleetsim/lend.go
+++ b/internal/fleetsim/lend.go
@@ -7,60 +7,65 @@
 	"yokestall/internal/fleet/owner"
 )
 
-// lending is a node's side of the dealing out of cold servers' budgets.
+// lending is a node's side of the lending of cold servers' budgets.
 type lending struct {
-	share  *owner.Share
-	taken  int64 // requests
-	before int64 // of them at the last trade
-	demand float64
-	looks  uint64
+	share          *owner.Share
+	requests       int64 // of clients, since the node's start
+	requestsBefore int64 // at the last request to the owner
+	demand         float64
+	updates        uint64 // of the node's share
 }
 
 const (
-	looksATrade = 4   // a node looks at its part between trades, since loans end
-	demandKeep  = 0.5 // weight of what was known of the demand
+	updatesPerRequest = 4   // updates of a node's share for each request to the owner, since loans end in between
+	demandSmoothing   = 0.5 // weight of the earlier demand in the moving average
 )
 
-// parter is a Decider that can be told its part of cold servers' budgets.
-type parter interface{ Part(part float64) }
+// shareSetter is a Decider that can be told its share of cold servers' budgets.
+type shareSetter interface{ Part(part float64) }
 
-func (s *sim) lendTerms() owner.Terms { return owner.Terms{Pledge: s.day.Deal, Drift: 0.01} }
+func (s *sim) lendingConfig() owner.LendingConfig {
+	return owner.LendingConfig{PledgeDuration: s.day.PledgeDuration, MaxClockDrift: 0.01}
+}
 
-// lendFrom starts a node's lending, in one of its lives.
-func (n *node) lendFrom() {
-	if n.day.Deal > 0 {
-		n.lending = lending{share: owner.NewShare(n.now, n.lendTerms())}
-		n.post(event{at: n.now, kind: evPart, node: n, token: n.starts})
+// startLending starts a node's lending after each of its starts.
+func (n *node) startLending() {
+	if n.day.PledgeDuration > 0 {
+		n.lending = lending{share: owner.NewShare(n.now, n.lendingConfig())}
+		n.post(event{at: n.now, kind: evUpdateShare, node: n, token: n.starts})
 	}
 }
 
-// lend is a step of the dealing.
-func (s *sim) lend(e *event) {
+// stepLending handles the events of lending.
+func (s *sim) stepLending(e *event) {
 	n := e.node
 	switch {
-	case e.kind == evTrade:
-		s.post(event{at: s.now + s.delay(), kind: evDeal, node: n, token: e.token, deal: s.dealer.Trade(s.now, e.trade)})
-		return
-	case n.down || n.starts != e.token: // of a life that is over
-		return
-	case e.kind == evDeal:
-		n.share.Dealt(s.now, e.deal)
-		return
+	case e.kind == evShareRequest:
+		s.post(event{at: s.now + s.delay(), kind: evShareReply, node: n, token: e.token, reply: s.allocator.Allocate(s.now, e.request)})
+	case n.down || n.starts != e.token: // for an earlier start
+	case e.kind == evShareReply:
+		n.share.HandleReply(s.now, e.reply)
+	default:
+		n.updateShare()
 	}
-	terms := s.lendTerms()
-	step := terms.Renew() / looksATrade
-	home := 1 / float64(s.day.Nodes)
-	if n.looks++; n.looks%looksATrade == 0 {
-		n.demand = demandKeep*n.demand + (1-demandKeep)*float64(n.taken-n.before)/terms.Renew().Seconds()
-		n.before = n.taken
-		t := n.share.Trade(s.now, home, n.demand)
-		t.Node, t.Life = fmt.Sprint(n.set.Node), fmt.Sprint(n.starts)
-		s.post(event{at: s.now + s.delay(), kind: evTrade, node: n, token: e.token, trade: t})
+}
+
+// updateShare tells a node's decider its share, and asks the owner for another one at each updatesPerRequest-th time.
+func (n *node) updateShare() {
+	interval := n.lendingConfig().RenewInterval()
+	step := interval / updatesPerRequest
+	own := 1 / float64(n.day.Nodes)
+	if n.updates++; n.updates%updatesPerRequest == 0 {
+		n.demand = demandSmoothing*n.demand + (1-demandSmoothing)*float64(n.requests-n.requestsBefore)/interval.Seconds()
+		n.requestsBefore = n.requests
+		request := n.share.NextRequest(n.now, own, n.demand)
+		request.Node, request.Incarnation = fmt.Sprint(n.set.Node), fmt.Sprint(n.starts)
+		n.post(event{at: n.now + n.delay(), kind: evShareRequest, node: n, token: n.starts, request: request})
 	}
-	if d, ok := n.decider.(parter); ok {
-		d.Part(n.share.Part(s.now, s.now+2*step, home) * float64(s.day.Nodes))
+	if d, ok := n.decider.(shareSetter); ok {
+		d.Part(n.share.Usable(n.now, n.now+2*step, own) * float64(n.day.Nodes))
 	}
-	if s.now < s.day.Length+time.Minute {
-		s.post(event{at: s.now + step, kind: evPart, node: n, token: e.token})
+	if n.now < n.day.Length+time.Minute {
+		n.post(event{at: n.now + step, kind: evUpdateShare, node: n, token: n.starts})
 	}
 }
--- a/internal/fleetsim/nodes.go
+++ b/internal/fleetsim/nodes.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	n.tell(func() { n.decider.Members(n.now, policy.ListFull, n.list()) })
-	n.lendFrom()
+	n.startLending()
 	return nil
 }
 
--- a/internal/fleetsim/requests.go
+++ b/internal/fleetsim/requests.go
@@ -48,7 +48,7 @@
 
 // take begins a client's try at the node.
 func (n *node) take(k *call) {
-	n.taken++
+	n.requests++
 	c := &n.day.Classes[k.class]
 	n.lastID++
 	t := &try{call: k, node: n, id: n.lastID, end: n.now + c.Deadline}
