--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -53,7 +53,9 @@
 	var p Program
 	var found []error
 	report := func(table string, index int, key, format string, args ...any) {
-		found = append(found, fmt.Errorf("%s %d: %s: %s", table, index+1, key, fmt.Sprintf(format, args...)))
+		if len(found) < maxFaults {
+			found = append(found, fmt.Errorf("%s %d: %s: %s", table, index+1, key, fmt.Sprintf(format, args...)))
+		}
 	}
 	if len(f.Class) > 0 {
 		p.classes(&f, report)
@@ -123,8 +125,13 @@
 func (p *Program) tenants(f *tenantTables, report reporter) {
 	if n := len(f.Tenant); n > MaxTenants {
 		report("tenant", -1, "", "%d tenants; %d at most", n, MaxTenants)
+		return
+	}
+	if len(f.Tenant) == 0 {
+		return
 	}
-	seen, certified := map[string]bool{}, map[string]bool{}
+	p.Tenants = make([]Tenant, 0, len(f.Tenant))
+	seen, certified := make(map[string]bool, len(f.Tenant)), map[string]bool{}
 	for i, t := range f.Tenant {
 		switch {
 		case t.Name == "" || len(t.Name) > cluster.MaxName:
--- a/internal/config/clusters.go
+++ b/internal/config/clusters.go
@@ -9,6 +9,7 @@
 	"regexp"
 	"strconv"
 	"strings"
+	"sync"
 
 	"yokestall/internal/cluster"
 )
@@ -150,16 +151,16 @@
 		return nil, nil, &cluster.Problem{Source: file.Name, Line: bytes.Count(file.Text, []byte("\n")) + 1, Text: "is not whole: " +
 			`the last lines have to be "[end]" and "endpoints = N"`}
 	}
-	if err := decode(file.Name, file.Text, &f); err != nil {
+	if err := decode(file.Name, file.Text, &f, clusterLimits); err != nil {
 		return nil, nil, err
 	}
 	c := &cluster.Cluster{Name: f.Cluster.Name, Source: file.Name, ShrinkTo: -1}
-	l := newLines(file.Text)
+	l := sync.OnceValue(func() lines { return newLines(file.Text) })
 	at := func(index int, field string) int {
 		if index < 0 {
-			return l.of("cluster", 0, field)
+			return l().of("cluster", 0, field)
 		}
-		return l.of("endpoint", index, field)
+		return l().of("endpoint", index, field)
 	}
 	if c.Name == "" {
 		c.Name = strings.TrimSuffix(path.Base(file.Name), ".toml")
@@ -181,7 +182,7 @@
 	if t := f.Cluster.TLS; t != nil {
 		for _, pin := range t.Pins {
 			if sum, err := base64.StdEncoding.DecodeString(pin); err != nil || len(sum) != 32 {
-				return nil, nil, &cluster.Problem{Source: file.Name, Line: l.of("cluster.tls", 0, "pins"), Field: "pins", Text: fmt.Sprintf("%q is no SHA-256 in base 64", pin)}
+				return nil, nil, &cluster.Problem{Source: file.Name, Line: l().of("cluster.tls", 0, "pins"), Field: "pins", Text: fmt.Sprintf("%q is no SHA-256 in base 64", pin)}
 			}
 		}
 		c.Transport.TLS = &cluster.TLS{Name: t.Name, Roots: t.Roots, Certificate: t.Certificate, Pins: t.Pins}
@@ -197,7 +198,7 @@
 		if n != nil {
 			text = fmt.Sprintf("says %d, ", *n) + text
 		}
-		return nil, nil, &cluster.Problem{Source: file.Name, Line: l.of("end", 0, "endpoints"), Field: "end: endpoints", Text: text}
+		return nil, nil, &cluster.Problem{Source: file.Name, Line: l().of("end", 0, "endpoints"), Field: "end: endpoints", Text: text}
 	}
 	for i, e := range f.Endpoint {
 		health, err := cluster.ParseHealth(e.Health)
@@ -233,7 +234,11 @@
 	}
 	var found []error
 	clusters := map[string]*cluster.Cluster{}
+	servers := 0
 	for i, name := range names {
+		if len(found) >= maxFaults {
+			break
+		}
 		c, err := parse(i)
 		if err != nil {
 			found = append(found, err)
@@ -243,6 +248,9 @@
 			found = append(found, &cluster.Problem{Source: name, Text: fmt.Sprintf("cluster %s is %s's too", c.Name, first.Source)})
 			continue
 		}
+		if servers += len(c.Endpoints); servers > MaxServers {
+			return nil, &cluster.Problem{Source: name, Text: fmt.Sprintf("over %d servers in all clusters together", MaxServers)}
+		}
 		clusters[c.Name] = c
 	}
 	if len(found) > 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,7 +19,8 @@
 	MaxFile    = 16 << 20 // bytes of one file
 	MaxFiles   = 1000     // cluster files
 	MaxClasses = 64
-	MaxTenants = 1000
+	MaxTenants = 250_000
+	MaxServers = 100_000 // over all clusters of a version
 )
 
 // MaxListeners is how many listeners a program has at most.
@@ -330,7 +331,7 @@
 	f.XDS.Variant, f.XDS.Clusters, f.XDS.MaxMessage = "incremental", "all", 64
 	f.Fleet.ColdFrom, f.Fleet.ColdFor.Duration = d.Rules.ColdFrom, d.Rules.ColdFor
 	f.Fleet.FallMultiple, f.Fleet.FallFor.Duration = d.Rules.FallMultiple, d.Rules.FallFor
-	if err := decode(name, text, &f); err != nil {
+	if err := decode(name, text, &f, programLimits); err != nil {
 		return nil, err
 	}
 	report, faults := Reporter(name, text)
@@ -400,7 +401,7 @@
 	if len(p.Hosts) > 0 {
 		var err error
 		if p.Table, err = route.Compile(p.Hosts); err != nil {
-			return nil, &cluster.Problem{Source: name, Text: err.Error()}
+			return nil, &cluster.Problem{Source: name, Text: shortenLines(err.Error())}
 		}
 	}
 	return p, nil
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -7,6 +7,7 @@
 	"regexp"
 	"strconv"
 	"strings"
+	"sync"
 	"time"
 	"unicode/utf8"
 
@@ -25,7 +26,7 @@
 }
 
 // decode reads TOML strictly: a key that nobody knows is a mistake.
-func decode(name string, text []byte, to any) error {
+func decode(name string, text []byte, to any, limits tableLimits) error {
 	switch {
 	case len(text) > MaxFile:
 		return &cluster.Problem{Source: name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
@@ -43,6 +44,9 @@
 		}
 		return &cluster.Problem{Source: name, Line: line, Text: "is not UTF-8"}
 	}
+	if err := survey(name, text, to, limits); err != nil {
+		return err
+	}
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	err := d.Decode(to)
@@ -53,25 +57,25 @@
 	if errors.As(err, &strict) {
 		var found []error
 		for i := range strict.Errors {
-			if i == 20 {
+			if i == maxFaults {
 				break
 			}
 			e := &strict.Errors[i]
 			line, _ := e.Position()
 			found = append(found, &cluster.Problem{
-				Source: name, Line: line, Field: strings.Join(e.Key(), "."), Text: "is no known key",
+				Source: name, Line: line, Field: shorten(strings.Join(e.Key(), ".")), Text: "is no known key",
 			})
 		}
 		return errors.Join(found...)
 	}
-	p := &cluster.Problem{Source: name, Text: strings.TrimPrefix(err.Error(), "toml: ")}
+	p := &cluster.Problem{Source: name, Text: shorten(strings.TrimPrefix(err.Error(), "toml: "))}
 	if m := wrongType.FindStringSubmatch(p.Text); m != nil { // the library goes on with our own types
 		p.Text = "can't be a " + m[1]
 	}
 	var where *toml.DecodeError
 	if errors.As(err, &where) {
 		p.Line, _ = where.Position()
-		p.Field = strings.Join(where.Key(), ".")
+		p.Field = shorten(strings.Join(where.Key(), "."))
 	}
 	return p
 }
@@ -79,15 +83,18 @@
 var wrongType = regexp.MustCompile(`^cannot decode TOML (\w+) into `)
 
 // Decode reads TOML strictly into a value; what is wrong is told by file and line.
-func Decode(name string, text []byte, to any) error { return decode(name, text, to) }
+func Decode(name string, text []byte, to any) error { return decode(name, text, to, nil) }
 
 // Reporter collects what is wrong with a file's content, by the line of a table's key. index counts
-// tables of the same name from 0; below 0: there is one. Err gives all of it.
+// tables of the same name from 0; below 0: there is one. Err gives all of it, up to maxFaults.
 func Reporter(name string, text []byte) (report func(table string, index int, key, format string, args ...any), err func() error) {
 	var found []error
-	lines := newLines(text)
+	lines := sync.OnceValue(func() lines { return newLines(text) })
 	report = func(table string, index int, key, format string, args ...any) {
-		p := &cluster.Problem{Source: name, Line: lines.of(table, index, key), Text: fmt.Sprintf(format, args...)}
+		if len(found) == maxFaults {
+			return
+		}
+		p := &cluster.Problem{Source: name, Line: lines().of(table, index, key), Text: shorten(fmt.Sprintf(format, args...))}
 		if p.Field = table; index >= 0 {
 			p.Field += " " + strconv.Itoa(index+1)
 		}
@@ -112,11 +119,11 @@
 func (l lines) of(table string, index int, key string) int {
 	found, inside, n := 0, false, -1
 	for i, line := range l.text {
-		if m := tableLine.FindStringSubmatch(line); m != nil {
+		if name, ok := tableOf(line); ok {
 			if inside {
 				return found
 			}
-			if m[1] == table {
+			if name == table {
 				n++
 				if inside = n == max(0, index); inside {
 					found = i + 1
@@ -134,4 +141,16 @@
 	return found
 }
 
+// tableOf gives the table that a line begins.
+func tableOf(line string) (name string, ok bool) {
+	if line = strings.TrimSpace(line); !strings.HasPrefix(line, "[") {
+		return "", false
+	}
+	m := tableLine.FindStringSubmatch(line)
+	if m == nil {
+		return "", false
+	}
+	return m[1], true
+}
+
 var tableLine = regexp.MustCompile(`^\s*\[+\s*([A-Za-z0-9_.]+)\s*\]+`)
--- /dev/null
+++ b/internal/config/size_test.go
@@ -0,0 +1,77 @@
+package config
+
+import (
+	"fmt"
+	"runtime"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// sizedProgram is a program's file with so many tenants.
+func sizedProgram(tenants int) string {
+	var b strings.Builder
+	b.WriteString(smallProgram)
+	for t := range tenants {
+		fmt.Fprintf(&b, "[[tenant]]\nname = \"tenant-%06d\"\nquota_per_s = 20\n", t)
+	}
+	return b.String()
+}
+
+const smallProgram = `[listen]
+address = "127.0.0.1:0"
+[files]
+clusters = "clusters"
+[[class]]
+name = "read"
+effect = "safe"
+deadline = "1s"
+[[host]]
+[[host.route]]
+prefix = "/"
+class = "read"
+cluster = "rooms"
+`
+
+// BenchmarkParseProgram gives a program's time and allocations by its tenants, and what stays of them.
+func BenchmarkParseProgram(b *testing.B) {
+	for _, tenants := range []int{1000, 140_000, MaxTenants} {
+		text := []byte(sizedProgram(tenants))
+		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
+			b.ReportAllocs()
+			b.SetBytes(int64(len(text)))
+			var p *Program
+			var err error
+			before := processor()
+			for b.Loop() {
+				if p, err = ParseProgram("x.toml", text); err != nil {
+					b.Fatal(err)
+				}
+			}
+			b.StopTimer()
+			b.ReportMetric(float64((processor()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
+			with := heap()
+			runtime.KeepAlive(p)
+			p = nil
+			b.ReportMetric(float64(with-heap()), "kept-B")
+		})
+	}
+}
+
+// processor gives the processor time of the process.
+func processor() time.Duration {
+	var u syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+		return 0
+	}
+	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+}
+
+func heap() int64 {
+	runtime.GC()
+	runtime.GC()
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	return int64(m.HeapAlloc)
+}
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -35,7 +35,7 @@
 			`the last lines have to be "[end]" and "tenants = N"`}
 	}
 	var f tenantsFile
-	if err := decode(file.Name, file.Text, &f); err != nil {
+	if err := decode(file.Name, file.Text, &f, tenantLimits); err != nil {
 		return nil, err
 	}
 	report, faults := Reporter(file.Name, file.Text)
--- a/internal/files/change.go
+++ b/internal/files/change.go
@@ -77,6 +77,14 @@
 			return nil, nil, err
 		}
 	}
+	servers := 0
+	for _, c := range out {
+		servers += len(c.Endpoints)
+	}
+	if servers > config.MaxServers {
+		f := changes[len(changes)-1]
+		return nil, nil, &cluster.Problem{Source: f.Name, Text: fmt.Sprintf("over %d servers in all clusters together", config.MaxServers)}
+	}
 	return out, lists, nil
 }
 
--- /dev/null
+++ b/internal/files/limits_test.go
@@ -0,0 +1,132 @@
+package files
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"testing"
+
+	"yokestall/internal/config"
+)
+
+// allocated gives the bytes that an operation allocates.
+func allocated(operation func()) uint64 {
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	operation()
+	runtime.ReadMemStats(&after)
+	return after.TotalAlloc - before.TotalAlloc
+}
+
+// manyServers is a cluster file of so many servers.
+func manyServers(n int) string {
+	var b strings.Builder
+	b.WriteString("[cluster]\n")
+	for i := range n {
+		fmt.Fprintf(&b, "[[endpoint]]\nid = \"s%06d\"\naddress = \"10.%d.%d.%d:80\"\n", i, i>>16, i>>8&255, i&255)
+	}
+	fmt.Fprintf(&b, "[end]\nendpoints = %d\n", n)
+	return b.String()
+}
+
+// Files that are too much are told with their place and the limit, at the cost of reading one file at most, and the version in
+// force goes on.
+func TestTooMuch(t *testing.T) {
+	for name, tc := range map[string]struct {
+		change func(f *folder, tenants, text string)
+		want   string
+		bytes  uint64
+	}{
+		"10 million tenants": {func(f *folder, tenants, _ string) {
+			must(f.t, os.Truncate(tenants, 590_000_000))
+		}, "tenants.toml: 590000000 bytes; 16777216 at most", 1 << 20},
+		"400,000 tenants": {func(f *folder, tenants, _ string) {
+			f.put(tenants, strings.Repeat("[[tenant]]\nname = \"a\"\n", 400_000)+"[end]\ntenants = 400000\n")
+		}, "tenants.toml:500001: tenant: over 250000 tenants", 20 << 20},
+		"1,000,000 routes": {func(f *folder, _, text string) {
+			f.put(f.path, text+"[[host]]\ndomains = [\"x\"]\nroute = ["+strings.Repeat("{path=\"/\"},", 1_000_000)+"]\n")
+		}, "yokestall.toml: over 1000000 commas and braces of lists and inline tables", 24 << 20},
+		"200,000 routes": {func(f *folder, _, text string) {
+			f.put(f.path, text+strings.Repeat("[[host.route]]\nprefix = \"/a\"\nclass = \"read\"\ncluster = \"rooms\"\n", 200_000))
+		}, "host.route: over 20000 routes", 24 << 20},
+		"150,000 servers": {func(f *folder, _, _ string) { f.put(f.rooms(), manyServers(150_000)) },
+			"rooms.toml:60002: endpoint: over 20000 servers", 20 << 20},
+		"5,000 clusters": {func(f *folder, _, _ string) {
+			for i := range 5000 {
+				f.put(filepath.Join(f.dir, fmt.Sprintf("c%04d.toml", i)), "")
+			}
+		}, "over 1000 files", 4 << 20},
+		"too many bytes in all": {func(f *folder, _, _ string) {
+			for i := range 5 {
+				name := filepath.Join(f.dir, fmt.Sprintf("z%d.toml", i))
+				f.put(name, "")
+				must(f.t, os.Truncate(name, 15<<20))
+			}
+		}, "z4.toml: all files together have over 67108864 bytes", 70 << 20},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f, tenants, text := withTenants(t, 5)
+			r := rest(f)
+			before := r.w.current
+			tick(t)
+			tc.change(f, tenants, text)
+			var s *Snapshot
+			bytes := allocated(func() { s = r.poll() })
+			if s != nil || r.w.current != before {
+				t.Fatal("it is taken")
+			}
+			if err := r.w.verdict.err; err == nil || !strings.Contains(err.Error(), tc.want) {
+				t.Fatalf("error %.300v, want %q", err, tc.want)
+			}
+			if bytes > tc.bytes {
+				t.Errorf("%d bytes are allocated, %d at most", bytes, tc.bytes)
+			}
+			r.poll()
+			if n := strings.Count(f.logs.String(), tc.want); n != 1 {
+				t.Errorf("logged %d times", n)
+			}
+		})
+	}
+}
+
+// Versions of a fleet have the same limits, also where changes lead over them.
+func TestUnbundleTooMuch(t *testing.T) {
+	program := config.File{Name: ProgramPart, Text: []byte(bundled)}
+	list := []config.File{program}
+	for i := range config.MaxServers / 20_000 {
+		list = append(list, config.File{Name: fmt.Sprintf("c%d.toml", i), Text: []byte(manyServers(20_000))})
+	}
+	var p Parser
+	s, err := p.Unbundle(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	more := config.File{Name: ChangePart("d", 0), Text: []byte("[cluster]\nname = \"d\"\nchange = true\n[[endpoint]]\nid = \"x\"\naddress = \"10.9.9.9:80\"\n[end]\nendpoints = 1\n")}
+	one := config.File{Name: "d.toml", Text: []byte("[cluster]\n[[endpoint]]\nid = \"a\"\naddress = \"10.9.9.8:80\"\n[end]\nendpoints = 1\n")}
+	if _, err := p.Unbundle(append(list, one)); err == nil || !strings.Contains(err.Error(), "d.toml: over 100000 servers in all") {
+		t.Errorf("one server more: %v", err)
+	}
+	none := config.File{Name: "d.toml", Text: []byte("[cluster]\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n")}
+	if s, err = p.Unbundle(append(list, none)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := p.Change(s.Version.Clusters, []config.File{more}); err == nil || !strings.Contains(err.Error(), "d+0001: over 100000 servers in all") {
+		t.Errorf("one server more by a change: %v", err)
+	}
+	many := []config.File{program}
+	for i := range 10 * planClusters {
+		many = append(many, config.File{Name: fmt.Sprintf("c%d.toml", i), Text: []byte(roomsList)})
+	}
+	bytes := allocated(func() { _, err = Unbundle(many) })
+	if err == nil || !strings.Contains(err.Error(), "5000 cluster files; 1000 at most") {
+		t.Errorf("ten times the clusters: %v", err)
+	}
+	if bytes > 8<<20 {
+		t.Errorf("%d bytes are allocated", bytes)
+	}
+	if again, err := p.Unbundle(append(list, none)); err != nil || again.Version.Clusters["c0"] != s.Version.Clusters["c0"] {
+		t.Errorf("the version before is parsed anew: %v", err)
+	}
+}
