--- a/internal/fleet/agree/contradict.go
+++ b/internal/fleet/agree/contradict.go
@@ -173,19 +173,22 @@
 func (d *differ) routes(from, to *config.Program) {
 	differingRoutes(from, to, func(host string, a, b []route.Route, same int) {
 		kind := RouteOfSafe
-		if keyed(from, a) || keyed(to, b) {
+		if anyUnsafe(from, a) || anyUnsafe(to, b) {
 			kind = RouteOfKeys
 		}
 		d.list = append(d.list, Difference{kind, host, fmt.Sprint(same+len(a), " routes"), fmt.Sprintf("%d, from the %d. on others", same+len(b), same+1), d.table[kind].Contradicts})
 	})
 }
 
-// keyed tells whether any of the routes leads to a class that is not safe.
-func keyed(p *config.Program, routes []route.Route) bool {
-	return slices.ContainsFunc(routes, func(r route.Route) bool {
-		at := p.Class(r.Class)
-		return at >= 0 && p.Classes[at].Effect != policy.Safe
-	})
+// anyUnsafe reports whether any of the routes leads to a class that is not safe.
+func anyUnsafe(p *config.Program, routes []route.Route) bool {
+	return slices.ContainsFunc(routes, func(r route.Route) bool { return isUnsafe(p, r.Class) })
+}
+
+// isUnsafe reports whether a program has a class that is not safe by a name.
+func isUnsafe(p *config.Program, class string) bool {
+	at := p.Class(class)
+	return at >= 0 && p.Classes[at].Effect != policy.Safe
 }
 
 func (d *differ) clusters(from, to map[string]*cluster.Cluster) {
--- a/internal/fleet/agree/log.go
+++ b/internal/fleet/agree/log.go
@@ -186,21 +186,27 @@
 		m.Contradicts = false // there is nothing that it could contradict
 	}
 	s.History = append(s.History, m)
+	s.trimHistory()
+	if m.Contradicts {
+		s.PendingVersion, s.EpochAcks = m.Number, nil
+		return
+	}
+	s.ActiveVersion, s.EpochVersions = m.Number, append(s.EpochVersions, m.Number)
+}
+
+// trimHistory drops old versions until the history is within its limits.
+func (s *State) trimHistory() {
+	newest := s.LastNumber
 	parts := 0
 	for i := range s.History {
 		parts += len(s.History[i].Parts)
 	}
 	for len(s.History) > MaxHistory || parts > maxParts {
-		gone := s.dropOldestVersion(m.Number)
-		if parts -= gone; gone == 0 {
-			break
+		dropped := s.dropOldestVersion(newest)
+		if parts -= dropped; dropped == 0 {
+			return
 		}
 	}
-	if m.Contradicts {
-		s.PendingVersion, s.EpochAcks = m.Number, nil
-		return
-	}
-	s.ActiveVersion, s.EpochVersions = m.Number, append(s.EpochVersions, m.Number)
 }
 
 // dropOldestVersion removes the oldest version that nobody may act on, other than the newest, and returns how many parts it had.
@@ -247,27 +253,34 @@
 	if err := json.Unmarshal(data, e); err != nil {
 		return nil, err
 	}
-	set := 0
-	for _, there := range []bool{e.Propose != nil, e.EpochAck != nil, e.Refusal != nil, e.Assignment != nil, e.TaskRelease != nil, e.Release != nil, e.ReleaseUpdate != nil} {
-		if there {
-			set++
-		}
-	}
-	if set != 1 {
-		return nil, fmt.Errorf("%d kinds of entry in one", set)
+	if kinds := e.kinds(); kinds != 1 {
+		return nil, fmt.Errorf("%d kinds of entry in one", kinds)
 	}
-	if m := e.Propose; m != nil {
-		return e, m.Check()
-	}
-	if e.Release != nil {
+	switch {
+	case e.Propose != nil:
+		return e, e.Propose.Check()
+	case e.Release != nil:
 		return e, e.Release.Check()
-	}
-	if o := e.Assignment; o != nil && (o.Task == "" || o.Node == "" || len(o.Task) > MaxName || len(o.Node) > MaxName || len(o.Incarnation) > MaxName) {
-		return nil, fmt.Errorf("own: a work, a node and a life of at most %d bytes", MaxName)
+	case e.Assignment != nil:
+		if err := e.Assignment.check(); err != nil {
+			return nil, err
+		}
 	}
 	return e, nil
 }
 
+// kinds returns how many fields of an entry are set.
+func (e *Entry) kinds() (set int) {
+	for _, isSet := range []bool{
+		e.Propose != nil, e.EpochAck != nil, e.Refusal != nil, e.Assignment != nil, e.TaskRelease != nil, e.Release != nil, e.ReleaseUpdate != nil,
+	} {
+		if isSet {
+			set++
+		}
+	}
+	return set
+}
+
 // Check validates a manifest.
 func (m *Manifest) Check() error {
 	if m.ID == "" || len(m.ID) > MaxName || len(m.Proposer) > MaxName {
--- a/internal/fleet/agree/stricter.go
+++ b/internal/fleet/agree/stricter.go
@@ -1,6 +1,7 @@
 package agree
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"reflect"
@@ -71,7 +72,7 @@
 		e := *a
 		switch {
 		case !e.Serves():
-		case b == nil || !b.Serves() || e.Address != b.Address || e.Zone != b.Zone || e.Cell != b.Cell:
+		case !servesAt(b, a):
 			e.Health = cluster.Draining
 		default:
 			e.Started = max(e.Started, b.Started)
@@ -81,6 +82,11 @@
 	return &out
 }
 
+// servesAt reports whether a server, which may be missing, is in use at the same place as another one.
+func servesAt(e, other *cluster.Endpoint) bool {
+	return e != nil && e.Serves() && e.Address == other.Address && e.Zone == other.Zone && e.Cell == other.Cell
+}
+
 // changedUnsafeRoutes returns the classes, other than safe ones, whose routes differ between two versions.
 func changedUnsafeRoutes(from, to *config.Program) map[string]bool {
 	out := map[string]bool{}
@@ -90,7 +96,7 @@
 			list []route.Route
 		}{{from, a}, {to, b}} {
 			for _, r := range of.list {
-				if at := of.p.Class(r.Class); at >= 0 && of.p.Classes[at].Effect != policy.Safe {
+				if isUnsafe(of.p, r.Class) {
 					out[r.Class] = true
 				}
 			}
@@ -133,6 +139,16 @@
 
 // AsStrict returns how acting on a could break a rule that b keeps; nil: it can't. It compares the rules alone, however a was made.
 func AsStrict(a EffectiveVersion, b *Version) error {
+	for _, laxer := range []func(a EffectiveVersion, b *Version) error{laxerClass, laxerRoute, laxerBudget, laxerServer} {
+		if err := laxer(a, b); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// laxerClass returns a class by which a may repeat requests, or drop keys, where b does not.
+func laxerClass(a EffectiveVersion, b *Version) error {
 	for i := range a.Program.Classes {
 		x := &a.Program.Classes[i]
 		at := b.Program.Class(x.Name)
@@ -147,37 +163,48 @@
 			return fmt.Errorf("class %s: keys are dropped more widely, or longer, than in the other", x.Name)
 		}
 	}
-	var laxer error
+	return nil
+}
+
+// laxerRoute returns a route of a class that is not safe in b, and that leads elsewhere there.
+func laxerRoute(a EffectiveVersion, b *Version) (err error) {
 	differingRoutes(a.Program, b.Program, func(host string, mine, theirs []route.Route, _ int) {
 		for _, r := range mine {
-			if at := b.Program.Class(r.Class); at >= 0 && b.Program.Classes[at].Effect != policy.Safe && a.Refused[r.Class] == "" {
-				laxer = fmt.Errorf("host %s: route %s of class %s leads elsewhere in the other", host, r.Name, r.Class)
+			if isUnsafe(b.Program, r.Class) && a.Refused[r.Class] == "" {
+				err = fmt.Errorf("host %s: route %s of class %s leads elsewhere in the other", host, r.Name, r.Class)
 			}
 		}
 	})
-	if laxer != nil {
-		return laxer
-	}
+	return err
+}
+
+// laxerBudget returns whether cold servers get more from a than from b.
+func laxerBudget(a EffectiveVersion, b *Version) error {
 	x, y := &a.Program.Rules, &b.Program.Rules
 	if a.Program.Nodes < b.Program.Nodes || x.ColdFrom > y.ColdFrom || x.ColdFor < y.ColdFor || x.FallMultiple > y.FallMultiple || x.FallFor > y.FallFor {
-		return fmt.Errorf("cold servers' budgets are wider than the other's")
+		return errors.New("cold servers' budgets are wider than the other's")
 	}
+	return nil
+}
+
+// laxerServer returns a server that is in use in a, and not in b, or not there, or that b takes for colder.
+func laxerServer(a EffectiveVersion, b *Version) (err error) {
 	for name, c := range a.Clusters {
 		if c == b.Clusters[name] {
 			continue
 		}
-		var other []cluster.Endpoint
-		if o := b.Clusters[name]; o != nil {
-			other = o.Endpoints
+		var others []cluster.Endpoint
+		if other := b.Clusters[name]; other != nil {
+			others = other.Endpoints
 		}
-		walk(c.Endpoints, other, func(e, o *cluster.Endpoint) {
+		walk(c.Endpoints, others, func(e, other *cluster.Endpoint) {
 			if e == nil || !e.Serves() {
 				return
 			}
-			if o == nil || !o.Serves() || o.Address != e.Address || o.Zone != e.Zone || o.Cell != e.Cell || e.Started < o.Started {
-				laxer = fmt.Errorf("server %s/%s: in use, and the other has it out, elsewhere or colder", name, e.ID)
+			if !servesAt(other, e) || e.Started < other.Started {
+				err = fmt.Errorf("server %s/%s: in use, and the other has it out, elsewhere or colder", name, e.ID)
 			}
 		})
 	}
-	return laxer
+	return err
 }
--- a/internal/fleet/agree/tasks.go
+++ b/internal/fleet/agree/tasks.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"fmt"
 	"hash/fnv"
 	"io"
 	"maps"
@@ -40,6 +41,14 @@
 	ExpectedToken uint64 `json:"seen"`
 }
 
+// check validates the names in an assignment.
+func (a *TaskAssignment) check() error {
+	if a.Task == "" || a.Node == "" || len(a.Task) > MaxName || len(a.Node) > MaxName || len(a.Incarnation) > MaxName {
+		return fmt.Errorf("own: a work, a node and a life of at most %d bytes", MaxName)
+	}
+	return nil
+}
+
 // TaskRelease is a voter's word that the former owner of a task no longer acts as its owner, by the leases that this voter granted.
 type TaskRelease struct {
 	Task          string `json:"work"`
--- a/internal/fleet/agree/voter.go
+++ b/internal/fleet/agree/voter.go
@@ -163,11 +163,7 @@
 // without a leader, so it has to be started again after a while.
 func (v *Voter) StartRead() uint64 {
 	v.readsStarted++
-	var of []byte // a leader tells the reads of all voters apart by this alone
-	for _, n := range []uint64{v.ID, v.Incarnation, v.readsStarted} {
-		of = binary.BigEndian.AppendUint64(of, n)
-	}
-	v.node.ReadIndex(of)
+	v.node.ReadIndex(v.readContext())
 	return v.readsStarted
 }
 
@@ -237,42 +233,77 @@
 // Advance records that the work is done and applies the entries that were committed. If it returns a snapshot, the log before it is no
 // longer needed, and the store may replace it by the snapshot at any later time.
 func (v *Voter) Advance(w ReadyWork) (*pb.Snapshot, error) {
+	if err := v.recordWork(w); err != nil {
+		return nil, err
+	}
+	v.answerReads(w.ready.ReadStates)
+	if err := v.apply(w.ready.CommittedEntries); err != nil {
+		return nil, err
+	}
+	v.node.Advance(w.ready)
+	return v.compact()
+}
+
+// recordWork adds to the voter's log in memory what was written to the disk.
+func (v *Voter) recordWork(w ReadyWork) error {
 	if w.Snapshot != nil {
 		if err := v.restore(w.Snapshot); err != nil {
-			return nil, err
+			return err
 		}
 	}
 	if w.HardState != nil {
 		if err := v.storage.SetHardState(w.HardState); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	if err := v.storage.Append(w.Entries); err != nil {
-		return nil, err
+	return v.storage.Append(w.Entries)
+}
+
+// The context of a linearizable read tells the reads of all voters apart. It is these numbers, one after the other.
+const (
+	readIncarnationAt = 8  // after the voter's id
+	readNumberAt      = 16 // of the voter's read
+)
+
+// readContext is the context of this voter's latest read.
+func (v *Voter) readContext() (context []byte) {
+	for _, n := range []uint64{v.ID, v.Incarnation, v.readsStarted} {
+		context = binary.BigEndian.AppendUint64(context, n)
 	}
-	for _, r := range w.ready.ReadStates {
-		life, n := binary.BigEndian.Uint64(r.RequestCtx[8:]), binary.BigEndian.Uint64(r.RequestCtx[16:])
-		if life == v.Incarnation && n > v.readsAnswered { // each answers those before it too
-			v.readsAnswered, v.readIndex = n, r.Index
+	return context
+}
+
+// answerReads records the answers to this voter's reads. Each answers the reads before it too.
+func (v *Voter) answerReads(answers []raft.ReadState) {
+	for _, r := range answers {
+		incarnation := binary.BigEndian.Uint64(r.RequestCtx[readIncarnationAt:])
+		number := binary.BigEndian.Uint64(r.RequestCtx[readNumberAt:])
+		if incarnation == v.Incarnation && number > v.readsAnswered {
+			v.readsAnswered, v.readIndex = number, r.Index
 		}
 	}
-	if len(w.ready.CommittedEntries) > 0 {
-		next := v.state.Clone() // those who were given the state keep theirs
-		for _, e := range w.ready.CommittedEntries {
-			if e.GetType() != pb.EntryNormal {
-				next.Index = e.GetIndex()
-				continue
-			}
-			if err := next.Apply(e.GetIndex(), e.Data, len(v.Voters())); err != nil {
-				return nil, err
-			}
+}
+
+// apply applies committed entries to a copy of the state, since callers of State may still use the old one.
+func (v *Voter) apply(entries []*pb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	next := v.state.Clone()
+	for _, e := range entries {
+		if e.GetType() != pb.EntryNormal {
+			next.Index = e.GetIndex()
+			continue
+		}
+		if err := next.Apply(e.GetIndex(), e.Data, len(v.Voters())); err != nil {
+			return err
 		}
-		v.state = next
 	}
-	v.node.Advance(w.ready)
-	return v.compact()
+	v.state = next
+	return nil
 }
 
+// compact returns a snapshot when enough entries have been applied since the last one, and drops older entries from memory.
 func (v *Voter) compact() (*pb.Snapshot, error) {
 	first, err := v.storage.FirstIndex()
 	if err != nil || v.state.Index < first+compactionInterval+compactionRetained {
