--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -80,36 +80,7 @@
 		Short: "Play days on sockets too, in real time, beside the same days in virtual time",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
-			held := true
-			for _, path := range paths {
-				e, err := experiment(path)
-				if err != nil {
-					return err
-				}
-				virtual, err := lab.Run(e, "virtual", fleetsim.Program, 1)
-				if err != nil {
-					return err
-				}
-				real, void, err := lab.Real(c.Context(), e, slog.New(slog.DiscardHandler))
-				if err != nil {
-					return err
-				}
-				fmt.Fprintln(out, e.Summary())
-				lab.Table(out, []*lab.Outcome{virtual, real})
-				for _, b := range real.Broken() {
-					fmt.Fprintln(out, "NOT HELD:", b)
-					held = false
-				}
-				if void {
-					fmt.Fprintln(out, "VOID: the load generator was late itself")
-				}
-				fmt.Fprintln(out)
-				held = held && !void
-			}
-			if !held {
-				return ErrReported
-			}
-			return nil
+			return each(paths, func(path string) (bool, error) { return playReal(c.Context(), out, path) })
 		},
 	}
 	var draw int
@@ -201,15 +172,39 @@
 	if err != nil {
 		return false, err
 	}
+	return printBeside(out, e, virtual, real, found, void), nil
+}
+
+// playReal plays one day on sockets; false: it does not hold what its file states, or the run says nothing.
+func playReal(ctx context.Context, out io.Writer, path string) (bool, error) {
+	e, err := experiment(path)
+	if err != nil {
+		return false, err
+	}
+	virtual, err := lab.Run(e, "virtual", fleetsim.Program, 1)
+	if err != nil {
+		return false, err
+	}
+	real, void, err := lab.Real(ctx, e, slog.New(slog.DiscardHandler))
+	if err != nil {
+		return false, err
+	}
+	held := printBeside(out, e, virtual, real, real.Broken(), void)
+	fmt.Fprintln(out)
+	return held, nil
+}
+
+// printBeside prints a day's outcome in real time beside that in virtual time, and whether the former holds.
+func printBeside[T any](out io.Writer, e *lab.Experiment, virtual, real *lab.Outcome, broken []T, void bool) (held bool) {
 	fmt.Fprintln(out, e.Summary())
 	lab.Table(out, []*lab.Outcome{virtual, real})
-	for _, f := range found {
-		fmt.Fprintln(out, "NOT HELD:", f)
+	for _, b := range broken {
+		fmt.Fprintln(out, "NOT HELD:", b)
 	}
 	if void {
 		fmt.Fprintln(out, "VOID: the load generator was late itself")
 	}
-	return len(found) == 0 && !void, nil
+	return len(broken) == 0 && !void
 }
 
 // sizes are what a day is played at, each with each.
--- a/internal/fleet/peers/client.go
+++ b/internal/fleet/peers/client.go
@@ -170,18 +170,12 @@
 }
 
 // describe returns a version's manifest from the first voter that has it, and the connection to that voter.
-func (c *Client) describe(ctx context.Context, number uint64) (*agree.Manifest, *Conn, error) {
-	last := error(ErrNoQuorum)
-	for _, conn := range c.conns {
-		one, stop := context.WithTimeout(ctx, statusTimeout)
-		m, err := conn.Describe(one, number)
-		stop()
-		if err == nil {
-			return m, conn, nil
-		}
-		last = err
-	}
-	return nil, nil, last
+func (c *Client) describe(ctx context.Context, number uint64) (m *agree.Manifest, from *Conn, err error) {
+	m, err = firstAnswer(ctx, slices.Values(c.conns), statusTimeout, ErrNoQuorum, func(ctx context.Context, conn *Conn) (*agree.Manifest, error) {
+		from = conn
+		return conn.Describe(ctx, number)
+	})
+	return m, from, err
 }
 
 // mergeChanges returns the files of a version with its changes, and a further one, applied to the lists.
--- a/internal/fleet/peers/release.go
+++ b/internal/fleet/peers/release.go
@@ -34,17 +34,9 @@
 
 // ControlRelease sends an operator's command to the first voter that answers.
 func (c *Client) ControlRelease(ctx context.Context, command ReleaseCommand) (*ReleaseReply, error) {
-	last := ErrNoQuorum
-	for _, conn := range c.conns {
-		one, stop := context.WithTimeout(ctx, publishTimeout+statusTimeout)
-		reply, err := call[ReleaseReply](one, conn, methodRelease, command)
-		stop()
-		if err == nil {
-			return reply, nil
-		}
-		last = err
-	}
-	return nil, last
+	return firstAnswer(ctx, slices.Values(c.conns), publishTimeout+statusTimeout, ErrNoQuorum, func(ctx context.Context, conn *Conn) (*ReleaseReply, error) {
+		return call[ReleaseReply](ctx, conn, methodRelease, command)
+	})
 }
 
 func (n *Node) serveReleaseCommand(ctx context.Context, command *ReleaseCommand) (*ReleaseReply, error) {
--- a/internal/fleet/peers/versions.go
+++ b/internal/fleet/peers/versions.go
@@ -134,19 +134,18 @@
 			return m, nil
 		}
 	}
-	last := fmt.Errorf("no voter has version %d", number)
-	for _, c := range n.conns {
-		one, stop := context.WithTimeout(ctx, manifestTimeout)
-		m, err := n.describeFrom(one, c, number)
-		stop()
-		if err == nil && m.Number == number {
-			return m, m.Check()
-		}
-		if err != nil {
-			last = err
+	noAnswer := fmt.Errorf("no voter has version %d", number)
+	m, err := firstAnswer(ctx, maps.Values(n.conns), manifestTimeout, noAnswer, func(ctx context.Context, c *Conn) (*agree.Manifest, error) {
+		m, err := n.describeFrom(ctx, c, number)
+		if err == nil && m.Number != number {
+			return nil, noAnswer
 		}
+		return m, err
+	})
+	if err != nil {
+		return nil, err
 	}
-	return nil, last
+	return m, m.Check()
 }
 
 // describeFrom asks a voter for a manifest. Of one that extends a known base, only the own parts are sent.
@@ -232,23 +231,20 @@
 	if data != nil {
 		return data, nil
 	}
-	last := fmt.Errorf("%s: no voter has its content", p.Name)
-	if err != nil { // a failed disk doesn't end service: the voters have the content
-		last = err
+	noAnswer := err // a failed disk doesn't end service: the voters have the content
+	if noAnswer == nil {
+		noAnswer = fmt.Errorf("%s: no voter has its content", p.Name)
 	}
-	for _, c := range n.conns {
-		one, stop := context.WithTimeout(ctx, contentTimeout)
-		data, err := c.Fetch(one, p)
-		stop()
-		if err == nil {
-			if err := n.storeContent(data); err != nil {
-				n.Log.Warn("content is not kept here", "file", p.Name, "err", err)
-			}
-			return data, nil
-		}
-		last = err
+	data, err = firstAnswer(ctx, maps.Values(n.conns), contentTimeout, noAnswer, func(ctx context.Context, c *Conn) ([]byte, error) {
+		return c.Fetch(ctx, p)
+	})
+	if err != nil {
+		return nil, err
+	}
+	if err := n.storeContent(data); err != nil {
+		n.Log.Warn("content is not kept here", "file", p.Name, "err", err)
 	}
-	return nil, last
+	return data, nil
 }
 
 func (n *Node) storeContent(data []byte) error {
--- a/internal/fleet/peers/wire.go
+++ b/internal/fleet/peers/wire.go
@@ -5,6 +5,8 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"iter"
+	"time"
 
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
@@ -214,6 +216,23 @@
 	return out, json.Unmarshal(back.GetValue(), out)
 }
 
+// firstAnswer calls ask for one connection after the other, each within a timeout, and returns the first answer without an error. Where there
+// is none, it returns the last error; noAnswer if there are no connections.
+func firstAnswer[T any](ctx context.Context, conns iter.Seq[*Conn], timeout time.Duration, noAnswer error, ask func(context.Context, *Conn) (T, error)) (T, error) {
+	last := noAnswer
+	for c := range conns {
+		one, stop := context.WithTimeout(ctx, timeout)
+		answer, err := ask(one, c)
+		stop()
+		if err == nil {
+			return answer, nil
+		}
+		last = err
+	}
+	var none T
+	return none, last
+}
+
 // Describe returns a version's manifest.
 func (c *Conn) Describe(ctx context.Context, number uint64) (*agree.Manifest, error) {
 	return call[agree.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number})
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -37,11 +37,7 @@
 		return nil, nil, false, err
 	}
 	r := &real{e: e, result: &fleetsim.Result{}, ids: map[uint64]int{}, rig: &fleet.Rig{}}
-	defer func() {
-		for _, b := range r.all {
-			b.Close()
-		}
-	}()
+	defer r.closeBoxes()
 	var servers []string
 	for i := range d.Servers {
 		if err := r.box(i, false); err != nil {
@@ -49,16 +45,13 @@
 		}
 		servers = append(servers, r.places[i].box.Addr)
 	}
-	if r.rig, err = fleet.NewRig(dir, d.Nodes, servers, append(command[:len(command):len(command)], "serve", "-c"), env); err != nil {
+	if r.rig, err = fleet.NewRig(dir, d.Nodes, servers, serveCommand(command), env); err != nil {
 		return nil, nil, false, err
 	}
 	defer r.rig.Close()
 	r.rig.News = r.deafen
 	for i, p := range r.rig.Processes {
-		if err := os.MkdirAll(filepath.Join(p.Dir, "clusters"), 0o700); err != nil {
-			return nil, nil, false, err
-		}
-		if err := os.WriteFile(p.Config(), []byte(e.program(p.Addr, i)), 0o600); err != nil {
+		if err := writeConfig(p, e.program(p.Addr, i)); err != nil {
 			return nil, nil, false, err
 		}
 	}
@@ -113,6 +106,19 @@
 	return &Outcome{Who: fmt.Sprint(d.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}, fleet.Judge(events, rules), report.Void, ctx.Err()
 }
 
+// serveCommand is the command that starts a process of the program with a configuration file.
+func serveCommand(command []string) []string {
+	return append(command[:len(command):len(command)], "serve", "-c")
+}
+
+// writeConfig writes a process's configuration file, beside an empty folder for its clusters.
+func writeConfig(p *fleet.Process, text string) error {
+	if err := os.MkdirAll(filepath.Join(p.Dir, "clusters"), 0o700); err != nil {
+		return err
+	}
+	return os.WriteFile(p.Config(), []byte(text), 0o600)
+}
+
 // script is the day's faults, with the deaths of nodes that virtual time knows too.
 func (e *Experiment) script() []fleet.Fault {
 	script := slices.Clone(e.Faults)
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -61,11 +61,7 @@
 		return nil, false, err
 	}
 	r := &real{e: e, result: &fleetsim.Result{}, ids: map[uint64]int{}}
-	defer func() {
-		for _, b := range r.all {
-			b.Close()
-		}
-	}()
+	defer r.closeBoxes()
 	for i := range d.Servers {
 		if err := r.box(i, false); err != nil {
 			return nil, false, err
@@ -106,6 +102,13 @@
 	return &Outcome{Who: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Void, ctx.Err()
 }
 
+// closeBoxes closes all servers that the run has started.
+func (r *real) closeBoxes() {
+	for _, b := range r.all {
+		b.Close()
+	}
+}
+
 func newTransport() *http.Transport { return &http.Transport{MaxIdleConnsPerHost: mostOpen} }
 
 // plan is the day's load.
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -11,7 +11,6 @@
 	"net/http"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"slices"
 	"strconv"
 	"strings"
@@ -94,7 +93,7 @@
 			b.Close()
 		}
 	}()
-	if r.rig, err = fleet.NewRig(dir, v.Nodes, nil, append(command[:len(command):len(command)], "serve", "-c"), env); err != nil {
+	if r.rig, err = fleet.NewRig(dir, v.Nodes, nil, serveCommand(command), env); err != nil {
 		return nil, err
 	}
 	defer r.rig.Close()
@@ -158,10 +157,7 @@
 		return err
 	}
 	for i, p := range r.rig.Processes {
-		if err := os.MkdirAll(filepath.Join(p.Dir, "clusters"), 0o700); err != nil {
-			return err
-		}
-		if err := os.WriteFile(p.Config(), []byte(r.file(i, 0)), 0o600); err != nil {
+		if err := writeConfig(p, r.file(i, 0)); err != nil {
 			return err
 		}
 		if i >= r.Voters {
