--- /dev/null
+++ b/internal/node/descriptors_test.go
@@ -0,0 +1,176 @@
+package node
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"yokestall/internal/registry"
+	"yokestall/internal/testkit"
+)
+
+// lostDiscovery is a registryStub that can fall silent: calls are taken, and nothing comes back.
+type lostDiscovery struct {
+	*registryStub
+	silent atomic.Bool
+	begun  chan struct{} // takes a token where a silent call begins
+}
+
+func newLostDiscovery(t *testing.T, list ...registry.Line) *lostDiscovery {
+	d := &lostDiscovery{registryStub: newRegistry(t, list...), begun: make(chan struct{}, 1)}
+	inner := d.Config.Handler
+	d.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if d.silent.Load() {
+			select {
+			case d.begun <- struct{}{}:
+			default:
+			}
+			<-r.Context().Done()
+			return
+		}
+		inner.ServeHTTP(w, r)
+	})
+	return d
+}
+
+// child is a node in a process of its own, whose descriptors the system bounds.
+type child struct {
+	*running
+	process *os.Process
+}
+
+func startChild(t *testing.T, mode, discovery string, sockets int) *child {
+	t.Helper()
+	folder := t.TempDir()
+	config, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
+		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets},
+		"settings": json.RawMessage(strings.Replace(settingsText, "pushed", mode, 1)),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(folder, "config.json")
+	if err := os.WriteFile(path, config, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	itself, env := testkit.Itself()
+	shell := []string{"-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets)}
+	cmd := exec.Command("/bin/sh", append(shell, itself...)...)
+	cmd.Env = append(append(os.Environ(), env...), "BALANCER_CONFIG="+path, "TMPDIR="+folder)
+	logs := testkit.NewLogs(t)
+	cmd.Stderr = logs
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		cmd.Process.Signal(syscall.SIGTERM)
+		cmd.Wait()
+	})
+	_, addr, _ := strings.Cut(strings.TrimSpace(logs.Wait("INFO serving")), "addr=")
+	n := &child{&running{t: t, addr: addr}, cmd.Process}
+	n.waitReadyAlone()
+	return n
+}
+
+// descriptors counts what the process has open.
+func (c *child) descriptors() int {
+	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.process.Pid))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return len(list)
+}
+
+// crowdIn has so many clients come, ask once or say nothing, and stay; whoever is closed comes again, until the end of
+// ctx. It counts those that the node has answered.
+func crowdIn(ctx context.Context, n *child, clients int, answered *atomic.Int64) (gone func()) {
+	var all sync.WaitGroup
+	for i := range clients {
+		all.Go(func() {
+			for ctx.Err() == nil {
+				nc, err := net.Dial("tcp", n.addr)
+				if err != nil {
+					return
+				}
+				unhook := context.AfterFunc(ctx, func() { nc.Close() })
+				if i%4 > 0 {
+					r := n.request([]string{"read", "pay"}[i%4%2]) // the one is answered, the other stands still
+					r.Write(nc)
+					if _, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil {
+						answered.Add(1)
+					}
+				}
+				io.Copy(io.Discard, nc) // until the node closes it
+				unhook()
+				nc.Close()
+			}
+		})
+	}
+	return all.Wait
+}
+
+// Idle clients fill the descriptors while discovery is away, and servers that stand still hold the others. At its
+// return the node reaches it all the same, and acts on what it tells: descriptors are kept for that. The system's own
+// bound is as tight as what the node was told.
+func TestCrowdWhileDiscoveryIsAway(t *testing.T) {
+	t.Parallel()
+	const sockets = 64
+	for _, mode := range []string{"pushed", "on_request"} {
+		t.Run(mode, func(t *testing.T) {
+			t.Parallel()
+			hold := make(chan struct{})
+			var list, drained []registry.Line
+			for i := range 12 { // as many as hold all connections that the node may have to servers
+				b := testkit.NewBackend(t, testkit.OK)
+				b.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+					if r.Method == http.MethodPost { // stands still
+						select {
+						case <-hold:
+						case <-r.Context().Done():
+						}
+					}
+					testkit.OK(w, r)
+				})
+				list = append(list, instanceAt(b, fmt.Sprint("s-", i)))
+				drained = append(drained, draining(list[i]))
+			}
+			fresh := testkit.NewBackend(t, testkit.OK)
+			d := newLostDiscovery(t, list...)
+			n := startChild(t, mode, d.Listener.Addr().String(), sockets)
+			d.silent.Store(true)
+			d.CloseClientConnections()
+			ctx, stop := context.WithCancel(t.Context())
+			var answered atomic.Int64
+			gone := crowdIn(ctx, n, 2*sockets, &answered)
+			defer gone()
+			defer close(hold)
+			defer stop()
+			testkit.Until(t, "the crowd to be in", func() bool { return answered.Load() > sockets })
+			testkit.Wait(t, d.begun, "a call that falls silent")
+			most := 0
+			testkit.Until(t, "the clients' part to be taken", func() bool {
+				most = max(most, n.descriptors())
+				return most >= sockets-ownDescriptors
+			})
+			d.silent.Store(false)
+			back := time.Now()
+			d.change(t, func() { d.list = append(drained, instanceAt(fresh, "s-new")) })
+			t.Logf("told %v after discovery's return, %d of %d descriptors were open at most", time.Since(back), most, sockets)
+			testkit.Wait(t, fresh.Got, "a request at the new server")
+		})
+	}
+}
