--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -112,7 +112,7 @@
 }
 
 // startFor is how long the fleet has to act on its first version.
-const startFor = time.Minute
+const startFor = 5 * time.Minute
 
 // begin publishes the first version and waits until all nodes act on it.
 func (w *player) begin(ctx context.Context) error {
