--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -24,7 +24,7 @@
 
 // labScale plays fleets of hollow nodes and measures what control costs.
 func labScale(out io.Writer) *cobra.Command {
-	to, check := "", ""
+	to, check, dir := "", "", ""
 	c := &cobra.Command{
 		Use:   "scale FILE",
 		Short: "Measure what control costs at several sizes: real voters and nodes, and hollow nodes that share processes",
@@ -41,10 +41,11 @@
 			if check != "" {
 				return checkPage(out, check)
 			}
-			return playScale(cmd.Context(), out, cmd.ErrOrStderr(), args[0], to)
+			return playScale(cmd.Context(), out, cmd.ErrOrStderr(), args[0], to, dir)
 		},
 	}
 	c.Flags().StringVar(&to, "out", "", "the `file` for the figures; without one only a summary is printed")
+	c.Flags().StringVar(&dir, "dir", "", "(the system's for temporary files) a `folder` for the nodes' stores; on one disk the writes of a thousand nodes wait for each other")
 	c.Flags().StringVar(&check, "check", "", "a `page` of figures")
 	return c
 }
@@ -60,7 +61,7 @@
 	return ErrReported
 }
 
-func playScale(ctx context.Context, out, progress io.Writer, path, to string) error {
+func playScale(ctx context.Context, out, progress io.Writer, path, to, parent string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -73,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp("", "yokestall-scale-")
+	dir, err := os.MkdirTemp(parent, "yokestall-scale-")
 	if err != nil {
 		return err
 	}
@@ -87,6 +88,9 @@
 	}
 	figures.Plan = filepath.ToSlash(path)
 	figures.Command = "yokestall lab scale " + figures.Plan
+	if parent != "" {
+		figures.Command += " --dir " + parent
+	}
 	figures.Print(out)
 	if to == "" {
 		return nil
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -28,6 +28,9 @@
 	MemoryMB int64  `json:"memory_mb"`
 	System   string `json:"system"`
 	Go       string `json:"go"`
+	// Stores is the kind of file system that the nodes' stores were on. All of them share it: on a disk their writes wait for each other, in memory
+	// (tmpfs) they cost nothing, and a node with a disk of its own is between the two.
+	Stores string `json:"stores,omitempty"`
 	// Load is the machine's load average over a minute before each size: others were at work beside the run.
 	Load []float64 `json:"load"`
 }
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -10,8 +10,6 @@
 	"path/filepath"
 	"runtime"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"yokestall/internal/files"
@@ -40,6 +38,9 @@
 		return nil, err
 	}
 	f.Machine.MemoryMB = memory >> 20
+	if f.Machine.Stores, err = fileSystem(o.Dir); err != nil {
+		return nil, err
+	}
 	if _, err := files.Unbundle(p.Content.bundle(2, first)); err != nil {
 		return nil, fmt.Errorf("%s: content: a node would refuse it: %w", p.Name, err)
 	}
@@ -56,28 +57,6 @@
 	return f, nil
 }
 
-// machineMemory gives the machine's memory.
-func machineMemory() (int64, error) {
-	text, err := os.ReadFile("/proc/meminfo")
-	if err != nil {
-		return 0, err
-	}
-	fields := strings.Fields(string(text))
-	if len(fields) < 2 {
-		return 0, errors.New("/proc/meminfo: says nothing")
-	}
-	kb, err := strconv.ParseInt(fields[1], 10, 64)
-	return kb << 10, err
-}
-
-// load gives the machine's load average over a minute; 0: it is not known.
-func load() float64 {
-	text, _ := os.ReadFile("/proc/loadavg")
-	first, _, _ := strings.Cut(string(text), " ")
-	v, _ := strconv.ParseFloat(first, 64)
-	return v
-}
-
 // player plays a plan's steps at a size.
 type player struct {
 	*rig
