--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -332,3 +332,15 @@
 		t.Error(err)
 	}
 }
+
+// Content that a node would refuse is refused before anything is started.
+func TestRefusedContent(t *testing.T) {
+	p, err := Parse("plan.toml", []byte(goodPlan+"[content]\ntenants = 1001\n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, err = Play(t.Context(), p, Options{Dir: t.TempDir(), Command: []string{"/nothing"}, Tell: t.Logf})
+	if err == nil || !strings.Contains(err.Error(), "content: a node would refuse it") || !strings.Contains(err.Error(), "1001 tenants; 1000 at most") {
+		t.Error(err)
+	}
+}
