--- a/internal/cli/release.go
+++ b/internal/cli/release.go
@@ -42,7 +42,7 @@
 		return nil, fail("at_once", fmt.Sprintf("%d is below 1", f.AtOnce))
 	}
 	r := &agree.Release{
-		ID: peers.NewID(), Cluster: f.Cluster, Waves: f.Waves, Floor: f.Floor, Drain: f.Drain.Duration, Away: f.Away.Duration, Warm: f.Warm.Duration,
+		ID: peers.NewID(), Cluster: f.Cluster, Waves: f.Waves, Floor: f.Floor, Drain: f.Drain.Duration, Restart: f.Away.Duration, Warm: f.Warm.Duration,
 	}
 	for left := f.Servers; len(left) > 0; {
 		n := min(f.AtOnce, len(left))
@@ -75,7 +75,7 @@
 			if id != "" {
 				r.ID = id
 			}
-			return f.control(cmd, peers.Control{Begin: r})
+			return f.control(cmd, peers.ReleaseCommand{Start: r})
 		},
 	}
 	c.Flags().StringVar(&id, "id", "", "of an earlier try: the same id again is the same release")
@@ -91,7 +91,7 @@
 			if word == "status" {
 				word = ""
 			}
-			return f.control(cmd, peers.Control{Word: word, Why: why})
+			return f.control(cmd, peers.ReleaseCommand{Action: agree.ReleaseAction(word), Reason: why})
 		}}
 		if w.word == "abort" {
 			sub.Flags().StringVar(&why, "why", "by hand", "for the record")
@@ -101,9 +101,9 @@
 	return c
 }
 
-func (f *fleetCommands) control(cmd *cobra.Command, in peers.Control) error {
+func (f *fleetCommands) control(cmd *cobra.Command, in peers.ReleaseCommand) error {
 	return f.with(func(c *peers.Client) error {
-		r, err := c.Control(cmd.Context(), in)
+		r, err := c.ControlRelease(cmd.Context(), in)
 		if err != nil {
 			return err
 		}
@@ -114,15 +114,15 @@
 			p := r.Progress
 			switch {
 			case p == nil:
-			case p.Ended != "":
-				fmt.Fprintf(f.out, "release %s: %s\n", p.Release.ID, p.Ended)
+			case p.Ended():
+				fmt.Fprintf(f.out, "release %s: %s\n", p.Release.ID, p.Result)
 			default:
 				fmt.Fprintf(f.out, "release %s: wave %d of %d, %v", p.Release.ID, p.Wave+1, len(p.Waves), p.Phase)
 				if p.Paused {
 					fmt.Fprint(f.out, ", paused")
 				}
-				if p.Stops != "" {
-					fmt.Fprint(f.out, ", ends with this wave: ", p.Stops)
+				if p.StopReason != "" {
+					fmt.Fprint(f.out, ", ends with this wave: ", p.StopReason)
 				}
 				fmt.Fprintln(f.out)
 			}
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -38,7 +38,7 @@
 	Faults        int           // drawn
 	Release       bool          // instead of versions a release takes each server out and back
 	Power         bool          // instead of drawn faults all processes lose power twice, and come back one by one
-	Terms         terms.Terms
+	Terms         terms.LeaseConfig
 	Rate          float64 // requests a second, over all processes
 	Clocks        bool    // the processes' clocks for leases are fast and slow in turn, by as much as the terms allow
 }
@@ -100,7 +100,7 @@
 	defer r.rig.Close()
 	if v.Clocks {
 		for i, p := range r.rig.Processes {
-			rate := 1 + v.Terms.Drift*[]float64{1, -1, 0}[i%3]
+			rate := 1 + v.Terms.MaxClockDrift*[]float64{1, -1, 0}[i%3]
 			p.Command = append(command[:len(command):len(command)], "lab", "serve", fmt.Sprint("--rate=", rate), "-c")
 		}
 	}
@@ -182,7 +182,7 @@
 	fmt.Fprintf(&b, "[listen]\naddress = %q\n[files]\nclusters = \"clusters\"\n[limits]\nattempts = 3\nmax_retry_after = \"1s\"\n", r.rig.Processes[node].Addr)
 	fmt.Fprintf(&b, "[fleet]\nnodes = %d\nnode = %d\n", r.Nodes, node)
 	if stamp == 0 {
-		fmt.Fprintf(&b, "[fleet.agree]\nname = \"lab\"\nnode = \"n%d\"\nlisten = %q\nlease = %q\ndrift = %v\ntake = %q\nvoters = [", node, r.asked[node], r.Terms.Lease, r.Terms.Drift, r.Terms.Take)
+		fmt.Fprintf(&b, "[fleet.agree]\nname = \"lab\"\nnode = \"n%d\"\nlisten = %q\nlease = %q\ndrift = %v\ntake = %q\nvoters = [", node, r.asked[node], r.Terms.Duration, r.Terms.MaxClockDrift, r.Terms.ApplyTimeout)
 		for v := range r.Voters {
 			addr := r.asked[v]
 			if v != node {
@@ -284,13 +284,13 @@
 	defer stop()
 	id, began := peers.NewID(), time.Now()
 	for {
-		s, err := c.Newest(ctx)
+		s, err := c.LatestStatus(ctx)
 		if err == nil {
-			var p *peers.Published
-			if p, err = c.Publish(ctx, id, s.Facts.Number, r.bundle(stamp)); err == nil && p.Number > 0 {
+			var p *peers.PublishReply
+			if p, err = c.Publish(ctx, id, s.LogStatus.ActiveVersion, r.bundle(stamp)); err == nil && p.Number > 0 {
 				r.out.Published++
 				r.acked[p.Number] = id
-				o, err := c.Wait(ctx, p.Number, func(peers.Outcome) {})
+				o, err := c.WaitForVersion(ctx, p.Number, func(peers.PublishOutcome) {})
 				if err != nil || !o.InForce {
 					return 0, fmt.Errorf("version %d: %+v: %w", stamp, o, err)
 				}
@@ -307,7 +307,7 @@
 
 // kept looks for all versions that were acknowledged.
 func (r *versionRun) kept(ctx context.Context, c *peers.Client) error {
-	s, err := c.Newest(ctx)
+	s, err := c.LatestStatus(ctx)
 	if err != nil {
 		return err
 	}
@@ -397,28 +397,28 @@
 func (r *versionRun) release(ctx context.Context, c *peers.Client) error {
 	ctx, stop := context.WithTimeout(ctx, r.Length+2*versionWait)
 	defer stop()
-	rel := agree.Release{ID: "lab", Cluster: "rooms", Floor: 0.5, Drain: 100 * time.Millisecond, Away: 100 * time.Millisecond, Warm: 100 * time.Millisecond}
+	rel := agree.Release{ID: "lab", Cluster: "rooms", Floor: 0.5, Drain: 100 * time.Millisecond, Restart: 100 * time.Millisecond, Warm: 100 * time.Millisecond}
 	want := []string{""} // the first version
 	for i := range r.Boxes {
 		rel.Waves = append(rel.Waves, []string{fmt.Sprint("s-", i)})
 		want = append(want, fmt.Sprintf("release/lab/%d/out", i), fmt.Sprintf("release/lab/%d/in", i))
 	}
 	began := time.Now()
-	in, seen := peers.Control{Begin: &rel}, 1
+	in, seen := peers.ReleaseCommand{Start: &rel}, 1
 	for {
-		out, err := c.Control(ctx, in)
+		out, err := c.ControlRelease(ctx, in)
 		if err == nil && out.Error == "" {
-			in = peers.Control{}
+			in = peers.ReleaseCommand{}
 		}
-		if s, err := c.Newest(ctx); err == nil {
-			for ; seen < len(s.History) && s.History[seen].Number <= s.Facts.Number; seen++ { // it is in force
+		if s, err := c.LatestStatus(ctx); err == nil {
+			for ; seen < len(s.History) && s.History[seen].Number <= s.LogStatus.ActiveVersion; seen++ { // it is in force
 				r.rig.Record.Add(fleet.Event{What: fleet.Told, Who: (seen - 1) / 2, Over: seen%2 == 0})
 				r.out.Published++
 			}
-			if in.Begin == nil && out != nil && out.Progress != nil && out.Progress.Ended != "" && seen == len(s.History) {
+			if in.Start == nil && out != nil && out.Progress != nil && out.Progress.Ended() && seen == len(s.History) {
 				r.out.Times = append(r.out.Times, time.Since(began))
-				if out.Progress.Ended != "done" || len(s.History) != len(want) {
-					return fmt.Errorf("the release ended by %q with %d versions of %d", out.Progress.Ended, len(s.History), len(want))
+				if out.Progress.Result != agree.ReleaseDone || len(s.History) != len(want) {
+					return fmt.Errorf("the release ended by %q with %d versions of %d", out.Progress.Result, len(s.History), len(want))
 				}
 				for i, id := range want[1:] {
 					if s.History[i+1].ID != id {
@@ -459,7 +459,7 @@
 			one, stop := context.WithTimeout(ctx, 4*time.Second) // an answer of a process that woke counts
 			defer stop()
 			asked := r.rig.Record.Since()
-			if token, err := c.Probe(one, at, peers.ReleaseWork); err == nil && token > 0 {
+			if token, err := c.OwnershipToken(one, at, peers.ReleaseTask); err == nil && token > 0 {
 				r.rig.Record.Add(fleet.Event{What: fleet.Owned, Who: at, By: asked, Stamp: int(token)})
 			}
 		})
@@ -492,7 +492,7 @@
 
 func (r *versionRun) judge() {
 	o := &r.out
-	o.Bound = r.Terms.Bound()
+	o.Bound = r.Terms.ActivationBound()
 	o.Asked, o.Served, o.Refused, o.Failed = int(r.asks.Load()), int(r.served.Load()), int(r.refused.Load()), int(r.failed.Load())
 	slices.Sort(o.Times)
 	events := r.rig.Record.Events()
