--- a/internal/config/survey_test.go
+++ b/internal/config/survey_test.go
@@ -1,12 +1,15 @@
 package config
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"runtime"
 	"strings"
 	"testing"
 
+	"github.com/pelletier/go-toml/v2"
+
 	"yokestall/internal/cluster"
 	"yokestall/internal/route"
 )
@@ -107,15 +110,15 @@
 		t.Run(name, func(t *testing.T) {
 			text := tc.text()
 			var err error
-			bytes := allocated(func() { err = tc.parse(text) })
+			size := allocated(func() { err = tc.parse(text) })
 			if err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "...: ", "... "), tc.want) {
 				t.Fatalf("error %.300v, want %q", err, tc.want)
 			}
 			if n := len(err.Error()); n > 2*maxFaults*maxFault {
 				t.Errorf("the error has %d bytes", n)
 			}
-			if most := tc.bytes + uint64(len(text)); bytes > most { // a copy is the test's
-				t.Errorf("%d bytes are allocated, %d at most", bytes, most)
+			if most := tc.bytes + uint64(len(text)); size > most { // a copy is the test's
+				t.Errorf("%d bytes are allocated, %d at most", size, most)
 			}
 		})
 	}
@@ -177,3 +180,23 @@
 		t.Errorf("keys of a map: %v", err)
 	}
 }
+
+// What decoding takes the survey takes: none of the texts here comes near a limit.
+func FuzzSurvey(f *testing.F) {
+	f.Add(example(f, "yokestall.toml"))
+	f.Add([]byte(smallProgram + manyTenants(3, "")))
+	f.Add([]byte("host = [{route = [{Header = [{name = \"x\"}], request = {set = {a.b = 1}}}]}]\n[listen]\n\"address\" = 'x'\n"))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		if len(text) > 1<<16 {
+			return
+		}
+		var p programFile
+		d := toml.NewDecoder(bytes.NewReader(text))
+		d.DisallowUnknownFields()
+		decoded := d.Decode(&p)
+		surveyed := survey("x.toml", text, &p, programLimits)
+		if decoded == nil && surveyed != nil {
+			t.Errorf("decoding takes it, and the survey says %v", surveyed)
+		}
+	})
+}
--- a/internal/files/stamp_test.go
+++ b/internal/files/stamp_test.go
@@ -442,3 +442,16 @@
 		t.Errorf("a change in xDS form: %+v", s)
 	}
 }
+
+// Files that come and go while a fault stands are not remembered for ever.
+func TestKnownIsBounded(t *testing.T) {
+	r := newReader("x")
+	for i := range maxKnown + 1 {
+		r.known[fmt.Sprint(i)] = &record{key: fmt.Sprint(i)}
+	}
+	r.used = []*record{r.known["7"]}
+	r.done(false)
+	if len(r.known) != 1 || r.known["7"] == nil {
+		t.Errorf("%d are remembered", len(r.known))
+	}
+}
