--- a/internal/fleet/agree/contradict.go
+++ b/internal/fleet/agree/contradict.go
@@ -18,14 +18,14 @@
 	"yokestall/policy"
 )
 
-// Version is what nodes agree on: the program's file but for listeners, keys and paths, which are each node's
-// own, and the lists of servers.
+// Version is a configuration version: the program's file without listeners, keys and paths, which each node has of its own, and the lists of
+// servers.
 type Version struct {
 	Program  *config.Program
 	Clusters map[string]*cluster.Cluster
 }
 
-// Kind is a kind of difference.
+// Kind is a kind of difference between two versions.
 type Kind uint8
 
 // The kinds, in the order of the table.
@@ -51,7 +51,7 @@
 	kinds
 )
 
-// Row is a line of the table of differences.
+// Row is a row of the table of differences.
 type Row struct {
 	Kind        Kind
 	What        string
@@ -59,7 +59,7 @@
 	Why         string
 }
 
-// Table says of each kind whether it contradicts, and why. docs/agree.md has it.
+// Table says for each kind of difference whether it contradicts, and why. docs/agree.md shows it.
 func Table() []Row {
 	return []Row{
 		{ClassEffect, "effect of a class", true, "rule 2: one node sends again what the other takes for unsafe"},
@@ -83,7 +83,7 @@
 	}
 }
 
-// Difference is one between two versions.
+// Difference is a difference between two versions.
 type Difference struct {
 	Kind        Kind
 	Name        string // of the class, the route, the server
@@ -91,6 +91,7 @@
 	Contradicts bool
 }
 
+// String formats the difference for operators.
 func (d Difference) String() string {
 	s := fmt.Sprintf("%s: %s", Table()[d.Kind].What, d.Name)
 	if d.From != "" || d.To != "" {
@@ -99,13 +100,13 @@
 	return s
 }
 
-// Contradicts tells whether any of the differences does.
+// Contradicts reports whether any of the differences contradicts.
 func Contradicts(list []Difference) bool {
 	return slices.ContainsFunc(list, func(d Difference) bool { return d.Contradicts })
 }
 
-// Differences gives what differs between the version that nodes act on and one that is to follow it, in the
-// order of the kinds and then of the names. It is directed: a server that goes out contradicts, one that comes back does not.
+// Differences returns what differs between the version that nodes act on and one that is to follow it, sorted by kind and then by name. It is
+// directed: taking a server out contradicts, putting one back doesn't.
 func Differences(from, to *Version) []Difference {
 	d := &differ{table: Table()}
 	if from.Program != to.Program {
@@ -160,6 +161,7 @@
 	d.note(TenantQuota, "tenants", from.Tenants, to.Tenants)
 }
 
+// effect is the word for an effect in configuration files.
 func effect(e policy.Effect) string { return [...]string{"safe", "keyed", "unsafe"}[e] }
 
 func (d *differ) fleet(from, to *config.Program) {
@@ -168,8 +170,8 @@
 	d.note(Cold, "fleet", from.Rules, to.Rules)
 }
 
-// routes compares hosts by their domains. Of a host that changed all routes from the first one that differs on
-// count, since the first that fits a request is taken.
+// routes compares hosts by their domains. Of a host that changed, all routes from the first different one on count, since the first route
+// that matches a request is taken.
 func (d *differ) routes(from, to *config.Program) {
 	differingRoutes(from, to, func(host string, a, b []route.Route, same int) {
 		kind := RouteOfSafe
@@ -240,8 +242,8 @@
 	})
 }
 
-// walk gives the endpoints of two lists side by side, by their ids; nil where one has none. The lists are sorted, as
-// cluster.Cluster.Check leaves them.
+// walk calls do for each pair of endpoints with the same id in two lists; nil where one list has none. The lists have to be sorted by id, as
+// cluster.Cluster.Check requires.
 func walk(from, to []cluster.Endpoint, do func(a, b *cluster.Endpoint)) {
 	for i, j := 0, 0; i < len(from) || j < len(to); {
 		switch {
