--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -32,6 +32,9 @@
 
 type fault int
 
+// moment is an outage that may be over before any call is made in it.
+const moment = 50 * time.Millisecond
+
 const (
 	refused fault = iota // the call fails at once
 	failing              // it is answered by an error, after a while
@@ -186,28 +189,28 @@
 func TestChangeBehindAnOutage(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
-		mode    string
-		mustAsk time.Duration // waits of the module's grow to a quarter of it
-		// least and most are the bounds of an outage. One that is over before the end of a watch's wait has
-		// a clock of its own, which begins with that (TestAskedBeforeItCounts).
-		least, most time.Duration
+		mode        string
+		mustAsk     time.Duration // waits of the module's grow to a quarter of it
+		least, most time.Duration // of an outage
+		answers     time.Duration // discovery takes up to so long for an answer
 		seeds       uint64
 	}{
-		{"pushed", 10 * time.Second, time.Millisecond, 4 * time.Second, 15}, // an agent's waits are short
-		{"on_request", 10 * time.Second, 2 * time.Second, 90 * time.Second, 60},
-		{"on_request", time.Minute, 2 * time.Second, 90 * time.Second, 60},
+		{"pushed", 10 * time.Second, time.Millisecond, 4 * time.Second, 10 * time.Millisecond, 15}, // an agent's waits are short
+		{"on_request", 10 * time.Second, time.Millisecond, moment, 300 * time.Millisecond, 60},
+		{"on_request", 10 * time.Second, 2 * time.Second, 90 * time.Second, time.Second, 60}, // calls wait for their turn
+		{"on_request", time.Minute, 2 * time.Second, 90 * time.Second, time.Second, 60},
 	} {
 		for _, o := range []outage{
 			{"refused", refused, refused}, {"refused, watches fall silent", refused, mute}, {"failing", failing, failing},
 			{"failing, watches are reset", failing, refused}, {"silent", mute, mute}, {"silent, watches are reset", mute, refused},
 			{"any", anyOf, anyOf},
 		} {
-			t.Run(fmt.Sprint(tc.mode, ", must ask in ", tc.mustAsk, ", ", o.name), func(t *testing.T) {
+			t.Run(fmt.Sprint(tc.mode, ", must ask in ", tc.mustAsk, ", for ", tc.most, " at most, ", o.name), func(t *testing.T) {
 				t.Parallel()
 				worst := time.Duration(0)
 				for seed := range tc.seeds {
 					synctest.Test(t, func(t *testing.T) {
-						worst = max(worst, changeBehind(t, tc.mode, tc.mustAsk, tc.least, tc.most, &o, seed))
+						worst = max(worst, changeBehind(t, tc.mode, tc.mustAsk, tc.least, tc.most, tc.answers, &o, seed))
 					})
 				}
 				t.Logf("the latest was told after %v", worst)
@@ -218,7 +221,7 @@
 
 // changeBehind plays one outage and gives how long after discovery's return, or the change if that came
 // later, the module was told.
-func changeBehind(t *testing.T, mode string, mustAsk, least, most time.Duration, o *outage, seed uint64) time.Duration {
+func changeBehind(t *testing.T, mode string, mustAsk, least, most, answers time.Duration, o *outage, seed uint64) time.Duration {
 	rng := rand.New(rand.NewPCG(seed, 48))
 	cfg, err := parseConfig([]byte(`{"name": "n", "discovery": "d", "settings": ` + strings.Replace(settingsText, "pushed", mode, 1) + `}`))
 	if err != nil {
@@ -231,10 +234,7 @@
 	defer stop()
 	clock := engine.NewClock()
 	asked := cfg.Policy.ListAsked
-	service := &away{rng: rand.New(rand.NewPCG(seed, 49)), generation: 1, changed: make(chan struct{}), made: make(chan struct{}, 1), answers: 10 * time.Millisecond}
-	if asked {
-		service.answers = time.Second // calls wait for their turn
-	}
+	service := &away{rng: rand.New(rand.NewPCG(seed, 49)), generation: 1, changed: make(chan struct{}), made: make(chan struct{}, 1), answers: answers}
 	disco := newDiscovery(cfg, clock, make(chan string), testkit.Quiet)
 	disco.source.client = &http.Client{Transport: service}
 	m := &module{t: t, clock: clock, disco: disco, ctx: ctx}
@@ -248,10 +248,14 @@
 	between := func(from, to time.Duration) time.Duration {
 		return from + time.Duration(rng.Int64N(int64(to-from)))
 	}
-	time.Sleep(between(time.Second, 20*time.Second)) // some way into a watch
+	time.Sleep(between(time.Second, 20*time.Second)) // some way into a watch,
+	if rng.IntN(2) == 0 {                            // or right behind its begin
+		service.change(func() { service.generation++ })
+		time.Sleep(answers + watchPause + time.Millisecond)
+	}
 	service.change(func() { service.outage = o })
 	time.Sleep(between(least, most))
-	if rng.IntN(4) > 0 { // it returns just behind a call, which falls silent where calls do
+	if most > moment && rng.IntN(4) > 0 { // it returns just behind a call, which falls silent where calls do
 		for range 1 + rng.IntN(3) {
 			select {
 			case <-service.made:
@@ -267,7 +271,7 @@
 	}
 	service.change(func() { service.outage = nil })
 	time.Sleep(late)
-	service.change(func() { service.generation, service.draining = 2, true })
+	service.change(func() { service.generation, service.draining = service.generation+1, true })
 	since := time.Now()
 	drained := func() time.Time {
 		m.mu.Lock()
--- a/internal/registry/calls.go
+++ b/internal/registry/calls.go
@@ -22,9 +22,11 @@
 }
 
 const (
-	// askedWait is long, since a call is paid for by all nodes. What a silent one misses counts
-	// as told 2 s after the wait (the protocol's figures): a second look has 0.8 s until then.
-	askedWait  = 5 * time.Second
+	// askedWait is long, since a call is paid for by all nodes. What a silent one misses counts as
+	// told 6 s after discovery had it and could be reached, which may be right behind the call's
+	// begin (the protocol's figures): a second look has 0.3 s until then, and 0.8 s until the time
+	// that is allowed for a call that waits, 2 s after its wait.
+	askedWait  = 4500 * time.Millisecond
 	askedDoubt = 1200 * time.Millisecond
 	// askedQueue is longer than calls wait for their turn at discovery.
 	askedQueue = 2500 * time.Millisecond
--- a/internal/registry/calls_test.go
+++ b/internal/registry/calls_test.go
@@ -60,6 +60,9 @@
 	if told := terms.Wait + 2*time.Second; calls.Next() > told-800*time.Millisecond || takes <= told {
 		t.Errorf("looked again after %v, given up after %v", calls.Next(), takes)
 	}
+	if calls.Next() > 6*time.Second-300*time.Millisecond {
+		t.Errorf("looked again after %v: discovery may have been away for a moment, right behind the call's begin", calls.Next())
+	}
 	looks := 0
 	for now := time.Duration(0); now < takes; now += time.Millisecond {
 		if calls.Due(now) {
