--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -118,8 +118,12 @@
 	case refused:
 		return nil, errors.New("connection refused")
 	case failing:
-		time.Sleep(takes)
-		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, ctx.Err()
+		select {
+		case <-time.After(takes):
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
 	}
 	<-ctx.Done()
 	return nil, ctx.Err()
@@ -143,7 +147,6 @@
 
 // module is the decision module with its own waits, which are all that it has to do here.
 type module struct {
-	t     *testing.T
 	clock engine.Clock
 	disco *discovery
 	ctx   context.Context
@@ -219,29 +222,40 @@
 	}
 }
 
-// changeBehind plays one outage and gives how long after discovery's return, or the change if that came
-// later, the module was told.
-func changeBehind(t *testing.T, mode string, mustAsk, least, most, answers time.Duration, o *outage, seed uint64) time.Duration {
-	rng := rand.New(rand.NewPCG(seed, 48))
+func newAway(seed uint64, answers time.Duration) *away {
+	return &away{
+		rng: rand.New(rand.NewPCG(seed, 49)), answers: answers, generation: 1, changed: make(chan struct{}), made: make(chan struct{}, 1),
+	}
+}
+
+// follower gives what follows a discovery in virtual time, with the real module's waits, until the end of ctx.
+func follower(ctx context.Context, t *testing.T, mode string, mustAsk time.Duration, seed uint64, service *away) (*Config, *module) {
 	cfg, err := parseConfig([]byte(`{"name": "n", "discovery": "d", "settings": ` + strings.Replace(settingsText, "pushed", mode, 1) + `}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Policy.Nodes, cfg.Policy.Rules.MustAsk = 10, mustAsk
-	ctx, stop := context.WithCancel(t.Context())
-	var running sync.WaitGroup
-	defer running.Wait()
-	defer stop()
+	cfg.Policy.Nodes, cfg.Policy.Rules.MustAsk = 300, mustAsk
 	clock := engine.NewClock()
-	asked := cfg.Policy.ListAsked
-	service := &away{rng: rand.New(rand.NewPCG(seed, 49)), generation: 1, changed: make(chan struct{}), made: make(chan struct{}, 1), answers: answers}
-	disco := newDiscovery(cfg, clock, make(chan string), testkit.Quiet)
-	disco.source.client = &http.Client{Transport: service}
-	m := &module{t: t, clock: clock, disco: disco, ctx: ctx}
-	disco.to = m
+	m := &module{clock: clock, ctx: ctx, disco: newDiscovery(cfg, clock, make(chan string), testkit.Quiet)}
+	m.disco.source.client = &http.Client{Transport: service}
+	m.disco.to = m
 	if m.balancer, err = policy.New(cfg.Policy, seed, m); err != nil {
 		t.Fatal(err)
 	}
+	return cfg, m
+}
+
+// changeBehind plays one outage and gives how long after discovery's return, or the change if that came
+// later, the module was told.
+func changeBehind(t *testing.T, mode string, mustAsk, least, most, answers time.Duration, o *outage, seed uint64) time.Duration {
+	rng := rand.New(rand.NewPCG(seed, 48))
+	ctx, stop := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer stop()
+	service := newAway(seed, answers)
+	cfg, m := follower(ctx, t, mode, mustAsk, seed, service)
+	disco, asked := m.disco, cfg.Policy.ListAsked
 	ready := make(chan struct{})
 	running.Go(func() { disco.run(ctx, known{}, sync.OnceFunc(func() { close(ready) })) })
 	<-ready
