--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -50,6 +50,7 @@
 type child struct {
 	*running
 	process *os.Process
+	logs    *testkit.Logs
 }
 
 func startChild(t *testing.T, mode, discovery string, sockets int) *child {
@@ -81,7 +82,7 @@
 		cmd.Wait()
 	})
 	_, addr, _ := strings.Cut(strings.TrimSpace(logs.Wait("INFO serving")), "addr=")
-	n := &child{&running{t: t, addr: addr}, cmd.Process}
+	n := &child{&running{t: t, addr: addr}, cmd.Process, logs}
 	n.waitReadyAlone()
 	return n
 }
@@ -159,13 +160,16 @@
 			defer gone()
 			defer close(hold)
 			defer stop()
-			testkit.Until(t, "the crowd to be in", func() bool { return answered.Load() > sockets })
-			testkit.Wait(t, d.begun, "a call that falls silent")
 			most := 0
-			testkit.Until(t, "the clients' part to be taken", func() bool {
+			testkit.Until(t, "the crowd to be in", func() bool {
 				most = max(most, n.descriptors())
-				return most >= sockets-ownDescriptors
+				return answered.Load() > 2*sockets && most >= sockets-ownDescriptors
 			})
+			testkit.Wait(t, d.begun, "a call that falls silent")
+			// As many calls as are made to one discovery have to find room beside it all, as to another one after SIGHUP.
+			if calls := registry.Pushed(0).Most; most+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
+				t.Errorf("%d of %d descriptors were open: none are kept for %d calls", most, sockets, calls)
+			}
 			d.silent.Store(false)
 			back := time.Now()
 			d.change(t, func() { d.list = append(drained, instanceAt(fresh, "s-new")) })
