--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -154,6 +154,9 @@
 		r.Figures = append(r.Figures, Figure{name + ".memory", float64(100 + 20*i), "MB"})
 	}
 	r.Figures = append(r.Figures, Figure{"a.alone", 1, "s"})
+	for _, name := range []string{"a", "b", "c"} {
+		r.Figures = append(r.Figures, Figure{name + ".check.wall", 1, "s"})
+	}
 	r.slope(Slope{Name: "by", Per: "services", Sizes: []string{"a", "b", "c"}})
 	if len(r.Slopes) != 1 || r.Slopes[0] != (Fit{Key: "by.memory", Per: "services", Slope: 2, Intercept: 80, Points: 3, Unit: "MB"}) || len(r.Notes) != 0 {
 		t.Errorf("%+v, %v", r.Slopes, r.Notes)
