--- a/internal/files/limits_test.go
+++ b/internal/files/limits_test.go
@@ -99,8 +99,7 @@
 		list = append(list, config.File{Name: fmt.Sprintf("c%d.toml", i), Text: []byte(manyServers(20_000))})
 	}
 	var p Parser
-	s, err := p.Unbundle(list)
-	if err != nil {
+	if _, err := p.Unbundle(list); err != nil {
 		t.Fatal(err)
 	}
 	more := config.File{Name: ChangePart("d", 0), Text: []byte("[cluster]\nname = \"d\"\nchange = true\n[[endpoint]]\nid = \"x\"\naddress = \"10.9.9.9:80\"\n[end]\nendpoints = 1\n")}
@@ -109,7 +108,8 @@
 		t.Errorf("one server more: %v", err)
 	}
 	none := config.File{Name: "d.toml", Text: []byte("[cluster]\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n")}
-	if s, err = p.Unbundle(append(list, none)); err != nil {
+	s, err := p.Unbundle(append(list, none))
+	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := p.Change(s.Version.Clusters, []config.File{more}); err == nil || !strings.Contains(err.Error(), "d+0001: over 100000 servers in all") {
