--- a/internal/fleetsim/cold_test.go
+++ b/internal/fleetsim/cold_test.go
@@ -144,7 +144,7 @@
 	const ms = time.Millisecond
 	day := &Day{
 		Length: 11 * time.Second, Nodes: nodes, Servers: 6 + rng.IntN(8), Delay: 300 * time.Microsecond, News: 500 * ms,
-		Kind:     model.Kind{Cores: 1 + rng.IntN(4), Speed: 1, Queue: 32, Crowd: 0.05, ColdFrom: between(0.15, 0.4), ColdFor: time.Duration(between(5, 10) * float64(time.Second))},
+		Kind:     model.Kind{Cores: 1 + rng.IntN(4), Speed: 1, Queue: 32, Crowd: 0.05, ColdFrom: between(0.1, 0.4), ColdFor: time.Duration(between(5, 10) * float64(time.Second))},
 		Settings: policy.Defaults(),
 		Clients:  Clients{Retries: 1, Wait: 50 * ms, Honest: 0.8},
 		Lead:     []float64{0, 0.2, 0.5}[rng.IntN(3)],
@@ -152,13 +152,13 @@
 	s := &day.Settings
 	s.Limits = policy.Limits{MaxAttempts: 3, SecondCopies: true, Cancel: true, MaxRetryAfter: 600 * ms}
 	s.Rules.ColdFrom, s.Rules.ColdFor = day.Kind.ColdFrom, day.Kind.ColdFor
-	s.Rules.FallMultiple, s.Rules.FallFor = between(2, 4), time.Duration(between(0.5, 2)*float64(time.Second))
+	s.Rules.FallMultiple, s.Rules.FallFor = between(1.5, 4), time.Duration(between(0.5, 2)*float64(time.Second))
 	work := time.Duration(between(10, 40) * float64(ms))
 	day.Classes = []Class{
 		{Name: "read", Class: policy.Class{Deadline: 1400 * ms, Aim: 600 * ms, Worth: 2, Effect: policy.Safe}, Work: work, Spread: model.Spread{CV: 0.5}, Rate: 9},
 		{Name: "pay", Class: policy.Class{Deadline: 1900 * ms, Aim: 800 * ms, Worth: 8, Effect: policy.Unsafe}, Work: work, Spread: model.Spread{CV: 0.5}, Rate: 1},
 	}
-	rate := between(0.3, 0.8) * float64(day.Servers*day.Kind.Cores) / work.Seconds()
+	rate := between(0.3, 1.2) * float64(day.Servers*day.Kind.Cores) / work.Seconds()
 	for i := range day.Classes {
 		day.Classes[i].Rate *= rate / 10
 	}
