--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -46,28 +46,32 @@
 }
 
 // newRig starts the processes of a plan at a size, in a folder.
-func newRig(ctx context.Context, p *Plan, size int, dir string, command, env []string) (r *rig, err error) {
-	r = &rig{plan: p, size: size, dir: dir, command: command[:len(command):len(command)], env: env}
-	defer func() {
-		if err != nil {
-			r.close()
-		}
-	}()
-	if err := r.place(); err != nil {
+func newRig(ctx context.Context, p *Plan, size int, dir string, command, env []string) (*rig, error) {
+	r := &rig{plan: p, size: size, dir: dir, command: command[:len(command):len(command)], env: env}
+	if err := r.build(ctx); err != nil {
+		r.close()
 		return nil, err
 	}
+	return r, nil
+}
+
+// build makes the processes and starts them, voters first.
+func (r *rig) build(ctx context.Context) error {
+	if err := r.place(); err != nil {
+		return err
+	}
 	if err := r.configure(ctx); err != nil {
-		return nil, err
+		return err
 	}
 	if err := r.operator(); err != nil {
-		return nil, err
+		return err
 	}
 	for _, role := range []Role{VoterRole, ServeRole, NodeRole} {
 		if err := r.start(ctx, r.members.of(role)); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	return r, nil
+	return nil
 }
 
 // total is how many nodes the fleet has.
