--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -8,11 +8,12 @@
 	"strings"
 	"testing"
 
+	"yokestall/internal/lab/process"
 	"yokestall/internal/lab/scale"
 )
 
-// files are a run's figures with a line of 2 a node from 10, and the plan.
-func files(t *testing.T) (Files, string) {
+// testFiles are a run's figures with a line of 2 a node from 10, and the plan.
+func testFiles(t *testing.T) (Files, string) {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "capacity")
 	if err := os.Mkdir(folder, 0o700); err != nil {
@@ -25,12 +26,14 @@
 	for _, s := range run.Series {
 		s.Finish()
 	}
+	run.Untold = []scale.Untold{{Step: "apart", Size: 400, Count: 225}}
 	plan := &scale.Figures{Name: "plan", Numbers: map[string]float64{"nodes": 1900}}
 	for _, f := range []*scale.Figures{run, plan} {
 		if err := f.Write(filepath.Join(folder, f.Name+".json")); err != nil {
 			t.Fatal(err)
 		}
 	}
+	writeReport(t, filepath.Join(folder, "one-process.json"))
 	read, err := Read(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -38,14 +41,36 @@
 	return read, folder
 }
 
+// writeReport writes a report on a process.
+func writeReport(t *testing.T, path string) {
+	t.Helper()
+	report := &process.Report{
+		Seed: 7, Machine: process.Machine{Cores: 8, MemoryMB: 24150, Load: 31.5},
+		Sizes:   []process.Size{{Name: "plan", Services: 500, Servers: 30, Routes: 14000, Tenants: 1000, Nodes: 1900}},
+		Figures: []process.Figure{{Key: "plan.rest.memory", Value: 250.609375, Unit: "MB"}, {Key: "plan.load.121.services_4.cpu", Value: 15.1988, Unit: "% of a core"}},
+	}
+	text, err := report.JSON()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // A page whose figures follow from the files is good.
 func TestGoodPage(t *testing.T) {
-	all, _ := files(t)
+	all, _ := testFiles(t)
 	page := `# Capacity
 A voter needs 3,810 ms/s<!-- fig: run:idle.voter.cpu.slope * plan:nodes + run:idle.voter.cpu.intercept -->, or 3.8 cores<!-- fig: run:idle.voter.cpu.at(plan:nodes)/1000 -->.
 | voter | 2 ms/s<!-- fig: run:idle.voter.cpu.slope --> a node | 0.0 %<!-- fig: 100 * run:idle.voter.cpu.relative --> |
 | some 4,000<!-- fig: run:idle.voter.cpu.at(1900) to 1000 --> | 410<!-- fig: run:idle.voter.cpu.n200 --> | 1.65 KB/s<!-- fig: run:idle.node.in.mean / 1000 --> |
-With 3 voters<!-- fig: run:voters -->; -2.50 is left<!-- fig: 7.5 - (run:voters + 7) -->; no mark on 17.`
+With 3 voters<!-- fig: run:voters -->; -2.50 is left<!-- fig: 7.5 - (run:voters + 7) -->; no mark on 17.
+At rest 251 MB<!-- fig: one_process:plan.rest.memory --> of 256, 15.2 %<!-- fig: one_process:plan.load.121.services_4.cpu --> of a core under load,
+with 15,000<!-- fig: one_process:plan.services * one_process:plan.servers --> servers, 1,000<!-- fig: one_process:plan.tenants --> tenants and
+14,000<!-- fig: one_process:plan.routes --> routes on one of 1,900<!-- fig: one_process:plan.nodes --> nodes; 8<!-- fig: one_process:cores --> cores,
+24,150 MB<!-- fig: one_process:memory_mb -->, load 31.5<!-- fig: one_process:load -->, seed 7<!-- fig: one_process:seed -->.
+Late were 225<!-- fig: run:untold.apart.n400 -->.`
 	if err := Check("page.md", page, all); err != nil {
 		t.Error(err)
 	}
@@ -53,7 +78,7 @@
 
 // A figure that was changed on the page is found, with its line.
 func TestChangedFigureOnPage(t *testing.T) {
-	all, _ := files(t)
+	all, _ := testFiles(t)
 	for number, good := range map[string]bool{"2": true, "2.0": true, "2.1": false, "1.9": false, "3": false, "-2": false, "20": false} {
 		page := fmt.Sprintf("# Capacity\n\n%s ms/s<!-- fig: run:idle.voter.cpu.slope -->\n", number)
 		err := Check("page.md", page, all)
@@ -65,7 +90,7 @@
 
 // A figure that was changed in a file is found: on the page, or as one that does not follow from the file's points.
 func TestChangedFigureInFile(t *testing.T) {
-	page := "\n2 ms/s<!-- fig: run:idle.voter.cpu.slope -->, 410<!-- fig: run:idle.voter.cpu.n200 -->, 385<!-- fig: run:idle.voter.cpu.mean -->, 1,900<!-- fig: plan:nodes -->\n"
+	page := "251 MB<!-- fig: one_process:plan.rest.memory -->, 225<!-- fig: run:untold.apart.n400 -->\n2 ms/s<!-- fig: run:idle.voter.cpu.slope -->, 410<!-- fig: run:idle.voter.cpu.n200 -->, 385<!-- fig: run:idle.voter.cpu.mean -->, 1,900<!-- fig: plan:nodes -->\n"
 	for _, change := range []struct{ file, old, new, want string }{
 		{"run.json", `"value":410`, `"value":430`, "run.json:"},
 		{"run.json", `"slope":2`, `"slope":2.1`, "slope is 2.1, and its points give 2"},
@@ -73,8 +98,13 @@
 		{"run.json", `"mean":385`, `"mean":380`, "mean is 380"},
 		{"plan.json", `1900`, `1901`, "page.md:2: the page has 1,900, and plan:nodes is 1901"},
 		{"run.json", `"seed"`, `"sed"`, `unknown field "sed"`},
+		{"run.json", `"count": 225`, `"count": 22`, "page.md:1: the page has 225, and run:untold.apart.n400 is 22"},
+		{"one-process.json", `250.609375`, `240.5`, "page.md:1: the page has 251, and one_process:plan.rest.memory is 240.5"},
+		{"one-process.json", `"seed"`, `"sed"`, `one-process.json: json: unknown field "sed"`},
+		{"one-process.json", `plan.load.121.services_4.cpu`, `plan.rest.memory`, "figure plan.rest.memory is there twice"},
+		{"one-process.json", `"seed": 7`, `"seed": `, "one-process.json:"},
 	} {
-		_, folder := files(t)
+		_, folder := testFiles(t)
 		path := filepath.Join(filepath.Dir(folder), "page.md")
 		if err := os.WriteFile(path, []byte(page), 0o600); err != nil {
 			t.Fatal(err)
@@ -102,7 +132,7 @@
 
 // What is wrong with a page is said with its place.
 func TestBadPages(t *testing.T) {
-	all, _ := files(t)
+	all, _ := testFiles(t)
 	for _, bad := range []struct{ page, want string }{
 		{"nothing", "page.md: has no figure"},
 		{"\n2<!-- fig: run:idle.voter.cpu.slope\n-->", `page.md:2: a mark has no "-->"`},
@@ -115,6 +145,11 @@
 		{"2<!-- fig: run:idle.node.in.at(3) -->", "there is no line"},
 		{"2<!-- fig: other:voters -->", "there is no file of figures other.json"},
 		{"2<!-- fig: run:words -->", "run.json has no words"},
+		{"2<!-- fig: run:untold.apart.n40 -->", "run.json has no nodes that were late in step apart at 40"},
+		{"2<!-- fig: run:untold.apart -->", "is not untold.STEP.nSIZE"},
+		{"2<!-- fig: one_process:plan.rest.cpu -->", "one-process.json has no plan.rest.cpu"},
+		{"2<!-- fig: one_process:words -->", "one-process.json has no words"},
+		{"2<!-- fig: one_process:plan.rest.memory.at(3) -->", "one-process.json has no series plan.rest.memory"},
 		{"2<!-- fig: voters -->", "is not FILE:NAME"},
 		{"2<!-- fig: 1 + -->", "ends too soon"},
 		{"2<!-- fig: (1 + 1 -->", "parenthesis is missing"},
--- a/internal/lab/capacity/doc.go
+++ b/internal/lab/capacity/doc.go
@@ -24,8 +24,17 @@
 //	                       n400                                        its value at size 400 (the mean, if it has several there)
 //	FILE:KEY.at(EXPR)    the line's value at a size, which need not have been measured
 //	FILE:voters          of the run; also serves, regions, zones, seed, cores, memory_mb, clusters, servers, routes, tenants
+//	FILE:untold.STEP.n400  how many nodes did not act within the step's wait at size 400
 //	FILE:NAME            a number of the file's "numbers": plan:nodes is the operators' 1,900
 //
+// A file that `yokestall lab process` has written has figures of single runs, and no lines:
+//
+//	FILE:SIZE.KEY        a figure, as the file has it: process_before:plan.rest.memory
+//	FILE:SIZE.tenants    of the size as it was measured; also services, servers (of each service), routes, nodes
+//	FILE:load            the machine's load average as the run began; also seed, cores, memory_mb
+//
+// FILE is written with "_" for each "-" of its name.
+//
 // A file that was not written by a run has {"name", "says", "numbers": {NAME: NUMBER}}, as capacity/plan.json has. Names are made of lower-case letters,
 // digits and "_", so that a minus always subtracts.
 //
--- /dev/null
+++ b/internal/lab/capacity/fleetfile.go
@@ -0,0 +1,138 @@
+package capacity
+
+import (
+	"fmt"
+	"path/filepath"
+	"strconv"
+	"strings"
+
+	"yokestall/internal/lab/scale"
+)
+
+// untoldPrefix begins the names of counts of nodes that did not act in time.
+const untoldPrefix = "untold."
+
+// fleetFile is what `yokestall lab scale` has written, or a file of named numbers.
+type fleetFile struct {
+	path    string
+	figures *scale.Figures
+}
+
+// Value implements File.
+func (f fleetFile) Value(name string) (float64, error) {
+	if v, known := f.figures.Numbers[name]; known {
+		return v, nil
+	}
+	if v, known := property(f.figures, name); known {
+		return v, nil
+	}
+	if step, isUntold := strings.CutPrefix(name, untoldPrefix); isUntold {
+		return f.untold(step)
+	}
+	dot := strings.LastIndexByte(name, '.')
+	if dot < 0 {
+		return 0, fmt.Errorf("%s has no %s", f.base(), name)
+	}
+	s, err := f.series(name[:dot])
+	if err != nil {
+		return 0, err
+	}
+	v, err := fieldOf(s, name[dot+1:])
+	if err != nil {
+		return 0, fmt.Errorf("%s:%s: %w", f.base(), name[:dot], err)
+	}
+	return v, nil
+}
+
+// At implements File.
+func (f fleetFile) At(series string, size float64) (float64, error) {
+	s, err := f.series(series)
+	if err != nil {
+		return 0, err
+	}
+	if s.Fit == nil {
+		return 0, fmt.Errorf("%s:%s: there is no line through its points", f.base(), series)
+	}
+	return s.Fit.Slope*size + s.Fit.Intercept, nil
+}
+
+func (f fleetFile) base() string { return filepath.Base(f.path) }
+
+func (f fleetFile) series(key string) (*scale.Series, error) {
+	s := f.figures.Series[key]
+	if s == nil {
+		return nil, fmt.Errorf("%s has no series %s", f.base(), key)
+	}
+	return s, nil
+}
+
+// untold gives how many nodes a step's last wait left behind at a size, by STEP.nSIZE.
+func (f fleetFile) untold(name string) (float64, error) {
+	step, size, found := strings.Cut(name, ".n")
+	at, err := strconv.Atoi(size)
+	if !found || err != nil {
+		return 0, fmt.Errorf("%s%s is not %sSTEP.nSIZE", untoldPrefix, name, untoldPrefix)
+	}
+	count := -1
+	for _, u := range f.figures.Untold {
+		if u.Step == step && u.Size == at {
+			count = u.Count
+		}
+	}
+	if count < 0 {
+		return 0, fmt.Errorf("%s has no nodes that were late in step %s at %d", f.base(), step, at)
+	}
+	return float64(count), nil
+}
+
+// property gives one of a run's own.
+func property(f *scale.Figures, name string) (float64, bool) {
+	properties := map[string]float64{
+		"voters": float64(f.Voters), "serves": float64(f.Serves), "regions": float64(f.Regions), "zones": float64(f.Zones), "seed": float64(f.Seed),
+		"cores": float64(f.Machine.Cores), "memory_mb": float64(f.Machine.MemoryMB), "clusters": float64(f.Content.Clusters),
+		"servers": float64(f.Content.Servers), "routes": float64(f.Content.Routes), "tenants": float64(f.Content.Tenants),
+	}
+	v, known := properties[name]
+	return v, known && len(f.Series) > 0
+}
+
+// fieldOf gives a field of a series.
+func fieldOf(s *scale.Series, field string) (float64, error) {
+	switch field {
+	case "mean":
+		return s.Mean, nil
+	case "most":
+		return s.Most, nil
+	}
+	if size, isSize := strings.CutPrefix(field, "n"); isSize {
+		if at, err := strconv.ParseUint(size, 10, 32); err == nil {
+			return valueAt(s, float64(at))
+		}
+	}
+	if s.Fit == nil {
+		return 0, fmt.Errorf("there is no line through its points")
+	}
+	fields := map[string]float64{
+		"slope": s.Fit.Slope, "intercept": s.Fit.Intercept, "residual": s.Fit.Residual, "relative": s.Fit.Relative, "r2": s.Fit.R2,
+	}
+	v, known := fields[field]
+	if !known {
+		return 0, fmt.Errorf("there is no field %s", field)
+	}
+	return v, nil
+}
+
+// valueAt gives the mean of the points at a size.
+func valueAt(s *scale.Series, at float64) (float64, error) {
+	total, count := 0.0, 0
+	for _, p := range s.Points {
+		if p.At == at {
+			total += p.Value
+			count++
+		}
+	}
+	if count == 0 {
+		return 0, fmt.Errorf("it was not measured at %v", at)
+	}
+	return total / float64(count), nil
+}
