--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -46,8 +46,9 @@
 	t.Helper()
 	report := &process.Report{
 		Seed: 7, Machine: process.Machine{Cores: 8, MemoryMB: 24150, Load: 31.5},
-		Sizes:   []process.Size{{Name: "plan", Services: 500, Servers: 30, Routes: 14000, Tenants: 1000, Nodes: 1900}},
-		Figures: []process.Figure{{Key: "plan.rest.memory", Value: 250.609375, Unit: "MB"}, {Key: "plan.load.121.services_4.cpu", Value: 15.1988, Unit: "% of a core"}},
+		Sizes: []process.Size{{Name: "plan", Services: 500, Servers: 30, Routes: 14000, Tenants: 1000, Nodes: 1900}},
+		Figures: []process.Figure{{Key: "plan.rest.memory", Value: 250.609375, Unit: "MB"}, {Key: "plan.load.121.services_4.cpu", Value: 15.1988, Unit: "% of a core"},
+			{Key: "tenants-125.rest.memory", Value: 245, Unit: "MB"}},
 	}
 	text, err := report.JSON()
 	if err != nil {
@@ -70,6 +71,7 @@
 with 15,000<!-- fig: one_process:plan.services * one_process:plan.servers --> servers, 1,000<!-- fig: one_process:plan.tenants --> tenants and
 14,000<!-- fig: one_process:plan.routes --> routes on one of 1,900<!-- fig: one_process:plan.nodes --> nodes; 8<!-- fig: one_process:cores --> cores,
 24,150 MB<!-- fig: one_process:memory_mb -->, load 31.5<!-- fig: one_process:load -->, seed 7<!-- fig: one_process:seed -->.
+A tenant more takes 6.4 KB<!-- fig: 1000 * (one_process:plan.rest.memory - one_process:tenants_125.rest.memory) / 875 -->.
 Late were 225<!-- fig: run:untold.apart.n400 -->.`
 	if err := Check("page.md", page, all); err != nil {
 		t.Error(err)
@@ -101,7 +103,7 @@
 		{"run.json", `"count": 225`, `"count": 22`, "page.md:1: the page has 225, and run:untold.apart.n400 is 22"},
 		{"one-process.json", `250.609375`, `240.5`, "page.md:1: the page has 251, and one_process:plan.rest.memory is 240.5"},
 		{"one-process.json", `"seed"`, `"sed"`, `one-process.json: json: unknown field "sed"`},
-		{"one-process.json", `plan.load.121.services_4.cpu`, `plan.rest.memory`, "figure plan.rest.memory is there twice"},
+		{"one-process.json", `plan.load.121.services_4.cpu`, `plan.rest.memory`, "another figure is called plan.rest.memory too"},
 		{"one-process.json", `"seed": 7`, `"seed": `, "one-process.json:"},
 	} {
 		_, folder := testFiles(t)
--- a/internal/lab/capacity/doc.go
+++ b/internal/lab/capacity/doc.go
@@ -33,7 +33,7 @@
 //	FILE:SIZE.tenants    of the size as it was measured; also services, servers (of each service), routes, nodes
 //	FILE:load            the machine's load average as the run began; also seed, cores, memory_mb
 //
-// FILE is written with "_" for each "-" of its name.
+// Names have "_" for each "-" of the file's name and of its keys.
 //
 // A file that was not written by a run has {"name", "says", "numbers": {NAME: NUMBER}}, as capacity/plan.json has. Names are made of lower-case letters,
 // digits and "_", so that a minus always subtracts.
--- a/internal/lab/capacity/files.go
+++ b/internal/lab/capacity/files.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return nil, err
 		}
-		name := strings.ReplaceAll(strings.TrimSuffix(filepath.Base(path), ".json"), "-", "_")
+		name := markName(strings.TrimSuffix(filepath.Base(path), ".json"))
 		if files[name] != nil {
 			return nil, fmt.Errorf("%s: another file is called %s too", path, name)
 		}
@@ -46,6 +46,9 @@
 	return files, nil
 }
 
+// markName is a name as marks have it, where a minus always subtracts.
+func markName(name string) string { return strings.ReplaceAll(name, "-", "_") }
+
 // readFile reads a file of either kind: only a report on a process has "figures".
 func readFile(path string) (File, error) {
 	text, err := os.ReadFile(path)
@@ -60,7 +63,10 @@
 	}
 	if kind.Figures != nil {
 		r, err := process.ReadReport(path)
-		return processFile{path, r}, err
+		if err != nil {
+			return nil, err
+		}
+		return newProcessFile(path, r)
 	}
 	f, err := scale.ReadFigures(path)
 	return fleetFile{path, f}, err
--- a/internal/lab/capacity/processfile.go
+++ b/internal/lab/capacity/processfile.go
@@ -1,9 +1,9 @@
 package capacity
 
 import (
+	"errors"
 	"fmt"
 	"path/filepath"
-	"strings"
 
 	"yokestall/internal/lab/process"
 )
@@ -11,31 +11,44 @@
 // processFile is what `yokestall lab process` has written.
 type processFile struct {
 	path   string
-	report *process.Report
+	values map[string]float64 // figures and dimensions of sizes, by name
 }
 
-// Value implements File.
-func (f processFile) Value(name string) (float64, error) {
-	if figure, found := f.report.Value(name); found {
-		return figure.Value, nil
+// newProcessFile names what a report has.
+func newProcessFile(path string, r *process.Report) (processFile, error) {
+	f := processFile{path: path, values: map[string]float64{}}
+	add := func(name string, value float64) error {
+		name = markName(name)
+		if _, taken := f.values[name]; taken {
+			return fmt.Errorf("%s: another figure is called %s too", path, name)
+		}
+		f.values[name] = value
+		return nil
 	}
-	switch name {
-	case "seed":
-		return float64(f.report.Seed), nil
-	case "cores":
-		return float64(f.report.Machine.Cores), nil
-	case "memory_mb":
-		return float64(f.report.Machine.MemoryMB), nil
-	case "load":
-		return f.report.Machine.Load, nil
+	var problems []error
+	for _, figure := range r.Figures {
+		problems = append(problems, add(figure.Key, figure.Value))
 	}
-	for _, size := range f.report.Sizes {
-		if dimension, ofSize := strings.CutPrefix(name, size.Name+"."); ofSize {
-			if v, known := dimensionOf(size, dimension); known {
-				return v, nil
-			}
+	for _, size := range r.Sizes {
+		for dimension, value := range map[string]int{
+			"services": size.Services, "servers": size.Servers, "routes": size.Routes, "tenants": size.Tenants, "nodes": size.Nodes,
+		} {
+			problems = append(problems, add(size.Name+"."+dimension, float64(value)))
 		}
 	}
+	for name, value := range map[string]float64{
+		"seed": float64(r.Seed), "cores": float64(r.Machine.Cores), "memory_mb": float64(r.Machine.MemoryMB), "load": r.Machine.Load,
+	} {
+		problems = append(problems, add(name, value))
+	}
+	return f, errors.Join(problems...)
+}
+
+// Value implements File.
+func (f processFile) Value(name string) (float64, error) {
+	if v, known := f.values[name]; known {
+		return v, nil
+	}
 	return 0, fmt.Errorf("%s has no %s", filepath.Base(f.path), name)
 }
 
@@ -43,12 +56,3 @@
 func (f processFile) At(series string, _ float64) (float64, error) {
 	return 0, fmt.Errorf("%s has no series %s: there are no lines in a report on a process", filepath.Base(f.path), series)
 }
-
-// dimensionOf gives a dimension of a size as it was measured.
-func dimensionOf(size process.Size, name string) (float64, bool) {
-	dimensions := map[string]int{
-		"services": size.Services, "servers": size.Servers, "routes": size.Routes, "tenants": size.Tenants, "nodes": size.Nodes,
-	}
-	v, known := dimensions[name]
-	return float64(v), known
-}
--- a/internal/lab/process/read.go
+++ b/internal/lab/process/read.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// ReadReport reads a report's file. A field that a report doesn't have, and a figure that is there twice, are errors.
+// ReadReport reads a report's file. A field that a report doesn't have is an error.
 func ReadReport(path string) (*Report, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -19,12 +19,5 @@
 	if err := d.Decode(r); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	seen := map[string]bool{}
-	for _, f := range r.Figures {
-		if seen[f.Key] {
-			return nil, fmt.Errorf("%s: figure %s is there twice", path, f.Key)
-		}
-		seen[f.Key] = true
-	}
 	return r, nil
 }
