--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -81,12 +81,12 @@
 	for i := range after {
 		all = append(all, between(&before[i], &after[i]))
 	}
+	w.memories(s, after)
 	if s.Kind == Idle {
 		for i := range all {
 			all[i] = all[i].perSecond()
 		}
 		w.idle = all
-		w.memories(s, after)
 		w.use(s.Name, "", "/s", all)
 		return
 	}
@@ -131,7 +131,7 @@
 	}
 }
 
-// memories adds the figures of resident memory. That of hollow nodes is by process, against the nodes in it: the slope is a node's.
+// memories adds the figures of resident memory at a step's end. That of hollow nodes is by process, against the nodes in it: the slope is a node's.
 func (w *player) memories(s Step, reports []Report) {
 	byRole := map[Role][]float64{}
 	const megabyte = 1 << 20
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -126,16 +126,11 @@
 // configure writes the processes' files, and makes the voters' stores.
 func (r *rig) configure(ctx context.Context) error {
 	for _, m := range r.members.of(VoterRole) {
-		host, _, err := net.SplitHostPort(m.proc.Addr)
+		address, err := freeAddress(m.proc.Addr)
 		if err != nil {
 			return err
 		}
-		l, err := net.Listen("tcp", host+":0") // the address is the process's own: nobody else takes its ports
-		if err != nil {
-			return err
-		}
-		r.voters = append(r.voters, peers.Voter{Name: m.name, Address: l.Addr().String()})
-		l.Close()
+		r.voters = append(r.voters, peers.Voter{Name: m.name, Address: address})
 	}
 	if r.plan.TLS {
 		if err := r.makeKeys(); err != nil {
@@ -161,6 +156,25 @@
 	return nil
 }
 
+// freeAddress gives a free port of a process's own address, other than the one on which it is to listen already.
+func freeAddress(taken string) (string, error) {
+	host, _, err := net.SplitHostPort(taken)
+	if err != nil {
+		return "", err
+	}
+	held, err := net.Listen("tcp", taken) // until the other one is chosen
+	if err != nil {
+		return "", err
+	}
+	defer held.Close()
+	l, err := net.Listen("tcp", host+":0")
+	if err != nil {
+		return "", err
+	}
+	defer l.Close()
+	return l.Addr().String(), nil
+}
+
 func (r *rig) makeKeys() error {
 	authority, err := keymaker.New("the run's authority")
 	if err != nil {
