--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -81,6 +81,8 @@
 	if err != nil {
 		return err
 	}
+	memory := newMemoryLimit()
+	memory.set(first.Program.MemoryLimit)
 	o := app.Options{Seed: rand.Uint64(), Log: log, Path: path}
 	keys := first.Program.Keys
 	if keys.Folder != "" {
@@ -131,6 +133,7 @@
 	}
 	watch.Go(func() {
 		watcher.Run(ctx, func(s *files.Snapshot) {
+			memory.set(s.Program.MemoryLimit)
 			if own != nil {
 				own.Own(s.Program)
 			} else {
--- a/internal/config/clusters.go
+++ b/internal/config/clusters.go
@@ -261,7 +261,7 @@
 
 var (
 	clusterTable = regexp.MustCompile(`(?m)^[ \t]*(\[[ \t]*(cluster|end)[ \t]*\]|\[\[[ \t]*endpoint[ \t]*\]\])`)
-	programTable = regexp.MustCompile(`(?m)^[ \t]*\[\[?[ \t]*(listen|upstream|files|limits|fleet|class|tenant|host)[ \t.\]]`)
+	programTable = regexp.MustCompile(`(?m)^[ \t]*\[\[?[ \t]*(listen|upstream|files|process|limits|fleet|class|tenant|host)[ \t.\]]`)
 )
 
 var closing = regexp.MustCompile(`(?:^|\n)endpoints = ([0-9]{1,6})\n$`)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,6 +23,12 @@
 	MaxServers = 100_000 // over all clusters of a version
 )
 
+// The bounds of the soft memory limit, in 2^20 bytes: below the least the collector would run without end.
+const (
+	minMemoryMB = 32
+	maxMemoryMB = 1 << 20
+)
+
 // MaxListeners is how many listeners a program has at most.
 const MaxListeners = 16
 
@@ -114,6 +120,8 @@
 	Upstream  Upstream
 	// ClusterIdle is how long a cluster without requests keeps its decisions' state and its connections.
 	ClusterIdle time.Duration
+	// MemoryLimit is the soft limit of the Go runtime's memory, in bytes; 0: none of its own.
+	MemoryLimit int64
 	Files       Files
 	Limits      policy.Limits
 	Rules       policy.Rules
@@ -253,6 +261,9 @@
 		Log     string `toml:"log"`
 		Late    bool   `toml:"late"`
 	} `toml:"repeats"`
+	Process struct {
+		MemoryMB int64 `toml:"memory_mb"`
+	} `toml:"process"`
 	Limits struct {
 		Attempts      int      `toml:"attempts"`
 		SecondCopies  bool     `toml:"second_copies"`
@@ -366,6 +377,10 @@
 	within("upstream", "idle", p.Upstream.Idle, 100*time.Millisecond, time.Hour)
 	within("upstream", "connect_timeout", p.Upstream.ConnectTimeout, time.Millisecond, time.Minute)
 	p.ClusterIdle = f.Upstream.ClusterIdle.Duration
+	p.MemoryLimit = f.Process.MemoryMB << 20
+	if n := f.Process.MemoryMB; n != 0 && (n < minMemoryMB || n > maxMemoryMB) {
+		report("process", -1, "memory_mb", "%d is neither 0 nor from %d to %d", n, minMemoryMB, maxMemoryMB)
+	}
 	within("upstream", "cluster_idle", p.ClusterIdle, time.Second, 24*time.Hour)
 	p.classes(&f.classFile, report)
 	p.tenants(&f.tenantTables, report)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,7 +45,7 @@
 	}
 	for _, line := range []string{
 		"connections = 1024", "silent = 256", "connections = 512", `idle = "15s"`, `connect_timeout = "250ms"`,
-		"max_removed_share = 0.5", `poll = "1s"`, "attempts = 3", "nodes = 1", "node = 0", "late_worth = 0",
+		"max_removed_share = 0.5", `poll = "1s"`, "attempts = 3", "nodes = 1", "node = 0", "late_worth = 0", `cluster_idle = "2m"`, "memory_mb = 0",
 	} {
 		without := strings.Replace(text, line, "", 1)
 		if without == text {
@@ -53,7 +53,7 @@
 		}
 		got, err := ParseProgram("x", []byte(without))
 		if err != nil || got.Listener != want.Listener || got.Upstream != want.Upstream || got.Files != want.Files ||
-			got.Limits != want.Limits || got.Nodes != want.Nodes || got.Classes[0] != want.Classes[0] {
+			got.ClusterIdle != want.ClusterIdle || got.MemoryLimit != want.MemoryLimit || got.Limits != want.Limits || got.Nodes != want.Nodes || got.Classes[0] != want.Classes[0] {
 			t.Errorf("without %s: %+v, %v", line, got, err)
 		}
 	}
@@ -145,6 +145,9 @@
 		"connections":      {"connections = 1024", "connections = 0", "listen: connections: 0"},
 		"duration":         {`idle = "15s"`, `idle = "15"`, "x.toml:41"},
 		"negative time":    {`idle = "15s"`, `idle = "-15s"`, "upstream: idle"},
+		"idle clusters":    {`cluster_idle = "2m"`, `cluster_idle = "10ms"`, "upstream: cluster_idle"},
+		"little memory":    {"memory_mb = 0", "memory_mb = 31", "process: memory_mb: 31"},
+		"negative memory":  {"memory_mb = 0", "memory_mb = -1", "process: memory_mb: -1"},
 		"share":            {"max_removed_share = 0.5", "max_removed_share = nan", "max_removed_share: NaN"},
 		"no folder":        {`clusters = "clusters"`, "", "files: clusters: is missing"},
 		"attempts":         {"attempts = 3", "attempts = 17", "limits: attempts: 17"},
