--- a/internal/lab/process/generate.go
+++ b/internal/lab/process/generate.go
@@ -82,7 +82,7 @@
 // Settings are what changes of a configuration replace.
 type Settings struct {
 	Version int // told by the version route, so that a change that is in force can be seen
-	// Step is added to the first tenant's quota, or where there are no tenants to max_retry_after: a change of settings.
+	// Step is added to the first tenant's quota, or where the program's file has no tenants to max_retry_after: a change of settings.
 	Step int
 	// Text is what one route answers: a change of a route alone.
 	Text int
@@ -103,22 +103,24 @@
 
 // WriteProgram writes the program's own file. Errors are the writer's to keep, as bufio's does.
 func (g *Generator) WriteProgram(b io.Writer, s Settings) {
-	fmt.Fprintf(b, "[listen]\naddress = %q\n\n[files]\nclusters = \"clusters\"\n\n", g.Place.Listen)
+	fmt.Fprintf(b, "[listen]\naddress = %q\n\n[files]\nclusters = \"clusters\"\n", g.Place.Listen)
+	if g.Size.TenantsFile {
+		fmt.Fprintf(b, "tenants = %q\n", tenantsFile)
+	}
+	if g.Size.MemoryMB > 0 {
+		fmt.Fprintf(b, "\n[process]\nmemory_mb = %d\n", g.Size.MemoryMB)
+	}
+	b.Write([]byte("\n"))
 	wait := 600
-	if g.Size.Tenants == 0 {
+	if g.Size.Tenants == 0 || g.Size.TenantsFile {
 		wait += s.Step
 	}
 	fmt.Fprintf(b, "[limits]\nattempts = 3\nsecond_copies = true\ncancel = true\nmax_retry_after = \"%dms\"\n\n", wait)
 	fmt.Fprintf(b, "[fleet]\nnodes = %d\nnode = 0\nzone = \"zone-0\"\n\n", g.Size.Nodes)
 	io.WriteString(b, "[[class]]\nname = \"read\"\neffect = \"safe\"\ndeadline = \"1400ms\"\naim = \"580ms\"\nworth = 2\n\n"+
 		"[[class]]\nname = \"write\"\neffect = \"keyed\"\nscope = \"all\"\nwindow = \"6s\"\ndeadline = \"1900ms\"\naim = \"750ms\"\nworth = 8\n\n")
-	rng := rand.New(rand.NewPCG(g.Seed, 1))
-	for i := range g.Size.Tenants {
-		quota := math.Ceil(100*math.Exp(quotaSpread*rng.NormFloat64())) / 10
-		if i == 0 {
-			quota = float64(1000 + s.Step)
-		}
-		fmt.Fprintf(b, "[[tenant]]\nname = %q\nquota_per_s = %g\n", TenantName(i), quota)
+	if !g.Size.TenantsFile {
+		g.writeTenants(b, s.Step)
 	}
 	fmt.Fprintf(b, "\n[[host]]\nname = \"version\"\ndomains = [%q]\n[[host.route]]\nname = \"version\"\npath = \"/version\"\n"+
 		"answer = { status = 200, text = %q }\n[[host.route]]\nname = \"text\"\npath = \"/text\"\nanswer = { status = 200, text = \"text %d\" }\n",
@@ -128,6 +130,23 @@
 	}
 }
 
+// WriteTenants writes the file of the tenants, where they have one of their own.
+func (g *Generator) WriteTenants(b io.Writer) {
+	g.writeTenants(b, 0)
+	fmt.Fprintf(b, "\n[end]\ntenants = %d\n", g.Size.Tenants)
+}
+
+func (g *Generator) writeTenants(b io.Writer, step int) {
+	rng := rand.New(rand.NewPCG(g.Seed, 1))
+	for i := range g.Size.Tenants {
+		quota := math.Ceil(100*math.Exp(quotaSpread*rng.NormFloat64())) / 10
+		if i == 0 {
+			quota = float64(1000 + step)
+		}
+		fmt.Fprintf(b, "[[tenant]]\nname = %q\nquota_per_s = %g\n", TenantName(i), quota)
+	}
+}
+
 func (g *Generator) host(b io.Writer, i int) {
 	fmt.Fprintf(b, "\n[[host]]\nname = %q\ndomains = [%q]\n", ServiceName(i), hostName(i))
 	for j := range g.routesOf(i) {
--- a/internal/lab/process/plan.go
+++ b/internal/lab/process/plan.go
@@ -28,6 +28,10 @@
 	Routes   int    `toml:"routes" json:"routes"`   // over all services
 	Tenants  int    `toml:"tenants" json:"tenants"`
 	Nodes    int    `toml:"nodes" json:"nodes"` // of the fleet that the process is one of
+	// TenantsFile has the tenants in a file of their own, so that a change of settings is none of theirs.
+	TenantsFile bool `toml:"tenants_file" json:"tenants_file,omitempty"`
+	// MemoryMB is the program's soft limit of memory ([process] memory_mb); 0: none.
+	MemoryMB int `toml:"memory_mb" json:"memory_mb,omitempty"`
 	// OnlyIfTaken leaves the size at its check where the program refuses it, in place of measuring with fewer tenants.
 	OnlyIfTaken bool `toml:"only_if_taken" json:"-"`
 }
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"math"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -32,6 +33,19 @@
 // The program takes what is generated, with as many services, servers, routes and tenants as the size says, and each request of
 // the load is led to the cluster of its service.
 func TestGeneratedIsTaken(t *testing.T) {
+	apart := tiny
+	apart.TenantsFile, apart.MemoryMB = true, 64
+	whole, split := generatedIsTaken(t, tiny), generatedIsTaken(t, apart)
+	if whole.MemoryLimit != 0 || split.MemoryLimit != 64<<20 {
+		t.Errorf("limits of memory %d and %d", whole.MemoryLimit, split.MemoryLimit)
+	}
+	if !reflect.DeepEqual(whole.Tenants, split.Tenants) {
+		t.Error("the tenants in a file of their own are others")
+	}
+}
+
+func generatedIsTaken(t *testing.T, tiny Size) *config.Program {
+	t.Helper()
 	g := Generator{Size: tiny, Seed: 1, Place: DefaultPlace()}
 	dir := t.TempDir()
 	if err := g.Write(dir); err != nil {
@@ -57,6 +71,7 @@
 	for n := range 1000 {
 		checkAsk(t, s.Program, g.Ask(n, tiny.Services))
 	}
+	return s.Program
 }
 
 // checkAsk holds a request against the routes: it leads to its service's cluster, and has a key where the class wants one.
--- a/internal/lab/process/write.go
+++ b/internal/lab/process/write.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"errors"
+	"io"
 	"os"
 	"path/filepath"
 	"strings"
@@ -11,6 +12,7 @@
 // The names of the files below a folder, as `yokestall serve` wants them.
 const (
 	programFile    = "yokestall.toml"
+	tenantsFile    = "tenants.toml"
 	clustersFolder = "clusters"
 )
 
@@ -19,9 +21,15 @@
 	if err := os.MkdirAll(filepath.Join(dir, clustersFolder), 0o700); err != nil {
 		return err
 	}
-	if err := g.writeProgram(filepath.Join(dir, programFile), Settings{}); err != nil {
+	program := func(b io.Writer) { g.WriteProgram(b, Settings{}) }
+	if err := writeFile(filepath.Join(dir, programFile), program); err != nil {
 		return err
 	}
+	if g.Size.TenantsFile {
+		if err := writeFile(filepath.Join(dir, tenantsFile), g.WriteTenants); err != nil {
+			return err
+		}
+	}
 	for i := range g.Size.Services {
 		if err := os.WriteFile(filepath.Join(dir, clusterFile(i)), g.Cluster(i, 0), 0o600); err != nil {
 			return err
@@ -30,14 +38,14 @@
 	return nil
 }
 
-// writeProgram writes the program's own file, however long it is, without holding all of it.
-func (g *Generator) writeProgram(path string, s Settings) error {
+// writeFile writes a file, however long it is, without holding all of it.
+func writeFile(path string, write func(b io.Writer)) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	b := bufio.NewWriterSize(f, 1<<20)
-	g.WriteProgram(b, s)
+	write(b)
 	return errors.Join(b.Flush(), f.Close())
 }
 
