--- a/internal/fleet/peers/client.go
+++ b/internal/fleet/peers/client.go
@@ -244,17 +244,41 @@
 	return &PublishReply{Error: last.Error(), Retry: true}, nil
 }
 
-// upload stores content at all voters at the same time and returns their errors.
+// uploadGrace is how long the other voters have for storing content once a quorum has stored it. What they miss they fetch
+// from the others.
+const uploadGrace = 250 * time.Millisecond
+
+// uploadResult is what became of storing content at one voter.
+type uploadResult struct {
+	voter int // its place among the client's connections
+	err   error
+}
+
+// upload stores content at all voters at the same time and returns their errors. A voter that doesn't answer holds it up for no longer
+// than uploadGrace.
 func (c *Client) upload(ctx context.Context, content map[string][]byte) []error {
 	errs := make([]error, len(c.conns))
 	if content == nil {
 		return errs
 	}
-	forEachConn(c.conns, func(i int, conn *Conn) {
-		one, stop := context.WithTimeout(ctx, publishTimeout)
-		defer stop()
-		errs[i] = conn.Put(one, content)
-	})
+	ctx, stop := context.WithTimeout(ctx, publishTimeout)
+	defer stop()
+	results := make(chan uploadResult, len(c.conns))
+	for voter, conn := range c.conns {
+		go func() { results <- uploadResult{voter, conn.Put(ctx, content)} }()
+	}
+	stored := 0
+	for range c.conns {
+		r := <-results
+		errs[r.voter] = r.err
+		if r.err != nil {
+			continue
+		}
+		if stored++; c.isQuorum(stored) {
+			grace := time.AfterFunc(uploadGrace, stop)
+			defer grace.Stop()
+		}
+	}
 	return errs
 }
 
