--- a/internal/lab/process/bad_test.go
+++ b/internal/lab/process/bad_test.go
@@ -42,9 +42,9 @@
 	// Their shortest forms have over 200 MB; nothing of such a file is read, so that it may be empty on the disk.
 	{"ten million tenants", sparse(10_000_000 * int64(len("[[tenant]]\nname=\"1\"\n"))), fmt.Sprintf("bytes; %d at most", config.MaxFile)},
 	{"a million routes", sparse(1_000_000 * int64(len(restRoute))), fmt.Sprintf("bytes; %d at most", config.MaxFile)},
-	{"150,000 servers", manyServers(150_000), fmt.Sprintf(":1: 150000 endpoints; %d at most", cluster.MaxEndpoints)},
-	{"more tenants than the bound", manyTenants(max(100_000, config.MaxTenants+1), "tenant-%06d"), "at most"},
-	{"five times as many routes", manyRoutes(5 * route.MaxRoutes), fmt.Sprintf("more than %d routes", route.MaxRoutes)},
+	{"150,000 servers", manyServers(150_000), fmt.Sprintf(":%d: endpoint: over %d servers", 4*cluster.MaxEndpoints+3, cluster.MaxEndpoints)},
+	{"more tenants than the bound", manyTenants(max(100_000, config.MaxTenants+1), "tenant-%06d"), fmt.Sprintf("tenant: over %d tenants", config.MaxTenants)},
+	{"five times as many routes", manyRoutes(5 * route.MaxRoutes), fmt.Sprintf("host.route: over %d routes", route.MaxRoutes)},
 }
 
 // fullInputs are as large as a file may be: for the benchmark, they take too long under the race detector.
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 	"math"
 	"net"
@@ -14,6 +15,7 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/config"
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/agree"
 	"yokestall/internal/fleet/peers"
@@ -335,12 +337,12 @@
 
 // Content that a node would refuse is refused before anything is started.
 func TestRefusedContent(t *testing.T) {
-	p, err := Parse("plan.toml", []byte(goodPlan+"[content]\ntenants = 1001\n"))
+	p, err := Parse("plan.toml", []byte(fmt.Sprintf("%s[content]\ntenants = %d\n", goodPlan, config.MaxTenants+1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = Play(t.Context(), p, Options{Dir: t.TempDir(), Command: []string{"/nothing"}, Tell: t.Logf})
-	if err == nil || !strings.Contains(err.Error(), "content: a node would refuse it") || !strings.Contains(err.Error(), "1001 tenants; 1000 at most") {
+	if err == nil || !strings.Contains(err.Error(), "content: a node would refuse it") || !strings.Contains(err.Error(), fmt.Sprintf("over %d tenants", config.MaxTenants)) {
 		t.Error(err)
 	}
 }
