--- /dev/null
+++ b/internal/keylog/golden_test.go
@@ -0,0 +1,104 @@
+package keylog
+
+import (
+	"bytes"
+	"cmp"
+	"errors"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"yokestall/internal/repeat"
+)
+
+// The golden file is a log as it was written before identifiers were renamed. It stays on disk
+// between versions of the program, so its form must not change.
+const goldenFile = "testdata/golden/keys.log"
+
+// goldenKnown gives what Open reads from the golden file, by name; the key that was refused is not kept.
+func goldenKnown() []Known {
+	return []Known{
+		{Key: repeat.Key{Tenant: 11, Name: "key answered"}, Print: repeat.Print{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}, Until: time.Unix(4_000_000_001, 101), Answered: true},
+		{Key: repeat.Key{Tenant: 13, Name: "key lost"}, Print: repeat.Print{33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46, 47, 48}, Until: time.Unix(4_000_000_003, 103)},
+		{Key: repeat.Key{Tenant: 14, Name: "key only started"}, Print: repeat.Print{49, 50, 51, 52, 53, 54, 55, 56, 57, 58, 59, 60, 61, 62, 63, 64}, Until: time.Unix(4_000_000_004, 104)},
+	}
+}
+
+// writeGolden writes the golden file's content with a log of its own.
+func writeGolden(t *testing.T) []byte {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "keys")
+	l, _, err := Open(path, time.Unix(4_000_000_000, 0), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	known := goldenKnown()
+	refusedKey := repeat.Key{Tenant: 12, Name: "key refused"}
+	err = errors.Join(
+		l.Started(known[0].Key, known[0].Print, known[0].Until),
+		l.Started(refusedKey, repeat.Print{17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32}, time.Unix(4_000_000_002, 102)),
+		l.Started(known[1].Key, known[1].Print, known[1].Until),
+		l.Started(known[2].Key, known[2].Print, known[2].Until))
+	l.Finished(known[0].Key, repeat.Answered)
+	l.Finished(refusedKey, repeat.Refused)
+	l.Finished(known[1].Key, repeat.Lost)
+	if err := errors.Join(err, l.Close()); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// golden reads the golden file.
+func golden(t *testing.T) []byte {
+	t.Helper()
+	text, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func TestGoldenLogOpens(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "keys") // Open writes the file anew
+	if err := os.WriteFile(path, golden(t), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	l, got, err := Open(path, time.Unix(4_000_000_000, 0), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	slices.SortFunc(got, func(a, b Known) int { return cmp.Compare(a.Key.Name, b.Key.Name) })
+	if want := goldenKnown(); !slices.Equal(got, want) {
+		t.Errorf("got  %+v\nwant %+v", got, want)
+	}
+}
+
+func TestGoldenLogWrites(t *testing.T) {
+	if got, want := writeGolden(t), golden(t); !bytes.Equal(got, want) {
+		t.Errorf("got\n%x\nwant\n%x", got, want)
+	}
+}
+
+// The byte of each kind of record, in the order of the golden file.
+func TestGoldenLogKinds(t *testing.T) {
+	var kinds []byte
+	text := golden(t)
+	for at := len("ykkeys01"); at < len(text); {
+		r, ok := parse(text[at:])
+		if !ok {
+			t.Fatalf("no record at byte %d", at)
+		}
+		kinds = append(kinds, byte(r.kind))
+		at += int(r.size())
+	}
+	if want := []byte{1, 1, 1, 1, 2, 3, 4}; !bytes.Equal(kinds, want) {
+		t.Errorf("kinds %v, want %v", kinds, want)
+	}
+}
