--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,127 @@
+package handover
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"yokestall/internal/maint"
+	"yokestall/internal/testkit"
+)
+
+// The golden files are as they were written before identifiers were renamed. Processes of
+// different versions share them, so their form must not change.
+const (
+	goldenRecord   = "testdata/golden/record.txt"
+	goldenPresence = "testdata/golden/presence.txt"
+)
+
+// goldenEntries gives the entries in the golden record: each of the operations once.
+func goldenEntries() []entry {
+	return []entry{
+		{seq: 3, change: maint.Change{Op: maint.Detach, Server: "server 1", AtMs: 1_700_000_000_101}},
+		{seq: 4, change: maint.Change{Op: maint.Attach, Server: "s\u00e9rver\"2", AtMs: 1_700_000_000_202}},
+		{seq: 5, change: maint.Change{Op: maint.LameDuck, AtMs: 1_700_000_000_303}},
+		{seq: 6, change: maint.Change{Op: maint.Rejoin, AtMs: 1_700_000_000_404}},
+	}
+}
+
+// goldenPresent gives the values in the golden presence.
+func goldenPresent() Presence {
+	return Presence{Number: 11, Phase: Leaving, Applied: 12, Held: 13, Yields: 14}
+}
+
+// golden reads a golden file.
+func golden(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func TestGoldenRecordParses(t *testing.T) {
+	got, err := parseRecord(golden(t, goldenRecord), "node-a")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := goldenEntries(); !slices.Equal(got, want) {
+		t.Errorf("got  %+v\nwant %+v", got, want)
+	}
+}
+
+func TestGoldenRecordFormats(t *testing.T) {
+	if got, want := formatRecord("node-a", goldenEntries()), golden(t, goldenRecord); !bytes.Equal(got, want) {
+		t.Errorf("got\n%s\nwant\n%s", got, want)
+	}
+}
+
+func TestGoldenPresenceParses(t *testing.T) {
+	got, err := parsePresence(golden(t, goldenPresence))
+	if want := goldenPresent(); err != nil || got != want {
+		t.Errorf("got %+v, %v, want %+v", got, err, want)
+	}
+}
+
+func TestGoldenPresenceEncodes(t *testing.T) {
+	if got, want := goldenPresent().encode(), golden(t, goldenPresence); !bytes.Equal(got, want) {
+		t.Errorf("got\n%s\nwant\n%s", got, want)
+	}
+}
+
+// The numbers of the phases stand in presence files.
+func TestGoldenPhases(t *testing.T) {
+	if got := []Phase{Starting, Serving, Leaving}; !slices.Equal(got, []Phase{0, 1, 2}) {
+		t.Errorf("phases %d, want 0, 1, 2", got)
+	}
+}
+
+func TestGoldenFileNames(t *testing.T) {
+	got := []string{folderName, lockName, presencePrefix, givenPrefix, copyNames[0], copyNames[1], PassedSocket}
+	want := []string{"yokestall", "lock", "process-", "knowledge-", "record-a", "record-b", "BALANCER_PASSED_SOCKET"}
+	if !slices.Equal(got, want) {
+		t.Errorf("names %q, want %q", got, want)
+	}
+}
+
+// A process finds the record, and makes its own files, under the names that other versions use.
+func TestGoldenFolder(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.Mkdir(filepath.Join(dir, "yokestall"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"record-a", "record-b"} {
+		if err := os.WriteFile(filepath.Join(dir, "yokestall", name), golden(t, goldenRecord), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	f, changes, err := Join(dir, "node-a", testkit.Log(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	var want []maint.Change
+	for _, e := range goldenEntries() {
+		want = append(want, e.change)
+	}
+	if !slices.Equal(changes, want) {
+		t.Errorf("changes %+v, want %+v", changes, want)
+	}
+	if err := f.Give(7, []byte("snapshot")); err != nil {
+		t.Fatal(err)
+	}
+	files, err := os.ReadDir(filepath.Join(dir, "yokestall"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var names []string // sorted
+	for _, file := range files {
+		names = append(names, file.Name())
+	}
+	if want := []string{"knowledge-7", "lock", "process-1", "record-a", "record-b"}; !slices.Equal(names, want) {
+		t.Errorf("files %q, want %q", names, want)
+	}
+}
