--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,76 @@
+package node
+
+import (
+	"bytes"
+	"encoding/json"
+	"maps"
+	"os"
+	"reflect"
+	"testing"
+	"time"
+
+	"yokestall/internal/idle"
+	"yokestall/internal/registry"
+)
+
+// The golden file is a configuration with every key that is read here. The platform writes such
+// files and passes the known list on, so names, types and units in them must not change.
+const goldenFile = "testdata/golden/configuration.json"
+
+// goldenKnown gives the known list in the golden file; no field is zero.
+func goldenKnown() known {
+	return known{Generation: 41, Reset: true, Instances: []registry.Line{
+		{InstanceID: "server-1", HostPort: "10.0.0.1:8001", Zone: "east", Cell: 2, Lifecycle: "Ready", Weight: 1.25, StartedAtMs: 1_699_999_990_001},
+		{InstanceID: "server-2", HostPort: "10.0.0.2:8002", Zone: "west", Cell: 3, Lifecycle: "Draining", Weight: 2.5, StartedAtMs: 1_699_999_980_002},
+	}}
+}
+
+// golden reads the golden file.
+func golden(t *testing.T) []byte {
+	t.Helper()
+	text, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func TestGoldenConfigurationParses(t *testing.T) {
+	c, err := parseConfig(golden(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := goldenKnown(); !reflect.DeepEqual(c.Known, want) {
+		t.Errorf("known list %+v, want %+v", c.Known, want)
+	}
+	if c.Name != "node-a" || c.Listen != "127.0.0.1:8101" || c.Discovery != "127.0.0.1:8102" || c.Mgmt != "127.0.0.1:8103" || c.Seed != 0x8c1f30d27a5be964 {
+		t.Errorf("name %q, listen %q, discovery %q, mgmt %q, seed %x", c.Name, c.Listen, c.Discovery, c.Mgmt, c.Seed)
+	}
+	if want := (Limits{Cores: 1.5, MemoryMB: 192, Sockets: 256}); c.Limits != want {
+		t.Errorf("limits %+v, want %+v", c.Limits, want)
+	}
+	if !maps.Equal(c.Tenants, map[string]int{"acme": 0, "bolt": 1}) || !maps.Equal(c.Classes, map[string]int{"read": 0, "push": 1}) || !maps.Equal(c.Zones, map[string]int{"east": 0, "west": 1}) {
+		t.Errorf("tenants %v, classes %v, zones %v", c.Tenants, c.Classes, c.Zones)
+	}
+	if c.ConnIdle != 14001*time.Millisecond || c.ConnectTimeout != 252*time.Millisecond || c.DrainGrace != 353*time.Millisecond {
+		t.Errorf("idle %v, connect %v, grace %v", c.ConnIdle, c.ConnectTimeout, c.DrainGrace)
+	}
+	if want := (idle.Prices{Handshake: 0.042, Connection: 0.041}); c.IdlePrices != want || c.ListPrice != 0.043 {
+		t.Errorf("prices %+v and %v", c.IdlePrices, c.ListPrice)
+	}
+}
+
+// The known list is written as it stands in the golden file, byte for byte.
+func TestGoldenKnownListWrites(t *testing.T) {
+	got, err := json.Marshal(goldenKnown())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var file map[string]json.RawMessage
+	if err := json.Unmarshal(golden(t), &file); err != nil {
+		t.Fatal(err)
+	}
+	if want := file["known"]; !bytes.Equal(got, want) {
+		t.Errorf("got\n%s\nwant\n%s", got, want)
+	}
+}
