--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -1,8 +1,10 @@
 package wire
 
 import (
+	"bytes"
 	"os"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 
@@ -38,3 +40,53 @@
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 }
+
+// The golden file is a batch in hexadecimal digits, one record a line: its header, each of the
+// events, and its tail. The simulator writes batches, so their form must not change; this program
+// writes none.
+func TestGoldenBatchDecodes(t *testing.T) {
+	text, err := os.ReadFile("testdata/golden/batch.hex")
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := NewReader(bytes.NewReader(unhex(t, strings.ReplaceAll(string(text), "\n", "")))).Read()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if b.Now != 8500500*time.Microsecond || b.Number != 12 {
+		t.Errorf("at %v, number %d", b.Now, b.Number)
+	}
+	const us = time.Microsecond
+	entries := []policy.Entry{
+		{Server: 0x0a124a071f93, Zone: 1, Cell: 2, State: policy.Ready, Weight: 1.25, Started: 6100500 * us},
+		{Server: 0x0a9011f21fbc, Zone: 3, Cell: 4, State: policy.Draining, Weight: 1.5, Started: 6200500 * us},
+		{Server: 0x0a9011f21fbd, Zone: 5, Cell: 6, State: policy.Gone, Weight: 1.75, Started: 6300500 * us},
+	}
+	want := []Event{
+		{Code: Instance, Instance: 3},
+		{Code: Open, Seed: 0x8c1f30d27a5be964, Settings: []byte(`{"Me":2}`)},
+		{Code: Members, Kind: policy.ListDelta, Entries: entries},
+		{Code: Members, Kind: policy.ListFull, Entries: entries},
+		{Code: Members, Kind: policy.ListCached, Entries: entries},
+		{Code: Members, Kind: policy.ListFailed, Entries: entries},
+		{Code: Request, Request: policy.Request{ID: 0x5d3a91c4, Class: 5, Tenant: 6, Left: 240500 * us, Hint: 12500 * us}},
+		{Code: Started, Outcome: policy.Outcome{ID: 0x5d3a91c5, Attempt: 7, Server: 0x0a124a071f93}},
+	}
+	for i, status := range []policy.Status{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.Moot} {
+		want = append(want, Event{Code: Outcome, Outcome: policy.Outcome{ID: policy.RequestID(0x5d3a91d0 + i), Attempt: i + 1,
+			Server: 0x0a124a071f93, Status: status, Ended: true, Latency: 18500*us + time.Duration(i)*time.Millisecond}})
+	}
+	want = append(want, Event{Code: Left, Outcome: policy.Outcome{ID: 0x0e6f2b19}}, Event{Code: Timer, Token: 0x4d}, Event{Code: Stop})
+	if len(want) != b.Count {
+		t.Fatalf("%d events, want %d", b.Count, len(want))
+	}
+	for i := range b.Count {
+		var got Event
+		if err := b.Event(i, &got); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(got, want[i]) {
+			t.Errorf("event %d: got  %+v\nwant %+v", i, got, want[i])
+		}
+	}
+}
