--- /dev/null
+++ b/internal/fleet/store/golden_test.go
@@ -0,0 +1,159 @@
+package store
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"yokestall/internal/fleet/agree"
+	"yokestall/internal/testkit/golden"
+)
+
+const goldenStore = "testdata/golden/agree.db"
+
+// goldenContent is the content in the golden store, and goldenHash its key.
+const (
+	goldenContent = "content-a"
+	goldenHash    = "f245bf6913791c35ae6570bbb86958c35ac200bf95291ca841ef96d4b2cdf5f6"
+)
+
+// goldenIdentity returns the identity in the golden store.
+func goldenIdentity() Identity {
+	return Identity{Fleet: "fleet-a", Name: "voter-a", ID: 3, Voters: []uint64{3, 4, 5}}
+}
+
+// goldenWork returns what is saved in the golden store's log.
+func goldenWork() agree.ReadyWork {
+	return agree.ReadyWork{
+		HardState: &pb.HardState{Term: new(uint64(7)), Vote: new(uint64(5)), Commit: new(uint64(2))},
+		Entries: []*pb.Entry{
+			{Term: new(uint64(6)), Index: new(uint64(2)), Data: []byte(`{"clear":{"epoch":21,"voter":4}}`)},
+			{Term: new(uint64(7)), Index: new(uint64(3)), Data: []byte(`{"free":{"work":"task-b","asked":25,"voter":26}}`)},
+		},
+	}
+}
+
+// goldenVersion returns the last version in the golden store.
+func goldenVersion() *agree.Manifest {
+	return &agree.Manifest{
+		Number: 11, Base: 10, ID: "id-a", Proposer: "node-a", Contradicts: true,
+		Parts:   []agree.Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), Size: 12}},
+		Extends: true, OwnParts: 1, RefusalReason: "node-b: too large",
+	}
+}
+
+// The starts in the golden store: its own voter's and another one's.
+var (
+	goldenStart      = VoterStart{Name: "voter-a", Count: 1, Nonce: "nonce-a"}
+	goldenOtherStart = VoterStart{Name: "voter-b", Count: 9, Nonce: "nonce-b"}
+)
+
+// writeGoldenStore writes a store with the golden values into a folder.
+func writeGoldenStore(t *testing.T, dir string) {
+	t.Helper()
+	s, err := Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	_, startErr := s.NextStart("voter-a", "nonce-a")
+	_, _, otherErr := s.RecordStart(goldenOtherStart)
+	for _, err := range []error{
+		startErr, otherErr, s.Init(goldenIdentity()), s.Save(goldenWork()), s.Put([]byte(goldenContent)), s.SaveLastVersion(goldenVersion()),
+	} {
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// copyGoldenStore copies the golden store into a new folder, since opening a store writes to it.
+func copyGoldenStore(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "agree.db"), golden.Read(t, goldenStore), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// storeValues returns all keys and values of a store as they are on the disk.
+func storeValues(t *testing.T, dir string) map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(filepath.Join(dir, "agree.db"), 0o600, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	values := map[string]string{}
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error { values[string(bucket)+"/"+string(k)] = string(v); return nil })
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return values
+}
+
+func TestGoldenStoreOpens(t *testing.T) {
+	for _, v := range []any{goldenIdentity(), goldenVersion(), goldenStart, goldenOtherStart} {
+		golden.NonZero(t, v)
+	}
+	s, err := Open(copyGoldenStore(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	id, disk, err := s.Voter()
+	if err != nil || !reflect.DeepEqual(id, goldenIdentity()) {
+		t.Errorf("identity %+v, %v", id, err)
+	}
+	work := goldenWork()
+	if !proto.Equal(disk.HardState, work.HardState) {
+		t.Errorf("hard state %v", disk.HardState)
+	}
+	if want := agree.InitialDiskState([]uint64{3, 4, 5}).Snapshot; !proto.Equal(disk.Snapshot, want) || disk.Snapshot.GetMetadata().GetIndex() != 1 {
+		t.Errorf("snapshot %v", disk.Snapshot)
+	}
+	if len(disk.Entries) != 2 || !proto.Equal(disk.Entries[0], work.Entries[0]) || !proto.Equal(disk.Entries[1], work.Entries[1]) {
+		t.Errorf("entries %v", disk.Entries)
+	}
+	if data, err := s.Get(goldenHash); err != nil || !bytes.Equal(data, []byte(goldenContent)) {
+		t.Errorf("content %q, %v", data, err)
+	}
+	if m, err := s.LastVersion(); err != nil || !reflect.DeepEqual(m, goldenVersion()) {
+		t.Errorf("last version %+v, %v", m, err)
+	}
+	if ok, latest, err := s.RecordStart(VoterStart{Name: "voter-b", Count: 8, Nonce: "nonce-c"}); ok || latest != goldenOtherStart || err != nil {
+		t.Errorf("other voter's start %+v, %v, %v", latest, ok, err)
+	}
+	if next, err := s.NextStart("voter-a", "nonce-d"); err != nil || next != (VoterStart{Name: "voter-a", Count: 2, Nonce: "nonce-d"}) {
+		t.Errorf("next start %+v, %v", next, err)
+	}
+}
+
+func TestGoldenStoreIsWrittenAgain(t *testing.T) {
+	dir := t.TempDir()
+	writeGoldenStore(t, dir)
+	got, want := storeValues(t, dir), storeValues(t, copyGoldenStore(t))
+	for k, v := range want {
+		if got[k] != v {
+			t.Errorf("%q is written as %q; want %q", k, got[k], v)
+		}
+	}
+	if len(got) != len(want) || len(want) != 9 {
+		t.Errorf("%d values written, %d in the golden file; want 9", len(got), len(want))
+	}
+	if got["meta/life"][4:] != `{"name":"voter-a","count":1,"nonce":"nonce-a"}` {
+		t.Errorf("own start %q", got["meta/life"])
+	}
+}
