--- /dev/null
+++ b/internal/cli/golden_test.go
@@ -0,0 +1,33 @@
+package cli
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+
+	"yokestall/internal/fleet/peers"
+	"yokestall/internal/testkit/golden"
+)
+
+// The other JSON output of the fleet commands is that of types of package peers, which has golden files for them.
+func TestGoldenPublishOutput(t *testing.T) {
+	want := result{
+		ID:             "id-a",
+		PublishReply:   &peers.PublishReply{Number: 1, Contradicts: true, Error: "error-a", Retry: true, ActiveVersion: 2, Differences: []string{"difference-a"}},
+		PublishOutcome: &peers.PublishOutcome{InForce: true, RefusalReason: "reason-a", WaitingFor: []string{"node-a", "node-b"}},
+	}
+	golden.NonZero(t, want)
+	text := golden.Read(t, "testdata/golden/publish.json")
+	var got result
+	golden.Strict(t, text, &got)
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded %+v; want %+v", got, want)
+	}
+	var out bytes.Buffer
+	if err := (&fleetCommands{out: &out, json: true}).print(want, nil); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(out.Bytes(), text) {
+		t.Errorf("printed\n%s\nwant\n%s", out.Bytes(), text)
+	}
+}
