--- /dev/null
+++ b/internal/files/golden_test.go
@@ -0,0 +1,54 @@
+package files
+
+import (
+	"bytes"
+	"testing"
+	"time"
+
+	"yokestall/internal/config"
+	"yokestall/internal/testkit/golden"
+)
+
+// The files of a version go to the fleet under fixed names, with their bytes unchanged.
+func TestGoldenBundle(t *testing.T) {
+	const folder = "testdata/golden/"
+	list, err := Bundle(folder + "program.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := [][2]string{{"yokestall.toml", "program.toml"}, {"tenants", "tenants.toml"}, {"rooms.toml", "clusters/rooms.toml"}}
+	if len(list) != len(want) {
+		t.Fatalf("%d files; want %d", len(list), len(want))
+	}
+	for i, w := range want {
+		if list[i].Name != w[0] || !bytes.Equal(list[i].Text, golden.Read(t, folder+w[1])) {
+			t.Errorf("file %d: %s\n%s", i, list[i].Name, list[i].Text)
+		}
+	}
+	if name := ChangePart("rooms", 0); name != "rooms+0001" || !IsChange("rooms+0001") {
+		t.Errorf("name of a change: %q", name)
+	}
+}
+
+func TestGoldenVersionDecodes(t *testing.T) {
+	const folder = "testdata/golden/"
+	s, err := Unbundle([]config.File{
+		{Name: "yokestall.toml", Text: golden.Read(t, folder+"program.toml")},
+		{Name: "tenants", Text: golden.Read(t, folder+"tenants.toml")},
+		{Name: "rooms.toml", Text: golden.Read(t, folder+"clusters/rooms.toml")},
+		{Name: "rooms+0001", Text: golden.Read(t, folder+"rooms+0001")},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c := s.Program.Classes; len(c) != 1 || c[0].Name != "class-a" || c[0].Deadline != 2*time.Second {
+		t.Errorf("classes %+v", c)
+	}
+	if l := s.Program.Tenants; len(l) != 1 || l[0].Name != "tenant-a" || l[0].QuotaPerS != 21 {
+		t.Errorf("tenants %+v", l)
+	}
+	list := s.Version.Clusters["rooms"].Endpoints
+	if len(list) != 2 || list[0].ID != "server-b" || list[0].Address != "10.0.0.2:81" || list[1].ID != "server-c" || list[1].Address != "10.0.0.3:82" {
+		t.Errorf("servers %+v", list)
+	}
+}
