--- a/policy/knowledge.go
+++ b/policy/knowledge.go
@@ -19,43 +19,46 @@
 
 // ClassKnowledge is what is known of a class of requests.
 type ClassKnowledge struct {
-	Lone     float64 // mean latency of a lone request, seconds
-	LoneSeen float64 // answers that it rests on
-	Work     float64 // mean latency of all, seconds
-	Seen     float64
-	Hint     float64 // mean hint, seconds
-	Hinted   float64
+	Lone     float64 `json:"Lone"`     // mean latency of a lone request, seconds
+	LoneSeen float64 `json:"LoneSeen"` // answers that it rests on
+	Work     float64 `json:"Work"`     // mean latency of all, seconds
+	Seen     float64 `json:"Seen"`
+	Hint     float64 `json:"Hint"` // mean hint, seconds
+	Hinted   float64 `json:"Hinted"`
 }
 
 // ServerKnowledge is what is known of a server, in one of its starts.
 type ServerKnowledge struct {
-	Server   ServerID
-	Started  time.Duration // as in Entry; what is known belongs to this start
-	Open     bool          // its breaker is not closed,
-	ReopenIn time.Duration // and lets a trial through after this
-	OpenFor  time.Duration // and for how long it was opened last
-	Failures int           // consecutive ones
-	Recent   []OutcomesKnowledge
-	Lone     float64 // of latencies over their classes', as a logarithm
-	LoneSeen float64
-	ColdLeft float64 // work that it may be sent while it is cold; seconds
+	Server   ServerID            `json:"Server"`
+	Started  time.Duration       `json:"Started"`  // as in Entry; what is known belongs to this start
+	Open     bool                `json:"Open"`     // its breaker is not closed,
+	ReopenIn time.Duration       `json:"ReopenIn"` // and lets a trial through after this
+	OpenFor  time.Duration       `json:"OpenFor"`  // and for how long it was opened last
+	Failures int                 `json:"Failures"` // consecutive ones
+	Recent   []OutcomesKnowledge `json:"Recent"`
+	Lone     float64             `json:"Lone"` // of latencies over their classes', as a logarithm
+	LoneSeen float64             `json:"LoneSeen"`
+	ColdLeft float64             `json:"ColdLeft"` // work that it may be sent while it is cold; seconds
 }
 
 // OutcomesKnowledge sums up outcomes of about one age.
 type OutcomesKnowledge struct {
-	Age       time.Duration
-	Good, Bad int
-	Latency   float64 // mean of the good ones, as a multiple of a lone request's
+	Age     time.Duration `json:"Age"`
+	Good    int           `json:"Good"`
+	Bad     int           `json:"Bad"`
+	Latency float64       `json:"Latency"` // mean of the good ones, as a multiple of a lone request's
 }
 
 // BoundKnowledge is what is known of the fleet's load.
 type BoundKnowledge struct {
-	Limit, LimitKnown float64 // requests in flight a server
-	Crowded           bool    // servers were crowded for the first time
-	Crowding          float64
-	Typical           float64 // latency, seconds
-	WarmPart          float64 // work a second that a server bears
-	Arrivals, Sent    float64 // a second
+	Limit      float64 `json:"Limit"` // requests in flight a server
+	LimitKnown float64 `json:"LimitKnown"`
+	Crowded    bool    `json:"Crowded"` // servers were crowded for the first time
+	Crowding   float64 `json:"Crowding"`
+	Typical    float64 `json:"Typical"`  // latency, seconds
+	WarmPart   float64 `json:"WarmPart"` // work a second that a server bears
+	Arrivals   float64 `json:"Arrivals"` // a second
+	Sent       float64 `json:"Sent"`
 }
 
 const (
