--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -215,7 +215,7 @@
 			at := old.program.Class(c.Name)
 			if at < 0 || next.refused[c.Name] != "" {
 				from = next.take
-			} else if was := &old.program.Classes[at]; was.Effect != c.Effect || was.Scope != c.Scope || was.Window != c.Window {
+			} else if was := &old.program.Classes[at]; was.Idempotency != c.Idempotency || was.DedupScope != c.DedupScope || was.DedupWindow != c.DedupWindow {
 				from = next.take
 			}
 		}
@@ -340,7 +340,7 @@
 		deadline = min(deadline, m.Route.Timeout)
 	}
 	out := ingress.Destination{
-		Cluster: to, Class: class, Effect: c.Effect, Window: c.Window, Deadline: deadline,
+		Cluster: to, Class: class, Effect: c.Idempotency, Window: c.DedupWindow, Deadline: deadline,
 		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
 		Streams:     httpup.StreamLimits{Stall: c.Progress, Whole: c.Stream, Drain: c.Drain},
 		MaxAttempts: m.Route.MaxAttempts, PerTry: m.Route.PerTry, Certified: s.tenants.byCertificate,
@@ -371,7 +371,7 @@
 // Route implements ingress.Router.
 func (r onceRouter) Route(q *http.Request) (ingress.Destination, error) {
 	to, err := r.App.Route(q)
-	if err == nil && to.Effect == policy.Keyed {
+	if err == nil && to.Effect == policy.IdempotentByKey {
 		to.Cluster = r.once.Cluster(to.Cluster, to.Window, to.MaxRetryAfter)
 	}
 	return to, err
--- a/internal/app/idle.go
+++ b/internal/app/idle.go
@@ -147,7 +147,7 @@
 	after := max(s.program.ClusterIdle, s.settings.Rules.ColdFor+s.settings.Rules.FallFor)
 	if s.program.Repeats.Late {
 		for i := range s.program.Classes {
-			after = max(after, s.program.Classes[i].Window)
+			after = max(after, s.program.Classes[i].DedupWindow)
 		}
 	}
 	return after
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -296,7 +296,7 @@
 		"as the file says": {func(p *config.Program) { p.ClusterIdle = time.Hour }, time.Hour},
 		"servers are cold": {func(p *config.Program) { p.Rules.ColdFor, p.Rules.FallFor = time.Hour, time.Second }, time.Hour + time.Second},
 		"late answers": {func(p *config.Program) {
-			p.Repeats.Late, p.Classes[0].Window = true, 24*time.Hour
+			p.Repeats.Late, p.Classes[0].DedupWindow = true, 24*time.Hour
 		}, 24 * time.Hour},
 	} {
 		p := *parse(t, program)
--- a/internal/app/managed.go
+++ b/internal/app/managed.go
@@ -105,7 +105,7 @@
 	case a.Verdict == engine.Served, a.Verdict == engine.Failed && a.Value != nil:
 		return false
 	}
-	return !a.MayHaveRun || r.settings.Classes[q.Class].Effect == policy.Safe
+	return !a.MayHaveRun || r.settings.Classes[q.Class].Idempotency == policy.Idempotent
 }
 
 // anew gives a request of another cluster as one of this; false: it is still coming, can't
@@ -116,7 +116,7 @@
 	}
 	was := &from.classes[q.Class]
 	class := slices.IndexFunc(r.classes, func(c config.Class) bool { return c.Name == was.Name })
-	if class < 0 || r.classes[class].Effect != was.Effect {
+	if class < 0 || r.classes[class].Idempotency != was.Idempotency {
 		return nil, false
 	}
 	tenant := 0
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -64,7 +64,7 @@
 	return p.Classes, p.Tenants, errors.Join(found...)
 }
 
-var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+var effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent}
 
 var scopes = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 
@@ -75,18 +75,18 @@
 	seen := map[string]bool{}
 	for i, c := range f.Class {
 		k := Class{Name: c.Name, Class: policy.Class{
-			Deadline: c.Deadline.Duration, Aim: c.Aim.Duration, Worth: c.Worth, LateWorth: c.LateWorth,
-			Window: c.Window.Duration,
+			Deadline: c.Deadline.Duration, LatencyObjective: c.Aim.Duration, PriorityWeight: c.Worth, LateWeight: c.LateWorth,
+			DedupWindow: c.Window.Duration,
 		}, Progress: c.Progress.Duration, Stream: c.Stream.Duration, Drain: c.Drain.Duration}
 		var ok bool
-		if k.Effect, ok = effects[c.Effect]; !ok {
+		if k.Idempotency, ok = effects[c.Effect]; !ok {
 			report("class", i, "effect", "%q is none of safe, keyed, unsafe", c.Effect)
 		}
-		if k.Scope, ok = scopes[c.Scope]; !ok && c.Scope != "" {
+		if k.DedupScope, ok = scopes[c.Scope]; !ok && c.Scope != "" {
 			report("class", i, "scope", "%q is none of all, zone, cell", c.Scope)
 		}
-		if k.Worth == 0 {
-			k.Worth = 1
+		if k.PriorityWeight == 0 {
+			k.PriorityWeight = 1
 		}
 		switch {
 		case c.Name == "" || len(c.Name) > cluster.MaxName:
@@ -98,24 +98,24 @@
 		if k.Deadline < time.Millisecond*20 || k.Deadline > time.Hour {
 			report("class", i, "deadline", "%v is not from 20ms to 1h", k.Deadline)
 		}
-		if k.Aim < 0 || k.Aim > k.Deadline {
-			report("class", i, "aim", "%v is not from 0 to the deadline", k.Aim)
+		if k.LatencyObjective < 0 || k.LatencyObjective > k.Deadline {
+			report("class", i, "aim", "%v is not from 0 to the deadline", k.LatencyObjective)
 		}
-		if math.IsNaN(k.Worth) || k.Worth < 0 || k.Worth > 1e6 {
-			report("class", i, "worth", "%v is not from 0 to 1000000", k.Worth)
+		if math.IsNaN(k.PriorityWeight) || k.PriorityWeight < 0 || k.PriorityWeight > 1e6 {
+			report("class", i, "worth", "%v is not from 0 to 1000000", k.PriorityWeight)
 		}
-		if math.IsNaN(k.LateWorth) || k.LateWorth < 0 || k.LateWorth > 1 {
-			report("class", i, "late_worth", "%v is not from 0 to 1", k.LateWorth)
+		if math.IsNaN(k.LateWeight) || k.LateWeight < 0 || k.LateWeight > 1 {
+			report("class", i, "late_worth", "%v is not from 0 to 1", k.LateWeight)
 		}
-		if k.Window < 0 || k.Window > 24*time.Hour {
-			report("class", i, "window", "%v is not from 0 to 24h", k.Window)
+		if k.DedupWindow < 0 || k.DedupWindow > 24*time.Hour {
+			report("class", i, "window", "%v is not from 0 to 24h", k.DedupWindow)
 		}
 		for key, d := range map[string]time.Duration{"progress": k.Progress, "stream": k.Stream, "stream_drain": k.Drain} {
 			if d != 0 && (d < 10*time.Millisecond || d > 30*24*time.Hour) {
 				report("class", i, key, "%v is neither 0 nor from 10ms to 720h", d)
 			}
 		}
-		if k.Effect == policy.Keyed && (k.Window == 0 || c.Scope == "") {
+		if k.Idempotency == policy.IdempotentByKey && (k.DedupWindow == 0 || c.Scope == "") {
 			report("class", i, "", "a keyed class needs a window and a scope")
 		}
 		p.Classes = append(p.Classes, k)
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -123,7 +123,7 @@
 			k := &a.Program.Classes[0]
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			if n.acts = k.Window.String(); a.Refused[k.Name] != "" {
+			if n.acts = k.DedupWindow.String(); a.Refused[k.Name] != "" {
 				n.acts = "-"
 			}
 			return nil
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -425,8 +425,8 @@
 		r.End = now + comingMost
 	}
 	r.deadline = alarm{at: r.End, request: r, index: -1}
-	if r.Class >= 0 && r.Class < len(c.classes) && c.classes[r.Class].Effect == policy.Keyed {
-		r.window = &window{span: c.classes[r.Class].Window}
+	if r.Class >= 0 && r.Class < len(c.classes) && c.classes[r.Class].Idempotency == policy.IdempotentByKey {
+		r.window = &window{span: c.classes[r.Class].DedupWindow}
 	}
 	if c.leaving {
 		c.finish(r, Answer{Verdict: Refused, RetryAfter: c.comeBack})
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -19,9 +19,9 @@
 func settings() policy.Settings {
 	s := policy.Defaults()
 	s.Classes = []policy.Class{
-		{Deadline: 8 * time.Second, Aim: 6 * time.Second, Worth: 1, Effect: policy.Safe},
-		{Deadline: 8 * time.Second, Aim: 6 * time.Second, Worth: 1, Effect: policy.Keyed, Scope: policy.ScopeAll, Window: 20 * time.Second},
-		{Deadline: 8 * time.Second, Aim: 6 * time.Second, Worth: 1, Effect: policy.Unsafe},
+		{Deadline: 8 * time.Second, LatencyObjective: 6 * time.Second, PriorityWeight: 1, Idempotency: policy.Idempotent},
+		{Deadline: 8 * time.Second, LatencyObjective: 6 * time.Second, PriorityWeight: 1, Idempotency: policy.IdempotentByKey, DedupScope: policy.ScopeAll, DedupWindow: 20 * time.Second},
+		{Deadline: 8 * time.Second, LatencyObjective: 6 * time.Second, PriorityWeight: 1, Idempotency: policy.NotIdempotent},
 	}
 	s.Limits = policy.Limits{MaxAttempts: 3, SecondCopies: true, Cancel: true, MaxRetryAfter: time.Second}
 	return s
--- a/internal/engine/window.go
+++ b/internal/engine/window.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// window is the time in which servers drop the repeats of one keyed request (policy.Class.Window): from
+// window is the time in which servers drop the repeats of one keyed request (policy.Class.DedupWindow): from
 // the first of its attempts on that may have run. The Balancer holds to it where it decides; but a
 // connection may come up long behind that, and what is sent then would run twice.
 type window struct {
--- a/internal/engine/window_test.go
+++ b/internal/engine/window_test.go
@@ -29,7 +29,7 @@
 					attempts <- call.Begin()
 					return Result{Status: first.status}
 				}
-				call.clock.zero = call.clock.zero.Add(-settings().Classes[1].Window) // this one's connection took that long
+				call.clock.zero = call.clock.zero.Add(-settings().Classes[1].DedupWindow) // this one's connection took that long
 				attempts <- call.Begin()
 				return Result{Status: policy.ErrorResponse}
 			}), 1, 2)
@@ -47,7 +47,7 @@
 // One that somebody else is to send, some time until its request's end, is no repeat within the window where
 // that ends sooner.
 func TestRepeatThatIsSentByOthers(t *testing.T) {
-	window := settings().Classes[1].Window
+	window := settings().Classes[1].DedupWindow
 	for left, sent := range map[time.Duration]bool{window / 2: true, 2 * window: false} {
 		var number atomic.Int32
 		attempts := make(chan bool, 4)
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -349,12 +349,12 @@
 // once asks whether the request may run. A request whose effect may not happen twice is known by its
 // key, or by its id where it has none. Handled: it was answered.
 func (x *exchange) once(body []byte, join bool) (b begun, handled bool, err error) {
-	if x.to.Effect == policy.Safe {
+	if x.to.Effect == policy.Idempotent {
 		return b, false, nil
 	}
 	key := repeat.Key{Tenant: x.terms.Tenant, Name: "key " + x.terms.Key}
 	window := x.to.Window
-	if x.to.Effect == policy.Unsafe {
+	if x.to.Effect == policy.NotIdempotent {
 		key.Name, window, join = "id "+x.terms.ID, 2*x.to.Deadline, false
 	}
 	s := x.s
--- a/internal/fleet/agree/contradict.go
+++ b/internal/fleet/agree/contradict.go
@@ -145,12 +145,12 @@
 			continue
 		}
 		b := to.Classes[at]
-		d.note(ClassEffect, a.Name, effect(a.Effect), effect(b.Effect))
-		if a.Effect == policy.Keyed && b.Effect == policy.Keyed {
-			d.note(ClassScope, a.Name, a.Scope, b.Scope)
-			d.note(ClassWindow, a.Name, a.Window, b.Window)
+		d.note(ClassEffect, a.Name, effect(a.Idempotency), effect(b.Idempotency))
+		if a.Idempotency == policy.IdempotentByKey && b.Idempotency == policy.IdempotentByKey {
+			d.note(ClassScope, a.Name, a.DedupScope, b.DedupScope)
+			d.note(ClassWindow, a.Name, a.DedupWindow, b.DedupWindow)
 		}
-		a.Effect, a.Scope, a.Window = b.Effect, b.Scope, b.Window
+		a.Idempotency, a.DedupScope, a.DedupWindow = b.Idempotency, b.DedupScope, b.DedupWindow
 		d.note(ClassService, a.Name, a, b)
 	}
 	for i := range to.Classes {
@@ -162,7 +162,7 @@
 }
 
 // effect is the word for an effect in configuration files.
-func effect(e policy.Effect) string { return [...]string{"safe", "keyed", "unsafe"}[e] }
+func effect(e policy.Idempotency) string { return [...]string{"safe", "keyed", "unsafe"}[e] }
 
 func (d *differ) fleet(from, to *config.Program) {
 	d.note(Attempts, "limits", from.Limits, to.Limits)
@@ -190,7 +190,7 @@
 // isUnsafe reports whether a program has a class that is not safe by a name.
 func isUnsafe(p *config.Program, class string) bool {
 	at := p.Class(class)
-	return at >= 0 && p.Classes[at].Effect != policy.Safe
+	return at >= 0 && p.Classes[at].Idempotency != policy.Idempotent
 }
 
 func (d *differ) clusters(from, to map[string]*cluster.Cluster) {
--- a/internal/fleet/agree/disconnected.go
+++ b/internal/fleet/agree/disconnected.go
@@ -22,9 +22,9 @@
 	}
 	for i := range p.Classes {
 		c := &p.Classes[i]
-		safe := c.Effect == policy.Safe
+		safe := c.Idempotency == policy.Idempotent
 		if rules.Effects == terms.Cautious {
-			c.Effect = policy.Unsafe
+			c.Idempotency = policy.NotIdempotent
 		}
 		switch {
 		case rules.Effects == terms.Refuse, rules.Servers == terms.Refuse, rules.Routes == terms.Refuse:
--- a/internal/fleet/agree/disconnected_test.go
+++ b/internal/fleet/agree/disconnected_test.go
@@ -21,7 +21,7 @@
 			t.Fatalf("attempts: %+v", a.Program.Limits)
 		}
 		for _, c := range last.Program.Classes {
-			if c.Effect != policy.Safe && a.Refused[c.Name] == "" {
+			if c.Idempotency != policy.Idempotent && a.Refused[c.Name] == "" {
 				t.Fatalf("class %s is served alone", c.Name)
 			}
 		}
--- a/internal/fleet/agree/stricter.go
+++ b/internal/fleet/agree/stricter.go
@@ -35,12 +35,12 @@
 			continue
 		}
 		b := to.Program.Classes[at]
-		if a.Effect == policy.Keyed && b.Effect == policy.Keyed {
-			a.Scope, a.Window = max(a.Scope, b.Scope), min(a.Window, b.Window)
-		} else if b.Effect == policy.Keyed && a.Effect == policy.Safe {
-			a.Scope, a.Window = b.Scope, b.Window
+		if a.Idempotency == policy.IdempotentByKey && b.Idempotency == policy.IdempotentByKey {
+			a.DedupScope, a.DedupWindow = max(a.DedupScope, b.DedupScope), min(a.DedupWindow, b.DedupWindow)
+		} else if b.Idempotency == policy.IdempotentByKey && a.Idempotency == policy.Idempotent {
+			a.DedupScope, a.DedupWindow = b.DedupScope, b.DedupWindow
 		}
-		a.Effect = max(a.Effect, b.Effect)
+		a.Idempotency = max(a.Idempotency, b.Idempotency)
 	}
 	p.Nodes = max(p.Nodes, to.Program.Nodes)
 	a, b := &p.Rules, &to.Program.Rules
@@ -157,9 +157,9 @@
 		}
 		y := &b.Program.Classes[at]
 		switch {
-		case x.Effect < y.Effect:
-			return fmt.Errorf("class %s: %s where the other has %s", x.Name, effect(x.Effect), effect(y.Effect))
-		case x.Effect == policy.Keyed && y.Effect == policy.Keyed && (x.Scope < y.Scope || x.Window > y.Window):
+		case x.Idempotency < y.Idempotency:
+			return fmt.Errorf("class %s: %s where the other has %s", x.Name, effect(x.Idempotency), effect(y.Idempotency))
+		case x.Idempotency == policy.IdempotentByKey && y.Idempotency == policy.IdempotentByKey && (x.DedupScope < y.DedupScope || x.DedupWindow > y.DedupWindow):
 			return fmt.Errorf("class %s: keys are dropped more widely, or longer, than in the other", x.Name)
 		}
 	}
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -138,7 +138,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			c := a.Program.Classes[0]
-			word := []string{"safe", "keyed", "unsafe"}[c.Effect]
+			word := []string{"safe", "keyed", "unsafe"}[c.Idempotency]
 			if a.Refused[c.Name] != "" {
 				word = "-"
 			}
@@ -272,7 +272,7 @@
 		g.acts(i, "safe")
 	}
 	g.nodes[3].cannot = func(v *agree.Version) error {
-		if v.Program.Classes[0].Effect != 0 {
+		if v.Program.Classes[0].Idempotency != 0 {
 			return errors.New("an older program knows no such class")
 		}
 		return nil
--- a/internal/fleetsim/cold_test.go
+++ b/internal/fleetsim/cold_test.go
@@ -154,8 +154,8 @@
 	s.Rules.FallMultiple, s.Rules.FallFor = between(1.5, 4), time.Duration(between(0.5, 2)*float64(time.Second))
 	work := time.Duration(between(10, 40) * float64(ms))
 	day.Classes = []Class{
-		{Name: "read", Class: policy.Class{Deadline: 1400 * ms, Aim: 600 * ms, Worth: 2, Effect: policy.Safe}, Work: work, Spread: model.Spread{CV: 0.5}, Rate: 9},
-		{Name: "pay", Class: policy.Class{Deadline: 1900 * ms, Aim: 800 * ms, Worth: 8, Effect: policy.Unsafe}, Work: work, Spread: model.Spread{CV: 0.5}, Rate: 1},
+		{Name: "read", Class: policy.Class{Deadline: 1400 * ms, LatencyObjective: 600 * ms, PriorityWeight: 2, Idempotency: policy.Idempotent}, Work: work, Spread: model.Spread{CV: 0.5}, Rate: 9},
+		{Name: "pay", Class: policy.Class{Deadline: 1900 * ms, LatencyObjective: 800 * ms, PriorityWeight: 8, Idempotency: policy.NotIdempotent}, Work: work, Spread: model.Spread{CV: 0.5}, Rate: 1},
 	}
 	rate := between(0.3, 1.2) * float64(day.Servers*day.Kind.Cores) / work.Seconds()
 	for i := range day.Classes {
--- a/internal/fleetsim/events.go
+++ b/internal/fleetsim/events.go
@@ -127,13 +127,13 @@
 	c := &s.day.Classes[class]
 	s.seq++
 	k := &call{class: class, began: s.now, left: s.day.Clients.Retries, work: time.Duration(float64(c.Work) * c.Spread.Draw(s.rng))}
-	if c.Effect == policy.Keyed {
+	if c.Idempotency == policy.IdempotentByKey {
 		k.key = strconv.FormatUint(s.seq, 36)
 	}
 	t := &s.result.Classes[k.class]
 	t.Asked++
-	t.Wanted += c.Worth
-	s.seconds[k.began/time.Second].wanted += c.Worth
+	t.Wanted += c.PriorityWeight
+	s.seconds[k.began/time.Second].wanted += c.PriorityWeight
 	s.post(event{at: s.now, kind: evTry, call: k})
 }
 
--- a/internal/fleetsim/nodes.go
+++ b/internal/fleetsim/nodes.go
@@ -72,7 +72,7 @@
 	if k.done {
 		return
 	}
-	if k.left > 0 && s.day.Classes[k.class].Effect != policy.Unsafe {
+	if k.left > 0 && s.day.Classes[k.class].Idempotency != policy.NotIdempotent {
 		s.again(k, 0)
 		return
 	}
--- a/internal/fleetsim/oracle.go
+++ b/internal/fleetsim/oracle.go
@@ -43,13 +43,13 @@
 // Request implements Decider.
 func (o *oracle) Request(now time.Duration, q policy.Request) {
 	c := &o.set.Classes[q.Class]
-	aim := c.Aim
+	aim := c.LatencyObjective
 	if aim == 0 {
 		aim = c.Deadline
 	}
 	share := keepFree
 	for i := range o.set.Classes { // the dearest class finds room that the others left
-		if o.set.Classes[i].Worth > c.Worth {
+		if o.set.Classes[i].PriorityWeight > c.PriorityWeight {
 			share = keepFree / 2
 		}
 	}
@@ -78,7 +78,7 @@
 // giveUp ends a request; some: servers are up, and will have room.
 func (o *oracle) giveUp(r *foreseen, some bool) {
 	delete(o.open, r.id)
-	if r.ran && o.set.Classes[r.class].Effect != policy.Safe {
+	if r.ran && o.set.Classes[r.class].Idempotency != policy.Idempotent {
 		o.host.Fail(r.id)
 		return
 	}
@@ -100,7 +100,7 @@
 		return
 	}
 	r.ran = r.ran || out.Status != policy.Rejected && out.Status != policy.ConnectFailed && out.Status != policy.NeverSent
-	if r.tries >= o.set.Limits.MaxAttempts || r.ran && o.set.Classes[r.class].Effect == policy.Unsafe || now >= r.useful {
+	if r.tries >= o.set.Limits.MaxAttempts || r.ran && o.set.Classes[r.class].Idempotency == policy.NotIdempotent || now >= r.useful {
 		o.giveUp(r, true)
 		return
 	}
--- a/internal/fleetsim/peers.go
+++ b/internal/fleetsim/peers.go
@@ -103,7 +103,7 @@
 	}
 	ran := o.Status != policy.Rejected && o.Status != policy.ConnectFailed && o.Status != policy.NeverSent
 	a.ran = a.ran || ran
-	if a.tries < p.set.Limits.MaxAttempts && (!a.ran || p.set.Classes[a.class].Effect != policy.Unsafe) && o.Status != policy.Timeout {
+	if a.tries < p.set.Limits.MaxAttempts && (!a.ran || p.set.Classes[a.class].Idempotency != policy.NotIdempotent) && o.Status != policy.Timeout {
 		p.send(o.ID)
 		return
 	}
--- a/internal/fleetsim/requests.go
+++ b/internal/fleetsim/requests.go
@@ -131,7 +131,7 @@
 		return
 	}
 	tally := &n.result.Classes[k.class]
-	if k.left > 0 && (refused || n.day.Classes[k.class].Effect != policy.Unsafe) {
+	if k.left > 0 && (refused || n.day.Classes[k.class].Idempotency != policy.NotIdempotent) {
 		n.again(k, after)
 		return
 	}
@@ -178,10 +178,10 @@
 	c, tally := &n.day.Classes[k.class], &n.result.Classes[k.class]
 	took := n.now - k.began
 	tally.Times.RecordValue(max(1, took.Microseconds()))
-	worth := c.Worth
-	if aim := c.Aim; aim > 0 && took > aim {
+	worth := c.PriorityWeight
+	if aim := c.LatencyObjective; aim > 0 && took > aim {
 		tally.Late++
-		worth *= c.LateWorth
+		worth *= c.LateWeight
 	} else {
 		tally.InAim++
 	}
--- a/internal/fleetsim/servers.go
+++ b/internal/fleetsim/servers.go
@@ -111,7 +111,7 @@
 			continue
 		}
 		k := e.try.call
-		if k.effects++; k.effects == 2 && s.day.Classes[k.class].Effect == policy.Unsafe {
+		if k.effects++; k.effects == 2 && s.day.Classes[k.class].Idempotency == policy.NotIdempotent {
 			s.result.Twice++
 		}
 		switch {
--- a/internal/h2front/storm_test.go
+++ b/internal/h2front/storm_test.go
@@ -135,7 +135,7 @@
 	})
 	set := policy.Defaults()
 	set.Limits.Cancel = true
-	set.Classes = []policy.Class{{Deadline: time.Hour, Aim: time.Minute, Worth: 1, Effect: policy.Safe}}
+	set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
 	pool := httpup.New(httpup.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 16})
 	pool.Update(true, []httpup.Server{{ID: 1, Address: b.Addr()}})
 	clock := engine.NewClock()
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -585,18 +585,18 @@
 		terms.ID = f.idStart + strconv.FormatUint(f.lastID.Add(1), 36)
 	}
 	method := http.MethodPost
-	if to.Effect == policy.Safe {
+	if to.Effect == policy.Idempotent {
 		method = http.MethodGet
 	}
 	keys := header["Idempotency-Key"]
 	switch {
-	case f.options.Strict && r.Method != method && !(r.Method == http.MethodHead && to.Effect == policy.Safe):
+	case f.options.Strict && r.Method != method && !(r.Method == http.MethodHead && to.Effect == policy.Idempotent):
 		return nil, &ingress.Rejection{Status: http.StatusMethodNotAllowed, Text: "the class wants " + method, Allow: method}
 	case r.Method == http.MethodConnect, r.URL.Path == "*":
 		return nil, &ingress.Rejection{Status: http.StatusMethodNotAllowed, Text: r.Method + " is not carried"}
-	case f.options.Strict && to.Effect == policy.Unsafe && len(keys) > 0:
+	case f.options.Strict && to.Effect == policy.NotIdempotent && len(keys) > 0:
 		return nil, ingress.Bad("the class takes no Idempotency-Key")
-	case f.options.Strict && to.Effect == policy.Safe && r.ContentLength != 0:
+	case f.options.Strict && to.Effect == policy.Idempotent && r.ContentLength != 0:
 		return nil, ingress.Bad("the class takes no body")
 	}
 	out := &httpup.Request{Method: r.Method, Host: r.Host, Limits: to.Streams}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -19,8 +19,8 @@
 type Destination struct {
 	Cluster       Cluster
 	Class         int // as in the cluster's settings
-	Effect        policy.Effect
-	Window        time.Duration  // for policy.Keyed: how long servers drop a repeat
+	Effect        policy.Idempotency
+	Window        time.Duration  // for policy.IdempotentByKey: how long servers drop a repeat
 	Deadline      time.Duration  // the longest that a client of the class waits
 	Tenants       map[string]int // name to index; nil if requests have none
 	MaxRetryAfter time.Duration  // what a client that finds no place is told to wait; 0: nothing
@@ -70,7 +70,7 @@
 	Tenant   int           // by X-Tenant-Id
 	Patience time.Duration // the least of the class's, X-Timeout-Ms and Grpc-Timeout
 	Hint     time.Duration // X-Cost; 0: none
-	Key      string        // Idempotency-Key; "" but for policy.Keyed
+	Key      string        // Idempotency-Key; "" but for policy.IdempotentByKey
 }
 
 // Read reads a request's fields. Strict has an id, a time and, where there are tenants, a tenant be
@@ -102,7 +102,7 @@
 		us, _ := strconv.ParseUint(cost, 10, 31) // a guess only: 0 is none
 		t.Hint = time.Duration(us) * time.Microsecond
 	}
-	if to.Effect == policy.Keyed {
+	if to.Effect == policy.IdempotentByKey {
 		if t.Key = One(h["Idempotency-Key"]); t.Key == "" {
 			return t, Bad("Idempotency-Key is missing")
 		}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -87,7 +87,7 @@
 	r.finish()
 	rules := fleet.Rules{Grace: 500 * time.Millisecond, Slack: seenSlack}
 	for _, c := range d.Classes {
-		rules.Unsafe = append(rules.Unsafe, c.Effect == policy.Unsafe)
+		rules.Unsafe = append(rules.Unsafe, c.Idempotency == policy.NotIdempotent)
 	}
 	for _, f := range script {
 		rules.LinksKeep = rules.LinksKeep || f.Keeps()
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -191,14 +191,14 @@
 	if n := len(f.Class); n == 0 || n > config.MaxClasses {
 		report("class", -1, "", "%d classes; 1 to %d", n, config.MaxClasses)
 	}
-	effects := map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+	effects := map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent}
 	asked := 0.0
 	for i, c := range f.Class {
 		effect, ok := effects[c.Effect]
 		if !ok {
 			report("class", i, "effect", "%q is none of safe, keyed, unsafe", c.Effect)
 		}
-		if effect == policy.Keyed && c.Window.Duration <= 0 {
+		if effect == policy.IdempotentByKey && c.Window.Duration <= 0 {
 			report("class", i, "window", "a keyed class needs one")
 		}
 		span("class", i, "deadline", c.Deadline, 20*time.Millisecond, time.Hour)
@@ -216,7 +216,7 @@
 		e.Day.Classes = append(e.Day.Classes, fleetsim.Class{
 			Name: c.Name, Work: c.Work.Duration, Rate: c.Rate, Spread: model.Spread{CV: c.CV, Tail: c.Tail},
 			Class: policy.Class{
-				Deadline: c.Deadline.Duration, Aim: c.Aim.Duration, Worth: c.Worth, LateWorth: c.LateWorth, Effect: effect, Window: c.Window.Duration,
+				Deadline: c.Deadline.Duration, LatencyObjective: c.Aim.Duration, PriorityWeight: c.Worth, LateWeight: c.LateWorth, Idempotency: effect, DedupWindow: c.Window.Duration,
 			},
 		})
 	}
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -133,10 +133,10 @@
 		l.MaxAttempts, l.SecondCopies, l.Cancel, l.MaxRetryAfter)
 	fmt.Fprintf(&b, "[fleet]\nnodes = %d\nnode = %d\ncold_from = %v\ncold_for = %q\nfall_multiple = %v\nfall_for = %q\n", e.Day.Nodes, node, rules.ColdFrom, rules.ColdFor, rules.FallMultiple, rules.FallFor)
 	for i, c := range e.Day.Classes {
-		effect := map[policy.Effect]string{policy.Safe: "safe", policy.Keyed: "keyed", policy.Unsafe: "unsafe"}[c.Effect]
-		fmt.Fprintf(&b, "[[class]]\nname = \"c%d\"\neffect = %q\ndeadline = %q\naim = %q\nworth = %v\nlate_worth = %v\n", i, effect, c.Deadline, c.Aim, c.Worth, c.LateWorth)
-		if c.Effect == policy.Keyed {
-			fmt.Fprintf(&b, "scope = \"all\"\nwindow = %q\n", c.Window)
+		effect := map[policy.Idempotency]string{policy.Idempotent: "safe", policy.IdempotentByKey: "keyed", policy.NotIdempotent: "unsafe"}[c.Idempotency]
+		fmt.Fprintf(&b, "[[class]]\nname = \"c%d\"\neffect = %q\ndeadline = %q\naim = %q\nworth = %v\nlate_worth = %v\n", i, effect, c.Deadline, c.LatencyObjective, c.PriorityWeight, c.LateWeight)
+		if c.Idempotency == policy.IdempotentByKey {
+			fmt.Fprintf(&b, "scope = \"all\"\nwindow = %q\n", c.DedupWindow)
 		}
 	}
 	b.WriteString("[[host]]\n")
@@ -311,14 +311,14 @@
 	at := &r.seconds[min(int(due.Sub(r.began)/time.Second), len(r.seconds)-1)]
 	tally := &r.result.Classes[class]
 	tally.Asked++
-	tally.Wanted += c.Worth
-	at.wanted += c.Worth
+	tally.Wanted += c.PriorityWeight
+	at.wanted += c.PriorityWeight
 	r.mu.Unlock()
 	id := fmt.Sprintf("c%d-%d", class, n)
 	for try := 0; ; try++ {
 		status, after := r.try(ctx, class, id, try, work)
 		took := time.Since(due)
-		if status != http.StatusOK && try < clients.Retries && (status == http.StatusServiceUnavailable || c.Effect != policy.Unsafe) {
+		if status != http.StatusOK && try < clients.Retries && (status == http.StatusServiceUnavailable || c.Idempotency != policy.NotIdempotent) {
 			wait := clients.Wait
 			if honest {
 				wait = max(wait, after)
@@ -334,10 +334,10 @@
 		switch status {
 		case http.StatusOK:
 			tally.Times.RecordValue(max(1, took.Microseconds()))
-			worth := c.Worth
-			if c.Aim > 0 && took > c.Aim {
+			worth := c.PriorityWeight
+			if c.LatencyObjective > 0 && took > c.LatencyObjective {
 				tally.Late++
-				worth *= c.LateWorth
+				worth *= c.LateWeight
 			} else {
 				tally.InAim++
 			}
@@ -375,7 +375,7 @@
 	q.Header.Set("X-Request-Id", name)
 	q.Header.Set("X-Timeout-Ms", strconv.FormatInt(c.Deadline.Milliseconds(), 10))
 	q.Header.Set(modelbox.WorkHeader, strconv.FormatInt(max(1, work.Microseconds()), 10))
-	if c.Effect == policy.Keyed {
+	if c.Idempotency == policy.IdempotentByKey {
 		q.Header.Set("Idempotency-Key", id)
 	}
 	resp, err := r.transport.RoundTrip(q)
@@ -407,7 +407,7 @@
 	}
 	for id, n := range byRequest {
 		class, _, _ := strings.Cut(strings.TrimPrefix(id, "c"), "-")
-		if i, err := strconv.Atoi(class); err == nil && r.e.Day.Classes[i].Effect == policy.Unsafe && n > 1 {
+		if i, err := strconv.Atoi(class); err == nil && r.e.Day.Classes[i].Idempotency == policy.NotIdempotent && n > 1 {
 			r.result.Twice++
 		}
 	}
--- a/internal/node/maint_histories_test.go
+++ b/internal/node/maint_histories_test.go
@@ -66,7 +66,7 @@
 		h := &history{T: t, now: 2 * time.Hour, tries: map[policy.RequestID]int{}, names: map[policy.ServerID]string{}}
 		h.d = &discovery{to: h, zones: map[string]int{}, source: &source{}, first: make(chan struct{})}
 		set := policy.Defaults()
-		set.Classes = []policy.Class{{Deadline: 2 * time.Second, Aim: time.Second, Worth: 1, Effect: policy.Safe}}
+		set.Classes = []policy.Class{{Deadline: 2 * time.Second, LatencyObjective: time.Second, PriorityWeight: 1, Idempotency: policy.Idempotent}}
 		set.Limits.MaxAttempts = 3
 		var err error
 		if h.b, err = policy.New(set, rapid.Uint64().Draw(t, "seed"), h); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -221,7 +221,7 @@
 	}
 	c := &r.cfg.Policy.Classes[class]
 	return ingress.Destination{
-		Cluster: r.cluster, Class: class, Effect: c.Effect, Deadline: c.Deadline,
+		Cluster: r.cluster, Class: class, Effect: c.Idempotency, Deadline: c.Deadline,
 		Tenants: r.cfg.Tenants, MaxRetryAfter: r.cfg.Policy.Limits.MaxRetryAfter,
 		Streams: httpup.StreamLimits{Stall: streamStall},
 	}, nil
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -26,9 +26,9 @@
 	want := policy.Settings{
 		Nodes: 3, Node: 2, Zone: 1,
 		Classes: []policy.Class{
-			{Deadline: 1401 * ms, Aim: 581 * ms, AimStretch: 4.25, LateWorth: 0.51, Worth: 2.25, Effect: policy.Keyed, Scope: policy.ScopeZone, Window: 5001 * ms, Stream: true},
-			{Deadline: 1402 * ms, Aim: 582 * ms, AimStretch: 5.25, LateWorth: 0.52, Worth: 3.25, Effect: policy.Safe, Scope: policy.ScopeAll, Window: 5002 * ms},
-			{Deadline: 1403 * ms, Aim: 583 * ms, AimStretch: 6.25, LateWorth: 0.53, Worth: 4.25, Effect: policy.Unsafe, Scope: policy.ScopeCell, Window: 5003 * ms},
+			{Deadline: 1401 * ms, LatencyObjective: 581 * ms, ObjectiveWorkFactor: 4.25, LateWeight: 0.51, PriorityWeight: 2.25, Idempotency: policy.IdempotentByKey, DedupScope: policy.ScopeZone, DedupWindow: 5001 * ms, Stream: true},
+			{Deadline: 1402 * ms, LatencyObjective: 582 * ms, ObjectiveWorkFactor: 5.25, LateWeight: 0.52, PriorityWeight: 3.25, Idempotency: policy.Idempotent, DedupScope: policy.ScopeAll, DedupWindow: 5002 * ms},
+			{Deadline: 1403 * ms, LatencyObjective: 583 * ms, ObjectiveWorkFactor: 6.25, LateWeight: 0.53, PriorityWeight: 4.25, Idempotency: policy.NotIdempotent, DedupScope: policy.ScopeCell, DedupWindow: 5003 * ms},
 		},
 		Tenants:        []policy.Tenant{{QuotaPerS: 84.5}, {QuotaPerS: 85.5}},
 		OverShareWorth: 0.05, WorthByWork: true, ListAsked: true, Tick: 7 * ms,
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -106,14 +106,14 @@
 	}
 	for i, c := range j.Classes {
 		p := policy.Class{
-			Deadline: c.DeadlineMs.or(0), Aim: c.PromiseMs.or(c.DeadlineMs.or(0)), AimStretch: c.AimStretch,
-			LateWorth: c.LateWorth, Worth: 1, Window: c.KeyTtlMs.or(0), Stream: c.Streaming,
+			Deadline: c.DeadlineMs.or(0), LatencyObjective: c.PromiseMs.or(c.DeadlineMs.or(0)), ObjectiveWorkFactor: c.AimStretch,
+			LateWeight: c.LateWorth, PriorityWeight: 1, DedupWindow: c.KeyTtlMs.or(0), Stream: c.Streaming,
 		}
-		set(&p.Worth, c.Importance)
-		if p.Effect, ok = word(c.Effect, effects); !ok {
+		set(&p.PriorityWeight, c.Importance)
+		if p.Idempotency, ok = word(c.Effect, effects); !ok {
 			return s, fmt.Errorf("settings: Classes[%d].Effect: unknown word %q", i, c.Effect)
 		}
-		if p.Scope, ok = word(c.DedupScope, scopes); !ok {
+		if p.DedupScope, ok = word(c.DedupScope, scopes); !ok {
 			return s, fmt.Errorf("settings: Classes[%d].DedupScope: unknown word %q", i, c.DedupScope)
 		}
 		s.Classes = append(s.Classes, p)
@@ -127,8 +127,8 @@
 	return s, nil
 }
 
-var effects = map[string]policy.Effect{
-	"pure": policy.Safe, "token": policy.Keyed, "side_effect": policy.Unsafe, "": policy.Unsafe,
+var effects = map[string]policy.Idempotency{
+	"pure": policy.Idempotent, "token": policy.IdempotentByKey, "side_effect": policy.NotIdempotent, "": policy.NotIdempotent,
 }
 
 var registries = map[string]bool{"": false, "pushed": false, "on_request": true}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -219,17 +219,17 @@
 	c := s.Classes[0]
 	if s.Nodes != 2 || s.Zone != 1 || !s.WorthByWork || !s.ListAsked ||
 		s.OverShareWorth != 0.05 ||
-		s.Tenants[0].QuotaPerS != 84 || c.Effect != policy.Keyed || c.Scope != policy.ScopeZone ||
-		c.Window != 5*time.Second || c.Aim != 580*time.Millisecond || c.LateWorth != 0.5 ||
-		!c.Stream || c.AimStretch != 4 ||
+		s.Tenants[0].QuotaPerS != 84 || c.Idempotency != policy.IdempotentByKey || c.DedupScope != policy.ScopeZone ||
+		c.DedupWindow != 5*time.Second || c.LatencyObjective != 580*time.Millisecond || c.LateWeight != 0.5 ||
+		!c.Stream || c.ObjectiveWorkFactor != 4 ||
 		s.Limits != (policy.Limits{
 			MaxAttempts: 4, SecondCopies: true, Cancel: true, MaxRetryAfter: 600 * time.Millisecond}) ||
 		s.Rules.FallMultiple != 3 || s.Rules.ColdFor != 8800*time.Millisecond ||
 		s.Rules.MustAsk != 9*time.Second {
 		t.Errorf("settings %+v", s)
 	}
-	if d := s.Classes[1]; d.Effect != policy.Unsafe || d.Scope != policy.ScopeCell ||
-		d.Aim != d.Deadline || d.Worth != 1 {
+	if d := s.Classes[1]; d.Idempotency != policy.NotIdempotent || d.DedupScope != policy.ScopeCell ||
+		d.LatencyObjective != d.Deadline || d.PriorityWeight != 1 {
 		t.Errorf("class without most keys %+v: not the safe defaults", d)
 	}
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -16,14 +16,14 @@
 // ServerID names a server. It is opaque: equal ids mean the same server.
 type ServerID uint64
 
-// Effect tells what a repeat of a request would do.
-type Effect uint8
+// Idempotency tells what a repeat of a request would do.
+type Idempotency uint8
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped inside Class.Scope for Class.Window
-	Unsafe               // must never run twice
+	Idempotent      Idempotency = iota // may be repeated freely
+	IdempotentByKey                    // repeats are dropped inside Class.DedupScope for Class.DedupWindow
+	NotIdempotent                      // must never run twice
 )
 
 // Scope is the group of servers that drops the repeats of a keyed request.
@@ -38,15 +38,15 @@
 
 // Class is a class of requests.
 type Class struct {
-	Deadline   time.Duration // a client's whole patience, over all of its tries
-	Aim        time.Duration // an answer inside it earns its full worth; 0: the deadline
-	AimStretch float64       // if set, this multiple of the request's own work is added to the aim
-	LateWorth  float64       // share of the worth that a later answer earns
-	Worth      float64       // worth of one request, or of one unit of work
-	Effect     Effect
-	Scope      Scope         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are dropped, from the first send
-	Stream     bool          // the answer is a stream; see Balancer.StreamStarted
+	Deadline            time.Duration // a client's whole patience, over all of its tries
+	LatencyObjective    time.Duration // an answer inside it earns its full worth; 0: the deadline
+	ObjectiveWorkFactor float64       // if set, this multiple of the request's own work is added to the aim
+	LateWeight          float64       // share of the worth that a later answer earns
+	PriorityWeight      float64       // worth of one request, or of one unit of work
+	Idempotency         Idempotency
+	DedupScope          Scope         // for Keyed
+	DedupWindow         time.Duration // for Keyed: how long repeats are dropped, from the first send
+	Stream              bool          // the answer is a stream; see Balancer.StreamStarted
 }
 
 // Tenant is a party with a share in the fleet.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -26,7 +26,7 @@
 func Example() {
 	settings := policy.Defaults()
 	settings.Classes = []policy.Class{{
-		Deadline: 2 * time.Second, Aim: 500 * time.Millisecond, Worth: 1, Effect: policy.Safe,
+		Deadline: 2 * time.Second, LatencyObjective: 500 * time.Millisecond, PriorityWeight: 1, Idempotency: policy.Idempotent,
 	}}
 	settings.Limits.MaxAttempts = 3
 	settings.Limits.MaxRetryAfter = time.Second
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -52,10 +52,10 @@
 		if a.neverRan {
 			continue
 		}
-		if p.class.Effect == Unsafe {
+		if p.class.Idempotency == NotIdempotent {
 			w.t.Errorf("%v: unsafe request %d sent again though it may have run", w.now, id)
 		}
-		if p.class.Effect == Keyed && (a.server.Cell != s.Cell || w.now-a.sent >= p.class.Window) {
+		if p.class.Idempotency == IdempotentByKey && (a.server.Cell != s.Cell || w.now-a.sent >= p.class.DedupWindow) {
 			w.t.Errorf("%v: keyed request %d repeated out of its group or window", w.now, id)
 		}
 	}
@@ -80,7 +80,7 @@
 	w.fakeHost.Reject(id, after)
 	p := w.answer(id)
 	for _, a := range p.attempts {
-		if !a.neverRan && p.class.Effect != Safe {
+		if !a.neverRan && p.class.Idempotency != Idempotent {
 			w.t.Errorf("%v: request %d refused though it may have run", w.now, id)
 		}
 	}
@@ -152,7 +152,7 @@
 
 func playScript(t *testing.T, seed uint64) []string {
 	set := testSettings()
-	set.Classes[0].LateWorth = 0.5
+	set.Classes[0].LateWeight = 0.5
 	set.Tenants = []Tenant{{QuotaPerS: 50}}
 	w := &world{fakeHost: newHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
 		open: map[RequestID]*played{}, answered: map[RequestID]int{}, state: map[ServerID]Entry{}}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -254,7 +254,7 @@
 // mayRefuse tells whether the promise of a refusal holds.
 func (r *request) mayRefuse() bool {
 	c := r.class
-	return c.Effect == Safe || (c.Effect == Keyed && c.Scope == ScopeAll) ||
+	return c.Idempotency == Idempotent || (c.Idempotency == IdempotentByKey && c.DedupScope == ScopeAll) ||
 		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverRan })
 }
 
@@ -303,7 +303,7 @@
 				b.late = append(b.late, s)
 			}
 		} else if s.breaker == halfOpen && s.trial == nil &&
-			(r.class.Effect != Unsafe || now > s.reopenAt+s.openFor) { // unsafe ones when no other came
+			(r.class.Idempotency != NotIdempotent || now > s.reopenAt+s.openFor) { // others when no other came
 			return s
 		}
 	}
@@ -367,7 +367,7 @@
 	c := &b.classes[q.Class]
 	r := b.newRequest(q, c)
 	b.begins(now, r, q.TimeRemaining)
-	r.worth = c.Worth
+	r.worth = c.PriorityWeight
 	if !b.quotas.take(now, q.Tenant) {
 		r.worth *= b.set.OverShareWorth
 	}
@@ -415,7 +415,7 @@
 // giveUp ends a request unserved: a refusal where its promise holds, else a failure.
 func (b *Balancer) giveUp(r *request) {
 	if r.mayRefuse() {
-		b.host.Reject(r.ID, min(r.class.Aim/2, b.set.Limits.MaxRetryAfter))
+		b.host.Reject(r.ID, min(r.class.LatencyObjective/2, b.set.Limits.MaxRetryAfter))
 	} else {
 		b.host.Fail(r.ID)
 	}
@@ -527,7 +527,8 @@
 
 // retry waits for the backoff of a further attempt, or answers now if none fits.
 func (b *Balancer) retry(now time.Duration, r *request) {
-	delay := b.jitter(min(time.Duration(float64(r.class.Aim)*backoffPart)<<(len(r.attempts)-1), backoffMost))
+	first := time.Duration(float64(r.class.LatencyObjective) * backoffPart)
+	delay := b.jitter(min(first<<(len(r.attempts)-1), backoffMost))
 	over := len(r.attempts) >= b.set.Limits.MaxAttempts || !b.chance() || r.spent(now+delay) ||
 		!r.attempts[len(r.attempts)-1].neverRan && // else the list may be about to change
 			!slices.ContainsFunc(b.ready, func(s *server) bool { // each one only once
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -73,10 +73,10 @@
 // testSettings has a safe, a keyed and an unsafe class, in this order.
 func testSettings() Settings {
 	s := Defaults()
-	class := Class{Deadline: 2 * time.Second, Aim: 800 * ms, Worth: 1}
+	class := Class{Deadline: 2 * time.Second, LatencyObjective: 800 * ms, PriorityWeight: 1}
 	keyed, unsafe := class, class
-	keyed.Effect, keyed.Scope, keyed.Window = Keyed, ScopeCell, time.Second
-	unsafe.Effect = Unsafe
+	keyed.Idempotency, keyed.DedupScope, keyed.DedupWindow = IdempotentByKey, ScopeCell, time.Second
+	unsafe.Idempotency = NotIdempotent
 	s.Classes = []Class{class, keyed, unsafe}
 	s.Limits = Limits{MaxAttempts: 4, SecondCopies: true, Cancel: true, MaxRetryAfter: time.Second}
 	s.Rules = Rules{
@@ -329,7 +329,7 @@
 func TestKeyedWindow(t *testing.T) {
 	set := testSettings()
 	set.Limits.SecondCopies = false
-	set.Classes[1].Window = 100 * ms
+	set.Classes[1].DedupWindow = 100 * ms
 	r := newRig(t, set, 9)
 	id := r.request(1)
 	r.pass(150 * ms)
@@ -637,7 +637,7 @@
 	} {
 		set := testSettings()
 		set.Limits.SecondCopies = false
-		set.Classes[1].Scope, set.Classes[1].Window = c.scope, c.window
+		set.Classes[1].DedupScope, set.Classes[1].DedupWindow = c.scope, c.window
 		r := newRig(t, set, c.servers)
 		r.serve(30, 1, 20*ms)
 		id := r.request(1)
@@ -659,7 +659,7 @@
 	// One that is held for room when its window ends.
 	set := testSettings()
 	set.Limits.SecondCopies = false
-	set.Classes[1].Scope, set.Classes[1].Window = ScopeAll, 300*ms
+	set.Classes[1].DedupScope, set.Classes[1].DedupWindow = ScopeAll, 300*ms
 	r := newRig(t, set, 2)
 	r.serve(30, 1, 20*ms)
 	id := r.request(1)
@@ -925,13 +925,13 @@
 		{"Zone", func(s *Settings) { s.Zone = -1 }},
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{"Classes[1].Deadline", func(s *Settings) { s.Classes[1].Deadline = 0 }},
-		{"Classes[0].Aim", func(s *Settings) { s.Classes[0].Aim = -1 }},
-		{"Classes[0].AimStretch", func(s *Settings) { s.Classes[0].AimStretch = nan }},
-		{"Classes[0].LateWorth", func(s *Settings) { s.Classes[0].LateWorth = 1.5 }},
-		{"Classes[0].Worth", func(s *Settings) { s.Classes[0].Worth = nan }},
-		{"Classes[0].Effect", func(s *Settings) { s.Classes[0].Effect = 9 }},
-		{"Classes[0].Scope", func(s *Settings) { s.Classes[0].Scope = 9 }},
-		{"Classes[0].Window", func(s *Settings) { s.Classes[0].Window = -1 }},
+		{"Classes[0].Aim", func(s *Settings) { s.Classes[0].LatencyObjective = -1 }},
+		{"Classes[0].AimStretch", func(s *Settings) { s.Classes[0].ObjectiveWorkFactor = nan }},
+		{"Classes[0].LateWorth", func(s *Settings) { s.Classes[0].LateWeight = 1.5 }},
+		{"Classes[0].Worth", func(s *Settings) { s.Classes[0].PriorityWeight = nan }},
+		{"Classes[0].Effect", func(s *Settings) { s.Classes[0].Idempotency = 9 }},
+		{"Classes[0].Scope", func(s *Settings) { s.Classes[0].DedupScope = 9 }},
+		{"Classes[0].Window", func(s *Settings) { s.Classes[0].DedupWindow = -1 }},
 		{"Tenants[0].QuotaPerS", func(s *Settings) { s.Tenants = []Tenant{{QuotaPerS: -1}} }},
 		{"OverShareWorth", func(s *Settings) { s.OverShareWorth = nan }},
 		{"Limits.MaxAttempts", func(s *Settings) { s.Limits.MaxAttempts = 0 }},
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -81,7 +81,7 @@
 	set.OverShareWorth, set.Quotas = 0.05, quotas
 	r := newRig(t, set, 1)
 	r.b.Request(time.Hour, Request{ID: 1, TimeRemaining: time.Second})
-	if worth := r.b.requests[1].worth; worth != set.Classes[0].Worth*0.05 {
+	if worth := r.b.requests[1].worth; worth != set.Classes[0].PriorityWeight*0.05 {
 		t.Errorf("a request beyond a quota that others used up is worth %v", worth)
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -47,11 +47,11 @@
 	b.warming = warming.Rules{From: set.Rules.ColdFrom, For: set.Rules.ColdFor, Multiple: set.Rules.FallMultiple, Span: set.Rules.FallFor}
 	b.set.Limits.MaxAttempts = min(set.Limits.MaxAttempts, 16) // whatever the settings allow
 	for _, c := range set.Classes {
-		if c.Aim == 0 {
-			c.Aim = c.Deadline
+		if c.LatencyObjective == 0 {
+			c.LatencyObjective = c.Deadline
 		}
 		b.classes = append(b.classes, class{
-			Class: c, lone: c.Aim.Seconds() / 4, loneSeen: 1, work: c.Aim.Seconds() / 4, seen: 1,
+			Class: c, lone: c.LatencyObjective.Seconds() / 4, loneSeen: 1, work: c.LatencyObjective.Seconds() / 4, seen: 1,
 		})
 	}
 	for i := range b.classes {
@@ -113,20 +113,20 @@
 		switch {
 		case c.Deadline <= 0:
 			return bad(field("Deadline"), c.Deadline)
-		case c.Aim < 0:
-			return bad(field("Aim"), c.Aim)
-		case !number(c.AimStretch, 0):
-			return bad(field("AimStretch"), c.AimStretch)
-		case !number(c.LateWorth, 0) || c.LateWorth > 1:
-			return bad(field("LateWorth"), c.LateWorth)
-		case !number(c.Worth, 0):
-			return bad(field("Worth"), c.Worth)
-		case c.Effect > Unsafe:
-			return bad(field("Effect"), c.Effect)
-		case c.Scope > ScopeCell:
-			return bad(field("Scope"), c.Scope)
-		case c.Window < 0:
-			return bad(field("Window"), c.Window)
+		case c.LatencyObjective < 0:
+			return bad(field("Aim"), c.LatencyObjective)
+		case !number(c.ObjectiveWorkFactor, 0):
+			return bad(field("AimStretch"), c.ObjectiveWorkFactor)
+		case !number(c.LateWeight, 0) || c.LateWeight > 1:
+			return bad(field("LateWorth"), c.LateWeight)
+		case !number(c.PriorityWeight, 0):
+			return bad(field("Worth"), c.PriorityWeight)
+		case c.Idempotency > NotIdempotent:
+			return bad(field("Effect"), c.Idempotency)
+		case c.DedupScope > ScopeCell:
+			return bad(field("Scope"), c.DedupScope)
+		case c.DedupWindow < 0:
+			return bad(field("Window"), c.DedupWindow)
 		}
 	}
 	return nil
--- a/policy/state.go
+++ b/policy/state.go
@@ -420,11 +420,11 @@
 // begins sets when a request's time and its use end.
 func (b *Balancer) begins(now time.Duration, r *request, left time.Duration) {
 	if r.BodyIncomplete { // it may come for long, but finds a place soon or is given up
-		r.end, r.useful = now+comingMost, now+r.class.Aim
+		r.end, r.useful = now+comingMost, now+r.class.LatencyObjective
 		return
 	}
 	r.end = now + max(0, min(left, r.class.Deadline)-max(0, b.set.Tick-b.set.Rules.AnswerGrace))
-	r.useful = min(r.end, now+r.class.Aim+time.Duration(r.class.AimStretch*float64(r.WorkHint)))
+	r.useful = min(r.end, now+r.class.LatencyObjective+time.Duration(r.class.ObjectiveWorkFactor*float64(r.WorkHint)))
 }
 
 // BodyComplete is told that the last byte of a request has come that was Coming: its time begins, and
@@ -466,7 +466,7 @@
 func (r *request) mayRepeat(now time.Duration, s *server) bool {
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if !a.neverRan && r.class.Effect == Keyed && !r.class.sameGroup(a, s) {
+		if !a.neverRan && r.class.Idempotency == IdempotentByKey && !r.class.sameGroup(a, s) {
 			return false
 		}
 	}
@@ -477,7 +477,7 @@
 func (r *request) spent(now time.Duration) bool {
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if !a.neverRan && (r.class.Effect == Unsafe || r.class.Effect == Keyed && now-a.sent >= r.class.Window) {
+		if !a.neverRan && (r.class.Idempotency == NotIdempotent || r.class.Idempotency == IdempotentByKey && now-a.sent >= r.class.DedupWindow) {
 			return true
 		}
 	}
@@ -485,7 +485,7 @@
 }
 
 func (c *class) sameGroup(a *attempt, s *server) bool {
-	switch c.Scope {
+	switch c.DedupScope {
 	case ScopeZone:
 		return a.zone == s.Zone
 	case ScopeCell:
@@ -530,7 +530,7 @@
 
 // lastUse is when an answer loses its last worth.
 func (r *request) lastUse() time.Duration {
-	if r.class.LateWorth > 0 {
+	if r.class.LateWeight > 0 {
 		return r.end
 	}
 	return r.useful
@@ -574,7 +574,7 @@
 	share := b.coldShare(a.server, now)
 	if a.lone && (c.loneSeen < 12 || share >= 1 && b.crowding < crowdingAim/2) {
 		c.loneSeen = min(c.loneSeen+1, 400)
-		c.lone += (min(latency*share/r.size(), c.Aim.Seconds()/3) - c.lone) / c.loneSeen
+		c.lone += (min(latency*share/r.size(), c.LatencyObjective.Seconds()/3) - c.lone) / c.loneSeen
 	}
 	relative := math.Log(max(latency*share, 1e-4) / (c.lone * r.size())) // its coldness is no crowd
 	if a.lone && b.crowding < crowdingAim {
