--- a/internal/app/idle.go
+++ b/internal/app/idle.go
@@ -22,7 +22,7 @@
 type memories struct {
 	at      time.Time
 	classes []config.Class // those that the knowledge is of, in its order
-	tiers   map[priority.Key]policy.Knowledge
+	tiers   map[priority.Key]policy.Snapshot
 }
 
 // activate gives the cluster's tiers, whose engines it starts where the cluster is idle. The error is that the cluster
@@ -87,7 +87,7 @@
 	}
 	ctx, stop := context.WithTimeout(r.ctx, knowledgeTimeout)
 	defer stop()
-	m := &memories{at: time.Now(), classes: r.classes, tiers: map[priority.Key]policy.Knowledge{}}
+	m := &memories{at: time.Now(), classes: r.classes, tiers: map[priority.Key]policy.Snapshot{}}
 	for key, t := range r.all {
 		if k, err := t.cluster.Knowledge(ctx); err == nil {
 			m.tiers[key] = k
@@ -129,7 +129,7 @@
 }
 
 // byName gives what is known of classes in their new order; of one that is new, what there is of it.
-func byName(known, own []policy.ClassKnowledge, old, now []config.Class) []policy.ClassKnowledge {
+func byName(known, own []policy.ClassSnapshot, old, now []config.Class) []policy.ClassSnapshot {
 	out := slices.Clone(own)
 	for i := range out {
 		for j := range known {
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -202,7 +202,7 @@
 }
 
 // knowledge gives what a cluster's only engine knows, or remembers where it is idle.
-func (s *serving) knowledge(name string) policy.Knowledge {
+func (s *serving) knowledge(name string) policy.Snapshot {
 	s.t.Helper()
 	r := s.app.state.Load().clusters[name]
 	r.mu.Lock()
@@ -214,7 +214,7 @@
 	for _, k := range m.tiers {
 		return k
 	}
-	return policy.Knowledge{}
+	return policy.Snapshot{}
 }
 
 // What is known of servers outlives the engines: through idleness, a change of settings while idle, and both again.
@@ -224,8 +224,8 @@
 	first := services(t, 1, bad)
 	s := serve(t, first)
 	opened := func() (count int) {
-		for _, k := range s.knowledge("s0").Servers {
-			if k.Open {
+		for _, k := range s.knowledge("s0").Endpoints {
+			if k.BreakerOpen {
 				count++
 			}
 		}
--- a/internal/app/tenants.go
+++ b/internal/app/tenants.go
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	if before != nil {
-		t.quotas.Inherit(before.quotas, func(tenant int) int { return before.place(t.list[tenant].Name) })
+		t.quotas.Restore(before.quotas, func(tenant int) int { return before.place(t.list[tenant].Name) })
 	}
 	return t, nil
 }
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -54,26 +54,26 @@
 }
 
 // Knowledge gives what the Balancer knows; the error is that the cluster has ended, or ctx has.
-func (c *Cluster) Knowledge(ctx context.Context) (policy.Knowledge, error) {
-	got := make(chan policy.Knowledge, 1)
-	if !c.inspect(func() { got <- c.balancer.Knowledge(c.clock.Now()) }) {
-		return policy.Knowledge{}, ErrRetired
+func (c *Cluster) Knowledge(ctx context.Context) (policy.Snapshot, error) {
+	got := make(chan policy.Snapshot, 1)
+	if !c.inspect(func() { got <- c.balancer.Snapshot(c.clock.Now()) }) {
+		return policy.Snapshot{}, ErrRetired
 	}
 	select {
 	case k := <-got:
 		return k, nil
 	case <-c.gone:
-		return policy.Knowledge{}, ErrRetired
+		return policy.Snapshot{}, ErrRetired
 	case <-ctx.Done():
-		return policy.Knowledge{}, ctx.Err()
+		return policy.Snapshot{}, ctx.Err()
 	}
 }
 
 // Inherit has the Balancer take up what another one knew some time ago. It counts for servers
 // that Members has named before.
-func (c *Cluster) Inherit(k policy.Knowledge, age time.Duration) {
-	c.inspect(func() { c.balancer.Inherit(c.clock.Now(), k, age) })
+func (c *Cluster) Inherit(k policy.Snapshot, age time.Duration) {
+	c.inspect(func() { c.balancer.Restore(c.clock.Now(), k, age) })
 }
 
 // Part sets how much of the node's work to cold servers is this cluster's, from 0 to 1.
-func (c *Cluster) Part(part float64) { c.inspect(func() { c.balancer.Part(part) }) }
+func (c *Cluster) Part(part float64) { c.inspect(func() { c.balancer.SetSlowStartShare(part) }) }
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -105,8 +105,8 @@
 	down    bool
 	set     policy.Settings
 	starts  uint64
-	knew    *policy.Knowledge // when it died,
-	diedAt  time.Duration     // at that time
+	knew    *policy.Snapshot // when it died,
+	diedAt  time.Duration    // at that time
 	lending
 }
 
--- a/internal/fleetsim/lend.go
+++ b/internal/fleetsim/lend.go
@@ -22,7 +22,7 @@
 )
 
 // shareSetter is a Decider that can be told its share of cold servers' budgets.
-type shareSetter interface{ Part(part float64) }
+type shareSetter interface{ SetSlowStartShare(part float64) }
 
 func (s *sim) lendingConfig() owner.LendingConfig {
 	return owner.LendingConfig{PledgeDuration: s.day.PledgeDuration, MaxClockDrift: 0.01}
@@ -63,7 +63,7 @@
 		n.post(event{at: n.now + n.delay(), kind: evShareRequest, node: n, token: n.starts, request: request})
 	}
 	if d, ok := n.decider.(shareSetter); ok {
-		d.Part(n.share.Usable(n.now, n.now+2*step, own) * float64(n.day.Nodes))
+		d.SetSlowStartShare(n.share.Usable(n.now, n.now+2*step, own) * float64(n.day.Nodes))
 	}
 	if n.now < n.day.Length+time.Minute {
 		n.post(event{at: n.now + step, kind: evUpdateShare, node: n, token: n.starts})
--- a/internal/fleetsim/nodes.go
+++ b/internal/fleetsim/nodes.go
@@ -39,21 +39,21 @@
 
 // knowing is a Decider that hands on what it knows; *policy.Balancer is one.
 type knowing interface {
-	Knowledge(now time.Duration) policy.Knowledge
-	Inherit(now time.Duration, k policy.Knowledge, age time.Duration)
+	Snapshot(now time.Duration) policy.Snapshot
+	Restore(now time.Duration, k policy.Snapshot, age time.Duration)
 }
 
 // inherit has a node that has started take up what it knew when it died.
 func (n *node) inherit() {
 	if d, ok := n.decider.(knowing); ok && n.knew != nil {
-		n.tell(func() { d.Inherit(n.now, *n.knew, n.now-n.diedAt) })
+		n.tell(func() { d.Restore(n.now, *n.knew, n.now-n.diedAt) })
 	}
 }
 
 // die ends a node: its clients see their connections break; what it has out at servers runs on, unheard.
 func (n *node) die() {
 	if d, ok := n.decider.(knowing); ok {
-		k := d.Knowledge(n.now)
+		k := d.Snapshot(n.now)
 		n.knew, n.diedAt = &k, n.now
 	}
 	n.down = true
--- a/internal/knowledge/golden_test.go
+++ b/internal/knowledge/golden_test.go
@@ -25,24 +25,24 @@
 			{InstanceID: "server-2", HostPort: "10.0.0.2:8002", Zone: "west", Cell: 3, Lifecycle: "Draining", Weight: 2.5, StartedAtMs: 1_699_999_980_002},
 		},
 		Module: Module{
-			Classes: []policy.ClassKnowledge{
-				{Lone: 0.011, LoneSeen: 12, Work: 0.013, Seen: 14, Hint: 0.015, Hinted: 16},
-				{Lone: 0.021, LoneSeen: 22, Work: 0.023, Seen: 24, Hint: 0.025, Hinted: 26},
+			Classes: []policy.ClassSnapshot{
+				{UnloadedLatency: 0.011, UnloadedSamples: 12, MeanLatency: 0.013, LatencySamples: 14, MeanWorkHint: 0.015, WorkHintSamples: 16},
+				{UnloadedLatency: 0.021, UnloadedSamples: 22, MeanLatency: 0.023, LatencySamples: 24, MeanWorkHint: 0.025, WorkHintSamples: 26},
 			},
-			Bounds: policy.BoundKnowledge{Limit: 31.5, LimitKnown: 32.5, Crowded: true, Crowding: -3.5, Typical: 0.034, WarmPart: 35.5, Arrivals: 36.5, Sent: 37.5},
+			Bounds: policy.LoadSnapshot{ConcurrencyLimit: 31.5, LastGoodLimit: 32.5, Saturated: true, LatencyInflation: -3.5, TypicalLatency: 0.034, WarmThroughput: 35.5, ArrivalRate: 36.5, SendRate: 37.5},
 			Servers: []Server{
-				{StartedMs: 1_699_999_990_001, ServerKnowledge: policy.ServerKnowledge{
-					Server: 51, Started: 52 * time.Second, Open: true, ReopenIn: 53 * time.Millisecond, OpenFor: 54 * time.Millisecond, Failures: 55,
-					Recent: []policy.OutcomesKnowledge{
-						{Age: 4 * time.Second, Good: 61, Bad: 62, Latency: 6.3},
-						{Age: 3 * time.Second, Good: 71, Bad: 72, Latency: 7.3},
+				{StartedMs: 1_699_999_990_001, EndpointSnapshot: policy.EndpointSnapshot{
+					ID: 51, StartedAt: 52 * time.Second, BreakerOpen: true, ReopenIn: 53 * time.Millisecond, OpenDuration: 54 * time.Millisecond, ConsecutiveFailures: 55,
+					RecentOutcomes: []policy.OutcomeSummary{
+						{Age: 4 * time.Second, Successes: 61, Failures: 62, MeanLatency: 6.3},
+						{Age: 3 * time.Second, Successes: 71, Failures: 72, MeanLatency: 7.3},
 					},
-					Lone: 0.56, LoneSeen: 57, ColdLeft: 0.58,
+					UnloadedInflation: 0.56, UnloadedSamples: 57, SlowStartCredit: 0.58,
 				}},
-				{StartedMs: 1_699_999_980_002, ServerKnowledge: policy.ServerKnowledge{
-					Server: 1<<63 + 81, Started: 82 * time.Second, Open: true, ReopenIn: 83 * time.Millisecond, OpenFor: 84 * time.Millisecond, Failures: 85,
-					Recent: []policy.OutcomesKnowledge{{Age: 2 * time.Second, Good: 91, Bad: 92, Latency: 9.3}},
-					Lone:   -0.86, LoneSeen: 87, ColdLeft: -0.88,
+				{StartedMs: 1_699_999_980_002, EndpointSnapshot: policy.EndpointSnapshot{
+					ID: 1<<63 + 81, StartedAt: 82 * time.Second, BreakerOpen: true, ReopenIn: 83 * time.Millisecond, OpenDuration: 84 * time.Millisecond, ConsecutiveFailures: 85,
+					RecentOutcomes:    []policy.OutcomeSummary{{Age: 2 * time.Second, Successes: 91, Failures: 92, MeanLatency: 9.3}},
+					UnloadedInflation: -0.86, UnloadedSamples: 87, SlowStartCredit: -0.88,
 				}},
 			},
 		},
@@ -89,19 +89,19 @@
 // Wall implements Clock.
 func (c offsetClock) Wall(at time.Duration) time.Time { return c.zero.Add(at) }
 
-// Every field of a module's part arrives in policy.Knowledge and back; starts change clocks.
+// Every field of a module's part arrives in policy.Snapshot and back; starts change clocks.
 func TestGoldenModuleConverts(t *testing.T) {
 	clock := offsetClock{time.UnixMilli(1_699_999_900_000)}
 	module := goldenSnapshot().Module
-	want := policy.Knowledge{Classes: module.Classes, Bounds: module.Bounds,
-		Servers: []policy.ServerKnowledge{module.Servers[0].ServerKnowledge, module.Servers[1].ServerKnowledge}}
-	want.Servers[0].Started, want.Servers[1].Started = 90_001*time.Millisecond, 80_002*time.Millisecond
+	want := policy.Snapshot{Classes: module.Classes, Load: module.Bounds,
+		Endpoints: []policy.EndpointSnapshot{module.Servers[0].EndpointSnapshot, module.Servers[1].EndpointSnapshot}}
+	want.Endpoints[0].StartedAt, want.Endpoints[1].StartedAt = 90_001*time.Millisecond, 80_002*time.Millisecond
 	got := module.ToModule(clock)
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("to the module: got  %+v\nwant %+v", got, want)
 	}
 	back := FromModule(got, clock)
-	module.Servers[0].Started, module.Servers[1].Started = 90_001*time.Millisecond, 80_002*time.Millisecond
+	module.Servers[0].StartedAt, module.Servers[1].StartedAt = 90_001*time.Millisecond, 80_002*time.Millisecond
 	if !reflect.DeepEqual(back, module) {
 		t.Errorf("from the module: got  %+v\nwant %+v", back, module)
 	}
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -48,17 +48,17 @@
 	Module     Module          `json:"module"`
 }
 
-// Module is policy.Knowledge with starts in wall time.
+// Module is policy.Snapshot with starts in wall time.
 type Module struct {
-	Classes []policy.ClassKnowledge `json:"classes"`
-	Bounds  policy.BoundKnowledge   `json:"bounds"`
-	Servers []Server                `json:"servers"`
+	Classes []policy.ClassSnapshot `json:"classes"`
+	Bounds  policy.LoadSnapshot    `json:"bounds"`
+	Servers []Server               `json:"servers"`
 }
 
-// Server is policy.ServerKnowledge of a start in wall time; 0: long ago.
+// Server is policy.EndpointSnapshot of a start in wall time; 0: long ago.
 type Server struct {
 	StartedMs int64 `json:"startedMs"`
-	policy.ServerKnowledge
+	policy.EndpointSnapshot
 }
 
 // Clock maps wall time onto the clock of a process and back.
@@ -68,12 +68,12 @@
 }
 
 // FromModule gives the form that goes over.
-func FromModule(k policy.Knowledge, clock Clock) Module {
-	m := Module{Classes: k.Classes, Bounds: k.Bounds}
-	for _, s := range k.Servers {
+func FromModule(k policy.Snapshot, clock Clock) Module {
+	m := Module{Classes: k.Classes, Bounds: k.Load}
+	for _, s := range k.Endpoints {
 		ms := int64(0)
-		if s.Started > 0 {
-			ms = clock.Wall(s.Started).UnixMilli()
+		if s.StartedAt > 0 {
+			ms = clock.Wall(s.StartedAt).UnixMilli()
 		}
 		m.Servers = append(m.Servers, Server{ms, s})
 	}
@@ -81,13 +81,13 @@
 }
 
 // ToModule gives the heir's form.
-func (m Module) ToModule(clock Clock) policy.Knowledge {
-	k := policy.Knowledge{Classes: m.Classes, Bounds: m.Bounds}
+func (m Module) ToModule(clock Clock) policy.Snapshot {
+	k := policy.Snapshot{Classes: m.Classes, Load: m.Bounds}
 	for _, s := range m.Servers {
-		if s.Started = 0; s.StartedMs > 0 {
-			s.Started = clock.At(time.UnixMilli(s.StartedMs))
+		if s.StartedAt = 0; s.StartedMs > 0 {
+			s.StartedAt = clock.At(time.UnixMilli(s.StartedMs))
 		}
-		k.Servers = append(k.Servers, s.ServerKnowledge)
+		k.Endpoints = append(k.Endpoints, s.EndpointSnapshot)
 	}
 	return k
 }
@@ -161,7 +161,7 @@
 		if goodServer(e) {
 			kept = append(kept, e)
 		} else {
-			leave("server %d is out of range", e.Server)
+			leave("server %d is out of range", e.ID)
 		}
 	}
 	s.Module.Servers = kept
@@ -171,25 +171,25 @@
 // within tells whether a number lies in a range; NaN does not.
 func within(v, least, most float64) bool { return v >= least && v <= most }
 
-func goodClass(c policy.ClassKnowledge) bool {
-	return within(c.Lone, 1e-6, maxSeconds) && within(c.Work, 1e-6, maxSeconds) && within(c.Hint, 0, maxSeconds) &&
-		within(c.LoneSeen, 0, maxCount) && within(c.Seen, 0, maxCount) && within(c.Hinted, 0, maxCount)
+func goodClass(c policy.ClassSnapshot) bool {
+	return within(c.UnloadedLatency, 1e-6, maxSeconds) && within(c.MeanLatency, 1e-6, maxSeconds) && within(c.MeanWorkHint, 0, maxSeconds) &&
+		within(c.UnloadedSamples, 0, maxCount) && within(c.LatencySamples, 0, maxCount) && within(c.WorkHintSamples, 0, maxCount)
 }
 
-func goodBounds(b policy.BoundKnowledge) bool {
-	return within(b.Limit, 0.1, maxCount) && within(b.LimitKnown, 0, maxCount) && within(b.Typical, 1e-6, maxSeconds) &&
-		within(math.Abs(b.Crowding), 0, 20) && within(b.WarmPart, 0, maxCount) && within(b.Arrivals, 0, 1e9) && within(b.Sent, 0, 1e9)
+func goodBounds(b policy.LoadSnapshot) bool {
+	return within(b.ConcurrencyLimit, 0.1, maxCount) && within(b.LastGoodLimit, 0, maxCount) && within(b.TypicalLatency, 1e-6, maxSeconds) &&
+		within(math.Abs(b.LatencyInflation), 0, 20) && within(b.WarmThroughput, 0, maxCount) && within(b.ArrivalRate, 0, 1e9) && within(b.SendRate, 0, 1e9)
 }
 
 func goodServer(s Server) bool {
-	good := s.StartedMs >= 0 && within(math.Abs(s.Lone), 0, 20) && within(s.LoneSeen, 0, maxCount) &&
-		within(math.Abs(s.ColdLeft), 0, maxSeconds) && s.Failures >= 0 && s.Failures <= maxKept &&
-		s.OpenFor >= 0 && s.OpenFor <= time.Hour && s.ReopenIn >= 0 && s.ReopenIn <= time.Hour && len(s.Recent) <= maxRecent
+	good := s.StartedMs >= 0 && within(math.Abs(s.UnloadedInflation), 0, 20) && within(s.UnloadedSamples, 0, maxCount) &&
+		within(math.Abs(s.SlowStartCredit), 0, maxSeconds) && s.ConsecutiveFailures >= 0 && s.ConsecutiveFailures <= maxKept &&
+		s.OpenDuration >= 0 && s.OpenDuration <= time.Hour && s.ReopenIn >= 0 && s.ReopenIn <= time.Hour && len(s.RecentOutcomes) <= maxRecent
 	all := 0
-	for i, r := range s.Recent {
-		good = good && r.Good >= 0 && r.Bad >= 0 && r.Age >= 0 && r.Age <= time.Hour && within(r.Latency, 0, 1e6)
-		good = good && (i == 0 || r.Age < s.Recent[i-1].Age) // the oldest first, as they were recorded
-		all += r.Good + r.Bad
+	for i, r := range s.RecentOutcomes {
+		good = good && r.Successes >= 0 && r.Failures >= 0 && r.Age >= 0 && r.Age <= time.Hour && within(r.MeanLatency, 0, 1e6)
+		good = good && (i == 0 || r.Age < s.RecentOutcomes[i-1].Age) // the oldest first, as they were recorded
+		all += r.Successes + r.Failures
 	}
 	return good && all <= maxKept
 }
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -20,12 +20,12 @@
 		Node: "n0", TakenMs: taken.UnixMilli(), Classes: []string{"read", "push"},
 		Generation: 41, Listed: true, List: []registry.Line{{InstanceID: "s-1", HostPort: "h:1", Lifecycle: "Ready", Weight: 1}},
 		Module: Module{
-			Classes: []policy.ClassKnowledge{{Lone: 0.05, LoneSeen: 12, Work: 0.06, Seen: 40}, {Lone: 0.07, Work: 0.1}},
-			Bounds:  policy.BoundKnowledge{Limit: 4.5, LimitKnown: 5, Crowded: true, Crowding: -0.2, Typical: 0.05, WarmPart: 3, Arrivals: 120, Sent: 6},
+			Classes: []policy.ClassSnapshot{{UnloadedLatency: 0.05, UnloadedSamples: 12, MeanLatency: 0.06, LatencySamples: 40}, {UnloadedLatency: 0.07, MeanLatency: 0.1}},
+			Bounds:  policy.LoadSnapshot{ConcurrencyLimit: 4.5, LastGoodLimit: 5, Saturated: true, LatencyInflation: -0.2, TypicalLatency: 0.05, WarmThroughput: 3, ArrivalRate: 120, SendRate: 6},
 			Servers: []Server{
-				{1_699_999_990_001, policy.ServerKnowledge{Server: 7, Open: true, ReopenIn: time.Second, OpenFor: 2 * time.Second, Failures: 5, Lone: 0.3, LoneSeen: 4,
-					Recent: []policy.OutcomesKnowledge{{Age: 4 * time.Second, Good: 9, Latency: 1.2}, {Age: time.Second, Good: 3, Bad: 2, Latency: 1.5}}}},
-				{0, policy.ServerKnowledge{Server: 1 << 63}},
+				{1_699_999_990_001, policy.EndpointSnapshot{ID: 7, BreakerOpen: true, ReopenIn: time.Second, OpenDuration: 2 * time.Second, ConsecutiveFailures: 5, UnloadedInflation: 0.3, UnloadedSamples: 4,
+					RecentOutcomes: []policy.OutcomeSummary{{Age: 4 * time.Second, Successes: 9, MeanLatency: 1.2}, {Age: time.Second, Successes: 3, Failures: 2, MeanLatency: 1.5}}}},
+				{0, policy.EndpointSnapshot{ID: 1 << 63}},
 			},
 		},
 	}
@@ -56,10 +56,10 @@
 func TestStartsOnAnotherClock(t *testing.T) {
 	donor, heir := engine.NewClock(), engine.NewClock()
 	start := time.Now().Add(-20 * time.Second).Truncate(time.Millisecond)
-	k := policy.Knowledge{Servers: []policy.ServerKnowledge{{Server: 1, Started: donor.At(start)}, {Server: 2}}}
+	k := policy.Snapshot{Endpoints: []policy.EndpointSnapshot{{ID: 1, StartedAt: donor.At(start)}, {ID: 2}}}
 	got := FromModule(k, donor).ToModule(heir)
-	if got.Servers[0].Started != heir.At(start) || got.Servers[1].Started != 0 {
-		t.Errorf("starts %v and %v, want %v and 0", got.Servers[0].Started, got.Servers[1].Started, heir.At(start))
+	if got.Endpoints[0].StartedAt != heir.At(start) || got.Endpoints[1].StartedAt != 0 {
+		t.Errorf("starts %v and %v, want %v and 0", got.Endpoints[0].StartedAt, got.Endpoints[1].StartedAt, heir.At(start))
 	}
 }
 
@@ -90,12 +90,12 @@
 		"from the future":  {func(*Snapshot) {}, taken.Add(-2 * time.Second), true, 0, 0},
 		"other classes":    {func(s *Snapshot) { s.Classes[0] = "write" }, taken, false, 1, 0},
 		"fewer classes":    {func(s *Snapshot) { s.Module.Classes = s.Module.Classes[:1] }, taken, false, 1, 0},
-		"a class of none":  {func(s *Snapshot) { s.Module.Classes[1].Lone = 0 }, taken, false, 1, 0},
-		"endless bound":    {func(s *Snapshot) { s.Module.Bounds.Limit = 1e300 }, taken, false, 1, 0},
+		"a class of none":  {func(s *Snapshot) { s.Module.Classes[1].UnloadedLatency = 0 }, taken, false, 1, 0},
+		"endless bound":    {func(s *Snapshot) { s.Module.Bounds.ConcurrencyLimit = 1e300 }, taken, false, 1, 0},
 		"a server's start": {func(s *Snapshot) { s.Module.Servers[0].StartedMs = -1 }, taken, false, 1, 1},
-		"negative counts":  {func(s *Snapshot) { s.Module.Servers[0].Recent[0].Good = -3 }, taken, false, 1, 1},
-		"too many":         {func(s *Snapshot) { s.Module.Servers[0].Recent[0].Good = 1e9 }, taken, false, 1, 1},
-		"out of order":     {func(s *Snapshot) { slices.Reverse(s.Module.Servers[0].Recent) }, taken, false, 1, 1},
+		"negative counts":  {func(s *Snapshot) { s.Module.Servers[0].RecentOutcomes[0].Successes = -3 }, taken, false, 1, 1},
+		"too many":         {func(s *Snapshot) { s.Module.Servers[0].RecentOutcomes[0].Successes = 1e9 }, taken, false, 1, 1},
+		"out of order":     {func(s *Snapshot) { slices.Reverse(s.Module.Servers[0].RecentOutcomes) }, taken, false, 1, 1},
 		"open for ever":    {func(s *Snapshot) { s.Module.Servers[0].ReopenIn = math.MaxInt64 }, taken, false, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/policy/knowledge_test.go
+++ b/policy/knowledge_test.go
@@ -32,8 +32,8 @@
 // has outcomes of its own. A blind one knows nothing.
 func TestInherit(t *testing.T) {
 	d := donor(t)
-	k := d.b.Knowledge(d.now)
-	k.Bounds.Limit = 20
+	k := d.b.Snapshot(d.now)
+	k.Load.ConcurrencyLimit = 20
 	for _, c := range []struct {
 		name  string
 		age   time.Duration
@@ -51,7 +51,7 @@
 			h.now = d.now
 			h.list(DeltaUpdate, Endpoint{ID: 3, State: Ready, Weight: 1, StartedAt: h.now})
 			h.b.servers[4].record(h.now, true, 1)
-			h.b.Inherit(h.now, k, c.age)
+			h.b.Restore(h.now, k, c.age)
 			h.b.refresh(h.now)
 			if math.Abs(h.b.limit-c.limit) > 1e-9 {
 				t.Errorf("bound %v, want %v", h.b.limit, c.limit)
@@ -66,8 +66,8 @@
 			if s[3].kept > 0 || s[4].kept != 1 {
 				t.Errorf("%d outcomes of a former process count, %d of a server that the heir has met", s[3].kept, s[4].kept)
 			}
-			if again := h.b.Knowledge(h.now); c.age == 0 && (math.Abs(again.Bounds.Typical-k.Bounds.Typical) > 1e-9 ||
-				again.Servers[1].Recent[0].Good != k.Servers[1].Recent[0].Good) {
+			if again := h.b.Snapshot(h.now); c.age == 0 && (math.Abs(again.Load.TypicalLatency-k.Load.TypicalLatency) > 1e-9 ||
+				again.Endpoints[1].RecentOutcomes[0].Successes != k.Endpoints[1].RecentOutcomes[0].Successes) {
 				t.Errorf("handed on again it is %+v, was %+v", again, k)
 			}
 		})
@@ -83,7 +83,7 @@
 		return n
 	}
 	blind, heir := newRig(t, testSettings(), 4), newRig(t, testSettings(), 4)
-	heir.b.Inherit(d.now, k, 0)
+	heir.b.Restore(d.now, k, 0)
 	if b, h := sentToBad(blind), sentToBad(heir); h > 0 || b == 0 {
 		t.Errorf("%d sends to the bad server, %d of a blind one", h, b)
 	}
@@ -92,8 +92,8 @@
 // What is known of classes and bounds counts by the share of the machines that served them.
 func TestInheritedFromOtherMachines(t *testing.T) {
 	d := donor(t) // of servers 1 to 4
-	k := d.b.Knowledge(d.now)
-	k.Bounds.Limit, k.Classes[0].Lone, k.Classes[0].LoneSeen = 21, 4, 100
+	k := d.b.Snapshot(d.now)
+	k.Load.ConcurrencyLimit, k.Classes[0].UnloadedLatency, k.Classes[0].UnloadedSamples = 21, 4, 100
 	for _, c := range []struct {
 		first, last int // servers of the heir
 		share       float64
@@ -103,7 +103,7 @@
 		h.list(FullUpdate, ready(c.first, c.last)...)
 		class, limit := &h.b.classes[0], h.b.limit
 		lone := class.lone
-		h.b.Inherit(h.now, k, 0)
+		h.b.Restore(h.now, k, 0)
 		if want := limit + (21-limit)*c.share; math.Abs(h.b.limit-want) > 1e-9 {
 			t.Errorf("servers %d to %d: bound %v, want %v", c.first, c.last, h.b.limit, want)
 		}
@@ -117,7 +117,7 @@
 func TestPartOfTheColdBudget(t *testing.T) {
 	spent := func(part float64) (work float64) {
 		r := newRig(t, testSettings(), 1)
-		r.b.Part(part)
+		r.b.SetSlowStartShare(part)
 		r.list(FullUpdate, Endpoint{ID: 1, State: Ready, Weight: 1, StartedAt: r.now})
 		s := r.b.servers[1]
 		for range 200 {
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -64,9 +64,9 @@
 	return true
 }
 
-// Inherit takes over what is left in the buckets of another table of the same node, as far as was gives a tenant's
+// Restore takes over what is left in the buckets of another table of the same node, as far as was gives a tenant's
 // place there; below 0: it has none. It is called before the table is used.
-func (q *Quotas) Inherit(from *Quotas, was func(tenant int) int) {
+func (q *Quotas) Restore(from *Quotas, was func(tenant int) int) {
 	for i := range q.buckets {
 		before := was(i)
 		if before < 0 || before >= len(from.buckets) {
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -94,7 +94,7 @@
 		before.take(now, 1)
 	}
 	after, _ := NewQuotas([]Tenant{{QuotaPerS: 3}, {QuotaPerS: 3}}, 1)
-	after.Inherit(before, func(tenant int) int { return map[int]int{0: 1, 1: -1}[tenant] })
+	after.Restore(before, func(tenant int) int { return map[int]int{0: 1, 1: -1}[tenant] })
 	if after.take(now, 0) {
 		t.Error("a quota that was used up is full again")
 	}
