--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -243,7 +243,7 @@
 
 // Do implements ingress.Cluster.
 func (g guarded) Do(ctx context.Context, q *engine.Request) (engine.Answer, error) {
-	q.May, q.Again = g.may, g.again
+	q.SendAllowed, q.SendRetryAfter = g.may, g.again
 	return g.Cluster.Do(ctx, q)
 }
 
--- a/internal/app/idle.go
+++ b/internal/app/idle.go
@@ -42,7 +42,7 @@
 	t := r.apply(r.app.clock.Now())
 	if r.leaving {
 		for _, t := range r.all {
-			t.cluster.Abandon()
+			t.cluster.Abort()
 		}
 	}
 	return t, nil
@@ -89,7 +89,7 @@
 	defer stop()
 	m := &memories{at: time.Now(), classes: r.classes, tiers: map[priority.Key]policy.Snapshot{}}
 	for key, t := range r.all {
-		if k, err := t.cluster.Knowledge(ctx); err == nil {
+		if k, err := t.cluster.Snapshot(ctx); err == nil {
 			m.tiers[key] = k
 		}
 	}
@@ -120,12 +120,12 @@
 	}
 	ctx, stop := context.WithTimeout(r.ctx, knowledgeTimeout)
 	defer stop()
-	own, err := t.cluster.Knowledge(ctx)
+	own, err := t.cluster.Snapshot(ctx)
 	if err != nil {
 		return
 	}
 	k.Classes = byName(k.Classes, own.Classes, r.memories.classes, r.classes)
-	t.cluster.Inherit(k, time.Since(r.memories.at))
+	t.cluster.Restore(k, time.Since(r.memories.at))
 }
 
 // byName gives what is known of classes in their new order; of one that is new, what there is of it.
--- a/internal/app/managed.go
+++ b/internal/app/managed.go
@@ -111,7 +111,7 @@
 // anew gives a request of another cluster as one of this; false: it is still coming, can't
 // be sent from its beginning, or its class is another.
 func (r *managedCluster) anew(from *managedCluster, q *engine.Request) (*engine.Request, bool) {
-	if s, ok := q.Payload.(engine.Streamed); q.Coming || ok && (s.Spent() || s.Streaming()) {
+	if s, ok := q.Payload.(engine.StreamingPayload); q.BodyIncomplete || ok && (s.Consumed() || s.Streaming()) {
 		return nil, false
 	}
 	was := &from.classes[q.Class]
@@ -126,8 +126,8 @@
 		}
 	}
 	return &engine.Request{
-		Class: class, Tenant: tenant, Hint: q.Hint, End: q.End, Patience: q.Patience, Payload: q.Payload,
-		MaxAttempts: q.MaxAttempts, PerTry: q.PerTry, Late: q.Late, Listen: q.Listen, May: q.May, Again: q.Again, Left: q.Left,
+		Class: class, Tenant: tenant, WorkHint: q.WorkHint, Deadline: q.Deadline, UploadTimeout: q.UploadTimeout, Payload: q.Payload,
+		MaxAttempts: q.MaxAttempts, PerTryTimeout: q.PerTryTimeout, OnLateAnswer: q.OnLateAnswer, LateAnswerTimeout: q.LateAnswerTimeout, SendAllowed: q.SendAllowed, SendRetryAfter: q.SendRetryAfter, ClientDisconnected: q.ClientDisconnected,
 	}, true
 }
 
@@ -139,7 +139,7 @@
 	if err != nil {
 		return engine.Answer{}, err
 	}
-	refused := engine.Answer{Verdict: engine.Refused, RetryAfter: r.settings.Limits.MaxRetryAfter}
+	refused := engine.Answer{Verdict: engine.Rejected, RetryAfter: r.settings.Limits.MaxRetryAfter}
 	if n := t.bounds.MaxRequests; n > 0 && open > int64(n) {
 		return refused, nil
 	}
@@ -192,7 +192,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.all {
-		t.cluster.MembersAt(told, policy.FullUpdate, nil)
+		t.cluster.UpdateEndpointsAt(told, policy.FullUpdate, nil)
 		t.cluster.Retire()
 		r.streams.drain(told, t.servers())
 	}
@@ -215,7 +215,7 @@
 	defer r.mu.Unlock()
 	r.leaving = true
 	for _, t := range r.all {
-		t.cluster.Abandon()
+		t.cluster.Abort()
 	}
 }
 
--- a/internal/app/streams.go
+++ b/internal/app/streams.go
@@ -47,7 +47,7 @@
 	defer s.mu.Unlock()
 	h.entry = s.table.Open(s.clock.Now(), uint64(a.From.Server), l, abort)
 	// The engine is told of a drain before drain is: one of the two sees it.
-	if since, told := a.From.Drains(); told {
+	if since, told := a.From.DrainingSince(); told {
 		s.table.Drain(since, uint64(a.From.Server))
 	}
 	s.arm()
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -56,7 +56,7 @@
 	a := r.app
 	o := engine.Options{Seed: a.Seed, Clock: a.clock, EventQueue: tierEvents}
 	if a.Sent != nil {
-		o.Sent = func(id policy.EndpointID, at time.Duration) { a.Sent(r.name, uint64(id), a.clock.Wall(at)) }
+		o.OnSend = func(id policy.EndpointID, at time.Duration) { a.Sent(r.name, uint64(id), a.clock.Wall(at)) }
 	}
 	ctx, stop := context.WithCancel(r.ctx)
 	sent := &sender{pool: pool, addresses: map[policy.EndpointID]string{}}
@@ -101,7 +101,7 @@
 	for k, t := range r.all {
 		if !used[t] {
 			delete(r.all, k)
-			t.cluster.MembersAt(told, policy.FullUpdate, nil)
+			t.cluster.UpdateEndpointsAt(told, policy.FullUpdate, nil)
 			t.cluster.Retire()
 			r.streams.drain(told, t.servers())
 		}
@@ -171,7 +171,7 @@
 	}
 	t.sent.update(servers)
 	t.pool.Update(false, servers)
-	t.cluster.MembersAt(told, policy.DeltaUpdate, entries)
+	t.cluster.UpdateEndpointsAt(told, policy.DeltaUpdate, entries)
 	open.drain(told, leave) // after the engine: see hold
 }
 
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -334,7 +334,7 @@
 	s.inForce = has
 }
 
-// sends is a log of what went out, for Options.Sent.
+// sends is a log of what went out, for Options.OnSend.
 type sends struct {
 	mu    sync.Mutex
 	names map[uint64]string
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -15,8 +15,8 @@
 	to     policy.EndpointID
 	server *member
 	clock  Clock
-	sent   func(server policy.EndpointID, at time.Duration) // Options.Sent
-	may    func() bool                                      // Request.May
+	sent   func(server policy.EndpointID, at time.Duration) // Options.OnSend
+	may    func() bool                                      // Request.SendAllowed
 	left   func() bool                                      // Request.TimeRemaining
 	window *window                                          // of a keyed request; nil: it is none
 
@@ -91,10 +91,10 @@
 	}
 }
 
-// Begin asks for leave to send. It is true once at most: not after the request's final
-// answer, nor Options.DrainGrace after word that the server drains, nor where Request.May or Request.TimeRemaining say
+// BeginSend asks for leave to send. It is true once at most: not after the request's final
+// answer, nor Options.DrainGrace after word that the server drains, nor where Request.SendAllowed or Request.TimeRemaining say
 // so, nor for a keyed request where the window is over in which servers drop its repeats.
-func (c *Call) Begin() bool { return c.begin(0) }
+func (c *Call) BeginSend() bool { return c.begin(0) }
 
 // begin is Begin for a send that is out at by, on the Clock, at the latest; 0: at once.
 func (c *Call) begin(by time.Duration) bool {
@@ -118,10 +118,10 @@
 	return true
 }
 
-// BeginUndrained is Begin for a send that somebody else is told to begin, by a time on the Clock at the latest:
+// BeginSendUnlessDraining is Begin for a send that somebody else is told to begin, by a time on the Clock at the latest:
 // it is false as soon as word of the server's drain has come, so that all of the grace is theirs, and for a repeat
 // whose window ends before that time.
-func (c *Call) BeginUndrained(by time.Duration) bool {
+func (c *Call) BeginSendUnlessDraining(by time.Duration) bool {
 	if c.server != nil && c.server.told.Load() != 0 {
 		c.Revoke()
 	}
@@ -137,8 +137,8 @@
 	member *member
 }
 
-// Drains tells when the engine was told that the server drains or is gone; false: it was not.
-func (s Source) Drains() (since time.Duration, told bool) {
+// DrainingSince tells when the engine was told that the server drains or is gone; false: it was not.
+func (s Source) DrainingSince() (since time.Duration, told bool) {
 	if s.member == nil {
 		return 0, false
 	}
--- a/internal/engine/ending_test.go
+++ b/internal/engine/ending_test.go
@@ -16,12 +16,12 @@
 	c := startWith(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		waiting <- call
 		<-connected
-		began <- call.Begin()
+		began <- call.BeginSend()
 		return Result{Status: policy.NeverSent}
 	}), Options{DrainGrace: grace}, 1)
 	go c.Do(t.Context(), c.request(2, testkit.Patience))
 	<-waiting
-	c.MembersAt(c.clock.Now()-grace-1, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
+	c.UpdateEndpointsAt(c.clock.Now()-grace-1, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	close(connected)
 	if <-began {
 		t.Error("a send after the grace")
@@ -37,10 +37,10 @@
 		if payload == "waits" {
 			waits <- struct{}{}
 			<-connected
-			sent <- call.Begin()
+			sent <- call.BeginSend()
 			return Result{Status: policy.NeverSent}
 		}
-		call.Begin()
+		call.BeginSend()
 		begins <- struct{}{}
 		<-call.Context().Done()
 		return Result{Status: policy.Cancelled}
@@ -63,14 +63,14 @@
 	testkit.Wait(t, begins, "an attempt")
 	ask("waits")
 	testkit.Wait(t, waits, "the other attempt")
-	c.Abandon()
-	for payload, want := range map[string]Verdict{"is out": Failed, "waits": Refused} {
+	c.Abort()
+	for payload, want := range map[string]Verdict{"is out": Failed, "waits": Rejected} {
 		if a := testkit.Wait(t, answers[payload], payload); a.Verdict != want {
 			t.Errorf("%s: verdict %d, want %d", payload, a.Verdict, want)
 		}
 	}
 	ask("comes behind")
-	if a := testkit.Wait(t, answers["comes behind"], "the one behind"); a.Verdict != Refused || a.MayHaveRun {
+	if a := testkit.Wait(t, answers["comes behind"], "the one behind"); a.Verdict != Rejected || a.MayHaveRun {
 		t.Errorf("the one behind: %+v", a)
 	}
 	close(connected)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -75,20 +75,20 @@
 	Exchange(call *Call, server policy.EndpointID, payload any, left time.Duration) Result
 }
 
-// Streamed is a payload that is still coming while it is sent. It has no two attempts out
+// StreamingPayload is a payload that is still coming while it is sent. It has no two attempts out
 // at a time, and none more once its beginning is not there any more.
-type Streamed interface {
+type StreamingPayload interface {
 	Streaming() bool // not all of it is at hand
-	Spent() bool     // it can't be sent from its beginning
+	Consumed() bool  // it can't be sent from its beginning
 }
 
-// Patient is a payload whose attempts last until they end by themselves, or with their request: who
+// SelfTimedPayload is a payload whose attempts last until they end by themselves, or with their request: who
 // sends them keeps a time of its own.
-type Patient interface{ Patient() }
+type SelfTimedPayload interface{ SelfTimed() }
 
 var (
-	// ErrLeft tells that the client left before the answer: none is owed.
-	ErrLeft = errors.New("engine: the client left")
+	// ErrClientDisconnected tells that the client left before the answer: none is owed.
+	ErrClientDisconnected = errors.New("engine: the client left")
 	// ErrRetired tells that the cluster takes no more requests; nothing was sent.
 	ErrRetired = errors.New("engine: the cluster is gone")
 )
@@ -104,13 +104,13 @@
 	// EventQueue is how many events may wait before their senders do; 0: the constant of that name. Its memory, about
 	// a hundred bytes an event, is held from the start: whoever has many clusters gives less.
 	EventQueue int
-	// Watch is called where the Balancer wants to follow a list that has to be asked
+	// WatchEndpoints is called where the Balancer wants to follow a list that has to be asked
 	// for; nil if lists are pushed. It must not block.
-	Watch func()
-	// Sent is told each attempt that goes out, right before its first byte, with the
+	WatchEndpoints func()
+	// OnSend is told each attempt that goes out, right before its first byte, with the
 	// time by which that was allowed; nil if nobody wants to know. It is called on the
 	// attempts' goroutines and must not block.
-	Sent func(server policy.EndpointID, at time.Duration)
+	OnSend func(server policy.EndpointID, at time.Duration)
 }
 
 // Cluster owns one Balancer with its timers. Create it with New, end it with Retire or
@@ -181,7 +181,7 @@
 		queue = EventQueue
 	}
 	c := &Cluster{
-		clock: o.Clock, ex: ex, watch: o.Watch, sent: o.Sent,
+		clock: o.Clock, ex: ex, watch: o.WatchEndpoints, sent: o.OnSend,
 		events: make(chan event, queue), gone: make(chan struct{}),
 		members: map[policy.EndpointID]*member{}, requests: map[policy.RequestID]*Request{},
 		classes: set.Classes, maxTries: set.Limits.MaxAttempts, comeBack: set.Limits.MaxRetryAfter,
@@ -285,14 +285,14 @@
 		c.handle(now, event{kind: evTimer, token: a.token})
 	case a.index >= 0:
 		c.handle(now, event{kind: evOutcome, request: r, index: a.index, result: Result{Status: policy.Timeout}})
-	case now < r.End+backstop:
+	case now < r.Deadline+backstop:
 		// The client's time is up: the attempts still out end, and the Balancer
 		// answers the request then, or at once by a timer of its own.
 		for i := range r.attempts {
 			c.handle(now, event{kind: evOutcome, request: r, index: i, result: Result{Status: policy.Timeout}})
 		}
 		if !r.ended {
-			a.at = r.End + backstop
+			a.at = r.Deadline + backstop
 			c.alarms.set(a)
 		}
 	default: // whatever became of the Balancer's answer
@@ -348,7 +348,7 @@
 			<-c.gone
 			r.untaken()
 		}
-		return Answer{}, ErrLeft
+		return Answer{}, ErrClientDisconnected
 	case <-c.gone:
 		select {
 		case a := <-r.answer:
@@ -359,9 +359,9 @@
 	}
 }
 
-// Whole tells that the last byte of a request that was Coming is there, also before Do: its final
+// BodyComplete tells that the last byte of a request that was Coming is there, also before Do: its final
 // answer must be out at end, on the Clock.
-func (c *Cluster) Whole(r *Request, end time.Duration) {
+func (c *Cluster) BodyComplete(r *Request, end time.Duration) {
 	c.post(event{kind: evWhole, request: r, end: end})
 }
 
@@ -369,10 +369,10 @@
 const comingMost = 24 * time.Hour
 
 func (c *Cluster) whole(now time.Duration, r *Request, end time.Duration) {
-	if !r.Coming {
+	if !r.BodyIncomplete {
 		return
 	}
-	r.Coming, r.End = false, end
+	r.BodyIncomplete, r.Deadline = false, end
 	if c.requests[r.id] != r || r.ended { // not begun yet, or over
 		return
 	}
@@ -410,9 +410,9 @@
 // Ended is closed when the cluster has ended.
 func (c *Cluster) Ended() <-chan struct{} { return c.gone }
 
-// Abandon answers all that is open, and at once what still comes: the program ends. What surely has
+// Abort answers all that is open, and at once what still comes: the program ends. What surely has
 // not run is refused, so that its client may ask elsewhere.
-func (c *Cluster) Abandon() { c.post(event{kind: evAbandon}) }
+func (c *Cluster) Abort() { c.post(event{kind: evAbandon}) }
 
 func (c *Cluster) begin(now time.Duration, r *Request) {
 	c.lastID++
@@ -421,21 +421,21 @@
 	}
 	r.id = c.lastID
 	c.requests[r.id] = r
-	if r.Coming {
-		r.End = now + comingMost
+	if r.BodyIncomplete {
+		r.Deadline = now + comingMost
 	}
-	r.deadline = alarm{at: r.End, request: r, index: -1}
+	r.deadline = alarm{at: r.Deadline, request: r, index: -1}
 	if r.Class >= 0 && r.Class < len(c.classes) && c.classes[r.Class].Idempotency == policy.IdempotentByKey {
 		r.window = &window{span: c.classes[r.Class].DedupWindow}
 	}
 	if c.leaving {
-		c.finish(r, Answer{Verdict: Refused, RetryAfter: c.comeBack})
+		c.finish(r, Answer{Verdict: Rejected, RetryAfter: c.comeBack})
 		c.release(r)
 		return
 	}
 	c.alarms.set(&r.deadline)
 	c.balancer.Request(now, policy.Request{
-		ID: r.id, Class: r.Class, Tenant: r.Tenant, TimeRemaining: max(0, r.End-now), WorkHint: r.Hint, BodyIncomplete: r.Coming,
+		ID: r.id, Class: r.Class, Tenant: r.Tenant, TimeRemaining: max(0, r.Deadline-now), WorkHint: r.WorkHint, BodyIncomplete: r.BodyIncomplete,
 	})
 	c.release(r)
 }
@@ -465,7 +465,7 @@
 	for _, r := range c.requests {
 		if !r.ended {
 			c.end(r) // from here on nothing of it can begin
-			verdict := Refused
+			verdict := Rejected
 			if r.mayHaveRun() {
 				verdict = Failed
 			}
@@ -481,7 +481,7 @@
 	a := r.attempts[index]
 	if a.told {
 		if a.lingers && res.Status == policy.OK {
-			go r.Late(res.Answer)
+			go r.OnLateAnswer(res.Answer)
 		} else {
 			discard(res.Answer)
 		}
@@ -495,9 +495,9 @@
 	a.Revoke()
 	served := r.served
 	r.served = served || res.Status == policy.OK
-	if a.lingers = r.Late != nil && !r.served && (r.ended || now >= r.End) && a.gate.Load() == begun &&
+	if a.lingers = r.OnLateAnswer != nil && !r.served && (r.ended || now >= r.Deadline) && a.gate.Load() == begun &&
 		(res.Status == policy.Timeout || res.Status == policy.Cancelled); a.lingers {
-		time.AfterFunc(r.Listen, a.Stop)
+		time.AfterFunc(r.LateAnswerTimeout, a.Stop)
 	} else {
 		a.Stop()
 	}
@@ -508,8 +508,8 @@
 	}
 	c.alarms.clear(&a.timeout)
 	switch {
-	case r.ended && r.Late != nil && res.Status == policy.OK && !served:
-		go r.Late(res.Answer)
+	case r.ended && r.OnLateAnswer != nil && res.Status == policy.OK && !served:
+		go r.OnLateAnswer(res.Answer)
 	case r.ended:
 		discard(res.Answer)
 	case res.Status == policy.OK:
@@ -517,15 +517,15 @@
 	case res.Answer != nil:
 		r.said = res.Answer
 	}
-	if s, ok := r.Payload.(Streamed); !r.ended && (res.Final || ok && s.Spent()) {
+	if s, ok := r.Payload.(StreamingPayload); !r.ended && (res.Final || ok && s.Consumed()) {
 		c.settle(r.id, Answer{Verdict: Failed}) // there is nothing left to send again
 	}
-	if !r.ended && r.out == 0 && res.Status == policy.NeverSent && r.May != nil && !r.May() {
-		verdict := Refused
+	if !r.ended && r.out == 0 && res.Status == policy.NeverSent && r.SendAllowed != nil && !r.SendAllowed() {
+		verdict := Rejected
 		if r.ran {
 			verdict = Failed
 		}
-		c.settle(r.id, Answer{Verdict: verdict, RetryAfter: r.Again})
+		c.settle(r.id, Answer{Verdict: verdict, RetryAfter: r.SendRetryAfter})
 	}
 	c.balancer.Outcome(now, policy.Outcome{
 		ID: r.id, Attempt: index, Endpoint: a.to, Status: res.Status, RequestDone: r.ended, Latency: now - a.decided,
@@ -577,7 +577,7 @@
 	c.mu.RLock()
 	a.server = c.members[server]
 	c.mu.RUnlock()
-	a.to, a.clock, a.sent, a.may, a.left, a.window = server, c.clock, c.sent, r.May, r.Left, r.window
+	a.to, a.clock, a.sent, a.may, a.left, a.window = server, c.clock, c.sent, r.SendAllowed, r.ClientDisconnected, r.window
 	index := len(r.attempts)
 	if index == 0 {
 		r.attempts = r.first[:0]
@@ -590,10 +590,10 @@
 	}
 	limit := int(c.maxRetries.Load())
 	full := index > 0 && limit > 0 && c.retries >= limit
-	if s, ok := r.Payload.(Streamed); ok && index > 0 {
-		full = full || s.Spent() || r.out > 1 && s.Streaming()
+	if s, ok := r.Payload.(StreamingPayload); ok && index > 0 {
+		full = full || s.Consumed() || r.out > 1 && s.Streaming()
 	}
-	if r.ended || index >= most || now >= r.End || a.server == nil || full {
+	if r.ended || index >= most || now >= r.Deadline || a.server == nil || full {
 		c.after = append(c.after, event{kind: evOutcome, request: r, index: index, result: Result{Status: policy.NeverSent}})
 		return
 	}
@@ -601,17 +601,17 @@
 		a.retry = true
 		c.retries++
 	}
-	if r.PerTry > 0 && (timeout == 0 || timeout > r.PerTry) {
-		timeout = r.PerTry
+	if r.PerTryTimeout > 0 && (timeout == 0 || timeout > r.PerTryTimeout) {
+		timeout = r.PerTryTimeout
 	}
-	_, patient := r.Payload.(Patient)
-	if timeout > 0 && now+timeout < r.End && !patient {
+	_, patient := r.Payload.(SelfTimedPayload)
+	if timeout > 0 && now+timeout < r.Deadline && !patient {
 		a.timeout = alarm{at: now + timeout, request: r, index: index}
 		c.alarms.set(&a.timeout)
 	}
-	left := r.End - now
-	if r.Coming {
-		left = r.Patience
+	left := r.Deadline - now
+	if r.BodyIncomplete {
+		left = r.UploadTimeout
 	}
 	go func() {
 		res := c.ex.Exchange(&a.Call, server, r.Payload, left)
@@ -630,7 +630,7 @@
 
 // Reject implements policy.Host.
 func (c *Cluster) Reject(id policy.RequestID, retryAfter time.Duration) {
-	c.settle(id, Answer{Verdict: Refused, RetryAfter: retryAfter})
+	c.settle(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 }
 
 // Fail implements policy.Host.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -35,7 +35,7 @@
 }
 
 func served(call *Call, _ policy.EndpointID, payload any, _ time.Duration) Result {
-	if !call.Begin() {
+	if !call.BeginSend() {
 		return Result{Status: policy.NeverSent}
 	}
 	return Result{Status: policy.OK, Answer: payload}
@@ -66,7 +66,7 @@
 }
 
 func (c *Cluster) request(class int, left time.Duration) *Request {
-	return &Request{Class: class, End: c.clock.Now() + left, Payload: "x"}
+	return &Request{Class: class, Deadline: c.clock.Now() + left, Payload: "x"}
 }
 
 func TestServed(t *testing.T) {
@@ -88,7 +88,7 @@
 func TestSilentExchanger(t *testing.T) {
 	ended := make(chan struct{}, 3)
 	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
-		call.Begin()
+		call.BeginSend()
 		<-call.Context().Done()
 		ended <- struct{}{}
 		return Result{Status: policy.OK, Answer: "late"}
@@ -104,7 +104,7 @@
 func TestClientLeaves(t *testing.T) {
 	out, ended := make(chan struct{}), make(chan struct{})
 	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
-		call.Begin()
+		call.BeginSend()
 		close(out)
 		<-call.Context().Done()
 		close(ended)
@@ -112,7 +112,7 @@
 	}), 1)
 	ctx, leave := context.WithCancel(t.Context())
 	go func() { <-out; leave() }()
-	if _, err := c.Do(ctx, c.request(0, testkit.Patience)); !errors.Is(err, ErrLeft) {
+	if _, err := c.Do(ctx, c.request(0, testkit.Patience)); !errors.Is(err, ErrClientDisconnected) {
 		t.Errorf("error %v", err)
 	}
 	<-ended
@@ -124,7 +124,7 @@
 	late := make(chan bool, 1)
 	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		<-call.Context().Done() // an exchanger that is slow to see the end
-		late <- call.Begin()
+		late <- call.BeginSend()
 		return Result{Status: policy.NeverSent}
 	}), 1)
 	c.Do(t.Context(), c.request(0, 50*time.Millisecond))
@@ -151,7 +151,7 @@
 			c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 				waiting <- call
 				<-connected
-				began <- call.Begin()
+				began <- call.BeginSend()
 				return Result{Status: policy.NeverSent}
 			}), 1)
 			go c.Do(t.Context(), c.request(2, testkit.Patience))
@@ -178,7 +178,7 @@
 		c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 			waiting <- struct{}{}
 			<-told
-			began <- call.BeginUndrained(0)
+			began <- call.BeginSendUnlessDraining(0)
 			return Result{Status: policy.NeverSent, Final: true}
 		}), 1)
 		go c.Do(t.Context(), c.request(2, testkit.Patience))
@@ -199,12 +199,12 @@
 	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		waiting <- call
 		<-connected
-		began <- call.Begin()
+		began <- call.BeginSend()
 		return Result{Status: policy.NeverSent}
 	}), 1)
 	go c.Do(t.Context(), c.request(2, testkit.Patience))
 	<-waiting
-	c.MembersAt(c.clock.Now()-DrainGrace, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
+	c.UpdateEndpointsAt(c.clock.Now()-DrainGrace, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	close(connected)
 	if <-began {
 		t.Error("a send a grace after the delivery")
@@ -229,7 +229,7 @@
 		t.Run(name, func(t *testing.T) {
 			var sends atomic.Int64
 			cl := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
-				if !call.Begin() {
+				if !call.BeginSend() {
 					return Result{Status: policy.NeverSent}
 				}
 				sends.Add(1)
@@ -240,7 +240,7 @@
 			}), 1, 2, 3, 4)
 			cl.LimitRetries(c.retries)
 			r := cl.request(0, 3*time.Second)
-			r.MaxAttempts, r.PerTry = c.attempts, c.perTry
+			r.MaxAttempts, r.PerTryTimeout = c.attempts, c.perTry
 			if a, err := cl.Do(t.Context(), r); err != nil || a.Verdict == Served || sends.Load() != c.sends {
 				t.Errorf("%+v, %v after %d sends, want %d", a, err, sends.Load(), c.sends)
 			}
@@ -255,7 +255,7 @@
 	var mu sync.Mutex
 	seen := map[any]bool{}
 	c := start(t, exchange(func(call *Call, _ policy.EndpointID, payload any, _ time.Duration) Result {
-		if !call.Begin() {
+		if !call.BeginSend() {
 			return Result{Status: policy.NeverSent}
 		}
 		mu.Lock()
@@ -300,13 +300,13 @@
 func TestUntakenAnswersAreClosed(t *testing.T) {
 	for name, end := range map[string]func(c *Cluster, leave func()){
 		"client left":   func(_ *Cluster, leave func()) { leave() },
-		"abandoned":     func(c *Cluster, _ func()) { c.Abandon() },
+		"abandoned":     func(c *Cluster, _ func()) { c.Abort() },
 		"cluster ended": func(c *Cluster, _ func()) { c.stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, answered, held := make(chan struct{}), make(chan struct{}), make(closer)
 			c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
-				call.Begin()
+				call.BeginSend()
 				close(out)
 				<-answered
 				return Result{Status: policy.OK, Answer: held}
@@ -377,12 +377,12 @@
 func TestAbandon(t *testing.T) {
 	out := make(chan struct{}, 3)
 	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
-		call.Begin()
+		call.BeginSend()
 		out <- struct{}{}
 		<-call.Context().Done()
 		return Result{Status: policy.Reset}
 	}), 1)
-	go func() { <-out; c.Abandon() }()
+	go func() { <-out; c.Abort() }()
 	if a, err := c.Do(t.Context(), c.request(0, testkit.Patience)); err != nil || a.Verdict != Failed {
 		t.Errorf("%+v, %v", a, err)
 	}
@@ -405,7 +405,7 @@
 		since, before := told[to].Load(), clock.Now()
 		p := payload.(*track)
 		answered := p.answered.Load()
-		if !call.Begin() {
+		if !call.BeginSend() {
 			return Result{Status: policy.NeverSent}
 		}
 		sends.Add(1)
@@ -494,7 +494,7 @@
 		t.Errorf("%d ends for %d requests, %d stray sends", total, clients*requests, strays.Load())
 	}
 	t.Logf("%d sends; served %d, refused %d, failed %d, left %d", sends.Load(),
-		verdicts[Served].Load(), verdicts[Refused].Load(), verdicts[Failed].Load(), left.Load())
+		verdicts[Served].Load(), verdicts[Rejected].Load(), verdicts[Failed].Load(), left.Load())
 	testkit.Until(t, "the loop to forget all requests and alarms", func() bool {
 		sizes := make(chan [2]int, 1)
 		c.inspect(func() { sizes <- [2]int{len(c.requests), len(c.alarms.heap)} })
@@ -606,7 +606,7 @@
 	failed := make(chan struct{}, 4)
 	var sends atomic.Int64
 	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
-		if call.Begin() {
+		if call.BeginSend() {
 			sends.Add(1)
 		}
 		failed <- struct{}{}
@@ -629,7 +629,7 @@
 func TestEndWithAnAttemptOut(t *testing.T) {
 	out := make(chan struct{})
 	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
-		call.Begin()
+		call.BeginSend()
 		close(out)
 		<-call.Context().Done()
 		return Result{Status: policy.Reset}
--- a/internal/engine/left_test.go
+++ b/internal/engine/left_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	for name, begun := range map[string]int32{"the first": 0, "the second": 1, "the third": 2} {
 		for undrained, begin := range map[string]func(c *Call) bool{
-			"sent here": (*Call).Begin, "sent by others": func(c *Call) bool { return c.BeginUndrained(c.clock.Now()) },
+			"sent here": (*Call).BeginSend, "sent by others": func(c *Call) bool { return c.BeginSendUnlessDraining(c.clock.Now()) },
 		} {
 			t.Run(name+", "+undrained, func(t *testing.T) {
 				t.Parallel()
@@ -31,7 +31,7 @@
 					return Result{Status: policy.ErrorResponse}
 				}), 1, 2, 3)
 				r := c.request(0, testkit.Patience)
-				r.Left = gone.Load
+				r.ClientDisconnected = gone.Load
 				ctx, leave := context.WithCancel(t.Context())
 				over := make(chan struct{})
 				go func() { c.Do(ctx, r); close(over) }()
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -11,12 +11,12 @@
 // from Options.DrainGrace after it nothing is sent to a server that drains, is gone or, with a
 // whole list, is not on it. False if the cluster has ended.
 func (c *Cluster) Members(kind policy.UpdateKind, entries []policy.Endpoint) bool {
-	return c.MembersAt(c.clock.Now(), kind, entries)
+	return c.UpdateEndpointsAt(c.clock.Now(), kind, entries)
 }
 
-// MembersAt is Members for news that was delivered at an earlier time on the clock: what
+// UpdateEndpointsAt is Members for news that was delivered at an earlier time on the clock: what
 // became of it in between doesn't add to the time in which sends may still begin.
-func (c *Cluster) MembersAt(told time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) bool {
+func (c *Cluster) UpdateEndpointsAt(told time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) bool {
 	if kind != policy.UpdateFailed {
 		c.tell(told, kind != policy.DeltaUpdate, entries)
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// Knowledge gives what the Balancer knows; the error is that the cluster has ended, or ctx has.
-func (c *Cluster) Knowledge(ctx context.Context) (policy.Snapshot, error) {
+// Snapshot gives what the Balancer knows; the error is that the cluster has ended, or ctx has.
+func (c *Cluster) Snapshot(ctx context.Context) (policy.Snapshot, error) {
 	got := make(chan policy.Snapshot, 1)
 	if !c.inspect(func() { got <- c.balancer.Snapshot(c.clock.Now()) }) {
 		return policy.Snapshot{}, ErrRetired
@@ -69,11 +69,13 @@
 	}
 }
 
-// Inherit has the Balancer take up what another one knew some time ago. It counts for servers
+// Restore has the Balancer take up what another one knew some time ago. It counts for servers
 // that Members has named before.
-func (c *Cluster) Inherit(k policy.Snapshot, age time.Duration) {
+func (c *Cluster) Restore(k policy.Snapshot, age time.Duration) {
 	c.inspect(func() { c.balancer.Restore(c.clock.Now(), k, age) })
 }
 
-// Part sets how much of the node's work to cold servers is this cluster's, from 0 to 1.
-func (c *Cluster) Part(part float64) { c.inspect(func() { c.balancer.SetSlowStartShare(part) }) }
+// SetSlowStartShare sets how much of the node's work to cold servers is this cluster's, from 0 to 1.
+func (c *Cluster) SetSlowStartShare(part float64) {
+	c.inspect(func() { c.balancer.SetSlowStartShare(part) })
+}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -11,9 +11,9 @@
 
 // The kinds of a final answer.
 const (
-	Served  Verdict = iota // by a server; Answer.Value is what the Exchanger gave
-	Refused                // trying again does no harm
-	Failed                 // promises nothing
+	Served   Verdict = iota // by a server; Answer.Value is what the Exchanger gave
+	Rejected                // trying again does no harm
+	Failed                  // promises nothing
 )
 
 // Answer is a request's final answer.
@@ -29,27 +29,27 @@
 // Request is what a front submits, once.
 type Request struct {
 	Class, Tenant int           // as in the cluster's policy.Settings
-	Hint          time.Duration // a guess at the work; 0: none
-	End           time.Duration // on the Clock: when the final answer must be out
-	// Coming tells that a part of the request is still on its way from its client: End holds from
-	// Cluster.Whole on. Attempts are told Patience as the time that they have, until then.
-	Coming      bool
-	Patience    time.Duration
-	Payload     any           // for the Exchanger
-	MaxAttempts int           // less than the cluster's limit; 0: that one holds
-	PerTry      time.Duration // the longest that an attempt is waited for; 0: the Balancer's choice
-	// Late, if set, is told what a server says at last to an attempt that was out when the request's
+	WorkHint      time.Duration // a guess at the work; 0: none
+	Deadline      time.Duration // on the Clock: when the final answer must be out
+	// BodyIncomplete tells that a part of the request is still on its way from its client: End holds from
+	// Cluster.BodyComplete on. Attempts are told Patience as the time that they have, until then.
+	BodyIncomplete bool
+	UploadTimeout  time.Duration
+	Payload        any           // for the Exchanger
+	MaxAttempts    int           // less than the cluster's limit; 0: that one holds
+	PerTryTimeout  time.Duration // the longest that an attempt is waited for; 0: the Balancer's choice
+	// OnLateAnswer, if set, is told what a server says at last to an attempt that was out when the request's
 	// time was up or its client left, unless the request was served. Nothing new is sent for it, it
 	// keeps its connection for Listen at most, and is called on a goroutine of its own.
-	Late   func(answer any)
-	Listen time.Duration
-	// May, if set, is asked right before an attempt's first byte leaves, on the attempt's goroutine: with false
+	OnLateAnswer      func(answer any)
+	LateAnswerTimeout time.Duration
+	// SendAllowed, if set, is asked right before an attempt's first byte leaves, on the attempt's goroutine: with false
 	// nothing is sent, and unless another attempt is out the request is refused at once, to come back after Again.
-	May   func() bool
-	Again time.Duration
-	// Left, if set, is asked in the same place whether the client has gone; with true nothing is
+	SendAllowed    func() bool
+	SendRetryAfter time.Duration
+	// ClientDisconnected, if set, is asked in the same place whether the client has gone; with true nothing is
 	// sent. Whoever sets it has the context of Do end with it.
-	Left func() bool
+	ClientDisconnected func() bool
 
 	id       policy.RequestID
 	answer   chan Answer // takes one
--- a/internal/engine/window.go
+++ b/internal/engine/window.go
@@ -21,7 +21,7 @@
 	at   time.Duration // on the Clock, right before its first byte
 }
 
-// begin is Call.Begin's last step: false where the window of an earlier send is over by the time at which
+// begin is Call.BeginSend's last step: false where the window of an earlier send is over by the time at which
 // this one is out at the latest.
 func (w *window) begin(c *Call, now, by time.Duration) bool {
 	w.mu.Lock()
--- a/internal/engine/window_test.go
+++ b/internal/engine/window_test.go
@@ -26,11 +26,11 @@
 			attempts := make(chan bool, 4)
 			c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 				if number.Add(1) == 1 {
-					attempts <- call.Begin()
+					attempts <- call.BeginSend()
 					return Result{Status: first.status}
 				}
 				call.clock.zero = call.clock.zero.Add(-settings().Classes[1].DedupWindow) // this one's connection took that long
-				attempts <- call.Begin()
+				attempts <- call.BeginSend()
 				return Result{Status: policy.ErrorResponse}
 			}), 1, 2)
 			go c.Do(t.Context(), c.request(1, testkit.Patience))
@@ -52,7 +52,7 @@
 		var number atomic.Int32
 		attempts := make(chan bool, 4)
 		c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
-			attempts <- call.BeginUndrained(call.clock.Now() + left)
+			attempts <- call.BeginSendUnlessDraining(call.clock.Now() + left)
 			if number.Add(1) == 1 {
 				return Result{Status: policy.Reset}
 			}
--- a/internal/extproc/carry.go
+++ b/internal/extproc/carry.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	q := x.submit(out)
-	q.Left = func() bool { return ctx.Err() != nil }
+	q.ClientDisconnected = func() bool { return ctx.Err() != nil }
 	a, err := x.to.Cluster.Do(ctx, q)
 	if err != nil {
 		if errors.Is(err, engine.ErrRetired) && x.stream.Context().Err() == nil {
@@ -74,8 +74,8 @@
 // submit is what the engine gets.
 func (x *exchange) submit(payload any) *engine.Request {
 	return &engine.Request{
-		Class: x.to.Class, Tenant: x.terms.Tenant, Hint: x.terms.Hint, End: x.end,
-		MaxAttempts: x.to.MaxAttempts, PerTry: x.to.PerTry, Payload: payload,
+		Class: x.to.Class, Tenant: x.terms.Tenant, WorkHint: x.terms.Hint, Deadline: x.end,
+		MaxAttempts: x.to.MaxAttempts, PerTryTimeout: x.to.PerTry, Payload: payload,
 	}
 }
 
@@ -214,7 +214,7 @@
 		x.to.Response.Apply(answer.Header)
 	}
 	switch {
-	case a.Verdict == engine.Refused:
+	case a.Verdict == engine.Rejected:
 		x.over(b, repeat.Refused, nil, a.RetryAfter)
 		if answer == nil {
 			return x.refuse(a.RetryAfter)
--- a/internal/extproc/pick.go
+++ b/internal/extproc/pick.go
@@ -69,13 +69,13 @@
 	outcome chan policy.Status // takes one
 }
 
-// Streaming implements engine.Streamed: what a caller sends is one attempt at a time.
+// Streaming implements engine.StreamingPayload: what a caller sends is one attempt at a time.
 func (*ask) Streaming() bool { return true }
 
-// Spent implements engine.Streamed.
+// Spent implements engine.StreamingPayload.
 func (*ask) Spent() bool { return false }
 
-// Patient implements engine.Patient: a caller has its own times.
+// Patient implements engine.SelfTimedPayload: a caller has its own times.
 func (*ask) Patient() {}
 
 // Carry is an attempt: the server is offered to the caller, and what the caller tells is its outcome.
@@ -225,7 +225,7 @@
 			if left <= 0 || x.stream.Context().Err() != nil {
 				o.call.Revoke()
 			}
-			if !o.call.BeginUndrained(x.end) { // the caller sends it some time until then
+			if !o.call.BeginSendUnlessDraining(x.end) { // the caller sends it some time until then
 				a.mu.Unlock()
 				o.outcome <- policy.NeverSent
 				continue
@@ -258,7 +258,7 @@
 // final gives a request's final answer to a stream that waits for it.
 func (x *exchange) final(a *ask) error {
 	switch {
-	case errors.Is(a.err, engine.ErrRetired), a.err == nil && a.answer.Verdict == engine.Refused:
+	case errors.Is(a.err, engine.ErrRetired), a.err == nil && a.answer.Verdict == engine.Rejected:
 		after := a.answer.RetryAfter
 		if a.err != nil {
 			after = x.to.MaxRetryAfter
--- a/internal/h2front/leaving_test.go
+++ b/internal/h2front/leaving_test.go
@@ -33,7 +33,7 @@
 	h.came <- struct{}{}
 	<-ctx.Done()
 	h.over <- struct{}{}
-	return engine.Answer{}, engine.ErrLeft
+	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
 // Over HTTP/2 a client that gives up its stream, or its connection, while the request waits ends the
--- a/internal/h2front/storm_test.go
+++ b/internal/h2front/storm_test.go
@@ -38,7 +38,7 @@
 func (a *asking) Do(_ context.Context, r *engine.Request) (engine.Answer, error) {
 	a.came <- r
 	<-a.goes
-	return engine.Answer{}, engine.ErrLeft
+	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
 // serve serves a front over HTTP/2 until the test's end.
@@ -95,10 +95,10 @@
 		ctx, leave := context.WithCancel(t.Context())
 		p.ask(ctx, addr, "i")
 		r := testkit.Wait(t, a.came, "the request")
-		if r.Left == nil {
+		if r.ClientDisconnected == nil {
 			t.Fatal("nobody asks for the client")
 		}
-		if r.Left() {
+		if r.ClientDisconnected() {
 			t.Error("a client that waits has left")
 		}
 		if cuts {
@@ -106,7 +106,7 @@
 		} else {
 			leave()
 		}
-		testkit.Until(t, "a send to be barred", r.Left)
+		testkit.Until(t, "a send to be barred", r.ClientDisconnected)
 		close(a.goes)
 		leave()
 		p.open.Wait()
--- a/internal/h2up/h2up.go
+++ b/internal/h2up/h2up.go
@@ -297,7 +297,7 @@
 		scheme = "https"
 	}
 	req, err := request(ctx, o, scheme, left-time.Since(started))
-	if err != nil || !call.Begin() {
+	if err != nil || !call.BeginSend() {
 		x.Close()
 		return engine.Result{Status: policy.NeverSent}
 	}
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -280,7 +280,7 @@
 			panic(http.ErrAbortHandler) // to serve it here too would be to serve it twice
 		case over, f.refusing.Load():
 			w.Header().Set("Connection", "close")
-			write(w, r.Method == http.MethodHead, engine.Answer{Verdict: engine.Refused, RetryAfter: to.MaxRetryAfter})
+			write(w, r.Method == http.MethodHead, engine.Answer{Verdict: engine.Rejected, RetryAfter: to.MaxRetryAfter})
 			return
 		}
 	}
@@ -315,12 +315,12 @@
 	}
 	switch {
 	case c == nil:
-		q.Left = func() bool { return ctx.Err() != nil }
+		q.ClientDisconnected = func() bool { return ctx.Err() != nil }
 	case r.ProtoMajor == 2:
-		q.Left = c.streamLeft(ctx)
+		q.ClientDisconnected = c.streamLeft(ctx)
 	default:
 		var unwatch func()
-		ctx, q.Left, unwatch = c.watch(ctx, f.options.Strict && payload.Upload == nil)
+		ctx, q.ClientDisconnected, unwatch = c.watch(ctx, f.options.Strict && payload.Upload == nil)
 		defer unwatch()
 	}
 	a, err := to.Cluster.Do(ctx, q)
@@ -349,14 +349,14 @@
 		refuse(w, r, barred)
 		return
 	case errors.Is(err, engine.ErrRetired) && r.Context().Err() == nil:
-		a = engine.Answer{Verdict: engine.Refused, RetryAfter: to.MaxRetryAfter}
+		a = engine.Answer{Verdict: engine.Rejected, RetryAfter: to.MaxRetryAfter}
 	case err != nil:
 		panic(http.ErrAbortHandler) // nobody is there to be answered
 	}
 	if payload.Upload != nil { // its time may begin only now
 		control.SetWriteDeadline(time.Now().Add(f.options.Stall))
 	} else {
-		control.SetWriteDeadline(time.Now().Add(q.End - f.options.Clock.Now() + writeTimeout))
+		control.SetWriteDeadline(time.Now().Add(q.Deadline - f.options.Clock.Now() + writeTimeout))
 	}
 	if c != nil && (c.last() || c.cut()) {
 		w.Header().Set("Connection", "close")
@@ -495,7 +495,7 @@
 func write(w http.ResponseWriter, head bool, a engine.Answer) {
 	h := w.Header()
 	status, body, length := http.StatusBadGateway, []byte(nil), int64(-1)
-	if a.Verdict == engine.Refused {
+	if a.Verdict == engine.Rejected {
 		status = http.StatusServiceUnavailable
 	}
 	if answer, ok := a.Value.(*httpup.Answer); ok { // served, or the last word of a server
@@ -507,7 +507,7 @@
 			length = answer.Length
 		}
 	}
-	if a.Verdict == engine.Refused && a.RetryAfter > 0 && len(h["Retry-After"]) == 0 {
+	if a.Verdict == engine.Rejected && a.RetryAfter > 0 && len(h["Retry-After"]) == 0 {
 		h.Set("Retry-After", ingress.Seconds(a.RetryAfter))
 	}
 	switch stream := isStream(a); {
@@ -619,10 +619,10 @@
 		out.Target = r.URL.RequestURI()
 	}
 	return &engine.Request{
-		Class: to.Class, Tenant: terms.Tenant, Hint: terms.Hint,
-		End:         f.options.Clock.Now() + terms.Patience - answerMargin,
-		MaxAttempts: to.MaxAttempts, PerTry: to.PerTry,
-		Payload: out, Patience: terms.Patience - answerMargin,
+		Class: to.Class, Tenant: terms.Tenant, WorkHint: terms.Hint,
+		Deadline:    f.options.Clock.Now() + terms.Patience - answerMargin,
+		MaxAttempts: to.MaxAttempts, PerTryTimeout: to.PerTry,
+		Payload: out, UploadTimeout: terms.Patience - answerMargin,
 	}, nil
 }
 
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -26,7 +26,7 @@
 
 func (c *counter) Do(context.Context, *engine.Request) (engine.Answer, error) {
 	c.came.Add(1)
-	return engine.Answer{Verdict: engine.Refused}, nil
+	return engine.Answer{Verdict: engine.Rejected}, nil
 }
 
 // A process that was stopped finds requests in its sockets whose clients have left meanwhile: none is handed on. One whose
@@ -87,7 +87,7 @@
 	h.came <- r
 	<-ctx.Done()
 	h.over <- r
-	return engine.Answer{}, engine.ErrLeft
+	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
 // A client that leaves while its request waits is noticed, whatever it has sent behind the request,
@@ -112,14 +112,14 @@
 					fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
 					r := testkit.Wait(t, h.came, "the request")
 					io.WriteString(nc, behind)
-					if r.Left() {
+					if r.ClientDisconnected() {
 						t.Error("a client that waits has left")
 					}
 					if resets {
 						nc.(*net.TCPConn).SetLinger(0)
 					}
 					nc.Close()
-					testkit.Until(t, "a send to be barred", r.Left) // as soon as the end is here
+					testkit.Until(t, "a send to be barred", r.ClientDisconnected) // as soon as the end is here
 					testkit.Wait(t, h.over, "the request to be given up")
 					testkit.Until(t, "the connection to be over", func() bool { return f.Connections() == 0 })
 					if n := f.conns.ahead.Load(); n != 0 {
@@ -185,7 +185,7 @@
 		return ingress.Destination{Cluster: decides(func() engine.Answer {
 			<-release
 			served.Add(1)
-			return engine.Answer{Verdict: engine.Refused}
+			return engine.Answer{Verdict: engine.Rejected}
 		}), Deadline: time.Hour, MaxAttempts: 1}, nil
 	}), Options{Clock: engine.NewClock(), Places: conntable.Limits{Asked: 2 * clients, Silent: 2 * clients}, Log: testkit.Log(t)})
 	addr := serve(t, f)
@@ -255,7 +255,7 @@
 				return ingress.Destination{Cluster: decides(func() engine.Answer {
 					came <- true
 					<-answer
-					return engine.Answer{Verdict: engine.Refused}
+					return engine.Answer{Verdict: engine.Rejected}
 				}), Deadline: time.Hour, MaxAttempts: 1}, nil
 			}))
 			f.conns.ahead.Add(others)
--- a/internal/httpfront/strict.go
+++ b/internal/httpfront/strict.go
@@ -87,8 +87,8 @@
 	if cluster, tells := to.Cluster.(interface {
 		Whole(r *engine.Request, end time.Duration)
 	}); tells {
-		q.Coming = true
-		whole = func() { cluster.Whole(q, f.options.Clock.Now()+q.Patience) }
+		q.BodyIncomplete = true
+		whole = func() { cluster.Whole(q, f.options.Clock.Now()+q.UploadTimeout) }
 	}
 	here, done = take(r.Context(), control, u, false, whole)
 	u.SettleWhole()
--- a/internal/httpup/httpup.go
+++ b/internal/httpup/httpup.go
@@ -459,7 +459,7 @@
 			return engine.Result{Status: policy.ConnectFailed}
 		}
 		call.OnStop(conn.giveUp)
-		if !call.Begin() {
+		if !call.BeginSend() {
 			u.put(conn, call.OffStop())
 			return engine.Result{Status: policy.NeverSent}
 		}
--- a/internal/httpup/request.go
+++ b/internal/httpup/request.go
@@ -39,11 +39,11 @@
 // known, or fields follow it (RFC 9112, 7.1.2).
 func (o *Request) chunked() bool { return o.Length < 0 || len(o.Announced) > 0 }
 
-// Streaming implements engine.Streamed.
+// Streaming implements engine.StreamingPayload.
 func (o *Request) Streaming() bool { return o.Upload != nil }
 
-// Spent implements engine.Streamed.
-func (o *Request) Spent() bool { return o.Upload != nil && o.Upload.Spent() }
+// Consumed implements engine.StreamingPayload.
+func (o *Request) Consumed() bool { return o.Upload != nil && o.Upload.Consumed() }
 
 // append writes the request, with the time that is left for it. Names and values have
 // come through net/http, which lets no line end in.
--- a/internal/httpup/upload.go
+++ b/internal/httpup/upload.go
@@ -159,8 +159,8 @@
 	return u.err
 }
 
-// Spent tells that the body's beginning is gone.
-func (u *Upload) Spent() bool {
+// Consumed tells that the body's beginning is gone.
+func (u *Upload) Consumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.owner != nil
--- a/internal/httpup/upload_test.go
+++ b/internal/httpup/upload_test.go
@@ -83,7 +83,7 @@
 						t.Fatalf("seed %d: %d of %d bytes pass for the whole", seed, len(got), len(body))
 					}
 				case errors.Is(err, errSpent):
-					if !u.Spent() || len(body) <= limit {
+					if !u.Consumed() || len(body) <= limit {
 						t.Fatalf("seed %d: a body of %d is spent under a limit of %d", seed, len(body), limit)
 					}
 				case err != nil && !errors.Is(err, gone):
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -97,7 +97,7 @@
 		Nodes: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
 	})
 	cluster, err := engine.New(inner, n.cfg.Policy, pool, engine.Options{
-		Seed: n.cfg.Seed, Clock: clock, Watch: disco.watch, DrainGrace: max(1, n.cfg.DrainGrace/sendPart),
+		Seed: n.cfg.Seed, Clock: clock, WatchEndpoints: disco.watch, DrainGrace: max(1, n.cfg.DrainGrace/sendPart),
 	})
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 		var taken *knowledge.Snapshot
 		var age time.Duration
 		if start, taken, age = others.inherit(ctx); taken != nil {
-			disco.begun = func() { cluster.Inherit(taken.Module.ToModule(clock), age) }
+			disco.begun = func() { cluster.Restore(taken.Module.ToModule(clock), age) }
 		}
 	}
 	listed := make(chan struct{})
@@ -168,7 +168,7 @@
 	limit, cancel := context.WithDeadline(context.Background(), began.Add(plan.whole))
 	defer cancel()
 	last := time.AfterFunc(time.Until(began.Add(plan.abandons())), func() {
-		cluster.Abandon()
+		cluster.Abort()
 		front.CloseSilent() // what they send now would find nobody
 	})
 	defer last.Stop()
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -187,7 +187,7 @@
 	hold, yields := handover.Hold(s.cfg.Limits.Sockets, own, s.folder.Me(), peers)
 	if joined := len(peers) > len(s.peers); joined || len(peers) < len(s.peers) {
 		s.log.Info("processes of the node", "others", len(peers), "descriptors", hold)
-		s.cluster.Part(1 / float64(len(peers)+1))
+		s.cluster.SetSlowStartShare(1 / float64(len(peers)+1))
 	}
 	s.peers = peers
 	if s.phase == handover.Leaving {
@@ -266,7 +266,7 @@
 func (s *shared) give(ctx context.Context, to uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, heirWaits)
 	defer cancel()
-	k, err := s.cluster.Knowledge(ctx)
+	k, err := s.cluster.Snapshot(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -52,7 +52,7 @@
 					o := &httpup.Request{Method: http.MethodPost, Target: "/push", Body: []byte("x"), Header: http.Header{
 						"Idempotency-Key": {strconv.FormatInt(last.Add(1), 10)},
 					}}
-					r := &engine.Request{End: clock.Now() + time.Second, Payload: o}
+					r := &engine.Request{Deadline: clock.Now() + time.Second, Payload: o}
 					if a, err := cluster.Do(context.Background(), r); err != nil || a.Verdict != engine.Served {
 						b.Error(a.Verdict, err)
 						return
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -120,7 +120,7 @@
 	case repeat.First:
 		return c.run(ctx, f, r)
 	case repeat.Joined:
-		return c.join(ctx, f, r.End)
+		return c.join(ctx, f, r.Deadline)
 	case repeat.Replayed:
 		if a, ok := kept.(engine.Answer); ok {
 			return replay(a), nil
@@ -133,17 +133,17 @@
 	case repeat.Other:
 		return engine.Answer{}, conflict(http.StatusUnprocessableEntity, "the key stands for another request")
 	}
-	return engine.Answer{Verdict: engine.Refused, RetryAfter: max(wait, c.wait)}, nil
+	return engine.Answer{Verdict: engine.Rejected, RetryAfter: max(wait, c.wait)}, nil
 }
 
 // run has the first decided, and waits for it as long as its client does.
 func (c gated) run(ctx context.Context, f *first, r *engine.Request) (engine.Answer, error) {
 	if o := r.Payload.(*httpup.Request); c.late && o.Upload == nil {
-		r.Listen = c.window
-		r.Late = func(answer any) { c.heard(f, answer) }
+		r.LateAnswerTimeout = c.window
+		r.OnLateAnswer = func(answer any) { c.heard(f, answer) }
 	}
-	if own := r.Left; own != nil { // a joiner waits for it too
-		r.Left = func() bool {
+	if own := r.ClientDisconnected; own != nil { // a joiner waits for it too
+		r.ClientDisconnected = func() bool {
 			if !own() {
 				return false
 			}
@@ -157,7 +157,7 @@
 	go func() {
 		defer stop()
 		if c.log != nil && c.log.Started(f.key, f.print, c.clock.Wall(c.clock.Now()+c.window)) != nil {
-			f.answer = engine.Answer{Verdict: engine.Refused, RetryAfter: c.wait} // it could run twice after a crash
+			f.answer = engine.Answer{Verdict: engine.Rejected, RetryAfter: c.wait} // it could run twice after a crash
 		} else {
 			f.answer, f.err = c.inner.Do(apart, r)
 		}
@@ -176,7 +176,7 @@
 		stop()
 		<-f.over // soon: what came in the same instant is not kept by a client that left
 	}
-	return engine.Answer{}, engine.ErrLeft
+	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
 // heard takes a late answer.
@@ -216,7 +216,7 @@
 	defer c.mu.Unlock()
 	how, outcome, size := repeat.Lost, any(nil), int64(0)
 	switch {
-	case f.err == engine.ErrRetired, f.err == nil && f.answer.Verdict == engine.Refused && !f.answer.MayHaveRun:
+	case f.err == engine.ErrRetired, f.err == nil && f.answer.Verdict == engine.Rejected && !f.answer.MayHaveRun:
 		how = repeat.Refused
 	case f.err == nil && f.answer.Verdict == engine.Served:
 		how = repeat.Answered
@@ -243,11 +243,11 @@
 		return engine.Answer{Verdict: engine.Failed}, nil
 	case <-ctx.Done():
 		c.leave(f)
-		return engine.Answer{}, engine.ErrLeft
+		return engine.Answer{}, engine.ErrClientDisconnected
 	}
 	switch {
-	case f.err == nil && f.answer.Verdict == engine.Refused && !f.answer.MayHaveRun:
-		return engine.Answer{Verdict: engine.Refused, RetryAfter: f.answer.RetryAfter}, nil
+	case f.err == nil && f.answer.Verdict == engine.Rejected && !f.answer.MayHaveRun:
+		return engine.Answer{Verdict: engine.Rejected, RetryAfter: f.answer.RetryAfter}, nil
 	case f.err == nil && shared(f.answer):
 		return replay(f.answer), nil
 	}
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -41,7 +41,7 @@
 const window = 6 * time.Second
 
 func asked(clock engine.Clock, key, body string) *engine.Request {
-	return &engine.Request{End: clock.Now() + time.Second, Payload: &httpup.Request{
+	return &engine.Request{Deadline: clock.Now() + time.Second, Payload: &httpup.Request{
 		Method: "POST", Target: "/push", Header: http.Header{"Idempotency-Key": {key}}, Body: []byte(body),
 	}}
 }
@@ -66,10 +66,10 @@
 		{"after it", served("a"), nil, "x", time.Second, 0, engine.Served, 1, 1},
 		{"after the window", served("a"), nil, "x", window, 0, engine.Served, 0, 2},
 		{"another body", served("a"), nil, "y", 50 * time.Millisecond, 422, 0, 0, 1},
-		{"refused, joined", engine.Answer{Verdict: engine.Refused, RetryAfter: time.Second}, nil, "x", 50 * time.Millisecond, 0, engine.Refused, 0, 1},
-		{"refused, later", engine.Answer{Verdict: engine.Refused}, nil, "x", time.Second, 0, engine.Refused, 0, 2},
-		{"refused after it may have run, joined", engine.Answer{Verdict: engine.Refused, MayHaveRun: true}, nil, "x", 50 * time.Millisecond, 0, engine.Failed, 0, 1},
-		{"refused after it may have run, later", engine.Answer{Verdict: engine.Refused, MayHaveRun: true}, nil, "x", time.Second, 409, 0, 0, 1},
+		{"refused, joined", engine.Answer{Verdict: engine.Rejected, RetryAfter: time.Second}, nil, "x", 50 * time.Millisecond, 0, engine.Rejected, 0, 1},
+		{"refused, later", engine.Answer{Verdict: engine.Rejected}, nil, "x", time.Second, 0, engine.Rejected, 0, 2},
+		{"refused after it may have run, joined", engine.Answer{Verdict: engine.Rejected, MayHaveRun: true}, nil, "x", 50 * time.Millisecond, 0, engine.Failed, 0, 1},
+		{"refused after it may have run, later", engine.Answer{Verdict: engine.Rejected, MayHaveRun: true}, nil, "x", time.Second, 409, 0, 0, 1},
 		{"failed, joined", lost, nil, "x", 50 * time.Millisecond, 0, engine.Failed, 0, 1},
 		{"failed, later", lost, nil, "x", time.Second, 409, 0, 0, 1},
 		{"cluster gone, later", engine.Answer{}, engine.ErrRetired, "x", time.Second, 0, engine.Served, 0, 2},
@@ -119,7 +119,7 @@
 					case <-time.After(500 * time.Millisecond):
 						return served("a"), nil
 					case <-ctx.Done():
-						return engine.Answer{}, engine.ErrLeft
+						return engine.Answer{}, engine.ErrClientDisconnected
 					}
 				}}
 				c := New(limits(), clock).Cluster(s, window, 0)
@@ -129,7 +129,7 @@
 				var joined engine.Answer
 				var joinedErr error
 				all.Go(func() {
-					if _, err := c.Do(ctx, asked(clock, "k", "x")); !errors.Is(err, engine.ErrLeft) {
+					if _, err := c.Do(ctx, asked(clock, "k", "x")); !errors.Is(err, engine.ErrClientDisconnected) {
 						t.Errorf("the first got %v", err)
 					}
 				})
@@ -167,7 +167,7 @@
 			c := New(limits(), clock).Cluster(s, window, 0)
 			left := false
 			r := asked(clock, "k", "x")
-			r.Left = func() bool { return left }
+			r.ClientDisconnected = func() bool { return left }
 			var all sync.WaitGroup
 			all.Go(func() { c.Do(t.Context(), r) })
 			synctest.Wait()
@@ -175,11 +175,11 @@
 				all.Go(func() { c.Do(t.Context(), asked(clock, "k", "x")) })
 				synctest.Wait()
 			}
-			if r.Left() {
+			if r.ClientDisconnected() {
 				t.Error("left while its client waits")
 			}
-			if left = true; r.Left() == joined {
-				t.Errorf("joined %v: left %v once the first's client has gone", joined, r.Left())
+			if left = true; r.ClientDisconnected() == joined {
+				t.Errorf("joined %v: left %v once the first's client has gone", joined, r.ClientDisconnected())
 			}
 			close(goes)
 			all.Wait()
@@ -209,11 +209,11 @@
 		case 1:
 			return served("a"), nil
 		case 2:
-			return engine.Answer{Verdict: engine.Refused}, nil
+			return engine.Answer{Verdict: engine.Rejected}, nil
 		}
 		close(running)
 		<-ctx.Done()
-		return engine.Answer{}, engine.ErrLeft
+		return engine.Answer{}, engine.ErrClientDisconnected
 	}}
 	c, log := start(s)
 	c.Do(t.Context(), asked(clock, "answered", "x"))
@@ -225,7 +225,7 @@
 	log.Close() // what is told from here on is lost, as by a kill
 	kill()
 	all.Wait()
-	if a, err := c.Do(t.Context(), asked(clock, "late", "x")); err != nil || a.Verdict != engine.Refused || s.runs.Load() != 3 {
+	if a, err := c.Do(t.Context(), asked(clock, "late", "x")); err != nil || a.Verdict != engine.Rejected || s.runs.Load() != 3 {
 		t.Errorf("a start that is not durable: %+v, %v, %d runs", a, err, s.runs.Load())
 	}
 	again := &stub{run: func(context.Context, int64) (engine.Answer, error) { return served("b"), nil }}
@@ -263,12 +263,12 @@
 			all.Go(func() {
 				r := asked(clock, "k", "x")
 				if i == 3 {
-					r.End = clock.Now() + 200*time.Millisecond
+					r.Deadline = clock.Now() + 200*time.Millisecond
 				}
 				a, err := c.Do(t.Context(), r)
 				if h, ok := a.Value.(*httpup.Answer); ok {
 					h.Header.Set("X-Mine", fmt.Sprint(i)) // under -race: two that share it are found
-				} else if i != 3 || err != nil || a.Verdict != engine.Failed || clock.Now() > r.End {
+				} else if i != 3 || err != nil || a.Verdict != engine.Failed || clock.Now() > r.Deadline {
 					t.Errorf("%d: %+v, %v", i, a, err)
 				}
 			})
@@ -306,7 +306,7 @@
 					}
 					how := draw(4)
 					if how == 0 {
-						return engine.Answer{Verdict: engine.Refused}, nil // never ran
+						return engine.Answer{Verdict: engine.Rejected}, nil // never ran
 					}
 					mu.Lock()
 					if at, did := ran[key]; did && began < at+window {
@@ -316,9 +316,9 @@
 					mu.Unlock()
 					switch {
 					case ctx.Err() != nil:
-						return engine.Answer{}, engine.ErrLeft
+						return engine.Answer{}, engine.ErrClientDisconnected
 					case how == 1:
-						return engine.Answer{Verdict: engine.Refused, MayHaveRun: true}, nil
+						return engine.Answer{Verdict: engine.Rejected, MayHaveRun: true}, nil
 					case how == 2:
 						return engine.Answer{Verdict: engine.Failed, MayHaveRun: true}, nil
 					}
