--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -20,7 +20,7 @@
 	t *testing.T
 }
 
-func newRig(t *testing.T, passed bool, boxes int, lines ...registry.Line) *rig {
+func newRig(t *testing.T, passed bool, boxes int, lines ...registry.Instance) *rig {
 	t.Helper()
 	command, env := testkit.Itself()
 	p, err := platform.New(platform.Options{
--- a/cmd/yokestall-node/transfers_test.go
+++ b/cmd/yokestall-node/transfers_test.go
@@ -62,7 +62,7 @@
 	})}
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
-	p := newRig(t, true, 0, registry.Line{InstanceID: "s-0", HostPort: l.Addr().String(), Lifecycle: "Ready", Zone: "a", Weight: 1})
+	p := newRig(t, true, 0, registry.Instance{InstanceID: "s-0", HostPort: l.Addr().String(), Lifecycle: "Ready", Zone: "a", Weight: 1})
 	node := p.node()
 	idle := node.PeakMB()
 
--- a/internal/maint/maint_test.go
+++ b/internal/maint/maint_test.go
@@ -79,9 +79,9 @@
 				t.Fatalf("lame %v, want %v", lame, m.lame())
 			}
 			listed := rapid.SampledFrom([]string{"Ready", "Ready", "Terminating", "Gone", "novel"}).Draw(t, "lifecycle")
-			lines := []registry.Line{{InstanceID: id, Lifecycle: listed, StartedAtMs: started[id], HostPort: "h:1"}}
+			lines := []registry.Instance{{InstanceID: id, Lifecycle: listed, StartedAtMs: started[id], HostPort: "h:1"}}
 			got := s.Overlay(lines)[0]
-			want := registry.Line{InstanceID: id, Lifecycle: listed, HostPort: "h:1", StartedAtMs: max(started[id], float64(m.back(id)))}
+			want := registry.Instance{InstanceID: id, Lifecycle: listed, HostPort: "h:1", StartedAtMs: max(started[id], float64(m.back(id)))}
 			if m.out(id) && listed == "Ready" {
 				want.Lifecycle = "Terminating"
 			}
--- a/internal/mgmt/parse.go
+++ b/internal/mgmt/parse.go
@@ -57,8 +57,8 @@
 		return Call{}, fmt.Errorf("%s: %d words too many", words[0], got-want)
 	}
 	if want == 1 {
-		if c.Server = string(words[1]); len(c.Server) > registry.MaxID {
-			return Call{}, fmt.Errorf("the id is longer than %d bytes", registry.MaxID)
+		if c.Server = string(words[1]); len(c.Server) > registry.MaxIDBytes {
+			return Call{}, fmt.Errorf("the id is longer than %d bytes", registry.MaxIDBytes)
 		}
 	}
 	return c, nil
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -29,7 +29,7 @@
 	begun  chan struct{} // takes a token where a silent call begins
 }
 
-func newLostDiscovery(t *testing.T, list ...registry.Line) *lostDiscovery {
+func newLostDiscovery(t *testing.T, list ...registry.Instance) *lostDiscovery {
 	d := &lostDiscovery{registryStub: newRegistry(t, list...), begun: make(chan struct{}, 1)}
 	inner := d.Config.Handler
 	d.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -134,7 +134,7 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			hold := make(chan struct{})
-			var list, drained []registry.Line
+			var list, drained []registry.Instance
 			for i := range 12 { // as many as hold all connections that the node may have to servers
 				b := testkit.NewBackend(t, testkit.OK)
 				b.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -30,9 +30,9 @@
 
 // known is the list as a node last had it, as its configuration holds it.
 type known struct {
-	Generation uint64          `json:"generation"`
-	Reset      bool            `json:"reset"`
-	Instances  []registry.Line `json:"instances"`
+	Generation uint64              `json:"generation"`
+	Reset      bool                `json:"reset"`
+	Instances  []registry.Instance `json:"instances"`
 }
 
 // discovery follows the list of servers.
@@ -54,11 +54,11 @@
 	mu        sync.Mutex // guards what follows, and keeps news in their order
 	list      registry.Known
 	admin     maint.State
-	source    *source         // whose list it is
-	told      bool            // a list was
-	had       []registry.Line // what the start was given
-	recheck   registry.Pace   // after answers in doubt
-	recheckAt time.Time       // when all is asked for again; zero: no need
+	source    *source             // whose list it is
+	told      bool                // a list was
+	had       []registry.Instance // what the start was given
+	recheck   registry.Pace       // after answers in doubt
+	recheckAt time.Time           // when all is asked for again; zero: no need
 }
 
 // source is one address of discovery.
@@ -335,7 +335,7 @@
 	defer d.mu.Unlock()
 	if d.admin.Apply(c) && c.Op.OfServer() {
 		if l, listed := d.list.Line(c.Server); listed {
-			d.tell(policy.DeltaUpdate, []registry.Line{l})
+			d.tell(policy.DeltaUpdate, []registry.Instance{l})
 		}
 	}
 }
@@ -447,7 +447,7 @@
 }
 
 // tell passes a list on, with what operators have said laid over it. d.mu is held.
-func (d *discovery) tell(kind policy.UpdateKind, list []registry.Line) {
+func (d *discovery) tell(kind policy.UpdateKind, list []registry.Instance) {
 	list = d.admin.Overlay(list)
 	servers := make([]httpup.Server, 0, len(list))
 	entries := make([]policy.Endpoint, 0, len(list))
--- a/internal/node/maint_histories_test.go
+++ b/internal/node/maint_histories_test.go
@@ -77,7 +77,7 @@
 			a := &registry.Answer{Reset: true}
 			for i := range 4 {
 				if at, listed := started[i]; listed {
-					l := registry.Line{InstanceID: fmt.Sprint("s-", i), HostPort: "h:1", Lifecycle: "Ready", Weight: 1, StartedAtMs: at}
+					l := registry.Instance{InstanceID: fmt.Sprint("s-", i), HostPort: "h:1", Lifecycle: "Ready", Weight: 1, StartedAtMs: at}
 					h.names[l.ID()] = l.InstanceID
 					a.Lines = append(a.Lines, l)
 				}
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -254,7 +254,7 @@
 			s.log.Warn("some of what the earlier process knows can't be used", "first", left[0], "pieces", len(left))
 		}
 		s.log.Info("inherited", "servers", len(snap.Module.Servers), "age", age)
-		if snap.Listed && len(snap.List) > 0 && len(snap.List) <= registry.MaxLines {
+		if snap.Listed && len(snap.List) > 0 && len(snap.List) <= registry.MaxInstances {
 			start = known{Generation: snap.Generation, Reset: true, Instances: snap.List}
 		}
 		return start, &snap, age
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -48,11 +48,11 @@
 	return srv.Listener.Addr().String(), came
 }
 
-func listOf(generation uint64, lines ...registry.Line) known {
+func listOf(generation uint64, lines ...registry.Instance) known {
 	return known{Generation: generation, Reset: true, Instances: lines}
 }
 
-func draining(l registry.Line) registry.Line {
+func draining(l registry.Instance) registry.Instance {
 	l.Lifecycle = "Terminating"
 	return l
 }
@@ -109,9 +109,9 @@
 				c.terms = registry.Pushed(c.DrainGrace)
 				c.terms.Start, c.terms.Ready = 10*testkit.Patience, 20*testkit.Patience // the answer alone ends the wait
 			})
-			delta := known{Generation: 3, Instances: []registry.Line{}}
+			delta := known{Generation: 3, Instances: []registry.Instance{}}
 			if changed {
-				delta = known{Generation: 4, Instances: []registry.Line{draining(instanceAt(a, "s-a"))}}
+				delta = known{Generation: 4, Instances: []registry.Instance{draining(instanceAt(a, "s-a"))}}
 			}
 			testkit.Wait(t, calls, "the first call").with <- delta
 			n.waitReady(http.StatusOK)
--- a/internal/registry/price_test.go
+++ b/internal/registry/price_test.go
@@ -17,7 +17,7 @@
 		{0.05, 200, 5, 20 * time.Second},       // a tenth of a request, at 5 a second
 		{0.05, 10000, 5, time.Minute},          // never longer than a doubtful list may stand
 		{0.05, 200, 0, time.Minute},            // nobody asks: no hurry
-		{1e300, MaxLines, 1e-300, time.Minute},
+		{1e300, MaxInstances, 1e-300, time.Minute},
 		{0.05, 0, 5, 0},
 	} {
 		got := RecheckAfter(c.price, c.lines, c.perSecond, time.Minute)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -34,18 +34,18 @@
 
 // The bounds of an answer.
 const (
-	MaxBytes = 2 << 20 // of its body
-	MaxLines = 10000
-	MaxID    = 128 // bytes of an id, a zone, an address
-	MaxLeft  = 512 // ids that are remembered once they have left the list
-	maxSize  = 1e6 // of a weight
-	maxCell  = math.MaxInt32
+	MaxBytes     = 2 << 20 // of its body
+	MaxInstances = 10000
+	MaxIDBytes   = 128 // bytes of an id, a zone, an address
+	MaxLeft      = 512 // ids that are remembered once they have left the list
+	maxSize      = 1e6 // of a weight
+	maxCell      = math.MaxInt32
 	// aheadMost is how far ahead of this node's clock a start may lie.
 	aheadMost = time.Minute
 )
 
-// Line is a line of the list.
-type Line struct {
+// Instance is a line of the list.
+type Instance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
 	Zone        string  `json:"zone"`
@@ -56,14 +56,14 @@
 }
 
 // ID is the same at every node, which the module's ring of servers relies on.
-func (l *Line) ID() policy.EndpointID {
+func (l *Instance) ID() policy.EndpointID {
 	h := fnv.New64a()
 	io.WriteString(h, l.InstanceID)
 	return policy.EndpointID(h.Sum64())
 }
 
 // State takes a word that it doesn't know for one that allows nothing new.
-func (l *Line) State() policy.EndpointState {
+func (l *Instance) State() policy.EndpointState {
 	switch l.Lifecycle {
 	case "Ready":
 		return policy.Ready
@@ -76,8 +76,8 @@
 // Answer is what of an answer of discovery's counts.
 type Answer struct {
 	Generation uint64
-	Reset      bool   // the list is whole: what is not on it is gone
-	Lines      []Line // ids are distinct
+	Reset      bool       // the list is whole: what is not on it is gone
+	Lines      []Instance // ids are distinct
 	// Kept are ids on a whole list whose lines don't count: their servers stay as known.
 	Kept []string
 	// Doubt tells why the whole list is to be asked for again; nil: no need.
@@ -117,8 +117,8 @@
 	if err := json.Unmarshal(wire.Instances, &lines); err != nil {
 		return nil, fmt.Errorf("list: instances: %w", err)
 	}
-	if len(lines) > MaxLines {
-		return nil, fmt.Errorf("list: %d lines; %d at most", len(lines), MaxLines)
+	if len(lines) > MaxInstances {
+		return nil, fmt.Errorf("list: %d lines; %d at most", len(lines), MaxInstances)
 	}
 	a.Generation, a.Reset = *wire.Generation, whole || wire.Reset
 	a.take(lines, now)
@@ -127,7 +127,7 @@
 
 // take sorts the lines into those that count and those that don't.
 func (a *Answer) take(lines []json.RawMessage, now time.Time) {
-	a.Lines = make([]Line, 0, len(lines))
+	a.Lines = make([]Instance, 0, len(lines))
 	places := make(map[string]int, len(lines))
 	doubt := func(i int, err error) {
 		if a.Doubt == nil {
@@ -147,7 +147,7 @@
 				a.Kept = append(a.Kept, l.InstanceID)
 				continue
 			}
-			l = Line{InstanceID: l.InstanceID, HostPort: l.HostPort, Lifecycle: l.Lifecycle}
+			l = Instance{InstanceID: l.InstanceID, HostPort: l.HostPort, Lifecycle: l.Lifecycle}
 		}
 		if first, twice := places[l.InstanceID]; twice {
 			doubt(i, fmt.Errorf("%q is on the list twice", l.InstanceID))
@@ -178,8 +178,8 @@
 
 // parseLine gives the line; with an error, of what could be read the id and the lifecycle alone
 // are of use.
-func parseLine(text json.RawMessage, now time.Time) (Line, error) {
-	var l Line
+func parseLine(text json.RawMessage, now time.Time) (Instance, error) {
+	var l Instance
 	if err := json.Unmarshal(text, &l); err != nil {
 		// Field by field: a wrong type in one must not hide a drain in another.
 		var id struct {
@@ -194,27 +194,27 @@
 		if json.Unmarshal(text, &cycle) != nil {
 			cycle.Lifecycle = ""
 		}
-		if len(id.InstanceID) > MaxID {
+		if len(id.InstanceID) > MaxIDBytes {
 			id.InstanceID = ""
 		}
-		return Line{InstanceID: id.InstanceID, Lifecycle: cycle.Lifecycle}, err
+		return Instance{InstanceID: id.InstanceID, Lifecycle: cycle.Lifecycle}, err
 	}
 	err := l.check(now)
-	if len(l.InstanceID) > MaxID {
+	if len(l.InstanceID) > MaxIDBytes {
 		l.InstanceID = ""
 	}
 	return l, err
 }
 
-func (l *Line) check(now time.Time) error {
+func (l *Instance) check(now time.Time) error {
 	bad := func(field string, v any) error { return fmt.Errorf("%s can't be %v", field, v) }
 	switch {
 	case l.InstanceID == "":
 		return errors.New("instanceId is missing")
-	case len(l.InstanceID) > MaxID:
-		return fmt.Errorf("instanceId is longer than %d bytes", MaxID)
-	case len(l.Zone) > MaxID:
-		return fmt.Errorf("zone is longer than %d bytes", MaxID)
+	case len(l.InstanceID) > MaxIDBytes:
+		return fmt.Errorf("instanceId is longer than %d bytes", MaxIDBytes)
+	case len(l.Zone) > MaxIDBytes:
+		return fmt.Errorf("zone is longer than %d bytes", MaxIDBytes)
 	case l.Lifecycle == "":
 		return errors.New("lifecycle is missing")
 	case l.Weight < 0 || l.Weight > maxSize:
@@ -228,8 +228,8 @@
 		return nil // it needs no address
 	}
 	host, port, err := net.SplitHostPort(l.HostPort)
-	if n, perr := strconv.Atoi(port); err != nil || perr != nil || host == "" || n < 1 || n > 65535 || len(l.HostPort) > MaxID {
-		return bad("hostPort", strconv.Quote(l.HostPort[:min(len(l.HostPort), MaxID)]))
+	if n, perr := strconv.Atoi(port); err != nil || perr != nil || host == "" || n < 1 || n > 65535 || len(l.HostPort) > MaxIDBytes {
+		return bad("hostPort", strconv.Quote(l.HostPort[:min(len(l.HostPort), MaxIDBytes)]))
 	}
 	return nil
 }
@@ -237,16 +237,16 @@
 // Known is the list as an endless stream of answers leaves it: the last good line of each server.
 // Its size is bounded by MaxLines and MaxLeft.
 type Known struct {
-	lines map[string]Line
+	lines map[string]Instance
 	left  []string // ids that have left the list, the latest at the end; MaxLeft at most
 }
 
 // Whole makes of an answer a list that stands by itself: where it is whole and some of its lines
 // don't count, the lines last known stand for them. It takes the answer up.
-func (k *Known) Whole(a *Answer) []Line {
+func (k *Known) Whole(a *Answer) []Instance {
 	if k.lines == nil || a.Reset {
 		old := k.lines
-		k.lines = make(map[string]Line, len(a.Lines))
+		k.lines = make(map[string]Instance, len(a.Lines))
 		defer func() {
 			for id := range old {
 				k.leave(id)
@@ -262,7 +262,7 @@
 		if l.State() == policy.Removed {
 			delete(k.lines, l.InstanceID)
 			k.leave(l.InstanceID)
-		} else if _, known := k.lines[l.InstanceID]; known || len(k.lines) < MaxLines {
+		} else if _, known := k.lines[l.InstanceID]; known || len(k.lines) < MaxInstances {
 			k.lines[l.InstanceID] = l
 		}
 	}
@@ -297,17 +297,17 @@
 func (k *Known) Len() int { return len(k.lines) }
 
 // Lines gives the last good lines of all servers on the list, by their ids.
-func (k *Known) Lines() []Line {
-	lines := make([]Line, 0, len(k.lines))
+func (k *Known) Lines() []Instance {
+	lines := make([]Instance, 0, len(k.lines))
 	for _, l := range k.lines {
 		lines = append(lines, l)
 	}
-	slices.SortFunc(lines, func(x, y Line) int { return strings.Compare(x.InstanceID, y.InstanceID) })
+	slices.SortFunc(lines, func(x, y Instance) int { return strings.Compare(x.InstanceID, y.InstanceID) })
 	return lines
 }
 
 // Line gives the last good line of a server that is on the list.
-func (k *Known) Line(id string) (Line, bool) {
+func (k *Known) Line(id string) (Instance, bool) {
 	l, listed := k.lines[id]
 	return l, listed
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -50,12 +50,12 @@
 		`{"instanceId":"b","hostPort":"10.0.0.2:80","lifecycle":"Rea`: "nothing",
 	} {
 		known := Known{}
-		known.Whole(&Answer{Reset: true, Lines: []Line{{InstanceID: "b", HostPort: "10.0.0.9:80", Lifecycle: "Ready"}}})
+		known.Whole(&Answer{Reset: true, Lines: []Instance{{InstanceID: "b", HostPort: "10.0.0.9:80", Lifecycle: "Ready"}}})
 		a, err := Parse([]byte(`{"generation":4,"reset":true,"instances":[`+good+`,`+line+`]}`), false, wall)
 		got := "nothing"
 		if err == nil {
 			lines := known.Whole(a)
-			i := slices.IndexFunc(lines, func(l Line) bool { return l.InstanceID == "b" })
+			i := slices.IndexFunc(lines, func(l Instance) bool { return l.InstanceID == "b" })
 			switch {
 			case !a.Reset && i < 0:
 				got = "incomplete"
@@ -81,7 +81,7 @@
 	}
 }
 
-var long = strings.Repeat("x", MaxID+1)
+var long = strings.Repeat("x", MaxIDBytes+1)
 
 func TestAnswersThatDoNotCount(t *testing.T) {
 	whole := `{"generation":4,"reset":true,"instances":[` + good + `]}`
@@ -90,7 +90,7 @@
 			t.Fatalf("cut after %d bytes: %+v", n, a)
 		}
 	}
-	many := strings.Repeat(`{},`, MaxLines) + `{}`
+	many := strings.Repeat(`{},`, MaxInstances) + `{}`
 	for name, text := range map[string]string{
 		"a second one behind it": whole + whole,
 		"garbage behind it":      whole + "\x00",
@@ -217,7 +217,7 @@
 func TestSeen(t *testing.T) {
 	var k Known
 	for i := range 3 * MaxLeft {
-		k.Whole(&Answer{Reset: true, Lines: []Line{{InstanceID: strconv.Itoa(i), Lifecycle: "Ready"}}})
+		k.Whole(&Answer{Reset: true, Lines: []Instance{{InstanceID: strconv.Itoa(i), Lifecycle: "Ready"}}})
 	}
 	if len(k.left) != MaxLeft || !k.Seen(strconv.Itoa(3*MaxLeft-1)) || !k.Seen(strconv.Itoa(2*MaxLeft)) || k.Seen("0") || k.Seen("none") {
 		t.Errorf("%d are remembered", len(k.left))
