--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -89,7 +89,7 @@
 	case wire.Stop:
 		delete(h.instances, h.current)
 	case wire.Members:
-		inst.Members(b.Now, e.Kind, e.Entries)
+		inst.UpdateEndpoints(b.Now, e.Kind, e.Entries)
 	case wire.Request:
 		inst.Request(b.Now, e.Request)
 	case wire.Started:
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -256,7 +256,7 @@
 	case evRelease:
 		c.release(e.request)
 	case evMembers:
-		c.balancer.Members(now, e.list, e.entries)
+		c.balancer.UpdateEndpoints(now, e.list, e.entries)
 	case evAbandon:
 		c.abandon(now)
 	case evTimer:
@@ -397,7 +397,7 @@
 // Retire takes no more requests, has those open finish without anything new going out
 // Options.DrainGrace from now, and ends the cluster then. It does not wait.
 func (c *Cluster) Retire() {
-	c.Members(policy.FullUpdate, nil)
+	c.UpdateEndpoints(policy.FullUpdate, nil)
 	c.retired.Store(true)
 	if c.open.Load() == 0 {
 		c.stop()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.stop(); <-c.Ended() })
-	c.Members(policy.FullUpdate, ready(servers...))
+	c.UpdateEndpoints(policy.FullUpdate, ready(servers...))
 	return c
 }
 
@@ -156,9 +156,9 @@
 			}), 1)
 			go c.Do(t.Context(), c.request(2, testkit.Patience))
 			call := <-waiting
-			c.Members(news.kind, news.entries)
+			c.UpdateEndpoints(news.kind, news.entries)
 			if call.server.told.Load() == 0 {
-				t.Fatal("the server is not barred when Members returns")
+				t.Fatal("the server is not barred when UpdateEndpoints returns")
 			}
 			testkit.Until(t, "the grace to end", func() bool { return call.server.barred(c.clock.Now()) })
 			close(connected)
@@ -184,7 +184,7 @@
 		go c.Do(t.Context(), c.request(2, testkit.Patience))
 		testkit.Wait(t, waiting, "the attempt")
 		if drains {
-			c.Members(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
+			c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 		}
 		close(told)
 		if got := testkit.Wait(t, began, "its beginning"); got == drains {
@@ -326,7 +326,7 @@
 // Within the grace, and to a server that stays, sends go on.
 func TestDrainLeavesOthers(t *testing.T) {
 	c := start(t, exchange(served), 1, 2)
-	c.Members(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
+	c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	for range 20 {
 		if a, err := c.Do(t.Context(), c.request(0, testkit.Patience)); err != nil || a.Verdict != Served {
 			t.Fatalf("%+v, %v", a, err)
@@ -430,7 +430,7 @@
 	}
 	defer func() { c.stop(); <-c.Ended() }()
 	all := []policy.EndpointID{1, 2, 3, 4, 5, 6}
-	c.Members(policy.FullUpdate, ready(all...))
+	c.UpdateEndpoints(policy.FullUpdate, ready(all...))
 	ctx, stop := context.WithCancel(t.Context())
 	var teller sync.WaitGroup
 	teller.Go(func() {
@@ -441,7 +441,7 @@
 			if state == policy.Ready {
 				told[id].Store(0)
 			}
-			c.Members(policy.DeltaUpdate, []policy.Endpoint{{ID: id, State: state, Weight: 1}})
+			c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: id, State: state, Weight: 1}})
 			if state != policy.Ready {
 				told[id].CompareAndSwap(0, int64(clock.Now()))
 			}
@@ -563,7 +563,7 @@
 				b.Fatal(err)
 			}
 			now := clockStart
-			p.Members(now, policy.FullUpdate, ready(members(servers)...))
+			p.UpdateEndpoints(now, policy.FullUpdate, ready(members(servers)...))
 			b.ReportAllocs()
 			id := policy.RequestID(0)
 			for b.Loop() {
@@ -618,7 +618,7 @@
 		answered <- a
 	}()
 	<-failed
-	c.Members(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
+	c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	if a := <-answered; a.Verdict == Served || sends.Load() != 1 {
 		t.Errorf("%+v after %d sends", a, sends.Load())
 	}
--- a/internal/engine/members.go
+++ b/internal/engine/members.go
@@ -7,14 +7,14 @@
 	"yokestall/policy"
 )
 
-// Members takes news of the list of servers. The time of the news is that of the call:
+// UpdateEndpoints takes news of the list of servers. The time of the news is that of the call:
 // from Options.DrainGrace after it nothing is sent to a server that drains, is gone or, with a
 // whole list, is not on it. False if the cluster has ended.
-func (c *Cluster) Members(kind policy.UpdateKind, entries []policy.Endpoint) bool {
+func (c *Cluster) UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool {
 	return c.UpdateEndpointsAt(c.clock.Now(), kind, entries)
 }
 
-// UpdateEndpointsAt is Members for news that was delivered at an earlier time on the clock: what
+// UpdateEndpointsAt is UpdateEndpoints for news that was delivered at an earlier time on the clock: what
 // became of it in between doesn't add to the time in which sends may still begin.
 func (c *Cluster) UpdateEndpointsAt(told time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) bool {
 	if kind != policy.UpdateFailed {
@@ -70,7 +70,7 @@
 }
 
 // Restore has the Balancer take up what another one knew some time ago. It counts for servers
-// that Members has named before.
+// that UpdateEndpoints has named before.
 func (c *Cluster) Restore(k policy.Snapshot, age time.Duration) {
 	c.inspect(func() { c.balancer.Restore(c.clock.Now(), k, age) })
 }
--- a/internal/extproc/pick.go
+++ b/internal/extproc/pick.go
@@ -69,14 +69,19 @@
 	outcome chan policy.Status // takes one
 }
 
+var (
+	_ engine.StreamingPayload = (*ask)(nil)
+	_ engine.SelfTimedPayload = (*ask)(nil)
+)
+
 // Streaming implements engine.StreamingPayload: what a caller sends is one attempt at a time.
 func (*ask) Streaming() bool { return true }
 
-// Spent implements engine.StreamingPayload.
-func (*ask) Spent() bool { return false }
+// Consumed implements engine.StreamingPayload.
+func (*ask) Consumed() bool { return false }
 
-// Patient implements engine.SelfTimedPayload: a caller has its own times.
-func (*ask) Patient() {}
+// SelfTimed implements engine.SelfTimedPayload: a caller has its own times.
+func (*ask) SelfTimed() {}
 
 // Carry is an attempt: the server is offered to the caller, and what the caller tells is its outcome.
 // One that nobody asks for in time has not been sent, and is the request's last.
--- a/internal/fleetsim/cold_test.go
+++ b/internal/fleetsim/cold_test.go
@@ -127,12 +127,12 @@
 	w.Host.Send(id, server, timeout)
 }
 
-// Members implements Decider.
-func (w *coldWitness) Members(now time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) {
+// UpdateEndpoints implements Decider.
+func (w *coldWitness) UpdateEndpoints(now time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) {
 	for _, e := range entries {
 		w.knows[e.ID] = e.StartedAt
 	}
-	w.Decider.Members(now, kind, entries)
+	w.Decider.UpdateEndpoints(now, kind, entries)
 }
 
 // throng draws a day of so many nodes on which servers join and come back cold, under a burst: how unevenly the
--- a/internal/fleetsim/events.go
+++ b/internal/fleetsim/events.go
@@ -147,7 +147,7 @@
 	}
 	for _, n := range s.nodes {
 		if !n.down {
-			n.tell(func() { n.decider.Members(s.now, policy.FullUpdate, entries) })
+			n.tell(func() { n.decider.UpdateEndpoints(s.now, policy.FullUpdate, entries) })
 		}
 	}
 }
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -21,7 +21,7 @@
 	Outcome(now time.Duration, o policy.Outcome)
 	ClientDisconnected(now time.Duration, id policy.RequestID)
 	Timer(now time.Duration, token uint64)
-	Members(now time.Duration, kind policy.UpdateKind, entries []policy.Endpoint)
+	UpdateEndpoints(now time.Duration, kind policy.UpdateKind, entries []policy.Endpoint)
 }
 
 // MakeDecider makes a node's.
--- a/internal/fleetsim/lend.go
+++ b/internal/fleetsim/lend.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"yokestall/internal/fleet/owner"
+	"yokestall/policy"
 )
 
 // lending is a node's side of the lending of cold servers' budgets.
@@ -24,6 +25,8 @@
 // shareSetter is a Decider that can be told its share of cold servers' budgets.
 type shareSetter interface{ SetSlowStartShare(part float64) }
 
+var _ shareSetter = (*policy.Balancer)(nil)
+
 func (s *sim) lendingConfig() owner.LendingConfig {
 	return owner.LendingConfig{PledgeDuration: s.day.PledgeDuration, MaxClockDrift: 0.01}
 }
--- a/internal/fleetsim/nodes.go
+++ b/internal/fleetsim/nodes.go
@@ -32,7 +32,7 @@
 	if n.decider, err = n.with(n.set, (n.seed*1000+uint64(n.set.NodeIndex))+(n.starts-1)<<32, n); err != nil {
 		return err
 	}
-	n.tell(func() { n.decider.Members(n.now, policy.FullUpdate, n.list()) })
+	n.tell(func() { n.decider.UpdateEndpoints(n.now, policy.FullUpdate, n.list()) })
 	n.startLending()
 	return nil
 }
@@ -43,6 +43,8 @@
 	Restore(now time.Duration, k policy.Snapshot, age time.Duration)
 }
 
+var _ knowing = (*policy.Balancer)(nil)
+
 // inherit has a node that has started take up what it knew when it died.
 func (n *node) inherit() {
 	if d, ok := n.decider.(knowing); ok && n.knew != nil {
--- a/internal/fleetsim/oracle.go
+++ b/internal/fleetsim/oracle.go
@@ -110,8 +110,8 @@
 // ClientDisconnected implements Decider.
 func (o *oracle) ClientDisconnected(_ time.Duration, id policy.RequestID) { delete(o.open, id) }
 
-// Members implements Decider.
-func (o *oracle) Members(_ time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) {
+// UpdateEndpoints implements Decider.
+func (o *oracle) UpdateEndpoints(_ time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) {
 	if kind == policy.FullUpdate {
 		o.ready = o.ready[:0]
 	}
--- a/internal/fleetsim/peers.go
+++ b/internal/fleetsim/peers.go
@@ -121,8 +121,8 @@
 // Timer implements Decider.
 func (p *chooser) Timer(time.Duration, uint64) {}
 
-// Members implements Decider.
-func (p *chooser) Members(_ time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) {
+// UpdateEndpoints implements Decider.
+func (p *chooser) UpdateEndpoints(_ time.Duration, kind policy.UpdateKind, entries []policy.Endpoint) {
 	if kind == policy.FullUpdate {
 		p.ready = p.ready[:0]
 	}
--- a/internal/h2front/storm_test.go
+++ b/internal/h2front/storm_test.go
@@ -149,7 +149,7 @@
 		<-cluster.Ended()
 		pool.Update(true, nil)
 	})
-	cluster.Members(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
+	cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
 	to := &routes{Cluster: cluster}
 	addr := serve(t, to, clock)
 	lateness := testkit.Lateness(t)
--- a/internal/httpfront/late_test.go
+++ b/internal/httpfront/late_test.go
@@ -46,7 +46,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			cluster.Members(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
+			cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
 			f := New(routes(func(*http.Request) (ingress.Destination, error) {
 				return ingress.Destination{Cluster: cluster, Deadline: time.Hour}, nil
 			}), Options{Clock: clock, Places: conntable.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
--- a/internal/httpfront/strict.go
+++ b/internal/httpfront/strict.go
@@ -77,6 +77,13 @@
 	return body, nil
 }
 
+// bodyCompleter is a cluster that is notified when the last byte of a request has arrived.
+type bodyCompleter interface {
+	BodyComplete(r *engine.Request, end time.Duration)
+}
+
+var _ bodyCompleter = (*engine.Cluster)(nil)
+
 // takeStrict is take for the platform's clients, whose requests' time begins with their last byte:
 // the upload comes until it is whole or as much of it as can be held is there. One that is whole
 // goes on as a body at hand.
@@ -84,11 +91,9 @@
 	payload := q.Payload.(*httpup.Request)
 	u := payload.Upload
 	var whole func()
-	if cluster, tells := to.Cluster.(interface {
-		Whole(r *engine.Request, end time.Duration)
-	}); tells {
+	if cluster, ok := to.Cluster.(bodyCompleter); ok {
 		q.BodyIncomplete = true
-		whole = func() { cluster.Whole(q, f.options.Clock.Now()+q.UploadTimeout) }
+		whole = func() { cluster.BodyComplete(q, f.options.Clock.Now()+q.UploadTimeout) }
 	}
 	here, done = take(r.Context(), control, u, false, whole)
 	u.SettleWhole()
--- a/internal/httpup/request.go
+++ b/internal/httpup/request.go
@@ -5,6 +5,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"yokestall/internal/engine"
 )
 
 // Request is what of a client's request goes on to a server.
@@ -39,6 +41,8 @@
 // known, or fields follow it (RFC 9112, 7.1.2).
 func (o *Request) chunked() bool { return o.Length < 0 || len(o.Announced) > 0 }
 
+var _ engine.StreamingPayload = (*Request)(nil)
+
 // Streaming implements engine.StreamingPayload.
 func (o *Request) Streaming() bool { return o.Upload != nil }
 
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -77,7 +77,7 @@
 // listener takes news of the list: where servers are, and what decides makes of it.
 type listener interface {
 	Servers(whole bool, list []httpup.Server)
-	Members(kind policy.UpdateKind, entries []policy.Endpoint) bool
+	UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool
 }
 
 func newDiscovery(cfg *Config, clock engine.Clock, moved <-chan string, log *slog.Logger) *discovery {
@@ -239,7 +239,7 @@
 		if d.asked && d.current(s) {
 			watching = false
 			if turn.failed() {
-				d.to.Members(policy.UpdateFailed, nil) // it asks again after a while
+				d.to.UpdateEndpoints(policy.UpdateFailed, nil) // it asks again after a while
 			}
 			continue
 		}
@@ -467,7 +467,7 @@
 		})
 	}
 	d.to.Servers(kind != policy.DeltaUpdate, servers) // before any of them can be chosen
-	d.to.Members(kind, entries)
+	d.to.UpdateEndpoints(kind, entries)
 	if begun := d.begun; begun != nil {
 		d.begun = nil
 		begun()
--- a/internal/node/maint_histories_test.go
+++ b/internal/node/maint_histories_test.go
@@ -27,8 +27,8 @@
 }
 
 func (h *history) Servers(bool, []httpup.Server) {}
-func (h *history) Members(kind policy.UpdateKind, entries []policy.Endpoint) bool {
-	h.b.Members(h.now, kind, entries)
+func (h *history) UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool {
+	h.b.UpdateEndpoints(h.now, kind, entries)
 	return true
 }
 func (h *history) Send(id policy.RequestID, s policy.EndpointID, _ time.Duration) {
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -158,7 +158,7 @@
 
 func (m *module) Servers(bool, []httpup.Server) {}
 
-func (m *module) Members(kind policy.UpdateKind, entries []policy.Endpoint) bool {
+func (m *module) UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range entries {
@@ -166,7 +166,7 @@
 			m.drained = time.Now()
 		}
 	}
-	m.balancer.Members(m.clock.Now(), kind, entries)
+	m.balancer.UpdateEndpoints(m.clock.Now(), kind, entries)
 	return true
 }
 
--- a/policy/api.go
+++ b/policy/api.go
@@ -115,7 +115,7 @@
 	StartedAt time.Duration // time of its latest start; 0: long past
 }
 
-// UpdateKind tells how to read a Members event.
+// UpdateKind tells how to read an UpdateEndpoints event.
 type UpdateKind uint8
 
 // The kinds of a list event.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -37,7 +37,7 @@
 		return
 	}
 	now := time.Second // any monotonic clock
-	b.Members(now, policy.FullUpdate, []policy.Endpoint{
+	b.UpdateEndpoints(now, policy.FullUpdate, []policy.Endpoint{
 		{ID: 1, State: policy.Ready, Weight: 1},
 		{ID: 2, State: policy.Ready, Weight: 1},
 	})
@@ -56,7 +56,7 @@
 		ID: 2, Attempt: 1, Status: policy.OK, RequestDone: true, Latency: 20 * time.Millisecond,
 	})
 
-	b.Members(now, policy.FullUpdate, nil) // nobody is left
+	b.UpdateEndpoints(now, policy.FullUpdate, nil) // nobody is left
 	b.Request(now, policy.Request{ID: 3, TimeRemaining: 2 * time.Second})
 
 	// Output:
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -147,7 +147,7 @@
 		e.State, e.StartedAt = Ready, start
 	}
 	w.state[id] = e
-	w.b.Members(w.now, DeltaUpdate, []Endpoint{e})
+	w.b.UpdateEndpoints(w.now, DeltaUpdate, []Endpoint{e})
 }
 
 func playScript(t *testing.T, seed uint64) []string {
@@ -166,7 +166,7 @@
 		entries[i].Cell = int(entries[i].ID) / 3
 		w.state[entries[i].ID] = entries[i]
 	}
-	b.Members(w.now, CachedUpdate, entries)
+	b.UpdateEndpoints(w.now, CachedUpdate, entries)
 	var ids []RequestID
 	for step := range 4000 {
 		w.now += 5 * ms
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -55,10 +55,10 @@
 
 // ---- the list of servers
 
-// Members follows the list. Where it must be asked for it is watched, after failures again.
+// UpdateEndpoints follows the list. Where it must be asked for it is watched, after failures again.
 // All nodes start together at times, and fail together where discovery has too many callers:
 // none asks at once, and the waits differ by half either way.
-func (b *Balancer) Members(now time.Duration, kind UpdateKind, entries []Endpoint) {
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind UpdateKind, entries []Endpoint) {
 	if kind == UpdateFailed {
 		b.host.SetTimer(now+b.watchDelay/2+time.Duration(b.rng.Float64()*float64(b.watchDelay)), tokenWatch)
 		b.watchDelay = min(2*b.watchDelay, b.set.Rules.MaxPollInterval/4+watchAgain)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -119,7 +119,7 @@
 	return entries
 }
 
-func (r *rig) list(kind UpdateKind, entries ...Endpoint) { r.b.Members(r.now, kind, entries) }
+func (r *rig) list(kind UpdateKind, entries ...Endpoint) { r.b.UpdateEndpoints(r.now, kind, entries) }
 
 func (r *rig) request(class int) RequestID {
 	r.next++
@@ -437,7 +437,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Members(time.Hour, CachedUpdate, ready(1, 60))
+		b.UpdateEndpoints(time.Hour, CachedUpdate, ready(1, 60))
 		r := &rig{t: t, b: b, h: h, now: time.Hour, done: map[RequestID]int{}}
 		if r.request(0); len(h.sends) != 1 || h.watches != 0 {
 			t.Fatalf("%d sends and %d calls at the start, want service by the last list first", len(h.sends), h.watches)
@@ -524,7 +524,7 @@
 		}
 		entries := ready(1, 3)
 		entries[0].StartedAt = time.Hour
-		b.Members(time.Hour, CachedUpdate, entries)
+		b.UpdateEndpoints(time.Hour, CachedUpdate, entries)
 		b.refresh(time.Hour)
 		b.warmPart = b.classes[0].lone // thin traffic: a lone request a second
 		wait := time.Duration(0)
