--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -416,7 +416,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := l.(*shared).SyscallConn()
+	raw, err := l.(*sharedListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -428,7 +428,7 @@
 	go func() {
 		defer close(accepted)
 		close(begun)
-		if nc, err := l.(*shared).TCPListener.Accept(); err == nil { // past the guard, as one that waited already
+		if nc, err := l.(*sharedListener).TCPListener.Accept(); err == nil { // past the guard, as one that waited already
 			nc.Close()
 		}
 	}()
--- a/internal/handover/passed.go
+++ b/internal/handover/passed.go
@@ -46,19 +46,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
-	return &shared{TCPListener: l.(*net.TCPListener)}, nil
+	return &sharedListener{TCPListener: l.(*net.TCPListener)}, nil
 }
 
 // closeTime is how long closing a shared listener may take.
 const closeTime = 100 * time.Millisecond
 
-// shared is a listener whose socket other processes have too. Whoever starts them may make it
+// sharedListener is a listener whose socket other processes have too. Whoever starts them may make it
 // blocking for all (O_NONBLOCK belongs to the socket, not to the descriptor): an Accept then holds
 // its thread until the next connection comes, and a Close would wait for that.
-type shared struct{ *net.TCPListener }
+type sharedListener struct{ *net.TCPListener }
 
 // Accept implements net.Listener.
-func (l *shared) Accept() (net.Conn, error) {
+func (l *sharedListener) Accept() (net.Conn, error) {
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.SetNonblock(int(fd), true) })
 	}
@@ -66,7 +66,7 @@
 }
 
 // Close implements net.Listener. What an Accept still takes after it is its caller's to serve.
-func (l *shared) Close() error {
+func (l *sharedListener) Close() error {
 	closed := make(chan error, 1)
 	go func() { closed <- l.TCPListener.Close() }()
 	select {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -17,7 +17,7 @@
 // admin carries out what operators ask for. It implements mgmt.Handler and handover.Admin.
 type admin struct {
 	ctx    context.Context // the node's life
-	disco  *discovery
+	disco  *endpointWatcher
 	front  *httpfront.Front
 	shared *shared // nil: no other process can be there
 	log    *slog.Logger
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -35,8 +35,8 @@
 	Instances  []registry.Instance `json:"instances"`
 }
 
-// discovery follows the list of servers.
-type discovery struct {
+// endpointWatcher follows the list of servers.
+type endpointWatcher struct {
 	to     listener
 	zones  map[string]int
 	asked  bool // calls load discovery: the module says when to start a watch
@@ -80,7 +80,7 @@
 	UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool
 }
 
-func newDiscovery(cfg *Config, clock engine.Clock, moved <-chan string, log *slog.Logger) *discovery {
+func newEndpointWatcher(cfg *Config, clock engine.Clock, moved <-chan string, log *slog.Logger) *endpointWatcher {
 	terms := cfg.terms
 	switch {
 	case terms.Most > 0:
@@ -89,7 +89,7 @@
 	default:
 		terms = registry.Pushed(cfg.DrainGrace)
 	}
-	d := &discovery{
+	d := &endpointWatcher{
 		zones: cfg.Zones, moved: moved,
 		asked: cfg.Policy.PollEndpoints, terms: terms, wanted: make(chan struct{}, 1), first: make(chan struct{}),
 		recheck: registry.Pace{First: recheckFirst, Most: recheckMost},
@@ -103,7 +103,7 @@
 }
 
 // at gives a source that nobody follows yet.
-func (d *discovery) at(addr string) *source {
+func (d *endpointWatcher) at(addr string) *source {
 	// A connection that never comes up must not outlive many calls: they are bounded, it is not.
 	dialer := net.Dialer{Timeout: d.terms.Look, KeepAlive: -1}
 	return &source{
@@ -114,7 +114,7 @@
 }
 
 // watch has a watch of the list started.
-func (d *discovery) watch() {
+func (d *endpointWatcher) watch() {
 	select {
 	case d.wanted <- struct{}{}:
 	default: // one is wanted already
@@ -125,7 +125,7 @@
 // pushed, what the agent has counts from the first moment on: it is heard before the known list is
 // gone by, unless it is silent. When discovery moves, the list is followed at the old address until
 // the new one has given its own.
-func (d *discovery) run(ctx context.Context, last known, ready func()) {
+func (d *endpointWatcher) run(ctx context.Context, last known, ready func()) {
 	d.mu.Lock()
 	s := d.source
 	s.generation, s.listed = last.Generation, len(last.Instances) > 0
@@ -194,7 +194,7 @@
 }
 
 // settled notes that there is a list to go by, or that none is waited for. d.mu is held.
-func (d *discovery) settled() {
+func (d *endpointWatcher) settled() {
 	select {
 	case <-d.first:
 	default:
@@ -203,7 +203,7 @@
 }
 
 // follow watches the list at one address until the context ends.
-func (d *discovery) follow(ctx context.Context, s *source, watching bool, ready func()) {
+func (d *endpointWatcher) follow(ctx context.Context, s *source, watching bool, ready func()) {
 	failed := false // the last question did
 	turn := turns{wanted: d.wanted, rest: d.terms.Rest}
 	for ctx.Err() == nil {
@@ -257,7 +257,7 @@
 }
 
 // current tells whether a source is the one whose list it is.
-func (d *discovery) current(s *source) bool {
+func (d *endpointWatcher) current(s *source) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.source == s
@@ -266,7 +266,7 @@
 // take follows an answer. Where lines of it are in doubt the whole list is asked for after a
 // while; the watch goes on until then, since a line may stay as it is for good. Not ours: the list
 // is followed at another address by now.
-func (d *discovery) take(s *source, a *registry.Answer) (ours bool) {
+func (d *endpointWatcher) take(s *source, a *registry.Answer) (ours bool) {
 	var wait time.Duration
 	if a.Doubt != nil {
 		wait = max(d.recheck.Failed(rand.Float64()), d.recheckAfter())
@@ -306,7 +306,7 @@
 }
 
 // recheckAfter is the least wait that the price of lists asks for.
-func (d *discovery) recheckAfter() time.Duration {
+func (d *endpointWatcher) recheckAfter() time.Duration {
 	if d.price <= 0 || d.taken == nil {
 		return 0
 	}
@@ -316,21 +316,21 @@
 	return registry.RecheckAfter(d.price, d.list.Len(), perSecond, recheckMost)
 }
 
-func (d *discovery) serves() bool {
+func (d *endpointWatcher) serves() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list.Serves()
 }
 
 // check tells whether operators may ask for a change, and whether it makes a difference.
-func (d *discovery) check(c maint.Change) (differs bool, err error) {
+func (d *endpointWatcher) check(c maint.Change) (differs bool, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.admin.Differs(c), d.admin.Check(c, d.list.Seen)
 }
 
 // change takes up what operators asked for. When it returns, the change is in force.
-func (d *discovery) change(c maint.Change) {
+func (d *endpointWatcher) change(c maint.Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.admin.Apply(c) && c.Op.OfServer() {
@@ -341,20 +341,20 @@
 }
 
 // snapshot gives the list as it is known.
-func (d *discovery) snapshot() known {
+func (d *endpointWatcher) snapshot() known {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return known{Generation: d.source.generation, Reset: d.source.listed, Instances: d.list.Lines()}
 }
 
-func (d *discovery) changes() []maint.Change {
+func (d *endpointWatcher) changes() []maint.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.admin.Changes()
 }
 
 // administered gives the servers that operators have taken out, and whether the node is to be empty.
-func (d *discovery) administered() (out []string, lame bool) {
+func (d *endpointWatcher) administered() (out []string, lame bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, lame = d.admin.Lame()
@@ -372,7 +372,7 @@
 // for all. Where the answer is overdue it looks again beside, as the terms say, and takes what comes
 // first; the error is that of the call that failed last. Behind a question that failed the first call
 // does not wait for news: one that waits says nothing of whether discovery can be reached.
-func (d *discovery) get(ctx context.Context, s *source, failed bool) (*registry.Answer, error) {
+func (d *endpointWatcher) get(ctx context.Context, s *source, failed bool) (*registry.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the calls that nobody waits for any more
 	d.mu.Lock()
@@ -447,7 +447,7 @@
 }
 
 // tell passes a list on, with what operators have said laid over it. d.mu is held.
-func (d *discovery) tell(kind policy.UpdateKind, list []registry.Instance) {
+func (d *endpointWatcher) tell(kind policy.UpdateKind, list []registry.Instance) {
 	list = d.admin.Overlay(list)
 	servers := make([]httpup.Server, 0, len(list))
 	entries := make([]policy.Endpoint, 0, len(list))
@@ -476,7 +476,7 @@
 }
 
 // started maps wall time onto the clock.
-func (d *discovery) started(unixMs float64) time.Duration {
+func (d *endpointWatcher) started(unixMs float64) time.Duration {
 	if unixMs <= 0 {
 		return 0
 	}
--- a/internal/node/maint_histories_test.go
+++ b/internal/node/maint_histories_test.go
@@ -17,7 +17,7 @@
 // the test's.
 type history struct {
 	*rapid.T
-	d     *discovery
+	d     *endpointWatcher
 	b     *policy.Balancer
 	now   time.Duration
 	id    policy.RequestID
@@ -64,7 +64,7 @@
 func TestDetachHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{T: t, now: 2 * time.Hour, tries: map[policy.RequestID]int{}, names: map[policy.EndpointID]string{}}
-		h.d = &discovery{to: h, zones: map[string]int{}, source: &source{}, first: make(chan struct{})}
+		h.d = &endpointWatcher{to: h, zones: map[string]int{}, source: &source{}, first: make(chan struct{})}
 		set := policy.Defaults()
 		set.Classes = []policy.Class{{Deadline: 2 * time.Second, LatencyObjective: time.Second, PriorityWeight: 1, Idempotency: policy.Idempotent}}
 		set.Limits.MaxAttempts = 3
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -91,7 +91,7 @@
 		return fmt.Errorf("limits: %w", err)
 	}
 	clock := engine.NewClock()
-	disco := newDiscovery(n.cfg, clock, n.moved, n.log)
+	disco := newEndpointWatcher(n.cfg, clock, n.moved, n.log)
 	pool := httpup.New(httpup.Options{
 		ServersIdle: n.cfg.ConnIdle, ConnectTimeout: n.cfg.ConnectTimeout, MaxOpen: servers, Large: true, Settle: settle,
 		Nodes: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -586,7 +586,7 @@
 func TestStartsOnTheClock(t *testing.T) {
 	t.Parallel()
 	clock := engine.NewClock()
-	d := newDiscovery(&Config{}, clock, nil, testkit.Log(t))
+	d := newEndpointWatcher(&Config{}, clock, nil, testkit.Log(t))
 	at := float64(time.Now().Add(-3 * time.Second).UnixMilli())
 	first := d.started(at)
 	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.Patience {
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -148,7 +148,7 @@
 // module is the decision module with its own waits, which are all that it has to do here.
 type module struct {
 	clock engine.Clock
-	disco *discovery
+	disco *endpointWatcher
 	ctx   context.Context
 
 	mu       sync.Mutex
@@ -236,7 +236,7 @@
 	}
 	cfg.Policy.NodeCount, cfg.Policy.Rules.MaxPollInterval = 300, mustAsk
 	clock := engine.NewClock()
-	m := &module{clock: clock, ctx: ctx, disco: newDiscovery(cfg, clock, make(chan string), testkit.Quiet)}
+	m := &module{clock: clock, ctx: ctx, disco: newEndpointWatcher(cfg, clock, make(chan string), testkit.Quiet)}
 	m.disco.source.client = &http.Client{Transport: service}
 	m.disco.to = m
 	if m.balancer, err = policy.New(cfg.Policy, seed, m); err != nil {
