--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 	"yokestall/internal/standin/platform"
 	"yokestall/internal/testkit"
 )
@@ -20,7 +20,7 @@
 	t *testing.T
 }
 
-func newRig(t *testing.T, passed bool, boxes int, lines ...registry.Instance) *rig {
+func newRig(t *testing.T, passed bool, boxes int, lines ...discovery.Instance) *rig {
 	t.Helper()
 	command, env := testkit.Itself()
 	p, err := platform.New(platform.Options{
--- a/cmd/yokestall-node/transfers_test.go
+++ b/cmd/yokestall-node/transfers_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 	"yokestall/internal/testkit"
 )
 
@@ -62,7 +62,7 @@
 	})}
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
-	p := newRig(t, true, 0, registry.Instance{InstanceID: "s-0", HostPort: l.Addr().String(), Lifecycle: "Ready", Zone: "a", Weight: 1})
+	p := newRig(t, true, 0, discovery.Instance{InstanceID: "s-0", HostPort: l.Addr().String(), Lifecycle: "Ready", Zone: "a", Weight: 1})
 	node := p.node()
 	idle := node.PeakMB()
 
--- a/internal/registry/calls.go
+++ b/internal/discovery/calls.go
@@ -1,4 +1,4 @@
-package registry
+package discovery
 
 import "time"
 
--- a/internal/registry/registry.go
+++ b/internal/discovery/registry.go
@@ -1,4 +1,4 @@
-// Package registry is the pure part of following the platform's discovery: which lines of an
+// Package discovery is the pure part of following the platform's discovery: which lines of an
 // answer count, what of a list holds when an answer is spoilt, and when to ask again. It opens
 // no socket and reads no clock.
 //
@@ -13,7 +13,7 @@
 // Of two lines with one id the one that allows less counts. An answer with any line that does
 // not count as it stands, or with an id twice, is doubtful: the whole list is to be asked for
 // again. One that can't be read to its end changes nothing.
-package registry
+package discovery
 
 import (
 	"bytes"
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"strings"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/maint"
-	"yokestall/internal/registry"
 )
 
 const (
@@ -71,7 +71,7 @@
 	e.change.AtMs, errAt = strconv.ParseInt(parts[2], 10, 64)
 	e.change.Server, errID = strconv.Unquote(parts[3])
 	if errSeq != nil || errAt != nil || errID != nil || !known || e.seq == 0 ||
-		len(e.change.Server) > registry.MaxIDBytes || e.change.Op.OfServer() != (e.change.Server != "") {
+		len(e.change.Server) > discovery.MaxIDBytes || e.change.Op.OfServer() != (e.change.Server != "") {
 		return entry{}, errDamaged
 	}
 	return e, nil
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -13,7 +13,7 @@
 	"math"
 	"time"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 	"yokestall/policy"
 )
 
@@ -26,7 +26,7 @@
 	// maxAhead is how far ahead of the heir's clock it may have been taken.
 	maxAhead = time.Second
 	// MaxServers is how many servers it may hold.
-	MaxServers = registry.MaxInstances
+	MaxServers = discovery.MaxInstances
 	maxRecent  = 16
 	maxKept    = 1000
 	maxCount   = 1e6
@@ -42,10 +42,10 @@
 	// Classes are the names of the donor's classes, in the order of Known.Classes.
 	Classes []string `json:"classes"`
 	// List is the list of servers as the donor has it, and its version.
-	Generation uint64              `json:"generation"`
-	Listed     bool                `json:"listed"`
-	List       []registry.Instance `json:"list"`
-	Module     Module              `json:"module"`
+	Generation uint64               `json:"generation"`
+	Listed     bool                 `json:"listed"`
+	List       []discovery.Instance `json:"list"`
+	Module     Module               `json:"module"`
 }
 
 // Module is policy.Snapshot with starts in wall time.
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
-	"yokestall/internal/registry"
 	"yokestall/policy"
 )
 
@@ -18,7 +18,7 @@
 func sample() Snapshot {
 	return Snapshot{
 		Node: "n0", TakenMs: taken.UnixMilli(), Classes: []string{"read", "push"},
-		Generation: 41, Listed: true, List: []registry.Instance{{InstanceID: "s-1", HostPort: "h:1", Lifecycle: "Ready", Weight: 1}},
+		Generation: 41, Listed: true, List: []discovery.Instance{{InstanceID: "s-1", HostPort: "h:1", Lifecycle: "Ready", Weight: 1}},
 		Module: Module{
 			Classes: []policy.ClassSnapshot{{UnloadedLatency: 0.05, UnloadedSamples: 12, MeanLatency: 0.06, LatencySamples: 40}, {UnloadedLatency: 0.07, MeanLatency: 0.1}},
 			Bounds:  policy.LoadSnapshot{ConcurrencyLimit: 4.5, LastGoodLimit: 5, Saturated: true, LatencyInflation: -0.2, TypicalLatency: 0.05, WarmThroughput: 3, ArrivalRate: 120, SendRate: 6},
--- a/internal/maint/maint.go
+++ b/internal/maint/maint.go
@@ -14,7 +14,7 @@
 	"fmt"
 	"slices"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 )
 
 // MaxEntries bounds the servers that are out or were called back and have not been
@@ -200,7 +200,7 @@
 
 // Overlay lays the state over lines of discovery's list, in place. A server that is out drains.
 // One that was called back started then at the earliest, until the list has a later start.
-func (s *State) Overlay(lines []registry.Instance) []registry.Instance {
+func (s *State) Overlay(lines []discovery.Instance) []discovery.Instance {
 	if len(s.entries) == 0 {
 		return lines
 	}
--- a/internal/maint/maint_test.go
+++ b/internal/maint/maint_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 )
 
 // model is the plain form of a State: what a list of calls says when it is read from its end.
@@ -79,9 +79,9 @@
 				t.Fatalf("lame %v, want %v", lame, m.lame())
 			}
 			listed := rapid.SampledFrom([]string{"Ready", "Ready", "Terminating", "Gone", "novel"}).Draw(t, "lifecycle")
-			lines := []registry.Instance{{InstanceID: id, Lifecycle: listed, StartedAtMs: started[id], HostPort: "h:1"}}
+			lines := []discovery.Instance{{InstanceID: id, Lifecycle: listed, StartedAtMs: started[id], HostPort: "h:1"}}
 			got := s.Overlay(lines)[0]
-			want := registry.Instance{InstanceID: id, Lifecycle: listed, HostPort: "h:1", StartedAtMs: max(started[id], float64(m.back(id)))}
+			want := discovery.Instance{InstanceID: id, Lifecycle: listed, HostPort: "h:1", StartedAtMs: max(started[id], float64(m.back(id)))}
 			if m.out(id) && listed == "Ready" {
 				want.Lifecycle = "Terminating"
 			}
--- a/internal/mgmt/parse.go
+++ b/internal/mgmt/parse.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"strconv"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/maint"
-	"yokestall/internal/registry"
 )
 
 // MaxLine is how many bytes a call may have, its end included.
@@ -57,8 +57,8 @@
 		return Call{}, fmt.Errorf("%s: %d words too many", words[0], got-want)
 	}
 	if want == 1 {
-		if c.Server = string(words[1]); len(c.Server) > registry.MaxIDBytes {
-			return Call{}, fmt.Errorf("the id is longer than %d bytes", registry.MaxIDBytes)
+		if c.Server = string(words[1]); len(c.Server) > discovery.MaxIDBytes {
+			return Call{}, fmt.Errorf("the id is longer than %d bytes", discovery.MaxIDBytes)
 		}
 	}
 	return c, nil
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/mgmt"
-	"yokestall/internal/registry"
 	"yokestall/internal/standin/appbox"
 	"yokestall/internal/standin/platform"
 	"yokestall/internal/testkit"
@@ -108,12 +108,12 @@
 func TestDetachUnderTraffic(t *testing.T) {
 	t.Parallel()
 	var boxes []*appbox.Box
-	var list []registry.Instance
+	var list []discovery.Instance
 	for i := range 3 {
 		b := testkit.Box(t, fmt.Sprint("s-", i))
 		b.SetDelay(2 * time.Millisecond)
 		boxes = append(boxes, b)
-		list = append(list, registry.Instance{InstanceID: b.Name, HostPort: b.Addr(), Zone: "a", Lifecycle: "Ready", Weight: 1})
+		list = append(list, discovery.Instance{InstanceID: b.Name, HostPort: b.Addr(), Zone: "a", Lifecycle: "Ready", Weight: 1})
 	}
 	n := startManaged(t, newRegistry(t, list...), nil)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/handover"
 	"yokestall/internal/idle"
-	"yokestall/internal/registry"
 	"yokestall/internal/wire"
 	"yokestall/policy"
 )
@@ -48,7 +48,7 @@
 	ClientsPart    float64      // of all descriptors, for client connections that have asked; 0.1 to 1
 	Log            *slog.Logger // nil: the default one
 
-	terms registry.Terms // of calls to discovery; zero: by the settings
+	terms discovery.Terms // of calls to discovery; zero: by the settings
 }
 
 const (
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 	"yokestall/internal/testkit"
 )
 
@@ -29,7 +29,7 @@
 	begun  chan struct{} // takes a token where a silent call begins
 }
 
-func newLostDiscovery(t *testing.T, list ...registry.Instance) *lostDiscovery {
+func newLostDiscovery(t *testing.T, list ...discovery.Instance) *lostDiscovery {
 	d := &lostDiscovery{registryStub: newRegistry(t, list...), begun: make(chan struct{}, 1)}
 	inner := d.Config.Handler
 	d.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -134,7 +134,7 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			hold := make(chan struct{})
-			var list, drained []registry.Instance
+			var list, drained []discovery.Instance
 			for i := range 12 { // as many as hold all connections that the node may have to servers
 				b := testkit.NewBackend(t, testkit.OK)
 				b.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -167,7 +167,7 @@
 			})
 			testkit.Wait(t, d.begun, "a call that falls silent")
 			// As many calls as are made to one discovery have to find room beside it all, as to another one after SIGHUP.
-			if calls := registry.Pushed(0).Most; most+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
+			if calls := discovery.Pushed(0).Most; most+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
 				t.Errorf("%d of %d descriptors were open: none are kept for %d calls", most, sockets, calls)
 			}
 			d.silent.Store(false)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
 	"yokestall/internal/maint"
-	"yokestall/internal/registry"
 	"yokestall/policy"
 )
 
@@ -30,9 +30,9 @@
 
 // known is the list as a node last had it, as its configuration holds it.
 type known struct {
-	Generation uint64              `json:"generation"`
-	Reset      bool                `json:"reset"`
-	Instances  []registry.Instance `json:"instances"`
+	Generation uint64               `json:"generation"`
+	Reset      bool                 `json:"reset"`
+	Instances  []discovery.Instance `json:"instances"`
 }
 
 // endpointWatcher follows the list of servers.
@@ -40,7 +40,7 @@
 	to     listener
 	zones  map[string]int
 	asked  bool // calls load discovery: the module says when to start a watch
-	terms  registry.Terms
+	terms  discovery.Terms
 	wanted chan struct{}
 	moved  <-chan string // the latest address to follow the list at
 	first  chan struct{} // closed once a list was told, or is waited for no longer
@@ -52,21 +52,21 @@
 	begun  func()       // called once the first list was told; nil: nothing is
 
 	mu        sync.Mutex // guards what follows, and keeps news in their order
-	list      registry.Known
+	list      discovery.Known
 	admin     maint.State
-	source    *source             // whose list it is
-	told      bool                // a list was
-	had       []registry.Instance // what the start was given
-	recheck   registry.Pace       // after answers in doubt
-	recheckAt time.Time           // when all is asked for again; zero: no need
+	source    *source              // whose list it is
+	told      bool                 // a list was
+	had       []discovery.Instance // what the start was given
+	recheck   discovery.Pace       // after answers in doubt
+	recheckAt time.Time            // when all is asked for again; zero: no need
 }
 
 // source is one address of discovery.
 type source struct {
 	url        string
 	client     *http.Client
-	pace       registry.Pace // after failures; of follow's goroutine, as is
-	complained time.Time     // when a failure was last logged
+	pace       discovery.Pace // after failures; of follow's goroutine, as is
+	complained time.Time      // when a failure was last logged
 	leave      context.CancelFunc
 	// What follows is guarded by discovery.mu.
 	listed     bool // it has given its list; the generation may well be 0
@@ -85,14 +85,14 @@
 	switch {
 	case terms.Most > 0:
 	case cfg.Policy.PollEndpoints:
-		terms = registry.Asked()
+		terms = discovery.Asked()
 	default:
-		terms = registry.Pushed(cfg.DrainGrace)
+		terms = discovery.Pushed(cfg.DrainGrace)
 	}
 	d := &endpointWatcher{
 		zones: cfg.Zones, moved: moved,
 		asked: cfg.Policy.PollEndpoints, terms: terms, wanted: make(chan struct{}, 1), first: make(chan struct{}),
-		recheck: registry.Pace{First: recheckFirst, Most: recheckMost},
+		recheck: discovery.Pace{First: recheckFirst, Most: recheckMost},
 		clock:   clock,
 		log:     log,
 		price:   cfg.ListPrice,
@@ -148,7 +148,7 @@
 			return
 		}
 		if len(last.Instances) > 0 {
-			d.tell(policy.CachedUpdate, d.list.Whole(&registry.Answer{Reset: true, Lines: last.Instances}))
+			d.tell(policy.CachedUpdate, d.list.Whole(&discovery.Answer{Reset: true, Lines: last.Instances}))
 			settled()
 			d.settled()
 		} else if d.asked {
@@ -266,7 +266,7 @@
 // take follows an answer. Where lines of it are in doubt the whole list is asked for after a
 // while; the watch goes on until then, since a line may stay as it is for good. Not ours: the list
 // is followed at another address by now.
-func (d *endpointWatcher) take(s *source, a *registry.Answer) (ours bool) {
+func (d *endpointWatcher) take(s *source, a *discovery.Answer) (ours bool) {
 	var wait time.Duration
 	if a.Doubt != nil {
 		wait = max(d.recheck.Failed(rand.Float64()), d.recheckAfter())
@@ -285,7 +285,7 @@
 	s.over = nil
 	s.listed, s.generation = true, a.Generation
 	if !d.told && len(d.had) > 0 { // the answer may tell of changes alone
-		d.tell(policy.CachedUpdate, d.list.Whole(&registry.Answer{Reset: true, Lines: d.had}))
+		d.tell(policy.CachedUpdate, d.list.Whole(&discovery.Answer{Reset: true, Lines: d.had}))
 	}
 	defer d.settled()
 	switch {
@@ -313,7 +313,7 @@
 	perSecond := float64(d.taken()) / max(time.Since(d.since).Seconds(), 1)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return registry.RecheckAfter(d.price, d.list.Len(), perSecond, recheckMost)
+	return discovery.RecheckAfter(d.price, d.list.Len(), perSecond, recheckMost)
 }
 
 func (d *endpointWatcher) serves() bool {
@@ -335,7 +335,7 @@
 	defer d.mu.Unlock()
 	if d.admin.Apply(c) && c.Op.OfServer() {
 		if l, listed := d.list.Line(c.Server); listed {
-			d.tell(policy.DeltaUpdate, []registry.Instance{l})
+			d.tell(policy.DeltaUpdate, []discovery.Instance{l})
 		}
 	}
 }
@@ -372,7 +372,7 @@
 // for all. Where the answer is overdue it looks again beside, as the terms say, and takes what comes
 // first; the error is that of the call that failed last. Behind a question that failed the first call
 // does not wait for news: one that waits says nothing of whether discovery can be reached.
-func (d *endpointWatcher) get(ctx context.Context, s *source, failed bool) (*registry.Answer, error) {
+func (d *endpointWatcher) get(ctx context.Context, s *source, failed bool) (*discovery.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the calls that nobody waits for any more
 	d.mu.Lock()
@@ -386,7 +386,7 @@
 	}
 	d.mu.Unlock()
 	type result struct {
-		answer *registry.Answer
+		answer *discovery.Answer
 		err    error
 	}
 	results := make(chan result, d.terms.Most)
@@ -425,7 +425,7 @@
 }
 
 // call makes one call.
-func (s *source) call(ctx context.Context, query string, whole bool) (*registry.Answer, error) {
+func (s *source) call(ctx context.Context, query string, whole bool) (*discovery.Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.url+query, nil)
 	if err != nil {
 		return nil, err
@@ -439,15 +439,15 @@
 		io.CopyN(io.Discard, resp.Body, maxRefusal) // the connection may be of use again
 		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, registry.MaxBytes+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, discovery.MaxBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	return registry.Parse(text, whole, time.Now())
+	return discovery.Parse(text, whole, time.Now())
 }
 
 // tell passes a list on, with what operators have said laid over it. d.mu is held.
-func (d *endpointWatcher) tell(kind policy.UpdateKind, list []registry.Instance) {
+func (d *endpointWatcher) tell(kind policy.UpdateKind, list []discovery.Instance) {
 	list = d.admin.Overlay(list)
 	servers := make([]httpup.Server, 0, len(list))
 	entries := make([]policy.Endpoint, 0, len(list))
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/idle"
-	"yokestall/internal/registry"
 )
 
 // The golden file is a configuration with every key that is read here. The platform writes such
@@ -19,7 +19,7 @@
 
 // goldenKnown gives the known list in the golden file; no field is zero.
 func goldenKnown() known {
-	return known{Generation: 41, Reset: true, Instances: []registry.Instance{
+	return known{Generation: 41, Reset: true, Instances: []discovery.Instance{
 		{InstanceID: "server-1", HostPort: "10.0.0.1:8001", Zone: "east", Cell: 2, Lifecycle: "Ready", Weight: 1.25, StartedAtMs: 1_699_999_990_001},
 		{InstanceID: "server-2", HostPort: "10.0.0.2:8002", Zone: "west", Cell: 3, Lifecycle: "Draining", Weight: 2.5, StartedAtMs: 1_699_999_980_002},
 	}}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 	"yokestall/internal/testkit"
 )
 
@@ -34,14 +34,14 @@
 type registryStub struct {
 	*httptest.Server
 	mu      sync.Mutex
-	list    []registry.Instance
+	list    []discovery.Instance
 	version int
 	down    bool
 	changed chan struct{} // closed at the next change
 	calls   chan string   // queries as they come, as far as there is room
 }
 
-func newRegistry(t *testing.T, list ...registry.Instance) *registryStub {
+func newRegistry(t *testing.T, list ...discovery.Instance) *registryStub {
 	d := &registryStub{list: list, changed: make(chan struct{}), calls: make(chan string, 4096)}
 	d.Server = httptest.NewServer(d)
 	t.Cleanup(d.Close)
@@ -97,8 +97,8 @@
 	json.NewEncoder(w).Encode(known{Generation: uint64(d.version), Reset: true, Instances: d.list})
 }
 
-func instanceAt(b *testkit.Backend, id string) registry.Instance {
-	return registry.Instance{InstanceID: id, HostPort: b.Addr(), Zone: "a", Lifecycle: "Ready", Weight: 1}
+func instanceAt(b *testkit.Backend, id string) discovery.Instance {
+	return discovery.Instance{InstanceID: id, HostPort: b.Addr(), Zone: "a", Lifecycle: "Ready", Weight: 1}
 }
 
 // reset breaks the connection off.
@@ -178,7 +178,7 @@
 // startReady starts a node before the given servers and waits until it is ready.
 func startReady(t *testing.T, backends ...*testkit.Backend) (*running, *registryStub) {
 	t.Helper()
-	var list []registry.Instance
+	var list []discovery.Instance
 	for i, b := range backends {
 		list = append(list, instanceAt(b, fmt.Sprintf("s-%d", i)))
 	}
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/httpup"
-	"yokestall/internal/registry"
 	"yokestall/internal/testkit"
 )
 
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			attempts := make(chan struct{}, 8)
-			var list []registry.Instance
+			var list []discovery.Instance
 			for i := range 3 {
 				list = append(list, instanceAt(testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 					w.WriteHeader(http.StatusInternalServerError)
--- a/internal/node/maint_histories_test.go
+++ b/internal/node/maint_histories_test.go
@@ -7,9 +7,9 @@
 
 	"pgregory.net/rapid"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/httpup"
 	"yokestall/internal/maint"
-	"yokestall/internal/registry"
 	"yokestall/policy"
 )
 
@@ -74,10 +74,10 @@
 		}
 		started := map[int]float64{0: 0, 1: 0, 2: 0, 3: 0}
 		lists := func() {
-			a := &registry.Answer{Reset: true}
+			a := &discovery.Answer{Reset: true}
 			for i := range 4 {
 				if at, listed := started[i]; listed {
-					l := registry.Instance{InstanceID: fmt.Sprint("s-", i), HostPort: "h:1", Lifecycle: "Ready", Weight: 1, StartedAtMs: at}
+					l := discovery.Instance{InstanceID: fmt.Sprint("s-", i), HostPort: "h:1", Lifecycle: "Ready", Weight: 1, StartedAtMs: at}
 					h.names[l.ID()] = l.InstanceID
 					a.Lines = append(a.Lines, l)
 				}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
-	"yokestall/internal/registry"
 	"yokestall/internal/testkit"
 )
 
@@ -230,7 +230,7 @@
 	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	n, d := startReady(t, a)
 	n.do(n.request("read"))
-	d.change(t, func() { d.list = []registry.Instance{instanceAt(b, "s-0")} })
+	d.change(t, func() { d.list = []discovery.Instance{instanceAt(b, "s-0")} })
 	n.do(n.request("read"))
 	if len(a.Got) != 1 || len(b.Got) != 1 {
 		t.Errorf("%d sends to the old address, %d to the new one", len(a.Got), len(b.Got))
@@ -240,7 +240,7 @@
 // With every breaker open the refusal comes at once and says when to come back.
 func TestEveryServerDown(t *testing.T) {
 	t.Parallel()
-	d := newRegistry(t, registry.Instance{InstanceID: "s-0", HostPort: testkit.RefusingAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1})
+	d := newRegistry(t, discovery.Instance{InstanceID: "s-0", HostPort: testkit.RefusingAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1})
 	n := start(t, testConfig(t, d, nil))
 	n.waitReady(http.StatusOK)
 	for try := range 60 {
@@ -320,7 +320,7 @@
 	testkit.Wait(t, d.calls, "a first call")
 	testkit.Wait(t, d.calls, "a call after the failed one")
 	n.waitReady(http.StatusServiceUnavailable)
-	d.set(func() { d.down, d.list = false, []registry.Instance{instanceAt(b, "s-0")} })
+	d.set(func() { d.down, d.list = false, []discovery.Instance{instanceAt(b, "s-0")} })
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
 		t.Errorf("status %d", a.status)
@@ -383,7 +383,7 @@
 	d := newRegistry(t)
 	d.down = true
 	n := start(t, testConfig(t, d, func(file map[string]any) {
-		file["known"] = known{Generation: 7, Reset: true, Instances: []registry.Instance{instanceAt(b, "s-0")}}
+		file["known"] = known{Generation: 7, Reset: true, Instances: []discovery.Instance{instanceAt(b, "s-0")}}
 	}))
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -14,9 +14,9 @@
 	"testing/synctest"
 	"time"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
-	"yokestall/internal/registry"
 	"yokestall/internal/testkit"
 	"yokestall/policy"
 )
@@ -137,7 +137,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := registry.Instance{InstanceID: "s-0", HostPort: "127.0.0.1:1", Lifecycle: "Ready", Weight: 1}
+	l := discovery.Instance{InstanceID: "s-0", HostPort: "127.0.0.1:1", Lifecycle: "Ready", Weight: 1}
 	if d.draining {
 		l = draining(l)
 	}
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 )
 
 // Nine in ten processes that start anew are ready within 10 s, whatever their discovery does then: away in any way, with
@@ -16,7 +16,7 @@
 func TestRestartedProcessesAreReady(t *testing.T) {
 	t.Parallel()
 	const processes, rule = 50, 10 * time.Second
-	line := registry.Instance{InstanceID: "s-0", HostPort: "127.0.0.1:1", Lifecycle: "Ready", Weight: 1}
+	line := discovery.Instance{InstanceID: "s-0", HostPort: "127.0.0.1:1", Lifecycle: "Ready", Weight: 1}
 	for _, mode := range []string{"pushed", "on_request"} {
 		for _, mustAsk := range []time.Duration{10 * time.Second, time.Minute} {
 			for _, tc := range []struct {
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"yokestall/internal/conntable"
+	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
 	"yokestall/internal/handover"
 	"yokestall/internal/httpfront"
@@ -16,7 +17,6 @@
 	"yokestall/internal/knowledge"
 	"yokestall/internal/maint"
 	"yokestall/internal/mgmt"
-	"yokestall/internal/registry"
 )
 
 const (
@@ -254,7 +254,7 @@
 			s.log.Warn("some of what the earlier process knows can't be used", "first", left[0], "pieces", len(left))
 		}
 		s.log.Info("inherited", "servers", len(snap.Module.Servers), "age", age)
-		if snap.Listed && len(snap.List) > 0 && len(snap.List) <= registry.MaxInstances {
+		if snap.Listed && len(snap.List) > 0 && len(snap.List) <= discovery.MaxInstances {
 			start = known{Generation: snap.Generation, Reset: true, Instances: snap.List}
 		}
 		return start, &snap, age
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 	"yokestall/internal/testkit"
 	"yokestall/policy"
 )
@@ -48,11 +48,11 @@
 	return srv.Listener.Addr().String(), came
 }
 
-func listOf(generation uint64, lines ...registry.Instance) known {
+func listOf(generation uint64, lines ...discovery.Instance) known {
 	return known{Generation: generation, Reset: true, Instances: lines}
 }
 
-func draining(l registry.Instance) registry.Instance {
+func draining(l discovery.Instance) discovery.Instance {
 	l.Lifecycle = "Terminating"
 	return l
 }
@@ -74,7 +74,7 @@
 	old, fresh := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 	addr, calls := agent(t)
 	n := told(t, addr, listOf(3, instanceAt(old, "s-old")), func(c *Config) {
-		c.terms = registry.Pushed(c.DrainGrace)
+		c.terms = discovery.Pushed(c.DrainGrace)
 		c.terms.Start = testkit.Patience
 	})
 	first := testkit.Wait(t, calls, "the first call")
@@ -106,12 +106,12 @@
 			a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
 			addr, calls := agent(t)
 			n := told(t, addr, listOf(3, instanceAt(a, "s-a"), instanceAt(b, "s-b")), func(c *Config) {
-				c.terms = registry.Pushed(c.DrainGrace)
+				c.terms = discovery.Pushed(c.DrainGrace)
 				c.terms.Start, c.terms.Ready = 10*testkit.Patience, 20*testkit.Patience // the answer alone ends the wait
 			})
-			delta := known{Generation: 3, Instances: []registry.Instance{}}
+			delta := known{Generation: 3, Instances: []discovery.Instance{}}
 			if changed {
-				delta = known{Generation: 4, Instances: []registry.Instance{draining(instanceAt(a, "s-a"))}}
+				delta = known{Generation: 4, Instances: []discovery.Instance{draining(instanceAt(a, "s-a"))}}
 			}
 			testkit.Wait(t, calls, "the first call").with <- delta
 			n.waitReady(http.StatusOK)
@@ -200,7 +200,7 @@
 	addr, calls := agent(t)
 	n := told(t, addr, listOf(3, instanceAt(b, "s-0")), nil)
 	n.waitReady(http.StatusOK)
-	most := registry.Pushed(0).Most
+	most := discovery.Pushed(0).Most
 	var open []agentCall
 	for range 4 * most {
 		open = append(open, testkit.Wait(t, calls, "a further look"))
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
+	"yokestall/internal/discovery"
 	"yokestall/internal/mgmt"
-	"yokestall/internal/registry"
 	"yokestall/internal/standin/appbox"
 	"yokestall/internal/standin/registrar"
 )
@@ -35,7 +35,7 @@
 	MemoryMB int
 	Sockets  int
 	// Servers are on the list, and before them so many app boxes of the platform's own.
-	Servers []registry.Instance
+	Servers []discovery.Instance
 	Boxes   int
 	Work    time.Duration // of a box for a request
 }
@@ -67,7 +67,7 @@
 	if p.dir, err = os.MkdirTemp("", "yokestall-platform-"); err != nil {
 		return err
 	}
-	var lines []registry.Instance
+	var lines []discovery.Instance
 	for i := range p.options.Boxes {
 		b, err := appbox.Start(fmt.Sprint("box-", i))
 		if err != nil {
@@ -75,7 +75,7 @@
 		}
 		b.SetDelay(p.options.Work)
 		p.Boxes = append(p.Boxes, b)
-		lines = append(lines, registry.Instance{InstanceID: b.Name, HostPort: b.Addr(), Lifecycle: "Ready", Zone: "a", Weight: 1})
+		lines = append(lines, discovery.Instance{InstanceID: b.Name, HostPort: b.Addr(), Lifecycle: "Ready", Zone: "a", Weight: 1})
 	}
 	if p.list, err = registrar.Start(append(lines, p.options.Servers...)...); err != nil {
 		return err
--- a/internal/standin/registrar/registrar.go
+++ b/internal/standin/registrar/registrar.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"yokestall/internal/registry"
+	"yokestall/internal/discovery"
 )
 
 // longestWait bounds what a watch may ask for.
@@ -24,12 +24,12 @@
 
 	mu         sync.Mutex
 	generation uint64
-	list       []registry.Instance
+	list       []discovery.Instance
 	changed    chan struct{} // closed at the next change
 }
 
 // Start serves a list on a free port of 127.0.0.1.
-func Start(list ...registry.Instance) (*Registrar, error) {
+func Start(list ...discovery.Instance) (*Registrar, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("registrar: %w", err)
@@ -47,7 +47,7 @@
 func (r *Registrar) Close() error { return r.server.Close() }
 
 // Set changes the list and tells the watches.
-func (r *Registrar) Set(list ...registry.Instance) {
+func (r *Registrar) Set(list ...discovery.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list = list
@@ -78,12 +78,12 @@
 		r.mu.Lock()
 	}
 	answer := struct {
-		Generation uint64              `json:"generation"`
-		Reset      bool                `json:"reset"`
-		Instances  []registry.Instance `json:"instances"`
+		Generation uint64               `json:"generation"`
+		Reset      bool                 `json:"reset"`
+		Instances  []discovery.Instance `json:"instances"`
 	}{r.generation, true, r.list}
 	if err == nil && after >= r.generation { // nothing is newer
-		answer.Reset, answer.Instances = false, []registry.Instance{}
+		answer.Reset, answer.Instances = false, []discovery.Instance{}
 	}
 	text, _ := json.Marshal(answer) // of plain fields
 	r.mu.Unlock()
