--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -10,7 +10,7 @@
 	"os"
 	"runtime/debug"
 
-	"yokestall/internal/wire"
+	"yokestall/internal/simulator"
 	"yokestall/policy"
 )
 
@@ -25,10 +25,10 @@
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[uint16]*policy.Balancer{}}
-	reader, writer := wire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
+	reader, writer := simulator.NewReader(in), bufio.NewWriterSize(out, 1<<16)
 	for {
 		batch, err := reader.Read()
-		if errors.Is(err, io.EOF) && !errors.Is(err, wire.ErrFormat) {
+		if errors.Is(err, io.EOF) && !errors.Is(err, simulator.ErrFormat) {
 			return nil
 		}
 		if err != nil {
@@ -49,25 +49,25 @@
 	instances map[uint16]*policy.Balancer
 	current   uint16
 	named     bool
-	reply     wire.Reply
-	event     wire.Event
+	reply     simulator.Reply
+	event     simulator.Event
 }
 
-func (h *host) batch(b *wire.Batch) error {
+func (h *host) batch(b *simulator.Batch) error {
 	h.named = false
 	for i := range b.Count {
 		if err := b.Event(i, &h.event); err != nil {
 			return err
 		}
 		e := &h.event
-		if e.Code == wire.Instance {
+		if e.Code == simulator.Instance {
 			h.current, h.named = e.Instance, true
 			h.reply.For(e.Instance)
 			continue
 		}
-		if !h.named || (e.Code != wire.Open && h.instances[h.current] == nil) {
+		if !h.named || (e.Code != simulator.Open && h.instances[h.current] == nil) {
 			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
-				wire.ErrFormat, b.Number, i, e.Code)
+				simulator.ErrFormat, b.Number, i, e.Code)
 		}
 		h.handle(b, e)
 	}
@@ -75,7 +75,7 @@
 }
 
 // handle passes one event on. A panic in the module is reported as fatal.
-func (h *host) handle(b *wire.Batch, e *wire.Event) {
+func (h *host) handle(b *simulator.Batch, e *simulator.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			fmt.Fprintf(os.Stderr, "wirehost: batch %d: panic: %v\n%s", b.Number, p, debug.Stack())
@@ -84,27 +84,27 @@
 	}()
 	inst := h.instances[h.current]
 	switch e.Code {
-	case wire.Open:
+	case simulator.Open:
 		h.open(e)
-	case wire.Stop:
+	case simulator.Stop:
 		delete(h.instances, h.current)
-	case wire.Members:
+	case simulator.Members:
 		inst.UpdateEndpoints(b.Now, e.Kind, e.Entries)
-	case wire.Request:
+	case simulator.Request:
 		inst.Request(b.Now, e.Request)
-	case wire.Started:
+	case simulator.Started:
 		inst.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
-	case wire.Outcome:
+	case simulator.Outcome:
 		inst.Outcome(b.Now, e.Outcome)
-	case wire.Left:
+	case simulator.Left:
 		inst.ClientDisconnected(b.Now, e.Outcome.ID)
-	case wire.Timer:
+	case simulator.Timer:
 		inst.Timer(b.Now, e.Token)
 	}
 }
 
-func (h *host) open(e *wire.Event) {
-	settings, err := wire.ParseSettings(e.Settings)
+func (h *host) open(e *simulator.Event) {
+	settings, err := simulator.ParseSettings(e.Settings)
 	if err != nil {
 		h.reply.Fatal(err.Error())
 		return
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"yokestall/internal/wire"
+	"yokestall/internal/simulator"
 	"yokestall/policy"
 )
 
@@ -104,7 +104,7 @@
 	h := host{instances: map[uint16]*policy.Balancer{4: nil}, current: 4}
 	h.reply.Reset()
 	h.reply.For(4)
-	h.handle(&wire.Batch{Number: 7}, &wire.Event{Code: wire.Request})
+	h.handle(&simulator.Batch{Number: 7}, &simulator.Event{Code: simulator.Request})
 	var out bytes.Buffer
 	if err := h.reply.WriteTo(bufio.NewWriter(&out), 7); err != nil {
 		t.Fatal(err)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/discovery"
 	"yokestall/internal/handover"
 	"yokestall/internal/idle"
-	"yokestall/internal/wire"
+	"yokestall/internal/simulator"
 	"yokestall/policy"
 )
 
@@ -156,7 +156,7 @@
 	if c.Limits.Sockets < 64 {
 		return nil, fmt.Errorf("limits: %d sockets are too few", c.Limits.Sockets)
 	}
-	if c.Policy, err = wire.ParseSettings(file.Settings); err != nil {
+	if c.Policy, err = simulator.ParseSettings(file.Settings); err != nil {
 		return nil, err
 	}
 	var own nodeSettings
--- a/internal/wire/wire.go
+++ b/internal/simulator/wire.go
@@ -1,7 +1,7 @@
-// Package wire reads and writes the frames of the simulator's binary wire. It
+// Package simulator reads and writes the frames of the simulator's binary wire. It
 // decides nothing: it turns event records into the types of package policy and
 // actions into records.
-package wire
+package simulator
 
 import (
 	"bufio"
