--- a/internal/warming/warming.go
+++ b/internal/slowstart/warming.go
@@ -1,4 +1,4 @@
-// Package warming says how much a server that has started lately may be sent by one of the nodes that share
+// Package slowstart says how much a server that has started lately may be sent by one of the nodes that share
 // it, so that all of them together never push it over. It is pure: time is passed in. Work is in seconds of
 // a lone request's latency on a warm server.
 //
@@ -7,7 +7,7 @@
 // either. The first is cut into a fixed part for each node. The second needs no cutting: the nodes'
 // answers add up to what the server has done, so if each node sends no more than Gain times what it was
 // answered, all together send no more than Gain times what the server can do, however uneven their traffic.
-package warming
+package slowstart
 
 import "time"
 
--- a/internal/warming/warming_test.go
+++ b/internal/slowstart/warming_test.go
@@ -1,4 +1,4 @@
-package warming
+package slowstart
 
 import (
 	"math/rand/v2"
--- a/policy/state.go
+++ b/policy/state.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"yokestall/internal/warming"
+	"yokestall/internal/slowstart"
 )
 
 type breaker uint8
@@ -54,7 +54,7 @@
 	coming   int        // of those, whose requests are still on their way from the client
 	lone     float64    // mean latency, as a logarithm over its class's, of attempts sent alone
 	loneSeen float64
-	cold     warming.Budget // of what it may be sent while it is cold
+	cold     slowstart.Budget // of what it may be sent while it is cold
 }
 
 // meter is an exponentially decaying rate of work per second.
@@ -155,7 +155,7 @@
 	steered     time.Duration
 	crowding    float64 // mean latency over a lone request's at the same server, as a logarithm
 	part        float64 // of the node's cold budget
-	warming     warming.Rules
+	warming     slowstart.Rules
 	again       float64 // share of further attempts that succeed, lately
 	sweepAt     time.Duration
 	watchDelay  time.Duration
