--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -19,10 +19,10 @@
 	"yokestall/internal/engine"
 	"yokestall/internal/files"
 	"yokestall/internal/httpup"
+	"yokestall/internal/idempotency"
 	"yokestall/internal/ingress"
 	"yokestall/internal/keylog"
 	"yokestall/internal/once"
-	"yokestall/internal/repeat"
 	"yokestall/internal/route"
 	"yokestall/internal/tlskeys"
 	"yokestall/policy"
@@ -86,7 +86,7 @@
 	a.ctx, a.stop = context.WithCancel(context.Background())
 	a.state.Store(&state{clusters: map[string]*managedCluster{}})
 	if set := first.Program.Repeats; set.Entries > 0 {
-		a.once = once.New(repeat.Limits{
+		a.once = once.New(idempotency.Limits{
 			Entries: set.Entries, Bytes: set.Bytes, Joiners: maxJoiners, Tenants: len(first.Program.Tenants),
 		}, a.clock)
 		if set.Late {
--- a/internal/app/callers.go
+++ b/internal/app/callers.go
@@ -7,7 +7,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/extproc"
-	"yokestall/internal/repeat"
+	"yokestall/internal/idempotency"
 	"yokestall/internal/tlskeys"
 )
 
@@ -19,7 +19,7 @@
 	return extproc.New(extproc.Options{
 		Clock: a.clock, Router: a, Log: a.Log, Streams: set.Streams, Head: set.Head, Message: set.Message,
 		Buffer: set.Buffer, Answer: set.Answer, First: set.First, Report: set.Report, Override: set.Override,
-		Repeats: repeat.Limits{
+		Repeats: idempotency.Limits{
 			Entries: set.Repeats, Bytes: set.RepeatBytes, Joiners: maxJoiners, Tenants: len(a.state.Load().program.Tenants),
 		},
 	})
--- a/internal/extproc/carry.go
+++ b/internal/extproc/carry.go
@@ -16,8 +16,8 @@
 
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
+	"yokestall/internal/idempotency"
 	"yokestall/internal/ingress"
-	"yokestall/internal/repeat"
 )
 
 // uploadHeld is what is held of a body that comes in parts, so that it can be sent again.
@@ -61,10 +61,10 @@
 	a, err := x.to.Cluster.Do(ctx, q)
 	if err != nil {
 		if errors.Is(err, engine.ErrRetired) && x.stream.Context().Err() == nil {
-			x.over(b, repeat.Refused, nil, x.to.MaxRetryAfter)
+			x.over(b, idempotency.Refused, nil, x.to.MaxRetryAfter)
 			return x.refuse(x.to.MaxRetryAfter)
 		}
-		x.over(b, repeat.Lost, nil, 0)
+		x.over(b, idempotency.Lost, nil, 0)
 		x.s.Stats.Left.Add(1)
 		return context.Canceled
 	}
@@ -215,7 +215,7 @@
 	}
 	switch {
 	case a.Verdict == engine.Rejected:
-		x.over(b, repeat.Refused, nil, a.RetryAfter)
+		x.over(b, idempotency.Refused, nil, a.RetryAfter)
 		if answer == nil {
 			return x.refuse(a.RetryAfter)
 		}
@@ -224,23 +224,23 @@
 			answer.Header.Set("Retry-After", ingress.Seconds(a.RetryAfter))
 		}
 	case a.Verdict == engine.Failed:
-		x.over(b, repeat.Lost, nil, 0)
+		x.over(b, idempotency.Lost, nil, 0)
 		if answer == nil {
 			return x.fail()
 		}
 		x.s.Stats.Failed.Add(1)
 	case answer.Stream != nil && x.machine.Streams():
-		x.over(b, repeat.Answered, nil, 0)
+		x.over(b, idempotency.Answered, nil, 0)
 		x.s.Stats.Served.Add(1)
 		return x.passOn(answer)
 	case answer.Stream != nil:
 		if err := x.gather(answer); err != nil {
-			x.over(b, repeat.Answered, nil, 0)
+			x.over(b, idempotency.Answered, nil, 0)
 			return x.fail()
 		}
 		fallthrough
 	default:
-		x.over(b, repeat.Answered, answer, 0)
+		x.over(b, idempotency.Answered, answer, 0)
 		x.s.Stats.Served.Add(1)
 	}
 	r := immediate(answer.Status, answer.Header, answer.Body, "carried")
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -28,9 +28,9 @@
 
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
+	"yokestall/internal/idempotency"
 	"yokestall/internal/ingress"
 	"yokestall/internal/once"
-	"yokestall/internal/repeat"
 	"yokestall/policy"
 )
 
@@ -62,7 +62,7 @@
 	// wants to know. It must not block.
 	Named func(id, address string, left time.Duration)
 	// Repeats bounds what is known of requests that must not take effect twice.
-	Repeats repeat.Limits
+	Repeats idempotency.Limits
 }
 
 // Stats counts what became of requests and of what callers did; a reader may see them change.
@@ -90,8 +90,8 @@
 	longest atomic.Int64 // ns, the longest patience that a request has had
 
 	mu      sync.Mutex
-	repeats *repeat.Store
-	first   map[*repeat.Entry]*first // those that run
+	repeats *idempotency.Store
+	first   map[*idempotency.Entry]*first // those that run
 	asks    map[askKey]*ask
 }
 
@@ -101,7 +101,7 @@
 		o.Report = usualReport
 	}
 	return &Server{
-		Options: o, repeats: repeat.New(o.Repeats), first: map[*repeat.Entry]*first{}, asks: map[askKey]*ask{},
+		Options: o, repeats: idempotency.New(o.Repeats), first: map[*idempotency.Entry]*first{}, asks: map[askKey]*ask{},
 		idStart: "x" + strconv.FormatUint(rand.Uint64(), 36) + "-",
 	}
 }
@@ -334,7 +334,7 @@
 // first is a request that runs under a key, for those that come again meanwhile.
 type first struct {
 	over chan struct{} // closed at its end
-	end  repeat.End
+	end  idempotency.End
 	// answer is what a joiner gets, set before over is closed; nil: nothing that can be shared.
 	answer *httpup.Answer
 	after  time.Duration
@@ -342,8 +342,8 @@
 
 // begun is what the store of repeats says of the exchange's request.
 type begun struct {
-	entry *repeat.Entry // of the first; nil: the class needs none
-	first *first        // that it joins, or is
+	entry *idempotency.Entry // of the first; nil: the class needs none
+	first *first             // that it joins, or is
 }
 
 // once asks whether the request may run. A request whose effect may not happen twice is known by its
@@ -352,7 +352,7 @@
 	if x.to.Effect == policy.Idempotent {
 		return b, false, nil
 	}
-	key := repeat.Key{Tenant: x.terms.Tenant, Name: "key " + x.terms.Key}
+	key := idempotency.Key{Tenant: x.terms.Tenant, Name: "key " + x.terms.Key}
 	window := x.to.Window
 	if x.to.Effect == policy.NotIdempotent {
 		key.Name, window, join = "id "+x.terms.ID, 2*x.to.Deadline, false
@@ -361,39 +361,39 @@
 	s.mu.Lock()
 	v, e, wait := s.repeats.Ask(s.Clock.Now(), key, once.Print(x.to.Class, x.req.Method, x.req.RequestURI, x.req.Host, body), window, join)
 	switch v {
-	case repeat.First:
+	case idempotency.First:
 		b.entry, b.first = e, &first{over: make(chan struct{})}
 		s.first[e] = b.first
-	case repeat.Joined:
+	case idempotency.Joined:
 		b.first = s.first[e]
 	}
 	s.mu.Unlock()
 	switch v {
-	case repeat.First:
+	case idempotency.First:
 		return b, false, nil
-	case repeat.Joined:
+	case idempotency.Joined:
 		return b, true, x.join(e, b.first)
-	case repeat.Busy:
+	case idempotency.Busy:
 		return b, true, x.conflict(http.StatusConflict, "a request under this key, or id, is open")
-	case repeat.Replayed:
+	case idempotency.Replayed:
 		if a, ok := e.Outcome.(*httpup.Answer); ok {
 			return b, true, x.replay(a)
 		}
 		return b, true, x.conflict(http.StatusConflict, "a request under this key, or id, was answered")
-	case repeat.Unknown:
+	case idempotency.Unknown:
 		return b, true, x.conflict(http.StatusConflict, "a request under this key, or id, may have run")
-	case repeat.Other:
+	case idempotency.Other:
 		return b, true, x.conflict(http.StatusUnprocessableEntity, "the key stands for another request")
 	}
 	return b, true, x.refuse(max(wait, x.to.MaxRetryAfter))
 }
 
 // over tells the store, and those that joined, what became of the first.
-func (x *exchange) over(b begun, end repeat.End, a *httpup.Answer, after time.Duration) {
+func (x *exchange) over(b begun, end idempotency.End, a *httpup.Answer, after time.Duration) {
 	x.s.over(b, end, a, after)
 }
 
-func (s *Server) over(b begun, end repeat.End, a *httpup.Answer, after time.Duration) {
+func (s *Server) over(b begun, end idempotency.End, a *httpup.Answer, after time.Duration) {
 	if b.entry == nil {
 		return
 	}
@@ -414,7 +414,7 @@
 }
 
 // join waits for the first's outcome, within the request's own time.
-func (x *exchange) join(e *repeat.Entry, f *first) error {
+func (x *exchange) join(e *idempotency.Entry, f *first) error {
 	x.s.Stats.Repeats.Add(1)
 	late := time.NewTimer(x.end - x.s.Clock.Now())
 	defer late.Stop()
@@ -429,15 +429,15 @@
 		return x.stream.Context().Err()
 	}
 	switch {
-	case f.end == repeat.Refused:
+	case f.end == idempotency.Refused:
 		return x.refuse(f.after)
-	case f.end == repeat.Answered && f.answer != nil:
+	case f.end == idempotency.Answered && f.answer != nil:
 		return x.replay(f.answer)
 	}
 	return x.fail()
 }
 
-func (x *exchange) leave(e *repeat.Entry) {
+func (x *exchange) leave(e *idempotency.Entry) {
 	x.s.mu.Lock()
 	defer x.s.mu.Unlock()
 	x.s.repeats.Leave(e)
--- a/internal/extproc/pick.go
+++ b/internal/extproc/pick.go
@@ -17,8 +17,8 @@
 
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
+	"yokestall/internal/idempotency"
 	"yokestall/internal/ingress"
-	"yokestall/internal/repeat"
 	"yokestall/policy"
 )
 
@@ -178,7 +178,7 @@
 	if s.asks[key] != nil { // meanwhile
 		s.mu.Unlock()
 		cancel()
-		s.over(b, repeat.Refused, nil, 0)
+		s.over(b, idempotency.Refused, nil, 0)
 		return nil, true, x.conflict(http.StatusConflict, "a request with this id is open")
 	}
 	s.asks[key] = a
@@ -197,12 +197,12 @@
 	a.mu.Unlock()
 	switch {
 	case err == nil && answer.Verdict == engine.Served:
-		a.s.over(a.begun, repeat.Answered, nil, 0)
+		a.s.over(a.begun, idempotency.Answered, nil, 0)
 		a.s.Stats.Served.Add(1)
 	case !ran: // a refusal of what may have run is a promise to whoever hears it, and nobody may be there
-		a.s.over(a.begun, repeat.Refused, nil, answer.RetryAfter)
+		a.s.over(a.begun, idempotency.Refused, nil, answer.RetryAfter)
 	default:
-		a.s.over(a.begun, repeat.Lost, nil, 0)
+		a.s.over(a.begun, idempotency.Lost, nil, 0)
 	}
 	a.s.mu.Lock()
 	delete(a.s.asks, a.key)
--- a/internal/repeat/repeat.go
+++ b/internal/idempotency/repeat.go
@@ -1,4 +1,4 @@
-// Package repeat recognises requests that come again under a key: while the first one runs, and
+// Package idempotency recognises requests that come again under a key: while the first one runs, and
 // for a window after. It is pure: time is passed in, and nobody is waited for.
 //
 //	state     means                                         a request under the key gets
@@ -10,7 +10,7 @@
 // A request that was refused never ran: its key is forgotten at once. What is running is never
 // forgotten, what is known is not before its window ends: if there is no room, a new key is
 // refused, which does no harm.
-package repeat
+package idempotency
 
 import (
 	"container/heap"
--- a/internal/repeat/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -1,4 +1,4 @@
-package repeat
+package idempotency
 
 import (
 	"fmt"
--- a/internal/keylog/golden_test.go
+++ b/internal/keylog/golden_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/repeat"
+	"yokestall/internal/idempotency"
 )
 
 // The golden file is a log as it was written before identifiers were renamed. It stays on disk
@@ -20,9 +20,9 @@
 // goldenKnown gives what Open reads from the golden file, by name; the key that was refused is not kept.
 func goldenKnown() []Known {
 	return []Known{
-		{Key: repeat.Key{Tenant: 11, Name: "key answered"}, Print: repeat.Print{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}, Until: time.Unix(4_000_000_001, 101), Answered: true},
-		{Key: repeat.Key{Tenant: 13, Name: "key lost"}, Print: repeat.Print{33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46, 47, 48}, Until: time.Unix(4_000_000_003, 103)},
-		{Key: repeat.Key{Tenant: 14, Name: "key only started"}, Print: repeat.Print{49, 50, 51, 52, 53, 54, 55, 56, 57, 58, 59, 60, 61, 62, 63, 64}, Until: time.Unix(4_000_000_004, 104)},
+		{Key: idempotency.Key{Tenant: 11, Name: "key answered"}, Print: idempotency.Print{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}, Until: time.Unix(4_000_000_001, 101), Answered: true},
+		{Key: idempotency.Key{Tenant: 13, Name: "key lost"}, Print: idempotency.Print{33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46, 47, 48}, Until: time.Unix(4_000_000_003, 103)},
+		{Key: idempotency.Key{Tenant: 14, Name: "key only started"}, Print: idempotency.Print{49, 50, 51, 52, 53, 54, 55, 56, 57, 58, 59, 60, 61, 62, 63, 64}, Until: time.Unix(4_000_000_004, 104)},
 	}
 }
 
@@ -35,15 +35,15 @@
 		t.Fatal(err)
 	}
 	known := goldenKnown()
-	refusedKey := repeat.Key{Tenant: 12, Name: "key refused"}
+	refusedKey := idempotency.Key{Tenant: 12, Name: "key refused"}
 	err = errors.Join(
 		l.Started(known[0].Key, known[0].Print, known[0].Until),
-		l.Started(refusedKey, repeat.Print{17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32}, time.Unix(4_000_000_002, 102)),
+		l.Started(refusedKey, idempotency.Print{17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32}, time.Unix(4_000_000_002, 102)),
 		l.Started(known[1].Key, known[1].Print, known[1].Until),
 		l.Started(known[2].Key, known[2].Print, known[2].Until))
-	l.Finished(known[0].Key, repeat.Answered)
-	l.Finished(refusedKey, repeat.Refused)
-	l.Finished(known[1].Key, repeat.Lost)
+	l.Finished(known[0].Key, idempotency.Answered)
+	l.Finished(refusedKey, idempotency.Refused)
+	l.Finished(known[1].Key, idempotency.Lost)
 	if err := errors.Join(err, l.Close()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keylog/keylog.go
+++ b/internal/keylog/keylog.go
@@ -27,7 +27,7 @@
 	"syscall"
 	"time"
 
-	"yokestall/internal/repeat"
+	"yokestall/internal/idempotency"
 )
 
 // The bounds of the file.
@@ -63,8 +63,8 @@
 
 // Known is what the log says of a key at its opening.
 type Known struct {
-	Key      repeat.Key
-	Print    repeat.Print
+	Key      idempotency.Key
+	Print    idempotency.Print
 	Until    time.Time // the end of its window
 	Answered bool      // else it may have run
 }
@@ -90,15 +90,15 @@
 	// The writer's goroutine alone has the following.
 	file File
 	size int64
-	live map[repeat.Key]record // bounded by the store whose keys these are
-	kept int64                 // bytes of the records in live
+	live map[idempotency.Key]record // bounded by the store whose keys these are
+	kept int64                      // bytes of the records in live
 	err  error
 }
 
 type record struct {
 	kind  kind
-	key   repeat.Key
-	print repeat.Print
+	key   idempotency.Key
+	print idempotency.Print
 	until time.Time
 	said  chan<- error // nil: nobody waits
 }
@@ -153,7 +153,7 @@
 	if wrap == nil {
 		wrap = func(f File) File { return f }
 	}
-	l := &Log{path: path, wrap: wrap, lock: lock, todo: make(chan record, queued), done: make(chan struct{}), live: map[repeat.Key]record{}}
+	l := &Log{path: path, wrap: wrap, lock: lock, todo: make(chan record, queued), done: make(chan struct{}), live: map[idempotency.Key]record{}}
 	if err := l.load(now); err != nil {
 		lock.Close()
 		return nil, nil, err
@@ -268,7 +268,7 @@
 }
 
 // Started returns nil once it is durable that the key has started; with an error it must not run.
-func (l *Log) Started(key repeat.Key, print repeat.Print, until time.Time) error {
+func (l *Log) Started(key idempotency.Key, print idempotency.Print, until time.Time) error {
 	if len(key.Name) > MaxName {
 		return fmt.Errorf("keylog: a key of %d bytes; %d at most", len(key.Name), MaxName)
 	}
@@ -280,8 +280,8 @@
 }
 
 // Finished notes how a key that has started ended.
-func (l *Log) Finished(key repeat.Key, how repeat.End) {
-	kinds := [...]kind{repeat.Refused: refused, repeat.Answered: answered, repeat.Lost: lost}
+func (l *Log) Finished(key idempotency.Key, how idempotency.End) {
+	kinds := [...]kind{idempotency.Refused: refused, idempotency.Answered: answered, idempotency.Lost: lost}
 	l.post(record{kind: kinds[how], key: key})
 }
 
--- a/internal/keylog/keylog_test.go
+++ b/internal/keylog/keylog_test.go
@@ -14,14 +14,14 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"yokestall/internal/repeat"
+	"yokestall/internal/idempotency"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 var far = time.Now().Add(time.Hour).Truncate(time.Microsecond)
 
-func named(i int) repeat.Key { return repeat.Key{Tenant: i % 3, Name: fmt.Sprint("key ", i)} }
+func named(i int) idempotency.Key { return idempotency.Key{Tenant: i % 3, Name: fmt.Sprint("key ", i)} }
 
 // open opens a log and gives what it knows: whether each key was answered.
 func open(t interface{ Fatal(...any) }, path string, now time.Time, wrap func(File) File) (*Log, map[string]bool) {
@@ -39,13 +39,13 @@
 // fill writes four keys: answered, refused, lost, and one that only starts.
 func fill(t *testing.T, path string) []byte {
 	l, _ := open(t, path, time.Now(), nil)
-	for i, how := range []repeat.End{repeat.Answered, repeat.Refused, repeat.Lost} {
-		if err := l.Started(named(i), repeat.Print{byte(i)}, far); err != nil {
+	for i, how := range []idempotency.End{idempotency.Answered, idempotency.Refused, idempotency.Lost} {
+		if err := l.Started(named(i), idempotency.Print{byte(i)}, far); err != nil {
 			t.Fatal(err)
 		}
 		l.Finished(named(i), how)
 	}
-	if err := errors.Join(l.Started(named(3), repeat.Print{3}, far), l.Close()); err != nil {
+	if err := errors.Join(l.Started(named(3), idempotency.Print{3}, far), l.Close()); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
@@ -158,7 +158,7 @@
 			claimed := map[string]bool{}
 			failed := 0
 			for i := range 8 {
-				if err := l.Started(named(i), repeat.Print{}, far); err != nil {
+				if err := l.Started(named(i), idempotency.Print{}, far); err != nil {
 					failed++
 					f.writes, f.syncs = 100, 100 // the disk is well again
 				} else if claimed[named(i).Name] = true; failed > 0 {
@@ -186,7 +186,7 @@
 		t.Errorf("a second one: %v", err)
 	}
 	l.Close()
-	if err := l.Started(named(1), repeat.Print{}, far); !errors.Is(err, ErrClosed) {
+	if err := l.Started(named(1), idempotency.Print{}, far); !errors.Is(err, ErrClosed) {
 		t.Errorf("after the close: %v", err)
 	}
 	if err := os.WriteFile(path, []byte("something else entirely"), 0o600); err != nil {
@@ -207,11 +207,11 @@
 	for c := range callers {
 		all.Go(func() {
 			for i := range each {
-				key := repeat.Key{Tenant: c, Name: fmt.Sprint(i, " ", string(make([]byte, 200)))}
-				if err := l.Started(key, repeat.Print{}, far); err != nil {
+				key := idempotency.Key{Tenant: c, Name: fmt.Sprint(i, " ", string(make([]byte, 200)))}
+				if err := l.Started(key, idempotency.Print{}, far); err != nil {
 					t.Error(err)
 				}
-				l.Finished(key, repeat.Refused)
+				l.Finished(key, idempotency.Refused)
 			}
 		})
 	}
@@ -263,7 +263,7 @@
 		l, _ := open(t, path, time.Now(), nil)
 		model := map[string]bool{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			key := repeat.Key{Name: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key"))}
+			key := idempotency.Key{Name: fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key"))}
 			_, known := model[key.Name]
 			switch how := rapid.IntRange(0, 4).Draw(t, "what"); {
 			case how == 4:
@@ -273,13 +273,13 @@
 					t.Fatalf("knows %v, want %v", got, model)
 				}
 			case how == 3:
-				if err := l.Started(key, repeat.Print{}, far); err != nil {
+				if err := l.Started(key, idempotency.Print{}, far); err != nil {
 					t.Fatal(err)
 				}
 				model[key.Name] = false
 			case known:
-				l.Finished(key, repeat.End(how))
-				if model[key.Name] = repeat.End(how) == repeat.Answered; repeat.End(how) == repeat.Refused {
+				l.Finished(key, idempotency.End(how))
+				if model[key.Name] = idempotency.End(how) == idempotency.Answered; idempotency.End(how) == idempotency.Refused {
 					delete(model, key.Name)
 				}
 			}
--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -11,9 +11,9 @@
 
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
+	"yokestall/internal/idempotency"
 	"yokestall/internal/ingress"
 	"yokestall/internal/keylog"
-	"yokestall/internal/repeat"
 )
 
 // instant is a cluster that serves at once: what is measured is the gate.
@@ -32,7 +32,7 @@
 			clock := engine.NewClock()
 			var cluster ingress.Cluster = instant{}
 			if how != "off" {
-				g := New(repeat.Limits{Entries: 1 << 22, Bytes: 1 << 32, Joiners: 64, Tenants: 1}, clock)
+				g := New(idempotency.Limits{Entries: 1 << 22, Bytes: 1 << 32, Joiners: 64, Tenants: 1}, clock)
 				if how == "log" {
 					l, known, err := keylog.Open(filepath.Join(b.TempDir(), "keys"), time.Now(), nil)
 					if err != nil {
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -1,5 +1,5 @@
 // Package once stands between a front and its clusters and has a keyed request that comes again get
-// the outcome of the first instead of a run of its own. What is known of keys is internal/repeat's;
+// the outcome of the first instead of a run of its own. What is known of keys is internal/idempotency's;
 // here are the lock, the waiting and the answers.
 //
 // The first request runs apart from its client: if that one leaves while others wait for the
@@ -16,9 +16,9 @@
 
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
+	"yokestall/internal/idempotency"
 	"yokestall/internal/ingress"
 	"yokestall/internal/keylog"
-	"yokestall/internal/repeat"
 )
 
 // Replayed marks an answer that was made for an earlier request under the key.
@@ -29,17 +29,17 @@
 	clock engine.Clock
 
 	mu    sync.Mutex
-	store *repeat.Store
-	late  bool                     // attempts that clients did not wait for are listened to
-	log   Log                      // nil: what is known ends with the process
-	open  map[*repeat.Entry]*first // as many as the store has running entries
+	store *idempotency.Store
+	late  bool                          // attempts that clients did not wait for are listened to
+	log   Log                           // nil: what is known ends with the process
+	open  map[*idempotency.Entry]*first // as many as the store has running entries
 }
 
 // first is a request that runs under a key.
 type first struct {
-	entry  *repeat.Entry
-	key    repeat.Key
-	print  repeat.Print
+	entry  *idempotency.Entry
+	key    idempotency.Key
+	print  idempotency.Print
 	stop   context.CancelFunc
 	left   bool          // its client has; guarded by Gate.mu
 	over   chan struct{} // closed at the end, after the following are set
@@ -48,8 +48,8 @@
 }
 
 // New makes a gate that knows nothing yet.
-func New(l repeat.Limits, clock engine.Clock) *Gate {
-	return &Gate{clock: clock, store: repeat.New(l), open: map[*repeat.Entry]*first{}}
+func New(l idempotency.Limits, clock engine.Clock) *Gate {
+	return &Gate{clock: clock, store: idempotency.New(l), open: map[*idempotency.Entry]*first{}}
 }
 
 // ListenLate has attempts that are still out when their client's time is up listened to for the rest
@@ -59,8 +59,8 @@
 // Log outlives the process; *keylog.Log is one.
 type Log interface {
 	// Started returns nil once it is durable that the key has started.
-	Started(key repeat.Key, print repeat.Print, until time.Time) error
-	Finished(key repeat.Key, how repeat.End)
+	Started(key idempotency.Key, print idempotency.Print, until time.Time) error
+	Finished(key idempotency.Key, how idempotency.End)
 }
 
 // Keep has the gate write keys to a log, and take up what that one knows. No request may have
@@ -99,7 +99,7 @@
 	if !ok || o.Header.Get("Idempotency-Key") == "" {
 		return c.inner.Do(ctx, r)
 	}
-	key := repeat.Key{Tenant: r.Tenant, Name: o.Header.Get("Idempotency-Key")}
+	key := idempotency.Key{Tenant: r.Tenant, Name: o.Header.Get("Idempotency-Key")}
 	whole := o.Upload == nil // else it can neither be told from another nor wait with its body unread
 	c.mu.Lock()
 	mark := Print(r.Class, o.Method, o.Target, o.Host, o.Body)
@@ -107,30 +107,30 @@
 	var f *first
 	var kept any
 	switch verdict {
-	case repeat.First:
+	case idempotency.First:
 		f = &first{entry: entry, key: key, print: mark, over: make(chan struct{})}
 		c.open[entry] = f
-	case repeat.Joined:
+	case idempotency.Joined:
 		f = c.open[entry]
-	case repeat.Replayed:
+	case idempotency.Replayed:
 		kept = entry.Outcome
 	}
 	c.mu.Unlock()
 	switch verdict {
-	case repeat.First:
+	case idempotency.First:
 		return c.run(ctx, f, r)
-	case repeat.Joined:
+	case idempotency.Joined:
 		return c.join(ctx, f, r.Deadline)
-	case repeat.Replayed:
+	case idempotency.Replayed:
 		if a, ok := kept.(engine.Answer); ok {
 			return replay(a), nil
 		}
 		return engine.Answer{}, conflict(http.StatusConflict, "the request under this key was answered")
-	case repeat.Busy:
+	case idempotency.Busy:
 		return engine.Answer{}, conflict(http.StatusConflict, "a request under this key is open")
-	case repeat.Unknown:
+	case idempotency.Unknown:
 		return engine.Answer{}, conflict(http.StatusConflict, "the request under this key may have run")
-	case repeat.Other:
+	case idempotency.Other:
 		return engine.Answer{}, conflict(http.StatusUnprocessableEntity, "the key stands for another request")
 	}
 	return engine.Answer{Verdict: engine.Rejected, RetryAfter: max(wait, c.wait)}, nil
@@ -196,7 +196,7 @@
 		h.Close()
 	}
 	if c.store.Late(c.clock.Now(), f.entry, outcome, Weight(h)) && c.log != nil {
-		c.log.Finished(f.key, repeat.Answered)
+		c.log.Finished(f.key, idempotency.Answered)
 	}
 }
 
@@ -214,12 +214,12 @@
 func (c gated) end(f *first) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	how, outcome, size := repeat.Lost, any(nil), int64(0)
+	how, outcome, size := idempotency.Lost, any(nil), int64(0)
 	switch {
 	case f.err == engine.ErrRetired, f.err == nil && f.answer.Verdict == engine.Rejected && !f.answer.MayHaveRun:
-		how = repeat.Refused
+		how = idempotency.Refused
 	case f.err == nil && f.answer.Verdict == engine.Served:
-		how = repeat.Answered
+		how = idempotency.Answered
 		if shared(f.answer) {
 			outcome, size = f.answer, Weight(f.answer.Value.(*httpup.Answer))
 		}
@@ -301,7 +301,7 @@
 
 // Print tells the request from another under the same key, by SHA-256: who chooses keys and bodies
 // would choose collisions of a weaker one too.
-func Print(class int, method, target, host string, body []byte) (p repeat.Print) {
+func Print(class int, method, target, host string, body []byte) (p idempotency.Print) {
 	h := sha256.New()
 	for _, part := range []string{method, target, host} { // with lengths, so that no two lists are alike
 		fmt.Fprintf(h, "%d:%s", len(part), part)
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -17,9 +17,9 @@
 
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
+	"yokestall/internal/idempotency"
 	"yokestall/internal/ingress"
 	"yokestall/internal/keylog"
-	"yokestall/internal/repeat"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -46,7 +46,7 @@
 	}}
 }
 
-func limits() repeat.Limits { return repeat.Limits{Entries: 100, Bytes: 1 << 20, Joiners: 8} }
+func limits() idempotency.Limits { return idempotency.Limits{Entries: 100, Bytes: 1 << 20, Joiners: 8} }
 
 // What a repeat gets, by what the first came to and by when the repeat comes.
 func TestRepeat(t *testing.T) {
@@ -238,7 +238,7 @@
 		}
 	}
 	log.Close()
-	g := New(repeat.Limits{Entries: 2, Bytes: 1 << 20}, clock)
+	g := New(idempotency.Limits{Entries: 2, Bytes: 1 << 20}, clock)
 	log, known, err := keylog.Open(path, time.Now(), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -294,7 +294,7 @@
 				return rng.IntN(n)
 			}
 			ran := map[string]time.Duration{}
-			g := New(repeat.Limits{Entries: 1000, Bytes: 1 << 20, Joiners: 8}, clock)
+			g := New(idempotency.Limits{Entries: 1000, Bytes: 1 << 20, Joiners: 8}, clock)
 			var all sync.WaitGroup
 			for i := range requests {
 				key := fmt.Sprint("k", draw(200))
