--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -20,9 +20,9 @@
 	"yokestall/internal/files"
 	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
+	"yokestall/internal/idempotency/replay"
 	"yokestall/internal/ingress"
 	"yokestall/internal/keylog"
-	"yokestall/internal/once"
 	"yokestall/internal/route"
 	"yokestall/internal/tlskeys"
 	"yokestall/policy"
@@ -43,9 +43,9 @@
 	ctx   context.Context
 	stop  context.CancelFunc
 
-	keys    *keylog.Log // nil: none is kept
-	once    *once.Gate  // nil: repeats over HTTP run like any request
-	mu      sync.Mutex  // one change at a time
+	keys    *keylog.Log  // nil: none is kept
+	once    *replay.Gate // nil: repeats over HTTP run like any request
+	mu      sync.Mutex   // one change at a time
 	state   atomic.Pointer[state]
 	retired sync.WaitGroup // clusters that run on without a place in the state
 
@@ -86,7 +86,7 @@
 	a.ctx, a.stop = context.WithCancel(context.Background())
 	a.state.Store(&state{clusters: map[string]*managedCluster{}})
 	if set := first.Program.Repeats; set.Entries > 0 {
-		a.once = once.New(idempotency.Limits{
+		a.once = replay.New(idempotency.Limits{
 			Entries: set.Entries, Bytes: set.Bytes, Joiners: maxJoiners, Tenants: len(first.Program.Tenants),
 		}, a.clock)
 		if set.Late {
--- a/internal/app/once_test.go
+++ b/internal/app/once_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"yokestall/internal/cluster"
-	"yokestall/internal/once"
+	"yokestall/internal/idempotency/replay"
 	"yokestall/internal/testkit"
 )
 
@@ -160,10 +160,10 @@
 	box := cluster.Endpoint{ID: "s-0", Address: testkit.NewBackend(t, testkit.OK).Addr()}
 	s := serve(t, snapshot(parse(t, strings.Replace(pushes, "ENTRIES", "10", 1)), rooms(box)))
 	status, header, first := s.push("k", "x", testkit.Patience)
-	if status != http.StatusOK || header.Get(once.Replayed) != "" {
+	if status != http.StatusOK || header.Get(replay.Replayed) != "" {
 		t.Fatalf("status %d, %s", status, header)
 	}
-	if status, header, text := s.push("k", "x", testkit.Patience); status != http.StatusOK || header.Get(once.Replayed) != "true" || text != first {
+	if status, header, text := s.push("k", "x", testkit.Patience); status != http.StatusOK || header.Get(replay.Replayed) != "true" || text != first {
 		t.Errorf("again: status %d, %s, %q", status, header, text)
 	}
 	if status, _, _ := s.push("k", "y", testkit.Patience); status != http.StatusUnprocessableEntity {
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -29,8 +29,8 @@
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
+	"yokestall/internal/idempotency/replay"
 	"yokestall/internal/ingress"
-	"yokestall/internal/once"
 	"yokestall/policy"
 )
 
@@ -359,7 +359,7 @@
 	}
 	s := x.s
 	s.mu.Lock()
-	v, e, wait := s.repeats.Ask(s.Clock.Now(), key, once.Print(x.to.Class, x.req.Method, x.req.RequestURI, x.req.Host, body), window, join)
+	v, e, wait := s.repeats.Ask(s.Clock.Now(), key, replay.Print(x.to.Class, x.req.Method, x.req.RequestURI, x.req.Host, body), window, join)
 	switch v {
 	case idempotency.First:
 		b.entry, b.first = e, &first{over: make(chan struct{})}
@@ -407,7 +407,7 @@
 	var outcome any
 	size := int64(0)
 	if a != nil {
-		outcome, size = a, once.Weight(a)
+		outcome, size = a, replay.Weight(a)
 	}
 	s.repeats.End(s.Clock.Now(), b.entry, end, outcome, size)
 	close(b.first.over)
--- a/internal/once/bench_test.go
+++ b/internal/idempotency/replay/bench_test.go
@@ -1,4 +1,4 @@
-package once
+package replay
 
 import (
 	"context"
--- a/internal/once/once.go
+++ b/internal/idempotency/replay/once.go
@@ -1,10 +1,10 @@
-// Package once stands between a front and its clusters and has a keyed request that comes again get
+// Package replay stands between a front and its clusters and has a keyed request that comes again get
 // the outcome of the first instead of a run of its own. What is known of keys is internal/idempotency's;
 // here are the lock, the waiting and the answers.
 //
 // The first request runs apart from its client: if that one leaves while others wait for the
 // outcome, it goes on for them. A joiner keeps its own deadline and may leave without harm.
-package once
+package replay
 
 import (
 	"context"
