--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -20,9 +20,9 @@
 	"yokestall/internal/files"
 	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
+	"yokestall/internal/idempotency/keystore"
 	"yokestall/internal/idempotency/replay"
 	"yokestall/internal/ingress"
-	"yokestall/internal/keylog"
 	"yokestall/internal/route"
 	"yokestall/internal/tlskeys"
 	"yokestall/policy"
@@ -43,9 +43,9 @@
 	ctx   context.Context
 	stop  context.CancelFunc
 
-	keys    *keylog.Log  // nil: none is kept
-	once    *replay.Gate // nil: repeats over HTTP run like any request
-	mu      sync.Mutex   // one change at a time
+	keys    *keystore.Log // nil: none is kept
+	once    *replay.Gate  // nil: repeats over HTTP run like any request
+	mu      sync.Mutex    // one change at a time
 	state   atomic.Pointer[state]
 	retired sync.WaitGroup // clusters that run on without a place in the state
 
@@ -129,9 +129,9 @@
 	if path == "" {
 		return nil
 	}
-	var known []keylog.Known
+	var known []keystore.Known
 	var err error
-	if a.keys, known, err = keylog.Open(files.Beside(a.Path, path), time.Now(), nil); err != nil {
+	if a.keys, known, err = keystore.Open(files.Beside(a.Path, path), time.Now(), nil); err != nil {
 		return err
 	}
 	return a.once.Keep(a.keys, known)
--- a/internal/keylog/keylog.go
+++ b/internal/idempotency/keystore/keylog.go
@@ -1,4 +1,4 @@
-// Package keylog keeps on a disk which keys have started and how they finished, so that after a
+// Package keystore keeps on a disk which keys have started and how they finished, so that after a
 // crash a key that had started and not finished is known as one that may have run, and is not
 // taken for new.
 //
@@ -12,7 +12,7 @@
 // each later Started gives the error. A record that is not whole at the end of the file is a torn
 // write and is cut off; one with whole records behind it is damage, and Open refuses the file. A
 // flaw in the very last record can't be told from a torn write.
-package keylog
+package keystore
 
 import (
 	"bufio"
--- a/internal/keylog/keylog_test.go
+++ b/internal/idempotency/keystore/keylog_test.go
@@ -1,4 +1,4 @@
-package keylog
+package keystore
 
 import (
 	"errors"
--- a/internal/idempotency/replay/bench_test.go
+++ b/internal/idempotency/replay/bench_test.go
@@ -12,8 +12,8 @@
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
+	"yokestall/internal/idempotency/keystore"
 	"yokestall/internal/ingress"
-	"yokestall/internal/keylog"
 )
 
 // instant is a cluster that serves at once: what is measured is the gate.
@@ -34,7 +34,7 @@
 			if how != "off" {
 				g := New(idempotency.Limits{Entries: 1 << 22, Bytes: 1 << 32, Joiners: 64, Tenants: 1}, clock)
 				if how == "log" {
-					l, known, err := keylog.Open(filepath.Join(b.TempDir(), "keys"), time.Now(), nil)
+					l, known, err := keystore.Open(filepath.Join(b.TempDir(), "keys"), time.Now(), nil)
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/idempotency/replay/once.go
+++ b/internal/idempotency/replay/once.go
@@ -17,8 +17,8 @@
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
+	"yokestall/internal/idempotency/keystore"
 	"yokestall/internal/ingress"
-	"yokestall/internal/keylog"
 )
 
 // Replayed marks an answer that was made for an earlier request under the key.
@@ -56,7 +56,7 @@
 // of the window, so that a repeat gets their outcome. No request may have passed the gate yet.
 func (g *Gate) ListenLate() { g.late = true }
 
-// Log outlives the process; *keylog.Log is one.
+// Log outlives the process; *keystore.Log is one.
 type Log interface {
 	// Started returns nil once it is durable that the key has started.
 	Started(key idempotency.Key, print idempotency.Print, until time.Time) error
@@ -66,7 +66,7 @@
 // Keep has the gate write keys to a log, and take up what that one knows. No request may have
 // passed the gate yet. It is an error if there is no room for all that is known: to forget some
 // of it would be to run them again.
-func (g *Gate) Keep(log Log, known []keylog.Known) error {
+func (g *Gate) Keep(log Log, known []keystore.Known) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.log = log
--- a/internal/idempotency/replay/once_test.go
+++ b/internal/idempotency/replay/once_test.go
@@ -18,8 +18,8 @@
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
+	"yokestall/internal/idempotency/keystore"
 	"yokestall/internal/ingress"
-	"yokestall/internal/keylog"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -192,8 +192,8 @@
 func TestKnownAfterACrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	clock := engine.NewClock()
-	start := func(s *stub) (ingress.Cluster, *keylog.Log) {
-		log, known, err := keylog.Open(path, time.Now(), nil)
+	start := func(s *stub) (ingress.Cluster, *keystore.Log) {
+		log, known, err := keystore.Open(path, time.Now(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -239,7 +239,7 @@
 	}
 	log.Close()
 	g := New(idempotency.Limits{Entries: 2, Bytes: 1 << 20}, clock)
-	log, known, err := keylog.Open(path, time.Now(), nil)
+	log, known, err := keystore.Open(path, time.Now(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
