--- a/internal/maint/maint.go
+++ b/internal/adminstate/maint.go
@@ -1,4 +1,4 @@
-// Package maint is the administrative state of a node: which servers its operators have taken
+// Package adminstate is the administrative state of a node: which servers its operators have taken
 // out of service, and whether the node itself is to be emptied. It is pure: it does no I/O and
 // reads no clock.
 //
@@ -7,7 +7,7 @@
 // that is called back counts as started at that moment, since operators restart it meanwhile and
 // discovery may tell of that late or never: the decision module then forgets what it knew of
 // the former process and takes the server for cold.
-package maint
+package adminstate
 
 import (
 	"errors"
--- a/internal/maint/maint_test.go
+++ b/internal/adminstate/maint_test.go
@@ -1,4 +1,4 @@
-package maint
+package adminstate
 
 import (
 	"errors"
--- a/internal/handover/folder.go
+++ b/internal/handover/folder.go
@@ -23,7 +23,7 @@
 	"syscall"
 	"time"
 
-	"yokestall/internal/maint"
+	"yokestall/internal/adminstate"
 )
 
 const (
@@ -39,15 +39,15 @@
 	maxFiles  = 1000    // looked at in the folder
 )
 
-// Admin is the administrative state of this process, as maint.State keeps it. Its methods are
+// Admin is the administrative state of this process, as adminstate.State keeps it. Its methods are
 // called with the folder locked.
 type Admin interface {
 	// Check tells whether a change can be taken (else the error), and makes a difference.
-	Check(c maint.Change) (differs bool, err error)
+	Check(c adminstate.Change) (differs bool, err error)
 	// Take has a change in force when it returns.
-	Take(c maint.Change)
+	Take(c adminstate.Change)
 	// Changes gives the fewest changes that lead to the present state; never more than were taken.
-	Changes() []maint.Change
+	Changes() []adminstate.Change
 }
 
 var copyNames = [2]string{"record-a", "record-b"}
@@ -73,7 +73,7 @@
 
 // Join takes part in the folder under dir, and gives what operators have asked for so far. A
 // record that can't be read is set aside and said in the log, and does not stop the start.
-func Join(dir, name string, log *slog.Logger) (*Folder, []maint.Change, error) {
+func Join(dir, name string, log *slog.Logger) (*Folder, []adminstate.Change, error) {
 	if dir == "" {
 		return nil, nil, errors.New("no folder that the node's processes share")
 	}
@@ -272,8 +272,8 @@
 }
 
 // news gives the changes that were not handed out yet; f.mu is held, or nobody else has f yet.
-func (f *Folder) news(all []entry) []maint.Change {
-	var changes []maint.Change
+func (f *Folder) news(all []entry) []adminstate.Change {
+	var changes []adminstate.Change
 	for _, e := range all {
 		if e.seq > f.seen {
 			changes = append(changes, e.change)
@@ -311,7 +311,7 @@
 // Commit carries a change out in all processes of the node. Under the lock, what others have
 // asked for meanwhile is taken first; then the change is checked, put on record and taken. When
 // Commit returns nil, it is in force in every process of the node that lives.
-func (f *Folder) Commit(ctx context.Context, c maint.Change, to Admin) error {
+func (f *Folder) Commit(ctx context.Context, c adminstate.Change, to Admin) error {
 	seq, err := f.commit(ctx, c, to)
 	if err != nil {
 		return err
@@ -332,7 +332,7 @@
 	}
 }
 
-func (f *Folder) commit(ctx context.Context, c maint.Change, to Admin) (uint64, error) {
+func (f *Folder) commit(ctx context.Context, c adminstate.Change, to Admin) (uint64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.mine == nil {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"yokestall/internal/maint"
+	"yokestall/internal/adminstate"
 	"yokestall/internal/testkit"
 )
 
@@ -21,10 +21,10 @@
 // goldenEntries gives the entries in the golden record: each of the operations once.
 func goldenEntries() []entry {
 	return []entry{
-		{seq: 3, change: maint.Change{Op: maint.Detach, Server: "server 1", AtMs: 1_700_000_000_101}},
-		{seq: 4, change: maint.Change{Op: maint.Attach, Server: "s\u00e9rver\"2", AtMs: 1_700_000_000_202}},
-		{seq: 5, change: maint.Change{Op: maint.LameDuck, AtMs: 1_700_000_000_303}},
-		{seq: 6, change: maint.Change{Op: maint.Rejoin, AtMs: 1_700_000_000_404}},
+		{seq: 3, change: adminstate.Change{Op: adminstate.Detach, Server: "server 1", AtMs: 1_700_000_000_101}},
+		{seq: 4, change: adminstate.Change{Op: adminstate.Attach, Server: "s\u00e9rver\"2", AtMs: 1_700_000_000_202}},
+		{seq: 5, change: adminstate.Change{Op: adminstate.LameDuck, AtMs: 1_700_000_000_303}},
+		{seq: 6, change: adminstate.Change{Op: adminstate.Rejoin, AtMs: 1_700_000_000_404}},
 	}
 }
 
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	var want []maint.Change
+	var want []adminstate.Change
 	for _, e := range goldenEntries() {
 		want = append(want, e.change)
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -16,7 +16,7 @@
 
 	"pgregory.net/rapid"
 
-	"yokestall/internal/maint"
+	"yokestall/internal/adminstate"
 	"yokestall/internal/testkit"
 )
 
@@ -25,14 +25,14 @@
 // process is one of the node's, with its administrative state.
 type process struct {
 	*Folder
-	state maint.State
+	state adminstate.State
 }
 
-func (p *process) Check(c maint.Change) (bool, error) {
+func (p *process) Check(c adminstate.Change) (bool, error) {
 	return p.state.Differs(c), p.state.Check(c, func(id string) bool { return id != "nobody" })
 }
-func (p *process) Take(c maint.Change)     { p.state.Apply(c) }
-func (p *process) Changes() []maint.Change { return p.state.Changes() }
+func (p *process) Take(c adminstate.Change)     { p.state.Apply(c) }
+func (p *process) Changes() []adminstate.Change { return p.state.Changes() }
 
 func join(t testing.TB, dir string) *process {
 	t.Helper()
@@ -66,11 +66,11 @@
 
 var clock int64
 
-func (p *process) call(op maint.Op, id string) error {
+func (p *process) call(op adminstate.Op, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	clock++
-	return p.Commit(ctx, maint.Change{Op: op, Server: id, AtMs: clock}, p)
+	return p.Commit(ctx, adminstate.Change{Op: op, Server: id, AtMs: clock}, p)
 }
 
 // passable gives a listener's socket as it is passed: each call another descriptor, since Listen
@@ -149,7 +149,7 @@
 func TestYesWaitsForTheOther(t *testing.T) {
 	dir := t.TempDir()
 	a, b := join(t, dir), join(t, dir)
-	if err := b.call(maint.Detach, "s1"); !errors.Is(err, ErrPeer) {
+	if err := b.call(adminstate.Detach, "s1"); !errors.Is(err, ErrPeer) {
 		t.Errorf("while nobody looks at the record in the other process: %v", err)
 	}
 	looks := make(chan struct{})
@@ -159,15 +159,15 @@
 			a.Follow(a)
 		}
 	}()
-	if err := b.call(maint.Detach, "s2"); err != nil || !a.out("s2") {
+	if err := b.call(adminstate.Detach, "s2"); err != nil || !a.out("s2") {
 		t.Errorf("%v; out in the other process: %v", err, a.out("s2"))
 	}
 	testkit.Wait(t, looks, "the change")
-	if err := b.call(maint.Attach, "nobody"); !errors.Is(err, maint.ErrUnknown) {
+	if err := b.call(adminstate.Attach, "nobody"); !errors.Is(err, adminstate.ErrUnknown) {
 		t.Errorf("an id that nobody has: %v", err)
 	}
 	a.kill()
-	if err := b.call(maint.LameDuck, ""); err != nil {
+	if err := b.call(adminstate.LameDuck, ""); err != nil {
 		t.Errorf("when the other process is dead: %v", err)
 	}
 }
@@ -215,16 +215,16 @@
 				os.WriteFile(path, text, 0o600)
 				// Some call has to come before the other copy may be damaged as well.
 				clock++
-				p.commit(context.Background(), maint.Change{Op: maint.LameDuck, AtMs: clock}, p)
-				p.commit(context.Background(), maint.Change{Op: maint.Rejoin, AtMs: clock}, p)
+				p.commit(context.Background(), adminstate.Change{Op: adminstate.LameDuck, AtMs: clock}, p)
+				p.commit(context.Background(), adminstate.Change{Op: adminstate.Rejoin, AtMs: clock}, p)
 			default:
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "id")
-				op := rapid.SampledFrom([]maint.Op{maint.Detach, maint.Attach}).Draw(rt, "op")
+				op := rapid.SampledFrom([]adminstate.Op{adminstate.Detach, adminstate.Attach}).Draw(rt, "op")
 				clock++
-				if _, err := p.commit(context.Background(), maint.Change{Op: op, Server: id, AtMs: clock}, p); err != nil {
+				if _, err := p.commit(context.Background(), adminstate.Change{Op: op, Server: id, AtMs: clock}, p); err != nil {
 					rt.Fatalf("%v %s: %v", op, id, err)
 				}
-				out[id] = op == maint.Detach
+				out[id] = op == adminstate.Detach
 			}
 			for _, p := range live {
 				p.Follow(p)
@@ -244,7 +244,7 @@
 	dir := t.TempDir()
 	a := join(t, dir)
 	for _, id := range []string{"s1", "s2"} {
-		if err := a.call(maint.Detach, id); err != nil {
+		if err := a.call(adminstate.Detach, id); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -278,7 +278,7 @@
 				if got := b.state.OutOfService(); copies < 2 && !slices.Equal(got, []string{"s1", "s2"}) {
 					t.Fatalf("copy %d %s at byte %d: %v are out", copies, name, at, got)
 				}
-				if err := b.call(maint.Detach, "s3"); err != nil {
+				if err := b.call(adminstate.Detach, "s3"); err != nil {
 					t.Fatalf("copy %d %s at byte %d: %v", copies, name, at, err)
 				}
 				b.kill()
@@ -296,7 +296,7 @@
 func TestNoRoom(t *testing.T) {
 	dir := t.TempDir()
 	a := join(t, dir)
-	if err := a.call(maint.Detach, "s1"); err != nil {
+	if err := a.call(adminstate.Detach, "s1"); err != nil {
 		t.Fatal(err)
 	}
 	for fails := range 2 { // at which of the copies
@@ -308,7 +308,7 @@
 			}
 			return appendTo(path, line)
 		}
-		if err := a.call(maint.Detach, "s2"); !errors.Is(err, syscall.ENOSPC) || a.state.Out("s2") {
+		if err := a.call(adminstate.Detach, "s2"); !errors.Is(err, syscall.ENOSPC) || a.state.Out("s2") {
 			t.Fatalf("copy %d: %v; out %v", fails, err, a.state.Out("s2"))
 		}
 		a.append = appendTo
@@ -318,7 +318,7 @@
 		}
 		b.Close()
 	}
-	if err := a.call(maint.Detach, "s2"); err != nil {
+	if err := a.call(adminstate.Detach, "s2"); err != nil {
 		t.Errorf("once there is room: %v", err)
 	}
 	// A folder that can't be had.
@@ -338,7 +338,7 @@
 // files of processes that are dead, files that are nobody's.
 func TestAnotherLife(t *testing.T) {
 	for name, text := range map[string]string{
-		"another node": string(formatRecord("n9", []entry{{1, maint.Change{Op: maint.Detach, Server: "s1", AtMs: 1}}})),
+		"another node": string(formatRecord("n9", []entry{{1, adminstate.Change{Op: adminstate.Detach, Server: "s1", AtMs: 1}}})),
 		"a version":    "yokestall-record 2 \"n0\"\n",
 		"noise":        "\x00\xff\n\n",
 		"huge":         strings.Repeat("x", maxRecord+1),
@@ -360,7 +360,7 @@
 			if peers, err := p.Peers(); err != nil || len(peers) != 0 {
 				t.Errorf("peers %v, %v", peers, err)
 			}
-			if err := p.call(maint.Detach, "s1"); err != nil {
+			if err := p.call(adminstate.Detach, "s1"); err != nil {
 				t.Error(err)
 			}
 		})
@@ -373,11 +373,11 @@
 	a := join(t, dir)
 	var all []entry
 	for i := range 6000 {
-		op := maint.Detach
+		op := adminstate.Detach
 		if i/5%2 == 1 {
-			op = maint.Attach
+			op = adminstate.Attach
 		}
-		all = append(all, entry{uint64(i + 1), maint.Change{Op: op, Server: fmt.Sprint("s", i%5), AtMs: int64(i + 2)}})
+		all = append(all, entry{uint64(i + 1), adminstate.Change{Op: op, Server: fmt.Sprint("s", i%5), AtMs: int64(i + 2)}})
 	}
 	path := filepath.Join(dir, folderName, copyNames[0])
 	for _, name := range copyNames {
@@ -401,7 +401,7 @@
 	if err := a.Compact(a); err != nil || size() > before/10 {
 		t.Fatalf("%d bytes of %d, %v", size(), before, err)
 	}
-	if err := a.call(maint.Detach, "s8"); err != nil {
+	if err := a.call(adminstate.Detach, "s8"); err != nil {
 		t.Fatal(err)
 	}
 	if got, want := join(t, dir).state.OutOfService(), a.state.OutOfService(); !slices.Equal(got, want) || len(got) == 0 {
@@ -478,7 +478,7 @@
 }
 
 func FuzzRecord(f *testing.F) {
-	whole := formatRecord("n0", []entry{{1, maint.Change{Op: maint.Detach, Server: "s1", AtMs: 5}}, {2, maint.Change{Op: maint.LameDuck, AtMs: 6}}})
+	whole := formatRecord("n0", []entry{{1, adminstate.Change{Op: adminstate.Detach, Server: "s1", AtMs: 5}}, {2, adminstate.Change{Op: adminstate.LameDuck, AtMs: 6}}})
 	f.Add(whole)
 	f.Add(whole[:len(whole)-3])
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"strings"
 
+	"yokestall/internal/adminstate"
 	"yokestall/internal/discovery"
-	"yokestall/internal/maint"
 )
 
 const (
@@ -24,14 +24,14 @@
 // entry is a change with its place in the record, from 1.
 type entry struct {
 	seq    uint64
-	change maint.Change
+	change adminstate.Change
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-var ops = map[string]maint.Op{
-	maint.Detach.String(): maint.Detach, maint.Attach.String(): maint.Attach,
-	maint.LameDuck.String(): maint.LameDuck, maint.Rejoin.String(): maint.Rejoin,
+var ops = map[string]adminstate.Op{
+	adminstate.Detach.String(): adminstate.Detach, adminstate.Attach.String(): adminstate.Attach,
+	adminstate.LameDuck.String(): adminstate.LameDuck, adminstate.Rejoin.String(): adminstate.Rejoin,
 }
 
 // appendEntry writes an entry as a line that tells by itself whether it is whole.
--- a/internal/httpfront/clients.go
+++ b/internal/httpfront/clients.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
+	"yokestall/internal/adminstate"
 	"yokestall/internal/conntable"
-	"yokestall/internal/maint"
 )
 
 // clientConns carries out on sockets what the table of client connections decides.
@@ -26,7 +26,7 @@
 	mu       sync.Mutex
 	table    *conntable.Table
 	draining bool
-	duck     maint.Duck
+	duck     adminstate.Duck
 	refill   context.CancelFunc // ends empty; set while the duck is lame
 	// resting are HTTP/2 connections with no stream open. They count as at work: to close one
 	// without a GOAWAY could cross a request (RFC 9113, 6.8). net/http's server ends them,
@@ -281,7 +281,7 @@
 	for {
 		cs.mu.Lock()
 		if cs.duck.CloseIdle(cs.now()) {
-			cs.restEnds(0, maint.DuckNotice)
+			cs.restEnds(0, adminstate.DuckNotice)
 		}
 		cs.mu.Unlock()
 		select {
--- a/internal/httpfront/clients_test.go
+++ b/internal/httpfront/clients_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/adminstate"
 	"yokestall/internal/conntable"
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
-	"yokestall/internal/maint"
 	"yokestall/internal/testkit"
 )
 
@@ -162,7 +162,7 @@
 func TestClosesOnlyWhatRests(t *testing.T) {
 	for name, empty := range map[string]func(cs *clientConns){
 		"emptied": func(cs *clientConns) {
-			cs.restEnds(0, maint.DuckNotice)
+			cs.restEnds(0, adminstate.DuckNotice)
 		},
 		"stopping":     func(cs *clientConns) { cs.restEnds(0, never) },
 		"handing over": func(cs *clientConns) { cs.restEnds(0, 0) },
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/mgmt/mgmt_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/maint"
+	"yokestall/internal/adminstate"
 	"yokestall/internal/testkit"
 )
 
@@ -86,11 +86,11 @@
 		call         *Call // nil: the handler gets none
 	}{
 		{"PING\n", "+OK done\n", &Call{Ping: true}},
-		{"DETACH s-1\r\n", "+OK done\n", &Call{Change: maint.Detach, Server: "s-1"}},
-		{"  ATTACH   s-1 \n", "+OK done\n", &Call{Change: maint.Attach, Server: "s-1"}},
-		{"LAMEDUCK\n", "+OK done\n", &Call{Change: maint.LameDuck}},
-		{"REJOIN\n", "+OK done\n", &Call{Change: maint.Rejoin}},
-		{"DETACH nobody\n", "-ERR two?lines\n", &Call{Change: maint.Detach, Server: "nobody"}},
+		{"DETACH s-1\r\n", "+OK done\n", &Call{Change: adminstate.Detach, Server: "s-1"}},
+		{"  ATTACH   s-1 \n", "+OK done\n", &Call{Change: adminstate.Attach, Server: "s-1"}},
+		{"LAMEDUCK\n", "+OK done\n", &Call{Change: adminstate.LameDuck}},
+		{"REJOIN\n", "+OK done\n", &Call{Change: adminstate.Rejoin}},
+		{"DETACH nobody\n", "-ERR two?lines\n", &Call{Change: adminstate.Detach, Server: "nobody"}},
 		{"\n", "-ERR the line is empty\n", nil},
 		{"HELLO\n", "-ERR unknown call \"HELLO\"\n", nil},
 		{"ping\n", "-ERR unknown call \"ping\"\n", nil},
--- a/internal/mgmt/parse.go
+++ b/internal/mgmt/parse.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"strconv"
 
+	"yokestall/internal/adminstate"
 	"yokestall/internal/discovery"
-	"yokestall/internal/maint"
 )
 
 // MaxLine is how many bytes a call may have, its end included.
@@ -15,17 +15,17 @@
 // Call is what an operator asks for.
 type Call struct {
 	Ping   bool
-	Change maint.Op // if not Ping
-	Server string   // for those that name one
+	Change adminstate.Op // if not Ping
+	Server string        // for those that name one
 }
 
 // calls maps the operators' words, which are upper case alone.
 var calls = map[string]Call{
 	"PING":     {Ping: true},
-	"DETACH":   {Change: maint.Detach},
-	"ATTACH":   {Change: maint.Attach},
-	"LAMEDUCK": {Change: maint.LameDuck},
-	"REJOIN":   {Change: maint.Rejoin},
+	"DETACH":   {Change: adminstate.Detach},
+	"ATTACH":   {Change: adminstate.Attach},
+	"LAMEDUCK": {Change: adminstate.LameDuck},
+	"REJOIN":   {Change: adminstate.Rejoin},
 }
 
 // Parse reads one call without its line's end. The error says in plain words what is wrong.
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
+	"yokestall/internal/adminstate"
 	"yokestall/internal/handover"
 	"yokestall/internal/httpfront"
-	"yokestall/internal/maint"
 	"yokestall/internal/mgmt"
 )
 
@@ -34,7 +34,7 @@
 		}
 		return a.status(), nil
 	}
-	change := maint.Change{Op: c.Change, Server: c.Server, AtMs: time.Now().UnixMilli()}
+	change := adminstate.Change{Op: c.Change, Server: c.Server, AtMs: time.Now().UnixMilli()}
 	if err := a.carryOut(ctx, change); err != nil {
 		return "", fmt.Errorf("%s %s: %w", c.Change, c.Server, err)
 	}
@@ -42,7 +42,7 @@
 	return a.status(), nil
 }
 
-func (a *admin) carryOut(ctx context.Context, c maint.Change) error {
+func (a *admin) carryOut(ctx context.Context, c adminstate.Change) error {
 	if a.shared != nil {
 		return a.shared.commit(ctx, c, a)
 	}
@@ -54,18 +54,18 @@
 }
 
 // Check implements handover.Admin.
-func (a *admin) Check(c maint.Change) (differs bool, err error) { return a.disco.check(c) }
+func (a *admin) Check(c adminstate.Change) (differs bool, err error) { return a.disco.check(c) }
 
 // Changes implements handover.Admin.
-func (a *admin) Changes() []maint.Change { return a.disco.changes() }
+func (a *admin) Changes() []adminstate.Change { return a.disco.changes() }
 
 // Take implements handover.Admin.
-func (a *admin) Take(c maint.Change) {
+func (a *admin) Take(c adminstate.Change) {
 	a.disco.change(c)
 	switch c.Op {
-	case maint.LameDuck:
+	case adminstate.LameDuck:
 		a.front.Empty(a.ctx)
-	case maint.Rejoin:
+	case adminstate.Rejoin:
 		a.front.Refill()
 	}
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
+	"yokestall/internal/adminstate"
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
-	"yokestall/internal/maint"
 	"yokestall/policy"
 )
 
@@ -53,7 +53,7 @@
 
 	mu        sync.Mutex // guards what follows, and keeps news in their order
 	list      discovery.Known
-	admin     maint.State
+	admin     adminstate.State
 	source    *source              // whose list it is
 	told      bool                 // a list was
 	had       []discovery.Instance // what the start was given
@@ -323,14 +323,14 @@
 }
 
 // check tells whether operators may ask for a change, and whether it makes a difference.
-func (d *endpointWatcher) check(c maint.Change) (differs bool, err error) {
+func (d *endpointWatcher) check(c adminstate.Change) (differs bool, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.admin.Differs(c), d.admin.Check(c, d.list.Seen)
 }
 
 // change takes up what operators asked for. When it returns, the change is in force.
-func (d *endpointWatcher) change(c maint.Change) {
+func (d *endpointWatcher) change(c adminstate.Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.admin.Apply(c) && c.Op.OfServer() {
@@ -347,7 +347,7 @@
 	return known{Generation: d.source.generation, Reset: d.source.listed, Instances: d.list.Lines()}
 }
 
-func (d *endpointWatcher) changes() []maint.Change {
+func (d *endpointWatcher) changes() []adminstate.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.admin.Changes()
--- a/internal/node/maint_histories_test.go
+++ b/internal/node/maint_histories_test.go
@@ -7,9 +7,9 @@
 
 	"pgregory.net/rapid"
 
+	"yokestall/internal/adminstate"
 	"yokestall/internal/discovery"
 	"yokestall/internal/httpup"
-	"yokestall/internal/maint"
 	"yokestall/policy"
 )
 
@@ -87,12 +87,12 @@
 		lists()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 3).Draw(t, "server")
-			call := maint.Change{Op: maint.Detach, Server: fmt.Sprint("s-", i), AtMs: time.Now().UnixMilli()}
+			call := adminstate.Change{Op: adminstate.Detach, Server: fmt.Sprint("s-", i), AtMs: time.Now().UnixMilli()}
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0:
 				h.d.change(call)
 			case 1:
-				call.Op = maint.Attach
+				call.Op = adminstate.Attach
 				h.d.change(call)
 			case 2:
 				delete(started, i)
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"yokestall/internal/adminstate"
 	"yokestall/internal/conntable"
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
@@ -15,7 +16,6 @@
 	"yokestall/internal/httpfront"
 	"yokestall/internal/httpup"
 	"yokestall/internal/knowledge"
-	"yokestall/internal/maint"
 	"yokestall/internal/mgmt"
 )
 
@@ -82,7 +82,7 @@
 }
 
 // commit carries out a change in all processes of the node.
-func (s *shared) commit(ctx context.Context, c maint.Change, to handover.Admin) error {
+func (s *shared) commit(ctx context.Context, c adminstate.Change, to handover.Admin) error {
 	if s.folder == nil {
 		return fmt.Errorf("nothing was done, since it would be forgotten: %w", s.why)
 	}
