--- a/internal/mgmt/mgmt.go
+++ b/internal/adminapi/mgmt.go
@@ -1,9 +1,9 @@
-// Package mgmt is the operators' address: one line in, one line out to a connection. It decides
+// Package adminapi is the operators' address: one line in, one line out to a connection. It decides
 // nothing; a Handler carries calls out.
 //
 // It shares nothing with clients' requests but the processor: places, buffers and descriptors
 // are its own. Whoever holds a place without finishing a call loses it to the next caller.
-package mgmt
+package adminapi
 
 import (
 	"bytes"
--- a/internal/mgmt/parse.go
+++ b/internal/adminapi/parse.go
@@ -1,4 +1,4 @@
-package mgmt
+package adminapi
 
 import (
 	"bytes"
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -8,13 +8,13 @@
 	"strings"
 	"time"
 
+	"yokestall/internal/adminapi"
 	"yokestall/internal/adminstate"
 	"yokestall/internal/handover"
 	"yokestall/internal/httpfront"
-	"yokestall/internal/mgmt"
 )
 
-// admin carries out what operators ask for. It implements mgmt.Handler and handover.Admin.
+// admin carries out what operators ask for. It implements adminapi.Handler and handover.Admin.
 type admin struct {
 	ctx    context.Context // the node's life
 	disco  *endpointWatcher
@@ -23,8 +23,8 @@
 	log    *slog.Logger
 }
 
-// Handle implements mgmt.Handler.
-func (a *admin) Handle(ctx context.Context, c mgmt.Call) (string, error) {
+// Handle implements adminapi.Handler.
+func (a *admin) Handle(ctx context.Context, c adminapi.Call) (string, error) {
 	if c.Ping {
 		switch {
 		case !a.front.Takes():
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/adminapi"
 	"yokestall/internal/discovery"
-	"yokestall/internal/mgmt"
 	"yokestall/internal/standin/appbox"
 	"yokestall/internal/standin/platform"
 	"yokestall/internal/testkit"
@@ -34,7 +34,7 @@
 // call makes one call to the operators' address.
 func (n *running) call(text string) string {
 	n.t.Helper()
-	answer, err := mgmt.Ask(n.node.mgmt.Addr().String(), text, testkit.Patience)
+	answer, err := adminapi.Ask(n.node.mgmt.Addr().String(), text, testkit.Patience)
 	if err != nil {
 		n.t.Fatalf("%s: %v", text, err)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"yokestall/internal/adminapi"
 	"yokestall/internal/closing"
 	"yokestall/internal/engine"
 	"yokestall/internal/handover"
@@ -20,7 +21,6 @@
 	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
 	"yokestall/internal/knowledge"
-	"yokestall/internal/mgmt"
 )
 
 const (
@@ -119,7 +119,7 @@
 	defer background.Wait()
 	defer stop()
 	if n.mgmt != nil {
-		background.Go(func() { mgmt.Serve(inner, n.mgmt, operators) })
+		background.Go(func() { adminapi.Serve(inner, n.mgmt, operators) })
 	}
 	if others != nil {
 		background.Go(func() { others.run(inner) })
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"yokestall/internal/adminapi"
 	"yokestall/internal/adminstate"
 	"yokestall/internal/conntable"
 	"yokestall/internal/discovery"
@@ -16,7 +17,6 @@
 	"yokestall/internal/httpfront"
 	"yokestall/internal/httpup"
 	"yokestall/internal/knowledge"
-	"yokestall/internal/mgmt"
 )
 
 const (
@@ -183,7 +183,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	own := s.front.Connections() + s.pool.Open() + ownDescriptors + mgmt.Descriptors
+	own := s.front.Connections() + s.pool.Open() + ownDescriptors + adminapi.Descriptors
 	hold, yields := handover.Hold(s.cfg.Limits.Sockets, own, s.folder.Me(), peers)
 	if joined := len(peers) > len(s.peers); joined || len(peers) < len(s.peers) {
 		s.log.Info("processes of the node", "others", len(peers), "descriptors", hold)
@@ -222,7 +222,7 @@
 func (c *Config) split(descriptors int) (servers int, places conntable.Limits, err error) {
 	free := descriptors - ownDescriptors
 	if c.Mgmt != "" {
-		free -= mgmt.Descriptors
+		free -= adminapi.Descriptors
 	}
 	if free < 16 {
 		return 0, places, errFew
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
+	"yokestall/internal/adminapi"
 	"yokestall/internal/discovery"
-	"yokestall/internal/mgmt"
 	"yokestall/internal/standin/appbox"
 	"yokestall/internal/standin/registrar"
 )
@@ -229,7 +229,7 @@
 
 // Call makes one call of an operator's and gives the answer, or why there is none.
 func (n *Node) Call(text string) string {
-	answer, err := mgmt.Ask(n.mgmt, text, patience)
+	answer, err := adminapi.Ask(n.mgmt, text, patience)
 	if err != nil {
 		return err.Error()
 	}
