--- a/internal/handover/folder.go
+++ b/internal/hotrestart/folder.go
@@ -1,11 +1,11 @@
-// Package handover is what two processes of one node do together while one replaces the other:
+// Package hotrestart is what two processes of one node do together while one replaces the other:
 // the clients' listening socket that the platform holds, the operators' record that both keep,
 // how the limits are split between them, and what the later one is given of what the other knows.
 //
 // They meet in a folder ($TMPDIR is the same for both). Each holds the lock of a file of its own
 // there for as long as it lives; the kernel frees it however the process ends, so that the dead
 // are told from the slow. Design: docs/maintenance.md.
-package handover
+package hotrestart
 
 import (
 	"cmp"
--- a/internal/handover/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/handover/split.go
+++ b/internal/hotrestart/split.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 // Least is what a process keeps of the descriptors, however little the others leave.
 const Least = 64
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -10,11 +10,11 @@
 
 	"yokestall/internal/adminapi"
 	"yokestall/internal/adminstate"
-	"yokestall/internal/handover"
+	"yokestall/internal/hotrestart"
 	"yokestall/internal/httpfront"
 )
 
-// admin carries out what operators ask for. It implements adminapi.Handler and handover.Admin.
+// admin carries out what operators ask for. It implements adminapi.Handler and hotrestart.Admin.
 type admin struct {
 	ctx    context.Context // the node's life
 	disco  *endpointWatcher
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// Check implements handover.Admin.
+// Check implements hotrestart.Admin.
 func (a *admin) Check(c adminstate.Change) (differs bool, err error) { return a.disco.check(c) }
 
-// Changes implements handover.Admin.
+// Changes implements hotrestart.Admin.
 func (a *admin) Changes() []adminstate.Change { return a.disco.changes() }
 
-// Take implements handover.Admin.
+// Take implements hotrestart.Admin.
 func (a *admin) Take(c adminstate.Change) {
 	a.disco.change(c)
 	switch c.Op {
@@ -70,7 +70,7 @@
 	}
 }
 
-var _ handover.Admin = (*admin)(nil)
+var _ hotrestart.Admin = (*admin)(nil)
 
 // status is what an answer says of the node.
 func (a *admin) status() string {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/handover"
+	"yokestall/internal/hotrestart"
 	"yokestall/internal/idle"
 	"yokestall/internal/simulator"
 	"yokestall/policy"
@@ -87,7 +87,7 @@
 			*to = v
 		}
 	}
-	c.Shared, c.Passed = getenv("TMPDIR"), getenv(handover.PassedSocket)
+	c.Shared, c.Passed = getenv("TMPDIR"), getenv(hotrestart.PassedSocket)
 	if c.Listen == "" || c.Discovery == "" {
 		return nil, fmt.Errorf("configuration %s: listen and discovery are required", path)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,7 +16,7 @@
 	"yokestall/internal/adminapi"
 	"yokestall/internal/closing"
 	"yokestall/internal/engine"
-	"yokestall/internal/handover"
+	"yokestall/internal/hotrestart"
 	"yokestall/internal/httpfront"
 	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
@@ -48,7 +48,7 @@
 
 // Listen takes the node's address.
 func Listen(cfg *Config) (*Node, error) {
-	l, err := handover.Listen(cfg.Passed, cfg.Listen)
+	l, err := hotrestart.Listen(cfg.Passed, cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -152,7 +152,7 @@
 	listener := front.Listener(n.listener)
 	failed := make(chan error, 1)
 	go func() { failed <- srv.Serve(listener) }()
-	others.be(handover.Serving)
+	others.be(hotrestart.Serving)
 	if n.mgmt != nil {
 		n.log.Info("operators are heard", "at", n.mgmt.Addr().String())
 	}
@@ -174,7 +174,7 @@
 	defer last.Stop()
 	if others.succeeded() { // what is queued in the kernel, and all that comes, is the later one's
 		listener.Close()
-		others.be(handover.Leaving)
+		others.be(hotrestart.Leaving)
 		front.Leave(limit, plan.idles())
 		n.log.Info("left to the later process", "connections", front.Connections(), "after", time.Since(began))
 		return nil
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -13,7 +13,7 @@
 	"yokestall/internal/conntable"
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
-	"yokestall/internal/handover"
+	"yokestall/internal/hotrestart"
 	"yokestall/internal/httpfront"
 	"yokestall/internal/httpup"
 	"yokestall/internal/knowledge"
@@ -35,13 +35,13 @@
 
 // shared is a process's part in a node that two of them may be. The nil one is alone for good.
 type shared struct {
-	folder *handover.Folder // nil: the folder can't be used, and why says so
+	folder *hotrestart.Folder // nil: the folder can't be used, and why says so
 	why    error
 	sharedParts
 
 	mu    sync.Mutex
-	phase handover.Phase
-	peers []handover.Presence
+	phase hotrestart.Phase
+	peers []hotrestart.Presence
 	held  int    // as split last
 	gave  uint64 // the latest process that was given what is known; of run alone
 }
@@ -60,7 +60,7 @@
 // join takes part in the node's folder, and has what operators have asked for in force.
 func join(p sharedParts) *shared {
 	s := &shared{sharedParts: p, held: p.cfg.Limits.Sockets}
-	folder, changes, err := handover.Join(p.cfg.Shared, p.cfg.Name+" "+p.cfg.Listen, p.log)
+	folder, changes, err := hotrestart.Join(p.cfg.Shared, p.cfg.Name+" "+p.cfg.Listen, p.log)
 	if err != nil {
 		p.log.Error("no record of operators' calls can be kept", "err", err)
 		s.why = err
@@ -82,7 +82,7 @@
 }
 
 // commit carries out a change in all processes of the node.
-func (s *shared) commit(ctx context.Context, c adminstate.Change, to handover.Admin) error {
+func (s *shared) commit(ctx context.Context, c adminstate.Change, to hotrestart.Admin) error {
 	if s.folder == nil {
 		return fmt.Errorf("nothing was done, since it would be forgotten: %w", s.why)
 	}
@@ -96,11 +96,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.phase == handover.Serving
+	return s.phase == hotrestart.Serving
 }
 
 // be tells the others how far this process is.
-func (s *shared) be(p handover.Phase) {
+func (s *shared) be(p hotrestart.Phase) {
 	if s == nil {
 		return
 	}
@@ -118,7 +118,7 @@
 	s.look()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return handover.Successor(s.folder.Me(), s.peers)
+	return hotrestart.Successor(s.folder.Me(), s.peers)
 }
 
 // heir tells whether an earlier process lives.
@@ -157,7 +157,7 @@
 // handOn leaves what this process knows for a later one, once.
 func (s *shared) handOn(ctx context.Context) {
 	s.mu.Lock()
-	last, starting := uint64(0), s.phase == handover.Starting
+	last, starting := uint64(0), s.phase == hotrestart.Starting
 	if n := len(s.peers); n > 0 {
 		last = s.peers[n-1].Number
 	}
@@ -184,13 +184,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	own := s.front.Connections() + s.pool.Open() + ownDescriptors + adminapi.Descriptors
-	hold, yields := handover.Hold(s.cfg.Limits.Sockets, own, s.folder.Me(), peers)
+	hold, yields := hotrestart.Hold(s.cfg.Limits.Sockets, own, s.folder.Me(), peers)
 	if joined := len(peers) > len(s.peers); joined || len(peers) < len(s.peers) {
 		s.log.Info("processes of the node", "others", len(peers), "descriptors", hold)
 		s.cluster.SetSlowStartShare(1 / float64(len(peers)+1))
 	}
 	s.peers = peers
-	if s.phase == handover.Leaving {
+	if s.phase == hotrestart.Leaving {
 		s.held = hold // what it has goes by itself; to make idle connections go would cost requests
 	} else if hold < s.held || hold >= s.held+coarse || hold == s.cfg.Limits.Sockets && hold > s.held {
 		s.resize(hold)
