--- a/internal/knowledge/golden_test.go
+++ b/internal/hotrestart/snapshot/golden_test.go
@@ -1,4 +1,4 @@
-package knowledge
+package snapshot
 
 import (
 	"bytes"
--- a/internal/knowledge/knowledge.go
+++ b/internal/hotrestart/snapshot/knowledge.go
@@ -1,8 +1,8 @@
-// Package knowledge is the form in which what a node knows goes from one of its processes to the
+// Package snapshot is the form in which what a node knows goes from one of its processes to the
 // next, or from one node to another: a snapshot with a version, a sum and the time at which it
 // was taken. It is pure. What is damaged, out of range or too old is left out piece by piece; a
 // piece that is left out only makes the heir know less.
-package knowledge
+package snapshot
 
 import (
 	"bytes"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,10 +17,10 @@
 	"yokestall/internal/closing"
 	"yokestall/internal/engine"
 	"yokestall/internal/hotrestart"
+	"yokestall/internal/hotrestart/snapshot"
 	"yokestall/internal/httpfront"
 	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
-	"yokestall/internal/knowledge"
 )
 
 const (
@@ -127,7 +127,7 @@
 	go pool.Retire(inner)
 	start := n.cfg.Known
 	if others != nil {
-		var taken *knowledge.Snapshot
+		var taken *snapshot.Snapshot
 		var age time.Duration
 		if start, taken, age = others.inherit(ctx); taken != nil {
 			disco.begun = func() { cluster.Restore(taken.Module.ToModule(clock), age) }
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -14,9 +14,9 @@
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
 	"yokestall/internal/hotrestart"
+	"yokestall/internal/hotrestart/snapshot"
 	"yokestall/internal/httpfront"
 	"yokestall/internal/httpup"
-	"yokestall/internal/knowledge"
 )
 
 const (
@@ -234,7 +234,7 @@
 
 // inherit waits for what an earlier process knows, for so long at most, and gives the list to
 // start from. Without an earlier process, or with one that hangs, that is the configuration's.
-func (s *shared) inherit(ctx context.Context) (start known, taken *knowledge.Snapshot, age time.Duration) {
+func (s *shared) inherit(ctx context.Context) (start known, taken *snapshot.Snapshot, age time.Duration) {
 	start = s.cfg.Known
 	if s.folder == nil {
 		return start, nil, 0
@@ -245,7 +245,7 @@
 			s.look()
 			continue
 		}
-		snap, age, left, err := knowledge.Decode(text, s.cfg.Name, s.cfg.classNames(), time.Now())
+		snap, age, left, err := snapshot.Decode(text, s.cfg.Name, s.cfg.classNames(), time.Now())
 		if err != nil {
 			s.log.Warn("what the earlier process knows can't be used", "err", err)
 			return start, nil, 0
@@ -271,10 +271,10 @@
 		return err
 	}
 	list := s.admin.disco.snapshot()
-	text, err := knowledge.Encode(knowledge.Snapshot{
+	text, err := snapshot.Encode(snapshot.Snapshot{
 		Node: s.cfg.Name, TakenMs: time.Now().UnixMilli(), Classes: s.cfg.classNames(),
 		Generation: list.Generation, Listed: list.Reset, List: list.Instances,
-		Module: knowledge.FromModule(k, s.clock),
+		Module: snapshot.FromModule(k, s.clock),
 	})
 	if err != nil {
 		return err
