--- a/internal/extproc/serve.go
+++ b/internal/extproc/serve.go
@@ -16,7 +16,7 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/reflection"
 
-	"yokestall/internal/closing"
+	"yokestall/internal/gracefulclose"
 )
 
 // Bounds of a connection.
@@ -61,7 +61,7 @@
 	case <-ctx.Done():
 	}
 	alive.Shutdown()
-	closing.Await() // the server drops what it accepts from here on
+	gracefulclose.Await() // the server drops what it accepts from here on
 	graceful := make(chan struct{})
 	go func() {
 		defer close(graceful)
--- a/internal/closing/closing.go
+++ b/internal/gracefulclose/closing.go
@@ -1,6 +1,6 @@
-// Package closing tells when a listening socket may be closed: connections that the kernel has taken
+// Package gracefulclose tells when a listening socket may be closed: connections that the kernel has taken
 // for it, and what lies in them, are reset with it. Turn is pure; Await and Listener look at the clock.
-package closing
+package gracefulclose
 
 import (
 	"net"
--- a/internal/closing/closing_test.go
+++ b/internal/gracefulclose/closing_test.go
@@ -1,4 +1,4 @@
-package closing
+package gracefulclose
 
 import (
 	"errors"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"yokestall/internal/adminapi"
-	"yokestall/internal/closing"
 	"yokestall/internal/engine"
+	"yokestall/internal/gracefulclose"
 	"yokestall/internal/hotrestart"
 	"yokestall/internal/hotrestart/snapshot"
 	"yokestall/internal/httpfront"
@@ -181,7 +181,7 @@
 	}
 	front.Stopping()
 	for e, before := (ending{plan: plan}), time.Now(); ; {
-		time.Sleep(closing.Look)
+		time.Sleep(gracefulclose.Look)
 		now := time.Now()
 		if e.over(now.Sub(before), now.Sub(began), front.Asked().Sub(began)) {
 			break
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yokestall/internal/closing"
+	"yokestall/internal/gracefulclose"
 )
 
 const (
@@ -41,14 +41,14 @@
 // ending is what a stop knows while it serves on.
 type ending struct {
 	plan stopPlan
-	turn closing.Turn // of what waits in the kernel, since nobody asks
+	turn gracefulclose.Turn // of what waits in the kernel, since nobody asks
 }
 
 // over takes a look that came so long after the one before it, and tells whether the listener may be
 // closed: the plan has ended serving, and whatever waits in the kernel had its turn since.
 func (e *ending) over(took, now, asked time.Duration) bool {
 	if e.plan.serves(now, asked) {
-		e.turn = closing.Turn{}
+		e.turn = gracefulclose.Turn{}
 		return false
 	}
 	return e.turn.Look(took) || now >= e.plan.abandons()
