--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -13,7 +13,7 @@
 	"github.com/pires/go-proxyproto"
 
 	"yokestall/internal/config"
-	"yokestall/internal/conntable"
+	"yokestall/internal/connlimit"
 	"yokestall/internal/edge"
 	"yokestall/internal/gracefulclose"
 	"yokestall/internal/h2front"
@@ -247,7 +247,7 @@
 	o := httpfront.Options{
 		Clock: a.clock, Log: a.Log, MaxBody: set.MaxBody, Edge: rules,
 		MaxHead: set.MaxHead, Stall: set.Stall,
-		Places: conntable.Limits{
+		Places: connlimit.Limits{
 			Asked: set.Connections, Reserve: max(1, set.Connections/16),
 			Silent: set.Silent, Over: max(1, set.Connections/overPart),
 		},
--- a/internal/conntable/conntable.go
+++ b/internal/connlimit/conntable.go
@@ -1,4 +1,4 @@
-// Package conntable decides which client connections a front keeps. It is pure: it
+// Package connlimit decides which client connections a front keeps. It is pure: it
 // does no I/O and has no clock. Whoever owns the sockets tells it what happens on
 // them and closes those that it names.
 //
@@ -12,7 +12,7 @@
 // connections, a newcomer that finds them all taken never shows here. So places are
 // kept free ahead of it: as soon as the connections that have asked grow into the
 // reserve, an idle one goes.
-package conntable
+package connlimit
 
 import (
 	"fmt"
--- a/internal/conntable/conntable_test.go
+++ b/internal/connlimit/conntable_test.go
@@ -1,4 +1,4 @@
-package conntable
+package connlimit
 
 import (
 	"fmt"
--- a/internal/h2front/leaving_test.go
+++ b/internal/h2front/leaving_test.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/net/http2"
 
-	"yokestall/internal/conntable"
+	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
 	"yokestall/internal/h2front"
 	"yokestall/internal/httpfront"
@@ -42,7 +42,7 @@
 	for _, cuts := range []bool{false, true} {
 		h := &holding{make(chan struct{}, 1), make(chan struct{}, 1)}
 		clock := engine.NewClock()
-		f := httpfront.New(h, httpfront.Options{Clock: clock, Places: conntable.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t)})
+		f := httpfront.New(h, httpfront.Options{Clock: clock, Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t)})
 		l := testkit.Listen(t)
 		srv := f.Server()
 		h2front.Attach(srv, h2front.Options{Streams: 10, Stall: testkit.Patience, Clock: clock, Log: testkit.Log(t)})
--- a/internal/httpfront/clients.go
+++ b/internal/httpfront/clients.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"yokestall/internal/adminstate"
-	"yokestall/internal/conntable"
+	"yokestall/internal/connlimit"
 )
 
 // clientConns carries out on sockets what the table of client connections decides.
@@ -24,7 +24,7 @@
 	end     sync.Once
 
 	mu       sync.Mutex
-	table    *conntable.Table
+	table    *connlimit.Table
 	draining bool
 	duck     adminstate.Duck
 	refill   context.CancelFunc // ends empty; set while the duck is lame
@@ -34,10 +34,10 @@
 	resting map[*clientConn]struct{}
 }
 
-func newClientConns(limits conntable.Limits) *clientConns {
+func newClientConns(limits connlimit.Limits) *clientConns {
 	return &clientConns{
 		zero: time.Now(), changed: make(chan struct{}, 1), ended: make(chan struct{}),
-		table: conntable.New(limits), resting: map[*clientConn]struct{}{},
+		table: connlimit.New(limits), resting: map[*clientConn]struct{}{},
 	}
 }
 
@@ -47,7 +47,7 @@
 type clientConn struct {
 	net.Conn
 	conns *clientConns
-	entry *conntable.Conn // guarded by conns.mu, as is
+	entry *connlimit.Conn // guarded by conns.mu, as is
 	http2 bool            // a request came over HTTP/2
 	seen  fieldScan       // of what is read
 	known int             // lengths that its requests had; of their handlers alone
--- a/internal/httpfront/clients_test.go
+++ b/internal/httpfront/clients_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"yokestall/internal/adminstate"
-	"yokestall/internal/conntable"
+	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
@@ -43,7 +43,7 @@
 	h := &held{taken: make(chan struct{}, 100), release: make(chan struct{})}
 	f := New(h, Options{
 		Clock: engine.NewClock(), Log: testkit.Log(t),
-		Places: conntable.Limits{Asked: asked, Reserve: reserve, Silent: 4, Over: over},
+		Places: connlimit.Limits{Asked: asked, Reserve: reserve, Silent: 4, Over: over},
 	})
 	l := testkit.Listen(t)
 	srv, listener, ended := f.Server(), f.Listener(l), make(chan error, 1)
@@ -96,7 +96,7 @@
 // client asks again elsewhere. Its place is given back once.
 func TestClosedWhileRead(t *testing.T) {
 	l := testkit.Listen(t)
-	conns := newClientConns(conntable.Limits{Asked: 1, Silent: 1})
+	conns := newClientConns(connlimit.Limits{Asked: 1, Silent: 1})
 	capped := cappedListener{l, conns}
 	defer capped.Close()
 	client, err := net.Dial("tcp", l.Addr().String())
@@ -130,7 +130,7 @@
 // not closed in favour of a newcomer, and what it has sent is read.
 func TestSpokenIsNotSilent(t *testing.T) {
 	l := testkit.Listen(t)
-	capped := cappedListener{l, newClientConns(conntable.Limits{Asked: 2, Silent: 1})}
+	capped := cappedListener{l, newClientConns(connlimit.Limits{Asked: 2, Silent: 1})}
 	defer capped.Close()
 	dial := func(say string) net.Conn {
 		client, err := net.Dial("tcp", l.Addr().String())
@@ -169,7 +169,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := testkit.Listen(t)
-			conns := newClientConns(conntable.Limits{Asked: 8, Silent: 8})
+			conns := newClientConns(connlimit.Limits{Asked: 8, Silent: 8})
 			capped := cappedListener{l, conns}
 			defer capped.Close()
 			accept := func(asked bool) (client net.Conn, c *clientConn) {
@@ -227,7 +227,7 @@
 		for _, again := range []bool{false, true} { // a first request, or a further one
 			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
 				t.Parallel()
-				f := New(&counter{}, Options{Clock: engine.NewClock(), Places: conntable.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
+				f := New(&counter{}, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
 				nc, err := net.Dial("tcp", serve(t, f))
 				if err != nil {
 					t.Fatal(err)
@@ -291,7 +291,7 @@
 		"POST /x HTTP/1.1\r\nContent-Length: 5\r\n\r\n\r\n\r\n":                false,
 		"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\na\r\n\r\n": false,
 	} {
-		cs := newClientConns(conntable.Limits{Asked: 1, Silent: 4, Over: 1})
+		cs := newClientConns(connlimit.Limits{Asked: 1, Silent: 4, Over: 1})
 		l := cappedListener{testkit.Listen(t), cs}
 		speak := func(text string) *clientConn {
 			there, err := net.Dial("tcp", l.Addr().String())
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -19,7 +19,7 @@
 	"sync/atomic"
 	"time"
 
-	"yokestall/internal/conntable"
+	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
@@ -53,7 +53,7 @@
 // Options are the figures of a Front.
 type Options struct {
 	Clock  engine.Clock
-	Places conntable.Limits
+	Places connlimit.Limits
 	// Strict holds clients to the platform's protocol: an id, a time-out and, where
 	// there are tenants, a tenant with each request, and the method that goes with the
 	// class. Else the front gives ids, the class's deadline holds, and a request with
@@ -169,7 +169,7 @@
 }
 
 // Resize changes the places for client connections.
-func (f *Front) Resize(l conntable.Limits) {
+func (f *Front) Resize(l connlimit.Limits) {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
 	f.conns.table.Resize(l)
--- a/internal/httpfront/strict_test.go
+++ b/internal/httpfront/strict_test.go
@@ -6,7 +6,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"yokestall/internal/conntable"
+	"yokestall/internal/connlimit"
 	"yokestall/internal/httpup"
 )
 
@@ -14,7 +14,7 @@
 // on at all; what they held is given back.
 func TestHeldBodiesKeepToTheirPart(t *testing.T) {
 	const part = 4 << 20
-	f := New(nil, Options{Strict: true, Held: part, Places: conntable.Limits{Asked: 1, Silent: 1}})
+	f := New(nil, Options{Strict: true, Held: part, Places: connlimit.Limits{Asked: 1, Silent: 1}})
 	var held []*httpup.Request
 	for i := range 200 {
 		length := int64(-1)
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -10,7 +10,7 @@
 
 	"yokestall/internal/adminapi"
 	"yokestall/internal/adminstate"
-	"yokestall/internal/conntable"
+	"yokestall/internal/connlimit"
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
 	"yokestall/internal/hotrestart"
@@ -219,7 +219,7 @@
 var errFew = errors.New("limits: too few descriptors")
 
 // split divides descriptors among servers and clients.
-func (c *Config) split(descriptors int) (servers int, places conntable.Limits, err error) {
+func (c *Config) split(descriptors int) (servers int, places connlimit.Limits, err error) {
 	free := descriptors - ownDescriptors
 	if c.Mgmt != "" {
 		free -= adminapi.Descriptors
@@ -228,7 +228,7 @@
 		return 0, places, errFew
 	}
 	servers = int(serversPart * float64(free))
-	places, err = conntable.Split(free-servers, int(c.ClientsPart*float64(descriptors)))
+	places, err = connlimit.Split(free-servers, int(c.ClientsPart*float64(descriptors)))
 	return servers, places, err
 }
 
