--- a/internal/httpup/httpup.go
+++ b/internal/httpup/httpup.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/idle"
+	"yokestall/internal/keepalive"
 	"yokestall/policy"
 )
 
@@ -102,7 +102,7 @@
 	AnyAnswer bool
 	// Nodes share the servers; 0: this one is alone. Prices are the site's.
 	Nodes  int
-	Prices idle.Prices
+	Prices keepalive.Prices
 	// Large passes answers with a body over MaxBody on as streams, also without AnyAnswer; a smaller
 	// one may take long so long as it goes on.
 	Large bool
@@ -116,7 +116,7 @@
 type Pool struct {
 	idleFor        time.Duration // a connection that was idle for longer is not used
 	nodes          int
-	prices         idle.Prices
+	prices         keepalive.Prices
 	settle         time.Duration
 	patient        time.Duration // see patientFrom
 	connectTimeout time.Duration
@@ -190,7 +190,7 @@
 		idleFor: time.Duration(float64(o.ServersIdle) * IdlePart),
 		settle:  settleTime, patient: patientFrom, connectTimeout: o.ConnectTimeout, maxOpen: o.MaxOpen, anyAnswer: o.AnyAnswer, large: o.Large, tls: o.TLS,
 		servers: map[policy.EndpointID]*server{}, nodes: o.Nodes, prices: o.Prices,
-		keep: idle.Keep(idle.Fleet{Nodes: o.Nodes}), span: time.Duration(float64(o.ServersIdle) * IdlePart), looked: time.Now(),
+		keep: keepalive.Keep(keepalive.Fleet{Nodes: o.Nodes}), span: time.Duration(float64(o.ServersIdle) * IdlePart), looked: time.Now(),
 	}
 	if o.Settle > 0 {
 		u.settle, u.patient = o.Settle, max(patientFrom, patientParts*o.Settle)
@@ -290,7 +290,7 @@
 // share looks anew at what this node's share of idle connections is, by what it has used since the
 // last look; u.mu is held.
 func (u *Pool) share(now time.Time) {
-	f := idle.Fleet{Nodes: u.nodes, Servers: len(u.servers)}
+	f := keepalive.Fleet{Nodes: u.nodes, Servers: len(u.servers)}
 	for _, s := range u.servers {
 		if s.used || len(s.idle) > 0 {
 			f.Used++
@@ -299,7 +299,7 @@
 	}
 	f.PerSecond = float64(u.given*max(1, u.nodes)) / max(now.Sub(u.looked).Seconds(), 1e-3)
 	u.given, u.looked = 0, now
-	u.keep, u.span = idle.Keep(f), idle.Span(f, u.prices, u.idleFor)
+	u.keep, u.span = keepalive.Keep(f), keepalive.Span(f, u.prices, u.idleFor)
 }
 
 // take gives an idle connection, or leave to open one: nil and the server. At
--- a/internal/idle/idle.go
+++ b/internal/keepalive/idle.go
@@ -1,8 +1,8 @@
-// Package idle says how many connections to servers a node keeps that carry nothing, and for how
+// Package keepalive says how many connections to servers a node keeps that carry nothing, and for how
 // long. It is pure. A server holds only so many connections from all nodes together, and a site may
 // price those that stand open and those that are opened: what one node keeps for itself has to be
 // its share, and worth its price.
-package idle
+package keepalive
 
 import "time"
 
--- a/internal/idle/idle_test.go
+++ b/internal/keepalive/idle_test.go
@@ -1,4 +1,4 @@
-package idle
+package keepalive
 
 import (
 	"testing"
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -13,7 +13,7 @@
 
 	"yokestall/internal/discovery"
 	"yokestall/internal/hotrestart"
-	"yokestall/internal/idle"
+	"yokestall/internal/keepalive"
 	"yokestall/internal/simulator"
 	"yokestall/policy"
 )
@@ -43,7 +43,7 @@
 	DrainGrace     time.Duration // from word of a drain on, in which sends to a server have to end
 	ConnIdle       time.Duration // servers close a connection that was idle for so long
 	ConnectTimeout time.Duration
-	IdlePrices     idle.Prices
+	IdlePrices     keepalive.Prices
 	ListPrice      float64      // for a hundred lines a request
 	ClientsPart    float64      // of all descriptors, for client connections that have asked; 0.1 to 1
 	Log            *slog.Logger // nil: the default one
@@ -199,7 +199,7 @@
 		}
 		*t.to = millis(*t.given)
 	}
-	c.IdlePrices = idle.Prices{Handshake: own.Deductions.Handshake, Connection: own.Deductions.Connection}
+	c.IdlePrices = keepalive.Prices{Handshake: own.Deductions.Handshake, Connection: own.Deductions.Connection}
 	c.ListPrice = own.Deductions.RegistryMode
 	return c, nil
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/idle"
+	"yokestall/internal/keepalive"
 )
 
 // The golden file is a configuration with every key that is read here. The platform writes such
@@ -55,7 +55,7 @@
 	if c.ConnIdle != 14001*time.Millisecond || c.ConnectTimeout != 252*time.Millisecond || c.DrainGrace != 353*time.Millisecond {
 		t.Errorf("idle %v, connect %v, grace %v", c.ConnIdle, c.ConnectTimeout, c.DrainGrace)
 	}
-	if want := (idle.Prices{Handshake: 0.042, Connection: 0.041}); c.IdlePrices != want || c.ListPrice != 0.043 {
+	if want := (keepalive.Prices{Handshake: 0.042, Connection: 0.041}); c.IdlePrices != want || c.ListPrice != 0.043 {
 		t.Errorf("prices %+v and %v", c.IdlePrices, c.ListPrice)
 	}
 }
