--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -14,7 +14,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/connlimit"
-	"yokestall/internal/edge"
+	"yokestall/internal/forwarded"
 	"yokestall/internal/gracefulclose"
 	"yokestall/internal/h2front"
 	"yokestall/internal/h2guard"
@@ -239,11 +239,11 @@
 
 // ServeBy is Serve by other settings.
 func (a *App) ServeBy(ctx context.Context, l net.Listener, set config.Listener) error {
-	trust, err := edge.ParseTrust(strings.Fields(set.Trust))
+	trust, err := forwarded.ParseTrust(strings.Fields(set.Trust))
 	if err != nil {
 		return err
 	}
-	rules := &edge.Rules{Trust: trust, Standard: set.Forwarded}
+	rules := &forwarded.Rules{Trust: trust, Standard: set.Forwarded}
 	o := httpfront.Options{
 		Clock: a.clock, Log: a.Log, MaxBody: set.MaxBody, Edge: rules,
 		MaxHead: set.MaxHead, Stall: set.Stall,
@@ -322,11 +322,11 @@
 
 // proxied has connections of those trusted begin with a PROXY header (v1 or v2), which names
 // the client. Others may not send one: to them it is a malformed request.
-func proxied(l net.Listener, rules *edge.Rules, required bool) net.Listener {
+func proxied(l net.Listener, rules *forwarded.Rules, required bool) net.Listener {
 	return &proxyproto.Listener{
 		Listener: l, ReadHeaderTimeout: proxyHeader,
 		ConnPolicy: func(o proxyproto.ConnPolicyOptions) (proxyproto.Policy, error) {
-			switch trusted := rules.Trusts(edge.Addr(o.Upstream.String())); {
+			switch trusted := rules.Trusts(forwarded.Addr(o.Upstream.String())); {
 			case trusted && required:
 				return proxyproto.REQUIRE, nil
 			case trusted:
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"yokestall/internal/cluster"
-	"yokestall/internal/edge"
+	"yokestall/internal/forwarded"
 )
 
 type listenerFile struct {
@@ -106,7 +106,7 @@
 	if d := l.Drain; d < 0 || d > 24*time.Hour {
 		report(table, i, "drain", "%v is not from 0 to 24h", d)
 	}
-	if _, err := edge.ParseTrust(f.Trust); err != nil {
+	if _, err := forwarded.ParseTrust(f.Trust); err != nil {
 		report(table, i, "trust", "%v", err)
 	}
 	if l.Proxy != "" && l.Proxy != "optional" && l.Proxy != "required" {
--- a/internal/edge/edge.go
+++ b/internal/forwarded/edge.go
@@ -1,8 +1,8 @@
-// Package edge decides what of a request's way to this program is believed and told on: the
+// Package forwarded decides what of a request's way to this program is believed and told on: the
 // client's address, scheme and host by X-Forwarded-* (de facto) and Forwarded (RFC 7239).
 // It is pure. Who may say something about the way before it is named by networks; what
 // others say of it is dropped, so that no client can pass for another.
-package edge
+package forwarded
 
 import (
 	"errors"
--- a/internal/edge/edge_test.go
+++ b/internal/forwarded/edge_test.go
@@ -1,4 +1,4 @@
-package edge
+package forwarded
 
 import (
 	"net/http"
