--- a/internal/app/managed.go
+++ b/internal/app/managed.go
@@ -16,7 +16,7 @@
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
 	"yokestall/internal/priority"
-	"yokestall/internal/streamlife"
+	"yokestall/internal/streamtimeout"
 	"yokestall/internal/tlskeys"
 	"yokestall/policy"
 )
@@ -160,7 +160,7 @@
 	}
 	if err == nil && a.Verdict == engine.Served {
 		if o, ok := q.Payload.(*httpup.Request); ok {
-			r.streams.hold(a, streamlife.Limits{Whole: o.Limits.Whole, Drain: o.Limits.Drain})
+			r.streams.hold(a, streamtimeout.Limits{Whole: o.Limits.Whole, Drain: o.Limits.Drain})
 		}
 	}
 	return a, err
--- a/internal/app/streams.go
+++ b/internal/app/streams.go
@@ -7,7 +7,7 @@
 
 	"yokestall/internal/engine"
 	"yokestall/internal/httpup"
-	"yokestall/internal/streamlife"
+	"yokestall/internal/streamtimeout"
 	"yokestall/policy"
 )
 
@@ -16,21 +16,21 @@
 	clock engine.Clock
 
 	mu    sync.Mutex
-	table *streamlife.Table
+	table *streamtimeout.Table
 	timer *time.Timer // runs expire when the table's next one is due
 }
 
 func newStreams(clock engine.Clock) *streams {
-	s := &streams{clock: clock, table: streamlife.New()}
+	s := &streams{clock: clock, table: streamtimeout.New()}
 	s.timer = time.AfterFunc(time.Hour, s.expire)
 	s.timer.Stop()
 	return s
 }
 
 // hold follows an answer that goes on, until it is closed.
-func (s *streams) hold(a engine.Answer, l streamlife.Limits) {
+func (s *streams) hold(a engine.Answer, l streamtimeout.Limits) {
 	answer, ok := a.Value.(*httpup.Answer)
-	if !ok || answer.Stream == nil && answer.Tunnel == nil || l == (streamlife.Limits{}) {
+	if !ok || answer.Stream == nil && answer.Tunnel == nil || l == (streamtimeout.Limits{}) {
 		return
 	}
 	var abort func()
@@ -97,7 +97,7 @@
 // held is a stream's place in the table.
 type held struct {
 	streams *streams
-	entry   *streamlife.Stream
+	entry   *streamtimeout.Stream
 	once    sync.Once
 }
 
--- a/internal/streamlife/streamlife.go
+++ b/internal/streamtimeout/streamlife.go
@@ -1,11 +1,11 @@
-// Package streamlife decides how long answers that go on as streams, and upgraded connections,
+// Package streamtimeout decides how long answers that go on as streams, and upgraded connections,
 // may live once their attempt is over. It is pure: time is passed in, and what has to end is
 // handed out.
 //
 // An attempt ends with the head of its answer; the drain rule speaks of new work and leaves it
 // alone. But an event stream lives for hours, and a server that waits for its last one would
 // never be gone. So a stream has a bound of its own behind word that its server drains.
-package streamlife
+package streamtimeout
 
 import (
 	"container/heap"
--- a/internal/streamlife/streamlife_test.go
+++ b/internal/streamtimeout/streamlife_test.go
@@ -1,4 +1,4 @@
-package streamlife
+package streamtimeout
 
 import (
 	"testing"
