--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -16,8 +16,8 @@
 	"yokestall/internal/connlimit"
 	"yokestall/internal/forwarded"
 	"yokestall/internal/gracefulclose"
+	"yokestall/internal/h2flood"
 	"yokestall/internal/h2front"
-	"yokestall/internal/h2guard"
 	"yokestall/internal/httpfront"
 	"yokestall/internal/tlskeys"
 )
@@ -269,7 +269,7 @@
 	if set.HTTP2 > 0 {
 		over2 = h2front.Attach(srv, h2front.Options{
 			Streams: set.HTTP2, Stall: set.Stall, Clock: a.clock, Log: a.Log,
-			Floods: h2guard.Limits{Resets: set.Resets, Controls: set.Controls, Pieces: set.Pieces},
+			Floods: h2flood.Limits{Resets: set.Resets, Controls: set.Controls, Pieces: set.Pieces},
 		})
 	}
 	defer srv.Close()
--- a/internal/h2guard/h2guard.go
+++ b/internal/h2flood/h2guard.go
@@ -1,11 +1,11 @@
-// Package h2guard counts what an HTTP/2 connection carries against a listener's limits. It is
+// Package h2flood counts what an HTTP/2 connection carries against a listener's limits. It is
 // pure: bytes and times go in, a verdict comes out. It reads the headers of frames alone
 // (RFC 9113, 4.1); what they mean is left to the server behind it.
 //
 // The server's own limits bound what a flood costs in memory. They don't bound what it costs in
 // work: a client may reset a stream a microsecond after it opened it, or have the server reset
 // it, as often as it likes, and each time a request is begun for nothing.
-package h2guard
+package h2flood
 
 import (
 	"encoding/binary"
--- a/internal/h2guard/h2guard_test.go
+++ b/internal/h2flood/h2guard_test.go
@@ -1,4 +1,4 @@
-package h2guard
+package h2flood
 
 import (
 	"bytes"
--- a/internal/h2front/h2front.go
+++ b/internal/h2front/h2front.go
@@ -1,5 +1,5 @@
 // Package h2front serves clients over HTTP/2 beside net/http's server for HTTP/1.1: what a client
-// does to its connection is held to limits (internal/h2guard), and clients can be told to move
+// does to its connection is held to limits (internal/h2flood), and clients can be told to move
 // while requests over HTTP/1.1 go on.
 package h2front
 
@@ -18,7 +18,7 @@
 	"golang.org/x/net/http2"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/h2guard"
+	"yokestall/internal/h2flood"
 )
 
 const (
@@ -32,7 +32,7 @@
 // Options are the figures of a Server.
 type Options struct {
 	Streams int // open at once on a connection, 1 or more
-	Floods  h2guard.Limits
+	Floods  h2flood.Limits
 	Stall   time.Duration // a client may leave what it is sent unread for so long
 	Clock   engine.Clock
 	Log     *slog.Logger // nil: the default one
@@ -103,7 +103,7 @@
 
 func (s *Server) guard(nc net.Conn, begun bool) *guarded {
 	now := s.Clock.Now()
-	return &guarded{Conn: nc, server: s, guard: h2guard.New(s.Floods, now, begun)}
+	return &guarded{Conn: nc, server: s, guard: h2flood.New(s.Floods, now, begun)}
 }
 
 // guarded counts what an HTTP/2 connection carries.
@@ -112,7 +112,7 @@
 	server *Server
 
 	mu    sync.Mutex // reads and writes are on goroutines of their own
-	guard *h2guard.Guard
+	guard *h2flood.Guard
 	over  bool
 }
 
