--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -14,11 +14,11 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/connlimit"
+	"yokestall/internal/downstream/h1server"
 	"yokestall/internal/forwarded"
 	"yokestall/internal/gracefulclose"
 	"yokestall/internal/h2flood"
 	"yokestall/internal/h2front"
-	"yokestall/internal/httpfront"
 	"yokestall/internal/tlskeys"
 )
 
@@ -244,7 +244,7 @@
 		return err
 	}
 	rules := &forwarded.Rules{Trust: trust, Standard: set.Forwarded}
-	o := httpfront.Options{
+	o := h1server.Options{
 		Clock: a.clock, Log: a.Log, MaxBody: set.MaxBody, Edge: rules,
 		MaxHead: set.MaxHead, Stall: set.Stall,
 		Places: connlimit.Limits{
@@ -262,7 +262,7 @@
 		}
 		o.TLS = a.Keys.Server(tlskeys.Clients{Roots: set.ClientRoots, Require: set.ClientNeeds}, protos...)
 	}
-	front := httpfront.New(a.repeats(), o)
+	front := h1server.New(a.repeats(), o)
 	front.Ready()
 	srv := front.Server()
 	var over2 *h2front.Server
--- a/internal/httpfront/front.go
+++ b/internal/downstream/h1server/front.go
@@ -1,7 +1,7 @@
-// Package httpfront takes clients' requests over HTTP/1.1 and gives them their answers.
+// Package h1server takes clients' requests over HTTP/1.1 and gives them their answers.
 // It decides neither where a request goes (a Router does) nor what becomes of it there
 // (the engine does).
-package httpfront
+package h1server
 
 import (
 	"context"
--- a/internal/httpfront/leaving.go
+++ b/internal/downstream/h1server/leaving.go
@@ -1,4 +1,4 @@
-package httpfront
+package h1server
 
 import (
 	"context"
--- a/internal/h2front/leaving_test.go
+++ b/internal/h2front/leaving_test.go
@@ -13,9 +13,9 @@
 	"golang.org/x/net/http2"
 
 	"yokestall/internal/connlimit"
+	"yokestall/internal/downstream/h1server"
 	"yokestall/internal/engine"
 	"yokestall/internal/h2front"
-	"yokestall/internal/httpfront"
 	"yokestall/internal/ingress"
 	"yokestall/internal/testkit"
 )
@@ -42,7 +42,7 @@
 	for _, cuts := range []bool{false, true} {
 		h := &holding{make(chan struct{}, 1), make(chan struct{}, 1)}
 		clock := engine.NewClock()
-		f := httpfront.New(h, httpfront.Options{Clock: clock, Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t)})
+		f := h1server.New(h, h1server.Options{Clock: clock, Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t)})
 		l := testkit.Listen(t)
 		srv := f.Server()
 		h2front.Attach(srv, h2front.Options{Streams: 10, Stall: testkit.Patience, Clock: clock, Log: testkit.Log(t)})
--- a/internal/h2front/storm_test.go
+++ b/internal/h2front/storm_test.go
@@ -16,9 +16,9 @@
 	"golang.org/x/net/http2"
 
 	"yokestall/internal/connlimit"
+	"yokestall/internal/downstream/h1server"
 	"yokestall/internal/engine"
 	"yokestall/internal/h2front"
-	"yokestall/internal/httpfront"
 	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
 	"yokestall/internal/testkit"
@@ -44,7 +44,7 @@
 // serve serves a front over HTTP/2 until the test's end.
 func serve(t *testing.T, to ingress.Router, clock engine.Clock) (addr string) {
 	t.Helper()
-	f := httpfront.New(to, httpfront.Options{Clock: clock, Places: connlimit.Limits{Asked: 64, Silent: 64}, Log: testkit.Log(t)})
+	f := h1server.New(to, h1server.Options{Clock: clock, Places: connlimit.Limits{Asked: 64, Silent: 64}, Log: testkit.Log(t)})
 	l := testkit.Listen(t)
 	srv := f.Server()
 	h2front.Attach(srv, h2front.Options{Streams: 200, Stall: testkit.Patience, Clock: clock, Log: testkit.Log(t)})
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -10,15 +10,15 @@
 
 	"yokestall/internal/adminapi"
 	"yokestall/internal/adminstate"
+	"yokestall/internal/downstream/h1server"
 	"yokestall/internal/hotrestart"
-	"yokestall/internal/httpfront"
 )
 
 // admin carries out what operators ask for. It implements adminapi.Handler and hotrestart.Admin.
 type admin struct {
 	ctx    context.Context // the node's life
 	disco  *endpointWatcher
-	front  *httpfront.Front
+	front  *h1server.Front
 	shared *shared // nil: no other process can be there
 	log    *slog.Logger
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"yokestall/internal/adminapi"
+	"yokestall/internal/downstream/h1server"
 	"yokestall/internal/engine"
 	"yokestall/internal/gracefulclose"
 	"yokestall/internal/hotrestart"
 	"yokestall/internal/hotrestart/snapshot"
-	"yokestall/internal/httpfront"
 	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
 )
@@ -103,7 +103,7 @@
 		return err
 	}
 	disco.to = sink{cluster, pool}
-	front := httpfront.New(router{n.cfg, cluster}, httpfront.Options{
+	front := h1server.New(router{n.cfg, cluster}, h1server.Options{
 		Clock: clock, Places: places, Strict: true, Log: n.log,
 		Stall: streamStall, MaxBody: maxBody, Held: int64(n.cfg.Limits.MemoryMB) << 20 / heldPart,
 	})
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -12,10 +12,10 @@
 	"yokestall/internal/adminstate"
 	"yokestall/internal/connlimit"
 	"yokestall/internal/discovery"
+	"yokestall/internal/downstream/h1server"
 	"yokestall/internal/engine"
 	"yokestall/internal/hotrestart"
 	"yokestall/internal/hotrestart/snapshot"
-	"yokestall/internal/httpfront"
 	"yokestall/internal/httpup"
 )
 
@@ -51,7 +51,7 @@
 	cfg     *Config
 	clock   engine.Clock
 	cluster *engine.Cluster
-	front   *httpfront.Front
+	front   *h1server.Front
 	pool    *httpup.Pool
 	admin   *admin
 	log     *slog.Logger
