--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -15,10 +15,10 @@
 	"yokestall/internal/config"
 	"yokestall/internal/connlimit"
 	"yokestall/internal/downstream/h1server"
+	"yokestall/internal/downstream/h2server"
 	"yokestall/internal/forwarded"
 	"yokestall/internal/gracefulclose"
 	"yokestall/internal/h2flood"
-	"yokestall/internal/h2front"
 	"yokestall/internal/tlskeys"
 )
 
@@ -265,9 +265,9 @@
 	front := h1server.New(a.repeats(), o)
 	front.Ready()
 	srv := front.Server()
-	var over2 *h2front.Server
+	var over2 *h2server.Server
 	if set.HTTP2 > 0 {
-		over2 = h2front.Attach(srv, h2front.Options{
+		over2 = h2server.Attach(srv, h2server.Options{
 			Streams: set.HTTP2, Stall: set.Stall, Clock: a.clock, Log: a.Log,
 			Floods: h2flood.Limits{Resets: set.Resets, Controls: set.Controls, Pieces: set.Pieces},
 		})
--- a/internal/h2front/h2front.go
+++ b/internal/downstream/h2server/h2front.go
@@ -1,7 +1,7 @@
-// Package h2front serves clients over HTTP/2 beside net/http's server for HTTP/1.1: what a client
+// Package h2server serves clients over HTTP/2 beside net/http's server for HTTP/1.1: what a client
 // does to its connection is held to limits (internal/h2flood), and clients can be told to move
 // while requests over HTTP/1.1 go on.
-package h2front
+package h2server
 
 //lint:file-ignore SA1019 golang.org/x/net/http2 gives control over each server connection that net/http does not offer
 
--- a/internal/h2front/leaving_test.go
+++ b/internal/downstream/h2server/leaving_test.go
@@ -1,4 +1,4 @@
-package h2front_test
+package h2server_test
 
 //lint:file-ignore SA1019 golang.org/x/net/http2 gives control over the connection of a client that net/http does not offer
 
@@ -14,8 +14,8 @@
 
 	"yokestall/internal/connlimit"
 	"yokestall/internal/downstream/h1server"
+	"yokestall/internal/downstream/h2server"
 	"yokestall/internal/engine"
-	"yokestall/internal/h2front"
 	"yokestall/internal/ingress"
 	"yokestall/internal/testkit"
 )
@@ -45,7 +45,7 @@
 		f := h1server.New(h, h1server.Options{Clock: clock, Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t)})
 		l := testkit.Listen(t)
 		srv := f.Server()
-		h2front.Attach(srv, h2front.Options{Streams: 10, Stall: testkit.Patience, Clock: clock, Log: testkit.Log(t)})
+		h2server.Attach(srv, h2server.Options{Streams: 10, Stall: testkit.Patience, Clock: clock, Log: testkit.Log(t)})
 		served := make(chan error, 1)
 		go func() { served <- f.Serve(srv, f.Listener(l)) }()
 		var nc net.Conn
