--- a/cmd/yokestall-node/imports_test.go
+++ b/cmd/yokestall-node/imports_test.go
@@ -25,7 +25,7 @@
 		default:
 			t.Errorf("%s is linked", dep)
 		}
-		for _, own := range []string{"internal/app", "internal/cli", "internal/config", "internal/files", "internal/xds", "internal/extproc"} {
+		for _, own := range []string{"internal/app", "internal/cli", "internal/config", "internal/files", "internal/xds", "internal/downstream/extproc"} {
 			if dep == "yokestall/"+own {
 				t.Errorf("%s is linked: it serves the product program", dep)
 			}
--- a/internal/app/callers.go
+++ b/internal/app/callers.go
@@ -6,7 +6,7 @@
 	"net"
 
 	"yokestall/internal/config"
-	"yokestall/internal/extproc"
+	"yokestall/internal/downstream/extproc"
 	"yokestall/internal/idempotency"
 	"yokestall/internal/tlskeys"
 )
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -25,7 +25,7 @@
 	"yokestall/internal/app"
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
-	"yokestall/internal/extproc"
+	"yokestall/internal/downstream/extproc"
 	"yokestall/internal/files"
 	"yokestall/internal/standin/appbox"
 	"yokestall/internal/standin/proxy"
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,7 +21,7 @@
 
 	"yokestall/internal/app"
 	"yokestall/internal/cluster"
-	"yokestall/internal/extproc"
+	"yokestall/internal/downstream/extproc"
 	"yokestall/internal/files"
 	"yokestall/internal/standin/appbox"
 	"yokestall/internal/standin/controlplane"
--- a/internal/extproc/extproc_test.go
+++ b/internal/downstream/extproc/extproc_test.go
@@ -27,7 +27,7 @@
 	"yokestall/internal/callers"
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
-	"yokestall/internal/extproc"
+	"yokestall/internal/downstream/extproc"
 	"yokestall/internal/files"
 	"yokestall/internal/standin/appbox"
 	"yokestall/internal/standin/keymaker"
--- a/internal/extproc/fields_test.go
+++ b/internal/downstream/extproc/fields_test.go
@@ -89,7 +89,7 @@
 func TestFieldTable(t *testing.T) {
 	var page strings.Builder
 	page.WriteString("# The external processor: every field of the protocol\n\nMessages of `envoy.service.ext_proc.v3`. " +
-		"Written by `YOKESTALL_WRITE=1 go test ./internal/extproc -run TestFieldTable`, which fails where a field has no line.\n\n| field | use |\n| --- | --- |\n")
+		"Written by `YOKESTALL_WRITE=1 go test ./internal/downstream/extproc -run TestFieldTable`, which fails where a field has no line.\n\n| field | use |\n| --- | --- |\n")
 	known := map[string]bool{}
 	for _, m := range []proto.Message{
 		&pb.ProcessingRequest{}, &pb.ProtocolConfiguration{}, &pb.HttpHeaders{}, &pb.HttpBody{}, &pb.HttpTrailers{},
@@ -122,6 +122,6 @@
 			t.Fatal(err)
 		}
 	} else if text, err := os.ReadFile(path); err != nil || string(text) != page.String() {
-		t.Errorf("the page is another one (%v): YOKESTALL_WRITE=1 go test ./internal/extproc -run TestFieldTable", err)
+		t.Errorf("the page is another one (%v): YOKESTALL_WRITE=1 go test ./internal/downstream/extproc -run TestFieldTable", err)
 	}
 }
