--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -18,13 +18,13 @@
 	"yokestall/internal/config"
 	"yokestall/internal/engine"
 	"yokestall/internal/files"
-	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
 	"yokestall/internal/idempotency/keystore"
 	"yokestall/internal/idempotency/replay"
 	"yokestall/internal/ingress"
 	"yokestall/internal/route"
 	"yokestall/internal/tlskeys"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -342,7 +342,7 @@
 	out := ingress.Destination{
 		Cluster: to, Class: class, Effect: c.Idempotency, Window: c.DedupWindow, Deadline: deadline,
 		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
-		Streams:     httpup.StreamLimits{Stall: c.Progress, Whole: c.Stream, Drain: c.Drain},
+		Streams:     h1client.StreamLimits{Stall: c.Progress, Whole: c.Stream, Drain: c.Drain},
 		MaxAttempts: m.Route.MaxAttempts, PerTry: m.Route.PerTry, Certified: s.tenants.byCertificate,
 		Pick: m.Route.Processor == "pick" || m.Route.Processor == "" && s.program.ExtProc.Pick,
 	}
--- a/internal/app/http_test.go
+++ b/internal/app/http_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"yokestall/internal/cluster"
-	"yokestall/internal/httpup"
 	"yokestall/internal/testkit"
+	"yokestall/internal/upstream/h1client"
 )
 
 func behind(t testing.TB, handle http.HandlerFunc) *serving {
@@ -101,7 +101,7 @@
 	})
 	asked := 0
 	for _, path := range []string{"/length", "/chunks", "/pauses"} {
-		for _, n := range []int{0, 1, 4096, httpup.MaxBody - 1, httpup.MaxBody, httpup.MaxBody + 1, 200000, len(bytes), 17} {
+		for _, n := range []int{0, 1, 4096, h1client.MaxBody - 1, h1client.MaxBody, h1client.MaxBody + 1, 200000, len(bytes), 17} {
 			asked++
 			resp, body := s.do("GET", fmt.Sprintf("%s?n=%d", path, n), "")
 			if resp.StatusCode != 200 || body != string(bytes[:n]) {
@@ -131,7 +131,7 @@
 		panic(http.ErrAbortHandler)
 	})
 	for _, path := range []string{"/length", "/chunks"} {
-		for _, n := range []int{httpup.MaxBody + 1, 300000, 999999} {
+		for _, n := range []int{h1client.MaxBody + 1, 300000, 999999} {
 			before := asked.Load()
 			resp, err := s.client.Get(fmt.Sprintf("%s%s?n=%d", s.url, path, n))
 			if err != nil {
--- a/internal/app/managed.go
+++ b/internal/app/managed.go
@@ -14,10 +14,10 @@
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/priority"
 	"yokestall/internal/streamtimeout"
 	"yokestall/internal/tlskeys"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -159,7 +159,7 @@
 		}
 	}
 	if err == nil && a.Verdict == engine.Served {
-		if o, ok := q.Payload.(*httpup.Request); ok {
+		if o, ok := q.Payload.(*h1client.Request); ok {
 			r.streams.hold(a, streamtimeout.Limits{Whole: o.Limits.Whole, Drain: o.Limits.Drain})
 		}
 	}
--- a/internal/app/sender.go
+++ b/internal/app/sender.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -39,7 +39,7 @@
 }
 
 // update takes news of the servers.
-func (s *sender) update(servers []httpup.Server) {
+func (s *sender) update(servers []h1client.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, in := range servers {
--- a/internal/app/streams.go
+++ b/internal/app/streams.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/streamtimeout"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -29,7 +29,7 @@
 
 // hold follows an answer that goes on, until it is closed.
 func (s *streams) hold(a engine.Answer, l streamtimeout.Limits) {
-	answer, ok := a.Value.(*httpup.Answer)
+	answer, ok := a.Value.(*h1client.Answer)
 	if !ok || answer.Stream == nil && answer.Tunnel == nil || l == (streamtimeout.Limits{}) {
 		return
 	}
@@ -111,11 +111,11 @@
 }
 
 type heldStream struct {
-	httpup.Stream
+	h1client.Stream
 	*held
 }
 
-// Close implements httpup.Stream.
+// Close implements h1client.Stream.
 func (h *heldStream) Close() error {
 	h.over()
 	return h.Stream.Close()
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -8,8 +8,8 @@
 	"yokestall/internal/cluster"
 	"yokestall/internal/engine"
 	"yokestall/internal/h2up"
-	"yokestall/internal/httpup"
 	"yokestall/internal/priority"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -35,7 +35,7 @@
 // upstream carries a tier's attempts; httpup's and h2up's Pool are such.
 type upstream interface {
 	engine.Exchanger
-	Update(whole bool, servers []httpup.Server)
+	Update(whole bool, servers []h1client.Server)
 	Limit(connectTimeout time.Duration, maxOpen int)
 	Retire(ctx context.Context)
 }
@@ -45,11 +45,11 @@
 	if t := r.all[k]; t != nil {
 		return t, nil
 	}
-	with := httpup.Options{
+	with := h1client.Options{
 		ServersIdle: r.upstream.Idle, ConnectTimeout: r.upstream.ConnectTimeout, MaxOpen: r.upstream.Connections,
 		AnyAnswer: true, TLS: r.tls,
 	}
-	var pool upstream = httpup.New(with)
+	var pool upstream = h1client.New(with)
 	if r.transport.HTTP2 {
 		pool = h2up.New(with)
 	}
@@ -131,12 +131,12 @@
 	if d.Empty() {
 		return
 	}
-	var servers []httpup.Server
+	var servers []h1client.Server
 	var entries []policy.Endpoint
 	var leave []policy.EndpointID
 	put := func(e *cluster.Endpoint) {
 		id := policy.EndpointID(e.Key())
-		servers = append(servers, httpup.Server{ID: id, Address: e.Address, Start: float64(e.Started)})
+		servers = append(servers, h1client.Server{ID: id, Address: e.Address, Start: float64(e.Started)})
 		entry := policy.Endpoint{ID: id, Zone: zone(e.Zone), Cell: e.Cell, State: policy.Ready, Weight: e.Weight}
 		if !e.Serves() {
 			entry.State = policy.Draining
@@ -149,7 +149,7 @@
 	}
 	drop := func(e *cluster.Endpoint) {
 		id := policy.EndpointID(e.Key())
-		servers = append(servers, httpup.Server{ID: id, Gone: true})
+		servers = append(servers, h1client.Server{ID: id, Gone: true})
 		entries = append(entries, policy.Endpoint{ID: id, State: policy.Removed})
 		leave = append(leave, id)
 	}
--- a/internal/downstream/extproc/carry.go
+++ b/internal/downstream/extproc/carry.go
@@ -15,20 +15,20 @@
 	"google.golang.org/grpc/status"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 )
 
 // uploadHeld is what is held of a body that comes in parts, so that it can be sent again.
-const uploadHeld = httpup.MaxBody
+const uploadHeld = h1client.MaxBody
 
 // carry carries the request out and gives the caller its answer.
 func (x *exchange) carry() error {
 	x.s.Stats.Carried.Add(1)
-	out := &httpup.Request{
+	out := &h1client.Request{
 		Method: x.req.Method, Target: x.req.RequestURI, Host: x.req.Host, Limits: x.to.Streams,
-		Trailers: x.req.Header.Get("Te") == "trailers", Header: httpup.EndToEnd(x.req.Header.Clone()),
+		Trailers: x.req.Header.Get("Te") == "trailers", Header: h1client.EndToEnd(x.req.Header.Clone()),
 	}
 	if x.to.Request != nil {
 		x.to.Request.Apply(out.Header)
@@ -80,7 +80,7 @@
 }
 
 // whole has the body come in one message, which the caller holds the request for.
-func (x *exchange) whole(out *httpup.Request) (handled bool, err error) {
+func (x *exchange) whole(out *h1client.Request) (handled bool, err error) {
 	pass := x.machine.Pass(x.msg, RequestHead)
 	if x.machine.Plan(x.s.Override) == Override {
 		pass.ModeOverride = &filterv3.ProcessingMode{RequestBodyMode: modeBuffered, ResponseHeaderMode: filterv3.ProcessingMode_SKIP}
@@ -152,10 +152,10 @@
 
 // upload has the body come in parts, which are passed on while they do. end has to be called before
 // the exchange ends; leave ends the request where the caller breaks off.
-func (x *exchange) upload(out *httpup.Request, leave func()) (end func()) {
+func (x *exchange) upload(out *h1client.Request, leave func()) (end func()) {
 	from, to := io.Pipe()
 	framed := x.machine.RequestMode == modeGRPC
-	out.Upload, out.Length = httpup.NewUpload(from, uploadHeld), -1
+	out.Upload, out.Length = h1client.NewUpload(from, uploadHeld), -1
 	if n, err := strconv.ParseInt(x.req.Header.Get("Content-Length"), 10, 63); err == nil {
 		out.Length = n
 	}
@@ -180,7 +180,7 @@
 			}
 		}
 	}()
-	out.Upload.Settle(httpup.UploadPause)
+	out.Upload.Settle(h1client.UploadPause)
 	return func() {
 		out.Upload.Close()
 		from.Close()
@@ -209,7 +209,7 @@
 
 // answer gives the caller a final answer.
 func (x *exchange) answer(b begun, a engine.Answer) error {
-	answer, _ := a.Value.(*httpup.Answer)
+	answer, _ := a.Value.(*h1client.Answer)
 	if answer != nil && x.to.Response != nil {
 		x.to.Response.Apply(answer.Header)
 	}
@@ -257,7 +257,7 @@
 var errLong = errors.New("extproc: the answer is longer than the caller can be given")
 
 // gather reads a stream to its end, within the bound on answers.
-func (x *exchange) gather(a *httpup.Answer) error {
+func (x *exchange) gather(a *h1client.Answer) error {
 	s := a.Stream
 	defer s.Close()
 	defer context.AfterFunc(x.stream.Context(), s.Abort)()
@@ -277,7 +277,7 @@
 
 // passOn passes a stream on while it comes (service.ext_proc.v3.StreamedImmediateResponse). One that
 // breaks ends the exchange with an error: the caller must not take the part for the whole.
-func (x *exchange) passOn(a *httpup.Answer) error {
+func (x *exchange) passOn(a *h1client.Answer) error {
 	s := a.Stream
 	defer s.Close()
 	defer context.AfterFunc(x.stream.Context(), s.Abort)()
--- a/internal/downstream/extproc/extproc.go
+++ b/internal/downstream/extproc/extproc.go
@@ -27,10 +27,10 @@
 	"google.golang.org/grpc/tap"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
 	"yokestall/internal/idempotency/replay"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -336,7 +336,7 @@
 	over chan struct{} // closed at its end
 	end  idempotency.End
 	// answer is what a joiner gets, set before over is closed; nil: nothing that can be shared.
-	answer *httpup.Answer
+	answer *h1client.Answer
 	after  time.Duration
 }
 
@@ -376,7 +376,7 @@
 	case idempotency.Busy:
 		return b, true, x.conflict(http.StatusConflict, "a request under this key, or id, is open")
 	case idempotency.Replayed:
-		if a, ok := e.Outcome.(*httpup.Answer); ok {
+		if a, ok := e.Outcome.(*h1client.Answer); ok {
 			return b, true, x.replay(a)
 		}
 		return b, true, x.conflict(http.StatusConflict, "a request under this key, or id, was answered")
@@ -389,11 +389,11 @@
 }
 
 // over tells the store, and those that joined, what became of the first.
-func (x *exchange) over(b begun, end idempotency.End, a *httpup.Answer, after time.Duration) {
+func (x *exchange) over(b begun, end idempotency.End, a *h1client.Answer, after time.Duration) {
 	x.s.over(b, end, a, after)
 }
 
-func (s *Server) over(b begun, end idempotency.End, a *httpup.Answer, after time.Duration) {
+func (s *Server) over(b begun, end idempotency.End, a *h1client.Answer, after time.Duration) {
 	if b.entry == nil {
 		return
 	}
@@ -444,7 +444,7 @@
 }
 
 // replay gives the first's answer.
-func (x *exchange) replay(a *httpup.Answer) error {
+func (x *exchange) replay(a *h1client.Answer) error {
 	x.s.Stats.Served.Add(1)
 	fields := a.Header.Clone()
 	fields.Set("Idempotent-Replayed", "true")
--- a/internal/downstream/extproc/pick.go
+++ b/internal/downstream/extproc/pick.go
@@ -16,9 +16,9 @@
 	"google.golang.org/protobuf/types/known/structpb"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -417,7 +417,7 @@
 	case details == "no_healthy_upstream", details == "cluster_not_found", details == "maintenance_mode", strings.HasSuffix(details, "overflow"):
 		return policy.ConnectFailed
 	case code >= 500:
-		return httpup.NotServed(&http.Response{StatusCode: code, Header: h})
+		return h1client.NotServed(&http.Response{StatusCode: code, Header: h})
 	}
 	return policy.OK
 }
--- a/internal/downstream/h1server/body.go
+++ b/internal/downstream/h1server/body.go
@@ -11,22 +11,22 @@
 	"sync"
 	"time"
 
-	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 )
 
 // body reads a body of a known, bounded length in what is left of the read timeout, and has
 // any other come as an upload.
-func (f *Front) body(r *http.Request, control *http.ResponseController, to *httpup.Request) error {
+func (f *Front) body(r *http.Request, control *http.ResponseController, to *h1client.Request) error {
 	if r.ContentLength == 0 {
 		return nil
 	}
 	announced := announced(r.Trailer)
-	small := r.ContentLength > 0 && r.ContentLength <= httpup.MaxBody && len(announced) == 0
+	small := r.ContentLength > 0 && r.ContentLength <= h1client.MaxBody && len(announced) == 0
 	if f.options.Strict {
 		return f.strictBody(r, control, to)
 	}
-	want := int64(httpup.MaxBody)
+	want := int64(h1client.MaxBody)
 	if small {
 		want = r.ContentLength
 	}
@@ -49,7 +49,7 @@
 	if f.options.MaxBody > 0 {
 		body = http.MaxBytesReader(nil, body, f.options.MaxBody)
 	}
-	to.Upload, to.Length = httpup.NewUpload(&paced{from: body, control: control, stall: f.options.Stall}, int(want)), r.ContentLength
+	to.Upload, to.Length = h1client.NewUpload(&paced{from: body, control: control, stall: f.options.Stall}, int(want)), r.ContentLength
 	if to.Announced = announced; len(announced) > 0 {
 		to.Upload.Trailer = func() http.Header { return trailers(r, announced) }
 	}
@@ -87,7 +87,7 @@
 }
 
 // free gives back the memory that a request's body might have taken.
-func (f *Front) free(r *httpup.Request) {
+func (f *Front) free(r *h1client.Request) {
 	f.held.Add(-r.Held)
 	r.Held = 0
 }
@@ -129,7 +129,7 @@
 // take has an upload come. Its context ends where the client's side breaks; whole, if given, is called
 // when the last byte has come. done ends it, and has to be called before the request's handler
 // returns; again: nothing.
-func take(ctx context.Context, control *http.ResponseController, u *httpup.Upload, patient bool, whole func()) (here context.Context, done func()) {
+func take(ctx context.Context, control *http.ResponseController, u *h1client.Upload, patient bool, whole func()) (here context.Context, done func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	over := make(chan struct{})
 	go func() {
--- a/internal/downstream/h1server/clients_test.go
+++ b/internal/downstream/h1server/clients_test.go
@@ -13,9 +13,9 @@
 	"yokestall/internal/adminstate"
 	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
 	"yokestall/internal/testkit"
+	"yokestall/internal/upstream/h1client"
 )
 
 // held is a router to a cluster that refuses nothing and answers when it is let: what is
@@ -32,7 +32,7 @@
 func (h *held) Do(context.Context, *engine.Request) (engine.Answer, error) {
 	h.taken <- struct{}{}
 	<-h.release
-	return engine.Answer{Verdict: engine.Served, Value: &httpup.Answer{Status: 200, Body: []byte("done")}}, nil
+	return engine.Answer{Verdict: engine.Served, Value: &h1client.Answer{Status: 200, Body: []byte("done")}}, nil
 }
 
 // Where every connection is at work a newcomer is told when to come back, and past
@@ -199,7 +199,7 @@
 			io.WriteString(crossing, "GET /read")
 			io.WriteString(late, "GET /read")
 			for _, c := range []*clientConn{crossed, spoken} { // until it is here
-				testkit.Until(t, "the bytes", func() bool { return !httpup.Quiet(c.Conn) })
+				testkit.Until(t, "the bytes", func() bool { return !h1client.Quiet(c.Conn) })
 			}
 			conns.mu.Lock()
 			empty(conns)
--- a/internal/downstream/h1server/front.go
+++ b/internal/downstream/h1server/front.go
@@ -21,8 +21,8 @@
 
 	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -269,7 +269,7 @@
 		refuse(w, r, err)
 		return
 	}
-	payload := q.Payload.(*httpup.Request)
+	payload := q.Payload.(*h1client.Request)
 	defer f.free(payload)
 	if c != nil {
 		if r.ProtoMajor == 1 && payload.Upload == nil && c.left() {
@@ -310,7 +310,7 @@
 		ctx, settled = take(ctx, control, payload.Upload, patient, nil)
 		defer settled()
 		if !patient {
-			payload.Upload.Settle(httpup.UploadPause)
+			payload.Upload.Settle(h1client.UploadPause)
 		}
 	}
 	switch {
@@ -361,7 +361,7 @@
 	if c != nil && (c.last() || c.cut()) {
 		w.Header().Set("Connection", "close")
 	}
-	if answer, ok := a.Value.(*httpup.Answer); ok {
+	if answer, ok := a.Value.(*h1client.Answer); ok {
 		if to.Response != nil {
 			to.Response.Apply(answer.Header)
 		}
@@ -376,7 +376,7 @@
 			u.Discard()
 		}
 	}
-	if answer, ok := a.Value.(*httpup.Answer); ok && answer.Stream != nil {
+	if answer, ok := a.Value.(*h1client.Answer); ok && answer.Stream != nil {
 		if !r.ProtoAtLeast(1, 1) && c != nil { // a cut is all that such a client can be told by
 			c.cutUnless(f.pass(r.Context(), w, control, answer.Stream))
 			return
@@ -498,7 +498,7 @@
 	if a.Verdict == engine.Rejected {
 		status = http.StatusServiceUnavailable
 	}
-	if answer, ok := a.Value.(*httpup.Answer); ok { // served, or the last word of a server
+	if answer, ok := a.Value.(*h1client.Answer); ok { // served, or the last word of a server
 		status, body = answer.Status, answer.Body
 		for name, values := range answer.Header {
 			h[name] = values
@@ -524,19 +524,19 @@
 }
 
 func isStream(a engine.Answer) bool {
-	answer, ok := a.Value.(*httpup.Answer)
+	answer, ok := a.Value.(*h1client.Answer)
 	return ok && answer.Stream != nil
 }
 
 func trailing(a engine.Answer) bool {
-	answer, ok := a.Value.(*httpup.Answer)
+	answer, ok := a.Value.(*h1client.Answer)
 	return ok && len(answer.Trailer) > 0
 }
 
 // pass passes a stream on, as fast as both sides are, through one buffer. What has begun
 // is final: of a stream that breaks (not whole) the caller cuts the client's connection, or
 // its stream, so that the part that came is not taken for the whole.
-func (f *Front) pass(ctx context.Context, w http.ResponseWriter, control *http.ResponseController, s httpup.Stream) (whole bool) {
+func (f *Front) pass(ctx context.Context, w http.ResponseWriter, control *http.ResponseController, s h1client.Stream) (whole bool) {
 	defer s.Close()
 	defer context.AfterFunc(ctx, s.Abort)() // the client leaves while the server pauses
 	buffer := buffers.Get().(*[]byte)
@@ -599,7 +599,7 @@
 	case f.options.Strict && to.Effect == policy.Idempotent && r.ContentLength != 0:
 		return nil, ingress.Bad("the class takes no body")
 	}
-	out := &httpup.Request{Method: r.Method, Host: r.Host, Limits: to.Streams}
+	out := &h1client.Request{Method: r.Method, Host: r.Host, Limits: to.Streams}
 	if err := f.body(r, control, out); err != nil {
 		return nil, err
 	}
@@ -607,7 +607,7 @@
 		out.Upgrade = ingress.One(header["Upgrade"])
 	}
 	out.Trailers = strings.EqualFold(ingress.One(header["Te"]), "trailers")
-	out.Header = httpup.EndToEnd(header) // net/http has no more use for it
+	out.Header = h1client.EndToEnd(header) // net/http has no more use for it
 	if to.Request != nil {
 		to.Request.Apply(out.Header)
 	}
--- a/internal/downstream/h1server/late_test.go
+++ b/internal/downstream/h1server/late_test.go
@@ -12,9 +12,9 @@
 
 	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
 	"yokestall/internal/testkit"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -39,8 +39,8 @@
 			set := policy.Defaults()
 			set.Limits.AllowCancel = true
 			set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-			pool := httpup.New(httpup.Options{ServersIdle: time.Minute, ConnectTimeout: 2 * testkit.Patience, MaxOpen: 4})
-			pool.Update(true, []httpup.Server{{ID: 1, Address: l.Addr().String()}})
+			pool := h1client.New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: 2 * testkit.Patience, MaxOpen: 4})
+			pool.Update(true, []h1client.Server{{ID: 1, Address: l.Addr().String()}})
 			clock := engine.NewClock()
 			cluster, err := engine.New(t.Context(), set, pool, engine.Options{Seed: 1, Clock: clock})
 			if err != nil {
--- a/internal/downstream/h1server/leaving.go
+++ b/internal/downstream/h1server/leaving.go
@@ -10,7 +10,7 @@
 	"time"
 	"unsafe"
 
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 )
 
 const (
@@ -129,7 +129,7 @@
 func (c *clientConn) rests() bool {
 	c.side.Lock()
 	defer c.side.Unlock()
-	if c.came || len(c.ahead) > 0 || !httpup.Quiet(c.Conn) {
+	if c.came || len(c.ahead) > 0 || !h1client.Quiet(c.Conn) {
 		return false
 	}
 	c.shut = true
--- a/internal/downstream/h1server/strict.go
+++ b/internal/downstream/h1server/strict.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 )
 
 // How request bodies of the platform's clients are taken. A client may send slowly, so a request's
@@ -27,7 +27,7 @@
 )
 
 // strictBody reads a body that can be held whole, and has any other come as an upload.
-func (f *Front) strictBody(r *http.Request, control *http.ResponseController, to *httpup.Request) error {
+func (f *Front) strictBody(r *http.Request, control *http.ResponseController, to *h1client.Request) error {
 	body := r.Body
 	if f.options.MaxBody > 0 {
 		body = http.MaxBytesReader(nil, body, f.options.MaxBody)
@@ -50,7 +50,7 @@
 		}
 		return nil
 	}
-	to.Upload, to.Length = httpup.NewUpload(from, int(want)), r.ContentLength
+	to.Upload, to.Length = h1client.NewUpload(from, int(want)), r.ContentLength
 	return nil
 }
 
@@ -88,7 +88,7 @@
 // the upload comes until it is whole or as much of it as can be held is there. One that is whole
 // goes on as a body at hand.
 func (f *Front) takeStrict(r *http.Request, control *http.ResponseController, to *ingress.Destination, q *engine.Request) (here context.Context, done func(), err error) {
-	payload := q.Payload.(*httpup.Request)
+	payload := q.Payload.(*h1client.Request)
 	u := payload.Upload
 	var whole func()
 	if cluster, ok := to.Cluster.(bodyCompleter); ok {
--- a/internal/downstream/h1server/strict_test.go
+++ b/internal/downstream/h1server/strict_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"yokestall/internal/connlimit"
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 )
 
 // Bodies hold no more together than their part of the memory, but for the least that each needs to go
@@ -15,7 +15,7 @@
 func TestHeldBodiesKeepToTheirPart(t *testing.T) {
 	const part = 4 << 20
 	f := New(nil, Options{Strict: true, Held: part, Places: connlimit.Limits{Asked: 1, Silent: 1}})
-	var held []*httpup.Request
+	var held []*h1client.Request
 	for i := range 200 {
 		length := int64(-1)
 		if i%3 > 0 {
@@ -23,7 +23,7 @@
 		}
 		r := httptest.NewRequest(http.MethodPost, "/pay", http.NoBody)
 		r.ContentLength, r.Body = length, io.NopCloser(http.NoBody)
-		to := &httpup.Request{}
+		to := &h1client.Request{}
 		if err := f.strictBody(r, http.NewResponseController(httptest.NewRecorder()), to); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/downstream/h1server/tunnel.go
+++ b/internal/downstream/h1server/tunnel.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 )
 
 // tunnelIdle is how long one side of an upgraded connection may say nothing.
@@ -16,7 +16,7 @@
 // tunnel carries an upgraded connection (RFC 9110, 7.8) until either side ends it. The answer
 // that upgrades is final; what follows is the client's and the server's own matter. What a
 // side has still to say when the other one ends its sending is passed on.
-func (f *Front) tunnel(control *http.ResponseController, a *httpup.Answer) {
+func (f *Front) tunnel(control *http.ResponseController, a *h1client.Answer) {
 	defer a.Tunnel.Close()
 	client, buffered, err := control.Hijack()
 	if err != nil {
--- a/internal/downstream/h2server/storm_test.go
+++ b/internal/downstream/h2server/storm_test.go
@@ -19,9 +19,9 @@
 	"yokestall/internal/downstream/h1server"
 	"yokestall/internal/downstream/h2server"
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
 	"yokestall/internal/testkit"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -136,8 +136,8 @@
 	set := policy.Defaults()
 	set.Limits.AllowCancel = true
 	set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-	pool := httpup.New(httpup.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 16})
-	pool.Update(true, []httpup.Server{{ID: 1, Address: b.Addr()}})
+	pool := h1client.New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 16})
+	pool.Update(true, []h1client.Server{{ID: 1, Address: b.Addr()}})
 	clock := engine.NewClock()
 	ctx, stop := context.WithCancel(context.Background())
 	cluster, err := engine.New(ctx, set, pool, engine.Options{Seed: 1, Clock: clock})
--- a/internal/h2up/grpc.go
+++ b/internal/h2up/grpc.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"strings"
 
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -33,7 +33,7 @@
 // grpcOutcome tells what a whole answer says of its attempt. final: the server has said when
 // to come back, or that nobody should (grpc-retry-pushback-ms, gRFC A6): the caller, whom it
 // is meant for, has to hear that, so that nothing else may be tried here.
-func grpcOutcome(a *httpup.Answer) (status policy.Status, final bool) {
+func grpcOutcome(a *h1client.Answer) (status policy.Status, final bool) {
 	if !isGRPC(a.Header) {
 		return policy.OK, false
 	}
--- a/internal/h2up/h2up.go
+++ b/internal/h2up/h2up.go
@@ -20,7 +20,7 @@
 	"golang.org/x/net/http2"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -43,7 +43,7 @@
 // (REFUSED_STREAM, 8.7) and one beyond the last that a GOAWAY names (6.8) may be sent again
 // whatever their class; all else that ends with its connection may have run.
 type Pool struct {
-	options   httpup.Options
+	options   h1client.Options
 	transport *http2.Transport
 
 	mu      sync.Mutex
@@ -77,7 +77,7 @@
 }
 
 // New makes a pool with no servers. Options.AnyAnswer is taken as set.
-func New(o httpup.Options) *Pool {
+func New(o h1client.Options) *Pool {
 	// The window can be set by way of net/http's transport alone, which does nothing else here.
 	transport, err := http2.ConfigureTransports(&http.Transport{
 		DisableCompression: true, HTTP2: &http.HTTP2Config{MaxReceiveBufferPerStream: h2Window},
@@ -86,7 +86,7 @@
 		panic(err) // only of a transport that has HTTP/2 already
 	}
 	transport.AllowHTTP, transport.MaxHeaderListSize = true, 64<<10
-	transport.ReadIdleTimeout, transport.PingTimeout, transport.WriteByteTimeout = h2Ping, h2Ping, httpup.StreamStall
+	transport.ReadIdleTimeout, transport.PingTimeout, transport.WriteByteTimeout = h2Ping, h2Ping, h1client.StreamStall
 	return &Pool{
 		options: o, servers: map[policy.EndpointID]*h2server{}, maxOpen: o.MaxOpen, timeout: o.ConnectTimeout,
 		transport: transport,
@@ -101,7 +101,7 @@
 }
 
 // Update takes news of the servers; whole: of all of them.
-func (u *Pool) Update(whole bool, servers []httpup.Server) {
+func (u *Pool) Update(whole bool, servers []h1client.Server) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := map[policy.EndpointID]bool{}
@@ -163,7 +163,7 @@
 		case <-tick.C:
 		}
 		u.mu.Lock()
-		before := time.Now().Add(-time.Duration(httpup.IdlePart * float64(u.options.ServersIdle)))
+		before := time.Now().Add(-time.Duration(h1client.IdlePart * float64(u.options.ServersIdle)))
 		for _, s := range u.servers {
 			u.sweep(s, before)
 		}
@@ -265,7 +265,7 @@
 func (u *Pool) dial(addr string, timeout time.Duration) (*h2conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	nc, err := httpup.Dial(ctx, addr, u.options.TLS, "h2")
+	nc, err := h1client.Dial(ctx, addr, u.options.TLS, "h2")
 	if err != nil {
 		return nil, err
 	}
@@ -279,7 +279,7 @@
 
 // Exchange implements engine.Exchanger.
 func (u *Pool) Exchange(call *engine.Call, id policy.EndpointID, payload any, left time.Duration) engine.Result {
-	o := payload.(*httpup.Request)
+	o := payload.(*h1client.Request)
 	if o.Upgrade != "" { // wants HTTP/1.1 (RFC 9113, 8.6); a connection for it alone
 		return engine.Result{Status: policy.NeverSent, Final: true}
 	}
@@ -317,13 +317,13 @@
 
 // discard closes an answer that nobody gets.
 func discard(res engine.Result) {
-	if a, ok := res.Answer.(*httpup.Answer); ok {
+	if a, ok := res.Answer.(*h1client.Answer); ok {
 		a.Close()
 	}
 }
 
 // request makes what goes out.
-func request(ctx context.Context, o *httpup.Request, scheme string, left time.Duration) (*http.Request, error) {
+func request(ctx context.Context, o *h1client.Request, scheme string, left time.Duration) (*http.Request, error) {
 	at := &url.URL{Scheme: scheme, Host: o.Host, Opaque: o.Target}
 	if strings.HasPrefix(o.Target, "//") { // Opaque would take it for a host
 		var err error
@@ -369,7 +369,7 @@
 // trailed sets a request's trailer fields when its body has come to its end.
 type trailed struct {
 	io.ReadCloser
-	upload *httpup.Upload
+	upload *h1client.Upload
 	fields http.Header
 }
 
@@ -385,7 +385,7 @@
 }
 
 // h2Fault tells what the end of a stream without an answer says of the attempt.
-func h2Fault(err error, ctx context.Context, o *httpup.Request) policy.Status {
+func h2Fault(err error, ctx context.Context, o *h1client.Request) policy.Status {
 	var stream http2.StreamError
 	switch {
 	case ctx.Err() != nil, o.Upload != nil && o.Upload.Failed() != nil:
@@ -405,8 +405,8 @@
 	conn   *h2conn
 	cancel context.CancelFunc
 	resp   *http.Response
-	start  []byte         // read already
-	body   *httpup.Upload // holds what has come, where the length is not known
+	start  []byte           // read already
+	body   *h1client.Upload // holds what has come, where the length is not known
 	reader io.Reader
 	run    sync.WaitGroup
 	close  sync.Once
@@ -416,18 +416,18 @@
 }
 
 // receive gives an answer whole where it comes soon and is short, else as a stream.
-func (x *h2stream) receive(ctx context.Context, o *httpup.Request, resp *http.Response) engine.Result {
+func (x *h2stream) receive(ctx context.Context, o *h1client.Request, resp *http.Response) engine.Result {
 	x.resp, x.reader = resp, resp.Body
-	a := &httpup.Answer{Status: resp.StatusCode, Length: resp.ContentLength}
+	a := &h1client.Answer{Status: resp.StatusCode, Length: resp.ContentLength}
 	whole, err := o.Method == http.MethodHead || resp.ContentLength == 0, error(nil)
 	switch n := resp.ContentLength; {
 	case whole:
 	case n < 0:
 		a.Body, whole, err = x.settle()
-	case n <= httpup.MaxBody:
+	case n <= h1client.MaxBody:
 		a.Body, whole, err = x.short(int(n))
 	}
-	a.Header = httpup.EndToEnd(resp.Header)
+	a.Header = h1client.EndToEnd(resp.Header)
 	switch {
 	case err != nil:
 		status := h2Fault(err, ctx, o)
@@ -448,7 +448,7 @@
 		return engine.Result{Status: policy.OK, Answer: a}
 	}
 	if resp.StatusCode >= 500 {
-		return engine.Result{Status: httpup.NotServed(resp), Answer: a}
+		return engine.Result{Status: h1client.NotServed(resp), Answer: a}
 	}
 	status, final := grpcOutcome(a)
 	return engine.Result{Status: status, Answer: a, Final: final}
@@ -464,7 +464,7 @@
 		if got < n && err != nil {
 			return nil, false, err
 		}
-		if got < n && time.Since(began) > httpup.AnswerSpan {
+		if got < n && time.Since(began) > h1client.AnswerSpan {
 			return body[:got], false, nil
 		}
 	}
@@ -482,9 +482,9 @@
 
 // settle reads what comes at one go of a body whose length is not known.
 func (x *h2stream) settle() (body []byte, whole bool, err error) {
-	x.body = httpup.NewUpload(x.resp.Body, httpup.MaxBody)
+	x.body = h1client.NewUpload(x.resp.Body, h1client.MaxBody)
 	x.run.Go(func() { x.body.Run(false) })
-	x.body.Settle(httpup.UploadPause)
+	x.body.Settle(h1client.UploadPause)
 	body, whole = x.body.Whole()
 	if err = x.body.Failed(); err != nil || whole {
 		return body, whole, err
--- a/internal/h2up/h2up_test.go
+++ b/internal/h2up/h2up_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/net/http2"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/testkit"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -71,9 +71,9 @@
 		{"a malformed frame", func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Write([]byte{0, 0, 1, 0, 0, 0, 0, 0, 0, 1}) }, policy.Reset},
 	} {
 		addr, _ := scripted(t, 1, tc.at)
-		u := New(httpup.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 10})
-		u.Update(true, []httpup.Server{{ID: 1, Address: addr}})
-		q := &httpup.Request{Method: "POST", Target: "/x", Host: "a", Header: http.Header{}, Body: []byte("b")}
+		u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 10})
+		u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
+		q := &h1client.Request{Method: "POST", Target: "/x", Host: "a", Header: http.Header{}, Body: []byte("b")}
 		if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testkit.Patience); res.Status != tc.want {
 			t.Errorf("%s: status %v, want %v", tc.name, res.Status, tc.want)
 		}
@@ -86,9 +86,9 @@
 func TestStreamLimit(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 1, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(httpup.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 100})
-	u.Update(true, []httpup.Server{{ID: 1, Address: addr}})
-	q := &httpup.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
+	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 100})
+	u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
+	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 10)
 	for range h2PerServer {
@@ -118,9 +118,9 @@
 func TestUnsentKeepsNoPlace(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 2, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(httpup.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 100})
-	u.Update(true, []httpup.Server{{ID: 1, Address: addr}})
-	q := &httpup.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
+	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 100})
+	u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
+	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 1)
 	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testkit.Patience).Status }()
@@ -155,7 +155,7 @@
 			fields.Set("Grpc-Retry-Pushback-Ms", tc.pushback)
 		}
 		for _, trailing := range []bool{true, false} {
-			a := &httpup.Answer{Header: http.Header{"Content-Type": {tc.kind}}, Trailer: fields}
+			a := &h1client.Answer{Header: http.Header{"Content-Type": {tc.kind}}, Trailer: fields}
 			if !trailing {
 				a.Header, a.Trailer = fields.Clone(), nil
 				a.Header.Set("Content-Type", tc.kind)
--- a/internal/idempotency/replay/bench_test.go
+++ b/internal/idempotency/replay/bench_test.go
@@ -10,17 +10,17 @@
 	"time"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
 	"yokestall/internal/idempotency/keystore"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 )
 
 // instant is a cluster that serves at once: what is measured is the gate.
 type instant struct{}
 
 func (instant) Do(context.Context, *engine.Request) (engine.Answer, error) {
-	return engine.Answer{Verdict: engine.Served, Value: &httpup.Answer{Status: http.StatusOK, Body: []byte("done"), Length: -1}}, nil
+	return engine.Answer{Verdict: engine.Served, Value: &h1client.Answer{Status: http.StatusOK, Body: []byte("done"), Length: -1}}, nil
 }
 
 // BenchmarkFirst is what the gate adds to a keyed request that comes for the first time: with the
@@ -49,7 +49,7 @@
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					o := &httpup.Request{Method: http.MethodPost, Target: "/push", Body: []byte("x"), Header: http.Header{
+					o := &h1client.Request{Method: http.MethodPost, Target: "/push", Body: []byte("x"), Header: http.Header{
 						"Idempotency-Key": {strconv.FormatInt(last.Add(1), 10)},
 					}}
 					r := &engine.Request{Deadline: clock.Now() + time.Second, Payload: o}
--- a/internal/idempotency/replay/once.go
+++ b/internal/idempotency/replay/once.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
 	"yokestall/internal/idempotency/keystore"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 )
 
 // Replayed marks an answer that was made for an earlier request under the key.
@@ -95,7 +95,7 @@
 // Do implements ingress.Cluster. Besides that one's errors it gives an *ingress.Rejection: 409 where
 // the first may have run and its outcome can't be had, 422 where the key stands for another request.
 func (c gated) Do(ctx context.Context, r *engine.Request) (engine.Answer, error) {
-	o, ok := r.Payload.(*httpup.Request)
+	o, ok := r.Payload.(*h1client.Request)
 	if !ok || o.Header.Get("Idempotency-Key") == "" {
 		return c.inner.Do(ctx, r)
 	}
@@ -138,7 +138,7 @@
 
 // run has the first decided, and waits for it as long as its client does.
 func (c gated) run(ctx context.Context, f *first, r *engine.Request) (engine.Answer, error) {
-	if o := r.Payload.(*httpup.Request); c.late && o.Upload == nil {
+	if o := r.Payload.(*h1client.Request); c.late && o.Upload == nil {
 		r.LateAnswerTimeout = c.window
 		r.OnLateAnswer = func(answer any) { c.heard(f, answer) }
 	}
@@ -183,7 +183,7 @@
 func (c gated) heard(f *first, answer any) {
 	<-f.over
 	a := engine.Answer{Verdict: engine.Served, Value: answer}
-	h, ok := answer.(*httpup.Answer)
+	h, ok := answer.(*h1client.Answer)
 	if !ok {
 		return
 	}
@@ -221,7 +221,7 @@
 	case f.err == nil && f.answer.Verdict == engine.Served:
 		how = idempotency.Answered
 		if shared(f.answer) {
-			outcome, size = f.answer, Weight(f.answer.Value.(*httpup.Answer))
+			outcome, size = f.answer, Weight(f.answer.Value.(*h1client.Answer))
 		}
 	}
 	c.store.End(c.clock.Now(), f.entry, how, outcome, size)
@@ -268,14 +268,14 @@
 
 // shared tells whether an answer can be given more than once.
 func shared(a engine.Answer) bool {
-	h, ok := a.Value.(*httpup.Answer)
+	h, ok := a.Value.(*h1client.Answer)
 	return ok && a.Verdict == engine.Served && h.Stream == nil && h.Tunnel == nil
 }
 
 func replay(a engine.Answer) engine.Answer { return clone(a, true) }
 
 func clone(a engine.Answer, replayed bool) engine.Answer {
-	h := *a.Value.(*httpup.Answer)
+	h := *a.Value.(*h1client.Answer)
 	if h.Header = h.Header.Clone(); h.Header == nil {
 		h.Header = http.Header{}
 	}
@@ -287,7 +287,7 @@
 }
 
 // Weight is what an answer takes to keep, in bytes.
-func Weight(a *httpup.Answer) int64 {
+func Weight(a *h1client.Answer) int64 {
 	size := int64(len(a.Body))
 	for _, fields := range []http.Header{a.Header, a.Trailer} {
 		for name, values := range fields {
--- a/internal/idempotency/replay/once_test.go
+++ b/internal/idempotency/replay/once_test.go
@@ -16,10 +16,10 @@
 	"go.uber.org/goleak"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/idempotency"
 	"yokestall/internal/idempotency/keystore"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -35,13 +35,13 @@
 }
 
 func served(text string) engine.Answer {
-	return engine.Answer{Verdict: engine.Served, Value: &httpup.Answer{Status: 200, Header: http.Header{"X-Of": {text}}, Body: []byte(text)}}
+	return engine.Answer{Verdict: engine.Served, Value: &h1client.Answer{Status: 200, Header: http.Header{"X-Of": {text}}, Body: []byte(text)}}
 }
 
 const window = 6 * time.Second
 
 func asked(clock engine.Clock, key, body string) *engine.Request {
-	return &engine.Request{Deadline: clock.Now() + time.Second, Payload: &httpup.Request{
+	return &engine.Request{Deadline: clock.Now() + time.Second, Payload: &h1client.Request{
 		Method: "POST", Target: "/push", Header: http.Header{"Idempotency-Key": {key}}, Body: []byte(body),
 	}}
 }
@@ -96,7 +96,7 @@
 					t.Fatalf("%v, want status %d", err, tc.status)
 				}
 				replayed := 0
-				if h, ok := a.Value.(*httpup.Answer); ok && h.Header.Get(Replayed) == "true" {
+				if h, ok := a.Value.(*h1client.Answer); ok && h.Header.Get(Replayed) == "true" {
 					replayed = 1
 				}
 				if tc.status == 0 && a.Verdict != tc.verdict || replayed != tc.replayed || s.runs.Load() != int64(tc.runs) {
@@ -266,7 +266,7 @@
 					r.Deadline = clock.Now() + 200*time.Millisecond
 				}
 				a, err := c.Do(t.Context(), r)
-				if h, ok := a.Value.(*httpup.Answer); ok {
+				if h, ok := a.Value.(*h1client.Answer); ok {
 					h.Header.Set("X-Mine", fmt.Sprint(i)) // under -race: two that share it are found
 				} else if i != 3 || err != nil || a.Verdict != engine.Failed || clock.Now() > r.Deadline {
 					t.Errorf("%d: %+v, %v", i, a, err)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -29,7 +29,7 @@
 	// Certified are tenants by names in clients' certificates: one that shows such a name is
 	// that tenant, whatever X-Tenant-Id says.
 	Certified map[string]int
-	Streams   httpup.StreamLimits
+	Streams   h1client.StreamLimits
 	// Request and Response change fields on their way; nil: they stay.
 	Request, Response Edits
 	// Pick has a calling proxy send the request itself, to the server that it is told.
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -15,7 +15,7 @@
 	"yokestall/internal/adminstate"
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -76,7 +76,7 @@
 
 // listener takes news of the list: where servers are, and what decides makes of it.
 type listener interface {
-	Servers(whole bool, list []httpup.Server)
+	Servers(whole bool, list []h1client.Server)
 	UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool
 }
 
@@ -449,7 +449,7 @@
 // tell passes a list on, with what operators have said laid over it. d.mu is held.
 func (d *endpointWatcher) tell(kind policy.UpdateKind, list []discovery.Instance) {
 	list = d.admin.Overlay(list)
-	servers := make([]httpup.Server, 0, len(list))
+	servers := make([]h1client.Server, 0, len(list))
 	entries := make([]policy.Endpoint, 0, len(list))
 	for i := range list {
 		in := &list[i]
@@ -458,7 +458,7 @@
 		if !ok {
 			zone = len(d.zones) // no zone of ours
 		}
-		servers = append(servers, httpup.Server{
+		servers = append(servers, h1client.Server{
 			ID: in.ID(), Address: in.HostPort, Start: in.StartedAtMs, Gone: state == policy.Removed,
 		})
 		entries = append(entries, policy.Endpoint{
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/httpup"
 	"yokestall/internal/testkit"
+	"yokestall/internal/upstream/h1client"
 )
 
 // behind is what clients have sent behind a request when they leave: nothing else looks out for their
@@ -142,4 +142,4 @@
 }
 
 // nothingCame tells that a client has no answer yet.
-func nothingCame(nc net.Conn) bool { return httpup.Quiet(nc) }
+func nothingCame(nc net.Conn) bool { return h1client.Quiet(nc) }
--- a/internal/node/maint_histories_test.go
+++ b/internal/node/maint_histories_test.go
@@ -9,7 +9,7 @@
 
 	"yokestall/internal/adminstate"
 	"yokestall/internal/discovery"
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -26,7 +26,7 @@
 	names map[policy.EndpointID]string
 }
 
-func (h *history) Servers(bool, []httpup.Server) {}
+func (h *history) Servers(bool, []h1client.Server) {}
 func (h *history) UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool {
 	h.b.UpdateEndpoints(h.now, kind, entries)
 	return true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,8 +19,8 @@
 	"yokestall/internal/gracefulclose"
 	"yokestall/internal/hotrestart"
 	"yokestall/internal/hotrestart/snapshot"
-	"yokestall/internal/httpup"
 	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
 )
 
 const (
@@ -92,7 +92,7 @@
 	}
 	clock := engine.NewClock()
 	disco := newEndpointWatcher(n.cfg, clock, n.moved, n.log)
-	pool := httpup.New(httpup.Options{
+	pool := h1client.New(h1client.Options{
 		ServersIdle: n.cfg.ConnIdle, ConnectTimeout: n.cfg.ConnectTimeout, MaxOpen: servers, Large: true, Settle: settle,
 		Nodes: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
 	})
@@ -201,10 +201,10 @@
 // sink has both the cluster and the pool of connections follow the list.
 type sink struct {
 	*engine.Cluster
-	pool *httpup.Pool
+	pool *h1client.Pool
 }
 
-func (s sink) Servers(whole bool, list []httpup.Server) { s.pool.Update(whole, list) }
+func (s sink) Servers(whole bool, list []h1client.Server) { s.pool.Update(whole, list) }
 
 // router sends all to the one cluster; the first part of the path is the class.
 type router struct {
@@ -223,6 +223,6 @@
 	return ingress.Destination{
 		Cluster: r.cluster, Class: class, Effect: c.Idempotency, Deadline: c.Deadline,
 		Tenants: r.cfg.Tenants, MaxRetryAfter: r.cfg.Policy.Limits.MaxRetryAfter,
-		Streams: httpup.StreamLimits{Stall: streamStall},
+		Streams: h1client.StreamLimits{Stall: streamStall},
 	}, nil
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,8 +16,8 @@
 
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/testkit"
+	"yokestall/internal/upstream/h1client"
 )
 
 func TestServesUnchanged(t *testing.T) {
@@ -531,7 +531,7 @@
 // past its time: the node closes it.
 func TestClientReadsNothing(t *testing.T) {
 	t.Parallel()
-	text := strings.Repeat("x", httpup.MaxBody)
+	text := strings.Repeat("x", h1client.MaxBody)
 	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) })
 	n, _ := startReady(t, b)
 	nc, err := net.Dial("tcp", n.addr)
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -16,8 +16,8 @@
 
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
-	"yokestall/internal/httpup"
 	"yokestall/internal/testkit"
+	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
@@ -156,7 +156,7 @@
 	drained  time.Time // when it was told of the drain
 }
 
-func (m *module) Servers(bool, []httpup.Server) {}
+func (m *module) Servers(bool, []h1client.Server) {}
 
 func (m *module) UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool {
 	m.mu.Lock()
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -16,7 +16,7 @@
 	"yokestall/internal/engine"
 	"yokestall/internal/hotrestart"
 	"yokestall/internal/hotrestart/snapshot"
-	"yokestall/internal/httpup"
+	"yokestall/internal/upstream/h1client"
 )
 
 const (
@@ -52,7 +52,7 @@
 	clock   engine.Clock
 	cluster *engine.Cluster
 	front   *h1server.Front
-	pool    *httpup.Pool
+	pool    *h1client.Pool
 	admin   *admin
 	log     *slog.Logger
 }
--- a/internal/httpup/answer.go
+++ b/internal/upstream/h1client/answer.go
@@ -1,4 +1,4 @@
-package httpup
+package h1client
 
 import (
 	"bytes"
--- a/internal/httpup/httpup.go
+++ b/internal/upstream/h1client/httpup.go
@@ -1,6 +1,6 @@
-// Package httpup carries attempts to servers over HTTP/1.1. It decides nothing: each
+// Package h1client carries attempts to servers over HTTP/1.1. It decides nothing: each
 // call is one attempt, and nothing is sent again by itself.
-package httpup
+package h1client
 
 import (
 	"bufio"
