--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -7,9 +7,9 @@
 
 	"yokestall/internal/cluster"
 	"yokestall/internal/engine"
-	"yokestall/internal/h2up"
 	"yokestall/internal/priority"
 	"yokestall/internal/upstream/h1client"
+	"yokestall/internal/upstream/h2client"
 	"yokestall/policy"
 )
 
@@ -51,7 +51,7 @@
 	}
 	var pool upstream = h1client.New(with)
 	if r.transport.HTTP2 {
-		pool = h2up.New(with)
+		pool = h2client.New(with)
 	}
 	a := r.app
 	o := engine.Options{Seed: a.Seed, Clock: a.clock, EventQueue: tierEvents}
--- a/internal/h2up/grpc.go
+++ b/internal/upstream/h2client/grpc.go
@@ -1,4 +1,4 @@
-package h2up
+package h2client
 
 import (
 	"net/http"
--- a/internal/h2up/h2up.go
+++ b/internal/upstream/h2client/h2up.go
@@ -1,6 +1,6 @@
-// Package h2up carries attempts to servers over HTTP/2. Like httpup it decides nothing, and
+// Package h2client carries attempts to servers over HTTP/2. Like httpup it decides nothing, and
 // nothing is sent again by itself.
-package h2up
+package h2client
 
 //lint:file-ignore SA1019 golang.org/x/net/http2 gives control over each client connection that net/http does not offer
 
