--- a/internal/cli/versions.go
+++ b/internal/cli/versions.go
@@ -10,14 +10,14 @@
 
 	"github.com/spf13/cobra"
 
+	"yokestall/internal/fleet/lease"
 	"yokestall/internal/fleet/peers"
-	"yokestall/internal/fleet/terms"
 	"yokestall/internal/lab"
 )
 
 // labVersions plays processes that agree on versions while parts of them fail.
 func labVersions(out io.Writer) *cobra.Command {
-	v := lab.Versions{Terms: terms.LeaseConfig{ApplyTimeout: 250 * time.Millisecond}}
+	v := lab.Versions{Terms: lease.LeaseConfig{ApplyTimeout: 250 * time.Millisecond}}
 	first, seeds := uint64(1), 3
 	c := &cobra.Command{
 		Use:   "versions",
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"yokestall/internal/cluster"
-	"yokestall/internal/fleet/terms"
+	"yokestall/internal/fleet/lease"
 )
 
 // Agree is how this node takes part in what its fleet agrees on; the zero value: it doesn't.
@@ -20,8 +20,8 @@
 	Voters       []Voter
 	Roots        string // to which other nodes' certificates have to lead; "": clear text, on loopback alone
 	Shows        string // the pair that is shown to them
-	Lease        terms.LeaseConfig
-	Disconnected terms.DisconnectedPolicy
+	Lease        lease.LeaseConfig
+	Disconnected lease.DisconnectedPolicy
 }
 
 // Voter is a node that votes.
@@ -63,7 +63,7 @@
 	}
 	a := &p.Agree
 	*a = Agree{Name: f.Name, Node: f.Node, Folder: f.Folder, Listen: f.Listen, Roots: f.Roots, Shows: f.Shows,
-		Lease: terms.LeaseConfig{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration}}
+		Lease: lease.LeaseConfig{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration}}
 	for _, n := range []struct{ key, name string }{{"name", f.Name}, {"node", f.Node}} {
 		if n.name == "" || len(n.name) > cluster.MaxName {
 			report(agreeTable, -1, n.key, "1 to %d bytes", cluster.MaxName)
@@ -117,10 +117,10 @@
 	a.Disconnected.MaxDuration = f.Alone.For.Duration
 	for _, k := range []struct {
 		key, word string
-		to        *terms.DisconnectedAction
+		to        *lease.DisconnectedAction
 	}{{"effects", f.Alone.Effects, &a.Disconnected.Effects}, {"routes", f.Alone.Routes, &a.Disconnected.Routes}, {"lists", f.Alone.Lists, &a.Disconnected.Servers}} {
 		var err error
-		if *k.to, err = terms.ParseDisconnectedAction(k.word); err != nil {
+		if *k.to, err = lease.ParseDisconnectedAction(k.word); err != nil {
 			report(agreeTable+".alone", -1, k.key, "%v", err)
 		}
 	}
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/fleet/terms"
+	"yokestall/internal/fleet/lease"
 )
 
 const agreeing = `[listen]
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	a := p.Agree
-	if !a.On() || len(a.Voters) != 3 || a.Folder != "agree" || a.Disconnected != (terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious}) || a.Lease.ActivationBound() > 2*time.Second {
+	if !a.On() || len(a.Voters) != 3 || a.Folder != "agree" || a.Disconnected != (lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious}) || a.Lease.ActivationBound() > 2*time.Second {
 		t.Errorf("%+v, bound %v", a, a.Lease.ActivationBound())
 	}
 	if plain, err := ParseProgram("n.toml", []byte(strings.Replace(agreeing, agreeing[strings.Index(agreeing, "[fleet.agree]"):strings.Index(agreeing, "[[class]]")], "", 1))); err != nil || plain.Agree.On() {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -15,8 +15,8 @@
 	"yokestall/internal/config"
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/lease"
 	"yokestall/internal/fleet/peers"
-	"yokestall/internal/fleet/terms"
 	"yokestall/internal/standin/fleet"
 )
 
@@ -60,7 +60,7 @@
 			err = errors.Join(err, n.close())
 		}
 	}()
-	t := terms.LeaseConfig{Duration: o.Lease, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
+	t := lease.LeaseConfig{Duration: o.Lease, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
 	var voters []peers.Voter
 	for i := range fleetNodes {
 		n := &fleetNode{name: string(rune('a' + i))}
@@ -108,10 +108,10 @@
 }
 
 // open opens a node with a link to each voter but itself.
-func (n *fleetNode) open(dir string, t terms.LeaseConfig, voters []peers.Voter, votes bool) error {
+func (n *fleetNode) open(dir string, t lease.LeaseConfig, voters []peers.Voter, votes bool) error {
 	c := peers.Config{
 		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: t, Log: slog.New(slog.DiscardHandler),
-		Disconnected: terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious},
+		Disconnected: lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious},
 		Parse: func(list []config.File) (*agree.Version, error) {
 			s, err := files.Unbundle(list)
 			if err != nil {
--- a/internal/fleet/agree/disconnected_test.go
+++ b/internal/fleet/agree/disconnected_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/fleet/terms"
+	"yokestall/internal/fleet/lease"
 	"yokestall/policy"
 )
 
@@ -16,7 +16,7 @@
 	now := time.UnixMilli(3000)
 	for range 300 {
 		last, next := drawn(t, rng), drawn(t, rng)
-		a := DisconnectedVersion(EffectiveVersion{Version: last}, terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious}, now)
+		a := DisconnectedVersion(EffectiveVersion{Version: last}, lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious}, now)
 		if a.Program.Limits.MaxAttempts != 1 || a.Program.Limits.AllowHedging {
 			t.Fatalf("attempts: %+v", a.Program.Limits)
 		}
@@ -38,19 +38,19 @@
 		}
 	}
 	last := version(t, program, servers)
-	if a := DisconnectedVersion(EffectiveVersion{Version: last}, terms.DisconnectedPolicy{Effects: terms.ServeLast, Routes: terms.ServeLast, Servers: terms.ServeLast}, now); AsStrict(a, last) != nil || AsStrict(EffectiveVersion{Version: last}, a.Version) != nil || len(a.Refused) > 0 {
+	if a := DisconnectedVersion(EffectiveVersion{Version: last}, lease.DisconnectedPolicy{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}, now); AsStrict(a, last) != nil || AsStrict(EffectiveVersion{Version: last}, a.Version) != nil || len(a.Refused) > 0 {
 		t.Errorf("not as the last: %v", a.Refused)
 	}
 	between := EffectiveVersion{last, map[string]string{"push": "its routes change"}}
-	if a := DisconnectedVersion(between, terms.DisconnectedPolicy{Effects: terms.ServeLast, Routes: terms.ServeLast, Servers: terms.ServeLast}, now); a.Refused["push"] == "" {
+	if a := DisconnectedVersion(between, lease.DisconnectedPolicy{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}, now); a.Refused["push"] == "" {
 		t.Error("what was refused between two versions is served alone")
 	}
-	for _, r := range []terms.DisconnectedPolicy{{Effects: terms.Refuse, Routes: terms.ServeLast, Servers: terms.ServeLast}, {Effects: terms.ServeLast, Routes: terms.Refuse, Servers: terms.ServeLast}, {Effects: terms.ServeLast, Routes: terms.ServeLast, Servers: terms.Refuse}} {
+	for _, r := range []lease.DisconnectedPolicy{{Effects: lease.Refuse, Routes: lease.ServeLast, Servers: lease.ServeLast}, {Effects: lease.ServeLast, Routes: lease.Refuse, Servers: lease.ServeLast}, {Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.Refuse}} {
 		if a := DisconnectedVersion(EffectiveVersion{Version: last}, r, now); len(a.Refused) != 2 {
 			t.Errorf("%+v: %v", r, a.Refused)
 		}
 	}
-	if _, err := terms.ParseDisconnectedAction("brave"); err == nil {
+	if _, err := lease.ParseDisconnectedAction("brave"); err == nil {
 		t.Error("brave is a caution")
 	}
 }
--- a/internal/fleet/agree/lease.go
+++ b/internal/fleet/agree/lease.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"yokestall/internal/fleet/terms"
+	"yokestall/internal/fleet/lease"
 )
 
 // LeaseConfig is the timing of leases.
-type LeaseConfig = terms.LeaseConfig
+type LeaseConfig = lease.LeaseConfig
 
 // LogStatus is the log's state at an index, as a voter has applied it. It stays true of that index, whoever passes it on.
 type LogStatus struct {
--- a/internal/fleet/terms/terms.go
+++ b/internal/fleet/lease/terms.go
@@ -1,5 +1,5 @@
-// Package terms defines the lease timing of a fleet and the policy of a node that has lost its lease. It has no state and does no I/O.
-package terms
+// Package lease defines the lease timing of a fleet and the policy of a node that has lost its lease. It has no state and does no I/O.
+package lease
 
 import (
 	"fmt"
--- a/internal/fleet/peers/node.go
+++ b/internal/fleet/peers/node.go
@@ -20,8 +20,8 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/lease"
 	"yokestall/internal/fleet/store"
-	"yokestall/internal/fleet/terms"
 )
 
 // Voter is the name and the address of a voter of the fleet.
@@ -51,8 +51,8 @@
 	Fleet, Name  string
 	Dir          string // of the store
 	Voters       []Voter
-	Lease        terms.LeaseConfig
-	Disconnected terms.DisconnectedPolicy
+	Lease        lease.LeaseConfig
+	Disconnected lease.DisconnectedPolicy
 	ServerTLS    *tls.Config // nil: clear text, for loopback only
 	ClientTLS    *tls.Config // nil: clear text
 	Log          *slog.Logger
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -20,7 +20,7 @@
 	"yokestall/internal/config"
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/agree"
-	"yokestall/internal/fleet/terms"
+	"yokestall/internal/fleet/lease"
 	"yokestall/internal/standin/keymaker"
 	"yokestall/internal/testkit"
 	"yokestall/internal/tlskeys"
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) { testkit.Main(m) }
 
-var quick = terms.LeaseConfig{Duration: 400 * time.Millisecond, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
+var quick = lease.LeaseConfig{Duration: 400 * time.Millisecond, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
 
 // bundle is a version of a program, which says how its one class behaves.
 func bundle(effect string) []config.File {
@@ -112,7 +112,7 @@
 	n := g.nodes[i]
 	c := Config{
 		Fleet: "f", Name: n.name, Dir: filepath.Join(g.dir, n.name), Voters: g.voters, Lease: quick, Log: slog.New(slog.DiscardHandler),
-		Disconnected: terms.DisconnectedPolicy{Effects: terms.Cautious, Routes: terms.Cautious, Servers: terms.Cautious},
+		Disconnected: lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious},
 		Parse: func(list []config.File) (*agree.Version, error) {
 			n.mu.Lock()
 			n.parsed++
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"yokestall/internal/config"
-	"yokestall/internal/fleet/terms"
+	"yokestall/internal/fleet/lease"
 )
 
 // Plan is a run of hollow nodes, as its file says.
@@ -21,7 +21,7 @@
 	Regions    int           // over which all processes and nodes are spread in turn
 	Zones      int           // likewise
 	TLS        bool
-	Terms      terms.LeaseConfig
+	Terms      lease.LeaseConfig
 	Content    Content
 	Steps      []Step
 }
@@ -117,7 +117,7 @@
 	p := &Plan{
 		Name: f.Name, Says: f.Says, Seed: f.Seed, Limit: f.Limit.Duration, Sizes: f.Sizes, PerProcess: f.PerProcess, Voters: f.Voters,
 		Serves: f.Serves, Regions: f.Regions, Zones: f.Zones, TLS: f.TLS, Content: f.Content,
-		Terms: terms.LeaseConfig{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration},
+		Terms: lease.LeaseConfig{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration},
 	}
 	names := map[string]bool{}
 	for i := range f.Step {
