--- a/internal/app/agreed.go
+++ b/internal/app/agreed.go
@@ -7,7 +7,7 @@
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 // Agreed has an app take what its fleet agrees on. What the node's own file says of the same things is not acted
@@ -18,7 +18,7 @@
 
 	mu   sync.Mutex
 	own  *config.Program
-	last *agree.EffectiveVersion // nil: nothing yet
+	last *consensus.EffectiveVersion // nil: nothing yet
 }
 
 // NewAgreed makes a source for an app that serves nothing yet.
@@ -32,7 +32,7 @@
 }
 
 // Parse reads a version's files; an error is why this node can't hold it.
-func (s *Agreed) Parse(list []config.File) (*agree.Version, error) {
+func (s *Agreed) Parse(list []config.File) (*consensus.Version, error) {
 	snap, err := s.parser.Unbundle(list)
 	if err != nil {
 		return nil, err
@@ -42,21 +42,21 @@
 	if _, err := s.own.Agreed(snap.Program); err != nil {
 		return nil, err
 	}
-	return &agree.Version{Program: snap.Program, Clusters: snap.Version.Clusters}, nil
+	return &consensus.Version{Program: snap.Program, Clusters: snap.Version.Clusters}, nil
 }
 
 // Extend is Parse for a version that has the files of another one and changes of lists beside them, at the cost of
 // these.
-func (s *Agreed) Extend(v *agree.Version, changes []config.File) (*agree.Version, error) {
+func (s *Agreed) Extend(v *consensus.Version, changes []config.File) (*consensus.Version, error) {
 	clusters, err := s.parser.Change(v.Clusters, changes)
 	if err != nil {
 		return nil, err
 	}
-	return &agree.Version{Program: v.Program, Clusters: clusters}, nil
+	return &consensus.Version{Program: v.Program, Clusters: clusters}, nil
 }
 
 // Take acts on something from now on.
-func (s *Agreed) Take(a agree.EffectiveVersion) error {
+func (s *Agreed) Take(a consensus.EffectiveVersion) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.take(s.own, &a); err != nil {
@@ -79,7 +79,7 @@
 	s.own = own
 }
 
-func (s *Agreed) take(own *config.Program, a *agree.EffectiveVersion) error {
+func (s *Agreed) take(own *config.Program, a *consensus.EffectiveVersion) error {
 	p, err := own.Agreed(a.Program)
 	if err != nil {
 		return err
--- a/internal/app/agreed_test.go
+++ b/internal/app/agreed_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/testkit"
 )
 
@@ -50,7 +50,7 @@
 	for i := range 100 {
 		text := strings.Replace(program, "attempts = 3", fmt.Sprint("attempts = ", 2+i%3), 1)
 		text = strings.Replace(text, "[[class]]\nname = \"read\"", fmt.Sprintf("[fleet]\nnodes = %d\n[[class]]\nname = \"first-%d\"\neffect = \"safe\"\ndeadline = \"1s\"\n[[class]]\nname = \"read\"", 1+i%4, i), 1)
-		if err := source.Take(agree.EffectiveVersion{Version: &agree.Version{Program: parse(t, text), Clusters: snapshot(own, list).Version.Clusters}}); err != nil {
+		if err := source.Take(consensus.EffectiveVersion{Version: &consensus.Version{Program: parse(t, text), Clusters: snapshot(own, list).Version.Clusters}}); err != nil {
 			t.Fatal(err)
 		}
 		n := asked.Load()
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -16,7 +16,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/peers"
 	"yokestall/internal/tlskeys"
 )
@@ -400,15 +400,15 @@
 			"while another acts on the old one.",
 		Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, paths []string) error {
-			var both []*agree.Version
+			var both []*consensus.Version
 			for _, path := range paths {
 				s, err := files.Load(path)
 				if err != nil {
 					return err
 				}
-				both = append(both, &agree.Version{Program: s.Program, Clusters: s.Version.Clusters})
+				both = append(both, &consensus.Version{Program: s.Program, Clusters: s.Version.Clusters})
 			}
-			list, table := agree.Differences(both[0], both[1]), agree.Table()
+			list, table := consensus.Differences(both[0], both[1]), consensus.Table()
 			for _, d := range list {
 				if d.Contradicts {
 					fmt.Fprintf(out, "CONTRADICTS %v (%s)\n", d, table[d.Kind].Why)
@@ -416,7 +416,7 @@
 					fmt.Fprintf(out, "differs     %v\n", d)
 				}
 			}
-			if agree.Contradicts(list) {
+			if consensus.Contradicts(list) {
 				return ErrReported
 			}
 			return nil
--- a/internal/cli/release.go
+++ b/internal/cli/release.go
@@ -10,7 +10,7 @@
 
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/peers"
 )
 
@@ -27,7 +27,7 @@
 }
 
 // parseRelease reads a release's file.
-func parseRelease(name string, text []byte) (*agree.Release, error) {
+func parseRelease(name string, text []byte) (*consensus.Release, error) {
 	f := releaseFile{AtOnce: 1, Floor: 0.5}
 	if err := config.Decode(name, text, &f); err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 	if f.AtOnce < 1 {
 		return nil, fail("at_once", fmt.Sprintf("%d is below 1", f.AtOnce))
 	}
-	r := &agree.Release{
+	r := &consensus.Release{
 		ID: peers.NewID(), Cluster: f.Cluster, Waves: f.Waves, Floor: f.Floor, Drain: f.Drain.Duration, Restart: f.Away.Duration, Warm: f.Warm.Duration,
 	}
 	for left := f.Servers; len(left) > 0; {
@@ -91,7 +91,7 @@
 			if word == "status" {
 				word = ""
 			}
-			return f.control(cmd, peers.ReleaseCommand{Action: agree.ReleaseAction(word), Reason: why})
+			return f.control(cmd, peers.ReleaseCommand{Action: consensus.ReleaseAction(word), Reason: why})
 		}}
 		if w.word == "abort" {
 			sub.Flags().StringVar(&why, "why", "by hand", "for the record")
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -14,7 +14,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
 	"yokestall/internal/fleet/peers"
 	"yokestall/internal/standin/fleet"
@@ -112,14 +112,14 @@
 	c := peers.Config{
 		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: t, Log: slog.New(slog.DiscardHandler),
 		Disconnected: lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious},
-		Parse: func(list []config.File) (*agree.Version, error) {
+		Parse: func(list []config.File) (*consensus.Version, error) {
 			s, err := files.Unbundle(list)
 			if err != nil {
 				return nil, err
 			}
-			return &agree.Version{Program: s.Program, Clusters: s.Version.Clusters}, nil
+			return &consensus.Version{Program: s.Program, Clusters: s.Version.Clusters}, nil
 		},
-		Apply: func(a agree.EffectiveVersion) error {
+		Apply: func(a consensus.EffectiveVersion) error {
 			k := &a.Program.Classes[0]
 			n.mu.Lock()
 			defer n.mu.Unlock()
--- a/internal/fleet/agree/contradict.go
+++ b/internal/fleet/consensus/contradict.go
@@ -1,10 +1,10 @@
-// Package agree is the replicated state of a fleet: the log of its configuration versions, leases for acting on them, the ownership of
+// Package consensus is the replicated state of a fleet: the log of its configuration versions, leases for acting on them, the ownership of
 // singleton tasks, and the rules for which versions contradict each other. It does no I/O and reads no clock.
 //
 // Two versions contradict each other where a node that acts on one and a node that acts on the other could together break a rule that
 // each of them keeps by itself. No two nodes may act on such versions at the same time. Other versions may coexist: each request is decided by
 // one node, so what only affects how well it is served needs no agreement.
-package agree
+package consensus
 
 import (
 	"fmt"
--- a/internal/fleet/agree/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"errors"
--- a/internal/fleet/agree/race_test.go
+++ b/internal/fleet/consensus/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package agree
+package consensus
 
 const raced = true
--- a/internal/fleet/peers/admit.go
+++ b/internal/fleet/peers/admit.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/store"
 )
 
@@ -38,7 +38,7 @@
 
 func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*StartReply, error) {
 	if !slices.ContainsFunc(n.Voters, func(v Voter) bool { return v.Name == start.Name }) {
-		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", start.Name[:min(len(start.Name), agree.MaxName)])
+		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", start.Name[:min(len(start.Name), consensus.MaxName)])
 	}
 	admitted, latest, err := n.store.RecordStart(*start)
 	if err != nil {
--- a/internal/fleet/peers/apply.go
+++ b/internal/fleet/peers/apply.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 // minReconcileDelay is the shortest time between two rounds of reconcile that nothing woke.
@@ -52,7 +52,7 @@
 }
 
 // applyRules makes the program act on rules that the lease permits.
-func (n *Node) applyRules(rules agree.ActiveRules) {
+func (n *Node) applyRules(rules consensus.ActiveRules) {
 	effective, ok := n.effectiveVersion(rules)
 	if !ok {
 		return // a version was evicted meanwhile, and is fetched again
@@ -76,18 +76,18 @@
 }
 
 // effectiveVersion returns the version, or the stricter of two, that rules stand for; false: one of them is not cached.
-func (n *Node) effectiveVersion(rules agree.ActiveRules) (agree.EffectiveVersion, bool) {
+func (n *Node) effectiveVersion(rules consensus.ActiveRules) (consensus.EffectiveVersion, bool) {
 	n.versionsMu.Lock()
 	active, pending := n.versions[rules.Version], n.versions[rules.PendingVersion]
 	n.versionsMu.Unlock()
 	switch {
 	case active == nil || rules.PendingVersion != 0 && pending == nil:
-		return agree.EffectiveVersion{}, false
+		return consensus.EffectiveVersion{}, false
 	case rules.PendingVersion == 0:
-		return agree.EffectiveVersion{Version: active}, true
+		return consensus.EffectiveVersion{Version: active}, true
 	}
-	stricter := agree.Stricter(active, pending)
-	if err := errors.Join(agree.AsStrict(stricter, active), agree.AsStrict(stricter, pending)); err != nil {
+	stricter := consensus.Stricter(active, pending)
+	if err := errors.Join(consensus.AsStrict(stricter, active), consensus.AsStrict(stricter, pending)); err != nil {
 		n.Log.Error("nothing is served in between: the stricter of two versions is laxer than one of them", "rules", rules, "err", err)
 		for _, c := range stricter.Program.Classes {
 			stricter.Refused[c.Name] = "the rules change"
@@ -98,7 +98,7 @@
 
 // boundByLease binds a program that acts on nothing, or without a lease, to the lease of the rules that it is about to apply, so that it
 // is bound from the first moment on. It returns what the program acts on.
-func (n *Node) boundByLease(rules agree.ActiveRules) *appliedRules {
+func (n *Node) boundByLease(rules consensus.ActiveRules) *appliedRules {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
 	current := n.applied.Load()
@@ -109,7 +109,7 @@
 }
 
 // rejectRules records that the program can't apply the newest version of rules, and reports it while that version is pending.
-func (n *Node) rejectRules(rules agree.ActiveRules, err error) {
+func (n *Node) rejectRules(rules consensus.ActiveRules, err error) {
 	newest := max(rules.Version, rules.PendingVersion)
 	n.versionsMu.Lock()
 	n.rejected[newest] = err.Error()
@@ -133,15 +133,15 @@
 }
 
 // enterDisconnected restricts the program to the disconnected policy after the lease has expired.
-func (n *Node) enterDisconnected(last agree.ActiveRules) {
+func (n *Node) enterDisconnected(last consensus.ActiveRules) {
 	n.versionsMu.Lock()
 	active, pending := n.versions[last.Version], n.versions[last.PendingVersion]
 	n.versionsMu.Unlock()
 	switch {
 	case active != nil && pending != nil:
-		n.applyDisconnected(agree.Stricter(active, pending), last)
+		n.applyDisconnected(consensus.Stricter(active, pending), last)
 	case active != nil:
-		n.applyDisconnected(agree.EffectiveVersion{Version: active}, last)
+		n.applyDisconnected(consensus.EffectiveVersion{Version: active}, last)
 	}
 }
 
@@ -159,11 +159,11 @@
 	n.versionsMu.Lock()
 	n.cacheVersion(m, v)
 	n.versionsMu.Unlock()
-	n.applyDisconnected(agree.EffectiveVersion{Version: v}, agree.ActiveRules{Version: m.Number})
+	n.applyDisconnected(consensus.EffectiveVersion{Version: v}, consensus.ActiveRules{Version: m.Number})
 }
 
-func (n *Node) applyDisconnected(effective agree.EffectiveVersion, last agree.ActiveRules) {
-	if err := n.Apply(agree.DisconnectedVersion(effective, n.Disconnected, time.Now())); err != nil {
+func (n *Node) applyDisconnected(effective consensus.EffectiveVersion, last consensus.ActiveRules) {
+	if err := n.Apply(consensus.DisconnectedVersion(effective, n.Disconnected, time.Now())); err != nil {
 		n.Log.Error("nothing is served without a lease", "err", err)
 		return
 	}
--- a/internal/fleet/peers/change_test.go
+++ b/internal/fleet/peers/change_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"yokestall/internal/config"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/testkit"
 )
 
@@ -68,7 +68,7 @@
 		t.Fatalf("%+v, %v", drain, err)
 	}
 	for i, n := range g.nodes {
-		var v *agree.Version
+		var v *consensus.Version
 		testkit.Until(t, n.name+" to hold it", func() bool {
 			n.node.versionsMu.Lock()
 			defer n.node.versionsMu.Unlock()
--- a/internal/fleet/peers/client.go
+++ b/internal/fleet/peers/client.go
@@ -18,7 +18,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 const (
@@ -135,7 +135,7 @@
 	for _, f := range list {
 		h := hash(f.Text)
 		content[h] = f.Text
-		request.Parts = append(request.Parts, agree.Part{Name: f.Name, Hash: h, Size: len(f.Text)})
+		request.Parts = append(request.Parts, consensus.Part{Name: f.Name, Hash: h, Size: len(f.Text)})
 	}
 	return c.publish(ctx, request, content)
 }
@@ -165,14 +165,14 @@
 		return c.Publish(ctx, id, base, list)
 	}
 	h := hash(change.Text)
-	part := agree.Part{Name: files.ChangePart(patch.Name, changes), Hash: h, Size: len(change.Text)}
-	request := PublishRequest{ID: id, Base: base, Extends: true, Parts: []agree.Part{part}}
+	part := consensus.Part{Name: files.ChangePart(patch.Name, changes), Hash: h, Size: len(change.Text)}
+	request := PublishRequest{ID: id, Base: base, Extends: true, Parts: []consensus.Part{part}}
 	return c.publish(ctx, request, map[string][]byte{h: change.Text})
 }
 
 // describe returns a version's manifest from the first voter that has it, and the connection to that voter.
-func (c *Client) describe(ctx context.Context, number uint64) (m *agree.Manifest, from *Conn, err error) {
-	m, err = firstAnswer(ctx, slices.Values(c.conns), statusTimeout, ErrNoQuorum, func(ctx context.Context, conn *Conn) (*agree.Manifest, error) {
+func (c *Client) describe(ctx context.Context, number uint64) (m *consensus.Manifest, from *Conn, err error) {
+	m, err = firstAnswer(ctx, slices.Values(c.conns), statusTimeout, ErrNoQuorum, func(ctx context.Context, conn *Conn) (*consensus.Manifest, error) {
 		from = conn
 		return conn.Describe(ctx, number)
 	})
@@ -180,7 +180,7 @@
 }
 
 // mergeChanges returns the files of a version with its changes, and a further one, applied to the lists.
-func mergeChanges(ctx context.Context, conn *Conn, m *agree.Manifest, change config.File) ([]config.File, error) {
+func mergeChanges(ctx context.Context, conn *Conn, m *consensus.Manifest, change config.File) ([]config.File, error) {
 	var list, merged []config.File
 	for _, p := range m.Parts {
 		data, err := conn.Fetch(ctx, p)
--- a/internal/fleet/peers/dial.go
+++ b/internal/fleet/peers/dial.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 const (
@@ -74,11 +74,11 @@
 			return
 		case m := <-queue:
 			if err := sendRaftMessage(s, m); err != nil {
-				n.withVoter(func(v *agree.Voter) error { reportLost(v, m); return nil })
+				n.withVoter(func(v *consensus.Voter) error { reportLost(v, m); return nil })
 				return
 			}
 			if m.GetType() == pb.MsgSnap {
-				n.withVoter(func(v *agree.Voter) error { v.SnapshotSent(m.GetTo(), true); return nil })
+				n.withVoter(func(v *consensus.Voter) error { v.SnapshotSent(m.GetTo(), true); return nil })
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 	for {
 		select {
 		case m := <-queue:
-			n.withVoter(func(v *agree.Voter) error { reportLost(v, m); return nil })
+			n.withVoter(func(v *consensus.Voter) error { reportLost(v, m); return nil })
 		default:
 			return
 		}
--- a/internal/fleet/peers/golden_test.go
+++ b/internal/fleet/peers/golden_test.go
@@ -5,19 +5,19 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/store"
 	"yokestall/internal/testkit/golden"
 )
 
 // goldenParts returns parts with all fields set.
-func goldenParts() []agree.Part {
-	return []agree.Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), Size: 12}, {Name: "b.toml", Hash: strings.Repeat("b2", 32), Size: 13}}
+func goldenParts() []consensus.Part {
+	return []consensus.Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), Size: 12}, {Name: "b.toml", Hash: strings.Repeat("b2", 32), Size: 13}}
 }
 
 // goldenRelease returns a release with all fields set.
-func goldenRelease() agree.Release {
-	return agree.Release{
+func goldenRelease() consensus.Release {
+	return consensus.Release{
 		ID: "release-a", Cluster: "cluster-a", Waves: [][]string{{"server-a", "server-b"}, {"server-c"}}, Floor: 0.625,
 		Drain: 2 * time.Second, Restart: 3 * time.Second, Warm: 4 * time.Second,
 	}
@@ -27,10 +27,10 @@
 func goldenStatus() Status {
 	return Status{
 		Node: "node-a", Fleet: "fleet-a", Voter: true, Leader: "node-b", Term: 51,
-		LogStatus:    agree.LogStatus{Index: 52, Epoch: 53, ActiveVersion: 54, PendingVersion: 55},
-		Applied:      agree.ActiveRules{Epoch: 56, Version: 57, PendingVersion: 58},
+		LogStatus:    consensus.LogStatus{Index: 52, Epoch: 53, ActiveVersion: 54, PendingVersion: 55},
+		Applied:      consensus.ActiveRules{Epoch: 56, Version: 57, PendingVersion: 58},
 		Disconnected: true, LeaseLeftMs: 59, WaitingFor: []string{"node-c"}, LeaseHolders: []string{"node-d", "node-e"},
-		History: []agree.Manifest{{
+		History: []consensus.Manifest{{
 			Number: 11, Base: 10, ID: "id-a", Proposer: "node-f", Contradicts: true, Parts: goldenParts(), Extends: true, OwnParts: 1,
 			RefusalReason: "node-g: too large",
 		}},
@@ -45,24 +45,24 @@
 		DescribeRequest{Number: 1, OwnPartsOnly: true},
 		FetchRequest{Hash: "hash-a", Offset: 2},
 		LeaseReply{
-			Grant: &agree.Grant{
+			Grant: &consensus.Grant{
 				Voter: 3, Sequence: 4, MaxEpoch: 5, OwnershipRevision: 6,
-				LogStatus: agree.LogStatus{Index: 7, Epoch: 8, ActiveVersion: 9, PendingVersion: 10},
+				LogStatus: consensus.LogStatus{Index: 7, Epoch: 8, ActiveVersion: 9, PendingVersion: 10},
 			},
-			LogStatus: &agree.LogStatus{Index: 11, Epoch: 12, ActiveVersion: 13, PendingVersion: 14},
+			LogStatus: &consensus.LogStatus{Index: 11, Epoch: 12, ActiveVersion: 13, PendingVersion: 14},
 			Error:     "error-b",
 		},
-		agree.LeaseRequest{Node: "node-a", Incarnation: "incarnation-a", Sequence: 15, ConfirmedEpoch: 16, ConfirmedOwnership: 17},
+		consensus.LeaseRequest{Node: "node-a", Incarnation: "incarnation-a", Sequence: 15, ConfirmedEpoch: 16, ConfirmedOwnership: 17},
 		PublishRequest{ID: "id-b", Base: 18, Parts: goldenParts(), Extends: true},
 		PublishReply{Number: 19, Contradicts: true, Error: "error-c", Retry: true, ActiveVersion: 20, Differences: []string{"difference-a"}},
 		ContentHashes{Hashes: []string{"hash-b", "hash-c"}},
-		agree.Refusal{Number: 21, Node: "node-b", Reason: "reason-b"},
+		consensus.Refusal{Number: 21, Node: "node-b", Reason: "reason-b"},
 		store.VoterStart{Name: "voter-a", Count: 22, Nonce: "nonce-a"},
 		StartReply{Admitted: true, Latest: store.VoterStart{Name: "voter-b", Count: 23, Nonce: "nonce-b"}},
 		OwnershipQuery{Task: "task-b", Token: 24},
-		ReleaseCommand{Start: &release, Action: agree.AbortRelease, Reason: "reason-c"},
-		ReleaseReply{Error: "error-d", Progress: &agree.ReleaseProgress{
-			Release: release, Wave: 1, Phase: agree.Warming, Paused: true, Result: "done", StopReason: "abort: reason-d",
+		ReleaseCommand{Start: &release, Action: consensus.AbortRelease, Reason: "reason-c"},
+		ReleaseReply{Error: "error-d", Progress: &consensus.ReleaseProgress{
+			Release: release, Wave: 1, Phase: consensus.Warming, Paused: true, Result: "done", StopReason: "abort: reason-d",
 		}},
 		status,
 		VoterStatus{Voter: "voter-c", Status: &status, Error: "error-e"},
--- a/internal/fleet/peers/hooks.go
+++ b/internal/fleet/peers/hooks.go
@@ -7,7 +7,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/stats"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 // Hooks let a rig measure a node's control traffic and fail its links. All of them are nil in a program that serves.
@@ -20,7 +20,7 @@
 	Stats stats.Handler
 	// Applied is told what the program acts on from now on, and whether the policy for a node without a lease
 	// restricts it. It must not block.
-	Applied func(rules agree.ActiveRules, disconnected bool)
+	Applied func(rules consensus.ActiveRules, disconnected bool)
 }
 
 func (h *Hooks) dialOptions() (options []grpc.DialOption) {
@@ -47,7 +47,7 @@
 	return h.Listen(l)
 }
 
-func (h *Hooks) notifyApplied(rules agree.ActiveRules, disconnected bool) {
+func (h *Hooks) notifyApplied(rules consensus.ActiveRules, disconnected bool) {
 	if h.Applied != nil {
 		h.Applied(rules, disconnected)
 	}
--- a/internal/fleet/peers/lease.go
+++ b/internal/fleet/peers/lease.go
@@ -8,14 +8,14 @@
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 // silentLeases is after how many leases' durations a stream over which no reply comes is closed.
 const silentLeases = 2
 
 // nextLeaseRequest returns the next request, and a channel that is closed when the one after it should be sent at once.
-func (n *Node) nextLeaseRequest() (agree.LeaseRequest, <-chan struct{}) {
+func (n *Node) nextLeaseRequest() (consensus.LeaseRequest, <-chan struct{}) {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
 	request := n.lease.NextRequest(n.Clock())
@@ -32,7 +32,7 @@
 }
 
 // handleLeaseReply records a grant and the log's status, either of which may be nil, and wakes reconcile.
-func (n *Node) handleLeaseReply(grant *agree.Grant, status *agree.LogStatus) {
+func (n *Node) handleLeaseReply(grant *consensus.Grant, status *consensus.LogStatus) {
 	n.leaseMu.Lock()
 	if grant != nil {
 		n.lease.HandleGrant(*grant)
@@ -51,7 +51,7 @@
 }
 
 // leaseEnd returns when the lease for rules ends; n.leaseMu is held.
-func (n *Node) leaseEnd(rules agree.ActiveRules) time.Duration {
+func (n *Node) leaseEnd(rules consensus.ActiveRules) time.Duration {
 	now := n.Clock()
 	if !n.lease.Permits(now, rules) {
 		return 0
@@ -60,7 +60,7 @@
 }
 
 // logStatus returns the latest state of the log that this node has heard of.
-func (n *Node) logStatus() agree.LogStatus {
+func (n *Node) logStatus() consensus.LogStatus {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
 	return n.lease.LogStatus()
@@ -159,7 +159,7 @@
 	if !n.isVoter() {
 		return errNotVoter
 	}
-	requests, failed := make(chan agree.LeaseRequest), make(chan error, 1)
+	requests, failed := make(chan consensus.LeaseRequest), make(chan error, 1)
 	go func() { failed <- receiveLeaseRequests(s, requests) }()
 	for {
 		_, changed := n.stateAndChange()
@@ -189,7 +189,7 @@
 	}
 }
 
-func (n *Node) replyToLeaseRequest(request agree.LeaseRequest) LeaseReply {
+func (n *Node) replyToLeaseRequest(request consensus.LeaseRequest) LeaseReply {
 	grant, err := n.grantLease(request)
 	if err != nil {
 		return LeaseReply{Error: err.Error()}
@@ -198,13 +198,13 @@
 }
 
 // receiveLeaseRequests passes a node's requests on until its stream ends, and returns why it did.
-func receiveLeaseRequests(s grpc.ServerStream, requests chan<- agree.LeaseRequest) error {
+func receiveLeaseRequests(s grpc.ServerStream, requests chan<- consensus.LeaseRequest) error {
 	for {
 		in := &wrapperspb.BytesValue{}
 		if err := s.RecvMsg(in); err != nil {
 			return ignoreEOF(err)
 		}
-		var request agree.LeaseRequest
+		var request consensus.LeaseRequest
 		if err := unpack(in, &request); err != nil {
 			return err
 		}
--- a/internal/fleet/peers/node.go
+++ b/internal/fleet/peers/node.go
@@ -19,7 +19,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"yokestall/internal/config"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
 	"yokestall/internal/fleet/store"
 )
@@ -59,11 +59,11 @@
 	// Clock measures leases. It has to advance while the process is suspended. nil: BootTime.
 	Clock func() time.Duration
 	// Parse parses and validates a version's files. An error means that this node can't use the version.
-	Parse func(list []config.File) (*agree.Version, error)
+	Parse func(list []config.File) (*consensus.Version, error)
 	// Extend applies changes of cluster lists to a version that Parse returned; nil: every version is parsed as a whole.
-	Extend func(v *agree.Version, changes []config.File) (*agree.Version, error)
+	Extend func(v *consensus.Version, changes []config.File) (*consensus.Version, error)
 	// Apply makes the program act on a version. The program no longer acts on the one before when Apply returns.
-	Apply func(v agree.EffectiveVersion) error
+	Apply func(v consensus.EffectiveVersion) error
 	Hooks
 }
 
@@ -80,36 +80,36 @@
 	outbox      map[uint64]chan *pb.Message // raft messages for the other voters
 	ownStart    store.VoterStart            // of a voter
 
-	mu            sync.Mutex   // guards the fields up to recentContent
-	unadmitted    *agree.Voter // the voter until the other voters admit it
-	voter         *agree.Voter
+	mu            sync.Mutex       // guards the fields up to recentContent
+	unadmitted    *consensus.Voter // the voter until the other voters admit it
+	voter         *consensus.Voter
 	votingError   error         // why this node no longer votes
 	stateChanged  chan struct{} // closed when the voter's state changes
 	recentContent map[string]time.Time
 
 	leaseMu  sync.Mutex // guards the lease
-	lease    *agree.Lease
+	lease    *consensus.Lease
 	renewNow chan struct{} // closed to renew the lease at all voters at once
 
 	applied atomic.Pointer[appliedRules]
 	wake    chan struct{} // wakes reconcile
 
 	versionsMu sync.Mutex // guards the versions
-	versions   map[uint64]*agree.Version
-	manifests  map[uint64]*agree.Manifest // of versions
-	rejected   map[uint64]string          // why this node can't use a version
+	versions   map[uint64]*consensus.Version
+	manifests  map[uint64]*consensus.Manifest // of versions
+	rejected   map[uint64]string              // why this node can't use a version
 	fetching   map[uint64]bool
 
 	parseMu         sync.Mutex // guards the last version that was parsed as a whole
-	lastParsed      *agree.Version
-	lastParsedParts []agree.Part
+	lastParsed      *consensus.Version
+	lastParsedParts []consensus.Part
 
 	ownership ownership
 }
 
 // appliedRules is what the program acts on.
 type appliedRules struct {
-	rules        agree.ActiveRules
+	rules        consensus.ActiveRules
 	disconnected bool          // restricted by the disconnected policy
 	until        time.Duration // on the node's clock
 }
@@ -141,7 +141,7 @@
 		conns: map[uint64]*Conn{}, outbox: map[uint64]chan *pb.Message{},
 		stateChanged: make(chan struct{}), recentContent: map[string]time.Time{},
 		renewNow: make(chan struct{}), wake: make(chan struct{}, 1),
-		versions: map[uint64]*agree.Version{}, manifests: map[uint64]*agree.Manifest{},
+		versions: map[uint64]*consensus.Version{}, manifests: map[uint64]*consensus.Manifest{},
 		rejected: map[uint64]string{}, fetching: map[uint64]bool{},
 	}
 	var err error
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.lease = agree.NewLease(c.Lease, len(c.Voters), n.hasVersion)
+	n.lease = consensus.NewLease(c.Lease, len(c.Voters), n.hasVersion)
 	if err := n.connect(); err != nil {
 		n.Close()
 		return nil, err
@@ -191,7 +191,7 @@
 	if id.Fleet != n.Fleet || id.ID != own || !slices.Equal(id.Voters, voterIDs(n.Voters)) {
 		return fmt.Errorf("%s: the store is of the voter %s of the fleet %q, among others: %s", n.Dir, id.Name, id.Fleet, "the configuration names another, or other voters")
 	}
-	v, err := agree.NewVoter(n.Clock(), own, n.Lease, disk)
+	v, err := consensus.NewVoter(n.Clock(), own, n.Lease, disk)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/peers/peers_test.go
+++ b/internal/fleet/peers/peers_test.go
@@ -19,7 +19,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
 	"yokestall/internal/standin/keymaker"
 	"yokestall/internal/testkit"
@@ -56,7 +56,7 @@
 	stop   context.CancelFunc
 	done   sync.WaitGroup
 	node   *Node
-	cannot func(v *agree.Version) error
+	cannot func(v *consensus.Version) error
 
 	mu               sync.Mutex
 	parsed, extended int
@@ -113,7 +113,7 @@
 	c := Config{
 		Fleet: "f", Name: n.name, Dir: filepath.Join(g.dir, n.name), Voters: g.voters, Lease: quick, Log: slog.New(slog.DiscardHandler),
 		Disconnected: lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious},
-		Parse: func(list []config.File) (*agree.Version, error) {
+		Parse: func(list []config.File) (*consensus.Version, error) {
 			n.mu.Lock()
 			n.parsed++
 			n.mu.Unlock()
@@ -121,20 +121,20 @@
 			if err != nil {
 				return nil, err
 			}
-			v := &agree.Version{Program: s.Program, Clusters: s.Version.Clusters}
+			v := &consensus.Version{Program: s.Program, Clusters: s.Version.Clusters}
 			if n.cannot != nil {
 				return v, n.cannot(v)
 			}
 			return v, nil
 		},
-		Extend: func(v *agree.Version, changes []config.File) (*agree.Version, error) {
+		Extend: func(v *consensus.Version, changes []config.File) (*consensus.Version, error) {
 			n.mu.Lock()
 			n.extended++
 			n.mu.Unlock()
 			clusters, err := files.Change(v.Clusters, changes)
-			return &agree.Version{Program: v.Program, Clusters: clusters}, err
+			return &consensus.Version{Program: v.Program, Clusters: clusters}, err
 		},
-		Apply: func(a agree.EffectiveVersion) error {
+		Apply: func(a consensus.EffectiveVersion) error {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			c := a.Program.Classes[0]
@@ -271,7 +271,7 @@
 	for i := range g.nodes {
 		g.acts(i, "safe")
 	}
-	g.nodes[3].cannot = func(v *agree.Version) error {
+	g.nodes[3].cannot = func(v *consensus.Version) error {
 		if v.Program.Classes[0].Idempotency != 0 {
 			return errors.New("an older program knows no such class")
 		}
@@ -329,7 +329,7 @@
 	g.kill(3)
 	g.nodes[3].acts = nil
 	g.start(3)
-	g.nodes[3].node.handleLeaseReply(nil, &agree.LogStatus{Index: 1, ActiveVersion: 2}) // one voter alone can be heard of
+	g.nodes[3].node.handleLeaseReply(nil, &consensus.LogStatus{Index: 1, ActiveVersion: 2}) // one voter alone can be heard of
 	g.acts(3, "-")
 	for i := range g.voters {
 		g.start(i)
@@ -447,7 +447,7 @@
 	g := newGroup(t, 1, 0)
 	g.publish("one", 0, bundle("safe"))
 	many := bundle("safe")
-	for i := range agree.MaxFiles {
+	for i := range consensus.MaxFiles {
 		many = append(many, config.File{Name: fmt.Sprint("f", i)})
 	}
 	if _, err := g.client.Publish(g.patience(), "many", 1, many); err == nil {
--- a/internal/fleet/peers/publish.go
+++ b/internal/fleet/peers/publish.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 const (
@@ -23,7 +23,7 @@
 func (n *Node) servePublish(ctx context.Context, in *PublishRequest) (*PublishReply, error) {
 	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
-	m := &agree.Manifest{ID: in.ID, Base: in.Base, Proposer: n.Name, Parts: in.Parts, Extends: in.Extends}
+	m := &consensus.Manifest{ID: in.ID, Base: in.Base, Proposer: n.Name, Parts: in.Parts, Extends: in.Extends}
 	if err := m.Check(); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -38,7 +38,7 @@
 	if err != nil {
 		return &PublishReply{Error: err.Error(), ActiveVersion: state.ActiveVersion}, nil
 	}
-	if err := state.CheckProposal(m); errors.Is(err, agree.ErrVersionPending) { // before the content is parsed for nothing
+	if err := state.CheckProposal(m); errors.Is(err, consensus.ErrVersionPending) { // before the content is parsed for nothing
 		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.ActiveVersion}, nil
 	}
 	next, err := n.parseVersion(ctx, whole)
@@ -55,7 +55,7 @@
 }
 
 // publishReply returns the reply for a publisher's id that is in the log; nil: it isn't.
-func publishReply(s *agree.State, id string) *PublishReply {
+func publishReply(s *consensus.State, id string) *PublishReply {
 	m := s.Published(id)
 	if m == nil {
 		return nil
@@ -68,7 +68,7 @@
 }
 
 // wholeManifest returns a manifest with the parts of its base.
-func wholeManifest(s *agree.State, m *agree.Manifest) (*agree.Manifest, error) {
+func wholeManifest(s *consensus.State, m *consensus.Manifest) (*consensus.Manifest, error) {
 	whole := *m
 	whole.OwnParts = len(m.Parts)
 	if !m.Extends {
@@ -82,13 +82,13 @@
 }
 
 // staleBaseReply is the reply for a version that was not made from the active one: it shows how the two differ.
-func (n *Node) staleBaseReply(ctx context.Context, s *agree.State, next *agree.Version, reason error) *PublishReply {
+func (n *Node) staleBaseReply(ctx context.Context, s *consensus.State, next *consensus.Version, reason error) *PublishReply {
 	reply := &PublishReply{Error: reason.Error(), ActiveVersion: s.ActiveVersion}
 	active, err := n.versionInLog(ctx, s, s.ActiveVersion)
 	if err != nil {
 		return reply
 	}
-	for _, d := range agree.Differences(active, next) {
+	for _, d := range consensus.Differences(active, next) {
 		if len(reply.Differences) == maxShownDifferences {
 			break
 		}
@@ -98,13 +98,13 @@
 }
 
 // contradictsEpoch reports whether a version contradicts any that nodes may act on.
-func (n *Node) contradictsEpoch(ctx context.Context, s *agree.State, next *agree.Version) (bool, error) {
+func (n *Node) contradictsEpoch(ctx context.Context, s *consensus.State, next *consensus.Version) (bool, error) {
 	for _, number := range s.EpochVersions {
 		v, err := n.versionInLog(ctx, s, number)
 		if err != nil {
 			return false, err
 		}
-		if agree.Contradicts(agree.Differences(v, next)) {
+		if consensus.Contradicts(consensus.Differences(v, next)) {
 			return true, nil
 		}
 	}
@@ -112,10 +112,10 @@
 }
 
 // proposeVersion proposes a version until it is in the log, another one is there before it, or ctx ends.
-func (n *Node) proposeVersion(ctx context.Context, state *agree.State, m *agree.Manifest, next *agree.Version) (*PublishReply, error) {
+func (n *Node) proposeVersion(ctx context.Context, state *consensus.State, m *consensus.Manifest, next *consensus.Version) (*PublishReply, error) {
 	again := time.NewTicker(proposeAgain)
 	defer again.Stop()
-	if err := n.propose(&agree.Entry{Propose: m}); err != nil {
+	if err := n.propose(&consensus.Entry{Propose: m}); err != nil {
 		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.ActiveVersion}, nil
 	}
 	for {
@@ -130,12 +130,12 @@
 			return reply, nil
 		}
 		if err := state.CheckProposal(m); err != nil {
-			return &PublishReply{Error: err.Error(), Retry: errors.Is(err, agree.ErrVersionPending), ActiveVersion: state.ActiveVersion}, nil
+			return &PublishReply{Error: err.Error(), Retry: errors.Is(err, consensus.ErrVersionPending), ActiveVersion: state.ActiveVersion}, nil
 		}
 		select {
 		case <-changed:
 		case <-again.C:
-			n.propose(&agree.Entry{Propose: m})
+			n.propose(&consensus.Entry{Propose: m})
 		case <-ctx.Done():
 			return &PublishReply{Error: "it is not known whether it was taken up: ask again with the same id", Retry: true, ActiveVersion: state.ActiveVersion}, nil
 		}
--- a/internal/fleet/peers/release.go
+++ b/internal/fleet/peers/release.go
@@ -13,20 +13,20 @@
 
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 // ReleaseCommand is an operator's command: it starts a release, acts on the one that goes on, or, empty, asks for its progress.
 type ReleaseCommand struct {
-	Start  *agree.Release      `json:"begin,omitempty"`
-	Action agree.ReleaseAction `json:"word,omitempty"` // PauseRelease, ResumeRelease or AbortRelease
-	Reason string              `json:"why,omitempty"`
+	Start  *consensus.Release      `json:"begin,omitempty"`
+	Action consensus.ReleaseAction `json:"word,omitempty"` // PauseRelease, ResumeRelease or AbortRelease
+	Reason string                  `json:"why,omitempty"`
 }
 
 // ReleaseReply is the progress of a release after a command.
 type ReleaseReply struct {
-	Error    string                 `json:"error,omitempty"`
-	Progress *agree.ReleaseProgress `json:"progress,omitempty"`
+	Error    string                     `json:"error,omitempty"`
+	Progress *consensus.ReleaseProgress `json:"progress,omitempty"`
 }
 
 // releasePollInterval is how often the owner of releases checks whether a phase is over.
@@ -69,7 +69,7 @@
 	return &ReleaseReply{Progress: s.Release}, nil
 }
 
-func (n *Node) startRelease(ctx context.Context, s *agree.State, r *agree.Release) (*ReleaseReply, error) {
+func (n *Node) startRelease(ctx context.Context, s *consensus.State, r *consensus.Release) (*ReleaseReply, error) {
 	if err := r.Check(); err != nil {
 		return &ReleaseReply{Error: err.Error()}, nil
 	}
@@ -83,28 +83,28 @@
 	if err := checkFeasible(r, v.Clusters[r.Cluster]); err != nil {
 		return &ReleaseReply{Error: err.Error()}, nil
 	}
-	started := func(p *agree.ReleaseProgress) bool { return p != nil && p.Release.ID == r.ID }
-	return n.proposeUntil(ctx, &agree.Entry{Release: r}, started)
+	started := func(p *consensus.ReleaseProgress) bool { return p != nil && p.Release.ID == r.ID }
+	return n.proposeUntil(ctx, &consensus.Entry{Release: r}, started)
 }
 
-func (n *Node) changeRelease(ctx context.Context, current *agree.ReleaseProgress, command *ReleaseCommand) (*ReleaseReply, error) {
-	var done func(p *agree.ReleaseProgress) bool
+func (n *Node) changeRelease(ctx context.Context, current *consensus.ReleaseProgress, command *ReleaseCommand) (*ReleaseReply, error) {
+	var done func(p *consensus.ReleaseProgress) bool
 	switch command.Action {
-	case agree.PauseRelease:
-		done = func(p *agree.ReleaseProgress) bool { return p.Paused }
-	case agree.ResumeRelease:
-		done = func(p *agree.ReleaseProgress) bool { return !p.Paused }
-	case agree.AbortRelease:
-		done = func(p *agree.ReleaseProgress) bool { return p.StopReason != "" }
+	case consensus.PauseRelease:
+		done = func(p *consensus.ReleaseProgress) bool { return p.Paused }
+	case consensus.ResumeRelease:
+		done = func(p *consensus.ReleaseProgress) bool { return !p.Paused }
+	case consensus.AbortRelease:
+		done = func(p *consensus.ReleaseProgress) bool { return p.StopReason != "" }
 	default:
 		return nil, status.Errorf(codes.InvalidArgument, "%q is no word on a release", command.Action)
 	}
-	update := &agree.ReleaseUpdate{ID: current.Release.ID, Action: command.Action, Reason: command.Reason}
-	return n.proposeUntil(ctx, &agree.Entry{ReleaseUpdate: update}, func(p *agree.ReleaseProgress) bool { return p.Ended() || done(p) })
+	update := &consensus.ReleaseUpdate{ID: current.Release.ID, Action: command.Action, Reason: command.Reason}
+	return n.proposeUntil(ctx, &consensus.Entry{ReleaseUpdate: update}, func(p *consensus.ReleaseProgress) bool { return p.Ended() || done(p) })
 }
 
 // proposeUntil proposes an entry until the release in the log shows that it was applied.
-func (n *Node) proposeUntil(ctx context.Context, e *agree.Entry, done func(p *agree.ReleaseProgress) bool) (*ReleaseReply, error) {
+func (n *Node) proposeUntil(ctx context.Context, e *consensus.Entry, done func(p *consensus.ReleaseProgress) bool) (*ReleaseReply, error) {
 	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
 	again := time.NewTicker(proposeAgain)
@@ -126,7 +126,7 @@
 }
 
 // checkFeasible returns why a release can't start: a server that isn't in use, or a floor that can't be held.
-func checkFeasible(r *agree.Release, c *cluster.Cluster) error {
+func checkFeasible(r *consensus.Release, c *cluster.Cluster) error {
 	if c == nil {
 		return fmt.Errorf("cluster: there is no %s in the version in force", r.Cluster)
 	}
@@ -168,7 +168,7 @@
 	token   uint64 // by which this node owns releases
 	release string
 	wave    int
-	phase   agree.Phase
+	phase   consensus.Phase
 }
 
 // runReleases carries out releases while this node owns that task, until the node stops.
@@ -205,17 +205,17 @@
 }
 
 // runPhase does what the present phase needs, and proposes the next one when it is over.
-func (n *Node) runPhase(s *agree.State, token uint64, since time.Duration) {
+func (n *Node) runPhase(s *consensus.State, token uint64, since time.Duration) {
 	p := s.Release
-	update := &agree.ReleaseUpdate{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase, Action: agree.AdvanceRelease}
+	update := &consensus.ReleaseUpdate{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase, Action: consensus.AdvanceRelease}
 	over, err := n.phaseOver(s, since)
 	switch {
 	case err != nil:
 		n.Log.Error("a release stops", "release", p.Release.ID, "wave", p.Wave, "phase", p.Phase.String(), "err", err)
-		update.Action, update.Reason = agree.FailRelease, err.Error()
-		n.propose(&agree.Entry{ReleaseUpdate: update})
+		update.Action, update.Reason = consensus.FailRelease, err.Error()
+		n.propose(&consensus.Entry{ReleaseUpdate: update})
 	case over && n.stillOwnsReleases(token):
-		n.propose(&agree.Entry{ReleaseUpdate: update})
+		n.propose(&consensus.Entry{ReleaseUpdate: update})
 	}
 }
 
@@ -226,12 +226,12 @@
 }
 
 // phaseOver reports whether the present phase is over. A phase that takes effect by a version publishes that version first.
-func (n *Node) phaseOver(s *agree.State, since time.Duration) (bool, error) {
+func (n *Node) phaseOver(s *consensus.State, since time.Duration) (bool, error) {
 	p := s.Release
-	if p.Phase != agree.TakingOut && p.Phase != agree.PuttingBack {
+	if p.Phase != consensus.TakingOut && p.Phase != consensus.PuttingBack {
 		return !p.Paused && n.Clock()-since >= p.PhaseDuration(), nil
 	}
-	if p.Paused && p.Phase == agree.TakingOut {
+	if p.Paused && p.Phase == consensus.TakingOut {
 		return false, nil
 	}
 	if m := s.Published(p.PublishID()); m != nil {
@@ -275,7 +275,7 @@
 // waveChange returns the change by which the present phase takes effect: the wave's servers are taken out, or put back as started now. A
 // server that left the list, or that an operator took out, stays as it is. It returns nil if there is nothing to change, and an error if fewer
 // servers than the floor would be left in use.
-func waveChange(c *cluster.Cluster, p *agree.ReleaseProgress, now time.Time) (*config.File, error) {
+func waveChange(c *cluster.Cluster, p *consensus.ReleaseProgress, now time.Time) (*config.File, error) {
 	if c == nil {
 		return nil, fmt.Errorf("cluster %s is gone", p.Cluster)
 	}
@@ -287,9 +287,9 @@
 		}
 		e := *found
 		switch {
-		case p.Phase == agree.TakingOut && e.Serves():
+		case p.Phase == consensus.TakingOut && e.Serves():
 			e.Health = cluster.Draining
-		case p.Phase == agree.PuttingBack && e.Health == cluster.Draining:
+		case p.Phase == consensus.PuttingBack && e.Health == cluster.Draining:
 			e.Health, e.Started = cluster.Healthy, now.UnixMilli()
 		default:
 			continue
@@ -300,7 +300,7 @@
 		return nil, nil
 	}
 	left, all := countServing(c)-len(changed.Endpoints), len(c.Endpoints)
-	if p.Phase == agree.TakingOut && float64(left) < p.Floor*float64(all) {
+	if p.Phase == consensus.TakingOut && float64(left) < p.Floor*float64(all) {
 		return nil, fmt.Errorf("with the %d. wave out %d of %d servers are in use, and the floor is %.0f %%", p.Wave+1, left, all, 100*p.Floor)
 	}
 	return &config.File{Name: p.PublishID(), Text: config.FormatChange(&changed)}, nil
--- a/internal/fleet/peers/release_test.go
+++ b/internal/fleet/peers/release_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/testkit"
 )
 
@@ -40,18 +40,18 @@
 	g := newGroup(t, 3, 1)
 	g.publish("one", 0, many(6))
 	g.acts(3, "safe")
-	r := agree.Release{ID: "r", Cluster: "rooms", Floor: 0.6, Drain: 20 * time.Millisecond, Restart: 20 * time.Millisecond, Warm: 20 * time.Millisecond}
+	r := consensus.Release{ID: "r", Cluster: "rooms", Floor: 0.6, Drain: 20 * time.Millisecond, Restart: 20 * time.Millisecond, Warm: 20 * time.Millisecond}
 	for i := range 3 {
 		r.Waves = append(r.Waves, []string{fmt.Sprintf("s-%05d", 2*i), fmt.Sprintf("s-%05d", 2*i+1)})
 	}
 	for _, bad := range []struct {
-		change func(r *agree.Release)
+		change func(r *consensus.Release)
 		want   string
 	}{
-		{func(r *agree.Release) { r.Floor = 0.9 }, "floor: with the 1. wave out 4 of 6"},
-		{func(r *agree.Release) { r.Waves = [][]string{{"s-none"}} }, "s-none, which is not in use"},
-		{func(r *agree.Release) { r.Waves = [][]string{{"s-00001"}, {"s-00001"}} }, "another's"},
-		{func(r *agree.Release) { r.Cluster = "suites" }, "there is no suites"},
+		{func(r *consensus.Release) { r.Floor = 0.9 }, "floor: with the 1. wave out 4 of 6"},
+		{func(r *consensus.Release) { r.Waves = [][]string{{"s-none"}} }, "s-none, which is not in use"},
+		{func(r *consensus.Release) { r.Waves = [][]string{{"s-00001"}, {"s-00001"}} }, "another's"},
+		{func(r *consensus.Release) { r.Cluster = "suites" }, "there is no suites"},
 	} {
 		try := r
 		bad.change(&try)
@@ -113,14 +113,14 @@
 func TestReleaseStops(t *testing.T) {
 	g := newGroup(t, 3, 0)
 	g.publish("one", 0, many(4))
-	r := agree.Release{ID: "r", Cluster: "rooms", Waves: [][]string{{"s-00000"}, {"s-00001"}}, Restart: time.Hour}
+	r := consensus.Release{ID: "r", Cluster: "rooms", Waves: [][]string{{"s-00000"}, {"s-00001"}}, Restart: time.Hour}
 	if out := g.control(ReleaseCommand{Action: "pause"}); out.Error != "no release goes on" {
 		t.Errorf("%+v", out)
 	}
 	if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 		t.Fatalf("%+v", out)
 	}
-	testkit.Until(t, "the first wave to be away", func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == agree.Restarting })
+	testkit.Until(t, "the first wave to be away", func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == consensus.Restarting })
 	if out := g.control(ReleaseCommand{Action: "pause"}); !out.Progress.Paused {
 		t.Errorf("%+v", out)
 	}
@@ -150,7 +150,7 @@
 		if i == 0 {
 			g.publish("one", 0, many(4))
 		}
-		r := agree.Release{ID: fmt.Sprint("r", i), Cluster: "rooms", Waves: [][]string{{fmt.Sprint("s-0000", i)}}, Restart: time.Hour}
+		r := consensus.Release{ID: fmt.Sprint("r", i), Cluster: "rooms", Waves: [][]string{{fmt.Sprint("s-0000", i)}}, Restart: time.Hour}
 		if i > 0 { // what it has not heard of, or only the begin of
 			if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 				t.Fatalf("%+v", out)
--- a/internal/fleet/peers/serve.go
+++ b/internal/fleet/peers/serve.go
@@ -21,11 +21,11 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"yokestall/internal/config"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 const (
-	maxConns          = agree.MaxHolders + 256
+	maxConns          = consensus.MaxHolders + 256
 	maxStreams        = 64 // concurrent calls of a connection
 	maxUploads        = 4  // of content at the same time
 	maxHeaderBytes    = 16 << 10
@@ -85,14 +85,14 @@
 }
 
 // checkLeaseRequest validates the names in a request.
-func checkLeaseRequest(request agree.LeaseRequest) error {
-	if request.Node == "" || len(request.Node) > agree.MaxName || len(request.Incarnation) > agree.MaxName {
+func checkLeaseRequest(request consensus.LeaseRequest) error {
+	if request.Node == "" || len(request.Node) > consensus.MaxName || len(request.Incarnation) > consensus.MaxName {
 		return status.Error(codes.InvalidArgument, "an ask without a good name")
 	}
 	return nil
 }
 
-func (n *Node) serveDescribe(_ context.Context, in *DescribeRequest) (*agree.Manifest, error) {
+func (n *Node) serveDescribe(_ context.Context, in *DescribeRequest) (*consensus.Manifest, error) {
 	state := n.state()
 	if state == nil {
 		return nil, errNotVoter
@@ -126,8 +126,8 @@
 
 // serveMissing returns which of the hashes name content that this node doesn't have.
 func (n *Node) serveMissing(_ context.Context, in *ContentHashes) (*ContentHashes, error) {
-	if len(in.Hashes) > agree.MaxFiles {
-		return nil, status.Errorf(codes.InvalidArgument, "%d hashes; %d at most", len(in.Hashes), agree.MaxFiles)
+	if len(in.Hashes) > consensus.MaxFiles {
+		return nil, status.Errorf(codes.InvalidArgument, "%d hashes; %d at most", len(in.Hashes), consensus.MaxFiles)
 	}
 	missing := &ContentHashes{}
 	for _, h := range in.Hashes {
@@ -180,14 +180,14 @@
 }
 
 // serveRefusal proposes a node's refusal of a pending version.
-func (n *Node) serveRefusal(_ context.Context, in *agree.Refusal) (*struct{}, error) {
-	if len(in.Node) > agree.MaxName || len(in.Reason) > maxReason {
+func (n *Node) serveRefusal(_ context.Context, in *consensus.Refusal) (*struct{}, error) {
+	if len(in.Node) > consensus.MaxName || len(in.Reason) > maxReason {
 		return nil, status.Error(codes.InvalidArgument, "a name or a reason that is too long")
 	}
 	if !n.isVoter() {
 		return nil, errNotVoter
 	}
-	return &struct{}{}, n.propose(&agree.Entry{Refusal: in})
+	return &struct{}{}, n.propose(&consensus.Entry{Refusal: in})
 }
 
 func (n *Node) serveStatus(context.Context, *struct{}) (*Status, error) {
--- a/internal/fleet/peers/tasks.go
+++ b/internal/fleet/peers/tasks.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 // ReleaseTask is the singleton task that carries out releases.
@@ -81,7 +81,7 @@
 }
 
 // taskStatuses returns the status of all tasks; n.mu must not be held.
-func (n *Node) taskStatuses(s *agree.State) (statuses []TaskStatus) {
+func (n *Node) taskStatuses(s *consensus.State) (statuses []TaskStatus) {
 	for _, name := range singletonTasks() {
 		task := s.Tasks[name]
 		status := TaskStatus{Task: name, Owner: task.Owner, Token: task.Token}
--- a/internal/fleet/peers/versions.go
+++ b/internal/fleet/peers/versions.go
@@ -11,7 +11,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 const (
@@ -58,7 +58,7 @@
 	n.versionsMu.Unlock()
 }
 
-func (n *Node) fetchOnce(number uint64) (*agree.Manifest, *agree.Version, error) {
+func (n *Node) fetchOnce(number uint64) (*consensus.Manifest, *consensus.Version, error) {
 	m, err := n.fetchManifest(n.ctx, number)
 	if err != nil {
 		return nil, nil, err
@@ -68,7 +68,7 @@
 }
 
 // finishFetch caches a version, or rejects it for an error.
-func (n *Node) finishFetch(number uint64, m *agree.Manifest, v *agree.Version, err error) {
+func (n *Node) finishFetch(number uint64, m *consensus.Manifest, v *consensus.Version, err error) {
 	n.versionsMu.Lock()
 	delete(n.fetching, number)
 	if err == nil {
@@ -86,7 +86,7 @@
 }
 
 // cacheVersion caches a version and evicts the oldest ones that nothing needs; n.versionsMu is held, and n.mu must not be.
-func (n *Node) cacheVersion(m *agree.Manifest, v *agree.Version) {
+func (n *Node) cacheVersion(m *consensus.Manifest, v *consensus.Version) {
 	n.versions[m.Number], n.manifests[m.Number] = v, m
 	var ofEpoch []uint64 // a voter compares a new version with each of them
 	if s := n.state(); s != nil {
@@ -116,8 +116,8 @@
 		if n.logStatus().PendingVersion != number {
 			return
 		}
-		refusal := &agree.Refusal{Number: number, Node: n.Name, Reason: reason[:min(len(reason), maxReason/2)]}
-		n.propose(&agree.Entry{Refusal: refusal})
+		refusal := &consensus.Refusal{Number: number, Node: n.Name, Reason: reason[:min(len(reason), maxReason/2)]}
+		n.propose(&consensus.Entry{Refusal: refusal})
 		for _, c := range n.conns {
 			ctx, stop := context.WithTimeout(n.ctx, refusalTimeout)
 			call[struct{}](ctx, c, methodRefuse, refusal)
@@ -128,14 +128,14 @@
 }
 
 // fetchManifest returns a version's manifest, from this node's own log or from a voter.
-func (n *Node) fetchManifest(ctx context.Context, number uint64) (*agree.Manifest, error) {
+func (n *Node) fetchManifest(ctx context.Context, number uint64) (*consensus.Manifest, error) {
 	if s := n.state(); s != nil {
 		if m := s.Version(number); m != nil {
 			return m, nil
 		}
 	}
 	noAnswer := fmt.Errorf("no voter has version %d", number)
-	m, err := firstAnswer(ctx, maps.Values(n.conns), manifestTimeout, noAnswer, func(ctx context.Context, c *Conn) (*agree.Manifest, error) {
+	m, err := firstAnswer(ctx, maps.Values(n.conns), manifestTimeout, noAnswer, func(ctx context.Context, c *Conn) (*consensus.Manifest, error) {
 		m, err := n.describeFrom(ctx, c, number)
 		if err == nil && m.Number != number {
 			return nil, noAnswer
@@ -149,8 +149,8 @@
 }
 
 // describeFrom asks a voter for a manifest. Of one that extends a known base, only the own parts are sent.
-func (n *Node) describeFrom(ctx context.Context, c *Conn, number uint64) (*agree.Manifest, error) {
-	m, err := call[agree.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number, OwnPartsOnly: true})
+func (n *Node) describeFrom(ctx context.Context, c *Conn, number uint64) (*consensus.Manifest, error) {
+	m, err := call[consensus.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number, OwnPartsOnly: true})
 	if err != nil || !m.Extends {
 		return m, err
 	}
@@ -164,7 +164,7 @@
 }
 
 // parseVersion fetches a version's content and parses it.
-func (n *Node) parseVersion(ctx context.Context, m *agree.Manifest) (*agree.Version, error) {
+func (n *Node) parseVersion(ctx context.Context, m *consensus.Manifest) (*consensus.Version, error) {
 	if v, err := n.extendBase(ctx, m); v != nil || err != nil {
 		return v, err
 	}
@@ -187,7 +187,7 @@
 }
 
 // extendBase makes a version from its base, if that is cached and only changes of lists were added to it; otherwise it returns nil.
-func (n *Node) extendBase(ctx context.Context, m *agree.Manifest) (*agree.Version, error) {
+func (n *Node) extendBase(ctx context.Context, m *consensus.Manifest) (*consensus.Version, error) {
 	n.versionsMu.Lock()
 	base, baseManifest := n.versions[m.Base], n.manifests[m.Base]
 	n.versionsMu.Unlock()
@@ -195,7 +195,7 @@
 		return nil, nil
 	}
 	added := m.Parts[len(baseManifest.Parts):]
-	if slices.ContainsFunc(added, func(p agree.Part) bool { return !files.IsChange(p.Name) }) {
+	if slices.ContainsFunc(added, func(p consensus.Part) bool { return !files.IsChange(p.Name) }) {
 		return nil, nil
 	}
 	changes, err := n.fetchFiles(ctx, added)
@@ -210,7 +210,7 @@
 }
 
 // fetchFiles returns the content of parts.
-func (n *Node) fetchFiles(ctx context.Context, parts []agree.Part) ([]config.File, error) {
+func (n *Node) fetchFiles(ctx context.Context, parts []consensus.Part) ([]config.File, error) {
 	var list []config.File
 	for _, p := range parts {
 		data, err := n.fetchContent(ctx, p)
@@ -223,7 +223,7 @@
 }
 
 // fetchContent returns a part's content, from the store or from a voter.
-func (n *Node) fetchContent(ctx context.Context, p agree.Part) ([]byte, error) {
+func (n *Node) fetchContent(ctx context.Context, p consensus.Part) ([]byte, error) {
 	if p.Size > config.MaxFile {
 		return nil, &invalidVersionError{fmt.Errorf("%s: %d bytes; %d at most", p.Name, p.Size, config.MaxFile)}
 	}
@@ -255,7 +255,7 @@
 }
 
 // versionInLog returns a version of the log's history, parsed.
-func (n *Node) versionInLog(ctx context.Context, s *agree.State, number uint64) (*agree.Version, error) {
+func (n *Node) versionInLog(ctx context.Context, s *consensus.State, number uint64) (*consensus.Version, error) {
 	n.versionsMu.Lock()
 	v := n.versions[number]
 	n.versionsMu.Unlock()
--- a/internal/fleet/peers/voter.go
+++ b/internal/fleet/peers/voter.go
@@ -9,11 +9,11 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 // readRetryInterval is how often a linearizable read is repeated until the leader answers.
-const readRetryInterval = 5 * agree.Tick
+const readRetryInterval = 5 * consensus.Tick
 
 var errNotVoter = status.Error(codes.FailedPrecondition, "this node doesn't vote")
 
@@ -31,14 +31,14 @@
 }
 
 func (n *Node) runTicker() {
-	t := time.NewTicker(agree.Tick)
+	t := time.NewTicker(consensus.Tick)
 	defer t.Stop()
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
 		case <-t.C:
-			n.withVoter(func(v *agree.Voter) error { v.Tick(n.Clock()); return nil })
+			n.withVoter(func(v *consensus.Voter) error { v.Tick(n.Clock()); return nil })
 		}
 	}
 }
@@ -50,13 +50,13 @@
 }
 
 // state returns the log's state as far as this node has applied it; nil on a node that doesn't vote.
-func (n *Node) state() *agree.State {
+func (n *Node) state() *consensus.State {
 	s, _ := n.stateAndChange()
 	return s
 }
 
 // stateAndChange returns the state, nil on a node that doesn't vote, and a channel that is closed when it changes.
-func (n *Node) stateAndChange() (*agree.State, <-chan struct{}) {
+func (n *Node) stateAndChange() (*consensus.State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.voter == nil {
@@ -67,12 +67,12 @@
 
 // currentState is a linearizable read: it returns a state with everything that was committed before the call. The state that a voter
 // has at hand may be older.
-func (n *Node) currentState(ctx context.Context) (*agree.State, error) {
+func (n *Node) currentState(ctx context.Context) (*consensus.State, error) {
 	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
 	first := uint64(0)
 	startRead := func() error {
-		return n.withVoter(func(v *agree.Voter) error {
+		return n.withVoter(func(v *consensus.Voter) error {
 			if id := v.StartRead(); first == 0 {
 				first = id
 			}
@@ -100,7 +100,7 @@
 }
 
 // stateOfRead returns the state once a read is done; nil before, with a channel that is closed when that may have changed.
-func (n *Node) stateOfRead(read uint64) (*agree.State, <-chan struct{}) {
+func (n *Node) stateOfRead(read uint64) (*consensus.State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.voter == nil || !n.voter.ReadDone(read) {
@@ -110,7 +110,7 @@
 }
 
 // withVoter calls the voter and does what it needs done afterwards.
-func (n *Node) withVoter(do func(v *agree.Voter) error) error {
+func (n *Node) withVoter(do func(v *consensus.Voter) error) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.voter == nil {
@@ -143,7 +143,7 @@
 }
 
 // doWork saves, sends and applies what the voter is ready for; n.mu is held.
-func (n *Node) doWork(work agree.ReadyWork) error {
+func (n *Node) doWork(work consensus.ReadyWork) error {
 	if err := n.store.Save(work); err != nil {
 		return err
 	}
@@ -196,7 +196,7 @@
 }
 
 // reportLost tells a voter that a message was not delivered.
-func reportLost(v *agree.Voter, m *pb.Message) {
+func reportLost(v *consensus.Voter, m *pb.Message) {
 	v.Unreachable(m.GetTo())
 	if m.GetType() == pb.MsgSnap {
 		v.SnapshotSent(m.GetTo(), false)
@@ -205,7 +205,7 @@
 
 // receive handles another voter's message.
 func (n *Node) receive(m *pb.Message) error {
-	return n.withVoter(func(v *agree.Voter) error {
+	return n.withVoter(func(v *consensus.Voter) error {
 		if m.GetTo() != v.ID || !slices.Contains(v.Voters(), m.GetFrom()) || m.GetFrom() == v.ID {
 			return errNotVoter
 		}
@@ -214,13 +214,13 @@
 	})
 }
 
-func (n *Node) propose(e *agree.Entry) error {
-	return n.withVoter(func(v *agree.Voter) error { return v.Propose(e) })
+func (n *Node) propose(e *consensus.Entry) error {
+	return n.withVoter(func(v *consensus.Voter) error { return v.Propose(e) })
 }
 
 // grantLease grants a lease as a voter.
-func (n *Node) grantLease(request agree.LeaseRequest) (grant agree.Grant, err error) {
-	err = n.withVoter(func(v *agree.Voter) error {
+func (n *Node) grantLease(request consensus.LeaseRequest) (grant consensus.Grant, err error) {
+	err = n.withVoter(func(v *consensus.Voter) error {
 		if grant, err = v.GrantLease(n.Clock(), request); err != nil {
 			return err
 		}
--- a/internal/fleet/peers/wire.go
+++ b/internal/fleet/peers/wire.go
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 // The nodes of a fleet talk over gRPC. Every message is a google.protobuf.BytesValue: of a raft message as the raft library encodes it, of
@@ -58,16 +58,16 @@
 
 // LeaseReply is a voter's reply to a lease request, or news of the log without a request.
 type LeaseReply struct {
-	Grant     *agree.Grant     `json:"grant,omitempty"`
-	LogStatus *agree.LogStatus `json:"news,omitempty"`
-	Error     string           `json:"error,omitempty"`
+	Grant     *consensus.Grant     `json:"grant,omitempty"`
+	LogStatus *consensus.LogStatus `json:"news,omitempty"`
+	Error     string               `json:"error,omitempty"`
 }
 
 // PublishRequest asks a voter to publish a version whose content is stored by a majority of the voters.
 type PublishRequest struct {
-	ID    string       `json:"id"`
-	Base  uint64       `json:"base"`
-	Parts []agree.Part `json:"parts"`
+	ID    string           `json:"id"`
+	Base  uint64           `json:"base"`
+	Parts []consensus.Part `json:"parts"`
 	// Extends says that the version consists of the base's parts, followed by Parts.
 	Extends bool `json:"extends,omitempty"`
 }
@@ -89,20 +89,20 @@
 
 // Status is a node's view of the fleet.
 type Status struct {
-	Node         string            `json:"node"`
-	Fleet        string            `json:"fleet"`
-	Voter        bool              `json:"voter"`
-	Leader       string            `json:"leader,omitempty"` // "": the node knows of none
-	Term         uint64            `json:"term,omitempty"`
-	LogStatus    agree.LogStatus   `json:"facts"`
-	Applied      agree.ActiveRules `json:"acts"` // what the node acts on
-	Disconnected bool              `json:"alone"`
-	LeaseLeftMs  int64             `json:"left_ms"`         // milliseconds left of the node's own lease
-	WaitingFor   []string          `json:"waits,omitempty"` // nodes that keep this voter from acknowledging the pending version
-	LeaseHolders []string          `json:"nodes,omitempty"` // nodes that hold a lease of this voter
-	History      []agree.Manifest  `json:"history,omitempty"`
-	VotingError  string            `json:"store,omitempty"` // why the node no longer votes
-	Tasks        []TaskStatus      `json:"owners,omitempty"`
+	Node         string                `json:"node"`
+	Fleet        string                `json:"fleet"`
+	Voter        bool                  `json:"voter"`
+	Leader       string                `json:"leader,omitempty"` // "": the node knows of none
+	Term         uint64                `json:"term,omitempty"`
+	LogStatus    consensus.LogStatus   `json:"facts"`
+	Applied      consensus.ActiveRules `json:"acts"` // what the node acts on
+	Disconnected bool                  `json:"alone"`
+	LeaseLeftMs  int64                 `json:"left_ms"`         // milliseconds left of the node's own lease
+	WaitingFor   []string              `json:"waits,omitempty"` // nodes that keep this voter from acknowledging the pending version
+	LeaseHolders []string              `json:"nodes,omitempty"` // nodes that hold a lease of this voter
+	History      []consensus.Manifest  `json:"history,omitempty"`
+	VotingError  string                `json:"store,omitempty"` // why the node no longer votes
+	Tasks        []TaskStatus          `json:"owners,omitempty"`
 }
 
 func pack(v any) (*wrapperspb.BytesValue, error) {
@@ -234,8 +234,8 @@
 }
 
 // Describe returns a version's manifest.
-func (c *Conn) Describe(ctx context.Context, number uint64) (*agree.Manifest, error) {
-	return call[agree.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number})
+func (c *Conn) Describe(ctx context.Context, number uint64) (*consensus.Manifest, error) {
+	return call[consensus.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number})
 }
 
 // Status returns the node's view of the fleet.
@@ -249,7 +249,7 @@
 }
 
 // Fetch returns content and verifies its hash.
-func (c *Conn) Fetch(ctx context.Context, part agree.Part) ([]byte, error) {
+func (c *Conn) Fetch(ctx context.Context, part consensus.Part) ([]byte, error) {
 	var data []byte
 	for len(data) < part.Size {
 		out := &wrapperspb.BytesValue{}
--- a/internal/fleet/store/golden_test.go
+++ b/internal/fleet/store/golden_test.go
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/testkit/golden"
 )
 
@@ -30,8 +30,8 @@
 }
 
 // goldenWork returns what is saved in the golden store's log.
-func goldenWork() agree.ReadyWork {
-	return agree.ReadyWork{
+func goldenWork() consensus.ReadyWork {
+	return consensus.ReadyWork{
 		HardState: &pb.HardState{Term: new(uint64(7)), Vote: new(uint64(5)), Commit: new(uint64(2))},
 		Entries: []*pb.Entry{
 			{Term: new(uint64(6)), Index: new(uint64(2)), Data: []byte(`{"clear":{"epoch":21,"voter":4}}`)},
@@ -41,10 +41,10 @@
 }
 
 // goldenVersion returns the last version in the golden store.
-func goldenVersion() *agree.Manifest {
-	return &agree.Manifest{
+func goldenVersion() *consensus.Manifest {
+	return &consensus.Manifest{
 		Number: 11, Base: 10, ID: "id-a", Proposer: "node-a", Contradicts: true,
-		Parts:   []agree.Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), Size: 12}},
+		Parts:   []consensus.Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), Size: 12}},
 		Extends: true, OwnParts: 1, RefusalReason: "node-b: too large",
 	}
 }
@@ -121,7 +121,7 @@
 	if !proto.Equal(disk.HardState, work.HardState) {
 		t.Errorf("hard state %v", disk.HardState)
 	}
-	if want := agree.InitialDiskState([]uint64{3, 4, 5}).Snapshot; !proto.Equal(disk.Snapshot, want) || disk.Snapshot.GetMetadata().GetIndex() != 1 {
+	if want := consensus.InitialDiskState([]uint64{3, 4, 5}).Snapshot; !proto.Equal(disk.Snapshot, want) || disk.Snapshot.GetMetadata().GetIndex() != 1 {
 		t.Errorf("snapshot %v", disk.Snapshot)
 	}
 	if len(disk.Entries) != 2 || !proto.Equal(disk.Entries[0], work.Entries[0]) || !proto.Equal(disk.Entries[1], work.Entries[1]) {
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -22,7 +22,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 // MaxContent is how many bytes of content a store holds at most. A version that needs more is refused.
@@ -164,7 +164,7 @@
 
 // Init makes the store that of a voter of a new fleet. It fails if the store belongs to a voter already.
 func (s *Store) Init(id Identity) error {
-	first := agree.InitialDiskState(id.Voters)
+	first := consensus.InitialDiskState(id.Voters)
 	return s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if meta.Get(keyIdentity) != nil {
@@ -185,7 +185,7 @@
 }
 
 // Voter returns whose store it is, and the voter's log.
-func (s *Store) Voter() (id Identity, disk agree.DiskState, err error) {
+func (s *Store) Voter() (id Identity, disk consensus.DiskState, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		value := meta.Get(keyIdentity)
@@ -199,7 +199,7 @@
 		if err := json.Unmarshal(text, &id); err != nil {
 			return err
 		}
-		disk = agree.DiskState{HardState: &pb.HardState{}, Snapshot: &pb.Snapshot{}}
+		disk = consensus.DiskState{HardState: &pb.HardState{}, Snapshot: &pb.Snapshot{}}
 		if err := getMessage(meta, keyHardState, disk.HardState); err != nil {
 			return err
 		}
@@ -253,7 +253,7 @@
 }
 
 // Save makes a voter's work durable, atomically.
-func (s *Store) Save(w agree.ReadyWork) error {
+func (s *Store) Save(w consensus.ReadyWork) error {
 	if w.HardState == nil && w.Snapshot == nil && len(w.Entries) == 0 {
 		return nil
 	}
@@ -373,7 +373,7 @@
 }
 
 // SaveLastVersion records the version that the node acted on last, for a start without a quorum.
-func (s *Store) SaveLastVersion(m *agree.Manifest) error {
+func (s *Store) SaveLastVersion(m *consensus.Manifest) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
@@ -382,7 +382,7 @@
 }
 
 // LastVersion returns the version that SaveLastVersion recorded; nil: none.
-func (s *Store) LastVersion() (m *agree.Manifest, err error) {
+func (s *Store) LastVersion() (m *consensus.Manifest, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		value := tx.Bucket(bucketMeta).Get(keyLastVersion)
 		if value == nil {
@@ -392,7 +392,7 @@
 		if err != nil {
 			return err
 		}
-		m = &agree.Manifest{}
+		m = &consensus.Manifest{}
 		return json.Unmarshal(text, m)
 	})
 	if err != nil {
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 )
 
 func entry(index, term uint64, text string) *pb.Entry {
@@ -66,7 +66,7 @@
 				t.Fatal(err)
 			}
 		}
-		w := agree.ReadyWork{HardState: hard(term, first-1)}
+		w := consensus.ReadyWork{HardState: hard(term, first-1)}
 		for range 1 + rng.IntN(3) {
 			text := fmt.Sprint(i, rng.IntN(100))
 			w.Entries = append(w.Entries, entry(first+uint64(len(list)), term, text))
@@ -114,7 +114,7 @@
 	if m, err := s.LastVersion(); m != nil || err != nil {
 		t.Errorf("%v, %v", m, err)
 	}
-	if err := s.SaveLastVersion(&agree.Manifest{Number: 7}); err != nil {
+	if err := s.SaveLastVersion(&consensus.Manifest{Number: 7}); err != nil {
 		t.Fatal(err)
 	}
 	if m, err := s.LastVersion(); err != nil || m.Number != 7 {
@@ -157,7 +157,7 @@
 	dir := t.TempDir()
 	s := made(t, dir)
 	for i := range uint64(6) {
-		if err := s.Save(agree.ReadyWork{HardState: hard(1, 1), Entries: []*pb.Entry{entry(2+i, 1, fmt.Sprint("text ", i))}}); err != nil {
+		if err := s.Save(consensus.ReadyWork{HardState: hard(1, 1), Entries: []*pb.Entry{entry(2+i, 1, fmt.Sprint("text ", i))}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -210,7 +210,7 @@
 	if err := s.update(func(*bbolt.Tx) error { return boom }); !errors.Is(err, boom) {
 		t.Fatal(err)
 	}
-	if err := s.Save(agree.ReadyWork{HardState: hard(2, 1)}); !errors.Is(err, boom) {
+	if err := s.Save(consensus.ReadyWork{HardState: hard(2, 1)}); !errors.Is(err, boom) {
 		t.Errorf("written after a failure: %v", err)
 	}
 	s.Close()
--- a/internal/lab/capacity/content_test.go
+++ b/internal/lab/capacity/content_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/store"
 	"yokestall/internal/lab/process"
 )
@@ -33,9 +33,9 @@
 	for i := range size.Services {
 		lists += len(whole.Cluster(i, 0))
 	}
-	manifest := agree.Manifest{Number: 1000, Base: 999, ID: strings.Repeat("f", 32), Proposer: "voter-0"}
+	manifest := consensus.Manifest{Number: 1000, Base: 999, ID: strings.Repeat("f", 32), Proposer: "voter-0"}
 	add := func(name string, text []byte) {
-		manifest.Parts = append(manifest.Parts, agree.Part{Name: name, Hash: store.Hash(text), Size: len(text)})
+		manifest.Parts = append(manifest.Parts, consensus.Part{Name: name, Hash: store.Hash(text), Size: len(text)})
 	}
 	add(files.ProgramPart, generator(size.Routes, 0).Program(process.Settings{}))
 	add(files.TenantsPart, whole.Program(process.Settings{}))
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -10,7 +10,7 @@
 
 	"yokestall/internal/app"
 	"yokestall/internal/config"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/peers"
 )
 
@@ -48,12 +48,12 @@
 		n.config.Name = name
 		n.config.Dir = filepath.Join(base.Dir, name)
 		n.config.Hooks = meter.Hooks(n.region)
-		n.config.Hooks.Applied = func(rules agree.ActiveRules, alone bool) { states.Acted(name, rules, alone) }
+		n.config.Hooks.Applied = func(rules consensus.ActiveRules, alone bool) { states.Acted(name, rules, alone) }
 		program := *own
 		program.Node = at.Before + i
 		source := app.NewAgreed(nil, &program)
 		n.config.Parse, n.config.Extend = source.Parse, source.Extend
-		n.config.Apply = func(a agree.EffectiveVersion) error {
+		n.config.Apply = func(a consensus.EffectiveVersion) error {
 			_, err := program.Agreed(a.Program)
 			return err
 		}
--- a/internal/lab/scale/states.go
+++ b/internal/lab/scale/states.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/peers"
 )
 
@@ -45,7 +45,7 @@
 }
 
 // Acted takes what a node acts on from now on.
-func (s *States) Acted(node string, rules agree.ActiveRules, alone bool) {
+func (s *States) Acted(node string, rules consensus.ActiveRules, alone bool) {
 	now := peers.BootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -20,7 +20,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/agree"
+	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
 	"yokestall/internal/fleet/peers"
 	"yokestall/internal/standin/fleet"
@@ -393,7 +393,7 @@
 func (r *versionRun) release(ctx context.Context, c *peers.Client) error {
 	ctx, stop := context.WithTimeout(ctx, r.Length+2*versionWait)
 	defer stop()
-	rel := agree.Release{ID: "lab", Cluster: "rooms", Floor: 0.5, Drain: 100 * time.Millisecond, Restart: 100 * time.Millisecond, Warm: 100 * time.Millisecond}
+	rel := consensus.Release{ID: "lab", Cluster: "rooms", Floor: 0.5, Drain: 100 * time.Millisecond, Restart: 100 * time.Millisecond, Warm: 100 * time.Millisecond}
 	want := []string{""} // the first version
 	for i := range r.Boxes {
 		rel.Waves = append(rel.Waves, []string{fmt.Sprint("s-", i)})
@@ -413,7 +413,7 @@
 			}
 			if in.Start == nil && out != nil && out.Progress != nil && out.Progress.Ended() && seen == len(s.History) {
 				r.out.Times = append(r.out.Times, time.Since(began))
-				if out.Progress.Result != agree.ReleaseDone || len(s.History) != len(want) {
+				if out.Progress.Result != consensus.ReleaseDone || len(s.History) != len(want) {
 					return fmt.Errorf("the release ended by %q with %d versions of %d", out.Progress.Result, len(s.History), len(want))
 				}
 				for i, id := range want[1:] {
