--- a/internal/cli/agree.go
+++ b/internal/cli/agree.go
@@ -10,16 +10,16 @@
 	"yokestall/internal/app"
 	"yokestall/internal/config"
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/peers"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/tlskeys"
 )
 
 // fleetConfig gives what a program's file says of its fleet, as a node of it wants it. keys may be nil.
-func fleetConfig(p *config.Program, path string, keys *tlskeys.Store, log *slog.Logger) peers.Config {
+func fleetConfig(p *config.Program, path string, keys *tlskeys.Store, log *slog.Logger) agent.Config {
 	a := &p.Agree
-	c := peers.Config{Fleet: a.Name, Name: a.Node, Dir: files.Beside(path, a.Folder), Lease: a.Lease, Disconnected: a.Disconnected, Log: log}
+	c := agent.Config{Fleet: a.Name, Name: a.Node, Dir: files.Beside(path, a.Folder), Lease: a.Lease, Disconnected: a.Disconnected, Log: log}
 	for _, v := range a.Voters {
-		c.Voters = append(c.Voters, peers.Voter{Name: v.Name, Address: v.Address})
+		c.Voters = append(c.Voters, agent.Voter{Name: v.Name, Address: v.Address})
 	}
 	if keys != nil && a.Roots != "" {
 		c.ServerTLS = keys.Server(tlskeys.Clients{Roots: a.Roots, Require: true}, "h2")
@@ -30,14 +30,14 @@
 
 // member is the node of a program that takes part in a fleet's agreement.
 type member struct {
-	node   *peers.Node
+	node   *agent.Node
 	listen net.Listener // nil: it is asked nothing
 }
 
 // join opens the node that has an app act on what the fleet agrees on.
-func join(c peers.Config, p *config.Program) (m *member, err error) {
+func join(c agent.Config, p *config.Program) (m *member, err error) {
 	m = &member{}
-	if m.node, err = peers.Open(c); err != nil {
+	if m.node, err = agent.Open(c); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	if p.Agree.Listen != "" {
@@ -69,7 +69,7 @@
 }
 
 // agreed starts an app that acts on what the fleet agrees on.
-func agreed(first *files.Snapshot, o app.Options, path string, clock func() time.Duration, hooks *peers.Hooks) (*app.App, *app.Agreed, *member, error) {
+func agreed(first *files.Snapshot, o app.Options, path string, clock func() time.Duration, hooks *agent.Hooks) (*app.App, *app.Agreed, *member, error) {
 	p := first.Program
 	var source *app.Agreed
 	var m *member
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -21,7 +21,7 @@
 	"yokestall/internal/config"
 	"yokestall/internal/demo"
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/peers"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/node"
 	"yokestall/internal/tlskeys"
 	"yokestall/internal/xds"
@@ -76,7 +76,7 @@
 }
 
 // serveBy is Serve with a clock for the leases of [fleet.agree], nil: the machine's, and a rig's hooks into the node's part of the fleet, or nil.
-func serveBy(ctx context.Context, path string, log *slog.Logger, ready func(net.Addr), clock func() time.Duration, hooks *peers.Hooks) error {
+func serveBy(ctx context.Context, path string, log *slog.Logger, ready func(net.Addr), clock func() time.Duration, hooks *agent.Hooks) error {
 	watcher, first, err := files.Open(path, log)
 	if err != nil {
 		return err
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -16,8 +16,8 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/fleet/peers"
 	"yokestall/internal/tlskeys"
 )
 
@@ -41,33 +41,33 @@
 }
 
 // of gives what the node's file says.
-func (f *fleetCommands) of() (peers.Config, error) {
+func (f *fleetCommands) of() (agent.Config, error) {
 	if f.config == "" {
-		return peers.Config{}, errors.New("-c FILE is missing: the file of a node of the fleet")
+		return agent.Config{}, errors.New("-c FILE is missing: the file of a node of the fleet")
 	}
 	s, err := files.Load(f.config)
 	if err != nil {
-		return peers.Config{}, err
+		return agent.Config{}, err
 	}
 	if !s.Program.Agree.On() {
-		return peers.Config{}, fmt.Errorf("%s: has no [fleet.agree]", f.config)
+		return agent.Config{}, fmt.Errorf("%s: has no [fleet.agree]", f.config)
 	}
 	var keys *tlskeys.Store
 	if k := s.Program.Keys; k.Folder != "" {
 		if keys, err = tlskeys.Open(files.Beside(f.config, k.Folder), k.First, f.log); err != nil {
-			return peers.Config{}, err
+			return agent.Config{}, err
 		}
 	}
 	return fleetConfig(s.Program, f.config, keys, f.log), nil
 }
 
 // with runs something with a client of the fleet.
-func (f *fleetCommands) with(do func(c *peers.Client) error) error {
+func (f *fleetCommands) with(do func(c *agent.Client) error) error {
 	of, err := f.of()
 	if err != nil {
 		return err
 	}
-	c, err := peers.NewClient(of.Fleet, of.Voters, of.ClientTLS)
+	c, err := agent.NewClient(of.Fleet, of.Voters, of.ClientTLS)
 	if err != nil {
 		return err
 	}
@@ -76,9 +76,9 @@
 }
 
 // report makes a command without arguments that asks the fleet for something and prints it.
-func (f *fleetCommands) report(use, short string, do func(ctx context.Context, c *peers.Client) error) *cobra.Command {
+func (f *fleetCommands) report(use, short string, do func(ctx context.Context, c *agent.Client) error) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		return f.with(func(c *peers.Client) error { return do(cmd.Context(), c) })
+		return f.with(func(c *agent.Client) error { return do(cmd.Context(), c) })
 	}}
 }
 
@@ -107,7 +107,7 @@
 			}
 			for _, v := range of.Voters {
 				if v.Name == of.Name {
-					if err := peers.Init(of); err != nil {
+					if err := agent.Init(of); err != nil {
 						return err
 					}
 					fmt.Fprintf(f.out, "%s is a voter of the fleet %s\n", of.Name, of.Fleet)
@@ -120,7 +120,7 @@
 }
 
 func (f *fleetCommands) status() *cobra.Command {
-	return f.report("status", "Say how each voter sees the fleet: leader, version in force, version that waits, and for whom", func(ctx context.Context, c *peers.Client) error {
+	return f.report("status", "Say how each voter sees the fleet: leader, version in force, version that waits, and for whom", func(ctx context.Context, c *agent.Client) error {
 		list := c.Status(ctx)
 		up := 0
 		for _, a := range list {
@@ -142,7 +142,7 @@
 }
 
 // line prints a voter's status.
-func (f *fleetCommands) line(a peers.VoterStatus) {
+func (f *fleetCommands) line(a agent.VoterStatus) {
 	s := a.Status
 	switch {
 	case s == nil:
@@ -177,8 +177,8 @@
 // result is what a publish prints.
 type result struct {
 	ID string `json:"id"`
-	*peers.PublishReply
-	*peers.PublishOutcome
+	*agent.PublishReply
+	*agent.PublishOutcome
 }
 
 func (f *fleetCommands) publish() *cobra.Command {
@@ -196,7 +196,7 @@
 				if err != nil {
 					return err
 				}
-				return f.submit(cmd.Context(), o, func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.PublishReply, error) {
+				return f.submit(cmd.Context(), o, func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error) {
 					return c.PublishChange(ctx, id, base, config.File{Name: args[0], Text: text})
 				})
 			}
@@ -204,7 +204,7 @@
 			if err != nil {
 				return err
 			}
-			return f.submit(cmd.Context(), o, func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.PublishReply, error) {
+			return f.submit(cmd.Context(), o, func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error) {
 				return c.Publish(ctx, id, base, list)
 			})
 		},
@@ -228,7 +228,7 @@
 }
 
 // submitter has a client take up a version under an id, made from a base.
-type submitter func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.PublishReply, error)
+type submitter func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error)
 
 func (f *fleetCommands) rollback() *cobra.Command {
 	var o submission
@@ -241,7 +241,7 @@
 			if err != nil {
 				return fmt.Errorf("%q is no version's number", args[0])
 			}
-			return f.submit(cmd.Context(), o, func(ctx context.Context, c *peers.Client, id string, base uint64) (*peers.PublishReply, error) {
+			return f.submit(cmd.Context(), o, func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error) {
 				return c.Rollback(ctx, id, base, number)
 			})
 		},
@@ -252,14 +252,14 @@
 
 // submit has a version taken up and waits for it.
 func (f *fleetCommands) submit(ctx context.Context, o submission, do submitter) error {
-	return f.with(func(c *peers.Client) error { return f.submitBy(ctx, c, o, do) })
+	return f.with(func(c *agent.Client) error { return f.submitBy(ctx, c, o, do) })
 }
 
-func (f *fleetCommands) submitBy(ctx context.Context, c *peers.Client, by submission, do submitter) error {
+func (f *fleetCommands) submitBy(ctx context.Context, c *agent.Client, by submission, do submitter) error {
 	id, wait := by.id, by.wait
 	at, err := strconv.ParseUint(by.base, 10, 64)
 	if by.base == "present" {
-		var s *peers.Status
+		var s *agent.Status
 		if s, err = c.LatestStatus(ctx); err == nil {
 			at = s.LogStatus.ActiveVersion
 		}
@@ -268,7 +268,7 @@
 		return fmt.Errorf("--base: %w", err)
 	}
 	if id == "" {
-		id = peers.NewID()
+		id = agent.NewID()
 	}
 	p, err := do(ctx, c, id, at)
 	if err != nil {
@@ -278,7 +278,7 @@
 	if p.Number > 0 && wait > 0 {
 		ctx, stop := context.WithTimeout(ctx, wait)
 		defer stop()
-		o, err := c.WaitForVersion(ctx, p.Number, func(o peers.PublishOutcome) {
+		o, err := c.WaitForVersion(ctx, p.Number, func(o agent.PublishOutcome) {
 			if !f.json && len(o.WaitingFor) > 0 {
 				fmt.Fprintf(f.out, "version %d waits for %s\n", p.Number, strings.Join(o.WaitingFor, ", "))
 			}
@@ -316,7 +316,7 @@
 }
 
 func (f *fleetCommands) history() *cobra.Command {
-	return f.report("history", "List the latest versions", func(ctx context.Context, c *peers.Client) error {
+	return f.report("history", "List the latest versions", func(ctx context.Context, c *agent.Client) error {
 		s, err := c.LatestStatus(ctx)
 		if err != nil {
 			return err
@@ -342,7 +342,7 @@
 }
 
 func (f *fleetCommands) owners() *cobra.Command {
-	return f.report("owners", "Say which node does each work on behalf of the fleet, by which token, and for how long its lease lasts", func(ctx context.Context, c *peers.Client) error {
+	return f.report("owners", "Say which node does each work on behalf of the fleet, by which token, and for how long its lease lasts", func(ctx context.Context, c *agent.Client) error {
 		s, err := c.LatestStatus(ctx)
 		if err != nil {
 			return err
@@ -373,7 +373,7 @@
 }
 
 func (f *fleetCommands) voters() *cobra.Command {
-	return f.report("voters", "List the voters and whether each votes", func(ctx context.Context, c *peers.Client) error {
+	return f.report("voters", "List the voters and whether each votes", func(ctx context.Context, c *agent.Client) error {
 		list := c.Status(ctx)
 		return f.print(list, func() {
 			for _, a := range list {
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"testing"
 
-	"yokestall/internal/fleet/peers"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/testkit/golden"
 )
 
@@ -13,8 +13,8 @@
 func TestGoldenPublishOutput(t *testing.T) {
 	want := result{
 		ID:             "id-a",
-		PublishReply:   &peers.PublishReply{Number: 1, Contradicts: true, Error: "error-a", Retry: true, ActiveVersion: 2, Differences: []string{"difference-a"}},
-		PublishOutcome: &peers.PublishOutcome{InForce: true, RefusalReason: "reason-a", WaitingFor: []string{"node-a", "node-b"}},
+		PublishReply:   &agent.PublishReply{Number: 1, Contradicts: true, Error: "error-a", Retry: true, ActiveVersion: 2, Differences: []string{"difference-a"}},
+		PublishOutcome: &agent.PublishOutcome{InForce: true, RefusalReason: "reason-a", WaitingFor: []string{"node-a", "node-b"}},
 	}
 	golden.NonZero(t, want)
 	text := golden.Read(t, "testdata/golden/publish.json")
--- a/internal/cli/release.go
+++ b/internal/cli/release.go
@@ -10,8 +10,8 @@
 
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/fleet/peers"
 )
 
 // releaseFile is a release as operators write it.
@@ -42,7 +42,7 @@
 		return nil, fail("at_once", fmt.Sprintf("%d is below 1", f.AtOnce))
 	}
 	r := &consensus.Release{
-		ID: peers.NewID(), Cluster: f.Cluster, Waves: f.Waves, Floor: f.Floor, Drain: f.Drain.Duration, Restart: f.Away.Duration, Warm: f.Warm.Duration,
+		ID: agent.NewID(), Cluster: f.Cluster, Waves: f.Waves, Floor: f.Floor, Drain: f.Drain.Duration, Restart: f.Away.Duration, Warm: f.Warm.Duration,
 	}
 	for left := f.Servers; len(left) > 0; {
 		n := min(f.AtOnce, len(left))
@@ -75,7 +75,7 @@
 			if id != "" {
 				r.ID = id
 			}
-			return f.control(cmd, peers.ReleaseCommand{Start: r})
+			return f.control(cmd, agent.ReleaseCommand{Start: r})
 		},
 	}
 	c.Flags().StringVar(&id, "id", "", "of an earlier try: the same id again is the same release")
@@ -91,7 +91,7 @@
 			if word == "status" {
 				word = ""
 			}
-			return f.control(cmd, peers.ReleaseCommand{Action: consensus.ReleaseAction(word), Reason: why})
+			return f.control(cmd, agent.ReleaseCommand{Action: consensus.ReleaseAction(word), Reason: why})
 		}}
 		if w.word == "abort" {
 			sub.Flags().StringVar(&why, "why", "by hand", "for the record")
@@ -101,8 +101,8 @@
 	return c
 }
 
-func (f *fleetCommands) control(cmd *cobra.Command, in peers.ReleaseCommand) error {
-	return f.with(func(c *peers.Client) error {
+func (f *fleetCommands) control(cmd *cobra.Command, in agent.ReleaseCommand) error {
+	return f.with(func(c *agent.Client) error {
 		r, err := c.ControlRelease(cmd.Context(), in)
 		if err != nil {
 			return err
--- a/internal/cli/versions.go
+++ b/internal/cli/versions.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/lease"
-	"yokestall/internal/fleet/peers"
 	"yokestall/internal/lab"
 )
 
@@ -101,9 +101,9 @@
 			if rate < 0.5 || rate > 2 {
 				return errors.New("--rate: from 0.5 to 2")
 			}
-			began := peers.BootTime()
+			began := agent.BootTime()
 			clock := func() time.Duration {
-				return began + time.Duration(float64(peers.BootTime()-began)*rate)
+				return began + time.Duration(float64(agent.BootTime()-began)*rate)
 			}
 			log := slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil))
 			if controlled {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -14,9 +14,9 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
-	"yokestall/internal/fleet/peers"
 	"yokestall/internal/standin/fleet"
 )
 
@@ -29,7 +29,7 @@
 // fleetNode is a node of the demo, and what it acts on.
 type fleetNode struct {
 	name   string
-	node   *peers.Node
+	node   *agent.Node
 	links  []*fleet.Relay // to voters
 	listen net.Listener
 
@@ -61,7 +61,7 @@
 		}
 	}()
 	t := lease.LeaseConfig{Duration: o.Lease, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
-	var voters []peers.Voter
+	var voters []agent.Voter
 	for i := range fleetNodes {
 		n := &fleetNode{name: string(rune('a' + i))}
 		nodes = append(nodes, n)
@@ -69,7 +69,7 @@
 			if n.listen, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 				return nil, err
 			}
-			voters = append(voters, peers.Voter{Name: n.name, Address: n.listen.Addr().String()})
+			voters = append(voters, agent.Voter{Name: n.name, Address: n.listen.Addr().String()})
 		}
 	}
 	for i, n := range nodes {
@@ -81,7 +81,7 @@
 		}
 		run.Go(func() { n.node.Run(ctx) })
 	}
-	client, err := peers.NewClient("demo", voters, nil)
+	client, err := agent.NewClient("demo", voters, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -108,8 +108,8 @@
 }
 
 // open opens a node with a link to each voter but itself.
-func (n *fleetNode) open(dir string, t lease.LeaseConfig, voters []peers.Voter, votes bool) error {
-	c := peers.Config{
+func (n *fleetNode) open(dir string, t lease.LeaseConfig, voters []agent.Voter, votes bool) error {
+	c := agent.Config{
 		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: t, Log: slog.New(slog.DiscardHandler),
 		Disconnected: lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious},
 		Parse: func(list []config.File) (*consensus.Version, error) {
@@ -141,12 +141,12 @@
 		c.Voters = append(c.Voters, v)
 	}
 	if votes {
-		if err := peers.Init(c); err != nil {
+		if err := agent.Init(c); err != nil {
 			return err
 		}
 	}
 	var err error
-	n.node, err = peers.Open(c)
+	n.node, err = agent.Open(c)
 	return err
 }
 
@@ -175,7 +175,7 @@
 	ctx    context.Context
 	out    io.Writer
 	nodes  []*fleetNode
-	client *peers.Client
+	client *agent.Client
 	broken []string
 }
 
@@ -191,14 +191,14 @@
 	text := "[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"c\"\n[fleet]\nnodes = 5\n[[class]]\nname = \"push\"\neffect = \"keyed\"\nscope = \"all\"\nwindow = \"" + window +
 		"\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/\"\nclass = \"push\"\ncluster = \"rooms\"\n"
 	list := []config.File{{Name: files.ProgramPart, Text: []byte(text)}, {Name: "rooms.toml", Text: []byte("[cluster]\nname = \"rooms\"\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n")}}
-	began, id := time.Now(), peers.NewID()
+	began, id := time.Now(), agent.NewID()
 	for ctx.Err() == nil {
 		s, err := d.client.LatestStatus(ctx)
 		if err == nil {
-			var p *peers.PublishReply
+			var p *agent.PublishReply
 			if p, err = d.client.Publish(ctx, id, s.LogStatus.ActiveVersion, list); err == nil && p.Number > 0 {
 				waits := ""
-				o, err := d.client.WaitForVersion(ctx, p.Number, func(o peers.PublishOutcome) {
+				o, err := d.client.WaitForVersion(ctx, p.Number, func(o agent.PublishOutcome) {
 					if len(o.WaitingFor) > 0 {
 						waits = fmt.Sprintf(", having waited for %v", o.WaitingFor)
 					}
--- a/internal/fleet/peers/node.go
+++ b/internal/fleet/agent/node.go
@@ -1,6 +1,6 @@
-// Package peers runs a node of a fleet: it drives the state machines of fleet/agree with RPCs, a store and clocks, and has the program
+// Package agent runs a node of a fleet: it drives the state machines of fleet/agree with RPCs, a store and clocks, and has the program
 // apply the configuration version that the node's lease permits.
-package peers
+package agent
 
 import (
 	"context"
--- a/internal/fleet/peers/norace_test.go
+++ b/internal/fleet/agent/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package peers
+package agent
 
 const raced = false
--- a/internal/fleet/peers/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -1,4 +1,4 @@
-package peers
+package agent
 
 import (
 	"context"
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -10,8 +10,8 @@
 
 	"yokestall/internal/app"
 	"yokestall/internal/config"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/fleet/peers"
 )
 
 // Placement says which hollow nodes are in a process, and where they stand.
@@ -32,7 +32,7 @@
 }
 
 type hollowNode struct {
-	config       peers.Config
+	config       agent.Config
 	region, zone int
 
 	stop context.CancelFunc // nil: it is stopped
@@ -40,7 +40,7 @@
 }
 
 // NewHollow makes nodes that have not been started. Each has base's configuration and own's file, but for a name, a number and a store of its own.
-func NewHollow(base peers.Config, own *config.Program, at Placement, meter *Meter, states *States) *Hollow {
+func NewHollow(base agent.Config, own *config.Program, at Placement, meter *Meter, states *States) *Hollow {
 	h := &Hollow{nodes: map[string]*hollowNode{}, states: states}
 	for i := at.First; i < at.First+at.Count; i++ {
 		n := &hollowNode{config: base, region: i % at.Regions, zone: i % at.Zones}
@@ -74,7 +74,7 @@
 		}
 	}
 	h.states.Start(name, n.region, n.zone)
-	node, err := peers.Open(n.config)
+	node, err := agent.Open(n.config)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 	"google.golang.org/grpc/stats"
 
-	"yokestall/internal/fleet/peers"
+	"yokestall/internal/fleet/agent"
 )
 
 // Traffic is what connections have carried. Bytes are those that the program reads and writes on its sockets: messages with gRPC's and HTTP/2's
@@ -93,7 +93,7 @@
 }
 
 // NewMeter makes a meter of a process among voters that are spread over so many regions in turn.
-func NewMeter(voters []peers.Voter, regions int) *Meter {
+func NewMeter(voters []agent.Voter, regions int) *Meter {
 	m := &Meter{regions: map[string]int{}, healed: make(chan struct{})}
 	close(m.healed)
 	for i, v := range voters {
@@ -103,8 +103,8 @@
 }
 
 // Hooks gives what counts a node's traffic that stands in a region.
-func (m *Meter) Hooks(region int) peers.Hooks {
-	return peers.Hooks{Dial: m.Dialer(region), Listen: m.Listener, Stats: (*messages)(m)}
+func (m *Meter) Hooks(region int) agent.Hooks {
+	return agent.Hooks{Dial: m.Dialer(region), Listen: m.Listener, Stats: (*messages)(m)}
 }
 
 // Apart parts the regions, or joins them again. What was sent meanwhile over a connection that outlives it arrives then.
@@ -279,7 +279,7 @@
 		return Report{}, err
 	}
 	return Report{
-		At: peers.BootTime(), CPU: cpu, Memory: memory, Dialed: m.dialed.total(), Accepted: m.accepted.total(),
+		At: agent.BootTime(), CPU: cpu, Memory: memory, Dialed: m.dialed.total(), Accepted: m.accepted.total(),
 		Sent: m.sent.Load(), Received: m.received.Load(),
 	}, nil
 }
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"yokestall/internal/files"
-	"yokestall/internal/fleet/peers"
+	"yokestall/internal/fleet/agent"
 )
 
 // Options are what a run is played with.
@@ -96,7 +96,7 @@
 // begin publishes the first version and waits until all nodes act on it.
 func (w *player) begin(ctx context.Context) error {
 	began := time.Now()
-	if _, err := w.publish(ctx, func(ctx context.Context, id string) (*peers.PublishReply, error) {
+	if _, err := w.publish(ctx, func(ctx context.Context, id string) (*agent.PublishReply, error) {
 		return w.client.Publish(ctx, id, 0, w.plan.Content.bundle(w.total(), w.settings))
 	}); err != nil {
 		return err
@@ -116,11 +116,11 @@
 const publishWithin = time.Minute
 
 // publish has a version taken up, and gives when it was asked for.
-func (w *player) publish(ctx context.Context, do func(ctx context.Context, id string) (*peers.PublishReply, error)) (began time.Duration, err error) {
+func (w *player) publish(ctx context.Context, do func(ctx context.Context, id string) (*agent.PublishReply, error)) (began time.Duration, err error) {
 	ctx, stop := context.WithTimeout(ctx, publishWithin)
 	defer stop()
-	id := peers.NewID()
-	began = peers.BootTime()
+	id := agent.NewID()
+	began = agent.BootTime()
 	for {
 		published, err := do(ctx, id)
 		switch {
@@ -196,7 +196,7 @@
 	took := map[Role][]float64{}
 	for range s.Count {
 		base := w.number
-		began, err := w.publish(ctx, func(ctx context.Context, id string) (*peers.PublishReply, error) {
+		began, err := w.publish(ctx, func(ctx context.Context, id string) (*agent.PublishReply, error) {
 			if s.Kind == List {
 				return w.client.PublishChange(ctx, id, base, w.plan.Content.change(w.changes+1))
 			}
@@ -205,7 +205,7 @@
 		if err != nil {
 			return err
 		}
-		published = append(published, milliseconds(peers.BootTime()-began))
+		published = append(published, milliseconds(agent.BootTime()-began))
 		if w.changes++; s.Kind == Settings {
 			w.settings = w.settings.next(s.Contradicts)
 		}
@@ -288,7 +288,7 @@
 		}
 	}
 	first := 0
-	began := peers.BootTime()
+	began := agent.BootTime()
 	if _, err := w.members.ask(ctx, func(m *member) *Command {
 		if m.role != NodeRole {
 			return nil
@@ -361,7 +361,7 @@
 
 // join has the regions hear of each other again.
 func (w *player) join(ctx context.Context, s Step) error {
-	began := peers.BootTime()
+	began := agent.BootTime()
 	if err := w.apart(ctx, false); err != nil {
 		return err
 	}
@@ -374,7 +374,7 @@
 	if _, err := hollow.ask(ctx, same(Command{Op: OpStop})); err != nil {
 		return err
 	}
-	began := peers.BootTime()
+	began := agent.BootTime()
 	if _, err := hollow.ask(ctx, same(Command{Op: OpStart, Empty: s.Empty})); err != nil {
 		return err
 	}
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -16,7 +16,7 @@
 
 	"google.golang.org/grpc"
 
-	"yokestall/internal/fleet/peers"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/standin/fleet"
 	"yokestall/internal/standin/keymaker"
 	"yokestall/internal/tlskeys"
@@ -39,10 +39,10 @@
 	command []string // of the program
 	env     []string
 	members members
-	voters  []peers.Voter
+	voters  []agent.Voter
 	meter   *Meter // of the operator, who stands in region 0
 	keys    string // the folder of the run's keys; "": clear text
-	client  *peers.Client
+	client  *agent.Client
 }
 
 // newRig starts the processes of a plan at a size, in a folder.
@@ -130,7 +130,7 @@
 		if err != nil {
 			return err
 		}
-		r.voters = append(r.voters, peers.Voter{Name: m.name, Address: address})
+		r.voters = append(r.voters, agent.Voter{Name: m.name, Address: address})
 	}
 	if r.plan.TLS {
 		if err := r.makeKeys(); err != nil {
@@ -231,7 +231,7 @@
 	}
 	r.meter = NewMeter(r.voters, r.plan.Regions)
 	var err error
-	r.client, err = peers.NewClient(fleetName, r.voters, with, grpc.WithContextDialer(r.meter.Dialer(0)))
+	r.client, err = agent.NewClient(fleetName, r.voters, with, grpc.WithContextDialer(r.meter.Dialer(0)))
 	return err
 }
 
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -17,8 +17,8 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/fleet/peers"
 	"yokestall/internal/testkit"
 )
 
@@ -201,7 +201,7 @@
 // pair is a connection over loopback whose two ends are counted; the first dials from a region, the second listens in region 0.
 func pair(t *testing.T, region int) (m *Meter, near, far net.Conn) {
 	l := testkit.Listen(t)
-	m = NewMeter([]peers.Voter{{Name: "v0", Address: l.Addr().String()}}, 2)
+	m = NewMeter([]agent.Voter{{Name: "v0", Address: l.Addr().String()}}, 2)
 	accepted := make(chan net.Conn)
 	go func() {
 		c, err := m.Listener(l).Accept()
--- a/internal/lab/scale/states.go
+++ b/internal/lab/scale/states.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/fleet/peers"
 )
 
 // State is what a node acts on.
@@ -40,13 +40,13 @@
 func (s *States) Start(node string, region, zone int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nodes[node] = &State{Node: node, Region: region, Zone: zone, At: peers.BootTime()}
+	s.nodes[node] = &State{Node: node, Region: region, Zone: zone, At: agent.BootTime()}
 	s.tell()
 }
 
 // Acted takes what a node acts on from now on.
 func (s *States) Acted(node string, rules consensus.ActiveRules, alone bool) {
-	now := peers.BootTime()
+	now := agent.BootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.nodes[node]
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -20,9 +20,9 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/files"
+	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
-	"yokestall/internal/fleet/peers"
 	"yokestall/internal/standin/fleet"
 )
 
@@ -219,7 +219,7 @@
 
 // play publishes under load while the script's faults befall the processes.
 func (r *versionRun) play(ctx context.Context) error {
-	c, err := peers.NewClient("lab", r.voters(), nil)
+	c, err := agent.NewClient("lab", r.voters(), nil)
 	if err != nil {
 		return err
 	}
@@ -267,26 +267,26 @@
 	return err
 }
 
-func (r *versionRun) voters() (list []peers.Voter) {
+func (r *versionRun) voters() (list []agent.Voter) {
 	for i := range r.Voters {
-		list = append(list, peers.Voter{Name: fmt.Sprint("n", i), Address: r.asked[i]})
+		list = append(list, agent.Voter{Name: fmt.Sprint("n", i), Address: r.asked[i]})
 	}
 	return list
 }
 
 // publish publishes a version and waits until it is in force.
-func (r *versionRun) publish(ctx context.Context, c *peers.Client, stamp int) (time.Duration, error) {
+func (r *versionRun) publish(ctx context.Context, c *agent.Client, stamp int) (time.Duration, error) {
 	ctx, stop := context.WithTimeout(ctx, versionWait)
 	defer stop()
-	id, began := peers.NewID(), time.Now()
+	id, began := agent.NewID(), time.Now()
 	for {
 		s, err := c.LatestStatus(ctx)
 		if err == nil {
-			var p *peers.PublishReply
+			var p *agent.PublishReply
 			if p, err = c.Publish(ctx, id, s.LogStatus.ActiveVersion, r.bundle(stamp)); err == nil && p.Number > 0 {
 				r.out.Published++
 				r.acked[p.Number] = id
-				o, err := c.WaitForVersion(ctx, p.Number, func(peers.PublishOutcome) {})
+				o, err := c.WaitForVersion(ctx, p.Number, func(agent.PublishOutcome) {})
 				if err != nil || !o.InForce {
 					return 0, fmt.Errorf("version %d: %+v: %w", stamp, o, err)
 				}
@@ -302,7 +302,7 @@
 }
 
 // kept looks for all versions that were acknowledged.
-func (r *versionRun) kept(ctx context.Context, c *peers.Client) error {
+func (r *versionRun) kept(ctx context.Context, c *agent.Client) error {
 	s, err := c.LatestStatus(ctx)
 	if err != nil {
 		return err
@@ -390,7 +390,7 @@
 }
 
 // release takes each server out and back, one after the other, and looks that each step was one version.
-func (r *versionRun) release(ctx context.Context, c *peers.Client) error {
+func (r *versionRun) release(ctx context.Context, c *agent.Client) error {
 	ctx, stop := context.WithTimeout(ctx, r.Length+2*versionWait)
 	defer stop()
 	rel := consensus.Release{ID: "lab", Cluster: "rooms", Floor: 0.5, Drain: 100 * time.Millisecond, Restart: 100 * time.Millisecond, Warm: 100 * time.Millisecond}
@@ -400,11 +400,11 @@
 		want = append(want, fmt.Sprintf("release/lab/%d/out", i), fmt.Sprintf("release/lab/%d/in", i))
 	}
 	began := time.Now()
-	in, seen := peers.ReleaseCommand{Start: &rel}, 1
+	in, seen := agent.ReleaseCommand{Start: &rel}, 1
 	for {
 		out, err := c.ControlRelease(ctx, in)
 		if err == nil && out.Error == "" {
-			in = peers.ReleaseCommand{}
+			in = agent.ReleaseCommand{}
 		}
 		if s, err := c.LatestStatus(ctx); err == nil {
 			for ; seen < len(s.History) && s.History[seen].Number <= s.LogStatus.ActiveVersion; seen++ { // it is in force
@@ -433,7 +433,7 @@
 }
 
 // probe asks a voter again and again whether it is the owner of the releases.
-func (r *versionRun) probe(ctx context.Context, c *peers.Client, at int) {
+func (r *versionRun) probe(ctx context.Context, c *agent.Client, at int) {
 	t := time.NewTicker(20 * time.Millisecond)
 	defer t.Stop()
 	open := make(chan struct{}, 64)
@@ -455,7 +455,7 @@
 			one, stop := context.WithTimeout(ctx, 4*time.Second) // an answer of a process that woke counts
 			defer stop()
 			asked := r.rig.Record.Since()
-			if token, err := c.OwnershipToken(one, at, peers.ReleaseTask); err == nil && token > 0 {
+			if token, err := c.OwnershipToken(one, at, agent.ReleaseTask); err == nil && token > 0 {
 				r.rig.Record.Add(fleet.Event{What: fleet.Owned, Who: at, By: asked, Stamp: int(token)})
 			}
 		})
