--- a/internal/fleet/owner/norace_test.go
+++ b/internal/fleet/ownership/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package owner
+package ownership
 
 const raced = false
--- a/internal/fleet/owner/share.go
+++ b/internal/fleet/ownership/share.go
@@ -1,4 +1,4 @@
-// Package owner distributes the fleet's budget for cold servers among its nodes, by demand. It is one of the fleet's singleton tasks: one node
+// Package ownership distributes the fleet's budget for cold servers among its nodes, by demand. It is one of the fleet's singleton tasks: one node
 // at a time, the task's owner, allocates. The package does no I/O and reads no clock: times are passed in, on each node's own clock.
 //
 // A cold server sees the sum of what all nodes send it, so each node may send only its share of the whole budget. Equal shares amount to less
@@ -6,7 +6,7 @@
 // its own share to the owner, which grants pledges to nodes with demand. The sum of all shares in use never exceeds the whole, whichever node
 // owns the task or believes so: a grant ends before the pledge that it comes from, and a pledge is deducted from its node's own share
 // before it is sent.
-package owner
+package ownership
 
 import (
 	"slices"
--- a/internal/fleet/owner/share_test.go
+++ b/internal/fleet/ownership/share_test.go
@@ -1,4 +1,4 @@
-package owner
+package ownership
 
 import (
 	"container/heap"
--- a/internal/fleetsim/events.go
+++ b/internal/fleetsim/events.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"yokestall/internal/fleet/owner"
+	"yokestall/internal/fleet/ownership"
 	"yokestall/internal/model"
 	"yokestall/policy"
 )
@@ -41,8 +41,8 @@
 	token   uint64
 	server  int
 	call    *call
-	request owner.ShareRequest
-	reply   owner.ShareReply
+	request ownership.ShareRequest
+	reply   ownership.ShareReply
 }
 
 // events is a heap of events, the earliest first, and of those at one time the one that was posted first.
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"yokestall/internal/fleet/owner"
+	"yokestall/internal/fleet/ownership"
 	"yokestall/internal/model"
 	"yokestall/policy"
 )
@@ -92,7 +92,7 @@
 	seconds   []struct{ earned, wanted float64 }
 	with      MakeDecider
 	seed      uint64
-	allocator *owner.Allocator
+	allocator *ownership.Allocator
 }
 
 // node hosts a Decider.
@@ -139,7 +139,7 @@
 		s.arrive(class)
 	}
 	if day.PledgeDuration > 0 {
-		s.allocator = owner.NewAllocator(1, s.lendingConfig())
+		s.allocator = ownership.NewAllocator(1, s.lendingConfig())
 	}
 	for i := range day.Troubles {
 		s.post(event{at: day.Troubles[i].From, kind: evTrouble, index: i})
