--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/standin/platform"
+	"yokestall/internal/fake/platform"
 	"yokestall/internal/testkit"
 )
 
--- a/cmd/yokestall-node/upgrade_test.go
+++ b/cmd/yokestall-node/upgrade_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/standin/platform"
+	"yokestall/internal/fake/platform"
 	"yokestall/internal/testkit"
 )
 
--- a/cmd/yokestall/kill_test.go
+++ b/cmd/yokestall/kill_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/standin/appbox"
+	"yokestall/internal/fake/appbox"
 	"yokestall/internal/testkit"
 )
 
--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/fake/fleet"
 	"yokestall/internal/fleet/lease"
 	"yokestall/internal/lab"
-	"yokestall/internal/standin/fleet"
 	"yokestall/internal/testkit"
 )
 
--- a/internal/abuse/abuse.go
+++ b/internal/abuse/abuse.go
@@ -20,9 +20,9 @@
 	"yokestall/internal/app"
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
+	"yokestall/internal/fake/keymaker"
+	"yokestall/internal/fake/webpeer"
 	"yokestall/internal/files"
-	"yokestall/internal/standin/keymaker"
-	"yokestall/internal/standin/webpeer"
 	"yokestall/internal/tlskeys"
 )
 
--- a/internal/abuse/scenarios.go
+++ b/internal/abuse/scenarios.go
@@ -17,8 +17,8 @@
 
 	"golang.org/x/net/http2"
 
-	"yokestall/internal/standin/rawpeer"
-	"yokestall/internal/standin/webpeer"
+	"yokestall/internal/fake/rawpeer"
+	"yokestall/internal/fake/webpeer"
 )
 
 // pairs are sides that differ in all that can differ.
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -17,8 +17,8 @@
 
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
+	"yokestall/internal/fake/appbox"
 	"yokestall/internal/files"
-	"yokestall/internal/standin/appbox"
 	"yokestall/internal/testkit"
 )
 
--- a/internal/app/bounds_test.go
+++ b/internal/app/bounds_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"yokestall/internal/config"
-	"yokestall/internal/standin/webpeer"
+	"yokestall/internal/fake/webpeer"
 	"yokestall/internal/testkit"
 )
 
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/net/http2/hpack"
 
 	"yokestall/internal/config"
-	"yokestall/internal/standin/rawpeer"
-	"yokestall/internal/standin/webpeer"
+	"yokestall/internal/fake/rawpeer"
+	"yokestall/internal/fake/webpeer"
 	"yokestall/internal/testkit"
 )
 
--- a/internal/app/listen_test.go
+++ b/internal/app/listen_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"yokestall/internal/config"
-	"yokestall/internal/standin/keymaker"
+	"yokestall/internal/fake/keymaker"
 	"yokestall/internal/testkit"
 	"yokestall/internal/tlskeys"
 )
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -21,8 +21,8 @@
 
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
-	"yokestall/internal/standin/keymaker"
-	"yokestall/internal/standin/webpeer"
+	"yokestall/internal/fake/keymaker"
+	"yokestall/internal/fake/webpeer"
 	"yokestall/internal/testkit"
 	"yokestall/internal/tlskeys"
 )
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -26,9 +26,9 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/fake/controlplane"
 	"yokestall/internal/files"
-	"yokestall/internal/standin/appbox"
-	"yokestall/internal/standin/controlplane"
 	"yokestall/internal/testkit"
 	"yokestall/internal/xds"
 	"yokestall/internal/xds/ads"
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -26,9 +26,9 @@
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
 	"yokestall/internal/downstream/extproc"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/fake/proxy"
 	"yokestall/internal/files"
-	"yokestall/internal/standin/appbox"
-	"yokestall/internal/standin/proxy"
 )
 
 // Program is the rig's configuration: both ways, and a class of each effect.
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
+	"yokestall/internal/fake/fleet"
 	"yokestall/internal/fleetsim"
 	"yokestall/internal/lab"
-	"yokestall/internal/standin/fleet"
 )
 
 // experiment reads an experiment's file.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -22,9 +22,9 @@
 	"yokestall/internal/app"
 	"yokestall/internal/cluster"
 	"yokestall/internal/downstream/extproc"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/fake/controlplane"
 	"yokestall/internal/files"
-	"yokestall/internal/standin/appbox"
-	"yokestall/internal/standin/controlplane"
 	"yokestall/internal/xds"
 )
 
--- a/internal/demo/extproc.go
+++ b/internal/demo/extproc.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 
 	"yokestall/internal/config"
-	"yokestall/internal/standin/proxy"
+	"yokestall/internal/fake/proxy"
 )
 
 // inFront puts a stand-in proxy before the program, at whose address clients ask from then on.
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"yokestall/internal/config"
+	"yokestall/internal/fake/fleet"
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
-	"yokestall/internal/standin/fleet"
 )
 
 // FleetOptions are what the demo of a fleet that agrees is told.
--- a/internal/demo/tls.go
+++ b/internal/demo/tls.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"yokestall/internal/standin/keymaker"
+	"yokestall/internal/fake/keymaker"
 	"yokestall/internal/tlskeys"
 )
 
--- a/internal/demo/upkeep.go
+++ b/internal/demo/upkeep.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"yokestall/internal/standin/platform"
+	"yokestall/internal/fake/platform"
 )
 
 // UpkeepOptions are what the demo of daily operation can be told.
--- a/internal/downstream/extproc/extproc_test.go
+++ b/internal/downstream/extproc/extproc_test.go
@@ -28,10 +28,10 @@
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
 	"yokestall/internal/downstream/extproc"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/fake/keymaker"
+	"yokestall/internal/fake/proxy"
 	"yokestall/internal/files"
-	"yokestall/internal/standin/appbox"
-	"yokestall/internal/standin/keymaker"
-	"yokestall/internal/standin/proxy"
 	"yokestall/internal/testkit"
 	"yokestall/internal/tlskeys"
 )
--- a/internal/standin/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -19,8 +19,8 @@
 
 	"yokestall/internal/adminapi"
 	"yokestall/internal/discovery"
-	"yokestall/internal/standin/appbox"
-	"yokestall/internal/standin/registrar"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/fake/registrar"
 )
 
 // patience bounds what a process may take to say yes, or to end.
--- a/internal/fleet/agent/peers_test.go
+++ b/internal/fleet/agent/peers_test.go
@@ -18,10 +18,10 @@
 	"google.golang.org/grpc/status"
 
 	"yokestall/internal/config"
+	"yokestall/internal/fake/keymaker"
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
-	"yokestall/internal/standin/keymaker"
 	"yokestall/internal/testkit"
 	"yokestall/internal/tlskeys"
 )
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -17,7 +17,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"yokestall/internal/standin/fleet"
+	"yokestall/internal/fake/fleet"
 )
 
 // A whole fleet in one thread, in virtual time: voters, followers, publishers, clocks that are fast or slow, a network that
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
+	"yokestall/internal/fake/fleet"
+	"yokestall/internal/fake/modelbox"
 	"yokestall/internal/files"
 	"yokestall/internal/fleetsim"
 	"yokestall/internal/loadgen"
-	"yokestall/internal/standin/fleet"
-	"yokestall/internal/standin/modelbox"
 	"yokestall/policy"
 )
 
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/standin/fleet"
+	"yokestall/internal/fake/fleet"
 )
 
 // Faults are read with the place of what is wrong, and a script that was printed is read back the same.
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -20,9 +20,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"yokestall/internal/config"
+	"yokestall/internal/fake/fleet"
 	"yokestall/internal/fleetsim"
 	"yokestall/internal/model"
-	"yokestall/internal/standin/fleet"
 	"yokestall/policy"
 )
 
--- a/internal/lab/process/check.go
+++ b/internal/lab/process/check.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"yokestall/internal/standin/fleet"
+	"yokestall/internal/fake/fleet"
 )
 
 const (
--- a/internal/lab/process/load.go
+++ b/internal/lab/process/load.go
@@ -12,9 +12,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"yokestall/internal/fake/appbox"
 	"yokestall/internal/loadgen"
 	"yokestall/internal/model"
-	"yokestall/internal/standin/appbox"
 )
 
 const (
--- a/internal/lab/process/served.go
+++ b/internal/lab/process/served.go
@@ -12,8 +12,8 @@
 	"path/filepath"
 	"time"
 
-	"yokestall/internal/standin/appbox"
-	"yokestall/internal/standin/fleet"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/fake/fleet"
 )
 
 const (
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -19,12 +19,12 @@
 	"yokestall/internal/app"
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
+	"yokestall/internal/fake/fleet"
+	"yokestall/internal/fake/modelbox"
 	"yokestall/internal/files"
 	"yokestall/internal/fleetsim"
 	"yokestall/internal/loadgen"
 	"yokestall/internal/model"
-	"yokestall/internal/standin/fleet"
-	"yokestall/internal/standin/modelbox"
 	"yokestall/policy"
 )
 
--- a/internal/lab/scale/member.go
+++ b/internal/lab/scale/member.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"yokestall/internal/standin/fleet"
+	"yokestall/internal/fake/fleet"
 )
 
 // Role is what a process of a run is.
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -16,9 +16,9 @@
 
 	"google.golang.org/grpc"
 
+	"yokestall/internal/fake/fleet"
+	"yokestall/internal/fake/keymaker"
 	"yokestall/internal/fleet/agent"
-	"yokestall/internal/standin/fleet"
-	"yokestall/internal/standin/keymaker"
 	"yokestall/internal/tlskeys"
 )
 
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -19,11 +19,11 @@
 	"time"
 
 	"yokestall/internal/config"
+	"yokestall/internal/fake/fleet"
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
-	"yokestall/internal/standin/fleet"
 )
 
 // Versions is a run of real processes that agree on versions while parts of them fail. Every version contradicts every other
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -13,8 +13,8 @@
 
 	"yokestall/internal/adminapi"
 	"yokestall/internal/discovery"
-	"yokestall/internal/standin/appbox"
-	"yokestall/internal/standin/platform"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/fake/platform"
 	"yokestall/internal/testkit"
 )
 
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -22,7 +22,7 @@
 
 	"go.uber.org/goleak"
 
-	"yokestall/internal/standin/appbox"
+	"yokestall/internal/fake/appbox"
 )
 
 // Patience is how long a test waits for what must happen. It ends a failure; it is
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/standin/keymaker"
+	"yokestall/internal/fake/keymaker"
 	"yokestall/internal/testkit"
 )
 
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -13,7 +13,7 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"yokestall/internal/standin/controlplane"
+	"yokestall/internal/fake/controlplane"
 	"yokestall/internal/testkit"
 	"yokestall/internal/xds/ads"
 )
