--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -6,10 +6,10 @@
 
 	"yokestall/internal/discovery"
 	"yokestall/internal/fake/platform"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.MainOr(m, main) }
+func TestMain(m *testing.M) { testutil.MainOr(m, main) }
 
 // memoryMB is the limit of the nodes here.
 const memoryMB = 64
@@ -22,7 +22,7 @@
 
 func newRig(t *testing.T, passed bool, boxes int, lines ...discovery.Instance) *rig {
 	t.Helper()
-	command, env := testkit.Itself()
+	command, env := testutil.Itself()
 	p, err := platform.New(platform.Options{
 		Command: command, Env: env, Passed: passed, MemoryMB: memoryMB, Sockets: 1024,
 		Servers: lines, Boxes: boxes, Work: 2 * time.Millisecond,
--- a/cmd/yokestall-node/main_test.go
+++ b/cmd/yokestall-node/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 
 	"yokestall/internal/node"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 const settings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
@@ -57,7 +57,7 @@
 		io.WriteString(w, "done")
 	}))
 	defer server.Close()
-	logs := testkit.NewLogs(t)
+	logs := testutil.NewLogs(t)
 	before := slog.Default()
 	slog.SetDefault(logs.Logger())
 	defer slog.SetDefault(before)
@@ -78,7 +78,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- node.Command(nil) }()
 	_, addr, _ := strings.Cut(strings.TrimSpace(logs.Wait("msg=serving")), "addr=")
-	testkit.Until(t, "the node to be ready", func() bool {
+	testutil.Until(t, "the node to be ready", func() bool {
 		resp, err := http.Get("http://" + addr + "/health/ready")
 		if err != nil {
 			return false
@@ -100,12 +100,12 @@
 		body, _ := io.ReadAll(resp.Body)
 		answered <- string(body)
 	}()
-	testkit.Wait(t, got, "the request")
+	testutil.Wait(t, got, "the request")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	close(release)
-	if a := testkit.Wait(t, answered, "an answer"); a != "done" {
+	if a := testutil.Wait(t, answered, "an answer"); a != "done" {
 		t.Errorf("answer %q", a)
 	}
 	expectEnd(t, ended)
@@ -143,7 +143,7 @@
 	}
 	expect := func(name string) {
 		t.Helper()
-		if got := testkit.Wait(t, calls, "a call to "+name); got != name {
+		if got := testutil.Wait(t, calls, "a call to "+name); got != name {
 			t.Fatalf("%s is asked, want %s", got, name)
 		}
 	}
@@ -172,7 +172,7 @@
 	for _, text := range []string{`{"listen"`, config("nowhere"), ``} {
 		write(text)
 		hup()
-		if line := testkit.Wait(t, logged, "word of a bad file"); !strings.Contains(line, "the old configuration stays") {
+		if line := testutil.Wait(t, logged, "word of a bad file"); !strings.Contains(line, "the old configuration stays") {
 			t.Errorf("logged %q", line)
 		}
 	}
@@ -195,7 +195,7 @@
 
 func expectEnd(t *testing.T, ended <-chan error) {
 	t.Helper()
-	if err := testkit.Wait(t, ended, "the end"); err != nil {
+	if err := testutil.Wait(t, ended, "the end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/cmd/yokestall-node/transfers_test.go
+++ b/cmd/yokestall-node/transfers_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 var (
@@ -27,7 +27,7 @@
 
 func sumOf(n, size int) string {
 	h := sha256.New()
-	io.Copy(h, &testkit.Pattern{Number: n, Size: size})
+	io.Copy(h, &testutil.Pattern{Number: n, Size: size})
 	return hex.EncodeToString(h.Sum(nil))
 }
 
@@ -36,14 +36,14 @@
 // memory stays within its limit, however many there are.
 func TestTransfers(t *testing.T) {
 	size := *megabytes << 20
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		n, _ := strconv.Atoi(q.Get("n"))
 		rate, _ := strconv.Atoi(q.Get("rate"))
 		if r.Method == http.MethodPost {
 			h := sha256.New()
-			if _, err := io.Copy(h, &testkit.Slow{Reader: r.Body, Rate: rate}); err != nil {
+			if _, err := io.Copy(h, &testutil.Slow{Reader: r.Body, Rate: rate}); err != nil {
 				return
 			}
 			io.WriteString(w, hex.EncodeToString(h.Sum(nil)))
@@ -52,7 +52,7 @@
 		if n%2 == 0 {
 			w.Header().Set("Content-Length", strconv.Itoa(size))
 		}
-		from := &testkit.Slow{Reader: &testkit.Pattern{Number: n, Size: size}, Rate: rate}
+		from := &testutil.Slow{Reader: &testutil.Pattern{Number: n, Size: size}, Rate: rate}
 		if q.Has("quarter") {
 			quarter, _ := strconv.Atoi(q.Get("quarter"))
 			io.CopyN(w, from, int64(quarter*size/4))
@@ -74,14 +74,14 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		nc.SetDeadline(time.Now().Add(10 * testkit.Patience))
+		nc.SetDeadline(time.Now().Add(10 * testutil.Patience))
 		start, body := "GET /read", ""
 		if upload {
 			start, body = "POST /pay", "Content-Length: "+strconv.Itoa(size)+"\r\n"
 		}
 		fmt.Fprintf(nc, "%s?%s HTTP/1.1\r\nHost: x\r\nX-Request-ID: t%d\r\nX-Timeout-Ms: 10000\r\n%s\r\n", start, target, n, body)
 		if upload {
-			if _, err := io.Copy(nc, &testkit.Slow{Reader: &testkit.Pattern{Number: n, Size: size}, Rate: rate}); err != nil {
+			if _, err := io.Copy(nc, &testutil.Slow{Reader: &testutil.Pattern{Number: n, Size: size}, Rate: rate}); err != nil {
 				nc.Close()
 				return nil, nil, err
 			}
@@ -109,7 +109,7 @@
 				return
 			}
 			h := sha256.New()
-			body := io.Reader(&testkit.Slow{Reader: resp.Body, Rate: rate})
+			body := io.Reader(&testutil.Slow{Reader: resp.Body, Rate: rate})
 			text := ""
 			if upload {
 				all, _ := io.ReadAll(body)
--- a/cmd/yokestall-node/upgrade_test.go
+++ b/cmd/yokestall-node/upgrade_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"yokestall/internal/fake/platform"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 var upgrades = flag.Int("upgrades", 4, "how many upgrades TestUpgrades makes")
@@ -125,7 +125,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	l := platform.Drive(ctx, r.Addr, 4, 0)
-	testkit.Until(t, "requests to be served", func() bool { return l.Served.Load() > 10 })
+	testutil.Until(t, "requests to be served", func() bool { return l.Served.Load() > 10 })
 	for _, n := range []*platform.Node{old, next} {
 		n.Process.Signal(syscall.SIGTERM)
 	}
--- a/cmd/yokestall/kill_test.go
+++ b/cmd/yokestall/kill_test.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"yokestall/internal/fake/appbox"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.MainOr(m, main) }
+func TestMain(m *testing.M) { testutil.MainOr(m, main) }
 
 var (
 	kills   = flag.Int("kills", 4, "how often TestKillsAmongPushes kills the program")
@@ -56,7 +56,7 @@
 	list := "[cluster]\nname = \"rooms\"\n"
 	var boxes []*appbox.Box
 	for i := range 3 {
-		b := testkit.Box(t, fmt.Sprint("s-", i))
+		b := testutil.Box(t, fmt.Sprint("s-", i))
 		b.SetDelay(5 * time.Millisecond) // work, in which a kill may come
 		boxes = append(boxes, b)
 		list += fmt.Sprintf("[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\n", b.Name, b.Addr())
@@ -79,13 +79,13 @@
 		}
 	}
 	begin := func() *exec.Cmd {
-		itself, env := testkit.Itself()
+		itself, env := testutil.Itself()
 		c := exec.Command(itself[0], "serve", "-c", filepath.Join(dir, "yokestall.toml"))
 		c.Env = append(os.Environ(), env...)
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Until(t, "the program to listen", func() bool {
+		testutil.Until(t, "the program to listen", func() bool {
 			nc, err := net.Dial("tcp", addr)
 			if err == nil {
 				nc.Close()
--- a/cmd/yokestall/scale_test.go
+++ b/cmd/yokestall/scale_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"yokestall/internal/lab/scale"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // A fleet of hollow nodes stays within bounds on what it says, whatever the machine's speed: what a node says while nothing changes does not grow
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	command, env := testkit.Itself()
+	command, env := testutil.Itself()
 	dir := t.TempDir()
 	f, err := scale.Play(t.Context(), plan, scale.Options{Dir: dir, Command: command, Env: env, Tell: t.Logf})
 	if err != nil {
@@ -88,7 +88,7 @@
 	if testing.Short() {
 		t.Skip("real time")
 	}
-	command, env := testkit.Itself()
+	command, env := testutil.Itself()
 	c := exec.Command(command[0], "lab", "scale", "testdata/scale.toml")
 	c.Env = append(append(os.Environ(), env...), "TMPDIR="+t.TempDir())
 	progress, err := c.StderrPipe()
@@ -105,7 +105,7 @@
 		lines.Scan()
 		told <- lines.Text()
 	}()
-	if line := testkit.Wait(t, told, "the first version"); !strings.Contains(line, "first version") {
+	if line := testutil.Wait(t, told, "the first version"); !strings.Contains(line, "first version") {
 		t.Fatalf("%q", line)
 	}
 	children := childrenOf(t, c.Process.Pid)
@@ -115,7 +115,7 @@
 	c.Process.Signal(syscall.SIGKILL)
 	c.Wait()
 	for _, child := range children {
-		testkit.Until(t, fmt.Sprint("the end of process ", child.pid), func() bool { return !child.runs() })
+		testutil.Until(t, fmt.Sprint("the end of process ", child.pid), func() bool { return !child.runs() })
 	}
 }
 
@@ -165,7 +165,7 @@
 
 // The command refuses a file that is no plan by its line, and ends.
 func TestScaleRefusesBadFiles(t *testing.T) {
-	command, env := testkit.Itself()
+	command, env := testutil.Itself()
 	path := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(path, []byte("name = \"bad\"\nsizes = [3]\nnodes = 7\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/fake/fleet"
 	"yokestall/internal/fleet/lease"
 	"yokestall/internal/lab"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // versionsRun is a run that fits a test: a lease that is over in the middle of most faults.
@@ -58,7 +58,7 @@
 }
 
 func playVersions(t *testing.T, v lab.Versions) {
-	itself, env := testkit.Itself()
+	itself, env := testutil.Itself()
 	dir := t.TempDir()
 	o, err := lab.PlayVersions(t.Context(), v, dir, itself, env)
 	if err != nil {
--- a/internal/adminapi/mgmt_test.go
+++ b/internal/adminapi/mgmt_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"yokestall/internal/adminstate"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // handler records calls and answers as told.
 type handler struct {
@@ -42,7 +42,7 @@
 	go func() { ended <- Serve(ctx, l, h) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := testkit.Wait(t, ended, "the address to end"); err != nil {
+		if err := testutil.Wait(t, ended, "the address to end"); err != nil {
 			t.Error(err)
 		}
 	})
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(testkit.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.Patience))
 	return nc
 }
 
@@ -142,7 +142,7 @@
 	}
 	// All but the last ones have lost their places.
 	for _, nc := range stalled[:len(stalled)-Places] {
-		if _, err := io.Copy(io.Discard, nc); testkit.IsTimeout(err) {
+		if _, err := io.Copy(io.Discard, nc); testutil.IsTimeout(err) {
 			t.Fatal("a stalled caller keeps its connection")
 		}
 	}
@@ -167,7 +167,7 @@
 		callers = append(callers, nc)
 	}
 	for range Places {
-		testkit.Wait(t, h.got, "the calls")
+		testutil.Wait(t, h.got, "the calls")
 	}
 	more := dial(t, addr)
 	if answer, _ := io.ReadAll(more); len(answer) != 0 {
--- a/internal/app/agreed_test.go
+++ b/internal/app/agreed_test.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // A hundred changes of classes, limits and the fleet's figures under load: nothing fails, and what was learnt of a server that fails
 // stays known.
 func TestSettingsUnderLoad(t *testing.T) {
-	good, bad := testkit.Box(t, "good"), testkit.Box(t, "bad")
+	good, bad := testutil.Box(t, "good"), testutil.Box(t, "bad")
 	good.SetDelay(time.Millisecond)
 	bad.SetFailing(true)
 	list := rooms(at(good), at(bad))
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		n := asked.Load()
-		testkit.Until(t, "some to be asked under these settings", func() bool { return asked.Load() >= n+5 })
+		testutil.Until(t, "some to be asked under these settings", func() bool { return asked.Load() >= n+5 })
 	}
 	close(stop)
 	run.Wait()
@@ -71,10 +71,10 @@
 // The lease is looked at when a request is decided and again right before it is sent: lost in between, nothing goes out, and the client is
 // told when to come back.
 func TestLeaseAtDecisionAndSend(t *testing.T) {
-	b := testkit.Box(t, "box")
+	b := testutil.Box(t, "box")
 	var looks, until atomic.Int64
 	until.Store(1 << 40)
-	s := serveWith(t, snapshot(parse(t, program), rooms(at(b))), Options{Seed: 1, Log: testkit.Log(t), May: func() bool { return looks.Add(1) <= until.Load() }})
+	s := serveWith(t, snapshot(parse(t, program), rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), May: func() bool { return looks.Add(1) <= until.Load() }})
 	if status, _, _ := s.get("/x", "good"); status != http.StatusOK || b.Count() != 1 {
 		t.Fatalf("status %d", status)
 	}
@@ -93,7 +93,7 @@
 			}
 			looks.Store(0)
 		}
-		if took := time.Since(began); took > testkit.Patience/2 {
+		if took := time.Since(began); took > testutil.Patience/2 {
 			t.Errorf("answered after %v", took)
 		}
 	}
@@ -101,9 +101,9 @@
 
 // A request that was decided by rules of its class that are no more sends nothing, though the lease goes on.
 func TestDecidedByOldRules(t *testing.T) {
-	b := testkit.Box(t, "box")
+	b := testutil.Box(t, "box")
 	own := parse(t, program)
-	s := serveWith(t, snapshot(own, rooms(at(b))), Options{Seed: 1, Log: testkit.Log(t), May: func() bool { return true }})
+	s := serveWith(t, snapshot(own, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), May: func() bool { return true }})
 	old := s.app.state.Load()
 	read, pay := s.app.may(old, "read"), s.app.may(old, "pay")
 	take := func(text string, refused map[string]string) {
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -19,10 +19,10 @@
 	"yokestall/internal/config"
 	"yokestall/internal/fake/appbox"
 	"yokestall/internal/files"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const program = `[listen]
 address = "127.0.0.1:0"
@@ -96,7 +96,7 @@
 
 func serve(t testing.TB, first *files.Snapshot) *serving {
 	t.Helper()
-	return serveWith(t, first, Options{Seed: 1, Log: testkit.Log(t)})
+	return serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t)})
 }
 
 func serveWith(t testing.TB, first *files.Snapshot, o Options) *serving {
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() {
@@ -151,7 +151,7 @@
 
 // A request with nothing but a path is served: the front gives it an id.
 func TestPlainRequest(t *testing.T) {
-	b := testkit.Box(t, "box-1")
+	b := testutil.Box(t, "box-1")
 	s := serve(t, snapshot(parse(t, program), rooms(at(b))))
 	status, _, body := s.get("/hotels", "")
 	if status != 200 || !strings.HasPrefix(body, "box-1 served ") {
@@ -165,7 +165,7 @@
 // A route to a cluster that nobody defines refuses its own requests and no others, and
 // heals when the cluster comes.
 func TestUndefinedCluster(t *testing.T) {
-	b := testkit.Box(t, "box-1")
+	b := testutil.Box(t, "box-1")
 	p := parse(t, program)
 	s := serve(t, snapshot(p, rooms(at(b))))
 	status, header, _ := s.get("/lost/x", "")
@@ -188,7 +188,7 @@
 // A cluster that is removed, or a route that moves, with requests open: what is out
 // finishes, new ones go where the version says.
 func TestClusterRemovedWhileOpen(t *testing.T) {
-	slow, other := testkit.Box(t, "slow"), testkit.Box(t, "other")
+	slow, other := testutil.Box(t, "slow"), testutil.Box(t, "other")
 	slow.SetDelay(300 * time.Millisecond)
 	p := parse(t, program)
 	s := serve(t, snapshot(p, rooms(at(slow))))
@@ -199,7 +199,7 @@
 			answers <- body
 		}()
 	}
-	testkit.Until(t, "a request to reach the box", func() bool { return slow.Count() > 0 })
+	testutil.Until(t, "a request to reach the box", func() bool { return slow.Count() > 0 })
 	moved := parse(t, strings.ReplaceAll(program, `cluster = "rooms"`, `cluster = "suites"`))
 	suites := rooms(at(other))
 	suites.Name = "suites"
@@ -222,7 +222,7 @@
 
 // An endpoint under the same id at another address is another server at once.
 func TestEndpointMoves(t *testing.T) {
-	a, b := testkit.Box(t, "a"), testkit.Box(t, "b")
+	a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
 	p := parse(t, program)
 	at := func(b *appbox.Box) cluster.Endpoint { return cluster.Endpoint{ID: "same", Address: b.Addr()} }
 	s := serve(t, snapshot(p, rooms(at(a))))
@@ -240,7 +240,7 @@
 // A new endpoint at the address of one that has gone is another server, with nothing of
 // the former one's.
 func TestAddressReused(t *testing.T) {
-	b := testkit.Box(t, "b")
+	b := testutil.Box(t, "b")
 	log := &sends{names: map[uint64]string{}}
 	p := parse(t, program)
 	named := func(id string) *files.Snapshot {
@@ -249,7 +249,7 @@
 		return snapshot(p, rooms(e))
 	}
 	first, second := named("old"), named("new")
-	s := serveWith(t, first, Options{Seed: 1, Log: testkit.Log(t), Sent: log.note})
+	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t), Sent: log.note})
 	for i, v := range []*files.Snapshot{first, second} {
 		if err := s.app.Take(v); err != nil {
 			t.Fatal(err)
@@ -263,7 +263,7 @@
 // A cluster's bounds: what is dropped by share or is more than may be open is refused at
 // once, with the time to come back, and reaches no server.
 func TestBounds(t *testing.T) {
-	b := testkit.Box(t, "b")
+	b := testutil.Box(t, "b")
 	p := parse(t, program)
 	held := func(bounds cluster.Bounds) *files.Snapshot {
 		c := rooms(at(b))
@@ -290,9 +290,9 @@
 		status, _, _ := s.get("/x", "")
 		first <- status
 	}()
-	testkit.Until(t, "the first to be out", func() bool { return b.Count() > 0 })
+	testutil.Until(t, "the first to be out", func() bool { return b.Count() > 0 })
 	refused("the second one at once")
-	if status := testkit.Wait(t, first, "the first"); status != 200 {
+	if status := testutil.Wait(t, first, "the first"); status != 200 {
 		t.Errorf("the first: status %d", status)
 	}
 	if status, _, _ := s.get("/x", ""); status != 200 {
@@ -303,7 +303,7 @@
 // A thousand versions, also such that start every cluster anew, leave no memory,
 // goroutine or descriptor behind.
 func TestThousandVersions(t *testing.T) {
-	b := testkit.Box(t, "box-1")
+	b := testutil.Box(t, "box-1")
 	p := parse(t, program)
 	other := parse(t, strings.Replace(program, "attempts = 3", "attempts = 2", 1))
 	s := serve(t, snapshot(p, rooms(at(b))))
@@ -336,11 +336,11 @@
 	}
 	take(100)
 	s.client.CloseIdleConnections()
-	testkit.Until(t, "retired clusters to end", func() bool { return runtime.NumGoroutine() < 40 })
+	testutil.Until(t, "retired clusters to end", func() bool { return runtime.NumGoroutine() < 40 })
 	g0, d0, h0 := runtime.NumGoroutine(), descriptors(), heap()
 	take(1000)
 	s.client.CloseIdleConnections()
-	testkit.Until(t, "goroutines and descriptors to be as few as before", func() bool {
+	testutil.Until(t, "goroutines and descriptors to be as few as before", func() bool {
 		return runtime.NumGoroutine() <= g0+10 && descriptors() <= d0+10
 	})
 	if h1 := heap(); h1 > h0+4<<20 {
@@ -359,9 +359,9 @@
 	const boxes, grace = 6, 500 * time.Millisecond
 	var all []*appbox.Box
 	for i := range boxes {
-		all = append(all, testkit.Box(t, fmt.Sprintf("box-%d", i)))
+		all = append(all, testutil.Box(t, fmt.Sprintf("box-%d", i)))
 	}
-	bait := testkit.Box(t, "bait") // in no complete, valid version
+	bait := testutil.Box(t, "bait") // in no complete, valid version
 	root := t.TempDir()
 	path, dir := filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
 	if err := os.Mkdir(dir, 0o755); err != nil {
@@ -394,7 +394,7 @@
 		t.Fatal(err)
 	}
 	swap(text(all, ""))
-	watcher, first, err := files.Open(path, testkit.Quiet) // thousands of lines
+	watcher, first, err := files.Open(path, testutil.Quiet) // thousands of lines
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -403,7 +403,7 @@
 		e := at(b)
 		log.names[e.Key()] = b.Name
 	}
-	s := serveWith(t, first, Options{Seed: 1, Log: testkit.Quiet, Sent: log.note})
+	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Quiet, Sent: log.note})
 	var inForce spans
 	members := func(v *cluster.Version) (ids []string) {
 		for _, e := range v.Clusters["rooms"].Endpoints {
@@ -518,7 +518,7 @@
 				return snapshot(p, rooms(list...))
 			}
 			two := []*files.Snapshot{version(1), version(2)}
-			a, err := New(two[0], Options{Seed: 1, Log: testkit.Quiet})
+			a, err := New(two[0], Options{Seed: 1, Log: testutil.Quiet})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/app/bounds_test.go
+++ b/internal/app/bounds_test.go
@@ -12,7 +12,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/fake/webpeer"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // A listener's bounds on heads and on clients that stand still, over both versions' sockets: a head over
@@ -20,7 +20,7 @@
 // ends the stream at its server.
 func TestListenerBounds(t *testing.T) {
 	over := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		for part := make([]byte, 64<<10); ; {
 			if _, err := w.Write(part); err != nil {
 				over <- struct{}{}
@@ -41,7 +41,7 @@
 	}
 	defer nc.Close()
 	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n") // and takes nothing
-	testkit.Wait(t, over, "the stream to end at its server")
+	testutil.Wait(t, over, "the stream to end at its server")
 }
 
 // A client that renegotiates (TLS 1.2) is ended with an alert, and the next one is served. Go's client can't
@@ -51,10 +51,10 @@
 	if err != nil {
 		t.Skip("openssl is not installed")
 	}
-	b := testkit.Box(t, "b")
+	b := testutil.Box(t, "b")
 	keys, authority := matrixKeys(t)
 	c := newCellTo(t, webpeer.Wire{TLS: true}, webpeer.Wire{}, keys, authority, config.Listener{}, b.Addr())
-	ctx, cancel := context.WithTimeout(t.Context(), testkit.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testutil.Patience)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, openssl, "s_client", "-connect", c.addr, "-tls1_2")
 	in, err := cmd.StdinPipe()
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -17,7 +17,7 @@
 	"yokestall/internal/config"
 	"yokestall/internal/fake/rawpeer"
 	"yokestall/internal/fake/webpeer"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // A server that dies at each byte of its answer, for each class: what the client takes for
@@ -133,7 +133,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testkit.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.Patience))
 		io.WriteString(nc, text)
 		nc.(*net.TCPConn).CloseWrite()
 		answer, _ := io.ReadAll(nc)
@@ -208,7 +208,7 @@
 func TestDrainWithStreams(t *testing.T) {
 	const streams = 1000
 	hold := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			<-hold
 		}
@@ -218,7 +218,7 @@
 	if _, _, err := c.ask("GET", "/x", "", nil, 0); err != nil { // opens the connection
 		t.Fatal(err)
 	}
-	testkit.Wait(t, b.Got, "the first")
+	testutil.Wait(t, b.Got, "the first")
 	var run sync.WaitGroup
 	var whole atomic.Int64
 	for range streams {
@@ -231,10 +231,10 @@
 			}
 		})
 	}
-	testkit.Wait(t, b.Got, "the first to be out")
+	testutil.Wait(t, b.Got, "the first to be out")
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.listeners.Close() }()
-	testkit.Until(t, "the listener to be gone", func() bool {
+	testutil.Until(t, "the listener to be gone", func() bool {
 		nc, err := net.Dial("tcp", c.addr)
 		if err == nil {
 			nc.Close()
@@ -243,7 +243,7 @@
 	})
 	close(hold)
 	run.Wait()
-	testkit.Wait(t, ended, "the end")
+	testutil.Wait(t, ended, "the end")
 	// Some came too late, behind the GOAWAY: they were not taken. What was taken is answered.
 	if n := int64(len(b.Got)) + 1; whole.Load() < n {
 		t.Errorf("%d reached the server, %d whole answers came back", n, whole.Load())
@@ -267,7 +267,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testkit.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.Patience))
 		nc.Write(text)
 		nc.(*net.TCPConn).CloseWrite()
 		io.Copy(io.Discard, nc)
--- a/internal/app/http_test.go
+++ b/internal/app/http_test.go
@@ -14,13 +14,13 @@
 	"time"
 
 	"yokestall/internal/cluster"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/upstream/h1client"
 )
 
 func behind(t testing.TB, handle http.HandlerFunc) *serving {
 	t.Helper()
-	b := testkit.NewBackend(t, handle)
+	b := testutil.NewBackend(t, handle)
 	e := cluster.Endpoint{ID: "b", Address: b.Addr(), Weight: 1}
 	return serve(t, snapshot(parse(t, program), rooms(e)))
 }
@@ -185,7 +185,7 @@
 		t.Errorf("beside a stream: status %d", resp.StatusCode)
 	}
 	resp.Body.Close()
-	testkit.Wait(t, left, "the stream to end at its server")
+	testutil.Wait(t, left, "the stream to end at its server")
 }
 
 // A client that takes nothing holds its server back: what lies between is bounded.
@@ -207,7 +207,7 @@
 		t.Fatal(err)
 	}
 	last := int64(-1)
-	testkit.Until(t, "the server to be held back", func() bool {
+	testutil.Until(t, "the server to be held back", func() bool {
 		now := written.Load()
 		still := now == last
 		last = now
@@ -218,5 +218,5 @@
 		t.Errorf("%d bytes on their way to a client that takes none", last)
 	}
 	resp.Body.Close()
-	testkit.Wait(t, over, "the stream to end at its server")
+	testutil.Wait(t, over, "the stream to end at its server")
 }
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -16,7 +16,7 @@
 	"yokestall/internal/config"
 	"yokestall/internal/fake/appbox"
 	"yokestall/internal/files"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/policy"
 )
 
@@ -71,7 +71,7 @@
 // theirs up.
 func TestClustersAreActiveWhileUsed(t *testing.T) {
 	const count = 200
-	box := testkit.Box(t, "b")
+	box := testutil.Box(t, "b")
 	before := runtime.NumGoroutine()
 	s := serve(t, services(t, count, box))
 	if n := runtime.NumGoroutine() - before; n > count/4 {
@@ -99,7 +99,7 @@
 // Guards against a request that falls between a cluster's looks at whether it is in use: all are answered while the
 // cluster is given up again and again.
 func TestRequestsMeetClustersThatAreGivenUp(t *testing.T) {
-	box := testkit.Box(t, "b")
+	box := testutil.Box(t, "b")
 	s := serve(t, services(t, 1, box))
 	const clients, times = 2, 15
 	var refused atomic.Int64
@@ -132,7 +132,7 @@
 // look has engines that last until its end.
 func TestDeactivationRace(t *testing.T) {
 	const requests = 2000
-	s := serve(t, services(t, 1, testkit.Box(t, "b")))
+	s := serve(t, services(t, 1, testutil.Box(t, "b")))
 	r := s.app.state.Load().clusters["s0"]
 	looked := make(chan struct{}, 1) // the next request begins beside the look at the last one's end
 	go func() {
@@ -171,7 +171,7 @@
 
 // Guards against news that a cluster without engines misses: a server that was taken out meanwhile gets nothing.
 func TestNewsWhileIdle(t *testing.T) {
-	stays, leaves := testkit.Box(t, "stays"), testkit.Box(t, "leaves")
+	stays, leaves := testutil.Box(t, "stays"), testutil.Box(t, "leaves")
 	first := services(t, 1, stays, leaves)
 	s := serve(t, first)
 	s.ask(0)
@@ -219,7 +219,7 @@
 
 // What is known of servers outlives the engines: through idleness, a change of settings while idle, and both again.
 func TestKnowledgeOutlivesEngines(t *testing.T) {
-	bad := testkit.Box(t, "bad")
+	bad := testutil.Box(t, "bad")
 	bad.SetFailing(true)
 	first := services(t, 1, bad)
 	s := serve(t, first)
@@ -231,7 +231,7 @@
 		}
 		return count
 	}
-	testkit.Until(t, "the failing server's breaker to open", func() bool { s.ask(0); return opened() == 1 })
+	testutil.Until(t, "the failing server's breaker to open", func() bool { s.ask(0); return opened() == 1 })
 	if s.app.deactivateIdle(s.app.idleNow()); opened() != 1 {
 		t.Error("an idle cluster forgot the open breaker")
 	}
@@ -254,7 +254,7 @@
 // A cluster with an open stream that its class bounds stays active, so that a drain still reaches the stream.
 func TestStreamsKeepClustersActive(t *testing.T) {
 	begun, end := make(chan struct{}), make(chan struct{})
-	server := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	server := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, strings.Repeat("x", 1<<10))
 		w.(http.Flusher).Flush()
@@ -273,16 +273,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.Wait(t, begun, "the stream")
+	testutil.Wait(t, begun, "the stream")
 	rooms := s.app.state.Load().clusters["rooms"]
-	testkit.Until(t, "the request's end", func() bool { return rooms.open.Load() == 0 })
+	testutil.Until(t, "the request's end", func() bool { return rooms.open.Load() == 0 })
 	if n := s.app.deactivateIdle(s.app.idleNow()); n != 0 {
 		t.Error("a cluster with an open stream was given up")
 	}
 	close(end)
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	testkit.Until(t, "the cluster to be given up", func() bool { return s.app.deactivateIdle(s.app.idleNow()) == 1 })
+	testutil.Until(t, "the cluster to be given up", func() bool { return s.app.deactivateIdle(s.app.idleNow()) == 1 })
 }
 
 // A cluster stays active until servers that were cold at its last request are warm, and late answers are not listened
@@ -302,7 +302,7 @@
 		p := *parse(t, program)
 		p.Classes = append([]config.Class(nil), p.Classes...)
 		c.change(&p)
-		s := serve(t, snapshot(&p, rooms(at(testkit.Box(t, "b")))))
+		s := serve(t, snapshot(&p, rooms(at(testutil.Box(t, "b")))))
 		if got := s.app.idleAfter(s.app.state.Load()); got != c.want {
 			t.Errorf("%s: idle after %v, want %v", name, got, c.want)
 		}
@@ -312,7 +312,7 @@
 // Guards against what a version leaves behind: after many changes of settings the heap holds what it held after few.
 func TestChangesLeaveNothing(t *testing.T) {
 	const count = 100
-	box := testkit.Box(t, "b")
+	box := testutil.Box(t, "b")
 	first := services(t, count, box)
 	s := serve(t, first)
 	change := func(times int) (heap uint64) {
@@ -341,9 +341,9 @@
 // Versions with equal tenants share one table, whose quotas hold over all clusters; another list takes over what is left.
 func TestTenantTables(t *testing.T) {
 	text := program + "[[tenant]]\nname = \"a\"\nquota_per_s = 5\ncertificates = [\"a.example\"]\n[[tenant]]\nname = \"b\"\n"
-	s := serve(t, snapshot(parse(t, text), rooms(at(testkit.Box(t, "b")))))
+	s := serve(t, snapshot(parse(t, text), rooms(at(testutil.Box(t, "b")))))
 	take := func(text string) *tenantTable {
-		if err := s.app.Take(snapshot(parse(t, text), rooms(at(testkit.Box(t, "b"))))); err != nil {
+		if err := s.app.Take(snapshot(parse(t, text), rooms(at(testutil.Box(t, "b"))))); err != nil {
 			t.Fatal(err)
 		}
 		return s.app.state.Load().tenants
--- a/internal/app/listen_test.go
+++ b/internal/app/listen_test.go
@@ -17,7 +17,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/fake/keymaker"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/tlskeys"
 )
 
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(testkit.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.Patience))
 	io.WriteString(nc, text)
 	var got strings.Builder
 	part := make([]byte, 4096)
@@ -44,9 +44,9 @@
 
 // Listeners come, change under clients that stay, and go; what can't be opened changes nothing.
 func TestListenersComeAndGo(t *testing.T) {
-	b := testkit.Box(t, "b")
+	b := testutil.Box(t, "b")
 	p := parse(t, program)
-	a, err := New(snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testkit.Log(t)})
+	a, err := New(snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	ls := a.NewListeners()
 	defer ls.Close()
 	free := func() string { // taken by a listener of the app's own at once
-		l := testkit.Listen(t)
+		l := testutil.Listen(t)
 		defer l.Close()
 		return l.Addr().String()
 	}
@@ -102,7 +102,7 @@
 	}()
 	for i := range 10 {
 		n := asked.Load()
-		testkit.Until(t, "another request", func() bool { return asked.Load() > n })
+		testutil.Until(t, "another request", func() bool { return asked.Load() > n })
 		one.MaxBody = int64(i%2+1) * 10
 		if err := ls.Take([]config.Listener{one, two}); err != nil {
 			t.Fatal(err)
@@ -116,7 +116,7 @@
 	if err := ls.Take([]config.Listener{two}); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "the first to be gone", func() bool { return !serves(one.Address) })
+	testutil.Until(t, "the first to be gone", func() bool { return !serves(one.Address) })
 	if !strings.Contains(get(two.Address), "b served") {
 		t.Error("the other one is gone too")
 	}
@@ -137,16 +137,16 @@
 
 // A listener outlives a lack of descriptors.
 func TestAcceptGoesOn(t *testing.T) {
-	b := testkit.Box(t, "b")
+	b := testutil.Box(t, "b")
 	p := parse(t, program)
-	a, err := New(snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testkit.Log(t)})
+	a, err := New(snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Close()
 	ls := a.NewListeners()
 	defer ls.Close()
-	l := &scarce{Listener: testkit.Listen(t)}
+	l := &scarce{Listener: testutil.Listen(t)}
 	l.left.Store(3)
 	ls.start(p.Listener, ls.opened(l))
 	if got := raw(t, l.Addr().String(), "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", ""); !strings.Contains(got, "b served") {
@@ -185,7 +185,7 @@
 // What the edge does with a connection and with fields, by listener: raw bytes in, what comes
 // back and what the server saw.
 func TestEdge(t *testing.T) {
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Upgrade") == "echo" {
 			nc, rw, _ := http.NewResponseController(w).Hijack()
 			defer nc.Close()
@@ -206,15 +206,15 @@
 			t.Fatal(err)
 		}
 	}
-	keys, err := tlskeys.Open(folder, "front.test", testkit.Log(t))
+	keys, err := tlskeys.Open(folder, "front.test", testutil.Log(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := parse(t, edgeProgram)
 	e := rooms()
-	e.Empty, e.Endpoints = false, append(e.Endpoints, at(testkit.Box(t, "unused")))
+	e.Empty, e.Endpoints = false, append(e.Endpoints, at(testutil.Box(t, "unused")))
 	e.Endpoints[0].Address = b.Addr()
-	a, err := New(snapshot(p, e), Options{Seed: 1, Log: testkit.Log(t), Keys: keys})
+	a, err := New(snapshot(p, e), Options{Seed: 1, Log: testutil.Log(t), Keys: keys})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -23,7 +23,7 @@
 	"yokestall/internal/config"
 	"yokestall/internal/fake/keymaker"
 	"yokestall/internal/fake/webpeer"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/tlskeys"
 )
 
@@ -93,14 +93,14 @@
 	}
 	given := rooms(list...)
 	given.Transport.HTTP2 = back.HTTP2
-	given.Bounds.ConnectTimeout = testkit.Patience
+	given.Bounds.ConnectTimeout = testutil.Patience
 	if back.TLS {
 		given.Transport.TLS = &cluster.TLS{Roots: "ca", Name: "peer.test"}
 	}
 	p := parse(t, matrixProgram)
-	logs := testkit.Quiet // a fuzz target has no log of its own
+	logs := testutil.Quiet // a fuzz target has no log of its own
 	if _, fuzz := t.(*testing.F); !fuzz {
-		logs = testkit.Log(t)
+		logs = testutil.Log(t)
 	}
 	var err error
 	if c.app, err = New(snapshot(p, given), Options{Seed: 1, Log: logs, Keys: keys}); err != nil {
@@ -118,12 +118,12 @@
 	c.addr = c.listeners.Addr("").String()
 	c.url = scheme + "://" + c.addr
 	transport := &http.Transport{
-		Protocols: front.Protocols(), MaxIdleConnsPerHost: 16, DisableCompression: true, ExpectContinueTimeout: testkit.Patience,
+		Protocols: front.Protocols(), MaxIdleConnsPerHost: 16, DisableCompression: true, ExpectContinueTimeout: testutil.Patience,
 	}
 	if authority != nil {
 		transport.TLSClientConfig = &tls.Config{RootCAs: authority.Pool(), ServerName: "front.test"}
 	}
-	c.client = &http.Client{Timeout: testkit.Patience, Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	c.client = &http.Client{Timeout: testutil.Patience, Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	t.Cleanup(func() {
 		transport.CloseIdleConnections()
 		c.listeners.Close()
@@ -431,7 +431,7 @@
 			c.ask("POST", "/pay/x", "", from, 1<<20)
 		}()
 		to.Write(webpeer.Pattern(200_000))
-		for end := time.Now().Add(testkit.Patience); c.peer.Begun.Load() == begun; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testutil.Patience); c.peer.Begun.Load() == begun; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				return errors.New("the server never saw the upload begin")
 			}
@@ -494,14 +494,14 @@
 		switch {
 		case r.Header.Get("X-Do") == "slow":
 			time.Sleep(takes)
-			testkit.OK(w, r)
+			testutil.OK(w, r)
 		case broken.Add(1)%2 == 1:
 			panic(http.ErrAbortHandler)
 		default:
 			io.WriteString(w, "second")
 		}
 	}
-	a, b := testkit.NewBackend(t, serve), testkit.NewBackend(t, serve)
+	a, b := testutil.NewBackend(t, serve), testutil.NewBackend(t, serve)
 	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{}, a.Addr(), b.Addr())
 	for range slow {
 		if resp, _, err := c.ask("GET", "/x", "slow", nil, 0); err != nil || resp.StatusCode != http.StatusOK {
@@ -542,7 +542,7 @@
 			t.Fatal(err)
 		}
 	}
-	keys, err := tlskeys.Open(folder, "", testkit.Log(t))
+	keys, err := tlskeys.Open(folder, "", testutil.Log(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/once_test.go
+++ b/internal/app/once_test.go
@@ -16,7 +16,7 @@
 
 	"yokestall/internal/cluster"
 	"yokestall/internal/idempotency/replay"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 const pushes = `[listen]
@@ -157,16 +157,16 @@
 
 // What a client sees of it, and that another request under its key is told from it.
 func TestRepeatOverHTTP(t *testing.T) {
-	box := cluster.Endpoint{ID: "s-0", Address: testkit.NewBackend(t, testkit.OK).Addr()}
+	box := cluster.Endpoint{ID: "s-0", Address: testutil.NewBackend(t, testutil.OK).Addr()}
 	s := serve(t, snapshot(parse(t, strings.Replace(pushes, "ENTRIES", "10", 1)), rooms(box)))
-	status, header, first := s.push("k", "x", testkit.Patience)
+	status, header, first := s.push("k", "x", testutil.Patience)
 	if status != http.StatusOK || header.Get(replay.Replayed) != "" {
 		t.Fatalf("status %d, %s", status, header)
 	}
-	if status, header, text := s.push("k", "x", testkit.Patience); status != http.StatusOK || header.Get(replay.Replayed) != "true" || text != first {
+	if status, header, text := s.push("k", "x", testutil.Patience); status != http.StatusOK || header.Get(replay.Replayed) != "true" || text != first {
 		t.Errorf("again: status %d, %s, %q", status, header, text)
 	}
-	if status, _, _ := s.push("k", "y", testkit.Patience); status != http.StatusUnprocessableEntity {
+	if status, _, _ := s.push("k", "y", testutil.Patience); status != http.StatusUnprocessableEntity {
 		t.Errorf("another body: status %d", status)
 	}
 }
@@ -190,23 +190,23 @@
 			ctx, leave := context.WithCancel(context.Background())
 			var first sync.WaitGroup
 			first.Go(func() { s.pushIn(ctx, "k", "x") })
-			testkit.Wait(t, begun, "the push at its server")
+			testutil.Wait(t, begun, "the push at its server")
 			leave()
 			first.Wait()
 			var status int
 			var body string
-			testkit.Until(t, "the first to be over", func() bool { // joined until the program knows that its client left
+			testutil.Until(t, "the first to be over", func() bool { // joined until the program knows that its client left
 				status, _, body = s.push("k", "x", 20*time.Millisecond)
 				return status == http.StatusConflict
 			})
 			close(answer)
 			if late == "true" {
-				testkit.Until(t, "the late answer", func() bool {
-					status, _, body = s.push("k", "x", testkit.Patience)
+				testutil.Until(t, "the late answer", func() bool {
+					status, _, body = s.push("k", "x", testutil.Patience)
 					return status == http.StatusOK
 				})
 			} else {
-				status, _, body = s.push("k", "x", testkit.Patience)
+				status, _, body = s.push("k", "x", testutil.Patience)
 			}
 			if status != want || want == http.StatusOK && body != "done at last" || runs.Load() != 1 {
 				t.Errorf("status %d, %q, %d runs; want status %d", status, body, runs.Load(), want)
@@ -218,16 +218,16 @@
 // The program ends and comes back with its log: what was answered before is not run again.
 func TestKeysOutliveTheProgram(t *testing.T) {
 	var runs atomic.Int64
-	box := cluster.Endpoint{ID: "s-0", Address: testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	box := cluster.Endpoint{ID: "s-0", Address: testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
-		testkit.OK(w, r)
+		testutil.OK(w, r)
 	}).Addr()}
 	text := strings.Replace(pushes, "ENTRIES", "10\nlog = \"keys\"", 1)
 	folder := t.TempDir()
 	for i, want := range []int{http.StatusOK, http.StatusConflict} {
 		t.Run(strconv.Itoa(i), func(t *testing.T) {
-			s := serveWith(t, snapshot(parse(t, text), rooms(box)), Options{Seed: 1, Log: testkit.Log(t), Path: folder + "/yokestall.toml"})
-			if status, _, _ := s.push("k", "x", testkit.Patience); status != want {
+			s := serveWith(t, snapshot(parse(t, text), rooms(box)), Options{Seed: 1, Log: testutil.Log(t), Path: folder + "/yokestall.toml"})
+			if status, _, _ := s.push("k", "x", testutil.Patience); status != want {
 				t.Errorf("status %d, want %d", status, want)
 			}
 		})
--- a/internal/app/stop_test.go
+++ b/internal/app/stop_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"yokestall/internal/cluster"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // A client that has said nothing so far, and asks when a stop leaves its request no time, is told to come
@@ -28,15 +28,15 @@
 	}
 	var servers []cluster.Endpoint // as many as requests: the module has room for each
 	for i := range 3 {
-		servers = append(servers, cluster.Endpoint{ID: fmt.Sprint(i), Address: testkit.Accept(t, hangs), Weight: 1})
+		servers = append(servers, cluster.Endpoint{ID: fmt.Sprint(i), Address: testutil.Accept(t, hangs), Weight: 1})
 	}
 	text := strings.ReplaceAll(strings.ReplaceAll(program, `"5s"`, `"1s"`), "[files]", "http2_streams = 0\n[files]")
-	a, err := New(snapshot(parse(t, text), rooms(servers...)), Options{Seed: 1, Log: testkit.Log(t)})
+	a, err := New(snapshot(parse(t, text), rooms(servers...)), Options{Seed: 1, Log: testutil.Log(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Close()
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() { served <- a.Serve(ctx, l) }()
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(testkit.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.Patience))
 		clients = append(clients, nc)
 	}
 	stop()
@@ -63,7 +63,7 @@
 	if _, was := sent.Load("r0"); !was {
 		t.Error("the first request was not sent on")
 	}
-	if err := testkit.Wait(t, served, "the stop"); err != nil {
+	if err := testutil.Wait(t, served, "the stop"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -17,7 +17,7 @@
 	"yokestall/internal/config"
 	"yokestall/internal/fake/rawpeer"
 	"yokestall/internal/fake/webpeer"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // Streams of a class that has bounds end by them, so that their clients can tell; others and
@@ -25,7 +25,7 @@
 // in the table counts like one before or after.
 func TestStreamsEnd(t *testing.T) {
 	started := make(chan struct{}, 100)
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/quick" {
 			return
 		}
@@ -34,7 +34,7 @@
 		started <- struct{}{}
 		<-r.Context().Done()
 	})
-	other := testkit.Box(t, "other")
+	other := testutil.Box(t, "other")
 	bounds := func(text string) *config.Program {
 		return parse(t, strings.Replace(program, "effect = \"safe\"\n", "effect = \"safe\"\n"+text, 1))
 	}
@@ -69,7 +69,7 @@
 			if line, err := in.ReadString('\n'); line != "event\n" {
 				t.Fatalf("%q, %v", line, err)
 			}
-			testkit.Wait(t, started, "the stream")
+			testutil.Wait(t, started, "the stream")
 			if tc.news != nil {
 				if err := s.app.Take(snapshot(p, tc.news(p))); err != nil {
 					t.Fatal(err)
@@ -78,7 +78,7 @@
 			over := make(chan error, 1)
 			go func() { _, err := in.ReadByte(); over <- err }()
 			if tc.ends {
-				if err := testkit.Wait(t, over, "the stream's end"); err == nil || err == io.EOF {
+				if err := testutil.Wait(t, over, "the stream's end"); err == nil || err == io.EOF {
 					t.Errorf("the client takes a part for the whole: %v", err)
 				}
 				return
@@ -102,7 +102,7 @@
 // same bound as one that was open.
 func TestDrainBeforeTheHead(t *testing.T) {
 	let := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		<-let
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
@@ -118,20 +118,20 @@
 		}
 		over <- err
 	}()
-	testkit.Wait(t, b.Got, "the request")
-	err := s.app.Take(snapshot(p, rooms(at(testkit.Box(t, "other")))))
+	testutil.Wait(t, b.Got, "the request")
+	err := s.app.Take(snapshot(p, rooms(at(testutil.Box(t, "other")))))
 	close(let)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := testkit.Wait(t, over, "the stream's end"); err == nil {
+	if err := testutil.Wait(t, over, "the stream's end"); err == nil {
 		t.Error("the client takes a part for the whole")
 	}
 }
 
 // A client that floods a connection over HTTP/2 is told so and loses it; one beside it is served.
 func TestFloodsEndConnections(t *testing.T) {
-	b := testkit.Box(t, "b")
+	b := testutil.Box(t, "b")
 	for _, tc := range []struct {
 		name string
 		send func(f *http2.Framer, i int) error
@@ -191,7 +191,7 @@
 					}
 				}
 			}
-			if code := testkit.Wait(t, told, "the end"); code != http2.ErrCodeEnhanceYourCalm && sent == 2000 {
+			if code := testutil.Wait(t, told, "the end"); code != http2.ErrCodeEnhanceYourCalm && sent == 2000 {
 				t.Errorf("after %d frames: %v", sent, code)
 			}
 		})
@@ -202,11 +202,11 @@
 // when their stream does.
 func TestMoveIsTold(t *testing.T) {
 	hold := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		<-hold
 		w.Write(bytes.Repeat([]byte("x"), 1000))
 	})
-	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, Drain: testkit.Patience}, b.Addr())
+	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, Drain: testutil.Patience}, b.Addr())
 	nc, f, err := rawpeer.OpenHTTP2(c.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -215,7 +215,7 @@
 	f.WriteSettingsAck()
 	f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, EndHeaders: true, EndStream: true,
 		BlockFragment: rawpeer.Fields(":method", "GET", ":scheme", "http", ":authority", "a", ":path", "/x")})
-	testkit.Wait(t, b.Got, "the request")
+	testutil.Wait(t, b.Got, "the request")
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.listeners.Close() }()
 	var moved, whole bool
@@ -238,7 +238,7 @@
 			}
 		}
 	}
-	testkit.Wait(t, ended, "the listener's end")
+	testutil.Wait(t, ended, "the listener's end")
 	if _, err := net.Dial("tcp", c.addr); err == nil {
 		t.Error("the listener still takes connections")
 	}
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -29,7 +29,7 @@
 	"yokestall/internal/fake/appbox"
 	"yokestall/internal/fake/controlplane"
 	"yokestall/internal/files"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/xds"
 	"yokestall/internal/xds/ads"
 )
@@ -119,9 +119,9 @@
 }
 
 // follow serves by a control plane; each delivery is told once the app took it.
-func follow(t testing.TB, first *files.Snapshot, o Options, change func(*xds.Config), told func(*xds.Delivery)) (*serving, *testkit.Logs) {
+func follow(t testing.TB, first *files.Snapshot, o Options, change func(*xds.Config), told func(*xds.Delivery)) (*serving, *testutil.Logs) {
 	t.Helper()
-	logs := testkit.NewLogs(t)
+	logs := testutil.NewLogs(t)
 	if o.Log == nil {
 		o.Log = logs.Logger()
 	}
@@ -151,7 +151,7 @@
 // status waits until a path is answered by a status.
 func (s *serving) becomes(path string, status int) {
 	s.t.Helper()
-	testkit.Until(s.t, fmt.Sprintf("%s to be answered by %d", path, status), func() bool {
+	testutil.Until(s.t, fmt.Sprintf("%s to be answered by %d", path, status), func() bool {
 		got, _, _ := s.get(path, "")
 		return got == status
 	})
@@ -163,7 +163,7 @@
 func TestXDSLife(t *testing.T) {
 	for _, variant := range bothVariants {
 		t.Run(variant, func(t *testing.T) {
-			a, b := testkit.Box(t, "a"), testkit.Box(t, "b")
+			a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
 			p := startPlane(t)
 			p.Down()
 			keep := filepath.Join(t.TempDir(), "kept")
@@ -203,7 +203,7 @@
 			if status, _, _ := s.get("/lost/x", ""); status != 200 {
 				t.Errorf("the last good form: status %d", status)
 			}
-			testkit.Until(t, "a NACK that names the fault", func() bool {
+			testutil.Until(t, "a NACK that names the fault", func() bool {
 				return slices.ContainsFunc(p.Answers(), func(a controlplane.Answer) bool { return strings.Contains(a.Error, "LOGICAL_DNS") })
 			})
 			set(t, p, lost) // good again
@@ -215,10 +215,10 @@
 				status, _, _ := s.get("/pay/x", "open")
 				open <- status
 			}()
-			testkit.Until(t, "the request to reach the box", func() bool { return a.Count() > count })
+			testutil.Until(t, "the request to reach the box", func() bool { return a.Count() > count })
 			p.Remove(message(t, edsCluster("rooms")).TypeUrl, "rooms")
 			s.becomes("/x", 503)
-			if status := testkit.Wait(t, open, "the open request"); status != 200 {
+			if status := testutil.Wait(t, open, "the open request"); status != 200 {
 				t.Errorf("open while its cluster was removed: status %d", status)
 			}
 			a.SetDelay(0)
@@ -233,9 +233,9 @@
 				if status, _, _ := s.get("/x", ""); status != 200 {
 					t.Errorf("fault %d: status %d", fault, status)
 				}
-				testkit.Until(t, "the fault to happen", func() bool { return p.Faults() == 0 })
+				testutil.Until(t, "the fault to happen", func() bool { return p.Faults() == 0 })
 				p.Break()
-				testkit.Until(t, fmt.Sprintf("recovery from fault %d", fault), func() bool {
+				testutil.Until(t, fmt.Sprintf("recovery from fault %d", fault), func() bool {
 					_, _, body := s.get("/x", "")
 					return strings.HasPrefix(body, to.Name+" ")
 				})
@@ -259,7 +259,7 @@
 			if err := p.Up(); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Until(t, "the older version to be in force", func() bool {
+			testutil.Until(t, "the older version to be in force", func() bool {
 				_, _, body := again.get("/x", "")
 				return strings.HasPrefix(body, "b ")
 			})
@@ -270,7 +270,7 @@
 // All of a priority unhealthy: the next one serves; all at all priorities: refused at once,
 // with the time to come back.
 func TestXDSFailover(t *testing.T) {
-	a, b := testkit.Box(t, "a"), testkit.Box(t, "b")
+	a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
 	p := startPlane(t)
 	set(t, p, map[string]proto.Message{"ingress": ingressRoutes(t), "main": mainRoutes(toCluster("/", "rooms", "read")), "rooms": edsCluster("rooms")})
 	both := func(first, second corev3.HealthStatus) {
@@ -282,7 +282,7 @@
 	s, _ := follow(t, xdsProgram(t, p.Addr(), "incremental", ""), Options{}, nil, nil)
 	served := func(by string) {
 		t.Helper()
-		testkit.Until(t, "an answer by "+by, func() bool { _, _, body := s.get("/x", ""); return strings.HasPrefix(body, by+" ") })
+		testutil.Until(t, "an answer by "+by, func() bool { _, _, body := s.get("/x", ""); return strings.HasPrefix(body, by+" ") })
 	}
 	served("a")
 	both(corev3.HealthStatus_UNHEALTHY, healthy)
@@ -295,7 +295,7 @@
 		t.Error("sent to an unhealthy server")
 	}
 	both(corev3.HealthStatus_TIMEOUT, corev3.HealthStatus_DRAINING)
-	testkit.Until(t, "a refusal at once", func() bool {
+	testutil.Until(t, "a refusal at once", func() bool {
 		status, header, _ := s.get("/x", "")
 		return status == 503 && header.Get("Retry-After") != ""
 	})
@@ -380,7 +380,7 @@
 			var all []*appbox.Box
 			log := &sends{names: map[uint64]string{}}
 			for i := range boxes {
-				b := testkit.Box(t, fmt.Sprintf("box-%d", i))
+				b := testutil.Box(t, fmt.Sprintf("box-%d", i))
 				e := at(b)
 				e.ID = e.Address
 				log.names[e.Key()] = b.Addr()
@@ -393,7 +393,7 @@
 			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, all)})
 			var inForce spans
 			deliveries := 0
-			s, _ := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{Seed: 1, Log: testkit.Quiet, Sent: log.note}, nil, func(d *xds.Delivery) {
+			s, _ := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet, Sent: log.note}, nil, func(d *xds.Delivery) {
 				deliveries++
 				if c := d.View.Clusters()["rooms"]; c != nil {
 					var ids []string
@@ -482,7 +482,7 @@
 				took := make(chan time.Duration, 1000)
 				ready := make(chan struct{})
 				var once sync.Once
-				follow(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testkit.Quiet}, nil, func(d *xds.Delivery) {
+				follow(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet}, nil, func(d *xds.Delivery) {
 					if d.Whole {
 						if len(d.View.Clusters()) == n/100 {
 							once.Do(func() { close(ready) })
@@ -494,7 +494,7 @@
 					default:
 					}
 				})
-				testkit.Wait(b, ready, "all clusters")
+				testutil.Wait(b, ready, "all clusters")
 				held := (heap() - before) / float64(n)
 				for len(took) > 0 {
 					<-took
@@ -503,7 +503,7 @@
 				sum := time.Duration(0)
 				for i := 0; b.Loop(); i++ {
 					set(b, p, map[string]proto.Message{fmt.Sprintf("c-%03d", i%(n/100)): assigned(i%(n/100), uint32(2+i%1000))})
-					d := testkit.Wait(b, took, "a delivery")
+					d := testutil.Wait(b, took, "a delivery")
 					times = append(times, d)
 					sum += d
 				}
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -4,15 +4,15 @@
 	"strings"
 	"testing"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // The rig in short.
 func TestRun(t *testing.T) {
 	var out strings.Builder
-	found, err := Run(t.Context(), Options{Requests: 5000, Callers: 16, Out: &out, Log: testkit.Quiet})
+	found, err := Run(t.Context(), Options{Requests: 5000, Callers: 16, Out: &out, Log: testutil.Quiet})
 	if t.Log(out.String()); err != nil || len(found) > 0 {
 		t.Errorf("%v, %v", found, err)
 	}
--- a/internal/cli/agree_test.go
+++ b/internal/cli/agree_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // agreedNode writes the file of the one voter of a fleet, and gives its path.
@@ -56,14 +56,14 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error, 1)
-	go func() { served <- Serve(ctx, path, testkit.Log(t), nil) }()
+	go func() { served <- Serve(ctx, path, testutil.Log(t), nil) }()
 	defer func() {
 		stop()
-		if err := testkit.Wait(t, served, "the end"); err != nil {
+		if err := testutil.Wait(t, served, "the end"); err != nil {
 			t.Error(err)
 		}
 	}()
-	testkit.Until(t, "the voter to lead", func() bool {
+	testutil.Until(t, "the voter to lead", func() bool {
 		out, _ := run(t, "fleet", "voters", "-c", path)
 		return strings.Contains(out, "a leads")
 	})
@@ -96,7 +96,7 @@
 		}
 		want(tc.want, tc.fails, "release", "-c", path, rel)
 	}
-	testkit.Until(t, "the release to end", func() bool {
+	testutil.Until(t, "the release to end", func() bool {
 		out, _ := run(t, "release", "status", "-c", path)
 		return strings.Contains(out, ": done")
 	})
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"testing"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 func run(t *testing.T, args ...string) (string, error) {
@@ -95,7 +95,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	listening, ended := make(chan net.Addr, 1), make(chan error, 1)
 	go func() {
-		ended <- Serve(ctx, filepath.Join(dir, "yokestall.toml"), testkit.Log(t), func(a net.Addr) { listening <- a })
+		ended <- Serve(ctx, filepath.Join(dir, "yokestall.toml"), testutil.Log(t), func(a net.Addr) { listening <- a })
 	}()
 	select {
 	case addr := <-listening:
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"yokestall/internal/fleet/agent"
-	"yokestall/internal/testkit/golden"
+	"yokestall/internal/testutil/golden"
 )
 
 // The other JSON output of the fleet commands is that of types of package peers, which has golden files for them.
--- a/internal/compare/compare_test.go
+++ b/internal/compare/compare_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 const servers = 4
@@ -23,7 +23,7 @@
 // startServer is a server that costs as little as one can: it answers each head that it
 // reads with the same bytes.
 func startServer(tb testing.TB) string {
-	l := testkit.Listen(tb)
+	l := testutil.Listen(tb)
 	var conns sync.Map
 	tb.Cleanup(func() {
 		l.Close()
@@ -78,7 +78,7 @@
 
 // startRelay copies bytes: what no proxy that reads HTTP can do better.
 func startRelay(tb testing.TB, addrs []string) string {
-	l := testkit.Listen(tb)
+	l := testutil.Listen(tb)
 	go func() {
 		for i := 0; ; i++ {
 			nc, err := l.Accept()
--- a/internal/compare/sides_test.go
+++ b/internal/compare/sides_test.go
@@ -21,7 +21,7 @@
 	"yokestall/internal/fake/keymaker"
 	"yokestall/internal/fake/webpeer"
 	"yokestall/internal/files"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/tlskeys"
 )
 
@@ -35,7 +35,7 @@
 
 // serve starts an HTTP server that speaks as the sides do.
 func (s *sides) serve(tb testing.TB, h http.Handler) (addr string) {
-	l := testkit.Listen(tb)
+	l := testutil.Listen(tb)
 	srv := &http.Server{Handler: h, Protocols: s.Protocols(), HTTP2: &http.HTTP2Config{MaxConcurrentStreams: 250}}
 	if s.TLS {
 		srv.TLSConfig = s.keys.Server(tlskeys.Clients{}, s.ALPN())
@@ -81,13 +81,13 @@
 		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
 	}
 	a, err := app.New(&files.Snapshot{Program: p, Version: &cluster.Version{Clusters: map[string]*cluster.Cluster{"c": c}}},
-		app.Options{Seed: 1, Log: testkit.Quiet, Keys: s.keys})
+		app.Options{Seed: 1, Log: testutil.Quiet, Keys: s.keys})
 	if err != nil {
 		tb.Fatal(err)
 	}
 	set := p.Listener
 	set.TLS = s.TLS
-	l := testkit.Listen(tb)
+	l := testutil.Listen(tb)
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() { a.ServeBy(ctx, l, set) })
@@ -159,7 +159,7 @@
 	if err := authority.Write(folder, "side", "side.test"); err != nil {
 		b.Fatal(err)
 	}
-	keys, err := tlskeys.Open(folder, "", testkit.Quiet)
+	keys, err := tlskeys.Open(folder, "", testutil.Quiet)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"yokestall/internal/fake/appbox"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // The demo, in short: every phase is shown, the rules hold, and it ends by itself.
@@ -18,8 +18,8 @@
 			t.Parallel()
 			var out bytes.Buffer
 			r, err := Run(t.Context(), Options{
-				Out: &out, Log: testkit.Log(t), Boxes: 4, Clients: 6, Phase: 300 * time.Millisecond, XDS: name == "xds", TLS: name == "tls", ExtProc: name == "extproc",
-				Slack: testkit.Patience, // that an answer is in time is held in the engine, on its own clock
+				Out: &out, Log: testutil.Log(t), Boxes: 4, Clients: 6, Phase: 300 * time.Millisecond, XDS: name == "xds", TLS: name == "tls", ExtProc: name == "extproc",
+				Slack: testutil.Patience, // that an answer is in time is held in the engine, on its own clock
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -45,7 +45,7 @@
 // A rule that breaks is found: the check must be able to fail.
 func TestCheckFindsBrokenRules(t *testing.T) {
 	s := &show{Options: Options{Out: &bytes.Buffer{}}, drained: map[string]time.Time{}, strays: map[string]int{}}
-	box := testkit.Box(t, "box-1")
+	box := testutil.Box(t, "box-1")
 	s.boxes = []*appbox.Box{box}
 	told := time.Now()
 	s.drained[box.Name] = told
@@ -68,7 +68,7 @@
 func TestInterrupted(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	_, err := Run(ctx, Options{Out: &bytes.Buffer{}, Log: testkit.Log(t), Boxes: 3, Clients: 1, Phase: time.Second})
+	_, err := Run(ctx, Options{Out: &bytes.Buffer{}, Log: testutil.Log(t), Boxes: 3, Clients: 1, Phase: time.Second})
 	if err == nil {
 		t.Error("an interrupted demo gives no error")
 	}
--- a/internal/demo/upkeep_test.go
+++ b/internal/demo/upkeep_test.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"yokestall/internal/node"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 func TestMain(m *testing.M) {
-	testkit.MainOr(m, func() {
+	testutil.MainOr(m, func() {
 		if err := node.Command(nil); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -22,7 +22,7 @@
 
 func TestUpkeep(t *testing.T) {
 	var out bytes.Buffer
-	command, env := testkit.Itself()
+	command, env := testutil.Itself()
 	broken, err := Upkeep(t.Context(), UpkeepOptions{Out: &out, Node: command, Env: env, Clients: 6, Phase: 400 * time.Millisecond})
 	if err != nil || len(broken) > 0 {
 		t.Errorf("%v\n%s", err, out.String())
--- a/internal/downstream/extproc/extproc_test.go
+++ b/internal/downstream/extproc/extproc_test.go
@@ -32,11 +32,11 @@
 	"yokestall/internal/fake/keymaker"
 	"yokestall/internal/fake/proxy"
 	"yokestall/internal/files"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/tlskeys"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // rig is a processor before servers.
 type rig struct {
@@ -61,10 +61,10 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, program: p, ended: make(chan error, 1)}
-	if r.app, err = app.New(r.version(addrs), app.Options{Seed: 1, Log: testkit.Log(t), Keys: keys}); err != nil {
+	if r.app, err = app.New(r.version(addrs), app.Options{Seed: 1, Log: testutil.Log(t), Keys: keys}); err != nil {
 		t.Fatal(err)
 	}
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop, r.server = stop, r.app.NewProcessor(p.ExtProc)
 	go func() { r.ended <- r.app.ServeProcessor(ctx, l, r.server, p.ExtProc) }()
@@ -73,7 +73,7 @@
 	}
 	t.Cleanup(func() {
 		stop()
-		if err := testkit.Wait(t, r.ended, "the processor's end"); err != nil {
+		if err := testutil.Wait(t, r.ended, "the processor's end"); err != nil {
 			t.Error(err)
 		}
 		r.conn.Close()
@@ -126,12 +126,12 @@
 
 func (r *rig) quiet() {
 	r.t.Helper()
-	testkit.Until(r.t, "all to be over in the books", func() bool { return r.server.Open() == 0 })
+	testutil.Until(r.t, "all to be over in the books", func() bool { return r.server.Open() == 0 })
 }
 
 func boxes(t testing.TB, n int) (list []*appbox.Box, addrs []string) {
 	for i := range n {
-		b := testkit.Box(t, fmt.Sprintf("box-%d", i))
+		b := testutil.Box(t, fmt.Sprintf("box-%d", i))
 		list, addrs = append(list, b), append(addrs, b.Addr())
 	}
 	return list, addrs
@@ -139,7 +139,7 @@
 
 // Both ways, over every mode in which a body may come, with the caller's own fields kept.
 func TestModes(t *testing.T) {
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header()["X-Two"] = []string{"a", "b"}
 		w.WriteHeader(201)
@@ -154,7 +154,7 @@
 		defer p.Close()
 		for _, n := range []int{0, 10, 200_000} {
 			for _, way := range []string{"", "/pick"} {
-				a := proxy.Ask{Method: "POST", Path: way + "/x?q=1", Body: bytes.Repeat([]byte("b"), n), Timeout: testkit.Patience, Header: http.Header{"X-Own": {"mine"}}}
+				a := proxy.Ask{Method: "POST", Path: way + "/x?q=1", Body: bytes.Repeat([]byte("b"), n), Timeout: testutil.Patience, Header: http.Header{"X-Own": {"mine"}}}
 				out := p.Do(t.Context(), a)
 				if refused := way == "" && n > 0 && (mode == filterv3.ProcessingMode_NONE || mode == filterv3.ProcessingMode_STREAMED); refused {
 					if out.Status != 501 {
@@ -174,7 +174,7 @@
 // Bodies that come in parts while the head waits: messages of gRPC, framed for the server, and a body of
 // STREAMED that is not held back; with fields behind it, or an end of its own. In pick each part is passed.
 func TestParts(t *testing.T) {
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%q", body)
 	})
@@ -353,7 +353,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			list, addrs := boxes(t, 1)
-			list[0].SetDelay(testkit.Patience)
+			list[0].SetDelay(testutil.Patience)
 			if strings.HasPrefix(tc.name, "before") {
 				addrs = nil // nothing can be decided: the request is held
 			}
@@ -363,7 +363,7 @@
 			s := r.open(ctx)
 			s.Send(head(true, tc.path, "x-request-id", "one"))
 			if tc.name == "while carried" {
-				testkit.Until(t, "the attempt to be out", func() bool { return list[0].Count() == 1 })
+				testutil.Until(t, "the attempt to be out", func() bool { return list[0].Count() == 1 })
 			}
 			tc.leave(s, cancel)
 			r.quiet()
@@ -425,7 +425,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ctx, cancel := context.WithTimeout(t.Context(), testkit.Patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testutil.Patience)
 			if name == "the call's" {
 				cancel()
 				ctx, cancel = context.WithTimeout(t.Context(), 60*time.Millisecond)
@@ -483,7 +483,7 @@
 			t.Parallel()
 			hold := make(chan struct{})
 			let := sync.OnceFunc(func() { close(hold) })
-			b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+			b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 				<-hold
 				if tc.when == "failed" {
 					panic(http.ErrAbortHandler)
@@ -493,7 +493,7 @@
 			t.Cleanup(let)
 			addrs := []string{b.Addr()}
 			if tc.when == "refused" {
-				addrs = []string{testkit.RefusingAddr(t)}
+				addrs = []string{testutil.RefusingAddr(t)}
 			}
 			r := start(t, addrs)
 			p := &proxy.Proxy{Conn: r.conn, Mode: filterv3.ProcessingMode_BUFFERED}
@@ -505,15 +505,15 @@
 			first := make(chan proxy.Result, 1)
 			go func() { first <- p.Do(t.Context(), a) }()
 			if tc.when != "refused" {
-				testkit.Wait(t, b.Got, "the first at its server")
+				testutil.Wait(t, b.Got, "the first at its server")
 			}
 			if tc.when != "open" {
 				let()
-				one := testkit.Wait(t, first, "the first's answer")
+				one := testutil.Wait(t, first, "the first's answer")
 				if want := map[string]int{"refused": 503, "failed": 502}[tc.when]; want != 0 && one.Status != want && one.Status != 503 || one.Status == 0 {
 					t.Fatalf("the first: %+v", one)
 				}
-				testkit.Until(t, "the first's end in the books", func() bool { return r.server.Open() == 0 })
+				testutil.Until(t, "the first's end in the books", func() bool { return r.server.Open() == 0 })
 			}
 			a.Header = a.Header.Clone()
 			if tc.as == other {
@@ -525,14 +525,14 @@
 			second := make(chan proxy.Result, 1)
 			go func() { second <- p.Do(t.Context(), a) }()
 			if tc.when == "open" && tc.code == 200 { // it waits for the first
-				testkit.Until(t, "the second to join", func() bool { return r.server.Stats.Repeats.Load() == 1 })
+				testutil.Until(t, "the second to join", func() bool { return r.server.Stats.Repeats.Load() == 1 })
 			}
 			if tc.when == "open" && tc.code != 200 { // it does not wait
-				two := testkit.Wait(t, second, "the second's answer")
+				two := testutil.Wait(t, second, "the second's answer")
 				second <- two
 			}
 			let()
-			two := testkit.Wait(t, second, "the second's answer")
+			two := testutil.Wait(t, second, "the second's answer")
 			switch {
 			case tc.code == 0 && (two.Status == 409 || two.Status == 422), tc.code != 0 && two.Status != tc.code:
 				t.Errorf("the second: %+v %q", two, two.Body)
@@ -543,7 +543,7 @@
 				t.Errorf("%d more reached the server", n)
 			}
 			if tc.when == "open" {
-				if one := testkit.Wait(t, first, "the first's answer"); one.Status != 200 {
+				if one := testutil.Wait(t, first, "the first's answer"); one.Status != 200 {
 					t.Errorf("the first: %+v", one)
 				}
 			}
@@ -658,7 +658,7 @@
 func TestDrainBeforeTheSend(t *testing.T) {
 	list, addrs := boxes(t, 2)
 	r := start(t, addrs)
-	p := &proxy.Proxy{Conn: r.conn, Wrong: testkit.Box(t, "wrong").Addr()}
+	p := &proxy.Proxy{Conn: r.conn, Wrong: testutil.Box(t, "wrong").Addr()}
 	defer p.Close()
 	for i := range 30 {
 		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/pick/x", Timeout: 5 * time.Second})
@@ -689,7 +689,7 @@
 func TestBounds(t *testing.T) {
 	hold := make(chan struct{})
 	let := sync.OnceFunc(func() { close(hold) })
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/large":
 			w.Write(make([]byte, 8<<20))
@@ -703,7 +703,7 @@
 	for range 10 {
 		silent = append(silent, r.open(t.Context()))
 	}
-	testkit.Until(t, "the streams to be there", func() bool { return r.server.Open() == 10 })
+	testutil.Until(t, "the streams to be there", func() bool { return r.server.Open() == 10 })
 	if _, err := r.open(t.Context()).Recv(); status.Code(err) != codes.ResourceExhausted {
 		t.Errorf("one over the bound: %v", err)
 	}
@@ -716,30 +716,30 @@
 	// Bodies that are held: the second of two large ones finds no room, and room comes back.
 	bodies := &proxy.Proxy{Conn: r.conn, Mode: filterv3.ProcessingMode_BUFFERED}
 	defer bodies.Close()
-	large := proxy.Ask{Method: "POST", Path: "/held", Body: make([]byte, 700_000), Timeout: testkit.Patience}
+	large := proxy.Ask{Method: "POST", Path: "/held", Body: make([]byte, 700_000), Timeout: testutil.Patience}
 	got := make(chan proxy.Result, 1)
 	go func() { got <- bodies.Do(t.Context(), large) }()
-	testkit.Wait(t, b.Got, "the first body at its server")
+	testutil.Wait(t, b.Got, "the first body at its server")
 	if out := bodies.Do(t.Context(), large); out.Status != 503 || out.Header.Get("Retry-After") == "" {
 		t.Errorf("over the bytes that may be held: %+v", out)
 	}
 	let()
-	if out := testkit.Wait(t, got, "the first's answer"); out.Status != 200 {
+	if out := testutil.Wait(t, got, "the first's answer"); out.Status != 200 {
 		t.Errorf("%+v", out)
 	}
 	r.quiet()
 	if out := bodies.Do(t.Context(), large); out.Status != 200 {
 		t.Errorf("once there is room again: %+v", out)
 	}
-	testkit.Wait(t, b.Got, "it")
+	testutil.Wait(t, b.Got, "it")
 	ctx, cancel := context.WithCancel(t.Context())
 	slow := r.open(ctx)
 	slow.Send(head(true, "/large"))
-	testkit.Wait(t, b.Got, "the large answer to be asked for")
+	testutil.Wait(t, b.Got, "the large answer to be asked for")
 	p := &proxy.Proxy{Conn: r.conn}
 	defer p.Close()
 	for range 20 {
-		if out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/x", Timeout: testkit.Patience}); out.Status != 200 {
+		if out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/x", Timeout: testutil.Patience}); out.Status != 200 {
 			t.Errorf("beside a slow reader: %+v", out)
 		}
 	}
@@ -750,7 +750,7 @@
 // Answers that are long: passed on while they come where the caller takes that, and broken ones
 // visibly so; refused with 502 where they can't be given whole.
 func TestLongAnswers(t *testing.T) {
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Write(bytes.Repeat([]byte("x"), 3_000_000))
 		if r.URL.Path == "/broken" {
 			w.(http.Flusher).Flush()
@@ -768,7 +768,7 @@
 		{"/broken", filterv3.ProcessingMode_NONE, 200, true}, {"/x", filterv3.ProcessingMode_BUFFERED, 502, false},
 	} {
 		p := &proxy.Proxy{Conn: r.conn, Mode: tc.mode}
-		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: tc.path, Timeout: testkit.Patience})
+		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: tc.path, Timeout: testutil.Patience})
 		p.Close()
 		if out.Status != tc.status || out.Broken != tc.broken || !tc.broken && tc.status == 200 && len(out.Body) != 3_000_000 {
 			t.Errorf("%+v: status %d, broken %v, %d bytes, %v", tc, out.Status, out.Broken, len(out.Body), out.Err)
@@ -781,7 +781,7 @@
 func TestEndWithStreamsOpen(t *testing.T) {
 	hold := make(chan struct{})
 	let := sync.OnceFunc(func() { close(hold) })
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) { <-hold })
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) { <-hold })
 	t.Cleanup(let)
 	r := start(t, []string{b.Addr()})
 	watched := r.open(t.Context())
@@ -812,12 +812,12 @@
 	defer p.Close()
 	got := make(chan proxy.Result, 2)
 	for _, path := range []string{"/pay/x", "/pick/pay/x"} {
-		go func() { got <- p.Do(t.Context(), proxy.Ask{Method: "GET", Path: path, Timeout: testkit.Patience}) }()
+		go func() { got <- p.Do(t.Context(), proxy.Ask{Method: "GET", Path: path, Timeout: testutil.Patience}) }()
 		if path == "/pay/x" {
-			testkit.Wait(t, b.Got, "the request at its server")
+			testutil.Wait(t, b.Got, "the request at its server")
 		}
 	}
-	testkit.Until(t, "both to be open", func() bool { return r.server.Stats.Carried.Load()+r.server.Stats.Picked.Load() == 2 })
+	testutil.Until(t, "both to be open", func() bool { return r.server.Stats.Carried.Load()+r.server.Stats.Picked.Load() == 2 })
 	if err := r.app.Take(r.version([]string{b.Addr()})); err != nil { // a new configuration too
 		t.Fatal(err)
 	}
@@ -827,7 +827,7 @@
 	}
 	let()
 	for range 2 {
-		if out := testkit.Wait(t, got, "an open one's answer"); out.Status != 200 {
+		if out := testutil.Wait(t, got, "an open one's answer"); out.Status != 200 {
 			t.Errorf("%+v", out)
 		}
 	}
@@ -843,7 +843,7 @@
 	if err := authority.Write(folder, "front.test", "front.test"); err != nil {
 		t.Fatal(err)
 	}
-	keys, err := tlskeys.Open(folder, "", testkit.Log(t))
+	keys, err := tlskeys.Open(folder, "", testutil.Log(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -856,7 +856,7 @@
 		}
 		r := startWith(t, keys, credentials.NewTLS(set), addrs, change...)
 		p := &proxy.Proxy{Conn: r.conn}
-		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/x", Timeout: testkit.Patience})
+		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/x", Timeout: testutil.Patience})
 		p.Close()
 		if shows != (out.Status == 200) {
 			t.Errorf("a certificate shown %v: %+v", shows, out)
--- a/internal/downstream/h1server/clients_test.go
+++ b/internal/downstream/h1server/clients_test.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
 	"yokestall/internal/ingress"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/upstream/h1client"
 )
 
@@ -26,7 +26,7 @@
 }
 
 func (h *held) Route(*http.Request) (ingress.Destination, error) {
-	return ingress.Destination{Cluster: h, Deadline: testkit.Patience, MaxRetryAfter: 600 * time.Millisecond}, nil
+	return ingress.Destination{Cluster: h, Deadline: testutil.Patience, MaxRetryAfter: 600 * time.Millisecond}, nil
 }
 
 func (h *held) Do(context.Context, *engine.Request) (engine.Answer, error) {
@@ -42,10 +42,10 @@
 	const asked, reserve, over = 16, 2, 2
 	h := &held{taken: make(chan struct{}, 100), release: make(chan struct{})}
 	f := New(h, Options{
-		Clock: engine.NewClock(), Log: testkit.Log(t),
+		Clock: engine.NewClock(), Log: testutil.Log(t),
 		Places: connlimit.Limits{Asked: asked, Reserve: reserve, Silent: 4, Over: over},
 	})
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	srv, listener, ended := f.Server(), f.Listener(l), make(chan error, 1)
 	go func() { ended <- srv.Serve(listener) }()
 	defer func() { srv.Close(); listener.Close(); <-ended }()
@@ -55,14 +55,14 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(testkit.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.Patience))
 		io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
 		return nc
 	}
 	var busy []net.Conn
 	for range asked {
 		busy = append(busy, dial())
-		testkit.Wait(t, h.taken, "a request to be at work")
+		testutil.Wait(t, h.taken, "a request to be at work")
 	}
 	for range over { // a connection that is told to end keeps its place a while
 		resp, err := http.ReadResponse(bufio.NewReader(dial()), nil)
@@ -95,7 +95,7 @@
 // What a connection that was closed had still to be read counts as not read: its
 // client asks again elsewhere. Its place is given back once.
 func TestClosedWhileRead(t *testing.T) {
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	conns := newClientConns(connlimit.Limits{Asked: 1, Silent: 1})
 	capped := cappedListener{l, conns}
 	defer capped.Close()
@@ -129,7 +129,7 @@
 // A client that has spoken while this node was too busy to listen is not silent: it is
 // not closed in favour of a newcomer, and what it has sent is read.
 func TestSpokenIsNotSilent(t *testing.T) {
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	capped := cappedListener{l, newClientConns(connlimit.Limits{Asked: 2, Silent: 1})}
 	defer capped.Close()
 	dial := func(say string) net.Conn {
@@ -168,7 +168,7 @@
 		"handing over": func(cs *clientConns) { cs.restEnds(0, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := testkit.Listen(t)
+			l := testutil.Listen(t)
 			conns := newClientConns(connlimit.Limits{Asked: 8, Silent: 8})
 			capped := cappedListener{l, conns}
 			defer capped.Close()
@@ -199,7 +199,7 @@
 			io.WriteString(crossing, "GET /read")
 			io.WriteString(late, "GET /read")
 			for _, c := range []*clientConn{crossed, spoken} { // until it is here
-				testkit.Until(t, "the bytes", func() bool { return !h1client.Quiet(c.Conn) })
+				testutil.Until(t, "the bytes", func() bool { return !h1client.Quiet(c.Conn) })
 			}
 			conns.mu.Lock()
 			empty(conns)
@@ -227,13 +227,13 @@
 		for _, again := range []bool{false, true} { // a first request, or a further one
 			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
 				t.Parallel()
-				f := New(&counter{}, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
+				f := New(&counter{}, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
 				nc, err := net.Dial("tcp", serve(t, f))
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer nc.Close()
-				nc.SetDeadline(time.Now().Add(testkit.Patience))
+				nc.SetDeadline(time.Now().Add(testutil.Patience))
 				in := bufio.NewReader(nc)
 				ask := func(id string) {
 					fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nX-Timeout-Ms: 5000\r\n\r\n", id)
@@ -261,10 +261,10 @@
 						t.Fatal(err)
 					}
 				}
-				testkit.Until(t, "the connection to rest", find)
+				testutil.Until(t, "the connection to rest", find)
 				cs.mu.Lock() // nobody can tell the table
 				ask("second")
-				testkit.Until(t, "the request to be read", func() bool {
+				testutil.Until(t, "the request to be read", func() bool {
 					c.side.Lock()
 					defer c.side.Unlock()
 					return c.came
@@ -292,7 +292,7 @@
 		"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\na\r\n\r\n": false,
 	} {
 		cs := newClientConns(connlimit.Limits{Asked: 1, Silent: 4, Over: 1})
-		l := cappedListener{testkit.Listen(t), cs}
+		l := cappedListener{testutil.Listen(t), cs}
 		speak := func(text string) *clientConn {
 			there, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
--- a/internal/downstream/h1server/gone_test.go
+++ b/internal/downstream/h1server/gone_test.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
 	"yokestall/internal/ingress"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // counter is a cluster, and the way to it, that counts what comes.
@@ -42,8 +42,8 @@
 func leftBefore(t *testing.T, strict bool, behind string) {
 	const clients = 64
 	c := &counter{}
-	f := New(c, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 2 * clients, Silent: 2 * clients}, Log: testkit.Log(t), Strict: strict})
-	l := testkit.Listen(t)
+	f := New(c, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 2 * clients, Silent: 2 * clients}, Log: testutil.Log(t), Strict: strict})
+	l := testutil.Listen(t)
 	ask := func() net.Conn {
 		nc, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -66,11 +66,11 @@
 		srv.Close()
 		<-served
 	}()
-	waits.SetReadDeadline(time.Now().Add(testkit.Patience))
+	waits.SetReadDeadline(time.Now().Add(testutil.Patience))
 	if _, err := io.ReadFull(waits, make([]byte, 12)); err != nil { // it came last, and was taken last
 		t.Fatal("one that waits:", err)
 	}
-	testkit.Until(t, "all connections to be over but one", func() bool { return f.Connections() <= 1 })
+	testutil.Until(t, "all connections to be over but one", func() bool { return f.Connections() <= 1 })
 	if n := c.came.Load(); n != 1 {
 		t.Errorf("%d requests were handed on, one of them for a client that waits", n)
 	}
@@ -104,13 +104,13 @@
 				t.Run(fmt.Sprint(name, ", strict ", strict, ", resets ", resets), func(t *testing.T) {
 					t.Parallel()
 					h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-					f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: strict})
+					f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: strict})
 					nc, err := net.Dial("tcp", serve(t, f))
 					if err != nil {
 						t.Fatal(err)
 					}
 					fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-					r := testkit.Wait(t, h.came, "the request")
+					r := testutil.Wait(t, h.came, "the request")
 					io.WriteString(nc, behind)
 					if r.ClientDisconnected() {
 						t.Error("a client that waits has left")
@@ -119,9 +119,9 @@
 						nc.(*net.TCPConn).SetLinger(0)
 					}
 					nc.Close()
-					testkit.Until(t, "a send to be barred", r.ClientDisconnected) // as soon as the end is here
-					testkit.Wait(t, h.over, "the request to be given up")
-					testkit.Until(t, "the connection to be over", func() bool { return f.Connections() == 0 })
+					testutil.Until(t, "a send to be barred", r.ClientDisconnected) // as soon as the end is here
+					testutil.Wait(t, h.over, "the request to be given up")
+					testutil.Until(t, "the connection to be over", func() bool { return f.Connections() == 0 })
 					if n := f.conns.ahead.Load(); n != 0 {
 						t.Errorf("%d bytes are held of no connection", n)
 					}
@@ -135,16 +135,16 @@
 func TestLookOutForTheClientsEnd(t *testing.T) {
 	t.Parallel()
 	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
+	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
 	nc, err := net.Dial("tcp", serve(t, f))
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-	testkit.Wait(t, h.came, "the request")
+	testutil.Wait(t, h.came, "the request")
 	io.WriteString(nc, "GET /x")
 	nc.Close()
-	testkit.Wait(t, h.over, "the request to be given up")
+	testutil.Wait(t, h.over, "the request to be given up")
 }
 
 // The look-out comes within 0.1 s of a client's end: nobody may begin an attempt for it later. Of some tries the
@@ -153,20 +153,20 @@
 	t.Parallel()
 	const tries, rule = 6, 100 * time.Millisecond
 	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
+	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
 	addr := serve(t, f)
-	shortest, lateness := time.Hour, testkit.Lateness(t)
+	shortest, lateness := time.Hour, testutil.Lateness(t)
 	for range tries {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: %p\r\nX-Timeout-Ms: 3000000\r\n\r\n", nc)
-		testkit.Wait(t, h.came, "the request")
+		testutil.Wait(t, h.came, "the request")
 		io.WriteString(nc, "GET /x") // else net/http sees the end by itself
 		nc.Close()
 		left := time.Now()
-		testkit.Wait(t, h.over, "the request to be given up")
+		testutil.Wait(t, h.over, "the request to be given up")
 		shortest = min(shortest, time.Since(left))
 	}
 	if bound := rule + lateness(); shortest > bound {
@@ -187,7 +187,7 @@
 			served.Add(1)
 			return engine.Answer{Verdict: engine.Rejected}
 		}), Deadline: time.Hour, MaxAttempts: 1}, nil
-	}), Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 2 * clients, Silent: 2 * clients}, Log: testkit.Log(t)})
+	}), Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 2 * clients, Silent: 2 * clients}, Log: testutil.Log(t)})
 	addr := serve(t, f)
 	const head = "GET /x HTTP/1.1\r\nHost: a\r\n"
 	conns := make([]net.Conn, clients)
@@ -200,7 +200,7 @@
 		conns[i] = nc
 		go io.WriteString(nc, strings.Repeat(head+"\r\n", behind)+head+"Connection: close\r\n\r\n") // more than is read ahead
 	}
-	testkit.Until(t, "the bound to be met", func() bool {
+	testutil.Until(t, "the bound to be met", func() bool {
 		n := f.conns.ahead.Load()
 		if n > maxAheadAll {
 			t.Fatalf("%d bytes are held", n)
@@ -209,7 +209,7 @@
 	})
 	close(release)
 	for _, nc := range conns {
-		nc.SetReadDeadline(time.Now().Add(testkit.Patience))
+		nc.SetReadDeadline(time.Now().Add(testutil.Patience))
 		text, err := io.ReadAll(nc)
 		if n := strings.Count(string(text), "HTTP/1.1 503"); n != behind+1 || err != nil {
 			t.Errorf("%d answers, %v", n, err)
@@ -228,7 +228,7 @@
 	const head = "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n"
 	flood := strings.Repeat(head, 1<<17) // 9 MB
 	ask := func(t *testing.T, to ingress.Router) (*Front, net.Conn) {
-		f := New(to, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
+		f := New(to, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
 		nc, err := net.Dial("tcp", serve(t, f))
 		if err != nil {
 			t.Fatal(err)
@@ -241,11 +241,11 @@
 		t.Parallel()
 		h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
 		_, nc := ask(t, h)
-		testkit.Wait(t, h.came, "the request")
+		testutil.Wait(t, h.came, "the request")
 		nc.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) // it does not wait to be read
 		io.WriteString(nc, flood)
 		nc.Close() // its end lies behind what found no room
-		testkit.Wait(t, h.over, "the request to be given up")
+		testutil.Wait(t, h.over, "the request to be given up")
 	})
 	for _, others := range []int64{0, maxAheadAll} { // held of other connections
 		t.Run(fmt.Sprint("and stays, ", others, " held"), func(t *testing.T) {
@@ -259,8 +259,8 @@
 				}), Deadline: time.Hour, MaxAttempts: 1}, nil
 			}))
 			f.conns.ahead.Add(others)
-			testkit.Wait(t, came, "the request")
-			nc.SetDeadline(time.Now().Add(testkit.Patience))
+			testutil.Wait(t, came, "the request")
+			nc.SetDeadline(time.Now().Add(testutil.Patience))
 			if n, err := io.WriteString(nc, flood); err != nil { // more than the sockets hold
 				t.Fatalf("the flood was not read behind %d bytes: %v", n, err)
 			}
@@ -275,7 +275,7 @@
 			if len(came) > 0 {
 				t.Error("what came behind was served")
 			}
-			testkit.Until(t, "the connection to be over", func() bool { return f.conns.ahead.Load() == others })
+			testutil.Until(t, "the connection to be over", func() bool { return f.conns.ahead.Load() == others })
 		})
 	}
 }
@@ -291,7 +291,7 @@
 // serve serves a front until the test's end.
 func serve(t *testing.T, f *Front) (addr string) {
 	t.Helper()
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	srv := f.Server()
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(srv, f.Listener(l)) }()
@@ -306,7 +306,7 @@
 func TestCloseSilent(t *testing.T) {
 	t.Parallel()
 	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
+	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
 	addr := serve(t, f)
 	dial := func(text string) net.Conn {
 		nc, err := net.Dial("tcp", addr)
@@ -318,11 +318,11 @@
 		return nc
 	}
 	asks := dial("GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-	testkit.Wait(t, h.came, "the request")
+	testutil.Wait(t, h.came, "the request")
 	silent := dial("")
-	testkit.Until(t, "both to be there", func() bool { return f.Connections() == 2 })
+	testutil.Until(t, "both to be there", func() bool { return f.Connections() == 2 })
 	f.CloseSilent()
-	silent.SetReadDeadline(time.Now().Add(testkit.Patience))
+	silent.SetReadDeadline(time.Now().Add(testutil.Patience))
 	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the silent one: %v", err)
 	}
@@ -330,5 +330,5 @@
 		t.Errorf("%d connections are left", n)
 	}
 	asks.Close()
-	testkit.Wait(t, h.over, "the request to be over")
+	testutil.Wait(t, h.over, "the request to be over")
 }
--- a/internal/downstream/h1server/late_test.go
+++ b/internal/downstream/h1server/late_test.go
@@ -13,7 +13,7 @@
 	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
 	"yokestall/internal/ingress"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
@@ -25,7 +25,7 @@
 	for name, more := range map[string]string{"nothing": "", "a request": "GET /x HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish": strings.Repeat("rubbish", 1000)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := testkit.Listen(t).(*net.TCPListener)
+			l := testutil.Listen(t).(*net.TCPListener)
 			raw, err := l.SyscallConn()
 			if err != nil {
 				t.Fatal(err)
@@ -39,7 +39,7 @@
 			set := policy.Defaults()
 			set.Limits.AllowCancel = true
 			set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-			pool := h1client.New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: 2 * testkit.Patience, MaxOpen: 4})
+			pool := h1client.New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: 2 * testutil.Patience, MaxOpen: 4})
 			pool.Update(true, []h1client.Server{{ID: 1, Address: l.Addr().String()}})
 			clock := engine.NewClock()
 			cluster, err := engine.New(t.Context(), set, pool, engine.Options{Seed: 1, Clock: clock})
@@ -49,17 +49,17 @@
 			cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
 			f := New(routes(func(*http.Request) (ingress.Destination, error) {
 				return ingress.Destination{Cluster: cluster, Deadline: time.Hour}, nil
-			}), Options{Clock: clock, Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t), Strict: true})
+			}), Options{Clock: clock, Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
 			nc, err := net.Dial("tcp", serve(t, f))
 			if err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-			testkit.Until(t, "a connection to be opened", func() bool { return pool.Open() == 1 })
+			testutil.Until(t, "a connection to be opened", func() bool { return pool.Open() == 1 })
 			io.WriteString(nc, more)
 			nc.Close()
-			testkit.Until(t, "it to be given up", func() bool { return pool.Open() == 0 })
-			testkit.Until(t, "the client's to be over", func() bool { return f.Connections() == 0 })
+			testutil.Until(t, "it to be given up", func() bool { return pool.Open() == 0 })
+			testutil.Until(t, "the client's to be over", func() bool { return f.Connections() == 0 })
 			late, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/downstream/h2server/leaving_test.go
+++ b/internal/downstream/h2server/leaving_test.go
@@ -17,10 +17,10 @@
 	"yokestall/internal/downstream/h2server"
 	"yokestall/internal/engine"
 	"yokestall/internal/ingress"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // holding is a cluster that holds each request until its context ends.
 type holding struct{ came, over chan struct{} }
@@ -42,10 +42,10 @@
 	for _, cuts := range []bool{false, true} {
 		h := &holding{make(chan struct{}, 1), make(chan struct{}, 1)}
 		clock := engine.NewClock()
-		f := h1server.New(h, h1server.Options{Clock: clock, Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testkit.Log(t)})
-		l := testkit.Listen(t)
+		f := h1server.New(h, h1server.Options{Clock: clock, Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t)})
+		l := testutil.Listen(t)
 		srv := f.Server()
-		h2server.Attach(srv, h2server.Options{Streams: 10, Stall: testkit.Patience, Clock: clock, Log: testkit.Log(t)})
+		h2server.Attach(srv, h2server.Options{Streams: 10, Stall: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
 		served := make(chan error, 1)
 		go func() { served <- f.Serve(srv, f.Listener(l)) }()
 		var nc net.Conn
@@ -67,14 +67,14 @@
 				t.Error("an answer")
 			}
 		}()
-		testkit.Wait(t, h.came, "the request")
+		testutil.Wait(t, h.came, "the request")
 		if cuts {
 			nc.Close()
 		} else {
 			leave()
 		}
-		testkit.Wait(t, h.over, "the request to be given up")
-		testkit.Wait(t, gone, "the client")
+		testutil.Wait(t, h.over, "the request to be given up")
+		testutil.Wait(t, gone, "the client")
 		leave()
 		peer.CloseIdleConnections()
 		srv.Close()
--- a/internal/downstream/h2server/storm_test.go
+++ b/internal/downstream/h2server/storm_test.go
@@ -20,7 +20,7 @@
 	"yokestall/internal/downstream/h2server"
 	"yokestall/internal/engine"
 	"yokestall/internal/ingress"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
@@ -44,10 +44,10 @@
 // serve serves a front over HTTP/2 until the test's end.
 func serve(t *testing.T, to ingress.Router, clock engine.Clock) (addr string) {
 	t.Helper()
-	f := h1server.New(to, h1server.Options{Clock: clock, Places: connlimit.Limits{Asked: 64, Silent: 64}, Log: testkit.Log(t)})
-	l := testkit.Listen(t)
+	f := h1server.New(to, h1server.Options{Clock: clock, Places: connlimit.Limits{Asked: 64, Silent: 64}, Log: testutil.Log(t)})
+	l := testutil.Listen(t)
 	srv := f.Server()
-	h2server.Attach(srv, h2server.Options{Streams: 200, Stall: testkit.Patience, Clock: clock, Log: testkit.Log(t)})
+	h2server.Attach(srv, h2server.Options{Streams: 200, Stall: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(srv, f.Listener(l)) }()
 	t.Cleanup(func() {
@@ -94,7 +94,7 @@
 		p := newPeer()
 		ctx, leave := context.WithCancel(t.Context())
 		p.ask(ctx, addr, "i")
-		r := testkit.Wait(t, a.came, "the request")
+		r := testutil.Wait(t, a.came, "the request")
 		if r.ClientDisconnected == nil {
 			t.Fatal("nobody asks for the client")
 		}
@@ -106,7 +106,7 @@
 		} else {
 			leave()
 		}
-		testkit.Until(t, "a send to be barred", r.ClientDisconnected)
+		testutil.Until(t, "a send to be barred", r.ClientDisconnected)
 		close(a.goes)
 		leave()
 		p.open.Wait()
@@ -122,21 +122,21 @@
 	var mu sync.Mutex
 	gate := make(chan struct{})
 	left, sent := map[string]time.Time{}, map[string]time.Time{}
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		sent[r.Header.Get("X-Request-Id")] = time.Now()
 		goes := gate
 		mu.Unlock()
 		select {
 		case <-goes:
-			testkit.OK(w, r)
+			testutil.OK(w, r)
 		case <-r.Context().Done():
 		}
 	})
 	set := policy.Defaults()
 	set.Limits.AllowCancel = true
 	set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-	pool := h1client.New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 16})
+	pool := h1client.New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 16})
 	pool.Update(true, []h1client.Server{{ID: 1, Address: b.Addr()}})
 	clock := engine.NewClock()
 	ctx, stop := context.WithCancel(context.Background())
@@ -152,14 +152,14 @@
 	cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
 	to := &routes{Cluster: cluster}
 	addr := serve(t, to, clock)
-	lateness := testkit.Lateness(t)
+	lateness := testutil.Lateness(t)
 	for wave := range waves {
 		p := newPeer()
 		here, leave := context.WithCancel(t.Context())
 		for i := range burst {
 			p.ask(here, addr, fmt.Sprint(wave, "-", i))
 		}
-		testkit.Until(t, "all to be there", func() bool { return to.asked.Load() == int64(wave+1)*burst })
+		testutil.Until(t, "all to be there", func() bool { return to.asked.Load() == int64(wave+1)*burst })
 		mu.Lock()
 		if wave%2 == 0 {
 			leave()
--- a/internal/engine/ending_test.go
+++ b/internal/engine/ending_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/policy"
 )
 
@@ -19,7 +19,7 @@
 		began <- call.BeginSend()
 		return Result{Status: policy.NeverSent}
 	}), Options{DrainGrace: grace}, 1)
-	go c.Do(t.Context(), c.request(2, testkit.Patience))
+	go c.Do(t.Context(), c.request(2, testutil.Patience))
 	<-waiting
 	c.UpdateEndpointsAt(c.clock.Now()-grace-1, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	close(connected)
@@ -50,7 +50,7 @@
 		ch := make(chan Answer, 1)
 		answers[payload] = ch
 		go func() {
-			r := c.request(2, testkit.Patience)
+			r := c.request(2, testutil.Patience)
 			r.Payload = payload
 			a, err := c.Do(t.Context(), r)
 			if err != nil {
@@ -60,17 +60,17 @@
 		}()
 	}
 	ask("is out")
-	testkit.Wait(t, begins, "an attempt")
+	testutil.Wait(t, begins, "an attempt")
 	ask("waits")
-	testkit.Wait(t, waits, "the other attempt")
+	testutil.Wait(t, waits, "the other attempt")
 	c.Abort()
 	for payload, want := range map[string]Verdict{"is out": Failed, "waits": Rejected} {
-		if a := testkit.Wait(t, answers[payload], payload); a.Verdict != want {
+		if a := testutil.Wait(t, answers[payload], payload); a.Verdict != want {
 			t.Errorf("%s: verdict %d, want %d", payload, a.Verdict, want)
 		}
 	}
 	ask("comes behind")
-	if a := testkit.Wait(t, answers["comes behind"], "the one behind"); a.Verdict != Rejected || a.MayHaveRun {
+	if a := testutil.Wait(t, answers["comes behind"], "the one behind"); a.Verdict != Rejected || a.MayHaveRun {
 		t.Errorf("the one behind: %+v", a)
 	}
 	close(connected)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/policy"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 func settings() policy.Settings {
 	s := policy.Defaults()
@@ -71,7 +71,7 @@
 
 func TestServed(t *testing.T) {
 	c := start(t, exchange(served), 1, 2)
-	a, err := c.Do(t.Context(), c.request(0, testkit.Patience))
+	a, err := c.Do(t.Context(), c.request(0, testutil.Patience))
 	if err != nil || a.Verdict != Served || a.Value != "x" {
 		t.Errorf("%+v, %v", a, err)
 	}
@@ -95,7 +95,7 @@
 	}), 1)
 	began := time.Now()
 	a, err := c.Do(t.Context(), c.request(2, 100*time.Millisecond))
-	if took := time.Since(began); err != nil || a.Verdict == Served || took < 90*time.Millisecond || took > testkit.Patience {
+	if took := time.Since(began); err != nil || a.Verdict == Served || took < 90*time.Millisecond || took > testutil.Patience {
 		t.Errorf("%+v, %v after %v", a, err, took)
 	}
 	<-ended
@@ -112,7 +112,7 @@
 	}), 1)
 	ctx, leave := context.WithCancel(t.Context())
 	go func() { <-out; leave() }()
-	if _, err := c.Do(ctx, c.request(0, testkit.Patience)); !errors.Is(err, ErrClientDisconnected) {
+	if _, err := c.Do(ctx, c.request(0, testutil.Patience)); !errors.Is(err, ErrClientDisconnected) {
 		t.Errorf("error %v", err)
 	}
 	<-ended
@@ -154,13 +154,13 @@
 				began <- call.BeginSend()
 				return Result{Status: policy.NeverSent}
 			}), 1)
-			go c.Do(t.Context(), c.request(2, testkit.Patience))
+			go c.Do(t.Context(), c.request(2, testutil.Patience))
 			call := <-waiting
 			c.UpdateEndpoints(news.kind, news.entries)
 			if call.server.told.Load() == 0 {
 				t.Fatal("the server is not barred when UpdateEndpoints returns")
 			}
-			testkit.Until(t, "the grace to end", func() bool { return call.server.barred(c.clock.Now()) })
+			testutil.Until(t, "the grace to end", func() bool { return call.server.barred(c.clock.Now()) })
 			close(connected)
 			if <-began {
 				t.Error("a send after the grace")
@@ -181,13 +181,13 @@
 			began <- call.BeginSendUnlessDraining(0)
 			return Result{Status: policy.NeverSent, Final: true}
 		}), 1)
-		go c.Do(t.Context(), c.request(2, testkit.Patience))
-		testkit.Wait(t, waiting, "the attempt")
+		go c.Do(t.Context(), c.request(2, testutil.Patience))
+		testutil.Wait(t, waiting, "the attempt")
 		if drains {
 			c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 		}
 		close(told)
-		if got := testkit.Wait(t, began, "its beginning"); got == drains {
+		if got := testutil.Wait(t, began, "its beginning"); got == drains {
 			t.Errorf("drains %v, began %v", drains, got)
 		}
 	}
@@ -202,7 +202,7 @@
 		began <- call.BeginSend()
 		return Result{Status: policy.NeverSent}
 	}), 1)
-	go c.Do(t.Context(), c.request(2, testkit.Patience))
+	go c.Do(t.Context(), c.request(2, testutil.Patience))
 	<-waiting
 	c.UpdateEndpointsAt(c.clock.Now()-DrainGrace, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	close(connected)
@@ -314,11 +314,11 @@
 			ctx, leave := context.WithCancel(t.Context())
 			defer leave()
 			go func() { <-out; end(c, leave) }()
-			if a, err := c.Do(ctx, c.request(2, testkit.Patience)); err == nil && a.Verdict == Served {
+			if a, err := c.Do(ctx, c.request(2, testutil.Patience)); err == nil && a.Verdict == Served {
 				t.Errorf("%+v", a)
 			}
 			close(answered)
-			testkit.Wait(t, held, "the answer to be closed")
+			testutil.Wait(t, held, "the answer to be closed")
 		})
 	}
 }
@@ -328,7 +328,7 @@
 	c := start(t, exchange(served), 1, 2)
 	c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	for range 20 {
-		if a, err := c.Do(t.Context(), c.request(0, testkit.Patience)); err != nil || a.Verdict != Served {
+		if a, err := c.Do(t.Context(), c.request(0, testutil.Patience)); err != nil || a.Verdict != Served {
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
@@ -345,12 +345,12 @@
 	}), 1)
 	answered := make(chan Answer, 1)
 	go func() {
-		a, _ := c.Do(t.Context(), c.request(0, testkit.Patience))
+		a, _ := c.Do(t.Context(), c.request(0, testutil.Patience))
 		answered <- a
 	}()
 	<-out
 	c.Retire()
-	if _, err := c.Do(t.Context(), c.request(0, testkit.Patience)); !errors.Is(err, ErrRetired) {
+	if _, err := c.Do(t.Context(), c.request(0, testutil.Patience)); !errors.Is(err, ErrRetired) {
 		t.Errorf("a new request gets %v", err)
 	}
 	select {
@@ -369,7 +369,7 @@
 	c := start(t, exchange(served), 1)
 	c.Retire()
 	<-c.Ended()
-	if _, err := c.Do(t.Context(), c.request(0, testkit.Patience)); !errors.Is(err, ErrRetired) {
+	if _, err := c.Do(t.Context(), c.request(0, testutil.Patience)); !errors.Is(err, ErrRetired) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -383,7 +383,7 @@
 		return Result{Status: policy.Reset}
 	}), 1)
 	go func() { <-out; c.Abort() }()
-	if a, err := c.Do(t.Context(), c.request(0, testkit.Patience)); err != nil || a.Verdict != Failed {
+	if a, err := c.Do(t.Context(), c.request(0, testutil.Patience)); err != nil || a.Verdict != Failed {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
@@ -495,7 +495,7 @@
 	}
 	t.Logf("%d sends; served %d, refused %d, failed %d, left %d", sends.Load(),
 		verdicts[Served].Load(), verdicts[Rejected].Load(), verdicts[Failed].Load(), left.Load())
-	testkit.Until(t, "the loop to forget all requests and alarms", func() bool {
+	testutil.Until(t, "the loop to forget all requests and alarms", func() bool {
 		sizes := make(chan [2]int, 1)
 		c.inspect(func() { sizes <- [2]int{len(c.requests), len(c.alarms.heap)} })
 		s := <-sizes
@@ -585,7 +585,7 @@
 				b.SetParallelism(at)
 				if at == 1 {
 					for b.Loop() {
-						if a, err := c.Do(b.Context(), c.request(0, testkit.Patience)); err != nil || a.Verdict != Served {
+						if a, err := c.Do(b.Context(), c.request(0, testutil.Patience)); err != nil || a.Verdict != Served {
 							b.Fatalf("%+v, %v", a, err)
 						}
 					}
@@ -593,7 +593,7 @@
 				}
 				b.RunParallel(func(pb *testing.PB) {
 					for pb.Next() {
-						c.Do(b.Context(), c.request(0, testkit.Patience))
+						c.Do(b.Context(), c.request(0, testutil.Patience))
 					}
 				})
 			})
@@ -635,7 +635,7 @@
 		return Result{Status: policy.Reset}
 	}), 1)
 	go func() { <-out; c.stop() }()
-	if a, err := c.Do(t.Context(), c.request(2, testkit.Patience)); err != nil || a.Verdict != Failed {
+	if a, err := c.Do(t.Context(), c.request(2, testutil.Patience)); err != nil || a.Verdict != Failed {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
--- a/internal/engine/left_test.go
+++ b/internal/engine/left_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/policy"
 )
 
@@ -30,21 +30,21 @@
 					attempts <- begin(call)
 					return Result{Status: policy.ErrorResponse}
 				}), 1, 2, 3)
-				r := c.request(0, testkit.Patience)
+				r := c.request(0, testutil.Patience)
 				r.ClientDisconnected = gone.Load
 				ctx, leave := context.WithCancel(t.Context())
 				over := make(chan struct{})
 				go func() { c.Do(ctx, r); close(over) }()
 				for range begun {
-					if !testkit.Wait(t, attempts, "an attempt before") {
+					if !testutil.Wait(t, attempts, "an attempt before") {
 						t.Fatal("an attempt was barred whose client waits")
 					}
 				}
-				if testkit.Wait(t, attempts, "the attempt behind") {
+				if testutil.Wait(t, attempts, "the attempt behind") {
 					t.Error("an attempt began whose client has gone")
 				}
 				leave()
-				testkit.Wait(t, over, "the request's end")
+				testutil.Wait(t, over, "the request's end")
 			})
 		}
 	}
--- a/internal/engine/window_test.go
+++ b/internal/engine/window_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/policy"
 )
 
@@ -33,11 +33,11 @@
 				attempts <- call.BeginSend()
 				return Result{Status: policy.ErrorResponse}
 			}), 1, 2)
-			go c.Do(t.Context(), c.request(1, testkit.Patience))
-			if !testkit.Wait(t, attempts, "the first attempt") {
+			go c.Do(t.Context(), c.request(1, testutil.Patience))
+			if !testutil.Wait(t, attempts, "the first attempt") {
 				t.Fatal("the first attempt was not sent")
 			}
-			if sent := testkit.Wait(t, attempts, "the second attempt"); sent != first.sent {
+			if sent := testutil.Wait(t, attempts, "the second attempt"); sent != first.sent {
 				t.Errorf("the second attempt was sent: %v, want %v", sent, first.sent)
 			}
 		})
@@ -58,11 +58,11 @@
 			}
 			return Result{Status: policy.ErrorResponse}
 		}), 1, 2)
-		go c.Do(t.Context(), c.request(1, testkit.Patience))
-		if !testkit.Wait(t, attempts, "the first attempt") {
+		go c.Do(t.Context(), c.request(1, testutil.Patience))
+		if !testutil.Wait(t, attempts, "the first attempt") {
 			t.Fatal("the first attempt was not sent")
 		}
-		if got := testkit.Wait(t, attempts, "the second attempt"); got != sent {
+		if got := testutil.Wait(t, attempts, "the second attempt"); got != sent {
 			t.Errorf("with %v for it the second attempt was sent: %v", left, got)
 		}
 	}
--- a/internal/fake/fleet/fleet_test.go
+++ b/internal/fake/fleet/fleet_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // child is the program of these tests' processes: it listens where its configuration says and counts its starts in its folder.
@@ -36,11 +36,11 @@
 	http.ListenAndServe(string(addr), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "here") }))
 }
 
-func TestMain(m *testing.M) { testkit.MainOr(m, child) }
+func TestMain(m *testing.M) { testutil.MainOr(m, child) }
 
 // What a link loses, holds, breaks, delays and slows is what its kind says, for either direction alone too.
 func TestRelay(t *testing.T) {
-	target := testkit.Accept(t, func(nc net.Conn) { io.Copy(nc, nc) }) // an echo
+	target := testutil.Accept(t, func(nc net.Conn) { io.Copy(nc, nc) }) // an echo
 	r, err := NewRelay(target)
 	if err != nil {
 		t.Fatal(err)
@@ -75,12 +75,12 @@
 	}
 	for _, l := range []Link{{CutOut: true}, {CutIn: true}} {
 		r.Set(l)
-		if err := echo(nc, short); !testkit.IsTimeout(err) {
+		if err := echo(nc, short); !testutil.IsTimeout(err) {
 			t.Errorf("%+v: %v, want silence", l, err)
 		}
 		r.Set(Link{})
 		nc.SetDeadline(time.Now().Add(long))
-		if _, err := nc.Read(make([]byte, 1)); err == nil || testkit.IsTimeout(err) {
+		if _, err := nc.Read(make([]byte, 1)); err == nil || testutil.IsTimeout(err) {
 			t.Errorf("%+v: a connection that lost bytes goes on: %v", l, err)
 		}
 		nc = dial()
@@ -89,7 +89,7 @@
 		}
 	}
 	r.Set(Link{Hold: true})
-	if err := echo(nc, short); !testkit.IsTimeout(err) {
+	if err := echo(nc, short); !testutil.IsTimeout(err) {
 		t.Errorf("held: %v", err)
 	}
 	r.Set(Link{})
@@ -105,7 +105,7 @@
 		}
 	}
 	r.Set(Link{Broken: true})
-	if err := echo(nc, long); err == nil || testkit.IsTimeout(err) {
+	if err := echo(nc, long); err == nil || testutil.IsTimeout(err) {
 		t.Errorf("broken: %v", err)
 	}
 	again, err := net.Dial("tcp", r.Addr)
@@ -113,14 +113,14 @@
 		defer again.Close()
 		err = echo(again, long)
 	}
-	if err == nil || testkit.IsTimeout(err) {
+	if err == nil || testutil.IsTimeout(err) {
 		t.Errorf("broken, a new one: %v", err)
 	}
 }
 
 // Processes are killed, emptied and stopped as the script says, and all run again when it is over.
 func TestScriptOfProcesses(t *testing.T) {
-	itself, env := testkit.Itself()
+	itself, env := testutil.Itself()
 	rig, err := NewRig(t.TempDir(), 3, nil, itself, env)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fake/fleet/parent_linux_test.go
+++ b/internal/fake/fleet/parent_linux_test.go
@@ -7,12 +7,12 @@
 	"os/exec"
 	"testing"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // A process does not outlive the program that started it, even if that is killed.
 func TestEndsWithParent(t *testing.T) {
-	command, env := testkit.Itself()
+	command, env := testutil.Itself()
 	cmd := exec.Command(command[0], asParent, t.TempDir())
 	cmd.Env = append(os.Environ(), env...)
 	if _, err := cmd.StdinPipe(); err != nil { // kept open: it waits on it
@@ -40,7 +40,7 @@
 		_, err := io.Copy(io.Discard, lines) // until nobody holds it open for writing
 		ended <- err
 	}()
-	if err := testkit.Wait(t, ended, "the process to end with its parent"); err != nil {
+	if err := testutil.Wait(t, ended, "the process to end with its parent"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/files/files_test.go
+++ b/internal/files/files_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/fsnotify/fsnotify"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const program = `[listen]
 address = "127.0.0.1:0"
@@ -52,13 +52,13 @@
 	t    *testing.T
 	path string
 	dir  string // of the cluster files
-	logs *testkit.Logs
+	logs *testutil.Logs
 	got  chan *Snapshot
 	seen chan struct{} // one for each poll
 }
 
 func newFolder(t *testing.T) *folder {
-	f := &folder{t: t, logs: testkit.NewLogs(t), got: make(chan *Snapshot, 1000), seen: make(chan struct{})}
+	f := &folder{t: t, logs: testutil.NewLogs(t), got: make(chan *Snapshot, 1000), seen: make(chan struct{})}
 	root := t.TempDir()
 	f.path, f.dir = filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
 	if err := os.Mkdir(f.dir, 0o755); err != nil {
@@ -111,7 +111,7 @@
 
 func (f *folder) next() *Snapshot {
 	f.t.Helper()
-	return testkit.Wait(f.t, f.got, "a version to be taken")
+	return testutil.Wait(f.t, f.got, "a version to be taken")
 }
 
 // logged waits until a text stands in the log.
@@ -124,7 +124,7 @@
 func (f *folder) polls(n int) {
 	f.t.Helper()
 	for range n + 1 { // the first may have begun before
-		testkit.Wait(f.t, f.seen, "a poll")
+		testutil.Wait(f.t, f.seen, "a poll")
 	}
 }
 
--- a/internal/files/golden_test.go
+++ b/internal/files/golden_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"yokestall/internal/config"
-	"yokestall/internal/testkit/golden"
+	"yokestall/internal/testutil/golden"
 )
 
 // The files of a version go to the fleet under fixed names, with their bytes unchanged.
--- a/internal/fleet/agent/change_test.go
+++ b/internal/fleet/agent/change_test.go
@@ -8,7 +8,7 @@
 
 	"yokestall/internal/config"
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // many is a version with a long list.
@@ -57,7 +57,7 @@
 				t.Fatalf("%+v", p)
 			}
 		}
-		testkit.Until(t, "it to be in force", func() bool { return g.nodes[0].node.state().ActiveVersion == base })
+		testutil.Until(t, "it to be in force", func() bool { return g.nodes[0].node.state().ActiveVersion == base })
 	}
 	took := time.Since(began)
 	if bad, err := g.client.PublishChange(g.patience(), "bad", base, config.File{Name: "c", Text: []byte("[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"s-none\"]\n[end]\nendpoints = 0\n")}); err != nil || bad.Number != 0 || !strings.Contains(bad.Error, "not in the list") {
@@ -69,7 +69,7 @@
 	}
 	for i, n := range g.nodes {
 		var v *consensus.Version
-		testkit.Until(t, n.name+" to hold it", func() bool {
+		testutil.Until(t, n.name+" to hold it", func() bool {
 			n.node.versionsMu.Lock()
 			defer n.node.versionsMu.Unlock()
 			v = n.node.versions[drain.Number]
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -7,7 +7,7 @@
 
 	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/store"
-	"yokestall/internal/testkit/golden"
+	"yokestall/internal/testutil/golden"
 )
 
 // goldenParts returns parts with all fields set.
--- a/internal/fleet/agent/peers_test.go
+++ b/internal/fleet/agent/peers_test.go
@@ -22,11 +22,11 @@
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/tlskeys"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 var quick = lease.LeaseConfig{Duration: 400 * time.Millisecond, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
 
@@ -187,7 +187,7 @@
 }
 
 func (g *group) patience() context.Context {
-	ctx, stop := context.WithTimeout(context.Background(), testkit.Patience)
+	ctx, stop := context.WithTimeout(context.Background(), testutil.Patience)
 	g.t.Cleanup(stop)
 	return ctx
 }
@@ -196,7 +196,7 @@
 func (g *group) publish(id string, base uint64, list []config.File) *PublishReply {
 	g.t.Helper()
 	var out *PublishReply
-	testkit.Until(g.t, "word of the publish "+id, func() bool {
+	testutil.Until(g.t, "word of the publish "+id, func() bool {
 		p, err := g.client.Publish(g.patience(), id, base, list)
 		out = p
 		return err == nil && (p.Number > 0 || !p.Retry)
@@ -217,7 +217,7 @@
 func (g *group) acts(i int, effect string) {
 	g.t.Helper()
 	n := g.nodes[i]
-	testkit.Until(g.t, n.name+" to act on "+effect, func() bool {
+	testutil.Until(g.t, n.name+" to act on "+effect, func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return len(n.acts) > 0 && n.acts[len(n.acts)-1] == effect && n.node.MayServe()
@@ -316,7 +316,7 @@
 	done := make(chan *PublishReply, 1)
 	go func() { done <- g.publish("two", 1, bundle("unsafe")) }()
 	g.kill(leader)
-	if p := testkit.Wait(t, done, "what became of the publish"); p.Number != 2 || !g.inForce(2).InForce {
+	if p := testutil.Wait(t, done, "what became of the publish"); p.Number != 2 || !g.inForce(2).InForce {
 		t.Fatalf("%+v", p)
 	}
 	g.acts(3, "unsafe")
@@ -351,7 +351,7 @@
 	for i := range g.nodes {
 		g.acts(i, "unsafe")
 	}
-	testkit.Until(t, "the voter to say so", func() bool {
+	testutil.Until(t, "the voter to say so", func() bool {
 		a := g.client.Status(g.patience())[1]
 		return a.Status != nil && !a.Status.Voter && strings.Contains(a.Status.VotingError, "nothing is written after a failure")
 	})
@@ -379,7 +379,7 @@
 		t.Fatal(err)
 	}
 	g.start(1)
-	testkit.Until(t, "the voter to say so", func() bool {
+	testutil.Until(t, "the voter to say so", func() bool {
 		a := g.client.Status(g.patience())[1]
 		return a.Status != nil && !a.Status.Voter && strings.Contains(a.Status.VotingError, "an old copy of this voter's disk")
 	})
@@ -433,7 +433,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, stop := context.WithTimeout(context.Background(), testkit.Patience)
+		ctx, stop := context.WithTimeout(context.Background(), testutil.Patience)
 		if _, err := c.Status(ctx); status.Code(err) != tc.want {
 			t.Errorf("%s: %v", tc.what, err)
 		}
--- a/internal/fleet/agent/release_test.go
+++ b/internal/fleet/agent/release_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // ownerOf gives which voter may act as the owner of releases, -1 if none may, and by which token.
@@ -26,7 +26,7 @@
 func (g *group) control(in ReleaseCommand) *ReleaseReply {
 	g.t.Helper()
 	var out *ReleaseReply
-	testkit.Until(g.t, "an answer on the release", func() bool {
+	testutil.Until(g.t, "an answer on the release", func() bool {
 		r, err := g.client.ControlRelease(g.patience(), in)
 		out = r
 		return err == nil
@@ -62,7 +62,7 @@
 	if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 		t.Fatalf("%+v", out)
 	}
-	testkit.Until(t, "the first wave to be out", func() bool {
+	testutil.Until(t, "the first wave to be out", func() bool {
 		s, err := g.client.LatestStatus(g.patience())
 		return err == nil && s.LogStatus.ActiveVersion >= 2
 	})
@@ -71,7 +71,7 @@
 		t.Fatal("nobody owns it")
 	}
 	g.kill(first)
-	testkit.Until(t, "the release to end", func() bool {
+	testutil.Until(t, "the release to end", func() bool {
 		out := g.control(ReleaseCommand{})
 		return out.Progress != nil && out.Progress.Result != ""
 	})
@@ -95,7 +95,7 @@
 		t.Errorf("versions %v, want %v", ids, want)
 	}
 	v := g.nodes[3].node
-	testkit.Until(t, "the follower to hold the last version", func() bool {
+	testutil.Until(t, "the follower to hold the last version", func() bool {
 		v.versionsMu.Lock()
 		defer v.versionsMu.Unlock()
 		return v.versions[s.LogStatus.ActiveVersion] != nil
@@ -120,7 +120,7 @@
 	if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 		t.Fatalf("%+v", out)
 	}
-	testkit.Until(t, "the first wave to be away", func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == consensus.Restarting })
+	testutil.Until(t, "the first wave to be away", func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == consensus.Restarting })
 	if out := g.control(ReleaseCommand{Action: "pause"}); !out.Progress.Paused {
 		t.Errorf("%+v", out)
 	}
@@ -132,7 +132,7 @@
 	if out := g.control(ReleaseCommand{Action: "abort", Reason: "the new program fails"}); out.Error != "" {
 		t.Errorf("%+v", out)
 	}
-	testkit.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Result != "" })
+	testutil.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Result != "" })
 	if p := g.control(ReleaseCommand{}).Progress; p.Result != "abort: the new program fails" {
 		t.Errorf("%+v", p)
 	}
@@ -159,7 +159,7 @@
 		g.start(i)
 		n := g.nodes[i].node
 		ask := func(in ReleaseCommand) (out *ReleaseReply) {
-			testkit.Until(t, "a leader", func() bool {
+			testutil.Until(t, "a leader", func() bool {
 				var err error
 				out, err = n.serveReleaseCommand(g.patience(), &in)
 				return err == nil
@@ -177,11 +177,11 @@
 		if out := ask(ReleaseCommand{Action: "abort", Reason: "test"}); out.Error != "" {
 			t.Errorf("%+v", out)
 		}
-		testkit.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Result != "" })
+		testutil.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Result != "" })
 	}
 	// A publisher is told of the present version, not of one that was.
 	var s *Status
-	testkit.Until(t, "the last release to be back", func() (calm bool) {
+	testutil.Until(t, "the last release to be back", func() (calm bool) {
 		var err error
 		s, err = g.client.LatestStatus(g.patience())
 		return err == nil && s.LogStatus.PendingVersion == 0
@@ -191,7 +191,7 @@
 	g.inForce(g.publish("two", s.LogStatus.ActiveVersion, many(5)).Number)
 	g.start(0)
 	n := g.nodes[0].node
-	testkit.Until(t, "a leader", func() bool {
+	testutil.Until(t, "a leader", func() bool {
 		out, err := n.servePublish(g.patience(), &PublishRequest{ID: "three", Base: s.LogStatus.ActiveVersion, Parts: parts})
 		if err == nil && out.ActiveVersion != s.LogStatus.ActiveVersion+1 {
 			t.Errorf("%+v, and version %d is there", out, s.LogStatus.ActiveVersion+1)
--- a/internal/fleet/agent/silent_test.go
+++ b/internal/fleet/agent/silent_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // silenceable carries connections to an address until it falls silent: then what comes is dropped and nothing is closed, as
@@ -20,7 +20,7 @@
 // newSilenceable starts a relay to an address.
 func newSilenceable(t testing.TB, to string) *silenceable {
 	s := &silenceable{}
-	s.address = testkit.Accept(t, func(client net.Conn) {
+	s.address = testutil.Accept(t, func(client net.Conn) {
 		server, err := net.Dial("tcp", to)
 		if err != nil {
 			return
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit/golden"
+	"yokestall/internal/testutil/golden"
 )
 
 // goldenManifest returns a version with all fields set.
--- a/internal/fleet/store/golden_test.go
+++ b/internal/fleet/store/golden_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/testkit/golden"
+	"yokestall/internal/testutil/golden"
 )
 
 const goldenStore = "testdata/golden/agree.db"
--- a/internal/gracefulclose/closing_test.go
+++ b/internal/gracefulclose/closing_test.go
@@ -7,10 +7,10 @@
 	"testing/synctest"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // queue is a socket in which one connection waits that the program gets to late.
 type queue struct {
@@ -66,7 +66,7 @@
 
 // A socket that can't be closed says so.
 func TestCloseFails(t *testing.T) {
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	l.Close()
 	if err := Listener(l).Close(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("error %v", err)
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"yokestall/internal/adminstate"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // The golden files are as they were written before identifiers were renamed. Processes of
@@ -98,7 +98,7 @@
 			t.Fatal(err)
 		}
 	}
-	f, changes, err := Join(dir, "node-a", testkit.Log(t))
+	f, changes, err := Join(dir, "node-a", testutil.Log(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -17,10 +17,10 @@
 	"pgregory.net/rapid"
 
 	"yokestall/internal/adminstate"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // process is one of the node's, with its administrative state.
 type process struct {
@@ -36,7 +36,7 @@
 
 func join(t testing.TB, dir string) *process {
 	t.Helper()
-	f, changes, err := Join(dir, "n0", testkit.Log(t))
+	f, changes, err := Join(dir, "n0", testutil.Log(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 // passable gives a listener's socket as it is passed: each call another descriptor, since Listen
 // closes the one that it is given.
 func passable(t *testing.T) (addr string, pass func() string) {
-	l := testkit.Listen(t).(*net.TCPListener)
+	l := testutil.Listen(t).(*net.TCPListener)
 	file, err := l.File()
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 	if err := b.call(adminstate.Detach, "s2"); err != nil || !a.out("s2") {
 		t.Errorf("%v; out in the other process: %v", err, a.out("s2"))
 	}
-	testkit.Wait(t, looks, "the change")
+	testutil.Wait(t, looks, "the change")
 	if err := b.call(adminstate.Attach, "nobody"); !errors.Is(err, adminstate.ErrUnknown) {
 		t.Errorf("an id that nobody has: %v", err)
 	}
@@ -327,7 +327,7 @@
 		t.Fatal(err)
 	}
 	for _, dir := range []string{"", blocked, filepath.Join(blocked, folderName, "x")} {
-		if f, _, err := Join(dir, "n0", testkit.Log(t)); err == nil {
+		if f, _, err := Join(dir, "n0", testutil.Log(t)); err == nil {
 			f.Close()
 			t.Errorf("joined in %q", dir)
 		}
@@ -435,11 +435,11 @@
 	<-begun // whether it has come to the kernel or not, Close has to end
 	closed := make(chan struct{})
 	go func() { l.Close(); close(closed) }()
-	testkit.Wait(t, closed, "the end of Close")
+	testutil.Wait(t, closed, "the end of Close")
 	if nc, err := net.Dial("tcp", addr); err == nil { // lets Accept go
 		nc.Close()
 	}
-	testkit.Wait(t, accepted, "the end of Accept")
+	testutil.Wait(t, accepted, "the end of Accept")
 }
 
 func TestHold(t *testing.T) {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"yokestall/internal/fleetsim"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 func read(t testing.TB, name string) (*Experiment, []byte) {
 	t.Helper()
@@ -200,7 +200,7 @@
 		{From: 500 * time.Millisecond, To: 1200 * time.Millisecond, Down: true},
 		{From: 600 * time.Millisecond, To: 1500 * time.Millisecond, First: 1, Last: 1, Drain: true},
 	}
-	o, void, err := Real(t.Context(), e, testkit.Log(t))
+	o, void, err := Real(t.Context(), e, testutil.Log(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 		t.Errorf("%d asked, %d answered, %v (void %v)", asked, answered, broken, void)
 	}
 	e.Day.Nodes = 2
-	if _, _, err := Real(t.Context(), e, testkit.Quiet); err == nil {
+	if _, _, err := Real(t.Context(), e, testutil.Quiet); err == nil {
 		t.Error("two nodes on sockets")
 	}
 }
--- a/internal/lab/process/golden_test.go
+++ b/internal/lab/process/golden_test.go
@@ -5,7 +5,7 @@
 	"reflect"
 	"testing"
 
-	"yokestall/internal/testkit/golden"
+	"yokestall/internal/testutil/golden"
 )
 
 func TestGoldenReportDecodes(t *testing.T) {
--- a/internal/lab/process/real_test.go
+++ b/internal/lab/process/real_test.go
@@ -18,7 +18,7 @@
 	"yokestall/internal/cli"
 	"yokestall/internal/config"
 	"yokestall/internal/lab/process"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // program is the product program, for tests that start real processes of it.
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestMain(m *testing.M) { testkit.MainOr(m, program) }
+func TestMain(m *testing.M) { testutil.MainOr(m, program) }
 
 // countersError is by how many MB two figures of the system on the same memory may differ: it counts pages on each CPU, and adds
 // them up in batches.
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	itself, env := testkit.Itself()
+	itself, env := testutil.Itself()
 	r, err := process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	plan.Sizes[0].Tenants = config.MaxTenants + 1
-	itself, env := testkit.Itself()
+	itself, env := testutil.Itself()
 	r, err := process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -155,11 +155,11 @@
 	}()
 	t.Cleanup(func() {
 		stop()
-		if err := testkit.Wait(t, ended, "the program's end"); err != nil {
+		if err := testutil.Wait(t, ended, "the program's end"); err != nil {
 			t.Error(err)
 		}
 	})
-	s.addr = testkit.Wait(t, ready, "the program to listen").String()
+	s.addr = testutil.Wait(t, ready, "the program to listen").String()
 	return s
 }
 
@@ -177,7 +177,7 @@
 		s.t.Fatal(err)
 	}
 	want := process.VersionText(s.settings)
-	testkit.Until(s.t, want, func() bool {
+	testutil.Until(s.t, want, func() bool {
 		return s.get(process.Ask{Method: http.MethodGet, Host: process.VersionHost, Path: "/version"}) == want
 	})
 	for range s.generator.Size.Services {
@@ -238,7 +238,7 @@
 	defer func() {
 		t.Logf("after %d changes %d objects and %d goroutines, after %d %d and %d", few, objects, goroutines, many, nowObjects, nowGoroutines)
 	}()
-	testkit.Until(t, "what changes held to be let go", func() bool {
+	testutil.Until(t, "what changes held to be let go", func() bool {
 		nowObjects, nowGoroutines = held()
 		return nowObjects < objects+objects/10 && nowGoroutines <= goroutines+10
 	})
--- a/internal/lab/scale/golden_test.go
+++ b/internal/lab/scale/golden_test.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"testing"
 
-	"yokestall/internal/testkit/golden"
+	"yokestall/internal/testutil/golden"
 )
 
 func TestGoldenFiguresDecode(t *testing.T) {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -19,10 +19,10 @@
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/consensus"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // All plans of the library are read, and a node would take their content.
 func TestLibrary(t *testing.T) {
@@ -185,7 +185,7 @@
 	done := make(chan []State)
 	go func() { done <- s.Await(t.Context(), 3) }()
 	on("b", 3, 0, false)
-	list := testkit.Wait(t, done, "both")
+	list := testutil.Wait(t, done, "both")
 	took := list[1].Took
 	on("b", 3, 0, true)
 	on("b", 3, 0, false) // its lease came back: it took the version before
@@ -200,7 +200,7 @@
 
 // pair is a connection over loopback whose two ends are counted; the first dials from a region, the second listens in region 0.
 func pair(t *testing.T, region int) (m *Meter, near, far net.Conn) {
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	m = NewMeter([]agent.Voter{{Name: "v0", Address: l.Addr().String()}}, 2)
 	accepted := make(chan net.Conn)
 	go func() {
@@ -214,7 +214,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far = testkit.Wait(t, accepted, "a connection")
+	far = testutil.Wait(t, accepted, "a connection")
 	t.Cleanup(func() {
 		near.Close()
 		far.Close()
@@ -274,7 +274,7 @@
 	default:
 	}
 	m.Apart(false)
-	if err := testkit.Wait(t, written, "the write"); err != nil {
+	if err := testutil.Wait(t, written, "the write"); err != nil {
 		t.Error(err)
 	}
 	b := make([]byte, 4)
@@ -290,7 +290,7 @@
 		written <- err
 	}()
 	near.Close()
-	if err := testkit.Wait(t, written, "the end"); !errors.Is(err, net.ErrClosed) {
+	if err := testutil.Wait(t, written, "the end"); !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
 }
@@ -328,9 +328,9 @@
 	}
 	e.Encode(Command{Op: OpAwait, Number: 9, For: time.Hour})
 	commands.Close()
-	testkit.Wait(t, gone, "word that who commands is gone")
+	testutil.Wait(t, gone, "word that who commands is gone")
 	read() // what it knew by then
-	if err := testkit.Wait(t, ended, "the end"); err != nil {
+	if err := testutil.Wait(t, ended, "the end"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // A server that stalls for the second half of two seconds shows in the p99 as its clients would see it: of
 // the half that is due in the stall, waits are even from 0 to 1 s, so the p99 of all is 0.98 s. With few
@@ -52,7 +52,7 @@
 	if !r.Void {
 		t.Errorf("starved of its core and not void: late by %d us at p99", r.Lateness.ValueAtQuantile(99))
 	}
-	plan.Open, plan.Late = 1, testkit.Patience
+	plan.Open, plan.Late = 1, testutil.Patience
 	plan.Streams[0].Do = func(context.Context, int, time.Time) { time.Sleep(20 * time.Millisecond) } // the server's time
 	if r := Run(t.Context(), plan); r.Void || r.FromDue[0].ValueAtQuantile(50) < 20_000 {
 		t.Errorf("void %v, p50 %d us", r.Void, r.FromDue[0].ValueAtQuantile(50))
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -15,7 +15,7 @@
 	"yokestall/internal/discovery"
 	"yokestall/internal/fake/appbox"
 	"yokestall/internal/fake/platform"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // startManaged starts a node with an operators' address.
@@ -34,7 +34,7 @@
 // call makes one call to the operators' address.
 func (n *running) call(text string) string {
 	n.t.Helper()
-	answer, err := adminapi.Ask(n.node.mgmt.Addr().String(), text, testkit.Patience)
+	answer, err := adminapi.Ask(n.node.mgmt.Addr().String(), text, testutil.Patience)
 	if err != nil {
 		n.t.Fatalf("%s: %v", text, err)
 	}
@@ -50,7 +50,7 @@
 
 func TestDetachAndAttach(t *testing.T) {
 	t.Parallel()
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 	d := newRegistry(t, instanceAt(a, "s-0"), instanceAt(b, "s-1"))
 	n := startManaged(t, d, nil)
 	n.callOK("PING")
@@ -73,7 +73,7 @@
 		t.Errorf("%d sends to a server that is out and back on the list", len(a.Got))
 	}
 	n.callOK("ATTACH s-0") // one is enough
-	testkit.Until(t, "something to go to the server that was called back", func() bool {
+	testutil.Until(t, "something to go to the server that was called back", func() bool {
 		n.do(n.request("read"))
 		for len(b.Got) > 0 {
 			<-b.Got
@@ -110,7 +110,7 @@
 	var boxes []*appbox.Box
 	var list []discovery.Instance
 	for i := range 3 {
-		b := testkit.Box(t, fmt.Sprint("s-", i))
+		b := testutil.Box(t, fmt.Sprint("s-", i))
 		b.SetDelay(2 * time.Millisecond)
 		boxes = append(boxes, b)
 		list = append(list, discovery.Instance{InstanceID: b.Name, HostPort: b.Addr(), Zone: "a", Lifecycle: "Ready", Weight: 1})
@@ -125,7 +125,7 @@
 		time.Sleep(600 * time.Millisecond) // the time under test: past the grace
 		n.callOK("ATTACH " + b.Name)
 		back := time.Now()
-		testkit.Until(t, "a request at the server that was called back", func() bool {
+		testutil.Until(t, "a request at the server that was called back", func() bool {
 			seen, _ := b.Seen()
 			return len(seen) > 0 && seen[len(seen)-1].At.After(back)
 		})
@@ -144,7 +144,7 @@
 
 func TestLameDuck(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	n := startManaged(t, newRegistry(t, instanceAt(b, "s-0")), nil)
 	idle := n.dial() // has asked and rests
 	n.ask(idle)
@@ -162,7 +162,7 @@
 		t.Errorf("a new connection got status %d, its end announced %v", resp.StatusCode, resp.Close)
 	}
 	for name, nc := range map[string]net.Conn{"idle": idle, "silent": silent} {
-		if _, err := io.ReadAll(nc); testkit.IsTimeout(err) {
+		if _, err := io.ReadAll(nc); testutil.IsTimeout(err) {
 			t.Errorf("the %s connection stays open", name)
 		}
 	}
@@ -179,7 +179,7 @@
 // REJOIN in mid-drain, and a stop while drained.
 func TestRejoinInMidDrain(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	n := startManaged(t, newRegistry(t, instanceAt(b, "s-0")), nil)
 	for range 3 {
 		n.callOK("LAMEDUCK")
@@ -188,7 +188,7 @@
 	n.waitReady(http.StatusOK)
 	n.callOK("LAMEDUCK")
 	n.stop()
-	if err := testkit.Wait(t, n.done, "the node to stop"); err != nil {
+	if err := testutil.Wait(t, n.done, "the node to stop"); err != nil {
 		t.Error(err)
 	}
 }
@@ -198,7 +198,7 @@
 func TestOperatorsAreHeardOnAFullNode(t *testing.T) {
 	t.Parallel()
 	left := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, silent(left))
+	b := testutil.NewBackend(t, silent(left))
 	n := startManaged(t, newRegistry(t, instanceAt(b, "s-0")), func(file map[string]any) {
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 96}
 	})
@@ -214,7 +214,7 @@
 	if err := n.request("read").Write(turned); err == nil {
 		if resp, err := http.ReadResponse(bufio.NewReader(turned), nil); err == nil && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("a client got status %d: the node is not full", resp.StatusCode)
-		} else if testkit.IsTimeout(err) {
+		} else if testutil.IsTimeout(err) {
 			t.Fatal("a client waits: the node is not full")
 		}
 	}
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // drip writes a text in pieces of so many bytes.
@@ -32,7 +32,7 @@
 // server gets the method, the target and the body unchanged, and the client the answer.
 func TestFormsOfRequests(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s %x", r.Method, r.RequestURI, sha256.Sum256(body))
 	})
@@ -42,7 +42,7 @@
 		id++
 		return "X-Request-ID: form-" + strconv.Itoa(id) + "\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n"
 	}
-	big := string(testkit.Bytes(300 << 10))
+	big := string(testutil.Bytes(300 << 10))
 	var chunked strings.Builder
 	for rest := big; rest != ""; {
 		k := min(len(rest), 1+len(rest)%5000)
@@ -124,7 +124,7 @@
 // startBefore starts a node before a server that speaks by hand.
 func startBefore(t *testing.T, handle func(nc net.Conn, r *http.Request)) *running {
 	t.Helper()
-	addr := testkit.Accept(t, func(nc net.Conn) {
+	addr := testutil.Accept(t, func(nc net.Conn) {
 		in := bufio.NewReader(nc)
 		for {
 			r, err := http.ReadRequest(in)
@@ -146,7 +146,7 @@
 // Every form of an answer, whole and byte by byte.
 func TestFormsOfAnswers(t *testing.T) {
 	t.Parallel()
-	big := string(testkit.Bytes(200 << 10))
+	big := string(testutil.Bytes(200 << 10))
 	forms := map[string]struct {
 		answer, want string
 		close        bool
@@ -193,7 +193,7 @@
 	t.Parallel()
 	const size = 400 << 10
 	n := startBefore(t, func(nc net.Conn, r *http.Request) {
-		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", size, testkit.Bytes(size/2))
+		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", size, testutil.Bytes(size/2))
 	})
 	nc := n.dial()
 	io.WriteString(nc, "GET /read?close=1 HTTP/1.0\r\nX-Request-ID: b1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n\r\n")
@@ -210,7 +210,7 @@
 // that comes slowly is waited for.
 func TestSlowAnswers(t *testing.T) {
 	t.Parallel()
-	big := testkit.Bytes(256 << 10)
+	big := testutil.Bytes(256 << 10)
 	n := startBefore(t, func(nc net.Conn, r *http.Request) {
 		if r.URL.Query().Get("size") == "big" {
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(big))
@@ -241,13 +241,13 @@
 // the server then takes counts.
 func TestSlowBodies(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	n, _ := startReady(t, b)
 	for name, size := range map[string]int{"held": 40 << 10, "passed on": 3 << 20} {
 		t.Run(name, func(t *testing.T) {
 			nc := (&running{t: t, addr: n.addr}).dial()
 			fmt.Fprintf(nc, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: slow-%d\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 400\r\nContent-Length: %d\r\n\r\n", size, size)
-			body := testkit.Bytes(size)
+			body := testutil.Bytes(size)
 			for part := range 10 {
 				time.Sleep(80 * time.Millisecond) // twice the client's time in all
 				nc.Write(body[part*size/10 : (part+1)*size/10])
@@ -259,7 +259,7 @@
 			if resp.StatusCode != 200 {
 				t.Fatalf("status %d", resp.StatusCode)
 			}
-			got := testkit.Wait(t, b.Got, "the request")
+			got := testutil.Wait(t, b.Got, "the request")
 			if here, _ := io.ReadAll(got.Body); !bytes.Equal(here, body) {
 				t.Errorf("%d bytes came, want %d", len(here), size)
 			}
@@ -285,7 +285,7 @@
 			bs := firstFails(t, serverError)
 			n, _ := startReady(t, bs...)
 			r := n.request(c.class)
-			body := testkit.Bytes(c.size)
+			body := testutil.Bytes(c.size)
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(c.size)
 			a := n.do(r)
 			if sends := len(bs[0].Got) + len(bs[1].Got); a.status != c.status || sends != c.sends {
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 func (n *running) dial() net.Conn {
@@ -21,7 +21,7 @@
 		n.t.Fatal(err)
 	}
 	n.t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(testkit.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.Patience))
 	return nc
 }
 
@@ -42,9 +42,9 @@
 
 // startSmall starts a node with 64 descriptors: 17 places for client connections that
 // have asked, 3 for silent ones, 2 for those that are told to come back.
-func startSmall(t *testing.T, b *testkit.Backend) *running { return startSized(t, b, 64) }
+func startSmall(t *testing.T, b *testutil.Backend) *running { return startSized(t, b, 64) }
 
-func startSized(t *testing.T, b *testkit.Backend, sockets int) *running {
+func startSized(t *testing.T, b *testutil.Backend, sockets int) *running {
 	d := newRegistry(t, instanceAt(b, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
@@ -57,7 +57,7 @@
 // their end shows only after they gave their places back.
 func (n *running) waitReadyAlone() {
 	n.t.Helper()
-	for end := time.Now().Add(testkit.Patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testutil.Patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		nc := n.dial()
 		io.WriteString(nc, "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 		text, err := io.ReadAll(nc)
@@ -73,7 +73,7 @@
 // clients away, and are closed themselves before long.
 func TestSilentFloodMakesRoom(t *testing.T) {
 	t.Parallel()
-	n := startSmall(t, testkit.NewBackend(t, testkit.OK))
+	n := startSmall(t, testutil.NewBackend(t, testutil.OK))
 	var flood []net.Conn
 	for i := range 150 {
 		nc := n.dial()
@@ -88,7 +88,7 @@
 		}
 	}
 	for _, nc := range flood {
-		if _, err := io.Copy(io.Discard, nc); testkit.IsTimeout(err) {
+		if _, err := io.Copy(io.Discard, nc); testutil.IsTimeout(err) {
 			t.Fatal("a silent connection stays open")
 		}
 	}
@@ -98,7 +98,7 @@
 // is not taken for an idle one meanwhile.
 func TestPipelinedRequests(t *testing.T) {
 	t.Parallel()
-	n, _ := startReady(t, testkit.NewBackend(t, testkit.OK))
+	n, _ := startReady(t, testutil.NewBackend(t, testutil.OK))
 	nc := n.dial()
 	var both strings.Builder
 	for range 3 {
@@ -124,13 +124,13 @@
 	in := bufio.NewReader(nc)
 	for {
 		resp, err := http.ReadResponse(in, nil)
-		if testkit.IsTimeout(err) {
+		if testutil.IsTimeout(err) {
 			n.t.Fatal("the node keeps the connection")
 		}
 		if err != nil {
 			return statuses
 		}
-		if _, err := io.Copy(io.Discard, resp.Body); testkit.IsTimeout(err) {
+		if _, err := io.Copy(io.Discard, resp.Body); testutil.IsTimeout(err) {
 			n.t.Fatal("the answer doesn't end")
 		}
 		statuses = append(statuses, resp.StatusCode)
@@ -142,7 +142,7 @@
 // hold its connection, reach a server, nor keep the node from serving others.
 func TestBadBytes(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	n, _ := startReady(t, b)
 	ids := 0
 	head := func(class, more string) string {
@@ -210,22 +210,22 @@
 func TestOpenID(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
-		testkit.OK(w, r)
+		testutil.OK(w, r)
 	})
 	n, _ := startReady(t, b)
 	first := n.request("push")
 	answered := make(chan reply, 1)
 	go func() { answered <- n.do(first) }()
-	testkit.Wait(t, b.Got, "the first one")
+	testutil.Wait(t, b.Got, "the first one")
 	second := n.request("read")
 	second.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
 	if a := n.do(second); a.status != http.StatusConflict {
 		t.Errorf("status %d", a.status)
 	}
 	close(release)
-	if a := testkit.Wait(t, answered, "the first answer"); a.status != http.StatusOK {
+	if a := testutil.Wait(t, answered, "the first answer"); a.status != http.StatusOK {
 		t.Errorf("the first one got status %d", a.status)
 	}
 	if len(b.Got) != 0 {
@@ -239,9 +239,9 @@
 // The deadline for a request's bytes must not end its waiting for the answer.
 func TestReadDeadlineEndsWithTheRequest(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(2200 * time.Millisecond) // the thing under test is a time-out
-		testkit.OK(w, r)
+		testutil.OK(w, r)
 	})
 	n, _ := startReady(t, b)
 	if a := n.do(n.request("pay")); a.status != http.StatusOK {
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // gateway stands for what lies between clients and a node on the platform: it grants
@@ -55,7 +55,7 @@
 		<-g.places
 		return nil, err
 	}
-	nc.SetDeadline(time.Now().Add(testkit.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.Patience))
 	return &client{Conn: nc, reader: bufio.NewReader(nc), free: sync.OnceFunc(func() { <-g.places })}, nil
 }
 
@@ -66,7 +66,7 @@
 		return 0, true, errCrossed
 	}
 	if _, err := c.reader.Peek(1); err != nil {
-		if testkit.IsTimeout(err) {
+		if testutil.IsTimeout(err) {
 			return 0, true, err
 		}
 		return 0, true, errCrossed
@@ -142,8 +142,8 @@
 	t.Parallel()
 	for _, sockets := range []int{64, 256, 384, 1024} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
-			b := testkit.NewBackend(t, testkit.OK)
-			b.Config.Handler = http.HandlerFunc(testkit.OK) // keeps no list of what it got
+			b := testutil.NewBackend(t, testutil.OK)
+			b.Config.Handler = http.HandlerFunc(testutil.OK) // keeps no list of what it got
 			n := startSized(t, b, sockets)
 			third := sockets / 3
 			if got := newGateway(n, third).crowd(t, third+third/2); got > 0 {
@@ -156,8 +156,8 @@
 // The same where an installation grants clients another part.
 func TestCrowdWithConfiguredPart(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
-	b.Config.Handler = http.HandlerFunc(testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
+	b.Config.Handler = http.HandlerFunc(testutil.OK)
 	for part, places := range map[float64]int{0.1: 25, 1: 95} { // of 256; 1 is as many as fit
 		d := newRegistry(t, instanceAt(b, "s-0"))
 		cfg := testConfig(t, d, nil)
@@ -174,12 +174,12 @@
 // keep their connections.
 func TestSilentFloodBesideAskingClients(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	n := startSmall(t, b)
 	g := newGateway(n, 64/3)
 	var idle []*client
 	for range 10 {
-		c, err := g.connect(testkit.Patience)
+		c, err := g.connect(testutil.Patience)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -198,7 +198,7 @@
 				if err != nil {
 					return
 				}
-				nc.SetDeadline(time.Now().Add(testkit.Patience))
+				nc.SetDeadline(time.Now().Add(testutil.Patience))
 				unhook := context.AfterFunc(ctx, func() { nc.Close() })
 				nc.Read(make([]byte, 1)) // until the node closes it
 				unhook()
@@ -223,13 +223,13 @@
 	t.Parallel()
 	var mu sync.Mutex
 	ran := map[string]int{}
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	b.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		mu.Lock()
 		ran[r.Header.Get("X-Request-ID")]++
 		mu.Unlock()
-		testkit.OK(w, r)
+		testutil.OK(w, r)
 	})
 	n := startSmall(t, b)
 	const clients, requests = 24, 40 // more than have a place: nearly each answer is followed by a close
@@ -249,7 +249,7 @@
 					}
 					if c == nil {
 						var err error
-						if c, err = g.connect(testkit.Patience); err != nil {
+						if c, err = g.connect(testutil.Patience); err != nil {
 							t.Error(err)
 							return
 						}
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // lostDiscovery is a registryStub that can fall silent: calls are taken, and nothing comes back.
@@ -50,7 +50,7 @@
 type child struct {
 	*running
 	process *os.Process
-	logs    *testkit.Logs
+	logs    *testutil.Logs
 }
 
 func startChild(t *testing.T, mode, discovery string, sockets int) *child {
@@ -68,11 +68,11 @@
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	itself, env := testkit.Itself()
+	itself, env := testutil.Itself()
 	shell := []string{"-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets)}
 	cmd := exec.Command("/bin/sh", append(shell, itself...)...)
 	cmd.Env = append(append(os.Environ(), env...), "BALANCER_CONFIG="+path, "TMPDIR="+folder)
-	logs := testkit.NewLogs(t)
+	logs := testutil.NewLogs(t)
 	cmd.Stderr = logs
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -136,7 +136,7 @@
 			hold := make(chan struct{})
 			var list, drained []discovery.Instance
 			for i := range 12 { // as many as hold all connections that the node may have to servers
-				b := testkit.NewBackend(t, testkit.OK)
+				b := testutil.NewBackend(t, testutil.OK)
 				b.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if r.Method == http.MethodPost { // stands still
 						select {
@@ -144,12 +144,12 @@
 						case <-r.Context().Done():
 						}
 					}
-					testkit.OK(w, r)
+					testutil.OK(w, r)
 				})
 				list = append(list, instanceAt(b, fmt.Sprint("s-", i)))
 				drained = append(drained, draining(list[i]))
 			}
-			fresh := testkit.NewBackend(t, testkit.OK)
+			fresh := testutil.NewBackend(t, testutil.OK)
 			d := newLostDiscovery(t, list...)
 			n := startChild(t, mode, d.Listener.Addr().String(), sockets)
 			d.silent.Store(true)
@@ -161,11 +161,11 @@
 			defer close(hold)
 			defer stop()
 			most := 0
-			testkit.Until(t, "the crowd to be in", func() bool {
+			testutil.Until(t, "the crowd to be in", func() bool {
 				most = max(most, n.descriptors())
 				return answered.Load() > 2*sockets && most >= sockets-ownDescriptors
 			})
-			testkit.Wait(t, d.begun, "a call that falls silent")
+			testutil.Wait(t, d.begun, "a call that falls silent")
 			// As many calls as are made to one discovery have to find room beside it all, as to another one after SIGHUP.
 			if calls := discovery.Pushed(0).Most; most+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
 				t.Errorf("%d of %d descriptors were open: none are kept for %d calls", most, sockets, calls)
@@ -174,7 +174,7 @@
 			back := time.Now()
 			d.change(t, func() { d.list = append(drained, instanceAt(fresh, "s-new")) })
 			t.Logf("told %v after discovery's return, %d of %d descriptors were open at most", time.Since(back), most, sockets)
-			testkit.Wait(t, fresh.Got, "a request at the new server")
+			testutil.Wait(t, fresh.Got, "a request at the new server")
 		})
 	}
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 const settingsText = `{
@@ -67,7 +67,7 @@
 	d.mu.Lock()
 	after := fmt.Sprintf("after=%d&", d.version)
 	d.mu.Unlock()
-	for !strings.HasPrefix(testkit.Wait(t, d.calls, "the watch after the change"), after) {
+	for !strings.HasPrefix(testutil.Wait(t, d.calls, "the watch after the change"), after) {
 	}
 }
 
@@ -97,7 +97,7 @@
 	json.NewEncoder(w).Encode(known{Generation: uint64(d.version), Reset: true, Instances: d.list})
 }
 
-func instanceAt(b *testkit.Backend, id string) discovery.Instance {
+func instanceAt(b *testutil.Backend, id string) discovery.Instance {
 	return discovery.Instance{InstanceID: id, HostPort: b.Addr(), Zone: "a", Lifecycle: "Ready", Weight: 1}
 }
 
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Log = testkit.Log(t)
+	cfg.Log = testutil.Log(t)
 	return cfg
 }
 
@@ -170,13 +170,13 @@
 	go func() { r.done <- n.Run(ctx); close(ended) }()
 	t.Cleanup(func() {
 		cancel()
-		testkit.Wait(t, ended, "the node to stop")
+		testutil.Wait(t, ended, "the node to stop")
 	})
 	return r
 }
 
 // startReady starts a node before the given servers and waits until it is ready.
-func startReady(t *testing.T, backends ...*testkit.Backend) (*running, *registryStub) {
+func startReady(t *testing.T, backends ...*testutil.Backend) (*running, *registryStub) {
 	t.Helper()
 	var list []discovery.Instance
 	for i, b := range backends {
@@ -190,7 +190,7 @@
 
 func (n *running) waitReady(status int) {
 	n.t.Helper()
-	testkit.Until(n.t, fmt.Sprintf("readiness to become %d", status), func() bool {
+	testutil.Until(n.t, fmt.Sprintf("readiness to become %d", status), func() bool {
 		resp, err := http.Get("http://" + n.addr + "/health/ready")
 		if err != nil {
 			return false
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/upstream/h1client"
 )
 
@@ -24,7 +24,7 @@
 func leave(t *testing.T, nc net.Conn) {
 	t.Helper()
 	nc.(*net.TCPConn).CloseWrite()
-	nc.SetReadDeadline(time.Now().Add(testkit.Patience))
+	nc.SetReadDeadline(time.Now().Add(testutil.Patience))
 	if text, err := io.ReadAll(nc); len(text) > 0 {
 		t.Errorf("%q, %v: a client that has left got an answer", text, err)
 	}
@@ -39,7 +39,7 @@
 			attempts := make(chan struct{}, 8)
 			var list []discovery.Instance
 			for i := range 3 {
-				list = append(list, instanceAt(testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+				list = append(list, instanceAt(testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 					w.WriteHeader(http.StatusInternalServerError)
 					attempts <- struct{}{}
 				}), fmt.Sprint("s-", i)))
@@ -56,7 +56,7 @@
 				t.Fatal(err)
 			}
 			io.WriteString(nc, more)
-			testkit.Wait(t, attempts, "the first attempt")
+			testutil.Wait(t, attempts, "the first attempt")
 			leave(t, nc)
 			if more := len(attempts); more > 0 {
 				t.Errorf("%d further attempts", more)
@@ -74,14 +74,14 @@
 	var mu sync.Mutex
 	gate := make(chan struct{})
 	left, sent := map[string]time.Time{}, map[string]time.Time{}
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		sent[r.Header.Get("X-Request-Id")] = time.Now()
 		goes := gate
 		mu.Unlock()
 		select {
 		case <-goes:
-			testkit.OK(w, r)
+			testutil.OK(w, r)
 		case <-r.Context().Done():
 		}
 	})
@@ -90,7 +90,7 @@
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}
 	}))
 	n.waitReady(http.StatusOK)
-	lateness := testkit.Lateness(t)
+	lateness := testutil.Lateness(t)
 	rng := rand.New(rand.NewPCG(45, 1))
 	names := []string{"nothing", "a request", "rubbish"}
 	waited := 0
@@ -121,7 +121,7 @@
 		if a := n.do(n.request("read")); late && a.status != http.StatusOK {
 			t.Errorf("status %d", a.status)
 		} else if !late { // it may find the places of those that have just left still taken
-			testkit.Until(t, "one behind them to be served", func() bool { return n.do(n.request("read")).status == http.StatusOK })
+			testutil.Until(t, "one behind them to be served", func() bool { return n.do(n.request("read")).status == http.StatusOK })
 		}
 		mu.Lock()
 		gate = make(chan struct{})
--- a/internal/node/main_test.go
+++ b/internal/node/main_test.go
@@ -5,11 +5,11 @@
 	"os"
 	"testing"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 func TestMain(m *testing.M) {
-	testkit.MainOr(m, func() {
+	testutil.MainOr(m, func() {
 		if err := Command(nil); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,13 +16,13 @@
 
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/upstream/h1client"
 )
 
 func TestServesUnchanged(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Kept", "yes")
 		w.Header().Set("Keep-Alive", "timeout=5")
 		io.WriteString(w, "rooms")
@@ -36,7 +36,7 @@
 	if a.status != http.StatusOK || a.body != "rooms" || a.header.Get("X-Kept") != "yes" || a.header.Get("Keep-Alive") != "" {
 		t.Errorf("answer %+v", a)
 	}
-	got := testkit.Wait(t, b.Got, "the request")
+	got := testutil.Wait(t, b.Got, "the request")
 	body, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/push?obj=7f3a%2F9c&z" || string(body) != `{"x":1}` {
 		t.Errorf("the server got %s %s %q", got.Method, got.RequestURI, body)
@@ -58,16 +58,16 @@
 }
 
 // firstFails gives two servers of which whichever is met first runs fail.
-func firstFails(t *testing.T, fail http.HandlerFunc) []*testkit.Backend {
+func firstFails(t *testing.T, fail http.HandlerFunc) []*testutil.Backend {
 	var met atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		if met.CompareAndSwap(false, true) {
 			fail(w, r)
 			return
 		}
-		testkit.OK(w, r)
+		testutil.OK(w, r)
 	}
-	return []*testkit.Backend{testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)}
+	return []*testutil.Backend{testutil.NewBackend(t, handle), testutil.NewBackend(t, handle)}
 }
 
 func serverError(w http.ResponseWriter, _ *http.Request) { http.Error(w, "oops", 500) }
@@ -120,7 +120,7 @@
 func TestSilentServer(t *testing.T) {
 	t.Parallel()
 	left := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, silent(left))
+	b := testutil.NewBackend(t, silent(left))
 	n, _ := startReady(t, b)
 	r := n.request("pay")
 	r.Header.Set("X-Timeout-Ms", "300")
@@ -128,7 +128,7 @@
 	if a.status != http.StatusBadGateway || a.took < 200*time.Millisecond {
 		t.Errorf("status %d after %v", a.status, a.took)
 	}
-	testkit.Wait(t, left, "the attempt to be given up")
+	testutil.Wait(t, left, "the attempt to be given up")
 	if len(b.Got) != 1 {
 		t.Errorf("%d sends", len(b.Got))
 	}
@@ -145,9 +145,9 @@
 			silent(left)(w, r)
 			return
 		}
-		testkit.OK(w, r)
+		testutil.OK(w, r)
 	}
-	a, b := testkit.NewBackend(t, handle), testkit.NewBackend(t, handle)
+	a, b := testutil.NewBackend(t, handle), testutil.NewBackend(t, handle)
 	n, _ := startReady(t, a, b)
 	for range 50 { // the module learns what is usual
 		n.do(n.request("push"))
@@ -157,7 +157,7 @@
 	if r := n.do(n.request("push")); r.status != http.StatusOK {
 		t.Fatalf("status %d", r.status)
 	}
-	testkit.Wait(t, left, "the silent attempt to be given up")
+	testutil.Wait(t, left, "the silent attempt to be given up")
 	// On a busy machine the second may seem silent too; how many copies there are is decided
 	// in policy, and held there.
 	if sends := len(a.Got) + len(b.Got) - before; sends < 2 || sends > 3 {
@@ -168,7 +168,7 @@
 func TestClientGone(t *testing.T) {
 	t.Parallel()
 	left := make(chan struct{}, 1)
-	b := testkit.NewBackend(t, silent(left))
+	b := testutil.NewBackend(t, silent(left))
 	n, _ := startReady(t, b)
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -177,9 +177,9 @@
 	if err := n.request("read").Write(nc); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Wait(t, b.Got, "the request")
+	testutil.Wait(t, b.Got, "the request")
 	nc.Close()
-	testkit.Wait(t, left, "the attempt to be given up")
+	testutil.Wait(t, left, "the attempt to be given up")
 }
 
 // The server closes a connection after its answer without saying so. A request
@@ -187,7 +187,7 @@
 func TestStaleIdleConnection(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 10)
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		nc, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
@@ -201,13 +201,13 @@
 		if a := n.do(n.request("pay")); a.status != http.StatusOK {
 			t.Fatalf("status %d", a.status)
 		}
-		testkit.Wait(t, closed, "the server's close")
+		testutil.Wait(t, closed, "the server's close")
 	}
 }
 
 func TestDrain(t *testing.T) {
 	t.Parallel()
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 	n, d := startReady(t, a, b)
 	d.change(t, func() { d.list[0].Lifecycle = "Terminating" })
 	for range 20 {
@@ -227,7 +227,7 @@
 // A server that moved is another process: what stands open to the old one is dropped.
 func TestServerMoves(t *testing.T) {
 	t.Parallel()
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 	n, d := startReady(t, a)
 	n.do(n.request("read"))
 	d.change(t, func() { d.list = []discovery.Instance{instanceAt(b, "s-0")} })
@@ -240,7 +240,7 @@
 // With every breaker open the refusal comes at once and says when to come back.
 func TestEveryServerDown(t *testing.T) {
 	t.Parallel()
-	d := newRegistry(t, discovery.Instance{InstanceID: "s-0", HostPort: testkit.RefusingAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1})
+	d := newRegistry(t, discovery.Instance{InstanceID: "s-0", HostPort: testutil.RefusingAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1})
 	n := start(t, testConfig(t, d, nil))
 	n.waitReady(http.StatusOK)
 	for try := range 60 {
@@ -269,7 +269,7 @@
 
 func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	n, _ := startReady(t, b)
 	for name, c := range map[string]struct {
 		class  string
@@ -313,12 +313,12 @@
 
 func TestDiscoveryFailsAndReturns(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	d := newRegistry(t)
 	d.down = true
 	n := start(t, testConfig(t, d, nil))
-	testkit.Wait(t, d.calls, "a first call")
-	testkit.Wait(t, d.calls, "a call after the failed one")
+	testutil.Wait(t, d.calls, "a first call")
+	testutil.Wait(t, d.calls, "a call after the failed one")
 	n.waitReady(http.StatusServiceUnavailable)
 	d.set(func() { d.down, d.list = false, []discovery.Instance{instanceAt(b, "s-0")} })
 	n.waitReady(http.StatusOK)
@@ -336,7 +336,7 @@
 // and stays ready throughout, also while the new place doesn't answer.
 func TestDiscoveryMoves(t *testing.T) {
 	t.Parallel()
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 	old := newRegistry(t, instanceAt(a, "s-a"))
 	n := start(t, testConfig(t, old, nil))
 	n.waitReady(http.StatusOK)
@@ -344,15 +344,15 @@
 	for len(old.calls) > 0 {
 		<-old.calls
 	}
-	n.node.MoveDiscovery(testkit.RefusingAddr(t)) // nobody there yet
+	n.node.MoveDiscovery(testutil.RefusingAddr(t)) // nobody there yet
 	if r := n.do(n.request("read")); r.status != http.StatusOK {
 		t.Errorf("status %d while discovery is away", r.status)
 	}
 	n.node.MoveDiscovery(next.Listener.Addr().String())
-	if q := testkit.Wait(t, next.calls, "the first call"); q != "" {
+	if q := testutil.Wait(t, next.calls, "the first call"); q != "" {
 		t.Errorf("the new place is asked for %q", q)
 	}
-	testkit.Wait(t, next.calls, "the watch")
+	testutil.Wait(t, next.calls, "the watch")
 	n.waitReady(http.StatusOK)
 	for len(a.Got) > 0 {
 		<-a.Got
@@ -370,7 +370,7 @@
 			break
 		}
 	}
-	testkit.Wait(t, old.calls, "the watch")
+	testutil.Wait(t, old.calls, "the watch")
 	if r := n.do(n.request("read")); r.status != http.StatusOK {
 		t.Errorf("status %d after the move back", r.status)
 	}
@@ -379,7 +379,7 @@
 // The list as known from before serves while discovery is away.
 func TestKnownListServes(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	d := newRegistry(t)
 	d.down = true
 	n := start(t, testConfig(t, d, func(file map[string]any) {
@@ -389,7 +389,7 @@
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
 		t.Errorf("status %d", a.status)
 	}
-	if q := testkit.Wait(t, d.calls, "a watch"); !strings.Contains(q, "after=7") {
+	if q := testutil.Wait(t, d.calls, "a watch"); !strings.Contains(q, "after=7") {
 		t.Errorf("the watch asks for %q", q)
 	}
 }
@@ -398,10 +398,10 @@
 // for again and again.
 func TestWatchAfterVersionZero(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	_, d := startReady(t, b)
-	testkit.Wait(t, d.calls, "the first call")
-	if q := testkit.Wait(t, d.calls, "the watch"); !strings.Contains(q, "after=0") {
+	testutil.Wait(t, d.calls, "the first call")
+	if q := testutil.Wait(t, d.calls, "the watch"); !strings.Contains(q, "after=0") {
 		t.Errorf("the second call asks for %q", q)
 	}
 }
@@ -409,7 +409,7 @@
 // Where lists are asked for, the module says when.
 func TestAskedList(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	d := newRegistry(t, instanceAt(b, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["settings"] = jsonText(strings.Replace(settingsText, "pushed", "on_request", 1))
@@ -430,14 +430,14 @@
 func TestStopAnswersWhatWasTaken(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
-		testkit.OK(w, r)
+		testutil.OK(w, r)
 	})
 	n, _ := startReady(t, b)
 	held := make(chan reply, 1)
 	go func() { held <- n.do(n.request("pay")) }()
-	testkit.Wait(t, b.Got, "the request")
+	testutil.Wait(t, b.Got, "the request")
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
 	late := make(chan reply, 1)
@@ -459,11 +459,11 @@
 	}()
 	close(release)
 	for _, c := range []chan reply{held, late} {
-		if a := testkit.Wait(t, c, "an answer"); a.status != http.StatusOK {
+		if a := testutil.Wait(t, c, "an answer"); a.status != http.StatusOK {
 			t.Errorf("status %d", a.status)
 		}
 	}
-	if err := testkit.Wait(t, n.done, "the end"); err != nil {
+	if err := testutil.Wait(t, n.done, "the end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -473,12 +473,12 @@
 // then is answered rather than cut off.
 func TestServesWhileItStops(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/pay" {
 			<-r.Context().Done()
 			return
 		}
-		testkit.OK(w, r)
+		testutil.OK(w, r)
 	})
 	d := newRegistry(t, instanceAt(b, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
@@ -488,7 +488,7 @@
 	steady, late := n.dial(), n.dial()
 	n.ask(steady)
 	n.ask(late)
-	lateness := testkit.Lateness(t)
+	lateness := testutil.Lateness(t)
 	began := time.Now()
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
@@ -496,7 +496,7 @@
 	// that comes too seldom for the plan, on a busy machine, gets what is due then.
 	plan, before := planStop(time.Second), began
 	for time.Since(began) < time.Second {
-		testkit.Wait(t, b.Got, "the request before")
+		testutil.Wait(t, b.Got, "the request before")
 		asked := time.Now()
 		resp := n.ask(steady)
 		busy := time.Since(before) > frontNotice/2 || time.Since(began) > plan.whole-stopTail
@@ -522,7 +522,7 @@
 	default:
 		t.Errorf("the last one is answered with %v, %v", resp, err)
 	}
-	if err := testkit.Wait(t, n.done, "the end"); err != nil {
+	if err := testutil.Wait(t, n.done, "the end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -532,14 +532,14 @@
 func TestClientReadsNothing(t *testing.T) {
 	t.Parallel()
 	text := strings.Repeat("x", h1client.MaxBody)
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) })
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, text) })
 	n, _ := startReady(t, b)
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(testkit.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.Patience))
 	for err == nil {
 		r := n.request("read")
 		r.Header.Set("X-Timeout-Ms", "1000")
@@ -553,7 +553,7 @@
 // What discovery says may make no sense; the node asks again and takes what it can use.
 func TestBadListsAreSurvived(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	good := instanceAt(b, "s-0")
 	lists := make(chan string, 10)
 	lists <- "what?"
@@ -586,10 +586,10 @@
 func TestStartsOnTheClock(t *testing.T) {
 	t.Parallel()
 	clock := engine.NewClock()
-	d := newEndpointWatcher(&Config{}, clock, nil, testkit.Log(t))
+	d := newEndpointWatcher(&Config{}, clock, nil, testutil.Log(t))
 	at := float64(time.Now().Add(-3 * time.Second).UnixMilli())
 	first := d.started(at)
-	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testkit.Patience {
+	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testutil.Patience {
 		t.Errorf("a start 3 s ago is %v ago on the clock", age)
 	}
 	if again := d.started(at); again != first {
@@ -608,7 +608,7 @@
 	var mu sync.Mutex
 	answered := map[string]time.Time{}
 	reused := 0
-	b := testkit.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		now := time.Now()
 		mu.Lock()
 		defer mu.Unlock()
@@ -622,7 +622,7 @@
 			time.Sleep(patientParts * settle) // work that is worth waiting for a connection
 		}
 		answered[r.RemoteAddr] = time.Now()
-		testkit.OK(w, r)
+		testutil.OK(w, r)
 	})
 	n, _ := startReady(t, b)
 	for _, class := range []string{"read", "read", "pay", "pay", "read", "pay", "read"} {
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -16,7 +16,7 @@
 
 	"yokestall/internal/discovery"
 	"yokestall/internal/engine"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
@@ -236,7 +236,7 @@
 	}
 	cfg.Policy.NodeCount, cfg.Policy.Rules.MaxPollInterval = 300, mustAsk
 	clock := engine.NewClock()
-	m := &module{clock: clock, ctx: ctx, disco: newEndpointWatcher(cfg, clock, make(chan string), testkit.Quiet)}
+	m := &module{clock: clock, ctx: ctx, disco: newEndpointWatcher(cfg, clock, make(chan string), testutil.Quiet)}
 	m.disco.source.client = &http.Client{Transport: service}
 	m.disco.to = m
 	if m.balancer, err = policy.New(cfg.Policy, seed, m); err != nil {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // A node that stops serves on while its clients ask, for 500 ms at least (connections
@@ -56,11 +56,11 @@
 // deadline here is 8 s: 5 s lie between the kill and where the answer came without the cap.
 func TestStopCutsLongDeadlines(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, silent(make(chan struct{}, 1)))
+	b := testutil.NewBackend(t, silent(make(chan struct{}, 1)))
 	n, _ := startReady(t, b)
 	held := make(chan reply, 1)
 	go func() { held <- n.do(n.request("pay")) }()
-	testkit.Wait(t, b.Got, "the request")
+	testutil.Wait(t, b.Got, "the request")
 	n.stop()
 	late := time.After(6 * time.Second)
 	select {
@@ -71,7 +71,7 @@
 	case <-late:
 		t.Fatal("no answer when the node would have been killed for long")
 	}
-	if err := testkit.Wait(t, n.done, "the end"); err != nil {
+	if err := testutil.Wait(t, n.done, "the end"); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"yokestall/internal/discovery"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/policy"
 )
 
@@ -71,13 +71,13 @@
 // agent was heard waits for it, and does not go by the list that the configuration holds.
 func TestAgentGoesBeforeTheKnownList(t *testing.T) {
 	t.Parallel()
-	old, fresh := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	old, fresh := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 	addr, calls := agent(t)
 	n := told(t, addr, listOf(3, instanceAt(old, "s-old")), func(c *Config) {
 		c.terms = discovery.Pushed(c.DrainGrace)
-		c.terms.Start = testkit.Patience
+		c.terms.Start = testutil.Patience
 	})
-	first := testkit.Wait(t, calls, "the first call")
+	first := testutil.Wait(t, calls, "the first call")
 	if first.query != "after=3&wait_ms=1" {
 		t.Errorf("the first call asks for %q: it has to be answered at once", first.query)
 	}
@@ -103,17 +103,17 @@
 	for name, changed := range map[string]bool{"none": false, "one": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+			a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 			addr, calls := agent(t)
 			n := told(t, addr, listOf(3, instanceAt(a, "s-a"), instanceAt(b, "s-b")), func(c *Config) {
 				c.terms = discovery.Pushed(c.DrainGrace)
-				c.terms.Start, c.terms.Ready = 10*testkit.Patience, 20*testkit.Patience // the answer alone ends the wait
+				c.terms.Start, c.terms.Ready = 10*testutil.Patience, 20*testutil.Patience // the answer alone ends the wait
 			})
 			delta := known{Generation: 3, Instances: []discovery.Instance{}}
 			if changed {
 				delta = known{Generation: 4, Instances: []discovery.Instance{draining(instanceAt(a, "s-a"))}}
 			}
-			testkit.Wait(t, calls, "the first call").with <- delta
+			testutil.Wait(t, calls, "the first call").with <- delta
 			n.waitReady(http.StatusOK)
 			for range 40 {
 				if r := n.do(n.request("read")); r.status != http.StatusOK {
@@ -139,10 +139,10 @@
 // from neither serving nor being ready: the known list is all that there is.
 func TestAgentSilentAtTheStart(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	addr, calls := agent(t)
 	n := told(t, addr, listOf(3, instanceAt(b, "s-0")), nil)
-	testkit.Wait(t, calls, "the first call")
+	testutil.Wait(t, calls, "the first call")
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
 		t.Errorf("status %d", a.status)
@@ -156,17 +156,17 @@
 	for _, mode := range []string{"pushed", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+			a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 			addr, calls := agent(t)
 			cfg := testConfig(t, newRegistry(t), func(file map[string]any) {
 				file["discovery"] = addr
 				file["settings"] = jsonText(strings.Replace(settingsText, "pushed", mode, 1))
 			})
 			n := start(t, cfg)
-			testkit.Wait(t, calls, "the first call").with <- listOf(1, instanceAt(a, "s-a"), instanceAt(b, "s-b"))
+			testutil.Wait(t, calls, "the first call").with <- listOf(1, instanceAt(a, "s-a"), instanceAt(b, "s-b"))
 			n.waitReady(http.StatusOK)
-			silent := testkit.Wait(t, calls, "the watch")
-			look := testkit.Wait(t, calls, "a second look")
+			silent := testutil.Wait(t, calls, "the watch")
+			look := testutil.Wait(t, calls, "a second look")
 			select {
 			case <-silent.over:
 				t.Error("the watch was given up before it was looked again")
@@ -177,11 +177,11 @@
 			}
 			look.with <- listOf(2, draining(instanceAt(a, "s-a")), instanceAt(b, "s-b"))
 			for {
-				if next := testkit.Wait(t, calls, "the watch anew"); strings.HasPrefix(next.query, "after=2&") {
+				if next := testutil.Wait(t, calls, "the watch anew"); strings.HasPrefix(next.query, "after=2&") {
 					break
 				}
 			}
-			testkit.Wait(t, silent.over, "the silent call to be given up")
+			testutil.Wait(t, silent.over, "the silent call to be given up")
 			for range 20 {
 				n.do(n.request("read"))
 			}
@@ -196,15 +196,15 @@
 // return counts at once, and the calls that were open then may never be answered.
 func TestAgentSilentForLong(t *testing.T) {
 	t.Parallel()
-	b := testkit.NewBackend(t, testkit.OK)
+	b := testutil.NewBackend(t, testutil.OK)
 	addr, calls := agent(t)
 	n := told(t, addr, listOf(3, instanceAt(b, "s-0")), nil)
 	n.waitReady(http.StatusOK)
 	most := discovery.Pushed(0).Most
 	var open []agentCall
 	for range 4 * most {
-		open = append(open, testkit.Wait(t, calls, "a further look"))
-		testkit.Until(t, "no more calls than may be", func() bool {
+		open = append(open, testutil.Wait(t, calls, "a further look"))
+		testutil.Until(t, "no more calls than may be", func() bool {
 			open = slices.DeleteFunc(open, func(c agentCall) bool {
 				select {
 				case <-c.over:
@@ -216,7 +216,7 @@
 			return len(open) <= most
 		})
 	}
-	testkit.Until(t, "the news to be in force", func() bool {
+	testutil.Until(t, "the news to be in force", func() bool {
 		select {
 		case c := <-calls: // one that was given up by now takes no answer
 			c.with <- listOf(4)
@@ -229,19 +229,19 @@
 // While a new discovery is silent, as after SIGHUP, the old one is followed: what it tells counts.
 func TestOldDiscoveryUntilTheNewOneSpeaks(t *testing.T) {
 	t.Parallel()
-	a, b := testkit.NewBackend(t, testkit.OK), testkit.NewBackend(t, testkit.OK)
+	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 	oldAddr, old := agent(t)
 	newAddr, fresh := agent(t)
 	n := told(t, oldAddr, known{}, nil)
-	testkit.Wait(t, old, "the first call").with <- listOf(1, instanceAt(a, "s-a"), instanceAt(b, "s-b"))
+	testutil.Wait(t, old, "the first call").with <- listOf(1, instanceAt(a, "s-a"), instanceAt(b, "s-b"))
 	n.waitReady(http.StatusOK)
 	n.node.MoveDiscovery(newAddr)
-	first := testkit.Wait(t, fresh, "a call to the new one")
+	first := testutil.Wait(t, fresh, "a call to the new one")
 	if first.query != "" {
 		t.Errorf("the new one is asked for %q, not for all", first.query)
 	}
 	for {
-		c := testkit.Wait(t, old, "a call to the old one")
+		c := testutil.Wait(t, old, "a call to the old one")
 		if strings.HasPrefix(c.query, "after=1&") {
 			c.with <- listOf(2, draining(instanceAt(a, "s-a")), instanceAt(b, "s-b"))
 		} else if strings.HasPrefix(c.query, "after=2&") {
@@ -254,15 +254,15 @@
 	if len(a.Got) != 0 {
 		t.Errorf("%d sends to a server of whose drain the old one told", len(a.Got))
 	}
-	testkit.Until(t, "the new list to be in force", func() bool {
+	testutil.Until(t, "the new list to be in force", func() bool {
 		for len(fresh) > 0 { // those that were given up by now take no answer
 			(<-fresh).with <- listOf(7, instanceAt(a, "s-a"))
 		}
 		n.do(n.request("read"))
 		return len(a.Got) > 0
 	})
-	testkit.Until(t, "the new one to be watched", func() bool {
-		return strings.HasPrefix(testkit.Wait(t, fresh, "a watch").query, "after=7&")
+	testutil.Until(t, "the new one to be watched", func() bool {
+		return strings.HasPrefix(testutil.Wait(t, fresh, "a watch").query, "after=7&")
 	})
 }
 
--- a/internal/testkit/bodies.go
+++ b/internal/testutil/bodies.go
@@ -1,4 +1,4 @@
-package testkit
+package testutil
 
 import (
 	"io"
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"yokestall/internal/fake/keymaker"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 func authority(t testing.TB) *keymaker.Authority {
 	t.Helper()
@@ -133,11 +133,11 @@
 	if err := a.Write(folder, "a", "a.test"); err != nil {
 		t.Fatal(err)
 	}
-	store, err := Open(folder, "", testkit.Quiet)
+	store, err := Open(folder, "", testutil.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := tls.NewListener(testkit.Listen(t), store.Server(Clients{}, "http/1.1"))
+	l := tls.NewListener(testutil.Listen(t), store.Server(Clients{}, "http/1.1"))
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -219,7 +219,7 @@
 		}
 	}
 	os.WriteFile(filepath.Join(folder, "strange.ca"), stranger.PEM, 0o600)
-	store, err := Open(folder, "server.test", testkit.Log(t))
+	store, err := Open(folder, "server.test", testutil.Log(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,7 +252,7 @@
 			s.Close()
 			done <- err
 		}()
-		near.SetDeadline(time.Now().Add(testkit.Patience))
+		near.SetDeadline(time.Now().Add(testutil.Patience))
 		c := tls.Client(near, store.Client(tc.server))
 		err := c.Handshake()
 		if err == nil { // with TLS 1.3 the server's verdict on the client comes behind it
--- a/internal/upstream/h1client/httpup_test.go
+++ b/internal/upstream/h1client/httpup_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/policy"
 )
 
@@ -35,7 +35,7 @@
 
 // backend gives the address of a server, and what reaches it.
 func backend(t *testing.T, handle http.HandlerFunc) (string, chan *http.Request) {
-	b := testkit.NewBackend(t, handle)
+	b := testutil.NewBackend(t, handle)
 	return b.Addr(), b.Got
 }
 
@@ -77,11 +77,11 @@
 		"large head":            {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxAnswer+1), false, policy.ErrorResponse, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, conns := testkit.Script(t, c.answer, c.close)
+			addr, conns := testutil.Script(t, c.answer, c.close)
 			u, id := poolTo(addr)
 			for range 2 {
 				// What is spoilt has to be seen from itself: the call has no deadline that is near.
-				ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+				ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 				status, body := send(ctx, u, id)
 				if ctx.Err() != nil {
 					t.Error("waited for to the end of the request's time")
@@ -110,7 +110,7 @@
 	} {
 		for _, length := range []int{2, MaxBody + 1, 4 * MaxBody} {
 			t.Run(fmt.Sprintf("%.28q of %d", head, length), func(t *testing.T) {
-				addr, _ := testkit.Script(t, head+strings.Repeat("x", length), true)
+				addr, _ := testutil.Script(t, head+strings.Repeat("x", length), true)
 				u, id := poolTo(addr)
 				u.large = true
 				r := &Request{Method: "POST", Target: "/pay", Host: "x", Header: http.Header{}, Body: []byte("b")}
@@ -143,7 +143,7 @@
 }
 
 func TestConnectFailed(t *testing.T) {
-	u, id := poolTo(testkit.RefusingAddr(t))
+	u, id := poolTo(testutil.RefusingAddr(t))
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
 		t.Errorf("status %d", status)
 	}
@@ -155,7 +155,7 @@
 // A request that has its final answer while an attempt still waits for its
 // connection must not be sent any more.
 func TestNoSendAfterFinalAnswer(t *testing.T) {
-	addr, got := backend(t, testkit.OK)
+	addr, got := backend(t, testutil.OK)
 	u, id := poolTo(addr)
 	c := engine.NewCall(t.Context())
 	c.Revoke()
@@ -169,15 +169,15 @@
 }
 
 func TestIdleConnectionsRetire(t *testing.T) {
-	addr, conns := testkit.Script(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false)
+	addr, conns := testutil.Script(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false)
 	u, id := poolTo(addr)
 	u.idleFor = 20 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go u.Retire(ctx)
 	send(ctx, u, id)
-	testkit.Wait(t, conns, "a connection")
-	testkit.Until(t, "the idle connection to be closed", func() bool {
+	testutil.Wait(t, conns, "a connection")
+	testutil.Until(t, "the idle connection to be closed", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return u.open == 0
@@ -186,7 +186,7 @@
 
 // At the cap nothing is sent and nobody is blamed; an idle connection makes room.
 func TestCap(t *testing.T) {
-	addr, _ := backend(t, testkit.OK)
+	addr, _ := backend(t, testutil.OK)
 	u, id := poolTo(addr)
 	u.maxOpen = 1
 	u.open = 1 // one is in use
@@ -194,7 +194,7 @@
 		t.Errorf("status %d at the cap", status)
 	}
 	u.open = 0
-	other, _ := backend(t, testkit.OK)
+	other, _ := backend(t, testutil.OK)
 	u.Update(false, []Server{{ID: 2, Address: other}})
 	for _, to := range []policy.EndpointID{id, 2, id} {
 		if status, _ := send(t.Context(), u, to); status != policy.OK {
@@ -206,8 +206,8 @@
 // A server under the same id at another address, or with another start, is another
 // process: nothing of the former one's connections is used for it.
 func TestServerReplaced(t *testing.T) {
-	first, gotFirst := backend(t, testkit.OK)
-	second, gotSecond := backend(t, testkit.OK)
+	first, gotFirst := backend(t, testutil.OK)
+	second, gotSecond := backend(t, testutil.OK)
 	u, id := poolTo(first)
 	send(t.Context(), u, id)
 	u.Update(true, []Server{{ID: id, Address: second}})
@@ -260,7 +260,7 @@
 				done <- struct{}{}
 			})
 			u, id := poolTo(addr)
-			u.settle = testkit.Patience / 60
+			u.settle = testutil.Patience / 60
 			want := 1
 			if behind != nil {
 				want = 2
@@ -270,7 +270,7 @@
 					t.Errorf("status %d, body %q", status, body)
 				}
 				if behind != nil {
-					testkit.Wait(t, done, "what comes behind")
+					testutil.Wait(t, done, "what comes behind")
 				}
 			}
 			if len(from) != want {
@@ -282,7 +282,7 @@
 
 // A connection that ends before anything was written to it has carried nothing.
 func TestNewConnectionReset(t *testing.T) {
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	u, id := poolTo(l.Addr().String())
 	conn, _ := u.connect(engine.NewCall(t.Context()), id)
 	nc, err := l.Accept()
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	nc.Close()
-	testkit.Until(t, "the close to be seen", func() bool { return !Quiet(conn.Conn) })
+	testutil.Until(t, "the close to be seen", func() bool { return !Quiet(conn.Conn) })
 	conn.server.idle = append(conn.server.idle, conn) // for the next send, though never used
 	conn.since = time.Now()
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
@@ -300,7 +300,7 @@
 
 // An idle connection keeps no large request's buffer.
 func TestIdleConnectionsKeepLittle(t *testing.T) {
-	addr, _ := backend(t, testkit.OK)
+	addr, _ := backend(t, testutil.OK)
 	u, id := poolTo(addr)
 	r := &Request{Method: "POST", Target: "/", Host: "x", Header: http.Header{}, Body: make([]byte, MaxBody)}
 	if res := u.Exchange(engine.NewCall(t.Context()), id, r, time.Minute); res.Status != policy.OK {
@@ -349,7 +349,7 @@
 // A connection that comes up late, behind its time-out, carries nothing: the attempt counts as never
 // run, its descriptor is free at once, and what comes up all the same is closed.
 func TestConnectionComesUpTooLate(t *testing.T) {
-	l := testkit.Listen(t)
+	l := testutil.Listen(t)
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/upstream/h1client/main_test.go
+++ b/internal/upstream/h1client/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
--- a/internal/upstream/h1client/upload_test.go
+++ b/internal/upstream/h1client/upload_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 )
 
 // parts gives a body in drawn pieces with pauses, and then an error.
@@ -117,5 +117,5 @@
 		all.Wait()
 		close(ended)
 	}()
-	testkit.Wait(t, ended, "all waits to end")
+	testutil.Wait(t, ended, "all waits to end")
 }
--- a/internal/upstream/h2client/h2up_test.go
+++ b/internal/upstream/h2client/h2up_test.go
@@ -11,17 +11,17 @@
 	"golang.org/x/net/http2"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/upstream/h1client"
 	"yokestall/policy"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 // scripted is a server that reads each connection's start and does something at each request.
 func scripted(t testing.TB, streams uint32, at func(f *http2.Framer, nc net.Conn, stream uint32)) (addr string, conns func() int) {
 	count := make(chan int, 100)
-	addr = testkit.Accept(t, func(nc net.Conn) {
+	addr = testutil.Accept(t, func(nc net.Conn) {
 		count <- 1
 		io.ReadFull(nc, make([]byte, len(http2.ClientPreface)))
 		f := http2.NewFramer(nc, nc)
@@ -71,10 +71,10 @@
 		{"a malformed frame", func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Write([]byte{0, 0, 1, 0, 0, 0, 0, 0, 0, 1}) }, policy.Reset},
 	} {
 		addr, _ := scripted(t, 1, tc.at)
-		u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 10})
+		u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 10})
 		u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
 		q := &h1client.Request{Method: "POST", Target: "/x", Host: "a", Header: http.Header{}, Body: []byte("b")}
-		if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testkit.Patience); res.Status != tc.want {
+		if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != tc.want {
 			t.Errorf("%s: status %v, want %v", tc.name, res.Status, tc.want)
 		}
 		u.Update(true, nil)
@@ -86,31 +86,31 @@
 func TestStreamLimit(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 1, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 100})
+	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 100})
 	u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 10)
 	for range h2PerServer {
-		go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testkit.Patience).Status }()
-		testkit.Wait(t, held, "a stream to be open")
+		go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.Patience).Status }()
+		testutil.Wait(t, held, "a stream to be open")
 	}
-	if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testkit.Patience); res.Status != policy.Rejected || conns() != h2PerServer {
+	if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != policy.Rejected || conns() != h2PerServer {
 		t.Errorf("status %v with %d connections", res.Status, conns())
 	}
 	leave()
 	for range h2PerServer {
-		if s := testkit.Wait(t, ended, "the end of those given up"); s != policy.Cancelled {
+		if s := testutil.Wait(t, ended, "the end of those given up"); s != policy.Cancelled {
 			t.Errorf("given up: status %v", s)
 		}
 	}
 	ctx, leave = context.WithCancel(t.Context())
-	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testkit.Patience).Status }()
-	testkit.Wait(t, held, "another stream")
+	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.Patience).Status }()
+	testutil.Wait(t, held, "another stream")
 	leave()
-	testkit.Wait(t, ended, "its end")
+	testutil.Wait(t, ended, "its end")
 	u.Update(true, nil)
-	testkit.Until(t, "all connections to end", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.open == 0 })
+	testutil.Until(t, "all connections to end", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.open == 0 })
 }
 
 // What finds a connection and may not be sent any more, as behind an answer that came
@@ -118,22 +118,22 @@
 func TestUnsentKeepsNoPlace(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 2, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testkit.Patience, MaxOpen: 100})
+	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 100})
 	u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 1)
-	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testkit.Patience).Status }()
-	testkit.Wait(t, held, "a stream to be open")
+	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.Patience).Status }()
+	testutil.Wait(t, held, "a stream to be open")
 	given := engine.NewCall(t.Context())
 	given.Revoke()
 	for range 5 {
-		if res := u.Exchange(given, 1, q, testkit.Patience); res.Status != policy.NeverSent || conns() != 1 {
+		if res := u.Exchange(given, 1, q, testutil.Patience); res.Status != policy.NeverSent || conns() != 1 {
 			t.Errorf("status %v with %d connections", res.Status, conns())
 		}
 	}
 	leave()
-	testkit.Wait(t, ended, "the end of the first")
+	testutil.Wait(t, ended, "the end of the first")
 	u.Update(true, nil)
 }
 
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -14,11 +14,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"yokestall/internal/fake/controlplane"
-	"yokestall/internal/testkit"
+	"yokestall/internal/testutil"
 	"yokestall/internal/xds/ads"
 )
 
-func TestMain(m *testing.M) { testkit.Main(m) }
+func TestMain(m *testing.M) { testutil.Main(m) }
 
 const clusterURL = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 
@@ -49,8 +49,8 @@
 }
 
 // run follows planes; seen waits until a cluster is in force.
-func run(t *testing.T, c Config) (seen func(name string), logs *testkit.Logs) {
-	logs = testkit.NewLogs(t)
+func run(t *testing.T, c Config) (seen func(name string), logs *testutil.Logs) {
+	logs = testutil.NewLogs(t)
 	c.Backoff = ads.Backoff{Base: 5 * time.Millisecond, Max: 50 * time.Millisecond, Prefer: c.Backoff.Prefer}
 	if c.Backoff.Prefer == 0 {
 		c.Backoff.Prefer = time.Hour
@@ -73,7 +73,7 @@
 	t.Cleanup(func() { stop(); running.Wait() })
 	return func(name string) {
 		t.Helper()
-		testkit.Until(t, "cluster "+name, func() bool { mu.Lock(); defer mu.Unlock(); return all[name] })
+		testutil.Until(t, "cluster "+name, func() bool { mu.Lock(); defer mu.Unlock(); return all[name] })
 	}, logs
 }
 
@@ -87,7 +87,7 @@
 			first, second := plane(t, "of-first"), plane(t, "of-second")
 			first.Misbehave(controlplane.Silent)
 			seen, logs := run(t, Config{
-				Servers: []string{first.Addr(), testkit.RefusingAddr(t), second.Addr()}, Variant: variant,
+				Servers: []string{first.Addr(), testutil.RefusingAddr(t), second.Addr()}, Variant: variant,
 				Answer: 50 * time.Millisecond, Backoff: ads.Backoff{Prefer: 200 * time.Millisecond},
 			})
 			seen("of-second")
--- a/internal/xds/golden_test.go
+++ b/internal/xds/golden_test.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"yokestall/internal/testkit/golden"
+	"yokestall/internal/testutil/golden"
 	"yokestall/internal/xds/ads"
 )
 
