--- a/internal/abuse/abuse.go
+++ b/internal/stress/badpeers/abuse.go
@@ -1,9 +1,9 @@
-// Package abuse is a rig that puts the program between clients and servers that mean it ill, or
+// Package badpeers is a rig that puts the program between clients and servers that mean it ill, or
 // are many, or large, and counts what came of it: every way in which both sides speak, in one
 // process, on loopback. It ends by itself.
 //
-//	go run ./internal/abuse/run [-requests N] [-connections N] [-megabytes N] [-resets N]
-package abuse
+//	go run ./internal/stress/badpeers/run [-requests N] [-connections N] [-megabytes N] [-resets N]
+package badpeers
 
 import (
 	"context"
--- a/internal/abuse/run/main.go
+++ b/internal/stress/badpeers/run/main.go
@@ -1,4 +1,4 @@
-// Command run plays the rig of internal/abuse and exits with 1 if anything broke.
+// Command run plays the rig of internal/stress/badpeers and exits with 1 if anything broke.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"os/signal"
 	"strconv"
 
-	"yokestall/internal/abuse"
+	"yokestall/internal/stress/badpeers"
 )
 
 func main() {
@@ -24,7 +24,7 @@
 		}
 		return
 	}
-	o := abuse.Options{Out: os.Stdout, Log: slog.New(slog.DiscardHandler), Crowd: crowd}
+	o := badpeers.Options{Out: os.Stdout, Log: slog.New(slog.DiscardHandler), Crowd: crowd}
 	flag.IntVar(&o.Requests, "requests", 20_000, "mixed faults: `N` requests; 0: not at all")
 	flag.IntVar(&o.Largest, "largest", 100<<20, "bytes of their largest body")
 	flag.IntVar(&o.Connections, "connections", 1000, "idle HTTP/2 connections; each takes a descriptor here and one in the clients' process")
@@ -33,7 +33,7 @@
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	found, err := abuse.Run(ctx, o)
+	found, err := badpeers.Run(ctx, o)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "abuse:", err)
 	}
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	leave, err := abuse.Crowd(addr, n)
+	leave, err := badpeers.Crowd(addr, n)
 	if err != nil {
 		return err
 	}
--- a/internal/abuse/scenarios.go
+++ b/internal/stress/badpeers/scenarios.go
@@ -1,4 +1,4 @@
-package abuse
+package badpeers
 
 import (
 	"bytes"
