--- a/internal/downstream/extproc/extproc_test.go
+++ b/internal/downstream/extproc/extproc_test.go
@@ -24,7 +24,6 @@
 	"google.golang.org/protobuf/types/known/structpb"
 
 	"yokestall/internal/app"
-	"yokestall/internal/callers"
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
 	"yokestall/internal/downstream/extproc"
@@ -32,6 +31,7 @@
 	"yokestall/internal/fake/keymaker"
 	"yokestall/internal/fake/proxy"
 	"yokestall/internal/files"
+	"yokestall/internal/stress/callers"
 	"yokestall/internal/testutil"
 	"yokestall/internal/tlskeys"
 )
--- a/internal/callers/callers.go
+++ b/internal/stress/callers/callers.go
@@ -2,7 +2,7 @@
 // servers that die and drain, and counts what came of each request against what the servers saw.
 // All is in one process, on loopback, and ends by itself.
 //
-//	go run ./internal/callers/run [-requests N]
+//	go run ./internal/stress/callers/run [-requests N]
 package callers
 
 import (
--- a/internal/callers/run/main.go
+++ b/internal/stress/callers/run/main.go
@@ -1,4 +1,4 @@
-// Command run plays the rig of internal/callers and exits with 1 if anything broke; with -bench it
+// Command run plays the rig of internal/stress/callers and exits with 1 if anything broke; with -bench it
 // compares the processor with an empty one instead.
 package main
 
@@ -10,7 +10,7 @@
 	"os"
 	"os/signal"
 
-	"yokestall/internal/callers"
+	"yokestall/internal/stress/callers"
 )
 
 func main() {
