--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts instances of the decision module on the simulator's
+// Command simulator-adapter hosts instances of the decision module on the simulator's
 // wire: batches of events on standard input, one reply each on standard output.
 package main
 
@@ -17,7 +17,7 @@
 func main() {
 	debug.SetGCPercent(800) // the live heap is small; collections are metered
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
@@ -78,7 +78,7 @@
 func (h *host) handle(b *simulator.Batch, e *simulator.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			fmt.Fprintf(os.Stderr, "wirehost: batch %d: panic: %v\n%s", b.Number, p, debug.Stack())
+			fmt.Fprintf(os.Stderr, "simulator-adapter: batch %d: panic: %v\n%s", b.Number, p, debug.Stack())
 			h.reply.Fatal(fmt.Sprintf("panic: %v", p))
 		}
 	}()
--- a/internal/downstream/extproc/fields_test.go
+++ b/internal/downstream/extproc/fields_test.go
@@ -116,7 +116,7 @@
 	if n := (&pb.ProcessingRequest{}).ProtoReflect().Descriptor().Oneofs().ByName(protoreflect.Name("request")).Fields().Len(); n != len(kindNames)-1 {
 		t.Errorf("%d kinds of messages; the machine knows %d", n, len(kindNames)-1)
 	}
-	const path = "../../docs/extproc-fields.md"
+	const path = "../../../docs/extproc-fields.md"
 	if os.Getenv("YOKESTALL_WRITE") != "" {
 		if err := os.WriteFile(path, []byte(page.String()), 0o644); err != nil {
 			t.Fatal(err)
