--- a/policy/policy.go
+++ b/policy/policy.go
@@ -303,7 +303,7 @@
 				b.late = append(b.late, s)
 			}
 		} else if s.breaker == halfOpen && s.trial == nil &&
-			(r.class.Idempotency != NotIdempotent || now > s.reopenAt+s.openFor) { // others when no other came
+			(r.class.Idempotency != NotIdempotent || now > s.reopenAt+s.openFor) { // else the last resort
 			return s
 		}
 	}
