--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -9,13 +9,14 @@
 	"yokestall/policy"
 )
 
-// ms reads a time in milliseconds; it stays at its default where a key is absent.
-type ms struct {
+// optionalDuration is a time that the protocol gives in milliseconds; it stays at its default where a key is absent.
+type optionalDuration struct {
 	value time.Duration
 	given bool
 }
 
-func (m *ms) UnmarshalJSON(text []byte) error {
+// UnmarshalJSON implements json.Unmarshaler.
+func (m *optionalDuration) UnmarshalJSON(text []byte) error {
 	if string(text) == "null" {
 		return nil
 	}
@@ -31,40 +32,59 @@
 	return nil
 }
 
-func (m ms) or(d time.Duration) time.Duration {
+// or gives the time, or the default where the key is absent.
+func (m optionalDuration) or(d time.Duration) time.Duration {
 	if m.given {
 		return m.value
 	}
 	return d
 }
 
-type settingsJSON struct {
-	Accounts  []struct{ QuotaPerS float64 }
-	Balancers *int
-	Classes   []struct {
-		DeadlineMs, PromiseMs, KeyTtlMs ms
-		AimStretch, LateWorth           float64
-		Importance                      *float64
-		Effect, DedupScope              string
-		Streaming                       bool
-	}
-	Contract struct {
-		ColdFrom, FallMultiple      *float64
-		ColdMs, FallMs, MustAskInMs ms
-		GraceToAnswerMs             ms
-	}
-	CountedBy  string
-	Deductions struct{ Handshake, Waste float64 }
-	Limits     struct {
-		Cancel, RetryAfter, SecondCopies bool
-		MaxAttempts                      *int
-		MaxRetryAfterMs                  ms
-	}
-	Locality       int
-	Me             int
-	OverShareWorth *float64
-	RegistryMode   string
-	TickMs         ms
+// settingsMessage is an instance's settings in the protocol's form. The tags are the protocol's names.
+type settingsMessage struct {
+	Tenants []struct {
+		QuotaPerS float64 `json:"QuotaPerS"` // requests a second
+	} `json:"Accounts"`
+	NodeCount *int           `json:"Balancers"`
+	Classes   []classMessage `json:"Classes"`
+	Rules     struct {
+		SlowStartMinCapacity *float64         `json:"ColdFrom"`
+		OverloadMultiple     *float64         `json:"FallMultiple"`
+		SlowStartWindow      optionalDuration `json:"ColdMs"`
+		OverloadDuration     optionalDuration `json:"FallMs"`
+		MaxPollInterval      optionalDuration `json:"MustAskInMs"`
+		AnswerGrace          optionalDuration `json:"GraceToAnswerMs"`
+	} `json:"Contract"`
+	WeightUnit string `json:"CountedBy"`
+	Costs      struct {
+		NewConnection float64 `json:"Handshake"`
+		WastedWork    float64 `json:"Waste"`
+	} `json:"Deductions"`
+	Limits struct {
+		AllowCancel     bool             `json:"Cancel"`
+		AllowRetryAfter bool             `json:"RetryAfter"`
+		AllowHedging    bool             `json:"SecondCopies"`
+		MaxAttempts     *int             `json:"MaxAttempts"`
+		MaxRetryAfter   optionalDuration `json:"MaxRetryAfterMs"`
+	} `json:"Limits"`
+	Zone            int              `json:"Locality"`
+	NodeIndex       int              `json:"Me"`
+	OverQuotaWeight *float64         `json:"OverShareWorth"`
+	DiscoveryMode   string           `json:"RegistryMode"`
+	Tick            optionalDuration `json:"TickMs"`
+}
+
+// classMessage is a class of requests in the protocol's form.
+type classMessage struct {
+	Deadline            optionalDuration `json:"DeadlineMs"`
+	LatencyObjective    optionalDuration `json:"PromiseMs"`
+	DedupWindow         optionalDuration `json:"KeyTtlMs"`
+	ObjectiveWorkFactor float64          `json:"AimStretch"`
+	LateWeight          float64          `json:"LateWorth"`
+	PriorityWeight      *float64         `json:"Importance"`
+	Idempotency         string           `json:"Effect"`
+	DedupScope          string           `json:"DedupScope"`
+	Stream              bool             `json:"Streaming"`
 }
 
 // set replaces a default by what was given.
@@ -75,50 +95,34 @@
 }
 
 // ParseSettings reads an instance's settings. Unknown keys are skipped and
-// absent ones keep policy.Defaults; a class without an effect counts as unsafe.
+// absent ones keep policy.Defaults; a class without an effect is not idempotent.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	s := policy.Defaults()
-	var j settingsJSON
-	if err := json.Unmarshal(text, &j); err != nil {
+	var m settingsMessage
+	if err := json.Unmarshal(text, &m); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
 	}
-	set(&s.NodeCount, j.Balancers)
-	set(&s.OverQuotaWeight, j.OverShareWorth)
-	set(&s.Limits.MaxAttempts, j.Limits.MaxAttempts)
-	set(&s.Rules.SlowStartMinCapacity, j.Contract.ColdFrom)
-	set(&s.Rules.OverloadMultiple, j.Contract.FallMultiple)
-	s.NodeIndex = j.Me
-	s.Zone = j.Locality
-	s.WeightPerWork = j.CountedBy == "work"
-	s.Limits.AllowCancel, s.Limits.AllowHedging = j.Limits.Cancel, j.Limits.SecondCopies
-	if j.Limits.RetryAfter {
-		s.Limits.MaxRetryAfter = j.Limits.MaxRetryAfterMs.or(0)
-	}
-	s.Rules.SlowStartWindow = j.Contract.ColdMs.or(s.Rules.SlowStartWindow)
-	s.Rules.OverloadDuration = j.Contract.FallMs.or(s.Rules.OverloadDuration)
-	s.Rules.AnswerGrace = j.Contract.GraceToAnswerMs.or(s.Rules.AnswerGrace)
-	s.Costs = policy.Costs{NewConnection: j.Deductions.Handshake, WastedWork: j.Deductions.Waste}
-	s.Tick = j.TickMs.or(s.Tick)
-	s.Rules.MaxPollInterval = j.Contract.MustAskInMs.or(s.Rules.MaxPollInterval)
+	set(&s.NodeCount, m.NodeCount)
+	set(&s.OverQuotaWeight, m.OverQuotaWeight)
+	s.NodeIndex = m.NodeIndex
+	s.Zone = m.Zone
+	s.WeightPerWork = m.WeightUnit == "work"
+	s.Costs = policy.Costs{NewConnection: m.Costs.NewConnection, WastedWork: m.Costs.WastedWork}
+	s.Tick = m.Tick.or(s.Tick)
+	m.setLimits(&s.Limits)
+	m.setRules(&s.Rules)
 	var ok bool
-	if s.PollEndpoints, ok = word(j.RegistryMode, registries); !ok {
-		return s, fmt.Errorf("settings: RegistryMode: unknown word %q", j.RegistryMode)
+	if s.PollEndpoints, ok = pollsByMode[m.DiscoveryMode]; !ok {
+		return s, fmt.Errorf("settings: RegistryMode: unknown word %q", m.DiscoveryMode)
 	}
-	for i, c := range j.Classes {
-		p := policy.Class{
-			Deadline: c.DeadlineMs.or(0), LatencyObjective: c.PromiseMs.or(c.DeadlineMs.or(0)), ObjectiveWorkFactor: c.AimStretch,
-			LateWeight: c.LateWorth, PriorityWeight: 1, DedupWindow: c.KeyTtlMs.or(0), Stream: c.Streaming,
+	for i := range m.Classes {
+		class, err := m.Classes[i].class(fmt.Sprintf("settings: Classes[%d]", i))
+		if err != nil {
+			return s, err
 		}
-		set(&p.PriorityWeight, c.Importance)
-		if p.Idempotency, ok = word(c.Effect, effects); !ok {
-			return s, fmt.Errorf("settings: Classes[%d].Effect: unknown word %q", i, c.Effect)
-		}
-		if p.DedupScope, ok = word(c.DedupScope, scopes); !ok {
-			return s, fmt.Errorf("settings: Classes[%d].DedupScope: unknown word %q", i, c.DedupScope)
-		}
-		s.Classes = append(s.Classes, p)
+		s.Classes = append(s.Classes, class)
 	}
-	for _, t := range j.Accounts {
+	for _, t := range m.Tenants {
 		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: t.QuotaPerS})
 	}
 	if math.IsNaN(s.OverQuotaWeight) {
@@ -127,18 +131,52 @@
 	return s, nil
 }
 
-var effects = map[string]policy.Idempotency{
+// setLimits takes over what the site permits.
+func (m *settingsMessage) setLimits(to *policy.Limits) {
+	set(&to.MaxAttempts, m.Limits.MaxAttempts)
+	to.AllowCancel, to.AllowHedging = m.Limits.AllowCancel, m.Limits.AllowHedging
+	if m.Limits.AllowRetryAfter {
+		to.MaxRetryAfter = m.Limits.MaxRetryAfter.or(0)
+	}
+}
+
+// setRules takes over the figures of the service's rules.
+func (m *settingsMessage) setRules(to *policy.Rules) {
+	set(&to.SlowStartMinCapacity, m.Rules.SlowStartMinCapacity)
+	set(&to.OverloadMultiple, m.Rules.OverloadMultiple)
+	to.SlowStartWindow = m.Rules.SlowStartWindow.or(to.SlowStartWindow)
+	to.OverloadDuration = m.Rules.OverloadDuration.or(to.OverloadDuration)
+	to.AnswerGrace = m.Rules.AnswerGrace.or(to.AnswerGrace)
+	to.MaxPollInterval = m.Rules.MaxPollInterval.or(to.MaxPollInterval)
+}
+
+// class gives the class in policy's terms; place says in errors where in the settings it stands.
+func (m *classMessage) class(place string) (policy.Class, error) {
+	deadline := m.Deadline.or(0)
+	c := policy.Class{
+		Deadline: deadline, LatencyObjective: m.LatencyObjective.or(deadline), ObjectiveWorkFactor: m.ObjectiveWorkFactor,
+		LateWeight: m.LateWeight, PriorityWeight: 1, DedupWindow: m.DedupWindow.or(0), Stream: m.Stream,
+	}
+	set(&c.PriorityWeight, m.PriorityWeight)
+	var ok bool
+	if c.Idempotency, ok = idempotencies[m.Idempotency]; !ok {
+		return c, fmt.Errorf("%s.Effect: unknown word %q", place, m.Idempotency)
+	}
+	if c.DedupScope, ok = scopes[m.DedupScope]; !ok {
+		return c, fmt.Errorf("%s.DedupScope: unknown word %q", place, m.DedupScope)
+	}
+	return c, nil
+}
+
+// idempotencies maps the protocol's words for the effect of a repeat.
+var idempotencies = map[string]policy.Idempotency{
 	"pure": policy.Idempotent, "token": policy.IdempotentByKey, "side_effect": policy.NotIdempotent, "": policy.NotIdempotent,
 }
 
-var registries = map[string]bool{"": false, "pushed": false, "on_request": true}
+// pollsByMode maps the ways in which endpoint lists come to whether they have to be polled.
+var pollsByMode = map[string]bool{"": false, "pushed": false, "on_request": true}
 
-// An absent scope is the narrowest.
+// scopes maps the protocol's words for the endpoints that drop a repeat; an absent one is the narrowest.
 var scopes = map[string]policy.Scope{
 	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell, "": policy.ScopeCell,
 }
-
-func word[T any](w string, words map[string]T) (T, bool) {
-	v, ok := words[w]
-	return v, ok
-}
