--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -17,7 +17,7 @@
 func versionsRun(seed uint64) lab.Versions {
 	return lab.Versions{
 		Seed: seed, Nodes: 5, Voters: 3, Boxes: 4, Count: 21, Length: 6 * time.Second, Faults: 6, Rate: 150, Clocks: true,
-		Terms: lease.LeaseConfig{Duration: 600 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 250 * time.Millisecond},
+		Terms: lease.Config{Duration: 600 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 250 * time.Millisecond},
 	}
 }
 
--- a/internal/app/bounds_test.go
+++ b/internal/app/bounds_test.go
@@ -20,7 +20,7 @@
 // ends the stream at its server.
 func TestListenerBounds(t *testing.T) {
 	over := make(chan struct{}, 1)
-	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		for part := make([]byte, 64<<10); ; {
 			if _, err := w.Write(part); err != nil {
 				over <- struct{}{}
--- a/internal/app/http_test.go
+++ b/internal/app/http_test.go
@@ -192,7 +192,7 @@
 func TestBackPressure(t *testing.T) {
 	var written atomic.Int64
 	over := make(chan struct{})
-	s := behind(t, func(w http.ResponseWriter, r *http.Request) {
+	s := behind(t, func(w http.ResponseWriter, _ *http.Request) {
 		defer close(over)
 		part := make([]byte, 64<<10)
 		for range 1 << 14 { // 1 GB
--- a/internal/app/once_test.go
+++ b/internal/app/once_test.go
@@ -178,7 +178,7 @@
 		t.Run("late "+late, func(t *testing.T) {
 			var runs atomic.Int64
 			begun, answer := make(chan struct{}, 1), make(chan struct{})
-			box := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			box := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				runs.Add(1)
 				begun <- struct{}{}
 				<-answer
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -136,8 +136,8 @@
 		name string
 		send func(f *http2.Framer, i int) error
 	}{
-		{"pings", func(f *http2.Framer, i int) error { return f.WritePing(false, [8]byte{}) }},
-		{"settings", func(f *http2.Framer, i int) error { return f.WriteSettings() }},
+		{"pings", func(f *http2.Framer, _ int) error { return f.WritePing(false, [8]byte{}) }},
+		{"settings", func(f *http2.Framer, _ int) error { return f.WriteSettings() }},
 		{"empty data", func(f *http2.Framer, i int) error {
 			if i == 0 {
 				return f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, EndHeaders: true,
@@ -202,7 +202,7 @@
 // when their stream does.
 func TestMoveIsTold(t *testing.T) {
 	hold := make(chan struct{})
-	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		<-hold
 		w.Write(bytes.Repeat([]byte("x"), 1000))
 	})
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -19,9 +19,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	write := func(old, new string) string {
+	write := func(former, latter string) string {
 		path := filepath.Join(t.TempDir(), "yokestall.toml")
-		changed := strings.Replace(string(text), old, new, 1)
+		changed := strings.Replace(string(text), former, latter, 1)
 		changed = strings.Replace(changed, `clusters = "clusters"`, `clusters = "`+clusters+`"`, 1)
 		if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -171,11 +171,11 @@
 	if err != nil {
 		return false, err
 	}
-	real, found, void, err := lab.Fleet(ctx, e, dir, []string{itself}, nil)
+	processes, found, void, err := lab.Fleet(ctx, e, dir, []string{itself}, nil)
 	if err != nil {
 		return false, err
 	}
-	return printBeside(out, e, virtual, real, found, void), nil
+	return printBeside(out, e, virtual, processes, found, void), nil
 }
 
 // playReal plays one day on sockets; false: it does not hold what its file states, or the run says nothing.
@@ -188,19 +188,19 @@
 	if err != nil {
 		return false, err
 	}
-	real, void, err := lab.Real(ctx, e, slog.New(slog.DiscardHandler))
+	sockets, void, err := lab.Real(ctx, e, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return false, err
 	}
-	held := printBeside(out, e, virtual, real, real.Broken(), void)
+	held := printBeside(out, e, virtual, sockets, sockets.Broken(), void)
 	fmt.Fprintln(out)
 	return held, nil
 }
 
 // printBeside prints a day's outcome in real time beside that in virtual time, and whether the former holds.
-func printBeside[T any](out io.Writer, e *lab.Experiment, virtual, real *lab.Outcome, broken []T, void bool) (held bool) {
+func printBeside[T any](out io.Writer, e *lab.Experiment, virtual, realTime *lab.Outcome, broken []T, void bool) (held bool) {
 	fmt.Fprintln(out, e.Summary())
-	lab.Table(out, []*lab.Outcome{virtual, real})
+	lab.Table(out, []*lab.Outcome{virtual, realTime})
 	for _, b := range broken {
 		fmt.Fprintln(out, "NOT HELD:", b)
 	}
--- a/internal/cli/versions.go
+++ b/internal/cli/versions.go
@@ -17,7 +17,7 @@
 
 // labVersions plays processes that agree on versions while parts of them fail.
 func labVersions(out io.Writer) *cobra.Command {
-	v := lab.Versions{Terms: lease.LeaseConfig{ApplyTimeout: 250 * time.Millisecond}}
+	v := lab.Versions{Terms: lease.Config{ApplyTimeout: 250 * time.Millisecond}}
 	first, seeds := uint64(1), 3
 	c := &cobra.Command{
 		Use:   "versions",
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -304,14 +304,14 @@
 // Compare gives the difference between two versions of a cluster whose endpoints are
 // sorted, as Check leaves them; nil stands for a cluster with none. Its cost is one
 // pass over both, with memory for what differs only.
-func Compare(old, new *Cluster) Delta {
+func Compare(before, after *Cluster) Delta {
 	var d Delta
 	var a, b []Endpoint
-	if old != nil {
-		a = old.Endpoints
+	if before != nil {
+		a = before.Endpoints
 	}
-	if new != nil {
-		b = new.Endpoints
+	if after != nil {
+		b = after.Endpoints
 	}
 	if len(a) > 0 && len(a) == len(b) && &a[0] == &b[0] {
 		return d // the same version
@@ -345,13 +345,13 @@
 // maxShare (0 to 1) of a cluster's endpoints at once, by removal or by drain, is not to
 // be taken unless the cluster says by ShrinkTo or Empty that it is meant. A single
 // endpoint may always go, unless it is the last.
-func Review(old, new *Version, maxShare float64) error {
-	if old == nil {
+func Review(inForce, candidate *Version, maxShare float64) error {
+	if inForce == nil {
 		return nil
 	}
 	var found []error
-	for _, name := range slices.Sorted(maps.Keys(old.Clusters)) {
-		before, after := old.Clusters[name], new.Clusters[name]
+	for _, name := range slices.Sorted(maps.Keys(inForce.Clusters)) {
+		before, after := inForce.Clusters[name], candidate.Clusters[name]
 		if before == after {
 			continue
 		}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -25,7 +25,7 @@
 		change func(c *Cluster)
 		want   string // "" for nothing wrong
 	}{
-		"good":               {func(c *Cluster) {}, ""},
+		"good":               {func(*Cluster) {}, ""},
 		"no name":            {func(c *Cluster) { c.Name = "" }, "name: is missing"},
 		"long name":          {func(c *Cluster) { c.Name = strings.Repeat("x", MaxName+1) }, "name: is longer"},
 		"name with space":    {func(c *Cluster) { c.Name = "a b" }, "character"},
@@ -55,7 +55,7 @@
 		t.Run(name, func(t *testing.T) {
 			cl := named("rooms", endpoints(3))
 			c.change(cl)
-			err := cl.Check(func(i int, field string) int { return 10 + i })
+			err := cl.Check(func(i int, _ string) int { return 10 + i })
 			switch {
 			case c.want == "" && err != nil:
 				t.Errorf("error %v", err)
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -20,7 +20,7 @@
 	Voters       []Voter
 	Roots        string // to which other nodes' certificates have to lead; "": clear text, on loopback alone
 	Shows        string // the pair that is shown to them
-	Lease        lease.LeaseConfig
+	Lease        lease.Config
 	Disconnected lease.DisconnectedPolicy
 }
 
@@ -63,7 +63,7 @@
 	}
 	a := &p.Agree
 	*a = Agree{Name: f.Name, Node: f.Node, Folder: f.Folder, Listen: f.Listen, Roots: f.Roots, Shows: f.Shows,
-		Lease: lease.LeaseConfig{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration}}
+		Lease: lease.Config{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration}}
 	for _, n := range []struct{ key, name string }{{"name", f.Name}, {"node", f.Node}} {
 		if n.name == "" || len(n.name) > cluster.MaxName {
 			report(agreeTable, -1, n.key, "1 to %d bytes", cluster.MaxName)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -85,11 +85,11 @@
 
 func TestClusterFaults(t *testing.T) {
 	good := string(example(t, "clusters/rooms.toml"))
-	change := func(old, new string) string {
-		if !strings.Contains(good, old) {
-			t.Fatalf("%q does not stand in the example", old)
+	change := func(former, latter string) string {
+		if !strings.Contains(good, former) {
+			t.Fatalf("%q does not stand in the example", former)
 		}
-		return strings.Replace(good, old, new, 1)
+		return strings.Replace(good, former, latter, 1)
 	}
 	for name, c := range map[string]struct{ text, want string }{
 		"empty":             {"", "rooms.toml:1: is not whole"},
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -60,7 +60,7 @@
 			err = errors.Join(err, n.close())
 		}
 	}()
-	t := lease.LeaseConfig{Duration: o.Lease, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
+	t := lease.Config{Duration: o.Lease, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
 	var voters []agent.Voter
 	for i := range fleetNodes {
 		n := &fleetNode{name: string(rune('a' + i))}
@@ -108,7 +108,7 @@
 }
 
 // open opens a node with a link to each voter but itself.
-func (n *fleetNode) open(dir string, t lease.LeaseConfig, voters []agent.Voter, votes bool) error {
+func (n *fleetNode) open(dir string, t lease.Config, voters []agent.Voter, votes bool) error {
 	c := agent.Config{
 		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: t, Log: slog.New(slog.DiscardHandler),
 		Disconnected: lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious},
--- a/internal/downstream/extproc/extproc_test.go
+++ b/internal/downstream/extproc/extproc_test.go
@@ -339,13 +339,13 @@
 		path  string
 		leave func(s grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse], cancel func())
 	}{
-		{"before the decision", "/pick/pay/x", func(s grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse], cancel func()) { cancel() }},
-		{"while carried", "/pay/x", func(s grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse], cancel func()) { cancel() }},
+		{"before the decision", "/pick/pay/x", func(_ grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse], cancel func()) { cancel() }},
+		{"while carried", "/pay/x", func(_ grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse], cancel func()) { cancel() }},
 		{"after the decision", "/pick/pay/x", func(s grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse], cancel func()) {
 			s.Recv()
 			cancel()
 		}},
-		{"in order, with no word", "/pick/pay/x", func(s grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse], cancel func()) {
+		{"in order, with no word", "/pick/pay/x", func(s grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse], _ func()) {
 			s.Recv()
 			s.CloseSend()
 			s.Recv()
@@ -781,7 +781,7 @@
 func TestEndWithStreamsOpen(t *testing.T) {
 	hold := make(chan struct{})
 	let := sync.OnceFunc(func() { close(hold) })
-	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) { <-hold })
+	b := testutil.NewBackend(t, func(http.ResponseWriter, *http.Request) { <-hold })
 	t.Cleanup(let)
 	r := start(t, []string{b.Addr()})
 	watched := r.open(t.Context())
--- a/internal/downstream/extproc/pick.go
+++ b/internal/downstream/extproc/pick.go
@@ -25,7 +25,8 @@
 const (
 	// EndpointHeader names the server, as host:port, in the request that goes on; so does the
 	// member of the same name in the dynamic metadata of the namespace MetadataNamespace.
-	EndpointHeader    = "x-gateway-destination-endpoint"
+	EndpointHeader = "x-gateway-destination-endpoint"
+	// MetadataNamespace is the namespace of the dynamic metadata that names the server.
 	MetadataNamespace = "envoy.lb"
 	// servedHeader is where a caller may tell which server it sent to in the end.
 	servedHeader = "x-gateway-destination-endpoint-served"
--- a/internal/downstream/h1server/clients.go
+++ b/internal/downstream/h1server/clients.go
@@ -122,7 +122,7 @@
 // meanwhile counts as not read: its client sends the request again elsewhere, so
 // nobody may serve it here.
 func (c *clientConn) Read(p []byte) (int, error) {
-	n, err, socket := c.take(p)
+	n, socket, err := c.take(p)
 	if socket {
 		n, err = c.readSocket(p)
 		c.gave(err)
--- a/internal/downstream/h1server/leaving.go
+++ b/internal/downstream/h1server/leaving.go
@@ -53,7 +53,7 @@
 
 // take gives what was read ahead; where that is nothing and the end is not known the caller may read
 // the socket, and has to call gave then.
-func (c *clientConn) take(p []byte) (n int, err error, socket bool) {
+func (c *clientConn) take(p []byte) (n int, socket bool, err error) {
 	c.side.Lock()
 	defer c.side.Unlock()
 	if len(c.ahead) > 0 {
@@ -63,13 +63,13 @@
 			c.ahead = nil
 		}
 		c.came = true
-		return n, nil, false
+		return n, false, nil
 	}
 	if c.ended || c.gap {
-		return 0, io.EOF, false
+		return 0, false, io.EOF
 	}
 	c.busy = true
-	return 0, nil, true
+	return 0, true, nil
 }
 
 // readSocket reads the socket. To take bytes from it and to say so is one step: whoever closes a connection
--- a/internal/files/cache.go
+++ b/internal/files/cache.go
@@ -9,12 +9,12 @@
 }
 
 // get gives the value of a key, made anew if it is not held.
-func (c *cache[K, V]) get(key K, make func() (V, error)) (V, error) {
+func (c *cache[K, V]) get(key K, load func() (V, error)) (V, error) {
 	v, held := c.find(key)
 	if !held {
 		var err error
 		c.made++
-		if v, err = make(); err != nil {
+		if v, err = load(); err != nil {
 			return v, err
 		}
 	}
--- a/internal/files/stamp_test.go
+++ b/internal/files/stamp_test.go
@@ -113,7 +113,10 @@
 		}
 		return info.ModTime()
 	}
-	for first := touch(); touch().Equal(first); {
+	first := touch()
+	next := touch()
+	for next.Equal(first) {
+		next = touch()
 	}
 }
 
@@ -263,7 +266,7 @@
 
 // A thousand polls at rest read and parse nothing, whether the files are in force or refused, and cost a stat for each file and folder.
 func TestQuietPolls(t *testing.T) {
-	for name, break_ := range map[string]func(f *folder){
+	for name, damage := range map[string]func(f *folder){
 		"in force":                 func(*folder) {},
 		"refused":                  func(f *folder) { f.put(f.rooms(), clusterText("", 1)) },
 		"a cluster file is bad":    func(f *folder) { f.put(f.rooms(), "x") },
@@ -279,7 +282,7 @@
 			}
 			r := rest(f)
 			tick(t)
-			break_(f)
+			damage(f)
 			r.settle()
 			reads, parses, stats := r.w.reader.reads, r.w.parser.parses(), r.stats
 			for range 1000 {
--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -51,7 +51,7 @@
 	Fleet, Name  string
 	Dir          string // of the store
 	Voters       []Voter
-	Lease        lease.LeaseConfig
+	Lease        lease.Config
 	Disconnected lease.DisconnectedPolicy
 	ServerTLS    *tls.Config // nil: clear text, for loopback only
 	ClientTLS    *tls.Config // nil: clear text
--- a/internal/fleet/agent/peers_test.go
+++ b/internal/fleet/agent/peers_test.go
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-var quick = lease.LeaseConfig{Duration: 400 * time.Millisecond, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
+var quick = lease.Config{Duration: 400 * time.Millisecond, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
 
 // bundle is a version of a program, which says how its one class behaves.
 func bundle(effect string) []config.File {
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -9,7 +9,7 @@
 )
 
 // LeaseConfig is the timing of leases.
-type LeaseConfig = lease.LeaseConfig
+type LeaseConfig = lease.Config
 
 // LogStatus is the log's state at an index, as a voter has applied it. It stays true of that index, whoever passes it on.
 type LogStatus struct {
--- a/internal/fleet/consensus/stricter.go
+++ b/internal/fleet/consensus/stricter.go
@@ -168,7 +168,7 @@
 
 // laxerRoute returns a route of a class that is not safe in b, and that leads elsewhere there.
 func laxerRoute(a EffectiveVersion, b *Version) (err error) {
-	differingRoutes(a.Program, b.Program, func(host string, mine, theirs []route.Route, _ int) {
+	differingRoutes(a.Program, b.Program, func(host string, mine, _ []route.Route, _ int) {
 		for _, r := range mine {
 			if isUnsafe(b.Program, r.Class) && a.Refused[r.Class] == "" {
 				err = fmt.Errorf("host %s: route %s of class %s leads elsewhere in the other", host, r.Name, r.Class)
--- a/internal/h2flood/h2guard_test.go
+++ b/internal/h2flood/h2guard_test.go
@@ -25,13 +25,13 @@
 		{"resets", burst, false, func(f *http2.Framer, i int) { f.WriteRSTStream(uint32(2*i+1), http2.ErrCodeCancel) }},
 		{"resets that the server is led to", burst, true, func(f *http2.Framer, i int) { f.WriteRSTStream(uint32(2*i+1), http2.ErrCodeProtocol) }},
 		{"early answers", -1, true, func(f *http2.Framer, i int) { f.WriteRSTStream(uint32(2*i+1), http2.ErrCodeNo) }},
-		{"pings", burst, false, func(f *http2.Framer, i int) { f.WritePing(false, [8]byte{}) }},
-		{"answers to pings", -1, false, func(f *http2.Framer, i int) { f.WritePing(true, [8]byte{}) }},
-		{"settings", burst, false, func(f *http2.Framer, i int) { f.WriteSettings(http2.Setting{ID: 3, Val: 1}) }},
-		{"priorities", burst, false, func(f *http2.Framer, i int) { f.WritePriority(1, http2.PriorityParam{}) }},
-		{"unknown frames", burst, false, func(f *http2.Framer, i int) { f.WriteRawFrame(0xfe, 0, 0, []byte("x")) }},
-		{"empty data", burst, false, func(f *http2.Framer, i int) { f.WriteData(1, false, nil) }},
-		{"updates for nothing", burst, false, func(f *http2.Framer, i int) { f.WriteWindowUpdate(1, 1) }},
+		{"pings", burst, false, func(f *http2.Framer, _ int) { f.WritePing(false, [8]byte{}) }},
+		{"answers to pings", -1, false, func(f *http2.Framer, _ int) { f.WritePing(true, [8]byte{}) }},
+		{"settings", burst, false, func(f *http2.Framer, _ int) { f.WriteSettings(http2.Setting{ID: 3, Val: 1}) }},
+		{"priorities", burst, false, func(f *http2.Framer, _ int) { f.WritePriority(1, http2.PriorityParam{}) }},
+		{"unknown frames", burst, false, func(f *http2.Framer, _ int) { f.WriteRawFrame(0xfe, 0, 0, []byte("x")) }},
+		{"empty data", burst, false, func(f *http2.Framer, _ int) { f.WriteData(1, false, nil) }},
+		{"updates for nothing", burst, false, func(f *http2.Framer, _ int) { f.WriteWindowUpdate(1, 1) }},
 		{"requests", -1, false, func(f *http2.Framer, i int) {
 			f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(2*i + 1), BlockFragment: []byte("abc"), EndHeaders: true})
 			f.WriteData(uint32(2*i+1), false, bytes.Repeat([]byte("d"), i%5000+1))
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -36,7 +36,7 @@
 	if err := e.onSockets(); err != nil {
 		return nil, nil, false, err
 	}
-	r := &real{e: e, result: &fleetsim.Result{}, ids: map[uint64]int{}, rig: &fleet.Rig{}}
+	r := &realRun{e: e, result: &fleetsim.Result{}, ids: map[uint64]int{}, rig: &fleet.Rig{}}
 	defer r.closeBoxes()
 	var servers []string
 	for i := range d.Servers {
@@ -136,7 +136,7 @@
 }
 
 // replaced leads the links of a place to the box that is there now.
-func (r *real) replaced(at int) {
+func (r *realRun) replaced(at int) {
 	r.mu.Lock()
 	b := r.places[at].box
 	r.mu.Unlock()
@@ -147,7 +147,7 @@
 }
 
 // deafen has a process hear nothing of the servers, or all that it missed.
-func (r *real) deafen(process int, deaf bool) error {
+func (r *realRun) deafen(process int, deaf bool) error {
 	r.mu.Lock()
 	if r.deaf == nil {
 		r.deaf = map[int]bool{}
@@ -158,7 +158,7 @@
 }
 
 // watch has a box's sights recorded.
-func (r *real) watch(b *modelbox.Box) {
+func (r *realRun) watch(b *modelbox.Box) {
 	r.mu.Lock()
 	serial := 0
 	for _, p := range r.places {
@@ -174,7 +174,7 @@
 }
 
 // publish writes each process's list of the servers, with the addresses of its own links, whole or not at all.
-func (r *real) publish(*files.Snapshot) error {
+func (r *realRun) publish(*files.Snapshot) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, p := range r.rig.Processes {
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -60,7 +60,7 @@
 	if err := e.onSockets(); err != nil {
 		return nil, false, err
 	}
-	r := &real{e: e, result: &fleetsim.Result{}, ids: map[uint64]int{}}
+	r := &realRun{e: e, result: &fleetsim.Result{}, ids: map[uint64]int{}}
 	defer r.closeBoxes()
 	for i := range d.Servers {
 		if err := r.box(i, false); err != nil {
@@ -103,7 +103,7 @@
 }
 
 // closeBoxes closes all servers that the run has started.
-func (r *real) closeBoxes() {
+func (r *realRun) closeBoxes() {
 	for _, b := range r.all {
 		b.Close()
 	}
@@ -112,7 +112,7 @@
 func newTransport() *http.Transport { return &http.Transport{MaxIdleConnsPerHost: mostOpen} }
 
 // plan is the day's load.
-func (r *real) plan() loadgen.Plan {
+func (r *realRun) plan() loadgen.Plan {
 	d := &r.e.Day
 	r.seconds = make([]second, int(d.Length/time.Second)+1)
 	plan := loadgen.Plan{Length: d.Length, Open: mostOpen, Seed: r.e.Seed, Late: generatorLate}
@@ -155,8 +155,8 @@
 	told     time.Time // word of its drain
 }
 
-// real is a run.
-type real struct {
+// realRun is a run.
+type realRun struct {
 	rig       *fleet.Rig // nil: the program runs in this process
 	deaf      map[int]bool
 	e         *Experiment
@@ -177,7 +177,7 @@
 }
 
 // box puts a server into a place; cold: one that has just started.
-func (r *real) box(at int, cold bool) error {
+func (r *realRun) box(at int, cold bool) error {
 	b, err := modelbox.Start(&r.e.Day.Kind, r.e.Seed+uint64(at))
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 	return nil
 }
 
-func (r *real) version() *files.Snapshot {
+func (r *realRun) version() *files.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := &cluster.Cluster{Name: "rooms", ShrinkTo: -1}
@@ -213,7 +213,7 @@
 }
 
 // sent counts what goes out, and what does so against the rule on drains.
-func (r *real) sent(_ string, server uint64, at time.Time) {
+func (r *realRun) sent(_ string, server uint64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.Sends++
@@ -224,7 +224,7 @@
 }
 
 // troubles has the day's faults befall the servers.
-func (r *real) troubles(ctx context.Context, take func(*files.Snapshot) error) {
+func (r *realRun) troubles(ctx context.Context, take func(*files.Snapshot) error) {
 	type step struct {
 		at   time.Duration
 		t    *fleetsim.Trouble
@@ -302,7 +302,7 @@
 }
 
 // ask is a client's request, with its own retries.
-func (r *real) ask(ctx context.Context, class, n int, due time.Time) {
+func (r *realRun) ask(ctx context.Context, class, n int, due time.Time) {
 	c, clients := &r.e.Day.Classes[class], &r.e.Day.Clients
 	r.mu.Lock()
 	rng := r.draws[class]
@@ -353,7 +353,7 @@
 }
 
 // try gives the status of a try's answer, 0 for none, and the wait that it advises.
-func (r *real) try(ctx context.Context, class int, id string, try int, work time.Duration) (status int, after time.Duration) {
+func (r *realRun) try(ctx context.Context, class int, id string, try int, work time.Duration) (status int, after time.Duration) {
 	c := &r.e.Day.Classes[class]
 	name := fmt.Sprintf("%s.%d", id, try)
 	url := r.url
@@ -391,7 +391,7 @@
 }
 
 // finish counts what the servers saw.
-func (r *real) finish() {
+func (r *realRun) finish() {
 	ran := map[string]int{}
 	for _, b := range r.all {
 		by, fell := b.Effects()
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -1,3 +1,5 @@
+// Package scale plays a fleet of hollow nodes (the real control code without its workload) beside real voters and
+// measures what control costs: messages, bytes, memory and processor time, and their slopes over the number of nodes.
 package scale
 
 import (
@@ -21,7 +23,7 @@
 	Regions    int           // over which all processes and nodes are spread in turn
 	Zones      int           // likewise
 	TLS        bool
-	Terms      lease.LeaseConfig
+	Terms      lease.Config
 	Content    Content
 	Steps      []Step
 }
@@ -117,7 +119,7 @@
 	p := &Plan{
 		Name: f.Name, Says: f.Says, Seed: f.Seed, Limit: f.Limit.Duration, Sizes: f.Sizes, PerProcess: f.PerProcess, Voters: f.Voters,
 		Serves: f.Serves, Regions: f.Regions, Zones: f.Zones, TLS: f.TLS, Content: f.Content,
-		Terms: lease.LeaseConfig{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration},
+		Terms: lease.Config{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration},
 	}
 	names := map[string]bool{}
 	for i := range f.Step {
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -37,7 +37,7 @@
 	Faults        int           // drawn
 	Release       bool          // instead of versions a release takes each server out and back
 	Power         bool          // instead of drawn faults all processes lose power twice, and come back one by one
-	Terms         lease.LeaseConfig
+	Terms         lease.Config
 	Rate          float64 // requests a second, over all processes
 	Clocks        bool    // the processes' clocks for leases are fast and slow in turn, by as much as the terms allow
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -43,7 +43,8 @@
 	var stop atomic.Bool
 	for range 8 {
 		go func() {
-			for !stop.Load() {
+			for stopped := false; !stopped; { // keeps a thread busy
+				stopped = stop.Load()
 			}
 		}()
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -322,7 +322,7 @@
 	f.Add(uint8(2), "/hotels/{hotel}/rooms/*", "*.example.org", "/hotels/1/rooms/2")
 	f.Add(uint8(3), "/book/[0-9]+", "a.*", "/book/1")
 	f.Add(uint8(0), "/", "*", "*")
-	f.Fuzz(func(t *testing.T, kind uint8, path, domain, request string) {
+	f.Fuzz(func(_ *testing.T, kind uint8, path, domain, request string) {
 		table, err := Compile([]VirtualHost{{Domains: []string{domain}, Routes: []Route{
 			{Kind: PathKind(kind), Path: path, Clusters: to("a")},
 		}}})
--- a/internal/testutil/testkit.go
+++ b/internal/testutil/testkit.go
@@ -174,7 +174,7 @@
 
 // Script is a server that reads a request and writes fixed bytes; then it closes, or
 // keeps the connection for another request. It tells of its connections.
-func Script(t testing.TB, answer string, close bool) (addr string, conns chan net.Conn) {
+func Script(t testing.TB, answer string, closes bool) (addr string, conns chan net.Conn) {
 	conns = make(chan net.Conn, 100)
 	return Accept(t, func(nc net.Conn) {
 		conns <- nc
@@ -186,7 +186,7 @@
 			}
 			io.Copy(io.Discard, r.Body)
 			io.WriteString(nc, answer)
-			if close {
+			if closes {
 				return
 			}
 		}
--- a/internal/upstream/h1client/answer.go
+++ b/internal/upstream/h1client/answer.go
@@ -44,9 +44,9 @@
 	// The body is never closed, which would read it to its end; the connection is,
 	// unless the body was read.
 	var body []byte
-	if n := resp.ContentLength; head {
-		// It has no body, whatever it says of one.
-	} else if n >= 0 && len(resp.TransferEncoding) == 0 {
+	switch n := resp.ContentLength; {
+	case head: // no body, whatever the head says of one
+	case n >= 0 && len(resp.TransferEncoding) == 0:
 		if n > int64(c.reader.Buffered()) {
 			c.limit(true)
 		}
@@ -58,16 +58,16 @@
 			got, err = io.ReadFull(resp.Body, body)
 		}
 		body = body[:got]
-	} else if u.large {
+	case u.large:
 		if body, err = io.ReadAll(io.LimitReader(moving{resp.Body, c}, MaxBody+1)); len(body) > MaxBody && resp.StatusCode == http.StatusOK {
 			return u.streaming(c, o, resp, body, nil, up), false
 		}
-	} else if u.anyAnswer {
+	case u.anyAnswer:
 		var whole bool
 		if body, whole, err = c.atHand(resp.Body); err == nil && !whole {
 			return u.streaming(c, o, resp, body, nil, up), false
 		}
-	} else {
+	default:
 		c.limit(true)
 		body, err = io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	}
--- a/internal/upstream/h1client/httpup.go
+++ b/internal/upstream/h1client/httpup.go
@@ -23,12 +23,14 @@
 
 const (
 	// MaxBody is how many bytes of an answer's body are waited for before it goes on.
-	MaxBody     = 64 << 10
-	maxAnswer   = MaxBody + 64<<10       // of a server's answer with head and framing
-	maxInterim  = 8                      // 1xx answers ahead of the real one
-	AnswerSpan  = 150 * time.Millisecond // from an answer's first byte to its last
-	IdlePart    = 0.6                    // of the servers' idle time, after which a connection is retired
-	keepMessage = 4 << 10                // bytes of a sent request's buffer that an idle connection keeps
+	MaxBody    = 64 << 10
+	maxAnswer  = MaxBody + 64<<10 // of a server's answer with head and framing
+	maxInterim = 8                // 1xx answers ahead of the real one
+	// AnswerSpan is the longest time from an answer's first byte to its last.
+	AnswerSpan = 150 * time.Millisecond
+	// IdlePart is the part of the servers' idle time after which a connection is retired.
+	IdlePart    = 0.6
+	keepMessage = 4 << 10 // bytes of a sent request's buffer that an idle connection keeps
 )
 
 // settleTime is kept from an answer to the next request on its connection. With
@@ -203,7 +205,9 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.connectTimeout, u.maxOpen = connectTimeout, maxOpen
-	for u.open > maxOpen && u.evict() {
+	evicted := true
+	for u.open > maxOpen && evicted {
+		evicted = u.evict()
 	}
 }
 
--- a/internal/upstream/h2client/h2up.go
+++ b/internal/upstream/h2client/h2up.go
@@ -303,7 +303,7 @@
 	}
 	resp, err := c.cc.RoundTrip(req)
 	if err != nil {
-		status := h2Fault(err, ctx, o)
+		status := h2Fault(ctx, err, o)
 		x.Close()
 		return engine.Result{Status: status}
 	}
@@ -385,7 +385,7 @@
 }
 
 // h2Fault tells what the end of a stream without an answer says of the attempt.
-func h2Fault(err error, ctx context.Context, o *h1client.Request) policy.Status {
+func h2Fault(ctx context.Context, err error, o *h1client.Request) policy.Status {
 	var stream http2.StreamError
 	switch {
 	case ctx.Err() != nil, o.Upload != nil && o.Upload.Failed() != nil:
@@ -430,7 +430,7 @@
 	a.Header = h1client.EndToEnd(resp.Header)
 	switch {
 	case err != nil:
-		status := h2Fault(err, ctx, o)
+		status := h2Fault(ctx, err, o)
 		x.Close()
 		return engine.Result{Status: status}
 	case whole:
--- a/internal/upstream/h2client/h2up_test.go
+++ b/internal/upstream/h2client/h2up_test.go
@@ -65,7 +65,7 @@
 		{"refused", func(f *http2.Framer, _ net.Conn, id uint32) { f.WriteRSTStream(id, http2.ErrCodeRefusedStream) }, policy.Rejected},
 		{"reset otherwise", func(f *http2.Framer, _ net.Conn, id uint32) { f.WriteRSTStream(id, http2.ErrCodeInternal) }, policy.Reset},
 		{"cancelled by the server", func(f *http2.Framer, _ net.Conn, id uint32) { f.WriteRSTStream(id, http2.ErrCodeCancel) }, policy.Reset},
-		{"beyond a GOAWAY", func(f *http2.Framer, _ net.Conn, id uint32) { f.WriteGoAway(0, http2.ErrCodeNo, nil) }, policy.NeverSent},
+		{"beyond a GOAWAY", func(f *http2.Framer, _ net.Conn, _ uint32) { f.WriteGoAway(0, http2.ErrCodeNo, nil) }, policy.NeverSent},
 		{"within a GOAWAY, then closed", func(f *http2.Framer, nc net.Conn, id uint32) { f.WriteGoAway(id, http2.ErrCodeNo, nil); nc.Close() }, policy.Reset},
 		{"closed", func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Close() }, policy.Reset},
 		{"a malformed frame", func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Write([]byte{0, 0, 1, 0, 0, 0, 0, 0, 0, 1}) }, policy.Reset},
--- a/internal/xds/ads/ads.go
+++ b/internal/xds/ads/ads.go
@@ -305,7 +305,7 @@
 
 // Receive takes a response. It gives what changed, the ACK or NACK that is owed, and a
 // problem where the response is of no use: no answer is owed then.
-func (m *Machine) Receive(now time.Duration, r *Response) (u Update, owed []Request, problem error) {
+func (m *Machine) Receive(_ time.Duration, r *Response) (u Update, owed []Request, problem error) {
 	t, ok := TypeOf(r.URL)
 	if !ok || !m.types[t].asked {
 		return u, nil, fmt.Errorf("a response of type %.200q, which was not asked for", r.URL)
--- a/internal/xds/translate/routes.go
+++ b/internal/xds/translate/routes.go
@@ -228,20 +228,20 @@
 			c.Kind, c.Value = route.HeaderRegex, "(?i)"+before+regexp.QuoteMeta(literal)+after
 		}
 	}
-	const any = "(?s:.*)"
+	const anyText = "(?s:.*)"
 	switch p := m.GetMatchPattern().(type) {
 	case *matcherv3.StringMatcher_Exact:
 		c.Kind, c.Value = route.HeaderExact, p.Exact
 		fold("", p.Exact, "")
 	case *matcherv3.StringMatcher_Prefix:
 		c.Kind, c.Value = route.HeaderPrefix, p.Prefix
-		fold("", p.Prefix, any)
+		fold("", p.Prefix, anyText)
 	case *matcherv3.StringMatcher_Suffix:
 		c.Kind, c.Value = route.HeaderSuffix, p.Suffix
-		fold(any, p.Suffix, "")
+		fold(anyText, p.Suffix, "")
 	case *matcherv3.StringMatcher_Contains:
 		c.Kind, c.Value = route.HeaderContains, p.Contains
-		fold(any, p.Contains, any)
+		fold(anyText, p.Contains, anyText)
 	case *matcherv3.StringMatcher_SafeRegex:
 		c.Kind, c.Value = route.HeaderRegex, p.SafeRegex.GetRegex()
 	default:
--- a/internal/xds/xdsfile/xdsfile_test.go
+++ b/internal/xds/xdsfile/xdsfile_test.go
@@ -103,8 +103,8 @@
 		}
 		return set
 	}
-	replace := func(old, new string) []config.File {
-		return all(func(f *config.File) { f.Text = []byte(strings.ReplaceAll(string(f.Text), old, new)) })
+	replace := func(former, latter string) []config.File {
+		return all(func(f *config.File) { f.Text = []byte(strings.ReplaceAll(string(f.Text), former, latter)) })
 	}
 	for name, c := range map[string]struct {
 		files []config.File
@@ -136,7 +136,7 @@
 		f.Add(1, x.Text)
 	}
 	f.Add(0, []byte(`{"resources":[]}`))
-	f.Fuzz(func(t *testing.T, form int, text []byte) {
+	f.Fuzz(func(_ *testing.T, form int, text []byte) {
 		name := "x" + Extensions[uint(form)%uint(len(Extensions))]
 		Check([]config.File{{Name: name, Text: text}, {Name: name + SumSuffix, Text: fmt.Appendf(nil, "%x", sha256.Sum256(text))}})
 	})
