--- /dev/null
+++ b/internal/discovery/backoff_test.go
@@ -0,0 +1,23 @@
+package discovery
+
+import (
+	"testing"
+	"time"
+)
+
+func TestBackoff(t *testing.T) {
+	backoff := Backoff{Initial: 100 * time.Millisecond, Max: time.Second}
+	for i, want := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
+		want *= time.Millisecond
+		if i%2 == 0 {
+			want /= 2
+		}
+		if got := backoff.Next(float64(i % 2)); got != want {
+			t.Errorf("failure %d: %v, want %v", i+1, got, want)
+		}
+	}
+	backoff.Reset()
+	if got := backoff.Next(1); got != backoff.Initial {
+		t.Errorf("after a success: %v", got)
+	}
+}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -48,7 +48,7 @@
 	ClientsPart    float64      // of all descriptors, for client connections that have asked; 0.1 to 1
 	Log            *slog.Logger // nil: the default one
 
-	terms discovery.Terms // of calls to discovery; zero: by the settings
+	terms discovery.PollTiming // of calls to discovery; zero: by the settings
 }
 
 const (
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -167,7 +167,7 @@
 			})
 			testutil.Wait(t, d.begun, "a call that falls silent")
 			// As many calls as are made to one discovery have to find room beside it all, as to another one after SIGHUP.
-			if calls := discovery.Pushed(0).Most; most+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
+			if calls := discovery.PushedTiming(0).MaxCalls; most+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
 				t.Errorf("%d of %d descriptors were open: none are kept for %d calls", most, sockets, calls)
 			}
 			d.silent.Store(false)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -40,7 +40,7 @@
 	to     listener
 	zones  map[string]int
 	asked  bool // calls load discovery: the module says when to start a watch
-	terms  discovery.Terms
+	terms  discovery.PollTiming
 	wanted chan struct{}
 	moved  <-chan string // the latest address to follow the list at
 	first  chan struct{} // closed once a list was told, or is waited for no longer
@@ -52,12 +52,12 @@
 	begun  func()       // called once the first list was told; nil: nothing is
 
 	mu        sync.Mutex // guards what follows, and keeps news in their order
-	list      discovery.Known
+	list      discovery.List
 	admin     adminstate.State
 	source    *source              // whose list it is
 	told      bool                 // a list was
 	had       []discovery.Instance // what the start was given
-	recheck   discovery.Pace       // after answers in doubt
+	recheck   discovery.Backoff    // after answers in doubt
 	recheckAt time.Time            // when all is asked for again; zero: no need
 }
 
@@ -65,8 +65,8 @@
 type source struct {
 	url        string
 	client     *http.Client
-	pace       discovery.Pace // after failures; of follow's goroutine, as is
-	complained time.Time      // when a failure was last logged
+	pace       discovery.Backoff // after failures; of follow's goroutine, as is
+	complained time.Time         // when a failure was last logged
 	leave      context.CancelFunc
 	// What follows is guarded by discovery.mu.
 	listed     bool // it has given its list; the generation may well be 0
@@ -83,16 +83,16 @@
 func newEndpointWatcher(cfg *Config, clock engine.Clock, moved <-chan string, log *slog.Logger) *endpointWatcher {
 	terms := cfg.terms
 	switch {
-	case terms.Most > 0:
+	case terms.MaxCalls > 0:
 	case cfg.Policy.PollEndpoints:
-		terms = discovery.Asked()
+		terms = discovery.PolledTiming()
 	default:
-		terms = discovery.Pushed(cfg.DrainGrace)
+		terms = discovery.PushedTiming(cfg.DrainGrace)
 	}
 	d := &endpointWatcher{
 		zones: cfg.Zones, moved: moved,
 		asked: cfg.Policy.PollEndpoints, terms: terms, wanted: make(chan struct{}, 1), first: make(chan struct{}),
-		recheck: discovery.Pace{First: recheckFirst, Most: recheckMost},
+		recheck: discovery.Backoff{Initial: recheckFirst, Max: recheckMost},
 		clock:   clock,
 		log:     log,
 		price:   cfg.ListPrice,
@@ -105,11 +105,11 @@
 // at gives a source that nobody follows yet.
 func (d *endpointWatcher) at(addr string) *source {
 	// A connection that never comes up must not outlive many calls: they are bounded, it is not.
-	dialer := net.Dialer{Timeout: d.terms.Look, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: d.terms.HedgeTimeout, KeepAlive: -1}
 	return &source{
 		url:    "http://" + addr + "/registry/instances",
 		client: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext}},
-		pace:   d.terms.Pace,
+		pace:   d.terms.Backoff,
 	}
 }
 
@@ -148,7 +148,7 @@
 			return
 		}
 		if len(last.Instances) > 0 {
-			d.tell(policy.CachedUpdate, d.list.Whole(&discovery.Answer{Reset: true, Lines: last.Instances}))
+			d.tell(policy.CachedUpdate, d.list.Apply(&discovery.Response{Full: true, Instances: last.Instances}))
 			settled()
 			d.settled()
 		} else if d.asked {
@@ -164,9 +164,9 @@
 		follow(s, false)
 	} else {
 		follow(s, true)
-		held := time.AfterFunc(d.terms.Start, func() {
+		held := time.AfterFunc(d.terms.InitialListTimeout, func() {
 			known(func() {
-				late := time.AfterFunc(d.terms.Ready-d.terms.Start, ready)
+				late := time.AfterFunc(d.terms.ReadyTimeout-d.terms.InitialListTimeout, ready)
 				context.AfterFunc(ctx, func() { late.Stop() })
 			})
 		})
@@ -205,7 +205,7 @@
 // follow watches the list at one address until the context ends.
 func (d *endpointWatcher) follow(ctx context.Context, s *source, watching bool, ready func()) {
 	failed := false // the last question did
-	turn := turns{wanted: d.wanted, rest: d.terms.Rest}
+	turn := turns{wanted: d.wanted, rest: d.terms.RetryInterval}
 	for ctx.Err() == nil {
 		if !watching {
 			turn.wait(ctx)
@@ -223,10 +223,10 @@
 			if !d.take(s, answer) {
 				return
 			}
-			if answer.Doubt == nil || d.serves() {
+			if answer.Incomplete == nil || d.serves() {
 				ready()
 			}
-			s.pace.Good()
+			s.pace.Reset()
 			watching = true
 			if time.Since(asked) < watchPause {
 				// A discovery that doesn't wait must not be asked in a loop without a breath.
@@ -244,7 +244,7 @@
 			continue
 		}
 		// Nodes that lost discovery together must not come back in step.
-		pause(ctx, s.pace.Failed(rand.Float64()))
+		pause(ctx, s.pace.Next(rand.Float64()))
 	}
 }
 
@@ -266,11 +266,11 @@
 // take follows an answer. Where lines of it are in doubt the whole list is asked for after a
 // while; the watch goes on until then, since a line may stay as it is for good. Not ours: the list
 // is followed at another address by now.
-func (d *endpointWatcher) take(s *source, a *discovery.Answer) (ours bool) {
+func (d *endpointWatcher) take(s *source, a *discovery.Response) (ours bool) {
 	var wait time.Duration
-	if a.Doubt != nil {
-		wait = max(d.recheck.Failed(rand.Float64()), d.recheckAfter())
-		d.log.Warn("list in doubt", "err", a.Doubt, "asked again after", wait)
+	if a.Incomplete != nil {
+		wait = max(d.recheck.Next(rand.Float64()), d.recheckAfter())
+		d.log.Warn("list in doubt", "err", a.Incomplete, "asked again after", wait)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -285,19 +285,19 @@
 	s.over = nil
 	s.listed, s.generation = true, a.Generation
 	if !d.told && len(d.had) > 0 { // the answer may tell of changes alone
-		d.tell(policy.CachedUpdate, d.list.Whole(&discovery.Answer{Reset: true, Lines: d.had}))
+		d.tell(policy.CachedUpdate, d.list.Apply(&discovery.Response{Full: true, Instances: d.had}))
 	}
 	defer d.settled()
 	switch {
-	case a.Doubt != nil:
+	case a.Incomplete != nil:
 		d.recheckAt = time.Now().Add(wait)
-	case a.Reset:
-		d.recheck.Good()
+	case a.Full:
+		d.recheck.Reset()
 		d.recheckAt = time.Time{}
 	}
-	lines := d.list.Whole(a)
+	lines := d.list.Apply(a)
 	switch {
-	case a.Reset:
+	case a.Full:
 		d.tell(policy.FullUpdate, lines)
 	case len(lines) > 0:
 		d.tell(policy.DeltaUpdate, lines)
@@ -313,20 +313,20 @@
 	perSecond := float64(d.taken()) / max(time.Since(d.since).Seconds(), 1)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return discovery.RecheckAfter(d.price, d.list.Len(), perSecond, recheckMost)
+	return discovery.ResyncInterval(d.price, d.list.Len(), perSecond, recheckMost)
 }
 
 func (d *endpointWatcher) serves() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list.Serves()
+	return d.list.HasReady()
 }
 
 // check tells whether operators may ask for a change, and whether it makes a difference.
 func (d *endpointWatcher) check(c adminstate.Change) (differs bool, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.admin.Differs(c), d.admin.Check(c, d.list.Seen)
+	return d.admin.Differs(c), d.admin.Check(c, d.list.RecentlyListed)
 }
 
 // change takes up what operators asked for. When it returns, the change is in force.
@@ -334,7 +334,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.admin.Apply(c) && c.Op.OfServer() {
-		if l, listed := d.list.Line(c.Server); listed {
+		if l, listed := d.list.Get(c.Server); listed {
 			d.tell(policy.DeltaUpdate, []discovery.Instance{l})
 		}
 	}
@@ -344,7 +344,7 @@
 func (d *endpointWatcher) snapshot() known {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return known{Generation: d.source.generation, Reset: d.source.listed, Instances: d.list.Lines()}
+	return known{Generation: d.source.generation, Reset: d.source.listed, Instances: d.list.Instances()}
 }
 
 func (d *endpointWatcher) changes() []adminstate.Change {
@@ -372,11 +372,11 @@
 // for all. Where the answer is overdue it looks again beside, as the terms say, and takes what comes
 // first; the error is that of the call that failed last. Behind a question that failed the first call
 // does not wait for news: one that waits says nothing of whether discovery can be reached.
-func (d *endpointWatcher) get(ctx context.Context, s *source, failed bool) (*discovery.Answer, error) {
+func (d *endpointWatcher) get(ctx context.Context, s *source, failed bool) (*discovery.Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the calls that nobody waits for any more
 	d.mu.Lock()
-	wait, whole, after := d.terms.Wait, !s.listed, s.generation
+	wait, whole, after := d.terms.LongPollWait, !s.listed, s.generation
 	if !d.recheckAt.IsZero() {
 		wait = min(wait, time.Until(d.recheckAt))
 		whole = whole || wait <= 0
@@ -386,10 +386,10 @@
 	}
 	d.mu.Unlock()
 	type result struct {
-		answer *discovery.Answer
+		answer *discovery.Response
 		err    error
 	}
-	results := make(chan result, d.terms.Most)
+	results := make(chan result, d.terms.MaxCalls)
 	call := func(wait, takes time.Duration) {
 		query := ""
 		if !whole {
@@ -403,21 +403,21 @@
 		}()
 	}
 	began := time.Now()
-	calls, takes := d.terms.Ask(wait)
+	calls, takes := d.terms.StartPoll(wait)
 	call(wait, takes)
-	timer := time.NewTimer(calls.Next())
+	timer := time.NewTimer(calls.NextHedge())
 	defer timer.Stop()
 	for {
 		select {
 		case r := <-results:
-			if r.err == nil || calls.Failed() {
+			if r.err == nil || calls.CallFailed() {
 				return r.answer, r.err
 			}
 		case <-timer.C:
-			if calls.Due(time.Since(began)) {
-				call(lookWait, d.terms.Look)
+			if calls.StartHedge(time.Since(began)) {
+				call(lookWait, d.terms.HedgeTimeout)
 			}
-			timer.Reset(calls.Next() - time.Since(began))
+			timer.Reset(calls.NextHedge() - time.Since(began))
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -425,7 +425,7 @@
 }
 
 // call makes one call.
-func (s *source) call(ctx context.Context, query string, whole bool) (*discovery.Answer, error) {
+func (s *source) call(ctx context.Context, query string, whole bool) (*discovery.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.url+query, nil)
 	if err != nil {
 		return nil, err
@@ -439,11 +439,11 @@
 		io.CopyN(io.Discard, resp.Body, maxRefusal) // the connection may be of use again
 		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, discovery.MaxBytes+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, discovery.MaxResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	return discovery.Parse(text, whole, time.Now())
+	return discovery.ParseResponse(text, whole, time.Now())
 }
 
 // tell passes a list on, with what operators have said laid over it. d.mu is held.
--- a/internal/node/maint_histories_test.go
+++ b/internal/node/maint_histories_test.go
@@ -74,12 +74,12 @@
 		}
 		started := map[int]float64{0: 0, 1: 0, 2: 0, 3: 0}
 		lists := func() {
-			a := &discovery.Answer{Reset: true}
+			a := &discovery.Response{Full: true}
 			for i := range 4 {
 				if at, listed := started[i]; listed {
 					l := discovery.Instance{InstanceID: fmt.Sprint("s-", i), HostPort: "h:1", Lifecycle: "Ready", Weight: 1, StartedAtMs: at}
 					h.names[l.ID()] = l.InstanceID
-					a.Lines = append(a.Lines, l)
+					a.Instances = append(a.Instances, l)
 				}
 			}
 			h.d.take(h.d.source, a)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,7 +32,7 @@
 	// milliseconds (the operators' page on the standing test). Nothing in it names its request.
 	settle = 20 * time.Millisecond
 	// sendPart is the part of the grace of drains that is left to sends decided before: the
-	// word of the drain has been on its way here for the rest (discovery.Pushed).
+	// word of the drain has been on its way here for the rest (discovery.PushedTiming).
 	sendPart = 5
 	heldPart = 4 // of the memory, its part that request bodies may hold
 )
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -74,8 +74,8 @@
 	old, fresh := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 	addr, calls := agent(t)
 	n := told(t, addr, listOf(3, instanceAt(old, "s-old")), func(c *Config) {
-		c.terms = discovery.Pushed(c.DrainGrace)
-		c.terms.Start = testutil.Patience
+		c.terms = discovery.PushedTiming(c.DrainGrace)
+		c.terms.InitialListTimeout = testutil.Patience
 	})
 	first := testutil.Wait(t, calls, "the first call")
 	if first.query != "after=3&wait_ms=1" {
@@ -106,8 +106,8 @@
 			a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 			addr, calls := agent(t)
 			n := told(t, addr, listOf(3, instanceAt(a, "s-a"), instanceAt(b, "s-b")), func(c *Config) {
-				c.terms = discovery.Pushed(c.DrainGrace)
-				c.terms.Start, c.terms.Ready = 10*testutil.Patience, 20*testutil.Patience // the answer alone ends the wait
+				c.terms = discovery.PushedTiming(c.DrainGrace)
+				c.terms.InitialListTimeout, c.terms.ReadyTimeout = 10*testutil.Patience, 20*testutil.Patience // the answer alone ends the wait
 			})
 			delta := known{Generation: 3, Instances: []discovery.Instance{}}
 			if changed {
@@ -200,7 +200,7 @@
 	addr, calls := agent(t)
 	n := told(t, addr, listOf(3, instanceAt(b, "s-0")), nil)
 	n.waitReady(http.StatusOK)
-	most := discovery.Pushed(0).Most
+	most := discovery.PushedTiming(0).MaxCalls
 	var open []agentCall
 	for range 4 * most {
 		open = append(open, testutil.Wait(t, calls, "a further look"))
