--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -54,14 +54,14 @@
 }
 
 // Check implements hotrestart.Admin.
-func (a *admin) Check(c adminstate.Change) (differs bool, err error) { return a.disco.check(c) }
+func (a *admin) Check(c adminstate.Change) (differs bool, err error) { return a.disco.checkChange(c) }
 
 // Changes implements hotrestart.Admin.
-func (a *admin) Changes() []adminstate.Change { return a.disco.changes() }
+func (a *admin) Changes() []adminstate.Change { return a.disco.adminChanges() }
 
 // Take implements hotrestart.Admin.
 func (a *admin) Take(c adminstate.Change) {
-	a.disco.change(c)
+	a.disco.applyChange(c)
 	switch c.Op {
 	case adminstate.LameDuck:
 		a.front.Empty(a.ctx)
@@ -74,7 +74,7 @@
 
 // status is what an answer says of the node.
 func (a *admin) status() string {
-	out, lame := a.disco.administered()
+	out, lame := a.disco.adminStatus()
 	text := "serving"
 	if lame {
 		text = "drained"
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -35,7 +35,7 @@
 	Passed         string // the descriptor of the clients' socket; "": the node listens by itself
 	Seed           uint64
 	Limits         Limits
-	Known          known // the list as this node last had it
+	Known          endpointList // the list as this node last had it
 	Policy         policy.Settings
 	Classes        map[string]int // name to index in Policy.Classes
 	Tenants        map[string]int // name to index in Policy.Tenants
@@ -48,7 +48,7 @@
 	ClientsPart    float64      // of all descriptors, for client connections that have asked; 0.1 to 1
 	Log            *slog.Logger // nil: the default one
 
-	terms discovery.PollTiming // of calls to discovery; zero: by the settings
+	pollTiming discovery.PollTiming // of calls to discovery; zero: by the settings
 }
 
 const (
@@ -125,7 +125,7 @@
 	var file struct {
 		Name, Listen, Discovery, Mgmt, Seed string
 		Limits                              Limits
-		Known                               known
+		Known                               endpointList
 		Settings                            json.RawMessage
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
--- a/internal/node/config_fuzz_test.go
+++ b/internal/node/config_fuzz_test.go
@@ -41,7 +41,7 @@
 				t.Errorf("%v is longer than a day", d)
 			}
 		}
-		if newEndpointWatcher(c, engine.NewClock(), nil, nil).terms.MaxCalls < 2 {
+		if newEndpointWatcher(c, engine.NewClock(), nil, nil).timing.MaxCalls < 2 {
 			t.Error("no second look at discovery")
 		}
 	})
--- /dev/null
+++ b/internal/node/endpointadmin.go
@@ -0,0 +1,42 @@
+package node
+
+import (
+	"yokestall/internal/adminstate"
+	"yokestall/internal/discovery"
+	"yokestall/policy"
+)
+
+// checkChange reports whether an administrative change would make a difference. The error says why it is not allowed.
+func (w *endpointWatcher) checkChange(change adminstate.Change) (differs bool, err error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.admin.Differs(change), w.admin.Check(change, w.list.RecentlyListed)
+}
+
+// applyChange applies an administrative change. When it returns, the change is in force.
+func (w *endpointWatcher) applyChange(change adminstate.Change) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.admin.Apply(change) || !change.Op.OfServer() {
+		return
+	}
+	if instance, listed := w.list.Get(change.Server); listed {
+		w.publish(policy.DeltaUpdate, []discovery.Instance{instance})
+	}
+}
+
+// adminChanges returns the changes that lead to the administrative state.
+func (w *endpointWatcher) adminChanges() []adminstate.Change {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.admin.Changes()
+}
+
+// adminStatus returns the IDs of the endpoints that operators took out of service, and whether the node is in lame duck
+// mode.
+func (w *endpointWatcher) adminStatus() (outOfService []string, lameDuck bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	_, lameDuck = w.admin.Lame()
+	return w.admin.OutOfService(), lameDuck
+}
--- /dev/null
+++ b/internal/node/endpointwatcher_test.go
@@ -0,0 +1,267 @@
+package node
+
+import (
+	"bufio"
+	"encoding/json"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+
+	"yokestall/internal/discovery"
+	"yokestall/internal/testutil"
+)
+
+// agentCall is one call to an agent. It stays in flight until the test responds or the caller cancels it.
+type agentCall struct {
+	query    string
+	response chan<- endpointList
+	done     <-chan struct{} // closed once it has a response, or was cancelled
+}
+
+// startAgent starts a discovery service whose every response the test gives.
+func startAgent(t *testing.T) (addr string, calls <-chan agentCall) {
+	received := make(chan agentCall, 256)
+	closing := make(chan struct{})
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		response, done := make(chan endpointList, 1), make(chan struct{})
+		defer close(done)
+		select {
+		case received <- agentCall{r.URL.RawQuery, response, done}:
+		case <-closing:
+			return
+		}
+		select {
+		case list := <-response:
+			text, _ := json.MarshalIndent(list, "", "  ") // lists may come indented
+			w.Write(text)
+		case <-r.Context().Done():
+		case <-closing:
+		}
+	}))
+	t.Cleanup(srv.Close)
+	t.Cleanup(func() { close(closing) })
+	return srv.Listener.Addr().String(), received
+}
+
+// listOf returns a full list.
+func listOf(generation uint64, instances ...discovery.Instance) endpointList {
+	return endpointList{Generation: generation, Full: true, Instances: instances}
+}
+
+// draining returns an instance that drains.
+func draining(instance discovery.Instance) discovery.Instance {
+	instance.Lifecycle = "Terminating"
+	return instance
+}
+
+// startWithAgent starts a node with an initial list whose discovery is at addr.
+func startWithAgent(t *testing.T, addr string, initial endpointList, change func(*Config)) *running {
+	t.Helper()
+	cfg := testConfig(t, newRegistry(t), func(file map[string]any) { file["discovery"], file["known"] = addr, initial })
+	if change != nil {
+		change(cfg)
+	}
+	return start(t, cfg)
+}
+
+// What the agent has counts from the start of the process: a request that comes before the agent's first response waits
+// for it, and is not sent by the list of the configuration.
+func TestAgentPrecedesInitialList(t *testing.T) {
+	t.Parallel()
+	old, fresh := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
+	addr, calls := startAgent(t)
+	n := startWithAgent(t, addr, listOf(3, instanceAt(old, "s-old")), func(c *Config) {
+		c.pollTiming = discovery.PushedTiming(c.DrainGrace)
+		c.pollTiming.InitialListTimeout = testutil.Patience
+	})
+	first := testutil.Wait(t, calls, "the first call")
+	if first.query != "after=3&wait_ms=1" {
+		t.Errorf("the first call asks for %q: it needs a response at once", first.query)
+	}
+	nc := n.dial() // from a load balancer before it that did not notice the restart
+	r := n.request("pay")
+	if err := r.Write(nc); err != nil {
+		t.Fatal(err)
+	}
+	first.response <- listOf(4, draining(instanceAt(old, "s-old")), instanceAt(fresh, "s-new"))
+	resp, err := http.ReadResponse(bufio.NewReader(nc), r)
+	if err != nil || resp.StatusCode != http.StatusOK {
+		t.Fatalf("%v, %v", resp, err)
+	}
+	if len(old.Got) != 0 || len(fresh.Got) != 1 {
+		t.Errorf("%d sends to the draining endpoint, %d to the other", len(old.Got), len(fresh.Got))
+	}
+}
+
+// The first response of an agent may be a delta to the list that the process was started with, or empty: both together
+// are what it serves by, and it is ready with that response.
+func TestFirstResponseIsDelta(t *testing.T) {
+	t.Parallel()
+	for name, changed := range map[string]bool{"none": false, "one": true} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
+			addr, calls := startAgent(t)
+			n := startWithAgent(t, addr, listOf(3, instanceAt(a, "s-a"), instanceAt(b, "s-b")), func(c *Config) {
+				c.pollTiming = discovery.PushedTiming(c.DrainGrace)
+				c.pollTiming.InitialListTimeout = 10 * testutil.Patience // only the response ends the wait
+				c.pollTiming.ReadyTimeout = 20 * testutil.Patience
+			})
+			delta := endpointList{Generation: 3, Instances: []discovery.Instance{}}
+			if changed {
+				delta = endpointList{Generation: 4, Instances: []discovery.Instance{draining(instanceAt(a, "s-a"))}}
+			}
+			testutil.Wait(t, calls, "the first call").response <- delta
+			n.waitReady(http.StatusOK)
+			for range 40 {
+				if r := n.do(n.request("read")); r.status != http.StatusOK {
+					t.Fatalf("status %d", r.status)
+				}
+			}
+			toA, toB := len(a.Got), len(b.Got)
+			ids := map[string]bool{} // on a busy machine one may be hedged
+			for range toA {
+				ids[(<-a.Got).Header.Get("X-Request-Id")] = true
+			}
+			for range toB {
+				ids[(<-b.Got).Header.Get("X-Request-Id")] = true
+			}
+			if changed && toA > 0 || len(ids) != 40 {
+				t.Errorf("%d and %d sends of %d requests", toA, toB, len(ids))
+			}
+		})
+	}
+}
+
+// An agent that does not respond as a process starts, as with a discovery service that is down, keeps the node from
+// neither serving nor being ready: the initial list is all that there is.
+func TestAgentUnresponsiveAtStart(t *testing.T) {
+	t.Parallel()
+	b := testutil.NewBackend(t, testutil.OK)
+	addr, calls := startAgent(t)
+	n := startWithAgent(t, addr, listOf(3, instanceAt(b, "s-0")), nil)
+	testutil.Wait(t, calls, "the first call")
+	n.waitReady(http.StatusOK)
+	if a := n.do(n.request("read")); a.status != http.StatusOK {
+		t.Errorf("status %d", a.status)
+	}
+}
+
+// A long poll that has become unresponsive is hedged, in both modes: what it misses counts as known, whether or not it
+// arrived.
+func TestUnresponsiveLongPoll(t *testing.T) {
+	t.Parallel()
+	for _, mode := range []string{"pushed", "on_request"} {
+		t.Run(mode, func(t *testing.T) {
+			t.Parallel()
+			a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
+			addr, calls := startAgent(t)
+			cfg := testConfig(t, newRegistry(t), func(file map[string]any) {
+				file["discovery"] = addr
+				file["settings"] = jsonText(strings.Replace(settingsText, "pushed", mode, 1))
+			})
+			n := start(t, cfg)
+			testutil.Wait(t, calls, "the first call").response <- listOf(1, instanceAt(a, "s-a"), instanceAt(b, "s-b"))
+			n.waitReady(http.StatusOK)
+			overdue := testutil.Wait(t, calls, "the long poll")
+			hedge := testutil.Wait(t, calls, "a hedged call")
+			select {
+			case <-overdue.done:
+				t.Error("the long poll was abandoned before it was hedged")
+			default:
+			}
+			if hedge.query != "after=1&wait_ms=1" {
+				t.Errorf("the hedged call asks for %q", hedge.query)
+			}
+			hedge.response <- listOf(2, draining(instanceAt(a, "s-a")), instanceAt(b, "s-b"))
+			for {
+				if next := testutil.Wait(t, calls, "the next long poll"); strings.HasPrefix(next.query, "after=2&") {
+					break
+				}
+			}
+			testutil.Wait(t, overdue.done, "the overdue call to be cancelled")
+			for range 20 {
+				n.do(n.request("read"))
+			}
+			if len(a.Got) != 0 {
+				t.Errorf("%d sends to the draining endpoint", len(a.Got))
+			}
+		})
+	}
+}
+
+// Where the agent does not respond for long, hedged calls go on, within the limit: what it has at its return counts at
+// once, and the calls that were in flight then may never be answered.
+func TestAgentUnresponsiveForLong(t *testing.T) {
+	t.Parallel()
+	b := testutil.NewBackend(t, testutil.OK)
+	addr, calls := startAgent(t)
+	n := startWithAgent(t, addr, listOf(3, instanceAt(b, "s-0")), nil)
+	n.waitReady(http.StatusOK)
+	maxCalls := discovery.PushedTiming(0).MaxCalls
+	var inFlight []agentCall
+	for range 4 * maxCalls {
+		inFlight = append(inFlight, testutil.Wait(t, calls, "a further hedged call"))
+		testutil.Until(t, "no more calls in flight than allowed", func() bool {
+			inFlight = slices.DeleteFunc(inFlight, func(c agentCall) bool {
+				select {
+				case <-c.done:
+					return true
+				default:
+					return false
+				}
+			})
+			return len(inFlight) <= maxCalls
+		})
+	}
+	testutil.Until(t, "the change to be in force", func() bool {
+		select {
+		case c := <-calls: // one that was cancelled by now takes no response
+			c.response <- listOf(4)
+		default:
+		}
+		return n.do(n.request("read")).status == http.StatusServiceUnavailable
+	})
+}
+
+// While a new discovery address does not respond, as after SIGHUP, the old one is followed: what it has counts.
+func TestPreviousAddressUntilNewOneResponds(t *testing.T) {
+	t.Parallel()
+	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
+	oldAddr, old := startAgent(t)
+	newAddr, fresh := startAgent(t)
+	n := startWithAgent(t, oldAddr, endpointList{}, nil)
+	testutil.Wait(t, old, "the first call").response <- listOf(1, instanceAt(a, "s-a"), instanceAt(b, "s-b"))
+	n.waitReady(http.StatusOK)
+	n.node.MoveDiscovery(newAddr)
+	first := testutil.Wait(t, fresh, "a call to the new one")
+	if first.query != "" {
+		t.Errorf("the new one is asked for %q, not for the full list", first.query)
+	}
+	for {
+		c := testutil.Wait(t, old, "a call to the old one")
+		if strings.HasPrefix(c.query, "after=1&") {
+			c.response <- listOf(2, draining(instanceAt(a, "s-a")), instanceAt(b, "s-b"))
+		} else if strings.HasPrefix(c.query, "after=2&") {
+			break
+		}
+	}
+	for range 20 {
+		n.do(n.request("read"))
+	}
+	if len(a.Got) != 0 {
+		t.Errorf("%d sends to an endpoint that drains by the old one's list", len(a.Got))
+	}
+	testutil.Until(t, "the new list to be in force", func() bool {
+		for len(fresh) > 0 { // those that were cancelled by now take no response
+			(<-fresh).response <- listOf(7, instanceAt(a, "s-a"))
+		}
+		n.do(n.request("read"))
+		return len(a.Got) > 0
+	})
+	testutil.Until(t, "a long poll of the new one", func() bool {
+		return strings.HasPrefix(testutil.Wait(t, fresh, "a call to the new one").query, "after=7&")
+	})
+}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -18,8 +18,8 @@
 const goldenFile = "testdata/golden/configuration.json"
 
 // goldenKnown gives the known list in the golden file; no field is zero.
-func goldenKnown() known {
-	return known{Generation: 41, Reset: true, Instances: []discovery.Instance{
+func goldenKnown() endpointList {
+	return endpointList{Generation: 41, Full: true, Instances: []discovery.Instance{
 		{InstanceID: "server-1", HostPort: "10.0.0.1:8001", Zone: "east", Cell: 2, Lifecycle: "Ready", Weight: 1.25, StartedAtMs: 1_699_999_990_001},
 		{InstanceID: "server-2", HostPort: "10.0.0.2:8002", Zone: "west", Cell: 3, Lifecycle: "Draining", Weight: 2.5, StartedAtMs: 1_699_999_980_002},
 	}}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -94,7 +94,7 @@
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
-	json.NewEncoder(w).Encode(known{Generation: uint64(d.version), Reset: true, Instances: d.list})
+	json.NewEncoder(w).Encode(endpointList{Generation: uint64(d.version), Full: true, Instances: d.list})
 }
 
 func instanceAt(b *testutil.Backend, id string) discovery.Instance {
--- a/internal/node/maint_histories_test.go
+++ b/internal/node/maint_histories_test.go
@@ -64,7 +64,7 @@
 func TestDetachHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{T: t, now: 2 * time.Hour, tries: map[policy.RequestID]int{}, names: map[policy.EndpointID]string{}}
-		h.d = &endpointWatcher{to: h, zones: map[string]int{}, source: &source{}, first: make(chan struct{})}
+		h.d = &endpointWatcher{sink: h, zoneIndex: map[string]int{}, source: &discoverySource{}, initialized: make(chan struct{})}
 		set := policy.Defaults()
 		set.Classes = []policy.Class{{Deadline: 2 * time.Second, LatencyObjective: time.Second, PriorityWeight: 1, Idempotency: policy.Idempotent}}
 		set.Limits.MaxAttempts = 3
@@ -82,7 +82,7 @@
 					a.Instances = append(a.Instances, l)
 				}
 			}
-			h.d.take(h.d.source, a)
+			h.d.applyResponse(h.d.source, a)
 		}
 		lists()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -90,10 +90,10 @@
 			call := adminstate.Change{Op: adminstate.Detach, Server: fmt.Sprint("s-", i), AtMs: time.Now().UnixMilli()}
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0:
-				h.d.change(call)
+				h.d.applyChange(call)
 			case 1:
 				call.Op = adminstate.Attach
-				h.d.change(call)
+				h.d.applyChange(call)
 			case 2:
 				delete(started, i)
 				lists()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -97,17 +97,17 @@
 		Nodes: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
 	})
 	cluster, err := engine.New(inner, n.cfg.Policy, pool, engine.Options{
-		Seed: n.cfg.Seed, Clock: clock, WatchEndpoints: disco.watch, DrainGrace: max(1, n.cfg.DrainGrace/sendPart),
+		Seed: n.cfg.Seed, Clock: clock, WatchEndpoints: disco.requestPoll, DrainGrace: max(1, n.cfg.DrainGrace/sendPart),
 	})
 	if err != nil {
 		return err
 	}
-	disco.to = sink{cluster, pool}
+	disco.sink = sink{cluster, pool}
 	front := h1server.New(router{n.cfg, cluster}, h1server.Options{
 		Clock: clock, Places: places, Strict: true, Log: n.log,
 		Stall: streamStall, MaxBody: maxBody, Held: int64(n.cfg.Limits.MemoryMB) << 20 / heldPart,
 	})
-	disco.taken = front.Taken
+	disco.requestCount = front.Taken
 	operators := &admin{ctx: inner, disco: disco, front: front, log: n.log}
 	var others *shared
 	if n.cfg.Passed != "" { // another process of the node may be there
@@ -130,7 +130,7 @@
 		var taken *snapshot.Snapshot
 		var age time.Duration
 		if start, taken, age = others.inherit(ctx); taken != nil {
-			disco.begun = func() { cluster.Restore(taken.Module.ToModule(clock), age) }
+			disco.onFirstUpdate = func() { cluster.Restore(taken.Module.ToModule(clock), age) }
 		}
 	}
 	listed := make(chan struct{})
@@ -144,7 +144,7 @@
 		}
 	}
 	select { // connections wait in the kernel meanwhile
-	case <-disco.first:
+	case <-disco.initialized:
 	case <-ctx.Done():
 	}
 	srv := front.Server()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -383,7 +383,7 @@
 	d := newRegistry(t)
 	d.down = true
 	n := start(t, testConfig(t, d, func(file map[string]any) {
-		file["known"] = known{Generation: 7, Reset: true, Instances: []discovery.Instance{instanceAt(b, "s-0")}}
+		file["known"] = endpointList{Generation: 7, Full: true, Instances: []discovery.Instance{instanceAt(b, "s-0")}}
 	}))
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
@@ -588,14 +588,14 @@
 	clock := engine.NewClock()
 	d := newEndpointWatcher(&Config{}, clock, nil, testutil.Log(t))
 	at := float64(time.Now().Add(-3 * time.Second).UnixMilli())
-	first := d.started(at)
+	first := d.clockTime(at)
 	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testutil.Patience {
 		t.Errorf("a start 3 s ago is %v ago on the clock", age)
 	}
-	if again := d.started(at); again != first {
+	if again := d.clockTime(at); again != first {
 		t.Errorf("the start moved from %v to %v", first, again)
 	}
-	if d.started(0) != 0 {
+	if d.clockTime(0) != 0 {
 		t.Error("a start long ago is not 0")
 	}
 }
--- a/internal/node/shared.go
+++ b/internal/node/shared.go
@@ -234,7 +234,7 @@
 
 // inherit waits for what an earlier process knows, for so long at most, and gives the list to
 // start from. Without an earlier process, or with one that hangs, that is the configuration's.
-func (s *shared) inherit(ctx context.Context) (start known, taken *snapshot.Snapshot, age time.Duration) {
+func (s *shared) inherit(ctx context.Context) (start endpointList, taken *snapshot.Snapshot, age time.Duration) {
 	start = s.cfg.Known
 	if s.folder == nil {
 		return start, nil, 0
@@ -255,7 +255,7 @@
 		}
 		s.log.Info("inherited", "servers", len(snap.Module.Servers), "age", age)
 		if snap.Listed && len(snap.List) > 0 && len(snap.List) <= discovery.MaxInstances {
-			start = known{Generation: snap.Generation, Reset: true, Instances: snap.List}
+			start = endpointList{Generation: snap.Generation, Full: true, Instances: snap.List}
 		}
 		return start, &snap, age
 	}
@@ -270,10 +270,10 @@
 	if err != nil {
 		return err
 	}
-	list := s.admin.disco.snapshot()
+	list := s.admin.disco.currentList()
 	text, err := snapshot.Encode(snapshot.Snapshot{
 		Node: s.cfg.Name, TakenMs: time.Now().UnixMilli(), Classes: s.cfg.classNames(),
-		Generation: list.Generation, Listed: list.Reset, List: list.Instances,
+		Generation: list.Generation, Listed: list.Full, List: list.Instances,
 		Module: snapshot.FromModule(k, s.clock),
 	})
 	if err != nil {
