--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -1,3 +1,5 @@
+// Exponential backoff with jitter over the upper half of the delay ("equal jitter").
+
 package discovery
 
 import "time"
--- a/internal/discovery/instance.go
+++ b/internal/discovery/instance.go
@@ -1,3 +1,6 @@
+// One line of the endpoint list: its fields, identity and state, and which values are valid. A line that allows no new
+// requests needs no address.
+
 package discovery
 
 import (
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,3 +1,5 @@
+// The endpoint list across responses: deltas, full lists, and what stands in for unusable lines.
+
 package discovery
 
 import (
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -1,3 +1,6 @@
+// The calls of one poll. Overdue calls are hedged as in J. Dean and L. A. Barroso, "The Tail at Scale", CACM 56(2),
+// 2013, but only once they are later than their wait allows.
+
 package discovery
 
 import "time"
--- a/internal/discovery/polltiming.go
+++ b/internal/discovery/polltiming.go
@@ -1,3 +1,6 @@
+// The timing of polls, for the two kinds of discovery: an agent on the node's machine to which lists are pushed, and a
+// service that all nodes share and poll.
+
 package discovery
 
 import "time"
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -1,3 +1,6 @@
+// Parsing a response, and the rule which of its lines are usable. An invalid line must cost neither the other lines
+// of the response nor, because it could not be read, the endpoint that it stands for.
+
 package discovery
 
 import (
--- a/internal/discovery/resync.go
+++ b/internal/discovery/resync.go
@@ -1,3 +1,5 @@
+// How often the full list may be requested where the platform charges for lists.
+
 package discovery
 
 import "time"
--- a/internal/node/discoverysource.go
+++ b/internal/node/discoverysource.go
@@ -1,3 +1,5 @@
+// One address of the discovery service, and single calls to it.
+
 package node
 
 import (
--- a/internal/node/endpointadmin.go
+++ b/internal/node/endpointadmin.go
@@ -1,3 +1,5 @@
+// Administrative changes: operators take endpoints out of service and return them.
+
 package node
 
 import (
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -1,3 +1,5 @@
+// The form of an endpoint list that is handed to a process at its start.
+
 package node
 
 import "yokestall/internal/discovery"
--- a/internal/node/endpointwatcher.go
+++ b/internal/node/endpointwatcher.go
@@ -1,3 +1,7 @@
+// The node's discovery client: its state and lifecycle. Its other files are discoverysource.go (one address),
+// pollloop.go and retryschedule.go (when an address is polled), hedgedpoll.go (one poll), endpointupdates.go (from a
+// response to the policy) and endpointadmin.go (administrative changes).
+
 package node
 
 import (
--- a/internal/node/hedgedpoll.go
+++ b/internal/node/hedgedpoll.go
@@ -1,3 +1,5 @@
+// One poll of an address: what it asks for, and its calls.
+
 package node
 
 import (
--- a/internal/node/pollloop.go
+++ b/internal/node/pollloop.go
@@ -1,3 +1,5 @@
+// The loop that polls one address: what follows a response, and what follows a failure.
+
 package node
 
 import (
--- a/internal/node/retryschedule.go
+++ b/internal/node/retryschedule.go
@@ -1,3 +1,5 @@
+// When a polled list is polled again after a failure.
+
 package node
 
 import (
