--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,7 +32,7 @@
 	// milliseconds (the operators' page on the standing test). Nothing in it names its request.
 	settle = 20 * time.Millisecond
 	// sendPart is the part of the grace of drains that is left to sends decided before: the
-	// word of the drain has been on its way here for the rest (discovery.Pushed).
+	// word of the drain has been on its way here for the rest (discovery.PushedTiming).
 	sendPart = 5
 	heldPart = 4 // of the memory, its part that request bodies may hold
 )
@@ -97,17 +97,17 @@
 		Nodes: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
 	})
 	cluster, err := engine.New(inner, n.cfg.Policy, pool, engine.Options{
-		Seed: n.cfg.Seed, Clock: clock, WatchEndpoints: disco.watch, DrainGrace: max(1, n.cfg.DrainGrace/sendPart),
+		Seed: n.cfg.Seed, Clock: clock, WatchEndpoints: disco.requestPoll, DrainGrace: max(1, n.cfg.DrainGrace/sendPart),
 	})
 	if err != nil {
 		return err
 	}
-	disco.to = sink{cluster, pool}
+	disco.sink = sink{cluster, pool}
 	front := h1server.New(router{n.cfg, cluster}, h1server.Options{
 		Clock: clock, Places: places, Strict: true, Log: n.log,
 		Stall: streamStall, MaxBody: maxBody, Held: int64(n.cfg.Limits.MemoryMB) << 20 / heldPart,
 	})
-	disco.taken = front.Taken
+	disco.requestCount = front.Taken
 	operators := &admin{ctx: inner, disco: disco, front: front, log: n.log}
 	var others *shared
 	if n.cfg.Passed != "" { // another process of the node may be there
@@ -130,7 +130,7 @@
 		var taken *snapshot.Snapshot
 		var age time.Duration
 		if start, taken, age = others.inherit(ctx); taken != nil {
-			disco.begun = func() { cluster.Restore(taken.Module.ToModule(clock), age) }
+			disco.onFirstUpdate = func() { cluster.Restore(taken.Module.ToModule(clock), age) }
 		}
 	}
 	listed := make(chan struct{})
@@ -144,7 +144,7 @@
 		}
 	}
 	select { // connections wait in the kernel meanwhile
-	case <-disco.first:
+	case <-disco.initialized:
 	case <-ctx.Done():
 	}
 	srv := front.Server()
