--- a/internal/app/agreed.go
+++ b/internal/app/agreed.go
@@ -72,7 +72,7 @@
 	defer s.mu.Unlock()
 	if s.last != nil {
 		if err := s.take(own, s.last); err != nil {
-			s.app.Log.Error("the node's own file doesn't go with the agreed version; the last one stays", "err", err)
+			s.app.Log.Error("node file conflicts with the agreed version, keeping the last one", "err", err)
 			return
 		}
 	}
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -119,7 +119,7 @@
 	a.retired.Wait()
 	if a.keys != nil {
 		if err := a.keys.Close(); err != nil {
-			a.Log.Error("keys that have started are not safe from a crash", "err", err)
+			a.Log.Error("idempotency keys are not durable", "err", err)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	}
 	for _, name := range s.Program.Table.Clusters() {
 		if next.clusters[name] == nil && (old.program == nil || old.program.Table != s.Program.Table || old.clusters[name] != nil) {
-			a.Log.Warn("routes lead to a cluster that nobody defines; their requests are refused", "cluster", name)
+			a.Log.Warn("routes name an undefined cluster, rejecting their requests", "cluster", name)
 		}
 	}
 	return nil
@@ -320,7 +320,7 @@
 	to := s.clusters[m.Cluster]
 	if to == nil {
 		if _, known := a.missing.LoadOrStore(m.Cluster, true); !known {
-			a.Log.Error("a request is refused: its cluster is not defined", "cluster", m.Cluster, "route", m.Route.Name)
+			a.Log.Error("request rejected, cluster not defined", "cluster", m.Cluster, "route", m.Route.Name)
 		}
 		return ingress.Destination{}, &ingress.Rejection{
 			Status: http.StatusServiceUnavailable, Text: "the route's cluster is not defined", RetryAfter: s.program.Limits.MaxRetryAfter,
--- a/internal/app/callers.go
+++ b/internal/app/callers.go
@@ -34,6 +34,6 @@
 		}
 		with.TLS = a.Keys.Server(tlskeys.Clients{Roots: set.ClientRoots, Require: set.ClientNeeds}, "h2")
 	}
-	a.Log.Info("serving other proxies", "addr", l.Addr().String(), "tls", set.TLS)
+	a.Log.Info("serving external processor", "addr", l.Addr().String(), "tls", set.TLS)
 	return s.Serve(ctx, l, with)
 }
--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -145,7 +145,7 @@
 		for wait := acceptPause; ; {
 			nc, err := l.Accept()
 			if passing(err) {
-				ls.app.Log.Warn("connections can't be accepted at present", "addr", l.Addr().String(), "err", err)
+				ls.app.Log.Warn("accepting connections failed, retrying", "addr", l.Addr().String(), "err", err)
 				select {
 				case <-time.After(wait):
 				case <-d.gone:
--- a/internal/app/source.go
+++ b/internal/app/source.go
@@ -87,13 +87,13 @@
 		if r := s.routes; r != nil {
 			p, err := next.Program.Routed(r.Table, r.Hosts, r.Classes, r.Tenants)
 			if err != nil { // a class that the file no longer has
-				s.app.Log.Error("the routes of the control plane don't go with the program's file; the last version stays", "err", err)
+				s.app.Log.Error("control plane routes conflict with the settings file, keeping the last version", "err", err)
 				return
 			}
 			next.Program = p
 		}
 	}
 	if err := s.app.TakeAt(at, next); err != nil {
-		s.app.Log.Error("a version is not taken", "err", err)
+		s.app.Log.Error("configuration version rejected", "err", err)
 	}
 }
--- a/internal/cli/agree.go
+++ b/internal/cli/agree.go
@@ -58,13 +58,13 @@
 			return
 		}
 		if err := m.node.Serve(ctx, m.listen); err != nil {
-			log.Error("other nodes can't ask this one any more", "err", err)
+			log.Error("fleet RPC server stopped", "err", err)
 		}
 	}()
 	m.node.Run(ctx)
 	<-served
 	if err := m.node.Close(); err != nil {
-		log.Error("the fleet's store", "err", err)
+		log.Error("closing the fleet store failed", "err", err)
 	}
 }
 
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -27,6 +27,9 @@
 	"yokestall/internal/xds"
 )
 
+// restartNeeded is the log event of a setting that changed and takes effect at the next start alone.
+const restartNeeded = "changed settings need a restart"
+
 // ErrReported ends a command whose findings are printed already: exit code 1, no more text.
 var ErrReported = errors.New("reported")
 
@@ -141,20 +144,20 @@
 				source.Files(s)
 			}
 			if !reflect.DeepEqual(s.Program.Agree, first.Program.Agree) {
-				log.Warn("a change of [fleet.agree] wants a restart")
+				log.Warn(restartNeeded, "settings", "[fleet.agree]")
 			}
 			if x := &first.Program.XDS; !reflect.DeepEqual(s.Program.XDS, *x) ||
 				len(x.Servers) > 0 && !slices.EqualFunc(s.Program.Classes, first.Program.Classes, func(a, b config.Class) bool { return a.Name == b.Name }) {
-				log.Warn("a change of [xds], or of the classes' names with a control plane, wants a restart")
+				log.Warn(restartNeeded, "settings", "[xds], or names of classes with a control plane")
 			}
 			if s.Program.ExtProc != first.Program.ExtProc {
-				log.Warn("a change of [extproc] wants a restart")
+				log.Warn(restartNeeded, "settings", "[extproc]")
 			}
 			if s.Program.Keys != keys {
-				log.Warn("a change of [keys] wants a restart")
+				log.Warn(restartNeeded, "settings", "[keys]")
 			}
 			if err := listeners.Take(s.Program.Listeners); err != nil {
-				log.Error("the listeners stay as they are", "err", err)
+				log.Error("listener update failed, keeping the current listeners", "err", err)
 			}
 		})
 	})
--- a/internal/downstream/extproc/pick.go
+++ b/internal/downstream/extproc/pick.go
@@ -372,7 +372,7 @@
 	to, details := x.told()
 	if to != "" && to != o.address {
 		x.s.Stats.Strays.Add(1)
-		x.s.Log.Warn("a caller sent to a server that it was not given", "given", o.address, "sent", to, "request", x.terms.ID)
+		x.s.Log.Warn("caller used another endpoint than the selected one", "given", o.address, "sent", to, "request", x.terms.ID)
 		return policy.Cancelled, nil // says nothing of the one that was named
 	}
 	return Outcome(code, h.fields, details), nil
--- a/internal/downstream/h2server/server.go
+++ b/internal/downstream/h2server/server.go
@@ -155,7 +155,7 @@
 	}
 	g.over = true
 	g.server.floods.Add(1)
-	g.server.Log.Warn("a connection over HTTP/2 is ended", "client", g.RemoteAddr().String(), "err", err)
+	g.server.Log.Warn("HTTP/2 connection closed", "client", g.RemoteAddr().String(), "err", err)
 	return true
 }
 
--- a/internal/files/watcher.go
+++ b/internal/files/watcher.go
@@ -18,6 +18,9 @@
 
 const maxCauses = 1000 // remembered, so that each is logged once
 
+// filesRejected is the log event of files that are not put in force.
+const filesRejected = "configuration files rejected, keeping the last good version"
+
 // Watcher follows the files. Create it with Open.
 type Watcher struct {
 	path    string
@@ -68,13 +71,13 @@
 func (w *Watcher) Run(ctx context.Context, take func(*Snapshot)) {
 	notes, err := w.notify()
 	if err != nil {
-		w.log.Warn("changes are seen by polling alone", "err", err)
+		w.log.Warn("file notification unavailable, polling only", "err", err)
 		notes = &notifier{add: func(string) error { return nil }, close: func() error { return nil }}
 	}
 	defer notes.close()
 	for _, folder := range w.folders() {
 		if err := notes.add(folder); err != nil {
-			w.log.Warn("changes are seen by polling alone", "folder", folder, "err", err)
+			w.log.Warn("file notification unavailable, polling only", "folder", folder, "err", err)
 		}
 	}
 	watched := w.folders()
@@ -170,7 +173,7 @@
 	s.Version.Number = w.number
 	w.current, w.verdict, w.refused = s, verdict{}, hash{}
 	clear(w.logged)
-	w.log.Info("a new version of the files is taken", "version", w.number, "clusters", len(s.Version.Clusters))
+	w.log.Info("configuration version loaded", "version", w.number, "clusters", len(s.Version.Clusters))
 	return s
 }
 
@@ -208,7 +211,7 @@
 	for _, cause := range strings.Split(w.verdict.err.Error(), "\n") {
 		if !w.logged[cause] && len(w.logged) < maxCauses {
 			w.logged[cause] = true
-			w.log.Error("the files are not taken; the last good version stays", "version", w.number, "cause", cause)
+			w.log.Error(filesRejected, "version", w.number, "cause", cause)
 		}
 	}
 }
--- a/internal/tlskeys/store.go
+++ b/internal/tlskeys/store.go
@@ -85,7 +85,7 @@
 		s.set.Store(next)
 		s.changed.Add(1)
 		clear(s.said)
-		s.log.Info("keys are in force", "folder", s.folder, "certificates", len(next.pairs), "roots", len(next.roots))
+		s.log.Info("TLS keys loaded", "folder", s.folder, "certificates", len(next.pairs), "roots", len(next.roots))
 	}
 	for _, e := range s.Set().Expiring(now, warnings[0]) {
 		step := warnings[0]
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -112,7 +112,7 @@
 	}
 	kept, err := x.keep.load()
 	if err != nil {
-		x.log.Warn("the last good version can't be used", "file", x.config.Keep, "err", err)
+		x.log.Warn("cached control plane version unusable", "file", x.config.Keep, "err", err)
 		return false
 	}
 	if kept == nil {
@@ -125,7 +125,7 @@
 		for name, r := range kept.resources[t] {
 			_, value, err := x.config.Translate.Decode(t, r.Body)
 			if err != nil { // it was good for another version of this program or its file
-				x.log.Warn("a resource of the last good version is left out", "type", t, "name", name, "err", err)
+				x.log.Warn("cached resource ignored", "type", t, "name", name, "err", err)
 				continue
 			}
 			u.Set = append(u.Set, ads.Set{Name: name, Version: r.Version, Value: value})
@@ -135,7 +135,7 @@
 		x.machine.Restore(t, kept.versions[t], versions)
 	}
 	x.subscribe()
-	x.log.Info("starting from the last good version", "file", x.config.Keep, "age", time.Since(kept.at).Round(time.Second))
+	x.log.Info("starting from the cached control plane version", "file", x.config.Keep, "age", time.Since(kept.at).Round(time.Second))
 	take(&Delivery{At: time.Now(), Whole: true, View: x.state})
 	return true
 }
@@ -160,10 +160,10 @@
 		}
 		wait := time.Duration(0)
 		if err == nil { // left for one of higher preference
-			x.log.Info("looking whether a preferred control plane is back", "addr", x.config.Servers[x.planes.At()])
+			x.log.Info("probing a preferred control plane", "addr", x.config.Servers[x.planes.At()])
 		} else {
 			wait = x.planes.Failed(x.now(), rand.Float64())
-			x.log.Warn("the control plane is lost; what it said stays in force",
+			x.log.Warn("control plane disconnected, keeping its last configuration",
 				"addr", x.config.Servers[at], "err", err, "next", x.config.Servers[x.planes.At()], "wait", wait.Round(time.Millisecond))
 		}
 		x.pause(ctx, wait)
@@ -277,7 +277,7 @@
 	if err := x.send(x.machine.Opened(x.now(), addr)); err != nil {
 		return err
 	}
-	x.log.Info("following a control plane", "addr", addr)
+	x.log.Info("control plane connected", "addr", addr)
 	return x.loop(ctx, in)
 }
 
@@ -302,7 +302,7 @@
 		case <-timer.C:
 			now := x.now()
 			for _, u := range x.machine.Tick(now) {
-				x.log.Warn("the control plane does not have what it was asked for", "type", u.Type, "count", len(u.Missing), "names", u.Missing[:min(len(u.Missing), 10)])
+				x.log.Warn("control plane lacks requested resources", "type", u.Type, "count", len(u.Missing), "names", u.Missing[:min(len(u.Missing), 10)])
 				if err := x.apply(time.Now(), &u); err != nil {
 					return err
 				}
@@ -336,13 +336,13 @@
 	}
 	u, owed, problem := x.machine.Receive(x.now(), r)
 	if problem != nil {
-		x.log.Warn("a response is left unanswered", "cause", problem)
+		x.log.Warn("control plane response ignored", "cause", problem)
 		return nil
 	}
 	x.planes.Answered()
 	for _, o := range owed {
 		if o.Error != "" {
-			x.log.Error("a response is refused in part; what was good before stays", "type", o.Type, "version", r.Version, "cause", o.Error)
+			x.log.Error("control plane response partly rejected, keeping former resources", "type", o.Type, "version", r.Version, "cause", o.Error)
 		}
 	}
 	if x.keep != nil {
@@ -364,7 +364,7 @@
 	}
 	if u.Type == ads.Cluster {
 		if p := x.state.Pending(); len(p) > 0 {
-			x.log.Info("clusters wait for their endpoints; requests to them are refused", "count", len(p), "names", p[:min(len(p), 10)])
+			x.log.Info("clusters have no endpoints yet, rejecting their requests", "count", len(p), "names", p[:min(len(p), 10)])
 		}
 	}
 	if !change.Wanted {
@@ -378,7 +378,7 @@
 	for t := range ads.Types {
 		out, over := x.machine.Subscribe(x.now(), t, x.state.Wanted(t))
 		if len(over) > 0 {
-			x.log.Error("more resources are wanted than are followed", "type", t, "over", len(over), "first", over[0])
+			x.log.Error("resource limit exceeded", "type", t, "over", len(over), "first", over[0])
 		}
 		if err := x.send(out); err != nil {
 			return err
--- a/internal/xds/keep.go
+++ b/internal/xds/keep.go
@@ -54,7 +54,7 @@
 	k.done.Go(func() {
 		for m := range k.work {
 			if err := k.write(m); err != nil {
-				k.log.Warn("the last good version is not kept", "file", k.path, "err", err)
+				k.log.Warn("caching the control plane version failed", "file", k.path, "err", err)
 			}
 		}
 	})
