--- a/internal/fake/platform/clients.go
+++ b/internal/fake/platform/clients.go
@@ -21,11 +21,13 @@
 	mu   sync.Mutex
 	lost []string // requests with no whole answer, and why
 	all  sync.WaitGroup
+	stop context.CancelFunc
 }
 
 // Drive has so many clients ask, with a pause behind each answer, until the context ends.
 func Drive(ctx context.Context, addr string, clients int, pause time.Duration) *Clients {
-	c := &Clients{}
+	ctx, stop := context.WithCancel(ctx)
+	c := &Clients{stop: stop}
 	for i := range clients {
 		c.all.Go(func() {
 			one := client{addr: addr}
@@ -44,9 +46,16 @@
 	return c
 }
 
+// Stop ends the clients, each after the answer to its request, and gives the requests that were lost.
+func (c *Clients) Stop() (lost []string) {
+	c.stop()
+	return c.Wait()
+}
+
 // Wait waits until all have stopped, and gives the requests that were lost.
 func (c *Clients) Wait() (lost []string) {
 	c.all.Wait()
+	c.stop()
 	return c.lost
 }
 
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -13,7 +13,9 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"regexp"
 	"strings"
+	"sync"
 	"syscall"
 	"time"
 
@@ -107,6 +109,9 @@
 	return errors.Join(err, failed)
 }
 
+// UseCommand has processes that are started from now on be of another program of the node than Options.Command.
+func (p *Platform) UseCommand(command, env []string) { p.options.Command, p.options.Env = command, env }
+
 // Release gives the clients' socket up: what is queued there ends with the last process.
 func (p *Platform) Release() {
 	if p.socket != nil {
@@ -199,7 +204,7 @@
 	case n.mgmt = <-heard:
 		return n, nil
 	case <-n.Ended:
-		return nil, fmt.Errorf("platform: the node ended at once: %w; it said %q", n.Err, n.last)
+		return nil, fmt.Errorf("platform: the node ended at once: %w; it said %q", n.Err, n.lastLine())
 	case <-time.After(patience):
 		return nil, errors.New("platform: the node does not start")
 	}
@@ -211,22 +216,59 @@
 	Ended chan struct{} // closed when it has
 	Err   error         // how; read after Ended
 	mgmt  string        // the operators' address
-	last  string        // line of its log
+
+	mu  sync.Mutex
+	log []string // lines, the latest maxLogLines of them; guarded by mu
 }
 
+// maxLogLines bounds what is remembered of a process's log.
+const maxLogLines = 10_000
+
+// operatorsLine matches the line by which a process logs the operators' address. Its words differ between versions
+// of the program, which run side by side here: they share the subject and an attribute that is an address.
+var operatorsLine = regexp.MustCompile(`^[^=]*\b(?:operators|admin)\b.*\b\w+=(127\.0\.0\.1:\d+)`)
+
 // follow reads the process's log to its end and takes the operators' address out of it.
 func (n *Node) follow(log io.Reader, heard chan<- string) {
+	found := false
 	for lines := bufio.NewScanner(log); lines.Scan(); {
-		n.last = lines.Text()
-		if _, said, found := strings.Cut(n.last, "operators are heard"); found {
-			_, at, _ := strings.Cut(said, "at=")
-			heard <- at
+		line := lines.Text()
+		n.remember(line)
+		if at := operatorsLine.FindStringSubmatch(line); at != nil && !found {
+			found = true
+			heard <- at[1]
 		}
 	}
 	n.Err = n.Wait()
 	close(n.Ended)
 }
 
+func (n *Node) remember(line string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if len(n.log) == maxLogLines {
+		n.log = append(n.log[:0], n.log[1:]...)
+	}
+	n.log = append(n.log, line)
+}
+
+// Log gives the lines that the process has logged so far, the latest ones if there are very many.
+func (n *Node) Log() []string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return append([]string(nil), n.log...)
+}
+
+// lastLine gives the last line of the process's log.
+func (n *Node) lastLine() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if len(n.log) == 0 {
+		return ""
+	}
+	return n.log[len(n.log)-1]
+}
+
 // Call makes one call of an operator's and gives the answer, or why there is none.
 func (n *Node) Call(text string) string {
 	answer, err := adminapi.Ask(n.mgmt, text, patience)
--- /dev/null
+++ b/internal/testutil/former.go
@@ -0,0 +1,105 @@
+package testutil
+
+import (
+	"archive/tar"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// FormerCommit is the commit of this repository whose programs must work beside the present ones: it is the last
+// one before the identifiers of stored and transmitted types were renamed.
+const FormerCommit = "6b4008b69baaa1175dedf420050aaa573edc3ee6"
+
+// formerSources are the parts of the repository that the build of a program needs.
+var formerSources = []string{"go.mod", "go.sum", "cmd", "deploy", "internal", "policy"}
+
+// BuildFormer builds a program of FormerCommit, for example "cmd/yokestall", and gives the path of the
+// executable, which goes with the test. The sources come from the repository that the test runs in; where it
+// lacks the commit, the test fails. A test that needs a program several times builds it once and runs sub-tests.
+func BuildFormer(t testing.TB, program string) string {
+	t.Helper()
+	root, err := output("", "git", "rev-parse", "--show-toplevel")
+	if err != nil {
+		t.Fatalf("the sources of the former program come from the git repository: %v", err)
+	}
+	top := strings.TrimSpace(string(root))
+	if _, err := output(top, "git", "rev-parse", "--verify", FormerCommit+"^{commit}"); err != nil {
+		t.Fatalf("commit %s, whose programs must work beside the present ones, is not in this clone "+
+			"(a shallow one can be completed by git fetch --unshallow): %v", FormerCommit, err)
+	}
+	archive, err := output(top, "git", append([]string{"archive", "--format=tar", FormerCommit}, formerSources...)...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	sources, executable := filepath.Join(dir, "sources"), filepath.Join(dir, filepath.Base(program))
+	if err := extract(archive, sources); err != nil {
+		t.Fatalf("the archive of commit %s: %v", FormerCommit, err)
+	}
+	// With -trimpath the build cache has the packages of earlier runs, although their folder is another one.
+	build := []string{"build", "-trimpath", "-buildvcs=false", "-o", executable, "./" + program}
+	if _, err := output(sources, "go", build...); err != nil {
+		t.Fatalf("the build of %s at commit %s: %v", program, FormerCommit, err)
+	}
+	return executable
+}
+
+// output runs a command in a folder and gives what it writes to its standard output. Its error has the standard
+// error.
+func output(dir, name string, args ...string) ([]byte, error) {
+	c := exec.Command(name, args...)
+	c.Dir = dir
+	text, err := c.Output()
+	if exit := (*exec.ExitError)(nil); errors.As(err, &exit) {
+		return nil, fmt.Errorf("%s %s: %w: %s", name, args[0], err, bytes.TrimSpace(exit.Stderr))
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%s %s: %w", name, args[0], err)
+	}
+	return text, nil
+}
+
+// extract writes the folders and regular files of a tar archive below dir.
+func extract(archive []byte, dir string) error {
+	files := tar.NewReader(bytes.NewReader(archive))
+	for {
+		header, err := files.Next()
+		if err == io.EOF {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		if !filepath.IsLocal(header.Name) {
+			return fmt.Errorf("%q leads out of the folder", header.Name)
+		}
+		path := filepath.Join(dir, header.Name)
+		switch header.Typeflag {
+		case tar.TypeDir:
+			err = os.MkdirAll(path, 0o755)
+		case tar.TypeReg:
+			err = extractFile(files, path)
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
+
+func extractFile(content io.Reader, path string) error {
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		return err
+	}
+	text, err := io.ReadAll(content)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, text, 0o644)
+}
