--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -59,6 +59,32 @@
 	}
 }
 
+// Processes of the former version of the program vote on versions, and act on them, beside processes of this one, while they
+// are killed, stopped and cut off: each version is agreed on and in force in all, by leases that hold.
+func TestVersionsBetweenPrograms(t *testing.T) {
+	if testing.Short() {
+		t.Skip("real time")
+	}
+	former := testutil.BuildFormer(t, "cmd/yokestall")
+	for _, c := range []struct {
+		name  string
+		nodes []int // of the former version; the first three vote
+	}{
+		{"former voters and present followers", []int{0, 1, 2}},
+		{"present voters and former followers", []int{3, 4}},
+		{"one former voter and one former follower", []int{0, 4}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			v := versionsRun(1)
+			v.Programs = map[int][]string{}
+			for _, node := range c.nodes {
+				v.Programs[node] = []string{former}
+			}
+			playVersions(t, v)
+		})
+	}
+}
+
 func playVersions(t *testing.T, v lab.Versions) {
 	itself, env := testutil.Itself()
 	dir := t.TempDir()
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -40,6 +40,8 @@
 	Terms         lease.Config
 	Rate          float64 // requests a second, over all processes
 	Clocks        bool    // the processes' clocks for leases are fast and slow in turn, by as much as the terms allow
+	// Programs are commands that start a node's program, by node, where that is another than PlayVersions is given.
+	Programs map[int][]string
 }
 
 // VersionsOutcome is what came of it.
@@ -97,10 +99,11 @@
 		return nil, err
 	}
 	defer r.rig.Close()
-	if v.Clocks {
-		for i, p := range r.rig.Processes {
+	for i, p := range r.rig.Processes {
+		p.Command = serveCommand(v.program(i, command))
+		if v.Clocks {
 			rate := 1 + v.Terms.MaxClockDrift*[]float64{1, -1, 0}[i%3]
-			p.Command = append(command[:len(command):len(command)], "lab", "serve", fmt.Sprint("--rate=", rate), "-c")
+			p.Command = slices.Concat(v.program(i, command), []string{"lab", "serve", fmt.Sprint("--rate=", rate), "-c"})
 		}
 	}
 	r.rig.Record.Begin(time.Now())
@@ -122,6 +125,14 @@
 	return &r.out, nil
 }
 
+// program is the command that starts a node's program.
+func (v *Versions) program(node int, command []string) []string {
+	if own, ok := v.Programs[node]; ok {
+		return own
+	}
+	return command
+}
+
 // box starts a server that records what comes.
 func (r *versionRun) box(at int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -163,7 +174,8 @@
 		if i >= r.Voters {
 			continue
 		}
-		c := exec.CommandContext(ctx, command[0], append(command[1:len(command):len(command)], "fleet", "init", "-c", p.Config())...)
+		program := r.program(i, command)
+		c := exec.CommandContext(ctx, program[0], slices.Concat(program[1:], []string{"fleet", "init", "-c", p.Config()})...)
 		c.Env = append(os.Environ(), env...)
 		if text, err := c.CombinedOutput(); err != nil {
 			return fmt.Errorf("fleet init: %w: %s", err, text)
