--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -43,9 +43,9 @@
 	ctx   context.Context
 	stop  context.CancelFunc
 
-	keys    *keystore.Log // nil: none is kept
-	once    *replay.Gate  // nil: repeats over HTTP run like any request
-	mu      sync.Mutex    // one change at a time
+	keys    *keystore.Log        // nil: none is kept
+	once    *replay.Deduplicator // nil: repeats over HTTP run like any request
+	mu      sync.Mutex           // one change at a time
 	state   atomic.Pointer[state]
 	retired sync.WaitGroup // clusters that run on without a place in the state
 
@@ -90,7 +90,7 @@
 			Entries: set.Entries, Bytes: set.Bytes, Joiners: maxJoiners, Tenants: len(first.Program.Tenants),
 		}, a.clock)
 		if set.Late {
-			a.once.ListenLate()
+			a.once.AcceptLateOutcomes()
 		}
 		if err := a.keepKeys(set.Log); err != nil {
 			a.Close()
@@ -129,12 +129,12 @@
 	if path == "" {
 		return nil
 	}
-	var known []keystore.Known
+	var known []keystore.KnownKey
 	var err error
 	if a.keys, known, err = keystore.Open(files.Beside(a.Path, path), time.Now(), nil); err != nil {
 		return err
 	}
-	return a.once.Keep(a.keys, known)
+	return a.once.AttachLog(a.keys, known)
 }
 
 // Take puts a version in force. When it returns, the engines were told: from
--- a/internal/app/once_test.go
+++ b/internal/app/once_test.go
@@ -160,10 +160,10 @@
 	box := cluster.Endpoint{ID: "s-0", Address: testutil.NewBackend(t, testutil.OK).Addr()}
 	s := serve(t, snapshot(parse(t, strings.Replace(pushes, "ENTRIES", "10", 1)), rooms(box)))
 	status, header, first := s.push("k", "x", testutil.Patience)
-	if status != http.StatusOK || header.Get(replay.Replayed) != "" {
+	if status != http.StatusOK || header.Get(replay.ReplayedHeader) != "" {
 		t.Fatalf("status %d, %s", status, header)
 	}
-	if status, header, text := s.push("k", "x", testutil.Patience); status != http.StatusOK || header.Get(replay.Replayed) != "true" || text != first {
+	if status, header, text := s.push("k", "x", testutil.Patience); status != http.StatusOK || header.Get(replay.ReplayedHeader) != "true" || text != first {
 		t.Errorf("again: status %d, %s, %q", status, header, text)
 	}
 	if status, _, _ := s.push("k", "y", testutil.Patience); status != http.StatusUnprocessableEntity {
--- a/internal/downstream/extproc/carry.go
+++ b/internal/downstream/extproc/carry.go
@@ -61,10 +61,10 @@
 	a, err := x.to.Cluster.Do(ctx, q)
 	if err != nil {
 		if errors.Is(err, engine.ErrRetired) && x.stream.Context().Err() == nil {
-			x.over(b, idempotency.Refused, nil, x.to.MaxRetryAfter)
+			x.over(b, idempotency.Rejected, nil, x.to.MaxRetryAfter)
 			return x.refuse(x.to.MaxRetryAfter)
 		}
-		x.over(b, idempotency.Lost, nil, 0)
+		x.over(b, idempotency.Indeterminate, nil, 0)
 		x.s.Stats.Left.Add(1)
 		return context.Canceled
 	}
@@ -215,7 +215,7 @@
 	}
 	switch {
 	case a.Verdict == engine.Rejected:
-		x.over(b, idempotency.Refused, nil, a.RetryAfter)
+		x.over(b, idempotency.Rejected, nil, a.RetryAfter)
 		if answer == nil {
 			return x.refuse(a.RetryAfter)
 		}
@@ -224,7 +224,7 @@
 			answer.Header.Set("Retry-After", ingress.Seconds(a.RetryAfter))
 		}
 	case a.Verdict == engine.Failed:
-		x.over(b, idempotency.Lost, nil, 0)
+		x.over(b, idempotency.Indeterminate, nil, 0)
 		if answer == nil {
 			return x.fail()
 		}
--- a/internal/downstream/extproc/extproc.go
+++ b/internal/downstream/extproc/extproc.go
@@ -334,7 +334,7 @@
 // first is a request that runs under a key, for those that come again meanwhile.
 type first struct {
 	over chan struct{} // closed at its end
-	end  idempotency.End
+	end  idempotency.Completion
 	// answer is what a joiner gets, set before over is closed; nil: nothing that can be shared.
 	answer *h1client.Answer
 	after  time.Duration
@@ -359,7 +359,7 @@
 	}
 	s := x.s
 	s.mu.Lock()
-	v, e, wait := s.repeats.Ask(s.Clock.Now(), key, replay.Print(x.to.Class, x.req.Method, x.req.RequestURI, x.req.Host, body), window, join)
+	v, e, wait := s.repeats.Begin(s.Clock.Now(), key, replay.Fingerprint(x.to.Class, x.req.Method, x.req.RequestURI, x.req.Host, body), window, join)
 	switch v {
 	case idempotency.First:
 		b.entry, b.first = e, &first{over: make(chan struct{})}
@@ -373,27 +373,27 @@
 		return b, false, nil
 	case idempotency.Joined:
 		return b, true, x.join(e, b.first)
-	case idempotency.Busy:
+	case idempotency.InProgress:
 		return b, true, x.conflict(http.StatusConflict, "a request under this key, or id, is open")
 	case idempotency.Replayed:
 		if a, ok := e.Outcome.(*h1client.Answer); ok {
 			return b, true, x.replay(a)
 		}
 		return b, true, x.conflict(http.StatusConflict, "a request under this key, or id, was answered")
-	case idempotency.Unknown:
+	case idempotency.OutcomeUnknown:
 		return b, true, x.conflict(http.StatusConflict, "a request under this key, or id, may have run")
-	case idempotency.Other:
+	case idempotency.Mismatch:
 		return b, true, x.conflict(http.StatusUnprocessableEntity, "the key stands for another request")
 	}
 	return b, true, x.refuse(max(wait, x.to.MaxRetryAfter))
 }
 
 // over tells the store, and those that joined, what became of the first.
-func (x *exchange) over(b begun, end idempotency.End, a *h1client.Answer, after time.Duration) {
+func (x *exchange) over(b begun, end idempotency.Completion, a *h1client.Answer, after time.Duration) {
 	x.s.over(b, end, a, after)
 }
 
-func (s *Server) over(b begun, end idempotency.End, a *h1client.Answer, after time.Duration) {
+func (s *Server) over(b begun, end idempotency.Completion, a *h1client.Answer, after time.Duration) {
 	if b.entry == nil {
 		return
 	}
@@ -407,9 +407,9 @@
 	var outcome any
 	size := int64(0)
 	if a != nil {
-		outcome, size = a, replay.Weight(a)
+		outcome, size = a, replay.AnswerBytes(a)
 	}
-	s.repeats.End(s.Clock.Now(), b.entry, end, outcome, size)
+	s.repeats.Complete(s.Clock.Now(), b.entry, end, outcome, size)
 	close(b.first.over)
 }
 
@@ -429,7 +429,7 @@
 		return x.stream.Context().Err()
 	}
 	switch {
-	case f.end == idempotency.Refused:
+	case f.end == idempotency.Rejected:
 		return x.refuse(f.after)
 	case f.end == idempotency.Answered && f.answer != nil:
 		return x.replay(f.answer)
@@ -440,7 +440,7 @@
 func (x *exchange) leave(e *idempotency.Entry) {
 	x.s.mu.Lock()
 	defer x.s.mu.Unlock()
-	x.s.repeats.Leave(e)
+	x.s.repeats.RemoveJoiner(e)
 }
 
 // replay gives the first's answer.
--- a/internal/downstream/extproc/pick.go
+++ b/internal/downstream/extproc/pick.go
@@ -179,7 +179,7 @@
 	if s.asks[key] != nil { // meanwhile
 		s.mu.Unlock()
 		cancel()
-		s.over(b, idempotency.Refused, nil, 0)
+		s.over(b, idempotency.Rejected, nil, 0)
 		return nil, true, x.conflict(http.StatusConflict, "a request with this id is open")
 	}
 	s.asks[key] = a
@@ -201,9 +201,9 @@
 		a.s.over(a.begun, idempotency.Answered, nil, 0)
 		a.s.Stats.Served.Add(1)
 	case !ran: // a refusal of what may have run is a promise to whoever hears it, and nobody may be there
-		a.s.over(a.begun, idempotency.Refused, nil, answer.RetryAfter)
+		a.s.over(a.begun, idempotency.Rejected, nil, answer.RetryAfter)
 	default:
-		a.s.over(a.begun, idempotency.Lost, nil, 0)
+		a.s.over(a.begun, idempotency.Indeterminate, nil, 0)
 	}
 	a.s.mu.Lock()
 	delete(a.s.asks, a.key)
--- a/internal/idempotency/keystore/golden_test.go
+++ b/internal/idempotency/keystore/golden_test.go
@@ -17,12 +17,24 @@
 // between versions of the program, so its form must not change.
 const goldenFile = "testdata/golden/keys.log"
 
-// goldenKnown gives what Open reads from the golden file, by name; the key that was refused is not kept.
-func goldenKnown() []Known {
-	return []Known{
-		{Key: idempotency.Key{Tenant: 11, Name: "key answered"}, Print: idempotency.Print{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16}, Until: time.Unix(4_000_000_001, 101), Answered: true},
-		{Key: idempotency.Key{Tenant: 13, Name: "key lost"}, Print: idempotency.Print{33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46, 47, 48}, Until: time.Unix(4_000_000_003, 103)},
-		{Key: idempotency.Key{Tenant: 14, Name: "key only started"}, Print: idempotency.Print{49, 50, 51, 52, 53, 54, 55, 56, 57, 58, 59, 60, 61, 62, 63, 64}, Until: time.Unix(4_000_000_004, 104)},
+// goldenKnown gives what Open reads from the golden file, by name; the key that was rejected is not among them.
+func goldenKnown() []KnownKey {
+	return []KnownKey{
+		{
+			Key:         idempotency.Key{Tenant: 11, Name: "key answered"},
+			Fingerprint: idempotency.Fingerprint{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16},
+			ExpiresAt:   time.Unix(4_000_000_001, 101), Answered: true,
+		},
+		{
+			Key:         idempotency.Key{Tenant: 13, Name: "key lost"},
+			Fingerprint: idempotency.Fingerprint{33, 34, 35, 36, 37, 38, 39, 40, 41, 42, 43, 44, 45, 46, 47, 48},
+			ExpiresAt:   time.Unix(4_000_000_003, 103),
+		},
+		{
+			Key:         idempotency.Key{Tenant: 14, Name: "key only started"},
+			Fingerprint: idempotency.Fingerprint{49, 50, 51, 52, 53, 54, 55, 56, 57, 58, 59, 60, 61, 62, 63, 64},
+			ExpiresAt:   time.Unix(4_000_000_004, 104),
+		},
 	}
 }
 
@@ -35,15 +47,16 @@
 		t.Fatal(err)
 	}
 	known := goldenKnown()
-	refusedKey := idempotency.Key{Tenant: 12, Name: "key refused"}
+	rejectedKey := idempotency.Key{Tenant: 12, Name: "key refused"}
+	rejectedFingerprint := idempotency.Fingerprint{17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32}
 	err = errors.Join(
-		l.Started(known[0].Key, known[0].Print, known[0].Until),
-		l.Started(refusedKey, idempotency.Print{17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 30, 31, 32}, time.Unix(4_000_000_002, 102)),
-		l.Started(known[1].Key, known[1].Print, known[1].Until),
-		l.Started(known[2].Key, known[2].Print, known[2].Until))
-	l.Finished(known[0].Key, idempotency.Answered)
-	l.Finished(refusedKey, idempotency.Refused)
-	l.Finished(known[1].Key, idempotency.Lost)
+		l.RecordStart(known[0].Key, known[0].Fingerprint, known[0].ExpiresAt),
+		l.RecordStart(rejectedKey, rejectedFingerprint, time.Unix(4_000_000_002, 102)),
+		l.RecordStart(known[1].Key, known[1].Fingerprint, known[1].ExpiresAt),
+		l.RecordStart(known[2].Key, known[2].Fingerprint, known[2].ExpiresAt))
+	l.RecordCompletion(known[0].Key, idempotency.Answered)
+	l.RecordCompletion(rejectedKey, idempotency.Rejected)
+	l.RecordCompletion(known[1].Key, idempotency.Indeterminate)
 	if err := errors.Join(err, l.Close()); err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +87,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	slices.SortFunc(got, func(a, b Known) int { return cmp.Compare(a.Key.Name, b.Key.Name) })
+	slices.SortFunc(got, func(a, b KnownKey) int { return cmp.Compare(a.Key.Name, b.Key.Name) })
 	if want := goldenKnown(); !slices.Equal(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
@@ -91,7 +104,7 @@
 	var kinds []byte
 	text := golden(t)
 	for at := len("ykkeys01"); at < len(text); {
-		r, ok := parse(text[at:])
+		r, ok := decode(text[at:])
 		if !ok {
 			t.Fatalf("no record at byte %d", at)
 		}
--- a/internal/idempotency/keystore/keylog_test.go
+++ b/internal/idempotency/keystore/keystore_test.go
@@ -36,16 +36,17 @@
 	return l, got
 }
 
-// fill writes four keys: answered, refused, lost, and one that only starts.
+// fill writes four keys: answered, rejected, indeterminate, and one that only starts.
 func fill(t *testing.T, path string) []byte {
 	l, _ := open(t, path, time.Now(), nil)
-	for i, how := range []idempotency.End{idempotency.Answered, idempotency.Refused, idempotency.Lost} {
-		if err := l.Started(named(i), idempotency.Print{byte(i)}, far); err != nil {
+	completions := []idempotency.Completion{idempotency.Answered, idempotency.Rejected, idempotency.Indeterminate}
+	for i, how := range completions {
+		if err := l.RecordStart(named(i), idempotency.Fingerprint{byte(i)}, far); err != nil {
 			t.Fatal(err)
 		}
-		l.Finished(named(i), how)
+		l.RecordCompletion(named(i), how)
 	}
-	if err := errors.Join(l.Started(named(3), idempotency.Print{3}, far), l.Close()); err != nil {
+	if err := errors.Join(l.RecordStart(named(3), idempotency.Fingerprint{3}, far), l.Close()); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
@@ -75,9 +76,9 @@
 func TestCutAtEachByte(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	text := fill(t, path)
-	whole, starts := len(magic), map[int]string{}
-	for at := whole; at < len(text); {
-		r, ok := parse(text[at:])
+	starts := map[int]string{}
+	for at := len(magic); at < len(text); {
+		r, ok := decode(text[at:])
 		if !ok {
 			t.Fatalf("no record at %d", at)
 		}
@@ -93,13 +94,13 @@
 		l.Close()
 		for end, name := range starts {
 			if _, known := got[name]; end <= n && !known && name != "key 1" {
-				t.Fatalf("cut after %d of %d bytes: %s is not known, its start was whole at %d", n, len(text), name, end)
+				t.Fatalf("cut after %d of %d bytes: %s is not known, its start was complete at %d", n, len(text), name, end)
 			}
 		}
 	}
 }
 
-// A flipped bit anywhere: an error, or nothing is forgotten but the record that it is in, at the end.
+// A flipped bit anywhere: an error, or nothing is lost but the record that it is in, at the end.
 func TestBitFlippedAtEachByte(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	text := fill(t, path)
@@ -116,7 +117,7 @@
 		}
 		l.Close()
 		if at < last || len(known) != 2 {
-			t.Fatalf("bit at %d of %d: taken without a word, %d known", at, len(text), len(known))
+			t.Fatalf("bit at %d of %d: accepted, %d known", at, len(text), len(known))
 		}
 	}
 }
@@ -150,7 +151,9 @@
 // recovers, and what was claimed before is there.
 func TestNothingIsClaimedAfterAnError(t *testing.T) {
 	for name, f := range map[string]*faulty{
-		"full disk": {writes: 3, syncs: 100, short: true}, "write error": {writes: 3, syncs: 100}, "failed fsync": {writes: 100, syncs: 3},
+		"full disk":    {writes: 3, syncs: 100, short: true},
+		"write error":  {writes: 3, syncs: 100},
+		"failed fsync": {writes: 100, syncs: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "keys")
@@ -158,9 +161,9 @@
 			claimed := map[string]bool{}
 			failed := 0
 			for i := range 8 {
-				if err := l.Started(named(i), idempotency.Print{}, far); err != nil {
+				if err := l.RecordStart(named(i), idempotency.Fingerprint{}, far); err != nil {
 					failed++
-					f.writes, f.syncs = 100, 100 // the disk is well again
+					f.writes, f.syncs = 100, 100 // the disk has recovered
 				} else if claimed[named(i).Name] = true; failed > 0 {
 					t.Errorf("%d is claimed after an error", i)
 				}
@@ -186,7 +189,7 @@
 		t.Errorf("a second one: %v", err)
 	}
 	l.Close()
-	if err := l.Started(named(1), idempotency.Print{}, far); !errors.Is(err, ErrClosed) {
+	if err := l.RecordStart(named(1), idempotency.Fingerprint{}, far); !errors.Is(err, ErrClosed) {
 		t.Errorf("after the close: %v", err)
 	}
 	if err := os.WriteFile(path, []byte("something else entirely"), 0o600); err != nil {
@@ -208,10 +211,10 @@
 		all.Go(func() {
 			for i := range each {
 				key := idempotency.Key{Tenant: c, Name: fmt.Sprint(i, " ", string(make([]byte, 200)))}
-				if err := l.Started(key, idempotency.Print{}, far); err != nil {
+				if err := l.RecordStart(key, idempotency.Fingerprint{}, far); err != nil {
 					t.Error(err)
 				}
-				l.Finished(key, idempotency.Refused)
+				l.RecordCompletion(key, idempotency.Rejected)
 			}
 		})
 	}
@@ -220,7 +223,7 @@
 		t.Fatal(err)
 	}
 	info, err := os.Stat(path)
-	if err != nil || info.Size() > compactFrom+queued*maxRecordHere {
+	if err != nil || info.Size() > compactMinBytes+maxQueued*maxRecordHere {
 		t.Errorf("%d bytes, %v", info.Size(), err)
 	}
 	if n := syncs.value(); n > callers*each/2 {
@@ -228,7 +231,7 @@
 	}
 }
 
-const maxRecordHere = frame + fixed + 210
+const maxRecordHere = headerBytes + fixedBytes + 210
 
 type counted struct {
 	mu sync.Mutex
@@ -273,13 +276,14 @@
 					t.Fatalf("knows %v, want %v", got, model)
 				}
 			case how == 3:
-				if err := l.Started(key, idempotency.Print{}, far); err != nil {
+				if err := l.RecordStart(key, idempotency.Fingerprint{}, far); err != nil {
 					t.Fatal(err)
 				}
 				model[key.Name] = false
 			case known:
-				l.Finished(key, idempotency.End(how))
-				if model[key.Name] = idempotency.End(how) == idempotency.Answered; idempotency.End(how) == idempotency.Refused {
+				completion := idempotency.Completion(how)
+				l.RecordCompletion(key, completion)
+				if model[key.Name] = completion == idempotency.Answered; completion == idempotency.Rejected {
 					delete(model, key.Name)
 				}
 			}
@@ -289,10 +293,10 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add((&record{kind: started, key: named(1), until: far}).append(nil))
+	f.Add((&record{kind: started, key: named(1), expiresAt: far}).append(nil))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, ok := parse(b); ok {
-			if again, ok := parse(r.append(nil)); !ok || again.key != r.key || !again.until.Equal(r.until) {
+		if r, ok := decode(b); ok {
+			if again, ok := decode(r.append(nil)); !ok || again.key != r.key || !again.expiresAt.Equal(r.expiresAt) {
 				t.Errorf("%+v reads back as %+v", r, again)
 			}
 		}
--- a/internal/idempotency/replay/bench_test.go
+++ b/internal/idempotency/replay/bench_test.go
@@ -16,14 +16,15 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// instant is a cluster that serves at once: what is measured is the gate.
+// instant is a cluster that serves at once: what is measured is the deduplicator.
 type instant struct{}
 
 func (instant) Do(context.Context, *engine.Request) (engine.Answer, error) {
-	return engine.Answer{Verdict: engine.Served, Value: &h1client.Answer{Status: http.StatusOK, Body: []byte("done"), Length: -1}}, nil
+	answer := &h1client.Answer{Status: http.StatusOK, Body: []byte("done"), Length: -1}
+	return engine.Answer{Verdict: engine.Served, Value: answer}, nil
 }
 
-// BenchmarkFirst is what the gate adds to a keyed request that comes for the first time: with the
+// BenchmarkFirst is what the deduplicator adds to a keyed request that comes for the first time: with the
 // store off, on, and on with the log. -cpu 1,8 shows one core and several; the log's is the disk's
 // fsync, shared by all that wait together.
 func BenchmarkFirst(b *testing.B) {
@@ -39,7 +40,7 @@
 						b.Fatal(err)
 					}
 					defer l.Close()
-					if err := g.Keep(l, known); err != nil {
+					if err := g.AttachLog(l, known); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -49,9 +50,11 @@
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					o := &h1client.Request{Method: http.MethodPost, Target: "/push", Body: []byte("x"), Header: http.Header{
-						"Idempotency-Key": {strconv.FormatInt(last.Add(1), 10)},
-					}}
+					key := strconv.FormatInt(last.Add(1), 10)
+					o := &h1client.Request{
+						Method: http.MethodPost, Target: "/push", Body: []byte("x"),
+						Header: http.Header{"Idempotency-Key": {key}},
+					}
 					r := &engine.Request{Deadline: clock.Now() + time.Second, Payload: o}
 					if a, err := cluster.Do(context.Background(), r); err != nil || a.Verdict != engine.Served {
 						b.Error(a.Verdict, err)
--- a/internal/idempotency/replay/once_test.go
+++ b/internal/idempotency/replay/deduplicator_test.go
@@ -30,17 +30,18 @@
 	run  func(ctx context.Context, n int64) (engine.Answer, error)
 }
 
-func (s *stub) Do(ctx context.Context, r *engine.Request) (engine.Answer, error) {
+func (s *stub) Do(ctx context.Context, _ *engine.Request) (engine.Answer, error) {
 	return s.run(ctx, s.runs.Add(1))
 }
 
 func served(text string) engine.Answer {
-	return engine.Answer{Verdict: engine.Served, Value: &h1client.Answer{Status: 200, Header: http.Header{"X-Of": {text}}, Body: []byte(text)}}
+	answer := &h1client.Answer{Status: http.StatusOK, Header: http.Header{"X-Of": {text}}, Body: []byte(text)}
+	return engine.Answer{Verdict: engine.Served, Value: answer}
 }
 
 const window = 6 * time.Second
 
-func asked(clock engine.Clock, key, body string) *engine.Request {
+func keyed(clock engine.Clock, key, body string) *engine.Request {
 	return &engine.Request{Deadline: clock.Now() + time.Second, Payload: &h1client.Request{
 		Method: "POST", Target: "/push", Header: http.Header{"Idempotency-Key": {key}}, Body: []byte(body),
 	}}
@@ -50,7 +51,10 @@
 
 // What a repeat gets, by what the first came to and by when the repeat comes.
 func TestRepeat(t *testing.T) {
-	lost := engine.Answer{Verdict: engine.Failed}
+	failed := engine.Answer{Verdict: engine.Failed}
+	rejected := engine.Answer{Verdict: engine.Rejected, RetryAfter: time.Second}
+	mayHaveRun := engine.Answer{Verdict: engine.Rejected, MayHaveRun: true}
+	const running = 50 * time.Millisecond
 	for _, tc := range []struct {
 		name           string
 		first          engine.Answer
@@ -66,19 +70,19 @@
 		{"after it", served("a"), nil, "x", time.Second, 0, engine.Served, 1, 1},
 		{"after the window", served("a"), nil, "x", window, 0, engine.Served, 0, 2},
 		{"another body", served("a"), nil, "y", 50 * time.Millisecond, 422, 0, 0, 1},
-		{"refused, joined", engine.Answer{Verdict: engine.Rejected, RetryAfter: time.Second}, nil, "x", 50 * time.Millisecond, 0, engine.Rejected, 0, 1},
-		{"refused, later", engine.Answer{Verdict: engine.Rejected}, nil, "x", time.Second, 0, engine.Rejected, 0, 2},
-		{"refused after it may have run, joined", engine.Answer{Verdict: engine.Rejected, MayHaveRun: true}, nil, "x", 50 * time.Millisecond, 0, engine.Failed, 0, 1},
-		{"refused after it may have run, later", engine.Answer{Verdict: engine.Rejected, MayHaveRun: true}, nil, "x", time.Second, 409, 0, 0, 1},
-		{"failed, joined", lost, nil, "x", 50 * time.Millisecond, 0, engine.Failed, 0, 1},
-		{"failed, later", lost, nil, "x", time.Second, 409, 0, 0, 1},
+		{"rejected, joined", rejected, nil, "x", running, 0, engine.Rejected, 0, 1},
+		{"rejected, later", engine.Answer{Verdict: engine.Rejected}, nil, "x", time.Second, 0, engine.Rejected, 0, 2},
+		{"rejected after it may have run, joined", mayHaveRun, nil, "x", running, 0, engine.Failed, 0, 1},
+		{"rejected after it may have run, later", mayHaveRun, nil, "x", time.Second, 409, 0, 0, 1},
+		{"failed, joined", failed, nil, "x", 50 * time.Millisecond, 0, engine.Failed, 0, 1},
+		{"failed, later", failed, nil, "x", time.Second, 409, 0, 0, 1},
 		{"cluster gone, later", engine.Answer{}, engine.ErrRetired, "x", time.Second, 0, engine.Served, 0, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				clock := engine.NewClock()
 				s := &stub{}
-				s.run = func(ctx context.Context, n int64) (engine.Answer, error) {
+				s.run = func(_ context.Context, n int64) (engine.Answer, error) {
 					time.Sleep(100 * time.Millisecond)
 					if n > 1 && tc.err != nil {
 						return served("b"), nil
@@ -87,19 +91,23 @@
 				}
 				c := New(limits(), clock).Cluster(s, window, 0)
 				var all sync.WaitGroup
-				all.Go(func() { c.Do(t.Context(), asked(clock, "k", "x")) })
+				all.Go(func() { c.Do(t.Context(), keyed(clock, "k", "x")) })
 				time.Sleep(tc.after)
-				a, err := c.Do(t.Context(), asked(clock, "k", tc.body))
+				a, err := c.Do(t.Context(), keyed(clock, "k", tc.body))
 				all.Wait()
-				var barred *ingress.Rejection
-				if errors.As(err, &barred); tc.status > 0 && (barred == nil || barred.Status != tc.status) || tc.status == 0 && err != nil {
+				status := 0
+				if rejection := (*ingress.Rejection)(nil); errors.As(err, &rejection) {
+					status = rejection.Status
+				}
+				if status != tc.status || tc.status == 0 && err != nil {
 					t.Fatalf("%v, want status %d", err, tc.status)
 				}
 				replayed := 0
-				if h, ok := a.Value.(*h1client.Answer); ok && h.Header.Get(Replayed) == "true" {
+				if h, ok := a.Value.(*h1client.Answer); ok && h.Header.Get(ReplayedHeader) == "true" {
 					replayed = 1
 				}
-				if tc.status == 0 && a.Verdict != tc.verdict || replayed != tc.replayed || s.runs.Load() != int64(tc.runs) {
+				otherVerdict := tc.status == 0 && a.Verdict != tc.verdict
+				if otherVerdict || replayed != tc.replayed || s.runs.Load() != int64(tc.runs) {
 					t.Errorf("verdict %d, replayed %d, %d runs", a.Verdict, replayed, s.runs.Load())
 				}
 			})
@@ -129,13 +137,13 @@
 				var joined engine.Answer
 				var joinedErr error
 				all.Go(func() {
-					if _, err := c.Do(ctx, asked(clock, "k", "x")); !errors.Is(err, engine.ErrClientDisconnected) {
+					if _, err := c.Do(ctx, keyed(clock, "k", "x")); !errors.Is(err, engine.ErrClientDisconnected) {
 						t.Errorf("the first got %v", err)
 					}
 				})
 				synctest.Wait()
 				if joiners != 0 {
-					all.Go(func() { joined, joinedErr = c.Do(other, asked(clock, "k", "x")) })
+					all.Go(func() { joined, joinedErr = c.Do(other, keyed(clock, "k", "x")) })
 					synctest.Wait()
 				}
 				leave()
@@ -145,8 +153,9 @@
 				began := clock.Now()
 				all.Wait()
 				synctest.Wait()
+				served := joinedErr == nil && joined.Verdict == engine.Served
 				switch took := clock.Now() - began; {
-				case joiners > 0 && (joinedErr != nil || joined.Verdict != engine.Served || took != 500*time.Millisecond):
+				case joiners > 0 && (!served || took != 500*time.Millisecond):
 					t.Errorf("the joiner got %+v, %v after %v", joined, joinedErr, took)
 				case joiners <= 0 && took != 0:
 					t.Errorf("the request went on for %v with nobody there", took)
@@ -157,22 +166,22 @@
 	}
 }
 
-// What is asked right before a send goes by the first's client alone where nobody else waits, and by
-// nobody's leaving where a joiner does.
-func TestLeftIsNotAskedOfTheFirstAlone(t *testing.T) {
+// Right before an attempt is sent, the request counts as abandoned if the first's client has disconnected and nobody
+// else waits; with a joiner it does not.
+func TestClientLeftCountsWithoutJoinersOnly(t *testing.T) {
 	for _, joined := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			clock, goes := engine.NewClock(), make(chan struct{})
 			s := &stub{run: func(context.Context, int64) (engine.Answer, error) { <-goes; return served("a"), nil }}
 			c := New(limits(), clock).Cluster(s, window, 0)
 			left := false
-			r := asked(clock, "k", "x")
+			r := keyed(clock, "k", "x")
 			r.ClientDisconnected = func() bool { return left }
 			var all sync.WaitGroup
 			all.Go(func() { c.Do(t.Context(), r) })
 			synctest.Wait()
 			if joined {
-				all.Go(func() { c.Do(t.Context(), asked(clock, "k", "x")) })
+				all.Go(func() { c.Do(t.Context(), keyed(clock, "k", "x")) })
 				synctest.Wait()
 			}
 			if r.ClientDisconnected() {
@@ -188,7 +197,7 @@
 }
 
 // A process is killed at a drawn moment and comes back with its log: a key that had started is not
-// taken for new, one that was refused is, and one whose start the disk did not take never ran.
+// taken for new, one that was rejected is, and one whose start the disk did not take never ran.
 func TestKnownAfterACrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	clock := engine.NewClock()
@@ -198,7 +207,7 @@
 			t.Fatal(err)
 		}
 		g := New(limits(), clock)
-		if err := g.Keep(log, known); err != nil {
+		if err := g.AttachLog(log, known); err != nil {
 			t.Fatal(err)
 		}
 		return g.Cluster(s, time.Hour, 0), log
@@ -216,24 +225,25 @@
 		return engine.Answer{}, engine.ErrClientDisconnected
 	}}
 	c, log := start(s)
-	c.Do(t.Context(), asked(clock, "answered", "x"))
-	c.Do(t.Context(), asked(clock, "refused", "x"))
+	c.Do(t.Context(), keyed(clock, "answered", "x"))
+	c.Do(t.Context(), keyed(clock, "rejected", "x"))
 	ctx, kill := context.WithCancel(t.Context())
 	var all sync.WaitGroup
-	all.Go(func() { c.Do(ctx, asked(clock, "open", "x")) })
+	all.Go(func() { c.Do(ctx, keyed(clock, "open", "x")) })
 	<-running
-	log.Close() // what is told from here on is lost, as by a kill
+	log.Close() // what is recorded from here on is lost, as by a kill
 	kill()
 	all.Wait()
-	if a, err := c.Do(t.Context(), asked(clock, "late", "x")); err != nil || a.Verdict != engine.Rejected || s.runs.Load() != 3 {
+	a, err := c.Do(t.Context(), keyed(clock, "late", "x"))
+	if err != nil || a.Verdict != engine.Rejected || s.runs.Load() != 3 {
 		t.Errorf("a start that is not durable: %+v, %v, %d runs", a, err, s.runs.Load())
 	}
 	again := &stub{run: func(context.Context, int64) (engine.Answer, error) { return served("b"), nil }}
 	c, log = start(again)
 	defer log.Close()
-	for key, want := range map[string]int64{"answered": 0, "open": 0, "refused": 1, "late": 1} {
+	for key, want := range map[string]int64{"answered": 0, "open": 0, "rejected": 1, "late": 1} {
 		before := again.runs.Load()
-		if c.Do(t.Context(), asked(clock, key, "x")); again.runs.Load()-before != want {
+		if c.Do(t.Context(), keyed(clock, key, "x")); again.runs.Load()-before != want {
 			t.Errorf("%s: %d runs after the crash, want %d", key, again.runs.Load()-before, want)
 		}
 	}
@@ -244,7 +254,7 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	if g.Keep(log, known) == nil {
+	if g.AttachLog(log, known) == nil {
 		t.Errorf("%d known keys are taken into a store of two", len(known))
 	}
 }
@@ -261,7 +271,7 @@
 		var all sync.WaitGroup
 		for i := range 4 {
 			all.Go(func() {
-				r := asked(clock, "k", "x")
+				r := keyed(clock, "k", "x")
 				if i == 3 {
 					r.Deadline = clock.Now() + 200*time.Millisecond
 				}
@@ -279,10 +289,10 @@
 }
 
 // Drawn histories over few keys: no key runs again within its window once a run of it may have had
-// its effect, whatever clients and servers do. With the gate out there are many that do.
+// its effect, whatever clients and servers do. Without the deduplicator there are many that do.
 func TestNoKeyRunsTwice(t *testing.T) {
 	const requests = 5000
-	twice := func(gate bool) int {
+	twice := func(deduplicated bool) int {
 		n := 0
 		synctest.Test(t, func(t *testing.T) {
 			clock := engine.NewClock()
@@ -325,14 +335,14 @@
 					return served(key), nil
 				}}
 				var c ingress.Cluster = s
-				if gate {
+				if deduplicated {
 					c = g.Cluster(s, window, 0)
 				}
 				patience := time.Duration(50+draw(400)) * time.Millisecond
 				all.Go(func() {
 					ctx, leave := context.WithTimeout(t.Context(), patience)
 					defer leave()
-					c.Do(ctx, asked(clock, key, "x"))
+					c.Do(ctx, keyed(clock, key, "x"))
 				})
 				if i%8 == 0 {
 					time.Sleep(time.Duration(draw(20)) * time.Millisecond)
@@ -346,16 +356,16 @@
 			}
 			all.Wait()
 			synctest.Wait()
-			if len(g.open) > 0 {
-				t.Errorf("%d keys are still open", len(g.open))
+			if len(g.running) > 0 {
+				t.Errorf("%d keys are still open", len(g.running))
 			}
 		})
 		return n
 	}
 	if n := twice(true); n > 0 {
-		t.Errorf("%d runs beside, or behind, one that may have had its effect", n)
+		t.Errorf("%d runs beside, or after, one that may have had its effect", n)
 	}
 	if n := twice(false); n < 100 {
-		t.Errorf("without the gate only %d: the check proves little", n)
+		t.Errorf("without the deduplicator only %d: the check proves little", n)
 	}
 }
