--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -248,8 +248,8 @@
 		Clock: a.clock, Log: a.Log, MaxBody: set.MaxBody, Edge: rules,
 		MaxHead: set.MaxHead, Stall: set.Stall,
 		Places: connlimit.Limits{
-			Asked: set.Connections, Reserve: max(1, set.Connections/16),
-			Silent: set.Silent, Over: max(1, set.Connections/overPart),
+			Active: set.Connections, Reserve: max(1, set.Connections/16),
+			New: set.Silent, Overflow: max(1, set.Connections/overPart),
 		},
 	}
 	if set.TLS {
--- /dev/null
+++ b/internal/connlimit/table_test.go
@@ -0,0 +1,325 @@
+package connlimit
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// server drives a table as a downstream server does, with sockets that never have unread bytes.
+type server struct {
+	t      *testing.T
+	table  *Table
+	now    time.Duration
+	closed []*Conn
+}
+
+func newServer(t *testing.T, l Limits) *server { return &server{t: t, table: New(l)} }
+
+func (s *server) close(c *Conn) {
+	s.table.Remove(c)
+	s.closed = append(s.closed, c)
+}
+
+func (s *server) connect() *Conn {
+	s.t.Helper()
+	for range 1000 {
+		c, victim, wait := s.table.Admit(s.now, nil)
+		switch {
+		case c != nil:
+			return c
+		case victim != nil:
+			s.close(victim)
+		default:
+			s.now += wait
+		}
+	}
+	s.t.Fatal("no place in a thousand steps")
+	return nil
+}
+
+func (s *server) trim() {
+	for v := s.table.NextToClose(s.now); v != nil; v = s.table.NextToClose(s.now) {
+		s.close(v)
+	}
+}
+
+func (s *server) receive(c *Conn) {
+	if s.table.BytesReceived(s.now, c) {
+		s.trim()
+		if !s.table.AssignPlace(c) {
+			s.close(c)
+		}
+	}
+}
+
+func (s *server) respond(c *Conn) {
+	s.table.ResponseSent(s.now, c)
+	s.trim()
+}
+
+// request takes a connection through one request.
+func (s *server) request(c *Conn) {
+	s.receive(c)
+	s.table.RequestComplete(s.now, c)
+	s.now += ms
+	s.respond(c)
+}
+
+func (s *server) check() {
+	s.t.Helper()
+	t, l := s.table, s.table.limits
+	listed := 0
+	for p := range t.phases {
+		listed += t.phases[p].length
+	}
+	if listed != t.Len() {
+		s.t.Fatalf("%d connections are listed, %d counted", listed, t.Len())
+	}
+	if t.active > l.Active || t.overflow > l.Overflow || t.phases[fresh].length > l.New {
+		s.t.Fatalf("active %d, overflow %d, new %d of %+v", t.active, t.overflow, t.phases[fresh].length, l)
+	}
+	if t.active > l.Active-l.Reserve && t.Idle() > 0 {
+		s.t.Fatalf("the reserve is in use (%d active) while %d are idle", t.active, t.Idle())
+	}
+}
+
+// A crowd that sends one request each and stays has to leave the reserve free at all times: a client that finds all
+// places taken is never seen here.
+func TestCrowdLeavesTheReserve(t *testing.T) {
+	s := newServer(t, Limits{Active: 16, Reserve: 3, New: 4, Overflow: 1})
+	for range 500 {
+		s.request(s.connect())
+		s.check()
+		if s.table.active > 13 {
+			t.Fatalf("%d stay of 16 with 3 in the reserve", s.table.active)
+		}
+	}
+	if len(s.closed) != 500-13 {
+		t.Errorf("%d closed of 500", len(s.closed))
+	}
+}
+
+// Clients that return keep their connection through a crowd of clients that don't.
+func TestRegularsStay(t *testing.T) {
+	s := newServer(t, Limits{Active: 16, Reserve: 2, New: 4, Overflow: 1})
+	var regulars []*Conn
+	for range 6 {
+		c := s.connect()
+		s.request(c)
+		s.request(c)
+		regulars = append(regulars, c)
+	}
+	for i := range 1000 {
+		s.request(s.connect())
+		s.request(regulars[i%len(regulars)])
+	}
+	for i, c := range regulars {
+		if c.Removed() {
+			t.Errorf("regular %d was closed", i)
+		}
+	}
+}
+
+// A client that no longer returns loses its place in the end.
+func TestFormerRegularsGo(t *testing.T) {
+	s := newServer(t, Limits{Active: 16, Reserve: 2, New: 4, Overflow: 1})
+	var former []*Conn
+	for range 13 {
+		c := s.connect()
+		s.request(c)
+		s.request(c)
+		former = append(former, c)
+	}
+	for range 500 {
+		s.request(s.connect())
+	}
+	for i, c := range former {
+		if !c.Removed() {
+			t.Errorf("former regular %d still has its place", i)
+		}
+	}
+}
+
+// New connections replace one another and take no place of an active one.
+func TestFloodOfNewConnections(t *testing.T) {
+	s := newServer(t, Limits{Active: 8, Reserve: 1, New: 4, Overflow: 1})
+	var idle []*Conn
+	for range 7 {
+		c := s.connect()
+		s.request(c)
+		idle = append(idle, c)
+	}
+	began := s.now
+	for range 400 {
+		s.connect()
+		s.check()
+	}
+	for i, c := range idle {
+		if c.Removed() {
+			t.Errorf("idle connection %d made room for a new one", i)
+		}
+	}
+	if took, want := s.now-began, 99*NewGrace; took < want-NewGrace || took > want+NewGrace {
+		t.Errorf("400 at 4 places took %v, want about %v", took, want)
+	}
+}
+
+// With all connections busy, further ones are overflow; beyond that limit they are closed; and responses make room by
+// closing their connections.
+func TestAllBusy(t *testing.T) {
+	s := newServer(t, Limits{Active: 8, Reserve: 2, New: 4, Overflow: 2})
+	var busyConns []*Conn
+	for i := range 8 {
+		c := s.connect()
+		s.receive(c)
+		s.table.RequestComplete(s.now, c)
+		busyConns = append(busyConns, c)
+		if got, want := s.table.Saturated(), i >= 6; got != want {
+			t.Errorf("with %d busy saturated is %v", i+1, got)
+		}
+	}
+	for i := range 3 {
+		c := s.connect()
+		s.receive(c)
+		if overflow, closed := c.Overflow(), c.Removed(); !overflow || closed != (i == 2) {
+			t.Errorf("further connection %d: overflow %v, closed %v", i, overflow, closed)
+		}
+		s.check()
+	}
+	s.respond(busyConns[0])
+	if !busyConns[0].Removed() {
+		t.Error("an idle one stays although the reserve is in use")
+	}
+	if s.table.active != 7 {
+		t.Errorf("%d have a place, want 7", s.table.active)
+	}
+	s.table.RequestComplete(s.now, s.closed[0]) // after its removal
+	s.table.ResponseSent(s.now, s.closed[0])
+	s.table.Remove(s.closed[0])
+	s.check()
+}
+
+// Connections with a partial request are closed after their grace: before reused idle ones, and where Limits.Active is
+// reached.
+func TestPartialsGo(t *testing.T) {
+	s := newServer(t, Limits{Active: 8, Reserve: 1, New: 4, Overflow: 1})
+	regular := s.connect()
+	s.request(regular)
+	s.request(regular)
+	for range 6 {
+		s.receive(s.connect())
+	}
+	s.now += PartialGrace
+	s.receive(s.connect())
+	if regular.Removed() || len(s.closed) != 1 {
+		t.Errorf("regular closed: %v; %d closed in all", regular.Removed(), len(s.closed))
+	}
+	for range 40 {
+		c := s.connect()
+		s.receive(c)
+		if c.Removed() {
+			t.Error("a new client is closed while others are past their grace")
+		}
+		s.now += PartialGrace / 4
+		s.check()
+	}
+}
+
+// A request that was pipelined counts as received once the response is sent.
+func TestPipelined(t *testing.T) {
+	s := newServer(t, Limits{Active: 4, Reserve: 1, New: 2, Overflow: 1})
+	c := s.connect()
+	s.receive(c)
+	s.table.RequestComplete(s.now, c)
+	s.receive(c)
+	s.respond(c)
+	if c.phase != partial {
+		t.Errorf("phase %d", c.phase)
+	}
+	s.table.RequestComplete(s.now, c)
+	s.respond(c)
+	if c.phase != idleReused {
+		t.Errorf("phase %d", c.phase)
+	}
+}
+
+// Whatever happens in whatever order, counts and limits hold.
+func TestAnyOrder(t *testing.T) {
+	for seed := range uint64(200) {
+		rnd := rand.New(rand.NewPCG(seed, 1))
+		l, err := Split(8+rnd.IntN(40), 4+rnd.IntN(40))
+		if err != nil {
+			t.Fatal(err)
+		}
+		s := newServer(t, l)
+		var conns []*Conn
+		for range 2000 {
+			s.now += time.Duration(rnd.IntN(int(30 * ms)))
+			if len(conns) == 0 || rnd.IntN(4) == 0 {
+				conns = append(conns, s.connect())
+				continue
+			}
+			i := rnd.IntN(len(conns))
+			s.drawnEvent(rnd.IntN(5), conns[i])
+			if conns[i].Removed() {
+				conns = append(conns[:i], conns[i+1:]...)
+			}
+			s.trim()
+			s.check()
+			if t.Failed() {
+				t.Fatalf("seed %d", seed)
+			}
+		}
+	}
+}
+
+// drawnEvent has something happen on a connection: a close, an extension of its grace, or what comes next in its phase.
+func (s *server) drawnEvent(event int, c *Conn) {
+	switch event {
+	case 0:
+		s.close(c)
+		return
+	case 1:
+		if s.table.NextToClose(s.now) != nil {
+			s.t.Error("a connection that has to make room is left")
+		}
+		if c.phase != fresh {
+			s.table.ExtendGrace(s.now, c)
+		}
+		return
+	}
+	switch {
+	case c.Removed():
+	case c.phase == partial:
+		s.table.RequestComplete(s.now, c)
+	case c.phase == busy && c.Overflow():
+		s.close(c) // told to come back later
+	case c.phase == busy:
+		s.respond(c)
+	default:
+		s.receive(c)
+	}
+}
+
+func BenchmarkCrowd(b *testing.B) {
+	t := New(Limits{Active: 341, Reserve: 21, New: 159, Overflow: 50})
+	b.ReportAllocs()
+	now := time.Duration(0)
+	for b.Loop() {
+		now += ms
+		c, victim, _ := t.Admit(now, nil)
+		if victim != nil {
+			t.Remove(victim)
+			continue
+		}
+		t.BytesReceived(now, c)
+		for v := t.NextToClose(now); v != nil; v = t.NextToClose(now) {
+			t.Remove(v)
+		}
+		t.RequestComplete(now, c)
+		t.ResponseSent(now, c)
+	}
+}
--- a/internal/downstream/h1server/clients.go
+++ b/internal/downstream/h1server/clients.go
@@ -140,7 +140,7 @@
 		return 0, net.ErrClosed
 	}
 	if c.seen.whole() {
-		cs.table.Read(cs.now(), c.entry)
+		cs.table.RequestBuffered(cs.now(), c.entry)
 	}
 	return n, err
 }
@@ -180,56 +180,56 @@
 	defer cs.mu.Unlock()
 	c.http2 = http2
 	c.seen.next()
-	cs.table.Whole(cs.now(), c.entry)
+	cs.table.RequestComplete(cs.now(), c.entry)
 	cs.poke()
-	return !c.entry.Ended(), c.entry.Over()
+	return !c.entry.Removed(), c.entry.Overflow()
 }
 
 // last tells whether the answer that is now given had better end the connection.
 func (c *clientConn) last() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
-	return c.conns.table.Crowded()
+	return c.conns.table.Saturated()
 }
 
 // spoke notes that bytes came, and makes room for who sent them. False if the
 // connection is closed. cs.mu is held.
 func (cs *clientConns) spoke(c *clientConn) bool {
-	if c.entry.Ended() {
+	if c.entry.Removed() {
 		return false
 	}
-	if cs.table.Spoke(cs.now(), c.entry) {
+	if cs.table.BytesReceived(cs.now(), c.entry) {
 		cs.trim()
-		if !cs.table.Place(c.entry) {
+		if !cs.table.AssignPlace(c.entry) {
 			cs.close(c)
 		}
 	}
 	cs.poke()
-	return !c.entry.Ended()
+	return !c.entry.Removed()
 }
 
 // trim closes those that have to make room; cs.mu is held.
 func (cs *clientConns) trim() {
 	for {
 		now := cs.now()
-		victim := cs.table.Surplus(now)
+		victim := cs.table.NextToClose(now)
 		if victim == nil {
 			return
 		}
 		if c := victim.Owner.(*clientConn); c.rests() {
 			cs.close(c)
 		} else {
-			cs.table.Delay(now, victim) // what has come meanwhile would be lost on its way
+			cs.table.ExtendGrace(now, victim) // what has come meanwhile would be lost on its way
 		}
 	}
 }
 
 // close ends a connection, once; cs.mu is held.
 func (cs *clientConns) close(c *clientConn) error {
-	if c.entry.Ended() {
+	if c.entry.Removed() {
 		return nil
 	}
-	cs.table.End(c.entry)
+	cs.table.Remove(c.entry)
 	delete(cs.resting, c)
 	cs.poke()
 	defer c.drop()
@@ -252,7 +252,7 @@
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	switch {
-	case c.http2 && s == http.StateIdle && !c.entry.Ended():
+	case c.http2 && s == http.StateIdle && !c.entry.Removed():
 		cs.resting[c] = struct{}{}
 		cs.poke()
 		return
@@ -260,7 +260,7 @@
 		delete(cs.resting, c)
 		return
 	}
-	cs.table.Answered(cs.now(), c.entry)
+	cs.table.ResponseSent(cs.now(), c.entry)
 	if cs.draining || cs.duck.CloseIdle(cs.now()) {
 		cs.restEnds(0, never)
 	}
@@ -302,7 +302,7 @@
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for {
-		entry, victim, wait := cs.table.Arrive(cs.now(), c)
+		entry, victim, wait := cs.table.Admit(cs.now(), c)
 		switch {
 		case entry != nil:
 			c.entry = entry
@@ -345,7 +345,7 @@
 	for {
 		cs.mu.Lock()
 		cs.restEnds(patience, patience)
-		left := cs.table.Open()
+		left := cs.table.Len()
 		cs.mu.Unlock()
 		if left == 0 {
 			return
@@ -362,7 +362,7 @@
 // bytes have come: these are read and answered. cs.mu is held.
 func (cs *clientConns) restEnds(idle, silent time.Duration) {
 	for now := cs.now(); ; {
-		e := cs.table.Resting(now, idle, silent)
+		e := cs.table.NextExpired(now, idle, silent)
 		if e == nil {
 			return
 		}
@@ -380,7 +380,7 @@
 	defer cs.mu.Unlock()
 	cs.draining = true
 	cs.restEnds(0, never)
-	for cs.table.Open() > len(cs.resting) && ctx.Err() == nil {
+	for cs.table.Len() > len(cs.resting) && ctx.Err() == nil {
 		cs.mu.Unlock()
 		select {
 		case <-cs.changed:
--- a/internal/downstream/h1server/clients_test.go
+++ b/internal/downstream/h1server/clients_test.go
@@ -43,7 +43,7 @@
 	h := &held{taken: make(chan struct{}, 100), release: make(chan struct{})}
 	f := New(h, Options{
 		Clock: engine.NewClock(), Log: testutil.Log(t),
-		Places: connlimit.Limits{Asked: asked, Reserve: reserve, Silent: 4, Over: over},
+		Places: connlimit.Limits{Active: asked, Reserve: reserve, New: 4, Overflow: over},
 	})
 	l := testutil.Listen(t)
 	srv, listener, ended := f.Server(), f.Listener(l), make(chan error, 1)
@@ -96,7 +96,7 @@
 // client asks again elsewhere. Its place is given back once.
 func TestClosedWhileRead(t *testing.T) {
 	l := testutil.Listen(t)
-	conns := newClientConns(connlimit.Limits{Asked: 1, Silent: 1})
+	conns := newClientConns(connlimit.Limits{Active: 1, New: 1})
 	capped := cappedListener{l, conns}
 	defer capped.Close()
 	client, err := net.Dial("tcp", l.Addr().String())
@@ -110,7 +110,7 @@
 	}
 	c := nc.(*clientConn)
 	conns.mu.Lock()
-	conns.table.End(c.entry) // as by one that closes at the same time
+	conns.table.Remove(c.entry) // as by one that closes at the same time
 	conns.mu.Unlock()
 	io.WriteString(client, "GET")
 	if n, err := nc.Read(make([]byte, 10)); n != 0 || err == nil {
@@ -120,7 +120,7 @@
 		t.Error("a request of a closed connection would be served")
 	}
 	nc.Close()
-	if open := conns.table.Open(); open != 0 {
+	if open := conns.table.Len(); open != 0 {
 		t.Errorf("%d places are taken", open)
 	}
 	c.Conn.Close()
@@ -130,7 +130,7 @@
 // not closed in favour of a newcomer, and what it has sent is read.
 func TestSpokenIsNotSilent(t *testing.T) {
 	l := testutil.Listen(t)
-	capped := cappedListener{l, newClientConns(connlimit.Limits{Asked: 2, Silent: 1})}
+	capped := cappedListener{l, newClientConns(connlimit.Limits{Active: 2, New: 1})}
 	defer capped.Close()
 	dial := func(say string) net.Conn {
 		client, err := net.Dial("tcp", l.Addr().String())
@@ -152,7 +152,7 @@
 	if n, err := spoken.Read(make([]byte, 20)); n == 0 {
 		t.Errorf("the one that spoke was closed: %v", err)
 	}
-	if !silent.(*clientConn).entry.Ended() {
+	if !silent.(*clientConn).entry.Removed() {
 		t.Error("the silent one did not make room")
 	}
 }
@@ -169,7 +169,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := testutil.Listen(t)
-			conns := newClientConns(connlimit.Limits{Asked: 8, Silent: 8})
+			conns := newClientConns(connlimit.Limits{Active: 8, New: 8})
 			capped := cappedListener{l, conns}
 			defer capped.Close()
 			accept := func(asked bool) (client net.Conn, c *clientConn) {
@@ -187,8 +187,8 @@
 				if asked { // and rests
 					conns.mu.Lock()
 					conns.spoke(c)
-					conns.table.Whole(conns.now(), c.entry)
-					conns.table.Answered(conns.now(), c.entry)
+					conns.table.RequestComplete(conns.now(), c.entry)
+					conns.table.ResponseSent(conns.now(), c.entry)
 					conns.mu.Unlock()
 				}
 				return client, c
@@ -204,7 +204,7 @@
 			conns.mu.Lock()
 			empty(conns)
 			conns.mu.Unlock()
-			if !resting.entry.Ended() {
+			if !resting.entry.Removed() {
 				t.Error("one that rests stays")
 			}
 			for _, c := range []*clientConn{crossed, spoken} {
@@ -228,7 +228,7 @@
 		for _, again := range []bool{false, true} { // a first request, or a further one
 			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
 				t.Parallel()
-				f := New(&counter{}, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
+				f := New(&counter{}, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 				nc, err := net.Dial("tcp", serve(t, f))
 				if err != nil {
 					t.Fatal(err)
@@ -251,7 +251,7 @@
 				find := func() bool {
 					cs.mu.Lock()
 					defer cs.mu.Unlock()
-					if e := cs.table.Resting(never, 0, 0); e != nil {
+					if e := cs.table.NextExpired(never, 0, 0); e != nil {
 						c = e.Owner.(*clientConn)
 					}
 					return c != nil
@@ -292,7 +292,7 @@
 		"POST /x HTTP/1.1\r\nContent-Length: 5\r\n\r\n\r\n\r\n":                false,
 		"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\na\r\n\r\n": false,
 	} {
-		cs := newClientConns(connlimit.Limits{Asked: 1, Silent: 4, Over: 1})
+		cs := newClientConns(connlimit.Limits{Active: 1, New: 4, Overflow: 1})
 		l := cappedListener{testutil.Listen(t), cs}
 		speak := func(text string) *clientConn {
 			there, err := net.Dial("tcp", l.Addr().String())
@@ -316,7 +316,7 @@
 		cs.zero = cs.zero.Add(-time.Second) // nobody got to it for a second
 		cs.mu.Unlock()
 		speak("GET /y")
-		if got := !first.entry.Ended(); got != stays {
+		if got := !first.entry.Removed(); got != stays {
 			t.Errorf("%q: stays %v, want %v", text, got, stays)
 		}
 	}
--- a/internal/downstream/h1server/front.go
+++ b/internal/downstream/h1server/front.go
@@ -176,7 +176,7 @@
 func (f *Front) Connections() int {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
-	return f.conns.table.Open()
+	return f.conns.table.Len()
 }
 
 // CloseSilent closes the connections over which nothing has come, or nothing since an answer.
--- a/internal/downstream/h1server/gone_test.go
+++ b/internal/downstream/h1server/gone_test.go
@@ -42,7 +42,7 @@
 func leftBefore(t *testing.T, strict bool, behind string) {
 	const clients = 64
 	c := &counter{}
-	f := New(c, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 2 * clients, Silent: 2 * clients}, Log: testutil.Log(t), Strict: strict})
+	f := New(c, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 2 * clients, New: 2 * clients}, Log: testutil.Log(t), Strict: strict})
 	l := testutil.Listen(t)
 	ask := func() net.Conn {
 		nc, err := net.Dial("tcp", l.Addr().String())
@@ -104,7 +104,7 @@
 				t.Run(fmt.Sprint(name, ", strict ", strict, ", resets ", resets), func(t *testing.T) {
 					t.Parallel()
 					h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-					f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: strict})
+					f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: strict})
 					nc, err := net.Dial("tcp", serve(t, f))
 					if err != nil {
 						t.Fatal(err)
@@ -135,7 +135,7 @@
 func TestLookOutForTheClientsEnd(t *testing.T) {
 	t.Parallel()
 	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
+	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 	nc, err := net.Dial("tcp", serve(t, f))
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 	t.Parallel()
 	const tries, rule = 6, 100 * time.Millisecond
 	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
+	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 	addr := serve(t, f)
 	shortest, lateness := time.Hour, testutil.Lateness(t)
 	for range tries {
@@ -187,7 +187,7 @@
 			served.Add(1)
 			return engine.Answer{Verdict: engine.Rejected}
 		}), Deadline: time.Hour, MaxAttempts: 1}, nil
-	}), Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 2 * clients, Silent: 2 * clients}, Log: testutil.Log(t)})
+	}), Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 2 * clients, New: 2 * clients}, Log: testutil.Log(t)})
 	addr := serve(t, f)
 	const head = "GET /x HTTP/1.1\r\nHost: a\r\n"
 	conns := make([]net.Conn, clients)
@@ -228,7 +228,7 @@
 	const head = "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n"
 	flood := strings.Repeat(head, 1<<17) // 9 MB
 	ask := func(t *testing.T, to ingress.Router) (*Front, net.Conn) {
-		f := New(to, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
+		f := New(to, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 		nc, err := net.Dial("tcp", serve(t, f))
 		if err != nil {
 			t.Fatal(err)
@@ -306,7 +306,7 @@
 func TestCloseSilent(t *testing.T) {
 	t.Parallel()
 	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Asked: 4, Silent: 4}, Log: testutil.Log(t), Strict: true})
+	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 	addr := serve(t, f)
 	dial := func(text string) net.Conn {
 		nc, err := net.Dial("tcp", addr)
--- a/internal/node/config_fuzz_test.go
+++ b/internal/node/config_fuzz_test.go
@@ -30,7 +30,7 @@
 			return // named by the module
 		}
 		servers, places, err := c.split(c.Limits.Sockets)
-		if err == nil && (servers < 1 || servers+places.Asked+places.Silent+places.Over+ownDescriptors > c.Limits.Sockets) {
+		if err == nil && (servers < 1 || servers+places.Active+places.New+places.Overflow+ownDescriptors > c.Limits.Sockets) {
 			t.Errorf("of %d descriptors %d are for servers, %+v for clients", c.Limits.Sockets, servers, places)
 		}
 		if c.DrainGrace < 0 || c.ConnIdle <= 0 || c.ConnectTimeout <= 0 || c.longestDeadline() <= 0 || planStop(c.longestDeadline()).whole > stopDeadline+stopSlack {
