--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -140,7 +140,7 @@
 }
 
 func (ls *Listeners) opened(l net.Listener) *door {
-	d := &door{Listener: gracefulclose.Listener(l), came: make(chan net.Conn), gone: make(chan struct{})}
+	d := &door{Listener: gracefulclose.WrapListener(l), came: make(chan net.Conn), gone: make(chan struct{})}
 	ls.done.Go(func() {
 		for wait := acceptPause; ; {
 			nc, err := l.Accept()
@@ -234,7 +234,7 @@
 // Serve serves clients on a listener, by the first one's settings, until ctx ends, then
 // answers what was taken.
 func (a *App) Serve(ctx context.Context, l net.Listener) error {
-	return a.ServeBy(ctx, gracefulclose.Listener(l), a.state.Load().program.Listener)
+	return a.ServeBy(ctx, gracefulclose.WrapListener(l), a.state.Load().program.Listener)
 }
 
 // ServeBy is Serve by other settings.
--- a/internal/downstream/extproc/serve.go
+++ b/internal/downstream/extproc/serve.go
@@ -61,7 +61,7 @@
 	case <-ctx.Done():
 	}
 	alive.Shutdown()
-	gracefulclose.Await() // the server drops what it accepts from here on
+	gracefulclose.WaitForBacklog() // the server drops what it accepts from here on
 	graceful := make(chan struct{})
 	go func() {
 		defer close(graceful)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -181,7 +181,7 @@
 	}
 	front.Stopping()
 	for e, before := (ending{plan: plan}), time.Now(); ; {
-		time.Sleep(gracefulclose.Look)
+		time.Sleep(gracefulclose.PollInterval)
 		now := time.Now()
 		if e.over(now.Sub(before), now.Sub(began), front.Asked().Sub(began)) {
 			break
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -41,17 +41,17 @@
 // ending is what a stop knows while it serves on.
 type ending struct {
 	plan stopPlan
-	turn gracefulclose.Turn // of what waits in the kernel, since nobody asks
+	turn gracefulclose.BacklogWatch // of what waits in the kernel, since nobody asks
 }
 
 // over takes a look that came so long after the one before it, and tells whether the listener may be
 // closed: the plan has ended serving, and whatever waits in the kernel had its turn since.
 func (e *ending) over(took, now, asked time.Duration) bool {
 	if e.plan.serves(now, asked) {
-		e.turn = gracefulclose.Turn{}
+		e.turn = gracefulclose.BacklogWatch{}
 		return false
 	}
-	return e.turn.Look(took) || now >= e.plan.abandons()
+	return e.turn.Poll(took) || now >= e.plan.abandons()
 }
 
 // idles is how long a client's connection may be idle in a process that hands over to a later
