--- a/internal/keepalive/idle_test.go
+++ b/internal/keepalive/sizing_test.go
@@ -7,36 +7,36 @@
 	"pgregory.net/rapid"
 )
 
-// All nodes together keep no more to a server than it has room for, or one each; a node alone keeps
-// what is useful.
-func TestKeepIsAShare(t *testing.T) {
+// All nodes together hold no more idle connections to an endpoint than it accepts, or one each; a node alone
+// holds what is useful.
+func TestMaxIdleIsAShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := Fleet{Nodes: rapid.IntRange(1, 1000).Draw(t, "nodes"), Servers: rapid.IntRange(1, 300).Draw(t, "servers")}
-		f.Used = rapid.IntRange(1, f.Servers).Draw(t, "used")
-		sharers := float64(f.Nodes) * float64(f.Used) / float64(f.Servers)
-		keep := Keep(f)
-		if keep < 1 || keep > Most || float64(keep)*sharers > max(Room, sharers) {
-			t.Fatalf("%+v: %d, by %.1f nodes each", f, keep, sharers)
+		f := Fleet{Nodes: rapid.IntRange(1, 1000).Draw(t, "nodes"), Endpoints: rapid.IntRange(1, 300).Draw(t, "endpoints")}
+		f.UsedEndpoints = rapid.IntRange(1, f.Endpoints).Draw(t, "used")
+		nodesEach := float64(f.Nodes) * float64(f.UsedEndpoints) / float64(f.Endpoints)
+		idle := MaxIdle(f)
+		if idle < 1 || idle > MaxIdlePerNode || float64(idle)*nodesEach > max(MaxIdlePerEndpoint, nodesEach) {
+			t.Fatalf("%+v: %d, by %.1f nodes each", f, idle, nodesEach)
 		}
 	})
 	for _, c := range []struct {
 		f    Fleet
 		want int
 	}{
-		{Fleet{Nodes: 1, Servers: 9, Used: 9}, 32},
-		{Fleet{Nodes: 2, Servers: 9, Used: 9}, 32},
-		{Fleet{Nodes: 80, Servers: 60, Used: 9}, 10},
-		{Fleet{Nodes: 300, Servers: 200, Used: 200}, 1},
+		{Fleet{Nodes: 1, Endpoints: 9, UsedEndpoints: 9}, 32},
+		{Fleet{Nodes: 2, Endpoints: 9, UsedEndpoints: 9}, 32},
+		{Fleet{Nodes: 80, Endpoints: 60, UsedEndpoints: 9}, 10},
+		{Fleet{Nodes: 300, Endpoints: 200, UsedEndpoints: 200}, 1},
 		{Fleet{}, 32},
 	} {
-		if got := Keep(c.f); got != c.want {
+		if got := MaxIdle(c.f); got != c.want {
 			t.Errorf("%+v: %d, want %d", c.f, got, c.want)
 		}
 	}
 }
 
-func TestSpanHeedsPrices(t *testing.T) {
-	f := Fleet{Nodes: 80, Servers: 60, Used: 9, PerSecond: 400}
+func TestIdleTimeoutHeedsPrices(t *testing.T) {
+	f := Fleet{Nodes: 80, Endpoints: 60, UsedEndpoints: 9, RequestsPerSecond: 400}
 	for _, c := range []struct {
 		p    Prices
 		want time.Duration
@@ -50,7 +50,7 @@
 		{Prices{Handshake: 1e300, Connection: 1e-300}, 9 * time.Second}, // absurd ones do no harm
 		{Prices{Handshake: 0.02, Connection: -1}, 9 * time.Second},      // nor ones that make no sense
 	} {
-		if got := Span(f, c.p, 9*time.Second); got != c.want {
+		if got := IdleTimeout(f, c.p, 9*time.Second); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.p, got, c.want)
 		}
 	}
--- a/internal/upstream/h1client/pool.go
+++ b/internal/upstream/h1client/pool.go
@@ -192,7 +192,7 @@
 		idleFor: time.Duration(float64(o.ServersIdle) * IdlePart),
 		settle:  settleTime, patient: patientFrom, connectTimeout: o.ConnectTimeout, maxOpen: o.MaxOpen, anyAnswer: o.AnyAnswer, large: o.Large, tls: o.TLS,
 		servers: map[policy.EndpointID]*server{}, nodes: o.Nodes, prices: o.Prices,
-		keep: keepalive.Keep(keepalive.Fleet{Nodes: o.Nodes}), span: time.Duration(float64(o.ServersIdle) * IdlePart), looked: time.Now(),
+		keep: keepalive.MaxIdle(keepalive.Fleet{Nodes: o.Nodes}), span: time.Duration(float64(o.ServersIdle) * IdlePart), looked: time.Now(),
 	}
 	if o.Settle > 0 {
 		u.settle, u.patient = o.Settle, max(patientFrom, patientParts*o.Settle)
@@ -294,16 +294,16 @@
 // share looks anew at what this node's share of idle connections is, by what it has used since the
 // last look; u.mu is held.
 func (u *Pool) share(now time.Time) {
-	f := keepalive.Fleet{Nodes: u.nodes, Servers: len(u.servers)}
+	f := keepalive.Fleet{Nodes: u.nodes, Endpoints: len(u.servers)}
 	for _, s := range u.servers {
 		if s.used || len(s.idle) > 0 {
-			f.Used++
+			f.UsedEndpoints++
 		}
 		s.used = false
 	}
-	f.PerSecond = float64(u.given*max(1, u.nodes)) / max(now.Sub(u.looked).Seconds(), 1e-3)
+	f.RequestsPerSecond = float64(u.given*max(1, u.nodes)) / max(now.Sub(u.looked).Seconds(), 1e-3)
 	u.given, u.looked = 0, now
-	u.keep, u.span = keepalive.Keep(f), keepalive.Span(f, u.prices, u.idleFor)
+	u.keep, u.span = keepalive.MaxIdle(f), keepalive.IdleTimeout(f, u.prices, u.idleFor)
 }
 
 // take gives an idle connection, or leave to open one: nil and the server. At
