--- a/internal/connlimit/conn.go
+++ b/internal/connlimit/conn.go
@@ -29,7 +29,7 @@
 	previous, next *Conn
 }
 
-// Overflow reports whether the connection is beyond Limits.Active, and only told to come back later.
+// Overflow reports whether the connection is beyond Limits.Active, and only gets a response with Retry-After.
 func (c *Conn) Overflow() bool { return c.overflow }
 
 // Removed reports whether the connection has left the table.
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -13,7 +13,7 @@
 	Reserve int
 	// New limits the connections on which nothing was received; at least 1.
 	New int
-	// Overflow limits the connections beyond Active that are only told to come back later.
+	// Overflow limits the connections beyond Active that only get a response with Retry-After.
 	Overflow int
 }
 
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -28,8 +28,8 @@
 	return &Table{limits: l}
 }
 
-// Resize changes the limits, which have to be as New wants them. Connections beyond smaller ones make room as
-// others come: the caller closes what NextToClose gives.
+// Resize changes the limits, which have to be as New wants them. Connections beyond smaller limits are closed as
+// others are admitted: the caller closes those that NextToClose gives.
 func (t *Table) Resize(l Limits) {
 	l.mustBeValid()
 	t.limits = l
@@ -129,12 +129,15 @@
 	}
 }
 
-// NextToClose gives the next connection that has to make room; nil if none has to or can. The caller closes it
-// and calls Remove, or calls ExtendGrace if it has bytes to read.
+// NextToClose gives the next connection to close for the reserve or for Limits.Active; nil if there is none. The
+// caller closes it and calls Remove, or calls ExtendGrace if it has bytes to read.
 //
-// As soon as the reserve is in use, the connection that was idle for longest goes, where the idle time of reused
-// ones counts an eighth. A partial one goes that is past its grace: before a reused idle one, and where no idle
-// one is left and Limits.Active is exceeded.
+// While the reserve is in use, the first of these that exists is closed:
+//   - the connection that is idle after its first request for longest, unless a reused one has been idle for
+//     reusedIdleFactor times as long;
+//   - the connection that is partial for longest, if it is past its grace, and either there is a reused idle one or
+//     Limits.Active is exceeded;
+//   - the reused connection that is idle for longest.
 func (t *Table) NextToClose(now time.Duration) *Conn {
 	if !t.reserveInUse() {
 		return nil
@@ -146,12 +149,10 @@
 	switch {
 	case once != nil && (reused == nil || now-reused.phaseSince <= reusedIdleFactor*(now-once.phaseSince)):
 		return once
-	case reused != nil && part == nil:
-		return reused
 	case part != nil && (reused != nil || t.active > t.limits.Active):
 		return part
 	}
-	return nil
+	return reused
 }
 
 // Saturated reports whether the reserve is in use and no idle connection is left to close. A response had better
--- a/internal/gracefulclose/backlog.go
+++ b/internal/gracefulclose/backlog.go
@@ -14,9 +14,9 @@
 	maxWait = 500 * time.Millisecond
 )
 
-// BacklogWatch tells when a listener whose connections are accepted without a pause has had the time to accept
-// its backlog. The kernel does not tell how long a backlog is, so that it goes by consecutive polls without a
-// stall of the process. The zero value is ready to use.
+// BacklogWatch estimates when a listener whose connections are accepted without a pause has had the time to
+// accept its backlog. The kernel does not report how long a backlog is, so that the estimate is consecutive polls
+// without a stall of the process. The zero value is ready to use.
 type BacklogWatch struct{ onTime int }
 
 // Poll records a poll that came an interval after the previous one, and reports whether the backlog was accepted.
--- a/internal/idempotency/keystore/record.go
+++ b/internal/idempotency/keystore/record.go
@@ -44,7 +44,7 @@
 	fingerprint idempotency.Fingerprint
 	expiresAt   time.Time // the end of the key's window
 
-	// durable gets the outcome of the write, and has a place for it; nil: nobody waits.
+	// durable receives the error of the write, or nil, and is buffered; nil: the caller does not wait.
 	durable chan<- error
 }
 
--- a/internal/idempotency/replay/deduplicator.go
+++ b/internal/idempotency/replay/deduplicator.go
@@ -27,14 +27,14 @@
 
 	// Set before the first request:
 	acceptLate bool // answers after the client's deadline complete their key
-	log        Log  // nil: what is known of keys ends with the process
+	log        Log  // nil: keys are forgotten when the process ends
 
 	mu      sync.Mutex // guards the following, and clientLeft of executions
 	store   *idempotency.Store
 	running map[*idempotency.Entry]*execution // by running entry of the store
 }
 
-// Log makes what is known of keys outlive the process.
+// Log makes keys outlive the process.
 type Log interface {
 	// RecordStart returns nil once it is durable that the request under the key has started.
 	RecordStart(key idempotency.Key, fingerprint idempotency.Fingerprint, expiresAt time.Time) error
@@ -44,7 +44,7 @@
 
 var _ Log = (*keystore.Log)(nil)
 
-// New makes a deduplicator that knows no key.
+// New makes a deduplicator without keys.
 func New(l idempotency.Limits, clock engine.Clock) *Deduplicator {
 	return &Deduplicator{clock: clock, store: idempotency.New(l), running: map[*idempotency.Entry]*execution{}}
 }
@@ -53,7 +53,7 @@
 // of the key, so that a repeat gets their outcome. It is called before the first request.
 func (d *Deduplicator) AcceptLateOutcomes() { d.acceptLate = true }
 
-// AttachLog has starts and completions recorded in a log, and restores the keys that the log knows. It is called
+// AttachLog has starts and completions recorded in a log, and restores the keys that are in it. It is called
 // before the first request. It fails if the store has no capacity for all keys: a forgotten one could run again.
 func (d *Deduplicator) AttachLog(log Log, known []keystore.KnownKey) error {
 	d.mu.Lock()
@@ -122,10 +122,10 @@
 	retryAfter time.Duration // for StoreFull; 0: not known
 }
 
-// begin asks the store how a request is handled.
+// begin decides by the store how a request is handled.
 func (c *cluster) begin(r *engine.Request, o *h1client.Request) decision {
 	key := idempotency.Key{Tenant: r.Tenant, Name: o.Header.Get(keyHeader)}
-	// A request whose body is still being read can't wait, and is not told from another by its body.
+	// A request whose body is still being read can't wait, and its fingerprint lacks the body.
 	canWait := o.Upload == nil
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/idempotency/replay/deduplicator_test.go
+++ b/internal/idempotency/replay/deduplicator_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// Right before an attempt is sent, the request counts as abandoned if the first's client has disconnected and nobody
-// else waits; with a joiner it does not.
+// Right before an attempt is sent, the request counts as abandoned if the first's client has disconnected and
+// nobody else waits; with a joiner it does not.
 func TestClientLeftCountsWithoutJoinersOnly(t *testing.T) {
 	for _, joined := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/idempotency/replay/execution.go
+++ b/internal/idempotency/replay/execution.go
@@ -26,7 +26,7 @@
 // runFirst runs the first request under a key, and waits for it as long as its client does.
 func (c *cluster) runFirst(ctx context.Context, e *execution, r *engine.Request) (engine.Answer, error) {
 	c.observeLateAnswer(e, r)
-	c.keepForJoiners(e, r)
+	c.ignoreDisconnectWhileJoined(e, r)
 	detached, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	e.cancel = cancel
 	go func() {
@@ -56,8 +56,9 @@
 	r.OnLateAnswer = func(answer any) { c.completeLate(e, answer) }
 }
 
-// keepForJoiners has the request count as abandoned only when nobody waits for its outcome.
-func (c *cluster) keepForJoiners(e *execution, r *engine.Request) {
+// ignoreDisconnectWhileJoined has a request whose client disconnected go on as long as others wait for its
+// outcome.
+func (c *cluster) ignoreDisconnectWhileJoined(e *execution, r *engine.Request) {
 	disconnected := r.ClientDisconnected
 	if disconnected == nil {
 		return
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -47,7 +47,7 @@
 	outcomeUnknown
 )
 
-// Entry is what a Store knows of a key. Apart from Outcome its fields belong to the store.
+// Entry is the state of a key in a Store. Apart from Outcome its fields belong to the store.
 type Entry struct {
 	// Outcome is the cached outcome of a request that was answered; nil if it is not cached.
 	Outcome any
--- a/internal/keepalive/sizing.go
+++ b/internal/keepalive/sizing.go
@@ -8,7 +8,7 @@
 
 const (
 	// MaxIdlePerEndpoint is how many idle connections from all nodes together an endpoint is taken to accept.
-	// Endpoints don't tell their limit.
+	// Endpoints don't publish their limit.
 	MaxIdlePerEndpoint = 128
 	// MaxIdlePerNode is the most idle connections from one node to one endpoint.
 	MaxIdlePerNode = 32
@@ -16,7 +16,7 @@
 	minIdleTimeout = time.Second
 )
 
-// Fleet is what a node knows of the nodes and endpoints.
+// Fleet is the size and the load of the tier, as far as this node can observe it.
 type Fleet struct {
 	Nodes             int     // of the tier
 	Endpoints         int     // on the list
@@ -29,7 +29,7 @@
 	return float64(max(1, f.Nodes)) * float64(max(1, f.UsedEndpoints)) / float64(max(1, f.Endpoints, f.UsedEndpoints))
 }
 
-// Prices are the site's, in shares of the worth of the whole service.
+// Prices are the site's, as parts of the value of all service.
 type Prices struct {
 	// Handshake is the price of one new connection for each request.
 	Handshake float64
