--- a/cmd/yokestall-node/main_test.go
+++ b/cmd/yokestall-node/main_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// SIGTERM ends the program in good order: what it holds is answered first.
+// SIGTERM ends the program without an error, after the requests in flight were answered.
 func TestSIGTERM(t *testing.T) {
 	got, release := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -111,9 +111,8 @@
 	expectEnd(t, ended)
 }
 
-// SIGHUP takes up discovery's address from the file, more than once and past a
-// file that can't be read, and the program goes on. The file goes before the
-// environment, which can't have changed.
+// SIGHUP reloads discovery's address from the file, repeatedly and also after a file that can't be read. The file
+// takes precedence over the environment, which can't have changed.
 func TestSIGHUP(t *testing.T) {
 	calls := make(chan string, 1000)
 	registry := func(name string) string {
@@ -144,7 +143,7 @@
 	expect := func(name string) {
 		t.Helper()
 		if got := testutil.Wait(t, calls, "a call to "+name); got != name {
-			t.Fatalf("%s is asked, want %s", got, name)
+			t.Fatalf("%s is polled, want %s", got, name)
 		}
 	}
 	first := registry("first")
@@ -172,7 +171,8 @@
 	for _, text := range []string{`{"listen"`, config("nowhere"), ``} {
 		write(text)
 		hup()
-		if line := testutil.Wait(t, logged, "word of a bad file"); !strings.Contains(line, "the old configuration stays") {
+		line := testutil.Wait(t, logged, "the log of a failed reload")
+		if !strings.Contains(line, "previous configuration in use") {
 			t.Errorf("logged %q", line)
 		}
 	}
@@ -185,7 +185,7 @@
 	expectEnd(t, ended)
 }
 
-// lines is a writer that hands on what is written.
+// lines is a writer that sends what is written to a channel.
 type lines chan<- string
 
 func (l lines) Write(p []byte) (int, error) {
--- a/cmd/yokestall-node/upgrade_test.go
+++ b/cmd/yokestall-node/upgrade_test.go
@@ -21,12 +21,12 @@
 	}
 }
 
-// Upgrades under steady load, with real processes: no request is lost, none runs twice, and a
-// server that operators have taken out stays out over all of them.
+// Upgrades under steady load, with real processes: no request is lost, none runs twice, and a detached server
+// stays detached over all of them.
 func TestUpgrades(t *testing.T) {
 	r := newRig(t, true, 3)
 	old := r.node()
-	expect(t, old.Call("DETACH box-0"), "+OK") // nothing has been sent to it yet
+	expect(t, old.Call("DETACH box-0"), "+OK") // before any request
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	l := platform.Drive(ctx, r.Addr, 16, 0)
@@ -41,22 +41,23 @@
 	}
 	stop()
 	lost := l.Wait()
-	t.Logf("%d upgrades, yes after %v at most: %d served, %d refused, %d failed, %d lost, %d sent again, %d run twice",
+	t.Logf("%d upgrades, PING +OK after %v at most: "+
+		"%d served, %d rejected, %d failed, %d lost, %d sent again, %d run twice",
 		*upgrades, worst, l.Served.Load(), l.Refused.Load(), l.Failed.Load(), len(lost), l.Again.Load(), r.Twice())
 	if len(lost) > 0 || l.Failed.Load() > 0 || r.Twice() > 0 || l.Served.Load() == 0 {
 		t.Errorf("requests were lost, failed, ran twice, or none was served: %v", lost[:min(len(lost), 5)])
 	}
 	if l.Again.Load() > int64(2**upgrades) {
-		t.Errorf("%d requests ended at the door, two an upgrade are the most", l.Again.Load())
+		t.Errorf("%d requests had to be sent again by their clients, two an upgrade are the most", l.Again.Load())
 	}
 	if r.Seen(0) > 0 {
-		t.Errorf("%d requests came to the server that is out", r.Seen(0))
+		t.Errorf("%d requests at the detached server", r.Seen(0))
 	}
 	expect(t, old.Call("ATTACH box-0"), "+OK")
 }
 
-// A new process that is killed before its yes leaves the old one as it was; an old one that hangs
-// does not keep the new one from its yes; calls to either are in force in both.
+// A successor that is killed before it serves leaves the predecessor as it was; a predecessor that hangs does not
+// prevent the successor from serving; changes are in force in both processes.
 func TestUpgradesThatFail(t *testing.T) {
 	r := newRig(t, true, 2)
 	old := r.node()
@@ -68,21 +69,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Kill() // whatever it has come to
+		n.Kill() // at any point of its start
 	}
 	next := r.node()
 	for _, c := range []struct {
 		to   *platform.Node
 		text string
-		seen *platform.Node // the other one shows it
+		seen *platform.Node // its PING shows the change
 		want string
 	}{
-		{old, "DETACH box-0", next, "box-0"}, {next, "LAMEDUCK", old, "drained"}, {old, "REJOIN", next, "serving"}, {next, "ATTACH box-0", old, "+OK serving"},
+		{old, "DETACH box-0", next, "box-0"},
+		{next, "LAMEDUCK", old, "drained"},
+		{old, "REJOIN", next, "serving"},
+		{next, "ATTACH box-0", old, "+OK serving"},
 	} {
 		expect(t, c.to.Call(c.text), "+OK")
 		expect(t, c.seen.Call("PING"), c.want)
 	}
-	answers := make(chan string, 2) // both are called at one instant
+	answers := make(chan string, 2) // both processes at the same time
 	for _, n := range []*platform.Node{old, next} {
 		go func() { answers <- n.Call("DETACH box-1") }()
 	}
@@ -95,18 +99,18 @@
 	if lost := l.Wait(); len(lost) > 0 || r.Twice() > 0 {
 		t.Errorf("lost %v, %d run twice", lost, r.Twice())
 	}
-	// The one process hangs: the next says yes, its calls say what is wrong.
+	// A predecessor hangs: the successor serves, and answers changes with the cause.
 	next.Process.Signal(syscall.SIGSTOP)
 	last := r.node()
 	expect(t, last.Call("DETACH box-1"), "other process does not answer")
 	next.Process.Signal(syscall.SIGCONT)
 	r.stop(next)
 	expect(t, last.Call("DETACH box-1"), "+OK")
-	last.Kill() // with a yes given: what comes next has it
+	last.Kill() // the committed change outlives it
 	expect(t, r.node().Call("PING"), "box-1")
 }
 
-// An upgrade while drained: the later process is drained too, until REJOIN.
+// An upgrade in lame duck mode: the successor is in it too, until REJOIN.
 func TestUpgradeWhileDrained(t *testing.T) {
 	r := newRig(t, true, 1)
 	old := r.node()
@@ -118,7 +122,7 @@
 	r.stop(next)
 }
 
-// Both processes are asked to stop at one moment: each answers what it has taken and ends in order.
+// Both processes get SIGTERM at the same time: each answers what it has accepted, and ends without an error.
 func TestBothAskedToStop(t *testing.T) {
 	r := newRig(t, true, 1)
 	old, next := r.node(), r.node()
@@ -142,8 +146,8 @@
 	}
 }
 
-// Without the platform's socket the old process has to end before the new one can listen: what
-// clients meet meanwhile is what the socket is for.
+// Without the platform's socket the old process has to end before the new one can listen: meanwhile clients can't
+// connect.
 func TestRestartsWithoutTheSocket(t *testing.T) {
 	r := newRig(t, false, 2)
 	old := r.node()
@@ -157,10 +161,10 @@
 	}
 	stop()
 	lost := l.Wait()
-	t.Logf("%d restarts: %d served, %d refused, %d failed, %d found nobody, %d sent again, %d run twice",
+	t.Logf("%d restarts: %d served, %d rejected, %d failed, %d could not connect, %d sent again, %d run twice",
 		restarts, l.Served.Load(), l.Refused.Load(), l.Failed.Load(), len(lost), l.Again.Load(), r.Twice())
 	if len(lost) == 0 {
-		t.Error("no client found the node gone: the comparison shows nothing")
+		t.Error("all clients could connect: the comparison shows nothing")
 	}
 	if r.Twice() > 0 {
 		t.Error("requests ran twice")
--- /dev/null
+++ b/internal/adminapi/connection.go
@@ -0,0 +1,58 @@
+package adminapi
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"time"
+)
+
+// serve reads a command, has it executed and writes the response.
+func (s *server) serve(ctx context.Context, c *connection) {
+	c.SetDeadline(time.Now().Add(readTimeout))
+	line, err := readLine(c)
+	if !s.slots.beginExecution(c) {
+		return
+	}
+	var malformed *malformedLineError
+	if err != nil && !errors.As(err, &malformed) {
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			c.SetDeadline(time.Now().Add(lingerTimeout))
+			io.WriteString(c, "-ERR the line did not come to its end in time\n")
+		}
+		return
+	}
+	text := ""
+	if err == nil {
+		text, err = s.execute(ctx, line)
+	}
+	c.SetDeadline(time.Now().Add(CommandTimeout))
+	if _, err := io.WriteString(c, formatResponse(text, err)); err != nil {
+		return
+	}
+	s.slots.endExecution(c)
+	discardRest(c)
+}
+
+// execute has a command executed within CommandTimeout.
+func (s *server) execute(ctx context.Context, line []byte) (text string, err error) {
+	c, err := ParseCommand(line)
+	if err != nil {
+		return "", err
+	}
+	ctx, cancel := context.WithTimeout(ctx, CommandTimeout)
+	defer cancel()
+	return s.handler.Handle(ctx, c)
+}
+
+// discardRest sends the end of the response and reads what follows the command, within bounds.
+func discardRest(c *connection) {
+	tcp, ok := c.Conn.(*net.TCPConn)
+	if !ok || tcp.CloseWrite() != nil {
+		return
+	}
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, c, maxDiscardedBytes)
+}
--- /dev/null
+++ b/internal/adminstate/change.go
@@ -0,0 +1,39 @@
+package adminstate
+
+import "fmt"
+
+// Operation is what a change does.
+type Operation uint8
+
+// The operations. Each is idempotent.
+const (
+	Detach   Operation = 1 + iota // take an instance out of service
+	Attach                        // return an instance to service
+	LameDuck                      // enter lame duck mode: empty the node
+	Rejoin                        // leave lame duck mode
+)
+
+// String returns the operators' word for the operation, as commands and the record have it.
+func (o Operation) String() string {
+	switch o {
+	case Detach:
+		return "DETACH"
+	case Attach:
+		return "ATTACH"
+	case LameDuck:
+		return "LAMEDUCK"
+	case Rejoin:
+		return "REJOIN"
+	}
+	return fmt.Sprintf("Op(%d)", uint8(o))
+}
+
+// TargetsInstance reports whether a change with this operation names an instance.
+func (o Operation) TargetsInstance() bool { return o == Detach || o == Attach }
+
+// Change is one change of the administrative state that an operator requested.
+type Change struct {
+	Operation  Operation
+	InstanceID string // for Detach and Attach; else ""
+	AtMs       int64  // when it was requested, Unix milliseconds
+}
--- a/internal/downstream/h1server/clients.go
+++ b/internal/downstream/h1server/clients.go
@@ -26,7 +26,7 @@
 	mu       sync.Mutex
 	table    *connlimit.Table
 	draining bool
-	duck     adminstate.Duck
+	duck     adminstate.LameDuckMode
 	refill   context.CancelFunc // ends empty; set while the duck is lame
 	// resting are HTTP/2 connections with no stream open. They count as at work: to close one
 	// without a GOAWAY could cross a request (RFC 9113, 6.8). net/http's server ends them,
@@ -261,7 +261,7 @@
 		return
 	}
 	cs.table.Answered(cs.now(), c.entry)
-	if cs.draining || cs.duck.CloseIdle(cs.now()) {
+	if cs.draining || cs.duck.ClosesIdle(cs.now()) {
 		cs.restEnds(0, never)
 	}
 	cs.trim()
@@ -280,8 +280,8 @@
 	defer tick.Stop()
 	for {
 		cs.mu.Lock()
-		if cs.duck.CloseIdle(cs.now()) {
-			cs.restEnds(0, adminstate.DuckNotice)
+		if cs.duck.ClosesIdle(cs.now()) {
+			cs.restEnds(0, adminstate.LameDuckNotice)
 		}
 		cs.mu.Unlock()
 		select {
--- a/internal/downstream/h1server/clients_test.go
+++ b/internal/downstream/h1server/clients_test.go
@@ -162,7 +162,7 @@
 func TestClosesOnlyWhatRests(t *testing.T) {
 	for name, empty := range map[string]func(cs *clientConns){
 		"emptied": func(cs *clientConns) {
-			cs.restEnds(0, adminstate.DuckNotice)
+			cs.restEnds(0, adminstate.LameDuckNotice)
 		},
 		"stopping":     func(cs *clientConns) { cs.restEnds(0, never) },
 		"handing over": func(cs *clientConns) { cs.restEnds(0, 0) },
--- a/internal/downstream/h1server/front.go
+++ b/internal/downstream/h1server/front.go
@@ -130,7 +130,7 @@
 	if !cs.duck.Ready() {
 		return
 	}
-	cs.duck.Begin(cs.now())
+	cs.duck.Enter(cs.now())
 	f.lame.Store(true)
 	ctx, cs.refill = context.WithCancel(ctx)
 	go cs.empty(ctx)
@@ -144,7 +144,7 @@
 	if cs.duck.Ready() {
 		return
 	}
-	cs.duck.End()
+	cs.duck.Exit()
 	f.lame.Store(false)
 	cs.refill()
 }
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -218,18 +218,29 @@
 func (n *Node) follow(log io.Reader, heard chan<- string) {
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		n.last = lines.Text()
-		if _, said, found := strings.Cut(n.last, "operators are heard"); found {
-			_, at, _ := strings.Cut(said, "at=")
-			heard <- at
+		if addr, found := adminAddr(n.last); found {
+			heard <- addr
 		}
 	}
 	n.Err = n.Wait()
 	close(n.Ended)
 }
 
+// adminAddr returns the address of the admin API in a line of the node's log. Processes built from
+// earlier versions of the program log another event.
+func adminAddr(line string) (addr string, found bool) {
+	for event, key := range map[string]string{"admin API listening": "addr=", "operators are heard": "at="} {
+		if _, attributes, found := strings.Cut(line, event); found {
+			_, addr, _ = strings.Cut(attributes, key)
+			return addr, true
+		}
+	}
+	return "", false
+}
+
 // Call makes one call of an operator's and gives the answer, or why there is none.
 func (n *Node) Call(text string) string {
-	answer, err := adminapi.Ask(n.mgmt, text, patience)
+	answer, err := adminapi.Send(n.mgmt, text, patience)
 	if err != nil {
 		return err.Error()
 	}
--- /dev/null
+++ b/internal/hotrestart/adminrecord.go
@@ -0,0 +1,138 @@
+package hotrestart
+
+import (
+	"errors"
+	"fmt"
+	"os"
+
+	"yokestall/internal/adminstate"
+)
+
+// The record of administrative changes stands in two files with the same content, so that damage to
+// one of them loses nothing.
+const (
+	maxRecordBytes        = 1 << 20   // of a copy
+	compactThresholdBytes = 128 << 10 // of a copy
+)
+
+var recordNames = [2]string{"record-a", "record-b"}
+
+// readRecord returns the entries that either copy has, and what is wrong with the copies.
+func (f *Folder) readRecord() (entries []recordEntry, damage error) {
+	var copies [2][]recordEntry
+	for i, name := range recordNames {
+		data, err := readLimited(f.path(name), maxRecordBytes)
+		if errors.Is(err, os.ErrNotExist) {
+			continue
+		}
+		if err == nil {
+			copies[i], err = parseRecord(data, f.nodeName)
+		}
+		if err != nil {
+			damage = errors.Join(damage, fmt.Errorf("%s: %w", name, err))
+		}
+	}
+	return mergeCopies(copies[0], copies[1]), damage
+}
+
+// readRecordLogged is readRecord; damage and gaps are logged.
+func (f *Folder) readRecordLogged() []recordEntry {
+	entries, damage := f.readRecord()
+	if damage != nil {
+		f.log.Warn("administrative record damaged", "err", damage)
+	}
+	if len(entries) > 0 && hasGap(entries, entries[len(entries)-1].seq) {
+		f.log.Error("administrative record incomplete in both copies, check which servers are out of service")
+	}
+	return entries
+}
+
+// undelivered returns the changes that were not delivered yet, which they are now; f.mu is held, or f
+// is not shared yet.
+func (f *Folder) undelivered(entries []recordEntry) []adminstate.Change {
+	var changes []adminstate.Change
+	for _, e := range entries {
+		if e.seq > f.deliveredSeq {
+			changes = append(changes, e.change)
+			f.deliveredSeq = e.seq
+		}
+	}
+	return changes
+}
+
+// appendToRecord appends an entry to both copies of the record, or to neither. entries and damage are
+// the record as it was read; a copy that differs from it is written anew. The folder is locked.
+func (f *Folder) appendToRecord(entries []recordEntry, damage error, e recordEntry) error {
+	record := formatRecord(f.nodeName, entries)
+	if err := f.repairCopies(record, damage); err != nil {
+		return err
+	}
+	line := appendEntry(nil, e)
+	if len(record)+len(line) > maxRecordBytes {
+		return fmt.Errorf("over %d bytes", maxRecordBytes)
+	}
+	for _, name := range recordNames {
+		if err := f.append(f.path(name), line); err != nil {
+			f.truncateCopies(int64(len(record)))
+			return err
+		}
+	}
+	return nil
+}
+
+// repairCopies writes the copies anew that are not the record. Without damage its size tells.
+func (f *Folder) repairCopies(record []byte, damage error) error {
+	for _, name := range recordNames {
+		info, err := os.Stat(f.path(name))
+		if damage == nil && err == nil && info.Size() == int64(len(record)) {
+			continue
+		}
+		if err := replaceFile(f.path(name), record); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (f *Folder) truncateCopies(size int64) {
+	for _, name := range recordNames {
+		os.Truncate(f.path(name), size)
+	}
+}
+
+// minimalEntries returns the fewest entries that lead to the present state. The last has the sequence
+// number of the last one delivered, so that processes which have applied the record have applied them.
+func (f *Folder) minimalEntries(state AdminState) []recordEntry {
+	changes := state.MinimalChanges()
+	entries := make([]recordEntry, len(changes))
+	for i, c := range changes {
+		entries[i] = recordEntry{f.deliveredSeq - uint64(len(changes)-1-i), c}
+	}
+	return entries
+}
+
+// Compact replaces a long record by the fewest entries that lead to the same state. It does nothing
+// while another process lives, which could be reading the record, and where the folder is locked.
+func (f *Folder) Compact(state AdminState) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if peers, err := f.Peers(); err != nil || len(peers) > 0 || f.presenceFile == nil {
+		return err
+	}
+	info, err := os.Stat(f.path(recordNames[0]))
+	if err != nil || info.Size() < compactThresholdBytes || tryLock(f.lockFile) != nil {
+		return nil
+	}
+	defer f.releaseLock()
+	entries, _ := f.readRecord()
+	if err := f.applyUndelivered(entries, state); err != nil {
+		return err
+	}
+	record := formatRecord(f.nodeName, f.minimalEntries(state))
+	for _, name := range recordNames {
+		if err := replaceFile(f.path(name), record); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/hotrestart/descriptors_test.go
@@ -0,0 +1,43 @@
+package hotrestart
+
+import "testing"
+
+func TestDescriptorLimit(t *testing.T) {
+	const total = 400
+	predecessor := func(descriptors int, phase Phase) Presence {
+		return Presence{Number: 1, Phase: phase, Descriptors: descriptors}
+	}
+	starting := Presence{Number: 2}
+	yielding := Presence{Number: 1, Descriptors: 220, Successor: 2}
+	draining := Presence{Number: 1, Phase: Draining, Descriptors: 220, Successor: 2}
+	for _, c := range []struct {
+		name      string
+		open      int
+		self      Presence
+		peers     []Presence
+		limit     int
+		successor uint64
+		// serving: the successor accepts clients
+		serving bool
+	}{
+		{"alone", 90, predecessor(90, Serving), nil, total, 0, false},
+		{"a successor starts", 90, predecessor(90, Serving), []Presence{starting}, 200, 2, false},
+		{"a successor serves", 90, predecessor(90, Serving), []Presence{{Number: 2, Phase: Serving}}, 200, 2, true},
+		{"with more than half open", 250, predecessor(250, Serving), []Presence{starting}, 250, 2, false},
+		{"the limit does not grow again", 260, yielding, []Presence{starting}, 220, 2, false},
+		{"draining", 80, draining, []Presence{starting}, 80, 2, false},
+		{"nearly empty", 3, draining, []Presence{starting}, MinDescriptors, 2, false},
+		{"the successor", 20, starting, []Presence{predecessor(250, Serving)}, 150, 0, false},
+		{"the predecessor holds nearly all", 20, starting, []Presence{predecessor(390, Serving)}, MinDescriptors, 0, false},
+		{"the predecessor shrinks", 20, starting, []Presence{predecessor(80, Draining)}, 320, 0, false},
+		{"the successor was killed", 90, yielding, nil, total, 0, false},
+	} {
+		if got := SuccessorServing(c.self, c.peers); got != c.serving {
+			t.Errorf("%s: successor serving %v", c.name, got)
+		}
+		limit, successor := DescriptorLimit(total, c.open, c.self, c.peers)
+		if limit != c.limit || successor != c.successor {
+			t.Errorf("%s: limit %d, successor %d; want %d, %d", c.name, limit, successor, c.limit, c.successor)
+		}
+	}
+}
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -19,18 +19,18 @@
 )
 
 // goldenEntries gives the entries in the golden record: each of the operations once.
-func goldenEntries() []entry {
-	return []entry{
-		{seq: 3, change: adminstate.Change{Op: adminstate.Detach, Server: "server 1", AtMs: 1_700_000_000_101}},
-		{seq: 4, change: adminstate.Change{Op: adminstate.Attach, Server: "s\u00e9rver\"2", AtMs: 1_700_000_000_202}},
-		{seq: 5, change: adminstate.Change{Op: adminstate.LameDuck, AtMs: 1_700_000_000_303}},
-		{seq: 6, change: adminstate.Change{Op: adminstate.Rejoin, AtMs: 1_700_000_000_404}},
+func goldenEntries() []recordEntry {
+	return []recordEntry{
+		{seq: 3, change: adminstate.Change{Operation: adminstate.Detach, InstanceID: "server 1", AtMs: 1_700_000_000_101}},
+		{seq: 4, change: adminstate.Change{Operation: adminstate.Attach, InstanceID: "s\u00e9rver\"2", AtMs: 1_700_000_000_202}},
+		{seq: 5, change: adminstate.Change{Operation: adminstate.LameDuck, AtMs: 1_700_000_000_303}},
+		{seq: 6, change: adminstate.Change{Operation: adminstate.Rejoin, AtMs: 1_700_000_000_404}},
 	}
 }
 
 // goldenPresent gives the values in the golden presence.
 func goldenPresent() Presence {
-	return Presence{Number: 11, Phase: Leaving, Applied: 12, Held: 13, Yields: 14}
+	return Presence{Number: 11, Phase: Draining, AppliedSeq: 12, Descriptors: 13, Successor: 14}
 }
 
 // golden reads a golden file.
@@ -74,13 +74,13 @@
 
 // The numbers of the phases stand in presence files.
 func TestGoldenPhases(t *testing.T) {
-	if got := []Phase{Starting, Serving, Leaving}; !slices.Equal(got, []Phase{0, 1, 2}) {
+	if got := []Phase{Starting, Serving, Draining}; !slices.Equal(got, []Phase{0, 1, 2}) {
 		t.Errorf("phases %d, want 0, 1, 2", got)
 	}
 }
 
 func TestGoldenFileNames(t *testing.T) {
-	got := []string{folderName, lockName, presencePrefix, givenPrefix, copyNames[0], copyNames[1], PassedSocket}
+	got := []string{folderName, lockName, presencePrefix, snapshotPrefix, recordNames[0], recordNames[1], InheritedSocketEnv}
 	want := []string{"yokestall", "lock", "process-", "knowledge-", "record-a", "record-b", "BALANCER_PASSED_SOCKET"}
 	if !slices.Equal(got, want) {
 		t.Errorf("names %q, want %q", got, want)
@@ -110,7 +110,7 @@
 	if !slices.Equal(changes, want) {
 		t.Errorf("changes %+v, want %+v", changes, want)
 	}
-	if err := f.Give(7, []byte("snapshot")); err != nil {
+	if err := f.WriteSnapshot(7, []byte("snapshot")); err != nil {
 		t.Fatal(err)
 	}
 	files, err := os.ReadDir(filepath.Join(dir, "yokestall"))
--- /dev/null
+++ b/internal/hotrestart/lock.go
@@ -0,0 +1,69 @@
+package hotrestart
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"syscall"
+	"time"
+)
+
+const (
+	lockName = "lock"
+	// lockTimeout bounds the wait for the folder's lock at a start. Other processes hold it for
+	// moments only, unless they hang.
+	lockTimeout       = 300 * time.Millisecond
+	lockRetryInterval = 2 * time.Millisecond
+)
+
+// errLocked is returned where the folder's lock was not released in time. Operators see its text.
+var errLocked = errors.New("lock: another process holds it")
+
+// openLock makes the folder and opens the file whose lock is the folder's.
+func (f *Folder) openLock() error {
+	if err := os.MkdirAll(f.dir, 0o700); err != nil {
+		return err
+	}
+	var err error
+	f.lockFile, err = os.OpenFile(filepath.Join(f.dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	return err
+}
+
+// acquireLock acquires the folder's lock, or returns errLocked at the end of the context.
+func (f *Folder) acquireLock(ctx context.Context) error {
+	for {
+		err := tryLock(f.lockFile)
+		switch {
+		case err == nil:
+			return nil
+		case !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR):
+			return fmt.Errorf("lock: %w", err)
+		}
+		select {
+		case <-time.After(lockRetryInterval):
+		case <-ctx.Done():
+			return errLocked
+		}
+	}
+}
+
+// releaseLock releases the folder's lock.
+func (f *Folder) releaseLock() { syscall.Flock(int(f.lockFile.Fd()), syscall.LOCK_UN) }
+
+// tryLock acquires a file's lock; syscall.EWOULDBLOCK if another process holds it.
+func tryLock(file *os.File) error {
+	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+}
+
+// isLocked reports whether a process holds the lock of a file of the folder.
+func (f *Folder) isLocked(name string) bool {
+	file, err := os.Open(f.path(name))
+	if err != nil {
+		return false
+	}
+	defer file.Close()
+	err = syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
+	return errors.Is(err, syscall.EWOULDBLOCK)
+}
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -3,51 +3,115 @@
 import (
 	"fmt"
 	"hash/crc32"
+	"os"
+	"strconv"
 )
 
-// Phase is how far a process is.
+// Phase is the phase of a process's life. Its numbers stand in presence files.
 type Phase uint8
 
 // The phases of a process of the node.
 const (
-	Starting Phase = iota // takes no clients yet
+	Starting Phase = iota // accepts no clients yet
 	Serving
-	Leaving // takes no new connections any more
+	Draining // accepts no new connections any more
 )
 
-// Presence is what a process tells the other ones of the node.
+// Presence is what a process publishes to the other processes of the node.
 type Presence struct {
-	Number  uint64 // of the process: a later one has a greater number
-	Phase   Phase
-	Applied uint64 // entries of the record up to this one are in force
-	// Held is how many descriptors it may hold: while it is alone those that it has, once it has
-	// seen a later process (Yields) those that it keeps to.
-	Held   int
-	Yields uint64 // the latest process that it makes room for; 0: none
+	Number     uint64 // of the process; a successor's is greater
+	Phase      Phase
+	AppliedSeq uint64 // the record's entries up to this one are in force
+	// Descriptors is how many descriptors it may hold. Without a successor it is what the process
+	// has open, with one the limit that it keeps to.
+	Descriptors int
+	Successor   uint64 // number of the latest process that this one yields descriptors to; 0: none
 }
 
-const presenceSize = 96
+const (
+	presencePrefix  = "process-"
+	presenceVersion = 1
+	presenceBytes   = 96 // size of the file
+)
 
-// encode writes a presence with its sum, always as many bytes: it is written over the former one.
+// encode returns a presence with its checksum, always presenceBytes long: it overwrites the last one.
 func (p Presence) encode() []byte {
-	b := fmt.Appendf(nil, "1 %d %d %d %d %d", p.Number, p.Phase, p.Applied, p.Held, p.Yields)
+	b := fmt.Appendf(nil, "%d %d %d %d %d %d",
+		presenceVersion, p.Number, p.Phase, p.AppliedSeq, p.Descriptors, p.Successor)
 	b = fmt.Appendf(b, " %08x", crc32.Checksum(b, castagnoli))
-	for len(b) < presenceSize {
+	for len(b) < presenceBytes {
 		b = append(b, '\n')
 	}
-	return b[:presenceSize]
+	return b[:presenceBytes]
 }
 
-// parsePresence reads one; one that is being written, or of another version, is an error.
+// parsePresence decodes a presence. One that is being written, or has another version, is errDamaged.
 func parsePresence(b []byte) (Presence, error) {
 	var p Presence
 	var version int
 	var sum uint32
-	if _, err := fmt.Sscanf(string(b), "%d %d %d %d %d %d %x\n", &version, &p.Number, &p.Phase, &p.Applied, &p.Held, &p.Yields, &sum); err != nil {
+	_, err := fmt.Sscanf(string(b), "%d %d %d %d %d %d %x\n",
+		&version, &p.Number, &p.Phase, &p.AppliedSeq, &p.Descriptors, &p.Successor, &sum)
+	if err != nil {
 		return Presence{}, errDamaged
 	}
-	if version != 1 || p.Phase > Leaving || string(p.encode()) != string(b) {
+	if version != presenceVersion || p.Phase > Draining || string(p.encode()) != string(b) {
 		return Presence{}, errDamaged
 	}
 	return p, nil
 }
+
+// createPresence makes and locks this process's presence file, numbered above all others, and removes
+// what dead processes left. The folder's lock is held.
+func (f *Folder) createPresence() error {
+	names, err := f.fileNames()
+	if err != nil {
+		return err
+	}
+	last, live := f.removeDead(names)
+	f.removeOrphanedSnapshots(names, live)
+	f.self.Number = last + 1
+	path := f.path(presencePrefix + strconv.FormatUint(f.self.Number, 10))
+	if f.presenceFile, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
+		return err
+	}
+	return tryLock(f.presenceFile)
+}
+
+// removeDead removes the presence files of dead processes. It returns the greatest number of all, and
+// the numbers of live processes.
+func (f *Folder) removeDead(names []string) (last uint64, live map[uint64]bool) {
+	live = map[uint64]bool{}
+	for _, name := range names {
+		number, ok := numberedFile(name, presencePrefix)
+		if !ok {
+			continue
+		}
+		last = max(last, number)
+		if f.isLocked(name) {
+			live[number] = true
+		} else {
+			os.Remove(f.path(name))
+		}
+	}
+	return last, live
+}
+
+// writePresence writes this process's presence; f.mu is held, or f is not shared yet.
+func (f *Folder) writePresence() error {
+	_, err := f.presenceFile.WriteAt(f.self.encode(), 0)
+	return err
+}
+
+// readPresence returns the presence of a process, or its number alone if the file can't be read.
+func (f *Folder) readPresence(name string, number uint64) Presence {
+	data, err := readLimited(f.path(name), presenceBytes)
+	if err != nil {
+		return Presence{Number: number}
+	}
+	p, err := parsePresence(data)
+	if err != nil || p.Number != number {
+		return Presence{Number: number}
+	}
+	return p
+}
--- /dev/null
+++ b/internal/hotrestart/recordformat.go
@@ -0,0 +1,147 @@
+package hotrestart
+
+import (
+	"bytes"
+	"cmp"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"slices"
+	"strconv"
+	"strings"
+
+	"yokestall/internal/adminstate"
+	"yokestall/internal/discovery"
+)
+
+// recordHeader starts the first line of a record; the node's name, quoted, follows.
+const recordHeader = "yokestall-record 1 "
+
+// recordEntry is a change with its sequence number in the record, from 1.
+type recordEntry struct {
+	seq    uint64
+	change adminstate.Change
+}
+
+// The errors of what is read from the folder.
+var (
+	// errDamaged is returned for data whose checksum or form does not hold.
+	errDamaged = errors.New("damaged")
+	// errForeignRecord is returned for a record of another node, or of an unsupported version.
+	errForeignRecord = errors.New("record of another node or of an unsupported version")
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// operations maps the words of the record.
+var operations = map[string]adminstate.Operation{
+	adminstate.Detach.String():   adminstate.Detach,
+	adminstate.Attach.String():   adminstate.Attach,
+	adminstate.LameDuck.String(): adminstate.LameDuck,
+	adminstate.Rejoin.String():   adminstate.Rejoin,
+}
+
+// appendEntry appends an entry as a line with its checksum.
+func appendEntry(b []byte, e recordEntry) []byte {
+	start := len(b)
+	b = strconv.AppendUint(b, e.seq, 10)
+	b = append(b, ' ')
+	b = append(b, e.change.Operation.String()...)
+	b = append(b, ' ')
+	b = strconv.AppendInt(b, e.change.AtMs, 10)
+	b = append(b, ' ')
+	b = strconv.AppendQuoteToASCII(b, e.change.InstanceID)
+	return fmt.Appendf(b, " %08x\n", crc32.Checksum(b[start:], castagnoli))
+}
+
+// parseEntry parses a line without its end; errDamaged if any of it does not hold.
+func parseEntry(line []byte) (recordEntry, error) {
+	text, ok := cutChecksum(line)
+	if !ok {
+		return recordEntry{}, errDamaged
+	}
+	fields := strings.SplitN(string(text), " ", 4)
+	if len(fields) != 4 {
+		return recordEntry{}, errDamaged
+	}
+	var e recordEntry
+	var knownOperation bool
+	var errSeq, errTime, errID error
+	e.seq, errSeq = strconv.ParseUint(fields[0], 10, 64)
+	e.change.Operation, knownOperation = operations[fields[1]]
+	e.change.AtMs, errTime = strconv.ParseInt(fields[2], 10, 64)
+	e.change.InstanceID, errID = strconv.Unquote(fields[3])
+	if errSeq != nil || errTime != nil || errID != nil || !knownOperation || !e.valid() {
+		return recordEntry{}, errDamaged
+	}
+	return e, nil
+}
+
+// cutChecksum returns a line without its checksum, and whether that holds.
+func cutChecksum(line []byte) (text []byte, ok bool) {
+	const digits = 8
+	space := bytes.LastIndexByte(line, ' ')
+	if space < 0 || len(line)-space != 1+digits {
+		return nil, false
+	}
+	sum, err := strconv.ParseUint(string(line[space+1:]), 16, 32)
+	return line[:space], err == nil && uint32(sum) == crc32.Checksum(line[:space], castagnoli)
+}
+
+// valid reports whether an entry has a sequence number, and an instance id if its operation wants one.
+func (e recordEntry) valid() bool {
+	return e.seq != 0 &&
+		len(e.change.InstanceID) <= discovery.MaxIDBytes &&
+		e.change.Operation.TargetsInstance() == (e.change.InstanceID != "")
+}
+
+// parseRecord parses a copy of the record. Damaged entries are skipped; the error says that some were,
+// or that none could be read.
+func parseRecord(data []byte, nodeName string) ([]recordEntry, error) {
+	if len(data) == 0 {
+		return nil, nil
+	}
+	header, rest, terminated := bytes.Cut(data, []byte("\n"))
+	if !terminated || string(header) != recordHeader+strconv.Quote(nodeName) {
+		return nil, errForeignRecord
+	}
+	var entries []recordEntry
+	var damage error
+	for lineNumber := 2; len(rest) > 0; lineNumber++ {
+		var line []byte
+		line, rest, terminated = bytes.Cut(rest, []byte("\n"))
+		e, err := parseEntry(line)
+		if err != nil || !terminated {
+			damage = fmt.Errorf("line %d: %w", lineNumber, errDamaged)
+			continue
+		}
+		entries = append(entries, e)
+	}
+	return entries, damage
+}
+
+// formatRecord returns a copy of the record.
+func formatRecord(nodeName string, entries []recordEntry) []byte {
+	b := append([]byte(recordHeader), strconv.Quote(nodeName)+"\n"...)
+	for _, e := range entries {
+		b = appendEntry(b, e)
+	}
+	return b
+}
+
+// mergeCopies returns the entries of all copies by sequence number: what one copy has lost is taken
+// from the other.
+func mergeCopies(copies ...[]recordEntry) []recordEntry {
+	all := slices.Concat(copies...)
+	slices.SortStableFunc(all, func(x, y recordEntry) int { return cmp.Compare(x.seq, y.seq) })
+	return slices.CompactFunc(all, func(x, y recordEntry) bool { return x.seq == y.seq })
+}
+
+// hasGap reports whether entries are missing between the first one of a record and lastSeq.
+func hasGap(entries []recordEntry, lastSeq uint64) bool {
+	if len(entries) == 0 {
+		return lastSeq > 0
+	}
+	first, last := entries[0].seq, entries[len(entries)-1].seq
+	return last < lastSeq || last-first != uint64(len(entries)-1)
+}
--- a/internal/hotrestart/snapshot/golden_test.go
+++ b/internal/hotrestart/snapshot/golden_test.go
@@ -18,20 +18,20 @@
 // goldenSnapshot gives the values in the golden file; no field is zero.
 func goldenSnapshot() Snapshot {
 	return Snapshot{
-		Version: 1, Node: "node-a", TakenMs: 1_700_000_000_123, Classes: []string{"read", "push"},
-		Generation: 41, Listed: true,
-		List: []discovery.Instance{
+		Version: 1, Node: "node-a", TakenAtMs: 1_700_000_000_123, Classes: []string{"read", "push"},
+		Generation: 41, ListReceived: true,
+		Instances: []discovery.Instance{
 			{InstanceID: "server-1", HostPort: "10.0.0.1:8001", Zone: "east", Cell: 2, Lifecycle: "Ready", Weight: 1.25, StartedAtMs: 1_699_999_990_001},
 			{InstanceID: "server-2", HostPort: "10.0.0.2:8002", Zone: "west", Cell: 3, Lifecycle: "Draining", Weight: 2.5, StartedAtMs: 1_699_999_980_002},
 		},
-		Module: Module{
+		Policy: PolicyState{
 			Classes: []policy.ClassSnapshot{
 				{UnloadedLatency: 0.011, UnloadedSamples: 12, MeanLatency: 0.013, LatencySamples: 14, MeanWorkHint: 0.015, WorkHintSamples: 16},
 				{UnloadedLatency: 0.021, UnloadedSamples: 22, MeanLatency: 0.023, LatencySamples: 24, MeanWorkHint: 0.025, WorkHintSamples: 26},
 			},
-			Bounds: policy.LoadSnapshot{ConcurrencyLimit: 31.5, LastGoodLimit: 32.5, Saturated: true, LatencyInflation: -3.5, TypicalLatency: 0.034, WarmThroughput: 35.5, ArrivalRate: 36.5, SendRate: 37.5},
-			Servers: []Server{
-				{StartedMs: 1_699_999_990_001, EndpointSnapshot: policy.EndpointSnapshot{
+			Load: policy.LoadSnapshot{ConcurrencyLimit: 31.5, LastGoodLimit: 32.5, Saturated: true, LatencyInflation: -3.5, TypicalLatency: 0.034, WarmThroughput: 35.5, ArrivalRate: 36.5, SendRate: 37.5},
+			Endpoints: []Endpoint{
+				{StartedAtMs: 1_699_999_990_001, EndpointSnapshot: policy.EndpointSnapshot{
 					ID: 51, StartedAt: 52 * time.Second, BreakerOpen: true, ReopenIn: 53 * time.Millisecond, OpenDuration: 54 * time.Millisecond, ConsecutiveFailures: 55,
 					RecentOutcomes: []policy.OutcomeSummary{
 						{Age: 4 * time.Second, Successes: 61, Failures: 62, MeanLatency: 6.3},
@@ -39,7 +39,7 @@
 					},
 					UnloadedInflation: 0.56, UnloadedSamples: 57, SlowStartCredit: 0.58,
 				}},
-				{StartedMs: 1_699_999_980_002, EndpointSnapshot: policy.EndpointSnapshot{
+				{StartedAtMs: 1_699_999_980_002, EndpointSnapshot: policy.EndpointSnapshot{
 					ID: 1<<63 + 81, StartedAt: 82 * time.Second, BreakerOpen: true, ReopenIn: 83 * time.Millisecond, OpenDuration: 84 * time.Millisecond, ConsecutiveFailures: 85,
 					RecentOutcomes:    []policy.OutcomeSummary{{Age: 2 * time.Second, Successes: 91, Failures: 92, MeanLatency: 9.3}},
 					UnloadedInflation: -0.86, UnloadedSamples: 87, SlowStartCredit: -0.88,
@@ -92,16 +92,16 @@
 // Every field of a module's part arrives in policy.Snapshot and back; starts change clocks.
 func TestGoldenModuleConverts(t *testing.T) {
 	clock := offsetClock{time.UnixMilli(1_699_999_900_000)}
-	module := goldenSnapshot().Module
-	want := policy.Snapshot{Classes: module.Classes, Load: module.Bounds,
-		Endpoints: []policy.EndpointSnapshot{module.Servers[0].EndpointSnapshot, module.Servers[1].EndpointSnapshot}}
+	module := goldenSnapshot().Policy
+	want := policy.Snapshot{Classes: module.Classes, Load: module.Load,
+		Endpoints: []policy.EndpointSnapshot{module.Endpoints[0].EndpointSnapshot, module.Endpoints[1].EndpointSnapshot}}
 	want.Endpoints[0].StartedAt, want.Endpoints[1].StartedAt = 90_001*time.Millisecond, 80_002*time.Millisecond
-	got := module.ToModule(clock)
+	got := module.ToPolicy(clock)
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("to the module: got  %+v\nwant %+v", got, want)
 	}
-	back := FromModule(got, clock)
-	module.Servers[0].StartedAt, module.Servers[1].StartedAt = 90_001*time.Millisecond, 80_002*time.Millisecond
+	back := FromPolicy(got, clock)
+	module.Endpoints[0].StartedAt, module.Endpoints[1].StartedAt = 90_001*time.Millisecond, 80_002*time.Millisecond
 	if !reflect.DeepEqual(back, module) {
 		t.Errorf("from the module: got  %+v\nwant %+v", back, module)
 	}
--- /dev/null
+++ b/internal/node/adminhandler.go
@@ -0,0 +1,103 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"strings"
+	"time"
+
+	"yokestall/internal/adminapi"
+	"yokestall/internal/adminstate"
+	"yokestall/internal/downstream/h1server"
+	"yokestall/internal/hotrestart"
+)
+
+// The answers to PING of a process that accepts no clients. Operators see their texts.
+var (
+	errNoEndpointList = errors.New("no list of servers yet: no clients are taken")
+	errNotServing     = errors.New("another process of the node takes the clients")
+)
+
+// adminHandler executes operators' commands.
+type adminHandler struct {
+	background context.Context // ends with the node
+	endpoints  *endpointWatcher
+	front      *h1server.Front
+	restart    *restartCoordinator // nil: there can't be another process of the node
+	log        *slog.Logger
+}
+
+var (
+	_ adminapi.Handler      = (*adminHandler)(nil)
+	_ hotrestart.AdminState = (*adminHandler)(nil)
+)
+
+// Handle implements adminapi.Handler.
+func (a *adminHandler) Handle(ctx context.Context, c adminapi.Command) (string, error) {
+	if c.Ping {
+		return a.ping()
+	}
+	change := adminstate.Change{Operation: c.Operation, InstanceID: c.InstanceID, AtMs: time.Now().UnixMilli()}
+	if err := a.commit(ctx, change); err != nil {
+		return "", fmt.Errorf("%s %s: %w", c.Operation, c.InstanceID, err)
+	}
+	a.log.Info("administrative command executed", "operation", c.Operation.String(), "instance_id", c.InstanceID)
+	return a.status(), nil
+}
+
+// ping returns the status of a process that accepts clients, or why this one does not.
+func (a *adminHandler) ping() (string, error) {
+	if !a.front.Takes() {
+		return "", errNoEndpointList
+	}
+	if !a.restart.serving() {
+		return "", errNotServing
+	}
+	return a.status(), nil
+}
+
+// commit carries out a change in all processes of the node.
+func (a *adminHandler) commit(ctx context.Context, c adminstate.Change) error {
+	if a.restart != nil {
+		return a.restart.commit(ctx, c)
+	}
+	if _, err := a.Validate(c); err != nil {
+		return err
+	}
+	a.Apply(c)
+	return nil
+}
+
+// Validate implements hotrestart.AdminState.
+func (a *adminHandler) Validate(c adminstate.Change) (effective bool, err error) {
+	return a.endpoints.check(c)
+}
+
+// Apply implements hotrestart.AdminState.
+func (a *adminHandler) Apply(c adminstate.Change) {
+	a.endpoints.change(c)
+	switch c.Operation {
+	case adminstate.LameDuck:
+		a.front.Empty(a.background)
+	case adminstate.Rejoin:
+		a.front.Refill()
+	}
+}
+
+// MinimalChanges implements hotrestart.AdminState.
+func (a *adminHandler) MinimalChanges() []adminstate.Change { return a.endpoints.changes() }
+
+// status returns the node's state as operators see it.
+func (a *adminHandler) status() string {
+	detached, lameDuck := a.endpoints.administered()
+	text := "serving"
+	if lameDuck {
+		text = "drained"
+	}
+	if len(detached) > 0 {
+		text += ", out of service: " + strings.Join(detached, " ")
+	}
+	return text
+}
--- /dev/null
+++ b/internal/node/assemble.go
@@ -0,0 +1,81 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"yokestall/internal/downstream/h1server"
+	"yokestall/internal/engine"
+	"yokestall/internal/upstream/h1client"
+)
+
+const (
+	maxBodyBytes = 64 << 20
+	// streamStallTimeout is how long a streamed response may make no progress, at either side.
+	streamStallTimeout = 5 * time.Second
+	// unsolicitedResponsePeriod is how long after a response another one may arrive that belongs to no
+	// request: some milliseconds, by the platform's protocol. Nothing in it names its request.
+	unsolicitedResponsePeriod = 20 * time.Millisecond
+	// drainGraceDivisor gives the part of the drain grace that is left for sends decided before: for
+	// the rest, the drain was on its way here (discovery.Pushed).
+	drainGraceDivisor = 5
+	// bodyMemoryDivisor gives the part of the memory that request bodies may occupy.
+	bodyMemoryDivisor = 4
+)
+
+// components are the parts of a running node.
+type components struct {
+	clock     engine.Clock
+	endpoints *endpointWatcher
+	pool      *h1client.Pool
+	cluster   *engine.Cluster
+	front     *h1server.Front
+	admin     *adminHandler
+	restart   *restartCoordinator // nil: there can't be another process of the node
+}
+
+// assemble makes the components and connects them. The cluster and the lame duck mode run until
+// background ends. The error is that of the limits or of the policy's settings.
+func (n *Node) assemble(background context.Context) (*components, error) {
+	upstream, clients, err := n.cfg.splitDescriptors(n.cfg.Limits.Sockets)
+	if err != nil {
+		return nil, fmt.Errorf("limits: %w", err)
+	}
+	c := &components{clock: engine.NewClock()}
+	c.endpoints = newEndpointWatcher(n.cfg, c.clock, n.discoveryMoved, n.log)
+	c.pool = h1client.New(h1client.Options{
+		ServersIdle: n.cfg.ConnIdle, ConnectTimeout: n.cfg.ConnectTimeout, MaxOpen: upstream, Large: true,
+		Settle: unsolicitedResponsePeriod, Nodes: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
+	})
+	c.cluster, err = engine.New(background, n.cfg.Policy, c.pool, engine.Options{
+		Seed: n.cfg.Seed, Clock: c.clock, WatchEndpoints: c.endpoints.watch,
+		DrainGrace: max(1, n.cfg.DrainGrace/drainGraceDivisor),
+	})
+	if err != nil {
+		return nil, err
+	}
+	c.endpoints.to = endpointSink{c.cluster, c.pool}
+	c.front = h1server.New(router{n.cfg, c.cluster}, h1server.Options{
+		Clock: c.clock, Places: clients, Strict: true, Log: n.log,
+		Stall: streamStallTimeout, MaxBody: maxBodyBytes, Held: int64(n.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor,
+	})
+	c.endpoints.taken = c.front.Taken
+	c.admin = &adminHandler{background: background, endpoints: c.endpoints, front: c.front, log: n.log}
+	if n.cfg.InheritedSocket != "" {
+		c.restart = joinNode(n.cfg, n.log, c)
+		c.admin.restart = c.restart
+	}
+	return c, nil
+}
+
+// endpointSink has both the cluster and the connection pool follow the endpoint list.
+type endpointSink struct {
+	*engine.Cluster
+	pool *h1client.Pool
+}
+
+// Servers implements listener.
+func (s endpointSink) Servers(whole bool, list []h1client.Server) { s.pool.Update(whole, list) }
+
+var _ listener = endpointSink{}
--- a/internal/node/command.go
+++ b/internal/node/command.go
@@ -13,16 +13,22 @@
 	"syscall"
 )
 
-// Command runs the node by the environment until SIGTERM or an interrupt; args are the program's.
+const (
+	// memoryLimitTenths is the part of the granted memory that the Go runtime may use, in tenths; the
+	// rest is the kernel's for sockets and files.
+	memoryLimitTenths = 7
+	// gcPercent is low for a program of little garbage: a heap that may grow severalfold would grow
+	// for minutes.
+	gcPercent = 100
+)
+
+// Command runs the node that the environment configures until SIGTERM or an interrupt; args are the
+// program's arguments. SIGHUP reloads the address of discovery.
 func Command(args []string) error {
-	flags := flag.NewFlagSet("yokestall-node", flag.ContinueOnError)
-	settings := flags.String("settings", "", "the operator's `file` of settings (deploy/node.toml is the example); none by default")
-	if err := flags.Parse(args); err != nil {
+	settingsPath, err := parseArguments(args)
+	if err != nil {
 		return err
 	}
-	if flags.NArg() > 0 {
-		return fmt.Errorf("unexpected argument %q", flags.Arg(0))
-	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	reload := make(chan os.Signal, 1)
@@ -32,46 +38,59 @@
 	if err != nil {
 		return err
 	}
-	if *settings != "" {
-		if err := cfg.ApplySettings(*settings); err != nil {
+	if settingsPath != "" {
+		if err := cfg.ApplySettings(settingsPath); err != nil {
 			return err
 		}
 	}
-	limit(cfg.Limits)
+	limitRuntime(cfg.Limits)
 	n, err := Listen(cfg)
 	if err != nil {
 		return err
 	}
-	go follow(ctx, reload, n)
+	go reloadOnSignal(ctx, reload, n)
 	return n.Run(ctx)
 }
 
-// follow takes up the file of the configuration again at each signal. Only
-// discovery may change while the node runs; one that can't be read changes nothing.
-func follow(ctx context.Context, reload <-chan os.Signal, n *Node) {
+// parseArguments returns the path of the settings file; "": none.
+func parseArguments(args []string) (settingsPath string, err error) {
+	flags := flag.NewFlagSet("yokestall-node", flag.ContinueOnError)
+	settings := flags.String("settings", "",
+		"the operator's `file` of settings (deploy/node.toml is the example); none by default")
+	if err := flags.Parse(args); err != nil {
+		return "", err
+	}
+	if flags.NArg() > 0 {
+		return "", fmt.Errorf("unexpected argument %q", flags.Arg(0))
+	}
+	return *settings, nil
+}
+
+// reloadOnSignal reloads the configuration at each signal until the context ends. Only the address of
+// discovery may change while the node runs; a configuration that can't be read changes nothing.
+func reloadOnSignal(ctx context.Context, reload <-chan os.Signal, n *Node) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-reload:
 		}
-		discovery, err := ReloadDiscovery(os.Getenv)
+		addr, err := ReloadDiscovery(os.Getenv)
 		if err != nil {
-			slog.Error("reload: the old configuration stays", "err", err)
+			slog.Error("configuration reload failed, previous configuration in use", "err", err)
 			continue
 		}
-		n.MoveDiscovery(discovery)
+		n.MoveDiscovery(addr)
 	}
 }
 
-// limit keeps the runtime inside the machine. The live heap is small: one node among many
-// makes so little garbage that a heap let grow severalfold would grow for minutes.
-func limit(l Limits) {
+// limitRuntime bounds the runtime's use of the machine.
+func limitRuntime(l Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
 	}
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(l.MemoryMB) << 20 * 7 / 10)
+		debug.SetMemoryLimit(int64(l.MemoryMB) << 20 * memoryLimitTenths / 10)
 	}
-	debug.SetGCPercent(100)
+	debug.SetGCPercent(gcPercent)
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,104 +1,95 @@
 package node
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
 	"net"
 	"os"
-	"strconv"
-	"strings"
 	"time"
 
 	"yokestall/internal/discovery"
 	"yokestall/internal/hotrestart"
 	"yokestall/internal/keepalive"
-	"yokestall/internal/simulator"
 	"yokestall/policy"
 )
 
-// Limits is what the node's machine grants it.
+// Limits is what the node's machine grants it; 0 means no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	MemoryMB int     `json:"memory_mb"` // MiB
+	Sockets  int     `json:"sockets"`   // descriptors; defaultSockets if the file has none
 }
 
-// Config is all that a node is told at its start.
+// Config is the configuration of a node at its start.
 type Config struct {
-	Name           string
-	Listen         string // where clients connect
-	Discovery      string // address of discovery
-	Mgmt           string // the operators' address; "": none
-	Shared         string // a folder that all processes of the node share; "": none
-	Passed         string // the descriptor of the clients' socket; "": the node listens by itself
-	Seed           uint64
-	Limits         Limits
-	Known          known // the list as this node last had it
-	Policy         policy.Settings
-	Classes        map[string]int // name to index in Policy.Classes
-	Tenants        map[string]int // name to index in Policy.Tenants
-	Zones          map[string]int
-	DrainGrace     time.Duration // from word of a drain on, in which sends to a server have to end
-	ConnIdle       time.Duration // servers close a connection that was idle for so long
-	ConnectTimeout time.Duration
-	IdlePrices     keepalive.Prices
-	ListPrice      float64      // for a hundred lines a request
-	ClientsPart    float64      // of all descriptors, for client connections that have asked; 0.1 to 1
-	Log            *slog.Logger // nil: the default one
+	Name            string
+	Listen          string // address for clients
+	Discovery       string // address of discovery
+	AdminAddr       string // address of the admin API; "": none
+	SharedDir       string // a folder that all processes of the node share; "": none
+	InheritedSocket string // the descriptor of the clients' socket; "": the node opens its own
+	Seed            uint64 // of the policy's random draws
+	Limits          Limits
+	InitialList     known // the endpoint list as this node last had it
+	Policy          policy.Settings
+	Classes         map[string]int // name to index in Policy.Classes
+	Tenants         map[string]int // name to index in Policy.Tenants
+	Zones           map[string]int // name to zone number
+	DrainGrace      time.Duration  // from the notice of a drain until the last send to the endpoint
+	ConnIdle        time.Duration  // endpoints close a connection that was idle for so long
+	ConnectTimeout  time.Duration
+	IdlePrices      keepalive.Prices
+	ListPrice       float64      // of a hundred lines a request
+	ClientShare     float64      // of all descriptors, for client connections with a request; 0.1 to 1
+	Log             *slog.Logger // nil: the default one
 
 	terms discovery.Terms // of calls to discovery; zero: by the settings
 }
 
+// The environment variables that override the configuration file's values.
 const (
-	// strictestGrace is the grace of drains where the settings have none: what is not told is
-	// taken for as little as is known from anywhere.
-	strictestGrace = 100 * time.Millisecond
-	maxGrace       = time.Minute
-	maxIdle        = 24 * time.Hour
+	configEnv    = "BALANCER_CONFIG" // path of the file
+	nameEnv      = "BALANCER_NAME"
+	listenEnv    = "BALANCER_LISTEN"
+	discoveryEnv = "BALANCER_DISCOVERY"
+	adminEnv     = "BALANCER_MGMT"
+	sharedDirEnv = "TMPDIR"
 )
 
-// The names and socket figures among the settings that the module does not need.
-type nodeSettings struct {
-	Accounts, Classes []struct{ Name string }
-	Zones             []string
-	Limits            struct{ ConnIdleMs, ConnectTimeoutMs *float64 }
-	Contract          struct{ DrainGraceMs *float64 }
-	Deductions        struct{ Connection, Handshake, RegistryMode float64 }
-}
+// errNoConfig is returned where the environment names no configuration file.
+var errNoConfig = errors.New(configEnv + " is not set")
 
-// LoadConfig reads the file named by BALANCER_CONFIG; the other BALANCER
-// variables, where set, go before what the file says.
+// LoadConfig reads the configuration file that the environment names, and applies the environment's
+// overrides.
 func LoadConfig(getenv func(string) string) (*Config, error) {
-	path := getenv("BALANCER_CONFIG")
+	path := getenv(configEnv)
 	if path == "" {
-		return nil, errors.New("BALANCER_CONFIG is not set")
+		return nil, errNoConfig
 	}
 	c, err := readConfig(path)
 	if err != nil {
 		return nil, err
 	}
-	for name, to := range map[string]*string{
-		"BALANCER_NAME": &c.Name, "BALANCER_LISTEN": &c.Listen, "BALANCER_DISCOVERY": &c.Discovery,
-		"BALANCER_MGMT": &c.Mgmt,
+	for name, field := range map[string]*string{
+		nameEnv: &c.Name, listenEnv: &c.Listen, discoveryEnv: &c.Discovery, adminEnv: &c.AdminAddr,
 	} {
 		if v := getenv(name); v != "" {
-			*to = v
+			*field = v
 		}
 	}
-	c.Shared, c.Passed = getenv("TMPDIR"), getenv(hotrestart.PassedSocket)
+	c.SharedDir, c.InheritedSocket = getenv(sharedDirEnv), getenv(hotrestart.InheritedSocketEnv)
 	if c.Listen == "" || c.Discovery == "" {
 		return nil, fmt.Errorf("configuration %s: listen and discovery are required", path)
 	}
 	return c, nil
 }
 
-// ReloadDiscovery gives the address of discovery in the file named by
-// BALANCER_CONFIG. The file goes first here: it may have been replaced since the
-// start, and the environment can't have changed.
+// ReloadDiscovery returns the address of discovery in the configuration file that the environment
+// names. Here the file takes precedence over the environment: it may have been replaced since the
+// start, the environment can't have changed.
 func ReloadDiscovery(getenv func(string) string) (string, error) {
-	path := getenv("BALANCER_CONFIG")
+	path := getenv(configEnv)
 	c, err := readConfig(path)
 	if err != nil {
 		return "", err
@@ -121,94 +112,7 @@
 	return c, nil
 }
 
-func parseConfig(text []byte) (*Config, error) {
-	var file struct {
-		Name, Listen, Discovery, Mgmt, Seed string
-		Limits                              Limits
-		Known                               known
-		Settings                            json.RawMessage
-	}
-	if err := json.Unmarshal(text, &file); err != nil {
-		return nil, err
-	}
-	if len(file.Settings) == 0 {
-		return nil, errors.New("settings are missing")
-	}
-	c := &Config{
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Mgmt: file.Mgmt, Limits: file.Limits, Known: file.Known,
-		Classes: map[string]int{}, Tenants: map[string]int{}, Zones: map[string]int{},
-		// The two figures are those of a deployment that names none (the bench's page on site files).
-		ConnIdle: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond, DrainGrace: strictestGrace,
-		ClientsPart: clientsPart,
-	}
-	var err error
-	if file.Seed != "" {
-		if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("seed: %w", err)
-		}
-	}
-	if c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
-		return nil, errors.New("limits: negative")
-	}
-	if c.Limits.Sockets == 0 {
-		c.Limits.Sockets = 1024
-	}
-	if c.Limits.Sockets < 64 {
-		return nil, fmt.Errorf("limits: %d sockets are too few", c.Limits.Sockets)
-	}
-	if c.Policy, err = simulator.ParseSettings(file.Settings); err != nil {
-		return nil, err
-	}
-	var own nodeSettings
-	if err := json.Unmarshal(file.Settings, &own); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	for i, x := range own.Classes {
-		if x.Name == "" || strings.ContainsAny(x.Name, "/?#") {
-			return nil, fmt.Errorf("settings: Classes[%d].Name: %q can't be the first part of a path", i, x.Name)
-		}
-		if first, twice := c.Classes[x.Name]; twice {
-			return nil, fmt.Errorf("settings: Classes[%d].Name: %q is Classes[%d] already", i, x.Name, first)
-		}
-		c.Classes[x.Name] = i
-	}
-	for i, x := range own.Accounts {
-		if first, twice := c.Tenants[x.Name]; twice || x.Name == "" {
-			return nil, fmt.Errorf("settings: Accounts[%d].Name: %q is none, or Accounts[%d] already", i, x.Name, first)
-		}
-		c.Tenants[x.Name] = i
-	}
-	for i, x := range own.Zones {
-		c.Zones[x] = i
-	}
-	for _, t := range []struct {
-		name        string
-		given       *float64
-		least, most time.Duration
-		to          *time.Duration
-	}{
-		{"Contract.DrainGraceMs", own.Contract.DrainGraceMs, 0, maxGrace, &c.DrainGrace},
-		{"Limits.ConnIdleMs", own.Limits.ConnIdleMs, time.Millisecond, maxIdle, &c.ConnIdle},
-		{"Limits.ConnectTimeoutMs", own.Limits.ConnectTimeoutMs, time.Millisecond, maxIdle, &c.ConnectTimeout},
-	} {
-		if t.given == nil {
-			continue
-		}
-		if v := *t.given; !(v >= ms(t.least) && v <= ms(t.most)) {
-			return nil, fmt.Errorf("settings: %s: %v is not from %v to %v", t.name, v, ms(t.least), ms(t.most))
-		}
-		*t.to = millis(*t.given)
-	}
-	c.IdlePrices = keepalive.Prices{Handshake: own.Deductions.Handshake, Connection: own.Deductions.Connection}
-	c.ListPrice = own.Deductions.RegistryMode
-	return c, nil
-}
-
-func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
-
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
-
-// classNames gives the names of the classes by their indices.
+// classNames returns the names of the classes by their indices.
 func (c *Config) classNames() []string {
 	names := make([]string, len(c.Policy.Classes))
 	for name, i := range c.Classes {
@@ -217,7 +121,7 @@
 	return names
 }
 
-// longestDeadline is how long a request taken now may still be open.
+// longestDeadline returns how long a request accepted now may still be in flight.
 func (c *Config) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.Policy.Classes {
--- a/internal/node/config_fuzz_test.go
+++ b/internal/node/config_fuzz_test.go
@@ -8,9 +8,8 @@
 	"yokestall/policy"
 )
 
-// FuzzParseConfig holds that a configuration is either refused or one that a node can start by: the
-// module takes its settings, the split of descriptors stays within them, and the figures of rules are ones
-// that can be kept to.
+// FuzzParseConfig checks that a configuration is either rejected or usable: the policy accepts its settings, the
+// split of descriptors is within the limit, and durations are in range.
 func FuzzParseConfig(f *testing.F) {
 	whole := `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":192,"sockets":256},"known":{"generation":3,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"Ready"}]},
@@ -27,17 +26,19 @@
 			return
 		}
 		if _, err := policy.New(c.Policy, c.Seed, host{}); err != nil {
-			return // named by the module
+			return // rejected by the policy
 		}
-		servers, places, err := c.split(c.Limits.Sockets)
+		servers, places, err := c.splitDescriptors(c.Limits.Sockets)
 		if err == nil && (servers < 1 || servers+places.Asked+places.Silent+places.Over+ownDescriptors > c.Limits.Sockets) {
 			t.Errorf("of %d descriptors %d are for servers, %+v for clients", c.Limits.Sockets, servers, places)
 		}
-		if c.DrainGrace < 0 || c.ConnIdle <= 0 || c.ConnectTimeout <= 0 || c.longestDeadline() <= 0 || planStop(c.longestDeadline()).whole > stopDeadline+stopSlack {
-			t.Errorf("grace %v, idle %v, connect %v, deadline %v", c.DrainGrace, c.ConnIdle, c.ConnectTimeout, c.longestDeadline())
+		if c.DrainGrace < 0 || c.ConnIdle <= 0 || c.ConnectTimeout <= 0 || c.longestDeadline() <= 0 ||
+			planShutdown(c.longestDeadline()).total > maxCountedDeadline+shutdownMargin {
+			t.Errorf("grace %v, idle %v, connect %v, deadline %v",
+				c.DrainGrace, c.ConnIdle, c.ConnectTimeout, c.longestDeadline())
 		}
 		for _, d := range []time.Duration{c.DrainGrace, c.ConnIdle, c.ConnectTimeout} {
-			if d > maxIdle {
+			if d > maxConnDuration {
 				t.Errorf("%v is longer than a day", d)
 			}
 		}
@@ -47,7 +48,7 @@
 	})
 }
 
-// host takes what a Balancer that is not used asks for.
+// host ignores the actions of a Balancer that is not used.
 type host struct{ policy.Host }
 
 func (host) SetTimer(time.Duration, uint64) {}
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -16,9 +16,8 @@
 	"yokestall/internal/testutil"
 )
 
-// gateway stands for what lies between clients and a node on the platform: it grants
-// clients so many connections at once, and a client that finds none left never shows
-// at the node.
+// gateway is a fake of what lies between clients and a node on the platform: it limits
+// client connections, and a client above the limit never reaches the node.
 type gateway struct {
 	node   *running
 	places chan struct{}
@@ -30,8 +29,8 @@
 
 var errNoPlace = errors.New("no connection left for this client")
 
-// client is a client's connection; its place is free once the node or the client
-// has closed it.
+// client is a client's connection; its slot is free once the node or the client has
+// closed it.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -43,7 +42,7 @@
 	c.free()
 }
 
-// connect gives a connection, or errNoPlace if none was free for so long.
+// connect returns a connection, or errNoPlace if no slot was free in time.
 func (g *gateway) connect(most time.Duration) (*client, error) {
 	select {
 	case g.places <- struct{}{}:
@@ -59,8 +58,8 @@
 	return &client{Conn: nc, reader: bufio.NewReader(nc), free: sync.OnceFunc(func() { <-g.places })}, nil
 }
 
-// ask makes one request. A connection that ended before the answer's first byte gives
-// errCrossed: the client may send again on a new one.
+// ask sends one request. A connection that ended before the response's first byte is
+// errCrossed: the client may retry on a new one.
 func (c *client) ask(r *http.Request) (status int, last bool, err error) {
 	if err := r.Write(c); err != nil {
 		return 0, true, errCrossed
@@ -82,7 +81,7 @@
 
 var errCrossed = errors.New("the connection ended before an answer")
 
-// stay waits in the background until the node closes the connection.
+// stay keeps the connection open in the background until the node closes it.
 func (c *client) stay() {
 	go func() {
 		c.reader.Peek(1)
@@ -90,12 +89,12 @@
 	}()
 }
 
-// crowd has so many clients ask once and keep their connection, with one usual client
-// among them that comes back all the time. It tells how many of them got no place.
+// crowd has a number of clients send one request and stay connected, with one regular
+// client among them that reconnects repeatedly. It returns how many got no slot.
 func (g *gateway) crowd(t *testing.T, clients int) (turnedAway int) {
 	t.Helper()
-	// The wait of a client that does not get through: long beside what a busy machine
-	// takes, short beside the 10 s after which idle connections age.
+	// How long a client waits for a slot: longer than delays of a busy machine, shorter than the 10 s after
+	// which idle connections are closed.
 	const most = 3 * time.Second
 	var usual *client
 	for i := range clients {
@@ -135,15 +134,15 @@
 	return turnedAway
 }
 
-// Clients hold a third of the descriptors at most for requests. Where clients that ask
-// once and stay could fill that third, the usual ones would find no place and never
-// reach the node, which would look idle.
+// Client connections with a request have a third of the descriptors. If clients that send
+// one request and stay could occupy that third, others could not reach the node, which
+// would look idle.
 func TestCrowdThatStays(t *testing.T) {
 	t.Parallel()
 	for _, sockets := range []int{64, 256, 384, 1024} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
 			b := testutil.NewBackend(t, testutil.OK)
-			b.Config.Handler = http.HandlerFunc(testutil.OK) // keeps no list of what it got
+			b.Config.Handler = http.HandlerFunc(testutil.OK) // does not record requests
 			n := startSized(t, b, sockets)
 			third := sockets / 3
 			if got := newGateway(n, third).crowd(t, third+third/2); got > 0 {
@@ -153,7 +152,7 @@
 	}
 }
 
-// The same where an installation grants clients another part.
+// The same with another share of the descriptors for clients.
 func TestCrowdWithConfiguredPart(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -161,7 +160,7 @@
 	for part, places := range map[float64]int{0.1: 25, 1: 95} { // of 256; 1 is as many as fit
 		d := newRegistry(t, instanceAt(b, "s-0"))
 		cfg := testConfig(t, d, nil)
-		cfg.ClientsPart = part
+		cfg.ClientShare = part
 		n := start(t, cfg)
 		n.waitReadyAlone()
 		if got := newGateway(n, places).crowd(t, 2*places); got > 0 {
@@ -170,8 +169,8 @@
 	}
 }
 
-// A silent flood has places of its own: clients that are idle between two requests
-// keep their connections.
+// A flood of connections without a request has slots of its own: clients that are idle
+// between two requests stay connected.
 func TestSilentFloodBesideAskingClients(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -217,8 +216,8 @@
 	flood.Wait()
 }
 
-// A close that crosses a request: the client sends once more on a new connection. The
-// node must not have served the first copy too, unsafe requests above all.
+// A close that crosses a request: the client sends it again on a new connection. The node
+// must not have served the first one too, least of all if it is not idempotent.
 func TestCloseCrossesRequest(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -232,7 +231,7 @@
 		testutil.OK(w, r)
 	})
 	n := startSmall(t, b)
-	const clients, requests = 24, 40 // more than have a place: nearly each answer is followed by a close
+	const clients, requests = 24, 40 // more than there are slots: nearly each response is followed by a close
 	crossed := 0
 	var all sync.WaitGroup
 	for range clients {
@@ -271,7 +270,7 @@
 						return
 					}
 					if status == http.StatusServiceUnavailable {
-						continue // refused: to try again is harmless
+						continue // rejected: a retry is safe
 					}
 					mu.Lock()
 					times := ran[r.Header.Get("X-Request-ID")]
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -22,11 +22,11 @@
 	"yokestall/internal/testutil"
 )
 
-// lostDiscovery is a registryStub that can fall silent: calls are taken, and nothing comes back.
+// lostDiscovery is a registryStub that can become unresponsive: it accepts calls and sends no response.
 type lostDiscovery struct {
 	*registryStub
 	silent atomic.Bool
-	begun  chan struct{} // takes a token where a silent call begins
+	begun  chan struct{} // gets a token when a call gets no response
 }
 
 func newLostDiscovery(t *testing.T, list ...discovery.Instance) *lostDiscovery {
@@ -46,7 +46,7 @@
 	return d
 }
 
-// child is a node in a process of its own, whose descriptors the system bounds.
+// child is a node in a process of its own, whose descriptors the system limits.
 type child struct {
 	*running
 	process *os.Process
@@ -87,7 +87,7 @@
 	return n
 }
 
-// descriptors counts what the process has open.
+// descriptors returns how many descriptors the process has open.
 func (c *child) descriptors() int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.process.Pid))
 	if err != nil {
@@ -96,8 +96,8 @@
 	return len(list)
 }
 
-// crowdIn has so many clients come, ask once or say nothing, and stay; whoever is closed comes again, until the end of
-// ctx. It counts those that the node has answered.
+// crowdIn has a number of clients connect, send one request or none, and stay; those whose connection is closed
+// connect again, until the end of ctx. It counts the requests that the node has answered.
 func crowdIn(ctx context.Context, n *child, clients int, answered *atomic.Int64) (gone func()) {
 	var all sync.WaitGroup
 	for i := range clients {
@@ -109,7 +109,7 @@
 				}
 				unhook := context.AfterFunc(ctx, func() { nc.Close() })
 				if i%4 > 0 {
-					r := n.request([]string{"read", "pay"}[i%4%2]) // the one is answered, the other stands still
+					r := n.request([]string{"read", "pay"}[i%4%2]) // read is answered, pay hangs
 					r.Write(nc)
 					if _, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil {
 						answered.Add(1)
@@ -124,9 +124,9 @@
 	return all.Wait
 }
 
-// Idle clients fill the descriptors while discovery is away, and servers that stand still hold the others. At its
-// return the node reaches it all the same, and acts on what it tells: descriptors are kept for that. The system's own
-// bound is as tight as what the node was told.
+// Idle clients use the descriptors while discovery is unavailable, and servers that hang the others. When discovery
+// returns the node reaches it all the same, and applies its list: descriptors are reserved for that. The system's own
+// limit is as low as the node's.
 func TestCrowdWhileDiscoveryIsAway(t *testing.T) {
 	t.Parallel()
 	const sockets = 64
@@ -135,10 +135,10 @@
 			t.Parallel()
 			hold := make(chan struct{})
 			var list, drained []discovery.Instance
-			for i := range 12 { // as many as hold all connections that the node may have to servers
+			for i := range 12 { // enough for all connections that the node may have to servers
 				b := testutil.NewBackend(t, testutil.OK)
 				b.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					if r.Method == http.MethodPost { // stands still
+					if r.Method == http.MethodPost { // hangs
 						select {
 						case <-hold:
 						case <-r.Context().Done():
@@ -165,15 +165,17 @@
 				most = max(most, n.descriptors())
 				return answered.Load() > 2*sockets && most >= sockets-ownDescriptors
 			})
-			testutil.Wait(t, d.begun, "a call that falls silent")
-			// As many calls as are made to one discovery have to find room beside it all, as to another one after SIGHUP.
-			if calls := discovery.Pushed(0).Most; most+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
-				t.Errorf("%d of %d descriptors were open: none are kept for %d calls", most, sockets, calls)
+			testutil.Wait(t, d.begun, "a call without a response")
+			// The calls to one discovery service need descriptors besides, as do those to another one after SIGHUP.
+			calls := discovery.Pushed(0).Most
+			if most+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
+				t.Errorf("%d of %d descriptors were open: none are reserved for %d calls", most, sockets, calls)
 			}
 			d.silent.Store(false)
 			back := time.Now()
 			d.change(t, func() { d.list = append(drained, instanceAt(fresh, "s-new")) })
-			t.Logf("told %v after discovery's return, %d of %d descriptors were open at most", time.Since(back), most, sockets)
+			t.Logf("updated %v after discovery's return, %d of %d descriptors were open at most",
+				time.Since(back), most, sockets)
 			testutil.Wait(t, fresh.Got, "a request at the new server")
 		})
 	}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -326,15 +326,15 @@
 func (d *endpointWatcher) check(c adminstate.Change) (differs bool, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.admin.Differs(c), d.admin.Check(c, d.list.Seen)
+	return d.admin.HasEffect(c), d.admin.Validate(c, d.list.Seen)
 }
 
 // change takes up what operators asked for. When it returns, the change is in force.
 func (d *endpointWatcher) change(c adminstate.Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.admin.Apply(c) && c.Op.OfServer() {
-		if l, listed := d.list.Line(c.Server); listed {
+	if d.admin.Apply(c) && c.Operation.TargetsInstance() {
+		if l, listed := d.list.Line(c.InstanceID); listed {
 			d.tell(policy.DeltaUpdate, []discovery.Instance{l})
 		}
 	}
@@ -350,15 +350,15 @@
 func (d *endpointWatcher) changes() []adminstate.Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.admin.Changes()
+	return d.admin.MinimalChanges()
 }
 
 // administered gives the servers that operators have taken out, and whether the node is to be empty.
 func (d *endpointWatcher) administered() (out []string, lame bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, lame = d.admin.Lame()
-	return d.admin.OutOfService(), lame
+	_, lame = d.admin.LameDuckSince()
+	return d.admin.DetachedIDs(), lame
 }
 
 func pause(ctx context.Context, d time.Duration) {
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -40,11 +40,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := goldenKnown(); !reflect.DeepEqual(c.Known, want) {
-		t.Errorf("known list %+v, want %+v", c.Known, want)
+	if want := goldenKnown(); !reflect.DeepEqual(c.InitialList, want) {
+		t.Errorf("known list %+v, want %+v", c.InitialList, want)
 	}
-	if c.Name != "node-a" || c.Listen != "127.0.0.1:8101" || c.Discovery != "127.0.0.1:8102" || c.Mgmt != "127.0.0.1:8103" || c.Seed != 0x8c1f30d27a5be964 {
-		t.Errorf("name %q, listen %q, discovery %q, mgmt %q, seed %x", c.Name, c.Listen, c.Discovery, c.Mgmt, c.Seed)
+	if c.Name != "node-a" || c.Listen != "127.0.0.1:8101" || c.Discovery != "127.0.0.1:8102" || c.AdminAddr != "127.0.0.1:8103" || c.Seed != 0x8c1f30d27a5be964 {
+		t.Errorf("name %q, listen %q, discovery %q, mgmt %q, seed %x", c.Name, c.Listen, c.Discovery, c.AdminAddr, c.Seed)
 	}
 	if want := (Limits{Cores: 1.5, MemoryMB: 192, Sockets: 256}); c.Limits != want {
 		t.Errorf("limits %+v, want %+v", c.Limits, want)
--- /dev/null
+++ b/internal/node/hotrestart.go
@@ -0,0 +1,203 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"sync"
+	"time"
+
+	"yokestall/internal/adminapi"
+	"yokestall/internal/adminstate"
+	"yokestall/internal/hotrestart"
+)
+
+const (
+	// singleRefreshInterval is how often a process without peers looks for one, and peerRefreshInterval
+	// how often it follows the peers that it has.
+	singleRefreshInterval = 50 * time.Millisecond
+	peerRefreshInterval   = 10 * time.Millisecond
+	// minLimitIncrease is the least increase of the descriptor limit that is applied before the limit
+	// is the node's.
+	minLimitIncrease = 8
+)
+
+// restartCoordinator is this process's part in a node that may have two processes while one replaces
+// the other. A nil coordinator is that of a node which always has one process.
+type restartCoordinator struct {
+	cfg        *Config
+	log        *slog.Logger
+	components *components
+	folder     *hotrestart.Folder // nil: the folder can't be used, for folderErr
+	folderErr  error
+
+	// snapshotSentTo is the number of the latest successor that was sent a snapshot; of run alone.
+	snapshotSentTo uint64
+
+	mu              sync.Mutex // guards what follows
+	phase           hotrestart.Phase
+	peers           []hotrestart.Presence // the oldest first
+	descriptorLimit int                   // as applied last
+}
+
+// joinNode makes this process a member of the node's shared folder, and applies the administrative
+// changes on record.
+func joinNode(cfg *Config, log *slog.Logger, c *components) *restartCoordinator {
+	r := &restartCoordinator{cfg: cfg, log: log, components: c, descriptorLimit: cfg.Limits.Sockets}
+	folder, changes, err := hotrestart.Join(cfg.SharedDir, cfg.Name+" "+cfg.Listen, log)
+	if err != nil {
+		log.Error("administrative record unavailable, changes will be rejected", "err", err)
+		r.folderErr = err
+		return r
+	}
+	for _, change := range changes {
+		c.admin.Apply(change)
+	}
+	r.folder = folder
+	r.refresh()
+	return r
+}
+
+// close leaves the folder.
+func (r *restartCoordinator) close() {
+	if r != nil && r.folder != nil {
+		r.folder.Close()
+	}
+}
+
+// commit carries out a change in all processes of the node.
+func (r *restartCoordinator) commit(ctx context.Context, c adminstate.Change) error {
+	if r.folder == nil {
+		return fmt.Errorf("nothing was done, since it would be forgotten: %w", r.folderErr)
+	}
+	return r.folder.Commit(ctx, c, r.components.admin)
+}
+
+// serving reports whether this process is in the phase in which it accepts clients.
+func (r *restartCoordinator) serving() bool {
+	if r == nil {
+		return true
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.phase == hotrestart.Serving
+}
+
+// advancePhase enters a phase and publishes it.
+func (r *restartCoordinator) advancePhase(p hotrestart.Phase) {
+	if r == nil {
+		return
+	}
+	r.mu.Lock()
+	r.phase = p
+	r.mu.Unlock()
+	r.refresh()
+}
+
+// successorServing reports whether a successor accepts the clients.
+func (r *restartCoordinator) successorServing() bool {
+	if r == nil || r.folder == nil {
+		return false
+	}
+	r.refresh()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return hotrestart.SuccessorServing(r.folder.Self(), r.peers)
+}
+
+// hasPredecessor reports whether a predecessor lives.
+func (r *restartCoordinator) hasPredecessor() bool {
+	if r == nil || r.folder == nil {
+		return false
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.peers) > 0 && r.peers[0].Number < r.folder.Self().Number
+}
+
+// run follows the other processes of the node until the context ends.
+func (r *restartCoordinator) run(ctx context.Context) {
+	if r.folder == nil {
+		return
+	}
+	for ctx.Err() == nil {
+		interval := singleRefreshInterval
+		hasPeers := r.refresh()
+		if hasPeers {
+			interval = peerRefreshInterval
+			r.sendSnapshotOnce(ctx)
+		}
+		if err := r.folder.ApplyPending(r.components.admin); err != nil {
+			r.log.Warn("following the administrative record failed", "err", err)
+		}
+		if !hasPeers {
+			if err := r.folder.Compact(r.components.admin); err != nil {
+				r.log.Warn("compacting the administrative record failed", "err", err)
+			}
+		}
+		pause(ctx, interval)
+	}
+}
+
+// refresh reads the presences of the other processes, applies this one's part of the descriptors and
+// publishes its own presence. It reports whether there are other processes.
+func (r *restartCoordinator) refresh() (hasPeers bool) {
+	if r.folder == nil {
+		return false
+	}
+	peers, err := r.folder.Peers()
+	if err != nil {
+		r.log.Warn("listing the node's processes failed", "err", err)
+		return false
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	open := r.openDescriptors()
+	limit, successor := hotrestart.DescriptorLimit(r.cfg.Limits.Sockets, open, r.folder.Self(), peers)
+	if len(peers) != len(r.peers) {
+		r.log.Info("number of node processes changed", "peers", len(peers), "descriptor_limit", limit)
+		r.components.cluster.SetSlowStartShare(1 / float64(len(peers)+1))
+	}
+	r.peers = peers
+	r.applyDescriptorLimit(limit)
+	published := r.descriptorLimit
+	if len(peers) == 0 {
+		published = min(published, open)
+	}
+	if err := r.folder.Publish(r.phase, published, successor); err != nil {
+		r.log.Warn("publishing this process's presence failed", "err", err)
+	}
+	return len(peers) > 0
+}
+
+// openDescriptors returns how many descriptors this process has open, or may open by itself.
+func (r *restartCoordinator) openDescriptors() int {
+	return r.components.front.Connections() + r.components.pool.Open() + ownDescriptors + adminapi.MaxDescriptors
+}
+
+// applyDescriptorLimit applies a limit of this process's descriptors, unless it is a small increase
+// below the node's limit; r.mu is held. While the process drains, its connections end by themselves:
+// closing idle ones for the limit's sake would cost requests.
+func (r *restartCoordinator) applyDescriptorLimit(limit int) {
+	if r.phase == hotrestart.Draining {
+		r.descriptorLimit = limit
+		return
+	}
+	current := r.descriptorLimit
+	reachesNodeLimit := limit == r.cfg.Limits.Sockets && limit > current
+	if limit < current || limit >= current+minLimitIncrease || reachesNodeLimit {
+		r.descriptorLimit = limit
+		r.resize(limit)
+	}
+}
+
+// resize splits a descriptor limit into connections to endpoints and from clients. A limit too small to
+// serve with leaves the present split.
+func (r *restartCoordinator) resize(limit int) {
+	upstream, clients, err := r.cfg.splitDescriptors(limit)
+	if err != nil {
+		return
+	}
+	r.components.pool.Limit(r.cfg.ConnectTimeout, upstream)
+	r.components.front.Resize(clients)
+}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -31,9 +31,10 @@
 	r := n.request("push")
 	r.Header.Set("Connection", "X-Hop")
 	r.Header.Set("X-Hop", "1")
-	r.Header.Set("User-Agent", "") // none: the node must not put its own
+	r.Header.Set("User-Agent", "") // none: the node must not add its own
 	a := n.do(r)
-	if a.status != http.StatusOK || a.body != "rooms" || a.header.Get("X-Kept") != "yes" || a.header.Get("Keep-Alive") != "" {
+	if a.status != http.StatusOK || a.body != "rooms" ||
+		a.header.Get("X-Kept") != "yes" || a.header.Get("Keep-Alive") != "" {
 		t.Errorf("answer %+v", a)
 	}
 	got := testutil.Wait(t, b.Got, "the request")
@@ -57,7 +58,7 @@
 	}
 }
 
-// firstFails gives two servers of which whichever is met first runs fail.
+// firstFails returns two servers; the one that is sent the first request runs fail.
 func firstFails(t *testing.T, fail http.HandlerFunc) []*testutil.Backend {
 	var met atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
@@ -115,8 +116,8 @@
 	}
 }
 
-// A server that says nothing must not keep the client past its time, and once
-// the client has its answer nothing more is sent and the attempt is given up.
+// A server that does not answer must not delay the client's response past its deadline;
+// once the client has it, no more is sent and the attempt is cancelled.
 func TestSilentServer(t *testing.T) {
 	t.Parallel()
 	left := make(chan struct{}, 1)
@@ -134,12 +135,12 @@
 	}
 }
 
-// When a server falls silent a second copy goes elsewhere; once that is served
-// the first attempt is cancelled, which closes its connection.
+// When a server becomes unresponsive a hedged request goes to another one; once that is
+// answered the first attempt is cancelled, which closes its connection.
 func TestSecondCopyPastASilentServer(t *testing.T) {
 	t.Parallel()
 	left := make(chan struct{}, 1)
-	var quiet atomic.Bool // the next request met stays without an answer
+	var quiet atomic.Bool // the next request gets no response
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		if quiet.CompareAndSwap(true, false) {
 			silent(left)(w, r)
@@ -149,7 +150,7 @@
 	}
 	a, b := testutil.NewBackend(t, handle), testutil.NewBackend(t, handle)
 	n, _ := startReady(t, a, b)
-	for range 50 { // the module learns what is usual
+	for range 50 { // the policy learns the typical latency
 		n.do(n.request("push"))
 	}
 	quiet.Store(true)
@@ -158,8 +159,7 @@
 		t.Fatalf("status %d", r.status)
 	}
 	testutil.Wait(t, left, "the silent attempt to be given up")
-	// On a busy machine the second may seem silent too; how many copies there are is decided
-	// in policy, and held there.
+	// On a busy machine the second may seem unresponsive too; the policy's tests bound the number of attempts.
 	if sends := len(a.Got) + len(b.Got) - before; sends < 2 || sends > 3 {
 		t.Errorf("%d sends, want 2, or 3 at most", sends)
 	}
@@ -182,8 +182,8 @@
 	testutil.Wait(t, left, "the attempt to be given up")
 }
 
-// The server closes a connection after its answer without saying so. A request
-// written to it would be lost for a class that must not be repeated.
+// The server closes a connection after its response without announcing it. A request
+// written to it would be lost if it is not idempotent.
 func TestStaleIdleConnection(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 10)
@@ -224,7 +224,7 @@
 	}
 }
 
-// A server that moved is another process: what stands open to the old one is dropped.
+// A server with another address is another process: connections to the old one are closed.
 func TestServerMoves(t *testing.T) {
 	t.Parallel()
 	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
@@ -237,10 +237,12 @@
 	}
 }
 
-// With every breaker open the refusal comes at once and says when to come back.
+// With every breaker open, requests are rejected at once with Retry-After.
 func TestEveryServerDown(t *testing.T) {
 	t.Parallel()
-	d := newRegistry(t, discovery.Instance{InstanceID: "s-0", HostPort: testutil.RefusingAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1})
+	d := newRegistry(t, discovery.Instance{
+		InstanceID: "s-0", HostPort: testutil.RefusingAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1,
+	})
 	n := start(t, testConfig(t, d, nil))
 	n.waitReady(http.StatusOK)
 	for try := range 60 {
@@ -262,7 +264,7 @@
 	t.Error("never refused at once")
 }
 
-// zeros is an endless source.
+// zeros is an infinite reader.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
@@ -291,7 +293,7 @@
 		"no key":         {"push", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
 		"unsafe, keyed":  {"pay", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k") }, 400},
 		"large body": {"pay", func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(io.LimitReader(zeros{}, maxBody+1)), maxBody+1
+			r.Body, r.ContentLength = io.NopCloser(io.LimitReader(zeros{}, maxBodyBytes+1)), maxBodyBytes+1
 		}, 413},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -331,9 +333,9 @@
 	}
 }
 
-// Discovery moves, as after SIGHUP, more than once: the old watch ends, the new
-// place is asked for the whole list, whatever its versions, and the node serves
-// and stays ready throughout, also while the new place doesn't answer.
+// Discovery moves, as after SIGHUP, more than once: the old watch ends, the new address
+// is polled for a full update, whatever its versions, and the node serves and stays
+// ready throughout, also while the new address doesn't answer.
 func TestDiscoveryMoves(t *testing.T) {
 	t.Parallel()
 	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
@@ -344,7 +346,7 @@
 	for len(old.calls) > 0 {
 		<-old.calls
 	}
-	n.node.MoveDiscovery(testutil.RefusingAddr(t)) // nobody there yet
+	n.node.MoveDiscovery(testutil.RefusingAddr(t)) // nothing listens there yet
 	if r := n.do(n.request("read")); r.status != http.StatusOK {
 		t.Errorf("status %d while discovery is away", r.status)
 	}
@@ -376,7 +378,7 @@
 	}
 }
 
-// The list as known from before serves while discovery is away.
+// The configured list is used while discovery is unavailable.
 func TestKnownListServes(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -394,8 +396,8 @@
 	}
 }
 
-// Version 0 is a version: a list that has it must be watched after, not asked
-// for again and again.
+// Version 0 is a version: a list that has it must be watched, not polled in full
+// repeatedly.
 func TestWatchAfterVersionZero(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -406,7 +408,7 @@
 	}
 }
 
-// Where lists are asked for, the module says when.
+// Where lists are polled, the policy decides when.
 func TestAskedList(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -422,11 +424,11 @@
 
 type jsonText string
 
-// MarshalJSON gives the text as it is.
+// MarshalJSON implements json.Marshaler.
 func (j jsonText) MarshalJSON() ([]byte, error) { return []byte(j), nil }
 
-// What was taken before a stop is answered, and new connections are still taken
-// while the front deals them.
+// Requests accepted before a shutdown are answered, and new connections are accepted while
+// the platform still sends them.
 func TestStopAnswersWhatWasTaken(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -468,9 +470,8 @@
 	}
 }
 
-// The clients of a node that stops may have no other one: they are served on
-// their connections until shortly before the node has to end, and what is open
-// then is answered rather than cut off.
+// The clients of a node that shuts down may have no other node: they are served until
+// shortly before the node has to end, and requests that are then open are answered.
 func TestServesWhileItStops(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -482,7 +483,8 @@
 	})
 	d := newRegistry(t, instanceAt(b, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
-		file["settings"] = json.RawMessage(strings.ReplaceAll(settingsText, `"DeadlineMs": 8000, "PromiseMs": 6000`, `"DeadlineMs": 1000, "PromiseMs": 900`))
+		file["settings"] = json.RawMessage(strings.ReplaceAll(settingsText,
+			`"DeadlineMs": 8000, "PromiseMs": 6000`, `"DeadlineMs": 1000, "PromiseMs": 900`))
 	}))
 	n.waitReady(http.StatusOK)
 	steady, late := n.dial(), n.dial()
@@ -492,14 +494,14 @@
 	began := time.Now()
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
-	// How long it serves is stopPlan's matter; here, that it does as the plan says. A test
-	// that comes too seldom for the plan, on a busy machine, gets what is due then.
-	plan, before := planStop(time.Second), began
+	// TestStopPlan tests how long it serves; here, that it does as the plan says. On a busy machine the test's
+	// requests may arrive too seldom for the plan, which then ends early.
+	plan, before := planShutdown(time.Second), began
 	for time.Since(began) < time.Second {
 		testutil.Wait(t, b.Got, "the request before")
 		asked := time.Now()
 		resp := n.ask(steady)
-		busy := time.Since(before) > frontNotice/2 || time.Since(began) > plan.whole-stopTail
+		busy := time.Since(before) > arrivalPeriod/2 || time.Since(began) > plan.total-closingPeriod
 		if resp.StatusCode != http.StatusOK || resp.Close {
 			if !busy {
 				t.Fatalf("status %d, close %v after %v", resp.StatusCode, resp.Close, time.Since(began))
@@ -517,8 +519,8 @@
 	}
 	switch {
 	case err == nil && resp.StatusCode == http.StatusBadGateway:
-	case sent > plan.whole-stopTail-50*time.Millisecond: // it came too late to be taken
-	case lateness() > 25*time.Millisecond: // or may have been read too late, by a machine that was late itself
+	case sent > plan.total-closingPeriod-50*time.Millisecond: // sent too late to be accepted
+	case lateness() > 25*time.Millisecond: // or possibly read too late, on a busy machine
 	default:
 		t.Errorf("the last one is answered with %v, %v", resp, err)
 	}
@@ -527,8 +529,8 @@
 	}
 }
 
-// A client that asks and asks but reads nothing must not hold its connection
-// past its time: the node closes it.
+// A client that sends requests but reads no response must not occupy its connection past
+// its deadline: the node closes it.
 func TestClientReadsNothing(t *testing.T) {
 	t.Parallel()
 	text := strings.Repeat("x", h1client.MaxBody)
@@ -550,7 +552,7 @@
 	}
 }
 
-// What discovery says may make no sense; the node asks again and takes what it can use.
+// Discovery's responses may be malformed; the node polls again and applies what it can use.
 func TestBadListsAreSurvived(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -562,7 +564,7 @@
 	lists <- `{"generation":4,"reset":true,"instances":[{},{"instanceId":"s-1","lifecycle":"Ready"},` +
 		`{"instanceId":"s-2","hostPort":"nowhere","lifecycle":"Novel"},` +
 		`{"instanceId":"s-0","hostPort":"` + good.HostPort + `","zone":"far","cell":-1,"lifecycle":"Ready",` +
-		`"weight":-3,"startedAtMs":1.5e12,"novel":[]}]}` // in doubt: the whole list is asked for again
+		`"weight":-3,"startedAtMs":1.5e12,"novel":[]}]}` // incomplete: a full update is requested
 	lists <- `{"generation":5,"reset":true,"instances":[{"instanceId":"s-1","lifecycle":"Ready"},` +
 		`{"instanceId":"s-0","hostPort":"` + good.HostPort + `","zone":"far","lifecycle":"Ready","novel":[]}]}`
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -580,9 +582,9 @@
 	}
 }
 
-// A server that started before this node did may still be cold: its start must
-// lie after the zero of the clock, which means long ago, and must not move from
-// list to list, which would mean a restart.
+// A server that started before this node may still be warming up: its start must be after
+// the zero of the clock, which means long ago, and must not differ from list to list,
+// which would mean a restart.
 func TestStartsOnTheClock(t *testing.T) {
 	t.Parallel()
 	clock := engine.NewClock()
@@ -600,9 +602,9 @@
 	}
 }
 
-// A second answer may come some milliseconds behind the first one, and nothing in it names its
-// request: no request goes over a connection before that time is over. The gap is taken at the
-// server, from before its answer: a slow machine makes it longer only.
+// An unsolicited response may arrive some milliseconds after a response, and nothing in it names its request: a
+// connection is not reused before that time is over. The gap is taken at the server, from before its response: a
+// slow machine makes it only longer.
 func TestConnectionsRestBehindAnAnswer(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -614,12 +616,12 @@
 		defer mu.Unlock()
 		if at, again := answered[r.RemoteAddr]; again {
 			reused++
-			if gap := now.Sub(at); gap < settle {
+			if gap := now.Sub(at); gap < unsolicitedResponsePeriod {
 				t.Errorf("the next request comes %v behind an answer", gap)
 			}
 		}
 		if r.URL.Path == "/read" {
-			time.Sleep(patientParts * settle) // work that is worth waiting for a connection
+			time.Sleep(patientParts * unsolicitedResponsePeriod) // long enough that waiting for its connection pays
 		}
 		answered[r.RemoteAddr] = time.Now()
 		testutil.OK(w, r)
@@ -637,5 +639,5 @@
 	}
 }
 
-// patientParts is how many settling times an exchange takes whose connection is waited for.
+// patientParts is how many times unsolicitedResponsePeriod an exchange takes whose connection is waited for.
 const patientParts = 3
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -302,7 +302,7 @@
 	if !asked {
 		bound = 0
 	}
-	if bound += cfg.DrainGrace - cfg.DrainGrace/sendPart; told > bound {
+	if bound += cfg.DrainGrace - cfg.DrainGrace/drainGraceDivisor; told > bound {
 		t.Fatalf("seed %d: told %v after discovery had the change and could be reached; %v is the bound", seed, told, bound)
 	}
 	return told
--- /dev/null
+++ b/internal/node/routing.go
@@ -0,0 +1,33 @@
+package node
+
+import (
+	"net/http"
+	"strings"
+
+	"yokestall/internal/engine"
+	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
+)
+
+// router sends all requests to the one cluster. The first segment of the path is the class.
+type router struct {
+	cfg     *Config
+	cluster *engine.Cluster
+}
+
+// Route implements ingress.Router. An unknown class is an *ingress.Rejection with status 404.
+func (r router) Route(req *http.Request) (ingress.Destination, error) {
+	name, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
+	index, known := r.cfg.Classes[name]
+	if !known {
+		return ingress.Destination{}, &ingress.Rejection{Status: http.StatusNotFound, Text: "unknown class"}
+	}
+	class := &r.cfg.Policy.Classes[index]
+	return ingress.Destination{
+		Cluster: r.cluster, Class: index, Effect: class.Idempotency, Deadline: class.Deadline,
+		Tenants: r.cfg.Tenants, MaxRetryAfter: r.cfg.Policy.Limits.MaxRetryAfter,
+		Streams: h1client.StreamLimits{Stall: streamStallTimeout},
+	}, nil
+}
+
+var _ ingress.Router = router{}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// clientsPart is the part of all descriptors that the platform lets clients hold
-	// for requests. Where it is taken, newcomers are kept back before they reach here.
-	clientsPart = 1.0 / 3
-	maxSettings = 64 << 10 // bytes of the operator's file
+	// defaultClientShare is the part of all descriptors that the platform lets clients hold for
+	// requests. Where it is taken, new clients are rejected before they reach the node.
+	defaultClientShare = 1.0 / 3
+	minClientShare     = 0.1
+	maxSettingsBytes   = 64 << 10
 )
 
-// ApplySettings reads the operator's file into a configuration. What the file leaves
-// out stays. A file that can't be read whole changes nothing; the error names the
-// place in it.
+// ApplySettings applies the operator's settings file to the configuration. What the file leaves out
+// stays. A file that can't be read and parsed as a whole changes nothing; the error names the place.
 func (c *Config) ApplySettings(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxSettings+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxSettingsBytes+1))
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if len(text) > maxSettings {
-		return fmt.Errorf("settings: %s: over %d bytes", path, maxSettings)
+	if len(text) > maxSettingsBytes {
+		return fmt.Errorf("settings: %s: over %d bytes", path, maxSettingsBytes)
 	}
 	if err := c.applySettings(text); err != nil {
 		return fmt.Errorf("settings: %s: %w", path, err)
@@ -46,18 +46,18 @@
 		} `toml:"clients"`
 	}
 	if err := toml.Unmarshal(text, &file); err != nil {
-		var where *toml.DecodeError
-		if errors.As(err, &where) {
-			line, column := where.Position()
+		var decodeError *toml.DecodeError
+		if errors.As(err, &decodeError) {
+			line, column := decodeError.Position()
 			return fmt.Errorf("%d:%d: %w", line, column, err)
 		}
 		return err
 	}
-	if p := file.Clients.Part; p != nil {
-		if math.IsNaN(*p) || *p < 0.1 || *p > 1 {
-			return fmt.Errorf("clients.part: %v is not from 0.1 to 1", *p)
+	if share := file.Clients.Part; share != nil {
+		if math.IsNaN(*share) || *share < minClientShare || *share > 1 {
+			return fmt.Errorf("clients.part: %v is not from %v to 1", *share, minClientShare)
 		}
-		c.ClientsPart = *p
+		c.ClientShare = *share
 	}
 	return nil
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -27,7 +27,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c := &Config{ClientsPart: 0.5}
+		c := &Config{ClientShare: 0.5}
 		err := c.ApplySettings(path)
 		name := text[:min(len(text), 40)]
 		switch {
@@ -36,15 +36,15 @@
 		case want.err != "" && (err == nil || !strings.Contains(err.Error(), want.err) || !strings.Contains(err.Error(), path)):
 			t.Errorf("%q: error %v, want %q and the file", name, err, want.err)
 		}
-		if c.ClientsPart != want.part {
-			t.Errorf("%q: part %v, want %v", name, c.ClientsPart, want.part)
+		if c.ClientShare != want.part {
+			t.Errorf("%q: part %v, want %v", name, c.ClientShare, want.part)
 		}
 	}
 	c := &Config{}
 	if err := c.ApplySettings(filepath.Join(t.TempDir(), "none")); err == nil {
 		t.Error("a missing file gives no error")
 	}
-	if err := c.ApplySettings("../../deploy/node.toml"); err != nil || c.ClientsPart < 0.333 || c.ClientsPart > 0.334 {
-		t.Errorf("the example: part %v, %v", c.ClientsPart, err)
+	if err := c.ApplySettings("../../deploy/node.toml"); err != nil || c.ClientShare < 0.333 || c.ClientShare > 0.334 {
+		t.Errorf("the example: part %v, %v", c.ClientShare, err)
 	}
 }
--- /dev/null
+++ b/internal/node/shutdown.go
@@ -0,0 +1,123 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+
+	"yokestall/internal/gracefulclose"
+	"yokestall/internal/hotrestart"
+)
+
+const (
+	// arrivalPeriod is how long the platform still sends connections to a node that shuts down, and how
+	// long no request must have arrived for the shutdown to end early.
+	arrivalPeriod = 500 * time.Millisecond
+	// shutdownMargin is what a shutdown may take beyond the longest deadline. The platform kills the
+	// node 0.7 s after that, and counts a deadline over maxCountedDeadline as that long: a shutdown that
+	// waited for a longer one would be cut off with all open requests.
+	shutdownMargin     = 500 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	// closingPeriod is the last part of a shutdown, in which no request is accepted. abortPeriod is the
+	// end of it, in which requests that are still open are answered.
+	closingPeriod = 300 * time.Millisecond
+	abortPeriod   = 50 * time.Millisecond
+	// idleDivisor gives the part of a shutdown for which a connection may be idle in a process that has
+	// a successor: longer than the pause between most clients' requests, and short enough that all
+	// connections end in time.
+	idleDivisor = 3
+)
+
+// shutdownPlan is the schedule of a shutdown. Its times count from the shutdown's start.
+type shutdownPlan struct {
+	total time.Duration // when the shutdown is over
+}
+
+func planShutdown(longestDeadline time.Duration) shutdownPlan {
+	return shutdownPlan{min(longestDeadline, maxCountedDeadline) + shutdownMargin}
+}
+
+// accepts reports whether requests are still accepted. Clients may have no other node: they are served
+// while they send requests and the time allows. lastRequest is when a request last arrived; negative if
+// that was before the shutdown.
+func (p shutdownPlan) accepts(now, lastRequest time.Duration) bool {
+	return now < p.total-closingPeriod && now-max(0, lastRequest) < arrivalPeriod
+}
+
+// abortAt is when the requests that are still open are answered.
+func (p shutdownPlan) abortAt() time.Duration { return p.total - abortPeriod }
+
+// idleTimeout is how long a client's connection may be idle in a process that has a successor.
+func (p shutdownPlan) idleTimeout() time.Duration { return p.total / idleDivisor }
+
+// closeCondition decides when the listener of a process that shuts down may be closed.
+type closeCondition struct {
+	plan  shutdownPlan
+	queue gracefulclose.Turn // of what waits in the kernel, since requests are not accepted any more
+}
+
+// met takes one check, which came sinceLast after the one before it. It reports whether the plan has
+// ended serving and whatever waited in the kernel has been accepted since.
+func (c *closeCondition) met(sinceLast, now, lastRequest time.Duration) bool {
+	if c.plan.accepts(now, lastRequest) {
+		c.queue = gracefulclose.Turn{}
+		return false
+	}
+	return c.queue.Look(sinceLast) || now >= c.plan.abortAt()
+}
+
+// shutDown ends serving: it leaves the clients to a successor, or serves them until they leave. All
+// requests that were accepted are answered when it returns.
+func (n *Node) shutDown(c *components, s *serving) error {
+	began := time.Now()
+	plan := planShutdown(n.cfg.longestDeadline())
+	n.log.Info("stopping",
+		"longest_deadline_ms", n.cfg.longestDeadline().Milliseconds(), "limit_ms", plan.total.Milliseconds())
+	limit, cancel := context.WithDeadline(context.Background(), began.Add(plan.total))
+	defer cancel()
+	abort := time.AfterFunc(time.Until(began.Add(plan.abortAt())), func() {
+		c.cluster.Abort()
+		c.front.CloseSilent() // a request on one of these would not be answered any more
+	})
+	defer abort.Stop()
+	if c.restart.successorServing() {
+		n.leaveToSuccessor(limit, c, s, plan)
+		n.log.Info("clients left to the successor",
+			"connections", c.front.Connections(), "elapsed_ms", time.Since(began).Milliseconds())
+		return nil
+	}
+	c.front.Stopping()
+	awaitClose(plan, began, c.front.Asked)
+	c.front.Draining()
+	s.listener.Close()
+	if err := <-s.failed; !errors.Is(err, net.ErrClosed) {
+		return fmt.Errorf("serve: %w", err)
+	}
+	// Not http.Server.Shutdown: it drops requests that are just being read.
+	c.front.Drain(limit)
+	return nil
+}
+
+// leaveToSuccessor stops accepting at once, as what is queued in the kernel and what still comes is the
+// successor's, and waits until the clients have left.
+func (n *Node) leaveToSuccessor(limit context.Context, c *components, s *serving, plan shutdownPlan) {
+	s.listener.Close()
+	c.restart.advancePhase(hotrestart.Draining)
+	c.front.Leave(limit, plan.idleTimeout())
+}
+
+// awaitClose returns when the listener may be closed. lastRequest returns when a request last arrived.
+func awaitClose(plan shutdownPlan, began time.Time, lastRequest func() time.Time) {
+	condition := closeCondition{plan: plan}
+	last := time.Now()
+	for {
+		time.Sleep(gracefulclose.Look)
+		now := time.Now()
+		if condition.met(now.Sub(last), now.Sub(began), lastRequest().Sub(began)) {
+			return
+		}
+		last = now
+	}
+}
--- /dev/null
+++ b/internal/node/snapshotexchange.go
@@ -0,0 +1,107 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"yokestall/internal/discovery"
+	"yokestall/internal/hotrestart"
+	"yokestall/internal/hotrestart/snapshot"
+)
+
+const (
+	// snapshotTimeout bounds a successor's wait for the snapshot of its predecessor, and the
+	// predecessor's writing of it.
+	snapshotTimeout      = 700 * time.Millisecond
+	snapshotPollInterval = 2 * time.Millisecond
+)
+
+// receivedSnapshot is a predecessor's snapshot of the given age.
+type receivedSnapshot struct {
+	snapshot.Snapshot
+	age time.Duration
+}
+
+// initialList returns the snapshot's endpoint list, or the configured one where that can't be used.
+func (s *receivedSnapshot) initialList(configured known) known {
+	if !s.ListReceived || len(s.Instances) == 0 || len(s.Instances) > discovery.MaxInstances {
+		return configured
+	}
+	return known{Generation: s.Generation, Reset: true, Instances: s.Instances}
+}
+
+// receiveSnapshot waits for the snapshot of a predecessor, for snapshotTimeout at most. It returns nil
+// without a live predecessor, or where none that can be used came in time.
+func (r *restartCoordinator) receiveSnapshot(ctx context.Context) *receivedSnapshot {
+	if r.folder == nil {
+		return nil
+	}
+	deadline := time.Now().Add(snapshotTimeout)
+	for r.hasPredecessor() && time.Now().Before(deadline) && ctx.Err() == nil {
+		if data := r.folder.TakeSnapshot(); data != nil {
+			return r.decodeSnapshot(data)
+		}
+		r.refresh()
+		pause(ctx, snapshotPollInterval)
+	}
+	return nil
+}
+
+// decodeSnapshot returns the snapshot in data, or nil if nothing of it can be used.
+func (r *restartCoordinator) decodeSnapshot(data []byte) *receivedSnapshot {
+	s, age, invalid, err := snapshot.Decode(data, r.cfg.Name, r.cfg.classNames(), time.Now())
+	if err != nil {
+		r.log.Warn("snapshot of the predecessor rejected", "err", err)
+		return nil
+	}
+	if len(invalid) > 0 {
+		r.log.Warn("parts of the predecessor's snapshot rejected", "parts", len(invalid), "first_err", invalid[0])
+	}
+	r.log.Info("snapshot of the predecessor received",
+		"endpoints", len(s.Policy.Endpoints), "age_ms", age.Milliseconds())
+	return &receivedSnapshot{s, age}
+}
+
+// sendSnapshotOnce leaves a snapshot for the latest successor, unless it was sent one.
+func (r *restartCoordinator) sendSnapshotOnce(ctx context.Context) {
+	successor, ok := r.latestSuccessor()
+	if !ok || successor <= r.snapshotSentTo {
+		return
+	}
+	r.snapshotSentTo = successor
+	if err := r.sendSnapshot(ctx, successor); err != nil {
+		r.log.Warn("sending a snapshot to the successor failed", "err", err)
+	}
+}
+
+// latestSuccessor returns the number of the latest successor. A process that is starting has nothing to
+// leave to one: ok is false.
+func (r *restartCoordinator) latestSuccessor() (number uint64, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.phase == hotrestart.Starting || len(r.peers) == 0 {
+		return 0, false
+	}
+	number = r.peers[len(r.peers)-1].Number
+	return number, number > r.folder.Self().Number
+}
+
+// sendSnapshot leaves a snapshot of what this process has learnt for a successor.
+func (r *restartCoordinator) sendSnapshot(ctx context.Context, successor uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
+	defer cancel()
+	state, err := r.components.cluster.Snapshot(ctx)
+	if err != nil {
+		return err
+	}
+	list := r.components.endpoints.snapshot()
+	data, err := snapshot.Encode(snapshot.Snapshot{
+		Node: r.cfg.Name, TakenAtMs: time.Now().UnixMilli(), Classes: r.cfg.classNames(),
+		Generation: list.Generation, ListReceived: list.Reset, Instances: list.Instances,
+		Policy: snapshot.FromPolicy(state, r.components.clock),
+	})
+	if err != nil {
+		return err
+	}
+	return r.folder.WriteSnapshot(successor, data)
+}
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -274,8 +274,8 @@
 		return parseConfig([]byte(`{"name": "n", "settings": ` + strings.Replace(settingsText, `"RegistryMode"`, contract+`"RegistryMode"`, 1) + `}`))
 	}
 	for contract, want := range map[string]time.Duration{
-		"": strictestGrace, `"Contract": {"DrainGraceMs": 250},`: 250 * time.Millisecond, `"Contract": {"DrainGraceMs": 0},`: 0,
-		`"Contract": {"DrainGraceMs": null},`: strictestGrace,
+		"": defaultDrainGrace, `"Contract": {"DrainGraceMs": 250},`: 250 * time.Millisecond, `"Contract": {"DrainGraceMs": 0},`: 0,
+		`"Contract": {"DrainGraceMs": null},`: defaultDrainGrace,
 	} {
 		if c, err := parse(contract); err != nil || c.DrainGrace != want {
 			t.Errorf("%s: %v, %v", contract, c, err)
