--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -38,7 +38,7 @@
 	return &rig{p, t}
 }
 
-// node starts a process and waits for its yes.
+// node starts a process and waits until it serves.
 func (r *rig) node() *platform.Node {
 	r.t.Helper()
 	n, err := r.Start()
--- a/cmd/yokestall-node/imports_test.go
+++ b/cmd/yokestall-node/imports_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// The node stays lean: its smallest machine has 32 MB. What the product program may
-// link (gRPC with Envoy's types alone is about 10 MB resident at start) may not get in
-// by some package that both share.
+// The node's smallest machine has 32 MB. Dependencies of the product program (gRPC with Envoy's types is about
+// 10 MB resident at start) must not be linked through a shared package.
 func TestImportGraph(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
--- a/cmd/yokestall-node/race_test.go
+++ b/cmd/yokestall-node/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// raceEnabled tells that the race detector's own memory is part of every process of a test.
+// raceEnabled reports whether the race detector's own memory is part of every process of a test.
 const raceEnabled = true
--- a/cmd/yokestall-node/transfers_test.go
+++ b/cmd/yokestall-node/transfers_test.go
@@ -31,9 +31,8 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Long answers and long bodies at once, half of them slow at the one side or the other: all come
-// through unchanged, beside some whose client leaves and some whose server breaks; and the node's
-// memory stays within its limit, however many there are.
+// Concurrent long responses and bodies, half of them slow at either side, are transferred unchanged, beside some
+// whose client disconnects and some whose server fails; the node's memory stays within its limit.
 func TestTransfers(t *testing.T) {
 	size := *megabytes << 20
 	l := testutil.Listen(t)
@@ -62,13 +61,15 @@
 	})}
 	go srv.Serve(l)
 	t.Cleanup(func() { srv.Close() })
-	p := newRig(t, true, 0, discovery.Instance{InstanceID: "s-0", HostPort: l.Addr().String(), Lifecycle: "Ready", Zone: "a", Weight: 1})
+	p := newRig(t, true, 0, discovery.Instance{
+		InstanceID: "s-0", HostPort: l.Addr().String(), Lifecycle: "Ready", Zone: "a", Weight: 1,
+	})
 	node := p.node()
 	idle := node.PeakMB()
 
 	var all sync.WaitGroup
 	var moved, refused atomic.Int64
-	// ask makes a request, with a body where it is an upload, at so many bytes a second.
+	// ask makes a request, with a body if it is an upload, at a rate in bytes per second.
 	ask := func(n int, target string, upload bool, rate int) (*http.Response, net.Conn, error) {
 		nc, err := net.Dial("tcp", p.Addr)
 		if err != nil {
@@ -90,13 +91,13 @@
 		return resp, nc, err
 	}
 	for n := range *transfers {
-		time.Sleep(5 * time.Millisecond) // all are under way at once, but do not come at one instant
+		time.Sleep(5 * time.Millisecond) // all are in flight together, but do not arrive at one instant
 		all.Go(func() {
 			upload, target, rate := n%4 >= 2, "n="+strconv.Itoa(n), 0
 			if n%2 == 1 && n%8 < 4 {
 				rate = *slowRate << 10
 			} else if n%2 == 1 {
-				target += "&rate=" + strconv.Itoa(*slowRate<<10) // the server is the slow one
+				target += "&rate=" + strconv.Itoa(*slowRate<<10) // the server is slow
 			}
 			resp, nc, err := ask(n, target, upload, rate)
 			if err != nil {
@@ -124,7 +125,7 @@
 			moved.Add(int64(size))
 		})
 	}
-	for n := 1; n < 4; n++ { // servers that break at each quarter, clients that leave
+	for n := 1; n < 4; n++ { // servers that fail at each quarter, clients that disconnect
 		all.Go(func() {
 			resp, nc, err := ask(1000+n, fmt.Sprintf("n=%d&quarter=%d", n, n), false, 0)
 			if err != nil {
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -17,7 +17,7 @@
 	"yokestall/internal/testutil"
 )
 
-// drip writes a text in pieces of so many bytes.
+// drip writes a text in pieces of a number of bytes.
 func drip(nc net.Conn, text string, piece int) {
 	for len(text) > 0 {
 		n := min(piece, len(text))
@@ -28,8 +28,8 @@
 	}
 }
 
-// Every form in which HTTP/1.1 and 1.0 let a client send a request, whole and byte by byte: the
-// server gets the method, the target and the body unchanged, and the client the answer.
+// Requests in every form of HTTP/1.1 and 1.0, at once and byte by byte: the server gets the method, the target and
+// the body unchanged, and the client the response.
 func TestFormsOfRequests(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -52,7 +52,7 @@
 	for _, c := range []struct {
 		name, start, more, body string
 		method, target, want    string // as the server gets them
-		close                   bool   // the connection ends with the answer
+		close                   bool   // the connection ends with the response
 	}{
 		{"no body", "GET /read?obj=1 HTTP/1.1", "Host: x\r\n", "", "GET", "/read?obj=1", "", false},
 		{"head", "HEAD /read HTTP/1.1", "Host: x\r\n", "", "HEAD", "/read", "", false},
@@ -73,7 +73,7 @@
 	} {
 		for _, piece := range []int{1 << 30, 1} {
 			if piece == 1 && len(c.body) > 100<<10 {
-				piece = 1000 // a byte at a time is shown by the others
+				piece = 1000 // the others are sent byte by byte
 			}
 			t.Run(fmt.Sprintf("%s by %d", c.name, piece), func(t *testing.T) {
 				nc := (&running{t: t, addr: n.addr}).dial()
@@ -121,7 +121,7 @@
 	}
 }
 
-// startBefore starts a node before a server that speaks by hand.
+// startBefore starts a node with a server that writes raw responses.
 func startBefore(t *testing.T, handle func(nc net.Conn, r *http.Request)) *running {
 	t.Helper()
 	addr := testutil.Accept(t, func(nc net.Conn) {
@@ -143,7 +143,7 @@
 	return n
 }
 
-// Every form of an answer, whole and byte by byte.
+// Responses in every form, at once and byte by byte.
 func TestFormsOfAnswers(t *testing.T) {
 	t.Parallel()
 	big := string(testutil.Bytes(200 << 10))
@@ -187,12 +187,12 @@
 	}
 }
 
-// A server breaks off in a long answer: a client of HTTP/1.0, who has no chunks to count, can tell too
-// that what it has is not the whole. (Others, at each quarter: TestTransfers.)
+// A server fails within a long response: a client of HTTP/1.0, which has no chunks to count, can tell too that the
+// response is incomplete. (Others, at each quarter: TestTransfers.)
 func TestBreaksInMidAnswer(t *testing.T) {
 	t.Parallel()
 	const size = 400 << 10
-	n := startBefore(t, func(nc net.Conn, r *http.Request) {
+	n := startBefore(t, func(nc net.Conn, _ *http.Request) {
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", size, testutil.Bytes(size/2))
 	})
 	nc := n.dial()
@@ -206,8 +206,8 @@
 	}
 }
 
-// An answer over 64 KiB goes on after the client's time is up, so long as it moves; a smaller one
-// that comes slowly is waited for.
+// A response over 64 KiB continues after the client's deadline while it makes progress; a smaller slow one is
+// buffered.
 func TestSlowAnswers(t *testing.T) {
 	t.Parallel()
 	big := testutil.Bytes(256 << 10)
@@ -237,8 +237,7 @@
 	}
 }
 
-// A body that comes slowly takes no time from its request: the time begins with its last byte. What
-// the server then takes counts.
+// A slow body does not count towards its request's time, which starts with the last byte. The server's time counts.
 func TestSlowBodies(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -267,8 +266,8 @@
 	}
 }
 
-// What was held whole is sent again elsewhere after a failure, as its class lets it; what was
-// passed on from a client is not sent twice.
+// A buffered body is sent again to another server after a failure if its class allows it; a streamed one is not sent
+// twice.
 func TestLargeBodiesSentAgain(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -25,7 +25,7 @@
 	return nc
 }
 
-// ask makes a request on a connection of its own and reads the answer.
+// ask sends a request on a connection and reads the response.
 func (n *running) ask(nc net.Conn) *http.Response {
 	n.t.Helper()
 	r := n.request("read")
@@ -40,8 +40,8 @@
 	return resp
 }
 
-// startSmall starts a node with 64 descriptors: 17 places for client connections that
-// have asked, 3 for silent ones, 2 for those that are told to come back.
+// startSmall starts a node with 64 descriptors: 17 client connections with a request, 3
+// without, 2 that are rejected with Retry-After.
 func startSmall(t *testing.T, b *testutil.Backend) *running { return startSized(t, b, 64) }
 
 func startSized(t *testing.T, b *testutil.Backend, sockets int) *running {
@@ -53,8 +53,8 @@
 	return n
 }
 
-// waitReadyAlone waits until the node is ready, by connections of which none is left:
-// their end shows only after they gave their places back.
+// waitReadyAlone waits until the node is ready, with connections of which none is left: a
+// client sees the close only after the node has freed the slot.
 func (n *running) waitReadyAlone() {
 	n.t.Helper()
 	for end := time.Now().Add(testutil.Patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -69,8 +69,8 @@
 	n.t.Fatal("the node never became ready")
 }
 
-// Hundreds that connect and say nothing, or half of it, must not turn usual
-// clients away, and are closed themselves before long.
+// Hundreds of connections without a complete request must not displace other clients, and
+// are closed before long.
 func TestSilentFloodMakesRoom(t *testing.T) {
 	t.Parallel()
 	n := startSmall(t, testutil.NewBackend(t, testutil.OK))
@@ -94,8 +94,8 @@
 	}
 }
 
-// A request that comes right behind another is answered too, and its connection
-// is not taken for an idle one meanwhile.
+// A pipelined request is answered too, and its connection does not count as idle
+// meanwhile.
 func TestPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	n, _ := startReady(t, testutil.NewBackend(t, testutil.OK))
@@ -115,8 +115,8 @@
 	}
 }
 
-// raw sends a text and gives the statuses of what comes back until the node
-// closes the connection; a node that doesn't close it fails the test.
+// raw sends a text and returns the statuses of the responses until the node closes the
+// connection, which it has to.
 func (n *running) raw(text string) (statuses []int) {
 	n.t.Helper()
 	nc := n.dial()
@@ -137,9 +137,9 @@
 	}
 }
 
-// What can be read in two ways hides requests from whoever stands before or behind: the hidden one
-// may not reach a server, whatever becomes of the one that hides it. What can't be read must not
-// hold its connection, reach a server, nor keep the node from serving others.
+// A request that can be parsed in two ways may smuggle another one: the hidden one must not reach a server, whatever
+// becomes of the one that hides it. A request that can't be parsed must not occupy its connection, reach a server, or
+// prevent the node from serving others.
 func TestBadBytes(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -193,7 +193,7 @@
 			t.Logf("took %v", time.Since(began))
 		})
 	}
-	t.Cleanup(func() { // once the subtests, which are parallel, have ended
+	t.Cleanup(func() { // after the parallel subtests
 		for len(b.Got) > 0 {
 			if got := <-b.Got; got.Header.Get("X-Request-ID") == "hidden" {
 				t.Error("a hidden request reached a server")
@@ -205,8 +205,7 @@
 	})
 }
 
-// The id of a request that is open names that one alone: a second one with it
-// is turned away and the first goes on.
+// A request with the id of one in flight is rejected, and the first one continues.
 func TestOpenID(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -236,11 +235,11 @@
 	}
 }
 
-// The deadline for a request's bytes must not end its waiting for the answer.
+// The read deadline of a request must not apply while it waits for the response.
 func TestReadDeadlineEndsWithTheRequest(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(2200 * time.Millisecond) // the thing under test is a time-out
+		time.Sleep(2200 * time.Millisecond) // longer than the read timeout under test
 		testutil.OK(w, r)
 	})
 	n, _ := startReady(t, b)
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -30,7 +30,7 @@
 		"MaxRetryAfterMs": 600, "RetryAfter": true, "SecondCopies": true},
 	"RegistryMode": "pushed", "TickMs": 5, "Zones": ["a"], "Novel": {"x": 1}}`
 
-// registryStub is a discovery service whose list the test sets.
+// registryStub is a discovery service with a list that the test sets.
 type registryStub struct {
 	*httptest.Server
 	mu      sync.Mutex
@@ -38,7 +38,7 @@
 	version int
 	down    bool
 	changed chan struct{} // closed at the next change
-	calls   chan string   // queries as they come, as far as there is room
+	calls   chan string   // queries; dropped when it is full
 }
 
 func newRegistry(t *testing.T, list ...discovery.Instance) *registryStub {
@@ -49,7 +49,7 @@
 	return d
 }
 
-// set makes a change and wakes the watches.
+// set makes a change and notifies the watches.
 func (d *registryStub) set(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,15 +59,16 @@
 	d.changed = make(chan struct{})
 }
 
-// change makes a change and waits for the watch that follows the news of it: the
-// node has taken the change in before it calls again.
+// change makes a change and waits for the watch after it: the node has applied the
+// change before it polls again.
 func (d *registryStub) change(t *testing.T, change func()) {
 	t.Helper()
 	d.set(change)
 	d.mu.Lock()
 	after := fmt.Sprintf("after=%d&", d.version)
 	d.mu.Unlock()
-	for !strings.HasPrefix(testutil.Wait(t, d.calls, "the watch after the change"), after) {
+	for query := ""; !strings.HasPrefix(query, after); {
+		query = testutil.Wait(t, d.calls, "the watch after the change")
 	}
 }
 
@@ -101,7 +102,7 @@
 	return discovery.Instance{InstanceID: id, HostPort: b.Addr(), Zone: "a", Lifecycle: "Ready", Weight: 1}
 }
 
-// reset breaks the connection off.
+// reset closes the connection without a response.
 func reset(w http.ResponseWriter, _ *http.Request) {
 	nc, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
@@ -109,7 +110,7 @@
 	}
 }
 
-// silent takes requests and answers none until its client leaves.
+// silent accepts requests and sends no response until its client disconnects.
 func silent(left chan<- struct{}) http.HandlerFunc {
 	return func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -120,7 +121,7 @@
 	}
 }
 
-// testConfig gives a configuration as read from a file.
+// testConfig returns a configuration as read from a file.
 func testConfig(t *testing.T, d *registryStub, change func(file map[string]any)) *Config {
 	t.Helper()
 	file := map[string]any{
@@ -149,7 +150,7 @@
 	return cfg
 }
 
-// running is a node that serves.
+// running is a running node.
 type running struct {
 	t    *testing.T
 	node *Node
@@ -175,7 +176,7 @@
 	return r
 }
 
-// startReady starts a node before the given servers and waits until it is ready.
+// startReady starts a node with the given servers on its list and waits until it is ready.
 func startReady(t *testing.T, backends ...*testutil.Backend) (*running, *registryStub) {
 	t.Helper()
 	var list []discovery.Instance
@@ -205,7 +206,7 @@
 	n int
 }
 
-// request makes a valid request of a class.
+// request returns a valid request of a class.
 func (n *running) request(class string) *http.Request {
 	lastID.Lock()
 	lastID.n++
@@ -228,7 +229,7 @@
 	return r
 }
 
-// reply is an answer read to its end.
+// reply is a complete response.
 type reply struct {
 	status int
 	header http.Header
@@ -241,12 +242,12 @@
 	began := time.Now()
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		n.t.Fatalf("no answer: %v", err)
+		n.t.Fatalf("no response: %v", err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		n.t.Fatalf("no whole answer: %v", err)
+		n.t.Fatalf("incomplete response: %v", err)
 	}
 	return reply{resp.StatusCode, resp.Header, string(body), time.Since(began)}
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -16,21 +16,23 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// behind is what clients have sent behind a request when they leave: nothing else looks out for their
-// end then.
-var behind = map[string]string{"nothing": "", "a request": "GET /read?obj=1 HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish": strings.Repeat("rubbish", 1000)}
+// behind is what clients have sent after a request when they disconnect: then their disconnect is seen by nothing
+// but the read of it.
+var behind = map[string]string{
+	"nothing": "", "a request": "GET /read?obj=1 HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish": strings.Repeat("rubbish", 1000),
+}
 
-// leave ends the client's side of a connection and waits until the node has given it up.
+// leave ends the client's side of a connection and waits until the node has closed it.
 func leave(t *testing.T, nc net.Conn) {
 	t.Helper()
 	nc.(*net.TCPConn).CloseWrite()
 	nc.SetReadDeadline(time.Now().Add(testutil.Patience))
 	if text, err := io.ReadAll(nc); len(text) > 0 {
-		t.Errorf("%q, %v: a client that has left got an answer", text, err)
+		t.Errorf("%q, %v: a response to a client that disconnected", text, err)
 	}
 }
 
-// A request whose client leaves while it waits for a further attempt is not sent again.
+// A request whose client disconnects in a retry's backoff is not sent again.
 func TestLeavesInARetrysDelay(t *testing.T) {
 	t.Parallel()
 	for name, more := range behind {
@@ -45,8 +47,9 @@
 				}), fmt.Sprint("s-", i)))
 			}
 			d := newRegistry(t, list...)
-			n := start(t, testConfig(t, d, func(file map[string]any) { // a delay of 2.5 s
-				file["settings"] = jsonText(strings.ReplaceAll(settingsText, `"DeadlineMs": 8000, "PromiseMs": 6000`, `"DeadlineMs": 60000, "PromiseMs": 40000`))
+			n := start(t, testConfig(t, d, func(file map[string]any) { // a backoff of 2.5 s
+				file["settings"] = jsonText(strings.ReplaceAll(settingsText,
+					`"DeadlineMs": 8000, "PromiseMs": 6000`, `"DeadlineMs": 60000, "PromiseMs": 40000`))
 			}))
 			n.waitReady(http.StatusOK)
 			nc := n.dial()
@@ -65,9 +68,9 @@
 	}
 }
 
-// A thousand clients leave in bursts while their requests wait behind a server that stands still,
-// with bytes behind them and without. Then it goes on, at once or later: none is sent on 0.1 s after its
-// client left.
+// A thousand clients disconnect in bursts while their requests are queued for a server that hangs, with bytes after
+// their requests and without. Once it continues, at once or later, none is forwarded 0.1 s after its client
+// disconnected.
 func TestStormOfLeavingClients(t *testing.T) {
 	t.Parallel()
 	const clients, burst, rule = 1000, 100, 100 * time.Millisecond
@@ -115,13 +118,15 @@
 		}
 		late := wave%2 == 0
 		if late {
-			time.Sleep(rule + lateness()) // the rule's own time
+			time.Sleep(rule + lateness()) // the time that the rule allows
 		}
-		close(gate) // what waits goes on, and this one behind it
+		close(gate) // queued requests continue, and this one after them
 		if a := n.do(n.request("read")); late && a.status != http.StatusOK {
 			t.Errorf("status %d", a.status)
-		} else if !late { // it may find the places of those that have just left still taken
-			testutil.Until(t, "one behind them to be served", func() bool { return n.do(n.request("read")).status == http.StatusOK })
+		} else if !late { // the connections of those that have just disconnected may still count
+			testutil.Until(t, "a request after them to be served", func() bool {
+				return n.do(n.request("read")).status == http.StatusOK
+			})
 		}
 		mu.Lock()
 		gate = make(chan struct{})
@@ -136,10 +141,12 @@
 		}
 	}
 	if late > 0 || len(left) != clients || waited < clients/4 {
-		t.Errorf("%d of %d were sent on %v after their clients had left, %d waited", late, len(left), bound, waited)
+		t.Errorf("%d of %d were forwarded %v after their clients had disconnected, %d were queued",
+			late, len(left), bound, waited)
 	}
-	t.Logf("%d clients, %d waited when they left, %d had been sent on, %d later than %v", len(left), waited, len(sent), late, bound)
+	t.Logf("%d clients, %d queued when they disconnected, %d had been forwarded, %d later than %v",
+		len(left), waited, len(sent), late, bound)
 }
 
-// nothingCame tells that a client has no answer yet.
+// nothingCame reports whether a client has no response yet.
 func nothingCame(nc net.Conn) bool { return h1client.Quiet(nc) }
