--- a/internal/adminapi/line.go
+++ b/internal/adminapi/line.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// maxResponseBytes bounds the text of a response behind its status word.
+// maxResponseBytes bounds the text that follows a response's status word.
 const maxResponseBytes = 400
 
 // The malformed lines. Their texts are the operator's answer.
@@ -24,7 +24,7 @@
 // Error implements error.
 func (e *malformedLineError) Error() string { return e.text }
 
-// readLine reads one line, ended by LF or CR LF, and nothing behind it. The error is a
+// readLine reads one line, ended by LF or CR LF, and requires that nothing follows. The error is a
 // *malformedLineError or the reader's.
 func readLine(r io.Reader) ([]byte, error) {
 	buffer := make([]byte, 0, MaxCommandBytes)
--- a/internal/hotrestart/adminrecord.go
+++ b/internal/hotrestart/adminrecord.go
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// repairCopies writes the copies anew that are not the record. Without damage its size tells.
+// repairCopies replaces the copies that differ from the record: all after damage, else those of another
+// size.
 func (f *Folder) repairCopies(record []byte, damage error) error {
 	for _, name := range recordNames {
 		info, err := os.Stat(f.path(name))
@@ -100,8 +101,8 @@
 	}
 }
 
-// minimalEntries returns the fewest entries that lead to the present state. The last has the sequence
-// number of the last one delivered, so that processes which have applied the record have applied them.
+// minimalEntries returns the fewest entries that lead to the present state. The last one has the sequence
+// number of the last delivered entry, so that a process which applied the record does not apply them again.
 func (f *Folder) minimalEntries(state AdminState) []recordEntry {
 	changes := state.MinimalChanges()
 	entries := make([]recordEntry, len(changes))
--- a/internal/hotrestart/commit.go
+++ b/internal/hotrestart/commit.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/adminstate"
 )
 
-// peerPollInterval is how often Commit looks whether the peers have applied the change.
+// peerPollInterval is how often Commit checks whether the peers have applied the change.
 const peerPollInterval = 2 * time.Millisecond
 
 // ErrPeerUnresponsive is returned by Commit for a change that is on record and in force in this
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -67,8 +67,8 @@
 }
 
 // sharedListener is a listener whose socket other processes have too. Whoever starts them may make it
-// blocking for all (O_NONBLOCK belongs to the socket, not to the descriptor): an Accept then holds
-// its thread until the next connection comes, and a Close would wait for that.
+// blocking for all (O_NONBLOCK belongs to the socket, not to the descriptor): an Accept then blocks
+// its thread until the next connection arrives, and a Close would wait for that.
 type sharedListener struct{ *net.TCPListener }
 
 // Accept implements net.Listener.
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -22,8 +22,8 @@
 	Number     uint64 // of the process; a successor's is greater
 	Phase      Phase
 	AppliedSeq uint64 // the record's entries up to this one are in force
-	// Descriptors is how many descriptors it may hold. Without a successor it is what the process
-	// has open, with one the limit that it keeps to.
+	// Descriptors is how many descriptors it may have open. Without a successor it is what the process
+	// has open, with one its limit.
 	Descriptors int
 	Successor   uint64 // number of the latest process that this one yields descriptors to; 0: none
 }
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -76,6 +76,6 @@
 }
 
 // Servers implements listener.
-func (s endpointSink) Servers(whole bool, list []h1client.Server) { s.pool.Update(whole, list) }
+func (s endpointSink) Servers(full bool, list []h1client.Server) { s.pool.Update(full, list) }
 
 var _ listener = endpointSink{}
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// singleRefreshInterval is how often a process without peers looks for one, and peerRefreshInterval
-	// how often it follows the peers that it has.
+	// singleRefreshInterval is how often a process without peers checks for one, and peerRefreshInterval
+	// how often it reads the presences of those that it has.
 	singleRefreshInterval = 50 * time.Millisecond
 	peerRefreshInterval   = 10 * time.Millisecond
 	// minLimitIncrease is the least increase of the descriptor limit that is applied before the limit
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// leaveToSuccessor stops accepting at once, as what is queued in the kernel and what still comes is the
-// successor's, and waits until the clients have left.
+// leaveToSuccessor stops accepting at once, as connections that are queued in the kernel or still
+// arrive are the successor's, and waits until the clients have left.
 func (n *Node) leaveToSuccessor(limit context.Context, c *components, s *serving, plan shutdownPlan) {
 	s.listener.Close()
 	c.restart.advancePhase(hotrestart.Draining)
