--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -271,7 +271,7 @@
 
 // Call makes one call of an operator's and gives the answer, or why there is none.
 func (n *Node) Call(text string) string {
-	answer, err := adminapi.Ask(n.mgmt, text, patience)
+	answer, err := adminapi.Send(n.mgmt, text, patience)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/node/endpointadmin.go
+++ b/internal/node/endpointadmin.go
@@ -12,17 +12,17 @@
 func (w *endpointWatcher) checkChange(change adminstate.Change) (differs bool, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.admin.Differs(change), w.admin.Check(change, w.list.RecentlyListed)
+	return w.admin.HasEffect(change), w.admin.Validate(change, w.list.RecentlyListed)
 }
 
 // applyChange applies an administrative change. When it returns, the change is in force.
 func (w *endpointWatcher) applyChange(change adminstate.Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.admin.Apply(change) || !change.Op.OfServer() {
+	if !w.admin.Apply(change) || !change.Operation.TargetsInstance() {
 		return
 	}
-	if instance, listed := w.list.Get(change.Server); listed {
+	if instance, listed := w.list.Get(change.InstanceID); listed {
 		w.publish(policy.DeltaUpdate, []discovery.Instance{instance})
 	}
 }
@@ -31,7 +31,7 @@
 func (w *endpointWatcher) adminChanges() []adminstate.Change {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.admin.Changes()
+	return w.admin.MinimalChanges()
 }
 
 // adminStatus returns the IDs of the endpoints that operators took out of service, and whether the node is in lame duck
@@ -39,6 +39,6 @@
 func (w *endpointWatcher) adminStatus() (outOfService []string, lameDuck bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, lameDuck = w.admin.Lame()
-	return w.admin.OutOfService(), lameDuck
+	_, lameDuck = w.admin.LameDuckSince()
+	return w.admin.DetachedIDs(), lameDuck
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -313,7 +313,7 @@
 	if !cfg.Policy.PollEndpoints {
 		bound = 0
 	}
-	if bound += cfg.DrainGrace - cfg.DrainGrace/sendPart; took > bound {
+	if bound += cfg.DrainGrace - cfg.DrainGrace/drainGraceDivisor; took > bound {
 		t.Fatalf("seed %d: known %v after discovery had the change and could be reached, bound %v", seed, took, bound)
 	}
 	return took
--- a/internal/node/platformsettings_test.go
+++ b/internal/node/platformsettings_test.go
@@ -17,10 +17,10 @@
 		return parseConfig([]byte(`{"name": "n", "settings": ` + settings + `}`))
 	}
 	for contract, want := range map[string]time.Duration{
-		"":                                    strictestGrace,
+		"":                                    defaultDrainGrace,
 		`"Contract": {"DrainGraceMs": 250},`:  250 * time.Millisecond,
 		`"Contract": {"DrainGraceMs": 0},`:    0,
-		`"Contract": {"DrainGraceMs": null},`: strictestGrace,
+		`"Contract": {"DrainGraceMs": null},`: defaultDrainGrace,
 	} {
 		if c, err := parse(contract); err != nil || c.DrainGrace != want {
 			t.Errorf("%s: %v, %v", contract, c, err)
