--- a/policy/knowledge.go
+++ b/policy/knowledge.go
@@ -84,7 +84,7 @@
 		}
 		e := EndpointSnapshot{
 			ID: s.ID, StartedAt: s.StartedAt, BreakerOpen: s.breaker != closed, OpenDuration: s.openFor,
-			ConsecutiveFailures: len(s.failures), UnloadedInflation: s.lone, UnloadedSamples: s.loneSeen, SlowStartCredit: s.cold.Left(),
+			ConsecutiveFailures: len(s.failures), UnloadedInflation: s.lone, UnloadedSamples: s.loneSeen, SlowStartCredit: s.cold.FixedCredit(),
 		}
 		if s.breaker == open {
 			e.ReopenIn = max(0, s.reopenAt-now)
@@ -162,7 +162,7 @@
 		}
 		s.lone, s.loneSeen = e.UnloadedInflation, e.UnloadedSamples*trust
 		if e.SlowStartCredit != 0 && b.coldShare(s, now) < 1 {
-			s.cold.Owe(now, -min(e.SlowStartCredit, 0)) // what the other may still have sent is not known
+			s.cold.Defer(now, -min(e.SlowStartCredit, 0)) // what the other may still have sent is not known
 		}
 		if e.BreakerOpen {
 			s.breaker, s.openFor = open, max(openFirst, min(e.OpenDuration, openMost))
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -105,11 +105,11 @@
 // slow core in each), or by what this one has answered.
 func (b *Balancer) coldBudget(s *server, now time.Duration, work float64) bool {
 	share := b.coldShare(s, now)
-	if share < 1 && !s.cold.Began() {
-		s.cold.Owe(now, work*b.rng.Float64())
+	if share < 1 && !s.cold.Deferred() {
+		s.cold.Defer(now, work*b.rng.Float64())
 	}
-	fixed := b.warming.Fixed(b.part*b.warmPart/b.sharers, share)
-	return share >= 1 || s.cold.May(&b.warming, now, fixed, work, work*float64(len(s.out)))
+	fixed := b.warming.FixedRate(b.part*b.warmPart/b.sharers, share)
+	return share >= 1 || s.cold.Allows(&b.warming, now, fixed, work, work*float64(len(s.out)))
 }
 
 // ---- health
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -44,7 +44,7 @@
 		meanSuccess: 1, meanLatency: 1, refreshed: -1, watchDelay: watchAgain, sweepAt: never,
 		limit: float64(min(3, set.NodeCount)), sharers: float64(set.NodeCount), warmPart: leastPart, part: 1, again: 1,
 	}
-	b.warming = slowstart.Rules{From: set.Rules.SlowStartMinCapacity, For: set.Rules.SlowStartWindow, Multiple: set.Rules.OverloadMultiple, Span: set.Rules.OverloadDuration}
+	b.warming = slowstart.Rules{MinCapacity: set.Rules.SlowStartMinCapacity, Window: set.Rules.SlowStartWindow, OverloadMultiple: set.Rules.OverloadMultiple, OverloadDuration: set.Rules.OverloadDuration}
 	b.set.Limits.MaxAttempts = min(set.Limits.MaxAttempts, 16) // whatever the settings allow
 	for _, c := range set.Classes {
 		if c.LatencyObjective == 0 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -243,7 +243,7 @@
 
 // coldShare is the share of its capacity that a server has at least.
 func (b *Balancer) coldShare(s *server, now time.Duration) float64 {
-	return b.warming.Share(now, s.StartedAt)
+	return b.warming.CapacityShare(now, s.StartedAt)
 }
 
 // list applies a list or changes to one. What a server was found to be is kept
