--- /dev/null
+++ b/policy/admission_test.go
@@ -0,0 +1,157 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestAllOpenRejectsAtOnceWithRetryAfter(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	for _, s := range r.b.ready {
+		for range failuresToOpen {
+			r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+		}
+	}
+	id := r.request(2)
+	after, ok := r.h.rejected[id]
+	if !ok || after <= 0 || after > time.Second {
+		t.Fatalf("rejected %v with retry-after %v, want at once and within the limit", ok, after)
+	}
+	r.advance(2 * minOpenDuration)
+	trial, second := r.request(0), r.request(0)
+	if len(r.sendsOf(trial)) != 1 {
+		t.Fatal("half-open endpoints must still take their trial")
+	}
+	_ = second
+}
+
+// Guards against queueing a keyed request that no endpoint may get any more: the window of its first attempt
+// is over, or no endpoint in its scope is left. It is answered at once, rejected where its scope is all endpoints.
+func TestNothingIsQueuedThatNoEndpointMayGet(t *testing.T) {
+	for name, c := range map[string]struct {
+		scope     Scope
+		window    time.Duration
+		endpoints int           // two to a cell
+		took      time.Duration // by each attempt, until it breaks
+	}{
+		"its window ends while it waits to be sent again": {ScopeAll, 100 * ms, 9, 80 * ms},
+		"its window was over":                             {ScopeAll, 100 * ms, 9, 150 * ms},
+		"its cell has been tried":                         {ScopeCell, time.Second, 9, 20 * ms},
+	} {
+		set := testSettings()
+		set.Limits.AllowHedging = false
+		set.Classes[1].DedupScope, set.Classes[1].DedupWindow = c.scope, c.window
+		r := newRig(t, set, c.endpoints)
+		r.serve(30, 1, 20*ms)
+		id := r.request(1)
+		given := func() bool { _, rejected := r.h.rejected[id]; return rejected || r.h.failed[id] }
+		for !given() && r.done[id] < 4 {
+			r.advance(c.took)
+			if r.done[id] == len(r.sendsOf(id)) {
+				break
+			}
+			r.endAttempt(id, Reset, c.took)
+			if len(r.sendsOf(id)) == 1 && c.scope == ScopeCell {
+				r.advance(200 * ms) // the other one of its cell
+			}
+		}
+		if _, rejected := r.h.rejected[id]; !given() || rejected != (c.scope == ScopeAll) {
+			t.Errorf("%s: after %d attempts rejected %v, failed %v", name, r.done[id], rejected, r.h.failed[id])
+		}
+	}
+	// One that is queued for capacity when its window ends.
+	set := testSettings()
+	set.Limits.AllowHedging = false
+	set.Classes[1].DedupScope, set.Classes[1].DedupWindow = ScopeAll, 300*ms
+	r := newRig(t, set, 2)
+	r.serve(30, 1, 20*ms)
+	id := r.request(1)
+	r.advance(20 * ms)
+	r.endAttempt(id, Reset, 20*ms)
+	for range 40 {
+		r.request(0) // no endpoint has capacity for it when its backoff is over
+	}
+	r.advance(400 * ms)
+	if _, rejected := r.h.rejected[id]; !rejected || len(r.sendsOf(id)) != 1 {
+		t.Errorf("queued for capacity: rejected %v after %d sends", rejected, len(r.sendsOf(id)))
+	}
+}
+
+// Guards against saturation at the endpoints: requests beyond their capacity are queued, and
+// those that would be late are rejected while the client can still try elsewhere.
+func TestRequestsBeyondTheLimitQueueAndAreShedInTime(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	for range 10 {
+		r.request(0)
+	}
+	if n := len(r.h.sends); n > 4 {
+		t.Fatalf("%d requests in flight at two unknown endpoints", n)
+	}
+	r.advance(790 * ms)
+	if n := len(r.h.rejected); n < 6 {
+		t.Fatalf("%d of the queued requests rejected before their objective had passed", n)
+	}
+}
+
+// Guards against one tenant's surplus taking the capacity of the others.
+func TestOverQuotaTrafficWaitsBehindTheRest(t *testing.T) {
+	set := testSettings()
+	set.Tenants = []Tenant{{QuotaPerS: 2}, {QuotaPerS: 100}}
+	set.OverQuotaWeight = 0.05
+	r := newRig(t, set, 1)
+	request := func(tenant int) RequestID {
+		r.next++
+		r.b.Request(r.now, Request{ID: r.next, Tenant: tenant, TimeRemaining: 2 * time.Second})
+		return r.next
+	}
+	first := request(0)
+	request(0)
+	over, within := request(0), request(1)
+	for i := RequestID(1); i < within; i++ {
+		if i != over && len(r.sendsOf(i)) > r.done[i] {
+			r.endAttempt(i, OK, 10*ms)
+		}
+	}
+	_ = first
+	if len(r.sendsOf(over)) != 0 || len(r.sendsOf(within)) != 1 {
+		t.Fatal("a request over its tenant's quota was served first")
+	}
+}
+
+// Guards against waiting so long that the answer comes late, where a node does not see
+// how long others' requests wait: work is wasted, and saturates the endpoints.
+func TestThinTrafficShedsBeforeAnAnswerBarelyFits(t *testing.T) {
+	for _, tc := range []struct {
+		nodes int
+		shed  bool
+	}{{1, false}, {80, true}} {
+		set := testSettings()
+		set.NodeCount = tc.nodes
+		r := newRig(t, set, 4)
+		r.b.refresh(r.now)
+		id := r.request(0)
+		q := r.b.requests[id]
+		r.endAttempt(id, Rejected, ms) // not run, waits for another endpoint
+		r.b.enqueue(q)
+		q.objectiveDeadline = r.now + 2*r.b.expectedLatency(q)
+		r.b.shed(r.now)
+		if _, rejected := r.h.rejected[id]; rejected != tc.shed {
+			t.Errorf("%d nodes: shed %v, want %v", tc.nodes, rejected, tc.shed)
+		}
+	}
+}
+
+// Guards against ordering queued requests by a guess that busy fleets never correct.
+func TestQueueOrderFollowsAllAnswers(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	heavy := &request{class: &r.b.classes[0]}
+	for range 50 {
+		r.b.recordLatency(r.now, &attempt{endpoint: r.b.ready[0]}, heavy, 0.9) // never unloaded
+	}
+	r.request(0) // fills an endpoint, as does the next
+	r.request(0)
+	a, b := r.request(0), r.request(1)
+	if x, y := r.b.requests[a], r.b.requests[b]; x == nil || y == nil || !y.precedes(x) {
+		t.Fatal("a class that takes longer for the same weight must come second")
+	}
+}
--- /dev/null
+++ b/policy/circuitbreaker_test.go
@@ -0,0 +1,148 @@
+package policy
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestBreakerOpensTriesOneRequestAndCloses(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	bad := r.b.ready[0]
+	for range failuresToOpen {
+		r.b.recordFailure(r.now, &attempt{endpoint: bad}, failureReported)
+	}
+	if bad.breaker.state != breakerOpen {
+		t.Fatalf("breaker %v after %d failures, want open", bad.breaker.state, failuresToOpen)
+	}
+	r.serve(20, 0, 50*ms)
+	for _, s := range r.h.sends {
+		if s.endpoint == bad.ID {
+			t.Fatal("an ejected endpoint was sent a request before its breaker was half-open")
+		}
+	}
+	r.advance(bad.breaker.reopenAt - r.now)
+	trial := r.request(0)
+	if got := r.sendsOf(trial); len(got) != 1 || got[0] != bad.ID {
+		t.Fatalf("trial went to %v, want the half-open endpoint %d", got, bad.ID)
+	}
+	if other := r.sendsOf(r.request(0)); len(other) != 1 || other[0] == bad.ID {
+		t.Fatalf("second request went to %v while the trial is in flight", other)
+	}
+	before := bad.breaker.openDuration
+	r.endAttempt(trial, ErrorResponse, 5*ms)
+	if bad.breaker.state != breakerOpen || bad.breaker.openDuration != 2*before {
+		t.Fatalf("after a failed trial: breaker %v for %v, want open for %v",
+			bad.breaker.state, bad.breaker.openDuration, 2*before)
+	}
+	r.advance(bad.breaker.reopenAt - r.now)
+	trial = r.request(0)
+	r.endAttempt(trial, OK, 50*ms)
+	if bad.breaker.state != breakerClosed {
+		t.Fatalf("after a good trial: breaker %v, want closed", bad.breaker.state)
+	}
+}
+
+func TestFailuresOpenOnlyInARowWithinTheWindow(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	s := r.b.ready[0]
+	for range failuresToOpen - 1 {
+		r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+	}
+	s.recordSuccess(r.now, nil)
+	r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+	if s.breaker.state != breakerClosed {
+		t.Fatal("failures with a success between them opened the breaker")
+	}
+	for range 2 * failuresToOpen {
+		r.now += failureWindow / 3
+		r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+	}
+	if s.breaker.state != breakerClosed {
+		t.Fatal("failures spread wider than the window opened the breaker")
+	}
+}
+
+// Guards against a fleet-wide slowdown that opens every breaker and so rejects everything.
+func TestSharedSlownessLeavesHalfOfTheFleetClosed(t *testing.T) {
+	r := newRig(t, testSettings(), 6)
+	r.b.subset.arrivals.add(r.now, 100) // enough for a subset of all endpoints
+	r.b.refresh(r.now)
+	for _, s := range r.b.ready {
+		for range 2 * failuresToOpen {
+			r.b.recordFailure(r.now, &attempt{endpoint: s}, failureBySlowness)
+		}
+	}
+	if got := r.breakers(); got[breakerOpen] != 3 {
+		t.Fatalf("%d of 6 breakers open by slowness, want 3", got[breakerOpen])
+	}
+}
+
+// Guards against a breaker that never closes because no request is idempotent.
+func TestNonIdempotentRequestIsTheTrialAsALastResort(t *testing.T) {
+	r := newRig(t, testSettings(), 1)
+	s := r.b.ready[0]
+	for range failuresToOpen {
+		r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+	}
+	r.now = s.breaker.reopenAt + ms
+	if id := r.request(2); len(r.sendsOf(id)) != 0 {
+		t.Fatal("a request that is not idempotent was the trial at once, where an idempotent one could come")
+	}
+	r.advance(s.breaker.openDuration + ms)
+	if r.request(2); len(r.h.sends) != 1 {
+		t.Fatal("no other request was the trial, and a request that is not idempotent was not either")
+	}
+}
+
+// Where attempts fail at all endpoints alike, as when connections break, runs of failures
+// occur by chance and say nothing of their endpoint: each breaker that opens removes what
+// the endpoint still serves. An endpoint with a low baseline is ejected after the fifth.
+func TestBaselineFailuresOpenNoBreaker(t *testing.T) {
+	outcomes := func(b *Balancer, s *endpoint, now time.Duration, pattern string) {
+		for _, c := range pattern {
+			a := &attempt{endpoint: s}
+			if c == '+' {
+				s.outcomes.record(now, true, 1)
+				s.recordSuccess(now, a)
+			} else {
+				s.outcomes.record(now, false, 1)
+				b.recordFailure(now, a, failureReported)
+			}
+		}
+		b.summarizeOutcomes(now)
+	}
+	r := newRig(t, testSettings(), 4)
+	r.b.refresh(r.now)
+	often, seldom := r.b.endpoints[1], r.b.endpoints[2]
+	outcomes(r.b, often, r.now, strings.Repeat("++-", 20)+"+-----")
+	if often.breaker.state != breakerClosed {
+		t.Error("a run of failures within the baseline rate opened the breaker")
+	}
+	outcomes(r.b, often, r.now, strings.Repeat("-", maxBaselineRun-5))
+	if often.breaker.state != breakerOpen {
+		t.Error("the breaker of an endpoint that answers no more stays closed")
+	}
+	outcomes(r.b, seldom, r.now, strings.Repeat("+", 60)+"-----")
+	if seldom.breaker.state != breakerOpen {
+		t.Error("five failures in a row of an endpoint with a low baseline left its breaker closed")
+	}
+}
+
+// Guards against endpoints that answer, but many times slower, and retain all their traffic.
+func TestSlowAnswersOpenABreakerWithThinTraffic(t *testing.T) {
+	set := testSettings()
+	set.NodeCount = 80
+	r := newRig(t, set, 6)
+	r.b.refresh(r.now)
+	s := r.b.subset.members[0]
+	q := &request{class: &r.b.classes[0]}
+	for range failuresToOpen {
+		a := &attempt{endpoint: s, request: q, sentAt: r.now}
+		slow := time.Duration(2 * slowAnswerFactor * r.b.unloadedLatency(q) * float64(time.Second))
+		r.b.recordOutcome(r.now, q, a, Outcome{Status: OK, Latency: slow})
+	}
+	if s.breaker.state != breakerOpen {
+		t.Fatal("the breaker of an endpoint whose answers take ten times the unloaded latency stays closed")
+	}
+}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,22 +7,22 @@
 	"yokestall/policy"
 )
 
-// printer is a Host that only tells what it was asked to do.
-type printer struct{ at time.Duration }
+// printer is a Host that prints its actions and records the time of the last timer.
+type printer struct{ timerAt time.Duration }
 
 func (p *printer) Send(id policy.RequestID, _ policy.EndpointID, _ time.Duration) {
 	fmt.Println("send request", id)
 }
 func (p *printer) Cancel(id policy.RequestID, attempt int) { fmt.Println("cancel", id, attempt) }
 func (p *printer) Reject(id policy.RequestID, after time.Duration) {
-	fmt.Println("refuse request", id, "retry after", after > 0)
+	fmt.Println("reject request", id, "retry after", after > 0)
 }
 func (p *printer) Fail(id policy.RequestID)            { fmt.Println("fail request", id) }
-func (p *printer) SetTimer(at time.Duration, _ uint64) { p.at = at }
-func (p *printer) WatchEndpoints()                     { fmt.Println("watch the list") }
+func (p *printer) SetTimer(at time.Duration, _ uint64) { p.timerAt = at }
+func (p *printer) WatchEndpoints()                     { fmt.Println("poll the endpoint list") }
 
-// A request is served, one is retried elsewhere and served, and one is refused
-// because its only server drains.
+// A request is answered, one is retried at another endpoint and answered, and one is rejected
+// because no endpoint is left.
 func Example() {
 	settings := policy.Defaults()
 	settings.Classes = []policy.Class{{
@@ -48,20 +48,20 @@
 
 	b.Request(now, policy.Request{ID: 2, TimeRemaining: 2 * time.Second})
 	b.Outcome(now, policy.Outcome{ID: 2, Status: policy.ErrorResponse, Latency: time.Millisecond})
-	for range 10 { // timers bring the retry after its backoff
-		now = max(now, host.at)
+	for range 10 { // the timers fire until the retry after its backoff
+		now = max(now, host.timerAt)
 		b.Timer(now, 0)
 	}
 	b.Outcome(now, policy.Outcome{
 		ID: 2, Attempt: 1, Status: policy.OK, RequestDone: true, Latency: 20 * time.Millisecond,
 	})
 
-	b.UpdateEndpoints(now, policy.FullUpdate, nil) // nobody is left
+	b.UpdateEndpoints(now, policy.FullUpdate, nil) // no endpoint is left
 	b.Request(now, policy.Request{ID: 3, TimeRemaining: 2 * time.Second})
 
 	// Output:
 	// send request 1
 	// send request 2
 	// send request 2
-	// refuse request 3 retry after true
+	// reject request 3 retry after true
 }
--- /dev/null
+++ b/policy/harness_test.go
@@ -0,0 +1,185 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// fakeHost records the actions of one Balancer.
+type fakeHost struct {
+	sends    []sentAttempt
+	cancels  int
+	rejected map[RequestID]time.Duration
+	failed   map[RequestID]bool
+	timers   []timer
+	watches  int
+	log      []string
+}
+
+type sentAttempt struct {
+	id       RequestID
+	endpoint EndpointID
+}
+
+type timer struct {
+	at    time.Duration
+	token uint64
+}
+
+func newHost() *fakeHost {
+	return &fakeHost{rejected: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
+}
+
+func (h *fakeHost) logf(format string, args ...any) {
+	h.log = append(h.log, fmt.Sprintf(format, args...))
+}
+
+func (h *fakeHost) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
+	h.logf("send %d %d %v", id, endpoint, timeout)
+	h.sends = append(h.sends, sentAttempt{id, endpoint})
+}
+
+func (h *fakeHost) Cancel(id RequestID, attempt int) {
+	h.logf("cancel %d %d", id, attempt)
+	h.cancels++
+}
+
+func (h *fakeHost) Reject(id RequestID, after time.Duration) {
+	h.logf("reject %d %v", id, after)
+	h.rejected[id] = after
+}
+
+func (h *fakeHost) Fail(id RequestID) {
+	h.logf("fail %d", id)
+	h.failed[id] = true
+}
+
+func (h *fakeHost) SetTimer(at time.Duration, token uint64) {
+	h.logf("timer %v %d", at, token)
+	h.timers = append(h.timers, timer{at, token})
+}
+
+func (h *fakeHost) WatchEndpoints() {
+	h.logf("watch")
+	h.watches++
+}
+
+// testSettings has an idempotent, a keyed and a non-idempotent class, in this order.
+func testSettings() Settings {
+	s := Defaults()
+	class := Class{Deadline: 2 * time.Second, LatencyObjective: 800 * ms, PriorityWeight: 1}
+	keyed, nonIdempotent := class, class
+	keyed.Idempotency, keyed.DedupScope, keyed.DedupWindow = IdempotentByKey, ScopeCell, time.Second
+	nonIdempotent.Idempotency = NotIdempotent
+	s.Classes = []Class{class, keyed, nonIdempotent}
+	s.Limits = Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true, MaxRetryAfter: time.Second}
+	s.Rules = Rules{
+		SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second,
+		MaxPollInterval: 10 * time.Second,
+	}
+	return s
+}
+
+// rig drives a Balancer against a fakeHost and controls its clock.
+type rig struct {
+	t    *testing.T
+	b    *Balancer
+	h    *fakeHost
+	now  time.Duration
+	next RequestID
+	done map[RequestID]int // outcomes delivered, by request
+}
+
+func newRig(t *testing.T, set Settings, endpoints int) *rig {
+	t.Helper()
+	h := newHost()
+	b, err := New(set, 1, h)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{t: t, b: b, h: h, now: time.Hour, done: map[RequestID]int{}}
+	r.update(CachedUpdate, ready(1, endpoints)...)
+	return r
+}
+
+// ready returns entries for endpoints first to last, two to a cell, five to a zone.
+func ready(first, last int) []Endpoint {
+	var entries []Endpoint
+	for i := first; i <= last; i++ {
+		entries = append(entries, Endpoint{
+			ID: EndpointID(i), Cell: i / 2, Zone: i / 5, State: Ready, Weight: 1,
+		})
+	}
+	return entries
+}
+
+// update delivers an endpoint update.
+func (r *rig) update(kind UpdateKind, entries ...Endpoint) { r.b.UpdateEndpoints(r.now, kind, entries) }
+
+// request sends a request of a class and returns its id.
+func (r *rig) request(class int) RequestID {
+	r.next++
+	r.b.Request(r.now, Request{ID: r.next, Class: class, TimeRemaining: 2 * time.Second})
+	return r.next
+}
+
+// sendsOf lists the endpoints that a request was sent to.
+func (r *rig) sendsOf(id RequestID) []EndpointID {
+	var endpoints []EndpointID
+	for _, s := range r.h.sends {
+		if s.id == id {
+			endpoints = append(endpoints, s.endpoint)
+		}
+	}
+	return endpoints
+}
+
+// endAttempt delivers the next outcome of a request.
+func (r *rig) endAttempt(id RequestID, status Status, latency time.Duration) {
+	i := r.done[id]
+	r.done[id]++
+	r.b.Outcome(r.now, Outcome{ID: id, Attempt: i, Endpoint: r.sendsOf(id)[i], Status: status, Latency: latency,
+		RequestDone: status == OK})
+}
+
+// advance moves the clock and fires the timers that fall due.
+func (r *rig) advance(d time.Duration) {
+	for end := r.now + d; ; {
+		due := -1
+		for i, t := range r.h.timers {
+			if t.at <= end && (due < 0 || t.at < r.h.timers[due].at) {
+				due = i
+			}
+		}
+		if due < 0 {
+			r.now = end
+			return
+		}
+		t := r.h.timers[due]
+		r.h.timers = append(r.h.timers[:due], r.h.timers[due+1:]...)
+		r.now = max(r.now, t.at)
+		r.b.Timer(r.now, t.token)
+	}
+}
+
+// serve sends n requests of a class, one after the other, each answered with the same latency.
+func (r *rig) serve(n, class int, latency time.Duration) {
+	for range n {
+		id := r.request(class)
+		r.advance(latency)
+		if r.done[id] < len(r.sendsOf(id)) {
+			r.endAttempt(id, OK, latency)
+		}
+	}
+}
+
+// breakers counts the ready endpoints by the state of their breaker.
+func (r *rig) breakers() (count [3]int) {
+	for _, s := range r.b.ready {
+		count[s.breaker.state]++
+	}
+	return count
+}
--- /dev/null
+++ b/policy/hedging.go
@@ -0,0 +1,49 @@
+package policy
+
+import "time"
+
+// Hedging: when an attempt in flight counts as unresponsive, and gets a hedged request elsewhere beside it
+// (Dean and Barroso, The Tail at Scale, 2013). An attempt is unresponsive when it has no answer for
+// unresponsiveFactor times the expected latency and its endpoint has answered nothing else since it was sent.
+// That counts as a failure of the endpoint, long before a timeout does, and the attempt no longer counts
+// against the concurrency limit: hanging endpoints would else stop all sends.
+
+// unresponsiveFactor is the multiple of the expected latency after which an attempt is unresponsive.
+const unresponsiveFactor = 4.0
+
+// hedge detects the request's unresponsive attempts. If the request has no other attempt in flight, and an
+// answer is still in time, it sends a hedged request.
+func (b *Balancer) hedge(now time.Duration, r *request) {
+	expected := b.expectedLatency(r)
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if !a.lacksAnswer(now, expected) {
+			continue
+		}
+		b.markUnresponsive(a)
+		a.endpoint.outcomes.record(now, false, 0)
+		b.recordFailure(now, a, failureBySlowness)
+		if r.inFlight == 1 && b.settings.Limits.AllowHedging && now+expected <= r.objectiveDeadline {
+			if e := b.pick(now, r); e != nil {
+				b.send(now, r, e)
+			}
+		}
+	}
+}
+
+// lacksAnswer reports whether the attempt is in flight for too long and its endpoint answered nothing since.
+func (a *attempt) lacksAnswer(now, expected time.Duration) bool {
+	if !a.inFlight || a.unresponsive {
+		return false
+	}
+	age := float64(now - a.sentAt)
+	return age > unresponsiveFactor*float64(expected) && a.endpoint.lastAnswerAt < a.sentAt
+}
+
+// markUnresponsive stops counting an attempt in flight against the concurrency limit.
+func (b *Balancer) markUnresponsive(a *attempt) {
+	if !a.unresponsive {
+		a.unresponsive = true
+		b.concurrency.inFlight--
+	}
+}
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -30,21 +30,21 @@
 }
 
 type playedAttempt struct {
-	server   Endpoint
+	endpoint Endpoint
 	sent     time.Duration
-	out      bool
+	inFlight bool
 	neverRan bool
 }
 
-func (w *world) Send(id RequestID, server EndpointID, timeout time.Duration) {
-	w.fakeHost.Send(id, server, timeout)
-	p, s := w.open[id], w.state[server]
+func (w *world) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
+	w.fakeHost.Send(id, endpoint, timeout)
+	p, s := w.open[id], w.state[endpoint]
 	switch {
 	case p == nil || p.done:
 		w.t.Errorf("%v: sent request %d, which is finished", w.now, id)
 		return
 	case s.State != Ready:
-		w.t.Errorf("%v: sent request %d to server %d in state %d", w.now, id, server, s.State)
+		w.t.Errorf("%v: sent request %d to endpoint %d in state %d", w.now, id, endpoint, s.State)
 	case len(p.attempts) >= 4:
 		w.t.Errorf("%v: request %d has too many attempts", w.now, id)
 	}
@@ -53,13 +53,13 @@
 			continue
 		}
 		if p.class.Idempotency == NotIdempotent {
-			w.t.Errorf("%v: unsafe request %d sent again though it may have run", w.now, id)
+			w.t.Errorf("%v: non-idempotent request %d sent again though it may have run", w.now, id)
 		}
-		if p.class.Idempotency == IdempotentByKey && (a.server.Cell != s.Cell || w.now-a.sent >= p.class.DedupWindow) {
-			w.t.Errorf("%v: keyed request %d repeated out of its group or window", w.now, id)
+		if p.class.Idempotency == IdempotentByKey && (a.endpoint.Cell != s.Cell || w.now-a.sent >= p.class.DedupWindow) {
+			w.t.Errorf("%v: keyed request %d repeated outside its scope or window", w.now, id)
 		}
 	}
-	p.attempts = append(p.attempts, &playedAttempt{server: s, sent: w.now, out: true})
+	p.attempts = append(p.attempts, &playedAttempt{endpoint: s, sent: w.now, inFlight: true})
 }
 
 func (w *world) answer(id RequestID) *played {
@@ -81,7 +81,7 @@
 	p := w.answer(id)
 	for _, a := range p.attempts {
 		if !a.neverRan && p.class.Idempotency != Idempotent {
-			w.t.Errorf("%v: request %d refused though it may have run", w.now, id)
+			w.t.Errorf("%v: request %d rejected though it may have run", w.now, id)
 		}
 	}
 }
@@ -101,12 +101,12 @@
 	if p.done {
 		status = Cancelled
 	}
-	a.out = false
+	a.inFlight = false
 	a.neverRan = status == Rejected || status == ConnectFailed
 	if status == OK {
 		w.answer(id)
 	}
-	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Endpoint: a.server.ID, Status: status,
+	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Endpoint: a.endpoint.ID, Status: status,
 		Latency: w.now - a.sent, RequestDone: p.done})
 }
 
@@ -114,7 +114,7 @@
 	for _, id := range ids {
 		p := w.open[id]
 		for i, a := range p.attempts {
-			if a.out && (w.now >= p.end || p.done || w.rng.IntN(12) == 0) {
+			if a.inFlight && (w.now >= p.end || p.done || w.rng.IntN(12) == 0) {
 				w.outcome(id, p, i)
 			}
 		}
@@ -125,21 +125,21 @@
 		}
 	}
 	var due []timer
-	kept := w.timers[:0]
+	pending := w.timers[:0]
 	for _, t := range w.timers {
 		if t.at <= w.now {
 			due = append(due, t)
 		} else {
-			kept = append(kept, t)
+			pending = append(pending, t)
 		}
 	}
-	w.timers = kept
+	w.timers = pending
 	for _, t := range due {
 		w.b.Timer(w.now, t.token)
 	}
 }
 
-// change drains, removes, restarts or adds a server.
+// change drains, removes, restarts or adds an endpoint.
 func (w *world) change(start time.Duration) {
 	id := EndpointID(1 + w.rng.IntN(12))
 	e := Endpoint{ID: id, Cell: int(id) / 3, Weight: 1, State: EndpointState(w.rng.IntN(3))}
@@ -191,8 +191,8 @@
 			t.Errorf("request %d got %d final answers", id, w.answered[id])
 		}
 	}
-	if len(b.requests) > 0 || len(b.open) > 0 {
-		t.Errorf("%d requests and %d open ones remembered at the end", len(b.requests), len(b.open))
+	if len(b.requests) > 0 || len(b.openRequests) > 0 {
+		t.Errorf("%d requests and %d open ones remembered at the end", len(b.requests), len(b.openRequests))
 	}
 	return w.log
 }
@@ -219,9 +219,9 @@
 		for i := range 300 {
 			for _, r := range rigs {
 				id := r.request(i % 3)
-				r.pass(7 * ms)
+				r.advance(7 * ms)
 				if n := len(r.sendsOf(id)); n > r.done[id] {
-					r.end(id, OK, 7*ms)
+					r.endAttempt(id, OK, 7*ms)
 				}
 			}
 		}
@@ -231,6 +231,6 @@
 	drive(a, b)
 	want := strings.Join(alone.h.log, "\n")
 	if strings.Join(a.h.log, "\n") != want || strings.Join(b.h.log, "\n") != want {
-		t.Fatal("instances that take turns act unlike one alone")
+		t.Fatal("interleaved instances act unlike a single one")
 	}
 }
--- /dev/null
+++ b/policy/outcomes_test.go
@@ -0,0 +1,92 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// Guards against a full endpoint that always has capacity by the node's count: with the others at their
+// limits it attracted every queued request, and rejected each.
+func TestConsecutiveRejectionsPauseAnEndpoint(t *testing.T) {
+	r := newRig(t, testSettings(), 1)
+	r.serve(30, 0, 20*ms)
+	began, sends := r.now, len(r.h.sends)
+	for range 400 { // one request after the other, for 4 s
+		r.request(0)
+		r.advance(10 * ms)
+		for _, s := range r.h.sends[sends:] {
+			if r.done[s.id] == 0 {
+				r.endAttempt(s.id, Rejected, 0)
+			}
+		}
+	}
+	pause := time.Duration(r.b.typicalLatency * float64(time.Second))
+	if n := len(r.h.sends) - sends; n < 4 || n > 5+int((r.now-began)/(pause<<4)) {
+		t.Errorf("a full endpoint got %d attempts in %v with a typical latency of %v", n, r.now-began, pause)
+	}
+	for n := len(r.h.sends); n == len(r.h.sends); r.advance(10 * ms) {
+		r.request(0)
+	}
+	r.endAttempt(r.h.sends[len(r.h.sends)-1].id, OK, 20*ms)
+	if s := r.b.ready[0]; s.consecutiveRejections != 0 || s.pausedUntil != 0 {
+		t.Error("an answer did not end the pause")
+	}
+}
+
+// Guards against pauses at every endpoint where many reject a request now and then: all pause
+// at once, and what waits for capacity is shed though endpoints have some.
+func TestSingleRejectionPausesNoEndpoint(t *testing.T) {
+	r := newRig(t, testSettings(), 1)
+	r.serve(30, 0, 20*ms)
+	for i, sent := range []bool{true, true, false} { // by the rejections before it, in a row
+		before := len(r.h.sends)
+		id := r.request(0)
+		if (len(r.h.sends) > before) != sent {
+			t.Fatalf("after %d rejections in a row: sent %v, want %v", i, !sent, sent)
+		}
+		if sent {
+			r.endAttempt(id, Rejected, ms)
+		}
+	}
+}
+
+// Guards against ejecting endpoints that are out of connections as if they were dead, by all nodes at
+// once: an endpoint that answers on its open connections is only full.
+func TestRefusedConnectionsAfterAnAnswerAreRejections(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		answer time.Duration // this long before each refused connection; 0: none lately
+		opens  bool
+	}{{"dead", 0, true}, {"out of connections", aliveAfterAnswer / 2, false}, {"died a while ago", 2 * aliveAfterAnswer, true}} {
+		r := newRig(t, testSettings(), 3)
+		r.serve(60, 0, 20*ms)
+		r.advance(2 * aliveAfterAnswer)
+		s := r.b.subset.members[0]
+		q := &request{class: &r.b.classes[0]}
+		for range failuresToOpen {
+			if tc.answer > 0 {
+				s.lastAnswerAt = r.now - tc.answer
+			}
+			r.b.recordOutcome(r.now, q, &attempt{endpoint: s, request: q, sentAt: r.now}, Outcome{Status: ConnectFailed})
+		}
+		if (s.breaker.state == breakerOpen) != tc.opens {
+			t.Errorf("%s: breaker open %v, want %v", tc.name, s.breaker.state == breakerOpen, tc.opens)
+		}
+	}
+}
+
+// An endpoint that refuses connections soon after an answer is out of them, but not for as long as it
+// answers nothing at all: then it is dead, and its breaker opens.
+func TestRefusedConnectionsOfADeadServer(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	r.serve(50, 0, 10*ms)
+	s := r.b.endpoints[1]
+	for n := 0; s.breaker.state == breakerClosed; n++ {
+		if n > maxAliveRejections+failuresToOpen {
+			t.Fatalf("%d connections refused %v after its last answer, and it is in use", n, r.now-s.lastAnswerAt)
+		}
+		q := &request{class: &r.b.classes[0], Request: Request{Class: 0}}
+		r.b.recordOutcome(r.now, q, &attempt{endpoint: s, request: q, sentAt: r.now}, Outcome{Status: ConnectFailed})
+		r.now += 10 * ms
+	}
+}
--- /dev/null
+++ b/policy/polling_test.go
@@ -0,0 +1,71 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestPollsAgainAfterFailures(t *testing.T) {
+	set := testSettings()
+	set.PollEndpoints = true
+	r := newRig(t, set, 3)
+	r.advance(firstPollSpread)
+	if r.h.watches != 1 {
+		t.Fatalf("%d polls at the start, want 1", r.h.watches)
+	}
+	r.update(UpdateFailed)
+	r.advance(2 * minPollBackoff)
+	r.update(UpdateFailed)
+	r.advance(set.Rules.MaxPollInterval / 2)
+	if r.h.watches != 3 {
+		t.Fatal("no further poll after a failure")
+	}
+	if len(r.b.ready) != 3 {
+		t.Fatal("a failed poll must leave the list in force")
+	}
+}
+
+// Guards against all nodes polling discovery at one moment, when they start together and again
+// after each poll that it rejected: it can answer one poll from every node in a few seconds,
+// and one that waits for over two fails. A node serves by its cached list meanwhile.
+func TestPollsOfManyNodesAreSpread(t *testing.T) {
+	const nodes, perSecond = 80, 25 // that discovery can answer
+	var polls []time.Duration
+	var rigs []*rig
+	for node := range nodes {
+		set := testSettings()
+		set.PollEndpoints, set.NodeCount, set.NodeIndex = true, nodes, node
+		h := newHost()
+		b, err := New(set, uint64(node), h)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.UpdateEndpoints(time.Hour, CachedUpdate, ready(1, 60))
+		r := &rig{t: t, b: b, h: h, now: time.Hour, done: map[RequestID]int{}}
+		if r.request(0); len(h.sends) != 1 || h.watches != 0 {
+			t.Fatalf("%d sends and %d polls at the start, want service by the cached list first", len(h.sends), h.watches)
+		}
+		rigs = append(rigs, r)
+	}
+	busy, failed, most := 0.0, 0, 0.0
+	for at := time.Hour; at < time.Hour+20*time.Second; at += 10 * ms {
+		busy = max(0, busy-perSecond*0.01)
+		for _, r := range rigs {
+			before := r.h.watches
+			if r.advance(10 * ms); r.h.watches == before {
+				continue
+			}
+			if polls = append(polls, at); busy > 2*perSecond { // would wait for more than 2 s
+				failed++
+				r.update(UpdateFailed)
+				continue
+			}
+			busy++
+			most = max(most, busy)
+			r.update(DeltaUpdate)
+		}
+	}
+	if failed > 0 || len(polls) != nodes {
+		t.Errorf("%d of %d polls failed, up to %.0f waited at once", failed, len(polls), most)
+	}
+}
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -6,42 +6,47 @@
 	"time"
 )
 
-// quotaStripes is how many locks the buckets of a Quotas share.
+// Quotas: whether a request is within its tenant's quota (a token bucket, as in RFC 2697). A request beyond
+// it is not rejected for that: its weight is multiplied by Settings.OverQuotaWeight, so that it waits behind
+// the others and is shed first when there is no capacity for all.
+
+// quotaStripes is the number of locks that the buckets of a Quotas share.
 const quotaStripes = 64
 
-// Quotas holds a node's part of its tenants' quotas: a token bucket of one second's worth for each tenant with a
-// limit. One table may serve all Balancers of a node, whose times must then come from one clock; it is safe for
-// concurrent use. Its size is fixed by the number of tenants, whatever clients send.
+// Quotas holds a node's part of its tenants' quotas: for each tenant with a limit a token bucket that holds
+// one second's requests. One table may serve all Balancers of a node, whose times must then come from one
+// clock; it is safe for concurrent use. Its size is fixed by the number of tenants, whatever clients send.
 type Quotas struct {
-	tenants []Tenant
+	tenants []Tenant // read only
 	nodes   float64
-	buckets []bucket // by tenant
-	locks   [quotaStripes]sync.Mutex
+	buckets []bucket                 // by tenant
+	locks   [quotaStripes]sync.Mutex // locks[tenant%quotaStripes] guards buckets[tenant]
 }
 
 // bucket is the state of a tenant's token bucket; its rate follows from the tenant's quota.
 type bucket struct {
-	tokens float64
-	at     time.Duration // of the last take
+	tokens  float64 // requests
+	takenAt time.Duration
 }
 
-// NewQuotas makes the table for one of a number of nodes; the buckets are full. The list is not copied. The error
-// names the first tenant whose quota is impossible.
+// NewQuotas returns a table for one of a number of nodes, with full buckets. The list is not copied and must
+// not change. An impossible quota gives a *SettingError.
 func NewQuotas(tenants []Tenant, nodes int) (*Quotas, error) {
 	q := &Quotas{tenants: tenants, nodes: float64(nodes), buckets: make([]bucket, len(tenants))}
 	for i, t := range tenants {
-		if !finiteFrom(t.QuotaPerS, 0) {
-			return nil, impossible(fmt.Sprintf("Tenants[%d].QuotaPerS", i), t.QuotaPerS)
+		if !finiteNonNegative(t.QuotaPerS) {
+			return nil, &SettingError{Field: fmt.Sprintf("Tenants[%d].QuotaPerS", i), Value: t.QuotaPerS}
 		}
 		q.buckets[i].tokens = q.perSecond(i)
 	}
 	return q, nil
 }
 
-// perSecond is the rate of a tenant's bucket at this node; 0: no limit.
+// perSecond returns the rate of a tenant's bucket at this node, in requests per second; 0: no limit.
 func (q *Quotas) perSecond(tenant int) float64 { return q.tenants[tenant].QuotaPerS / q.nodes }
 
-// take counts a request and tells whether it is within its tenant's quota. Requests of no known tenant always are.
+// take counts a request and reports whether it is within its tenant's quota. A request of no known tenant
+// always is.
 func (q *Quotas) take(now time.Duration, tenant int) bool {
 	if tenant < 0 || tenant >= len(q.buckets) {
 		return true
@@ -54,9 +59,9 @@
 	lock.Lock()
 	defer lock.Unlock()
 	b := &q.buckets[tenant]
-	elapsed := max(0, now-b.at) // another Balancer's event may have been a little later
+	elapsed := max(0, now-b.takenAt) // another Balancer's event may have been a little later
 	b.tokens = min(max(rate, 1), b.tokens+rate*elapsed.Seconds())
-	b.at = max(b.at, now)
+	b.takenAt = max(b.takenAt, now)
 	if b.tokens < 1 {
 		return false
 	}
@@ -64,17 +69,17 @@
 	return true
 }
 
-// Restore takes over what is left in the buckets of another table of the same node, as far as was gives a tenant's
-// place there; below 0: it has none. It is called before the table is used.
-func (q *Quotas) Restore(from *Quotas, was func(tenant int) int) {
+// Restore copies the buckets of an earlier table of the same node. earlierIndex gives a tenant's index in
+// that table; below 0: it has none. Restore must be called before the table is used.
+func (q *Quotas) Restore(earlier *Quotas, earlierIndex func(tenant int) int) {
 	for i := range q.buckets {
-		before := was(i)
-		if before < 0 || before >= len(from.buckets) {
+		from := earlierIndex(i)
+		if from < 0 || from >= len(earlier.buckets) {
 			continue
 		}
-		lock := &from.locks[before%quotaStripes]
+		lock := &earlier.locks[from%quotaStripes]
 		lock.Lock()
-		q.buckets[i] = from.buckets[before]
+		q.buckets[i] = earlier.buckets[from]
 		lock.Unlock()
 	}
 }
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -27,7 +27,7 @@
 	return true
 }
 
-// A table says what a plain bucket for each tenant says, on drawn histories.
+// Quotas agrees with a plain bucket for each tenant on random histories.
 func TestQuotasAgreeWithPlainBuckets(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -55,7 +55,7 @@
 	}
 }
 
-// Balancers that share a table share its quotas: guards against a tenant that has its whole quota in each cluster.
+// Balancers that share a table share its quotas: guards against a tenant with its full quota in each cluster.
 func TestBalancersShareQuotas(t *testing.T) {
 	const quota, clusters = 10, 5
 	quotas, err := NewQuotas([]Tenant{{QuotaPerS: quota}}, 1)
@@ -81,13 +81,13 @@
 	set.OverQuotaWeight, set.Quotas = 0.05, quotas
 	r := newRig(t, set, 1)
 	r.b.Request(time.Hour, Request{ID: 1, TimeRemaining: time.Second})
-	if worth := r.b.requests[1].worth; worth != set.Classes[0].PriorityWeight*0.05 {
-		t.Errorf("a request beyond a quota that others used up is worth %v", worth)
+	if weight := r.b.requests[1].weight; weight != set.Classes[0].PriorityWeight*0.05 {
+		t.Errorf("a request beyond a quota that others used up has weight %v", weight)
 	}
 }
 
-// What is left of a quota goes on with its tenant, and tenants that are new begin full.
-func TestQuotasInherit(t *testing.T) {
+// The rest of a quota passes on with its tenant, and new tenants begin with full buckets.
+func TestQuotasRestore(t *testing.T) {
 	now := time.Hour
 	before, _ := NewQuotas([]Tenant{{QuotaPerS: 3}, {QuotaPerS: 3}}, 1)
 	for range 3 {
@@ -102,38 +102,3 @@
 		t.Error("a new tenant has no quota")
 	}
 }
-
-// The ring of outcomes grows with use and then says what a ring of full size says.
-func TestOutcomesGrowWithUse(t *testing.T) {
-	for seed := range uint64(20) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		s := &server{}
-		var model []outcome
-		for step := range 400 {
-			o := outcome{time.Duration(step), rng.IntN(3) > 0, rng.Float64()}
-			s.record(o.at, o.ok, o.latency)
-			if model = append(model, o); len(model) > outcomesKept {
-				model = model[1:]
-			}
-			for len(model) > 0 && rng.IntN(8) == 0 { // as tally drops what is too old
-				s.forget(s.outcome(0))
-				model = model[1:]
-			}
-			good := 0
-			for i, want := range model {
-				if *s.outcome(i) != want {
-					t.Fatalf("seed %d, step %d: outcome %d of %d is %v, want %v", seed, step, i, len(model), *s.outcome(i), want)
-				}
-				if want.ok {
-					good++
-				}
-			}
-			if s.kept != len(model) || s.good != good || len(s.ring) > outcomesKept {
-				t.Fatalf("seed %d, step %d: %d kept, %d good in a ring of %d; want %d and %d", seed, step, s.kept, s.good, len(s.ring), len(model), good)
-			}
-		}
-	}
-	if s := (&server{}); len(s.ring) != 0 {
-		t.Error("a server that was never met has room for outcomes")
-	}
-}
--- /dev/null
+++ b/policy/rate.go
@@ -0,0 +1,25 @@
+package policy
+
+import "time"
+
+// rateDecaySeconds is the time constant of a decayingRate, in seconds.
+const rateDecaySeconds = 2.0
+
+// decayingRate estimates a rate per second; older amounts lose their influence over rateDecaySeconds. The
+// zero value is a rate of 0.
+type decayingRate struct {
+	updatedAt time.Duration
+	value     float64 // per second, as of updatedAt
+}
+
+// add counts an amount, of requests or of seconds of work.
+func (d *decayingRate) add(now time.Duration, amount float64) {
+	d.value = d.perSecond(now) + amount/rateDecaySeconds
+	d.updatedAt = now
+}
+
+// perSecond returns the present rate. The decay approximates exp(-elapsed).
+func (d *decayingRate) perSecond(now time.Duration) float64 {
+	elapsed := (now - d.updatedAt).Seconds() / rateDecaySeconds
+	return d.value / (1 + elapsed + elapsed*elapsed/2)
+}
--- /dev/null
+++ b/policy/scoring_test.go
@@ -0,0 +1,99 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// Guards against taking an endpoint that rejects requests for an idle one, which attracts most
+// of the traffic while others hang.
+func TestRejectionsLowerTheScore(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	r.serve(30, 0, 20*ms)
+	id := r.request(0)
+	full := r.sendsOf(id)[0]
+	r.endAttempt(id, Rejected, 0)
+	r.advance(ms)
+	r.b.refresh(r.now)
+	for _, s := range r.b.subset.members {
+		if s.ID != full && s.score <= r.b.endpoints[full].score {
+			t.Fatalf("the full endpoint scores %.2f, another %.2f", r.b.endpoints[full].score, s.score)
+		}
+	}
+}
+
+func TestScorePrefersSuccessThenLatencyThenFewerInFlight(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	good, slow, failing := r.b.ready[0], r.b.ready[1], r.b.ready[2]
+	for range 50 {
+		good.outcomes.record(r.now, true, 1)
+		slow.outcomes.record(r.now, true, 5)
+		failing.outcomes.record(r.now, true, 1)
+		failing.outcomes.record(r.now, false, 0)
+	}
+	r.b.refresh(r.now)
+	if !(good.score > slow.score && good.score > failing.score) {
+		t.Fatalf("scores: good %.2f slow %.2f failing %.2f", good.score, slow.score, failing.score)
+	}
+	if better(good, slow) != good || better(failing, good) != good {
+		t.Fatal("the better score lost")
+	}
+	twin := &endpoint{score: good.score - scoreTie/2}
+	good.inFlight = append(good.inFlight, &attempt{})
+	if better(good, twin) != twin {
+		t.Fatal("a near-tie must go to fewer requests in flight")
+	}
+}
+
+func TestUnmeasuredEndpointScoresTheMean(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	for range 20 {
+		r.b.ready[0].outcomes.record(r.now, true, 1)
+		r.b.ready[1].outcomes.record(r.now, true, 3)
+	}
+	r.b.refresh(r.now)
+	s := r.b.ready
+	if !(s[0].score > s[2].score && s[2].score > s[1].score) {
+		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", s[0].score, s[1].score, s[2].score)
+	}
+	r.b.refresh(r.now + 2*outcomeMaxAge)
+	if s[0].score != s[1].score {
+		t.Fatal("expired outcomes still count: an endpoint that was bad once is never used again")
+	}
+}
+
+// The ring of outcomes grows with use and agrees with a plain list.
+func TestOutcomesGrowWithUse(t *testing.T) {
+	for seed := range uint64(20) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		s := &endpoint{}
+		var model []outcome
+		for step := range 400 {
+			o := outcome{time.Duration(step), rng.IntN(3) > 0, rng.Float64()}
+			s.outcomes.record(o.at, o.success, o.latency)
+			if model = append(model, o); len(model) > maxOutcomes {
+				model = model[1:]
+			}
+			for len(model) > 0 && rng.IntN(8) == 0 { // as dropExpired does
+				s.outcomes.dropOldest()
+				model = model[1:]
+			}
+			good := 0
+			for i, want := range model {
+				if *s.outcomes.at(i) != want {
+					t.Fatalf("seed %d, step %d: outcome %d of %d is %v, want %v", seed, step, i, len(model), *s.outcomes.at(i), want)
+				}
+				if want.success {
+					good++
+				}
+			}
+			if s.outcomes.count != len(model) || s.outcomes.successes != good || len(s.outcomes.ring) > maxOutcomes {
+				t.Fatalf("seed %d, step %d: %d outcomes, %d successes in a ring of %d; want %d and %d", seed, step, s.outcomes.count, s.outcomes.successes, len(s.outcomes.ring), len(model), good)
+			}
+		}
+	}
+	if s := (&endpoint{}); len(s.outcomes.ring) != 0 {
+		t.Error("an endpoint that was never used has space for outcomes")
+	}
+}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -3,15 +3,90 @@
 import (
 	"fmt"
 	"math"
-	"math/rand/v2"
 	"time"
+)
+
+// Idempotency says what a repeated attempt of a request may do (RFC 9110, section 9.2.2).
+type Idempotency uint8
+
+// The kinds of idempotency.
+const (
+	Idempotent      Idempotency = iota // may be repeated freely
+	IdempotentByKey                    // repeats are dropped inside Class.DedupScope for Class.DedupWindow
+	NotIdempotent                      // must never run twice
+)
+
+// Scope is the group of endpoints that drops repeats of a request with an idempotency key.
+type Scope uint8
 
-	"yokestall/internal/slowstart"
+// The deduplication scopes.
+const (
+	ScopeAll  Scope = iota // every endpoint
+	ScopeZone              // the endpoints of one zone
+	ScopeCell              // the endpoints of one cell
 )
 
-// Defaults gives the settings that hold where a site says nothing: no repeats
-// beyond the first attempt, no copies, no cancels, and the strictest known
-// figures for drains and cold servers.
+// Class is a class of requests.
+type Class struct {
+	Deadline            time.Duration // from the arrival, over all attempts; above 0
+	LatencyObjective    time.Duration // an answer within it has the full weight; 0: Deadline
+	ObjectiveWorkFactor float64       // multiple of Request.WorkHint that is added to the objective
+	LateWeight          float64       // share of the weight that an answer after the objective has, 0 to 1
+	PriorityWeight      float64       // weight of one request, or of one second of work (WeightPerWork)
+	Idempotency         Idempotency
+	DedupScope          Scope         // with IdempotentByKey
+	DedupWindow         time.Duration // with IdempotentByKey: how long after the first send
+	Stream              bool          // the answer is a stream; see Balancer.StreamStarted
+}
+
+// Tenant is a party with a quota.
+type Tenant struct {
+	QuotaPerS float64 // requests per second over all nodes; 0: no limit
+}
+
+// Limits are what a site permits.
+type Limits struct {
+	MaxAttempts   int           // attempts for one request, at least 1
+	AllowHedging  bool          // two attempts of a request may be in flight together
+	AllowCancel   bool          // Host.Cancel may be used
+	MaxRetryAfter time.Duration // the longest Retry-After that clients respect; 0: none is given
+}
+
+// Rules are the parameters of slow start, polling and final answers.
+type Rules struct {
+	SlowStartMinCapacity float64       // least capacity at the start, as a share of the warm one, 0 to 1
+	SlowStartWindow      time.Duration // an endpoint of this age is warm
+	OverloadMultiple     float64       // a warming endpoint that is sent this multiple of its capacity
+	OverloadDuration     time.Duration // for this long is overloaded
+	MaxPollInterval      time.Duration // with PollEndpoints: the longest time between two polls
+	AnswerGrace          time.Duration // a final answer still counts this long after the deadline
+}
+
+// Costs are in units of the weight of the whole service, for one such event per request.
+type Costs struct {
+	NewConnection float64 // a new connection to an endpoint
+	WastedWork    float64 // a request's work whose answer nobody uses
+}
+
+// Settings configure a Balancer. They do not change while it runs.
+type Settings struct {
+	NodeCount       int // nodes of this tier, this one included; at least 1
+	NodeIndex       int // of this node among them, from 0
+	Zone            int // of this node
+	Classes         []Class
+	Tenants         []Tenant
+	Quotas          *Quotas       // shared by the Balancers of a node; nil: a table of Tenants for this one
+	OverQuotaWeight float64       // factor of the weight of a request beyond its tenant's quota
+	WeightPerWork   bool          // PriorityWeight counts for each second of work instead of for each request
+	PollEndpoints   bool          // the endpoint list must be polled for; else it is pushed
+	Tick            time.Duration // the longest time between an event and its delivery
+	Limits          Limits
+	Rules           Rules
+	Costs           Costs
+}
+
+// Defaults returns the settings where a site specifies nothing: one attempt, no hedging, no cancelling, and
+// the most cautious parameters of slow start.
 func Defaults() Settings {
 	return Settings{
 		NodeCount:       1,
@@ -26,108 +101,82 @@
 	}
 }
 
-// New makes a Balancer. An impossible setting gives an error that names it.
-func New(set Settings, seed uint64, host Host) (*Balancer, error) {
-	if err := set.Check(); err != nil {
-		return nil, err
-	}
-	quotas := set.Quotas
-	if quotas == nil {
-		var err error
-		if quotas, err = NewQuotas(set.Tenants, set.NodeCount); err != nil {
-			return nil, err
-		}
-	}
-	b := &Balancer{
-		set: set, host: host, rng: rand.New(rand.NewPCG(seed, 0)), quotas: quotas,
-		servers: map[EndpointID]*server{}, requests: map[RequestID]*request{},
-		meanSuccess: 1, meanLatency: 1, refreshed: -1, watchDelay: watchAgain, sweepAt: never,
-		limit: float64(min(3, set.NodeCount)), sharers: float64(set.NodeCount), warmPart: leastPart, part: 1, again: 1,
-	}
-	b.warming = slowstart.Rules{MinCapacity: set.Rules.SlowStartMinCapacity, Window: set.Rules.SlowStartWindow, OverloadMultiple: set.Rules.OverloadMultiple, OverloadDuration: set.Rules.OverloadDuration}
-	b.set.Limits.MaxAttempts = min(set.Limits.MaxAttempts, 16) // whatever the settings allow
-	for _, c := range set.Classes {
-		if c.LatencyObjective == 0 {
-			c.LatencyObjective = c.Deadline
-		}
-		b.classes = append(b.classes, class{
-			Class: c, lone: c.LatencyObjective.Seconds() / 4, loneSeen: 1, work: c.LatencyObjective.Seconds() / 4, seen: 1,
-		})
-	}
-	for i := range b.classes {
-		if set.WeightPerWork {
-			b.classes[i].work = 1
-		}
-	}
-	b.typical = b.classes[0].lone
-	return b, nil
+// SettingError reports a setting whose value is impossible.
+type SettingError struct {
+	Field string // path of the field within Settings
+	Value any
 }
 
-// impossible is the error of a setting that makes no sense.
-func impossible(field string, v any) error {
-	return fmt.Errorf("policy: setting %s is impossible: %v", field, v)
+// Error names the field and its value.
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("policy: setting %s is impossible: %v", e.Field, e.Value)
 }
 
-// finiteFrom tells whether a number is finite and not below least; NaN is not.
-func finiteFrom(v, least float64) bool { return v >= least && !math.IsInf(v, 1) }
+// fieldCheck is the result of checking one field.
+type fieldCheck struct {
+	field string
+	value any
+	valid bool
+}
 
-// Check returns an error that names the first impossible field. Tenants are checked by NewQuotas.
+// firstInvalid returns a *SettingError for the first field that is not valid.
+func firstInvalid(checks []fieldCheck) error {
+	for _, c := range checks {
+		if !c.valid {
+			return &SettingError{Field: c.field, Value: c.value}
+		}
+	}
+	return nil
+}
+
+// Check returns a *SettingError for the first impossible field. Tenants are checked by NewQuotas.
 func (s *Settings) Check() error {
-	bad, number := impossible, finiteFrom
-	switch {
-	case s.NodeCount < 1:
-		return bad("Nodes", s.NodeCount)
-	case s.NodeIndex < 0:
-		return bad("Node", s.NodeIndex)
-	case s.Zone < 0:
-		return bad("Zone", s.Zone)
-	case len(s.Classes) == 0:
-		return bad("Classes", "none given")
-	case !number(s.OverQuotaWeight, 0):
-		return bad("OverShareWorth", s.OverQuotaWeight)
-	case s.Limits.MaxAttempts < 1:
-		return bad("Limits.MaxAttempts", s.Limits.MaxAttempts)
-	case s.Limits.MaxRetryAfter < 0:
-		return bad("Limits.MaxRetryAfter", s.Limits.MaxRetryAfter)
-	case !number(s.Rules.SlowStartMinCapacity, 0) || s.Rules.SlowStartMinCapacity > 1:
-		return bad("Rules.ColdFrom", s.Rules.SlowStartMinCapacity)
-	case s.Rules.SlowStartWindow < 0:
-		return bad("Rules.ColdFor", s.Rules.SlowStartWindow)
-	case !number(s.Rules.OverloadMultiple, 0):
-		return bad("Rules.FallMultiple", s.Rules.OverloadMultiple)
-	case s.Rules.OverloadDuration < 0:
-		return bad("Rules.FallFor", s.Rules.OverloadDuration)
-	case !number(s.Costs.NewConnection, 0):
-		return bad("Prices.Handshake", s.Costs.NewConnection)
-	case !number(s.Costs.WastedWork, 0):
-		return bad("Prices.Waste", s.Costs.WastedWork)
-	case s.Tick < 0:
-		return bad("Tick", s.Tick)
-	case s.Rules.AnswerGrace < 0:
-		return bad("Rules.AnswerGrace", s.Rules.AnswerGrace)
-	case s.Rules.MaxPollInterval < 0:
-		return bad("Rules.MustAsk", s.Rules.MaxPollInterval)
+	limits, rules, costs := &s.Limits, &s.Rules, &s.Costs
+	err := firstInvalid([]fieldCheck{
+		{"NodeCount", s.NodeCount, s.NodeCount >= 1},
+		{"NodeIndex", s.NodeIndex, s.NodeIndex >= 0},
+		{"Zone", s.Zone, s.Zone >= 0},
+		{"Classes", "none given", len(s.Classes) > 0},
+		{"OverQuotaWeight", s.OverQuotaWeight, finiteNonNegative(s.OverQuotaWeight)},
+		{"Limits.MaxAttempts", limits.MaxAttempts, limits.MaxAttempts >= 1},
+		{"Limits.MaxRetryAfter", limits.MaxRetryAfter, limits.MaxRetryAfter >= 0},
+		{"Rules.SlowStartMinCapacity", rules.SlowStartMinCapacity, isShare(rules.SlowStartMinCapacity)},
+		{"Rules.SlowStartWindow", rules.SlowStartWindow, rules.SlowStartWindow >= 0},
+		{"Rules.OverloadMultiple", rules.OverloadMultiple, finiteNonNegative(rules.OverloadMultiple)},
+		{"Rules.OverloadDuration", rules.OverloadDuration, rules.OverloadDuration >= 0},
+		{"Costs.NewConnection", costs.NewConnection, finiteNonNegative(costs.NewConnection)},
+		{"Costs.WastedWork", costs.WastedWork, finiteNonNegative(costs.WastedWork)},
+		{"Tick", s.Tick, s.Tick >= 0},
+		{"Rules.AnswerGrace", rules.AnswerGrace, rules.AnswerGrace >= 0},
+		{"Rules.MaxPollInterval", rules.MaxPollInterval, rules.MaxPollInterval >= 0},
+	})
+	if err != nil {
+		return err
 	}
-	for i, c := range s.Classes {
-		field := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
-		switch {
-		case c.Deadline <= 0:
-			return bad(field("Deadline"), c.Deadline)
-		case c.LatencyObjective < 0:
-			return bad(field("Aim"), c.LatencyObjective)
-		case !number(c.ObjectiveWorkFactor, 0):
-			return bad(field("AimStretch"), c.ObjectiveWorkFactor)
-		case !number(c.LateWeight, 0) || c.LateWeight > 1:
-			return bad(field("LateWorth"), c.LateWeight)
-		case !number(c.PriorityWeight, 0):
-			return bad(field("Worth"), c.PriorityWeight)
-		case c.Idempotency > NotIdempotent:
-			return bad(field("Effect"), c.Idempotency)
-		case c.DedupScope > ScopeCell:
-			return bad(field("Scope"), c.DedupScope)
-		case c.DedupWindow < 0:
-			return bad(field("Window"), c.DedupWindow)
+	for i := range s.Classes {
+		if err := s.Classes[i].check(fmt.Sprintf("Classes[%d].", i)); err != nil {
+			return err
 		}
 	}
 	return nil
 }
+
+// check returns a *SettingError for the first impossible field; path is put before the field's name.
+func (c *Class) check(path string) error {
+	return firstInvalid([]fieldCheck{
+		{path + "Deadline", c.Deadline, c.Deadline > 0},
+		{path + "LatencyObjective", c.LatencyObjective, c.LatencyObjective >= 0},
+		{path + "ObjectiveWorkFactor", c.ObjectiveWorkFactor, finiteNonNegative(c.ObjectiveWorkFactor)},
+		{path + "LateWeight", c.LateWeight, isShare(c.LateWeight)},
+		{path + "PriorityWeight", c.PriorityWeight, finiteNonNegative(c.PriorityWeight)},
+		{path + "Idempotency", c.Idempotency, c.Idempotency <= NotIdempotent},
+		{path + "DedupScope", c.DedupScope, c.DedupScope <= ScopeCell},
+		{path + "DedupWindow", c.DedupWindow, c.DedupWindow >= 0},
+	})
+}
+
+// finiteNonNegative reports whether v is a finite number of at least 0; NaN is not.
+func finiteNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
+
+// isShare reports whether v is from 0 to 1; NaN is not.
+func isShare(v float64) bool { return v >= 0 && v <= 1 }
--- /dev/null
+++ b/policy/snapshot_test.go
@@ -0,0 +1,114 @@
+package policy
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// predecessor has used its endpoints, of which the first fails every attempt and has an open breaker
+// with 6 s to go.
+func predecessor(t *testing.T) *rig {
+	t.Helper()
+	r := newRig(t, testSettings(), 4)
+	for range 400 {
+		id := r.request(0)
+		r.advance(10 * ms)
+		for r.done[id] < len(r.sendsOf(id)) {
+			status := OK
+			if r.sendsOf(id)[r.done[id]] == 1 {
+				status = ErrorResponse
+			}
+			r.endAttempt(id, status, 10*ms)
+		}
+	}
+	bad := r.b.endpoints[1]
+	bad.breaker.state, bad.breaker.openDuration, bad.breaker.reopenAt = breakerOpen, 8*time.Second, r.now+6*time.Second
+	return r
+}
+
+// What of a snapshot counts by its age: outcomes by their own age, the breaker's time goes on, the
+// limit by half in restoreHalfLife; nothing of an endpoint that has restarted since, nor where the
+// successor has outcomes of its own. A successor without a snapshot knows nothing.
+func TestRestore(t *testing.T) {
+	d := predecessor(t)
+	k := d.b.Snapshot(d.now)
+	k.Load.ConcurrencyLimit = 20
+	for _, c := range []struct {
+		name  string
+		age   time.Duration
+		limit float64
+		open  time.Duration // until the bad endpoint's trial
+		count bool          // outcomes of the others count
+	}{
+		{"at once", 0, 20, 6 * time.Second, true},
+		{"some seconds old", restoreHalfLife / 2, 1 + 19*math.Sqrt(0.5), time.Second, true},
+		{"as old as outcomes last", restoreHalfLife, 1 + 19/2., 0, false},
+		{"older", 2 * restoreHalfLife, 1 + 19/4., 0, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newRig(t, testSettings(), 4)
+			h.now = d.now
+			h.update(DeltaUpdate, Endpoint{ID: 3, State: Ready, Weight: 1, StartedAt: h.now})
+			h.b.endpoints[4].outcomes.record(h.now, true, 1)
+			h.b.Restore(h.now, k, c.age)
+			h.b.refresh(h.now)
+			if math.Abs(h.b.concurrency.limit-c.limit) > 1e-9 {
+				t.Errorf("limit %v, want %v", h.b.concurrency.limit, c.limit)
+			}
+			s := h.b.endpoints
+			if s[1].breaker.state == breakerClosed || s[1].breaker.reopenAt-h.now != c.open || (s[1].breaker.state == breakerHalfOpen) != (c.open == 0) {
+				t.Errorf("breaker %v, a trial in %v, want in %v", s[1].breaker.state, s[1].breaker.reopenAt-h.now, c.open)
+			}
+			if got := s[2].outcomes.count > 0; got != c.count {
+				t.Errorf("outcomes count: %v", got)
+			}
+			if s[3].outcomes.count > 0 || s[4].outcomes.count != 1 {
+				t.Errorf("%d outcomes of a former process count, %d of an endpoint that the successor has used", s[3].outcomes.count, s[4].outcomes.count)
+			}
+			if again := h.b.Snapshot(h.now); c.age == 0 && (math.Abs(again.Load.TypicalLatency-k.Load.TypicalLatency) > 1e-9 ||
+				again.Endpoints[1].RecentOutcomes[0].Successes != k.Endpoints[1].RecentOutcomes[0].Successes) {
+				t.Errorf("the successor's snapshot is %+v, the predecessor's was %+v", again, k)
+			}
+		})
+	}
+	sentToBad := func(h *rig) (n int) {
+		h.now = d.now
+		h.serve(40, 0, 10*ms)
+		for _, s := range h.h.sends {
+			if s.endpoint == 1 {
+				n++
+			}
+		}
+		return n
+	}
+	blank, successor := newRig(t, testSettings(), 4), newRig(t, testSettings(), 4)
+	successor.b.Restore(d.now, k, 0)
+	if b, h := sentToBad(blank), sentToBad(successor); h > 0 || b == 0 {
+		t.Errorf("%d sends to the bad endpoint, %d without a snapshot", h, b)
+	}
+}
+
+// What was learnt of classes and of the load counts by the share of the present endpoints that it was learnt on.
+func TestRestoreFromOtherMachines(t *testing.T) {
+	d := predecessor(t) // of endpoints 1 to 4
+	k := d.b.Snapshot(d.now)
+	k.Load.ConcurrencyLimit, k.Classes[0].UnloadedLatency, k.Classes[0].UnloadedSamples = 21, 4, 100
+	for _, c := range []struct {
+		first, last int // endpoints of the successor
+		share       float64
+	}{{1, 4, 1}, {3, 6, 0.5}, {11, 14, 0}} {
+		h := newRig(t, testSettings(), 0)
+		h.now = d.now
+		h.update(FullUpdate, ready(c.first, c.last)...)
+		class, limit := &h.b.classes[0], h.b.concurrency.limit
+		before := class.unloadedLatency
+		h.b.Restore(h.now, k, 0)
+		if want := limit + (21-limit)*c.share; math.Abs(h.b.concurrency.limit-want) > 1e-9 {
+			t.Errorf("endpoints %d to %d: limit %v, want %v", c.first, c.last, h.b.concurrency.limit, want)
+		}
+		if want := before + (4-before)*c.share; math.Abs(class.unloadedLatency-want) > 1e-9 || class.unloadedSamples != max(1, 100*c.share) {
+			t.Errorf("endpoints %d to %d: an unloaded request takes %v by %v answers, want %v", c.first, c.last, class.unloadedLatency, class.unloadedSamples, want)
+		}
+	}
+}
