--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -52,7 +52,9 @@
 // play sends an endpoint a demand from several nodes, as far as their budgets allow; without budgets if unlimited.
 // known is the throughput that the nodes know of warm endpoints. It returns the largest multiple of its capacity that
 // the endpoint was sent, and the share of its capacity that was used.
-func play(r *Rules, seed uint64, nodes int, capacity, demand, known float64, unlimited bool) (multiple, served float64) {
+func play(
+	r *Rules, seed uint64, nodes int, capacity, demand, known float64, unlimited bool,
+) (multiple, served float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const work = 0.02
 	s := &endpoint{rules: r, capacity: capacity, started: time.Second}
@@ -74,7 +76,8 @@
 			node = rng.IntN(nodes)
 		}
 		b := &budgets[node]
-		if b.Allows(r, now, r.FixedRate(known/float64(nodes), r.CapacityShare(now, s.started)), work, inFlight[node]) || unlimited {
+		rate := r.FixedRate(known/float64(nodes), r.CapacityShare(now, s.started))
+		if b.Allows(r, now, rate, work, inFlight[node]) || unlimited {
 			b.Sent(work)
 			inFlight[node] += work
 			answers = append(answers, done{s.take(now, work), node})
@@ -112,7 +115,8 @@
 					demand := 6 * tc.capacity
 					multiple, served := play(r, seed, nodes, tc.capacity, demand, tc.known, false)
 					if multiple > 1.05*r.OverloadMultiple || served < tc.least {
-						t.Fatalf("%d nodes, %s, seed %d: sent %.2f times its capacity (at most %v and a twentieth for chance), %.2f of it used",
+						t.Fatalf("%d nodes, %s, seed %d: sent %.2f times its capacity "+
+							"(at most %v and a twentieth for chance), %.2f of it used",
 							nodes, tc.name, seed, multiple, r.OverloadMultiple, served)
 					}
 				}
@@ -144,7 +148,8 @@
 	for i := range 1000 {
 		b.Answered(r, time.Hour+time.Duration(i)*time.Millisecond, 0.001)
 	}
-	if most := r.GrowthFactor() * r.OverloadDuration.Seconds() * creditShare; b.earnedCredit > most || !b.Allows(r, time.Hour, 1, 0.02, 0) || b.FixedCredit() > creditShare {
+	most := r.GrowthFactor() * r.OverloadDuration.Seconds() * creditShare
+	if b.earnedCredit > most || !b.Allows(r, time.Hour, 1, 0.02, 0) || b.FixedCredit() > creditShare {
 		t.Errorf("earned credit %.3f (%.3f at most), fixed credit %.3f", b.earnedCredit, most, b.FixedCredit())
 	}
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,10 +6,11 @@
 )
 
 // Admission: which requests wait for capacity, in which order they are sent, and which are shed. A request
-// that cannot be sent at once waits in a queue, ordered by weight for the expected work. Load is shed early:
-// a request that can probably no longer be answered within its objective is given up while the client can
-// still try elsewhere. What stands ahead of it in the queue is served at the pace at which answers free
-// capacity (Little's law, 1961).
+// that cannot be sent at once waits in a queue, ordered by weight for the expected work. Its inputs are
+// weights, expected latencies, deadlines and the requests in flight. Load is shed early: a request that can
+// probably no longer be answered within its objective is given up while the client can still try elsewhere.
+// What stands ahead of it in the queue is served at the pace at which answers free capacity (Little's law,
+// 1961).
 
 const (
 	// shedMargin is the multiple of the expected latency that must fit before the objective deadline.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -26,7 +26,8 @@
 }
 
 // Guards against queueing a keyed request that no endpoint may get any more: the window of its first attempt
-// is over, or no endpoint in its scope is left. It is answered at once, rejected where its scope is all endpoints.
+// is over, or no endpoint in its scope is left. It is answered at once, rejected where its scope is all
+// endpoints.
 func TestNothingIsQueuedThatNoEndpointMayGet(t *testing.T) {
 	for name, c := range map[string]struct {
 		scope     Scope
@@ -77,8 +78,8 @@
 	}
 }
 
-// Guards against saturation at the endpoints: requests beyond their capacity are queued, and
-// those that would be late are rejected while the client can still try elsewhere.
+// Guards against saturation at the endpoints: requests beyond their capacity are queued, and those that would
+// be late are rejected while the client can still try elsewhere.
 func TestRequestsBeyondTheLimitQueueAndAreShedInTime(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 10 {
@@ -118,8 +119,8 @@
 	}
 }
 
-// Guards against waiting so long that the answer comes late, where a node does not see
-// how long others' requests wait: work is wasted, and saturates the endpoints.
+// Guards against waiting so long that the answer comes late, where a node does not see how long others'
+// requests wait: work is wasted, and saturates the endpoints.
 func TestThinTrafficShedsBeforeAnAnswerBarelyFits(t *testing.T) {
 	for _, tc := range []struct {
 		nodes int
--- a/policy/circuitbreaker.go
+++ b/policy/circuitbreaker.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Circuit breaker: whether an endpoint is ejected (Nygard, Release It!; Envoy's outlier detection). A run of
-// consecutive failures within failureWindow opens the breaker, unless the endpoint's baseline failure rate
-// explains the run. An open breaker turns half-open after a time that doubles with each failed trial, and
-// then admits one request, the trial: its answer closes the breaker, its failure opens it again. Failures
-// that may be slowness alone open no breaker once half of the subset is ejected: when all endpoints are slow
-// together, ejecting them would reject everything.
+// Circuit breaker: whether an endpoint is ejected (Nygard, Release It!; Envoy's outlier detection). Its
+// inputs are the times of failures, the outcomes in the window of scoring.go, and the number of ejected
+// endpoints. A run of consecutive failures within failureWindow opens the breaker, unless the endpoint's
+// baseline failure rate explains the run. An open breaker turns half-open after a time that doubles with each
+// failed trial, and then admits one request, the trial: its answer closes the breaker, its failure opens it
+// again. Failures that may be slowness alone open no breaker once half of the subset is ejected: when all
+// endpoints are slow together, ejecting them would reject everything.
 
 const (
 	// failuresToOpen is the run of consecutive failures that opens a breaker.
--- a/policy/circuitbreaker_test.go
+++ b/policy/circuitbreaker_test.go
@@ -95,9 +95,9 @@
 	}
 }
 
-// Where attempts fail at all endpoints alike, as when connections break, runs of failures
-// occur by chance and say nothing of their endpoint: each breaker that opens removes what
-// the endpoint still serves. An endpoint with a low baseline is ejected after the fifth.
+// Where attempts fail at all endpoints alike, as when connections break, runs of failures occur by chance and
+// say nothing of their endpoint: each breaker that opens removes what the endpoint still serves. An endpoint
+// with a low baseline is ejected after the fifth.
 func TestBaselineFailuresOpenNoBreaker(t *testing.T) {
 	outcomes := func(b *Balancer, s *endpoint, now time.Duration, pattern string) {
 		for _, c := range pattern {
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -8,11 +8,12 @@
 // Concurrency limit: how many requests this node may have in flight. The capacity of the endpoints is not
 // announced, but queueing at them shows as latency inflation: requests take longer than unloaded ones. The
 // limit is per endpoint, over all nodes that share it, and is adjusted with each answer as TCP Vegas and
-// Netflix's concurrency-limits do. It grows while requests wait for capacity and the inflation is below
-// targetInflation, and shrinks above it, but not far below the last limit known to be good: a fleet that is
-// slow as a whole looks the same as a saturated one. With thin traffic, bursts of the own requests say
-// little; there the mean in flight is bounded, and the limit may fall below one request for each endpoint, so
-// that saturated endpoints recover.
+// Netflix's concurrency-limits do. Its inputs are latencyInflation (a logarithm), typicalLatency (seconds),
+// the requests in flight, the queue and the nodes per endpoint. The limit grows while requests wait for
+// capacity and the inflation is below targetInflation, and shrinks above it, but not far below the last limit
+// known to be good: a fleet that is slow as a whole looks the same as a saturated one. With thin traffic,
+// bursts of the own requests say little; there the mean in flight is bounded, and the limit may fall below
+// one request for each endpoint, so that saturated endpoints recover.
 
 const (
 	// targetInflation is the logarithm of the latency over the unloaded latency above which endpoints count
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// Guards against many nodes that each grow their limit in bursts of their own, which come at
-// different times, and then all use it at once: what counts is what endpoints manage from all
-// nodes together. A single node observes it by its own requests.
+// Guards against many nodes that each grow their limit in bursts of their own, which come at different times,
+// and then all use it at once: what counts is what endpoints manage from all nodes together. A single node
+// observes it by its own requests.
 func TestLimitGrowsToWhatAllNodesObserve(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -56,7 +56,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r, b := newLimitRig(t)
-			b.subset.nodesPerEndpoint, b.concurrency.inFlight, b.concurrency.meanInFlight = tc.nodes, tc.inFlight, tc.mean
+			b.subset.nodesPerEndpoint = tc.nodes
+			b.concurrency.inFlight, b.concurrency.meanInFlight = tc.inFlight, tc.mean
 			adjustFor(b, r.now, 30*time.Second, 0)
 			if b.concurrency.limit < tc.least || b.concurrency.limit > tc.below {
 				t.Errorf("limit %.1f, want %g to %g", b.concurrency.limit, tc.least, tc.below)
@@ -65,8 +66,8 @@
 	}
 }
 
-// Guards against a limit that doubles before the answers that would show saturation have come:
-// a node with few answers learns of it that much later.
+// Guards against a limit that doubles before the answers that would show saturation have come: a node with
+// few answers learns of it that much later.
 func TestLimitGrowsInStepWithAnswers(t *testing.T) {
 	grown := func(answers int) float64 {
 		r, b := newLimitRig(t)
@@ -83,8 +84,8 @@
 	}
 }
 
-// Guards against endpoints that complete less the more they have in flight, and against a fleet
-// that is slow as a whole starving itself.
+// Guards against endpoints that complete less the more they have in flight, and against a fleet that is slow
+// as a whole starving itself.
 func TestLimitShrinksButNotFarBelowTheLastGoodOne(t *testing.T) {
 	r, b := newLimitRig(t)
 	b.concurrency.saturated, b.concurrency.limit, b.concurrency.lastGood = true, 8, 4
@@ -98,11 +99,12 @@
 	}
 }
 
-// Guards against a fleet of saturated endpoints that is kept saturated by many nodes with thin traffic,
-// each within a limit that was good before: the endpoints could never recover.
+// Guards against a fleet of saturated endpoints that is kept saturated by many nodes with thin traffic, each
+// within a limit that was good before: the endpoints could never recover.
 func TestThinTrafficLetsSaturatedEndpointsRecover(t *testing.T) {
 	r, b := newLimitRig(t)
-	b.concurrency.saturated, b.concurrency.limit, b.concurrency.lastGood, b.settings.NodeCount = true, 8, 8, maxInformativeNodes+1
+	b.settings.NodeCount = maxInformativeNodes + 1
+	b.concurrency.saturated, b.concurrency.limit, b.concurrency.lastGood = true, 8, 8
 	adjustFor(b, r.now, 10*time.Second, 1)
 	if b.concurrency.limit > 1 {
 		t.Fatalf("limit %v after 10 s under saturation, want under one request per endpoint", b.concurrency.limit)
@@ -119,9 +121,8 @@
 	}
 }
 
-// Guards against one request per endpoint from each of many nodes, which is saturation, and
-// against a node that waits for capacity at its own chance peaks, though all nodes together
-// are far from their limit.
+// Guards against one request per endpoint from each of many nodes, which is saturation, and against a node
+// that waits for capacity at its own chance peaks, though all nodes together are far from their limit.
 func TestThinTrafficLimitsTheMeanInFlight(t *testing.T) {
 	set := testSettings()
 	set.NodeCount = 80
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Endpoints are replaced under ever new ids. One that drains and is then missing
-// from a full update is forgotten like one that was ready.
+// Endpoints are replaced under ever new ids. One that drains and is then missing from a full update is
+// forgotten like one that was ready.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for i := 5; i < 3000; i++ {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Guards against attempts to an endpoint's former process that use up the capacity of
-// the new one though they are not answered.
+// Guards against attempts to an endpoint's former process that use up the capacity of the new one though they
+// are not answered.
 func TestRestartFreesTheCapacityOfTheFormerProcess(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	first, second := r.request(0), r.request(0)
@@ -66,8 +66,8 @@
 	}
 }
 
-// Guards against counts that go wrong when an endpoint leaves the list and comes back while
-// attempts are in flight there, and when events name what has ended.
+// Guards against counts that go wrong when an endpoint leaves the list and comes back while attempts are in
+// flight there, and when events name what has ended.
 func TestRelistedEndpointAndStaleEventsKeepCountsRight(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	first, second := r.request(0), r.request(2)
@@ -87,6 +87,7 @@
 	r.b.Outcome(r.now, Outcome{ID: 999, Attempt: 3, Status: ErrorResponse})
 	r.b.StreamStarted(r.now, 999, 0)
 	if r.b.concurrency.inFlight != 0 || len(r.b.requests) != 0 || len(r.b.openRequests) != 0 {
-		t.Fatalf("%d in flight, %d known, %d open at the end", r.b.concurrency.inFlight, len(r.b.requests), len(r.b.openRequests))
+		t.Fatalf("%d in flight, %d known, %d open at the end",
+			r.b.concurrency.inFlight, len(r.b.requests), len(r.b.openRequests))
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -21,12 +21,13 @@
 func (p *printer) SetTimer(at time.Duration, _ uint64) { p.timerAt = at }
 func (p *printer) WatchEndpoints()                     { fmt.Println("poll the endpoint list") }
 
-// A request is answered, one is retried at another endpoint and answered, and one is rejected
-// because no endpoint is left.
+// A request is answered, one is retried at another endpoint and answered, and one is rejected because no
+// endpoint is left.
 func Example() {
 	settings := policy.Defaults()
 	settings.Classes = []policy.Class{{
-		Deadline: 2 * time.Second, LatencyObjective: 500 * time.Millisecond, PriorityWeight: 1, Idempotency: policy.Idempotent,
+		Deadline: 2 * time.Second, LatencyObjective: 500 * time.Millisecond,
+		PriorityWeight: 1, Idempotency: policy.Idempotent,
 	}}
 	settings.Limits.MaxAttempts = 3
 	settings.Limits.MaxRetryAfter = time.Second
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -77,7 +77,8 @@
 	s.Classes = []Class{class, keyed, nonIdempotent}
 	s.Limits = Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true, MaxRetryAfter: time.Second}
 	s.Rules = Rules{
-		SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 3, OverloadDuration: time.Second,
+		SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second,
+		OverloadMultiple: 3, OverloadDuration: time.Second,
 		MaxPollInterval: 10 * time.Second,
 	}
 	return s
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -5,8 +5,9 @@
 // Hedging: when an attempt in flight counts as unresponsive, and gets a hedged request elsewhere beside it
 // (Dean and Barroso, The Tail at Scale, 2013). An attempt is unresponsive when it has no answer for
 // unresponsiveFactor times the expected latency and its endpoint has answered nothing else since it was sent.
-// That counts as a failure of the endpoint, long before a timeout does, and the attempt no longer counts
-// against the concurrency limit: hanging endpoints would else stop all sends.
+// Its inputs are the time since the send, the expected latency and the endpoint's last answer. An
+// unresponsive attempt counts as a failure of the endpoint, long before a timeout does, and the attempt no
+// longer counts against the concurrency limit: hanging endpoints would else stop all sends.
 
 // unresponsiveFactor is the multiple of the expected latency after which an attempt is unresponsive.
 const unresponsiveFactor = 4.0
--- a/policy/idempotency.go
+++ b/policy/idempotency.go
@@ -3,10 +3,11 @@
 import "time"
 
 // Idempotency: whether a request may have a further attempt, and where, so that no effect happens twice; and
-// whether a rejection may promise that the request had no effect. Only attempts that may have run restrict it
-// (attempt.neverRan is false, also while in flight): one of a request that is not idempotent bars any other;
-// one of a request with an idempotency key allows others within its deduplication scope and window, where the
-// endpoints drop repeats.
+// whether a rejection may promise that the request had no effect. Its inputs are the class's idempotency and
+// deduplication scope and window, and the sends and ends of the attempts. Only attempts that may have run
+// restrict it (attempt.neverRan is false, also while in flight): one of a request that is not idempotent bars
+// any other; one of a request with an idempotency key allows others within its deduplication scope and
+// window, where the endpoints drop repeats.
 
 // mayRepeatAt reports whether an attempt at the endpoint repeats no effect, whatever the earlier attempts
 // did.
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// world plays a random script against one Balancer and checks the rules on each
-// action: one final answer in time, no effect twice, no send after a notice, no
-// attempt too many.
+// world plays a random script against one Balancer and checks the rules on each action: one final answer in
+// time, no effect twice, no send after a notice, no attempt too many.
 type world struct {
 	*fakeHost
 	t        *testing.T
@@ -55,7 +54,8 @@
 		if p.class.Idempotency == NotIdempotent {
 			w.t.Errorf("%v: non-idempotent request %d sent again though it may have run", w.now, id)
 		}
-		if p.class.Idempotency == IdempotentByKey && (a.endpoint.Cell != s.Cell || w.now-a.sent >= p.class.DedupWindow) {
+		if p.class.Idempotency == IdempotentByKey &&
+			(a.endpoint.Cell != s.Cell || w.now-a.sent >= p.class.DedupWindow) {
 			w.t.Errorf("%v: keyed request %d repeated outside its scope or window", w.now, id)
 		}
 	}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -6,10 +6,11 @@
 )
 
 // Latency estimates: what a request takes on an idle endpoint, and how much longer it takes at present. The
-// first is learnt for each class and endpoint from attempts that were alone at their endpoint. It is the unit
-// of work, of scores and of the logarithm latencyInflation, by which adjustConcurrencyLimit detects queueing
-// at the endpoints, as TCP Vegas does by the round-trip time (Brakmo and Peterson, 1995). Latencies are in
-// seconds.
+// first is learnt for each class and endpoint from attempts that were alone at their endpoint. Their inputs
+// are the latencies of answers in seconds, work hints, and the capacity of warming endpoints. The unloaded
+// latency is the unit of work, of scores and of the logarithm latencyInflation, by which
+// adjustConcurrencyLimit detects queueing at the endpoints, as TCP Vegas does by the round-trip time (Brakmo
+// and Peterson, 1995). Latencies are in seconds.
 
 const (
 	// initialLatencyDivisor gives a class's first estimates: its latency objective divided by this.
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Guards against an unloaded latency that grows with the load: no other request of this node is not no other request.
+// Guards against an unloaded latency that grows with the load: no other request of this node is not no other
+// request.
 func TestUnloadedLatenciesAreLearntOnlyWithoutLoad(t *testing.T) {
 	set := testSettings()
 	set.NodeCount = 7
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -3,12 +3,13 @@
 import "time"
 
 // Outcomes: what the end of an attempt says of its endpoint, for its score, its breaker, its latency
-// estimates and its slow-start budget. An error, a broken connection and a refused connection are failures.
-// An endpoint that answered lately and now refuses connections is out of connections, not down: that is a
-// rejection. A rejection costs score, since a full endpoint would else look idle and attract requests, but
-// does not count towards opening the breaker. A second one in a row also pauses the endpoint: a full endpoint
-// always has capacity by the node's own count. A single one does not, because many endpoints that reject a
-// few each would all pause at once.
+// estimates and its slow-start budget. Its inputs are the status and the latency of the attempt, and the
+// endpoint's recent answers and rejections. An error, a broken connection and a refused connection are
+// failures. An endpoint that answered lately and now refuses connections is out of connections, not down:
+// that is a rejection. A rejection costs score, since a full endpoint would else look idle and attract
+// requests, but does not count towards opening the breaker. A second one in a row also pauses the endpoint: a
+// full endpoint always has capacity by the node's own count. A single one does not, because many endpoints
+// that reject a few each would all pause at once.
 
 const (
 	// aliveAfterAnswer is the time after an answer in which a refused connection counts as a rejection.
--- a/policy/outcomes_test.go
+++ b/policy/outcomes_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Guards against pauses at every endpoint where many reject a request now and then: all pause
-// at once, and what waits for capacity is shed though endpoints have some.
+// Guards against pauses at every endpoint where many reject a request now and then: all pause at once, and
+// what waits for capacity is shed though endpoints have some.
 func TestSingleRejectionPausesNoEndpoint(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	r.serve(30, 0, 20*ms)
@@ -50,14 +50,18 @@
 	}
 }
 
-// Guards against ejecting endpoints that are out of connections as if they were dead, by all nodes at
-// once: an endpoint that answers on its open connections is only full.
+// Guards against ejecting endpoints that are out of connections as if they were dead, by all nodes at once:
+// an endpoint that answers on its open connections is only full.
 func TestRefusedConnectionsAfterAnAnswerAreRejections(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		answer time.Duration // this long before each refused connection; 0: none lately
 		opens  bool
-	}{{"dead", 0, true}, {"out of connections", aliveAfterAnswer / 2, false}, {"died a while ago", 2 * aliveAfterAnswer, true}} {
+	}{
+		{"dead", 0, true},
+		{"out of connections", aliveAfterAnswer / 2, false},
+		{"died a while ago", 2 * aliveAfterAnswer, true},
+	} {
 		r := newRig(t, testSettings(), 3)
 		r.serve(60, 0, 20*ms)
 		r.advance(2 * aliveAfterAnswer)
@@ -67,7 +71,8 @@
 			if tc.answer > 0 {
 				s.lastAnswerAt = r.now - tc.answer
 			}
-			r.b.recordOutcome(r.now, q, &attempt{endpoint: s, request: q, sentAt: r.now}, Outcome{Status: ConnectFailed})
+			a := &attempt{endpoint: s, request: q, sentAt: r.now}
+			r.b.recordOutcome(r.now, q, a, Outcome{Status: ConnectFailed})
 		}
 		if (s.breaker.state == breakerOpen) != tc.opens {
 			t.Errorf("%s: breaker open %v, want %v", tc.name, s.breaker.state == breakerOpen, tc.opens)
@@ -75,8 +80,8 @@
 	}
 }
 
-// An endpoint that refuses connections soon after an answer is out of them, but not for as long as it
-// answers nothing at all: then it is dead, and its breaker opens.
+// An endpoint that refuses connections soon after an answer is out of them, but not for as long as it answers
+// nothing at all: then it is dead, and its breaker opens.
 func TestRefusedConnectionsOfADeadServer(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	r.serve(50, 0, 10*ms)
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -3,10 +3,10 @@
 import "time"
 
 // Polling of the endpoint list, where it is not pushed (Settings.PollEndpoints): when WatchEndpoints is
-// called. Nodes start together at times, and discovery fails for all of them together when it has too many
-// callers. So the first poll is spread over a time that grows with the number of nodes, and the delay after a
-// failure grows exponentially and is randomized by half either way. The host polls again after each
-// successful response.
+// called. Its inputs are the number of nodes, Settings.Rules.MaxPollInterval and failures in a row. Nodes
+// start together at times, and discovery fails for all of them together when it has too many callers. So the
+// first poll is spread over a time that grows with the number of nodes, and the delay after a failure grows
+// exponentially and is randomized by half either way. The host polls again after each successful response.
 
 const (
 	// minPollBackoff is the mean delay after the first failed poll; it doubles with each further one.
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// Guards against all nodes polling discovery at one moment, when they start together and again
-// after each poll that it rejected: it can answer one poll from every node in a few seconds,
-// and one that waits for over two fails. A node serves by its cached list meanwhile.
+// Guards against all nodes polling discovery at one moment, when they start together and again after each
+// poll that it rejected: it can answer one poll from every node in a few seconds, and one that waits for over
+// two fails. A node serves by its cached list meanwhile.
 func TestPollsOfManyNodesAreSpread(t *testing.T) {
 	const nodes, perSecond = 80, 25 // that discovery can answer
 	var polls []time.Duration
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Quotas: whether a request is within its tenant's quota (a token bucket, as in RFC 2697). A request beyond
-// it is not rejected for that: its weight is multiplied by Settings.OverQuotaWeight, so that it waits behind
-// the others and is shed first when there is no capacity for all.
+// Quotas: whether a request is within its tenant's quota (a token bucket, as in RFC 2697). Its inputs are the
+// quotas in requests per second over all nodes, and the number of nodes. A request beyond its quota is not
+// rejected for that: its weight is multiplied by Settings.OverQuotaWeight, so that it waits behind the others
+// and is shed first when there is no capacity for all.
 
 // quotaStripes is the number of locks that the buckets of a Quotas share.
 const quotaStripes = 64
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -19,15 +19,16 @@
 		for len(r.sendsOf(id)) < 2 { // the first endpoint is unresponsive
 			r.advance(10 * ms)
 		}
-		r.b.Outcome(r.now, Outcome{ID: id, Attempt: 1, Endpoint: r.sendsOf(id)[1], Status: OK, RequestDone: true, Latency: 20 * ms})
+		r.b.Outcome(r.now, Outcome{ID: id, Attempt: 1, Endpoint: r.sendsOf(id)[1], Status: OK,
+			RequestDone: true, Latency: 20 * ms})
 		if r.h.cancels != tc.cancels {
 			t.Errorf("%+v: %d cancels, want %d", tc.costs, r.h.cancels, tc.cancels)
 		}
 	}
 }
 
-// Guards against a final answer after the grace: sweeps come every 10 ms, a grace may
-// be shorter, and a tick may be longer than either.
+// Guards against a final answer after the grace: sweeps come every 10 ms, a grace may be shorter, and a tick
+// may be longer than either.
 func TestAnswerComesInTimeWhateverTheTick(t *testing.T) {
 	for _, tick := range []time.Duration{ms, 5 * ms, 50 * ms} {
 		set := testSettings()
@@ -78,8 +79,12 @@
 		incomplete()
 	}
 	r.advance(time.Minute) // slow clients
-	if len(s.inFlight) != 20 || b.concurrency.inFlight != 0 || s.breaker.state != breakerClosed || len(s.breaker.failures) > 0 || len(b.openRequests) != 20 {
-		t.Fatalf("%d of 20 were sent, %d count as load; breaker %v, %d failures, %d open", len(s.inFlight), b.concurrency.inFlight, s.breaker.state, len(s.breaker.failures), len(b.openRequests))
+	if len(s.inFlight) != 20 || b.concurrency.inFlight != 0 || len(b.openRequests) != 20 {
+		t.Fatalf("%d of 20 were sent, %d count as load, %d are open",
+			len(s.inFlight), b.concurrency.inFlight, len(b.openRequests))
+	}
+	if s.breaker.state != breakerClosed || len(s.breaker.failures) > 0 {
+		t.Fatalf("breaker %v, %d failures", s.breaker.state, len(s.breaker.failures))
 	}
 	r.endAttempt(1, OK, time.Minute) // answered before its end
 	if b.classes[0].unloadedLatency != unloadedLatency {
@@ -109,6 +114,7 @@
 	b.BodyComplete(r.now, orphan, time.Second)
 	r.endAttempt(orphan, Reset, ms)
 	if s := b.endpoints[1]; s.incompleteBodies != 0 || b.concurrency.inFlight != 0 || len(s.inFlight) != 0 {
-		t.Errorf("%d incomplete, %d in flight, %d at the endpoint", s.incompleteBodies, b.concurrency.inFlight, len(s.inFlight))
+		t.Errorf("%d incomplete, %d in flight, %d at the endpoint",
+			s.incompleteBodies, b.concurrency.inFlight, len(s.inFlight))
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,9 +7,10 @@
 
 // Retries: whether a request whose attempts have all ended gets another one, and after which backoff. It does
 // while attempts are left, its idempotency permits, an untried endpoint is left, the backoff and an answer
-// fit before the last useful time, and the retry budget allows it. The backoff doubles with each attempt and
-// is randomized. The budget is for outages in which nothing can be reached: when next to no retry succeeds,
-// most are not made (client-side throttling, Site Reliability Engineering, chapter 21).
+// fit before the last useful time, and the retry budget allows it. Its inputs are the ends of the attempts,
+// the class's latency objective and the success rate of recent retries (0 to 1). The backoff doubles with
+// each attempt and is randomized. The budget is for outages in which nothing can be reached: when next to no
+// retry succeeds, most are not made (client-side throttling, Site Reliability Engineering, chapter 21).
 
 const (
 	// firstBackoffShare is the first backoff as a share of the class's latency objective.
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Guards against queueing a request until its deadline when every listed endpoint was tried; and
-// against giving up one that never reached an endpoint, since the list may be about to change.
+// Guards against queueing a request until its deadline when every listed endpoint was tried; and against
+// giving up one that never reached an endpoint, since the list may be about to change.
 func TestGivesUpWhenEveryEndpointWasTried(t *testing.T) {
 	for status, given := range map[Status]bool{ErrorResponse: true, Reset: true, ConnectFailed: false, NeverSent: false} {
 		r := newRig(t, testSettings(), 2)
@@ -50,8 +50,8 @@
 	}
 }
 
-// Where nothing can be reached, retries stop except for one in sixteen; as soon as some succeed, all
-// are made again.
+// Where nothing can be reached, retries stop except for one in sixteen; as soon as some succeed, all are made
+// again.
 func TestHopelessAttemptsStop(t *testing.T) {
 	r := newRig(t, testSettings(), 40)
 	record := func(n int, status Status) {
--- a/policy/scoring.go
+++ b/policy/scoring.go
@@ -5,9 +5,10 @@
 // Scoring: how good an endpoint is at present, from 0 to 1. The score is the weighted sum of its success rate
 // and of its latency, which counts relative to the highest latency in the subset. Both come from the
 // endpoint's recent outcomes and are drawn towards the subset's means by priorOutcomes (a Bayesian average),
-// so that an endpoint without outcomes stands at the means. Outcomes expire: an endpoint that is avoided for
-// its score is forgotten after outcomeMaxAge and tried again. Latencies count as multiples of the unloaded
-// latency of their requests, so that classes compare.
+// so that an endpoint without outcomes stands at the means. Its inputs are the last maxOutcomes outcomes of
+// each endpoint, with latencies as multiples of the unloaded latency of their requests, so that classes
+// compare. Outcomes expire: an endpoint that is avoided for its score is forgotten after outcomeMaxAge and
+// tried again.
 
 const (
 	// maxOutcomes is the number of outcomes by which an endpoint is scored.
--- a/policy/scoring_test.go
+++ b/policy/scoring_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against taking an endpoint that rejects requests for an idle one, which attracts most
-// of the traffic while others hang.
+// Guards against taking an endpoint that rejects requests for an idle one, which attracts most of the traffic
+// while others hang.
 func TestRejectionsLowerTheScore(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.serve(30, 0, 20*ms)
@@ -82,14 +82,17 @@
 			good := 0
 			for i, want := range model {
 				if *s.outcomes.at(i) != want {
-					t.Fatalf("seed %d, step %d: outcome %d of %d is %v, want %v", seed, step, i, len(model), *s.outcomes.at(i), want)
+					t.Fatalf("seed %d, step %d: outcome %d of %d is %v, want %v",
+						seed, step, i, len(model), *s.outcomes.at(i), want)
 				}
 				if want.success {
 					good++
 				}
 			}
-			if s.outcomes.count != len(model) || s.outcomes.successes != good || len(s.outcomes.ring) > maxOutcomes {
-				t.Fatalf("seed %d, step %d: %d outcomes, %d successes in a ring of %d; want %d and %d", seed, step, s.outcomes.count, s.outcomes.successes, len(s.outcomes.ring), len(model), good)
+			w := &s.outcomes
+			if w.count != len(model) || w.successes != good || len(w.ring) > maxOutcomes {
+				t.Fatalf("seed %d, step %d: %d outcomes, %d successes in a ring of %d; want %d and %d",
+					seed, step, w.count, w.successes, len(w.ring), len(model), good)
 			}
 		}
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -5,9 +5,10 @@
 // Selection: which endpoint the next attempt of a request goes to. A half-open endpoint gets its trial first.
 // The first attempt goes to an endpoint that was sent nothing since its start, or to the better of two random
 // candidates (Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 2001); a retry or a hedged
-// request goes to the best one, since it is the last chance. Candidates are the endpoints of the subset with
-// a closed breaker and capacity that pass maySend. Those that are too early in slow start to answer within
-// the objective come second.
+// request goes to the best one, since it is the last chance. Its inputs are the scores (0 to 1), this node's
+// requests in flight, the limits of concurrencylimit.go and slowstart.go, and the time to the objective
+// deadline. Candidates are the endpoints of the subset with a closed breaker and capacity that pass maySend.
+// Those that are too early in slow start to answer within the objective come second.
 
 const (
 	// scoreTie is the difference of scores up to which fewer requests in flight decide.
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// An endpoint that returns to service gets a request within 3 s on thin traffic, whatever
-// the seed. With sixteen endpoints and eight requests per second chance alone passes it over for longer.
+// An endpoint that returns to service gets a request within 3 s on thin traffic, whatever the seed. With
+// sixteen endpoints and eight requests per second chance alone passes it over for longer.
 func TestBackOnThinTraffic(t *testing.T) {
 	for seed := range uint64(200) {
 		r := newRig(t, testSettings(), 16)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -8,8 +8,9 @@
 
 // Slow start: how much an endpoint that started lately may be sent, so that all nodes together do not
 // overload it while it warms up. The mechanism and its reasons are those of package slowstart; here are its
-// inputs. The node's fixed rate rests on the work that endpoints got while most were warm. A node that
-// started among warming endpoints has not seen that, and assumes minWarmWorkRate.
+// inputs. They are the time since an endpoint's start, and work in seconds of unloaded latency. The node's
+// fixed rate rests on the work that endpoints got while most were warm. A node that started among warming
+// endpoints has not seen that, and assumes minWarmWorkRate.
 
 const (
 	// minWarmWorkRate is the work per second that a warm endpoint is assumed to manage: one slow core.
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against overloading a warming endpoint, by a burst right after its start
-// and while most of the fleet restarts.
+// Guards against overloading a warming endpoint, by a burst right after its start and while most of the fleet
+// restarts.
 func TestSlowStartBudget(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -50,8 +50,7 @@
 	}
 }
 
-// Guards against one request from each of many nodes at once, as soon as the list announces
-// a start.
+// Guards against one request from each of many nodes at once, as soon as the list announces a start.
 func TestFirstRequestsToAWarmingEndpointAreSpread(t *testing.T) {
 	const nodes = 40
 	inTenth := map[time.Duration]int{}
@@ -80,9 +79,8 @@
 	}
 }
 
-// A node that starts while most endpoints are warming never sees what a warm one gets; guards
-// against sending nothing. And warming endpoints get nothing that they would answer too late
-// while others are fast enough.
+// A node that starts while most endpoints are warming never sees what a warm one gets; guards against sending
+// nothing. And warming endpoints get nothing that they would answer too late while others are fast enough.
 func TestNodeStartsAmongWarmingEndpoints(t *testing.T) {
 	for _, warm := range []int{0, 2} {
 		r := newRig(t, testSettings(), 10)
@@ -106,7 +104,8 @@
 		} else if warm == 0 && len(toWarming) == 0 {
 			t.Error("nothing was sent though all endpoints are warming")
 		}
-		capacity := minWarmWorkRate * rules.OverloadMultiple * (rules.SlowStartMinCapacity + 0.1) * rules.OverloadDuration.Seconds()
+		capacity := minWarmWorkRate * rules.OverloadMultiple * (rules.SlowStartMinCapacity + 0.1) *
+			rules.OverloadDuration.Seconds()
 		for id, work := range toWarming {
 			if work > capacity+r.b.classes[0].unloadedLatency {
 				t.Errorf("endpoint %d got %.2f s of work while warming, and manages %.2f", id, work, capacity)
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// predecessor has used its endpoints, of which the first fails every attempt and has an open breaker
-// with 6 s to go.
+// predecessor has used its endpoints, of which the first fails every attempt and has an open breaker with 6 s
+// to go.
 func predecessor(t *testing.T) *rig {
 	t.Helper()
 	r := newRig(t, testSettings(), 4)
@@ -27,9 +27,9 @@
 	return r
 }
 
-// What of a snapshot counts by its age: outcomes by their own age, the breaker's time goes on, the
-// limit by half in restoreHalfLife; nothing of an endpoint that has restarted since, nor where the
-// successor has outcomes of its own. A successor without a snapshot knows nothing.
+// What of a snapshot counts by its age: outcomes by their own age, the breaker's time goes on, the limit by
+// half in restoreHalfLife; nothing of an endpoint that has restarted since, nor where the successor has
+// outcomes of its own. A successor without a snapshot knows nothing.
 func TestRestore(t *testing.T) {
 	d := predecessor(t)
 	k := d.b.Snapshot(d.now)
@@ -57,18 +57,21 @@
 				t.Errorf("limit %v, want %v", h.b.concurrency.limit, c.limit)
 			}
 			s := h.b.endpoints
-			if s[1].breaker.state == breakerClosed || s[1].breaker.reopenAt-h.now != c.open || (s[1].breaker.state == breakerHalfOpen) != (c.open == 0) {
-				t.Errorf("breaker %v, a trial in %v, want in %v", s[1].breaker.state, s[1].breaker.reopenAt-h.now, c.open)
+			state, reopenIn := s[1].breaker.state, s[1].breaker.reopenAt-h.now
+			if state == breakerClosed || reopenIn != c.open || (state == breakerHalfOpen) != (c.open == 0) {
+				t.Errorf("breaker %v, a trial in %v, want in %v", state, reopenIn, c.open)
 			}
 			if got := s[2].outcomes.count > 0; got != c.count {
 				t.Errorf("outcomes count: %v", got)
 			}
 			if s[3].outcomes.count > 0 || s[4].outcomes.count != 1 {
-				t.Errorf("%d outcomes of a former process count, %d of an endpoint that the successor has used", s[3].outcomes.count, s[4].outcomes.count)
+				t.Errorf("%d outcomes of a former process count, %d of an endpoint that the successor has used",
+					s[3].outcomes.count, s[4].outcomes.count)
 			}
-			if again := h.b.Snapshot(h.now); c.age == 0 && (math.Abs(again.Load.TypicalLatency-k.Load.TypicalLatency) > 1e-9 ||
-				again.Endpoints[1].RecentOutcomes[0].Successes != k.Endpoints[1].RecentOutcomes[0].Successes) {
-				t.Errorf("the successor's snapshot is %+v, the predecessor's was %+v", again, k)
+			next := h.b.Snapshot(h.now)
+			if c.age == 0 && (math.Abs(next.Load.TypicalLatency-k.Load.TypicalLatency) > 1e-9 ||
+				next.Endpoints[1].RecentOutcomes[0].Successes != k.Endpoints[1].RecentOutcomes[0].Successes) {
+				t.Errorf("the successor's snapshot is %+v, the predecessor's was %+v", next, k)
 			}
 		})
 	}
@@ -89,7 +92,8 @@
 	}
 }
 
-// What was learnt of classes and of the load counts by the share of the present endpoints that it was learnt on.
+// What was learnt of classes and of the load counts by the share of the present endpoints that it was learnt
+// on.
 func TestRestoreFromOtherMachines(t *testing.T) {
 	d := predecessor(t) // of endpoints 1 to 4
 	k := d.b.Snapshot(d.now)
@@ -107,8 +111,10 @@
 		if want := limit + (21-limit)*c.share; math.Abs(h.b.concurrency.limit-want) > 1e-9 {
 			t.Errorf("endpoints %d to %d: limit %v, want %v", c.first, c.last, h.b.concurrency.limit, want)
 		}
-		if want := before + (4-before)*c.share; math.Abs(class.unloadedLatency-want) > 1e-9 || class.unloadedSamples != max(1, 100*c.share) {
-			t.Errorf("endpoints %d to %d: an unloaded request takes %v by %v answers, want %v", c.first, c.last, class.unloadedLatency, class.unloadedSamples, want)
+		want := before + (4-before)*c.share
+		if math.Abs(class.unloadedLatency-want) > 1e-9 || class.unloadedSamples != max(1, 100*c.share) {
+			t.Errorf("endpoints %d to %d: an unloaded request takes %v by %v answers, want %v",
+				c.first, c.last, class.unloadedLatency, class.unloadedSamples, want)
 		}
 	}
 }
--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -30,8 +30,8 @@
 	return files
 }
 
-// The decisions are read at night: files, functions and lines stay short, and what is exported and each constant is
-// documented.
+// The decisions are read at night: files, functions and lines stay short, and what is exported and each
+// constant is documented.
 func TestSourceSizeAndDocs(t *testing.T) {
 	const maxFileLines, maxFuncLines, maxColumns, tabWidth = 300, 60, 110, 4
 	for _, name := range sourceFiles(t) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// undocumented returns the exported names and the constants of a declaration that have no comment. A comment after a
-// specification counts, and so does that of a group whose specifications share one type.
+// undocumented returns the exported names and the constants of a declaration that have no comment. A comment
+// after a specification counts, and so does that of a group whose specifications share one type.
 func undocumented(decl ast.Decl) (names []*ast.Ident) {
 	if f, ok := decl.(*ast.FuncDecl); ok {
 		if f.Name.IsExported() && f.Doc == nil {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -5,9 +5,10 @@
 // Subsetting: which of the ready endpoints this node uses. A node with little traffic that used the whole
 // fleet would send each endpoint too little to judge it, and open a connection each time. So it uses a
 // section of the ring of ready endpoints that is as long as its traffic needs: each endpoint gets a request
-// per subsetRequestInterval. The sections of the nodes begin at even distances on the ring, so that together
-// they cover it evenly (deterministic subsetting, Site Reliability Engineering, chapter 20). Endpoints with
-// an open breaker or in slow start extend the section: they carry nothing, or less.
+// per subsetRequestInterval. Its inputs are the arrivals per second, Settings.NodeIndex and NodeCount, and
+// the ring. The sections of the nodes begin at even distances on the ring, so that together they cover it
+// evenly (deterministic subsetting, Site Reliability Engineering, chapter 20). Endpoints with an open breaker
+// or in slow start extend the section: they carry nothing, or less.
 
 const (
 	// minSubsetSize is the least number of warm endpoints with a closed breaker in a subset.
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against nodes that use the whole fleet and so learn nothing of it, and against a
-// subset of warming endpoints alone.
+// Guards against nodes that use the whole fleet and so learn nothing of it, and against a subset of warming
+// endpoints alone.
 func TestSubsetGrowsWithTrafficAndSkipsOpenAndWarmingEndpoints(t *testing.T) {
 	set := testSettings()
 	set.NodeCount, set.NodeIndex = 100, 37
