--- a/internal/app/streams.go
+++ b/internal/app/streams.go
@@ -45,10 +45,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.entry = s.table.Open(s.clock.Now(), uint64(a.From.Server), l, abort)
+	h.entry = s.table.Open(s.clock.Now(), uint64(a.From.Endpoint), l, abort)
 	// The engine is told of a drain before drain is: one of the two sees it.
 	if since, told := a.From.DrainingSince(); told {
-		s.table.Drain(since, uint64(a.From.Server))
+		s.table.Drain(since, uint64(a.From.Endpoint))
 	}
 	s.arm()
 }
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -66,8 +66,8 @@
 	c.hook = do
 }
 
-// OffStop takes the function of OnStop back; false if it was started.
-func (c *Call) OffStop() bool {
+// ClearOnStop takes the function of OnStop back; false if it was started.
+func (c *Call) ClearOnStop() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hook = nil
@@ -133,7 +133,7 @@
 
 // Source is the server that an answer came from, for what of it outlives the attempt.
 type Source struct {
-	Server policy.EndpointID
+	Endpoint policy.EndpointID
 	member *member
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	// DrainGrace is Options.DrainGrace where that is 0. The product's promise is 500 ms;
+	// DefaultDrainGrace is Options.DrainGrace where that is 0. The product's promise is 500 ms;
 	// the rest is for the clock's and the socket's delays.
-	DrainGrace = 400 * time.Millisecond
+	DefaultDrainGrace = 400 * time.Millisecond
 	// backstop is how long after a request's end the engine waits for the Balancer's
 	// answer before it gives one itself.
 	backstop = 5 * time.Millisecond
-	// EventQueue is Options.EventQueue where that is 0.
-	EventQueue = 1024
+	// DefaultEventQueue is Options.EventQueue where that is 0.
+	DefaultEventQueue = 1024
 	// clockStart keeps a server that started before this program on the positive side
 	// of the clock: the Balancer takes 0 and less for "long ago".
 	clockStart = time.Hour
@@ -178,7 +178,7 @@
 func New(ctx context.Context, set policy.Settings, ex Exchanger, o Options) (*Cluster, error) {
 	queue := o.EventQueue
 	if queue == 0 {
-		queue = EventQueue
+		queue = DefaultEventQueue
 	}
 	c := &Cluster{
 		clock: o.Clock, ex: ex, watch: o.WatchEndpoints, sent: o.OnSend,
@@ -187,7 +187,7 @@
 		classes: set.Classes, maxTries: set.Limits.MaxAttempts, comeBack: set.Limits.MaxRetryAfter,
 	}
 	if c.grace = o.DrainGrace; c.grace == 0 {
-		c.grace = DrainGrace
+		c.grace = DefaultDrainGrace
 	}
 	var err error
 	if c.balancer, err = policy.New(set, o.Seed, c); err != nil {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -204,7 +204,7 @@
 	}), 1)
 	go c.Do(t.Context(), c.request(2, testutil.Patience))
 	<-waiting
-	c.UpdateEndpointsAt(c.clock.Now()-DrainGrace, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
+	c.UpdateEndpointsAt(c.clock.Now()-DefaultDrainGrace, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	close(connected)
 	if <-began {
 		t.Error("a send a grace after the delivery")
@@ -410,7 +410,7 @@
 		}
 		sends.Add(1)
 		// before was read ahead of Begin, so no delay of this goroutine adds to it.
-		if answered || since != 0 && before-time.Duration(since) > DrainGrace {
+		if answered || since != 0 && before-time.Duration(since) > DefaultDrainGrace {
 			strays.Add(1)
 		}
 		switch rnd.IntN(10) {
--- a/internal/upstream/h1client/pool.go
+++ b/internal/upstream/h1client/pool.go
@@ -464,11 +464,11 @@
 		}
 		call.OnStop(conn.giveUp)
 		if !call.BeginSend() {
-			u.put(conn, call.OffStop())
+			u.put(conn, call.ClearOnStop())
 			return engine.Result{Status: policy.NeverSent}
 		}
 		res, keep := u.exchange(conn, o)
-		going := call.OffStop()
+		going := call.ClearOnStop()
 		if a, ok := res.Answer.(*Answer); ok && (a.Stream != nil || a.Tunnel != nil) {
 			if !going { // given up, and closed
 				a.Close()
--- a/internal/upstream/h2client/client.go
+++ b/internal/upstream/h2client/client.go
@@ -308,7 +308,7 @@
 		return engine.Result{Status: status}
 	}
 	res := x.receive(ctx, o, resp)
-	if !call.OffStop() { // given up
+	if !call.ClearOnStop() { // given up
 		discard(res)
 		res = engine.Result{Status: policy.Cancelled}
 	}
