--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.stop(); <-c.Ended() })
+	t.Cleanup(func() { c.cancel(); <-c.Ended() })
 	c.UpdateEndpoints(policy.FullUpdate, ready(servers...))
 	return c
 }
@@ -157,10 +157,10 @@
 			go c.Do(t.Context(), c.request(2, testutil.Patience))
 			call := <-waiting
 			c.UpdateEndpoints(news.kind, news.entries)
-			if call.server.told.Load() == 0 {
+			if _, draining := call.drain.since(); !draining {
 				t.Fatal("the server is not barred when UpdateEndpoints returns")
 			}
-			testutil.Until(t, "the grace to end", func() bool { return call.server.barred(c.clock.Now()) })
+			testutil.Until(t, "the grace to end", func() bool { return call.drain.graceOver(c.clock.Now()) })
 			close(connected)
 			if <-began {
 				t.Error("a send after the grace")
@@ -301,7 +301,7 @@
 	for name, end := range map[string]func(c *Cluster, leave func()){
 		"client left":   func(_ *Cluster, leave func()) { leave() },
 		"abandoned":     func(c *Cluster, _ func()) { c.Abort() },
-		"cluster ended": func(c *Cluster, _ func()) { c.stop() },
+		"cluster ended": func(c *Cluster, _ func()) { c.cancel() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, answered, held := make(chan struct{}), make(chan struct{}), make(closer)
@@ -428,7 +428,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { c.stop(); <-c.Ended() }()
+	defer func() { c.cancel(); <-c.Ended() }()
 	all := []policy.EndpointID{1, 2, 3, 4, 5, 6}
 	c.UpdateEndpoints(policy.FullUpdate, ready(all...))
 	ctx, stop := context.WithCancel(t.Context())
@@ -466,7 +466,7 @@
 				cancel()
 				if err != nil { // it left; nothing goes out once the loop has heard of it
 					heard := make(chan struct{})
-					c.inspect(func() { close(heard) })
+					c.runOnLoop(func() { close(heard) })
 					<-heard
 				}
 				p.answered.Store(true)
@@ -497,7 +497,7 @@
 		verdicts[Served].Load(), verdicts[Rejected].Load(), verdicts[Failed].Load(), left.Load())
 	testutil.Until(t, "the loop to forget all requests and alarms", func() bool {
 		sizes := make(chan [2]int, 1)
-		c.inspect(func() { sizes <- [2]int{len(c.requests), len(c.alarms.heap)} })
+		c.runOnLoop(func() { sizes <- [2]int{len(c.requests), len(c.timers.timers)} })
 		s := <-sizes
 		return s[0] == 0 && s[1] <= 2
 	})
@@ -505,11 +505,11 @@
 
 func TestAlarms(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	var q alarms
-	var set []*alarm
+	var q timerHeap
+	var set []*timer
 	for range 5000 {
 		if rnd.IntN(3) > 0 || len(set) == 0 {
-			a := &alarm{at: time.Duration(rnd.IntN(1000))}
+			a := &timer{at: time.Duration(rnd.IntN(1000))}
 			q.set(a)
 			set = append(set, a)
 			continue
@@ -562,7 +562,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			now := clockStart
+			now := clockOffset
 			p.UpdateEndpoints(now, policy.FullUpdate, ready(members(servers)...))
 			b.ReportAllocs()
 			id := policy.RequestID(0)
@@ -634,7 +634,7 @@
 		<-call.Context().Done()
 		return Result{Status: policy.Reset}
 	}), 1)
-	go func() { <-out; c.stop() }()
+	go func() { <-out; c.cancel() }()
 	if a, err := c.Do(t.Context(), c.request(2, testutil.Patience)); err != nil || a.Verdict != Failed {
 		t.Errorf("%+v, %v", a, err)
 	}
--- /dev/null
+++ b/internal/engine/host.go
@@ -0,0 +1,72 @@
+package engine
+
+import (
+	"time"
+
+	"yokestall/policy"
+)
+
+// Cluster carries out the Balancer's actions. The Balancer calls them on the loop's goroutine, from within its own
+// methods, and must not be called back: what they would report to it goes to Cluster.deferred.
+var _ policy.Host = (*Cluster)(nil)
+
+// Send implements policy.Host: it starts an attempt. One that may not start ends as policy.NeverSent.
+func (c *Cluster) Send(id policy.RequestID, endpoint policy.EndpointID, timeout time.Duration) {
+	r := c.requests[id]
+	if r == nil {
+		return
+	}
+	now := c.clock.Now()
+	a := c.newAttempt(now, r, endpoint)
+	if !c.mayStart(now, a) {
+		c.deferred = append(c.deferred, attemptEnded{a, policy.NeverSent})
+		return
+	}
+	if a.index > 0 {
+		a.countsAsRetry = true
+		c.retriesInFlight++
+	}
+	c.setTimeout(now, a, timeout)
+	timeRemaining := r.Deadline - now
+	if r.BodyIncomplete {
+		timeRemaining = r.UploadTimeout
+	}
+	go c.exchange(a, timeRemaining)
+}
+
+// Cancel implements policy.Host: it ends an attempt as policy.Cancelled.
+func (c *Cluster) Cancel(id policy.RequestID, index int) {
+	if r := c.requests[id]; r != nil && index < len(r.attempts) {
+		c.deferred = append(c.deferred, attemptEnded{r.attempts[index], policy.Cancelled})
+	}
+}
+
+// Reject implements policy.Host: it gives a final answer of Rejected.
+func (c *Cluster) Reject(id policy.RequestID, retryAfter time.Duration) {
+	c.answerUnserved(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
+}
+
+// Fail implements policy.Host: it gives a final answer of Failed.
+func (c *Cluster) Fail(id policy.RequestID) { c.answerUnserved(id, Answer{Verdict: Failed}) }
+
+// SetTimer implements policy.Host.
+func (c *Cluster) SetTimer(at time.Duration, token uint64) {
+	t := &balancerTimer{token: token}
+	t.timer = timer{at: at, expiry: t}
+	c.timers.set(&t.timer)
+}
+
+// balancerTimer is a timer that the Balancer set. It is its own expiry and event.
+type balancerTimer struct {
+	timer
+	token uint64 // the Balancer's name for it
+}
+
+func (t *balancerTimer) expire(c *Cluster, now time.Duration) { c.handle(now, t) }
+
+// WatchEndpoints implements policy.Host.
+func (c *Cluster) WatchEndpoints() {
+	if c.watchEndpoints != nil {
+		c.watchEndpoints()
+	}
+}
--- a/internal/engine/window_test.go
+++ b/internal/engine/window_test.go
@@ -70,22 +70,22 @@
 
 // Of two copies that are out, the one that was decided first may be the last to get its connection.
 func TestWindowBeginsWithWhatIsSentFirst(t *testing.T) {
-	w := &window{span: time.Second}
+	w := &dedupWindow{length: time.Second}
 	first, copied, third := &Call{}, &Call{}, &Call{}
 	if !w.begin(copied, time.Minute, time.Minute) {
 		t.Error("the copy was not sent")
 	}
-	if w.begin(first, time.Minute+w.span, time.Minute+w.span) {
+	if w.begin(first, time.Minute+w.length, time.Minute+w.length) {
 		t.Error("sent when the copy's window was over")
 	}
-	if first.gate.Load() != revoked {
+	if first.gate.state.Load() != gateClosed {
 		t.Error("what is barred counts as one that may run")
 	}
 	w.neverRan(copied)
-	if !w.begin(third, time.Minute+w.span, time.Minute+w.span) {
+	if !w.begin(third, time.Minute+w.length, time.Minute+w.length) {
 		t.Error("barred by one that never ran")
 	}
-	if w.begin(third, time.Minute+w.span, time.Minute+w.span) {
+	if w.begin(third, time.Minute+w.length, time.Minute+w.length) {
 		t.Error("sent twice")
 	}
 }
