--- /dev/null
+++ b/internal/engine/attempts_test.go
@@ -0,0 +1,110 @@
+package engine
+
+import (
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"yokestall/policy"
+)
+
+// A request's own limits hold within the cluster's: its attempts, the time of each, and how many retries may be in
+// flight at once.
+func TestLimitsOfARequest(t *testing.T) {
+	for name, c := range map[string]struct {
+		attempts, retries int
+		perTry            time.Duration
+		status            policy.Status // of each attempt; Timeout: it never comes back
+		sends             int64
+	}{
+		"the cluster's":    {0, 0, 0, policy.ConnectFailed, 3},
+		"one attempt":      {1, 0, 0, policy.ConnectFailed, 1},
+		"two attempts":     {2, 0, 0, policy.ConnectFailed, 2},
+		"time of each one": {2, 0, 20 * time.Millisecond, policy.Timeout, 2},
+		"retries in turn":  {0, 1, 0, policy.ConnectFailed, 3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var sends atomic.Int64
+			cl := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+				if !call.BeginSend() {
+					return Result{Status: policy.NeverSent}
+				}
+				sends.Add(1)
+				if c.status == policy.Timeout {
+					<-call.Context().Done()
+				}
+				return Result{Status: c.status}
+			}), 1, 2, 3, 4)
+			cl.LimitRetries(c.retries)
+			r := cl.request(idempotent, 3*time.Second)
+			r.MaxAttempts, r.PerTryTimeout = c.attempts, c.perTry
+			if a, err := cl.Do(t.Context(), r); err != nil || a.Verdict == Served || sends.Load() != c.sends {
+				t.Errorf("%+v, %v after %d sends, want %d", a, err, sends.Load(), c.sends)
+			}
+		})
+	}
+}
+
+// No more retries are in flight at once than the limit allows.
+func TestConcurrentRetryLimit(t *testing.T) {
+	const requests, limit = 4, 1
+	var inFlight, most, retried atomic.Int64
+	var mu sync.Mutex
+	seen := map[any]bool{}
+	c := start(t, exchange(func(call *Call, _ policy.EndpointID, payload any, _ time.Duration) Result {
+		if !call.BeginSend() {
+			return Result{Status: policy.NeverSent}
+		}
+		mu.Lock()
+		first := !seen[payload]
+		seen[payload] = true
+		mu.Unlock()
+		if first {
+			return Result{Status: policy.ConnectFailed}
+		}
+		retried.Add(1)
+		if n := inFlight.Add(1); n > most.Load() {
+			most.Store(n)
+		}
+		<-call.Context().Done() // until the request's end
+		inFlight.Add(-1)
+		return Result{Status: policy.Reset}
+	}), endpointIDs(40)...)
+	c.LimitRetries(limit)
+	var all sync.WaitGroup
+	for i := range requests {
+		all.Go(func() {
+			r := c.request(idempotent, 2*time.Second)
+			r.Payload = i
+			c.Do(t.Context(), r)
+		})
+	}
+	all.Wait()
+	if most.Load() > limit || retried.Load() == 0 {
+		t.Errorf("%d retries, %d at once", retried.Load(), most.Load())
+	}
+}
+
+// An endpoint that drains during the backoff of a request gets no second attempt.
+func TestDrainDuringRetryBackoff(t *testing.T) {
+	failed := make(chan struct{}, 4)
+	var sends atomic.Int64
+	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+		if call.BeginSend() {
+			sends.Add(1)
+		}
+		failed <- struct{}{}
+		return Result{Status: policy.ConnectFailed}
+	}), 1)
+	answered := make(chan Answer, 1)
+	go func() {
+		a, _ := c.Do(t.Context(), c.request(idempotentByKey, 2*time.Second))
+		answered <- a
+	}()
+	<-failed
+	c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
+	if a := <-answered; a.Verdict == Served || sends.Load() != 1 {
+		t.Errorf("%+v after %d sends", a, sends.Load())
+	}
+}
--- a/internal/engine/window_test.go
+++ b/internal/engine/dedupwindow_test.go
@@ -9,10 +9,9 @@
 	"yokestall/policy"
 )
 
-// A repeat that was decided within its window, and whose connection comes up behind it, is not sent:
-// the servers have forgotten the first one, and would run it again. One behind attempts that never ran
-// is no repeat.
-func TestRepeatWhoseConnectionComesUpBehindTheWindow(t *testing.T) {
+// A retry that was decided within the deduplication window, and whose connection is established after it, is not sent:
+// the endpoints would run the request a second time. After attempts that surely have not run there is no window.
+func TestNoRetryConnectedAfterDedupWindow(t *testing.T) {
 	for name, first := range map[string]struct {
 		status policy.Status
 		sent   bool
@@ -29,11 +28,12 @@
 					attempts <- call.BeginSend()
 					return Result{Status: first.status}
 				}
-				call.clock.zero = call.clock.zero.Add(-settings().Classes[1].DedupWindow) // this one's connection took that long
+				window := settings().Classes[idempotentByKey].DedupWindow
+				call.clock.zero = call.clock.zero.Add(-window) // as if connecting took that long
 				attempts <- call.BeginSend()
 				return Result{Status: policy.ErrorResponse}
 			}), 1, 2)
-			go c.Do(t.Context(), c.request(1, testutil.Patience))
+			go c.Do(t.Context(), c.request(idempotentByKey, testutil.Patience))
 			if !testutil.Wait(t, attempts, "the first attempt") {
 				t.Fatal("the first attempt was not sent")
 			}
@@ -44,46 +44,46 @@
 	}
 }
 
-// One that somebody else is to send, some time until its request's end, is no repeat within the window where
-// that ends sooner.
-func TestRepeatThatIsSentByOthers(t *testing.T) {
-	window := settings().Classes[1].DedupWindow
-	for left, sent := range map[time.Duration]bool{window / 2: true, 2 * window: false} {
+// A retry that another party sends, at some time before the request's deadline, is not sent where the window may end
+// before that time.
+func TestRetrySentByAnotherParty(t *testing.T) {
+	window := settings().Classes[idempotentByKey].DedupWindow
+	for delay, sent := range map[time.Duration]bool{window / 2: true, 2 * window: false} {
 		var number atomic.Int32
 		attempts := make(chan bool, 4)
 		c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
-			attempts <- call.BeginSendUnlessDraining(call.clock.Now() + left)
+			attempts <- call.BeginSendUnlessDraining(call.clock.Now() + delay)
 			if number.Add(1) == 1 {
 				return Result{Status: policy.Reset}
 			}
 			return Result{Status: policy.ErrorResponse}
 		}), 1, 2)
-		go c.Do(t.Context(), c.request(1, testutil.Patience))
+		go c.Do(t.Context(), c.request(idempotentByKey, testutil.Patience))
 		if !testutil.Wait(t, attempts, "the first attempt") {
 			t.Fatal("the first attempt was not sent")
 		}
 		if got := testutil.Wait(t, attempts, "the second attempt"); got != sent {
-			t.Errorf("with %v for it the second attempt was sent: %v", left, got)
+			t.Errorf("sent by %v from now: the second attempt was sent: %v", delay, got)
 		}
 	}
 }
 
-// Of two copies that are out, the one that was decided first may be the last to get its connection.
-func TestWindowBeginsWithWhatIsSentFirst(t *testing.T) {
+// Of two attempts, the one that was decided first may be the last whose connection is established.
+func TestDedupWindowStartsAtFirstSend(t *testing.T) {
 	w := &dedupWindow{length: time.Second}
-	first, copied, third := &Call{}, &Call{}, &Call{}
-	if !w.begin(copied, time.Minute, time.Minute) {
-		t.Error("the copy was not sent")
+	first, hedged, third := &Call{}, &Call{}, &Call{}
+	if !w.begin(hedged, time.Minute, time.Minute) {
+		t.Error("the hedged request was not sent")
 	}
 	if w.begin(first, time.Minute+w.length, time.Minute+w.length) {
-		t.Error("sent when the copy's window was over")
+		t.Error("sent when the window of the hedged request was over")
 	}
 	if first.gate.state.Load() != gateClosed {
-		t.Error("what is barred counts as one that may run")
+		t.Error("the gate of an attempt that may not be sent is not closed")
 	}
-	w.neverRan(copied)
+	w.neverRan(hedged)
 	if !w.begin(third, time.Minute+w.length, time.Minute+w.length) {
-		t.Error("barred by one that never ran")
+		t.Error("not sent because of an attempt that never ran")
 	}
 	if w.begin(third, time.Minute+w.length, time.Minute+w.length) {
 		t.Error("sent twice")
--- /dev/null
+++ b/internal/engine/requests_test.go
@@ -0,0 +1,57 @@
+package engine
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"time"
+
+	"yokestall/internal/testutil"
+	"yokestall/policy"
+)
+
+// A request is answered with what its exchange returned.
+func TestServed(t *testing.T) {
+	c := start(t, exchange(served), 1, 2)
+	a, err := c.Do(t.Context(), c.request(idempotent, testutil.Patience))
+	if err != nil || a.Verdict != Served || a.Value != "x" {
+		t.Errorf("%+v, %v", a, err)
+	}
+}
+
+// An exchanger that does not return must not delay the answer: the deadline ends the attempt, and the answer follows
+// at once.
+func TestUnresponsiveExchanger(t *testing.T) {
+	ended := make(chan struct{}, 3)
+	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+		call.BeginSend()
+		<-call.Context().Done()
+		ended <- struct{}{}
+		return Result{Status: policy.OK, Answer: "late"}
+	}), 1)
+	began := time.Now()
+	a, err := c.Do(t.Context(), c.request(notIdempotent, 100*time.Millisecond))
+	took := time.Since(began)
+	if err != nil || a.Verdict == Served || took < 90*time.Millisecond || took > testutil.Patience {
+		t.Errorf("%+v, %v after %v", a, err, took)
+	}
+	<-ended
+}
+
+// A client that disconnects ends its attempt.
+func TestClientDisconnects(t *testing.T) {
+	sent, ended := make(chan struct{}), make(chan struct{})
+	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+		call.BeginSend()
+		close(sent)
+		<-call.Context().Done()
+		close(ended)
+		return Result{Status: policy.Reset}
+	}), 1)
+	ctx, disconnect := context.WithCancel(t.Context())
+	go func() { <-sent; disconnect() }()
+	if _, err := c.Do(ctx, c.request(idempotent, testutil.Patience)); !errors.Is(err, ErrClientDisconnected) {
+		t.Errorf("error %v", err)
+	}
+	<-ended
+}
