--- a/internal/engine/answers_test.go
+++ b/internal/engine/answers_test.go
@@ -23,6 +23,20 @@
 	}
 }
 
+// The final answer closes the gates of all attempts itself, without waiting for the Balancer to cancel them.
+func TestFinalAnswerClosesGates(t *testing.T) {
+	connecting, inFlight := &attempt{}, &attempt{}
+	inFlight.BeginSend()
+	r := &Request{answer: make(chan Answer, 1), attempts: []*attempt{connecting, inFlight}}
+	(&Cluster{}).sendAnswer(r, Answer{Verdict: Failed})
+	if connecting.BeginSend() {
+		t.Error("sent after the final answer")
+	}
+	if a := <-r.answer; !a.MayHaveRun {
+		t.Error("the attempt in flight is not counted as one that may have run")
+	}
+}
+
 // closer is an answer that has to be closed.
 type closer chan struct{}
 
--- a/internal/engine/attempts_test.go
+++ b/internal/engine/attempts_test.go
@@ -6,9 +6,31 @@
 	"testing"
 	"time"
 
+	"yokestall/internal/testutil"
 	"yokestall/policy"
 )
 
+// What an exchanger returns after the outcome of its attempt was reported is no second outcome.
+func TestOutcomeIsReportedOnce(t *testing.T) {
+	release, answer := make(chan struct{}), make(closer)
+	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+		call.BeginSend()
+		<-release // beyond the deadline, which ends the attempt
+		return Result{Status: policy.OK, Answer: answer}
+	}), 1)
+	r := c.request(notIdempotent, 50*time.Millisecond)
+	if a, err := c.Do(t.Context(), r); err != nil || a.Verdict == Served {
+		t.Errorf("%+v, %v", a, err)
+	}
+	close(release)
+	testutil.Wait(t, answer, "the late answer to be closed")
+	inFlight := make(chan int, 1)
+	c.runOnLoop(func() { inFlight <- r.inFlight })
+	if n := testutil.Wait(t, inFlight, "the loop"); n != 0 {
+		t.Errorf("%d attempts in flight after the end of the only one", n)
+	}
+}
+
 // A request's own limits hold within the cluster's: its attempts, the time of each, and how many retries may be in
 // flight at once.
 func TestLimitsOfARequest(t *testing.T) {
--- a/internal/engine/storm_test.go
+++ b/internal/engine/storm_test.go
@@ -12,8 +12,8 @@
 	"yokestall/policy"
 )
 
-// Whatever exchangers, endpoint updates and clients do at the same time: one outcome an attempt, one answer a request,
-// nothing sent after it, nothing to an endpoint that was removed.
+// Whatever exchangers, endpoint updates and clients do at the same time: one answer a request, nothing sent after it,
+// nothing to an endpoint that was removed, and no request or timer left over.
 func TestStorm(t *testing.T) {
 	const clients, requests = 24, 60
 	s := &storm{clock: NewClock()}
