--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -557,22 +557,22 @@
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
 	good := instanceAt(b, "s-0")
-	lists := make(chan string, 10)
-	lists <- "what?"
-	lists <- `{"generation":"x"}`
-	lists <- `{"generation":3,"instances":[{"instanceId":5}]}`
-	lists <- `{"generation":4,"reset":true,"instances":[{},{"instanceId":"s-1","lifecycle":"Ready"},` +
-		`{"instanceId":"s-2","hostPort":"nowhere","lifecycle":"Novel"},` +
-		`{"instanceId":"s-0","hostPort":"` + good.HostPort + `","zone":"far","cell":-1,"lifecycle":"Ready",` +
-		`"weight":-3,"startedAtMs":1.5e12,"novel":[]}]}` // incomplete: a full update is requested
-	lists <- `{"generation":5,"reset":true,"instances":[{"instanceId":"s-1","lifecycle":"Ready"},` +
-		`{"instanceId":"s-0","hostPort":"` + good.HostPort + `","zone":"far","lifecycle":"Ready","novel":[]}]}`
-	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		select {
-		case text := <-lists:
-			io.WriteString(w, text)
-		case <-r.Context().Done():
-		}
+	lists := []string{
+		"what?",
+		`{"generation":"x"}`,
+		`{"generation":3,"instances":[{"instanceId":5}]}`,
+		`{"generation":4,"reset":true,"instances":[{},{"instanceId":"s-1","lifecycle":"Ready"},` +
+			`{"instanceId":"s-2","hostPort":"nowhere","lifecycle":"Novel"},` +
+			`{"instanceId":"s-0","hostPort":"` + good.HostPort + `","zone":"far","cell":-1,"lifecycle":"Ready",` +
+			`"weight":-3,"startedAtMs":1.5e12,"novel":[]}]}`, // incomplete: a full update is requested
+		`{"generation":5,"reset":true,"instances":[{"instanceId":"s-1","lifecycle":"Ready"},` +
+			`{"instanceId":"s-0","hostPort":"` + good.HostPort + `","zone":"far","lifecycle":"Ready","novel":[]}]}`,
+	}
+	var polls atomic.Int64
+	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		// The last list is given to each later poll as well: the node may have abandoned the poll that got it first.
+		poll := min(int(polls.Add(1)), len(lists))
+		io.WriteString(w, lists[poll-1])
 	}))
 	t.Cleanup(d.Close)
 	n := start(t, testConfig(t, &registryStub{Server: d}, nil))
