--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -138,7 +138,7 @@
 }
 
 // Take puts a version in force. When it returns, the engines were told: from
-// engine.DefaultDrainGrace later nothing goes to a server that the version does not have.
+// engine.DefaultDrainSendGrace later nothing goes to a server that the version does not have.
 func (a *App) Take(s *files.Snapshot) error { return a.TakeAt(time.Now(), s) }
 
 // TakeAt is Take for a version that was delivered at an earlier time, from which the
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -97,8 +97,8 @@
 	return result
 }
 
-// recordOutcome reports the first outcome of an attempt to the Balancer; later ones carry a late answer at most.
-func (c *Cluster) recordOutcome(now time.Duration, a *attempt, result Result) {
+// reportOutcome reports the first outcome of an attempt to the Balancer; later ones carry a late answer at most.
+func (c *Cluster) reportOutcome(now time.Duration, a *attempt, result Result) {
 	r := a.request
 	if a.reported {
 		a.takeLateAnswer(result)
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -17,7 +17,7 @@
 func (h *nullHost) Reject(policy.RequestID, time.Duration)                         {}
 func (h *nullHost) Fail(policy.RequestID)                                          {}
 func (h *nullHost) SetTimer(time.Duration, uint64)                                 {}
-func (h *nullHost) WatchEndpoints()                                                {}
+func (h *nullHost) RequestPoll()                                                   {}
 
 // BenchmarkRequest compares the Balancer alone with the engine around it: one request after another, and 16 at
 // once.
--- a/internal/engine/cluster.go
+++ b/internal/engine/cluster.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// DefaultDrainGrace is Options.DrainGrace where that is 0. The service promises 500 ms; the rest is for the
-	// delays of the clock and the socket.
-	DefaultDrainGrace = 400 * time.Millisecond
+	// DefaultDrainSendGrace is Options.DrainSendGrace where that is 0. The service allows 500 ms from
+	// the notice of a drain to the last send; the rest is for the delays of the clock and the socket.
+	DefaultDrainSendGrace = 400 * time.Millisecond
 	// DefaultEventQueue is Options.EventQueue where that is 0.
 	DefaultEventQueue = 1024
 )
@@ -26,15 +26,15 @@
 type Options struct {
 	Seed  uint64 // of the Balancer's random choices
 	Clock Clock
-	// DrainGrace is how long after notice of a drain a send that was decided before may still begin; 0:
-	// DefaultDrainGrace. It has to leave time for the notice to arrive, where a setting bounds both together.
-	DrainGrace time.Duration
+	// DrainSendGrace is how long after notice of a drain a send that was decided before may still begin; 0:
+	// DefaultDrainSendGrace. It has to leave time for the notice to arrive, where a setting bounds both together.
+	DrainSendGrace time.Duration
 	// EventQueue is how many events may wait before their senders block; 0: DefaultEventQueue. Its memory, 16 bytes an
 	// event, is allocated at the start.
 	EventQueue int
-	// WatchEndpoints is called when the Balancer subscribes to an endpoint list that has to be polled; nil if lists
+	// RequestPoll is called when the Balancer subscribes to an endpoint list that has to be polled; nil if lists
 	// are pushed. It must not block.
-	WatchEndpoints func()
+	RequestPoll func()
 	// OnSend, if set, is called for each attempt right before its first byte leaves, with the time on the Clock at
 	// which that was allowed. It runs on the attempts' goroutines and must not block.
 	OnSend func(endpoint policy.EndpointID, at time.Duration)
@@ -49,7 +49,7 @@
 	clock          Clock
 	exchanger      Exchanger
 	drainGrace     time.Duration
-	watchEndpoints func()                                             // Options.WatchEndpoints
+	watchEndpoints func()                                             // Options.RequestPoll
 	onSend         func(endpoint policy.EndpointID, at time.Duration) // Options.OnSend
 	classes        []policy.Class
 	maxAttempts    int // of one request
@@ -82,14 +82,14 @@
 	if o.EventQueue == 0 {
 		o.EventQueue = DefaultEventQueue
 	}
-	if o.DrainGrace == 0 {
-		o.DrainGrace = DefaultDrainGrace
+	if o.DrainSendGrace == 0 {
+		o.DrainSendGrace = DefaultDrainSendGrace
 	}
 	c := &Cluster{
 		clock:           o.Clock,
 		exchanger:       exchanger,
-		drainGrace:      o.DrainGrace,
-		watchEndpoints:  o.WatchEndpoints,
+		drainGrace:      o.DrainSendGrace,
+		watchEndpoints:  o.RequestPoll,
 		onSend:          o.OnSend,
 		classes:         set.Classes,
 		maxAttempts:     set.Limits.MaxAttempts,
@@ -111,8 +111,8 @@
 // LimitRetries sets how many second and later attempts, of all requests together, may be in flight; 0: no limit.
 func (c *Cluster) LimitRetries(n int) { c.maxRetries.Store(int64(n)) }
 
-// Retire takes no more requests, lets the open ones finish, with nothing new sent later than Options.DrainGrace from
-// now, and then ends the cluster. It does not wait for that.
+// Retire takes no more requests and ends the cluster once none is open; it does not wait for that. All endpoints count
+// as removed from now on: queued requests are given up, and attempts in flight may still be answered.
 func (c *Cluster) Retire() {
 	c.UpdateEndpoints(policy.FullUpdate, nil)
 	c.retired.Store(true)
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -5,11 +5,11 @@
 //
 // Whatever the Balancer decides and the Exchanger does:
 //
-//   - Each attempt has exactly one outcome, reported to the Balancer once (Cluster.recordOutcome).
+//   - Each attempt has exactly one outcome, reported to the Balancer once (Cluster.reportOutcome).
 //   - Each request gets exactly one final answer (Cluster.sendAnswer), at most 5 ms after its deadline
 //     (requestDeadline.expire).
 //   - Nothing is sent for a request that has its final answer (Cluster.endRequest closes its attempts' gates).
-//   - Nothing new is sent to an endpoint later than Options.DrainGrace after the engine was notified that the endpoint
+//   - Nothing new is sent to an endpoint later than Options.DrainSendGrace after the engine was notified that the endpoint
 //     drains or was removed, even if it was decided before (Cluster.updateDrains
 //     records the time, Call.begin checks it).
 //   - No retry of a request that is idempotent by key is sent after the end of its deduplication window, however
@@ -23,7 +23,7 @@
 //	Cluster.Send           host.go      called by the Balancer: starts an attempt and its timer
 //	Cluster.exchange       attempts.go  runs Exchanger.Exchange on the attempt's goroutine
 //	Call.BeginSend         sendgate.go  called by the Exchanger before the first byte: may this still be sent?
-//	Cluster.recordOutcome  attempts.go  on the loop's goroutine: reports the outcome to the Balancer
+//	Cluster.reportOutcome  attempts.go  on the loop's goroutine: reports the outcome to the Balancer
 //	Cluster.sendAnswer     answers.go   gives the final answer to Do
 //
 // The Balancer rejects or fails a request by Cluster.Reject and Cluster.Fail (host.go). The events that the loop
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -7,13 +7,13 @@
 )
 
 // UpdateEndpoints applies an endpoint update that is delivered now; false if the cluster has ended. Nothing is sent
-// later than Options.DrainGrace from now to an endpoint that drains, was removed or is missing in a full update.
+// later than Options.DrainSendGrace from now to an endpoint that drains, was removed or is missing in a full update.
 func (c *Cluster) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool {
 	return c.UpdateEndpointsAt(c.clock.Now(), kind, endpoints)
 }
 
 // UpdateEndpointsAt is UpdateEndpoints for an update that was delivered at an earlier time on the Clock, from which
-// Options.DrainGrace counts.
+// Options.DrainSendGrace counts.
 func (c *Cluster) UpdateEndpointsAt(
 	delivered time.Duration, kind policy.UpdateKind, endpoints []policy.Endpoint,
 ) bool {
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -19,7 +19,7 @@
 	}), 1)
 	go c.Do(t.Context(), c.request(notIdempotent, testutil.Patience))
 	<-waiting
-	delivered := c.clock.Now() - DefaultDrainGrace
+	delivered := c.clock.Now() - DefaultDrainSendGrace
 	c.UpdateEndpointsAt(delivered, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	close(connected)
 	if <-began {
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -58,11 +58,11 @@
 func (e requestAnswered) apply(c *Cluster, _ time.Duration) { c.forgetIfDone(e.request) }
 
 func (e exchangeReturned) apply(c *Cluster, now time.Duration) {
-	c.recordOutcome(now, e.attempt, e.attempt.takeResult())
+	c.reportOutcome(now, e.attempt, e.attempt.takeResult())
 }
 
 func (e attemptEnded) apply(c *Cluster, now time.Duration) {
-	c.recordOutcome(now, e.attempt, Result{Status: e.status})
+	c.reportOutcome(now, e.attempt, Result{Status: e.status})
 }
 
 func (e endpointsUpdated) apply(c *Cluster, now time.Duration) {
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -64,8 +64,8 @@
 
 func (t *balancerTimer) expire(c *Cluster, now time.Duration) { c.handle(now, t) }
 
-// WatchEndpoints implements policy.Host.
-func (c *Cluster) WatchEndpoints() {
+// RequestPoll implements policy.Host.
+func (c *Cluster) RequestPoll() {
 	if c.watchEndpoints != nil {
 		c.watchEndpoints()
 	}
--- a/internal/engine/sendgate.go
+++ b/internal/engine/sendgate.go
@@ -30,7 +30,7 @@
 // BeginSend reports whether the call may be sent, and is true once at most. It is false
 //
 //   - after the request's final answer,
-//   - later than Options.DrainGrace after notice that the endpoint drains or was removed,
+//   - later than Options.DrainSendGrace after notice that the endpoint drains or was removed,
 //   - where Request.SendAllowed or Request.ClientDisconnected says so, and
 //   - for a request that is idempotent by key, after the deduplication window of an earlier attempt.
 func (c *Call) BeginSend() bool { return c.begin(0) }
@@ -76,7 +76,7 @@
 
 // endpointDrain is the time since which an endpoint drains. It is safe for concurrent use.
 type endpointDrain struct {
-	grace    time.Duration // Options.DrainGrace
+	grace    time.Duration // Options.DrainSendGrace
 	notified atomic.Int64  // on the Clock, when the engine was notified of the drain or removal; 0: it was not
 }
 
--- a/internal/engine/sendgate_test.go
+++ b/internal/engine/sendgate_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// Options.DrainGrace takes the place of DefaultDrainGrace: a deployment may allow less.
+// Options.DrainSendGrace takes the place of DefaultDrainGrace: a deployment may allow less.
 func TestDrainGraceOption(t *testing.T) {
 	const grace = 50 * time.Millisecond
 	waiting, connected, began := make(chan *Call, 4), make(chan struct{}), make(chan bool, 4)
@@ -58,7 +58,7 @@
 		<-connected
 		began <- call.BeginSend()
 		return Result{Status: policy.NeverSent}
-	}), Options{DrainGrace: grace}, 1)
+	}), Options{DrainSendGrace: grace}, 1)
 	go c.Do(t.Context(), c.request(notIdempotent, testutil.Patience))
 	<-waiting
 	c.UpdateEndpointsAt(c.clock.Now()-grace-1, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
--- a/internal/engine/storm_test.go
+++ b/internal/engine/storm_test.go
@@ -83,7 +83,7 @@
 	}
 	s.sends.Add(1)
 	// before was read ahead of BeginSend, so that no delay of this goroutine adds to it.
-	if answered || since != 0 && before-time.Duration(since) > DefaultDrainGrace {
+	if answered || since != 0 && before-time.Duration(since) > DefaultDrainSendGrace {
 		s.strays.Add(1)
 	}
 	switch rnd.IntN(10) {
--- a/internal/fleetsim/requests.go
+++ b/internal/fleetsim/requests.go
@@ -111,8 +111,8 @@
 	n.post(event{at: max(at, n.now), kind: evTimer, node: n, token: token, index: int(n.starts)})
 }
 
-// WatchEndpoints implements policy.Host: lists are pushed here.
-func (n *node) WatchEndpoints() {}
+// RequestPoll implements policy.Host: lists are pushed here.
+func (n *node) RequestPoll() {}
 
 // settle gives a try the final answer that its decider chose.
 func (n *node) settle(id policy.RequestID, refused bool, after time.Duration) {
--- a/internal/hotrestart/folder.go
+++ b/internal/hotrestart/folder.go
@@ -5,7 +5,21 @@
 //
 // The processes share a folder ($TMPDIR is the same for both). Each holds a file lock there for as
 // long as it lives; the kernel releases it however the process ends, which tells a dead process from
-// a slow one. Design: docs/maintenance.md.
+// a slow one.
+//
+// # The order of a hot restart
+//
+//  1. The platform starts the successor with the inherited socket. It joins the folder (Join), applies the
+//     administrative record, starts its admin API and waits for a snapshot (Folder.TakeSnapshot).
+//  2. The predecessor sees it (Folder.Peers), lowers its descriptor limit, takes half of the node's share of
+//     slow-start budgets and writes the snapshot once (Folder.WriteSnapshot).
+//  3. The successor restores the snapshot, gets an endpoint list, serves, and publishes the phase Serving
+//     (Folder.Publish). Both processes accept connections from the shared socket.
+//  4. The platform sends the predecessor SIGTERM. As SuccessorServing holds, it closes its descriptor of the
+//     listening socket, publishes the phase Draining and ends with its last connection.
+//
+// The listening socket, the record, the endpoint list and what the policy has learnt are passed on. Client
+// connections, open requests, idempotency keys and quotas are not.
 package hotrestart
 
 import (
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -22,8 +22,8 @@
 	Number     uint64 // of the process; a successor's is greater
 	Phase      Phase
 	AppliedSeq uint64 // the record's entries up to this one are in force
-	// Descriptors is how many descriptors it may have open. Without a successor it is what the process
-	// has open, with one its limit.
+	// Descriptors is what other processes must leave to this one. Without a successor it is the number of
+	// descriptors that the process has open; with one it is the limit that the process keeps to.
 	Descriptors int
 	Successor   uint64 // number of the latest process that this one yields descriptors to; 0: none
 }
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -49,8 +49,8 @@
 		Settle: unsolicitedResponsePeriod, Nodes: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
 	})
 	c.cluster, err = engine.New(background, n.cfg.Policy, c.pool, engine.Options{
-		Seed: n.cfg.Seed, Clock: c.clock, WatchEndpoints: c.endpoints.requestPoll,
-		DrainGrace: max(1, n.cfg.DrainGrace/drainGraceDivisor),
+		Seed: n.cfg.Seed, Clock: c.clock, RequestPoll: c.endpoints.requestPoll,
+		DrainSendGrace: max(1, n.cfg.DrainGrace/drainGraceDivisor),
 	})
 	if err != nil {
 		return nil, err
--- a/internal/node/configfile.go
+++ b/internal/node/configfile.go
@@ -15,8 +15,7 @@
 const (
 	defaultSockets = 1024
 	minSockets     = 64
-	// defaultConnIdle and defaultConnectTimeout are those of a deployment whose settings have none (the
-	// bench's page on site files).
+	// defaultConnIdle and defaultConnectTimeout are those of a deployment whose settings have none.
 	defaultConnIdle       = 15 * time.Second
 	defaultConnectTimeout = 250 * time.Millisecond
 	// defaultDrainGrace is the shortest grace of any deployment: without a stated one, sends have to
--- a/internal/node/detach_histories_test.go
+++ b/internal/node/detach_histories_test.go
@@ -42,7 +42,7 @@
 func (h *history) Reject(policy.RequestID, time.Duration) {}
 func (h *history) Fail(policy.RequestID)                  {}
 func (h *history) SetTimer(time.Duration, uint64)         {}
-func (h *history) WatchEndpoints()                        {}
+func (h *history) RequestPoll()                           {}
 
 // request starts a request, and ends all attempts in flight as drawn; failures lead to retries.
 func (h *history) request() {
--- a/internal/node/endpointwatcher.go
+++ b/internal/node/endpointwatcher.go
@@ -46,8 +46,8 @@
 	countingSince time.Time
 	ready         func() // reports the node ready; may be called repeatedly
 
-	// resyncBackoff spaces the requests of the full list after incomplete responses. A pollLoop calls Next before it
-	// locks mu; Reset is called with mu locked.
+	// resyncBackoff spaces the requests of the full list after incomplete responses. Next is called without mu, Reset
+	// with it: while discovery moves to another address, two pollLoops may call them at once.
 	resyncBackoff discovery.Backoff
 
 	// mu guards the fields below, and the order in which sink is given lists.
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -46,7 +46,7 @@
 	r := &restartCoordinator{cfg: cfg, log: log, components: c, descriptorLimit: cfg.Limits.Sockets}
 	folder, changes, err := hotrestart.Join(cfg.SharedDir, cfg.Name+" "+cfg.Listen, log)
 	if err != nil {
-		log.Error("administrative record unavailable, changes will be rejected", "err", err)
+		log.Error("shared folder unavailable, hot restart coordination and administrative changes disabled", "err", err)
 		r.folderErr = err
 		return r
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,8 +15,8 @@
 	"yokestall/internal/hotrestart"
 )
 
-// initialListTimeout bounds how long a successor waits for an endpoint list before it accepts clients.
-const initialListTimeout = 4 * time.Second
+// successorListTimeout bounds how long a successor waits for an endpoint list before it accepts clients.
+const successorListTimeout = 4 * time.Second
 
 // Node is one load balancer. Create it with Listen.
 type Node struct {
@@ -139,7 +139,7 @@
 	if c.restart.hasPredecessor() {
 		select {
 		case <-ready:
-		case <-time.After(initialListTimeout):
+		case <-time.After(successorListTimeout):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -191,7 +191,7 @@
 	context.AfterFunc(p.ctx, func() { timer.Stop() })
 }
 
-func (p *pollingPolicy) WatchEndpoints()                                         { p.watcher.requestPoll() }
+func (p *pollingPolicy) RequestPoll()                                            { p.watcher.requestPoll() }
 func (p *pollingPolicy) Send(policy.RequestID, policy.EndpointID, time.Duration) {}
 func (p *pollingPolicy) Cancel(policy.RequestID, int)                            {}
 func (p *pollingPolicy) Reject(policy.RequestID, time.Duration)                  {}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -15,9 +15,8 @@
 	// arrivalPeriod is how long the platform still sends connections to a node that shuts down, and how
 	// long no request must have arrived for the shutdown to end early.
 	arrivalPeriod = 500 * time.Millisecond
-	// shutdownMargin is what a shutdown may take beyond the longest deadline. The platform kills the
-	// node 0.7 s after that, and counts a deadline over maxCountedDeadline as that long: a shutdown that
-	// waited for a longer one would be cut off with all open requests.
+	// shutdownMargin is what a shutdown may take beyond the longest deadline. The platform kills the node
+	// 0.7 s after the longest deadline, of which it counts maxCountedDeadline at most.
 	shutdownMargin     = 500 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
 	// closingPeriod is the last part of a shutdown, in which no request is accepted. abortPeriod is the
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -344,8 +344,8 @@
 	binary.BigEndian.PutUint64(rec[9:], token)
 }
 
-// WatchEndpoints implements policy.Host.
-func (r *Reply) WatchEndpoints() { r.record(actWatch)[1] = 1 }
+// RequestPoll implements policy.Host.
+func (r *Reply) RequestPoll() { r.record(actWatch)[1] = 1 }
 
 // Fatal says that the decision code has failed.
 func (r *Reply) Fatal(text string) {
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -116,7 +116,7 @@
 	r.For(5)
 	r.Reject(0x0e6f2b19, 250*time.Millisecond)
 	r.Fail(7)
-	r.WatchEndpoints()
+	r.RequestPoll()
 	r.Fatal("broken")
 	var out bytes.Buffer
 	if err := r.WriteTo(bufio.NewWriter(&out), 12); err != nil {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,10 +17,10 @@
 	shedMargin = 2
 	// shedMarginUnknown is the same multiple for a class with fewer than minLatencySamples answers.
 	shedMarginUnknown = 1
-	// shedMarginThin is the same multiple with thin traffic, where other nodes' queues are not seen.
-	shedMarginThin = 2.5
+	// shedMarginManyNodes is the same multiple among many nodes, where other nodes' queues are not seen.
+	shedMarginManyNodes = 2.5
 	// unsettledPaceFactor divides the time between answers while the concurrency limit still grows, or is
-	// exceeded by chance with thin traffic.
+	// exceeded by chance among many nodes.
 	unsettledPaceFactor = 2
 	// retryAfterDivisor gives the Retry-After of a rejection: the latency objective divided by this.
 	retryAfterDivisor = 2
@@ -96,8 +96,8 @@
 
 // requiredMargin returns the multiple of the expected latency that must fit for a request to stay queued.
 func (b *Balancer) requiredMargin(r *request) float64 {
-	if b.thinTraffic() {
-		return shedMarginThin
+	if b.manyNodes() {
+		return shedMarginManyNodes
 	}
 	if r.class.latencySamples < minLatencySamples {
 		return shedMarginUnknown
@@ -108,7 +108,7 @@
 // nanosPerAnswer returns the expected time from one answer to the next, in nanoseconds.
 func (b *Balancer) nanosPerAnswer() float64 {
 	pace := b.typicalLatency / max(1, float64(b.concurrency.inFlight)) * float64(time.Second)
-	if !b.concurrency.saturated || b.thinTraffic() {
+	if !b.concurrency.saturated || b.manyNodes() {
 		pace /= unsettledPaceFactor
 	}
 	return pace
--- a/policy/api.go
+++ b/policy/api.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// RequestID identifies a client request. The host chooses it and never reuses it.
+// RequestID identifies a client request. The host chooses it, and reuses none while its
+// request is open.
 type RequestID uint32
 
 // EndpointID identifies an endpoint. It is opaque: equal ids mean the same endpoint.
@@ -90,6 +91,6 @@
 	Fail(id RequestID)
 	// SetTimer asks for a Balancer.Timer event with this token at the given time, after the present event.
 	SetTimer(at time.Duration, token uint64)
-	// WatchEndpoints polls for changes of the endpoint list; called only with Settings.PollEndpoints.
-	WatchEndpoints()
+	// RequestPoll asks for a poll of the endpoint list; called only with Settings.PollEndpoints.
+	RequestPoll()
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -170,6 +170,6 @@
 			b.sweep(now)
 		}
 	case tokenPoll:
-		b.host.WatchEndpoints()
+		b.host.RequestPoll()
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -20,7 +20,7 @@
 func (h *idleHost) Reject(RequestID, time.Duration)     {}
 func (h *idleHost) Fail(RequestID)                      {}
 func (h *idleHost) SetTimer(at time.Duration, _ uint64) { h.sweepAt = at }
-func (h *idleHost) WatchEndpoints()                     {}
+func (h *idleHost) RequestPoll()                        {}
 
 func benchBalancer(b *testing.B, endpoints, nodes int) (*Balancer, *idleHost) {
 	b.Helper()
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -11,7 +11,7 @@
 // Netflix's concurrency-limits do. Its inputs are latencyInflation (a logarithm), typicalLatency (seconds),
 // the requests in flight, the queue and the nodes per endpoint. The limit grows while requests wait for
 // capacity and the inflation is below targetInflation, and shrinks above it, but not far below the last limit
-// known to be good: a fleet that is slow as a whole looks the same as a saturated one. With thin traffic,
+// known to be good: a fleet that is slow as a whole looks the same as a saturated one. Among many nodes,
 // bursts of the own requests say little; there the mean in flight is bounded, and the limit may fall below
 // one request for each endpoint, so that saturated endpoints recover.
 
@@ -35,15 +35,15 @@
 	shrinkPerRound = 0.1
 	// maxShrinkExcess bounds the inflation above the target that counts for the shrinking.
 	maxShrinkExcess = 0.2
-	// maxShrinkExcessThin is the same bound with thin traffic.
-	maxShrinkExcessThin = 1
-	// firstSaturationFactor multiplies the limit at the first saturation with thin traffic: its answers show
+	// maxShrinkExcessManyNodes is the same bound among many nodes.
+	maxShrinkExcessManyNodes = 1
+	// firstSaturationFactor multiplies the limit at the first saturation among many nodes: its answers show
 	// late that the initial growth went too far.
 	firstSaturationFactor = 0.6
 	// minOfLastGood is the lower bound of the limit, as a share of the last good one; it is at least 1.
 	minOfLastGood = 0.9
-	// minLimitThin is the lower bound of the limit with thin traffic, in requests per endpoint.
-	minLimitThin = 0.5
+	// minLimitManyNodes is the lower bound of the limit among many nodes, in requests per endpoint.
+	minLimitManyNodes = 0.5
 	// lastGoodDecaySeconds is the time constant over which the last good limit is forgotten, in seconds.
 	lastGoodDecaySeconds = 60.0
 	// maxAdjustSeconds bounds the time that one adjustment covers, in seconds.
@@ -51,7 +51,7 @@
 	// meanInFlightSeconds is the time over which the requests in flight are averaged, in seconds.
 	meanInFlightSeconds = 1.0
 	// burstDeviations is the number of standard deviations (of a Poisson distribution) by which the requests
-	// in flight may exceed the limit for a moment with thin traffic.
+	// in flight may exceed the limit for a moment among many nodes.
 	burstDeviations = 2
 )
 
@@ -81,14 +81,14 @@
 	switch {
 	case excess > 0 && !c.saturated:
 		c.saturated = true
-		if b.thinTraffic() {
+		if b.manyNodes() {
 			c.limit *= firstSaturationFactor
 		}
 		c.lastGood = c.limit
 	case excess > 0:
 		least, most := max(1, minOfLastGood*c.lastGood), maxShrinkExcess
-		if b.thinTraffic() {
-			least, most = minLimitThin, maxShrinkExcessThin
+		if b.manyNodes() {
+			least, most = minLimitManyNodes, maxShrinkExcessManyNodes
 		}
 		c.limit = max(least, c.limit*(1-shrinkPerRound*min(excess, most)*rounds))
 		c.lastGood *= 1 - seconds/lastGoodDecaySeconds
@@ -116,7 +116,7 @@
 func (b *Balancer) withinConcurrencyLimit() bool {
 	c := &b.concurrency
 	limit := c.limit / b.subset.nodesPerEndpoint * float64(b.health.closedBreakers)
-	if !b.thinTraffic() {
+	if !b.manyNodes() {
 		return float64(c.inFlight+1) <= max(1, limit)
 	}
 	return c.meanInFlight < limit && float64(c.inFlight+1) <= limit+burstDeviations*math.Sqrt(limit+1)
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// Guards against a fleet of saturated endpoints that is kept saturated by many nodes with thin traffic, each
+// Guards against a fleet of saturated endpoints that is kept saturated by many nodes, each
 // within a limit that was good before: the endpoints could never recover.
 func TestThinTrafficLetsSaturatedEndpointsRecover(t *testing.T) {
 	r, b := newLimitRig(t)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -13,8 +13,9 @@
 //	dispatch           admission.go       sends what has capacity; gives up when every breaker is open
 //	refresh            scoring.go         subset (subset.go), breakers (circuitbreaker.go), scores
 //	pick               selection.go       half-open trial, or two random candidates and the better of them
-//	maySend            selection.go       the one gate of every attempt: idempotency.go, slowstart.go
-//	hasCapacity        concurrencylimit.go
+//	maySend            selection.go       the rules that every attempt keeps: deadline, attempts, drains,
+//	                                      idempotency.go, slowstart.go
+//	hasCapacity        concurrencylimit.go, per endpoint; withinConcurrencyLimit for the node
 //	Host.Send
 //	Balancer.Outcome   balancer.go        recordOutcome (outcomes.go): score, breaker, latency (latency.go),
 //	                                      adjustConcurrencyLimit (concurrencylimit.go)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -19,7 +19,7 @@
 }
 func (p *printer) Fail(id policy.RequestID)            { fmt.Println("fail request", id) }
 func (p *printer) SetTimer(at time.Duration, _ uint64) { p.timerAt = at }
-func (p *printer) WatchEndpoints()                     { fmt.Println("poll the endpoint list") }
+func (p *printer) RequestPoll()                        { fmt.Println("poll the endpoint list") }
 
 // A request is answered, one is retried at another endpoint and answered, and one is rejected because no
 // endpoint is left.
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -62,7 +62,7 @@
 	h.timers = append(h.timers, timer{at, token})
 }
 
-func (h *fakeHost) WatchEndpoints() {
+func (h *fakeHost) RequestPoll() {
 	h.logf("watch")
 	h.watches++
 }
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -12,9 +12,9 @@
 // unresponsiveFactor is the multiple of the expected latency after which an attempt is unresponsive.
 const unresponsiveFactor = 4.0
 
-// hedge detects the request's unresponsive attempts. If the request has no other attempt in flight, and an
-// answer is still in time, it sends a hedged request.
-func (b *Balancer) hedge(now time.Duration, r *request) {
+// detectUnresponsive counts the request's unresponsive attempts as failures. If the request has no other
+// attempt in flight, and an answer is still in time, it sends a hedged request.
+func (b *Balancer) detectUnresponsive(now time.Duration, r *request) {
 	expected := b.expectedLatency(r)
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -34,7 +34,7 @@
 
 // lacksAnswer reports whether the attempt is in flight for too long and its endpoint answered nothing since.
 func (a *attempt) lacksAnswer(now, expected time.Duration) bool {
-	if !a.inFlight || a.unresponsive {
+	if !a.inFlight || a.notCounted {
 		return false
 	}
 	age := float64(now - a.sentAt)
@@ -43,8 +43,8 @@
 
 // markUnresponsive stops counting an attempt in flight against the concurrency limit.
 func (b *Balancer) markUnresponsive(a *attempt) {
-	if !a.unresponsive {
-		a.unresponsive = true
+	if !a.notCounted {
+		a.notCounted = true
 		b.concurrency.inFlight--
 	}
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -40,7 +40,7 @@
 		b.recordFailure(now, a, failureReported)
 	case Timeout:
 		// A shorter wait says more of the client's patience than of the endpoint.
-		if !a.unresponsive && latency > b.health.meanLatency*unresponsiveFactor {
+		if !a.notCounted && latency > b.health.meanLatency*unresponsiveFactor {
 			e.outcomes.record(now, false, latency)
 			b.recordFailure(now, a, failureBySlowness)
 		}
@@ -61,13 +61,13 @@
 }
 
 // recordAnswer takes an answer. seconds is its latency; latency is the same as a multiple of the unloaded
-// latency. With thin traffic an answer that took very long counts as a failure: the endpoint is saturated by
+// latency. Among many nodes an answer that took very long counts as a failure: the endpoint is saturated by
 // other nodes' requests, and its open breaker lets it recover.
 func (b *Balancer) recordAnswer(now time.Duration, r *request, a *attempt, seconds, latency float64) {
 	e := a.endpoint
 	e.outcomes.record(now, true, latency)
 	e.slowStart.Answered(&b.slowStartRules, now, b.unloadedLatency(r))
-	if latency > slowAnswerFactor && b.thinTraffic() {
+	if latency > slowAnswerFactor && b.manyNodes() {
 		b.recordFailure(now, a, failureBySlowness)
 	} else {
 		e.recordSuccess(now, a)
--- a/policy/request.go
+++ b/policy/request.go
@@ -31,9 +31,9 @@
 	inFlight   bool
 	neverRan   bool // ended, and the endpoint did not start it
 	unloaded   bool // no other request of this node was in flight at the endpoint
-	// unresponsive says that the attempt is in flight but not counted in concurrency.inFlight: no answer is
+	// notCounted says that the attempt is in flight but not counted in concurrency.inFlight: no answer is
 	// expected of it, or its body is incomplete.
-	unresponsive bool
+	notCounted bool
 }
 
 // request is a client's request.
@@ -142,7 +142,7 @@
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.inFlight && slices.Contains(a.endpoint.inFlight, a) {
-			a.sentAt, a.unresponsive = now, false
+			a.sentAt, a.notCounted = now, false
 			a.endpoint.incompleteBodies--
 			b.concurrency.inFlight++
 		}
@@ -155,7 +155,7 @@
 	a.inFlight = false
 	a.neverRan = o.Status == Rejected || o.Status == ConnectFailed || o.Status == NeverSent
 	r.inFlight--
-	if !a.unresponsive {
+	if !a.notCounted {
 		b.concurrency.inFlight--
 	}
 	i := slices.Index(a.endpoint.inFlight, a)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -101,7 +101,7 @@
 // for long on a node with little traffic. Among many nodes chance suffices; all would choose it at one
 // moment.
 func (b *Balancer) unmeasured(now time.Duration) *endpoint {
-	if b.thinTraffic() {
+	if b.manyNodes() {
 		return nil
 	}
 	for _, e := range b.candidates {
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// An endpoint that returns to service gets a request within 3 s on thin traffic, whatever the seed. With
+// An endpoint that returns to service gets a request within 3 s among many nodes, whatever the seed. With
 // sixteen endpoints and eight requests per second chance alone passes it over for longer.
 func TestBackOnThinTraffic(t *testing.T) {
 	for seed := range uint64(200) {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -53,6 +53,6 @@
 	s.nodesPerEndpoint = max(1, nodes*float64(len(s.members))/float64(max(1, n)))
 }
 
-// thinTraffic reports whether there are so many nodes that this node's own requests say little of the
+// manyNodes reports whether there are so many nodes that this node's own requests say little of the
 // endpoints' load. It holds for all nodes alike, whatever the sizes of their subsets.
-func (b *Balancer) thinTraffic() bool { return b.settings.NodeCount > maxInformativeNodes }
+func (b *Balancer) manyNodes() bool { return b.settings.NodeCount > maxInformativeNodes }
--- a/policy/sweep.go
+++ b/policy/sweep.go
@@ -39,7 +39,7 @@
 		switch {
 		case r.streaming:
 		case r.inFlight > 0:
-			b.hedge(now, r)
+			b.detectUnresponsive(now, r)
 		case now >= r.deadline:
 			b.giveUp(r)
 		case r.retryAt > 0 && now >= r.retryAt:
