--- /dev/null
+++ b/internal/fleet/ownership/holder.go
@@ -0,0 +1,100 @@
+package ownership
+
+import "time"
+
+const (
+	// maxOutstandingRequests is how many requests may be unanswered. Replies to older ones are ignored.
+	maxOutstandingRequests = 16
+	// minReservedShare is the part of its own share that a node never releases, for the first requests that arrive.
+	minReservedShare = 0.1
+)
+
+// Holder is a node's side: its share of the budget. It is not safe for concurrent use.
+type Holder struct {
+	config       LeaseConfig
+	highestToken uint64                   // of the owners' replies
+	released     []capacityLease          // parts of the own share that others may use
+	granted      []capacityLease          // parts of others' shares
+	requestedAt  map[uint64]time.Duration // when each outstanding request was made, by sequence
+	sequence     uint64                   // of the latest request
+	echo         Nonce                    // of the latest reply
+	fleetDemand  float64                  // by the latest reply, in requests per second
+}
+
+// NewHolder creates a node's side after a start. An earlier run of the node may have released all of its own share.
+func NewHolder(now time.Duration, config LeaseConfig) *Holder {
+	earlier := capacityLease{1, now + config.onFastestClock(config.ReleaseDuration)}
+	return &Holder{config: config, requestedAt: map[uint64]time.Duration{}, released: []capacityLease{earlier}}
+}
+
+// Usable returns the fraction of the budget that the node may use from now until a time, at which Usable has to be
+// called again. own is its share without any lease. That may change at all nodes together, as versions do: a node never
+// releases more than its share was, and one that is added with more nodes starts with nothing until the leases of the
+// smaller fleet have ended.
+func (h *Holder) Usable(now, until time.Duration, own float64) float64 {
+	remaining := own
+	for _, l := range h.released {
+		if now < l.end {
+			remaining -= l.share
+		}
+	}
+	usable := max(0, remaining)
+	for _, l := range h.granted {
+		if until < l.end {
+			usable += l.share
+		}
+	}
+	return usable
+}
+
+// NextRequest creates the next request to the owner. What it releases is deducted from now on, whether the request
+// arrives or not. own is the node's share without any lease, demand its requests per second.
+func (h *Holder) NextRequest(now time.Duration, own, demand float64) LeaseRequest {
+	h.released = removeExpired(h.released, now)
+	h.granted = removeExpired(h.granted, now)
+	h.sequence++
+	h.requestedAt[h.sequence] = now
+	delete(h.requestedAt, h.sequence-maxOutstandingRequests)
+	request := LeaseRequest{Sequence: h.sequence, Demand: demand, OwnShare: own, Echo: h.echo}
+	if h.echo.Token == 0 || h.fleetDemand <= 0 || len(h.released) >= maxLeases {
+		return request
+	}
+	if spare := h.spare(own, demand); spare > own/minLeaseDivisor {
+		request.Released = spare
+		end := now + h.config.onFastestClock(h.config.ReleaseDuration)
+		h.released = append(h.released, capacityLease{spare, end})
+	}
+	return request
+}
+
+// spare returns the fraction of the budget that the node does not need of its own share; negative where it needs more.
+func (h *Holder) spare(own, demand float64) float64 {
+	free := own
+	for _, l := range h.released {
+		free -= l.share
+	}
+	return free - max(own*minReservedShare, demand/h.fleetDemand)
+}
+
+// HandleReply records an owner's reply. It returns false, and ignores the reply, if the owner's token is no longer
+// the highest or the reply belongs to no outstanding request.
+func (h *Holder) HandleReply(now time.Duration, reply LeaseReply) bool {
+	if reply.Token < h.highestToken {
+		return false
+	}
+	requested, outstanding := h.requestedAt[reply.Sequence]
+	if !outstanding {
+		return false
+	}
+	delete(h.requestedAt, reply.Sequence) // a reply that comes twice counts once
+	h.highestToken = reply.Token
+	h.echo, h.fleetDemand = reply.Nonce, reply.Demand
+	end := requested + h.config.onSlowestClock(reply.Duration)
+	if reply.Granted > 0 && now < end && len(h.granted) < maxLeases {
+		h.granted = append(h.granted, capacityLease{reply.Granted, end})
+	}
+	return true
+}
+
+// HighestToken returns the highest fencing token of an owner's replies.
+func (h *Holder) HighestToken() uint64 { return h.highestToken }
--- a/internal/fleet/ownership/share_test.go
+++ b/internal/fleet/ownership/sim_test.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// Nodes that lend and borrow in virtual time: clocks off by a tenth, a network that loses, delays, holds and repeats,
-// nodes that are stopped and start again, owners that are replaced and go on all the same, rules that change how many
-// nodes there are.
+// Nodes with capacity leases in virtual time: clocks off by a tenth, a network that loses, delays and duplicates
+// messages, nodes that are paused and restarted, owners that are replaced and go on all the same, versions that change
+// the number of nodes.
 
+// without is a guard that a run leaves out.
 type without string
 
 const (
-	nothing    without = ""
-	bookFirst  without = "a pledge is booked when it is answered"
-	fromEcho   without = "a pledge counts from when it arrives"
-	fromAsk    without = "a slice counts from when it arrives"
-	drift      without = "clocks are taken to be exact"
-	onceOnly   without = "a trade that comes twice counts twice"
-	quietStart without = "a node that starts forgets what it lent"
+	nothing            without = ""
+	releaseOnReply     without = "a release is deducted when it is answered"
+	releaseFromArrival without = "a release counts from when it arrives"
+	grantFromArrival   without = "a grant counts from when it arrives"
+	drift              without = "clocks are taken to be exact"
+	duplicates         without = "a request that arrives twice counts twice"
+	forgetReleases     without = "a node that starts forgets what it released"
 )
 
-var simTerms = LendingConfig{PledgeDuration: 2 * time.Second, MaxClockDrift: 0.1}
+var simConfig = LeaseConfig{ReleaseDuration: 2 * time.Second, MaxClockDrift: 0.1}
 
 type sim struct {
-	rng    *rand.Rand
-	out    without
-	terms  LendingConfig
-	now    time.Duration
-	queue  queue
-	order  int
-	nodes  []*node
-	owners []*dealing
-	homes  []float64 // own part by epoch
-	epoch  uint64
-	broken string
+	rng       *rand.Rand
+	out       without
+	config    LeaseConfig
+	now       time.Duration
+	queue     queue
+	order     int
+	nodes     []*node
+	owners    []*owner
+	ownShares []float64 // by epoch
+	epoch     uint64
+	broken    string
 	borrowed,
 	largest float64
 }
@@ -47,7 +48,7 @@
 	life   int
 	rate   float64
 	offset time.Duration
-	share  *Share
+	share  *Holder
 	demand float64
 	paused time.Duration
 	lag    time.Duration // what goes to it and comes from it takes so much longer
@@ -56,9 +57,9 @@
 	epoch  uint64
 }
 
-type dealing struct {
-	at     *node
-	dealer *Allocator
+type owner struct {
+	at        *node
+	allocator *Allocator
 }
 
 type event struct {
@@ -85,12 +86,17 @@
 }
 
 func newSim(seed uint64, nodes int, out without) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(40, seed)), out: out, terms: simTerms, homes: []float64{1 / float64(nodes)}}
+	s := &sim{rng: rand.New(rand.NewPCG(40, seed)), out: out, config: simConfig, ownShares: []float64{1 / float64(nodes)}}
 	if out == drift {
-		s.terms.MaxClockDrift = 0
+		s.config.MaxClockDrift = 0
 	}
 	for i := range nodes {
-		n := &node{name: fmt.Sprint("n", i), rate: 1 + simTerms.MaxClockDrift*float64(s.rng.IntN(3)-1), offset: time.Duration(s.rng.Int64N(int64(time.Hour))), demand: 1}
+		n := &node{
+			name:   fmt.Sprint("n", i),
+			rate:   1 + simConfig.MaxClockDrift*float64(s.rng.IntN(3)-1),
+			offset: time.Duration(s.rng.Int64N(int64(time.Hour))),
+			demand: 1,
+		}
 		s.nodes = append(s.nodes, n)
 		s.start(n)
 	}
@@ -98,10 +104,10 @@
 	return s
 }
 
-// own has another node deal, by a token that is higher; those before go on.
+// own makes a node the owner by a higher token. The owners before go on.
 func (s *sim) own() {
 	at := s.nodes[s.rng.IntN(len(s.nodes))]
-	s.owners = append(s.owners, &dealing{at, NewAllocator(uint64(len(s.owners)+1), s.terms)})
+	s.owners = append(s.owners, &owner{at, NewAllocator(uint64(len(s.owners)+1), s.config)})
 }
 
 func (s *sim) at(in time.Duration, do func()) {
@@ -126,42 +132,43 @@
 func (s *sim) start(n *node) {
 	n.life++
 	n.down, n.paused, n.late = false, 0, nil
-	n.share = NewShare(n.clock(s.now), s.terms)
-	if s.out == quietStart {
-		n.share.lent = nil
+	n.share = NewHolder(n.clock(s.now), s.config)
+	if s.out == forgetReleases {
+		n.share.released = nil
 	}
 	s.trades(n)
 }
 
 func (s *sim) trades(n *node) {
-	s.on(n, time.Duration(float64(s.terms.RenewInterval())/n.rate), func() {
-		t := n.share.NextRequest(n.clock(s.now), s.homes[n.epoch], n.demand)
+	s.on(n, time.Duration(float64(s.config.RenewInterval())/n.rate), func() {
+		t := n.share.NextRequest(n.clock(s.now), s.ownShares[n.epoch], n.demand)
 		t.Node, t.Incarnation = n.name, fmt.Sprint(n.life)
-		if s.out == bookFirst && t.Pledge > 0 {
-			n.share.lent = n.share.lent[:len(n.share.lent)-1]
+		if s.out == releaseOnReply && t.Released > 0 {
+			n.share.released = n.share.released[:len(n.share.released)-1]
 		}
 		o := s.owners[len(s.owners)-1]
 		if s.rng.IntN(4) == 0 { // it believes in one that is past
 			o = s.owners[s.rng.IntN(len(s.owners))]
 		}
 		s.send(n, o.at, func() {
-			if s.out == fromEcho {
+			if s.out == releaseFromArrival {
 				t.Echo.At = o.at.clock(s.now)
 			}
-			if s.out == onceOnly {
-				if known := o.dealer.nodes[t.Node]; known != nil {
+			if s.out == duplicates {
+				if known := o.allocator.nodes[t.Node]; known != nil {
 					known.sequence = 0
 				}
 			}
-			d := o.dealer.Allocate(o.at.clock(s.now), t)
+			d := o.allocator.Allocate(o.at.clock(s.now), t)
 			s.send(o.at, n, func() {
-				if s.out == fromAsk {
+				if s.out == grantFromArrival {
 					if _, known := n.share.requestedAt[d.Sequence]; known {
 						n.share.requestedAt[d.Sequence] = n.clock(s.now)
 					}
 				}
-				if n.share.HandleReply(n.clock(s.now), d) && s.out == bookFirst && t.Pledge > 0 {
-					n.share.lent = append(n.share.lent, loan{t.Pledge, n.clock(s.now) + s.terms.onFastestClock(s.terms.PledgeDuration)})
+				if n.share.HandleReply(n.clock(s.now), d) && s.out == releaseOnReply && t.Released > 0 {
+					end := n.clock(s.now) + s.config.onFastestClock(s.config.ReleaseDuration)
+					n.share.released = append(n.share.released, capacityLease{t.Released, end})
 				}
 				s.borrowed += d.Granted
 			})
@@ -185,19 +192,19 @@
 	s.on(to, in, do)
 }
 
-// judge adds up what all nodes may use at this moment, those that are dead or stopped apart: they use nothing.
+// judge adds up what all nodes may use at this moment. Nodes that are down or paused use nothing.
 func (s *sim) judge() {
 	sum := 0.0
 	for _, n := range s.nodes {
 		if n.down || n.paused > s.now {
 			continue
 		}
-		part := n.share.Usable(n.clock(s.now), n.clock(s.now), s.homes[n.epoch])
-		s.largest = max(s.largest, part/s.homes[n.epoch])
+		part := n.share.Usable(n.clock(s.now), n.clock(s.now), s.ownShares[n.epoch])
+		s.largest = max(s.largest, part/s.ownShares[n.epoch])
 		sum += part
 	}
 	if sum > 1+1e-9 && s.broken == "" {
-		s.broken = fmt.Sprintf("%v: %.6f of the whole", s.now, sum)
+		s.broken = fmt.Sprintf("%v: %.6f of the budget", s.now, sum)
 	}
 }
 
@@ -219,7 +226,7 @@
 		case 0:
 			s.own()
 		case 4:
-			n.lag = time.Duration(s.rng.Int64N(int64(2 * simTerms.PledgeDuration)))
+			n.lag = time.Duration(s.rng.Int64N(int64(2 * simConfig.ReleaseDuration)))
 			s.at(4*time.Second, func() { n.lag = 0 })
 		case 1:
 			n.paused = s.now + time.Duration(s.rng.Int64N(int64(4*time.Second)))
@@ -241,7 +248,7 @@
 			for range 1 + s.rng.IntN(3) {
 				s.nodes = append(s.nodes, &node{name: fmt.Sprint("n", len(s.nodes)), rate: 1, demand: 1, down: true})
 			}
-			s.homes = append(s.homes, 1/float64(len(s.nodes)))
+			s.ownShares = append(s.ownShares, 1/float64(len(s.nodes)))
 			s.epoch++
 			for _, other := range s.nodes {
 				if other.epoch = s.epoch; other.life == 0 {
@@ -261,8 +268,8 @@
 	return s
 }
 
-// The sum of what all nodes may use at one moment never passes the whole, and what is lent is used.
-func TestSharesNeverPassTheWhole(t *testing.T) {
+// The sum of what all nodes may use at one moment never exceeds the budget, and what is released is granted.
+func TestSharesNeverExceedTheBudget(t *testing.T) {
 	borrowed, largest := 0.0, 0.0
 	seeds := 1000
 	if raced {
@@ -276,9 +283,10 @@
 		borrowed, largest = borrowed+s.borrowed, max(largest, s.largest)
 	}
 	if borrowed < float64(seeds)/10 || largest < 3 {
-		t.Errorf("%.1f of the whole borrowed, %.1f times a node's own part at most: too little to say anything", borrowed, largest)
+		t.Errorf("%.1f budgets granted, %.1f times a node's own share at most: too little to say anything",
+			borrowed, largest)
 	}
-	t.Logf("%d seeds: %.0f wholes were lent and borrowed, up to %.1f times a node's own part", seeds, borrowed, largest)
+	t.Logf("%d seeds: %.0f budgets were granted, up to %.1f times a node's own share", seeds, borrowed, largest)
 }
 
 // Each guard that is left out is found by the same runs.
@@ -286,7 +294,9 @@
 	if raced {
 		t.Skip("played without the race detector")
 	}
-	for _, out := range []without{bookFirst, fromEcho, fromAsk, drift, onceOnly, quietStart} {
+	for _, out := range []without{
+		releaseOnReply, releaseFromArrival, grantFromArrival, drift, duplicates, forgetReleases,
+	} {
 		t.Run(string(out), func(t *testing.T) {
 			for seed := range uint64(2000) {
 				if s := play(seed, out); s.broken != "" {
@@ -299,14 +309,14 @@
 	}
 }
 
-// A slice ends before its pledge does on any three clocks, and not long before.
-func TestSliceEndsBeforeItsPledge(t *testing.T) {
-	rates := []float64{1 - simTerms.MaxClockDrift, 1, 1 + simTerms.MaxClockDrift}
+// A grant ends before the release that it was taken from on any three clocks, and not long before.
+func TestGrantEndsBeforeItsRelease(t *testing.T) {
+	rates := []float64{1 - simConfig.MaxClockDrift, 1, 1 + simConfig.MaxClockDrift}
 	for i := range 27 {
 		lenderRate, ownerRate, borrowerRate := rates[i%3], rates[i/3%3], rates[i/9]
 		clock := func(rate float64, at time.Duration) time.Duration { return time.Duration(rate * float64(at)) }
-		lender, borrower, d := NewShare(-time.Hour, simTerms), NewShare(-time.Hour, simTerms), NewAllocator(1, simTerms)
-		ask := func(at time.Duration, s *Share, rate float64, name string, demand float64) (ShareRequest, ShareReply) {
+		lender, borrower, d := NewHolder(-time.Hour, simConfig), NewHolder(-time.Hour, simConfig), NewAllocator(1, simConfig)
+		ask := func(at time.Duration, s *Holder, rate float64, name string, demand float64) (LeaseRequest, LeaseReply) {
 			tr := s.NextRequest(clock(rate, at), 0.5, demand)
 			tr.Node, tr.Incarnation = name, "1"
 			return tr, d.Allocate(clock(ownerRate, at), tr)
@@ -319,34 +329,38 @@
 		}
 		at := time.Hour + 200*time.Millisecond
 		tr, deal := ask(at, borrower, borrowerRate, "b", 100)
-		if deal.Granted < 0.4 || tr.Sequence != deal.Sequence || !borrower.HandleReply(clock(borrowerRate, at), deal) || borrower.HandleReply(clock(borrowerRate, at), deal) {
+		if deal.Granted < 0.4 || tr.Sequence != deal.Sequence ||
+			!borrower.HandleReply(clock(borrowerRate, at), deal) || borrower.HandleReply(clock(borrowerRate, at), deal) {
 			t.Fatalf("%+v", deal)
 		}
-		slice := time.Duration(float64(borrower.borrowed[0].until) / borrowerRate)
-		pledge := time.Duration(float64(lender.lent[0].until) / lenderRate)
-		if slice > pledge || pledge-slice > simTerms.PledgeDuration {
-			t.Errorf("lender %.1f, owner %.1f, borrower %.1f: the slice ends %v, the pledge %v", lenderRate, ownerRate, borrowerRate, slice-time.Hour, pledge-time.Hour)
+		slice := time.Duration(float64(borrower.granted[0].end) / borrowerRate)
+		pledge := time.Duration(float64(lender.released[0].end) / lenderRate)
+		if slice > pledge || pledge-slice > simConfig.ReleaseDuration {
+			t.Errorf("lender %.1f, owner %.1f, borrower %.1f: the grant ends %v, the release %v",
+				lenderRate, ownerRate, borrowerRate, slice-time.Hour, pledge-time.Hour)
 		}
-		if part := lender.Usable(clock(lenderRate, at), clock(lenderRate, at), 0.5) + borrower.Usable(clock(borrowerRate, at), clock(borrowerRate, at), 0.5); part > 1 {
-			t.Errorf("%.3f of the whole", part)
+		part := lender.Usable(clock(lenderRate, at), clock(lenderRate, at), 0.5) +
+			borrower.Usable(clock(borrowerRate, at), clock(borrowerRate, at), 0.5)
+		if part > 1 {
+			t.Errorf("%.3f of the budget", part)
 		}
-		if borrower.HandleReply(0, ShareReply{Token: 0}) {
-			t.Error("an owner that was passed is heard")
+		if borrower.HandleReply(0, LeaseReply{Token: 0}) {
+			t.Error("a reply by an earlier token is handled")
 		}
 	}
 }
 
-// A dealer takes so many nodes and no more.
-func TestTradersMost(t *testing.T) {
-	d := NewAllocator(1, simTerms)
+// An allocator serves MaxNodes nodes and no more.
+func TestMaxNodes(t *testing.T) {
+	d := NewAllocator(1, simConfig)
 	for i := range MaxNodes + 10 {
-		d.Allocate(0, ShareRequest{Node: fmt.Sprint(i), Incarnation: "a", Sequence: 1, Demand: 1})
+		d.Allocate(0, LeaseRequest{Node: fmt.Sprint(i), Incarnation: "a", Sequence: 1, Demand: 1})
 	}
 	if len(d.nodes) != MaxNodes {
 		t.Errorf("%d nodes", len(d.nodes))
 	}
-	d.Allocate(3*simTerms.PledgeDuration, ShareRequest{Node: "late", Incarnation: "a", Sequence: 1})
+	d.Allocate(3*simConfig.ReleaseDuration, LeaseRequest{Node: "late", Incarnation: "a", Sequence: 1})
 	if len(d.nodes) != 1 {
-		t.Errorf("%d nodes once they are silent", len(d.nodes))
+		t.Errorf("%d nodes after the others expired", len(d.nodes))
 	}
 }
--- a/internal/fleetsim/events.go
+++ b/internal/fleetsim/events.go
@@ -41,8 +41,8 @@
 	token   uint64
 	server  int
 	call    *call
-	request ownership.ShareRequest
-	reply   ownership.ShareReply
+	request ownership.LeaseRequest
+	reply   ownership.LeaseReply
 }
 
 // events is a heap of events, the earliest first, and of those at one time the one that was posted first.
--- a/internal/fleetsim/lend.go
+++ b/internal/fleetsim/lend.go
@@ -10,7 +10,7 @@
 
 // lending is a node's side of the lending of cold servers' budgets.
 type lending struct {
-	share          *ownership.Share
+	share          *ownership.Holder
 	requests       int64 // of clients, since the node's start
 	requestsBefore int64 // at the last request to the owner
 	demand         float64
@@ -27,14 +27,14 @@
 
 var _ shareSetter = (*policy.Balancer)(nil)
 
-func (s *sim) lendingConfig() ownership.LendingConfig {
-	return ownership.LendingConfig{PledgeDuration: s.day.PledgeDuration, MaxClockDrift: 0.01}
+func (s *sim) lendingConfig() ownership.LeaseConfig {
+	return ownership.LeaseConfig{ReleaseDuration: s.day.PledgeDuration, MaxClockDrift: 0.01}
 }
 
 // startLending starts a node's lending after each of its starts.
 func (n *node) startLending() {
 	if n.day.PledgeDuration > 0 {
-		n.lending = lending{share: ownership.NewShare(n.now, n.lendingConfig())}
+		n.lending = lending{share: ownership.NewHolder(n.now, n.lendingConfig())}
 		n.post(event{at: n.now, kind: evUpdateShare, node: n, token: n.starts})
 	}
 }
