--- /dev/null
+++ b/internal/fleet/consensus/differences.go
@@ -0,0 +1,236 @@
+package consensus
+
+import (
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+
+	"yokestall/internal/cluster"
+	"yokestall/internal/config"
+	"yokestall/internal/route"
+	"yokestall/policy"
+)
+
+// Difference is a difference between two versions.
+type Difference struct {
+	Kind        Kind
+	Name        string // of the class, the route, the server
+	From, To    string
+	Contradicts bool
+}
+
+// String formats the difference for operators.
+func (d Difference) String() string {
+	s := fmt.Sprintf("%s: %s", Table()[d.Kind].What, d.Name)
+	if d.From != "" || d.To != "" {
+		s += fmt.Sprintf(": %s to %s", d.From, d.To)
+	}
+	return s
+}
+
+// Contradicts reports whether any of the differences contradicts.
+func Contradicts(list []Difference) bool {
+	return slices.ContainsFunc(list, func(d Difference) bool { return d.Contradicts })
+}
+
+// Differences returns what differs between the version that nodes act on and one that is to follow it, sorted by kind
+// and then by name. It is directed: taking a server out contradicts, putting one back doesn't.
+func Differences(from, to *Version) []Difference {
+	d := &differ{table: Table()}
+	if from.Program != to.Program {
+		d.classes(from.Program, to.Program)
+		d.fleet(from.Program, to.Program)
+		d.routes(from.Program, to.Program)
+	}
+	d.clusters(from.Clusters, to.Clusters)
+	slices.SortStableFunc(d.list, func(x, y Difference) int {
+		if x.Kind != y.Kind {
+			return int(x.Kind) - int(y.Kind)
+		}
+		return strings.Compare(x.Name, y.Name)
+	})
+	return d.list
+}
+
+// differ collects the differences between two versions.
+type differ struct {
+	table []Row // by kind
+	list  []Difference
+}
+
+// note adds a difference if the two values differ.
+func (d *differ) note(k Kind, name string, from, to any) {
+	if !reflect.DeepEqual(from, to) {
+		d.add(k, name, fmt.Sprint(from), fmt.Sprint(to))
+	}
+}
+
+// add adds a difference, with the table's word on whether its kind contradicts.
+func (d *differ) add(k Kind, name, from, to string) {
+	d.list = append(d.list, Difference{Kind: k, Name: name, From: from, To: to, Contradicts: d.table[k].Contradicts})
+}
+
+// classes compares classes by name, and the tenants' quotas.
+func (d *differ) classes(from, to *config.Program) {
+	for i := range from.Classes {
+		a := from.Classes[i]
+		at := to.Class(a.Name)
+		if at < 0 {
+			d.add(ClassRemoved, a.Name, "", "")
+			continue
+		}
+		b := to.Classes[at]
+		d.note(ClassEffect, a.Name, effect(a.Idempotency), effect(b.Idempotency))
+		if a.Idempotency == policy.IdempotentByKey && b.Idempotency == policy.IdempotentByKey {
+			d.note(ClassScope, a.Name, a.DedupScope, b.DedupScope)
+			d.note(ClassWindow, a.Name, a.DedupWindow, b.DedupWindow)
+		}
+		a.Idempotency, a.DedupScope, a.DedupWindow = b.Idempotency, b.DedupScope, b.DedupWindow
+		d.note(ClassService, a.Name, a, b)
+	}
+	for i := range to.Classes {
+		if name := to.Classes[i].Name; from.Class(name) < 0 {
+			d.add(ClassAdded, name, "", "")
+		}
+	}
+	d.note(TenantQuota, "tenants", from.Tenants, to.Tenants)
+}
+
+// effect is the word for an effect in configuration files.
+func effect(e policy.Idempotency) string { return [...]string{"safe", "keyed", "unsafe"}[e] }
+
+// fleet compares what a program says of all nodes together.
+func (d *differ) fleet(from, to *config.Program) {
+	d.note(Attempts, "limits", from.Limits, to.Limits)
+	d.note(Nodes, "fleet", from.Nodes, to.Nodes)
+	d.note(SlowStartRules, "fleet", from.Rules, to.Rules)
+}
+
+// routes compares hosts by their domains. Of a host that changed, all routes from the first different one on count,
+// since the first route that matches a request is taken.
+func (d *differ) routes(from, to *config.Program) {
+	differingRoutes(from, to, func(host string, a, b []route.Route, same int) {
+		kind := SafeRoute
+		if anyUnsafe(from, a) || anyUnsafe(to, b) {
+			kind = UnsafeRoute
+		}
+		d.add(kind, host,
+			fmt.Sprint(same+len(a), " routes"), fmt.Sprintf("%d, from the %d. on others", same+len(b), same+1))
+	})
+}
+
+// anyUnsafe reports whether any of the routes leads to a class that is not safe.
+func anyUnsafe(p *config.Program, routes []route.Route) bool {
+	return slices.ContainsFunc(routes, func(r route.Route) bool { return isUnsafe(p, r.Class) })
+}
+
+// isUnsafe reports whether a program has a class that is not safe by a name.
+func isUnsafe(p *config.Program, class string) bool {
+	at := p.Class(class)
+	return at >= 0 && p.Classes[at].Idempotency != policy.Idempotent
+}
+
+// clusters compares clusters by name. One that is missing counts as one without servers.
+func (d *differ) clusters(from, to map[string]*cluster.Cluster) {
+	for name, a := range from {
+		b := to[name]
+		if a == b {
+			continue
+		}
+		if b == nil {
+			b = &cluster.Cluster{Name: name, Transport: a.Transport, Bounds: a.Bounds}
+		}
+		d.servers(name, a.Endpoints, b.Endpoints)
+		d.note(ServerSize, name, a.Bounds, b.Bounds)
+	}
+	for name, b := range to {
+		if from[name] == nil {
+			d.servers(name, nil, b.Endpoints)
+		}
+	}
+}
+
+// servers compares the servers of the cluster in by id. Servers that are out of use in both versions don't differ.
+func (d *differ) servers(in string, from, to []cluster.Endpoint) {
+	walk(from, to, func(a, b *cluster.Endpoint) {
+		switch {
+		case a == nil && b.Serves():
+			d.note(ServerAdded, in+"/"+b.ID, "none", b.Health.String())
+			return
+		case a == nil, b != nil && *a == *b, b == nil && !a.Serves(): // nothing was sent to it, or is to be
+			return
+		}
+		name := in + "/" + a.ID
+		switch {
+		case b == nil:
+			d.note(ServerRemoved, name, a.Health.String(), "gone")
+			return
+		case a.Serves() && !b.Serves():
+			d.note(ServerRemoved, name, a.Health.String(), b.Health.String())
+			return
+		case !a.Serves() && b.Serves():
+			d.note(ServerAdded, name, a.Health.String(), b.Health.String())
+			return
+		case !a.Serves():
+			return
+		}
+		d.note(ServerMoved, name, a.Address, b.Address)
+		d.note(ServerStarted, name, a.Started, b.Started)
+		d.note(ServerGroup, name, fmt.Sprint(a.Zone, " ", a.Cell), fmt.Sprint(b.Zone, " ", b.Cell))
+		d.note(ServerSize, name,
+			fmt.Sprint(a.Weight, " ", a.Priority, " ", a.Health), fmt.Sprint(b.Weight, " ", b.Priority, " ", b.Health))
+	})
+}
+
+// walk calls do for each pair of endpoints with the same id in two lists; nil where one list has none. The lists have
+// to be sorted by id, as cluster.Cluster.Check requires.
+func walk(from, to []cluster.Endpoint, do func(a, b *cluster.Endpoint)) {
+	for i, j := 0, 0; i < len(from) || j < len(to); {
+		switch {
+		case j == len(to) || i < len(from) && from[i].ID < to[j].ID:
+			do(&from[i], nil)
+			i++
+		case i == len(from) || to[j].ID < from[i].ID:
+			do(nil, &to[j])
+			j++
+		default:
+			do(&from[i], &to[j])
+			i++
+			j++
+		}
+	}
+}
+
+// differingRoutes calls found for each host of either program whose routes differ, with the routes from the first
+// difference on and its index.
+func differingRoutes(from, to *config.Program, found func(host string, a, b []route.Route, same int)) {
+	type host struct{ from, to []route.Route }
+	hosts := map[string]*host{}
+	at := func(h *route.VirtualHost) *host {
+		names := slices.Clone(h.Domains)
+		slices.Sort(names)
+		key := strings.Join(names, " ")
+		if hosts[key] == nil {
+			hosts[key] = &host{}
+		}
+		return hosts[key]
+	}
+	for i := range from.Hosts {
+		at(&from.Hosts[i]).from = from.Hosts[i].Routes
+	}
+	for i := range to.Hosts {
+		at(&to.Hosts[i]).to = to.Hosts[i].Routes
+	}
+	for _, name := range slices.Sorted(maps.Keys(hosts)) {
+		h := hosts[name]
+		same := 0
+		for same < min(len(h.from), len(h.to)) && reflect.DeepEqual(h.from[same], h.to[same]) {
+			same++
+		}
+		if same < len(h.from) || same < len(h.to) {
+			found(name, h.from[same:], h.to[same:], same)
+		}
+	}
+}
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -138,7 +138,8 @@
 	single := ActiveRules{Epoch: status.Epoch, Version: status.ActiveVersion}
 	joint := ActiveRules{Epoch: status.Epoch + 1, Version: status.ActiveVersion, PendingVersion: status.PendingVersion}
 	switch {
-	case status.PendingVersion != 0 && l.hasVersion(status.PendingVersion) && l.hasVersion(status.ActiveVersion) && l.Permits(now, joint):
+	case status.PendingVersion != 0 && l.hasVersion(status.PendingVersion) &&
+		l.hasVersion(status.ActiveVersion) && l.Permits(now, joint):
 		return joint
 	case l.hasVersion(status.ActiveVersion) && l.Permits(now, single):
 		return single
--- a/internal/fleet/consensus/log.go
+++ b/internal/fleet/consensus/state.go
@@ -1,71 +1,12 @@
 package consensus
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"maps"
 	"slices"
 )
 
-// The limits of what the log keeps.
-const (
-	MaxHistory = 256     // versions that can be gone back to
-	MaxFiles   = 1100    // files of a version
-	maxParts   = 16384   // of all versions in the history together, so that a snapshot fits a message
-	MaxName    = 255     // bytes of a file's or a node's name
-	MaxEntry   = 1 << 20 // bytes of an entry; content goes by hash beside it
-	// maxVersionsPerEpoch is how many versions may share an epoch. Each new version is compared with all of them, since
-	// "does not contradict" is not transitive.
-	maxVersionsPerEpoch = 16
-)
-
-// Part is a file of a version. It refers to its content by hash, so that only changed files are sent.
-type Part struct {
-	Name string `json:"name"`
-	Hash string `json:"hash"` // SHA-256, hexadecimal
-	Size int    `json:"size"` // bytes
-}
-
-// Manifest is a version as the log has it: its files by hash, without their content.
-type Manifest struct {
-	Number      uint64 `json:"number"` // by the log's order, from 1
-	Base        uint64 `json:"base"`   // the version that it was made from; 0: none
-	ID          string `json:"id"`     // its publisher's, so that a publish sent twice is one
-	Proposer    string `json:"by"`     // the node that proposed it
-	Contradicts bool   `json:"contradicts"`
-	Parts       []Part `json:"parts"`
-	// Extends says that the base's parts come before this version's own, of which there are OwnParts.
-	Extends  bool `json:"extends,omitempty"`
-	OwnParts int  `json:"own,omitempty"`
-	// RefusalReason names the node that can't use the version, and why; "": no node said so.
-	RefusalReason string `json:"refused,omitempty"`
-}
-
-// Entry is a command in the log: exactly one of its fields is set.
-type Entry struct {
-	Propose       *Manifest       `json:"propose,omitempty"`
-	EpochAck      *EpochAck       `json:"clear,omitempty"`
-	Refusal       *Refusal        `json:"refuse,omitempty"`
-	Assignment    *TaskAssignment `json:"own,omitempty"`
-	TaskRelease   *TaskRelease    `json:"free,omitempty"`
-	Release       *Release        `json:"release,omitempty"`
-	ReleaseUpdate *ReleaseUpdate  `json:"move,omitempty"`
-}
-
-// EpochAck is a voter's word that no node that it granted a lease acts on anything before an epoch any more.
-type EpochAck struct {
-	Epoch uint64 `json:"epoch"`
-	Voter uint64 `json:"voter"`
-}
-
-// Refusal is a node's word that it can't use a pending version.
-type Refusal struct {
-	Number uint64 `json:"number"`
-	Node   string `json:"node"`
-	Reason string `json:"why"`
-}
-
 // State is the state machine of the log: the result of all entries up to an index, the same at every voter. Epochs
 // separate versions that contradict each other; within one epoch, nodes may act on different versions at the same
 // time.
@@ -117,8 +58,11 @@
 // Clone returns a copy that shares nothing that Apply changes.
 func (s *State) Clone() *State {
 	out := *s
-	out.EpochAcks, out.EpochVersions, out.History = slices.Clone(s.EpochAcks), slices.Clone(s.EpochVersions), slices.Clone(s.History)
-	out.Tasks, out.OwnershipRevisions = maps.Clone(s.Tasks), maps.Clone(s.OwnershipRevisions)
+	out.EpochAcks = slices.Clone(s.EpochAcks)
+	out.EpochVersions = slices.Clone(s.EpochVersions)
+	out.History = slices.Clone(s.History)
+	out.Tasks = maps.Clone(s.Tasks)
+	out.OwnershipRevisions = maps.Clone(s.OwnershipRevisions)
 	return &out
 }
 
@@ -169,6 +113,8 @@
 	return nil
 }
 
+// addVersion appends a proposed version to the history. It becomes pending if it contradicts the epoch's versions, and
+// active at once otherwise.
 func (s *State) addVersion(in *Manifest) {
 	if s.CheckProposal(in) != nil || s.Published(in.ID) != nil {
 		return // the publisher finds out by its id
@@ -212,9 +158,9 @@
 
 // dropOldestVersion removes the oldest version that nobody may act on, other than the newest, and returns how many
 // parts it had.
-func (s *State) dropOldestVersion(fresh uint64) int {
+func (s *State) dropOldestVersion(newest uint64) int {
 	for i := range s.History {
-		if n := s.History[i].Number; n != fresh && n != s.ActiveVersion && !slices.Contains(s.EpochVersions, n) {
+		if n := s.History[i].Number; n != newest && n != s.ActiveVersion && !slices.Contains(s.EpochVersions, n) {
 			parts := len(s.History[i].Parts)
 			s.History = slices.Delete(s.History, i, i+1)
 			return parts
@@ -223,18 +169,23 @@
 	return 0
 }
 
-func (s *State) acknowledgeEpoch(c *EpochAck, voters int) {
-	if s.PendingVersion == 0 || c.Epoch != s.Epoch+1 {
+// acknowledgeEpoch records a voter's acknowledgment of the pending version's epoch. That of a majority activates the
+// version.
+func (s *State) acknowledgeEpoch(ack *EpochAck, voters int) {
+	if s.PendingVersion == 0 || ack.Epoch != s.Epoch+1 {
 		return
 	}
-	at, there := slices.BinarySearch(s.EpochAcks, c.Voter)
-	if there {
+	at, recorded := slices.BinarySearch(s.EpochAcks, ack.Voter)
+	if recorded {
 		return
 	}
-	if s.EpochAcks = slices.Insert(s.EpochAcks, at, c.Voter); len(s.EpochAcks) > voters/2 {
-		s.Epoch, s.ActiveVersion, s.EpochVersions = s.Epoch+1, s.PendingVersion, []uint64{s.PendingVersion}
-		s.PendingVersion, s.EpochAcks = 0, nil
+	s.EpochAcks = slices.Insert(s.EpochAcks, at, ack.Voter)
+	if len(s.EpochAcks) <= voters/2 {
+		return
 	}
+	s.Epoch++
+	s.ActiveVersion, s.EpochVersions = s.PendingVersion, []uint64{s.PendingVersion}
+	s.PendingVersion, s.EpochAcks = 0, nil
 }
 
 // refuseVersion drops the pending version. Its epoch is used up, since leases for it have been granted.
@@ -246,79 +197,6 @@
 	s.Epoch, s.PendingVersion, s.EpochAcks = s.Epoch+1, 0, nil
 }
 
-// ParseEntry parses and validates an entry.
-func ParseEntry(data []byte) (*Entry, error) {
-	if len(data) > MaxEntry {
-		return nil, fmt.Errorf("%d bytes; %d at most", len(data), MaxEntry)
-	}
-	e := &Entry{}
-	if err := json.Unmarshal(data, e); err != nil {
-		return nil, err
-	}
-	if kinds := e.kinds(); kinds != 1 {
-		return nil, fmt.Errorf("%d kinds of entry in one", kinds)
-	}
-	switch {
-	case e.Propose != nil:
-		return e, e.Propose.Check()
-	case e.Release != nil:
-		return e, e.Release.Check()
-	case e.Assignment != nil:
-		if err := e.Assignment.check(); err != nil {
-			return nil, err
-		}
-	}
-	return e, nil
-}
-
-// kinds returns how many fields of an entry are set.
-func (e *Entry) kinds() (set int) {
-	for _, isSet := range []bool{
-		e.Propose != nil, e.EpochAck != nil, e.Refusal != nil, e.Assignment != nil, e.TaskRelease != nil, e.Release != nil, e.ReleaseUpdate != nil,
-	} {
-		if isSet {
-			set++
-		}
-	}
-	return set
-}
-
-// Check validates a manifest.
-func (m *Manifest) Check() error {
-	if m.ID == "" || len(m.ID) > MaxName || len(m.Proposer) > MaxName {
-		return fmt.Errorf("id: 1 to %d bytes", MaxName)
-	}
-	if n := len(m.Parts); n == 0 || n > MaxFiles {
-		return fmt.Errorf("%d files; 1 to %d", n, MaxFiles)
-	}
-	seen := map[string]bool{}
-	for _, p := range m.Parts {
-		if p.Name == "" || len(p.Name) > MaxName || seen[p.Name] {
-			return fmt.Errorf("file %q: a name of 1 to %d bytes, once", p.Name, MaxName)
-		}
-		if len(p.Hash) != 64 || p.Size < 0 {
-			return fmt.Errorf("file %q: hash of %d digits, %d bytes", p.Name, len(p.Hash), p.Size)
-		}
-		seen[p.Name] = true
-	}
-	return nil
-}
-
-// Extend puts the base's parts before the manifest's own.
-func (m *Manifest) Extend(base *Manifest) error {
-	m.Parts = slices.Concat(base.Parts, m.Parts)
-	return m.Check()
-}
-
-// Marshal encodes an entry for the log.
-func (e *Entry) Marshal() []byte {
-	data, err := json.Marshal(e)
-	if err != nil {
-		panic(err) // strings and numbers alone
-	}
-	return data
-}
-
 // ContentHashes returns the hash and the size of all content that the state refers to.
 func (s *State) ContentHashes() map[string]int {
 	out := map[string]int{}
--- /dev/null
+++ b/internal/fleet/consensus/strictcheck.go
@@ -0,0 +1,86 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+
+	"yokestall/internal/cluster"
+	"yokestall/internal/route"
+	"yokestall/policy"
+)
+
+// AsStrict returns how acting on a could break a rule that b keeps; nil: it can't. It compares the rules alone,
+// however a was made.
+func AsStrict(a EffectiveVersion, b *Version) error {
+	for _, laxer := range []func(a EffectiveVersion, b *Version) error{laxerClass, laxerRoute, laxerBudget, laxerServer} {
+		if err := laxer(a, b); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// laxerClass returns a class by which a may repeat requests, or drop keys, where b does not.
+func laxerClass(a EffectiveVersion, b *Version) error {
+	for i := range a.Program.Classes {
+		x := &a.Program.Classes[i]
+		at := b.Program.Class(x.Name)
+		if at < 0 || a.Refused[x.Name] != "" {
+			continue
+		}
+		y := &b.Program.Classes[at]
+		switch {
+		case x.Idempotency < y.Idempotency:
+			return fmt.Errorf("class %s: %s where the other has %s", x.Name, effect(x.Idempotency), effect(y.Idempotency))
+		case x.Idempotency == policy.IdempotentByKey && y.Idempotency == policy.IdempotentByKey &&
+			(x.DedupScope < y.DedupScope || x.DedupWindow > y.DedupWindow):
+			return fmt.Errorf("class %s: keys are dropped more widely, or longer, than in the other", x.Name)
+		}
+	}
+	return nil
+}
+
+// laxerRoute returns a route of a class that is not safe in b, and that leads elsewhere there.
+func laxerRoute(a EffectiveVersion, b *Version) (err error) {
+	differingRoutes(a.Program, b.Program, func(host string, routes, _ []route.Route, _ int) {
+		for _, r := range routes {
+			if isUnsafe(b.Program, r.Class) && a.Refused[r.Class] == "" {
+				err = fmt.Errorf("host %s: route %s of class %s leads elsewhere in the other", host, r.Name, r.Class)
+			}
+		}
+	})
+	return err
+}
+
+// laxerBudget returns whether cold servers get more from a than from b.
+func laxerBudget(a EffectiveVersion, b *Version) error {
+	x, y := &a.Program.Rules, &b.Program.Rules
+	if a.Program.Nodes < b.Program.Nodes ||
+		x.SlowStartMinCapacity > y.SlowStartMinCapacity || x.SlowStartWindow < y.SlowStartWindow ||
+		x.OverloadMultiple > y.OverloadMultiple || x.OverloadDuration > y.OverloadDuration {
+		return errors.New("cold servers' budgets are wider than the other's")
+	}
+	return nil
+}
+
+// laxerServer returns a server that is in use in a, and not in b, or not there, or that b takes for colder.
+func laxerServer(a EffectiveVersion, b *Version) (err error) {
+	for name, c := range a.Clusters {
+		if c == b.Clusters[name] {
+			continue
+		}
+		var others []cluster.Endpoint
+		if other := b.Clusters[name]; other != nil {
+			others = other.Endpoints
+		}
+		walk(c.Endpoints, others, func(e, other *cluster.Endpoint) {
+			if e == nil || !e.Serves() {
+				return
+			}
+			if !servesAt(other, e) || e.Started < other.Started {
+				err = fmt.Errorf("server %s/%s: in use, and the other has it out, elsewhere or colder", name, e.ID)
+			}
+		})
+	}
+	return err
+}
--- a/internal/fleet/consensus/tasks.go
+++ b/internal/fleet/consensus/tasks.go
@@ -1,13 +1,9 @@
 package consensus
 
 import (
-	"cmp"
 	"fmt"
-	"hash/fnv"
-	"io"
 	"maps"
 	"slices"
-	"time"
 )
 
 // MaxTasks is the largest number of singleton tasks of a fleet.
@@ -50,8 +46,8 @@
 	return nil
 }
 
-// TaskRelease is a voter's word that the former owner of a task no longer acts as its owner, by the leases that this
-// voter granted.
+// TaskRelease is a voter's statement that the former owner of a task no longer acts as its owner, by the leases that
+// this voter granted.
 type TaskRelease struct {
 	Task          string `json:"work"`
 	TransferIndex uint64 `json:"asked"`
@@ -78,6 +74,7 @@
 	return tokens
 }
 
+// assignTask gives a task without an owner to a process, and starts to move one that has another owner.
 func (s *State) assignTask(index uint64, a *TaskAssignment) {
 	task, known := s.Tasks[a.Task]
 	switch {
@@ -99,6 +96,7 @@
 	s.OwnershipRevisions[processKey(task.Owner, task.Incarnation)] = index
 }
 
+// releaseTask records a voter's release of a task that is moved. That of a majority makes the next owner the owner.
 func (s *State) releaseTask(index uint64, r *TaskRelease, voters int) {
 	task, known := s.Tasks[r.Task]
 	if !known || task.TransferIndex == 0 || task.TransferIndex != r.TransferIndex {
@@ -129,106 +127,3 @@
 	}
 	maps.DeleteFunc(s.OwnershipRevisions, func(key string, _ uint64) bool { return !used[key] })
 }
-
-const (
-	leasesBeforeOwning    = 2  // leases' durations for which a node has to hold leases without a gap before it owns a task
-	maxAssignmentsPerTick = 8  // so that the takeover of many tasks is spread over time
-	proposalRetryTicks    = 10 // after which a proposal that the log doesn't show is repeated
-)
-
-// ChooseOwner returns the process that should own a task, by rendezvous hashing over the eligible nodes that have
-// held leases for long enough: a node that fails moves no tasks but its own.
-func ChooseOwner(task string, live map[string]LiveProcess, eligible []string, now, minHeld time.Duration) (node, incarnation string) {
-	best := uint64(0)
-	for _, name := range eligible {
-		p, isLive := live[name]
-		if !isLive || now-p.Since < minHeld {
-			continue
-		}
-		if score := ownerScore(name, task); node == "" || score > best || score == best && cmp.Less(name, node) {
-			best, node, incarnation = score, name, p.Incarnation
-		}
-	}
-	return node, incarnation
-}
-
-// ownerScore is the rendezvous hash of a node and a task.
-func ownerScore(node, task string) uint64 {
-	h := fnv.New64a()
-	io.WriteString(h, node)
-	h.Write([]byte{0})
-	io.WriteString(h, task)
-	return splitMix64(h.Sum64())
-}
-
-// splitMix64 is the finalizer of SplitMix64: it spreads a difference in a hash's low bits over all of its bits.
-func splitMix64(x uint64) uint64 {
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
-// manageTasks proposes what this voter has to say on the owners of tasks.
-func (v *Voter) manageTasks(now time.Duration) {
-	v.releaseTasks(now)
-	if v.Leader() == v.ID && now >= v.leases.quietUntil {
-		v.assignTasks(now)
-	}
-}
-
-// releaseTasks tells the log of tasks that are moved and whose former owner no longer acts on a lease of this voter.
-func (v *Voter) releaseTasks(now time.Duration) {
-	for _, name := range slices.Sorted(maps.Keys(v.state.Tasks)) {
-		task := v.state.Tasks[name]
-		if task.TransferIndex == 0 || slices.Contains(task.ReleasedBy, v.ID) {
-			continue
-		}
-		if v.shouldPropose("free "+name, task.TransferIndex) && v.leases.CanRelease(now, task) {
-			v.Propose(&Entry{TaskRelease: &TaskRelease{Task: name, TransferIndex: task.TransferIndex, Voter: v.ID}})
-		}
-	}
-}
-
-// assignTasks gives tasks without an owner, or whose owner holds no lease, to other nodes.
-func (v *Voter) assignTasks(now time.Duration) {
-	if len(v.Tasks) == 0 {
-		return
-	}
-	live := v.leases.LiveProcesses(now)
-	assigned := 0
-	for _, name := range v.Tasks {
-		task := v.state.Tasks[name]
-		owner, isLive := live[task.Owner]
-		if task.TransferIndex != 0 || isLive && owner.Incarnation == task.Incarnation {
-			continue
-		}
-		node, incarnation := ChooseOwner(name, live, v.EligibleOwners, now, leasesBeforeOwning*v.leases.config.Duration)
-		if node == "" || !v.shouldPropose("own "+name, task.Token) {
-			continue
-		}
-		v.Propose(&Entry{Assignment: &TaskAssignment{Task: name, Node: node, Incarnation: incarnation, ExpectedToken: task.Token}})
-		if assigned++; assigned == maxAssignmentsPerTick {
-			return
-		}
-	}
-}
-
-// recentProposal is when something was proposed last, and at which state of its subject.
-type recentProposal struct {
-	revision uint64
-	tick     int
-}
-
-// shouldPropose reports whether something has not been proposed within the last ticks for the same revision of its
-// subject, and records that it is proposed now.
-func (v *Voter) shouldPropose(what string, revision uint64) bool {
-	last, known := v.recentProposals[what]
-	if known && last.revision == revision && v.ticks-last.tick < proposalRetryTicks {
-		return false
-	}
-	if v.recentProposals == nil || len(v.recentProposals) > maxOwnershipRevisions {
-		v.recentProposals = map[string]recentProposal{}
-	}
-	v.recentProposals[what] = recentProposal{revision, v.ticks}
-	return true
-}
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -14,14 +13,14 @@
 )
 
 const (
-	electionTicks      = 10 // without a heartbeat, before an election
-	heartbeatTicks     = 2
-	ackRetryTicks      = 5    // after which a voter repeats an acknowledgment that the log doesn't show
-	compactionInterval = 1000 // applied entries between two snapshots
-	compactionRetained = 200  // entries that are kept for voters that lag behind
-	maxMessage         = 1 << 20
-	maxInflight        = 64
-	maxUncommitted     = 16 << 20 // bytes of proposals that the leader accepts
+	electionTicks      = 10       // without a heartbeat, before an election
+	heartbeatTicks     = 2        // between two heartbeats of the leader
+	ackRetryTicks      = 5        // after which a voter repeats an acknowledgment that the log doesn't show
+	compactionInterval = 1000     // applied entries between two snapshots
+	compactionRetained = 200      // entries before a snapshot that stay in memory for voters that lag behind
+	maxMessageBytes    = 1 << 20  // of entries in one raft message
+	maxInflight        = 64       // unacknowledged raft messages to one voter
+	maxUncommitted     = 16 << 20 // bytes of uncommitted proposals that the leader accepts
 )
 
 // Tick is the interval at which Voter.Tick has to be called.
@@ -43,7 +42,9 @@
 	}
 	return DiskState{
 		HardState: &pb.HardState{Term: &term, Commit: &index},
-		Snapshot:  &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &pb.ConfState{Voters: voters}}},
+		Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{
+			Index: &index, Term: &term, ConfState: &pb.ConfState{Voters: voters},
+		}},
 	}
 }
 
@@ -72,15 +73,15 @@
 	conf            *pb.ConfState
 	state           *State
 	leases          *LeaseTable
-	ticksSinceAck   int // ticks since it last said that it cleared the version that waits
-	ackedEpoch      uint64
-	commit          uint64
-	ticks           int
-	recentProposals map[string]recentProposal
-
-	readsStarted  uint64 // how often Read was called
-	readsAnswered uint64 // the latest of them that was answered
-	readIndex     uint64 // what is to be applied for it
+	ticksSinceAck   int                       // since the latest EpochAck that this voter proposed
+	ackedEpoch      uint64                    // of the latest EpochAck that this voter proposed
+	commit          uint64                    // commit index on the disk when the voter was started
+	ticks           int                       // calls of Tick
+	recentProposals map[string]recentProposal // by subject: see shouldPropose
+
+	readsStarted  uint64 // number of the latest read that StartRead started
+	readsAnswered uint64 // number of the latest read that the leader answered
+	readIndex     uint64 // index of the log that has to be applied for that read
 }
 
 // NewVoter starts a voter from its disk.
@@ -104,12 +105,13 @@
 	var err error
 	v.node, err = raft.NewRawNode(&raft.Config{
 		ID: id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: v.storage, Applied: v.state.Index,
-		MaxSizePerMsg: maxMessage, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted,
+		MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted,
 		CheckQuorum: true, PreVote: true, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
 	})
 	return v, err
 }
 
+// restore replaces the state and the log in memory by a snapshot.
 func (v *Voter) restore(s *pb.Snapshot) error {
 	state := &State{}
 	if err := json.Unmarshal(s.Data, state); err != nil {
@@ -159,28 +161,16 @@
 	return v.node.Propose(data)
 }
 
-// StartRead starts a linearizable read: it asks the leader for its commit index and returns a number for ReadDone. A
-// read may get lost, as without a leader, so it has to be started again after a while.
-func (v *Voter) StartRead() uint64 {
-	v.readsStarted++
-	v.node.ReadIndex(v.readContext())
-	return v.readsStarted
-}
-
-// ReadDone reports whether State has everything that was committed anywhere when StartRead returned the number.
-func (v *Voter) ReadDone(read uint64) bool {
-	return v.readsAnswered >= read && v.state.Index >= v.readIndex
-}
-
-// ReadsAnswered returns the number of the latest read that the leader has answered.
-func (v *Voter) ReadsAnswered() uint64 { return v.readsAnswered }
+// ErrLogNotApplied is returned by a voter that has not yet applied what was committed before its start.
+var ErrLogNotApplied = errors.New("the voter has not read its log yet")
 
-// GrantLease grants a lease once the voter has applied what it knew to be committed when it started.
-func (v *Voter) GrantLease(now time.Duration, a LeaseRequest) (Grant, error) {
+// GrantLease grants a lease once the voter has applied what it knew to be committed when it started; before, it returns
+// ErrLogNotApplied.
+func (v *Voter) GrantLease(now time.Duration, request LeaseRequest) (Grant, error) {
 	if v.state.Index < v.commit {
-		return Grant{}, errors.New("the voter has not read its log yet")
+		return Grant{}, ErrLogNotApplied
 	}
-	return v.leases.Grant(now, v.ID, a, v.state)
+	return v.leases.Grant(now, v.ID, request, v.state)
 }
 
 // LeaseHolders returns the nodes that hold a lease of this voter.
@@ -200,14 +190,14 @@
 // AcknowledgeEpoch proposes this voter's EpochAck for the pending version as soon as no lease of this voter prevents
 // it, and returns the nodes that are waited for. Tick calls it too; calling it after a grant saves the time until the
 // next Tick.
-func (v *Voter) AcknowledgeEpoch(now time.Duration) (waits []string) {
+func (v *Voter) AcknowledgeEpoch(now time.Duration) (waitingFor []string) {
 	s := v.state
 	if s.PendingVersion == 0 || v.state.Index < v.commit {
 		return nil
 	}
-	ok, waits := v.leases.CanAcknowledge(now, s.Epoch+1)
+	ok, waitingFor := v.leases.CanAcknowledge(now, s.Epoch+1)
 	if !ok || v.ackedEpoch == s.Epoch+1 && v.ticksSinceAck < ackRetryTicks {
-		return waits
+		return waitingFor
 	}
 	if v.Propose(&Entry{EpochAck: &EpochAck{Epoch: s.Epoch + 1, Voter: v.ID}}) == nil {
 		v.ticksSinceAck, v.ackedEpoch = 0, s.Epoch+1
@@ -260,31 +250,6 @@
 	return v.storage.Append(w.Entries)
 }
 
-// The context of a linearizable read tells the reads of all voters apart. It is these numbers, one after the other.
-const (
-	readIncarnationAt = 8  // after the voter's id
-	readNumberAt      = 16 // of the voter's read
-)
-
-// readContext is the context of this voter's latest read.
-func (v *Voter) readContext() (context []byte) {
-	for _, n := range []uint64{v.ID, v.Incarnation, v.readsStarted} {
-		context = binary.BigEndian.AppendUint64(context, n)
-	}
-	return context
-}
-
-// answerReads records the answers to this voter's reads. Each answers the reads before it too.
-func (v *Voter) answerReads(answers []raft.ReadState) {
-	for _, r := range answers {
-		incarnation := binary.BigEndian.Uint64(r.RequestCtx[readIncarnationAt:])
-		number := binary.BigEndian.Uint64(r.RequestCtx[readNumberAt:])
-		if incarnation == v.Incarnation && number > v.readsAnswered {
-			v.readsAnswered, v.readIndex = number, r.Index
-		}
-	}
-}
-
 // apply applies committed entries to a copy of the state, since callers of State may still use the old one.
 func (v *Voter) apply(entries []*pb.Entry) error {
 	if len(entries) == 0 {
