--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -34,12 +34,15 @@
 }
 
 func (e *oldDiskError) Error() string {
-	return fmt.Sprintf("%s: an old copy of this voter's disk: it is at start %d, and another voter has met start %d", e.dir, e.own, e.latest)
+	return fmt.Sprintf("%s: an old copy of this voter's disk: it is at start %d, and another voter has met start %d",
+		e.dir, e.own, e.latest)
 }
 
+// serveHello admits another voter's start, unless this voter has seen a later one.
 func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*StartReply, error) {
 	if !slices.ContainsFunc(n.Voters, func(v Voter) bool { return v.Name == start.Name }) {
-		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", start.Name[:min(len(start.Name), consensus.MaxName)])
+		name := start.Name[:min(len(start.Name), consensus.MaxName)]
+		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", name)
 	}
 	admitted, latest, err := n.store.RecordStart(*start)
 	if err != nil {
@@ -72,7 +75,7 @@
 	return n.voter != nil
 }
 
-// introduce asks another voter until it admits this start, or refuses it, which ends this node's voting.
+// introduce sends this start to another voter until that admits it, or refuses it, which ends this node's voting.
 func (n *Node) introduce(c *Conn) bool {
 	for n.ctx.Err() == nil {
 		ctx, stop := context.WithTimeout(n.ctx, helloTimeout)
--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// reconcileRules applies other rules where the lease asks for them, and the disconnected policy where there is no
+// reconcileRules applies other rules where the lease permits them, and the disconnected policy where there is no
 // lease.
 func (n *Node) reconcileRules(started time.Duration) {
 	n.leaseMu.Lock()
@@ -68,9 +68,9 @@
 	n.lease.ConfirmRules(rules)
 	n.applied.Store(&appliedRules{rules: rules, until: n.leaseEnd(rules)})
 	n.leaseMu.Unlock()
-	n.Log.Info("acts on", "rules", rules.String(), "epoch", rules.Epoch, "boot", int64(BootTime()))
+	n.Log.Info("rules applied", "rules", rules.String(), "epoch", rules.Epoch, "boot_time_ns", int64(BootTime()))
 	n.notifyApplied(rules, false)
-	n.renewLeasesNow() // tells the voters of the confirmation
+	n.renewLeasesNow() // sends the confirmation to the voters
 	if rules.PendingVersion == 0 {
 		n.background.Go(func() { n.saveLastVersion(rules.Version) })
 	}
@@ -89,7 +89,8 @@
 	}
 	stricter := consensus.Stricter(active, pending)
 	if err := errors.Join(consensus.AsStrict(stricter, active), consensus.AsStrict(stricter, pending)); err != nil {
-		n.Log.Error("nothing is served in between: the stricter of two versions is laxer than one of them", "rules", rules, "err", err)
+		n.Log.Error("combined rules are laxer than one of their versions, refusing all classes",
+			"rules", rules.String(), "err", err)
 		for _, c := range stricter.Program.Classes {
 			stricter.Refused[c.Name] = "the rules change"
 		}
@@ -117,7 +118,7 @@
 	n.rejected[newest] = err.Error()
 	delete(n.versions, newest)
 	n.versionsMu.Unlock()
-	n.Log.Error("a version can't be taken", "rules", rules, "err", err)
+	n.Log.Error("version not applied", "rules", rules.String(), "err", err)
 	if rules.PendingVersion != 0 {
 		n.background.Go(func() { n.reportRefusal(rules.PendingVersion, err.Error()) })
 	}
@@ -130,7 +131,7 @@
 		err = n.store.SaveLastVersion(m)
 	}
 	if err != nil && n.ctx.Err() == nil {
-		n.Log.Warn("the last version is not kept for a start alone", "version", number, "err", err)
+		n.Log.Warn("last version not saved for a disconnected start", "version", number, "err", err)
 	}
 }
 
@@ -155,7 +156,7 @@
 	}
 	v, err := n.parseVersion(n.ctx, m)
 	if err != nil {
-		n.Log.Error("the last version can't be read", "err", err)
+		n.Log.Error("last version not readable", "err", err)
 		return
 	}
 	n.versionsMu.Lock()
@@ -164,9 +165,10 @@
 	n.applyDisconnected(consensus.EffectiveVersion{Version: v}, consensus.ActiveRules{Version: m.Number})
 }
 
+// applyDisconnected makes the program act on what the disconnected policy leaves of a version.
 func (n *Node) applyDisconnected(effective consensus.EffectiveVersion, last consensus.ActiveRules) {
 	if err := n.Apply(consensus.DisconnectedVersion(effective, n.Disconnected, time.Now())); err != nil {
-		n.Log.Error("nothing is served without a lease", "err", err)
+		n.Log.Error("disconnected policy not applied", "err", err)
 		return
 	}
 	until := time.Duration(math.MaxInt64)
@@ -175,5 +177,5 @@
 	}
 	n.applied.Store(&appliedRules{rules: last, disconnected: true, until: until})
 	n.notifyApplied(last, true)
-	n.Log.Warn("the lease is over: acts alone", "rules", last.String(), "boot", int64(BootTime()))
+	n.Log.Warn("lease expired, disconnected policy applied", "rules", last.String(), "boot_time_ns", int64(BootTime()))
 }
--- /dev/null
+++ b/internal/fleet/agent/clientpublish.go
@@ -0,0 +1,235 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"yokestall/internal/config"
+	"yokestall/internal/files"
+	"yokestall/internal/fleet/consensus"
+)
+
+// Publish publishes a version that was made from a base. Its content is stored by a majority of the voters before the
+// version is proposed, so that no version is lost with a minority. A reply without a number says why; if its Retry is
+// set, the same call may succeed later.
+func (c *Client) Publish(ctx context.Context, id string, base uint64, list []config.File) (*PublishReply, error) {
+	request := PublishRequest{ID: id, Base: base}
+	content := map[string][]byte{}
+	for _, f := range list {
+		h := hash(f.Text)
+		content[h] = f.Text
+		request.Parts = append(request.Parts, consensus.Part{Name: f.Name, Hash: h, Size: len(f.Text)})
+	}
+	return c.publish(ctx, request, content)
+}
+
+// PublishChange publishes a version that differs from its base in one cluster's list; only the change is sent. Once a
+// version consists of maxChangesPerVersion changes, the lists are sent as a whole.
+func (c *Client) PublishChange(ctx context.Context, id string, base uint64, change config.File) (*PublishReply, error) {
+	patch, err := config.ParseChange(change)
+	if err != nil {
+		return nil, err
+	}
+	m, conn, err := c.describe(ctx, base)
+	if err != nil {
+		return nil, fmt.Errorf("version %d: %w", base, err)
+	}
+	changes := countChanges(m.Parts)
+	if changes >= maxChangesPerVersion {
+		list, err := mergeChanges(ctx, conn, m, change)
+		if err != nil {
+			return nil, err
+		}
+		return c.Publish(ctx, id, base, list)
+	}
+	h := hash(change.Text)
+	part := consensus.Part{Name: files.ChangePart(patch.Name, changes), Hash: h, Size: len(change.Text)}
+	request := PublishRequest{ID: id, Base: base, Extends: true, Parts: []consensus.Part{part}}
+	return c.publish(ctx, request, map[string][]byte{h: change.Text})
+}
+
+// countChanges returns how many of the parts are changes of lists.
+func countChanges(parts []consensus.Part) (changes int) {
+	for _, p := range parts {
+		if files.IsChange(p.Name) {
+			changes++
+		}
+	}
+	return changes
+}
+
+// describe returns a version's manifest from the first voter that has it, and the connection to that voter.
+func (c *Client) describe(ctx context.Context, number uint64) (m *consensus.Manifest, from *Conn, err error) {
+	request := func(ctx context.Context, conn *Conn) (*consensus.Manifest, error) {
+		from = conn
+		return conn.Describe(ctx, number)
+	}
+	m, err = firstAnswer(ctx, slices.Values(c.conns), statusTimeout, ErrNoQuorum, request)
+	return m, from, err
+}
+
+// mergeChanges returns the files of a version with its changes, and a further one, applied to the lists.
+func mergeChanges(
+	ctx context.Context, conn *Conn, m *consensus.Manifest, change config.File,
+) ([]config.File, error) {
+	var list, merged []config.File
+	for _, p := range m.Parts {
+		data, err := conn.Fetch(ctx, p)
+		if err != nil {
+			return nil, err
+		}
+		f := config.File{Name: p.Name, Text: data}
+		if list = append(list, f); p.Name == files.ProgramPart {
+			merged = append(merged, f)
+		}
+	}
+	s, err := files.Unbundle(append(list, config.File{Name: files.ChangePart("", 0), Text: change.Text}))
+	if err != nil {
+		return nil, err
+	}
+	for i, name := range slices.Sorted(maps.Keys(s.Version.Clusters)) {
+		text := config.FormatCluster(s.Version.Clusters[name])
+		merged = append(merged, config.File{Name: fmt.Sprintf("list-%04d.toml", i), Text: text})
+	}
+	return merged, nil
+}
+
+// Rollback publishes a version of the history again, as a new one.
+func (c *Client) Rollback(ctx context.Context, id string, base, number uint64) (*PublishReply, error) {
+	m, _, err := c.describe(ctx, number)
+	if err != nil {
+		return nil, err
+	}
+	return c.publish(ctx, PublishRequest{ID: id, Base: base, Parts: m.Parts}, nil)
+}
+
+// publish uploads content to a majority of the voters and has one of them publish a version.
+func (c *Client) publish(
+	ctx context.Context, request PublishRequest, content map[string][]byte,
+) (*PublishReply, error) {
+	errs := c.upload(ctx, content)
+	if !c.isQuorum(countNil(errs)) {
+		return nil, fmt.Errorf("%w: %w", ErrNoQuorum, errors.Join(errs...))
+	}
+	var last error
+	for i, conn := range c.conns {
+		if errs[i] != nil {
+			continue
+		}
+		one, stop := context.WithTimeout(ctx, publishTimeout+statusTimeout)
+		reply, err := conn.Publish(one, request)
+		stop()
+		switch {
+		case err == nil && (reply.Number > 0 || !reply.Retry):
+			return reply, nil
+		case status.Code(err) == codes.InvalidArgument: // any voter would refuse it
+			return nil, err
+		case err == nil:
+			err = errors.New(reply.Error)
+		}
+		last = err
+	}
+	return &PublishReply{Error: last.Error(), Retry: true}, nil
+}
+
+// countNil returns how many of the errors are nil.
+func countNil(errs []error) (count int) {
+	for _, err := range errs {
+		if err == nil {
+			count++
+		}
+	}
+	return count
+}
+
+// uploadGrace is how long the other voters have for storing content once a quorum has stored it. What they miss they
+// fetch from the others.
+const uploadGrace = 250 * time.Millisecond
+
+// uploadResult is the result of storing content at one voter.
+type uploadResult struct {
+	voter int // index of the client's connection
+	err   error
+}
+
+// upload stores content at all voters at the same time and returns their errors. A voter that doesn't answer
+// delays it by no more than uploadGrace after a quorum has stored the content.
+func (c *Client) upload(ctx context.Context, content map[string][]byte) []error {
+	errs := make([]error, len(c.conns))
+	if content == nil {
+		return errs
+	}
+	ctx, stop := context.WithTimeout(ctx, publishTimeout)
+	defer stop()
+	results := make(chan uploadResult, len(c.conns))
+	for voter, conn := range c.conns {
+		go func() { results <- uploadResult{voter, conn.Put(ctx, content)} }()
+	}
+	stored := 0
+	for range c.conns {
+		r := <-results
+		errs[r.voter] = r.err
+		if r.err != nil {
+			continue
+		}
+		if stored++; c.isQuorum(stored) {
+			grace := time.AfterFunc(uploadGrace, stop)
+			defer grace.Stop()
+		}
+	}
+	return errs
+}
+
+// PublishOutcome is the state of a published version.
+type PublishOutcome struct {
+	InForce       bool     `json:"in_force"`
+	RefusalReason string   `json:"refused,omitempty"`
+	WaitingFor    []string `json:"waits,omitempty"` // nodes that have neither confirmed nor lost their lease
+}
+
+// WaitForVersion waits until a version is in force or refused, and calls progress whenever the outcome so far
+// changes. If ctx ends first, it returns the outcome so far and ctx's error.
+func (c *Client) WaitForVersion(
+	ctx context.Context, number uint64, progress func(PublishOutcome),
+) (PublishOutcome, error) {
+	var last PublishOutcome
+	t := time.NewTicker(statusPollInterval)
+	defer t.Stop()
+	for {
+		if s, err := c.LatestStatus(ctx); err == nil {
+			now := s.outcome(number)
+			if now.InForce || now.RefusalReason != "" {
+				return now, nil
+			}
+			if fmt.Sprint(now) != fmt.Sprint(last) {
+				progress(now)
+			}
+			last = now
+		}
+		select {
+		case <-ctx.Done():
+			return last, ctx.Err()
+		case <-t.C:
+		}
+	}
+}
+
+// outcome returns the state of a version by a voter's status.
+func (s *Status) outcome(number uint64) PublishOutcome {
+	for i := range s.History {
+		if m := &s.History[i]; m.Number == number && m.RefusalReason != "" {
+			return PublishOutcome{RefusalReason: m.RefusalReason}
+		}
+	}
+	if s.LogStatus.ActiveVersion >= number && s.LogStatus.PendingVersion != number {
+		return PublishOutcome{InForce: true}
+	}
+	return PublishOutcome{WaitingFor: s.WaitingFor}
+}
--- /dev/null
+++ b/internal/fleet/agent/conn.go
@@ -0,0 +1,174 @@
+package agent
+
+import (
+	"context"
+	"crypto/tls"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"iter"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/backoff"
+	"google.golang.org/grpc/credentials"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/protobuf/types/known/wrapperspb"
+
+	"yokestall/internal/fleet/consensus"
+)
+
+const (
+	minDialBackoff        = 50 * time.Millisecond
+	maxDialBackoff        = 500 * time.Millisecond // short, so that a link that is back is soon used
+	dialBackoffMultiplier = 1.6
+	dialBackoffJitter     = 0.2
+	dialTimeout           = time.Second
+)
+
+// Dial returns a connection to a voter. It is established when it is first used, and again whenever it breaks.
+func Dial(v Voter, with *tls.Config, fleet string, more ...grpc.DialOption) (*Conn, error) {
+	creds := insecure.NewCredentials()
+	if with != nil {
+		creds = credentials.NewTLS(with)
+	}
+	options := append([]grpc.DialOption{
+		grpc.WithTransportCredentials(creds),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
+		grpc.WithConnectParams(grpc.ConnectParams{
+			Backoff: backoff.Config{
+				BaseDelay: minDialBackoff, MaxDelay: maxDialBackoff,
+				Multiplier: dialBackoffMultiplier, Jitter: dialBackoffJitter,
+			},
+			MinConnectTimeout: dialTimeout,
+		}),
+	}, more...)
+	c, err := grpc.NewClient("passthrough:///"+v.Address, options...)
+	if err != nil {
+		return nil, err
+	}
+	return &Conn{c, fleet}, nil
+}
+
+// Conn is a connection to a node. It is safe for concurrent use.
+type Conn struct {
+	*grpc.ClientConn
+	fleet string // name of the fleet
+}
+
+// context adds the name of the fleet to a call's metadata.
+func (c *Conn) context(ctx context.Context) context.Context {
+	return metadata.AppendToOutgoingContext(ctx, fleetKey, c.fleet)
+}
+
+// call calls a unary method.
+func call[Out any](ctx context.Context, c *Conn, name string, in any) (*Out, error) {
+	raw, err := pack(in)
+	if err != nil {
+		return nil, err
+	}
+	back := &wrapperspb.BytesValue{}
+	if err := c.Invoke(c.context(ctx), methodPath(name), raw, back); err != nil {
+		return nil, err
+	}
+	out := new(Out)
+	return out, json.Unmarshal(back.GetValue(), out)
+}
+
+// firstAnswer calls request for one connection after the other, each within a timeout, and returns the first answer
+// without an error. Where there is none, it returns the last error; noAnswer if there are no connections.
+func firstAnswer[T any](
+	ctx context.Context, conns iter.Seq[*Conn], timeout time.Duration, noAnswer error,
+	request func(context.Context, *Conn) (T, error),
+) (T, error) {
+	last := noAnswer
+	for c := range conns {
+		one, stop := context.WithTimeout(ctx, timeout)
+		answer, err := request(one, c)
+		stop()
+		if err == nil {
+			return answer, nil
+		}
+		last = err
+	}
+	var none T
+	return none, last
+}
+
+// Describe returns a version's manifest.
+func (c *Conn) Describe(ctx context.Context, number uint64) (*consensus.Manifest, error) {
+	return call[consensus.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number})
+}
+
+// Status returns the node's view of the fleet.
+func (c *Conn) Status(ctx context.Context) (*Status, error) {
+	return call[Status](ctx, c, methodStatus, struct{}{})
+}
+
+// Publish asks the node to publish a version.
+func (c *Conn) Publish(ctx context.Context, p PublishRequest) (*PublishReply, error) {
+	return call[PublishReply](ctx, c, methodPublish, p)
+}
+
+// Fetch returns content and verifies its hash.
+func (c *Conn) Fetch(ctx context.Context, part consensus.Part) ([]byte, error) {
+	var data []byte
+	for len(data) < part.Size {
+		out := &wrapperspb.BytesValue{}
+		raw, err := pack(FetchRequest{part.Hash, len(data)})
+		if err != nil {
+			return nil, err
+		}
+		if err := c.Invoke(c.context(ctx), methodPath(methodFetch), raw, out); err != nil {
+			return nil, err
+		}
+		if len(out.GetValue()) == 0 {
+			return nil, fmt.Errorf("%s: %d bytes of %d", part.Name, len(data), part.Size)
+		}
+		data = append(data, out.GetValue()...)
+	}
+	if hash(data) != part.Hash {
+		return nil, fmt.Errorf("%s: its hash doesn't fit", part.Name)
+	}
+	return data, nil
+}
+
+// Put uploads the content that the node doesn't have. The node has stored all of it when the error is nil.
+func (c *Conn) Put(ctx context.Context, content map[string][]byte) error {
+	var all ContentHashes
+	for h := range content {
+		all.Hashes = append(all.Hashes, h)
+	}
+	missing, err := call[ContentHashes](ctx, c, methodMissing, all)
+	if err != nil {
+		return err
+	}
+	for _, h := range missing.Hashes {
+		data, ok := content[h]
+		if !ok {
+			return errors.New("the node wants what was not offered")
+		}
+		if err := c.upload(ctx, data); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// upload sends content in chunks and waits until the node has stored it.
+func (c *Conn) upload(ctx context.Context, data []byte) error {
+	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true}, methodPath(streamPut))
+	if err != nil {
+		return err
+	}
+	for at := 0; at < len(data) || at == 0; at += chunkSize {
+		if err := s.SendMsg(wrapperspb.Bytes(data[at:min(len(data), at+chunkSize)])); err != nil {
+			break // RecvMsg returns why
+		}
+	}
+	if err := s.CloseSend(); err != nil {
+		return err
+	}
+	return s.RecvMsg(&wrapperspb.BytesValue{})
+}
--- /dev/null
+++ b/internal/fleet/agent/content.go
@@ -0,0 +1,134 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/types/known/wrapperspb"
+
+	"yokestall/internal/config"
+	"yokestall/internal/fleet/consensus"
+)
+
+// fetchFiles returns the content of parts.
+func (n *Node) fetchFiles(ctx context.Context, parts []consensus.Part) ([]config.File, error) {
+	var list []config.File
+	for _, p := range parts {
+		data, err := n.fetchContent(ctx, p)
+		if err != nil {
+			return nil, err
+		}
+		list = append(list, config.File{Name: p.Name, Text: data})
+	}
+	return list, nil
+}
+
+// fetchContent returns a part's content, from the store or from a voter.
+func (n *Node) fetchContent(ctx context.Context, p consensus.Part) ([]byte, error) {
+	if p.Size > config.MaxFile {
+		return nil, &invalidVersionError{fmt.Errorf("%s: %d bytes; %d at most", p.Name, p.Size, config.MaxFile)}
+	}
+	data, err := n.store.Get(p.Hash)
+	if data != nil {
+		return data, nil
+	}
+	noAnswer := err // after a failed read of the disk the voters still have the content
+	if noAnswer == nil {
+		noAnswer = fmt.Errorf("%s: no voter has its content", p.Name)
+	}
+	request := func(ctx context.Context, c *Conn) ([]byte, error) { return c.Fetch(ctx, p) }
+	data, err = firstAnswer(ctx, maps.Values(n.conns), contentTimeout, noAnswer, request)
+	if err != nil {
+		return nil, err
+	}
+	if err := n.storeContent(data); err != nil {
+		n.Log.Warn("content not stored", "file", p.Name, "err", err)
+	}
+	return data, nil
+}
+
+// storeContent stores content that no version may name yet.
+func (n *Node) storeContent(data []byte) error {
+	n.mu.Lock()
+	n.recentContent[hash(data)] = time.Now()
+	n.mu.Unlock()
+	return n.store.Put(data)
+}
+
+// rawBytes is content, which is sent as it is instead of as JSON.
+type rawBytes []byte
+
+// serveFetch returns a chunk of content of at most chunkSize bytes.
+func (n *Node) serveFetch(_ context.Context, in *FetchRequest) (*rawBytes, error) {
+	data, err := n.store.Get(in.Hash)
+	if err != nil {
+		return nil, err
+	}
+	if data == nil || in.Offset < 0 || in.Offset > len(data) {
+		return nil, status.Error(codes.NotFound, "content that is not here")
+	}
+	out := rawBytes(data[in.Offset:min(len(data), in.Offset+chunkSize)])
+	return &out, nil
+}
+
+// serveMissing returns which of the hashes name content that this node doesn't have.
+func (n *Node) serveMissing(_ context.Context, in *ContentHashes) (*ContentHashes, error) {
+	if len(in.Hashes) > consensus.MaxFiles {
+		return nil, status.Errorf(codes.InvalidArgument, "%d hashes; %d at most", len(in.Hashes), consensus.MaxFiles)
+	}
+	missing := &ContentHashes{}
+	for _, h := range in.Hashes {
+		data, err := n.store.Get(h)
+		if err != nil {
+			return nil, err
+		}
+		if data == nil {
+			missing.Hashes = append(missing.Hashes, h)
+		}
+	}
+	return missing, nil
+}
+
+// servePut stores uploaded content.
+func (n *Node) servePut(s grpc.ServerStream) error {
+	select {
+	case n.uploads <- struct{}{}:
+		defer func() { <-n.uploads }()
+	case <-s.Context().Done():
+		return s.Context().Err()
+	}
+	data, err := receiveContent(s)
+	if err != nil {
+		return err
+	}
+	if err := n.storeContent(data); err != nil {
+		return status.Error(codes.ResourceExhausted, err.Error())
+	}
+	return s.SendMsg(&wrapperspb.BytesValue{})
+}
+
+// receiveContent receives the chunks of an upload until the client has sent them all.
+func receiveContent(s grpc.ServerStream) ([]byte, error) {
+	var data []byte
+	for {
+		in := &wrapperspb.BytesValue{}
+		err := s.RecvMsg(in)
+		if errors.Is(err, io.EOF) {
+			return data, nil
+		}
+		if err != nil {
+			return nil, err
+		}
+		if len(data)+len(in.GetValue()) > config.MaxFile {
+			return nil, status.Errorf(codes.InvalidArgument, "a file of over %d bytes", config.MaxFile)
+		}
+		data = append(data, in.GetValue()...)
+	}
+}
--- a/internal/fleet/agent/hooks.go
+++ b/internal/fleet/agent/hooks.go
@@ -14,11 +14,11 @@
 type Hooks struct {
 	// Dial makes a connection to a voter in place of the network.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Listen wraps the listener on which other nodes ask this one.
+	// Listen wraps the listener on which this node serves the others.
 	Listen func(l net.Listener) net.Listener
-	// Stats is told of each RPC and message, of both sides.
+	// Stats handles the events of each RPC and message, of both sides.
 	Stats stats.Handler
-	// Applied is told what the program acts on from now on, and whether the policy for a node without a lease
+	// Applied is called with what the program acts on from now on, and whether the policy for a node without a lease
 	// restricts it. It must not block.
 	Applied func(rules consensus.ActiveRules, disconnected bool)
 }
--- a/internal/fleet/agent/lease.go
+++ b/internal/fleet/agent/lease.go
@@ -11,8 +11,8 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// silentLeases is after how many leases' durations a stream over which no reply comes is closed.
-const silentLeases = 2
+// streamIdleLeases is after how many leases' durations without a reply a stream is closed.
+const streamIdleLeases = 2
 
 // nextLeaseRequest returns the next request, and a channel that is closed when the one after it should be sent at once.
 func (n *Node) nextLeaseRequest() (consensus.LeaseRequest, <-chan struct{}) {
@@ -72,7 +72,7 @@
 	defer t.Stop()
 	for {
 		_, changed := n.stateAndChange()
-		request, now := n.nextLeaseRequest()
+		request, renewNow := n.nextLeaseRequest()
 		if grant, err := n.grantLease(request); err == nil {
 			n.handleLeaseReply(&grant, nil)
 		}
@@ -80,7 +80,7 @@
 		case <-n.ctx.Done():
 			return
 		case <-t.C:
-		case <-now:
+		case <-renewNow:
 		case <-changed:
 		}
 	}
@@ -94,21 +94,23 @@
 	}
 }
 
-// renewLeaseStream renews the lease over one stream until that breaks or is silent for too long.
+// renewLeaseStream renews the lease over one stream until that breaks or no reply arrives for too long. It ends the
+// goroutine that receives the replies before it returns.
 func (n *Node) renewLeaseStream(c *Conn) {
 	ctx, stop := context.WithCancel(n.ctx)
 	defer stop()
-	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}, methodPath(streamLeases))
+	bidirectional := &grpc.StreamDesc{ClientStreams: true, ServerStreams: true}
+	s, err := c.NewStream(c.context(ctx), bidirectional, methodPath(streamLeases))
 	if err != nil {
 		return
 	}
-	silent := time.AfterFunc(silentLeases*n.Lease.Duration, stop)
-	defer silent.Stop()
+	idle := time.AfterFunc(streamIdleLeases*n.Lease.Duration, stop)
+	defer idle.Stop()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		defer stop()
-		n.receiveLeaseReplies(c, s, silent)
+		n.receiveLeaseReplies(c, s, idle)
 	}()
 	defer func() { stop(); <-ended }()
 	n.sendLeaseRequests(ctx, s)
@@ -119,7 +121,7 @@
 	t := time.NewTicker(n.Lease.RenewInterval())
 	defer t.Stop()
 	for {
-		request, now := n.nextLeaseRequest()
+		request, renewNow := n.nextLeaseRequest()
 		out, err := pack(request)
 		if err != nil || s.SendMsg(out) != nil {
 			return
@@ -128,13 +130,13 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-now:
+		case <-renewNow:
 		}
 	}
 }
 
-// receiveLeaseReplies handles replies until the stream breaks. Each reply sets the timer back.
-func (n *Node) receiveLeaseReplies(c *Conn, s grpc.ClientStream, silent *time.Timer) {
+// receiveLeaseReplies handles replies until the stream breaks. Each reply resets the idle timer.
+func (n *Node) receiveLeaseReplies(c *Conn, s grpc.ClientStream, idle *time.Timer) {
 	for {
 		in := &wrapperspb.BytesValue{}
 		if s.RecvMsg(in) != nil {
@@ -142,80 +144,14 @@
 		}
 		var reply LeaseReply
 		if err := json.Unmarshal(in.GetValue(), &reply); err != nil {
-			n.Log.Warn("a voter's reply can't be read", "voter", c.Target(), "err", err)
+			n.Log.Warn("lease reply not readable", "voter", c.Target(), "err", err)
 			return
 		}
-		silent.Reset(silentLeases * n.Lease.Duration)
+		idle.Reset(streamIdleLeases * n.Lease.Duration)
 		if reply.Error != "" {
-			n.Log.Warn("a voter grants no lease", "voter", c.Target(), "err", reply.Error)
+			n.Log.Warn("lease request rejected", "voter", c.Target(), "err", reply.Error)
 			continue
 		}
 		n.handleLeaseReply(reply.Grant, reply.LogStatus)
 	}
 }
-
-// serveLeases grants leases to another node for as long as its stream lasts, and tells it when the log's status
-// changes.
-func (n *Node) serveLeases(s grpc.ServerStream) error {
-	if !n.isVoter() {
-		return errNotVoter
-	}
-	requests, failed := make(chan consensus.LeaseRequest), make(chan error, 1)
-	go func() { failed <- receiveLeaseRequests(s, requests) }()
-	for {
-		_, changed := n.stateAndChange()
-		var reply LeaseReply
-		select {
-		case err := <-failed:
-			return err
-		case <-n.ctx.Done():
-			return nil
-		case request := <-requests:
-			reply = n.replyToLeaseRequest(request)
-		case <-changed:
-			state := n.state()
-			if state == nil {
-				return errNotVoter
-			}
-			status := state.LogStatus()
-			reply.LogStatus = &status
-		}
-		out, err := pack(reply)
-		if err != nil {
-			return err
-		}
-		if err := s.SendMsg(out); err != nil {
-			return err
-		}
-	}
-}
-
-func (n *Node) replyToLeaseRequest(request consensus.LeaseRequest) LeaseReply {
-	grant, err := n.grantLease(request)
-	if err != nil {
-		return LeaseReply{Error: err.Error()}
-	}
-	return LeaseReply{Grant: &grant}
-}
-
-// receiveLeaseRequests passes a node's requests on until its stream ends, and returns why it did.
-func receiveLeaseRequests(s grpc.ServerStream, requests chan<- consensus.LeaseRequest) error {
-	for {
-		in := &wrapperspb.BytesValue{}
-		if err := s.RecvMsg(in); err != nil {
-			return ignoreEOF(err)
-		}
-		var request consensus.LeaseRequest
-		if err := unpack(in, &request); err != nil {
-			return err
-		}
-		if err := checkLeaseRequest(request); err != nil {
-			return err
-		}
-		select {
-		case requests <- request:
-		case <-s.Context().Done():
-			return s.Context().Err()
-		}
-	}
-}
--- /dev/null
+++ b/internal/fleet/agent/leaseserver.go
@@ -0,0 +1,85 @@
+package agent
+
+import (
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/types/known/wrapperspb"
+
+	"yokestall/internal/fleet/consensus"
+)
+
+// serveLeases grants leases to another node for as long as its stream lasts, and sends it the log's status when that
+// changes. The goroutine that receives the requests ends with the stream, which gRPC ends when serveLeases returns.
+func (n *Node) serveLeases(s grpc.ServerStream) error {
+	if !n.isVoter() {
+		return errNotVoter
+	}
+	requests, failed := make(chan consensus.LeaseRequest), make(chan error, 1)
+	go func() { failed <- receiveLeaseRequests(s, requests) }()
+	for {
+		_, changed := n.stateAndChange()
+		var reply LeaseReply
+		select {
+		case err := <-failed:
+			return err
+		case <-n.ctx.Done():
+			return nil
+		case request := <-requests:
+			reply = n.replyToLeaseRequest(request)
+		case <-changed:
+			state := n.state()
+			if state == nil {
+				return errNotVoter
+			}
+			status := state.LogStatus()
+			reply.LogStatus = &status
+		}
+		out, err := pack(reply)
+		if err != nil {
+			return err
+		}
+		if err := s.SendMsg(out); err != nil {
+			return err
+		}
+	}
+}
+
+// replyToLeaseRequest grants a lease, or replies why it doesn't.
+func (n *Node) replyToLeaseRequest(request consensus.LeaseRequest) LeaseReply {
+	grant, err := n.grantLease(request)
+	if err != nil {
+		return LeaseReply{Error: err.Error()}
+	}
+	return LeaseReply{Grant: &grant}
+}
+
+// receiveLeaseRequests passes a node's requests on until its stream ends, and returns why it did.
+func receiveLeaseRequests(s grpc.ServerStream, requests chan<- consensus.LeaseRequest) error {
+	for {
+		in := &wrapperspb.BytesValue{}
+		if err := s.RecvMsg(in); err != nil {
+			return ignoreEOF(err)
+		}
+		var request consensus.LeaseRequest
+		if err := unpack(in, &request); err != nil {
+			return err
+		}
+		if err := checkLeaseRequest(request); err != nil {
+			return err
+		}
+		select {
+		case requests <- request:
+		case <-s.Context().Done():
+			return s.Context().Err()
+		}
+	}
+}
+
+// checkLeaseRequest validates the names in a request.
+func checkLeaseRequest(request consensus.LeaseRequest) error {
+	if request.Node == "" || len(request.Node) > consensus.MaxName || len(request.Incarnation) > consensus.MaxName {
+		return status.Error(codes.InvalidArgument, "an ask without a good name")
+	}
+	return nil
+}
--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -1,5 +1,3 @@
-// Package agent runs a node of a fleet: it drives the state machines of fleet/agree with RPCs, a store and clocks,
-// and has the program apply the configuration version that the node's lease permits.
 package agent
 
 import (
@@ -30,6 +28,7 @@
 // ID returns the voter's id in the log.
 func (v Voter) ID() uint64 { return voterID(v.Name) }
 
+// voterID returns the id in the log of the voter of a name: its FNV-1a hash.
 func voterID(name string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, name)
@@ -48,19 +47,19 @@
 
 // Config configures a node.
 type Config struct {
-	Fleet, Name  string
-	Dir          string // of the store
-	Voters       []Voter
+	Fleet, Name  string  // of the fleet, and of this node
+	Dir          string  // folder of the store
+	Voters       []Voter // all voters of the fleet, this node included if it is one
 	Lease        lease.Config
-	Disconnected lease.DisconnectedPolicy
-	ServerTLS    *tls.Config // nil: clear text, for loopback only
-	ClientTLS    *tls.Config // nil: clear text
+	Disconnected lease.DisconnectedPolicy // after the lease has expired
+	ServerTLS    *tls.Config              // nil: clear text, for loopback only
+	ClientTLS    *tls.Config              // nil: clear text
 	Log          *slog.Logger
 	// Clock measures leases. It has to advance while the process is suspended. nil: BootTime.
 	Clock func() time.Duration
 	// Parse parses and validates a version's files. An error means that this node can't use the version.
 	Parse func(list []config.File) (*consensus.Version, error)
-	// Extend applies changes of cluster lists to a version that Parse returned; nil: every version is parsed as a whole.
+	// Extend applies changes of cluster lists to a version that Parse returned; nil: every version is parsed completely.
 	Extend func(v *consensus.Version, changes []config.File) (*consensus.Version, error)
 	// Apply makes the program act on a version. The program no longer acts on the one before when Apply returns.
 	Apply func(v consensus.EffectiveVersion) error
@@ -68,57 +67,64 @@
 }
 
 // Node is a node of a fleet: a voter of the log, or a follower that only applies versions. Create it with Open.
+//
+// The goroutines in background end when ctx is canceled, and Run waits for them. Where several locks are needed, they
+// are taken in this order: leaseMu, versionsMu, mu.
 type Node struct {
 	Config
-	incarnation string // of this process
-	store       *store.Store
-	ctx         context.Context
-	stop        context.CancelFunc
-	background  sync.WaitGroup
-	uploads     chan struct{}               // a slot for each upload of content that is under way
-	conns       map[uint64]*Conn            // to the other voters
-	outbox      map[uint64]chan *pb.Message // raft messages for the other voters
-	ownStart    store.VoterStart            // of a voter
-
-	mu            sync.Mutex       // guards the fields up to recentContent
-	unadmitted    *consensus.Voter // the voter until the other voters admit it
-	voter         *consensus.Voter
-	votingError   error         // why this node no longer votes
-	stateChanged  chan struct{} // closed when the voter's state changes
-	recentContent map[string]time.Time
-
-	leaseMu  sync.Mutex // guards the lease
-	lease    *consensus.Lease
-	renewNow chan struct{} // closed to renew the lease at all voters at once
-
-	applied atomic.Pointer[appliedRules]
-	wake    chan struct{} // wakes reconcile
-
-	versionsMu sync.Mutex // guards the versions
-	versions   map[uint64]*consensus.Version
-	manifests  map[uint64]*consensus.Manifest // of versions
-	rejected   map[uint64]string              // why this node can't use a version
-	fetching   map[uint64]bool
-
-	parseMu         sync.Mutex // guards the last version that was parsed as a whole
-	lastParsed      *consensus.Version
-	lastParsedParts []consensus.Part
-
-	ownership ownership
+	incarnation string                      // of this process
+	store       *store.Store                // closed by Close
+	ctx         context.Context             // canceled when the node stops
+	stop        context.CancelFunc          // cancels ctx
+	background  sync.WaitGroup              // the goroutines that Run waits for
+	uploads     chan struct{}               // one token for each upload of content in progress
+	conns       map[uint64]*Conn            // to the other voters, by id; constant after Open
+	outbox      map[uint64]chan *pb.Message // raft messages for the other voters, by id; constant once Run has begun
+	ownStart    store.VoterStart            // of a voter; constant after Open
+
+	mu            sync.Mutex           // guards unadmitted to recentContent
+	unadmitted    *consensus.Voter     // the voter until the other voters admit it; nil on a follower
+	voter         *consensus.Voter     // the voter once it is admitted; nil on a follower
+	votingError   error                // why this node no longer votes
+	stateChanged  chan struct{}        // closed, and replaced, when the voter's state changes
+	recentContent map[string]time.Time // when content was stored that no version may name yet, by hash
+
+	leaseMu  sync.Mutex       // guards lease and renewNow, and writes of applied that depend on the lease
+	lease    *consensus.Lease // this node's side of its leases
+	renewNow chan struct{}    // closed, and replaced, to renew the lease at all voters at once
+
+	applied atomic.Pointer[appliedRules] // nil: the program acts on nothing
+	wake    chan struct{}                // wakes reconcile
+
+	versionsMu sync.Mutex                     // guards versions to fetching
+	versions   map[uint64]*consensus.Version  // the cache, by number
+	manifests  map[uint64]*consensus.Manifest // of the cached versions
+	rejected   map[uint64]string              // why this node can't use a version, by number
+	fetching   map[uint64]bool                // versions with a fetchVersion in progress
+
+	parseMu         sync.Mutex         // guards lastParsed and lastParsedParts, and serializes Parse
+	lastParsed      *consensus.Version // the last version that Parse returned
+	lastParsedParts []consensus.Part   // of lastParsed
+
+	ownership ownership // has a lock of its own, which is never held together with another
 }
 
 // appliedRules is what the program acts on.
 type appliedRules struct {
-	rules        consensus.ActiveRules
-	disconnected bool          // restricted by the disconnected policy
-	until        time.Duration // on the node's clock
+	rules        consensus.ActiveRules // with disconnected: those it acted on last
+	disconnected bool                  // restricted by the disconnected policy
+	until        time.Duration         // end of the lease, or of disconnected service, on the node's clock
 }
 
 const (
-	maxOutbox              = 1024 // messages to a voter; raft repeats those that are dropped
-	maxCachedVersions      = 4    // besides those of the present epoch
-	retryDelay             = 100 * time.Millisecond
-	recentContentRetention = time.Minute // for content that no version names yet
+	// maxOutbox is how many raft messages may wait for one voter. Raft repeats those that are dropped.
+	maxOutbox = 1024
+	// maxCachedVersions is how many versions are cached besides those of the present epoch.
+	maxCachedVersions = 4
+	// retryDelay is the time between two attempts to fetch a version, or to report a refusal.
+	retryDelay = 100 * time.Millisecond
+	// recentContentRetention is how long content is retained that no version names yet.
+	recentContentRetention = time.Minute
 )
 
 // Init makes the store in c.Dir that of a voter of a new fleet.
@@ -183,14 +189,15 @@
 func (n *Node) loadVoter(own uint64) error {
 	id, disk, err := n.store.Voter()
 	if errors.Is(err, store.ErrNotInitialized) {
-		n.Log.Warn("this node is named as a voter and its store is none's: it follows, and doesn't vote", "store", n.Dir)
+		n.Log.Warn("voter's store not initialized, following without voting", "store", n.Dir)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	if id.Fleet != n.Fleet || id.ID != own || !slices.Equal(id.Voters, voterIDs(n.Voters)) {
-		return fmt.Errorf("%s: the store is of the voter %s of the fleet %q, among others: %s", n.Dir, id.Name, id.Fleet, "the configuration names another, or other voters")
+		return fmt.Errorf("%s: the store is of the voter %s of the fleet %q, among others: "+
+			"the configuration names another, or other voters", n.Dir, id.Name, id.Fleet)
 	}
 	v, err := consensus.NewVoter(n.Clock(), own, n.Lease, disk)
 	if err != nil {
@@ -205,7 +212,7 @@
 	return err
 }
 
-// Run runs the node until ctx ends.
+// Run runs the node until ctx ends. It returns once all goroutines of the node have ended.
 func (n *Node) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, n.stop)
 	defer stop()
--- a/internal/fleet/agent/publish.go
+++ b/internal/fleet/agent/publish.go
@@ -13,9 +13,12 @@
 )
 
 const (
-	publishTimeout = 10 * time.Second // for a proposal to be committed
-	// A proposal may be lost with its leader; repeating it is harmless, since its id stays the same
-	proposeAgain        = time.Second
+	// publishTimeout is how long a proposal may take until it is committed.
+	publishTimeout = 10 * time.Second
+	// proposalRetryInterval is the time between two attempts to propose an entry, which may be lost with its leader. A
+	// repeated entry has no further effect, since it has the same id.
+	proposalRetryInterval = time.Second
+	// maxShownDifferences is how many differences a PublishReply names.
 	maxShownDifferences = 100
 )
 
@@ -35,17 +38,17 @@
 	if reply := publishReply(state, in.ID); reply != nil {
 		return reply, nil // the request was sent twice
 	}
-	whole, err := wholeManifest(state, m)
+	complete, err := completeManifest(state, m)
 	if err != nil {
-		return &PublishReply{Error: err.Error(), ActiveVersion: state.ActiveVersion}, nil
+		return rejectedPublish(state, err.Error(), false), nil
 	}
-	// Before the content is parsed for nothing
+	// Parsing is expensive, so what can be rejected without it is rejected first.
 	if err := state.CheckProposal(m); errors.Is(err, consensus.ErrVersionPending) {
-		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.ActiveVersion}, nil
+		return rejectedPublish(state, err.Error(), true), nil
 	}
-	next, err := n.parseVersion(ctx, whole)
+	next, err := n.parseVersion(ctx, complete)
 	if err != nil {
-		return &PublishReply{Error: err.Error(), ActiveVersion: state.ActiveVersion}, nil
+		return rejectedPublish(state, err.Error(), false), nil
 	}
 	if err := state.CheckProposal(m); err != nil {
 		return n.staleBaseReply(ctx, state, next, err), nil
@@ -69,23 +72,31 @@
 	return reply
 }
 
-// wholeManifest returns a manifest with the parts of its base.
-func wholeManifest(s *consensus.State, m *consensus.Manifest) (*consensus.Manifest, error) {
-	whole := *m
-	whole.OwnParts = len(m.Parts)
+// rejectedPublish is the reply for a version that was not published; retry says that the same request may succeed
+// later.
+func rejectedPublish(s *consensus.State, reason string, retry bool) *PublishReply {
+	return &PublishReply{Error: reason, Retry: retry, ActiveVersion: s.ActiveVersion}
+}
+
+// completeManifest returns a manifest with the parts of its base.
+func completeManifest(s *consensus.State, m *consensus.Manifest) (*consensus.Manifest, error) {
+	complete := *m
+	complete.OwnParts = len(m.Parts)
 	if !m.Extends {
-		return &whole, nil
+		return &complete, nil
 	}
 	base := s.Version(m.Base)
 	if base == nil {
 		return nil, fmt.Errorf("version %d is not in the history", m.Base)
 	}
-	return &whole, whole.Extend(base)
+	return &complete, complete.Extend(base)
 }
 
 // staleBaseReply is the reply for a version that was not made from the active one: it shows how the two differ.
-func (n *Node) staleBaseReply(ctx context.Context, s *consensus.State, next *consensus.Version, reason error) *PublishReply {
-	reply := &PublishReply{Error: reason.Error(), ActiveVersion: s.ActiveVersion}
+func (n *Node) staleBaseReply(
+	ctx context.Context, s *consensus.State, next *consensus.Version, reason error,
+) *PublishReply {
+	reply := rejectedPublish(s, reason.Error(), false)
 	active, err := n.versionInLog(ctx, s, s.ActiveVersion)
 	if err != nil {
 		return reply
@@ -114,15 +125,17 @@
 }
 
 // proposeVersion proposes a version until it is in the log, another one is there before it, or ctx ends.
-func (n *Node) proposeVersion(ctx context.Context, state *consensus.State, m *consensus.Manifest, next *consensus.Version) (*PublishReply, error) {
-	again := time.NewTicker(proposeAgain)
-	defer again.Stop()
+func (n *Node) proposeVersion(
+	ctx context.Context, state *consensus.State, m *consensus.Manifest, next *consensus.Version,
+) (*PublishReply, error) {
+	retry := time.NewTicker(proposalRetryInterval)
+	defer retry.Stop()
 	if err := n.propose(&consensus.Entry{Propose: m}); err != nil {
-		return &PublishReply{Error: err.Error(), Retry: true, ActiveVersion: state.ActiveVersion}, nil
+		return rejectedPublish(state, err.Error(), true), nil
 	}
 	for {
 		state, changed := n.stateAndChange()
-		if state == nil { // its disk failed: another voter knows
+		if state == nil { // the disk failed: another voter has the result
 			return nil, errNotVoter
 		}
 		if reply := publishReply(state, m.ID); reply != nil {
@@ -132,14 +145,14 @@
 			return reply, nil
 		}
 		if err := state.CheckProposal(m); err != nil {
-			return &PublishReply{Error: err.Error(), Retry: errors.Is(err, consensus.ErrVersionPending), ActiveVersion: state.ActiveVersion}, nil
+			return rejectedPublish(state, err.Error(), errors.Is(err, consensus.ErrVersionPending)), nil
 		}
 		select {
 		case <-changed:
-		case <-again.C:
+		case <-retry.C:
 			n.propose(&consensus.Entry{Propose: m})
 		case <-ctx.Done():
-			return &PublishReply{Error: "it is not known whether it was taken up: ask again with the same id", Retry: true, ActiveVersion: state.ActiveVersion}, nil
+			return rejectedPublish(state, "it is not known whether it was taken up: ask again with the same id", true), nil
 		}
 	}
 }
--- a/internal/fleet/agent/dial.go
+++ b/internal/fleet/agent/raftstream.go
@@ -2,47 +2,17 @@
 
 import (
 	"context"
-	"crypto/tls"
-	"time"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/grpc"
-	"google.golang.org/grpc/backoff"
-	"google.golang.org/grpc/credentials"
-	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"yokestall/internal/fleet/consensus"
 )
 
-const (
-	minDialBackoff = 50 * time.Millisecond
-	maxDialBackoff = 500 * time.Millisecond // short, so that a link that is back is soon used
-	dialTimeout    = time.Second
-)
-
-// Dial returns a connection to a voter. It is established when it is first used, and again whenever it breaks.
-func Dial(v Voter, with *tls.Config, fleet string, more ...grpc.DialOption) (*Conn, error) {
-	creds := insecure.NewCredentials()
-	if with != nil {
-		creds = credentials.NewTLS(with)
-	}
-	options := append([]grpc.DialOption{
-		grpc.WithTransportCredentials(creds),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage), grpc.MaxCallSendMsgSize(maxMessage)),
-		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: minDialBackoff, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxDialBackoff},
-			MinConnectTimeout: dialTimeout,
-		}),
-	}, more...)
-	c, err := grpc.NewClient("passthrough:///"+v.Address, options...)
-	if err != nil {
-		return nil, err
-	}
-	return &Conn{c, fleet}, nil
-}
-
 // sendRaftMessages sends the queued messages to another voter until the node stops.
 func (n *Node) sendRaftMessages(c *Conn, queue <-chan *pb.Message) {
 	for n.ctx.Err() == nil {
@@ -51,7 +21,8 @@
 	}
 }
 
-// sendRaftStream sends queued messages over one stream until that breaks.
+// sendRaftStream sends queued messages over one stream until that breaks. The goroutine that waits for the stream's end
+// has ended when it returns.
 func (n *Node) sendRaftStream(c *Conn, queue <-chan *pb.Message) {
 	ctx, stop := context.WithCancel(n.ctx)
 	defer stop()
@@ -84,6 +55,7 @@
 	}
 }
 
+// sendRaftMessage sends one message as the raft library encodes it.
 func sendRaftMessage(s grpc.ClientStream, m *pb.Message) error {
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -103,3 +75,23 @@
 		}
 	}
 }
+
+// serveRaftMessages handles another voter's raft messages until its stream ends.
+func (n *Node) serveRaftMessages(s grpc.ServerStream) error {
+	if !n.isVoter() {
+		return errNotVoter
+	}
+	for {
+		in := &wrapperspb.BytesValue{}
+		if err := s.RecvMsg(in); err != nil {
+			return ignoreEOF(err)
+		}
+		m := &pb.Message{}
+		if err := proto.Unmarshal(in.GetValue(), m); err != nil {
+			return status.Errorf(codes.InvalidArgument, "a voter's message: %v", err)
+		}
+		if err := n.receive(m); err != nil {
+			return err
+		}
+	}
+}
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -15,23 +15,18 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
-	"google.golang.org/protobuf/proto"
-	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	pb "go.etcd.io/raft/v3/raftpb"
-
-	"yokestall/internal/config"
 	"yokestall/internal/fleet/consensus"
 )
 
 const (
-	maxConns          = consensus.MaxHolders + 256
-	maxStreams        = 64 // concurrent calls of a connection
-	maxUploads        = 4  // of content at the same time
-	maxHeaderBytes    = 16 << 10
-	maxStatusHistory  = 32 // versions in a Status
-	keepaliveInterval = 2 * time.Second
-	connectTimeout    = 5 * time.Second
+	maxConns          = consensus.MaxHolders + 256 // connections to this node: those of all holders, and operators'
+	maxStreams        = 64                         // concurrent calls of a connection
+	maxUploads        = 4                          // of content at the same time
+	maxHeaderBytes    = 16 << 10                   // of a call's metadata
+	maxStatusHistory  = 32                         // versions in a Status
+	keepaliveInterval = 2 * time.Second            // without traffic, after which a connection is probed
+	connectTimeout    = 5 * time.Second            // for a handshake
 )
 
 // Serve serves the other nodes on a listener until ctx ends.
@@ -39,7 +34,9 @@
 	options := []grpc.ServerOption{
 		grpc.MaxConcurrentStreams(maxStreams), grpc.MaxRecvMsgSize(maxMessage), grpc.MaxSendMsgSize(maxMessage),
 		grpc.MaxHeaderListSize(maxHeaderBytes), grpc.ConnectionTimeout(connectTimeout),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveInterval / 2, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
+			MinTime: keepaliveInterval / 2, PermitWithoutStream: true,
+		}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveInterval}),
 	}
 	if n.ServerTLS != nil {
@@ -57,26 +54,6 @@
 	return err
 }
 
-// serveRaftMessages handles another voter's raft messages until its stream ends.
-func (n *Node) serveRaftMessages(s grpc.ServerStream) error {
-	if !n.isVoter() {
-		return errNotVoter
-	}
-	for {
-		in := &wrapperspb.BytesValue{}
-		if err := s.RecvMsg(in); err != nil {
-			return ignoreEOF(err)
-		}
-		m := &pb.Message{}
-		if err := proto.Unmarshal(in.GetValue(), m); err != nil {
-			return status.Errorf(codes.InvalidArgument, "a voter's message: %v", err)
-		}
-		if err := n.receive(m); err != nil {
-			return err
-		}
-	}
-}
-
 func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -84,14 +61,7 @@
 	return err
 }
 
-// checkLeaseRequest validates the names in a request.
-func checkLeaseRequest(request consensus.LeaseRequest) error {
-	if request.Node == "" || len(request.Node) > consensus.MaxName || len(request.Incarnation) > consensus.MaxName {
-		return status.Error(codes.InvalidArgument, "an ask without a good name")
-	}
-	return nil
-}
-
+// serveDescribe returns the manifest of a version of the history.
 func (n *Node) serveDescribe(_ context.Context, in *DescribeRequest) (*consensus.Manifest, error) {
 	state := n.state()
 	if state == nil {
@@ -102,83 +72,13 @@
 		return nil, status.Errorf(codes.NotFound, "version %d is not in the history", in.Number)
 	}
 	if in.OwnPartsOnly && m.Extends {
-		short := *m
-		short.Parts = m.Parts[len(m.Parts)-m.OwnParts:]
-		return &short, nil
+		own := *m
+		own.Parts = m.Parts[len(m.Parts)-m.OwnParts:]
+		return &own, nil
 	}
 	return m, nil
 }
 
-// rawBytes is content, which is sent as it is instead of as JSON.
-type rawBytes []byte
-
-func (n *Node) serveFetch(_ context.Context, in *FetchRequest) (*rawBytes, error) {
-	data, err := n.store.Get(in.Hash)
-	if err != nil {
-		return nil, err
-	}
-	if data == nil || in.Offset < 0 || in.Offset > len(data) {
-		return nil, status.Error(codes.NotFound, "content that is not here")
-	}
-	out := rawBytes(data[in.Offset:min(len(data), in.Offset+chunkSize)])
-	return &out, nil
-}
-
-// serveMissing returns which of the hashes name content that this node doesn't have.
-func (n *Node) serveMissing(_ context.Context, in *ContentHashes) (*ContentHashes, error) {
-	if len(in.Hashes) > consensus.MaxFiles {
-		return nil, status.Errorf(codes.InvalidArgument, "%d hashes; %d at most", len(in.Hashes), consensus.MaxFiles)
-	}
-	missing := &ContentHashes{}
-	for _, h := range in.Hashes {
-		data, err := n.store.Get(h)
-		if err != nil {
-			return nil, err
-		}
-		if data == nil {
-			missing.Hashes = append(missing.Hashes, h)
-		}
-	}
-	return missing, nil
-}
-
-// servePut stores uploaded content.
-func (n *Node) servePut(s grpc.ServerStream) error {
-	select {
-	case n.uploads <- struct{}{}:
-		defer func() { <-n.uploads }()
-	case <-s.Context().Done():
-		return s.Context().Err()
-	}
-	data, err := receiveContent(s)
-	if err != nil {
-		return err
-	}
-	if err := n.storeContent(data); err != nil {
-		return status.Error(codes.ResourceExhausted, err.Error())
-	}
-	return s.SendMsg(&wrapperspb.BytesValue{})
-}
-
-// receiveContent receives the chunks of an upload until the client has sent them all.
-func receiveContent(s grpc.ServerStream) ([]byte, error) {
-	var data []byte
-	for {
-		in := &wrapperspb.BytesValue{}
-		err := s.RecvMsg(in)
-		if errors.Is(err, io.EOF) {
-			return data, nil
-		}
-		if err != nil {
-			return nil, err
-		}
-		if len(data)+len(in.GetValue()) > config.MaxFile {
-			return nil, status.Errorf(codes.InvalidArgument, "a file of over %d bytes", config.MaxFile)
-		}
-		data = append(data, in.GetValue()...)
-	}
-}
-
 // serveRefusal proposes a node's refusal of a pending version.
 func (n *Node) serveRefusal(_ context.Context, in *consensus.Refusal) (*struct{}, error) {
 	if len(in.Node) > consensus.MaxName || len(in.Reason) > maxReason {
@@ -190,6 +90,7 @@
 	return &struct{}{}, n.propose(&consensus.Entry{Refusal: in})
 }
 
+// serveStatus returns this node's view of the fleet.
 func (n *Node) serveStatus(context.Context, *struct{}) (*Status, error) {
 	out := &Status{Node: n.Name, Fleet: n.Fleet, LogStatus: n.logStatus()}
 	now := n.Clock()
--- /dev/null
+++ b/internal/fleet/agent/service.go
@@ -0,0 +1,135 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/types/known/wrapperspb"
+)
+
+// The nodes of a fleet talk over gRPC. Every message is a google.protobuf.BytesValue: of a raft message as the raft
+// library encodes it, of content as it is, or of JSON. The names of methods and of JSON fields are fixed, since nodes
+// of several versions run side by side.
+
+const (
+	service    = "yokestall.fleet.v1.Fleet"
+	fleetKey   = "yokestall-fleet" // metadata: the name of the fleet that a call is for
+	maxMessage = 4 << 20           // bytes of a message, enough for the whole history
+	chunkSize  = 256 << 10         // bytes of content in a message
+	maxReason  = 4 << 10           // bytes of a node's reason for a refusal
+)
+
+// The names of the service's methods.
+const (
+	methodDescribe     = "Describe"
+	methodFetch        = "Fetch"
+	methodMissing      = "Have"
+	methodPublish      = "Publish"
+	methodRefuse       = "Refuse"
+	methodStatus       = "Status"
+	methodOwnership    = "Owns"
+	methodHello        = "Hello"
+	methodRelease      = "Release"
+	streamRaftMessages = "Carry"
+	streamLeases       = "Attend"
+	streamPut          = "Put"
+)
+
+// pack encodes a message as JSON.
+func pack(v any) (*wrapperspb.BytesValue, error) {
+	data, err := json.Marshal(v)
+	if err != nil {
+		return nil, err
+	}
+	return wrapperspb.Bytes(data), nil
+}
+
+// unpack decodes a message from JSON. Its error has the code InvalidArgument.
+func unpack(in *wrapperspb.BytesValue, to any) error {
+	if err := json.Unmarshal(in.GetValue(), to); err != nil {
+		return status.Errorf(codes.InvalidArgument, "a message that can't be read: %v", err)
+	}
+	return nil
+}
+
+// checkFleet refuses a call that is for another fleet, before its message is decoded.
+func (n *Node) checkFleet(ctx context.Context) error {
+	md, _ := metadata.FromIncomingContext(ctx)
+	if got := md.Get(fleetKey); len(got) != 1 || got[0] != n.Fleet {
+		return status.Errorf(codes.PermissionDenied, "this is a node of the fleet %q", n.Fleet)
+	}
+	return nil
+}
+
+// unaryMethod describes a method of one request and one reply.
+func unaryMethod[In, Out any](
+	name string, do func(n *Node, ctx context.Context, in *In) (*Out, error),
+) grpc.MethodDesc {
+	handler := func(
+		server any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor,
+	) (any, error) {
+		n := server.(*Node)
+		if err := n.checkFleet(ctx); err != nil {
+			return nil, err
+		}
+		raw := &wrapperspb.BytesValue{}
+		if err := decode(raw); err != nil {
+			return nil, err
+		}
+		in := new(In)
+		if err := unpack(raw, in); err != nil {
+			return nil, err
+		}
+		out, err := do(n, ctx, in)
+		if err != nil {
+			return nil, err
+		}
+		if data, ok := any(out).(*rawBytes); ok {
+			return wrapperspb.Bytes(*data), nil
+		}
+		return pack(out)
+	}
+	return grpc.MethodDesc{MethodName: name, Handler: handler}
+}
+
+// streamMethod describes a streaming method; up and down say which side sends several messages.
+func streamMethod(name string, up, down bool, do func(n *Node, s grpc.ServerStream) error) grpc.StreamDesc {
+	handler := func(server any, s grpc.ServerStream) error {
+		n := server.(*Node)
+		if err := n.checkFleet(s.Context()); err != nil {
+			return err
+		}
+		return do(n, s)
+	}
+	return grpc.StreamDesc{StreamName: name, ClientStreams: up, ServerStreams: down, Handler: handler}
+}
+
+// serviceDescription describes the gRPC service that a node serves.
+func serviceDescription() *grpc.ServiceDesc {
+	return &grpc.ServiceDesc{
+		ServiceName: service, HandlerType: (*any)(nil),
+		Methods: []grpc.MethodDesc{
+			unaryMethod(methodDescribe, (*Node).serveDescribe),
+			unaryMethod(methodFetch, (*Node).serveFetch),
+			unaryMethod(methodMissing, (*Node).serveMissing),
+			unaryMethod(methodPublish, (*Node).servePublish),
+			unaryMethod(methodRefuse, (*Node).serveRefusal),
+			unaryMethod(methodStatus, (*Node).serveStatus),
+			unaryMethod(methodOwnership, (*Node).serveOwnership),
+			unaryMethod(methodHello, (*Node).serveHello),
+			unaryMethod(methodRelease, (*Node).serveReleaseCommand),
+		},
+		Streams: []grpc.StreamDesc{
+			streamMethod(streamRaftMessages, true, false, (*Node).serveRaftMessages),
+			streamMethod(streamLeases, true, true, (*Node).serveLeases),
+			streamMethod(streamPut, true, false, (*Node).servePut),
+		},
+	}
+}
+
+// methodPath is the path of a method in gRPC calls.
+func methodPath(name string) string { return "/" + service + "/" + name }
--- a/internal/fleet/agent/tasks.go
+++ b/internal/fleet/agent/tasks.go
@@ -16,9 +16,9 @@
 
 // ownership is the tasks that this process owns.
 type ownership struct {
-	mu       sync.Mutex
+	mu       sync.Mutex        // guards tokens and revision
 	tokens   map[string]uint64 // fencing tokens by task
-	revision uint64            // of tokens
+	revision uint64            // index of the log at which tokens changed last
 }
 
 // applyOwnership takes over the tasks that the log assigns to this process, and gives up those that it doesn't any
@@ -40,8 +40,8 @@
 	n.leaseMu.Lock()
 	n.lease.ConfirmOwnership(revision)
 	n.leaseMu.Unlock()
-	n.Log.Info("owns", "works", owned, "set", revision, "boot", int64(BootTime()))
-	n.renewLeasesNow() // tells the voters of the confirmation
+	n.Log.Info("task ownership changed", "tasks", owned, "revision", revision, "boot_time_ns", int64(BootTime()))
+	n.renewLeasesNow() // sends the confirmation to the voters
 }
 
 // Owns returns the fencing token of a task, and whether this process may act as its owner at this moment.
--- a/internal/fleet/agent/versions.go
+++ b/internal/fleet/agent/versions.go
@@ -9,22 +9,15 @@
 	"slices"
 	"time"
 
-	"yokestall/internal/config"
-	"yokestall/internal/files"
 	"yokestall/internal/fleet/consensus"
 )
 
 const (
-	manifestTimeout = time.Second
-	contentTimeout  = 5 * time.Second
-	refusalTimeout  = time.Second
+	manifestTimeout = time.Second     // for one voter to return a manifest
+	contentTimeout  = 5 * time.Second // for one voter to return the content of a part
+	refusalTimeout  = time.Second     // for one voter to take a refusal
 )
 
-// invalidVersionError is that this node can't use a version, rather than that the version isn't here yet.
-type invalidVersionError struct{ error }
-
-func (e *invalidVersionError) Unwrap() error { return e.error }
-
 // hasVersion reports whether a version is cached, and begins to fetch it if not; n.leaseMu is held.
 func (n *Node) hasVersion(number uint64) bool {
 	n.versionsMu.Lock()
@@ -58,6 +51,7 @@
 	n.versionsMu.Unlock()
 }
 
+// fetchOnce fetches and parses a version in one attempt.
 func (n *Node) fetchOnce(number uint64) (*consensus.Manifest, *consensus.Version, error) {
 	m, err := n.fetchManifest(n.ctx, number)
 	if err != nil {
@@ -79,7 +73,7 @@
 	}
 	n.versionsMu.Unlock()
 	if err != nil {
-		n.Log.Error("a version can't be held here", "version", number, "err", err)
+		n.Log.Error("version not usable", "version", number, "err", err)
 		n.reportRefusal(number, err.Error())
 	}
 	n.handleLeaseReply(nil, nil)
@@ -111,7 +105,7 @@
 	return a != nil && (number == a.rules.Version || number == a.rules.PendingVersion)
 }
 
-// reportRefusal tells the voters that this node can't use a version, until it is no longer pending.
+// reportRefusal reports to the voters that this node can't use a version, until it is no longer pending.
 func (n *Node) reportRefusal(number uint64, reason string) {
 	for n.ctx.Err() == nil {
 		if n.logStatus().PendingVersion != number {
@@ -136,13 +130,14 @@
 		}
 	}
 	noAnswer := fmt.Errorf("no voter has version %d", number)
-	m, err := firstAnswer(ctx, maps.Values(n.conns), manifestTimeout, noAnswer, func(ctx context.Context, c *Conn) (*consensus.Manifest, error) {
+	request := func(ctx context.Context, c *Conn) (*consensus.Manifest, error) {
 		m, err := n.describeFrom(ctx, c, number)
 		if err == nil && m.Number != number {
 			return nil, noAnswer
 		}
 		return m, err
-	})
+	}
+	m, err := firstAnswer(ctx, maps.Values(n.conns), manifestTimeout, noAnswer, request)
 	if err != nil {
 		return nil, err
 	}
@@ -163,110 +158,3 @@
 	}
 	return m, m.Extend(base)
 }
-
-// parseVersion fetches a version's content and parses it.
-func (n *Node) parseVersion(ctx context.Context, m *consensus.Manifest) (*consensus.Version, error) {
-	if v, err := n.extendBase(ctx, m); v != nil || err != nil {
-		return v, err
-	}
-	list, err := n.fetchFiles(ctx, m.Parts)
-	if err != nil {
-		return nil, err
-	}
-	// The publisher of a version and the node that is to apply it often parse it at the same time: it is done once.
-	n.parseMu.Lock()
-	defer n.parseMu.Unlock()
-	if n.lastParsed != nil && slices.Equal(n.lastParsedParts, m.Parts) {
-		return n.lastParsed, nil
-	}
-	v, err := n.Parse(list)
-	if err != nil {
-		return nil, &invalidVersionError{err}
-	}
-	n.lastParsed, n.lastParsedParts = v, m.Parts
-	return v, nil
-}
-
-// extendBase makes a version from its base, if that is cached and only changes of lists were added to it; otherwise
-// it returns nil.
-func (n *Node) extendBase(ctx context.Context, m *consensus.Manifest) (*consensus.Version, error) {
-	n.versionsMu.Lock()
-	base, baseManifest := n.versions[m.Base], n.manifests[m.Base]
-	n.versionsMu.Unlock()
-	if n.Extend == nil || !m.Extends || base == nil || len(baseManifest.Parts)+m.OwnParts != len(m.Parts) {
-		return nil, nil
-	}
-	added := m.Parts[len(baseManifest.Parts):]
-	if slices.ContainsFunc(added, func(p consensus.Part) bool { return !files.IsChange(p.Name) }) {
-		return nil, nil
-	}
-	changes, err := n.fetchFiles(ctx, added)
-	if err != nil {
-		return nil, err
-	}
-	v, err := n.Extend(base, changes)
-	if err != nil {
-		return nil, &invalidVersionError{err}
-	}
-	return v, nil
-}
-
-// fetchFiles returns the content of parts.
-func (n *Node) fetchFiles(ctx context.Context, parts []consensus.Part) ([]config.File, error) {
-	var list []config.File
-	for _, p := range parts {
-		data, err := n.fetchContent(ctx, p)
-		if err != nil {
-			return nil, err
-		}
-		list = append(list, config.File{Name: p.Name, Text: data})
-	}
-	return list, nil
-}
-
-// fetchContent returns a part's content, from the store or from a voter.
-func (n *Node) fetchContent(ctx context.Context, p consensus.Part) ([]byte, error) {
-	if p.Size > config.MaxFile {
-		return nil, &invalidVersionError{fmt.Errorf("%s: %d bytes; %d at most", p.Name, p.Size, config.MaxFile)}
-	}
-	data, err := n.store.Get(p.Hash)
-	if data != nil {
-		return data, nil
-	}
-	noAnswer := err // a failed disk doesn't end service: the voters have the content
-	if noAnswer == nil {
-		noAnswer = fmt.Errorf("%s: no voter has its content", p.Name)
-	}
-	data, err = firstAnswer(ctx, maps.Values(n.conns), contentTimeout, noAnswer, func(ctx context.Context, c *Conn) ([]byte, error) {
-		return c.Fetch(ctx, p)
-	})
-	if err != nil {
-		return nil, err
-	}
-	if err := n.storeContent(data); err != nil {
-		n.Log.Warn("content is not kept here", "file", p.Name, "err", err)
-	}
-	return data, nil
-}
-
-func (n *Node) storeContent(data []byte) error {
-	n.mu.Lock()
-	n.recentContent[hash(data)] = time.Now()
-	n.mu.Unlock()
-	return n.store.Put(data)
-}
-
-// versionInLog returns a version of the log's history, parsed.
-func (n *Node) versionInLog(ctx context.Context, s *consensus.State, number uint64) (*consensus.Version, error) {
-	n.versionsMu.Lock()
-	v := n.versions[number]
-	n.versionsMu.Unlock()
-	if v != nil {
-		return v, nil
-	}
-	m := s.Version(number)
-	if m == nil {
-		return nil, fmt.Errorf("version %d is not in the history", number)
-	}
-	return n.parseVersion(ctx, m)
-}
--- a/internal/fleet/agent/voter.go
+++ b/internal/fleet/agent/voter.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"context"
 	"slices"
 	"time"
 
@@ -12,12 +11,10 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// readRetryInterval is how often a linearizable read is repeated until the leader answers.
-const readRetryInterval = 5 * consensus.Tick
-
+// errNotVoter is returned for calls that only a voter serves.
 var errNotVoter = status.Error(codes.FailedPrecondition, "this node doesn't vote")
 
-// runVoter runs the voter once the other voters have admitted it.
+// runVoter waits until the other voters have admitted the voter, and starts the goroutines that run it.
 func (n *Node) runVoter() {
 	if !n.admit() {
 		return
@@ -30,6 +27,7 @@
 	n.background.Go(n.runReleases)
 }
 
+// runTicker calls the voter's Tick until the node stops.
 func (n *Node) runTicker() {
 	t := time.NewTicker(consensus.Tick)
 	defer t.Stop()
@@ -43,6 +41,7 @@
 	}
 }
 
+// isVoter reports whether this node votes at present.
 func (n *Node) isVoter() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,52 +64,8 @@
 	return n.voter.State(), n.stateChanged
 }
 
-// currentState is a linearizable read: it returns a state with everything that was committed before the call. The
-// state that a voter has at hand may be older.
-func (n *Node) currentState(ctx context.Context) (*consensus.State, error) {
-	ctx, stop := context.WithTimeout(ctx, statusTimeout)
-	defer stop()
-	first := uint64(0)
-	startRead := func() error {
-		return n.withVoter(func(v *consensus.Voter) error {
-			if id := v.StartRead(); first == 0 {
-				first = id
-			}
-			return nil
-		})
-	}
-	retry := time.NewTicker(readRetryInterval)
-	defer retry.Stop()
-	for err := startRead(); ; {
-		if err != nil {
-			return nil, err
-		}
-		s, changed := n.stateOfRead(first)
-		if s != nil {
-			return s, nil
-		}
-		select {
-		case <-changed:
-		case <-retry.C:
-			err = startRead()
-		case <-ctx.Done():
-			return nil, status.Error(codes.Unavailable, "no leader of the log answers") // another voter may have one
-		}
-	}
-}
-
-// stateOfRead returns the state once a read is done; nil before, with a channel that is closed when that may have
-// changed.
-func (n *Node) stateOfRead(read uint64) (*consensus.State, <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.voter == nil || !n.voter.ReadDone(read) {
-		return nil, n.stateChanged
-	}
-	return n.voter.State(), nil
-}
-
-// withVoter calls the voter and does what it needs done afterwards.
+// withVoter calls do with the voter and n.mu held, and processes what the voter is ready for afterwards. It returns
+// errNotVoter on a node that doesn't vote.
 func (n *Node) withVoter(do func(v *consensus.Voter) error) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,7 +78,7 @@
 	return n.processReady()
 }
 
-// processReady does everything that the voter needs done; n.mu is held. After a failed write the node stops voting,
+// processReady does all work that the voter is ready for; n.mu is held. After a failed write the node stops voting,
 // since what it has promised may be lost.
 func (n *Node) processReady() error {
 	before, reads := n.voter.State().LogStatus(), n.voter.ReadsAnswered()
@@ -167,7 +122,7 @@
 // stopVoting makes the node a follower for good; n.mu is held.
 func (n *Node) stopVoting(err error) {
 	n.votingError, n.voter, n.unadmitted = err, nil, nil
-	n.Log.Error("this node votes no more", "err", err)
+	n.Log.Error("voting stopped", "err", err)
 	n.notifyStateChanged()
 }
 
@@ -176,15 +131,15 @@
 	if err := n.store.CompactTo(snapshot); err != nil {
 		return err
 	}
-	keep := n.voter.State().ContentHashes()
+	retained := n.voter.State().ContentHashes()
 	for hash, at := range n.recentContent {
 		if time.Since(at) < recentContentRetention {
-			keep[hash] = 0
+			retained[hash] = 0
 		} else {
 			delete(n.recentContent, hash)
 		}
 	}
-	return n.store.Sweep(keep)
+	return n.store.Sweep(retained)
 }
 
 // send queues a message for another voter, or drops it if the queue is full; n.mu is held.
@@ -196,7 +151,7 @@
 	}
 }
 
-// reportLost tells a voter that a message was not delivered.
+// reportLost reports to this node's voter that a message was not delivered.
 func reportLost(v *consensus.Voter, m *pb.Message) {
 	v.Unreachable(m.GetTo())
 	if m.GetType() == pb.MsgSnap {
