--- /dev/null
+++ b/internal/fleet/store/voterlog.go
@@ -0,0 +1,173 @@
+package store
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"yokestall/internal/fleet/consensus"
+)
+
+// Identity says which voter a store belongs to. Init writes it once.
+type Identity struct {
+	Fleet  string   `json:"fleet"`
+	Name   string   `json:"name"`   // of the voter
+	ID     uint64   `json:"id"`     // of the voter in the log
+	Voters []uint64 `json:"voters"` // ids of all voters
+}
+
+// ErrNotInitialized is returned for a store that Init was never called on, or that was lost.
+var ErrNotInitialized = errors.New("the store was not made by `yokestall fleet init`")
+
+// Init makes the store that of a voter of a new fleet. It fails if the store belongs to a voter already.
+func (s *Store) Init(id Identity) error {
+	first := consensus.InitialDiskState(id.Voters)
+	return s.update(func(tx *bbolt.Tx) error {
+		meta := tx.Bucket(bucketMeta)
+		if meta.Get(keyIdentity) != nil {
+			return &refusedError{s.path + ": is a voter's already"}
+		}
+		text, err := json.Marshal(id)
+		if err != nil {
+			return err
+		}
+		if err := meta.Put(keyIdentity, withChecksum(text)); err != nil {
+			return err
+		}
+		if err := putMessage(meta, keyHardState, first.HardState); err != nil {
+			return err
+		}
+		return putMessage(meta, keySnapshot, first.Snapshot)
+	})
+}
+
+// Voter returns the identity of the voter that the store belongs to, and the voter's log. Without a voter the error
+// wraps ErrNotInitialized; any other error means that the store is damaged or was not read.
+func (s *Store) Voter() (id Identity, disk consensus.DiskState, err error) {
+	err = s.view(func(tx *bbolt.Tx) error {
+		meta := tx.Bucket(bucketMeta)
+		value := meta.Get(keyIdentity)
+		if value == nil {
+			return ErrNotInitialized
+		}
+		text, err := verifyChecksum("the identity", value)
+		if err != nil {
+			return err
+		}
+		if err := json.Unmarshal(text, &id); err != nil {
+			return err
+		}
+		disk = consensus.DiskState{HardState: &pb.HardState{}, Snapshot: &pb.Snapshot{}}
+		if err := getMessage(meta, keyHardState, disk.HardState); err != nil {
+			return err
+		}
+		if err := getMessage(meta, keySnapshot, disk.Snapshot); err != nil {
+			return err
+		}
+		first := disk.Snapshot.GetMetadata().GetIndex() + 1
+		disk.Entries, err = readEntries(tx.Bucket(bucketLog), first)
+		if err != nil {
+			return err
+		}
+		next := first + uint64(len(disk.Entries))
+		if commit := disk.HardState.GetCommit(); commit >= next {
+			return fmt.Errorf("the log ends at %d, and %d had been committed", next-1, commit)
+		}
+		return nil
+	})
+	return id, disk, err
+}
+
+// readEntries returns the entries from an index on. It returns an error if one is damaged or missing.
+func readEntries(log *bbolt.Bucket, first uint64) (entries []*pb.Entry, err error) {
+	next := first
+	c := log.Cursor()
+	for k, v := c.Seek(key(next)); k != nil; k, v = c.Next() {
+		data, err := verifyChecksum(fmt.Sprintf("entry %d", next), v)
+		if err != nil {
+			return nil, err
+		}
+		e := &pb.Entry{}
+		if err := proto.Unmarshal(data, e); err != nil {
+			return nil, fmt.Errorf("entry %d: %w", next, err)
+		}
+		if e.GetIndex() != next || len(k) != 8 || binary.BigEndian.Uint64(k) != next {
+			return nil, fmt.Errorf("entry %d is missing: the next one is %d", next, e.GetIndex())
+		}
+		entries = append(entries, e)
+		next++
+	}
+	return entries, nil
+}
+
+// key is the key of an entry in the log's bucket: big-endian, so that the keys are in the order of the log.
+func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+
+// Save makes a voter's work durable, atomically.
+func (s *Store) Save(w consensus.ReadyWork) error {
+	if w.HardState == nil && w.Snapshot == nil && len(w.Entries) == 0 {
+		return nil
+	}
+	return s.update(func(tx *bbolt.Tx) error {
+		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
+		if w.Snapshot != nil {
+			if err := saveSnapshot(meta, log, w.Snapshot, math.MaxUint64); err != nil {
+				return err
+			}
+		}
+		if w.HardState != nil {
+			if err := putMessage(meta, keyHardState, w.HardState); err != nil {
+				return err
+			}
+		}
+		return saveEntries(log, w.Entries)
+	})
+}
+
+// saveEntries appends entries. They replace those of the log from the index of the first one on.
+func saveEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := deleteEntries(log, entries[0].GetIndex(), math.MaxUint64); err != nil {
+		return err
+	}
+	for _, e := range entries {
+		if err := putMessage(log, key(e.GetIndex()), e); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// CompactTo replaces the log up to a snapshot by that snapshot.
+func (s *Store) CompactTo(snap *pb.Snapshot) error {
+	return s.update(func(tx *bbolt.Tx) error {
+		return saveSnapshot(tx.Bucket(bucketMeta), tx.Bucket(bucketLog), snap, snap.GetMetadata().GetIndex())
+	})
+}
+
+// saveSnapshot replaces the entries up to an index by a snapshot.
+func saveSnapshot(meta, log *bbolt.Bucket, snap *pb.Snapshot, to uint64) error {
+	if err := putMessage(meta, keySnapshot, snap); err != nil {
+		return err
+	}
+	return deleteEntries(log, 0, to)
+}
+
+// deleteEntries deletes the entries from one index to another, both included.
+func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
+	c := log.Cursor()
+	for k, _ := c.Seek(key(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
+		if err := c.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
