--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -16,7 +16,7 @@
 	p := *last.Program
 	p.Classes = slices.Clone(p.Classes)
 	out := EffectiveVersion{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
-	maps.Copy(out.Refused, last.Refused) // what was refused between two versions is no less in doubt now
+	maps.Copy(out.Refused, last.Refused) // no safe choice exists for these classes now either
 	if rules.Effects == lease.Cautious {
 		p.Limits.MaxAttempts, p.Limits.AllowHedging = 1, false
 	}
@@ -36,25 +36,25 @@
 	if rules.Servers != lease.ServeLast {
 		out.Clusters = map[string]*cluster.Cluster{}
 		for name, c := range last.Clusters {
-			out.Clusters[name] = withoutColdServers(c, p.Rules.SlowStartWindow, ended)
+			out.Clusters[name] = drainWarmingEndpoints(c, p.Rules.SlowStartWindow, ended)
 		}
 	}
 	return out
 }
 
-// withoutColdServers drains the servers that were started so shortly before that they may still be cold: the parts of
-// their budget may have been redistributed among the other nodes.
-func withoutColdServers(c *cluster.Cluster, coldFor time.Duration, at time.Time) *cluster.Cluster {
-	cold := func(e cluster.Endpoint) bool {
-		return e.Serves() && e.Started > 0 && at.Sub(time.UnixMilli(e.Started)) < coldFor
+// drainWarmingEndpoints drains the endpoints that were started less than a slow-start window before a time, and so may
+// still be warming up: the parts of their budget may have been redistributed among the other nodes.
+func drainWarmingEndpoints(c *cluster.Cluster, window time.Duration, at time.Time) *cluster.Cluster {
+	warming := func(e cluster.Endpoint) bool {
+		return e.Serves() && e.Started > 0 && at.Sub(time.UnixMilli(e.Started)) < window
 	}
-	if !slices.ContainsFunc(c.Endpoints, cold) {
+	if !slices.ContainsFunc(c.Endpoints, warming) {
 		return c
 	}
 	out := *c
 	out.Endpoints = slices.Clone(c.Endpoints)
 	for i := range out.Endpoints {
-		if cold(out.Endpoints[i]) {
+		if warming(out.Endpoints[i]) {
 			out.Endpoints[i].Health = cluster.Draining
 		}
 	}
