--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -33,9 +33,11 @@
 // bundle is a version of a program, which says how its one class behaves.
 func bundle(effect string) []config.File {
 	return []config.File{
-		{Name: files.ProgramPart, Text: []byte("[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"c\"\n[fleet]\nnodes = 9\n[[class]]\nname = \"a\"\neffect = \"" + effect +
+		{Name: files.ProgramPart, Text: []byte("[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"c\"\n[fleet]\n" +
+			"nodes = 9\n[[class]]\nname = \"a\"\neffect = \"" + effect +
 			"\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/\"\nclass = \"a\"\ncluster = \"rooms\"\n")},
-		{Name: "rooms.toml", Text: []byte("[cluster]\nname = \"rooms\"\n[[endpoint]]\nid = \"s\"\naddress = \"127.0.0.1:9\"\nzone = \"a\"\nweight = 1\n[end]\nendpoints = 1\n")},
+		{Name: "rooms.toml", Text: []byte("[cluster]\nname = \"rooms\"\n[[endpoint]]\nid = \"s\"\n" +
+			"address = \"127.0.0.1:9\"\nzone = \"a\"\nweight = 1\n[end]\nendpoints = 1\n")},
 	}
 }
 
@@ -111,7 +113,8 @@
 func (g *group) config(i int) Config {
 	n := g.nodes[i]
 	c := Config{
-		Fleet: "f", Name: n.name, Dir: filepath.Join(g.dir, n.name), Voters: g.voters, Lease: quick, Log: slog.New(slog.DiscardHandler),
+		Fleet: "f", Name: n.name, Dir: filepath.Join(g.dir, n.name), Voters: g.voters, Lease: quick,
+		Log:          slog.New(slog.DiscardHandler),
 		Disconnected: lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious},
 		Parse: func(list []config.File) (*consensus.Version, error) {
 			n.mu.Lock()
@@ -283,7 +286,8 @@
 	if o := g.inForce(p.Number); o.InForce || !strings.HasPrefix(o.RefusalReason, "n3: an older program") {
 		t.Errorf("%+v", o)
 	}
-	if s, err := g.client.LatestStatus(g.patience()); err != nil || s.LogStatus.ActiveVersion != 1 || s.LogStatus.PendingVersion != 0 {
+	if s, err := g.client.LatestStatus(g.patience()); err != nil || s.LogStatus.ActiveVersion != 1 ||
+		s.LogStatus.PendingVersion != 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for i := range g.nodes {
@@ -293,7 +297,11 @@
 	if bad.Number != 0 || !strings.Contains(bad.Error, "brave") {
 		t.Errorf("a version that can't be read: %+v", bad)
 	}
-	if next := g.publish("four", 1, append(bundle("safe"), config.File{Name: "x.toml", Text: []byte("[cluster]\nname = \"other\"\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n")})); next.Number == 0 {
+	other := config.File{
+		Name: "x.toml",
+		Text: []byte("[cluster]\nname = \"other\"\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n"),
+	}
+	if next := g.publish("four", 1, append(bundle("safe"), other)); next.Number == 0 {
 		t.Errorf("after a refusal: %+v", next)
 	}
 }
@@ -332,7 +340,8 @@
 	g.kill(3)
 	g.nodes[3].acts = nil
 	g.start(3)
-	g.nodes[3].node.handleLeaseReply(nil, &consensus.LogStatus{Index: 1, ActiveVersion: 2}) // one voter alone can be heard of
+	// The status arrives without a grant, as from a single voter.
+	g.nodes[3].node.handleLeaseReply(nil, &consensus.LogStatus{Index: 1, ActiveVersion: 2})
 	g.acts(3, "-")
 	for i := range g.voters {
 		g.start(i)
@@ -357,7 +366,8 @@
 	}
 	testutil.Until(t, "the voter to say so", func() bool {
 		a := g.client.Status(g.patience())[1]
-		return a.Status != nil && !a.Status.Voter && strings.Contains(a.Status.VotingError, "nothing is written after a failure")
+		return a.Status != nil && !a.Status.Voter &&
+			strings.Contains(a.Status.VotingError, "nothing is written after a failure")
 	})
 	g.publish("three", 2, bundle("safe"))
 	g.acts(1, "safe")
@@ -386,7 +396,8 @@
 	g.start(1)
 	testutil.Until(t, "the voter to say so", func() bool {
 		a := g.client.Status(g.patience())[1]
-		return a.Status != nil && !a.Status.Voter && strings.Contains(a.Status.VotingError, "an old copy of this voter's disk")
+		return a.Status != nil && !a.Status.Voter &&
+			strings.Contains(a.Status.VotingError, "an old copy of this voter's disk")
 	})
 	if p := g.publish("three", 2, bundle("safe")); !g.inForce(p.Number).InForce {
 		t.Fatalf("%+v", p)
@@ -409,7 +420,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(os.WriteFile(filepath.Join(dir, "node.crt"), cert, 0o600), os.WriteFile(filepath.Join(dir, "node.key"), key, 0o600)); err != nil {
+		if err := errors.Join(os.WriteFile(filepath.Join(dir, "node.crt"), cert, 0o600),
+			os.WriteFile(filepath.Join(dir, "node.key"), key, 0o600)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/agent/change_test.go
+++ b/internal/fleet/agent/change_test.go
@@ -16,14 +16,17 @@
 	var b strings.Builder
 	b.WriteString("[cluster]\nname = \"rooms\"\n")
 	for i := range endpoints {
-		fmt.Fprintf(&b, "[[endpoint]]\nid = \"s-%05d\"\naddress = \"10.%d.%d.1:80\"\nzone = \"a\"\nweight = 1\n", i, i/250, i%250)
+		fmt.Fprintf(&b, "[[endpoint]]\nid = \"s-%05d\"\naddress = \"10.%d.%d.1:80\"\nzone = \"a\"\nweight = 1\n",
+			i, i/250, i%250)
 	}
 	fmt.Fprintf(&b, "[end]\nendpoints = %d\n", endpoints)
 	return []config.File{bundle("safe")[0], {Name: "rooms.toml", Text: []byte(b.String())}}
 }
 
 func change(i int, health string) config.File {
-	return config.File{Name: "change.toml", Text: fmt.Appendf(nil, "[cluster]\nname = \"rooms\"\nchange = true\n[[endpoint]]\nid = \"s-%05d\"\naddress = \"10.%d.%d.1:80\"\nzone = \"a\"\nweight = 1\nhealth = %q\n[end]\nendpoints = 1\n", i, i/250, i%250, health)}
+	return config.File{Name: "change.toml", Text: fmt.Appendf(nil,
+		"[cluster]\nname = \"rooms\"\nchange = true\n[[endpoint]]\nid = \"s-%05d\"\naddress = \"10.%d.%d.1:80\"\n"+
+			"zone = \"a\"\nweight = 1\nhealth = %q\n[end]\nendpoints = 1\n", i, i/250, i%250, health)}
 }
 
 // Changes of one long list: each node reads the list itself once, and again when changes are folded into it; all come
@@ -60,7 +63,12 @@
 		testutil.Until(t, "it to be in force", func() bool { return g.nodes[0].node.state().ActiveVersion == base })
 	}
 	took := time.Since(began)
-	if bad, err := g.client.PublishChange(g.patience(), "bad", base, config.File{Name: "c", Text: []byte("[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"s-none\"]\n[end]\nendpoints = 0\n")}); err != nil || bad.Number != 0 || !strings.Contains(bad.Error, "not in the list") {
+	unknown := config.File{
+		Name: "c",
+		Text: []byte("[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"s-none\"]\n[end]\nendpoints = 0\n"),
+	}
+	bad, err := g.client.PublishChange(g.patience(), "bad", base, unknown)
+	if err != nil || bad.Number != 0 || !strings.Contains(bad.Error, "not in the list") {
 		t.Errorf("%+v, %v", bad, err)
 	}
 	drain, err := g.client.PublishChange(g.patience(), "last", base, change(7, "draining"))
@@ -79,10 +87,14 @@
 			t.Errorf("%s has another list", n.name)
 		}
 		n.mu.Lock()
-		if most := 1 + (changes+maxChangesPerVersion-1)/maxChangesPerVersion; n.parsed > most { // at first, and where changes are folded
+		// The first version is parsed completely, and each in which changes are merged into the lists.
+		if most := 1 + (changes+maxChangesPerVersion-1)/maxChangesPerVersion; n.parsed > most {
 			t.Errorf("node %d read the whole %d times over %d changes; %d at most", i, n.parsed, changes, most)
 		}
 		n.mu.Unlock()
 	}
-	t.Logf("%d changes of a list of %d, half of them contradicting: %v each; the whole was read %d times, changes %d times, by %s", changes, endpoints, took/time.Duration(changes), g.nodes[4].parsed, g.nodes[4].extended, g.nodes[4].name)
+	n := g.nodes[4]
+	t.Logf("%d changes of a list of %d, half of them contradicting: %v each; "+
+		"%s parsed the list %d times, changes %d times",
+		changes, endpoints, took/time.Duration(changes), n.name, n.parsed, n.extended)
 }
--- a/internal/fleet/agent/release_test.go
+++ b/internal/fleet/agent/release_test.go
@@ -40,7 +40,8 @@
 	g := newGroup(t, 3, 1)
 	g.publish("one", 0, many(6))
 	g.acts(3, "safe")
-	r := consensus.Release{ID: "r", Cluster: "rooms", Floor: 0.6, Drain: 20 * time.Millisecond, Restart: 20 * time.Millisecond, Warm: 20 * time.Millisecond}
+	r := consensus.Release{ID: "r", Cluster: "rooms", Floor: 0.6, Drain: 20 * time.Millisecond,
+		Restart: 20 * time.Millisecond, Warm: 20 * time.Millisecond}
 	for i := range 3 {
 		r.Waves = append(r.Waves, []string{fmt.Sprintf("s-%05d", 2*i), fmt.Sprintf("s-%05d", 2*i+1)})
 	}
@@ -90,7 +91,8 @@
 	for _, m := range s.History[1:] {
 		ids = append(ids, m.ID)
 	}
-	want := []string{"release/r/0/out", "release/r/0/in", "release/r/1/out", "release/r/1/in", "release/r/2/out", "release/r/2/in"}
+	want := []string{"release/r/0/out", "release/r/0/in", "release/r/1/out", "release/r/1/in", "release/r/2/out",
+		"release/r/2/in"}
 	if !slices.Equal(ids, want) {
 		t.Errorf("versions %v, want %v", ids, want)
 	}
@@ -120,7 +122,8 @@
 	if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 		t.Fatalf("%+v", out)
 	}
-	testutil.Until(t, "the first wave to be away", func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == consensus.Restarting })
+	testutil.Until(t, "the first wave to be away",
+		func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == consensus.Restarting })
 	if out := g.control(ReleaseCommand{Action: "pause"}); !out.Progress.Paused {
 		t.Errorf("%+v", out)
 	}
@@ -150,7 +153,8 @@
 		if i == 0 {
 			g.publish("one", 0, many(4))
 		}
-		r := consensus.Release{ID: fmt.Sprint("r", i), Cluster: "rooms", Waves: [][]string{{fmt.Sprint("s-0000", i)}}, Restart: time.Hour}
+		r := consensus.Release{ID: fmt.Sprint("r", i), Cluster: "rooms", Waves: [][]string{{fmt.Sprint("s-0000", i)}},
+			Restart: time.Hour}
 		if i > 0 { // what it has not heard of, or only the begin of
 			if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
 				t.Fatalf("%+v", out)
--- a/internal/fleet/consensus/contradict_test.go
+++ b/internal/fleet/consensus/contradict_test.go
@@ -85,7 +85,9 @@
 	{"scope = \"all\"", "scope = \"zone\"", ClassScope, ClassScope},
 	{"window = \"6s\"", "window = \"2m\"", ClassWindow, ClassWindow},
 	{"deadline = \"1s\"", "deadline = \"2s\"", ClassService, ClassService},
-	{"[[host]]\n[[host.route]]\nprefix = \"/read\"", "[[class]]\nname = \"more\"\neffect = \"unsafe\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/read\"", ClassAdded, ClassRemoved},
+	{"[[host]]\n[[host.route]]\nprefix = \"/read\"",
+		"[[class]]\nname = \"more\"\neffect = \"unsafe\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\n" +
+			"prefix = \"/read\"", ClassAdded, ClassRemoved},
 	{"quota_per_s = 10", "quota_per_s = 20", TenantQuota, TenantQuota},
 	{"attempts = 3", "attempts = 2", Attempts, Attempts},
 	{"nodes = 3", "nodes = 5", Nodes, Nodes},
@@ -165,7 +167,8 @@
 	for _, tc := range changes { // of one kind alone, too
 		a := version(t, program, servers)
 		b := version(t, strings.Replace(program, tc.old, tc.new, 1), strings.Replace(servers, tc.old, tc.new, 1))
-		if row := Table()[tc.want]; row.Contradicts && AsStrict(EffectiveVersion{Version: a}, b) == nil && AsStrict(EffectiveVersion{Version: b}, a) == nil {
+		if row := Table()[tc.want]; row.Contradicts && AsStrict(EffectiveVersion{Version: a}, b) == nil &&
+			AsStrict(EffectiveVersion{Version: b}, a) == nil {
 			t.Errorf("%s: neither is laxer", row.What)
 		}
 	}
@@ -197,7 +200,8 @@
 func BenchmarkDifferences(b *testing.B) {
 	c := &cluster.Cluster{Name: "rooms"}
 	for i := range 10_000 {
-		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprintf("s-%05d", i), Address: "127.0.0.1:9000", Weight: 1})
+		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprintf("s-%05d", i), Address: "127.0.0.1:9000",
+			Weight: 1})
 	}
 	other := *c
 	other.Endpoints = append([]cluster.Endpoint(nil), c.Endpoints...)
--- a/internal/fleet/consensus/disconnected_test.go
+++ b/internal/fleet/consensus/disconnected_test.go
@@ -17,7 +17,8 @@
 	now := time.UnixMilli(3000)
 	for range 300 {
 		last, next := drawn(t, rng), drawn(t, rng)
-		a := DisconnectedVersion(EffectiveVersion{Version: last}, lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious}, now)
+		a := DisconnectedVersion(EffectiveVersion{Version: last},
+			lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious}, now)
 		if a.Program.Limits.MaxAttempts != 1 || a.Program.Limits.AllowHedging {
 			t.Fatalf("attempts: %+v", a.Program.Limits)
 		}
@@ -28,7 +29,8 @@
 		}
 		// Of what is left, only what the documents name may be laxer than a version that follows: a server that is out by
 		// then, or has moved or started; wider budgets; routes of a class that was safe and is no more.
-		if err := AsStrict(a, next); err != nil && !strings.HasPrefix(err.Error(), "server ") && !strings.HasPrefix(err.Error(), "cold ") &&
+		if err := AsStrict(a, next); err != nil && !strings.HasPrefix(err.Error(), "server ") &&
+			!strings.HasPrefix(err.Error(), "cold ") &&
 			!strings.HasPrefix(err.Error(), "host ") {
 			t.Fatal(err)
 		}
@@ -39,14 +41,20 @@
 		}
 	}
 	last := version(t, program, servers)
-	if a := DisconnectedVersion(EffectiveVersion{Version: last}, lease.DisconnectedPolicy{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}, now); AsStrict(a, last) != nil || AsStrict(EffectiveVersion{Version: last}, a.Version) != nil || len(a.Refused) > 0 {
+	serveLast := lease.DisconnectedPolicy{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}
+	a := DisconnectedVersion(EffectiveVersion{Version: last}, serveLast, now)
+	if AsStrict(a, last) != nil || AsStrict(EffectiveVersion{Version: last}, a.Version) != nil || len(a.Refused) > 0 {
 		t.Errorf("not as the last: %v", a.Refused)
 	}
 	between := EffectiveVersion{last, map[string]string{"push": "its routes change"}}
-	if a := DisconnectedVersion(between, lease.DisconnectedPolicy{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}, now); a.Refused["push"] == "" {
+	if a := DisconnectedVersion(between, serveLast, now); a.Refused["push"] == "" {
 		t.Error("what was refused between two versions is served alone")
 	}
-	for _, r := range []lease.DisconnectedPolicy{{Effects: lease.Refuse, Routes: lease.ServeLast, Servers: lease.ServeLast}, {Effects: lease.ServeLast, Routes: lease.Refuse, Servers: lease.ServeLast}, {Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.Refuse}} {
+	for _, r := range []lease.DisconnectedPolicy{
+		{Effects: lease.Refuse, Routes: lease.ServeLast, Servers: lease.ServeLast},
+		{Effects: lease.ServeLast, Routes: lease.Refuse, Servers: lease.ServeLast},
+		{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.Refuse},
+	} {
 		if a := DisconnectedVersion(EffectiveVersion{Version: last}, r, now); len(a.Refused) != 2 {
 			t.Errorf("%+v: %v", r, a.Refused)
 		}
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -116,7 +116,9 @@
 var simTerms = LeaseConfig{Duration: 1500 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 100 * time.Millisecond}
 
 func newSim(t testing.TB, seed uint64, voters, followers int, out without) *fleetSim {
-	s := &fleetSim{t: t, rng: rand.New(rand.NewPCG(seed, 39)), out: out, terms: simTerms, acked: map[string]uint64{}, epochs: map[uint64]uint64{}, pendingAt: map[uint64]time.Duration{}, tokens: map[string]uint64{}, asking: rand.New(rand.NewPCG(seed, 40))}
+	s := &fleetSim{t: t, rng: rand.New(rand.NewPCG(seed, 39)), out: out, terms: simTerms, acked: map[string]uint64{},
+		epochs: map[uint64]uint64{}, pendingAt: map[uint64]time.Duration{}, tokens: map[string]uint64{},
+		asking: rand.New(rand.NewPCG(seed, 40))}
 	if out == drift {
 		s.terms.MaxClockDrift = 0
 	}
@@ -124,7 +126,8 @@
 		s.voters = append(s.voters, uint64(i+1))
 	}
 	for i := range voters + followers {
-		n := &simNode{id: uint64(i + 1), name: fmt.Sprint("n", i+1), rate: 1 + simTerms.MaxClockDrift*(2*s.rng.Float64()-1), offset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
+		n := &simNode{id: uint64(i + 1), name: fmt.Sprint("n", i+1),
+			rate: 1 + simTerms.MaxClockDrift*(2*s.rng.Float64()-1), offset: time.Duration(s.rng.Int64N(int64(time.Hour)))}
 		if s.rng.IntN(3) == 0 { // the ends of what is allowed
 			n.rate = 1 + simTerms.MaxClockDrift*float64(2*s.rng.IntN(2)-1)
 		}
@@ -219,7 +222,8 @@
 	asked, way := s.now, func() time.Duration { return time.Duration(s.asking.Int64N(int64(200 * time.Millisecond))) }
 	s.on(n, way(), func() {
 		if token, owns := s.owns(n)["w0"]; owns {
-			s.answers = append(s.answers, fleet.Event{What: fleet.Owned, Who: int(n.id), Stamp: int(token), By: asked, At: s.now + way()})
+			s.answers = append(s.answers, fleet.Event{What: fleet.Owned, Who: int(n.id), Stamp: int(token), By: asked,
+				At: s.now + way()})
 		}
 	})
 }
@@ -231,7 +235,8 @@
 			continue
 		}
 		if delete(n.reads, id); n.voter.State().Index < upto {
-			s.broken = append(s.broken, fmt.Sprintf("%v: %s says that the log ends at %d, and %d had been applied", s.now, n.name, n.voter.State().Index, upto))
+			s.broken = append(s.broken, fmt.Sprintf("%v: %s says that the log ends at %d, and %d had been applied", s.now,
+				n.name, n.voter.State().Index, upto))
 		}
 		s.reads++
 	}
@@ -324,7 +329,8 @@
 			}
 			if snap != nil {
 				n.disk.Snapshot = snap
-				n.disk.Entries = slices.DeleteFunc(n.disk.Entries, func(e *pb.Entry) bool { return e.GetIndex() <= snap.GetMetadata().GetIndex() })
+				n.disk.Entries = slices.DeleteFunc(n.disk.Entries,
+					func(e *pb.Entry) bool { return e.GetIndex() <= snap.GetMetadata().GetIndex() })
 			}
 			s.note(before, v.State())
 			if before.LogStatus() != v.State().LogStatus() {
@@ -340,7 +346,8 @@
 				}
 			}
 		}
-		if s.out == freed && slices.ContainsFunc(slices.Collect(maps.Values(v.State().Tasks)), func(w TaskOwnership) bool { return w.TransferIndex != 0 }) {
+		if s.out == freed && slices.ContainsFunc(slices.Collect(maps.Values(v.State().Tasks)),
+			func(w TaskOwnership) bool { return w.TransferIndex != 0 }) {
 			v.leases.holders, v.leases.quietUntil = map[process]*processLeases{}, 0
 		}
 		if set := v.State().OwnershipRevision(n.name, fmt.Sprint(n.life)); set > n.lease.ownershipRevision {
@@ -390,7 +397,8 @@
 	}
 	if len(w.Entries) > 0 {
 		first := w.Entries[0].GetIndex()
-		n.disk.Entries = slices.DeleteFunc(slices.Clone(n.disk.Entries), func(e *pb.Entry) bool { return e.GetIndex() >= first })
+		n.disk.Entries = slices.DeleteFunc(slices.Clone(n.disk.Entries),
+			func(e *pb.Entry) bool { return e.GetIndex() >= first })
 		n.disk.Entries = append(n.disk.Entries, w.Entries...)
 	}
 }
@@ -425,7 +433,8 @@
 
 // owns gives the works that a node acts as the owner of at this moment.
 func (s *fleetSim) owns(n *simNode) map[string]uint64 {
-	if n.down || n.pausedUntil > s.now || len(n.owned) == 0 || s.out != ownLease && !n.lease.PermitsOwnership(n.clock(s.now)) {
+	if n.down || n.pausedUntil > s.now || len(n.owned) == 0 ||
+		s.out != ownLease && !n.lease.PermitsOwnership(n.clock(s.now)) {
 		return nil
 	}
 	return n.owned
@@ -441,7 +450,8 @@
 				s.broken = append(s.broken, fmt.Sprintf("%v: %s is owned by %s and %s", s.now, work, other.name, n.name))
 			}
 			if owner[work] = n; token < s.tokens[work] {
-				s.broken = append(s.broken, fmt.Sprintf("%v: %s owns %s by token %d after %d", s.now, n.name, work, token, s.tokens[work]))
+				s.broken = append(s.broken, fmt.Sprintf("%v: %s owns %s by token %d after %d", s.now, n.name, work, token,
+					s.tokens[work]))
 			}
 			s.tokens[work] = max(s.tokens[work], token)
 		}
@@ -456,13 +466,16 @@
 	}
 	for _, other := range s.nodes {
 		b := s.acts(other)
-		if other == n || b.Version == 0 || a.Version == b.Version || a.PendingVersion != 0 && a.PendingVersion == b.Version || b.PendingVersion != 0 && b.PendingVersion == a.Version {
+		if other == n || b.Version == 0 || a.Version == b.Version ||
+			a.PendingVersion != 0 && a.PendingVersion == b.Version || b.PendingVersion != 0 && b.PendingVersion == a.Version {
 			continue
 		}
-		if a.Epoch == b.Epoch || a.PendingVersion != 0 && b.Epoch == a.Epoch-1 || b.PendingVersion != 0 && a.Epoch == b.Epoch-1 {
+		if a.Epoch == b.Epoch || a.PendingVersion != 0 && b.Epoch == a.Epoch-1 ||
+			b.PendingVersion != 0 && a.Epoch == b.Epoch-1 {
 			continue
 		}
-		if a.PendingVersion != 0 && b.PendingVersion != 0 && (a.Version == b.PendingVersion || b.Version == a.PendingVersion) {
+		if a.PendingVersion != 0 && b.PendingVersion != 0 &&
+			(a.Version == b.PendingVersion || b.Version == a.PendingVersion) {
 			continue
 		}
 		s.broken = append(s.broken, fmt.Sprintf("%v: %s acts on %v, %s on %v", s.now, n.name, a, other.name, b))
@@ -481,7 +494,8 @@
 	}
 	n := up[s.rng.IntN(len(up))]
 	s.on(n, 0, func() {
-		m := &Manifest{ID: id, Base: n.voter.State().ActiveVersion, Contradicts: contradicts, Proposer: n.name, Parts: []Part{{Name: "a", Hash: fmt.Sprintf("%064d", 1)}}}
+		m := &Manifest{ID: id, Base: n.voter.State().ActiveVersion, Contradicts: contradicts, Proposer: n.name,
+			Parts: []Part{{Name: "a", Hash: fmt.Sprintf("%064d", 1)}}}
 		if n.voter.State().CheckProposal(m) == nil {
 			n.voter.Propose(&Entry{Propose: m})
 		}
@@ -579,7 +593,8 @@
 		}
 	}
 	for id, number := range s.acked {
-		if m := first.Version(number); (m == nil || m.ID != id) && number >= first.History[0].Number { // the history's bound apart
+		if m := first.Version(number); (m == nil || m.ID != id) &&
+			number >= first.History[0].Number { // older ones are trimmed
 			s.broken = append(s.broken, fmt.Sprintf("version %d, %s, was acknowledged and is gone", number, id))
 		}
 	}
@@ -621,9 +636,11 @@
 		versions, changes, takeovers, reads = versions+s.versions, changes+s.changes, takeovers+s.takeovers, reads+s.reads
 	}
 	if versions < seeds || changes < 4*seeds || takeovers < 4*seeds || reads < 100*seeds {
-		t.Errorf("%d versions, %d changes, %d sets of works, %d reads: too few to say anything", versions, changes, takeovers, reads)
+		t.Errorf("%d versions, %d changes, %d ownership revisions, %d reads: too few to say anything", versions, changes,
+			takeovers, reads)
 	}
-	t.Logf("%d seeds: %d versions, %d changes over of a node, no contradiction; %d sets of works taken, never two owners; %d reads, none of a log that had gone on",
+	t.Logf("%d seeds: %d versions, %d changes of a node's rules, no contradiction; "+
+		"%d ownership revisions confirmed, never two owners; %d reads, none of a stale log",
 		seeds, versions, changes, takeovers, reads)
 }
 
@@ -632,7 +649,8 @@
 	if raced {
 		t.Skip("played without the race detector")
 	}
-	for _, out := range []without{leaseCheck, atWake, waiting, quietStart, drift, fromAnswer, confirmed, majority, ownLease, freed, reading, lives} {
+	for _, out := range []without{leaseCheck, atWake, waiting, quietStart, drift, fromAnswer, confirmed, majority,
+		ownLease, freed, reading, lives} {
 		t.Run(string(out), func(t *testing.T) {
 			for seed := range uint64(400) {
 				cryptotest.SetGlobalRandom(t, seed)
--- a/internal/fleet/consensus/splits_test.go
+++ b/internal/fleet/consensus/splits_test.go
@@ -121,7 +121,9 @@
 		t.Fatalf("%d versions, %d in the history", state.LastNumber, len(state.History))
 	}
 	if now > entries+3*(compactionInterval+compactionRetained) || after > before+before/4 {
-		t.Errorf("%d entries and %d KiB after a quarter of an hour, %d and %d KiB after the hour", entries, before>>10, now, after>>10)
+		t.Errorf("%d entries and %d KiB after a quarter of an hour, %d and %d KiB after the hour", entries, before>>10,
+			now, after>>10)
 	}
-	t.Logf("%d versions: %d entries and %d KiB after a quarter of an hour, %d and %d KiB after the hour", state.LastNumber, entries, before>>10, now, after>>10)
+	t.Logf("%d versions: %d entries and %d KiB after a quarter of an hour, %d and %d KiB after the hour",
+		state.LastNumber, entries, before>>10, now, after>>10)
 }
--- a/internal/fleet/consensus/state_test.go
+++ b/internal/fleet/consensus/state_test.go
@@ -63,8 +63,10 @@
 			if err := s.Apply(i+1, e.Marshal(), 3); err != nil {
 				t.Fatal(err)
 			}
-			if s.ActiveVersion != present || s.PendingVersion != waits || s.Epoch != epoch || s.LastNumber != uint64(len(list)) || len(s.EpochVersions) != alive {
-				t.Fatalf("seed %d, entry %d: %+v; want %d in force, %d waits, epoch %d, %d alive", seed, i, s.LogStatus(), present, waits, epoch, alive)
+			if s.ActiveVersion != present || s.PendingVersion != waits || s.Epoch != epoch ||
+				s.LastNumber != uint64(len(list)) || len(s.EpochVersions) != alive {
+				t.Fatalf("seed %d, entry %d: %+v; want %d in force, %d waits, epoch %d, %d alive", seed, i, s.LogStatus(),
+					present, waits, epoch, alive)
 			}
 			for n, id := range list {
 				if m := s.Version(uint64(n + 1)); m == nil || m.ID != id {
@@ -91,7 +93,8 @@
 		for _, m := range s.History {
 			total += len(m.Parts)
 		}
-		if len(s.History) > MaxHistory || total > maxParts+(maxVersionsPerEpoch+1)*MaxFiles || s.Version(s.ActiveVersion) == nil {
+		if len(s.History) > MaxHistory || total > maxParts+(maxVersionsPerEpoch+1)*MaxFiles ||
+			s.Version(s.ActiveVersion) == nil {
 			t.Fatalf("%d versions of %d files, %d in force", len(s.History), total, s.ActiveVersion)
 		}
 		for _, n := range s.EpochVersions {
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -52,7 +52,8 @@
 			if n := len(list); n > 4 {
 				at := first + uint64(n/2)
 				data := []byte("{}")
-				snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: &at, Term: &term, ConfState: &pb.ConfState{Voters: me.Voters}}}
+				snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: &at, Term: &term,
+					ConfState: &pb.ConfState{Voters: me.Voters}}}
 				if err := s.CompactTo(snap); err != nil {
 					t.Fatal(err)
 				}
@@ -157,7 +158,8 @@
 	dir := t.TempDir()
 	s := made(t, dir)
 	for i := range uint64(6) {
-		if err := s.Save(consensus.ReadyWork{HardState: hard(1, 1), Entries: []*pb.Entry{entry(2+i, 1, fmt.Sprint("text ", i))}}); err != nil {
+		if err := s.Save(consensus.ReadyWork{HardState: hard(1, 1),
+			Entries: []*pb.Entry{entry(2+i, 1, fmt.Sprint("text ", i))}}); err != nil {
 			t.Fatal(err)
 		}
 	}
