--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -51,7 +51,7 @@
 	return &StartReply{admitted, latest}, nil
 }
 
-// admit asks the other voters to admit this start of the voter. It returns false if one refused, or the node stops.
+// admit has the other voters admit this start of the voter. It returns false if one refused, or the node stops.
 func (n *Node) admit() bool {
 	need := (len(n.conns) + 1) / 2
 	replies := make(chan bool, len(n.conns))
--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -56,7 +56,7 @@
 func (n *Node) applyRules(rules consensus.ActiveRules) {
 	effective, ok := n.effectiveVersion(rules)
 	if !ok {
-		return // a version was evicted meanwhile, and is fetched again
+		return // a version was evicted meanwhile, and is being refetched
 	}
 	previous := n.boundByLease(rules)
 	if err := n.Apply(effective); err != nil {
--- a/internal/fleet/agent/client.go
+++ b/internal/fleet/agent/client.go
@@ -58,7 +58,7 @@
 	Error  string  `json:"error,omitempty"`
 }
 
-// Status asks all voters for their status at the same time.
+// Status requests the status of all voters at the same time.
 func (c *Client) Status(ctx context.Context) []VoterStatus {
 	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
@@ -104,7 +104,7 @@
 
 func (c *Client) isQuorum(voters int) bool { return voters > len(c.conns)/2 }
 
-// OwnershipToken asks the voter at an index of the client's voters for the fencing token by which it owns a task at
+// OwnershipToken queries the voter at an index of the client's voters for the fencing token by which it owns a task at
 // this moment; 0: it doesn't.
 func (c *Client) OwnershipToken(ctx context.Context, voter int, task string) (token uint64, err error) {
 	reply, err := call[OwnershipQuery](ctx, c.conns[voter], methodOwnership, OwnershipQuery{Task: task})
--- a/internal/fleet/agent/clientpublish.go
+++ b/internal/fleet/agent/clientpublish.go
@@ -31,7 +31,7 @@
 }
 
 // PublishChange publishes a version that differs from its base in one cluster's list; only the change is sent. Once a
-// version consists of maxChangesPerVersion changes, the lists are sent as a whole.
+// version consists of maxChangesPerVersion changes, the lists are sent completely.
 func (c *Client) PublishChange(ctx context.Context, id string, base uint64, change config.File) (*PublishReply, error) {
 	patch, err := config.ParseChange(change)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return merged, nil
 }
 
-// Rollback publishes a version of the history again, as a new one.
+// Rollback publishes a version of the history as a new one.
 func (c *Client) Rollback(ctx context.Context, id string, base, number uint64) (*PublishReply, error) {
 	m, _, err := c.describe(ctx, number)
 	if err != nil {
--- a/internal/fleet/agent/conn.go
+++ b/internal/fleet/agent/conn.go
@@ -27,7 +27,7 @@
 	dialTimeout           = time.Second
 )
 
-// Dial returns a connection to a voter. It is established when it is first used, and again whenever it breaks.
+// Dial returns a connection to a voter. It is established when it is first used, and re-established when it breaks.
 func Dial(v Voter, with *tls.Config, fleet string, more ...grpc.DialOption) (*Conn, error) {
 	creds := insecure.NewCredentials()
 	if with != nil {
--- a/internal/fleet/agent/release.go
+++ b/internal/fleet/agent/release.go
@@ -54,7 +54,8 @@
 	return n.changeRelease(ctx, s.Release, command)
 }
 
-// releaseProgress returns the progress of the latest release, as far as this node knows if no leader answers.
+// releaseProgress returns the progress of the latest release; if no leader answers, as far as this node has applied the
+// log.
 func (n *Node) releaseProgress(ctx context.Context) (*ReleaseReply, error) {
 	s, err := n.currentState(ctx)
 	if err != nil {
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -114,7 +114,7 @@
 	return out, nil
 }
 
-// addVoterStatus adds what a voter knows to a status; n.mu is held.
+// addVoterStatus adds a voter's part of a status; n.mu is held.
 func (n *Node) addVoterStatus(out *Status, now time.Duration) {
 	out.Voter, out.Term, out.LogStatus = true, n.voter.Term(), n.voter.State().LogStatus()
 	for _, v := range n.Voters {
--- a/internal/fleet/agent/tasks.go
+++ b/internal/fleet/agent/tasks.go
@@ -57,8 +57,8 @@
 	return token, n.lease.PermitsOwnership(n.Clock())
 }
 
-// OwnershipQuery asks whether a node owns a task. It is answered by itself with the token set; 0: the node doesn't,
-// or has no lease.
+// OwnershipQuery is a query whether a node owns a task. The reply is the same message with the token set; 0: the node
+// doesn't own it, or has no lease.
 type OwnershipQuery struct {
 	Task  string `json:"work"`
 	Token uint64 `json:"token"`
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -11,7 +11,7 @@
 )
 
 // DisconnectedVersion restricts what a node acted on last to what its policy allows without a lease. The wall-clock
-// time only tells which servers had been started shortly before the lease ended.
+// time serves only to find the endpoints that had been started shortly before the lease ended.
 func DisconnectedVersion(last EffectiveVersion, rules lease.DisconnectedPolicy, ended time.Time) EffectiveVersion {
 	p := *last.Program
 	p.Classes = slices.Clone(p.Classes)
--- a/internal/fleet/consensus/entry.go
+++ b/internal/fleet/consensus/entry.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// The limits of what the log keeps.
+// The limits of the log.
 const (
-	MaxHistory = 256     // versions that can be gone back to
+	MaxHistory = 256     // versions that a rollback can name
 	MaxFiles   = 1100    // files of a version
 	maxParts   = 16384   // of all versions in the history together, so that a snapshot fits a message
 	MaxName    = 255     // bytes of a file's or a node's name
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -25,7 +25,8 @@
 	return LogStatus{s.Index, s.Epoch, s.ActiveVersion, s.PendingVersion}
 }
 
-// LeaseRequest is a node's heartbeat to each voter: it asks for a new lease and confirms what the node has left behind.
+// LeaseRequest is a node's heartbeat to each voter: it requests a new lease, and confirms what the node no longer acts
+// on.
 type LeaseRequest struct {
 	Node               string `json:"node"`
 	Incarnation        string `json:"life"`      // of the process: different after each start
@@ -67,8 +68,8 @@
 const maxOutstandingRequests = 64
 
 // Lease is a node's side of its leases: what it may act on, and for how long, by the grants of the voters. It has to
-// be asked at the moment of each decision and of each send, since no flag of it goes stale. Times are on the node's
-// own clock, which must also count the time for which the machine or the process was suspended.
+// be evaluated at the moment of each decision and of each send, since a flag taken from it goes stale. Times are on the
+// node's own clock, which must also count the time for which the machine or the process was suspended.
 type Lease struct {
 	config            LeaseConfig
 	voters            int
@@ -91,7 +92,7 @@
 	end      time.Duration
 }
 
-// NewLease creates a node's side of its leases; hasVersion tells which versions it could act on.
+// NewLease creates a node's side of its leases; hasVersion reports whether the node could act on a version.
 func NewLease(config LeaseConfig, voters int, hasVersion func(number uint64) bool) *Lease {
 	return &Lease{
 		config: config, voters: voters, hasVersion: hasVersion,
@@ -193,7 +194,7 @@
 
 func (l *Lease) isQuorum(voters int) bool { return voters > l.voters/2 }
 
-// add records a voter's grant. Of its grants for revisions before the current one only the latest revision is kept.
+// add records a voter's grant. Of its grants for revisions before the current one only the latest revision is retained.
 func (g voterGrants) add(voter uint64, grant activeGrant, current uint64) {
 	list := g[voter]
 	if i := slices.IndexFunc(list, func(other activeGrant) bool { return other.revision == grant.revision }); i >= 0 {
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -16,12 +16,12 @@
 // ErrTooManyLeases is returned by a voter that has granted MaxHolders leases.
 var ErrTooManyLeases = errors.New("the voter grants as many leases as it may; ask again later")
 
-// LeaseTable records the leases that a voter has granted. It is kept in memory only: after a restart it acknowledges
+// LeaseTable records the leases that a voter has granted. It is in memory only: after a restart it acknowledges
 // nothing until every lease that the voter may have granted before has expired. Times are on the voter's own clock.
 type LeaseTable struct {
 	config     LeaseConfig
-	quietUntil time.Duration // nothing is acknowledged before
-	holders    map[process]*processLeases
+	quietUntil time.Duration              // nothing is acknowledged or released before
+	holders    map[process]*processLeases // MaxHolders at most
 }
 
 // process is one run of a node's program.
@@ -30,7 +30,7 @@
 // processLeases are the promises made to one process.
 type processLeases struct {
 	epochs, ownership promise
-	continuousSince   time.Duration // since when the process has held leases without a gap
+	continuousSince   time.Duration // since when the process has had leases without a gap
 }
 
 // promise is the sum of a voter's grants of one kind to one process: the voter goes along with everything up to a
@@ -129,7 +129,7 @@
 // LiveProcess is a process that holds a lease.
 type LiveProcess struct {
 	Incarnation string
-	Since       time.Duration // it has held leases without a gap since then
+	Since       time.Duration // it has had leases without a gap since then
 }
 
 // LiveProcesses returns the process of each node that holds a lease; where a node has several, the one that started
--- a/internal/fleet/consensus/linearizableread.go
+++ b/internal/fleet/consensus/linearizableread.go
@@ -6,8 +6,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// StartRead starts a linearizable read: it asks the leader for its commit index and returns a number for ReadDone. A
-// read may get lost, as without a leader, so it has to be started again after a while.
+// StartRead starts a linearizable read: it requests the commit index of the leader and returns a number for ReadDone. A
+// read may get lost, as without a leader, so it has to be retried after a while.
 func (v *Voter) StartRead() uint64 {
 	v.readsStarted++
 	v.node.ReadIndex(v.readContext())
--- a/internal/fleet/consensus/release.go
+++ b/internal/fleet/consensus/release.go
@@ -76,7 +76,7 @@
 	Draining                 // the wave's last requests finish
 	Restarting               // the servers may be restarted
 	PuttingBack              // the version with the wave has yet to come into force
-	Warming                  // the servers are back and still cold
+	Warming                  // the servers are back and in slow start
 	phaseCount
 )
 
