--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -245,9 +245,9 @@
 	}
 	rules := &forwarded.Rules{Trust: trust, Standard: set.Forwarded}
 	o := h1server.Options{
-		Clock: a.clock, Log: a.Log, MaxBody: set.MaxBody, Edge: rules,
-		MaxHead: set.MaxHead, Stall: set.Stall,
-		Places: connlimit.Limits{
+		Clock: a.clock, Log: a.Log, MaxBodyBytes: set.MaxBody, ForwardedHeaders: rules,
+		MaxHeaderBytes: set.MaxHead, StallTimeout: set.Stall,
+		ConnectionLimits: connlimit.Limits{
 			Active: set.Connections, Reserve: max(1, set.Connections/16),
 			New: set.Silent, Overflow: max(1, set.Connections/overPart),
 		},
@@ -263,13 +263,13 @@
 		o.TLS = a.Keys.Server(tlskeys.Clients{Roots: set.ClientRoots, Require: set.ClientNeeds}, protos...)
 	}
 	front := h1server.New(a.repeats(), o)
-	front.Ready()
-	srv := front.Server()
+	front.SetReady()
+	srv := front.HTTPServer()
 	var over2 *h2server.Server
 	if set.HTTP2 > 0 {
 		over2 = h2server.Attach(srv, h2server.Options{
-			Streams: set.HTTP2, Stall: set.Stall, Clock: a.clock, Log: a.Log,
-			Floods: h2flood.Limits{Resets: set.Resets, Controls: set.Controls, Pieces: set.Pieces},
+			MaxStreams: set.HTTP2, StallTimeout: set.Stall, Clock: a.clock, Log: a.Log,
+			FloodLimits: h2flood.Limits{Resets: set.Resets, Controls: set.Controls, Pieces: set.Pieces},
 		})
 	}
 	defer srv.Close()
@@ -287,11 +287,11 @@
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	front.Stopping()
-	front.Draining()
+	front.FailHealthChecks()
+	front.CloseAfterResponses()
 	listener.Close()
 	if over2 != nil {
-		over2.Move() // clients of HTTP/2 open their next streams elsewhere from now on
+		over2.StartDrain() // clients of HTTP/2 open their next streams elsewhere from now on
 	}
 	if err := <-failed; !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("serve: %w", err)
@@ -304,8 +304,8 @@
 	limit, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	// What was taken before has its time; what comes behind that would be cut off with its connection.
-	defer time.AfterFunc(patience-longest-stopAnswers, front.Refuse).Stop()
-	defer time.AfterFunc(patience-stopAnswers, front.CloseSilent).Stop() // what they send behind that would find nobody
+	defer time.AfterFunc(patience-longest-stopAnswers, front.RejectNewRequests).Stop()
+	defer time.AfterFunc(patience-stopAnswers, front.CloseIdleConnections).Stop() // what they send behind that would find nobody
 	front.Drain(limit)
 	if over2 != nil {
 		// What rests ends by itself now that it was told to move. Shutdown waits for it, and
--- a/internal/downstream/h1server/body.go
+++ b/internal/downstream/h1server/body.go
@@ -17,7 +17,7 @@
 
 // body reads a body of a known, bounded length in what is left of the read timeout, and has
 // any other come as an upload.
-func (f *Front) body(r *http.Request, control *http.ResponseController, to *h1client.Request) error {
+func (f *Server) body(r *http.Request, control *http.ResponseController, to *h1client.Request) error {
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -30,7 +30,7 @@
 	if small {
 		want = r.ContentLength
 	}
-	fits := f.held.Add(want) <= f.options.Held
+	fits := f.held.Add(want) <= f.options.BodyMemory
 	if !fits {
 		f.held.Add(leastHeld - want)
 		want = leastHeld
@@ -46,10 +46,10 @@
 		return nil
 	}
 	body := r.Body
-	if f.options.MaxBody > 0 {
-		body = http.MaxBytesReader(nil, body, f.options.MaxBody)
+	if f.options.MaxBodyBytes > 0 {
+		body = http.MaxBytesReader(nil, body, f.options.MaxBodyBytes)
 	}
-	to.Upload, to.Length = h1client.NewUpload(&paced{from: body, control: control, stall: f.options.Stall}, int(want)), r.ContentLength
+	to.Upload, to.Length = h1client.NewUpload(&paced{from: body, control: control, stall: f.options.StallTimeout}, int(want)), r.ContentLength
 	if to.Announced = announced; len(announced) > 0 {
 		to.Upload.Trailer = func() http.Header { return trailers(r, announced) }
 	}
@@ -87,7 +87,7 @@
 }
 
 // free gives back the memory that a request's body might have taken.
-func (f *Front) free(r *h1client.Request) {
+func (f *Server) free(r *h1client.Request) {
 	f.held.Add(-r.Held)
 	r.Held = 0
 }
--- a/internal/downstream/h1server/clients_test.go
+++ b/internal/downstream/h1server/clients_test.go
@@ -43,10 +43,10 @@
 	h := &held{taken: make(chan struct{}, 100), release: make(chan struct{})}
 	f := New(h, Options{
 		Clock: engine.NewClock(), Log: testutil.Log(t),
-		Places: connlimit.Limits{Active: asked, Reserve: reserve, New: 4, Overflow: over},
+		ConnectionLimits: connlimit.Limits{Active: asked, Reserve: reserve, New: 4, Overflow: over},
 	})
 	l := testutil.Listen(t)
-	srv, listener, ended := f.Server(), f.Listener(l), make(chan error, 1)
+	srv, listener, ended := f.HTTPServer(), f.Listener(l), make(chan error, 1)
 	go func() { ended <- srv.Serve(listener) }()
 	defer func() { srv.Close(); listener.Close(); <-ended }()
 	dial := func() net.Conn {
@@ -228,7 +228,7 @@
 		for _, again := range []bool{false, true} { // a first request, or a further one
 			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
 				t.Parallel()
-				f := New(&counter{}, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+				f := New(&counter{}, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 				nc, err := net.Dial("tcp", serve(t, f))
 				if err != nil {
 					t.Fatal(err)
--- a/internal/downstream/h1server/front.go
+++ b/internal/downstream/h1server/front.go
@@ -36,7 +36,7 @@
 	// writeTimeout is how long after its time a client may still take its answer.
 	// One that reads nothing would else hold its connection for good.
 	writeTimeout = 500 * time.Millisecond
-	// usualStall is Options.Stall where that is 0.
+	// usualStall is Options.StallTimeout where that is 0.
 	usualStall   = 30 * time.Second
 	streamBuffer = 32 << 10 // bytes a stream holds in the front, beside the sockets' own
 	// leastHeld is what an upload may hold where the memory for uploads is taken.
@@ -47,30 +47,30 @@
 
 // Options are the figures of a Front.
 type Options struct {
-	Clock  engine.Clock
-	Places connlimit.Limits
+	Clock            engine.Clock
+	ConnectionLimits connlimit.Limits
 	// Strict holds clients to the platform's protocol: an id, a time-out and, where
 	// there are tenants, a tenant with each request, and the method that goes with the
 	// class. Else the front gives ids, the class's deadline holds, and a request with
 	// no tenant counts for the first one.
-	Strict  bool
-	Log     *slog.Logger // of what net/http has to say; nil: the default one
-	MaxBody int64        // bytes of a request's body; 0: any length
-	// Held is the memory for request bodies that are not only passed on, in bytes; 0: 64 MB.
-	Held int64
-	// Stall is how long a client may leave a part of a stream untaken, or an upload with nothing
+	Strict       bool
+	Log          *slog.Logger // of what net/http has to say; nil: the default one
+	MaxBodyBytes int64        // bytes of a request's body; 0: any length
+	// BodyMemory is the memory for request bodies that are not only passed on, in bytes; 0: 64 MB.
+	BodyMemory int64
+	// StallTimeout is how long a client may leave a part of a stream untaken, or an upload with nothing
 	// to read (with Strict uploads have a pace of their own); 0: 30 s.
-	Stall time.Duration
+	StallTimeout time.Duration
 	// The following is of no effect with Strict.
 	TLS *tls.Config // nil: clear text
-	// MaxHead is how many bytes a request's head may have; 0: 16 KiB.
-	MaxHead int
-	// Edge writes anew what a request says of its way to here; nil: it stays.
-	Edge interface{ Apply(r *http.Request) error }
+	// MaxHeaderBytes is how many bytes a request's head may have; 0: 16 KiB.
+	MaxHeaderBytes int
+	// ForwardedHeaders writes anew what a request says of its way to here; nil: it stays.
+	ForwardedHeaders interface{ Apply(r *http.Request) error }
 }
 
-// Front serves clients. Create it with New.
-type Front struct {
+// Server serves clients. Create it with New.
+type Server struct {
 	options  Options
 	router   ingress.Router
 	conns    *clientConns
@@ -91,39 +91,39 @@
 }
 
 // New makes a front that is not ready yet.
-func New(router ingress.Router, o Options) *Front {
-	if o.MaxHead == 0 || o.Strict {
-		o.MaxHead = maxHeader
+func New(router ingress.Router, o Options) *Server {
+	if o.MaxHeaderBytes == 0 || o.Strict {
+		o.MaxHeaderBytes = maxHeader
 	}
-	if o.Stall == 0 {
-		o.Stall = usualStall
+	if o.StallTimeout == 0 {
+		o.StallTimeout = usualStall
 	}
-	if o.Held == 0 {
-		o.Held = maxHeld
+	if o.BodyMemory == 0 {
+		o.BodyMemory = maxHeld
 	}
-	return &Front{
-		options: o, router: router, conns: newClientConns(o.Places), open: map[string]struct{}{}, tunnels: map[io.Closer]struct{}{},
+	return &Server{
+		options: o, router: router, conns: newClientConns(o.ConnectionLimits), open: map[string]struct{}{}, tunnels: map[io.Closer]struct{}{},
 		idStart: strconv.FormatUint(rand.Uint64(), 36) + "-",
 	}
 }
 
-// Ready tells clients' health checks that servers are known.
-func (f *Front) Ready() { f.ready.Store(true) }
+// SetReady tells clients' health checks that servers are known.
+func (f *Server) SetReady() { f.ready.Store(true) }
 
-// Stopping has the health check fail; requests are served on.
-func (f *Front) Stopping() { f.stopping.Store(true) }
+// FailHealthChecks has the health check fail; requests are served on.
+func (f *Server) FailHealthChecks() { f.stopping.Store(true) }
 
-// Draining has answers tell clients to move.
-func (f *Front) Draining() { f.draining.Store(true) }
+// CloseAfterResponses has answers tell clients to move.
+func (f *Server) CloseAfterResponses() { f.draining.Store(true) }
 
-// Refuse has whatever comes from now on answered at once: a stop leaves it no time, and to take it would be
+// RejectNewRequests has whatever comes from now on answered at once: a stop leaves it no time, and to take it would be
 // to lose it.
-func (f *Front) Refuse() { f.refusing.Store(true) }
+func (f *Server) RejectNewRequests() { f.refusing.Store(true) }
 
-// Empty has the node's clients go elsewhere, until Refill or the end of ctx: it is not ready, each
+// EnterLameDuck has the node's clients go elsewhere, until Refill or the end of ctx: it is not ready, each
 // answer ends its connection, and connections between two requests are closed after a while. What
 // comes is served all the same. It does not wait; again, it does nothing.
-func (f *Front) Empty(ctx context.Context) {
+func (f *Server) EnterLameDuck(ctx context.Context) {
 	cs := f.conns
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -136,8 +136,8 @@
 	go cs.empty(ctx)
 }
 
-// Refill ends Empty: the node is ready as before.
-func (f *Front) Refill() {
+// ExitLameDuck ends Empty: the node is ready as before.
+func (f *Server) ExitLameDuck() {
 	cs := f.conns
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -149,22 +149,22 @@
 	cs.refill()
 }
 
-// Taken is how many requests were taken so far.
-func (f *Front) Taken() int64 { return f.taken.Load() }
+// RequestCount is how many requests were taken so far.
+func (f *Server) RequestCount() int64 { return f.taken.Load() }
 
-// Takes tells that clients are taken: a list of servers is known.
-func (f *Front) Takes() bool { return f.ready.Load() }
+// IsReady tells that clients are taken: a list of servers is known.
+func (f *Server) IsReady() bool { return f.ready.Load() }
 
-// Leave has the clients go over to a later process that takes the new connections already: each
+// DrainToSuccessor has the clients go over to a later process that takes the new connections already: each
 // answer ends its connection, and those that were idle for patience are closed. The node stays
 // ready, since that process is. It returns when no connection is left or ctx ends.
-func (f *Front) Leave(ctx context.Context, patience time.Duration) {
+func (f *Server) DrainToSuccessor(ctx context.Context, patience time.Duration) {
 	f.draining.Store(true)
 	f.conns.leave(ctx, patience)
 }
 
-// Resize changes the places for client connections.
-func (f *Front) Resize(l connlimit.Limits) {
+// SetConnectionLimits changes the places for client connections.
+func (f *Server) SetConnectionLimits(l connlimit.Limits) {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
 	f.conns.table.Resize(l)
@@ -173,34 +173,34 @@
 }
 
 // Connections is how many client connections there are.
-func (f *Front) Connections() int {
+func (f *Server) Connections() int {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
 	return f.conns.table.Len()
 }
 
-// CloseSilent closes the connections over which nothing has come, or nothing since an answer.
-func (f *Front) CloseSilent() {
+// CloseIdleConnections closes the connections over which nothing has come, or nothing since an answer.
+func (f *Server) CloseIdleConnections() {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
 	f.conns.restEnds(0, 0)
 }
 
 // Drain closes connections as they fall idle, until none is left or ctx ends.
-func (f *Front) Drain(ctx context.Context) { f.conns.drain(ctx) }
+func (f *Server) Drain(ctx context.Context) { f.conns.drain(ctx) }
 
 // Listener keeps what it accepts within the front's places.
-func (f *Front) Listener(l net.Listener) net.Listener { return cappedListener{l, f.conns} }
+func (f *Server) Listener(l net.Listener) net.Listener { return cappedListener{l, f.conns} }
 
-// Server makes the HTTP server that serves a Listener of the front's.
-func (f *Front) Server() *http.Server {
+// HTTPServer makes the HTTP server that serves a Listener of the front's.
+func (f *Server) HTTPServer() *http.Server {
 	log := f.options.Log
 	if log == nil {
 		log = slog.Default()
 	}
 	srv := &http.Server{
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
-		Handler:  f, MaxHeaderBytes: f.options.MaxHead, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
+		Handler:  f, MaxHeaderBytes: f.options.MaxHeaderBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		ConnState: f.conns.state,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
@@ -216,7 +216,7 @@
 }
 
 // Serve serves a Listener until it is closed, with TLS where the options have it.
-func (f *Front) Serve(srv *http.Server, l net.Listener) error {
+func (f *Server) Serve(srv *http.Server, l net.Listener) error {
 	if srv.TLSConfig != nil {
 		return srv.ServeTLS(l, "", "")
 	}
@@ -224,10 +224,10 @@
 }
 
 // Asked is when a request was last taken.
-func (f *Front) Asked() time.Time { return time.Unix(0, f.asked.Load()) }
+func (f *Server) Asked() time.Time { return time.Unix(0, f.asked.Load()) }
 
 // claim takes an id for a request; false if one that is open has it.
-func (f *Front) claim(id string) bool {
+func (f *Server) claim(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, taken := f.open[id]; taken {
@@ -238,14 +238,14 @@
 }
 
 // disclaim gives an id back once its request has its final answer.
-func (f *Front) disclaim(id string) {
+func (f *Server) disclaim(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.open, id)
 }
 
 // readiness answers the health check.
-func (f *Front) readiness(w http.ResponseWriter) {
+func (f *Server) readiness(w http.ResponseWriter) {
 	if !f.ready.Load() || f.stopping.Load() || f.lame.Load() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
--- a/internal/downstream/h1server/gone_test.go
+++ b/internal/downstream/h1server/gone_test.go
@@ -42,7 +42,7 @@
 func leftBefore(t *testing.T, strict bool, behind string) {
 	const clients = 64
 	c := &counter{}
-	f := New(c, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 2 * clients, New: 2 * clients}, Log: testutil.Log(t), Strict: strict})
+	f := New(c, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 2 * clients, New: 2 * clients}, Log: testutil.Log(t), Strict: strict})
 	l := testutil.Listen(t)
 	ask := func() net.Conn {
 		nc, err := net.Dial("tcp", l.Addr().String())
@@ -59,7 +59,7 @@
 	}
 	waits := ask()
 	defer waits.Close()
-	srv := f.Server()
+	srv := f.HTTPServer()
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(srv, f.Listener(l)) }()
 	defer func() {
@@ -104,7 +104,7 @@
 				t.Run(fmt.Sprint(name, ", strict ", strict, ", resets ", resets), func(t *testing.T) {
 					t.Parallel()
 					h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-					f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: strict})
+					f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: strict})
 					nc, err := net.Dial("tcp", serve(t, f))
 					if err != nil {
 						t.Fatal(err)
@@ -135,7 +135,7 @@
 func TestLookOutForTheClientsEnd(t *testing.T) {
 	t.Parallel()
 	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+	f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 	nc, err := net.Dial("tcp", serve(t, f))
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 	t.Parallel()
 	const tries, rule = 6, 100 * time.Millisecond
 	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+	f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 	addr := serve(t, f)
 	shortest, lateness := time.Hour, testutil.Lateness(t)
 	for range tries {
@@ -187,7 +187,7 @@
 			served.Add(1)
 			return engine.Answer{Verdict: engine.Rejected}
 		}), Deadline: time.Hour, MaxAttempts: 1}, nil
-	}), Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 2 * clients, New: 2 * clients}, Log: testutil.Log(t)})
+	}), Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 2 * clients, New: 2 * clients}, Log: testutil.Log(t)})
 	addr := serve(t, f)
 	const head = "GET /x HTTP/1.1\r\nHost: a\r\n"
 	conns := make([]net.Conn, clients)
@@ -227,8 +227,8 @@
 	t.Parallel()
 	const head = "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n"
 	flood := strings.Repeat(head, 1<<17) // 9 MB
-	ask := func(t *testing.T, to ingress.Router) (*Front, net.Conn) {
-		f := New(to, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+	ask := func(t *testing.T, to ingress.Router) (*Server, net.Conn) {
+		f := New(to, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 		nc, err := net.Dial("tcp", serve(t, f))
 		if err != nil {
 			t.Fatal(err)
@@ -289,10 +289,10 @@
 func (d decides) Do(context.Context, *engine.Request) (engine.Answer, error) { return d(), nil }
 
 // serve serves a front until the test's end.
-func serve(t *testing.T, f *Front) (addr string) {
+func serve(t *testing.T, f *Server) (addr string) {
 	t.Helper()
 	l := testutil.Listen(t)
-	srv := f.Server()
+	srv := f.HTTPServer()
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(srv, f.Listener(l)) }()
 	t.Cleanup(func() {
@@ -306,7 +306,7 @@
 func TestCloseSilent(t *testing.T) {
 	t.Parallel()
 	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+	f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 	addr := serve(t, f)
 	dial := func(text string) net.Conn {
 		nc, err := net.Dial("tcp", addr)
@@ -321,7 +321,7 @@
 	testutil.Wait(t, h.came, "the request")
 	silent := dial("")
 	testutil.Until(t, "both to be there", func() bool { return f.Connections() == 2 })
-	f.CloseSilent()
+	f.CloseIdleConnections()
 	silent.SetReadDeadline(time.Now().Add(testutil.Patience))
 	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the silent one: %v", err)
--- a/internal/downstream/h1server/handler.go
+++ b/internal/downstream/h1server/handler.go
@@ -19,7 +19,7 @@
 
 // exchange is one request and its answer.
 type exchange struct {
-	front   *Front
+	front   *Server
 	w       http.ResponseWriter
 	r       *http.Request
 	control *http.ResponseController
@@ -34,7 +34,7 @@
 
 // ServeHTTP answers one request. It panics with http.ErrAbortHandler where the client's connection, or its HTTP/2
 // stream, has to end without a complete answer.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := counted(r)
 	f.limitConnection(w, r, conn)
 	if err := f.checkHead(r); err != nil {
@@ -81,7 +81,7 @@
 
 // limitConnection decides, ahead of anything else, whether the connection ends with the answer and until when the
 // request's bytes are read.
-func (f *Front) limitConnection(w http.ResponseWriter, r *http.Request, conn *clientConn) {
+func (f *Server) limitConnection(w http.ResponseWriter, r *http.Request, conn *clientConn) {
 	if f.draining.Load() || f.lame.Load() {
 		w.Header().Set("Connection", "close") // have clients move to other nodes
 	}
@@ -96,21 +96,21 @@
 }
 
 // checkHead refuses requests by their framing and rewrites the fields that tell of the request's way to here.
-func (f *Front) checkHead(r *http.Request) error {
+func (f *Server) checkHead(r *http.Request) error {
 	if err := f.framing(r); err != nil {
 		return err
 	}
-	if f.options.Edge == nil {
+	if f.options.ForwardedHeaders == nil {
 		return nil
 	}
-	if err := f.options.Edge.Apply(r); err != nil {
+	if err := f.options.ForwardedHeaders.Apply(r); err != nil {
 		return &ingress.Rejection{Status: http.StatusBadRequest, Text: err.Error()}
 	}
 	return nil
 }
 
 // newExchange routes and parses a request. The error is answered by refuse.
-func (f *Front) newExchange(w http.ResponseWriter, r *http.Request, conn *clientConn) (*exchange, error) {
+func (f *Server) newExchange(w http.ResponseWriter, r *http.Request, conn *clientConn) (*exchange, error) {
 	to, err := f.router.Route(r)
 	if err != nil {
 		return nil, err
@@ -245,7 +245,7 @@
 // setWriteDeadline bounds the time that the client may take for its answer.
 func (e *exchange) setWriteDeadline() {
 	if e.payload.Upload != nil { // its time may begin only now
-		e.control.SetWriteDeadline(time.Now().Add(e.front.options.Stall))
+		e.control.SetWriteDeadline(time.Now().Add(e.front.options.StallTimeout))
 		return
 	}
 	e.control.SetWriteDeadline(time.Now().Add(e.request.Deadline - e.front.options.Clock.Now() + writeTimeout))
--- a/internal/downstream/h1server/late_test.go
+++ b/internal/downstream/h1server/late_test.go
@@ -49,7 +49,7 @@
 			cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
 			f := New(routes(func(*http.Request) (ingress.Destination, error) {
 				return ingress.Destination{Cluster: cluster, Deadline: time.Hour}, nil
-			}), Options{Clock: clock, Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+			}), Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 			nc, err := net.Dial("tcp", serve(t, f))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/downstream/h1server/request.go
+++ b/internal/downstream/h1server/request.go
@@ -18,21 +18,21 @@
 // net/http keeps Transfer-Encoding and drops a Content-Length beside it, and the
 // reverse in HTTP/1.0; what goes on to a server is framed anew. With Strict the connection's raw
 // bytes tell of both (seen), and such a request is the last one that is served on it.
-func (f *Front) framing(r *http.Request) error {
+func (f *Server) framing(r *http.Request) error {
 	switch {
 	case !f.options.Strict:
 	case !r.ProtoAtLeast(1, 1) && counted(r) != nil && counted(r).coded():
 		// net/http drops the coding, and would read the chunks as a request (RFC 9112, 6.1).
 		return &ingress.Rejection{Status: http.StatusBadRequest, Text: "HTTP/1.0 has no transfer codings"}
 	}
-	if f.options.MaxBody > 0 && r.ContentLength > f.options.MaxBody {
+	if f.options.MaxBodyBytes > 0 && r.ContentLength > f.options.MaxBodyBytes {
 		return &ingress.Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too large"}
 	}
 	return nil
 }
 
 // parse reads and checks a request.
-func (f *Front) parse(r *http.Request, to *ingress.Destination, control *http.ResponseController) (*engine.Request, error) {
+func (f *Server) parse(r *http.Request, to *ingress.Destination, control *http.ResponseController) (*engine.Request, error) {
 	terms, err := f.terms(r, to)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 
 // terms reads what the request's header fields ask for. The tenant that a client's certificate names goes before
 // any field.
-func (f *Front) terms(r *http.Request, to *ingress.Destination) (ingress.Terms, error) {
+func (f *Server) terms(r *http.Request, to *ingress.Destination) (ingress.Terms, error) {
 	destination := to
 	tenant, certified := certified(r, to.Certified)
 	if certified {
@@ -75,7 +75,7 @@
 }
 
 // checkMethod refuses methods that are not forwarded and, with Strict, whatever does not go with the request's class.
-func (f *Front) checkMethod(r *http.Request, to *ingress.Destination) error {
+func (f *Server) checkMethod(r *http.Request, to *ingress.Destination) error {
 	idempotent := to.Effect == policy.Idempotent
 	method := http.MethodPost
 	if idempotent {
@@ -95,7 +95,7 @@
 }
 
 // setHead fills in the head of the request to the endpoint: target, end-to-end fields, id and upgrade.
-func (f *Front) setHead(r *http.Request, to *ingress.Destination, out *h1client.Request, id string) {
+func (f *Server) setHead(r *http.Request, to *ingress.Destination, out *h1client.Request, id string) {
 	header := r.Header
 	if !f.options.Strict && r.ProtoMajor == 1 && r.Method == http.MethodGet && asksUpgrade(header) {
 		out.Upgrade = ingress.One(header["Upgrade"])
--- a/internal/downstream/h1server/response.go
+++ b/internal/downstream/h1server/response.go
@@ -85,7 +85,7 @@
 // pass passes a stream on, as fast as both sides are, through one buffer. What has begun
 // is final: of a stream that breaks (not whole) the caller cuts the client's connection, or
 // its stream, so that the part that came is not taken for the whole.
-func (f *Front) pass(ctx context.Context, w http.ResponseWriter, control *http.ResponseController, s h1client.Stream) (whole bool) {
+func (f *Server) pass(ctx context.Context, w http.ResponseWriter, control *http.ResponseController, s h1client.Stream) (whole bool) {
 	defer s.Close()
 	defer context.AfterFunc(ctx, s.Abort)() // the client leaves while the server pauses
 	buffer := buffers.Get().(*[]byte)
@@ -93,7 +93,7 @@
 	for {
 		n, err := s.Read(*buffer)
 		if n > 0 {
-			control.SetWriteDeadline(time.Now().Add(f.options.Stall))
+			control.SetWriteDeadline(time.Now().Add(f.options.StallTimeout))
 			if _, err := w.Write((*buffer)[:n]); err != nil {
 				return false // the client is gone, or takes nothing
 			}
--- a/internal/downstream/h1server/strict.go
+++ b/internal/downstream/h1server/strict.go
@@ -27,17 +27,17 @@
 )
 
 // strictBody reads a body that can be held whole, and has any other come as an upload.
-func (f *Front) strictBody(r *http.Request, control *http.ResponseController, to *h1client.Request) error {
+func (f *Server) strictBody(r *http.Request, control *http.ResponseController, to *h1client.Request) error {
 	body := r.Body
-	if f.options.MaxBody > 0 {
-		body = http.MaxBytesReader(nil, body, f.options.MaxBody)
+	if f.options.MaxBodyBytes > 0 {
+		body = http.MaxBytesReader(nil, body, f.options.MaxBodyBytes)
 	}
 	from := &paced{from: body, control: control, stall: bodyStall, rate: leastPace, grace: bodyGrace}
 	want := r.ContentLength
 	if want < 0 || want > strictHeld {
 		want = strictHeld
 	}
-	for f.held.Add(want) > f.options.Held && want > leastHeld {
+	for f.held.Add(want) > f.options.BodyMemory && want > leastHeld {
 		f.held.Add(-want)
 		want = max(want/16, leastHeld)
 	}
@@ -87,7 +87,7 @@
 // takeStrict is take for the platform's clients, whose requests' time begins with their last byte:
 // the upload comes until it is whole or as much of it as can be held is there. One that is whole
 // goes on as a body at hand.
-func (f *Front) takeStrict(r *http.Request, control *http.ResponseController, to *ingress.Destination, q *engine.Request) (here context.Context, done func(), err error) {
+func (f *Server) takeStrict(r *http.Request, control *http.ResponseController, to *ingress.Destination, q *engine.Request) (here context.Context, done func(), err error) {
 	payload := q.Payload.(*h1client.Request)
 	u := payload.Upload
 	var whole func()
--- a/internal/downstream/h1server/strict_test.go
+++ b/internal/downstream/h1server/strict_test.go
@@ -14,7 +14,7 @@
 // on at all; what they held is given back.
 func TestHeldBodiesKeepToTheirPart(t *testing.T) {
 	const part = 4 << 20
-	f := New(nil, Options{Strict: true, Held: part, Places: connlimit.Limits{Active: 1, New: 1}})
+	f := New(nil, Options{Strict: true, BodyMemory: part, ConnectionLimits: connlimit.Limits{Active: 1, New: 1}})
 	var held []*h1client.Request
 	for i := range 200 {
 		length := int64(-1)
--- a/internal/downstream/h1server/tunnel.go
+++ b/internal/downstream/h1server/tunnel.go
@@ -16,7 +16,7 @@
 // tunnel carries an upgraded connection (RFC 9110, 7.8) until either side ends it. The answer
 // that upgrades is final; what follows is the client's and the server's own matter. What a
 // side has still to say when the other one ends its sending is passed on.
-func (f *Front) tunnel(control *http.ResponseController, a *h1client.Answer) {
+func (f *Server) tunnel(control *http.ResponseController, a *h1client.Answer) {
 	defer a.Tunnel.Close()
 	client, buffered, err := control.Hijack()
 	if err != nil {
@@ -41,7 +41,7 @@
 }
 
 // forward copies what one side says to the other, to its end; the deadline is the reader's.
-func (f *Front) forward(to io.Writer, from io.Reader, deadline interface{ SetReadDeadline(time.Time) error }) {
+func (f *Server) forward(to io.Writer, from io.Reader, deadline interface{ SetReadDeadline(time.Time) error }) {
 	buffer := buffers.Get().(*[]byte)
 	defer buffers.Put(buffer)
 	for {
@@ -49,7 +49,7 @@
 		n, err := from.Read(*buffer)
 		if n > 0 {
 			if c, ok := to.(net.Conn); ok {
-				c.SetWriteDeadline(time.Now().Add(f.options.Stall))
+				c.SetWriteDeadline(time.Now().Add(f.options.StallTimeout))
 			}
 			if _, werr := to.Write((*buffer)[:n]); werr != nil {
 				err = werr
@@ -71,7 +71,7 @@
 	}
 }
 
-func (f *Front) hold(c io.Closer) bool {
+func (f *Server) hold(c io.Closer) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.tunnels == nil {
@@ -81,14 +81,14 @@
 	return true
 }
 
-func (f *Front) release(c io.Closer) {
+func (f *Server) release(c io.Closer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.tunnels, c)
 }
 
 // CloseTunnels ends all upgraded connections, and takes no more.
-func (f *Front) CloseTunnels() {
+func (f *Server) CloseTunnels() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.tunnels {
--- a/internal/downstream/h2server/leaving_test.go
+++ b/internal/downstream/h2server/leaving_test.go
@@ -42,10 +42,10 @@
 	for _, cuts := range []bool{false, true} {
 		h := &holding{make(chan struct{}, 1), make(chan struct{}, 1)}
 		clock := engine.NewClock()
-		f := h1server.New(h, h1server.Options{Clock: clock, Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t)})
+		f := h1server.New(h, h1server.Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t)})
 		l := testutil.Listen(t)
-		srv := f.Server()
-		h2server.Attach(srv, h2server.Options{Streams: 10, Stall: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
+		srv := f.HTTPServer()
+		h2server.Attach(srv, h2server.Options{MaxStreams: 10, StallTimeout: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
 		served := make(chan error, 1)
 		go func() { served <- f.Serve(srv, f.Listener(l)) }()
 		var nc net.Conn
--- a/internal/downstream/h2server/server.go
+++ b/internal/downstream/h2server/server.go
@@ -31,11 +31,11 @@
 
 // Options are the figures of a Server.
 type Options struct {
-	Streams int // open at once on a connection, 1 or more
-	Floods  h2flood.Limits
-	Stall   time.Duration // a client may leave what it is sent unread for so long
-	Clock   engine.Clock
-	Log     *slog.Logger // nil: the default one
+	MaxStreams   int // open at once on a connection, 1 or more
+	FloodLimits  h2flood.Limits
+	StallTimeout time.Duration // a client may leave what it is sent unread for so long
+	Clock        engine.Clock
+	Log          *slog.Logger // nil: the default one
 }
 
 // Server serves the HTTP/2 connections of a net/http server. Create it with Attach.
@@ -65,8 +65,8 @@
 	srv.Protocols.SetHTTP2(true)
 	srv.Protocols.SetUnencryptedHTTP2(true)
 	h2 := &http2.Server{
-		MaxConcurrentStreams: uint32(o.Streams), MaxUploadBufferPerStream: window, MaxUploadBufferPerConnection: 4 * window,
-		ReadIdleTimeout: silence, PingTimeout: silence, WriteByteTimeout: o.Stall,
+		MaxConcurrentStreams: uint32(o.MaxStreams), MaxUploadBufferPerStream: window, MaxUploadBufferPerConnection: 4 * window,
+		ReadIdleTimeout: silence, PingTimeout: silence, WriteByteTimeout: o.StallTimeout,
 	}
 	if err := http2.ConfigureServer(s.over2, h2); err != nil {
 		panic(err) // only of a TLS configuration, and it has none
@@ -94,16 +94,16 @@
 	return s
 }
 
-// Move tells the clients of HTTP/2 connections to move (GOAWAY, RFC 9113, 6.8): what is open on
+// StartDrain tells the clients of HTTP/2 connections to move (GOAWAY, RFC 9113, 6.8): what is open on
 // them goes on to its end, what a client begins before it hears is served too.
-func (s *Server) Move() { s.over2.Shutdown(context.Background()) } // which has no listener to wait for
+func (s *Server) StartDrain() { s.over2.Shutdown(context.Background()) } // which has no listener to wait for
 
-// Ended counts the connections that were ended for passing a limit of Options.Floods.
-func (s *Server) Ended() int64 { return s.floods.Load() }
+// FloodedConnections counts the connections that were ended for passing a limit of Options.FloodLimits.
+func (s *Server) FloodedConnections() int64 { return s.floods.Load() }
 
 func (s *Server) guard(nc net.Conn, begun bool) *guarded {
 	now := s.Clock.Now()
-	return &guarded{Conn: nc, server: s, guard: h2flood.New(s.Floods, now, begun)}
+	return &guarded{Conn: nc, server: s, guard: h2flood.New(s.FloodLimits, now, begun)}
 }
 
 // guarded counts what an HTTP/2 connection carries.
--- a/internal/downstream/h2server/storm_test.go
+++ b/internal/downstream/h2server/storm_test.go
@@ -44,10 +44,10 @@
 // serve serves a front over HTTP/2 until the test's end.
 func serve(t *testing.T, to ingress.Router, clock engine.Clock) (addr string) {
 	t.Helper()
-	f := h1server.New(to, h1server.Options{Clock: clock, Places: connlimit.Limits{Active: 64, New: 64}, Log: testutil.Log(t)})
+	f := h1server.New(to, h1server.Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 64, New: 64}, Log: testutil.Log(t)})
 	l := testutil.Listen(t)
-	srv := f.Server()
-	h2server.Attach(srv, h2server.Options{Streams: 200, Stall: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
+	srv := f.HTTPServer()
+	h2server.Attach(srv, h2server.Options{MaxStreams: 200, StallTimeout: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(srv, f.Listener(l)) }()
 	t.Cleanup(func() {
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -30,7 +30,7 @@
 	endpoints *endpointWatcher
 	pool      *h1client.Pool
 	cluster   *engine.Cluster
-	front     *h1server.Front
+	front     *h1server.Server
 	admin     *adminHandler
 	restart   *restartCoordinator // nil: there can't be another process of the node
 }
@@ -57,10 +57,10 @@
 	}
 	c.endpoints.sink = clusterSink{c.cluster, c.pool}
 	c.front = h1server.New(router{n.cfg, c.cluster}, h1server.Options{
-		Clock: c.clock, Places: clients, Strict: true, Log: n.log,
-		Stall: streamStallTimeout, MaxBody: maxBodyBytes, Held: int64(n.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor,
+		Clock: c.clock, ConnectionLimits: clients, Strict: true, Log: n.log,
+		StallTimeout: streamStallTimeout, MaxBodyBytes: maxBodyBytes, BodyMemory: int64(n.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor,
 	})
-	c.endpoints.requestCount = c.front.Taken
+	c.endpoints.requestCount = c.front.RequestCount
 	c.admin = &adminHandler{background: background, endpoints: c.endpoints, front: c.front, log: n.log}
 	if n.cfg.InheritedSocket != "" {
 		c.restart = joinNode(n.cfg, n.log, c)
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -199,5 +199,5 @@
 		return
 	}
 	r.components.pool.Limit(r.cfg.ConnectTimeout, upstream)
-	r.components.front.Resize(clients)
+	r.components.front.SetConnectionLimits(clients)
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -78,7 +78,7 @@
 	defer cancel()
 	abort := time.AfterFunc(time.Until(began.Add(plan.abortAt())), func() {
 		c.cluster.Abort()
-		c.front.CloseSilent() // a request on one of these would not be answered any more
+		c.front.CloseIdleConnections() // a request on one of these would not be answered any more
 	})
 	defer abort.Stop()
 	if c.restart.successorServing() {
@@ -87,9 +87,9 @@
 			"connections", c.front.Connections(), "elapsed_ms", time.Since(began).Milliseconds())
 		return nil
 	}
-	c.front.Stopping()
+	c.front.FailHealthChecks()
 	awaitClose(plan, began, c.front.Asked)
-	c.front.Draining()
+	c.front.CloseAfterResponses()
 	s.listener.Close()
 	if err := <-s.failed; !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("serve: %w", err)
@@ -104,7 +104,7 @@
 func (n *Node) leaveToSuccessor(limit context.Context, c *components, s *serving, plan shutdownPlan) {
 	s.listener.Close()
 	c.restart.advancePhase(hotrestart.Draining)
-	c.front.Leave(limit, plan.idleTimeout())
+	c.front.DrainToSuccessor(limit, plan.idleTimeout())
 }
 
 // awaitClose returns when the listener may be closed. lastRequest returns when a request last arrived.
