--- a/internal/downstream/h1server/clients_test.go
+++ b/internal/downstream/h1server/clients_test.go
@@ -97,7 +97,7 @@
 func TestClosedWhileRead(t *testing.T) {
 	l := testutil.Listen(t)
 	conns := newClientConns(connlimit.Limits{Active: 1, New: 1})
-	capped := cappedListener{l, conns}
+	capped := limitedListener{l, conns}
 	defer capped.Close()
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -116,7 +116,7 @@
 	if n, err := nc.Read(make([]byte, 10)); n != 0 || err == nil {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	if open, _ := c.whole(false); open {
+	if open, _ := c.beginRequest(false); open {
 		t.Error("a request of a closed connection would be served")
 	}
 	nc.Close()
@@ -130,7 +130,7 @@
 // not closed in favour of a newcomer, and what it has sent is read.
 func TestSpokenIsNotSilent(t *testing.T) {
 	l := testutil.Listen(t)
-	capped := cappedListener{l, newClientConns(connlimit.Limits{Active: 2, New: 1})}
+	capped := limitedListener{l, newClientConns(connlimit.Limits{Active: 2, New: 1})}
 	defer capped.Close()
 	dial := func(say string) net.Conn {
 		client, err := net.Dial("tcp", l.Addr().String())
@@ -162,15 +162,15 @@
 func TestClosesOnlyWhatRests(t *testing.T) {
 	for name, empty := range map[string]func(cs *clientConns){
 		"emptied": func(cs *clientConns) {
-			cs.restEnds(0, adminstate.LameDuckNotice)
+			cs.closeExpired(0, adminstate.LameDuckNotice)
 		},
-		"stopping":     func(cs *clientConns) { cs.restEnds(0, never) },
-		"handing over": func(cs *clientConns) { cs.restEnds(0, 0) },
+		"stopping":     func(cs *clientConns) { cs.closeExpired(0, unlimitedIdle) },
+		"handing over": func(cs *clientConns) { cs.closeExpired(0, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := testutil.Listen(t)
 			conns := newClientConns(connlimit.Limits{Active: 8, New: 8})
-			capped := cappedListener{l, conns}
+			capped := limitedListener{l, conns}
 			defer capped.Close()
 			accept := func(asked bool) (client net.Conn, c *clientConn) {
 				client, err := net.Dial("tcp", l.Addr().String())
@@ -186,7 +186,7 @@
 				c = nc.(*clientConn)
 				if asked { // and rests
 					conns.mu.Lock()
-					conns.spoke(c)
+					conns.bytesReceived(c)
 					conns.table.RequestComplete(conns.now(), c.entry)
 					conns.table.ResponseSent(conns.now(), c.entry)
 					conns.mu.Unlock()
@@ -222,8 +222,8 @@
 func TestReadAndClosedAtOneInstant(t *testing.T) {
 	t.Parallel()
 	for name, close := range map[string]func(cs *clientConns){
-		"a stop":          func(cs *clientConns) { cs.restEnds(0, never) },
-		"the last moment": func(cs *clientConns) { cs.restEnds(0, 0) },
+		"a stop":          func(cs *clientConns) { cs.closeExpired(0, unlimitedIdle) },
+		"the last moment": func(cs *clientConns) { cs.closeExpired(0, 0) },
 	} {
 		for _, again := range []bool{false, true} { // a first request, or a further one
 			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
@@ -251,7 +251,7 @@
 				find := func() bool {
 					cs.mu.Lock()
 					defer cs.mu.Unlock()
-					if e := cs.table.NextExpired(never, 0, 0); e != nil {
+					if e := cs.table.NextExpired(unlimitedIdle, 0, 0); e != nil {
 						c = e.Owner.(*clientConn)
 					}
 					return c != nil
@@ -266,9 +266,9 @@
 				cs.mu.Lock() // nobody can tell the table
 				ask("second")
 				testutil.Until(t, "the request to be read", func() bool {
-					c.side.Lock()
-					defer c.side.Unlock()
-					return c.came
+					c.readMu.Lock()
+					defer c.readMu.Unlock()
+					return c.unreported
 				})
 				close(cs)
 				cs.mu.Unlock()
@@ -293,7 +293,7 @@
 		"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\na\r\n\r\n": false,
 	} {
 		cs := newClientConns(connlimit.Limits{Active: 1, New: 4, Overflow: 1})
-		l := cappedListener{testutil.Listen(t), cs}
+		l := limitedListener{testutil.Listen(t), cs}
 		speak := func(text string) *clientConn {
 			there, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
@@ -313,7 +313,7 @@
 		}
 		first := speak(text)
 		cs.mu.Lock()
-		cs.zero = cs.zero.Add(-time.Second) // nobody got to it for a second
+		cs.start = cs.start.Add(-time.Second) // nobody got to it for a second
 		cs.mu.Unlock()
 		speak("GET /y")
 		if got := !first.entry.Removed(); got != stays {
--- a/internal/downstream/h1server/gone_test.go
+++ b/internal/downstream/h1server/gone_test.go
@@ -122,7 +122,7 @@
 					testutil.Until(t, "a send to be barred", r.ClientDisconnected) // as soon as the end is here
 					testutil.Wait(t, h.over, "the request to be given up")
 					testutil.Until(t, "the connection to be over", func() bool { return f.Connections() == 0 })
-					if n := f.conns.ahead.Load(); n != 0 {
+					if n := f.conns.readAheadBytes.Load(); n != 0 {
 						t.Errorf("%d bytes are held of no connection", n)
 					}
 				})
@@ -201,11 +201,11 @@
 		go io.WriteString(nc, strings.Repeat(head+"\r\n", behind)+head+"Connection: close\r\n\r\n") // more than is read ahead
 	}
 	testutil.Until(t, "the bound to be met", func() bool {
-		n := f.conns.ahead.Load()
-		if n > maxAheadAll {
+		n := f.conns.readAheadBytes.Load()
+		if n > maxTotalReadAhead {
 			t.Fatalf("%d bytes are held", n)
 		}
-		return n > maxAheadAll-aheadPart
+		return n > maxTotalReadAhead-readAheadChunk
 	})
 	close(release)
 	for _, nc := range conns {
@@ -215,7 +215,7 @@
 			t.Errorf("%d answers, %v", n, err)
 		}
 	}
-	if n := f.conns.ahead.Load(); n != 0 || served.Load() != clients*(behind+1) {
+	if n := f.conns.readAheadBytes.Load(); n != 0 || served.Load() != clients*(behind+1) {
 		t.Errorf("%d bytes are held, %d requests were served", n, served.Load())
 	}
 }
@@ -247,7 +247,7 @@
 		nc.Close() // its end lies behind what found no room
 		testutil.Wait(t, h.over, "the request to be given up")
 	})
-	for _, others := range []int64{0, maxAheadAll} { // held of other connections
+	for _, others := range []int64{0, maxTotalReadAhead} { // held of other connections
 		t.Run(fmt.Sprint("and stays, ", others, " held"), func(t *testing.T) {
 			t.Parallel()
 			came, answer := make(chan bool, 2), make(chan bool)
@@ -258,13 +258,13 @@
 					return engine.Answer{Verdict: engine.Rejected}
 				}), Deadline: time.Hour, MaxAttempts: 1}, nil
 			}))
-			f.conns.ahead.Add(others)
+			f.conns.readAheadBytes.Add(others)
 			testutil.Wait(t, came, "the request")
 			nc.SetDeadline(time.Now().Add(testutil.Patience))
 			if n, err := io.WriteString(nc, flood); err != nil { // more than the sockets hold
 				t.Fatalf("the flood was not read behind %d bytes: %v", n, err)
 			}
-			if n := f.conns.ahead.Load() - others; n > maxAhead+aheadPart {
+			if n := f.conns.readAheadBytes.Load() - others; n > maxReadAhead+readAheadChunk {
 				t.Errorf("%d bytes are held", n)
 			}
 			close(answer)
@@ -275,7 +275,7 @@
 			if len(came) > 0 {
 				t.Error("what came behind was served")
 			}
-			testutil.Until(t, "the connection to be over", func() bool { return f.conns.ahead.Load() == others })
+			testutil.Until(t, "the connection to be over", func() bool { return f.conns.readAheadBytes.Load() == others })
 		})
 	}
 }
--- a/internal/downstream/h1server/handler.go
+++ b/internal/downstream/h1server/handler.go
@@ -1,11 +1,10 @@
 package h1server
 
-// The way of one request through the front: ServeHTTP lists its steps.
+// The way of one request through the server: ServeHTTP lists its steps.
 
 import (
 	"context"
 	"errors"
-	"net"
 	"net/http"
 	"os"
 	"time"
@@ -15,15 +14,20 @@
 	"yokestall/internal/upstream/h1client"
 )
 
+// writeGracePeriod is how long after its request's deadline a client may still read the response. A client that reads
+// nothing would otherwise hold its connection for good.
+const writeGracePeriod = 500 * time.Millisecond
+
+// connKey is the key of a request's net.Conn in its context.
 type connKey struct{}
 
 // exchange is one request and its answer.
 type exchange struct {
-	front   *Server
+	server  *Server
 	w       http.ResponseWriter
 	r       *http.Request
 	control *http.ResponseController
-	conn    *clientConn // of the client; nil if it is not in the table of connections
+	conn    *clientConn // nil if it has no place in the table of connections
 	to      ingress.Destination
 	request *engine.Request
 	payload *h1client.Request
@@ -34,46 +38,48 @@
 
 // ServeHTTP answers one request. It panics with http.ErrAbortHandler where the client's connection, or its HTTP/2
 // stream, has to end without a complete answer.
-func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	conn := counted(r)
-	f.limitConnection(w, r, conn)
-	if err := f.checkHead(r); err != nil {
-		refuse(w, r, err)
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	conn := clientConnOf(r)
+	s.limitConnection(w, r, conn)
+	if err := s.checkHead(r); err != nil {
+		reject(w, r, err)
 		return
 	}
 	if r.URL.Path == "/health/ready" {
-		f.readiness(w)
+		s.serveHealthCheck(w)
 		return
 	}
-	e, err := f.newExchange(w, r, conn)
+	e, err := s.newExchange(w, r, conn)
 	if err != nil {
-		refuse(w, r, err)
+		reject(w, r, err)
 		return
 	}
-	defer f.free(e.payload)
+	defer s.releaseBuffer(e.payload)
 	if !e.admit() {
 		return
 	}
 	id := e.payload.Header.Get("X-Request-Id")
-	if !f.claim(id) {
-		refuse(w, r, &ingress.Rejection{Status: http.StatusConflict, Text: "a request with this X-Request-ID is open"})
+	if !s.claimID(id) {
+		reject(w, r, &ingress.Rejection{
+			Status: http.StatusConflict, Text: "a request with this X-Request-ID is open",
+		})
 		return
 	}
-	f.asked.Store(time.Now().UnixNano())
-	f.taken.Add(1)
+	s.lastRequestAt.Store(time.Now().UnixNano())
+	s.requestCount.Add(1)
 	if err := e.startUpload(); err != nil {
-		f.disclaim(id)
-		refuse(w, r, err)
+		s.releaseID(id)
+		reject(w, r, err)
 		return
 	}
 	defer e.endUpload()
 	defer e.watchClient()()
 	answer, err := e.to.Cluster.Do(e.ctx, e.request)
 	if conn != nil {
-		conn.answered()
+		conn.allowNextRequest()
 	}
-	f.disclaim(id)
-	if e.refuseBrokenUpload(answer, err) {
+	s.releaseID(id)
+	if e.rejectBrokenUpload(answer, err) {
 		return
 	}
 	e.respond(answer, err)
@@ -81,87 +87,86 @@
 
 // limitConnection decides, ahead of anything else, whether the connection ends with the answer and until when the
 // request's bytes are read.
-func (f *Server) limitConnection(w http.ResponseWriter, r *http.Request, conn *clientConn) {
-	if f.draining.Load() || f.lame.Load() {
+func (s *Server) limitConnection(w http.ResponseWriter, r *http.Request, conn *clientConn) {
+	if s.closingAfterResponses.Load() || s.lameDuck.Load() {
 		w.Header().Set("Connection", "close") // have clients move to other nodes
 	}
-	if r.ContentLength != 0 { // also what net/http reads behind a refusal
+	if r.ContentLength != 0 { // also for what net/http reads after a rejection
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(readTimeout))
 	}
-	if f.options.Strict && (r.ProtoMinor == 0 || conn != nil && conn.doubtful(r)) {
-		// Whoever stands before may see the end of this request elsewhere: what comes behind it
-		// is served to nobody.
+	if s.options.Strict && (r.ProtoMinor == 0 || conn != nil && conn.hasAmbiguousFraming(r)) {
+		// A proxy before this node may see the end of this request elsewhere: what follows it is not served.
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// checkHead refuses requests by their framing and rewrites the fields that tell of the request's way to here.
-func (f *Server) checkHead(r *http.Request) error {
-	if err := f.framing(r); err != nil {
+// checkHead checks a request's framing, and applies Options.ForwardedHeaders.
+func (s *Server) checkHead(r *http.Request) error {
+	if err := s.checkFraming(r); err != nil {
 		return err
 	}
-	if f.options.ForwardedHeaders == nil {
+	if s.options.ForwardedHeaders == nil {
 		return nil
 	}
-	if err := f.options.ForwardedHeaders.Apply(r); err != nil {
+	if err := s.options.ForwardedHeaders.Apply(r); err != nil {
 		return &ingress.Rejection{Status: http.StatusBadRequest, Text: err.Error()}
 	}
 	return nil
 }
 
-// newExchange routes and parses a request. The error is answered by refuse.
-func (f *Server) newExchange(w http.ResponseWriter, r *http.Request, conn *clientConn) (*exchange, error) {
-	to, err := f.router.Route(r)
+// newExchange routes and parses a request. The error is answered by reject.
+func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, conn *clientConn) (*exchange, error) {
+	to, err := s.router.Route(r)
 	if err != nil {
 		return nil, err
 	}
-	e := &exchange{front: f, w: w, r: r, control: http.NewResponseController(w), conn: conn, to: to}
-	if e.request, err = f.parse(r, &e.to, e.control); err != nil {
+	e := &exchange{server: s, w: w, r: r, control: http.NewResponseController(w), conn: conn, to: to}
+	if e.request, err = s.parse(r, &e.to, e.control); err != nil {
 		return nil, err
 	}
 	e.payload = e.request.Payload.(*h1client.Request)
 	return e, nil
 }
 
-// admit counts the request in the table of connections; false if it was answered, since the client has a place only
-// to be told when to come back, or there is no time left.
+// admit reports the request to the table of connections. It returns false if the request was rejected: the connection
+// is beyond the limits and only gets a response with Retry-After, or the shutdown leaves no time.
 func (e *exchange) admit() bool {
 	if e.conn == nil {
 		return true
 	}
-	if e.r.ProtoMajor == 1 && e.payload.Upload == nil && e.conn.left() {
-		panic(http.ErrAbortHandler) // nobody waits for it: nothing may go out for it
+	if e.r.ProtoMajor == 1 && e.payload.Upload == nil && e.conn.checkDisconnected() {
+		panic(http.ErrAbortHandler) // the client has disconnected: nothing may be sent for it
 	}
-	switch open, over := e.conn.whole(e.r.ProtoMajor == 2); {
+	switch open, overflow := e.conn.beginRequest(e.r.ProtoMajor == 2); {
 	case !open:
-		panic(http.ErrAbortHandler) // to serve it here too would be to serve it twice
-	case over, e.front.refusing.Load():
+		panic(http.ErrAbortHandler) // the client sends it again elsewhere
+	case overflow, e.server.rejecting.Load():
 		e.w.Header().Set("Connection", "close")
-		write(e.w, e.r.Method == http.MethodHead, engine.Answer{Verdict: engine.Rejected, RetryAfter: e.to.MaxRetryAfter})
+		rejected := engine.Answer{Verdict: engine.Rejected, RetryAfter: e.to.MaxRetryAfter}
+		writeAnswer(e.w, e.r.Method == http.MethodHead, rejected)
 		return false
 	}
 	return true
 }
 
-// startUpload has a body that is not at hand read while the request is decided.
+// startUpload starts to read a body that was not read yet.
 func (e *exchange) startUpload() error {
 	e.ctx, e.endUpload = e.r.Context(), func() {}
 	switch {
 	case e.payload.Upload == nil:
-		// net/http goes on reading, to see the client leave. The deadline of the
-		// request's own bytes would look like that.
+		// net/http reads on to detect a disconnect. The passed deadline of the request's own bytes would look like one.
 		e.control.SetReadDeadline(time.Time{})
-	case e.front.options.Strict:
+	case e.server.options.Strict:
 		e.control.EnableFullDuplex()
-		ctx, end, err := e.front.takeStrict(e.r, e.control, &e.to, e.request)
+		ctx, end, err := e.server.runPlatformUpload(e.r, e.control, &e.to, e.request)
 		if err != nil {
 			return err
 		}
 		e.ctx, e.endUpload = ctx, end
 	default:
-		e.control.EnableFullDuplex() // an answer may begin before the body's end
+		e.control.EnableFullDuplex() // a response may begin before the body's end
 		patient := e.r.Header.Get("Expect") != ""
-		e.ctx, e.endUpload = take(e.ctx, e.control, e.payload.Upload, patient, nil)
+		e.ctx, e.endUpload = runUpload(e.ctx, e.control, e.payload.Upload, patient, nil)
 		if !patient {
 			e.payload.Upload.Settle(h1client.UploadPause)
 		}
@@ -169,37 +174,38 @@
 	return nil
 }
 
-// watchClient has the request end when its client disconnects. The function that it gives ends the watch.
+// watchClient has the request end when its client disconnects. The function that it returns ends the watch.
 func (e *exchange) watchClient() (end func()) {
 	ctx := e.ctx
 	switch {
 	case e.conn == nil:
 		e.request.ClientDisconnected = func() bool { return ctx.Err() != nil }
 	case e.r.ProtoMajor == 2:
-		e.request.ClientDisconnected = e.conn.streamLeft(ctx)
+		e.request.ClientDisconnected = e.conn.streamDisconnected(ctx)
 	default:
-		e.ctx, e.request.ClientDisconnected, end = e.conn.watch(ctx, e.front.options.Strict && e.payload.Upload == nil)
+		noPipelining := e.server.options.Strict && e.payload.Upload == nil
+		e.ctx, e.request.ClientDisconnected, end = e.conn.watch(ctx, noPipelining)
 		return end
 	}
 	return func() {}
 }
 
-// refuseBrokenUpload answers a request whose body could not be read to its end, unless it was served all the same or
+// rejectBrokenUpload answers a request whose body could not be read to its end, unless it was served all the same or
 // its client has disconnected; true if it did.
-func (e *exchange) refuseBrokenUpload(answer engine.Answer, err error) bool {
+func (e *exchange) rejectBrokenUpload(answer engine.Answer, err error) bool {
 	upload := e.payload.Upload
 	if upload == nil {
 		return false
 	}
 	if err != nil {
-		e.endUpload() // why the client's side ended may not be noted yet
-	}
-	fault := upload.Failed()
-	// net/http takes the end of a read's time for the client's end; such a client is there.
-	connected := e.r.Context().Err() == nil || errors.Is(fault, os.ErrDeadlineExceeded)
-	if connected && fault != nil && (err != nil || answer.Verdict != engine.Served) {
-		discard(answer)
-		refuse(e.w, e.r, uploadFault(fault))
+		e.endUpload() // after that its error is known
+	}
+	uploadErr := upload.Failed()
+	// net/http takes a passed read deadline for a disconnect; such a client is still connected.
+	connected := e.r.Context().Err() == nil || errors.Is(uploadErr, os.ErrDeadlineExceeded)
+	if connected && uploadErr != nil && (err != nil || answer.Verdict != engine.Served) {
+		closeAnswer(answer)
+		reject(e.w, e.r, uploadError(uploadErr))
 		return true
 	}
 	if !upload.Done() && e.r.ProtoMajor == 1 {
@@ -212,16 +218,17 @@
 func (e *exchange) respond(a engine.Answer, err error) {
 	var rejection *ingress.Rejection
 	switch {
-	case errors.As(err, &rejection) && e.r.Context().Err() == nil: // it must not run beside, or behind, another one
-		refuse(e.w, e.r, rejection)
+	case errors.As(err, &rejection) && e.r.Context().Err() == nil:
+		// Another request with its key is open, or was answered.
+		reject(e.w, e.r, rejection)
 		return
 	case errors.Is(err, engine.ErrRetired) && e.r.Context().Err() == nil:
 		a = engine.Answer{Verdict: engine.Rejected, RetryAfter: e.to.MaxRetryAfter}
 	case err != nil:
-		panic(http.ErrAbortHandler) // nobody is there to be answered
+		panic(http.ErrAbortHandler) // the client has disconnected
 	}
 	e.setWriteDeadline()
-	if e.conn != nil && (e.conn.last() || e.conn.cut()) {
+	if e.conn != nil && (e.conn.mustFreePlace() || e.conn.hasDropped()) {
 		e.w.Header().Set("Connection", "close")
 	}
 	answer, ok := a.Value.(*h1client.Answer)
@@ -229,69 +236,49 @@
 		e.to.Response.Apply(answer.Header)
 	}
 	if ok && answer.Tunnel != nil {
-		e.front.tunnel(e.control, answer)
+		e.server.tunnel(e.control, answer)
 		return
 	}
-	write(e.w, e.r.Method == http.MethodHead, a)
+	writeAnswer(e.w, e.r.Method == http.MethodHead, a)
 	e.discardUpload(a)
 	switch {
 	case ok && answer.Stream != nil:
 		e.passStream(answer.Stream)
 	case ok:
-		trail(e.w, answer.Trailer)
+		writeTrailers(e.w, answer.Trailer)
 	}
 }
 
 // setWriteDeadline bounds the time that the client may take for its answer.
 func (e *exchange) setWriteDeadline() {
-	if e.payload.Upload != nil { // its time may begin only now
-		e.control.SetWriteDeadline(time.Now().Add(e.front.options.StallTimeout))
+	if e.payload.Upload != nil { // the request's deadline may be set only at the upload's end
+		e.control.SetWriteDeadline(time.Now().Add(e.server.options.StallTimeout))
 		return
 	}
-	e.control.SetWriteDeadline(time.Now().Add(e.request.Deadline - e.front.options.Clock.Now() + writeTimeout))
+	remaining := e.request.Deadline - e.server.options.Clock.Now()
+	e.control.SetWriteDeadline(time.Now().Add(remaining + writeGracePeriod))
 }
 
-// discardUpload reads the rest of a body away whose answer is complete, so that the answer is not lost by a reset.
+// discardUpload reads and drops the rest of a body whose response is complete, so that a reset does not lose the
+// response.
 func (e *exchange) discardUpload(a engine.Answer) {
 	upload := e.payload.Upload
-	if upload == nil || !e.front.options.Strict || upload.Done() || isStream(a) {
+	if upload == nil || !e.server.options.Strict || upload.Done() || isStream(a) {
 		return
 	}
-	if e.control.Flush() == nil { // the answer is out at once, and stays readable
+	if e.control.Flush() == nil {
 		upload.Discard()
 	}
 }
 
-// passStream passes the rest of an answer on, and ends the connection or stream where it breaks.
+// passStream forwards the rest of a response, and ends the connection or HTTP/2 stream where it breaks.
 func (e *exchange) passStream(s h1client.Stream) {
-	complete := e.front.pass(e.r.Context(), e.w, e.control, s)
-	if !e.r.ProtoAtLeast(1, 1) && e.conn != nil { // a cut is all that such a client can be told by
-		e.conn.cutUnless(complete)
+	complete := e.server.copyStream(e.r.Context(), e.w, e.control, s)
+	if !e.r.ProtoAtLeast(1, 1) && e.conn != nil { // only a reset shows such a client that the response is incomplete
+		e.conn.resetUnlessComplete(complete)
 		return
 	}
 	if !complete {
 		panic(http.ErrAbortHandler)
 	}
 }
-
-// counted gives the connection of a request in the table of clients; nil if none is kept.
-func counted(r *http.Request) *clientConn {
-	nc, _ := r.Context().Value(connKey{}).(net.Conn)
-	return inTable(nc)
-}
-
-// inTable gives the connection of the table below the layers on it; nil if there is none.
-func inTable(nc net.Conn) *clientConn {
-	for {
-		switch c := nc.(type) {
-		case *clientConn:
-			return c
-		case interface{ NetConn() net.Conn }: // TLS
-			nc = c.NetConn()
-		case interface{ Raw() net.Conn }: // the PROXY protocol
-			nc = c.Raw()
-		default:
-			return nil
-		}
-	}
-}
--- a/internal/downstream/h1server/request.go
+++ b/internal/downstream/h1server/request.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"time"
 
 	"yokestall/internal/engine"
 	"yokestall/internal/ingress"
@@ -13,55 +14,59 @@
 	"yokestall/policy"
 )
 
-// framing refuses messages whose end this node and whoever sent them might see
-// in different places: what is a body to one is a request to the other.
-// net/http keeps Transfer-Encoding and drops a Content-Length beside it, and the
-// reverse in HTTP/1.0; what goes on to a server is framed anew. With Strict the connection's raw
-// bytes tell of both (seen), and such a request is the last one that is served on it.
-func (f *Server) framing(r *http.Request) error {
-	switch {
-	case !f.options.Strict:
-	case !r.ProtoAtLeast(1, 1) && counted(r) != nil && counted(r).coded():
+// responseMargin is the time between the engine's deadline and the client's, for the way of the request to this node
+// and of the response back.
+const responseMargin = 10 * time.Millisecond
+
+// checkFraming rejects messages whose end this node and a proxy before it might see in different places (request
+// smuggling, RFC 9112, 11.2). Where a message has both, net/http uses Transfer-Encoding and drops Content-Length, and
+// the reverse in HTTP/1.0; the request to the endpoint gets framing of its own. With Strict, framingScan finds both in
+// the connection's bytes, and such a request is the last one that is served on it (limitConnection).
+func (s *Server) checkFraming(r *http.Request) error {
+	conn := clientConnOf(r)
+	if s.options.Strict && !r.ProtoAtLeast(1, 1) && conn != nil && conn.sentTransferCoding() {
 		// net/http drops the coding, and would read the chunks as a request (RFC 9112, 6.1).
 		return &ingress.Rejection{Status: http.StatusBadRequest, Text: "HTTP/1.0 has no transfer codings"}
 	}
-	if f.options.MaxBodyBytes > 0 && r.ContentLength > f.options.MaxBodyBytes {
+	if s.options.MaxBodyBytes > 0 && r.ContentLength > s.options.MaxBodyBytes {
 		return &ingress.Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too large"}
 	}
 	return nil
 }
 
 // parse reads and checks a request.
-func (f *Server) parse(r *http.Request, to *ingress.Destination, control *http.ResponseController) (*engine.Request, error) {
-	terms, err := f.terms(r, to)
+func (s *Server) parse(
+	r *http.Request, to *ingress.Destination, control *http.ResponseController,
+) (*engine.Request, error) {
+	terms, err := s.terms(r, to)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.checkMethod(r, to); err != nil {
+	if err := s.checkMethod(r, to); err != nil {
 		return nil, err
 	}
 	out := &h1client.Request{Method: r.Method, Host: r.Host, Limits: to.Streams}
-	if err := f.body(r, control, out); err != nil {
+	if err := s.readBody(r, control, out); err != nil {
 		return nil, err
 	}
-	f.setHead(r, to, out, terms.ID)
+	s.setHead(r, to, out, terms.ID)
 	return &engine.Request{
 		Class: to.Class, Tenant: terms.Tenant, WorkHint: terms.Hint,
-		Deadline:    f.options.Clock.Now() + terms.Patience - answerMargin,
+		Deadline:    s.options.Clock.Now() + terms.Patience - responseMargin,
 		MaxAttempts: to.MaxAttempts, PerTryTimeout: to.PerTry,
-		Payload: out, UploadTimeout: terms.Patience - answerMargin,
+		Payload: out, UploadTimeout: terms.Patience - responseMargin,
 	}, nil
 }
 
-// terms reads what the request's header fields ask for. The tenant that a client's certificate names goes before
-// any field.
-func (f *Server) terms(r *http.Request, to *ingress.Destination) (ingress.Terms, error) {
+// terms reads the request's ID, timeout, tenant and work hint from its header fields. The tenant of a client's
+// certificate takes precedence.
+func (s *Server) terms(r *http.Request, to *ingress.Destination) (ingress.Terms, error) {
 	destination := to
-	tenant, certified := certified(r, to.Certified)
+	tenant, certified := tenantOfCertificate(r, to.Certified)
 	if certified {
 		destination = &ingress.Destination{Effect: to.Effect, Deadline: to.Deadline}
 	}
-	terms, err := ingress.Read(r.Header, destination, f.options.Strict)
+	terms, err := ingress.Read(r.Header, destination, s.options.Strict)
 	if err != nil {
 		return terms, err
 	}
@@ -69,39 +74,39 @@
 		terms.Tenant = tenant
 	}
 	if terms.ID == "" {
-		terms.ID = f.idStart + strconv.FormatUint(f.lastID.Add(1), 36)
+		terms.ID = s.idPrefix + strconv.FormatUint(s.lastID.Add(1), 36)
 	}
 	return terms, nil
 }
 
-// checkMethod refuses methods that are not forwarded and, with Strict, whatever does not go with the request's class.
-func (f *Server) checkMethod(r *http.Request, to *ingress.Destination) error {
+// checkMethod rejects methods that are not forwarded and, with Strict, what does not fit the request's class.
+func (s *Server) checkMethod(r *http.Request, to *ingress.Destination) error {
 	idempotent := to.Effect == policy.Idempotent
 	method := http.MethodPost
 	if idempotent {
 		method = http.MethodGet
 	}
 	switch {
-	case f.options.Strict && r.Method != method && !(r.Method == http.MethodHead && idempotent):
+	case s.options.Strict && r.Method != method && !(r.Method == http.MethodHead && idempotent):
 		return &ingress.Rejection{Status: http.StatusMethodNotAllowed, Text: "the class wants " + method, Allow: method}
 	case r.Method == http.MethodConnect, r.URL.Path == "*":
 		return &ingress.Rejection{Status: http.StatusMethodNotAllowed, Text: r.Method + " is not carried"}
-	case f.options.Strict && to.Effect == policy.NotIdempotent && len(r.Header["Idempotency-Key"]) > 0:
+	case s.options.Strict && to.Effect == policy.NotIdempotent && len(r.Header["Idempotency-Key"]) > 0:
 		return ingress.Bad("the class takes no Idempotency-Key")
-	case f.options.Strict && idempotent && r.ContentLength != 0:
+	case s.options.Strict && idempotent && r.ContentLength != 0:
 		return ingress.Bad("the class takes no body")
 	}
 	return nil
 }
 
-// setHead fills in the head of the request to the endpoint: target, end-to-end fields, id and upgrade.
-func (f *Server) setHead(r *http.Request, to *ingress.Destination, out *h1client.Request, id string) {
+// setHead sets the head of the request to the endpoint: target, end-to-end fields, ID and upgrade.
+func (s *Server) setHead(r *http.Request, to *ingress.Destination, out *h1client.Request, id string) {
 	header := r.Header
-	if !f.options.Strict && r.ProtoMajor == 1 && r.Method == http.MethodGet && asksUpgrade(header) {
+	if !s.options.Strict && r.ProtoMajor == 1 && r.Method == http.MethodGet && requestsUpgrade(header) {
 		out.Upgrade = ingress.One(header["Upgrade"])
 	}
 	out.Trailers = strings.EqualFold(ingress.One(header["Te"]), "trailers")
-	out.Header = h1client.EndToEnd(header) // net/http has no more use for it
+	out.Header = h1client.EndToEnd(header) // which net/http does not read again
 	if to.Request != nil {
 		to.Request.Apply(out.Header)
 	}
@@ -114,8 +119,8 @@
 	}
 }
 
-// asksUpgrade tells whether a request wants another protocol on its connection (RFC 9110, 7.8).
-func asksUpgrade(h http.Header) bool {
+// requestsUpgrade reports whether a request asks for another protocol on its connection (RFC 9110, 7.8).
+func requestsUpgrade(h http.Header) bool {
 	for _, line := range h["Connection"] {
 		for token := range strings.SplitSeq(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), "upgrade") {
@@ -126,17 +131,17 @@
 	return false
 }
 
-// certified gives the tenant that a client's certificate, which TLS has verified, names.
-func certified(r *http.Request, tenants map[string]int) (int, bool) {
+// tenantOfCertificate returns the tenant that a client's verified certificate names.
+func tenantOfCertificate(r *http.Request, tenants map[string]int) (int, bool) {
 	if len(tenants) == 0 || r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
 		return 0, false
 	}
 	leaf := r.TLS.VerifiedChains[0][0]
 	names := leaf.DNSNames
-	for _, u := range leaf.URIs { // as in SPIFFE's ids
+	for _, u := range leaf.URIs { // SPIFFE IDs
 		names = append(names, u.String())
 	}
-	if len(names) == 0 { // the former way (RFC 6125, 6.4.4)
+	if len(names) == 0 { // the older convention (RFC 6125, 6.4.4)
 		names = []string{leaf.Subject.CommonName}
 	}
 	for _, name := range names {
--- a/internal/downstream/h1server/response.go
+++ b/internal/downstream/h1server/response.go
@@ -1,11 +1,12 @@
 package h1server
 
-// How answers, streams and refusals are written to clients.
+// How answers, streams and rejections are written to clients.
 
 import (
 	"context"
 	"errors"
 	"io"
+	"maps"
 	"net/http"
 	"strconv"
 	"sync"
@@ -16,40 +17,40 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// refuse answers a request that no server gets to see. What may be left of its
-// body is not waited for: the connection ends.
-func refuse(w http.ResponseWriter, r *http.Request, err error) {
-	var bad *ingress.Rejection
-	if !errors.As(err, &bad) {
-		bad = &ingress.Rejection{Status: http.StatusBadRequest, Text: "the body can't be read"}
+// copyBufferBytes is the memory of a stream or of one direction of a tunnel, besides that of the sockets.
+const copyBufferBytes = 32 << 10
+
+// reject answers a request that is not forwarded. The rest of its body is not awaited: the connection ends.
+func reject(w http.ResponseWriter, r *http.Request, err error) {
+	var rejection *ingress.Rejection
+	if !errors.As(err, &rejection) {
+		rejection = &ingress.Rejection{Status: http.StatusBadRequest, Text: "the body can't be read"}
 	}
 	if r.ContentLength != 0 || !r.ProtoAtLeast(1, 1) {
 		w.Header().Set("Connection", "close")
 	}
-	if bad.Allow != "" {
-		w.Header().Set("Allow", bad.Allow)
+	if rejection.Allow != "" {
+		w.Header().Set("Allow", rejection.Allow)
 	}
-	if bad.Location != "" {
-		w.Header().Set("Location", bad.Location)
+	if rejection.Location != "" {
+		w.Header().Set("Location", rejection.Location)
 	}
-	if bad.RetryAfter > 0 {
-		w.Header().Set("Retry-After", ingress.Seconds(bad.RetryAfter))
+	if rejection.RetryAfter > 0 {
+		w.Header().Set("Retry-After", ingress.Seconds(rejection.RetryAfter))
 	}
-	http.Error(w, bad.Text, bad.Status)
+	http.Error(w, rejection.Text, rejection.Status)
 }
 
-// write writes an answer but for the rest of a stream.
-func write(w http.ResponseWriter, head bool, a engine.Answer) {
+// writeAnswer writes the final answer, except for the rest of a stream. head says that the request is a HEAD.
+func writeAnswer(w http.ResponseWriter, head bool, a engine.Answer) {
 	h := w.Header()
 	status, body, length := http.StatusBadGateway, []byte(nil), int64(-1)
 	if a.Verdict == engine.Rejected {
 		status = http.StatusServiceUnavailable
 	}
-	if answer, ok := a.Value.(*h1client.Answer); ok { // served, or the last word of a server
+	if answer, ok := a.Value.(*h1client.Answer); ok { // served, or what an endpoint answered last
 		status, body = answer.Status, answer.Body
-		for name, values := range answer.Header {
-			h[name] = values
-		}
+		maps.Copy(h, answer.Header)
 		if len(body) == 0 {
 			length = answer.Length
 		}
@@ -60,51 +61,52 @@
 	switch stream := isStream(a); {
 	case (head || stream) && length >= 0:
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
-	case !head && !stream && !trailing(a): // fields behind a body go with chunks alone (RFC 9112, 7.1.2)
+	case !head && !stream && !hasTrailers(a): // trailers need chunks (RFC 9112, 7.1.2)
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	w.WriteHeader(status)
 	w.Write(body)
-	if trailing(a) {
-		http.NewResponseController(w).Flush() // or net/http would find the length by itself
+	if hasTrailers(a) {
+		http.NewResponseController(w).Flush() // or net/http would set a Content-Length
 	}
 }
 
-// isStream reports whether an answer goes on behind its head as a stream.
+// isStream reports whether an answer's body follows as a stream.
 func isStream(a engine.Answer) bool {
 	answer, ok := a.Value.(*h1client.Answer)
 	return ok && answer.Stream != nil
 }
 
-// trailing reports whether fields follow an answer's body.
-func trailing(a engine.Answer) bool {
+// hasTrailers reports whether trailers follow an answer's body.
+func hasTrailers(a engine.Answer) bool {
 	answer, ok := a.Value.(*h1client.Answer)
 	return ok && len(answer.Trailer) > 0
 }
 
-// pass passes a stream on, as fast as both sides are, through one buffer. What has begun
-// is final: of a stream that breaks (not whole) the caller cuts the client's connection, or
-// its stream, so that the part that came is not taken for the whole.
-func (f *Server) pass(ctx context.Context, w http.ResponseWriter, control *http.ResponseController, s h1client.Stream) (whole bool) {
-	defer s.Close()
-	defer context.AfterFunc(ctx, s.Abort)() // the client leaves while the server pauses
-	buffer := buffers.Get().(*[]byte)
-	defer buffers.Put(buffer)
+// copyStream forwards a stream through one buffer. Where the stream breaks it returns false: the caller must abort the
+// client's connection or HTTP/2 stream, so that the client does not take the part for the complete body.
+func (s *Server) copyStream(
+	ctx context.Context, w http.ResponseWriter, control *http.ResponseController, stream h1client.Stream,
+) (complete bool) {
+	defer stream.Close()
+	defer context.AfterFunc(ctx, stream.Abort)() // the client disconnects while the endpoint pauses
+	buffer := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buffer)
 	for {
-		n, err := s.Read(*buffer)
+		n, err := stream.Read(*buffer)
 		if n > 0 {
-			control.SetWriteDeadline(time.Now().Add(f.options.StallTimeout))
+			control.SetWriteDeadline(time.Now().Add(s.options.StallTimeout))
 			if _, err := w.Write((*buffer)[:n]); err != nil {
-				return false // the client is gone, or takes nothing
+				return false // the client has disconnected, or reads nothing
 			}
-			if n < len(*buffer) { // the server pauses: what there is goes out
+			if n < len(*buffer) { // the endpoint pauses
 				if err := control.Flush(); err != nil {
 					return false
 				}
 			}
 		}
 		if err == io.EOF {
-			trail(w, s.Trailer())
+			writeTrailers(w, stream.Trailer())
 			return true
 		}
 		if err != nil {
@@ -113,18 +115,18 @@
 	}
 }
 
-// buffers are those that streams and tunnels are copied through.
-var buffers = sync.Pool{New: func() any { b := make([]byte, streamBuffer); return &b }}
+// copyBuffers are the buffers of streams and tunnels.
+var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
 
-// discard closes an answer that the client doesn't get.
-func discard(a engine.Answer) {
+// closeAnswer closes an answer that the client does not get.
+func closeAnswer(a engine.Answer) {
 	if c, ok := a.Value.(io.Closer); ok {
 		c.Close()
 	}
 }
 
-// trail writes the fields behind an answer's body.
-func trail(w http.ResponseWriter, fields http.Header) {
+// writeTrailers writes the trailers of an answer.
+func writeTrailers(w http.ResponseWriter, fields http.Header) {
 	for name, values := range fields {
 		w.Header()[http.TrailerPrefix+name] = values
 	}
--- /dev/null
+++ b/internal/downstream/h1server/server.go
@@ -0,0 +1,188 @@
+package h1server
+
+import (
+	"context"
+	"crypto/tls"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"yokestall/internal/connlimit"
+	"yokestall/internal/engine"
+	"yokestall/internal/ingress"
+)
+
+// Defaults of Options.
+const (
+	defaultMaxHeaderBytes = 16 << 10
+	defaultStallTimeout   = 30 * time.Second
+	defaultBodyMemory     = 64 << 20 // bytes
+)
+
+const (
+	// readTimeout is how long a client may take from its connection, or a request's first byte, to the request's last
+	// byte, except for uploads.
+	readTimeout = 2 * time.Second
+	// platformHeaderTimeout is the time for a request's header with Options.Strict. The platform's clients may take 2
+	// s, and a new connection is accepted some time after it was opened.
+	platformHeaderTimeout = 2500 * time.Millisecond
+	// keepAliveTimeout is how long a connection may be idle between two requests.
+	keepAliveTimeout = 10 * time.Second
+)
+
+// Options configure a Server.
+type Options struct {
+	Clock engine.Clock
+	// ConnectionLimits are numbers of client connections.
+	ConnectionLimits connlimit.Limits
+	// Strict holds clients to the platform's protocol: each request needs an ID, a timeout and, where there are
+	// tenants, a tenant, and the method of its class; uploads need a minimum rate. Otherwise the server generates IDs,
+	// the class's deadline applies, and a request without a tenant counts for the first one.
+	Strict bool
+	// Log gets the messages of net/http's server; nil: the default logger.
+	Log *slog.Logger
+	// MaxBodyBytes limits a request's body; 0: any length.
+	MaxBodyBytes int64
+	// BodyMemory is the memory for buffered request bodies, in bytes; 0: 64 MiB. Beyond it each upload still buffers
+	// up to minBodyBuffer.
+	BodyMemory int64
+	// StallTimeout is how long a client may leave a part of a stream unread, or let an upload pause; 0: 30 s. With
+	// Strict, platformUploadStall applies to uploads.
+	StallTimeout time.Duration
+
+	// The fields below have no effect with Strict.
+
+	TLS *tls.Config // nil: clear text
+	// MaxHeaderBytes limits a request's header; 0: 16 KiB.
+	MaxHeaderBytes int
+	// ForwardedHeaders rewrites the header fields about the way of a request up to this node; nil: they stay. An error
+	// is answered by 400 with its text.
+	ForwardedHeaders interface{ Apply(r *http.Request) error }
+}
+
+// Server serves clients. It is an http.Handler. Create it with New.
+type Server struct {
+	options Options
+	router  ingress.Router
+	conns   *clientConns
+
+	// States of lifecycle.go.
+	ready                 atomic.Bool
+	failingHealthChecks   atomic.Bool
+	closingAfterResponses atomic.Bool
+	rejecting             atomic.Bool
+	lameDuck              atomic.Bool
+
+	requestCount  atomic.Int64
+	lastRequestAt atomic.Int64 // Unix nanoseconds; 0 before the first request
+
+	idPrefix string        // of generated request IDs, random for each process
+	lastID   atomic.Uint64 // number of the last generated ID
+
+	bufferedBytes atomic.Int64 // reserved for request bodies
+
+	// mu guards the fields below.
+	mu      sync.Mutex
+	tunnels map[io.Closer]struct{} // upstream sides of the open tunnels; nil after CloseTunnels
+	openIDs map[string]struct{}    // IDs of the requests without a final answer
+}
+
+var _ http.Handler = (*Server)(nil)
+
+// New returns a server that is not ready yet.
+func New(router ingress.Router, o Options) *Server {
+	if o.MaxHeaderBytes == 0 || o.Strict {
+		o.MaxHeaderBytes = defaultMaxHeaderBytes
+	}
+	if o.StallTimeout == 0 {
+		o.StallTimeout = defaultStallTimeout
+	}
+	if o.BodyMemory == 0 {
+		o.BodyMemory = defaultBodyMemory
+	}
+	return &Server{
+		options: o, router: router, conns: newClientConns(o.ConnectionLimits),
+		openIDs: map[string]struct{}{}, tunnels: map[io.Closer]struct{}{},
+		idPrefix: strconv.FormatUint(rand.Uint64(), 36) + "-",
+	}
+}
+
+// HTTPServer returns an HTTP server for the listeners that Listener returns. The caller closes it.
+func (s *Server) HTTPServer() *http.Server {
+	log := s.options.Log
+	if log == nil {
+		log = slog.Default()
+	}
+	srv := &http.Server{
+		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+		Handler:        s,
+		MaxHeaderBytes: s.options.MaxHeaderBytes,
+		// A body has deadlines of its own, so that there is no ReadTimeout.
+		ReadHeaderTimeout: readTimeout,
+		IdleTimeout:       keepAliveTimeout,
+		ConnState:         s.conns.onStateChange,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, c)
+		},
+	}
+	if s.options.Strict {
+		srv.ReadHeaderTimeout = platformHeaderTimeout
+		return srv
+	}
+	srv.TLSConfig = s.options.TLS
+	return srv
+}
+
+// Serve serves a listener until it is closed, over TLS where the options have it. srv comes from HTTPServer.
+func (s *Server) Serve(srv *http.Server, l net.Listener) error {
+	if srv.TLSConfig != nil {
+		return srv.ServeTLS(l, "", "")
+	}
+	return srv.Serve(l)
+}
+
+// RequestCount returns the number of requests that were admitted so far.
+func (s *Server) RequestCount() int64 { return s.requestCount.Load() }
+
+// LastRequestAt returns when the last request was admitted; the Unix epoch if there was none.
+func (s *Server) LastRequestAt() time.Time { return time.Unix(0, s.lastRequestAt.Load()) }
+
+// Connections returns the number of client connections.
+func (s *Server) Connections() int {
+	s.conns.mu.Lock()
+	defer s.conns.mu.Unlock()
+	return s.conns.table.Len()
+}
+
+// SetConnectionLimits changes the limits on client connections.
+func (s *Server) SetConnectionLimits(l connlimit.Limits) {
+	s.conns.mu.Lock()
+	defer s.conns.mu.Unlock()
+	s.conns.table.Resize(l)
+	s.conns.closeVictims()
+	s.conns.notifyChanged()
+}
+
+// claimID reserves an ID for a request. It returns false if an open request has it.
+func (s *Server) claimID(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, open := s.openIDs[id]; open {
+		return false
+	}
+	s.openIDs[id] = struct{}{}
+	return true
+}
+
+// releaseID releases the ID of a request that has its final answer.
+func (s *Server) releaseID(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.openIDs, id)
+}
--- a/internal/downstream/h1server/strict_test.go
+++ b/internal/downstream/h1server/strict_test.go
@@ -24,18 +24,18 @@
 		r := httptest.NewRequest(http.MethodPost, "/pay", http.NoBody)
 		r.ContentLength, r.Body = length, io.NopCloser(http.NoBody)
 		to := &h1client.Request{}
-		if err := f.strictBody(r, http.NewResponseController(httptest.NewRecorder()), to); err != nil {
+		if err := f.readPlatformBody(r, http.NewResponseController(httptest.NewRecorder()), to); err != nil {
 			t.Fatal(err)
 		}
 		held = append(held, to)
-		if most := int64(part + len(held)*leastHeld); f.held.Load() > most || to.Held < leastHeld {
-			t.Fatalf("%d bodies hold %d bytes, %d at most; the last one %d", len(held), f.held.Load(), most, to.Held)
+		if most := int64(part + len(held)*minBodyBuffer); f.bufferedBytes.Load() > most || to.Held < minBodyBuffer {
+			t.Fatalf("%d bodies hold %d bytes, %d at most; the last one %d", len(held), f.bufferedBytes.Load(), most, to.Held)
 		}
 	}
 	for _, to := range held {
-		f.free(to)
+		f.releaseBuffer(to)
 	}
-	if left := f.held.Load(); left != 0 {
+	if left := f.bufferedBytes.Load(); left != 0 {
 		t.Errorf("%d bytes are not given back", left)
 	}
 }
--- a/internal/downstream/h1server/tunnel.go
+++ b/internal/downstream/h1server/tunnel.go
@@ -10,23 +10,22 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// tunnelIdle is how long one side of an upgraded connection may say nothing.
-const tunnelIdle = time.Hour
+// tunnelIdleTimeout is how long one direction of an upgraded connection may carry nothing.
+const tunnelIdleTimeout = time.Hour
 
-// tunnel carries an upgraded connection (RFC 9110, 7.8) until either side ends it. The answer
-// that upgrades is final; what follows is the client's and the server's own matter. What a
-// side has still to say when the other one ends its sending is passed on.
-func (f *Server) tunnel(control *http.ResponseController, a *h1client.Answer) {
+// tunnel joins the client's and the endpoint's connection after an upgrade (RFC 9110, 7.8), until either side ends it.
+// The response that upgrades is final. When one side ends its sending, what the other one still sends is forwarded.
+func (s *Server) tunnel(control *http.ResponseController, a *h1client.Answer) {
 	defer a.Tunnel.Close()
 	client, buffered, err := control.Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer client.Close()
-	if !f.hold(a.Tunnel) {
+	if !s.registerTunnel(a.Tunnel) {
 		return
 	}
-	defer f.release(a.Tunnel)
+	defer s.unregisterTunnel(a.Tunnel)
 	client.SetDeadline(time.Time{})
 	head := &http.Response{StatusCode: a.Status, ProtoMajor: 1, ProtoMinor: 1, Header: a.Header}
 	a.Header.Set("Connection", "Upgrade")
@@ -34,65 +33,75 @@
 	if err := head.Write(client); err != nil {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { f.forward(a.Tunnel, buffered.Reader, client) })
-	both.Go(func() { f.forward(client, a.Tunnel, a.Tunnel) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { s.copyTunnel(a.Tunnel, buffered.Reader, client) })
+	directions.Go(func() { s.copyTunnel(client, a.Tunnel, a.Tunnel) })
+	directions.Wait()
 }
 
-// forward copies what one side says to the other, to its end; the deadline is the reader's.
-func (f *Server) forward(to io.Writer, from io.Reader, deadline interface{ SetReadDeadline(time.Time) error }) {
-	buffer := buffers.Get().(*[]byte)
-	defer buffers.Put(buffer)
+// readDeadliner is a connection whose reads can be given a deadline.
+type readDeadliner interface{ SetReadDeadline(time.Time) error }
+
+// copyTunnel copies one direction of a tunnel to its end. conn is the connection that from reads.
+func (s *Server) copyTunnel(to io.Writer, from io.Reader, conn readDeadliner) {
+	buffer := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buffer)
 	for {
-		deadline.SetReadDeadline(time.Now().Add(tunnelIdle))
+		conn.SetReadDeadline(time.Now().Add(tunnelIdleTimeout))
 		n, err := from.Read(*buffer)
 		if n > 0 {
 			if c, ok := to.(net.Conn); ok {
-				c.SetWriteDeadline(time.Now().Add(f.options.StallTimeout))
+				c.SetWriteDeadline(time.Now().Add(s.options.StallTimeout))
 			}
-			if _, werr := to.Write((*buffer)[:n]); werr != nil {
-				err = werr
+			if _, writeErr := to.Write((*buffer)[:n]); writeErr != nil {
+				err = writeErr
 			}
 		}
-		if err == nil {
-			continue
-		}
-		half, ok := to.(interface{ CloseWrite() error })
-		if err != io.EOF || !ok || half.CloseWrite() != nil { // broken: the other one must see it
-			if c, ok := to.(io.Closer); ok {
-				c.Close()
-			}
-			if c, ok := deadline.(io.Closer); ok {
-				c.Close()
-			}
+		if err != nil {
+			endDirection(to, conn, err)
+			return
 		}
+	}
+}
+
+// endDirection ends the sending to one side after err. Unless it is io.EOF, both connections are closed, so that the
+// other side sees the failure.
+func endDirection(to io.Writer, conn readDeadliner, err error) {
+	half, ok := to.(interface{ CloseWrite() error })
+	if err == io.EOF && ok && half.CloseWrite() == nil {
 		return
 	}
+	if c, ok := to.(io.Closer); ok {
+		c.Close()
+	}
+	if c, ok := conn.(io.Closer); ok {
+		c.Close()
+	}
 }
 
-func (f *Server) hold(c io.Closer) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.tunnels == nil {
+// registerTunnel notes the upstream side of a tunnel for CloseTunnels. It returns false after CloseTunnels.
+func (s *Server) registerTunnel(c io.Closer) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.tunnels == nil {
 		return false
 	}
-	f.tunnels[c] = struct{}{}
+	s.tunnels[c] = struct{}{}
 	return true
 }
 
-func (f *Server) release(c io.Closer) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.tunnels, c)
+func (s *Server) unregisterTunnel(c io.Closer) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.tunnels, c)
 }
 
-// CloseTunnels ends all upgraded connections, and takes no more.
-func (f *Server) CloseTunnels() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.tunnels {
+// CloseTunnels closes all upgraded connections, and those that are upgraded from now on.
+func (s *Server) CloseTunnels() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.tunnels {
 		c.Close()
 	}
-	f.tunnels = nil
+	s.tunnels = nil
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -88,7 +88,7 @@
 		return nil
 	}
 	c.front.FailHealthChecks()
-	awaitClose(plan, began, c.front.Asked)
+	awaitClose(plan, began, c.front.LastRequestAt)
 	c.front.CloseAfterResponses()
 	s.listener.Close()
 	if err := <-s.failed; !errors.Is(err, net.ErrClosed) {
