--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -342,7 +342,7 @@
 	out := ingress.Destination{
 		Cluster: to, Class: class, Effect: c.Idempotency, Window: c.DedupWindow, Deadline: deadline,
 		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
-		Streams:     h1client.StreamLimits{Stall: c.Progress, Whole: c.Stream, Drain: c.Drain},
+		Streams:     h1client.StreamLimits{StallTimeout: c.Progress, MaxDuration: c.Stream, DrainTimeout: c.Drain},
 		MaxAttempts: m.Route.MaxAttempts, PerTry: m.Route.PerTry, Certified: s.tenants.byCertificate,
 		Pick: m.Route.Processor == "pick" || m.Route.Processor == "" && s.program.ExtProc.Pick,
 	}
--- a/internal/app/managed.go
+++ b/internal/app/managed.go
@@ -160,7 +160,7 @@
 	}
 	if err == nil && a.Verdict == engine.Served {
 		if o, ok := q.Payload.(*h1client.Request); ok {
-			r.streams.hold(a, streamtimeout.Limits{Whole: o.Limits.Whole, Drain: o.Limits.Drain})
+			r.streams.hold(a, streamtimeout.Limits{Whole: o.Limits.MaxDuration, Drain: o.Limits.DrainTimeout})
 		}
 	}
 	return a, err
--- a/internal/app/sender.go
+++ b/internal/app/sender.go
@@ -39,11 +39,11 @@
 }
 
 // update takes news of the servers.
-func (s *sender) update(servers []h1client.Server) {
+func (s *sender) update(servers []h1client.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, in := range servers {
-		if in.Gone {
+		if in.Removed {
 			delete(s.addresses, in.ID)
 		} else {
 			s.addresses[in.ID] = in.Address
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -35,9 +35,9 @@
 // upstream carries a tier's attempts; httpup's and h2up's Pool are such.
 type upstream interface {
 	engine.Exchanger
-	Update(whole bool, servers []h1client.Server)
-	Limit(connectTimeout time.Duration, maxOpen int)
-	Retire(ctx context.Context)
+	UpdateEndpoints(full bool, servers []h1client.Endpoint)
+	SetLimits(connectTimeout time.Duration, maxOpen int)
+	EvictIdle(ctx context.Context)
 }
 
 // tier gives a part of the cluster, started if there is none yet.
@@ -46,8 +46,8 @@
 		return t, nil
 	}
 	with := h1client.Options{
-		ServersIdle: r.upstream.Idle, ConnectTimeout: r.upstream.ConnectTimeout, MaxOpen: r.upstream.Connections,
-		AnyAnswer: true, TLS: r.tls,
+		EndpointIdleTimeout: r.upstream.Idle, ConnectTimeout: r.upstream.ConnectTimeout, MaxConnections: r.upstream.Connections,
+		AnyStatus: true, TLS: r.tls,
 	}
 	var pool upstream = h1client.New(with)
 	if r.transport.HTTP2 {
@@ -65,10 +65,10 @@
 		stop()
 		return nil, err
 	}
-	a.retired.Go(func() { pool.Retire(ctx) })
+	a.retired.Go(func() { pool.EvictIdle(ctx) })
 	a.retired.Go(func() { // the end, by retire or with the program
 		<-c.Ended()
-		pool.Update(true, nil)
+		pool.UpdateEndpoints(true, nil)
 		stop()
 	})
 	t := &tier{cluster: c, pool: pool, sent: sent}
@@ -119,7 +119,7 @@
 		most = min(most, b.MaxConnections)
 	}
 	for _, t := range r.all {
-		t.pool.Limit(timeout, most)
+		t.pool.SetLimits(timeout, most)
 		t.cluster.LimitRetries(b.MaxRetries)
 	}
 }
@@ -131,12 +131,12 @@
 	if d.Empty() {
 		return
 	}
-	var servers []h1client.Server
+	var servers []h1client.Endpoint
 	var entries []policy.Endpoint
 	var leave []policy.EndpointID
 	put := func(e *cluster.Endpoint) {
 		id := policy.EndpointID(e.Key())
-		servers = append(servers, h1client.Server{ID: id, Address: e.Address, Start: float64(e.Started)})
+		servers = append(servers, h1client.Endpoint{ID: id, Address: e.Address, Incarnation: float64(e.Started)})
 		entry := policy.Endpoint{ID: id, Zone: zone(e.Zone), Cell: e.Cell, State: policy.Ready, Weight: e.Weight}
 		if !e.Serves() {
 			entry.State = policy.Draining
@@ -149,7 +149,7 @@
 	}
 	drop := func(e *cluster.Endpoint) {
 		id := policy.EndpointID(e.Key())
-		servers = append(servers, h1client.Server{ID: id, Gone: true})
+		servers = append(servers, h1client.Endpoint{ID: id, Removed: true})
 		entries = append(entries, policy.Endpoint{ID: id, State: policy.Removed})
 		leave = append(leave, id)
 	}
@@ -170,7 +170,7 @@
 		put(&d.Draining[i])
 	}
 	t.sent.update(servers)
-	t.pool.Update(false, servers)
+	t.pool.UpdateEndpoints(false, servers)
 	t.cluster.UpdateEndpointsAt(told, policy.DeltaUpdate, entries)
 	open.drain(told, leave) // after the engine: see hold
 }
--- a/internal/downstream/extproc/carry.go
+++ b/internal/downstream/extproc/carry.go
@@ -28,7 +28,7 @@
 	x.s.Stats.Carried.Add(1)
 	out := &h1client.Request{
 		Method: x.req.Method, Target: x.req.RequestURI, Host: x.req.Host, Limits: x.to.Streams,
-		Trailers: x.req.Header.Get("Te") == "trailers", Header: h1client.EndToEnd(x.req.Header.Clone()),
+		AcceptsTrailers: x.req.Header.Get("Te") == "trailers", Header: h1client.EndToEndHeader(x.req.Header.Clone()),
 	}
 	if x.to.Request != nil {
 		x.to.Request.Apply(out.Header)
@@ -180,7 +180,7 @@
 			}
 		}
 	}()
-	out.Upload.Settle(h1client.UploadPause)
+	out.Upload.AwaitBufferFor(h1client.UploadBufferTimeout)
 	return func() {
 		out.Upload.Close()
 		from.Close()
--- a/internal/downstream/extproc/pick.go
+++ b/internal/downstream/extproc/pick.go
@@ -418,7 +418,7 @@
 	case details == "no_healthy_upstream", details == "cluster_not_found", details == "maintenance_mode", strings.HasSuffix(details, "overflow"):
 		return policy.ConnectFailed
 	case code >= 500:
-		return h1client.NotServed(&http.Response{StatusCode: code, Header: h})
+		return h1client.FailureStatus(&http.Response{StatusCode: code, Header: h})
 	}
 	return policy.OK
 }
--- a/internal/downstream/h1server/clientconns_test.go
+++ b/internal/downstream/h1server/clientconns_test.go
@@ -199,7 +199,7 @@
 			io.WriteString(crossing, "GET /read")
 			io.WriteString(late, "GET /read")
 			for _, c := range []*clientConn{crossed, spoken} { // until it is here
-				testutil.Until(t, "the bytes", func() bool { return !h1client.Quiet(c.Conn) })
+				testutil.Until(t, "the bytes", func() bool { return !h1client.NothingToRead(c.Conn) })
 			}
 			conns.mu.Lock()
 			empty(conns)
--- a/internal/downstream/h1server/handler.go
+++ b/internal/downstream/h1server/handler.go
@@ -168,7 +168,7 @@
 		patient := e.r.Header.Get("Expect") != ""
 		e.ctx, e.endUpload = runUpload(e.ctx, e.control, e.payload.Upload, patient, nil)
 		if !patient {
-			e.payload.Upload.Settle(h1client.UploadPause)
+			e.payload.Upload.AwaitBufferFor(h1client.UploadBufferTimeout)
 		}
 	}
 	return nil
@@ -200,7 +200,7 @@
 	if err != nil {
 		e.endUpload() // after that its error is known
 	}
-	uploadErr := upload.Failed()
+	uploadErr := upload.Err()
 	// net/http takes a passed read deadline for a disconnect; such a client is still connected.
 	connected := e.r.Context().Err() == nil || errors.Is(uploadErr, os.ErrDeadlineExceeded)
 	if connected && uploadErr != nil && (err != nil || answer.Verdict != engine.Served) {
@@ -208,7 +208,7 @@
 		reject(e.w, e.r, uploadError(uploadErr))
 		return true
 	}
-	if !upload.Done() && e.r.ProtoMajor == 1 {
+	if !upload.ReadToEnd() && e.r.ProtoMajor == 1 {
 		e.w.Header().Set("Connection", "close")
 	}
 	return false
@@ -263,7 +263,7 @@
 // response.
 func (e *exchange) discardUpload(a engine.Answer) {
 	upload := e.payload.Upload
-	if upload == nil || !e.server.options.Strict || upload.Done() || isStream(a) {
+	if upload == nil || !e.server.options.Strict || upload.ReadToEnd() || isStream(a) {
 		return
 	}
 	if e.control.Flush() == nil {
--- a/internal/downstream/h1server/lateconnect_test.go
+++ b/internal/downstream/h1server/lateconnect_test.go
@@ -39,8 +39,8 @@
 			set := policy.Defaults()
 			set.Limits.AllowCancel = true
 			set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-			pool := h1client.New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: 2 * testutil.Patience, MaxOpen: 4})
-			pool.Update(true, []h1client.Server{{ID: 1, Address: l.Addr().String()}})
+			pool := h1client.New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: 2 * testutil.Patience, MaxConnections: 4})
+			pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: l.Addr().String()}})
 			clock := engine.NewClock()
 			cluster, err := engine.New(t.Context(), set, pool, engine.Options{Seed: 1, Clock: clock})
 			if err != nil {
@@ -55,10 +55,10 @@
 				t.Fatal(err)
 			}
 			fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-			testutil.Until(t, "a connection to be opened", func() bool { return pool.Open() == 1 })
+			testutil.Until(t, "a connection to be opened", func() bool { return pool.OpenConnections() == 1 })
 			io.WriteString(nc, more)
 			nc.Close()
-			testutil.Until(t, "it to be given up", func() bool { return pool.Open() == 0 })
+			testutil.Until(t, "it to be given up", func() bool { return pool.OpenConnections() == 0 })
 			testutil.Until(t, "the client's to be over", func() bool { return f.Connections() == 0 })
 			late, err := l.Accept()
 			if err != nil {
--- a/internal/downstream/h1server/platformbody.go
+++ b/internal/downstream/h1server/platformbody.go
@@ -35,7 +35,7 @@
 		stallTimeout: platformUploadStall, minRate: minPlatformUploadRate, gracePeriod: platformUploadGrace,
 	}
 	s.reservePlatformBuffer(r, to)
-	if r.ContentLength >= 0 && r.ContentLength <= to.Held {
+	if r.ContentLength >= 0 && r.ContentLength <= to.ReservedBytes {
 		body, err := readKnownLength(from, r.ContentLength)
 		if err != nil {
 			s.releaseBuffer(to)
@@ -44,7 +44,7 @@
 		to.Body = body
 		return nil
 	}
-	to.Upload, to.Length = h1client.NewUpload(from, int(to.Held)), r.ContentLength
+	to.Upload, to.Length = h1client.NewUpload(from, int(to.ReservedBytes)), r.ContentLength
 	return nil
 }
 
@@ -58,7 +58,7 @@
 		s.bufferedBytes.Add(-size)
 		size = max(size/bufferShrinkFactor, minBodyBuffer)
 	}
-	to.Held = size
+	to.ReservedBytes = size
 }
 
 // readKnownLength reads a body of a known length. Its memory grows with what arrives: announcing a length costs a
@@ -104,12 +104,12 @@
 		onComplete = func() { cluster.BodyComplete(request, s.options.Clock.Now()+request.UploadTimeout) }
 	}
 	ctx, stop = runUpload(r.Context(), control, upload, false, onComplete)
-	upload.SettleWhole()
-	if err := upload.Failed(); err != nil {
+	upload.AwaitBuffer()
+	if err := upload.Err(); err != nil {
 		stop()
 		return nil, nil, uploadError(err)
 	}
-	if body, complete := upload.Whole(); complete {
+	if body, complete := upload.Complete(); complete {
 		stop() // onComplete is called before the request begins
 		payload.Upload, payload.Body = nil, body
 		return r.Context(), func() {}, nil
--- a/internal/downstream/h1server/platformbody_test.go
+++ b/internal/downstream/h1server/platformbody_test.go
@@ -28,8 +28,8 @@
 			t.Fatal(err)
 		}
 		held = append(held, to)
-		if most := int64(part + len(held)*minBodyBuffer); f.bufferedBytes.Load() > most || to.Held < minBodyBuffer {
-			t.Fatalf("%d bodies hold %d bytes, %d at most; the last one %d", len(held), f.bufferedBytes.Load(), most, to.Held)
+		if most := int64(part + len(held)*minBodyBuffer); f.bufferedBytes.Load() > most || to.ReservedBytes < minBodyBuffer {
+			t.Fatalf("%d bodies hold %d bytes, %d at most; the last one %d", len(held), f.bufferedBytes.Load(), most, to.ReservedBytes)
 		}
 	}
 	for _, to := range held {
--- a/internal/downstream/h1server/readahead.go
+++ b/internal/downstream/h1server/readahead.go
@@ -132,7 +132,7 @@
 func (c *clientConn) stopReadingIfIdle() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	if c.unreported || len(c.readAhead) > 0 || !h1client.Quiet(c.Conn) {
+	if c.unreported || len(c.readAhead) > 0 || !h1client.NothingToRead(c.Conn) {
 		return false
 	}
 	c.readingEnded = true
--- a/internal/downstream/h1server/request.go
+++ b/internal/downstream/h1server/request.go
@@ -105,8 +105,8 @@
 	if !s.options.Strict && r.ProtoMajor == 1 && r.Method == http.MethodGet && requestsUpgrade(header) {
 		out.Upgrade = ingress.One(header["Upgrade"])
 	}
-	out.Trailers = strings.EqualFold(ingress.One(header["Te"]), "trailers")
-	out.Header = h1client.EndToEnd(header) // which net/http does not read again
+	out.AcceptsTrailers = strings.EqualFold(ingress.One(header["Te"]), "trailers")
+	out.Header = h1client.EndToEndHeader(header) // which net/http does not read again
 	if to.Request != nil {
 		to.Request.Apply(out.Header)
 	}
--- a/internal/downstream/h1server/requestbody.go
+++ b/internal/downstream/h1server/requestbody.go
@@ -37,8 +37,8 @@
 		return nil
 	}
 	from := &pacedReader{from: s.limitedBody(r), control: control, stallTimeout: s.options.StallTimeout}
-	to.Upload, to.Length = h1client.NewUpload(from, int(to.Held)), r.ContentLength
-	if to.Announced = trailers; len(trailers) > 0 {
+	to.Upload, to.Length = h1client.NewUpload(from, int(to.ReservedBytes)), r.ContentLength
+	if to.TrailerNames = trailers; len(trailers) > 0 {
 		to.Upload.Trailer = func() http.Header { return receivedTrailers(r, trailers) }
 	}
 	return nil
@@ -47,22 +47,22 @@
 // reserveBuffer reserves memory for a body: all of it for a short one, otherwise the part of an upload that can be sent
 // again. It returns false where the memory is used up and only minBodyBuffer is reserved.
 func (s *Server) reserveBuffer(r *http.Request, to *h1client.Request, short bool) bool {
-	to.Held = int64(h1client.MaxBody)
+	to.ReservedBytes = int64(h1client.MaxBody)
 	if short {
-		to.Held = r.ContentLength
+		to.ReservedBytes = r.ContentLength
 	}
-	if s.bufferedBytes.Add(to.Held) <= s.options.BodyMemory {
+	if s.bufferedBytes.Add(to.ReservedBytes) <= s.options.BodyMemory {
 		return true
 	}
-	s.bufferedBytes.Add(minBodyBuffer - to.Held)
-	to.Held = minBodyBuffer
+	s.bufferedBytes.Add(minBodyBuffer - to.ReservedBytes)
+	to.ReservedBytes = minBodyBuffer
 	return false
 }
 
 // releaseBuffer releases the memory that is reserved for a request's body.
 func (s *Server) releaseBuffer(r *h1client.Request) {
-	s.bufferedBytes.Add(-r.Held)
-	r.Held = 0
+	s.bufferedBytes.Add(-r.ReservedBytes)
+	r.ReservedBytes = 0
 }
 
 // limitedBody returns a request's body, which fails beyond Options.MaxBodyBytes.
--- a/internal/downstream/h1server/upload.go
+++ b/internal/downstream/h1server/upload.go
@@ -60,15 +60,15 @@
 		defer close(finished)
 		u.Run(patient)
 		switch {
-		case u.Failed() != nil:
+		case u.Err() != nil:
 			cancel()
-		case u.Done() && onComplete != nil:
+		case u.ReadToEnd() && onComplete != nil:
 			onComplete()
 		}
 	}()
 	return ctx, sync.OnceFunc(func() {
 		u.Close()
-		if !u.Done() {
+		if !u.ReadToEnd() {
 			control.SetReadDeadline(time.Unix(1, 0)) // ends a Read that waits for the client
 		}
 		<-finished
--- a/internal/downstream/h2server/storm_test.go
+++ b/internal/downstream/h2server/storm_test.go
@@ -136,8 +136,8 @@
 	set := policy.Defaults()
 	set.Limits.AllowCancel = true
 	set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-	pool := h1client.New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 16})
-	pool.Update(true, []h1client.Server{{ID: 1, Address: b.Addr()}})
+	pool := h1client.New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 16})
+	pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: b.Addr()}})
 	clock := engine.NewClock()
 	ctx, stop := context.WithCancel(context.Background())
 	cluster, err := engine.New(ctx, set, pool, engine.Options{Seed: 1, Clock: clock})
@@ -147,7 +147,7 @@
 	t.Cleanup(func() {
 		stop()
 		<-cluster.Ended()
-		pool.Update(true, nil)
+		pool.UpdateEndpoints(true, nil)
 	})
 	cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
 	to := &routes{Cluster: cluster}
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -45,8 +45,8 @@
 	c := &components{clock: engine.NewClock()}
 	c.endpoints = newEndpointWatcher(n.cfg, c.clock, n.discoveryMoved, n.log)
 	c.pool = h1client.New(h1client.Options{
-		ServersIdle: n.cfg.ConnIdle, ConnectTimeout: n.cfg.ConnectTimeout, MaxOpen: upstream, Large: true,
-		Settle: unsolicitedResponsePeriod, Nodes: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
+		EndpointIdleTimeout: n.cfg.ConnIdle, ConnectTimeout: n.cfg.ConnectTimeout, MaxConnections: upstream, StreamLargeBodies: true,
+		ReuseDelay: unsolicitedResponsePeriod, NodeCount: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
 	})
 	c.cluster, err = engine.New(background, n.cfg.Policy, c.pool, engine.Options{
 		Seed: n.cfg.Seed, Clock: c.clock, RequestPoll: c.endpoints.requestPoll,
@@ -76,6 +76,6 @@
 }
 
 // Servers implements endpointSink.
-func (s clusterSink) Servers(full bool, list []h1client.Server) { s.pool.Update(full, list) }
+func (s clusterSink) Servers(full bool, list []h1client.Endpoint) { s.pool.UpdateEndpoints(full, list) }
 
 var _ endpointSink = clusterSink{}
--- a/internal/node/endpointupdates.go
+++ b/internal/node/endpointupdates.go
@@ -15,7 +15,7 @@
 // endpointSink receives the endpoint list.
 type endpointSink interface {
 	// Servers gives the upstream clients the addresses: of all endpoints, or of the changed ones.
-	Servers(full bool, servers []h1client.Server)
+	Servers(full bool, servers []h1client.Endpoint)
 	// UpdateEndpoints gives the policy the endpoints, or reports a failed poll to it. It is false if the policy no
 	// longer runs.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool
@@ -104,7 +104,7 @@
 // publish passes instances on to sink, with the administrative state laid over them. mu is locked.
 func (w *endpointWatcher) publish(kind policy.UpdateKind, instances []discovery.Instance) {
 	instances = w.admin.Overlay(instances)
-	servers := make([]h1client.Server, 0, len(instances))
+	servers := make([]h1client.Endpoint, 0, len(instances))
 	endpoints := make([]policy.Endpoint, 0, len(instances))
 	for i := range instances {
 		servers = append(servers, upstreamServer(&instances[i]))
@@ -120,12 +120,12 @@
 }
 
 // upstreamServer returns an instance as the upstream clients see it.
-func upstreamServer(instance *discovery.Instance) h1client.Server {
-	return h1client.Server{
-		ID:      instance.ID(),
-		Address: instance.HostPort,
-		Start:   instance.StartedAtMs,
-		Gone:    instance.State() == policy.Removed,
+func upstreamServer(instance *discovery.Instance) h1client.Endpoint {
+	return h1client.Endpoint{
+		ID:          instance.ID(),
+		Address:     instance.HostPort,
+		Incarnation: instance.StartedAtMs,
+		Removed:     instance.State() == policy.Removed,
 	}
 }
 
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -172,7 +172,7 @@
 
 // openDescriptors returns how many descriptors this process has open, or may open by itself.
 func (r *restartCoordinator) openDescriptors() int {
-	return r.components.front.Connections() + r.components.pool.Open() + ownDescriptors + adminapi.MaxDescriptors
+	return r.components.front.Connections() + r.components.pool.OpenConnections() + ownDescriptors + adminapi.MaxDescriptors
 }
 
 // applyDescriptorLimit applies a limit of this process's descriptors, unless it is a small increase
@@ -198,6 +198,6 @@
 	if err != nil {
 		return
 	}
-	r.components.pool.Limit(r.cfg.ConnectTimeout, upstream)
+	r.components.pool.SetLimits(r.cfg.ConnectTimeout, upstream)
 	r.components.front.SetConnectionLimits(clients)
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -149,4 +149,4 @@
 }
 
 // nothingCame reports whether a client has no response yet.
-func nothingCame(nc net.Conn) bool { return h1client.Quiet(nc) }
+func nothingCame(nc net.Conn) bool { return h1client.NothingToRead(nc) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -110,7 +110,7 @@
 	if c.restart != nil {
 		tasks.Go(func() { c.restart.run(background) })
 	}
-	go c.pool.Retire(background)
+	go c.pool.EvictIdle(background)
 }
 
 // followEndpoints starts to follow the endpoint list, from what a predecessor passed on or else from
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -168,7 +168,7 @@
 	drainedAt time.Time // when it was given the drain
 }
 
-func (p *pollingPolicy) Servers(bool, []h1client.Server) {}
+func (p *pollingPolicy) Servers(bool, []h1client.Endpoint) {}
 
 func (p *pollingPolicy) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool {
 	p.mu.Lock()
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -26,7 +26,7 @@
 	return ingress.Destination{
 		Cluster: r.cluster, Class: index, Effect: class.Idempotency, Deadline: class.Deadline,
 		Tenants: r.cfg.Tenants, MaxRetryAfter: r.cfg.Policy.Limits.MaxRetryAfter,
-		Streams: h1client.StreamLimits{Stall: streamStallTimeout},
+		Streams: h1client.StreamLimits{StallTimeout: streamStallTimeout},
 	}, nil
 }
 
--- a/internal/upstream/h1client/answer.go
+++ b/internal/upstream/h1client/answer.go
@@ -22,7 +22,7 @@
 		if resp.StatusCode == http.StatusSwitchingProtocols && o.Upgrade != "" && strings.EqualFold(resp.Header.Get("Upgrade"), o.Upgrade) {
 			c.limit(false)
 			return engine.Result{Status: policy.OK, Answer: &Answer{
-				Status: resp.StatusCode, Header: EndToEnd(resp.Header), Upgrade: o.Upgrade, Tunnel: &tunnel{pool: u, conn: c},
+				Status: resp.StatusCode, Header: EndToEndHeader(resp.Header), Upgrade: o.Upgrade, Tunnel: &tunnel{pool: u, conn: c},
 			}}, false
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols || n == maxInterim {
@@ -39,7 +39,7 @@
 		if u.anyAnswer || u.large && resp.StatusCode == http.StatusOK {
 			return u.streaming(c, o, resp, nil, nil, up), false
 		}
-		return engine.Result{Status: NotServed(resp)}, false
+		return engine.Result{Status: FailureStatus(resp)}, false
 	}
 	// The body is never closed, which would read it to its end; the connection is,
 	// unless the body was read.
@@ -87,13 +87,13 @@
 	c.limit(false)
 	keep := !resp.Close && c.reader.Buffered() == 0 // more than the answer: out of step
 	if resp.StatusCode != http.StatusOK && !u.anyAnswer {
-		return engine.Result{Status: NotServed(resp)}, keep
+		return engine.Result{Status: FailureStatus(resp)}, keep
 	}
 	out := engine.Result{Status: policy.OK, Answer: &Answer{
-		Status: resp.StatusCode, Header: EndToEnd(resp.Header), Body: body, Length: resp.ContentLength, Trailer: resp.Trailer,
+		Status: resp.StatusCode, Header: EndToEndHeader(resp.Header), Body: body, Length: resp.ContentLength, Trailer: resp.Trailer,
 	}}
 	if resp.StatusCode >= 500 {
-		out.Status = NotServed(resp)
+		out.Status = FailureStatus(resp)
 	}
 	return out, keep
 }
@@ -114,7 +114,7 @@
 func (m moving) Read(p []byte) (int, error) {
 	m.conn.budget = maxAnswer // bounds what one look may read, not the whole
 	if m.conn.reader.Buffered() == 0 {
-		m.conn.SetReadDeadline(time.Now().Add(AnswerSpan))
+		m.conn.SetReadDeadline(time.Now().Add(AnswerTransferTimeout))
 		m.conn.limited = true
 	}
 	return m.Reader.Read(p)
@@ -138,8 +138,8 @@
 	return false
 }
 
-// NotServed tells what an answer that does not serve its request says of the attempt.
-func NotServed(resp *http.Response) policy.Status {
+// FailureStatus tells what an answer that does not serve its request says of the attempt.
+func FailureStatus(resp *http.Response) policy.Status {
 	if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Processed") == "1" {
 		return policy.Rejected
@@ -168,7 +168,7 @@
 func (c *conn) limit(on bool) {
 	switch {
 	case on && !c.limited:
-		c.SetReadDeadline(time.Now().Add(AnswerSpan))
+		c.SetReadDeadline(time.Now().Add(AnswerTransferTimeout))
 	case !on && c.limited:
 		c.SetReadDeadline(time.Time{})
 	}
@@ -202,7 +202,7 @@
 			c.saidClose = saysClose(here[:end])
 			break
 		}
-		c.SetReadDeadline(time.Now().Add(AnswerSpan)) // a head may come in pieces, so long as it moves
+		c.SetReadDeadline(time.Now().Add(AnswerTransferTimeout)) // a head may come in pieces, so long as it moves
 		c.limited = true
 		if _, err := c.reader.Peek(len(here) + 1); err != nil { // also of a head that is longer than the buffer
 			c.saidClose = false
--- a/internal/upstream/h1client/pool.go
+++ b/internal/upstream/h1client/pool.go
@@ -26,11 +26,11 @@
 	MaxBody    = 64 << 10
 	maxAnswer  = MaxBody + 64<<10 // of a server's answer with head and framing
 	maxInterim = 8                // 1xx answers ahead of the real one
-	// AnswerSpan is the longest time from an answer's first byte to its last.
-	AnswerSpan = 150 * time.Millisecond
-	// IdlePart is the part of the servers' idle time after which a connection is retired.
-	IdlePart    = 0.6
-	keepMessage = 4 << 10 // bytes of a sent request's buffer that an idle connection keeps
+	// AnswerTransferTimeout is the longest time from an answer's first byte to its last.
+	AnswerTransferTimeout = 150 * time.Millisecond
+	// IdleTimeoutFraction is the part of the servers' idle time after which a connection is retired.
+	IdleTimeoutFraction = 0.6
+	keepMessage         = 4 << 10 // bytes of a sent request's buffer that an idle connection keeps
 )
 
 // settleTime is kept from an answer to the next request on its connection. With
@@ -39,7 +39,7 @@
 const settleTime = time.Millisecond
 
 // patientFrom is what the last exchange of a connection took at the least for its settling to be
-// waited for; patientParts the same in settling times, where Options.Settle gives a longer one.
+// waited for; patientParts the same in settling times, where Options.ReuseDelay gives a longer one.
 const (
 	patientFrom  = 10 * settleTime
 	patientParts = 2
@@ -48,14 +48,14 @@
 // StreamLimits are how long bodies that are passed on while they come may take, and connections
 // that were upgraded last. What is 0 is not limited, but for Stall.
 type StreamLimits struct {
-	Stall time.Duration // a server may leave one with nothing to read, or unread, for so long; 0: StreamStall
-	Whole time.Duration // from the answer's head
-	Drain time.Duration // from word that the server drains or is gone
+	StallTimeout time.Duration // a server may leave one with nothing to read, or unread, for so long; 0: StreamStall
+	MaxDuration  time.Duration // from the answer's head
+	DrainTimeout time.Duration // from word that the server drains or is gone
 }
 
 // Answer is a server's answer, read to its end.
 type Answer struct {
-	Status int         // 200 alone, but for Options.AnyAnswer
+	Status int         // 200 alone, but for Options.AnyStatus
 	Header http.Header // end-to-end ones
 	Body   []byte
 	// Length is what the answer to a HEAD says of its body (RFC 9110, 9.3.2), or how long
@@ -82,33 +82,33 @@
 	return nil
 }
 
-// Server is where a server listens, under one start of it.
-type Server struct {
-	ID      policy.EndpointID
-	Address string  // host:port
-	Start   float64 // anything that changes when the server starts anew
-	Gone    bool
+// Endpoint is where a server listens, under one start of it.
+type Endpoint struct {
+	ID          policy.EndpointID
+	Address     string  // host:port
+	Incarnation float64 // anything that changes when the server starts anew
+	Removed     bool
 }
 
 // Options are the figures of a Pool.
 type Options struct {
-	ServersIdle    time.Duration // servers close a connection that was idle for so long
-	ConnectTimeout time.Duration
-	MaxOpen        int // connections to all servers, those being opened included
-	// Settle is kept from an answer to the next request on its connection; 0: a millisecond. What
+	EndpointIdleTimeout time.Duration // servers close a connection that was idle for so long
+	ConnectTimeout      time.Duration
+	MaxConnections      int // connections to all servers, those being opened included
+	// ReuseDelay is kept from an answer to the next request on its connection; 0: a millisecond. What
 	// comes behind an answer belongs to nobody: it must not be taken for the next one's.
-	Settle time.Duration
-	// AnyAnswer takes each answer under 500 for one that was served; else 200 alone. Other
+	ReuseDelay time.Duration
+	// AnyStatus takes each answer under 500 for one that was served; else 200 alone. Other
 	// answers come with their results, for clients with whom nothing better is left, and
 	// a body that is larger than MaxBody, or slow to come, is passed on as a stream.
-	AnyAnswer bool
-	// Nodes share the servers; 0: this one is alone. Prices are the site's.
-	Nodes  int
-	Prices keepalive.Prices
-	// Large passes answers with a body over MaxBody on as streams, also without AnyAnswer; a smaller
+	AnyStatus bool
+	// NodeCount share the servers; 0: this one is alone. Prices are the site's.
+	NodeCount int
+	Prices    keepalive.Prices
+	// StreamLargeBodies passes answers with a body over MaxBody on as streams, also without AnyAnswer; a smaller
 	// one may take long so long as it goes on.
-	Large bool
-	TLS   *tls.Config // to servers; nil: clear text
+	StreamLargeBodies bool
+	TLS               *tls.Config // to servers; nil: clear text
 }
 
 // Pool holds the servers' addresses and the idle connections to them, and is an
@@ -189,19 +189,19 @@
 // New makes a pool with no servers.
 func New(o Options) *Pool {
 	u := &Pool{
-		idleFor: time.Duration(float64(o.ServersIdle) * IdlePart),
-		settle:  settleTime, patient: patientFrom, connectTimeout: o.ConnectTimeout, maxOpen: o.MaxOpen, anyAnswer: o.AnyAnswer, large: o.Large, tls: o.TLS,
-		servers: map[policy.EndpointID]*server{}, nodes: o.Nodes, prices: o.Prices,
-		keep: keepalive.MaxIdle(keepalive.Fleet{Nodes: o.Nodes}), span: time.Duration(float64(o.ServersIdle) * IdlePart), looked: time.Now(),
+		idleFor: time.Duration(float64(o.EndpointIdleTimeout) * IdleTimeoutFraction),
+		settle:  settleTime, patient: patientFrom, connectTimeout: o.ConnectTimeout, maxOpen: o.MaxConnections, anyAnswer: o.AnyStatus, large: o.StreamLargeBodies, tls: o.TLS,
+		servers: map[policy.EndpointID]*server{}, nodes: o.NodeCount, prices: o.Prices,
+		keep: keepalive.MaxIdle(keepalive.Fleet{Nodes: o.NodeCount}), span: time.Duration(float64(o.EndpointIdleTimeout) * IdleTimeoutFraction), looked: time.Now(),
 	}
-	if o.Settle > 0 {
-		u.settle, u.patient = o.Settle, max(patientFrom, patientParts*o.Settle)
+	if o.ReuseDelay > 0 {
+		u.settle, u.patient = o.ReuseDelay, max(patientFrom, patientParts*o.ReuseDelay)
 	}
 	return u
 }
 
-// Limit changes the figures of connections that are opened from now on.
-func (u *Pool) Limit(connectTimeout time.Duration, maxOpen int) {
+// SetLimits changes the figures of connections that are opened from now on.
+func (u *Pool) SetLimits(connectTimeout time.Duration, maxOpen int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.connectTimeout, u.maxOpen = connectTimeout, maxOpen
@@ -211,32 +211,32 @@
 	}
 }
 
-// Open is how many connections there are, those being opened included.
-func (u *Pool) Open() int {
+// OpenConnections is how many connections there are, those being opened included.
+func (u *Pool) OpenConnections() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.open
 }
 
-// Update follows the list of servers; whole if those that it does not name are gone. A
+// UpdateEndpoints follows the list of servers; whole if those that it does not name are gone. A
 // server at a new address or with a new start is another process: connections to the
 // former one are dropped.
-func (u *Pool) Update(whole bool, list []Server) {
+func (u *Pool) UpdateEndpoints(whole bool, list []Endpoint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := map[policy.EndpointID]bool{}
 	for _, in := range list {
 		old := u.servers[in.ID]
-		if in.Gone {
+		if in.Removed {
 			u.drop(in.ID, old)
 			continue
 		}
 		listed[in.ID] = true
-		if old != nil && old.addr == in.Address && old.started == in.Start {
+		if old != nil && old.addr == in.Address && old.started == in.Incarnation {
 			continue
 		}
 		u.drop(in.ID, old)
-		u.servers[in.ID] = &server{addr: in.Address, started: in.Start}
+		u.servers[in.ID] = &server{addr: in.Address, started: in.Incarnation}
 	}
 	if !whole {
 		return
@@ -267,8 +267,8 @@
 	c.Conn.Close()
 }
 
-// Retire closes connections that were idle for too long, until the context ends.
-func (u *Pool) Retire(ctx context.Context) {
+// EvictIdle closes connections that were idle for too long, until the context ends.
+func (u *Pool) EvictIdle(ctx context.Context) {
 	tick := time.NewTicker(max(u.idleFor/8, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
@@ -498,7 +498,7 @@
 	if o.Upload == nil {
 		return u.receive(c, o, nil)
 	}
-	up := c.send(o.Upload, o.chunked(), o.Patience())
+	up := c.send(o.Upload, o.chunked(), o.StallTimeout())
 	res, keep := u.receive(c, o, up)
 	if a, ok := res.Answer.(*Answer); ok && a.Stream != nil {
 		return res, false // goes on beside the answer
@@ -510,9 +510,9 @@
 	return res, keep && whole
 }
 
-// Quiet tells that nothing can be read from a connection that is open: no
+// NothingToRead tells that nothing can be read from a connection that is open: no
 // bytes, no end.
-func Quiet(nc net.Conn) bool {
+func NothingToRead(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false
@@ -539,9 +539,9 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd takes the headers away that don't go on to the other side (RFC 9110, 7.6.1),
+// EndToEndHeader takes the headers away that don't go on to the other side (RFC 9110, 7.6.1),
 // and those that are written anew there. It changes what it is given.
-func EndToEnd(h http.Header) http.Header {
+func EndToEndHeader(h http.Header) http.Header {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
--- a/internal/upstream/h1client/pool_test.go
+++ b/internal/upstream/h1client/pool_test.go
@@ -17,9 +17,9 @@
 )
 
 func poolTo(addr string) (*Pool, policy.EndpointID) {
-	u := New(Options{ServersIdle: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxOpen: 10})
+	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxConnections: 10})
 	u.settle = 0
-	u.Update(true, []Server{{ID: 1, Address: addr}})
+	u.UpdateEndpoints(true, []Endpoint{{ID: 1, Address: addr}})
 	return u, 1
 }
 
@@ -134,8 +134,8 @@
 
 func TestAnyAnswer(t *testing.T) {
 	addr, _ := backend(t, func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no such room", 404) })
-	u := New(Options{ServersIdle: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxOpen: 10, AnyAnswer: true})
-	u.Update(true, []Server{{ID: 1, Address: addr}})
+	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxConnections: 10, AnyStatus: true})
+	u.UpdateEndpoints(true, []Endpoint{{ID: 1, Address: addr}})
 	res := u.Exchange(engine.NewCall(t.Context()), 1, &Request{Method: "GET", Target: "/", Host: "x", Header: http.Header{}}, time.Minute)
 	if a, ok := res.Answer.(*Answer); !ok || res.Status != policy.OK || a.Status != 404 {
 		t.Errorf("result %+v", res)
@@ -174,7 +174,7 @@
 	u.idleFor = 20 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go u.Retire(ctx)
+	go u.EvictIdle(ctx)
 	send(ctx, u, id)
 	testutil.Wait(t, conns, "a connection")
 	testutil.Until(t, "the idle connection to be closed", func() bool {
@@ -195,7 +195,7 @@
 	}
 	u.open = 0
 	other, _ := backend(t, testutil.OK)
-	u.Update(false, []Server{{ID: 2, Address: other}})
+	u.UpdateEndpoints(false, []Endpoint{{ID: 2, Address: other}})
 	for _, to := range []policy.EndpointID{id, 2, id} {
 		if status, _ := send(t.Context(), u, to); status != policy.OK {
 			t.Errorf("status %d although an idle connection could make room", status)
@@ -210,7 +210,7 @@
 	second, gotSecond := backend(t, testutil.OK)
 	u, id := poolTo(first)
 	send(t.Context(), u, id)
-	u.Update(true, []Server{{ID: id, Address: second}})
+	u.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second}})
 	if u.open != 0 {
 		t.Errorf("%d connections to the former address are kept", u.open)
 	}
@@ -218,11 +218,11 @@
 	if len(gotFirst) != 1 || len(gotSecond) != 1 {
 		t.Errorf("%d and %d requests", len(gotFirst), len(gotSecond))
 	}
-	u.Update(true, []Server{{ID: id, Address: second, Start: 5}})
+	u.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second, Incarnation: 5}})
 	if u.open != 0 {
 		t.Errorf("%d connections from before the restart are kept", u.open)
 	}
-	u.Update(false, []Server{{ID: id, Gone: true}})
+	u.UpdateEndpoints(false, []Endpoint{{ID: id, Removed: true}})
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
 		t.Errorf("status %d for one that is gone", status)
 	}
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	nc.Close()
-	testutil.Until(t, "the close to be seen", func() bool { return !Quiet(conn.Conn) })
+	testutil.Until(t, "the close to be seen", func() bool { return !NothingToRead(conn.Conn) })
 	conn.server.idle = append(conn.server.idle, conn) // for the next send, though never used
 	conn.since = time.Now()
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
@@ -319,12 +319,12 @@
 	for _, c := range []struct {
 		nodes, want int
 	}{{1, 32}, {80, 1}, {2, 32}, {10, 12}} {
-		u := New(Options{ServersIdle: 15 * time.Second, MaxOpen: 1000, Nodes: c.nodes})
-		var list []Server
+		u := New(Options{EndpointIdleTimeout: 15 * time.Second, MaxConnections: 1000, NodeCount: c.nodes})
+		var list []Endpoint
 		for id := range policy.EndpointID(20) {
-			list = append(list, Server{ID: id, Address: "127.0.0.1:1"})
+			list = append(list, Endpoint{ID: id, Address: "127.0.0.1:1"})
 		}
-		u.Update(true, list)
+		u.UpdateEndpoints(true, list)
 		u.mu.Lock()
 		for _, s := range u.servers { // this node uses all of them
 			s.used = true
@@ -340,8 +340,8 @@
 			u.mu.Unlock()
 			u.put(newConn(near, s), true)
 		}
-		if len(s.idle) != c.want || u.Open() != c.want {
-			t.Errorf("%d nodes: %d are kept, %d counted, want %d", c.nodes, len(s.idle), u.Open(), c.want)
+		if len(s.idle) != c.want || u.OpenConnections() != c.want {
+			t.Errorf("%d nodes: %d are kept, %d counted, want %d", c.nodes, len(s.idle), u.OpenConnections(), c.want)
 		}
 	}
 }
@@ -360,12 +360,12 @@
 		t.Fatal(err)
 	}
 	defer first.Close()
-	u := New(Options{ServersIdle: 15 * time.Second, ConnectTimeout: 50 * time.Millisecond, MaxOpen: 10})
-	u.Update(true, []Server{{ID: 1, Address: l.Addr().String()}})
+	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 50 * time.Millisecond, MaxConnections: 10})
+	u.UpdateEndpoints(true, []Endpoint{{ID: 1, Address: l.Addr().String()}})
 	if status, _ := send(t.Context(), u, 1); status != policy.ConnectFailed {
 		t.Errorf("status %d: it has surely not run", status)
 	}
-	if n := u.Open(); n != 0 {
+	if n := u.OpenConnections(); n != 0 {
 		t.Errorf("%d connections are counted", n)
 	}
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(1500 * time.Millisecond)) // the next SYN would come after a second
--- a/internal/upstream/h1client/request.go
+++ b/internal/upstream/h1client/request.go
@@ -17,29 +17,29 @@
 	Header http.Header // end-to-end ones, with names and values as net/http lets them in
 	Body   []byte
 	// Upload is the body where it is not at hand; nil: Body is all of it.
-	Upload *Upload
-	Length int64 // of Upload in bytes; -1: not known
-	Held   int64 // bytes that are reserved for the body in the front's memory
+	Upload        *Upload
+	Length        int64 // of Upload in bytes; -1: not known
+	ReservedBytes int64 // bytes that are reserved for the body in the front's memory
 	// Upgrade is the protocol that the client wants to go on with (RFC 9110, 7.8); "": none.
 	Upgrade string
-	// Announced names the fields behind the body that the client has announced, sorted; nil: none.
-	Announced []string
-	Limits    StreamLimits
-	// Trailers says that the client takes fields behind the answer's body (RFC 9110, 10.1.4).
-	Trailers bool
+	// TrailerNames names the fields behind the body that the client has announced, sorted; nil: none.
+	TrailerNames []string
+	Limits       StreamLimits
+	// AcceptsTrailers says that the client takes fields behind the answer's body (RFC 9110, 10.1.4).
+	AcceptsTrailers bool
 }
 
-// Patience is Limits.Stall, or what stands for it.
-func (o *Request) Patience() time.Duration {
-	if o.Limits.Stall > 0 {
-		return o.Limits.Stall
+// StallTimeout is Limits.Stall, or what stands for it.
+func (o *Request) StallTimeout() time.Duration {
+	if o.Limits.StallTimeout > 0 {
+		return o.Limits.StallTimeout
 	}
-	return StreamStall
+	return DefaultStallTimeout
 }
 
 // chunked tells whether the body goes to a server over HTTP/1.1 in chunks: its length is not
 // known, or fields follow it (RFC 9112, 7.1.2).
-func (o *Request) chunked() bool { return o.Length < 0 || len(o.Announced) > 0 }
+func (o *Request) chunked() bool { return o.Length < 0 || len(o.TrailerNames) > 0 }
 
 var _ engine.StreamingPayload = (*Request)(nil)
 
@@ -75,9 +75,9 @@
 	b = append(b, "\r\nX-Timeout-Ms: "...)
 	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 	if o.Upload != nil && o.chunked() {
-		if len(o.Announced) > 0 {
+		if len(o.TrailerNames) > 0 {
 			b = append(b, "\r\nTrailer: "...)
-			b = append(b, strings.Join(o.Announced, ", ")...)
+			b = append(b, strings.Join(o.TrailerNames, ", ")...)
 		}
 		return append(b, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)
 	} else if o.Upload != nil {
--- a/internal/upstream/h1client/stream.go
+++ b/internal/upstream/h1client/stream.go
@@ -12,11 +12,11 @@
 	"yokestall/policy"
 )
 
-// StreamStall is how long a server may leave a stream with nothing to read, unless the
+// DefaultStallTimeout is how long a server may leave a stream with nothing to read, unless the
 // request's class says otherwise. An event stream
 // that has nothing to say for longer sends a comment, as HTML's server-sent events advise
 // every 15 seconds or so.
-const StreamStall = time.Minute
+const DefaultStallTimeout = time.Minute
 
 // Stream is the body of an answer that is passed on while it comes. Whoever has it closes
 // it, once, at whatever time; what carries it is held until then.
@@ -93,12 +93,12 @@
 		return engine.Result{Status: c.broken()}
 	}
 	if resp.StatusCode >= 500 { // not worth a connection: it is what is said where nothing better comes
-		return engine.Result{Status: NotServed(resp), Answer: &Answer{Status: resp.StatusCode, Header: EndToEnd(resp.Header), Length: -1}}
+		return engine.Result{Status: FailureStatus(resp), Answer: &Answer{Status: resp.StatusCode, Header: EndToEndHeader(resp.Header), Length: -1}}
 	}
 	c.limit(false)
 	return engine.Result{Status: policy.OK, Answer: &Answer{
-		Status: resp.StatusCode, Header: EndToEnd(resp.Header), Length: resp.ContentLength,
-		Stream: &stream{pool: u, conn: c, stall: o.Patience(), resp: resp, start: start, body: resp.Body, up: up, keep: !resp.Close,
+		Status: resp.StatusCode, Header: EndToEndHeader(resp.Header), Length: resp.ContentLength,
+		Stream: &stream{pool: u, conn: c, stall: o.StallTimeout(), resp: resp, start: start, body: resp.Body, up: up, keep: !resp.Close,
 			untold: !u.anyAnswer && c.untold(resp)},
 	}}
 }
--- a/internal/upstream/h1client/upload.go
+++ b/internal/upstream/h1client/upload.go
@@ -14,9 +14,9 @@
 	uploadPart = 16 << 10
 	// onlyPassed is how much is held of a body that is only passed on.
 	onlyPassed = 64 << 10
-	// UploadPause is how long a body of no known length is waited for before its request
+	// UploadBufferTimeout is how long a body of no known length is waited for before its request
 	// goes on without its end: long enough for what a client sent at one go.
-	UploadPause = 10 * time.Millisecond
+	UploadBufferTimeout = 10 * time.Millisecond
 )
 
 var (
@@ -108,8 +108,8 @@
 	u.changed.Broadcast()
 }
 
-// Settle waits until the body's end or as much as can be held has come, for so long at most.
-func (u *Upload) Settle(most time.Duration) {
+// AwaitBufferFor waits until the body's end or as much as can be held has come, for so long at most.
+func (u *Upload) AwaitBufferFor(most time.Duration) {
 	over := false // what the timer says, not a clock: looked at a moment too early, it would be waited on for ever
 	late := time.AfterFunc(most, func() {
 		u.mu.Lock()
@@ -125,9 +125,9 @@
 	}
 }
 
-// SettleWhole waits until the body's end or as much as can be held has come, however long that
+// AwaitBuffer waits until the body's end or as much as can be held has come, however long that
 // takes: who reads from the client keeps a pace.
-func (u *Upload) SettleWhole() {
+func (u *Upload) AwaitBuffer() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for u.err == nil && len(u.held) < u.limit {
@@ -135,22 +135,22 @@
 	}
 }
 
-// Whole gives the body if it has come to its end and nothing of it is gone.
-func (u *Upload) Whole() ([]byte, bool) {
+// Complete gives the body if it has come to its end and nothing of it is gone.
+func (u *Upload) Complete() ([]byte, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.held, u.err == io.EOF && u.owner == nil
 }
 
-// Done tells that the client's last byte has come.
-func (u *Upload) Done() bool {
+// ReadToEnd tells that the client's last byte has come.
+func (u *Upload) ReadToEnd() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err == io.EOF
 }
 
-// Failed gives what ended the client's side before the body's end; nil: nothing did.
-func (u *Upload) Failed() error {
+// Err gives what ended the client's side before the body's end; nil: nothing did.
+func (u *Upload) Err() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.err == io.EOF {
--- a/internal/upstream/h1client/upload_test.go
+++ b/internal/upstream/h1client/upload_test.go
@@ -108,7 +108,7 @@
 		all.Go(func() {
 			for range times {
 				u := NewUpload(strings.NewReader(""), 1) // nothing ever comes: Run is not called
-				u.Settle(20 * time.Microsecond)
+				u.AwaitBufferFor(20 * time.Microsecond)
 			}
 		})
 	}
--- a/internal/upstream/h2client/client.go
+++ b/internal/upstream/h2client/client.go
@@ -76,7 +76,7 @@
 	return firstStreams
 }
 
-// New makes a pool with no servers. Options.AnyAnswer is taken as set.
+// New makes a pool with no servers. Options.AnyStatus is taken as set.
 func New(o h1client.Options) *Pool {
 	// The window can be set by way of net/http's transport alone, which does nothing else here.
 	transport, err := http2.ConfigureTransports(&http.Transport{
@@ -86,34 +86,34 @@
 		panic(err) // only of a transport that has HTTP/2 already
 	}
 	transport.AllowHTTP, transport.MaxHeaderListSize = true, 64<<10
-	transport.ReadIdleTimeout, transport.PingTimeout, transport.WriteByteTimeout = h2Ping, h2Ping, h1client.StreamStall
+	transport.ReadIdleTimeout, transport.PingTimeout, transport.WriteByteTimeout = h2Ping, h2Ping, h1client.DefaultStallTimeout
 	return &Pool{
-		options: o, servers: map[policy.EndpointID]*h2server{}, maxOpen: o.MaxOpen, timeout: o.ConnectTimeout,
+		options: o, servers: map[policy.EndpointID]*h2server{}, maxOpen: o.MaxConnections, timeout: o.ConnectTimeout,
 		transport: transport,
 	}
 }
 
-// Limit sets what Options said of connections.
-func (u *Pool) Limit(timeout time.Duration, most int) {
+// SetLimits sets what Options said of connections.
+func (u *Pool) SetLimits(timeout time.Duration, most int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.timeout, u.maxOpen = timeout, most
 }
 
-// Update takes news of the servers; whole: of all of them.
-func (u *Pool) Update(whole bool, servers []h1client.Server) {
+// UpdateEndpoints takes news of the servers; whole: of all of them.
+func (u *Pool) UpdateEndpoints(whole bool, servers []h1client.Endpoint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := map[policy.EndpointID]bool{}
 	for _, in := range servers {
 		old := u.servers[in.ID]
-		listed[in.ID] = !in.Gone
-		if !in.Gone && old != nil && old.addr == in.Address && old.started == in.Start {
+		listed[in.ID] = !in.Removed
+		if !in.Removed && old != nil && old.addr == in.Address && old.started == in.Incarnation {
 			continue
 		}
 		u.drop(in.ID)
-		if !in.Gone {
-			u.servers[in.ID] = &h2server{addr: in.Address, started: in.Start}
+		if !in.Removed {
+			u.servers[in.ID] = &h2server{addr: in.Address, started: in.Incarnation}
 		}
 	}
 	for id := range u.servers {
@@ -152,9 +152,9 @@
 	s.conns = kept
 }
 
-// Retire ends connections that were idle for too long, until the context ends.
-func (u *Pool) Retire(ctx context.Context) {
-	tick := time.NewTicker(max(u.options.ServersIdle/8, 10*time.Millisecond))
+// EvictIdle ends connections that were idle for too long, until the context ends.
+func (u *Pool) EvictIdle(ctx context.Context) {
+	tick := time.NewTicker(max(u.options.EndpointIdleTimeout/8, 10*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
@@ -163,7 +163,7 @@
 		case <-tick.C:
 		}
 		u.mu.Lock()
-		before := time.Now().Add(-time.Duration(h1client.IdlePart * float64(u.options.ServersIdle)))
+		before := time.Now().Add(-time.Duration(h1client.IdleTimeoutFraction * float64(u.options.EndpointIdleTimeout)))
 		for _, s := range u.servers {
 			u.sweep(s, before)
 		}
@@ -343,7 +343,7 @@
 	if isGRPC(h) {
 		h["Grpc-Timeout"] = []string{ms + "m"}
 	}
-	if o.Trailers {
+	if o.AcceptsTrailers {
 		h["Te"] = []string{"trailers"}
 	}
 	if len(h["User-Agent"]) == 0 {
@@ -353,9 +353,9 @@
 	switch {
 	case o.Upload != nil:
 		req.Body, req.ContentLength = o.Upload.Reader(), o.Length
-		if len(o.Announced) > 0 {
-			req.Trailer = make(http.Header, len(o.Announced))
-			for _, name := range o.Announced {
+		if len(o.TrailerNames) > 0 {
+			req.Trailer = make(http.Header, len(o.TrailerNames))
+			for _, name := range o.TrailerNames {
 				req.Trailer[name] = nil
 			}
 			req.Body = &trailed{req.Body, o.Upload, req.Trailer}
@@ -388,7 +388,7 @@
 func h2Fault(ctx context.Context, err error, o *h1client.Request) policy.Status {
 	var stream http2.StreamError
 	switch {
-	case ctx.Err() != nil, o.Upload != nil && o.Upload.Failed() != nil:
+	case ctx.Err() != nil, o.Upload != nil && o.Upload.Err() != nil:
 		return policy.Cancelled
 	case errors.As(err, &stream) && stream.Code == http2.ErrCodeRefusedStream:
 		return policy.Rejected
@@ -427,7 +427,7 @@
 	case n <= h1client.MaxBody:
 		a.Body, whole, err = x.short(int(n))
 	}
-	a.Header = h1client.EndToEnd(resp.Header)
+	a.Header = h1client.EndToEndHeader(resp.Header)
 	switch {
 	case err != nil:
 		status := h2Fault(ctx, err, o)
@@ -442,13 +442,13 @@
 		x.Close()
 	default:
 		x.start, a.Body = a.Body, nil
-		x.most = o.Patience()
+		x.most = o.StallTimeout()
 		x.stall = time.AfterFunc(x.most, x.cancel)
 		a.Stream = x
 		return engine.Result{Status: policy.OK, Answer: a}
 	}
 	if resp.StatusCode >= 500 {
-		return engine.Result{Status: h1client.NotServed(resp), Answer: a}
+		return engine.Result{Status: h1client.FailureStatus(resp), Answer: a}
 	}
 	status, final := grpcOutcome(a)
 	return engine.Result{Status: status, Answer: a, Final: final}
@@ -464,7 +464,7 @@
 		if got < n && err != nil {
 			return nil, false, err
 		}
-		if got < n && time.Since(began) > h1client.AnswerSpan {
+		if got < n && time.Since(began) > h1client.AnswerTransferTimeout {
 			return body[:got], false, nil
 		}
 	}
@@ -484,9 +484,9 @@
 func (x *h2stream) settle() (body []byte, whole bool, err error) {
 	x.body = h1client.NewUpload(x.resp.Body, h1client.MaxBody)
 	x.run.Go(func() { x.body.Run(false) })
-	x.body.Settle(h1client.UploadPause)
-	body, whole = x.body.Whole()
-	if err = x.body.Failed(); err != nil || whole {
+	x.body.AwaitBufferFor(h1client.UploadBufferTimeout)
+	body, whole = x.body.Complete()
+	if err = x.body.Err(); err != nil || whole {
 		return body, whole, err
 	}
 	x.reader = x.body.Reader()
--- a/internal/upstream/h2client/client_test.go
+++ b/internal/upstream/h2client/client_test.go
@@ -71,13 +71,13 @@
 		{"a malformed frame", func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Write([]byte{0, 0, 1, 0, 0, 0, 0, 0, 0, 1}) }, policy.Reset},
 	} {
 		addr, _ := scripted(t, 1, tc.at)
-		u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 10})
-		u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
+		u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 10})
+		u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 		q := &h1client.Request{Method: "POST", Target: "/x", Host: "a", Header: http.Header{}, Body: []byte("b")}
 		if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != tc.want {
 			t.Errorf("%s: status %v, want %v", tc.name, res.Status, tc.want)
 		}
-		u.Update(true, nil)
+		u.UpdateEndpoints(true, nil)
 	}
 }
 
@@ -86,8 +86,8 @@
 func TestStreamLimit(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 1, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 100})
-	u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
+	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 100})
+	u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 10)
@@ -109,7 +109,7 @@
 	testutil.Wait(t, held, "another stream")
 	leave()
 	testutil.Wait(t, ended, "its end")
-	u.Update(true, nil)
+	u.UpdateEndpoints(true, nil)
 	testutil.Until(t, "all connections to end", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.open == 0 })
 }
 
@@ -118,8 +118,8 @@
 func TestUnsentKeepsNoPlace(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 2, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 100})
-	u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
+	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 100})
+	u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 1)
@@ -134,7 +134,7 @@
 	}
 	leave()
 	testutil.Wait(t, ended, "the end of the first")
-	u.Update(true, nil)
+	u.UpdateEndpoints(true, nil)
 }
 
 // What gRPC's statuses say of the server, and that its word on retries is heard.
