--- a/internal/upstream/h1client/answer.go
+++ b/internal/upstream/h1client/answer.go
@@ -1,155 +1,185 @@
 package h1client
 
+// Reading an answer: as a whole where it is short and arrives soon, otherwise its body follows as a stream. An answer
+// that is incomplete must never be taken for a complete one.
+
 import (
-	"bytes"
 	"errors"
 	"io"
+	"net"
 	"net/http"
 	"os"
-	"strings"
 	"time"
 
 	"yokestall/internal/engine"
 	"yokestall/policy"
 )
 
-// receive reads the answer.
-func (u *Pool) receive(c *conn, o *Request, up *sending) (engine.Result, bool) {
-	c.budget = maxAnswer
-	req := &http.Request{Method: o.Method} // whether an answer has a body depends on it
-	resp, err := c.answer(req)
-	for n := 0; err == nil && resp.StatusCode/100 == 1; n++ {
-		if resp.StatusCode == http.StatusSwitchingProtocols && o.Upgrade != "" && strings.EqualFold(resp.Header.Get("Upgrade"), o.Upgrade) {
-			c.limit(false)
-			return engine.Result{Status: policy.OK, Answer: &Answer{
-				Status: resp.StatusCode, Header: EndToEndHeader(resp.Header), Upgrade: o.Upgrade, Tunnel: &tunnel{pool: u, conn: c},
-			}}, false
-		}
-		if resp.StatusCode == http.StatusSwitchingProtocols || n == maxInterim {
-			return engine.Result{Status: policy.ErrorResponse}, false
-		}
-		c.limit(false)
-		resp, err = c.answer(req)
+const (
+	// MaxBody is the length up to which an answer's body is read as a whole, in bytes, and the default buffer of an
+	// Upload.
+	MaxBody = 64 << 10
+	// maxAnswerBytes limits an answer with head and framing, or one part of a stream.
+	maxAnswerBytes = MaxBody + 64<<10
+	// AnswerTransferTimeout is the longest time from an answer's first byte to its last.
+	AnswerTransferTimeout = 150 * time.Millisecond
+)
+
+// Answer is an endpoint's answer. Whoever gets it closes it unless its Stream or Tunnel is used.
+type Answer struct {
+	Status int         // 200, unless Options.AnyStatus is set
+	Header http.Header // end-to-end fields
+	Body   []byte
+	// Length is the length in the head of an answer to a HEAD request (RFC 9110, 9.3.2), or of the stream, in bytes;
+	// -1: not known.
+	Length int64
+	Stream Stream // in place of Body; nil: Body is complete
+	// Tunnel is the connection to the endpoint after an upgrade (status 101) to the protocol Upgrade; nil: none.
+	Tunnel  net.Conn
+	Upgrade string
+	// Trailer are the fields behind the body (RFC 9110, 6.5); nil: none. Those of a stream are in Stream.Trailer.
+	Trailer http.Header
+}
+
+// Close closes an answer's stream or tunnel that is not used.
+func (a *Answer) Close() error {
+	switch {
+	case a.Stream != nil:
+		return a.Stream.Close()
+	case a.Tunnel != nil:
+		return a.Tunnel.Close()
 	}
-	if err != nil {
-		return engine.Result{Status: c.broken()}, false
+	return nil
+}
+
+// FailureStatus returns the status of an attempt whose answer does not serve the request.
+func FailureStatus(resp *http.Response) policy.Status {
+	if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
+		resp.Header.Get("X-Not-Processed") == "1" {
+		return policy.Rejected
 	}
-	head := o.Method == http.MethodHead
-	if resp.ContentLength > MaxBody && !head { // not even looked at: it may have gigabytes
-		if u.anyAnswer || u.large && resp.StatusCode == http.StatusOK {
-			return u.streaming(c, o, resp, nil, nil, up), false
+	return policy.ErrorResponse
+}
+
+// readAnswer reads the answer to a request. sender writes the request's upload; nil: there is none. reusable reports
+// whether the connection can serve a further request.
+func (p *Pool) readAnswer(c *conn, r *Request, sender *uploadSender) (result engine.Result, reusable bool) {
+	c.readBudget = maxAnswerBytes
+	resp, err := c.readFinalHead(r)
+	switch {
+	case errors.Is(err, errUnexpectedInterim):
+		return engine.Result{Status: policy.ErrorResponse}, false
+	case err != nil:
+		return engine.Result{Status: c.readFailure()}, false
+	case resp.StatusCode == http.StatusSwitchingProtocols:
+		return engine.Result{Status: policy.OK, Answer: &Answer{
+			Status: resp.StatusCode, Header: EndToEndHeader(resp.Header),
+			Upgrade: r.Upgrade, Tunnel: &tunnel{pool: p, conn: c},
+		}}, false
+	}
+	noBody := r.Method == http.MethodHead // whatever the head says of one
+	if resp.ContentLength > MaxBody && !noBody {
+		if p.anyStatus || p.streamLargeBodies && resp.StatusCode == http.StatusOK {
+			return p.streamAnswer(c, r, resp, nil, sender), false
 		}
 		return engine.Result{Status: FailureStatus(resp)}, false
 	}
-	// The body is never closed, which would read it to its end; the connection is,
-	// unless the body was read.
-	var body []byte
-	switch n := resp.ContentLength; {
-	case head: // no body, whatever the head says of one
-	case n >= 0 && len(resp.TransferEncoding) == 0:
-		if n > int64(c.reader.Buffered()) {
-			c.limit(true)
-		}
-		body = make([]byte, n)
-		var got int
-		if u.large {
-			got, err = io.ReadFull(moving{resp.Body, c}, body)
-		} else {
-			got, err = io.ReadFull(resp.Body, body)
-		}
-		body = body[:got]
-	case u.large:
-		if body, err = io.ReadAll(io.LimitReader(moving{resp.Body, c}, MaxBody+1)); len(body) > MaxBody && resp.StatusCode == http.StatusOK {
-			return u.streaming(c, o, resp, body, nil, up), false
+	body, streams, err := p.readBody(c, resp, noBody)
+	if streams {
+		return p.streamAnswer(c, r, resp, body, sender), false
+	}
+	return p.wholeAnswer(c, resp, body, err, noBody)
+}
+
+// readBody reads a body as far as it is not to follow as a stream: then it returns its beginning, and streams is true.
+// resp.Body is never closed, which would read it to its end; the connection is, unless the body was read.
+func (p *Pool) readBody(c *conn, resp *http.Response, noBody bool) (body []byte, streams bool, err error) {
+	switch length := resp.ContentLength; {
+	case noBody:
+	case length >= 0 && len(resp.TransferEncoding) == 0:
+		body, err = p.readKnownLength(c, resp, length)
+	case p.streamLargeBodies:
+		body, err = io.ReadAll(io.LimitReader(progressReader{resp.Body, c}, MaxBody+1))
+		if len(body) > MaxBody && resp.StatusCode == http.StatusOK {
+			return body, true, nil
 		}
-	case u.anyAnswer:
-		var whole bool
-		if body, whole, err = c.atHand(resp.Body); err == nil && !whole {
-			return u.streaming(c, o, resp, body, nil, up), false
+	case p.anyStatus:
+		var complete bool
+		if body, complete, err = c.readBuffered(resp.Body); err == nil && !complete {
+			return body, true, nil
 		}
 	default:
-		c.limit(true)
+		c.limitTransfer(true)
 		body, err = io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	}
-	if u.anyAnswer && errors.Is(err, os.ErrDeadlineExceeded) { // slow to come, and its length is known
-		return u.streaming(c, o, resp, body, err, up), false
-	}
+	return body, p.anyStatus && errors.Is(err, os.ErrDeadlineExceeded), err
+}
+
+// readKnownLength reads a body of length bytes. With an error it returns what was read.
+func (p *Pool) readKnownLength(c *conn, resp *http.Response, length int64) ([]byte, error) {
+	if length > int64(c.reader.Buffered()) {
+		c.limitTransfer(true)
+	}
+	var from io.Reader = resp.Body
+	if p.streamLargeBodies {
+		from = progressReader{resp.Body, c}
+	}
+	body := make([]byte, length)
+	n, err := io.ReadFull(from, body)
+	return body[:n], err
+}
+
+// wholeAnswer returns the result of an answer whose body was read, or whose reading ended with err.
+func (p *Pool) wholeAnswer(
+	c *conn, resp *http.Response, body []byte, err error, noBody bool,
+) (result engine.Result, reusable bool) {
 	switch {
 	case err != nil:
-		return engine.Result{Status: c.broken()}, false
-	case len(body) > MaxBody && !u.anyAnswer: // by 4 KB at most else
+		return engine.Result{Status: c.readFailure()}, false
+	case len(body) > MaxBody && !p.anyStatus: // with anyStatus by one read of readBuffered at most
 		return engine.Result{Status: policy.ErrorResponse}, false
-	case head, u.anyAnswer && resp.Close && c.ended == io.EOF:
-	case u.large && c.ended == io.EOF && !c.untold(resp):
-	case resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-		return engine.Result{Status: policy.Reset}, false // ends with the connection: nothing tells that it is whole
+	case !noBody && !p.endIsMarked(c, resp):
+		return engine.Result{Status: policy.Reset}, false
 	}
-	c.limit(false)
-	keep := !resp.Close && c.reader.Buffered() == 0 // more than the answer: out of step
-	if resp.StatusCode != http.StatusOK && !u.anyAnswer {
-		return engine.Result{Status: FailureStatus(resp)}, keep
+	c.limitTransfer(false)
+	reusable = !resp.Close && c.reader.Buffered() == 0 // no bytes behind the answer
+	if resp.StatusCode != http.StatusOK && !p.anyStatus {
+		return engine.Result{Status: FailureStatus(resp)}, reusable
 	}
-	out := engine.Result{Status: policy.OK, Answer: &Answer{
-		Status: resp.StatusCode, Header: EndToEndHeader(resp.Header), Body: body, Length: resp.ContentLength, Trailer: resp.Trailer,
+	result = engine.Result{Status: policy.OK, Answer: &Answer{
+		Status: resp.StatusCode, Header: EndToEndHeader(resp.Header),
+		Body: body, Length: resp.ContentLength, Trailer: resp.Trailer,
 	}}
 	if resp.StatusCode >= 500 {
-		out.Status = FailureStatus(resp)
+		result.Status = FailureStatus(resp)
 	}
-	return out, keep
+	return result, reusable
 }
 
-// untold tells of an answer over HTTP/1.1 with neither a length nor chunks that does not say either that it
-// ends with its connection (RFC 9112, 6.3): its length may have been lost on the way, and its end too.
-func (c *conn) untold(resp *http.Response) bool {
-	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !c.saidClose && resp.ProtoAtLeast(1, 1)
-}
-
-// moving reads a body whose every part has to come within AnswerSpan, however long the whole takes.
-type moving struct {
-	io.Reader
-	conn *conn
-}
-
-// Read implements io.Reader.
-func (m moving) Read(p []byte) (int, error) {
-	m.conn.budget = maxAnswer // bounds what one look may read, not the whole
-	if m.conn.reader.Buffered() == 0 {
-		m.conn.SetReadDeadline(time.Now().Add(AnswerTransferTimeout))
-		m.conn.limited = true
-	}
-	return m.Reader.Read(p)
-}
-
-// saysClose tells whether a server says that the connection ends with its answer (RFC 9112, 9.6),
-// by the raw head: net/http takes the field away, and an answer whose length was lost on its way
-// looks the same to it.
-func saysClose(head []byte) bool {
-	for line := range bytes.SplitSeq(head, []byte("\n")) {
-		name, value, _ := bytes.Cut(line, []byte(":"))
-		if !bytes.EqualFold(bytes.TrimSpace(name), []byte("Connection")) {
-			continue
-		}
-		for token := range bytes.SplitSeq(value, []byte(",")) {
-			if bytes.EqualFold(bytes.TrimSpace(token), []byte("close")) {
-				return true
-			}
-		}
+// endIsMarked reports whether the body that was read is known to be complete: by its length or chunks, or because its
+// head says that it ends with the connection.
+func (p *Pool) endIsMarked(c *conn, resp *http.Response) bool {
+	switch {
+	case resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0:
+		return true
+	case p.anyStatus && resp.Close && c.readErr == io.EOF:
+		return true
+	case p.streamLargeBodies && c.readErr == io.EOF:
+		return !c.lacksFraming(resp)
 	}
 	return false
 }
 
-// FailureStatus tells what an answer that does not serve its request says of the attempt.
-func FailureStatus(resp *http.Response) policy.Status {
-	if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-		resp.Header.Get("X-Not-Processed") == "1" {
-		return policy.Rejected
-	}
-	return policy.ErrorResponse
+// lacksFraming reports whether an HTTP/1.1 answer has neither a length nor chunks, and does not announce that it ends
+// with its connection (RFC 9112, 6.3): its length may have been lost on the way, and its end too.
+func (c *conn) lacksFraming(resp *http.Response) bool {
+	unknownLength := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	return unknownLength && !c.announcedClose && resp.ProtoAtLeast(1, 1)
 }
 
-// atHand reads what has come of a body of no known length, and tells whether that is all.
-// To wait for more would hold back a stream that pauses.
-func (c *conn) atHand(from io.Reader) (body []byte, whole bool, err error) {
+// readBuffered reads what has arrived of a body of unknown length, and reports whether that is all. Waiting for more
+// would delay a stream that pauses.
+func (c *conn) readBuffered(from io.Reader) (body []byte, complete bool, err error) {
 	part := make([]byte, 4<<10)
 	for c.reader.Buffered() > 0 && len(body) <= MaxBody {
 		n, err := from.Read(part)
@@ -164,58 +194,26 @@
 	return body, false, nil
 }
 
-// limit has what is still to be read come within AnswerSpan, or within no time.
-func (c *conn) limit(on bool) {
-	switch {
-	case on && !c.limited:
-		c.SetReadDeadline(time.Now().Add(AnswerTransferTimeout))
-	case !on && c.limited:
-		c.SetReadDeadline(time.Time{})
-	}
-	c.limited = on
+// progressReader reads a body of which each part must arrive within AnswerTransferTimeout, whatever time all of it
+// takes.
+type progressReader struct {
+	io.Reader
+	conn *conn
 }
 
-var headEnd = []byte("\r\n\r\n")
-
-// answer reads the head of an answer. A server may think for as long as the
-// request has; but once it speaks, the whole answer has to follow soon. One that
-// was spoilt leaves its connection open and says no more: to wait for the rest
-// would take the time of a further attempt.
-func (c *conn) answer(req *http.Request) (*http.Response, error) {
-	_, err := c.reader.Peek(1)
-	if err != nil {
-		return nil, err
-	}
-	if here, _ := c.reader.Peek(c.reader.Buffered()); !bytes.Contains(here, headEnd) {
-		c.limit(true) // there is more to come
-	}
-	start, err := c.reader.Peek(len(answerStart))
-	if err != nil {
-		return nil, err
-	}
-	if string(start) != answerStart {
-		return nil, errNoAnswer // which need not even end its line
-	}
-	here, _ := c.reader.Peek(c.reader.Buffered())
-	for end := bytes.Index(here, headEnd); ; end = bytes.Index(here, headEnd) {
-		if end >= 0 {
-			c.saidClose = saysClose(here[:end])
-			break
-		}
-		c.SetReadDeadline(time.Now().Add(AnswerTransferTimeout)) // a head may come in pieces, so long as it moves
-		c.limited = true
-		if _, err := c.reader.Peek(len(here) + 1); err != nil { // also of a head that is longer than the buffer
-			c.saidClose = false
-			break
-		}
-		here, _ = c.reader.Peek(c.reader.Buffered())
+// Read implements io.Reader.
+func (p progressReader) Read(b []byte) (int, error) {
+	p.conn.readBudget = maxAnswerBytes // limits one Read, not the body
+	if p.conn.reader.Buffered() == 0 {
+		p.conn.extendTransferLimit()
 	}
-	return http.ReadResponse(c.reader, req)
+	return p.Reader.Read(b)
 }
 
-// broken tells a connection that ended from an answer that makes no sense.
-func (c *conn) broken() policy.Status {
-	if c.ended != nil && !errors.Is(c.ended, os.ErrDeadlineExceeded) {
+// readFailure returns the status for an answer whose reading failed: Reset if the connection ended, ErrorResponse if
+// the answer is invalid or too slow.
+func (c *conn) readFailure() policy.Status {
+	if c.readErr != nil && !errors.Is(c.readErr, os.ErrDeadlineExceeded) {
 		return policy.Reset
 	}
 	return policy.ErrorResponse
--- /dev/null
+++ b/internal/upstream/h1client/dial.go
@@ -0,0 +1,62 @@
+package h1client
+
+import (
+	"context"
+	"crypto/tls"
+	"fmt"
+	"net"
+	"time"
+
+	"yokestall/internal/engine"
+	"yokestall/policy"
+)
+
+// connect returns a connection to an endpoint, idle or new; nil with the attempt's status if there is none.
+func (p *Pool) connect(call *engine.Call, id policy.EndpointID) (*conn, policy.Status) {
+	c, e, status := p.acquire(id)
+	if c != nil || status != policy.OK {
+		if c != nil {
+			time.Sleep(p.reuseDelay - time.Since(c.idleSince)) // shorter than a handshake
+		}
+		return c, status
+	}
+	p.mu.Lock()
+	timeout := p.connectTimeout
+	p.mu.Unlock()
+	ctx, cancel := context.WithTimeout(call.Context(), timeout)
+	defer cancel()
+	nc, err := Dial(ctx, e.address, p.tls, "http/1.1")
+	if err != nil {
+		p.mu.Lock()
+		p.connections--
+		p.mu.Unlock()
+		return nil, policy.ConnectFailed
+	}
+	return newConn(nc, e), policy.OK
+}
+
+// Dial connects to an endpoint. With a TLS configuration it performs the handshake and negotiates the protocol (ALPN,
+// RFC 7301): an endpoint that negotiates none is taken to speak HTTP/1.1, any other protocol than proto is an error.
+func Dial(ctx context.Context, address string, config *tls.Config, proto string) (net.Conn, error) {
+	dialer := net.Dialer{KeepAlive: -1}
+	nc, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil || config == nil {
+		return nc, err
+	}
+	config = config.Clone()
+	config.NextProtos = []string{proto}
+	if config.ServerName == "" {
+		config.ServerName, _, _ = net.SplitHostPort(address)
+	}
+	tc := tls.Client(nc, config)
+	if err := tc.HandshakeContext(ctx); err != nil {
+		nc.Close()
+		return nil, err
+	}
+	negotiated := tc.ConnectionState().NegotiatedProtocol
+	if negotiated != proto && (proto == "h2" || negotiated != "") {
+		nc.Close()
+		return nil, fmt.Errorf("h1client: %s does not speak %s", address, proto)
+	}
+	return tc, nil
+}
--- /dev/null
+++ b/internal/upstream/h1client/exchange.go
@@ -0,0 +1,75 @@
+package h1client
+
+import (
+	"bytes"
+	"time"
+
+	"yokestall/internal/engine"
+	"yokestall/policy"
+)
+
+// Exchange implements engine.Exchanger. payload is a *Request, and the result's Answer a *Answer or nil.
+func (p *Pool) Exchange(
+	call *engine.Call, id policy.EndpointID, payload any, remaining time.Duration,
+) engine.Result {
+	r := payload.(*Request)
+	start := time.Now()
+	for {
+		c, status := p.connect(call, id)
+		if c == nil {
+			return engine.Result{Status: status}
+		}
+		c.message = r.appendTo(c.message[:0], remaining-time.Since(start))
+		if (c.reused || !c.tls) && !c.nothingToRead() { // closed, or with bytes behind the last answer
+			p.release(c, false)
+			if c.reused {
+				continue
+			}
+			return engine.Result{Status: policy.ConnectFailed}
+		}
+		call.OnStop(c.abort)
+		if !call.BeginSend() {
+			p.release(c, call.ClearOnStop())
+			return engine.Result{Status: policy.NeverSent}
+		}
+		result, reusable := p.exchange(c, r)
+		active := call.ClearOnStop()
+		if a, ok := result.Answer.(*Answer); ok && (a.Stream != nil || a.Tunnel != nil) {
+			if !active { // stopped: the connection is closed
+				a.Close()
+				return engine.Result{Status: policy.Cancelled}
+			}
+			return result // which owns the connection
+		}
+		p.release(c, active && reusable)
+		return result
+	}
+}
+
+// exchange writes the request and reads the answer. Once the request's last byte is written it may have run. reusable
+// reports whether the connection can serve a further request.
+func (p *Pool) exchange(c *conn, r *Request) (result engine.Result, reusable bool) {
+	n, err := c.Conn.Write(c.message)
+	if err == nil && len(r.Body) > MaxBody {
+		_, err = c.Conn.Write(r.Body)
+	}
+	if err != nil {
+		if p.anyStatus && bytes.Contains(c.message[:n], headEnd) { // the endpoint may act on a part of a body
+			return engine.Result{Status: policy.Reset}, false
+		}
+		return engine.Result{Status: policy.ConnectFailed}, false
+	}
+	if r.Upload == nil {
+		return p.readAnswer(c, r, nil)
+	}
+	sender := c.startUpload(r.Upload, r.chunked(), r.StallTimeout())
+	result, reusable = p.readAnswer(c, r, sender)
+	if a, ok := result.Answer.(*Answer); ok && a.Stream != nil {
+		return result, false // the upload goes on beside the stream
+	}
+	complete := sender.stop(c)
+	if sender.clientFailed && result.Status != policy.OK { // not a fault of the endpoint
+		result.Status = policy.Cancelled
+	}
+	return result, reusable && complete
+}
--- a/internal/upstream/h1client/pool_test.go
+++ b/internal/upstream/h1client/pool_test.go
@@ -18,7 +18,7 @@
 
 func poolTo(addr string) (*Pool, policy.EndpointID) {
 	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxConnections: 10})
-	u.settle = 0
+	u.reuseDelay = 0
 	u.UpdateEndpoints(true, []Endpoint{{ID: 1, Address: addr}})
 	return u, 1
 }
@@ -74,7 +74,7 @@
 		"length no number":      {"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nhi", false, policy.ErrorResponse, 2},
 		"1xx for ever":          {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20), false, policy.ErrorResponse, 2},
 		"1xx, then nothing":     {"HTTP/1.1 103 Early Hints\r\n\r\nHT", false, policy.ErrorResponse, 2},
-		"large head":            {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxAnswer+1), false, policy.ErrorResponse, 2},
+		"large head":            {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxAnswerBytes+1), false, policy.ErrorResponse, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := testutil.Script(t, c.answer, c.close)
@@ -112,7 +112,7 @@
 			t.Run(fmt.Sprintf("%.28q of %d", head, length), func(t *testing.T) {
 				addr, _ := testutil.Script(t, head+strings.Repeat("x", length), true)
 				u, id := poolTo(addr)
-				u.large = true
+				u.streamLargeBodies = true
 				r := &Request{Method: "POST", Target: "/pay", Host: "x", Header: http.Header{}, Body: []byte("b")}
 				res := u.Exchange(engine.NewCall(t.Context()), id, r, time.Minute)
 				got, err := 0, error(nil)
@@ -147,8 +147,8 @@
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
 		t.Errorf("status %d", status)
 	}
-	if u.open != 0 {
-		t.Errorf("%d connections counted", u.open)
+	if u.connections != 0 {
+		t.Errorf("%d connections counted", u.connections)
 	}
 }
 
@@ -171,7 +171,7 @@
 func TestIdleConnectionsRetire(t *testing.T) {
 	addr, conns := testutil.Script(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false)
 	u, id := poolTo(addr)
-	u.idleFor = 20 * time.Millisecond
+	u.maxIdleTime = 20 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go u.EvictIdle(ctx)
@@ -180,7 +180,7 @@
 	testutil.Until(t, "the idle connection to be closed", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return u.open == 0
+		return u.connections == 0
 	})
 }
 
@@ -188,12 +188,12 @@
 func TestCap(t *testing.T) {
 	addr, _ := backend(t, testutil.OK)
 	u, id := poolTo(addr)
-	u.maxOpen = 1
-	u.open = 1 // one is in use
+	u.maxConnections = 1
+	u.connections = 1 // one is in use
 	if status, _ := send(t.Context(), u, id); status != policy.NeverSent {
 		t.Errorf("status %d at the cap", status)
 	}
-	u.open = 0
+	u.connections = 0
 	other, _ := backend(t, testutil.OK)
 	u.UpdateEndpoints(false, []Endpoint{{ID: 2, Address: other}})
 	for _, to := range []policy.EndpointID{id, 2, id} {
@@ -211,16 +211,16 @@
 	u, id := poolTo(first)
 	send(t.Context(), u, id)
 	u.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second}})
-	if u.open != 0 {
-		t.Errorf("%d connections to the former address are kept", u.open)
+	if u.connections != 0 {
+		t.Errorf("%d connections to the former address are kept", u.connections)
 	}
 	send(t.Context(), u, id)
 	if len(gotFirst) != 1 || len(gotSecond) != 1 {
 		t.Errorf("%d and %d requests", len(gotFirst), len(gotSecond))
 	}
 	u.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second, Incarnation: 5}})
-	if u.open != 0 {
-		t.Errorf("%d connections from before the restart are kept", u.open)
+	if u.connections != 0 {
+		t.Errorf("%d connections from before the restart are kept", u.connections)
 	}
 	u.UpdateEndpoints(false, []Endpoint{{ID: id, Removed: true}})
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
@@ -246,7 +246,7 @@
 			addr, _ := backend(t, func(w http.ResponseWriter, r *http.Request) {
 				from[r.RemoteAddr] = true // one request at a time
 				if behind == nil {
-					time.Sleep(patientFrom) // the server's work
+					time.Sleep(minAwaitReuseFrom) // the server's work
 					io.WriteString(w, "hi")
 					return
 				}
@@ -260,7 +260,7 @@
 				done <- struct{}{}
 			})
 			u, id := poolTo(addr)
-			u.settle = testutil.Patience / 60
+			u.reuseDelay = testutil.Patience / 60
 			want := 1
 			if behind != nil {
 				want = 2
@@ -291,8 +291,8 @@
 	}
 	nc.Close()
 	testutil.Until(t, "the close to be seen", func() bool { return !NothingToRead(conn.Conn) })
-	conn.server.idle = append(conn.server.idle, conn) // for the next send, though never used
-	conn.since = time.Now()
+	conn.endpoint.idle = append(conn.endpoint.idle, conn) // for the next send, though never used
+	conn.idleSince = time.Now()
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
 		t.Errorf("status %d", status)
 	}
@@ -308,7 +308,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if idle := u.servers[id].idle; len(idle) != 1 || cap(idle[0].message) > keepMessage {
+	if idle := u.endpoints[id].idle; len(idle) != 1 || cap(idle[0].message) > maxIdleMessageBytes {
 		t.Errorf("%d idle", len(idle))
 	}
 }
@@ -326,19 +326,19 @@
 		}
 		u.UpdateEndpoints(true, list)
 		u.mu.Lock()
-		for _, s := range u.servers { // this node uses all of them
+		for _, s := range u.endpoints { // this node uses all of them
 			s.used = true
 		}
-		u.share(time.Now().Add(time.Second))
-		s := u.servers[7]
+		u.updateIdleLimits(time.Now().Add(time.Second))
+		s := u.endpoints[7]
 		u.mu.Unlock()
 		for range 50 {
 			near, far := net.Pipe()
 			defer far.Close()
 			u.mu.Lock()
-			u.open++
+			u.connections++
 			u.mu.Unlock()
-			u.put(newConn(near, s), true)
+			u.release(newConn(near, s), true)
 		}
 		if len(s.idle) != c.want || u.OpenConnections() != c.want {
 			t.Errorf("%d nodes: %d are kept, %d counted, want %d", c.nodes, len(s.idle), u.OpenConnections(), c.want)
--- a/internal/upstream/h1client/request.go
+++ b/internal/upstream/h1client/request.go
@@ -9,55 +9,55 @@
 	"yokestall/internal/engine"
 )
 
-// Request is what of a client's request goes on to a server.
+// Request is what is forwarded of a client's request. It is the payload of an attempt.
 type Request struct {
 	Method string
-	Target string // path and query as they came; begins with /
+	Target string // path and query as the client sent them; begins with /
 	Host   string
-	Header http.Header // end-to-end ones, with names and values as net/http lets them in
+	Header http.Header // end-to-end fields, with names and values as net/http accepts them
 	Body   []byte
-	// Upload is the body where it is not at hand; nil: Body is all of it.
+	// Upload is the body where it was not read before the request; nil: Body is complete.
 	Upload        *Upload
 	Length        int64 // of Upload in bytes; -1: not known
-	ReservedBytes int64 // bytes that are reserved for the body in the front's memory
-	// Upgrade is the protocol that the client wants to go on with (RFC 9110, 7.8); "": none.
+	ReservedBytes int64 // of the downstream server's memory for bodies
+	// Upgrade is the protocol that the client asks for (RFC 9110, 7.8); "": none.
 	Upgrade string
-	// TrailerNames names the fields behind the body that the client has announced, sorted; nil: none.
+	// TrailerNames are the fields behind Upload that the client has announced, sorted; nil: none.
 	TrailerNames []string
 	Limits       StreamLimits
-	// AcceptsTrailers says that the client takes fields behind the answer's body (RFC 9110, 10.1.4).
+	// AcceptsTrailers reports that the client accepts fields behind the answer's body (RFC 9110, 10.1.4).
 	AcceptsTrailers bool
 }
 
-// StallTimeout is Limits.Stall, or what stands for it.
-func (o *Request) StallTimeout() time.Duration {
-	if o.Limits.StallTimeout > 0 {
-		return o.Limits.StallTimeout
+var _ engine.StreamingPayload = (*Request)(nil)
+
+// StallTimeout returns Limits.StallTimeout or its default.
+func (r *Request) StallTimeout() time.Duration {
+	if r.Limits.StallTimeout > 0 {
+		return r.Limits.StallTimeout
 	}
 	return DefaultStallTimeout
 }
 
-// chunked tells whether the body goes to a server over HTTP/1.1 in chunks: its length is not
-// known, or fields follow it (RFC 9112, 7.1.2).
-func (o *Request) chunked() bool { return o.Length < 0 || len(o.TrailerNames) > 0 }
-
-var _ engine.StreamingPayload = (*Request)(nil)
-
 // Streaming implements engine.StreamingPayload.
-func (o *Request) Streaming() bool { return o.Upload != nil }
+func (r *Request) Streaming() bool { return r.Upload != nil }
 
 // Consumed implements engine.StreamingPayload.
-func (o *Request) Consumed() bool { return o.Upload != nil && o.Upload.Consumed() }
+func (r *Request) Consumed() bool { return r.Upload != nil && r.Upload.Consumed() }
+
+// chunked reports whether the upload is sent in chunks over HTTP/1.1: its length is not known, or trailers follow it
+// (RFC 9112, 7.1.2).
+func (r *Request) chunked() bool { return r.Length < 0 || len(r.TrailerNames) > 0 }
 
-// append writes the request, with the time that is left for it. Names and values have
-// come through net/http, which lets no line end in.
-func (o *Request) append(b []byte, left time.Duration) []byte {
-	b = append(b, o.Method...)
+// appendTo appends the request to b, with the remaining time, up to its body. A Body of at most MaxBody is included.
+// Names and values were read by net/http, which accepts no line end in them.
+func (r *Request) appendTo(b []byte, remaining time.Duration) []byte {
+	b = append(b, r.Method...)
 	b = append(b, ' ')
-	b = append(b, o.Target...)
+	b = append(b, r.Target...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, o.Host...)
-	for name, values := range o.Header {
+	b = append(b, r.Host...)
+	for name, values := range r.Header {
 		if name == "X-Timeout-Ms" || name == "Host" {
 			continue
 		}
@@ -68,28 +68,34 @@
 			b = append(b, v...)
 		}
 	}
-	if o.Upgrade != "" {
+	if r.Upgrade != "" {
 		b = append(b, "\r\nConnection: Upgrade\r\nUpgrade: "...)
-		b = append(b, o.Upgrade...)
+		b = append(b, r.Upgrade...)
 	}
 	b = append(b, "\r\nX-Timeout-Ms: "...)
-	b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
-	if o.Upload != nil && o.chunked() {
-		if len(o.TrailerNames) > 0 {
+	b = strconv.AppendInt(b, max(1, remaining.Milliseconds()), 10)
+	return r.appendBody(b)
+}
+
+// appendBody appends the fields that frame the body, the end of the head, and a Body of at most MaxBody.
+func (r *Request) appendBody(b []byte) []byte {
+	switch {
+	case r.Upload != nil && r.chunked():
+		if len(r.TrailerNames) > 0 {
 			b = append(b, "\r\nTrailer: "...)
-			b = append(b, strings.Join(o.TrailerNames, ", ")...)
+			b = append(b, strings.Join(r.TrailerNames, ", ")...)
 		}
 		return append(b, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)
-	} else if o.Upload != nil {
+	case r.Upload != nil:
 		b = append(b, "\r\nContent-Length: "...)
-		b = strconv.AppendInt(b, o.Length, 10)
-	} else if len(o.Body) > 0 || o.Method != http.MethodGet && o.Method != http.MethodHead {
+		b = strconv.AppendInt(b, r.Length, 10)
+	case len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead:
 		b = append(b, "\r\nContent-Length: "...)
-		b = strconv.AppendInt(b, int64(len(o.Body)), 10)
+		b = strconv.AppendInt(b, int64(len(r.Body)), 10)
 	}
 	b = append(b, "\r\n\r\n"...)
-	if len(o.Body) > MaxBody { // is written by itself
+	if len(r.Body) > MaxBody { // exchange writes it
 		return b
 	}
-	return append(b, o.Body...)
+	return append(b, r.Body...)
 }
--- a/internal/upstream/h1client/stream.go
+++ b/internal/upstream/h1client/stream.go
@@ -1,10 +1,8 @@
 package h1client
 
 import (
-	"errors"
 	"io"
 	"net/http"
-	"os"
 	"sync"
 	"time"
 
@@ -12,39 +10,65 @@
 	"yokestall/policy"
 )
 
-// DefaultStallTimeout is how long a server may leave a stream with nothing to read, unless the
-// request's class says otherwise. An event stream
-// that has nothing to say for longer sends a comment, as HTML's server-sent events advise
-// every 15 seconds or so.
+// DefaultStallTimeout is the default of StreamLimits.StallTimeout. An event stream without events for longer sends
+// comments, as HTML's server-sent events advise every 15 s or so.
 const DefaultStallTimeout = time.Minute
 
-// Stream is the body of an answer that is passed on while it comes. Whoever has it closes
-// it, once, at whatever time; what carries it is held until then.
+// StreamLimits limit bodies that are forwarded while they arrive, and upgraded connections. 0 is no limit, except for
+// StallTimeout.
+type StreamLimits struct {
+	// StallTimeout is how long an endpoint may send nothing, or read nothing of an upload; 0: DefaultStallTimeout.
+	StallTimeout time.Duration
+	MaxDuration  time.Duration // from the answer's head
+	DrainTimeout time.Duration // from the update that the endpoint drains or is removed
+}
+
+// Stream is the body of an answer that is forwarded while it arrives. Its owner closes it once, at any time; its
+// connection or HTTP/2 stream is in use until then.
 //
-// Of Read, io.EOF is the body's end; any other error tells that the rest will not come, and
-// that the part that did must not be taken for the whole.
+// Read returns io.EOF at the body's end. After any other error what was read must not be taken for the complete body.
 type Stream interface {
 	io.ReadCloser
-	// Abort has a Read that waits, and all later ones, end with an error.
+	// Abort has a Read in progress, and all later ones, return an error.
 	Abort()
-	// Trailer gives the fields behind the body once Read has given io.EOF; nil: none.
+	// Trailer returns the fields behind the body once Read has returned io.EOF; nil: none.
 	Trailer() http.Header
 }
 
-// stream is one over HTTP/1.1.
+// stream is a Stream over HTTP/1.1.
 type stream struct {
-	pool  *Pool
-	conn  *conn
-	stall time.Duration
-	resp  *http.Response
-	start []byte // read already
-	body  io.Reader
-	up    *sending // the request's body, which goes on beside; nil: it is through
-	keep  bool     // the connection may be used again after the body's end
-	close sync.Once
-	ended bool // the body was read to its end
-	// untold: nothing said where the body ends. The connection's end may be a part's (see receive).
-	untold bool
+	pool         *Pool
+	conn         *conn
+	stallTimeout time.Duration
+	resp         *http.Response
+	start        []byte        // of the body, already read
+	sender       *uploadSender // of the request's upload, which goes on beside; nil: none
+	reusable     bool          // the connection can serve a further request after the body's end
+	// lacksFraming has the end of the connection count as an error: it may be the end of a part (conn.lacksFraming).
+	lacksFraming bool
+	closeOnce    sync.Once
+	ended        bool // the body was read to its end
+}
+
+var _ Stream = (*stream)(nil)
+
+// streamAnswer returns the result of an answer whose body follows as a stream, behind start. The stream owns the
+// connection. A failure, from status 500 on, is returned without its body.
+func (p *Pool) streamAnswer(
+	c *conn, r *Request, resp *http.Response, start []byte, sender *uploadSender,
+) engine.Result {
+	a := &Answer{Status: resp.StatusCode, Header: EndToEndHeader(resp.Header)}
+	if resp.StatusCode >= 500 {
+		a.Length = -1
+		return engine.Result{Status: FailureStatus(resp), Answer: a}
+	}
+	c.limitTransfer(false)
+	a.Length = resp.ContentLength
+	a.Stream = &stream{
+		pool: p, conn: c, stallTimeout: r.StallTimeout(), resp: resp, start: start, sender: sender,
+		reusable: !resp.Close, lacksFraming: !p.anyStatus && c.lacksFraming(resp),
+	}
+	return engine.Result{Status: policy.OK, Answer: a}
 }
 
 // Read implements Stream.
@@ -57,11 +81,11 @@
 	if s.ended {
 		return 0, io.EOF
 	}
-	s.conn.budget = maxAnswer // bounds what one look may read, not the whole
-	s.conn.SetReadDeadline(time.Now().Add(s.stall))
-	n, err := s.body.Read(p)
+	s.conn.readBudget = maxAnswerBytes // limits one Read, not the body
+	s.conn.SetReadDeadline(time.Now().Add(s.stallTimeout))
+	n, err := s.resp.Body.Read(p)
 	switch {
-	case err == io.EOF && s.untold:
+	case err == io.EOF && s.lacksFraming:
 		return n, io.ErrUnexpectedEOF
 	case err == io.EOF:
 		s.ended = true
@@ -75,30 +99,13 @@
 // Trailer implements Stream.
 func (s *stream) Trailer() http.Header { return s.resp.Trailer }
 
-// Close gives the connection back where the body was read to its end, and ends it else.
+// Close releases the connection, which is closed unless the body was read to its end.
 func (s *stream) Close() error {
-	s.close.Do(func() {
-		whole := s.up.stop(s.conn)
+	s.closeOnce.Do(func() {
+		uploaded := s.sender.stop(s.conn)
 		s.conn.SetReadDeadline(time.Time{})
-		s.conn.limited = false
-		s.pool.put(s.conn, s.ended && whole && s.keep && s.conn.reader.Buffered() == 0)
+		s.conn.transferLimit = false
+		s.pool.release(s.conn, s.ended && uploaded && s.reusable && s.conn.reader.Buffered() == 0)
 	})
 	return nil
 }
-
-// streaming is the outcome of an answer whose body is not whole yet: start is what was
-// read of it, err why no more was. The connection is the answer's from then on.
-func (u *Pool) streaming(c *conn, o *Request, resp *http.Response, start []byte, err error, up *sending) engine.Result {
-	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		return engine.Result{Status: c.broken()}
-	}
-	if resp.StatusCode >= 500 { // not worth a connection: it is what is said where nothing better comes
-		return engine.Result{Status: FailureStatus(resp), Answer: &Answer{Status: resp.StatusCode, Header: EndToEndHeader(resp.Header), Length: -1}}
-	}
-	c.limit(false)
-	return engine.Result{Status: policy.OK, Answer: &Answer{
-		Status: resp.StatusCode, Header: EndToEndHeader(resp.Header), Length: resp.ContentLength,
-		Stream: &stream{pool: u, conn: c, stall: o.StallTimeout(), resp: resp, start: start, body: resp.Body, up: up, keep: !resp.Close,
-			untold: !u.anyAnswer && c.untold(resp)},
-	}}
-}
--- a/internal/upstream/h1client/tunnel.go
+++ b/internal/upstream/h1client/tunnel.go
@@ -5,24 +5,23 @@
 	"sync"
 )
 
-// tunnel is a connection to a server that has been upgraded. It counts among the pool's until
-// it is closed.
+// tunnel is an upgraded connection to an endpoint. It counts among the pool's connections until it is closed.
 type tunnel struct {
 	*conn
-	pool  *Pool
-	close sync.Once
+	pool      *Pool
+	closeOnce sync.Once
 }
 
-// Read gives what was read ahead with the answer first.
+// Read implements net.Conn. What was buffered behind the answer's head comes first.
 func (t *tunnel) Read(p []byte) (int, error) {
-	t.budget = maxAnswer // bounds an answer, not what follows it
+	t.readBudget = maxAnswerBytes // limits answers, not tunnels
 	return t.reader.Read(p)
 }
 
 // Write implements net.Conn.
 func (t *tunnel) Write(p []byte) (int, error) { return t.Conn.Write(p) }
 
-// CloseWrite tells the server that nothing more comes.
+// CloseWrite ends the sending to the endpoint. The error is errors.ErrUnsupported where the connection can't.
 func (t *tunnel) CloseWrite() error {
 	if c, ok := t.Conn.(interface{ CloseWrite() error }); ok {
 		return c.CloseWrite()
@@ -32,6 +31,6 @@
 
 // Close implements net.Conn.
 func (t *tunnel) Close() error {
-	t.close.Do(func() { t.pool.put(t.conn, false) })
+	t.closeOnce.Do(func() { t.pool.release(t.conn, false) })
 	return nil
 }
--- a/internal/upstream/h1client/upload_test.go
+++ b/internal/upstream/h1client/upload_test.go
@@ -66,7 +66,7 @@
 					n, err = r.Read(part)
 					got = append(got, part[:n]...)
 					u.mu.Lock()
-					held := len(u.held)
+					held := len(u.buffer)
 					u.mu.Unlock()
 					if held > limit {
 						t.Fatalf("seed %d: %d bytes held, limit %d", seed, held, limit)
@@ -82,7 +82,7 @@
 					if end != io.EOF || len(got) != len(body) {
 						t.Fatalf("seed %d: %d of %d bytes pass for the whole", seed, len(got), len(body))
 					}
-				case errors.Is(err, errSpent):
+				case errors.Is(err, errBeginningDropped):
 					if !u.Consumed() || len(body) <= limit {
 						t.Fatalf("seed %d: a body of %d is spent under a limit of %d", seed, len(body), limit)
 					}
