--- /dev/null
+++ b/internal/downstream/h2server/guardedconn.go
@@ -0,0 +1,83 @@
+package h2server
+
+//lint:file-ignore SA1019 golang.org/x/net/http2 gives control over each server connection that net/http does not offer
+
+import (
+	"crypto/tls"
+	"net"
+	"sync"
+
+	"golang.org/x/net/http2"
+
+	"yokestall/internal/h2flood"
+)
+
+// guardedConn counts the frames of an HTTP/2 connection and ends it when it exceeds the flood limits.
+type guardedConn struct {
+	net.Conn
+	server *Server
+
+	// mu guards the fields below: reads and writes run on different goroutines.
+	mu      sync.Mutex
+	guard   *h2flood.Guard
+	flooded bool // a limit was exceeded
+}
+
+// newGuardedConn returns a connection that is counted from now on. prefaceRead says that the client's preface has been
+// read.
+func (s *Server) newGuardedConn(nc net.Conn, prefaceRead bool) *guardedConn {
+	now := s.Clock.Now()
+	return &guardedConn{Conn: nc, server: s, guard: h2flood.New(s.FloodLimits, now, prefaceRead)}
+}
+
+// NetConn returns the connection that is counted.
+func (g *guardedConn) NetConn() net.Conn { return g.Conn }
+
+// Read implements net.Conn. A flood is a connection error: golang.org/x/net's server sends GOAWAY (ENHANCE_YOUR_CALM)
+// and closes.
+func (g *guardedConn) Read(p []byte) (int, error) {
+	n, err := g.Conn.Read(p)
+	if n == 0 {
+		return n, err
+	}
+	now := g.server.Clock.Now()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.flooded || g.noteFlood(g.guard.Read(now, p[:n])) {
+		return 0, http2.ConnectionError(http2.ErrCodeEnhanceYourCalm)
+	}
+	return n, err
+}
+
+// Write implements net.Conn. A limit that is exceeded by what the client caused the server to write ends the connection
+// at its next Read.
+func (g *guardedConn) Write(p []byte) (int, error) {
+	n, err := g.Conn.Write(p)
+	now := g.server.Clock.Now()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.flooded {
+		g.noteFlood(g.guard.Wrote(now, p[:n]))
+	}
+	return n, err
+}
+
+// noteFlood counts and logs a flood, if err is one, and returns whether it is. mu is locked.
+func (g *guardedConn) noteFlood(err error) bool {
+	if err == nil {
+		return false
+	}
+	g.flooded = true
+	g.server.flooded.Add(1)
+	g.server.Log.Warn("HTTP/2 connection closed", "client", g.RemoteAddr().String(), "err", err)
+	return true
+}
+
+// guardedTLSConn is a guardedConn over TLS.
+type guardedTLSConn struct {
+	*guardedConn
+	tls *tls.Conn
+}
+
+// ConnectionState returns the state of TLS, by which golang.org/x/net's server checks what was negotiated.
+func (g guardedTLSConn) ConnectionState() tls.ConnectionState { return g.tls.ConnectionState() }
