--- a/internal/upstream/h2client/client_test.go
+++ b/internal/upstream/h2client/pool_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// A server that allows one stream a connection gets h2PerServer connections, no more; what
+// A server that allows one stream a connection gets maxConnsPerEndpoint connections, no more; what
 // finds none free has not run, and its place is free again once one ends.
 func TestStreamLimit(t *testing.T) {
 	held := make(chan struct{}, 10)
@@ -91,15 +91,15 @@
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 10)
-	for range h2PerServer {
+	for range maxConnsPerEndpoint {
 		go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.Patience).Status }()
 		testutil.Wait(t, held, "a stream to be open")
 	}
-	if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != policy.Rejected || conns() != h2PerServer {
+	if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != policy.Rejected || conns() != maxConnsPerEndpoint {
 		t.Errorf("status %v with %d connections", res.Status, conns())
 	}
 	leave()
-	for range h2PerServer {
+	for range maxConnsPerEndpoint {
 		if s := testutil.Wait(t, ended, "the end of those given up"); s != policy.Cancelled {
 			t.Errorf("given up: status %v", s)
 		}
@@ -110,7 +110,7 @@
 	leave()
 	testutil.Wait(t, ended, "its end")
 	u.UpdateEndpoints(true, nil)
-	testutil.Until(t, "all connections to end", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.open == 0 })
+	testutil.Until(t, "all connections to end", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.connections == 0 })
 }
 
 // What finds a connection and may not be sent any more, as behind an answer that came
