--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -222,7 +222,7 @@
 		}
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
 		for _, c := range []byte("hello") {
-			time.Sleep(60 * time.Millisecond) // five of them are over AnswerSpan
+			time.Sleep(60 * time.Millisecond) // five of them exceed AnswerTransferTimeout
 			nc.Write([]byte{c})
 		}
 	})
