--- a/internal/downstream/h1server/clientconns_test.go
+++ b/internal/downstream/h1server/clientconns_test.go
@@ -18,29 +18,27 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// held is a router to a cluster that refuses nothing and answers when it is let: what is
-// refused before it is the front's own doing.
-type held struct {
-	taken   chan struct{}
+// gatedCluster is a router and its cluster, which answers when it is released. Any other answer is the server's own.
+type gatedCluster struct {
+	started chan struct{}
 	release chan struct{}
 }
 
-func (h *held) Route(*http.Request) (ingress.Destination, error) {
+func (h *gatedCluster) Route(*http.Request) (ingress.Destination, error) {
 	return ingress.Destination{Cluster: h, Deadline: testutil.Patience, MaxRetryAfter: 600 * time.Millisecond}, nil
 }
 
-func (h *held) Do(context.Context, *engine.Request) (engine.Answer, error) {
-	h.taken <- struct{}{}
+func (h *gatedCluster) Do(context.Context, *engine.Request) (engine.Answer, error) {
+	h.started <- struct{}{}
 	<-h.release
 	return engine.Answer{Verdict: engine.Served, Value: &h1client.Answer{Status: 200, Body: []byte("done")}}, nil
 }
 
-// Where every connection is at work a newcomer is told when to come back, and past
-// those places it is closed. Those at work are served, and told that their connection
-// ends where they hold the reserve.
-func TestAllConnectionsAtWork(t *testing.T) {
+// While all connections are busy, further clients get a response with Retry-After, and beyond those places their
+// connections are closed. The busy ones are served, and end with their response where they use the reserve.
+func TestOverflowWhenAllConnectionsAreBusy(t *testing.T) {
 	const asked, reserve, over = 16, 2, 2
-	h := &held{taken: make(chan struct{}, 100), release: make(chan struct{})}
+	h := &gatedCluster{started: make(chan struct{}, 100), release: make(chan struct{})}
 	f := New(h, Options{
 		Clock: engine.NewClock(), Log: testutil.Log(t),
 		ConnectionLimits: connlimit.Limits{Active: asked, Reserve: reserve, New: 4, Overflow: over},
@@ -62,7 +60,7 @@
 	var busy []net.Conn
 	for range asked {
 		busy = append(busy, dial())
-		testutil.Wait(t, h.taken, "a request to be at work")
+		testutil.Wait(t, h.started, "a request to be at work")
 	}
 	for range over { // a connection that is told to end keeps its place a while
 		resp, err := http.ReadResponse(bufio.NewReader(dial()), nil)
@@ -87,24 +85,24 @@
 	if last == 0 {
 		t.Error("nobody made room although the reserve was in use")
 	}
-	if len(h.taken) != 0 {
-		t.Errorf("%d of those over the places reached the cluster", len(h.taken))
+	if len(h.started) != 0 {
+		t.Errorf("%d of those over the places reached the cluster", len(h.started))
 	}
 }
 
-// What a connection that was closed had still to be read counts as not read: its
-// client asks again elsewhere. Its place is given back once.
-func TestClosedWhileRead(t *testing.T) {
+// Bytes that are read from a connection that was closed meanwhile count as not read: its client sends the request again
+// elsewhere. Its place is released once.
+func TestReadAfterCloseReturnsNothing(t *testing.T) {
 	l := testutil.Listen(t)
 	conns := newClientConns(connlimit.Limits{Active: 1, New: 1})
-	capped := limitedListener{l, conns}
-	defer capped.Close()
+	listener := limitedListener{l, conns}
+	defer listener.Close()
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	nc, err := capped.Accept()
+	nc, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,12 +124,11 @@
 	c.Conn.Close()
 }
 
-// A client that has spoken while this node was too busy to listen is not silent: it is
-// not closed in favour of a newcomer, and what it has sent is read.
-func TestSpokenIsNotSilent(t *testing.T) {
+// A new connection whose bytes this node has not read yet is not closed to make room, and its bytes are read.
+func TestUnreadBytesProtectNewConnection(t *testing.T) {
 	l := testutil.Listen(t)
-	capped := limitedListener{l, newClientConns(connlimit.Limits{Active: 2, New: 1})}
-	defer capped.Close()
+	listener := limitedListener{l, newClientConns(connlimit.Limits{Active: 2, New: 1})}
+	defer listener.Close()
 	dial := func(say string) net.Conn {
 		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -139,7 +136,7 @@
 		}
 		t.Cleanup(func() { client.Close() })
 		io.WriteString(client, say)
-		nc, err := capped.Accept()
+		nc, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,9 +154,9 @@
 	}
 }
 
-// A node that is emptied, or hands over, closes connections that rest, but none over which the next
-// request has come already: that one is read and answered.
-func TestClosesOnlyWhatRests(t *testing.T) {
+// Lame duck mode, a shutdown and a hot restart close idle connections, but none on which the next request has arrived:
+// that one is read and answered.
+func TestClosesOnlyIdleConnections(t *testing.T) {
 	for name, empty := range map[string]func(cs *clientConns){
 		"emptied": func(cs *clientConns) {
 			cs.closeExpired(0, adminstate.LameDuckNotice)
@@ -170,15 +167,15 @@
 		t.Run(name, func(t *testing.T) {
 			l := testutil.Listen(t)
 			conns := newClientConns(connlimit.Limits{Active: 8, New: 8})
-			capped := limitedListener{l, conns}
-			defer capped.Close()
+			listener := limitedListener{l, conns}
+			defer listener.Close()
 			accept := func(asked bool) (client net.Conn, c *clientConn) {
 				client, err := net.Dial("tcp", l.Addr().String())
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { client.Close() })
-				nc, err := capped.Accept()
+				nc, err := listener.Accept()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -216,10 +213,9 @@
 	}
 }
 
-// A request that this process has just read from its socket, and whose connection is closed for its rest before the
-// table was told, gets its answer: the socket shows nothing any more, and its client has no way to know that it was
-// not taken.
-func TestReadAndClosedAtOneInstant(t *testing.T) {
+// A request that was read from its socket while its connection was being closed as idle, before the table knew of it,
+// gets its answer: the socket has nothing to read any more, and its client cannot know that it was not served.
+func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	t.Parallel()
 	for name, close := range map[string]func(cs *clientConns){
 		"a stop":          func(cs *clientConns) { cs.closeExpired(0, unlimitedIdle) },
@@ -228,7 +224,7 @@
 		for _, again := range []bool{false, true} { // a first request, or a further one
 			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
 				t.Parallel()
-				f := New(&counter{}, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+				f := New(&countingCluster{}, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 				nc, err := net.Dial("tcp", serve(t, f))
 				if err != nil {
 					t.Fatal(err)
@@ -280,9 +276,9 @@
 	}
 }
 
-// A request that was read to its end is not thrown out for being slow to come, however late this
-// process gets to its handler; one that has not come to its end is.
-func TestReadRequestKeepsItsPlace(t *testing.T) {
+// A complete request that was read does not lose its place for being slow, however late its handler runs; an incomplete
+// one does.
+func TestBufferedRequestRetainsPlace(t *testing.T) {
 	t.Parallel()
 	const get = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
 	for text, stays := range map[string]bool{
--- a/internal/downstream/h1server/disconnect_test.go
+++ b/internal/downstream/h1server/disconnect_test.go
@@ -17,31 +17,31 @@
 	"yokestall/internal/testutil"
 )
 
-// counter is a cluster, and the way to it, that counts what comes.
-type counter struct{ came atomic.Int64 }
+// countingCluster is a router and its cluster, which counts the requests.
+type countingCluster struct{ requests atomic.Int64 }
 
-func (c *counter) Route(*http.Request) (ingress.Destination, error) {
+func (c *countingCluster) Route(*http.Request) (ingress.Destination, error) {
 	return ingress.Destination{Cluster: c, Deadline: time.Second, MaxAttempts: 1}, nil
 }
 
-func (c *counter) Do(context.Context, *engine.Request) (engine.Answer, error) {
-	c.came.Add(1)
+func (c *countingCluster) Do(context.Context, *engine.Request) (engine.Answer, error) {
+	c.requests.Add(1)
 	return engine.Answer{Verdict: engine.Rejected}, nil
 }
 
-// A process that was stopped finds requests in its sockets whose clients have left meanwhile: none is handed on. One
-// whose client waits is.
-func TestClientsThatLeftBeforeTheirRequestWasRead(t *testing.T) {
+// A process that was stopped for a while finds requests in its sockets whose clients have disconnected: none is
+// forwarded. One whose client waits is.
+func TestClientsDisconnectedBeforeRead(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		for _, behind := range []string{"", "GET /x HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish", strings.Repeat("rubbish", 3000)} {
-			t.Run(fmt.Sprint("strict ", strict, " and ", len(behind), " bytes behind"), func(t *testing.T) { leftBefore(t, strict, behind) })
+			t.Run(fmt.Sprint("strict ", strict, " and ", len(behind), " bytes behind"), func(t *testing.T) { testDisconnectedBeforeRead(t, strict, behind) })
 		}
 	}
 }
 
-func leftBefore(t *testing.T, strict bool, behind string) {
+func testDisconnectedBeforeRead(t *testing.T, strict bool, behind string) {
 	const clients = 64
-	c := &counter{}
+	c := &countingCluster{}
 	f := New(c, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 2 * clients, New: 2 * clients}, Log: testutil.Log(t), Strict: strict})
 	l := testutil.Listen(t)
 	ask := func() net.Conn {
@@ -71,29 +71,28 @@
 		t.Fatal("one that waits:", err)
 	}
 	testutil.Until(t, "all connections to be over but one", func() bool { return f.Connections() <= 1 })
-	if n := c.came.Load(); n != 1 {
+	if n := c.requests.Load(); n != 1 {
 		t.Errorf("%d requests were handed on, one of them for a client that waits", n)
 	}
 }
 
-// holding is a cluster that holds each request until its context ends.
-type holding struct{ came, over chan *engine.Request }
+// pendingCluster is a router and its cluster, which answers no request before its context ends.
+type pendingCluster struct{ received, ended chan *engine.Request }
 
-func (h *holding) Route(*http.Request) (ingress.Destination, error) {
+func (h *pendingCluster) Route(*http.Request) (ingress.Destination, error) {
 	return ingress.Destination{Cluster: h, Deadline: time.Hour, MaxAttempts: 1}, nil
 }
 
-func (h *holding) Do(ctx context.Context, r *engine.Request) (engine.Answer, error) {
-	h.came <- r
+func (h *pendingCluster) Do(ctx context.Context, r *engine.Request) (engine.Answer, error) {
+	h.received <- r
 	<-ctx.Done()
-	h.over <- r
+	h.ended <- r
 	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
-// A client that leaves while its request waits is noticed, whatever it has sent behind the request,
-// and however much: also where more lies there than is read ahead. Right before a send, it is known
-// at once.
-func TestClientLeavesWhileItWaits(t *testing.T) {
+// A disconnect during a request is detected, whatever the client has sent behind the request, also more than is read
+// ahead. The check before a send detects it immediately.
+func TestDisconnectDuringRequest(t *testing.T) {
 	t.Parallel()
 	for _, strict := range []bool{true, false} {
 		for name, behind := range map[string]string{
@@ -103,14 +102,14 @@
 			for _, resets := range []bool{false, true} {
 				t.Run(fmt.Sprint(name, ", strict ", strict, ", resets ", resets), func(t *testing.T) {
 					t.Parallel()
-					h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
+					h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
 					f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: strict})
 					nc, err := net.Dial("tcp", serve(t, f))
 					if err != nil {
 						t.Fatal(err)
 					}
 					fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-					r := testutil.Wait(t, h.came, "the request")
+					r := testutil.Wait(t, h.received, "the request")
 					io.WriteString(nc, behind)
 					if r.ClientDisconnected() {
 						t.Error("a client that waits has left")
@@ -120,7 +119,7 @@
 					}
 					nc.Close()
 					testutil.Until(t, "a send to be barred", r.ClientDisconnected) // as soon as the end is here
-					testutil.Wait(t, h.over, "the request to be given up")
+					testutil.Wait(t, h.ended, "the request to be given up")
 					testutil.Until(t, "the connection to be over", func() bool { return f.Connections() == 0 })
 					if n := f.conns.readAheadBytes.Load(); n != 0 {
 						t.Errorf("%d bytes are held of no connection", n)
@@ -131,28 +130,28 @@
 	}
 }
 
-// The same with nobody who asks: the look-out alone ends the request.
-func TestLookOutForTheClientsEnd(t *testing.T) {
+// The watch alone, without checks before sends, ends the request of a client that has disconnected.
+func TestWatchDetectsDisconnect(t *testing.T) {
 	t.Parallel()
-	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
+	h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
 	f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 	nc, err := net.Dial("tcp", serve(t, f))
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-	testutil.Wait(t, h.came, "the request")
+	testutil.Wait(t, h.received, "the request")
 	io.WriteString(nc, "GET /x")
 	nc.Close()
-	testutil.Wait(t, h.over, "the request to be given up")
+	testutil.Wait(t, h.ended, "the request to be given up")
 }
 
-// The look-out comes within 0.1 s of a client's end: nobody may begin an attempt for it later. Of some tries the
-// shortest counts, and the machine's lateness is left out.
-func TestLookOutComesInTime(t *testing.T) {
+// The watch detects a disconnect within 0.1 s: no attempt may begin for the client later. Of several tries the fastest
+// counts, less the machine's delay.
+func TestWatchDetectsDisconnectInTime(t *testing.T) {
 	t.Parallel()
 	const tries, rule = 6, 100 * time.Millisecond
-	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
+	h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
 	f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 	addr := serve(t, f)
 	shortest, lateness := time.Hour, testutil.Lateness(t)
@@ -162,11 +161,11 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: %p\r\nX-Timeout-Ms: 3000000\r\n\r\n", nc)
-		testutil.Wait(t, h.came, "the request")
+		testutil.Wait(t, h.received, "the request")
 		io.WriteString(nc, "GET /x") // else net/http sees the end by itself
 		nc.Close()
 		left := time.Now()
-		testutil.Wait(t, h.over, "the request to be given up")
+		testutil.Wait(t, h.ended, "the request to be given up")
 		shortest = min(shortest, time.Since(left))
 	}
 	if bound := rule + lateness(); shortest > bound {
@@ -174,15 +173,15 @@
 	}
 }
 
-// What is read ahead is bounded for a connection and for all of them, and nothing of it is lost: the
-// requests behind the first one get their answers.
-func TestReadAheadIsBoundedAndKept(t *testing.T) {
+// Reading ahead is limited for each connection and for all of them, and loses nothing: the requests behind the first
+// one are answered.
+func TestReadAheadIsLimitedAndLossless(t *testing.T) {
 	t.Parallel()
 	const clients, behind = 40, 4000
 	release := make(chan struct{})
 	var served atomic.Int64
-	f := New(routes(func(*http.Request) (ingress.Destination, error) {
-		return ingress.Destination{Cluster: decides(func() engine.Answer {
+	f := New(routerFunc(func(*http.Request) (ingress.Destination, error) {
+		return ingress.Destination{Cluster: clusterFunc(func() engine.Answer {
 			<-release
 			served.Add(1)
 			return engine.Answer{Verdict: engine.Rejected}
@@ -220,10 +219,10 @@
 	}
 }
 
-// A client of the platform sends one request at a time. One that sends more than its end can be seen
-// behind, more even than the sockets hold, and leaves is seen all the same; one that stays gets its answer,
-// and nothing of what it sent behind is served.
-func TestFloodBehindARequest(t *testing.T) {
+// The platform's clients send one request at a time. The disconnect of one that sends more behind it than is read
+// ahead, and more than the sockets buffer, is detected; one that stays connected gets its answer, and nothing behind
+// its request is served.
+func TestFloodBehindRequest(t *testing.T) {
 	t.Parallel()
 	const head = "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n"
 	flood := strings.Repeat(head, 1<<17) // 9 MB
@@ -239,20 +238,20 @@
 	}
 	t.Run("and leaves", func(t *testing.T) {
 		t.Parallel()
-		h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
+		h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
 		_, nc := ask(t, h)
-		testutil.Wait(t, h.came, "the request")
+		testutil.Wait(t, h.received, "the request")
 		nc.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) // it does not wait to be read
 		io.WriteString(nc, flood)
 		nc.Close() // its end lies behind what found no room
-		testutil.Wait(t, h.over, "the request to be given up")
+		testutil.Wait(t, h.ended, "the request to be given up")
 	})
 	for _, others := range []int64{0, maxTotalReadAhead} { // held of other connections
 		t.Run(fmt.Sprint("and stays, ", others, " held"), func(t *testing.T) {
 			t.Parallel()
 			came, answer := make(chan bool, 2), make(chan bool)
-			f, nc := ask(t, routes(func(*http.Request) (ingress.Destination, error) {
-				return ingress.Destination{Cluster: decides(func() engine.Answer {
+			f, nc := ask(t, routerFunc(func(*http.Request) (ingress.Destination, error) {
+				return ingress.Destination{Cluster: clusterFunc(func() engine.Answer {
 					came <- true
 					<-answer
 					return engine.Answer{Verdict: engine.Rejected}
@@ -280,15 +279,17 @@
 	}
 }
 
-type routes func(*http.Request) (ingress.Destination, error)
+// routerFunc is a router.
+type routerFunc func(*http.Request) (ingress.Destination, error)
 
-func (r routes) Route(q *http.Request) (ingress.Destination, error) { return r(q) }
+func (r routerFunc) Route(q *http.Request) (ingress.Destination, error) { return r(q) }
 
-type decides func() engine.Answer
+// clusterFunc is a cluster.
+type clusterFunc func() engine.Answer
 
-func (d decides) Do(context.Context, *engine.Request) (engine.Answer, error) { return d(), nil }
+func (d clusterFunc) Do(context.Context, *engine.Request) (engine.Answer, error) { return d(), nil }
 
-// serve serves a front until the test's end.
+// serve serves a server's listener until the end of the test.
 func serve(t *testing.T, f *Server) (addr string) {
 	t.Helper()
 	l := testutil.Listen(t)
@@ -302,10 +303,10 @@
 	return l.Addr().String()
 }
 
-// At a stop's end the connections go over which nothing is owed, and no others.
-func TestCloseSilent(t *testing.T) {
+// At the end of a shutdown the connections without an open request are closed, and no others.
+func TestCloseIdleConnections(t *testing.T) {
 	t.Parallel()
-	h := &holding{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
+	h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
 	f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 	addr := serve(t, f)
 	dial := func(text string) net.Conn {
@@ -318,7 +319,7 @@
 		return nc
 	}
 	asks := dial("GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-	testutil.Wait(t, h.came, "the request")
+	testutil.Wait(t, h.received, "the request")
 	silent := dial("")
 	testutil.Until(t, "both to be there", func() bool { return f.Connections() == 2 })
 	f.CloseIdleConnections()
@@ -330,5 +331,5 @@
 		t.Errorf("%d connections are left", n)
 	}
 	asks.Close()
-	testutil.Wait(t, h.over, "the request to be over")
+	testutil.Wait(t, h.ended, "the request to be over")
 }
--- a/internal/downstream/h1server/lateconnect_test.go
+++ b/internal/downstream/h1server/lateconnect_test.go
@@ -18,9 +18,9 @@
 	"yokestall/policy"
 )
 
-// A request whose client leaves while a connection for it comes up late is not sent on it, and the
-// connection is given up at once.
-func TestLeavesWhileAConnectionComesUp(t *testing.T) {
+// A request whose client disconnects while a connection to the endpoint is being opened is not sent, and opening the
+// connection ends at once.
+func TestDisconnectDuringConnect(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"nothing": "", "a request": "GET /x HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish": strings.Repeat("rubbish", 1000)} {
 		t.Run(name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 				t.Fatal(err)
 			}
 			cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
-			f := New(routes(func(*http.Request) (ingress.Destination, error) {
+			f := New(routerFunc(func(*http.Request) (ingress.Destination, error) {
 				return ingress.Destination{Cluster: cluster, Deadline: time.Hour}, nil
 			}), Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 			nc, err := net.Dial("tcp", serve(t, f))
--- a/internal/downstream/h1server/platformbody_test.go
+++ b/internal/downstream/h1server/platformbody_test.go
@@ -10,9 +10,9 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// Bodies hold no more together than their part of the memory, but for the least that each needs to go
-// on at all; what they held is given back.
-func TestHeldBodiesKeepToTheirPart(t *testing.T) {
+// Bodies reserve no more than Options.BodyMemory together, except for the least that each needs, and release what they
+// reserved.
+func TestBodyMemoryLimit(t *testing.T) {
 	const part = 4 << 20
 	f := New(nil, Options{Strict: true, BodyMemory: part, ConnectionLimits: connlimit.Limits{Active: 1, New: 1}})
 	var held []*h1client.Request
--- a/internal/downstream/h2server/disconnect_test.go
+++ b/internal/downstream/h2server/disconnect_test.go
@@ -22,25 +22,25 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// holding is a cluster that holds each request until its context ends.
-type holding struct{ came, over chan struct{} }
+// pendingCluster is a router and its cluster, which answers no request before its context ends.
+type pendingCluster struct{ received, ended chan struct{} }
 
-func (h *holding) Route(*http.Request) (ingress.Destination, error) {
+func (h *pendingCluster) Route(*http.Request) (ingress.Destination, error) {
 	return ingress.Destination{Cluster: h, Deadline: time.Hour, MaxAttempts: 1}, nil
 }
 
-func (h *holding) Do(ctx context.Context, _ *engine.Request) (engine.Answer, error) {
-	h.came <- struct{}{}
+func (h *pendingCluster) Do(ctx context.Context, _ *engine.Request) (engine.Answer, error) {
+	h.received <- struct{}{}
 	<-ctx.Done()
-	h.over <- struct{}{}
+	h.ended <- struct{}{}
 	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
-// Over HTTP/2 a client that gives up its stream, or its connection, while the request waits ends the
-// request: the frames of a connection are read on whatever its streams do.
-func TestClientLeavesWhileItWaits(t *testing.T) {
+// Over HTTP/2 a client that resets its stream, or closes its connection, ends its request: the frames of a connection
+// are read whatever its streams do.
+func TestDisconnectDuringRequest(t *testing.T) {
 	for _, cuts := range []bool{false, true} {
-		h := &holding{make(chan struct{}, 1), make(chan struct{}, 1)}
+		h := &pendingCluster{make(chan struct{}, 1), make(chan struct{}, 1)}
 		clock := engine.NewClock()
 		f := h1server.New(h, h1server.Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t)})
 		l := testutil.Listen(t)
@@ -67,13 +67,13 @@
 				t.Error("an answer")
 			}
 		}()
-		testutil.Wait(t, h.came, "the request")
+		testutil.Wait(t, h.received, "the request")
 		if cuts {
 			nc.Close()
 		} else {
 			leave()
 		}
-		testutil.Wait(t, h.over, "the request to be given up")
+		testutil.Wait(t, h.ended, "the request to be given up")
 		testutil.Wait(t, gone, "the client")
 		leave()
 		peer.CloseIdleConnections()
--- a/internal/downstream/h2server/flood_test.go
+++ b/internal/downstream/h2server/flood_test.go
@@ -25,7 +25,7 @@
 	"yokestall/policy"
 )
 
-// asking is a cluster that gives requests to the test, and holds each until it is told to go on.
+// asking is a cluster that passes requests to the test, and holds each until the test releases it.
 type asking struct {
 	came chan *engine.Request
 	goes chan struct{}
@@ -41,7 +41,7 @@
 	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
-// serve serves a front over HTTP/2 until the test's end.
+// serve serves a listener over HTTP/2 until the end of the test.
 func serve(t *testing.T, to ingress.Router, clock engine.Clock) (addr string) {
 	t.Helper()
 	f := h1server.New(to, h1server.Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 64, New: 64}, Log: testutil.Log(t)})
@@ -84,9 +84,9 @@
 	})
 }
 
-// Right before a send it is asked whether the client of an HTTP/2 stream has gone, by its stream or by its
-// connection, however far the request's own end has got.
-func TestStreamsClientIsAskedFor(t *testing.T) {
+// The check before a send detects that the client of an HTTP/2 stream has reset the stream or closed its connection,
+// before the request's context ends.
+func TestStreamDisconnectedBeforeSend(t *testing.T) {
 	t.Parallel()
 	for _, cuts := range []bool{false, true} {
 		a := &asking{make(chan *engine.Request, 1), make(chan struct{})}
@@ -114,9 +114,9 @@
 	}
 }
 
-// Hundreds of streams are given up in bursts, by RST_STREAM and by their connection's end, while they wait
-// behind a server that stands still. Then it goes on: none is sent on 0.1 s after its client left.
-func TestStormOfLeavingStreams(t *testing.T) {
+// Hundreds of streams are reset in bursts, by RST_STREAM and by the end of their connection, while their requests are
+// queued for an endpoint that does not answer. Once it answers again, none is forwarded 0.1 s after its disconnect.
+func TestQueuedStreamsDisconnectInBursts(t *testing.T) {
 	t.Parallel()
 	const waves, burst, rule = 8, 100, 100 * time.Millisecond
 	var mu sync.Mutex
@@ -195,7 +195,7 @@
 	t.Logf("%d streams, %d had been sent on, %d later than %v", len(left), len(sent), late, bound)
 }
 
-// routes sends all to one cluster, and counts them.
+// routes is a router to one cluster, which counts the requests.
 type routes struct {
 	ingress.Cluster
 	asked atomic.Int64
--- a/internal/upstream/h1client/pool_test.go
+++ b/internal/upstream/h1client/pool_test.go
@@ -23,7 +23,7 @@
 	return u, 1
 }
 
-// send makes one attempt and gives the body of what was served.
+// send makes one attempt and returns the body of its answer.
 func send(ctx context.Context, u *Pool, id policy.EndpointID) (policy.Status, string) {
 	r := &Request{Method: "POST", Target: "/pay", Host: "x", Header: http.Header{}, Body: []byte("b")}
 	res := u.Exchange(engine.NewCall(ctx), id, r, time.Minute)
@@ -33,7 +33,7 @@
 	return res.Status, ""
 }
 
-// backend gives the address of a server, and what reaches it.
+// backend returns the address of an endpoint, and the requests that it receives.
 func backend(t *testing.T, handle http.HandlerFunc) (string, chan *http.Request) {
 	b := testutil.NewBackend(t, handle)
 	return b.Addr(), b.Got
@@ -101,9 +101,8 @@
 	}
 }
 
-// Where any answer under 500 is served, its status goes with it.
-// An answer with no length ends with its connection where it says so. Else the end may be that of a part,
-// also of one that is too long to be waited for.
+// An answer without a length ends with its connection where it says so. Otherwise that may be the end of a part, also
+// for a stream.
 func TestAnswersWithNoLength(t *testing.T) {
 	for head, whole := range map[string]bool{
 		"HTTP/1.1 200 OK\r\n\r\n": false, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n": true, "HTTP/1.0 200 OK\r\n\r\n": true,
@@ -132,6 +131,7 @@
 	}
 }
 
+// With Options.AnyStatus an answer below 500 is served, with its status.
 func TestAnyAnswer(t *testing.T) {
 	addr, _ := backend(t, func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no such room", 404) })
 	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxConnections: 10, AnyStatus: true})
@@ -152,8 +152,7 @@
 	}
 }
 
-// A request that has its final answer while an attempt still waits for its
-// connection must not be sent any more.
+// A request that has its final answer while an attempt waits for its connection is not sent.
 func TestNoSendAfterFinalAnswer(t *testing.T) {
 	addr, got := backend(t, testutil.OK)
 	u, id := poolTo(addr)
@@ -168,7 +167,7 @@
 	}
 }
 
-func TestIdleConnectionsRetire(t *testing.T) {
+func TestEvictIdle(t *testing.T) {
 	addr, conns := testutil.Script(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false)
 	u, id := poolTo(addr)
 	u.maxIdleTime = 20 * time.Millisecond
@@ -184,8 +183,9 @@
 	})
 }
 
-// At the cap nothing is sent and nobody is blamed; an idle connection makes room.
-func TestCap(t *testing.T) {
+// At the limit on connections nothing is sent and the endpoint is not blamed; an idle connection is closed to make
+// room.
+func TestConnectionLimit(t *testing.T) {
 	addr, _ := backend(t, testutil.OK)
 	u, id := poolTo(addr)
 	u.maxConnections = 1
@@ -203,8 +203,8 @@
 	}
 }
 
-// A server under the same id at another address, or with another start, is another
-// process: nothing of the former one's connections is used for it.
+// An endpoint with the same ID at another address, or with another incarnation, is another process: it gets no
+// connection of the former one.
 func TestServerReplaced(t *testing.T) {
 	first, gotFirst := backend(t, testutil.OK)
 	second, gotSecond := backend(t, testutil.OK)
@@ -228,11 +228,10 @@
 	}
 }
 
-// What a server does with a connection behind its answer shows only after a
-// moment: it closes, or sends the answer again. The next request must not go
-// there meanwhile: it would be lost, or be answered with what was made for another. It waits
-// rather than open a connection: where nothing comes behind, the one there is serves again.
-func TestConnectionSettlesBeforeItsNextRequest(t *testing.T) {
+// What an endpoint does with a connection behind its answer, to close it or to send the answer again, shows only after
+// a moment. The next request is not written before, or it would be lost or get another request's answer. It waits
+// rather than open a connection, and uses the connection where nothing follows.
+func TestReuseDelay(t *testing.T) {
 	const again = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	for name, behind := range map[string]func(nc net.Conn){
 		"a close":       func(nc net.Conn) { nc.Close() },
@@ -280,7 +279,7 @@
 	}
 }
 
-// A connection that ends before anything was written to it has carried nothing.
+// A connection that ends before anything was written to it has carried no request.
 func TestNewConnectionReset(t *testing.T) {
 	l := testutil.Listen(t)
 	u, id := poolTo(l.Addr().String())
@@ -298,8 +297,8 @@
 	}
 }
 
-// An idle connection keeps no large request's buffer.
-func TestIdleConnectionsKeepLittle(t *testing.T) {
+// An idle connection retains no large request buffer.
+func TestIdleConnectionsReleaseLargeBuffers(t *testing.T) {
 	addr, _ := backend(t, testutil.OK)
 	u, id := poolTo(addr)
 	r := &Request{Method: "POST", Target: "/", Host: "x", Header: http.Header{}, Body: make([]byte, MaxBody)}
@@ -313,8 +312,8 @@
 	}
 }
 
-// A node among many keeps its share of idle connections to a server and no more, however many were
-// in use at once; one by itself keeps what is of use.
+// A node among many retains its share of idle connections to an endpoint, however many were in use at once; a node
+// alone retains what is useful.
 func TestIdleConnectionsAreAShare(t *testing.T) {
 	for _, c := range []struct {
 		nodes, want int
@@ -346,8 +345,8 @@
 	}
 }
 
-// A connection that comes up late, behind its time-out, carries nothing: the attempt counts as never
-// run, its descriptor is free at once, and what comes up all the same is closed.
+// A connection that is established after its timeout carries nothing: the attempt counts as not sent, its descriptor is
+// released at once, and the connection is closed.
 func TestConnectionComesUpTooLate(t *testing.T) {
 	l := testutil.Listen(t)
 	raw, err := l.(*net.TCPListener).SyscallConn()
--- a/internal/upstream/h1client/upload_test.go
+++ b/internal/upstream/h1client/upload_test.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/testutil"
 )
 
-// parts gives a body in drawn pieces with pauses, and then an error.
+// parts returns a body in random pieces with pauses, and then an error.
 type parts struct {
 	left []byte
 	rng  *rand.Rand
@@ -31,9 +31,9 @@
 	return n, nil
 }
 
-// Over drawn bodies, limits and attempts: what an attempt reads is the body from its first
-// byte or an error, never a part with a clean end; so long as it fits the limit any number of
-// attempts read it, past that one alone; and no more than the limit is held.
+// For random bodies, limits and attempts: an attempt reads the body from its first byte or an error, never a part with
+// a clean end; while the body fits the limit any number of attempts read it, beyond it one alone; and the buffer does
+// not exceed the limit.
 func TestUploadAgainstModel(t *testing.T) {
 	gone := errors.New("the client is gone")
 	for seed := range uint64(300) {
@@ -99,8 +99,8 @@
 	}
 }
 
-// A wait for what comes at one go ends, on however busy a machine: the time between the start of its
-// timer and the look at the clock made it wait on for ever, so that an event was stuck until its request's deadline.
+// AwaitBufferFor ends on however busy a machine: where it read the clock, the time between the start of its timer and
+// the reading had it wait until the request's deadline.
 func TestSettleEnds(t *testing.T) {
 	const waiters, times = 256, 100
 	var all sync.WaitGroup
--- a/internal/upstream/h2client/pool_test.go
+++ b/internal/upstream/h2client/pool_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// scripted is a server that reads each connection's start and does something at each request.
+// scripted is an endpoint that reads the start of each connection and calls at for each request.
 func scripted(t testing.TB, streams uint32, at func(f *http2.Framer, nc net.Conn, stream uint32)) (addr string, conns func() int) {
 	count := make(chan int, 100)
 	addr = testutil.Accept(t, func(nc net.Conn) {
@@ -54,9 +54,9 @@
 	return addr, func() int { return len(count) }
 }
 
-// How a stream ends says whether the request has run: what certainly has not may be sent again
-// whatever its class (RFC 9113, 6.8 and 8.7).
-func TestWhatHasNotRun(t *testing.T) {
+// How a stream ends says whether its request may have run: what certainly has not may be sent again whatever its class
+// (RFC 9113, 6.8 and 8.7).
+func TestFailureStatus(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		at   func(f *http2.Framer, nc net.Conn, stream uint32)
@@ -81,8 +81,8 @@
 	}
 }
 
-// A server that allows one stream a connection gets maxConnsPerEndpoint connections, no more; what
-// finds none free has not run, and its place is free again once one ends.
+// An endpoint that allows one stream a connection gets maxConnsPerEndpoint connections. An attempt that finds no free
+// stream has not run, and a place is free again once a stream ends.
 func TestStreamLimit(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 1, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
@@ -113,9 +113,9 @@
 	testutil.Until(t, "all connections to end", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.connections == 0 })
 }
 
-// What finds a connection and may not be sent any more, as behind an answer that came
-// meanwhile, takes no place for good: beside a stream that is open the second stays free.
-func TestUnsentKeepsNoPlace(t *testing.T) {
+// An attempt that gets a connection and may not be sent any more, as after a final answer, releases its place: beside
+// an open stream the second stays free.
+func TestUnsentAttemptReleasesPlace(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 2, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
 	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 100})
@@ -137,7 +137,7 @@
 	u.UpdateEndpoints(true, nil)
 }
 
-// What gRPC's statuses say of the server, and that its word on retries is heard.
+// The statuses of gRPC that count as the endpoint's failure, and grpc-retry-pushback-ms.
 func TestGRPCOutcomes(t *testing.T) {
 	for _, tc := range []struct {
 		kind, status, pushback string
