--- a/internal/upstream/h1client/answer.go
+++ b/internal/upstream/h1client/answer.go
@@ -88,7 +88,7 @@
 	if streams {
 		return p.streamAnswer(c, r, resp, body, sender), false
 	}
-	return p.wholeAnswer(c, resp, body, err, noBody)
+	return p.completeAnswer(c, resp, body, err, noBody)
 }
 
 // readBody reads a body as far as it is not to follow as a stream: then it returns its beginning, and streams is true.
@@ -129,8 +129,8 @@
 	return body[:n], err
 }
 
-// wholeAnswer returns the result of an answer whose body was read, or whose reading ended with err.
-func (p *Pool) wholeAnswer(
+// completeAnswer returns the result of an answer whose body was read, or whose reading ended with err.
+func (p *Pool) completeAnswer(
 	c *conn, resp *http.Response, body []byte, err error, noBody bool,
 ) (result engine.Result, reusable bool) {
 	switch {
