--- a/internal/downstream/h1server/clients_test.go
+++ b/internal/downstream/h1server/clientconns_test.go
@@ -18,35 +18,33 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// held is a router to a cluster that refuses nothing and answers when it is let: what is
-// refused before it is the front's own doing.
-type held struct {
-	taken   chan struct{}
+// gatedCluster is a router and its cluster, which answers when it is released. Any other answer is the server's own.
+type gatedCluster struct {
+	started chan struct{}
 	release chan struct{}
 }
 
-func (h *held) Route(*http.Request) (ingress.Destination, error) {
+func (h *gatedCluster) Route(*http.Request) (ingress.Destination, error) {
 	return ingress.Destination{Cluster: h, Deadline: testutil.Patience, MaxRetryAfter: 600 * time.Millisecond}, nil
 }
 
-func (h *held) Do(context.Context, *engine.Request) (engine.Answer, error) {
-	h.taken <- struct{}{}
+func (h *gatedCluster) Do(context.Context, *engine.Request) (engine.Answer, error) {
+	h.started <- struct{}{}
 	<-h.release
 	return engine.Answer{Verdict: engine.Served, Value: &h1client.Answer{Status: 200, Body: []byte("done")}}, nil
 }
 
-// Where every connection is at work a newcomer is told when to come back, and past
-// those places it is closed. Those at work are served, and told that their connection
-// ends where they hold the reserve.
-func TestAllConnectionsAtWork(t *testing.T) {
+// While all connections are busy, further clients get a response with Retry-After, and beyond those places their
+// connections are closed. The busy ones are served, and end with their response where they use the reserve.
+func TestOverflowWhenAllConnectionsAreBusy(t *testing.T) {
 	const asked, reserve, over = 16, 2, 2
-	h := &held{taken: make(chan struct{}, 100), release: make(chan struct{})}
+	h := &gatedCluster{started: make(chan struct{}, 100), release: make(chan struct{})}
 	f := New(h, Options{
 		Clock: engine.NewClock(), Log: testutil.Log(t),
-		Places: connlimit.Limits{Active: asked, Reserve: reserve, New: 4, Overflow: over},
+		ConnectionLimits: connlimit.Limits{Active: asked, Reserve: reserve, New: 4, Overflow: over},
 	})
 	l := testutil.Listen(t)
-	srv, listener, ended := f.Server(), f.Listener(l), make(chan error, 1)
+	srv, listener, ended := f.HTTPServer(), f.Listener(l), make(chan error, 1)
 	go func() { ended <- srv.Serve(listener) }()
 	defer func() { srv.Close(); listener.Close(); <-ended }()
 	dial := func() net.Conn {
@@ -62,7 +60,7 @@
 	var busy []net.Conn
 	for range asked {
 		busy = append(busy, dial())
-		testutil.Wait(t, h.taken, "a request to be at work")
+		testutil.Wait(t, h.started, "a request to be at work")
 	}
 	for range over { // a connection that is told to end keeps its place a while
 		resp, err := http.ReadResponse(bufio.NewReader(dial()), nil)
@@ -87,24 +85,24 @@
 	if last == 0 {
 		t.Error("nobody made room although the reserve was in use")
 	}
-	if len(h.taken) != 0 {
-		t.Errorf("%d of those over the places reached the cluster", len(h.taken))
+	if len(h.started) != 0 {
+		t.Errorf("%d of those over the places reached the cluster", len(h.started))
 	}
 }
 
-// What a connection that was closed had still to be read counts as not read: its
-// client asks again elsewhere. Its place is given back once.
-func TestClosedWhileRead(t *testing.T) {
+// Bytes that are read from a connection that was closed meanwhile count as not read: its client sends the request again
+// elsewhere. Its place is released once.
+func TestReadAfterCloseReturnsNothing(t *testing.T) {
 	l := testutil.Listen(t)
 	conns := newClientConns(connlimit.Limits{Active: 1, New: 1})
-	capped := cappedListener{l, conns}
-	defer capped.Close()
+	listener := limitedListener{l, conns}
+	defer listener.Close()
 	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer client.Close()
-	nc, err := capped.Accept()
+	nc, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +114,7 @@
 	if n, err := nc.Read(make([]byte, 10)); n != 0 || err == nil {
 		t.Errorf("read %d bytes, %v", n, err)
 	}
-	if open, _ := c.whole(false); open {
+	if open, _ := c.beginRequest(false); open {
 		t.Error("a request of a closed connection would be served")
 	}
 	nc.Close()
@@ -126,12 +124,11 @@
 	c.Conn.Close()
 }
 
-// A client that has spoken while this node was too busy to listen is not silent: it is
-// not closed in favour of a newcomer, and what it has sent is read.
-func TestSpokenIsNotSilent(t *testing.T) {
+// A new connection whose bytes this node has not read yet is not closed to make room, and its bytes are read.
+func TestUnreadBytesProtectNewConnection(t *testing.T) {
 	l := testutil.Listen(t)
-	capped := cappedListener{l, newClientConns(connlimit.Limits{Active: 2, New: 1})}
-	defer capped.Close()
+	listener := limitedListener{l, newClientConns(connlimit.Limits{Active: 2, New: 1})}
+	defer listener.Close()
 	dial := func(say string) net.Conn {
 		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -139,7 +136,7 @@
 		}
 		t.Cleanup(func() { client.Close() })
 		io.WriteString(client, say)
-		nc, err := capped.Accept()
+		nc, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,28 +154,28 @@
 	}
 }
 
-// A node that is emptied, or hands over, closes connections that rest, but none over which the next
-// request has come already: that one is read and answered.
-func TestClosesOnlyWhatRests(t *testing.T) {
+// Lame duck mode, a shutdown and a hot restart close idle connections, but none on which the next request has arrived:
+// that one is read and answered.
+func TestClosesOnlyIdleConnections(t *testing.T) {
 	for name, empty := range map[string]func(cs *clientConns){
 		"emptied": func(cs *clientConns) {
-			cs.restEnds(0, adminstate.LameDuckNotice)
+			cs.closeExpired(0, adminstate.LameDuckNotice)
 		},
-		"stopping":     func(cs *clientConns) { cs.restEnds(0, never) },
-		"handing over": func(cs *clientConns) { cs.restEnds(0, 0) },
+		"stopping":     func(cs *clientConns) { cs.closeExpired(0, unlimitedIdle) },
+		"handing over": func(cs *clientConns) { cs.closeExpired(0, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := testutil.Listen(t)
 			conns := newClientConns(connlimit.Limits{Active: 8, New: 8})
-			capped := cappedListener{l, conns}
-			defer capped.Close()
+			listener := limitedListener{l, conns}
+			defer listener.Close()
 			accept := func(asked bool) (client net.Conn, c *clientConn) {
 				client, err := net.Dial("tcp", l.Addr().String())
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { client.Close() })
-				nc, err := capped.Accept()
+				nc, err := listener.Accept()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -186,7 +183,7 @@
 				c = nc.(*clientConn)
 				if asked { // and rests
 					conns.mu.Lock()
-					conns.spoke(c)
+					conns.bytesReceived(c)
 					conns.table.RequestComplete(conns.now(), c.entry)
 					conns.table.ResponseSent(conns.now(), c.entry)
 					conns.mu.Unlock()
@@ -199,7 +196,7 @@
 			io.WriteString(crossing, "GET /read")
 			io.WriteString(late, "GET /read")
 			for _, c := range []*clientConn{crossed, spoken} { // until it is here
-				testutil.Until(t, "the bytes", func() bool { return !h1client.Quiet(c.Conn) })
+				testutil.Until(t, "the bytes", func() bool { return !h1client.NothingToRead(c.Conn) })
 			}
 			conns.mu.Lock()
 			empty(conns)
@@ -216,19 +213,18 @@
 	}
 }
 
-// A request that this process has just read from its socket, and whose connection is closed for its rest before the
-// table was told, gets its answer: the socket shows nothing any more, and its client has no way to know that it was
-// not taken.
-func TestReadAndClosedAtOneInstant(t *testing.T) {
+// A request that was read from its socket while its connection was being closed as idle, before the table knew of it,
+// gets its answer: the socket has nothing to read any more, and its client cannot know that it was not served.
+func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	t.Parallel()
 	for name, close := range map[string]func(cs *clientConns){
-		"a stop":          func(cs *clientConns) { cs.restEnds(0, never) },
-		"the last moment": func(cs *clientConns) { cs.restEnds(0, 0) },
+		"a stop":          func(cs *clientConns) { cs.closeExpired(0, unlimitedIdle) },
+		"the last moment": func(cs *clientConns) { cs.closeExpired(0, 0) },
 	} {
 		for _, again := range []bool{false, true} { // a first request, or a further one
 			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
 				t.Parallel()
-				f := New(&counter{}, Options{Clock: engine.NewClock(), Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+				f := New(&countingCluster{}, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 				nc, err := net.Dial("tcp", serve(t, f))
 				if err != nil {
 					t.Fatal(err)
@@ -251,7 +247,7 @@
 				find := func() bool {
 					cs.mu.Lock()
 					defer cs.mu.Unlock()
-					if e := cs.table.NextExpired(never, 0, 0); e != nil {
+					if e := cs.table.NextExpired(unlimitedIdle, 0, 0); e != nil {
 						c = e.Owner.(*clientConn)
 					}
 					return c != nil
@@ -266,9 +262,9 @@
 				cs.mu.Lock() // nobody can tell the table
 				ask("second")
 				testutil.Until(t, "the request to be read", func() bool {
-					c.side.Lock()
-					defer c.side.Unlock()
-					return c.came
+					c.readMu.Lock()
+					defer c.readMu.Unlock()
+					return c.unreported
 				})
 				close(cs)
 				cs.mu.Unlock()
@@ -280,9 +276,9 @@
 	}
 }
 
-// A request that was read to its end is not thrown out for being slow to come, however late this
-// process gets to its handler; one that has not come to its end is.
-func TestReadRequestKeepsItsPlace(t *testing.T) {
+// A complete request that was read does not lose its place for being slow, however late its handler runs; an incomplete
+// one does.
+func TestBufferedRequestRetainsPlace(t *testing.T) {
 	t.Parallel()
 	const get = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
 	for text, stays := range map[string]bool{
@@ -293,7 +289,7 @@
 		"POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\na\r\n\r\n": false,
 	} {
 		cs := newClientConns(connlimit.Limits{Active: 1, New: 4, Overflow: 1})
-		l := cappedListener{testutil.Listen(t), cs}
+		l := limitedListener{testutil.Listen(t), cs}
 		speak := func(text string) *clientConn {
 			there, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
@@ -313,7 +309,7 @@
 		}
 		first := speak(text)
 		cs.mu.Lock()
-		cs.zero = cs.zero.Add(-time.Second) // nobody got to it for a second
+		cs.start = cs.start.Add(-time.Second) // nobody got to it for a second
 		cs.mu.Unlock()
 		speak("GET /y")
 		if got := !first.entry.Removed(); got != stays {
--- a/internal/downstream/h1server/late_test.go
+++ b/internal/downstream/h1server/lateconnect_test.go
@@ -18,9 +18,9 @@
 	"yokestall/policy"
 )
 
-// A request whose client leaves while a connection for it comes up late is not sent on it, and the
-// connection is given up at once.
-func TestLeavesWhileAConnectionComesUp(t *testing.T) {
+// A request whose client disconnects while a connection to the endpoint is being opened is not sent, and opening the
+// connection ends at once.
+func TestDisconnectDuringConnect(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"nothing": "", "a request": "GET /x HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish": strings.Repeat("rubbish", 1000)} {
 		t.Run(name, func(t *testing.T) {
@@ -39,26 +39,26 @@
 			set := policy.Defaults()
 			set.Limits.AllowCancel = true
 			set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-			pool := h1client.New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: 2 * testutil.Patience, MaxOpen: 4})
-			pool.Update(true, []h1client.Server{{ID: 1, Address: l.Addr().String()}})
+			pool := h1client.New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: 2 * testutil.Patience, MaxConnections: 4})
+			pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: l.Addr().String()}})
 			clock := engine.NewClock()
 			cluster, err := engine.New(t.Context(), set, pool, engine.Options{Seed: 1, Clock: clock})
 			if err != nil {
 				t.Fatal(err)
 			}
 			cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
-			f := New(routes(func(*http.Request) (ingress.Destination, error) {
+			f := New(routerFunc(func(*http.Request) (ingress.Destination, error) {
 				return ingress.Destination{Cluster: cluster, Deadline: time.Hour}, nil
-			}), Options{Clock: clock, Places: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+			}), Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
 			nc, err := net.Dial("tcp", serve(t, f))
 			if err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-			testutil.Until(t, "a connection to be opened", func() bool { return pool.Open() == 1 })
+			testutil.Until(t, "a connection to be opened", func() bool { return pool.OpenConnections() == 1 })
 			io.WriteString(nc, more)
 			nc.Close()
-			testutil.Until(t, "it to be given up", func() bool { return pool.Open() == 0 })
+			testutil.Until(t, "it to be given up", func() bool { return pool.OpenConnections() == 0 })
 			testutil.Until(t, "the client's to be over", func() bool { return f.Connections() == 0 })
 			late, err := l.Accept()
 			if err != nil {
--- a/internal/upstream/h1client/pool_test.go
+++ b/internal/upstream/h1client/pool_test.go
@@ -17,13 +17,13 @@
 )
 
 func poolTo(addr string) (*Pool, policy.EndpointID) {
-	u := New(Options{ServersIdle: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxOpen: 10})
-	u.settle = 0
-	u.Update(true, []Server{{ID: 1, Address: addr}})
+	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxConnections: 10})
+	u.reuseDelay = 0
+	u.UpdateEndpoints(true, []Endpoint{{ID: 1, Address: addr}})
 	return u, 1
 }
 
-// send makes one attempt and gives the body of what was served.
+// send makes one attempt and returns the body of its answer.
 func send(ctx context.Context, u *Pool, id policy.EndpointID) (policy.Status, string) {
 	r := &Request{Method: "POST", Target: "/pay", Host: "x", Header: http.Header{}, Body: []byte("b")}
 	res := u.Exchange(engine.NewCall(ctx), id, r, time.Minute)
@@ -33,7 +33,7 @@
 	return res.Status, ""
 }
 
-// backend gives the address of a server, and what reaches it.
+// backend returns the address of an endpoint, and the requests that it receives.
 func backend(t *testing.T, handle http.HandlerFunc) (string, chan *http.Request) {
 	b := testutil.NewBackend(t, handle)
 	return b.Addr(), b.Got
@@ -74,7 +74,7 @@
 		"length no number":      {"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nhi", false, policy.ErrorResponse, 2},
 		"1xx for ever":          {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20), false, policy.ErrorResponse, 2},
 		"1xx, then nothing":     {"HTTP/1.1 103 Early Hints\r\n\r\nHT", false, policy.ErrorResponse, 2},
-		"large head":            {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxAnswer+1), false, policy.ErrorResponse, 2},
+		"large head":            {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", maxAnswerBytes+1), false, policy.ErrorResponse, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, conns := testutil.Script(t, c.answer, c.close)
@@ -101,9 +101,8 @@
 	}
 }
 
-// Where any answer under 500 is served, its status goes with it.
-// An answer with no length ends with its connection where it says so. Else the end may be that of a part,
-// also of one that is too long to be waited for.
+// An answer without a length ends with its connection where it says so. Otherwise that may be the end of a part, also
+// for a stream.
 func TestAnswersWithNoLength(t *testing.T) {
 	for head, whole := range map[string]bool{
 		"HTTP/1.1 200 OK\r\n\r\n": false, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n": true, "HTTP/1.0 200 OK\r\n\r\n": true,
@@ -112,7 +111,7 @@
 			t.Run(fmt.Sprintf("%.28q of %d", head, length), func(t *testing.T) {
 				addr, _ := testutil.Script(t, head+strings.Repeat("x", length), true)
 				u, id := poolTo(addr)
-				u.large = true
+				u.streamLargeBodies = true
 				r := &Request{Method: "POST", Target: "/pay", Host: "x", Header: http.Header{}, Body: []byte("b")}
 				res := u.Exchange(engine.NewCall(t.Context()), id, r, time.Minute)
 				got, err := 0, error(nil)
@@ -132,10 +131,11 @@
 	}
 }
 
+// With Options.AnyStatus an answer below 500 is served, with its status.
 func TestAnyAnswer(t *testing.T) {
 	addr, _ := backend(t, func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no such room", 404) })
-	u := New(Options{ServersIdle: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxOpen: 10, AnyAnswer: true})
-	u.Update(true, []Server{{ID: 1, Address: addr}})
+	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxConnections: 10, AnyStatus: true})
+	u.UpdateEndpoints(true, []Endpoint{{ID: 1, Address: addr}})
 	res := u.Exchange(engine.NewCall(t.Context()), 1, &Request{Method: "GET", Target: "/", Host: "x", Header: http.Header{}}, time.Minute)
 	if a, ok := res.Answer.(*Answer); !ok || res.Status != policy.OK || a.Status != 404 {
 		t.Errorf("result %+v", res)
@@ -147,13 +147,12 @@
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
 		t.Errorf("status %d", status)
 	}
-	if u.open != 0 {
-		t.Errorf("%d connections counted", u.open)
+	if u.connections != 0 {
+		t.Errorf("%d connections counted", u.connections)
 	}
 }
 
-// A request that has its final answer while an attempt still waits for its
-// connection must not be sent any more.
+// A request that has its final answer while an attempt waits for its connection is not sent.
 func TestNoSendAfterFinalAnswer(t *testing.T) {
 	addr, got := backend(t, testutil.OK)
 	u, id := poolTo(addr)
@@ -168,34 +167,35 @@
 	}
 }
 
-func TestIdleConnectionsRetire(t *testing.T) {
+func TestEvictIdle(t *testing.T) {
 	addr, conns := testutil.Script(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false)
 	u, id := poolTo(addr)
-	u.idleFor = 20 * time.Millisecond
+	u.maxIdleTime = 20 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go u.Retire(ctx)
+	go u.EvictIdle(ctx)
 	send(ctx, u, id)
 	testutil.Wait(t, conns, "a connection")
 	testutil.Until(t, "the idle connection to be closed", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return u.open == 0
+		return u.connections == 0
 	})
 }
 
-// At the cap nothing is sent and nobody is blamed; an idle connection makes room.
-func TestCap(t *testing.T) {
+// At the limit on connections nothing is sent and the endpoint is not blamed; an idle connection is closed to make
+// room.
+func TestConnectionLimit(t *testing.T) {
 	addr, _ := backend(t, testutil.OK)
 	u, id := poolTo(addr)
-	u.maxOpen = 1
-	u.open = 1 // one is in use
+	u.maxConnections = 1
+	u.connections = 1 // one is in use
 	if status, _ := send(t.Context(), u, id); status != policy.NeverSent {
 		t.Errorf("status %d at the cap", status)
 	}
-	u.open = 0
+	u.connections = 0
 	other, _ := backend(t, testutil.OK)
-	u.Update(false, []Server{{ID: 2, Address: other}})
+	u.UpdateEndpoints(false, []Endpoint{{ID: 2, Address: other}})
 	for _, to := range []policy.EndpointID{id, 2, id} {
 		if status, _ := send(t.Context(), u, to); status != policy.OK {
 			t.Errorf("status %d although an idle connection could make room", status)
@@ -203,36 +203,35 @@
 	}
 }
 
-// A server under the same id at another address, or with another start, is another
-// process: nothing of the former one's connections is used for it.
+// An endpoint with the same ID at another address, or with another incarnation, is another process: it gets no
+// connection of the former one.
 func TestServerReplaced(t *testing.T) {
 	first, gotFirst := backend(t, testutil.OK)
 	second, gotSecond := backend(t, testutil.OK)
 	u, id := poolTo(first)
 	send(t.Context(), u, id)
-	u.Update(true, []Server{{ID: id, Address: second}})
-	if u.open != 0 {
-		t.Errorf("%d connections to the former address are kept", u.open)
+	u.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second}})
+	if u.connections != 0 {
+		t.Errorf("%d connections to the former address are kept", u.connections)
 	}
 	send(t.Context(), u, id)
 	if len(gotFirst) != 1 || len(gotSecond) != 1 {
 		t.Errorf("%d and %d requests", len(gotFirst), len(gotSecond))
 	}
-	u.Update(true, []Server{{ID: id, Address: second, Start: 5}})
-	if u.open != 0 {
-		t.Errorf("%d connections from before the restart are kept", u.open)
+	u.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second, Incarnation: 5}})
+	if u.connections != 0 {
+		t.Errorf("%d connections from before the restart are kept", u.connections)
 	}
-	u.Update(false, []Server{{ID: id, Gone: true}})
+	u.UpdateEndpoints(false, []Endpoint{{ID: id, Removed: true}})
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
 		t.Errorf("status %d for one that is gone", status)
 	}
 }
 
-// What a server does with a connection behind its answer shows only after a
-// moment: it closes, or sends the answer again. The next request must not go
-// there meanwhile: it would be lost, or be answered with what was made for another. It waits
-// rather than open a connection: where nothing comes behind, the one there is serves again.
-func TestConnectionSettlesBeforeItsNextRequest(t *testing.T) {
+// What an endpoint does with a connection behind its answer, to close it or to send the answer again, shows only after
+// a moment. The next request is not written before, or it would be lost or get another request's answer. It waits
+// rather than open a connection, and uses the connection where nothing follows.
+func TestReuseDelay(t *testing.T) {
 	const again = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	for name, behind := range map[string]func(nc net.Conn){
 		"a close":       func(nc net.Conn) { nc.Close() },
@@ -246,7 +245,7 @@
 			addr, _ := backend(t, func(w http.ResponseWriter, r *http.Request) {
 				from[r.RemoteAddr] = true // one request at a time
 				if behind == nil {
-					time.Sleep(patientFrom) // the server's work
+					time.Sleep(minAwaitReuseFrom) // the server's work
 					io.WriteString(w, "hi")
 					return
 				}
@@ -260,7 +259,7 @@
 				done <- struct{}{}
 			})
 			u, id := poolTo(addr)
-			u.settle = testutil.Patience / 60
+			u.reuseDelay = testutil.Patience / 60
 			want := 1
 			if behind != nil {
 				want = 2
@@ -280,7 +279,7 @@
 	}
 }
 
-// A connection that ends before anything was written to it has carried nothing.
+// A connection that ends before anything was written to it has carried no request.
 func TestNewConnectionReset(t *testing.T) {
 	l := testutil.Listen(t)
 	u, id := poolTo(l.Addr().String())
@@ -290,16 +289,16 @@
 		t.Fatal(err)
 	}
 	nc.Close()
-	testutil.Until(t, "the close to be seen", func() bool { return !Quiet(conn.Conn) })
-	conn.server.idle = append(conn.server.idle, conn) // for the next send, though never used
-	conn.since = time.Now()
+	testutil.Until(t, "the close to be seen", func() bool { return !NothingToRead(conn.Conn) })
+	conn.endpoint.idle = append(conn.endpoint.idle, conn) // for the next send, though never used
+	conn.idleSince = time.Now()
 	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
 		t.Errorf("status %d", status)
 	}
 }
 
-// An idle connection keeps no large request's buffer.
-func TestIdleConnectionsKeepLittle(t *testing.T) {
+// An idle connection retains no large request buffer.
+func TestIdleConnectionsReleaseLargeBuffers(t *testing.T) {
 	addr, _ := backend(t, testutil.OK)
 	u, id := poolTo(addr)
 	r := &Request{Method: "POST", Target: "/", Host: "x", Header: http.Header{}, Body: make([]byte, MaxBody)}
@@ -308,46 +307,46 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if idle := u.servers[id].idle; len(idle) != 1 || cap(idle[0].message) > keepMessage {
+	if idle := u.endpoints[id].idle; len(idle) != 1 || cap(idle[0].message) > maxIdleMessageBytes {
 		t.Errorf("%d idle", len(idle))
 	}
 }
 
-// A node among many keeps its share of idle connections to a server and no more, however many were
-// in use at once; one by itself keeps what is of use.
+// A node among many retains its share of idle connections to an endpoint, however many were in use at once; a node
+// alone retains what is useful.
 func TestIdleConnectionsAreAShare(t *testing.T) {
 	for _, c := range []struct {
 		nodes, want int
 	}{{1, 32}, {80, 1}, {2, 32}, {10, 12}} {
-		u := New(Options{ServersIdle: 15 * time.Second, MaxOpen: 1000, Nodes: c.nodes})
-		var list []Server
+		u := New(Options{EndpointIdleTimeout: 15 * time.Second, MaxConnections: 1000, NodeCount: c.nodes})
+		var list []Endpoint
 		for id := range policy.EndpointID(20) {
-			list = append(list, Server{ID: id, Address: "127.0.0.1:1"})
+			list = append(list, Endpoint{ID: id, Address: "127.0.0.1:1"})
 		}
-		u.Update(true, list)
+		u.UpdateEndpoints(true, list)
 		u.mu.Lock()
-		for _, s := range u.servers { // this node uses all of them
+		for _, s := range u.endpoints { // this node uses all of them
 			s.used = true
 		}
-		u.share(time.Now().Add(time.Second))
-		s := u.servers[7]
+		u.updateIdleLimits(time.Now().Add(time.Second))
+		s := u.endpoints[7]
 		u.mu.Unlock()
 		for range 50 {
 			near, far := net.Pipe()
 			defer far.Close()
 			u.mu.Lock()
-			u.open++
+			u.connections++
 			u.mu.Unlock()
-			u.put(newConn(near, s), true)
+			u.release(newConn(near, s), true)
 		}
-		if len(s.idle) != c.want || u.Open() != c.want {
-			t.Errorf("%d nodes: %d are kept, %d counted, want %d", c.nodes, len(s.idle), u.Open(), c.want)
+		if len(s.idle) != c.want || u.OpenConnections() != c.want {
+			t.Errorf("%d nodes: %d are kept, %d counted, want %d", c.nodes, len(s.idle), u.OpenConnections(), c.want)
 		}
 	}
 }
 
-// A connection that comes up late, behind its time-out, carries nothing: the attempt counts as never
-// run, its descriptor is free at once, and what comes up all the same is closed.
+// A connection that is established after its timeout carries nothing: the attempt counts as not sent, its descriptor is
+// released at once, and the connection is closed.
 func TestConnectionComesUpTooLate(t *testing.T) {
 	l := testutil.Listen(t)
 	raw, err := l.(*net.TCPListener).SyscallConn()
@@ -360,12 +359,12 @@
 		t.Fatal(err)
 	}
 	defer first.Close()
-	u := New(Options{ServersIdle: 15 * time.Second, ConnectTimeout: 50 * time.Millisecond, MaxOpen: 10})
-	u.Update(true, []Server{{ID: 1, Address: l.Addr().String()}})
+	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 50 * time.Millisecond, MaxConnections: 10})
+	u.UpdateEndpoints(true, []Endpoint{{ID: 1, Address: l.Addr().String()}})
 	if status, _ := send(t.Context(), u, 1); status != policy.ConnectFailed {
 		t.Errorf("status %d: it has surely not run", status)
 	}
-	if n := u.Open(); n != 0 {
+	if n := u.OpenConnections(); n != 0 {
 		t.Errorf("%d connections are counted", n)
 	}
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(1500 * time.Millisecond)) // the next SYN would come after a second
