--- a/internal/node/platformsettings_test.go
+++ b/internal/node/platformsettings_test.go
@@ -50,7 +50,7 @@
 		"Effect":                  {`"side_effect"`, `"sometimes"`},
 		"DedupScope":              {`"all"`, `"most"`},
 		"Classes[2].Deadline":     {`"side_effect", "DeadlineMs": 8000`, `"side_effect", "DeadlineMs": 0`},
-		"Classes[1].DedupWindow":       {`"KeyTtlMs": 20000`, `"KeyTtlMs": -5`},
+		"Classes[1].DedupWindow":  {`"KeyTtlMs": 20000`, `"KeyTtlMs": -5`},
 		"Limits.MaxAttempts":      {`"MaxAttempts": 3`, `"MaxAttempts": 0`},
 		"Tenants[0].QuotaPerS":    {`"QuotaPerS": 1000`, `"QuotaPerS": -1`},
 		"time 1e+300 is too long": {`"TickMs": 5`, `"TickMs": 1e300`},
