--- a/internal/app/callers.go
+++ b/internal/app/callers.go
@@ -17,9 +17,9 @@
 // NewProcessor makes the front for other proxies.
 func (a *App) NewProcessor(set config.ExtProc) *extproc.Server {
 	return extproc.New(extproc.Options{
-		Clock: a.clock, Router: a, Log: a.Log, Streams: set.Streams, Head: set.Head, Message: set.Message,
-		Buffer: set.Buffer, Answer: set.Answer, First: set.First, Report: set.Report, Override: set.Override,
-		Repeats: idempotency.Limits{
+		Clock: a.clock, Router: a, Log: a.Log, MaxStreams: set.Streams, MaxHeaderBytes: set.Head, MaxMessageBytes: set.Message,
+		MaxBufferedBytes: set.Buffer, MaxResponseBytes: set.Answer, FirstMessageTimeout: set.First, RetryStreamTimeout: set.Report, AllowModeOverride: set.Override,
+		Idempotency: idempotency.Limits{
 			Entries: set.Repeats, Bytes: set.RepeatBytes, Joiners: maxJoiners, Tenants: len(a.state.Load().program.Tenants),
 		},
 	})
@@ -27,7 +27,7 @@
 
 // ServeProcessor serves other proxies on a listener until ctx ends, then answers what was taken.
 func (a *App) ServeProcessor(ctx context.Context, l net.Listener, s *extproc.Server, set config.ExtProc) error {
-	with := extproc.Listening{Connections: set.Connections, PerConn: set.PerConn, Drain: set.Drain}
+	with := extproc.ListenOptions{MaxConnections: set.Connections, MaxStreamsPerConnection: set.PerConn, MinDrainTimeout: set.Drain}
 	if set.TLS {
 		if a.Keys == nil {
 			return errors.New("extproc: tls: the program has no [keys] folder")
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -274,7 +274,7 @@
 	s.check()
 	s.summary()
 	if n := s.processor; n != nil {
-		fmt.Fprintf(o.Out, "a proxy in front asked the program about each: %d requests carried, %d picked\n", n.Stats.Carried.Load(), n.Stats.Picked.Load())
+		fmt.Fprintf(o.Out, "a proxy in front asked the program about each: %d requests carried, %d picked\n", n.Stats.Forwarded.Load(), n.Stats.Picked.Load())
 	}
 	if k := s.keys; k != nil {
 		fmt.Fprintf(o.Out, "%d answers over HTTP/2 and TLS; the keys were replaced %d times meanwhile\n", k.http2.Load(), k.store.Changes()-1)
--- a/internal/downstream/extproc/extproc_test.go
+++ b/internal/downstream/extproc/extproc_test.go
@@ -126,7 +126,7 @@
 
 func (r *rig) quiet() {
 	r.t.Helper()
-	testutil.Until(r.t, "all to be over in the books", func() bool { return r.server.Open() == 0 })
+	testutil.Until(r.t, "all to be over in the books", func() bool { return r.server.InFlight() == 0 })
 }
 
 func boxes(t testing.TB, n int) (list []*appbox.Box, addrs []string) {
@@ -513,7 +513,7 @@
 				if want := map[string]int{"refused": 503, "failed": 502}[tc.when]; want != 0 && one.Status != want && one.Status != 503 || one.Status == 0 {
 					t.Fatalf("the first: %+v", one)
 				}
-				testutil.Until(t, "the first's end in the books", func() bool { return r.server.Open() == 0 })
+				testutil.Until(t, "the first's end in the books", func() bool { return r.server.InFlight() == 0 })
 			}
 			a.Header = a.Header.Clone()
 			if tc.as == other {
@@ -525,7 +525,7 @@
 			second := make(chan proxy.Result, 1)
 			go func() { second <- p.Do(t.Context(), a) }()
 			if tc.when == "open" && tc.code == 200 { // it waits for the first
-				testutil.Until(t, "the second to join", func() bool { return r.server.Stats.Repeats.Load() == 1 })
+				testutil.Until(t, "the second to join", func() bool { return r.server.Stats.Duplicates.Load() == 1 })
 			}
 			if tc.when == "open" && tc.code != 200 { // it does not wait
 				two := testutil.Wait(t, second, "the second's answer")
@@ -676,7 +676,7 @@
 	}
 	before := list[1].Count()
 	out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/pick/x", Timeout: 5 * time.Second, Fault: proxy.WrongServer})
-	if n := r.server.Stats.Strays.Load(); n != 1 || out.Status != 200 || list[1].Count() != before {
+	if n := r.server.Stats.EndpointMismatches.Load(); n != 1 || out.Status != 200 || list[1].Count() != before {
 		t.Errorf("%d strays, %+v", n, out)
 	}
 	if out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/pick/x", Timeout: 5 * time.Second}); out.Status != 200 {
@@ -703,7 +703,7 @@
 	for range 10 {
 		silent = append(silent, r.open(t.Context()))
 	}
-	testutil.Until(t, "the streams to be there", func() bool { return r.server.Open() == 10 })
+	testutil.Until(t, "the streams to be there", func() bool { return r.server.InFlight() == 10 })
 	if _, err := r.open(t.Context()).Recv(); status.Code(err) != codes.ResourceExhausted {
 		t.Errorf("one over the bound: %v", err)
 	}
@@ -817,7 +817,7 @@
 			testutil.Wait(t, b.Got, "the request at its server")
 		}
 	}
-	testutil.Until(t, "both to be open", func() bool { return r.server.Stats.Carried.Load()+r.server.Stats.Picked.Load() == 2 })
+	testutil.Until(t, "both to be open", func() bool { return r.server.Stats.Forwarded.Load()+r.server.Stats.Picked.Load() == 2 })
 	if err := r.app.Take(r.version([]string{b.Addr()})); err != nil { // a new configuration too
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/downstream/extproc/forward.go
@@ -0,0 +1,93 @@
+package extproc
+
+import (
+	"context"
+	"errors"
+	"net/http"
+
+	"yokestall/internal/engine"
+	"yokestall/internal/idempotency"
+	"yokestall/internal/ingress"
+	"yokestall/internal/upstream/h1client"
+)
+
+// forward sends the request to an endpoint and the response to the caller.
+func (p *processingStream) forward() error {
+	p.server.Stats.Forwarded.Add(1)
+	out := p.upstreamRequest()
+	ctx, cancel := context.WithCancel(p.rpc.Context())
+	defer cancel()
+	switch delivery := p.state.BodyDelivery(p.server.AllowModeOverride); delivery {
+	case NoBody:
+	case BufferedBody, OverrideBodyMode:
+		if handled, err := p.receiveBody(out, delivery); handled || err != nil {
+			return err
+		}
+	case StreamedBody:
+		if !p.reserveBuffer(uploadReplayBytes) {
+			return p.sendUnavailable(p.destination.MaxRetryAfter)
+		}
+		stop := p.receiveUpload(out, cancel)
+		defer stop()
+	case BypassingBody:
+		return p.sendRejection(&ingress.Rejection{
+			Status: http.StatusNotImplemented,
+			Text: "the route carries requests out: " +
+				"the caller has to send their bodies (request_body_mode), or heed mode_override",
+		})
+	}
+	a, handled, err := p.admit(out.Body, out.Upload == nil)
+	if handled || err != nil {
+		return err
+	}
+	r := p.engineRequest(out)
+	r.ClientDisconnected = func() bool { return ctx.Err() != nil }
+	answer, err := p.destination.Cluster.Do(ctx, r)
+	if err != nil {
+		return p.endUnanswered(a, err)
+	}
+	return p.sendAnswer(a, answer)
+}
+
+// upstreamRequest returns the request that is sent to an endpoint, without its body.
+func (p *processingStream) upstreamRequest() *h1client.Request {
+	r := p.request
+	out := &h1client.Request{
+		Method:          r.Method,
+		Target:          r.RequestURI,
+		Host:            r.Host,
+		Limits:          p.destination.Streams,
+		AcceptsTrailers: r.Header.Get("Te") == "trailers",
+		Header:          h1client.EndToEndHeader(r.Header.Clone()),
+	}
+	if p.destination.Request != nil {
+		p.destination.Request.Apply(out.Header)
+	}
+	out.Header["X-Request-Id"] = []string{p.terms.ID}
+	return out
+}
+
+// engineRequest returns what the engine decides on.
+func (p *processingStream) engineRequest(payload any) *engine.Request {
+	return &engine.Request{
+		Class:         p.destination.Class,
+		Tenant:        p.terms.Tenant,
+		WorkHint:      p.terms.Hint,
+		Deadline:      p.deadline,
+		MaxAttempts:   p.destination.MaxAttempts,
+		PerTryTimeout: p.destination.PerTry,
+		Payload:       payload,
+	}
+}
+
+// endUnanswered ends a request that the engine returned an error for: the caller disconnected, or the cluster was
+// removed before the request ran.
+func (p *processingStream) endUnanswered(a admission, err error) error {
+	if errors.Is(err, engine.ErrRetired) && p.rpc.Context().Err() == nil {
+		p.server.complete(a, idempotency.Rejected, nil, p.destination.MaxRetryAfter)
+		return p.sendUnavailable(p.destination.MaxRetryAfter)
+	}
+	p.server.complete(a, idempotency.Indeterminate, nil, 0)
+	p.server.Stats.Disconnected.Add(1)
+	return context.Canceled
+}
--- /dev/null
+++ b/internal/downstream/extproc/mutation.go
@@ -0,0 +1,62 @@
+package extproc
+
+import (
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
+)
+
+// setHeaders returns options that replace the values of fields, ordered by name.
+func setHeaders(fields http.Header) []*corev3.HeaderValueOption {
+	options := make([]*corev3.HeaderValueOption, 0, len(fields))
+	for _, name := range slices.Sorted(maps.Keys(fields)) {
+		for i, value := range fields[name] {
+			action := corev3.HeaderValueOption_APPEND_IF_EXISTS_OR_ADD
+			if i == 0 {
+				action = corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD
+			}
+			options = append(options, &corev3.HeaderValueOption{
+				Header:         &corev3.HeaderValue{Key: strings.ToLower(name), RawValue: []byte(value)},
+				AppendAction:   action,
+				KeepEmptyValue: true,
+			})
+		}
+	}
+	return options
+}
+
+// headerMap returns fields as a message's headers, after the status if there is one (not 0).
+func headerMap(status int, fields http.Header) *corev3.HeaderMap {
+	m := &corev3.HeaderMap{}
+	if status > 0 {
+		m.Headers = append(m.Headers, &corev3.HeaderValue{Key: ":status", RawValue: fmt.Append(nil, status)})
+	}
+	for _, o := range setHeaders(fields) {
+		m.Headers = append(m.Headers, o.Header)
+	}
+	return m
+}
+
+// headerMutation returns the mutation from before to after. Fields that are the same in both are not in it.
+func headerMutation(before, after http.Header) *pb.HeaderMutation {
+	out := &pb.HeaderMutation{}
+	changed := http.Header{}
+	for name, values := range after {
+		if !slices.Equal(before[name], values) {
+			changed[name] = values
+		}
+	}
+	for name := range before {
+		if _, remains := after[name]; !remains {
+			out.RemoveHeaders = append(out.RemoveHeaders, strings.ToLower(name))
+		}
+	}
+	slices.Sort(out.RemoveHeaders)
+	out.SetHeaders = setHeaders(changed)
+	return out
+}
--- a/internal/downstream/extproc/leaving_test.go
+++ b/internal/downstream/extproc/pick_test.go
@@ -28,12 +28,15 @@
 	leave()
 	clock := engine.NewClock()
 	for turn := range 50 { // which of the two is seen first is drawn anew each time
-		a := &ask{s: &Server{}, cancel: func() {}, offers: make(chan *offer, 1), over: make(chan struct{}), waiting: 1}
-		o := &offer{call: engine.NewCall(t.Context()), address: "127.0.0.1:1", outcome: make(chan policy.Status, 1)}
-		a.offers <- o
-		x := &exchange{s: a.s, stream: ended{ctx: gone}, end: clock.Now() + time.Hour}
-		x.s.Clock = clock
-		if got, err := x.await(a); got != nil || err == nil {
+		r := &pickRequest{
+			server: &Server{}, cancel: func() {}, endpoints: make(chan *pickedEndpoint, 1), done: make(chan struct{}), waiting: 1,
+		}
+		r.endpoints <- &pickedEndpoint{
+			call: engine.NewCall(t.Context()), address: "127.0.0.1:1", outcome: make(chan policy.Status, 1),
+		}
+		p := &processingStream{server: r.server, rpc: ended{ctx: gone}, deadline: clock.Now() + time.Hour}
+		p.server.Clock = clock
+		if got, err := p.awaitEndpoint(r); got != nil || err == nil {
 			t.Fatalf("turn %d: named %v, %v", turn, got, err)
 		}
 	}
--- a/internal/downstream/extproc/serve.go
+++ b/internal/downstream/extproc/serve.go
@@ -19,64 +19,84 @@
 	"yokestall/internal/gracefulclose"
 )
 
-// Bounds of a connection.
 const (
-	connectTimeout = 5 * time.Second  // for handshakes
-	pingLeast      = 10 * time.Second // a caller that asks for signs of life more often loses its connection
-	pingAfter      = 30 * time.Second // of silence; the sign has as long to come
-	stopTail       = 300 * time.Millisecond
+	// handshakeTimeout bounds the handshakes of a connection.
+	handshakeTimeout = 5 * time.Second
+	// minPingInterval is the interval of keep-alive pings below which a caller loses its connection.
+	minPingInterval = 10 * time.Second
+	// pingInterval is the idle time after which the server pings a caller.
+	pingInterval = 30 * time.Second
+	// pingTimeout is the time in which a ping must be acknowledged.
+	pingTimeout = 30 * time.Second
+	// stopMargin is added to the time for which requests may finish during a graceful shutdown.
+	stopMargin = 300 * time.Millisecond
 )
 
-// Listening is where a Server listens.
-type Listening struct {
-	Connections int         // at once, 1 or more; the others wait to be accepted
-	PerConn     int         // streams of a connection, 1 or more
-	TLS         *tls.Config // nil: clear text
-	Drain       time.Duration
+// ListenOptions are the settings of a listener.
+type ListenOptions struct {
+	MaxConnections          int         // 1 or more; the others wait to be accepted
+	MaxStreamsPerConnection int         // 1 or more
+	TLS                     *tls.Config // nil: clear text
+	MinDrainTimeout         time.Duration
 }
 
-// Serve answers callers on a listener until ctx ends. Then it tells them to move (GOAWAY) and that it
-// is not serving (grpc.health.v1), has what is open finish within the longest patience that a request
-// had, or Drain if that is longer, and ends the rest.
-func (s *Server) Serve(ctx context.Context, l net.Listener, with Listening) error {
-	options := []grpc.ServerOption{
-		grpc.MaxConcurrentStreams(uint32(with.PerConn)), grpc.MaxRecvMsgSize(s.Message), grpc.ConnectionTimeout(connectTimeout),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingLeast, PermitWithoutStream: true}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingAfter}),
-		grpc.MaxHeaderListSize(uint32(s.Head)), grpc.InTapHandle(s.tap),
-	}
-	if with.TLS != nil {
-		options = append(options, grpc.Creds(credentials.NewTLS(with.TLS)))
-	}
-	srv := grpc.NewServer(options...)
+// Serve serves callers on a listener until ctx ends. Then it has them move to other processors (GOAWAY), reports that
+// it is not serving (grpc.health.v1), lets open streams finish within the longest patience that a request had, or
+// MinDrainTimeout if that is longer, and ends the rest.
+func (s *Server) Serve(ctx context.Context, l net.Listener, o ListenOptions) error {
+	srv := s.newGRPCServer(o)
 	pb.RegisterExternalProcessorServer(srv, s)
-	alive := health.NewServer()
-	healthpb.RegisterHealthServer(srv, alive)
+	healthServer := health.NewServer()
+	healthpb.RegisterHealthServer(srv, healthServer)
 	reflection.Register(srv)
 	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(netutil.LimitListener(l, with.Connections)) }()
+	go func() { ended <- srv.Serve(netutil.LimitListener(l, o.MaxConnections)) }()
 	select {
 	case err := <-ended:
 		return err
 	case <-ctx.Done():
 	}
-	alive.Shutdown()
+	healthServer.Shutdown()
 	gracefulclose.WaitForBacklog() // the server drops what it accepts from here on
-	graceful := make(chan struct{})
+	stopGracefully(srv, max(o.MinDrainTimeout, time.Duration(s.maxPatience.Load()))+stopMargin)
+	if err := <-ended; err != nil && !errors.Is(err, grpc.ErrServerStopped) {
+		return err
+	}
+	return nil
+}
+
+// newGRPCServer returns a gRPC server with the limits of the options.
+func (s *Server) newGRPCServer(o ListenOptions) *grpc.Server {
+	options := []grpc.ServerOption{
+		grpc.MaxConcurrentStreams(uint32(o.MaxStreamsPerConnection)),
+		grpc.MaxRecvMsgSize(s.MaxMessageBytes),
+		grpc.ConnectionTimeout(handshakeTimeout),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
+			MinTime: minPingInterval, PermitWithoutStream: true,
+		}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingInterval, Timeout: pingTimeout}),
+		grpc.MaxHeaderListSize(uint32(s.MaxHeaderBytes)),
+		grpc.InTapHandle(s.tap),
+	}
+	if o.TLS != nil {
+		options = append(options, grpc.Creds(credentials.NewTLS(o.TLS)))
+	}
+	return grpc.NewServer(options...)
+}
+
+// stopGracefully stops a gRPC server once its streams have ended, or after the timeout.
+func stopGracefully(srv *grpc.Server, timeout time.Duration) {
+	stopped := make(chan struct{})
 	go func() {
-		defer close(graceful)
+		defer close(stopped)
 		srv.GracefulStop()
 	}()
-	late := time.NewTimer(max(with.Drain, time.Duration(s.longest.Load())) + stopTail)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-graceful:
-	case <-late.C:
+	case <-stopped:
+	case <-timer.C:
 		srv.Stop()
-		<-graceful
+		<-stopped
 	}
-	if err := <-ended; err != nil && !errors.Is(err, grpc.ErrServerStopped) {
-		return err
-	}
-	return nil
 }
--- /dev/null
+++ b/internal/downstream/extproc/server.go
@@ -0,0 +1,90 @@
+package extproc
+
+import (
+	"context"
+	"errors"
+	"io"
+	"math/rand/v2"
+	"strconv"
+	"sync"
+	"sync/atomic"
+
+	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"yokestall/internal/idempotency"
+)
+
+// Server is an external processor. Create it with New; Serve has it listen.
+type Server struct {
+	pb.UnimplementedExternalProcessorServer
+	Options
+	Stats         Stats
+	openStreams   atomic.Int64
+	bufferedBytes atomic.Int64 // reserved, at most MaxBufferedBytes
+	lastID        atomic.Uint64
+	idPrefix      string       // of the ids of requests that come without one
+	maxPatience   atomic.Int64 // ns, the longest that a request has had
+
+	// mu guards the fields below.
+	mu         sync.Mutex
+	store      *idempotency.Store
+	executions map[*idempotency.Entry]*execution // those in flight
+	picks      map[pickKey]*pickRequest          // those in flight
+}
+
+// New returns a server that does not listen yet.
+func New(o Options) *Server {
+	if o.RetryStreamTimeout == 0 {
+		o.RetryStreamTimeout = defaultRetryStreamTimeout
+	}
+	return &Server{
+		Options:    o,
+		idPrefix:   "x" + strconv.FormatUint(rand.Uint64(), 36) + "-",
+		store:      idempotency.New(o.Idempotency),
+		executions: map[*idempotency.Entry]*execution{},
+		picks:      map[pickKey]*pickRequest{},
+	}
+}
+
+// InFlight returns the number of open streams and of requests in flight.
+func (s *Server) InFlight() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return int(s.openStreams.Load()) + len(s.picks) + len(s.executions)
+}
+
+// Process handles one stream of a caller (service.ext_proc.v3.ExternalProcessor). A message that is malformed or out of
+// order ends it with InvalidArgument.
+func (s *Server) Process(rpc grpc.BidiStreamingServer[pb.ProcessingRequest, pb.ProcessingResponse]) error {
+	if s.openStreams.Add(1) > int64(s.MaxStreams) {
+		s.openStreams.Add(-1)
+		s.Stats.StreamsRejected.Add(1)
+		return status.Error(codes.ResourceExhausted, "too many streams")
+	}
+	defer s.openStreams.Add(-1)
+	p := &processingStream{server: s, rpc: rpc, state: NewStreamState(), arrivedAt: s.Clock.Now()}
+	p.timer = rpc.Context().Value(streamTimerKey{}).(*streamTimer)
+	defer p.timer.stop()
+	defer p.releaseBuffers()
+	return s.statusOf(rpc.Context(), p.run())
+}
+
+// statusOf returns the status that a stream ends with, nil for OK. err is what its handling returned.
+func (s *Server) statusOf(ctx context.Context, err error) error {
+	switch {
+	case err == nil, errors.Is(err, io.EOF):
+		return nil
+	case errors.Is(context.Cause(ctx), errStreamTimeout):
+		return errStreamTimeout
+	case ctx.Err() != nil:
+		return status.FromContextError(ctx.Err()).Err()
+	}
+	if _, ok := status.FromError(err); ok {
+		return err
+	}
+	s.Stats.ProtocolErrors.Add(1)
+	return status.Error(codes.InvalidArgument, err.Error())
+}
--- /dev/null
+++ b/internal/downstream/extproc/stream.go
@@ -0,0 +1,187 @@
+package extproc
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
+	"google.golang.org/grpc"
+
+	"yokestall/internal/ingress"
+)
+
+const (
+	// responseMargin is the time between the final answer and the end of the caller's time.
+	responseMargin = 10 * time.Millisecond
+	// expectedTimeoutHeader is Envoy's own timeout of the request, in milliseconds.
+	expectedTimeoutHeader = "X-Envoy-Expected-Rq-Timeout-Ms"
+)
+
+// processingStream is one stream: a request of a caller's and its response, in phases.
+type processingStream struct {
+	server        *Server
+	rpc           grpc.BidiStreamingServer[pb.ProcessingRequest, pb.ProcessingResponse]
+	state         *StreamState
+	timer         *streamTimer
+	arrivedAt     time.Duration
+	bufferedBytes int64 // reserved of Server.bufferedBytes
+
+	message     *pb.ProcessingRequest // the latest
+	request     *http.Request
+	destination ingress.Destination
+	terms       ingress.Terms
+	deadline    time.Duration // on the clock, of the final answer
+}
+
+// run handles the stream until its end.
+func (p *processingStream) run() error {
+	if _, _, err := p.recvWithin(p.server.FirstMessageTimeout); err != nil {
+		return err
+	}
+	if p.state.ObserveOnly { // replies are ignored, so there is nothing to decide
+		return p.drain()
+	}
+	err := p.readRequest()
+	var rejection *ingress.Rejection
+	switch {
+	case errors.As(err, &rejection):
+		return p.sendRejection(rejection)
+	case err != nil:
+		return err
+	}
+	p.setDeadline()
+	if p.destination.Pick {
+		return p.pick()
+	}
+	return p.forward()
+}
+
+// readRequest sets request, destination and terms from the request headers. The error is an *ingress.Rejection where
+// the request is to be answered by it.
+func (p *processingStream) readRequest() error {
+	h, err := parseHeaders(p.message.GetRequestHeaders().GetHeaders(), p.server.MaxHeaderBytes)
+	if err == nil {
+		p.request, err = h.newRequest()
+	}
+	var tooLarge headersTooLargeError
+	switch {
+	case errors.As(err, &tooLarge):
+		return &ingress.Rejection{Status: http.StatusRequestHeaderFieldsTooLarge, Text: err.Error()}
+	case err != nil:
+		return fmt.Errorf("request_headers: %w", err)
+	}
+	if p.destination, err = p.server.Router.Route(p.request); err != nil {
+		return err
+	}
+	if p.terms, err = ingress.Read(h.fields, &p.destination, false); err != nil {
+		return err
+	}
+	if p.terms.ID == "" {
+		p.terms.ID = p.server.idPrefix + strconv.FormatUint(p.server.lastID.Add(1), 36)
+	}
+	return nil
+}
+
+// setDeadline sets the deadline by the request's own patience, the caller's timeout of the request and the deadline of
+// the gRPC call.
+func (p *processingStream) setDeadline() {
+	timeout := ingress.One(p.request.Header[expectedTimeoutHeader])
+	if ms, err := strconv.ParseUint(timeout, 10, 31); err == nil && ms > 0 {
+		p.terms.Patience = min(p.terms.Patience, time.Duration(ms)*time.Millisecond)
+	}
+	if at, ok := p.rpc.Context().Deadline(); ok {
+		p.terms.Patience = min(p.terms.Patience, time.Until(at))
+	}
+	p.deadline = p.arrivedAt + p.terms.Patience - responseMargin
+	p.server.notePatience(p.terms.Patience)
+}
+
+// notePatience raises maxPatience to a request's patience.
+func (s *Server) notePatience(patience time.Duration) {
+	for {
+		longest := s.maxPatience.Load()
+		if longest >= int64(patience) || s.maxPatience.CompareAndSwap(longest, int64(patience)) {
+			return
+		}
+	}
+}
+
+// recv receives a message and checks its order. last reports that its direction has ended with it.
+func (p *processingStream) recv() (phase Phase, last bool, err error) {
+	if p.message, err = p.rpc.Recv(); err != nil {
+		return NoPhase, false, err
+	}
+	return p.state.Step(p.message)
+}
+
+// recvWithin is recv that ends the stream where no message comes within the timeout.
+func (p *processingStream) recvWithin(timeout time.Duration) (Phase, bool, error) {
+	p.timer.start(timeout)
+	phase, last, err := p.recv()
+	p.timer.stop()
+	return phase, last, err
+}
+
+// received is what recv returned.
+type received struct {
+	phase Phase
+	last  bool
+	err   error
+}
+
+// recvBy is recv until the deadline. A timeout leaves the stream open, since the request still gets its final answer,
+// but no more can be received from it.
+func (p *processingStream) recvBy(deadline time.Duration) (r received, timedOut bool) {
+	results := make(chan received, 1)
+	go func() { // ends with the stream
+		phase, last, err := p.recv()
+		results <- received{phase, last, err}
+	}()
+	timer := time.NewTimer(deadline - p.server.Clock.Now())
+	defer timer.Stop()
+	select {
+	case r := <-results:
+		return r, false
+	case <-timer.C:
+		return received{}, true
+	}
+}
+
+// drain receives until the stream's end.
+func (p *processingStream) drain() error {
+	for {
+		if _, _, err := p.recv(); err != nil {
+			return err
+		}
+	}
+}
+
+// send sends a reply; nil is none.
+func (p *processingStream) send(r *pb.ProcessingResponse) error {
+	if r == nil {
+		return nil
+	}
+	p.timer.start(sendTimeout)
+	err := p.rpc.Send(r)
+	p.timer.stop()
+	return err
+}
+
+// reserveBuffer reserves n bytes of the server's buffers until the stream's end, and reports whether there were as
+// many left.
+func (p *processingStream) reserveBuffer(n int) bool {
+	if p.server.bufferedBytes.Add(int64(n)) > p.server.MaxBufferedBytes {
+		p.server.bufferedBytes.Add(-int64(n))
+		return false
+	}
+	p.bufferedBytes += int64(n)
+	return true
+}
+
+func (p *processingStream) releaseBuffers() {
+	p.server.bufferedBytes.Add(-p.bufferedBytes)
+	p.bufferedBytes = 0
+}
--- a/internal/downstream/extproc/machine_test.go
+++ b/internal/downstream/extproc/streamstate_test.go
@@ -40,12 +40,12 @@
 	upper     = regexp.MustCompile(`[A-Z]`)
 )
 
-// TestOrder compares the machine with the protocol's order as two expressions, on drawn sequences;
+// TestOrder compares StreamState with the protocol's order as two expressions, on drawn sequences;
 // what it lets pass gets the reply of its kind.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mode := filterv3.ProcessingMode_BodySendMode(rapid.IntRange(0, 5).Draw(t, "mode"))
-		m, sent := NewMachine(), ""
+		m, sent := NewStreamState(), ""
 		for range rapid.IntRange(1, 8).Draw(t, "messages") {
 			letter := rapid.SampledFrom([]byte("HHEBBXThebxt")).Draw(t, "letter")
 			msg := message(letter)
@@ -65,7 +65,7 @@
 			if want := letter == 'E' || letter == 'e' || letter == 'X' || letter == 'x' || letter == 'T' || letter == 't'; end != want {
 				t.Fatalf("%s: end %v", sent, end)
 			}
-			reply := m.Pass(msg, kind)
+			reply := m.ContinueReply(msg, kind)
 			body := reply.GetRequestBody().GetResponse()
 			if kind == ResponseBody {
 				body = reply.GetResponseBody().GetResponse()
@@ -82,8 +82,8 @@
 	})
 }
 
-// FuzzMachine: whatever messages come, each as its length and its bytes, the machine and the reader of
-// heads give a verdict, and what they let pass has names and values that may go on.
+// FuzzMachine: whatever messages come, each as its length and its bytes, StreamState and the parser of
+// headers give a verdict, and what they let pass has names and values that may go on.
 func FuzzMachine(f *testing.F) {
 	add := func(letters string) {
 		var all []byte
@@ -100,7 +100,7 @@
 	add("Ee")
 	add("hH")
 	f.Fuzz(func(t *testing.T, all []byte) {
-		m := NewMachine()
+		m := NewStreamState()
 		for len(all) >= 2 {
 			n := min(int(binary.BigEndian.Uint16(all)), len(all)-2)
 			msg := &pb.ProcessingRequest{}
@@ -112,14 +112,14 @@
 			if err != nil {
 				return
 			}
-			if m.Observe != (m.Pass(msg, kind) == nil) && kind != Nothing {
-				t.Fatalf("%v observed %v", kind, m.Observe)
+			if m.ObserveOnly != (m.ContinueReply(msg, kind) == nil) && kind != NoPhase {
+				t.Fatalf("%v observed %v", kind, m.ObserveOnly)
 			}
-			h, err := readHead(msg.GetRequestHeaders().GetHeaders(), 1<<16)
+			h, err := parseHeaders(msg.GetRequestHeaders().GetHeaders(), 1<<16)
 			if err != nil {
 				continue
 			}
-			if r, err := h.request(); err == nil && (r.Method == "" || r.RequestURI[0] != '/' || r.URL == nil) {
+			if r, err := h.newRequest(); err == nil && (r.Method == "" || r.RequestURI[0] != '/' || r.URL == nil) {
 				t.Fatalf("%+v", r)
 			}
 		}
--- a/internal/stress/callers/callers.go
+++ b/internal/stress/callers/callers.go
@@ -130,7 +130,7 @@
 	}
 	running, stop := context.WithCancel(ctx)
 	processor := a.NewProcessor(r.program.ExtProc)
-	processor.Named = func(id, address string, left time.Duration) {
+	processor.OnEndpointPicked = func(id, address string, left time.Duration) {
 		if left <= 0 {
 			r.broken("%s was named %s %v after its time was up", id, address, -left)
 		}
@@ -154,7 +154,7 @@
 	fmt.Fprintf(o.Out, "%d requests in %.1f s: %d answered by servers, %d refused, %d failed, %d conflicts, %d whose caller left\n",
 		o.Requests, time.Since(began).Seconds(), r.served.Load(), r.refused.Load(), r.failed.Load(), r.conflicts.Load(), r.left.Load())
 	fmt.Fprintf(o.Out, "%d carried, %d picked with %d servers named; %d repeats answered, %d strays, %d never told\n",
-		s.Carried.Load(), s.Picked.Load(), s.Offers.Load(), s.Repeats.Load(), s.Strays.Load(), s.Silent.Load())
+		s.Forwarded.Load(), s.Picked.Load(), s.EndpointsPicked.Load(), s.Duplicates.Load(), s.EndpointMismatches.Load(), s.UnreportedOutcomes.Load())
 	for _, f := range r.found {
 		fmt.Fprintln(o.Out, "broken:", f)
 	}
@@ -396,8 +396,8 @@
 			r.broken("%s reached a server beside its key's first request", id)
 		}
 	}
-	n := s.Open()
-	for end := time.Now().Add(patience); n != 0 && time.Now().Before(end); n = s.Open() {
+	n := s.InFlight()
+	for end := time.Now().Add(patience); n != 0 && time.Now().Before(end); n = s.InFlight() {
 		time.Sleep(10 * time.Millisecond) // a decision to try again waits for its caller for a while
 	}
 	if n != 0 {
