--- a/internal/app/source.go
+++ b/internal/app/source.go
@@ -36,14 +36,14 @@
 	}
 	t, from := files.XDSOptions(p)
 	c := &xds.Config{
-		Servers: p.XDS.Servers, NodeID: p.XDS.NodeID, NodeGroup: p.XDS.NodeGroup, Zone: p.Zone,
-		State: from, Translate: t, MaxMessage: p.XDS.MaxMessage,
+		Servers: p.XDS.Servers, NodeID: p.XDS.NodeID, NodeCluster: p.XDS.NodeGroup, Zone: p.Zone,
+		State: from, Translate: t, MaxMessageBytes: p.XDS.MaxMessage,
 	}
 	if p.XDS.Incremental {
 		c.Variant = ads.Incremental
 	}
 	if p.XDS.Keep != "" {
-		c.Keep = files.Beside(path, p.XDS.Keep)
+		c.CacheFile = files.Beside(path, p.XDS.Keep)
 	}
 	return c
 }
@@ -61,7 +61,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.heard = true
-	if !d.Whole {
+	if !d.Full {
 		var changed []*cluster.Cluster
 		for _, c := range d.Clusters {
 			s.said[c.Name] = c
@@ -69,12 +69,12 @@
 				changed = append(changed, c)
 			}
 		}
-		if s.app.TakeClusters(d.At, changed) {
+		if s.app.TakeClusters(d.ReceivedAt, changed) {
 			return
 		}
 	}
 	s.said, s.routes = d.View.Clusters(), d.View.Routes()
-	s.whole(d.At)
+	s.whole(d.ReceivedAt)
 }
 
 // whole has the app take all there is; s.mu is held.
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -127,7 +127,7 @@
 	}
 	s := serveWith(t, first, o)
 	c := XDSConfig(first.Program, "x")
-	c.Backoff = ads.Backoff{Base: 5 * time.Millisecond, Max: 50 * time.Millisecond, Prefer: time.Hour}
+	c.Failover = ads.FailoverOptions{InitialBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, PreferredProbeInterval: time.Hour}
 	if change != nil {
 		change(c)
 	}
@@ -167,7 +167,7 @@
 			p := startPlane(t)
 			p.Down()
 			keep := filepath.Join(t.TempDir(), "kept")
-			keepIn := func(c *xds.Config) { c.Keep = keep }
+			keepIn := func(c *xds.Config) { c.CacheFile = keep }
 			s, logs := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{}, keepIn, nil)
 			if status, header, _ := s.get("/x", ""); status != 503 || header.Get("Retry-After") == "" {
 				t.Errorf("before any version: status %d, %v", status, header)
@@ -402,7 +402,7 @@
 							ids = append(ids, c.Endpoints[i].Address)
 						}
 					}
-					inForce.taken(ids, d.At, d.At)
+					inForce.taken(ids, d.ReceivedAt, d.ReceivedAt)
 				}
 			})
 			s.becomes("/x", 200)
@@ -483,14 +483,14 @@
 				ready := make(chan struct{})
 				var once sync.Once
 				follow(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet}, nil, func(d *xds.Delivery) {
-					if d.Whole {
+					if d.Full {
 						if len(d.View.Clusters()) == n/100 {
 							once.Do(func() { close(ready) })
 						}
 						return
 					}
 					select {
-					case took <- time.Since(d.At):
+					case took <- time.Since(d.ReceivedAt):
 					default:
 					}
 				})
--- a/internal/files/files.go
+++ b/internal/files/files.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if xdsfile.Is(path) {
+	if xdsfile.HasExtension(path) {
 		return nil, nil, checkXDS(path, text)
 	}
 	if config.IsTenants(text) {
@@ -92,17 +92,17 @@
 // checkXDS checks one file in xDS form by itself: its resources, not what they refer to.
 func checkXDS(path string, text []byte) error {
 	list := []config.File{{Name: path, Text: text}}
-	if sum, err := readFile(path + xdsfile.SumSuffix); err == nil {
-		list = append(list, config.File{Name: path + xdsfile.SumSuffix, Text: sum})
+	if sum, err := readFile(path + xdsfile.ChecksumSuffix); err == nil {
+		list = append(list, config.File{Name: path + xdsfile.ChecksumSuffix, Text: sum})
 	}
 	return xdsfile.Check(list)
 }
 
 // XDSOptions gives what resources in xDS form are read by under a program's file.
 func XDSOptions(p *config.Program) (translate.Options, state.Options) {
-	t := translate.Options{Class: p.XDS.Class}
+	t := translate.Options{DefaultClass: p.XDS.Class}
 	for _, c := range p.Classes {
 		t.Classes = append(t.Classes, c.Name)
 	}
-	return t, state.Options{Listener: p.XDS.Listener, Route: p.XDS.Routes, Named: p.XDS.Named}
+	return t, state.Options{Listener: p.XDS.Listener, Route: p.XDS.Routes, RoutedClustersOnly: p.XDS.Named}
 }
--- a/internal/files/reader.go
+++ b/internal/files/reader.go
@@ -129,7 +129,9 @@
 
 func isClusterFile(name string) bool { return strings.HasSuffix(name, ".toml") }
 
-func isXDSFile(name string) bool { return xdsfile.Is(strings.TrimSuffix(name, xdsfile.SumSuffix)) }
+func isXDSFile(name string) bool {
+	return xdsfile.HasExtension(strings.TrimSuffix(name, xdsfile.ChecksumSuffix))
+}
 
 // files gives those of a folder that are wanted.
 func (r *reader) files(folder, what string, wanted func(name string) bool) ([]part, error) {
--- a/internal/xds/ads/ads_test.go
+++ b/internal/xds/ads/ads_test.go
@@ -64,7 +64,7 @@
 		}
 		s.all = s.delta && slices.Contains(r.Subscribe, "*") || !s.delta && len(r.Names) == 0
 		s.fresh = true
-		for name, v := range r.Initial {
+		for name, v := range r.InitialVersions {
 			s.sent[name], _ = strconv.Atoi(v)
 		}
 		if !s.delta && r.Version == fmt.Sprint(s.last) { // it has all of this version
@@ -103,12 +103,12 @@
 // due makes the response that is due; nil if none is.
 func (s *server) due(t Type) *Response {
 	r := &Response{URL: t.URL()}
-	changed := s.fresh && !s.delta && t.complete()
+	changed := s.fresh && !s.delta && t.listsAll()
 	for _, name := range slices.Sorted(maps.Keys(s.content)) {
 		wanted := s.all || s.watched[name]
 		if wanted && s.sent[name] != s.version[name] {
 			changed = true
-		} else if s.delta || !t.complete() || !wanted {
+		} else if s.delta || !t.listsAll() || !wanted {
 			continue
 		}
 		res := Resource{Body: body(t, name, s.content[name])}
@@ -120,7 +120,7 @@
 	for name := range s.sent {
 		if _, there := s.content[name]; !there {
 			r.Removed = append(r.Removed, name)
-			changed = changed || s.delta || t.complete()
+			changed = changed || s.delta || t.listsAll()
 		}
 	}
 	if !changed {
@@ -164,7 +164,7 @@
 		now := time.Duration(0)
 		names := []string{"a", "b", "c", "d"}
 		apply := func(u *Update) {
-			for _, x := range u.Set {
+			for _, x := range u.Accepted {
 				holds[x.Name] = x.Value.(string)
 			}
 			for _, n := range u.Removed {
@@ -185,18 +185,18 @@
 					good[name] = content
 				}
 			}
-			u, owed, err := m.Receive(now, r)
+			u, owed, err := m.Receive(r)
 			if err != nil || len(owed) != 1 || owed[0].Nonce != r.Nonce || owed[0].Type != kind {
 				t.Fatalf("%+v: owed %+v, %v", r, owed, err)
 			}
-			if (owed[0].Error != "") != (bad > 0) || strings.Count(owed[0].Error, "is bad") != bad {
-				t.Fatalf("%d bad, the answer says %q", bad, owed[0].Error)
+			if (owed[0].ErrorDetail != "") != (bad > 0) || strings.Count(owed[0].ErrorDetail, "is bad") != bad {
+				t.Fatalf("%d bad, the answer says %q", bad, owed[0].ErrorDetail)
 			}
 			if !delta && bad == 0 && owed[0].Version != r.Version {
 				t.Fatalf("an ACK of version %q for %q", owed[0].Version, r.Version)
 			}
 			apply(&u)
-			if again, more, err := m.Receive(now, r); err == nil || len(more) > 0 || !again.Empty() {
+			if again, more, err := m.Receive(r); err == nil || len(more) > 0 || !again.Empty() {
 				t.Fatal("a nonce that was answered is taken again")
 			}
 			s.take(owed[0])
@@ -240,8 +240,8 @@
 				}
 				subscribe()
 			case 4:
-				m.Closed()
-				s.open(kind, m.Opened(now, rapid.SampledFrom([]string{"p", "p", "q"}).Draw(t, "plane")))
+				m.StreamClosed()
+				s.open(kind, m.StreamOpened(now, rapid.SampledFrom([]string{"p", "p", "q"}).Draw(t, "plane")))
 				open = true
 			case 5, 6:
 				if open {
@@ -251,7 +251,7 @@
 		}
 		s.put("last", "1") // a change, as a broken stream's loss shows with the next one
 		if !open {
-			s.open(kind, m.Opened(now, "p"))
+			s.open(kind, m.StreamOpened(now, "p"))
 		}
 		for deliver() {
 		}
@@ -266,7 +266,7 @@
 				t.Fatalf("%s: holds %q, the control plane has %q", n, got, content)
 			case wanted && there && content == "bad" && held && got != good[n]:
 				t.Fatalf("%s: holds %q, its last good form is %q", n, got, good[n])
-			case wanted && !there && held && (delta || kind.complete()):
+			case wanted && !there && held && (delta || kind.listsAll()):
 				t.Fatalf("%s is held and is gone", n)
 			}
 		}
@@ -280,23 +280,23 @@
 	if out, _ := m.Subscribe(0, Endpoint, []string{"x", "y"}); len(out) != 0 {
 		t.Errorf("a request with no stream: %+v", out)
 	}
-	first := m.Opened(10*second, "p")
-	if len(first) != 1 || !slices.Equal(first[0].Subscribe, []string{"x", "y"}) || len(first[0].Initial) != 0 {
+	first := m.StreamOpened(10*second, "p")
+	if len(first) != 1 || !slices.Equal(first[0].Subscribe, []string{"x", "y"}) || len(first[0].InitialVersions) != 0 {
 		t.Errorf("first requests %+v", first)
 	}
-	receive := func(now time.Duration, r Response) (Update, []Request) {
+	receive := func(r Response) (Update, []Request) {
 		t.Helper()
-		u, owed, err := m.Receive(now, &r)
+		u, owed, err := m.Receive(&r)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return u, owed
 	}
 	x := Resource{Name: "x", Version: "7", Body: body(Endpoint, "x", "1")}
-	if u, _ := receive(11*second, Response{URL: Endpoint.URL(), Nonce: "1", Resources: []Resource{x, {Name: "z", Body: body(Endpoint, "z", "1")}}}); len(u.Set) != 1 {
+	if u, _ := receive(Response{URL: Endpoint.URL(), Nonce: "1", Resources: []Resource{x, {Name: "z", Body: body(Endpoint, "z", "1")}}}); len(u.Accepted) != 1 {
 		t.Errorf("one that was not asked for is taken: %+v", u)
 	}
-	if at, ok := m.Next(); !ok || at != 25*second {
+	if at, ok := m.NextTick(); !ok || at != 25*second {
 		t.Errorf("y is waited for until %v, %v", at, ok)
 	}
 	if u := m.Tick(25*second - 1); len(u) != 0 {
@@ -308,8 +308,8 @@
 	if u := m.Tick(99 * second); len(u) != 0 {
 		t.Errorf("told twice: %+v", u)
 	}
-	m.Closed()
-	if again := m.Opened(100*second, "p"); !maps.Equal(again[0].Initial, map[string]string{"x": "7"}) {
+	m.StreamClosed()
+	if again := m.StreamOpened(100*second, "p"); !maps.Equal(again[0].InitialVersions, map[string]string{"x": "7"}) {
 		t.Errorf("after a break: %+v", again)
 	}
 	for name, r := range map[string]Response{
@@ -317,23 +317,23 @@
 		"other type": {URL: Cluster.URL(), Nonce: "5"},
 		"no type":    {URL: "what", Nonce: "6"},
 	} {
-		if u, owed, err := m.Receive(0, &r); err == nil || len(owed) > 0 || !u.Empty() {
+		if u, owed, err := m.Receive(&r); err == nil || len(owed) > 0 || !u.Empty() {
 			t.Errorf("%s: %+v, %+v", name, u, owed)
 		}
 	}
 	// Twice, of another type, with another name inside, a name too long: named in the NACK.
-	u, owed := receive(101*second, Response{URL: Endpoint.URL(), Nonce: "9", Resources: []Resource{
+	u, owed := receive(Response{URL: Endpoint.URL(), Nonce: "9", Resources: []Resource{
 		{Name: "x", Version: "8", Body: body(Endpoint, "x", "2")}, {Name: "x", Version: "8", Body: body(Endpoint, "x", "3")},
 		{Name: "y", Body: body(Cluster, "y", "1")}, {Name: "y", Body: body(Endpoint, "q", "1")},
-		{Body: body(Endpoint, strings.Repeat("n", MaxName+1), "1")},
+		{Body: body(Endpoint, strings.Repeat("n", MaxNameBytes+1), "1")},
 	}})
 	for _, text := range []string{"x: stands there twice", "y: its type is", `y: the resource in it is named "q"`, "1 to 256 bytes"} {
-		if !strings.Contains(owed[0].Error, text) {
-			t.Errorf("%q is not in %q", text, owed[0].Error)
+		if !strings.Contains(owed[0].ErrorDetail, text) {
+			t.Errorf("%q is not in %q", text, owed[0].ErrorDetail)
 		}
 	}
-	if len(u.Set) != 1 || u.Set[0].Value != "2" {
-		t.Errorf("taken: %+v", u.Set)
+	if len(u.Accepted) != 1 || u.Accepted[0].Value != "2" {
+		t.Errorf("taken: %+v", u.Accepted)
 	}
 	// Never more than the bound, and a NACK's text is bounded too.
 	var many []string
@@ -346,29 +346,29 @@
 	o := Options{Decode: decode}
 	o.Wildcard[Cluster] = true
 	w := New(o)
-	w.Opened(0, "p")
+	w.StreamOpened(0, "p")
 	var list []Resource
 	for _, n := range many {
 		list = append(list, Resource{Body: body(Cluster, n, "1")})
 	}
-	u, owed, _ = w.Receive(0, &Response{URL: Cluster.URL(), Nonce: "1", Resources: list})
-	if len(u.Set) != MaxResources || !strings.Contains(owed[0].Error, "there are 2000 already") || len(owed[0].Error) > maxDetail {
-		t.Errorf("%d taken; %q", len(u.Set), owed[0].Error)
+	u, owed, _ = w.Receive(&Response{URL: Cluster.URL(), Nonce: "1", Resources: list})
+	if len(u.Accepted) != MaxResources || !strings.Contains(owed[0].ErrorDetail, "there are 2000 already") || len(owed[0].ErrorDetail) > maxErrorDetailBytes {
+		t.Errorf("%d taken; %q", len(u.Accepted), owed[0].ErrorDetail)
 	}
 }
 
 // Control planes in order of preference, with waits that grow while none answers or streams
 // break at once, and a look at the preferred one from time to time.
-func TestPlanes(t *testing.T) {
+func TestServerSelector(t *testing.T) {
 	const ms = time.Millisecond
-	p := NewPlanes(3, Backoff{Base: 100 * ms, Max: time.Second, Prefer: time.Minute})
+	p := NewServerSelector(3, FailoverOptions{InitialBackoff: 100 * ms, MaxBackoff: time.Second, PreferredProbeInterval: time.Minute})
 	now := time.Duration(0)
 	fail := func(at int, least, most time.Duration) {
 		t.Helper()
-		if p.At() != at {
-			t.Errorf("calls plane %d, want %d", p.At(), at)
+		if p.Current() != at {
+			t.Errorf("calls plane %d, want %d", p.Current(), at)
 		}
-		if wait := p.Failed(now, 0.5); wait < least || wait > most {
+		if wait := p.StreamFailed(now, 0.5); wait < least || wait > most {
 			t.Errorf("waits %v, want %v to %v", wait, least, most)
 		}
 	}
@@ -376,25 +376,25 @@
 	fail(1, 0, 0)
 	fail(2, 100*ms, 100*ms) // all were tried
 	fail(0, 0, 0)
-	p.Opened(now)
-	p.Answered()
+	p.StreamOpened(now)
+	p.ResponseReceived()
 	now += 30 * time.Second
-	if p.Return(now) {
+	if p.ReturnToPreferred(now) {
 		t.Error("left before its time")
 	}
-	if now += 31 * time.Second; !p.Return(now) || p.At() != 0 {
+	if now += 31 * time.Second; !p.ReturnToPreferred(now) || p.Current() != 0 {
 		t.Error("no look at the preferred one")
 	}
 	for range 30 { // flaps: opened, answered, broken after 100 ms
-		p.Opened(now)
-		p.Answered()
+		p.StreamOpened(now)
+		p.ResponseReceived()
 		now += 100 * ms
-		wait := p.Failed(now, 1)
+		wait := p.StreamFailed(now, 1)
 		if now += wait; wait > 1200*ms {
 			t.Fatalf("waits %v", wait)
 		}
 	}
-	if p.At() != 0 || p.Failed(now, 0.5) != 0 {
+	if p.Current() != 0 || p.StreamFailed(now, 0.5) != 0 {
 		t.Error("a plane that flaps is left for the next one only when it does not answer")
 	}
 }
@@ -415,12 +415,12 @@
 			if now += time.Second; step == "" {
 				continue
 			}
-			kind, rest := Type(int(step[0])%int(Types)), step[1:]
+			kind, rest := Type(int(step[0])%int(TypeCount)), step[1:]
 			switch step[0] {
 			case 'o':
-				m.Opened(now, "p")
+				m.StreamOpened(now, "p")
 			case 'c':
-				m.Closed()
+				m.StreamClosed()
 			case 't':
 				m.Tick(now)
 			case 's':
@@ -431,15 +431,15 @@
 					r.Resources = append(r.Resources, Resource{Name: part[:min(1, len(part))], Body: &anypb.Any{TypeUrl: kind.URL(), Value: []byte(part)}})
 				}
 				r.Removed = strings.Split(rest, ".")
-				u, owed, err := m.Receive(now, r)
+				u, owed, err := m.Receive(r)
 				if err != nil && (len(owed) > 0 || !u.Empty()) {
 					t.Fatal("a response that is of no use changes something")
 				}
-				if err == nil && (len(owed) != 1 || owed[0].Nonce != r.Nonce || len(owed[0].Error) > maxDetail) {
+				if err == nil && (len(owed) != 1 || owed[0].Nonce != r.Nonce || len(owed[0].ErrorDetail) > maxErrorDetailBytes) {
 					t.Fatalf("owed %+v", owed)
 				}
 			}
-			for k := range Types {
+			for k := range TypeCount {
 				if _, v := m.Versions(k); len(v) > MaxResources {
 					t.Fatalf("%d resources", len(v))
 				}
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -51,9 +51,9 @@
 // run follows planes; seen waits until a cluster is in force.
 func run(t *testing.T, c Config) (seen func(name string), logs *testutil.Logs) {
 	logs = testutil.NewLogs(t)
-	c.Backoff = ads.Backoff{Base: 5 * time.Millisecond, Max: 50 * time.Millisecond, Prefer: c.Backoff.Prefer}
-	if c.Backoff.Prefer == 0 {
-		c.Backoff.Prefer = time.Hour
+	c.Failover = ads.FailoverOptions{InitialBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, PreferredProbeInterval: c.Failover.PreferredProbeInterval}
+	if c.Failover.PreferredProbeInterval == 0 {
+		c.Failover.PreferredProbeInterval = time.Hour
 	}
 	client := New(c, logs.Logger())
 	var mu sync.Mutex
@@ -88,7 +88,7 @@
 			first.Misbehave(controlplane.Silent)
 			seen, logs := run(t, Config{
 				Servers: []string{first.Addr(), testutil.RefusingAddr(t), second.Addr()}, Variant: variant,
-				Answer: 50 * time.Millisecond, Backoff: ads.Backoff{Prefer: 200 * time.Millisecond},
+				FirstResponseTimeout: 50 * time.Millisecond, Failover: ads.FailoverOptions{PreferredProbeInterval: 200 * time.Millisecond},
 			})
 			seen("of-second")
 			logs.Wait("silent for 50ms")
@@ -123,9 +123,9 @@
 	p := plane(t, "a")
 	most := 64 << 10
 	if os.Getenv("YOKESTALL_LARGE") != "" {
-		most = DefaultMaxMessage
+		most = DefaultMaxMessageBytes
 	}
-	seen, logs := run(t, Config{Servers: []string{p.Addr()}, Variant: ads.StateOfTheWorld, MaxMessage: most})
+	seen, logs := run(t, Config{Servers: []string{p.Addr()}, Variant: ads.StateOfTheWorld, MaxMessageBytes: most})
 	seen("a")
 	var many []string
 	large := map[string]proto.Message{}
@@ -147,7 +147,7 @@
 func TestKept(t *testing.T) {
 	keep := filepath.Join(t.TempDir(), "kept")
 	p := plane(t, "a", "b")
-	c := Config{Servers: []string{p.Addr()}, Variant: ads.Incremental, Keep: keep}
+	c := Config{Servers: []string{p.Addr()}, Variant: ads.Incremental, CacheFile: keep}
 	t.Run("write", func(t *testing.T) {
 		seen, _ := run(t, c)
 		seen("b")
@@ -157,17 +157,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := parseKept(text)
-	if err != nil || len(got.resources[ads.Cluster]) != 2 || time.Since(got.at) > time.Hour {
+	got, err := parseCacheFile(text)
+	if err != nil || len(got.resources[ads.Cluster]) != 2 || time.Since(got.savedAt) > time.Hour {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for n := range text {
-		if _, err := parseKept(text[:n]); err == nil {
+		if _, err := parseCacheFile(text[:n]); err == nil {
 			t.Fatalf("the first %d of %d bytes are taken", n, len(text))
 		}
 		broken := append([]byte(nil), text...)
-		if broken[n] ^= 1; n > len(keepMark)+14 { // what stands before is the mark and the age
-			if _, err := parseKept(broken); err == nil {
+		if broken[n] ^= 1; n > len(cacheFileMark)+14 { // what stands before is the mark and the age
+			if _, err := parseCacheFile(broken); err == nil {
 				t.Fatalf("byte %d of %d is another one, and it is taken", n, len(text))
 			}
 		}
@@ -198,9 +198,9 @@
 		if delta {
 			x.config.Variant = ads.Incremental
 		}
-		if r, err := x.parse(b); (r == nil) == (err == nil) {
+		if r, err := x.parseResponse(b); (r == nil) == (err == nil) {
 			t.Fatalf("%v, %v", r, err)
 		}
-		parseKept(b)
+		parseCacheFile(b)
 	})
 }
--- a/internal/xds/golden_test.go
+++ b/internal/xds/golden_test.go
@@ -19,7 +19,7 @@
 const goldenKept = "testdata/golden/kept"
 
 // goldenURLs are the URLs of the types, as the kept file has them.
-var goldenURLs = [ads.Types]string{
+var goldenURLs = [ads.TypeCount]string{
 	"type.googleapis.com/envoy.config.listener.v3.Listener",
 	"type.googleapis.com/envoy.config.route.v3.RouteConfiguration",
 	"type.googleapis.com/envoy.config.cluster.v3.Cluster",
@@ -38,24 +38,24 @@
 func writeGoldenKept(t *testing.T, path string) {
 	t.Helper()
 	m := ads.New(ads.Options{})
-	k := newKeeper(path, slog.New(slog.DiscardHandler))
-	for typ := range ads.Types {
+	k := newVersionCache(path, slog.New(slog.DiscardHandler))
+	for typ := range ads.TypeCount {
 		r := goldenResource(typ)
 		m.Restore(typ, fmt.Sprintf("type-version-%d", typ), map[string]string{r.Name: r.Version})
-		k.note(&ads.Update{Type: typ, Set: []ads.Set{{Name: r.Name, Version: r.Version, Body: r.Body}}})
+		k.record(&ads.Update{Type: typ, Accepted: []ads.ValidResource{{Name: r.Name, Version: r.Version, Body: r.Body}}})
 	}
 	k.close(m)
 }
 
 func TestGoldenKeptVersionDecodes(t *testing.T) {
-	got, err := parseKept(golden.Read(t, goldenKept))
+	got, err := parseCacheFile(golden.Read(t, goldenKept))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := time.UnixMilli(1796288693765); !got.at.Equal(want) {
-		t.Errorf("written at %v; want %v", got.at, want)
+	if want := time.UnixMilli(1796288693765); !got.savedAt.Equal(want) {
+		t.Errorf("written at %v; want %v", got.savedAt, want)
 	}
-	for typ := range ads.Types {
+	for typ := range ads.TypeCount {
 		want := goldenResource(typ)
 		r := got.resources[typ][want.Name]
 		if len(got.resources[typ]) != 1 || r.Name != want.Name || r.Version != want.Version || !proto.Equal(r.Body, want.Body) {
--- /dev/null
+++ b/internal/xds/state/clusters.go
@@ -0,0 +1,164 @@
+package state
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"yokestall/internal/xds/ads"
+	"yokestall/internal/xds/translate"
+)
+
+// clusterEntry is a cluster that the control plane has defined.
+type clusterEntry struct {
+	*translate.Cluster
+	assignment *translate.Assignment // the endpoints in use; nil if none have come
+	// assignedService is the EDS service name whose endpoints are in use; "" for none or static ones. It differs from
+	// EDSServiceName until the endpoints of that one have come.
+	assignedService string
+}
+
+// services returns the EDS service names that the cluster refers to, or uses the endpoints of. c may be nil.
+func (c *clusterEntry) services() (names []string) {
+	if c == nil {
+		return nil
+	}
+	for _, name := range []string{c.EDSServiceName, c.assignedService} {
+		if name != "" {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// applyClusters applies an update of clusters.
+func (s *State) applyClusters(now time.Time, u *ads.Update, c *Change) {
+	for _, r := range u.Accepted {
+		s.setCluster(now, r.Value.(*translate.Cluster), c)
+	}
+	for _, name := range u.Removed {
+		s.removeCluster(name, c)
+	}
+}
+
+// applyEndpoints applies an update of endpoints. A cluster whose endpoints were removed, or do not exist, has none.
+func (s *State) applyEndpoints(now time.Time, u *ads.Update, c *Change) {
+	for _, r := range u.Accepted {
+		s.setEndpoints(now, r.Name, r.Value.(*translate.Assignment), c)
+	}
+	for _, name := range u.Removed {
+		s.setEndpoints(now, name, &translate.Assignment{Name: name}, c)
+	}
+	for _, name := range u.Missing {
+		if s.endpoints[name] == nil && !s.usersHaveEndpoints(name) {
+			s.setEndpoints(now, name, &translate.Assignment{Name: name}, c)
+		}
+	}
+}
+
+// setCluster adds or replaces a cluster. It uses the former one's endpoints until its own have come.
+func (s *State) setCluster(now time.Time, definition *translate.Cluster, c *Change) {
+	old := s.clusters[definition.Name]
+	entry := &clusterEntry{Cluster: definition}
+	if old != nil {
+		entry.assignment, entry.assignedService = old.assignment, old.assignedService
+	}
+	s.clusters[definition.Name] = entry
+	if definition.StaticAssignment != nil {
+		if old != nil && old.assignment != nil {
+			inferStartTimes(now, old.assignment, definition.StaticAssignment)
+		}
+		entry.assignment, entry.assignedService = definition.StaticAssignment, ""
+	} else if a := s.endpoints[definition.EDSServiceName]; a != nil {
+		entry.assignment, entry.assignedService = a, definition.EDSServiceName
+	}
+	s.replaceReferences(old, entry)
+	s.activate(entry, c)
+}
+
+// removeCluster removes a cluster, if it is there.
+func (s *State) removeCluster(name string, c *Change) {
+	old := s.clusters[name]
+	if old == nil {
+		return
+	}
+	delete(s.clusters, name)
+	s.replaceReferences(old, nil)
+	if s.activeClusters[name] != nil {
+		delete(s.activeClusters, name)
+		c.Full = true
+	}
+}
+
+// replaceReferences updates users, as an entry replaces another one; either may be nil. Endpoints without users are
+// removed.
+func (s *State) replaceReferences(old, next *clusterEntry) {
+	for _, service := range old.services() {
+		delete(s.users[service], old.Name)
+	}
+	for _, service := range next.services() {
+		if s.users[service] == nil {
+			s.users[service] = map[string]bool{}
+			s.subscriptionsChanged = true
+		}
+		s.users[service][next.Name] = true
+	}
+	for _, service := range old.services() {
+		if len(s.users[service]) == 0 {
+			s.subscriptionsChanged = true
+			delete(s.users, service)
+			delete(s.endpoints, service)
+		}
+	}
+}
+
+// setEndpoints sets the endpoints of an EDS service name, and has the clusters that refer to it use them.
+func (s *State) setEndpoints(now time.Time, service string, a *translate.Assignment, c *Change) {
+	users := s.users[service]
+	if len(users) == 0 {
+		return // not subscribed to any more
+	}
+	before := s.endpoints[service]
+	if before != nil {
+		inferStartTimes(now, before, a)
+	}
+	s.endpoints[service] = a
+	for _, name := range slices.Sorted(maps.Keys(users)) {
+		entry := s.clusters[name]
+		if entry.EDSServiceName != service { // it uses these until those of its present service name have come
+			entry.assignment = a
+			s.activate(entry, c)
+			continue
+		}
+		if before == nil && entry.assignment != nil {
+			inferStartTimes(now, entry.assignment, a)
+		}
+		next := &clusterEntry{Cluster: entry.Cluster, assignment: a, assignedService: service}
+		s.clusters[name] = next
+		s.replaceReferences(entry, next)
+		s.activate(next, c)
+	}
+}
+
+// usersHaveEndpoints reports whether each cluster that refers to an EDS service name has endpoints, of another one.
+func (s *State) usersHaveEndpoints(service string) bool {
+	for name := range s.users[service] {
+		if s.clusters[name].assignment == nil {
+			return false
+		}
+	}
+	return true
+}
+
+// activate puts the present version of a cluster in force, if it has endpoints.
+func (s *State) activate(entry *clusterEntry, c *Change) {
+	if entry.assignment == nil {
+		return
+	}
+	version := entry.Build(entry.assignment)
+	if s.activeClusters[entry.Name] == nil {
+		c.Full = true
+	}
+	s.activeClusters[entry.Name] = version
+	c.Clusters = append(c.Clusters, version)
+}
--- a/internal/xds/state/state_test.go
+++ b/internal/xds/state/state_test.go
@@ -26,11 +26,11 @@
 }
 
 func set(t ads.Type, name string, v any) *ads.Update {
-	return &ads.Update{Type: t, Set: []ads.Set{{Name: name, Value: v}}}
+	return &ads.Update{Type: t, Accepted: []ads.ValidResource{{Name: name, Value: v}}}
 }
 
 func eds(name, service string) *ads.Update {
-	return set(ads.Cluster, name, &translate.Cluster{Name: name, Service: service})
+	return set(ads.Cluster, name, &translate.Cluster{Name: name, EDSServiceName: service})
 }
 
 func to(clusters ...string) *translate.Routes {
@@ -100,8 +100,8 @@
 			if !maps.Equal(got, serves) {
 				t.Fatalf("in force %v, want %v", got, serves)
 			}
-			if want := slices.Sorted(maps.Keys(asked())); !slices.Equal(s.Wanted(ads.Endpoint), want) {
-				t.Fatalf("asks for %v, want %v", s.Wanted(ads.Endpoint), want)
+			if want := slices.Sorted(maps.Keys(asked())); !slices.Equal(s.Subscriptions(ads.Endpoint), want) {
+				t.Fatalf("asks for %v, want %v", s.Subscriptions(ads.Endpoint), want)
 			}
 			if len(s.endpoints) > len(latest) {
 				t.Fatalf("remembers %v, needs %v", s.endpoints, latest)
@@ -118,36 +118,36 @@
 // Routes by name, by a listener and inline; those that have not come leave the present ones.
 func TestWhichRoutes(t *testing.T) {
 	at := time.Unix(1, 0)
-	s := New(Options{Listener: "l", Named: true})
-	if got := s.Wanted(ads.Listener); !slices.Equal(got, []string{"l"}) {
+	s := New(Options{Listener: "l", RoutedClustersOnly: true})
+	if got := s.Subscriptions(ads.Listener); !slices.Equal(got, []string{"l"}) {
 		t.Errorf("wants %v", got)
 	}
 	one, two, inline := to("a"), to("b", "c"), to("d")
 	s.Apply(at, set(ads.Listener, "l", &translate.Listener{RouteName: "one"}))
-	if got := s.Wanted(ads.Route); !slices.Equal(got, []string{"one"}) || s.Routes() != nil {
+	if got := s.Subscriptions(ads.Route); !slices.Equal(got, []string{"one"}) || s.Routes() != nil {
 		t.Errorf("wants %v, has %v", got, s.Routes())
 	}
-	if c := s.Apply(at, set(ads.Route, "one", one)); !c.Whole || s.Routes() != one || !slices.Equal(s.Wanted(ads.Cluster), []string{"a"}) {
-		t.Errorf("%+v, wants %v", c, s.Wanted(ads.Cluster))
+	if c := s.Apply(at, set(ads.Route, "one", one)); !c.Full || s.Routes() != one || !slices.Equal(s.Subscriptions(ads.Cluster), []string{"a"}) {
+		t.Errorf("%+v, wants %v", c, s.Subscriptions(ads.Cluster))
 	}
-	if c := s.Apply(at, set(ads.Listener, "l", &translate.Listener{RouteName: "two"})); c.Whole || !c.Wanted || s.Routes() != one {
+	if c := s.Apply(at, set(ads.Listener, "l", &translate.Listener{RouteName: "two"})); c.Full || !c.SubscriptionsChanged || s.Routes() != one {
 		t.Errorf("the old routes are gone before the new ones came: %+v", c)
 	}
 	s.Apply(at, set(ads.Route, "two", two))
-	if s.Routes() != two || !slices.Equal(s.Wanted(ads.Cluster), []string{"b", "c"}) {
+	if s.Routes() != two || !slices.Equal(s.Subscriptions(ads.Cluster), []string{"b", "c"}) {
 		t.Error("the new routes are not in force")
 	}
 	for _, name := range []string{"b", "c"} {
-		s.Apply(at, set(ads.Cluster, name, &translate.Cluster{Name: name, Static: ends("", cluster.Endpoint{ID: "e"})}))
+		s.Apply(at, set(ads.Cluster, name, &translate.Cluster{Name: name, StaticAssignment: ends("", cluster.Endpoint{ID: "e"})}))
 	}
-	s.Apply(at, set(ads.Listener, "l", &translate.Listener{Inline: inline}))
+	s.Apply(at, set(ads.Listener, "l", &translate.Listener{InlineRoutes: inline}))
 	if len(s.clusters)+len(s.routes)+len(s.Clusters()) != 0 {
 		t.Errorf("what no route leads to is remembered: %v, %v", s.clusters, s.routes)
 	}
 	if s.Routes() != inline {
 		t.Error("the inline routes are not in force")
 	}
-	if c := s.Apply(at, &ads.Update{Type: ads.Listener, Removed: []string{"l"}}); !c.Whole || s.Routes() != nil {
+	if c := s.Apply(at, &ads.Update{Type: ads.Listener, Removed: []string{"l"}}); !c.Full || s.Routes() != nil {
 		t.Error("a listener that was taken away still routes")
 	}
 	only := New(Options{})
--- /dev/null
+++ b/internal/xds/translate/assignment.go
@@ -0,0 +1,215 @@
+package translate
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"strconv"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
+
+	"yokestall/internal/cluster"
+)
+
+// The bounds of policy.overprovisioning_factor, in percent.
+const (
+	minOverprovisionPercent = 100
+	maxOverprovisionPercent = 100000
+)
+
+// Assignment is the used part of an endpoint.v3.ClusterLoadAssignment.
+type Assignment struct {
+	Name          string
+	Endpoints     []cluster.Endpoint // by id
+	Overprovision float64            // a factor, 1 or more; 0 if it is not given
+	Drops         []cluster.Drop
+	// StartStated says of each endpoint whether its start time is given, and not to be inferred.
+	StartStated []bool
+
+	locality []int32   // of each endpoint, an index into weights
+	weights  []float64 // of localities; 0 if it is not given
+}
+
+// endpointRow is an endpoint with what the assignment has beside it.
+type endpointRow struct {
+	cluster.Endpoint
+	locality    int32
+	startStated bool
+}
+
+// assignment translates endpoints. defaultName is their name where they have none.
+func (o *Options) assignment(a *endpointv3.ClusterLoadAssignment, defaultName string) (*Assignment, error) {
+	if err := rejectFields(a.ProtoReflect(), rejectedInAssignment); err != nil {
+		return nil, err
+	}
+	out := &Assignment{Name: cmp.Or(a.GetClusterName(), defaultName)}
+	if err := assignmentPolicy(a.GetPolicy(), out); err != nil {
+		return nil, err
+	}
+	var rows []endpointRow
+	for i, l := range a.GetEndpoints() {
+		var err error
+		if rows, err = locality(rows, l, i); err != nil {
+			return nil, err
+		}
+		out.weights = append(out.weights, float64(l.GetLoadBalancingWeight().GetValue()))
+	}
+	out.setEndpoints(rows)
+	check := cluster.Cluster{
+		Name: out.Name, Endpoints: out.Endpoints, Empty: len(rows) == 0, ShrinkTo: -1,
+		Bounds: cluster.Bounds{Drops: out.Drops},
+	}
+	return out, check.Check(nil)
+}
+
+// setEndpoints sets the endpoints, by id.
+func (a *Assignment) setEndpoints(rows []endpointRow) {
+	slices.SortFunc(rows, func(x, y endpointRow) int { return cmp.Compare(x.ID, y.ID) })
+	a.Endpoints = make([]cluster.Endpoint, len(rows))
+	a.locality = make([]int32, len(rows))
+	a.StartStated = make([]bool, len(rows))
+	for i, r := range rows {
+		a.Endpoints[i], a.locality[i], a.StartStated[i] = r.Endpoint, r.locality, r.startStated
+	}
+}
+
+// assignmentPolicy translates the overprovisioning factor and the drops.
+func assignmentPolicy(p *endpointv3.ClusterLoadAssignment_Policy, out *Assignment) error {
+	if f := p.GetOverprovisioningFactor(); f != nil {
+		if f.GetValue() < minOverprovisionPercent || f.GetValue() > maxOverprovisionPercent {
+			return fmt.Errorf("policy.overprovisioning_factor: %d is not from %d to %d",
+				f.GetValue(), minOverprovisionPercent, maxOverprovisionPercent)
+		}
+		out.Overprovision = float64(f.GetValue()) / 100
+	}
+	for i, d := range p.GetDropOverloads() {
+		share, err := fraction(d.GetDropPercentage())
+		if err != nil {
+			return fmt.Errorf("policy.drop_overloads %d (%.64s): %w", i+1, d.GetCategory(), err)
+		}
+		out.Drops = append(out.Drops, cluster.Drop{Category: d.GetCategory(), Share: share})
+	}
+	return nil
+}
+
+// fraction returns a type.v3.FractionalPercent as a number from 0 to 1.
+func fraction(p *typev3.FractionalPercent) (float64, error) {
+	denominator := 0.0
+	switch p.GetDenominator() {
+	case typev3.FractionalPercent_HUNDRED:
+		denominator = 100
+	case typev3.FractionalPercent_TEN_THOUSAND:
+		denominator = 1e4
+	case typev3.FractionalPercent_MILLION:
+		denominator = 1e6
+	default:
+		return 0, fmt.Errorf("denominator %d is unknown", p.GetDenominator())
+	}
+	return min(1, float64(p.GetNumerator())/denominator), nil
+}
+
+// locality appends the endpoints of the locality with an index to rows.
+func locality(rows []endpointRow, l *endpointv3.LocalityLbEndpoints, index int) ([]endpointRow, error) {
+	zone := zoneName(l.GetLocality())
+	withPlace := func(err error) error { return fmt.Errorf("endpoints %d (%s): %w", index+1, zone, err) }
+	if err := rejectFields(l.ProtoReflect(), rejectedInLocality); err != nil {
+		return nil, withPlace(err)
+	}
+	if l.GetPriority() > cluster.MaxPriority {
+		return nil, withPlace(fmt.Errorf("priority: %d is not from 0 to %d", l.GetPriority(), cluster.MaxPriority))
+	}
+	for j, e := range l.GetLbEndpoints() {
+		row, err := endpoint(e)
+		if err != nil {
+			return nil, withPlace(fmt.Errorf("lb_endpoints %d: %w", j+1, err))
+		}
+		row.Zone, row.Priority, row.locality = zone, int(l.GetPriority()), int32(index)
+		if rows = append(rows, row); len(rows) > cluster.MaxEndpoints {
+			return nil, fmt.Errorf("more than %d endpoints", cluster.MaxEndpoints)
+		}
+	}
+	return rows, nil
+}
+
+// zoneName returns the name of a locality: its zone, after the region if there are both.
+func zoneName(l *corev3.Locality) string {
+	if l.GetRegion() == "" || l.GetZone() == "" {
+		return cmp.Or(l.GetZone(), l.GetRegion())
+	}
+	return l.GetRegion() + "/" + l.GetZone()
+}
+
+// endpoint translates an endpoint, without its locality.
+func endpoint(e *endpointv3.LbEndpoint) (row endpointRow, err error) {
+	if err := rejectFields(e.ProtoReflect(), rejectedInEndpoint); err != nil {
+		return row, err
+	}
+	if row.Address, err = address(e.GetEndpoint().GetAddress().GetSocketAddress()); err != nil {
+		return row, err
+	}
+	if row.Health, err = health(e.GetHealthStatus()); err != nil {
+		return row, err
+	}
+	row.Weight = 1
+	if w := e.GetLoadBalancingWeight(); w != nil {
+		if row.Weight = float64(w.GetValue()); w.GetValue() == 0 {
+			return row, errors.New("load_balancing_weight: 0 is not from 1 up")
+		}
+	}
+	return row, endpointMetadata(e.GetMetadata(), &row)
+}
+
+// address returns an endpoint's address as host:port.
+func address(a *corev3.SocketAddress) (string, error) {
+	switch {
+	case a == nil:
+		return "", errors.New("endpoint.address: only socket_address is taken")
+	case a.GetProtocol() != corev3.SocketAddress_TCP:
+		return "", errors.New("endpoint.address: only TCP is taken")
+	case a.GetNamedPort() != "" || a.GetResolverName() != "":
+		return "", errors.New("endpoint.address: named ports and resolvers are not taken")
+	case net.ParseIP(a.GetAddress()) == nil:
+		return "", fmt.Errorf("endpoint.address: %.64q is no IP address", a.GetAddress())
+	}
+	return net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))), nil
+}
+
+// health translates a health status.
+func health(status corev3.HealthStatus) (cluster.Health, error) {
+	switch status {
+	case corev3.HealthStatus_UNKNOWN, corev3.HealthStatus_HEALTHY:
+		return cluster.Healthy, nil
+	case corev3.HealthStatus_DEGRADED:
+		return cluster.Degraded, nil
+	case corev3.HealthStatus_DRAINING:
+		return cluster.Draining, nil
+	case corev3.HealthStatus_UNHEALTHY, corev3.HealthStatus_TIMEOUT:
+		return cluster.Unhealthy, nil
+	}
+	return 0, fmt.Errorf("health_status: %d is unknown", status)
+}
+
+// endpointMetadata sets an endpoint's id (its address where none is given), cell and start time.
+func endpointMetadata(m *corev3.Metadata, row *endpointRow) error {
+	own, err := ownMetadata(m, "id", "cell", "started_ms")
+	if err != nil {
+		return err
+	}
+	row.ID = row.Address
+	if v, ok := own["id"]; ok {
+		if row.ID = v.GetStringValue(); row.ID == "" {
+			return errors.New("metadata yokestall: id is no text")
+		}
+	}
+	cell, _, err := integerField(own, "cell")
+	if err != nil {
+		return err
+	}
+	row.Cell = int(cell)
+	row.Started, row.startStated, err = integerField(own, "started_ms")
+	return err
+}
--- /dev/null
+++ b/internal/xds/translate/cluster.go
@@ -0,0 +1,155 @@
+package translate
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+
+	"yokestall/internal/cluster"
+)
+
+const (
+	minConnectTimeout = time.Millisecond
+	maxConnectTimeout = time.Hour
+)
+
+// Cluster is the used part of a cluster.v3.Cluster.
+type Cluster struct {
+	Name string
+	// EDSServiceName is the name of its endpoints (EDS); "" where they come with it.
+	EDSServiceName string
+	// StaticAssignment is the endpoints that come with it; nil where they come by EDS.
+	StaticAssignment *Assignment
+	Bounds           cluster.Bounds
+	// Transport is the protocol to its endpoints.
+	Transport cluster.Transport
+	// LocalityWeighted distributes the load over localities by their own weights (locality_weighted_lb_config).
+	LocalityWeighted bool
+}
+
+// cluster translates a cluster.
+func (o *Options) cluster(c *clusterv3.Cluster) (*Cluster, error) {
+	if err := rejectFields(c.ProtoReflect(), rejectedInCluster); err != nil {
+		return nil, err
+	}
+	out := &Cluster{Name: c.GetName()}
+	if err := o.endpointSource(c, out); err != nil {
+		return nil, err
+	}
+	if err := bounds(c, &out.Bounds); err != nil {
+		return nil, err
+	}
+	var err error
+	if out.Transport, err = transport(c); err != nil {
+		return nil, err
+	}
+	out.LocalityWeighted = c.GetCommonLbConfig().GetLocalityWeightedLbConfig() != nil
+	return out, nil
+}
+
+// endpointSource translates where a cluster's endpoints come from.
+func (o *Options) endpointSource(c *clusterv3.Cluster, out *Cluster) error {
+	switch {
+	case c.GetClusterType() != nil:
+		return errors.New("cluster_type: custom clusters are not taken")
+	case c.GetType() == clusterv3.Cluster_EDS:
+		eds := c.GetEdsClusterConfig()
+		if err := checkConfigSource("eds_cluster_config.eds_config", eds.GetEdsConfig()); err != nil {
+			return err
+		}
+		out.EDSServiceName = cmp.Or(eds.GetServiceName(), c.GetName())
+	case c.GetType() == clusterv3.Cluster_STATIC:
+		a, err := o.assignment(c.GetLoadAssignment(), c.GetName())
+		if err != nil {
+			return fmt.Errorf("load_assignment: %w", err)
+		}
+		out.StaticAssignment = a
+	default:
+		return fmt.Errorf("type: %v is neither EDS nor STATIC", c.GetType())
+	}
+	return nil
+}
+
+// checkConfigSource checks that resources come from the control plane that is followed.
+func checkConfigSource(field string, s *corev3.ConfigSource) error {
+	if s == nil || s.GetAds() != nil || s.GetSelf() != nil {
+		return nil
+	}
+	return fmt.Errorf("%s: only ads and self are taken", field)
+}
+
+// bounds translates the connect timeout and the circuit breakers of the default priority, which all routes have.
+func bounds(c *clusterv3.Cluster, b *cluster.Bounds) error {
+	if d := c.GetConnectTimeout(); d != nil {
+		timeout := d.AsDuration()
+		if d.CheckValid() != nil || timeout <= 0 || timeout > maxConnectTimeout {
+			return fmt.Errorf("connect_timeout: %v is not above 0 and up to 1h", timeout)
+		}
+		b.ConnectTimeout = max(timeout, minConnectTimeout)
+	}
+	for i, t := range c.GetCircuitBreakers().GetThresholds() {
+		if t.GetPriority() != corev3.RoutingPriority_DEFAULT {
+			continue
+		}
+		if t.GetRetryBudget() != nil {
+			return fmt.Errorf("circuit_breakers.thresholds %d: retry_budget: "+
+				"the program has its own; max_retries is honoured", i+1)
+		}
+		b.MaxConnections = int(t.GetMaxConnections().GetValue())
+		b.MaxRequests = int(t.GetMaxRequests().GetValue())
+		if t.GetMaxPendingRequests() != nil && t.GetMaxRequests() != nil {
+			b.MaxRequests += int(t.GetMaxPendingRequests().GetValue())
+		}
+		b.MaxRetries = int(t.GetMaxRetries().GetValue())
+	}
+	return nil
+}
+
+// Build returns the version of the cluster that has the endpoints.
+func (c *Cluster) Build(a *Assignment) *cluster.Cluster {
+	out := &cluster.Cluster{
+		Name:      c.Name,
+		ShrinkTo:  -1,
+		Source:    "xds",
+		Bounds:    c.Bounds,
+		Transport: c.Transport,
+		Empty:     len(a.Endpoints) == 0,
+		Endpoints: a.Endpoints,
+	}
+	out.Overprovision, out.Drops = a.Overprovision, a.Drops
+	if c.LocalityWeighted && len(a.Endpoints) > 0 {
+		out.Endpoints = a.localityWeighted()
+	}
+	return out
+}
+
+// localityWeighted returns the endpoints with weights that distribute the load over localities by the localities'
+// weights, and within each by its endpoints'. The mean of the weights is 1. A locality without a weight gets no load
+// (LocalityLbEndpoints.load_balancing_weight).
+func (a *Assignment) localityWeighted() []cluster.Endpoint {
+	sums := make([]float64, len(a.weights)) // of the endpoints' weights, by locality
+	for i, e := range a.Endpoints {
+		sums[a.locality[i]] += e.Weight
+	}
+	total := 0.0 // of the localities' weights
+	for i := range a.weights {
+		if sums[i] > 0 {
+			total += a.weights[i]
+		}
+	}
+	endpoints := slices.Clone(a.Endpoints)
+	for i := range endpoints {
+		e, l := &endpoints[i], a.locality[i]
+		if a.weights[l] == 0 {
+			e.Health = cluster.Unhealthy
+			continue
+		}
+		e.Weight = min(cluster.MaxWeight, e.Weight/sums[l]*a.weights[l]/total*float64(len(a.Endpoints)))
+	}
+	return endpoints
+}
--- a/internal/xds/translate/fields_test.go
+++ b/internal/xds/translate/fields_test.go
@@ -30,7 +30,7 @@
 	"yokestall/internal/xds/ads"
 )
 
-var options = Options{Classes: []string{"read", "pay"}, Class: "read"}
+var options = Options{Classes: []string{"read", "pay"}, DefaultClass: "read"}
 
 func pack(m proto.Message) *anypb.Any {
 	a, err := anypb.New(m)
@@ -357,7 +357,7 @@
 		f.Add(int(s.t), pack(whole()).Value)
 	}
 	f.Fuzz(func(t *testing.T, kind int, body []byte) {
-		which := ads.Type(uint(kind) % uint(ads.Types))
+		which := ads.Type(uint(kind) % uint(ads.TypeCount))
 		name, value, err := options.Decode(which, &anypb.Any{TypeUrl: which.URL(), Value: body})
 		if err != nil {
 			if strings.Contains(err.Error(), "can't be read") {
@@ -370,8 +370,8 @@
 			if v.Name != name {
 				t.Fatalf("%q, %q", v.Name, name)
 			}
-			if v.Static != nil {
-				if err := v.Build(v.Static).Check(nil); err != nil {
+			if v.StaticAssignment != nil {
+				if err := v.Build(v.StaticAssignment).Check(nil); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/xds/translate/transport.go
+++ b/internal/xds/translate/transport.go
@@ -1,11 +1,13 @@
 package translate
 
 import (
+	"crypto/sha256"
 	"encoding/base64"
 	"errors"
 	"fmt"
 
 	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	tlsv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/transport_sockets/tls/v3"
 	upstreamv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/upstreams/http/v3"
 
@@ -16,57 +18,77 @@
 // typed_extension_protocol_options.
 const protocolOptions = "envoy.extensions.upstreams.http.v3.HttpProtocolOptions"
 
-// transport gives how a cluster's servers are spoken to. Keys are not taken from the control
-// plane: secrets are named, and have to be entries of the program's own keys.
+// transport translates the protocol to a cluster's endpoints.
 func transport(c *clusterv3.Cluster) (out cluster.Transport, err error) {
+	if out.HTTP2, err = usesHTTP2(c); err != nil {
+		return out, err
+	}
+	if socket := c.GetTransportSocket(); socket != nil {
+		out.TLS, err = upstreamTLS(socket)
+	}
+	return out, err
+}
+
+// usesHTTP2 reports whether HTTP/2 is used, by the typed options before the deprecated field.
+func usesHTTP2(c *clusterv3.Cluster) (bool, error) {
 	//lint:ignore SA1019 control planes in use still send the deprecated field
-	out.HTTP2 = c.GetHttp2ProtocolOptions() != nil
-	if a := c.GetTypedExtensionProtocolOptions()[protocolOptions]; a != nil {
-		var m upstreamv3.HttpProtocolOptions
-		if err := unmarshal(a, &m); err != nil {
-			return out, fmt.Errorf("typed_extension_protocol_options: %w", err)
-		}
-		if e := m.GetExplicitHttpConfig(); e != nil {
-			if e.GetHttp3ProtocolOptions() != nil {
-				return out, errors.New("typed_extension_protocol_options: HTTP/3 " + notYet)
-			}
-			out.HTTP2 = e.GetHttp2ProtocolOptions() != nil
-		}
+	http2 := c.GetHttp2ProtocolOptions() != nil
+	a := c.GetTypedExtensionProtocolOptions()[protocolOptions]
+	if a == nil {
+		return http2, nil
+	}
+	var m upstreamv3.HttpProtocolOptions
+	if err := unmarshal(a, &m); err != nil {
+		return false, fmt.Errorf("typed_extension_protocol_options: %w", err)
 	}
-	socket := c.GetTransportSocket()
-	if socket == nil {
-		return out, nil
+	explicit := m.GetExplicitHttpConfig()
+	switch {
+	case explicit == nil:
+		return http2, nil
+	case explicit.GetHttp3ProtocolOptions() != nil:
+		return false, errors.New("typed_extension_protocol_options: HTTP/3 " + notSupported)
 	}
+	return explicit.GetHttp2ProtocolOptions() != nil, nil
+}
+
+// upstreamTLS translates TLS to endpoints. Keys are not accepted from the control plane: secrets are named (SDS), and
+// must be entries of the program's own keys.
+func upstreamTLS(socket *corev3.TransportSocket) (*cluster.TLS, error) {
 	var m tlsv3.UpstreamTlsContext
 	a := socket.GetTypedConfig()
 	if !a.MessageIs(&m) {
-		return out, fmt.Errorf("transport_socket: %.64s: UpstreamTlsContext alone is taken", socket.GetName())
+		return nil, fmt.Errorf("transport_socket: %.64s: UpstreamTlsContext alone is taken", socket.GetName())
 	}
 	if err := unmarshal(a, &m); err != nil {
-		return out, fmt.Errorf("transport_socket: %w", err)
+		return nil, fmt.Errorf("transport_socket: %w", err)
 	}
 	common := m.GetCommonTlsContext()
-	t := &cluster.TLS{Name: m.GetSni()}
-	if len(common.GetTlsCertificates()) > 0 || len(common.GetValidationContext().GetTrustedCa().GetInlineBytes()) > 0 ||
-		common.GetValidationContext().GetTrustedCa().GetInlineString() != "" {
-		return out, errors.New("transport_socket: keys that come inline are not taken; name entries of [keys] by SDS")
+	if hasInlineKeys(common) {
+		return nil, errors.New("transport_socket: keys that come inline are not taken; name entries of [keys] by SDS")
 	}
+	t := &cluster.TLS{Name: m.GetSni()}
 	if list := common.GetTlsCertificateSdsSecretConfigs(); len(list) > 0 {
 		t.Certificate = list[0].GetName()
 	}
 	validation := common.GetValidationContext()
 	if combined := common.GetCombinedValidationContext(); combined != nil {
-		validation, t.Roots = combined.GetDefaultValidationContext(), combined.GetValidationContextSdsSecretConfig().GetName()
+		validation = combined.GetDefaultValidationContext()
+		t.Roots = combined.GetValidationContextSdsSecretConfig().GetName()
 	}
 	if s := common.GetValidationContextSdsSecretConfig(); s != nil {
 		t.Roots = s.GetName()
 	}
 	for _, pin := range validation.GetVerifyCertificateSpki() {
-		if sum, err := base64.StdEncoding.DecodeString(pin); err != nil || len(sum) != 32 {
-			return out, fmt.Errorf("transport_socket: verify_certificate_spki: %.64q is no SHA-256 in base 64", pin)
+		if sum, err := base64.StdEncoding.DecodeString(pin); err != nil || len(sum) != sha256.Size {
+			return nil, fmt.Errorf("transport_socket: verify_certificate_spki: %.64q is no SHA-256 in base 64", pin)
 		}
 		t.Pins = append(t.Pins, pin)
 	}
-	out.TLS = t
-	return out, nil
+	return t, nil
+}
+
+// hasInlineKeys reports whether certificates or roots come with the cluster.
+func hasInlineKeys(common *tlsv3.CommonTlsContext) bool {
+	roots := common.GetValidationContext().GetTrustedCa()
+	return len(common.GetTlsCertificates()) > 0 || len(roots.GetInlineBytes()) > 0 || roots.GetInlineString() != ""
 }
--- a/internal/xds/xdsfile/xdsfile_test.go
+++ b/internal/xds/xdsfile/xdsfile_test.go
@@ -79,7 +79,7 @@
 			t.Errorf("%s comes to %s, another form to %s", name, got, shape)
 		}
 		for i, f := range set {
-			if strings.HasSuffix(f.Name, SumSuffix) {
+			if strings.HasSuffix(f.Name, ChecksumSuffix) {
 				continue
 			}
 			for n := 0; n < len(f.Text); n += 1 + len(f.Text)/97 {
@@ -138,6 +138,6 @@
 	f.Add(0, []byte(`{"resources":[]}`))
 	f.Fuzz(func(_ *testing.T, form int, text []byte) {
 		name := "x" + Extensions[uint(form)%uint(len(Extensions))]
-		Check([]config.File{{Name: name, Text: text}, {Name: name + SumSuffix, Text: fmt.Appendf(nil, "%x", sha256.Sum256(text))}})
+		Check([]config.File{{Name: name, Text: text}, {Name: name + ChecksumSuffix, Text: fmt.Appendf(nil, "%x", sha256.Sum256(text))}})
 	})
 }
