--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -6,11 +6,9 @@
 import (
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -24,8 +22,6 @@
 	"yokestall/internal/downstream/extproc"
 	"yokestall/internal/fake/appbox"
 	"yokestall/internal/fake/controlplane"
-	"yokestall/internal/files"
-	"yokestall/internal/xds"
 )
 
 // drainRule is how long after word of a drain nothing new may reach a server.
@@ -126,6 +122,8 @@
 // show is a demo while it runs.
 type show struct {
 	Options
+	closers []func() // called in reverse order at the end
+
 	folder string
 	boxes  []*appbox.Box
 	app    *app.App
@@ -144,155 +142,6 @@
 	asked  [5]atomic.Int64 // in all, served, refused, failed, late
 }
 
-// Run runs the demo. The error tells what kept it from running; rules that broke are in
-// the result.
-func Run(ctx context.Context, o Options) (*Result, error) {
-	s := &show{
-		Options: o, versions: make(chan struct{}, 1024),
-		drained: map[string]time.Time{}, strays: map[string]int{},
-	}
-	if s.Slack == 0 {
-		s.Slack = 50 * time.Millisecond
-	}
-	folder, err := os.MkdirTemp("", "yokestall-demo-")
-	if err != nil {
-		return nil, err
-	}
-	defer os.RemoveAll(folder)
-	s.folder = folder
-	for i := range o.Boxes {
-		b, err := appbox.Start(fmt.Sprintf("box-%d", i+1))
-		if err != nil {
-			return nil, err
-		}
-		defer b.Down()
-		s.boxes = append(s.boxes, b)
-		b.SetDelay(5 * time.Millisecond)
-	}
-	if err := os.Mkdir(filepath.Join(folder, "clusters"), 0o755); err != nil {
-		return nil, err
-	}
-	text := program
-	if o.XDS {
-		if s.plane, err = controlplane.Start(); err != nil {
-			return nil, err
-		}
-		defer s.plane.Down()
-		text = program[:strings.Index(program, "[[class]]\nname = \"payment\"")] + fmt.Sprintf(
-			"[xds]\nservers = [%q]\nnode_id = \"demo\"\nlistener = \"ingress\"\n", s.plane.Addr())
-	}
-	with := app.Options{Seed: 1, Log: o.Log, Sent: s.sent}
-	if o.TLS {
-		if s.keys, err = newRotation(folder, o.Log); err != nil {
-			return nil, err
-		}
-		with.Keys = s.keys.store
-		text = strings.Replace(text, "connections = 256\n", "connections = 256\ntls = true\n\n[keys]\nfolder = \"keys\"\npoll = \"50ms\"\n", 1)
-	}
-	if o.ExtProc {
-		text = strings.Replace(text, "[limits]\n", "[extproc]\naddress = \"127.0.0.1:0\"\n\n[limits]\n", 1)
-		text = strings.Replace(text, "prefix = \"/\"\n", "prefix = \"/\"\nprocessor = \"pick\"\n", 1)
-	}
-	if err := os.WriteFile(s.config(), []byte(text), 0o644); err != nil {
-		return nil, err
-	}
-	if err := s.write(nil); err != nil {
-		return nil, err
-	}
-	watcher, first, err := files.Open(s.config(), o.Log)
-	if err != nil {
-		return nil, err
-	}
-	if s.app, err = app.New(first, with); err != nil {
-		return nil, err
-	}
-	defer s.app.Close()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return nil, err
-	}
-	s.url = "http://" + l.Addr().String()
-	if o.TLS {
-		s.url = "https://" + l.Addr().String()
-	}
-	if o.ExtProc {
-		end, err := s.inFront(first.Program.ExtProc)
-		if err != nil {
-			return nil, err
-		}
-		defer end()
-	}
-	running, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	defer parts.Wait()
-	defer stop()
-	served := make(chan error, 1)
-	parts.Go(func() { served <- s.app.Serve(running, l) })
-	if s.keys != nil {
-		parts.Go(func() { s.keys.run(running) })
-	}
-	source := app.NewSource(s.app, first)
-	told := func() {
-		select {
-		case s.versions <- struct{}{}:
-		default:
-		}
-	}
-	parts.Go(func() {
-		watcher.Run(running, func(v *files.Snapshot) {
-			source.Files(v)
-			told()
-		})
-	})
-	fmt.Fprintf(o.Out, "%d app boxes behind %s; the files are in %s\n", o.Boxes, s.url, folder)
-	if c := app.XDSConfig(first.Program, s.config()); c != nil {
-		whole := make(chan struct{})
-		var once sync.Once
-		client := xds.New(*c, o.Log)
-		parts.Go(func() {
-			client.Run(running, func(d *xds.Delivery) {
-				source.Deliver(d)
-				told()
-				if d.View.Routes() != nil && len(d.View.Clusters()) > 0 {
-					once.Do(func() { close(whole) })
-				}
-			})
-		})
-		select {
-		case <-whole:
-		case <-time.After(10 * time.Second):
-			return nil, errors.New("no version came from the control plane in 10 s")
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		}
-		fmt.Fprintf(o.Out, "clusters, endpoints and routes come from a control plane at %s\n", s.plane.Addr())
-	}
-	fmt.Fprintln(o.Out)
-	if err := s.play(ctx); err != nil {
-		return nil, err
-	}
-	s.check()
-	s.summary()
-	if n := s.processor; n != nil {
-		fmt.Fprintf(o.Out, "a proxy in front asked the program about each: %d requests carried, %d picked\n", n.Stats.Forwarded.Load(), n.Stats.Picked.Load())
-	}
-	if k := s.keys; k != nil {
-		fmt.Fprintf(o.Out, "%d answers over HTTP/2 and TLS; the keys were replaced %d times meanwhile\n", k.http2.Load(), k.store.Changes()-1)
-	}
-	if o.Keep && ctx.Err() == nil {
-		fmt.Fprintf(o.Out, "\nServing on until interrupted. Try\n    curl -i %s/hotels/7/rooms\n    curl -i -H 'Idempotency-Key: k1' -d '{}' %s/hotels/7/bookings\nand change the weights or the health of a box in\n    %s\n",
-			s.url, s.url, filepath.Join(folder, "clusters", "rooms.toml"))
-		select {
-		case <-ctx.Done():
-		case err := <-served:
-			return &s.result, err
-		}
-	} else {
-		fmt.Fprintf(o.Out, "\nTo leave it running: yokestall demo --keep; it prints the curl lines to send requests with.\n")
-	}
-	return &s.result, nil
-}
-
 func (s *show) config() string { return filepath.Join(s.folder, "yokestall.toml") }
 
 // write puts a version of the cluster file in place, whole.
