--- a/internal/downstream/extproc/fields_test.go
+++ b/internal/downstream/extproc/fields_test.go
@@ -113,7 +113,8 @@
 		}
 	}
 	// Oneofs that a later version may add to have no default here: they are fields too.
-	if n := (&pb.ProcessingRequest{}).ProtoReflect().Descriptor().Oneofs().ByName(protoreflect.Name("request")).Fields().Len(); n != len(phaseNames)-1 {
+	oneofs := (&pb.ProcessingRequest{}).ProtoReflect().Descriptor().Oneofs()
+	if n := oneofs.ByName(protoreflect.Name("request")).Fields().Len(); n != len(phaseNames)-1 {
 		t.Errorf("%d kinds of messages; the package knows %d", n, len(phaseNames)-1)
 	}
 	const path = "../../../docs/extproc-fields.md"
--- a/internal/downstream/extproc/pick_test.go
+++ b/internal/downstream/extproc/pick_test.go
@@ -20,8 +20,8 @@
 
 func (e ended) Context() context.Context { return e.ctx }
 
-// A caller that has gone is named no server, also where one is offered at that very moment; the attempt has
-// not begun then, and is free for whoever else asks.
+// A caller that has disconnected is named no endpoint, also where one is picked at that moment; the attempt is never
+// sent.
 func TestNothingIsNamedToACallerThatHasGone(t *testing.T) {
 	t.Parallel()
 	gone, leave := context.WithCancel(t.Context())
@@ -29,7 +29,11 @@
 	clock := engine.NewClock()
 	for turn := range 50 { // which of the two is seen first is drawn anew each time
 		r := &pickRequest{
-			server: &Server{}, cancel: func() {}, endpoints: make(chan *pickedEndpoint, 1), done: make(chan struct{}), waiting: 1,
+			server:    &Server{},
+			cancel:    func() {},
+			endpoints: make(chan *pickedEndpoint, 1),
+			done:      make(chan struct{}),
+			waiting:   1,
 		}
 		r.endpoints <- &pickedEndpoint{
 			call: engine.NewCall(t.Context()), address: "127.0.0.1:1", outcome: make(chan policy.Status, 1),
--- /dev/null
+++ b/internal/downstream/extproc/response_test.go
@@ -0,0 +1,44 @@
+package extproc_test
+
+import (
+	"bytes"
+	"net/http"
+	"testing"
+
+	filterv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/ext_proc/v3"
+
+	"yokestall/internal/fake/proxy"
+	"yokestall/internal/testutil"
+)
+
+// Long responses: streamed where the caller's body mode allows it, with an error if they break off; 502 where they are
+// over the limit of one message.
+func TestLongAnswers(t *testing.T) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		w.Write(bytes.Repeat([]byte("x"), 3_000_000))
+		if r.URL.Path == "/broken" {
+			w.(http.Flusher).Flush()
+			panic(http.ErrAbortHandler)
+		}
+	})
+	r := start(t, []string{b.Addr()})
+	for _, tc := range []struct {
+		path   string
+		mode   filterv3.ProcessingMode_BodySendMode
+		status int
+		broken bool
+	}{
+		{"/x", filterv3.ProcessingMode_NONE, 200, false},
+		{"/x", filterv3.ProcessingMode_FULL_DUPLEX_STREAMED, 200, false},
+		{"/broken", filterv3.ProcessingMode_NONE, 200, true},
+		{"/x", filterv3.ProcessingMode_BUFFERED, 502, false},
+	} {
+		p := &proxy.Proxy{Conn: r.conn, Mode: tc.mode}
+		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: tc.path, Timeout: testutil.Patience})
+		p.Close()
+		complete := len(out.Body) == 3_000_000
+		if out.Status != tc.status || out.Broken != tc.broken || !tc.broken && tc.status == 200 && !complete {
+			t.Errorf("%+v: status %d, broken %v, %d bytes, %v", tc, out.Status, out.Broken, len(out.Body), out.Err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/downstream/extproc/rig_test.go
@@ -0,0 +1,142 @@
+package extproc_test
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials"
+	"google.golang.org/grpc/credentials/insecure"
+
+	"yokestall/internal/app"
+	"yokestall/internal/cluster"
+	"yokestall/internal/config"
+	"yokestall/internal/downstream/extproc"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/fake/proxy"
+	"yokestall/internal/files"
+	"yokestall/internal/stress/callers"
+	"yokestall/internal/testutil"
+	"yokestall/internal/tlskeys"
+)
+
+func TestMain(m *testing.M) { testutil.Main(m) }
+
+// callerStream is the caller's side of a processing stream.
+type callerStream = grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse]
+
+// rig is a processor before endpoints.
+type rig struct {
+	t       testing.TB
+	program *config.Program
+	app     *app.App
+	server  *extproc.Server
+	conn    *grpc.ClientConn
+	stop    context.CancelFunc
+	ended   chan error
+}
+
+// start runs a processor before endpoints, with changes to the rig's settings file, old and new text in turn.
+func start(t testing.TB, addrs []string, changes ...string) *rig {
+	return startWith(t, nil, insecure.NewCredentials(), addrs, changes...)
+}
+
+func startWith(
+	t testing.TB, keys *tlskeys.Store, creds credentials.TransportCredentials, addrs []string, changes ...string,
+) *rig {
+	t.Helper()
+	p, err := config.ParseProgram("test.toml", []byte(strings.NewReplacer(changes...).Replace(callers.Program)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{t: t, program: p, ended: make(chan error, 1)}
+	if r.app, err = app.New(r.version(addrs), app.Options{Seed: 1, Log: testutil.Log(t), Keys: keys}); err != nil {
+		t.Fatal(err)
+	}
+	l := testutil.Listen(t)
+	ctx, stop := context.WithCancel(context.Background())
+	r.stop, r.server = stop, r.app.NewProcessor(p.ExtProc)
+	go func() { r.ended <- r.app.ServeProcessor(ctx, l, r.server, p.ExtProc) }()
+	if r.conn, err = grpc.NewClient(l.Addr().String(), grpc.WithTransportCredentials(creds)); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		stop()
+		if err := testutil.Wait(t, r.ended, "the processor's end"); err != nil {
+			t.Error(err)
+		}
+		r.conn.Close()
+		r.app.Close()
+	})
+	return r
+}
+
+func (r *rig) version(addrs []string) *files.Snapshot {
+	c := &cluster.Cluster{Name: "rooms", ShrinkTo: -1, Empty: len(addrs) == 0}
+	for i, a := range addrs {
+		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
+	}
+	version := &cluster.Version{Clusters: map[string]*cluster.Cluster{c.Name: c}}
+	return &files.Snapshot{Program: r.program, Version: version}
+}
+
+// open opens a processing stream.
+func (r *rig) open(ctx context.Context) callerStream {
+	r.t.Helper()
+	s, err := pb.NewExternalProcessorClient(r.conn).Process(ctx)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	return s
+}
+
+// head returns the request headers; fields are names and values in turn.
+func head(end bool, path string, fields ...string) *pb.ProcessingRequest {
+	m := &corev3.HeaderMap{Headers: []*corev3.HeaderValue{
+		{Key: ":method", RawValue: []byte("POST")},
+		{Key: ":authority", Value: "a"},
+		{Key: ":path", RawValue: []byte(path)},
+		{Key: ":scheme", Value: "http"},
+	}}
+	for i := 0; i+1 < len(fields); i += 2 {
+		m.Headers = append(m.Headers, &corev3.HeaderValue{Key: fields[i], RawValue: []byte(fields[i+1])})
+	}
+	return &pb.ProcessingRequest{Request: &pb.ProcessingRequest_RequestHeaders{
+		RequestHeaders: &pb.HttpHeaders{Headers: m, EndOfStream: end},
+	}}
+}
+
+// answered returns the response headers with a status code, and the end of the response.
+func answered(code string) *pb.ProcessingRequest {
+	status := &corev3.HeaderValue{Key: ":status", RawValue: []byte(code)}
+	return &pb.ProcessingRequest{Request: &pb.ProcessingRequest_ResponseHeaders{ResponseHeaders: &pb.HttpHeaders{
+		Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{status}}, EndOfStream: true,
+	}}}
+}
+
+// named returns the endpoint that a reply names; "" if it names none.
+func named(r *pb.ProcessingResponse) string {
+	h := http.Header{}
+	proxy.Mutate(h, r.GetRequestHeaders().GetResponse().GetHeaderMutation())
+	return h.Get(extproc.EndpointHeader)
+}
+
+// quiet waits until no stream and no request is in flight.
+func (r *rig) quiet() {
+	r.t.Helper()
+	testutil.Until(r.t, "the end of all streams and requests", func() bool { return r.server.InFlight() == 0 })
+}
+
+// boxes starts n endpoints.
+func boxes(t testing.TB, n int) (list []*appbox.Box, addrs []string) {
+	for i := range n {
+		b := testutil.Box(t, fmt.Sprintf("box-%d", i))
+		list, addrs = append(list, b), append(addrs, b.Addr())
+	}
+	return list, addrs
+}
--- a/internal/downstream/extproc/streamstate_test.go
+++ b/internal/downstream/extproc/streamstate_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"regexp"
+	"strings"
 	"testing"
 
 	filterv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/ext_proc/v3"
@@ -54,7 +55,8 @@
 			}
 			kind, end, err := m.Step(msg)
 			sent += string(letter)
-			allowed := requests.MatchString(lower.ReplaceAllString(sent, "")) && responses.MatchString(upper.ReplaceAllString(sent, "")) &&
+			allowed := requests.MatchString(lower.ReplaceAllString(sent, "")) &&
+				responses.MatchString(upper.ReplaceAllString(sent, "")) &&
 				(sent[0] == 'H' || sent[0] == 'E')
 			if (err == nil) != allowed {
 				t.Fatalf("%s: %v, allowed %v", sent, err, allowed)
@@ -62,7 +64,7 @@
 			if err != nil {
 				return
 			}
-			if want := letter == 'E' || letter == 'e' || letter == 'X' || letter == 'x' || letter == 'T' || letter == 't'; end != want {
+			if want := strings.ContainsRune("EeXxTt", rune(letter)); end != want {
 				t.Fatalf("%s: end %v", sent, end)
 			}
 			reply := m.ContinueReply(msg, kind)
@@ -71,10 +73,12 @@
 				body = reply.GetResponseBody().GetResponse()
 			}
 			duplex := mode == filterv3.ProcessingMode_FULL_DUPLEX_STREAMED || mode == filterv3.ProcessingMode_GRPC
-			if isBody := kind == RequestBody || kind == ResponseBody; isBody && duplex != (body.GetBodyMutation().GetStreamedResponse() != nil) {
+			isBody := kind == RequestBody || kind == ResponseBody
+			if isBody && duplex != (body.GetBodyMutation().GetStreamedResponse() != nil) {
 				t.Fatalf("%s: a body in mode %v gets %v", sent, mode, reply)
 			}
-			if got := [...]bool{false, reply.GetRequestHeaders() != nil, reply.GetRequestBody() != nil, reply.GetRequestTrailers() != nil,
+			if got := [...]bool{false,
+				reply.GetRequestHeaders() != nil, reply.GetRequestBody() != nil, reply.GetRequestTrailers() != nil,
 				reply.GetResponseHeaders() != nil, reply.GetResponseBody() != nil, reply.GetResponseTrailers() != nil}; !got[kind] {
 				t.Fatalf("%v gets %v", kind, reply)
 			}
