--- a/internal/xds/ads/ads_test.go
+++ b/internal/xds/ads/ads_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// In these tests a resource's body is "name=content"; content "bad" is refused.
+// In these tests a resource's body is "name=content"; content "bad" is rejected.
 func decode(_ Type, body *anypb.Any) (string, any, error) {
 	name, content, ok := strings.Cut(string(body.Value), "=")
 	if !ok {
@@ -143,10 +143,9 @@
 	return r
 }
 
-// Whatever the control plane changes, breaks and repeats, and whatever names are wanted:
-// each response is answered once, by its nonce; a NACK names the bad resources and no
-// others; and once all is quiet the client holds what the control plane has, but for bad
-// resources, of which it holds the last good form.
+// Whatever the control plane changes, breaks and repeats, and whatever is subscribed to: each response is answered once,
+// by its nonce; a NACK names the invalid resources and no others; and in the end the client has the resources of the
+// control plane, but for invalid ones, of which it has the last valid form.
 func TestFollowsTheControlPlane(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delta := rapid.Bool().Draw(t, "delta")
@@ -273,7 +272,7 @@
 	})
 }
 
-// The rules that a model of a good control plane can't show, one after the other.
+// The rules that a model of a correct control plane can't show, one after the other.
 func TestRules(t *testing.T) {
 	const second = time.Second
 	m := New(Options{Decode: decode, Variant: Incremental})
@@ -293,8 +292,12 @@
 		return u, owed
 	}
 	x := Resource{Name: "x", Version: "7", Body: body(Endpoint, "x", "1")}
-	if u, _ := receive(Response{URL: Endpoint.URL(), Nonce: "1", Resources: []Resource{x, {Name: "z", Body: body(Endpoint, "z", "1")}}}); len(u.Accepted) != 1 {
-		t.Errorf("one that was not asked for is taken: %+v", u)
+	u, _ := receive(Response{
+		URL: Endpoint.URL(), Nonce: "1",
+		Resources: []Resource{x, {Name: "z", Body: body(Endpoint, "z", "1")}},
+	})
+	if len(u.Accepted) != 1 {
+		t.Errorf("one that is not subscribed to is accepted: %+v", u)
 	}
 	if at, ok := m.NextTick(); !ok || at != 25*second {
 		t.Errorf("y is waited for until %v, %v", at, ok)
@@ -321,13 +324,15 @@
 			t.Errorf("%s: %+v, %+v", name, u, owed)
 		}
 	}
-	// Twice, of another type, with another name inside, a name too long: named in the NACK.
+	// A duplicate, another type, another name inside, a name that is too long: each is named in the NACK.
 	u, owed := receive(Response{URL: Endpoint.URL(), Nonce: "9", Resources: []Resource{
 		{Name: "x", Version: "8", Body: body(Endpoint, "x", "2")}, {Name: "x", Version: "8", Body: body(Endpoint, "x", "3")},
 		{Name: "y", Body: body(Cluster, "y", "1")}, {Name: "y", Body: body(Endpoint, "q", "1")},
 		{Body: body(Endpoint, strings.Repeat("n", MaxNameBytes+1), "1")},
 	}})
-	for _, text := range []string{"x: stands there twice", "y: its type is", `y: the resource in it is named "q"`, "1 to 256 bytes"} {
+	for _, text := range []string{
+		"x: stands there twice", "y: its type is", `y: the resource in it is named "q"`, "1 to 256 bytes",
+	} {
 		if !strings.Contains(owed[0].ErrorDetail, text) {
 			t.Errorf("%q is not in %q", text, owed[0].ErrorDetail)
 		}
@@ -335,7 +340,7 @@
 	if len(u.Accepted) != 1 || u.Accepted[0].Value != "2" {
 		t.Errorf("taken: %+v", u.Accepted)
 	}
-	// Never more than the bound, and a NACK's text is bounded too.
+	// The number of resources and the error detail are bounded.
 	var many []string
 	for i := range MaxResources + 5 {
 		many = append(many, fmt.Sprintf("n-%05d", i))
@@ -352,16 +357,19 @@
 		list = append(list, Resource{Body: body(Cluster, n, "1")})
 	}
 	u, owed, _ = w.Receive(&Response{URL: Cluster.URL(), Nonce: "1", Resources: list})
-	if len(u.Accepted) != MaxResources || !strings.Contains(owed[0].ErrorDetail, "there are 2000 already") || len(owed[0].ErrorDetail) > maxErrorDetailBytes {
+	if len(u.Accepted) != MaxResources || !strings.Contains(owed[0].ErrorDetail, "there are 2000 already") ||
+		len(owed[0].ErrorDetail) > maxErrorDetailBytes {
 		t.Errorf("%d taken; %q", len(u.Accepted), owed[0].ErrorDetail)
 	}
 }
 
-// Control planes in order of preference, with waits that grow while none answers or streams
-// break at once, and a look at the preferred one from time to time.
+// Servers in order of preference, with a backoff that grows while none responds or streams break at once, and probes of
+// the preferred one.
 func TestServerSelector(t *testing.T) {
 	const ms = time.Millisecond
-	p := NewServerSelector(3, FailoverOptions{InitialBackoff: 100 * ms, MaxBackoff: time.Second, PreferredProbeInterval: time.Minute})
+	p := NewServerSelector(3, FailoverOptions{
+		InitialBackoff: 100 * ms, MaxBackoff: time.Second, PreferredProbeInterval: time.Minute,
+	})
 	now := time.Duration(0)
 	fail := func(at int, least, most time.Duration) {
 		t.Helper()
@@ -428,7 +436,9 @@
 			default:
 				r := &Response{URL: kind.URL(), Nonce: rest[:min(1, len(rest))], Version: step}
 				for _, part := range strings.Split(rest, ",") {
-					r.Resources = append(r.Resources, Resource{Name: part[:min(1, len(part))], Body: &anypb.Any{TypeUrl: kind.URL(), Value: []byte(part)}})
+					r.Resources = append(r.Resources, Resource{
+						Name: part[:min(1, len(part))], Body: &anypb.Any{TypeUrl: kind.URL(), Value: []byte(part)},
+					})
 				}
 				r.Removed = strings.Split(rest, ".")
 				u, owed, err := m.Receive(r)
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -25,7 +25,11 @@
 func static(name string) proto.Message { return padded(name, 1000) }
 
 func padded(name string, bytes int) proto.Message {
-	return &clusterv3.Cluster{Name: name, ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_STATIC}, AltStatName: strings.Repeat("x", bytes)}
+	return &clusterv3.Cluster{
+		Name:                 name,
+		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_STATIC},
+		AltStatName:          strings.Repeat("x", bytes),
+	}
 }
 
 func plane(t *testing.T, clusters ...string) *controlplane.Plane {
@@ -48,10 +52,10 @@
 	}
 }
 
-// run follows planes; seen waits until a cluster is in force.
+// run runs a client; seen waits until a cluster is in force.
 func run(t *testing.T, c Config) (seen func(name string), logs *testutil.Logs) {
 	logs = testutil.NewLogs(t)
-	c.Failover = ads.FailoverOptions{InitialBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, PreferredProbeInterval: c.Failover.PreferredProbeInterval}
+	c.Failover.InitialBackoff, c.Failover.MaxBackoff = 5*time.Millisecond, 50*time.Millisecond
 	if c.Failover.PreferredProbeInterval == 0 {
 		c.Failover.PreferredProbeInterval = time.Hour
 	}
@@ -79,8 +83,8 @@
 
 var variants = map[string]ads.Variant{"state of the world": ads.StateOfTheWorld, "incremental": ads.Incremental}
 
-// A plane that is silent with its connection up, one that refuses, one that is there; once
-// the preferred one speaks again it is followed.
+// The first control plane sends nothing on an open connection, the second refuses connections, the third responds. Once
+// the preferred one responds it is followed again.
 func TestPreference(t *testing.T) {
 	for name, variant := range variants {
 		t.Run(name, func(t *testing.T) {
@@ -88,7 +92,8 @@
 			first.Misbehave(controlplane.Silent)
 			seen, logs := run(t, Config{
 				Servers: []string{first.Addr(), testutil.RefusingAddr(t), second.Addr()}, Variant: variant,
-				FirstResponseTimeout: 50 * time.Millisecond, Failover: ads.FailoverOptions{PreferredProbeInterval: 200 * time.Millisecond},
+				FirstResponseTimeout: 50 * time.Millisecond,
+				Failover:             ads.FailoverOptions{PreferredProbeInterval: 200 * time.Millisecond},
 			})
 			seen("of-second")
 			logs.Wait("silent for 50ms")
@@ -98,7 +103,7 @@
 	}
 }
 
-// A plane that flaps is followed all the same, and its streams are bounded in number.
+// A control plane whose streams break often is followed all the same, with a bounded number of streams.
 func TestFlaps(t *testing.T) {
 	p := plane(t, "a")
 	seen, _ := run(t, Config{Servers: []string{p.Addr()}, Variant: ads.Incremental})
@@ -117,8 +122,8 @@
 	}
 }
 
-// More than a message may have ends the stream with a clear cause; what was there stays.
-// With YOKESTALL_LARGE set the bound is the usual one, and 100 resources have over 64 MB.
+// A message over the limit ends the stream with an error that says so; the former version stays. With YOKESTALL_LARGE
+// set the limit is the default one, and 100 resources have over 64 MB.
 func TestMessageTooLarge(t *testing.T) {
 	p := plane(t, "a")
 	most := 64 << 10
@@ -143,7 +148,7 @@
 	seen("b")
 }
 
-// The kept version is used whole or not at all, wherever its file was cut or changed.
+// A cache file that is truncated or changed, at whichever byte, is not used.
 func TestKept(t *testing.T) {
 	keep := filepath.Join(t.TempDir(), "kept")
 	p := plane(t, "a", "b")
@@ -166,7 +171,7 @@
 			t.Fatalf("the first %d of %d bytes are taken", n, len(text))
 		}
 		broken := append([]byte(nil), text...)
-		if broken[n] ^= 1; n > len(cacheFileMark)+14 { // what stands before is the mark and the age
+		if broken[n] ^= 1; n > len(cacheFileMark)+14 { // before that are the mark and the time
 			if _, err := parseCacheFile(broken); err == nil {
 				t.Fatalf("byte %d of %d is another one, and it is taken", n, len(text))
 			}
@@ -186,9 +191,11 @@
 	})
 }
 
-// FuzzParse: a message that is none ends the stream with an error and no more.
+// FuzzParse: a malformed message is an error.
 func FuzzParse(f *testing.F) {
-	b, err := proto.Marshal(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: clusterURL, Nonce: "1", RemovedResources: []string{"x"}})
+	b, err := proto.Marshal(&discoveryv3.DeltaDiscoveryResponse{
+		TypeUrl: clusterURL, Nonce: "1", RemovedResources: []string{"x"},
+	})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/xds/golden_test.go
+++ b/internal/xds/golden_test.go
@@ -58,7 +58,8 @@
 	for typ := range ads.TypeCount {
 		want := goldenResource(typ)
 		r := got.resources[typ][want.Name]
-		if len(got.resources[typ]) != 1 || r.Name != want.Name || r.Version != want.Version || !proto.Equal(r.Body, want.Body) {
+		if len(got.resources[typ]) != 1 || r.Name != want.Name || r.Version != want.Version ||
+			!proto.Equal(r.Body, want.Body) {
 			t.Errorf("type %d: %+v; want %+v", typ, got.resources[typ], want)
 		}
 		if want := fmt.Sprintf("type-version-%d", typ); got.versions[typ] != want {
--- a/internal/xds/state/state_test.go
+++ b/internal/xds/state/state_test.go
@@ -42,9 +42,9 @@
 	return r
 }
 
-// Whatever comes in whatever order: a cluster serves by the newest endpoints of the service
-// that it names; until those have come, by what it served before; the services asked for
-// are those that are named or served by, and nothing is remembered of others.
+// Whatever comes in whatever order: a cluster uses the newest endpoints of its EDS service name; until those have come,
+// those that it used before; the service names subscribed to are those that clusters refer to or use, and nothing is
+// stored of others.
 func TestMakeBeforeBreak(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Options{})
@@ -115,7 +115,7 @@
 	})
 }
 
-// Routes by name, by a listener and inline; those that have not come leave the present ones.
+// Routes by name, by a listener and inline; the present ones stay until the next have come.
 func TestWhichRoutes(t *testing.T) {
 	at := time.Unix(1, 0)
 	s := New(Options{Listener: "l", RoutedClustersOnly: true})
@@ -127,10 +127,12 @@
 	if got := s.Subscriptions(ads.Route); !slices.Equal(got, []string{"one"}) || s.Routes() != nil {
 		t.Errorf("wants %v, has %v", got, s.Routes())
 	}
-	if c := s.Apply(at, set(ads.Route, "one", one)); !c.Full || s.Routes() != one || !slices.Equal(s.Subscriptions(ads.Cluster), []string{"a"}) {
+	c := s.Apply(at, set(ads.Route, "one", one))
+	if !c.Full || s.Routes() != one || !slices.Equal(s.Subscriptions(ads.Cluster), []string{"a"}) {
 		t.Errorf("%+v, wants %v", c, s.Subscriptions(ads.Cluster))
 	}
-	if c := s.Apply(at, set(ads.Listener, "l", &translate.Listener{RouteName: "two"})); c.Full || !c.SubscriptionsChanged || s.Routes() != one {
+	c = s.Apply(at, set(ads.Listener, "l", &translate.Listener{RouteName: "two"}))
+	if c.Full || !c.SubscriptionsChanged || s.Routes() != one {
 		t.Errorf("the old routes are gone before the new ones came: %+v", c)
 	}
 	s.Apply(at, set(ads.Route, "two", two))
@@ -138,7 +140,8 @@
 		t.Error("the new routes are not in force")
 	}
 	for _, name := range []string{"b", "c"} {
-		s.Apply(at, set(ads.Cluster, name, &translate.Cluster{Name: name, StaticAssignment: ends("", cluster.Endpoint{ID: "e"})}))
+		static := &translate.Cluster{Name: name, StaticAssignment: ends("", cluster.Endpoint{ID: "e"})}
+		s.Apply(at, set(ads.Cluster, name, static))
 	}
 	s.Apply(at, set(ads.Listener, "l", &translate.Listener{InlineRoutes: inline}))
 	if len(s.clusters)+len(s.routes)+len(s.Clusters()) != 0 {
@@ -156,8 +159,8 @@
 	}
 }
 
-// A server that joined others, or came back to them, has started when word came of it; in
-// a swap of all of them nobody has.
+// An endpoint that is new beside others, or healthy again, counts as started at the update; in a replacement of all of
+// them none does.
 func TestStarts(t *testing.T) {
 	const bad = cluster.Unhealthy
 	at := time.UnixMilli(5000)
@@ -166,10 +169,16 @@
 		next []cluster.Endpoint
 		want map[string]int64
 	}{
-		"joined, back, stayed": {[]cluster.Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e"}}, map[string]int64{"a": 0, "b": 5000, "c": 0, "e": 5000}},
-		"moved":                {[]cluster.Endpoint{{ID: "a", Address: "elsewhere:80"}, {ID: "c"}}, map[string]int64{"a": 5000, "c": 0}},
-		"still unhealthy":      {[]cluster.Endpoint{{ID: "a"}, {ID: "b", Health: bad}}, map[string]int64{"a": 0, "b": 0}},
-		"all others":           {[]cluster.Endpoint{{ID: "x"}, {ID: "y"}}, map[string]int64{"x": 0, "y": 0}},
+		"joined, back, stayed": {
+			[]cluster.Endpoint{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "e"}},
+			map[string]int64{"a": 0, "b": 5000, "c": 0, "e": 5000},
+		},
+		"moved": {
+			[]cluster.Endpoint{{ID: "a", Address: "elsewhere:80"}, {ID: "c"}},
+			map[string]int64{"a": 5000, "c": 0},
+		},
+		"still unhealthy": {[]cluster.Endpoint{{ID: "a"}, {ID: "b", Health: bad}}, map[string]int64{"a": 0, "b": 0}},
+		"all others":      {[]cluster.Endpoint{{ID: "x"}, {ID: "y"}}, map[string]int64{"x": 0, "y": 0}},
 	} {
 		s := New(Options{})
 		s.Apply(at, eds("c", "s"))
@@ -185,8 +194,8 @@
 	}
 }
 
-// Endpoints that do not exist: a new cluster has none and refuses; one that serves by its
-// former ones goes on. Endpoints that are taken away by name are gone.
+// Endpoints that do not exist: a new cluster has none; one that uses its former ones continues. Endpoints that the
+// control plane removes by name are removed.
 func TestEndpointsMissing(t *testing.T) {
 	at := time.Unix(1, 0)
 	s := New(Options{})
--- a/internal/xds/xdsfile/xdsfile_test.go
+++ b/internal/xds/xdsfile/xdsfile_test.go
@@ -110,15 +110,26 @@
 		files []config.File
 		want  string
 	}{
-		"unknown class":   {replace("class: booking-push", "class: booking"), `class "booking" is not known`},
-		"unknown field":   {replace("health_status", "health"), `unknown field "health"`},
-		"no end":          {replace("\n...\n", "\n"), `endpoints.yaml: is not whole`},
-		"twice":           {append(append([]config.File(nil), good...), config.File{Name: "more.yaml", Text: good[0].Text}), "stands in"},
-		"no endpoints":    {good[:1], "no file has its endpoints"},
-		"not JSON":        {[]config.File{{Name: "a.json", Text: []byte("{\n\"resources\": [\n}")}}, "a.json: line 3"},
-		"another type":    {[]config.File{{Name: "a.json", Text: []byte(`{"@type":"type.googleapis.com/google.protobuf.Duration","value":"1s"}`)}}, "is not taken"},
-		"a sum that lies": {[]config.File{{Name: "a.pb", Text: []byte("x")}, {Name: "a.pb.sha256", Text: []byte("00  a.pb\n")}}, "a.pb: is not whole"},
-		"nothing in it":   {[]config.File{{Name: "a.json", Text: []byte("{}")}}, `neither "@type" nor "resources"`},
+		"unknown class": {replace("class: booking-push", "class: booking"), `class "booking" is not known`},
+		"unknown field": {replace("health_status", "health"), `unknown field "health"`},
+		"no end":        {replace("\n...\n", "\n"), `endpoints.yaml: is not whole`},
+		"twice": {
+			append(append([]config.File(nil), good...), config.File{Name: "more.yaml", Text: good[0].Text}), "stands in",
+		},
+		"no endpoints": {good[:1], "no file has its endpoints"},
+		"not JSON":     {[]config.File{{Name: "a.json", Text: []byte("{\n\"resources\": [\n}")}}, "a.json: line 3"},
+		"another type": {
+			[]config.File{{
+				Name: "a.json",
+				Text: []byte(`{"@type":"type.googleapis.com/google.protobuf.Duration","value":"1s"}`),
+			}},
+			"is not taken",
+		},
+		"a wrong checksum": {
+			[]config.File{{Name: "a.pb", Text: []byte("x")}, {Name: "a.pb.sha256", Text: []byte("00  a.pb\n")}},
+			"a.pb: is not whole",
+		},
+		"nothing in it": {[]config.File{{Name: "a.json", Text: []byte("{}")}}, `neither "@type" nor "resources"`},
 	} {
 		_, err := Parse(c.files, options, state.Options{Listener: "ingress"})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -138,6 +149,7 @@
 	f.Add(0, []byte(`{"resources":[]}`))
 	f.Fuzz(func(_ *testing.T, form int, text []byte) {
 		name := "x" + Extensions[uint(form)%uint(len(Extensions))]
-		Check([]config.File{{Name: name, Text: text}, {Name: name + ChecksumSuffix, Text: fmt.Appendf(nil, "%x", sha256.Sum256(text))}})
+		checksum := fmt.Appendf(nil, "%x", sha256.Sum256(text))
+		Check([]config.File{{Name: name, Text: text}, {Name: name + ChecksumSuffix, Text: checksum}})
 	})
 }
