--- a/internal/xds/ads/ads_test.go
+++ b/internal/xds/ads/ads_test.go
@@ -143,9 +143,9 @@
 	return r
 }
 
-// Whatever the control plane changes, breaks and repeats, and whatever is subscribed to: each response is answered once,
-// by its nonce; a NACK names the invalid resources and no others; and in the end the client has the resources of the
-// control plane, but for invalid ones, of which it has the last valid form.
+// Whatever the control plane changes, breaks and repeats, and whatever is subscribed to: each response is answered
+// once, by its nonce; a NACK names the invalid resources and no others; and in the end the client has the resources of
+// the control plane, but for invalid ones, of which it has the last valid form.
 func TestFollowsTheControlPlane(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		delta := rapid.Bool().Draw(t, "delta")
@@ -326,7 +326,8 @@
 	}
 	// A duplicate, another type, another name inside, a name that is too long: each is named in the NACK.
 	u, owed := receive(Response{URL: Endpoint.URL(), Nonce: "9", Resources: []Resource{
-		{Name: "x", Version: "8", Body: body(Endpoint, "x", "2")}, {Name: "x", Version: "8", Body: body(Endpoint, "x", "3")},
+		{Name: "x", Version: "8", Body: body(Endpoint, "x", "2")},
+		{Name: "x", Version: "8", Body: body(Endpoint, "x", "3")},
 		{Name: "y", Body: body(Cluster, "y", "1")}, {Name: "y", Body: body(Endpoint, "q", "1")},
 		{Body: body(Endpoint, strings.Repeat("n", MaxNameBytes+1), "1")},
 	}})
@@ -445,7 +446,8 @@
 				if err != nil && (len(owed) > 0 || !u.Empty()) {
 					t.Fatal("a response that is of no use changes something")
 				}
-				if err == nil && (len(owed) != 1 || owed[0].Nonce != r.Nonce || len(owed[0].ErrorDetail) > maxErrorDetailBytes) {
+				if err == nil && (len(owed) != 1 || owed[0].Nonce != r.Nonce ||
+					len(owed[0].ErrorDetail) > maxErrorDetailBytes) {
 					t.Fatalf("owed %+v", owed)
 				}
 			}
--- a/internal/xds/golden_test.go
+++ b/internal/xds/golden_test.go
@@ -42,7 +42,8 @@
 	for typ := range ads.TypeCount {
 		r := goldenResource(typ)
 		m.Restore(typ, fmt.Sprintf("type-version-%d", typ), map[string]string{r.Name: r.Version})
-		k.record(&ads.Update{Type: typ, Accepted: []ads.ValidResource{{Name: r.Name, Version: r.Version, Body: r.Body}}})
+		valid := ads.ValidResource{Name: r.Name, Version: r.Version, Body: r.Body}
+		k.record(&ads.Update{Type: typ, Accepted: []ads.ValidResource{valid}})
 	}
 	k.close(m)
 }
--- a/internal/xds/translate/fields_test.go
+++ b/internal/xds/translate/fields_test.go
@@ -45,32 +45,42 @@
 	if err != nil {
 		panic(err)
 	}
-	return &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{Namespace: {Fields: map[string]*structpb.Value{key: value}}}}
+	fields := &structpb.Struct{Fields: map[string]*structpb.Value{key: value}}
+	return &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{Namespace: fields}}
 }
 
 func endpointAt(ip string, port uint32) *endpointv3.Endpoint {
-	return &endpointv3.Endpoint{Address: &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
-		Address: ip, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: port},
-	}}}}
+	socket := &corev3.SocketAddress{Address: ip, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: port}}
+	return &endpointv3.Endpoint{Address: &corev3.Address{
+		Address: &corev3.Address_SocketAddress{SocketAddress: socket},
+	}}
 }
 
 func baseCluster() *clusterv3.Cluster {
 	return &clusterv3.Cluster{
 		Name: "c", ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
 		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{}, CommonLbConfig: &clusterv3.Cluster_CommonLbConfig{},
-		CircuitBreakers: &clusterv3.CircuitBreakers{Thresholds: []*clusterv3.CircuitBreakers_Thresholds{{MaxRequests: wrapperspb.UInt32(9)}}},
+		CircuitBreakers: &clusterv3.CircuitBreakers{
+			Thresholds: []*clusterv3.CircuitBreakers_Thresholds{{MaxRequests: wrapperspb.UInt32(9)}},
+		},
 	}
 }
 
 func baseAssignment() *endpointv3.ClusterLoadAssignment {
+	drop := &endpointv3.ClusterLoadAssignment_Policy_DropOverload{
+		Category: "k", DropPercentage: &typev3.FractionalPercent{Numerator: 5},
+	}
 	return &endpointv3.ClusterLoadAssignment{
 		ClusterName: "c",
-		Policy: &endpointv3.ClusterLoadAssignment_Policy{DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{{
-			Category: "k", DropPercentage: &typev3.FractionalPercent{Numerator: 5},
-		}}},
-		Endpoints: []*endpointv3.LocalityLbEndpoints{{Locality: &corev3.Locality{Zone: "z"}, LbEndpoints: []*endpointv3.LbEndpoint{{
-			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: endpointAt("10.0.0.1", 80)},
-		}}}},
+		Policy: &endpointv3.ClusterLoadAssignment_Policy{
+			DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{drop},
+		},
+		Endpoints: []*endpointv3.LocalityLbEndpoints{{
+			Locality: &corev3.Locality{Zone: "z"},
+			LbEndpoints: []*endpointv3.LbEndpoint{{
+				HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: endpointAt("10.0.0.1", 80)},
+			}},
+		}},
 	}
 }
 
@@ -87,7 +97,8 @@
 	case *routev3.DirectResponseAction:
 		r.Action = &routev3.Route_DirectResponse{DirectResponse: a}
 	}
-	return &routev3.RouteConfiguration{Name: "main", VirtualHosts: []*routev3.VirtualHost{{Name: "v", Domains: []string{"*"}, Routes: []*routev3.Route{r}}}}
+	host := &routev3.VirtualHost{Name: "v", Domains: []string{"*"}, Routes: []*routev3.Route{r}}
+	return &routev3.RouteConfiguration{Name: "main", VirtualHosts: []*routev3.VirtualHost{host}}
 }
 
 func plainAction() *routev3.RouteAction {
@@ -97,20 +108,43 @@
 }
 
 func weighted() *routev3.RouteAction {
-	return &routev3.RouteAction{ClusterSpecifier: &routev3.RouteAction_WeightedClusters{WeightedClusters: &routev3.WeightedCluster{
-		Clusters: []*routev3.WeightedCluster_ClusterWeight{{Name: "a", Weight: wrapperspb.UInt32(1)}, {Name: "b", Weight: wrapperspb.UInt32(2)}},
-	}}}
+	clusters := &routev3.WeightedCluster{Clusters: []*routev3.WeightedCluster_ClusterWeight{
+		{Name: "a", Weight: wrapperspb.UInt32(1)}, {Name: "b", Weight: wrapperspb.UInt32(2)},
+	}}
+	return &routev3.RouteAction{
+		ClusterSpecifier: &routev3.RouteAction_WeightedClusters{WeightedClusters: clusters},
+	}
 }
 
 func manager() *hcmv3.HttpConnectionManager {
-	return &hcmv3.HttpConnectionManager{RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{RouteConfigName: "main"}}}
+	return &hcmv3.HttpConnectionManager{
+		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{RouteConfigName: "main"}},
+	}
 }
 
 func listenerOf(m *hcmv3.HttpConnectionManager) *listenerv3.Listener {
 	return &listenerv3.Listener{Name: "l", ApiListener: &listenerv3.ApiListener{ApiListener: pack(m)}}
 }
 
-// subject is a message of a good resource; make gives the resource and the message in it.
+// filterChain returns a filter chain with an HTTP connection manager.
+func filterChain(m *hcmv3.HttpConnectionManager) *listenerv3.FilterChain {
+	filter := &listenerv3.Filter{ConfigType: &listenerv3.Filter_TypedConfig{TypedConfig: pack(m)}}
+	return &listenerv3.FilterChain{Filters: []*listenerv3.Filter{filter}}
+}
+
+// explicitHTTP2 returns the protocol options of HTTP/2.
+func explicitHTTP2() *anypb.Any {
+	config := &upstreamv3.HttpProtocolOptions_ExplicitHttpConfig{
+		ProtocolConfig: &upstreamv3.HttpProtocolOptions_ExplicitHttpConfig_Http2ProtocolOptions{
+			Http2ProtocolOptions: &corev3.Http2ProtocolOptions{},
+		},
+	}
+	return pack(&upstreamv3.HttpProtocolOptions{
+		UpstreamProtocolOptions: &upstreamv3.HttpProtocolOptions_ExplicitHttpConfig_{ExplicitHttpConfig: config},
+	})
+}
+
+// subject is a message of a valid resource; make gives the resource and the message in it.
 type subject struct {
 	t    ads.Type
 	make func() (whole func() proto.Message, part proto.Message)
@@ -128,6 +162,11 @@
 	routes     = *routev3.RouteConfiguration
 )
 
+// ofRoute returns the subject of a message in a route configuration with an action.
+func ofRoute[A any](action func() A, part func(routes) proto.Message) subject {
+	return of(ads.Route, func() routes { return baseRoute(action()) }, part)
+}
+
 func routeOf(c routes) *routev3.Route { return c.VirtualHosts[0].Routes[0] }
 
 var subjects = []subject{
@@ -140,19 +179,26 @@
 	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Policy.DropOverloads[0] }),
 	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Endpoints[0] }),
 	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Endpoints[0].LbEndpoints[0] }),
-	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Endpoints[0].LbEndpoints[0].GetEndpoint() }),
-	of(ads.Route, func() routes { return baseRoute(plainAction()) }, func(c routes) proto.Message { return c }),
-	of(ads.Route, func() routes { return baseRoute(plainAction()) }, func(c routes) proto.Message { return c.VirtualHosts[0] }),
-	of(ads.Route, func() routes { return baseRoute(plainAction()) }, func(c routes) proto.Message { return routeOf(c) }),
-	of(ads.Route, func() routes { return baseRoute(plainAction()) }, func(c routes) proto.Message { return routeOf(c).Match }),
-	of(ads.Route, func() routes { return baseRoute(plainAction()) }, func(c routes) proto.Message { return routeOf(c).Match.Headers[0] }),
-	of(ads.Route, func() routes { return baseRoute(plainAction()) }, func(c routes) proto.Message { return routeOf(c).GetRoute() }),
-	of(ads.Route, func() routes { return baseRoute(plainAction()) }, func(c routes) proto.Message { return routeOf(c).GetRoute().RetryPolicy }),
-	of(ads.Route, func() routes { return baseRoute(weighted()) }, func(c routes) proto.Message { return routeOf(c).GetRoute().GetWeightedClusters() }),
-	of(ads.Route, func() routes { return baseRoute(weighted()) }, func(c routes) proto.Message { return routeOf(c).GetRoute().GetWeightedClusters().Clusters[0] }),
-	of(ads.Route, func() routes { return baseRoute(&routev3.RedirectAction{}) }, func(c routes) proto.Message { return routeOf(c).GetRedirect() }),
-	of(ads.Route, func() routes { return baseRoute(&routev3.DirectResponseAction{Status: 404}) }, func(c routes) proto.Message { return routeOf(c).GetDirectResponse() }),
-	of(ads.Listener, func() *listenerv3.Listener { return listenerOf(manager()) }, func(l *listenerv3.Listener) proto.Message { return l }),
+	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message {
+		return a.Endpoints[0].LbEndpoints[0].GetEndpoint()
+	}),
+	ofRoute(plainAction, func(c routes) proto.Message { return c }),
+	ofRoute(plainAction, func(c routes) proto.Message { return c.VirtualHosts[0] }),
+	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c) }),
+	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c).Match }),
+	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c).Match.Headers[0] }),
+	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c).GetRoute() }),
+	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c).GetRoute().RetryPolicy }),
+	ofRoute(weighted, func(c routes) proto.Message { return routeOf(c).GetRoute().GetWeightedClusters() }),
+	ofRoute(weighted, func(c routes) proto.Message {
+		return routeOf(c).GetRoute().GetWeightedClusters().Clusters[0]
+	}),
+	ofRoute(func() *routev3.RedirectAction { return &routev3.RedirectAction{} },
+		func(c routes) proto.Message { return routeOf(c).GetRedirect() }),
+	ofRoute(func() *routev3.DirectResponseAction { return &routev3.DirectResponseAction{Status: 404} },
+		func(c routes) proto.Message { return routeOf(c).GetDirectResponse() }),
+	of(ads.Listener, func() *listenerv3.Listener { return listenerOf(manager()) },
+		func(l *listenerv3.Listener) proto.Message { return l }),
 	{ads.Listener, func() (func() proto.Message, proto.Message) {
 		m := manager()
 		return func() proto.Message { return listenerOf(m) }, m
@@ -162,9 +208,7 @@
 // examples set fields that a made-up value says nothing with.
 var examples = map[string]func(proto.Message){
 	"Cluster.typed_extension_protocol_options": func(m proto.Message) {
-		m.(*clusterv3.Cluster).TypedExtensionProtocolOptions = map[string]*anypb.Any{protocolOptions: pack(&upstreamv3.HttpProtocolOptions{
-			UpstreamProtocolOptions: &upstreamv3.HttpProtocolOptions_ExplicitHttpConfig_{ExplicitHttpConfig: &upstreamv3.HttpProtocolOptions_ExplicitHttpConfig{
-				ProtocolConfig: &upstreamv3.HttpProtocolOptions_ExplicitHttpConfig_Http2ProtocolOptions{Http2ProtocolOptions: &corev3.Http2ProtocolOptions{}}}}})}
+		m.(*clusterv3.Cluster).TypedExtensionProtocolOptions = map[string]*anypb.Any{protocolOptions: explicitHTTP2()}
 	},
 	"Cluster.transport_socket": func(m proto.Message) {
 		m.(*clusterv3.Cluster).TransportSocket = &corev3.TransportSocket{Name: "tls", ConfigType: &corev3.TransportSocket_TypedConfig{
@@ -178,23 +222,37 @@
 		m.(*clusterv3.Cluster).EdsClusterConfig = &clusterv3.Cluster_EdsClusterConfig{ServiceName: "s"}
 	},
 	"Cluster.common_lb_config": func(m proto.Message) {
-		m.(*clusterv3.Cluster).CommonLbConfig.LocalityConfigSpecifier = &clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig_{}
-		m.(*clusterv3.Cluster).CommonLbConfig.LocalityConfigSpecifier.(*clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig_).LocalityWeightedLbConfig = &clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig{}
+		m.(*clusterv3.Cluster).CommonLbConfig.LocalityConfigSpecifier =
+			&clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig_{
+				LocalityWeightedLbConfig: &clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig{},
+			}
+	},
+	"Cluster.connect_timeout": func(m proto.Message) {
+		m.(*clusterv3.Cluster).ConnectTimeout = durationpb.New(time.Second)
+	},
+	"Thresholds.max_connections": func(m proto.Message) {
+		m.(*clusterv3.CircuitBreakers_Thresholds).MaxConnections = wrapperspb.UInt32(3)
 	},
-	"Cluster.connect_timeout":    func(m proto.Message) { m.(*clusterv3.Cluster).ConnectTimeout = durationpb.New(time.Second) },
-	"Thresholds.max_connections": func(m proto.Message) { m.(*clusterv3.CircuitBreakers_Thresholds).MaxConnections = wrapperspb.UInt32(3) },
 	"Thresholds.max_pending_requests": func(m proto.Message) {
 		m.(*clusterv3.CircuitBreakers_Thresholds).MaxPendingRequests = wrapperspb.UInt32(3)
 	},
-	"Thresholds.max_retries":          func(m proto.Message) { m.(*clusterv3.CircuitBreakers_Thresholds).MaxRetries = wrapperspb.UInt32(3) },
+	"Thresholds.max_retries": func(m proto.Message) {
+		m.(*clusterv3.CircuitBreakers_Thresholds).MaxRetries = wrapperspb.UInt32(3)
+	},
 	"ClusterLoadAssignment.endpoints": func(m proto.Message) { m.(assignment).Endpoints = nil },
 	"LocalityLbEndpoints.load_balancing_weight": func(m proto.Message) {
 		m.(*endpointv3.LocalityLbEndpoints).LoadBalancingWeight = wrapperspb.UInt32(3)
 	},
-	"LbEndpoint.health_status":         func(m proto.Message) { m.(*endpointv3.LbEndpoint).HealthStatus = corev3.HealthStatus_DRAINING },
-	"LbEndpoint.load_balancing_weight": func(m proto.Message) { m.(*endpointv3.LbEndpoint).LoadBalancingWeight = wrapperspb.UInt32(3) },
-	"LbEndpoint.metadata":              func(m proto.Message) { m.(*endpointv3.LbEndpoint).Metadata = own("id", "app-1") },
-	"RouteConfiguration.metadata":      func(m proto.Message) { m.(routes).Metadata = own("class", "pay") },
+	"LbEndpoint.health_status": func(m proto.Message) {
+		m.(*endpointv3.LbEndpoint).HealthStatus = corev3.HealthStatus_DRAINING
+	},
+	"LbEndpoint.load_balancing_weight": func(m proto.Message) {
+		m.(*endpointv3.LbEndpoint).LoadBalancingWeight = wrapperspb.UInt32(3)
+	},
+	"LbEndpoint.metadata": func(m proto.Message) {
+		m.(*endpointv3.LbEndpoint).Metadata = own("id", "app-1")
+	},
+	"RouteConfiguration.metadata": func(m proto.Message) { m.(routes).Metadata = own("class", "pay") },
 	"VirtualHost.retry_policy": func(m proto.Message) {
 		v := m.(*routev3.VirtualHost)
 		v.Routes[0].GetRoute().RetryPolicy, v.RetryPolicy = nil, &routev3.RetryPolicy{RetryOn: "5xx", NumRetries: wrapperspb.UInt32(7)}
@@ -209,7 +267,9 @@
 			TypedConfig: pack(&uriv3.UriTemplateMatchConfig{PathTemplate: "/a/{b}"}),
 		}}
 	},
-	"RouteMatch.case_sensitive": func(m proto.Message) { m.(*routev3.RouteMatch).CaseSensitive = wrapperspb.Bool(false) },
+	"RouteMatch.case_sensitive": func(m proto.Message) {
+		m.(*routev3.RouteMatch).CaseSensitive = wrapperspb.Bool(false)
+	},
 	"HeaderMatcher.present_match": func(m proto.Message) {
 		m.(*routev3.HeaderMatcher).HeaderMatchSpecifier = &routev3.HeaderMatcher_PresentMatch{}
 	},
@@ -218,9 +278,13 @@
 			MatchPattern: &matcherv3.StringMatcher_Suffix{Suffix: "z"}, IgnoreCase: true,
 		}}
 	},
-	"RouteAction.timeout":         func(m proto.Message) { m.(*routev3.RouteAction).Timeout = durationpb.New(time.Second) },
-	"RetryPolicy.num_retries":     func(m proto.Message) { m.(*routev3.RetryPolicy).NumRetries = wrapperspb.UInt32(7) },
-	"RetryPolicy.per_try_timeout": func(m proto.Message) { m.(*routev3.RetryPolicy).PerTryTimeout = durationpb.New(time.Second) },
+	"RouteAction.timeout": func(m proto.Message) {
+		m.(*routev3.RouteAction).Timeout = durationpb.New(time.Second)
+	},
+	"RetryPolicy.num_retries": func(m proto.Message) { m.(*routev3.RetryPolicy).NumRetries = wrapperspb.UInt32(7) },
+	"RetryPolicy.per_try_timeout": func(m proto.Message) {
+		m.(*routev3.RetryPolicy).PerTryTimeout = durationpb.New(time.Second)
+	},
 	"DirectResponseAction.body": func(m proto.Message) {
 		m.(*routev3.DirectResponseAction).Body = &corev3.DataSource{Specifier: &corev3.DataSource_InlineString{InlineString: "no"}}
 	},
@@ -229,12 +293,12 @@
 		l.ApiListener = nil
 		x := manager()
 		x.GetRds().RouteConfigName = "other"
-		l.FilterChains = []*listenerv3.FilterChain{{Filters: []*listenerv3.Filter{{ConfigType: &listenerv3.Filter_TypedConfig{TypedConfig: pack(x)}}}}}
+		l.FilterChains = []*listenerv3.FilterChain{filterChain(x)}
 	},
 	"Listener.default_filter_chain": func(m proto.Message) {
 		x := manager()
 		x.GetRds().RouteConfigName = "other"
-		m.(*listenerv3.Listener).DefaultFilterChain = &listenerv3.FilterChain{Filters: []*listenerv3.Filter{{ConfigType: &listenerv3.Filter_TypedConfig{TypedConfig: pack(x)}}}}
+		m.(*listenerv3.Listener).DefaultFilterChain = filterChain(x)
 	},
 }
 
--- a/internal/xds/translate/transport_test.go
+++ b/internal/xds/translate/transport_test.go
@@ -8,7 +8,6 @@
 	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	tlsv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/transport_sockets/tls/v3"
-	upstreamv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/upstreams/http/v3"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
@@ -24,14 +23,20 @@
 		return a
 	}
 	tls := func(m *tlsv3.UpstreamTlsContext) *corev3.TransportSocket {
-		return &corev3.TransportSocket{Name: "tls", ConfigType: &corev3.TransportSocket_TypedConfig{TypedConfig: pack(m)}}
+		return &corev3.TransportSocket{
+			Name: "tls", ConfigType: &corev3.TransportSocket_TypedConfig{TypedConfig: pack(m)},
+		}
+	}
+	explicit := explicitHTTP2()
+	inlineKeys := &tlsv3.CommonTlsContext{TlsCertificates: []*tlsv3.TlsCertificate{{}}}
+	raw := &corev3.TransportSocket{
+		Name: "raw", ConfigType: &corev3.TransportSocket_TypedConfig{TypedConfig: explicit},
 	}
-	explicit := pack(&upstreamv3.HttpProtocolOptions{UpstreamProtocolOptions: &upstreamv3.HttpProtocolOptions_ExplicitHttpConfig_{
-		ExplicitHttpConfig: &upstreamv3.HttpProtocolOptions_ExplicitHttpConfig{
-			ProtocolConfig: &upstreamv3.HttpProtocolOptions_ExplicitHttpConfig_Http2ProtocolOptions{Http2ProtocolOptions: &corev3.Http2ProtocolOptions{}}}}})
 	named := &tlsv3.CommonTlsContext{
 		TlsCertificateSdsSecretConfigs: []*tlsv3.SdsSecretConfig{{Name: "edge"}},
-		ValidationContextType:          &tlsv3.CommonTlsContext_ValidationContextSdsSecretConfig{ValidationContextSdsSecretConfig: &tlsv3.SdsSecretConfig{Name: "inside"}},
+		ValidationContextType: &tlsv3.CommonTlsContext_ValidationContextSdsSecretConfig{
+			ValidationContextSdsSecretConfig: &tlsv3.SdsSecretConfig{Name: "inside"},
+		},
 	}
 	spki := func(pin string) *tlsv3.CommonTlsContext {
 		return &tlsv3.CommonTlsContext{ValidationContextType: &tlsv3.CommonTlsContext_ValidationContext{
@@ -46,16 +51,22 @@
 	}{
 		{"nothing", &clusterv3.Cluster{}, cluster.Transport{}, ""},
 		//lint:ignore SA1019 the deprecated field is what is tested
-		{"HTTP/2, the former way", &clusterv3.Cluster{Http2ProtocolOptions: &corev3.Http2ProtocolOptions{}}, cluster.Transport{HTTP2: true}, ""},
-		{"HTTP/2", &clusterv3.Cluster{TypedExtensionProtocolOptions: map[string]*anypb.Any{protocolOptions: explicit}}, cluster.Transport{HTTP2: true}, ""},
-		{"TLS", &clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{Sni: "a.test", CommonTlsContext: named})},
+		{"HTTP/2, deprecated field", &clusterv3.Cluster{Http2ProtocolOptions: &corev3.Http2ProtocolOptions{}},
+			cluster.Transport{HTTP2: true}, ""},
+		{"HTTP/2", &clusterv3.Cluster{TypedExtensionProtocolOptions: map[string]*anypb.Any{protocolOptions: explicit}},
+			cluster.Transport{HTTP2: true}, ""},
+		{"TLS",
+			&clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{Sni: "a.test", CommonTlsContext: named})},
 			cluster.Transport{TLS: &cluster.TLS{Name: "a.test", Roots: "inside", Certificate: "edge"}}, ""},
 		{"pins", &clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{CommonTlsContext: spki(pin)})},
 			cluster.Transport{TLS: &cluster.TLS{Pins: []string{pin}}}, ""},
-		{"a malformed pin", &clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{CommonTlsContext: spki("x")})}, cluster.Transport{}, "SHA-256"},
-		{"inline keys", &clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{CommonTlsContext: &tlsv3.CommonTlsContext{TlsCertificates: []*tlsv3.TlsCertificate{{}}}})},
+		{"a malformed pin",
+			&clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{CommonTlsContext: spki("x")})},
+			cluster.Transport{}, "SHA-256"},
+		{"inline keys",
+			&clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{CommonTlsContext: inlineKeys})},
 			cluster.Transport{}, "inline"},
-		{"another socket", &clusterv3.Cluster{TransportSocket: &corev3.TransportSocket{Name: "raw", ConfigType: &corev3.TransportSocket_TypedConfig{TypedConfig: explicit}}},
+		{"another socket", &clusterv3.Cluster{TransportSocket: raw},
 			cluster.Transport{}, "UpstreamTlsContext alone"},
 	} {
 		out, err := transport(tc.in)
--- a/internal/xds/xdsfile/xdsfile_test.go
+++ b/internal/xds/xdsfile/xdsfile_test.go
@@ -114,7 +114,8 @@
 		"unknown field": {replace("health_status", "health"), `unknown field "health"`},
 		"no end":        {replace("\n...\n", "\n"), `endpoints.yaml: is not whole`},
 		"twice": {
-			append(append([]config.File(nil), good...), config.File{Name: "more.yaml", Text: good[0].Text}), "stands in",
+			append(append([]config.File(nil), good...), config.File{Name: "more.yaml", Text: good[0].Text}),
+			"stands in",
 		},
 		"no endpoints": {good[:1], "no file has its endpoints"},
 		"not JSON":     {[]config.File{{Name: "a.json", Text: []byte("{\n\"resources\": [\n}")}}, "a.json: line 3"},
