--- a/internal/downstream/extproc/machine_test.go
+++ b/internal/downstream/extproc/streamstate_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"regexp"
+	"strings"
 	"testing"
 
 	filterv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/ext_proc/v3"
@@ -40,12 +41,12 @@
 	upper     = regexp.MustCompile(`[A-Z]`)
 )
 
-// TestOrder compares the machine with the protocol's order as two expressions, on drawn sequences;
+// TestOrder compares StreamState with the protocol's order as two expressions, on drawn sequences;
 // what it lets pass gets the reply of its kind.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mode := filterv3.ProcessingMode_BodySendMode(rapid.IntRange(0, 5).Draw(t, "mode"))
-		m, sent := NewMachine(), ""
+		m, sent := NewStreamState(), ""
 		for range rapid.IntRange(1, 8).Draw(t, "messages") {
 			letter := rapid.SampledFrom([]byte("HHEBBXThebxt")).Draw(t, "letter")
 			msg := message(letter)
@@ -54,7 +55,8 @@
 			}
 			kind, end, err := m.Step(msg)
 			sent += string(letter)
-			allowed := requests.MatchString(lower.ReplaceAllString(sent, "")) && responses.MatchString(upper.ReplaceAllString(sent, "")) &&
+			allowed := requests.MatchString(lower.ReplaceAllString(sent, "")) &&
+				responses.MatchString(upper.ReplaceAllString(sent, "")) &&
 				(sent[0] == 'H' || sent[0] == 'E')
 			if (err == nil) != allowed {
 				t.Fatalf("%s: %v, allowed %v", sent, err, allowed)
@@ -62,19 +64,21 @@
 			if err != nil {
 				return
 			}
-			if want := letter == 'E' || letter == 'e' || letter == 'X' || letter == 'x' || letter == 'T' || letter == 't'; end != want {
+			if want := strings.ContainsRune("EeXxTt", rune(letter)); end != want {
 				t.Fatalf("%s: end %v", sent, end)
 			}
-			reply := m.Pass(msg, kind)
+			reply := m.ContinueReply(msg, kind)
 			body := reply.GetRequestBody().GetResponse()
 			if kind == ResponseBody {
 				body = reply.GetResponseBody().GetResponse()
 			}
 			duplex := mode == filterv3.ProcessingMode_FULL_DUPLEX_STREAMED || mode == filterv3.ProcessingMode_GRPC
-			if isBody := kind == RequestBody || kind == ResponseBody; isBody && duplex != (body.GetBodyMutation().GetStreamedResponse() != nil) {
+			isBody := kind == RequestBody || kind == ResponseBody
+			if isBody && duplex != (body.GetBodyMutation().GetStreamedResponse() != nil) {
 				t.Fatalf("%s: a body in mode %v gets %v", sent, mode, reply)
 			}
-			if got := [...]bool{false, reply.GetRequestHeaders() != nil, reply.GetRequestBody() != nil, reply.GetRequestTrailers() != nil,
+			if got := [...]bool{false,
+				reply.GetRequestHeaders() != nil, reply.GetRequestBody() != nil, reply.GetRequestTrailers() != nil,
 				reply.GetResponseHeaders() != nil, reply.GetResponseBody() != nil, reply.GetResponseTrailers() != nil}; !got[kind] {
 				t.Fatalf("%v gets %v", kind, reply)
 			}
@@ -82,8 +86,8 @@
 	})
 }
 
-// FuzzMachine: whatever messages come, each as its length and its bytes, the machine and the reader of
-// heads give a verdict, and what they let pass has names and values that may go on.
+// FuzzMachine: whatever messages come, each as its length and its bytes, StreamState and the parser of
+// headers give a verdict, and what they let pass has names and values that may go on.
 func FuzzMachine(f *testing.F) {
 	add := func(letters string) {
 		var all []byte
@@ -100,7 +104,7 @@
 	add("Ee")
 	add("hH")
 	f.Fuzz(func(t *testing.T, all []byte) {
-		m := NewMachine()
+		m := NewStreamState()
 		for len(all) >= 2 {
 			n := min(int(binary.BigEndian.Uint16(all)), len(all)-2)
 			msg := &pb.ProcessingRequest{}
@@ -112,14 +116,14 @@
 			if err != nil {
 				return
 			}
-			if m.Observe != (m.Pass(msg, kind) == nil) && kind != Nothing {
-				t.Fatalf("%v observed %v", kind, m.Observe)
+			if m.ObserveOnly != (m.ContinueReply(msg, kind) == nil) && kind != NoPhase {
+				t.Fatalf("%v observed %v", kind, m.ObserveOnly)
 			}
-			h, err := readHead(msg.GetRequestHeaders().GetHeaders(), 1<<16)
+			h, err := parseHeaders(msg.GetRequestHeaders().GetHeaders(), 1<<16)
 			if err != nil {
 				continue
 			}
-			if r, err := h.request(); err == nil && (r.Method == "" || r.RequestURI[0] != '/' || r.URL == nil) {
+			if r, err := h.newRequest(); err == nil && (r.Method == "" || r.RequestURI[0] != '/' || r.URL == nil) {
 				t.Fatalf("%+v", r)
 			}
 		}
