--- a/internal/app/agreed.go
+++ b/internal/app/agreed.go
@@ -10,9 +10,9 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// Agreed has an app take what its fleet agrees on. What the node's own file says of the same things is not acted
+// AgreedSource has an app take what its fleet agrees on. What the node's own file says of the same things is not acted
 // on; the rest of that file is the node's.
-type Agreed struct {
+type AgreedSource struct {
 	app    *App
 	parser files.Parser // so that a new version costs what it changes
 
@@ -21,18 +21,20 @@
 	last *consensus.EffectiveVersion // nil: nothing yet
 }
 
-// NewAgreed makes a source for an app that serves nothing yet.
-func NewAgreed(a *App, own *config.Program) *Agreed { return &Agreed{app: a, own: own} }
+// NewAgreedSource makes a source for an app that serves nothing yet.
+func NewAgreedSource(a *App, own *config.Program) *AgreedSource {
+	return &AgreedSource{app: a, own: own}
+}
 
-// Blank is what an app starts on that has to be told by its fleet what to serve.
-func Blank(own *config.Program) *files.Snapshot {
+// EmptySnapshot is what an app starts on that has to be told by its fleet what to serve.
+func EmptySnapshot(own *config.Program) *files.Snapshot {
 	p := *own
 	p.Hosts, p.Table = nil, nil
 	return &files.Snapshot{Program: &p, Version: &cluster.Version{Clusters: map[string]*cluster.Cluster{}}}
 }
 
 // Parse reads a version's files; an error is why this node can't hold it.
-func (s *Agreed) Parse(list []config.File) (*consensus.Version, error) {
+func (s *AgreedSource) Parse(list []config.File) (*consensus.Version, error) {
 	snap, err := s.parser.Unbundle(list)
 	if err != nil {
 		return nil, err
@@ -47,7 +49,7 @@
 
 // Extend is Parse for a version that has the files of another one and changes of lists beside them, at the cost of
 // these.
-func (s *Agreed) Extend(v *consensus.Version, changes []config.File) (*consensus.Version, error) {
+func (s *AgreedSource) Extend(v *consensus.Version, changes []config.File) (*consensus.Version, error) {
 	clusters, err := s.parser.Change(v.Clusters, changes)
 	if err != nil {
 		return nil, err
@@ -55,8 +57,8 @@
 	return &consensus.Version{Program: v.Program, Clusters: clusters}, nil
 }
 
-// Take acts on something from now on.
-func (s *Agreed) Take(a consensus.EffectiveVersion) error {
+// Apply acts on something from now on.
+func (s *AgreedSource) Apply(a consensus.EffectiveVersion) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.take(s.own, &a); err != nil {
@@ -66,8 +68,8 @@
 	return nil
 }
 
-// Own takes another version of the node's own file.
-func (s *Agreed) Own(own *config.Program) {
+// SetOwnProgram takes another version of the node's own file.
+func (s *AgreedSource) SetOwnProgram(own *config.Program) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.last != nil {
@@ -79,10 +81,10 @@
 	s.own = own
 }
 
-func (s *Agreed) take(own *config.Program, a *consensus.EffectiveVersion) error {
+func (s *AgreedSource) take(own *config.Program, a *consensus.EffectiveVersion) error {
 	p, err := own.Agreed(a.Program)
 	if err != nil {
 		return err
 	}
-	return s.app.TakeRefusing(time.Now(), &files.Snapshot{Program: p, Version: &cluster.Version{Clusters: a.Clusters}}, a.Refused)
+	return s.app.ApplyRejecting(time.Now(), &files.Snapshot{Program: p, Version: &cluster.Version{Clusters: a.Clusters}}, a.Refused)
 }
--- a/internal/app/agreed_test.go
+++ b/internal/app/agreed_test.go
@@ -46,11 +46,11 @@
 			}
 		})
 	}
-	source := NewAgreed(s.app, own)
+	source := NewAgreedSource(s.app, own)
 	for i := range 100 {
 		text := strings.Replace(program, "attempts = 3", fmt.Sprint("attempts = ", 2+i%3), 1)
 		text = strings.Replace(text, "[[class]]\nname = \"read\"", fmt.Sprintf("[fleet]\nnodes = %d\n[[class]]\nname = \"first-%d\"\neffect = \"safe\"\ndeadline = \"1s\"\n[[class]]\nname = \"read\"", 1+i%4, i), 1)
-		if err := source.Take(consensus.EffectiveVersion{Version: &consensus.Version{Program: parse(t, text), Clusters: snapshot(own, list).Version.Clusters}}); err != nil {
+		if err := source.Apply(consensus.EffectiveVersion{Version: &consensus.Version{Program: parse(t, text), Clusters: snapshot(own, list).Version.Clusters}}); err != nil {
 			t.Fatal(err)
 		}
 		n := asked.Load()
@@ -74,7 +74,7 @@
 	b := testutil.Box(t, "box")
 	var looks, until atomic.Int64
 	until.Store(1 << 40)
-	s := serveWith(t, snapshot(parse(t, program), rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), May: func() bool { return looks.Add(1) <= until.Load() }})
+	s := serveWith(t, snapshot(parse(t, program), rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return looks.Add(1) <= until.Load() }})
 	if status, _, _ := s.get("/x", "good"); status != http.StatusOK || b.Count() != 1 {
 		t.Fatalf("status %d", status)
 	}
@@ -103,12 +103,12 @@
 func TestDecidedByOldRules(t *testing.T) {
 	b := testutil.Box(t, "box")
 	own := parse(t, program)
-	s := serveWith(t, snapshot(own, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), May: func() bool { return true }})
+	s := serveWith(t, snapshot(own, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return true }})
 	old := s.app.state.Load()
 	read, pay := s.app.may(old, "read"), s.app.may(old, "pay")
 	take := func(text string, refused map[string]string) {
 		t.Helper()
-		if err := s.app.TakeRefusing(time.Now(), snapshot(parse(t, text), rooms(at(b))), refused); err != nil {
+		if err := s.app.ApplyRejecting(time.Now(), snapshot(parse(t, text), rooms(at(b))), refused); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -70,14 +70,14 @@
 type Options struct {
 	Seed uint64 // of the decisions' random draws
 	Log  *slog.Logger
-	// Sent is told each attempt as it goes out: cluster, cluster.Endpoint.Key of the
+	// OnSend is told each attempt as it goes out: cluster, cluster.Endpoint.Key of the
 	// server, and the time; nil if nobody wants to know. It must not block.
-	Sent func(cluster string, server uint64, at time.Time)
-	// May tells whether what was taken last may be acted on at this moment; nil: always. It is asked at each
+	OnSend func(cluster string, server uint64, at time.Time)
+	// LeaseValid tells whether what was taken last may be acted on at this moment; nil: always. It is asked at each
 	// request's decision and right before each attempt's first byte.
-	May  func() bool
-	Keys *tlskeys.Store // nil: there is no TLS
-	Path string         // of the program's file, beside which others lie
+	LeaseValid func() bool
+	Keys       *tlskeys.Store // nil: there is no TLS
+	Path       string         // of the program's file, beside which others lie
 }
 
 // New starts an app on a first version. Close ends it.
@@ -97,7 +97,7 @@
 			return nil, err
 		}
 	}
-	if err := a.Take(first); err != nil {
+	if err := a.Apply(first); err != nil {
 		a.Close()
 		return nil, err
 	}
@@ -137,18 +137,18 @@
 	return a.once.AttachLog(a.keys, known)
 }
 
-// Take puts a version in force. When it returns, the engines were told: from
+// Apply puts a version in force. When it returns, the engines were told: from
 // engine.DefaultDrainGrace later nothing goes to a server that the version does not have.
-func (a *App) Take(s *files.Snapshot) error { return a.TakeAt(time.Now(), s) }
+func (a *App) Apply(s *files.Snapshot) error { return a.ApplyAt(time.Now(), s) }
 
-// TakeAt is Take for a version that was delivered at an earlier time, from which the
+// ApplyAt is Take for a version that was delivered at an earlier time, from which the
 // grace counts then.
-func (a *App) TakeAt(delivered time.Time, s *files.Snapshot) error {
-	return a.TakeRefusing(delivered, s, nil)
+func (a *App) ApplyAt(delivered time.Time, s *files.Snapshot) error {
+	return a.ApplyRejecting(delivered, s, nil)
 }
 
-// TakeRefusing is TakeAt with classes whose requests are refused, each with a reason, until another version is taken.
-func (a *App) TakeRefusing(delivered time.Time, s *files.Snapshot, refused map[string]string) error {
+// ApplyRejecting is TakeAt with classes whose requests are refused, each with a reason, until another version is taken.
+func (a *App) ApplyRejecting(delivered time.Time, s *files.Snapshot, refused map[string]string) error {
 	told := a.clock.Now() - time.Since(delivered)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -230,7 +230,7 @@
 func (a *App) may(s *state, class string) func() bool {
 	return func() bool {
 		now := a.state.Load()
-		return now.since[class] <= s.take && a.May()
+		return now.since[class] <= s.take && a.LeaseValid()
 	}
 }
 
@@ -280,9 +280,9 @@
 	return int(h.Sum32() >> 1)
 }
 
-// TakeClusters puts other versions of clusters in force that are there already, at the
+// ApplyClusters puts other versions of clusters in force that are there already, at the
 // cost of these alone. False, with nothing done, if one of them is not there.
-func (a *App) TakeClusters(delivered time.Time, changed []*cluster.Cluster) bool {
+func (a *App) ApplyClusters(delivered time.Time, changed []*cluster.Cluster) bool {
 	told := a.clock.Now() - time.Since(delivered)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -329,7 +329,7 @@
 	class := s.program.Class(m.Route.Class)
 	c := &s.program.Classes[class]
 	again := s.program.Limits.MaxRetryAfter
-	if a.May != nil && !a.May() {
+	if a.LeaseValid != nil && !a.LeaseValid() {
 		return ingress.Destination{}, &ingress.Rejection{Status: http.StatusServiceUnavailable, Text: "the node's lease is over", RetryAfter: again}
 	}
 	if why := s.refused[c.Name]; why != "" {
@@ -346,7 +346,7 @@
 		MaxAttempts: m.Route.MaxAttempts, PerTry: m.Route.PerTry, Certified: s.tenants.byCertificate,
 		Pick: m.Route.Processor == "pick" || m.Route.Processor == "" && s.program.ExtProc.Pick,
 	}
-	if a.May != nil {
+	if a.LeaseValid != nil {
 		out.Cluster = guarded{to, a.may(s, c.Name), again}
 	}
 	if e := m.Route.Request; e != nil {
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -177,7 +177,7 @@
 	}
 	found := rooms(at(b))
 	found.Name = "undefined"
-	if err := s.app.Take(snapshot(p, rooms(at(b)), found)); err != nil {
+	if err := s.app.Apply(snapshot(p, rooms(at(b)), found)); err != nil {
 		t.Fatal(err)
 	}
 	if status, _, _ := s.get("/lost/x", ""); status != 200 {
@@ -203,7 +203,7 @@
 	moved := parse(t, strings.ReplaceAll(program, `cluster = "rooms"`, `cluster = "suites"`))
 	suites := rooms(at(other))
 	suites.Name = "suites"
-	if err := s.app.Take(snapshot(moved, suites)); err != nil {
+	if err := s.app.Apply(snapshot(moved, suites)); err != nil {
 		t.Fatal(err)
 	}
 	if status, _, body := s.get("/pay/y", "new"); status != 200 || !strings.HasPrefix(body, "other") {
@@ -228,7 +228,7 @@
 	s := serve(t, snapshot(p, rooms(at(a))))
 	for i := range 10 {
 		to := []*appbox.Box{a, b}[i%2]
-		if err := s.app.Take(snapshot(p, rooms(at(to)))); err != nil {
+		if err := s.app.Apply(snapshot(p, rooms(at(to)))); err != nil {
 			t.Fatal(err)
 		}
 		if status, _, body := s.get("/x", ""); status != 200 || !strings.HasPrefix(body, to.Name+" ") {
@@ -249,9 +249,9 @@
 		return snapshot(p, rooms(e))
 	}
 	first, second := named("old"), named("new")
-	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t), Sent: log.note})
+	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t), OnSend: log.note})
 	for i, v := range []*files.Snapshot{first, second} {
-		if err := s.app.Take(v); err != nil {
+		if err := s.app.Apply(v); err != nil {
 			t.Fatal(err)
 		}
 		if status, _, _ := s.get("/x", ""); status != 200 || log.list[i].server != []string{"old", "new"}[i] {
@@ -281,7 +281,7 @@
 	if b.Count() != 0 {
 		t.Error("what is dropped reached a server")
 	}
-	if err := s.app.Take(held(cluster.Bounds{MaxRequests: 1})); err != nil {
+	if err := s.app.Apply(held(cluster.Bounds{MaxRequests: 1})); err != nil {
 		t.Fatal(err)
 	}
 	b.SetDelay(300 * time.Millisecond)
@@ -314,7 +314,7 @@
 			if i%10 == 5 {
 				next = other
 			}
-			if err := s.app.Take(snapshot(next, rooms(at(b), extra))); err != nil {
+			if err := s.app.Apply(snapshot(next, rooms(at(b), extra))); err != nil {
 				t.Fatal(err)
 			}
 			if i%50 == 0 {
@@ -403,7 +403,7 @@
 		e := at(b)
 		log.names[e.Key()] = b.Name
 	}
-	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Quiet, Sent: log.note})
+	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Quiet, OnSend: log.note})
 	var inForce spans
 	members := func(v *cluster.Version) (ids []string) {
 		for _, e := range v.Clusters["rooms"].Endpoints {
@@ -419,7 +419,7 @@
 	run.Go(func() {
 		watcher.Run(ctx, func(v *files.Snapshot) {
 			before := time.Now() // a server may be used as soon as the app is told
-			if err := s.app.Take(v); err != nil {
+			if err := s.app.Apply(v); err != nil {
 				t.Error(err)
 			}
 			taken++
@@ -525,7 +525,7 @@
 			defer a.Close()
 			b.ReportAllocs()
 			for i := 1; b.Loop(); i++ {
-				if err := a.Take(two[i%2]); err != nil {
+				if err := a.Apply(two[i%2]); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/app/idle.go
+++ b/internal/app/idle.go
@@ -77,7 +77,7 @@
 }
 
 func (r *managedCluster) unused(since time.Duration) bool {
-	return r.open.Load() == 0 && time.Duration(r.lastUsed.Load()) < since && r.streams.count() == 0
+	return r.inFlight.Load() == 0 && time.Duration(r.lastUsed.Load()) < since && r.streams.count() == 0
 }
 
 // remember asks the engines what they know; r.mu is held.
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -141,7 +141,7 @@
 			for range i % 8 {
 				runtime.Gosched() // a look is at another place each time
 			}
-			r.open.Add(1)
+			r.inFlight.Add(1)
 			tiers, err := r.activate()
 			if err != nil {
 				t.Error(err)
@@ -184,7 +184,7 @@
 			e.Health = cluster.Draining
 		}
 	}
-	if !s.app.TakeClusters(time.Now(), []*cluster.Cluster{next}) {
+	if !s.app.ApplyClusters(time.Now(), []*cluster.Cluster{next}) {
 		t.Fatal("the version was not taken")
 	}
 	if s.app.ActiveClusters() != 0 {
@@ -238,7 +238,7 @@
 	for round := range 2 {
 		changed := *first.Program
 		changed.Limits.MaxRetryAfter += time.Duration(round+1) * time.Millisecond
-		if err := s.app.Take(&files.Snapshot{Program: &changed, Version: first.Version}); err != nil {
+		if err := s.app.Apply(&files.Snapshot{Program: &changed, Version: first.Version}); err != nil {
 			t.Fatal(err)
 		}
 		if s.app.ActiveClusters() != 0 || opened() != 1 {
@@ -275,7 +275,7 @@
 	}
 	testutil.Wait(t, begun, "the stream")
 	rooms := s.app.state.Load().clusters["rooms"]
-	testutil.Until(t, "the request's end", func() bool { return rooms.open.Load() == 0 })
+	testutil.Until(t, "the request's end", func() bool { return rooms.inFlight.Load() == 0 })
 	if n := s.app.deactivateIdle(s.app.idleNow()); n != 0 {
 		t.Error("a cluster with an open stream was given up")
 	}
@@ -319,7 +319,7 @@
 		for i := range times {
 			p := *first.Program
 			p.Limits.MaxRetryAfter += time.Duration(1+i%2) * time.Millisecond
-			if err := s.app.Take(&files.Snapshot{Program: &p, Version: first.Version}); err != nil {
+			if err := s.app.Apply(&files.Snapshot{Program: &p, Version: first.Version}); err != nil {
 				t.Fatal(err)
 			}
 			s.ask(i % count) // so that engines are among what is replaced
@@ -344,7 +344,7 @@
 	text := program + "[[tenant]]\nname = \"a\"\nquota_per_s = 5\ncertificates = [\"a.example\"]\n[[tenant]]\nname = \"b\"\n"
 	s := serve(t, snapshot(parse(t, text), rooms(at(testutil.Box(t, "b")))))
 	take := func(text string) *tenantTable {
-		if err := s.app.Take(snapshot(parse(t, text), rooms(at(testutil.Box(t, "b"))))); err != nil {
+		if err := s.app.Apply(snapshot(parse(t, text), rooms(at(testutil.Box(t, "b"))))); err != nil {
 			t.Fatal(err)
 		}
 		return s.app.state.Load().tenants
--- a/internal/app/listen.go
+++ b/internal/app/listen.go
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// Take opens what a version has and ends what it has not: those finish what they have. On an
+// Apply opens what a version has and ends what it has not: those finish what they have. On an
 // error, of a listener that can't be opened, nothing has changed.
-func (ls *Listeners) Take(want []config.Listener) error {
+func (ls *Listeners) Apply(want []config.Listener) error {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	opened := map[string]net.Listener{}
@@ -210,7 +210,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ls.open[set.Address] = &listening{set, d, stop}
 	ls.done.Go(func() {
-		if err := ls.app.ServeBy(ctx, &through{door: d, over: make(chan struct{})}, set); err != nil {
+		if err := ls.app.ServeListener(ctx, &through{door: d, over: make(chan struct{})}, set); err != nil {
 			ls.fail(err)
 		}
 	})
@@ -234,11 +234,11 @@
 // Serve serves clients on a listener, by the first one's settings, until ctx ends, then
 // answers what was taken.
 func (a *App) Serve(ctx context.Context, l net.Listener) error {
-	return a.ServeBy(ctx, gracefulclose.WrapListener(l), a.state.Load().program.Listener)
+	return a.ServeListener(ctx, gracefulclose.WrapListener(l), a.state.Load().program.Listener)
 }
 
-// ServeBy is Serve by other settings.
-func (a *App) ServeBy(ctx context.Context, l net.Listener, set config.Listener) error {
+// ServeListener is Serve by other settings.
+func (a *App) ServeListener(ctx context.Context, l net.Listener, set config.Listener) error {
 	trust, err := forwarded.ParseTrust(strings.Fields(set.Trust))
 	if err != nil {
 		return err
--- a/internal/app/listen_test.go
+++ b/internal/app/listen_test.go
@@ -72,15 +72,15 @@
 		}
 		return err == nil
 	}
-	if err := ls.Take([]config.Listener{one}); err != nil || !strings.Contains(get(one.Address), "b served") {
+	if err := ls.Apply([]config.Listener{one}); err != nil || !strings.Contains(get(one.Address), "b served") {
 		t.Fatal(err)
 	}
-	if err := ls.Take([]config.Listener{one, two}); err != nil || !strings.Contains(get(two.Address), "b served") {
+	if err := ls.Apply([]config.Listener{one, two}); err != nil || !strings.Contains(get(two.Address), "b served") {
 		t.Fatal(err)
 	}
 	taken := two
 	taken.Name, taken.Address = "taken", b.Addr()
-	if err := ls.Take([]config.Listener{taken}); err == nil || !strings.Contains(get(one.Address), "b served") {
+	if err := ls.Apply([]config.Listener{taken}); err == nil || !strings.Contains(get(one.Address), "b served") {
 		t.Errorf("an address that is taken: %v", err)
 	}
 	// Another bound on bodies, while clients ask without a pause: none is turned away.
@@ -104,7 +104,7 @@
 		n := asked.Load()
 		testutil.Until(t, "another request", func() bool { return asked.Load() > n })
 		one.MaxBody = int64(i%2+1) * 10
-		if err := ls.Take([]config.Listener{one, two}); err != nil {
+		if err := ls.Apply([]config.Listener{one, two}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -113,7 +113,7 @@
 	if got := raw(t, one.Address, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 25\r\n\r\n", ""); !strings.Contains(got, "413") {
 		t.Errorf("a bound of %d: %q", one.MaxBody, got)
 	}
-	if err := ls.Take([]config.Listener{two}); err != nil {
+	if err := ls.Apply([]config.Listener{two}); err != nil {
 		t.Fatal(err)
 	}
 	testutil.Until(t, "the first to be gone", func() bool { return !serves(one.Address) })
@@ -223,7 +223,7 @@
 		set := p.Listener
 		change(&set)
 		ls := a.NewListeners()
-		if err := ls.Take([]config.Listener{set}); err != nil {
+		if err := ls.Apply([]config.Listener{set}); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(ls.Close)
--- a/internal/app/managed.go
+++ b/internal/app/managed.go
@@ -41,7 +41,7 @@
 
 	streams  *streams
 	active   atomic.Pointer[tiers] // nil: the cluster is idle
-	open     atomic.Int64          // requests between do's begin and end
+	inFlight atomic.Int64          // requests between do's begin and end
 	lastUsed atomic.Int64          // when a request ended last, on the app's clock
 
 	mu       sync.Mutex // guards what follows, and changes of active
@@ -133,7 +133,7 @@
 
 // do holds the request to the cluster's bounds and has a tier decide on it.
 func (r *managedCluster) do(ctx context.Context, q *engine.Request) (engine.Answer, error) {
-	open := r.open.Add(1) // ahead of the look at active: see deactivate
+	open := r.inFlight.Add(1) // ahead of the look at active: see deactivate
 	defer r.close()
 	t, err := r.activate()
 	if err != nil {
@@ -169,7 +169,7 @@
 // close counts a request out.
 func (r *managedCluster) close() {
 	r.lastUsed.Store(int64(r.app.clock.Now()))
-	r.open.Add(-1)
+	r.inFlight.Add(-1)
 }
 
 // tell brings the cluster from the version that it was told last to another, which was
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -108,7 +108,7 @@
 	}
 	set.TLS, set.Address, set.Connections, set.Silent, set.MaxBody = front.TLS, "127.0.0.1:0", 1024, 256, p.Listener.MaxBody
 	c.listeners = c.app.NewListeners()
-	if err := c.listeners.Take([]config.Listener{set}); err != nil {
+	if err := c.listeners.Apply([]config.Listener{set}); err != nil {
 		t.Fatal(err)
 	}
 	scheme := "http"
--- a/internal/app/source.go
+++ b/internal/app/source.go
@@ -48,8 +48,8 @@
 	return c
 }
 
-// Files takes another version of the files.
-func (s *Source) Files(next *files.Snapshot) {
+// SetFiles takes another version of the files.
+func (s *Source) SetFiles(next *files.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.files = next
@@ -69,7 +69,7 @@
 				changed = append(changed, c)
 			}
 		}
-		if s.app.TakeClusters(d.At, changed) {
+		if s.app.ApplyClusters(d.At, changed) {
 			return
 		}
 	}
@@ -93,7 +93,7 @@
 			next.Program = p
 		}
 	}
-	if err := s.app.TakeAt(at, next); err != nil {
+	if err := s.app.ApplyAt(at, next); err != nil {
 		s.app.Log.Error("configuration version rejected", "err", err)
 	}
 }
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -71,7 +71,7 @@
 			}
 			testutil.Wait(t, started, "the stream")
 			if tc.news != nil {
-				if err := s.app.Take(snapshot(p, tc.news(p))); err != nil {
+				if err := s.app.Apply(snapshot(p, tc.news(p))); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -119,7 +119,7 @@
 		over <- err
 	}()
 	testutil.Wait(t, b.Got, "the request")
-	err := s.app.Take(snapshot(p, rooms(at(testutil.Box(t, "other")))))
+	err := s.app.Apply(snapshot(p, rooms(at(testutil.Box(t, "other")))))
 	close(let)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -55,8 +55,8 @@
 	}
 	a := r.app
 	o := engine.Options{Seed: a.Seed, Clock: a.clock, EventQueue: tierEvents}
-	if a.Sent != nil {
-		o.OnSend = func(id policy.EndpointID, at time.Duration) { a.Sent(r.name, uint64(id), a.clock.Wall(at)) }
+	if a.OnSend != nil {
+		o.OnSend = func(id policy.EndpointID, at time.Duration) { a.OnSend(r.name, uint64(id), a.clock.Wall(at)) }
 	}
 	ctx, stop := context.WithCancel(r.ctx)
 	sent := &sender{pool: pool, addresses: map[policy.EndpointID]string{}}
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -393,7 +393,7 @@
 			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, all)})
 			var inForce spans
 			deliveries := 0
-			s, _ := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet, Sent: log.note}, nil, func(d *xds.Delivery) {
+			s, _ := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet, OnSend: log.note}, nil, func(d *xds.Delivery) {
 				deliveries++
 				if c := d.View.Clusters()["rooms"]; c != nil {
 					var ids []string
--- a/internal/cli/agree.go
+++ b/internal/cli/agree.go
@@ -69,22 +69,22 @@
 }
 
 // agreed starts an app that acts on what the fleet agrees on.
-func agreed(first *files.Snapshot, o app.Options, path string, clock func() time.Duration, hooks *agent.Hooks) (*app.App, *app.Agreed, *member, error) {
+func agreed(first *files.Snapshot, o app.Options, path string, clock func() time.Duration, hooks *agent.Hooks) (*app.App, *app.AgreedSource, *member, error) {
 	p := first.Program
-	var source *app.Agreed
+	var source *app.AgreedSource
 	var m *member
-	o.May = func() bool { return m.node.MayServe() }
+	o.LeaseValid = func() bool { return m.node.MayServe() }
 	c := fleetConfig(p, path, o.Keys, o.Log)
 	c.Clock = clock
 	if hooks != nil {
 		c.Hooks = *hooks
 	}
-	a, err := app.New(app.Blank(p), o)
+	a, err := app.New(app.EmptySnapshot(p), o)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	source = app.NewAgreed(a, p)
-	c.Parse, c.Extend, c.Apply = source.Parse, source.Extend, source.Take
+	source = app.NewAgreedSource(a, p)
+	c.Parse, c.Extend, c.Apply = source.Parse, source.Extend, source.Apply
 	if m, err = join(c, p); err != nil {
 		a.Close()
 		return nil, nil, nil, err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -95,7 +95,7 @@
 		}
 	}
 	var a *app.App
-	var own *app.Agreed
+	var own *app.AgreedSource
 	var fleet *member
 	if first.Program.Agree.On() {
 		a, own, fleet, err = agreed(first, o, path, clock, hooks)
@@ -114,7 +114,7 @@
 		watch.Go(func() { fleet.run(ctx, log) })
 	}
 	listeners := a.NewListeners()
-	if err := listeners.Take(first.Program.Listeners); err != nil {
+	if err := listeners.Apply(first.Program.Listeners); err != nil {
 		return err
 	}
 	defer listeners.Close()
@@ -139,9 +139,9 @@
 		watcher.Run(ctx, func(s *files.Snapshot) {
 			memory.set(s.Program.MemoryLimit)
 			if own != nil {
-				own.Own(s.Program)
+				own.SetOwnProgram(s.Program)
 			} else {
-				source.Files(s)
+				source.SetFiles(s)
 			}
 			if !reflect.DeepEqual(s.Program.Agree, first.Program.Agree) {
 				log.Warn(restartNeeded, "settings", "[fleet.agree]")
@@ -156,7 +156,7 @@
 			if s.Program.Keys != keys {
 				log.Warn(restartNeeded, "settings", "[keys]")
 			}
-			if err := listeners.Take(s.Program.Listeners); err != nil {
+			if err := listeners.Apply(s.Program.Listeners); err != nil {
 				log.Error("listener update failed, keeping the current listeners", "err", err)
 			}
 		})
--- a/internal/compare/sides_test.go
+++ b/internal/compare/sides_test.go
@@ -90,7 +90,7 @@
 	l := testutil.Listen(tb)
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
-	run.Go(func() { a.ServeBy(ctx, l, set) })
+	run.Go(func() { a.ServeListener(ctx, l, set) })
 	tb.Cleanup(func() { stop(); run.Wait(); a.Close() })
 	return l.Addr().String()
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -181,7 +181,7 @@
 		text = program[:strings.Index(program, "[[class]]\nname = \"payment\"")] + fmt.Sprintf(
 			"[xds]\nservers = [%q]\nnode_id = \"demo\"\nlistener = \"ingress\"\n", s.plane.Addr())
 	}
-	with := app.Options{Seed: 1, Log: o.Log, Sent: s.sent}
+	with := app.Options{Seed: 1, Log: o.Log, OnSend: s.sent}
 	if o.TLS {
 		if s.keys, err = newRotation(folder, o.Log); err != nil {
 			return nil, err
@@ -240,7 +240,7 @@
 	}
 	parts.Go(func() {
 		watcher.Run(running, func(v *files.Snapshot) {
-			source.Files(v)
+			source.SetFiles(v)
 			told()
 		})
 	})
--- a/internal/downstream/extproc/extproc_test.go
+++ b/internal/downstream/extproc/extproc_test.go
@@ -582,7 +582,7 @@
 			if named(reply) != first {
 				t.Fatalf("%v", reply)
 			}
-			if err := r.app.Take(r.version([]string{first, second})); err != nil {
+			if err := r.app.Apply(r.version([]string{first, second})); err != nil {
 				t.Fatal(err)
 			}
 			msg := answered(tc.code)
@@ -616,7 +616,7 @@
 	first, second, third := "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"
 	r := start(t, []string{first}, `report = "200ms"`, `report = "30s"`)
 	for i := range 20 {
-		if err := r.app.Take(r.version([]string{first})); err != nil {
+		if err := r.app.Apply(r.version([]string{first})); err != nil {
 			t.Fatal(err)
 		}
 		ask := func(count string) (grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse], string) {
@@ -632,14 +632,14 @@
 		if got != first {
 			continue // a breaker is open: it is refused
 		}
-		if err := r.app.Take(r.version([]string{first, second})); err != nil {
+		if err := r.app.Apply(r.version([]string{first, second})); err != nil {
 			t.Fatal(err)
 		}
 		s.Send(answered("500"))
 		s.Recv()
 		s.CloseSend()
 		s.Recv() // the second is chosen by now, or will be at once
-		if err := r.app.Take(r.version([]string{first, third})); err != nil {
+		if err := r.app.Apply(r.version([]string{first, third})); err != nil {
 			t.Fatal(err)
 		}
 		s, got = ask("2")
@@ -666,7 +666,7 @@
 			t.Fatalf("%+v", out)
 		}
 		if i == 10 {
-			if err := r.app.Take(r.version(addrs[1:])); err != nil { // the first is gone
+			if err := r.app.Apply(r.version(addrs[1:])); err != nil { // the first is gone
 				t.Fatal(err)
 			}
 		}
@@ -818,7 +818,7 @@
 		}
 	}
 	testutil.Until(t, "both to be open", func() bool { return r.server.Stats.Carried.Load()+r.server.Stats.Picked.Load() == 2 })
-	if err := r.app.Take(r.version([]string{b.Addr()})); err != nil { // a new configuration too
+	if err := r.app.Apply(r.version([]string{b.Addr()})); err != nil { // a new configuration too
 		t.Fatal(err)
 	}
 	r.stop()
--- a/internal/files/cache.go
+++ b/internal/files/cache.go
@@ -5,7 +5,7 @@
 type cache[K comparable, V any] struct {
 	inForce, last map[K]V
 	next          map[K]V // of the version that is being looked at
-	made          int     // how many were not held, counted for tests
+	misses        int     // how many were not held, counted for tests
 }
 
 // get gives the value of a key, made anew if it is not held.
@@ -13,7 +13,7 @@
 	v, held := c.find(key)
 	if !held {
 		var err error
-		c.made++
+		c.misses++
 		if v, err = load(); err != nil {
 			return v, err
 		}
--- a/internal/files/files.go
+++ b/internal/files/files.go
@@ -19,9 +19,9 @@
 
 // Snapshot is a whole, checked version of all files.
 type Snapshot struct {
-	Program *config.Program
-	Version *cluster.Version
-	sum     hash
+	Program     *config.Program
+	Version     *cluster.Version
+	contentHash hash
 }
 
 // Load reads and checks the program's file and the cluster files that it points to. It
--- a/internal/files/files_test.go
+++ b/internal/files/files_test.go
@@ -95,8 +95,8 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	w.notify = notify
-	w.polled = func() {
+	w.newNotifier = notify
+	w.onPoll = func() {
 		select {
 		case f.seen <- struct{}{}:
 		default:
--- a/internal/files/parser.go
+++ b/internal/files/parser.go
@@ -99,7 +99,7 @@
 
 // parses counts what had to be parsed.
 func (p *Parser) parses() int {
-	return p.programs.made + p.tenants.made + p.clusters.made + p.views.made + p.patches.made
+	return p.programs.misses + p.tenants.misses + p.clusters.misses + p.views.misses + p.patches.misses
 }
 
 func (p *Parser) program(f part) (*config.Program, error) {
@@ -155,7 +155,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Snapshot{Program: program, Version: &cluster.Version{Clusters: clusters}, sum: v.sum()}
+	s := &Snapshot{Program: program, Version: &cluster.Version{Clusters: clusters}, contentHash: v.sum()}
 	if program.XDS.Folder == "" {
 		return s, nil
 	}
--- a/internal/files/plan_test.go
+++ b/internal/files/plan_test.go
@@ -148,7 +148,7 @@
 			b.ReportAllocs()
 			before := processor()
 			for b.Loop() {
-				if w.look(true) != nil {
+				if w.poll(true) != nil {
 					b.Fatal("a version is taken")
 				}
 			}
@@ -177,7 +177,7 @@
 		} {
 			b.Run(fmt.Sprintf("tenants=%d/%s", tenants, change.name), func(b *testing.B) {
 				measure(b, func(i int) { change.make(i + 1) }, func() {
-					if w.look(true) == nil {
+					if w.poll(true) == nil {
 						b.Fatal("no version is taken")
 					}
 				})
@@ -226,7 +226,7 @@
 	text := strings.Replace(planProgram(0), "[files]\n", "[files]\n"+tenantsProgram, 1)
 	write(b, tenants, tenantsFile(planTenants, 20))
 	write(b, path, text)
-	if w.look(true) == nil {
+	if w.poll(true) == nil {
 		b.Fatal("no version is taken")
 	}
 	for _, change := range []struct {
@@ -241,7 +241,7 @@
 	} {
 		b.Run(change.name, func(b *testing.B) {
 			measure(b, func(i int) { change.make(i + 1) }, func() {
-				if w.look(true) == nil {
+				if w.poll(true) == nil {
 					b.Fatal("no version is taken")
 				}
 			})
--- a/internal/files/planwatcher_test.go
+++ b/internal/files/planwatcher_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	w.reader.clock = func() time.Time { return time.Now().Add(2 * settle) }
-	w.look(true)
+	w.poll(true)
 	return w
 }
 
--- a/internal/files/reader.go
+++ b/internal/files/reader.go
@@ -54,17 +54,17 @@
 type hash = [sha256.Size]byte
 
 func newReader(path string) *reader {
-	return &reader{path: path, clock: time.Now, stat: stampOf, known: map[string]*record{}}
+	return &reader{path: path, clock: time.Now, stat: readStamp, known: map[string]*record{}}
 }
 
-// quiet tells whether nothing has changed since the last scan, at the cost of a stat for each file and folder.
-func (r *reader) quiet() bool {
+// unchanged tells whether nothing has changed since the last scan, at the cost of a stat for each file and folder.
+func (r *reader) unchanged() bool {
 	if !r.whole {
 		return false
 	}
 	at := r.clock()
 	for _, f := range r.used {
-		if !f.fresh(r.stat(f.name), at) {
+		if !f.upToDate(r.stat(f.name), at) {
 			return false
 		}
 	}
@@ -157,10 +157,10 @@
 	}
 	r.used = append(r.used, f)
 	now, at := r.stat(name), r.clock()
-	if f.fresh(now, at) {
+	if f.upToDate(now, at) {
 		return f, false
 	}
-	f.note(now, at)
+	f.record(now, at)
 	return f, true
 }
 
@@ -230,8 +230,8 @@
 	return nil, errMoving
 }
 
-// done lets go of the contents, and of what a version that was good had no use for.
-func (r *reader) done(good bool) {
+// finishScan lets go of the contents, and of what a version that was good had no use for.
+func (r *reader) finishScan(good bool) {
 	if good || len(r.known) > maxKnown {
 		clear(r.known)
 	}
@@ -279,7 +279,7 @@
 
 // readFile reads a file that may be anything.
 func readFile(name string) ([]byte, error) {
-	s := stampOf(name)
+	s := readStamp(name)
 	if err := s.fileProblem(name); err != nil {
 		return nil, err
 	}
--- a/internal/files/stamp.go
+++ b/internal/files/stamp.go
@@ -29,8 +29,8 @@
 	fault             syscall.Errno // the rest is zero then
 }
 
-// stampOf asks the file system.
-func stampOf(name string) stamp {
+// readStamp asks the file system.
+func readStamp(name string) stamp {
 	for {
 		var st syscall.Stat_t
 		switch err := syscall.Stat(name, &st); {
@@ -75,10 +75,10 @@
 	read  time.Time // last
 }
 
-// fresh tells whether what was read still stands, by the stamp that there is now. Within settle after a stamp was first
+// upToDate tells whether what was read still stands, by the stamp that there is now. Within settle after a stamp was first
 // seen a later write may leave the same one, so that the content is read again until then ("racily clean", as git's
 // index calls it). The file system's clock is not compared with this machine's, which may be another.
-func (h *history) fresh(now stamp, at time.Time) bool {
+func (h *history) upToDate(now stamp, at time.Time) bool {
 	switch {
 	case h.read.IsZero() || h.stamp != now:
 		return false
@@ -88,8 +88,8 @@
 	return at.Before(h.read.Add(fullRead))
 }
 
-// note takes down a stamp, before the content is read at this time.
-func (h *history) note(now stamp, at time.Time) {
+// record takes down a stamp, before the content is read at this time.
+func (h *history) record(now stamp, at time.Time) {
 	if h.read.IsZero() || h.stamp != now {
 		h.stamp, h.seen = now, at
 	}
--- a/internal/files/stamp_test.go
+++ b/internal/files/stamp_test.go
@@ -44,15 +44,15 @@
 		{"just before the full read", settled, s, settled.read.Add(fullRead - 1), true},
 		{"at the full read", settled, s, settled.read.Add(fullRead), false},
 	} {
-		if tc.h.fresh(tc.now, tc.at) != tc.fresh {
+		if tc.h.upToDate(tc.now, tc.at) != tc.fresh {
 			t.Errorf("%s: fresh is %v", tc.name, !tc.fresh)
 		}
 	}
 	h := settled
-	if h.note(s, at); h.seen != start || !h.fresh(s, at) {
+	if h.record(s, at); h.seen != start || !h.upToDate(s, at) {
 		t.Errorf("read again with the same stamp: %+v", h)
 	}
-	if h.note(other(func(s *stamp) { s.changed++ }), at); h.seen != at || h.fresh(h.stamp, at.Add(settle)) {
+	if h.record(other(func(s *stamp) { s.changed++ }), at); h.seen != at || h.upToDate(h.stamp, at.Add(settle)) {
 		t.Errorf("read with another stamp: %+v", h)
 	}
 }
@@ -76,7 +76,7 @@
 	r.w.reader.clock = func() time.Time { return r.now }
 	r.w.reader.stat = func(name string) stamp {
 		r.stats++
-		return stampOf(name)
+		return readStamp(name)
 	}
 	r.settle()
 	return r
@@ -87,16 +87,16 @@
 	r.t.Helper()
 	for range 2 {
 		r.now = r.now.Add(settle)
-		r.w.look(true)
+		r.w.poll(true)
 	}
-	if !r.w.reader.quiet() {
+	if !r.w.reader.unchanged() {
 		r.t.Fatal("the folder does not come to rest")
 	}
 }
 
 func (r *resting) poll() *Snapshot {
 	r.now = r.now.Add(time.Second)
-	return r.w.look(true)
+	return r.w.poll(true)
 }
 
 // tick waits until the file system's clock has gone on, so that what is changed from now on has another stamp.
@@ -223,12 +223,12 @@
 	tick(t)
 	whole := clusterText("", 1, 2, 3, 5)
 	f.put(f.rooms(), whole[:len(whole)/2])
-	frozen := stampOf(f.rooms())
+	frozen := readStamp(f.rooms())
 	r.w.reader.stat = func(name string) stamp {
 		if name == f.rooms() {
 			return frozen
 		}
-		return stampOf(name)
+		return readStamp(name)
 	}
 	if r.poll() != nil || r.w.verdict.err == nil {
 		t.Fatal("half a file is taken")
@@ -260,7 +260,7 @@
 		t.Fatal("seen with the stamp of before: the test freezes nothing")
 	}
 	r.now = r.now.Add(fullRead)
-	if s := r.w.look(true); s == nil || ports(s) != "1 2 3 5" {
+	if s := r.w.poll(true); s == nil || ports(s) != "1 2 3 5" {
 		t.Error("it is never seen")
 	}
 }
@@ -377,7 +377,7 @@
 				f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
 			}
 		}
-		return stampOf(name)
+		return readStamp(name)
 	}
 	s := r.poll()
 	if s == nil || ports(s) != "1 2 3 5" || s.Version.Clusters["z"].Endpoints[0].ID != "s-51" {
@@ -396,7 +396,7 @@
 	f.put(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1))
 	looked := 0
 	r.w.reader.stat = func(name string) stamp {
-		s := stampOf(name)
+		s := readStamp(name)
 		if name == f.rooms() {
 			if looked++; looked == 2 { // after it was seen to stand still at the end of the scan
 				f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
@@ -455,7 +455,7 @@
 		r.known[fmt.Sprint(i)] = &record{key: fmt.Sprint(i)}
 	}
 	r.used = []*record{r.known["7"]}
-	r.done(false)
+	r.finishScan(false)
 	if len(r.known) != 1 || r.known["7"] == nil {
 		t.Errorf("%d are remembered", len(r.known))
 	}
--- a/internal/files/watcher.go
+++ b/internal/files/watcher.go
@@ -30,11 +30,11 @@
 	current *Snapshot
 	number  uint64
 
-	verdict verdict         // of the last look that read something
-	refused hash            // the content refused last, seen once
-	logged  map[string]bool // causes
-	notify  func() (*notifier, error)
-	polled  func() // called after each look of the poll; nil: nobody waits for it
+	verdict     verdict         // of the last look that read something
+	refused     hash            // the content refused last, seen once
+	logged      map[string]bool // causes
+	newNotifier func() (*notifier, error)
+	onPoll      func() // called after each look of the poll; nil: nobody waits for it
 }
 
 // notifier tells of changes below folders. What it tells is a hint to look.
@@ -60,16 +60,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r.done(true)
+	r.finishScan(true)
 	p.end(taken)
 	s.Version.Number = 1
-	return &Watcher{path: path, log: log, reader: r, parser: p, current: s, number: 1, logged: map[string]bool{}, notify: newNotifier}, s, nil
+	return &Watcher{path: path, log: log, reader: r, parser: p, current: s, number: 1, logged: map[string]bool{}, newNotifier: newNotifier}, s, nil
 }
 
 // Run calls take with each new version, until ctx ends. Changes are seen by
 // notification, and by the stamps and the content of the files at each poll, which alone is enough.
 func (w *Watcher) Run(ctx context.Context, take func(*Snapshot)) {
-	notes, err := w.notify()
+	notes, err := w.newNotifier()
 	if err != nil {
 		w.log.Warn("file notification unavailable, polling only", "err", err)
 		notes = &notifier{add: func(string) error { return nil }, close: func() error { return nil }}
@@ -89,20 +89,20 @@
 			return
 		case <-notes.events:
 			poll.Stop()
-			if s := w.look(false); s != nil {
+			if s := w.poll(false); s != nil {
 				take(s)
 			}
 		case <-notes.faults:
 			poll.Stop()
-			if s := w.look(false); s != nil {
+			if s := w.poll(false); s != nil {
 				take(s)
 			}
 		case <-poll.C:
-			if s := w.look(true); s != nil {
+			if s := w.poll(true); s != nil {
 				take(s)
 			}
-			if w.polled != nil {
-				w.polled()
+			if w.onPoll != nil {
+				w.onPoll()
 			}
 		}
 		if now := w.folders(); !slices.Equal(now, watched) {
@@ -135,10 +135,10 @@
 	err error
 }
 
-// look gives a version that is new, whole and not held back. Files that have not changed since the last look are not
+// poll gives a version that is new, whole and not held back. Files that have not changed since the last poll are not
 // read, and what was found wrong with them stands.
-func (w *Watcher) look(polled bool) *Snapshot {
-	if !w.reader.quiet() {
+func (w *Watcher) poll(polled bool) *Snapshot {
+	if !w.reader.unchanged() {
 		if s := w.read(); s != nil {
 			return s
 		}
@@ -153,13 +153,13 @@
 // wrong, if anything is.
 func (w *Watcher) read() *Snapshot {
 	s, err := w.next()
-	w.reader.done(err == nil)
+	w.reader.finishScan(err == nil)
 	switch {
 	case err != nil:
 		w.parser.end(refused)
 		w.verdict = verdict{sum: sha256.Sum256([]byte(err.Error())), err: err}
 		if s != nil {
-			w.verdict.sum = s.sum
+			w.verdict.sum = s.contentHash
 		}
 		return nil
 	case s == nil:
@@ -185,7 +185,7 @@
 		return nil, err
 	}
 	sum := v.sum()
-	if sum == w.current.sum {
+	if sum == w.current.contentHash {
 		return nil, nil
 	}
 	s, err := w.parser.check(v)
@@ -196,7 +196,7 @@
 		err = cluster.Review(w.current.Version, s.Version, s.Program.Files.MaxShare)
 	}
 	if err != nil {
-		return &Snapshot{sum: sum}, err
+		return &Snapshot{contentHash: sum}, err
 	}
 	return s, nil
 }
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -70,7 +70,7 @@
 	if r.program, err = config.ParseProgram("lab", []byte(e.program("127.0.0.1:0", 0))); err != nil {
 		return nil, false, fmt.Errorf("%s: %w", e.Name, err)
 	}
-	a, err := app.New(r.version(), app.Options{Seed: e.Seed, Log: log, Sent: r.sent})
+	a, err := app.New(r.version(), app.Options{Seed: e.Seed, Log: log, OnSend: r.sent})
 	if err != nil {
 		return nil, false, err
 	}
@@ -91,7 +91,7 @@
 	r.began = time.Now()
 	var faults sync.WaitGroup
 	faulty, over := context.WithCancel(ctx)
-	faults.Go(func() { r.troubles(faulty, a.Take) })
+	faults.Go(func() { r.troubles(faulty, a.Apply) })
 	report := loadgen.Run(ctx, plan)
 	over()
 	faults.Wait()
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -52,7 +52,7 @@
 		n.config.Hooks.Applied = func(rules consensus.ActiveRules, alone bool) { states.Acted(name, rules, alone) }
 		program := *own
 		program.Node = at.Before + i
-		source := app.NewAgreed(nil, &program)
+		source := app.NewAgreedSource(nil, &program)
 		n.config.Parse, n.config.Extend = source.Parse, source.Extend
 		n.config.Apply = func(a consensus.EffectiveVersion) error {
 			_, err := program.Agreed(a.Program)
--- a/internal/stress/badpeers/badpeers.go
+++ b/internal/stress/badpeers/badpeers.go
@@ -176,7 +176,7 @@
 	set := b.program.Listener
 	set.TLS = front.TLS
 	b.listeners = b.app.NewListeners()
-	if err := b.listeners.Take([]config.Listener{set}); err != nil {
+	if err := b.listeners.Apply([]config.Listener{set}); err != nil {
 		return nil, err
 	}
 	b.addr = b.listeners.Addr("").String()
--- a/internal/stress/badpeers/scenarios.go
+++ b/internal/stress/badpeers/scenarios.go
@@ -60,7 +60,7 @@
 						return
 					case <-time.After(20 * time.Millisecond): // a pace
 					}
-					if err := b.app.Take(b.version(i%3 - 1)); err != nil {
+					if err := b.app.Apply(b.version(i%3 - 1)); err != nil {
 						report("a version is not taken: %v", err)
 					}
 				}
--- a/internal/stress/callers/callers.go
+++ b/internal/stress/callers/callers.go
@@ -118,7 +118,7 @@
 	if r.program, err = config.ParseProgram("callers.toml", []byte(Program)); err != nil {
 		return nil, err
 	}
-	a, err := app.New(r.version(-1), app.Options{Seed: 1, Log: o.Log, Sent: r.sent})
+	a, err := app.New(r.version(-1), app.Options{Seed: 1, Log: o.Log, OnSend: r.sent})
 	if err != nil {
 		return nil, err
 	}
@@ -234,7 +234,7 @@
 			r.mu.Lock()
 			r.told[(i+2)%3] = time.Time{}
 			r.mu.Unlock()
-			if err := r.app.Take(r.version(i)); err != nil {
+			if err := r.app.Apply(r.version(i)); err != nil {
 				r.broken("a version is not taken: %v", err)
 			}
 			r.mu.Lock()
