--- a/internal/app/agreed_test.go
+++ b/internal/app/agreed_test.go
@@ -105,7 +105,7 @@
 	own := parse(t, program)
 	s := serveWith(t, snapshot(own, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return true }})
 	old := s.app.state.Load()
-	read, pay := s.app.may(old, "read"), s.app.may(old, "pay")
+	read, pay := s.app.sendAllowed(old, "read"), s.app.sendAllowed(old, "pay")
 	take := func(text string, refused map[string]string) {
 		t.Helper()
 		if err := s.app.ApplyRejecting(time.Now(), snapshot(parse(t, text), rooms(at(b))), refused); err != nil {
@@ -124,7 +124,7 @@
 		t.Errorf("status %d, %v, %q", status, header, body)
 	}
 	take(program, nil)
-	if pay() || !s.app.may(s.app.state.Load(), "pay")() {
+	if pay() || !s.app.sendAllowed(s.app.state.Load(), "pay")() {
 		t.Error("what was decided before goes on, or new ones don't")
 	}
 	take(strings.Replace(program, "effect = \"safe\"", "effect = \"unsafe\"", 1), nil)
--- a/internal/app/callers.go
+++ b/internal/app/extproc.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"net"
 
 	"yokestall/internal/config"
@@ -11,29 +11,28 @@
 	"yokestall/internal/tlskeys"
 )
 
-// maxJoiners is how many may wait for one request under a key.
-const maxJoiners = 64
-
-// NewProcessor makes the front for other proxies.
+// NewProcessor returns the external processing server, which other proxies ask where to send their requests.
 func (a *App) NewProcessor(set config.ExtProc) *extproc.Server {
 	return extproc.New(extproc.Options{
 		Clock: a.clock, Router: a, Log: a.Log, Streams: set.Streams, Head: set.Head, Message: set.Message,
 		Buffer: set.Buffer, Answer: set.Answer, First: set.First, Report: set.Report, Override: set.Override,
 		Repeats: idempotency.Limits{
-			Entries: set.Repeats, Bytes: set.RepeatBytes, Joiners: maxJoiners, Tenants: len(a.state.Load().program.Tenants),
+			Entries: set.Repeats, Bytes: set.RepeatBytes, Joiners: maxJoiners,
+			Tenants: len(a.state.Load().program.Tenants),
 		},
 	})
 }
 
-// ServeProcessor serves other proxies on a listener until ctx ends, then answers what was taken.
+// ServeProcessor serves other proxies on a listener until ctx ends, and returns once requests in flight are answered.
+// The error says why the listener can't be served, or how it failed.
 func (a *App) ServeProcessor(ctx context.Context, l net.Listener, s *extproc.Server, set config.ExtProc) error {
-	with := extproc.Listening{Connections: set.Connections, PerConn: set.PerConn, Drain: set.Drain}
+	o := extproc.Listening{Connections: set.Connections, PerConn: set.PerConn, Drain: set.Drain}
 	if set.TLS {
 		if a.Keys == nil {
-			return errors.New("extproc: tls: the program has no [keys] folder")
+			return fmt.Errorf("extproc: %w", errNoKeys)
 		}
-		with.TLS = a.Keys.Server(tlskeys.Clients{Roots: set.ClientRoots, Require: set.ClientNeeds}, "h2")
+		o.TLS = a.Keys.Server(tlskeys.Clients{Roots: set.ClientRoots, Require: set.ClientNeeds}, "h2")
 	}
 	a.Log.Info("serving external processor", "addr", l.Addr().String(), "tls", set.TLS)
-	return s.Serve(ctx, l, with)
+	return s.Serve(ctx, l, o)
 }
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -151,12 +151,12 @@
 				looked <- struct{}{}
 			}
 			select {
-			case <-tiers.list[0].cluster.Ended():
+			case <-tiers.list[0].engine.Ended():
 				t.Errorf("request %d: its engine ended under it", i)
 				return
 			default:
 			}
-			r.close()
+			r.endRequest()
 			looked <- struct{}{}
 		}
 	}()
@@ -207,7 +207,7 @@
 	r := s.app.state.Load().clusters[name]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.remember()
+	m := r.takeSnapshots()
 	if m == nil || len(m.tiers) != 1 {
 		s.t.Fatalf("cluster %s remembers %v", name, m)
 	}
@@ -353,7 +353,7 @@
 	if again := take(strings.Replace(text, `max_retry_after = "600ms"`, `max_retry_after = "601ms"`, 1)); again != first {
 		t.Error("a version with the same tenants has a table of its own")
 	}
-	if first.byName["b"] != 1 || first.byCertificate["a.example"] != 0 || first.place("c") >= 0 {
+	if first.byName["b"] != 1 || first.byCertificate["a.example"] != 0 || first.index("c") >= 0 {
 		t.Errorf("places %v, by certificate %v", first.byName, first.byCertificate)
 	}
 	for name, change := range map[string][2]string{
--- a/internal/app/listen_test.go
+++ b/internal/app/listen_test.go
@@ -148,7 +148,7 @@
 	defer ls.Close()
 	l := &scarce{Listener: testutil.Listen(t)}
 	l.left.Store(3)
-	ls.start(p.Listener, ls.opened(l))
+	ls.start(p.Listener, ls.startAcceptor(l))
 	if got := raw(t, l.Addr().String(), "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", ""); !strings.Contains(got, "b served") {
 		t.Errorf("%q", got)
 	}
--- /dev/null
+++ b/internal/app/router.go
@@ -0,0 +1,145 @@
+package app
+
+import (
+	"hash/fnv"
+	"io"
+	"net/http"
+	"time"
+
+	"yokestall/internal/config"
+	"yokestall/internal/ingress"
+	"yokestall/internal/route"
+	"yokestall/internal/upstream/h1client"
+	"yokestall/policy"
+)
+
+// Route implements ingress.Router. The error is an *ingress.Rejection: a rejected request, or a route's own response.
+func (a *App) Route(r *http.Request) (ingress.Destination, error) {
+	s := a.state.Load()
+	match, err := s.matchRoute(r)
+	if err != nil {
+		return ingress.Destination{}, err
+	}
+	to := s.clusters[match.Cluster]
+	if to == nil {
+		if _, logged := a.undefinedClusters.LoadOrStore(match.Cluster, true); !logged {
+			a.Log.Error("request rejected, cluster not defined", "cluster", match.Cluster, "route", match.Route.Name)
+		}
+		return ingress.Destination{}, s.unavailable("the route's cluster is not defined")
+	}
+	class := s.program.Class(match.Route.Class)
+	c := &s.program.Classes[class]
+	if a.LeaseValid != nil && !a.LeaseValid() {
+		return ingress.Destination{}, s.unavailable("the node's lease is over")
+	}
+	if reason := s.rejectedClasses[c.Name]; reason != "" {
+		return ingress.Destination{}, s.unavailable(reason)
+	}
+	out := s.destination(match.Route, c)
+	out.Cluster, out.Class = to, class
+	if a.LeaseValid != nil {
+		out.Cluster = leaseCheckedCluster{to, a.sendAllowed(s, c.Name), out.MaxRetryAfter}
+	}
+	return out, nil
+}
+
+// matchRoute returns the route of a request and the cluster that it leads to.
+func (s *state) matchRoute(r *http.Request) (route.Match, error) {
+	if s.program.Table == nil {
+		return route.Match{}, s.unavailable("no routes are known yet")
+	}
+	q := route.Request{Host: r.Host, Path: r.URL.Path, Method: r.Method, Header: r.Header}
+	if s.program.Table.Weighted() {
+		q.Hash = affinityHash(r)
+	}
+	m, ok := s.program.Table.Lookup(&q)
+	if !ok {
+		return route.Match{}, &ingress.Rejection{Status: http.StatusNotFound, Text: "no route"}
+	}
+	if m.Route.Answer != nil {
+		return route.Match{}, directResponse(m.Route, r)
+	}
+	return m, nil
+}
+
+// unavailable rejects a request that may be retried later.
+func (s *state) unavailable(reason string) *ingress.Rejection {
+	return &ingress.Rejection{
+		Status: http.StatusServiceUnavailable, Text: reason, RetryAfter: s.program.Limits.MaxRetryAfter,
+	}
+}
+
+// destination returns what a route and a class say of a request; the caller sets Cluster and Class.
+func (s *state) destination(r *route.Route, c *config.Class) ingress.Destination {
+	out := ingress.Destination{
+		Effect: c.Idempotency, Window: c.DedupWindow, Deadline: requestDeadline(r, c),
+		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
+		Streams:     h1client.StreamLimits{Stall: c.Progress, Whole: c.Stream, Drain: c.Drain},
+		MaxAttempts: r.MaxAttempts, PerTry: r.PerTry, Certified: s.tenants.byCertificate,
+		Pick: r.Processor == "pick" || r.Processor == "" && s.program.ExtProc.Pick,
+	}
+	if e := r.Request; e != nil {
+		out.Request = e
+	}
+	if e := r.Response; e != nil {
+		out.Response = e
+	}
+	return out
+}
+
+// requestDeadline returns the class's deadline, or the route's timeout where that is shorter.
+func requestDeadline(r *route.Route, c *config.Class) time.Duration {
+	if r.Timeout > 0 {
+		return min(c.Deadline, r.Timeout)
+	}
+	return c.Deadline
+}
+
+// dedupRouter returns the router of the HTTP servers: requests with an idempotency key go through the deduplication,
+// if the program has it.
+func (a *App) dedupRouter() ingress.Router {
+	if a.dedup == nil {
+		return a
+	}
+	return dedupRouter{a}
+}
+
+type dedupRouter struct{ *App }
+
+// Route implements ingress.Router.
+func (r dedupRouter) Route(q *http.Request) (ingress.Destination, error) {
+	to, err := r.App.Route(q)
+	if err == nil && to.Effect == policy.IdempotentByKey {
+		to.Cluster = r.dedup.Cluster(to.Cluster, to.Window, to.MaxRetryAfter)
+	}
+	return to, err
+}
+
+// directResponse returns a route's own response.
+func directResponse(r *route.Route, q *http.Request) *ingress.Rejection {
+	a := r.Answer
+	out := &ingress.Rejection{Status: a.Status, Text: a.Text}
+	if a.Redirect {
+		scheme := "http"
+		if q.TLS != nil {
+			scheme = "https"
+		}
+		out.Location = a.Location(r, scheme, q.Host, q.URL.EscapedPath(), q.URL.RawQuery)
+	}
+	return out
+}
+
+// affinityHash returns the hash that picks among the weighted clusters of a route. A client's retry must not go to
+// another cluster, so that the idempotency key comes before the request's own id.
+func affinityHash(r *http.Request) uint64 {
+	h := fnv.New64a()
+	for _, name := range []string{"Idempotency-Key", "X-Request-Id"} {
+		if v := r.Header[name]; len(v) > 0 {
+			io.WriteString(h, v[0])
+			return h.Sum64()
+		}
+	}
+	io.WriteString(h, r.RemoteAddr)
+	io.WriteString(h, r.URL.RequestURI())
+	return h.Sum64()
+}
--- a/internal/app/sender.go
+++ b/internal/app/sender.go
@@ -9,44 +9,44 @@
 	"yokestall/policy"
 )
 
-// sender has an attempt carried by whoever can: the cluster's connections, or the payload itself
-// where another program sends it (extproc's picks).
+// sender sends a tier's attempts: over its upstream pool, or by the payload itself where another program sends the
+// request (external processing).
 type sender struct {
-	pool upstream
+	pool upstreamPool
 
-	mu        sync.RWMutex
+	mu        sync.RWMutex // guards addresses
 	addresses map[policy.EndpointID]string
 }
 
-// carrier is a payload that sees to its attempts itself.
-type carrier interface {
+// selfSender is a payload that sends its attempts itself.
+type selfSender interface {
 	Carry(call *engine.Call, address string, left time.Duration) engine.Result
 }
 
 // Exchange implements engine.Exchanger.
-func (s *sender) Exchange(call *engine.Call, id policy.EndpointID, payload any, left time.Duration) engine.Result {
-	c, ok := payload.(carrier)
+func (s *sender) Exchange(call *engine.Call, id policy.EndpointID, payload any, timeLeft time.Duration) engine.Result {
+	p, ok := payload.(selfSender)
 	if !ok {
-		return s.pool.Exchange(call, id, payload, left)
+		return s.pool.Exchange(call, id, payload, timeLeft)
 	}
 	s.mu.RLock()
 	address, known := s.addresses[id]
 	s.mu.RUnlock()
-	if !known { // gone meanwhile
+	if !known { // the endpoint was removed meanwhile
 		return engine.Result{Status: policy.NeverSent}
 	}
-	return c.Carry(call, address, left)
+	return p.Carry(call, address, timeLeft)
 }
 
-// update takes news of the servers.
+// update applies changes of the endpoints.
 func (s *sender) update(servers []h1client.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, in := range servers {
-		if in.Gone {
-			delete(s.addresses, in.ID)
+	for _, server := range servers {
+		if server.Gone {
+			delete(s.addresses, server.ID)
 		} else {
-			s.addresses[in.ID] = in.Address
+			s.addresses[server.ID] = server.Address
 		}
 	}
 }
--- a/internal/app/source.go
+++ b/internal/app/source.go
@@ -13,23 +13,23 @@
 	"yokestall/internal/xds/translate"
 )
 
-// Source puts together what the files and a control plane say, and has an app take it.
-// What a file says goes before what a control plane says under the same name.
+// Source merges the configuration of the files and of a control plane, and has an app apply the result. Under the same
+// name the files take precedence.
 type Source struct {
 	app *App
 
-	mu     sync.Mutex
-	files  *files.Snapshot
-	heard  bool // the control plane has said something
-	said   map[string]*cluster.Cluster
-	routes *translate.Routes
+	mu       sync.Mutex // guards the fields below, and the order in which versions are applied
+	files    *files.Snapshot
+	received bool // the control plane has delivered something; clusters and routes are its last delivery
+	clusters map[string]*cluster.Cluster
+	routes   *translate.Routes
 }
 
-// NewSource makes a source for an app that took the files' version already.
+// NewSource returns a source for an app that has applied the first version of the files.
 func NewSource(a *App, first *files.Snapshot) *Source { return &Source{app: a, files: first} }
 
-// XDSConfig gives what the program's file says of control planes; nil if it names none.
-// The file for the last good version lies beside the program's own, at path.
+// XDSConfig returns the configuration of the xDS client for the program's file at path; nil if it names no control
+// plane. The file of the last good version is looked up beside the program's.
 func XDSConfig(p *config.Program, path string) *xds.Config {
 	if len(p.XDS.Servers) == 0 {
 		return nil
@@ -48,23 +48,23 @@
 	return c
 }
 
-// SetFiles takes another version of the files.
+// SetFiles puts another version of the files in force.
 func (s *Source) SetFiles(next *files.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.files = next
-	s.whole(time.Now())
+	s.applyMerged(time.Now())
 }
 
-// Deliver takes what a control plane says.
+// Deliver puts a control plane's delivery in force: a change of clusters alone at its own cost where the app can.
 func (s *Source) Deliver(d *xds.Delivery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = true
+	s.received = true
 	if !d.Whole {
 		var changed []*cluster.Cluster
 		for _, c := range d.Clusters {
-			s.said[c.Name] = c
+			s.clusters[c.Name] = c
 			if s.files.Version.Clusters[c.Name] == nil {
 				changed = append(changed, c)
 			}
@@ -73,27 +73,39 @@
 			return
 		}
 	}
-	s.said, s.routes = d.View.Clusters(), d.View.Routes()
-	s.whole(d.At)
+	s.clusters, s.routes = d.View.Clusters(), d.View.Routes()
+	s.applyMerged(d.At)
 }
 
-// whole has the app take all there is; s.mu is held.
-func (s *Source) whole(at time.Time) {
-	next := &files.Snapshot{Program: s.files.Program, Version: s.files.Version}
-	if s.heard {
-		all := maps.Clone(s.said)
-		maps.Copy(all, s.files.Version.Clusters)
-		next.Version = &cluster.Version{Number: s.files.Version.Number, Clusters: all}
-		if r := s.routes; r != nil {
-			p, err := next.Program.Routed(r.Table, r.Hosts, r.Classes, r.Tenants)
-			if err != nil { // a class that the file no longer has
-				s.app.Log.Error("control plane routes conflict with the settings file, keeping the last version", "err", err)
-				return
-			}
-			next.Program = p
-		}
+// applyMerged has the app apply files and control plane together; s.mu is locked. A conflict is logged, and the
+// version in force stays.
+func (s *Source) applyMerged(deliveredAt time.Time) {
+	next, err := s.merge()
+	if err != nil {
+		s.app.Log.Error("control plane routes conflict with the settings file, keeping the last version", "err", err)
+		return
 	}
-	if err := s.app.ApplyAt(at, next); err != nil {
+	if err := s.app.ApplyAt(deliveredAt, next); err != nil {
 		s.app.Log.Error("configuration version rejected", "err", err)
 	}
 }
+
+// merge returns files and control plane as one version; s.mu is locked. The error is that the control plane's routes
+// don't go with the files, such as one of a class that the program's file no longer has.
+func (s *Source) merge() (*files.Snapshot, error) {
+	next := &files.Snapshot{Program: s.files.Program, Version: s.files.Version}
+	if !s.received {
+		return next, nil
+	}
+	all := maps.Clone(s.clusters)
+	maps.Copy(all, s.files.Version.Clusters)
+	next.Version = &cluster.Version{Number: s.files.Version.Number, Clusters: all}
+	if r := s.routes; r != nil {
+		p, err := next.Program.Routed(r.Table, r.Hosts, r.Classes, r.Tenants)
+		if err != nil {
+			return nil, err
+		}
+		next.Program = p
+	}
+	return next, nil
+}
--- a/internal/app/streams.go
+++ b/internal/app/streams.go
@@ -11,13 +11,13 @@
 	"yokestall/policy"
 )
 
-// streams holds a cluster's answers that go on as streams to the limits of their classes.
+// streams applies the stream timeouts of their classes to a cluster's streamed responses and tunnels.
 type streams struct {
 	clock engine.Clock
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below
 	table *streamtimeout.Table
-	timer *time.Timer // runs expire when the table's next one is due
+	timer *time.Timer // runs expire when the next timeout of table is due
 }
 
 func newStreams(clock engine.Clock) *streams {
@@ -27,51 +27,51 @@
 	return s
 }
 
-// hold follows an answer that goes on, until it is closed.
-func (s *streams) hold(a engine.Answer, l streamtimeout.Limits) {
+// limit applies timeouts to an answer's stream or tunnel until it is closed. Other answers have none.
+func (s *streams) limit(a engine.Answer, l streamtimeout.Limits) {
 	answer, ok := a.Value.(*h1client.Answer)
 	if !ok || answer.Stream == nil && answer.Tunnel == nil || l == (streamtimeout.Limits{}) {
 		return
 	}
 	var abort func()
-	h := &held{streams: s}
+	t := &trackedStream{streams: s}
 	if answer.Stream != nil {
 		abort = answer.Stream.Abort
-		answer.Stream = &heldStream{answer.Stream, h}
+		answer.Stream = &limitedStream{answer.Stream, t}
 	} else {
 		tunnel := answer.Tunnel
 		abort = func() { tunnel.Close() }
-		answer.Tunnel = &heldTunnel{tunnel, h}
+		answer.Tunnel = &limitedTunnel{tunnel, t}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.entry = s.table.Open(s.clock.Now(), uint64(a.From.Endpoint), l, abort)
-	// The engine is told of a drain before drain is: one of the two sees it.
-	if since, told := a.From.DrainingSince(); told {
+	t.entry = s.table.Open(s.clock.Now(), uint64(a.From.Endpoint), l, abort)
+	// The engine learns of a drain before drain is called, so that one of the two applies it.
+	if since, draining := a.From.DrainingSince(); draining {
 		s.table.Drain(since, uint64(a.From.Endpoint))
 	}
-	s.arm()
+	s.resetTimer()
 }
 
-// count tells how many streams are held.
+// count returns the number of open streams with timeouts.
 func (s *streams) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Len()
 }
 
-// drain tells of servers that drain or are gone since a time on the clock.
-func (s *streams) drain(since time.Duration, servers []policy.EndpointID) {
+// drain starts the drain timeouts of streams from endpoints that drain, or were removed, since a time on the clock.
+func (s *streams) drain(since time.Duration, endpoints []policy.EndpointID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, id := range servers {
+	for _, id := range endpoints {
 		s.table.Drain(since, uint64(id))
 	}
-	s.arm()
+	s.resetTimer()
 }
 
-// arm sets the timer; s.mu is held.
-func (s *streams) arm() {
+// resetTimer sets the timer to the next timeout; s.mu is locked.
+func (s *streams) resetTimer() {
 	if at, ok := s.table.Next(); ok {
 		s.timer.Reset(max(0, at-s.clock.Now()))
 	} else {
@@ -79,8 +79,8 @@
 	}
 }
 
-// expire cuts what is due. The client is told by an answer that is not whole: to end it cleanly
-// would pass a part for the whole.
+// expire aborts the streams whose timeout has come. Their clients see an incomplete response: a clean end would pass
+// off a part as complete.
 func (s *streams) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,50 +89,53 @@
 		if due == nil {
 			break
 		}
-		go due.Owner.(func())() // may wait for the stream's own locks
+		go due.Owner.(func())() // it may wait for the stream's own locks
 	}
-	s.arm()
+	s.resetTimer()
 }
 
-// held is a stream's place in the table.
-type held struct {
+// trackedStream is a stream's entry in the table.
+type trackedStream struct {
 	streams *streams
-	entry   *streamtimeout.Stream
+	entry   *streamtimeout.Stream // guarded by streams.mu
 	once    sync.Once
 }
 
-func (h *held) over() {
-	h.once.Do(func() {
-		h.streams.mu.Lock()
-		defer h.streams.mu.Unlock()
-		h.streams.table.Close(h.entry)
-		h.streams.arm()
+// remove ends the stream's timeouts. It may be called repeatedly.
+func (t *trackedStream) remove() {
+	t.once.Do(func() {
+		t.streams.mu.Lock()
+		defer t.streams.mu.Unlock()
+		t.streams.table.Close(t.entry)
+		t.streams.resetTimer()
 	})
 }
 
-type heldStream struct {
+// limitedStream is a response stream with timeouts.
+type limitedStream struct {
 	h1client.Stream
-	*held
+	tracked *trackedStream
 }
 
 // Close implements h1client.Stream.
-func (h *heldStream) Close() error {
-	h.over()
-	return h.Stream.Close()
+func (s *limitedStream) Close() error {
+	s.tracked.remove()
+	return s.Stream.Close()
 }
 
-type heldTunnel struct {
+// limitedTunnel is the connection of an upgraded request, with timeouts.
+type limitedTunnel struct {
 	net.Conn
-	*held
+	tracked *trackedStream
 }
 
 // Close implements net.Conn.
-func (h *heldTunnel) Close() error {
-	h.over()
-	return h.Conn.Close()
+func (t *limitedTunnel) Close() error {
+	t.tracked.remove()
+	return t.Conn.Close()
 }
 
-// CloseWrite tells the server that nothing more comes.
-func (h *heldTunnel) CloseWrite() error {
-	return h.Conn.(interface{ CloseWrite() error }).CloseWrite()
+// CloseWrite ends the direction to the endpoint.
+func (t *limitedTunnel) CloseWrite() error {
+	return t.Conn.(interface{ CloseWrite() error }).CloseWrite()
 }
--- a/internal/app/tenants.go
+++ b/internal/app/tenants.go
@@ -7,24 +7,27 @@
 	"yokestall/policy"
 )
 
-// tenantTable is what requests see of a version's tenants: their places by name and by certificate, and one table of
-// token buckets for all clusters. Versions with equal tenants share one, so that a change of anything else costs
-// nothing here. It is not changed once it is there, but for the buckets.
+// tenantTable is what requests read of a version's tenants: their indices by name and by certificate, and one table of
+// token buckets for all clusters. Versions with equal tenants share one, so that other changes cost nothing here. It is
+// immutable but for the buckets.
 type tenantTable struct {
 	list          []config.Tenant
-	nodes         int
+	nodes         int // of the fleet, among which quotas are divided
 	byName        map[string]int
-	byCertificate map[string]int // by names in clients' certificates
+	byCertificate map[string]int // by names in client certificates
 	quotas        *policy.Quotas
 }
 
-// newTenantTable gives the table of a program's tenants: the one of the version before, nil for none, where it still
-// fits. What is left of a tenant's quota goes on with the tenant.
-func newTenantTable(before *tenantTable, p *config.Program) (*tenantTable, error) {
-	if before != nil && before.fits(p) {
-		return before, nil
+// newTenantTable returns the table of a program's tenants: the previous one where it still holds; previous may be nil.
+// What is left of a tenant's quota passes to the new table.
+func newTenantTable(previous *tenantTable, p *config.Program) (*tenantTable, error) {
+	if previous != nil && previous.holds(p) {
+		return previous, nil
+	}
+	t := &tenantTable{
+		list: p.Tenants, nodes: p.Nodes,
+		byName: make(map[string]int, len(p.Tenants)), byCertificate: map[string]int{},
 	}
-	t := &tenantTable{list: p.Tenants, nodes: p.Nodes, byName: make(map[string]int, len(p.Tenants)), byCertificate: map[string]int{}}
 	quotas := make([]policy.Tenant, len(p.Tenants))
 	for i := range p.Tenants {
 		tenant := &p.Tenants[i]
@@ -38,15 +41,15 @@
 	if t.quotas, err = policy.NewQuotas(quotas, p.Nodes); err != nil {
 		return nil, err
 	}
-	if before != nil {
-		t.quotas.Restore(before.quotas, func(tenant int) int { return before.place(t.list[tenant].Name) })
+	if previous != nil {
+		t.quotas.Restore(previous.quotas, func(tenant int) int { return previous.index(t.list[tenant].Name) })
 	}
 	return t, nil
 }
 
-// fits tells whether a program has the table's tenants. A list that was kept from the version before is seen to be
-// the same without a look at each tenant.
-func (t *tenantTable) fits(p *config.Program) bool {
+// holds reports whether a program has the table's tenants. A list that is shared with the previous version is not
+// compared tenant by tenant.
+func (t *tenantTable) holds(p *config.Program) bool {
 	if t.nodes != p.Nodes || len(t.list) != len(p.Tenants) {
 		return false
 	}
@@ -58,10 +61,19 @@
 	})
 }
 
-// place gives a tenant's place in the list by its name; below 0: there is none.
-func (t *tenantTable) place(name string) int {
+// index returns a tenant's index by its name; below 0: there is none.
+func (t *tenantTable) index(name string) int {
 	if i, ok := t.byName[name]; ok {
 		return i
 	}
 	return -1
 }
+
+// sameTenant returns the index of another table's tenant in this one; below 0: it has none of the name. An index that
+// the other table does not have, and every one where there are no tenants, gives 0.
+func (t *tenantTable) sameTenant(other *tenantTable, tenant int) int {
+	if len(t.list) == 0 || tenant >= len(other.list) {
+		return 0
+	}
+	return t.index(other.list[tenant].Name)
+}
--- /dev/null
+++ b/internal/app/tierupdate.go
@@ -0,0 +1,85 @@
+package app
+
+import (
+	"time"
+
+	"yokestall/internal/cluster"
+	"yokestall/internal/engine"
+	"yokestall/internal/upstream/h1client"
+	"yokestall/policy"
+)
+
+// tierUpdate is the difference of two versions of a tier, for each of those that follow its endpoints.
+type tierUpdate struct {
+	clock     engine.Clock
+	servers   []h1client.Server   // for the sender and the pool
+	endpoints []policy.Endpoint   // for the engine
+	draining  []policy.EndpointID // those that drain or were removed, for the streams
+}
+
+// update brings the tier to another version, which was delivered at a time on the clock.
+func (t *tier) update(clock engine.Clock, deliveredAt time.Duration, c *cluster.Cluster, streams *streams) {
+	d := cluster.Compare(t.current, c)
+	t.current = c
+	if d.Empty() {
+		return
+	}
+	u := tierUpdate{clock: clock}
+	u.addDifference(&d)
+	t.sender.update(u.servers)
+	t.pool.Update(false, u.servers)
+	t.engine.UpdateEndpointsAt(deliveredAt, policy.DeltaUpdate, u.endpoints)
+	streams.drain(deliveredAt, u.draining) // after the engine: see streams.limit
+}
+
+// addDifference adds removals before additions: an endpoint whose address changed is another one under the same key.
+func (u *tierUpdate) addDifference(d *cluster.Delta) {
+	for i := range d.Removed {
+		u.remove(&d.Removed[i])
+	}
+	for i := range d.Replaced {
+		u.remove(&d.Replaced[i].Old)
+		u.put(&d.Replaced[i].New)
+	}
+	for i := range d.Added {
+		u.put(&d.Added[i])
+	}
+	for i := range d.Changed {
+		u.put(&d.Changed[i].New)
+	}
+	for i := range d.Draining {
+		u.put(&d.Draining[i])
+	}
+}
+
+// put adds an endpoint as it is now.
+func (u *tierUpdate) put(e *cluster.Endpoint) {
+	id := policy.EndpointID(e.Key())
+	u.servers = append(u.servers, h1client.Server{ID: id, Address: e.Address, Start: float64(e.Started)})
+	endpoint := policy.Endpoint{ID: id, Zone: zoneNumber(e.Zone), Cell: e.Cell, State: policy.Ready, Weight: e.Weight}
+	if !e.Serves() {
+		endpoint.State = policy.Draining
+		u.draining = append(u.draining, id)
+	}
+	if e.Started > 0 {
+		endpoint.StartedAt = u.clock.At(time.UnixMilli(e.Started))
+	}
+	u.endpoints = append(u.endpoints, endpoint)
+}
+
+func (u *tierUpdate) remove(e *cluster.Endpoint) {
+	id := policy.EndpointID(e.Key())
+	u.servers = append(u.servers, h1client.Server{ID: id, Gone: true})
+	u.endpoints = append(u.endpoints, policy.Endpoint{ID: id, State: policy.Removed})
+	u.draining = append(u.draining, id)
+}
+
+// endpoints returns all endpoints of the tier.
+func (t *tier) endpoints() (list []policy.EndpointID) {
+	if t.current != nil {
+		for i := range t.current.Endpoints {
+			list = append(list, policy.EndpointID(t.current.Endpoints[i].Key()))
+		}
+	}
+	return list
+}
