--- a/internal/files/bundle_test.go
+++ b/internal/files/bundle_test.go
@@ -47,7 +47,7 @@
 		{append(list, change, again), "not in the list"}, {list[1:], "is missing"}, {append(list, config.File{Name: "b.toml", Text: []byte(roomsList)}), "is rooms.toml's too"},
 		{append(list, config.File{Name: "other+0001", Text: []byte(strings.Replace(roomsChange, "rooms", "suites", 1))}), "there is no cluster suites"},
 		{[]config.File{{Name: ProgramPart, Text: []byte(bundled[:strings.Index(bundled, "[[host]]")] + "[xds]\nfolder = \"x\"\n")}}, "can't follow a control plane"},
-		{append(list, config.File{Name: "big.toml", Text: make([]byte, maxTotal)}), "in all files together"},
+		{append(list, config.File{Name: "big.toml", Text: make([]byte, maxTotalBytes)}), "in all files together"},
 	} {
 		if _, err := Unbundle(tc.list); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%v, want %q", err, tc.want)
@@ -128,8 +128,8 @@
 			}
 		}
 	}
-	if n := len(p.clusters.inForce) + len(p.clusters.last) + len(p.programs.inForce) + len(p.programs.last) +
-		len(p.changed.inForce) + len(p.changed.last) + len(p.patches.inForce) + len(p.patches.last) + len(p.extended); n > 2*(2+1+1+1)+1 {
+	if n := len(p.clusters.current) + len(p.clusters.last) + len(p.programs.current) + len(p.programs.last) +
+		len(p.changed.current) + len(p.changed.last) + len(p.patches.current) + len(p.patches.last) + len(p.extended); n > 2*(2+1+1+1)+1 {
 		t.Errorf("%d values are kept of two versions", n)
 	}
 }
@@ -163,7 +163,7 @@
 			t.Fatal(err)
 		}
 	}
-	if n := len(p.changed.inForce) + len(p.changed.last) + len(p.patches.inForce) + len(p.patches.last) + len(p.extended); n != 1 {
+	if n := len(p.changed.current) + len(p.changed.last) + len(p.patches.current) + len(p.patches.last) + len(p.extended); n != 1 {
 		t.Errorf("%d values are kept", n)
 	}
 }
--- a/internal/files/cache.go
+++ b/internal/files/cache.go
@@ -1,17 +1,17 @@
 package files
 
-// cache holds what was made of the parts of two versions, the one in force and the one that was looked at last, so
-// that it is bounded by their size.
+// cache has what was made from the parts of two versions, the current one and the one that was parsed last, so that it
+// is bounded by their size. The zero value is empty.
 type cache[K comparable, V any] struct {
-	inForce, last map[K]V
-	next          map[K]V // of the version that is being looked at
-	misses        int     // how many were not held, counted for tests
+	current, last map[K]V
+	next          map[K]V // of the version that is being parsed
+	misses        int     // for tests
 }
 
-// get gives the value of a key, made anew if it is not held.
+// get returns the value of a key and loads it if it is not cached. An error of load is returned and not cached.
 func (c *cache[K, V]) get(key K, load func() (V, error)) (V, error) {
-	v, held := c.find(key)
-	if !held {
+	v, found := c.find(key)
+	if !found {
 		var err error
 		c.misses++
 		if v, err = load(); err != nil {
@@ -22,15 +22,16 @@
 	return v, nil
 }
 
-func (c *cache[K, V]) find(key K) (v V, held bool) {
-	for _, values := range [...]map[K]V{c.next, c.last, c.inForce} {
-		if v, held = values[key]; held {
+func (c *cache[K, V]) find(key K) (v V, found bool) {
+	for _, values := range [...]map[K]V{c.next, c.last, c.current} {
+		if v, found = values[key]; found {
 			return v, true
 		}
 	}
 	return v, false
 }
 
+// put adds a value to the version that is being parsed.
 func (c *cache[K, V]) put(key K, v V) {
 	if c.next == nil {
 		c.next = map[K]V{}
@@ -38,9 +39,9 @@
 	c.next[key] = v
 }
 
-// keyOf gives the key of a value of the versions that are kept.
-func keyOf[K, V comparable](c *cache[K, V], v V) (key K, held bool) {
-	for _, values := range [...]map[K]V{c.last, c.inForce} {
+// keyOf returns the key of a value of the two cached versions.
+func keyOf[K, V comparable](c *cache[K, V], v V) (key K, found bool) {
+	for _, values := range [...]map[K]V{c.last, c.current} {
 		for k, value := range values {
 			if value == v {
 				return k, true
@@ -50,25 +51,25 @@
 	return key, false
 }
 
-// end tells what became of the version that was looked at.
+// end records what became of the version that was parsed.
 func (c *cache[K, V]) end(o outcome) {
 	switch o {
-	case taken:
-		c.inForce, c.last = c.next, nil
-	case refused:
+	case accepted:
+		c.current, c.last = c.next, nil
+	case rejected:
 		c.last = c.next
 	case followed:
-		c.inForce, c.last = c.last, c.next
+		c.current, c.last = c.last, c.next
 	}
 	c.next = nil
 }
 
-// outcome is what became of a version that was looked at.
+// outcome is what became of a version that was parsed.
 type outcome int
 
 const (
-	dropped  outcome = iota // nothing of it is kept
-	refused                 // kept beside the one in force
-	taken                   // in force
-	followed                // kept beside the one that was looked at before
+	discarded outcome = iota // not cached
+	rejected                 // cached beside the current one
+	accepted                 // the current one; no other is cached
+	followed                 // cached beside the one that was parsed before
 )
--- a/internal/files/change.go
+++ b/internal/files/change.go
@@ -1,7 +1,6 @@
 package files
 
 import (
-	"crypto/sha256"
 	"fmt"
 	"maps"
 	"slices"
@@ -10,112 +9,125 @@
 	"yokestall/internal/config"
 )
 
-// changedKey names what changes have made of a list.
+// changedKey identifies the result of changes of a cluster's endpoint list.
 type changedKey struct {
-	list    *cluster.Cluster // as its file has it
-	changes hash             // of the changes since, in their order
+	original *cluster.Cluster // as its file has it
+	changes  hash             // of the changes since, in their order
 }
 
-// extension is what the last changes made of a list, beside the versions that were read whole.
+// extension is the result of the last Change of a cluster.
 type extension struct {
-	key  changedKey
-	made *cluster.Cluster
+	key    changedKey
+	result *cluster.Cluster
 }
 
-// changedList is a list with the changes that it is to get.
-type changedList struct {
-	from    *cluster.Cluster
-	key     changedKey
+// pendingChanges is a cluster with changes that are to be applied to it.
+type pendingChanges struct {
+	from    *cluster.Cluster // may itself be the result of changes
+	key     changedKey       // of the result
 	patches []*cluster.Patch
 }
 
-// Change is as the function. What it gives is found again by Unbundle where it is told the same lists and changes.
+// Change is like the function. Its results are cached for an Unbundle of the same files and changes.
 func (p *Parser) Change(clusters map[string]*cluster.Cluster, changes []config.File) (map[string]*cluster.Cluster, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out, lists, err := p.change(clusters, changes)
-	p.patches.end(dropped)
-	p.changed.end(dropped)
+	out, pending, err := p.change(clusters, changes)
+	p.patches.end(discarded)
+	p.changed.end(discarded)
 	if err != nil {
 		return nil, err
 	}
 	if p.extended == nil {
 		p.extended = map[*cluster.Cluster]extension{}
 	}
-	for name, l := range lists {
-		p.extended[l.key.list] = extension{l.key, out[name]}
+	for name, l := range pending {
+		p.extended[l.key.original] = extension{l.key, out[name]}
 	}
 	return out, nil
 }
 
-// change gives clusters as changes make them, and the lists that these changed, by the clusters' names.
-func (p *Parser) change(clusters map[string]*cluster.Cluster, changes []config.File) (map[string]*cluster.Cluster, map[string]*changedList, error) {
+// change returns the clusters after the changes, and the changes by the names of their clusters.
+func (p *Parser) change(clusters map[string]*cluster.Cluster, changes []config.File) (
+	map[string]*cluster.Cluster, map[string]*pendingChanges, error,
+) {
 	if len(changes) == 0 {
 		return clusters, nil, nil
 	}
-	lists := map[string]*changedList{}
+	pending, err := p.groupChanges(clusters, changes)
+	if err != nil {
+		return nil, nil, err
+	}
+	out := maps.Clone(clusters)
+	for _, name := range slices.Sorted(maps.Keys(pending)) {
+		if out[name], err = p.applyChanges(pending[name]); err != nil {
+			return nil, nil, err
+		}
+	}
+	endpoints := 0
+	for _, c := range out {
+		endpoints += len(c.Endpoints)
+	}
+	if endpoints > config.MaxServers {
+		text := fmt.Sprintf("over %d servers in all clusters together", config.MaxServers)
+		return nil, nil, &cluster.Problem{Source: changes[len(changes)-1].Name, Text: text}
+	}
+	return out, pending, nil
+}
+
+// groupChanges parses changes and returns them by the names of the clusters that they change.
+func (p *Parser) groupChanges(
+	clusters map[string]*cluster.Cluster, changes []config.File,
+) (map[string]*pendingChanges, error) {
+	pending := map[string]*pendingChanges{}
 	for _, f := range changes {
-		patch, err := p.patches.get(partKey{f.Name, sha256.Sum256(f.Text)}, func() (*cluster.Patch, error) { return config.ParseChange(f) })
+		key := partKey{f.Name, hashOf(f.Text)}
+		patch, err := p.patches.get(key, func() (*cluster.Patch, error) { return config.ParseChange(f) })
 		if err != nil {
-			return nil, nil, err
+			return nil, err
 		}
-		l := lists[patch.Name]
+		l := pending[patch.Name]
 		if l == nil {
 			c := clusters[patch.Name]
 			if c == nil {
-				return nil, nil, &cluster.Problem{Source: f.Name, Text: fmt.Sprintf("there is no cluster %s", patch.Name)}
+				return nil, &cluster.Problem{Source: f.Name, Text: fmt.Sprintf("there is no cluster %s", patch.Name)}
 			}
-			l = p.changesOf(c)
-			lists[patch.Name] = l
-		}
-		l.add(patch, f)
-	}
-	out := maps.Clone(clusters)
-	for _, name := range slices.Sorted(maps.Keys(lists)) {
-		var err error
-		if out[name], err = p.made(lists[name]); err != nil {
-			return nil, nil, err
+			l = p.newPendingChanges(c)
+			pending[patch.Name] = l
 		}
+		l.add(patch, key.hash)
 	}
-	servers := 0
-	for _, c := range out {
-		servers += len(c.Endpoints)
-	}
-	if servers > config.MaxServers {
-		f := changes[len(changes)-1]
-		return nil, nil, &cluster.Problem{Source: f.Name, Text: fmt.Sprintf("over %d servers in all clusters together", config.MaxServers)}
-	}
-	return out, lists, nil
+	return pending, nil
 }
 
-// changesOf begins the changes of a list, which may itself be what changes made.
-func (p *Parser) changesOf(c *cluster.Cluster) *changedList {
-	if key, held := keyOf(&p.changed, c); held {
-		return &changedList{from: c, key: key}
+// newPendingChanges returns no changes so far to a cluster, which may itself be the result of changes.
+func (p *Parser) newPendingChanges(c *cluster.Cluster) *pendingChanges {
+	if key, found := keyOf(&p.changed, c); found {
+		return &pendingChanges{from: c, key: key}
 	}
 	for _, e := range p.extended {
-		if e.made == c {
-			return &changedList{from: c, key: e.key}
+		if e.result == c {
+			return &pendingChanges{from: c, key: e.key}
 		}
 	}
-	return &changedList{from: c, key: changedKey{list: c}}
+	return &pendingChanges{from: c, key: changedKey{original: c}}
 }
 
-// made gives what the changes make of a list.
-func (p *Parser) made(l *changedList) (*cluster.Cluster, error) {
-	if e, held := p.extended[l.key.list]; held && e.key == l.key {
-		p.changed.put(l.key, e.made)
+// applyChanges returns the cluster after the changes; one that is cached is the same value.
+func (p *Parser) applyChanges(l *pendingChanges) (*cluster.Cluster, error) {
+	if e, found := p.extended[l.key.original]; found && e.key == l.key {
+		p.changed.put(l.key, e.result)
 	}
 	return p.changed.get(l.key, l.apply)
 }
 
-func (l *changedList) add(patch *cluster.Patch, f config.File) {
-	sum := sha256.Sum256(f.Text)
-	l.key.changes = sha256.Sum256(slices.Concat(l.key.changes[:], sum[:]))
+// add appends a change, of which it is given the hash.
+func (l *pendingChanges) add(patch *cluster.Patch, textHash hash) {
+	l.key.changes = hashOf(slices.Concat(l.key.changes[:], textHash[:]))
 	l.patches = append(l.patches, patch)
 }
 
-func (l *changedList) apply() (c *cluster.Cluster, err error) {
+func (l *pendingChanges) apply() (c *cluster.Cluster, err error) {
 	c = l.from
 	for _, patch := range l.patches {
 		if c, err = c.Apply(patch); err != nil {
--- a/internal/files/reader.go
+++ b/internal/files/reader.go
@@ -1,15 +1,8 @@
 package files
 
 import (
-	"bytes"
-	"crypto/sha256"
 	"errors"
 	"fmt"
-	"io"
-	"io/fs"
-	"os"
-	"path/filepath"
-	"slices"
 	"strings"
 	"time"
 
@@ -19,51 +12,42 @@
 )
 
 const (
-	readTries = 5 // until the files stand still while they are read
-	readPause = 5 * time.Millisecond
-	maxTotal  = 64 << 20 // bytes of all files of a version
-	maxKnown  = 4 * config.MaxFiles
+	// maxScans bounds how often a scan starts over because files change while they are read.
+	maxScans = 5
+	// rescanDelay is the time between two of them.
+	rescanDelay = 5 * time.Millisecond
+	// maxTotalBytes bounds the size of all files of a version.
+	maxTotalBytes = 64 << 20
+	// maxRecords bounds the records that are cached while versions are rejected.
+	maxRecords = 4 * config.MaxFiles
 )
 
-var errMoving = errors.New("the files change while they are read")
+// errFilesChanged is returned where files change while they are read.
+var errFilesChanged = errors.New("the files change while they are read")
 
-// reader reads the files of a configuration again and again, and of each only what has changed by its stamp.
+// reader reads the files of a configuration repeatedly, and of them only those that changed by their stamps.
 type reader struct {
-	path  string // of the program's file
-	clock func() time.Time
-	stat  func(name string) stamp
-	known map[string]*record
-	used  []*record // by the last scan
-	whole bool      // the last scan saw all of them stand still
-	total int64     // bytes of the files of this scan
-	reads int       // of files and folders, counted for tests
+	path      string // of the program's file
+	clock     func() time.Time
+	stat      func(name string) stamp
+	records   map[string]*record // by record.key
+	scanned   []*record          // by the last scan
+	stable    bool               // no file changed during the last scan
+	scanBytes int64              // size of the files of this scan so far
+	reads     int                // of files and folders, for tests
 }
 
-// record is what is known of a file or a folder.
-type record struct {
-	key  string // in reader.known
-	name string
-	history
-	sum   hash
-	text  []byte // while a scan's files are looked at
-	size  int64
-	names []string // of a folder
-	err   error    // by which it could not be read
-}
-
-type hash = [sha256.Size]byte
-
 func newReader(path string) *reader {
-	return &reader{path: path, clock: time.Now, stat: readStamp, known: map[string]*record{}}
+	return &reader{path: path, clock: time.Now, stat: readStamp, records: map[string]*record{}}
 }
 
-// unchanged tells whether nothing has changed since the last scan, at the cost of a stat for each file and folder.
+// unchanged reports whether no file changed since the last scan, at the cost of a stat for each file and folder.
 func (r *reader) unchanged() bool {
-	if !r.whole {
+	if !r.stable {
 		return false
 	}
 	at := r.clock()
-	for _, f := range r.used {
+	for _, f := range r.scanned {
 		if !f.upToDate(r.stat(f.name), at) {
 			return false
 		}
@@ -71,36 +55,36 @@
 	return true
 }
 
-// scan gives the files of one version: it starts again where one of them changes meanwhile. Parser reads the
-// program's file, which names the others.
-func (r *reader) scan(p *Parser) (*version, error) {
-	for try := 0; ; try++ {
+// scan returns the files of one version and starts over where one of them changes meanwhile. The parser reads the
+// program's file, which names the others. The error is errFilesChanged if the files don't come to rest.
+func (r *reader) scan(p *Parser) (*contents, error) {
+	for scans := 1; ; scans++ {
 		v, err := r.scanOnce(p)
-		if !errors.Is(err, errMoving) || try == readTries-1 {
+		if !errors.Is(err, errFilesChanged) || scans == maxScans {
 			return v, err
 		}
-		time.Sleep(readPause)
+		time.Sleep(rescanDelay)
 	}
 }
 
-func (r *reader) scanOnce(p *Parser) (*version, error) {
-	r.used, r.whole, r.total = r.used[:0], false, 0
-	v, err := r.version(p)
-	if errors.Is(err, errMoving) {
+func (r *reader) scanOnce(p *Parser) (*contents, error) {
+	r.scanned, r.stable, r.scanBytes = r.scanned[:0], false, 0
+	v, err := r.contents(p)
+	if errors.Is(err, errFilesChanged) {
 		return nil, err
 	}
-	for _, f := range r.used {
+	for _, f := range r.scanned {
 		if f.stamp != r.stat(f.name) {
-			return nil, errMoving
+			return nil, errFilesChanged
 		}
 	}
-	r.whole = true
+	r.stable = true
 	return v, err
 }
 
-// version reads the program's file and those that it points to.
-func (r *reader) version(p *Parser) (v *version, err error) {
-	v = &version{}
+// contents reads the program's file and those that it names.
+func (r *reader) contents(p *Parser) (v *contents, err error) {
+	v = &contents{}
 	if v.program, err = r.file(r.path); err != nil {
 		return nil, err
 	}
@@ -131,11 +115,11 @@
 
 func isXDSFile(name string) bool { return xdsfile.Is(strings.TrimSuffix(name, xdsfile.SumSuffix)) }
 
-// files gives those of a folder that are wanted.
-func (r *reader) files(folder, what string, wanted func(name string) bool) ([]part, error) {
-	names, err := r.folder(Beside(r.path, folder), wanted)
+// files returns the files of a folder whose names are selected. Errors call them kind.
+func (r *reader) files(folder, kind string, selected func(name string) bool) ([]part, error) {
+	names, err := r.folder(Beside(r.path, folder), selected)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", what, err)
+		return nil, fmt.Errorf("%s: %w", kind, err)
 	}
 	list := make([]part, 0, len(names))
 	for _, name := range names {
@@ -148,35 +132,37 @@
 	return list, nil
 }
 
-// look gives a file's or folder's record, and whether it has to be read.
-func (r *reader) look(key, name string) (f *record, stale bool) {
-	f = r.known[key]
+// record returns the record of a file or folder with its present stamp, and whether it has to be read.
+func (r *reader) record(key, name string) (f *record, stale bool) {
+	f = r.records[key]
 	if f == nil {
 		f = &record{key: key, name: name}
-		r.known[key] = f
+		r.records[key] = f
 	}
-	r.used = append(r.used, f)
-	now, at := r.stat(name), r.clock()
-	if f.upToDate(now, at) {
+	r.scanned = append(r.scanned, f)
+	stamp, at := r.stat(name), r.clock()
+	if f.upToDate(stamp, at) {
 		return f, false
 	}
-	f.record(now, at)
+	f.recordRead(stamp, at)
 	return f, true
 }
 
-func (r *reader) folder(name string, wanted func(name string) bool) ([]string, error) {
-	f, stale := r.look(name+"/", name)
+// folder returns the paths of a folder's files whose names are selected.
+func (r *reader) folder(name string, selected func(name string) bool) ([]string, error) {
+	f, stale := r.record(name+"/", name)
 	if stale {
 		r.reads++
-		if f.names, f.err = list(name, wanted); f.err != nil {
-			f.again()
+		if f.names, f.err = listFolder(name, selected); f.err != nil {
+			f.invalidate()
 		}
 	}
 	return f.names, f.err
 }
 
+// file returns a file, whose content is read if its stamp changed.
 func (r *reader) file(name string) (part, error) {
-	f, stale := r.look(name, name)
+	f, stale := r.record(name, name)
 	if stale {
 		f.text, f.size = nil, 0
 		if f.err = f.stamp.fileProblem(name); f.err == nil {
@@ -186,128 +172,56 @@
 	if f.err != nil {
 		return part{}, f.err
 	}
-	if r.total += f.size; r.total > maxTotal {
-		return part{}, tooMuch(name)
+	if r.scanBytes += f.size; r.scanBytes > maxTotalBytes {
+		return part{}, totalSizeProblem(name)
 	}
-	return part{name: name, sum: f.sum, text: func() ([]byte, error) { return r.text(f) }}, nil
+	return part{name: name, hash: f.hash, text: func() ([]byte, error) { return r.text(f) }}, nil
 }
 
-func tooMuch(name string) error {
-	return &cluster.Problem{Source: name, Text: fmt.Sprintf("all files together have over %d bytes", maxTotal)}
+func totalSizeProblem(name string) error {
+	text := fmt.Sprintf("all files together have over %d bytes", maxTotalBytes)
+	return &cluster.Problem{Source: name, Text: text}
 }
 
-// read reads a file's content, if it is not too much beside the others'.
+// read reads a file's content into its record, unless all files together would be too large.
 func (r *reader) read(f *record) error {
-	if r.total+f.stamp.size > maxTotal {
-		f.again()
-		return tooMuch(f.name)
+	if r.scanBytes+f.stamp.size > maxTotalBytes {
+		f.invalidate()
+		return totalSizeProblem(f.name)
 	}
 	r.reads++
-	text, err := readWhole(f.name, f.stamp.size)
+	text, err := readContent(f.name, f.stamp.size)
 	if err != nil {
-		f.again()
+		f.invalidate()
 		return err
 	}
-	f.text, f.size, f.sum = text, int64(len(text)), sha256.Sum256(text)
+	f.text, f.size, f.hash = text, int64(len(text)), hashOf(text)
 	return nil
 }
 
-// again has a file or folder read at the next look, whatever its stamp says.
-func (f *record) again() { f.read = time.Time{} }
-
-// text gives the content that a scan found in a file, read again if it is no longer held.
+// text returns the content that a scan found in a file, which is read once more after finishScan. The error is
+// errFilesChanged if the file has another content by then.
 func (r *reader) text(f *record) ([]byte, error) {
 	if f.text != nil {
 		return f.text, nil
 	}
 	r.reads++
-	text, err := readWhole(f.name, f.stamp.size)
-	if err == nil && sha256.Sum256(text) == f.sum {
+	text, err := readContent(f.name, f.stamp.size)
+	if err == nil && hashOf(text) == f.hash {
 		return text, nil
 	}
-	f.again()
-	r.whole = false
-	return nil, errMoving
+	f.invalidate()
+	r.stable = false
+	return nil, errFilesChanged
 }
 
-// finishScan lets go of the contents, and of what a version that was good had no use for.
-func (r *reader) finishScan(good bool) {
-	if good || len(r.known) > maxKnown {
-		clear(r.known)
+// finishScan releases the contents, and the records that an accepted version did not use.
+func (r *reader) finishScan(accepted bool) {
+	if accepted || len(r.records) > maxRecords {
+		clear(r.records)
 	}
-	for _, f := range r.used {
+	for _, f := range r.scanned {
 		f.text = nil
-		r.known[f.key] = f
-	}
-}
-
-// Beside gives a path that is written in a file.
-func Beside(path, name string) string {
-	if filepath.IsAbs(name) {
-		return name
-	}
-	return filepath.Join(filepath.Dir(path), name)
-}
-
-// list names the files of a folder that are wanted and don't begin with a dot.
-func list(folder string, wanted func(name string) bool) ([]string, error) {
-	d, err := os.Open(folder)
-	if err != nil {
-		return nil, err
-	}
-	defer d.Close()
-	var names []string
-	for {
-		entries, err := d.ReadDir(256)
-		for _, e := range entries {
-			if wanted(e.Name()) && !strings.HasPrefix(e.Name(), ".") {
-				names = append(names, filepath.Join(folder, e.Name()))
-			}
-		}
-		if len(names) > config.MaxFiles {
-			return nil, &cluster.Problem{Source: folder, Text: fmt.Sprintf("over %d files", config.MaxFiles)}
-		}
-		if err == io.EOF {
-			slices.Sort(names)
-			return names, nil
-		}
-		if err != nil {
-			return nil, err
-		}
-	}
-}
-
-// readFile reads a file that may be anything.
-func readFile(name string) ([]byte, error) {
-	s := readStamp(name)
-	if err := s.fileProblem(name); err != nil {
-		return nil, err
-	}
-	return readWhole(name, s.size)
-}
-
-// readWhole reads a file of about this size.
-func readWhole(name string, size int64) ([]byte, error) {
-	f, err := os.Open(name)
-	if err != nil {
-		return nil, &cluster.Problem{Source: name, Text: cause(err)}
-	}
-	defer f.Close()
-	text := bytes.NewBuffer(make([]byte, 0, min(size, config.MaxFile)+bytes.MinRead))
-	if _, err := text.ReadFrom(io.LimitReader(f, config.MaxFile+1)); err != nil {
-		return nil, &cluster.Problem{Source: name, Text: cause(err)}
-	}
-	if text.Len() > config.MaxFile {
-		return nil, &cluster.Problem{Source: name, Text: fmt.Sprintf("over %d bytes", config.MaxFile)}
-	}
-	return text.Bytes(), nil
-}
-
-// cause gives an error of the file system without the path that stands before it.
-func cause(err error) string {
-	var p *fs.PathError
-	if errors.As(err, &p) {
-		return p.Err.Error()
+		r.records[f.key] = f
 	}
-	return err.Error()
 }
--- /dev/null
+++ b/internal/files/snapshot.go
@@ -0,0 +1,38 @@
+package files
+
+import (
+	"yokestall/internal/cluster"
+	"yokestall/internal/config"
+	"yokestall/internal/xds/state"
+	"yokestall/internal/xds/translate"
+)
+
+// Snapshot is a complete, checked version of all files.
+type Snapshot struct {
+	Program     *config.Program
+	Version     *cluster.Version
+	contentHash hash
+}
+
+// Load reads and checks the program's file and the files that it names: all that a check does, and all that the running
+// program accepts a version by except cluster.Review. The error has what is wrong by file and line.
+func Load(path string) (*Snapshot, error) {
+	return load(newReader(path), NewParser())
+}
+
+func load(r *reader, p *Parser) (*Snapshot, error) {
+	v, err := r.scan(p)
+	if err != nil {
+		return nil, err
+	}
+	return p.check(v)
+}
+
+// XDSOptions returns the options by which a program's file has resources in xDS form translated and tracked.
+func XDSOptions(p *config.Program) (translate.Options, state.Options) {
+	t := translate.Options{Class: p.XDS.Class}
+	for _, c := range p.Classes {
+		t.Classes = append(t.Classes, c.Name)
+	}
+	return t, state.Options{Listener: p.XDS.Listener, Route: p.XDS.Routes, Named: p.XDS.Named}
+}
--- a/internal/files/stamp.go
+++ b/internal/files/stamp.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// settle is longer than the steps of any file system's clock. A file that is read later than this after its stamp
-	// was first seen can't be written again without another stamp.
-	settle = 2 * time.Second
-	// fullRead is how often files are read whatever their stamps say: writes through a memory map and some network
-	// file systems leave no stamp, or leave it late.
-	fullRead = time.Hour
+	// stampSettleTime is longer than the steps of any file system's clock. A file that is read later than this after
+	// its stamp was first seen can't be written again without another stamp.
+	stampSettleTime = 2 * time.Second
+	// fullReadInterval is how often files are read whatever their stamps are: writes through a memory map, and some
+	// network file systems, leave no stamp or leave it late.
+	fullReadInterval = time.Hour
 )
 
-// stamp is what the file system tells of a file or folder without its content. Symbolic links are followed.
+// stamp identifies a version of a file or folder without its content, by stat(2). Symbolic links are followed.
 type stamp struct {
 	device, inode     uint64
 	mode              uint32
 	size              int64
 	modified, changed int64         // nanoseconds; a program can set modified, not changed
-	fault             syscall.Errno // the rest is zero then
+	fault             syscall.Errno // of stat; the rest is zero then
 }
 
-// readStamp asks the file system.
+// readStamp returns the present stamp of a path.
 func readStamp(name string) stamp {
 	for {
 		var st syscall.Stat_t
@@ -48,8 +48,8 @@
 	}
 }
 
-// fileProblem tells why a file with this stamp can't be read, nil if it may be. It is asked before the file is opened,
-// since to open a pipe would wait for a writer.
+// fileProblem returns why a file with this stamp can't be read, a *cluster.Problem; nil if it may be. It has to be
+// called before the file is opened, since opening a pipe waits for a writer.
 func (s stamp) fileProblem(name string) error {
 	if s.fault != 0 {
 		if _, err := os.Lstat(name); s.fault == syscall.ENOENT && err == nil {
@@ -67,31 +67,3 @@
 	}
 	return nil
 }
-
-// history is when a file or folder was seen and read with the stamp that it has.
-type history struct {
-	stamp stamp
-	seen  time.Time // first, with this stamp
-	read  time.Time // last
-}
-
-// upToDate tells whether what was read still stands, by the stamp that there is now. Within settle after a stamp was first
-// seen a later write may leave the same one, so that the content is read again until then ("racily clean", as git's
-// index calls it). The file system's clock is not compared with this machine's, which may be another.
-func (h *history) upToDate(now stamp, at time.Time) bool {
-	switch {
-	case h.read.IsZero() || h.stamp != now:
-		return false
-	case h.read.Before(h.seen.Add(settle)):
-		return false
-	}
-	return at.Before(h.read.Add(fullRead))
-}
-
-// record takes down a stamp, before the content is read at this time.
-func (h *history) record(now stamp, at time.Time) {
-	if h.read.IsZero() || h.stamp != now {
-		h.stamp, h.seen = now, at
-	}
-	h.read = at
-}
--- a/internal/files/stamp_test.go
+++ b/internal/files/stamp_test.go
@@ -14,8 +14,8 @@
 func TestFresh(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	s := stamp{device: 1, inode: 2, mode: syscall.S_IFREG | 0o644, size: 3, modified: 4, changed: 5}
-	settled := history{stamp: s, seen: start, read: start.Add(settle)}
-	at := settled.read.Add(time.Second)
+	settled := history{stamp: s, firstSeen: start, lastRead: start.Add(stampSettleTime)}
+	at := settled.lastRead.Add(time.Second)
 	other := func(change func(s *stamp)) stamp {
 		s := s
 		change(&s)
@@ -32,7 +32,7 @@
 		{"never read", history{}, s, at, false},
 		{"never read and not there", history{}, stamp{}, at, false},
 		{"read as it was seen first", history{s, start, start}, s, at, false},
-		{"read just before it settled", history{s, start, start.Add(settle - 1)}, s, at, false},
+		{"read just before it settled", history{s, start, start.Add(stampSettleTime - 1)}, s, at, false},
 		{"another device", settled, other(func(s *stamp) { s.device++ }), at, false},
 		{"another file", settled, other(func(s *stamp) { s.inode++ }), at, false},
 		{"another kind", settled, other(func(s *stamp) { s.mode = syscall.S_IFDIR }), at, false},
@@ -41,18 +41,18 @@
 		{"an older modification", settled, other(func(s *stamp) { s.modified = -1 }), at, false},
 		{"changed with its modification restored", settled, other(func(s *stamp) { s.changed++ }), at, false},
 		{"gone", settled, stamp{fault: syscall.ENOENT}, at, false},
-		{"just before the full read", settled, s, settled.read.Add(fullRead - 1), true},
-		{"at the full read", settled, s, settled.read.Add(fullRead), false},
+		{"just before the full read", settled, s, settled.lastRead.Add(fullReadInterval - 1), true},
+		{"at the full read", settled, s, settled.lastRead.Add(fullReadInterval), false},
 	} {
 		if tc.h.upToDate(tc.now, tc.at) != tc.fresh {
 			t.Errorf("%s: fresh is %v", tc.name, !tc.fresh)
 		}
 	}
 	h := settled
-	if h.record(s, at); h.seen != start || !h.upToDate(s, at) {
+	if h.recordRead(s, at); h.firstSeen != start || !h.upToDate(s, at) {
 		t.Errorf("read again with the same stamp: %+v", h)
 	}
-	if h.record(other(func(s *stamp) { s.changed++ }), at); h.seen != at || h.upToDate(h.stamp, at.Add(settle)) {
+	if h.recordRead(other(func(s *stamp) { s.changed++ }), at); h.firstSeen != at || h.upToDate(h.stamp, at.Add(stampSettleTime)) {
 		t.Errorf("read with another stamp: %+v", h)
 	}
 }
@@ -86,7 +86,7 @@
 func (r *resting) settle() {
 	r.t.Helper()
 	for range 2 {
-		r.now = r.now.Add(settle)
+		r.now = r.now.Add(stampSettleTime)
 		r.w.poll(true)
 	}
 	if !r.w.reader.unchanged() {
@@ -251,7 +251,7 @@
 	f := newFolder(t)
 	r := rest(f)
 	frozen := map[string]stamp{}
-	for _, u := range r.w.reader.used {
+	for _, u := range r.w.reader.scanned {
 		frozen[u.name] = u.stamp
 	}
 	r.w.reader.stat = func(name string) stamp { return frozen[name] }
@@ -259,7 +259,7 @@
 	if r.poll() != nil {
 		t.Fatal("seen with the stamp of before: the test freezes nothing")
 	}
-	r.now = r.now.Add(fullRead)
+	r.now = r.now.Add(fullReadInterval)
 	if s := r.w.poll(true); s == nil || ports(s) != "1 2 3 5" {
 		t.Error("it is never seen")
 	}
@@ -345,7 +345,7 @@
 	if s := change(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1), 1); s == nil || s.Program == first.Program || s.Version.Clusters["rooms"] != r.w.current.Version.Clusters["rooms"] {
 		t.Error("a class's change is not taken, or with other clusters")
 	}
-	held := len(r.w.parser.clusters.inForce) + len(r.w.parser.clusters.last) + len(r.w.parser.programs.inForce) + len(r.w.parser.programs.last)
+	held := len(r.w.parser.clusters.current) + len(r.w.parser.clusters.last) + len(r.w.parser.programs.current) + len(r.w.parser.programs.last)
 	if held > 2*12 {
 		t.Errorf("%d parsed files are held", held)
 	}
@@ -451,12 +451,12 @@
 // Files that come and go while a fault stands are not remembered for ever.
 func TestKnownIsBounded(t *testing.T) {
 	r := newReader("x")
-	for i := range maxKnown + 1 {
-		r.known[fmt.Sprint(i)] = &record{key: fmt.Sprint(i)}
+	for i := range maxRecords + 1 {
+		r.records[fmt.Sprint(i)] = &record{key: fmt.Sprint(i)}
 	}
-	r.used = []*record{r.known["7"]}
+	r.scanned = []*record{r.records["7"]}
 	r.finishScan(false)
-	if len(r.known) != 1 || r.known["7"] == nil {
-		t.Errorf("%d are remembered", len(r.known))
+	if len(r.records) != 1 || r.records["7"] == nil {
+		t.Errorf("%d are remembered", len(r.records))
 	}
 }
--- a/internal/files/watcher.go
+++ b/internal/files/watcher.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"crypto/sha256"
 	"errors"
 	"log/slog"
 	"path/filepath"
@@ -11,49 +10,39 @@
 	"strings"
 	"time"
 
-	"github.com/fsnotify/fsnotify"
-
 	"yokestall/internal/cluster"
 )
 
-const maxCauses = 1000 // remembered, so that each is logged once
+// maxLoggedCauses bounds the causes of rejected files that are cached so that each is logged once.
+const maxLoggedCauses = 1000
 
 // filesRejected is the log event of files that are not put in force.
 const filesRejected = "configuration files rejected, keeping the last good version"
 
-// Watcher follows the files. Create it with Open.
+// Watcher follows the files of a configuration. Create it with Open. Its methods are for one goroutine.
 type Watcher struct {
-	path    string
+	path    string // of the program's file
 	log     *slog.Logger
 	reader  *reader
 	parser  *Parser
 	current *Snapshot
-	number  uint64
+	number  uint64 // of current
 
-	verdict     verdict         // of the last look that read something
-	refused     hash            // the content refused last, seen once
-	logged      map[string]bool // causes
-	newNotifier func() (*notifier, error)
-	onPoll      func() // called after each look of the poll; nil: nobody waits for it
-}
+	verdict      verdict         // of the last poll that read something
+	lastRejected hash            // verdict.hash of the poll before, if that was rejected; else zero
+	loggedCauses map[string]bool // since the last accepted version
 
-// notifier tells of changes below folders. What it tells is a hint to look.
-type notifier struct {
-	events <-chan fsnotify.Event
-	faults <-chan error // an overflow, say
-	add    func(folder string) error
-	close  func() error
+	newNotifier func() (*notifier, error)
+	onPoll      func() // called after each poll by the timer, for tests; may be nil
 }
 
-func newNotifier() (*notifier, error) {
-	w, err := fsnotify.NewWatcher()
-	if err != nil {
-		return nil, err
-	}
-	return &notifier{w.Events, w.Errors, w.Add, w.Close}, nil
+// verdict is what is wrong with the files, as they were when some of them were read last.
+type verdict struct {
+	hash hash  // of their contents; of err where not all could be read
+	err  error // nil: nothing is wrong
 }
 
-// Open reads the first version, which has to be good.
+// Open reads the first version. The error says why it is rejected.
 func Open(path string, log *slog.Logger) (*Watcher, *Snapshot, error) {
 	r, p := newReader(path), NewParser()
 	s, err := load(r, p)
@@ -61,59 +50,83 @@
 		return nil, nil, err
 	}
 	r.finishScan(true)
-	p.end(taken)
+	p.end(accepted)
 	s.Version.Number = 1
-	return &Watcher{path: path, log: log, reader: r, parser: p, current: s, number: 1, logged: map[string]bool{}, newNotifier: newNotifier}, s, nil
+	w := &Watcher{
+		path: path, log: log, reader: r, parser: p, current: s, number: 1,
+		loggedCauses: map[string]bool{}, newNotifier: newNotifier,
+	}
+	return w, s, nil
+}
+
+// Run calls apply with each new version, in its own goroutine, until ctx ends. Changes are found by notification, and
+// by the stamps and the contents of the files at each poll, which alone is sufficient.
+func (w *Watcher) Run(ctx context.Context, apply func(*Snapshot)) {
+	notifier := w.startNotifier()
+	defer notifier.close()
+	watched := w.folders()
+	for {
+		reason := awaitWakeup(ctx, notifier, w.current.Program.Files.Poll)
+		if reason == wakeupStopped {
+			return
+		}
+		byTimer := reason == wakeupTimer
+		if s := w.poll(byTimer); s != nil {
+			apply(s)
+		}
+		if byTimer && w.onPoll != nil {
+			w.onPoll()
+		}
+		if folders := w.folders(); !slices.Equal(folders, watched) {
+			for _, folder := range folders {
+				notifier.add(folder) // polling finds what a failure misses
+			}
+			watched = folders
+		}
+	}
 }
 
-// Run calls take with each new version, until ctx ends. Changes are seen by
-// notification, and by the stamps and the content of the files at each poll, which alone is enough.
-func (w *Watcher) Run(ctx context.Context, take func(*Snapshot)) {
-	notes, err := w.newNotifier()
+// startNotifier returns a notifier of the present folders. Without one, polling finds the changes.
+func (w *Watcher) startNotifier() *notifier {
+	n, err := w.newNotifier()
 	if err != nil {
 		w.log.Warn("file notification unavailable, polling only", "err", err)
-		notes = &notifier{add: func(string) error { return nil }, close: func() error { return nil }}
+		return nopNotifier()
 	}
-	defer notes.close()
 	for _, folder := range w.folders() {
-		if err := notes.add(folder); err != nil {
+		if err := n.add(folder); err != nil {
 			w.log.Warn("file notification unavailable, polling only", "folder", folder, "err", err)
 		}
 	}
-	watched := w.folders()
-	for {
-		poll := time.NewTimer(w.current.Program.Files.Poll)
-		select {
-		case <-ctx.Done():
-			poll.Stop()
-			return
-		case <-notes.events:
-			poll.Stop()
-			if s := w.poll(false); s != nil {
-				take(s)
-			}
-		case <-notes.faults:
-			poll.Stop()
-			if s := w.poll(false); s != nil {
-				take(s)
-			}
-		case <-poll.C:
-			if s := w.poll(true); s != nil {
-				take(s)
-			}
-			if w.onPoll != nil {
-				w.onPoll()
-			}
-		}
-		if now := w.folders(); !slices.Equal(now, watched) {
-			for _, folder := range now {
-				notes.add(folder) // polling sees what this can't
-			}
-			watched = now
-		}
+	return n
+}
+
+// wakeup is why a Watcher polls the files.
+type wakeup uint8
+
+const (
+	wakeupStopped  wakeup = iota // it does not: its context has ended
+	wakeupNotified               // a change was notified, or notifications were lost
+	wakeupTimer                  // the poll interval is over
+)
+
+// awaitWakeup waits for a notification, the end of the poll interval or that of ctx.
+func awaitWakeup(ctx context.Context, n *notifier, pollInterval time.Duration) wakeup {
+	timer := time.NewTimer(pollInterval)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return wakeupStopped
+	case <-n.events:
+		return wakeupNotified
+	case <-n.faults:
+		return wakeupNotified
+	case <-timer.C:
+		return wakeupTimer
 	}
 }
 
+// folders returns the folders with files of the present version.
 func (w *Watcher) folders() []string {
 	p, all := w.current.Program, []string{filepath.Dir(w.path)}
 	for _, folder := range []string{p.Files.Folder, p.XDS.Folder} {
@@ -129,106 +142,103 @@
 	return all
 }
 
-// verdict is what is wrong with the files, as they were when something of them was read.
-type verdict struct {
-	sum hash // of their contents, or of what is wrong where not all could be read
-	err error
-}
-
-// poll gives a version that is new, whole and not held back. Files that have not changed since the last poll are not
-// read, and what was found wrong with them stands.
-func (w *Watcher) poll(polled bool) *Snapshot {
+// poll returns a version that is new and accepted; nil if there is none. Files that have not changed since the last
+// poll are not read, and the verdict on them stays. byTimer is false for a poll after a notification, which may come
+// while a file is being written, so that nothing is logged then.
+func (w *Watcher) poll(byTimer bool) *Snapshot {
 	if !w.reader.unchanged() {
 		if s := w.read(); s != nil {
 			return s
 		}
 	}
-	if polled && w.verdict.err != nil {
-		w.tell()
+	if byTimer && w.verdict.err != nil {
+		w.logVerdict()
 	}
 	return nil
 }
 
-// read reads what has changed of the files and gives a version that is new and good. Else the verdict says what is
-// wrong, if anything is.
+// read reads the files that changed. It returns a version that is new and accepted, or sets the verdict.
 func (w *Watcher) read() *Snapshot {
-	s, err := w.next()
+	s, err := w.readNext()
 	w.reader.finishScan(err == nil)
 	switch {
 	case err != nil:
-		w.parser.end(refused)
-		w.verdict = verdict{sum: sha256.Sum256([]byte(err.Error())), err: err}
+		w.parser.end(rejected)
+		w.verdict = verdict{hash: hashOf([]byte(err.Error())), err: err}
 		if s != nil {
-			w.verdict.sum = s.contentHash
+			w.verdict.hash = s.contentHash
 		}
 		return nil
 	case s == nil:
-		w.parser.end(dropped)
-		w.verdict, w.refused = verdict{}, hash{}
+		w.parser.end(discarded)
+		w.verdict, w.lastRejected = verdict{}, hash{}
 		return nil
 	}
-	w.parser.end(taken)
-	w.keepUnchanged(s)
+	w.parser.end(accepted)
+	w.reuseUnchanged(s)
 	w.number++
 	s.Version.Number = w.number
-	w.current, w.verdict, w.refused = s, verdict{}, hash{}
-	clear(w.logged)
+	w.current, w.verdict, w.lastRejected = s, verdict{}, hash{}
+	clear(w.loggedCauses)
 	w.log.Info("configuration version loaded", "version", w.number, "clusters", len(s.Version.Clusters))
 	return s
 }
 
-// next reads the files: neither a snapshot nor an error where they are as in the version in force. A snapshot beside an
-// error has no more than the sum of what is wrong.
-func (w *Watcher) next() (*Snapshot, error) {
+// readNext reads the files. It returns neither a snapshot nor an error if they are as in the current version. A
+// snapshot beside an error has only the hash of the rejected contents.
+func (w *Watcher) readNext() (*Snapshot, error) {
 	v, err := w.reader.scan(w.parser)
 	if err != nil {
 		return nil, err
 	}
-	sum := v.sum()
-	if sum == w.current.contentHash {
+	contentHash := v.hash()
+	if contentHash == w.current.contentHash {
 		return nil, nil
 	}
 	s, err := w.parser.check(v)
-	if errors.Is(err, errMoving) {
+	if errors.Is(err, errFilesChanged) {
 		return nil, err
 	}
 	if err == nil {
 		err = cluster.Review(w.current.Version, s.Version, s.Program.Files.MaxShare)
 	}
 	if err != nil {
-		return &Snapshot{contentHash: sum}, err
+		return &Snapshot{contentHash: contentHash}, err
 	}
 	return s, nil
 }
 
-// tell logs what the files are not taken for, once a cause, and only once it has stood from one poll to the next: a
-// file that is being written is no fault.
-func (w *Watcher) tell() {
-	if w.verdict.sum != w.refused {
-		w.refused = w.verdict.sum
+// logVerdict logs why the files are rejected, each cause once, and only if two polls in a row rejected the same
+// contents: a file that is being written is no fault.
+func (w *Watcher) logVerdict() {
+	if w.verdict.hash != w.lastRejected {
+		w.lastRejected = w.verdict.hash
 		return
 	}
 	for _, cause := range strings.Split(w.verdict.err.Error(), "\n") {
-		if !w.logged[cause] && len(w.logged) < maxCauses {
-			w.logged[cause] = true
+		if !w.loggedCauses[cause] && len(w.loggedCauses) < maxLoggedCauses {
+			w.loggedCauses[cause] = true
 			w.log.Error(filesRejected, "version", w.number, "cause", cause)
 		}
 	}
 }
 
-// keepUnchanged puts the clusters in force in place of equal ones of a new version, so
-// that whoever follows sees at once what is the same.
-func (w *Watcher) keepUnchanged(s *Snapshot) {
+// reuseUnchanged replaces clusters of a new version by equal ones of the current version, so that their users see by
+// identity that nothing changed.
+func (w *Watcher) reuseUnchanged(s *Snapshot) {
 	for name, c := range s.Version.Clusters {
-		if old := w.current.Version.Clusters[name]; old != nil && old != c && same(old, c) {
+		if old := w.current.Version.Clusters[name]; old != nil && old != c && equalClusters(old, c) {
 			s.Version.Clusters[name] = old
 		}
 	}
 }
 
-// same tells whether two versions of a cluster are served alike.
-func same(old, c *cluster.Cluster) bool {
-	if old.Empty != c.Empty || len(old.Endpoints) != len(c.Endpoints) || !reflect.DeepEqual(old.Transport, c.Transport) || !reflect.DeepEqual(old.Bounds, c.Bounds) {
+// equalClusters reports whether requests are served alike by two versions of a cluster.
+func equalClusters(old, c *cluster.Cluster) bool {
+	switch {
+	case old.Empty != c.Empty, len(old.Endpoints) != len(c.Endpoints):
+		return false
+	case !reflect.DeepEqual(old.Transport, c.Transport), !reflect.DeepEqual(old.Bounds, c.Bounds):
 		return false
 	}
 	d := cluster.Compare(old, c)
