--- a/internal/app/apply.go
+++ b/internal/app/apply.go
@@ -10,8 +10,9 @@
 	"yokestall/internal/files"
 )
 
-// Apply puts a configuration version in force. When it returns, the engines have been updated: engine.DefaultDrainGrace later
-// nothing is sent to an endpoint that the version does not have. After an error nothing has changed.
+// Apply puts a configuration version in force. When it returns, the engines have been updated:
+// engine.DefaultDrainGrace later nothing is sent to an endpoint that the version does not have. After an error nothing
+// has changed.
 func (a *App) Apply(s *files.Snapshot) error { return a.ApplyAt(time.Now(), s) }
 
 // ApplyAt is Apply for a version that was delivered at an earlier time, from which the grace counts.
--- a/internal/app/snapshots.go
+++ b/internal/app/snapshots.go
@@ -70,7 +70,9 @@
 
 // reorderClasses returns the cached class snapshots in the order of the new classes, matched by name. A class without a
 // cached one has its initial snapshot.
-func reorderClasses(cached, initial []policy.ClassSnapshot, oldClasses, newClasses []config.Class) []policy.ClassSnapshot {
+func reorderClasses(
+	cached, initial []policy.ClassSnapshot, oldClasses, newClasses []config.Class,
+) []policy.ClassSnapshot {
 	out := slices.Clone(initial)
 	for i := range out {
 		for j := range cached {
--- a/internal/files/change.go
+++ b/internal/files/change.go
@@ -29,7 +29,9 @@
 }
 
 // Change is like the function. Its results are cached for an Unbundle of the same files and changes.
-func (p *Parser) Change(clusters map[string]*cluster.Cluster, changes []config.File) (map[string]*cluster.Cluster, error) {
+func (p *Parser) Change(
+	clusters map[string]*cluster.Cluster, changes []config.File,
+) (map[string]*cluster.Cluster, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out, pending, err := p.change(clusters, changes)
