--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -11,25 +11,26 @@
 	"yokestall/internal/fleet/lease"
 )
 
-// Agree is how this node takes part in what its fleet agrees on; the zero value: it doesn't.
+// Agree is the settings of a node in a fleet that agrees on versions. The zero value is of a node in none.
 type Agree struct {
 	Name         string // the fleet's
 	Node         string // this node's
 	Folder       string // of its store; relative to the program's file
 	Listen       string // host:port, for other nodes; "": it is no voter
 	Voters       []Voter
-	Roots        string // to which other nodes' certificates have to lead; "": clear text, on loopback alone
-	Shows        string // the pair that is shown to them
+	Roots        string // that other nodes' certificates are verified by; "": clear text, on loopback alone
+	Shows        string // the certificate for other nodes
 	Lease        lease.Config
 	Disconnected lease.DisconnectedPolicy
 }
 
-// Voter is a node that votes.
+// Voter is a node that votes on versions, and its address for other nodes.
 type Voter struct{ Name, Address string }
 
-// On tells whether the node takes part.
+// On reports whether the node is in such a fleet.
 func (a *Agree) On() bool { return a.Name != "" }
 
+// agreeFile is Agree as written.
 type agreeFile struct {
 	Name   string   `toml:"name"`
 	Node   string   `toml:"node"`
@@ -49,7 +50,8 @@
 	} `toml:"alone"`
 }
 
-func (f *agreeFile) defaults() {
+// setDefaults sets the values of keys that the file may leave out.
+func (f *agreeFile) setDefaults() {
 	f.Folder = "agree"
 	f.Lease.Duration, f.Drift, f.Take.Duration = 1500*time.Millisecond, 0.05, 250*time.Millisecond
 	f.Alone.Effects, f.Alone.Routes, f.Alone.Lists = "cautious", "cautious", "cautious"
@@ -57,7 +59,8 @@
 
 const agreeTable = "fleet.agree"
 
-func (p *Program) agree(f *agreeFile, report reporter) {
+// readAgree reads the settings of the fleet that agrees on versions.
+func (p *Program) readAgree(f *agreeFile, report reporter) {
 	if f.Name == "" && f.Node == "" && len(f.Voters) == 0 {
 		return
 	}
@@ -69,6 +72,23 @@
 			report(agreeTable, -1, n.key, "1 to %d bytes", cluster.MaxName)
 		}
 	}
+	a.readVoters(f, report)
+	if (f.Roots == "") != (f.Shows == "") {
+		report(agreeTable, -1, "roots", "roots and certificate go together")
+	}
+	if f.Roots != "" && p.Keys.Folder == "" {
+		report(agreeTable, -1, "roots", "the program has no [keys] folder")
+	}
+	checkLease(f, report)
+	a.readDisconnected(f, report)
+	if p.XDS.On() {
+		const text = "a control plane and an agreed version would say the same things: one of [xds] and [fleet.agree]"
+		report(agreeTable, -1, "", text)
+	}
+}
+
+// readVoters reads the voters, and checks the address at which this node serves them if it is one.
+func (a *Agree) readVoters(f *agreeFile, report reporter) {
 	if n := len(f.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
 		report(agreeTable, -1, "voters", "%d; 1, 3, 5 or 7 vote", n)
 	}
@@ -81,7 +101,7 @@
 		case names[name] || addresses[address]:
 			report(agreeTable, -1, "voters", "%q is there twice", text)
 		default:
-			if err := ownAddress(address, f.Roots); err != nil {
+			if err := checkNodeAddress(address, f.Roots); err != nil {
 				report(agreeTable, -1, "voters", "%q: %v", text, err)
 			}
 		}
@@ -92,16 +112,13 @@
 		report(agreeTable, -1, "listen", "is missing: a voter is asked by others")
 	}
 	if f.Listen != "" {
-		if err := ownAddress(f.Listen, f.Roots); err != nil {
+		if err := checkNodeAddress(f.Listen, f.Roots); err != nil {
 			report(agreeTable, -1, "listen", "%q: %v", f.Listen, err)
 		}
 	}
-	if (f.Roots == "") != (f.Shows == "") {
-		report(agreeTable, -1, "roots", "roots and certificate go together")
-	}
-	if f.Roots != "" && p.Keys.Folder == "" {
-		report(agreeTable, -1, "roots", "the program has no [keys] folder")
-	}
+}
+
+func checkLease(f *agreeFile, report reporter) {
 	if l := f.Lease.Duration; l < 100*time.Millisecond || l > time.Minute {
 		report(agreeTable, -1, "lease", "%v is not from 100ms to 1m", l)
 	}
@@ -111,6 +128,10 @@
 	if t := f.Take.Duration; t < time.Millisecond || t > time.Minute {
 		report(agreeTable, -1, "take", "%v is not from 1ms to 1m", t)
 	}
+}
+
+// readDisconnected reads what the node does without a lease.
+func (a *Agree) readDisconnected(f *agreeFile, report reporter) {
 	if d := f.Alone.For.Duration; d < 0 {
 		report(agreeTable, -1, "alone.for", "%v is below 0", d)
 	}
@@ -118,19 +139,20 @@
 	for _, k := range []struct {
 		key, word string
 		to        *lease.DisconnectedAction
-	}{{"effects", f.Alone.Effects, &a.Disconnected.Effects}, {"routes", f.Alone.Routes, &a.Disconnected.Routes}, {"lists", f.Alone.Lists, &a.Disconnected.Servers}} {
+	}{
+		{"effects", f.Alone.Effects, &a.Disconnected.Effects},
+		{"routes", f.Alone.Routes, &a.Disconnected.Routes},
+		{"lists", f.Alone.Lists, &a.Disconnected.Servers},
+	} {
 		var err error
 		if *k.to, err = lease.ParseDisconnectedAction(k.word); err != nil {
 			report(agreeTable+".alone", -1, k.key, "%v", err)
 		}
 	}
-	if p.XDS.On() {
-		report(agreeTable, -1, "", "a control plane and an agreed version would say the same things: one of [xds] and [fleet.agree]")
-	}
 }
 
-// ownAddress checks an address of the fleet's own: without keys it has to be this machine's.
-func ownAddress(address, roots string) error {
+// checkNodeAddress checks an address of a node: without certificates it has to be a loopback address.
+func checkNodeAddress(address, roots string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || port == "" {
 		return fmt.Errorf("is not host:port")
@@ -141,9 +163,9 @@
 	return nil
 }
 
-// Agreed gives the program as a version of the fleet has it: classes, limits, tenants, hosts and the fleet's figures
-// are the version's, whatever the own file says; listeners, keys, paths, connections and this node's number and zone
-// stay.
+// Agreed returns the program with what a version of the fleet decides: classes, limits, tenants, hosts and the fleet's
+// settings. Listeners, keys, paths, connections, and this node's number and zone stay. The error is that the version
+// has fewer nodes than this node's number needs.
 func (p *Program) Agreed(v *Program) (*Program, error) {
 	if v.Nodes <= p.Node {
 		return nil, fmt.Errorf("fleet: nodes: %d, and this one has the number %d, from 0", v.Nodes, p.Node)
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -12,7 +12,17 @@
 	"yokestall/policy"
 )
 
-// classFile is the part of a file on classes and tenants.
+// Class is a class of requests. Its index in Program.Classes is its index in the policy.
+type Class struct {
+	Name string
+	policy.Class
+	// The timeouts of streamed responses and upgraded connections; 0: the default for Progress, none for the others.
+	Progress time.Duration // how long an endpoint may send nothing
+	Stream   time.Duration // the whole duration
+	Drain    time.Duration // how long one may last once its endpoint drains
+}
+
+// classFile is the part of a file on classes and tenants, as written.
 type classFile struct {
 	tenantTables
 	Class []struct {
@@ -30,19 +40,25 @@
 	} `toml:"class" json:"classes"`
 }
 
-// tenantTables is the part of a file on tenants.
+// Tenant is a client organization with a quota.
+type Tenant struct {
+	Name         string
+	Certificates []string // names in client certificates that identify it
+	policy.Tenant
+}
+
+// tenantTables is the part of a file on tenants, as written.
 type tenantTables struct {
 	Tenant []struct {
 		Name      string  `toml:"name" json:"name"`
 		QuotaPerS float64 `toml:"quota_per_s" json:"quota_per_s"`
-		// Certificates are names in clients' certificates that stand for the tenant.
+		// Certificates are names in client certificates that identify the tenant.
 		Certificates []string `toml:"certificates" json:"certificates"`
 	} `toml:"tenant" json:"tenants"`
 }
 
-// ParseClasses reads classes and tenants that come in a resource of a control plane, as
-// JSON: {"classes": [...], "tenants": [...]} with the keys of the program's own file.
-// Either may be missing.
+// ParseClasses parses classes and tenants from a resource of a control plane, as JSON: {"classes": [...], "tenants":
+// [...]} with the keys of the program's own file. Either may be missing. The error has what is wrong.
 func ParseClasses(text []byte) ([]Class, []Tenant, error) {
 	var f classFile
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -53,22 +69,27 @@
 	var p Program
 	var found []error
 	report := func(table string, index int, key, format string, args ...any) {
-		if len(found) < maxFaults {
+		if len(found) < maxProblems {
 			found = append(found, fmt.Errorf("%s %d: %s: %s", table, index+1, key, fmt.Sprintf(format, args...)))
 		}
 	}
 	if len(f.Class) > 0 {
-		p.classes(&f, report)
+		p.readClasses(&f, report)
 	}
-	p.tenants(&f.tenantTables, report)
+	p.readTenants(&f.tenantTables, report)
 	return p.Classes, p.Tenants, errors.Join(found...)
 }
 
-var effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent}
-
-var scopes = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+// The words of the keys effect and scope.
+var (
+	effects = map[string]policy.Idempotency{
+		"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent,
+	}
+	scopes = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+)
 
-func (p *Program) classes(f *classFile, report reporter) {
+// readClasses reads the classes.
+func (p *Program) readClasses(f *classFile, report reporter) {
 	if n := len(f.Class); n == 0 || n > MaxClasses {
 		report("class", -1, "", "%d classes; 1 to %d", n, MaxClasses)
 	}
@@ -122,7 +143,8 @@
 	}
 }
 
-func (p *Program) tenants(f *tenantTables, report reporter) {
+// readTenants reads the tenants.
+func (p *Program) readTenants(f *tenantTables, report reporter) {
 	if n := len(f.Tenant); n > MaxTenants {
 		report("tenant", -1, "", "%d tenants; %d at most", n, MaxTenants)
 		return
--- /dev/null
+++ b/internal/config/clusterfile.go
@@ -0,0 +1,239 @@
+package config
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/base64"
+	"fmt"
+	"path"
+	"regexp"
+	"strings"
+	"sync"
+
+	"yokestall/internal/cluster"
+)
+
+// File is a file's name, as problems have it, and its content.
+type File struct {
+	Name string
+	Text []byte
+}
+
+// clusterFile is a cluster file as written.
+type clusterFile struct {
+	Cluster struct {
+		Name      string   `toml:"name"`
+		Change    bool     `toml:"change"`
+		Removed   []string `toml:"removed"`
+		NoServers string   `toml:"no_servers"`
+		ShrinkTo  *int     `toml:"shrink_to"`
+		Protocol  string   `toml:"protocol"`
+		TLS       *struct {
+			Name        string   `toml:"server_name"`
+			Roots       string   `toml:"roots"`
+			Certificate string   `toml:"certificate"`
+			Pins        []string `toml:"pins"`
+		} `toml:"tls"`
+	} `toml:"cluster"`
+	Endpoint []struct {
+		ID        string  `toml:"id"`
+		Address   string  `toml:"address"`
+		Zone      string  `toml:"zone"`
+		Cell      int     `toml:"cell"`
+		Weight    float64 `toml:"weight"`
+		Health    string  `toml:"health"`
+		Priority  int     `toml:"priority"`
+		StartedMs int64   `toml:"started_ms"`
+	} `toml:"endpoint"`
+	End struct {
+		Endpoints *int `toml:"endpoints"`
+	} `toml:"end"`
+}
+
+// IsCluster reports whether a text looks like a cluster file rather than the program's own, by the tables in it, so
+// that the problems of a faulty one are those of its kind.
+func IsCluster(text []byte) bool { return clusterTable.Match(text) && !programTable.Match(text) }
+
+// ParseCluster parses a cluster file. It has to end with the closing entry, which has the number of endpoints:
+//
+//	[end]
+//	endpoints = 3
+//
+// with the end of its line and nothing behind it, so that no part of a file is ever accepted as complete. The error has
+// what is wrong by line.
+func ParseCluster(file File) (*cluster.Cluster, error) {
+	c, f, err := parseCluster(file)
+	if err != nil {
+		return nil, err
+	}
+	if f.Cluster.Change || len(f.Cluster.Removed) > 0 {
+		return nil, &cluster.Problem{Source: file.Name, Field: "change", Text: "is a change of a list, not a list"}
+	}
+	return c, nil
+}
+
+// ParseChange parses a change of a cluster's endpoint list: a cluster file that says change = true, with the endpoints
+// that are new or changed, and the removed ones under their key. The error has what is wrong.
+func ParseChange(file File) (*cluster.Patch, error) {
+	c, f, err := parseCluster(file)
+	if err != nil {
+		return nil, err
+	}
+	fail := func(field, text string) error {
+		return &cluster.Problem{Source: file.Name, Field: field, Text: text}
+	}
+	in := &f.Cluster
+	switch {
+	case !in.Change:
+		return nil, fail("change", "is missing: change = true in [cluster]")
+	case in.Name == "":
+		return nil, fail("name", "is missing: of the cluster that it changes")
+	case in.NoServers != "" || in.ShrinkTo != nil || in.Protocol != "" || in.TLS != nil:
+		return nil, fail("change", "a change has servers alone: no no_servers, shrink_to, protocol or tls")
+	case len(in.Removed) > cluster.MaxEndpoints:
+		return nil, fail("removed", fmt.Sprintf("%d; %d at most", len(in.Removed), cluster.MaxEndpoints))
+	case len(in.Removed)+len(c.Endpoints) == 0:
+		return nil, fail("change", "changes nothing")
+	}
+	return &cluster.Patch{Name: c.Name, Put: c.Endpoints, Removed: in.Removed, Source: file.Name}, nil
+}
+
+// clusterReader reads a decoded cluster file.
+type clusterReader struct {
+	name  string // of the file
+	in    *clusterFile
+	lines func() lines
+	out   *cluster.Cluster
+}
+
+func parseCluster(file File) (*cluster.Cluster, *clusterFile, error) {
+	if len(file.Text) > MaxFile {
+		return nil, nil, &cluster.Problem{Source: file.Name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
+	}
+	if !clusterEnd.Match(lastBytes(file.Text)) {
+		const text = `is not whole: the last lines have to be "[end]" and "endpoints = N"`
+		lastLine := bytes.Count(file.Text, []byte("\n")) + 1
+		return nil, nil, &cluster.Problem{Source: file.Name, Line: lastLine, Text: text}
+	}
+	var f clusterFile
+	if err := decode(file.Name, file.Text, &f, clusterLimits); err != nil {
+		return nil, nil, err
+	}
+	r := clusterReader{
+		name: file.Name, in: &f, lines: sync.OnceValue(func() lines { return newLines(file.Text) }),
+		out: &cluster.Cluster{Name: f.Cluster.Name, Source: file.Name, ShrinkTo: -1},
+	}
+	if err := r.read(); err != nil {
+		return nil, nil, err
+	}
+	return r.out, &f, nil
+}
+
+// read reads the whole file up to its first problem.
+func (r *clusterReader) read() error {
+	if r.out.Name == "" {
+		r.out.Name = strings.TrimSuffix(path.Base(r.name), ".toml")
+	}
+	for _, part := range []func() error{r.readCluster, r.readTLS, r.readShrinkTo, r.readEndpoints} {
+		if err := part(); err != nil {
+			return err
+		}
+	}
+	// A change may only remove endpoints.
+	r.out.Empty = r.out.Empty || r.in.Cluster.Change && len(r.out.Endpoints) == 0
+	return r.out.Check(r.line)
+}
+
+// line returns the line of a key in the endpoint with an index; below 0: in the cluster's table.
+func (r *clusterReader) line(index int, key string) int {
+	if index < 0 {
+		return r.lines().find("cluster", 0, key)
+	}
+	return r.lines().find("endpoint", index, key)
+}
+
+// problem returns a problem of a key in the endpoint with an index; below 0: in the cluster's table.
+func (r *clusterReader) problem(index int, key, text string) error {
+	return &cluster.Problem{Source: r.name, Line: r.line(index, key), Field: key, Text: text}
+}
+
+// readCluster reads what the cluster's table says of the list and the protocol.
+func (r *clusterReader) readCluster() error {
+	switch r.in.Cluster.NoServers {
+	case "":
+	case "on purpose":
+		r.out.Empty = true
+	default:
+		return r.problem(-1, "no_servers", `may say "on purpose" only`)
+	}
+	switch r.in.Cluster.Protocol {
+	case "", "http1":
+	case "http2":
+		r.out.Transport.HTTP2 = true
+	default:
+		return r.problem(-1, "protocol", "is none of http1, http2")
+	}
+	return nil
+}
+
+func (r *clusterReader) readTLS() error {
+	t := r.in.Cluster.TLS
+	if t == nil {
+		return nil
+	}
+	for _, pin := range t.Pins {
+		if sum, err := base64.StdEncoding.DecodeString(pin); err != nil || len(sum) != sha256.Size {
+			return &cluster.Problem{
+				Source: r.name, Line: r.lines().find("cluster.tls", 0, "pins"), Field: "pins",
+				Text: fmt.Sprintf("%q is no SHA-256 in base 64", pin),
+			}
+		}
+	}
+	r.out.Transport.TLS = &cluster.TLS{Name: t.Name, Roots: t.Roots, Certificate: t.Certificate, Pins: t.Pins}
+	return nil
+}
+
+func (r *clusterReader) readShrinkTo() error {
+	n := r.in.Cluster.ShrinkTo
+	if n == nil {
+		return nil
+	}
+	if *n < 0 {
+		return r.problem(-1, "shrink_to", "is negative")
+	}
+	r.out.ShrinkTo = *n
+	return nil
+}
+
+// readEndpoints reads the endpoints, whose number has to be that of the closing entry.
+func (r *clusterReader) readEndpoints() error {
+	list := r.in.Endpoint
+	if n := r.in.End.Endpoints; n == nil || *n != len(list) {
+		text := fmt.Sprintf("%d servers are named", len(list))
+		if n != nil {
+			text = fmt.Sprintf("says %d, ", *n) + text
+		}
+		line := r.lines().find("end", 0, "endpoints")
+		return &cluster.Problem{Source: r.name, Line: line, Field: "end: endpoints", Text: text}
+	}
+	for i, e := range list {
+		health, err := cluster.ParseHealth(e.Health)
+		if err != nil {
+			return r.problem(i, "health", err.Error())
+		}
+		r.out.Endpoints = append(r.out.Endpoints, cluster.Endpoint{
+			ID: e.ID, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Health: health,
+			Started: e.StartedMs, Priority: e.Priority,
+		})
+	}
+	return nil
+}
+
+var (
+	clusterTable = regexp.MustCompile(`(?m)^[ \t]*(\[[ \t]*(cluster|end)[ \t]*\]|\[\[[ \t]*endpoint[ \t]*\]\])`)
+	programTable = regexp.MustCompile(
+		`(?m)^[ \t]*\[\[?[ \t]*(listen|upstream|files|process|limits|fleet|class|tenant|host)[ \t.\]]`)
+)
+
+// clusterEnd matches the last line of a complete cluster file.
+var clusterEnd = regexp.MustCompile(`(?:^|\n)endpoints = ([0-9]{1,6})\n$`)
--- /dev/null
+++ b/internal/config/clusterformat.go
@@ -0,0 +1,60 @@
+package config
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"yokestall/internal/cluster"
+)
+
+// FormatCluster returns a cluster's file, as ParseCluster parses it.
+func FormatCluster(c *cluster.Cluster) []byte { return formatCluster(c, "") }
+
+// FormatChange returns a change that adds the cluster's endpoints, as ParseChange parses it.
+func FormatChange(c *cluster.Cluster) []byte { return formatCluster(c, "change = true\n") }
+
+func formatCluster(c *cluster.Cluster, extraKeys string) []byte {
+	var b bytes.Buffer
+	fmt.Fprintf(&b, "[cluster]\nname = %q\n%s", c.Name, extraKeys)
+	if c.Empty {
+		b.WriteString("no_servers = \"on purpose\"\n")
+	}
+	if c.Transport.HTTP2 {
+		b.WriteString("protocol = \"http2\"\n")
+	}
+	if t := c.Transport.TLS; t != nil {
+		const tls = "[cluster.tls]\nserver_name = %q\nroots = %q\ncertificate = %q\n"
+		fmt.Fprintf(&b, tls, t.Name, t.Roots, t.Certificate)
+		if len(t.Pins) > 0 {
+			fmt.Fprintf(&b, "pins = [\"%s\"]\n", strings.Join(t.Pins, "\", \""))
+		}
+	}
+	for i := range c.Endpoints {
+		formatEndpoint(&b, &c.Endpoints[i])
+	}
+	fmt.Fprintf(&b, "[end]\nendpoints = %d\n", len(c.Endpoints))
+	return b.Bytes()
+}
+
+func formatEndpoint(b *bytes.Buffer, e *cluster.Endpoint) {
+	fmt.Fprintf(b, "[[endpoint]]\nid = %q\naddress = %q\n", e.ID, e.Address)
+	if e.Zone != "" {
+		fmt.Fprintf(b, "zone = %q\n", e.Zone)
+	}
+	if e.Health != cluster.Healthy {
+		fmt.Fprintf(b, "health = %q\n", e.Health)
+	}
+	for _, n := range []struct {
+		key   string
+		value float64
+	}{
+		{"cell", float64(e.Cell)}, {"weight", e.Weight},
+		{"priority", float64(e.Priority)}, {"started_ms", float64(e.Started)},
+	} {
+		if n.value != 0 {
+			fmt.Fprintf(b, "%s = %s\n", n.key, strconv.FormatFloat(n.value, 'f', -1, 64))
+		}
+	}
+}
--- a/internal/config/sources.go
+++ b/internal/config/extproc.go
@@ -2,46 +2,42 @@
 
 import (
 	"net"
-	"slices"
 	"time"
 )
 
-func (p *Program) xds(f *programFile, report reporter) {
-	x := &f.XDS
-	p.XDS = XDS{
-		Servers: x.Servers, Incremental: x.Variant == "incremental", NodeID: x.NodeID, NodeGroup: x.NodeGroup,
-		Listener: x.Listener, Routes: x.Routes, Named: x.Clusters == "routed", Class: x.Class,
-		Keep: x.Keep, Folder: x.Folder, MaxMessage: x.MaxMessage << 20,
-	}
-	if n := len(x.Servers); n > 16 {
-		report("xds", -1, "servers", "%d; 16 at most", n)
-	}
-	for _, s := range x.Servers {
-		if host, port, err := net.SplitHostPort(s); err != nil || host == "" || port == "" {
-			report("xds", -1, "servers", "%q is no host:port", s)
-		}
-	}
-	if x.Variant != "incremental" && x.Variant != "state-of-the-world" {
-		report("xds", -1, "variant", "%q is none of incremental, state-of-the-world", x.Variant)
-	}
-	if x.Clusters != "all" && x.Clusters != "routed" {
-		report("xds", -1, "clusters", "%q is none of all, routed", x.Clusters)
-	}
-	if n := x.MaxMessage; n < 1 || n > 256 {
-		report("xds", -1, "max_message_mb", "%d is not from 1 to 256", n)
-	}
-	if len(x.Servers) > 0 && x.Listener == "" && x.Routes == "" && len(f.Host) == 0 {
-		report("xds", -1, "servers", "listener or routes has to say which routes are followed, or [[host]] has to have some")
-	}
-	if x.Listener != "" && x.Routes != "" {
-		report("xds", -1, "routes", "stands beside listener; one of them")
-	}
-	if x.Class != "" && !slices.ContainsFunc(p.Classes, func(c Class) bool { return c.Name == x.Class }) {
-		report("xds", -1, "class", "%q is no [[class]]", x.Class)
-	}
+// Repeats is the settings of the deduplication of requests with an idempotency key. It is off without entries.
+type Repeats struct {
+	Entries int
+	Bytes   int64
+	Late    bool   // answers are awaited after their client's deadline
+	Log     string // file of durable keys; "": none
+}
+
+// ExtProc is the settings of the external processing server for other proxies (envoy.service.ext_proc.v3). The zero
+// value has none.
+type ExtProc struct {
+	Address     string // host:port; "": there is none
+	Pick        bool   // the other proxy sends the request, where its route doesn't say
+	Connections int
+	Streams     int           // limit over all connections
+	PerConn     int           // limit of the streams of a connection
+	Head        int           // bytes of a head
+	Message     int           // bytes of a message
+	Buffer      int64         // bytes of all buffered bodies
+	Answer      int           // bytes of a response that can't be streamed
+	First       time.Duration // timeout of a stream's first message
+	Report      time.Duration // timeout of the outcome of a request that the other proxy sends
+	Drain       time.Duration
+	Override    bool
+	Repeats     int   // limit of the entries of the deduplication
+	RepeatBytes int64 // limit of their size
+	TLS         bool
+	ClientRoots string
+	ClientNeeds bool
 }
 
-func (p *Program) extproc(f *programFile, report reporter) {
+// readExtProc reads the settings of deduplication and of external processing.
+func (p *Program) readExtProc(f *programFile, report reporter) {
 	p.Repeats = Repeats{Entries: f.Repeats.Entries, Bytes: f.Repeats.MB << 20, Log: f.Repeats.Log, Late: f.Repeats.Late}
 	if n := f.Repeats.Entries; n < 0 || n > 10e6 {
 		report("repeats", -1, "entries", "%d is not from 0 to 10000000", n)
@@ -57,7 +53,8 @@
 		Address: x.Address, Pick: x.Way == "pick", Connections: x.Connections, Streams: x.Streams, PerConn: x.PerConn,
 		Head: x.Head << 10, Message: x.Message << 10, Answer: x.Answer << 10, Buffer: x.Buffer << 20,
 		First: x.First.Duration, Report: x.Report.Duration, Drain: x.Drain.Duration, Override: x.Override,
-		Repeats: x.Repeats, RepeatBytes: x.RepeatBytes << 20, TLS: x.TLS, ClientRoots: x.ClientRoots, ClientNeeds: x.ClientNeeds,
+		Repeats: x.Repeats, RepeatBytes: x.RepeatBytes << 20,
+		TLS: x.TLS, ClientRoots: x.ClientRoots, ClientNeeds: x.ClientNeeds,
 	}
 	if _, port, err := net.SplitHostPort(x.Address); x.Address != "" && (err != nil || port == "") {
 		report("extproc", -1, "address", "%q is no host:port", x.Address)
@@ -67,8 +64,9 @@
 	}
 	for key, n := range map[string]int64{
 		"connections": int64(x.Connections), "streams": int64(x.Streams), "streams_per_connection": int64(x.PerConn),
-		"max_head_kb": int64(x.Head), "max_message_kb": int64(x.Message), "max_answer_kb": int64(x.Answer), "buffer_mb": x.Buffer,
-		"repeats": int64(x.Repeats), "repeats_mb": x.RepeatBytes,
+		"max_head_kb": int64(x.Head), "max_message_kb": int64(x.Message), "max_answer_kb": int64(x.Answer),
+		"buffer_mb": x.Buffer,
+		"repeats":   int64(x.Repeats), "repeats_mb": x.RepeatBytes,
 	} {
 		if n < 1 || n > 1e6 {
 			report("extproc", -1, key, "%d is not from 1 to 1000000", n)
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -10,6 +10,32 @@
 	"yokestall/internal/forwarded"
 )
 
+// MaxListeners limits the listeners of a program.
+const MaxListeners = 16
+
+// Listener is the settings of a listener for HTTP clients. Listeners are compared by ==.
+type Listener struct {
+	Name        string        // "" for the one of [listen]
+	Address     string        // host:port
+	Connections int           // limit of client connections that have sent something, 4 or more
+	Silent      int           // limit of those that have sent nothing yet
+	HTTP2       int           // limit of streams of an HTTP/2 connection; 0: HTTP/1.1 alone
+	MaxBody     int64         // bytes of a request's body; 0: any length
+	Trust       string        // networks of trusted proxies, separated by spaces
+	Forwarded   bool          // the Forwarded field is written too (RFC 7239)
+	Proxy       string        // the PROXY protocol of trusted proxies: "" none, "optional", "required"
+	Drain       time.Duration // how long streams may last after the listener is closed
+	TLS         bool
+	ClientRoots string        // that client certificates are verified by; "": none are requested
+	ClientNeeds bool          // a client without a certificate is rejected
+	MaxHead     int           // bytes of a request head
+	Stall       time.Duration // how long a client may not read a stream, or not continue an upload
+	Resets      int           // RST_STREAM frames a second of an HTTP/2 connection; 0: no limit
+	Controls    int           // its frames a second that carry no request; 0: no limit
+	Pieces      int           // CONTINUATION frames of a head; 0: no limit
+}
+
+// listenerFile is a listener as written.
 type listenerFile struct {
 	Name        string   `toml:"name"`
 	Address     string   `toml:"address"`
@@ -31,10 +57,10 @@
 	Pieces      *int     `toml:"http2_head_pieces"`
 }
 
-// listeners reads [listen], the one that most have, and [[listener]].
-func (p *Program) listeners(f *programFile, report reporter) {
+// readListeners reads [listen], which most files have, and [[listener]].
+func (p *Program) readListeners(f *programFile, report reporter) {
 	if f.Listen.Address != "" || len(f.Listener) == 0 {
-		p.listener("listen", -1, &f.Listen, f.Keys.Folder, report)
+		p.readListener("listen", -1, &f.Listen, f.Keys.Folder, report)
 	}
 	if n := len(f.Listener); n > MaxListeners {
 		report("listener", -1, "", "%d listeners; %d at most", n, MaxListeners)
@@ -47,7 +73,7 @@
 			report("listener", i, "name", "wants a name of its own, of %d bytes at most", cluster.MaxName)
 		}
 		seen[l.Name] = true
-		p.listener("listener", i, l, f.Keys.Folder, report)
+		p.readListener("listener", i, l, f.Keys.Folder, report)
 	}
 	for i, l := range p.Listeners {
 		if _, port, _ := net.SplitHostPort(l.Address); port != "0" && addresses[l.Address] {
@@ -58,7 +84,9 @@
 	p.Listener = p.Listeners[0]
 }
 
-func (p *Program) listener(table string, i int, f *listenerFile, keys string, report reporter) {
+// readListener reads the listener with an index among the tables of a name; below 0: the only one. keys is the folder
+// of keys.
+func (p *Program) readListener(table string, i int, f *listenerFile, keys string, report reporter) {
 	l := Listener{
 		Name: f.Name, Address: f.Address, Connections: 1024, Silent: 256, HTTP2: 128,
 		MaxBody: f.MaxBody << 20, Trust: strings.Join(f.Trust, " "), Forwarded: f.Forwarded, Proxy: f.Proxy,
@@ -71,11 +99,27 @@
 			*to = *given
 		}
 	}
+	if f.Stall.Duration != 0 {
+		l.Stall = f.Stall.Duration
+	}
+	l.checkAddress(table, i, report)
+	l.checkLimits(f, table, i, report)
+	l.checkTrust(f, table, i, report)
+	l.checkTLS(keys, table, i, report)
+	l.MaxHead <<= 10
+	p.Listeners = append(p.Listeners, l)
+}
+
+func (l *Listener) checkAddress(table string, i int, report reporter) {
 	if _, port, err := net.SplitHostPort(l.Address); err != nil {
 		report(table, i, "address", "%q is no host:port", l.Address)
 	} else if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
 		report(table, i, "address", "%q: the port is not from 0 to 65535", l.Address)
 	}
+}
+
+// checkLimits checks the numbers; l.MaxHead is in KiB still.
+func (l *Listener) checkLimits(f *listenerFile, table string, i int, report reporter) {
 	if n := l.Connections; n < 4 || n > 1e6 {
 		report(table, i, "connections", "%d is not from 4 to 1000000", n)
 	}
@@ -91,14 +135,12 @@
 	if n := l.MaxHead; n < 1 || n > 1024 {
 		report(table, i, "max_head_kb", "%d is not from 1 to 1024", n)
 	}
-	l.MaxHead <<= 10
-	if f.Stall.Duration != 0 {
-		l.Stall = f.Stall.Duration
-	}
 	if d := l.Stall; d < 100*time.Millisecond || d > time.Hour {
 		report(table, i, "client_stall", "%v is not from 100ms to 1h", d)
 	}
-	for key, n := range map[string]int{"http2_resets_per_s": l.Resets, "http2_controls_per_s": l.Controls, "http2_head_pieces": l.Pieces} {
+	for key, n := range map[string]int{
+		"http2_resets_per_s": l.Resets, "http2_controls_per_s": l.Controls, "http2_head_pieces": l.Pieces,
+	} {
 		if n < 0 || n > 1e6 {
 			report(table, i, key, "%d is not from 0 to 1000000", n)
 		}
@@ -106,6 +148,9 @@
 	if d := l.Drain; d < 0 || d > 24*time.Hour {
 		report(table, i, "drain", "%v is not from 0 to 24h", d)
 	}
+}
+
+func (l *Listener) checkTrust(f *listenerFile, table string, i int, report reporter) {
 	if _, err := forwarded.ParseTrust(f.Trust); err != nil {
 		report(table, i, "trust", "%v", err)
 	}
@@ -115,6 +160,10 @@
 	if l.Proxy != "" && len(f.Trust) == 0 {
 		report(table, i, "proxy_protocol", "trust has to name who may speak it")
 	}
+}
+
+// checkTLS checks the certificates; keys is the folder of keys.
+func (l *Listener) checkTLS(keys, table string, i int, report reporter) {
 	switch {
 	case l.TLS && keys == "":
 		report(table, i, "tls", "wants [keys] folder")
@@ -123,5 +172,4 @@
 	case l.ClientNeeds && l.ClientRoots == "":
 		report(table, i, "client_required", "wants client_roots")
 	}
-	p.Listeners = append(p.Listeners, l)
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,7 +9,70 @@
 	"yokestall/internal/route"
 )
 
-// editFile is what a route changes of a message's fields.
+// maxAnswerText limits the text of a route's own response, in bytes.
+const maxAnswerText = 4096
+
+// The tables of hosts and routes are aliases of unnamed types: errors of the TOML library contain the names of types, and
+// operators search for these texts.
+
+// hostFile is a virtual host as written.
+type hostFile = struct {
+	Name    string      `toml:"name"`
+	Domains []string    `toml:"domains"`
+	Route   []routeFile `toml:"route"`
+}
+
+// routeFile is a route as written.
+type routeFile = struct {
+	Name     string        `toml:"name"`
+	Path     string        `toml:"path"`
+	Prefix   string        `toml:"prefix"`
+	Template string        `toml:"template"`
+	Regex    string        `toml:"regex"`
+	Methods  []string      `toml:"methods"`
+	Class    string        `toml:"class"`
+	Cluster  string        `toml:"cluster"`
+	Process  string        `toml:"processor"`
+	Header   []headerFile  `toml:"header"`
+	Request  *editFile     `toml:"request"`
+	Response *editFile     `toml:"response"`
+	Redirect *redirectFile `toml:"redirect"`
+	Answer   *answerFile   `toml:"answer"`
+	Share    []struct {
+		Cluster string `toml:"cluster"`
+		Weight  uint32 `toml:"weight"`
+	} `toml:"share"`
+}
+
+// headerFile is a condition on a request's header as written.
+type headerFile = struct {
+	Name     string  `toml:"name"`
+	Exact    *string `toml:"exact"`
+	Prefix   *string `toml:"prefix"`
+	Suffix   *string `toml:"suffix"`
+	Contains *string `toml:"contains"`
+	Regex    *string `toml:"regex"`
+	Not      bool    `toml:"not"`
+}
+
+// redirectFile is a route's redirect as written.
+type redirectFile = struct {
+	Status     int    `toml:"status"`
+	Scheme     string `toml:"scheme"`
+	Host       string `toml:"host"`
+	Port       int    `toml:"port"`
+	Path       string `toml:"path"`
+	Prefix     string `toml:"prefix"`
+	StripQuery bool   `toml:"strip_query"`
+}
+
+// answerFile is a route's own response as written.
+type answerFile = struct {
+	Status int    `toml:"status"`
+	Text   string `toml:"text"`
+}
+
+// editFile is the changes of a message's header fields as written.
 type editFile struct {
 	Set    map[string]string `toml:"set"`
 	Remove []string          `toml:"remove"`
@@ -26,14 +89,15 @@
 	return out
 }
 
-func (p *Program) routes(f *programFile, report reporter) {
+// readRoutes reads the virtual hosts and their routes.
+func (p *Program) readRoutes(f *programFile, report reporter) {
 	if len(f.Host) == 0 && p.XDS.On() {
 		return
 	}
 	if len(f.Host) == 0 {
 		report("host", -1, "", "no [[host]]: nothing would be routed")
 	}
-	n := -1 // over all hosts, as [[host.route]] stands in the file
+	n := -1 // counts [[host.route]] over all hosts, as the lines of problems are found by
 	for i := range f.Host {
 		h := &f.Host[i]
 		v := route.VirtualHost{Name: h.Name, Domains: h.Domains}
@@ -42,75 +106,114 @@
 		}
 		for j := range h.Route {
 			n++
-			r := &h.Route[j]
-			out := route.Route{Name: r.Name, Methods: r.Methods, Class: r.Class, Processor: r.Process}
-			if r.Process != "" && r.Process != "carry" && r.Process != "pick" {
-				report("host.route", n, "processor", "%q is none of carry, pick", r.Process)
-			}
-			kinds := 0
-			for kind, text := range map[route.PathKind]string{
-				route.Exact: r.Path, route.Prefix: r.Prefix, route.Template: r.Template, route.Regex: r.Regex,
-			} {
-				if text != "" {
-					kinds++
-					out.Kind, out.Path = kind, text
-				}
-			}
-			if kinds != 1 {
-				report("host.route", n, "", "one of path, prefix, template, regex is wanted; %d are given", kinds)
-			}
-			out.Request, out.Response = r.Request.edits(), r.Response.edits()
-			if d := r.Redirect; d != nil {
-				out.Answer = &route.Answer{
-					Redirect: true, Status: cmp.Or(d.Status, http.StatusMovedPermanently), Scheme: d.Scheme, Host: d.Host, Port: d.Port,
-					Path: d.Path, Prefix: d.Prefix, StripQuery: d.StripQuery,
-				}
-				if s := out.Answer.Status; s != 301 && s != 302 && s != 303 && s != 307 && s != 308 {
-					report("host.route", n, "redirect", "status %d is none of 301, 302, 303, 307, 308", s)
-				}
-			}
-			if d := r.Answer; d != nil {
-				out.Answer = &route.Answer{Status: d.Status, Text: d.Text}
-				if d.Status < 200 || d.Status > 599 || len(d.Text) > 4096 {
-					report("host.route", n, "answer", "status %d, %d bytes: 200 to 599 and 4096 at most", d.Status, len(d.Text))
-				}
-			}
-			if out.Answer == nil && p.Class(r.Class) < 0 {
-				report("host.route", n, "class", "%q is no [[class]]", r.Class)
-			}
-			for _, x := range r.Header {
-				m := route.Header{Name: x.Name, Kind: route.HeaderPresent, Invert: x.Not}
-				given := 0
-				for kind, text := range map[route.HeaderKind]*string{
-					route.HeaderExact: x.Exact, route.HeaderPrefix: x.Prefix, route.HeaderSuffix: x.Suffix,
-					route.HeaderContains: x.Contains, route.HeaderRegex: x.Regex,
-				} {
-					if text != nil {
-						given++
-						m.Kind, m.Value = kind, *text
-					}
-				}
-				if given > 1 {
-					report("host.route", n, "header", "%s: one of exact, prefix, suffix, contains, regex at most", x.Name)
-				}
-				out.Headers = append(out.Headers, m)
-			}
-			switch {
-			case out.Answer != nil:
-				if r.Cluster != "" || len(r.Share) > 0 || r.Redirect != nil && r.Answer != nil {
-					report("host.route", n, "", "one of cluster, [[host.route.share]], redirect, answer is wanted")
-				}
-			case (r.Cluster == "") == (len(r.Share) == 0):
-				report("host.route", n, "cluster", "either cluster or [[host.route.share]] is wanted")
-			case r.Cluster != "":
-				out.Clusters = []route.Weighted{{Cluster: r.Cluster, Weight: 1}}
-			default:
-				for _, s := range r.Share {
-					out.Clusters = append(out.Clusters, route.Weighted{Cluster: s.Cluster, Weight: s.Weight})
-				}
-			}
-			v.Routes = append(v.Routes, out)
+			r := routeReader{index: n, report: report, in: &h.Route[j]}
+			v.Routes = append(v.Routes, r.read(p))
 		}
 		p.Hosts = append(p.Hosts, v)
 	}
 }
+
+// routeReader reads one route.
+type routeReader struct {
+	index  int // among all [[host.route]] of the file
+	report reporter
+	in     *routeFile
+	out    route.Route
+}
+
+func (r *routeReader) problem(key, format string, args ...any) {
+	r.report("host.route", r.index, key, format, args...)
+}
+
+func (r *routeReader) read(p *Program) route.Route {
+	in := r.in
+	r.out = route.Route{Name: in.Name, Methods: in.Methods, Class: in.Class, Processor: in.Process}
+	if in.Process != "" && in.Process != "carry" && in.Process != "pick" {
+		r.problem("processor", "%q is none of carry, pick", in.Process)
+	}
+	r.readPath()
+	r.out.Request, r.out.Response = in.Request.edits(), in.Response.edits()
+	r.readAnswer()
+	if r.out.Answer == nil && p.Class(in.Class) < 0 {
+		r.problem("class", "%q is no [[class]]", in.Class)
+	}
+	for i := range in.Header {
+		r.out.Headers = append(r.out.Headers, r.header(&in.Header[i]))
+	}
+	r.readClusters()
+	return r.out
+}
+
+// readPath reads the condition on the path.
+func (r *routeReader) readPath() {
+	given := 0
+	for kind, text := range map[route.PathKind]string{
+		route.Exact: r.in.Path, route.Prefix: r.in.Prefix, route.Template: r.in.Template, route.Regex: r.in.Regex,
+	} {
+		if text != "" {
+			given++
+			r.out.Kind, r.out.Path = kind, text
+		}
+	}
+	if given != 1 {
+		r.problem("", "one of path, prefix, template, regex is wanted; %d are given", given)
+	}
+}
+
+// readAnswer reads the route's own response, if it has one.
+func (r *routeReader) readAnswer() {
+	if d := r.in.Redirect; d != nil {
+		r.out.Answer = &route.Answer{
+			Redirect: true, Status: cmp.Or(d.Status, http.StatusMovedPermanently),
+			Scheme: d.Scheme, Host: d.Host, Port: d.Port, Path: d.Path, Prefix: d.Prefix, StripQuery: d.StripQuery,
+		}
+		if s := r.out.Answer.Status; s != 301 && s != 302 && s != 303 && s != 307 && s != 308 {
+			r.problem("redirect", "status %d is none of 301, 302, 303, 307, 308", s)
+		}
+	}
+	if d := r.in.Answer; d != nil {
+		r.out.Answer = &route.Answer{Status: d.Status, Text: d.Text}
+		if d.Status < 200 || d.Status > 599 || len(d.Text) > maxAnswerText {
+			const text = "status %d, %d bytes: 200 to 599 and %d at most"
+			r.problem("answer", text, d.Status, len(d.Text), maxAnswerText)
+		}
+	}
+}
+
+// header reads a condition on a request's header. Without a value it is that the header is present.
+func (r *routeReader) header(in *headerFile) route.Header {
+	out := route.Header{Name: in.Name, Kind: route.HeaderPresent, Invert: in.Not}
+	given := 0
+	for kind, text := range map[route.HeaderKind]*string{
+		route.HeaderExact: in.Exact, route.HeaderPrefix: in.Prefix, route.HeaderSuffix: in.Suffix,
+		route.HeaderContains: in.Contains, route.HeaderRegex: in.Regex,
+	} {
+		if text != nil {
+			given++
+			out.Kind, out.Value = kind, *text
+		}
+	}
+	if given > 1 {
+		r.problem("header", "%s: one of exact, prefix, suffix, contains, regex at most", in.Name)
+	}
+	return out
+}
+
+// readClusters reads the cluster, or the weighted clusters, of a route without a response of its own.
+func (r *routeReader) readClusters() {
+	in := r.in
+	switch {
+	case r.out.Answer != nil:
+		if in.Cluster != "" || len(in.Share) > 0 || in.Redirect != nil && in.Answer != nil {
+			r.problem("", "one of cluster, [[host.route.share]], redirect, answer is wanted")
+		}
+	case (in.Cluster == "") == (len(in.Share) == 0):
+		r.problem("cluster", "either cluster or [[host.route.share]] is wanted")
+	case in.Cluster != "":
+		r.out.Clusters = []route.Weighted{{Cluster: in.Cluster, Weight: 1}}
+	default:
+		for _, s := range in.Share {
+			r.out.Clusters = append(r.out.Clusters, route.Weighted{Cluster: s.Cluster, Weight: s.Weight})
+		}
+	}
+}
--- a/internal/config/survey.go
+++ b/internal/config/survey.go
@@ -2,12 +2,9 @@
 
 import (
 	"bytes"
-	"encoding"
 	"errors"
 	"fmt"
 	"reflect"
-	"strings"
-	"sync"
 
 	"github.com/pelletier/go-toml/v2/unstable"
 
@@ -15,96 +12,37 @@
 	"yokestall/internal/route"
 )
 
-// The bounds of what a file may hold before it is decoded. They are found in one pass that keeps nothing of the file.
+// The limits of a file that are checked before it is decoded, in one pass that stores nothing of the file.
 const (
 	MaxItems    = 1_000_000 // of lists and inline tables, by commas and braces
 	MaxKeyParts = 1000      // of a dotted key
 	MaxHosts    = 5000      // virtual hosts
 	MaxDomains  = 50_000    // over all virtual hosts
-	maxFaults   = 20        // told of a file at a time
-	maxFault    = 1000      // bytes of what is told of one
 )
 
-// tableLimits bounds how often tables or a list's values stand in a file, by their dotted names.
+// tableLimits limits the number of tables, or of a list's values, in a file, by their dotted names.
 type tableLimits map[string]tableLimit
 
 type tableLimit struct {
 	most int
-	what string
+	what string // what problems call them
 }
 
 var (
 	programLimits = tableLimits{
 		"tenant": {MaxTenants, "tenants"}, "class": {MaxClasses, "classes"}, "listener": {MaxListeners, "listeners"},
-		"host": {MaxHosts, "virtual hosts"}, "host.domains": {MaxDomains, "domains"}, "host.route": {route.MaxRoutes, "routes"},
+		"host": {MaxHosts, "virtual hosts"}, "host.domains": {MaxDomains, "domains"},
+		"host.route": {route.MaxRoutes, "routes"},
 	}
 	tenantLimits  = tableLimits{"tenant": {MaxTenants, "tenants"}}
-	clusterLimits = tableLimits{"endpoint": {cluster.MaxEndpoints, "servers"}, "cluster.removed": {cluster.MaxEndpoints, "servers"}}
-)
-
-// schema is what the keys of a table may be, by the type that it is decoded into.
-type schema struct {
-	path   string             // dotted; "" for the whole file
-	fields map[string]*schema // nil: whatever it holds is looked at by decoding alone
-}
-
-var schemas sync.Map // of schema by reflect.Type
-
-func schemaOf(t reflect.Type) *schema {
-	if s, known := schemas.Load(t); known {
-		return s.(*schema)
-	}
-	s := newSchema(t, "")
-	schemas.Store(t, s)
-	return s
-}
-
-var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
-
-func newSchema(t reflect.Type, path string) *schema {
-	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
-		t = t.Elem()
-	}
-	s := &schema{path: path}
-	if t.Kind() != reflect.Struct || reflect.PointerTo(t).Implements(textUnmarshaler) {
-		return s
-	}
-	s.fields = map[string]*schema{}
-	s.addFields(t)
-	return s
-}
-
-func (s *schema) addFields(t reflect.Type) {
-	for i := range t.NumField() {
-		f := t.Field(i)
-		name, _, _ := strings.Cut(f.Tag.Get("toml"), ",")
-		switch {
-		case f.Anonymous && name == "":
-			s.addFields(f.Type)
-		case name != "":
-			s.fields[strings.ToLower(name)] = newSchema(f.Type, join(s.path, name))
-		}
+	clusterLimits = tableLimits{
+		"endpoint": {cluster.MaxEndpoints, "servers"}, "cluster.removed": {cluster.MaxEndpoints, "servers"},
 	}
-}
-
-func join(path, name string) string {
-	if path == "" {
-		return name
-	}
-	return path + "." + name
-}
-
-// field gives that of a key, nil if there is none of the name. Letters' case doesn't count, as in decoding.
-func (s *schema) field(key []byte) *schema {
-	if f := s.fields[string(key)]; f != nil {
-		return f
-	}
-	return s.fields[strings.ToLower(string(key))]
-}
+)
 
-// survey tells what is too much in a file, or not known in many places, before it is decoded: decoding holds all of a
-// file in memory, and looks for the line of each unknown key from the file's beginning. A few unknown keys, and
-// faults of syntax, are left to decoding.
+// survey returns the limit that a file exceeds, or its unknown keys if they are many, before it is decoded: decoding
+// has the whole file in memory, and searches for the line of each unknown key from the file's beginning. A few unknown
+// keys, and errors of syntax, are left to decoding.
 func survey(name string, text []byte, to any, limits tableLimits) error {
 	if err := surveyItems(name, text); err != nil {
 		return err
@@ -124,20 +62,21 @@
 		case unstable.KeyValue:
 			s.keyValue(table, e)
 		}
-		if s.tooMuch != nil {
-			return s.tooMuch
+		if s.limitExceeded != nil {
+			return s.limitExceeded
 		}
-		if len(s.unknown) > maxFaults {
-			return errors.Join(s.unknown[:maxFaults]...)
+		if len(s.unknown) > maxProblems {
+			return errors.Join(s.unknown[:maxProblems]...)
 		}
 	}
 	return nil
 }
 
-// surveyItems bounds what one expression can make the parser hold.
+// surveyItems limits the memory that one expression can take in the parser.
 func surveyItems(name string, text []byte) error {
 	if n := bytes.Count(text, []byte(",")) + bytes.Count(text, []byte("{")); n > MaxItems {
-		return &cluster.Problem{Source: name, Text: fmt.Sprintf("over %d commas and braces of lists and inline tables", MaxItems)}
+		text := fmt.Sprintf("over %d commas and braces of lists and inline tables", MaxItems)
+		return &cluster.Problem{Source: name, Text: text}
 	}
 	for i, line := 1, []byte(nil); len(text) > 0; i++ {
 		line, text, _ = bytes.Cut(text, []byte("\n"))
@@ -148,7 +87,7 @@
 	return nil
 }
 
-// longKey tells whether there are too many dots in a line with nothing between them that can't stand in a key.
+// longKey reports whether a line has too many dots with nothing between them that can't be in a key.
 func longKey(line []byte) bool {
 	dots := 0
 	for _, b := range line {
@@ -164,26 +103,27 @@
 	return false
 }
 
+// surveyor is the state of a survey.
 type surveyor struct {
-	name    string
-	text    []byte
-	parser  unstable.Parser
-	limits  tableLimits
-	counts  map[string]int
-	tooMuch error
-	unknown []error
+	name          string
+	text          []byte
+	parser        unstable.Parser
+	limits        tableLimits
+	counts        map[string]int // by the keys of limits
+	limitExceeded error          // the first limit that is exceeded
+	unknown       []error        // of unknown keys
 }
 
-// anything is what an unknown table may hold.
+// anything is the schema of an unknown table.
 var anything = &schema{}
 
-// enter gives what a key leads to.
+// enter returns the schema that a key leads to, and records an unknown key.
 func (s *surveyor) enter(from *schema, key unstable.Iterator) *schema {
 	for key.Next() && from.fields != nil {
 		part := key.Node()
 		next := from.field(part.Data)
 		if next == nil {
-			s.unknown = append(s.unknown, s.problem(part, join(from.path, shorten(string(part.Data))), "is no known key"))
+			s.unknown = append(s.unknown, s.problem(part, joinKeys(from.path, shorten(string(part.Data))), "is no known key"))
 			return anything
 		}
 		from = next
@@ -191,6 +131,7 @@
 	return from
 }
 
+// keyValue surveys the value of a key.
 func (s *surveyor) keyValue(table *schema, n *unstable.Node) {
 	field := s.enter(table, n.Key())
 	value := n.Value()
@@ -202,12 +143,13 @@
 	}
 }
 
+// list surveys the values of a list.
 func (s *surveyor) list(field *schema, n, value *unstable.Node) {
 	_, limited := s.limits[field.path]
 	if !limited && field.fields == nil {
 		return
 	}
-	for items := value.Children(); items.Next() && s.tooMuch == nil; {
+	for items := value.Children(); items.Next() && s.limitExceeded == nil; {
 		s.count(field, n)
 		if items.Node().Kind == unstable.InlineTable {
 			s.inline(field, items.Node())
@@ -215,26 +157,27 @@
 	}
 }
 
+// inline surveys an inline table.
 func (s *surveyor) inline(field *schema, value *unstable.Node) {
 	if field.fields == nil {
 		return
 	}
-	for items := value.Children(); items.Next() && len(s.unknown) <= maxFaults; {
+	for items := value.Children(); items.Next() && len(s.unknown) <= maxProblems; {
 		s.keyValue(field, items.Node())
 	}
 }
 
-// count counts one more of a table or of a list's values.
+// count counts a table or a list's value.
 func (s *surveyor) count(field *schema, n *unstable.Node) {
 	limit, limited := s.limits[field.path]
 	if !limited {
 		return
 	}
 	s.counts[field.path]++
-	if s.counts[field.path] > limit.most && s.tooMuch == nil {
+	if s.counts[field.path] > limit.most && s.limitExceeded == nil {
 		key := n.Key()
 		key.Next()
-		s.tooMuch = s.problem(key.Node(), field.path, fmt.Sprintf("over %d %s", limit.most, limit.what))
+		s.limitExceeded = s.problem(key.Node(), field.path, fmt.Sprintf("over %d %s", limit.most, limit.what))
 	}
 }
 
@@ -242,21 +185,3 @@
 	line := 1 + bytes.Count(s.text[:at.Raw.Offset], []byte("\n"))
 	return &cluster.Problem{Source: s.name, Line: line, Field: field, Text: text}
 }
-
-// shorten bounds what is told of a fault.
-func shorten(text string) string {
-	if len(text) <= maxFault {
-		return text
-	}
-	return text[:maxFault] + "..."
-}
-
-// shortenLines bounds what is told of many.
-func shortenLines(text string) string {
-	lines := strings.SplitN(text, "\n", maxFaults+1)
-	lines = lines[:min(len(lines), maxFaults)]
-	for i := range lines {
-		lines[i] = shorten(lines[i])
-	}
-	return strings.Join(lines, "\n")
-}
--- a/internal/config/survey_test.go
+++ b/internal/config/survey_test.go
@@ -114,7 +114,7 @@
 			if err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "...: ", "... "), tc.want) {
 				t.Fatalf("error %.300v, want %q", err, tc.want)
 			}
-			if n := len(err.Error()); n > 2*maxFaults*maxFault {
+			if n := len(err.Error()); n > 2*maxProblems*maxProblemLength {
 				t.Errorf("the error has %d bytes", n)
 			}
 			if most := tc.bytes + uint64(len(text)); size > most { // a copy is the test's
@@ -165,10 +165,10 @@
 
 // A few unknown keys are told as before, each by its line; letters' case doesn't count, as in decoding.
 func TestSurveyLeavesToDecoding(t *testing.T) {
-	text := smallProgram + manyTenants(maxFaults, "qouta_per_s = 20\n")
+	text := smallProgram + manyTenants(maxProblems, "qouta_per_s = 20\n")
 	err := program(text)
 	var list interface{ Unwrap() []error }
-	if !errors.As(err, &list) || len(list.Unwrap()) != maxFaults {
+	if !errors.As(err, &list) || len(list.Unwrap()) != maxProblems {
 		t.Errorf("%v", err)
 	}
 	upper := strings.NewReplacer("[[tenant]]", "[[TENANT]]", "name =", "Name =").Replace(smallProgram + manyTenants(100, "quota_per_s = 20\n"))
