--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -106,7 +106,7 @@
 	if c.app, err = New(snapshot(p, given), Options{Seed: 1, Log: logs, Keys: keys}); err != nil {
 		t.Fatal(err)
 	}
-	set.TLS, set.Address, set.Connections, set.Silent, set.MaxBody = front.TLS, "127.0.0.1:0", 1024, 256, p.Listener.MaxBody
+	set.TLS, set.Address, set.Connections, set.NewConnections, set.MaxBody = front.TLS, "127.0.0.1:0", 1024, 256, p.Listener.MaxBody
 	c.listeners = c.app.NewListeners()
 	if err := c.listeners.Apply([]config.Listener{set}); err != nil {
 		t.Fatal(err)
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -97,14 +97,14 @@
 		MaxHead: settings.MaxHead, Stall: settings.Stall,
 		Places: connlimit.Limits{
 			Active: settings.Connections, Reserve: max(1, settings.Connections/reserveDivisor),
-			New: settings.Silent, Overflow: max(1, settings.Connections/overflowDivisor),
+			New: settings.NewConnections, Overflow: max(1, settings.Connections/overflowDivisor),
 		},
 	}
 	if settings.TLS {
 		if a.Keys == nil {
 			return nil, errNoKeys
 		}
-		clients := tlskeys.Clients{Roots: settings.ClientRoots, Require: settings.ClientNeeds}
+		clients := tlskeys.Clients{Roots: settings.ClientRoots, Require: settings.RequireClientCert}
 		o.TLS = a.Keys.Server(clients, protocols(&settings)...)
 	}
 	s.front = h1server.New(a.dedupRouter(), o)
--- a/internal/cli/agree.go
+++ b/internal/cli/agree.go
@@ -23,7 +23,7 @@
 	}
 	if keys != nil && a.Roots != "" {
 		c.ServerTLS = keys.Server(tlskeys.Clients{Roots: a.Roots, Require: true}, "h2")
-		c.ClientTLS = keys.Client(tlskeys.Servers{Roots: a.Roots, Certificate: a.Shows})
+		c.ClientTLS = keys.Client(tlskeys.Servers{Roots: a.Roots, Certificate: a.Certificate})
 	}
 	return c
 }
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -19,7 +19,7 @@
 	Listen       string // host:port, for other nodes; "": it is no voter
 	Voters       []Voter
 	Roots        string // that other nodes' certificates are verified by; "": clear text, on loopback alone
-	Shows        string // the certificate for other nodes
+	Certificate  string // the certificate for other nodes
 	Lease        lease.Config
 	Disconnected lease.DisconnectedPolicy
 }
@@ -65,7 +65,7 @@
 		return
 	}
 	a := &p.Agree
-	*a = Agree{Name: f.Name, Node: f.Node, Folder: f.Folder, Listen: f.Listen, Roots: f.Roots, Shows: f.Shows,
+	*a = Agree{Name: f.Name, Node: f.Node, Folder: f.Folder, Listen: f.Listen, Roots: f.Roots, Certificate: f.Shows,
 		Lease: lease.Config{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration}}
 	for _, n := range []struct{ key, name string }{{"name", f.Name}, {"node", f.Node}} {
 		if n.name == "" || len(n.name) > cluster.MaxName {
--- a/internal/config/extproc.go
+++ b/internal/config/extproc.go
@@ -16,24 +16,24 @@
 // ExtProc is the settings of the external processing server for other proxies (envoy.service.ext_proc.v3). The zero
 // value has none.
 type ExtProc struct {
-	Address     string // host:port; "": there is none
-	Pick        bool   // the other proxy sends the request, where its route doesn't say
-	Connections int
-	Streams     int           // limit over all connections
-	PerConn     int           // limit of the streams of a connection
-	Head        int           // bytes of a head
-	Message     int           // bytes of a message
-	Buffer      int64         // bytes of all buffered bodies
-	Answer      int           // bytes of a response that can't be streamed
-	First       time.Duration // timeout of a stream's first message
-	Report      time.Duration // timeout of the outcome of a request that the other proxy sends
-	Drain       time.Duration
-	Override    bool
-	Repeats     int   // limit of the entries of the deduplication
-	RepeatBytes int64 // limit of their size
-	TLS         bool
-	ClientRoots string
-	ClientNeeds bool
+	Address           string // host:port; "": there is none
+	Pick              bool   // the other proxy sends the request, where its route doesn't say
+	Connections       int
+	Streams           int           // limit over all connections
+	PerConn           int           // limit of the streams of a connection
+	Head              int           // bytes of a head
+	Message           int           // bytes of a message
+	Buffer            int64         // bytes of all buffered bodies
+	Answer            int           // bytes of a response that can't be streamed
+	First             time.Duration // timeout of a stream's first message
+	Report            time.Duration // timeout of the outcome of a request that the other proxy sends
+	Drain             time.Duration
+	Override          bool
+	Repeats           int   // limit of the entries of the deduplication
+	RepeatBytes       int64 // limit of their size
+	TLS               bool
+	ClientRoots       string
+	RequireClientCert bool
 }
 
 // readExtProc reads the settings of deduplication and of external processing.
@@ -54,7 +54,7 @@
 		Head: x.Head << 10, Message: x.Message << 10, Answer: x.Answer << 10, Buffer: x.Buffer << 20,
 		First: x.First.Duration, Report: x.Report.Duration, Drain: x.Drain.Duration, Override: x.Override,
 		Repeats: x.Repeats, RepeatBytes: x.RepeatBytes << 20,
-		TLS: x.TLS, ClientRoots: x.ClientRoots, ClientNeeds: x.ClientNeeds,
+		TLS: x.TLS, ClientRoots: x.ClientRoots, RequireClientCert: x.ClientNeeds,
 	}
 	if _, port, err := net.SplitHostPort(x.Address); x.Address != "" && (err != nil || port == "") {
 		report("extproc", -1, "address", "%q is no host:port", x.Address)
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -15,24 +15,24 @@
 
 // Listener is the settings of a listener for HTTP clients. Listeners are compared by ==.
 type Listener struct {
-	Name        string        // "" for the one of [listen]
-	Address     string        // host:port
-	Connections int           // limit of client connections that have sent something, 4 or more
-	Silent      int           // limit of those that have sent nothing yet
-	HTTP2       int           // limit of streams of an HTTP/2 connection; 0: HTTP/1.1 alone
-	MaxBody     int64         // bytes of a request's body; 0: any length
-	Trust       string        // networks of trusted proxies, separated by spaces
-	Forwarded   bool          // the Forwarded field is written too (RFC 7239)
-	Proxy       string        // the PROXY protocol of trusted proxies: "" none, "optional", "required"
-	Drain       time.Duration // how long streams may last after the listener is closed
-	TLS         bool
-	ClientRoots string        // that client certificates are verified by; "": none are requested
-	ClientNeeds bool          // a client without a certificate is rejected
-	MaxHead     int           // bytes of a request head
-	Stall       time.Duration // how long a client may not read a stream, or not continue an upload
-	Resets      int           // RST_STREAM frames a second of an HTTP/2 connection; 0: no limit
-	Controls    int           // its frames a second that carry no request; 0: no limit
-	Pieces      int           // CONTINUATION frames of a head; 0: no limit
+	Name              string        // "" for the one of [listen]
+	Address           string        // host:port
+	Connections       int           // limit of client connections that have sent something, 4 or more
+	NewConnections    int           // limit of those that have sent nothing yet
+	HTTP2             int           // limit of streams of an HTTP/2 connection; 0: HTTP/1.1 alone
+	MaxBody           int64         // bytes of a request's body; 0: any length
+	Trust             string        // networks of trusted proxies, separated by spaces
+	Forwarded         bool          // the Forwarded field is written too (RFC 7239)
+	Proxy             string        // the PROXY protocol of trusted proxies: "" none, "optional", "required"
+	Drain             time.Duration // how long streams may last after the listener is closed
+	TLS               bool
+	ClientRoots       string        // that client certificates are verified by; "": none are requested
+	RequireClientCert bool          // a client without a certificate is rejected
+	MaxHead           int           // bytes of a request head
+	Stall             time.Duration // how long a client may not read a stream, or not continue an upload
+	Resets            int           // RST_STREAM frames a second of an HTTP/2 connection; 0: no limit
+	Controls          int           // its frames a second that carry no request; 0: no limit
+	Pieces            int           // CONTINUATION frames of a head; 0: no limit
 }
 
 // listenerFile is a listener as written.
@@ -88,12 +88,12 @@
 // of keys.
 func (p *Program) readListener(table string, i int, f *listenerFile, keys string, report reporter) {
 	l := Listener{
-		Name: f.Name, Address: f.Address, Connections: 1024, Silent: 256, HTTP2: 128,
+		Name: f.Name, Address: f.Address, Connections: 1024, NewConnections: 256, HTTP2: 128,
 		MaxBody: f.MaxBody << 20, Trust: strings.Join(f.Trust, " "), Forwarded: f.Forwarded, Proxy: f.Proxy,
 		MaxHead: 16, Stall: 30 * time.Second, Resets: 200, Controls: 500, Pieces: 16,
-		Drain: f.Drain.Duration, TLS: f.TLS, ClientRoots: f.ClientRoots, ClientNeeds: f.ClientNeeds,
+		Drain: f.Drain.Duration, TLS: f.TLS, ClientRoots: f.ClientRoots, RequireClientCert: f.ClientNeeds,
 	}
-	for to, given := range map[*int]*int{&l.Connections: f.Connections, &l.Silent: f.Silent, &l.HTTP2: f.HTTP2,
+	for to, given := range map[*int]*int{&l.Connections: f.Connections, &l.NewConnections: f.Silent, &l.HTTP2: f.HTTP2,
 		&l.MaxHead: f.MaxHead, &l.Resets: f.Resets, &l.Controls: f.Controls, &l.Pieces: f.Pieces} {
 		if given != nil {
 			*to = *given
@@ -123,7 +123,7 @@
 	if n := l.Connections; n < 4 || n > 1e6 {
 		report(table, i, "connections", "%d is not from 4 to 1000000", n)
 	}
-	if n := l.Silent; n < 1 || n > 1e6 {
+	if n := l.NewConnections; n < 1 || n > 1e6 {
 		report(table, i, "silent", "%d is not from 1 to 1000000", n)
 	}
 	if n := l.HTTP2; n < 0 || n > 1000 {
@@ -167,9 +167,9 @@
 	switch {
 	case l.TLS && keys == "":
 		report(table, i, "tls", "wants [keys] folder")
-	case !l.TLS && (l.ClientRoots != "" || l.ClientNeeds):
+	case !l.TLS && (l.ClientRoots != "" || l.RequireClientCert):
 		report(table, i, "client_roots", "wants tls = true")
-	case l.ClientNeeds && l.ClientRoots == "":
+	case l.RequireClientCert && l.ClientRoots == "":
 		report(table, i, "client_required", "wants client_roots")
 	}
 }
--- a/internal/config/xds.go
+++ b/internal/config/xds.go
@@ -13,7 +13,7 @@
 	NodeGroup   string
 	Listener    string // whose routes are used; "": those of Routes
 	Routes      string // the route configuration; "": the only one there is
-	Named       bool   // only clusters that routes name are requested
+	RoutedOnly  bool   // only clusters that routes name are requested
 	Class       string // of routes that name none; "": those are rejected
 	Keep        string // file for the last good version; "": none
 	Folder      string // of files in xDS form; "": none
@@ -28,7 +28,7 @@
 	x := &f.XDS
 	p.XDS = XDS{
 		Servers: x.Servers, Incremental: x.Variant == "incremental", NodeID: x.NodeID, NodeGroup: x.NodeGroup,
-		Listener: x.Listener, Routes: x.Routes, Named: x.Clusters == "routed", Class: x.Class,
+		Listener: x.Listener, Routes: x.Routes, RoutedOnly: x.Clusters == "routed", Class: x.Class,
 		Keep: x.Keep, Folder: x.Folder, MaxMessage: x.MaxMessage << 20,
 	}
 	if n := len(x.Servers); n > 16 {
--- a/internal/files/snapshot.go
+++ b/internal/files/snapshot.go
@@ -34,5 +34,5 @@
 	for _, c := range p.Classes {
 		t.Classes = append(t.Classes, c.Name)
 	}
-	return t, state.Options{Listener: p.XDS.Listener, Route: p.XDS.Routes, Named: p.XDS.Named}
+	return t, state.Options{Listener: p.XDS.Listener, Route: p.XDS.Routes, Named: p.XDS.RoutedOnly}
 }
