--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -74,7 +74,7 @@
 	out := ingress.Destination{
 		Effect: c.Idempotency, Window: c.DedupWindow, Deadline: requestDeadline(r, c),
 		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
-		Streams:     h1client.StreamLimits{Stall: c.Progress, Whole: c.Stream, Drain: c.Drain},
+		Streams:     h1client.StreamLimits{StallTimeout: c.Progress, MaxDuration: c.Stream, DrainTimeout: c.Drain},
 		MaxAttempts: r.MaxAttempts, PerTry: r.PerTry, Certified: s.tenants.byCertificate,
 		Pick: r.Processor == "pick" || r.Processor == "" && s.program.ExtProc.Pick,
 	}
--- a/internal/app/sender.go
+++ b/internal/app/sender.go
@@ -39,11 +39,11 @@
 }
 
 // update applies changes of the endpoints.
-func (s *sender) update(servers []h1client.Server) {
+func (s *sender) update(servers []h1client.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, server := range servers {
-		if server.Gone {
+		if server.Removed {
 			delete(s.addresses, server.ID)
 		} else {
 			s.addresses[server.ID] = server.Address
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -40,7 +40,7 @@
 	app      *App
 	settings config.Listener
 	rules    *forwarded.Rules
-	front    *h1server.Front
+	h1       *h1server.Server
 	http     *http.Server
 	h2       *h2server.Server // nil: HTTP/1.1 alone
 }
@@ -58,25 +58,25 @@
 		return err
 	}
 	defer s.http.Close()
-	defer s.front.CloseTunnels()
-	listener := s.front.Listener(l)
+	defer s.h1.CloseTunnels()
+	listener := s.h1.Listener(l)
 	accept := listener
 	if settings.Proxy != "" {
 		accept = proxyProtocolListener(listener, s.rules, settings.Proxy == "required")
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- s.front.Serve(s.http, accept) }()
+	go func() { ended <- s.h1.Serve(s.http, accept) }()
 	a.Log.Info("serving", "addr", l.Addr().String(), "listener", settings.Name, "tls", settings.TLS)
 	select {
 	case err := <-ended:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	s.front.Stopping()
-	s.front.Draining()
+	s.h1.FailHealthChecks()
+	s.h1.CloseAfterResponses()
 	listener.Close()
 	if s.h2 != nil {
-		s.h2.Move() // HTTP/2 clients open their next streams on other connections
+		s.h2.StartDrain() // HTTP/2 clients open their next streams on other connections
 	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("serve: %w", err)
@@ -93,9 +93,9 @@
 	}
 	s := &listenerServer{app: a, settings: settings, rules: &forwarded.Rules{Trust: trust, Standard: settings.Forwarded}}
 	o := h1server.Options{
-		Clock: a.clock, Log: a.Log, MaxBody: settings.MaxBody, Edge: s.rules,
-		MaxHead: settings.MaxHead, Stall: settings.Stall,
-		Places: connlimit.Limits{
+		Clock: a.clock, Log: a.Log, MaxBodyBytes: settings.MaxBody, ForwardedHeaders: s.rules,
+		MaxHeaderBytes: settings.MaxHead, StallTimeout: settings.Stall,
+		ConnectionLimits: connlimit.Limits{
 			Active: settings.Connections, Reserve: max(1, settings.Connections/reserveDivisor),
 			New: settings.NewConnections, Overflow: max(1, settings.Connections/overflowDivisor),
 		},
@@ -107,13 +107,13 @@
 		clients := tlskeys.Clients{Roots: settings.ClientRoots, Require: settings.RequireClientCert}
 		o.TLS = a.Keys.Server(clients, protocols(&settings)...)
 	}
-	s.front = h1server.New(a.dedupRouter(), o)
-	s.front.Ready()
-	s.http = s.front.Server()
+	s.h1 = h1server.New(a.dedupRouter(), o)
+	s.h1.SetReady()
+	s.http = s.h1.HTTPServer()
 	if settings.HTTP2 > 0 {
 		s.h2 = h2server.Attach(s.http, h2server.Options{
-			Streams: settings.HTTP2, Stall: settings.Stall, Clock: a.clock, Log: a.Log,
-			Floods: h2flood.Limits{Resets: settings.Resets, Controls: settings.Controls, Pieces: settings.Pieces},
+			MaxStreams: settings.HTTP2, StallTimeout: settings.Stall, Clock: a.clock, Log: a.Log,
+			FloodLimits: h2flood.Limits{Resets: settings.Resets, Controls: settings.Controls, Pieces: settings.Pieces},
 		})
 	}
 	return s, nil
@@ -134,14 +134,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	// Requests from before this time have their whole deadline; later ones would be cut off with their connections.
-	defer time.AfterFunc(timeout-deadline-finalAnswerMargin, s.front.Refuse).Stop()
+	defer time.AfterFunc(timeout-deadline-finalAnswerMargin, s.h1.RejectNewRequests).Stop()
 	// Connections without a request are closed before the end, when a request on them would get no answer.
-	defer time.AfterFunc(timeout-finalAnswerMargin, s.front.CloseSilent).Stop()
-	s.front.Drain(ctx)
+	defer time.AfterFunc(timeout-finalAnswerMargin, s.h1.CloseIdleConnections).Stop()
+	s.h1.Drain(ctx)
 	if s.h2 == nil {
 		return
 	}
-	// Idle HTTP/2 connections end by themselves after Move, and Shutdown waits for them. It comes last: from here on
+	// Idle HTTP/2 connections end by themselves after StartDrain, and Shutdown waits for them. It comes last: from here on
 	// net/http drops HTTP/1.1 requests that it has read, and no such connections are left unless the time is over.
 	if ctx.Err() != nil {
 		ctx, cancel = context.WithTimeout(context.Background(), shutdownMargin)
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -35,9 +35,9 @@
 // upstreamPool carries a tier's attempts.
 type upstreamPool interface {
 	engine.Exchanger
-	Update(whole bool, servers []h1client.Server)
-	Limit(connectTimeout time.Duration, maxOpen int)
-	Retire(ctx context.Context)
+	UpdateEndpoints(full bool, endpoints []h1client.Endpoint)
+	SetLimits(connectTimeout time.Duration, maxOpen int)
+	EvictIdle(ctx context.Context)
 }
 
 var (
@@ -59,10 +59,10 @@
 		stop()
 		return nil, err
 	}
-	a.background.Go(func() { pool.Retire(ctx) })
+	a.background.Go(func() { pool.EvictIdle(ctx) })
 	a.background.Go(func() { // the engine ends by retire or with the app
 		<-e.Ended()
-		pool.Update(true, nil)
+		pool.UpdateEndpoints(true, nil)
 		stop()
 	})
 	t := &tier{engine: e, pool: pool, sender: s}
@@ -73,8 +73,9 @@
 // newPool returns a pool of upstream connections by the cluster's protocol.
 func (r *managedCluster) newPool() upstreamPool {
 	o := h1client.Options{
-		ServersIdle: r.upstream.Idle, ConnectTimeout: r.upstream.ConnectTimeout, MaxOpen: r.upstream.Connections,
-		AnyAnswer: true, TLS: r.tls,
+		EndpointIdleTimeout: r.upstream.Idle, ConnectTimeout: r.upstream.ConnectTimeout,
+		MaxConnections: r.upstream.Connections,
+		AnyStatus: true, TLS: r.tls,
 	}
 	if r.transport.HTTP2 {
 		return h2client.New(o)
@@ -136,7 +137,7 @@
 		maxOpen = min(maxOpen, b.MaxConnections)
 	}
 	for _, t := range r.tiers {
-		t.pool.Limit(connectTimeout, maxOpen)
+		t.pool.SetLimits(connectTimeout, maxOpen)
 		t.engine.LimitRetries(b.MaxRetries)
 	}
 }
--- a/internal/downstream/h1server/strict_test.go
+++ b/internal/downstream/h1server/platformbody_test.go
@@ -10,11 +10,11 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// Bodies hold no more together than their part of the memory, but for the least that each needs to go
-// on at all; what they held is given back.
-func TestHeldBodiesKeepToTheirPart(t *testing.T) {
+// Bodies reserve no more than Options.BodyMemory together, except for the least that each needs, and release what they
+// reserved.
+func TestBodyMemoryLimit(t *testing.T) {
 	const part = 4 << 20
-	f := New(nil, Options{Strict: true, Held: part, Places: connlimit.Limits{Active: 1, New: 1}})
+	f := New(nil, Options{Strict: true, BodyMemory: part, ConnectionLimits: connlimit.Limits{Active: 1, New: 1}})
 	var held []*h1client.Request
 	for i := range 200 {
 		length := int64(-1)
@@ -24,18 +24,18 @@
 		r := httptest.NewRequest(http.MethodPost, "/pay", http.NoBody)
 		r.ContentLength, r.Body = length, io.NopCloser(http.NoBody)
 		to := &h1client.Request{}
-		if err := f.strictBody(r, http.NewResponseController(httptest.NewRecorder()), to); err != nil {
+		if err := f.readPlatformBody(r, http.NewResponseController(httptest.NewRecorder()), to); err != nil {
 			t.Fatal(err)
 		}
 		held = append(held, to)
-		if most := int64(part + len(held)*leastHeld); f.held.Load() > most || to.Held < leastHeld {
-			t.Fatalf("%d bodies hold %d bytes, %d at most; the last one %d", len(held), f.held.Load(), most, to.Held)
+		if most := int64(part + len(held)*minBodyBuffer); f.bufferedBytes.Load() > most || to.ReservedBytes < minBodyBuffer {
+			t.Fatalf("%d bodies hold %d bytes, %d at most; the last one %d", len(held), f.bufferedBytes.Load(), most, to.ReservedBytes)
 		}
 	}
 	for _, to := range held {
-		f.free(to)
+		f.releaseBuffer(to)
 	}
-	if left := f.held.Load(); left != 0 {
+	if left := f.bufferedBytes.Load(); left != 0 {
 		t.Errorf("%d bytes are not given back", left)
 	}
 }
--- a/internal/node/detach_histories_test.go
+++ b/internal/node/detach_histories_test.go
@@ -26,7 +26,7 @@
 	names     map[policy.EndpointID]string
 }
 
-func (h *history) Servers(bool, []h1client.Server) {}
+func (h *history) Servers(bool, []h1client.Endpoint) {}
 func (h *history) UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool {
 	h.balancer.UpdateEndpoints(h.now, kind, entries)
 	return true
@@ -42,7 +42,7 @@
 func (h *history) Reject(policy.RequestID, time.Duration) {}
 func (h *history) Fail(policy.RequestID)                  {}
 func (h *history) SetTimer(time.Duration, uint64)         {}
-func (h *history) WatchEndpoints()                        {}
+func (h *history) RequestPoll()                           {}
 
 // request starts a request, and ends all attempts in flight as drawn; failures lead to retries.
 func (h *history) request() {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -46,7 +46,7 @@
 	r := &restartCoordinator{cfg: cfg, log: log, components: c, descriptorLimit: cfg.Limits.Sockets}
 	folder, changes, err := hotrestart.Join(cfg.SharedDir, cfg.Name+" "+cfg.Listen, log)
 	if err != nil {
-		log.Error("administrative record unavailable, changes will be rejected", "err", err)
+		log.Error("shared folder unavailable, hot restart coordination and administrative changes disabled", "err", err)
 		r.folderErr = err
 		return r
 	}
@@ -172,7 +172,7 @@
 
 // openDescriptors returns how many descriptors this process has open, or may open by itself.
 func (r *restartCoordinator) openDescriptors() int {
-	return r.components.front.Connections() + r.components.pool.Open() + ownDescriptors + adminapi.MaxDescriptors
+	return r.components.front.Connections() + r.components.pool.OpenConnections() + ownDescriptors + adminapi.MaxDescriptors
 }
 
 // applyDescriptorLimit applies a limit of this process's descriptors, unless it is a small increase
@@ -198,6 +198,6 @@
 	if err != nil {
 		return
 	}
-	r.components.pool.Limit(r.cfg.ConnectTimeout, upstream)
-	r.components.front.Resize(clients)
+	r.components.pool.SetLimits(r.cfg.ConnectTimeout, upstream)
+	r.components.front.SetConnectionLimits(clients)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,8 +15,8 @@
 	"yokestall/internal/hotrestart"
 )
 
-// initialListTimeout bounds how long a successor waits for an endpoint list before it accepts clients.
-const initialListTimeout = 4 * time.Second
+// successorListTimeout bounds how long a successor waits for an endpoint list before it accepts clients.
+const successorListTimeout = 4 * time.Second
 
 // Node is one load balancer. Create it with Listen.
 type Node struct {
@@ -110,7 +110,7 @@
 	if c.restart != nil {
 		tasks.Go(func() { c.restart.run(background) })
 	}
-	go c.pool.Retire(background)
+	go c.pool.EvictIdle(background)
 }
 
 // followEndpoints starts to follow the endpoint list, from what a predecessor passed on or else from
@@ -125,7 +125,7 @@
 	}
 	reached := make(chan struct{})
 	markReady := sync.OnceFunc(func() {
-		c.front.Ready()
+		c.front.SetReady()
 		close(reached)
 	})
 	go c.endpoints.run(background, initial, markReady)
@@ -139,7 +139,7 @@
 	if c.restart.hasPredecessor() {
 		select {
 		case <-ready:
-		case <-time.After(initialListTimeout):
+		case <-time.After(successorListTimeout):
 		case <-ctx.Done():
 		}
 	}
@@ -158,7 +158,7 @@
 
 // serve starts to accept clients. The server's goroutine ends when its listener is closed.
 func (n *Node) serve(c *components) *serving {
-	s := &serving{http: c.front.Server(), listener: c.front.Listener(n.listener), failed: make(chan error, 1)}
+	s := &serving{http: c.front.HTTPServer(), listener: c.front.Listener(n.listener), failed: make(chan error, 1)}
 	go func() { s.failed <- s.http.Serve(s.listener) }()
 	c.restart.advancePhase(hotrestart.Serving)
 	if n.adminListener != nil {
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -168,7 +168,7 @@
 	drainedAt time.Time // when it was given the drain
 }
 
-func (p *pollingPolicy) Servers(bool, []h1client.Server) {}
+func (p *pollingPolicy) Servers(bool, []h1client.Endpoint) {}
 
 func (p *pollingPolicy) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool {
 	p.mu.Lock()
@@ -191,7 +191,7 @@
 	context.AfterFunc(p.ctx, func() { timer.Stop() })
 }
 
-func (p *pollingPolicy) WatchEndpoints()                                         { p.watcher.requestPoll() }
+func (p *pollingPolicy) RequestPoll()                                            { p.watcher.requestPoll() }
 func (p *pollingPolicy) Send(policy.RequestID, policy.EndpointID, time.Duration) {}
 func (p *pollingPolicy) Cancel(policy.RequestID, int)                            {}
 func (p *pollingPolicy) Reject(policy.RequestID, time.Duration)                  {}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -15,9 +15,8 @@
 	// arrivalPeriod is how long the platform still sends connections to a node that shuts down, and how
 	// long no request must have arrived for the shutdown to end early.
 	arrivalPeriod = 500 * time.Millisecond
-	// shutdownMargin is what a shutdown may take beyond the longest deadline. The platform kills the
-	// node 0.7 s after that, and counts a deadline over maxCountedDeadline as that long: a shutdown that
-	// waited for a longer one would be cut off with all open requests.
+	// shutdownMargin is what a shutdown may take beyond the longest deadline. The platform kills the node
+	// 0.7 s after the longest deadline, of which it counts maxCountedDeadline at most.
 	shutdownMargin     = 500 * time.Millisecond
 	maxCountedDeadline = 3 * time.Second
 	// closingPeriod is the last part of a shutdown, in which no request is accepted. abortPeriod is the
@@ -79,7 +78,7 @@
 	defer cancel()
 	abort := time.AfterFunc(time.Until(began.Add(plan.abortAt())), func() {
 		c.cluster.Abort()
-		c.front.CloseSilent() // a request on one of these would not be answered any more
+		c.front.CloseIdleConnections() // a request on one of these would not be answered any more
 	})
 	defer abort.Stop()
 	if c.restart.successorServing() {
@@ -88,9 +87,9 @@
 			"connections", c.front.Connections(), "elapsed_ms", time.Since(began).Milliseconds())
 		return nil
 	}
-	c.front.Stopping()
-	awaitClose(plan, began, c.front.Asked)
-	c.front.Draining()
+	c.front.FailHealthChecks()
+	awaitClose(plan, began, c.front.LastRequestAt)
+	c.front.CloseAfterResponses()
 	s.listener.Close()
 	if err := <-s.failed; !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("serve: %w", err)
@@ -105,7 +104,7 @@
 func (n *Node) leaveToSuccessor(limit context.Context, c *components, s *serving, plan shutdownPlan) {
 	s.listener.Close()
 	c.restart.advancePhase(hotrestart.Draining)
-	c.front.Leave(limit, plan.idleTimeout())
+	c.front.DrainToSuccessor(limit, plan.idleTimeout())
 }
 
 // awaitClose returns when the listener may be closed. lastRequest returns when a request last arrived.
--- a/internal/upstream/h1client/upload_test.go
+++ b/internal/upstream/h1client/upload_test.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/testutil"
 )
 
-// parts gives a body in drawn pieces with pauses, and then an error.
+// parts returns a body in random pieces with pauses, and then an error.
 type parts struct {
 	left []byte
 	rng  *rand.Rand
@@ -31,9 +31,9 @@
 	return n, nil
 }
 
-// Over drawn bodies, limits and attempts: what an attempt reads is the body from its first
-// byte or an error, never a part with a clean end; so long as it fits the limit any number of
-// attempts read it, past that one alone; and no more than the limit is held.
+// For random bodies, limits and attempts: an attempt reads the body from its first byte or an error, never a part with
+// a clean end; while the body fits the limit any number of attempts read it, beyond it one alone; and the buffer does
+// not exceed the limit.
 func TestUploadAgainstModel(t *testing.T) {
 	gone := errors.New("the client is gone")
 	for seed := range uint64(300) {
@@ -66,7 +66,7 @@
 					n, err = r.Read(part)
 					got = append(got, part[:n]...)
 					u.mu.Lock()
-					held := len(u.held)
+					held := len(u.buffer)
 					u.mu.Unlock()
 					if held > limit {
 						t.Fatalf("seed %d: %d bytes held, limit %d", seed, held, limit)
@@ -82,7 +82,7 @@
 					if end != io.EOF || len(got) != len(body) {
 						t.Fatalf("seed %d: %d of %d bytes pass for the whole", seed, len(got), len(body))
 					}
-				case errors.Is(err, errSpent):
+				case errors.Is(err, errBeginningDropped):
 					if !u.Consumed() || len(body) <= limit {
 						t.Fatalf("seed %d: a body of %d is spent under a limit of %d", seed, len(body), limit)
 					}
@@ -99,8 +99,8 @@
 	}
 }
 
-// A wait for what comes at one go ends, on however busy a machine: the time between the start of its
-// timer and the look at the clock made it wait on for ever, so that an event was stuck until its request's deadline.
+// AwaitBufferFor ends on however busy a machine: where it read the clock, the time between the start of its timer and
+// the reading had it wait until the request's deadline.
 func TestSettleEnds(t *testing.T) {
 	const waiters, times = 256, 100
 	var all sync.WaitGroup
@@ -108,7 +108,7 @@
 		all.Go(func() {
 			for range times {
 				u := NewUpload(strings.NewReader(""), 1) // nothing ever comes: Run is not called
-				u.Settle(20 * time.Microsecond)
+				u.AwaitBufferFor(20 * time.Microsecond)
 			}
 		})
 	}
--- a/internal/upstream/h2client/client_test.go
+++ b/internal/upstream/h2client/pool_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// scripted is a server that reads each connection's start and does something at each request.
+// scripted is an endpoint that reads the start of each connection and calls at for each request.
 func scripted(t testing.TB, streams uint32, at func(f *http2.Framer, nc net.Conn, stream uint32)) (addr string, conns func() int) {
 	count := make(chan int, 100)
 	addr = testutil.Accept(t, func(nc net.Conn) {
@@ -54,9 +54,9 @@
 	return addr, func() int { return len(count) }
 }
 
-// How a stream ends says whether the request has run: what certainly has not may be sent again
-// whatever its class (RFC 9113, 6.8 and 8.7).
-func TestWhatHasNotRun(t *testing.T) {
+// How a stream ends says whether its request may have run: what certainly has not may be sent again whatever its class
+// (RFC 9113, 6.8 and 8.7).
+func TestFailureStatus(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		at   func(f *http2.Framer, nc net.Conn, stream uint32)
@@ -71,35 +71,35 @@
 		{"a malformed frame", func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Write([]byte{0, 0, 1, 0, 0, 0, 0, 0, 0, 1}) }, policy.Reset},
 	} {
 		addr, _ := scripted(t, 1, tc.at)
-		u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 10})
-		u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
+		u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 10})
+		u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 		q := &h1client.Request{Method: "POST", Target: "/x", Host: "a", Header: http.Header{}, Body: []byte("b")}
 		if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != tc.want {
 			t.Errorf("%s: status %v, want %v", tc.name, res.Status, tc.want)
 		}
-		u.Update(true, nil)
+		u.UpdateEndpoints(true, nil)
 	}
 }
 
-// A server that allows one stream a connection gets h2PerServer connections, no more; what
-// finds none free has not run, and its place is free again once one ends.
+// An endpoint that allows one stream a connection gets maxConnsPerEndpoint connections. An attempt that finds no free
+// stream has not run, and a place is free again once a stream ends.
 func TestStreamLimit(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 1, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 100})
-	u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
+	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 100})
+	u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 10)
-	for range h2PerServer {
+	for range maxConnsPerEndpoint {
 		go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.Patience).Status }()
 		testutil.Wait(t, held, "a stream to be open")
 	}
-	if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != policy.Rejected || conns() != h2PerServer {
+	if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != policy.Rejected || conns() != maxConnsPerEndpoint {
 		t.Errorf("status %v with %d connections", res.Status, conns())
 	}
 	leave()
-	for range h2PerServer {
+	for range maxConnsPerEndpoint {
 		if s := testutil.Wait(t, ended, "the end of those given up"); s != policy.Cancelled {
 			t.Errorf("given up: status %v", s)
 		}
@@ -109,17 +109,17 @@
 	testutil.Wait(t, held, "another stream")
 	leave()
 	testutil.Wait(t, ended, "its end")
-	u.Update(true, nil)
-	testutil.Until(t, "all connections to end", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.open == 0 })
+	u.UpdateEndpoints(true, nil)
+	testutil.Until(t, "all connections to end", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.connections == 0 })
 }
 
-// What finds a connection and may not be sent any more, as behind an answer that came
-// meanwhile, takes no place for good: beside a stream that is open the second stays free.
-func TestUnsentKeepsNoPlace(t *testing.T) {
+// An attempt that gets a connection and may not be sent any more, as after a final answer, releases its place: beside
+// an open stream the second stays free.
+func TestUnsentAttemptReleasesPlace(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 2, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{ServersIdle: time.Minute, ConnectTimeout: testutil.Patience, MaxOpen: 100})
-	u.Update(true, []h1client.Server{{ID: 1, Address: addr}})
+	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 100})
+	u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 1)
@@ -134,10 +134,10 @@
 	}
 	leave()
 	testutil.Wait(t, ended, "the end of the first")
-	u.Update(true, nil)
+	u.UpdateEndpoints(true, nil)
 }
 
-// What gRPC's statuses say of the server, and that its word on retries is heard.
+// The statuses of gRPC that count as the endpoint's failure, and grpc-retry-pushback-ms.
 func TestGRPCOutcomes(t *testing.T) {
 	for _, tc := range []struct {
 		kind, status, pushback string
