--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -98,7 +98,7 @@
 
 // Guards against a request that falls between a cluster's looks at whether it is in use: all are answered while the
 // cluster is given up again and again.
-func TestRequestsMeetClustersThatAreGivenUp(t *testing.T) {
+func TestRequestsDuringDeactivation(t *testing.T) {
 	box := testutil.Box(t, "b")
 	s := serve(t, services(t, 1, box))
 	const clients, times = 2, 15
@@ -170,7 +170,7 @@
 }
 
 // Guards against news that a cluster without engines misses: a server that was taken out meanwhile gets nothing.
-func TestNewsWhileIdle(t *testing.T) {
+func TestUpdateWhileIdle(t *testing.T) {
 	stays, leaves := testutil.Box(t, "stays"), testutil.Box(t, "leaves")
 	first := services(t, 1, stays, leaves)
 	s := serve(t, first)
@@ -218,7 +218,7 @@
 }
 
 // What is known of servers outlives the engines: through idleness, a change of settings while idle, and both again.
-func TestKnowledgeOutlivesEngines(t *testing.T) {
+func TestSnapshotsOutliveEngines(t *testing.T) {
 	bad := testutil.Box(t, "bad")
 	bad.SetFailing(true)
 	first := services(t, 1, bad)
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -75,7 +75,7 @@
 	o := h1client.Options{
 		EndpointIdleTimeout: r.upstream.Idle, ConnectTimeout: r.upstream.ConnectTimeout,
 		MaxConnections: r.upstream.Connections,
-		AnyStatus: true, TLS: r.tls,
+		AnyStatus:      true, TLS: r.tls,
 	}
 	if r.transport.HTTP2 {
 		return h2client.New(o)
--- a/internal/app/tierupdate.go
+++ b/internal/app/tierupdate.go
@@ -12,7 +12,7 @@
 // tierUpdate is the difference of two versions of a tier, for each of those that follow its endpoints.
 type tierUpdate struct {
 	clock     engine.Clock
-	servers   []h1client.Endpoint   // for the sender and the pool
+	servers   []h1client.Endpoint // for the sender and the pool
 	endpoints []policy.Endpoint   // for the engine
 	draining  []policy.EndpointID // those that drain or were removed, for the streams
 }
--- a/internal/files/stamp_test.go
+++ b/internal/files/stamp_test.go
@@ -11,7 +11,7 @@
 )
 
 // What was read stands for as long as the stamp stays and shows each later write; near its first sight it doesn't.
-func TestFresh(t *testing.T) {
+func TestStampUpToDate(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	s := stamp{device: 1, inode: 2, mode: syscall.S_IFREG | 0o644, size: 3, modified: 4, changed: 5}
 	settled := history{stamp: s, firstSeen: start, lastRead: start.Add(stampSettleTime)}
@@ -449,7 +449,7 @@
 }
 
 // Files that come and go while a fault stands are not remembered for ever.
-func TestKnownIsBounded(t *testing.T) {
+func TestRecordsAreBounded(t *testing.T) {
 	r := newReader("x")
 	for i := range maxRecords + 1 {
 		r.records[fmt.Sprint(i)] = &record{key: fmt.Sprint(i)}
