--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -98,7 +98,7 @@
 
 // Guards against a request that falls between a cluster's looks at whether it is in use: all are answered while the
 // cluster is given up again and again.
-func TestRequestsMeetClustersThatAreGivenUp(t *testing.T) {
+func TestRequestsDuringDeactivation(t *testing.T) {
 	box := testutil.Box(t, "b")
 	s := serve(t, services(t, 1, box))
 	const clients, times = 2, 15
@@ -141,7 +141,7 @@
 			for range i % 8 {
 				runtime.Gosched() // a look is at another place each time
 			}
-			r.open.Add(1)
+			r.inFlight.Add(1)
 			tiers, err := r.activate()
 			if err != nil {
 				t.Error(err)
@@ -151,12 +151,12 @@
 				looked <- struct{}{}
 			}
 			select {
-			case <-tiers.list[0].cluster.Ended():
+			case <-tiers.list[0].engine.Ended():
 				t.Errorf("request %d: its engine ended under it", i)
 				return
 			default:
 			}
-			r.close()
+			r.endRequest()
 			looked <- struct{}{}
 		}
 	}()
@@ -170,7 +170,7 @@
 }
 
 // Guards against news that a cluster without engines misses: a server that was taken out meanwhile gets nothing.
-func TestNewsWhileIdle(t *testing.T) {
+func TestUpdateWhileIdle(t *testing.T) {
 	stays, leaves := testutil.Box(t, "stays"), testutil.Box(t, "leaves")
 	first := services(t, 1, stays, leaves)
 	s := serve(t, first)
@@ -184,7 +184,7 @@
 			e.Health = cluster.Draining
 		}
 	}
-	if !s.app.TakeClusters(time.Now(), []*cluster.Cluster{next}) {
+	if !s.app.ApplyClusters(time.Now(), []*cluster.Cluster{next}) {
 		t.Fatal("the version was not taken")
 	}
 	if s.app.ActiveClusters() != 0 {
@@ -207,7 +207,7 @@
 	r := s.app.state.Load().clusters[name]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.remember()
+	m := r.takeSnapshots()
 	if m == nil || len(m.tiers) != 1 {
 		s.t.Fatalf("cluster %s remembers %v", name, m)
 	}
@@ -218,7 +218,7 @@
 }
 
 // What is known of servers outlives the engines: through idleness, a change of settings while idle, and both again.
-func TestKnowledgeOutlivesEngines(t *testing.T) {
+func TestSnapshotsOutliveEngines(t *testing.T) {
 	bad := testutil.Box(t, "bad")
 	bad.SetFailing(true)
 	first := services(t, 1, bad)
@@ -238,7 +238,7 @@
 	for round := range 2 {
 		changed := *first.Program
 		changed.Limits.MaxRetryAfter += time.Duration(round+1) * time.Millisecond
-		if err := s.app.Take(&files.Snapshot{Program: &changed, Version: first.Version}); err != nil {
+		if err := s.app.Apply(&files.Snapshot{Program: &changed, Version: first.Version}); err != nil {
 			t.Fatal(err)
 		}
 		if s.app.ActiveClusters() != 0 || opened() != 1 {
@@ -275,7 +275,7 @@
 	}
 	testutil.Wait(t, begun, "the stream")
 	rooms := s.app.state.Load().clusters["rooms"]
-	testutil.Until(t, "the request's end", func() bool { return rooms.open.Load() == 0 })
+	testutil.Until(t, "the request's end", func() bool { return rooms.inFlight.Load() == 0 })
 	if n := s.app.deactivateIdle(s.app.idleNow()); n != 0 {
 		t.Error("a cluster with an open stream was given up")
 	}
@@ -319,7 +319,7 @@
 		for i := range times {
 			p := *first.Program
 			p.Limits.MaxRetryAfter += time.Duration(1+i%2) * time.Millisecond
-			if err := s.app.Take(&files.Snapshot{Program: &p, Version: first.Version}); err != nil {
+			if err := s.app.Apply(&files.Snapshot{Program: &p, Version: first.Version}); err != nil {
 				t.Fatal(err)
 			}
 			s.ask(i % count) // so that engines are among what is replaced
@@ -344,7 +344,7 @@
 	text := program + "[[tenant]]\nname = \"a\"\nquota_per_s = 5\ncertificates = [\"a.example\"]\n[[tenant]]\nname = \"b\"\n"
 	s := serve(t, snapshot(parse(t, text), rooms(at(testutil.Box(t, "b")))))
 	take := func(text string) *tenantTable {
-		if err := s.app.Take(snapshot(parse(t, text), rooms(at(testutil.Box(t, "b"))))); err != nil {
+		if err := s.app.Apply(snapshot(parse(t, text), rooms(at(testutil.Box(t, "b"))))); err != nil {
 			t.Fatal(err)
 		}
 		return s.app.state.Load().tenants
@@ -353,7 +353,7 @@
 	if again := take(strings.Replace(text, `max_retry_after = "600ms"`, `max_retry_after = "601ms"`, 1)); again != first {
 		t.Error("a version with the same tenants has a table of its own")
 	}
-	if first.byName["b"] != 1 || first.byCertificate["a.example"] != 0 || first.place("c") >= 0 {
+	if first.byName["b"] != 1 || first.byCertificate["a.example"] != 0 || first.index("c") >= 0 {
 		t.Errorf("places %v, by certificate %v", first.byName, first.byCertificate)
 	}
 	for name, change := range map[string][2]string{
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -96,7 +96,7 @@
 // writeSettings writes the settings file and the first cluster file, and returns the program's options. It starts the
 // control plane and makes the TLS keys where they are wanted.
 func (s *show) writeSettings() (options app.Options, err error) {
-	options = app.Options{Seed: 1, Log: s.Log, Sent: s.sent}
+	options = app.Options{Seed: 1, Log: s.Log, OnSend: s.sent}
 	if err := os.Mkdir(filepath.Join(s.folder, "clusters"), 0o755); err != nil {
 		return options, err
 	}
@@ -154,7 +154,7 @@
 	source := app.NewSource(s.app, first)
 	parts.Go(func() {
 		watcher.Run(running, func(v *files.Snapshot) {
-			source.Files(v)
+			source.SetFiles(v)
 			s.noteVersion()
 		})
 	})
--- a/internal/downstream/extproc/serve_test.go
+++ b/internal/downstream/extproc/serve_test.go
@@ -64,7 +64,7 @@
 	testutil.Until(t, "both to be open", func() bool {
 		return r.server.Stats.Forwarded.Load()+r.server.Stats.Picked.Load() == 2
 	})
-	if err := r.app.Take(r.version([]string{b.Addr()})); err != nil { // a new configuration too
+	if err := r.app.Apply(r.version([]string{b.Addr()})); err != nil { // a new configuration too
 		t.Fatal(err)
 	}
 	r.stop()
