--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -9,7 +9,7 @@
 	"yokestall/internal/testutil/golden"
 )
 
-// The other JSON output of the fleet commands is that of types of package peers, which has golden files for them.
+// The other JSON output of the fleet commands is that of types of package agent, which has golden files for them.
 func TestGoldenPublishOutput(t *testing.T) {
 	want := result{
 		ID:             "id-a",
--- a/internal/downstream/h1server/lifecycle.go
+++ b/internal/downstream/h1server/lifecycle.go
@@ -25,7 +25,7 @@
 func (s *Server) RejectNewRequests() { s.rejecting.Store(true) }
 
 // EnterLameDuck moves clients to other nodes, until ExitLameDuck or the end of ctx: health checks fail, each response
-// ends its connection, and idle connections are closed after adminstate.LameDuckNotice. Requests are served all the
+// ends its connection, and idle connections are closed after adminstate.LameDuckIdleDelay. Requests are served all the
 // same. It does not wait. In lame duck mode it does nothing.
 func (s *Server) EnterLameDuck(ctx context.Context) {
 	cs := s.conns
--- a/internal/engine/cluster.go
+++ b/internal/engine/cluster.go
@@ -32,7 +32,7 @@
 	// EventQueue is how many events may wait before their senders block; 0: DefaultEventQueue. Its memory, 16 bytes an
 	// event, is allocated at the start.
 	EventQueue int
-	// RequestPoll is called when the Balancer subscribes to an endpoint list that has to be polled; nil if lists
+	// RequestPoll is called for each poll that the Balancer wants of an endpoint list that is polled; nil if lists
 	// are pushed. It must not block.
 	RequestPoll func()
 	// OnSend, if set, is called for each attempt right before its first byte leaves, with the time on the Clock at
@@ -44,15 +44,15 @@
 // ends it.
 type Cluster struct {
 	// Set by New and not changed.
-	ctx            context.Context
-	cancel         context.CancelFunc
-	clock          Clock
-	exchanger      Exchanger
-	drainGrace     time.Duration
-	watchEndpoints func()                                             // Options.RequestPoll
-	onSend         func(endpoint policy.EndpointID, at time.Duration) // Options.OnSend
-	classes        []policy.Class
-	maxAttempts    int // of one request
+	ctx         context.Context
+	cancel      context.CancelFunc
+	clock       Clock
+	exchanger   Exchanger
+	drainGrace  time.Duration
+	requestPoll func()                                             // Options.RequestPoll
+	onSend      func(endpoint policy.EndpointID, at time.Duration) // Options.OnSend
+	classes     []policy.Class
+	maxAttempts int // of one request
 
 	// For all goroutines.
 	events       chan event
@@ -89,7 +89,7 @@
 		clock:           o.Clock,
 		exchanger:       exchanger,
 		drainGrace:      o.DrainSendGrace,
-		watchEndpoints:  o.RequestPoll,
+		requestPoll:     o.RequestPoll,
 		onSend:          o.OnSend,
 		classes:         set.Classes,
 		maxAttempts:     set.Limits.MaxAttempts,
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -66,7 +66,7 @@
 
 // RequestPoll implements policy.Host.
 func (c *Cluster) RequestPoll() {
-	if c.watchEndpoints != nil {
-		c.watchEndpoints()
+	if c.requestPoll != nil {
+		c.requestPoll()
 	}
 }
--- a/internal/engine/sendgate_test.go
+++ b/internal/engine/sendgate_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// Options.DrainSendGrace takes the place of DefaultDrainGrace: a deployment may allow less.
+// Options.DrainSendGrace takes the place of DefaultDrainSendGrace: a deployment may allow less.
 func TestDrainGraceOption(t *testing.T) {
 	const grace = 50 * time.Millisecond
 	waiting, connected, began := make(chan *Call, 4), make(chan struct{}), make(chan bool, 4)
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// The lease messages of this package are sent by package peers.
+// The lease messages of this package are sent by package agent.
 func TestGoldenLeaseMessagesDecode(t *testing.T) {
 	golden.Lines(t, "testdata/golden/lease.jsonl",
 		LeaseRequest{Node: "node-a", Incarnation: "incarnation-a", Sequence: 31, ConfirmedEpoch: 32, ConfirmedOwnership: 33},
--- a/internal/fleet/lease/disconnected.go
+++ b/internal/fleet/lease/disconnected.go
@@ -38,6 +38,6 @@
 	// Servers is for the lists of endpoints. Cautious: only idempotent requests are served, and none by endpoints that
 	// may still be warming up.
 	Servers DisconnectedAction
-	// MaxDuration is how long the node serves after the end of its lease; 0: without limit.
+	// MaxDuration is how long the node serves by this policy, from when it is applied; 0: without limit.
 	MaxDuration time.Duration
 }
--- a/internal/node/endpointwatcher.go
+++ b/internal/node/endpointwatcher.go
@@ -150,7 +150,7 @@
 		onUse()
 	case w.polled:
 		w.publish(policy.CachedUpdate, nil) // has the policy request a poll
-		w.published = false
+		w.published = false                 // there was no list in it
 	}
 	w.markInitialized()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -134,7 +134,7 @@
 
 // awaitEndpoints waits until there is an endpoint list to serve by, or none is waited for any more.
 // Meanwhile connections queue in the kernel, or a predecessor accepts them: a successor waits until it
-// is ready, for initialListTimeout at most.
+// is ready, for successorListTimeout at most.
 func (n *Node) awaitEndpoints(ctx context.Context, c *components, ready <-chan struct{}) {
 	if c.restart.hasPredecessor() {
 		select {
--- a/policy/circuitbreaker.go
+++ b/policy/circuitbreaker.go
@@ -27,8 +27,8 @@
 	minOpenDuration = 2 * time.Second
 	// maxOpenDuration bounds the time for which a breaker opens.
 	maxOpenDuration = 30 * time.Second
-	// slowAnswerFactor is the multiple of the unloaded latency from which an answer counts as a failure with
-	// thin traffic.
+	// slowAnswerFactor is the multiple of the unloaded latency from which an answer counts as a failure
+	// among many nodes.
 	slowAnswerFactor = 5.0
 )
 
--- a/policy/polling.go
+++ b/policy/polling.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Polling of the endpoint list, where it is not pushed (Settings.PollEndpoints): when WatchEndpoints is
+// Polling of the endpoint list, where it is not pushed (Settings.PollEndpoints): when Host.RequestPoll is
 // called. Its inputs are the number of nodes, Settings.Rules.MaxPollInterval and failures in a row. Nodes
 // start together at times, and discovery fails for all of them together when it has too many callers. So the
 // first poll is spread over a time that grows with the number of nodes, and the delay after a failure grows
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -70,7 +70,7 @@
 
 // Settings configure a Balancer. They do not change while it runs.
 type Settings struct {
-	NodeCount       int // nodes of this tier, this one included; at least 1
+	NodeCount       int // nodes that share the endpoints, this one included; at least 1
 	NodeIndex       int // of this node among them, from 0
 	Zone            int // of this node
 	Classes         []Class
