--- a/internal/downstream/extproc/pickrequest.go
+++ b/internal/downstream/extproc/pickrequest.go
@@ -47,6 +47,8 @@
 	call    *engine.Call
 	address string
 	outcome chan policy.Status // of capacity 1; takes the attempt's outcome
+
+	reported bool // an outcome was reported; guarded by the request's mu
 }
 
 var (
@@ -107,13 +109,14 @@
 func (r *pickRequest) reportOutcome(e *pickedEndpoint, status policy.Status) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	select {
-	case e.outcome <- status:
-		r.pending = false
-		sent := status != policy.ConnectFailed && status != policy.Rejected && status != policy.NeverSent
-		r.mayRun = r.mayRun || sent
-	default:
+	if e.reported {
+		return
 	}
+	e.reported = true
+	e.outcome <- status
+	r.pending = false
+	sent := status != policy.ConnectFailed && status != policy.Rejected && status != policy.NeverSent
+	r.mayRun = r.mayRun || sent
 }
 
 // addStream adds a stream that waits for an endpoint, and reports whether it may: for a retry of the caller's, but not
