--- a/internal/app/agreedsource.go
+++ b/internal/app/agreedsource.go
@@ -30,7 +30,7 @@
 func EmptySnapshot(own *config.Program) *files.Snapshot {
 	p := *own
 	p.Hosts, p.Table = nil, nil
-	return &files.Snapshot{Program: &p, Version: &cluster.Version{Clusters: map[string]*cluster.Cluster{}}}
+	return &files.Snapshot{Program: &p, Version: &cluster.Version{Clusters: map[string]*cluster.Config{}}}
 }
 
 // Parse parses the files of a version. The error says why this node can't apply it.
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -65,8 +65,8 @@
 	return p
 }
 
-func rooms(list ...cluster.Endpoint) *cluster.Cluster {
-	c := &cluster.Cluster{Name: "rooms", Endpoints: list, ShrinkTo: -1, Empty: len(list) == 0}
+func rooms(list ...cluster.Endpoint) *cluster.Config {
+	c := &cluster.Config{Name: "rooms", Endpoints: list, ShrinkTo: -1, Empty: len(list) == 0}
 	if err := c.Check(nil); err != nil {
 		panic(err)
 	}
@@ -77,8 +77,8 @@
 	return cluster.Endpoint{ID: b.Name, Address: b.Addr(), Weight: 1}
 }
 
-func snapshot(p *config.Program, list ...*cluster.Cluster) *files.Snapshot {
-	v := &cluster.Version{Clusters: map[string]*cluster.Cluster{}}
+func snapshot(p *config.Program, list ...*cluster.Config) *files.Snapshot {
+	v := &cluster.Version{Clusters: map[string]*cluster.Config{}}
 	for _, c := range list {
 		v.Clusters[c.Name] = c
 	}
--- a/internal/app/apply.go
+++ b/internal/app/apply.go
@@ -90,7 +90,7 @@
 
 // ApplyClusters puts new versions of some clusters in force, at the cost of these alone. It reports false, with nothing
 // changed, if one of them is not defined yet or its transport is another.
-func (a *App) ApplyClusters(delivered time.Time, changed []*cluster.Cluster) bool {
+func (a *App) ApplyClusters(delivered time.Time, changed []*cluster.Config) bool {
 	deliveredAt := a.clock.Now() - time.Since(delivered)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -28,14 +28,14 @@
 	for i := range count {
 		fmt.Fprintf(&text, "[[host]]\ndomains = [\"s%d.example\"]\n[[host.route]]\nprefix = \"/\"\nclass = \"read\"\ncluster = \"s%d\"\n", i, i)
 	}
-	var list []*cluster.Cluster
+	var list []*cluster.Config
 	for i := range count {
 		list = append(list, service(i, boxes...))
 	}
 	return snapshot(parse(t, text.String()), list...)
 }
 
-func service(i int, boxes ...*appbox.Box) *cluster.Cluster {
+func service(i int, boxes ...*appbox.Box) *cluster.Config {
 	var endpoints []cluster.Endpoint
 	for _, b := range boxes {
 		endpoints = append(endpoints, at(b))
@@ -184,7 +184,7 @@
 			e.Health = cluster.Draining
 		}
 	}
-	if !s.app.ApplyClusters(time.Now(), []*cluster.Cluster{next}) {
+	if !s.app.ApplyClusters(time.Now(), []*cluster.Config{next}) {
 		t.Fatal("the version was not taken")
 	}
 	if s.app.ActiveClusters() != 0 {
--- a/internal/app/managedcluster.go
+++ b/internal/app/managedcluster.go
@@ -45,7 +45,7 @@
 	// mu guards the fields below, and changes of active.
 	mu        sync.Mutex
 	tiers     map[priority.Key]*tier // those whose engines run; empty if the cluster is idle
-	current   *cluster.Cluster       // of the last update; the engines have it if the cluster is active
+	current   *cluster.Config       // of the last update; the engines have it if the cluster is active
 	abandoned bool                   // abandon was called
 	snapshots *snapshots             // of engines that have ended; nil: none
 }
@@ -69,7 +69,7 @@
 
 // update brings the cluster to another version, which was delivered at a time on the app's clock. An idle cluster
 // applies it when it is activated.
-func (r *managedCluster) update(deliveredAt time.Duration, c *cluster.Cluster) {
+func (r *managedCluster) update(deliveredAt time.Duration, c *cluster.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c == r.current {
--- a/internal/app/sendpermission.go
+++ b/internal/app/sendpermission.go
@@ -19,7 +19,7 @@
 
 // leaseCheckedCluster is a cluster whose requests check before each send that it is still allowed.
 type leaseCheckedCluster struct {
-	ingress.Cluster
+	ingress.Handler
 	sendAllowed func() bool
 	retryAfter  time.Duration // for requests whose send is not allowed
 }
@@ -27,5 +27,5 @@
 // Do implements ingress.Cluster.
 func (c leaseCheckedCluster) Do(ctx context.Context, q *engine.Request) (engine.Answer, error) {
 	q.SendAllowed, q.SendRetryAfter = c.sendAllowed, c.retryAfter
-	return c.Cluster.Do(ctx, q)
+	return c.Handler.Do(ctx, q)
 }
--- a/internal/app/source.go
+++ b/internal/app/source.go
@@ -21,7 +21,7 @@
 	mu       sync.Mutex // guards the fields below, and the order in which versions are applied
 	files    *files.Snapshot
 	received bool // the control plane has delivered something; clusters and routes are its last delivery
-	clusters map[string]*cluster.Cluster
+	clusters map[string]*cluster.Config
 	routes   *translate.Routes
 }
 
@@ -62,7 +62,7 @@
 	defer s.mu.Unlock()
 	s.received = true
 	if !d.Full {
-		var changed []*cluster.Cluster
+		var changed []*cluster.Config
 		for _, c := range d.Clusters {
 			s.clusters[c.Name] = c
 			if s.files.Version.Clusters[c.Name] == nil {
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -43,19 +43,19 @@
 	leaves.Health = cluster.Draining
 	for _, tc := range []struct {
 		name, class string
-		news        func(p *config.Program) *cluster.Cluster // while the stream is open; nil: none
+		news        func(p *config.Program) *cluster.Config // while the stream is open; nil: none
 		ends        bool
 	}{
 		{"whole", "stream = \"50ms\"\n", nil, true},
 		{"progress", "progress = \"50ms\"\n", nil, true},
-		{"drains", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Cluster { return rooms(leaves, at(other)) }, true},
-		{"is gone", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Cluster { return rooms(at(other)) }, true},
-		{"another drains", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Cluster {
+		{"drains", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Config { return rooms(leaves, at(other)) }, true},
+		{"is gone", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Config { return rooms(at(other)) }, true},
+		{"another drains", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Config {
 			o := at(other)
 			o.Health = cluster.Draining
 			return rooms(server, o)
 		}, false},
-		{"no bound", "", func(*config.Program) *cluster.Cluster { return rooms(at(other)) }, false},
+		{"no bound", "", func(*config.Program) *cluster.Config { return rooms(at(other)) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := bounds(tc.class)
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -29,7 +29,7 @@
 	engine  *engine.Cluster
 	pool    upstreamPool
 	sender  *sender
-	current *cluster.Cluster // the version that the engine has
+	current *cluster.Config // the version that the engine has
 }
 
 // upstreamPool carries a tier's attempts.
--- a/internal/app/tierupdate.go
+++ b/internal/app/tierupdate.go
@@ -18,7 +18,7 @@
 }
 
 // update brings the tier to another version, which was delivered at a time on the clock.
-func (t *tier) update(clock engine.Clock, deliveredAt time.Duration, c *cluster.Cluster, streams *streams) {
+func (t *tier) update(clock engine.Clock, deliveredAt time.Duration, c *cluster.Config, streams *streams) {
 	d := cluster.Compare(t.current, c)
 	t.current = c
 	if d.Empty() {
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -120,7 +120,7 @@
 	meter, states := scale.NewMeter(own.Voters, at.regions), scale.NewStates()
 	states.Start(own.Name, at.region, at.zone)
 	hooks := meter.Hooks(at.region)
-	hooks.Applied = func(rules consensus.ActiveRules, alone bool) { states.Acted(own.Name, rules, alone) }
+	hooks.Applied = func(rules consensus.ActiveVersions, alone bool) { states.Acted(own.Name, rules, alone) }
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	controlled := make(chan error, 1)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -82,8 +82,8 @@
 	return h.Sum64()
 }
 
-// Cluster is one version of a cluster. It is not changed once it is in a Version.
-type Cluster struct {
+// Config is one version of a cluster. It is not changed once it is in a Version.
+type Config struct {
 	Name      string
 	Endpoints []Endpoint // by id
 	// Empty says that having no endpoints is meant.
@@ -133,7 +133,7 @@
 // Version is all clusters at one time. It is not changed once it is in use.
 type Version struct {
 	Number   uint64
-	Clusters map[string]*Cluster
+	Clusters map[string]*Config
 }
 
 // Problem is something that a version or a file can't be taken with.
@@ -167,7 +167,7 @@
 
 // Check gives what is wrong with a cluster, nil if nothing is. It sorts the endpoints
 // by id.
-func (c *Cluster) Check(at Locator) error {
+func (c *Config) Check(at Locator) error {
 	var found []error
 	report := func(i int, field, format string, args ...any) {
 		p := &Problem{Source: c.Source, Field: field, Text: fmt.Sprintf(format, args...)}
@@ -304,7 +304,7 @@
 // Compare gives the difference between two versions of a cluster whose endpoints are
 // sorted, as Check leaves them; nil stands for a cluster with none. Its cost is one
 // pass over both, with memory for what differs only.
-func Compare(before, after *Cluster) Delta {
+func Compare(before, after *Config) Delta {
 	var d Delta
 	var a, b []Endpoint
 	if before != nil {
@@ -385,7 +385,7 @@
 	return errors.Join(found...)
 }
 
-func (c *Cluster) healthy() (n int) {
+func (c *Config) healthy() (n int) {
 	for i := range c.Endpoints {
 		if c.Endpoints[i].Serves() {
 			n++
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -16,41 +16,41 @@
 	return list
 }
 
-func named(name string, list []Endpoint) *Cluster {
-	return &Cluster{Name: name, Endpoints: list, ShrinkTo: -1, Source: name + ".toml"}
+func named(name string, list []Endpoint) *Config {
+	return &Config{Name: name, Endpoints: list, ShrinkTo: -1, Source: name + ".toml"}
 }
 
 func TestCheck(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(c *Cluster)
+		change func(c *Config)
 		want   string // "" for nothing wrong
 	}{
-		"good":               {func(*Cluster) {}, ""},
-		"no name":            {func(c *Cluster) { c.Name = "" }, "name: is missing"},
-		"long name":          {func(c *Cluster) { c.Name = strings.Repeat("x", MaxName+1) }, "name: is longer"},
-		"name with space":    {func(c *Cluster) { c.Name = "a b" }, "character"},
-		"none":               {func(c *Cluster) { c.Endpoints = nil }, "names no servers"},
-		"none, meant":        {func(c *Cluster) { c.Endpoints, c.Empty = nil, true }, ""},
-		"some, meant none":   {func(c *Cluster) { c.Empty = true }, "no_servers: 3 servers are named"},
-		"shrink":             {func(c *Cluster) { c.ShrinkTo = 3 }, ""},
-		"shrink, not so":     {func(c *Cluster) { c.ShrinkTo = 2 }, "shrink_to: says 2"},
-		"no id":              {func(c *Cluster) { c.Endpoints[1].ID = "" }, "endpoint 2: id: is missing"},
-		"id twice":           {func(c *Cluster) { c.Endpoints[2].ID = "s-00000" }, "endpoint 3 (s-00000): id: is endpoint 1's"},
-		"address twice":      {func(c *Cluster) { c.Endpoints[2].Address = c.Endpoints[0].Address }, "endpoint 3 (s-00002): address: 10.0.0.1:80 is endpoint 1's"},
-		"no address":         {func(c *Cluster) { c.Endpoints[0].Address = "" }, "address: is missing"},
-		"no port":            {func(c *Cluster) { c.Endpoints[0].Address = "10.0.0.1" }, "no host:port"},
-		"port 0":             {func(c *Cluster) { c.Endpoints[0].Address = "10.0.0.1:0" }, "1 to 65535"},
-		"port 70000":         {func(c *Cluster) { c.Endpoints[0].Address = "10.0.0.1:70000" }, "1 to 65535"},
-		"no host":            {func(c *Cluster) { c.Endpoints[0].Address = ":80" }, "no host"},
-		"weight NaN":         {func(c *Cluster) { c.Endpoints[0].Weight = math.NaN() }, "weight: NaN"},
-		"weight negative":    {func(c *Cluster) { c.Endpoints[0].Weight = -1 }, "weight: -1"},
-		"weight huge":        {func(c *Cluster) { c.Endpoints[0].Weight = 1e7 }, "weight: 1e+07"},
-		"weight infinite":    {func(c *Cluster) { c.Endpoints[0].Weight = math.Inf(1) }, "weight: +Inf"},
-		"cell negative":      {func(c *Cluster) { c.Endpoints[0].Cell = -1 }, "cell: -1"},
-		"started negative":   {func(c *Cluster) { c.Endpoints[0].Started = -1 }, "started_ms"},
-		"zone long":          {func(c *Cluster) { c.Endpoints[0].Zone = strings.Repeat("z", MaxName+1) }, "zone"},
-		"too many":           {func(c *Cluster) { c.Endpoints = make([]Endpoint, MaxEndpoints+1) }, "20000 at most"},
-		"everything at once": {func(c *Cluster) { c.Endpoints = make([]Endpoint, 1000) }, "is missing"},
+		"good":               {func(*Config) {}, ""},
+		"no name":            {func(c *Config) { c.Name = "" }, "name: is missing"},
+		"long name":          {func(c *Config) { c.Name = strings.Repeat("x", MaxName+1) }, "name: is longer"},
+		"name with space":    {func(c *Config) { c.Name = "a b" }, "character"},
+		"none":               {func(c *Config) { c.Endpoints = nil }, "names no servers"},
+		"none, meant":        {func(c *Config) { c.Endpoints, c.Empty = nil, true }, ""},
+		"some, meant none":   {func(c *Config) { c.Empty = true }, "no_servers: 3 servers are named"},
+		"shrink":             {func(c *Config) { c.ShrinkTo = 3 }, ""},
+		"shrink, not so":     {func(c *Config) { c.ShrinkTo = 2 }, "shrink_to: says 2"},
+		"no id":              {func(c *Config) { c.Endpoints[1].ID = "" }, "endpoint 2: id: is missing"},
+		"id twice":           {func(c *Config) { c.Endpoints[2].ID = "s-00000" }, "endpoint 3 (s-00000): id: is endpoint 1's"},
+		"address twice":      {func(c *Config) { c.Endpoints[2].Address = c.Endpoints[0].Address }, "endpoint 3 (s-00002): address: 10.0.0.1:80 is endpoint 1's"},
+		"no address":         {func(c *Config) { c.Endpoints[0].Address = "" }, "address: is missing"},
+		"no port":            {func(c *Config) { c.Endpoints[0].Address = "10.0.0.1" }, "no host:port"},
+		"port 0":             {func(c *Config) { c.Endpoints[0].Address = "10.0.0.1:0" }, "1 to 65535"},
+		"port 70000":         {func(c *Config) { c.Endpoints[0].Address = "10.0.0.1:70000" }, "1 to 65535"},
+		"no host":            {func(c *Config) { c.Endpoints[0].Address = ":80" }, "no host"},
+		"weight NaN":         {func(c *Config) { c.Endpoints[0].Weight = math.NaN() }, "weight: NaN"},
+		"weight negative":    {func(c *Config) { c.Endpoints[0].Weight = -1 }, "weight: -1"},
+		"weight huge":        {func(c *Config) { c.Endpoints[0].Weight = 1e7 }, "weight: 1e+07"},
+		"weight infinite":    {func(c *Config) { c.Endpoints[0].Weight = math.Inf(1) }, "weight: +Inf"},
+		"cell negative":      {func(c *Config) { c.Endpoints[0].Cell = -1 }, "cell: -1"},
+		"started negative":   {func(c *Config) { c.Endpoints[0].Started = -1 }, "started_ms"},
+		"zone long":          {func(c *Config) { c.Endpoints[0].Zone = strings.Repeat("z", MaxName+1) }, "zone"},
+		"too many":           {func(c *Config) { c.Endpoints = make([]Endpoint, MaxEndpoints+1) }, "20000 at most"},
+		"everything at once": {func(c *Config) { c.Endpoints = make([]Endpoint, 1000) }, "is missing"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cl := named("rooms", endpoints(3))
@@ -114,7 +114,7 @@
 // The difference, applied to the old version, gives the new one.
 func TestCompareAddsUp(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	draw := func() *Cluster {
+	draw := func() *Config {
 		var list []Endpoint
 		for _, e := range endpoints(30) {
 			if rnd.IntN(3) == 0 {
@@ -163,8 +163,8 @@
 }
 
 func TestReview(t *testing.T) {
-	version := func(list ...*Cluster) *Version {
-		v := &Version{Clusters: map[string]*Cluster{}}
+	version := func(list ...*Config) *Version {
+		v := &Version{Clusters: map[string]*Config{}}
 		for _, c := range list {
 			v.Clusters[c.Name] = c
 		}
--- a/internal/cluster/patch.go
+++ b/internal/cluster/patch.go
@@ -16,7 +16,7 @@
 
 // Apply gives the cluster as a patch makes it, at the cost of one pass. What doesn't go with the list is an error: an
 // id to remove that it hasn't, an address that another endpoint has.
-func (c *Cluster) Apply(p *Patch) (*Cluster, error) {
+func (c *Config) Apply(p *Patch) (*Config, error) {
 	fail := func(format string, args ...any) error {
 		return &Problem{Source: p.Source, Field: "cluster " + c.Name, Text: fmt.Sprintf(format, args...)}
 	}
--- a/internal/cluster/patch_test.go
+++ b/internal/cluster/patch_test.go
@@ -12,7 +12,7 @@
 // is changed.
 func TestPatchAgainstAMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(39, 3))
-	c := &Cluster{Name: "rooms", ShrinkTo: -1}
+	c := &Config{Name: "rooms", ShrinkTo: -1}
 	plain := map[string]Endpoint{}
 	draw := func() Endpoint {
 		i := rng.IntN(60)
--- a/internal/compare/sides_test.go
+++ b/internal/compare/sides_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	c := &cluster.Cluster{Name: "c", ShrinkTo: -1}
+	c := &cluster.Config{Name: "c", ShrinkTo: -1}
 	c.Transport.HTTP2 = s.HTTP2
 	if s.TLS {
 		c.Transport.TLS = &cluster.TLS{Name: "side.test", Roots: "ca"}
@@ -80,7 +80,7 @@
 	for i, a := range addrs {
 		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
 	}
-	a, err := app.New(&files.Snapshot{Program: p, Version: &cluster.Version{Clusters: map[string]*cluster.Cluster{"c": c}}},
+	a, err := app.New(&files.Snapshot{Program: p, Version: &cluster.Version{Clusters: map[string]*cluster.Config{"c": c}}},
 		app.Options{Seed: 1, Log: testutil.Quiet, Keys: s.keys})
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/config/clusterfile.go
+++ b/internal/config/clusterfile.go
@@ -61,7 +61,7 @@
 //
 // with the end of its line and nothing behind it, so that no part of a file is ever accepted as complete. The error has
 // what is wrong by line.
-func ParseCluster(file File) (*cluster.Cluster, error) {
+func ParseCluster(file File) (*cluster.Config, error) {
 	c, f, err := parseCluster(file)
 	if err != nil {
 		return nil, err
@@ -103,10 +103,10 @@
 	name  string // of the file
 	in    *clusterFile
 	lines func() lines
-	out   *cluster.Cluster
+	out   *cluster.Config
 }
 
-func parseCluster(file File) (*cluster.Cluster, *clusterFile, error) {
+func parseCluster(file File) (*cluster.Config, *clusterFile, error) {
 	if len(file.Text) > MaxFile {
 		return nil, nil, &cluster.Problem{Source: file.Name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
 	}
@@ -121,7 +121,7 @@
 	}
 	r := clusterReader{
 		name: file.Name, in: &f, lines: sync.OnceValue(func() lines { return newLines(file.Text) }),
-		out: &cluster.Cluster{Name: f.Cluster.Name, Source: file.Name, ShrinkTo: -1},
+		out: &cluster.Config{Name: f.Cluster.Name, Source: file.Name, ShrinkTo: -1},
 	}
 	if err := r.read(); err != nil {
 		return nil, nil, err
--- a/internal/config/clusterformat.go
+++ b/internal/config/clusterformat.go
@@ -10,12 +10,12 @@
 )
 
 // FormatCluster returns a cluster's file, as ParseCluster parses it.
-func FormatCluster(c *cluster.Cluster) []byte { return formatCluster(c, "") }
+func FormatCluster(c *cluster.Config) []byte { return formatCluster(c, "") }
 
 // FormatChange returns a change that adds the cluster's endpoints, as ParseChange parses it.
-func FormatChange(c *cluster.Cluster) []byte { return formatCluster(c, "change = true\n") }
+func FormatChange(c *cluster.Config) []byte { return formatCluster(c, "change = true\n") }
 
-func formatCluster(c *cluster.Cluster, extraKeys string) []byte {
+func formatCluster(c *cluster.Config, extraKeys string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "[cluster]\nname = %q\n%s", c.Name, extraKeys)
 	if c.Empty {
--- a/internal/config/clusters.go
+++ b/internal/config/clusters.go
@@ -9,21 +9,21 @@
 
 // ParseClusters parses all cluster files of a version and returns the clusters by name. A problem of any of them is one
 // of the version.
-func ParseClusters(files []File) (map[string]*cluster.Cluster, error) {
+func ParseClusters(files []File) (map[string]*cluster.Config, error) {
 	names := make([]string, len(files))
 	for i := range files {
 		names[i] = files[i].Name
 	}
-	return GatherClusters(names, func(i int) (*cluster.Cluster, error) { return ParseCluster(files[i]) })
+	return GatherClusters(names, func(i int) (*cluster.Config, error) { return ParseCluster(files[i]) })
 }
 
 // GatherClusters is ParseClusters for files with these names, where parse returns the cluster of the file at an index.
-func GatherClusters(names []string, parse func(i int) (*cluster.Cluster, error)) (map[string]*cluster.Cluster, error) {
+func GatherClusters(names []string, parse func(i int) (*cluster.Config, error)) (map[string]*cluster.Config, error) {
 	if len(names) > MaxFiles {
 		return nil, fmt.Errorf("%d cluster files; %d at most", len(names), MaxFiles)
 	}
 	var found []error
-	clusters := map[string]*cluster.Cluster{}
+	clusters := map[string]*cluster.Config{}
 	servers := 0
 	for i, name := range names {
 		if len(found) >= maxProblems {
--- a/internal/config/survey_test.go
+++ b/internal/config/survey_test.go
@@ -146,12 +146,12 @@
 	}
 	clusters := func(extra int) error {
 		names := make([]string, MaxServers/1000+1)
-		_, err := GatherClusters(names, func(i int) (*cluster.Cluster, error) {
+		_, err := GatherClusters(names, func(i int) (*cluster.Config, error) {
 			n := 1000
 			if i == len(names)-1 {
 				n = extra
 			}
-			return &cluster.Cluster{Name: fmt.Sprint(i), Endpoints: make([]cluster.Endpoint, n)}, nil
+			return &cluster.Config{Name: fmt.Sprint(i), Endpoints: make([]cluster.Endpoint, n)}, nil
 		})
 		return err
 	}
--- a/internal/downstream/extproc/pickrequest.go
+++ b/internal/downstream/extproc/pickrequest.go
@@ -140,7 +140,7 @@
 }
 
 // run has the engine decide on the request until its answer.
-func (r *pickRequest) run(ctx context.Context, c ingress.Cluster, q *engine.Request) {
+func (r *pickRequest) run(ctx context.Context, c ingress.Handler, q *engine.Request) {
 	defer r.cancel()
 	answer, err := c.Do(ctx, q)
 	r.mu.Lock()
--- a/internal/downstream/extproc/rig_test.go
+++ b/internal/downstream/extproc/rig_test.go
@@ -77,11 +77,11 @@
 }
 
 func (r *rig) version(addrs []string) *files.Snapshot {
-	c := &cluster.Cluster{Name: "rooms", ShrinkTo: -1, Empty: len(addrs) == 0}
+	c := &cluster.Config{Name: "rooms", ShrinkTo: -1, Empty: len(addrs) == 0}
 	for i, a := range addrs {
 		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
 	}
-	version := &cluster.Version{Clusters: map[string]*cluster.Cluster{c.Name: c}}
+	version := &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: c}}
 	return &files.Snapshot{Program: r.program, Version: version}
 }
 
--- a/internal/downstream/h2server/flood_test.go
+++ b/internal/downstream/h2server/flood_test.go
@@ -150,7 +150,7 @@
 		pool.UpdateEndpoints(true, nil)
 	})
 	cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
-	to := &routes{Cluster: cluster}
+	to := &routes{Handler: cluster}
 	addr := serve(t, to, clock)
 	lateness := testutil.Lateness(t)
 	for wave := range waves {
@@ -197,11 +197,11 @@
 
 // routes is a router to one cluster, which counts the requests.
 type routes struct {
-	ingress.Cluster
+	ingress.Handler
 	asked atomic.Int64
 }
 
 func (r *routes) Route(*http.Request) (ingress.Destination, error) {
 	r.asked.Add(1)
-	return ingress.Destination{Cluster: r.Cluster, Deadline: time.Hour}, nil
+	return ingress.Destination{Cluster: r.Handler, Deadline: time.Hour}, nil
 }
--- a/internal/files/bundle.go
+++ b/internal/files/bundle.go
@@ -145,6 +145,6 @@
 
 // Change returns the clusters after the changes, applied in their order. Clusters without a change are the same values.
 // The error says which change can't be applied.
-func Change(clusters map[string]*cluster.Cluster, changes []config.File) (map[string]*cluster.Cluster, error) {
+func Change(clusters map[string]*cluster.Config, changes []config.File) (map[string]*cluster.Config, error) {
 	return NewParser().Change(clusters, changes)
 }
--- a/internal/files/bundle_test.go
+++ b/internal/files/bundle_test.go
@@ -122,7 +122,7 @@
 		settings := strings.Replace(bundled, "1s", fmt.Sprintf("%ds", 3+i), 1)
 		unbundle(bundle(settings, roomsList, roomsChange), 1)
 		for range 5 {
-			clusters := map[string]*cluster.Cluster{"rooms": first.Version.Clusters["rooms"]}
+			clusters := map[string]*cluster.Config{"rooms": first.Version.Clusters["rooms"]}
 			if _, err := p.Change(clusters, []config.File{{Name: ChangePart("rooms", 1), Text: []byte(back)}}); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/files/change.go
+++ b/internal/files/change.go
@@ -11,27 +11,27 @@
 
 // changedKey identifies the result of changes of a cluster's endpoint list.
 type changedKey struct {
-	original *cluster.Cluster // as its file has it
+	original *cluster.Config // as its file has it
 	changes  hash             // of the changes since, in their order
 }
 
 // extension is the result of the last Change of a cluster.
 type extension struct {
 	key    changedKey
-	result *cluster.Cluster
+	result *cluster.Config
 }
 
 // pendingChanges is a cluster with changes that are to be applied to it.
 type pendingChanges struct {
-	from    *cluster.Cluster // may itself be the result of changes
+	from    *cluster.Config // may itself be the result of changes
 	key     changedKey       // of the result
 	patches []*cluster.Patch
 }
 
 // Change is like the function. Its results are cached for an Unbundle of the same files and changes.
 func (p *Parser) Change(
-	clusters map[string]*cluster.Cluster, changes []config.File,
-) (map[string]*cluster.Cluster, error) {
+	clusters map[string]*cluster.Config, changes []config.File,
+) (map[string]*cluster.Config, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out, pending, err := p.change(clusters, changes)
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	if p.extended == nil {
-		p.extended = map[*cluster.Cluster]extension{}
+		p.extended = map[*cluster.Config]extension{}
 	}
 	for name, l := range pending {
 		p.extended[l.key.original] = extension{l.key, out[name]}
@@ -50,8 +50,8 @@
 }
 
 // change returns the clusters after the changes, and the changes by the names of their clusters.
-func (p *Parser) change(clusters map[string]*cluster.Cluster, changes []config.File) (
-	map[string]*cluster.Cluster, map[string]*pendingChanges, error,
+func (p *Parser) change(clusters map[string]*cluster.Config, changes []config.File) (
+	map[string]*cluster.Config, map[string]*pendingChanges, error,
 ) {
 	if len(changes) == 0 {
 		return clusters, nil, nil
@@ -79,7 +79,7 @@
 
 // groupChanges parses changes and returns them by the names of the clusters that they change.
 func (p *Parser) groupChanges(
-	clusters map[string]*cluster.Cluster, changes []config.File,
+	clusters map[string]*cluster.Config, changes []config.File,
 ) (map[string]*pendingChanges, error) {
 	pending := map[string]*pendingChanges{}
 	for _, f := range changes {
@@ -103,7 +103,7 @@
 }
 
 // newPendingChanges returns no changes so far to a cluster, which may itself be the result of changes.
-func (p *Parser) newPendingChanges(c *cluster.Cluster) *pendingChanges {
+func (p *Parser) newPendingChanges(c *cluster.Config) *pendingChanges {
 	if key, found := keyOf(&p.changed, c); found {
 		return &pendingChanges{from: c, key: key}
 	}
@@ -116,7 +116,7 @@
 }
 
 // applyChanges returns the cluster after the changes; one that is cached is the same value.
-func (p *Parser) applyChanges(l *pendingChanges) (*cluster.Cluster, error) {
+func (p *Parser) applyChanges(l *pendingChanges) (*cluster.Config, error) {
 	if e, found := p.extended[l.key.original]; found && e.key == l.key {
 		p.changed.put(l.key, e.result)
 	}
@@ -129,7 +129,7 @@
 	l.patches = append(l.patches, patch)
 }
 
-func (l *pendingChanges) apply() (c *cluster.Cluster, err error) {
+func (l *pendingChanges) apply() (c *cluster.Config, err error) {
 	c = l.from
 	for _, patch := range l.patches {
 		if c, err = c.Apply(patch); err != nil {
--- a/internal/files/parser.go
+++ b/internal/files/parser.go
@@ -19,12 +19,12 @@
 	programs    cache[partKey, *config.Program]
 	tenants     cache[partKey, []config.Tenant]
 	withTenants cache[withTenantsKey, *config.Program]
-	clusters    cache[partKey, *cluster.Cluster]
+	clusters    cache[partKey, *cluster.Config]
 	views       cache[hash, *xdsfile.View]
 	routed      cache[routedKey, *config.Program]
 	patches     cache[partKey, *cluster.Patch]
-	changed     cache[changedKey, *cluster.Cluster]
-	extended    map[*cluster.Cluster]extension // by the cluster as its file has it
+	changed     cache[changedKey, *cluster.Config]
+	extended    map[*cluster.Config]extension // by the cluster as its file has it
 }
 
 // withTenantsKey identifies a program with the tenants of their own file.
@@ -69,7 +69,7 @@
 	for i := range v.clusters {
 		names[i] = v.clusters[i].name
 	}
-	parse := func(i int) (*cluster.Cluster, error) { return p.cluster(v.clusters[i]) }
+	parse := func(i int) (*cluster.Config, error) { return p.cluster(v.clusters[i]) }
 	clusters, err := config.GatherClusters(names, parse)
 	if err != nil {
 		return nil, err
@@ -91,8 +91,8 @@
 	})
 }
 
-func (p *Parser) cluster(f part) (*cluster.Cluster, error) {
-	return p.clusters.get(f.key(), func() (*cluster.Cluster, error) {
+func (p *Parser) cluster(f part) (*cluster.Config, error) {
+	return p.clusters.get(f.key(), func() (*cluster.Config, error) {
 		text, err := f.text()
 		if err != nil {
 			return nil, err
--- a/internal/files/watcher.go
+++ b/internal/files/watcher.go
@@ -234,7 +234,7 @@
 }
 
 // equalClusters reports whether requests are served alike by two versions of a cluster.
-func equalClusters(old, c *cluster.Cluster) bool {
+func equalClusters(old, c *cluster.Config) bool {
 	switch {
 	case old.Empty != c.Empty, len(old.Endpoints) != len(c.Endpoints):
 		return false
--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -24,7 +24,7 @@
 		case <-t.C:
 		}
 		n.applyOwnership()
-		n.reconcileRules(started)
+		n.reconcileVersions(started)
 		next := n.Lease.RenewInterval()
 		if a := n.applied.Load(); a != nil && !a.disconnected {
 			next = min(next, a.until-n.Clock())
@@ -33,64 +33,64 @@
 	}
 }
 
-// reconcileRules applies other rules where the lease permits them, and the disconnected policy where there is no
+// reconcileVersions applies other versions where the lease permits them, and the disconnected policy where there is no
 // lease.
-func (n *Node) reconcileRules(started time.Duration) {
+func (n *Node) reconcileVersions(started time.Duration) {
 	n.leaseMu.Lock()
 	now := n.Clock()
-	desired := n.lease.DesiredRules(now)
+	desired := n.lease.DesiredVersions(now)
 	current := n.applied.Load()
-	permitted := current != nil && (current.disconnected || n.lease.Permits(now, current.rules))
+	permitted := current != nil && (current.disconnected || n.lease.Permits(now, current.versions))
 	n.leaseMu.Unlock()
 	switch {
-	case desired.Version != 0 && (current == nil || current.disconnected || desired != current.rules):
-		n.applyRules(desired)
+	case desired.Version != 0 && (current == nil || current.disconnected || desired != current.versions):
+		n.applyVersions(desired)
 	case !permitted && current != nil:
-		n.enterDisconnected(current.rules)
+		n.enterDisconnected(current.versions)
 	case current == nil && now-started > n.Lease.Duration:
 		n.startDisconnected()
 	}
 }
 
-// applyRules makes the program act on rules that the lease permits.
-func (n *Node) applyRules(rules consensus.ActiveRules) {
-	effective, ok := n.effectiveVersion(rules)
+// applyVersions makes the program act on versions that the lease permits.
+func (n *Node) applyVersions(active consensus.ActiveVersions) {
+	effective, ok := n.effectiveVersion(active)
 	if !ok {
 		return // a version was evicted meanwhile, and is being refetched
 	}
-	previous := n.boundByLease(rules)
+	previous := n.boundByLease(active)
 	if err := n.Apply(effective); err != nil {
 		n.applied.Store(previous) // the program still acts on that
-		n.rejectRules(rules, err)
+		n.rejectVersions(active, err)
 		return
 	}
 	n.leaseMu.Lock()
-	n.lease.ConfirmRules(rules)
-	n.applied.Store(&appliedRules{rules: rules, until: n.leaseEnd(rules)})
+	n.lease.ConfirmVersions(active)
+	n.applied.Store(&appliedVersions{versions: active, until: n.leaseEnd(active)})
 	n.leaseMu.Unlock()
-	n.Log.Info("rules applied", "rules", rules.String(), "epoch", rules.Epoch, "boot_time_ns", int64(BootTime()))
-	n.notifyApplied(rules, false)
+	n.Log.Info("versions applied", "versions", active.String(), "epoch", active.Epoch, "boot_time_ns", int64(BootTime()))
+	n.notifyApplied(active, false)
 	n.renewLeasesNow() // sends the confirmation to the voters
-	if rules.PendingVersion == 0 {
-		n.background.Go(func() { n.saveLastVersion(rules.Version) })
+	if active.PendingVersion == 0 {
+		n.background.Go(func() { n.saveLastVersion(active.Version) })
 	}
 }
 
-// effectiveVersion returns the version, or the stricter of two, that rules stand for; false: one of them is not cached.
-func (n *Node) effectiveVersion(rules consensus.ActiveRules) (consensus.EffectiveVersion, bool) {
+// effectiveVersion returns the version, or the stricter of two, that active stands for; false: one of them is not cached.
+func (n *Node) effectiveVersion(active consensus.ActiveVersions) (consensus.EffectiveVersion, bool) {
 	n.versionsMu.Lock()
-	active, pending := n.versions[rules.Version], n.versions[rules.PendingVersion]
+	version, pending := n.versions[active.Version], n.versions[active.PendingVersion]
 	n.versionsMu.Unlock()
 	switch {
-	case active == nil || rules.PendingVersion != 0 && pending == nil:
+	case version == nil || active.PendingVersion != 0 && pending == nil:
 		return consensus.EffectiveVersion{}, false
-	case rules.PendingVersion == 0:
-		return consensus.EffectiveVersion{Version: active}, true
+	case active.PendingVersion == 0:
+		return consensus.EffectiveVersion{Version: version}, true
 	}
-	stricter := consensus.Stricter(active, pending)
-	if err := errors.Join(consensus.AsStrict(stricter, active), consensus.AsStrict(stricter, pending)); err != nil {
-		n.Log.Error("combined rules are laxer than one of their versions, refusing all classes",
-			"rules", rules.String(), "err", err)
+	stricter := consensus.Stricter(version, pending)
+	if err := errors.Join(consensus.AsStrict(stricter, version), consensus.AsStrict(stricter, pending)); err != nil {
+		n.Log.Error("combined version is laxer than one of its parts, refusing all classes",
+			"versions", active.String(), "err", err)
 		for _, c := range stricter.Program.Classes {
 			stricter.Refused[c.Name] = "the rules change"
 		}
@@ -98,29 +98,29 @@
 	return stricter, true
 }
 
-// boundByLease binds a program that acts on nothing, or without a lease, to the lease of the rules that it is about
+// boundByLease binds a program that acts on nothing, or without a lease, to the lease of the versions that it is about
 // to apply, so that it is bound from the first moment on. It returns what the program acts on.
-func (n *Node) boundByLease(rules consensus.ActiveRules) *appliedRules {
+func (n *Node) boundByLease(active consensus.ActiveVersions) *appliedVersions {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
 	current := n.applied.Load()
 	if current == nil || current.disconnected {
-		n.applied.Store(&appliedRules{rules: rules, until: n.leaseEnd(rules)})
+		n.applied.Store(&appliedVersions{versions: active, until: n.leaseEnd(active)})
 	}
 	return current
 }
 
-// rejectRules records that the program can't apply the newest version of rules, and reports it while that version is
+// rejectVersions records that the program can't apply the newer of the versions, and reports it while that version is
 // pending.
-func (n *Node) rejectRules(rules consensus.ActiveRules, err error) {
-	newest := max(rules.Version, rules.PendingVersion)
+func (n *Node) rejectVersions(active consensus.ActiveVersions, err error) {
+	newest := max(active.Version, active.PendingVersion)
 	n.versionsMu.Lock()
 	n.rejected[newest] = err.Error()
 	delete(n.versions, newest)
 	n.versionsMu.Unlock()
-	n.Log.Error("version not applied", "rules", rules.String(), "err", err)
-	if rules.PendingVersion != 0 {
-		n.background.Go(func() { n.reportRefusal(rules.PendingVersion, err.Error()) })
+	n.Log.Error("version not applied", "versions", active.String(), "err", err)
+	if active.PendingVersion != 0 {
+		n.background.Go(func() { n.reportRefusal(active.PendingVersion, err.Error()) })
 	}
 }
 
@@ -136,7 +136,7 @@
 }
 
 // enterDisconnected restricts the program to the disconnected policy after the lease has expired.
-func (n *Node) enterDisconnected(last consensus.ActiveRules) {
+func (n *Node) enterDisconnected(last consensus.ActiveVersions) {
 	n.versionsMu.Lock()
 	active, pending := n.versions[last.Version], n.versions[last.PendingVersion]
 	n.versionsMu.Unlock()
@@ -162,11 +162,11 @@
 	n.versionsMu.Lock()
 	n.cacheVersion(m, v)
 	n.versionsMu.Unlock()
-	n.applyDisconnected(consensus.EffectiveVersion{Version: v}, consensus.ActiveRules{Version: m.Number})
+	n.applyDisconnected(consensus.EffectiveVersion{Version: v}, consensus.ActiveVersions{Version: m.Number})
 }
 
 // applyDisconnected makes the program act on what the disconnected policy leaves of a version.
-func (n *Node) applyDisconnected(effective consensus.EffectiveVersion, last consensus.ActiveRules) {
+func (n *Node) applyDisconnected(effective consensus.EffectiveVersion, last consensus.ActiveVersions) {
 	if err := n.Apply(consensus.DisconnectedVersion(effective, n.Disconnected, time.Now())); err != nil {
 		n.Log.Error("disconnected policy not applied", "err", err)
 		return
@@ -175,7 +175,7 @@
 	if limit := n.Disconnected.MaxDuration; limit > 0 {
 		until = n.Clock() + limit
 	}
-	n.applied.Store(&appliedRules{rules: last, disconnected: true, until: until})
+	n.applied.Store(&appliedVersions{versions: last, disconnected: true, until: until})
 	n.notifyApplied(last, true)
-	n.Log.Warn("lease expired, disconnected policy applied", "rules", last.String(), "boot_time_ns", int64(BootTime()))
+	n.Log.Warn("lease expired, disconnected policy applied", "versions", last.String(), "boot_time_ns", int64(BootTime()))
 }
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -28,7 +28,7 @@
 	return Status{
 		Node: "node-a", Fleet: "fleet-a", Voter: true, Leader: "node-b", Term: 51,
 		LogStatus:    consensus.LogStatus{Index: 52, Epoch: 53, ActiveVersion: 54, PendingVersion: 55},
-		Applied:      consensus.ActiveRules{Epoch: 56, Version: 57, PendingVersion: 58},
+		Applied:      consensus.ActiveVersions{Epoch: 56, Version: 57, PendingVersion: 58},
 		Disconnected: true, LeaseLeftMs: 59, WaitingFor: []string{"node-c"}, LeaseHolders: []string{"node-d", "node-e"},
 		History: []consensus.Manifest{{
 			Number: 11, Base: 10, ID: "id-a", Proposer: "node-f", Contradicts: true, Parts: goldenParts(), Extends: true, OwnParts: 1,
--- a/internal/fleet/agent/hooks.go
+++ b/internal/fleet/agent/hooks.go
@@ -20,7 +20,7 @@
 	Stats stats.Handler
 	// Applied is called with what the program acts on from now on, and whether the policy for a node without a lease
 	// restricts it. It must not block.
-	Applied func(rules consensus.ActiveRules, disconnected bool)
+	Applied func(active consensus.ActiveVersions, disconnected bool)
 }
 
 func (h *Hooks) dialOptions() (options []grpc.DialOption) {
@@ -47,8 +47,8 @@
 	return h.Listen(l)
 }
 
-func (h *Hooks) notifyApplied(rules consensus.ActiveRules, disconnected bool) {
+func (h *Hooks) notifyApplied(active consensus.ActiveVersions, disconnected bool) {
 	if h.Applied != nil {
-		h.Applied(rules, disconnected)
+		h.Applied(active, disconnected)
 	}
 }
--- a/internal/fleet/agent/lease.go
+++ b/internal/fleet/agent/lease.go
@@ -41,7 +41,7 @@
 		n.lease.UpdateLogStatus(*status)
 	}
 	if a := n.applied.Load(); a != nil && !a.disconnected {
-		n.applied.Store(&appliedRules{rules: a.rules, until: n.leaseEnd(a.rules)})
+		n.applied.Store(&appliedVersions{versions: a.versions, until: n.leaseEnd(a.versions)})
 	}
 	n.leaseMu.Unlock()
 	select {
@@ -50,13 +50,13 @@
 	}
 }
 
-// leaseEnd returns when the lease for rules ends; n.leaseMu is held.
-func (n *Node) leaseEnd(rules consensus.ActiveRules) time.Duration {
+// leaseEnd returns when the lease for versions ends; n.leaseMu is held.
+func (n *Node) leaseEnd(active consensus.ActiveVersions) time.Duration {
 	now := n.Clock()
-	if !n.lease.Permits(now, rules) {
+	if !n.lease.Permits(now, active) {
 		return 0
 	}
-	return now + n.lease.Remaining(now, rules)
+	return now + n.lease.Remaining(now, active)
 }
 
 // logStatus returns the latest state of the log that this node has heard of.
--- a/internal/fleet/agent/messages.go
+++ b/internal/fleet/agent/messages.go
@@ -49,18 +49,18 @@
 
 // Status is a node's view of the fleet.
 type Status struct {
-	Node         string                `json:"node"`
-	Fleet        string                `json:"fleet"`
-	Voter        bool                  `json:"voter"`
-	Leader       string                `json:"leader,omitempty"` // "": the node knows of none
-	Term         uint64                `json:"term,omitempty"`
-	LogStatus    consensus.LogStatus   `json:"facts"`
-	Applied      consensus.ActiveRules `json:"acts"` // what the node acts on
-	Disconnected bool                  `json:"alone"`
-	LeaseLeftMs  int64                 `json:"left_ms"`         // milliseconds left of the node's own lease
-	WaitingFor   []string              `json:"waits,omitempty"` // by which this voter delays its EpochAck
-	LeaseHolders []string              `json:"nodes,omitempty"` // nodes that hold a lease of this voter
-	History      []consensus.Manifest  `json:"history,omitempty"`
-	VotingError  string                `json:"store,omitempty"` // why the node no longer votes
-	Tasks        []TaskStatus          `json:"owners,omitempty"`
+	Node         string                   `json:"node"`
+	Fleet        string                   `json:"fleet"`
+	Voter        bool                     `json:"voter"`
+	Leader       string                   `json:"leader,omitempty"` // "": the node knows of none
+	Term         uint64                   `json:"term,omitempty"`
+	LogStatus    consensus.LogStatus      `json:"facts"`
+	Applied      consensus.ActiveVersions `json:"acts"` // what the node acts on
+	Disconnected bool                     `json:"alone"`
+	LeaseLeftMs  int64                    `json:"left_ms"`         // milliseconds left of the node's own lease
+	WaitingFor   []string                 `json:"waits,omitempty"` // by which this voter delays its EpochAck
+	LeaseHolders []string                 `json:"nodes,omitempty"` // nodes that hold a lease of this voter
+	History      []consensus.Manifest     `json:"history,omitempty"`
+	VotingError  string                   `json:"store,omitempty"` // why the node no longer votes
+	Tasks        []TaskStatus             `json:"owners,omitempty"`
 }
--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -93,8 +93,8 @@
 	lease    *consensus.Lease // this node's side of its leases
 	renewNow chan struct{}    // closed, and replaced, to renew the lease at all voters at once
 
-	applied atomic.Pointer[appliedRules] // nil: the program acts on nothing
-	wake    chan struct{}                // wakes reconcile
+	applied atomic.Pointer[appliedVersions] // nil: the program acts on nothing
+	wake    chan struct{}                   // wakes reconcile
 
 	versionsMu sync.Mutex                     // guards versions to fetching
 	versions   map[uint64]*consensus.Version  // the cache, by number
@@ -109,11 +109,11 @@
 	ownership ownership // has a lock of its own, which is never held together with another
 }
 
-// appliedRules is what the program acts on.
-type appliedRules struct {
-	rules        consensus.ActiveRules // with disconnected: those it acted on last
-	disconnected bool                  // restricted by the disconnected policy
-	until        time.Duration         // end of the lease, or of disconnected service, on the node's clock
+// appliedVersions is what the program acts on.
+type appliedVersions struct {
+	versions     consensus.ActiveVersions // with disconnected: those it acted on last
+	disconnected bool                     // restricted by the disconnected policy
+	until        time.Duration            // end of the lease, or of disconnected service, on the node's clock
 }
 
 const (
--- a/internal/fleet/agent/release.go
+++ b/internal/fleet/agent/release.go
@@ -135,7 +135,7 @@
 
 // checkFeasible returns why a release can't start: a server that isn't in use, or a wave that leaves fewer servers in
 // use than the floor.
-func checkFeasible(r *consensus.Release, c *cluster.Cluster) error {
+func checkFeasible(r *consensus.Release, c *cluster.Config) error {
 	if c == nil {
 		return fmt.Errorf("cluster: there is no %s in the version in force", r.Cluster)
 	}
@@ -155,7 +155,7 @@
 }
 
 // findServer returns a cluster's server by its id; nil if there is none.
-func findServer(c *cluster.Cluster, id string) *cluster.Endpoint {
+func findServer(c *cluster.Config, id string) *cluster.Endpoint {
 	byID := func(e cluster.Endpoint, id string) int { return cmp.Compare(e.ID, id) }
 	at, found := slices.BinarySearchFunc(c.Endpoints, id, byID)
 	if !found {
@@ -165,7 +165,7 @@
 }
 
 // countServing returns how many servers of a cluster are in use.
-func countServing(c *cluster.Cluster) (serving int) {
+func countServing(c *cluster.Config) (serving int) {
 	for i := range c.Endpoints {
 		if c.Endpoints[i].Serves() {
 			serving++
--- a/internal/fleet/agent/releaserunner.go
+++ b/internal/fleet/agent/releaserunner.go
@@ -128,11 +128,11 @@
 // waveChange returns the change by which the present phase takes effect: the wave's servers are taken out, or put
 // back as started now. A server that left the list, or that an operator took out, stays as it is. It returns nil if
 // there is nothing to change, and an error if fewer servers than the floor would be left in use.
-func waveChange(c *cluster.Cluster, p *consensus.ReleaseProgress, now time.Time) (*config.File, error) {
+func waveChange(c *cluster.Config, p *consensus.ReleaseProgress, now time.Time) (*config.File, error) {
 	if c == nil {
 		return nil, fmt.Errorf("cluster %s is gone", p.Cluster)
 	}
-	changed := cluster.Cluster{Name: c.Name}
+	changed := cluster.Config{Name: c.Name}
 	for _, id := range p.Waves[p.Wave] {
 		found := findServer(c, id)
 		if found == nil {
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -95,7 +95,7 @@
 	out := &Status{Node: n.Name, Fleet: n.Fleet, LogStatus: n.logStatus()}
 	now := n.Clock()
 	if a := n.applied.Load(); a != nil {
-		out.Applied, out.Disconnected = a.rules, a.disconnected
+		out.Applied, out.Disconnected = a.versions, a.disconnected
 		if left := a.until - now; !a.disconnected && a.until != math.MaxInt64 {
 			out.LeaseLeftMs = max(0, left).Milliseconds()
 		}
--- a/internal/fleet/agent/versions.go
+++ b/internal/fleet/agent/versions.go
@@ -102,7 +102,7 @@
 // isApplied reports whether the program acts on a version.
 func (n *Node) isApplied(number uint64) bool {
 	a := n.applied.Load()
-	return a != nil && (number == a.rules.Version || number == a.rules.PendingVersion)
+	return a != nil && (number == a.versions.Version || number == a.versions.PendingVersion)
 }
 
 // reportRefusal reports to the voters that this node can't use a version, until it is no longer pending.
--- a/internal/fleet/consensus/contradict.go
+++ b/internal/fleet/consensus/contradict.go
@@ -9,7 +9,7 @@
 // its own, and the lists of servers.
 type Version struct {
 	Program  *config.Program
-	Clusters map[string]*cluster.Cluster
+	Clusters map[string]*cluster.Config
 }
 
 // Kind is a kind of difference between two versions.
--- a/internal/fleet/consensus/contradict_test.go
+++ b/internal/fleet/consensus/contradict_test.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Version{p, map[string]*cluster.Cluster{c.Name: c}}
+	return &Version{p, map[string]*cluster.Config{c.Name: c}}
 }
 
 // changes has one for each kind of difference.
@@ -198,7 +198,7 @@
 
 // The undoing of a contradiction by nothing is none: any version follows itself, whatever its size.
 func BenchmarkDifferences(b *testing.B) {
-	c := &cluster.Cluster{Name: "rooms"}
+	c := &cluster.Config{Name: "rooms"}
 	for i := range 10_000 {
 		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprintf("s-%05d", i), Address: "127.0.0.1:9000",
 			Weight: 1})
@@ -207,7 +207,7 @@
 	other.Endpoints = append([]cluster.Endpoint(nil), c.Endpoints...)
 	other.Endpoints[77].Health = cluster.Draining
 	p := &config.Program{}
-	x, y := &Version{p, map[string]*cluster.Cluster{"rooms": c}}, &Version{p, map[string]*cluster.Cluster{"rooms": &other}}
+	x, y := &Version{p, map[string]*cluster.Config{"rooms": c}}, &Version{p, map[string]*cluster.Config{"rooms": &other}}
 	for b.Loop() {
 		if list := Differences(x, y); len(list) != 1 {
 			b.Fatal(list)
--- a/internal/fleet/consensus/differences.go
+++ b/internal/fleet/consensus/differences.go
@@ -133,14 +133,14 @@
 }
 
 // clusters compares clusters by name. One that is missing counts as one without servers.
-func (d *differ) clusters(from, to map[string]*cluster.Cluster) {
+func (d *differ) clusters(from, to map[string]*cluster.Config) {
 	for name, a := range from {
 		b := to[name]
 		if a == b {
 			continue
 		}
 		if b == nil {
-			b = &cluster.Cluster{Name: name, Transport: a.Transport, Bounds: a.Bounds}
+			b = &cluster.Config{Name: name, Transport: a.Transport, Bounds: a.Bounds}
 		}
 		d.servers(name, a.Endpoints, b.Endpoints)
 		d.note(ServerSize, name, a.Bounds, b.Bounds)
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -34,7 +34,7 @@
 		}
 	}
 	if rules.Servers != lease.ServeLast {
-		out.Clusters = map[string]*cluster.Cluster{}
+		out.Clusters = map[string]*cluster.Config{}
 		for name, c := range last.Clusters {
 			out.Clusters[name] = drainWarmingEndpoints(c, p.Rules.SlowStartWindow, ended)
 		}
@@ -44,7 +44,7 @@
 
 // drainWarmingEndpoints drains the endpoints that were started less than a slow-start window before a time, and so may
 // still be warming up: the parts of their budget may have been redistributed among the other nodes.
-func drainWarmingEndpoints(c *cluster.Cluster, window time.Duration, at time.Time) *cluster.Cluster {
+func drainWarmingEndpoints(c *cluster.Config, window time.Duration, at time.Time) *cluster.Config {
 	warming := func(e cluster.Endpoint) bool {
 		return e.Serves() && e.Started > 0 && at.Sub(time.UnixMilli(e.Started)) < window
 	}
--- a/internal/fleet/consensus/entry.go
+++ b/internal/fleet/consensus/entry.go
@@ -46,7 +46,7 @@
 	EpochAck      *EpochAck       `json:"clear,omitempty"`
 	Refusal       *Refusal        `json:"refuse,omitempty"`
 	Assignment    *TaskAssignment `json:"own,omitempty"`
-	TaskRelease   *TaskRelease    `json:"free,omitempty"`
+	TaskRelease   *OwnershipEnd   `json:"free,omitempty"`
 	Release       *Release        `json:"release,omitempty"`
 	ReleaseUpdate *ReleaseUpdate  `json:"move,omitempty"`
 }
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -36,7 +36,7 @@
 		{EpochAck: &EpochAck{Epoch: 21, Voter: 22}},
 		{Refusal: &Refusal{Number: 23, Node: "node-c", Reason: "reason-c"}},
 		{Assignment: &TaskAssignment{Task: "task-a", Node: "node-d", Incarnation: "incarnation-d", ExpectedToken: 24}},
-		{TaskRelease: &TaskRelease{Task: "task-b", TransferIndex: 25, Voter: 26}},
+		{TaskRelease: &OwnershipEnd{Task: "task-b", TransferIndex: 25, Voter: 26}},
 		{Release: &release},
 		{ReleaseUpdate: &ReleaseUpdate{ID: "release-b", Wave: 1, Phase: Restarting, Action: PauseRelease, Reason: "reason-d"}},
 	}
@@ -69,7 +69,7 @@
 		History: []Manifest{goldenManifest()},
 		Tasks: map[string]TaskOwnership{"task-a": {
 			Owner: "node-d", Incarnation: "incarnation-d", Token: 103, TransferIndex: 104, NextOwner: "node-e", NextIncarnation: "incarnation-e",
-			ReleasedBy: []uint64{2, 4},
+			EndConfirmedBy: []uint64{2, 4},
 		}},
 		OwnershipRevisions: map[string]uint64{"node-d\x00incarnation-d": 105},
 		Release: &ReleaseProgress{
@@ -89,7 +89,7 @@
 			Voter: 34, Sequence: 35, MaxEpoch: 36, OwnershipRevision: 37,
 			LogStatus: LogStatus{Index: 38, Epoch: 39, ActiveVersion: 40, PendingVersion: 41},
 		},
-		ActiveRules{Epoch: 42, Version: 43, PendingVersion: 44},
+		ActiveVersions{Epoch: 42, Version: 43, PendingVersion: 44},
 	)
 }
 
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -45,16 +45,16 @@
 	LogStatus         LogStatus `json:"facts"`
 }
 
-// ActiveRules identifies what a node acts on: one version, or, with PendingVersion, the stricter rules of two
+// ActiveVersions identifies what a node acts on: one version, or, with PendingVersion, the stricter combination of two
 // versions that contradict each other. The zero value is no version at all.
-type ActiveRules struct {
+type ActiveVersions struct {
 	Epoch          uint64 `json:"epoch"` // that a lease has to cover
 	Version        uint64 `json:"number"`
 	PendingVersion uint64 `json:"pending"`
 }
 
-// String formats the rules for operators.
-func (r ActiveRules) String() string {
+// String formats the versions for operators.
+func (r ActiveVersions) String() string {
 	switch {
 	case r.Version == 0:
 		return "nothing"
@@ -130,14 +130,14 @@
 // LogStatus returns the latest state of the log that the node has heard of.
 func (l *Lease) LogStatus() LogStatus { return l.logStatus }
 
-// DesiredRules returns what the node should act on now, by the log, the grants and the versions that it has.
-func (l *Lease) DesiredRules(now time.Duration) ActiveRules {
+// DesiredVersions returns what the node should act on now, by the log, the grants and the versions that it has.
+func (l *Lease) DesiredVersions(now time.Duration) ActiveVersions {
 	status := l.logStatus
 	if status.ActiveVersion == 0 {
-		return ActiveRules{}
+		return ActiveVersions{}
 	}
-	single := ActiveRules{Epoch: status.Epoch, Version: status.ActiveVersion}
-	joint := ActiveRules{Epoch: status.Epoch + 1, Version: status.ActiveVersion, PendingVersion: status.PendingVersion}
+	single := ActiveVersions{Epoch: status.Epoch, Version: status.ActiveVersion}
+	joint := ActiveVersions{Epoch: status.Epoch + 1, Version: status.ActiveVersion, PendingVersion: status.PendingVersion}
 	switch {
 	case status.PendingVersion != 0 && l.hasVersion(status.PendingVersion) &&
 		l.hasVersion(status.ActiveVersion) && l.Permits(now, joint):
@@ -145,17 +145,17 @@
 	case l.hasVersion(status.ActiveVersion) && l.Permits(now, single):
 		return single
 	}
-	return ActiveRules{}
+	return ActiveVersions{}
 }
 
-// Permits reports whether the node may act on rules at this moment.
-func (l *Lease) Permits(now time.Duration, r ActiveRules) bool {
+// Permits reports whether the node may act on versions at this moment.
+func (l *Lease) Permits(now time.Duration, r ActiveVersions) bool {
 	return r.Version != 0 && r.Epoch >= l.confirmedEpoch && l.isQuorum(l.epochGrants.count(now, r.Epoch))
 }
 
-// ConfirmRules records that the node acts on rules from now on, and on nothing earlier; the next request confirms it
+// ConfirmVersions records that the node acts on versions from now on, and on nothing earlier; the next request confirms it
 // to the voters.
-func (l *Lease) ConfirmRules(r ActiveRules) { l.confirmedEpoch = max(l.confirmedEpoch, r.Epoch) }
+func (l *Lease) ConfirmVersions(r ActiveVersions) { l.confirmedEpoch = max(l.confirmedEpoch, r.Epoch) }
 
 // ConfirmOwnership records that the node owns the tasks of an ownership revision from now on, and no others; the next
 // request confirms it.
@@ -168,8 +168,8 @@
 	return l.ownershipRevision > 0 && l.isQuorum(l.ownershipGrants.count(now, l.ownershipRevision))
 }
 
-// Remaining is how long the node may go on acting on rules without a further grant.
-func (l *Lease) Remaining(now time.Duration, r ActiveRules) time.Duration {
+// Remaining is how long the node may go on acting on versions without a further grant.
+func (l *Lease) Remaining(now time.Duration, r ActiveVersions) time.Duration {
 	if r.Version == 0 {
 		return 0
 	}
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -116,9 +116,9 @@
 	return len(waitingFor) == 0, slices.Compact(waitingFor)
 }
 
-// CanRelease reports whether the former owner of a task no longer acts as its owner, as far as this voter granted it
+// FormerOwnerEnded reports whether the former owner of a task no longer acts as its owner, as far as this voter granted it
 // leases.
-func (t *LeaseTable) CanRelease(now time.Duration, task TaskOwnership) bool {
+func (t *LeaseTable) FormerOwnerEnded(now time.Duration, task TaskOwnership) bool {
 	if now < t.quietUntil {
 		return false
 	}
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -82,7 +82,7 @@
 	voter       *Voter
 	disk        DiskState
 	lease       *Lease
-	acting      ActiveRules
+	acting      ActiveVersions
 	flag        bool // for atWake
 	owned       map[string]uint64
 	down        bool
@@ -167,7 +167,7 @@
 
 func (s *fleetSim) start(n *simNode) {
 	n.life++
-	n.down, n.acting, n.late, n.pausedUntil, n.owned, n.reads = false, ActiveRules{}, nil, 0, nil, map[uint64]uint64{}
+	n.down, n.acting, n.late, n.pausedUntil, n.owned, n.reads = false, ActiveVersions{}, nil, 0, nil, map[uint64]uint64{}
 	now := n.clock(s.now)
 	voters := len(s.voters)
 	heard := map[uint64]time.Duration{}
@@ -406,9 +406,9 @@
 // take has a node change over to what it should act on.
 func (s *fleetSim) take(n *simNode) {
 	now := n.clock(s.now)
-	if r := n.lease.DesiredRules(now); r.Version != 0 && r != n.acting {
+	if r := n.lease.DesiredVersions(now); r.Version != 0 && r != n.acting {
 		n.acting = r
-		n.lease.ConfirmRules(r)
+		n.lease.ConfirmVersions(r)
 		s.changes++
 		s.judge(n)
 		if r.PendingVersion != 0 {
@@ -419,16 +419,16 @@
 }
 
 // acts gives what a node acts on at this moment.
-func (s *fleetSim) acts(n *simNode) ActiveRules {
+func (s *fleetSim) acts(n *simNode) ActiveVersions {
 	switch {
 	case n.down || n.pausedUntil > s.now:
-		return ActiveRules{}
+		return ActiveVersions{}
 	case s.out == leaseCheck:
 		return n.acting
 	case s.out == atWake && n.flag || n.lease.Permits(n.clock(s.now), n.acting):
 		return n.acting
 	}
-	return ActiveRules{}
+	return ActiveVersions{}
 }
 
 // owns gives the works that a node acts as the owner of at this moment.
--- a/internal/fleet/consensus/stricter.go
+++ b/internal/fleet/consensus/stricter.go
@@ -21,7 +21,7 @@
 // that it harms neither nodes that still act on the first nor those that act on the second already.
 func Stricter(from, to *Version) EffectiveVersion {
 	p := *from.Program
-	out := EffectiveVersion{&Version{Program: &p, Clusters: map[string]*cluster.Cluster{}}, map[string]string{}}
+	out := EffectiveVersion{&Version{Program: &p, Clusters: map[string]*cluster.Config{}}, map[string]string{}}
 	p.Classes = slices.Clone(p.Classes)
 	for i := range p.Classes {
 		a := &p.Classes[i]
@@ -53,7 +53,7 @@
 }
 
 // stricterCluster keeps in use only the servers that both versions have in use at the same place. to may be nil.
-func stricterCluster(from, to *cluster.Cluster) *cluster.Cluster {
+func stricterCluster(from, to *cluster.Config) *cluster.Config {
 	if from == to {
 		return from
 	}
--- a/internal/fleet/consensus/taskassignment.go
+++ b/internal/fleet/consensus/taskassignment.go
@@ -66,11 +66,11 @@
 func (v *Voter) releaseTasks(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(v.state.Tasks)) {
 		task := v.state.Tasks[name]
-		if task.TransferIndex == 0 || slices.Contains(task.ReleasedBy, v.ID) {
+		if task.TransferIndex == 0 || slices.Contains(task.EndConfirmedBy, v.ID) {
 			continue
 		}
-		if v.shouldPropose("free "+name, task.TransferIndex) && v.leases.CanRelease(now, task) {
-			v.Propose(&Entry{TaskRelease: &TaskRelease{Task: name, TransferIndex: task.TransferIndex, Voter: v.ID}})
+		if v.shouldPropose("free "+name, task.TransferIndex) && v.leases.FormerOwnerEnded(now, task) {
+			v.Propose(&Entry{TaskRelease: &OwnershipEnd{Task: name, TransferIndex: task.TransferIndex, Voter: v.ID}})
 		}
 	}
 }
--- a/internal/fleet/consensus/tasks.go
+++ b/internal/fleet/consensus/tasks.go
@@ -22,7 +22,7 @@
 	TransferIndex   uint64   `json:"asked,omitempty"`
 	NextOwner       string   `json:"next,omitempty"`
 	NextIncarnation string   `json:"next_life,omitempty"`
-	ReleasedBy      []uint64 `json:"freed,omitempty"` // voters that say that the old owner no longer acts as such
+	EndConfirmedBy  []uint64 `json:"freed,omitempty"` // voters that say that the old owner no longer acts as such
 }
 
 // isOwner reports whether a process owns the task, or did until it is moved.
@@ -46,9 +46,9 @@
 	return nil
 }
 
-// TaskRelease is a voter's statement that the former owner of a task no longer acts as its owner, by the leases that
+// OwnershipEnd is a voter's statement that the former owner of a task no longer acts as its owner, by the leases that
 // this voter granted.
-type TaskRelease struct {
+type OwnershipEnd struct {
 	Task          string `json:"work"`
 	TransferIndex uint64 `json:"asked"`
 	Voter         uint64 `json:"voter"`
@@ -97,17 +97,17 @@
 }
 
 // releaseTask records a voter's release of a task that is moved. That of a majority makes the next owner the owner.
-func (s *State) releaseTask(index uint64, r *TaskRelease, voters int) {
+func (s *State) releaseTask(index uint64, r *OwnershipEnd, voters int) {
 	task, known := s.Tasks[r.Task]
 	if !known || task.TransferIndex == 0 || task.TransferIndex != r.TransferIndex {
 		return
 	}
-	at, released := slices.BinarySearch(task.ReleasedBy, r.Voter)
+	at, released := slices.BinarySearch(task.EndConfirmedBy, r.Voter)
 	if released {
 		return
 	}
-	task.ReleasedBy = slices.Insert(slices.Clone(task.ReleasedBy), at, r.Voter)
-	if len(task.ReleasedBy) > voters/2 {
+	task.EndConfirmedBy = slices.Insert(slices.Clone(task.EndConfirmedBy), at, r.Voter)
+	if len(task.EndConfirmedBy) > voters/2 {
 		task = TaskOwnership{Owner: task.NextOwner, Incarnation: task.NextIncarnation, Token: index}
 		s.OwnershipRevisions[processKey(task.Owner, task.Incarnation)] = index
 		s.pruneOwnershipRevisions()
--- a/internal/hotrestart/descriptors.go
+++ b/internal/hotrestart/descriptors.go
@@ -24,7 +24,7 @@
 	switch {
 	case successor == 0:
 		limit = total - predecessors
-	case self.Phase == Draining:
+	case self.Phase == PhaseDraining:
 		limit = open
 	default:
 		limit = max(total/2, open)
@@ -38,7 +38,7 @@
 // SuccessorServing reports whether a successor of this process accepts clients.
 func SuccessorServing(self Presence, peers []Presence) bool {
 	for _, p := range peers {
-		if p.Number > self.Number && p.Phase == Serving {
+		if p.Number > self.Number && p.Phase == PhaseServing {
 			return true
 		}
 	}
--- a/internal/hotrestart/descriptors_test.go
+++ b/internal/hotrestart/descriptors_test.go
@@ -9,7 +9,7 @@
 	}
 	starting := Presence{Number: 2}
 	yielding := Presence{Number: 1, Descriptors: 220, Successor: 2}
-	draining := Presence{Number: 1, Phase: Draining, Descriptors: 220, Successor: 2}
+	draining := Presence{Number: 1, Phase: PhaseDraining, Descriptors: 220, Successor: 2}
 	for _, c := range []struct {
 		name      string
 		open      int
@@ -20,16 +20,16 @@
 		// serving: the successor accepts clients
 		serving bool
 	}{
-		{"alone", 90, predecessor(90, Serving), nil, total, 0, false},
-		{"a successor starts", 90, predecessor(90, Serving), []Presence{starting}, 200, 2, false},
-		{"a successor serves", 90, predecessor(90, Serving), []Presence{{Number: 2, Phase: Serving}}, 200, 2, true},
-		{"with more than half open", 250, predecessor(250, Serving), []Presence{starting}, 250, 2, false},
+		{"alone", 90, predecessor(90, PhaseServing), nil, total, 0, false},
+		{"a successor starts", 90, predecessor(90, PhaseServing), []Presence{starting}, 200, 2, false},
+		{"a successor serves", 90, predecessor(90, PhaseServing), []Presence{{Number: 2, Phase: PhaseServing}}, 200, 2, true},
+		{"with more than half open", 250, predecessor(250, PhaseServing), []Presence{starting}, 250, 2, false},
 		{"the limit does not grow again", 260, yielding, []Presence{starting}, 220, 2, false},
 		{"draining", 80, draining, []Presence{starting}, 80, 2, false},
 		{"nearly empty", 3, draining, []Presence{starting}, MinDescriptors, 2, false},
-		{"the successor", 20, starting, []Presence{predecessor(250, Serving)}, 150, 0, false},
-		{"the predecessor holds nearly all", 20, starting, []Presence{predecessor(390, Serving)}, MinDescriptors, 0, false},
-		{"the predecessor shrinks", 20, starting, []Presence{predecessor(80, Draining)}, 320, 0, false},
+		{"the successor", 20, starting, []Presence{predecessor(250, PhaseServing)}, 150, 0, false},
+		{"the predecessor holds nearly all", 20, starting, []Presence{predecessor(390, PhaseServing)}, MinDescriptors, 0, false},
+		{"the predecessor shrinks", 20, starting, []Presence{predecessor(80, PhaseDraining)}, 320, 0, false},
 		{"the successor was killed", 90, yielding, nil, total, 0, false},
 	} {
 		if got := SuccessorServing(c.self, c.peers); got != c.serving {
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -30,7 +30,7 @@
 
 // goldenPresent gives the values in the golden presence.
 func goldenPresent() Presence {
-	return Presence{Number: 11, Phase: Draining, AppliedSeq: 12, Descriptors: 13, Successor: 14}
+	return Presence{Number: 11, Phase: PhaseDraining, AppliedSeq: 12, Descriptors: 13, Successor: 14}
 }
 
 // golden reads a golden file.
@@ -74,7 +74,7 @@
 
 // The numbers of the phases stand in presence files.
 func TestGoldenPhases(t *testing.T) {
-	if got := []Phase{Starting, Serving, Draining}; !slices.Equal(got, []Phase{0, 1, 2}) {
+	if got := []Phase{PhaseStarting, PhaseServing, PhaseDraining}; !slices.Equal(got, []Phase{0, 1, 2}) {
 		t.Errorf("phases %d, want 0, 1, 2", got)
 	}
 }
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -12,9 +12,9 @@
 
 // The phases of a process of the node.
 const (
-	Starting Phase = iota // accepts no clients yet
-	Serving
-	Draining // accepts no new connections any more
+	PhaseStarting Phase = iota // accepts no clients yet
+	PhaseServing
+	PhaseDraining // accepts no new connections any more
 )
 
 // Presence is what a process publishes to the other processes of the node.
@@ -55,7 +55,7 @@
 	if err != nil {
 		return Presence{}, errDamaged
 	}
-	if version != presenceVersion || p.Phase > Draining || string(p.encode()) != string(b) {
+	if version != presenceVersion || p.Phase > PhaseDraining || string(p.encode()) != string(b) {
 		return Presence{}, errDamaged
 	}
 	return p, nil
--- a/internal/hotrestart/presence_test.go
+++ b/internal/hotrestart/presence_test.go
@@ -5,7 +5,7 @@
 )
 
 func FuzzPresence(f *testing.F) {
-	f.Add(Presence{Number: 3, Phase: Serving, AppliedSeq: 7, Descriptors: 100, Successor: 4}.encode())
+	f.Add(Presence{Number: 3, Phase: PhaseServing, AppliedSeq: 7, Descriptors: 100, Successor: 4}.encode())
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if p, err := parsePresence(text); err == nil && string(p.encode()) != string(text) {
 			t.Errorf("%q was read as %+v", text, p)
--- a/internal/idempotency/replay/bench_test.go
+++ b/internal/idempotency/replay/bench_test.go
@@ -31,7 +31,7 @@
 	for _, how := range []string{"off", "on", "log"} {
 		b.Run(how, func(b *testing.B) {
 			clock := engine.NewClock()
-			var cluster ingress.Cluster = instant{}
+			var cluster ingress.Handler = instant{}
 			if how != "off" {
 				g := New(idempotency.Limits{Entries: 1 << 22, Bytes: 1 << 32, Joiners: 64, Tenants: 1}, clock)
 				if how == "log" {
--- a/internal/idempotency/replay/deduplicator.go
+++ b/internal/idempotency/replay/deduplicator.go
@@ -70,14 +70,14 @@
 // Cluster wraps a cluster so that its requests with an idempotency key are deduplicated. The window is how long a
 // key is known, from the start of its first request; minRetryAfter is the least Retry-After of a request for
 // which there is no capacity.
-func (d *Deduplicator) Cluster(inner ingress.Cluster, window, minRetryAfter time.Duration) ingress.Cluster {
+func (d *Deduplicator) Cluster(inner ingress.Handler, window, minRetryAfter time.Duration) ingress.Handler {
 	return &cluster{Deduplicator: d, inner: inner, window: window, minRetryAfter: minRetryAfter}
 }
 
 // cluster is one cluster behind a Deduplicator.
 type cluster struct {
 	*Deduplicator
-	inner                 ingress.Cluster
+	inner                 ingress.Handler
 	window, minRetryAfter time.Duration
 }
 
--- a/internal/idempotency/replay/deduplicator_test.go
+++ b/internal/idempotency/replay/deduplicator_test.go
@@ -201,7 +201,7 @@
 func TestKnownAfterACrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	clock := engine.NewClock()
-	start := func(s *stub) (ingress.Cluster, *keystore.Log) {
+	start := func(s *stub) (ingress.Handler, *keystore.Log) {
 		log, known, err := keystore.Open(path, time.Now(), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -334,7 +334,7 @@
 					}
 					return served(key), nil
 				}}
-				var c ingress.Cluster = s
+				var c ingress.Handler = s
 				if deduplicated {
 					c = g.Cluster(s, window, 0)
 				}
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -17,7 +17,7 @@
 // Destination is what a Router makes of a request: the cluster that decides on it, and
 // the class that it has there.
 type Destination struct {
-	Cluster       Cluster
+	Cluster       Handler
 	Class         int // as in the cluster's settings
 	Effect        policy.Idempotency
 	Window        time.Duration  // for policy.IdempotentByKey: how long servers drop a repeat
@@ -39,8 +39,8 @@
 // Edits changes fields; names are canonical.
 type Edits interface{ Apply(h map[string][]string) }
 
-// Cluster has a request decided; *engine.Cluster is one.
-type Cluster interface {
+// Handler decides on a request and returns its one answer; *engine.Cluster is one.
+type Handler interface {
 	Do(ctx context.Context, r *engine.Request) (engine.Answer, error)
 }
 
--- a/internal/lab/process/generate.go
+++ b/internal/lab/process/generate.go
@@ -176,7 +176,7 @@
 // Cluster writes the file of service i. change alters the weight of its first server: a change of one cluster's list.
 func (g *Generator) Cluster(i, change int) []byte {
 	const zones, cells = 3, 2
-	c := &cluster.Cluster{Name: ServiceName(i)}
+	c := &cluster.Config{Name: ServiceName(i)}
 	for j := range g.Size.Servers {
 		weight := 1.0
 		if j == 0 {
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -205,11 +205,11 @@
 func (r *realRun) version() *files.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := &cluster.Cluster{Name: "rooms", ShrinkTo: -1}
+	c := &cluster.Config{Name: "rooms", ShrinkTo: -1}
 	for _, p := range r.places {
 		c.Endpoints = append(c.Endpoints, p.endpoint)
 	}
-	return &files.Snapshot{Program: r.program, Version: &cluster.Version{Clusters: map[string]*cluster.Cluster{c.Name: c}}}
+	return &files.Snapshot{Program: r.program, Version: &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: c}}}
 }
 
 // sent counts what goes out, and what does so against the rule on drains.
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -49,7 +49,7 @@
 		n.config.Name = name
 		n.config.Dir = filepath.Join(base.Dir, name)
 		n.config.Hooks = meter.Hooks(n.region)
-		n.config.Hooks.Applied = func(rules consensus.ActiveRules, alone bool) { states.Acted(name, rules, alone) }
+		n.config.Hooks.Applied = func(rules consensus.ActiveVersions, alone bool) { states.Acted(name, rules, alone) }
 		program := *own
 		program.Node = at.Before + i
 		source := app.NewAgreedSource(nil, &program)
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -173,7 +173,7 @@
 	s.Start("a", 0, 0)
 	s.Start("b", 1, 0)
 	on := func(node string, number, pending uint64, alone bool) {
-		s.Acted(node, consensus.ActiveRules{Version: number, PendingVersion: pending}, alone)
+		s.Acted(node, consensus.ActiveVersions{Version: number, PendingVersion: pending}, alone)
 	}
 	on("a", 3, 0, false)
 	on("b", 2, 3, false) // the stricter of both is not yet the version
--- a/internal/lab/scale/states.go
+++ b/internal/lab/scale/states.go
@@ -45,7 +45,7 @@
 }
 
 // Acted takes what a node acts on from now on.
-func (s *States) Acted(node string, rules consensus.ActiveRules, alone bool) {
+func (s *States) Acted(node string, rules consensus.ActiveVersions, alone bool) {
 	now := agent.BootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/adminhandler.go
+++ b/internal/node/adminhandler.go
@@ -24,7 +24,7 @@
 type adminHandler struct {
 	background context.Context // ends with the node
 	endpoints  *endpointWatcher
-	front      *h1server.Server
+	httpServer *h1server.Server
 	restart    *restartCoordinator // nil: there can't be another process of the node
 	log        *slog.Logger
 }
@@ -49,7 +49,7 @@
 
 // ping returns the status of a process that accepts clients, or why this one does not.
 func (a *adminHandler) ping() (string, error) {
-	if !a.front.IsReady() {
+	if !a.httpServer.IsReady() {
 		return "", errNoEndpointList
 	}
 	if !a.restart.serving() {
@@ -80,9 +80,9 @@
 	a.endpoints.applyChange(c)
 	switch c.Operation {
 	case adminstate.LameDuck:
-		a.front.EnterLameDuck(a.background)
+		a.httpServer.EnterLameDuck(a.background)
 	case adminstate.Rejoin:
-		a.front.ExitLameDuck()
+		a.httpServer.ExitLameDuck()
 	}
 }
 
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -26,13 +26,13 @@
 
 // components are the parts of a running node.
 type components struct {
-	clock     engine.Clock
-	endpoints *endpointWatcher
-	pool      *h1client.Pool
-	cluster   *engine.Cluster
-	front     *h1server.Server
-	admin     *adminHandler
-	restart   *restartCoordinator // nil: there can't be another process of the node
+	clock      engine.Clock
+	endpoints  *endpointWatcher
+	pool       *h1client.Pool
+	cluster    *engine.Cluster
+	httpServer *h1server.Server
+	admin      *adminHandler
+	restart    *restartCoordinator // nil: there can't be another process of the node
 }
 
 // assemble makes the components and connects them. The cluster and the lame duck mode run until
@@ -56,12 +56,12 @@
 		return nil, err
 	}
 	c.endpoints.sink = clusterSink{c.cluster, c.pool}
-	c.front = h1server.New(router{n.cfg, c.cluster}, h1server.Options{
+	c.httpServer = h1server.New(router{n.cfg, c.cluster}, h1server.Options{
 		Clock: c.clock, ConnectionLimits: clients, Strict: true, Log: n.log,
 		StallTimeout: streamStallTimeout, MaxBodyBytes: maxBodyBytes, BodyMemory: int64(n.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor,
 	})
-	c.endpoints.requestCount = c.front.RequestCount
-	c.admin = &adminHandler{background: background, endpoints: c.endpoints, front: c.front, log: n.log}
+	c.endpoints.requestCount = c.httpServer.RequestCount
+	c.admin = &adminHandler{background: background, endpoints: c.endpoints, httpServer: c.httpServer, log: n.log}
 	if n.cfg.InheritedSocket != "" {
 		c.restart = joinNode(n.cfg, n.log, c)
 		c.admin.restart = c.restart
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -80,7 +80,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.phase == hotrestart.Serving
+	return r.phase == hotrestart.PhaseServing
 }
 
 // advancePhase enters a phase and publishes it.
@@ -172,14 +172,14 @@
 
 // openDescriptors returns how many descriptors this process has open, or may open by itself.
 func (r *restartCoordinator) openDescriptors() int {
-	return r.components.front.Connections() + r.components.pool.OpenConnections() + ownDescriptors + adminapi.MaxDescriptors
+	return r.components.httpServer.Connections() + r.components.pool.OpenConnections() + ownDescriptors + adminapi.MaxDescriptors
 }
 
 // applyDescriptorLimit applies a limit of this process's descriptors, unless it is a small increase
 // below the node's limit; r.mu is held. While the process drains, its connections end by themselves:
 // closing idle ones for the limit's sake would cost requests.
 func (r *restartCoordinator) applyDescriptorLimit(limit int) {
-	if r.phase == hotrestart.Draining {
+	if r.phase == hotrestart.PhaseDraining {
 		r.descriptorLimit = limit
 		return
 	}
@@ -199,5 +199,5 @@
 		return
 	}
 	r.components.pool.SetLimits(r.cfg.ConnectTimeout, upstream)
-	r.components.front.SetConnectionLimits(clients)
+	r.components.httpServer.SetConnectionLimits(clients)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -125,7 +125,7 @@
 	}
 	reached := make(chan struct{})
 	markReady := sync.OnceFunc(func() {
-		c.front.SetReady()
+		c.httpServer.SetReady()
 		close(reached)
 	})
 	go c.endpoints.run(background, initial, markReady)
@@ -158,9 +158,9 @@
 
 // serve starts to accept clients. The server's goroutine ends when its listener is closed.
 func (n *Node) serve(c *components) *serving {
-	s := &serving{http: c.front.HTTPServer(), listener: c.front.Listener(n.listener), failed: make(chan error, 1)}
+	s := &serving{http: c.httpServer.HTTPServer(), listener: c.httpServer.Listener(n.listener), failed: make(chan error, 1)}
 	go func() { s.failed <- s.http.Serve(s.listener) }()
-	c.restart.advancePhase(hotrestart.Serving)
+	c.restart.advancePhase(hotrestart.PhaseServing)
 	if n.adminListener != nil {
 		n.log.Info("admin API listening", "addr", n.adminListener.Addr().String())
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -78,24 +78,24 @@
 	defer cancel()
 	abort := time.AfterFunc(time.Until(began.Add(plan.abortAt())), func() {
 		c.cluster.Abort()
-		c.front.CloseIdleConnections() // a request on one of these would not be answered any more
+		c.httpServer.CloseIdleConnections() // a request on one of these would not be answered any more
 	})
 	defer abort.Stop()
 	if c.restart.successorServing() {
 		n.leaveToSuccessor(limit, c, s, plan)
 		n.log.Info("clients left to the successor",
-			"connections", c.front.Connections(), "elapsed_ms", time.Since(began).Milliseconds())
+			"connections", c.httpServer.Connections(), "elapsed_ms", time.Since(began).Milliseconds())
 		return nil
 	}
-	c.front.FailHealthChecks()
-	awaitClose(plan, began, c.front.LastRequestAt)
-	c.front.CloseAfterResponses()
+	c.httpServer.FailHealthChecks()
+	awaitClose(plan, began, c.httpServer.LastRequestAt)
+	c.httpServer.CloseAfterResponses()
 	s.listener.Close()
 	if err := <-s.failed; !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
 	// Not http.Server.Shutdown: it drops requests that are just being read.
-	c.front.Drain(limit)
+	c.httpServer.Drain(limit)
 	return nil
 }
 
@@ -103,8 +103,8 @@
 // arrive are the successor's, and waits until the clients have left.
 func (n *Node) leaveToSuccessor(limit context.Context, c *components, s *serving, plan shutdownPlan) {
 	s.listener.Close()
-	c.restart.advancePhase(hotrestart.Draining)
-	c.front.DrainToSuccessor(limit, plan.idleTimeout())
+	c.restart.advancePhase(hotrestart.PhaseDraining)
+	c.httpServer.DrainToSuccessor(limit, plan.idleTimeout())
 }
 
 // awaitClose returns when the listener may be closed. lastRequest returns when a request last arrived.
--- a/internal/node/snapshotexchange.go
+++ b/internal/node/snapshotexchange.go
@@ -79,7 +79,7 @@
 func (r *restartCoordinator) latestSuccessor() (number uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.phase == hotrestart.Starting || len(r.peers) == 0 {
+	if r.phase == hotrestart.PhaseStarting || len(r.peers) == 0 {
 		return 0, false
 	}
 	number = r.peers[len(r.peers)-1].Number
--- a/internal/priority/priority.go
+++ b/internal/priority/priority.go
@@ -42,7 +42,7 @@
 	Key
 	// Cluster holds the tier's endpoints. Those that may not be sent to stand in the
 	// healthy part of their priority, so that whoever follows it sees them drain.
-	Cluster *cluster.Cluster
+	Cluster *cluster.Config
 
 	total  int             // endpoints of the priority, of any health
 	warm   int             // those of this tier that are warm for good
@@ -65,7 +65,7 @@
 
 // New makes the plan of a cluster whose endpoints are sorted, as cluster.Check leaves
 // them. A cluster with no endpoints has one tier.
-func New(c *cluster.Cluster, rules Rules) *Plan {
+func New(c *cluster.Config, rules Rules) *Plan {
 	p := &Plan{factor: c.Overprovision, rules: rules}
 	if p.factor == 0 {
 		p.factor = overprovision
--- a/internal/priority/priority_test.go
+++ b/internal/priority/priority_test.go
@@ -11,8 +11,8 @@
 	"yokestall/internal/cluster"
 )
 
-func version(list ...cluster.Endpoint) *cluster.Cluster {
-	c := &cluster.Cluster{Name: "c", ShrinkTo: -1, Empty: len(list) == 0}
+func version(list ...cluster.Endpoint) *cluster.Config {
+	c := &cluster.Config{Name: "c", ShrinkTo: -1, Empty: len(list) == 0}
 	for i := range list {
 		list[i].ID, list[i].Address = fmt.Sprintf("s-%04d", i), fmt.Sprintf("10.0.%d.%d:80", i/250, i%250+1)
 	}
--- a/internal/stress/badpeers/badpeers.go
+++ b/internal/stress/badpeers/badpeers.go
@@ -152,7 +152,7 @@
 	app       *app.App
 	listeners *app.Listeners
 	peer      *webpeer.Peer
-	cluster   cluster.Cluster
+	cluster   cluster.Config
 	addr      string
 	transport *http.Transport
 }
@@ -166,7 +166,7 @@
 	if b.program, err = config.ParseProgram("abuse.toml", []byte(program)); err != nil {
 		return nil, err
 	}
-	b.cluster = cluster.Cluster{Name: "peers", ShrinkTo: -1, Transport: cluster.Transport{HTTP2: back.HTTP2}}
+	b.cluster = cluster.Config{Name: "peers", ShrinkTo: -1, Transport: cluster.Transport{HTTP2: back.HTTP2}}
 	if back.TLS {
 		b.cluster.Transport.TLS = &cluster.TLS{Name: peerName, Roots: "ca"}
 	}
@@ -198,7 +198,7 @@
 		}
 		c.Endpoints = append(c.Endpoints, e)
 	}
-	return &files.Snapshot{Program: b.program, Version: &cluster.Version{Clusters: map[string]*cluster.Cluster{c.Name: &c}}}
+	return &files.Snapshot{Program: b.program, Version: &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: &c}}}
 }
 
 func (b *between) end() {
--- a/internal/stress/callers/bench.go
+++ b/internal/stress/callers/bench.go
@@ -303,11 +303,11 @@
 		if err != nil {
 			return err
 		}
-		c := &cluster.Cluster{Name: "rooms", ShrinkTo: -1}
+		c := &cluster.Config{Name: "rooms", ShrinkTo: -1}
 		for i := range 10 {
 			c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: fmt.Sprintf("127.0.0.1:%d", i+1), Weight: 1})
 		}
-		a, err := app.New(&files.Snapshot{Program: p, Version: &cluster.Version{Clusters: map[string]*cluster.Cluster{c.Name: c}}},
+		a, err := app.New(&files.Snapshot{Program: p, Version: &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: c}}},
 			app.Options{Seed: 1, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			return err
--- a/internal/stress/callers/callers.go
+++ b/internal/stress/callers/callers.go
@@ -189,7 +189,7 @@
 
 // version has one box drain; -1: none.
 func (r *rig) version(draining int) *files.Snapshot {
-	c := &cluster.Cluster{Name: "rooms", ShrinkTo: -1}
+	c := &cluster.Config{Name: "rooms", ShrinkTo: -1}
 	for i, b := range r.boxes {
 		if b == r.wrong {
 			continue
@@ -200,7 +200,7 @@
 		}
 		c.Endpoints = append(c.Endpoints, e)
 	}
-	return &files.Snapshot{Program: r.program, Version: &cluster.Version{Clusters: map[string]*cluster.Cluster{c.Name: c}}}
+	return &files.Snapshot{Program: r.program, Version: &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: c}}}
 }
 
 // sent holds each send, or naming, to the rule on drains.
--- a/internal/xds/state/clusters.go
+++ b/internal/xds/state/clusters.go
@@ -11,7 +11,7 @@
 
 // clusterEntry is a cluster that the control plane has defined.
 type clusterEntry struct {
-	*translate.Cluster
+	*translate.ClusterResource
 	assignment *translate.Assignment // the endpoints in use; nil if none have come
 	// assignedService is the EDS service name whose endpoints are in use; "" for none or static ones. It differs from
 	// EDSServiceName until the endpoints of that one have come.
@@ -34,7 +34,7 @@
 // applyClusters applies an update of clusters.
 func (s *State) applyClusters(now time.Time, u *ads.Update, c *Change) {
 	for _, r := range u.Accepted {
-		s.setCluster(now, r.Value.(*translate.Cluster), c)
+		s.setCluster(now, r.Value.(*translate.ClusterResource), c)
 	}
 	for _, name := range u.Removed {
 		s.removeCluster(name, c)
@@ -57,9 +57,9 @@
 }
 
 // setCluster adds or replaces a cluster. It uses the former one's endpoints until its own have come.
-func (s *State) setCluster(now time.Time, definition *translate.Cluster, c *Change) {
+func (s *State) setCluster(now time.Time, definition *translate.ClusterResource, c *Change) {
 	old := s.clusters[definition.Name]
-	entry := &clusterEntry{Cluster: definition}
+	entry := &clusterEntry{ClusterResource: definition}
 	if old != nil {
 		entry.assignment, entry.assignedService = old.assignment, old.assignedService
 	}
@@ -133,7 +133,7 @@
 		if before == nil && entry.assignment != nil {
 			inferStartTimes(now, entry.assignment, a)
 		}
-		next := &clusterEntry{Cluster: entry.Cluster, assignment: a, assignedService: service}
+		next := &clusterEntry{ClusterResource: entry.ClusterResource, assignment: a, assignedService: service}
 		s.clusters[name] = next
 		s.replaceReferences(entry, next)
 		s.activate(next, c)
--- a/internal/xds/state/state.go
+++ b/internal/xds/state/state.go
@@ -30,7 +30,7 @@
 	users map[string]map[string]bool
 
 	activeRoutes   *translate.Routes           // nil if there are none
-	activeClusters map[string]*cluster.Cluster // those that have endpoints
+	activeClusters map[string]*cluster.Config // those that have endpoints
 	// subscriptionsChanged reports whether the update that is applied changed the subscriptions.
 	subscriptionsChanged bool
 }
@@ -44,14 +44,14 @@
 		clusters:       map[string]*clusterEntry{},
 		endpoints:      map[string]*translate.Assignment{},
 		users:          map[string]map[string]bool{},
-		activeClusters: map[string]*cluster.Cluster{},
+		activeClusters: map[string]*cluster.Config{},
 	}
 }
 
 // Change is what an update changed.
 type Change struct {
 	// Clusters are the new versions of clusters that were there before.
-	Clusters []*cluster.Cluster
+	Clusters []*cluster.Config
 	// Full reports that clusters were added or removed, or that routes changed: Routes and Clusters have to be read
 	// again.
 	Full bool
@@ -63,7 +63,7 @@
 func (s *State) Routes() *translate.Routes { return s.activeRoutes }
 
 // Clusters returns the clusters in force by name. A cluster whose endpoints have not come is not among them.
-func (s *State) Clusters() map[string]*cluster.Cluster { return maps.Clone(s.activeClusters) }
+func (s *State) Clusters() map[string]*cluster.Config { return maps.Clone(s.activeClusters) }
 
 // Pending returns the names of the clusters whose endpoints have not come, sorted.
 func (s *State) Pending() (names []string) {
--- a/internal/xds/state/state_test.go
+++ b/internal/xds/state/state_test.go
@@ -30,7 +30,7 @@
 }
 
 func eds(name, service string) *ads.Update {
-	return set(ads.Cluster, name, &translate.Cluster{Name: name, EDSServiceName: service})
+	return set(ads.Cluster, name, &translate.ClusterResource{Name: name, EDSServiceName: service})
 }
 
 func to(clusters ...string) *translate.Routes {
@@ -140,7 +140,7 @@
 		t.Error("the new routes are not in force")
 	}
 	for _, name := range []string{"b", "c"} {
-		static := &translate.Cluster{Name: name, StaticAssignment: ends("", cluster.Endpoint{ID: "e"})}
+		static := &translate.ClusterResource{Name: name, StaticAssignment: ends("", cluster.Endpoint{ID: "e"})}
 		s.Apply(at, set(ads.Cluster, name, static))
 	}
 	s.Apply(at, set(ads.Listener, "l", &translate.Listener{InlineRoutes: inline}))
--- a/internal/xds/translate/assignment.go
+++ b/internal/xds/translate/assignment.go
@@ -59,7 +59,7 @@
 		out.weights = append(out.weights, float64(l.GetLoadBalancingWeight().GetValue()))
 	}
 	out.setEndpoints(rows)
-	check := cluster.Cluster{
+	check := cluster.Config{
 		Name: out.Name, Endpoints: out.Endpoints, Empty: len(rows) == 0, ShrinkTo: -1,
 		Bounds: cluster.Bounds{Drops: out.Drops},
 	}
--- a/internal/xds/translate/cluster.go
+++ b/internal/xds/translate/cluster.go
@@ -18,8 +18,8 @@
 	maxConnectTimeout = time.Hour
 )
 
-// Cluster is the used part of a cluster.v3.Cluster.
-type Cluster struct {
+// ClusterResource is the used part of a cluster.v3.Cluster.
+type ClusterResource struct {
 	Name string
 	// EDSServiceName is the name of its endpoints (EDS); "" where they come with it.
 	EDSServiceName string
@@ -33,11 +33,11 @@
 }
 
 // cluster translates a cluster.
-func (o *Options) cluster(c *clusterv3.Cluster) (*Cluster, error) {
+func (o *Options) cluster(c *clusterv3.Cluster) (*ClusterResource, error) {
 	if err := rejectFields(c.ProtoReflect(), rejectedInCluster); err != nil {
 		return nil, err
 	}
-	out := &Cluster{Name: c.GetName()}
+	out := &ClusterResource{Name: c.GetName()}
 	if err := o.endpointSource(c, out); err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 }
 
 // endpointSource translates where a cluster's endpoints come from.
-func (o *Options) endpointSource(c *clusterv3.Cluster, out *Cluster) error {
+func (o *Options) endpointSource(c *clusterv3.Cluster, out *ClusterResource) error {
 	switch {
 	case c.GetClusterType() != nil:
 		return errors.New("cluster_type: custom clusters are not taken")
@@ -111,8 +111,8 @@
 }
 
 // Build returns the version of the cluster that has the endpoints.
-func (c *Cluster) Build(a *Assignment) *cluster.Cluster {
-	out := &cluster.Cluster{
+func (c *ClusterResource) Build(a *Assignment) *cluster.Config {
+	out := &cluster.Config{
 		Name:      c.Name,
 		ShrinkTo:  -1,
 		Source:    "xds",
--- a/internal/xds/translate/fields_test.go
+++ b/internal/xds/translate/fields_test.go
@@ -430,7 +430,7 @@
 			return
 		}
 		switch v := value.(type) {
-		case *Cluster:
+		case *ClusterResource:
 			if v.Name != name {
 				t.Fatalf("%q, %q", v.Name, name)
 			}
@@ -441,7 +441,7 @@
 			}
 		case *Assignment:
 			for _, weighted := range []bool{false, true} {
-				c := Cluster{Name: "c", LocalityWeighted: weighted}
+				c := ClusterResource{Name: "c", LocalityWeighted: weighted}
 				if err := c.Build(v).Check(nil); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/xds/xdsfile/xdsfile.go
+++ b/internal/xds/xdsfile/xdsfile.go
@@ -40,7 +40,7 @@
 
 // View is the clusters and the routes of a set of files.
 type View struct {
-	Clusters map[string]*cluster.Cluster
+	Clusters map[string]*cluster.Config
 	Routes   *translate.Routes // nil if there are none
 }
 
