--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -60,12 +60,12 @@
 			return err
 		}
 		e := &h.event
-		if e.Code == simulator.Instance {
+		if e.Code == simulator.SelectInstance {
 			h.current, h.named = e.Instance, true
-			h.reply.For(e.Instance)
+			h.reply.SelectInstance(e.Instance)
 			continue
 		}
-		if !h.named || (e.Code != simulator.Open && h.instances[h.current] == nil) {
+		if !h.named || (e.Code != simulator.OpenInstance && h.instances[h.current] == nil) {
 			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
 				simulator.ErrFormat, b.Number, i, e.Code)
 		}
@@ -84,19 +84,19 @@
 	}()
 	inst := h.instances[h.current]
 	switch e.Code {
-	case simulator.Open:
+	case simulator.OpenInstance:
 		h.open(e)
-	case simulator.Stop:
+	case simulator.CloseInstance:
 		delete(h.instances, h.current)
-	case simulator.Members:
-		inst.UpdateEndpoints(b.Now, e.Kind, e.Entries)
+	case simulator.EndpointUpdate:
+		inst.UpdateEndpoints(b.Now, e.Kind, e.Endpoints)
 	case simulator.Request:
 		inst.Request(b.Now, e.Request)
-	case simulator.Started:
+	case simulator.StreamStarted:
 		inst.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
 	case simulator.Outcome:
 		inst.Outcome(b.Now, e.Outcome)
-	case simulator.Left:
+	case simulator.ClientDisconnected:
 		inst.ClientDisconnected(b.Now, e.Outcome.ID)
 	case simulator.Timer:
 		inst.Timer(b.Now, e.Token)
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -103,7 +103,7 @@
 func TestPanicIsReportedAsFatal(t *testing.T) {
 	h := host{instances: map[uint16]*policy.Balancer{4: nil}, current: 4}
 	h.reply.Reset()
-	h.reply.For(4)
+	h.reply.SelectInstance(4)
 	h.handle(&simulator.Batch{Number: 7}, &simulator.Event{Code: simulator.Request})
 	var out bytes.Buffer
 	if err := h.reply.WriteTo(bufio.NewWriter(&out), 7); err != nil {
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -63,20 +63,20 @@
 		{ID: 0x0a9011f21fbd, Zone: 5, Cell: 6, State: policy.Removed, Weight: 1.75, StartedAt: 6300500 * us},
 	}
 	want := []Event{
-		{Code: Instance, Instance: 3},
-		{Code: Open, Seed: 0x8c1f30d27a5be964, Settings: []byte(`{"Me":2}`)},
-		{Code: Members, Kind: policy.DeltaUpdate, Entries: entries},
-		{Code: Members, Kind: policy.FullUpdate, Entries: entries},
-		{Code: Members, Kind: policy.CachedUpdate, Entries: entries},
-		{Code: Members, Kind: policy.UpdateFailed, Entries: entries},
+		{Code: SelectInstance, Instance: 3},
+		{Code: OpenInstance, Seed: 0x8c1f30d27a5be964, Settings: []byte(`{"Me":2}`)},
+		{Code: EndpointUpdate, Kind: policy.DeltaUpdate, Endpoints: entries},
+		{Code: EndpointUpdate, Kind: policy.FullUpdate, Endpoints: entries},
+		{Code: EndpointUpdate, Kind: policy.CachedUpdate, Endpoints: entries},
+		{Code: EndpointUpdate, Kind: policy.UpdateFailed, Endpoints: entries},
 		{Code: Request, Request: policy.Request{ID: 0x5d3a91c4, Class: 5, Tenant: 6, TimeRemaining: 240500 * us, WorkHint: 12500 * us}},
-		{Code: Started, Outcome: policy.Outcome{ID: 0x5d3a91c5, Attempt: 7, Endpoint: 0x0a124a071f93}},
+		{Code: StreamStarted, Outcome: policy.Outcome{ID: 0x5d3a91c5, Attempt: 7, Endpoint: 0x0a124a071f93}},
 	}
 	for i, status := range []policy.Status{policy.OK, policy.ErrorResponse, policy.Rejected, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NeverSent} {
 		want = append(want, Event{Code: Outcome, Outcome: policy.Outcome{ID: policy.RequestID(0x5d3a91d0 + i), Attempt: i + 1,
 			Endpoint: 0x0a124a071f93, Status: status, RequestDone: true, Latency: 18500*us + time.Duration(i)*time.Millisecond}})
 	}
-	want = append(want, Event{Code: Left, Outcome: policy.Outcome{ID: 0x0e6f2b19}}, Event{Code: Timer, Token: 0x4d}, Event{Code: Stop})
+	want = append(want, Event{Code: ClientDisconnected, Outcome: policy.Outcome{ID: 0x0e6f2b19}}, Event{Code: Timer, Token: 0x4d}, Event{Code: CloseInstance})
 	if len(want) != b.Count {
 		t.Fatalf("%d events, want %d", b.Count, len(want))
 	}
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -17,12 +17,12 @@
 
 // The sizes of a frame's parts, in bytes.
 const (
-	batchHeader = 20
-	replyHeader = 12
+	batchHeaderSize = 20
+	replyHeaderSize = 12
 	eventSize   = 48
 	actionSize  = 24
-	entrySize   = 25
-	maxBody     = 1 << 30
+	endpointSize   = 25
+	maxBodySize     = 1 << 30
 )
 
 // Code tells what an event record is.
@@ -30,29 +30,29 @@
 
 // The events.
 const (
-	Open     Code = 1
-	Members  Code = 2
+	OpenInstance     Code = 1
+	EndpointUpdate  Code = 2
 	Request  Code = 3
-	Started  Code = 4
+	StreamStarted  Code = 4
 	Outcome  Code = 5
-	Left     Code = 6
+	ClientDisconnected     Code = 6
 	Timer    Code = 7
-	Probed   Code = 8
-	Peer     Code = 9
-	Stop     Code = 10
-	Instance Code = 11
+	HealthCheck   Code = 8
+	PeerMessage     Code = 9
+	CloseInstance     Code = 10
+	SelectInstance Code = 11
 )
 
 // The actions.
 const (
-	actCancel  = 65
-	actSend    = 66
-	actContext = 68
-	actRefuse  = 71
-	actTimer   = 72
-	actFail    = 73
-	actWatch   = 75
-	actFatal   = 77
+	actionCancel  = 65
+	actionSend    = 66
+	actionSelectInstance = 68
+	actionReject  = 71
+	actionSetTimer   = 72
+	actionFail    = 73
+	actionRequestPoll   = 75
+	actionFatal   = 77
 )
 
 // ErrFormat is wrapped by every complaint about a malformed frame.
@@ -72,7 +72,7 @@
 type Reader struct {
 	in    *bufio.Reader
 	body  []byte
-	head  [batchHeader]byte
+	head  [batchHeaderSize]byte
 	batch Batch
 }
 
@@ -91,7 +91,7 @@
 	ms := math.Float64frombits(binary.BigEndian.Uint64(r.head[4:]))
 	count := binary.BigEndian.Uint32(r.head[12:])
 	r.batch.Number = binary.BigEndian.Uint32(r.head[16:])
-	if size > maxBody || uint64(count)*eventSize > uint64(size) {
+	if size > maxBodySize || uint64(count)*eventSize > uint64(size) {
 		return nil, fmt.Errorf("%w: batch %d: %d records in %d bytes", ErrFormat, r.batch.Number, count, size)
 	}
 	if err := r.fill(int(size)); err != nil {
@@ -137,7 +137,7 @@
 	Seed     uint64 // Open
 	Settings []byte // Open: JSON
 	Kind     policy.UpdateKind
-	Entries  []policy.Endpoint // Members; valid until the next Event
+	Endpoints  []policy.Endpoint // Members; valid until the next Event
 	Request  policy.Request
 	Outcome  policy.Outcome // Outcome, Started (ID, Attempt), Left (ID)
 	Token    uint64         // Timer
@@ -160,21 +160,21 @@
 	}
 	e.Code = Code(rec[0])
 	switch e.Code {
-	case Instance:
+	case SelectInstance:
 		e.Instance = u16(1)
-	case Open:
+	case OpenInstance:
 		e.Seed = u64(1)
 		text, ok := b.slice(u32(9), u32(13), 1)
 		if !ok {
 			return fail("settings out of the tail:", u32(9))
 		}
 		e.Settings = text
-	case Members:
+	case EndpointUpdate:
 		if rec[1] > uint8(policy.UpdateFailed) {
 			return fail("list kind", rec[1])
 		}
 		e.Kind = policy.UpdateKind(rec[1])
-		raw, ok := b.slice(u32(10), u32(14), entrySize)
+		raw, ok := b.slice(u32(10), u32(14), endpointSize)
 		if !ok {
 			return fail("entries out of the tail:", u32(10))
 		}
@@ -192,9 +192,9 @@
 			ID: policy.RequestID(u32(1)), Class: int(rec[5]), Tenant: int(u16(6)),
 			TimeRemaining: left, WorkHint: hint,
 		}
-	case Started:
+	case StreamStarted:
 		e.Outcome = policy.Outcome{
-			ID: policy.RequestID(u32(1)), Attempt: int(u16(5)), Endpoint: serverID(rec[15:]),
+			ID: policy.RequestID(u32(1)), Attempt: int(u16(5)), Endpoint: endpointID(rec[15:]),
 		}
 	case Outcome:
 		status, ok := statuses[u16(5)]
@@ -207,17 +207,17 @@
 		}
 		e.Outcome = policy.Outcome{
 			ID: policy.RequestID(u32(1)), Status: status, RequestDone: rec[7] != 0,
-			Endpoint: serverID(rec[8:]), Attempt: int(u16(14)), Latency: latency,
+			Endpoint: endpointID(rec[8:]), Attempt: int(u16(14)), Latency: latency,
 		}
-	case Left:
+	case ClientDisconnected:
 		e.Outcome = policy.Outcome{ID: policy.RequestID(u32(1))}
 	case Timer:
 		e.Token = u64(1)
-	case Peer:
+	case PeerMessage:
 		if _, ok := b.slice(u32(5), u32(9), 1); !ok {
 			return fail("message out of the tail:", u32(5))
 		}
-	case Probed, Stop:
+	case HealthCheck, CloseInstance:
 	default:
 		return fail("unknown event code", rec[0])
 	}
@@ -225,8 +225,8 @@
 }
 
 func decodeEntries(e *Event, raw []byte, fail func(string, any) error) error {
-	e.Entries = e.Entries[:0]
-	for ; len(raw) > 0; raw = raw[entrySize:] {
+	e.Endpoints = e.Endpoints[:0]
+	for ; len(raw) > 0; raw = raw[endpointSize:] {
 		if raw[12] > uint8(policy.Draining) {
 			return fail("server state", raw[12])
 		}
@@ -235,8 +235,8 @@
 		if !ok || !(weight >= 0) || math.IsInf(weight, 1) {
 			return fail("server weight or start:", weight)
 		}
-		e.Entries = append(e.Entries, policy.Endpoint{
-			ID: serverID(raw), Zone: int(binary.BigEndian.Uint16(raw[6:])),
+		e.Endpoints = append(e.Endpoints, policy.Endpoint{
+			ID: endpointID(raw), Zone: int(binary.BigEndian.Uint16(raw[6:])),
 			Cell: int(binary.BigEndian.Uint16(raw[10:])), State: policy.EndpointState(raw[12]),
 			Weight: weight, StartedAt: started,
 		})
@@ -253,7 +253,7 @@
 	return b.tail[offset:end], true
 }
 
-func serverID(b []byte) policy.EndpointID {
+func endpointID(b []byte) policy.EndpointID {
 	return policy.EndpointID(uint64(binary.BigEndian.Uint32(b))<<16 | uint64(binary.BigEndian.Uint16(b[4:])))
 }
 
@@ -283,20 +283,20 @@
 	if r.out == nil {
 		r.out = make([]byte, 0, 1<<14)
 	}
-	r.out = r.out[:replyHeader]
+	r.out = r.out[:replyHeaderSize]
 	r.tail = r.tail[:0]
 	r.count = 0
 	r.current = -1
 }
 
-// For names the instance that the actions from here on belong to.
-func (r *Reply) For(instance uint16) { r.target = instance }
+// SelectInstance names the instance that the actions from here on belong to.
+func (r *Reply) SelectInstance(instance uint16) { r.target = instance }
 
 // record appends an action record, preceded by its context where that changes.
 func (r *Reply) record(code byte) []byte {
 	if r.current != int(r.target) {
 		r.current = int(r.target)
-		binary.BigEndian.PutUint16(r.append(actContext)[1:], r.target)
+		binary.BigEndian.PutUint16(r.append(actionSelectInstance)[1:], r.target)
 	}
 	return r.append(code)
 }
@@ -318,38 +318,38 @@
 
 // Send implements policy.Host.
 func (r *Reply) Send(id policy.RequestID, server policy.EndpointID, timeout time.Duration) {
-	rec := r.forRequest(actSend, id)
+	rec := r.forRequest(actionSend, id)
 	binary.BigEndian.PutUint32(rec[5:], uint32(server>>16))
 	binary.BigEndian.PutUint16(rec[9:], uint16(server))
-	putMs(rec[11:], timeout)
+	putMilliseconds(rec[11:], timeout)
 }
 
 // Cancel implements policy.Host.
 func (r *Reply) Cancel(id policy.RequestID, attempt int) {
-	binary.BigEndian.PutUint16(r.forRequest(actCancel, id)[5:], uint16(attempt))
+	binary.BigEndian.PutUint16(r.forRequest(actionCancel, id)[5:], uint16(attempt))
 }
 
 // Reject implements policy.Host.
 func (r *Reply) Reject(id policy.RequestID, retryAfter time.Duration) {
-	putMs(r.forRequest(actRefuse, id)[5:], retryAfter)
+	putMilliseconds(r.forRequest(actionReject, id)[5:], retryAfter)
 }
 
 // Fail implements policy.Host.
-func (r *Reply) Fail(id policy.RequestID) { r.forRequest(actFail, id) }
+func (r *Reply) Fail(id policy.RequestID) { r.forRequest(actionFail, id) }
 
 // SetTimer implements policy.Host.
 func (r *Reply) SetTimer(at time.Duration, token uint64) {
-	rec := r.record(actTimer)
-	putMs(rec[1:], at)
+	rec := r.record(actionSetTimer)
+	putMilliseconds(rec[1:], at)
 	binary.BigEndian.PutUint64(rec[9:], token)
 }
 
 // RequestPoll implements policy.Host.
-func (r *Reply) RequestPoll() { r.record(actWatch)[1] = 1 }
+func (r *Reply) RequestPoll() { r.record(actionRequestPoll)[1] = 1 }
 
 // Fatal says that the decision code has failed.
 func (r *Reply) Fatal(text string) {
-	rec := r.record(actFatal)
+	rec := r.record(actionFatal)
 	binary.BigEndian.PutUint32(rec[1:], uint32(len(r.tail)))
 	binary.BigEndian.PutUint32(rec[5:], uint32(len(text)))
 	r.tail = append(r.tail, text...)
@@ -358,7 +358,7 @@
 // WriteTo writes the reply to the given batch.
 func (r *Reply) WriteTo(w *bufio.Writer, batch uint32) error {
 	binary.BigEndian.PutUint32(r.out[0:], r.count)
-	binary.BigEndian.PutUint32(r.out[4:], uint32(len(r.out)-replyHeader+len(r.tail)))
+	binary.BigEndian.PutUint32(r.out[4:], uint32(len(r.out)-replyHeaderSize+len(r.tail)))
 	binary.BigEndian.PutUint32(r.out[8:], batch)
 	if _, err := w.Write(r.out); err != nil {
 		return fmt.Errorf("write reply %d: %w", batch, err)
@@ -372,6 +372,6 @@
 	return nil
 }
 
-func putMs(b []byte, d time.Duration) {
+func putMilliseconds(b []byte, d time.Duration) {
 	binary.BigEndian.PutUint64(b, math.Float64bits(milliseconds(d)))
 }
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -32,7 +32,7 @@
 
 // frame builds a batch at 8,500 ms with number 12.
 func frame(count int, records, tail []byte) []byte {
-	head := make([]byte, batchHeader)
+	head := make([]byte, batchHeaderSize)
 	binary.BigEndian.PutUint32(head[0:], uint32(len(records)+len(tail)))
 	binary.BigEndian.PutUint64(head[4:], math.Float64bits(8500))
 	binary.BigEndian.PutUint32(head[12:], uint32(count))
@@ -76,7 +76,7 @@
 	if !errors.Is(err, io.EOF) || errors.Is(err, ErrFormat) {
 		t.Fatalf("ends with %v, want a clean end", err)
 	}
-	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != Stop {
+	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != CloseInstance {
 		t.Fatalf("instance %d, token %d, last code %d", events[0].Instance, events[2].Token, events[7].Code)
 	}
 	wantRequest := policy.Request{ID: 0x5d3a91c4, Tenant: 1,
@@ -90,9 +90,9 @@
 		{ID: server, Zone: 1, Cell: 2, State: policy.Ready, Weight: 1},
 		{ID: 0x0a9011f21fbc, State: policy.Draining, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
-	if list.Kind != policy.CachedUpdate || len(list.Entries) != 2 ||
-		list.Entries[0] != want[0] || list.Entries[1] != want[1] {
-		t.Errorf("list %d %+v, want %+v", list.Kind, list.Entries, want)
+	if list.Kind != policy.CachedUpdate || len(list.Endpoints) != 2 ||
+		list.Endpoints[0] != want[0] || list.Endpoints[1] != want[1] {
+		t.Errorf("list %d %+v, want %+v", list.Kind, list.Endpoints, want)
 	}
 	wantOutcome := policy.Outcome{ID: 0x5d3a91c4, Endpoint: server, Status: policy.OK, RequestDone: true,
 		Latency: 18500 * time.Microsecond}
@@ -109,11 +109,11 @@
 	var r Reply
 	r.Reset()
 	const server = policy.EndpointID(0x0a124a071f93)
-	r.For(3)
+	r.SelectInstance(3)
 	r.Send(0x5d3a91c4, server, 80*time.Millisecond)
 	r.SetTimer(8400*time.Millisecond, 0x4d)
 	r.Cancel(0x5d3a91c4, 1)
-	r.For(5)
+	r.SelectInstance(5)
 	r.Reject(0x0e6f2b19, 250*time.Millisecond)
 	r.Fail(7)
 	r.RequestPoll()
