--- /dev/null
+++ b/internal/route/domains_test.go
@@ -0,0 +1,33 @@
+package route
+
+import "testing"
+
+func TestHosts(t *testing.T) {
+	host := func(domains ...string) VirtualHost {
+		return VirtualHost{Domains: domains, Routes: []Route{{Clusters: to(domains[0])}}}
+	}
+	table := compile(t, host("*"), host("rates.example.org"), host("*.example.org"), host("*-b.example.org"),
+		host("rates.*"), host("*.org"), host("[::1]"))
+	for name, want := range map[string]string{
+		"rates.example.org":      "rates.example.org",
+		"Rates.Example.org:8080": "rates.example.org",
+		"a.example.org":          "*.example.org",
+		"x-b.example.org":        "*-b.example.org",
+		"example.org":            "*.org",
+		".example.org":           "*.org", // the star stands for at least one letter
+		"rates.example.com":      "rates.*",
+		"rates.":                 "*",
+		"else":                   "*",
+		"":                       "*",
+		"[::1]:80":               "[::1]",
+		"[::1]":                  "[::1]",
+	} {
+		if m, ok := table.Lookup(&Request{Host: name, Path: "/"}); !ok || m.Cluster != want {
+			t.Errorf("%q: %+v, want %s", name, m, want)
+		}
+	}
+	none := compile(t, host("a.b"))
+	if _, ok := none.Lookup(&Request{Host: "c.d", Path: "/"}); ok {
+		t.Error("a host that is not named has a route")
+	}
+}
--- a/internal/route/share_test.go
+++ b/internal/route/weighted_test.go
@@ -72,6 +72,27 @@
 	})
 }
 
+// The share of each cluster is its weight's; the same hash always goes the same way,
+// also where hashes are plain numbers.
+func TestWeightedClusters(t *testing.T) {
+	table := compile(t, VirtualHost{Domains: []string{"*"}, Routes: []Route{{Clusters: []Weighted{
+		{"a", 70}, {"none", 0}, {"b", 30},
+	}}}})
+	got := map[string]int{}
+	const n = 20000
+	for i := range uint64(n) {
+		m, _ := table.Lookup(&Request{Path: "/", Hash: i})
+		again, _ := table.Lookup(&Request{Path: "/", Hash: i})
+		if again.Cluster != m.Cluster {
+			t.Fatal("the same hash goes two ways")
+		}
+		got[m.Cluster]++
+	}
+	if got["none"] > 0 || math.Abs(float64(got["a"])/n-0.7) > 0.02 {
+		t.Errorf("shares %v", got)
+	}
+}
+
 func BenchmarkWeightedLookup(b *testing.B) {
 	for _, n := range []int{2, 8, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
