--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -49,14 +49,14 @@
 		return route.Match{}, s.unavailable("no routes are known yet")
 	}
 	q := route.Request{Host: r.Host, Path: r.URL.Path, Method: r.Method, Header: r.Header}
-	if s.program.Table.Weighted() {
+	if s.program.Table.NeedsHash() {
 		q.Hash = affinityHash(r)
 	}
 	m, ok := s.program.Table.Lookup(&q)
 	if !ok {
 		return route.Match{}, &ingress.Rejection{Status: http.StatusNotFound, Text: "no route"}
 	}
-	if m.Route.Answer != nil {
+	if m.Route.DirectResponse != nil {
 		return route.Match{}, directResponse(m.Route, r)
 	}
 	return m, nil
@@ -75,13 +75,13 @@
 		Effect: c.Idempotency, Window: c.DedupWindow, Deadline: requestDeadline(r, c),
 		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
 		Streams:     h1client.StreamLimits{StallTimeout: c.Progress, MaxDuration: c.Stream, DrainTimeout: c.Drain},
-		MaxAttempts: r.MaxAttempts, PerTry: r.PerTry, Certified: s.tenants.byCertificate,
+		MaxAttempts: r.MaxAttempts, PerTry: r.PerTryTimeout, Certified: s.tenants.byCertificate,
 		Pick: r.Processor == "pick" || r.Processor == "" && s.program.ExtProc.Pick,
 	}
-	if e := r.Request; e != nil {
+	if e := r.RequestEdits; e != nil {
 		out.Request = e
 	}
-	if e := r.Response; e != nil {
+	if e := r.ResponseEdits; e != nil {
 		out.Response = e
 	}
 	return out
@@ -117,8 +117,8 @@
 
 // directResponse returns a route's own response.
 func directResponse(r *route.Route, q *http.Request) *ingress.Rejection {
-	a := r.Answer
-	out := &ingress.Rejection{Status: a.Status, Text: a.Text}
+	a := r.DirectResponse
+	out := &ingress.Rejection{Status: a.Status, Text: a.Body}
 	if a.Redirect {
 		scheme := "http"
 		if q.TLS != nil {
--- a/internal/config/program.go
+++ b/internal/config/program.go
@@ -93,7 +93,7 @@
 	}
 	for i := range hosts {
 		for j := range hosts[i].Routes {
-			if r := &hosts[i].Routes[j]; r.Answer == nil && !known[r.Class] {
+			if r := &hosts[i].Routes[j]; r.DirectResponse == nil && !known[r.Class] {
 				return nil, fmt.Errorf("virtual host %s: route %s: class %q is not known", hosts[i].Name, r.Name, r.Class)
 			}
 		}
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -78,13 +78,13 @@
 	Remove []string          `toml:"remove"`
 }
 
-func (e *editFile) edits() *route.Edits {
+func (e *editFile) edits() *route.HeaderEdits {
 	if e == nil {
 		return nil
 	}
-	out := &route.Edits{Remove: e.Remove}
+	out := &route.HeaderEdits{Remove: e.Remove}
 	for _, name := range slices.Sorted(maps.Keys(e.Set)) {
-		out.Set = append(out.Set, route.Field{Name: name, Value: e.Set[name]})
+		out.Set = append(out.Set, route.HeaderField{Name: name, Value: e.Set[name]})
 	}
 	return out
 }
@@ -132,9 +132,9 @@
 		r.problem("processor", "%q is none of carry, pick", in.Process)
 	}
 	r.readPath()
-	r.out.Request, r.out.Response = in.Request.edits(), in.Response.edits()
+	r.out.RequestEdits, r.out.ResponseEdits = in.Request.edits(), in.Response.edits()
 	r.readAnswer()
-	if r.out.Answer == nil && p.Class(in.Class) < 0 {
+	if r.out.DirectResponse == nil && p.Class(in.Class) < 0 {
 		r.problem("class", "%q is no [[class]]", in.Class)
 	}
 	for i := range in.Header {
@@ -148,7 +148,8 @@
 func (r *routeReader) readPath() {
 	given := 0
 	for kind, text := range map[route.PathKind]string{
-		route.Exact: r.in.Path, route.Prefix: r.in.Prefix, route.Template: r.in.Template, route.Regex: r.in.Regex,
+		route.PathExact: r.in.Path, route.PathPrefix: r.in.Prefix,
+		route.PathTemplate: r.in.Template, route.PathRegex: r.in.Regex,
 	} {
 		if text != "" {
 			given++
@@ -163,16 +164,16 @@
 // readAnswer reads the route's own response, if it has one.
 func (r *routeReader) readAnswer() {
 	if d := r.in.Redirect; d != nil {
-		r.out.Answer = &route.Answer{
+		r.out.DirectResponse = &route.DirectResponse{
 			Redirect: true, Status: cmp.Or(d.Status, http.StatusMovedPermanently),
 			Scheme: d.Scheme, Host: d.Host, Port: d.Port, Path: d.Path, Prefix: d.Prefix, StripQuery: d.StripQuery,
 		}
-		if s := r.out.Answer.Status; s != 301 && s != 302 && s != 303 && s != 307 && s != 308 {
+		if s := r.out.DirectResponse.Status; s != 301 && s != 302 && s != 303 && s != 307 && s != 308 {
 			r.problem("redirect", "status %d is none of 301, 302, 303, 307, 308", s)
 		}
 	}
 	if d := r.in.Answer; d != nil {
-		r.out.Answer = &route.Answer{Status: d.Status, Text: d.Text}
+		r.out.DirectResponse = &route.DirectResponse{Status: d.Status, Body: d.Text}
 		if d.Status < 200 || d.Status > 599 || len(d.Text) > maxAnswerText {
 			const text = "status %d, %d bytes: 200 to 599 and %d at most"
 			r.problem("answer", text, d.Status, len(d.Text), maxAnswerText)
@@ -181,8 +182,8 @@
 }
 
 // header reads a condition on a request's header. Without a value it is that the header is present.
-func (r *routeReader) header(in *headerFile) route.Header {
-	out := route.Header{Name: in.Name, Kind: route.HeaderPresent, Invert: in.Not}
+func (r *routeReader) header(in *headerFile) route.HeaderMatcher {
+	out := route.HeaderMatcher{Name: in.Name, Kind: route.HeaderPresent, Invert: in.Not}
 	given := 0
 	for kind, text := range map[route.HeaderKind]*string{
 		route.HeaderExact: in.Exact, route.HeaderPrefix: in.Prefix, route.HeaderSuffix: in.Suffix,
@@ -203,17 +204,17 @@
 func (r *routeReader) readClusters() {
 	in := r.in
 	switch {
-	case r.out.Answer != nil:
+	case r.out.DirectResponse != nil:
 		if in.Cluster != "" || len(in.Share) > 0 || in.Redirect != nil && in.Answer != nil {
 			r.problem("", "one of cluster, [[host.route.share]], redirect, answer is wanted")
 		}
 	case (in.Cluster == "") == (len(in.Share) == 0):
 		r.problem("cluster", "either cluster or [[host.route.share]] is wanted")
 	case in.Cluster != "":
-		r.out.Clusters = []route.Weighted{{Cluster: in.Cluster, Weight: 1}}
+		r.out.Clusters = []route.WeightedCluster{{Cluster: in.Cluster, Weight: 1}}
 	default:
 		for _, s := range in.Share {
-			r.out.Clusters = append(r.out.Clusters, route.Weighted{Cluster: s.Cluster, Weight: s.Weight})
+			r.out.Clusters = append(r.out.Clusters, route.WeightedCluster{Cluster: s.Cluster, Weight: s.Weight})
 		}
 	}
 }
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -7,32 +7,32 @@
 	"slices"
 )
 
-// host holds a virtual host's routes by what their paths begin with: all kinds of path
+// compiledHost holds a virtual host's routes by what their paths begin with: all kinds of path
 // have a literal start, which narrows the routes to be looked at; the lowest that
 // matches wins.
-type host struct {
-	routes  []compiled
-	exact   map[string][]int32
-	lengths []int // of the starts, shortest first
-	starts  map[string][]int32
+type compiledHost struct {
+	routes        []compiledRoute
+	exactPaths    map[string][]int32
+	prefixLengths []int // of the starts, shortest first
+	prefixes      map[string][]int32
 }
 
-type compiled struct {
+type compiledRoute struct {
 	*Route
-	regex    *regexp.Regexp
-	template []segment
-	headers  []compiledHeader
-	total    uint64   // of the clusters' weights
-	seeds    []uint64 // of the clusters' names
+	regex        *regexp.Regexp
+	template     []segment
+	headers      []compiledHeaderMatcher
+	totalWeight  uint64   // of the clusters' weights
+	clusterSeeds []uint64 // of the clusters' names
 }
 
-type compiledHeader struct {
-	Header
+type compiledHeaderMatcher struct {
+	HeaderMatcher
 	regex *regexp.Regexp
 }
 
-func compileHost(v *VirtualHost) (*host, []error) {
-	h := &host{exact: map[string][]int32{}, starts: map[string][]int32{}}
+func compileHost(v *VirtualHost) (*compiledHost, []error) {
+	h := &compiledHost{exactPaths: map[string][]int32{}, prefixes: map[string][]int32{}}
 	var found []error
 	for i := range v.Routes {
 		r := &v.Routes[i]
@@ -43,56 +43,56 @@
 		}
 		h.routes = append(h.routes, c)
 		n := int32(len(h.routes) - 1)
-		if r.Kind == Exact {
-			h.exact[r.Path] = append(h.exact[r.Path], n)
+		if r.Kind == PathExact {
+			h.exactPaths[r.Path] = append(h.exactPaths[r.Path], n)
 			continue
 		}
-		if h.starts[start] == nil && !slices.Contains(h.lengths, len(start)) {
-			h.lengths = append(h.lengths, len(start))
+		if h.prefixes[start] == nil && !slices.Contains(h.prefixLengths, len(start)) {
+			h.prefixLengths = append(h.prefixLengths, len(start))
 		}
-		h.starts[start] = append(h.starts[start], n)
+		h.prefixes[start] = append(h.prefixes[start], n)
 	}
-	slices.Sort(h.lengths)
+	slices.Sort(h.prefixLengths)
 	return h, found
 }
 
 // compileRoute gives the route and what its path begins with, letter by letter.
-func compileRoute(r *Route) (c compiled, start string, err error) {
+func compileRoute(r *Route) (c compiledRoute, start string, err error) {
 	c.Route = r
-	if len(r.Path) > MaxPattern {
-		return c, "", fmt.Errorf("path: longer than %d bytes", MaxPattern)
+	if len(r.Path) > MaxPatternBytes {
+		return c, "", fmt.Errorf("path: longer than %d bytes", MaxPatternBytes)
 	}
 	switch r.Kind {
-	case Prefix:
+	case PathPrefix:
 		start = r.Path
-	case Exact:
+	case PathExact:
 		if r.Path == "" {
 			return c, "", errors.New("path: is missing")
 		}
-	case Template:
+	case PathTemplate:
 		if c.template, start, err = compileTemplate(r.Path); err != nil {
 			return c, "", fmt.Errorf("template: %w", err)
 		}
-	case Regex:
-		if c.regex, err = whole(r.Path); err != nil {
+	case PathRegex:
+		if c.regex, err = compileFullMatch(r.Path); err != nil {
 			return c, "", fmt.Errorf("regex: %w", err)
 		}
-		start = literalStart(r.Path)
+		start = literalPrefix(r.Path)
 	default:
 		return c, "", fmt.Errorf("path: kind %d is unknown", r.Kind)
 	}
-	if len(r.Headers) > MaxHeaders {
-		return c, "", fmt.Errorf("headers: %d; %d at most", len(r.Headers), MaxHeaders)
+	if len(r.Headers) > MaxHeadersPerRoute {
+		return c, "", fmt.Errorf("headers: %d; %d at most", len(r.Headers), MaxHeadersPerRoute)
 	}
 	for _, h := range r.Headers {
-		if h.Name == "" || len(h.Name)+len(h.Value) > MaxPattern {
+		if h.Name == "" || len(h.Name)+len(h.Value) > MaxPatternBytes {
 			return c, "", fmt.Errorf("header %q: no name, or too long", h.Name)
 		}
-		ch := compiledHeader{Header: h}
-		ch.Name = canonical(h.Name)
+		ch := compiledHeaderMatcher{HeaderMatcher: h}
+		ch.Name = canonicalName(h.Name)
 		switch {
 		case h.Kind == HeaderRegex:
-			if ch.regex, err = whole(h.Value); err != nil {
+			if ch.regex, err = compileFullMatch(h.Value); err != nil {
 				return c, "", fmt.Errorf("header %s: %w", h.Name, err)
 			}
 		case h.Kind > HeaderRegex:
@@ -100,39 +100,39 @@
 		}
 		c.headers = append(c.headers, ch)
 	}
-	for _, e := range []*Edits{r.Request, r.Response} {
+	for _, e := range []*HeaderEdits{r.RequestEdits, r.ResponseEdits} {
 		if e == nil {
 			continue
 		}
-		if err := e.Check(); err != nil {
+		if err := e.Normalize(); err != nil {
 			return c, "", err
 		}
 	}
-	if r.Answer != nil {
-		if len(r.Clusters) > 0 || r.Answer.Status < 200 || r.Answer.Status > 599 {
-			return c, "", fmt.Errorf("answer: %d with %d clusters", r.Answer.Status, len(r.Clusters))
+	if r.DirectResponse != nil {
+		if len(r.Clusters) > 0 || r.DirectResponse.Status < 200 || r.DirectResponse.Status > 599 {
+			return c, "", fmt.Errorf("answer: %d with %d clusters", r.DirectResponse.Status, len(r.Clusters))
 		}
 		return c, start, nil
 	}
-	if len(r.Clusters) == 0 || len(r.Clusters) > MaxClusters {
-		return c, "", fmt.Errorf("clusters: %d; 1 to %d", len(r.Clusters), MaxClusters)
+	if len(r.Clusters) == 0 || len(r.Clusters) > MaxClustersPerRoute {
+		return c, "", fmt.Errorf("clusters: %d; 1 to %d", len(r.Clusters), MaxClustersPerRoute)
 	}
 	for _, w := range r.Clusters {
 		if w.Cluster == "" {
 			return c, "", errors.New("clusters: one has no name")
 		}
-		c.total += uint64(w.Weight)
-		c.seeds = append(c.seeds, seed(w.Cluster))
+		c.totalWeight += uint64(w.Weight)
+		c.clusterSeeds = append(c.clusterSeeds, clusterSeed(w.Cluster))
 	}
-	if c.total == 0 && len(r.Clusters) > 1 {
+	if c.totalWeight == 0 && len(r.Clusters) > 1 {
 		return c, "", errors.New("clusters: the weights add up to 0")
 	}
 	return c, start, nil
 }
 
-// whole compiles an expression that has to match from end to end, as Envoy's
+// compileFullMatch compiles an expression that has to match from end to end, as Envoy's
 // RegexMatcher does.
-func whole(expr string) (*regexp.Regexp, error) {
+func compileFullMatch(expr string) (*regexp.Regexp, error) {
 	if expr == "" {
 		return nil, errors.New("is missing")
 	}
@@ -142,8 +142,8 @@
 	return regexp.Compile("^(?:" + expr + ")$")
 }
 
-// literalStart gives letters that every match begins with, maybe fewer than there are.
-func literalStart(expr string) string {
+// literalPrefix gives letters that every match begins with, maybe fewer than there are.
+func literalPrefix(expr string) string {
 	re, err := regexp.Compile(expr) // with an anchor it would give none
 	if err != nil {
 		return ""
--- a/internal/route/directresponse.go
+++ b/internal/route/directresponse.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// Answer is what a route says by itself (route.v3.DirectResponseAction, RedirectAction).
-type Answer struct {
+// DirectResponse is what a route says by itself (route.v3.DirectResponseAction, RedirectAction).
+type DirectResponse struct {
 	Status int
-	Text   string
+	Body   string
 	// For a redirect: what replaces the parts of the request's own URL; "" keeps one.
 	Redirect                   bool
 	Scheme, Host, Path, Prefix string
@@ -18,7 +18,7 @@
 }
 
 // Location gives where a redirect leads to.
-func (a *Answer) Location(r *Route, scheme, host, path, query string) string {
+func (a *DirectResponse) Location(r *Route, scheme, host, path, query string) string {
 	if a.Scheme != "" {
 		scheme = a.Scheme
 	}
--- a/internal/route/domains.go
+++ b/internal/route/domains.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// affixes maps ends of names to hosts, tried from the longest length to the shortest.
-type affixes struct {
+// affixTable maps ends of names to hosts, tried from the longest length to the shortest.
+type affixTable struct {
 	lengths []int
-	hosts   map[string]*host
+	hosts   map[string]*compiledHost
 }
 
-func (a *affixes) sort() {
+func (a *affixTable) sort() {
 	seen := map[int]bool{}
 	for name := range a.hosts {
 		if !seen[len(name)] {
@@ -24,9 +24,9 @@
 	slices.SortFunc(a.lengths, func(x, y int) int { return cmp.Compare(y, x) })
 }
 
-func (t *Table) add(domain string, h *host) error {
+func (t *Table) addDomain(domain string, h *compiledHost) error {
 	lower := strings.ToLower(domain)
-	put := func(m map[string]*host, key string) error {
+	put := func(m map[string]*compiledHost, key string) error {
 		if m[key] != nil {
 			return fmt.Errorf("domain %q is another one's too", domain)
 		}
@@ -37,10 +37,10 @@
 	case lower == "" || len(lower) > 255:
 		return fmt.Errorf("domain %q: 1 to 255 bytes", domain)
 	case lower == "*":
-		if t.any != nil {
+		if t.anyDomain != nil {
 			return fmt.Errorf("domain %q is another one's too", domain)
 		}
-		t.any = h
+		t.anyDomain = h
 		return nil
 	case strings.Count(lower, "*") > 1, strings.IndexByte(lower, '*') > 0 && lower[len(lower)-1] != '*':
 		return fmt.Errorf("domain %q: * may stand at one end only", domain)
@@ -52,9 +52,9 @@
 	return put(t.exact, lower)
 }
 
-func (t *Table) host(name string) *host {
+func (t *Table) findHost(name string) *compiledHost {
 	if name == "" {
-		return t.any
+		return t.anyDomain
 	}
 	if i := strings.LastIndexByte(name, ':'); i >= 0 && strings.IndexByte(name[i:], ']') < 0 {
 		name = name[:i]
@@ -77,5 +77,5 @@
 			}
 		}
 	}
-	return t.any
+	return t.anyDomain
 }
--- a/internal/route/edits.go
+++ b/internal/route/edits.go
@@ -8,26 +8,26 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Edits changes a message's fields: what is named in Remove goes, then Set replaces or adds.
-type Edits struct {
+// HeaderEdits changes a message's fields: what is named in Remove goes, then Set replaces or adds.
+type HeaderEdits struct {
 	Remove []string // canonical names
-	Set    []Field
+	Set    []HeaderField
 }
 
-// Field is a field's canonical name and value.
-type Field struct{ Name, Value string }
+// HeaderField is a field's canonical name and value.
+type HeaderField struct{ Name, Value string }
 
-// own are fields that belong to the connection or the program, which a route may not change.
-var own = []string{
+// reservedFields are fields that belong to the connection or the program, which a route may not change.
+var reservedFields = []string{
 	"Connection", "Content-Length", "Host", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "X-Request-Id",
 	"X-Timeout-Ms", "Idempotency-Key",
 }
 
-// Check gives what is wrong with edits, nil if nothing is. It makes names canonical.
-func (e *Edits) Check() error {
+// Normalize gives what is wrong with edits, nil if nothing is. It makes names canonical.
+func (e *HeaderEdits) Normalize() error {
 	check := func(name *string) error {
 		*name = http.CanonicalHeaderKey(*name)
-		if !httpguts.ValidHeaderFieldName(*name) || slices.Contains(own, *name) {
+		if !httpguts.ValidHeaderFieldName(*name) || slices.Contains(reservedFields, *name) {
 			return fmt.Errorf("field %q can't be changed", *name)
 		}
 		return nil
@@ -42,8 +42,8 @@
 		if err := check(&f.Name); err != nil {
 			return err
 		}
-		if !httpguts.ValidHeaderFieldValue(f.Value) || len(f.Value) > MaxField {
-			return fmt.Errorf("field %s: the value has control characters or over %d bytes", f.Name, MaxField)
+		if !httpguts.ValidHeaderFieldValue(f.Value) || len(f.Value) > MaxHeaderValueBytes {
+			return fmt.Errorf("field %s: the value has control characters or over %d bytes", f.Name, MaxHeaderValueBytes)
 		}
 	}
 	if n := len(e.Remove) + len(e.Set); n > MaxEdits {
@@ -54,12 +54,12 @@
 
 // The bounds of Edits.
 const (
-	MaxEdits = 64
-	MaxField = 4096 // bytes of a value
+	MaxEdits            = 64
+	MaxHeaderValueBytes = 4096 // bytes of a value
 )
 
 // Apply changes fields; a nil Edits changes none.
-func (e *Edits) Apply(h map[string][]string) {
+func (e *HeaderEdits) Apply(h map[string][]string) {
 	if e == nil {
 		return
 	}
--- a/internal/route/headers.go
+++ b/internal/route/headers.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// canonical gives a header's name as http.Header has it.
-func canonical(name string) string {
+// canonicalName gives a header's name as http.Header has it.
+func canonicalName(name string) string {
 	b := []byte(strings.ToLower(name))
 	up := true
 	for i, ch := range b {
@@ -15,7 +15,7 @@
 	return string(b)
 }
 
-func (h *compiledHeader) matches(header map[string][]string) bool {
+func (h *compiledHeaderMatcher) matches(header map[string][]string) bool {
 	values := header[h.Name]
 	if len(values) == 0 {
 		return false
--- a/internal/route/headers_test.go
+++ b/internal/route/headers_test.go
@@ -4,26 +4,26 @@
 
 func TestHeaders(t *testing.T) {
 	for name, c := range map[string]struct {
-		header Header
+		header HeaderMatcher
 		values []string
 		want   bool
 	}{
-		"exact":           {Header{Kind: HeaderExact, Value: "a"}, []string{"a"}, true},
-		"exact, not":      {Header{Kind: HeaderExact, Value: "a"}, []string{"ab"}, false},
-		"exact, absent":   {Header{Kind: HeaderExact, Value: ""}, nil, false},
-		"prefix":          {Header{Kind: HeaderPrefix, Value: "a"}, []string{"ab"}, true},
-		"suffix":          {Header{Kind: HeaderSuffix, Value: "b"}, []string{"ab"}, true},
-		"contains":        {Header{Kind: HeaderContains, Value: "b"}, []string{"abc"}, true},
-		"contains, not":   {Header{Kind: HeaderContains, Value: "d"}, []string{"abc"}, false},
-		"regex":           {Header{Kind: HeaderRegex, Value: "a+"}, []string{"aaa"}, true},
-		"regex, a part":   {Header{Kind: HeaderRegex, Value: "a+"}, []string{"aaab"}, false},
-		"regex, either":   {Header{Kind: HeaderRegex, Value: "a|b"}, []string{"ab"}, false},
-		"joined":          {Header{Kind: HeaderExact, Value: "a,b"}, []string{"a", "b"}, true},
-		"absent":          {Header{Kind: HeaderPresent, Invert: true}, nil, true},
-		"absent, present": {Header{Kind: HeaderPresent, Invert: true}, []string{""}, false},
+		"exact":           {HeaderMatcher{Kind: HeaderExact, Value: "a"}, []string{"a"}, true},
+		"exact, not":      {HeaderMatcher{Kind: HeaderExact, Value: "a"}, []string{"ab"}, false},
+		"exact, absent":   {HeaderMatcher{Kind: HeaderExact, Value: ""}, nil, false},
+		"prefix":          {HeaderMatcher{Kind: HeaderPrefix, Value: "a"}, []string{"ab"}, true},
+		"suffix":          {HeaderMatcher{Kind: HeaderSuffix, Value: "b"}, []string{"ab"}, true},
+		"contains":        {HeaderMatcher{Kind: HeaderContains, Value: "b"}, []string{"abc"}, true},
+		"contains, not":   {HeaderMatcher{Kind: HeaderContains, Value: "d"}, []string{"abc"}, false},
+		"regex":           {HeaderMatcher{Kind: HeaderRegex, Value: "a+"}, []string{"aaa"}, true},
+		"regex, a part":   {HeaderMatcher{Kind: HeaderRegex, Value: "a+"}, []string{"aaab"}, false},
+		"regex, either":   {HeaderMatcher{Kind: HeaderRegex, Value: "a|b"}, []string{"ab"}, false},
+		"joined":          {HeaderMatcher{Kind: HeaderExact, Value: "a,b"}, []string{"a", "b"}, true},
+		"absent":          {HeaderMatcher{Kind: HeaderPresent, Invert: true}, nil, true},
+		"absent, present": {HeaderMatcher{Kind: HeaderPresent, Invert: true}, []string{""}, false},
 	} {
 		c.header.Name = "x-test-ID"
-		table := compile(t, VirtualHost{Domains: []string{"*"}, Routes: []Route{{Headers: []Header{c.header}, Clusters: to("a")}}})
+		table := compile(t, VirtualHost{Domains: []string{"*"}, Routes: []Route{{Headers: []HeaderMatcher{c.header}, Clusters: to("a")}}})
 		header := map[string][]string{}
 		if c.values != nil {
 			header["X-Test-Id"] = c.values
--- a/internal/route/match.go
+++ b/internal/route/match.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-func (c *compiled) matches(r *Request, path string) bool {
+func (c *compiledRoute) matches(r *Request, path string) bool {
 	if len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method) {
 		return false
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -4,10 +4,10 @@
 
 // The bounds of a table.
 const (
-	MaxRoutes   = 20000 // over all virtual hosts
-	MaxPattern  = 1024  // bytes of a path, a pattern or an expression
-	MaxClusters = 64    // in one route
-	MaxHeaders  = 16    // conditions on headers in one route
+	MaxRoutes           = 20000 // over all virtual hosts
+	MaxPatternBytes     = 1024  // bytes of a path, a pattern or an expression
+	MaxClustersPerRoute = 64    // in one route
+	MaxHeadersPerRoute  = 16    // conditions on headers in one route
 )
 
 // PathKind tells how a route's path is compared.
@@ -15,10 +15,10 @@
 
 // The kinds of a path match (route.v3.RouteMatch.path_specifier).
 const (
-	Prefix   PathKind = iota // the path begins with it; "/" or "" fits all
-	Exact                    // the path is it
-	Template                 // {name} or * is one segment, ** what is left (path_match_policy, uri_template)
-	Regex                    // the whole path matches it, RE2 syntax (safe_regex)
+	PathPrefix   PathKind = iota // the path begins with it; "/" or "" fits all
+	PathExact                    // the path is it
+	PathTemplate                 // {name} or * is one segment, ** what is left (path_match_policy, uri_template)
+	PathRegex                    // the whole path matches it, RE2 syntax (safe_regex)
 )
 
 // HeaderKind tells how a header is compared.
@@ -34,17 +34,17 @@
 	HeaderRegex // the whole value, RE2 syntax
 )
 
-// Header is a condition on a header. One with more than one value is compared as the
+// HeaderMatcher is a condition on a header. One with more than one value is compared as the
 // values joined by commas, as Envoy does; such a look-up allocates.
-type Header struct {
+type HeaderMatcher struct {
 	Name   string // any case
 	Kind   HeaderKind
 	Value  string
 	Invert bool
 }
 
-// Weighted is a cluster with its share of a route's requests.
-type Weighted struct {
+// WeightedCluster is a cluster with its share of a route's requests.
+type WeightedCluster struct {
 	Cluster string
 	Weight  uint32 // relative to the sum over the route, which is above 0
 }
@@ -54,21 +54,21 @@
 	Name    string // for messages
 	Kind    PathKind
 	Path    string
-	Methods []string // any of them; none given: any method
-	Headers []Header // all of them
+	Methods []string        // any of them; none given: any method
+	Headers []HeaderMatcher // all of them
 	// Clusters share the requests by a stable hash; one with any weight gets all.
-	Clusters []Weighted
+	Clusters []WeightedCluster
 	Class    string
 	// Processor is how a calling proxy is served: "carry", "pick"; "": as the program has it.
 	Processor string
 	// Limits within which the cluster's decisions stay (route.v3.RouteAction).
-	Timeout     time.Duration // of the whole request; 0: the class's deadline
-	MaxAttempts int           // 1 or more; 0: the program's
-	PerTry      time.Duration // of one attempt; 0: no such limit
-	// Answer is given in place of a cluster's; Clusters is empty then.
-	Answer *Answer
-	// Request and Response are changed on their way; nil: they are not.
-	Request, Response *Edits
+	Timeout       time.Duration // of the whole request; 0: the class's deadline
+	MaxAttempts   int           // 1 or more; 0: the program's
+	PerTryTimeout time.Duration // of one attempt; 0: no such limit
+	// DirectResponse is given in place of a cluster's; Clusters is empty then.
+	DirectResponse *DirectResponse
+	// RequestEdits and ResponseEdits are changed on their way; nil: they are not.
+	RequestEdits, ResponseEdits *HeaderEdits
 }
 
 // VirtualHost is a list of routes for some domains.
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -24,20 +24,20 @@
 
 // Table is compiled routes. It is safe for concurrent use.
 type Table struct {
-	exact    map[string]*host
-	suffix   affixes
-	prefix   affixes
-	any      *host
-	clusters []string
-	weighted bool
+	exact     map[string]*compiledHost
+	suffix    affixTable
+	prefix    affixTable
+	anyDomain *compiledHost
+	clusters  []string
+	needsHash bool
 }
 
 // Compile checks virtual hosts and makes a table of them. The error names each route
 // at fault.
 func Compile(hosts []VirtualHost) (*Table, error) {
 	t := &Table{
-		exact:  map[string]*host{},
-		suffix: affixes{hosts: map[string]*host{}}, prefix: affixes{hosts: map[string]*host{}},
+		exact:  map[string]*compiledHost{},
+		suffix: affixTable{hosts: map[string]*compiledHost{}}, prefix: affixTable{hosts: map[string]*compiledHost{}},
 	}
 	var found []error
 	count := 0
@@ -56,7 +56,7 @@
 			found = append(found, where(errors.New("no domains")))
 		}
 		for _, d := range v.Domains {
-			if err := t.add(d, h); err != nil {
+			if err := t.addDomain(d, h); err != nil {
 				found = append(found, where(err))
 			}
 		}
@@ -64,7 +64,7 @@
 			for _, c := range v.Routes[j].Clusters {
 				clusters[c.Cluster] = true
 			}
-			t.weighted = t.weighted || len(v.Routes[j].Clusters) > 1
+			t.needsHash = t.needsHash || len(v.Routes[j].Clusters) > 1
 		}
 	}
 	if len(found) > 0 {
@@ -79,8 +79,8 @@
 	return t, nil
 }
 
-// Weighted tells whether Request.Hash matters to any route.
-func (t *Table) Weighted() bool { return t.weighted }
+// NeedsHash tells whether Request.Hash matters to any route.
+func (t *Table) NeedsHash() bool { return t.needsHash }
 
 // Clusters names all clusters that routes lead to, sorted; none of a nil table.
 func (t *Table) Clusters() []string {
@@ -92,7 +92,7 @@
 
 // Lookup gives the route of a request; false if none matches.
 func (t *Table) Lookup(r *Request) (Match, bool) {
-	h := t.host(r.Host)
+	h := t.findHost(r.Host)
 	if h == nil {
 		return Match{}, false
 	}
@@ -112,16 +112,16 @@
 		}
 		return best
 	}
-	best = try(h.exact[path])
-	for _, n := range h.lengths {
+	best = try(h.exactPaths[path])
+	for _, n := range h.prefixLengths {
 		if n > len(path) {
 			break
 		}
-		best = try(h.starts[path[:n]])
+		best = try(h.prefixes[path[:n]])
 	}
 	if int(best) == len(h.routes) {
 		return Match{}, false
 	}
 	c := &h.routes[best]
-	return Match{Route: c.Route, Cluster: c.cluster(r.Hash)}, true
+	return Match{Route: c.Route, Cluster: c.pickCluster(r.Hash)}, true
 }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func to(cluster string) []Weighted { return []Weighted{{Cluster: cluster}} }
+func to(cluster string) []WeightedCluster { return []WeightedCluster{{Cluster: cluster}} }
 
 func compile(t testing.TB, hosts ...VirtualHost) *Table {
 	t.Helper()
@@ -21,14 +21,14 @@
 
 func TestRoutes(t *testing.T) {
 	routes := []Route{
-		{Name: "exact", Kind: Exact, Path: "/rates"},
+		{Name: "exact", Kind: PathExact, Path: "/rates"},
 		{Name: "put", Path: "/rates/", Methods: []string{"PUT", "POST"}},
-		{Name: "beta", Path: "/rates/", Headers: []Header{{Name: "x-beta", Kind: HeaderPresent}}},
-		{Name: "template", Kind: Template, Path: "/hotels/{hotel}/rooms/*"},
-		{Name: "rest", Kind: Template, Path: "/files/{path=**}"},
-		{Name: "regex", Kind: Regex, Path: "/book/[0-9]+(/cancel)?"},
+		{Name: "beta", Path: "/rates/", Headers: []HeaderMatcher{{Name: "x-beta", Kind: HeaderPresent}}},
+		{Name: "template", Kind: PathTemplate, Path: "/hotels/{hotel}/rooms/*"},
+		{Name: "rest", Kind: PathTemplate, Path: "/files/{path=**}"},
+		{Name: "regex", Kind: PathRegex, Path: "/book/[0-9]+(/cancel)?"},
 		{Name: "prefix", Path: "/rates/"},
-		{Name: "no curl", Path: "/", Headers: []Header{{Name: "User-Agent", Kind: HeaderPrefix, Value: "curl", Invert: true}}},
+		{Name: "no curl", Path: "/", Headers: []HeaderMatcher{{Name: "User-Agent", Kind: HeaderPrefix, Value: "curl", Invert: true}}},
 		{Name: "rest of it", Path: ""},
 	}
 	for i := range routes {
@@ -90,9 +90,9 @@
 		for i := range 1 + rnd.IntN(30) {
 			r := Route{Kind: PathKind(rnd.IntN(4)), Path: path(), Clusters: to(fmt.Sprint(i))}
 			switch {
-			case r.Kind == Template:
+			case r.Kind == PathTemplate:
 				r.Path += []string{"", "/*", "/**", "/{x}/b"}[rnd.IntN(4)]
-			case r.Kind == Regex:
+			case r.Kind == PathRegex:
 				r.Path += []string{"", ".*", "[ab]/?", "|/a/b"}[rnd.IntN(4)]
 			}
 			if rnd.IntN(4) == 0 {
@@ -110,17 +110,17 @@
 				}
 				fits := false
 				switch r.Kind {
-				case Prefix:
+				case PathPrefix:
 					fits = strings.HasPrefix(q.Path, r.Path)
-				case Exact:
+				case PathExact:
 					fits = q.Path == r.Path
-				case Template:
+				case PathTemplate:
 					expr := regexp.QuoteMeta(r.Path)
 					expr = strings.ReplaceAll(expr, `/\*\*`, `/.*`)
 					expr = strings.ReplaceAll(expr, `/\*`, `/[^/]+`)
 					expr = strings.ReplaceAll(expr, `/\{x\}`, `/[^/]+`)
 					fits = fit("^"+expr+"$", q.Path)
-				case Regex:
+				case PathRegex:
 					fits = fit("^("+r.Path+")$", q.Path)
 				}
 				if fits {
@@ -144,16 +144,16 @@
 		q := Request{Host: "rates.example.org:80", Method: "GET", Header: map[string][]string{"Accept": {"*/*"}}}
 		switch i % 4 {
 		case 0:
-			r.Kind, r.Path = Exact, fmt.Sprintf("/exact/%d", i)
+			r.Kind, r.Path = PathExact, fmt.Sprintf("/exact/%d", i)
 			q.Path = r.Path
 		case 1:
-			r.Kind, r.Path = Template, fmt.Sprintf("/hotels/%d/rooms/{room}", i)
+			r.Kind, r.Path = PathTemplate, fmt.Sprintf("/hotels/%d/rooms/{room}", i)
 			q.Path = fmt.Sprintf("/hotels/%d/rooms/7", i)
 		case 2:
 			r.Path = fmt.Sprintf("/prefix/%d/", i)
 			q.Path = r.Path + "x/y"
 		case 3:
-			r.Kind, r.Path = Regex, fmt.Sprintf("/book/%d/[0-9]+", i)
+			r.Kind, r.Path = PathRegex, fmt.Sprintf("/book/%d/[0-9]+", i)
 			q.Path = fmt.Sprintf("/book/%d/12", i)
 		}
 		routes = append(routes, r)
--- a/internal/route/template.go
+++ b/internal/route/template.go
@@ -16,9 +16,9 @@
 type segmentKind uint8
 
 const (
-	literalSegment segmentKind = iota
-	oneSegment                 // *, {name} or {name=*}: not empty
-	restSegments               // ** or {name=**}: one segment or more, the last; may be empty
+	literalSegment    segmentKind = iota
+	singleSegment                 // *, {name} or {name=*}: not empty
+	remainingSegments             // ** or {name=**}: one segment or more, the last; may be empty
 )
 
 // compileTemplate reads a template and gives what it begins with, letter by letter.
@@ -30,15 +30,15 @@
 	literal := true
 	start = "/"
 	for i, part := range strings.Split(text[1:], "/") {
-		if len(list) > 0 && list[len(list)-1].kind == restSegments {
+		if len(list) > 0 && list[len(list)-1].kind == remainingSegments {
 			return nil, "", errors.New("** has to be the last")
 		}
 		s := segment{literal: part}
 		switch {
 		case part == "*":
-			s.kind = oneSegment
+			s.kind = singleSegment
 		case part == "**":
-			s.kind = restSegments
+			s.kind = remainingSegments
 		case strings.HasPrefix(part, "{") && strings.HasSuffix(part, "}"):
 			name, pattern, _ := strings.Cut(part[1:len(part)-1], "=")
 			if !validName(name) {
@@ -50,9 +50,9 @@
 			names[name] = true
 			switch pattern {
 			case "", "*":
-				s.kind = oneSegment
+				s.kind = singleSegment
 			case "**":
-				s.kind = restSegments
+				s.kind = remainingSegments
 			default:
 				return nil, "", fmt.Errorf("%s: a variable is * or **", part)
 			}
@@ -91,7 +91,7 @@
 	rest := path[1:]
 	for i := range list {
 		s := &list[i]
-		if s.kind == restSegments {
+		if s.kind == remainingSegments {
 			return true
 		}
 		end := strings.IndexByte(rest, '/')
@@ -100,7 +100,7 @@
 		if !last {
 			part, rest = rest[:end], rest[end+1:]
 		}
-		if s.kind == literalSegment && part != s.literal || s.kind == oneSegment && part == "" {
+		if s.kind == literalSegment && part != s.literal || s.kind == singleSegment && part == "" {
 			return false
 		}
 		if last {
--- a/internal/route/weighted.go
+++ b/internal/route/weighted.go
@@ -6,15 +6,15 @@
 	"math"
 )
 
-// cluster picks by weighted rendezvous hashing: each cluster draws a number by the hash and its
-// name, and the highest has the request. The same hash goes to the same cluster at every node, in
+// pickCluster picks by weighted rendezvous hashing: each pickCluster draws a number by the hash and its
+// name, and the highest has the request. The same hash goes to the same pickCluster at every node, in
 // any order of the clusters; where one comes, goes or changes its weight, no other hashes move than
 // those that it gains or loses, which are its share.
-func (c *compiled) cluster(hash uint64) string {
+func (c *compiledRoute) pickCluster(hash uint64) string {
 	if len(c.Clusters) == 0 {
 		return "" // it answers by itself
 	}
-	if len(c.Clusters) == 1 || c.total == 0 {
+	if len(c.Clusters) == 1 || c.totalWeight == 0 {
 		return c.Clusters[0].Cluster
 	}
 	best, name := math.Inf(-1), ""
@@ -25,7 +25,7 @@
 		}
 		// An exponential variable whose rate is the weight: the first of several to come is each
 		// with its share.
-		u := (float64(mix(hash^c.seeds[i])>>11) + 0.5) / (1 << 53)
+		u := (float64(mix(hash^c.clusterSeeds[i])>>11) + 0.5) / (1 << 53)
 		if at := math.Log(u) / float64(w.Weight); at > best {
 			best, name = at, w.Cluster
 		}
@@ -33,8 +33,8 @@
 	return name
 }
 
-// seed is a cluster's own in every draw.
-func seed(name string) uint64 {
+// clusterSeed is a cluster's own in every draw.
+func clusterSeed(name string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, name)
 	return mix(h.Sum64())
--- a/internal/route/weighted_test.go
+++ b/internal/route/weighted_test.go
@@ -10,7 +10,7 @@
 )
 
 // shares gives where each of n hashes goes.
-func shares(t interface{ Fatal(...any) }, clusters []Weighted, n int) []string {
+func shares(t interface{ Fatal(...any) }, clusters []WeightedCluster, n int) []string {
 	table, err := Compile([]VirtualHost{{Domains: []string{"*"}, Routes: []Route{{Clusters: clusters, Class: "c"}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -28,11 +28,11 @@
 func TestOnlyTheShareMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 4000
-		var all []Weighted
+		var all []WeightedCluster
 		total := 0.0
 		for i := range rapid.IntRange(3, 8).Draw(t, "clusters") {
 			w := rapid.Uint32Range(1, 50).Draw(t, "weight")
-			all = append(all, Weighted{fmt.Sprint("node-", i), w})
+			all = append(all, WeightedCluster{fmt.Sprint("node-", i), w})
 			total += float64(w)
 		}
 		before := shares(t, all, n)
@@ -57,7 +57,7 @@
 				t.Fatalf("%s goes, and a hash moves from %s to %s", all[gone].Cluster, before[i], c)
 			}
 		}
-		for i, c := range shares(t, append(slices.Clone(all), Weighted{"new", 10}), n) {
+		for i, c := range shares(t, append(slices.Clone(all), WeightedCluster{"new", 10}), n) {
 			if c != before[i] && c != "new" {
 				t.Fatalf("one comes, and a hash moves from %s to %s", before[i], c)
 			}
@@ -75,7 +75,7 @@
 // The share of each cluster is its weight's; the same hash always goes the same way,
 // also where hashes are plain numbers.
 func TestWeightedClusters(t *testing.T) {
-	table := compile(t, VirtualHost{Domains: []string{"*"}, Routes: []Route{{Clusters: []Weighted{
+	table := compile(t, VirtualHost{Domains: []string{"*"}, Routes: []Route{{Clusters: []WeightedCluster{
 		{"a", 70}, {"none", 0}, {"b", 30},
 	}}}})
 	got := map[string]int{}
@@ -96,14 +96,14 @@
 func BenchmarkWeightedLookup(b *testing.B) {
 	for _, n := range []int{2, 8, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := compiled{Route: &Route{}, total: 1}
+			c := compiledRoute{Route: &Route{}, totalWeight: 1}
 			for i := range n {
-				w := Weighted{fmt.Sprint("node-", i), 1}
-				c.Clusters, c.seeds = append(c.Clusters, w), append(c.seeds, seed(w.Cluster))
+				w := WeightedCluster{fmt.Sprint("node-", i), 1}
+				c.Clusters, c.clusterSeeds = append(c.Clusters, w), append(c.clusterSeeds, clusterSeed(w.Cluster))
 			}
 			b.ReportAllocs()
 			for i := uint64(0); b.Loop(); i++ {
-				c.cluster(i)
+				c.pickCluster(i)
 			}
 		})
 	}
--- a/internal/xds/state/state_test.go
+++ b/internal/xds/state/state_test.go
@@ -36,7 +36,7 @@
 func to(clusters ...string) *translate.Routes {
 	r := &translate.Routes{Hosts: []route.VirtualHost{{Domains: []string{"*"}}}}
 	for _, c := range clusters {
-		r.Hosts[0].Routes = append(r.Hosts[0].Routes, route.Route{Path: "/", Clusters: []route.Weighted{{Cluster: c}}})
+		r.Hosts[0].Routes = append(r.Hosts[0].Routes, route.Route{Path: "/", Clusters: []route.WeightedCluster{{Cluster: c}}})
 	}
 	r.Table, _ = route.Compile(r.Hosts)
 	return r
--- a/internal/xds/translate/route.go
+++ b/internal/xds/translate/route.go
@@ -56,13 +56,13 @@
 	}
 	switch c := a.GetClusterSpecifier().(type) {
 	case *routev3.RouteAction_Cluster:
-		out.Clusters = []route.Weighted{{Cluster: c.Cluster, Weight: 1}}
+		out.Clusters = []route.WeightedCluster{{Cluster: c.Cluster, Weight: 1}}
 	case *routev3.RouteAction_WeightedClusters:
 		for i, w := range c.WeightedClusters.GetClusters() {
 			if err := rejectFields(w.ProtoReflect(), rejectedInWeightedCluster); err != nil {
 				return fmt.Errorf("route: weighted_clusters %d: %w", i+1, err)
 			}
-			out.Clusters = append(out.Clusters, route.Weighted{Cluster: w.GetName(), Weight: w.GetWeight().GetValue()})
+			out.Clusters = append(out.Clusters, route.WeightedCluster{Cluster: w.GetName(), Weight: w.GetWeight().GetValue()})
 		}
 	default:
 		return errors.New("route: names no cluster")
@@ -97,7 +97,7 @@
 		if d.CheckValid() != nil || d.AsDuration() < 0 {
 			return errors.New("route: retry_policy: per_try_timeout: is no time")
 		}
-		out.PerTry = d.AsDuration()
+		out.PerTryTimeout = d.AsDuration()
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 	if err := rejectFields(r.ProtoReflect(), rejectedInRedirect); err != nil {
 		return fmt.Errorf("redirect: %w", err)
 	}
-	a := &route.Answer{
+	a := &route.DirectResponse{
 		Redirect:   true,
 		Status:     redirectStatus[r.GetResponseCode()],
 		Scheme:     r.GetSchemeRedirect(),
@@ -134,10 +134,10 @@
 		return fmt.Errorf("redirect: port_redirect: %d", a.Port)
 	case a.Status == 0:
 		return fmt.Errorf("redirect: response_code: %d is unknown", r.GetResponseCode())
-	case a.Prefix != "" && out.Kind != route.Prefix:
+	case a.Prefix != "" && out.Kind != route.PathPrefix:
 		return errors.New("redirect: prefix_rewrite: only with a prefix match")
 	}
-	out.Answer = a
+	out.DirectResponse = a
 	return nil
 }
 
@@ -162,6 +162,6 @@
 	case d.GetStatus() < 200 || d.GetStatus() > 599:
 		return fmt.Errorf("direct_response.status: %d is not from 200 to 599", d.GetStatus())
 	}
-	out.Answer = &route.Answer{Status: int(d.GetStatus()), Text: text}
+	out.DirectResponse = &route.DirectResponse{Status: int(d.GetStatus()), Body: text}
 	return nil
 }
--- a/internal/xds/translate/routematch.go
+++ b/internal/xds/translate/routematch.go
@@ -42,18 +42,18 @@
 func matchPath(m *routev3.RouteMatch, out *route.Route) error {
 	foldCase := m.GetCaseSensitive() != nil && !m.GetCaseSensitive().GetValue()
 	setPattern := func(literal, rest string) {
-		out.Kind, out.Path = route.Regex, regexp.QuoteMeta(literal)+rest
+		out.Kind, out.Path = route.PathRegex, regexp.QuoteMeta(literal)+rest
 		if foldCase {
 			out.Path = ignoreCase + out.Path
 		}
 	}
 	switch p := m.GetPathSpecifier().(type) {
 	case *routev3.RouteMatch_Prefix:
-		if out.Kind, out.Path = route.Prefix, p.Prefix; foldCase {
+		if out.Kind, out.Path = route.PathPrefix, p.Prefix; foldCase {
 			setPattern(p.Prefix, anyText)
 		}
 	case *routev3.RouteMatch_Path:
-		if out.Kind, out.Path = route.Exact, p.Path; foldCase {
+		if out.Kind, out.Path = route.PathExact, p.Path; foldCase {
 			setPattern(p.Path, "")
 		}
 	case *routev3.RouteMatch_PathSeparatedPrefix:
@@ -63,13 +63,13 @@
 		}
 		setPattern(prefix, subPath)
 	case *routev3.RouteMatch_SafeRegex:
-		out.Kind, out.Path = route.Regex, p.SafeRegex.GetRegex()
+		out.Kind, out.Path = route.PathRegex, p.SafeRegex.GetRegex()
 	case *routev3.RouteMatch_PathMatchPolicy:
 		var t uriv3.UriTemplateMatchConfig
 		if a := p.PathMatchPolicy.GetTypedConfig(); !a.MessageIs(&t) || a.UnmarshalTo(&t) != nil {
 			return errors.New("path_match_policy: only uri_template is taken")
 		}
-		out.Kind, out.Path = route.Template, t.GetPathTemplate()
+		out.Kind, out.Path = route.PathTemplate, t.GetPathTemplate()
 	default:
 		return errors.New("has no path")
 	}
@@ -81,7 +81,7 @@
 	if err := rejectFields(h.ProtoReflect(), rejectedInHeaderMatcher); err != nil {
 		return err
 	}
-	c := route.Header{Name: h.GetName(), Invert: h.GetInvertMatch()}
+	c := route.HeaderMatcher{Name: h.GetName(), Invert: h.GetInvertMatch()}
 	if err := headerCondition(h, &c); err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 }
 
 // headerCondition translates the condition of a header matcher.
-func headerCondition(h *routev3.HeaderMatcher, c *route.Header) error {
+func headerCondition(h *routev3.HeaderMatcher, c *route.HeaderMatcher) error {
 	switch m := h.GetHeaderMatchSpecifier().(type) {
 	case nil:
 		c.Kind = route.HeaderPresent
@@ -127,7 +127,7 @@
 }
 
 // stringCondition translates a string matcher; one that ignores case into a regular expression.
-func stringCondition(m *matcherv3.StringMatcher, c *route.Header) error {
+func stringCondition(m *matcherv3.StringMatcher, c *route.HeaderMatcher) error {
 	foldCase := func(before, literal, after string) {
 		if m.GetIgnoreCase() {
 			c.Kind, c.Value = route.HeaderRegex, ignoreCase+before+regexp.QuoteMeta(literal)+after
--- a/internal/xds/translate/routes.go
+++ b/internal/xds/translate/routes.go
@@ -102,7 +102,7 @@
 // checkClass checks that the class of a route is known, unless the route answers by itself.
 func (t *routeTranslation) checkClass(r *route.Route) error {
 	switch {
-	case r.Answer != nil || t.options.AllowUnknownClasses || slices.Contains(t.classes, r.Class):
+	case r.DirectResponse != nil || t.options.AllowUnknownClasses || slices.Contains(t.classes, r.Class):
 		return nil
 	case r.Class == "":
 		return fmt.Errorf("names no class: metadata %s: class", Namespace)
