--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -7,147 +7,144 @@
 	"slices"
 )
 
-// compiledHost holds a virtual host's routes by what their paths begin with: all kinds of path
-// have a literal start, which narrows the routes to be looked at; the lowest that
-// matches wins.
-type compiledHost struct {
-	routes        []compiledRoute
-	exactPaths    map[string][]int32
-	prefixLengths []int // of the starts, shortest first
-	prefixes      map[string][]int32
-}
-
+// compiledRoute is a Route that was checked, with what its condition was compiled to.
 type compiledRoute struct {
 	*Route
-	regex        *regexp.Regexp
-	template     []segment
+	regex        *regexp.Regexp // for PathRegex
+	template     []segment      // for PathTemplate
 	headers      []compiledHeaderMatcher
-	totalWeight  uint64   // of the clusters' weights
-	clusterSeeds []uint64 // of the clusters' names
+	totalWeight  uint64   // of the clusters
+	clusterSeeds []uint64 // by the index of the cluster
 }
 
-type compiledHeaderMatcher struct {
-	HeaderMatcher
-	regex *regexp.Regexp
-}
-
-func compileHost(v *VirtualHost) (*compiledHost, []error) {
-	h := &compiledHost{exactPaths: map[string][]int32{}, prefixes: map[string][]int32{}}
-	var found []error
-	for i := range v.Routes {
-		r := &v.Routes[i]
-		c, start, err := compileRoute(r)
-		if err != nil {
-			found = append(found, fmt.Errorf("route %d (%s): %w", i+1, r.Name, err))
-			continue
-		}
-		h.routes = append(h.routes, c)
-		n := int32(len(h.routes) - 1)
-		if r.Kind == PathExact {
-			h.exactPaths[r.Path] = append(h.exactPaths[r.Path], n)
-			continue
-		}
-		if h.prefixes[start] == nil && !slices.Contains(h.prefixLengths, len(start)) {
-			h.prefixLengths = append(h.prefixLengths, len(start))
+// compileRoute checks and compiles a route. It returns the literal prefix of its path too.
+func compileRoute(r *Route) (c compiledRoute, prefix string, err error) {
+	c.Route = r
+	if prefix, err = c.compilePath(); err != nil {
+		return c, "", err
+	}
+	if err := c.compileHeaders(); err != nil {
+		return c, "", err
+	}
+	for _, edits := range []*HeaderEdits{r.RequestEdits, r.ResponseEdits} {
+		if err := edits.Normalize(); err != nil {
+			return c, "", err
 		}
-		h.prefixes[start] = append(h.prefixes[start], n)
 	}
-	slices.Sort(h.prefixLengths)
-	return h, found
+	if r.DirectResponse != nil {
+		err = c.checkDirectResponse()
+	} else {
+		err = c.compileClusters()
+	}
+	return c, prefix, err
 }
 
-// compileRoute gives the route and what its path begins with, letter by letter.
-func compileRoute(r *Route) (c compiledRoute, start string, err error) {
-	c.Route = r
-	if len(r.Path) > MaxPatternBytes {
-		return c, "", fmt.Errorf("path: longer than %d bytes", MaxPatternBytes)
+// compilePath compiles the path and returns its literal prefix, "" for PathExact.
+func (c *compiledRoute) compilePath() (prefix string, err error) {
+	if len(c.Path) > MaxPatternBytes {
+		return "", fmt.Errorf("path: longer than %d bytes", MaxPatternBytes)
 	}
-	switch r.Kind {
+	switch c.Kind {
 	case PathPrefix:
-		start = r.Path
+		return c.Path, nil
 	case PathExact:
-		if r.Path == "" {
-			return c, "", errors.New("path: is missing")
+		if c.Path == "" {
+			return "", errors.New("path: is missing")
 		}
+		return "", nil
 	case PathTemplate:
-		if c.template, start, err = compileTemplate(r.Path); err != nil {
-			return c, "", fmt.Errorf("template: %w", err)
+		if c.template, prefix, err = compileTemplate(c.Path); err != nil {
+			return "", fmt.Errorf("template: %w", err)
 		}
+		return prefix, nil
 	case PathRegex:
-		if c.regex, err = compileFullMatch(r.Path); err != nil {
-			return c, "", fmt.Errorf("regex: %w", err)
+		if c.regex, err = compileFullMatch(c.Path); err != nil {
+			return "", fmt.Errorf("regex: %w", err)
 		}
-		start = literalPrefix(r.Path)
-	default:
-		return c, "", fmt.Errorf("path: kind %d is unknown", r.Kind)
-	}
-	if len(r.Headers) > MaxHeadersPerRoute {
-		return c, "", fmt.Errorf("headers: %d; %d at most", len(r.Headers), MaxHeadersPerRoute)
+		return literalPrefix(c.Path), nil
 	}
-	for _, h := range r.Headers {
-		if h.Name == "" || len(h.Name)+len(h.Value) > MaxPatternBytes {
-			return c, "", fmt.Errorf("header %q: no name, or too long", h.Name)
-		}
-		ch := compiledHeaderMatcher{HeaderMatcher: h}
-		ch.Name = canonicalName(h.Name)
-		switch {
-		case h.Kind == HeaderRegex:
-			if ch.regex, err = compileFullMatch(h.Value); err != nil {
-				return c, "", fmt.Errorf("header %s: %w", h.Name, err)
-			}
-		case h.Kind > HeaderRegex:
-			return c, "", fmt.Errorf("header %s: kind %d is unknown", h.Name, h.Kind)
-		}
-		c.headers = append(c.headers, ch)
+	return "", fmt.Errorf("path: kind %d is unknown", c.Kind)
+}
+
+// compileHeaders compiles the conditions on header fields.
+func (c *compiledRoute) compileHeaders() error {
+	if len(c.Headers) > MaxHeadersPerRoute {
+		return fmt.Errorf("headers: %d; %d at most", len(c.Headers), MaxHeadersPerRoute)
 	}
-	for _, e := range []*HeaderEdits{r.RequestEdits, r.ResponseEdits} {
-		if e == nil {
-			continue
-		}
-		if err := e.Normalize(); err != nil {
-			return c, "", err
+	for i := range c.Headers {
+		m, err := compileHeader(&c.Headers[i])
+		if err != nil {
+			return err
 		}
+		c.headers = append(c.headers, m)
 	}
-	if r.DirectResponse != nil {
-		if len(r.Clusters) > 0 || r.DirectResponse.Status < 200 || r.DirectResponse.Status > 599 {
-			return c, "", fmt.Errorf("answer: %d with %d clusters", r.DirectResponse.Status, len(r.Clusters))
-		}
-		return c, start, nil
+	return nil
+}
+
+// checkDirectResponse checks a route that answers by itself.
+func (c *compiledRoute) checkDirectResponse() error {
+	if status := c.DirectResponse.Status; len(c.Clusters) > 0 || status < 200 || status > 599 {
+		return fmt.Errorf("answer: %d with %d clusters", status, len(c.Clusters))
 	}
-	if len(r.Clusters) == 0 || len(r.Clusters) > MaxClustersPerRoute {
-		return c, "", fmt.Errorf("clusters: %d; 1 to %d", len(r.Clusters), MaxClustersPerRoute)
+	return nil
+}
+
+// compileClusters checks the weighted clusters and prepares the choice among them.
+func (c *compiledRoute) compileClusters() error {
+	if len(c.Clusters) == 0 || len(c.Clusters) > MaxClustersPerRoute {
+		return fmt.Errorf("clusters: %d; 1 to %d", len(c.Clusters), MaxClustersPerRoute)
 	}
-	for _, w := range r.Clusters {
+	for _, w := range c.Clusters {
 		if w.Cluster == "" {
-			return c, "", errors.New("clusters: one has no name")
+			return errors.New("clusters: one has no name")
 		}
 		c.totalWeight += uint64(w.Weight)
 		c.clusterSeeds = append(c.clusterSeeds, clusterSeed(w.Cluster))
 	}
-	if c.totalWeight == 0 && len(r.Clusters) > 1 {
-		return c, "", errors.New("clusters: the weights add up to 0")
+	if c.totalWeight == 0 && len(c.Clusters) > 1 {
+		return errors.New("clusters: the weights add up to 0")
 	}
-	return c, start, nil
+	return nil
 }
 
-// compileFullMatch compiles an expression that has to match from end to end, as Envoy's
-// RegexMatcher does.
+// compileFullMatch compiles an expression that has to match from end to end, as Envoy's RegexMatcher does.
 func compileFullMatch(expr string) (*regexp.Regexp, error) {
 	if expr == "" {
 		return nil, errors.New("is missing")
 	}
-	if _, err := regexp.Compile(expr); err != nil { // or "a)(b" would be taken
+	// The group below would make a valid expression of "a)(b".
+	if _, err := regexp.Compile(expr); err != nil {
 		return nil, err
 	}
 	return regexp.Compile("^(?:" + expr + ")$")
 }
 
-// literalPrefix gives letters that every match begins with, maybe fewer than there are.
+// literalPrefix returns a prefix that all matches of a valid expression have, not always the longest.
 func literalPrefix(expr string) string {
-	re, err := regexp.Compile(expr) // with an anchor it would give none
+	re, err := regexp.Compile(expr) // an anchored expression has no literal prefix
 	if err != nil {
 		return ""
 	}
-	start, _ := re.LiteralPrefix()
-	return start
+	prefix, _ := re.LiteralPrefix()
+	return prefix
+}
+
+// matches reports whether a request meets the route's condition, given that its path equals a PathExact route's path
+// or begins with the literal prefix of another's.
+func (c *compiledRoute) matches(r *Request, path string) bool {
+	if len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method) {
+		return false
+	}
+	switch {
+	case c.regex != nil && !c.regex.MatchString(path):
+		return false
+	case c.template != nil && !matchTemplate(c.template, path):
+		return false
+	}
+	for i := range c.headers {
+		if m := &c.headers[i]; m.compare(r.Header) == m.Invert {
+			return false
+		}
+	}
+	return true
 }
--- a/internal/route/directresponse.go
+++ b/internal/route/directresponse.go
@@ -6,39 +6,45 @@
 	"strings"
 )
 
-// DirectResponse is what a route says by itself (route.v3.DirectResponseAction, RedirectAction).
+// DirectResponse is a route's own response (route.v3.DirectResponseAction), or a redirect (route.v3.RedirectAction).
 type DirectResponse struct {
-	Status int
-	Body   string
-	// For a redirect: what replaces the parts of the request's own URL; "" keeps one.
-	Redirect                   bool
+	Status   int
+	Body     string
+	Redirect bool // the fields below hold
+	// Scheme, Host, Path, Prefix and Port replace parts of the request's URL; "" and 0 leave a part as it is. Prefix
+	// replaces what a PathPrefix route has matched, unless there is a Path.
 	Scheme, Host, Path, Prefix string
-	Port                       int // 0: none is named
+	Port                       int
 	StripQuery                 bool
 }
 
-// Location gives where a redirect leads to.
-func (a *DirectResponse) Location(r *Route, scheme, host, path, query string) string {
-	if a.Scheme != "" {
-		scheme = a.Scheme
+// Location returns the URL that a redirect of the route r leads to, given the parts of the request's URL.
+func (d *DirectResponse) Location(r *Route, scheme, host, path, query string) string {
+	if d.Scheme != "" {
+		scheme = d.Scheme
 	}
-	if a.Host != "" {
-		host = a.Host
+	if d.Host != "" {
+		host = d.Host
 	}
-	if a.Port != 0 {
-		if name, _, err := net.SplitHostPort(host); err == nil {
-			host = name
-		}
-		host = net.JoinHostPort(strings.Trim(host, "[]"), strconv.Itoa(a.Port))
+	if d.Port != 0 {
+		host = withPort(host, d.Port)
 	}
 	switch {
-	case a.Path != "":
-		path = a.Path
-	case a.Prefix != "":
-		path = a.Prefix + strings.TrimPrefix(path, r.Path)
+	case d.Path != "":
+		path = d.Path
+	case d.Prefix != "":
+		path = d.Prefix + strings.TrimPrefix(path, r.Path)
 	}
-	if query != "" && !a.StripQuery {
+	if query != "" && !d.StripQuery {
 		path += "?" + query
 	}
 	return scheme + "://" + host + path
 }
+
+// withPort sets the port of a host, which may have another.
+func withPort(host string, port int) string {
+	if name, _, err := net.SplitHostPort(host); err == nil {
+		host = name
+	}
+	return net.JoinHostPort(strings.Trim(host, "[]"), strconv.Itoa(port))
+}
--- a/internal/route/edits.go
+++ b/internal/route/edits.go
@@ -8,38 +8,41 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// HeaderEdits changes a message's fields: what is named in Remove goes, then Set replaces or adds.
+// The limits of HeaderEdits.
+const (
+	MaxEdits            = 64   // fields that are removed or set
+	MaxHeaderValueBytes = 4096 // of a value that is set
+)
+
+// HeaderEdits changes the header fields of a message: those in Remove go, then those in Set are replaced or added.
 type HeaderEdits struct {
 	Remove []string // canonical names
 	Set    []HeaderField
 }
 
-// HeaderField is a field's canonical name and value.
+// HeaderField is a field's canonical name and its value.
 type HeaderField struct{ Name, Value string }
 
-// reservedFields are fields that belong to the connection or the program, which a route may not change.
+// reservedFields are the fields of a connection, and those that the program reads itself, which a route may not change.
 var reservedFields = []string{
 	"Connection", "Content-Length", "Host", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "X-Request-Id",
 	"X-Timeout-Ms", "Idempotency-Key",
 }
 
-// Normalize gives what is wrong with edits, nil if nothing is. It makes names canonical.
+// Normalize makes the names canonical. The error is the first thing that is wrong with the edits; there is none for
+// nil.
 func (e *HeaderEdits) Normalize() error {
-	check := func(name *string) error {
-		*name = http.CanonicalHeaderKey(*name)
-		if !httpguts.ValidHeaderFieldName(*name) || slices.Contains(reservedFields, *name) {
-			return fmt.Errorf("field %q can't be changed", *name)
-		}
+	if e == nil {
 		return nil
 	}
 	for i := range e.Remove {
-		if err := check(&e.Remove[i]); err != nil {
+		if err := normalizeName(&e.Remove[i]); err != nil {
 			return err
 		}
 	}
 	for i := range e.Set {
 		f := &e.Set[i]
-		if err := check(&f.Name); err != nil {
+		if err := normalizeName(&f.Name); err != nil {
 			return err
 		}
 		if !httpguts.ValidHeaderFieldValue(f.Value) || len(f.Value) > MaxHeaderValueBytes {
@@ -52,13 +55,16 @@
 	return nil
 }
 
-// The bounds of Edits.
-const (
-	MaxEdits            = 64
-	MaxHeaderValueBytes = 4096 // bytes of a value
-)
+// normalizeName makes a field's name canonical and checks that a route may change the field.
+func normalizeName(name *string) error {
+	*name = http.CanonicalHeaderKey(*name)
+	if !httpguts.ValidHeaderFieldName(*name) || slices.Contains(reservedFields, *name) {
+		return fmt.Errorf("field %q can't be changed", *name)
+	}
+	return nil
+}
 
-// Apply changes fields; a nil Edits changes none.
+// Apply changes the fields of h; nil changes none.
 func (e *HeaderEdits) Apply(h map[string][]string) {
 	if e == nil {
 		return
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -3,86 +3,90 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 )
 
-// Request is what routes look at.
+// Request is what routes compare.
 type Request struct {
 	Host   string
-	Path   string
+	Path   string // a query is left out of account
 	Method string
 	Header map[string][]string // canonical names, as in http.Header
-	Hash   uint64              // of what should keep to one of several clusters
+	Hash   uint64              // picks among weighted clusters: requests with the same hash go to the same one
 }
 
-// Match is the outcome of a look-up.
+// Match is the result of a lookup.
 type Match struct {
 	Route   *Route
-	Cluster string
+	Cluster string // "" if the route has a DirectResponse
 }
 
-// Table is compiled routes. It is safe for concurrent use.
+// Table is the compiled routes of all virtual hosts. It is safe for concurrent use.
 type Table struct {
-	exact     map[string]*compiledHost
-	suffix    affixTable
-	prefix    affixTable
-	anyDomain *compiledHost
-	clusters  []string
+	domains   domainTable
+	clusters  []string // of all routes, sorted
 	needsHash bool
 }
 
-// Compile checks virtual hosts and makes a table of them. The error names each route
-// at fault.
+// Compile checks virtual hosts and compiles them to a table. The error names each route that is wrong. Names of header
+// fields in the hosts' edits are made canonical, and the table refers to the hosts' routes.
 func Compile(hosts []VirtualHost) (*Table, error) {
-	t := &Table{
-		exact:  map[string]*compiledHost{},
-		suffix: affixTable{hosts: map[string]*compiledHost{}}, prefix: affixTable{hosts: map[string]*compiledHost{}},
-	}
-	var found []error
+	t := &Table{domains: newDomainTable()}
+	var errs []error
 	count := 0
-	clusters := map[string]bool{}
 	for i := range hosts {
 		v := &hosts[i]
-		where := func(err error) error { return fmt.Errorf("virtual host %d (%s): %w", i+1, v.Name, err) }
 		if count += len(v.Routes); count > MaxRoutes {
 			return nil, fmt.Errorf("more than %d routes", MaxRoutes)
 		}
-		h, errs := compileHost(v)
-		for _, err := range errs {
-			found = append(found, where(err))
-		}
-		if len(v.Domains) == 0 {
-			found = append(found, where(errors.New("no domains")))
-		}
-		for _, d := range v.Domains {
-			if err := t.addDomain(d, h); err != nil {
-				found = append(found, where(err))
-			}
+		for _, err := range t.addHost(v) {
+			errs = append(errs, fmt.Errorf("virtual host %d (%s): %w", i+1, v.Name, err))
 		}
-		for j := range v.Routes {
-			for _, c := range v.Routes[j].Clusters {
-				clusters[c.Cluster] = true
-			}
-			t.needsHash = t.needsHash || len(v.Routes[j].Clusters) > 1
+	}
+	if len(errs) > 0 {
+		return nil, errors.Join(errs...)
+	}
+	t.domains.sort()
+	t.clusters = clusterNames(hosts)
+	return t, nil
+}
+
+// addHost compiles a virtual host and adds it under its domains. It returns everything that is wrong with it.
+func (t *Table) addHost(v *VirtualHost) []error {
+	h, errs := compileHost(v)
+	if len(v.Domains) == 0 {
+		errs = append(errs, errors.New("no domains"))
+	}
+	for _, domain := range v.Domains {
+		if err := t.domains.add(domain, h); err != nil {
+			errs = append(errs, err)
 		}
 	}
-	if len(found) > 0 {
-		return nil, errors.Join(found...)
+	for i := range v.Routes {
+		t.needsHash = t.needsHash || len(v.Routes[i].Clusters) > 1
 	}
-	t.suffix.sort()
-	t.prefix.sort()
-	for name := range clusters {
-		t.clusters = append(t.clusters, name)
+	return errs
+}
+
+// clusterNames returns the names of the clusters that routes lead to, sorted.
+func clusterNames(hosts []VirtualHost) []string {
+	names := map[string]bool{}
+	for i := range hosts {
+		for j := range hosts[i].Routes {
+			for _, w := range hosts[i].Routes[j].Clusters {
+				names[w.Cluster] = true
+			}
+		}
 	}
-	slices.Sort(t.clusters)
-	return t, nil
+	return slices.Sorted(maps.Keys(names))
 }
 
-// NeedsHash tells whether Request.Hash matters to any route.
+// NeedsHash reports whether any route looks at Request.Hash.
 func (t *Table) NeedsHash() bool { return t.needsHash }
 
-// Clusters names all clusters that routes lead to, sorted; none of a nil table.
+// Clusters returns the names of all clusters that routes lead to, sorted; none of a nil table.
 func (t *Table) Clusters() []string {
 	if t == nil {
 		return nil
@@ -90,9 +94,9 @@
 	return t.clusters
 }
 
-// Lookup gives the route of a request; false if none matches.
+// Lookup returns the first route that matches a request; false if none does.
 func (t *Table) Lookup(r *Request) (Match, bool) {
-	h := t.findHost(r.Host)
+	h := t.domains.find(r.Host)
 	if h == nil {
 		return Match{}, false
 	}
@@ -100,28 +104,9 @@
 	if i := strings.IndexByte(path, '?'); i >= 0 {
 		path = path[:i]
 	}
-	best := int32(len(h.routes))
-	try := func(list []int32) int32 {
-		for _, i := range list {
-			if i >= best {
-				break
-			}
-			if h.routes[i].matches(r, path) {
-				return i
-			}
-		}
-		return best
-	}
-	best = try(h.exactPaths[path])
-	for _, n := range h.prefixLengths {
-		if n > len(path) {
-			break
-		}
-		best = try(h.prefixes[path[:n]])
-	}
-	if int(best) == len(h.routes) {
+	c := h.find(r, path)
+	if c == nil {
 		return Match{}, false
 	}
-	c := &h.routes[best]
 	return Match{Route: c.Route, Cluster: c.pickCluster(r.Hash)}, true
 }
--- a/internal/route/template.go
+++ b/internal/route/template.go
@@ -6,74 +6,87 @@
 	"strings"
 )
 
-// segment is a part of a path template between two slashes, in the manner of Envoy's
-// uri_template: a literal, any one segment, or all that is left.
+// maxVariableBytes limits the length of a variable's name in a template.
+const maxVariableBytes = 16
+
+// segment is a part of a path template between two slashes, as in Envoy's uri_template.
 type segment struct {
-	literal string
 	kind    segmentKind
+	literal string // for literalSegment
 }
 
 type segmentKind uint8
 
 const (
 	literalSegment    segmentKind = iota
-	singleSegment                 // *, {name} or {name=*}: not empty
-	remainingSegments             // ** or {name=**}: one segment or more, the last; may be empty
+	singleSegment                 // *, {name} or {name=*}: any segment that is not empty
+	remainingSegments             // ** or {name=**}, the last: one or more segments, which may be empty
 )
 
-// compileTemplate reads a template and gives what it begins with, letter by letter.
-func compileTemplate(text string) (list []segment, start string, err error) {
+// compileTemplate parses a template. It returns its literal prefix too, up to the first segment that is not literal.
+func compileTemplate(text string) (segments []segment, prefix string, err error) {
 	if !strings.HasPrefix(text, "/") {
 		return nil, "", errors.New("has to begin with /")
 	}
 	names := map[string]bool{}
-	literal := true
-	start = "/"
+	literal := true // so far
+	prefix = "/"
 	for i, part := range strings.Split(text[1:], "/") {
-		if len(list) > 0 && list[len(list)-1].kind == remainingSegments {
+		if i > 0 && segments[i-1].kind == remainingSegments {
 			return nil, "", errors.New("** has to be the last")
 		}
-		s := segment{literal: part}
-		switch {
-		case part == "*":
-			s.kind = singleSegment
-		case part == "**":
-			s.kind = remainingSegments
-		case strings.HasPrefix(part, "{") && strings.HasSuffix(part, "}"):
-			name, pattern, _ := strings.Cut(part[1:len(part)-1], "=")
-			if !validName(name) {
-				return nil, "", fmt.Errorf("%s: the name has letters, digits and _ only", part)
-			}
-			if names[name] {
-				return nil, "", fmt.Errorf("%s: the name stands there twice", part)
-			}
-			names[name] = true
-			switch pattern {
-			case "", "*":
-				s.kind = singleSegment
-			case "**":
-				s.kind = remainingSegments
-			default:
-				return nil, "", fmt.Errorf("%s: a variable is * or **", part)
-			}
-		case strings.ContainsAny(part, "*{}"):
-			return nil, "", fmt.Errorf("%q: a variable takes a whole segment", part)
+		s, err := parseSegment(part, names)
+		if err != nil {
+			return nil, "", err
+		}
+		literal = literal && s.kind == literalSegment
+		if literal && i > 0 {
+			prefix += "/"
 		}
-		if literal && s.kind == literalSegment {
-			if i > 0 {
-				start += "/"
-			}
-			start += part
-		} else {
-			literal = false
+		if literal {
+			prefix += part
 		}
-		list = append(list, s)
+		segments = append(segments, s)
+	}
+	return segments, prefix, nil
+}
+
+// parseSegment parses a part of a template and adds its variable, if it is one, to the names of those before it.
+func parseSegment(part string, names map[string]bool) (segment, error) {
+	switch {
+	case part == "*":
+		return segment{kind: singleSegment}, nil
+	case part == "**":
+		return segment{kind: remainingSegments}, nil
+	case strings.HasPrefix(part, "{") && strings.HasSuffix(part, "}"):
+		return parseVariable(part, names)
+	case strings.ContainsAny(part, "*{}"):
+		return segment{}, fmt.Errorf("%q: a variable takes a whole segment", part)
+	}
+	return segment{literal: part}, nil
+}
+
+// parseVariable parses "{name}" or "{name=pattern}".
+func parseVariable(part string, names map[string]bool) (segment, error) {
+	name, pattern, _ := strings.Cut(part[1:len(part)-1], "=")
+	if !validVariableName(name) {
+		return segment{}, fmt.Errorf("%s: the name has letters, digits and _ only", part)
+	}
+	if names[name] {
+		return segment{}, fmt.Errorf("%s: the name stands there twice", part)
+	}
+	names[name] = true
+	switch pattern {
+	case "", "*":
+		return segment{kind: singleSegment}, nil
+	case "**":
+		return segment{kind: remainingSegments}, nil
 	}
-	return list, start, nil
+	return segment{}, fmt.Errorf("%s: a variable is * or **", part)
 }
 
-func validName(name string) bool {
-	if name == "" || len(name) > 16 {
+func validVariableName(name string) bool {
+	if name == "" || len(name) > maxVariableBytes {
 		return false
 	}
 	for _, c := range []byte(name) {
@@ -84,13 +97,14 @@
 	return true
 }
 
-func matchTemplate(list []segment, path string) bool {
+// matchTemplate reports whether a path matches a template.
+func matchTemplate(segments []segment, path string) bool {
 	if path == "" || path[0] != '/' {
 		return false
 	}
 	rest := path[1:]
-	for i := range list {
-		s := &list[i]
+	for i := range segments {
+		s := &segments[i]
 		if s.kind == remainingSegments {
 			return true
 		}
@@ -104,8 +118,8 @@
 			return false
 		}
 		if last {
-			return i == len(list)-1
+			return i == len(segments)-1
 		}
 	}
-	return false // more segments than the template has
+	return false // the path has more segments than the template
 }
--- a/internal/route/weighted.go
+++ b/internal/route/weighted.go
@@ -6,13 +6,13 @@
 	"math"
 )
 
-// pickCluster picks by weighted rendezvous hashing: each pickCluster draws a number by the hash and its
-// name, and the highest has the request. The same hash goes to the same pickCluster at every node, in
-// any order of the clusters; where one comes, goes or changes its weight, no other hashes move than
-// those that it gains or loses, which are its share.
+// pickCluster picks a cluster by weighted rendezvous hashing: each cluster draws a number by the request's hash and its
+// own name, and the highest has the request. The same hash goes to the same cluster at every node, whatever the order
+// of the clusters; where a cluster is added, removed or gets another weight, no hashes move but those that it gains or
+// loses, in proportion to the weights.
 func (c *compiledRoute) pickCluster(hash uint64) string {
 	if len(c.Clusters) == 0 {
-		return "" // it answers by itself
+		return "" // the route has a direct response
 	}
 	if len(c.Clusters) == 1 || c.totalWeight == 0 {
 		return c.Clusters[0].Cluster
@@ -23,25 +23,24 @@
 		if w.Weight == 0 {
 			continue
 		}
-		// An exponential variable whose rate is the weight: the first of several to come is each
-		// with its share.
-		u := (float64(mix(hash^c.clusterSeeds[i])>>11) + 0.5) / (1 << 53)
-		if at := math.Log(u) / float64(w.Weight); at > best {
-			best, name = at, w.Cluster
+		// The logarithm of a uniform number makes an exponential variable whose rate is the weight: the probability
+		// that a cluster's is the first is its part of the weights.
+		uniform := (float64(mix(hash^c.clusterSeeds[i])>>11) + 0.5) / (1 << 53)
+		if score := math.Log(uniform) / float64(w.Weight); score > best {
+			best, name = score, w.Cluster
 		}
 	}
 	return name
 }
 
-// clusterSeed is a cluster's own in every draw.
+// clusterSeed returns what tells a cluster's draws from those of others.
 func clusterSeed(name string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, name)
 	return mix(h.Sum64())
 }
 
-// mix spreads a number over all bits (the finalizer of splitmix64): hashes that a caller has may be
-// plain numbers.
+// mix spreads a number over all bits (the finalizer of splitmix64): callers' hashes may be consecutive numbers.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
