--- a/internal/route/compile_test.go
+++ b/internal/route/compile_test.go
@@ -6,38 +6,42 @@
 )
 
 func TestCompileErrors(t *testing.T) {
+	all, toA := []string{"*"}, singleCluster("a")
+	header := func(kind HeaderKind, value string) []HeaderMatcher {
+		return []HeaderMatcher{{Name: "x", Kind: kind, Value: value}}
+	}
 	for name, c := range map[string]struct {
 		domains []string
 		route   Route
 		want    string
 	}{
-		"no domains":         {nil, Route{Clusters: to("a")}, "no domains"},
-		"domain twice":       {[]string{"a.b", "A.b"}, Route{Clusters: to("a")}, `"A.b" is another one's`},
-		"star twice":         {[]string{"*", "*"}, Route{Clusters: to("a")}, `"*" is another one's`},
-		"star inside":        {[]string{"a.*.b"}, Route{Clusters: to("a")}, "one end"},
-		"two stars":          {[]string{"*.a.*"}, Route{Clusters: to("a")}, "one end"},
-		"empty domain":       {[]string{""}, Route{Clusters: to("a")}, "1 to 255"},
-		"no clusters":        {[]string{"*"}, Route{}, "clusters: 0"},
-		"many clusters":      {[]string{"*"}, Route{Clusters: make([]WeightedCluster, MaxClustersPerRoute+1)}, "clusters: 65"},
-		"nameless cluster":   {[]string{"*"}, Route{Clusters: to("")}, "no name"},
-		"weights 0":          {[]string{"*"}, Route{Clusters: []WeightedCluster{{"a", 0}, {"b", 0}}}, "add up to 0"},
-		"bad regex":          {[]string{"*"}, Route{Kind: PathRegex, Path: "(", Clusters: to("a")}, "regex"},
-		"regex in two":       {[]string{"*"}, Route{Kind: PathRegex, Path: "a)|(b", Clusters: to("a")}, "regex"},
-		"huge regex":         {[]string{"*"}, Route{Kind: PathRegex, Path: "(a{1000}){1000}", Clusters: to("a")}, "regex"},
-		"no regex":           {[]string{"*"}, Route{Kind: PathRegex, Clusters: to("a")}, "is missing"},
-		"no exact":           {[]string{"*"}, Route{Kind: PathExact, Clusters: to("a")}, "is missing"},
-		"long path":          {[]string{"*"}, Route{Path: strings.Repeat("/", MaxPatternBytes+1), Clusters: to("a")}, "longer"},
-		"unknown kind":       {[]string{"*"}, Route{Kind: 9, Clusters: to("a")}, "kind 9"},
-		"template, no slash": {[]string{"*"}, Route{Kind: PathTemplate, Path: "a", Clusters: to("a")}, "begin with /"},
-		"template, part":     {[]string{"*"}, Route{Kind: PathTemplate, Path: "/a{b}", Clusters: to("a")}, "whole segment"},
-		"template, name":     {[]string{"*"}, Route{Kind: PathTemplate, Path: "/{b c}", Clusters: to("a")}, "letters"},
-		"template, twice":    {[]string{"*"}, Route{Kind: PathTemplate, Path: "/{b}/{b}", Clusters: to("a")}, "twice"},
-		"template, pattern":  {[]string{"*"}, Route{Kind: PathTemplate, Path: "/{b=x*}", Clusters: to("a")}, "* or **"},
-		"template, rest":     {[]string{"*"}, Route{Kind: PathTemplate, Path: "/**/b", Clusters: to("a")}, "the last"},
-		"header, no name":    {[]string{"*"}, Route{Headers: []HeaderMatcher{{}}, Clusters: to("a")}, "no name"},
-		"header, bad regex":  {[]string{"*"}, Route{Headers: []HeaderMatcher{{Name: "x", Kind: HeaderRegex, Value: "["}}, Clusters: to("a")}, "header x"},
-		"header, kind":       {[]string{"*"}, Route{Headers: []HeaderMatcher{{Name: "x", Kind: 99}}, Clusters: to("a")}, "kind 99"},
-		"headers, many":      {[]string{"*"}, Route{Headers: make([]HeaderMatcher, MaxHeadersPerRoute+1), Clusters: to("a")}, "17; 16"},
+		"no domains":         {nil, Route{Clusters: toA}, "no domains"},
+		"domain twice":       {[]string{"a.b", "A.b"}, Route{Clusters: toA}, `"A.b" is another one's`},
+		"star twice":         {[]string{"*", "*"}, Route{Clusters: toA}, `"*" is another one's`},
+		"star inside":        {[]string{"a.*.b"}, Route{Clusters: toA}, "one end"},
+		"two stars":          {[]string{"*.a.*"}, Route{Clusters: toA}, "one end"},
+		"empty domain":       {[]string{""}, Route{Clusters: toA}, "1 to 255"},
+		"no clusters":        {all, Route{}, "clusters: 0"},
+		"many clusters":      {all, Route{Clusters: make([]WeightedCluster, MaxClustersPerRoute+1)}, "clusters: 65"},
+		"nameless cluster":   {all, Route{Clusters: singleCluster("")}, "no name"},
+		"weights 0":          {all, Route{Clusters: []WeightedCluster{{"a", 0}, {"b", 0}}}, "add up to 0"},
+		"bad regex":          {all, Route{Kind: PathRegex, Path: "(", Clusters: toA}, "regex"},
+		"regex in two":       {all, Route{Kind: PathRegex, Path: "a)|(b", Clusters: toA}, "regex"},
+		"huge regex":         {all, Route{Kind: PathRegex, Path: "(a{1000}){1000}", Clusters: toA}, "regex"},
+		"no regex":           {all, Route{Kind: PathRegex, Clusters: toA}, "is missing"},
+		"no exact":           {all, Route{Kind: PathExact, Clusters: toA}, "is missing"},
+		"long path":          {all, Route{Path: strings.Repeat("/", MaxPatternBytes+1), Clusters: toA}, "longer"},
+		"unknown kind":       {all, Route{Kind: 9, Clusters: toA}, "kind 9"},
+		"template, no slash": {all, Route{Kind: PathTemplate, Path: "a", Clusters: toA}, "begin with /"},
+		"template, part":     {all, Route{Kind: PathTemplate, Path: "/a{b}", Clusters: toA}, "whole segment"},
+		"template, name":     {all, Route{Kind: PathTemplate, Path: "/{b c}", Clusters: toA}, "letters"},
+		"template, twice":    {all, Route{Kind: PathTemplate, Path: "/{b}/{b}", Clusters: toA}, "twice"},
+		"template, pattern":  {all, Route{Kind: PathTemplate, Path: "/{b=x*}", Clusters: toA}, "* or **"},
+		"template, rest":     {all, Route{Kind: PathTemplate, Path: "/**/b", Clusters: toA}, "the last"},
+		"header, no name":    {all, Route{Headers: []HeaderMatcher{{}}, Clusters: toA}, "no name"},
+		"header, bad regex":  {all, Route{Headers: header(HeaderRegex, "["), Clusters: toA}, "header x"},
+		"header, kind":       {all, Route{Headers: header(99, ""), Clusters: toA}, "kind 99"},
+		"headers, many":      {all, Route{Headers: make([]HeaderMatcher, MaxHeadersPerRoute+1), Clusters: toA}, "17; 16"},
 	} {
 		c.route.Name = "the-route"
 		_, err := Compile([]VirtualHost{{Name: "the-host", Domains: c.domains, Routes: []Route{c.route}}})
@@ -46,7 +50,7 @@
 		}
 	}
 	if _, err := Compile([]VirtualHost{{Domains: []string{"*"}, Routes: make([]Route, MaxRoutes+1)}}); err == nil {
-		t.Error("any number of routes is taken")
+		t.Error("the number of routes is not limited")
 	}
 }
 
@@ -56,7 +60,7 @@
 	f.Add(uint8(0), "/", "*", "*")
 	f.Fuzz(func(_ *testing.T, kind uint8, path, domain, request string) {
 		table, err := Compile([]VirtualHost{{Domains: []string{domain}, Routes: []Route{
-			{Kind: PathKind(kind), Path: path, Clusters: to("a")},
+			{Kind: PathKind(kind), Path: path, Clusters: singleCluster("a")},
 		}}})
 		if err == nil {
 			table.Lookup(&Request{Host: domain, Path: request})
--- a/internal/route/domains_test.go
+++ b/internal/route/domains_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-func TestHosts(t *testing.T) {
+func TestLookupByDomain(t *testing.T) {
 	host := func(domains ...string) VirtualHost {
-		return VirtualHost{Domains: domains, Routes: []Route{{Clusters: to(domains[0])}}}
+		return VirtualHost{Domains: domains, Routes: []Route{{Clusters: singleCluster(domains[0])}}}
 	}
-	table := compile(t, host("*"), host("rates.example.org"), host("*.example.org"), host("*-b.example.org"),
+	table := mustCompile(t, host("*"), host("rates.example.org"), host("*.example.org"), host("*-b.example.org"),
 		host("rates.*"), host("*.org"), host("[::1]"))
 	for name, want := range map[string]string{
 		"rates.example.org":      "rates.example.org",
@@ -26,7 +26,7 @@
 			t.Errorf("%q: %+v, want %s", name, m, want)
 		}
 	}
-	none := compile(t, host("a.b"))
+	none := mustCompile(t, host("a.b"))
 	if _, ok := none.Lookup(&Request{Host: "c.d", Path: "/"}); ok {
 		t.Error("a host that is not named has a route")
 	}
--- a/internal/route/headers_test.go
+++ b/internal/route/headers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestHeaders(t *testing.T) {
+func TestHeaderMatchers(t *testing.T) {
 	for name, c := range map[string]struct {
 		header HeaderMatcher
 		values []string
@@ -23,7 +23,8 @@
 		"absent, present": {HeaderMatcher{Kind: HeaderPresent, Invert: true}, []string{""}, false},
 	} {
 		c.header.Name = "x-test-ID"
-		table := compile(t, VirtualHost{Domains: []string{"*"}, Routes: []Route{{Headers: []HeaderMatcher{c.header}, Clusters: to("a")}}})
+		r := Route{Headers: []HeaderMatcher{c.header}, Clusters: singleCluster("a")}
+		table := mustCompile(t, VirtualHost{Domains: []string{"*"}, Routes: []Route{r}})
 		header := map[string][]string{}
 		if c.values != nil {
 			header["X-Test-Id"] = c.values
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-func to(cluster string) []WeightedCluster { return []WeightedCluster{{Cluster: cluster}} }
+func singleCluster(cluster string) []WeightedCluster { return []WeightedCluster{{Cluster: cluster}} }
 
-func compile(t testing.TB, hosts ...VirtualHost) *Table {
+func mustCompile(t testing.TB, hosts ...VirtualHost) *Table {
 	t.Helper()
 	table, err := Compile(hosts)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return table
 }
 
-func TestRoutes(t *testing.T) {
+func TestLookupByCondition(t *testing.T) {
 	routes := []Route{
 		{Name: "exact", Kind: PathExact, Path: "/rates"},
 		{Name: "put", Path: "/rates/", Methods: []string{"PUT", "POST"}},
@@ -28,13 +28,15 @@
 		{Name: "rest", Kind: PathTemplate, Path: "/files/{path=**}"},
 		{Name: "regex", Kind: PathRegex, Path: "/book/[0-9]+(/cancel)?"},
 		{Name: "prefix", Path: "/rates/"},
-		{Name: "no curl", Path: "/", Headers: []HeaderMatcher{{Name: "User-Agent", Kind: HeaderPrefix, Value: "curl", Invert: true}}},
+		{Name: "no curl", Path: "/", Headers: []HeaderMatcher{
+			{Name: "User-Agent", Kind: HeaderPrefix, Value: "curl", Invert: true},
+		}},
 		{Name: "rest of it", Path: ""},
 	}
 	for i := range routes {
-		routes[i].Clusters = to(routes[i].Name)
+		routes[i].Clusters = singleCluster(routes[i].Name)
 	}
-	table := compile(t, VirtualHost{Domains: []string{"*"}, Routes: routes})
+	table := mustCompile(t, VirtualHost{Domains: []string{"*"}, Routes: routes})
 	curl := map[string][]string{"User-Agent": {"curl/8"}}
 	for _, c := range []struct {
 		method, path string
@@ -67,67 +69,16 @@
 	}
 }
 
-// The compiled table gives what a plain walk through the routes in order gives.
-func TestSameAsInOrder(t *testing.T) {
+// TestLookupFindsFirstInOrder compares the table with a search through the routes in order.
+func TestLookupFindsFirstInOrder(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 9))
-	parts := []string{"a", "b", "ab", ""}
-	path := func() string {
-		p := ""
-		for range 1 + rnd.IntN(4) {
-			p += "/" + parts[rnd.IntN(len(parts))]
-		}
-		return p
-	}
 	for range 300 {
-		var routes []Route
-		exprs := map[string]*regexp.Regexp{} // compiled once
-		fit := func(expr, path string) bool {
-			if exprs[expr] == nil {
-				exprs[expr] = regexp.MustCompile(expr)
-			}
-			return exprs[expr].MatchString(path)
-		}
-		for i := range 1 + rnd.IntN(30) {
-			r := Route{Kind: PathKind(rnd.IntN(4)), Path: path(), Clusters: to(fmt.Sprint(i))}
-			switch {
-			case r.Kind == PathTemplate:
-				r.Path += []string{"", "/*", "/**", "/{x}/b"}[rnd.IntN(4)]
-			case r.Kind == PathRegex:
-				r.Path += []string{"", ".*", "[ab]/?", "|/a/b"}[rnd.IntN(4)]
-			}
-			if rnd.IntN(4) == 0 {
-				r.Methods = []string{"PUT"}
-			}
-			routes = append(routes, r)
-		}
-		table := compile(t, VirtualHost{Domains: []string{"*"}, Routes: routes})
+		routes := randomRoutes(rnd)
+		table := mustCompile(t, VirtualHost{Domains: []string{"*"}, Routes: routes})
+		reference := referenceTable{routes: routes, exprs: map[string]*regexp.Regexp{}}
 		for range 100 {
-			q := &Request{Path: path(), Method: []string{"GET", "PUT"}[rnd.IntN(2)]}
-			want := ""
-			for _, r := range routes {
-				if len(r.Methods) > 0 && q.Method != "PUT" {
-					continue
-				}
-				fits := false
-				switch r.Kind {
-				case PathPrefix:
-					fits = strings.HasPrefix(q.Path, r.Path)
-				case PathExact:
-					fits = q.Path == r.Path
-				case PathTemplate:
-					expr := regexp.QuoteMeta(r.Path)
-					expr = strings.ReplaceAll(expr, `/\*\*`, `/.*`)
-					expr = strings.ReplaceAll(expr, `/\*`, `/[^/]+`)
-					expr = strings.ReplaceAll(expr, `/\{x\}`, `/[^/]+`)
-					fits = fit("^"+expr+"$", q.Path)
-				case PathRegex:
-					fits = fit("^("+r.Path+")$", q.Path)
-				}
-				if fits {
-					want = r.Clusters[0].Cluster
-					break
-				}
-			}
+			q := &Request{Path: randomPath(rnd), Method: []string{"GET", "PUT"}[rnd.IntN(2)]}
+			want := reference.lookup(q)
 			m, _ := table.Lookup(q)
 			if m.Cluster != want {
 				t.Fatalf("%s %s: route %q, want %q of %+v", q.Method, q.Path, m.Cluster, want, routes)
@@ -136,11 +87,81 @@
 	}
 }
 
-func tableOf(t testing.TB, n int) (*Table, []Request) {
+func randomPath(rnd *rand.Rand) string {
+	parts := []string{"a", "b", "ab", ""}
+	p := ""
+	for range 1 + rnd.IntN(4) {
+		p += "/" + parts[rnd.IntN(len(parts))]
+	}
+	return p
+}
+
+// randomRoutes returns routes of all kinds, each of which leads to a cluster named by its index.
+func randomRoutes(rnd *rand.Rand) (routes []Route) {
+	for i := range 1 + rnd.IntN(30) {
+		r := Route{Kind: PathKind(rnd.IntN(4)), Path: randomPath(rnd), Clusters: singleCluster(fmt.Sprint(i))}
+		switch {
+		case r.Kind == PathTemplate:
+			r.Path += []string{"", "/*", "/**", "/{x}/b"}[rnd.IntN(4)]
+		case r.Kind == PathRegex:
+			r.Path += []string{"", ".*", "[ab]/?", "|/a/b"}[rnd.IntN(4)]
+		}
+		if rnd.IntN(4) == 0 {
+			r.Methods = []string{"PUT"}
+		}
+		routes = append(routes, r)
+	}
+	return routes
+}
+
+// referenceTable searches routes in order.
+type referenceTable struct {
+	routes []Route
+	exprs  map[string]*regexp.Regexp // compiled once
+}
+
+// lookup returns the cluster of the first route that matches, "" if none does.
+func (t *referenceTable) lookup(q *Request) string {
+	for i := range t.routes {
+		r := &t.routes[i]
+		if (len(r.Methods) == 0 || q.Method == "PUT") && t.matchesPath(r, q.Path) {
+			return r.Clusters[0].Cluster
+		}
+	}
+	return ""
+}
+
+func (t *referenceTable) matchesPath(r *Route, path string) bool {
+	switch r.Kind {
+	case PathPrefix:
+		return strings.HasPrefix(path, r.Path)
+	case PathExact:
+		return path == r.Path
+	case PathTemplate:
+		expr := regexp.QuoteMeta(r.Path)
+		expr = strings.ReplaceAll(expr, `/\*\*`, `/.*`)
+		expr = strings.ReplaceAll(expr, `/\*`, `/[^/]+`)
+		expr = strings.ReplaceAll(expr, `/\{x\}`, `/[^/]+`)
+		return t.matchesRegex("^"+expr+"$", path)
+	case PathRegex:
+		return t.matchesRegex("^("+r.Path+")$", path)
+	}
+	return false
+}
+
+func (t *referenceTable) matchesRegex(expr, path string) bool {
+	if t.exprs[expr] == nil {
+		t.exprs[expr] = regexp.MustCompile(expr)
+	}
+	return t.exprs[expr].MatchString(path)
+}
+
+// newLookupFixture returns a table of n routes, of all kinds, and a request for each.
+func newLookupFixture(t testing.TB, n int) (*Table, []Request) {
 	var routes []Route
 	var requests []Request
 	for i := range n {
-		r := Route{Clusters: to(fmt.Sprintf("c%d", i))}
+		r := Route{Clusters: singleCluster(fmt.Sprintf("c%d", i))}
 		q := Request{Host: "rates.example.org:80", Method: "GET", Header: map[string][]string{"Accept": {"*/*"}}}
 		switch i % 4 {
 		case 0:
@@ -159,11 +180,11 @@
 		routes = append(routes, r)
 		requests = append(requests, q)
 	}
-	return compile(t, VirtualHost{Domains: []string{"*.example.org"}, Routes: routes}), requests
+	return mustCompile(t, VirtualHost{Domains: []string{"*.example.org"}, Routes: routes}), requests
 }
 
 func TestLookupAllocatesNothing(t *testing.T) {
-	table, requests := tableOf(t, 1000)
+	table, requests := newLookupFixture(t, 1000)
 	i := 0
 	if n := testing.AllocsPerRun(1000, func() {
 		i++
@@ -171,14 +192,14 @@
 			t.Fatal("no route")
 		}
 	}); n != 0 {
-		t.Errorf("%v allocations a look-up", n)
+		t.Errorf("%v allocations per lookup", n)
 	}
 }
 
 func BenchmarkLookup(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table, requests := tableOf(b, n)
+			table, requests := newLookupFixture(b, n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if _, ok := table.Lookup(&requests[i%n]); !ok {
--- a/internal/route/weighted_test.go
+++ b/internal/route/weighted_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// shares gives where each of n hashes goes.
-func shares(t interface{ Fatal(...any) }, clusters []WeightedCluster, n int) []string {
+// clustersByHash returns the clusters that the hashes from 0 to n-1 lead to.
+func clustersByHash(t interface{ Fatal(...any) }, clusters []WeightedCluster, n int) []string {
 	table, err := Compile([]VirtualHost{{Domains: []string{"*"}, Routes: []Route{{Clusters: clusters, Class: "c"}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -23,8 +23,8 @@
 	return to
 }
 
-// A cluster that goes takes its own hashes with it and moves no other; one that comes gains its share,
-// from all alike, and one whose weight changes gains or loses alone. The order says nothing.
+// TestOnlyTheShareMoves: a cluster that is removed gives its own hashes away and moves no others; one that is added
+// gains its part from all others, and only one whose weight changes gains or loses. The order has no effect.
 func TestOnlyTheShareMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 4000
@@ -35,7 +35,7 @@
 			all = append(all, WeightedCluster{fmt.Sprint("node-", i), w})
 			total += float64(w)
 		}
-		before := shares(t, all, n)
+		before := clustersByHash(t, all, n)
 		counts := map[string]int{}
 		for _, c := range before {
 			counts[c]++
@@ -48,23 +48,23 @@
 		}
 		turned := slices.Clone(all)
 		slices.Reverse(turned)
-		if got := shares(t, turned, n); !slices.Equal(got, before) {
+		if got := clustersByHash(t, turned, n); !slices.Equal(got, before) {
 			t.Fatal("another order, other ways")
 		}
 		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
-		for i, c := range shares(t, slices.Delete(slices.Clone(all), gone, gone+1), n) {
+		for i, c := range clustersByHash(t, slices.Delete(slices.Clone(all), gone, gone+1), n) {
 			if c != before[i] && before[i] != all[gone].Cluster {
 				t.Fatalf("%s goes, and a hash moves from %s to %s", all[gone].Cluster, before[i], c)
 			}
 		}
-		for i, c := range shares(t, append(slices.Clone(all), WeightedCluster{"new", 10}), n) {
+		for i, c := range clustersByHash(t, append(slices.Clone(all), WeightedCluster{"new", 10}), n) {
 			if c != before[i] && c != "new" {
 				t.Fatalf("one comes, and a hash moves from %s to %s", before[i], c)
 			}
 		}
 		more := slices.Clone(all)
 		more[gone].Weight += 25
-		for i, c := range shares(t, more, n) {
+		for i, c := range clustersByHash(t, more, n) {
 			if c != before[i] && c != more[gone].Cluster {
 				t.Fatalf("%s gets more, and a hash moves from %s to %s", more[gone].Cluster, before[i], c)
 			}
@@ -72,10 +72,10 @@
 	})
 }
 
-// The share of each cluster is its weight's; the same hash always goes the same way,
-// also where hashes are plain numbers.
+// TestWeightedClusters: each cluster gets the part of the hashes that its weight says, also of consecutive numbers, and
+// the same hash always leads to the same cluster.
 func TestWeightedClusters(t *testing.T) {
-	table := compile(t, VirtualHost{Domains: []string{"*"}, Routes: []Route{{Clusters: []WeightedCluster{
+	table := mustCompile(t, VirtualHost{Domains: []string{"*"}, Routes: []Route{{Clusters: []WeightedCluster{
 		{"a", 70}, {"none", 0}, {"b", 30},
 	}}}})
 	got := map[string]int{}
