--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -54,7 +54,7 @@
 	}
 	m, ok := s.program.Table.Lookup(&q)
 	if !ok {
-		return route.Match{}, &ingress.Rejection{Status: http.StatusNotFound, Text: "no route"}
+		return route.Match{}, &ingress.Rejection{Status: http.StatusNotFound, Message: "no route"}
 	}
 	if m.Route.DirectResponse != nil {
 		return route.Match{}, directResponse(m.Route, r)
@@ -65,24 +65,24 @@
 // unavailable rejects a request that may be retried later.
 func (s *state) unavailable(reason string) *ingress.Rejection {
 	return &ingress.Rejection{
-		Status: http.StatusServiceUnavailable, Text: reason, RetryAfter: s.program.Limits.MaxRetryAfter,
+		Status: http.StatusServiceUnavailable, Message: reason, RetryAfter: s.program.Limits.MaxRetryAfter,
 	}
 }
 
 // destination returns what a route and a class say of a request; the caller sets Cluster and Class.
 func (s *state) destination(r *route.Route, c *config.Class) ingress.Destination {
 	out := ingress.Destination{
-		Effect: c.Idempotency, Window: c.DedupWindow, Deadline: requestDeadline(r, c),
+		Idempotency: c.Idempotency, DedupWindow: c.DedupWindow, Deadline: requestDeadline(r, c),
 		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
-		Streams:     h1client.StreamLimits{StallTimeout: c.Progress, MaxDuration: c.Stream, DrainTimeout: c.Drain},
-		MaxAttempts: r.MaxAttempts, PerTry: r.PerTryTimeout, Certified: s.tenants.byCertificate,
-		Pick: r.Processor == "pick" || r.Processor == "" && s.program.ExtProc.Pick,
+		StreamLimits: h1client.StreamLimits{StallTimeout: c.Progress, MaxDuration: c.Stream, DrainTimeout: c.Drain},
+		MaxAttempts:  r.MaxAttempts, PerTryTimeout: r.PerTryTimeout, TenantsByCertificate: s.tenants.byCertificate,
+		PickEndpoint: r.Processor == "pick" || r.Processor == "" && s.program.ExtProc.Pick,
 	}
 	if e := r.RequestEdits; e != nil {
-		out.Request = e
+		out.RequestEdits = e
 	}
 	if e := r.ResponseEdits; e != nil {
-		out.Response = e
+		out.ResponseEdits = e
 	}
 	return out
 }
@@ -109,8 +109,8 @@
 // Route implements ingress.Router.
 func (r dedupRouter) Route(q *http.Request) (ingress.Destination, error) {
 	to, err := r.App.Route(q)
-	if err == nil && to.Effect == policy.IdempotentByKey {
-		to.Cluster = r.dedup.Cluster(to.Cluster, to.Window, to.MaxRetryAfter)
+	if err == nil && to.Idempotency == policy.IdempotentByKey {
+		to.Cluster = r.dedup.Cluster(to.Cluster, to.DedupWindow, to.MaxRetryAfter)
 	}
 	return to, err
 }
@@ -118,7 +118,7 @@
 // directResponse returns a route's own response.
 func directResponse(r *route.Route, q *http.Request) *ingress.Rejection {
 	a := r.DirectResponse
-	out := &ingress.Rejection{Status: a.Status, Text: a.Body}
+	out := &ingress.Rejection{Status: a.Status, Message: a.Body}
 	if a.Redirect {
 		scheme := "http"
 		if q.TLS != nil {
--- a/internal/downstream/extproc/forward.go
+++ b/internal/downstream/extproc/forward.go
@@ -32,7 +32,7 @@
 	case BypassingBody:
 		return p.sendRejection(&ingress.Rejection{
 			Status: http.StatusNotImplemented,
-			Text: "the route carries requests out: " +
+			Message: "the route carries requests out: " +
 				"the caller has to send their bodies (request_body_mode), or heed mode_override",
 		})
 	}
@@ -56,12 +56,12 @@
 		Method:          r.Method,
 		Target:          r.RequestURI,
 		Host:            r.Host,
-		Limits:          p.destination.Streams,
+		Limits:          p.destination.StreamLimits,
 		AcceptsTrailers: r.Header.Get("Te") == "trailers",
 		Header:          h1client.EndToEndHeader(r.Header.Clone()),
 	}
-	if p.destination.Request != nil {
-		p.destination.Request.Apply(out.Header)
+	if p.destination.RequestEdits != nil {
+		p.destination.RequestEdits.Apply(out.Header)
 	}
 	out.Header["X-Request-Id"] = []string{p.terms.ID}
 	return out
@@ -72,10 +72,10 @@
 	return &engine.Request{
 		Class:         p.destination.Class,
 		Tenant:        p.terms.Tenant,
-		WorkHint:      p.terms.Hint,
+		WorkHint:      p.terms.WorkHint,
 		Deadline:      p.deadline,
 		MaxAttempts:   p.destination.MaxAttempts,
-		PerTryTimeout: p.destination.PerTry,
+		PerTryTimeout: p.destination.PerTryTimeout,
 		Payload:       payload,
 	}
 }
--- a/internal/downstream/extproc/idempotency.go
+++ b/internal/downstream/extproc/idempotency.go
@@ -31,12 +31,12 @@
 // happen twice is identified by its key, or by its id where it has none. body is part of its fingerprint. mayJoin says
 // that it may wait for an earlier one's response.
 func (p *processingStream) admit(body []byte, mayJoin bool) (a admission, handled bool, err error) {
-	if p.destination.Effect == policy.Idempotent {
+	if p.destination.Idempotency == policy.Idempotent {
 		return admission{}, false, nil
 	}
-	key := idempotency.Key{Tenant: p.terms.Tenant, Name: "key " + p.terms.Key}
-	window := p.destination.Window
-	if p.destination.Effect == policy.NotIdempotent {
+	key := idempotency.Key{Tenant: p.terms.Tenant, Name: "key " + p.terms.IdempotencyKey}
+	window := p.destination.DedupWindow
+	if p.destination.Idempotency == policy.NotIdempotent {
 		key.Name, window, mayJoin = "id "+p.terms.ID, 2*p.destination.Deadline, false
 	}
 	r := p.request
--- a/internal/downstream/extproc/immediateresponse.go
+++ b/internal/downstream/extproc/immediateresponse.go
@@ -34,16 +34,16 @@
 // sendRejection sends a final answer that depends on the request alone.
 func (p *processingStream) sendRejection(r *ingress.Rejection) error {
 	fields := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
-	if r.Allow != "" {
-		fields.Set("Allow", r.Allow)
+	if r.AllowedMethods != "" {
+		fields.Set("Allow", r.AllowedMethods)
 	}
 	if r.Location != "" {
 		fields.Set("Location", r.Location)
 	}
 	if r.RetryAfter > 0 {
-		fields.Set("Retry-After", ingress.Seconds(r.RetryAfter))
+		fields.Set("Retry-After", ingress.FormatRetryAfter(r.RetryAfter))
 	}
-	return p.send(immediateResponse(r.Status, fields, []byte(r.Text+"\n"), detailsRejected))
+	return p.send(immediateResponse(r.Status, fields, []byte(r.Message+"\n"), detailsRejected))
 }
 
 // sendUnavailable answers a request that has not run, so that it may be repeated; after retryAfter if that is not 0.
@@ -51,7 +51,7 @@
 	p.server.Stats.Rejected.Add(1)
 	fields := http.Header{}
 	if retryAfter > 0 {
-		fields.Set("Retry-After", ingress.Seconds(retryAfter))
+		fields.Set("Retry-After", ingress.FormatRetryAfter(retryAfter))
 	}
 	return p.send(immediateResponse(http.StatusServiceUnavailable, fields, nil, detailsUnavailable))
 }
@@ -65,5 +65,5 @@
 // sendConflict answers a request that may not run because of another one.
 func (p *processingStream) sendConflict(status int, text string) error {
 	p.server.Stats.Duplicates.Add(1)
-	return p.sendRejection(&ingress.Rejection{Status: status, Text: text})
+	return p.sendRejection(&ingress.Rejection{Status: status, Message: text})
 }
--- a/internal/downstream/extproc/pick.go
+++ b/internal/downstream/extproc/pick.go
@@ -49,7 +49,7 @@
 // that the stream was answered.
 func (p *processingStream) findOrBeginPick() (r *pickRequest, handled bool, err error) {
 	key := pickKey{p.terms.Tenant, p.terms.ID}
-	attempt, _ := strconv.Atoi(ingress.One(p.request.Header[attemptHeader]))
+	attempt, _ := strconv.Atoi(ingress.SingleValue(p.request.Header[attemptHeader]))
 	s := p.server
 	s.mu.Lock()
 	r = s.picks[key]
@@ -181,9 +181,9 @@
 // endpointMutation returns the mutation of the request headers that names an endpoint and applies the route's changes.
 func (p *processingStream) endpointMutation(address string) *pb.HeaderMutation {
 	before, mutation := p.request.Header, &pb.HeaderMutation{}
-	if p.destination.Request != nil {
+	if p.destination.RequestEdits != nil {
 		after := before.Clone()
-		p.destination.Request.Apply(after)
+		p.destination.RequestEdits.Apply(after)
 		mutation = headerMutation(before, after)
 	}
 	mutation.SetHeaders = append(mutation.SetHeaders, &corev3.HeaderValueOption{
--- a/internal/downstream/extproc/pickoutcome.go
+++ b/internal/downstream/extproc/pickoutcome.go
@@ -57,7 +57,7 @@
 
 // applyResponseChanges adds the route's changes of the response headers to the reply to them.
 func (p *processingStream) applyResponseChanges(reply *pb.ProcessingResponse) {
-	if p.destination.Response == nil {
+	if p.destination.ResponseEdits == nil {
 		return
 	}
 	h, err := parseHeaders(p.message.GetResponseHeaders().GetHeaders(), p.server.MaxHeaderBytes)
@@ -65,7 +65,7 @@
 		return // impossible: outcome has parsed them
 	}
 	after := h.fields.Clone()
-	p.destination.Response.Apply(after)
+	p.destination.ResponseEdits.Apply(after)
 	reply.GetResponseHeaders().Response.HeaderMutation = headerMutation(h.fields, after)
 }
 
--- a/internal/downstream/extproc/requestbody.go
+++ b/internal/downstream/extproc/requestbody.go
@@ -68,7 +68,7 @@
 	}
 	if p.state.RequestMode == modePartial {
 		return true, p.sendRejection(&ingress.Rejection{
-			Status: http.StatusRequestEntityTooLarge, Text: "the body is over the caller's buffer",
+			Status: http.StatusRequestEntityTooLarge, Message: "the body is over the caller's buffer",
 		})
 	}
 	if err := p.send(p.state.ContinueReply(p.message, RequestBody)); err != nil { // the trailers follow
--- a/internal/downstream/extproc/response.go
+++ b/internal/downstream/extproc/response.go
@@ -30,8 +30,8 @@
 // sendAnswer sends the engine's final answer to the caller.
 func (p *processingStream) sendAnswer(a admission, answer engine.Answer) error {
 	response, _ := answer.Value.(*h1client.Answer)
-	if response != nil && p.destination.Response != nil {
-		p.destination.Response.Apply(response.Header)
+	if response != nil && p.destination.ResponseEdits != nil {
+		p.destination.ResponseEdits.Apply(response.Header)
 	}
 	switch answer.Verdict {
 	case engine.Rejected:
@@ -55,7 +55,7 @@
 	}
 	p.server.Stats.Rejected.Add(1)
 	if answer.RetryAfter > 0 && response.Header.Get("Retry-After") == "" {
-		response.Header.Set("Retry-After", ingress.Seconds(answer.RetryAfter))
+		response.Header.Set("Retry-After", ingress.FormatRetryAfter(answer.RetryAfter))
 	}
 	return p.sendResponse(response)
 }
@@ -81,7 +81,7 @@
 // sendResponse sends an endpoint's response in one message.
 func (p *processingStream) sendResponse(response *h1client.Answer) error {
 	r := immediateResponse(response.Status, response.Header, response.Body, detailsForwarded)
-	if s := ingress.One(response.Trailer["Grpc-Status"]); s != "" {
+	if s := ingress.SingleValue(response.Trailer["Grpc-Status"]); s != "" {
 		if code, err := strconv.ParseUint(s, 10, 32); err == nil {
 			r.GetImmediateResponse().GrpcStatus = &pb.GrpcStatus{Status: uint32(code)}
 		}
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -32,7 +32,7 @@
 	message     *pb.ProcessingRequest // the latest
 	request     *http.Request
 	destination ingress.Destination
-	terms       ingress.Terms
+	terms       ingress.Attributes
 	deadline    time.Duration // on the clock, of the final answer
 }
 
@@ -53,7 +53,7 @@
 		return err
 	}
 	p.setDeadline()
-	if p.destination.Pick {
+	if p.destination.PickEndpoint {
 		return p.pick()
 	}
 	return p.forward()
@@ -69,14 +69,14 @@
 	var tooLarge headersTooLargeError
 	switch {
 	case errors.As(err, &tooLarge):
-		return &ingress.Rejection{Status: http.StatusRequestHeaderFieldsTooLarge, Text: err.Error()}
+		return &ingress.Rejection{Status: http.StatusRequestHeaderFieldsTooLarge, Message: err.Error()}
 	case err != nil:
 		return fmt.Errorf("request_headers: %w", err)
 	}
 	if p.destination, err = p.server.Router.Route(p.request); err != nil {
 		return err
 	}
-	if p.terms, err = ingress.Read(h.fields, &p.destination, false); err != nil {
+	if p.terms, err = ingress.ReadAttributes(h.fields, &p.destination, false); err != nil {
 		return err
 	}
 	if p.terms.ID == "" {
@@ -88,15 +88,15 @@
 // setDeadline sets the deadline by the request's own patience, the caller's timeout of the request and the deadline of
 // the gRPC call.
 func (p *processingStream) setDeadline() {
-	timeout := ingress.One(p.request.Header[expectedTimeoutHeader])
+	timeout := ingress.SingleValue(p.request.Header[expectedTimeoutHeader])
 	if ms, err := strconv.ParseUint(timeout, 10, 31); err == nil && ms > 0 {
-		p.terms.Patience = min(p.terms.Patience, time.Duration(ms)*time.Millisecond)
+		p.terms.Timeout = min(p.terms.Timeout, time.Duration(ms)*time.Millisecond)
 	}
 	if at, ok := p.rpc.Context().Deadline(); ok {
-		p.terms.Patience = min(p.terms.Patience, time.Until(at))
+		p.terms.Timeout = min(p.terms.Timeout, time.Until(at))
 	}
-	p.deadline = p.arrivedAt + p.terms.Patience - responseMargin
-	p.server.notePatience(p.terms.Patience)
+	p.deadline = p.arrivedAt + p.terms.Timeout - responseMargin
+	p.server.notePatience(p.terms.Timeout)
 }
 
 // notePatience raises maxPatience to a request's patience.
--- a/internal/downstream/h1server/handler.go
+++ b/internal/downstream/h1server/handler.go
@@ -61,7 +61,7 @@
 	id := e.payload.Header.Get("X-Request-Id")
 	if !s.claimID(id) {
 		reject(w, r, &ingress.Rejection{
-			Status: http.StatusConflict, Text: "a request with this X-Request-ID is open",
+			Status: http.StatusConflict, Message: "a request with this X-Request-ID is open",
 		})
 		return
 	}
@@ -109,7 +109,7 @@
 		return nil
 	}
 	if err := s.options.ForwardedHeaders.Apply(r); err != nil {
-		return &ingress.Rejection{Status: http.StatusBadRequest, Text: err.Error()}
+		return &ingress.Rejection{Status: http.StatusBadRequest, Message: err.Error()}
 	}
 	return nil
 }
@@ -232,8 +232,8 @@
 		e.w.Header().Set("Connection", "close")
 	}
 	answer, ok := a.Value.(*h1client.Answer)
-	if ok && e.to.Response != nil {
-		e.to.Response.Apply(answer.Header)
+	if ok && e.to.ResponseEdits != nil {
+		e.to.ResponseEdits.Apply(answer.Header)
 	}
 	if ok && answer.Tunnel != nil {
 		e.server.tunnel(e.control, answer)
--- a/internal/downstream/h1server/request.go
+++ b/internal/downstream/h1server/request.go
@@ -26,10 +26,10 @@
 	conn := clientConnOf(r)
 	if s.options.Strict && !r.ProtoAtLeast(1, 1) && conn != nil && conn.sentTransferCoding() {
 		// net/http drops the coding, and would read the chunks as a request (RFC 9112, 6.1).
-		return &ingress.Rejection{Status: http.StatusBadRequest, Text: "HTTP/1.0 has no transfer codings"}
+		return &ingress.Rejection{Status: http.StatusBadRequest, Message: "HTTP/1.0 has no transfer codings"}
 	}
 	if s.options.MaxBodyBytes > 0 && r.ContentLength > s.options.MaxBodyBytes {
-		return &ingress.Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too large"}
+		return &ingress.Rejection{Status: http.StatusRequestEntityTooLarge, Message: "the body is too large"}
 	}
 	return nil
 }
@@ -45,28 +45,28 @@
 	if err := s.checkMethod(r, to); err != nil {
 		return nil, err
 	}
-	out := &h1client.Request{Method: r.Method, Host: r.Host, Limits: to.Streams}
+	out := &h1client.Request{Method: r.Method, Host: r.Host, Limits: to.StreamLimits}
 	if err := s.readBody(r, control, out); err != nil {
 		return nil, err
 	}
 	s.setHead(r, to, out, terms.ID)
 	return &engine.Request{
-		Class: to.Class, Tenant: terms.Tenant, WorkHint: terms.Hint,
-		Deadline:    s.options.Clock.Now() + terms.Patience - responseMargin,
-		MaxAttempts: to.MaxAttempts, PerTryTimeout: to.PerTry,
-		Payload: out, UploadTimeout: terms.Patience - responseMargin,
+		Class: to.Class, Tenant: terms.Tenant, WorkHint: terms.WorkHint,
+		Deadline:    s.options.Clock.Now() + terms.Timeout - responseMargin,
+		MaxAttempts: to.MaxAttempts, PerTryTimeout: to.PerTryTimeout,
+		Payload: out, UploadTimeout: terms.Timeout - responseMargin,
 	}, nil
 }
 
 // terms reads the request's ID, timeout, tenant and work hint from its header fields. The tenant of a client's
 // certificate takes precedence.
-func (s *Server) terms(r *http.Request, to *ingress.Destination) (ingress.Terms, error) {
+func (s *Server) terms(r *http.Request, to *ingress.Destination) (ingress.Attributes, error) {
 	destination := to
-	tenant, certified := tenantOfCertificate(r, to.Certified)
+	tenant, certified := tenantOfCertificate(r, to.TenantsByCertificate)
 	if certified {
-		destination = &ingress.Destination{Effect: to.Effect, Deadline: to.Deadline}
+		destination = &ingress.Destination{Idempotency: to.Idempotency, Deadline: to.Deadline}
 	}
-	terms, err := ingress.Read(r.Header, destination, s.options.Strict)
+	terms, err := ingress.ReadAttributes(r.Header, destination, s.options.Strict)
 	if err != nil {
 		return terms, err
 	}
@@ -81,20 +81,22 @@
 
 // checkMethod rejects methods that are not forwarded and, with Strict, what does not fit the request's class.
 func (s *Server) checkMethod(r *http.Request, to *ingress.Destination) error {
-	idempotent := to.Effect == policy.Idempotent
+	idempotent := to.Idempotency == policy.Idempotent
 	method := http.MethodPost
 	if idempotent {
 		method = http.MethodGet
 	}
 	switch {
 	case s.options.Strict && r.Method != method && !(r.Method == http.MethodHead && idempotent):
-		return &ingress.Rejection{Status: http.StatusMethodNotAllowed, Text: "the class wants " + method, Allow: method}
+		return &ingress.Rejection{
+			Status: http.StatusMethodNotAllowed, Message: "the class wants " + method, AllowedMethods: method,
+		}
 	case r.Method == http.MethodConnect, r.URL.Path == "*":
-		return &ingress.Rejection{Status: http.StatusMethodNotAllowed, Text: r.Method + " is not carried"}
-	case s.options.Strict && to.Effect == policy.NotIdempotent && len(r.Header["Idempotency-Key"]) > 0:
-		return ingress.Bad("the class takes no Idempotency-Key")
+		return &ingress.Rejection{Status: http.StatusMethodNotAllowed, Message: r.Method + " is not carried"}
+	case s.options.Strict && to.Idempotency == policy.NotIdempotent && len(r.Header["Idempotency-Key"]) > 0:
+		return ingress.BadRequest("the class takes no Idempotency-Key")
 	case s.options.Strict && idempotent && r.ContentLength != 0:
-		return ingress.Bad("the class takes no body")
+		return ingress.BadRequest("the class takes no body")
 	}
 	return nil
 }
@@ -103,12 +105,12 @@
 func (s *Server) setHead(r *http.Request, to *ingress.Destination, out *h1client.Request, id string) {
 	header := r.Header
 	if !s.options.Strict && r.ProtoMajor == 1 && r.Method == http.MethodGet && requestsUpgrade(header) {
-		out.Upgrade = ingress.One(header["Upgrade"])
+		out.Upgrade = ingress.SingleValue(header["Upgrade"])
 	}
-	out.AcceptsTrailers = strings.EqualFold(ingress.One(header["Te"]), "trailers")
+	out.AcceptsTrailers = strings.EqualFold(ingress.SingleValue(header["Te"]), "trailers")
 	out.Header = h1client.EndToEndHeader(header) // which net/http does not read again
-	if to.Request != nil {
-		to.Request.Apply(out.Header)
+	if to.RequestEdits != nil {
+		to.RequestEdits.Apply(out.Header)
 	}
 	if len(header["X-Request-Id"]) == 0 {
 		out.Header["X-Request-Id"] = []string{id}
@@ -124,7 +126,7 @@
 	for _, line := range h["Connection"] {
 		for token := range strings.SplitSeq(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), "upgrade") {
-				return ingress.One(h["Upgrade"]) != ""
+				return ingress.SingleValue(h["Upgrade"]) != ""
 			}
 		}
 	}
--- a/internal/downstream/h1server/response.go
+++ b/internal/downstream/h1server/response.go
@@ -24,21 +24,21 @@
 func reject(w http.ResponseWriter, r *http.Request, err error) {
 	var rejection *ingress.Rejection
 	if !errors.As(err, &rejection) {
-		rejection = &ingress.Rejection{Status: http.StatusBadRequest, Text: "the body can't be read"}
+		rejection = &ingress.Rejection{Status: http.StatusBadRequest, Message: "the body can't be read"}
 	}
 	if r.ContentLength != 0 || !r.ProtoAtLeast(1, 1) {
 		w.Header().Set("Connection", "close")
 	}
-	if rejection.Allow != "" {
-		w.Header().Set("Allow", rejection.Allow)
+	if rejection.AllowedMethods != "" {
+		w.Header().Set("Allow", rejection.AllowedMethods)
 	}
 	if rejection.Location != "" {
 		w.Header().Set("Location", rejection.Location)
 	}
 	if rejection.RetryAfter > 0 {
-		w.Header().Set("Retry-After", ingress.Seconds(rejection.RetryAfter))
+		w.Header().Set("Retry-After", ingress.FormatRetryAfter(rejection.RetryAfter))
 	}
-	http.Error(w, rejection.Text, rejection.Status)
+	http.Error(w, rejection.Message, rejection.Status)
 }
 
 // writeAnswer writes the final answer, except for the rest of a stream. head says that the request is a HEAD.
@@ -56,7 +56,7 @@
 		}
 	}
 	if a.Verdict == engine.Rejected && a.RetryAfter > 0 && len(h["Retry-After"]) == 0 {
-		h.Set("Retry-After", ingress.Seconds(a.RetryAfter))
+		h.Set("Retry-After", ingress.FormatRetryAfter(a.RetryAfter))
 	}
 	switch stream := isStream(a); {
 	case (head || stream) && length >= 0:
--- a/internal/downstream/h1server/upload.go
+++ b/internal/downstream/h1server/upload.go
@@ -81,9 +81,9 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return &ingress.Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too large"}
+		return &ingress.Rejection{Status: http.StatusRequestEntityTooLarge, Message: "the body is too large"}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &ingress.Rejection{Status: http.StatusRequestTimeout, Text: "the body did not come in time"}
+		return &ingress.Rejection{Status: http.StatusRequestTimeout, Message: "the body did not come in time"}
 	}
-	return &ingress.Rejection{Status: http.StatusBadRequest, Text: "the body can't be read"}
+	return &ingress.Rejection{Status: http.StatusBadRequest, Message: "the body can't be read"}
 }
--- a/internal/idempotency/replay/deduplicator.go
+++ b/internal/idempotency/replay/deduplicator.go
@@ -106,13 +106,15 @@
 		return engine.Answer{}, conflict("the request under this key may have run")
 	case idempotency.Mismatch:
 		return engine.Answer{}, &ingress.Rejection{
-			Status: http.StatusUnprocessableEntity, Text: "the key stands for another request",
+			Status: http.StatusUnprocessableEntity, Message: "the key stands for another request",
 		}
 	}
 	return engine.Answer{Verdict: engine.Rejected, RetryAfter: max(d.retryAfter, c.minRetryAfter)}, nil
 }
 
-func conflict(text string) error { return &ingress.Rejection{Status: http.StatusConflict, Text: text} }
+func conflict(text string) error {
+	return &ingress.Rejection{Status: http.StatusConflict, Message: text}
+}
 
 // decision is how a request under a key is handled.
 type decision struct {
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -20,13 +20,13 @@
 	name, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	index, known := r.cfg.Classes[name]
 	if !known {
-		return ingress.Destination{}, &ingress.Rejection{Status: http.StatusNotFound, Text: "unknown class"}
+		return ingress.Destination{}, &ingress.Rejection{Status: http.StatusNotFound, Message: "unknown class"}
 	}
 	class := &r.cfg.Policy.Classes[index]
 	return ingress.Destination{
-		Cluster: r.cluster, Class: index, Effect: class.Idempotency, Deadline: class.Deadline,
+		Cluster: r.cluster, Class: index, Idempotency: class.Idempotency, Deadline: class.Deadline,
 		Tenants: r.cfg.Tenants, MaxRetryAfter: r.cfg.Policy.Limits.MaxRetryAfter,
-		Streams: h1client.StreamLimits{StallTimeout: streamStallTimeout},
+		StreamLimits: h1client.StreamLimits{StallTimeout: streamStallTimeout},
 	}, nil
 }
 
