--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -95,7 +95,7 @@
 // updateTiers brings the tiers to the cluster's current version, as of a time on the clock, and starts those that do
 // not run yet; r.mu is locked.
 func (r *managedCluster) updateTiers(deliveredAt time.Duration) *tiers {
-	next := &tiers{plan: priority.New(r.current, r.priorityRules()), bounds: r.current.Bounds}
+	next := &tiers{plan: priority.New(r.current, r.slowStart()), bounds: r.current.Bounds}
 	used := map[*tier]bool{}
 	for i := range next.plan.Tiers {
 		t, err := r.tier(next.plan.Tiers[i].Key)
@@ -122,9 +122,9 @@
 	return next
 }
 
-func (r *managedCluster) priorityRules() priority.Rules {
+func (r *managedCluster) slowStart() priority.SlowStart {
 	rules := &r.settings.Rules
-	return priority.Rules{ColdFrom: rules.SlowStartMinCapacity, ColdFor: rules.SlowStartWindow}
+	return priority.SlowStart{MinCapacity: rules.SlowStartMinCapacity, Window: rules.SlowStartWindow}
 }
 
 // applyBounds sets the limits of all tiers' pools and engines; r.mu is locked.
--- a/internal/priority/priority.go
+++ b/internal/priority/priority.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// overprovision is Envoy's default overprovisioning factor (endpoint.v3
+	// defaultOverprovisioning is Envoy's default overprovisioning factor (endpoint.v3
 	// ClusterLoadAssignment.Policy.overprovisioning_factor, 140).
-	overprovision = 1.4
-	// refresh is how long shares that change with time are used before they are
+	defaultOverprovisioning = 1.4
+	// sharesLifetime is how long shares that change with time are used before they are
 	// calculated again. A server warms up over seconds.
-	refresh = 50 * time.Millisecond
+	sharesLifetime = 50 * time.Millisecond
 )
 
-// Rules say how a server warms up (policy.Rules).
-type Rules struct {
-	ColdFrom float64       // it starts with this share of its capacity, 0 to 1
-	ColdFor  time.Duration // and has all of it after this
+// SlowStart say how a server warms up (policy.SlowStart).
+type SlowStart struct {
+	MinCapacity float64       // it starts with this share of its capacity, 0 to 1
+	Window      time.Duration // and has all of it after this
 }
 
 // Key names a tier.
@@ -44,31 +44,31 @@
 	// healthy part of their priority, so that whoever follows it sees them drain.
 	Cluster *cluster.Config
 
-	total  int             // endpoints of the priority, of any health
-	warm   int             // those of this tier that are warm for good
-	starts []time.Duration // of the others, since the epoch, the earliest first
+	priorityTotal int             // endpoints of the priority, of any health
+	fullCapacity  int             // those of this tier that are warm for good
+	starts        []time.Duration // of the others, since the epoch, the earliest first
 }
 
 // Plan is what a version of a cluster says about its tiers. It is not changed once it is
 // made and safe for concurrent use.
 type Plan struct {
-	Tiers  []Tier // in order of preference: the healthy parts by priority, then the degraded
-	factor float64
-	rules  Rules
-	last   atomic.Pointer[shares]
+	Tiers            []Tier // in order of preference: the healthy parts by priority, then the degraded
+	overprovisioning float64
+	slowStart        SlowStart
+	lastShares       atomic.Pointer[cachedShares]
 }
 
-type shares struct {
-	at   time.Duration
-	list []float64
+type cachedShares struct {
+	calculatedAt time.Duration
+	shares       []float64
 }
 
 // New makes the plan of a cluster whose endpoints are sorted, as cluster.Check leaves
 // them. A cluster with no endpoints has one tier.
-func New(c *cluster.Config, rules Rules) *Plan {
-	p := &Plan{factor: c.Overprovision, rules: rules}
-	if p.factor == 0 {
-		p.factor = overprovision
+func New(c *cluster.Config, rules SlowStart) *Plan {
+	p := &Plan{overprovisioning: c.Overprovision, slowStart: rules}
+	if p.overprovisioning == 0 {
+		p.overprovisioning = defaultOverprovisioning
 	}
 	at := map[Key]*Tier{}
 	total := map[int]int{}
@@ -86,7 +86,7 @@
 		whole = whole && e.Priority == 0 && e.Health != cluster.Degraded
 	}
 	if whole { // the usual cluster: nothing is copied
-		p.Tiers = []Tier{{Cluster: c, total: len(c.Endpoints)}}
+		p.Tiers = []Tier{{Cluster: c, priorityTotal: len(c.Endpoints)}}
 		p.Tiers[0].count(c.Endpoints, rules)
 		return p
 	}
@@ -96,7 +96,7 @@
 		t.Cluster.Endpoints = append(t.Cluster.Endpoints, e)
 	}
 	for k, t := range at {
-		t.total = total[k.Priority]
+		t.priorityTotal = total[k.Priority]
 		t.count(t.Cluster.Endpoints, rules)
 		p.Tiers = append(p.Tiers, *t)
 	}
@@ -112,12 +112,12 @@
 	return p
 }
 
-func (t *Tier) count(list []cluster.Endpoint, rules Rules) {
+func (t *Tier) count(list []cluster.Endpoint, rules SlowStart) {
 	for i := range list {
 		switch e := &list[i]; {
 		case !e.Serves():
-		case e.Started == 0 || rules.ColdFor <= 0:
-			t.warm++
+		case e.Started == 0 || rules.Window <= 0:
+			t.fullCapacity++
 		default:
 			t.starts = append(t.starts, time.Duration(e.Started)*time.Millisecond)
 		}
@@ -126,15 +126,15 @@
 }
 
 // capacity gives what the tier bears, in warm servers.
-func (t *Tier) capacity(now time.Duration, rules Rules) float64 {
-	sum := float64(t.warm)
+func (t *Tier) capacity(now time.Duration, rules SlowStart) float64 {
+	sum := float64(t.fullCapacity)
 	for i, start := range t.starts {
 		age := max(0, now-start)
-		if age < rules.ColdFor {
+		if age < rules.Window {
 			rest := t.starts[i:] // all of these are cold
 			for _, start := range rest {
-				part := float64(max(0, now-start)) / float64(rules.ColdFor)
-				sum += rules.ColdFrom + (1-rules.ColdFrom)*part
+				part := float64(max(0, now-start)) / float64(rules.Window)
+				sum += rules.MinCapacity + (1-rules.MinCapacity)*part
 			}
 			break
 		}
@@ -150,15 +150,15 @@
 // times the overprovisioning factor, 1 at most; what one leaves the next takes; where all
 // together bear less than 1, each takes more than it bears, in proportion.
 func (p *Plan) Shares(now time.Duration) []float64 {
-	if s := p.last.Load(); s != nil && now >= s.at && now-s.at < refresh {
-		return s.list
+	if s := p.lastShares.Load(); s != nil && now >= s.calculatedAt && now-s.calculatedAt < sharesLifetime {
+		return s.shares
 	}
 	bears := make([]float64, len(p.Tiers))
 	sum := 0.0
 	for i := range p.Tiers {
 		t := &p.Tiers[i]
-		if t.total > 0 {
-			bears[i] = min(1, p.factor*t.capacity(now, p.rules)/float64(t.total))
+		if t.priorityTotal > 0 {
+			bears[i] = min(1, p.overprovisioning*t.capacity(now, p.slowStart)/float64(t.priorityTotal))
 		}
 		sum += bears[i]
 	}
@@ -171,7 +171,7 @@
 		list[i] = min(left, bears[i]/min(1, sum))
 		left -= list[i]
 	}
-	p.last.Store(&shares{now, list})
+	p.lastShares.Store(&cachedShares{now, list})
 	return list
 }
 
--- a/internal/priority/priority_test.go
+++ b/internal/priority/priority_test.go
@@ -11,7 +11,7 @@
 	"yokestall/internal/cluster"
 )
 
-func version(list ...cluster.Endpoint) *cluster.Config {
+func newConfig(list ...cluster.Endpoint) *cluster.Config {
 	c := &cluster.Config{Name: "c", ShrinkTo: -1, Empty: len(list) == 0}
 	for i := range list {
 		list[i].ID, list[i].Address = fmt.Sprintf("s-%04d", i), fmt.Sprintf("10.0.%d.%d:80", i/250, i%250+1)
@@ -23,8 +23,8 @@
 	return c
 }
 
-// many gives so many endpoints of a priority and health.
-func many(n, priority int, h cluster.Health) (list []cluster.Endpoint) {
+// endpoints gives so endpoints endpoints of a priority and health.
+func endpoints(n, priority int, h cluster.Health) (list []cluster.Endpoint) {
 	for range n {
 		list = append(list, cluster.Endpoint{Priority: priority, Health: h})
 	}
@@ -54,9 +54,9 @@
 	} {
 		var list []cluster.Endpoint
 		for _, p := range c.parts {
-			list = append(list, many(p.n, p.priority, p.h)...)
+			list = append(list, endpoints(p.n, p.priority, p.h)...)
 		}
-		if got := fmt.Sprintf("%.2f", New(version(list...), Rules{}).Shares(0)); got != c.want {
+		if got := fmt.Sprintf("%.2f", New(newConfig(list...), SlowStart{}).Shares(0)); got != c.want {
 			t.Errorf("%s: %s, want %s", name, got, c.want)
 		}
 	}
@@ -64,13 +64,13 @@
 
 // A priority that comes back all at once takes its load over as it warms up; its part
 // grows with time and never exceeds what its servers bear.
-func TestFailbackFollowsTheWarmth(t *testing.T) {
-	list := append(many(10, 0, cluster.Healthy), many(10, 1, cluster.Healthy)...)
+func TestRecoveryFollowsSlowStart(t *testing.T) {
+	list := append(endpoints(10, 0, cluster.Healthy), endpoints(10, 1, cluster.Healthy)...)
 	const back = 1000 * time.Second
 	for i := range 10 {
 		list[i].Started = back.Milliseconds()
 	}
-	p := New(version(list...), Rules{ColdFrom: 0.1, ColdFor: 30 * time.Second})
+	p := New(newConfig(list...), SlowStart{MinCapacity: 0.1, Window: 30 * time.Second})
 	last := 0.0
 	for age := time.Duration(0); age <= 30*time.Second; age += time.Second {
 		share := p.Shares(back + age)[0]
@@ -98,7 +98,7 @@
 				Started:  rapid.SampledFrom([]int64{0, 1, 9000, 20000}).Draw(t, "started"),
 			})
 		}
-		p := New(version(list...), Rules{ColdFrom: 0.1, ColdFor: 10 * time.Second})
+		p := New(newConfig(list...), SlowStart{MinCapacity: 0.1, Window: 10 * time.Second})
 		now := 10 * time.Second
 		total := 0
 		for _, tier := range p.Tiers {
@@ -121,7 +121,7 @@
 		}
 		sum := 0.0
 		for i, s := range shares {
-			if sum += s; s > 0 && p.Tiers[i].capacity(now, p.rules) == 0 {
+			if sum += s; s > 0 && p.Tiers[i].capacity(now, p.slowStart) == 0 {
 				t.Fatalf("tier %d gets %v and can serve none", i, s)
 			}
 		}
