--- a/internal/priority/priority_test.go
+++ b/internal/priority/shares_test.go
@@ -11,6 +11,7 @@
 	"yokestall/internal/cluster"
 )
 
+// newConfig returns a checked cluster with these endpoints.
 func newConfig(list ...cluster.Endpoint) *cluster.Config {
 	c := &cluster.Config{Name: "c", ShrinkTo: -1, Empty: len(list) == 0}
 	for i := range list {
@@ -23,7 +24,7 @@
 	return c
 }
 
-// endpoints gives so endpoints endpoints of a priority and health.
+// endpoints returns n endpoints of a priority and health.
 func endpoints(n, priority int, h cluster.Health) (list []cluster.Endpoint) {
 	for range n {
 		list = append(list, cluster.Endpoint{Priority: priority, Health: h})
@@ -31,7 +32,7 @@
 	return list
 }
 
-// The examples of Envoy's documentation (priority levels, degraded endpoints).
+// TestSharesAsInEnvoy has the examples of Envoy's documentation (priority levels, degraded endpoints).
 func TestSharesAsInEnvoy(t *testing.T) {
 	const healthy, degraded, bad = cluster.Healthy, cluster.Degraded, cluster.Unhealthy
 	type part struct {
@@ -62,32 +63,31 @@
 	}
 }
 
-// A priority that comes back all at once takes its load over as it warms up; its part
-// grows with time and never exceeds what its servers bear.
+// TestRecoveryFollowsSlowStart: a priority whose endpoints all start at once takes its load over as they warm up. Its
+// share grows with time and never exceeds their capacity.
 func TestRecoveryFollowsSlowStart(t *testing.T) {
 	list := append(endpoints(10, 0, cluster.Healthy), endpoints(10, 1, cluster.Healthy)...)
-	const back = 1000 * time.Second
+	const restart = 1000 * time.Second
 	for i := range 10 {
-		list[i].Started = back.Milliseconds()
+		list[i].Started = restart.Milliseconds()
 	}
 	p := New(newConfig(list...), SlowStart{MinCapacity: 0.1, Window: 30 * time.Second})
 	last := 0.0
 	for age := time.Duration(0); age <= 30*time.Second; age += time.Second {
-		share := p.Shares(back + age)[0]
-		bears := 1.4 * (0.1 + 0.9*age.Seconds()/30)
-		if share < last || share > bears+1e-9 {
-			t.Errorf("after %v: %.3f, %.3f before; it bears %.3f", age, share, last, bears)
+		share := p.Shares(restart + age)[0]
+		capacity := 1.4 * (0.1 + 0.9*age.Seconds()/30)
+		if share < last || share > capacity+1e-9 {
+			t.Errorf("after %v: %.3f, %.3f before; its capacity is %.3f", age, share, last, capacity)
 		}
 		last = share
 	}
 	if last != 1 {
-		t.Errorf("warm, it gets %.3f", last)
+		t.Errorf("warmed up, it gets %.3f", last)
 	}
 }
 
-// Whatever the health: shares add up to 1 or there are none, only those that can serve
-// get any, an earlier tier that is not full leaves nothing to a later one, and Pick deals
-// by the shares.
+// TestSharesAddUp: whatever the health, shares add up to 1 or there are none, only tiers that can serve get any, and
+// Pick follows the shares.
 func TestSharesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []cluster.Endpoint
@@ -115,7 +115,7 @@
 				}
 			}
 			if p.Pick(now, 0.5) != 0 {
-				t.Fatal("not the first where none can serve")
+				t.Fatal("Pick is not the first tier although none can serve")
 			}
 			return
 		}
