--- a/internal/app/clusterrequest.go
+++ b/internal/app/clusterrequest.go
@@ -105,7 +105,7 @@
 	}
 	if err == nil && a.Verdict == engine.Served {
 		if o, ok := q.Payload.(*h1client.Request); ok {
-			r.streams.limit(a, streamtimeout.Limits{Whole: o.Limits.MaxDuration, Drain: o.Limits.DrainTimeout})
+			r.streams.limit(a, streamtimeout.Limits{MaxDuration: o.Limits.MaxDuration, DrainTimeout: o.Limits.DrainTimeout})
 		}
 	}
 	return a, err
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -113,7 +113,10 @@
 	if settings.HTTP2 > 0 {
 		s.h2 = h2server.Attach(s.http, h2server.Options{
 			MaxStreams: settings.HTTP2, StallTimeout: settings.Stall, Clock: a.clock, Log: a.Log,
-			FloodLimits: h2flood.Limits{Resets: settings.Resets, Controls: settings.Controls, Pieces: settings.Pieces},
+			FloodLimits: h2flood.Limits{
+				ResetsPerSecond: settings.Resets, ControlFramesPerSecond: settings.Controls,
+				ContinuationsPerBlock: settings.Pieces,
+			},
 		})
 	}
 	return s, nil
--- a/internal/app/streams.go
+++ b/internal/app/streams.go
@@ -48,7 +48,7 @@
 	t.entry = s.table.Open(s.clock.Now(), uint64(a.From.Endpoint), l, abort)
 	// The engine learns of a drain before drain is called, so that one of the two applies it.
 	if since, draining := a.From.DrainingSince(); draining {
-		s.table.Drain(since, uint64(a.From.Endpoint))
+		s.table.DrainEndpoint(since, uint64(a.From.Endpoint))
 	}
 	s.resetTimer()
 }
@@ -65,14 +65,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range endpoints {
-		s.table.Drain(since, uint64(id))
+		s.table.DrainEndpoint(since, uint64(id))
 	}
 	s.resetTimer()
 }
 
 // resetTimer sets the timer to the next timeout; s.mu is locked.
 func (s *streams) resetTimer() {
-	if at, ok := s.table.Next(); ok {
+	if at, ok := s.table.NextDue(); ok {
 		s.timer.Reset(max(0, at-s.clock.Now()))
 	} else {
 		s.timer.Stop()
@@ -85,7 +85,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for now := s.clock.Now(); ; {
-		due, _ := s.table.Due(now)
+		due, _ := s.table.PopDue(now)
 		if due == nil {
 			break
 		}
--- a/internal/downstream/h2server/guardedconn.go
+++ b/internal/downstream/h2server/guardedconn.go
@@ -43,7 +43,7 @@
 	now := g.server.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.flooded || g.noteFlood(g.guard.Read(now, p[:n])) {
+	if g.flooded || g.noteFlood(g.guard.Received(now, p[:n])) {
 		return 0, http2.ConnectionError(http2.ErrCodeEnhanceYourCalm)
 	}
 	return n, err
@@ -57,7 +57,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.flooded {
-		g.noteFlood(g.guard.Wrote(now, p[:n]))
+		g.noteFlood(g.guard.Sent(now, p[:n]))
 	}
 	return n, err
 }
--- a/internal/h2flood/h2flood.go
+++ b/internal/h2flood/h2flood.go
@@ -16,25 +16,25 @@
 // Limits of a connection; what is 0 is not limited. A rate may be passed for Burst: what a usual
 // client does at once (a page that is left resets all of its streams) is no flood.
 type Limits struct {
-	// Resets is how many RST_STREAM frames a second may pass, either way: a client that has the
+	// ResetsPerSecond is how many RST_STREAM frames a second may pass, either way: a client that has the
 	// server reset its streams does no better. Those with NO_ERROR are an early answer's end
 	// (RFC 9113, 8.1) and don't count.
-	Resets int
-	// Controls is how many frames a second a client may send that carry no request: PING,
+	ResetsPerSecond int
+	// ControlFramesPerSecond is how many frames a second a client may send that carry no request: PING,
 	// SETTINGS, PRIORITY, unknown ones, DATA with nothing in it, and WINDOW_UPDATE beyond one
 	// for each UpdateBytes that it was sent.
-	Controls int
-	// Pieces is how many CONTINUATION frames a block of fields may have.
-	Pieces int
+	ControlFramesPerSecond int
+	// ContinuationsPerBlock is how many CONTINUATION frames a block of fields may have.
+	ContinuationsPerBlock int
 }
 
 const (
-	// Burst is for how long a rate's worth may come at once.
-	Burst = 5 * time.Second
-	// UpdateBytes is how many bytes sent to a client allow it one WINDOW_UPDATE.
-	UpdateBytes = 256
-	// Preface is how many bytes a client sends ahead of its first frame (RFC 9113, 3.4).
-	Preface = 24
+	// BurstWindow is for how long a rate's worth may come at once.
+	BurstWindow = 5 * time.Second
+	// bytesPerWindowUpdate is how many bytes sent to a client allow it one WINDOW_UPDATE.
+	bytesPerWindowUpdate = 256
+	// prefaceBytes is how many bytes a client sends ahead of its first frame (RFC 9113, 3.4).
+	prefaceBytes = 24
 )
 
 // Flood is a limit that a connection has passed.
@@ -59,120 +59,120 @@
 	continuation
 )
 
-const headLen = 9 // of a frame
+const frameHeaderBytes = 9 // of a frame
 
 // Guard follows one connection, both ways. It is not for concurrent use.
 type Guard struct {
-	limits   Limits
-	in, out  frames
-	resets   bucket
-	controls bucket
-	pieces   int
-	sent     int // bytes sent that have not yet allowed a WINDOW_UPDATE
+	limits         Limits
+	received, sent frameScanner
+	resets         tokenBucket
+	controls       tokenBucket
+	continuations  int
+	updateCredit   int // bytes sent that have not yet allowed a WINDOW_UPDATE
 }
 
 // New follows a connection from its start; after: the client's preface has been read already.
 func New(l Limits, now time.Duration, after bool) *Guard {
-	g := &Guard{limits: l, resets: newBucket(l.Resets, now), controls: newBucket(l.Controls, now)}
+	g := &Guard{limits: l, resets: newTokenBucket(l.ResetsPerSecond, now), controls: newTokenBucket(l.ControlFramesPerSecond, now)}
 	if !after {
-		g.in.skip = Preface
+		g.received.skip = prefaceBytes
 	}
 	return g
 }
 
-// Read takes bytes that came from the client. An error is a *Flood: nothing of the connection is
+// Received takes bytes that came from the client. An error is a *Flood: nothing of the connection is
 // to be served any more.
-func (g *Guard) Read(now time.Duration, p []byte) error {
-	return g.in.take(p, func(h *head) error {
+func (g *Guard) Received(now time.Duration, p []byte) error {
+	return g.received.scan(p, func(h *frame) error {
 		switch h.kind {
 		case headers:
-			g.pieces = 0
+			g.continuations = 0
 		case continuation:
-			if g.pieces++; g.limits.Pieces > 0 && g.pieces > g.limits.Pieces {
-				return &Flood{"CONTINUATION frames in a block", g.limits.Pieces}
+			if g.continuations++; g.limits.ContinuationsPerBlock > 0 && g.continuations > g.limits.ContinuationsPerBlock {
+				return &Flood{"CONTINUATION frames in a block", g.limits.ContinuationsPerBlock}
 			}
 		case data:
 			if h.length == 0 && h.flags&1 == 0 { // END_STREAM has a meaning of its own
-				return g.control(now)
+				return g.countControlFrame(now)
 			}
 		case windowUpdate:
-			if g.sent >= UpdateBytes {
-				g.sent -= UpdateBytes
+			if g.updateCredit >= bytesPerWindowUpdate {
+				g.updateCredit -= bytesPerWindowUpdate
 				return nil
 			}
-			return g.control(now)
+			return g.countControlFrame(now)
 		case rstStream:
-			return g.reset(now, h)
+			return g.countReset(now, h)
 		case settings, ping:
 			if h.flags&1 != 0 { // ACK: there is one for each of the server's
 				return nil
 			}
-			return g.control(now)
+			return g.countControlFrame(now)
 		default:
-			return g.control(now)
+			return g.countControlFrame(now)
 		}
 		return nil
 	})
 }
 
-// Wrote takes bytes that went to the client.
-func (g *Guard) Wrote(now time.Duration, p []byte) error {
-	if g.sent < 1<<30 {
-		g.sent += len(p)
+// Sent takes bytes that went to the client.
+func (g *Guard) Sent(now time.Duration, p []byte) error {
+	if g.updateCredit < 1<<30 {
+		g.updateCredit += len(p)
 	}
-	return g.out.take(p, func(h *head) error {
+	return g.sent.scan(p, func(h *frame) error {
 		if h.kind == rstStream {
-			return g.reset(now, h)
+			return g.countReset(now, h)
 		}
 		return nil
 	})
 }
 
-func (g *Guard) reset(now time.Duration, h *head) error {
-	if h.length == 4 && h.first == 0 || g.limits.Resets == 0 || g.resets.take(now) {
+func (g *Guard) countReset(now time.Duration, h *frame) error {
+	if h.length == 4 && h.errorCode == 0 || g.limits.ResetsPerSecond == 0 || g.resets.take(now) {
 		return nil
 	}
-	return &Flood{"RST_STREAM frames a second", g.limits.Resets}
+	return &Flood{"RST_STREAM frames a second", g.limits.ResetsPerSecond}
 }
 
-func (g *Guard) control(now time.Duration) error {
-	if g.limits.Controls == 0 || g.controls.take(now) {
+func (g *Guard) countControlFrame(now time.Duration) error {
+	if g.limits.ControlFramesPerSecond == 0 || g.controls.take(now) {
 		return nil
 	}
-	return &Flood{"control frames a second", g.limits.Controls}
+	return &Flood{"control frames a second", g.limits.ControlFramesPerSecond}
 }
 
-// head is a frame's header and the first four bytes behind it.
-type head struct {
-	length int
-	kind   byte
-	flags  byte
-	first  uint32
+// frame is a frame's header and the first four bytes behind it.
+type frame struct {
+	length    int
+	kind      byte
+	flags     byte
+	errorCode uint32
 }
 
-// frames finds the frames of one direction.
-type frames struct {
-	skip int // bytes until the next frame's header
-	part [headLen + 4]byte
-	have int // of part
+// frameScanner finds the frameScanner of one direction.
+type frameScanner struct {
+	skip     int // bytes until the next frame's header
+	buffer   [frameHeaderBytes + 4]byte
+	buffered int // of part
 }
 
-// take tells of each frame once its header, and of an RST_STREAM its code, has come.
-func (f *frames) take(p []byte, tell func(*head) error) error {
+// scan tells of each frame once its header, and of an RST_STREAM its code, has come.
+func (f *frameScanner) scan(p []byte, tell func(*frame) error) error {
 	for len(p) > 0 {
 		if f.skip > 0 {
 			n := min(f.skip, len(p))
 			f.skip, p = f.skip-n, p[n:]
 			continue
 		}
-		n := copy(f.part[f.have:f.want()], p)
-		f.have, p = f.have+n, p[n:]
-		if f.have < headLen || f.have < f.want() {
+		n := copy(f.buffer[f.buffered:f.needed()], p)
+		f.buffered, p = f.buffered+n, p[n:]
+		if f.buffered < frameHeaderBytes || f.buffered < f.needed() {
 			continue
 		}
-		h := head{length: f.length(), kind: f.part[3], flags: f.part[4], first: binary.BigEndian.Uint32(f.part[headLen:])}
-		f.skip = headLen + h.length - f.have
-		f.have = 0
+		h := frame{length: f.length(), kind: f.buffer[3], flags: f.buffer[4], errorCode: binary.BigEndian.Uint32(f.buffer[frameHeaderBytes:])}
+		f.skip = frameHeaderBytes + h.length - f.buffered
+		f.buffered = 0
 		if err := tell(&h); err != nil {
 			return err
 		}
@@ -180,34 +180,36 @@
 	return nil
 }
 
-func (f *frames) length() int { return int(f.part[0])<<16 | int(f.part[1])<<8 | int(f.part[2]) }
+func (f *frameScanner) length() int {
+	return int(f.buffer[0])<<16 | int(f.buffer[1])<<8 | int(f.buffer[2])
+}
 
-// want is how many bytes of the frame have to be there; the header's until it has come.
-func (f *frames) want() int {
-	if f.have >= headLen && f.part[3] == rstStream && f.length() >= 4 {
-		return headLen + 4
+// needed is how many bytes of the frame have to be there; the header's until it has come.
+func (f *frameScanner) needed() int {
+	if f.buffered >= frameHeaderBytes && f.buffer[3] == rstStream && f.length() >= 4 {
+		return frameHeaderBytes + 4
 	}
-	return headLen
+	return frameHeaderBytes
 }
 
-// bucket lets through a rate, and Burst's worth of it at once.
-type bucket struct {
-	rate, left float64 // a second
-	at         time.Duration
+// tokenBucket lets through a rate, and Burst's worth of it at once.
+type tokenBucket struct {
+	rate, tokens float64 // a second
+	refilledAt   time.Duration
 }
 
-func newBucket(rate int, now time.Duration) bucket {
-	return bucket{rate: float64(rate), left: float64(rate) * Burst.Seconds(), at: now}
+func newTokenBucket(rate int, now time.Duration) tokenBucket {
+	return tokenBucket{rate: float64(rate), tokens: float64(rate) * BurstWindow.Seconds(), refilledAt: now}
 }
 
-func (b *bucket) take(now time.Duration) bool {
-	if now > b.at {
-		b.left = min(b.rate*Burst.Seconds(), b.left+b.rate*(now-b.at).Seconds())
-		b.at = now
+func (b *tokenBucket) take(now time.Duration) bool {
+	if now > b.refilledAt {
+		b.tokens = min(b.rate*BurstWindow.Seconds(), b.tokens+b.rate*(now-b.refilledAt).Seconds())
+		b.refilledAt = now
 	}
-	if b.left < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/internal/h2flood/h2flood_test.go
+++ b/internal/h2flood/h2flood_test.go
@@ -14,8 +14,8 @@
 // come in; a client that stays under its rates is never one.
 func TestFloods(t *testing.T) {
 	const rate = 10
-	limits := Limits{Resets: rate, Controls: rate, Pieces: 4}
-	burst := int(Burst.Seconds()) * rate
+	limits := Limits{ResetsPerSecond: rate, ControlFramesPerSecond: rate, ContinuationsPerBlock: 4}
+	burst := int(BurstWindow.Seconds()) * rate
 	for _, tc := range []struct {
 		name  string
 		allow int // frames at one go
@@ -47,12 +47,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
 			g := New(limits, 0, false)
-			if err := g.Read(0, []byte(http2.ClientPreface)); err != nil {
+			if err := g.Received(0, []byte(http2.ClientPreface)); err != nil {
 				t.Fatal(err)
 			}
-			side := g.Read
+			side := g.Received
 			if tc.out {
-				side = g.Wrote
+				side = g.Sent
 			}
 			send := func(now time.Duration, i int) error {
 				var b bytes.Buffer
@@ -93,12 +93,12 @@
 
 // What was sent allows window updates for it.
 func TestUpdatesForWhatWasSent(t *testing.T) {
-	g := New(Limits{Controls: 1}, 0, true)
+	g := New(Limits{ControlFramesPerSecond: 1}, 0, true)
 	var b, answer bytes.Buffer
 	http2.NewFramer(&b, nil).WriteWindowUpdate(1, 16384)
 	http2.NewFramer(&answer, nil).WriteData(1, false, make([]byte, 16384))
 	for i := range 10_000 {
-		if g.Wrote(0, answer.Bytes()) != nil || g.Read(0, b.Bytes()) != nil {
+		if g.Sent(0, answer.Bytes()) != nil || g.Received(0, b.Bytes()) != nil {
 			t.Fatalf("a client that reads is taken for a flood at update %d", i)
 		}
 	}
@@ -110,15 +110,15 @@
 	f.Add([]byte("\x00\x00\x02\x03\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x06"), uint8(3))
 	f.Fuzz(func(t *testing.T, text []byte, step uint8) {
 		count := func(step int) (floods int, skip, have int) {
-			g := New(Limits{Resets: 1, Controls: 1, Pieces: 1}, 0, true)
+			g := New(Limits{ResetsPerSecond: 1, ControlFramesPerSecond: 1, ContinuationsPerBlock: 1}, 0, true)
 			for left := text; len(left) > 0; {
 				n := min(step, len(left))
-				if g.Read(0, left[:n]) != nil {
+				if g.Received(0, left[:n]) != nil {
 					return 1, 0, 0
 				}
 				left = left[n:]
 			}
-			return 0, g.in.skip, g.in.have
+			return 0, g.received.skip, g.received.buffered
 		}
 		a, b, c := count(len(text) + 1)
 		if x, y, z := count(int(step) + 1); a != x || b != y || c != z {
--- a/internal/streamtimeout/streamtimeout_test.go
+++ b/internal/streamtimeout/streamtimeout_test.go
@@ -20,9 +20,9 @@
 		table, now := New(), time.Duration(1)
 		due := func(e *entry) (time.Duration, Cause) {
 			if e.drains > 0 && (e.whole == 0 || e.drains < e.whole) {
-				return e.drains, Moved
+				return e.drains, EndpointDrained
 			}
-			return e.whole, Expired
+			return e.whole, MaxDurationExceeded
 		}
 		drop := func(i int) { open = append(open[:i], open[i+1:]...) }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -30,15 +30,15 @@
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				l := Limits{time.Duration(rapid.IntRange(0, 9).Draw(t, "whole")), time.Duration(rapid.IntRange(0, 9).Draw(t, "drain"))}
-				e := &entry{server: uint64(rapid.IntRange(0, 2).Draw(t, "server")), limit: l.Drain}
-				if l.Whole > 0 {
-					e.whole = now + l.Whole
+				e := &entry{server: uint64(rapid.IntRange(0, 2).Draw(t, "server")), limit: l.DrainTimeout}
+				if l.MaxDuration > 0 {
+					e.whole = now + l.MaxDuration
 				}
 				e.s = table.Open(now, e.server, l, e)
 				open = append(open, e)
 			case 2:
 				server := uint64(rapid.IntRange(0, 2).Draw(t, "server"))
-				table.Drain(now, server)
+				table.DrainEndpoint(now, server)
 				for _, e := range open {
 					if e.server == server && e.limit > 0 && (e.drains == 0 || now+e.limit < e.drains) {
 						e.drains = now + e.limit
@@ -53,7 +53,7 @@
 				}
 			case 4:
 				for {
-					s, why := table.Due(now)
+					s, why := table.PopDue(now)
 					if s == nil {
 						break
 					}
@@ -80,14 +80,14 @@
 					first = at
 				}
 			}
-			if next, ok := table.Next(); ok != (first > 0) || ok && next != first || table.Len() != len(open) {
+			if next, ok := table.NextDue(); ok != (first > 0) || ok && next != first || table.Len() != len(open) {
 				t.Fatalf("next at %d %v, %d open; want %d, %d", next, ok, table.Len(), first, len(open))
 			}
 		}
 		for _, e := range open {
 			table.Close(e.s)
 		}
-		if len(table.servers) != 0 || len(table.due) != 0 {
+		if len(table.byEndpoint) != 0 || len(table.dueHeap) != 0 {
 			t.Fatal("something of closed streams is kept")
 		}
 	})
