--- a/internal/h2flood/h2flood_test.go
+++ b/internal/h2flood/guard_test.go
@@ -10,20 +10,22 @@
 	"golang.org/x/net/http2"
 )
 
-// Each kind of flood is found at its limit and not one frame before, whatever parts its bytes
-// come in; a client that stays under its rates is never one.
+// TestFloods: each kind of flood is found at its limit and not one frame before, whatever parts its bytes come in; a
+// client at its rates never is one.
 func TestFloods(t *testing.T) {
 	const rate = 10
 	limits := Limits{ResetsPerSecond: rate, ControlFramesPerSecond: rate, ContinuationsPerBlock: 4}
 	burst := int(BurstWindow.Seconds()) * rate
 	for _, tc := range []struct {
 		name  string
-		allow int // frames at one go
-		out   bool
+		allow int  // frames that pass at once; -1: any number
+		out   bool // they are sent to the client
 		frame func(f *http2.Framer, i int)
 	}{
 		{"resets", burst, false, func(f *http2.Framer, i int) { f.WriteRSTStream(uint32(2*i+1), http2.ErrCodeCancel) }},
-		{"resets that the server is led to", burst, true, func(f *http2.Framer, i int) { f.WriteRSTStream(uint32(2*i+1), http2.ErrCodeProtocol) }},
+		{"resets by the server", burst, true, func(f *http2.Framer, i int) {
+			f.WriteRSTStream(uint32(2*i+1), http2.ErrCodeProtocol)
+		}},
 		{"early answers", -1, true, func(f *http2.Framer, i int) { f.WriteRSTStream(uint32(2*i+1), http2.ErrCodeNo) }},
 		{"pings", burst, false, func(f *http2.Framer, _ int) { f.WritePing(false, [8]byte{}) }},
 		{"answers to pings", -1, false, func(f *http2.Framer, _ int) { f.WritePing(true, [8]byte{}) }},
@@ -50,9 +52,9 @@
 			if err := g.Received(0, []byte(http2.ClientPreface)); err != nil {
 				t.Fatal(err)
 			}
-			side := g.Received
+			count := g.Received
 			if tc.out {
-				side = g.Sent
+				count = g.Sent
 			}
 			send := func(now time.Duration, i int) error {
 				var b bytes.Buffer
@@ -60,7 +62,7 @@
 				f.AllowIllegalWrites = true
 				tc.frame(f, i)
 				for b.Len() > 0 {
-					if err := side(now, b.Next(1+rng.IntN(20))); err != nil {
+					if err := count(now, b.Next(1+rng.IntN(20))); err != nil {
 						return err
 					}
 				}
@@ -91,20 +93,20 @@
 	}
 }
 
-// What was sent allows window updates for it.
-func TestUpdatesForWhatWasSent(t *testing.T) {
+// TestWindowUpdatesForSentBytes: bytes that were sent allow window updates for them.
+func TestWindowUpdatesForSentBytes(t *testing.T) {
 	g := New(Limits{ControlFramesPerSecond: 1}, 0, true)
 	var b, answer bytes.Buffer
 	http2.NewFramer(&b, nil).WriteWindowUpdate(1, 16384)
 	http2.NewFramer(&answer, nil).WriteData(1, false, make([]byte, 16384))
 	for i := range 10_000 {
 		if g.Sent(0, answer.Bytes()) != nil || g.Received(0, b.Bytes()) != nil {
-			t.Fatalf("a client that reads is taken for a flood at update %d", i)
+			t.Fatalf("update %d of a client that reads is taken for a flood", i)
 		}
 	}
 }
 
-// FuzzGuard: whatever bytes come in whatever parts, the guard finds the same frames.
+// FuzzGuard: whatever parts bytes come in, the guard finds the same frames.
 func FuzzGuard(f *testing.F) {
 	f.Add([]byte("\x00\x00\x04\x03\x00\x00\x00\x00\x01\x00\x00\x00\x08"), uint8(1))
 	f.Add([]byte("\x00\x00\x02\x03\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x06"), uint8(3))
