--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -87,11 +87,12 @@
 
 // newListenerServer returns a server by a listener's settings.
 func (a *App) newListenerServer(settings config.Listener) (*listenerServer, error) {
-	trust, err := forwarded.ParseTrust(strings.Fields(settings.Trust))
+	trust, err := forwarded.ParseTrustedProxies(strings.Fields(settings.Trust))
 	if err != nil {
 		return nil, err
 	}
-	s := &listenerServer{app: a, settings: settings, rules: &forwarded.Rules{Trust: trust, Standard: settings.Forwarded}}
+	rules := &forwarded.Rules{TrustedProxies: trust, WriteForwarded: settings.Forwarded}
+	s := &listenerServer{app: a, settings: settings, rules: rules}
 	o := h1server.Options{
 		Clock: a.clock, Log: a.Log, MaxBodyBytes: settings.MaxBody, ForwardedHeaders: s.rules,
 		MaxHeaderBytes: settings.MaxHead, StallTimeout: settings.Stall,
@@ -169,7 +170,7 @@
 	return &proxyproto.Listener{
 		Listener: l, ReadHeaderTimeout: proxyHeaderTimeout,
 		ConnPolicy: func(o proxyproto.ConnPolicyOptions) (proxyproto.Policy, error) {
-			switch trusted := rules.Trusts(forwarded.Addr(o.Upstream.String())); {
+			switch trusted := rules.Trusts(forwarded.ParseAddr(o.Upstream.String())); {
 			case trusted && required:
 				return proxyproto.REQUIRE, nil
 			case trusted:
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -151,7 +151,7 @@
 }
 
 func (l *Listener) checkTrust(f *listenerFile, table string, i int, report reporter) {
-	if _, err := forwarded.ParseTrust(f.Trust); err != nil {
+	if _, err := forwarded.ParseTrustedProxies(f.Trust); err != nil {
 		report(table, i, "trust", "%v", err)
 	}
 	if l.Proxy != "" && l.Proxy != "optional" && l.Proxy != "required" {
--- a/internal/forwarded/forwarded.go
+++ b/internal/forwarded/forwarded.go
@@ -19,15 +19,15 @@
 
 // Rules are what an operator says of the way to the program. The zero value trusts nobody.
 type Rules struct {
-	// Trust are the networks of proxies in front; nil: none.
-	Trust *netipx.IPSet
-	// Standard has Forwarded be written too.
-	Standard bool
+	// TrustedProxies are the networks of proxies in front; nil: none.
+	TrustedProxies *netipx.IPSet
+	// WriteForwarded has Forwarded be written too.
+	WriteForwarded bool
 }
 
-// ParseTrust reads networks ("10.0.0.0/8"), addresses and ranges ("10.0.0.1-10.0.0.9").
+// ParseTrustedProxies reads networks ("10.0.0.0/8"), addresses and ranges ("10.0.0.1-10.0.0.9").
 // An error names the first that is none.
-func ParseTrust(list []string) (*netipx.IPSet, error) {
+func ParseTrustedProxies(list []string) (*netipx.IPSet, error) {
 	if len(list) == 0 {
 		return nil, nil
 	}
@@ -51,20 +51,20 @@
 
 // Trusts tells whether an address is one of a proxy in front.
 func (r *Rules) Trusts(a netip.Addr) bool {
-	return r.Trust != nil && a.IsValid() && r.Trust.Contains(a.Unmap())
+	return r.TrustedProxies != nil && a.IsValid() && r.TrustedProxies.Contains(a.Unmap())
 }
 
-var errHops = errors.New("X-Forwarded-For names too many hops")
+var errTooManyHops = errors.New("X-Forwarded-For names too many hops")
 
-// told are the fields in which proxies tell of the way.
-var told = []string{
+// untrustedFields are the fields in which proxies tell of the way.
+var untrustedFields = []string{
 	"Forwarded", "X-Forwarded-For", "X-Forwarded-Host", "X-Forwarded-Port", "X-Forwarded-Proto", "X-Real-Ip",
 	"X-Client-Ip", "True-Client-Ip", "X-Envoy-External-Address", "X-Envoy-Original-Path", "X-Original-Url", "X-Rewrite-Url",
 }
 
 // Apply writes a request's fields anew for whoever is next. r.RemoteAddr is the peer.
 func (r *Rules) Apply(q *http.Request) error {
-	peer := Addr(q.RemoteAddr)
+	peer := ParseAddr(q.RemoteAddr)
 	scheme := "http"
 	if q.TLS != nil {
 		scheme = "https"
@@ -72,13 +72,13 @@
 	h := q.Header
 	trusted := r.Trusts(peer)
 	if !trusted {
-		for _, name := range told {
+		for _, name := range untrustedFields {
 			delete(h, name)
 		}
 	}
 	way := strings.Join(h["X-Forwarded-For"], ", ")
 	if strings.Count(way, ",") >= MaxHops {
-		return errHops
+		return errTooManyHops
 	}
 	if !peer.IsValid() { // a test's, or a socket without addresses
 		return nil
@@ -93,8 +93,8 @@
 	if len(h["X-Forwarded-Host"]) != 1 {
 		h["X-Forwarded-Host"] = []string{q.Host}
 	}
-	if r.Standard {
-		element := "for=" + node(peer) + ";host=" + quoted(q.Host) + ";proto=" + scheme
+	if r.WriteForwarded {
+		element := "for=" + formatNode(peer) + ";host=" + quote(q.Host) + ";proto=" + scheme
 		if before := strings.Join(h["Forwarded"], ", "); before != "" {
 			element = before + ", " + element
 		}
@@ -106,7 +106,7 @@
 // Client gives the address of the client itself: the last on its way that is no trusted
 // proxy's (counted from here), the peer's where the way says nothing.
 func (r *Rules) Client(q *http.Request) netip.Addr {
-	at := Addr(q.RemoteAddr)
+	at := ParseAddr(q.RemoteAddr)
 	way := strings.Split(strings.Join(q.Header["X-Forwarded-For"], ","), ",")
 	for i := len(way) - 1; i >= 0 && r.Trusts(at); i-- {
 		a, err := netip.ParseAddr(strings.TrimSpace(way[i]))
@@ -118,8 +118,8 @@
 	return at
 }
 
-// Addr reads the address of host:port; the zero Addr where there is none.
-func Addr(hostport string) netip.Addr {
+// ParseAddr reads the address of host:port; the zero ParseAddr where there is none.
+func ParseAddr(hostport string) netip.Addr {
 	a, err := netip.ParseAddrPort(hostport)
 	if err != nil {
 		return netip.Addr{}
@@ -127,14 +127,14 @@
 	return a.Addr().Unmap().WithZone("")
 }
 
-// node writes an address as RFC 7239, section 6 has it.
-func node(a netip.Addr) string {
+// formatNode writes an address as RFC 7239, section 6 has it.
+func formatNode(a netip.Addr) string {
 	if a.Is6() {
 		return `"[` + a.String() + `]"`
 	}
 	return a.String()
 }
 
-func quoted(s string) string {
+func quote(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
--- a/internal/forwarded/forwarded_test.go
+++ b/internal/forwarded/forwarded_test.go
@@ -26,11 +26,11 @@
 			"Forwarded": {`for="[2001:db8::1]";host="a";proto=http`}}, "2001:db8::1"},
 		{"IPv4 within IPv6", "10.0.0.0/8", "[::ffff:10.0.0.1]:5", http.Header{"X-Forwarded-For": {"192.0.2.1"}}, http.Header{"X-Forwarded-For": {"192.0.2.1, 10.0.0.1"}}, "192.0.2.1"},
 	} {
-		trust, err := ParseTrust(strings.Fields(tc.trust))
+		trust, err := ParseTrustedProxies(strings.Fields(tc.trust))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &Rules{Trust: trust, Standard: true}
+		r := &Rules{TrustedProxies: trust, WriteForwarded: true}
 		q := &http.Request{RemoteAddr: tc.peer, Host: "a", Header: tc.in.Clone()}
 		if got := r.Client(&http.Request{RemoteAddr: tc.peer, Header: tc.in}).String(); got != tc.client {
 			t.Errorf("%s: the client is %s, want %s", tc.name, got, tc.client)
@@ -45,12 +45,12 @@
 		}
 	}
 	many := &http.Request{RemoteAddr: "10.0.0.1:5", Header: http.Header{"X-Forwarded-For": {strings.Repeat("1.1.1.1,", MaxHops)}}}
-	trust, _ := ParseTrust([]string{"10.0.0.1"})
-	if err := (&Rules{Trust: trust}).Apply(many); err == nil {
+	trust, _ := ParseTrustedProxies([]string{"10.0.0.1"})
+	if err := (&Rules{TrustedProxies: trust}).Apply(many); err == nil {
 		t.Error("no bound on hops")
 	}
 	for _, bad := range []string{"10.0.0.1/8", "x", "10.0.0.9-10.0.0.1", ""} {
-		if _, err := ParseTrust([]string{bad}); err == nil || !strings.Contains(err.Error(), bad) {
+		if _, err := ParseTrustedProxies([]string{bad}); err == nil || !strings.Contains(err.Error(), bad) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
