--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -76,7 +76,7 @@
 		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
 		StreamLimits: h1client.StreamLimits{StallTimeout: c.Progress, MaxDuration: c.Stream, DrainTimeout: c.Drain},
 		MaxAttempts:  r.MaxAttempts, PerTryTimeout: r.PerTryTimeout, TenantsByCertificate: s.tenants.byCertificate,
-		PickEndpoint: r.Processor == "pick" || r.Processor == "" && s.program.ExtProc.Pick,
+		PickEndpoint: r.Processor == route.ProcessorPick || r.Processor == "" && s.program.ExtProc.Pick,
 	}
 	if e := r.RequestEdits; e != nil {
 		out.RequestEdits = e
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -128,7 +128,7 @@
 func (r *routeReader) read(p *Program) route.Route {
 	in := r.in
 	r.out = route.Route{Name: in.Name, Methods: in.Methods, Class: in.Class, Processor: in.Process}
-	if in.Process != "" && in.Process != "carry" && in.Process != "pick" {
+	if in.Process != "" && in.Process != route.ProcessorForward && in.Process != route.ProcessorPick {
 		r.problem("processor", "%q is none of carry, pick", in.Process)
 	}
 	r.readPath()
--- a/internal/h2flood/framescanner.go
+++ b/internal/h2flood/framescanner.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// The types of frames that are told apart (RFC 9113, 6).
+// The types of frames that are distinguished (RFC 9113, 6).
 const (
 	data         = 0x0
 	headers      = 0x1
--- a/internal/priority/shares.go
+++ b/internal/priority/shares.go
@@ -14,9 +14,9 @@
 // Shares returns the part of the requests that each tier gets, which add up to 1, or nil if no tier can serve any. now
 // is the time since the Unix epoch.
 //
-// As in Envoy (priority levels, degraded endpoints), the capacity of a tier is its healthy part times the
-// overprovisioning factor, 1 at most; what exceeds it is left to the next tier. Where all capacities add up to less than
-// 1, all tiers get more than theirs, in proportion.
+// As in Envoy (priority levels, degraded endpoints), the capacity of a tier is its part of the priority's endpoints
+// times the overprovisioning factor, 1 at most; what exceeds it is left to the next tier. Where all capacities add up
+// to less than 1, all tiers get more than theirs, in proportion.
 func (p *Plan) Shares(now time.Duration) []float64 {
 	if last := p.lastShares.Load(); last != nil && now >= last.calculatedAt && now-last.calculatedAt < sharesLifetime {
 		return last.shares
--- a/internal/route/directresponse.go
+++ b/internal/route/directresponse.go
@@ -10,7 +10,7 @@
 type DirectResponse struct {
 	Status   int
 	Body     string
-	Redirect bool // the fields below hold
+	Redirect bool // the response is a redirect, by the fields below
 	// Scheme, Host, Path, Prefix and Port replace parts of the request's URL; "" and 0 leave a part as it is. Prefix
 	// replaces what a PathPrefix route has matched, unless there is a Path.
 	Scheme, Host, Path, Prefix string
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -29,11 +29,9 @@
 	Headers []HeaderMatcher // all of them
 	// Clusters share the requests by a stable hash. Without a weight above 0, a single cluster gets all requests and
 	// several are an error.
-	Clusters []WeightedCluster
-	Class    string
-	// Processor is how a calling proxy is served: "carry" forwards its request, "pick" names the endpoint; "" is the
-	// program's setting.
-	Processor string
+	Clusters  []WeightedCluster
+	Class     string
+	Processor string // ProcessorForward or ProcessorPick; "": the program's setting
 	// Timeout, MaxAttempts and PerTryTimeout limit the cluster's decisions (route.v3.RouteAction).
 	Timeout       time.Duration // of the whole request; 0: the class's deadline
 	MaxAttempts   int           // 1 or more; 0: the program's limit
@@ -55,6 +53,12 @@
 	PathRegex                    // it matches the complete path of the request, RE2 syntax (safe_regex)
 )
 
+// How a calling proxy is served, by the values of the setting.
+const (
+	ProcessorForward = "carry" // its request is forwarded
+	ProcessorPick    = "pick"  // it gets the endpoint's address and sends the request itself
+)
+
 // WeightedCluster is a cluster with its part of a route's requests.
 type WeightedCluster struct {
 	Cluster string
--- a/internal/route/weighted.go
+++ b/internal/route/weighted.go
@@ -33,7 +33,7 @@
 	return name
 }
 
-// clusterSeed returns what tells a cluster's draws from those of others.
+// clusterSeed returns a number by which a cluster's draws differ from those of others.
 func clusterSeed(name string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, name)
