--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -49,14 +49,14 @@
 		return route.Match{}, s.unavailable("no routes are known yet")
 	}
 	q := route.Request{Host: r.Host, Path: r.URL.Path, Method: r.Method, Header: r.Header}
-	if s.program.Table.Weighted() {
+	if s.program.Table.NeedsHash() {
 		q.Hash = affinityHash(r)
 	}
 	m, ok := s.program.Table.Lookup(&q)
 	if !ok {
-		return route.Match{}, &ingress.Rejection{Status: http.StatusNotFound, Text: "no route"}
+		return route.Match{}, &ingress.Rejection{Status: http.StatusNotFound, Message: "no route"}
 	}
-	if m.Route.Answer != nil {
+	if m.Route.DirectResponse != nil {
 		return route.Match{}, directResponse(m.Route, r)
 	}
 	return m, nil
@@ -65,24 +65,24 @@
 // unavailable rejects a request that may be retried later.
 func (s *state) unavailable(reason string) *ingress.Rejection {
 	return &ingress.Rejection{
-		Status: http.StatusServiceUnavailable, Text: reason, RetryAfter: s.program.Limits.MaxRetryAfter,
+		Status: http.StatusServiceUnavailable, Message: reason, RetryAfter: s.program.Limits.MaxRetryAfter,
 	}
 }
 
 // destination returns what a route and a class say of a request; the caller sets Cluster and Class.
 func (s *state) destination(r *route.Route, c *config.Class) ingress.Destination {
 	out := ingress.Destination{
-		Effect: c.Idempotency, Window: c.DedupWindow, Deadline: requestDeadline(r, c),
+		Idempotency: c.Idempotency, DedupWindow: c.DedupWindow, Deadline: requestDeadline(r, c),
 		Tenants: s.tenants.byName, MaxRetryAfter: s.program.Limits.MaxRetryAfter,
-		Streams:     h1client.StreamLimits{StallTimeout: c.Progress, MaxDuration: c.Stream, DrainTimeout: c.Drain},
-		MaxAttempts: r.MaxAttempts, PerTry: r.PerTry, Certified: s.tenants.byCertificate,
-		Pick: r.Processor == "pick" || r.Processor == "" && s.program.ExtProc.Pick,
+		StreamLimits: h1client.StreamLimits{StallTimeout: c.Progress, MaxDuration: c.Stream, DrainTimeout: c.Drain},
+		MaxAttempts:  r.MaxAttempts, PerTryTimeout: r.PerTryTimeout, TenantsByCertificate: s.tenants.byCertificate,
+		PickEndpoint: r.Processor == route.ProcessorPick || r.Processor == "" && s.program.ExtProc.Pick,
 	}
-	if e := r.Request; e != nil {
-		out.Request = e
+	if e := r.RequestEdits; e != nil {
+		out.RequestEdits = e
 	}
-	if e := r.Response; e != nil {
-		out.Response = e
+	if e := r.ResponseEdits; e != nil {
+		out.ResponseEdits = e
 	}
 	return out
 }
@@ -109,16 +109,16 @@
 // Route implements ingress.Router.
 func (r dedupRouter) Route(q *http.Request) (ingress.Destination, error) {
 	to, err := r.App.Route(q)
-	if err == nil && to.Effect == policy.IdempotentByKey {
-		to.Cluster = r.dedup.Cluster(to.Cluster, to.Window, to.MaxRetryAfter)
+	if err == nil && to.Idempotency == policy.IdempotentByKey {
+		to.Cluster = r.dedup.Cluster(to.Cluster, to.DedupWindow, to.MaxRetryAfter)
 	}
 	return to, err
 }
 
 // directResponse returns a route's own response.
 func directResponse(r *route.Route, q *http.Request) *ingress.Rejection {
-	a := r.Answer
-	out := &ingress.Rejection{Status: a.Status, Text: a.Text}
+	a := r.DirectResponse
+	out := &ingress.Rejection{Status: a.Status, Message: a.Body}
 	if a.Redirect {
 		scheme := "http"
 		if q.TLS != nil {
