--- /dev/null
+++ b/internal/simulator/event.go
@@ -0,0 +1,204 @@
+package simulator
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+
+	"yokestall/policy"
+)
+
+// endpointSize is the size of an endpoint of an EndpointUpdate in the tail, in bytes.
+const endpointSize = 25
+
+// Code is the type of an event record.
+type Code uint8
+
+// The codes of event records.
+const (
+	OpenInstance       Code = 1
+	EndpointUpdate     Code = 2
+	Request            Code = 3
+	StreamStarted      Code = 4
+	Outcome            Code = 5
+	ClientDisconnected Code = 6
+	Timer              Code = 7
+	HealthCheck        Code = 8 // ignored
+	PeerMessage        Code = 9 // ignored
+	CloseInstance      Code = 10
+	SelectInstance     Code = 11 // the following events are for Event.Instance
+)
+
+// Event is one record of a batch. Code says which of the other fields are set.
+type Event struct {
+	Code      Code
+	Instance  uint16            // of SelectInstance
+	Seed      uint64            // of OpenInstance
+	Settings  []byte            // of OpenInstance: JSON; valid until the next Reader.Read
+	Kind      policy.UpdateKind // of EndpointUpdate
+	Endpoints []policy.Endpoint // of EndpointUpdate; valid until the next Batch.Event
+	Request   policy.Request    // of Request
+	// Outcome is set for Outcome; for StreamStarted its ID, Attempt and Endpoint are, for ClientDisconnected its ID.
+	Outcome policy.Outcome
+	Token   uint64 // of Timer
+}
+
+// statuses maps the protocol's numbers of outcomes.
+var statuses = map[uint16]policy.Status{
+	200: policy.OK,
+	408: policy.Timeout,
+	409: policy.NeverSent,
+	429: policy.Rejected,
+	444: policy.Cancelled,
+	502: policy.ErrorResponse,
+	520: policy.Reset,
+	521: policy.ConnectFailed,
+}
+
+// fieldError reports a field of a record whose value is invalid.
+type fieldError struct {
+	field string
+	value any
+}
+
+// Error implements error.
+func (e *fieldError) Error() string { return fmt.Sprintf("%s %v", e.field, e.value) }
+
+// record is an event record. Its methods read the field at an offset.
+type record []byte
+
+func (r record) uint16(at int) uint16   { return binary.BigEndian.Uint16(r[at:]) }
+func (r record) uint32(at int) uint32   { return binary.BigEndian.Uint32(r[at:]) }
+func (r record) uint64(at int) uint64   { return binary.BigEndian.Uint64(r[at:]) }
+func (r record) float64(at int) float64 { return math.Float64frombits(r.uint64(at)) }
+
+func (r record) requestID() policy.RequestID { return policy.RequestID(r.uint32(1)) }
+
+// Event decodes record i of the batch into e. The error wraps ErrFormat.
+func (b *Batch) Event(i int, e *Event) error {
+	r := record(b.records[i*eventSize : (i+1)*eventSize])
+	e.Code = Code(r[0])
+	if err := e.decode(b, r); err != nil {
+		return fmt.Errorf("%w: batch %d, record %d: %w", ErrFormat, b.Number, i, err)
+	}
+	return nil
+}
+
+// decode decodes the fields of e.Code.
+func (e *Event) decode(b *Batch, r record) error {
+	switch e.Code {
+	case SelectInstance:
+		e.Instance = r.uint16(1)
+	case OpenInstance:
+		return e.decodeOpenInstance(b, r)
+	case EndpointUpdate:
+		return e.decodeEndpointUpdate(b, r)
+	case Request:
+		return e.decodeRequest(r)
+	case StreamStarted:
+		e.Outcome = policy.Outcome{ID: r.requestID(), Attempt: int(r.uint16(5)), Endpoint: parseEndpointID(r[15:])}
+	case Outcome:
+		return e.decodeOutcome(r)
+	case ClientDisconnected:
+		e.Outcome = policy.Outcome{ID: r.requestID()}
+	case Timer:
+		e.Token = r.uint64(1)
+	case PeerMessage:
+		if _, ok := b.slice(r.uint32(5), r.uint32(9), 1); !ok {
+			return &fieldError{"message out of the tail:", r.uint32(5)}
+		}
+	case HealthCheck, CloseInstance:
+	default:
+		return &fieldError{"unknown event code", r[0]}
+	}
+	return nil
+}
+
+func (e *Event) decodeOpenInstance(b *Batch, r record) error {
+	settings, ok := b.slice(r.uint32(9), r.uint32(13), 1)
+	if !ok {
+		return &fieldError{"settings out of the tail:", r.uint32(9)}
+	}
+	e.Seed, e.Settings = r.uint64(1), settings
+	return nil
+}
+
+func (e *Event) decodeEndpointUpdate(b *Batch, r record) error {
+	if r[1] > uint8(policy.UpdateFailed) {
+		return &fieldError{"list kind", r[1]}
+	}
+	endpoints, ok := b.slice(r.uint32(10), r.uint32(14), endpointSize)
+	if !ok {
+		return &fieldError{"entries out of the tail:", r.uint32(10)}
+	}
+	e.Kind = policy.UpdateKind(r[1])
+	e.Endpoints = e.Endpoints[:0]
+	for ; len(endpoints) > 0; endpoints = endpoints[endpointSize:] {
+		endpoint, err := decodeEndpoint(record(endpoints))
+		if err != nil {
+			return err
+		}
+		e.Endpoints = append(e.Endpoints, endpoint)
+	}
+	return nil
+}
+
+// decodeEndpoint decodes the first endpoint in r.
+func decodeEndpoint(r record) (policy.Endpoint, error) {
+	if r[12] > uint8(policy.Draining) {
+		return policy.Endpoint{}, &fieldError{"server state", r[12]}
+	}
+	weight := float64(math.Float32frombits(r.uint32(13)))
+	startedAt, ok := parseMilliseconds(r.float64(17))
+	if !ok || !(weight >= 0) || math.IsInf(weight, 1) {
+		return policy.Endpoint{}, &fieldError{"server weight or start:", weight}
+	}
+	return policy.Endpoint{
+		ID:        parseEndpointID(r),
+		Zone:      int(r.uint16(6)),
+		Cell:      int(r.uint16(10)),
+		State:     policy.EndpointState(r[12]),
+		Weight:    weight,
+		StartedAt: startedAt,
+	}, nil
+}
+
+func (e *Event) decodeRequest(r record) error {
+	const hasWorkHint = 1 // of the flags
+	remaining, remainingOK := parseMilliseconds(r.float64(16))
+	hint, hintOK := parseMilliseconds(r.float64(24))
+	if !remainingOK || !hintOK {
+		return &fieldError{"time of a query:", r.float64(16)}
+	}
+	if r[32]&hasWorkHint == 0 {
+		hint = 0
+	}
+	e.Request = policy.Request{
+		ID:            r.requestID(),
+		Class:         int(r[5]),
+		Tenant:        int(r.uint16(6)),
+		TimeRemaining: remaining,
+		WorkHint:      hint,
+	}
+	return nil
+}
+
+func (e *Event) decodeOutcome(r record) error {
+	status, ok := statuses[r.uint16(5)]
+	if !ok {
+		return &fieldError{"status", r.uint16(5)}
+	}
+	latency, ok := parseMilliseconds(r.float64(16))
+	if !ok {
+		return &fieldError{"latency", r.float64(16)}
+	}
+	e.Outcome = policy.Outcome{
+		ID:          r.requestID(),
+		Status:      status,
+		RequestDone: r[7] != 0,
+		Endpoint:    parseEndpointID(r[8:]),
+		Attempt:     int(r.uint16(14)),
+		Latency:     latency,
+	}
+	return nil
+}
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -24,7 +24,7 @@
 	if err := json.Unmarshal(text, &v); err != nil {
 		return err
 	}
-	d, ok := duration(v)
+	d, ok := parseMilliseconds(v)
 	if !ok {
 		return fmt.Errorf("time %v is too long", v)
 	}
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// or gives the time, or the default where the key is absent.
+// or returns the time, or d where the key is absent.
 func (m optionalDuration) or(d time.Duration) time.Duration {
 	if m.given {
 		return m.value
@@ -87,15 +87,15 @@
 	Stream              bool             `json:"Streaming"`
 }
 
-// set replaces a default by what was given.
-func set[T any](to *T, given *T) {
+// set replaces a default by the value given, if any.
+func set[T any](to, given *T) {
 	if given != nil {
 		*to = *given
 	}
 }
 
-// ParseSettings reads an instance's settings. Unknown keys are skipped and
-// absent ones keep policy.Defaults; a class without an effect is not idempotent.
+// ParseSettings parses an instance's settings (JSON). Unknown keys are skipped, and absent ones leave
+// policy.Defaults. A class without an effect is not idempotent. The error names the key.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	s := policy.Defaults()
 	var m settingsMessage
@@ -131,7 +131,7 @@
 	return s, nil
 }
 
-// setLimits takes over what the site permits.
+// setLimits sets the limits that are given.
 func (m *settingsMessage) setLimits(to *policy.Limits) {
 	set(&to.MaxAttempts, m.Limits.MaxAttempts)
 	to.AllowCancel, to.AllowHedging = m.Limits.AllowCancel, m.Limits.AllowHedging
@@ -140,7 +140,7 @@
 	}
 }
 
-// setRules takes over the figures of the service's rules.
+// setRules sets the rules' figures that are given.
 func (m *settingsMessage) setRules(to *policy.Rules) {
 	set(&to.SlowStartMinCapacity, m.Rules.SlowStartMinCapacity)
 	set(&to.OverloadMultiple, m.Rules.OverloadMultiple)
@@ -150,12 +150,17 @@
 	to.MaxPollInterval = m.Rules.MaxPollInterval.or(to.MaxPollInterval)
 }
 
-// class gives the class in policy's terms; place says in errors where in the settings it stands.
+// class converts the class. place is its path in the settings, for errors.
 func (m *classMessage) class(place string) (policy.Class, error) {
 	deadline := m.Deadline.or(0)
 	c := policy.Class{
-		Deadline: deadline, LatencyObjective: m.LatencyObjective.or(deadline), ObjectiveWorkFactor: m.ObjectiveWorkFactor,
-		LateWeight: m.LateWeight, PriorityWeight: 1, DedupWindow: m.DedupWindow.or(0), Stream: m.Stream,
+		Deadline:            deadline,
+		LatencyObjective:    m.LatencyObjective.or(deadline),
+		ObjectiveWorkFactor: m.ObjectiveWorkFactor,
+		LateWeight:          m.LateWeight,
+		PriorityWeight:      1,
+		DedupWindow:         m.DedupWindow.or(0),
+		Stream:              m.Stream,
 	}
 	set(&c.PriorityWeight, m.PriorityWeight)
 	var ok bool
@@ -168,15 +173,21 @@
 	return c, nil
 }
 
-// idempotencies maps the protocol's words for the effect of a repeat.
+// idempotencies maps the protocol's names of effects.
 var idempotencies = map[string]policy.Idempotency{
-	"pure": policy.Idempotent, "token": policy.IdempotentByKey, "side_effect": policy.NotIdempotent, "": policy.NotIdempotent,
+	"pure":        policy.Idempotent,
+	"token":       policy.IdempotentByKey,
+	"side_effect": policy.NotIdempotent,
+	"":            policy.NotIdempotent,
 }
 
-// pollsByMode maps the ways in which endpoint lists come to whether they have to be polled.
+// pollsByMode maps the protocol's discovery modes to whether the endpoint list has to be polled.
 var pollsByMode = map[string]bool{"": false, "pushed": false, "on_request": true}
 
-// scopes maps the protocol's words for the endpoints that drop a repeat; an absent one is the narrowest.
+// scopes maps the protocol's names of deduplication scopes. The narrowest is the default.
 var scopes = map[string]policy.Scope{
-	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell, "": policy.ScopeCell,
+	"all":  policy.ScopeAll,
+	"zone": policy.ScopeZone,
+	"cell": policy.ScopeCell,
+	"":     policy.ScopeCell,
 }
