--- a/internal/app/apply.go
+++ b/internal/app/apply.go
@@ -10,8 +10,9 @@
 	"yokestall/internal/files"
 )
 
-// Apply puts a configuration version in force. When it returns, the engines have been updated, and nothing is sent to an
-// endpoint that the version does not have from engine.DefaultDrainSendGrace later. After an error nothing has changed.
+// Apply puts a configuration version in force. When it returns, the engines have been updated, and from
+// engine.DefaultDrainSendGrace later nothing is sent to an endpoint that the version does not have. After an error
+// nothing has changed.
 func (a *App) Apply(s *files.Snapshot) error { return a.ApplyAt(time.Now(), s) }
 
 // ApplyAt is Apply for a version that was delivered at an earlier time, from which the grace counts.
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -9,9 +9,9 @@
 //   - Each request gets exactly one final answer (Cluster.sendAnswer), at most 5 ms after its deadline
 //     (requestDeadline.expire).
 //   - Nothing is sent for a request that has its final answer (Cluster.endRequest closes its attempts' gates).
-//   - Nothing new is sent to an endpoint later than Options.DrainSendGrace after the engine was notified that the endpoint
-//     drains or was removed, even if it was decided before (Cluster.updateDrains
-//     records the time, Call.begin checks it).
+//   - Nothing new is sent to an endpoint later than Options.DrainSendGrace after the engine was notified that the
+//     endpoint drains or was removed, even if it was decided before (Cluster.updateDrains records the time, Call.begin
+//     checks it).
 //   - No retry of a request that is idempotent by key is sent after the end of its deduplication window, however
 //     late its connection is established (dedupWindow.begin).
 //
--- a/internal/files/change.go
+++ b/internal/files/change.go
@@ -12,7 +12,7 @@
 // changedKey identifies the result of changes of a cluster's endpoint list.
 type changedKey struct {
 	original *cluster.Config // as its file has it
-	changes  hash             // of the changes since, in their order
+	changes  hash            // of the changes since, in their order
 }
 
 // extension is the result of the last Change of a cluster.
@@ -24,7 +24,7 @@
 // pendingChanges is a cluster with changes that are to be applied to it.
 type pendingChanges struct {
 	from    *cluster.Config // may itself be the result of changes
-	key     changedKey       // of the result
+	key     changedKey      // of the result
 	patches []*cluster.Patch
 }
 
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -45,11 +45,18 @@
 	c := &components{clock: engine.NewClock()}
 	c.endpoints = newEndpointWatcher(n.cfg, c.clock, n.discoveryMoved, n.log)
 	c.pool = h1client.New(h1client.Options{
-		EndpointIdleTimeout: n.cfg.ConnIdle, ConnectTimeout: n.cfg.ConnectTimeout, MaxConnections: upstream, StreamLargeBodies: true,
-		ReuseDelay: unsolicitedResponsePeriod, NodeCount: n.cfg.Policy.NodeCount, Prices: n.cfg.IdlePrices,
+		EndpointIdleTimeout: n.cfg.ConnIdle,
+		ConnectTimeout:      n.cfg.ConnectTimeout,
+		MaxConnections:      upstream,
+		StreamLargeBodies:   true,
+		ReuseDelay:          unsolicitedResponsePeriod,
+		NodeCount:           n.cfg.Policy.NodeCount,
+		Prices:              n.cfg.IdlePrices,
 	})
 	c.cluster, err = engine.New(background, n.cfg.Policy, c.pool, engine.Options{
-		Seed: n.cfg.Seed, Clock: c.clock, RequestPoll: c.endpoints.requestPoll,
+		Seed:           n.cfg.Seed,
+		Clock:          c.clock,
+		RequestPoll:    c.endpoints.requestPoll,
 		DrainSendGrace: max(1, n.cfg.DrainGrace/drainGraceDivisor),
 	})
 	if err != nil {
@@ -57,8 +64,13 @@
 	}
 	c.endpoints.sink = clusterSink{c.cluster, c.pool}
 	c.httpServer = h1server.New(router{n.cfg, c.cluster}, h1server.Options{
-		Clock: c.clock, ConnectionLimits: clients, Strict: true, Log: n.log,
-		StallTimeout: streamStallTimeout, MaxBodyBytes: maxBodyBytes, BodyMemory: int64(n.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor,
+		Clock:            c.clock,
+		ConnectionLimits: clients,
+		Strict:           true,
+		Log:              n.log,
+		StallTimeout:     streamStallTimeout,
+		MaxBodyBytes:     maxBodyBytes,
+		BodyMemory:       int64(n.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor,
 	})
 	c.endpoints.requestCount = c.httpServer.RequestCount
 	c.admin = &adminHandler{background: background, endpoints: c.endpoints, httpServer: c.httpServer, log: n.log}
--- a/internal/node/endpointadmin.go
+++ b/internal/node/endpointadmin.go
@@ -15,8 +15,8 @@
 	return w.admin.HasEffect(change), w.admin.Validate(change, w.list.RecentlyListed)
 }
 
-// applyChange applies an administrative change. When it returns, no attempt is decided for a detached endpoint any more;
-// one that was decided before may still be sent within the engine's DrainSendGrace.
+// applyChange applies an administrative change. When it returns, no attempt is decided for a detached endpoint any
+// more; one that was decided before may still be sent within the engine's DrainSendGrace.
 func (w *endpointWatcher) applyChange(change adminstate.Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/node/endpointupdates.go
+++ b/internal/node/endpointupdates.go
@@ -21,8 +21,8 @@
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool
 }
 
-// applyResponse takes a response into the list and publishes it. It reports false, and leaves the list, if the source is
-// no longer followed.
+// applyResponse takes a response into the list and publishes it. It reports false, and leaves the list, if the source
+// is no longer followed.
 //
 // An incomplete response has the full list requested after a delay. Long polls go on until then, since a line may stay
 // unusable for good.
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -172,7 +172,8 @@
 
 // openDescriptors returns how many descriptors this process has open, or may open by itself.
 func (r *restartCoordinator) openDescriptors() int {
-	return r.components.httpServer.Connections() + r.components.pool.OpenConnections() + ownDescriptors + adminapi.MaxDescriptors
+	connections := r.components.httpServer.Connections() + r.components.pool.OpenConnections()
+	return connections + ownDescriptors + adminapi.MaxDescriptors
 }
 
 // applyDescriptorLimit applies a limit of this process's descriptors, unless it is a small increase
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -158,7 +158,11 @@
 
 // serve starts to accept clients. The server's goroutine ends when its listener is closed.
 func (n *Node) serve(c *components) *serving {
-	s := &serving{http: c.httpServer.HTTPServer(), listener: c.httpServer.Listener(n.listener), failed: make(chan error, 1)}
+	s := &serving{
+		http:     c.httpServer.HTTPServer(),
+		listener: c.httpServer.Listener(n.listener),
+		failed:   make(chan error, 1),
+	}
 	go func() { s.failed <- s.http.Serve(s.listener) }()
 	c.restart.advancePhase(hotrestart.PhaseServing)
 	if n.adminListener != nil {
--- a/internal/xds/config.go
+++ b/internal/xds/config.go
@@ -57,8 +57,8 @@
 
 // Delivery is a change that a control plane has made.
 type Delivery struct {
-	ReceivedAt time.Time          // when its last byte came
+	ReceivedAt time.Time         // when its last byte came
 	Clusters   []*cluster.Config // new versions of clusters that were there before
-	Full       bool               // View differs in more than Clusters
-	View       *state.State       // valid during the call only
+	Full       bool              // View differs in more than Clusters
+	View       *state.State      // valid during the call only
 }
--- a/internal/xds/state/state.go
+++ b/internal/xds/state/state.go
@@ -29,7 +29,7 @@
 	// users are the clusters that refer to an EDS service name, or use its endpoints; never empty.
 	users map[string]map[string]bool
 
-	activeRoutes   *translate.Routes           // nil if there are none
+	activeRoutes   *translate.Routes          // nil if there are none
 	activeClusters map[string]*cluster.Config // those that have endpoints
 	// subscriptionsChanged reports whether the update that is applied changed the subscriptions.
 	subscriptionsChanged bool
