--- a/internal/fleet/consensus/splits_test.go
+++ b/internal/fleet/consensus/splits_test.go
@@ -21,7 +21,7 @@
 		return s.nodes[0]
 	}
 	cut := func(s *fleetSim, n *simNode, from, to time.Duration) {
-		s.at(from, func() { n.cutUntil = s.now + to - from })
+		s.schedule(from, func() { n.disconnectedUntil = s.now + to - from })
 	}
 	for name, split := range map[string]struct {
 		voters int
@@ -38,7 +38,7 @@
 				cut(s, leader(s), at, at+200*time.Millisecond)
 			}
 		}},
-		"the leader hears nobody": {3, func(s *fleetSim) { leader(s).deafUntil = s.now + length }},
+		"the leader hears nobody": {3, func(s *fleetSim) { leader(s).inboundCutUntil = s.now + length }},
 		"each voter alone in turn": {3, func(s *fleetSim) {
 			for i, id := range s.voters {
 				from := time.Duration(i) * length / 3
@@ -49,7 +49,7 @@
 			for _, n := range s.nodes[:2] {
 				cut(s, n, 0, length/2)
 			}
-			s.at(length/2-50*time.Millisecond, func() { s.publish("at the heal", true) })
+			s.schedule(length/2-50*time.Millisecond, func() { s.publish("at the heal", true) })
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -60,19 +60,19 @@
 			versions := 0
 			for seed := range seeds {
 				cryptotest.SetGlobalRandom(t, seed)
-				s := newSim(t, seed, split.voters, 3, nothing)
-				s.run(3 * time.Second)
+				s := newSim(t, seed, split.voters, 3, noGuard)
+				s.runUntil(3 * time.Second)
 				s.publish("first", false)
-				s.run(s.now + time.Second)
+				s.runUntil(s.now + time.Second)
 				split.begin(s)
 				for i, end := 0, s.now+length; s.now < end; i++ {
 					s.publish(fmt.Sprint("v", i), i%2 == 0)
-					s.run(s.now + 300*time.Millisecond)
+					s.runUntil(s.now + 300*time.Millisecond)
 				}
-				s.run(s.now + 8*time.Second)
-				s.healed()
-				if len(s.broken) > 0 {
-					t.Fatalf("seed %d: %d findings, first: %s", seed, len(s.broken), s.broken[0])
+				s.runUntil(s.now + 8*time.Second)
+				s.checkHealed()
+				if len(s.violations) > 0 {
+					t.Fatalf("seed %d: %d findings, first: %s", seed, len(s.violations), s.violations[0])
 				}
 				versions += s.versions
 			}
@@ -90,8 +90,8 @@
 		t.Skip("played without the race detector")
 	}
 	cryptotest.SetGlobalRandom(t, 39)
-	s := newSim(t, 39, 3, 2, nothing)
-	s.run(3 * time.Second)
+	s := newSim(t, 39, 3, 2, noGuard)
+	s.runUntil(3 * time.Second)
 	kept := func() (entries int, heap uint64) {
 		var m runtime.MemStats
 		runtime.GC()
@@ -105,9 +105,9 @@
 	changes := func(from, to int) {
 		for i := from; i < to; i++ {
 			s.publish(fmt.Sprint("c", i), false)
-			s.run(s.now + 500*time.Millisecond)
+			s.runUntil(s.now + 500*time.Millisecond)
 			delete(s.acked, fmt.Sprint("c", i-1000)) // the test's own books,
-			s.answers = nil                          // and what only they keep
+			s.ownerAnswers = nil                     // and what only they keep
 		}
 	}
 	changes(0, 1800) // a quarter of an hour: all bounds are met
--- a/internal/fleet/consensus/state_test.go
+++ b/internal/fleet/consensus/state_test.go
@@ -109,22 +109,22 @@
 // before.
 func TestCatchUp(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 1)
-	s := newSim(t, 1, 3, 1, nothing)
-	s.run(2 * time.Second)
+	s := newSim(t, 1, 3, 1, noGuard)
+	s.runUntil(2 * time.Second)
 	n := s.nodes[2]
 	n.down = true
 	for i := range compactionInterval + 2*compactionRetained {
 		s.publish(fmt.Sprint("v", i), false)
-		s.run(s.now + 100*time.Millisecond)
+		s.runUntil(s.now + 100*time.Millisecond)
 	}
 	if first := s.nodes[0].disk.Snapshot.GetMetadata().GetIndex(); first < compactionInterval/2 {
 		t.Fatalf("the log was not begun anew: %d", first)
 	}
 	s.start(n)
-	s.run(s.now + 10*time.Second)
-	s.healed()
-	if len(s.broken) > 0 || s.versions < compactionInterval {
-		t.Errorf("%d versions: %v", s.versions, s.broken)
+	s.runUntil(s.now + 10*time.Second)
+	s.checkHealed()
+	if len(s.violations) > 0 || s.versions < compactionInterval {
+		t.Errorf("%d versions: %v", s.versions, s.violations)
 	}
 }
 
@@ -136,24 +136,24 @@
 	if raced {
 		followers = 100
 	}
-	s := newSim(t, 2, 3, followers, nothing)
-	s.run(3 * time.Second)
+	s := newSim(t, 2, 3, followers, noGuard)
+	s.runUntil(3 * time.Second)
 	s.publish("first", false)
-	s.run(s.now + 2*time.Second)
-	s.nodes[followers/2].cutUntil = s.now + time.Minute
+	s.runUntil(s.now + 2*time.Second)
+	s.nodes[followers/2].disconnectedUntil = s.now + time.Minute
 	s.publish("second", true)
-	s.run(s.now + 3*time.Second)
-	if s.versions != 2 || s.longest == 0 || s.longest > s.terms.ActivationBound() || s.longest < s.terms.HolderTerm()/2 {
-		t.Errorf("%d versions, in force after %v, and the bound is %v", s.versions, s.longest, s.terms.ActivationBound())
+	s.runUntil(s.now + 3*time.Second)
+	if s.versions != 2 || s.longestActivation == 0 || s.longestActivation > s.leaseConfig.ActivationBound() || s.longestActivation < s.leaseConfig.HolderTerm()/2 {
+		t.Errorf("%d versions, in force after %v, and the bound is %v", s.versions, s.longestActivation, s.leaseConfig.ActivationBound())
 	}
 	on := 0
 	for _, n := range s.nodes {
-		if a := s.acts(n); a.Version == 2 && a.PendingVersion == 0 {
+		if a := s.activeVersions(n); a.Version == 2 && a.PendingVersion == 0 {
 			on++
 		}
 	}
-	if on != len(s.nodes)-1 || len(s.broken) > 0 {
-		t.Errorf("%d of %d act on it; %v", on, len(s.nodes), s.broken)
+	if on != len(s.nodes)-1 || len(s.violations) > 0 {
+		t.Errorf("%d of %d act on it; %v", on, len(s.nodes), s.violations)
 	}
 	for _, id := range s.voters {
 		if held := len(s.nodes[id-1].voter.leases.holders); held < followers || held > MaxHolders {
@@ -164,7 +164,7 @@
 
 // A voter grants so many leases and no more; those that are over make room.
 func TestLeaseTableIsFull(t *testing.T) {
-	d := NewLeaseTable(0, simTerms)
+	d := NewLeaseTable(0, simLeaseConfig)
 	s := &State{}
 	ask := func(now time.Duration, i int) error {
 		_, err := d.Grant(now, 1, LeaseRequest{Node: fmt.Sprint(i), Incarnation: "a"}, s)
@@ -181,7 +181,7 @@
 	if err := ask(time.Second, 7); err != nil {
 		t.Errorf("one that has a lease: %v", err)
 	}
-	if err := ask(simTerms.GranterTerm()+time.Millisecond, MaxHolders); err != nil || len(d.holders) != 2 {
+	if err := ask(simLeaseConfig.GranterTerm()+time.Millisecond, MaxHolders); err != nil || len(d.holders) != 2 {
 		t.Errorf("once they are over: %v, %d", err, len(d.holders))
 	}
 }
