--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -66,7 +66,7 @@
 }
 
 func rooms(list ...cluster.Endpoint) *cluster.Config {
-	c := &cluster.Config{Name: "rooms", Endpoints: list, ShrinkTo: -1, Empty: len(list) == 0}
+	c := &cluster.Config{Name: "rooms", Endpoints: list, ShrinkTo: -1, AllowEmpty: len(list) == 0}
 	if err := c.Check(nil); err != nil {
 		panic(err)
 	}
@@ -265,12 +265,12 @@
 func TestBounds(t *testing.T) {
 	b := testutil.Box(t, "b")
 	p := parse(t, program)
-	held := func(bounds cluster.Bounds) *files.Snapshot {
+	held := func(bounds cluster.Limits) *files.Snapshot {
 		c := rooms(at(b))
-		c.Bounds = bounds
+		c.Limits = bounds
 		return snapshot(p, c)
 	}
-	s := serve(t, held(cluster.Bounds{Drops: []cluster.Drop{{Category: "all", Share: 1}}}))
+	s := serve(t, held(cluster.Limits{Drops: []cluster.Drop{{Category: "all", Fraction: 1}}}))
 	refused := func(what string) {
 		t.Helper()
 		if status, header, _ := s.get("/x", ""); status != 503 || header.Get("Retry-After") != "0.600" {
@@ -281,7 +281,7 @@
 	if b.Count() != 0 {
 		t.Error("what is dropped reached a server")
 	}
-	if err := s.app.Apply(held(cluster.Bounds{MaxRequests: 1})); err != nil {
+	if err := s.app.Apply(held(cluster.Limits{MaxRequests: 1})); err != nil {
 		t.Fatal(err)
 	}
 	b.SetDelay(300 * time.Millisecond)
--- a/internal/app/clusterrequest.go
+++ b/internal/app/clusterrequest.go
@@ -113,12 +113,12 @@
 
 // exceeds reports whether a request is rejected by the cluster's bounds: its limit of requests in flight, and the
 // shares that are dropped.
-func exceeds(b *cluster.Bounds, inFlight int64) bool {
+func exceeds(b *cluster.Limits, inFlight int64) bool {
 	if b.MaxRequests > 0 && inFlight > int64(b.MaxRequests) {
 		return true
 	}
 	for _, d := range b.Drops {
-		if rand.Float64() < d.Share {
+		if rand.Float64() < d.Fraction {
 			return true
 		}
 	}
--- a/internal/app/listeners_test.go
+++ b/internal/app/listeners_test.go
@@ -212,7 +212,7 @@
 	}
 	p := parse(t, edgeProgram)
 	e := rooms()
-	e.Empty, e.Endpoints = false, append(e.Endpoints, at(testutil.Box(t, "unused")))
+	e.AllowEmpty, e.Endpoints = false, append(e.Endpoints, at(testutil.Box(t, "unused")))
 	e.Endpoints[0].Address = b.Addr()
 	a, err := New(snapshot(p, e), Options{Seed: 1, Log: testutil.Log(t), Keys: keys})
 	if err != nil {
--- a/internal/app/managedcluster.go
+++ b/internal/app/managedcluster.go
@@ -45,7 +45,7 @@
 	// mu guards the fields below, and changes of active.
 	mu        sync.Mutex
 	tiers     map[priority.Key]*tier // those whose engines run; empty if the cluster is idle
-	current   *cluster.Config       // of the last update; the engines have it if the cluster is active
+	current   *cluster.Config        // of the last update; the engines have it if the cluster is active
 	abandoned bool                   // abandon was called
 	snapshots *snapshots             // of engines that have ended; nil: none
 }
@@ -61,7 +61,7 @@
 		if a.Keys == nil {
 			return nil, errNoKeys
 		}
-		r.tls = a.Keys.Client(tlskeys.Servers{Name: t.Name, Roots: t.Roots, Certificate: t.Certificate, Pins: t.Pins})
+		r.tls = a.Keys.Client(tlskeys.Servers{Name: t.ServerName, Roots: t.Roots, Certificate: t.Certificate, Pins: t.Pins})
 	}
 	r.ctx, r.stop = context.WithCancel(a.ctx)
 	return r, nil
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -93,9 +93,9 @@
 	}
 	given := rooms(list...)
 	given.Transport.HTTP2 = back.HTTP2
-	given.Bounds.ConnectTimeout = testutil.Patience
+	given.Limits.ConnectTimeout = testutil.Patience
 	if back.TLS {
-		given.Transport.TLS = &cluster.TLS{Roots: "ca", Name: "peer.test"}
+		given.Transport.TLS = &cluster.TLS{Roots: "ca", ServerName: "peer.test"}
 	}
 	p := parse(t, matrixProgram)
 	logs := testutil.Quiet // a fuzz target has no log of its own
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -21,7 +21,7 @@
 type tiers struct {
 	plan   *priority.Plan
 	list   []*tier // in the order of plan.Tiers; at least one
-	bounds cluster.Bounds
+	bounds cluster.Limits
 }
 
 // tier is a part of a cluster, by locality or priority, with an engine and connections of its own.
@@ -95,7 +95,7 @@
 // updateTiers brings the tiers to the cluster's current version, as of a time on the clock, and starts those that do
 // not run yet; r.mu is locked.
 func (r *managedCluster) updateTiers(deliveredAt time.Duration) *tiers {
-	next := &tiers{plan: priority.New(r.current, r.priorityRules()), bounds: r.current.Bounds}
+	next := &tiers{plan: priority.New(r.current, r.priorityRules()), bounds: r.current.Limits}
 	used := map[*tier]bool{}
 	for i := range next.plan.Tiers {
 		t, err := r.tier(next.plan.Tiers[i].Key)
@@ -128,7 +128,7 @@
 }
 
 // applyBounds sets the limits of all tiers' pools and engines; r.mu is locked.
-func (r *managedCluster) applyBounds(b *cluster.Bounds) {
+func (r *managedCluster) applyBounds(b *cluster.Limits) {
 	connectTimeout, maxOpen := r.upstream.ConnectTimeout, r.upstream.Connections
 	if b.ConnectTimeout > 0 {
 		connectTimeout = b.ConnectTimeout
--- a/internal/app/tierupdate.go
+++ b/internal/app/tierupdate.go
@@ -19,7 +19,7 @@
 
 // update brings the tier to another version, which was delivered at a time on the clock.
 func (t *tier) update(clock engine.Clock, deliveredAt time.Duration, c *cluster.Config, streams *streams) {
-	d := cluster.Compare(t.current, c)
+	d := cluster.Diff(t.current, c)
 	t.current = c
 	if d.Empty() {
 		return
@@ -33,7 +33,7 @@
 }
 
 // addDifference adds removals before additions: an endpoint whose address changed is another one under the same key.
-func (u *tierUpdate) addDifference(d *cluster.Delta) {
+func (u *tierUpdate) addDifference(d *cluster.Difference) {
 	for i := range d.Removed {
 		u.remove(&d.Removed[i])
 	}
@@ -55,14 +55,14 @@
 // put adds an endpoint as it is now.
 func (u *tierUpdate) put(e *cluster.Endpoint) {
 	id := policy.EndpointID(e.Key())
-	u.servers = append(u.servers, h1client.Endpoint{ID: id, Address: e.Address, Incarnation: float64(e.Started)})
+	u.servers = append(u.servers, h1client.Endpoint{ID: id, Address: e.Address, Incarnation: float64(e.StartedMs)})
 	endpoint := policy.Endpoint{ID: id, Zone: zoneNumber(e.Zone), Cell: e.Cell, State: policy.Ready, Weight: e.Weight}
 	if !e.Serves() {
 		endpoint.State = policy.Draining
 		u.draining = append(u.draining, id)
 	}
-	if e.Started > 0 {
-		endpoint.StartedAt = u.clock.At(time.UnixMilli(e.Started))
+	if e.StartedMs > 0 {
+		endpoint.StartedAt = u.clock.At(time.UnixMilli(e.StartedMs))
 	}
 	u.endpoints = append(u.endpoints, endpoint)
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -22,7 +22,7 @@
 const (
 	MaxClusters  = 1000
 	MaxEndpoints = 20000 // in one cluster
-	MaxName      = 128   // bytes of a name or an id
+	MaxNameBytes = 128   // bytes of a name or an id
 	MaxWeight    = 1e6
 	MaxPriority  = 15
 	MaxDrops     = 16 // categories of a cluster
@@ -57,13 +57,13 @@
 
 // Endpoint is a server of a cluster.
 type Endpoint struct {
-	ID      string
-	Address string // host:port
-	Zone    string
-	Cell    int     // a group of servers within a zone; 0 or more
-	Weight  float64 // rough size, above 0 up to MaxWeight; 0: unknown
-	Health  Health
-	Started int64 // when it last started, Unix milliseconds; 0: long ago
+	ID        string
+	Address   string // host:port
+	Zone      string
+	Cell      int     // a group of servers within a zone; 0 or more
+	Weight    float64 // rough size, above 0 up to MaxWeight; 0: unknown
+	Health    Health
+	StartedMs int64 // when it last started, Unix milliseconds; 0: long ago
 	// Priority is from 0, the first to be used, to MaxPriority.
 	Priority int
 }
@@ -86,14 +86,14 @@
 type Config struct {
 	Name      string
 	Endpoints []Endpoint // by id
-	// Empty says that having no endpoints is meant.
-	Empty bool
+	// AllowEmpty says that having no endpoints is meant.
+	AllowEmpty bool
 	// ShrinkTo says that so many endpoints are meant, however many they were; -1: nothing said.
 	ShrinkTo int
 	// Source names where the cluster comes from, for messages.
 	Source    string
 	Transport Transport
-	Bounds
+	Limits
 }
 
 // Transport is how the servers of a cluster are spoken to. The zero value is HTTP/1.1 in
@@ -105,29 +105,29 @@
 
 // TLS is what is wanted of the servers, by names of entries in the program's keys.
 type TLS struct {
-	Name        string   // that their certificates are for; "": the address's host
+	ServerName  string   // that their certificates are for; "": the address's host
 	Roots       string   // "": the system's
 	Certificate string   // that is shown to them; "": none
 	Pins        []string // SHA-256 of keys in base 64, one of which the chain has to have; nil: any
 }
 
-// Bounds are what a cluster's requests are held to, beside the program's own limits. The
+// Limits are what a cluster's requests are held to, beside the program's own limits. The
 // zero value holds them to nothing.
-type Bounds struct {
+type Limits struct {
 	ConnectTimeout time.Duration // 0: the program's
 	MaxConnections int           // to all servers of a priority; 0: the program's
 	MaxRequests    int           // open at once; 0: no limit
 	MaxRetries     int           // second and later attempts out at once; 0: no limit
-	// Overprovision is how much of a priority's load the healthy part of it is taken to
+	// OverprovisioningFactor is how much of a priority's load the healthy part of it is taken to
 	// bear: 1.4 keeps all of the load on a priority of which 72 % are healthy. 0: 1.4.
-	Overprovision float64
-	Drops         []Drop
+	OverprovisioningFactor float64
+	Drops                  []Drop
 }
 
 // Drop is a share of the requests that is refused.
 type Drop struct {
 	Category string
-	Share    float64 // 0 to 1
+	Fraction float64 // 0 to 1
 }
 
 // Version is all clusters at one time. It is not changed once it is in use.
@@ -176,7 +176,7 @@
 		}
 		if i >= 0 {
 			p.Field = fmt.Sprintf("endpoint %d", i+1)
-			if id := c.Endpoints[i].ID; id != "" && len(id) <= MaxName {
+			if id := c.Endpoints[i].ID; id != "" && len(id) <= MaxNameBytes {
 				p.Field += fmt.Sprintf(" (%s)", id)
 			}
 			if field != "" {
@@ -192,9 +192,9 @@
 	case n > MaxEndpoints:
 		report(-1, "", "%d endpoints; %d at most", n, MaxEndpoints)
 		return errors.Join(found...)
-	case n == 0 && !c.Empty:
+	case n == 0 && !c.AllowEmpty:
 		report(-1, "", "names no servers; if that is meant, say no_servers = \"on purpose\" in [cluster]")
-	case n > 0 && c.Empty:
+	case n > 0 && c.AllowEmpty:
 		report(-1, "no_servers", "%d servers are named all the same", n)
 	}
 	if c.ShrinkTo >= 0 && c.ShrinkTo != len(c.Endpoints) {
@@ -226,14 +226,14 @@
 		if e.Cell < 0 {
 			report(i, "cell", "%d is negative", e.Cell)
 		}
-		if len(e.Zone) > MaxName {
-			report(i, "zone", "is longer than %d bytes", MaxName)
+		if len(e.Zone) > MaxNameBytes {
+			report(i, "zone", "is longer than %d bytes", MaxNameBytes)
 		}
 		if e.Priority < 0 || e.Priority > MaxPriority {
 			report(i, "priority", "%d is not from 0 to %d", e.Priority, MaxPriority)
 		}
-		if e.Started < 0 {
-			report(i, "started_ms", "%d is negative", e.Started)
+		if e.StartedMs < 0 {
+			report(i, "started_ms", "%d is negative", e.StartedMs)
 		}
 	}
 	for i, d := range c.Drops {
@@ -241,8 +241,8 @@
 			report(-1, "drops", "%d categories; %d at most", len(c.Drops), MaxDrops)
 			break
 		}
-		if math.IsNaN(d.Share) || d.Share < 0 || d.Share > 1 {
-			report(-1, "drops", "%s: %v is not from 0 to 1", d.Category, d.Share)
+		if math.IsNaN(d.Fraction) || d.Fraction < 0 || d.Fraction > 1 {
+			report(-1, "drops", "%s: %v is not from 0 to 1", d.Category, d.Fraction)
 		}
 	}
 	if len(found) > 0 {
@@ -256,8 +256,8 @@
 	switch {
 	case name == "":
 		return errors.New("is missing")
-	case len(name) > MaxName:
-		return fmt.Errorf("is longer than %d bytes", MaxName)
+	case len(name) > MaxNameBytes:
+		return fmt.Errorf("is longer than %d bytes", MaxNameBytes)
 	}
 	for _, r := range name {
 		if r <= ' ' || r == 0x7f || r == 0xfffd {
@@ -284,28 +284,28 @@
 	return nil
 }
 
-// Change is an endpoint before and after.
-type Change struct{ Old, New Endpoint }
+// EndpointChange is an endpoint before and after.
+type EndpointChange struct{ Old, New Endpoint }
 
-// Delta is what lies between two versions of a cluster.
-type Delta struct {
+// Difference is what lies between two versions of a cluster.
+type Difference struct {
 	Added    []Endpoint
-	Replaced []Change   // another address or start under the same id: another process
-	Changed  []Change   // weight, zone or cell, or healthy again
-	Draining []Endpoint // those that want nothing new since
+	Replaced []EndpointChange // another address or start under the same id: another process
+	Changed  []EndpointChange // weight, zone or cell, or healthy again
+	Draining []Endpoint       // those that want nothing new since
 	Removed  []Endpoint
 }
 
 // Empty tells that nothing differs.
-func (d *Delta) Empty() bool {
+func (d *Difference) Empty() bool {
 	return len(d.Added)+len(d.Replaced)+len(d.Changed)+len(d.Draining)+len(d.Removed) == 0
 }
 
-// Compare gives the difference between two versions of a cluster whose endpoints are
+// Diff gives the difference between two versions of a cluster whose endpoints are
 // sorted, as Check leaves them; nil stands for a cluster with none. Its cost is one
 // pass over both, with memory for what differs only.
-func Compare(before, after *Config) Delta {
-	var d Delta
+func Diff(before, after *Config) Difference {
+	var d Difference
 	var a, b []Endpoint
 	if before != nil {
 		a = before.Endpoints
@@ -327,12 +327,12 @@
 		default:
 			x, y := &a[i], &b[j]
 			switch {
-			case x.Address != y.Address || x.Started != y.Started:
-				d.Replaced = append(d.Replaced, Change{*x, *y})
+			case x.Address != y.Address || x.StartedMs != y.StartedMs:
+				d.Replaced = append(d.Replaced, EndpointChange{*x, *y})
 			case !y.Serves() && x.Serves():
 				d.Draining = append(d.Draining, *y)
 			case *x != *y:
-				d.Changed = append(d.Changed, Change{*x, *y})
+				d.Changed = append(d.Changed, EndpointChange{*x, *y})
 			}
 			i++
 			j++
@@ -341,11 +341,11 @@
 	return d
 }
 
-// Review holds a version against the one in force: one that takes away more than
+// CheckRemovals holds a version against the one in force: one that takes away more than
 // maxShare (0 to 1) of a cluster's endpoints at once, by removal or by drain, is not to
 // be taken unless the cluster says by ShrinkTo or Empty that it is meant. A single
 // endpoint may always go, unless it is the last.
-func Review(inForce, candidate *Version, maxShare float64) error {
+func CheckRemovals(inForce, candidate *Version, maxShare float64) error {
 	if inForce == nil {
 		return nil
 	}
@@ -355,14 +355,14 @@
 		if before == after {
 			continue
 		}
-		if after != nil && (after.Empty || after.ShrinkTo == len(after.Endpoints)) {
+		if after != nil && (after.AllowEmpty || after.ShrinkTo == len(after.Endpoints)) {
 			continue
 		}
 		had, has := before.healthy(), 0
 		if after != nil {
 			has = after.healthy()
 		}
-		d := Compare(before, after)
+		d := Diff(before, after)
 		lost := len(d.Draining)
 		for i := range d.Removed {
 			if d.Removed[i].Serves() {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -27,11 +27,11 @@
 	}{
 		"good":               {func(*Config) {}, ""},
 		"no name":            {func(c *Config) { c.Name = "" }, "name: is missing"},
-		"long name":          {func(c *Config) { c.Name = strings.Repeat("x", MaxName+1) }, "name: is longer"},
+		"long name":          {func(c *Config) { c.Name = strings.Repeat("x", MaxNameBytes+1) }, "name: is longer"},
 		"name with space":    {func(c *Config) { c.Name = "a b" }, "character"},
 		"none":               {func(c *Config) { c.Endpoints = nil }, "names no servers"},
-		"none, meant":        {func(c *Config) { c.Endpoints, c.Empty = nil, true }, ""},
-		"some, meant none":   {func(c *Config) { c.Empty = true }, "no_servers: 3 servers are named"},
+		"none, meant":        {func(c *Config) { c.Endpoints, c.AllowEmpty = nil, true }, ""},
+		"some, meant none":   {func(c *Config) { c.AllowEmpty = true }, "no_servers: 3 servers are named"},
 		"shrink":             {func(c *Config) { c.ShrinkTo = 3 }, ""},
 		"shrink, not so":     {func(c *Config) { c.ShrinkTo = 2 }, "shrink_to: says 2"},
 		"no id":              {func(c *Config) { c.Endpoints[1].ID = "" }, "endpoint 2: id: is missing"},
@@ -47,8 +47,8 @@
 		"weight huge":        {func(c *Config) { c.Endpoints[0].Weight = 1e7 }, "weight: 1e+07"},
 		"weight infinite":    {func(c *Config) { c.Endpoints[0].Weight = math.Inf(1) }, "weight: +Inf"},
 		"cell negative":      {func(c *Config) { c.Endpoints[0].Cell = -1 }, "cell: -1"},
-		"started negative":   {func(c *Config) { c.Endpoints[0].Started = -1 }, "started_ms"},
-		"zone long":          {func(c *Config) { c.Endpoints[0].Zone = strings.Repeat("z", MaxName+1) }, "zone"},
+		"started negative":   {func(c *Config) { c.Endpoints[0].StartedMs = -1 }, "started_ms"},
+		"zone long":          {func(c *Config) { c.Endpoints[0].Zone = strings.Repeat("z", MaxNameBytes+1) }, "zone"},
 		"too many":           {func(c *Config) { c.Endpoints = make([]Endpoint, MaxEndpoints+1) }, "20000 at most"},
 		"everything at once": {func(c *Config) { c.Endpoints = make([]Endpoint, 1000) }, "is missing"},
 	} {
@@ -85,28 +85,28 @@
 	b[0].Weight = 7
 	b[1].Address = "10.9.9.9:80"
 	b[2].Health = Draining
-	b[3].Started = 5
+	b[3].StartedMs = 5
 	b = append(b, Endpoint{ID: "s-9", Address: "10.8.8.8:80"})
-	got := Compare(named("x", a), named("x", b))
-	want := Delta{
+	got := Diff(named("x", a), named("x", b))
+	want := Difference{
 		Added: b[5:], Removed: a[:1], Draining: b[2:3],
-		Changed:  []Change{{a[1], b[0]}},
-		Replaced: []Change{{a[2], b[1]}, {a[4], b[3]}},
+		Changed:  []EndpointChange{{a[1], b[0]}},
+		Replaced: []EndpointChange{{a[2], b[1]}, {a[4], b[3]}},
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v\nwant %+v", got, want)
 	}
-	back := Compare(named("x", b), named("x", a))
+	back := Diff(named("x", b), named("x", a))
 	if len(back.Changed) != 2 || len(back.Removed) != 1 || len(back.Added) != 1 {
 		t.Errorf("back: %+v", back)
 	}
-	if d := Compare(named("x", a), named("x", a)); !d.Empty() {
+	if d := Diff(named("x", a), named("x", a)); !d.Empty() {
 		t.Errorf("a version differs from itself: %+v", d)
 	}
-	if d := Compare(nil, named("x", a)); len(d.Added) != 6 {
+	if d := Diff(nil, named("x", a)); len(d.Added) != 6 {
 		t.Errorf("from nothing: %+v", d)
 	}
-	if d := Compare(named("x", a), nil); len(d.Removed) != 6 {
+	if d := Diff(named("x", a), nil); len(d.Removed) != 6 {
 		t.Errorf("to nothing: %+v", d)
 	}
 }
@@ -130,7 +130,7 @@
 	}
 	for range 500 {
 		a, b := draw(), draw()
-		d := Compare(a, b)
+		d := Diff(a, b)
 		state := map[string]Endpoint{}
 		for _, e := range a.Endpoints {
 			state[e.ID] = e
@@ -143,7 +143,7 @@
 				state[e.ID] = e
 			}
 		}
-		for _, list := range [][]Change{d.Changed, d.Replaced} {
+		for _, list := range [][]EndpointChange{d.Changed, d.Replaced} {
 			for _, c := range list {
 				if state[c.Old.ID] != c.Old {
 					t.Fatalf("%+v was %+v", c.Old, state[c.Old.ID])
@@ -178,7 +178,7 @@
 	shrunk := named("x", ten[:2])
 	shrunk.ShrinkTo = 2
 	empty := named("x", nil)
-	empty.Empty = true
+	empty.AllowEmpty = true
 	one := named("x", ten[:1])
 	for name, c := range map[string]struct {
 		old, new *Version
@@ -200,7 +200,7 @@
 		"all exchanged":      {version(named("x", ten[:5])), version(named("x", ten[5:])), "5 of 5"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := Review(c.old, c.new, 0.5)
+			err := CheckRemovals(c.old, c.new, 0.5)
 			switch {
 			case c.want == "" && err != nil:
 				t.Error(err)
@@ -229,7 +229,7 @@
 			y.Endpoints[n/2].Weight = 2
 			b.ReportAllocs()
 			for b.Loop() {
-				if d := Compare(x, y); len(d.Changed) != 1 {
+				if d := Diff(x, y); len(d.Changed) != 1 {
 					b.Fatal(d)
 				}
 			}
--- a/internal/cluster/patch_test.go
+++ b/internal/cluster/patch_test.go
@@ -22,13 +22,13 @@
 	for range 3000 {
 		p := &Patch{Name: "rooms"}
 		for range rng.IntN(4) {
-			if e := draw(); !slices.ContainsFunc(p.Put, func(o Endpoint) bool { return o.ID == e.ID }) {
-				p.Put = append(p.Put, e)
+			if e := draw(); !slices.ContainsFunc(p.Upserts, func(o Endpoint) bool { return o.ID == e.ID }) {
+				p.Upserts = append(p.Upserts, e)
 			}
 		}
-		slices.SortFunc(p.Put, func(a, b Endpoint) int { return cmpID(a, b) })
+		slices.SortFunc(p.Upserts, func(a, b Endpoint) int { return cmpID(a, b) })
 		for range rng.IntN(3) {
-			p.Removed = append(p.Removed, draw().ID)
+			p.RemovedIDs = append(p.RemovedIDs, draw().ID)
 		}
 		want, ok := apply(plain, p)
 		before := slices.Clone(c.Endpoints)
@@ -71,14 +71,14 @@
 	for id, e := range plain {
 		out[id] = e
 	}
-	for _, id := range slices.Compact(slices.Sorted(slices.Values(p.Removed))) {
+	for _, id := range slices.Compact(slices.Sorted(slices.Values(p.RemovedIDs))) {
 		if _, there := out[id]; !there {
 			return nil, false
 		}
 		delete(out, id)
 	}
-	for _, e := range p.Put {
-		if slices.Contains(p.Removed, e.ID) {
+	for _, e := range p.Upserts {
+		if slices.Contains(p.RemovedIDs, e.ID) {
 			return nil, false
 		}
 		out[e.ID] = e
--- a/internal/compare/sides_test.go
+++ b/internal/compare/sides_test.go
@@ -75,7 +75,7 @@
 	c := &cluster.Config{Name: "c", ShrinkTo: -1}
 	c.Transport.HTTP2 = s.HTTP2
 	if s.TLS {
-		c.Transport.TLS = &cluster.TLS{Name: "side.test", Roots: "ca"}
+		c.Transport.TLS = &cluster.TLS{ServerName: "side.test", Roots: "ca"}
 	}
 	for i, a := range addrs {
 		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -68,8 +68,8 @@
 	*a = Agree{Name: f.Name, Node: f.Node, Folder: f.Folder, Listen: f.Listen, Roots: f.Roots, Certificate: f.Shows,
 		Lease: lease.Config{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration}}
 	for _, n := range []struct{ key, name string }{{"name", f.Name}, {"node", f.Node}} {
-		if n.name == "" || len(n.name) > cluster.MaxName {
-			report(agreeTable, -1, n.key, "1 to %d bytes", cluster.MaxName)
+		if n.name == "" || len(n.name) > cluster.MaxNameBytes {
+			report(agreeTable, -1, n.key, "1 to %d bytes", cluster.MaxNameBytes)
 		}
 	}
 	a.readVoters(f, report)
@@ -96,7 +96,7 @@
 	for _, text := range f.Voters {
 		name, address, ok := strings.Cut(text, "=")
 		switch {
-		case !ok || name == "" || len(name) > cluster.MaxName:
+		case !ok || name == "" || len(name) > cluster.MaxNameBytes:
 			report(agreeTable, -1, "voters", "%q is not NAME=HOST:PORT", text)
 		case names[name] || addresses[address]:
 			report(agreeTable, -1, "voters", "%q is there twice", text)
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	again, err := ParseCluster(File{Name: "x.toml", Text: FormatCluster(c)})
-	if err != nil || again.Endpoints[0] != c.Endpoints[0] || again.Transport.TLS.Name != "x" || again.Transport.TLS.Roots != "r" || !again.Transport.HTTP2 {
+	if err != nil || again.Endpoints[0] != c.Endpoints[0] || again.Transport.TLS.ServerName != "x" || again.Transport.TLS.Roots != "r" || !again.Transport.HTTP2 {
 		t.Errorf("%+v, %v", again, err)
 	}
 	if _, err := ParseCluster(File{Name: "x.toml", Text: FormatChange(c)}); err == nil || !strings.Contains(err.Error(), "is a change") {
@@ -102,7 +102,7 @@
 	c.Transport = again.Transport
 	c.Transport.HTTP2, c.Transport.TLS = false, nil
 	p, err := ParseChange(File{Name: "x.toml", Text: FormatChange(c)})
-	if err != nil || p.Name != "rooms" || len(p.Put) != 1 || p.Put[0] != c.Endpoints[0] {
+	if err != nil || p.Name != "rooms" || len(p.Upserts) != 1 || p.Upserts[0] != c.Endpoints[0] {
 		t.Errorf("%+v, %v", p, err)
 	}
 }
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -110,8 +110,8 @@
 			k.PriorityWeight = 1
 		}
 		switch {
-		case c.Name == "" || len(c.Name) > cluster.MaxName:
-			report("class", i, "name", "1 to %d bytes", cluster.MaxName)
+		case c.Name == "" || len(c.Name) > cluster.MaxNameBytes:
+			report("class", i, "name", "1 to %d bytes", cluster.MaxNameBytes)
 		case seen[c.Name]:
 			report("class", i, "name", "%s is another one's too", c.Name)
 		}
@@ -156,8 +156,8 @@
 	seen, certified := make(map[string]bool, len(f.Tenant)), map[string]bool{}
 	for i, t := range f.Tenant {
 		switch {
-		case t.Name == "" || len(t.Name) > cluster.MaxName:
-			report("tenant", i, "name", "1 to %d bytes", cluster.MaxName)
+		case t.Name == "" || len(t.Name) > cluster.MaxNameBytes:
+			report("tenant", i, "name", "1 to %d bytes", cluster.MaxNameBytes)
 		case seen[t.Name]:
 			report("tenant", i, "name", "%s is another one's too", t.Name)
 		}
--- a/internal/config/clusterfile.go
+++ b/internal/config/clusterfile.go
@@ -95,7 +95,7 @@
 	case len(in.Removed)+len(c.Endpoints) == 0:
 		return nil, fail("change", "changes nothing")
 	}
-	return &cluster.Patch{Name: c.Name, Put: c.Endpoints, Removed: in.Removed, Source: file.Name}, nil
+	return &cluster.Patch{Name: c.Name, Upserts: c.Endpoints, RemovedIDs: in.Removed, Source: file.Name}, nil
 }
 
 // clusterReader reads a decoded cluster file.
@@ -140,7 +140,7 @@
 		}
 	}
 	// A change may only remove endpoints.
-	r.out.Empty = r.out.Empty || r.in.Cluster.Change && len(r.out.Endpoints) == 0
+	r.out.AllowEmpty = r.out.AllowEmpty || r.in.Cluster.Change && len(r.out.Endpoints) == 0
 	return r.out.Check(r.line)
 }
 
@@ -162,7 +162,7 @@
 	switch r.in.Cluster.NoServers {
 	case "":
 	case "on purpose":
-		r.out.Empty = true
+		r.out.AllowEmpty = true
 	default:
 		return r.problem(-1, "no_servers", `may say "on purpose" only`)
 	}
@@ -189,7 +189,7 @@
 			}
 		}
 	}
-	r.out.Transport.TLS = &cluster.TLS{Name: t.Name, Roots: t.Roots, Certificate: t.Certificate, Pins: t.Pins}
+	r.out.Transport.TLS = &cluster.TLS{ServerName: t.Name, Roots: t.Roots, Certificate: t.Certificate, Pins: t.Pins}
 	return nil
 }
 
@@ -223,7 +223,7 @@
 		}
 		r.out.Endpoints = append(r.out.Endpoints, cluster.Endpoint{
 			ID: e.ID, Address: e.Address, Zone: e.Zone, Cell: e.Cell, Weight: e.Weight, Health: health,
-			Started: e.StartedMs, Priority: e.Priority,
+			StartedMs: e.StartedMs, Priority: e.Priority,
 		})
 	}
 	return nil
--- a/internal/config/clusterformat.go
+++ b/internal/config/clusterformat.go
@@ -18,7 +18,7 @@
 func formatCluster(c *cluster.Config, extraKeys string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "[cluster]\nname = %q\n%s", c.Name, extraKeys)
-	if c.Empty {
+	if c.AllowEmpty {
 		b.WriteString("no_servers = \"on purpose\"\n")
 	}
 	if c.Transport.HTTP2 {
@@ -26,7 +26,7 @@
 	}
 	if t := c.Transport.TLS; t != nil {
 		const tls = "[cluster.tls]\nserver_name = %q\nroots = %q\ncertificate = %q\n"
-		fmt.Fprintf(&b, tls, t.Name, t.Roots, t.Certificate)
+		fmt.Fprintf(&b, tls, t.ServerName, t.Roots, t.Certificate)
 		if len(t.Pins) > 0 {
 			fmt.Fprintf(&b, "pins = [\"%s\"]\n", strings.Join(t.Pins, "\", \""))
 		}
@@ -51,7 +51,7 @@
 		value float64
 	}{
 		{"cell", float64(e.Cell)}, {"weight", e.Weight},
-		{"priority", float64(e.Priority)}, {"started_ms", float64(e.Started)},
+		{"priority", float64(e.Priority)}, {"started_ms", float64(e.StartedMs)},
 	} {
 		if n.value != 0 {
 			fmt.Fprintf(b, "%s = %s\n", n.key, strconv.FormatFloat(n.value, 'f', -1, 64))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -198,7 +198,7 @@
 			}
 			return
 		}
-		if len(c.Endpoints) == 0 && !c.Empty {
+		if len(c.Endpoints) == 0 && !c.AllowEmpty {
 			t.Error("a file that names no servers is taken")
 		}
 		for n := max(0, len(text)-200); n < len(text); n++ {
@@ -206,7 +206,7 @@
 				t.Errorf("a part of %d bytes of %d is taken", n, len(text))
 			}
 		}
-		if d := cluster.Compare(c, c); !d.Empty() {
+		if d := cluster.Diff(c, c); !d.Empty() {
 			t.Error("differs from itself")
 		}
 	})
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -69,8 +69,8 @@
 	seen, addresses := map[string]bool{"": true}, map[string]bool{}
 	for i := range f.Listener {
 		l := &f.Listener[i]
-		if seen[l.Name] || len(l.Name) > cluster.MaxName {
-			report("listener", i, "name", "wants a name of its own, of %d bytes at most", cluster.MaxName)
+		if seen[l.Name] || len(l.Name) > cluster.MaxNameBytes {
+			report("listener", i, "name", "wants a name of its own, of %d bytes at most", cluster.MaxNameBytes)
 		}
 		seen[l.Name] = true
 		p.readListener("listener", i, l, f.Keys.Folder, report)
--- a/internal/downstream/extproc/rig_test.go
+++ b/internal/downstream/extproc/rig_test.go
@@ -77,7 +77,7 @@
 }
 
 func (r *rig) version(addrs []string) *files.Snapshot {
-	c := &cluster.Config{Name: "rooms", ShrinkTo: -1, Empty: len(addrs) == 0}
+	c := &cluster.Config{Name: "rooms", ShrinkTo: -1, AllowEmpty: len(addrs) == 0}
 	for i, a := range addrs {
 		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
 	}
--- a/internal/files/watcher.go
+++ b/internal/files/watcher.go
@@ -200,7 +200,7 @@
 		return nil, err
 	}
 	if err == nil {
-		err = cluster.Review(w.current.Version, s.Version, s.Program.Files.MaxShare)
+		err = cluster.CheckRemovals(w.current.Version, s.Version, s.Program.Files.MaxShare)
 	}
 	if err != nil {
 		return &Snapshot{contentHash: contentHash}, err
@@ -236,11 +236,11 @@
 // equalClusters reports whether requests are served alike by two versions of a cluster.
 func equalClusters(old, c *cluster.Config) bool {
 	switch {
-	case old.Empty != c.Empty, len(old.Endpoints) != len(c.Endpoints):
+	case old.AllowEmpty != c.AllowEmpty, len(old.Endpoints) != len(c.Endpoints):
 		return false
-	case !reflect.DeepEqual(old.Transport, c.Transport), !reflect.DeepEqual(old.Bounds, c.Bounds):
+	case !reflect.DeepEqual(old.Transport, c.Transport), !reflect.DeepEqual(old.Limits, c.Limits):
 		return false
 	}
-	d := cluster.Compare(old, c)
+	d := cluster.Diff(old, c)
 	return d.Empty()
 }
--- a/internal/fleet/agent/release_test.go
+++ b/internal/fleet/agent/release_test.go
@@ -105,7 +105,7 @@
 	v.versionsMu.Lock()
 	defer v.versionsMu.Unlock()
 	for _, e := range v.versions[s.LogStatus.ActiveVersion].Clusters["rooms"].Endpoints {
-		if !e.Serves() || e.Started == 0 {
+		if !e.Serves() || e.StartedMs == 0 {
 			t.Errorf("%+v is not back", e)
 		}
 	}
--- a/internal/fleet/agent/releaserunner.go
+++ b/internal/fleet/agent/releaserunner.go
@@ -143,7 +143,7 @@
 		case p.Phase == consensus.TakingOut && e.Serves():
 			e.Health = cluster.Draining
 		case p.Phase == consensus.PuttingBack && e.Health == cluster.Draining:
-			e.Health, e.Started = cluster.Healthy, now.UnixMilli()
+			e.Health, e.StartedMs = cluster.Healthy, now.UnixMilli()
 		default:
 			continue
 		}
--- a/internal/fleet/consensus/differences.go
+++ b/internal/fleet/consensus/differences.go
@@ -140,10 +140,10 @@
 			continue
 		}
 		if b == nil {
-			b = &cluster.Config{Name: name, Transport: a.Transport, Bounds: a.Bounds}
+			b = &cluster.Config{Name: name, Transport: a.Transport, Limits: a.Limits}
 		}
 		d.servers(name, a.Endpoints, b.Endpoints)
-		d.note(ServerSize, name, a.Bounds, b.Bounds)
+		d.note(ServerSize, name, a.Limits, b.Limits)
 	}
 	for name, b := range to {
 		if from[name] == nil {
@@ -177,7 +177,7 @@
 			return
 		}
 		d.note(ServerMoved, name, a.Address, b.Address)
-		d.note(ServerStarted, name, a.Started, b.Started)
+		d.note(ServerStarted, name, a.StartedMs, b.StartedMs)
 		d.note(ServerGroup, name, fmt.Sprint(a.Zone, " ", a.Cell), fmt.Sprint(b.Zone, " ", b.Cell))
 		d.note(ServerSize, name,
 			fmt.Sprint(a.Weight, " ", a.Priority, " ", a.Health), fmt.Sprint(b.Weight, " ", b.Priority, " ", b.Health))
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -46,7 +46,7 @@
 // still be warming up: the parts of their budget may have been redistributed among the other nodes.
 func drainWarmingEndpoints(c *cluster.Config, window time.Duration, at time.Time) *cluster.Config {
 	warming := func(e cluster.Endpoint) bool {
-		return e.Serves() && e.Started > 0 && at.Sub(time.UnixMilli(e.Started)) < window
+		return e.Serves() && e.StartedMs > 0 && at.Sub(time.UnixMilli(e.StartedMs)) < window
 	}
 	if !slices.ContainsFunc(c.Endpoints, warming) {
 		return c
--- a/internal/fleet/consensus/disconnected_test.go
+++ b/internal/fleet/consensus/disconnected_test.go
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 		for _, e := range a.Clusters["rooms"].Endpoints {
-			if e.Serves() && e.Started > 0 {
+			if e.Serves() && e.StartedMs > 0 {
 				t.Fatalf("%s may be cold", e.ID)
 			}
 		}
--- a/internal/fleet/consensus/strictcheck.go
+++ b/internal/fleet/consensus/strictcheck.go
@@ -77,7 +77,7 @@
 			if e == nil || !e.Serves() {
 				return
 			}
-			if !servesAt(other, e) || e.Started < other.Started {
+			if !servesAt(other, e) || e.StartedMs < other.StartedMs {
 				err = fmt.Errorf("server %s/%s: in use, and the other has it out, elsewhere or colder", name, e.ID)
 			}
 		})
--- a/internal/fleet/consensus/stricter.go
+++ b/internal/fleet/consensus/stricter.go
@@ -73,7 +73,7 @@
 		case !servesAt(b, a):
 			e.Health = cluster.Draining
 		default:
-			e.Started = max(e.Started, b.Started)
+			e.StartedMs = max(e.StartedMs, b.StartedMs)
 		}
 		out.Endpoints = append(out.Endpoints, e)
 	})
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -189,7 +189,7 @@
 			if e.Health != 0 {
 				health = "draining"
 			}
-			fmt.Fprintf(&b, "[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\nhealth = %q\nstarted_ms = %d\n", e.ID, r.rig.Links[i][s].Addr, health, e.Started)
+			fmt.Fprintf(&b, "[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\nhealth = %q\nstarted_ms = %d\n", e.ID, r.rig.Links[i][s].Addr, health, e.StartedMs)
 		}
 		fmt.Fprintf(&b, "[end]\nendpoints = %d\n", len(r.places))
 		path := filepath.Join(p.Dir, "clusters", "rooms.toml")
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -190,7 +190,7 @@
 		if err := b.Up(); err != nil {
 			return err
 		}
-		p.endpoint.Started = time.Now().UnixMilli()
+		p.endpoint.StartedMs = time.Now().UnixMilli()
 	}
 	r.all = append(r.all, b)
 	if at < len(r.places) {
@@ -277,7 +277,7 @@
 					return
 				}
 				r.mu.Lock()
-				p.endpoint.Started = time.Now().UnixMilli()
+				p.endpoint.StartedMs = time.Now().UnixMilli()
 				r.mu.Unlock()
 			case s.t.Drain && !s.over:
 				r.mu.Lock()
--- a/internal/priority/priority.go
+++ b/internal/priority/priority.go
@@ -66,7 +66,7 @@
 // New makes the plan of a cluster whose endpoints are sorted, as cluster.Check leaves
 // them. A cluster with no endpoints has one tier.
 func New(c *cluster.Config, rules Rules) *Plan {
-	p := &Plan{factor: c.Overprovision, rules: rules}
+	p := &Plan{factor: c.OverprovisioningFactor, rules: rules}
 	if p.factor == 0 {
 		p.factor = overprovision
 	}
@@ -116,10 +116,10 @@
 	for i := range list {
 		switch e := &list[i]; {
 		case !e.Serves():
-		case e.Started == 0 || rules.ColdFor <= 0:
+		case e.StartedMs == 0 || rules.ColdFor <= 0:
 			t.warm++
 		default:
-			t.starts = append(t.starts, time.Duration(e.Started)*time.Millisecond)
+			t.starts = append(t.starts, time.Duration(e.StartedMs)*time.Millisecond)
 		}
 	}
 	slices.Sort(t.starts)
--- a/internal/priority/priority_test.go
+++ b/internal/priority/priority_test.go
@@ -12,7 +12,7 @@
 )
 
 func version(list ...cluster.Endpoint) *cluster.Config {
-	c := &cluster.Config{Name: "c", ShrinkTo: -1, Empty: len(list) == 0}
+	c := &cluster.Config{Name: "c", ShrinkTo: -1, AllowEmpty: len(list) == 0}
 	for i := range list {
 		list[i].ID, list[i].Address = fmt.Sprintf("s-%04d", i), fmt.Sprintf("10.0.%d.%d:80", i/250, i%250+1)
 	}
@@ -68,7 +68,7 @@
 	list := append(many(10, 0, cluster.Healthy), many(10, 1, cluster.Healthy)...)
 	const back = 1000 * time.Second
 	for i := range 10 {
-		list[i].Started = back.Milliseconds()
+		list[i].StartedMs = back.Milliseconds()
 	}
 	p := New(version(list...), Rules{ColdFrom: 0.1, ColdFor: 30 * time.Second})
 	last := 0.0
@@ -93,9 +93,9 @@
 		var list []cluster.Endpoint
 		for range rapid.IntRange(0, 40).Draw(t, "endpoints") {
 			list = append(list, cluster.Endpoint{
-				Priority: rapid.IntRange(0, 3).Draw(t, "priority"),
-				Health:   cluster.Health(rapid.IntRange(0, 3).Draw(t, "health")),
-				Started:  rapid.SampledFrom([]int64{0, 1, 9000, 20000}).Draw(t, "started"),
+				Priority:  rapid.IntRange(0, 3).Draw(t, "priority"),
+				Health:    cluster.Health(rapid.IntRange(0, 3).Draw(t, "health")),
+				StartedMs: rapid.SampledFrom([]int64{0, 1, 9000, 20000}).Draw(t, "started"),
 			})
 		}
 		p := New(version(list...), Rules{ColdFrom: 0.1, ColdFor: 10 * time.Second})
--- a/internal/stress/badpeers/badpeers.go
+++ b/internal/stress/badpeers/badpeers.go
@@ -168,7 +168,7 @@
 	}
 	b.cluster = cluster.Config{Name: "peers", ShrinkTo: -1, Transport: cluster.Transport{HTTP2: back.HTTP2}}
 	if back.TLS {
-		b.cluster.Transport.TLS = &cluster.TLS{Name: peerName, Roots: "ca"}
+		b.cluster.Transport.TLS = &cluster.TLS{ServerName: peerName, Roots: "ca"}
 	}
 	if b.app, err = app.New(b.version(-1), app.Options{Seed: 1, Log: r.Log, Keys: r.keys}); err != nil {
 		return nil, err
--- a/internal/xds/state/starttime.go
+++ b/internal/xds/state/starttime.go
@@ -21,9 +21,9 @@
 		switch {
 		case stated:
 		case sameEndpoint(before, e) && (before.Serves() || !e.Serves()):
-			e.Started = before.Started
+			e.StartedMs = before.StartedMs
 		case anyStays:
-			e.Started = now.UnixMilli()
+			e.StartedMs = now.UnixMilli()
 		}
 	})
 }
--- a/internal/xds/state/state_test.go
+++ b/internal/xds/state/state_test.go
@@ -164,7 +164,7 @@
 func TestStarts(t *testing.T) {
 	const bad = cluster.Unhealthy
 	at := time.UnixMilli(5000)
-	first := []cluster.Endpoint{{ID: "a"}, {ID: "b", Health: bad}, {ID: "c", Started: 0}, {ID: "d"}}
+	first := []cluster.Endpoint{{ID: "a"}, {ID: "b", Health: bad}, {ID: "c", StartedMs: 0}, {ID: "d"}}
 	for name, c := range map[string]struct {
 		next []cluster.Endpoint
 		want map[string]int64
@@ -186,7 +186,7 @@
 		s.Apply(at, set(ads.Endpoint, "s", ends("s", c.next...)))
 		got := map[string]int64{}
 		for _, e := range s.Clusters()["c"].Endpoints {
-			got[e.ID] = e.Started
+			got[e.ID] = e.StartedMs
 		}
 		if !maps.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
--- a/internal/xds/translate/assignment.go
+++ b/internal/xds/translate/assignment.go
@@ -60,8 +60,8 @@
 	}
 	out.setEndpoints(rows)
 	check := cluster.Config{
-		Name: out.Name, Endpoints: out.Endpoints, Empty: len(rows) == 0, ShrinkTo: -1,
-		Bounds: cluster.Bounds{Drops: out.Drops},
+		Name: out.Name, Endpoints: out.Endpoints, AllowEmpty: len(rows) == 0, ShrinkTo: -1,
+		Limits: cluster.Limits{Drops: out.Drops},
 	}
 	return out, check.Check(nil)
 }
@@ -91,7 +91,7 @@
 		if err != nil {
 			return fmt.Errorf("policy.drop_overloads %d (%.64s): %w", i+1, d.GetCategory(), err)
 		}
-		out.Drops = append(out.Drops, cluster.Drop{Category: d.GetCategory(), Share: share})
+		out.Drops = append(out.Drops, cluster.Drop{Category: d.GetCategory(), Fraction: share})
 	}
 	return nil
 }
@@ -210,6 +210,6 @@
 		return err
 	}
 	row.Cell = int(cell)
-	row.Started, row.startStated, err = integerField(own, "started_ms")
+	row.StartedMs, row.startStated, err = integerField(own, "started_ms")
 	return err
 }
--- a/internal/xds/translate/cluster.go
+++ b/internal/xds/translate/cluster.go
@@ -25,7 +25,7 @@
 	EDSServiceName string
 	// StaticAssignment is the endpoints that come with it; nil where they come by EDS.
 	StaticAssignment *Assignment
-	Bounds           cluster.Bounds
+	Bounds           cluster.Limits
 	// Transport is the protocol to its endpoints.
 	Transport cluster.Transport
 	// LocalityWeighted distributes the load over localities by their own weights (locality_weighted_lb_config).
@@ -84,7 +84,7 @@
 }
 
 // bounds translates the connect timeout and the circuit breakers of the default priority, which all routes have.
-func bounds(c *clusterv3.Cluster, b *cluster.Bounds) error {
+func bounds(c *clusterv3.Cluster, b *cluster.Limits) error {
 	if d := c.GetConnectTimeout(); d != nil {
 		timeout := d.AsDuration()
 		if d.CheckValid() != nil || timeout <= 0 || timeout > maxConnectTimeout {
@@ -113,15 +113,15 @@
 // Build returns the version of the cluster that has the endpoints.
 func (c *ClusterResource) Build(a *Assignment) *cluster.Config {
 	out := &cluster.Config{
-		Name:      c.Name,
-		ShrinkTo:  -1,
-		Source:    "xds",
-		Bounds:    c.Bounds,
-		Transport: c.Transport,
-		Empty:     len(a.Endpoints) == 0,
-		Endpoints: a.Endpoints,
+		Name:       c.Name,
+		ShrinkTo:   -1,
+		Source:     "xds",
+		Limits:     c.Bounds,
+		Transport:  c.Transport,
+		AllowEmpty: len(a.Endpoints) == 0,
+		Endpoints:  a.Endpoints,
 	}
-	out.Overprovision, out.Drops = a.Overprovision, a.Drops
+	out.OverprovisioningFactor, out.Drops = a.Overprovision, a.Drops
 	if c.LocalityWeighted && len(a.Endpoints) > 0 {
 		out.Endpoints = a.localityWeighted()
 	}
--- a/internal/xds/translate/transport.go
+++ b/internal/xds/translate/transport.go
@@ -66,7 +66,7 @@
 	if hasInlineKeys(common) {
 		return nil, errors.New("transport_socket: keys that come inline are not taken; name entries of [keys] by SDS")
 	}
-	t := &cluster.TLS{Name: m.GetSni()}
+	t := &cluster.TLS{ServerName: m.GetSni()}
 	if list := common.GetTlsCertificateSdsSecretConfigs(); len(list) > 0 {
 		t.Certificate = list[0].GetName()
 	}
--- a/internal/xds/translate/transport_test.go
+++ b/internal/xds/translate/transport_test.go
@@ -57,7 +57,7 @@
 			cluster.Transport{HTTP2: true}, ""},
 		{"TLS",
 			&clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{Sni: "a.test", CommonTlsContext: named})},
-			cluster.Transport{TLS: &cluster.TLS{Name: "a.test", Roots: "inside", Certificate: "edge"}}, ""},
+			cluster.Transport{TLS: &cluster.TLS{ServerName: "a.test", Roots: "inside", Certificate: "edge"}}, ""},
 		{"pins", &clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{CommonTlsContext: spki(pin)})},
 			cluster.Transport{TLS: &cluster.TLS{Pins: []string{pin}}}, ""},
 		{"a malformed pin",
