--- a/internal/cluster/patch.go
+++ b/internal/cluster/patch.go
@@ -1,70 +1,80 @@
 package cluster
 
 import (
-	"cmp"
 	"fmt"
 	"slices"
 )
 
-// Patch is a change of one cluster's list.
+// Patch is a change to one cluster's list of endpoints.
 type Patch struct {
 	Name       string
-	Upserts    []Endpoint // new ones, and those that are another now; checked, by id
-	RemovedIDs []string   // ids
+	Upserts    []Endpoint // to add, or to replace those of the same id; checked, and sorted by id
+	RemovedIDs []string
 	Source     string
 }
 
-// Apply gives the cluster as a patch makes it, at the cost of one pass. What doesn't go with the list is an error: an
-// id to remove that it hasn't, an address that another endpoint has.
+// Apply returns the cluster with a patch applied, at the cost of one pass over both. c stays as it is. The error is a
+// Problem for a patch that doesn't fit the list: an id to remove that is not in it, an address that another endpoint
+// has, too many endpoints, or none.
 func (c *Config) Apply(p *Patch) (*Config, error) {
-	fail := func(format string, args ...any) error {
-		return &Problem{Source: p.Source, Field: "cluster " + c.Name, Text: fmt.Sprintf(format, args...)}
-	}
-	gone := make(map[string]bool, len(p.RemovedIDs))
+	removed := make(map[string]bool, len(p.RemovedIDs))
 	for _, id := range p.RemovedIDs {
-		gone[id] = true
+		removed[id] = true
 	}
-	addresses := make(map[string]string, len(p.Upserts))
+	newAddresses := make(map[string]string, len(p.Upserts)) // to the id
 	for i := range p.Upserts {
-		addresses[p.Upserts[i].Address] = p.Upserts[i].ID
-		if gone[p.Upserts[i].ID] {
-			return nil, fail("%s is removed and named", p.Upserts[i].ID)
+		e := &p.Upserts[i]
+		newAddresses[e.Address] = e.ID
+		if removed[e.ID] {
+			return nil, c.patchProblem(p, "%s is removed and named", e.ID)
 		}
 	}
 	out := *c
 	out.Endpoints = make([]Endpoint, 0, len(c.Endpoints)+len(p.Upserts))
-	found, at := 0, 0
+	out.AllowEmpty, out.ShrinkTo = false, ShrinkUnspecified
+	found := 0 // of the ids to remove
+	upserts := p.Upserts
 	for i := range c.Endpoints {
 		e := &c.Endpoints[i]
-		for at < len(p.Upserts) && p.Upserts[at].ID < e.ID {
-			out.Endpoints = append(out.Endpoints, p.Upserts[at])
-			at++
+		for len(upserts) > 0 && upserts[0].ID < e.ID {
+			out.Endpoints, upserts = append(out.Endpoints, upserts[0]), upserts[1:]
 		}
 		switch {
-		case at < len(p.Upserts) && p.Upserts[at].ID == e.ID:
-			out.Endpoints = append(out.Endpoints, p.Upserts[at])
-			at++
-		case gone[e.ID]:
+		case len(upserts) > 0 && upserts[0].ID == e.ID:
+			out.Endpoints, upserts = append(out.Endpoints, upserts[0]), upserts[1:]
+		case removed[e.ID]:
 			found++
 		default:
-			if id, taken := addresses[e.Address]; taken {
-				return nil, fail("%s has the address %s that %s is to have", e.ID, e.Address, id)
+			if id, taken := newAddresses[e.Address]; taken {
+				return nil, c.patchProblem(p, "%s has the address %s that %s is to have", e.ID, e.Address, id)
 			}
 			out.Endpoints = append(out.Endpoints, *e)
 		}
 	}
-	out.Endpoints = append(out.Endpoints, p.Upserts[at:]...)
+	out.Endpoints = append(out.Endpoints, upserts...)
+	if found < len(removed) {
+		return nil, c.patchProblem(p, "%d of %d servers to remove are not in the list", len(removed)-found, len(removed))
+	}
+	if err := c.checkPatched(p, &out); err != nil {
+		return nil, err
+	}
+	return &out, nil
+}
+
+// checkPatched checks the result of a patch.
+func (c *Config) checkPatched(p *Patch, out *Config) error {
 	switch n := len(out.Endpoints); {
-	case found < len(gone):
-		return nil, fail("%d of %d servers to remove are not in the list", len(gone)-found, len(gone))
 	case n > MaxEndpoints:
-		return nil, fail("%d endpoints; %d at most", n, MaxEndpoints)
+		return c.patchProblem(p, "%d endpoints; %d at most", n, MaxEndpoints)
 	case n == 0:
-		return nil, fail("no servers are left; a change can't mean that")
-	}
-	out.AllowEmpty, out.ShrinkTo = false, -1
-	if !slices.IsSortedFunc(out.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) }) {
-		return nil, fail("the change is not in the order of its ids")
+		return c.patchProblem(p, "no servers are left; a change can't mean that")
+	case !slices.IsSortedFunc(out.Endpoints, compareIDs):
+		return c.patchProblem(p, "the change is not in the order of its ids")
 	}
-	return &out, nil
+	return nil
+}
+
+// patchProblem returns the error for a patch that can't be applied.
+func (c *Config) patchProblem(p *Patch, format string, args ...any) error {
+	return &Problem{Source: p.Source, Field: "cluster " + c.Name, Text: fmt.Sprintf(format, args...)}
 }
--- a/internal/cluster/patch_test.go
+++ b/internal/cluster/patch_test.go
@@ -8,17 +8,19 @@
 	"testing"
 )
 
-// A patch does what it says to a plain map, whatever is drawn; what doesn't go with the list is refused, and nothing
-// is changed.
-func TestPatchAgainstAMap(t *testing.T) {
+// A random patch has the same result as on a map; one that doesn't fit the list is an error, and nothing changes.
+func TestPatchAgainstMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(39, 3))
-	c := &Config{Name: "rooms", ShrinkTo: -1}
+	c := &Config{Name: "rooms", ShrinkTo: ShrinkUnspecified}
 	plain := map[string]Endpoint{}
 	draw := func() Endpoint {
 		i := rng.IntN(60)
-		return Endpoint{ID: fmt.Sprintf("s-%02d", i), Address: fmt.Sprintf("10.0.0.%d:80", i+60*(rng.IntN(8)/7)), Weight: float64(rng.IntN(3)), Health: Health(rng.IntN(2))}
+		return Endpoint{
+			ID: fmt.Sprintf("s-%02d", i), Address: fmt.Sprintf("10.0.0.%d:80", i+60*(rng.IntN(8)/7)),
+			Weight: float64(rng.IntN(3)), Health: Health(rng.IntN(2)),
+		}
 	}
-	good, refused := 0, 0
+	good, rejected := 0, 0
 	for range 3000 {
 		p := &Patch{Name: "rooms"}
 		for range rng.IntN(4) {
@@ -26,21 +28,21 @@
 				p.Upserts = append(p.Upserts, e)
 			}
 		}
-		slices.SortFunc(p.Upserts, func(a, b Endpoint) int { return cmpID(a, b) })
+		slices.SortFunc(p.Upserts, compareIDs)
 		for range rng.IntN(3) {
 			p.RemovedIDs = append(p.RemovedIDs, draw().ID)
 		}
-		want, ok := apply(plain, p)
+		want, ok := applyToMap(plain, p)
 		before := slices.Clone(c.Endpoints)
 		next, err := c.Apply(p)
 		if (err == nil) != ok {
-			t.Fatalf("%+v: %v, want good %v", p, err, ok)
+			t.Fatalf("%+v: %v, want success: %v", p, err, ok)
 		}
 		if !reflect.DeepEqual(before, c.Endpoints) && len(before) > 0 {
-			t.Fatal("the version before was changed")
+			t.Fatal("the patch changed the earlier version")
 		}
 		if err != nil {
-			refused++
+			rejected++
 			continue
 		}
 		good++
@@ -54,19 +56,13 @@
 			}
 		}
 	}
-	if good < 500 || refused < 500 {
-		t.Errorf("%d good, %d refused", good, refused)
-	}
-}
-
-func cmpID(a, b Endpoint) int {
-	if a.ID < b.ID {
-		return -1
+	if good < 500 || rejected < 500 {
+		t.Errorf("%d good, %d rejected", good, rejected)
 	}
-	return 1
 }
 
-func apply(plain map[string]Endpoint, p *Patch) (map[string]Endpoint, bool) {
+// applyToMap applies a patch to endpoints by id; false: it doesn't fit them.
+func applyToMap(plain map[string]Endpoint, p *Patch) (map[string]Endpoint, bool) {
 	out := map[string]Endpoint{}
 	for id, e := range plain {
 		out[id] = e
--- a/internal/config/clusterfile.go
+++ b/internal/config/clusterfile.go
@@ -121,7 +121,7 @@
 	}
 	r := clusterReader{
 		name: file.Name, in: &f, lines: sync.OnceValue(func() lines { return newLines(file.Text) }),
-		out: &cluster.Config{Name: f.Cluster.Name, Source: file.Name, ShrinkTo: -1},
+		out: &cluster.Config{Name: f.Cluster.Name, Source: file.Name, ShrinkTo: cluster.ShrinkUnspecified},
 	}
 	if err := r.read(); err != nil {
 		return nil, nil, err
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -205,7 +205,7 @@
 func (r *realRun) version() *files.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := &cluster.Config{Name: "rooms", ShrinkTo: -1}
+	c := &cluster.Config{Name: "rooms", ShrinkTo: cluster.ShrinkUnspecified}
 	for _, p := range r.places {
 		c.Endpoints = append(c.Endpoints, p.endpoint)
 	}
--- a/internal/stress/callers/bench.go
+++ b/internal/stress/callers/bench.go
@@ -303,7 +303,7 @@
 		if err != nil {
 			return err
 		}
-		c := &cluster.Config{Name: "rooms", ShrinkTo: -1}
+		c := &cluster.Config{Name: "rooms", ShrinkTo: cluster.ShrinkUnspecified}
 		for i := range 10 {
 			c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: fmt.Sprintf("127.0.0.1:%d", i+1), Weight: 1})
 		}
--- a/internal/stress/callers/callers.go
+++ b/internal/stress/callers/callers.go
@@ -189,7 +189,7 @@
 
 // version has one box drain; -1: none.
 func (r *rig) version(draining int) *files.Snapshot {
-	c := &cluster.Config{Name: "rooms", ShrinkTo: -1}
+	c := &cluster.Config{Name: "rooms", ShrinkTo: cluster.ShrinkUnspecified}
 	for i, b := range r.boxes {
 		if b == r.wrong {
 			continue
--- a/internal/xds/translate/assignment.go
+++ b/internal/xds/translate/assignment.go
@@ -60,7 +60,7 @@
 	}
 	out.setEndpoints(rows)
 	check := cluster.Config{
-		Name: out.Name, Endpoints: out.Endpoints, AllowEmpty: len(rows) == 0, ShrinkTo: -1,
+		Name: out.Name, Endpoints: out.Endpoints, AllowEmpty: len(rows) == 0, ShrinkTo: cluster.ShrinkUnspecified,
 		Limits: cluster.Limits{Drops: out.Drops},
 	}
 	return out, check.Check(nil)
--- a/internal/xds/translate/cluster.go
+++ b/internal/xds/translate/cluster.go
@@ -114,7 +114,7 @@
 func (c *ClusterResource) Build(a *Assignment) *cluster.Config {
 	out := &cluster.Config{
 		Name:       c.Name,
-		ShrinkTo:   -1,
+		ShrinkTo:   cluster.ShrinkUnspecified,
 		Source:     "xds",
 		Limits:     c.Bounds,
 		Transport:  c.Transport,
