--- a/internal/app/extproc.go
+++ b/internal/app/extproc.go
@@ -35,7 +35,7 @@
 		if a.Keys == nil {
 			return fmt.Errorf("extproc: %w", errNoKeys)
 		}
-		o.TLS = a.Keys.Server(tlskeys.Clients{Roots: set.ClientRoots, Require: set.RequireClientCert}, "h2")
+		o.TLS = a.Keys.ServerConfig(tlskeys.ClientAuth{Roots: set.ClientRoots, Require: set.RequireClientCert}, "h2")
 	}
 	a.Log.Info("serving external processor", "addr", l.Addr().String(), "tls", set.TLS)
 	return s.Serve(ctx, l, o)
--- a/internal/app/managedcluster.go
+++ b/internal/app/managedcluster.go
@@ -61,7 +61,9 @@
 		if a.Keys == nil {
 			return nil, errNoKeys
 		}
-		r.tls = a.Keys.Client(tlskeys.Servers{Name: t.ServerName, Roots: t.Roots, Certificate: t.Certificate, Pins: t.Pins})
+		r.tls = a.Keys.ClientConfig(tlskeys.ServerAuth{
+			ServerName: t.ServerName, Roots: t.Roots, Certificate: t.Certificate, Pins: t.Pins,
+		})
 	}
 	r.ctx, r.stop = context.WithCancel(a.ctx)
 	return r, nil
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -73,7 +73,7 @@
 
 func newCell(t testing.TB, front, back webpeer.Wire, keys *tlskeys.Store, authority *keymaker.Authority) *cell {
 	t.Helper()
-	p, err := webpeer.Start(back, keys.Server(tlskeys.Clients{}, back.ALPN()), 2)
+	p, err := webpeer.Start(back, keys.ServerConfig(tlskeys.ClientAuth{}, back.ALPN()), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -104,8 +104,8 @@
 		if a.Keys == nil {
 			return nil, errNoKeys
 		}
-		clients := tlskeys.Clients{Roots: settings.ClientRoots, Require: settings.RequireClientCert}
-		o.TLS = a.Keys.Server(clients, protocols(&settings)...)
+		clients := tlskeys.ClientAuth{Roots: settings.ClientRoots, Require: settings.RequireClientCert}
+		o.TLS = a.Keys.ServerConfig(clients, protocols(&settings)...)
 	}
 	s.h1 = h1server.New(a.dedupRouter(), o)
 	s.h1.SetReady()
--- a/internal/cli/agree.go
+++ b/internal/cli/agree.go
@@ -22,8 +22,8 @@
 		c.Voters = append(c.Voters, agent.Voter{Name: v.Name, Address: v.Address})
 	}
 	if keys != nil && a.Roots != "" {
-		c.ServerTLS = keys.Server(tlskeys.Clients{Roots: a.Roots, Require: true}, "h2")
-		c.ClientTLS = keys.Client(tlskeys.Servers{Roots: a.Roots, Certificate: a.Certificate})
+		c.ServerTLS = keys.ServerConfig(tlskeys.ClientAuth{Roots: a.Roots, Require: true}, "h2")
+		c.ClientTLS = keys.ClientConfig(tlskeys.ServerAuth{Roots: a.Roots, Certificate: a.Certificate})
 	}
 	return c
 }
--- a/internal/compare/sides_test.go
+++ b/internal/compare/sides_test.go
@@ -38,7 +38,7 @@
 	l := testutil.Listen(tb)
 	srv := &http.Server{Handler: h, Protocols: s.Protocols(), HTTP2: &http.HTTP2Config{MaxConcurrentStreams: 250}}
 	if s.TLS {
-		srv.TLSConfig = s.keys.Server(tlskeys.Clients{}, s.ALPN())
+		srv.TLSConfig = s.keys.ServerConfig(tlskeys.ClientAuth{}, s.ALPN())
 		go srv.ServeTLS(l, "", "")
 	} else {
 		go srv.Serve(l)
--- a/internal/demo/tls.go
+++ b/internal/demo/tls.go
@@ -50,7 +50,7 @@
 			if err == nil {
 				err = os.WriteFile(filepath.Join(r.folder, []string{"demo.crt", "demo.key"}[i]), data, 0o600)
 			}
-			r.store.Look(time.Now()) // between the two the old pair stays
+			r.store.Reload(time.Now()) // between the two the old pair stays
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/downstream/extproc/serve_test.go
+++ b/internal/downstream/extproc/serve_test.go
@@ -97,9 +97,9 @@
 	change := []string{"[extproc]",
 		"[keys]\nfolder = \"keys\"\n[extproc]\ntls = true\nclient_roots = \"ca\"\nclient_required = true"}
 	for _, shows := range []bool{true, false} {
-		set := keys.Client(tlskeys.Servers{Name: "front.test", Roots: "ca"})
+		set := keys.ClientConfig(tlskeys.ServerAuth{ServerName: "front.test", Roots: "ca"})
 		if shows {
-			set = keys.Client(tlskeys.Servers{Name: "front.test", Roots: "ca", Certificate: "front.test"})
+			set = keys.ClientConfig(tlskeys.ServerAuth{ServerName: "front.test", Roots: "ca", Certificate: "front.test"})
 		}
 		r := startWith(t, keys, credentials.NewTLS(set), addrs, change...)
 		p := &proxy.Proxy{Conn: r.conn}
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -95,7 +95,7 @@
 	}
 	var show *tls.Config
 	if len(keys) > 0 {
-		show = keys[0].Client(tlskeys.Servers{Roots: "fleet", Certificate: "node"})
+		show = keys[0].ClientConfig(tlskeys.ServerAuth{Roots: "fleet", Certificate: "node"})
 	}
 	var err error
 	if g.client, err = NewClient("f", g.voters, show); err != nil {
@@ -151,8 +151,8 @@
 	}
 	if len(g.keys) > 0 {
 		k := g.keys[i%len(g.keys)]
-		c.ServerTLS = k.Server(tlskeys.Clients{Roots: "fleet", Require: true}, "h2")
-		c.ClientTLS = k.Client(tlskeys.Servers{Roots: "fleet", Certificate: "node"})
+		c.ServerTLS = k.ServerConfig(tlskeys.ClientAuth{Roots: "fleet", Require: true}, "h2")
+		c.ClientTLS = k.ClientConfig(tlskeys.ServerAuth{Roots: "fleet", Certificate: "node"})
 	}
 	g.with(i, &c)
 	return c
@@ -441,9 +441,9 @@
 		with        *tls.Config
 		want        codes.Code
 	}{
-		{"another fleet", "other", ours.Client(tlskeys.Servers{Roots: "fleet", Certificate: "node"}), codes.PermissionDenied},
-		{"no key", "f", ours.Client(tlskeys.Servers{Roots: "fleet"}), codes.Unavailable},
-		{"another key", "f", theirs.Client(tlskeys.Servers{Roots: "fleet", Certificate: "node"}), codes.Unavailable},
+		{"another fleet", "other", ours.ClientConfig(tlskeys.ServerAuth{Roots: "fleet", Certificate: "node"}), codes.PermissionDenied},
+		{"no key", "f", ours.ClientConfig(tlskeys.ServerAuth{Roots: "fleet"}), codes.Unavailable},
+		{"another key", "f", theirs.ClientConfig(tlskeys.ServerAuth{Roots: "fleet", Certificate: "node"}), codes.Unavailable},
 		{"clear text", "f", nil, codes.Unavailable},
 	} {
 		c, err := Dial(g.voters[0], tc.with, tc.fleet)
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -227,7 +227,7 @@
 		if err != nil {
 			return err
 		}
-		with = keys.Client(tlskeys.Servers{Roots: rootsName, Certificate: pairName})
+		with = keys.ClientConfig(tlskeys.ServerAuth{Roots: rootsName, Certificate: pairName})
 	}
 	r.meter = NewMeter(r.voters, r.plan.Regions)
 	var err error
--- a/internal/stress/badpeers/badpeers.go
+++ b/internal/stress/badpeers/badpeers.go
@@ -160,7 +160,7 @@
 // between starts the program with its server; end ends both.
 func (r *rig) between(front, back webpeer.Wire) (b *between, err error) {
 	b = &between{front: front}
-	if b.peer, err = webpeer.Start(back, r.keys.Server(tlskeys.Clients{}, back.ALPN()), 2); err != nil {
+	if b.peer, err = webpeer.Start(back, r.keys.ServerConfig(tlskeys.ClientAuth{}, back.ALPN()), 2); err != nil {
 		return nil, err
 	}
 	if b.program, err = config.ParseProgram("abuse.toml", []byte(program)); err != nil {
--- a/internal/tlskeys/set.go
+++ b/internal/tlskeys/set.go
@@ -24,11 +24,11 @@
 
 // The bounds of a folder.
 const (
-	MaxFiles   = 1000
-	MaxFile    = 1 << 20 // bytes
-	MaxChain   = 10      // certificates of a chain
-	MaxRoots   = 1000    // certificates of a bundle
-	MaxTickets = 16      // keys of session tickets
+	MaxFiles      = 1000
+	MaxFileBytes  = 1 << 20 // bytes
+	MaxChainCerts = 10      // certificates of a chain
+	MaxRootCerts  = 1000    // certificates of a bundle
+	MaxTicketKeys = 16      // keys of session tickets
 )
 
 // The endings of file names: NAME.crt and NAME.key are a certificate with its chain and its
@@ -48,7 +48,7 @@
 type Pair struct {
 	Name        string
 	Certificate tls.Certificate
-	Until       time.Time // the end of the first certificate of the chain that ends
+	NotAfter    time.Time // the end of the first certificate of the chain that ends
 	sum         [sha256.Size]byte
 }
 
@@ -64,15 +64,15 @@
 // Empty is a set with nothing in it.
 func Empty() *Set { return &Set{} }
 
-// Next reads a folder's files. What is faulty is told, by file, and stays as it is in old, if
+// Update reads a folder's files. What is faulty is told, by file, and stays as it is in old, if
 // it is there. first names the pair for clients that name no server; "": the first by name.
-func Next(old *Set, files []File, first string, now time.Time) (*Set, []error) {
+func Update(old *Set, files []File, first string, now time.Time) (*Set, []error) {
 	var faults []error
 	fault := func(name string, err error) { faults = append(faults, fmt.Errorf("%s: %w", name, err)) }
 	by := map[string][]byte{}
 	for _, f := range files {
-		if len(f.Data) > MaxFile {
-			fault(f.Name, fmt.Errorf("%d bytes; %d at most", len(f.Data), MaxFile))
+		if len(f.Data) > MaxFileBytes {
+			fault(f.Name, fmt.Errorf("%d bytes; %d at most", len(f.Data), MaxFileBytes))
 			continue
 		}
 		by[f.Name] = f.Data
@@ -140,7 +140,7 @@
 		leaf := p.Certificate.Leaf
 		for _, n := range append(slices.Clone(leaf.DNSNames), addresses(leaf)...) {
 			n = strings.ToLower(n)
-			if was := s.byName[n]; was == nil || p.Until.After(was.Until) {
+			if was := s.byName[n]; was == nil || p.NotAfter.After(was.NotAfter) {
 				s.byName[n] = p
 			}
 		}
@@ -154,9 +154,9 @@
 	return list
 }
 
-// For gives the certificate for a server's name (RFC 6066, 3): by its name, by a wildcard in
+// ForServerName gives the certificate for a server's name (RFC 6066, 3): by its name, by a wildcard in
 // place of its first label, else the first of the set; nil if that is empty.
-func (s *Set) For(server string) *Pair {
+func (s *Set) ForServerName(server string) *Pair {
 	server = strings.ToLower(strings.TrimSuffix(server, "."))
 	if p := s.byName[server]; p != nil {
 		return p
@@ -177,31 +177,31 @@
 
 // Expiry is a pair with the time that it has left.
 type Expiry struct {
-	Name string
-	Left time.Duration
+	Name      string
+	Remaining time.Duration
 }
 
 // Expiring lists the pairs that end within a time, the first to end first.
 func (s *Set) Expiring(now time.Time, within time.Duration) (list []Expiry) {
 	for name, p := range s.pairs {
-		if left := p.Until.Sub(now); left < within {
+		if left := p.NotAfter.Sub(now); left < within {
 			list = append(list, Expiry{name, left})
 		}
 	}
 	slices.SortFunc(list, func(a, b Expiry) int {
-		return cmp.Or(cmp.Compare(a.Left, b.Left), strings.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(a.Remaining, b.Remaining), strings.Compare(a.Name, b.Name))
 	})
 	return list
 }
 
-// same tells whether two sets have the same pairs and tickets, so that nothing needs saying.
-func (s *Set) same(o *Set) bool {
+// equal tells whether two sets have the equal pairs and tickets, so that nothing needs saying.
+func (s *Set) equal(o *Set) bool {
 	return maps.EqualFunc(s.pairs, o.pairs, func(a, b *Pair) bool { return a.sum == b.sum }) &&
 		maps.EqualFunc(s.roots, o.roots, func(a, b *x509.CertPool) bool { return a.Equal(b) }) && slices.Equal(s.tickets, o.tickets)
 }
 
 func parsePair(name string, cert, key []byte, now time.Time) (*Pair, error) {
-	list, err := certificates(cert, MaxChain)
+	list, err := certificates(cert, MaxChainCerts)
 	if err != nil {
 		return nil, err
 	}
@@ -211,8 +211,8 @@
 	}
 	p.Certificate.Leaf = list[0]
 	for i, c := range list {
-		if p.Until.IsZero() || c.NotAfter.Before(p.Until) {
-			p.Until = c.NotAfter
+		if p.NotAfter.IsZero() || c.NotAfter.Before(p.NotAfter) {
+			p.NotAfter = c.NotAfter
 		}
 		what := fmt.Sprintf("certificate %d (%s)", i+1, c.Subject)
 		switch {
@@ -256,7 +256,7 @@
 }
 
 func parseRoots(data []byte) (*x509.CertPool, error) {
-	list, err := certificates(data, MaxRoots)
+	list, err := certificates(data, MaxRootCerts)
 	if err != nil {
 		return nil, err
 	}
@@ -276,8 +276,8 @@
 		if err != nil || len(raw) != 32 {
 			return nil, fmt.Errorf("line %d is not 64 hexadecimal digits", len(keys)+1)
 		}
-		if keys = append(keys, [32]byte(raw)); len(keys) > MaxTickets {
-			return nil, fmt.Errorf("over %d keys", MaxTickets)
+		if keys = append(keys, [32]byte(raw)); len(keys) > MaxTicketKeys {
+			return nil, fmt.Errorf("over %d keys", MaxTicketKeys)
 		}
 	}
 	return keys, nil
--- a/internal/tlskeys/store.go
+++ b/internal/tlskeys/store.go
@@ -32,7 +32,7 @@
 func Open(folder, first string, log *slog.Logger) (*Store, error) {
 	s := &Store{folder: folder, first: first, log: log, said: map[string]bool{}}
 	s.set.Store(Empty())
-	if faults := s.Look(time.Now()); len(faults) > 0 {
+	if faults := s.Reload(time.Now()); len(faults) > 0 {
 		return nil, errors.Join(faults...)
 	}
 	return s, nil
@@ -44,9 +44,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	set, faults := Next(Empty(), files, first, now)
+	set, faults := Update(Empty(), files, first, now)
 	for _, e := range set.Expiring(now, warnings[0]) {
-		warn = append(warn, fmt.Sprintf("%s: ends in %s", filepath.Join(folder, e.Name+certSuffix), days(e.Left)))
+		warn = append(warn, fmt.Sprintf("%s: ends in %s", filepath.Join(folder, e.Name+certSuffix), days(e.Remaining)))
 	}
 	for i, f := range faults {
 		faults[i] = fmt.Errorf("%s/%w", folder, f)
@@ -67,21 +67,21 @@
 // Changes counts the sets that came in force.
 func (s *Store) Changes() uint64 { return s.changed.Load() }
 
-// Look reads the folder once and puts in force what is whole. Faults are given, and logged
+// Reload reads the folder once and puts in force what is whole. Faults are given, and logged
 // when they are new.
-func (s *Store) Look(now time.Time) []error {
+func (s *Store) Reload(now time.Time) []error {
 	files, err := read(s.folder)
 	if err != nil {
 		s.tell(slog.LevelError, "the folder of the keys can't be read; the last ones stay", err.Error())
 		return []error{err}
 	}
 	old := s.set.Load()
-	next, faults := Next(old, files, s.first, now)
+	next, faults := Update(old, files, s.first, now)
 	for i, f := range faults {
 		faults[i] = fmt.Errorf("%s/%w", s.folder, f)
 		s.tell(slog.LevelError, "an entry of the keys is not taken; what was there stays", faults[i].Error())
 	}
-	if !next.same(old) {
+	if !next.equal(old) {
 		s.set.Store(next)
 		s.changed.Add(1)
 		clear(s.said)
@@ -90,7 +90,7 @@
 	for _, e := range s.Set().Expiring(now, warnings[0]) {
 		step := warnings[0]
 		for _, w := range warnings {
-			if e.Left < w {
+			if e.Remaining < w {
 				step = w
 			}
 		}
@@ -116,7 +116,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			s.Look(now)
+			s.Reload(now)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 		if err != nil {
 			return nil, err
 		}
-		data, err := io.ReadAll(io.LimitReader(f, MaxFile+1))
+		data, err := io.ReadAll(io.LimitReader(f, MaxFileBytes+1))
 		f.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
@@ -156,21 +156,21 @@
 	return files, nil
 }
 
-// Clients says what a listener wants of its clients.
-type Clients struct {
+// ClientAuth says what a listener wants of its clients.
+type ClientAuth struct {
 	Roots   string // bundle that their certificates have to lead to; "": none are asked for
 	Require bool   // a client without one is turned away
 }
 
 var errNoCertificate = errors.New("tlskeys: there is no certificate to show")
 
-// Server makes the configuration of a listener. It is Go's default but for the keys; protos
+// ServerConfig makes the configuration of a listener. It is Go's default but for the keys; protos
 // are those of ALPN, in order of preference.
-func (s *Store) Server(c Clients, protos ...string) *tls.Config {
+func (s *Store) ServerConfig(c ClientAuth, protos ...string) *tls.Config {
 	base := &tls.Config{
 		NextProtos: protos,
 		GetCertificate: func(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
-			if p := s.Set().For(hello.ServerName); p != nil {
+			if p := s.Set().ForServerName(hello.ServerName); p != nil {
 				return &p.Certificate, nil
 			}
 			return nil, errNoCertificate
@@ -208,19 +208,19 @@
 	return out
 }
 
-// Servers says what is wanted of the servers of a cluster.
-type Servers struct {
-	Name        string   // that their certificates are for; "": the address's host
+// ServerAuth says what is wanted of the servers of a cluster.
+type ServerAuth struct {
+	ServerName  string   // that their certificates are for; "": the address's host
 	Roots       string   // bundle; "": the system's
 	Certificate string   // pair that is shown to them; "": none
 	Pins        []string // of keys, as Pin gives them: one of the chain has to have one; nil: any
 }
 
-// Client makes the configuration of connections to servers. Keys that come later serve
+// ClientConfig makes the configuration of connections to servers. Keys that come later serve
 // connections that are opened then.
-func (s *Store) Client(c Servers) *tls.Config {
+func (s *Store) ClientConfig(c ServerAuth) *tls.Config {
 	return &tls.Config{
-		ServerName: c.Name,
+		ServerName: c.ServerName,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			if p := s.Set().Pair(c.Certificate); p != nil {
 				return &p.Certificate, nil
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -40,7 +40,7 @@
 	a := authority(t)
 	cert, key := issue(t, a, -time.Hour, time.Hour, "a.test")
 	good := []File{{"a.crt", cert}, {"a.key", key}, {"ca.ca", a.PEM}, {"s.tickets", []byte(strings.Repeat("ab", 32) + "\n")}}
-	old, faults := Next(Empty(), good, "", time.Now())
+	old, faults := Update(Empty(), good, "", time.Now())
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -64,12 +64,12 @@
 		{"another chain", "a.crt", []File{{"a.crt", wrongChain}, {"a.key", key}}, "out of order"},
 		{"empty", "a.crt", []File{{"a.crt", nil}, {"a.key", key}}, "has no certificate"},
 		{"a key in it", "a.crt", []File{{"a.crt", append(bytes.Clone(key), cert...)}, {"a.key", key}}, `block of type "PRIVATE KEY"`},
-		{"too long", "a.crt", []File{{"a.crt", make([]byte, MaxFile+1)}, {"a.key", key}}, "at most"},
+		{"too long", "a.crt", []File{{"a.crt", make([]byte, MaxFileBytes+1)}, {"a.key", key}}, "at most"},
 		{"roots torn", "ca.ca", []File{{"ca.ca", a.PEM[:len(a.PEM)/2]}}, "not whole"},
 		{"tickets torn", "s.tickets", []File{{"s.tickets", []byte("abab")}}, "no end"},
 		{"tickets malformed", "s.tickets", []File{{"s.tickets", []byte("xy\n")}}, "hexadecimal"},
 	} {
-		set, faults := Next(old, tc.files, "", time.Now())
+		set, faults := Update(old, tc.files, "", time.Now())
 		if len(faults) == 0 || !strings.HasPrefix(faults[0].Error(), tc.file+": ") || !strings.Contains(faults[0].Error(), tc.says) {
 			t.Errorf("%s: %v", tc.name, faults)
 			continue
@@ -83,7 +83,7 @@
 		for n := range good[file].Data {
 			files := []File{{"a.crt", cert}, {"a.key", key}}
 			files[file].Data = files[file].Data[:n]
-			set, faults := Next(old, files, "", time.Now())
+			set, faults := Update(old, files, "", time.Now())
 			p := set.Pair("a")
 			if p == nil || len(faults) == 0 && len(p.Certificate.Certificate) == 0 {
 				t.Fatalf("%s torn at %d: %v", good[file].Name, n, faults)
@@ -104,14 +104,14 @@
 	}
 	cert, key := issue(t, a, -time.Hour, 2*time.Hour, "one.test") // lasts longer
 	files = append(files, File{"zz.crt", cert}, File{"zz.key", key})
-	set, faults := Next(Empty(), files, "zero", time.Now())
+	set, faults := Update(Empty(), files, "zero", time.Now())
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	for server, want := range map[string]string{
 		"one.test": "zz", "ONE.test.": "zz", "127.0.0.1": "one", "a.wild.test": "wild", "a.b.wild.test": "zero", "wild.test": "zero", "": "zero",
 	} {
-		if got := set.For(server); got.Name != want {
+		if got := set.ForServerName(server); got.Name != want {
 			t.Errorf("%q gets %s, want %s", server, got.Name, want)
 		}
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := tls.NewListener(testutil.Listen(t), store.Server(Clients{}, "http/1.1"))
+	l := tls.NewListener(testutil.Listen(t), store.ServerConfig(ClientAuth{}, "http/1.1"))
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -183,7 +183,7 @@
 			func() { put("a.key", key[:len(key)/2]) }, func() { put("a.key", key) },
 		} {
 			write()
-			faults := store.Look(time.Now())
+			faults := store.Reload(time.Now())
 			if (len(faults) == 0) != (step == 3 && i%4 != 3) {
 				t.Fatalf("rotation %d, step %d: %v", i, step, faults)
 			}
@@ -226,25 +226,25 @@
 	pin := Pin(store.Set().Pair("server.test").Certificate.Leaf)
 	for _, tc := range []struct {
 		name   string
-		server Servers
-		client Clients
+		server ServerAuth
+		client ClientAuth
 		fails  string
 	}{
-		{"as it should be", Servers{Name: "server.test", Roots: "ca"}, Clients{}, ""},
-		{"another name", Servers{Name: "other.test", Roots: "ca"}, Clients{}, "not other.test"},
-		{"other roots", Servers{Name: "server.test", Roots: "strange"}, Clients{}, "unknown authority"},
-		{"no such roots", Servers{Name: "server.test", Roots: "none"}, Clients{}, "no roots none"},
-		{"the key is pinned", Servers{Name: "server.test", Roots: "ca", Pins: []string{pin}}, Clients{}, ""},
-		{"another is pinned", Servers{Name: "server.test", Roots: "ca", Pins: []string{"x"}}, Clients{}, "is pinned"},
-		{"a certificate is shown", Servers{Name: "server.test", Roots: "ca", Certificate: "client.test"}, Clients{Roots: "ca", Require: true}, ""},
-		{"none is shown", Servers{Name: "server.test", Roots: "ca"}, Clients{Roots: "ca", Require: true}, "certificate required"},
-		{"none is wanted", Servers{Name: "server.test", Roots: "ca"}, Clients{Roots: "ca"}, ""},
-		{"from a stranger", Servers{Name: "server.test", Roots: "ca", Certificate: "client.test"}, Clients{Roots: "strange"}, "unknown certificate authority"},
+		{"as it should be", ServerAuth{ServerName: "server.test", Roots: "ca"}, ClientAuth{}, ""},
+		{"another name", ServerAuth{ServerName: "other.test", Roots: "ca"}, ClientAuth{}, "not other.test"},
+		{"other roots", ServerAuth{ServerName: "server.test", Roots: "strange"}, ClientAuth{}, "unknown authority"},
+		{"no such roots", ServerAuth{ServerName: "server.test", Roots: "none"}, ClientAuth{}, "no roots none"},
+		{"the key is pinned", ServerAuth{ServerName: "server.test", Roots: "ca", Pins: []string{pin}}, ClientAuth{}, ""},
+		{"another is pinned", ServerAuth{ServerName: "server.test", Roots: "ca", Pins: []string{"x"}}, ClientAuth{}, "is pinned"},
+		{"a certificate is shown", ServerAuth{ServerName: "server.test", Roots: "ca", Certificate: "client.test"}, ClientAuth{Roots: "ca", Require: true}, ""},
+		{"none is shown", ServerAuth{ServerName: "server.test", Roots: "ca"}, ClientAuth{Roots: "ca", Require: true}, "certificate required"},
+		{"none is wanted", ServerAuth{ServerName: "server.test", Roots: "ca"}, ClientAuth{Roots: "ca"}, ""},
+		{"from a stranger", ServerAuth{ServerName: "server.test", Roots: "ca", Certificate: "client.test"}, ClientAuth{Roots: "strange"}, "unknown certificate authority"},
 	} {
 		near, far := net.Pipe()
 		done := make(chan error, 1)
 		go func() {
-			s := tls.Server(far, store.Server(tc.client, "h2"))
+			s := tls.Server(far, store.ServerConfig(tc.client, "h2"))
 			err := s.Handshake()
 			if err == nil {
 				s.Write([]byte("x"))
@@ -253,7 +253,7 @@
 			done <- err
 		}()
 		near.SetDeadline(time.Now().Add(testutil.Patience))
-		c := tls.Client(near, store.Client(tc.server))
+		c := tls.Client(near, store.ClientConfig(tc.server))
 		err := c.Handshake()
 		if err == nil { // with TLS 1.3 the server's verdict on the client comes behind it
 			_, err = c.Read(make([]byte, 1))
@@ -272,8 +272,8 @@
 	cert, key, _ := a.Issue(time.Now(), time.Now().Add(time.Hour), "a.test")
 	f.Add(cert, key, a.PEM, []byte(strings.Repeat("0", 64)+"\n"))
 	f.Fuzz(func(t *testing.T, cert, key, roots, tickets []byte) {
-		set, _ := Next(Empty(), []File{{"a.crt", cert}, {"a.key", key}, {"r.ca", roots}, {"t.tickets", tickets}}, "", time.Now())
-		if p := set.For("a.test"); p != nil && p.Certificate.Leaf == nil {
+		set, _ := Update(Empty(), []File{{"a.crt", cert}, {"a.key", key}, {"r.ca", roots}, {"t.tickets", tickets}}, "", time.Now())
+		if p := set.ForServerName("a.test"); p != nil && p.Certificate.Leaf == nil {
 			t.Error("a pair with no certificate")
 		}
 	})
