--- /dev/null
+++ b/internal/tlskeys/store_test.go
@@ -0,0 +1,107 @@
+package tlskeys
+
+import (
+	"crypto/tls"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"yokestall/internal/testutil"
+)
+
+// Rotations under load, each written in halves and some of them faulty: no handshake fails, an open connection goes on,
+// and the last good certificate is shown.
+func TestRotationUnderLoad(t *testing.T) {
+	a := newAuthority(t)
+	folder := t.TempDir()
+	write := func(name string, data []byte) {
+		if err := os.WriteFile(filepath.Join(folder, name), data, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := a.Write(folder, "a", "a.test"); err != nil {
+		t.Fatal(err)
+	}
+	store, err := Open(folder, "", testutil.Quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := tls.NewListener(testutil.Listen(t), store.ServerConfig(ClientAuth{}, "http/1.1"))
+	go serveEcho(l)
+	connect := func() (*tls.Conn, error) {
+		return tls.Dial("tcp", l.Addr().String(), &tls.Config{RootCAs: a.Pool(), ServerName: "a.test"})
+	}
+	first, err := connect()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer first.Close()
+	shown := map[string]bool{}
+	for i := range 40 {
+		cert, key := issue(t, a, -time.Hour, time.Hour, "a.test")
+		if i%4 == 3 {
+			cert, key = issue(t, a, -2*time.Hour, -time.Hour, "a.test") // expired
+		}
+		for step, writeStep := range []func(){
+			func() { write("a.crt", cert[:len(cert)/2]) }, func() { write("a.crt", cert) },
+			func() { write("a.key", key[:len(key)/2]) }, func() { write("a.key", key) },
+		} {
+			writeStep()
+			faults := store.Reload(time.Now())
+			if (len(faults) == 0) != (step == 3 && i%4 != 3) {
+				t.Fatalf("rotation %d, step %d: %v", i, step, faults)
+			}
+			c, err := connect()
+			if err != nil {
+				t.Fatalf("rotation %d, step %d: %v", i, step, err)
+			}
+			if err := ping(c); err != nil {
+				t.Fatal(err)
+			}
+			shown[fmt.Sprint(c.ConnectionState().PeerCertificates[0].SerialNumber)] = true
+			c.Close()
+		}
+	}
+	if len(shown) != 31 { // the first and three of four
+		t.Errorf("%d certificates were shown", len(shown))
+	}
+	if err := ping(first); err != nil {
+		t.Errorf("the first connection: %v", err)
+	}
+	if store.Changes() != 31 {
+		t.Errorf("%d sets came into force", store.Changes())
+	}
+}
+
+// serveEcho returns each byte that it reads, until the listener is closed.
+func serveEcho(l net.Listener) {
+	for {
+		conn, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer conn.Close()
+			var b [1]byte
+			for {
+				if _, err := conn.Read(b[:]); err != nil {
+					return
+				}
+				conn.Write(b[:])
+			}
+		}()
+	}
+}
+
+// ping writes a byte and reads one.
+func ping(c net.Conn) error {
+	b := [1]byte{'x'}
+	if _, err := c.Write(b[:]); err != nil {
+		return err
+	}
+	_, err := c.Read(b[:])
+	return err
+}
