--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -103,7 +103,7 @@
 		asked += t.Asked
 	}
 	r.result.Copies = max(0, r.result.Sends-asked)
-	return &Outcome{Who: fmt.Sprint(d.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}, fleet.Judge(events, rules), report.Void, ctx.Err()
+	return &Outcome{Who: fmt.Sprint(d.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}, fleet.Judge(events, rules), report.Invalid, ctx.Err()
 }
 
 // serveCommand is the command that starts a process of the program with a configuration file.
--- a/internal/lab/process/load.go
+++ b/internal/lab/process/load.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	generatorLate = 5 * time.Millisecond // a load is void beyond; see loadgen.Plan.Late
+	generatorLate = 5 * time.Millisecond // a load is void beyond; see loadgen.Plan.MaxLateness
 	firstFaults   = 5                    // kept of a load, for its report
 	longestAdded  = int64(time.Minute / time.Microsecond)
 )
@@ -83,7 +83,7 @@
 	connections := s.connections()
 	began := time.Now()
 	report := loadgen.Run(ctx, loadgen.Plan{
-		Length: length, Open: openLimit, Seed: s.Generator.Seed, Late: generatorLate,
+		Duration: length, MaxInFlight: openLimit, Seed: s.Generator.Seed, MaxLateness: generatorLate,
 		Streams: []loadgen.Stream{{Rate: rate, Curve: model.Curve{}, Do: func(_ context.Context, n int, _ time.Time) {
 			status, added, err := ask(client, n, next)
 			mu.Lock()
@@ -101,7 +101,7 @@
 			}
 		}}},
 	})
-	l.Wall, l.Asked, l.Void = time.Since(began), report.Asked[0], report.Void
+	l.Wall, l.Asked, l.Void = time.Since(began), report.Requests[0], report.Invalid
 	l.Connections = s.connections() - connections
 	return l
 }
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -32,7 +32,7 @@
 const MaxReal = 64
 
 const (
-	generatorLate = 20 * time.Millisecond // a run is void beyond; see loadgen.Plan.Late
+	generatorLate = 20 * time.Millisecond // a run is void beyond; see loadgen.Plan.MaxLateness
 	mostOpen      = 4096
 )
 
@@ -99,7 +99,7 @@
 		return nil, false, r.err
 	}
 	r.finish()
-	return &Outcome{Who: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Void, ctx.Err()
+	return &Outcome{Who: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Invalid, ctx.Err()
 }
 
 // closeBoxes closes all servers that the run has started.
@@ -115,7 +115,7 @@
 func (r *realRun) plan() loadgen.Plan {
 	d := &r.e.Day
 	r.seconds = make([]second, int(d.Length/time.Second)+1)
-	plan := loadgen.Plan{Length: d.Length, Open: mostOpen, Seed: r.e.Seed, Late: generatorLate}
+	plan := loadgen.Plan{Duration: d.Length, MaxInFlight: mostOpen, Seed: r.e.Seed, MaxLateness: generatorLate}
 	for i := range d.Classes {
 		r.result.Classes = append(r.result.Classes, fleetsim.Tally{Times: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)})
 		r.draws = append(r.draws, rand.New(rand.NewPCG(r.e.Seed, uint64(100+i))))
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -16,32 +16,32 @@
 
 // Stream is one class of arrivals.
 type Stream struct {
-	Rate  float64 // requests a second, before the curve
-	Curve model.Curve
-	Even  bool // at even distances; else as a Poisson process
+	Rate         float64 // requests a second, before the curve
+	Curve        model.Curve
+	EvenlySpaced bool // at even distances; else as a Poisson process
 	// Do makes request n of the stream; due is when it had to go out. It returns when the request is over.
 	Do func(ctx context.Context, n int, due time.Time)
 }
 
 // Plan is a run.
 type Plan struct {
-	Length  time.Duration
-	Streams []Stream
-	Open    int // requests that may be open at once; what is due beyond waits, and its time counts
-	Seed    uint64
-	// Late is how late the generator may be itself: if a hundredth of the requests is handed out later
+	Duration    time.Duration
+	Streams     []Stream
+	MaxInFlight int // requests that may be open at once; what is due beyond waits, and its time counts
+	Seed        uint64
+	// MaxLateness is how late the generator may be itself: if a hundredth of the requests is handed out later
 	// than this though there was a place, the run is void.
-	Late time.Duration
+	MaxLateness time.Duration
 }
 
 // Report is what came of a run. Times are in microseconds, for each stream.
 type Report struct {
-	Asked   []int64
-	FromDue []*hdrhistogram.Histogram // what clients would see
-	// FromSend leaves out what a request waited for a place: what a closed loop would measure.
-	FromSend []*hdrhistogram.Histogram
-	Lateness *hdrhistogram.Histogram // of the generator itself
-	Void     bool
+	Requests       []int64
+	LatencyFromDue []*hdrhistogram.Histogram // what clients would see
+	// LatencyFromSend leaves out what a request waited for a place: what a closed loop would measure.
+	LatencyFromSend []*hdrhistogram.Histogram
+	Lateness        *hdrhistogram.Histogram // of the generator itself
+	Invalid         bool
 }
 
 const longest = int64(time.Hour / time.Microsecond)
@@ -53,10 +53,10 @@
 	r := &Report{Lateness: histogram()}
 	var mu sync.Mutex // guards the histograms
 	var all sync.WaitGroup
-	places := make(chan struct{}, p.Open)
+	places := make(chan struct{}, p.MaxInFlight)
 	for range p.Streams {
-		r.Asked = append(r.Asked, 0)
-		r.FromDue, r.FromSend = append(r.FromDue, histogram()), append(r.FromSend, histogram())
+		r.Requests = append(r.Requests, 0)
+		r.LatencyFromDue, r.LatencyFromSend = append(r.LatencyFromDue, histogram()), append(r.LatencyFromSend, histogram())
 	}
 	began := time.Now()
 	for i := range p.Streams {
@@ -69,7 +69,7 @@
 			defer timer.Stop()
 			for n, at := 0, time.Duration(0); ; n++ {
 				var ok bool
-				if at, ok = s.next(at, p.Length, rng); !ok {
+				if at, ok = s.nextDue(at, p.Duration, rng); !ok {
 					return
 				}
 				due := began.Add(at)
@@ -93,7 +93,7 @@
 					}
 				}
 				mu.Lock()
-				r.Asked[i]++
+				r.Requests[i]++
 				if !full && len(places) > 0 { // not held up by the requests before
 					r.Lateness.RecordValue(clamp(late))
 				}
@@ -105,22 +105,22 @@
 					<-places
 					mu.Lock()
 					defer mu.Unlock()
-					r.FromDue[i].RecordValue(clamp(over.Sub(due)))
-					r.FromSend[i].RecordValue(clamp(over.Sub(sent)))
+					r.LatencyFromDue[i].RecordValue(clamp(over.Sub(due)))
+					r.LatencyFromSend[i].RecordValue(clamp(over.Sub(sent)))
 				})
 			}
 		})
 	}
 	all.Wait()
-	r.Void = time.Duration(r.Lateness.ValueAtQuantile(99))*time.Microsecond > p.Late
+	r.Invalid = time.Duration(r.Lateness.ValueAtQuantile(99))*time.Microsecond > p.MaxLateness
 	return r
 }
 
 func clamp(d time.Duration) int64 { return min(max(1, d.Microseconds()), longest) }
 
-// next gives when a stream's next request is due.
-func (s *Stream) next(at, end time.Duration, rng *rand.Rand) (time.Duration, bool) {
-	if !s.Even {
+// nextDue gives when a stream's nextDue request is due.
+func (s *Stream) nextDue(at, end time.Duration, rng *rand.Rand) (time.Duration, bool) {
+	if !s.EvenlySpaced {
 		return model.NextArrival(at, end, s.Rate, s.Curve, rng)
 	}
 	rate := s.Rate * s.Curve.Value(at)
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -19,25 +19,25 @@
 	began := time.Now()
 	end := began.Add(2 * time.Second)
 	r := Run(t.Context(), Plan{
-		Length: 2 * time.Second, Open: 4, Late: time.Second, Seed: 1,
-		Streams: []Stream{{Rate: 500, Even: true, Do: func(context.Context, int, time.Time) {
+		Duration: 2 * time.Second, MaxInFlight: 4, MaxLateness: time.Second, Seed: 1,
+		Streams: []Stream{{Rate: 500, EvenlySpaced: true, Do: func(context.Context, int, time.Time) {
 			if now := time.Now(); now.After(began.Add(time.Second)) && now.Before(end) {
 				time.Sleep(end.Sub(now)) // the stall
 			}
 		}}},
 	})
-	due, sent := r.FromDue[0].ValueAtQuantile(99), r.FromSend[0].ValueAtQuantile(98)
+	due, sent := r.LatencyFromDue[0].ValueAtQuantile(99), r.LatencyFromSend[0].ValueAtQuantile(98)
 	if due < 900_000 || sent > due/2 {
 		t.Errorf("p99 from due %d us; p98 from sending %d us", due, sent)
 	}
-	if n := r.Asked[0]; n < 990 || n > 1000 {
+	if n := r.Requests[0]; n < 990 || n > 1000 {
 		t.Errorf("%d asked, 1000 due", n)
 	}
 }
 
 // A run in which the generator itself was starved is void; one in which it only waits for the server is not.
 func TestVoid(t *testing.T) {
-	plan := Plan{Length: 300 * time.Millisecond, Open: 64, Late: 5 * time.Millisecond, Seed: 1,
+	plan := Plan{Duration: 300 * time.Millisecond, MaxInFlight: 64, MaxLateness: 5 * time.Millisecond, Seed: 1,
 		Streams: []Stream{{Rate: 500, Do: func(context.Context, int, time.Time) {}}}}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	var stop atomic.Bool
@@ -50,12 +50,12 @@
 	}
 	r := Run(t.Context(), plan)
 	stop.Store(true)
-	if !r.Void {
+	if !r.Invalid {
 		t.Errorf("starved of its core and not void: late by %d us at p99", r.Lateness.ValueAtQuantile(99))
 	}
-	plan.Open, plan.Late = 1, testutil.Patience
+	plan.MaxInFlight, plan.MaxLateness = 1, testutil.Patience
 	plan.Streams[0].Do = func(context.Context, int, time.Time) { time.Sleep(20 * time.Millisecond) } // the server's time
-	if r := Run(t.Context(), plan); r.Void || r.FromDue[0].ValueAtQuantile(50) < 20_000 {
-		t.Errorf("void %v, p50 %d us", r.Void, r.FromDue[0].ValueAtQuantile(50))
+	if r := Run(t.Context(), plan); r.Invalid || r.LatencyFromDue[0].ValueAtQuantile(50) < 20_000 {
+		t.Errorf("void %v, p50 %d us", r.Invalid, r.LatencyFromDue[0].ValueAtQuantile(50))
 	}
 }
