--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,12 +1,13 @@
-// Package loadgen asks at times that are fixed ahead, whatever the answers do (an open loop): a request is
-// due at its time, and its latency counts from then on. A server that stalls can't hide it by holding the
-// generator back (coordinated omission: Tene, 2013).
+// Package loadgen sends requests at times that are fixed ahead, whatever the responses do (an open loop). A latency
+// counts from the time at which the request was due. So a server that stalls can't hide it by holding the generator
+// back (coordinated omission: Tene, 2013).
+//
+// loadgen.go has the plan of a run and its report, run.go the run.
 package loadgen
 
 import (
 	"context"
 	"math/rand/v2"
-	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -18,115 +19,67 @@
 type Stream struct {
 	Rate         float64 // requests a second, before the curve
 	Curve        model.Curve
-	EvenlySpaced bool // at even distances; else as a Poisson process
-	// Do makes request n of the stream; due is when it had to go out. It returns when the request is over.
+	EvenlySpaced bool // else a Poisson process
+	// Do sends request n of the stream, which was to be sent at due, and returns when the request has ended.
 	Do func(ctx context.Context, n int, due time.Time)
 }
 
-// Plan is a run.
+// nextDue returns when the next request after one at a time is due, as offsets from the run's start. It returns false
+// if none is due before end.
+func (s *Stream) nextDue(at, end time.Duration, rng *rand.Rand) (time.Duration, bool) {
+	if !s.EvenlySpaced {
+		return model.NextArrival(at, end, s.Rate, s.Curve, rng)
+	}
+	rate := s.Rate * s.Curve.Value(at)
+	if rate <= 0 {
+		return 0, false
+	}
+	at += time.Duration(float64(time.Second) / rate)
+	return at, at < end
+}
+
+// Plan describes a run.
 type Plan struct {
-	Duration    time.Duration
-	Streams     []Stream
-	MaxInFlight int // requests that may be open at once; what is due beyond waits, and its time counts
+	Duration time.Duration
+	Streams  []Stream
+	// MaxInFlight bounds the requests in flight. What is due beyond waits, and the wait counts as latency.
+	MaxInFlight int
 	Seed        uint64
-	// MaxLateness is how late the generator may be itself: if a hundredth of the requests is handed out later
-	// than this though there was a place, the run is void.
+	// MaxLateness bounds the generator's own lateness at the 99th percentile, over the requests that found capacity at
+	// once. A run beyond is invalid.
 	MaxLateness time.Duration
 }
 
-// Report is what came of a run. Times are in microseconds, for each stream.
+// Report is the result of a run. Histograms are in microseconds.
 type Report struct {
-	Requests       []int64
-	LatencyFromDue []*hdrhistogram.Histogram // what clients would see
-	// LatencyFromSend leaves out what a request waited for a place: what a closed loop would measure.
+	Requests []int64 // sent, by stream
+	// LatencyFromDue is what clients would see, by stream.
+	LatencyFromDue []*hdrhistogram.Histogram
+	// LatencyFromSend leaves out the wait for capacity, by stream: it is what a closed loop would measure.
 	LatencyFromSend []*hdrhistogram.Histogram
 	Lateness        *hdrhistogram.Histogram // of the generator itself
-	Invalid         bool
+	Invalid         bool                    // the generator was late: see Plan.MaxLateness
 }
 
-const longest = int64(time.Hour / time.Microsecond)
-
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, 3) }
+const (
+	maxRecorded       = time.Hour // longer times are recorded as this
+	significantDigits = 3
+)
 
-// Run plays a plan. When it returns, all its requests are over.
-func Run(ctx context.Context, p Plan) *Report {
-	r := &Report{Lateness: histogram()}
-	var mu sync.Mutex // guards the histograms
-	var all sync.WaitGroup
-	places := make(chan struct{}, p.MaxInFlight)
-	for range p.Streams {
-		r.Requests = append(r.Requests, 0)
-		r.LatencyFromDue, r.LatencyFromSend = append(r.LatencyFromDue, histogram()), append(r.LatencyFromSend, histogram())
-	}
-	began := time.Now()
-	for i := range p.Streams {
-		s := &p.Streams[i]
-		rng := rand.New(rand.NewPCG(p.Seed, uint64(i)))
-		all.Go(func() {
-			var open sync.WaitGroup
-			defer open.Wait()
-			timer := time.NewTimer(0)
-			defer timer.Stop()
-			for n, at := 0, time.Duration(0); ; n++ {
-				var ok bool
-				if at, ok = s.nextDue(at, p.Duration, rng); !ok {
-					return
-				}
-				due := began.Add(at)
-				if wait := time.Until(due); wait > 0 {
-					timer.Reset(wait)
-					select {
-					case <-timer.C:
-					case <-ctx.Done():
-						return
-					}
-				}
-				late, full := time.Since(due), false
-				select {
-				case places <- struct{}{}:
-				default:
-					full = true
-					select {
-					case places <- struct{}{}:
-					case <-ctx.Done():
-						return
-					}
-				}
-				mu.Lock()
-				r.Requests[i]++
-				if !full && len(places) > 0 { // not held up by the requests before
-					r.Lateness.RecordValue(clamp(late))
-				}
-				mu.Unlock()
-				open.Go(func() {
-					sent := time.Now()
-					s.Do(ctx, n, due)
-					over := time.Now()
-					<-places
-					mu.Lock()
-					defer mu.Unlock()
-					r.LatencyFromDue[i].RecordValue(clamp(over.Sub(due)))
-					r.LatencyFromSend[i].RecordValue(clamp(over.Sub(sent)))
-				})
-			}
-		})
+func newReport(streams int) *Report {
+	r := &Report{Requests: make([]int64, streams), Lateness: newHistogram()}
+	for range streams {
+		r.LatencyFromDue = append(r.LatencyFromDue, newHistogram())
+		r.LatencyFromSend = append(r.LatencyFromSend, newHistogram())
 	}
-	all.Wait()
-	r.Invalid = time.Duration(r.Lateness.ValueAtQuantile(99))*time.Microsecond > p.MaxLateness
 	return r
 }
 
-func clamp(d time.Duration) int64 { return min(max(1, d.Microseconds()), longest) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxRecorded.Microseconds(), significantDigits)
+}
 
-// nextDue gives when a stream's nextDue request is due.
-func (s *Stream) nextDue(at, end time.Duration, rng *rand.Rand) (time.Duration, bool) {
-	if !s.EvenlySpaced {
-		return model.NextArrival(at, end, s.Rate, s.Curve, rng)
-	}
-	rate := s.Rate * s.Curve.Value(at)
-	if rate <= 0 {
-		return 0, false
-	}
-	at += time.Duration(float64(time.Second) / rate)
-	return at, at < end
+// record adds a time to a histogram.
+func record(h *hdrhistogram.Histogram, d time.Duration) {
+	h.RecordValue(min(max(1, d.Microseconds()), maxRecorded.Microseconds()))
 }
