--- a/cmd/yokestall/fleet_test.go
+++ b/cmd/yokestall/fleet_test.go
@@ -26,8 +26,8 @@
 	}
 	d := &e.Day
 	d.Length, d.Servers, e.Seed = 5*time.Second, 6, seed
-	d.Kind.ColdFor = 2 * time.Second
-	d.Settings.Rules.SlowStartWindow = d.Kind.ColdFor
+	d.Kind.SlowStartWindow = 2 * time.Second
+	d.Settings.Rules.SlowStartWindow = d.Kind.SlowStartWindow
 	for i := range d.Classes {
 		d.Classes[i].Rate /= 12
 	}
--- a/internal/fake/modelbox/modelbox.go
+++ b/internal/fake/modelbox/modelbox.go
@@ -65,7 +65,7 @@
 }
 
 // Start starts a box on a free port of 127.0.0.1, warm.
-func Start(k *model.Kind, seed uint64) (*Box, error) {
+func Start(k *model.ServerSpec, seed uint64) (*Box, error) {
 	b := &Box{
 		Addr: "127.0.0.1:0", zero: time.Now(), server: model.NewServer(k),
 		rng: rand.New(rand.NewPCG(seed, 11)), open: map[uint64]chan bool{}, effects: map[string]int{},
@@ -101,7 +101,7 @@
 // Down has the box lose all its jobs: connections break, new ones are refused.
 func (b *Box) Down() {
 	b.mu.Lock()
-	b.lose(b.server.Down())
+	b.lose(b.server.Stop())
 	srv, done := b.srv, b.done
 	b.srv = nil
 	b.mu.Unlock()
@@ -123,10 +123,10 @@
 }
 
 // Trouble sets what is wrong with it.
-func (b *Box) Trouble(t model.Trouble) {
+func (b *Box) Trouble(t model.Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.server.Trouble = t
+	b.server.Fault = t
 }
 
 // Effects gives how often each request took effect, by its id, and how often the box fell over.
@@ -154,7 +154,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
-		j, ok := b.server.Pop(b.now())
+		j, ok := b.server.PopCompleted(b.now())
 		if !ok {
 			break
 		}
@@ -167,7 +167,7 @@
 }
 
 func (b *Box) arm() {
-	if at, ok := b.server.Next(); ok {
+	if at, ok := b.server.NextCompletion(); ok {
 		b.timer.Reset(max(0, at-b.now()))
 	}
 }
@@ -185,30 +185,30 @@
 	j := model.Job{ID: b.id, Work: time.Duration(us) * time.Microsecond, Key: r.Header.Get("Idempotency-Key")}
 	fate, lost := b.server.Arrive(b.now(), j, b.rng)
 	c := make(chan bool, 1)
-	if fate == model.Taken {
+	if fate == model.Accepted {
 		b.open[j.ID] = c
 		b.arm()
 	}
-	if fate == model.Fell {
+	if fate == model.Overloaded {
 		b.fell++
 		b.lose(lost)
 	}
 	b.mu.Unlock()
-	if fate == model.Fell {
+	if fate == model.Overloaded {
 		b.see(Fell, r)
 	}
 	switch fate {
-	case model.Full:
+	case model.Rejected:
 		w.Header().Set("X-Not-Processed", "1")
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	case model.Failed:
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
-	case model.Dropped:
+	case model.Duplicate:
 		fmt.Fprintln(w, "seen before")
 		return
-	case model.NoOne, model.Fell:
+	case model.Unreachable, model.Overloaded:
 		panic(http.ErrAbortHandler)
 	}
 	if !<-c {
@@ -216,7 +216,7 @@
 	}
 	b.mu.Lock()
 	b.effects[r.Header.Get("X-Request-Id")]++
-	silent := b.server.Trouble.Silent
+	silent := b.server.Fault.Unresponsive
 	b.mu.Unlock()
 	b.see(Ran, r)
 	if silent {
--- a/internal/fleetsim/cold_test.go
+++ b/internal/fleetsim/cold_test.go
@@ -45,7 +45,7 @@
 	rate, work := 0.0, 0.0
 	for _, c := range day.Classes {
 		rate += c.Rate
-		work += c.Rate * c.Work.Seconds() * (1 + 9*c.Spread.Tail)
+		work += c.Rate * c.Work.Seconds() * (1 + 9*c.Spread.TailProbability)
 	}
 	return &coldRule{day: day, meanWork: work / rate, starts: map[coldStart]*coldStarted{}}
 }
@@ -59,8 +59,8 @@
 
 // sent takes a send to a server in.
 func (c *coldRule) sent(now time.Duration, m *member, work time.Duration, told bool) {
-	share := m.Share(now)
-	if !m.Up() || share >= 1 || m.since == 0 {
+	share := m.CapacityShare(now)
+	if !m.Running() || share >= 1 || m.since == 0 {
 		return
 	}
 	key := coldStart{m.id, m.since}
@@ -143,14 +143,14 @@
 	const ms = time.Millisecond
 	day := &Day{
 		Length: 11 * time.Second, Nodes: nodes, Servers: 6 + rng.IntN(8), Delay: 300 * time.Microsecond, News: 500 * ms,
-		Kind:     model.Kind{Cores: 1 + rng.IntN(4), Speed: 1, Queue: 32, Crowd: 0.05, ColdFrom: between(0.1, 0.4), ColdFor: time.Duration(between(5, 10) * float64(time.Second))},
+		Kind:     model.ServerSpec{Cores: 1 + rng.IntN(4), Speed: 1, MaxQueued: 32, SlowdownPerQueued: 0.05, SlowStartMinCapacity: between(0.1, 0.4), SlowStartWindow: time.Duration(between(5, 10) * float64(time.Second))},
 		Settings: policy.Defaults(),
 		Clients:  Clients{Retries: 1, Wait: 50 * ms, Honest: 0.8},
 		Lead:     []float64{0, 0.2, 0.5}[rng.IntN(3)],
 	}
 	s := &day.Settings
 	s.Limits = policy.Limits{MaxAttempts: 3, AllowHedging: true, AllowCancel: true, MaxRetryAfter: 600 * ms}
-	s.Rules.SlowStartMinCapacity, s.Rules.SlowStartWindow = day.Kind.ColdFrom, day.Kind.ColdFor
+	s.Rules.SlowStartMinCapacity, s.Rules.SlowStartWindow = day.Kind.SlowStartMinCapacity, day.Kind.SlowStartWindow
 	s.Rules.OverloadMultiple, s.Rules.OverloadDuration = between(1.5, 4), time.Duration(between(0.5, 2)*float64(time.Second))
 	work := time.Duration(between(10, 40) * float64(ms))
 	day.Classes = []Class{
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -57,7 +57,7 @@
 	Smaller float64
 	// Holds has servers work on, and their answers go out all at once at To.
 	Holds bool
-	With  model.Trouble
+	With  model.Fault
 }
 
 // Day is what is played.
@@ -65,7 +65,7 @@
 	Length   time.Duration
 	Nodes    int
 	Servers  int
-	Kind     model.Kind
+	Kind     model.ServerSpec
 	Settings policy.Settings // Nodes and Node are filled in
 	Classes  []Class
 	Load     model.Curve
--- a/internal/fleetsim/oracle.go
+++ b/internal/fleetsim/oracle.go
@@ -129,12 +129,12 @@
 			continue
 		}
 		k, work := &n.day.Kind, n.day.Classes[class].Work
-		if !m.Bears(n.now, work+m.coming) || m.Trouble.Silent || m.Trouble.Fail > 0 {
+		if !m.HasCapacityFor(n.now, work+m.coming) || m.Fault.Unresponsive || m.Fault.FailureRate > 0 {
 			return 0, false
 		}
-		took := time.Duration(float64(work) * max(1, m.Trouble.Slow) / (k.Speed * m.Share(n.now)))
-		ahead := time.Duration(float64(m.coming) / (float64(k.Cores) * k.Speed * m.Share(n.now)))
-		return m.Wait(n.now) + ahead + took + 4*n.day.Delay, true
+		took := time.Duration(float64(work) * max(1, m.Fault.Slowdown) / (k.Speed * m.CapacityShare(n.now)))
+		ahead := time.Duration(float64(m.coming) / (float64(k.Cores) * k.Speed * m.CapacityShare(n.now)))
+		return m.ExpectedWait(n.now) + ahead + took + 4*n.day.Delay, true
 	}
 	return 0, false
 }
--- a/internal/fleetsim/servers.go
+++ b/internal/fleetsim/servers.go
@@ -49,18 +49,18 @@
 	j := model.Job{ID: m.jobSeq, Work: k.work, Key: k.key}
 	fate, lost := m.Arrive(s.now, j, s.rng)
 	switch fate {
-	case model.Taken:
+	case model.Accepted:
 		kept := *e
 		m.job[j.ID] = &kept
-	case model.Full:
+	case model.Rejected:
 		s.reply(e, policy.Rejected)
 	case model.Failed:
 		s.reply(e, policy.ErrorResponse)
-	case model.Dropped:
+	case model.Duplicate:
 		s.reply(e, policy.OK)
-	case model.NoOne:
+	case model.Unreachable:
 		s.reply(e, policy.ConnectFailed)
-	case model.Fell:
+	case model.Overloaded:
 		s.result.Fallen++
 		s.lose(m, lost)
 		s.reply(e, policy.Reset)
@@ -90,7 +90,7 @@
 // due has the end of a server's next job come up.
 func (s *sim) due(server int) {
 	m := s.members[server]
-	if at, ok := m.Next(); ok && (m.next < 0 || at < m.next) {
+	if at, ok := m.NextCompletion(); ok && (m.next < 0 || at < m.next) {
 		m.next = at
 		s.post(event{at: at, kind: evDone, server: server})
 	}
@@ -101,7 +101,7 @@
 	m := s.members[server]
 	m.next = -1
 	for {
-		j, ok := m.Pop(s.now)
+		j, ok := m.PopCompleted(s.now)
 		if !ok {
 			break
 		}
@@ -117,7 +117,7 @@
 		switch {
 		case m.holds:
 			m.held = append(m.held, e)
-		case !m.Trouble.Silent:
+		case !m.Fault.Unresponsive:
 			s.reply(e, policy.OK)
 		}
 	}
@@ -143,13 +143,13 @@
 		m := s.members[i]
 		switch {
 		case t.Down && !over:
-			s.lose(m, m.Down())
+			s.lose(m, m.Stop())
 		case t.Down:
 			s.back(m, t)
 		case t.Drain && !over:
 			m.state = policy.Draining
 		case t.Drain: // another one in its place, cold
-			s.lose(m, m.Down())
+			s.lose(m, m.Stop())
 			s.lastID++
 			m.id, m.state, m.told = s.lastID, policy.Ready, 0
 			s.back(m, t)
@@ -161,9 +161,9 @@
 			}
 			m.holds, m.held = false, nil
 		case over:
-			m.Trouble = model.Trouble{}
+			m.Fault = model.Fault{}
 		default:
-			m.Trouble = t.With
+			m.Fault = t.With
 		}
 	}
 	s.post(event{at: s.now + s.day.News, kind: evNews})
--- a/internal/lab/experimentfile.go
+++ b/internal/lab/experimentfile.go
@@ -227,16 +227,16 @@
 		Servers: f.Servers,
 		Delay:   f.Delay.Duration,
 		News:    f.News.Duration,
-		Kind: model.Kind{
-			Cores:        k.Cores,
-			Speed:        k.Speed,
-			Queue:        k.Queue,
-			Crowd:        k.Crowd,
-			ColdFrom:     k.ColdFrom,
-			ColdFor:      k.ColdFor.Duration,
-			FallMultiple: k.FallMultiple,
-			FallFor:      k.FallFor.Duration,
-			Window:       k.Window.Duration,
+		Kind: model.ServerSpec{
+			Cores:                k.Cores,
+			Speed:                k.Speed,
+			MaxQueued:            k.Queue,
+			SlowdownPerQueued:    k.Crowd,
+			SlowStartMinCapacity: k.ColdFrom,
+			SlowStartWindow:      k.ColdFor.Duration,
+			OverloadMultiple:     k.FallMultiple,
+			OverloadDuration:     k.FallFor.Duration,
+			DedupWindow:          k.Window.Duration,
 		},
 		Clients: fleetsim.Clients{
 			Retries: f.Clients.Retries,
@@ -288,7 +288,7 @@
 			Name:   c.Name,
 			Work:   c.Work.Duration,
 			Rate:   c.Rate,
-			Spread: model.Spread{CV: c.CV, Tail: c.Tail},
+			Spread: model.Spread{CV: c.CV, TailProbability: c.Tail},
 			Class: policy.Class{
 				Deadline:         c.Deadline.Duration,
 				LatencyObjective: c.Aim.Duration,
@@ -358,7 +358,7 @@
 			Knows:   t.Knows,
 			Smaller: t.Small,
 			Holds:   t.Holds,
-			With:    model.Trouble{Slow: t.Slow, Silent: t.Silent, Fail: t.Fail},
+			With:    model.Fault{Slowdown: t.Slow, Unresponsive: t.Silent, FailureRate: t.Fail},
 		})
 	}
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -35,7 +35,7 @@
 func (e *Experiment) Load() float64 {
 	work := 0.0
 	for _, c := range e.Day.Classes {
-		work += c.Rate * c.Work.Seconds() * (1 + 9*c.Spread.Tail)
+		work += c.Rate * c.Work.Seconds() * (1 + 9*c.Spread.TailProbability)
 	}
 	return work / (float64(e.Day.Servers*e.Day.Kind.Cores) * e.Day.Kind.Speed)
 }
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -293,7 +293,7 @@
 					r.replaced(i)
 				}
 			case s.over:
-				p.box.Trouble(model.Trouble{})
+				p.box.Trouble(model.Fault{})
 			default:
 				p.box.Trouble(s.t.With)
 			}
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// Kind is what servers are like that are alike.
-type Kind struct {
-	Cores int     // jobs that are served at once, 1 or more
-	Speed float64 // of a core; a job's work takes work/speed; above 0
-	Queue int     // jobs that wait at most; what comes then is turned away unseen
-	// Crowd slows each job by this share for each job a core that waits as it begins.
-	Crowd float64
-	// A server starts at ColdFrom of its speed, from above 0 to 1, and is warm, in a straight line,
+// ServerSpec is what servers are like that are alike.
+type ServerSpec struct {
+	Cores     int     // jobs that are served at once, 1 or more
+	Speed     float64 // of a core; a job's work takes work/speed; above 0
+	MaxQueued int     // jobs that wait at most; what comes then is turned away unseen
+	// SlowdownPerQueued slows each job by this share for each job a core that waits as it begins.
+	SlowdownPerQueued float64
+	// A server starts at SlowStartMinCapacity of its speed, from above 0 to 1, and is warm, in a straight line,
 	// after ColdFor. Sent more than FallMultiple of what it can do at the time, over FallFor, a cold
 	// one falls over: its jobs are lost, and it stays down.
-	ColdFrom     float64
-	ColdFor      time.Duration
-	FallMultiple float64
-	FallFor      time.Duration
-	// Window is for how long a server drops what it has seen the key of; 0: it drops nothing.
-	Window time.Duration
+	SlowStartMinCapacity float64
+	SlowStartWindow      time.Duration
+	OverloadMultiple     float64
+	OverloadDuration     time.Duration
+	// DedupWindow is for how long a server drops what it has seen the key of; 0: it drops nothing.
+	DedupWindow time.Duration
 }
 
 // Job is a request at a server.
@@ -35,30 +35,30 @@
 	Key  string        // dropped if it comes again; "": never
 }
 
-// Trouble is what is wrong with a server for a time.
-type Trouble struct {
-	Slow   float64 // service takes so many times as long; 0: 1
-	Silent bool    // jobs are taken and nothing comes back
-	Fail   float64 // share of the jobs that fail at once
+// Fault is what is wrong with a server for a time.
+type Fault struct {
+	Slowdown     float64 // service takes so many times as long; 0: 1
+	Unresponsive bool    // jobs are taken and nothing comes back
+	FailureRate  float64 // share of the jobs that fail at once
 }
 
-// Fate is what becomes of a job as it comes.
-type Fate uint8
+// Outcome is what becomes of a job as it comes.
+type Outcome uint8
 
 // The fates.
 const (
-	Taken   Fate = iota
-	Full         // turned away, unseen
-	Failed       // an error at once, with no effect
-	Dropped      // its key has been seen: it is answered, with no further effect
-	NoOne        // the server is down
-	Fell         // with this one it falls over
+	Accepted    Outcome = iota
+	Rejected            // turned away, unseen
+	Failed              // an error at once, with no effect
+	Duplicate           // its key has been seen: it is answered, with no further effect
+	Unreachable         // the server is down
+	Overloaded          // with this one it falls over
 )
 
 // Server is one. Create it with NewServer.
 type Server struct {
-	Trouble Trouble
-	kind    *Kind
+	Fault   Fault
+	kind    *ServerSpec
 	started time.Duration // long past for a warm one
 	down    bool
 	fallen  bool
@@ -71,12 +71,12 @@
 }
 
 // NewServer makes a warm one.
-func NewServer(k *Kind) *Server {
-	return &Server{kind: k, started: math.MinInt64 / 2, seen: map[string]time.Duration{}, sent: meter{span: k.FallFor}}
+func NewServer(k *ServerSpec) *Server {
+	return &Server{kind: k, started: math.MinInt64 / 2, seen: map[string]time.Duration{}, sent: meter{span: k.OverloadDuration}}
 }
 
-// Down ends the server with all its jobs, which it gives.
-func (s *Server) Down() (lost []Job) {
+// Stop ends the server with all its jobs, which it gives.
+func (s *Server) Stop() (lost []Job) {
 	for i := range s.serving {
 		lost = append(lost, s.serving[i].Job)
 	}
@@ -89,71 +89,71 @@
 func (s *Server) Start(now time.Duration) {
 	s.down, s.fallen, s.started = false, false, now
 	clear(s.seen)
-	s.sent = meter{span: s.kind.FallFor}
+	s.sent = meter{span: s.kind.OverloadDuration}
 }
 
-// Fallen tells whether the server has fallen over.
-func (s *Server) Fallen() bool { return s.fallen }
+// Overloaded tells whether the server has fallen over.
+func (s *Server) Overloaded() bool { return s.fallen }
 
-// Up tells whether it serves.
-func (s *Server) Up() bool { return !s.down }
+// Running tells whether it serves.
+func (s *Server) Running() bool { return !s.down }
 
-// Share is the share of its speed that the server has.
-func (s *Server) Share(now time.Duration) float64 {
+// CapacityShare is the share of its speed that the server has.
+func (s *Server) CapacityShare(now time.Duration) float64 {
 	k := s.kind
-	if k.ColdFor <= 0 || now-s.started >= k.ColdFor || s.started < 0 && s.started == math.MinInt64/2 {
+	if k.SlowStartWindow <= 0 || now-s.started >= k.SlowStartWindow || s.started < 0 && s.started == math.MinInt64/2 {
 		return 1
 	}
-	return k.ColdFrom + (1-k.ColdFrom)*float64(now-s.started)/float64(k.ColdFor)
+	return k.SlowStartMinCapacity + (1-k.SlowStartMinCapacity)*float64(now-s.started)/float64(k.SlowStartWindow)
 }
 
 // Arrive takes a job. Where the server falls over, lost are the jobs it had.
-func (s *Server) Arrive(now time.Duration, j Job, rng *rand.Rand) (f Fate, lost []Job) {
+func (s *Server) Arrive(now time.Duration, j Job, rng *rand.Rand) (f Outcome, lost []Job) {
 	if s.down {
-		return NoOne, nil
+		return Unreachable, nil
 	}
 	k := s.kind
-	share := s.Share(now)
-	if s.sent.add(now, j.Work); share < 1 && k.FallMultiple > 0 && now-s.started >= k.FallFor {
-		if can := float64(k.Cores) * k.Speed * share; s.sent.rate(now) > k.FallMultiple*can {
+	share := s.CapacityShare(now)
+	if s.sent.add(now, j.Work); share < 1 && k.OverloadMultiple > 0 && now-s.started >= k.OverloadDuration {
+		if can := float64(k.Cores) * k.Speed * share; s.sent.rate(now) > k.OverloadMultiple*can {
 			s.fallen = true
-			return Fell, s.Down()
+			return Overloaded, s.Stop()
 		}
 	}
-	if j.Key != "" && k.Window > 0 {
-		if at, ok := s.seen[j.Key]; ok && now-at < k.Window {
-			return Dropped, nil
+	if j.Key != "" && k.DedupWindow > 0 {
+		if at, ok := s.seen[j.Key]; ok && now-at < k.DedupWindow {
+			return Duplicate, nil
 		}
 	}
-	if s.Trouble.Fail > 0 && rng.Float64() < s.Trouble.Fail {
+	if s.Fault.FailureRate > 0 && rng.Float64() < s.Fault.FailureRate {
 		return Failed, nil
 	}
 	switch {
 	case len(s.serving) < k.Cores:
 		s.begin(now, j)
-	case len(s.waiting)-s.head >= k.Queue:
-		return Full, nil
+	case len(s.waiting)-s.head >= k.MaxQueued:
+		return Rejected, nil
 	default:
 		s.waiting = append(s.waiting, j)
 	}
-	if j.Key != "" && k.Window > 0 {
+	if j.Key != "" && k.DedupWindow > 0 {
 		s.seen[j.Key] = now
 	}
-	return Taken, nil
+	return Accepted, nil
 }
 
 func (s *Server) begin(now time.Duration, j Job) {
 	k := s.kind
-	took := float64(j.Work) / (k.Speed * s.Share(now)) * (1 + k.Crowd*float64(len(s.waiting)-s.head)/float64(k.Cores))
-	if s.Trouble.Slow > 0 {
-		took *= s.Trouble.Slow
+	took := float64(j.Work) / (k.Speed * s.CapacityShare(now)) * (1 + k.SlowdownPerQueued*float64(len(s.waiting)-s.head)/float64(k.Cores))
+	if s.Fault.Slowdown > 0 {
+		took *= s.Fault.Slowdown
 	}
 	s.seq++
 	heap.Push(&s.serving, serving{j, now + max(1, time.Duration(took)), s.seq})
 }
 
-// Wait is how long a job that came now would wait for a core, as far as the present jobs and speed tell.
-func (s *Server) Wait(now time.Duration) time.Duration {
+// ExpectedWait is how long a job that came now would wait for a core, as far as the present jobs and speed tell.
+func (s *Server) ExpectedWait(now time.Duration) time.Duration {
 	k := s.kind
 	if len(s.serving) < k.Cores {
 		return 0
@@ -162,34 +162,34 @@
 	for _, j := range s.waiting[s.head:] {
 		work += j.Work
 	}
-	slow := max(1, s.Trouble.Slow)
-	return max(0, s.serving[0].ends-now) + time.Duration(float64(work)*slow/(float64(k.Cores)*k.Speed*s.Share(now)))
+	slow := max(1, s.Fault.Slowdown)
+	return max(0, s.serving[0].ends-now) + time.Duration(float64(work)*slow/(float64(k.Cores)*k.Speed*s.CapacityShare(now)))
 }
 
-// Bears tells whether the server could be sent this much more work now without falling over, and has a place.
-func (s *Server) Bears(now, work time.Duration) bool {
+// HasCapacityFor tells whether the server could be sent this much more work now without falling over, and has a place.
+func (s *Server) HasCapacityFor(now, work time.Duration) bool {
 	k := s.kind
-	if s.down || len(s.serving) >= k.Cores && len(s.waiting)-s.head >= k.Queue {
+	if s.down || len(s.serving) >= k.Cores && len(s.waiting)-s.head >= k.MaxQueued {
 		return false
 	}
-	share := s.Share(now)
-	if share >= 1 || k.FallMultiple <= 0 {
+	share := s.CapacityShare(now)
+	if share >= 1 || k.OverloadMultiple <= 0 {
 		return true
 	}
-	return s.sent.rate(now)+work.Seconds()/max(k.FallFor.Seconds(), 1e-3) <= 0.9*k.FallMultiple*float64(k.Cores)*k.Speed*share
+	return s.sent.rate(now)+work.Seconds()/max(k.OverloadDuration.Seconds(), 1e-3) <= 0.9*k.OverloadMultiple*float64(k.Cores)*k.Speed*share
 }
 
-// Next is when a job's service ends; false: none is served.
-func (s *Server) Next() (time.Duration, bool) {
+// NextCompletion is when a job's service ends; false: none is served.
+func (s *Server) NextCompletion() (time.Duration, bool) {
 	if len(s.serving) == 0 {
 		return 0, false
 	}
 	return s.serving[0].ends, true
 }
 
-// Pop gives a job whose service has ended; false: none has. Whether its answer goes out is for
+// PopCompleted gives a job whose service has ended; false: none has. Whether its answer goes out is for
 // Trouble.Silent to say.
-func (s *Server) Pop(now time.Duration) (Job, bool) {
+func (s *Server) PopCompleted(now time.Duration) (Job, bool) {
 	if len(s.serving) == 0 || s.serving[0].ends > now {
 		return Job{}, false
 	}
@@ -205,8 +205,8 @@
 	return j, true
 }
 
-// Load counts the jobs that are served and that wait.
-func (s *Server) Load() int { return len(s.serving) + len(s.waiting) - s.head }
+// JobCount counts the jobs that are served and that wait.
+func (s *Server) JobCount() int { return len(s.serving) + len(s.waiting) - s.head }
 
 type serving struct {
 	Job
@@ -269,20 +269,20 @@
 // Spread draws factors around a mean of 1.
 type Spread struct {
 	CV float64 // coefficient of variation
-	// Tail is the share of draws that are ten times as long.
-	Tail float64
-	// Exp draws from an exponential distribution in place of a lognormal one; CV is 1 then.
-	Exp bool
+	// TailProbability is the share of draws that are ten times as long.
+	TailProbability float64
+	// Exponential draws from an exponential distribution in place of a lognormal one; CV is 1 then.
+	Exponential bool
 }
 
 // Draw gives a factor.
 func (s Spread) Draw(rng *rand.Rand) float64 {
-	if s.Exp {
+	if s.Exponential {
 		return rng.ExpFloat64()
 	}
 	sigma := math.Log(1 + s.CV*s.CV)
 	f := math.Exp(rng.NormFloat64()*math.Sqrt(sigma) - sigma/2)
-	if s.Tail > 0 && rng.Float64() < s.Tail {
+	if s.TailProbability > 0 && rng.Float64() < s.TailProbability {
 		f *= 10
 	}
 	return f
--- a/internal/model/server_test.go
+++ b/internal/model/server_test.go
@@ -13,21 +13,21 @@
 func queue(cores int, load float64, jobs int, seed uint64) (sojourn []float64) {
 	const work = 10 * time.Millisecond
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := NewServer(&Kind{Cores: cores, Speed: 1, Queue: math.MaxInt32})
+	s := NewServer(&ServerSpec{Cores: cores, Speed: 1, MaxQueued: math.MaxInt32})
 	came := make(map[uint64]time.Duration)
 	rate := load * float64(cores) / work.Seconds()
 	now := time.Duration(0)
 	for id := uint64(0); len(sojourn) < jobs; id++ {
 		now, _ = NextArrival(now, math.MaxInt64, rate, nil, rng)
-		for at, ok := s.Next(); ok && at <= now; at, ok = s.Next() {
-			j, _ := s.Pop(at)
+		for at, ok := s.NextCompletion(); ok && at <= now; at, ok = s.NextCompletion() {
+			j, _ := s.PopCompleted(at)
 			if j.ID > uint64(jobs/10) { // past its start
 				sojourn = append(sojourn, (at-came[j.ID]).Seconds()/work.Seconds())
 			}
 			delete(came, j.ID)
 		}
 		came[id] = now
-		s.Arrive(now, Job{ID: id, Work: time.Duration(float64(work) * Spread{Exp: true}.Draw(rng))}, rng)
+		s.Arrive(now, Job{ID: id, Work: time.Duration(float64(work) * Spread{Exponential: true}.Draw(rng))}, rng)
 	}
 	return sojourn
 }
@@ -70,7 +70,7 @@
 
 // A cold server falls over where the fourth rule says so, and nowhere else: by rate, share and time.
 func TestFallsOver(t *testing.T) {
-	k := &Kind{Cores: 2, Speed: 1, Queue: 1 << 20, ColdFrom: 0.25, ColdFor: 20 * time.Second, FallMultiple: 4, FallFor: 2 * time.Second}
+	k := &ServerSpec{Cores: 2, Speed: 1, MaxQueued: 1 << 20, SlowStartMinCapacity: 0.25, SlowStartWindow: 20 * time.Second, OverloadMultiple: 4, OverloadDuration: 2 * time.Second}
 	for _, tc := range []struct {
 		multiple float64 // of what it can do at the time
 		cold     bool
@@ -84,18 +84,18 @@
 		fell := time.Duration(0)
 		for now := time.Duration(0); now < 18*time.Second && fell == 0; now += time.Millisecond {
 			for s.serving.Len() > 0 {
-				if _, ok := s.Pop(now); !ok {
+				if _, ok := s.PopCompleted(now); !ok {
 					break
 				}
 			}
-			work := tc.multiple * float64(k.Cores) * s.Share(now) * float64(time.Millisecond)
-			if f, lost := s.Arrive(now, Job{Work: time.Duration(work)}, rng); f == Fell {
+			work := tc.multiple * float64(k.Cores) * s.CapacityShare(now) * float64(time.Millisecond)
+			if f, lost := s.Arrive(now, Job{Work: time.Duration(work)}, rng); f == Overloaded {
 				if fell = now; len(lost) == 0 {
 					t.Error("it falls with no job lost")
 				}
 			}
 		}
-		if (fell > 0) != tc.falls || s.Fallen() != tc.falls || s.Up() == tc.falls {
+		if (fell > 0) != tc.falls || s.Overloaded() != tc.falls || s.Running() == tc.falls {
 			t.Errorf("at %v times, cold %v: fell at %v", tc.multiple, tc.cold, fell)
 		}
 		if tc.falls && fell > 4*time.Second {
@@ -107,30 +107,30 @@
 // What a server turns away, drops by key, fails and loses, in one table of steps.
 func TestFates(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	k := &Kind{Cores: 1, Speed: 2, Queue: 1, Window: time.Second}
+	k := &ServerSpec{Cores: 1, Speed: 2, MaxQueued: 1, DedupWindow: time.Second}
 	s := NewServer(k)
-	arrive := func(now time.Duration, key string, want Fate) {
+	arrive := func(now time.Duration, key string, want Outcome) {
 		t.Helper()
 		if got, _ := s.Arrive(now, Job{Work: 20 * time.Millisecond, Key: key}, rng); got != want {
 			t.Errorf("at %v: fate %d, not %d", now, got, want)
 		}
 	}
-	arrive(0, "a", Taken)
-	arrive(0, "b", Taken)
-	arrive(0, "c", Full)
-	arrive(0, "a", Dropped)
-	if at, ok := s.Next(); !ok || at != 10*time.Millisecond {
+	arrive(0, "a", Accepted)
+	arrive(0, "b", Accepted)
+	arrive(0, "c", Rejected)
+	arrive(0, "a", Duplicate)
+	if at, ok := s.NextCompletion(); !ok || at != 10*time.Millisecond {
 		t.Errorf("served until %v", at)
 	}
-	s.Pop(10 * time.Millisecond)
-	arrive(10*time.Millisecond, "c", Taken)
-	if lost := s.Down(); len(lost) != 2 {
+	s.PopCompleted(10 * time.Millisecond)
+	arrive(10*time.Millisecond, "c", Accepted)
+	if lost := s.Stop(); len(lost) != 2 {
 		t.Errorf("%d lost", len(lost))
 	}
-	arrive(time.Second, "", NoOne)
+	arrive(time.Second, "", Unreachable)
 	s.Start(time.Second)
-	arrive(time.Second, "a", Taken) // a new process knows no keys
-	s.Trouble.Fail = 1
+	arrive(time.Second, "a", Accepted) // a new process knows no keys
+	s.Fault.FailureRate = 1
 	arrive(time.Second, "", Failed)
 }
 
