--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -209,7 +209,7 @@
 }
 
 func showDemo(out io.Writer, log *slog.Logger) *cobra.Command {
-	o := demo.Options{Out: out, Log: slog.New(slog.DiscardHandler), Boxes: 4, Clients: 12, Phase: 2 * time.Second}
+	o := demo.Options{Out: out, Log: slog.New(slog.DiscardHandler), Endpoints: 4, Clients: 12, Phase: 2 * time.Second}
 	verbose, upkeep, fleet := false, false, false
 	c := &cobra.Command{
 		Use:   "demo",
@@ -223,7 +223,7 @@
 				return showUpkeep(c.Context(), o)
 			}
 			if fleet {
-				broken, err := demo.Fleet(c.Context(), demo.FleetOptions{Out: out, Lease: time.Second})
+				broken, err := demo.Fleet(c.Context(), demo.FleetOptions{Out: out, LeaseDuration: time.Second})
 				if err == nil && len(broken) > 0 {
 					err = ErrReported
 				}
@@ -233,13 +233,13 @@
 			if err != nil {
 				return err
 			}
-			if len(r.Broken) > 0 {
+			if len(r.Violations) > 0 {
 				return ErrReported
 			}
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&o.Keep, "keep", false, "serve on afterwards, until interrupted")
+	c.Flags().BoolVar(&o.KeepServing, "keep", false, "serve on afterwards, until interrupted")
 	c.Flags().BoolVar(&o.XDS, "xds", false, "have clusters, endpoints and routes come from a stand-in control plane")
 	c.Flags().BoolVar(&o.ExtProc, "extproc", false, "have a stand-in proxy in front ask the program about each request")
 	c.Flags().BoolVar(&o.TLS, "tls", false, "have clients speak HTTP/2 over TLS, with keys that are replaced meanwhile")
@@ -255,7 +255,7 @@
 	if err != nil {
 		return err
 	}
-	broken, err := demo.Upkeep(ctx, demo.UpkeepOptions{Out: o.Out, Node: []string{self, "node"}, Clients: o.Clients, Phase: o.Phase / 2})
+	broken, err := demo.Maintenance(ctx, demo.MaintenanceOptions{Out: o.Out, NodeCommand: []string{self, "node"}, Clients: o.Clients, Phase: o.Phase / 2})
 	if err != nil {
 		return err
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -29,16 +29,16 @@
 
 // Options are what a demo can be told.
 type Options struct {
-	Out     io.Writer
-	Log     *slog.Logger
-	Boxes   int           // 3 or more
-	Clients int           // at once, 1 or more
-	Phase   time.Duration // length of each of the five phases
-	// Slack is how late a client of the demo may measure an answer that came in time: the
+	Out       io.Writer
+	Log       *slog.Logger
+	Endpoints int           // 3 or more
+	Clients   int           // at once, 1 or more
+	Phase     time.Duration // length of each of the five phases
+	// LatenessTolerance is how late a client of the demo may measure an answer that came in time: the
 	// clients share the machine with all else. 0: 50 ms.
-	Slack time.Duration
-	// Keep has the program serve on until the context ends, with no more load.
-	Keep bool
+	LatenessTolerance time.Duration
+	// KeepServing has the program serve on until the context ends, with no more load.
+	KeepServing bool
 	// XDS has clusters, endpoints and routes come from a stand-in control plane, as the
 	// example set in xDS form has them, in place of the program's files.
 	XDS bool
@@ -52,10 +52,10 @@
 
 // Result counts a demo's final answers and what the boxes saw.
 type Result struct {
-	Asked, Served, Refused, Failed, Late int64
-	Reached                              int // requests that reached a box, copies included
-	Copies                               int // of those, second and later ones of the same request
-	Broken                               []string
+	Requests, Served, Rejected, Failed, Late int64
+	Deliveries                               int // requests that reached a box, copies included
+	Repeats                                  int // of those, second and later ones of the same request
+	Violations                               []string
 }
 
 const program = `# Written by the demo; serve takes it as it is.
@@ -309,7 +309,7 @@
 			}
 		}
 		s.asked[kind].Add(1)
-		if time.Since(began) > patience+s.Slack {
+		if time.Since(began) > patience+s.LatenessTolerance {
 			s.asked[4].Add(1)
 		}
 		select {
@@ -342,11 +342,11 @@
 // check holds the answers against what the boxes saw.
 func (s *show) check() {
 	r := &s.result
-	r.Asked, r.Served, r.Refused, r.Failed, r.Late =
+	r.Requests, r.Served, r.Rejected, r.Failed, r.Late =
 		s.asked[0].Load(), s.asked[1].Load(), s.asked[2].Load(), s.asked[3].Load(), s.asked[4].Load()
-	broken := func(format string, args ...any) { r.Broken = append(r.Broken, fmt.Sprintf(format, args...)) }
-	if r.Served+r.Refused+r.Failed != r.Asked {
-		broken("%d requests, %d final answers", r.Asked, r.Served+r.Refused+r.Failed)
+	broken := func(format string, args ...any) { r.Violations = append(r.Violations, fmt.Sprintf(format, args...)) }
+	if r.Served+r.Rejected+r.Failed != r.Requests {
+		broken("%d requests, %d final answers", r.Requests, r.Served+r.Rejected+r.Failed)
 	}
 	if r.Late > 0 {
 		broken("%d answers came after the client's time was up", r.Late)
@@ -363,11 +363,11 @@
 		if n := s.strays[b.Name]; n > 0 {
 			broken("%s was sent %d requests over 500 ms after its drain was told", b.Name, n)
 		}
-		r.Reached += len(seen)
+		r.Deliveries += len(seen)
 	}
 	twice := 0
 	for id, n := range ran {
-		r.Copies += n - 1
+		r.Repeats += n - 1
 		var client, number int
 		if _, err := fmt.Sscanf(id, "demo-%d-%d", &client, &number); err == nil && number%4 == 3 && n > 1 {
 			twice++
@@ -384,12 +384,12 @@
 func (s *show) summary() {
 	r := &s.result
 	fmt.Fprintf(s.Out, "\n%d requests: %d served, %d refused (safe to try again), %d failed; %d late.\n",
-		r.Asked, r.Served, r.Refused, r.Failed, r.Late)
-	fmt.Fprintf(s.Out, "%d reached a box, %d of them copies that their class allows.\n", r.Reached, r.Copies)
-	if len(r.Broken) == 0 {
+		r.Requests, r.Served, r.Rejected, r.Failed, r.Late)
+	fmt.Fprintf(s.Out, "%d reached a box, %d of them copies that their class allows.\n", r.Deliveries, r.Repeats)
+	if len(r.Violations) == 0 {
 		fmt.Fprintln(s.Out, "Rules kept: one answer each, in time; no payment twice; nothing to the drained box after 500 ms.")
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintln(s.Out, "RULE BROKEN:", b)
 	}
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -18,13 +18,13 @@
 			t.Parallel()
 			var out bytes.Buffer
 			r, err := Run(t.Context(), Options{
-				Out: &out, Log: testutil.Log(t), Boxes: 4, Clients: 6, Phase: 300 * time.Millisecond, XDS: name == "xds", TLS: name == "tls", ExtProc: name == "extproc",
-				Slack: testutil.Patience, // that an answer is in time is held in the engine, on its own clock
+				Out: &out, Log: testutil.Log(t), Endpoints: 4, Clients: 6, Phase: 300 * time.Millisecond, XDS: name == "xds", TLS: name == "tls", ExtProc: name == "extproc",
+				LatenessTolerance: testutil.Patience, // that an answer is in time is held in the engine, on its own clock
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(r.Broken) > 0 || r.Served == 0 || r.Reached == 0 {
+			if len(r.Violations) > 0 || r.Served == 0 || r.Deliveries == 0 {
 				t.Errorf("%+v\n%s", r, out.String())
 			}
 			if name == "tls" && (!strings.Contains(out.String(), "answers over HTTP/2 and TLS") || strings.Contains(out.String(), " 0 answers over")) {
@@ -57,7 +57,7 @@
 	s.asked[4].Store(1)
 	s.check()
 	s.summary()
-	text := strings.Join(s.result.Broken, "; ")
+	text := strings.Join(s.result.Violations, "; ")
 	for _, want := range []string{"3 requests, 2 final answers", "1 answers came after", "only 0 requests reached", "box-1 was sent 1 requests"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("%q is not found: %s", want, text)
@@ -68,7 +68,7 @@
 func TestInterrupted(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	_, err := Run(ctx, Options{Out: &bytes.Buffer{}, Log: testutil.Log(t), Boxes: 3, Clients: 1, Phase: time.Second})
+	_, err := Run(ctx, Options{Out: &bytes.Buffer{}, Log: testutil.Log(t), Endpoints: 3, Clients: 1, Phase: time.Second})
 	if err == nil {
 		t.Error("an interrupted demo gives no error")
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -22,8 +22,8 @@
 
 // FleetOptions are what the demo of a fleet that agrees is told.
 type FleetOptions struct {
-	Out   io.Writer
-	Lease time.Duration
+	Out           io.Writer
+	LeaseDuration time.Duration
 }
 
 // fleetNode is a node of the demo, and what it acts on.
@@ -61,7 +61,7 @@
 			err = errors.Join(err, n.close())
 		}
 	}()
-	t := lease.Config{Duration: o.Lease, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
+	t := lease.Config{Duration: o.LeaseDuration, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
 	var voters []agent.Voter
 	for i := range fleetNodes {
 		n := &fleetNode{name: string(rune('a' + i))}
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -38,8 +38,8 @@
 		Options: o, versions: make(chan struct{}, maxPendingVersions),
 		drained: map[string]time.Time{}, strays: map[string]int{},
 	}
-	if s.Slack == 0 {
-		s.Slack = defaultSlack
+	if s.LatenessTolerance == 0 {
+		s.LatenessTolerance = defaultSlack
 	}
 	defer s.close()
 	if err := s.startBoxes(); err != nil {
@@ -81,7 +81,7 @@
 	}
 	s.onClose(func() { os.RemoveAll(folder) })
 	s.folder = folder
-	for i := range s.Boxes {
+	for i := range s.Endpoints {
 		b, err := appbox.Start(fmt.Sprintf("box-%d", i+1))
 		if err != nil {
 			return err
@@ -158,7 +158,7 @@
 			s.noteVersion()
 		})
 	})
-	fmt.Fprintf(s.Out, "%d app boxes behind %s; the files are in %s\n", s.Boxes, s.url, s.folder)
+	fmt.Fprintf(s.Out, "%d app boxes behind %s; the files are in %s\n", s.Endpoints, s.url, s.folder)
 	if c := app.XDSConfig(first.Program, s.config()); c != nil {
 		client := xds.New(*c, s.Log)
 		complete := make(chan struct{})
@@ -242,7 +242,7 @@
 // serveOn leaves the program running until ctx ends, with Options.Keep. It returns the error with which the program
 // ended by itself.
 func (s *show) serveOn(ctx context.Context, served <-chan error) error {
-	if !s.Keep || ctx.Err() != nil {
+	if !s.KeepServing || ctx.Err() != nil {
 		fmt.Fprintln(s.Out, "\nTo leave it running: yokestall demo --keep; "+
 			"it prints the curl lines to send requests with.")
 		return nil
--- a/internal/demo/upkeep.go
+++ b/internal/demo/upkeep.go
@@ -11,13 +11,13 @@
 	"yokestall/internal/fake/platform"
 )
 
-// UpkeepOptions are what the demo of daily operation can be told.
-type UpkeepOptions struct {
-	Out     io.Writer
-	Node    []string // the command that runs the platform's node
-	Env     []string // for it
-	Clients int
-	Phase   time.Duration // length of each step
+// MaintenanceOptions are what the demo of daily operation can be told.
+type MaintenanceOptions struct {
+	Out         io.Writer
+	NodeCommand []string // the command that runs the platform's node
+	NodeEnv     []string // for it
+	Clients     int
+	Phase       time.Duration // length of each step
 }
 
 const upkeepSettings = `{"Classes": [
@@ -25,13 +25,13 @@
 	"Limits": {"MaxAttempts": 3, "MaxRetryAfterMs": 600, "RetryAfter": true, "Cancel": true}, "Zones": ["a"],
 	"Contract": {"ColdFrom": 0.4, "ColdMs": 2000, "FallMultiple": 3, "FallMs": 1000, "DrainGraceMs": 500}}`
 
-// Upkeep shows a node in daily operation under load: a server is taken out, restarted and called
+// Maintenance shows a node in daily operation under load: a server is taken out, restarted and called
 // back; the node is drained and returns; its process is replaced by another beside it. It gives the
 // rules that were broken.
-func Upkeep(ctx context.Context, o UpkeepOptions) (broken []string, err error) {
-	u := &upkeep{UpkeepOptions: o}
+func Maintenance(ctx context.Context, o MaintenanceOptions) (broken []string, err error) {
+	u := &upkeep{MaintenanceOptions: o}
 	if u.Platform, err = platform.New(platform.Options{
-		Command: o.Node, Env: o.Env, Passed: true, Settings: upkeepSettings, MemoryMB: 64, Sockets: 384,
+		Command: o.NodeCommand, Env: o.NodeEnv, Passed: true, Settings: upkeepSettings, MemoryMB: 64, Sockets: 384,
 		Boxes: 3, Work: 5 * time.Millisecond,
 	}); err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 }
 
 type upkeep struct {
-	UpkeepOptions
+	MaintenanceOptions
 	*platform.Platform
 	broken []string
 }
--- a/internal/demo/upkeep_test.go
+++ b/internal/demo/upkeep_test.go
@@ -23,7 +23,7 @@
 func TestUpkeep(t *testing.T) {
 	var out bytes.Buffer
 	command, env := testutil.Itself()
-	broken, err := Upkeep(t.Context(), UpkeepOptions{Out: &out, Node: command, Env: env, Clients: 6, Phase: 400 * time.Millisecond})
+	broken, err := Maintenance(t.Context(), MaintenanceOptions{Out: &out, NodeCommand: command, NodeEnv: env, Clients: 6, Phase: 400 * time.Millisecond})
 	if err != nil || len(broken) > 0 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
