--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -5,10 +5,8 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"os"
-	"path/filepath"
 	"sync"
 	"time"
 
@@ -16,243 +14,234 @@
 	"yokestall/internal/fake/fleet"
 	"yokestall/internal/files"
 	"yokestall/internal/fleet/agent"
-	"yokestall/internal/fleet/consensus"
 	"yokestall/internal/fleet/lease"
 )
 
-// FleetOptions are what the demo of a fleet that agrees is told.
+// FleetOptions are the options of Fleet.
 type FleetOptions struct {
 	Out           io.Writer
 	LeaseDuration time.Duration
 }
 
-// fleetNode is a node of the demo, and what it acts on.
-type fleetNode struct {
-	name   string
-	node   *agent.Node
-	links  []*fleet.Relay // to voters
-	listen net.Listener
-
-	mu   sync.Mutex
-	acts string
-}
-
 const (
 	fleetNodes  = 5
 	fleetVoters = 3
-	fleetSoon   = 10 * time.Second // for what has to come
+	// fleetTimeout bounds the wait for each step's effect.
+	fleetTimeout = 10 * time.Second
+	// fleetPollInterval is between two looks at the nodes.
+	fleetPollInterval = 20 * time.Millisecond
+	// maxClockDrift is the fraction by which the nodes' clocks may differ in speed.
+	maxClockDrift = 0.05
+	applyTimeout  = 50 * time.Millisecond
+)
+
+// The indexes of the node that is cut off, and of one that doesn't vote either but is not cut off.
+const (
+	cutOffNode    = 4
+	connectedNode = 3
 )
 
-// Fleet shows five nodes, three of which vote, that agree on versions while one of them is cut off. It gives what did
-// not come out as it should.
-func Fleet(ctx context.Context, o FleetOptions) (broken []string, err error) {
+// Fleet shows five nodes, three of which vote, that agree on versions while one of them is cut off. It returns what
+// did not come out as it should.
+func Fleet(ctx context.Context, o FleetOptions) (violations []string, err error) {
 	dir, err := os.MkdirTemp("", "yokestall-demo-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	ctx, stop := context.WithCancel(ctx)
-	var run sync.WaitGroup
-	var nodes []*fleetNode
-	defer func() {
-		stop()
-		run.Wait()
-		for _, n := range nodes {
-			err = errors.Join(err, n.close())
-		}
-	}()
-	t := lease.Config{Duration: o.LeaseDuration, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond}
-	var voters []agent.Voter
-	for i := range fleetNodes {
-		n := &fleetNode{name: string(rune('a' + i))}
-		nodes = append(nodes, n)
-		if i < fleetVoters {
-			if n.listen, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-				return nil, err
-			}
-			voters = append(voters, agent.Voter{Name: n.name, Address: n.listen.Addr().String()})
-		}
-	}
-	for i, n := range nodes {
-		if err := n.open(dir, t, voters, i < fleetVoters); err != nil {
-			return nil, err
-		}
-		if n.listen != nil {
-			run.Go(func() { n.node.Serve(ctx, n.listen) })
-		}
-		run.Go(func() { n.node.Run(ctx) })
-	}
-	client, err := agent.NewClient("demo", voters, nil)
-	if err != nil {
+	d := &fleetDemo{out: o.Out}
+	d.ctx, d.stop = context.WithCancel(ctx)
+	defer func() { err = errors.Join(err, d.close()) }()
+	leases := lease.Config{Duration: o.LeaseDuration, MaxClockDrift: maxClockDrift, ApplyTimeout: applyTimeout}
+	if err := d.start(dir, leases); err != nil {
 		return nil, err
 	}
-	defer client.Close()
-	d := &fleetDemo{ctx: ctx, out: o.Out, nodes: nodes, client: client}
-	fmt.Fprintf(o.Out, "five nodes; a, b and c vote; a lease lasts %v, so a version that contradicts is in force after %v at the latest\n\n", t.Duration, t.ActivationBound().Round(time.Millisecond))
-	d.publish("keys are dropped for 6 s", "6s")
-	d.all("all act on it", "6s")
-	d.publish("keys are dropped for 2 s: nodes that still count on 6 s would send again what the servers have forgotten", "2s")
-	d.all("all act on it", "2s")
-	fmt.Fprintln(o.Out, "\ne is cut off from all others")
-	for _, l := range nodes[4].links {
-		l.Set(fleet.Link{CutIn: true, CutOut: true})
-	}
-	d.publish("keys are dropped for 9 s; e hears nothing of it", "9s")
-	d.one(4, "e is alone: it refuses what carries keys, since their window may have changed", "-")
-	d.one(3, "d, which is not cut off, acts on the new one", "9s")
-	fmt.Fprintln(o.Out, "\nthe link is back")
-	for _, l := range nodes[4].links {
-		l.Set(fleet.Link{})
-	}
-	d.all("all act on it", "9s")
-	return d.broken, nil
+	fmt.Fprintf(o.Out, "five nodes; a, b and c vote; a lease lasts %v, "+
+		"so a version that contradicts is in force after %v at the latest\n\n",
+		leases.Duration, leases.ActivationBound().Round(time.Millisecond))
+	d.run()
+	return d.violations, nil
 }
 
-// open opens a node with a link to each voter but itself.
-func (n *fleetNode) open(dir string, t lease.Config, voters []agent.Voter, votes bool) error {
-	c := agent.Config{
-		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: t, Log: slog.New(slog.DiscardHandler),
-		Disconnected: lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious},
-		Parse: func(list []config.File) (*consensus.Version, error) {
-			s, err := files.Unbundle(list)
-			if err != nil {
-				return nil, err
-			}
-			return &consensus.Version{Program: s.Program, Clusters: s.Version.Clusters}, nil
-		},
-		Apply: func(a consensus.EffectiveVersion) error {
-			k := &a.Program.Classes[0]
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			if n.acts = k.DedupWindow.String(); a.Refused[k.Name] != "" {
-				n.acts = "-"
-			}
-			return nil
-		},
-	}
-	for _, v := range voters {
-		if v.Name != n.name {
-			l, err := fleet.NewRelay(v.Address)
-			if err != nil {
-				return err
-			}
-			n.links = append(n.links, l)
-			v.Address = l.Addr
-		}
-		c.Voters = append(c.Voters, v)
+// fleetDemo is a run of the demo.
+type fleetDemo struct {
+	ctx        context.Context // of the run
+	stop       func()          // ends ctx
+	running    sync.WaitGroup  // the nodes
+	out        io.Writer
+	nodes      []*fleetNode
+	client     *agent.Client // nil before start has created it
+	violations []string
+}
+
+// start starts the nodes and a client that publishes versions.
+func (d *fleetDemo) start(dir string, leases lease.Config) error {
+	voters, err := d.listen()
+	if err != nil {
+		return err
 	}
-	if votes {
-		if err := agent.Init(c); err != nil {
+	for _, n := range d.nodes {
+		if err := n.open(dir, leases, voters); err != nil {
 			return err
 		}
+		if n.listener != nil {
+			d.running.Go(func() { n.node.Serve(d.ctx, n.listener) })
+		}
+		d.running.Go(func() { n.node.Run(d.ctx) })
 	}
-	var err error
-	n.node, err = agent.Open(c)
+	d.client, err = agent.NewClient("demo", voters, nil)
 	return err
 }
 
-func (n *fleetNode) close() error {
-	for _, l := range n.links {
-		l.Close()
-	}
-	if n.node == nil {
-		return nil
+// listen creates the nodes, and listeners for those that vote.
+func (d *fleetDemo) listen() (voters []agent.Voter, err error) {
+	for i := range fleetNodes {
+		n := &fleetNode{name: string(rune('a' + i))}
+		d.nodes = append(d.nodes, n)
+		if i >= fleetVoters {
+			continue
+		}
+		if n.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+			return nil, err
+		}
+		voters = append(voters, agent.Voter{Name: n.name, Address: n.listener.Addr().String()})
 	}
-	return n.node.Close()
+	return voters, nil
 }
 
-// now is what the node acts on at this moment; "": nothing.
-func (n *fleetNode) now() string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if !n.node.MayServe() {
-		return ""
+// close ends what start has started.
+func (d *fleetDemo) close() (err error) {
+	if d.client != nil {
+		d.client.Close()
+	}
+	d.stop()
+	d.running.Wait()
+	for _, n := range d.nodes {
+		err = errors.Join(err, n.close())
 	}
-	return n.acts
+	return err
 }
 
-// fleetDemo is the demo while it runs.
-type fleetDemo struct {
-	ctx    context.Context
-	out    io.Writer
-	nodes  []*fleetNode
-	client *agent.Client
-	broken []string
+// run publishes versions and shows which node acts on which, before, while and after one of them is cut off.
+func (d *fleetDemo) run() {
+	d.publish("keys are dropped for 6 s", "6s")
+	d.awaitAll("6s")
+	d.publish("keys are dropped for 2 s: "+
+		"nodes that still count on 6 s would send again what the servers have forgotten", "2s")
+	d.awaitAll("2s")
+	fmt.Fprintln(d.out, "\ne is cut off from all others")
+	d.nodes[cutOffNode].setLinks(fleet.Link{CutIn: true, CutOut: true})
+	d.publish("keys are dropped for 9 s; e hears nothing of it", "9s")
+	d.awaitNode(cutOffNode,
+		"e is alone: it refuses what carries keys, since their window may have changed", keyedRefused)
+	d.awaitNode(connectedNode, "d, which is not cut off, acts on the new one", "9s")
+	fmt.Fprintln(d.out, "\nthe link is back")
+	d.nodes[cutOffNode].setLinks(fleet.Link{})
+	d.awaitAll("9s")
 }
 
-func (d *fleetDemo) fail(format string, args ...any) {
-	d.broken = append(d.broken, fmt.Sprintf(format, args...))
-	fmt.Fprintln(d.out, "NOT SO:", d.broken[len(d.broken)-1])
+// violation adds and prints what did not come out as it should.
+func (d *fleetDemo) violation(format string, args ...any) {
+	v := fmt.Sprintf(format, args...)
+	d.violations = append(d.violations, v)
+	fmt.Fprintln(d.out, "NOT SO:", v)
 }
 
-// publish publishes a version by its window of keys, and says how long it took.
-func (d *fleetDemo) publish(what, window string) {
-	ctx, stop := context.WithTimeout(d.ctx, fleetSoon)
+// versionFiles returns the files of a version with a deduplication window.
+func versionFiles(window string) []config.File {
+	program := "[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"c\"\n[fleet]\nnodes = 5\n" +
+		"[[class]]\nname = \"push\"\neffect = \"keyed\"\nscope = \"all\"\nwindow = \"" + window + "\"\n" +
+		"deadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/\"\nclass = \"push\"\ncluster = \"rooms\"\n"
+	cluster := "[cluster]\nname = \"rooms\"\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n"
+	return []config.File{
+		{Name: files.ProgramPart, Text: []byte(program)},
+		{Name: "rooms.toml", Text: []byte(cluster)},
+	}
+}
+
+// publish publishes a version with a deduplication window, and prints how long it took to be in force.
+func (d *fleetDemo) publish(description, window string) {
+	ctx, stop := context.WithTimeout(d.ctx, fleetTimeout)
 	defer stop()
-	text := "[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"c\"\n[fleet]\nnodes = 5\n[[class]]\nname = \"push\"\neffect = \"keyed\"\nscope = \"all\"\nwindow = \"" + window +
-		"\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/\"\nclass = \"push\"\ncluster = \"rooms\"\n"
-	list := []config.File{{Name: files.ProgramPart, Text: []byte(text)}, {Name: "rooms.toml", Text: []byte("[cluster]\nname = \"rooms\"\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n")}}
 	began, id := time.Now(), agent.NewID()
+	number, ok := d.propose(ctx, id, versionFiles(window))
+	if !ok {
+		d.violation("%s: not in force", description)
+		return
+	}
+	waited := ""
+	outcome, err := d.client.WaitForVersion(ctx, number, func(o agent.PublishOutcome) {
+		if len(o.WaitingFor) > 0 {
+			waited = fmt.Sprintf(", having waited for %v", o.WaitingFor)
+		}
+	})
+	if err != nil || !outcome.InForce {
+		d.violation("%s: not in force", description)
+		return
+	}
+	fmt.Fprintf(d.out, "version %d, %s: in force after %v%s\n",
+		number, description, time.Since(began).Round(time.Millisecond), waited)
+}
+
+// propose publishes files until they have a version's number; false: ctx has ended before.
+func (d *fleetDemo) propose(ctx context.Context, id string, list []config.File) (number uint64, ok bool) {
 	for ctx.Err() == nil {
-		s, err := d.client.LatestStatus(ctx)
+		status, err := d.client.LatestStatus(ctx)
 		if err == nil {
-			var p *agent.PublishReply
-			if p, err = d.client.Publish(ctx, id, s.LogStatus.ActiveVersion, list); err == nil && p.Number > 0 {
-				waits := ""
-				o, err := d.client.WaitForVersion(ctx, p.Number, func(o agent.PublishOutcome) {
-					if len(o.WaitingFor) > 0 {
-						waits = fmt.Sprintf(", having waited for %v", o.WaitingFor)
-					}
-				})
-				if err != nil || !o.InForce {
-					break
-				}
-				fmt.Fprintf(d.out, "version %d, %s: in force after %v%s\n", p.Number, what, time.Since(began).Round(time.Millisecond), waits)
-				return
+			reply, err := d.client.Publish(ctx, id, status.LogStatus.ActiveVersion, list)
+			if err == nil && reply.Number > 0 {
+				return reply.Number, true
 			}
 		}
 		d.pause()
 	}
-	d.fail("%s: not in force", what)
+	return 0, false
 }
 
+// pause waits until the nodes are to be looked at again.
 func (d *fleetDemo) pause() {
 	select {
-	case <-time.After(20 * time.Millisecond):
+	case <-time.After(fleetPollInterval):
 	case <-d.ctx.Done():
 	}
 }
 
-// one waits until a node acts on a window.
-func (d *fleetDemo) one(at int, what, window string) {
-	for until := time.Now().Add(fleetSoon); ; d.pause() {
-		if d.nodes[at].now() == window {
-			fmt.Fprintln(d.out, what)
-			return
+// awaitNode waits until the node with an index acts on a window.
+func (d *fleetDemo) awaitNode(index int, description, window string) {
+	n := d.nodes[index]
+	d.await(description, func() string {
+		if active := n.activeWindow(); active != window {
+			return fmt.Sprintf(" %s acts on %q", n.name, active)
 		}
-		if time.Now().After(until) || d.ctx.Err() != nil {
-			d.fail("%s: %s acts on %q", what, d.nodes[at].name, d.nodes[at].now())
-			return
-		}
-	}
+		return ""
+	})
 }
 
-// all waits until all nodes do.
-func (d *fleetDemo) all(what, window string) {
-	for until := time.Now().Add(fleetSoon); ; d.pause() {
-		behind := ""
+// awaitAll waits until all nodes act on a window.
+func (d *fleetDemo) awaitAll(window string) {
+	d.await("all act on it", func() (behind string) {
 		for _, n := range d.nodes {
-			if now := n.now(); now != window {
-				behind += fmt.Sprintf(" %s: %q", n.name, now)
+			if active := n.activeWindow(); active != window {
+				behind += fmt.Sprintf(" %s: %q", n.name, active)
 			}
 		}
-		if behind == "" {
-			fmt.Fprintln(d.out, what)
+		return behind
+	})
+}
+
+// await waits until a difference from what is described is "", and prints the description.
+func (d *fleetDemo) await(description string, difference func() string) {
+	deadline := time.Now().Add(fleetTimeout)
+	for {
+		text := difference()
+		if text == "" {
+			fmt.Fprintln(d.out, description)
 			return
 		}
-		if time.Now().After(until) || d.ctx.Err() != nil {
-			d.fail("%s:%s", what, behind)
+		if time.Now().After(deadline) || d.ctx.Err() != nil {
+			d.violation("%s:%s", description, text)
 			return
 		}
+		d.pause()
 	}
 }
--- a/internal/demo/fleet_test.go
+++ b/internal/demo/fleet_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// The demo of a fleet comes out as it says.
+// Each step of the fleet demo has its effect.
 func TestFleet(t *testing.T) {
-	broken, err := Fleet(t.Context(), FleetOptions{Out: io.Discard, LeaseDuration: 400 * time.Millisecond})
-	if err != nil || len(broken) > 0 {
-		t.Errorf("%v, %v", broken, err)
+	violations, err := Fleet(t.Context(), FleetOptions{Out: io.Discard, LeaseDuration: 400 * time.Millisecond})
+	if err != nil || len(violations) > 0 {
+		t.Errorf("%v, %v", violations, err)
 	}
 }
--- /dev/null
+++ b/internal/demo/fleetnode.go
@@ -0,0 +1,110 @@
+package demo
+
+import (
+	"log/slog"
+	"net"
+	"path/filepath"
+	"sync"
+
+	"yokestall/internal/config"
+	"yokestall/internal/fake/fleet"
+	"yokestall/internal/files"
+	"yokestall/internal/fleet/agent"
+	"yokestall/internal/fleet/consensus"
+	"yokestall/internal/fleet/lease"
+)
+
+// keyedRefused is a fleetNode's window while it refuses requests with keys.
+const keyedRefused = "-"
+
+// fleetNode is a node of the fleet demo.
+type fleetNode struct {
+	name     string
+	node     *agent.Node    // nil before open
+	links    []*fleet.Relay // to the voters
+	listener net.Listener   // nil: the node doesn't vote
+
+	mu     sync.Mutex
+	window string // the deduplication window that is in force; keyedRefused: none
+}
+
+// open opens a node with a link to each voter but itself.
+func (n *fleetNode) open(dir string, leases lease.Config, voters []agent.Voter) error {
+	c := agent.Config{
+		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: leases,
+		Log: slog.New(slog.DiscardHandler),
+		Disconnected: lease.DisconnectedPolicy{
+			Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious,
+		},
+		Parse: parseVersion,
+		Apply: n.apply,
+	}
+	for _, v := range voters {
+		if v.Name != n.name {
+			link, err := fleet.NewRelay(v.Address)
+			if err != nil {
+				return err
+			}
+			n.links = append(n.links, link)
+			v.Address = link.Addr
+		}
+		c.Voters = append(c.Voters, v)
+	}
+	if n.listener != nil {
+		if err := agent.Init(c); err != nil {
+			return err
+		}
+	}
+	var err error
+	n.node, err = agent.Open(c)
+	return err
+}
+
+// parseVersion parses the files of a version.
+func parseVersion(list []config.File) (*consensus.Version, error) {
+	s, err := files.Unbundle(list)
+	if err != nil {
+		return nil, err
+	}
+	return &consensus.Version{Program: s.Program, Clusters: s.Version.Clusters}, nil
+}
+
+// apply puts a version in force.
+func (n *fleetNode) apply(v consensus.EffectiveVersion) error {
+	class := &v.Program.Classes[0]
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.window = class.DedupWindow.String()
+	if v.Refused[class.Name] != "" {
+		n.window = keyedRefused
+	}
+	return nil
+}
+
+// activeWindow returns the deduplication window that the node acts on now; "": it may not serve.
+func (n *fleetNode) activeWindow() string {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if !n.node.MayServe() {
+		return ""
+	}
+	return n.window
+}
+
+// setLinks sets the state of all links to the voters.
+func (n *fleetNode) setLinks(state fleet.Link) {
+	for _, l := range n.links {
+		l.Set(state)
+	}
+}
+
+// close closes the node and its links.
+func (n *fleetNode) close() error {
+	for _, l := range n.links {
+		l.Close()
+	}
+	if n.node == nil {
+		return nil
+	}
+	return n.node.Close()
+}
--- a/internal/demo/upkeep_test.go
+++ b/internal/demo/maintenance_test.go
@@ -20,11 +20,14 @@
 	})
 }
 
-func TestUpkeep(t *testing.T) {
+// No rule is broken while a node is maintained.
+func TestMaintenance(t *testing.T) {
 	var out bytes.Buffer
 	command, env := testutil.Itself()
-	broken, err := Maintenance(t.Context(), MaintenanceOptions{Out: &out, NodeCommand: command, NodeEnv: env, Clients: 6, Phase: 400 * time.Millisecond})
-	if err != nil || len(broken) > 0 {
+	violations, err := Maintenance(t.Context(), MaintenanceOptions{
+		Out: &out, NodeCommand: command, NodeEnv: env, Clients: 6, Phase: 400 * time.Millisecond,
+	})
+	if err != nil || len(violations) > 0 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
--- a/internal/demo/tls.go
+++ b/internal/demo/tls.go
@@ -13,18 +13,25 @@
 	"yokestall/internal/tlskeys"
 )
 
-// rotation keeps replacing the key of the demo's listener.
-type rotation struct {
-	folder    string
-	authority *keymaker.Authority
-	store     *tlskeys.Store
-	http2     atomic.Int64 // answers that came over HTTP/2
-}
+const (
+	// tlsServerName is the name in the demo's certificates.
+	tlsServerName = "demo.test"
+	// rotationInterval is between two replacements of the key.
+	rotationInterval = 250 * time.Millisecond
+	// certificateMargin is how long before and after its making a certificate is valid.
+	certificateMargin = time.Hour
+)
 
-const demoName = "demo.test"
+// keyRotation replaces the key of the demo's listener again and again.
+type keyRotation struct {
+	folder       string
+	authority    *keymaker.Authority
+	store        *tlskeys.Store
+	http2Answers atomic.Int64 // that came over HTTP/2
+}
 
-func newRotation(folder string, log *slog.Logger) (*rotation, error) {
-	r := &rotation{folder: filepath.Join(folder, "keys")}
+func newKeyRotation(folder string, log *slog.Logger) (*keyRotation, error) {
+	r := &keyRotation{folder: filepath.Join(folder, "keys")}
 	if err := os.Mkdir(r.folder, 0o700); err != nil {
 		return nil, err
 	}
@@ -32,34 +39,41 @@
 	if r.authority, err = keymaker.New("the demo's authority"); err != nil {
 		return nil, err
 	}
-	if err := r.authority.Write(r.folder, "demo", demoName); err != nil {
+	if err := r.authority.Write(r.folder, "demo", tlsServerName); err != nil {
 		return nil, err
 	}
 	r.store, err = tlskeys.Open(r.folder, "", log)
 	return r, err
 }
 
-// run writes a new pair four times a second, the certificate some time before its key, until
-// ctx ends.
-func (r *rotation) run(ctx context.Context) {
-	tick := time.NewTicker(250 * time.Millisecond)
-	defer tick.Stop()
+// run writes a new pair every rotationInterval until ctx ends.
+func (r *keyRotation) run(ctx context.Context) {
+	ticker := time.NewTicker(rotationInterval)
+	defer ticker.Stop()
 	for {
-		cert, key, err := r.authority.Issue(time.Now().Add(-time.Hour), time.Now().Add(time.Hour), demoName)
-		for i, data := range [][]byte{cert, key} {
-			if err == nil {
-				err = os.WriteFile(filepath.Join(r.folder, []string{"demo.crt", "demo.key"}[i]), data, 0o600)
-			}
-			r.store.Reload(time.Now()) // between the two the old pair stays
-		}
+		r.replace()
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
+		}
+	}
+}
+
+// replace writes a new certificate and then its key. Between the two, and after an error, the store has the former pair
+// in force.
+func (r *keyRotation) replace() {
+	now := time.Now()
+	cert, key, err := r.authority.Issue(now.Add(-certificateMargin), now.Add(certificateMargin), tlsServerName)
+	for _, f := range []tlskeys.File{{Name: "demo.crt", Data: cert}, {Name: "demo.key", Data: key}} {
+		if err == nil {
+			err = os.WriteFile(filepath.Join(r.folder, f.Name), f.Data, 0o600)
 		}
+		r.store.Reload(time.Now())
 	}
 }
 
-func (r *rotation) client() *tls.Config {
-	return &tls.Config{RootCAs: r.authority.Pool(), ServerName: demoName}
+// clientConfig returns the configuration of the demo's clients.
+func (r *keyRotation) clientConfig() *tls.Config {
+	return &tls.Config{RootCAs: r.authority.Pool(), ServerName: tlsServerName}
 }
