--- a/internal/files/snapshot.go
+++ b/internal/files/snapshot.go
@@ -15,7 +15,7 @@
 }
 
 // Load reads and checks the program's file and the files that it names: all that a check does, and all that the running
-// program accepts a version by except cluster.Review. The error has what is wrong by file and line.
+// program accepts a version by except cluster.CheckRemovals. The error has what is wrong by file and line.
 func Load(path string) (*Snapshot, error) {
 	return load(newReader(path), NewParser())
 }
--- a/internal/fleet/consensus/differences.go
+++ b/internal/fleet/consensus/differences.go
@@ -185,7 +185,7 @@
 }
 
 // walk calls do for each pair of endpoints with the same id in two lists; nil where one list has none. The lists have
-// to be sorted by id, as cluster.Cluster.Check requires.
+// to be sorted by id, as cluster.Config.Check requires.
 func walk(from, to []cluster.Endpoint, do func(a, b *cluster.Endpoint)) {
 	for i, j := 0, 0; i < len(from) || j < len(to); {
 		switch {
--- a/internal/stress/badpeers/badpeers.go
+++ b/internal/stress/badpeers/badpeers.go
@@ -166,7 +166,9 @@
 	if b.program, err = config.ParseProgram("abuse.toml", []byte(program)); err != nil {
 		return nil, err
 	}
-	b.cluster = cluster.Config{Name: "peers", ShrinkTo: cluster.ShrinkUnspecified, Transport: cluster.Transport{HTTP2: back.HTTP2}}
+	b.cluster = cluster.Config{
+		Name: "peers", ShrinkTo: cluster.ShrinkUnspecified, Transport: cluster.Transport{HTTP2: back.HTTP2},
+	}
 	if back.TLS {
 		b.cluster.Transport.TLS = &cluster.TLS{ServerName: peerName, Roots: "ca"}
 	}
