--- a/internal/app/clusterrequest.go
+++ b/internal/app/clusterrequest.go
@@ -86,7 +86,7 @@
 	return i
 }
 
-// doOnce rejects a request by the cluster's bounds, or has a tier decide on it.
+// doOnce rejects a request by the cluster's limits, or has a tier decide on it.
 func (r *managedCluster) doOnce(ctx context.Context, q *engine.Request) (engine.Answer, error) {
 	inFlight := r.inFlight.Add(1) // before active is read: see deactivate
 	defer r.endRequest()
@@ -94,7 +94,7 @@
 	if err != nil {
 		return engine.Answer{}, err
 	}
-	if exceeds(&t.bounds, inFlight) {
+	if exceeds(&t.limits, inFlight) {
 		return engine.Answer{Verdict: engine.Rejected, RetryAfter: r.settings.Limits.MaxRetryAfter}, nil
 	}
 	a, err := t.pick().engine.Do(ctx, q)
@@ -111,14 +111,14 @@
 	return a, err
 }
 
-// exceeds reports whether a request is rejected by the cluster's bounds: its limit of requests in flight, and the
+// exceeds reports whether a request is rejected by the cluster's limits: its limit of requests in flight, and the
 // shares that are dropped.
-func exceeds(b *cluster.Bounds, inFlight int64) bool {
+func exceeds(b *cluster.Limits, inFlight int64) bool {
 	if b.MaxRequests > 0 && inFlight > int64(b.MaxRequests) {
 		return true
 	}
 	for _, d := range b.Drops {
-		if rand.Float64() < d.Share {
+		if rand.Float64() < d.Fraction {
 			return true
 		}
 	}
--- a/internal/app/doc.go
+++ b/internal/app/doc.go
@@ -23,7 +23,7 @@
 //
 // A server of ServeListener asks App.Route for the Destination: the route, its class, its limits and its cluster.
 // The cluster is wrapped for deduplication by key (dedupRouter), and for the check of the lease before each send
-// (leaseCheckedCluster). managedCluster.Do applies the cluster's bounds, activates it if it is idle, picks a tier and
+// (leaseCheckedCluster). managedCluster.Do applies the cluster's limits, activates it if it is idle, picks a tier and
 // hands the request to that tier's engine. The engine's policy decides, and sender.Exchange sends each attempt over the
 // upstream pool. If the cluster is replaced meanwhile, managedCluster.Do migrates the request to the successor.
 //
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -21,7 +21,7 @@
 type tiers struct {
 	plan   *priority.Plan
 	list   []*tier // in the order of plan.Tiers; at least one
-	bounds cluster.Bounds
+	limits cluster.Limits
 }
 
 // tier is a part of a cluster, by locality or priority, with an engine and connections of its own.
@@ -95,7 +95,7 @@
 // updateTiers brings the tiers to the cluster's current version, as of a time on the clock, and starts those that do
 // not run yet; r.mu is locked.
 func (r *managedCluster) updateTiers(deliveredAt time.Duration) *tiers {
-	next := &tiers{plan: priority.New(r.current, r.slowStart()), bounds: r.current.Bounds}
+	next := &tiers{plan: priority.New(r.current, r.slowStart()), limits: r.current.Limits}
 	used := map[*tier]bool{}
 	for i := range next.plan.Tiers {
 		t, err := r.tier(next.plan.Tiers[i].Key)
@@ -105,7 +105,7 @@
 		used[t] = true
 		next.list = append(next.list, t)
 	}
-	r.applyBounds(&next.bounds)
+	r.applyLimits(&next.limits)
 	for i, t := range next.list {
 		t.update(r.app.clock, deliveredAt, next.plan.Tiers[i].Cluster, r.streams)
 		r.restoreSnapshot(next.plan.Tiers[i].Key, t)
@@ -127,8 +127,8 @@
 	return priority.SlowStart{MinCapacity: rules.SlowStartMinCapacity, Window: rules.SlowStartWindow}
 }
 
-// applyBounds sets the limits of all tiers' pools and engines; r.mu is locked.
-func (r *managedCluster) applyBounds(b *cluster.Bounds) {
+// applyLimits sets the limits of all tiers' pools and engines; r.mu is locked.
+func (r *managedCluster) applyLimits(b *cluster.Limits) {
 	connectTimeout, maxOpen := r.upstream.ConnectTimeout, r.upstream.Connections
 	if b.ConnectTimeout > 0 {
 		connectTimeout = b.ConnectTimeout
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -103,7 +103,7 @@
 		asked += t.Asked
 	}
 	r.result.Copies = max(0, r.result.Sends-asked)
-	return &Outcome{Who: fmt.Sprint(d.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}, fleet.Judge(events, rules), report.Void, ctx.Err()
+	return &Outcome{Who: fmt.Sprint(d.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}, fleet.Judge(events, rules), report.Invalid, ctx.Err()
 }
 
 // serveCommand is the command that starts a process of the program with a configuration file.
@@ -189,7 +189,7 @@
 			if e.Health != 0 {
 				health = "draining"
 			}
-			fmt.Fprintf(&b, "[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\nhealth = %q\nstarted_ms = %d\n", e.ID, r.rig.Links[i][s].Addr, health, e.Started)
+			fmt.Fprintf(&b, "[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\nhealth = %q\nstarted_ms = %d\n", e.ID, r.rig.Links[i][s].Addr, health, e.StartedMs)
 		}
 		fmt.Fprintf(&b, "[end]\nendpoints = %d\n", len(r.places))
 		path := filepath.Join(p.Dir, "clusters", "rooms.toml")
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -32,7 +32,7 @@
 const MaxReal = 64
 
 const (
-	generatorLate = 20 * time.Millisecond // a run is void beyond; see loadgen.Plan.Late
+	generatorLate = 20 * time.Millisecond // a run is void beyond; see loadgen.Plan.MaxLateness
 	mostOpen      = 4096
 )
 
@@ -99,7 +99,7 @@
 		return nil, false, r.err
 	}
 	r.finish()
-	return &Outcome{Who: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Void, ctx.Err()
+	return &Outcome{Who: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Invalid, ctx.Err()
 }
 
 // closeBoxes closes all servers that the run has started.
@@ -115,7 +115,7 @@
 func (r *realRun) plan() loadgen.Plan {
 	d := &r.e.Day
 	r.seconds = make([]second, int(d.Length/time.Second)+1)
-	plan := loadgen.Plan{Length: d.Length, Open: mostOpen, Seed: r.e.Seed, Late: generatorLate}
+	plan := loadgen.Plan{Duration: d.Length, MaxInFlight: mostOpen, Seed: r.e.Seed, MaxLateness: generatorLate}
 	for i := range d.Classes {
 		r.result.Classes = append(r.result.Classes, fleetsim.Tally{Times: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)})
 		r.draws = append(r.draws, rand.New(rand.NewPCG(r.e.Seed, uint64(100+i))))
@@ -190,7 +190,7 @@
 		if err := b.Up(); err != nil {
 			return err
 		}
-		p.endpoint.Started = time.Now().UnixMilli()
+		p.endpoint.StartedMs = time.Now().UnixMilli()
 	}
 	r.all = append(r.all, b)
 	if at < len(r.places) {
@@ -205,7 +205,7 @@
 func (r *realRun) version() *files.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := &cluster.Config{Name: "rooms", ShrinkTo: -1}
+	c := &cluster.Config{Name: "rooms", ShrinkTo: cluster.ShrinkUnspecified}
 	for _, p := range r.places {
 		c.Endpoints = append(c.Endpoints, p.endpoint)
 	}
@@ -277,7 +277,7 @@
 					return
 				}
 				r.mu.Lock()
-				p.endpoint.Started = time.Now().UnixMilli()
+				p.endpoint.StartedMs = time.Now().UnixMilli()
 				r.mu.Unlock()
 			case s.t.Drain && !s.over:
 				r.mu.Lock()
@@ -293,7 +293,7 @@
 					r.replaced(i)
 				}
 			case s.over:
-				p.box.Trouble(model.Trouble{})
+				p.box.Trouble(model.Fault{})
 			default:
 				p.box.Trouble(s.t.With)
 			}
--- a/internal/priority/plan.go
+++ b/internal/priority/plan.go
@@ -60,7 +60,7 @@
 // New returns the plan of a cluster whose endpoints are sorted, as cluster.Check leaves them. A cluster without
 // endpoints has one tier.
 func New(c *cluster.Config, slowStart SlowStart) *Plan {
-	p := &Plan{overprovisioning: c.Overprovision, slowStart: slowStart}
+	p := &Plan{overprovisioning: c.OverprovisioningFactor, slowStart: slowStart}
 	if p.overprovisioning == 0 {
 		p.overprovisioning = defaultOverprovisioning
 	}
@@ -114,10 +114,10 @@
 	for i := range t.Cluster.Endpoints {
 		switch e := &t.Cluster.Endpoints[i]; {
 		case !e.Serves():
-		case e.Started == 0 || slowStart.Window <= 0:
+		case e.StartedMs == 0 || slowStart.Window <= 0:
 			t.fullCapacity++
 		default:
-			t.starts = append(t.starts, time.Duration(e.Started)*time.Millisecond)
+			t.starts = append(t.starts, time.Duration(e.StartedMs)*time.Millisecond)
 		}
 	}
 	slices.Sort(t.starts)
--- a/internal/priority/shares_test.go
+++ b/internal/priority/shares_test.go
@@ -13,7 +13,7 @@
 
 // newConfig returns a checked cluster with these endpoints.
 func newConfig(list ...cluster.Endpoint) *cluster.Config {
-	c := &cluster.Config{Name: "c", ShrinkTo: -1, Empty: len(list) == 0}
+	c := &cluster.Config{Name: "c", ShrinkTo: -1, AllowEmpty: len(list) == 0}
 	for i := range list {
 		list[i].ID, list[i].Address = fmt.Sprintf("s-%04d", i), fmt.Sprintf("10.0.%d.%d:80", i/250, i%250+1)
 	}
@@ -69,7 +69,7 @@
 	list := append(endpoints(10, 0, cluster.Healthy), endpoints(10, 1, cluster.Healthy)...)
 	const restart = 1000 * time.Second
 	for i := range 10 {
-		list[i].Started = restart.Milliseconds()
+		list[i].StartedMs = restart.Milliseconds()
 	}
 	p := New(newConfig(list...), SlowStart{MinCapacity: 0.1, Window: 30 * time.Second})
 	last := 0.0
@@ -93,9 +93,9 @@
 		var list []cluster.Endpoint
 		for range rapid.IntRange(0, 40).Draw(t, "endpoints") {
 			list = append(list, cluster.Endpoint{
-				Priority: rapid.IntRange(0, 3).Draw(t, "priority"),
-				Health:   cluster.Health(rapid.IntRange(0, 3).Draw(t, "health")),
-				Started:  rapid.SampledFrom([]int64{0, 1, 9000, 20000}).Draw(t, "started"),
+				Priority:  rapid.IntRange(0, 3).Draw(t, "priority"),
+				Health:    cluster.Health(rapid.IntRange(0, 3).Draw(t, "health")),
+				StartedMs: rapid.SampledFrom([]int64{0, 1, 9000, 20000}).Draw(t, "started"),
 			})
 		}
 		p := New(newConfig(list...), SlowStart{MinCapacity: 0.1, Window: 10 * time.Second})
--- a/internal/stress/badpeers/badpeers.go
+++ b/internal/stress/badpeers/badpeers.go
@@ -160,15 +160,17 @@
 // between starts the program with its server; end ends both.
 func (r *rig) between(front, back webpeer.Wire) (b *between, err error) {
 	b = &between{front: front}
-	if b.peer, err = webpeer.Start(back, r.keys.Server(tlskeys.Clients{}, back.ALPN()), 2); err != nil {
+	if b.peer, err = webpeer.Start(back, r.keys.ServerConfig(tlskeys.ClientAuth{}, back.ALPN()), 2); err != nil {
 		return nil, err
 	}
 	if b.program, err = config.ParseProgram("abuse.toml", []byte(program)); err != nil {
 		return nil, err
 	}
-	b.cluster = cluster.Config{Name: "peers", ShrinkTo: -1, Transport: cluster.Transport{HTTP2: back.HTTP2}}
+	b.cluster = cluster.Config{
+		Name: "peers", ShrinkTo: cluster.ShrinkUnspecified, Transport: cluster.Transport{HTTP2: back.HTTP2},
+	}
 	if back.TLS {
-		b.cluster.Transport.TLS = &cluster.TLS{Name: peerName, Roots: "ca"}
+		b.cluster.Transport.TLS = &cluster.TLS{ServerName: peerName, Roots: "ca"}
 	}
 	if b.app, err = app.New(b.version(-1), app.Options{Seed: 1, Log: r.Log, Keys: r.keys}); err != nil {
 		return nil, err
