--- /dev/null
+++ b/internal/fleet/consensus/simchecks_test.go
@@ -0,0 +1,183 @@
+package consensus
+
+import (
+	"fmt"
+	"reflect"
+	"time"
+
+	"yokestall/internal/fake/fleet"
+)
+
+// violate records a violation of the protocol.
+func (s *fleetSim) violate(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
+}
+
+// probeOwner now and then asks a voter over a slow network whether it owns a task.
+func (s *fleetSim) probeOwner(n *simNode) {
+	if s.probeRNG.IntN(5) > 0 {
+		return
+	}
+	latency := func() time.Duration { return time.Duration(s.probeRNG.Int64N(int64(200 * time.Millisecond))) }
+	sentAt := s.now
+	s.scheduleOn(n, latency(), func() {
+		token, owns := s.ownedTasks(n)["w0"]
+		if !owns {
+			return
+		}
+		s.ownerAnswers = append(s.ownerAnswers, fleet.Event{
+			What:  fleet.Owned,
+			Who:   int(n.id),
+			Stamp: int(token),
+			By:    sentAt,
+			At:    s.now + latency(),
+		})
+	})
+}
+
+// checkReads checks that a voter whose read is done has applied everything that was applied anywhere when it began.
+func (s *fleetSim) checkReads(n *simNode) {
+	for id, applied := range n.pendingReads {
+		if s.omitted != linearizableRead && !n.voter.ReadDone(id) {
+			continue
+		}
+		delete(n.pendingReads, id)
+		if index := n.voter.State().Index; index < applied {
+			s.violate("%v: a read of %s ends at %d, and %d had been applied", s.now, n.name, index, applied)
+		}
+		s.answeredReads++
+	}
+}
+
+// recordApplied records what a voter has newly applied.
+func (s *fleetSim) recordApplied(before, now *State) {
+	s.highestApplied = max(s.highestApplied, now.Index)
+	for _, m := range now.History {
+		if before.Version(m.Number) == nil {
+			s.recordVersion(m)
+		}
+	}
+	if p := now.PendingVersion; p != 0 && s.pendingAt[p] == 0 {
+		s.pendingAt[p] = s.now
+	}
+	if p := before.PendingVersion; p != 0 && now.ActiveVersion == p && s.pendingAt[p] > 0 {
+		s.longestActivation = max(s.longestActivation, s.now-s.pendingAt[p])
+		s.pendingAt[p] = -1
+	}
+}
+
+// recordVersion records a version that a voter has applied, and checks that no other voter gave it another number.
+func (s *fleetSim) recordVersion(m Manifest) {
+	number, known := s.acked[m.ID]
+	if known && number != m.Number {
+		s.violate("%s is version %d and %d", m.ID, number, m.Number)
+	}
+	if number == 0 {
+		s.versions++
+	}
+	s.acked[m.ID] = m.Number
+}
+
+// activeVersions returns what a node acts on at this moment.
+func (s *fleetSim) activeVersions(n *simNode) ActiveVersions {
+	switch {
+	case n.down || n.pausedUntil > s.now:
+		return ActiveVersions{}
+	case s.omitted == leaseCheck:
+		return n.active
+	case s.omitted == leaseCheckAtUse && n.permittedAtWake || n.lease.Permits(n.clock(s.now), n.active):
+		return n.active
+	}
+	return ActiveVersions{}
+}
+
+// ownedTasks returns the tasks that a node acts as the owner of at this moment, with their tokens.
+func (s *fleetSim) ownedTasks(n *simNode) map[string]uint64 {
+	if n.down || n.pausedUntil > s.now || len(n.ownedTasks) == 0 ||
+		s.omitted != ownerLeaseCheck && !n.lease.PermitsOwnership(n.clock(s.now)) {
+		return nil
+	}
+	return n.ownedTasks
+}
+
+// checkOwners checks that no task has two owners at this moment, and that no owner acts by an outdated token.
+func (s *fleetSim) checkOwners() {
+	owners := map[string]*simNode{}
+	for _, id := range s.voters {
+		n := s.nodes[id-1]
+		for task, token := range s.ownedTasks(n) {
+			if other := owners[task]; other != nil {
+				s.violate("%v: %s is owned by %s and %s", s.now, task, other.name, n.name)
+			}
+			owners[task] = n
+			if highest := s.highestTokens[task]; token < highest {
+				s.violate("%v: %s owns %s by token %d after %d", s.now, n.name, task, token, highest)
+			}
+			s.highestTokens[task] = max(s.highestTokens[task], token)
+		}
+	}
+}
+
+// checkContradictions checks that what a node acts on does not contradict what another one acts on, by the epochs
+// alone: versions that do not contradict each other share an epoch.
+func (s *fleetSim) checkContradictions(n *simNode) {
+	a := s.activeVersions(n)
+	if a.Version == 0 {
+		return
+	}
+	for _, other := range s.nodes {
+		b := s.activeVersions(other)
+		if other != n && b.Version != 0 && !compatible(a, b) && !compatible(b, a) {
+			s.violate("%v: %s acts on %v, %s on %v", s.now, n.name, a, other.name, b)
+		}
+	}
+}
+
+// compatible reports whether a node may act on a while another one acts on b. It is to be asked both ways.
+func compatible(a, b ActiveVersions) bool {
+	switch {
+	case a.Version == b.Version, a.Epoch == b.Epoch:
+		return true
+	case a.PendingVersion == 0:
+		return false
+	case a.PendingVersion == b.Version, b.Epoch == a.Epoch-1:
+		return true
+	}
+	return b.PendingVersion != 0 && a.Version == b.PendingVersion
+}
+
+// checkHealed checks what must hold once all is well again: one history at all voters, with everything that was
+// acknowledged, and all nodes on its last version.
+func (s *fleetSim) checkHealed() {
+	first := s.nodes[0].voter.State()
+	for _, id := range s.voters[1:] {
+		if other := s.nodes[id-1].voter.State(); !reflect.DeepEqual(first, other) {
+			s.violations = append(s.violations, fmt.Sprintf("voters 1 and %d differ: %+v, %+v", id, first, other))
+		}
+	}
+	for id, number := range s.acked {
+		if m := first.Version(number); (m == nil || m.ID != id) &&
+			number >= first.History[0].Number { // older ones are trimmed
+			s.violations = append(s.violations, fmt.Sprintf("version %d, %s, was acknowledged and is gone", number, id))
+		}
+	}
+	if first.PendingVersion != 0 {
+		s.violations = append(s.violations, fmt.Sprintf("version %d still waits", first.PendingVersion))
+	}
+	for _, work := range s.nodes[0].voter.Tasks {
+		owners := 0
+		for _, id := range s.voters {
+			if _, owns := s.ownedTasks(s.nodes[id-1])[work]; owns {
+				owners++
+			}
+		}
+		if owners != 1 {
+			s.violations = append(s.violations, fmt.Sprintf("%s has %d owners", work, owners))
+		}
+	}
+	for _, n := range s.nodes {
+		if a := s.activeVersions(n); a.Version != first.ActiveVersion || a.PendingVersion != 0 {
+			s.violations = append(s.violations, fmt.Sprintf("%s acts on %v, not on %d", n.name, a, first.ActiveVersion))
+		}
+	}
+}
--- a/internal/xds/translate/cluster.go
+++ b/internal/xds/translate/cluster.go
@@ -25,7 +25,7 @@
 	EDSServiceName string
 	// StaticAssignment is the endpoints that come with it; nil where they come by EDS.
 	StaticAssignment *Assignment
-	Bounds           cluster.Limits
+	Limits           cluster.Limits
 	// Transport is the protocol to its endpoints.
 	Transport cluster.Transport
 	// LocalityWeighted distributes the load over localities by their own weights (locality_weighted_lb_config).
@@ -41,7 +41,7 @@
 	if err := o.endpointSource(c, out); err != nil {
 		return nil, err
 	}
-	if err := bounds(c, &out.Bounds); err != nil {
+	if err := translateLimits(c, &out.Limits); err != nil {
 		return nil, err
 	}
 	var err error
@@ -83,8 +83,9 @@
 	return fmt.Errorf("%s: only ads and self are taken", field)
 }
 
-// bounds translates the connect timeout and the circuit breakers of the default priority, which all routes have.
-func bounds(c *clusterv3.Cluster, b *cluster.Limits) error {
+// translateLimits translates the connect timeout and the circuit breakers of the default priority, which all routes
+// have.
+func translateLimits(c *clusterv3.Cluster, b *cluster.Limits) error {
 	if d := c.GetConnectTimeout(); d != nil {
 		timeout := d.AsDuration()
 		if d.CheckValid() != nil || timeout <= 0 || timeout > maxConnectTimeout {
@@ -116,7 +117,7 @@
 		Name:       c.Name,
 		ShrinkTo:   cluster.ShrinkUnspecified,
 		Source:     "xds",
-		Limits:     c.Bounds,
+		Limits:     c.Limits,
 		Transport:  c.Transport,
 		AllowEmpty: len(a.Endpoints) == 0,
 		Endpoints:  a.Endpoints,
