--- a/internal/fleetsim/cold_test.go
+++ b/internal/fleetsim/cold_test.go
@@ -58,12 +58,12 @@
 }
 
 // sent takes a send to a server in.
-func (c *coldRule) sent(now time.Duration, m *member, work time.Duration, told bool) {
+func (c *coldRule) sent(now time.Duration, m *fleetServer, work time.Duration, told bool) {
 	share := m.Share(now)
-	if !m.Up() || share >= 1 || m.since == 0 {
+	if !m.Up() || share >= 1 || m.startedAt == 0 {
 		return
 	}
-	key := coldStart{m.id, m.since}
+	key := coldStart{m.id, m.startedAt}
 	s := c.starts[key]
 	if s == nil {
 		s = &coldStarted{}
@@ -92,7 +92,7 @@
 	s.fell = true
 	if knew > 2*got/3 {
 		c.broken = append(c.broken, fmt.Sprintf("server %d fell %v after its start: %.1f requests, %.1f allowed, %.0f %% by nodes that were told",
-			m.id, now-m.since, got, bound, 100*knew/got))
+			m.id, now-m.startedAt, got, bound, 100*knew/got))
 	}
 }
 
@@ -117,10 +117,10 @@
 // Send implements policy.Host.
 func (w *coldWitness) Send(id policy.RequestID, server policy.EndpointID, timeout time.Duration) {
 	n := w.Host.(*node)
-	if t := n.tries[id]; t != nil && !t.answered {
-		for _, m := range n.members {
+	if t := n.requests[id]; t != nil && !t.answered {
+		for _, m := range n.servers {
 			if m.id == server {
-				w.rule.sent(n.now, m, t.call.work, w.knows[server] == m.since)
+				w.rule.sent(n.now, m, t.client.work, w.knows[server] == m.startedAt)
 			}
 		}
 	}
--- a/internal/fleetsim/events.go
+++ b/internal/fleetsim/events.go
@@ -36,30 +36,30 @@
 	kind    kind
 	status  policy.Status
 	node    *node
-	try     *try
+	try     *nodeRequest
 	index   int
 	token   uint64
 	server  int
-	call    *call
+	client  *clientRequest
 	request ownership.LeaseRequest
 	reply   ownership.LeaseReply
 }
 
-// events is a heap of events, the earliest first, and of those at one time the one that was posted first.
-type events []event
+// eventQueue is a heap of eventQueue, the earliest first, and of those at one time the one that was posted first.
+type eventQueue []event
 
-func (d events) Len() int { return len(d) }
-func (d events) Less(i, j int) bool {
+func (d eventQueue) Len() int { return len(d) }
+func (d eventQueue) Less(i, j int) bool {
 	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].seq < d[j].seq
 }
 
-func (d events) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
 
 // Push implements heap.Interface.
-func (d *events) Push(x any) { *d = append(*d, x.(event)) }
+func (d *eventQueue) Push(x any) { *d = append(*d, x.(event)) }
 
 // Pop implements heap.Interface.
-func (d *events) Pop() any {
+func (d *eventQueue) Pop() any {
 	last := len(*d) - 1
 	x := (*d)[last]
 	(*d)[last] = event{}
@@ -68,86 +68,86 @@
 }
 
 // post adds an event to the queue.
-func (s *sim) post(e event) {
+func (s *simulation) post(e event) {
 	s.seq++
 	e.seq = s.seq
 	heap.Push(&s.queue, e)
 }
 
 // delay draws the delay of a message over the network.
-func (s *sim) delay() time.Duration {
-	return s.day.NetworkDelay + time.Duration(s.rng.Int64N(int64(s.day.NetworkDelay)/2+1))
+func (s *simulation) delay() time.Duration {
+	return s.scenario.NetworkDelay + time.Duration(s.rng.Int64N(int64(s.scenario.NetworkDelay)/2+1))
 }
 
-// arrive posts the arrival of the next request of a class.
-func (s *sim) arrive(class int) {
-	at, ok := model.NextArrival(s.now, s.day.Length, s.day.Classes[class].Rate, s.day.Load, s.rng)
+// scheduleArrival posts the arrival of the next request of a class.
+func (s *simulation) scheduleArrival(class int) {
+	at, ok := model.NextArrival(s.now, s.scenario.Length, s.scenario.Classes[class].Rate, s.scenario.Load, s.rng)
 	if ok {
 		s.post(event{at: at, kind: evArrival, index: class})
 	}
 }
 
 // handle does what an event asks for.
-func (s *sim) handle(e *event) {
+func (s *simulation) handle(e *event) {
 	switch e.kind {
 	case evArrival:
-		s.arrived(e.index)
+		s.handleArrival(e.index)
 	case evTry:
-		if n := s.front(); n != nil {
-			n.take(e.call)
+		if n := s.pickNode(); n != nil {
+			n.receive(e.client)
 		} else {
-			s.unanswered(e.call)
+			s.connectionLost(e.client)
 		}
 	case evUpdateShare, evShareRequest, evShareReply:
 		s.stepLending(e)
 	case evSend:
-		s.reach(e)
+		s.arriveAtServer(e)
 	case evReply:
-		e.node.outcome(e.try, e.index, e.status)
+		e.node.reportOutcome(e.try, e.index, e.status)
 	case evTimeout:
-		e.node.outcome(e.try, e.index, policy.Timeout)
+		e.node.reportOutcome(e.try, e.index, policy.Timeout)
 	case evEnd:
-		e.node.end(e.try)
+		e.node.expire(e.try)
 	case evTimer:
-		if e.index == int(e.node.starts) && !e.node.down {
-			e.node.tell(func() { e.node.decider.Timer(s.now, e.token) })
+		if e.index == int(e.node.incarnation) && !e.node.down {
+			e.node.callDecider(func() { e.node.decider.Timer(s.now, e.token) })
 		}
 	case evDone:
-		s.done(e.server)
+		s.completeJobs(e.server)
 	case evTrouble:
-		s.trouble(&s.day.Faults[e.index], e.token == 1)
+		s.applyFault(&s.scenario.Faults[e.index], e.token == 1)
 	case evNews:
-		s.announceList()
+		s.sendEndpointList()
 	}
 }
 
-// arrived begins a client's request, and has the next one of its class arrive.
-func (s *sim) arrived(class int) {
-	s.arrive(class)
-	c := &s.day.Classes[class]
+// handleArrival begins a client's request, and has the next one of its class arrive.
+func (s *simulation) handleArrival(class int) {
+	s.scheduleArrival(class)
+	c := &s.scenario.Classes[class]
 	s.seq++
-	k := &call{class: class, began: s.now, left: s.day.Clients.Retries, work: time.Duration(float64(c.Work) * c.Spread.Draw(s.rng))}
+	k := &clientRequest{class: class, startedAt: s.now, retriesLeft: s.scenario.Clients.Retries, work: time.Duration(float64(c.Work) * c.Spread.Draw(s.rng))}
 	if c.Idempotency == policy.IdempotentByKey {
-		k.key = strconv.FormatUint(s.seq, 36)
+		k.idempotencyKey = strconv.FormatUint(s.seq, 36)
 	}
 	t := &s.result.Classes[k.class]
 	t.Requests++
 	t.RequestedWeight += c.PriorityWeight
-	s.seconds[k.began/time.Second].wanted += c.PriorityWeight
-	s.post(event{at: s.now, kind: evTry, call: k})
+	s.weightBySecond[k.startedAt/time.Second].wanted += c.PriorityWeight
+	s.post(event{at: s.now, kind: evTry, client: k})
 }
 
-// announceList tells all nodes of the list of servers as it is.
-func (s *sim) announceList() {
-	entries := s.list()
-	for _, m := range s.members {
-		if m.state == policy.Draining && m.told == 0 {
-			m.told = s.now
+// sendEndpointList tells all nodes of the list of servers as it is.
+func (s *simulation) sendEndpointList() {
+	entries := s.endpointList()
+	for _, m := range s.servers {
+		if m.state == policy.Draining && m.drainAnnouncedAt == 0 {
+			m.drainAnnouncedAt = s.now
 		}
 	}
 	for _, n := range s.nodes {
 		if !n.down {
-			n.tell(func() { n.decider.UpdateEndpoints(s.now, policy.FullUpdate, entries) })
+			n.callDecider(func() { n.decider.UpdateEndpoints(s.now, policy.FullUpdate, entries) })
 		}
 	}
 }
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -79,49 +79,49 @@
 	LeaseReleaseDuration time.Duration
 }
 
-// sim is a day while it is played.
-type sim struct {
-	day       *Scenario
-	rng       *rand.Rand
-	now       time.Duration
-	seq       uint64
-	queue     events
-	nodes     []*node
-	members   []*member
-	lastID    policy.EndpointID
-	result    *Result
-	seconds   []struct{ earned, wanted float64 }
-	with      DeciderFactory
-	seed      uint64
-	allocator *ownership.Allocator
+// simulation is a day while it is played.
+type simulation struct {
+	scenario       *Scenario
+	rng            *rand.Rand
+	now            time.Duration
+	seq            uint64
+	queue          eventQueue
+	nodes          []*node
+	servers        []*fleetServer
+	lastEndpointID policy.EndpointID
+	result         *Result
+	weightBySecond []struct{ earned, wanted float64 }
+	newDecider     DeciderFactory
+	seed           uint64
+	allocator      *ownership.Allocator
 }
 
 // node hosts a Decider.
 type node struct {
-	*sim
-	decider Decider
-	tries   map[policy.RequestID]*try
-	lastID  policy.RequestID
-	after   []func() // what host calls leave to be told
-	down    bool
-	set     policy.Settings
-	starts  uint64
-	knew    *policy.Snapshot // when it died,
-	diedAt  time.Duration    // at that time
-	lending
+	*simulation
+	decider       Decider
+	requests      map[policy.RequestID]*nodeRequest
+	lastRequestID policy.RequestID
+	deferred      []func() // what host calls leave to be told
+	down          bool
+	settings      policy.Settings
+	incarnation   uint64
+	snapshot      *policy.Snapshot // when it died,
+	stoppedAt     time.Duration    // at that time
+	leaseClient
 }
 
 // Play plays a day.
 func Play(day *Scenario, seed uint64, with DeciderFactory) (*Result, error) {
-	s := &sim{day: day, rng: rand.New(rand.NewPCG(seed, 7)), result: &Result{}, with: with, seed: seed}
+	s := &simulation{scenario: day, rng: rand.New(rand.NewPCG(seed, 7)), result: &Result{}, newDecider: with, seed: seed}
 	s.result.WeightByTenth = make([]float64, int(day.Length/tenth)+1)
-	s.seconds = make([]struct{ earned, wanted float64 }, int(day.Length/time.Second)+1)
+	s.weightBySecond = make([]struct{ earned, wanted float64 }, int(day.Length/time.Second)+1)
 	for range day.Classes {
 		s.result.Classes = append(s.result.Classes, ClassResult{Latencies: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)})
 	}
 	for range day.Servers {
-		s.lastID++
-		s.members = append(s.members, &member{Server: model.NewServer(&day.ServerKind), id: s.lastID, next: -1, state: policy.Ready, job: map[uint64]*event{}})
+		s.lastEndpointID++
+		s.servers = append(s.servers, &fleetServer{Server: model.NewServer(&day.ServerKind), id: s.lastEndpointID, nextCompletion: -1, state: policy.Ready, jobs: map[uint64]*event{}})
 	}
 	set := day.Settings
 	set.NodeCount, set.Classes = day.Nodes, nil
@@ -130,17 +130,17 @@
 	}
 	for i := range day.Nodes {
 		set.NodeIndex = i
-		n := &node{sim: s, set: set}
+		n := &node{simulation: s, settings: set}
 		if err := n.start(); err != nil {
 			return nil, err
 		}
 		s.nodes = append(s.nodes, n)
 	}
 	for class := range day.Classes {
-		s.arrive(class)
+		s.scheduleArrival(class)
 	}
 	if day.LeaseReleaseDuration > 0 {
-		s.allocator = ownership.NewAllocator(1, s.lendingConfig())
+		s.allocator = ownership.NewAllocator(1, s.leaseConfig())
 	}
 	for i := range day.Faults {
 		s.post(event{at: day.Faults[i].From, kind: evTrouble, index: i})
@@ -164,13 +164,13 @@
 }
 
 // finish adds up what is known only at the end of the day.
-func (s *sim) finish() {
+func (s *simulation) finish() {
 	total, most := int64(0), int64(0)
-	for _, m := range s.members {
-		total, most = total+m.sent, max(most, m.sent)
+	for _, m := range s.servers {
+		total, most = total+m.attempts, max(most, m.attempts)
 	}
-	s.result.MaxServerShare = float64(most) * float64(len(s.members)) / float64(max(1, total))
-	for _, sec := range s.seconds {
+	s.result.MaxServerShare = float64(most) * float64(len(s.servers)) / float64(max(1, total))
+	for _, sec := range s.weightBySecond {
 		share := 1.0
 		if sec.wanted > 0 {
 			share = sec.earned / sec.wanted
--- a/internal/fleetsim/nodes.go
+++ b/internal/fleetsim/nodes.go
@@ -11,9 +11,9 @@
 
 const tenth = 100 * time.Millisecond
 
-// front is the node that a client comes to: one that is up; nil: there is none.
-func (s *sim) front() *node {
-	if s.day.FirstNodeShare > 0 && s.rng.Float64() < s.day.FirstNodeShare && !s.nodes[0].down {
+// pickNode is the node that a client comes to: one that is up; nil: there is none.
+func (s *simulation) pickNode() *node {
+	if s.scenario.FirstNodeShare > 0 && s.rng.Float64() < s.scenario.FirstNodeShare && !s.nodes[0].down {
 		return s.nodes[0]
 	}
 	from := s.rng.IntN(len(s.nodes))
@@ -27,65 +27,65 @@
 
 // start starts a node, which knows the list and nothing more.
 func (n *node) start() (err error) {
-	n.starts++
-	n.down, n.tries, n.after = false, map[policy.RequestID]*try{}, nil
-	if n.decider, err = n.with(n.set, (n.seed*1000+uint64(n.set.NodeIndex))+(n.starts-1)<<32, n); err != nil {
+	n.incarnation++
+	n.down, n.requests, n.deferred = false, map[policy.RequestID]*nodeRequest{}, nil
+	if n.decider, err = n.newDecider(n.settings, (n.seed*1000+uint64(n.settings.NodeIndex))+(n.incarnation-1)<<32, n); err != nil {
 		return err
 	}
-	n.tell(func() { n.decider.UpdateEndpoints(n.now, policy.FullUpdate, n.list()) })
-	n.startLending()
+	n.callDecider(func() { n.decider.UpdateEndpoints(n.now, policy.FullUpdate, n.endpointList()) })
+	n.startLeases()
 	return nil
 }
 
-// knowing is a Decider that hands on what it knows; *policy.Balancer is one.
-type knowing interface {
+// snapshotter is a Decider that hands on what it knows; *policy.Balancer is one.
+type snapshotter interface {
 	Snapshot(now time.Duration) policy.Snapshot
 	Restore(now time.Duration, k policy.Snapshot, age time.Duration)
 }
 
-var _ knowing = (*policy.Balancer)(nil)
+var _ snapshotter = (*policy.Balancer)(nil)
 
-// inherit has a node that has started take up what it knew when it died.
-func (n *node) inherit() {
-	if d, ok := n.decider.(knowing); ok && n.knew != nil {
-		n.tell(func() { d.Restore(n.now, *n.knew, n.now-n.diedAt) })
+// restoreSnapshot has a node that has started take up what it knew when it died.
+func (n *node) restoreSnapshot() {
+	if d, ok := n.decider.(snapshotter); ok && n.snapshot != nil {
+		n.callDecider(func() { d.Restore(n.now, *n.snapshot, n.now-n.stoppedAt) })
 	}
 }
 
-// die ends a node: its clients see their connections break; what it has out at servers runs on, unheard.
-func (n *node) die() {
-	if d, ok := n.decider.(knowing); ok {
+// kill ends a node: its clients see their connections break; what it has out at servers runs on, unheard.
+func (n *node) kill() {
+	if d, ok := n.decider.(snapshotter); ok {
 		k := d.Snapshot(n.now)
-		n.knew, n.diedAt = &k, n.now
+		n.snapshot, n.stoppedAt = &k, n.now
 	}
 	n.down = true
-	lost := slices.SortedFunc(maps.Values(n.tries), func(x, y *try) int { return cmp.Compare(x.id, y.id) })
-	n.tries = nil
+	lost := slices.SortedFunc(maps.Values(n.requests), func(x, y *nodeRequest) int { return cmp.Compare(x.id, y.id) })
+	n.requests = nil
 	for _, t := range lost {
 		t.lost = true
 		if !t.answered {
-			n.unanswered(t.call)
+			n.connectionLost(t.client)
 		}
 	}
 }
 
-// unanswered is a client whose try ended with no answer.
-func (s *sim) unanswered(k *call) {
-	if k.done {
+// connectionLost is a client whose try ended with no answer.
+func (s *simulation) connectionLost(k *clientRequest) {
+	if k.finished {
 		return
 	}
-	if k.left > 0 && s.day.Classes[k.class].Idempotency != policy.NotIdempotent {
-		s.again(k, 0)
+	if k.retriesLeft > 0 && s.scenario.Classes[k.class].Idempotency != policy.NotIdempotent {
+		s.scheduleRetry(k, 0)
 		return
 	}
-	k.done = true
+	k.finished = true
 	s.result.Classes[k.class].Failed++
 }
 
-// again has a client try once more, after its own wait, or a longer one that it was told and heeds.
-func (s *sim) again(k *call, told time.Duration) {
-	c := &s.day.Clients
-	k.left--
+// scheduleRetry has a client try once more, after its own wait, or a longer one that it was told and heeds.
+func (s *simulation) scheduleRetry(k *clientRequest, told time.Duration) {
+	c := &s.scenario.Clients
+	k.retriesLeft--
 	wait := c.Backoff
 	if s.rng.Float64() < c.HonorRetryAfter {
 		wait = max(wait, told)
@@ -94,5 +94,5 @@
 	if c.AlignTo > 0 {
 		at = (at + c.AlignTo - 1).Truncate(c.AlignTo)
 	}
-	s.post(event{at: at + s.delay(), kind: evTry, call: k})
+	s.post(event{at: at + s.delay(), kind: evTry, client: k})
 }
--- a/internal/fleetsim/servers.go
+++ b/internal/fleetsim/servers.go
@@ -7,177 +7,177 @@
 	"yokestall/policy"
 )
 
-// drainRule is how long after word of a drain a node may still send to the server.
-const drainRule = 500 * time.Millisecond
+// drainGrace is how long after word of a drain a node may still send to the server.
+const drainGrace = 500 * time.Millisecond
 
-// member is a server's place in the fleet.
-type member struct {
+// fleetServer is a server's place in the fleet.
+type fleetServer struct {
 	*model.Server
-	id     policy.EndpointID
-	next   time.Duration // when an evDone is due; -1
-	told   time.Duration // word of its drain; 0: none
-	state  policy.EndpointState
-	since  time.Duration // its start, as the list says it; 0: long past
-	sent   int64
-	coming time.Duration     // work sent that has not reached it
-	job    map[uint64]*event // by job
-	jobSeq uint64
-	holds  bool
-	held   []*event // answers that wait for the end of a trouble
+	id               policy.EndpointID
+	nextCompletion   time.Duration // when an evDone is due; -1
+	drainAnnouncedAt time.Duration // word of its drain; 0: none
+	state            policy.EndpointState
+	startedAt        time.Duration // its start, as the list says it; 0: long past
+	attempts         int64
+	workInTransit    time.Duration     // work sent that has not reached it
+	jobs             map[uint64]*event // by job
+	lastJobID        uint64
+	buffersReplies   bool
+	bufferedReplies  []*event // answers that wait for the end of a trouble
 }
 
-// list is the servers as the nodes are told of them.
-func (s *sim) list() (entries []policy.Endpoint) {
-	for _, m := range s.members {
+// endpointList is the servers as the nodes are told of them.
+func (s *simulation) endpointList() (entries []policy.Endpoint) {
+	for _, m := range s.servers {
 		if m.state != policy.Removed {
-			entries = append(entries, policy.Endpoint{ID: m.id, State: m.state, Weight: 1, StartedAt: m.since})
+			entries = append(entries, policy.Endpoint{ID: m.id, State: m.state, Weight: 1, StartedAt: m.startedAt})
 		}
 	}
 	return entries
 }
 
-// reach has an attempt come to its server.
-func (s *sim) reach(e *event) {
-	m := s.members[e.server]
-	m.coming -= e.try.call.work
+// arriveAtServer has an attempt come to its server.
+func (s *simulation) arriveAtServer(e *event) {
+	m := s.servers[e.server]
+	m.workInTransit -= e.try.client.work
 	if policy.EndpointID(e.token) != m.id { // replaced meanwhile
-		s.reply(e, policy.ConnectFailed)
+		s.sendReply(e, policy.ConnectFailed)
 		return
 	}
-	k := e.try.call
-	m.jobSeq++
-	j := model.Job{ID: m.jobSeq, Work: k.work, Key: k.key}
+	k := e.try.client
+	m.lastJobID++
+	j := model.Job{ID: m.lastJobID, Work: k.work, Key: k.idempotencyKey}
 	fate, lost := m.Arrive(s.now, j, s.rng)
 	switch fate {
 	case model.Taken:
 		kept := *e
-		m.job[j.ID] = &kept
+		m.jobs[j.ID] = &kept
 	case model.Full:
-		s.reply(e, policy.Rejected)
+		s.sendReply(e, policy.Rejected)
 	case model.Failed:
-		s.reply(e, policy.ErrorResponse)
+		s.sendReply(e, policy.ErrorResponse)
 	case model.Dropped:
-		s.reply(e, policy.OK)
+		s.sendReply(e, policy.OK)
 	case model.NoOne:
-		s.reply(e, policy.ConnectFailed)
+		s.sendReply(e, policy.ConnectFailed)
 	case model.Fell:
 		s.result.OverloadedServers++
-		s.lose(m, lost)
-		s.reply(e, policy.Reset)
+		s.resetConnections(m, lost)
+		s.sendReply(e, policy.Reset)
 	}
-	s.due(e.server)
+	s.scheduleCompletion(e.server)
 }
 
-// lose breaks the connections of jobs.
-func (s *sim) lose(m *member, lost []model.Job) {
-	for _, e := range m.held {
-		s.reply(e, policy.Reset)
+// resetConnections breaks the connections of jobs.
+func (s *simulation) resetConnections(m *fleetServer, lost []model.Job) {
+	for _, e := range m.bufferedReplies {
+		s.sendReply(e, policy.Reset)
 	}
-	m.held = nil
+	m.bufferedReplies = nil
 	for _, j := range lost {
-		if e := m.job[j.ID]; e != nil {
-			delete(m.job, j.ID)
-			s.reply(e, policy.Reset)
+		if e := m.jobs[j.ID]; e != nil {
+			delete(m.jobs, j.ID)
+			s.sendReply(e, policy.Reset)
 		}
 	}
 }
 
-// reply sends an attempt's outcome back to its node.
-func (s *sim) reply(e *event, status policy.Status) {
+// sendReply sends an attempt's outcome back to its node.
+func (s *simulation) sendReply(e *event, status policy.Status) {
 	s.post(event{at: s.now + s.delay(), kind: evReply, node: e.node, try: e.try, index: e.index, status: status})
 }
 
-// due has the end of a server's next job come up.
-func (s *sim) due(server int) {
-	m := s.members[server]
-	if at, ok := m.Next(); ok && (m.next < 0 || at < m.next) {
-		m.next = at
+// scheduleCompletion has the end of a server's next job come up.
+func (s *simulation) scheduleCompletion(server int) {
+	m := s.servers[server]
+	if at, ok := m.Next(); ok && (m.nextCompletion < 0 || at < m.nextCompletion) {
+		m.nextCompletion = at
 		s.post(event{at: at, kind: evDone, server: server})
 	}
 }
 
-// done takes from a server the jobs that have ended.
-func (s *sim) done(server int) {
-	m := s.members[server]
-	m.next = -1
+// completeJobs takes from a server the jobs that have ended.
+func (s *simulation) completeJobs(server int) {
+	m := s.servers[server]
+	m.nextCompletion = -1
 	for {
 		j, ok := m.Pop(s.now)
 		if !ok {
 			break
 		}
-		e := m.job[j.ID]
-		delete(m.job, j.ID)
+		e := m.jobs[j.ID]
+		delete(m.jobs, j.ID)
 		if e == nil {
 			continue
 		}
-		k := e.try.call
-		if k.effects++; k.effects == 2 && s.day.Classes[k.class].Idempotency == policy.NotIdempotent {
+		k := e.try.client
+		if k.effects++; k.effects == 2 && s.scenario.Classes[k.class].Idempotency == policy.NotIdempotent {
 			s.result.DuplicateEffects++
 		}
 		switch {
-		case m.holds:
-			m.held = append(m.held, e)
+		case m.buffersReplies:
+			m.bufferedReplies = append(m.bufferedReplies, e)
 		case !m.Trouble.Silent:
-			s.reply(e, policy.OK)
+			s.sendReply(e, policy.OK)
 		}
 	}
-	s.due(server)
+	s.scheduleCompletion(server)
 }
 
-// trouble begins or ends a trouble.
-func (s *sim) trouble(t *Fault, over bool) {
+// applyFault begins or ends a applyFault.
+func (s *simulation) applyFault(t *Fault, over bool) {
 	if t.Nodes {
 		for _, n := range s.nodes[t.First : t.Last+1] {
 			if !over {
-				n.die()
+				n.kill()
 				continue
 			}
 			n.start() // it was made of the same settings before
 			if t.RestoreSnapshot {
-				n.inherit()
+				n.restoreSnapshot()
 			}
 		}
 		return
 	}
 	for i := t.First; i <= t.Last; i++ {
-		m := s.members[i]
+		m := s.servers[i]
 		switch {
 		case t.Down && !over:
-			s.lose(m, m.Down())
+			s.resetConnections(m, m.Down())
 		case t.Down:
-			s.back(m, t)
+			s.restartServer(m, t)
 		case t.Drain && !over:
 			m.state = policy.Draining
 		case t.Drain: // another one in its place, cold
-			s.lose(m, m.Down())
-			s.lastID++
-			m.id, m.state, m.told = s.lastID, policy.Ready, 0
-			s.back(m, t)
+			s.resetConnections(m, m.Down())
+			s.lastEndpointID++
+			m.id, m.state, m.drainAnnouncedAt = s.lastEndpointID, policy.Ready, 0
+			s.restartServer(m, t)
 		case t.BufferReplies && !over:
-			m.holds = true
+			m.buffersReplies = true
 		case t.BufferReplies:
-			for _, e := range m.held {
-				s.reply(e, policy.OK)
+			for _, e := range m.bufferedReplies {
+				s.sendReply(e, policy.OK)
 			}
-			m.holds, m.held = false, nil
+			m.buffersReplies, m.bufferedReplies = false, nil
 		case over:
 			m.Trouble = model.Trouble{}
 		default:
 			m.Trouble = t.Impairment
 		}
 	}
-	s.post(event{at: s.now + s.day.ListDelay, kind: evNews})
+	s.post(event{at: s.now + s.scenario.ListDelay, kind: evNews})
 }
 
-// back has a server start, cold, perhaps as a smaller one.
-func (s *sim) back(m *member, t *Fault) {
+// restartServer has a server start, cold, perhaps as a smaller one.
+func (s *simulation) restartServer(m *fleetServer, t *Fault) {
 	if t.RestartSpeed > 0 { // another machine
-		kind := s.day.ServerKind
+		kind := s.scenario.ServerKind
 		kind.Speed *= t.RestartSpeed
 		m.Server = model.NewServer(&kind)
-		s.lastID++
-		m.id = s.lastID
+		s.lastEndpointID++
+		m.id = s.lastEndpointID
 	}
 	m.Start(s.now)
-	m.since = s.now
+	m.startedAt = s.now
 }
