--- a/cmd/yokestall/fleet_test.go
+++ b/cmd/yokestall/fleet_test.go
@@ -80,7 +80,7 @@
 	for seed := range uint64(3) {
 		t.Run("", func(t *testing.T) {
 			e := short(t, seed+1)
-			e.Faults = fleet.Draw(seed, 6, e.Day.Nodes, e.Day.Servers, e.Day.Length)
+			e.Faults = fleet.RandomFaults(seed, 6, e.Day.Nodes, e.Day.Servers, e.Day.Length)
 			playFleet(t, e)
 		})
 	}
@@ -93,8 +93,8 @@
 	e.Day.Faults = e.Day.Faults[:1]
 	e.Day.Faults = append(e.Day.Faults, fleetsim.Fault{From: time.Second, To: 2200 * time.Millisecond, Last: 4, Nodes: true})
 	e.Faults = []fleet.Fault{
-		{From: 300 * time.Millisecond, To: 800 * time.Millisecond, Kind: fleet.Stop, Nodes: []int{0, 1}},
-		{From: 2800 * time.Millisecond, To: 4900 * time.Millisecond, Kind: fleet.Stop, Nodes: []int{2}},
+		{From: 300 * time.Millisecond, To: 800 * time.Millisecond, Kind: fleet.Pause, Nodes: []int{0, 1}},
+		{From: 2800 * time.Millisecond, To: 4900 * time.Millisecond, Kind: fleet.Pause, Nodes: []int{2}},
 	}
 	o, void := playFleet(t, e)
 	asked, _, served := o.Counts()
@@ -111,7 +111,7 @@
 	// Four of six, since at a rate as low as this one a node may never have tried some server.
 	const out, heard = 1500 * time.Millisecond, 4 * time.Second
 	e.Day.Faults = []fleetsim.Fault{{From: out - e.Day.ListDelay, To: 4900 * time.Millisecond, First: 1, Last: 4, Drain: true}}
-	e.Faults = []fleet.Fault{{From: 500 * time.Millisecond, To: heard, Kind: fleet.Deaf, Nodes: []int{3}}}
+	e.Faults = []fleet.Fault{{From: 500 * time.Millisecond, To: heard, Kind: fleet.BlockUpdates, Nodes: []int{3}}}
 	itself, env := testutil.Itself()
 	_, found, void, err := lab.Fleet(t.Context(), e, t.TempDir(), itself, env)
 	if err != nil {
--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	if o.Longest > o.Bound {
-		t.Errorf("two acted on versions that contradict for %v, and the bound is %v: %+v after the first of %d", o.Longest, o.Bound, o.Worst, o.Over)
+		t.Errorf("two acted on versions that contradict for %v, and the bound is %v: %+v after the first of %d", o.Longest, o.Bound, o.Worst, o.NewerVersion)
 	}
 	found := slices.DeleteFunc(o.Found, func(f fleet.Finding) bool { return f.Timing })
 	if len(found) > 0 || o.Served < o.Asked/4 {
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -153,7 +153,7 @@
 		return false, err
 	}
 	if draw > 0 {
-		e.Faults = fleet.Draw(seed, draw, e.Day.Nodes, e.Day.Servers, e.Day.Length)
+		e.Faults = fleet.RandomFaults(seed, draw, e.Day.Nodes, e.Day.Servers, e.Day.Length)
 		for _, f := range e.Faults {
 			fmt.Fprintln(out, f)
 		}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -95,14 +95,14 @@
 	d.all("all act on it", "2s")
 	fmt.Fprintln(o.Out, "\ne is cut off from all others")
 	for _, l := range nodes[4].links {
-		l.Set(fleet.Link{CutIn: true, CutOut: true})
+		l.SetLink(fleet.Link{DropInbound: true, DropOutbound: true})
 	}
 	d.publish("keys are dropped for 9 s; e hears nothing of it", "9s")
 	d.one(4, "e is alone: it refuses what carries keys, since their window may have changed", "-")
 	d.one(3, "d, which is not cut off, acts on the new one", "9s")
 	fmt.Fprintln(o.Out, "\nthe link is back")
 	for _, l := range nodes[4].links {
-		l.Set(fleet.Link{})
+		l.SetLink(fleet.Link{})
 	}
 	d.all("all act on it", "9s")
 	return d.broken, nil
--- a/internal/fake/fleet/fleet_test.go
+++ b/internal/fake/fleet/fleet_test.go
@@ -74,12 +74,12 @@
 	if err := echo(nc, long); err != nil {
 		t.Fatal("a good link:", err)
 	}
-	for _, l := range []Link{{CutOut: true}, {CutIn: true}} {
-		r.Set(l)
+	for _, l := range []Link{{DropOutbound: true}, {DropInbound: true}} {
+		r.SetLink(l)
 		if err := echo(nc, short); !testutil.IsTimeout(err) {
 			t.Errorf("%+v: %v, want silence", l, err)
 		}
-		r.Set(Link{})
+		r.SetLink(Link{})
 		nc.SetDeadline(time.Now().Add(long))
 		if _, err := nc.Read(make([]byte, 1)); err == nil || testutil.IsTimeout(err) {
 			t.Errorf("%+v: a connection that lost bytes goes on: %v", l, err)
@@ -89,23 +89,23 @@
 			t.Fatalf("after %+v: %v", l, err)
 		}
 	}
-	r.Set(Link{Hold: true})
+	r.SetLink(Link{Buffer: true})
 	if err := echo(nc, short); !testutil.IsTimeout(err) {
 		t.Errorf("held: %v", err)
 	}
-	r.Set(Link{})
+	r.SetLink(Link{})
 	nc.SetDeadline(time.Now().Add(long))
 	if _, err := io.ReadFull(nc, make([]byte, 5)); err != nil {
 		t.Error("what was held does not come:", err)
 	}
 	for _, l := range []Link{{Delay: 30 * time.Millisecond}, {Rate: 200}} { // 25 ms a way at 200 bytes a second
-		r.Set(l)
+		r.SetLink(l)
 		began := time.Now()
 		if err := echo(nc, long); err != nil || time.Since(began) < 50*time.Millisecond {
 			t.Errorf("%+v: %v after %v", l, err, time.Since(began))
 		}
 	}
-	r.Set(Link{Broken: true})
+	r.SetLink(Link{Reset: true})
 	if err := echo(nc, long); err == nil || testutil.IsTimeout(err) {
 		t.Errorf("broken: %v", err)
 	}
@@ -144,8 +144,8 @@
 	script := []Fault{
 		{From: 10 * ms, To: 60 * ms, Kind: Kill, Nodes: []int{0}},
 		{From: 20 * ms, To: 90 * ms, Kind: Kill, Nodes: []int{0}}, // overlaps: dead until the last is over
-		{From: 10 * ms, To: 60 * ms, Kind: Empty, Nodes: []int{1}},
-		{From: 10 * ms, To: 300 * ms, Kind: Stop, Nodes: []int{2}},
+		{From: 10 * ms, To: 60 * ms, Kind: KillAndErase, Nodes: []int{1}},
+		{From: 10 * ms, To: 300 * ms, Kind: Pause, Nodes: []int{2}},
 	}
 	frozen := make(chan error, 1)
 	go func() {
@@ -156,7 +156,7 @@
 		_, err := c.Get("http://" + rig.Processes[2].Addr)
 		frozen <- err
 	}()
-	if err := rig.Play(t.Context(), began, script); err != nil {
+	if err := rig.ApplyFaults(t.Context(), began, script); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-frozen; err == nil {
@@ -179,7 +179,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
-	if err := rig.Play(ctx, time.Now(), script); err == nil {
+	if err := rig.ApplyFaults(ctx, time.Now(), script); err == nil {
 		t.Error("a script goes on when it is over")
 	}
 }
@@ -187,8 +187,8 @@
 // The same seed draws the same script, each fault of it can be played, and another seed draws another one.
 func TestDraw(t *testing.T) {
 	for seed := range uint64(200) {
-		script := Draw(seed, 8, 5, 12, time.Minute)
-		if !reflect.DeepEqual(script, Draw(seed, 8, 5, 12, time.Minute)) || reflect.DeepEqual(script, Draw(seed+1, 8, 5, 12, time.Minute)) {
+		script := RandomFaults(seed, 8, 5, 12, time.Minute)
+		if !reflect.DeepEqual(script, RandomFaults(seed, 8, 5, 12, time.Minute)) || reflect.DeepEqual(script, RandomFaults(seed+1, 8, 5, 12, time.Minute)) {
 			t.Fatalf("seed %d", seed)
 		}
 		for _, f := range script {
@@ -202,13 +202,13 @@
 		want string
 	}{
 		{Fault{To: 1, Kind: "bend", Nodes: []int{0}}, "kind: "},
-		{Fault{From: 2, To: 1, Kind: Stop, Nodes: []int{0}}, "to: "},
-		{Fault{To: 1, Kind: Stop}, "nodes: "},
-		{Fault{To: 1, Kind: Stop, Nodes: []int{5}}, "nodes: 5 is not among the 5"},
-		{Fault{To: 1, Kind: Cut, Nodes: []int{0}, Servers: []int{-1}}, "servers: -1"},
-		{Fault{To: 1, Kind: Stop, Nodes: []int{0}, Servers: []int{1}}, "servers: "},
+		{Fault{From: 2, To: 1, Kind: Pause, Nodes: []int{0}}, "to: "},
+		{Fault{To: 1, Kind: Pause}, "nodes: "},
+		{Fault{To: 1, Kind: Pause, Nodes: []int{5}}, "nodes: 5 is not among the 5"},
+		{Fault{To: 1, Kind: Drop, Nodes: []int{0}, Servers: []int{-1}}, "servers: -1"},
+		{Fault{To: 1, Kind: Pause, Nodes: []int{0}, Servers: []int{1}}, "servers: "},
 		{Fault{To: 1, Kind: Delay, Nodes: []int{0}}, "by: "},
-		{Fault{To: 1, Kind: Slow, Nodes: []int{0}}, "rate: "},
+		{Fault{To: 1, Kind: Throttle, Nodes: []int{0}}, "rate: "},
 	} {
 		if err := tc.f.Check(5, 12, time.Minute); err == nil || !strings.HasPrefix(err.Error(), tc.want) {
 			t.Errorf("%v: %v, want %s", tc.f, err, tc.want)
@@ -219,27 +219,27 @@
 // Each rule is found broken where it is, and a good history has no finding.
 func TestJudge(t *testing.T) {
 	good := []Event{
-		{At: 1, What: Asked, ID: "a.0", Class: 1, By: 100}, {At: 2, What: Came, ID: "a.0", Who: 1}, {At: 3, What: Ran, ID: "a.0", Who: 1},
-		{At: 4, What: Answered, ID: "a.0"}, {At: 5, What: Asked, ID: "b.0", Class: 0, By: 100}, {At: 6, What: Told, Who: 1},
-		{At: 7, What: Came, ID: "b.0", Who: 1}, {At: 8, What: Ran, ID: "b.0"}, {At: 9, What: Ran, ID: "b.0"}, {At: 10, What: Told, Who: 1, Over: true}, {At: 40, What: Came, ID: "b.0", Who: 1},
+		{At: 1, Kind: RequestSent, ID: "a.0", Class: 1, Reference: 100}, {At: 2, Kind: AttemptArrived, ID: "a.0", Party: 1}, {At: 3, Kind: EffectApplied, ID: "a.0", Party: 1},
+		{At: 4, Kind: RequestAnswered, ID: "a.0"}, {At: 5, Kind: RequestSent, ID: "b.0", Class: 0, Reference: 100}, {At: 6, Kind: DrainAnnounced, Party: 1},
+		{At: 7, Kind: AttemptArrived, ID: "b.0", Party: 1}, {At: 8, Kind: EffectApplied, ID: "b.0"}, {At: 9, Kind: EffectApplied, ID: "b.0"}, {At: 10, Kind: DrainAnnounced, Party: 1, Ended: true}, {At: 40, Kind: AttemptArrived, ID: "b.0", Party: 1},
 	}
-	rules := Rules{Unsafe: []bool{false, true}, Grace: 10, Slack: 1}
-	if found := Judge(good, rules); len(found) > 0 {
+	rules := Rules{NotIdempotent: []bool{false, true}, DrainGrace: 10, Slack: 1}
+	if found := CheckRequests(good, rules); len(found) > 0 {
 		t.Fatalf("a good history: %v", found)
 	}
 	for _, tc := range []struct {
 		want string
 		more []Event
 	}{
-		{"a second final answer", []Event{{At: 50, What: Answered, ID: "a.0"}}},
-		{"an answer to what nobody asked", []Event{{At: 50, What: Answered, ID: "c.0"}}},
-		{"an attempt of what nobody asked", []Event{{At: 50, What: Came, ID: "c.0"}}},
-		{"an attempt after its client's time", []Event{{At: 102, What: Came, ID: "a.0"}}},
-		{"an effect that happened twice", []Event{{At: 50, What: Asked, ID: "a.1", Class: 1, By: 100}, {At: 51, What: Ran, ID: "a.1"}}},
-		{"an attempt at a server that drains", []Event{{At: 50, What: Told, Who: 2}, {At: 55, What: Told, Who: 2}, {At: 62, What: Came, ID: "a.0", Who: 2}}},
-		{"a cold server pushed over", []Event{{At: 50, What: Fell}}},
+		{"a second final answer", []Event{{At: 50, Kind: RequestAnswered, ID: "a.0"}}},
+		{"an answer to what nobody asked", []Event{{At: 50, Kind: RequestAnswered, ID: "c.0"}}},
+		{"an attempt of what nobody asked", []Event{{At: 50, Kind: AttemptArrived, ID: "c.0"}}},
+		{"an attempt after its client's time", []Event{{At: 102, Kind: AttemptArrived, ID: "a.0"}}},
+		{"an effect that happened twice", []Event{{At: 50, Kind: RequestSent, ID: "a.1", Class: 1, Reference: 100}, {At: 51, Kind: EffectApplied, ID: "a.1"}}},
+		{"an attempt at a server that drains", []Event{{At: 50, Kind: DrainAnnounced, Party: 2}, {At: 55, Kind: DrainAnnounced, Party: 2}, {At: 62, Kind: AttemptArrived, ID: "a.0", Party: 2}}},
+		{"a cold server pushed over", []Event{{At: 50, Kind: ServerOverloaded}}},
 	} {
-		found := Judge(append(good[:len(good):len(good)], tc.more...), rules)
+		found := CheckRequests(append(good[:len(good):len(good)], tc.more...), rules)
 		if len(found) != 1 || found[0].Rule != tc.want || found[0].ID != "" && len(found[0].History) == 0 {
 			t.Errorf("%v, want %q", found, tc.want)
 		}
--- a/internal/fake/fleet/process.go
+++ b/internal/fake/fleet/process.go
@@ -30,7 +30,7 @@
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	ended  chan struct{}
-	frozen bool
+	paused bool
 	in     io.WriteCloser
 	out    *os.File
 }
@@ -81,7 +81,7 @@
 		return fmt.Errorf("%s: %w", p.Dir, err)
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended, p.frozen = cmd, ended, false
+	p.cmd, p.ended, p.paused = cmd, ended, false
 	go func() {
 		cmd.Wait()
 		close(ended)
@@ -147,22 +147,22 @@
 	p.cmd = nil
 }
 
-// Freeze stops it where it stands, and lets it go on.
-func (p *Process) Freeze(on bool) error {
+// SetPaused stops it where it stands, and lets it go on.
+func (p *Process) SetPaused(on bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.frozen == on {
+	if p.cmd == nil || p.paused == on {
 		return nil
 	}
-	p.frozen = on
+	p.paused = on
 	if on {
 		return p.cmd.Process.Signal(syscall.SIGSTOP)
 	}
 	return p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// Empty removes what it kept, but for its configuration; it must not run.
-func (p *Process) Empty() error {
+// EraseState removes what it kept, but for its configuration; it must not run.
+func (p *Process) EraseState() error {
 	entries, err := os.ReadDir(p.Dir)
 	if err != nil {
 		return err
--- a/internal/fake/fleet/record.go
+++ b/internal/fake/fleet/record.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// What happened.
-type What uint8
+// EventKind happened.
+type EventKind uint8
 
 // The kinds of events.
 const (
-	Asked    What = iota // a client sent try ID to process Who, of class Class, and waits until By
-	Answered             // try ID got its final answer, Status; 0: none came
-	Came                 // try ID came to server Who
-	Ran                  // and took effect
-	Fell                 // server Who was pushed over
-	Told                 // word that server Who drains (Over: serves again) was given to all processes
-	Owned                // process Who, asked at By, answered as the owner of a work, by token Stamp
-	Faulted              // a fault of process Who began or ended
+	RequestSent      EventKind = iota // a client sent try ID to process Who, of class Class, and waits until By
+	RequestAnswered                   // try ID got its final answer, Status; 0: none came
+	AttemptArrived                    // try ID came to server Who
+	EffectApplied                     // and took effect
+	ServerOverloaded                  // server Who was pushed over
+	DrainAnnounced                    // word that server Who drains (Over: serves again) was given to all processes
+	OwnerAnswered                     // process Who, asked at By, answered as the owner of a work, by token Stamp
+	FaultChanged                      // a fault of process Who began or ended
 )
 
 // Event is something that happened, at a time of the machine's monotonic clock since the record began.
 type Event struct {
-	At     time.Duration
-	What   What
-	Who    int
-	ID     string // of a try; what follows the last point is the try's number in its request
-	Class  int
-	By     time.Duration
-	Status int
-	Over   bool
-	Stamp  int // of the rules that an attempt was decided by; 0: it has none
+	At        time.Duration
+	Kind      EventKind
+	Party     int
+	ID        string // of a try; what follows the last point is the try's number in its request
+	Class     int
+	Reference time.Duration
+	Status    int
+	Ended     bool
+	Version   int // of the rules that an attempt was decided by; 0: it has none
 }
 
 // Record collects events. Its zero value is ready; its methods are safe for concurrent use.
@@ -68,27 +68,27 @@
 
 // Rules are what a record is judged by.
 type Rules struct {
-	Unsafe []bool        // by class: no effect twice, over all tries of a request
-	Grace  time.Duration // after word of a drain, in which new ones may still come
-	Slack  time.Duration // of the machine: between what a process did and what others could see of it
-	// LinksKeep tells that links may deliver late what was sent in time, so that what comes after the end of a
+	NotIdempotent []bool        // by class: no effect twice, over all tries of a request
+	DrainGrace    time.Duration // after word of a drain, in which new ones may still come
+	Slack         time.Duration // of the machine: between what a process did and what others could see of it
+	// LinksDelay tells that links may deliver late what was sent in time, so that what comes after the end of a
 	// try or the grace of a drain says nothing of the process that sent it.
-	LinksKeep bool
+	LinksDelay bool
 }
 
 // Finding is a broken rule.
 type Finding struct {
-	Rule string
-	At   time.Duration
-	ID   string
-	Who  int
+	Rule  string
+	At    time.Duration
+	ID    string
+	Party int
 	// Timing tells that the finding rests on when things were seen: on a machine that was late itself it says nothing.
 	Timing  bool
 	History []Event // of all tries of its request
 }
 
 func (f Finding) String() string {
-	return fmt.Sprintf("%v: %s (try %s, %d)", f.At.Round(time.Millisecond), f.Rule, f.ID, f.Who)
+	return fmt.Sprintf("%v: %s (try %s, %d)", f.At.Round(time.Millisecond), f.Rule, f.ID, f.Party)
 }
 
 // request is the part of a try's id that its request's other tries have too.
@@ -101,10 +101,10 @@
 	return id
 }
 
-// Judge reads what happened, in the order of the times, and gives the rules that were broken: a second final answer
+// CheckRequests reads what happened, in the order of the times, and gives the rules that were broken: a second final answer
 // to a try, an attempt that came after its client's time, an effect that happened twice, an attempt at a server past
 // its drain's grace, a cold server pushed over. It knows nothing of the program.
-func Judge(events []Event, rules Rules) (found []Finding) {
+func CheckRequests(events []Event, rules Rules) (found []Finding) {
 	type try struct {
 		class    int
 		by       time.Duration
@@ -112,52 +112,52 @@
 	}
 	tries, ran, drains := map[string]*try{}, map[string]int{}, map[int]time.Duration{}
 	say := func(e *Event, rule string) {
-		found = append(found, Finding{Rule: rule, At: e.At, ID: e.ID, Who: e.Who})
+		found = append(found, Finding{Rule: rule, At: e.At, ID: e.ID, Party: e.Party})
 	}
 	late := func(e *Event, rule string) {
-		found = append(found, Finding{Rule: rule, At: e.At, ID: e.ID, Who: e.Who, Timing: true})
+		found = append(found, Finding{Rule: rule, At: e.At, ID: e.ID, Party: e.Party, Timing: true})
 	}
 	for i := range events {
 		e := &events[i]
 		t := tries[e.ID]
-		switch e.What {
-		case Asked:
-			tries[e.ID] = &try{class: e.Class, by: e.By}
-		case Answered:
+		switch e.Kind {
+		case RequestSent:
+			tries[e.ID] = &try{class: e.Class, by: e.Reference}
+		case RequestAnswered:
 			if t == nil {
 				say(e, "an answer to what nobody asked")
 			} else if t.answered++; t.answered > 1 {
 				say(e, "a second final answer")
 			}
-		case Came:
+		case AttemptArrived:
 			if t == nil {
 				say(e, "an attempt of what nobody asked")
 				continue
 			}
-			if e.At > t.by+rules.Slack && !rules.LinksKeep {
+			if e.At > t.by+rules.Slack && !rules.LinksDelay {
 				late(e, "an attempt after its client's time")
 			}
-			if at, ok := drains[e.Who]; ok && e.At > at+rules.Grace+rules.Slack && !rules.LinksKeep {
+			if at, ok := drains[e.Party]; ok && e.At > at+rules.DrainGrace+rules.Slack && !rules.LinksDelay {
 				late(e, "an attempt at a server that drains")
 			}
-		case Ran:
-			if t == nil || !rules.Unsafe[t.class] {
+		case EffectApplied:
+			if t == nil || !rules.NotIdempotent[t.class] {
 				continue
 			}
 			if ran[request(e.ID)]++; ran[request(e.ID)] > 1 {
 				say(e, "an effect that happened twice")
 			}
-		case Fell:
+		case ServerOverloaded:
 			late(e, "a cold server pushed over")
-		case Told:
-			if e.Over {
-				delete(drains, e.Who)
-			} else if _, ok := drains[e.Who]; !ok {
-				drains[e.Who] = e.At
+		case DrainAnnounced:
+			if e.Ended {
+				delete(drains, e.Party)
+			} else if _, ok := drains[e.Party]; !ok {
+				drains[e.Party] = e.At
 			}
 		}
 	}
-	for i := range found[:min(len(found), historiesMost)] {
+	for i := range found[:min(len(found), maxHistories)] {
 		for _, e := range events {
 			if e.ID != "" && request(e.ID) == request(found[i].ID) {
 				found[i].History = append(found[i].History, e)
@@ -167,5 +167,5 @@
 	return found
 }
 
-// historiesMost is how many findings are given with their requests' histories.
-const historiesMost = 20
+// maxHistories is how many findings are given with their requests' histories.
+const maxHistories = 20
--- a/internal/fake/fleet/relay.go
+++ b/internal/fake/fleet/relay.go
@@ -13,16 +13,16 @@
 
 // Link is what is wrong with a link at present; the zero value is a good one.
 type Link struct {
-	CutOut, CutIn bool          // what is sent towards the target, or back from it, is lost unseen
-	Broken        bool          // connections are reset, and new ones
-	Delay         time.Duration // before each piece goes on
-	Rate          int           // bytes a second; 0: no limit
-	Hold          bool          // what is sent is kept, and goes on when this ends
+	DropOutbound, DropInbound bool          // what is sent towards the target, or back from it, is lost unseen
+	Reset                     bool          // connections are reset, and new ones
+	Delay                     time.Duration // before each piece goes on
+	Rate                      int           // bytes a second; 0: no limit
+	Buffer                    bool          // what is sent is kept, and goes on when this ends
 }
 
 const (
-	relayConns = 4096     // connections of a relay at most; further ones are reset
-	relayPiece = 16 << 10 // bytes that a direction of a connection keeps at most
+	maxRelayConns    = 4096     // connections of a relay at most; further ones are reset
+	relayBufferBytes = 16 << 10 // bytes that a direction of a connection keeps at most
 )
 
 // Relay carries TCP connections to a target, as its link lets it. Create it with NewRelay.
@@ -50,26 +50,26 @@
 	return r, nil
 }
 
-// Set changes the link. Connections that lost bytes can't go on and are reset when the loss ends.
-func (r *Relay) Set(l Link) {
+// SetLink changes the link. Connections that lost bytes can't go on and are reset when the loss ends.
+func (r *Relay) SetLink(l Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if l == r.link || r.closed {
 		return
 	}
-	lossy := r.link.CutIn || r.link.CutOut
+	lossy := r.link.DropInbound || r.link.DropOutbound
 	r.link = l
 	close(r.changed)
 	r.changed = make(chan struct{})
-	if l.Broken || lossy && !l.CutIn && !l.CutOut {
+	if l.Reset || lossy && !l.DropInbound && !l.DropOutbound {
 		for c := range r.conns {
 			reset(c)
 		}
 	}
 }
 
-// Target leads new connections to another address; those there are go on.
-func (r *Relay) Target(addr string) {
+// SetTarget leads new connections to another address; those there are go on.
+func (r *Relay) SetTarget(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = addr
@@ -106,40 +106,40 @@
 		if err != nil {
 			continue // a connection that went before it was taken
 		}
-		if !r.keep(c) {
+		if !r.register(c) {
 			reset(c)
 			continue
 		}
-		r.run.Go(func() { r.carry(c) })
+		r.run.Go(func() { r.serve(c) })
 	}
 }
 
-// keep books a connection; false: it may not be.
-func (r *Relay) keep(c net.Conn) bool {
+// register books a connection; false: it may not be.
+func (r *Relay) register(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed || r.link.Broken || len(r.conns) >= relayConns {
+	if r.closed || r.link.Reset || len(r.conns) >= maxRelayConns {
 		return false
 	}
 	r.conns[c] = true
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) closeConn(c net.Conn) {
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
 	reset(c)
 }
 
-func (r *Relay) carry(c net.Conn) {
-	defer r.drop(c)
+func (r *Relay) serve(c net.Conn) {
+	defer r.closeConn(c)
 	for { // a link that loses all towards the target loses the handshake too
-		l, changed, closed := r.now()
-		if closed || l.Broken {
+		l, changed, closed := r.state()
+		if closed || l.Reset {
 			return
 		}
-		if !l.CutOut && !l.CutIn && !l.Hold {
+		if !l.DropOutbound && !l.DropInbound && !l.Buffer {
 			break
 		}
 		<-changed
@@ -151,29 +151,29 @@
 	if err != nil {
 		return
 	}
-	if !r.keep(to) {
+	if !r.register(to) {
 		reset(to)
 		return
 	}
-	defer r.drop(to)
+	defer r.closeConn(to)
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(to, c, true) })
-	both.Go(func() { r.pump(c, to, false) })
+	both.Go(func() { r.copy(to, c, true) })
+	both.Go(func() { r.copy(c, to, false) })
 	both.Wait()
 }
 
-func (r *Relay) now() (Link, <-chan struct{}, bool) {
+func (r *Relay) state() (Link, <-chan struct{}, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.link, r.changed, r.closed
 }
 
-// pump carries one direction, a piece at a time, until either end is over.
-func (r *Relay) pump(to, from net.Conn, out bool) {
-	piece := make([]byte, relayPiece)
+// copy carries one direction, a piece at a time, until either end is over.
+func (r *Relay) copy(to, from net.Conn, out bool) {
+	piece := make([]byte, relayBufferBytes)
 	for {
 		n, err := from.Read(piece)
-		if n > 0 && !r.pass(to, piece[:n], out) {
+		if n > 0 && !r.forward(to, piece[:n], out) {
 			break
 		}
 		if err != nil {
@@ -186,20 +186,20 @@
 	to.Close()
 }
 
-// pass sends a piece on as the link lets it; false: the connection is over.
-func (r *Relay) pass(to net.Conn, piece []byte, out bool) bool {
+// forward sends a piece on as the link lets it; false: the connection is over.
+func (r *Relay) forward(to net.Conn, piece []byte, out bool) bool {
 	for {
-		l, changed, closed := r.now()
+		l, changed, closed := r.state()
 		wait := l.Delay
 		if l.Rate > 0 {
 			wait += time.Duration(len(piece)) * time.Second / time.Duration(l.Rate)
 		}
 		switch {
-		case closed || l.Broken:
+		case closed || l.Reset:
 			return false
-		case out && l.CutOut || !out && l.CutIn:
+		case out && l.DropOutbound || !out && l.DropInbound:
 			return true // lost
-		case l.Hold:
+		case l.Buffer:
 			<-changed
 			continue
 		case wait > 0:
--- a/internal/fake/fleet/rig.go
+++ b/internal/fake/fleet/rig.go
@@ -12,12 +12,12 @@
 
 // Rig is processes before servers, each behind links of its own. Create it with NewRig.
 type Rig struct {
-	Processes []*Process
-	Links     [][]*Relay // by process and server
-	Peers     [][]*Relay // by process and the process that it asks; nil where there is none
-	Record    Record
-	// News, if set, is called as a process begins or ends to be deaf, for who tells it of the servers.
-	News func(process int, deaf bool) error
+	Processes   []*Process
+	ServerLinks [][]*Relay // by process and server
+	PeerLinks   [][]*Relay // by process and the process that it asks; nil where there is none
+	Record      Record
+	// SetUpdatesBlocked, if set, is called as a process begins or ends to be deaf, for who tells it of the servers.
+	SetUpdatesBlocked func(process int, deaf bool) error
 }
 
 // NewRig makes a rig of processes that have not been started, in folders below dir, before servers at
@@ -34,22 +34,22 @@
 		for _, addr := range servers {
 			l, err := NewRelay(addr)
 			if err != nil {
-				r.Links = append(r.Links, links)
+				r.ServerLinks = append(r.ServerLinks, links)
 				return nil, errors.Join(err, r.Close())
 			}
 			links = append(links, l)
 		}
-		r.Links = append(r.Links, links)
+		r.ServerLinks = append(r.ServerLinks, links)
 	}
 	return r, nil
 }
 
-// Connect puts a link between each process and each of those that are asked by others, at these addresses; "": it is
+// ConnectPeers puts a link between each process and each of those that are asked by others, at these addresses; "": it is
 // asked nothing.
-func (r *Rig) Connect(asked []string) error {
+func (r *Rig) ConnectPeers(asked []string) error {
 	for i := range r.Processes {
 		links := make([]*Relay, len(asked))
-		r.Peers = append(r.Peers, links)
+		r.PeerLinks = append(r.PeerLinks, links)
 		for j, addr := range asked {
 			if i == j || addr == "" {
 				continue
@@ -79,7 +79,7 @@
 	for _, p := range r.Processes {
 		p.Kill()
 	}
-	for _, links := range slices.Concat(r.Links, r.Peers) {
+	for _, links := range slices.Concat(r.ServerLinks, r.PeerLinks) {
 		for _, l := range links {
 			if l != nil {
 				l.Close()
@@ -96,8 +96,8 @@
 	over  bool
 }
 
-// Play has a script befall the rig, from its begin on. It returns when the last fault is over, or ctx.
-func (r *Rig) Play(ctx context.Context, began time.Time, script []Fault) error {
+// ApplyFaults has a script befall the rig, from its begin on. It returns when the last fault is over, or ctx.
+func (r *Rig) ApplyFaults(ctx context.Context, began time.Time, script []Fault) error {
 	var steps []step
 	for i := range script {
 		steps = append(steps, step{script[i].From, &script[i], false}, step{script[i].To, &script[i], true})
@@ -117,29 +117,29 @@
 		}
 		on[s.fault] = !s.over
 		for _, n := range s.fault.Nodes {
-			r.Record.Add(Event{What: Faulted, Who: n, ID: string(s.fault.Kind), Over: s.over})
-			if slices.Contains(ofLinks, s.fault.Kind) {
+			r.Record.Add(Event{Kind: FaultChanged, Party: n, ID: string(s.fault.Kind), Ended: s.over})
+			if slices.Contains(linkFaults, s.fault.Kind) {
 				r.setLinks(n, script, on)
 				r.setPeers(script, on)
 				continue
 			}
 			p, again := r.Processes[n], s.over && !dead(n, script, on)
 			switch {
-			case s.fault.Kind == Stop:
-				if err := p.Freeze(!s.over); err != nil {
+			case s.fault.Kind == Pause:
+				if err := p.SetPaused(!s.over); err != nil {
 					return err
 				}
-			case s.fault.Kind == Deaf:
-				if r.News != nil {
-					if err := r.News(n, !s.over); err != nil {
+			case s.fault.Kind == BlockUpdates:
+				if r.SetUpdatesBlocked != nil {
+					if err := r.SetUpdatesBlocked(n, !s.over); err != nil {
 						return err
 					}
 				}
 			case !s.over:
 				p.Kill()
 			case again:
-				if s.fault.Kind == Empty {
-					if err := p.Empty(); err != nil {
+				if s.fault.Kind == KillAndErase {
+					if err := p.EraseState(); err != nil {
 						return err
 					}
 				}
@@ -159,7 +159,7 @@
 // dead tells whether a fault that lasts wants a process dead.
 func dead(node int, script []Fault, on map[*Fault]bool) bool {
 	for i := range script {
-		if f := &script[i]; on[f] && (f.Kind == Kill || f.Kind == Empty) && slices.Contains(f.Nodes, node) {
+		if f := &script[i]; on[f] && (f.Kind == Kill || f.Kind == KillAndErase) && slices.Contains(f.Nodes, node) {
 			return true
 		}
 	}
@@ -168,30 +168,30 @@
 
 // setLinks makes a process's links what all the faults that last make of them.
 func (r *Rig) setLinks(node int, script []Fault, on map[*Fault]bool) {
-	for s, l := range r.Links[node] {
+	for s, l := range r.ServerLinks[node] {
 		var link Link
 		for i := range script {
 			f := &script[i]
 			if !on[f] || !slices.Contains(f.Nodes, node) || len(f.Peers) > 0 || len(f.Servers) > 0 && !slices.Contains(f.Servers, s) {
 				continue
 			}
-			link.join(f.link())
+			link.merge(f.link())
 		}
-		l.Set(link)
+		l.SetLink(link)
 	}
 }
 
-// join adds to a link what another fault makes of it.
-func (l *Link) join(o Link) {
-	l.CutIn, l.CutOut = l.CutIn || o.CutIn, l.CutOut || o.CutOut
-	l.Broken, l.Hold = l.Broken || o.Broken, l.Hold || o.Hold
+// merge adds to a link what another fault makes of it.
+func (l *Link) merge(o Link) {
+	l.DropInbound, l.DropOutbound = l.DropInbound || o.DropInbound, l.DropOutbound || o.DropOutbound
+	l.Reset, l.Buffer = l.Reset || o.Reset, l.Buffer || o.Buffer
 	l.Delay, l.Rate = max(l.Delay, o.Delay), max(l.Rate, o.Rate)
 }
 
 // setPeers makes the links between processes what the faults that last make of them. A fault of i's links to j is one
 // of j's to i too, the other way round.
 func (r *Rig) setPeers(script []Fault, on map[*Fault]bool) {
-	for i, links := range r.Peers {
+	for i, links := range r.PeerLinks {
 		for j, l := range links {
 			if l == nil {
 				continue
@@ -204,14 +204,14 @@
 				}
 				one := f.link()
 				if slices.Contains(f.Nodes, i) && slices.Contains(f.Peers, j) {
-					link.join(one)
+					link.merge(one)
 				}
 				if slices.Contains(f.Nodes, j) && slices.Contains(f.Peers, i) {
-					one.CutIn, one.CutOut = one.CutOut, one.CutIn
-					link.join(one)
+					one.DropInbound, one.DropOutbound = one.DropOutbound, one.DropInbound
+					link.merge(one)
 				}
 			}
-			l.Set(link)
+			l.SetLink(link)
 		}
 	}
 }
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -222,7 +222,7 @@
 	asked, way := s.now, func() time.Duration { return time.Duration(s.asking.Int64N(int64(200 * time.Millisecond))) }
 	s.on(n, way(), func() {
 		if token, owns := s.owns(n)["w0"]; owns {
-			s.answers = append(s.answers, fleet.Event{What: fleet.Owned, Who: int(n.id), Stamp: int(token), By: asked,
+			s.answers = append(s.answers, fleet.Event{Kind: fleet.OwnerAnswered, Party: int(n.id), Version: int(token), Reference: asked,
 				At: s.now + way()})
 		}
 	})
@@ -674,7 +674,7 @@
 	seeds, answers := uint64(40), 0
 	for seed := range seeds {
 		cryptotest.SetGlobalRandom(t, seed)
-		n, found := fleet.CheckOwners(play(t, seed, 3+2*int(seed%3), int(seed%5), nothing).answers)
+		n, found := fleet.CheckOwnerOrder(play(t, seed, 3+2*int(seed%3), int(seed%5), nothing).answers)
 		if len(found) > 0 {
 			t.Fatalf("seed %d: %v", seed, found)
 		}
@@ -686,7 +686,7 @@
 	t.Logf("%d answers over %d seeds", answers, seeds)
 	for seed := range uint64(400) {
 		cryptotest.SetGlobalRandom(t, seed)
-		if _, found := fleet.CheckOwners(play(t, seed, 3+2*int(seed%3), int(seed%5), ownLease).answers); len(found) > 0 {
+		if _, found := fleet.CheckOwnerOrder(play(t, seed, 3+2*int(seed%3), int(seed%5), ownLease).answers); len(found) > 0 {
 			if !strings.Contains(found[0].Rule, string(porcupine.Illegal)) {
 				t.Fatalf("seed %d: %v", seed, found[0])
 			}
--- a/internal/lab/experimentfile.go
+++ b/internal/lab/experimentfile.go
@@ -402,10 +402,10 @@
 		fault := fleet.Fault{
 			From:    t.From.Duration,
 			To:      t.To.Duration,
-			Kind:    fleet.Kind(t.Kind),
+			Kind:    fleet.FaultKind(t.Kind),
 			Nodes:   t.Nodes,
 			Servers: t.Servers,
-			By:      t.By.Duration,
+			Latency: t.By.Duration,
 			Rate:    t.Rate,
 		}
 		if err := fault.Check(f.Nodes, f.Servers, f.Length.Duration); err != nil {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -49,7 +49,7 @@
 		return nil, nil, false, err
 	}
 	defer r.rig.Close()
-	r.rig.News = r.deafen
+	r.rig.SetUpdatesBlocked = r.deafen
 	for i, p := range r.rig.Processes {
 		if err := writeConfig(p, e.program(p.Addr, i)); err != nil {
 			return nil, nil, false, err
@@ -75,7 +75,7 @@
 	var played error
 	faults.Go(func() { r.troubles(faulty, r.publish) })
 	script := e.script()
-	faults.Go(func() { played = r.rig.Play(faulty, r.began, script) })
+	faults.Go(func() { played = r.rig.ApplyFaults(faulty, r.began, script) })
 	report := loadgen.Run(ctx, plan)
 	faults.Wait()
 	if r.err != nil {
@@ -85,16 +85,16 @@
 		return nil, nil, false, played
 	}
 	r.finish()
-	rules := fleet.Rules{Grace: 500 * time.Millisecond, Slack: seenSlack}
+	rules := fleet.Rules{DrainGrace: 500 * time.Millisecond, Slack: seenSlack}
 	for _, c := range d.Classes {
-		rules.Unsafe = append(rules.Unsafe, c.Idempotency == policy.NotIdempotent)
+		rules.NotIdempotent = append(rules.NotIdempotent, c.Idempotency == policy.NotIdempotent)
 	}
 	for _, f := range script {
-		rules.LinksKeep = rules.LinksKeep || f.Keeps()
+		rules.LinksDelay = rules.LinksDelay || f.DelaysDelivery()
 	}
 	events := r.rig.Record.Events()
 	for _, ev := range events {
-		if ev.What == fleet.Came {
+		if ev.Kind == fleet.AttemptArrived {
 			r.result.Attempts++
 		}
 	}
@@ -103,7 +103,7 @@
 		asked += t.Requests
 	}
 	r.result.ExtraAttempts = max(0, r.result.Attempts-asked)
-	return &Outcome{Who: fmt.Sprint(d.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}, fleet.Judge(events, rules), report.Void, ctx.Err()
+	return &Outcome{Who: fmt.Sprint(d.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}, fleet.CheckRequests(events, rules), report.Void, ctx.Err()
 }
 
 // serveCommand is the command that starts a process of the program with a configuration file.
@@ -141,8 +141,8 @@
 	b := r.places[at].box
 	r.mu.Unlock()
 	r.watch(b)
-	for _, links := range r.rig.Links {
-		links[at].Target(b.Addr)
+	for _, links := range r.rig.ServerLinks {
+		links[at].SetTarget(b.Addr)
 	}
 }
 
@@ -167,9 +167,9 @@
 		}
 	}
 	r.mu.Unlock()
-	kinds := map[modelbox.Seen]fleet.What{modelbox.Came: fleet.Came, modelbox.Ran: fleet.Ran, modelbox.Fell: fleet.Fell}
+	kinds := map[modelbox.Seen]fleet.EventKind{modelbox.Came: fleet.AttemptArrived, modelbox.Ran: fleet.EffectApplied, modelbox.Fell: fleet.ServerOverloaded}
 	b.Watch(func(what modelbox.Seen, id string) {
-		r.rig.Record.Add(fleet.Event{What: kinds[what], Who: serial, ID: id})
+		r.rig.Record.Add(fleet.Event{Kind: kinds[what], Party: serial, ID: id})
 	})
 }
 
@@ -189,7 +189,7 @@
 			if e.Health != 0 {
 				health = "draining"
 			}
-			fmt.Fprintf(&b, "[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\nhealth = %q\nstarted_ms = %d\n", e.ID, r.rig.Links[i][s].Addr, health, e.Started)
+			fmt.Fprintf(&b, "[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\nhealth = %q\nstarted_ms = %d\n", e.ID, r.rig.ServerLinks[i][s].Addr, health, e.Started)
 		}
 		fmt.Fprintf(&b, "[end]\nendpoints = %d\n", len(r.places))
 		path := filepath.Join(p.Dir, "clusters", "rooms.toml")
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -13,7 +13,7 @@
 	_, good := read(t, "power-at-once.toml")
 	var text strings.Builder
 	text.Write(good)
-	script := fleet.Draw(4, 20, 5, 12, 40*time.Second)
+	script := fleet.RandomFaults(4, 20, 5, 12, 40*time.Second)
 	for _, f := range script {
 		text.WriteString(f.String())
 	}
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -257,7 +257,7 @@
 				if p.endpoint.Health == cluster.Draining && p.told.IsZero() {
 					p.told = time.Now()
 					if r.rig != nil {
-						r.rig.Record.Add(fleet.Event{What: fleet.Told, Who: p.serial})
+						r.rig.Record.Add(fleet.Event{Kind: fleet.DrainAnnounced, Party: p.serial})
 					}
 				}
 			}
@@ -365,8 +365,10 @@
 		within, leave := context.WithTimeout(ctx, c.Deadline)
 		defer leave()
 		ctx = within
-		r.rig.Record.Add(fleet.Event{What: fleet.Asked, Who: node, ID: name, Class: class, By: r.rig.Record.Since() + c.Deadline})
-		defer func() { r.rig.Record.Add(fleet.Event{What: fleet.Answered, Who: node, ID: name, Status: status}) }()
+		r.rig.Record.Add(fleet.Event{Kind: fleet.RequestSent, Party: node, ID: name, Class: class, Reference: r.rig.Record.Since() + c.Deadline})
+		defer func() {
+			r.rig.Record.Add(fleet.Event{Kind: fleet.RequestAnswered, Party: node, ID: name, Status: status})
+		}()
 	}
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("%s/c%d", url, class), nil)
 	if err != nil {
--- a/internal/lab/versions.go
+++ b/internal/lab/versions.go
@@ -141,7 +141,7 @@
 	}
 	s := &http.Server{ErrorLog: slog.NewLogLogger(slog.DiscardHandler, 0), Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		stamp, _ := strconv.Atoi(q.Header.Get("X-Rules"))
-		r.rig.Record.Add(fleet.Event{What: fleet.Came, Who: at, ID: q.Header.Get("X-Request-Id"), Stamp: stamp})
+		r.rig.Record.Add(fleet.Event{Kind: fleet.AttemptArrived, Party: at, ID: q.Header.Get("X-Request-Id"), Version: stamp})
 		w.Header().Set("X-Rules", q.Header.Get("X-Rules"))
 	})}
 	r.boxes, r.addrs = append(r.boxes, s), append(r.addrs, l.Addr().String())
@@ -164,7 +164,7 @@
 		r.asked[i] = l.Addr().String()
 		l.Close()
 	}
-	if err := r.rig.Connect(r.asked[:r.Voters]); err != nil {
+	if err := r.rig.ConnectPeers(r.asked[:r.Voters]); err != nil {
 		return err
 	}
 	for i, p := range r.rig.Processes {
@@ -194,7 +194,7 @@
 		for v := range r.Voters {
 			addr := r.asked[v]
 			if v != node {
-				addr = r.rig.Peers[node][v].Addr
+				addr = r.rig.PeerLinks[node][v].Addr
 			}
 			fmt.Fprintf(&b, "%q,", fmt.Sprintf("n%d=%s", v, addr))
 		}
@@ -239,9 +239,9 @@
 	if _, err := r.publish(ctx, c, 1); err != nil {
 		return err
 	}
-	r.out.Script = fleet.DrawPeers(r.Seed, r.Faults, r.Nodes, r.Voters, r.Length)
+	r.out.Script = fleet.RandomPeerFaults(r.Seed, r.Faults, r.Nodes, r.Voters, r.Length)
 	if r.Power {
-		r.out.Script = fleet.DrawPower(r.Seed, r.Nodes, r.Voters, r.Length)
+		r.out.Script = fleet.RandomPowerLoss(r.Seed, r.Nodes, r.Voters, r.Length)
 	}
 	began := time.Now()
 	loaded, stop := context.WithCancel(ctx)
@@ -252,7 +252,7 @@
 		run.Go(func() { r.probe(loaded, c, i) })
 	}
 	played := make(chan error, 1)
-	go func() { played <- r.rig.Play(ctx, began, r.out.Script) }()
+	go func() { played <- r.rig.ApplyFaults(ctx, began, r.out.Script) }()
 	last := 1
 	if r.Release {
 		err = r.release(ctx, c)
@@ -374,7 +374,7 @@
 		q.Header.Set("Idempotency-Key", id)
 	}
 	r.asks.Add(1)
-	r.rig.Record.Add(fleet.Event{What: fleet.Asked, Who: node, ID: id, Class: class})
+	r.rig.Record.Add(fleet.Event{Kind: fleet.RequestSent, Party: node, ID: id, Class: class})
 	a, err := r.client.Do(q)
 	if err != nil {
 		r.failed.Add(1)
@@ -420,7 +420,7 @@
 		}
 		if s, err := c.LatestStatus(ctx); err == nil {
 			for ; seen < len(s.History) && s.History[seen].Number <= s.LogStatus.ActiveVersion; seen++ { // it is in force
-				r.rig.Record.Add(fleet.Event{What: fleet.Told, Who: (seen - 1) / 2, Over: seen%2 == 0})
+				r.rig.Record.Add(fleet.Event{Kind: fleet.DrainAnnounced, Party: (seen - 1) / 2, Ended: seen%2 == 0})
 				r.out.Published++
 			}
 			if in.Start == nil && out != nil && out.Progress != nil && out.Progress.Ended() && seen == len(s.History) {
@@ -468,7 +468,7 @@
 			defer stop()
 			asked := r.rig.Record.Since()
 			if token, err := c.OwnershipToken(one, at, agent.ReleaseTask); err == nil && token > 0 {
-				r.rig.Record.Add(fleet.Event{What: fleet.Owned, Who: at, By: asked, Stamp: int(token)})
+				r.rig.Record.Add(fleet.Event{Kind: fleet.OwnerAnswered, Party: at, Reference: asked, Version: int(token)})
 			}
 		})
 	}
@@ -505,11 +505,11 @@
 	slices.Sort(o.Times)
 	events := r.rig.Record.Events()
 	var owners []fleet.Finding
-	o.Owners, o.NoOwner, owners = fleet.JudgeOwners(events)
+	o.Owners, o.NoOwner, owners = fleet.CheckOwnerTokens(events)
 	var disorder []fleet.Finding
-	o.Answers, disorder = fleet.CheckOwners(events)
+	o.Answers, disorder = fleet.CheckOwnerOrder(events)
 	defer func() { o.Found = append(append(o.Found, owners...), disorder...) }()
-	o.Contradiction, o.Found = fleet.JudgeVersions(events, fleet.VersionRules{
-		Safe: []bool{true, false, false}, Unsafe: []bool{false, false, true}, Out: r.isOut, Grace: 500 * time.Millisecond, Slack: versionSlack,
+	o.Contradiction, o.Found = fleet.CheckVersions(events, fleet.VersionRules{
+		Idempotent: []bool{true, false, false}, NotIdempotent: []bool{false, false, true}, Removed: r.isOut, Grace: 500 * time.Millisecond, Slack: versionSlack,
 	})
 }
