--- /dev/null
+++ b/internal/fake/fleet/faultscript.go
@@ -0,0 +1,162 @@
+package fleet
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+)
+
+// faultScript is a script that is being applied to a rig.
+type faultScript struct {
+	rig    *Rig
+	script []Fault
+	active map[*Fault]bool
+	starts sync.WaitGroup // of processes that start again
+	errs   chan error     // of those starts
+}
+
+// faultStep is the begin or the end of a fault.
+type faultStep struct {
+	at    time.Duration
+	fault *Fault
+	ends  bool
+}
+
+// ApplyFaults applies a script from its begin on. It returns when the last fault has ended, with the first error of a
+// process, or when ctx ends, with its error.
+func (r *Rig) ApplyFaults(ctx context.Context, began time.Time, script []Fault) error {
+	steps := stepsOf(script)
+	a := &faultScript{
+		rig:    r,
+		script: script,
+		active: map[*Fault]bool{},
+		errs:   make(chan error, len(steps)+1),
+	}
+	defer a.starts.Wait()
+	for _, s := range steps {
+		t := time.NewTimer(time.Until(began.Add(s.at)))
+		select {
+		case <-t.C:
+		case <-ctx.Done():
+			t.Stop()
+			return ctx.Err()
+		}
+		if err := a.apply(ctx, s); err != nil {
+			return err
+		}
+	}
+	a.starts.Wait()
+	a.errs <- nil
+	return <-a.errs
+}
+
+// stepsOf returns a script's steps by time.
+func stepsOf(script []Fault) (steps []faultStep) {
+	for i := range script {
+		f := &script[i]
+		steps = append(steps, faultStep{f.From, f, false}, faultStep{f.To, f, true})
+	}
+	slices.SortStableFunc(steps, func(x, y faultStep) int { return int(x.at - y.at) })
+	return steps
+}
+
+func (a *faultScript) apply(ctx context.Context, s faultStep) error {
+	a.active[s.fault] = !s.ends
+	for _, n := range s.fault.Nodes {
+		a.rig.Record.Add(Event{Kind: FaultChanged, Party: n, ID: string(s.fault.Kind), Ended: s.ends})
+		if slices.Contains(linkFaults, s.fault.Kind) {
+			a.setServerLinks(n)
+			a.setPeerLinks()
+			continue
+		}
+		if err := a.applyToProcess(ctx, n, s); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (a *faultScript) applyToProcess(ctx context.Context, node int, s faultStep) error {
+	p := a.rig.Processes[node]
+	switch s.fault.Kind {
+	case Pause:
+		return p.SetPaused(!s.ends)
+	case BlockUpdates:
+		if a.rig.SetUpdatesBlocked == nil {
+			return nil
+		}
+		return a.rig.SetUpdatesBlocked(node, !s.ends)
+	}
+	if !s.ends {
+		p.Kill()
+		return nil
+	}
+	if a.hasToBeDead(node) {
+		return nil
+	}
+	if s.fault.Kind == KillAndErase {
+		if err := p.EraseState(); err != nil {
+			return err
+		}
+	}
+	a.starts.Go(func() { // the script goes on meanwhile
+		if err := p.Start(ctx); err != nil {
+			a.errs <- err
+		}
+	})
+	return nil
+}
+
+// hasToBeDead reports whether an active fault kills a process.
+func (a *faultScript) hasToBeDead(node int) bool {
+	for i := range a.script {
+		f := &a.script[i]
+		if a.active[f] && (f.Kind == Kill || f.Kind == KillAndErase) && slices.Contains(f.Nodes, node) {
+			return true
+		}
+	}
+	return false
+}
+
+// setServerLinks sets a process's links to servers by all active faults.
+func (a *faultScript) setServerLinks(node int) {
+	for server, l := range a.rig.ServerLinks[node] {
+		var link Link
+		for i := range a.script {
+			if f := &a.script[i]; a.active[f] && slices.Contains(f.Nodes, node) && f.affectsServer(server) {
+				link.merge(f.link())
+			}
+		}
+		l.SetLink(link)
+	}
+}
+
+// setPeerLinks sets the links between processes by all active faults.
+func (a *faultScript) setPeerLinks() {
+	for i, links := range a.rig.PeerLinks {
+		for j, l := range links {
+			if l != nil {
+				l.SetLink(a.peerLink(i, j))
+			}
+		}
+	}
+}
+
+// peerLink is the state of the link from process i to process j. A fault of the links from i to j is one of the links
+// from j to i too, seen from the other end.
+func (a *faultScript) peerLink(i, j int) (link Link) {
+	for k := range a.script {
+		f := &a.script[k]
+		if !a.active[f] {
+			continue
+		}
+		if slices.Contains(f.Nodes, i) && slices.Contains(f.Peers, j) {
+			link.merge(f.link())
+		}
+		if slices.Contains(f.Nodes, j) && slices.Contains(f.Peers, i) {
+			link.merge(f.link().reversed())
+		}
+	}
+	return link
+}
--- a/internal/fake/fleet/parent_linux.go
+++ b/internal/fake/fleet/parent_linux.go
@@ -5,7 +5,7 @@
 	"syscall"
 )
 
-// EndWithParent has a process that is about to start be killed when the program that starts it ends, however that ends.
+// EndWithParent lets the kernel kill a process that is about to start when the program that starts it ends, in any way.
 func EndWithParent(cmd *exec.Cmd) {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/fake/fleet/parent_linux_test.go
+++ b/internal/fake/fleet/parent_linux_test.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/testutil"
 )
 
-// A process does not outlive the program that started it, even if that is killed.
+// A process does not outlive the program that started it, even one that is killed.
 func TestEndsWithParent(t *testing.T) {
 	command, env := testutil.Itself()
 	cmd := exec.Command(command[0], asParent, t.TempDir())
--- a/internal/fake/fleet/parent_test.go
+++ b/internal/fake/fleet/parent_test.go
@@ -7,11 +7,10 @@
 	"os"
 )
 
-// asParent, as the first argument, has the program of these tests start a process in the folder that follows, and
-// then wait.
+// asParent, as the first argument, makes the test program start a process in the folder of the next argument, and wait.
 const asParent = "parent"
 
-// parent starts a process that holds this one's output open, says so, and waits for its own end.
+// parent starts a process that keeps this one's output open, prints that, and waits for its own end.
 func parent(dir string) {
 	p, err := NewProcess(dir, []string{os.Args[0]}, nil)
 	if err == nil {
--- a/internal/fake/fleet/process.go
+++ b/internal/fake/fleet/process.go
@@ -14,44 +14,55 @@
 	"time"
 )
 
-// Process is a real process of the program with a folder and an address that outlive it. Create it with NewProcess;
+// Process is a real process of the program, with a folder and an address that outlive it. Create it with NewProcess;
 // its methods are safe for concurrent use.
 type Process struct {
 	Dir, Addr string
-	Command   []string // that starts it, the configuration's path left out; not changed while it runs
-	// Log is the file that its log is appended to: Dir/log, unless it is set before Start. The program watches the
-	// folder of its configuration, so that a log there has it look at its files after each line.
+	// Command starts it, without the path of its configuration. It is not changed while it runs.
+	Command []string
+	// Log is the file that its output is appended to: Dir/log, unless it is set before Start. The program watches the
+	// folder of its configuration, so that a log in that folder makes it read its files after each line.
 	Log string
-	env []string
-	// Piped has it take commands on its standard input and answer on its standard output, which Pipes gives. Start doesn't
-	// wait until it listens then: it says itself when it is ready. Not changed while it runs.
+	// Piped connects its standard input and output to Pipes. Start doesn't wait until it listens then: it says itself
+	// when it is ready. It is not changed while it runs.
 	Piped bool
+	env   []string
 
 	mu     sync.Mutex
-	cmd    *exec.Cmd
+	cmd    *exec.Cmd // nil: it doesn't run
 	ended  chan struct{}
 	paused bool
 	in     io.WriteCloser
 	out    *os.File
 }
 
-// NewProcess gives one that has not been started. Its port was free a moment ago, and is again while it is
-// dead: it stands on an address of 127.0.0.0/8 of its own, or another rig's process could take it, and this one's
-// clients would ask that.
+const (
+	configName   = "yokestall.toml"
+	clustersName = "clusters" // the folder of the clusters' configurations
+	logName      = "log"
+
+	startDialTimeout = time.Second
+	startPollPeriod  = 5 * time.Millisecond
+	maxLogInError    = 2000 // bytes
+)
+
+// NewProcess makes a process that has not been started. Its port was free a moment ago, and is free while it is dead:
+// it has an address of 127.0.0.0/8 of its own, since otherwise another rig's process could get the port, and with it
+// this one's clients.
 func NewProcess(dir string, command, env []string) (*Process, error) {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254)))
 	if err != nil {
 		return nil, err
 	}
 	defer l.Close()
-	p := &Process{Dir: dir, Addr: l.Addr().String(), Command: command, Log: filepath.Join(dir, "log"), env: env}
+	p := &Process{Dir: dir, Addr: l.Addr().String(), Command: command, Log: filepath.Join(dir, logName), env: env}
 	return p, os.MkdirAll(dir, 0o700)
 }
 
 // Config is the path of its configuration.
-func (p *Process) Config() string { return filepath.Join(p.Dir, "yokestall.toml") }
+func (p *Process) Config() string { return filepath.Join(p.Dir, configName) }
 
-// PID is the number of the process that runs, 0 if none does.
+// PID is the ID of the process that runs, 0 if none does.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,8 +72,7 @@
 	return p.cmd.Process.Pid
 }
 
-// Start starts it and waits until it listens. What it logs is appended to Log. It ends with the program that started
-// it.
+// Start starts the process and waits until it listens. The process ends with the program that started it.
 func (p *Process) Start(ctx context.Context) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,24 +99,29 @@
 	if p.Piped {
 		return nil
 	}
+	return p.waitUntilListening(ctx)
+}
+
+// waitUntilListening waits until the process that was started listens, or ends; p.mu is locked.
+func (p *Process) waitUntilListening(ctx context.Context) error {
 	for {
-		if nc, err := net.DialTimeout("tcp", p.Addr, time.Second); err == nil {
+		if nc, err := net.DialTimeout("tcp", p.Addr, startDialTimeout); err == nil {
 			nc.Close()
 			return nil
 		}
 		select {
-		case <-ended:
+		case <-p.ended:
 			p.cmd = nil
-			text, _ := os.ReadFile(log.Name())
-			return fmt.Errorf("%s ended as it started: %s", p.Dir, text[max(0, len(text)-2000):])
+			text, _ := os.ReadFile(p.Log)
+			return fmt.Errorf("%s ended as it started: %s", p.Dir, text[max(0, len(text)-maxLogInError):])
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(5 * time.Millisecond):
+		case <-time.After(startPollPeriod):
 		}
 	}
 }
 
-// launch starts a command, with pipes if it is to have some.
+// launch starts a command, with pipes if the process is piped.
 func (p *Process) launch(cmd *exec.Cmd) error {
 	if !p.Piped {
 		return cmd.Start()
@@ -129,17 +144,17 @@
 	return nil
 }
 
-// Pipes gives where a piped process that was started takes commands, and where it answers.
+// Pipes returns the standard input and output of a piped process that was started.
 func (p *Process) Pipes() (in io.WriteCloser, out io.Reader) { return p.in, p.out }
 
-// Kill ends it at once, as a power cut would.
+// Kill kills the process, paused or not, and waits for its end.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return
 	}
-	p.cmd.Process.Kill() // a stopped one too
+	p.cmd.Process.Kill()
 	<-p.ended
 	if p.Piped {
 		p.out.Close()
@@ -147,31 +162,33 @@
 	p.cmd = nil
 }
 
-// SetPaused stops it where it stands, and lets it go on.
-func (p *Process) SetPaused(on bool) error {
+// SetPaused stops the process by a signal, or continues it. It does nothing to one that doesn't run.
+func (p *Process) SetPaused(paused bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.paused == on {
+	if p.cmd == nil || p.paused == paused {
 		return nil
 	}
-	p.paused = on
-	if on {
+	p.paused = paused
+	if paused {
 		return p.cmd.Process.Signal(syscall.SIGSTOP)
 	}
 	return p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// EraseState removes what it kept, but for its configuration; it must not run.
+// EraseState removes all files but the configuration and the log. The process must not run.
 func (p *Process) EraseState() error {
 	entries, err := os.ReadDir(p.Dir)
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
-		if name := e.Name(); name != "yokestall.toml" && name != "clusters" && name != "log" {
-			if err := os.RemoveAll(filepath.Join(p.Dir, name)); err != nil {
-				return err
-			}
+		switch e.Name() {
+		case configName, clustersName, logName:
+			continue
+		}
+		if err := os.RemoveAll(filepath.Join(p.Dir, e.Name())); err != nil {
+			return err
 		}
 	}
 	return nil
--- a/internal/fake/fleet/relay.go
+++ b/internal/fake/fleet/relay.go
@@ -1,6 +1,3 @@
-// Package fleet is a rig of many real processes of the program on loopback: each with a folder of its own,
-// every link between two parties through a relay that can fail, signals and kills by a script that is data.
-// What happened is judged by records that the parties around the program wrote, not by the program.
 package fleet
 
 import (
@@ -11,24 +8,17 @@
 	"time"
 )
 
-// Link is what is wrong with a link at present; the zero value is a good one.
-type Link struct {
-	DropOutbound, DropInbound bool          // what is sent towards the target, or back from it, is lost unseen
-	Reset                     bool          // connections are reset, and new ones
-	Delay                     time.Duration // before each piece goes on
-	Rate                      int           // bytes a second; 0: no limit
-	Buffer                    bool          // what is sent is kept, and goes on when this ends
-}
-
 const (
-	maxRelayConns    = 4096     // connections of a relay at most; further ones are reset
-	relayBufferBytes = 16 << 10 // bytes that a direction of a connection keeps at most
+	maxRelayConns    = 4096     // both sides' connections of a relay; further ones are reset
+	relayBufferBytes = 16 << 10 // of each direction of a connection
+	relayDialTimeout = time.Second
 )
 
-// Relay carries TCP connections to a target, as its link lets it. Create it with NewRelay.
+// Relay carries TCP connections to a target, as its link lets it. Create it with NewRelay; its methods are safe for
+// concurrent use.
 type Relay struct {
-	Addr   string
-	listen net.Listener
+	Addr     string // where it listens
+	listener net.Listener
 
 	mu      sync.Mutex
 	target  string
@@ -36,39 +26,43 @@
 	changed chan struct{} // closed when link changes
 	conns   map[net.Conn]bool
 	closed  bool
-	run     sync.WaitGroup
+	running sync.WaitGroup
 }
 
-// NewRelay starts a relay on a free port of 127.0.0.1.
+// NewRelay starts a relay on a free port of 127.0.0.1. Its error is the listener's.
 func NewRelay(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("relay to %s: %w", target, err)
 	}
-	r := &Relay{Addr: l.Addr().String(), target: target, listen: l, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
-	r.run.Go(r.accept)
+	r := &Relay{
+		Addr:     l.Addr().String(),
+		listener: l,
+		target:   target,
+		changed:  make(chan struct{}),
+		conns:    map[net.Conn]bool{},
+	}
+	r.running.Go(r.accept)
 	return r, nil
 }
 
-// SetLink changes the link. Connections that lost bytes can't go on and are reset when the loss ends.
+// SetLink changes the link. Connections that lost bytes can't go on, and are reset when the loss ends.
 func (r *Relay) SetLink(l Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if l == r.link || r.closed {
 		return
 	}
-	lossy := r.link.DropInbound || r.link.DropOutbound
+	lossEnds := r.link.lossy() && !l.lossy()
 	r.link = l
 	close(r.changed)
 	r.changed = make(chan struct{})
-	if l.Reset || lossy && !l.DropInbound && !l.DropOutbound {
-		for c := range r.conns {
-			reset(c)
-		}
+	if l.Reset || lossEnds {
+		r.resetConns()
 	}
 }
 
-// SetTarget leads new connections to another address; those there are go on.
+// SetTarget sets the target of new connections.
 func (r *Relay) SetTarget(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,13 +75,18 @@
 	if !r.closed {
 		r.closed = true
 		close(r.changed)
-		r.listen.Close()
-		for c := range r.conns {
-			reset(c)
-		}
+		r.listener.Close()
+		r.resetConns()
 	}
 	r.mu.Unlock()
-	r.run.Wait()
+	r.running.Wait()
+}
+
+// resetConns resets all connections; r.mu is locked.
+func (r *Relay) resetConns() {
+	for c := range r.conns {
+		reset(c)
+	}
 }
 
 func reset(c net.Conn) {
@@ -99,22 +98,22 @@
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.listen.Accept()
+		c, err := r.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // a connection that went before it was taken
+			continue // a connection that ended before it was accepted
 		}
 		if !r.register(c) {
 			reset(c)
 			continue
 		}
-		r.run.Go(func() { r.serve(c) })
+		r.running.Go(func() { r.serve(c) })
 	}
 }
 
-// register books a connection; false: it may not be.
+// register adds a connection, and reports whether the relay's state allows it.
 func (r *Relay) register(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,48 +131,57 @@
 	reset(c)
 }
 
-func (r *Relay) serve(c net.Conn) {
-	defer r.closeConn(c)
-	for { // a link that loses all towards the target loses the handshake too
-		l, changed, closed := r.state()
-		if closed || l.Reset {
-			return
-		}
-		if !l.DropOutbound && !l.DropInbound && !l.Buffer {
-			break
-		}
-		<-changed
+// serve carries a client's connection until it ends.
+func (r *Relay) serve(client net.Conn) {
+	defer r.closeConn(client)
+	if !r.waitForHandshake() {
+		return
 	}
 	r.mu.Lock()
-	target := r.target
+	addr := r.target
 	r.mu.Unlock()
-	to, err := net.DialTimeout("tcp", target, time.Second)
+	target, err := net.DialTimeout("tcp", addr, relayDialTimeout)
 	if err != nil {
 		return
 	}
-	if !r.register(to) {
-		reset(to)
+	if !r.register(target) {
+		reset(target)
 		return
 	}
-	defer r.closeConn(to)
+	defer r.closeConn(target)
 	var both sync.WaitGroup
-	both.Go(func() { r.copy(to, c, true) })
-	both.Go(func() { r.copy(c, to, false) })
+	both.Go(func() { r.copy(target, client, true) })
+	both.Go(func() { r.copy(client, target, false) })
 	both.Wait()
 }
 
-func (r *Relay) state() (Link, <-chan struct{}, bool) {
+// waitForHandshake waits until a handshake with the target can succeed: a link that forwards nothing delays it too. It
+// returns false if the connection has to end.
+func (r *Relay) waitForHandshake() bool {
+	for {
+		l, changed, closed := r.state()
+		if closed || l.Reset {
+			return false
+		}
+		if !l.lossy() && !l.Buffer {
+			return true
+		}
+		<-changed
+	}
+}
+
+func (r *Relay) state() (l Link, changed <-chan struct{}, closed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.link, r.changed, r.closed
 }
 
-// copy carries one direction, a piece at a time, until either end is over.
-func (r *Relay) copy(to, from net.Conn, out bool) {
-	piece := make([]byte, relayBufferBytes)
+// copy carries one direction of a connection until either end closes.
+func (r *Relay) copy(to, from net.Conn, outbound bool) {
+	buffer := make([]byte, relayBufferBytes)
 	for {
-		n, err := from.Read(piece)
-		if n > 0 && !r.forward(to, piece[:n], out) {
+		n, err := from.Read(buffer)
+		if n > 0 && !r.forward(to, buffer[:n], outbound) {
 			break
 		}
 		if err != nil {
@@ -186,32 +194,35 @@
 	to.Close()
 }
 
-// forward sends a piece on as the link lets it; false: the connection is over.
-func (r *Relay) forward(to net.Conn, piece []byte, out bool) bool {
+// forward forwards a piece as the link lets it. It returns false if the connection has to end.
+func (r *Relay) forward(to net.Conn, piece []byte, outbound bool) bool {
 	for {
 		l, changed, closed := r.state()
-		wait := l.Delay
-		if l.Rate > 0 {
-			wait += time.Duration(len(piece)) * time.Second / time.Duration(l.Rate)
-		}
+		wait := l.wait(len(piece))
 		switch {
 		case closed || l.Reset:
 			return false
-		case out && l.DropOutbound || !out && l.DropInbound:
+		case outbound && l.DropOutbound || !outbound && l.DropInbound:
 			return true // lost
 		case l.Buffer:
 			<-changed
 			continue
-		case wait > 0:
-			t := time.NewTimer(wait)
-			select {
-			case <-t.C:
-			case <-changed:
-				t.Stop()
-				continue
-			}
+		case wait > 0 && !sleepUnless(changed, wait):
+			continue
 		}
 		_, err := to.Write(piece)
 		return err == nil
 	}
 }
+
+// sleepUnless waits for a duration. It returns false at once when changed is closed.
+func sleepUnless(changed <-chan struct{}, d time.Duration) bool {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-t.C:
+		return true
+	case <-changed:
+		return false
+	}
+}
