--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -102,7 +102,7 @@
 
 const healthy = corev3.HealthStatus_HEALTHY
 
-func startPlane(t testing.TB) *controlplane.Plane {
+func startPlane(t testing.TB) *controlplane.Server {
 	p, err := controlplane.Start()
 	if err != nil {
 		t.Fatal(err)
@@ -111,9 +111,9 @@
 	return p
 }
 
-func set(t testing.TB, p *controlplane.Plane, named map[string]proto.Message) {
+func set(t testing.TB, p *controlplane.Server, named map[string]proto.Message) {
 	t.Helper()
-	if err := p.Set(named); err != nil {
+	if err := p.SetResources(named); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -204,7 +204,7 @@
 				t.Errorf("the last good form: status %d", status)
 			}
 			testutil.Until(t, "a NACK that names the fault", func() bool {
-				return slices.ContainsFunc(p.Answers(), func(a controlplane.Answer) bool { return strings.Contains(a.Error, "LOGICAL_DNS") })
+				return slices.ContainsFunc(p.Acks(), func(a controlplane.Ack) bool { return strings.Contains(a.Error, "LOGICAL_DNS") })
 			})
 			set(t, p, lost) // good again
 
@@ -216,7 +216,7 @@
 				open <- status
 			}()
 			testutil.Until(t, "the request to reach the box", func() bool { return a.Count() > count })
-			p.Remove(message(t, edsCluster("rooms")).TypeUrl, "rooms")
+			p.RemoveResources(message(t, edsCluster("rooms")).TypeUrl, "rooms")
 			s.becomes("/x", 503)
 			if status := testutil.Wait(t, open, "the open request"); status != 200 {
 				t.Errorf("open while its cluster was removed: status %d", status)
@@ -226,15 +226,15 @@
 			s.becomes("/x", 200)
 
 			// Each way to misbehave, with the stream broken after it as a restart would.
-			for fault := controlplane.WrongNonce; fault <= controlplane.Garbage; fault++ {
-				p.Misbehave(fault)
+			for fault := controlplane.WrongNonce; fault <= controlplane.InvalidBodies; fault++ {
+				p.QueueFaults(fault)
 				to := []*appbox.Box{a, b}[int(fault)%2]
 				set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Box{to})})
 				if status, _, _ := s.get("/x", ""); status != 200 {
 					t.Errorf("fault %d: status %d", fault, status)
 				}
-				testutil.Until(t, "the fault to happen", func() bool { return p.Faults() == 0 })
-				p.Break()
+				testutil.Until(t, "the fault to happen", func() bool { return p.PendingFaults() == 0 })
+				p.BreakStreams()
 				testutil.Until(t, fmt.Sprintf("recovery from fault %d", fault), func() bool {
 					_, _, body := s.get("/x", "")
 					return strings.HasPrefix(body, to.Name+" ")
@@ -253,9 +253,9 @@
 
 			// Restored from a backup: the version is older, and it is what counts.
 			url := message(t, placed("rooms", healthy)).TypeUrl
-			p.Rewind(url, 1)
+			p.SetVersion(url, 1)
 			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Box{b})})
-			p.Rewind(url, 1)
+			p.SetVersion(url, 1)
 			if err := p.Up(); err != nil {
 				t.Fatal(err)
 			}
@@ -426,7 +426,7 @@
 					x.Endpoints[0].LbEndpoints = append(x.Endpoints[0].LbEndpoints, lbEndpoint(all[away].Addr(), corev3.HealthStatus_DRAINING))
 				}
 				if i%(changes/50) == 0 {
-					p.Break()
+					p.BreakStreams()
 				}
 				set(t, p, map[string]proto.Message{"rooms": x})
 				time.Sleep(time.Duration(rnd.IntN(40)) * time.Millisecond) // the pace of changes
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -132,7 +132,7 @@
 	processor *extproc.Server // nil: clients ask the program itself
 
 	versions chan struct{} // one for each version taken
-	plane    *controlplane.Plane
+	plane    *controlplane.Server
 	keys     *rotation            // nil: clear text
 	drained  map[string]time.Time // box name to when the program had been told
 
--- a/internal/demo/extproc.go
+++ b/internal/demo/extproc.go
@@ -31,7 +31,7 @@
 		stop()
 		return nil, err
 	}
-	p := &proxy.Proxy{Conn: conn, Mode: filterv3.ProcessingMode_BUFFERED}
+	p := &proxy.Proxy{Conn: conn, BodyMode: filterv3.ProcessingMode_BUFFERED}
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		stop()
--- a/internal/demo/xds.go
+++ b/internal/demo/xds.go
@@ -36,7 +36,7 @@
 				}
 			}
 		}
-		if err := s.plane.Set(found); err != nil {
+		if err := s.plane.SetResources(found); err != nil {
 			return err
 		}
 	}
--- a/internal/downstream/extproc/idempotency_test.go
+++ b/internal/downstream/extproc/idempotency_test.go
@@ -52,9 +52,9 @@
 				addrs = []string{testutil.RefusingAddr(t)}
 			}
 			r := start(t, addrs)
-			p := &proxy.Proxy{Conn: r.conn, Mode: filterv3.ProcessingMode_BUFFERED}
+			p := &proxy.Proxy{Conn: r.conn, BodyMode: filterv3.ProcessingMode_BUFFERED}
 			defer p.Close()
-			a := proxy.Ask{
+			a := proxy.Request{
 				Method: "POST", Path: tc.path, Body: []byte("b"), Timeout: 3 * time.Second,
 				Header: http.Header{"X-Request-Id": {"one"}},
 			}
--- a/internal/downstream/extproc/pickrequest_test.go
+++ b/internal/downstream/extproc/pickrequest_test.go
@@ -147,10 +147,10 @@
 func TestDrainBeforeTheSend(t *testing.T) {
 	list, addrs := boxes(t, 2)
 	r := start(t, addrs)
-	p := &proxy.Proxy{Conn: r.conn, Wrong: testutil.Box(t, "wrong").Addr()}
+	p := &proxy.Proxy{Conn: r.conn, OtherServer: testutil.Box(t, "wrong").Addr()}
 	defer p.Close()
 	for i := range 30 {
-		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/pick/x", Timeout: 5 * time.Second})
+		out := p.Do(t.Context(), proxy.Request{Method: "GET", Path: "/pick/x", Timeout: 5 * time.Second})
 		if out.Status != 200 {
 			t.Fatalf("%+v", out)
 		}
@@ -164,9 +164,9 @@
 		}
 	}
 	before := list[1].Count()
-	ask := proxy.Ask{Method: "GET", Path: "/pick/x", Timeout: 5 * time.Second}
+	ask := proxy.Request{Method: "GET", Path: "/pick/x", Timeout: 5 * time.Second}
 	wrong := ask
-	wrong.Fault = proxy.WrongServer
+	wrong.Fault = proxy.OtherServer
 	out := p.Do(t.Context(), wrong)
 	if n := r.server.Stats.EndpointMismatches.Load(); n != 1 || out.Status != 200 || list[1].Count() != before {
 		t.Errorf("%d mismatches, %+v", n, out)
--- a/internal/downstream/extproc/requestbody_test.go
+++ b/internal/downstream/extproc/requestbody_test.go
@@ -28,11 +28,11 @@
 		filterv3.ProcessingMode_NONE, filterv3.ProcessingMode_BUFFERED, filterv3.ProcessingMode_BUFFERED_PARTIAL,
 		filterv3.ProcessingMode_STREAMED, filterv3.ProcessingMode_FULL_DUPLEX_STREAMED,
 	} {
-		p := &proxy.Proxy{Conn: r.conn, Mode: mode}
+		p := &proxy.Proxy{Conn: r.conn, BodyMode: mode}
 		defer p.Close()
 		for _, n := range []int{0, 10, 200_000} {
 			for _, way := range []string{"", "/pick"} {
-				a := proxy.Ask{
+				a := proxy.Request{
 					Method: "POST", Path: way + "/x?q=1", Body: bytes.Repeat([]byte("b"), n),
 					Timeout: testutil.Patience, Header: http.Header{"X-Own": {"mine"}},
 				}
@@ -46,7 +46,7 @@
 				}
 				want := fmt.Sprintf("POST %s/x?q=1 %d mine", way, n)
 				if out.Status != 201 || string(out.Body) != want ||
-					len(out.Header["X-Two"]) != 2 || out.Immediate != (way == "") {
+					len(out.Header["X-Two"]) != 2 || out.ByProcessor != (way == "") {
 					t.Errorf("%v%s, %d bytes: %+v, %q", mode, way, n, out, out.Body)
 				}
 			}
--- a/internal/downstream/extproc/response_test.go
+++ b/internal/downstream/extproc/response_test.go
@@ -33,12 +33,12 @@
 		{"/broken", filterv3.ProcessingMode_NONE, 200, true},
 		{"/x", filterv3.ProcessingMode_BUFFERED, 502, false},
 	} {
-		p := &proxy.Proxy{Conn: r.conn, Mode: tc.mode}
-		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: tc.path, Timeout: testutil.Patience})
+		p := &proxy.Proxy{Conn: r.conn, BodyMode: tc.mode}
+		out := p.Do(t.Context(), proxy.Request{Method: "GET", Path: tc.path, Timeout: testutil.Patience})
 		p.Close()
 		complete := len(out.Body) == 3_000_000
-		if out.Status != tc.status || out.Broken != tc.broken || !tc.broken && tc.status == 200 && !complete {
-			t.Errorf("%+v: status %d, broken %v, %d bytes, %v", tc, out.Status, out.Broken, len(out.Body), out.Err)
+		if out.Status != tc.status || out.Truncated != tc.broken || !tc.broken && tc.status == 200 && !complete {
+			t.Errorf("%+v: status %d, broken %v, %d bytes, %v", tc, out.Status, out.Truncated, len(out.Body), out.Err)
 		}
 	}
 }
--- a/internal/downstream/extproc/rig_test.go
+++ b/internal/downstream/extproc/rig_test.go
@@ -122,7 +122,7 @@
 // named returns the endpoint that a reply names; "" if it names none.
 func named(r *pb.ProcessingResponse) string {
 	h := http.Header{}
-	proxy.Mutate(h, r.GetRequestHeaders().GetResponse().GetHeaderMutation())
+	proxy.ApplyMutation(h, r.GetRequestHeaders().GetResponse().GetHeaderMutation())
 	return h.Get(extproc.EndpointHeader)
 }
 
--- a/internal/downstream/extproc/stream_test.go
+++ b/internal/downstream/extproc/stream_test.go
@@ -216,9 +216,9 @@
 	}
 	r.quiet()
 	// Buffered bodies: the second of two large ones finds no capacity, and capacity comes back.
-	bodies := &proxy.Proxy{Conn: r.conn, Mode: filterv3.ProcessingMode_BUFFERED}
+	bodies := &proxy.Proxy{Conn: r.conn, BodyMode: filterv3.ProcessingMode_BUFFERED}
 	defer bodies.Close()
-	large := proxy.Ask{Method: "POST", Path: "/held", Body: make([]byte, 700_000), Timeout: testutil.Patience}
+	large := proxy.Request{Method: "POST", Path: "/held", Body: make([]byte, 700_000), Timeout: testutil.Patience}
 	got := make(chan proxy.Result, 1)
 	go func() { got <- bodies.Do(t.Context(), large) }()
 	testutil.Wait(t, b.Got, "the first body at its server")
@@ -241,7 +241,7 @@
 	p := &proxy.Proxy{Conn: r.conn}
 	defer p.Close()
 	for range 20 {
-		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/x", Timeout: testutil.Patience})
+		out := p.Do(t.Context(), proxy.Request{Method: "GET", Path: "/x", Timeout: testutil.Patience})
 		if out.Status != 200 {
 			t.Errorf("beside a slow reader: %+v", out)
 		}
--- a/internal/fake/controlplane/controlplane.go
+++ b/internal/fake/controlplane/controlplane.go
@@ -25,8 +25,8 @@
 // maxAnswers is how many ACKs and NACKs a plane keeps.
 const maxAnswers = 1 << 16
 
-// Answer is an ACK or a NACK.
-type Answer struct {
+// Ack is an ACK or a NACK.
+type Ack struct {
 	URL, Nonce, Error string
 	At                time.Time
 }
@@ -36,19 +36,19 @@
 
 // The ways to misbehave.
 const (
-	None       Fault = iota
-	WrongNonce       // the nonce of an earlier response
-	NoNonce          // ""
-	Reset            // the stream breaks in place of the response
-	Silent           // nothing is sent any more on this stream
-	Twice            // each resource stands there twice
-	WrongType        // the URL of another type
-	Half             // every second resource is left out (incremental: as if the rest came later)
-	Garbage          // bodies that are no message
+	None               Fault = iota
+	WrongNonce               // the nonce of an earlier response
+	NoNonce                  // ""
+	Reset                    // the stream breaks in place of the response
+	StopSending              // nothing is sent any more on this stream
+	DuplicateResources       // each resource stands there twice
+	WrongType                // the URL of another type
+	OmitHalf                 // every second resource is left out (incremental: as if the rest came later)
+	InvalidBodies            // bodies that are no message
 )
 
-// Plane is a control plane. Create it with Start; its methods are safe for concurrent use.
-type Plane struct {
+// Server is a control plane. Create it with Start; its methods are safe for concurrent use.
+type Server struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
 	addr string
 
@@ -57,7 +57,7 @@
 	ended   chan struct{}
 	types   map[string]*kind
 	changed chan struct{} // closed at the next change
-	answers []Answer
+	answers []Ack
 	faults  []Fault // for the responses to come
 	streams map[int]context.CancelCauseFunc
 	opened  int
@@ -78,8 +78,8 @@
 }
 
 // Start starts a plane with no resources on a free port of 127.0.0.1.
-func Start() (*Plane, error) {
-	p := &Plane{
+func Start() (*Server, error) {
+	p := &Server{
 		addr: "127.0.0.1:0", types: map[string]*kind{}, changed: make(chan struct{}),
 		streams: map[int]context.CancelCauseFunc{},
 	}
@@ -87,14 +87,14 @@
 }
 
 // Addr is where it listens, the same after Down and Up.
-func (p *Plane) Addr() string {
+func (p *Server) Addr() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addr
 }
 
 // Up starts the plane, or starts it again at its address.
-func (p *Plane) Up() error {
+func (p *Server) Up() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.server != nil {
@@ -116,7 +116,7 @@
 }
 
 // Down ends the plane at once: streams break, connections are refused.
-func (p *Plane) Down() {
+func (p *Server) Down() {
 	p.mu.Lock()
 	s, ended := p.server, p.ended
 	p.server = nil
@@ -127,8 +127,8 @@
 	}
 }
 
-// Break ends all streams; the plane goes on.
-func (p *Plane) Break() {
+// BreakStreams ends all streams; the plane goes on.
+func (p *Server) BreakStreams() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, cancel := range p.streams {
@@ -136,8 +136,8 @@
 	}
 }
 
-// Set puts resources in place, each under its name, and sends what changed.
-func (p *Plane) Set(named map[string]proto.Message) error {
+// SetResources puts resources in place, each under its name, and sends what changed.
+func (p *Server) SetResources(named map[string]proto.Message) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	touched := map[string]bool{}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// SetAny is Set for bodies that may be no message at all.
-func (p *Plane) SetAny(name string, body *anypb.Any) {
+// SetBody is Set for bodies that may be no message at all.
+func (p *Server) SetBody(name string, body *anypb.Any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	touched := map[string]bool{}
@@ -162,7 +162,7 @@
 }
 
 // put keeps a resource; p.mu is held.
-func (p *Plane) put(name string, body *anypb.Any, touched map[string]bool) {
+func (p *Server) put(name string, body *anypb.Any, touched map[string]bool) {
 	k := p.kind(body.TypeUrl)
 	if old, ok := k.resources[name]; ok && proto.Equal(old.body, body) {
 		return
@@ -174,7 +174,7 @@
 	k.resources[name] = resource{k.version, body}
 }
 
-func (p *Plane) kind(url string) *kind {
+func (p *Server) kind(url string) *kind {
 	k := p.types[url]
 	if k == nil {
 		k = &kind{resources: map[string]resource{}}
@@ -183,8 +183,8 @@
 	return k
 }
 
-// Remove takes resources of a type away.
-func (p *Plane) Remove(url string, names ...string) {
+// RemoveResources takes resources of a type away.
+func (p *Server) RemoveResources(url string, names ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.kind(url)
@@ -195,51 +195,51 @@
 	p.publish(map[string]bool{url: true})
 }
 
-// Rewind sets a type's version back, as a plane does that was restored from a backup.
-func (p *Plane) Rewind(url string, version int) {
+// SetVersion sets a type's version back, as a plane does that was restored from a backup.
+func (p *Server) SetVersion(url string, version int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.kind(url).version = version
 }
 
-func (p *Plane) publish(touched map[string]bool) {
+func (p *Server) publish(touched map[string]bool) {
 	if len(touched) > 0 {
 		close(p.changed)
 		p.changed = make(chan struct{})
 	}
 }
 
-// Misbehave queues faults: each response to come takes one, in their order.
-func (p *Plane) Misbehave(faults ...Fault) {
+// QueueFaults queues faults: each response to come takes one, in their order.
+func (p *Server) QueueFaults(faults ...Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = append(p.faults, faults...)
 }
 
-// Faults is how many queued faults no response has taken yet.
-func (p *Plane) Faults() int {
+// PendingFaults is how many queued faults no response has taken yet.
+func (p *Server) PendingFaults() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.faults)
 }
 
-// Answers gives the ACKs and NACKs so far.
-func (p *Plane) Answers() []Answer {
+// Acks gives the ACKs and NACKs so far.
+func (p *Server) Acks() []Ack {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.answers)
 }
 
 // Streams is how many streams were opened so far, and how many are open.
-func (p *Plane) Streams() (opened, open int) {
+func (p *Server) Streams() (opened, open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened, len(p.streams)
 }
 
-// Initial gives the initial_resource_versions that came with streams' first requests of a
+// InitialVersions gives the initial_resource_versions that came with streams' first requests of a
 // type, in order (incremental).
-func (p *Plane) Initial() []map[string]string {
+func (p *Server) InitialVersions() []map[string]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.initial)
@@ -266,7 +266,7 @@
 }
 
 // StreamAggregatedResources implements the state-of-the-world variant.
-func (p *Plane) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+func (p *Server) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	return p.serve(s.Context(), false, func() (*want, error) {
 		r, err := s.Recv()
 		if err != nil {
@@ -280,7 +280,7 @@
 }
 
 // DeltaAggregatedResources implements the incremental variant.
-func (p *Plane) DeltaAggregatedResources(s discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
+func (p *Server) DeltaAggregatedResources(s discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	return p.serve(s.Context(), true, func() (*want, error) {
 		r, err := s.Recv()
 		if err != nil {
@@ -294,7 +294,7 @@
 	}, func(m proto.Message) error { return s.SendMsg(m) })
 }
 
-func (p *Plane) serve(ctx context.Context, delta bool, recv func() (*want, error), send func(proto.Message) error) error {
+func (p *Server) serve(ctx context.Context, delta bool, recv func() (*want, error), send func(proto.Message) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	p.mu.Lock()
@@ -357,7 +357,7 @@
 }
 
 // request takes a request into what a stream knows.
-func (p *Plane) request(w *want, watches map[string]*watch, delta bool) {
+func (p *Server) request(w *want, watches map[string]*watch, delta bool) {
 	x := watches[w.url]
 	if x == nil {
 		x = &watch{names: map[string]bool{}, sent: map[string]int{}, last: -1}
@@ -392,7 +392,7 @@
 		}
 		p.mu.Lock()
 		if len(p.answers) < maxAnswers {
-			p.answers = append(p.answers, Answer{w.url, w.nonce, w.fault, time.Now()})
+			p.answers = append(p.answers, Ack{w.url, w.nonce, w.fault, time.Now()})
 		}
 		p.mu.Unlock()
 	}
@@ -428,7 +428,7 @@
 }
 
 // response makes what is due for a type; nil if nothing is.
-func (p *Plane) response(url string, x *watch, delta bool) (proto.Message, error) {
+func (p *Server) response(url string, x *watch, delta bool) (proto.Message, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.kind(url)
@@ -456,7 +456,7 @@
 		fault, p.faults = p.faults[0], p.faults[1:]
 	}
 	switch fault {
-	case Silent:
+	case StopSending:
 		return nil, errSilent
 	case Reset:
 		return nil, status.Error(codes.Unavailable, "reset on request")
@@ -469,7 +469,7 @@
 			}
 		}
 	}
-	if fault == Half {
+	if fault == OmitHalf {
 		for i := 0; i < len(changed); i++ {
 			changed = slices.Delete(changed, i, i+1)
 		}
@@ -496,11 +496,11 @@
 	for _, name := range changed {
 		r := k.resources[name]
 		body := r.body
-		if fault == Garbage {
+		if fault == InvalidBodies {
 			body = &anypb.Any{TypeUrl: body.TypeUrl, Value: []byte("\xff\xfe no message")}
 		}
 		list = append(list, &discoveryv3.Resource{Name: name, Version: fmt.Sprint(r.version), Resource: body})
-		if fault == Twice {
+		if fault == DuplicateResources {
 			list = append(list, list[len(list)-1])
 		}
 	}
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -27,28 +27,28 @@
 
 // The faults.
 const (
-	None        Fault = ""
-	LeaveEarly  Fault = "leaves before the decision"
-	LeaveLate   Fault = "leaves after the decision"
-	NeverReport Fault = "never tells what came of it"
-	WrongServer Fault = "sends to another server"
-	HalfClose   Fault = "ends the exchange without a response"
+	None                     Fault = ""
+	DisconnectBeforeDecision Fault = "leaves before the decision"
+	DisconnectAfterDecision  Fault = "leaves after the decision"
+	NoResponseHeaders        Fault = "never tells what came of it"
+	OtherServer              Fault = "sends to another server"
+	HalfCloseStream          Fault = "ends the exchange without a response"
 )
 
 // Proxy asks a processor. Its fields are set before the first Do.
 type Proxy struct {
-	Conn    grpc.ClientConnInterface
-	Mode    filterv3.ProcessingMode_BodySendMode // of request bodies
-	Retries int                                  // of its own, each asked about on a stream of its own
-	Wrong   string                               // where WrongServer sends
-	// Sending, if given, is called with the server's address and right before a request goes there.
-	Sending func(address string, at time.Time)
+	Conn        grpc.ClientConnInterface
+	BodyMode    filterv3.ProcessingMode_BodySendMode // of request bodies
+	Retries     int                                  // of its own, each asked about on a stream of its own
+	OtherServer string                               // where WrongServer sends
+	// OnSend, if given, is called with the server's address and right before a request goes there.
+	OnSend func(address string, at time.Time)
 
 	upstream http.Transport
 }
 
-// Ask is a request of a client's.
-type Ask struct {
+// Request is a request of a client's.
+type Request struct {
 	Method, Path string
 	Header       http.Header
 	Body         []byte
@@ -58,13 +58,13 @@
 
 // Result is what a request's client gets.
 type Result struct {
-	Status    int // 0: nothing, as the client or the exchange broke off
-	Header    http.Header
-	Body      []byte
-	Immediate bool     // the processor's answer, or one that it carried
-	Broken    bool     // a part of a body came, and then an error
-	Servers   []string // that were named, in turn
-	Err       error
+	Status      int // 0: nothing, as the client or the exchange broke off
+	Header      http.Header
+	Body        []byte
+	ByProcessor bool     // the processor's answer, or one that it carried
+	Truncated   bool     // a part of a body came, and then an error
+	Servers     []string // that were named, in turn
+	Err         error
 }
 
 // Close ends the connections to servers.
@@ -76,12 +76,12 @@
 	if err != nil {
 		return
 	}
-	a := Ask{Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header, Body: body, Timeout: 30 * time.Second}
+	a := Request{Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header, Body: body, Timeout: 30 * time.Second}
 	if ms, err := strconv.Atoi(r.Header.Get("X-Timeout-Ms")); err == nil {
 		a.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	out := p.Do(r.Context(), a)
-	if out.Status == 0 || out.Broken {
+	if out.Status == 0 || out.Truncated {
 		panic(http.ErrAbortHandler)
 	}
 	for name, values := range out.Header {
@@ -92,7 +92,7 @@
 }
 
 // Do has a client's request answered.
-func (p *Proxy) Do(ctx context.Context, a Ask) (out Result) {
+func (p *Proxy) Do(ctx context.Context, a Request) (out Result) {
 	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
 	for attempt := 1; ; attempt++ {
@@ -107,7 +107,7 @@
 }
 
 // once is one exchange. again: the proxy would try once more.
-func (p *Proxy) once(ctx context.Context, a Ask, attempt int) (out Result, again bool) {
+func (p *Proxy) once(ctx context.Context, a Request, attempt int) (out Result, again bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	broken := func(err error) (Result, bool) { out.Err = err; return out, false }
@@ -134,17 +134,17 @@
 	whole := len(a.Body) == 0
 	if err := stream.Send(&pb.ProcessingRequest{
 		Request:        &pb.ProcessingRequest_RequestHeaders{RequestHeaders: &pb.HttpHeaders{Headers: head, EndOfStream: whole}},
-		ProtocolConfig: &pb.ProtocolConfiguration{RequestBodyMode: p.Mode},
+		ProtocolConfig: &pb.ProtocolConfiguration{RequestBodyMode: p.BodyMode},
 	}); err != nil {
 		return broken(err)
 	}
-	if a.Fault == LeaveEarly {
+	if a.Fault == DisconnectBeforeDecision {
 		cancel()
 		stream.Recv()
 		return broken(context.Canceled)
 	}
 	sent := make(chan struct{}) // nobody else may send before its end
-	duplex := !whole && p.Mode == filterv3.ProcessingMode_FULL_DUPLEX_STREAMED
+	duplex := !whole && p.BodyMode == filterv3.ProcessingMode_FULL_DUPLEX_STREAMED
 	if duplex {
 		go func() { // ends with the exchange
 			defer close(sent)
@@ -158,9 +158,9 @@
 		}
 		switch r := r.Response.(type) {
 		case *pb.ProcessingResponse_ImmediateResponse:
-			out.Immediate = true
+			out.ByProcessor = true
 			out.Status, out.Header, out.Body = int(r.ImmediateResponse.GetStatus().GetCode()), http.Header{}, r.ImmediateResponse.GetBody()
-			Mutate(out.Header, r.ImmediateResponse.GetHeaders())
+			ApplyMutation(out.Header, r.ImmediateResponse.GetHeaders())
 			return out, false
 		case *pb.ProcessingResponse_StreamedImmediateResponse:
 			return p.streamed(stream, r.StreamedImmediateResponse), false
@@ -169,7 +169,7 @@
 			if fields == nil {
 				fields = http.Header{}
 			}
-			Mutate(fields, r.RequestHeaders.GetResponse().GetHeaderMutation())
+			ApplyMutation(fields, r.RequestHeaders.GetResponse().GetHeaderMutation())
 			server := fields.Get("X-Gateway-Destination-Endpoint")
 			if server != "" {
 				out.Servers = append(out.Servers, server)
@@ -229,7 +229,7 @@
 
 // streamed takes an answer that comes in parts.
 func (p *Proxy) streamed(stream exchange, first *pb.StreamedImmediateResponse) Result {
-	out := Result{Immediate: true, Header: http.Header{}}
+	out := Result{ByProcessor: true, Header: http.Header{}}
 	for _, f := range first.GetHeadersResponse().GetHeaders().GetHeaders() {
 		if f.Key == ":status" {
 			out.Status, _ = strconv.Atoi(string(f.RawValue))
@@ -240,7 +240,7 @@
 	for {
 		r, err := stream.Recv()
 		if err != nil {
-			out.Broken, out.Err = true, err
+			out.Truncated, out.Err = true, err
 			return out
 		}
 		s := r.GetStreamedImmediateResponse()
@@ -252,19 +252,19 @@
 }
 
 // send sends the request to the server that was named, and tells the processor what came of it.
-func (p *Proxy) send(ctx context.Context, leave func(), stream exchange, a Ask, fields http.Header, server string, out Result) (Result, bool) {
+func (p *Proxy) send(ctx context.Context, leave func(), stream exchange, a Request, fields http.Header, server string, out Result) (Result, bool) {
 	switch a.Fault {
-	case LeaveLate:
+	case DisconnectAfterDecision:
 		leave()
 		stream.Recv()
 		out.Err = context.Canceled
 		return out, false
-	case HalfClose:
+	case HalfCloseStream:
 		stream.CloseSend()
 		_, out.Err = stream.Recv()
 		return out, false
-	case WrongServer:
-		server = p.Wrong
+	case OtherServer:
+		server = p.OtherServer
 	}
 	r, err := http.NewRequestWithContext(ctx, a.Method, "http://"+server+a.Path, bytes.NewReader(a.Body))
 	if err != nil {
@@ -276,8 +276,8 @@
 		r.Body = http.NoBody
 	}
 	r.GetBody = nil // nothing is sent again by the transport
-	if p.Sending != nil {
-		p.Sending(server, time.Now())
+	if p.OnSend != nil {
+		p.OnSend(server, time.Now())
 	}
 	resp, err := p.upstream.RoundTrip(r)
 	details := "via_upstream"
@@ -290,11 +290,11 @@
 	} else {
 		defer resp.Body.Close()
 		if out.Body, err = io.ReadAll(resp.Body); err != nil {
-			out.Broken = true
+			out.Truncated = true
 		}
 		out.Status, out.Header = resp.StatusCode, resp.Header
 	}
-	if a.Fault == NeverReport {
+	if a.Fault == NoResponseHeaders {
 		<-ctx.Done()
 		out.Err = ctx.Err()
 		return out, false
@@ -318,14 +318,14 @@
 		out.Err = err
 		return out, false
 	}
-	Mutate(out.Header, reply.GetResponseHeaders().GetResponse().GetHeaderMutation())
+	ApplyMutation(out.Header, reply.GetResponseHeaders().GetResponse().GetHeaderMutation())
 	stream.CloseSend()
 	stream.Recv()
 	return out, out.Status >= 500
 }
 
-// Mutate changes fields as a processor says (service.ext_proc.v3.HeaderMutation).
-func Mutate(h http.Header, m *pb.HeaderMutation) {
+// ApplyMutation changes fields as a processor says (service.ext_proc.v3.HeaderMutation).
+func ApplyMutation(h http.Header, m *pb.HeaderMutation) {
 	for _, name := range m.GetRemoveHeaders() {
 		h.Del(name)
 	}
--- a/internal/stress/callers/callers.go
+++ b/internal/stress/callers/callers.go
@@ -279,7 +279,7 @@
 		filterv3.ProcessingMode_BUFFERED, filterv3.ProcessingMode_FULL_DUPLEX_STREAMED,
 		filterv3.ProcessingMode_BUFFERED_PARTIAL, filterv3.ProcessingMode_NONE,
 	} {
-		p := &proxy.Proxy{Conn: conn, Mode: mode, Retries: i % 2, Wrong: r.wrong.Addr()}
+		p := &proxy.Proxy{Conn: conn, BodyMode: mode, Retries: i % 2, OtherServer: r.wrong.Addr()}
 		defer p.Close()
 		proxies = append(proxies, p)
 	}
@@ -310,8 +310,8 @@
 		path = "/pick" + path
 	}
 	id := fmt.Sprintf("%s-%d", kind, n)
-	a := proxy.Ask{Method: http.MethodPost, Path: path + "x", Timeout: patience, Header: http.Header{"X-Request-Id": {id}}}
-	if p.Mode == filterv3.ProcessingMode_NONE {
+	a := proxy.Request{Method: http.MethodPost, Path: path + "x", Timeout: patience, Header: http.Header{"X-Request-Id": {id}}}
+	if p.BodyMode == filterv3.ProcessingMode_NONE {
 		a.Method = http.MethodGet
 	} else {
 		a.Body = []byte(strings.Repeat("b", 1+rng.IntN(3000)))
@@ -323,8 +323,8 @@
 		a.Header.Set("X-Timeout-Ms", fmt.Sprint(11+rng.IntN(10)))
 	}
 	if rng.IntN(10) == 0 {
-		a.Fault = []proxy.Fault{proxy.LeaveEarly, proxy.LeaveLate, proxy.NeverReport, proxy.WrongServer, proxy.HalfClose}[rng.IntN(5)]
-		if a.Fault == proxy.NeverReport {
+		a.Fault = []proxy.Fault{proxy.DisconnectBeforeDecision, proxy.DisconnectAfterDecision, proxy.NoResponseHeaders, proxy.OtherServer, proxy.HalfCloseStream}[rng.IntN(5)]
+		if a.Fault == proxy.NoResponseHeaders {
 			a.Timeout = 50 * time.Millisecond
 		}
 	}
@@ -344,7 +344,7 @@
 }
 
 // count books a request's final answer.
-func (r *rig) count(out proxy.Result, a proxy.Ask) {
+func (r *rig) count(out proxy.Result, a proxy.Request) {
 	// Whatever the status, which may be a server's own last word; who left may have been told too.
 	if out.Header.Get("Retry-After") != "" || out.Status == 0 {
 		r.mu.Lock()
@@ -362,7 +362,7 @@
 		r.refused.Add(1)
 	case out.Status == http.StatusOK:
 		r.served.Add(1)
-		if a.Fault != proxy.WrongServer && !strings.Contains(string(out.Body), " served "+strings.SplitN(a.Header.Get("X-Request-Id"), ".", 2)[0]) {
+		if a.Fault != proxy.OtherServer && !strings.Contains(string(out.Body), " served "+strings.SplitN(a.Header.Get("X-Request-Id"), ".", 2)[0]) {
 			r.broken("%s got another one's answer: %q", a.Header.Get("X-Request-Id"), out.Body)
 		}
 	default:
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func plane(t *testing.T, clusters ...string) *controlplane.Plane {
+func plane(t *testing.T, clusters ...string) *controlplane.Server {
 	p, err := controlplane.Start()
 	if err != nil {
 		t.Fatal(err)
@@ -42,12 +42,12 @@
 	return p
 }
 
-func put(t *testing.T, p *controlplane.Plane, clusters ...string) {
+func put(t *testing.T, p *controlplane.Server, clusters ...string) {
 	all := map[string]proto.Message{}
 	for _, name := range clusters {
 		all[name] = static(name)
 	}
-	if err := p.Set(all); err != nil {
+	if err := p.SetResources(all); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -89,7 +89,7 @@
 	for name, variant := range variants {
 		t.Run(name, func(t *testing.T) {
 			first, second := plane(t, "of-first"), plane(t, "of-second")
-			first.Misbehave(controlplane.Silent)
+			first.QueueFaults(controlplane.StopSending)
 			seen, logs := run(t, Config{
 				Servers: []string{first.Addr(), testutil.RefusingAddr(t), second.Addr()}, Variant: variant,
 				FirstResponseTimeout: 50 * time.Millisecond,
@@ -108,14 +108,14 @@
 	p := plane(t, "a")
 	seen, _ := run(t, Config{Servers: []string{p.Addr()}, Variant: ads.Incremental})
 	for _, name := range []string{"b", "c", "d", "e", "f"} {
-		p.Break()
+		p.BreakStreams()
 		put(t, p, name)
 		seen(name)
 	}
 	if opened, open := p.Streams(); opened > 12 || open > 1 {
 		t.Errorf("%d streams, %d open", opened, open)
 	}
-	for _, versions := range p.Initial()[1:] {
+	for _, versions := range p.InitialVersions()[1:] {
 		if versions["a"] == "" {
 			t.Errorf("a stream begins with %v", versions)
 		}
@@ -138,12 +138,12 @@
 		many = append(many, "c"+strings.Repeat("x", i))
 		large[many[i]] = padded(many[i], most/100)
 	}
-	if err := p.Set(large); err != nil {
+	if err := p.SetResources(large); err != nil {
 		t.Fatal(err)
 	}
 	logs.Wait("larger than max")
 	seen("a")
-	p.Remove(clusterURL, many...)
+	p.RemoveResources(clusterURL, many...)
 	put(t, p, "b")
 	seen("b")
 }
