--- /dev/null
+++ b/internal/fake/controlplane/stream.go
@@ -0,0 +1,255 @@
+package controlplane
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/protobuf/proto"
+)
+
+const (
+	wildcard  = "*" // in a subscription: all resources of a type
+	noVersion = -1  // the version of a type of which nothing was sent
+)
+
+// request is what a client's request says, in either variant.
+type request struct {
+	url, nonce, errorDetail string
+	version                 string            // state of the world: version_info
+	names                   []string          // state of the world: of all resources subscribed to
+	subscribe, unsubscribe  []string          // incremental
+	initial                 map[string]string // incremental: initial_resource_versions
+}
+
+// stream is a client's stream, in either variant.
+type stream struct {
+	server        *Server
+	delta         bool // incremental
+	receive       func() (*request, error)
+	send          func(proto.Message) error
+	subscriptions map[string]*subscription // by type
+}
+
+// subscription is what a stream subscribes to of a type, and what was sent of it.
+type subscription struct {
+	names       map[string]bool
+	all         bool
+	nonce       string         // of the last response
+	sent        map[string]int // versions of resources, by name
+	lastVersion int            // of the type in the last response, or noVersion
+}
+
+func (s *subscription) includes(name string) bool { return s.all || s.names[name] }
+
+// StreamAggregatedResources implements the state-of-the-world variant.
+func (p *Server) StreamAggregatedResources(
+	s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer,
+) error {
+	receive := func() (*request, error) {
+		r, err := s.Recv()
+		if err != nil {
+			return nil, err
+		}
+		return &request{
+			url:         r.GetTypeUrl(),
+			nonce:       r.GetResponseNonce(),
+			errorDetail: r.GetErrorDetail().GetMessage(),
+			version:     r.GetVersionInfo(),
+			names:       r.GetResourceNames(),
+		}, nil
+	}
+	send := func(m proto.Message) error { return s.SendMsg(m) }
+	return (&stream{server: p, receive: receive, send: send}).serve(s.Context())
+}
+
+// DeltaAggregatedResources implements the incremental variant.
+func (p *Server) DeltaAggregatedResources(
+	s discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer,
+) error {
+	receive := func() (*request, error) {
+		r, err := s.Recv()
+		if err != nil {
+			return nil, err
+		}
+		return &request{
+			url:         r.GetTypeUrl(),
+			nonce:       r.GetResponseNonce(),
+			errorDetail: r.GetErrorDetail().GetMessage(),
+			subscribe:   r.GetResourceNamesSubscribe(),
+			unsubscribe: r.GetResourceNamesUnsubscribe(),
+			initial:     r.GetInitialResourceVersions(),
+		}, nil
+	}
+	send := func(m proto.Message) error { return s.SendMsg(m) }
+	return (&stream{server: p, delta: true, receive: receive, send: send}).serve(s.Context())
+}
+
+// serve answers requests, and sends changes, until the stream ends.
+func (s *stream) serve(ctx context.Context) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	defer s.server.open(cancel)()
+	requests := make(chan *request)
+	go s.receiveAll(ctx, cancel, requests)
+	s.subscriptions = map[string]*subscription{}
+	stopped := false
+	for {
+		changed := s.server.nextChange()
+		if !stopped {
+			err := s.sendChanges()
+			if stopped = errors.Is(err, errStopSending); err != nil && !stopped {
+				return err
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return context.Cause(ctx)
+		case <-changed:
+		case r := <-requests:
+			s.handle(r)
+		}
+	}
+}
+
+// open counts a stream as open until its result is called.
+func (p *Server) open(cancel context.CancelCauseFunc) (closed func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.opened++
+	id := p.opened
+	p.streams[id] = cancel
+	return func() {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		delete(p.streams, id)
+	}
+}
+
+// nextChange returns a channel that is closed when resources change.
+func (p *Server) nextChange() <-chan struct{} {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.changed
+}
+
+// receiveAll receives requests until the stream ends.
+func (s *stream) receiveAll(ctx context.Context, cancel context.CancelCauseFunc, requests chan<- *request) {
+	for {
+		r, err := s.receive()
+		if err != nil {
+			cancel(err)
+			return
+		}
+		select {
+		case requests <- r:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// sendChanges sends what is due of each type that is subscribed to. It returns errStopSending if a fault says so.
+func (s *stream) sendChanges() error {
+	for _, url := range slices.Sorted(maps.Keys(s.subscriptions)) {
+		m, err := s.server.response(url, s.subscriptions[url], s.delta)
+		if err != nil {
+			return err
+		}
+		if m == nil {
+			continue
+		}
+		if err := s.send(m); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// handle updates the subscriptions by a request.
+func (s *stream) handle(r *request) {
+	x := s.subscriptions[r.url]
+	if x == nil {
+		x = s.server.newSubscription(r, s.delta)
+		s.subscriptions[r.url] = x
+	} else if r.nonce != "" {
+		if r.nonce != x.nonce { // stale: it crossed a later response
+			return
+		}
+		s.server.recordAck(r)
+	}
+	if s.delta {
+		x.update(r.subscribe, r.unsubscribe)
+	} else {
+		x.replace(r.names)
+	}
+}
+
+// newSubscription makes a subscription by the first request of a type.
+func (p *Server) newSubscription(r *request, delta bool) *subscription {
+	x := &subscription{names: map[string]bool{}, sent: map[string]int{}, lastVersion: noVersion}
+	x.all = !delta && len(r.names) == 0
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if delta {
+		p.initial = append(p.initial, r.initial)
+	}
+	for name, version := range r.initial {
+		x.sent[name] = parseVersion(version, 0)
+	}
+	t := p.typeOf(r.url)
+	// A client that names the present version has all its resources.
+	if !delta && r.version != "" && parseVersion(r.version, noVersion) == t.version {
+		x.lastVersion = t.version
+		for name, resource := range t.resources {
+			x.sent[name] = resource.version
+		}
+	}
+	return x
+}
+
+// parseVersion returns the number that a version begins with, or a default.
+func parseVersion(text string, otherwise int) int {
+	fmt.Sscanf(text, "%d", &otherwise)
+	return otherwise
+}
+
+func (p *Server) recordAck(r *request) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.acks) < maxAcks {
+		p.acks = append(p.acks, Ack{r.url, r.nonce, r.errorDetail, time.Now()})
+	}
+}
+
+// replace replaces the names, and forgets what was sent of others.
+func (s *subscription) replace(names []string) {
+	s.names = map[string]bool{}
+	for _, n := range names {
+		s.names[n] = true
+	}
+	for n := range s.sent {
+		if !s.includes(n) {
+			delete(s.sent, n)
+		}
+	}
+}
+
+// update adds and removes names.
+func (s *subscription) update(subscribe, unsubscribe []string) {
+	for _, n := range subscribe {
+		if n == wildcard {
+			s.all = true
+			continue
+		}
+		s.names[n] = true
+	}
+	for _, n := range unsubscribe {
+		delete(s.names, n)
+		delete(s.sent, n)
+	}
+}
