--- /dev/null
+++ b/internal/fake/proxy/exchange.go
@@ -0,0 +1,215 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+
+	filterv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/ext_proc/v3"
+	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
+	"google.golang.org/grpc"
+)
+
+const (
+	pickHeader        = "X-Gateway-Destination-Endpoint" // in which the processor names the endpoint
+	duplexPieceLength = 1000                             // bytes of a body in full duplex mode
+)
+
+// exchange is one stream to the processor, about one attempt of a request.
+type exchange struct {
+	proxy   *Proxy
+	ctx     context.Context
+	cancel  context.CancelFunc
+	stream  grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse]
+	request Request
+	result  Result
+}
+
+func (p *Proxy) newExchange(ctx context.Context, cancel context.CancelFunc, q Request) (*exchange, error) {
+	stream, err := pb.NewExternalProcessorClient(p.Conn).Process(ctx)
+	if err != nil {
+		return nil, err
+	}
+	return &exchange{proxy: p, ctx: ctx, cancel: cancel, stream: stream, request: q}, nil
+}
+
+// run runs the exchange, and sets its result. retry reports that the proxy may retry the request.
+func (x *exchange) run(attempt int) (retry bool, err error) {
+	if err := x.sendHeaders(attempt); err != nil {
+		return false, err
+	}
+	if x.request.Fault == DisconnectBeforeDecision {
+		return false, x.disconnect()
+	}
+	duplex := len(x.request.Body) > 0 && x.proxy.BodyMode == filterv3.ProcessingMode_FULL_DUPLEX_STREAMED
+	var bodySent <-chan struct{}
+	if duplex {
+		bodySent = x.startBody()
+	}
+	for {
+		reply, err := x.stream.Recv()
+		if err != nil {
+			return false, err
+		}
+		switch r := reply.Response.(type) {
+		case *pb.ProcessingResponse_ImmediateResponse:
+			x.takeImmediateResponse(r.ImmediateResponse)
+			return false, nil
+		case *pb.ProcessingResponse_StreamedImmediateResponse:
+			return false, x.receiveStreamedResponse(r.StreamedImmediateResponse)
+		case *pb.ProcessingResponse_RequestHeaders:
+			header := x.changedHeader(r.RequestHeaders)
+			server := header.Get(pickHeader)
+			if server != "" {
+				return x.forwardPicked(header, server, bodySent)
+			}
+			if err := x.sendBufferedBody(); err != nil {
+				return false, err
+			}
+		default:
+			return false, fmt.Errorf("a reply that is not due: %T", r)
+		}
+	}
+}
+
+// changedHeader returns the request's header with the processor's changes.
+func (x *exchange) changedHeader(r *pb.HeadersResponse) http.Header {
+	header := x.request.Header.Clone()
+	if header == nil {
+		header = http.Header{}
+	}
+	ApplyMutation(header, r.GetResponse().GetHeaderMutation())
+	return header
+}
+
+// forwardPicked forwards the request to the endpoint that was picked, with the body that the processor returns if it
+// gets the body in full duplex mode (bodySent is not nil).
+func (x *exchange) forwardPicked(header http.Header, server string, bodySent <-chan struct{}) (retry bool, err error) {
+	x.result.Servers = append(x.result.Servers, server)
+	if bodySent != nil {
+		if x.request.Body, err = x.receiveBody(); err != nil {
+			return false, err
+		}
+		<-bodySent
+	}
+	return x.forward(header, server)
+}
+
+// disconnect ends the stream as the proxy does when its client disconnects.
+func (x *exchange) disconnect() error {
+	x.cancel()
+	x.stream.Recv()
+	return context.Canceled
+}
+
+// sendHeaders sends the processor the request's headers.
+func (x *exchange) sendHeaders(attempt int) error {
+	q := &x.request
+	header := headerMap{}
+	header.add(":method", q.Method)
+	header.add(":path", q.Path)
+	header.add(":authority", "stand-in")
+	header.add(":scheme", "http")
+	header.addAll(q.Header)
+	if x.proxy.Retries > 0 {
+		header.add("x-envoy-attempt-count", strconv.Itoa(attempt))
+	}
+	headers := &pb.HttpHeaders{Headers: header.proto(), EndOfStream: len(q.Body) == 0}
+	return x.stream.Send(&pb.ProcessingRequest{
+		Request:        &pb.ProcessingRequest_RequestHeaders{RequestHeaders: headers},
+		ProtocolConfig: &pb.ProtocolConfiguration{RequestBodyMode: x.proxy.BodyMode},
+	})
+}
+
+// sendBufferedBody sends the processor the body at once, after it has picked no endpoint by the headers alone.
+func (x *exchange) sendBufferedBody() error {
+	if len(x.request.Body) == 0 { // a proxy would use a cluster of its own
+		return errors.New("the processor named no server")
+	}
+	err := x.sendBody(x.request.Body, len(x.request.Body))
+	if err == io.EOF { // answered meanwhile: Recv returns the answer or the error
+		return nil
+	}
+	return err
+}
+
+// startBody sends the processor the body in the background. Nothing else may be sent before sent is closed.
+func (x *exchange) startBody() (sent <-chan struct{}) {
+	done, body := make(chan struct{}), x.request.Body
+	go func() { // ends with the exchange
+		defer close(done)
+		x.sendBody(body, duplexPieceLength)
+	}()
+	return done
+}
+
+// sendBody sends the processor a body in pieces of a length.
+func (x *exchange) sendBody(body []byte, length int) error {
+	for len(body) > 0 {
+		n := min(length, len(body))
+		err := x.stream.Send(&pb.ProcessingRequest{Request: &pb.ProcessingRequest_RequestBody{
+			RequestBody: &pb.HttpBody{Body: body[:n], EndOfStream: n == len(body)},
+		}})
+		if err != nil {
+			return err
+		}
+		body = body[n:]
+	}
+	return nil
+}
+
+// receiveBody receives the body that the processor returns in place of the one it got.
+func (x *exchange) receiveBody() (body []byte, err error) {
+	for {
+		r, err := x.stream.Recv()
+		if err != nil {
+			return nil, err
+		}
+		piece := r.GetRequestBody().GetResponse().GetBodyMutation().GetStreamedResponse()
+		if piece == nil {
+			return nil, fmt.Errorf("a reply that is not due: %v", r)
+		}
+		if body = append(body, piece.Body...); piece.EndOfStream {
+			return body, nil
+		}
+	}
+}
+
+// takeImmediateResponse sets the result to the processor's response.
+func (x *exchange) takeImmediateResponse(r *pb.ImmediateResponse) {
+	x.result = Result{
+		ByProcessor: true,
+		Status:      int(r.GetStatus().GetCode()),
+		Header:      http.Header{},
+		Body:        r.GetBody(),
+		Servers:     x.result.Servers,
+	}
+	ApplyMutation(x.result.Header, r.GetHeaders())
+}
+
+// receiveStreamedResponse receives the processor's response in pieces into the result.
+func (x *exchange) receiveStreamedResponse(first *pb.StreamedImmediateResponse) error {
+	x.result = Result{ByProcessor: true, Header: http.Header{}}
+	for _, f := range first.GetHeadersResponse().GetHeaders().GetHeaders() {
+		if f.Key == ":status" {
+			x.result.Status, _ = strconv.Atoi(string(f.RawValue))
+			continue
+		}
+		x.result.Header.Add(f.Key, string(f.RawValue))
+	}
+	for {
+		r, err := x.stream.Recv()
+		if err != nil {
+			x.result.Truncated = true
+			return err
+		}
+		s := r.GetStreamedImmediateResponse()
+		x.result.Body = append(x.result.Body, s.GetBodyResponse().GetBody()...)
+		if s.GetBodyResponse().GetEndOfStream() || s.GetTrailersResponse() != nil {
+			return nil
+		}
+	}
+}
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -1,28 +1,27 @@
-// Package proxy is a stand-in for a proxy that asks an external processor what to do with each of
-// its requests (envoy.service.ext_proc.v3), as the protocol prescribes, and that misbehaves on
-// script. Its clients' side is HTTP, its upstream side too.
+// Package proxy is a stand-in for a proxy that asks an external processor (envoy.service.ext_proc.v3) about each of its
+// requests, as the protocol prescribes, and misbehaves on request. It speaks HTTP to its clients and its upstreams.
+//
+//   - proxy.go: the proxy and its retries
+//   - exchange.go: one stream to the processor
+//   - upstream.go: the request to the endpoint that the processor picked, and the report of its response
+//   - headers.go: header maps, and the processor's changes of headers
 package proxy
 
 import (
-	"bytes"
 	"context"
-	"errors"
-	"fmt"
 	"io"
 	"net/http"
 	"strconv"
-	"strings"
-	"syscall"
 	"time"
 
-	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	filterv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/ext_proc/v3"
-	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 	"google.golang.org/grpc"
-	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// Fault is what a proxy does wrong, or a client of its.
+// defaultTimeout is of client requests without X-Timeout-Ms.
+const defaultTimeout = 30 * time.Second
+
+// Fault is a fault of a proxy or of its client.
 type Fault string
 
 // The faults.
@@ -35,315 +34,86 @@
 	HalfCloseStream          Fault = "ends the exchange without a response"
 )
 
-// Proxy asks a processor. Its fields are set before the first Do.
+// Proxy is a proxy with an external processor. Its fields are set before the first Do; its methods are safe for
+// concurrent use.
 type Proxy struct {
-	Conn        grpc.ClientConnInterface
+	Conn        grpc.ClientConnInterface             // to the processor
 	BodyMode    filterv3.ProcessingMode_BodySendMode // of request bodies
-	Retries     int                                  // of its own, each asked about on a stream of its own
-	OtherServer string                               // where WrongServer sends
-	// OnSend, if given, is called with the server's address and right before a request goes there.
+	Retries     int                                  // of its own at most, each on a stream of its own
+	OtherServer string                               // the address that the fault OtherServer sends to
+	// OnSend is called before each request to an upstream, with its address; nil: not at all.
 	OnSend func(address string, at time.Time)
 
 	upstream http.Transport
 }
 
-// Request is a request of a client's.
+// Request is a client's request.
 type Request struct {
 	Method, Path string
 	Header       http.Header
 	Body         []byte
-	Timeout      time.Duration // of the whole; the exchange's deadline
+	Timeout      time.Duration // of the request with its retries, and so of each stream
 	Fault        Fault
 }
 
-// Result is what a request's client gets.
+// Result is what the client of a request gets.
 type Result struct {
-	Status      int // 0: nothing, as the client or the exchange broke off
+	Status      int // 0: none, since the client or the exchange ended before
 	Header      http.Header
 	Body        []byte
-	ByProcessor bool     // the processor's answer, or one that it carried
-	Truncated   bool     // a part of a body came, and then an error
-	Servers     []string // that were named, in turn
+	ByProcessor bool     // the processor gave the response, or forwarded it
+	Truncated   bool     // the body ended with an error
+	Servers     []string // the endpoints that were picked, in order
 	Err         error
 }
 
-// Close ends the connections to servers.
+// Close closes the idle connections to upstreams.
 func (p *Proxy) Close() { p.upstream.CloseIdleConnections() }
 
-// ServeHTTP is the clients' side.
+// ServeHTTP answers a client's request. It breaks the connection if there is no complete response.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	a := Request{Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header, Body: body, Timeout: 30 * time.Second}
+	q := Request{Method: r.Method, Path: r.URL.RequestURI(), Header: r.Header, Body: body, Timeout: defaultTimeout}
 	if ms, err := strconv.Atoi(r.Header.Get("X-Timeout-Ms")); err == nil {
-		a.Timeout = time.Duration(ms) * time.Millisecond
+		q.Timeout = time.Duration(ms) * time.Millisecond
 	}
-	out := p.Do(r.Context(), a)
-	if out.Status == 0 || out.Truncated {
+	result := p.Do(r.Context(), q)
+	if result.Status == 0 || result.Truncated {
 		panic(http.ErrAbortHandler)
 	}
-	for name, values := range out.Header {
+	for name, values := range result.Header {
 		w.Header()[name] = values
 	}
-	w.WriteHeader(out.Status)
-	w.Write(out.Body)
+	w.WriteHeader(result.Status)
+	w.Write(result.Body)
 }
 
-// Do has a client's request answered.
-func (p *Proxy) Do(ctx context.Context, a Request) (out Result) {
-	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
+// Do answers a client's request.
+func (p *Proxy) Do(ctx context.Context, q Request) (result Result) {
+	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	for attempt := 1; ; attempt++ {
-		var again bool
-		before := out.Servers
-		out, again = p.once(ctx, a, attempt)
-		out.Servers = append(before, out.Servers...)
-		if !again || attempt > p.Retries {
-			return out
+		before := result.Servers
+		var retry bool
+		result, retry = p.attempt(ctx, q, attempt)
+		result.Servers = append(before, result.Servers...)
+		if !retry || attempt > p.Retries {
+			return result
 		}
 	}
 }
 
-// once is one exchange. again: the proxy would try once more.
-func (p *Proxy) once(ctx context.Context, a Request, attempt int) (out Result, again bool) {
+// attempt asks the processor about a request, and answers it. retry reports that the proxy may retry it.
+func (p *Proxy) attempt(ctx context.Context, q Request, attempt int) (result Result, retry bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	broken := func(err error) (Result, bool) { out.Err = err; return out, false }
-	stream, err := pb.NewExternalProcessorClient(p.Conn).Process(ctx)
+	x, err := p.newExchange(ctx, cancel, q)
 	if err != nil {
-		return broken(err)
-	}
-	head := &corev3.HeaderMap{}
-	put := func(name, value string) {
-		head.Headers = append(head.Headers, &corev3.HeaderValue{Key: name, RawValue: []byte(value)})
-	}
-	put(":method", a.Method)
-	put(":path", a.Path)
-	put(":authority", "stand-in")
-	put(":scheme", "http")
-	for name, values := range a.Header {
-		for _, v := range values {
-			put(strings.ToLower(name), v)
-		}
-	}
-	if p.Retries > 0 {
-		put("x-envoy-attempt-count", strconv.Itoa(attempt))
-	}
-	whole := len(a.Body) == 0
-	if err := stream.Send(&pb.ProcessingRequest{
-		Request:        &pb.ProcessingRequest_RequestHeaders{RequestHeaders: &pb.HttpHeaders{Headers: head, EndOfStream: whole}},
-		ProtocolConfig: &pb.ProtocolConfiguration{RequestBodyMode: p.BodyMode},
-	}); err != nil {
-		return broken(err)
-	}
-	if a.Fault == DisconnectBeforeDecision {
-		cancel()
-		stream.Recv()
-		return broken(context.Canceled)
-	}
-	sent := make(chan struct{}) // nobody else may send before its end
-	duplex := !whole && p.BodyMode == filterv3.ProcessingMode_FULL_DUPLEX_STREAMED
-	if duplex {
-		go func() { // ends with the exchange
-			defer close(sent)
-			p.body(stream, a.Body, 1000)
-		}()
-	}
-	for {
-		r, err := stream.Recv()
-		if err != nil {
-			return broken(err)
-		}
-		switch r := r.Response.(type) {
-		case *pb.ProcessingResponse_ImmediateResponse:
-			out.ByProcessor = true
-			out.Status, out.Header, out.Body = int(r.ImmediateResponse.GetStatus().GetCode()), http.Header{}, r.ImmediateResponse.GetBody()
-			ApplyMutation(out.Header, r.ImmediateResponse.GetHeaders())
-			return out, false
-		case *pb.ProcessingResponse_StreamedImmediateResponse:
-			return p.streamed(stream, r.StreamedImmediateResponse), false
-		case *pb.ProcessingResponse_RequestHeaders:
-			fields := a.Header.Clone()
-			if fields == nil {
-				fields = http.Header{}
-			}
-			ApplyMutation(fields, r.RequestHeaders.GetResponse().GetHeaderMutation())
-			server := fields.Get("X-Gateway-Destination-Endpoint")
-			if server != "" {
-				out.Servers = append(out.Servers, server)
-				if duplex {
-					if a.Body, err = passed(stream); err != nil {
-						return broken(err)
-					}
-					<-sent
-				}
-				return p.send(ctx, cancel, stream, a, fields, server, out)
-			}
-			if whole { // it would go on to a cluster of the proxy's own
-				return broken(errors.New("the processor named no server"))
-			}
-			if err := p.body(stream, a.Body, len(a.Body)); err != nil && err != io.EOF { // answered meanwhile: see Recv
-				return broken(err)
-			}
-		default:
-			return broken(fmt.Errorf("a reply that is not due: %T", r))
-		}
-	}
-}
-
-type exchange = grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse]
-
-// body sends a body in parts.
-func (p *Proxy) body(stream exchange, body []byte, part int) error {
-	for len(body) > 0 {
-		n := min(part, len(body))
-		err := stream.Send(&pb.ProcessingRequest{Request: &pb.ProcessingRequest_RequestBody{
-			RequestBody: &pb.HttpBody{Body: body[:n], EndOfStream: n == len(body)},
-		}})
-		if err != nil {
-			return err
-		}
-		body = body[n:]
-	}
-	return nil
-}
-
-// passed reads the body that the processor sends on in place of the one it was sent.
-func passed(stream exchange) (body []byte, err error) {
-	for {
-		r, err := stream.Recv()
-		if err != nil {
-			return nil, err
-		}
-		part := r.GetRequestBody().GetResponse().GetBodyMutation().GetStreamedResponse()
-		if part == nil {
-			return nil, fmt.Errorf("a reply that is not due: %v", r)
-		}
-		if body = append(body, part.Body...); part.EndOfStream {
-			return body, nil
-		}
-	}
-}
-
-// streamed takes an answer that comes in parts.
-func (p *Proxy) streamed(stream exchange, first *pb.StreamedImmediateResponse) Result {
-	out := Result{ByProcessor: true, Header: http.Header{}}
-	for _, f := range first.GetHeadersResponse().GetHeaders().GetHeaders() {
-		if f.Key == ":status" {
-			out.Status, _ = strconv.Atoi(string(f.RawValue))
-			continue
-		}
-		out.Header.Add(f.Key, string(f.RawValue))
-	}
-	for {
-		r, err := stream.Recv()
-		if err != nil {
-			out.Truncated, out.Err = true, err
-			return out
-		}
-		s := r.GetStreamedImmediateResponse()
-		out.Body = append(out.Body, s.GetBodyResponse().GetBody()...)
-		if s.GetBodyResponse().GetEndOfStream() || s.GetTrailersResponse() != nil {
-			return out
-		}
-	}
-}
-
-// send sends the request to the server that was named, and tells the processor what came of it.
-func (p *Proxy) send(ctx context.Context, leave func(), stream exchange, a Request, fields http.Header, server string, out Result) (Result, bool) {
-	switch a.Fault {
-	case DisconnectAfterDecision:
-		leave()
-		stream.Recv()
-		out.Err = context.Canceled
-		return out, false
-	case HalfCloseStream:
-		stream.CloseSend()
-		_, out.Err = stream.Recv()
-		return out, false
-	case OtherServer:
-		server = p.OtherServer
-	}
-	r, err := http.NewRequestWithContext(ctx, a.Method, "http://"+server+a.Path, bytes.NewReader(a.Body))
-	if err != nil {
-		out.Err = err
-		return out, false
-	}
-	r.Header = fields
-	if len(a.Body) == 0 {
-		r.Body = http.NoBody
-	}
-	r.GetBody = nil // nothing is sent again by the transport
-	if p.OnSend != nil {
-		p.OnSend(server, time.Now())
-	}
-	resp, err := p.upstream.RoundTrip(r)
-	details := "via_upstream"
-	if err != nil {
-		out.Status, details = http.StatusServiceUnavailable, "upstream_reset_before_response_started{connection_termination}"
-		if errors.Is(err, syscall.ECONNREFUSED) {
-			details = "upstream_reset_before_response_started{connection_failure}"
-		}
-		out.Header = http.Header{}
-	} else {
-		defer resp.Body.Close()
-		if out.Body, err = io.ReadAll(resp.Body); err != nil {
-			out.Truncated = true
-		}
-		out.Status, out.Header = resp.StatusCode, resp.Header
-	}
-	if a.Fault == NoResponseHeaders {
-		<-ctx.Done()
-		out.Err = ctx.Err()
-		return out, false
-	}
-	head := &corev3.HeaderMap{Headers: []*corev3.HeaderValue{{Key: ":status", RawValue: []byte(strconv.Itoa(out.Status))}}}
-	for name, values := range out.Header {
-		for _, v := range values {
-			head.Headers = append(head.Headers, &corev3.HeaderValue{Key: strings.ToLower(name), RawValue: []byte(v)})
-		}
-	}
-	attributes, _ := structpb.NewStruct(map[string]any{"response.code_details": details, "upstream.address": server})
-	if err := stream.Send(&pb.ProcessingRequest{
-		Request:    &pb.ProcessingRequest_ResponseHeaders{ResponseHeaders: &pb.HttpHeaders{Headers: head, EndOfStream: true}},
-		Attributes: map[string]*structpb.Struct{"envoy.filters.http.ext_proc": attributes},
-	}); err != nil {
-		out.Err = err
-		return out, false
-	}
-	reply, err := stream.Recv()
-	if err != nil {
-		out.Err = err
-		return out, false
-	}
-	ApplyMutation(out.Header, reply.GetResponseHeaders().GetResponse().GetHeaderMutation())
-	stream.CloseSend()
-	stream.Recv()
-	return out, out.Status >= 500
-}
-
-// ApplyMutation changes fields as a processor says (service.ext_proc.v3.HeaderMutation).
-func ApplyMutation(h http.Header, m *pb.HeaderMutation) {
-	for _, name := range m.GetRemoveHeaders() {
-		h.Del(name)
-	}
-	for _, o := range m.GetSetHeaders() {
-		name, value := o.GetHeader().GetKey(), string(o.GetHeader().GetRawValue())
-		switch o.GetAppendAction() {
-		case corev3.HeaderValueOption_APPEND_IF_EXISTS_OR_ADD:
-			h.Add(name, value)
-		case corev3.HeaderValueOption_ADD_IF_ABSENT:
-			if h.Get(name) == "" {
-				h.Set(name, value)
-			}
-		case corev3.HeaderValueOption_OVERWRITE_IF_EXISTS:
-			if h.Get(name) != "" {
-				h.Set(name, value)
-			}
-		default:
-			h.Set(name, value)
-		}
+		return Result{Err: err}, false
 	}
+	retry, x.result.Err = x.run(attempt)
+	return x.result, retry
 }
