--- a/internal/fake/fleet/parent_linux_test.go
+++ b/internal/fake/fleet/parent_linux_test.go
@@ -15,7 +15,7 @@
 	command, env := testutil.Itself()
 	cmd := exec.Command(command[0], asParent, t.TempDir())
 	cmd.Env = append(os.Environ(), env...)
-	if _, err := cmd.StdinPipe(); err != nil { // kept open: it waits on it
+	if _, err := cmd.StdinPipe(); err != nil { // it ends when this closes
 		t.Fatal(err)
 	}
 	out, write, err := os.Pipe()
