--- /dev/null
+++ b/cmd/yokestall/process_test.go
@@ -0,0 +1,58 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// process is a process of the system. A later one with its number differs in the start time.
+type process struct {
+	pid       int
+	startTime string // in clock ticks since the boot
+}
+
+// childrenOf returns the processes whose parent is another one.
+func childrenOf(t *testing.T, parent int) (list []process) {
+	t.Helper()
+	paths, err := filepath.Glob("/proc/[0-9]*/stat")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range paths {
+		pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(path)))
+		if fields := statOf(pid); fields != nil && fields[parentField] == strconv.Itoa(parent) {
+			list = append(list, process{pid, fields[startField]})
+		}
+	}
+	return list
+}
+
+// Fields of what statOf returns.
+const (
+	stateField  = 0
+	parentField = 1
+	startField  = 19
+)
+
+// statOf returns the fields of /proc/PID/stat that follow the name; nil: there is no such process.
+func statOf(pid int) []string {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	if err != nil {
+		return nil
+	}
+	_, afterName, _ := strings.Cut(string(text), ") ")
+	if fields := strings.Fields(afterName); len(fields) > startField {
+		return fields
+	}
+	return nil
+}
+
+// runs reports whether the process has not ended; a zombie has.
+func (p process) runs() bool {
+	fields := statOf(p.pid)
+	return fields != nil && fields[startField] == p.startTime && fields[stateField] != "Z"
+}
--- /dev/null
+++ b/internal/cli/fleet_voters.go
@@ -0,0 +1,34 @@
+package cli
+
+import (
+	"context"
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"yokestall/internal/fleet/agent"
+)
+
+// newVotersCommand makes `fleet voters`.
+func (f *fleetCommands) newVotersCommand() *cobra.Command {
+	return f.newQueryCommand("voters", "List the voters and whether each votes", f.printVoters)
+}
+
+// printVoters prints a line a voter.
+func (f *fleetCommands) printVoters(ctx context.Context, c *agent.Client) error {
+	list := c.Status(ctx)
+	return f.print(list, func() {
+		for _, v := range list {
+			switch {
+			case v.Status == nil:
+				fmt.Fprintf(f.out, "%s does not answer\n", v.Voter)
+			case !v.Status.Voter:
+				fmt.Fprintf(f.out, "%s doesn't vote\n", v.Voter)
+			case v.Status.Leader == v.Voter:
+				fmt.Fprintf(f.out, "%s leads\n", v.Voter)
+			default:
+				fmt.Fprintf(f.out, "%s votes\n", v.Voter)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/cli/serve.go
@@ -0,0 +1,77 @@
+package cli
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"yokestall/internal/files"
+	"yokestall/internal/fleet/agent"
+)
+
+// newServeCommand makes `serve`.
+func newServeCommand(log *slog.Logger) *cobra.Command {
+	var path string
+	c := &cobra.Command{
+		Use:   "serve",
+		Short: "Serve by a configuration file and its cluster files, following their changes",
+		Args:  cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			return Serve(c.Context(), path, log, nil)
+		},
+	}
+	c.Flags().StringVarP(&path, "config", "c", "", "the program's `file` (deploy/yokestall.toml is the example)")
+	c.MarkFlagRequired("config")
+	return c
+}
+
+// Serve runs the program by its files until ctx ends. ready, if given, is called with
+// the address once it listens.
+func Serve(ctx context.Context, path string, log *slog.Logger, ready func(net.Addr)) error {
+	return serve(ctx, path, log, serveOptions{ready: ready})
+}
+
+// serveOptions are what the lab changes of a program that serves; the zero value is the program as it is.
+type serveOptions struct {
+	ready func(net.Addr)       // called with the first listener's address once it listens; nil: not
+	clock func() time.Duration // for the leases of [fleet.agree]; nil: the machine's
+	hooks *agent.Hooks         // into the node's part of the fleet; nil: none
+}
+
+// serve is Serve with the lab's options.
+func serve(ctx context.Context, path string, log *slog.Logger, options serveOptions) error {
+	watcher, first, err := files.Open(path, log)
+	if err != nil {
+		return err
+	}
+	memory := newMemoryLimit()
+	memory.set(first.Program.MemoryLimit)
+	s, err := newServer(path, first, memory, log, options)
+	if err != nil {
+		return err
+	}
+	defer s.app.Close()
+	ctx, stop := context.WithCancel(ctx)
+	defer s.tasks.Wait()
+	defer stop()
+	if s.member != nil {
+		s.tasks.Go(func() { s.member.run(ctx, log) })
+	}
+	s.listeners = s.app.NewListeners()
+	if err := s.listeners.Apply(first.Program.Listeners); err != nil {
+		return err
+	}
+	defer s.listeners.Close()
+	processorEnded, err := s.startProcessor(ctx)
+	if err != nil {
+		return err
+	}
+	if options.ready != nil {
+		options.ready(s.listeners.Addr(first.Program.Listener.Name))
+	}
+	s.followConfiguration(ctx, watcher)
+	return s.wait(ctx, processorEnded)
+}
--- a/internal/demo/endpointlist.go
+++ b/internal/demo/endpointlist.go
@@ -73,7 +73,7 @@
 				}
 			}
 		}
-		if err := d.plane.Set(resources); err != nil {
+		if err := d.plane.SetResources(resources); err != nil {
 			return err
 		}
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -130,7 +130,7 @@
 		"nodes that still count on 6 s would send again what the servers have forgotten", "2s")
 	d.awaitAll("2s")
 	fmt.Fprintln(d.out, "\ne is cut off from all others")
-	d.nodes[cutOffNode].setLinks(fleet.Link{CutIn: true, CutOut: true})
+	d.nodes[cutOffNode].setLinks(fleet.Link{DropInbound: true, DropOutbound: true})
 	d.publish("keys are dropped for 9 s; e hears nothing of it", "9s")
 	d.awaitNode(cutOffNode,
 		"e is alone: it refuses what carries keys, since their window may have changed", keyedRefused)
--- a/internal/demo/fleetnode.go
+++ b/internal/demo/fleetnode.go
@@ -94,7 +94,7 @@
 // setLinks sets the state of all links to the voters.
 func (n *fleetNode) setLinks(state fleet.Link) {
 	for _, l := range n.links {
-		l.Set(state)
+		l.SetLink(state)
 	}
 }
 
--- a/internal/demo/proxy.go
+++ b/internal/demo/proxy.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	p := &proxy.Proxy{Conn: conn, Mode: filterv3.ProcessingMode_BUFFERED}
+	p := &proxy.Proxy{Conn: conn, BodyMode: filterv3.ProcessingMode_BUFFERED}
 	d.onClose(func() {
 		conn.Close()
 		p.Close()
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -59,9 +59,9 @@
 	app       *app.App
 	url       string // that clients send to
 
-	processor *extproc.Server     // nil: clients send to the program itself
-	plane     *controlplane.Plane // nil: the program reads its clusters from files
-	keys      *keyRotation        // nil: clear text
+	processor *extproc.Server      // nil: clients send to the program itself
+	plane     *controlplane.Server // nil: the program reads its clusters from files
+	keys      *keyRotation         // nil: clear text
 
 	versions chan struct{} // a signal for each version that the program has taken
 
