--- /dev/null
+++ b/internal/cli/fleet_rollback.go
@@ -0,0 +1,31 @@
+package cli
+
+import (
+	"context"
+	"fmt"
+	"strconv"
+
+	"github.com/spf13/cobra"
+
+	"yokestall/internal/fleet/agent"
+)
+
+func (f *fleetCommands) rollback() *cobra.Command {
+	var o submission
+	c := &cobra.Command{
+		Use:   "rollback NUMBER",
+		Short: "Have the fleet take up an earlier version again, as a new one",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			number, err := strconv.ParseUint(args[0], 10, 64)
+			if err != nil {
+				return fmt.Errorf("%q is no version's number", args[0])
+			}
+			return f.submit(cmd.Context(), o, func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error) {
+				return c.Rollback(ctx, id, base, number)
+			})
+		},
+	}
+	o.flags(c)
+	return c
+}
--- /dev/null
+++ b/internal/cli/lab_hollow.go
@@ -0,0 +1,73 @@
+package cli
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"yokestall/internal/config"
+	"yokestall/internal/files"
+	"yokestall/internal/lab/scale"
+	"yokestall/internal/tlskeys"
+)
+
+// labHollow runs hollow nodes, under the command of the process that started this one.
+func labHollow() *cobra.Command {
+	path := ""
+	var at scale.Placement
+	c := &cobra.Command{
+		Use: "hollow", Hidden: true, Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if at.First < 0 || at.Count < 1 || at.Before < 0 || at.Regions < 1 || at.Zones < 1 {
+				return errors.New("--first, --count, --before, --regions, --zones: no such nodes")
+			}
+			return runHollow(cmd.Context(), path, at, slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)))
+		},
+	}
+	f := c.Flags()
+	f.StringVarP(&path, "config", "c", "", "the nodes' own `file`")
+	f.IntVar(&at.First, "first", 0, "number of the first one among all hollow nodes")
+	f.IntVar(&at.Count, "count", 1, "how many")
+	f.IntVar(&at.Before, "before", 0, "nodes of the fleet that are not hollow")
+	f.IntVar(&at.Regions, "regions", 1, "over which all are spread")
+	f.IntVar(&at.Zones, "zones", 1, "likewise")
+	return c
+}
+
+func runHollow(ctx context.Context, path string, at scale.Placement, log *slog.Logger) error {
+	snap, err := files.Load(path)
+	if err != nil {
+		return err
+	}
+	p := snap.Program
+	if !p.Agree.On() {
+		return fmt.Errorf("%s: has no [fleet.agree]", path)
+	}
+	keys, err := fleetKeys(p, path, log)
+	if err != nil {
+		return err
+	}
+	base := fleetConfig(p, path, keys, log)
+	meter, states := scale.NewMeter(base.Voters, at.Regions), scale.NewStates()
+	hollow := scale.NewHollow(base, p, at, meter, states)
+	defer hollow.Stop()
+	if err := hollow.Start(ctx, false); err != nil {
+		return err
+	}
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	c := &scale.Controlled{Meter: meter, States: states, Hollows: hollow}
+	return c.Serve(ctx, os.Stdin, os.Stdout, ended(stop))
+}
+
+// fleetKeys opens the keys that a program's file names; nil: none.
+func fleetKeys(p *config.Program, path string, log *slog.Logger) (*tlskeys.Store, error) {
+	if p.Keys.Folder == "" {
+		return nil, nil
+	}
+	return tlskeys.Open(files.Beside(path, p.Keys.Folder), p.Keys.First, log)
+}
--- a/internal/cli/versions.go
+++ b/internal/cli/lab_versions.go
@@ -1,16 +1,13 @@
 package cli
 
 import (
-	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"os"
 	"time"
 
 	"github.com/spf13/cobra"
 
-	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/lease"
 	"yokestall/internal/lab"
 )
@@ -89,32 +86,3 @@
 	}
 	return held, nil
 }
-
-// labServe is serve with a clock that is fast or slow, or under command, for the lab's processes.
-func labServe() *cobra.Command {
-	path, rate := "", 1.0
-	controlled := false
-	var at placement
-	c := &cobra.Command{
-		Use: "serve", Hidden: true, Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if rate < 0.5 || rate > 2 {
-				return errors.New("--rate: from 0.5 to 2")
-			}
-			began := agent.BootTime()
-			clock := func() time.Duration {
-				return began + time.Duration(float64(agent.BootTime()-began)*rate)
-			}
-			log := slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil))
-			if controlled {
-				return serveControlled(cmd.Context(), path, log, at, clock)
-			}
-			return serveBy(cmd.Context(), path, log, nil, clock, nil)
-		},
-	}
-	c.Flags().StringVarP(&path, "config", "c", "", "the program's `file`")
-	c.Flags().Float64Var(&rate, "rate", rate, "of the clock for leases, to true time")
-	c.Flags().BoolVar(&controlled, "controlled", false, "take commands on standard input, and end with them")
-	at.flags(c)
-	return c
-}
