--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,3 @@
-// Package cli is the product program's command line.
 package cli
 
 import (
@@ -18,18 +17,27 @@
 func New(out, logs io.Writer) *cobra.Command {
 	log := slog.New(slog.NewTextHandler(logs, nil))
 	root := &cobra.Command{
-		Use:          "yokestall",
-		Short:        "A load balancer and traffic processor for large fleets",
-		SilenceUsage: true, SilenceErrors: true,
+		Use:           "yokestall",
+		Short:         "A load balancer and traffic processor for large fleets",
+		SilenceUsage:  true,
+		SilenceErrors: true,
 	}
 	root.SetOut(out)
 	root.SetErr(logs)
-	root.AddCommand(serve(log), check(out), showDemo(out, log), showLab(out), showFleet(out, log), showRelease(out, log), platformNode())
+	root.AddCommand(
+		newServeCommand(log),
+		newCheckCommand(out),
+		newDemoCommand(out, log),
+		newLabCommand(out),
+		newFleetCommand(out, log),
+		newReleaseCommand(out, log),
+		newNodeCommand(),
+	)
 	return root
 }
 
-// platformNode is yokestall-node within the product program, for machines that have that alone.
-func platformNode() *cobra.Command {
+// newNodeCommand makes `node`: yokestall-node within the product program, for machines that have that alone.
+func newNodeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "node",
 		Short: "Run the platform's node, told what to do by BALANCER_CONFIG",
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -12,59 +12,81 @@
 	"yokestall/internal/demo"
 )
 
-func showDemo(out io.Writer, log *slog.Logger) *cobra.Command {
-	o := demo.Options{Out: out, Log: slog.New(slog.DiscardHandler), Boxes: 4, Clients: 12, Phase: 2 * time.Second}
-	verbose, upkeep, fleet := false, false, false
+// demoFlags are the flags of `demo`.
+type demoFlags struct {
+	options demo.Options
+	fleet   bool
+	upkeep  bool
+	verbose bool
+}
+
+// newDemoCommand makes `demo`.
+func newDemoCommand(out io.Writer, log *slog.Logger) *cobra.Command {
+	f := &demoFlags{options: demo.Options{
+		Out: out, Log: slog.New(slog.DiscardHandler), Boxes: 4, Clients: 12, Phase: 2 * time.Second,
+	}}
 	c := &cobra.Command{
 		Use:   "demo",
 		Short: "Route real requests on stand-in app boxes, with one slow, one draining, one dying",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if verbose {
-				o.Log = log
-			}
-			if upkeep {
-				return showUpkeep(c.Context(), o)
-			}
-			if fleet {
-				broken, err := demo.Fleet(c.Context(), demo.FleetOptions{Out: out, Lease: time.Second})
-				if err == nil && len(broken) > 0 {
-					err = ErrReported
-				}
-				return err
+			if f.verbose {
+				f.options.Log = log
 			}
-			r, err := demo.Run(c.Context(), o)
-			if err != nil {
-				return err
-			}
-			if len(r.Broken) > 0 {
-				return ErrReported
-			}
-			return nil
+			return f.run(c.Context())
 		},
 	}
-	c.Flags().BoolVar(&o.Keep, "keep", false, "serve on afterwards, until interrupted")
-	c.Flags().BoolVar(&o.XDS, "xds", false, "have clusters, endpoints and routes come from a stand-in control plane")
-	c.Flags().BoolVar(&o.ExtProc, "extproc", false, "have a stand-in proxy in front ask the program about each request")
-	c.Flags().BoolVar(&o.TLS, "tls", false, "have clients speak HTTP/2 over TLS, with keys that are replaced meanwhile")
-	c.Flags().BoolVar(&fleet, "fleet", false, "have five nodes agree on versions while one of them is cut off")
-	c.Flags().BoolVar(&upkeep, "upkeep", false, "take a server out and back, drain the node, and replace its process, under load")
-	c.Flags().BoolVarP(&verbose, "verbose", "v", false, "show the program's log too")
+	f.add(c)
 	return c
 }
 
-// showUpkeep has the demo's node be this program itself.
-func showUpkeep(ctx context.Context, o demo.Options) error {
-	self, err := os.Executable()
-	if err != nil {
-		return err
+// add adds the flags to the command.
+func (f *demoFlags) add(c *cobra.Command) {
+	flags, o := c.Flags(), &f.options
+	flags.BoolVar(&o.Keep, "keep", false, "serve on afterwards, until interrupted")
+	flags.BoolVar(&o.XDS, "xds", false, "have clusters, endpoints and routes come from a stand-in control plane")
+	flags.BoolVar(&o.ExtProc, "extproc", false,
+		"have a stand-in proxy in front ask the program about each request")
+	flags.BoolVar(&o.TLS, "tls", false, "have clients speak HTTP/2 over TLS, with keys that are replaced meanwhile")
+	flags.BoolVar(&f.fleet, "fleet", false, "have five nodes agree on versions while one of them is cut off")
+	flags.BoolVar(&f.upkeep, "upkeep", false,
+		"take a server out and back, drain the node, and replace its process, under load")
+	flags.BoolVarP(&f.verbose, "verbose", "v", false, "show the program's log too")
+}
+
+// run shows the demo that the flags choose; ErrReported if a rule was broken.
+func (f *demoFlags) run(ctx context.Context) error {
+	switch {
+	case f.upkeep:
+		return runUpkeepDemo(ctx, f.options)
+	case f.fleet:
+		broken, err := demo.Fleet(ctx, demo.FleetOptions{Out: f.options.Out, Lease: time.Second})
+		return reportBroken(broken, err)
+	default:
+		r, err := demo.Run(ctx, f.options)
+		if err != nil {
+			return err
+		}
+		return reportBroken(r.Broken, nil)
 	}
-	broken, err := demo.Upkeep(ctx, demo.UpkeepOptions{Out: o.Out, Node: []string{self, "node"}, Clients: o.Clients, Phase: o.Phase / 2})
+}
+
+// runUpkeepDemo shows a node in daily operation. The node is this program itself.
+func runUpkeepDemo(ctx context.Context, o demo.Options) error {
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	if len(broken) > 0 {
+	broken, err := demo.Upkeep(ctx, demo.UpkeepOptions{
+		Out: o.Out, Node: []string{executable, "node"}, Clients: o.Clients, Phase: o.Phase / 2,
+	})
+	return reportBroken(broken, err)
+}
+
+// reportBroken returns err, or ErrReported if rules were broken: the demo has printed them.
+func reportBroken[T any](broken []T, err error) error {
+	if err == nil && len(broken) > 0 {
 		return ErrReported
 	}
-	return nil
+	return err
 }
--- a/internal/cli/fleet_commands_test.go
+++ b/internal/cli/fleet_commands_test.go
@@ -13,24 +13,59 @@
 	"yokestall/internal/testutil"
 )
 
-// agreedNode writes the file of the one voter of a fleet, and gives its path.
-func agreedNode(t *testing.T) string {
+// voterFile is the file of the one voter of a fleet; the verb is its address, twice.
+const voterFile = `[listen]
+address = "127.0.0.1:0"
+[files]
+clusters = "clusters"
+[fleet.agree]
+name = "f"
+node = "a"
+lease = "300ms"
+voters = ["a=%[1]s"]
+listen = "%[1]s"
+[[class]]
+name = "read"
+effect = "safe"
+deadline = "1s"
+[[host]]
+[[host.route]]
+prefix = "/"
+class = "read"
+cluster = "rooms"
+`
+
+// voterCluster is the cluster file of the voter's program.
+const voterCluster = `[cluster]
+name = "rooms"
+[[endpoint]]
+id = "s-1"
+address = "127.0.0.1:9"
+[[endpoint]]
+id = "s-2"
+address = "127.0.0.1:10"
+[end]
+endpoints = 2
+`
+
+// writeVoter writes the files of the one voter of a fleet and returns the path of the program's.
+func writeVoter(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
+	address := l.Addr().String()
 	l.Close()
 	dir := t.TempDir()
-	text := fmt.Sprintf("[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"clusters\"\n[fleet.agree]\nname = \"f\"\nnode = \"a\"\nlease = \"300ms\"\nvoters = [\"a=%s\"]\nlisten = %q\n"+
-		"[[class]]\nname = \"read\"\neffect = \"safe\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/\"\nclass = \"read\"\ncluster = \"rooms\"\n", addr, addr)
-	rooms := "[cluster]\nname = \"rooms\"\n[[endpoint]]\nid = \"s-1\"\naddress = \"127.0.0.1:9\"\n[[endpoint]]\nid = \"s-2\"\naddress = \"127.0.0.1:10\"\n[end]\nendpoints = 2\n"
-	path := filepath.Join(dir, "node.toml")
 	if err := os.Mkdir(filepath.Join(dir, "clusters"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string]string{path: text, filepath.Join(dir, "clusters", "rooms.toml"): rooms} {
+	path := filepath.Join(dir, "node.toml")
+	for name, text := range map[string]string{
+		path: fmt.Sprintf(voterFile, address),
+		filepath.Join(dir, "clusters", "rooms.toml"): voterCluster,
+	} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -40,7 +75,7 @@
 
 // A fleet of one from nothing, through the commands of its operators' page.
 func TestFleetCommands(t *testing.T) {
-	path := agreedNode(t)
+	path := writeVoter(t)
 	want := func(text string, fails bool, args ...string) {
 		t.Helper()
 		out, err := run(t, args...)
--- a/internal/cli/fleet_diff.go
+++ b/internal/cli/fleet_diff.go
@@ -10,34 +10,48 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-func fleetDiff(out io.Writer) *cobra.Command {
+// newFleetDiffCommand makes `fleet diff`, which calls no fleet.
+func newFleetDiffCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff OLD NEW",
 		Short: "Say how two configurations differ, and what of it two nodes may not act on at one time",
-		Long: "Reads both with their cluster files. Exits with 1 where they contradict: give the new one to all nodes at once, or to none\n" +
+		Long: "Reads both with their cluster files. Exits with 1 where they contradict: " +
+			"give the new one to all nodes at once, or to none\n" +
 			"while another acts on the old one.",
 		Args: cobra.ExactArgs(2),
-		RunE: func(_ *cobra.Command, paths []string) error {
-			var both []*consensus.Version
-			for _, path := range paths {
-				s, err := files.Load(path)
-				if err != nil {
-					return err
-				}
-				both = append(both, &consensus.Version{Program: s.Program, Clusters: s.Version.Clusters})
-			}
-			list, table := consensus.Differences(both[0], both[1]), consensus.Table()
-			for _, d := range list {
-				if d.Contradicts {
-					fmt.Fprintf(out, "CONTRADICTS %v (%s)\n", d, table[d.Kind].Why)
-				} else {
-					fmt.Fprintf(out, "differs     %v\n", d)
-				}
-			}
-			if consensus.Contradicts(list) {
-				return ErrReported
-			}
-			return nil
-		},
+		RunE: func(_ *cobra.Command, paths []string) error { return printDifferences(out, paths[0], paths[1]) },
 	}
 }
+
+// printDifferences prints a line a difference of two programs' files; ErrReported if the two contradict.
+func printDifferences(out io.Writer, oldPath, newPath string) error {
+	oldVersion, err := loadVersion(oldPath)
+	if err != nil {
+		return err
+	}
+	newVersion, err := loadVersion(newPath)
+	if err != nil {
+		return err
+	}
+	differences, rules := consensus.Differences(oldVersion, newVersion), consensus.Table()
+	for _, d := range differences {
+		if d.Contradicts {
+			fmt.Fprintf(out, "CONTRADICTS %v (%s)\n", d, rules[d.Kind].Why)
+		} else {
+			fmt.Fprintf(out, "differs     %v\n", d)
+		}
+	}
+	if consensus.Contradicts(differences) {
+		return ErrReported
+	}
+	return nil
+}
+
+// loadVersion reads a program's file and those that it names.
+func loadVersion(path string) (*consensus.Version, error) {
+	s, err := files.Load(path)
+	if err != nil {
+		return nil, err
+	}
+	return &consensus.Version{Program: s.Program, Clusters: s.Version.Clusters}, nil
+}
--- a/internal/cli/fleet_init.go
+++ b/internal/cli/fleet_init.go
@@ -2,34 +2,39 @@
 
 import (
 	"fmt"
+	"slices"
 
 	"github.com/spf13/cobra"
 
 	"yokestall/internal/fleet/agent"
 )
 
-func (f *fleetCommands) init() *cobra.Command {
+// newInitCommand makes `fleet init`.
+func (f *fleetCommands) newInitCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "init",
 		Short: "Make this node's store that of a voter of a new fleet, before its first start",
-		Long: "Once on each voter, before it is started. A voter whose store was lost must not be made anew by it: it would have forgotten\n" +
+		Long: "Once on each voter, before it is started. A voter whose store was lost must not be made anew by it: " +
+			"it would have forgotten\n" +
 			"what it promised. It follows without a vote then.",
 		Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			of, err := f.of()
-			if err != nil {
-				return err
-			}
-			for _, v := range of.Voters {
-				if v.Name == of.Name {
-					if err := agent.Init(of); err != nil {
-						return err
-					}
-					fmt.Fprintf(f.out, "%s is a voter of the fleet %s\n", of.Name, of.Fleet)
-					return nil
-				}
-			}
-			return fmt.Errorf("%s: voters: %s is not among them, and needs no init", f.config, of.Name)
-		},
+		RunE: func(*cobra.Command, []string) error { return f.initVoter() },
 	}
 }
+
+// initVoter makes the store of the node, which has to be one of the voters.
+func (f *fleetCommands) initVoter() error {
+	config, err := f.agentConfig()
+	if err != nil {
+		return err
+	}
+	isVoter := slices.ContainsFunc(config.Voters, func(v agent.Voter) bool { return v.Name == config.Name })
+	if !isVoter {
+		return fmt.Errorf("%s: voters: %s is not among them, and needs no init", f.config, config.Name)
+	}
+	if err := agent.Init(config); err != nil {
+		return err
+	}
+	fmt.Fprintf(f.out, "%s is a voter of the fleet %s\n", config.Name, config.Fleet)
+	return nil
+}
--- a/internal/cli/fleet_owners.go
+++ b/internal/cli/fleet_owners.go
@@ -9,33 +9,53 @@
 	"yokestall/internal/fleet/agent"
 )
 
-func (f *fleetCommands) owners() *cobra.Command {
-	return f.report("owners", "Say which node does each work on behalf of the fleet, by which token, and for how long its lease lasts", func(ctx context.Context, c *agent.Client) error {
-		s, err := c.LatestStatus(ctx)
-		if err != nil {
-			return err
-		}
-		list := s.Tasks
-		for _, a := range c.Status(ctx) { // the owner itself knows its lease
-			for i := range list {
-				if a.Status != nil && i < len(a.Status.Tasks) && a.Status.Tasks[i].Active && a.Status.Tasks[i].Token == list[i].Token {
-					list[i] = a.Status.Tasks[i]
-				}
-			}
+// newOwnersCommand makes `fleet owners`.
+func (f *fleetCommands) newOwnersCommand() *cobra.Command {
+	return f.newQueryCommand("owners",
+		"Say which node does each work on behalf of the fleet, by which token, and for how long its lease lasts",
+		f.printOwners)
+}
+
+// printOwners prints a line a task of the fleet.
+func (f *fleetCommands) printOwners(ctx context.Context, c *agent.Client) error {
+	s, err := c.LatestStatus(ctx)
+	if err != nil {
+		return err
+	}
+	tasks := s.Tasks
+	for _, v := range c.Status(ctx) {
+		addActiveLeases(tasks, v.Status)
+	}
+	return f.print(tasks, func() {
+		for _, task := range tasks {
+			f.printOwner(task)
 		}
-		return f.print(list, func() {
-			for _, o := range list {
-				switch {
-				case o.Owner == "":
-					fmt.Fprintf(f.out, "%s: nobody; each node has an equal part\n", o.Task)
-				case o.NextOwner != "":
-					fmt.Fprintf(f.out, "%s: %s by token %d, and %s once that one can't act any more\n", o.Task, o.Owner, o.Token, o.NextOwner)
-				case o.Active:
-					fmt.Fprintf(f.out, "%s: %s by token %d, for %d ms\n", o.Task, o.Owner, o.Token, o.LeaseLeftMs)
-				default:
-					fmt.Fprintf(f.out, "%s: %s by token %d, without a lease at present\n", o.Task, o.Owner, o.Token)
-				}
-			}
-		})
 	})
 }
+
+// addActiveLeases replaces the tasks whose owner is the voter of a status: only the owner itself knows its lease.
+func addActiveLeases(tasks []agent.TaskStatus, s *agent.Status) {
+	if s == nil {
+		return
+	}
+	for i := range tasks {
+		if i < len(s.Tasks) && s.Tasks[i].Active && s.Tasks[i].Token == tasks[i].Token {
+			tasks[i] = s.Tasks[i]
+		}
+	}
+}
+
+// printOwner prints the line of one task.
+func (f *fleetCommands) printOwner(t agent.TaskStatus) {
+	switch {
+	case t.Owner == "":
+		fmt.Fprintf(f.out, "%s: nobody; each node has an equal part\n", t.Task)
+	case t.NextOwner != "":
+		fmt.Fprintf(f.out, "%s: %s by token %d, and %s once that one can't act any more\n",
+			t.Task, t.Owner, t.Token, t.NextOwner)
+	case t.Active:
+		fmt.Fprintf(f.out, "%s: %s by token %d, for %d ms\n", t.Task, t.Owner, t.Token, t.LeaseLeftMs)
+	default:
+		fmt.Fprintf(f.out, "%s: %s by token %d, without a lease at present\n", t.Task, t.Owner, t.Token)
+	}
+}
--- a/internal/cli/fleet_rollback.go
+++ b/internal/cli/fleet_rollback.go
@@ -10,8 +10,9 @@
 	"yokestall/internal/fleet/agent"
 )
 
-func (f *fleetCommands) rollback() *cobra.Command {
-	var o submission
+// newRollbackCommand makes `fleet rollback`.
+func (f *fleetCommands) newRollbackCommand() *cobra.Command {
+	var flags submitFlags
 	c := &cobra.Command{
 		Use:   "rollback NUMBER",
 		Short: "Have the fleet take up an earlier version again, as a new one",
@@ -21,11 +22,16 @@
 			if err != nil {
 				return fmt.Errorf("%q is no version's number", args[0])
 			}
-			return f.submit(cmd.Context(), o, func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error) {
-				return c.Rollback(ctx, id, base, number)
-			})
+			return f.submit(cmd.Context(), flags, rollbackTo(number))
 		},
 	}
-	o.flags(c)
+	flags.add(c)
 	return c
 }
+
+// rollbackTo proposes an earlier version again.
+func rollbackTo(number uint64) proposeFunc {
+	return func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error) {
+		return c.Rollback(ctx, id, base, number)
+	}
+}
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -10,47 +10,58 @@
 	"yokestall/internal/fleet/agent"
 )
 
-func (f *fleetCommands) status() *cobra.Command {
-	return f.report("status", "Say how each voter sees the fleet: leader, version in force, version that waits, and for whom", func(ctx context.Context, c *agent.Client) error {
-		list := c.Status(ctx)
-		up := 0
-		for _, a := range list {
-			if a.Status != nil && a.Status.Voter {
-				up++
-			}
+// newStatusCommand makes `fleet status`.
+func (f *fleetCommands) newStatusCommand() *cobra.Command {
+	return f.newQueryCommand("status",
+		"Say how each voter sees the fleet: leader, version in force, version that waits, and for whom",
+		f.printStatus)
+}
+
+// printStatus prints the status of each voter; ErrReported without a majority.
+func (f *fleetCommands) printStatus(ctx context.Context, c *agent.Client) error {
+	list := c.Status(ctx)
+	voting := 0
+	for _, v := range list {
+		if v.Status != nil && v.Status.Voter {
+			voting++
 		}
-		err := f.print(list, func() {
-			for _, a := range list {
-				f.line(a)
-			}
-		})
-		if err == nil && up <= len(list)/2 {
-			fmt.Fprintf(f.out, "%d of %d voters answer: no version can come into force, and leases run out\n", up, len(list))
-			return ErrReported
+	}
+	err := f.print(list, func() {
+		for _, v := range list {
+			f.printVoterStatus(v)
 		}
-		return err
 	})
+	if err == nil && voting <= len(list)/2 {
+		fmt.Fprintf(f.out, "%d of %d voters answer: no version can come into force, and leases run out\n",
+			voting, len(list))
+		return ErrReported
+	}
+	return err
 }
 
-// line prints a voter's status.
-func (f *fleetCommands) line(a agent.VoterStatus) {
-	s := a.Status
+// printVoterStatus prints the line of one voter.
+func (f *fleetCommands) printVoterStatus(v agent.VoterStatus) {
+	s := v.Status
 	switch {
 	case s == nil:
-		fmt.Fprintf(f.out, "%-12s does not answer: %s\n", a.Voter, a.Error)
-		return
+		fmt.Fprintf(f.out, "%-12s does not answer: %s\n", v.Voter, v.Error)
 	case !s.Voter && s.VotingError != "":
-		fmt.Fprintf(f.out, "%-12s votes no more: %s\n", a.Voter, s.VotingError)
-		return
+		fmt.Fprintf(f.out, "%-12s votes no more: %s\n", v.Voter, s.VotingError)
 	case !s.Voter:
-		fmt.Fprintf(f.out, "%-12s follows: its store was not made by init\n", a.Voter)
-		return
+		fmt.Fprintf(f.out, "%-12s follows: its store was not made by init\n", v.Voter)
+	default:
+		f.printVotingStatus(v.Voter, s)
 	}
+}
+
+// printVotingStatus prints the line of a voter that votes.
+func (f *fleetCommands) printVotingStatus(voter string, s *agent.Status) {
 	leader := s.Leader
 	if leader == "" {
 		leader = "none"
 	}
-	fmt.Fprintf(f.out, "%-12s version %d in force (epoch %d), leader %s in term %d, acts on %v", a.Voter, s.LogStatus.ActiveVersion, s.LogStatus.Epoch, leader, s.Term, s.Applied)
+	fmt.Fprintf(f.out, "%-12s version %d in force (epoch %d), leader %s in term %d, acts on %v",
+		voter, s.LogStatus.ActiveVersion, s.LogStatus.Epoch, leader, s.Term, s.Applied)
 	if s.Disconnected {
 		fmt.Fprint(f.out, " alone")
 	} else {
--- a/internal/cli/fleet_submit.go
+++ b/internal/cli/fleet_submit.go
@@ -12,69 +12,104 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// submission is what publish and rollback are told.
-type submission struct {
-	base, id string
-	wait     time.Duration
-}
+// submitTimeout is the default of --wait.
+const submitTimeout = 30 * time.Second
 
-func (o *submission) flags(c *cobra.Command) {
-	c.Flags().StringVar(&o.base, "base", "", "`number` of the version that it was made from, or present for whatever is in force")
-	c.Flags().StringVar(&o.id, "id", "", "of an earlier try, to find out what became of it")
-	c.Flags().DurationVar(&o.wait, "wait", 30*time.Second, "until it is in force; 0: don't")
-	c.MarkFlagRequired("base")
-}
+// baseInForce is the value of --base for whatever version is in force.
+const baseInForce = "present"
 
-// submitter has a client take up a version under an id, made from a base.
-type submitter func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error)
+// submitFlags are the flags of the commands that propose a version.
+type submitFlags struct {
+	base string // number of the version that it was made from, or baseInForce
+	id   string // "": a new one
+	wait time.Duration
+}
 
-// submit has a version taken up and waits for it.
-func (f *fleetCommands) submit(ctx context.Context, o submission, do submitter) error {
-	return f.with(func(c *agent.Client) error { return f.submitBy(ctx, c, o, do) })
+// add adds the flags to a command.
+func (s *submitFlags) add(c *cobra.Command) {
+	flags := c.Flags()
+	flags.StringVar(&s.base, "base", "",
+		"`number` of the version that it was made from, or present for whatever is in force")
+	flags.StringVar(&s.id, "id", "", "of an earlier try, to find out what became of it")
+	flags.DurationVar(&s.wait, "wait", submitTimeout, "until it is in force; 0: don't")
+	c.MarkFlagRequired("base")
 }
 
-func (f *fleetCommands) submitBy(ctx context.Context, c *agent.Client, by submission, do submitter) error {
-	id, wait := by.id, by.wait
-	at, err := strconv.ParseUint(by.base, 10, 64)
-	if by.base == "present" {
-		var s *agent.Status
-		if s, err = c.LatestStatus(ctx); err == nil {
-			at = s.LogStatus.ActiveVersion
+// baseVersion returns the number that --base means.
+func (s *submitFlags) baseVersion(ctx context.Context, c *agent.Client) (uint64, error) {
+	if s.base != baseInForce {
+		number, err := strconv.ParseUint(s.base, 10, 64)
+		if err != nil {
+			return 0, fmt.Errorf("--base: %w", err)
 		}
+		return number, nil
 	}
+	status, err := c.LatestStatus(ctx)
 	if err != nil {
-		return fmt.Errorf("--base: %w", err)
-	}
-	if id == "" {
-		id = agent.NewID()
-	}
-	p, err := do(ctx, c, id, at)
-	if err != nil {
-		return err
+		return 0, fmt.Errorf("--base: %w", err)
 	}
-	r := result{ID: id, PublishReply: p}
-	if p.Number > 0 && wait > 0 {
-		ctx, stop := context.WithTimeout(ctx, wait)
-		defer stop()
-		o, err := c.WaitForVersion(ctx, p.Number, func(o agent.PublishOutcome) {
-			if !f.json && len(o.WaitingFor) > 0 {
-				fmt.Fprintf(f.out, "version %d waits for %s\n", p.Number, strings.Join(o.WaitingFor, ", "))
-			}
-		})
-		if r.PublishOutcome = &o; err != nil && !f.json {
-			fmt.Fprintf(f.out, "version %d is not in force after %v; it goes on waiting\n", p.Number, wait)
+	return status.LogStatus.ActiveVersion, nil
+}
+
+// proposeFunc proposes a version under an id, made from a base.
+type proposeFunc func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error)
+
+// publishResult is what a proposal prints as JSON.
+type publishResult struct {
+	ID string `json:"id"`
+	*agent.PublishReply
+	*agent.PublishOutcome // nil: not waited for
+}
+
+// submit proposes a version, waits for it and prints the result; ErrReported if it is not taken up, or not in force.
+func (f *fleetCommands) submit(ctx context.Context, flags submitFlags, propose proposeFunc) error {
+	return f.withClient(func(c *agent.Client) error {
+		base, err := flags.baseVersion(ctx, c)
+		if err != nil {
+			return err
 		}
+		id := flags.id
+		if id == "" {
+			id = agent.NewID()
+		}
+		reply, err := propose(ctx, c, id, base)
+		if err != nil {
+			return err
+		}
+		r := publishResult{ID: id, PublishReply: reply}
+		if reply.Number > 0 && flags.wait > 0 {
+			r.PublishOutcome = f.awaitVersion(ctx, c, reply.Number, flags.wait)
+		}
+		if err := f.print(r, func() { f.printResult(r) }); err != nil {
+			return err
+		}
+		notInForce := r.PublishOutcome != nil && !r.InForce
+		if reply.Number == 0 || reply.Error != "" || notInForce {
+			return ErrReported
+		}
+		return nil
+	})
+}
+
+// awaitVersion waits until a version is in force or refused, or the time is over, and prints its progress.
+func (f *fleetCommands) awaitVersion(
+	ctx context.Context, c *agent.Client, number uint64, wait time.Duration,
+) *agent.PublishOutcome {
+	ctx, stop := context.WithTimeout(ctx, wait)
+	defer stop()
+	outcome, err := c.WaitForVersion(ctx, number, func(o agent.PublishOutcome) {
+		if !f.json && len(o.WaitingFor) > 0 {
+			fmt.Fprintf(f.out, "version %d waits for %s\n", number, strings.Join(o.WaitingFor, ", "))
+		}
+	})
+	if err != nil && !f.json {
+		fmt.Fprintf(f.out, "version %d is not in force after %v; it goes on waiting\n", number, wait)
 	}
-	if err := f.print(r, func() { f.say(r) }); err != nil {
-		return err
-	}
-	if p.Number == 0 || p.Error != "" || r.PublishOutcome != nil && !r.PublishOutcome.InForce {
-		return ErrReported
-	}
-	return nil
+	return &outcome
 }
 
-func (f *fleetCommands) say(r result) {
+// printResult prints the result of a proposal as text.
+func (f *fleetCommands) printResult(r publishResult) {
 	switch {
 	case r.Number == 0:
 		fmt.Fprintf(f.out, "nothing is published: %s\n", r.Error)
--- a/internal/cli/fleet_voters.go
+++ b/internal/cli/fleet_voters.go
@@ -9,22 +9,26 @@
 	"yokestall/internal/fleet/agent"
 )
 
-func (f *fleetCommands) voters() *cobra.Command {
-	return f.report("voters", "List the voters and whether each votes", func(ctx context.Context, c *agent.Client) error {
-		list := c.Status(ctx)
-		return f.print(list, func() {
-			for _, a := range list {
-				switch {
-				case a.Status == nil:
-					fmt.Fprintf(f.out, "%s does not answer\n", a.Voter)
-				case !a.Status.Voter:
-					fmt.Fprintf(f.out, "%s doesn't vote\n", a.Voter)
-				case a.Status.Leader == a.Voter:
-					fmt.Fprintf(f.out, "%s leads\n", a.Voter)
-				default:
-					fmt.Fprintf(f.out, "%s votes\n", a.Voter)
-				}
+// newVotersCommand makes `fleet voters`.
+func (f *fleetCommands) newVotersCommand() *cobra.Command {
+	return f.newQueryCommand("voters", "List the voters and whether each votes", f.printVoters)
+}
+
+// printVoters prints a line a voter.
+func (f *fleetCommands) printVoters(ctx context.Context, c *agent.Client) error {
+	list := c.Status(ctx)
+	return f.print(list, func() {
+		for _, v := range list {
+			switch {
+			case v.Status == nil:
+				fmt.Fprintf(f.out, "%s does not answer\n", v.Voter)
+			case !v.Status.Voter:
+				fmt.Fprintf(f.out, "%s doesn't vote\n", v.Voter)
+			case v.Status.Leader == v.Voter:
+				fmt.Fprintf(f.out, "%s leads\n", v.Voter)
+			default:
+				fmt.Fprintf(f.out, "%s votes\n", v.Voter)
 			}
-		})
+		}
 	})
 }
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -1,157 +1,89 @@
 package cli
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"os"
-	"path/filepath"
-	"time"
 
 	"github.com/spf13/cobra"
 
-	"yokestall/internal/fleetsim"
 	"yokestall/internal/lab"
 )
 
-// experiment reads an experiment's file.
-func experiment(path string) (*lab.Experiment, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	return lab.Parse(path, text)
-}
+// defaultSeeds is the default of --seeds.
+const defaultSeeds = 4
 
-func showLab(out io.Writer) *cobra.Command {
+// newLabCommand makes `lab` and its subcommands.
+func newLabCommand(out io.Writer) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "lab",
 		Short: "Play days of a fleet in virtual time: what would happen to us if",
 	}
 	var seeds int
-	c.PersistentFlags().IntVar(&seeds, "seeds", 4, "play `N` seeds, from the file's own on")
-	var peers bool
-	var deal time.Duration
-	var sheet string
-	var sizes sizes
-	run := &cobra.Command{
-		Use:   "run FILE...",
-		Short: "Play days; exits with 1 where one does not hold what its file states",
-		Args:  cobra.MinimumNArgs(1),
-		RunE: func(_ *cobra.Command, paths []string) error {
-			return each(paths, func(path string) (bool, error) {
-				return eachOf(sizes.all(), func(size lab.Size) (bool, error) { return play(out, path, size, seeds, peers, sheet, deal) })
-			})
-		},
-	}
-	run.Flags().DurationVar(&deal, "deal", 0, "beside a fleet whose cold budget an owner deals out by demand, where nodes lend for so long")
-	run.Flags().BoolVar(&peers, "peers", false, "beside other ways to choose")
-	run.Flags().StringVar(&sheet, "csv", "", "write the service of each second to a `file`")
-	run.Flags().IntSliceVar(&sizes.nodes, "nodes", []int{0}, "with so many nodes, each in turn (0: as the file says)")
-	run.Flags().IntSliceVar(&sizes.servers, "servers", []int{0}, "with so many servers, and rates that grow with them")
-	run.Flags().Float64SliceVar(&sizes.loads, "load", []float64{0}, "with rates that ask for this share of the fleet's capacity")
-	compare := &cobra.Command{
-		Use:   "compare A B",
-		Short: "Play two days on the same seeds, and say whether the second gives more service than the first",
-		Args:  cobra.ExactArgs(2),
-		RunE: func(_ *cobra.Command, paths []string) error {
-			var both []*lab.Outcome
-			for _, path := range paths {
-				e, err := experiment(path)
-				if err != nil {
-					return err
-				}
-				o, err := lab.Run(e, path, fleetsim.Program, max(2, seeds))
-				if err != nil {
-					return err
-				}
-				both = append(both, o)
-			}
-			lab.Table(out, both)
-			fmt.Fprintln(out, "service of the second over the first:", lab.Compare(both[0], both[1]))
-			return nil
-		},
-	}
-	sockets := &cobra.Command{
-		Use:   "real FILE...",
-		Short: "Play days on sockets too, in real time, beside the same days in virtual time",
-		Args:  cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, paths []string) error {
-			return each(paths, func(path string) (bool, error) { return playReal(c.Context(), out, path) })
-		},
-	}
-	var draw int
-	var drawSeed uint64
-	processes := &cobra.Command{
-		Use:   "fleet FILE...",
-		Short: "Play days with a real process of the program for each node, and the file's faults of processes and links",
-		Args:  cobra.MinimumNArgs(1),
-		RunE: func(c *cobra.Command, paths []string) error {
-			return each(paths, func(path string) (bool, error) { return playFleet(c.Context(), out, path, draw, drawSeed) })
-		},
-	}
-	processes.Flags().IntVar(&draw, "draw", 0, "draw `N` faults in place of the file's, and print them")
-	processes.Flags().Uint64Var(&drawSeed, "faults", 1, "by this `seed`")
-	list := &cobra.Command{
-		Use:   "list [FOLDER]",
-		Short: "List the days of a folder",
-		Args:  cobra.MaximumNArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error {
-			folder := filepath.Join("deploy", "lab")
-			if len(args) > 0 {
-				folder = args[0]
-			}
-			paths, err := filepath.Glob(filepath.Join(folder, "*.toml"))
-			if err != nil || len(paths) == 0 {
-				return errors.Join(fmt.Errorf("%s: no days", folder), err)
-			}
-			for _, path := range paths {
-				if scalePlan(path) {
-					continue
-				}
-				e, err := experiment(path)
-				if err != nil {
-					return err
-				}
-				fmt.Fprintf(out, "%-36s %s\n", path, e.Summary())
-			}
-			return nil
-		},
-	}
-	c.AddCommand(run, sockets, processes, compare, list, labVersions(out), labServe(), labScale(out), labHollow(), labProcess(out))
+	c.PersistentFlags().IntVar(&seeds, "seeds", defaultSeeds, "play `N` seeds, from the file's own on")
+	c.AddCommand(
+		newLabRunCommand(out, &seeds),
+		newLabRealCommand(out),
+		newLabFleetCommand(out),
+		newLabCompareCommand(out, &seeds),
+		newLabListCommand(out),
+		newLabVersionsCommand(out),
+		newLabServeCommand(),
+		newLabScaleCommand(out),
+		newLabHollowCommand(),
+		newLabProcessCommand(out),
+	)
 	return c
 }
 
-// each plays days, or one day at sizes, to the last; what does not hold has been printed.
-func each[T any](list []T, play func(T) (bool, error)) error {
-	held, err := eachOf(list, play)
-	if err == nil && !held {
+// loadExperiment reads an experiment's file.
+func loadExperiment(path string) (*lab.Experiment, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return lab.Parse(path, text)
+}
+
+// requireAll plays the days of all files; ErrReported if one does not pass, which has been printed.
+func requireAll(paths []string, play func(path string) (passed bool, err error)) error {
+	passed, err := allPass(paths, play)
+	if err == nil && !passed {
 		err = ErrReported
 	}
 	return err
 }
 
-func eachOf[T any](list []T, play func(T) (bool, error)) (held bool, err error) {
-	held = true
-	for _, one := range list {
-		ok, err := play(one)
+// allPass calls play with each item of a list, past those that do not pass; the first error ends it.
+func allPass[T any](list []T, play func(T) (passed bool, err error)) (bool, error) {
+	all := true
+	for _, item := range list {
+		passed, err := play(item)
 		if err != nil {
 			return false, err
 		}
-		held = held && ok
+		all = all && passed
 	}
-	return held, nil
+	return all, nil
 }
 
-// printBeside prints a day's outcome in real time beside that in virtual time, and whether the former holds.
-func printBeside[T any](out io.Writer, e *lab.Experiment, virtual, realTime *lab.Outcome, broken []T, void bool) (held bool) {
+// printBeside prints a day's outcome in real time beside that in virtual time, and what the former broke. void says
+// that the load generator was late. It reports whether the outcome in real time passes.
+func printBeside[T any](
+	out io.Writer, e *lab.Experiment, virtual, realTime *lab.Outcome, broken []T, void bool,
+) (passed bool) {
 	fmt.Fprintln(out, e.Summary())
 	lab.Table(out, []*lab.Outcome{virtual, realTime})
-	for _, b := range broken {
-		fmt.Fprintln(out, "NOT HELD:", b)
-	}
+	printBroken(out, broken)
 	if void {
 		fmt.Fprintln(out, "VOID: the load generator was late itself")
 	}
 	return len(broken) == 0 && !void
 }
+
+// printBroken prints a line a rule that was broken.
+func printBroken[T any](out io.Writer, broken []T) {
+	for _, b := range broken {
+		fmt.Fprintln(out, "NOT HELD:", b)
+	}
+}
--- a/internal/cli/lab_hollow.go
+++ b/internal/cli/lab_hollow.go
@@ -9,18 +9,18 @@
 
 	"github.com/spf13/cobra"
 
-	"yokestall/internal/config"
 	"yokestall/internal/files"
 	"yokestall/internal/lab/scale"
-	"yokestall/internal/tlskeys"
 )
 
-// labHollow runs hollow nodes, under the command of the process that started this one.
-func labHollow() *cobra.Command {
+// newLabHollowCommand makes `lab hollow`: hollow nodes under the command of the process that started this one.
+func newLabHollowCommand() *cobra.Command {
 	path := ""
 	var at scale.Placement
 	c := &cobra.Command{
-		Use: "hollow", Hidden: true, Args: cobra.NoArgs,
+		Use:    "hollow",
+		Hidden: true,
+		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if at.First < 0 || at.Count < 1 || at.Before < 0 || at.Regions < 1 || at.Zones < 1 {
 				return errors.New("--first, --count, --before, --regions, --zones: no such nodes")
@@ -28,26 +28,27 @@
 			return runHollow(cmd.Context(), path, at, slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)))
 		},
 	}
-	f := c.Flags()
-	f.StringVarP(&path, "config", "c", "", "the nodes' own `file`")
-	f.IntVar(&at.First, "first", 0, "number of the first one among all hollow nodes")
-	f.IntVar(&at.Count, "count", 1, "how many")
-	f.IntVar(&at.Before, "before", 0, "nodes of the fleet that are not hollow")
-	f.IntVar(&at.Regions, "regions", 1, "over which all are spread")
-	f.IntVar(&at.Zones, "zones", 1, "likewise")
+	flags := c.Flags()
+	flags.StringVarP(&path, "config", "c", "", "the nodes' own `file`")
+	flags.IntVar(&at.First, "first", 0, "number of the first one among all hollow nodes")
+	flags.IntVar(&at.Count, "count", 1, "how many")
+	flags.IntVar(&at.Before, "before", 0, "nodes of the fleet that are not hollow")
+	flags.IntVar(&at.Regions, "regions", 1, "over which all are spread")
+	flags.IntVar(&at.Zones, "zones", 1, "likewise")
 	return c
 }
 
+// runHollow runs hollow nodes until the commands on standard input end.
 func runHollow(ctx context.Context, path string, at scale.Placement, log *slog.Logger) error {
-	snap, err := files.Load(path)
+	snapshot, err := files.Load(path)
 	if err != nil {
 		return err
 	}
-	p := snap.Program
+	p := snapshot.Program
 	if !p.Agree.On() {
 		return fmt.Errorf("%s: has no [fleet.agree]", path)
 	}
-	keys, err := fleetKeys(p, path, log)
+	keys, err := openKeys(p, path, log)
 	if err != nil {
 		return err
 	}
@@ -61,13 +62,5 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	c := &scale.Controlled{Meter: meter, States: states, Hollows: hollow}
-	return c.Serve(ctx, os.Stdin, os.Stdout, ended(stop))
-}
-
-// fleetKeys opens the keys that a program's file names; nil: none.
-func fleetKeys(p *config.Program, path string, log *slog.Logger) (*tlskeys.Store, error) {
-	if p.Keys.Folder == "" {
-		return nil, nil
-	}
-	return tlskeys.Open(files.Beside(path, p.Keys.Folder), p.Keys.First, log)
+	return c.Serve(ctx, os.Stdin, os.Stdout, exitAfter(stop))
 }
--- a/internal/cli/lab_real.go
+++ b/internal/cli/lab_real.go
@@ -6,13 +6,27 @@
 	"io"
 	"log/slog"
 
+	"github.com/spf13/cobra"
+
 	"yokestall/internal/fleetsim"
 	"yokestall/internal/lab"
 )
 
-// playReal plays one day on sockets; false: it does not hold what its file states, or the run says nothing.
-func playReal(ctx context.Context, out io.Writer, path string) (bool, error) {
-	e, err := experiment(path)
+// newLabRealCommand makes `lab real`.
+func newLabRealCommand(out io.Writer) *cobra.Command {
+	return &cobra.Command{
+		Use:   "real FILE...",
+		Short: "Play days on sockets too, in real time, beside the same days in virtual time",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(c *cobra.Command, paths []string) error {
+			return requireAll(paths, func(path string) (bool, error) { return playReal(c.Context(), out, path) })
+		},
+	}
+}
+
+// playReal plays one day on sockets; passed: it holds what its file states, and the load generator was not late.
+func playReal(ctx context.Context, out io.Writer, path string) (passed bool, err error) {
+	e, err := loadExperiment(path)
 	if err != nil {
 		return false, err
 	}
@@ -24,7 +38,7 @@
 	if err != nil {
 		return false, err
 	}
-	held := printBeside(out, e, virtual, sockets, sockets.Broken(), void)
+	passed = printBeside(out, e, virtual, sockets, sockets.Broken(), void)
 	fmt.Fprintln(out)
-	return held, nil
+	return passed, nil
 }
--- a/internal/cli/lab_scale.go
+++ b/internal/cli/lab_scale.go
@@ -6,7 +6,6 @@
 	"io"
 	"os"
 	"path/filepath"
-	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -15,46 +14,64 @@
 	"yokestall/internal/lab/scale"
 )
 
-// labScale plays fleets of hollow nodes and measures what control costs.
-func labScale(out io.Writer) *cobra.Command {
-	to, check, dir := "", "", ""
+// scaleRun is `lab scale` with its flags.
+type scaleRun struct {
+	out      io.Writer
+	progress io.Writer
+	figures  string // path of the file for the figures; "": none
+	stores   string // folder for the nodes' stores; "": the system's for temporary files
+	page     string // a page of figures, which is only checked
+}
+
+// newLabScaleCommand makes `lab scale`: fleets of hollow nodes, and what control costs.
+func newLabScaleCommand(out io.Writer) *cobra.Command {
+	r := &scaleRun{out: out}
 	c := &cobra.Command{
 		Use:   "scale FILE",
 		Short: "Measure what control costs at several sizes: real voters and nodes, and hollow nodes that share processes",
-		Long: "A hollow node takes part in the fleet by a node's own code, and serves nothing. All processes are on loopback addresses of this machine,\n" +
-			"and end with this one. The figures go to a file of JSON. --check PAGE runs nothing: it says where a page of figures is not what the files in\n" +
+		Long: "A hollow node takes part in the fleet by a node's own code, and serves nothing. " +
+			"All processes are on loopback addresses of this machine,\n" +
+			"and end with this one. The figures go to a file of JSON. " +
+			"--check PAGE runs nothing: it says where a page of figures is not what the files in\n" +
 			"the folder capacity beside it say.",
-		Args: func(cmd *cobra.Command, args []string) error {
-			if check != "" {
-				return cobra.NoArgs(cmd, args)
-			}
-			return cobra.ExactArgs(1)(cmd, args)
-		},
+		Args: r.checkArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if check != "" {
-				return checkPage(out, check)
+			if r.page != "" {
+				return r.checkPage()
 			}
-			return playScale(cmd.Context(), out, cmd.ErrOrStderr(), args[0], to, dir)
+			r.progress = cmd.ErrOrStderr()
+			return r.run(cmd.Context(), args[0])
 		},
 	}
-	c.Flags().StringVar(&to, "out", "", "the `file` for the figures; without one only a summary is printed")
-	c.Flags().StringVar(&dir, "dir", "", "(the system's for temporary files) a `folder` for the nodes' stores; on one disk the writes of a thousand nodes wait for each other")
-	c.Flags().StringVar(&check, "check", "", "a `page` of figures")
+	flags := c.Flags()
+	flags.StringVar(&r.figures, "out", "", "the `file` for the figures; without one only a summary is printed")
+	flags.StringVar(&r.stores, "dir", "", "(the system's for temporary files) a `folder` for the nodes' stores; "+
+		"on one disk the writes of a thousand nodes wait for each other")
+	flags.StringVar(&r.page, "check", "", "a `page` of figures")
 	return c
 }
 
-// checkPage says where a page of figures parts from the files of measured runs.
-func checkPage(out io.Writer, page string) error {
-	err := capacity.CheckFile(page)
+// checkArgs demands a plan, or a page alone.
+func (r *scaleRun) checkArgs(cmd *cobra.Command, args []string) error {
+	if r.page != "" {
+		return cobra.NoArgs(cmd, args)
+	}
+	return cobra.ExactArgs(1)(cmd, args)
+}
+
+// checkPage prints where a page of figures differs from the files of measured runs; ErrReported if it does.
+func (r *scaleRun) checkPage() error {
+	err := capacity.CheckFile(r.page)
 	if err == nil {
-		fmt.Fprintf(out, "%s: its figures are those of the files\n", page)
+		fmt.Fprintf(r.out, "%s: its figures are those of the files\n", r.page)
 		return nil
 	}
-	fmt.Fprintln(out, err)
+	fmt.Fprintln(r.out, err)
 	return ErrReported
 }
 
-func playScale(ctx context.Context, out, progress io.Writer, path, to, parent string) error {
+// run measures a plan, and prints and writes the figures.
+func (r *scaleRun) run(ctx context.Context, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -63,33 +80,36 @@
 	if err != nil {
 		return err
 	}
-	self, err := os.Executable()
-	if err != nil {
-		return err
-	}
-	dir, err := os.MkdirTemp(parent, "yokestall-scale-")
-	if err != nil {
-		return err
-	}
-	defer os.RemoveAll(dir)
-	began := time.Now()
-	figures, err := scale.Play(ctx, plan, scale.Options{Dir: dir, Command: []string{self}, Tell: func(format string, args ...any) {
-		fmt.Fprintf(progress, "%6.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
-	}})
+	figures, err := r.play(ctx, plan)
 	if err != nil {
 		return err
 	}
 	figures.Plan = filepath.ToSlash(path)
 	figures.Command = "yokestall lab scale " + figures.Plan
-	if parent != "" {
-		figures.Command += " --dir " + parent
+	if r.stores != "" {
+		figures.Command += " --dir " + r.stores
 	}
-	figures.Print(out)
-	if to == "" {
+	figures.Print(r.out)
+	if r.figures == "" {
 		return nil
 	}
-	return figures.Write(to)
+	return figures.Write(r.figures)
 }
 
-// scalePlan tells whether a file of the lab is a plan of hollow nodes rather than a day.
-func scalePlan(path string) bool { return strings.HasPrefix(filepath.Base(path), "scale-") }
+// play runs a plan with this program itself as the command of its processes. Their stores are removed afterwards.
+func (r *scaleRun) play(ctx context.Context, plan *scale.Plan) (*scale.Figures, error) {
+	executable, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	dir, err := os.MkdirTemp(r.stores, "yokestall-scale-")
+	if err != nil {
+		return nil, err
+	}
+	defer os.RemoveAll(dir)
+	start := time.Now()
+	printProgress := func(format string, args ...any) {
+		fmt.Fprintf(r.progress, "%6.1f s  %s\n", time.Since(start).Seconds(), fmt.Sprintf(format, args...))
+	}
+	return scale.Play(ctx, plan, scale.Options{Dir: dir, Command: []string{executable}, Tell: printProgress})
+}
--- a/internal/cli/lab_serve.go
+++ b/internal/cli/lab_serve.go
@@ -17,75 +17,107 @@
 	"yokestall/internal/lab/scale"
 )
 
-// labServe is serve with a clock that is fast or slow, or under command, for the lab's processes.
-func labServe() *cobra.Command {
-	path, rate := "", 1.0
-	controlled := false
-	var at placement
+// Bounds of --rate.
+const (
+	minClockRate = 0.5
+	maxClockRate = 2
+)
+
+// labServe is `lab serve` with its flags: serve with a clock that is fast or slow, or controlled by the lab.
+type labServe struct {
+	path       string
+	clockRate  float64 // of the leases' clock, to true time
+	controlled bool
+	placement  placement
+}
+
+// newLabServeCommand makes `lab serve`, for the lab's processes.
+func newLabServeCommand() *cobra.Command {
+	var s labServe
 	c := &cobra.Command{
-		Use: "serve", Hidden: true, Args: cobra.NoArgs,
+		Use:    "serve",
+		Hidden: true,
+		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if rate < 0.5 || rate > 2 {
-				return errors.New("--rate: from 0.5 to 2")
-			}
-			began := agent.BootTime()
-			clock := func() time.Duration {
-				return began + time.Duration(float64(agent.BootTime()-began)*rate)
-			}
-			log := slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil))
-			if controlled {
-				return serveControlled(cmd.Context(), path, log, at, clock)
-			}
-			return serveBy(cmd.Context(), path, log, nil, clock, nil)
+			return s.run(cmd.Context(), slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)))
 		},
 	}
-	c.Flags().StringVarP(&path, "config", "c", "", "the program's `file`")
-	c.Flags().Float64Var(&rate, "rate", rate, "of the clock for leases, to true time")
-	c.Flags().BoolVar(&controlled, "controlled", false, "take commands on standard input, and end with them")
-	at.flags(c)
+	flags := c.Flags()
+	flags.StringVarP(&s.path, "config", "c", "", "the program's `file`")
+	flags.Float64Var(&s.clockRate, "rate", 1, "of the clock for leases, to true time")
+	flags.BoolVar(&s.controlled, "controlled", false, "take commands on standard input, and end with them")
+	s.placement.addFlags(c)
 	return c
 }
 
-// placement is where a process of a run stands, by its flags.
-type placement struct{ region, regions, zone int }
+// run serves until ctx ends, or the commands of a controlled process do.
+func (s *labServe) run(ctx context.Context, log *slog.Logger) error {
+	if s.clockRate < minClockRate || s.clockRate > maxClockRate {
+		return errors.New("--rate: from 0.5 to 2")
+	}
+	start := agent.BootTime()
+	clock := func() time.Duration {
+		return start + time.Duration(float64(agent.BootTime()-start)*s.clockRate)
+	}
+	if s.controlled {
+		return serveControlled(ctx, s.path, log, s.placement, clock)
+	}
+	return serve(ctx, s.path, log, serveOptions{clock: clock})
+}
+
+// placement says where a process of a run stands.
+type placement struct {
+	region  int // from 0
+	regions int // over which the voters are spread
+	zone    int // from 0
+}
 
-func (p *placement) flags(c *cobra.Command) {
+// addFlags adds the flags to a command.
+func (p *placement) addFlags(c *cobra.Command) {
 	c.Flags().IntVar(&p.region, "region", 0, "in which the process stands, from 0")
 	c.Flags().IntVar(&p.regions, "regions", 1, "over which the voters are spread")
 	c.Flags().IntVar(&p.zone, "zone", 0, "in which the process stands, from 0")
 }
 
-// serveControlled is serve under the command of the process that started this one.
-func serveControlled(ctx context.Context, path string, log *slog.Logger, at placement, clock func() time.Duration) error {
-	snap, err := files.Load(path)
+// valid reports whether the region is one of the regions.
+func (p *placement) valid() bool { return p.regions >= 1 && p.region >= 0 && p.region < p.regions }
+
+// serveControlled serves under the command of the process that started this one, by standard input and output.
+func serveControlled(
+	ctx context.Context, path string, log *slog.Logger, at placement, clock func() time.Duration,
+) error {
+	snapshot, err := files.Load(path)
 	if err != nil {
 		return err
 	}
-	own := fleetConfig(snap.Program, path, nil, log)
-	if own.Fleet == "" || at.regions < 1 || at.region < 0 || at.region >= at.regions {
+	node := fleetConfig(snapshot.Program, path, nil, log)
+	if node.Fleet == "" || !at.valid() {
 		return fmt.Errorf("%s: a node of a fleet is controlled, in one of its regions", path)
 	}
-	meter, states := scale.NewMeter(own.Voters, at.regions), scale.NewStates()
-	states.Start(own.Name, at.region, at.zone)
+	meter, states := scale.NewMeter(node.Voters, at.regions), scale.NewStates()
+	states.Start(node.Name, at.region, at.zone)
 	hooks := meter.Hooks(at.region)
-	hooks.Applied = func(rules consensus.ActiveVersions, alone bool) { states.Acted(own.Name, rules, alone) }
+	hooks.Applied = func(active consensus.ActiveVersions, disconnected bool) {
+		states.Acted(node.Name, active, disconnected)
+	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	controlled := make(chan error, 1)
-	err = serveBy(ctx, path, log, func(net.Addr) {
+	startControl := func(net.Addr) {
 		go func() {
 			c := &scale.Controlled{Meter: meter, States: states}
-			controlled <- c.Serve(ctx, os.Stdin, os.Stdout, ended(stop))
+			controlled <- c.Serve(ctx, os.Stdin, os.Stdout, exitAfter(stop))
 		}()
-	}, clock, &hooks)
-	if err != nil {
+	}
+	if err := serve(ctx, path, log, serveOptions{ready: startControl, clock: clock, hooks: &hooks}); err != nil {
 		return err
 	}
 	return <-controlled
 }
 
-// ended ends a process whose commands have ended: in good order, or else at once after a time.
-func ended(stop context.CancelFunc) func() {
+// exitAfter returns what ends a process whose commands have ended: by stop, or if that takes longer than
+// scale.ExitWithin by an exit with code 1.
+func exitAfter(stop context.CancelFunc) func() {
 	return func() {
 		stop()
 		time.AfterFunc(scale.ExitWithin, func() { os.Exit(1) })
--- a/internal/cli/lab_versions.go
+++ b/internal/cli/lab_versions.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"os"
@@ -12,77 +13,116 @@
 	"yokestall/internal/lab"
 )
 
-// labVersions plays processes that agree on versions while parts of them fail.
-func labVersions(out io.Writer) *cobra.Command {
-	v := lab.Versions{Terms: lease.Config{ApplyTimeout: 250 * time.Millisecond}}
-	first, seeds := uint64(1), 3
+// versionsApplyTimeout is how long a node of `lab versions` may take to apply a version.
+const versionsApplyTimeout = 250 * time.Millisecond
+
+// versionsRun is `lab versions` with its flags.
+type versionsRun struct {
+	out       io.Writer
+	options   lab.Versions
+	firstSeed uint64
+	seeds     int
+}
+
+// newLabVersionsCommand makes `lab versions`: processes that agree on versions while parts of them fail.
+func newLabVersionsCommand(out io.Writer) *cobra.Command {
+	r := &versionsRun{
+		out:     out,
+		options: lab.Versions{Terms: lease.Config{ApplyTimeout: versionsApplyTimeout}},
+	}
 	c := &cobra.Command{
-		Use:   "versions",
-		Short: "Have real processes agree on versions that contradict each other, while they are stopped, killed and cut off",
-		Long: "Prints for each seed how long two processes acted on rules that contradict, as servers saw it, beside the bound. Exits with 1 where\n" +
+		Use: "versions",
+		Short: "Have real processes agree on versions that contradict each other, " +
+			"while they are stopped, killed and cut off",
+		Long: "Prints for each seed how long two processes acted on rules that contradict, as servers saw it, " +
+			"beside the bound. Exits with 1 where\n" +
 			"the bound was passed or a rule was broken, with the script of that seed. A seed replays its script.",
 		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			self, err := os.Executable()
-			if err != nil {
-				return err
-			}
-			held := true
-			for i := range seeds {
-				v.Seed = first + uint64(i)
-				ok, err := playVersions(cmd, out, v, self)
-				if err != nil {
-					return fmt.Errorf("seed %d: %w", v.Seed, err)
-				}
-				held = held && ok
-			}
-			if !held {
-				return ErrReported
-			}
-			return nil
-		},
+		RunE: func(cmd *cobra.Command, _ []string) error { return r.run(cmd.Context()) },
 	}
-	f := c.Flags()
-	f.IntVar(&seeds, "seeds", seeds, "how `many`")
-	f.Uint64Var(&first, "first", first, "the first `seed`")
-	f.IntVar(&v.Count, "versions", 20, "versions of a seed")
-	f.IntVar(&v.Faults, "faults", 6, "faults of a seed")
-	f.DurationVar(&v.Length, "length", 6*time.Second, "the time in which they befall")
-	f.IntVar(&v.Nodes, "nodes", 5, "processes")
-	f.IntVar(&v.Voters, "voters", 3, "of which so many vote")
-	f.IntVar(&v.Boxes, "servers", 4, "stand-in servers")
-	f.Float64Var(&v.Rate, "rate", 150, "requests a second over all processes")
-	f.DurationVar(&v.Terms.Duration, "lease", 600*time.Millisecond, "of the nodes")
-	f.Float64Var(&v.Terms.MaxClockDrift, "drift", 0.1, "most that a clock may differ")
-	f.BoolVar(&v.Release, "release", false, "in place of versions have a release take each server out and back")
-	f.BoolVar(&v.Power, "power", false, "in place of drawn faults cut the power of all processes twice; they come back one by one")
-	f.BoolVar(&v.Clocks, "clocks", true, "give the processes clocks that are fast and slow by that much")
+	r.addFlags(c)
 	return c
 }
 
-func playVersions(cmd *cobra.Command, out io.Writer, v lab.Versions, self string) (held bool, err error) {
+// addFlags adds the flags to the command.
+func (r *versionsRun) addFlags(c *cobra.Command) {
+	flags, o := c.Flags(), &r.options
+	flags.IntVar(&r.seeds, "seeds", 3, "how `many`")
+	flags.Uint64Var(&r.firstSeed, "first", 1, "the first `seed`")
+	flags.IntVar(&o.Count, "versions", 20, "versions of a seed")
+	flags.IntVar(&o.Faults, "faults", 6, "faults of a seed")
+	flags.DurationVar(&o.Length, "length", 6*time.Second, "the time in which they befall")
+	flags.IntVar(&o.Nodes, "nodes", 5, "processes")
+	flags.IntVar(&o.Voters, "voters", 3, "of which so many vote")
+	flags.IntVar(&o.Boxes, "servers", 4, "stand-in servers")
+	flags.Float64Var(&o.Rate, "rate", 150, "requests a second over all processes")
+	flags.DurationVar(&o.Terms.Duration, "lease", 600*time.Millisecond, "of the nodes")
+	flags.Float64Var(&o.Terms.MaxClockDrift, "drift", 0.1, "most that a clock may differ")
+	flags.BoolVar(&o.Release, "release", false, "in place of versions have a release take each server out and back")
+	flags.BoolVar(&o.Power, "power", false,
+		"in place of drawn faults cut the power of all processes twice; they come back one by one")
+	flags.BoolVar(&o.Clocks, "clocks", true, "give the processes clocks that are fast and slow by that much")
+}
+
+// run plays all seeds; ErrReported if one does not pass. The processes run this program itself.
+func (r *versionsRun) run(ctx context.Context) error {
+	executable, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	allPassed := true
+	for i := range r.seeds {
+		seed := r.firstSeed + uint64(i)
+		passed, err := r.play(ctx, seed, executable)
+		if err != nil {
+			return fmt.Errorf("seed %d: %w", seed, err)
+		}
+		allPassed = allPassed && passed
+	}
+	if !allPassed {
+		return ErrReported
+	}
+	return nil
+}
+
+// play plays one seed and prints its outcome; passed: the bound was kept and no rule was broken.
+func (r *versionsRun) play(ctx context.Context, seed uint64, executable string) (passed bool, err error) {
+	options := r.options
+	options.Seed = seed
 	dir, err := os.MkdirTemp("", "yokestall-versions-")
 	if err != nil {
 		return false, err
 	}
 	defer os.RemoveAll(dir)
-	o, err := lab.PlayVersions(cmd.Context(), v, dir, []string{self}, nil)
+	o, err := lab.PlayVersions(ctx, options, dir, []string{executable}, nil)
 	if err != nil {
 		return false, err
 	}
-	at := func(share float64) time.Duration {
-		if len(o.Times) == 0 {
-			return 0
+	printVersions(r.out, seed, o)
+	passed = o.Longest <= o.Bound && len(o.Found) == 0
+	if !passed {
+		fmt.Fprintln(r.out, "NOT HELD:", o.Found, o.Worst)
+		for _, fault := range o.Script {
+			fmt.Fprint(r.out, fault)
 		}
-		return o.Times[int(share*float64(len(o.Times)-1))].Round(time.Millisecond)
 	}
-	fmt.Fprintf(out, "seed %d: %d versions, in force after %v (half) %v (99 %%); contradiction %v of %v (%d attempts); %d owners, none for %v at most (%d answers in one order); %d asked, %d served, %d refused, %d failed\n",
-		v.Seed, o.Published, at(0.5), at(0.99), o.Longest.Round(time.Millisecond), o.Bound.Round(time.Millisecond), o.Count, o.Owners, o.NoOwner.Round(time.Millisecond), o.Answers, o.Asked, o.Served, o.Refused, o.Failed)
-	if held = o.Longest <= o.Bound && len(o.Found) == 0; !held {
-		fmt.Fprintln(out, "NOT HELD:", o.Found, o.Worst)
-		for _, f := range o.Script {
-			fmt.Fprint(out, f)
-		}
+	return passed, nil
+}
+
+// printVersions prints the line of one seed.
+func printVersions(out io.Writer, seed uint64, o *lab.VersionsOutcome) {
+	fmt.Fprintf(out, "seed %d: %d versions, in force after %v (half) %v (99 %%); contradiction %v of %v (%d attempts); ",
+		seed, o.Published, quantile(o.Times, 0.5), quantile(o.Times, 0.99),
+		o.Longest.Round(time.Millisecond), o.Bound.Round(time.Millisecond), o.Count)
+	fmt.Fprintf(out, "%d owners, none for %v at most (%d answers in one order); ",
+		o.Owners, o.NoOwner.Round(time.Millisecond), o.Answers)
+	fmt.Fprintf(out, "%d asked, %d served, %d refused, %d failed\n", o.Asked, o.Served, o.Refused, o.Failed)
+}
+
+// quantile returns a quantile of ascending times in full milliseconds; 0 without times.
+func quantile(times []time.Duration, q float64) time.Duration {
+	if len(times) == 0 {
+		return 0
 	}
-	return held, nil
+	return times[int(q*float64(len(times)-1))].Round(time.Millisecond)
 }
--- a/internal/cli/release.go
+++ b/internal/cli/release.go
@@ -12,84 +12,112 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-func showRelease(out io.Writer, log *slog.Logger) *cobra.Command {
+// newReleaseCommand makes `release` and its subcommands.
+func newReleaseCommand(out io.Writer, log *slog.Logger) *cobra.Command {
 	f := &fleetCommands{out: out, log: log}
 	id := ""
 	c := &cobra.Command{
 		Use:   "release FILE",
 		Short: "Take a cluster's servers out and back in waves, on behalf of a fleet that agrees",
-		Long: "One node at a time carries it on; when that one dies another goes on where it stopped. It restarts nothing: between out and back\n" +
-			"there is time for who does. FILE names the cluster, its servers and how many at_once (or waves), a floor, and the times drain, away, warm.",
+		Long: "One node at a time carries it on; when that one dies another goes on where it stopped. " +
+			"It restarts nothing: between out and back\n" +
+			"there is time for who does. FILE names the cluster, its servers and how many at_once (or waves), " +
+			"a floor, and the times drain, away, warm.",
 		Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			text, err := os.ReadFile(args[0])
-			if err != nil {
-				return err
-			}
-			r, err := parseRelease(args[0], text)
-			if err != nil {
-				return err
-			}
-			if id != "" {
-				r.ID = id
-			}
-			return f.control(cmd, agent.ReleaseCommand{Start: r})
-		},
+		RunE: func(cmd *cobra.Command, args []string) error { return f.startRelease(cmd, args[0], id) },
 	}
 	c.Flags().StringVar(&id, "id", "", "of an earlier try: the same id again is the same release")
-	c.PersistentFlags().StringVarP(&f.config, "config", "c", "", "the `file` of a node, whose [fleet.agree] names the fleet, its voters and the keys")
-	c.PersistentFlags().BoolVar(&f.json, "json", false, "print JSON")
-	for _, w := range []struct{ word, short string }{
-		{"status", "Say how the latest release stands"}, {"pause", "Have the release begin nothing new"},
-		{"resume", "Have it go on"}, {"abort", "Give the present wave back and end the release"},
-	} {
-		why := ""
-		sub := &cobra.Command{Use: w.word, Short: w.short, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			word := w.word
-			if word == "status" {
-				word = ""
-			}
-			return f.control(cmd, agent.ReleaseCommand{Action: consensus.ReleaseAction(word), Reason: why})
-		}}
-		if w.word == "abort" {
-			sub.Flags().StringVar(&why, "why", "by hand", "for the record")
-		}
-		c.AddCommand(sub)
+	f.addFlags(c)
+	c.AddCommand(
+		f.newReleaseActionCommand("status", "Say how the latest release stands", ""),
+		f.newReleaseActionCommand("pause", "Have the release begin nothing new", consensus.PauseRelease),
+		f.newReleaseActionCommand("resume", "Have it go on", consensus.ResumeRelease),
+		f.newAbortCommand(),
+	)
+	return c
+}
+
+// newReleaseActionCommand makes a subcommand that sends one action; "" asks for the status alone.
+func (f *fleetCommands) newReleaseActionCommand(
+	use, short string, action consensus.ReleaseAction,
+) *cobra.Command {
+	return &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return f.controlRelease(cmd, agent.ReleaseCommand{Action: action})
+		},
 	}
+}
+
+// newAbortCommand makes `release abort`.
+func (f *fleetCommands) newAbortCommand() *cobra.Command {
+	reason := ""
+	c := &cobra.Command{
+		Use:   "abort",
+		Short: "Give the present wave back and end the release",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return f.controlRelease(cmd, agent.ReleaseCommand{Action: consensus.AbortRelease, Reason: reason})
+		},
+	}
+	c.Flags().StringVar(&reason, "why", "by hand", "for the record")
 	return c
 }
 
-func (f *fleetCommands) control(cmd *cobra.Command, in agent.ReleaseCommand) error {
-	return f.with(func(c *agent.Client) error {
-		r, err := c.ControlRelease(cmd.Context(), in)
+// startRelease starts the release of a file; an empty id is replaced by a new one.
+func (f *fleetCommands) startRelease(cmd *cobra.Command, path, id string) error {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	r, err := parseRelease(path, text)
+	if err != nil {
+		return err
+	}
+	if id != "" {
+		r.ID = id
+	}
+	return f.controlRelease(cmd, agent.ReleaseCommand{Start: r})
+}
+
+// controlRelease sends a command to the fleet and prints the release's progress; ErrReported if it is refused.
+func (f *fleetCommands) controlRelease(cmd *cobra.Command, command agent.ReleaseCommand) error {
+	return f.withClient(func(c *agent.Client) error {
+		reply, err := c.ControlRelease(cmd.Context(), command)
 		if err != nil {
 			return err
 		}
-		if err := f.print(r, func() {
-			if r.Error != "" {
-				fmt.Fprintln(f.out, r.Error)
-			}
-			p := r.Progress
-			switch {
-			case p == nil:
-			case p.Ended():
-				fmt.Fprintf(f.out, "release %s: %s\n", p.Release.ID, p.Result)
-			default:
-				fmt.Fprintf(f.out, "release %s: wave %d of %d, %v", p.Release.ID, p.Wave+1, len(p.Waves), p.Phase)
-				if p.Paused {
-					fmt.Fprint(f.out, ", paused")
-				}
-				if p.StopReason != "" {
-					fmt.Fprint(f.out, ", ends with this wave: ", p.StopReason)
-				}
-				fmt.Fprintln(f.out)
-			}
-		}); err != nil {
+		if err := f.print(reply, func() { f.printRelease(reply) }); err != nil {
 			return err
 		}
-		if r.Error != "" {
+		if reply.Error != "" {
 			return ErrReported
 		}
 		return nil
 	})
 }
+
+// printRelease prints a reply as text.
+func (f *fleetCommands) printRelease(reply *agent.ReleaseReply) {
+	if reply.Error != "" {
+		fmt.Fprintln(f.out, reply.Error)
+	}
+	p := reply.Progress
+	if p == nil {
+		return
+	}
+	if p.Ended() {
+		fmt.Fprintf(f.out, "release %s: %s\n", p.Release.ID, p.Result)
+		return
+	}
+	fmt.Fprintf(f.out, "release %s: wave %d of %d, %v", p.Release.ID, p.Wave+1, len(p.Waves), p.Phase)
+	if p.Paused {
+		fmt.Fprint(f.out, ", paused")
+	}
+	if p.StopReason != "" {
+		fmt.Fprint(f.out, ", ends with this wave: ", p.StopReason)
+	}
+	fmt.Fprintln(f.out)
+}
