--- a/internal/cli/check_test.go
+++ b/internal/cli/check_test.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -18,11 +17,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(bad, []byte(strings.Replace(string(text), "attempts = 3", "attempts = 0", 1)), 0o644); err != nil {
+	wrong := strings.Replace(string(text), "attempts = 3", "attempts = 0", 1)
+	if err := os.WriteFile(bad, []byte(wrong), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	out, err := run(t, "check", example, bad)
-	if !errors.Is(err, ErrReported) || !strings.HasPrefix(out, bad+":") || !strings.Contains(out, "attempts: 0 is not from 1 to 16") {
+	if !reports(out, err, bad+":", "attempts: 0 is not from 1 to 16") {
 		t.Errorf("%q, %v", out, err)
 	}
 	for _, name := range []string{"clusters", "endpoints", "routes"} {
@@ -47,7 +47,7 @@
 		if err := os.WriteFile(cut, []byte(wrong), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if out, err := run(t, "check", cut); !errors.Is(err, ErrReported) || !strings.HasPrefix(out, cut+":") || !strings.Contains(out, want) {
+		if out, err := run(t, "check", cut); !reports(out, err, cut+":", want) {
 			t.Errorf("%s: %q, %v", from, out, err)
 		}
 	}
@@ -57,7 +57,7 @@
 	if _, err := run(t, "serve"); err == nil {
 		t.Error("serve without a file gives no error")
 	}
-	if _, err := run(t, "serve", "-c", bad); err == nil || !strings.Contains(err.Error(), "attempts") {
+	if _, err := run(t, "serve", "-c", bad); !failsWith(err, "attempts") {
 		t.Errorf("serve of a bad file: %v", err)
 	}
 }
--- a/internal/cli/fleet_commands_test.go
+++ b/internal/cli/fleet_commands_test.go
@@ -73,6 +73,25 @@
 	return path
 }
 
+// startVoter serves until stop is called, which checks that it ends without an error. It returns once the voter leads.
+func startVoter(t *testing.T, path string) (stop func()) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	served := make(chan error, 1)
+	go func() { served <- Serve(ctx, path, testutil.Log(t), nil) }()
+	stop = func() {
+		cancel()
+		if err := testutil.Wait(t, served, "the end"); err != nil {
+			t.Error(err)
+		}
+	}
+	testutil.Until(t, "the voter to lead", func() bool {
+		out, _ := run(t, "fleet", "voters", "-c", path)
+		return strings.Contains(out, "a leads")
+	})
+	return stop
+}
+
 // A fleet of one from nothing, through the commands of its operators' page.
 func TestFleetCommands(t *testing.T) {
 	path := writeVoter(t)
@@ -86,22 +105,11 @@
 	want("a node acts on its rules for 285ms", false, "check", path)
 	want("0 of 1 voters answer", true, "fleet", "status", "-c", path)
 	want("a is a voter of the fleet f", false, "fleet", "init", "-c", path)
-	if _, err := run(t, "fleet", "init", "-c", path); err == nil || !strings.Contains(err.Error(), "is a voter's already") {
+	if _, err := run(t, "fleet", "init", "-c", path); !failsWith(err, "is a voter's already") {
 		t.Errorf("init twice: %v", err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	served := make(chan error, 1)
-	go func() { served <- Serve(ctx, path, testutil.Log(t), nil) }()
-	defer func() {
-		stop()
-		if err := testutil.Wait(t, served, "the end"); err != nil {
-			t.Error(err)
-		}
-	}()
-	testutil.Until(t, "the voter to lead", func() bool {
-		out, _ := run(t, "fleet", "voters", "-c", path)
-		return strings.Contains(out, "a leads")
-	})
+	stop := startVoter(t, path)
+	defer stop()
 	want("version 1 is in force", false, "fleet", "publish", "-c", path, "--base", "0", path)
 	want("not the present one: 1, not 0", true, "fleet", "publish", "-c", path, "--base", "0", path)
 	other := filepath.Join(filepath.Dir(path), "other.toml")
@@ -118,7 +126,7 @@
 	want("version 3 is in force", false, "fleet", "rollback", "-c", path, "--base", "2", "1")
 	want("2 from 1, by a, id", false, "fleet", "history", "-c", path)
 	want(`"in_force": true`, false, "fleet", "publish", "-c", path, "--base", "3", "--json", path)
-	rel := filepath.Join(filepath.Dir(path), "release.toml")
+	release := filepath.Join(filepath.Dir(path), "release.toml")
 	for _, tc := range []struct {
 		text, want string
 		fails      bool
@@ -126,10 +134,10 @@
 		{"cluster = \"rooms\"\nservers = [\"s-1\", \"s-2\"]\nat_once = 2\n", "floor: with the 1. wave out 0 of 2", true},
 		{"cluster = \"rooms\"\nservers = [\"s-1\", \"s-2\"]\n", "wave 1 of 2", false},
 	} {
-		if err := os.WriteFile(rel, []byte(tc.text), 0o600); err != nil {
+		if err := os.WriteFile(release, []byte(tc.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		want(tc.want, tc.fails, "release", "-c", path, rel)
+		want(tc.want, tc.fails, "release", "-c", path, release)
 	}
 	testutil.Until(t, "the release to end", func() bool {
 		out, _ := run(t, "release", "status", "-c", path)
--- a/internal/cli/fleet_diff_test.go
+++ b/internal/cli/fleet_diff_test.go
@@ -1,7 +1,6 @@
 package cli
 
 import (
-	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -32,15 +31,16 @@
 	if out, err := run(t, "fleet", "diff", same, write("", "")); err != nil || out != "" {
 		t.Errorf("no difference: %q, %v", out, err)
 	}
-	if out, err := run(t, "fleet", "diff", same, write("attempts = 3", "attempts = 2")); err != nil || !strings.HasPrefix(out, "differs     attempts") {
+	out, err := run(t, "fleet", "diff", same, write("attempts = 3", "attempts = 2"))
+	if err != nil || !strings.HasPrefix(out, "differs     attempts") {
 		t.Errorf("attempts: %q, %v", out, err)
 	}
-	out, err := run(t, "fleet", "diff", same, write(`window = "6s"`, `window = "9s"`))
-	if !errors.Is(err, ErrReported) || !strings.Contains(out, "CONTRADICTS window of a keyed class: booking-push: 6s to 9s (rule 2") {
+	out, err = run(t, "fleet", "diff", same, write(`window = "6s"`, `window = "9s"`))
+	if !reports(out, err, "", "CONTRADICTS window of a keyed class: booking-push: 6s to 9s (rule 2") {
 		t.Errorf("window: %q, %v", out, err)
 	}
 	bad := write("attempts = 3", "attempts = 0")
-	if _, err := run(t, "fleet", "diff", same, bad); err == nil || !strings.Contains(err.Error(), bad+":") {
+	if _, err := run(t, "fleet", "diff", same, bad); !failsWith(err, bad+":") {
 		t.Errorf("a bad file: %v", err)
 	}
 }
--- a/internal/cli/fleet_submit_test.go
+++ b/internal/cli/fleet_submit_test.go
@@ -12,9 +12,14 @@
 // The other JSON output of the fleet commands is that of types of package agent, which has golden files for them.
 func TestGoldenPublishOutput(t *testing.T) {
 	want := publishResult{
-		ID:             "id-a",
-		PublishReply:   &agent.PublishReply{Number: 1, Contradicts: true, Error: "error-a", Retry: true, ActiveVersion: 2, Differences: []string{"difference-a"}},
-		PublishOutcome: &agent.PublishOutcome{InForce: true, RefusalReason: "reason-a", WaitingFor: []string{"node-a", "node-b"}},
+		ID: "id-a",
+		PublishReply: &agent.PublishReply{
+			Number: 1, Contradicts: true, Error: "error-a", Retry: true, ActiveVersion: 2,
+			Differences: []string{"difference-a"},
+		},
+		PublishOutcome: &agent.PublishOutcome{
+			InForce: true, RefusalReason: "reason-a", WaitingFor: []string{"node-a", "node-b"},
+		},
 	}
 	golden.NonZero(t, want)
 	text := golden.Read(t, "testdata/golden/publish.json")
--- a/internal/cli/lab_process_test.go
+++ b/internal/cli/lab_process_test.go
@@ -21,10 +21,12 @@
 	if err != nil || len(clusters) != 20 {
 		t.Errorf("%d cluster files, %v", len(clusters), err)
 	}
-	if _, err := run(t, "lab", "process", "--write", dir, "--size", "large", small); err == nil || !strings.Contains(err.Error(), `no size "large"`) {
+	_, err = run(t, "lab", "process", "--write", dir, "--size", "large", small)
+	if !failsWith(err, `no size "large"`) {
 		t.Errorf("a size that is not there: %v", err)
 	}
-	if _, err := run(t, "lab", "process", filepath.Join(dir, "small", "yokestall.toml")); err == nil || !strings.Contains(err.Error(), "is no known key") {
+	_, err = run(t, "lab", "process", filepath.Join(dir, "small", "yokestall.toml"))
+	if !failsWith(err, "is no known key") {
 		t.Errorf("a file that is no plan: %v", err)
 	}
 }
--- a/internal/cli/lab_scale_test.go
+++ b/internal/cli/lab_scale_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A page that parts from its files is told by its line, with exit code 1; one that doesn't is good; a page and a plan
-// are not taken together.
+// A page that differs from its files is reported by its line, with exit code 1; one that doesn't passes; a page and a
+// plan are not accepted together.
 func TestScaleCheck(t *testing.T) {
 	dir := t.TempDir()
 	page := filepath.Join(dir, "PAGE.md")
@@ -24,17 +24,19 @@
 	}
 	write(filepath.Join(dir, "capacity", "plan.json"), `{"name": "plan", "numbers": {"nodes": 1900}}`)
 	write(page, "# Page\n1,900 nodes<!-- fig: plan:nodes -->\n")
-	if out, err := run(t, "lab", "scale", "--check", page); err != nil || !strings.HasSuffix(out, "its figures are those of the files\n") {
+	out, err := run(t, "lab", "scale", "--check", page)
+	if err != nil || !strings.HasSuffix(out, "its figures are those of the files\n") {
 		t.Errorf("%q, %v", out, err)
 	}
 	write(page, "# Page\n1,800 nodes<!-- fig: plan:nodes -->\n")
-	if out, err := run(t, "lab", "scale", "--check", page); !errors.Is(err, ErrReported) || !strings.HasPrefix(out, page+":2: the page has 1,800, and plan:nodes is 1900") {
+	out, err = run(t, "lab", "scale", "--check", page)
+	if !reports(out, err, page+":2: the page has 1,800, and plan:nodes is 1900", "") {
 		t.Errorf("%q, %v", out, err)
 	}
 	if _, err := run(t, "lab", "scale", "--check", page, "plan.toml"); err == nil || errors.Is(err, ErrReported) {
 		t.Error(err)
 	}
-	if _, err := run(t, "lab", "scale", filepath.Join(dir, "none.toml")); err == nil || !strings.Contains(err.Error(), "none.toml") {
+	if _, err := run(t, "lab", "scale", filepath.Join(dir, "none.toml")); !failsWith(err, "none.toml") {
 		t.Error(err)
 	}
 }
--- a/internal/cli/release_file_test.go
+++ b/internal/cli/release_file_test.go
@@ -1,19 +1,20 @@
 package cli
 
-import (
-	"strings"
-	"testing"
-)
+import "testing"
 
-// What can't be a release is told by its file.
+// The error of a release that can't be names its file.
 func TestReleaseFile(t *testing.T) {
 	for _, tc := range []struct{ text, want string }{
-		{"cluster = \"a\"\n", "waves: 0"}, {"cluster = \"a\"\nservers = [\"x\", \"x\"]\n", "another's"},
-		{"cluster = \"a\"\nservers = [\"x\"]\nat_once = 0\n", "at_once: 0 is below 1"}, {"servers = [\"x\"]\n", "id and cluster"},
-		{"cluster = \"a\"\nservers = [\"x\"]\ndrain = \"2h\"\n", "drain: 2h0m0s"}, {"cluster = \"a\"\nwhen = 3\n", "when"},
+		{"cluster = \"a\"\n", "waves: 0"},
+		{"cluster = \"a\"\nservers = [\"x\", \"x\"]\n", "another's"},
+		{"cluster = \"a\"\nservers = [\"x\"]\nat_once = 0\n", "at_once: 0 is below 1"},
+		{"servers = [\"x\"]\n", "id and cluster"},
+		{"cluster = \"a\"\nservers = [\"x\"]\ndrain = \"2h\"\n", "drain: 2h0m0s"},
+		{"cluster = \"a\"\nwhen = 3\n", "when"},
 		{"cluster = \"a\"\nservers = [\"x\"]\nwaves = [[\"y\"]]\n", "waves, or servers"},
 	} {
-		if _, err := parseRelease("r.toml", []byte(tc.text)); err == nil || !strings.Contains(err.Error(), tc.want) || !strings.Contains(err.Error(), "r.toml") {
+		_, err := parseRelease("r.toml", []byte(tc.text))
+		if !failsWith(err, tc.want) || !failsWith(err, "r.toml") {
 			t.Errorf("%q: %v", tc.text, err)
 		}
 	}
