--- a/cmd/yokestall/kill_test.go
+++ b/cmd/yokestall/kill_test.go
@@ -19,8 +19,6 @@
 	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testutil.MainOr(m, main) }
-
 var (
 	kills   = flag.Int("kills", 4, "how often TestKillsAmongPushes kills the program")
 	between = flag.Duration("between", 300*time.Millisecond, "and how long it runs between two kills")
--- a/cmd/yokestall/main.go
+++ b/cmd/yokestall/main.go
@@ -1,4 +1,4 @@
-// Command yokestall is the product: serve, check, demo.
+// Command yokestall is the product program. Package cli has its subcommands. Exit codes: 0, or 1 after any error.
 package main
 
 import (
--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"os"
-	"path/filepath"
 	"slices"
 	"testing"
 	"time"
@@ -107,11 +105,3 @@
 	t.Logf("%d versions, in force after %v at half of them and %v at most; contradiction %v (%d attempts) of %v; %d owners; %d asked, %d served, %d refused, %d failed; %d late at servers that were out",
 		o.Published, o.Times[len(o.Times)/2], o.Times[len(o.Times)-1], o.Longest, o.Count, o.Bound, o.Owners, o.Asked, o.Served, o.Refused, o.Failed, len(o.Found))
 }
-
-func showLogs(t *testing.T, dir string) {
-	logs, _ := filepath.Glob(filepath.Join(dir, "*", "log"))
-	for _, l := range logs {
-		text, _ := os.ReadFile(l)
-		t.Logf("%s: %s", l, text[max(0, len(text)-3000):])
-	}
-}
