--- a/cmd/yokestall/fleet_test.go
+++ b/cmd/yokestall/fleet_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"os"
-	"path/filepath"
 	"slices"
 	"testing"
 	"time"
@@ -13,8 +12,9 @@
 	"yokestall/internal/testutil"
 )
 
-// short is power-at-once in a few seconds on sockets: five processes, servers that are all dark for a time.
-func short(t *testing.T, seed uint64) *lab.Experiment {
+// shortPowerLoss is the day power-at-once in a few seconds on sockets: five processes, and servers that are all without
+// power for a time.
+func shortPowerLoss(t *testing.T, seed uint64) *lab.Experiment {
 	const name = "../../deploy/lab/power-at-once.toml"
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return e
 }
 
-// playFleet plays it with real processes; each request has one outcome, and no rule is broken.
+// playFleet plays a day with real processes; each request has one outcome, and no rule is broken.
 func playFleet(t *testing.T, e *lab.Experiment) (o *lab.Outcome, void bool) {
 	itself, env := testutil.Itself()
 	dir := t.TempDir()
@@ -50,7 +50,7 @@
 	if asked == 0 || asked != answered || o.Seeds[0].Sends == 0 {
 		t.Errorf("%d asked, %d answered, %d sent", asked, answered, o.Seeds[0].Sends)
 	}
-	if void { // the machine was late: what rests on times says nothing
+	if void { // the machine was late: findings that depend on times say nothing
 		t.Log("the load generator was late itself")
 		found = slices.DeleteFunc(found, func(f fleet.Finding) bool { return f.Timing })
 	}
@@ -62,36 +62,33 @@
 		for _, f := range e.Faults {
 			t.Log(f)
 		}
-		logs, _ := filepath.Glob(filepath.Join(dir, "*", "log"))
-		for _, l := range logs {
-			text, _ := os.ReadFile(l)
-			t.Logf("%s: %s", l, text[max(0, len(text)-3000):])
-		}
+		showLogs(t, dir)
 	}
 	return o, void
 }
 
-// Five processes, stopped, killed, cut off and held up by drawn scripts while all servers lose power: whatever
-// befalls them, no unsafe request runs twice, none is sent on behind its client's time, no cold server is pushed over.
+// Five processes are stopped, killed, cut off and delayed by drawn scripts while all servers lose power: no request
+// that is not idempotent runs twice, none is forwarded after its deadline, and no server that warms up is overloaded.
 func TestProcessesUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
 	}
 	for seed := range uint64(3) {
 		t.Run("", func(t *testing.T) {
-			e := short(t, seed+1)
+			e := shortPowerLoss(t, seed+1)
 			e.Faults = fleet.Draw(seed, 6, e.Day.Nodes, e.Day.Servers, e.Day.Length)
 			playFleet(t, e)
 		})
 	}
 }
 
-// A process that was stopped with requests in hand sends none on when it wakes behind their time, once their clients
-// have left, and a fleet that is killed with its servers serves again when both are back.
+// A process that was stopped with requests in flight forwards none when it continues after their deadlines, once their
+// clients have disconnected; a fleet that is killed with its servers serves again when both are back.
 func TestStoppedAndKilledTogether(t *testing.T) {
-	e := short(t, 9)
+	e := shortPowerLoss(t, 9)
 	e.Day.Troubles = e.Day.Troubles[:1]
-	e.Day.Troubles = append(e.Day.Troubles, fleetsim.Trouble{From: time.Second, To: 2200 * time.Millisecond, Last: 4, Nodes: true})
+	e.Day.Troubles = append(e.Day.Troubles,
+		fleetsim.Trouble{From: time.Second, To: 2200 * time.Millisecond, Last: 4, Nodes: true})
 	e.Faults = []fleet.Fault{
 		{From: 300 * time.Millisecond, To: 800 * time.Millisecond, Kind: fleet.Stop, Nodes: []int{0, 1}},
 		{From: 2800 * time.Millisecond, To: 4900 * time.Millisecond, Kind: fleet.Stop, Nodes: []int{2}},
@@ -103,15 +100,16 @@
 	}
 }
 
-// What two processes act on that were told different things, as the program is: one that hears nothing goes on
-// sending to a server that all others were told to leave, for as long as it hears nothing. It is the figure that
-// agreed versions are to bring down; when they do, this test has to be turned round.
-func TestToldDifferently(t *testing.T) {
-	e := short(t, 5)
+// A process that gets no endpoint list goes on sending to a server that the lists of all others have as draining, for
+// as long as it gets none. Agreed versions are to shorten this time; when they do, this test has to demand it.
+func TestNodesNotifiedDifferently(t *testing.T) {
+	e := shortPowerLoss(t, 5)
 	// Four of six, since at a rate as low as this one a node may never have tried some server.
-	const out, heard = 1500 * time.Millisecond, 4 * time.Second
-	e.Day.Troubles = []fleetsim.Trouble{{From: out - e.Day.News, To: 4900 * time.Millisecond, First: 1, Last: 4, Drain: true}}
-	e.Faults = []fleet.Fault{{From: 500 * time.Millisecond, To: heard, Kind: fleet.Deaf, Nodes: []int{3}}}
+	const drained, notified = 1500 * time.Millisecond, 4 * time.Second
+	e.Day.Troubles = []fleetsim.Trouble{
+		{From: drained - e.Day.News, To: 4900 * time.Millisecond, First: 1, Last: 4, Drain: true},
+	}
+	e.Faults = []fleet.Fault{{From: 500 * time.Millisecond, To: notified, Kind: fleet.Deaf, Nodes: []int{3}}}
 	itself, env := testutil.Itself()
 	_, found, void, err := lab.Fleet(t.Context(), e, t.TempDir(), itself, env)
 	if err != nil {
@@ -120,7 +118,7 @@
 	longest := time.Duration(0)
 	for _, f := range found {
 		if f.Rule == "an attempt at a server that drains" {
-			longest = max(longest, f.At-out)
+			longest = max(longest, f.At-drained)
 		} else if !f.Timing || !void {
 			t.Errorf("%v: %+v", f, f.History)
 		}
@@ -128,8 +126,8 @@
 	if void {
 		t.Skip("the load generator was late itself")
 	}
-	if longest < heard-out-time.Second || longest > heard-out+time.Second {
-		t.Errorf("%v after the word, of %v without it: %d findings", longest, heard-out, len(found))
+	if longest < notified-drained-time.Second || longest > notified-drained+time.Second {
+		t.Errorf("%v after the list, of %v without it: %d findings", longest, notified-drained, len(found))
 	}
-	t.Logf("two nodes acted on contradicting lists for %v, %v after one of them was told", longest, heard-out)
+	t.Logf("two nodes acted on contradicting lists for %v, %v after one of them was notified", longest, notified-drained)
 }
--- a/cmd/yokestall/process_test.go
+++ b/cmd/yokestall/process_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// process is one of the system's; begun tells it from a later one of its number.
+// process is a process of the system. A later one with its number differs in the start time.
 type process struct {
-	pid   int
-	begun string
+	pid       int
+	startTime string // in clock ticks since the boot
 }
 
-// childrenOf gives the processes that another one has started.
+// childrenOf returns the processes whose parent is another one.
 func childrenOf(t *testing.T, parent int) (list []process) {
 	t.Helper()
 	paths, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -24,31 +24,35 @@
 	}
 	for _, path := range paths {
 		pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(path)))
-		if fields := statOf(pid); fields != nil && fields[1] == strconv.Itoa(parent) {
+		if fields := statOf(pid); fields != nil && fields[parentField] == strconv.Itoa(parent) {
 			list = append(list, process{pid, fields[startField]})
 		}
 	}
 	return list
 }
 
-// startField is where statOf has the time when a process was started.
-const startField = 19
+// Fields of what statOf returns.
+const (
+	stateField  = 0
+	parentField = 1
+	startField  = 19
+)
 
-// statOf gives what /proc says of a process behind its name: state, parent and so on; nil: there is none.
+// statOf returns the fields of /proc/PID/stat that follow the name; nil: there is no such process.
 func statOf(pid int) []string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return nil
 	}
-	_, behind, _ := strings.Cut(string(text), ") ")
-	if fields := strings.Fields(behind); len(fields) > startField {
+	_, afterName, _ := strings.Cut(string(text), ") ")
+	if fields := strings.Fields(afterName); len(fields) > startField {
 		return fields
 	}
 	return nil
 }
 
-// runs tells whether it has not ended; one that has, and that nobody has waited for yet, runs no more.
+// runs reports whether the process has not ended; a zombie has.
 func (p process) runs() bool {
 	fields := statOf(p.pid)
-	return fields != nil && fields[startField] == p.begun && fields[0] != "Z"
+	return fields != nil && fields[startField] == p.startTime && fields[stateField] != "Z"
 }
--- a/cmd/yokestall/scale_test.go
+++ b/cmd/yokestall/scale_test.go
@@ -15,10 +15,9 @@
 	"yokestall/internal/testutil"
 )
 
-// A fleet of hollow nodes stays within bounds on what it says, whatever the machine's speed: what a node says while
-// nothing changes does not grow with the fleet, a change of a list costs the change, a node that kept its store
-// fetches no list again, and a region without a majority of the voters has no lease until it hears of the others
-// again.
+// A fleet of hollow nodes stays within bounds of traffic, whatever the machine's speed: what a node sends while nothing
+// changes does not grow with the fleet, a change of a list costs the change, a node that restarts with its store does
+// not fetch the list again, and a region without a majority of the voters has no lease until it reaches the others.
 func TestControlOfHollowNodes(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -40,28 +39,28 @@
 		t.Fatal(err)
 	}
 	if len(f.Untold) > 0 {
-		t.Errorf("not told: %+v", f.Untold)
+		t.Errorf("not notified: %+v", f.Untold)
 	}
-	// Twice what the lease's renewals alone make: a machine that is slow asks again after a lease that it lost.
-	asks := 2 * float64(plan.Voters) / plan.Terms.RenewInterval().Seconds()
+	// Polls a second: twice the lease's renewals, since a slow machine polls again after a lease that it lost.
+	polls := 2 * float64(plan.Voters) / plan.Terms.RenewInterval().Seconds()
 	const (
-		askBytes = 250.0    // of an ask with its answer, headers of RPC included
-		list     = 60 << 10 // bytes of the list that the plan has, at least
+		pollBytes = 250.0    // of a poll and its answer, with the headers of RPC
+		listBytes = 60 << 10 // of the list that the plan has, at least
 	)
 	for _, bound := range []struct {
 		key         string
 		least, most float64
 	}{
-		{"idle.node.sent", 1, asks},
-		{"idle.node.received", 1, asks},
-		{"idle.node.in", 1, asks * askBytes},
-		{"idle.node.out", 1, asks * askBytes},
-		{"idle.serve.sent", 1, asks},
-		{"idle.serve.out", 1, asks * askBytes},
-		{"list.node.in", 1, list / 2}, // of two changes
-		{"list.serve.in", 1, list / 2},
-		{"return_kept.node.in", 1, list / 2},
-		{"return_empty.node.in", list, 1 << 30},
+		{"idle.node.sent", 1, polls},
+		{"idle.node.received", 1, polls},
+		{"idle.node.in", 1, polls * pollBytes},
+		{"idle.node.out", 1, polls * pollBytes},
+		{"idle.serve.sent", 1, polls},
+		{"idle.serve.out", 1, polls * pollBytes},
+		{"list.node.in", 1, listBytes / 2}, // of two changes
+		{"list.serve.in", 1, listBytes / 2},
+		{"return_kept.node.in", 1, listBytes / 2},
+		{"return_empty.node.in", listBytes, 1 << 30},
 		{"apart.region1.leased", 0, 0},
 		{"restart.node.restarted", 1, 2},
 	} {
@@ -83,7 +82,7 @@
 	}
 }
 
-// Nothing of a run outlives the process that was killed, whatever the run was doing.
+// No process of a run outlives the one that started it when that one is killed.
 func TestKilledRunLeavesNothing(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -99,13 +98,13 @@
 		t.Fatal(err)
 	}
 	defer c.Process.Kill()
-	told := make(chan string, 1)
+	firstLine := make(chan string, 1)
 	go func() {
 		lines := bufio.NewScanner(progress)
 		lines.Scan()
-		told <- lines.Text()
+		firstLine <- lines.Text()
 	}()
-	if line := testutil.Wait(t, told, "the first version"); !strings.Contains(line, "first version") {
+	if line := testutil.Wait(t, firstLine, "the first version"); !strings.Contains(line, "first version") {
 		t.Fatalf("%q", line)
 	}
 	children := childrenOf(t, c.Process.Pid)
@@ -119,8 +118,8 @@
 	}
 }
 
-// The command refuses a file that is no plan by its line, and ends.
-func TestScaleRefusesBadFiles(t *testing.T) {
+// The command rejects a file that is no plan with its line, and ends.
+func TestScaleRejectsBadFiles(t *testing.T) {
 	command, env := testutil.Itself()
 	path := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(path, []byte("name = \"bad\"\nsizes = [3]\nnodes = 7\n"), 0o600); err != nil {
--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -11,23 +11,33 @@
 	"yokestall/internal/testutil"
 )
 
-// versionsRun is a run that fits a test: a lease that is over in the middle of most faults.
-func versionsRun(seed uint64) lab.Versions {
+// shortVersions is a run that is short enough for a test, with a lease that ends in the middle of most faults.
+func shortVersions(seed uint64) lab.Versions {
 	return lab.Versions{
-		Seed: seed, Nodes: 5, Voters: 3, Boxes: 4, Count: 21, Length: 6 * time.Second, Faults: 6, Rate: 150, Clocks: true,
-		Terms: lease.Config{Duration: 600 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 250 * time.Millisecond},
+		Seed:   seed,
+		Nodes:  5,
+		Voters: 3,
+		Boxes:  4,
+		Count:  21,
+		Length: 6 * time.Second,
+		Faults: 6,
+		Rate:   150,
+		Clocks: true,
+		Terms: lease.Config{
+			Duration: 600 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 250 * time.Millisecond,
+		},
 	}
 }
 
 // Five processes that agree on versions, each of which contradicts the one before, while they are stopped, killed and
 // cut off from each other: no two act on versions that contradict for longer than the bound, and no server that a
-// version has out gets more by it.
+// version takes out of service gets requests by it.
 func TestVersionsUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
 	}
 	for seed := range uint64(3) {
-		t.Run("", func(t *testing.T) { playVersions(t, versionsRun(seed+1)) })
+		t.Run("", func(t *testing.T) { playVersions(t, shortVersions(seed+1)) })
 	}
 }
 
@@ -38,27 +48,27 @@
 		t.Skip("real time")
 	}
 	for seed := range uint64(2) {
-		v := versionsRun(seed + 1)
+		v := shortVersions(seed + 1)
 		v.Power = true
 		t.Run("", func(t *testing.T) { playVersions(t, v) })
 	}
 }
 
 // A release goes on while its owners are stopped, killed and cut off: each step is one version, and no owner acts by
-// a token that was passed.
+// a token that a later one has replaced.
 func TestReleaseUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
 	}
 	for seed := range uint64(2) {
-		v := versionsRun(seed + 1)
+		v := shortVersions(seed + 1)
 		v.Release, v.Boxes = true, 8
 		t.Run("", func(t *testing.T) { playVersions(t, v) })
 	}
 }
 
-// Processes of the former version of the program vote on versions, and act on them, beside processes of this one, while they
-// are killed, stopped and cut off: each version is agreed on and in force in all, by leases that hold.
+// Processes of the former version of the program vote on versions, and act on them, beside processes of this one, while
+// they are killed, stopped and cut off: each version is agreed on and in force in all, by valid leases.
 func TestVersionsBetweenPrograms(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -73,7 +83,7 @@
 		{"one former voter and one former follower", []int{0, 4}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v := versionsRun(1)
+			v := shortVersions(1)
 			v.Programs = map[int][]string{}
 			for _, node := range c.nodes {
 				v.Programs[node] = []string{former}
@@ -83,6 +93,7 @@
 	}
 }
 
+// playVersions plays a run with real processes; no rule is broken, and the bound of contradiction is kept.
 func playVersions(t *testing.T, v lab.Versions) {
 	itself, env := testutil.Itself()
 	dir := t.TempDir()
@@ -92,7 +103,8 @@
 		t.Fatal(err)
 	}
 	if o.Longest > o.Bound {
-		t.Errorf("two acted on versions that contradict for %v, and the bound is %v: %+v after the first of %d", o.Longest, o.Bound, o.Worst, o.Over)
+		t.Errorf("two acted on versions that contradict for %v, and the bound is %v: %+v after the first of %d",
+			o.Longest, o.Bound, o.Worst, o.Over)
 	}
 	found := slices.DeleteFunc(o.Found, func(f fleet.Finding) bool { return f.Timing })
 	if len(found) > 0 || o.Served < o.Asked/4 {
@@ -102,6 +114,8 @@
 		t.Log(o.Script)
 		showLogs(t, dir)
 	}
-	t.Logf("%d versions, in force after %v at half of them and %v at most; contradiction %v (%d attempts) of %v; %d owners; %d asked, %d served, %d refused, %d failed; %d late at servers that were out",
-		o.Published, o.Times[len(o.Times)/2], o.Times[len(o.Times)-1], o.Longest, o.Count, o.Bound, o.Owners, o.Asked, o.Served, o.Refused, o.Failed, len(o.Found))
+	t.Logf("%d versions, in force after %v at half of them and %v at most; contradiction %v (%d attempts) of %v; "+
+		"%d owners; %d asked, %d served, %d refused, %d failed; %d late at servers that were out",
+		o.Published, o.Times[len(o.Times)/2], o.Times[len(o.Times)-1], o.Longest, o.Count, o.Bound,
+		o.Owners, o.Asked, o.Served, o.Refused, o.Failed, len(o.Found))
 }
