--- a/internal/flakecheck/table_test.go
+++ b/internal/flakecheck/table_test.go
@@ -5,27 +5,27 @@
 	"testing"
 )
 
-// The table counts ends by test, shows failures first, and a package that fails with no
+// The table counts results by test, prints failures first, and a package that fails with no
 // test at fault, as by a leak, is a failure too.
 func TestTable(t *testing.T) {
-	all := table{}
+	results := table{}
 	for _, e := range []event{
 		{"run", "p", "TestA", "", 0}, {"pass", "p", "TestA", "", 2}, {"pass", "p", "TestA", "", 3},
 		{"pass", "p", "TestB", "", 1}, {"fail", "p", "TestB", "", 1}, {"fail", "p", "TestB/sub", "", 1},
 		{"skip", "p", "TestC", "", 0}, {"fail", "p", "", "", 6},
 	} {
-		all.add(e)
+		results.add(e)
 	}
 	var out strings.Builder
-	all.print(&out)
+	results.print(&out)
 	got := strings.Split(strings.TrimSpace(out.String()), "\n")
 	want := []string{"p (the package) 0 1 0 6.0", "p TestB 1 1 0 1.0", "p TestA 2 0 0 3.0", "p TestC 0 0 1 0.0"}
-	for i, w := range want {
-		if i+1 >= len(got) || strings.Join(strings.Fields(got[i+1]), " ") != w {
-			t.Fatalf("row %d of\n%s\nis not %q", i+1, out.String(), w)
+	for i, row := range want {
+		if i+1 >= len(got) || strings.Join(strings.Fields(got[i+1]), " ") != row {
+			t.Fatalf("row %d of\n%s\nis not %q", i+1, out.String(), row)
 		}
 	}
-	if all.failed() != 2 {
-		t.Errorf("%d failures", all.failed())
+	if results.failed() != 2 {
+		t.Errorf("%d failures", results.failed())
 	}
 }
