--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -9,28 +9,30 @@
 	"yokestall/policy"
 )
 
-// host holds the instances; they share nothing but the reply's buffer.
+// host has the instances. They share nothing but the buffers of the host.
 type host struct {
-	instances map[uint16]*policy.Balancer
-	current   uint16
-	named     bool
-	reply     simulator.Reply
-	event     simulator.Event
+	instances  map[uint16]*policy.Balancer
+	current    uint16 // instance of the events that follow
+	hasCurrent bool   // the batch has named one
+	reply      simulator.Reply
+	event      simulator.Event
 }
 
-func (h *host) batch(b *simulator.Batch) error {
-	h.named = false
+// handleBatch passes the events of a batch to the instances that it names; their decisions go to the reply. The error
+// is simulator.ErrFormat.
+func (h *host) handleBatch(b *simulator.Batch) error {
+	h.hasCurrent = false
 	for i := range b.Count {
 		if err := b.Event(i, &h.event); err != nil {
 			return err
 		}
 		e := &h.event
 		if e.Code == simulator.Instance {
-			h.current, h.named = e.Instance, true
+			h.current, h.hasCurrent = e.Instance, true
 			h.reply.For(e.Instance)
 			continue
 		}
-		if !h.named || (e.Code != simulator.Open && h.instances[h.current] == nil) {
+		if !h.hasCurrent || (e.Code != simulator.Open && h.instances[h.current] == nil) {
 			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
 				simulator.ErrFormat, b.Number, i, e.Code)
 		}
@@ -39,7 +41,7 @@
 	return nil
 }
 
-// handle passes one event on. A panic in the module is reported as fatal.
+// handle passes one event to the current instance. A panic in the module is reported as fatal.
 func (h *host) handle(b *simulator.Batch, e *simulator.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -47,37 +49,38 @@
 			h.reply.Fatal(fmt.Sprintf("panic: %v", p))
 		}
 	}()
-	inst := h.instances[h.current]
+	instance := h.instances[h.current]
 	switch e.Code {
 	case simulator.Open:
 		h.open(e)
 	case simulator.Stop:
 		delete(h.instances, h.current)
 	case simulator.Members:
-		inst.UpdateEndpoints(b.Now, e.Kind, e.Entries)
+		instance.UpdateEndpoints(b.Now, e.Kind, e.Entries)
 	case simulator.Request:
-		inst.Request(b.Now, e.Request)
+		instance.Request(b.Now, e.Request)
 	case simulator.Started:
-		inst.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
+		instance.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
 	case simulator.Outcome:
-		inst.Outcome(b.Now, e.Outcome)
+		instance.Outcome(b.Now, e.Outcome)
 	case simulator.Left:
-		inst.ClientDisconnected(b.Now, e.Outcome.ID)
+		instance.ClientDisconnected(b.Now, e.Outcome.ID)
 	case simulator.Timer:
-		inst.Timer(b.Now, e.Token)
+		instance.Timer(b.Now, e.Token)
 	}
 }
 
+// open makes the current instance. Settings that are not accepted are reported as fatal.
 func (h *host) open(e *simulator.Event) {
 	settings, err := simulator.ParseSettings(e.Settings)
 	if err != nil {
 		h.reply.Fatal(err.Error())
 		return
 	}
-	inst, err := policy.New(settings, e.Seed, &h.reply)
+	instance, err := policy.New(settings, e.Seed, &h.reply)
 	if err != nil {
 		h.reply.Fatal(err.Error())
 		return
 	}
-	h.instances[h.current] = inst
+	h.instances[h.current] = instance
 }
--- a/cmd/simulator-adapter/host_test.go
+++ b/cmd/simulator-adapter/host_test.go
@@ -19,7 +19,7 @@
 	if err := h.reply.WriteTo(bufio.NewWriter(&out), 7); err != nil {
 		t.Fatal(err)
 	}
-	if got := codes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 77}) ||
+	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 77}) ||
 		!bytes.Contains(out.Bytes(), []byte("panic")) {
 		t.Fatalf("action codes %v, want a context and fatal", got)
 	}
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -8,19 +8,23 @@
 	"testing"
 )
 
+// recordSize is the size of an event record in bytes.
+const recordSize = 48
+
 const settings = `{"Classes": [{"DeadlineMs": 1000, "Effect": "pure"}], "Limits": {"MaxAttempts": 2}}`
 
-// rec is an event record; its parts are written one after the other.
-func rec(parts ...any) []byte {
+// record returns an event record; its parts are written one after the other.
+func record(parts ...any) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
 		if err := binary.Write(&b, binary.BigEndian, p); err != nil {
 			panic(err)
 		}
 	}
-	return append(b.Bytes(), make([]byte, 48-b.Len())...)
+	return append(b.Bytes(), make([]byte, recordSize-b.Len())...)
 }
 
+// batch returns a batch with number 7 of records and what they refer to.
 func batch(tail string, records ...[]byte) []byte {
 	var b bytes.Buffer
 	body := bytes.Join(records, nil)
@@ -33,12 +37,14 @@
 	return append(append(b.Bytes(), body...), tail...)
 }
 
-func instance(n uint16) []byte { return rec(uint8(11), n) }
+// instance returns the record that names the instance of those that follow.
+func instance(n uint16) []byte { return record(uint8(11), n) }
 
-func open(text string) []byte { return rec(uint8(1), uint64(1), uint32(0), uint32(len(text))) }
+// open returns the record that opens an instance with settings.
+func open(text string) []byte { return record(uint8(1), uint64(1), uint32(0), uint32(len(text))) }
 
-// codes lists the action codes of all replies.
-func codes(t *testing.T, out []byte) (all []byte) {
+// actionCodes returns the action codes of all replies.
+func actionCodes(t *testing.T, out []byte) (all []byte) {
 	t.Helper()
 	for len(out) > 0 {
 		count, size := binary.BigEndian.Uint32(out), binary.BigEndian.Uint32(out[4:])
@@ -56,14 +62,14 @@
 	in := bytes.Join([][]byte{
 		batch(""),
 		batch(settings, instance(4), open(settings)),
-		batch(entry, instance(4), rec(uint8(2), uint8(2), uint64(1), uint32(0), uint32(1)),
-			rec(uint8(3), uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
+		batch(entry, instance(4), record(uint8(2), uint8(2), uint64(1), uint32(0), uint32(1)),
+			record(uint8(3), uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
 	}, nil)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	if got := codes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 66, 72}) {
+	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 66, 72}) {
 		t.Fatalf("action codes %v, want context, call_out, notify_me", got)
 	}
 }
@@ -75,17 +81,17 @@
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("Classes[0].Deadline")) ||
-		!bytes.Contains(codes(t, out.Bytes()), []byte{77}) {
+		!bytes.Contains(actionCodes(t, out.Bytes()), []byte{77}) {
 		t.Fatalf("reply %q names no field", out.Bytes())
 	}
 }
 
 func TestRunRejectsEventsForNoInstance(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"never opened": batch("", instance(4), rec(uint8(7), uint64(0))),
-		"not named":    batch("", rec(uint8(7), uint64(0))),
-		"stopped": batch(settings, instance(4), open(settings), rec(uint8(10)),
-			rec(uint8(7), uint64(0))),
+		"never opened": batch("", instance(4), record(uint8(7), uint64(0))),
+		"not named":    batch("", record(uint8(7), uint64(0))),
+		"stopped": batch(settings, instance(4), open(settings), record(uint8(10)),
+			record(uint8(7), uint64(0))),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
