--- /dev/null
+++ b/internal/knownred/declared_test.go
@@ -0,0 +1,15 @@
+package main
+
+import (
+	"testing"
+)
+
+func TestDeclaredTests(t *testing.T) {
+	tests, err := declaredTests("../..")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if folders := tests["TestDeclaredTests"]; len(folders) != 1 || folders[0] != "internal/knownred" {
+		t.Errorf("declared in %v", folders)
+	}
+}
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,5 +1,6 @@
 // Command knownred reads the list of tests that are known to fail, KNOWN-RED.txt, checks it against the source and
-// prints the pattern for go test's -skip that passes over exactly these tests.
+// prints the pattern for go test's -skip that passes over exactly these tests. Exit codes: 0, or 1 if the list is
+// wrong.
 //
 // An entry is a block of lines "key: value"; blank lines separate entries, and lines that begin with # are comments:
 //
@@ -7,6 +8,8 @@
 //	command: go test -race ./internal/engine -run TestName
 //	seen: what was observed, with the seed where there is one
 //	issue: 51
+//
+// entry.go reads the entries; declared.go finds the tests in the source; pattern.go makes the pattern.
 package main
 
 import (
@@ -16,21 +19,23 @@
 )
 
 func main() {
-	if err := run(); err != nil {
+	if err := run(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "knownred:", err)
 		os.Exit(1)
 	}
 }
 
-func run() error {
-	if len(os.Args) != 2 {
+// run prints the pattern to standard output and the entries to standard error. The working directory is the
+// repository's root.
+func run(args []string) error {
+	if len(args) != 1 {
 		return errors.New("usage: knownred KNOWN-RED.txt, from the root of the repository")
 	}
-	text, err := os.ReadFile(os.Args[1])
+	text, err := os.ReadFile(args[0])
 	if err != nil {
 		return err
 	}
-	entries, err := parse(string(text))
+	entries, err := parseEntries(string(text))
 	if err != nil {
 		return err
 	}
@@ -43,7 +48,8 @@
 		return err
 	}
 	for _, e := range entries {
-		fmt.Fprintf(os.Stderr, "known to fail, passed over: %s %s (issue %s): %s\n", e.folder, e.test, e.fields["issue"], e.fields["seen"])
+		fmt.Fprintf(os.Stderr, "known to fail, passed over: %s %s (issue %s): %s\n",
+			e.folder, e.test, e.issue, e.seen)
 	}
 	fmt.Println(pattern)
 	return nil
--- a/internal/knownred/pattern_test.go
+++ b/internal/knownred/pattern_test.go
@@ -11,24 +11,33 @@
 `
 
 func TestSkipPattern(t *testing.T) {
+	const (
+		otherEntry   = "\ntest: policy TestB\ncommand: c\nseen: s\nissue: 1\n"
+		noIssue      = "test: policy TestB\ncommand: c\nseen: s\n"
+		noFolder     = "test: TestB\ncommand: c\nseen: s\nissue: 1\n"
+		nameAndSpace = "test: policy TestB/a b\ncommand: c\nseen: s\nissue: 1\n"
+	)
+	type declared = map[string][]string
+	both := declared{"TestA": {"internal/engine"}, "TestB": {"policy"}}
+	onlyB := declared{"TestB": {"policy"}}
 	for name, c := range map[string]struct {
 		text  string
-		tests map[string][]string
+		tests declared
 		want  string
 		fails bool
 	}{
-		"one subtest":             {oneEntry, map[string][]string{"TestA": {"internal/engine"}}, "^TestA$/^sub$", false},
-		"two tests":               {oneEntry + "\ntest: policy TestB\ncommand: c\nseen: s\nissue: 1\n", map[string][]string{"TestA": {"internal/engine"}, "TestB": {"policy"}}, "^TestA$/^sub$|^TestB$", false},
-		"no such test":            {oneEntry, map[string][]string{"TestB": {"internal/engine"}}, "", true},
-		"in another package":      {oneEntry, map[string][]string{"TestA": {"policy"}}, "", true},
-		"name in two packages":    {oneEntry, map[string][]string{"TestA": {"internal/engine", "policy"}}, "", true},
-		"without an issue":        {"test: policy TestB\ncommand: c\nseen: s\n", map[string][]string{"TestB": {"policy"}}, "", true},
-		"test without its folder": {"test: TestB\ncommand: c\nseen: s\nissue: 1\n", map[string][]string{"TestB": {"policy"}}, "", true},
-		"a name with a space":     {"test: policy TestB/a b\ncommand: c\nseen: s\nissue: 1\n", map[string][]string{"TestB": {"policy"}}, "", true},
-		"not key and value":       {"TestB\n", map[string][]string{"TestB": {"policy"}}, "", true},
+		"one subtest":             {oneEntry, declared{"TestA": {"internal/engine"}}, "^TestA$/^sub$", false},
+		"two tests":               {oneEntry + otherEntry, both, "^TestA$/^sub$|^TestB$", false},
+		"no such test":            {oneEntry, onlyB, "", true},
+		"in another package":      {oneEntry, declared{"TestA": {"policy"}}, "", true},
+		"name in two packages":    {oneEntry, declared{"TestA": {"internal/engine", "policy"}}, "", true},
+		"without an issue":        {noIssue, onlyB, "", true},
+		"test without its folder": {noFolder, onlyB, "", true},
+		"a name with a space":     {nameAndSpace, onlyB, "", true},
+		"not key and value":       {"TestB\n", onlyB, "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			entries, err := parse(c.text)
+			entries, err := parseEntries(c.text)
 			got := ""
 			if err == nil {
 				got, err = skipPattern(entries, c.tests)
@@ -39,13 +48,3 @@
 		})
 	}
 }
-
-func TestDeclaredTests(t *testing.T) {
-	tests, err := declaredTests("../..")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if folders := tests["TestDeclaredTests"]; len(folders) != 1 || folders[0] != "internal/knownred" {
-		t.Errorf("declared in %v", folders)
-	}
-}
