--- /dev/null
+++ b/internal/app/apply_test.go
@@ -0,0 +1,232 @@
+package app
+
+import (
+	"fmt"
+	"os"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"yokestall/internal/cluster"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/files"
+	"yokestall/internal/testutil"
+)
+
+// A route to a cluster that nobody defines refuses its own requests and no others, and
+// heals when the cluster comes.
+func TestUndefinedCluster(t *testing.T) {
+	b := testutil.Box(t, "box-1")
+	p := parse(t, program)
+	s := serve(t, snapshot(p, rooms(at(b))))
+	status, header, _ := s.get("/lost/x", "")
+	if status != 503 || header.Get("Retry-After") != "0.600" {
+		t.Errorf("status %d, %v", status, header)
+	}
+	if status, _, _ := s.get("/x", ""); status != 200 {
+		t.Errorf("another route gets status %d", status)
+	}
+	found := rooms(at(b))
+	found.Name = "undefined"
+	if err := s.app.Apply(snapshot(p, rooms(at(b)), found)); err != nil {
+		t.Fatal(err)
+	}
+	if status, _, _ := s.get("/lost/x", ""); status != 200 {
+		t.Errorf("status %d once it is defined", status)
+	}
+}
+
+// A cluster that is removed, or a route that moves, with requests open: what is out
+// finishes, new ones go where the version says.
+func TestClusterRemovedWhileOpen(t *testing.T) {
+	slow, other := testutil.Box(t, "slow"), testutil.Box(t, "other")
+	slow.SetDelay(300 * time.Millisecond)
+	p := parse(t, program)
+	s := serve(t, snapshot(p, rooms(at(slow))))
+	answers := make(chan string, 8)
+	for i := range 4 {
+		go func() {
+			_, _, body := s.get("/pay/x", fmt.Sprintf("open-%d", i))
+			answers <- body
+		}()
+	}
+	testutil.Until(t, "a request to reach the box", func() bool { return slow.Count() > 0 })
+	moved := parse(t, strings.ReplaceAll(program, `cluster = "rooms"`, `cluster = "suites"`))
+	suites := rooms(at(other))
+	suites.Name = "suites"
+	if err := s.app.Apply(snapshot(moved, suites)); err != nil {
+		t.Fatal(err)
+	}
+	if status, _, body := s.get("/pay/y", "new"); status != 200 || !strings.HasPrefix(body, "other") {
+		t.Errorf("a new request: status %d, %q", status, body)
+	}
+	served := 0
+	for range 4 { // one that came later was served by the other
+		if strings.HasPrefix(<-answers, "slow ") {
+			served++
+		}
+	}
+	if seen := slow.Count(); served != seen || served == 0 {
+		t.Errorf("%d of those open were served; %d had reached the box", served, seen)
+	}
+}
+
+// An endpoint under the same id at another address is another server at once.
+func TestEndpointMoves(t *testing.T) {
+	a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
+	p := parse(t, program)
+	at := func(b *appbox.Box) cluster.Endpoint { return cluster.Endpoint{ID: "same", Address: b.Addr()} }
+	s := serve(t, snapshot(p, rooms(at(a))))
+	for i := range 10 {
+		to := []*appbox.Box{a, b}[i%2]
+		if err := s.app.Apply(snapshot(p, rooms(at(to)))); err != nil {
+			t.Fatal(err)
+		}
+		if status, _, body := s.get("/x", ""); status != 200 || !strings.HasPrefix(body, to.Name+" ") {
+			t.Errorf("version %d: status %d, %q", i, status, body)
+		}
+	}
+}
+
+// A new endpoint at the address of one that has gone is another server, with nothing of
+// the former one's.
+func TestAddressReused(t *testing.T) {
+	b := testutil.Box(t, "b")
+	log := &sends{names: map[uint64]string{}}
+	p := parse(t, program)
+	named := func(id string) *files.Snapshot {
+		e := cluster.Endpoint{ID: id, Address: b.Addr(), Weight: 1}
+		log.names[e.Key()] = id
+		return snapshot(p, rooms(e))
+	}
+	first, second := named("old"), named("new")
+	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t), OnSend: log.note})
+	for i, v := range []*files.Snapshot{first, second} {
+		if err := s.app.Apply(v); err != nil {
+			t.Fatal(err)
+		}
+		if status, _, _ := s.get("/x", ""); status != 200 || log.list[i].server != []string{"old", "new"}[i] {
+			t.Errorf("status %d, sent to %v", status, log.list)
+		}
+	}
+}
+
+// A cluster's bounds: what is dropped by share or is more than may be open is refused at
+// once, with the time to come back, and reaches no server.
+func TestBounds(t *testing.T) {
+	b := testutil.Box(t, "b")
+	p := parse(t, program)
+	held := func(bounds cluster.Bounds) *files.Snapshot {
+		c := rooms(at(b))
+		c.Bounds = bounds
+		return snapshot(p, c)
+	}
+	s := serve(t, held(cluster.Bounds{Drops: []cluster.Drop{{Category: "all", Share: 1}}}))
+	refused := func(what string) {
+		t.Helper()
+		if status, header, _ := s.get("/x", ""); status != 503 || header.Get("Retry-After") != "0.600" {
+			t.Errorf("%s: status %d, %v", what, status, header)
+		}
+	}
+	refused("dropped")
+	if b.Count() != 0 {
+		t.Error("what is dropped reached a server")
+	}
+	if err := s.app.Apply(held(cluster.Bounds{MaxRequests: 1})); err != nil {
+		t.Fatal(err)
+	}
+	b.SetDelay(300 * time.Millisecond)
+	first := make(chan int, 1)
+	go func() {
+		status, _, _ := s.get("/x", "")
+		first <- status
+	}()
+	testutil.Until(t, "the first to be out", func() bool { return b.Count() > 0 })
+	refused("the second one at once")
+	if status := testutil.Wait(t, first, "the first"); status != 200 {
+		t.Errorf("the first: status %d", status)
+	}
+	if status, _, _ := s.get("/x", ""); status != 200 {
+		t.Errorf("with none open: status %d", status)
+	}
+}
+
+// A thousand versions, also such that start every cluster anew, leave no memory,
+// goroutine or descriptor behind.
+func TestThousandVersions(t *testing.T) {
+	b := testutil.Box(t, "box-1")
+	p := parse(t, program)
+	other := parse(t, strings.Replace(program, "attempts = 3", "attempts = 2", 1))
+	s := serve(t, snapshot(p, rooms(at(b))))
+	take := func(n int) {
+		for i := range n {
+			extra := cluster.Endpoint{ID: fmt.Sprintf("x-%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Health: cluster.Draining}
+			next := p
+			if i%10 == 5 {
+				next = other
+			}
+			if err := s.app.Apply(snapshot(next, rooms(at(b), extra))); err != nil {
+				t.Fatal(err)
+			}
+			if i%50 == 0 {
+				if status, _, _ := s.get("/x", ""); status != 200 {
+					t.Fatalf("version %d: status %d", i, status)
+				}
+			}
+		}
+	}
+	descriptors := func() int {
+		list, _ := os.ReadDir("/proc/self/fd")
+		return len(list)
+	}
+	heap := func() uint64 {
+		runtime.GC()
+		var m runtime.MemStats
+		runtime.ReadMemStats(&m)
+		return m.HeapAlloc
+	}
+	take(100)
+	s.client.CloseIdleConnections()
+	testutil.Until(t, "retired clusters to end", func() bool { return runtime.NumGoroutine() < 40 })
+	g0, d0, h0 := runtime.NumGoroutine(), descriptors(), heap()
+	take(1000)
+	s.client.CloseIdleConnections()
+	testutil.Until(t, "goroutines and descriptors to be as few as before", func() bool {
+		return runtime.NumGoroutine() <= g0+10 && descriptors() <= d0+10
+	})
+	if h1 := heap(); h1 > h0+4<<20 {
+		t.Errorf("heap %d to %d bytes", h0, h1)
+	}
+}
+
+// BenchmarkTake puts a version in force of which one server changed.
+func BenchmarkTake(b *testing.B) {
+	for _, n := range []int{100, 1000, 10000} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			p := parse(b, program)
+			version := func(weight float64) *files.Snapshot {
+				var list []cluster.Endpoint
+				for i := range n {
+					list = append(list, cluster.Endpoint{
+						ID: fmt.Sprintf("s-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250+1), Weight: 1,
+					})
+				}
+				list[n/2].Weight = weight
+				return snapshot(p, rooms(list...))
+			}
+			two := []*files.Snapshot{version(1), version(2)}
+			a, err := New(two[0], Options{Seed: 1, Log: testutil.Quiet})
+			if err != nil {
+				b.Fatal(err)
+			}
+			defer a.Close()
+			b.ReportAllocs()
+			for i := 1; b.Loop(); i++ {
+				if err := a.Apply(two[i%2]); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/app/configuration_test.go
@@ -0,0 +1,71 @@
+package app
+
+import (
+	"testing"
+
+	"yokestall/internal/cluster"
+	"yokestall/internal/config"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/files"
+)
+
+const program = `[listen]
+address = "127.0.0.1:0"
+[files]
+clusters = "clusters"
+poll = "20ms"
+max_removed_share = 1
+[limits]
+attempts = 3
+max_retry_after = "600ms"
+[[class]]
+name = "read"
+effect = "safe"
+deadline = "5s"
+[[class]]
+name = "pay"
+effect = "unsafe"
+deadline = "5s"
+[[host]]
+[[host.route]]
+prefix = "/lost/"
+class = "read"
+cluster = "undefined"
+[[host.route]]
+prefix = "/pay/"
+class = "pay"
+cluster = "rooms"
+[[host.route]]
+prefix = "/"
+class = "read"
+cluster = "rooms"
+`
+
+func parse(t testing.TB, text string) *config.Program {
+	t.Helper()
+	p, err := config.ParseProgram("yokestall.toml", []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+func rooms(list ...cluster.Endpoint) *cluster.Config {
+	c := &cluster.Config{Name: "rooms", Endpoints: list, ShrinkTo: -1, Empty: len(list) == 0}
+	if err := c.Check(nil); err != nil {
+		panic(err)
+	}
+	return c
+}
+
+func at(b *appbox.Box) cluster.Endpoint {
+	return cluster.Endpoint{ID: b.Name, Address: b.Addr(), Weight: 1}
+}
+
+func snapshot(p *config.Program, list ...*cluster.Config) *files.Snapshot {
+	v := &cluster.Version{Clusters: map[string]*cluster.Config{}}
+	for _, c := range list {
+		v.Clusters[c.Name] = c
+	}
+	return &files.Snapshot{Program: p, Version: v}
+}
--- /dev/null
+++ b/internal/app/serving_test.go
@@ -0,0 +1,87 @@
+package app
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+
+	"yokestall/internal/files"
+	"yokestall/internal/testutil"
+)
+
+// serving is an app that clients can ask.
+type serving struct {
+	t      testing.TB
+	app    *App
+	url    string
+	client *http.Client
+	leave  func() // ends the following of a control plane
+}
+
+func serve(t testing.TB, first *files.Snapshot) *serving {
+	t.Helper()
+	return serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t)})
+}
+
+func serveWith(t testing.TB, first *files.Snapshot, o Options) *serving {
+	t.Helper()
+	a, err := New(first, o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := testutil.Listen(t)
+	ctx, stop := context.WithCancel(context.Background())
+	var run sync.WaitGroup
+	run.Go(func() {
+		if err := a.Serve(ctx, l); err != nil {
+			t.Error(err)
+		}
+	})
+	transport := &http.Transport{MaxIdleConnsPerHost: 64}
+	t.Cleanup(func() {
+		transport.CloseIdleConnections()
+		stop()
+		run.Wait()
+		a.Close()
+	})
+	return &serving{t: t, app: a, url: "http://" + l.Addr().String(), client: &http.Client{Transport: transport}}
+}
+
+func (s *serving) get(path, id string) (status int, header http.Header, body string) {
+	s.t.Helper()
+	method := http.MethodGet
+	if strings.HasPrefix(path, "/pay/") {
+		method = http.MethodPost
+	}
+	r, err := http.NewRequest(method, s.url+path, nil)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	if id != "" {
+		r.Header.Set("X-Request-ID", id)
+	}
+	resp, err := s.client.Do(r)
+	if err != nil {
+		s.t.Errorf("no answer: %v", err)
+		return 0, nil, ""
+	}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	if err != nil {
+		s.t.Errorf("no whole answer: %v", err)
+	}
+	return resp.StatusCode, resp.Header, string(text)
+}
+
+// status waits until a path is answered by a status.
+func (s *serving) becomes(path string, status int) {
+	s.t.Helper()
+	testutil.Until(s.t, fmt.Sprintf("%s to be answered by %d", path, status), func() bool {
+		got, _, _ := s.get(path, "")
+		return got == status
+	})
+}
--- /dev/null
+++ b/internal/app/xdsserving_test.go
@@ -0,0 +1,73 @@
+package app
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"yokestall/internal/fake/controlplane"
+	"yokestall/internal/files"
+	"yokestall/internal/testutil"
+	"yokestall/internal/xds"
+	"yokestall/internal/xds/ads"
+)
+
+// xdsProgram follows a control plane at an address, as "ingress" says.
+func xdsProgram(t testing.TB, addr, variant, more string) *files.Snapshot {
+	text := program[:strings.Index(program, "[[host]]")] +
+		fmt.Sprintf("[xds]\nservers = [%q]\nvariant = %q\nnode_id = \"test\"\nlistener = \"ingress\"\nclass = \"read\"\n%s", addr, variant, more)
+	return snapshot(parse(t, text))
+}
+
+var bothVariants = []string{"incremental", "state-of-the-world"}
+
+func startPlane(t testing.TB) *controlplane.Plane {
+	p, err := controlplane.Start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(p.Down)
+	return p
+}
+
+func set(t testing.TB, p *controlplane.Plane, named map[string]proto.Message) {
+	t.Helper()
+	if err := p.Set(named); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// follow serves by a control plane; each delivery is told once the app took it.
+func follow(t testing.TB, first *files.Snapshot, o Options, change func(*xds.Config), told func(*xds.Delivery)) (*serving, *testutil.Logs) {
+	t.Helper()
+	logs := testutil.NewLogs(t)
+	if o.Log == nil {
+		o.Log = logs.Logger()
+	}
+	s := serveWith(t, first, o)
+	c := XDSConfig(first.Program, "x")
+	c.Failover = ads.FailoverOptions{InitialBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, PreferredProbeInterval: time.Hour}
+	if change != nil {
+		change(c)
+	}
+	source := NewSource(s.app, first)
+	client := xds.New(*c, o.Log)
+	take := func(d *xds.Delivery) {
+		source.Deliver(d)
+		if told != nil {
+			told(d)
+		}
+	}
+	client.Restore(take)
+	ctx, stop := context.WithCancel(context.Background())
+	var run sync.WaitGroup
+	run.Go(func() { client.Run(ctx, take) })
+	s.leave = func() { stop(); run.Wait() }
+	t.Cleanup(s.leave)
+	return s, logs
+}
