--- a/internal/app/cell_test.go
+++ b/internal/app/cell_test.go
@@ -18,16 +18,16 @@
 // cell is one pair of sides, with the program between them.
 type cell struct {
 	front, back webpeer.Wire
-	addr, url   string
+	addr, url   string // of the program
 	listeners   *Listeners
 	client      *http.Client
-	peer        *webpeer.Peer
+	peer        *webpeer.Peer // nil: the servers are others
 	app         *App
 }
 
-// matrixProgram has an aim that no busy machine misses, and answers keep their worth up to the deadline: a request
-// is sent, and sent again, where an answer would come in time, as what was learnt of latencies tells. What the matrix
-// holds is no matter of time. So is the time for a connection.
+// matrixProgram has a latency objective that no busy machine misses, and answers have their full weight up to the
+// deadline: a request is sent, and retried, where an answer would come in time by the latencies learnt so far. What the
+// matrix checks does not depend on time.
 const matrixProgram = `[files]
 clusters = "clusters"
 max_removed_share = 1
@@ -59,7 +59,10 @@
 cluster = "rooms"
 `
 
-func newCell(t testing.TB, front, back webpeer.Wire, keys *tlskeys.Store, authority *keymaker.Authority) *cell {
+// newCell returns a cell with two servers of its own.
+func newCell(
+	t testing.TB, front, back webpeer.Wire, keys *tlskeys.Store, authority *keymaker.Authority,
+) *cell {
 	t.Helper()
 	p, err := webpeer.Start(back, keys.Server(tlskeys.Clients{}, back.ALPN()), 2)
 	if err != nil {
@@ -71,57 +74,68 @@
 	return c
 }
 
-// newCellTo is newCell before other servers, with a listener's bounds where they differ.
-func newCellTo(t testing.TB, front, back webpeer.Wire, keys *tlskeys.Store, authority *keymaker.Authority, set config.Listener, addrs ...string) *cell {
+// newCellTo returns a cell with other servers, and with a listener's bounds where they differ. keys and authority may
+// be nil where neither side has TLS.
+func newCellTo(
+	t testing.TB, front, back webpeer.Wire, keys *tlskeys.Store, authority *keymaker.Authority,
+	listener config.Listener, addrs ...string,
+) *cell {
 	t.Helper()
 	c := &cell{front: front, back: back}
-	var list []cluster.Endpoint
-	for i, a := range addrs {
-		list = append(list, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
-	}
-	given := rooms(list...)
-	given.Transport.HTTP2 = back.HTTP2
-	given.Bounds.ConnectTimeout = testutil.Patience
-	if back.TLS {
-		given.Transport.TLS = &cluster.TLS{Roots: "ca", Name: "peer.test"}
-	}
 	p := parse(t, matrixProgram)
 	logs := testutil.Quiet // a fuzz target has no log of its own
 	if _, fuzz := t.(*testing.F); !fuzz {
 		logs = testutil.Log(t)
 	}
-	var err error
-	if c.app, err = New(snapshot(p, given), Options{Seed: 1, Log: logs, Keys: keys}); err != nil {
-		t.Fatal(err)
+	c.app = newApp(t, snapshot(p, cellCluster(back, addrs)), Options{Seed: 1, Log: logs, Keys: keys})
+	listener.TLS, listener.Address = front.TLS, "127.0.0.1:0"
+	listener.Connections, listener.NewConnections, listener.MaxBody = 1024, 256, p.Listener.MaxBody
+	c.listeners = openListeners(t, c.app, listener)
+	c.addr = c.listeners.Addr("").String()
+	c.url = "http://" + c.addr
+	if front.TLS {
+		c.url = "https://" + c.addr
 	}
-	set.TLS, set.Address, set.Connections, set.NewConnections, set.MaxBody = front.TLS, "127.0.0.1:0", 1024, 256, p.Listener.MaxBody
-	c.listeners = c.app.NewListeners()
-	if err := c.listeners.Apply([]config.Listener{set}); err != nil {
-		t.Fatal(err)
+	c.client = newCellClient(t, front, authority)
+	return c
+}
+
+// cellCluster returns the cluster rooms with servers that speak a protocol.
+func cellCluster(back webpeer.Wire, addrs []string) *cluster.Config {
+	var list []cluster.Endpoint
+	for i, a := range addrs {
+		list = append(list, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
 	}
-	scheme := "http"
-	if front.TLS {
-		scheme = "https"
+	c := rooms(list...)
+	c.Transport.HTTP2 = back.HTTP2
+	c.Bounds.ConnectTimeout = testutil.Patience // longer than any busy machine takes
+	if back.TLS {
+		c.Transport.TLS = &cluster.TLS{Roots: "ca", Name: "peer.test"}
 	}
-	c.addr = c.listeners.Addr("").String()
-	c.url = scheme + "://" + c.addr
+	return c
+}
+
+// newCellClient returns a client that speaks a protocol and follows no redirects.
+func newCellClient(t testing.TB, front webpeer.Wire, authority *keymaker.Authority) *http.Client {
 	transport := &http.Transport{
-		Protocols: front.Protocols(), MaxIdleConnsPerHost: 16, DisableCompression: true, ExpectContinueTimeout: testutil.Patience,
+		Protocols:             front.Protocols(),
+		MaxIdleConnsPerHost:   16,
+		DisableCompression:    true,
+		ExpectContinueTimeout: testutil.Patience,
 	}
 	if authority != nil {
 		transport.TLSClientConfig = &tls.Config{RootCAs: authority.Pool(), ServerName: "front.test"}
 	}
-	c.client = &http.Client{Timeout: testutil.Patience, Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	t.Cleanup(func() {
-		transport.CloseIdleConnections()
-		c.listeners.Close()
-		c.app.Close()
-	})
-	return c
+	t.Cleanup(transport.CloseIdleConnections)
+	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &http.Client{Timeout: testutil.Patience, Transport: transport, CheckRedirect: noRedirects}
 }
 
-// ask sends a request and gives the whole answer.
-func (c *cell) ask(method, path, do string, body io.Reader, length int64, fields ...string) (*http.Response, []byte, error) {
+// ask sends a request and returns the complete answer. do is what the server is to do (webpeer); length is the
+// body's, -1 if unknown; fields are names and values in turn.
+func (c *cell) ask(
+	method, path, do string, body io.Reader, length int64, fields ...string,
+) (*http.Response, []byte, error) {
 	r, err := http.NewRequest(method, c.url+path, body)
 	if err != nil {
 		return nil, nil, err
--- a/internal/app/configuration_test.go
+++ b/internal/app/configuration_test.go
@@ -9,6 +9,7 @@
 	"yokestall/internal/files"
 )
 
+// program is a program's file with three routes; the cluster of /lost/ is not defined.
 const program = `[listen]
 address = "127.0.0.1:0"
 [files]
@@ -41,6 +42,7 @@
 cluster = "rooms"
 `
 
+// parse reads a program's file.
 func parse(t testing.TB, text string) *config.Program {
 	t.Helper()
 	p, err := config.ParseProgram("yokestall.toml", []byte(text))
@@ -50,6 +52,7 @@
 	return p
 }
 
+// rooms returns the cluster rooms with endpoints.
 func rooms(list ...cluster.Endpoint) *cluster.Config {
 	c := &cluster.Config{Name: "rooms", Endpoints: list, ShrinkTo: -1, Empty: len(list) == 0}
 	if err := c.Check(nil); err != nil {
@@ -58,10 +61,12 @@
 	return c
 }
 
+// at returns the endpoint of a box.
 func at(b *appbox.Box) cluster.Endpoint {
 	return cluster.Endpoint{ID: b.Name, Address: b.Addr(), Weight: 1}
 }
 
+// snapshot returns a version of the files with clusters.
 func snapshot(p *config.Program, list ...*cluster.Config) *files.Snapshot {
 	v := &cluster.Version{Clusters: map[string]*cluster.Config{}}
 	for _, c := range list {
--- a/internal/app/edge_test.go
+++ b/internal/app/edge_test.go
@@ -44,108 +44,157 @@
 response = { set = { strict-transport-security = "max-age=60" }, remove = ["server"] }
 `
 
-// What the edge does with a connection and with fields, by listener: raw bytes in, what comes
-// back and what the server saw.
-func TestEdge(t *testing.T) {
-	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("Upgrade") == "echo" {
-			nc, rw, _ := http.NewResponseController(w).Hijack()
-			defer nc.Close()
-			io.WriteString(nc, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\nhello ")
-			io.Copy(nc, rw)
-			return
-		}
-		w.Header().Set("Server", "inside")
-		fmt.Fprintf(w, "for=%s tls=%s added=%s secret=%s", r.Header.Get("X-Forwarded-For"), r.Header.Get("X-Forwarded-Proto"), r.Header.Get("X-Added"), r.Header.Get("X-Secret"))
-	})
-	authority, err := keymaker.New("test")
-	if err != nil {
+// edge is an app with keys, before a server that answers with the fields that it saw.
+type edge struct {
+	app       *App
+	listener  config.Listener // of edgeProgram
+	authority *keymaker.Authority
+	keyFolder string
+}
+
+func newEdge(t *testing.T) *edge {
+	t.Helper()
+	e := &edge{keyFolder: t.TempDir()}
+	var err error
+	if e.authority, err = keymaker.New("test"); err != nil {
 		t.Fatal(err)
 	}
-	folder := t.TempDir()
 	for _, name := range []string{"front.test", "client.test"} {
-		if err := authority.Write(folder, name, name); err != nil {
+		if err := e.authority.Write(e.keyFolder, name, name); err != nil {
 			t.Fatal(err)
 		}
 	}
-	keys, err := tlskeys.Open(folder, "front.test", testutil.Log(t))
+	keys, err := tlskeys.Open(e.keyFolder, "front.test", testutil.Log(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := parse(t, edgeProgram)
-	e := rooms()
-	e.Empty, e.Endpoints = false, append(e.Endpoints, at(testutil.Box(t, "unused")))
-	e.Endpoints[0].Address = b.Addr()
-	a, err := New(snapshot(p, e), Options{Seed: 1, Log: testutil.Log(t), Keys: keys})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer a.Close()
-	start := func(change func(*config.Listener)) (addr string) {
-		set := p.Listener
-		change(&set)
-		ls := a.NewListeners()
-		if err := ls.Apply([]config.Listener{set}); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(ls.Close)
-		return ls.Addr("").String()
+	e.listener = p.Listener
+	c := rooms()
+	c.Empty, c.Endpoints = false, append(c.Endpoints, at(testutil.Box(t, "unused")))
+	c.Endpoints[0].Address = testutil.NewBackend(t, answerWithFields).Addr()
+	e.app = newApp(t, snapshot(p, c), Options{Seed: 1, Log: testutil.Log(t), Keys: keys})
+	return e
+}
+
+// answerWithFields answers with the fields of the request that the edge may change, or upgrades to an echo.
+func answerWithFields(w http.ResponseWriter, r *http.Request) {
+	if r.Header.Get("Upgrade") == "echo" {
+		nc, rw, _ := http.NewResponseController(w).Hijack()
+		defer nc.Close()
+		io.WriteString(nc, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\nhello ")
+		io.Copy(nc, rw)
+		return
 	}
-	plain := start(func(*config.Listener) {})
-	proxied := start(func(l *config.Listener) { l.Trust, l.Proxy = "127.0.0.0/8", "optional" })
-	required := start(func(l *config.Listener) { l.Trust, l.Proxy = "127.0.0.0/8", "required" })
-	strangers := start(func(l *config.Listener) { l.Trust, l.Proxy = "10.0.0.0/8", "required" })
-	secure := start(func(l *config.Listener) { l.TLS, l.ClientRoots = true, "ca" })
-	const get = "GET /x HTTP/1.1\r\nHost: a\r\nX-Secret: s\r\nConnection: close\r\n\r\n"
-	v2 := "\r\n\r\n\x00\r\nQUIT\n\x21\x11\x00\x0c" + "\x0a\x00\x00\x05" + "\x7f\x00\x00\x01" + "\x10\x00\x00\x50"
+	w.Header().Set("Server", "inside")
+	h := r.Header
+	fmt.Fprintf(w, "for=%s tls=%s added=%s secret=%s",
+		h.Get("X-Forwarded-For"), h.Get("X-Forwarded-Proto"), h.Get("X-Added"), h.Get("X-Secret"))
+}
+
+// listen opens a listener that is changed from the program's and returns its address.
+func (e *edge) listen(t *testing.T, change func(*config.Listener)) (addr string) {
+	t.Helper()
+	l := e.listener
+	change(&l)
+	return openListeners(t, e.app, l).Addr("").String()
+}
+
+// trust returns a change of a listener that trusts PROXY lines from a network.
+func trust(network, proxy string) func(*config.Listener) {
+	return func(l *config.Listener) { l.Trust, l.Proxy = network, proxy }
+}
+
+// requireClientKeys is a change of a listener to TLS with client certificates.
+func requireClientKeys(l *config.Listener) { l.TLS, l.ClientRoots = true, "ca" }
+
+// Requests of TestEdge, and lines of the PROXY protocol before them.
+const (
+	secretGet     = "GET /x HTTP/1.1\r\nHost: a\r\nX-Secret: s\r\nConnection: close\r\n\r\n"
+	redirectedGet = "GET /old?q=1 HTTP/1.1\r\nHost: a.test\r\nConnection: close\r\n\r\n"
+	teapotGet     = "GET /teapot HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+	upgrade       = "GET /ws HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\nping"
+	otherUpgrade  = "GET /ws HTTP/1.1\r\nHost: a\r\nConnection: Upgrade, close\r\nUpgrade: other\r\n\r\n"
+	tlsHello      = "\x16\x03\x01\x00\x05\x01\x00\x00\x01\x00\r\n\r\n"
+
+	proxyV1   = "PROXY TCP4 10.0.0.9 10.0.0.1 1 80\r\n"
+	badProxy  = "PROXY TCP4 x y 1 80\r\n"
+	proxyV2   = "\r\n\r\n\x00\r\nQUIT\n\x21\x11\x00\x0c" + proxyAddr
+	proxyAddr = "\x0a\x00\x00\x05" + "\x7f\x00\x00\x01" + "\x10\x00\x00\x50" // 10.0.0.5 to 127.0.0.1
+)
+
+// What the edge does with a connection and with fields, by listener: raw bytes in, what comes
+// back and what the server saw.
+func TestEdge(t *testing.T) {
+	e := newEdge(t)
+	plain := e.listen(t, func(*config.Listener) {})
+	proxied := e.listen(t, trust("127.0.0.0/8", "optional"))
+	required := e.listen(t, trust("127.0.0.0/8", "required"))
+	strangers := e.listen(t, trust("10.0.0.0/8", "required"))
+	secure := e.listen(t, requireClientKeys)
 	for _, tc := range []struct{ name, addr, in, until, out string }{
-		{"fields are edited", plain, get, "", "added=by the route secret="},
-		{"an answer's field is set", plain, get, "", "Strict-Transport-Security: max-age=60"},
-		{"a redirect", plain, "GET /old?q=1 HTTP/1.1\r\nHost: a.test\r\nConnection: close\r\n\r\n", "", "Location: http://a.test/new?q=1"},
-		{"a direct answer", plain, "GET /teapot HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", "", "418 I'm a teapot"},
+		{"fields are edited", plain, secretGet, "", "added=by the route secret="},
+		{"an answer's field is set", plain, secretGet, "", "Strict-Transport-Security: max-age=60"},
+		{"a redirect", plain, redirectedGet, "", "Location: http://a.test/new?q=1"},
+		{"a direct answer", plain, teapotGet, "", "418 I'm a teapot"},
 		{"HTTP/1.0", plain, "GET /x HTTP/1.0\r\n\r\n", "", "HTTP/1.0 200 OK"},
-		{"PROXY v1", proxied, "PROXY TCP4 10.0.0.9 10.0.0.1 1 80\r\n" + get, "", "for=10.0.0.9 "},
-		{"PROXY v2", proxied, v2 + get, "", "for=10.0.0.5 "},
-		{"no PROXY where it is optional", proxied, get, "", "for=127.0.0.1 "},
-		{"no PROXY where it is required", required, get, "", ""},
-		{"PROXY malformed", required, "PROXY TCP4 x y 1 80\r\n" + get, "", ""},
-		{"PROXY from a stranger", strangers, "PROXY TCP4 10.0.0.9 10.0.0.1 1 80\r\n" + get, "", ""},
-		{"PROXY where it is not spoken", plain, "PROXY TCP4 10.0.0.9 10.0.0.1 1 80\r\n" + get, "", "400"},
-		{"clear text to TLS", secure, get, "", "HTTP request to an HTTPS server"},
-		{"TLS to clear text", plain, "\x16\x03\x01\x00\x05\x01\x00\x00\x01\x00\r\n\r\n", "", "400"},
-		{"an upgrade", plain, "GET /ws HTTP/1.1\r\nHost: a\r\nConnection: Upgrade\r\nUpgrade: echo\r\n\r\nping", "hello ping", "101 Switching Protocols"},
-		{"an upgrade that the server passes over", plain, "GET /ws HTTP/1.1\r\nHost: a\r\nConnection: Upgrade, close\r\nUpgrade: other\r\n\r\n", "for=", "200 OK"},
+		{"PROXY v1", proxied, proxyV1 + secretGet, "", "for=10.0.0.9 "},
+		{"PROXY v2", proxied, proxyV2 + secretGet, "", "for=10.0.0.5 "},
+		{"no PROXY where it is optional", proxied, secretGet, "", "for=127.0.0.1 "},
+		{"no PROXY where it is required", required, secretGet, "", ""},
+		{"PROXY malformed", required, badProxy + secretGet, "", ""},
+		{"PROXY from a stranger", strangers, proxyV1 + secretGet, "", ""},
+		{"PROXY where it is not spoken", plain, proxyV1 + secretGet, "", "400"},
+		{"clear text to TLS", secure, secretGet, "", "HTTP request to an HTTPS server"},
+		{"TLS to clear text", plain, tlsHello, "", "400"},
+		{"an upgrade", plain, upgrade, "hello ping", "101 Switching Protocols"},
+		{"an upgrade that the server ignores", plain, otherUpgrade, "for=", "200 OK"},
 	} {
-		switch got := raw(t, tc.addr, tc.in, tc.until); {
-		case tc.out == "" && strings.Contains(got, "200 OK"), !strings.Contains(got, tc.out), strings.Contains(got, "inside"):
+		got := raw(t, tc.addr, tc.in, tc.until)
+		served := strings.Contains(got, "200 OK")
+		if tc.out == "" && served || !strings.Contains(got, tc.out) || strings.Contains(got, "inside") {
 			t.Errorf("%s: %q", tc.name, got)
 		}
 	}
-	// A client's certificate names its tenant; no field can.
-	tenant := func(show bool, field string) (status string) {
-		set := &tls.Config{RootCAs: authority.Pool(), ServerName: "front.test"}
-		if show {
-			pair, err := tls.LoadX509KeyPair(filepath.Join(folder, "client.test.crt"), filepath.Join(folder, "client.test.key"))
-			if err != nil {
-				t.Fatal(err)
-			}
-			set.Certificates = []tls.Certificate{pair}
+}
+
+// A client's certificate names its tenant; no field can.
+func TestTenantByCertificate(t *testing.T) {
+	e := newEdge(t)
+	secure := e.listen(t, requireClientKeys)
+	for _, tc := range []struct {
+		certificate bool
+		field, want string
+	}{
+		{true, "X-Tenant-Id: nobody\r\n", "200"},
+		{false, "X-Tenant-Id: nobody\r\n", "400"},
+		{false, "X-Tenant-Id: first\r\n", "200"},
+	} {
+		if got := e.statusLine(t, secure, tc.certificate, tc.field); !strings.Contains(got, tc.want) {
+			t.Errorf("certificate %v, %q: %q", tc.certificate, tc.field, got)
 		}
-		nc, err := tls.Dial("tcp", secure, set)
+	}
+}
+
+// statusLine sends a request with a field over TLS, with the client's certificate or without, and returns the status
+// line of the answer.
+func (e *edge) statusLine(t *testing.T, addr string, certificate bool, field string) string {
+	t.Helper()
+	settings := &tls.Config{RootCAs: e.authority.Pool(), ServerName: "front.test"}
+	if certificate {
+		path := filepath.Join(e.keyFolder, "client.test")
+		pair, err := tls.LoadX509KeyPair(path+".crt", path+".key")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
-		fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\n%sConnection: close\r\n\r\n", field)
-		line, _ := bufio.NewReader(nc).ReadString('\n')
-		return line
+		settings.Certificates = []tls.Certificate{pair}
 	}
-	for _, tc := range []struct {
-		show         bool
-		field, wants string
-	}{{true, "X-Tenant-Id: nobody\r\n", "200"}, {false, "X-Tenant-Id: nobody\r\n", "400"}, {false, "X-Tenant-Id: first\r\n", "200"}} {
-		if got := tenant(tc.show, tc.field); !strings.Contains(got, tc.wants) {
-			t.Errorf("certificate %v, %q: %q", tc.show, tc.field, got)
-		}
+	nc, err := tls.Dial("tcp", addr, settings)
+	if err != nil {
+		t.Fatal(err)
 	}
+	defer nc.Close()
+	fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\n%sConnection: close\r\n\r\n", field)
+	line, _ := bufio.NewReader(nc).ReadString('\n')
+	return line
 }
--- a/internal/app/listeners_test.go
+++ b/internal/app/listeners_test.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/testutil"
 )
 
-// raw sends bytes and gives what comes back until the end, or until a text has come.
+// raw sends bytes and returns what comes back until the end, or until a text has come.
 func raw(t testing.TB, addr, text, until string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -35,114 +35,128 @@
 	}
 }
 
-// Listeners come, change under clients that stay, and go; what can't be opened changes nothing.
+// getRequest is a request after which the connection ends.
+const getRequest = "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+
+// rawGet sends getRequest and returns the answer.
+func rawGet(t testing.TB, addr string) string {
+	t.Helper()
+	return raw(t, addr, getRequest, "")
+}
+
+// freeAddress returns an address at which nothing listens; the caller listens on it at once.
+func freeAddress(t testing.TB) string {
+	t.Helper()
+	l := testutil.Listen(t)
+	defer l.Close()
+	return l.Addr().String()
+}
+
+// accepts reports whether something listens on an address.
+func accepts(addr string) bool {
+	nc, err := net.Dial("tcp", addr)
+	if err == nil {
+		nc.Close()
+	}
+	return err == nil
+}
+
+// getWithoutPause sends getRequest over and over until stop is called, and checks each answer. sent counts them.
+func getWithoutPause(t *testing.T, addr, want string) (sent *atomic.Int64, stop func()) {
+	t.Helper()
+	stopping, done := make(chan struct{}), make(chan struct{})
+	sent = &atomic.Int64{}
+	go func() {
+		defer close(done)
+		for {
+			select {
+			case <-stopping:
+				return
+			default:
+			}
+			if got := rawGet(t, addr); !strings.Contains(got, want) {
+				t.Errorf("while the listener changes: %q", got)
+			}
+			sent.Add(1)
+		}
+	}()
+	return sent, func() {
+		close(stopping)
+		<-done
+	}
+}
+
+// Listeners are added, changed under clients that stay, and removed; one that can't be opened changes nothing.
 func TestListenersComeAndGo(t *testing.T) {
+	const want = "b served"
 	b := testutil.Box(t, "b")
 	p := parse(t, program)
-	a, err := New(snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer a.Close()
-	ls := a.NewListeners()
-	defer ls.Close()
-	free := func() string { // taken by a listener of the app's own at once
-		l := testutil.Listen(t)
-		defer l.Close()
-		return l.Addr().String()
-	}
+	a := newApp(t, snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
+	listeners := openListeners(t, a)
+	apply := func(list ...config.Listener) error { return listeners.Apply(list) }
 	one := p.Listener
-	one.Name, one.Address = "one", free()
+	one.Name, one.Address = "one", freeAddress(t)
 	two := one
-	two.Name, two.Address = "two", free()
-	get := func(addr string) string {
-		return raw(t, addr, "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", "")
-	}
-	serves := func(addr string) bool {
-		nc, err := net.Dial("tcp", addr)
-		if err == nil {
-			nc.Close()
-		}
-		return err == nil
-	}
-	if err := ls.Apply([]config.Listener{one}); err != nil || !strings.Contains(get(one.Address), "b served") {
+	two.Name, two.Address = "two", freeAddress(t)
+	if err := apply(one); err != nil || !strings.Contains(rawGet(t, one.Address), want) {
 		t.Fatal(err)
 	}
-	if err := ls.Apply([]config.Listener{one, two}); err != nil || !strings.Contains(get(two.Address), "b served") {
+	if err := apply(one, two); err != nil || !strings.Contains(rawGet(t, two.Address), want) {
 		t.Fatal(err)
 	}
 	taken := two
 	taken.Name, taken.Address = "taken", b.Addr()
-	if err := ls.Apply([]config.Listener{taken}); err == nil || !strings.Contains(get(one.Address), "b served") {
+	if err := apply(taken); err == nil || !strings.Contains(rawGet(t, one.Address), want) {
 		t.Errorf("an address that is taken: %v", err)
 	}
-	// Another bound on bodies, while clients ask without a pause: none is turned away.
-	stop, done := make(chan struct{}), make(chan bool)
-	var asked atomic.Int64
-	go func() {
-		defer close(done)
-		for {
-			select {
-			case <-stop:
-				return
-			default:
-			}
-			if got := get(one.Address); !strings.Contains(got, "b served") {
-				t.Errorf("while the listener changes: %q", got)
-			}
-			asked.Add(1)
-		}
-	}()
+	// Another bound on bodies, while clients send without a pause: none is rejected.
+	sent, stop := getWithoutPause(t, one.Address, want)
 	for i := range 10 {
-		n := asked.Load()
-		testutil.Until(t, "another request", func() bool { return asked.Load() > n })
+		n := sent.Load()
+		testutil.Until(t, "another request", func() bool { return sent.Load() > n })
 		one.MaxBody = int64(i%2+1) * 10
-		if err := ls.Apply([]config.Listener{one, two}); err != nil {
+		if err := apply(one, two); err != nil {
 			t.Fatal(err)
 		}
 	}
-	close(stop)
-	<-done
-	if got := raw(t, one.Address, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 25\r\n\r\n", ""); !strings.Contains(got, "413") {
+	stop()
+	got := raw(t, one.Address, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 25\r\n\r\n", "")
+	if !strings.Contains(got, "413") {
 		t.Errorf("a bound of %d: %q", one.MaxBody, got)
 	}
-	if err := ls.Apply([]config.Listener{two}); err != nil {
+	if err := apply(two); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "the first to be gone", func() bool { return !serves(one.Address) })
-	if !strings.Contains(get(two.Address), "b served") {
-		t.Error("the other one is gone too")
+	testutil.Until(t, "the first to be closed", func() bool { return !accepts(one.Address) })
+	if !strings.Contains(rawGet(t, two.Address), want) {
+		t.Error("the other one is closed too")
 	}
 }
 
-// scarce is a listener that has no descriptors left for its first calls.
-type scarce struct {
+// failingListener is a listener whose first calls of Accept fail for lack of descriptors.
+type failingListener struct {
 	net.Listener
-	left atomic.Int64
+	failures atomic.Int64 // that remain
 }
 
-func (s *scarce) Accept() (net.Conn, error) {
-	if s.left.Add(-1) >= 0 {
+// Accept implements net.Listener.
+func (l *failingListener) Accept() (net.Conn, error) {
+	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
-	return s.Listener.Accept()
+	return l.Listener.Accept()
 }
 
-// A listener outlives a lack of descriptors.
+// A listener goes on after a lack of descriptors.
 func TestAcceptGoesOn(t *testing.T) {
 	b := testutil.Box(t, "b")
 	p := parse(t, program)
-	a, err := New(snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer a.Close()
-	ls := a.NewListeners()
-	defer ls.Close()
-	l := &scarce{Listener: testutil.Listen(t)}
-	l.left.Store(3)
-	ls.start(p.Listener, ls.startAcceptor(l))
-	if got := raw(t, l.Addr().String(), "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n", ""); !strings.Contains(got, "b served") {
+	a := newApp(t, snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
+	listeners := openListeners(t, a)
+	l := &failingListener{Listener: testutil.Listen(t)}
+	l.failures.Store(3)
+	listeners.start(p.Listener, listeners.startAcceptor(l))
+	if got := rawGet(t, l.Addr().String()); !strings.Contains(got, "b served") {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/app/main_test.go
+++ b/internal/app/main_test.go
@@ -6,4 +6,5 @@
 	"yokestall/internal/testutil"
 )
 
+// TestMain fails if a test leaves goroutines behind.
 func TestMain(m *testing.M) { testutil.Main(m) }
--- a/internal/app/serving_test.go
+++ b/internal/app/serving_test.go
@@ -9,30 +9,52 @@
 	"sync"
 	"testing"
 
+	"yokestall/internal/config"
 	"yokestall/internal/files"
 	"yokestall/internal/testutil"
 )
 
-// serving is an app that clients can ask.
+// newApp returns an app, which is closed at the end of the test.
+func newApp(t testing.TB, first *files.Snapshot, o Options) *App {
+	t.Helper()
+	a, err := New(first, o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(a.Close)
+	return a
+}
+
+// openListeners opens listeners of an app. They are closed at the end of the test, before the app.
+func openListeners(t testing.TB, a *App, list ...config.Listener) *Listeners {
+	t.Helper()
+	listeners := a.NewListeners()
+	t.Cleanup(listeners.Close)
+	if err := listeners.Apply(list); err != nil {
+		t.Fatal(err)
+	}
+	return listeners
+}
+
+// serving is an app with a listener and a client.
 type serving struct {
 	t      testing.TB
 	app    *App
 	url    string
 	client *http.Client
-	leave  func() // ends the following of a control plane
+	leave  func() // ends the client of a control plane
 }
 
+// serve serves by a snapshot until the end of the test.
 func serve(t testing.TB, first *files.Snapshot) *serving {
 	t.Helper()
 	return serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t)})
 }
 
+// serveWith is serve with options.
 func serveWith(t testing.TB, first *files.Snapshot, o Options) *serving {
 	t.Helper()
-	a, err := New(first, o)
-	if err != nil {
-		t.Fatal(err)
-	}
+	a := newApp(t, first, o)
 	l := testutil.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
@@ -46,11 +68,16 @@
 		transport.CloseIdleConnections()
 		stop()
 		run.Wait()
-		a.Close()
 	})
-	return &serving{t: t, app: a, url: "http://" + l.Addr().String(), client: &http.Client{Transport: transport}}
+	return &serving{
+		t:      t,
+		app:    a,
+		url:    "http://" + l.Addr().String(),
+		client: &http.Client{Transport: transport},
+	}
 }
 
+// get sends a request with an id, or none, and returns its answer: a POST to paths below /pay/, else a GET.
 func (s *serving) get(path, id string) (status int, header http.Header, body string) {
 	s.t.Helper()
 	method := http.MethodGet
@@ -72,12 +99,12 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		s.t.Errorf("no whole answer: %v", err)
+		s.t.Errorf("no complete answer: %v", err)
 	}
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-// status waits until a path is answered by a status.
+// becomes waits until a path is answered by a status.
 func (s *serving) becomes(path string, status int) {
 	s.t.Helper()
 	testutil.Until(s.t, fmt.Sprintf("%s to be answered by %d", path, status), func() bool {
