--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -18,122 +18,196 @@
 	"yokestall/internal/xds"
 )
 
-// The life of a configuration: none reachable, all there, a route to a cluster that nobody
-// defines, one bad resource among a hundred that was good before, a cluster removed with a
-// request open, a control plane that dies, misbehaves and comes back with an older version.
-func TestXDSLife(t *testing.T) {
+// xdsRun is a program that follows a control plane, with the boxes of its clusters.
+type xdsRun struct {
+	*serving
+	t         *testing.T
+	variant   string
+	plane     *controlplane.Plane
+	a, b      *appbox.Box // of the cluster rooms, and of others
+	cacheFile string
+	logs      *testutil.Logs
+}
+
+// start starts the program with the cache file of the run.
+func (r *xdsRun) start() {
+	useCache := func(c *xds.Config) { c.CacheFile = r.cacheFile }
+	r.serving, r.logs = follow(r.t, xdsProgram(r.t, r.plane.Addr(), r.variant, ""), Options{}, useCache, nil)
+}
+
+// set changes resources of the control plane.
+func (r *xdsRun) set(named map[string]proto.Message) {
+	r.t.Helper()
+	set(r.t, r.plane, named)
+}
+
+// place has a cluster's only endpoint be a box.
+func (r *xdsRun) place(cluster string, b *appbox.Box) {
+	r.t.Helper()
+	r.set(map[string]proto.Message{cluster: placed(cluster, healthy, []*appbox.Box{b})})
+}
+
+// wantStatus checks the status of one request.
+func (r *xdsRun) wantStatus(path string, want int, when string) {
+	r.t.Helper()
+	if status, _, _ := r.get(path, ""); status != want {
+		r.t.Errorf("%s: status %d", when, status)
+	}
+}
+
+// servedBy waits until a box answers.
+func (r *xdsRun) servedBy(b *appbox.Box, what string) {
+	r.t.Helper()
+	testutil.Until(r.t, what, func() bool {
+		_, _, body := r.get("/x", "")
+		return strings.HasPrefix(body, b.Name+" ")
+	})
+}
+
+// A configuration from its first version on: no control plane reachable, all there, a route to a cluster that nobody
+// defines, one bad resource among a hundred that was good before, a cluster removed with a request open, a control
+// plane that dies, misbehaves and comes back with an older version.
+func TestXDSRecovery(t *testing.T) {
 	for _, variant := range bothVariants {
 		t.Run(variant, func(t *testing.T) {
-			a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
-			p := startPlane(t)
-			p.Down()
-			keep := filepath.Join(t.TempDir(), "kept")
-			keepIn := func(c *xds.Config) { c.CacheFile = keep }
-			s, logs := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{}, keepIn, nil)
-			if status, header, _ := s.get("/x", ""); status != 503 || header.Get("Retry-After") == "" {
-				t.Errorf("before any version: status %d, %v", status, header)
-			}
-			set(t, p, map[string]proto.Message{
-				"ingress": ingressRoutes(t), "main": mainRoutes(toCluster("/lost/", "lost", "read"), toCluster("/c-99/", "c-99", "read"), toCluster("/pay/", "rooms", "pay"), toCluster("/", "rooms", "read")),
-				"rooms": edsCluster("rooms"),
-			})
-			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Box{a})})
-			if err := p.Up(); err != nil {
-				t.Fatal(err)
+			r := &xdsRun{
+				t:         t,
+				variant:   variant,
+				a:         testutil.Box(t, "a"),
+				b:         testutil.Box(t, "b"),
+				plane:     startPlane(t),
+				cacheFile: filepath.Join(t.TempDir(), "kept"),
 			}
-			s.becomes("/x", 200)
+			r.checkStart()
+			r.checkUndefinedCluster()
+			r.checkRejectedResource()
+			r.checkRemovalWhileOpen()
+			r.checkMisbehaviour()
+			r.checkRestartFromCache()
+			r.checkOlderVersion()
+		})
+	}
+}
 
-			if status, _, _ := s.get("/lost/x", ""); status != 503 {
-				t.Errorf("an undefined cluster: status %d", status)
-			}
-			logs.Wait("request rejected, cluster not defined")
-			lost := map[string]proto.Message{"lost": edsCluster("lost")}
-			set(t, p, lost)
-			set(t, p, map[string]proto.Message{"lost": placed("lost", healthy, []*appbox.Box{b})})
-			s.becomes("/lost/x", 200) // it heals
-
-			hundred := map[string]proto.Message{}
-			for i := range 100 {
-				hundred[fmt.Sprintf("c-%02d", i)] = edsCluster(fmt.Sprintf("c-%02d", i))
-			}
-			hundred["lost"] = &clusterv3.Cluster{Name: "lost", ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_LOGICAL_DNS}}
-			set(t, p, hundred)
-			logs.Wait("lost: type: LOGICAL_DNS is neither EDS nor STATIC")
-			set(t, p, map[string]proto.Message{"c-99": placed("c-99", healthy, []*appbox.Box{b})})
-			s.becomes("/c-99/x", 200) // the others were taken
-			if status, _, _ := s.get("/lost/x", ""); status != 200 {
-				t.Errorf("the last good form: status %d", status)
-			}
-			testutil.Until(t, "a NACK that names the fault", func() bool {
-				return slices.ContainsFunc(p.Answers(), func(a controlplane.Answer) bool { return strings.Contains(a.Error, "LOGICAL_DNS") })
-			})
-			set(t, p, lost) // good again
-
-			a.SetDelay(200 * time.Millisecond)
-			open := make(chan int, 1)
-			count := a.Count()
-			go func() {
-				status, _, _ := s.get("/pay/x", "open")
-				open <- status
-			}()
-			testutil.Until(t, "the request to reach the box", func() bool { return a.Count() > count })
-			p.Remove(message(t, edsCluster("rooms")).TypeUrl, "rooms")
-			s.becomes("/x", 503)
-			if status := testutil.Wait(t, open, "the open request"); status != 200 {
-				t.Errorf("open while its cluster was removed: status %d", status)
-			}
-			a.SetDelay(0)
-			set(t, p, map[string]proto.Message{"rooms": edsCluster("rooms")})
-			s.becomes("/x", 200)
-
-			// Each way to misbehave, with the stream broken after it as a restart would.
-			for fault := controlplane.WrongNonce; fault <= controlplane.Garbage; fault++ {
-				p.Misbehave(fault)
-				to := []*appbox.Box{a, b}[int(fault)%2]
-				set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Box{to})})
-				if status, _, _ := s.get("/x", ""); status != 200 {
-					t.Errorf("fault %d: status %d", fault, status)
-				}
-				testutil.Until(t, "the fault to happen", func() bool { return p.Faults() == 0 })
-				p.Break()
-				testutil.Until(t, fmt.Sprintf("recovery from fault %d", fault), func() bool {
-					_, _, body := s.get("/x", "")
-					return strings.HasPrefix(body, to.Name+" ")
-				})
-			}
+// checkStart starts without a control plane, which then comes.
+func (r *xdsRun) checkStart() {
+	r.plane.Down()
+	r.start()
+	if status, header, _ := r.get("/x", ""); status != 503 || header.Get("Retry-After") == "" {
+		r.t.Errorf("before any version: status %d, %v", status, header)
+	}
+	r.set(map[string]proto.Message{
+		"ingress": ingressRoutes(r.t),
+		"main": mainRoutes(
+			toCluster("/lost/", "lost", "read"), toCluster("/c-99/", "c-99", "read"),
+			toCluster("/pay/", "rooms", "pay"), toCluster("/", "rooms", "read"),
+		),
+		"rooms": edsCluster("rooms"),
+	})
+	r.place("rooms", r.a)
+	if err := r.plane.Up(); err != nil {
+		r.t.Fatal(err)
+	}
+	r.becomes("/x", 200)
+}
 
-			// It dies; what it said stays, also for a program that starts meanwhile.
-			p.Down()
-			if status, _, _ := s.get("/x", ""); status != 200 {
-				t.Errorf("with the control plane down: status %d", status)
-			}
-			s.leave()
-			again, logs2 := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{}, keepIn, nil)
-			again.becomes("/x", 200)
-			logs2.Wait("starting from the cached control plane version")
-
-			// Restored from a backup: the version is older, and it is what counts.
-			url := message(t, placed("rooms", healthy)).TypeUrl
-			p.Rewind(url, 1)
-			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Box{b})})
-			p.Rewind(url, 1)
-			if err := p.Up(); err != nil {
-				t.Fatal(err)
-			}
-			testutil.Until(t, "the older version to be in force", func() bool {
-				_, _, body := again.get("/x", "")
-				return strings.HasPrefix(body, "b ")
-			})
+// checkUndefinedCluster has a route to a cluster that is defined later.
+func (r *xdsRun) checkUndefinedCluster() {
+	r.wantStatus("/lost/x", 503, "an undefined cluster")
+	r.logs.Wait("request rejected, cluster not defined")
+	r.set(map[string]proto.Message{"lost": edsCluster("lost")})
+	r.place("lost", r.b)
+	r.becomes("/lost/x", 200)
+}
+
+// checkRejectedResource sends a hundred good clusters and one that is rejected, which was good before.
+func (r *xdsRun) checkRejectedResource() {
+	hundred := map[string]proto.Message{}
+	for i := range 100 {
+		hundred[fmt.Sprintf("c-%02d", i)] = edsCluster(fmt.Sprintf("c-%02d", i))
+	}
+	hundred["lost"] = &clusterv3.Cluster{
+		Name:                 "lost",
+		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_LOGICAL_DNS},
+	}
+	r.set(hundred)
+	r.logs.Wait("lost: type: LOGICAL_DNS is neither EDS nor STATIC")
+	r.place("c-99", r.b)
+	r.becomes("/c-99/x", 200) // the others were accepted
+	r.wantStatus("/lost/x", 200, "the last good form")
+	testutil.Until(r.t, "a NACK that names the fault", func() bool {
+		return slices.ContainsFunc(r.plane.Answers(), func(a controlplane.Answer) bool {
+			return strings.Contains(a.Error, "LOGICAL_DNS")
 		})
+	})
+	r.set(map[string]proto.Message{"lost": edsCluster("lost")}) // good again
+}
+
+// checkRemovalWhileOpen removes a cluster with a request open, and defines it again.
+func (r *xdsRun) checkRemovalWhileOpen() {
+	r.a.SetDelay(200 * time.Millisecond)
+	open := make(chan int, 1)
+	count := r.a.Count()
+	go func() {
+		status, _, _ := r.get("/pay/x", "open")
+		open <- status
+	}()
+	testutil.Until(r.t, "the request to reach the box", func() bool { return r.a.Count() > count })
+	r.plane.Remove(message(r.t, edsCluster("rooms")).TypeUrl, "rooms")
+	r.becomes("/x", 503)
+	if status := testutil.Wait(r.t, open, "the open request"); status != 200 {
+		r.t.Errorf("open while its cluster was removed: status %d", status)
+	}
+	r.a.SetDelay(0)
+	r.set(map[string]proto.Message{"rooms": edsCluster("rooms")})
+	r.becomes("/x", 200)
+}
+
+// checkMisbehaviour has the control plane misbehave in each way. The stream is broken after it as by a restart.
+func (r *xdsRun) checkMisbehaviour() {
+	for fault := controlplane.WrongNonce; fault <= controlplane.Garbage; fault++ {
+		r.plane.Misbehave(fault)
+		to := []*appbox.Box{r.a, r.b}[int(fault)%2]
+		r.place("rooms", to)
+		r.wantStatus("/x", 200, fmt.Sprintf("fault %d", fault))
+		testutil.Until(r.t, "the fault to happen", func() bool { return r.plane.Faults() == 0 })
+		r.plane.Break()
+		r.servedBy(to, fmt.Sprintf("recovery from fault %d", fault))
 	}
 }
 
-// All of a priority unhealthy: the next one serves; all at all priorities: refused at once,
-// with the time to come back.
+// checkRestartFromCache ends the control plane: its last version stays, also for a program that starts meanwhile.
+func (r *xdsRun) checkRestartFromCache() {
+	r.plane.Down()
+	r.wantStatus("/x", 200, "with the control plane down")
+	r.leave()
+	r.start()
+	r.becomes("/x", 200)
+	r.logs.Wait("starting from the cached control plane version")
+}
+
+// checkOlderVersion restores the control plane from a backup: its version is older, and it applies.
+func (r *xdsRun) checkOlderVersion() {
+	url := message(r.t, placed("rooms", healthy)).TypeUrl
+	r.plane.Rewind(url, 1)
+	r.place("rooms", r.b)
+	r.plane.Rewind(url, 1)
+	if err := r.plane.Up(); err != nil {
+		r.t.Fatal(err)
+	}
+	r.servedBy(r.b, "the older version to be in force")
+}
+
+// All endpoints of a priority are unhealthy: the next one serves; those of all priorities are: requests are rejected at
+// once, with Retry-After.
 func TestXDSFailover(t *testing.T) {
 	a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
 	p := startPlane(t)
-	set(t, p, map[string]proto.Message{"ingress": ingressRoutes(t), "main": mainRoutes(toCluster("/", "rooms", "read")), "rooms": edsCluster("rooms")})
+	set(t, p, map[string]proto.Message{
+		"ingress": ingressRoutes(t),
+		"main":    mainRoutes(toCluster("/", "rooms", "read")),
+		"rooms":   edsCluster("rooms"),
+	})
 	both := func(first, second corev3.HealthStatus) {
 		x := placed("rooms", first, []*appbox.Box{a}, nil)
 		x.Endpoints[1].LbEndpoints = placed("rooms", second, []*appbox.Box{b}).Endpoints[0].LbEndpoints
@@ -143,7 +217,10 @@
 	s, _ := follow(t, xdsProgram(t, p.Addr(), "incremental", ""), Options{}, nil, nil)
 	served := func(by string) {
 		t.Helper()
-		testutil.Until(t, "an answer by "+by, func() bool { _, _, body := s.get("/x", ""); return strings.HasPrefix(body, by+" ") })
+		testutil.Until(t, "an answer by "+by, func() bool {
+			_, _, body := s.get("/x", "")
+			return strings.HasPrefix(body, by+" ")
+		})
 	}
 	served("a")
 	both(corev3.HealthStatus_UNHEALTHY, healthy)
@@ -156,7 +233,7 @@
 		t.Error("sent to an unhealthy server")
 	}
 	both(corev3.HealthStatus_TIMEOUT, corev3.HealthStatus_DRAINING)
-	testutil.Until(t, "a refusal at once", func() bool {
+	testutil.Until(t, "a rejection at once", func() bool {
 		status, header, _ := s.get("/x", "")
 		return status == 503 && header.Get("Retry-After") != ""
 	})
--- a/internal/app/xdsresources_test.go
+++ b/internal/app/xdsresources_test.go
@@ -18,6 +18,7 @@
 	"yokestall/internal/fake/appbox"
 )
 
+// message packs a resource.
 func message(t testing.TB, m proto.Message) *anypb.Any {
 	a, err := anypb.New(m)
 	if err != nil {
@@ -26,40 +27,53 @@
 	return a
 }
 
+// ingressRoutes is the listener "ingress", which has the routes "main".
 func ingressRoutes(t testing.TB) proto.Message {
-	return &listenerv3.Listener{Name: "ingress", ApiListener: &listenerv3.ApiListener{ApiListener: message(t, &hcmv3.HttpConnectionManager{
+	manager := &hcmv3.HttpConnectionManager{
 		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{RouteConfigName: "main"}},
-	})}}
+	}
+	return &listenerv3.Listener{
+		Name:        "ingress",
+		ApiListener: &listenerv3.ApiListener{ApiListener: message(t, manager)},
+	}
 }
 
 // toCluster is a route by prefix, with a class in its metadata.
 func toCluster(prefix, cluster, class string) *routev3.Route {
+	action := &routev3.RouteAction{ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: cluster}}
+	metadata := &structpb.Struct{Fields: map[string]*structpb.Value{"class": structpb.NewStringValue(class)}}
 	return &routev3.Route{
-		Name:   prefix,
-		Match:  &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: prefix}},
-		Action: &routev3.Route_Route{Route: &routev3.RouteAction{ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: cluster}}},
-		Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{"yokestall": {Fields: map[string]*structpb.Value{
-			"class": structpb.NewStringValue(class),
-		}}}},
+		Name:     prefix,
+		Match:    &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: prefix}},
+		Action:   &routev3.Route_Route{Route: action},
+		Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{"yokestall": metadata}},
 	}
 }
 
+// mainRoutes is the routes "main" of all hosts.
 func mainRoutes(routes ...*routev3.Route) proto.Message {
-	return &routev3.RouteConfiguration{Name: "main", VirtualHosts: []*routev3.VirtualHost{{Name: "all", Domains: []string{"*"}, Routes: routes}}}
+	all := &routev3.VirtualHost{Name: "all", Domains: []string{"*"}, Routes: routes}
+	return &routev3.RouteConfiguration{Name: "main", VirtualHosts: []*routev3.VirtualHost{all}}
 }
 
+// edsCluster is a cluster whose endpoints the control plane assigns.
 func edsCluster(name string) proto.Message {
 	return &clusterv3.Cluster{Name: name, ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS}}
 }
 
+// lbEndpoint is an endpoint of an assignment.
 func lbEndpoint(addr string, h corev3.HealthStatus) *endpointv3.LbEndpoint {
 	host, text, _ := net.SplitHostPort(addr)
 	port, _ := strconv.Atoi(text)
-	return &endpointv3.LbEndpoint{HealthStatus: h, HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
-		Address: &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
-			Address: host, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(port)},
-		}}},
-	}}}
+	socket := &corev3.SocketAddress{
+		Address: host, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(port)},
+	}
+	endpoint := &endpointv3.Endpoint{
+		Address: &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: socket}},
+	}
+	return &endpointv3.LbEndpoint{
+		HealthStatus: h, HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: endpoint},
+	}
 }
 
 // placed is an assignment whose boxes have the priorities of their lists.
--- a/internal/app/xdsserving_test.go
+++ b/internal/app/xdsserving_test.go
@@ -17,15 +17,18 @@
 	"yokestall/internal/xds/ads"
 )
 
-// xdsProgram follows a control plane at an address, as "ingress" says.
+// xdsProgram is a program that follows a control plane at an address by its listener "ingress".
 func xdsProgram(t testing.TB, addr, variant, more string) *files.Snapshot {
 	text := program[:strings.Index(program, "[[host]]")] +
-		fmt.Sprintf("[xds]\nservers = [%q]\nvariant = %q\nnode_id = \"test\"\nlistener = \"ingress\"\nclass = \"read\"\n%s", addr, variant, more)
+		fmt.Sprintf("[xds]\nservers = [%q]\nvariant = %q\n", addr, variant) +
+		"node_id = \"test\"\nlistener = \"ingress\"\nclass = \"read\"\n" + more
 	return snapshot(parse(t, text))
 }
 
+// bothVariants are the variants of the protocol.
 var bothVariants = []string{"incremental", "state-of-the-world"}
 
+// startPlane starts a control plane without resources.
 func startPlane(t testing.TB) *controlplane.Plane {
 	p, err := controlplane.Start()
 	if err != nil {
@@ -35,6 +38,7 @@
 	return p
 }
 
+// set sets resources by their names.
 func set(t testing.TB, p *controlplane.Plane, named map[string]proto.Message) {
 	t.Helper()
 	if err := p.Set(named); err != nil {
@@ -42,8 +46,11 @@
 	}
 }
 
-// follow serves by a control plane; each delivery is told once the app took it.
-func follow(t testing.TB, first *files.Snapshot, o Options, change func(*xds.Config), told func(*xds.Delivery)) (*serving, *testutil.Logs) {
+// follow serves by a control plane. change may change the client's configuration; applied is called with each delivery
+// once the app has applied it; both may be nil.
+func follow(
+	t testing.TB, first *files.Snapshot, o Options, change func(*xds.Config), applied func(*xds.Delivery),
+) (*serving, *testutil.Logs) {
 	t.Helper()
 	logs := testutil.NewLogs(t)
 	if o.Log == nil {
@@ -51,22 +58,26 @@
 	}
 	s := serveWith(t, first, o)
 	c := XDSConfig(first.Program, "x")
-	c.Failover = ads.FailoverOptions{InitialBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond, PreferredProbeInterval: time.Hour}
+	c.Failover = ads.FailoverOptions{
+		InitialBackoff:         5 * time.Millisecond,
+		MaxBackoff:             50 * time.Millisecond,
+		PreferredProbeInterval: time.Hour,
+	}
 	if change != nil {
 		change(c)
 	}
 	source := NewSource(s.app, first)
 	client := xds.New(*c, o.Log)
-	take := func(d *xds.Delivery) {
+	deliver := func(d *xds.Delivery) {
 		source.Deliver(d)
-		if told != nil {
-			told(d)
+		if applied != nil {
+			applied(d)
 		}
 	}
-	client.Restore(take)
+	client.Restore(deliver)
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
-	run.Go(func() { client.Run(ctx, take) })
+	run.Go(func() { client.Run(ctx, deliver) })
 	s.leave = func() { stop(); run.Wait() }
 	t.Cleanup(s.leave)
 	return s, logs
