--- a/internal/app/apply_test.go
+++ b/internal/app/apply_test.go
@@ -14,8 +14,8 @@
 	"yokestall/internal/testutil"
 )
 
-// A route to a cluster that nobody defines refuses its own requests and no others, and
-// heals when the cluster comes.
+// A route to a cluster that nobody defines rejects its own requests and no others, and
+// serves them once the cluster is defined.
 func TestUndefinedCluster(t *testing.T) {
 	b := testutil.Box(t, "box-1")
 	p := parse(t, program)
@@ -37,8 +37,7 @@
 	}
 }
 
-// A cluster that is removed, or a route that moves, with requests open: what is out
-// finishes, new ones go where the version says.
+// A cluster is removed, or a route changed, with requests open: those end, and new ones go where the version says.
 func TestClusterRemovedWhileOpen(t *testing.T) {
 	slow, other := testutil.Box(t, "slow"), testutil.Box(t, "other")
 	slow.SetDelay(300 * time.Millisecond)
@@ -89,11 +88,11 @@
 	}
 }
 
-// A new endpoint at the address of one that has gone is another server, with nothing of
+// A new endpoint at the address of one that was removed is another server, with nothing of
 // the former one's.
 func TestAddressReused(t *testing.T) {
 	b := testutil.Box(t, "b")
-	log := &sends{names: map[uint64]string{}}
+	log := &sendLog{names: map[uint64]string{}}
 	p := parse(t, program)
 	named := func(id string) *files.Snapshot {
 		e := cluster.Endpoint{ID: id, Address: b.Addr(), Weight: 1}
@@ -112,28 +111,28 @@
 	}
 }
 
-// A cluster's bounds: what is dropped by share or is more than may be open is refused at
-// once, with the time to come back, and reaches no server.
+// A cluster's bounds: a request that is dropped by share, or is over the limit of open ones, is rejected at once, with
+// Retry-After, and reaches no server.
 func TestBounds(t *testing.T) {
 	b := testutil.Box(t, "b")
 	p := parse(t, program)
-	held := func(bounds cluster.Bounds) *files.Snapshot {
+	bounded := func(bounds cluster.Bounds) *files.Snapshot {
 		c := rooms(at(b))
 		c.Bounds = bounds
 		return snapshot(p, c)
 	}
-	s := serve(t, held(cluster.Bounds{Drops: []cluster.Drop{{Category: "all", Share: 1}}}))
-	refused := func(what string) {
+	s := serve(t, bounded(cluster.Bounds{Drops: []cluster.Drop{{Category: "all", Share: 1}}}))
+	wantRejected := func(what string) {
 		t.Helper()
 		if status, header, _ := s.get("/x", ""); status != 503 || header.Get("Retry-After") != "0.600" {
 			t.Errorf("%s: status %d, %v", what, status, header)
 		}
 	}
-	refused("dropped")
+	wantRejected("dropped")
 	if b.Count() != 0 {
-		t.Error("what is dropped reached a server")
+		t.Error("a dropped request reached a server")
 	}
-	if err := s.app.Apply(held(cluster.Bounds{MaxRequests: 1})); err != nil {
+	if err := s.app.Apply(bounded(cluster.Bounds{MaxRequests: 1})); err != nil {
 		t.Fatal(err)
 	}
 	b.SetDelay(300 * time.Millisecond)
@@ -142,8 +141,8 @@
 		status, _, _ := s.get("/x", "")
 		first <- status
 	}()
-	testutil.Until(t, "the first to be out", func() bool { return b.Count() > 0 })
-	refused("the second one at once")
+	testutil.Until(t, "the first to reach the box", func() bool { return b.Count() > 0 })
+	wantRejected("the second one at once")
 	if status := testutil.Wait(t, first, "the first"); status != 200 {
 		t.Errorf("the first: status %d", status)
 	}
@@ -152,16 +151,18 @@
 	}
 }
 
-// A thousand versions, also such that start every cluster anew, leave no memory,
+// A thousand versions, some of which start every cluster anew, leave no memory,
 // goroutine or descriptor behind.
 func TestThousandVersions(t *testing.T) {
 	b := testutil.Box(t, "box-1")
 	p := parse(t, program)
 	other := parse(t, strings.Replace(program, "attempts = 3", "attempts = 2", 1))
 	s := serve(t, snapshot(p, rooms(at(b))))
-	take := func(n int) {
+	apply := func(n int) {
 		for i := range n {
-			extra := cluster.Endpoint{ID: fmt.Sprintf("x-%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Health: cluster.Draining}
+			extra := cluster.Endpoint{
+				ID: fmt.Sprintf("x-%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Health: cluster.Draining,
+			}
 			next := p
 			if i%10 == 5 {
 				next = other
@@ -186,11 +187,11 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	take(100)
+	apply(100)
 	s.client.CloseIdleConnections()
 	testutil.Until(t, "retired clusters to end", func() bool { return runtime.NumGoroutine() < 40 })
 	g0, d0, h0 := runtime.NumGoroutine(), descriptors(), heap()
-	take(1000)
+	apply(1000)
 	s.client.CloseIdleConnections()
 	testutil.Until(t, "goroutines and descriptors to be as few as before", func() bool {
 		return runtime.NumGoroutine() <= g0+10 && descriptors() <= d0+10
--- a/internal/app/versionstorm_test.go
+++ b/internal/app/versionstorm_test.go
@@ -18,156 +18,212 @@
 	"yokestall/internal/testutil"
 )
 
+// Load of the storms.
+const (
+	stormBoxes          = 6
+	stormClients        = 8 // of TestVersionStorm
+	defaultStormWrites  = 1000
+	stormWritePause     = 7 * time.Millisecond // at most, after a write, in steps of a millisecond
+	stormAwayTime       = time.Second          // of one box after the other, so that a request astray shows
+	stormTruncatedBytes = 30                   // at most, of a file that is cut off at its end
+)
+
 // Torn, empty, malformed and swapped versions under traffic: each request goes to a
 // server of a complete, valid version that was current at its send, within 500 ms.
 // YOKESTALL_VERSIONS sets how many are written (1,000).
 func TestVersionStorm(t *testing.T) {
-	versions := 1000
+	versions := defaultStormWrites
 	if v := os.Getenv("YOKESTALL_VERSIONS"); v != "" {
 		fmt.Sscan(v, &versions)
 	}
-	const boxes, grace = 6, 500 * time.Millisecond
-	var all []*appbox.Box
-	for i := range boxes {
-		all = append(all, testutil.Box(t, fmt.Sprintf("box-%d", i)))
+	s := newVersionStorm(t)
+	ctx, stop := context.WithCancel(context.Background())
+	var tasks sync.WaitGroup
+	tasks.Go(func() { s.watcher.Run(ctx, s.apply) })
+	for i := range stormClients {
+		tasks.Go(func() { s.load(ctx, i) })
 	}
-	bait := testutil.Box(t, "bait") // in no complete, valid version
+	s.writeVersions(versions)
+	stop()
+	tasks.Wait()
+	s.check(versions)
+}
+
+// versionStorm is an app that follows the file of one cluster.
+type versionStorm struct {
+	*serving
+	t       *testing.T
+	boxes   []*appbox.Box
+	bait    *appbox.Box // in no complete, valid version
+	file    string      // of the cluster
+	watcher *files.Watcher
+	random  *rand.Rand
+	inForce memberships
+	sends   *sendLog
+	applied int // versions
+
+	requests, served, notServed atomic.Int64
+}
+
+// newVersionStorm serves by a first version with all boxes.
+func newVersionStorm(t *testing.T) *versionStorm {
+	t.Helper()
+	s := &versionStorm{t: t, random: rand.New(rand.NewPCG(1, 2)), sends: &sendLog{names: map[uint64]string{}}}
+	for i := range stormBoxes {
+		s.boxes = append(s.boxes, testutil.Box(t, fmt.Sprintf("box-%d", i)))
+	}
+	s.bait = testutil.Box(t, "bait")
 	root := t.TempDir()
-	path, dir := filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
-	if err := os.Mkdir(dir, 0o755); err != nil {
+	path, folder := filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
+	if err := os.Mkdir(folder, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	text := func(members []*appbox.Box, end string) string {
-		var b strings.Builder
-		b.WriteString("[cluster]\nname = \"rooms\"\n\n")
-		for _, m := range members {
-			fmt.Fprintf(&b, "[[endpoint]]\nid = %q\naddress = %q\n\n", m.Name, m.Addr())
-		}
-		fmt.Fprintf(&b, "[end]\nendpoints = %d\n%s", len(members), end)
-		return b.String()
-	}
-	file := filepath.Join(dir, "rooms.toml")
-	put := func(text string) {
-		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	swap := func(text string) {
-		if err := os.WriteFile(file+".new", []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Rename(file+".new", file); err != nil {
-			t.Fatal(err)
-		}
-	}
+	s.file = filepath.Join(folder, "rooms.toml")
 	if err := os.WriteFile(path, []byte(program), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	swap(text(all, ""))
+	s.swap(roomsFile(s.boxes))
 	watcher, first, err := files.Open(path, testutil.Quiet) // thousands of lines
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := &sends{names: map[uint64]string{}}
-	for _, b := range append(all, bait) {
+	s.watcher = watcher
+	for _, b := range append(s.boxes, s.bait) {
 		e := at(b)
-		log.names[e.Key()] = b.Name
+		s.sends.names[e.Key()] = b.Name
+	}
+	s.serving = serveWith(t, first, Options{Seed: 1, Log: testutil.Quiet, OnSend: s.sends.note})
+	now := time.Now()
+	s.inForce.apply(endpointIDs(first.Version), now, now)
+	s.applied = 1
+	return s
+}
+
+// roomsFile returns the file of the cluster rooms with boxes.
+func roomsFile(members []*appbox.Box) string {
+	var b strings.Builder
+	b.WriteString("[cluster]\nname = \"rooms\"\n\n")
+	for _, m := range members {
+		fmt.Fprintf(&b, "[[endpoint]]\nid = %q\naddress = %q\n\n", m.Name, m.Addr())
+	}
+	fmt.Fprintf(&b, "[end]\nendpoints = %d\n", len(members))
+	return b.String()
+}
+
+// endpointIDs returns the endpoints of the cluster rooms.
+func endpointIDs(v *cluster.Version) (ids []string) {
+	for _, e := range v.Clusters["rooms"].Endpoints {
+		ids = append(ids, e.ID)
 	}
-	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Quiet, OnSend: log.note})
-	var inForce spans
-	members := func(v *cluster.Version) (ids []string) {
-		for _, e := range v.Clusters["rooms"].Endpoints {
-			ids = append(ids, e.ID)
+	return ids
+}
+
+// write writes the file in place, so that a part of it can be read.
+func (s *versionStorm) write(text string) {
+	if err := os.WriteFile(s.file, []byte(text), 0o644); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// swap replaces the file by another one.
+func (s *versionStorm) swap(text string) {
+	if err := os.WriteFile(s.file+".new", []byte(text), 0o644); err != nil {
+		s.t.Fatal(err)
+	}
+	if err := os.Rename(s.file+".new", s.file); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// apply applies a version of the files.
+func (s *versionStorm) apply(v *files.Snapshot) {
+	before := time.Now() // a server may get requests as soon as the app has the version
+	if err := s.app.Apply(v); err != nil {
+		s.t.Error(err)
+	}
+	s.applied++
+	s.inForce.apply(endpointIDs(v.Version), before, time.Now()) // one that it lacks is removed once Apply returned
+}
+
+// load sends requests until ctx ends.
+func (s *versionStorm) load(ctx context.Context, client int) {
+	for n := 0; ctx.Err() == nil; n++ {
+		s.requests.Add(1)
+		path := []string{"/x", "/pay/x"}[n%2]
+		if status, _, _ := s.get(path, fmt.Sprintf("r-%d-%d", client, n)); status == 200 {
+			s.served.Add(1)
+		} else {
+			s.notServed.Add(1)
 		}
-		return ids
 	}
-	now := time.Now()
-	inForce.taken(members(first.Version), now, now)
-	ctx, stop := context.WithCancel(context.Background())
-	var run sync.WaitGroup
-	taken := 1
-	run.Go(func() {
-		watcher.Run(ctx, func(v *files.Snapshot) {
-			before := time.Now() // a server may be used as soon as the app is told
-			if err := s.app.Apply(v); err != nil {
-				t.Error(err)
-			}
-			taken++
-			inForce.taken(members(v.Version), before, time.Now()) // it counts as told when Take returned
-		})
-	})
-	var asked, served, other atomic.Int64
-	for i := range 8 {
-		run.Go(func() {
-			for n := 0; ctx.Err() == nil; n++ {
-				asked.Add(1)
-				path := []string{"/x", "/pay/x"}[n%2]
-				if status, _, _ := s.get(path, fmt.Sprintf("r-%d-%d", i, n)); status == 200 {
-					served.Add(1)
-				} else {
-					other.Add(1)
-				}
-			}
-		})
-	}
-	rnd := rand.New(rand.NewPCG(1, 2))
-	began := time.Now()
-	for range versions {
-		members := append([]*appbox.Box(nil), all...)
-		// One box is away for a second at a time, long enough for a stray to show.
-		away := int(time.Since(began)/time.Second) % boxes
+}
+
+// writeVersions writes files, of which each valid one lacks one box for a second at a time.
+func (s *versionStorm) writeVersions(count int) {
+	start := time.Now()
+	for range count {
+		members := append([]*appbox.Box(nil), s.boxes...)
+		away := int(time.Since(start)/stormAwayTime) % stormBoxes
 		members = append(members[:away], members[away+1:]...)
-		rnd.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-		members = members[:1+rnd.IntN(len(members))]
-		good := text(members, "")
-		bad := text(append(members, bait), "")
-		switch rnd.IntN(8) {
-		case 0, 1, 2:
-			swap(good)
-		case 3: // half of it, then the whole
-			put(bad[:rnd.IntN(len(bad))])
-			time.Sleep(time.Millisecond)
-			swap(good)
-		case 4:
-			put("")
-		case 5:
-			put(text(append(members, bait, bait), ""))
-		case 6:
-			put(strings.Replace(bad, "address", "adress", 1))
-		case 7:
-			put(bad[:len(bad)-1-rnd.IntN(30)])
-		}
-		time.Sleep(time.Duration(rnd.IntN(7)) * time.Millisecond)
+		s.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+		s.writeVersion(members[:1+s.random.IntN(len(members))])
+		time.Sleep(time.Duration(s.random.IntN(int(stormWritePause/time.Millisecond))) * time.Millisecond)
 	}
-	stop()
-	run.Wait()
-	ran := map[string]int{}
-	strays, reached := log.strays(&inForce, grace), 0
-	for _, b := range all {
+}
+
+// writeVersion writes a valid file with boxes, or one that is invalid and has the bait.
+func (s *versionStorm) writeVersion(members []*appbox.Box) {
+	good := roomsFile(members)
+	bad := roomsFile(append(members, s.bait))
+	switch s.random.IntN(8) {
+	case 0, 1, 2:
+		s.swap(good)
+	case 3: // a part of it, then a complete one
+		s.write(bad[:s.random.IntN(len(bad))])
+		time.Sleep(time.Millisecond)
+		s.swap(good)
+	case 4:
+		s.write("")
+	case 5:
+		s.write(roomsFile(append(members, s.bait, s.bait)))
+	case 6:
+		s.write(strings.Replace(bad, "address", "adress", 1))
+	case 7:
+		s.write(bad[:len(bad)-1-s.random.IntN(stormTruncatedBytes)])
+	}
+}
+
+// check checks where the requests went.
+func (s *versionStorm) check(written int) {
+	s.t.Helper()
+	executions := map[string]int{}
+	astray, reached := s.sends.astray(&s.inForce, removalGrace), 0
+	for _, b := range s.boxes {
 		seen, lost := b.Seen()
 		if lost > 0 {
-			t.Errorf("%s kept no record of %d", b.Name, lost)
+			s.t.Errorf("%s has no record of %d", b.Name, lost)
 		}
 		reached += len(seen)
 		for _, x := range seen {
-			ran[x.ID]++
+			executions[x.ID]++
 		}
 	}
 	twice := 0
-	for _, n := range ran {
+	for _, n := range executions {
 		if n > 1 {
 			twice++
 		}
 	}
-	if strays != 0 || bait.Count() != 0 {
-		t.Errorf("%d of %d requests went astray, %d to a server of no valid version", strays, len(log.list), bait.Count())
+	sent, requests, served, notServed := len(s.sends.list), s.requests.Load(), s.served.Load(), s.notServed.Load()
+	if astray != 0 || s.bait.Count() != 0 {
+		s.t.Errorf("%d of %d requests went astray, %d to a server of no valid version", astray, sent, s.bait.Count())
 	}
-	if reached > len(log.list) {
-		t.Errorf("%d requests reached a box, %d sends are known", reached, len(log.list))
+	if reached > sent {
+		s.t.Errorf("%d requests reached a box, %d sends are known", reached, sent)
 	}
-	if asked.Load() != served.Load()+other.Load() || served.Load() == 0 {
-		t.Errorf("%d asked, %d served, %d otherwise", asked.Load(), served.Load(), other.Load())
+	if requests != served+notServed || served == 0 {
+		s.t.Errorf("%d requests, %d served, %d otherwise", requests, served, notServed)
 	}
-	t.Logf("%d written, %d taken; %d asked, %d served, %d otherwise; %d reached a server, %d ids more than once",
-		versions, taken, asked.Load(), served.Load(), other.Load(), reached, twice)
+	s.t.Logf("%d written, %d applied; %d requests, %d served, %d otherwise; %d reached a server, %d ids more than once",
+		written, s.applied, requests, served, notServed, reached, twice)
 }
--- a/internal/app/xdsstorm_test.go
+++ b/internal/app/xdsstorm_test.go
@@ -14,83 +14,130 @@
 	"google.golang.org/protobuf/proto"
 
 	"yokestall/internal/fake/appbox"
+	"yokestall/internal/fake/controlplane"
 	"yokestall/internal/testutil"
 	"yokestall/internal/xds"
 )
 
+// Load of TestXDSStorm.
+const (
+	defaultXDSChanges = 200
+	xdsStreamBreaks   = 50
+	xdsStormClients   = 6
+	xdsChangePause    = 40 * time.Millisecond // at most, after a change, in steps of a millisecond
+)
+
 // A thousand changes (200 without YOKESTALL_CHANGES) under steady traffic and through 50
-// stream breaks, in both variants: each send is held against what was delivered at its
+// stream breaks, in both variants: each send is compared with what was delivered at its
 // time. The control plane takes endpoints away also while the stream is down.
 func TestXDSStorm(t *testing.T) {
-	changes := 200
+	changes := defaultXDSChanges
 	if v := os.Getenv("YOKESTALL_CHANGES"); v != "" {
 		fmt.Sscan(v, &changes)
 	}
 	for _, variant := range bothVariants {
 		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
-			const boxes, grace = 6, 500 * time.Millisecond
-			var all []*appbox.Box
-			log := &sends{names: map[uint64]string{}}
-			for i := range boxes {
-				b := testutil.Box(t, fmt.Sprintf("box-%d", i))
-				e := at(b)
-				e.ID = e.Address
-				log.names[e.Key()] = b.Addr()
-				all = append(all, b)
-			}
-			p := startPlane(t)
-			set(t, p, map[string]proto.Message{
-				"ingress": ingressRoutes(t), "main": mainRoutes(toCluster("/pay/", "rooms", "pay"), toCluster("/", "rooms", "read")), "rooms": edsCluster("rooms"),
-			})
-			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, all)})
-			var inForce spans
-			deliveries := 0
-			s, _ := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet, OnSend: log.note}, nil, func(d *xds.Delivery) {
-				deliveries++
-				if c := d.View.Clusters()["rooms"]; c != nil {
-					var ids []string
-					for i := range c.Endpoints {
-						if c.Endpoints[i].Serves() {
-							ids = append(ids, c.Endpoints[i].Address)
-						}
-					}
-					inForce.taken(ids, d.ReceivedAt, d.ReceivedAt)
-				}
-			})
-			s.becomes("/x", 200)
+			s := newXDSStorm(t, variant)
 			ctx, stop := context.WithCancel(t.Context())
-			var run sync.WaitGroup
-			for i := range 6 {
-				run.Go(func() {
-					for n := 0; ctx.Err() == nil; n++ {
-						s.get([]string{"/x", "/pay/x"}[n%2], fmt.Sprintf("r-%d-%d", i, n))
-					}
-				})
-			}
-			rnd := rand.New(rand.NewPCG(1, 2))
-			began := time.Now()
-			for i := range changes {
-				away := int(time.Since(began)/time.Second) % boxes // long enough for a stray to show
-				members := append(slices.Clone(all[:away]), all[away+1:]...)
-				rnd.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-				x := placed("rooms", healthy, members[:1+rnd.IntN(len(members))])
-				if i%3 == 0 { // the same by a word on its health
-					x.Endpoints[0].LbEndpoints = append(x.Endpoints[0].LbEndpoints, lbEndpoint(all[away].Addr(), corev3.HealthStatus_DRAINING))
-				}
-				if i%(changes/50) == 0 {
-					p.Break()
-				}
-				set(t, p, map[string]proto.Message{"rooms": x})
-				time.Sleep(time.Duration(rnd.IntN(40)) * time.Millisecond) // the pace of changes
+			var clients sync.WaitGroup
+			for i := range xdsStormClients {
+				clients.Go(func() { s.load(ctx, i) })
 			}
+			s.change(changes)
 			stop()
-			run.Wait()
-			opened, _ := p.Streams()
-			if n := log.strays(&inForce, grace); n != 0 || len(log.list) == 0 || opened < 20 {
-				t.Errorf("%d of %d sends went astray; %d streams", n, len(log.list), opened)
-			}
-			t.Logf("%d changes, %d deliveries, %d streams, %d sends", changes, deliveries, opened, len(log.list))
+			clients.Wait()
+			s.check(changes)
 		})
 	}
 }
+
+// xdsStorm is an app that follows a control plane.
+type xdsStorm struct {
+	*serving
+	t          *testing.T
+	plane      *controlplane.Plane
+	boxes      []*appbox.Box
+	sends      *sendLog
+	inForce    memberships
+	deliveries int
+}
+
+// newXDSStorm serves by a first version with all boxes.
+func newXDSStorm(t *testing.T, variant string) *xdsStorm {
+	t.Helper()
+	s := &xdsStorm{t: t, sends: &sendLog{names: map[uint64]string{}}}
+	for i := range stormBoxes {
+		b := testutil.Box(t, fmt.Sprintf("box-%d", i))
+		e := at(b)
+		e.ID = e.Address
+		s.sends.names[e.Key()] = b.Addr()
+		s.boxes = append(s.boxes, b)
+	}
+	s.plane = startPlane(t)
+	set(t, s.plane, map[string]proto.Message{
+		"ingress": ingressRoutes(t),
+		"main":    mainRoutes(toCluster("/pay/", "rooms", "pay"), toCluster("/", "rooms", "read")),
+		"rooms":   edsCluster("rooms"),
+	})
+	set(t, s.plane, map[string]proto.Message{"rooms": placed("rooms", healthy, s.boxes)})
+	o := Options{Seed: 1, Log: testutil.Quiet, OnSend: s.sends.note}
+	s.serving, _ = follow(t, xdsProgram(t, s.plane.Addr(), variant, ""), o, nil, s.applied)
+	s.becomes("/x", 200)
+	return s
+}
+
+// applied notes a delivery that the app has applied.
+func (s *xdsStorm) applied(d *xds.Delivery) {
+	s.deliveries++
+	c := d.View.Clusters()["rooms"]
+	if c == nil {
+		return
+	}
+	var ids []string
+	for i := range c.Endpoints {
+		if c.Endpoints[i].Serves() {
+			ids = append(ids, c.Endpoints[i].Address)
+		}
+	}
+	s.inForce.apply(ids, d.ReceivedAt, d.ReceivedAt)
+}
+
+// load sends requests until ctx ends.
+func (s *xdsStorm) load(ctx context.Context, client int) {
+	for n := 0; ctx.Err() == nil; n++ {
+		s.get([]string{"/x", "/pay/x"}[n%2], fmt.Sprintf("r-%d-%d", client, n))
+	}
+}
+
+// change changes the assignment, each time without one box, and breaks the stream now and then.
+func (s *xdsStorm) change(count int) {
+	random := rand.New(rand.NewPCG(1, 2))
+	start := time.Now()
+	for i := range count {
+		away := int(time.Since(start)/stormAwayTime) % stormBoxes
+		members := append(slices.Clone(s.boxes[:away]), s.boxes[away+1:]...)
+		random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+		assignment := placed("rooms", healthy, members[:1+random.IntN(len(members))])
+		if i%3 == 0 { // the box is not left out but draining
+			first := assignment.Endpoints[0]
+			first.LbEndpoints = append(first.LbEndpoints, lbEndpoint(s.boxes[away].Addr(), corev3.HealthStatus_DRAINING))
+		}
+		if i%(count/xdsStreamBreaks) == 0 {
+			s.plane.Break()
+		}
+		set(s.t, s.plane, map[string]proto.Message{"rooms": assignment})
+		time.Sleep(time.Duration(random.IntN(int(xdsChangePause/time.Millisecond))) * time.Millisecond)
+	}
+}
+
+// check checks where the requests went.
+func (s *xdsStorm) check(changes int) {
+	s.t.Helper()
+	opened, _ := s.plane.Streams()
+	sent := len(s.sends.list)
+	if n := s.sends.astray(&s.inForce, removalGrace); n != 0 || sent == 0 || opened < 20 {
+		s.t.Errorf("%d of %d sends went astray; %d streams", n, sent, opened)
+	}
+	s.t.Logf("%d changes, %d deliveries, %d streams, %d sends", changes, s.deliveries, opened, sent)
+}
