--- a/internal/app/xdsbench_test.go
+++ b/internal/app/xdsbench_test.go
@@ -13,84 +13,112 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
+	"yokestall/internal/fake/controlplane"
 	"yokestall/internal/testutil"
 	"yokestall/internal/xds"
 )
 
-// BenchmarkXDS pushes one changed endpoint at a time, in clusters of 100, and tells how
+// benchClusterSize is the number of endpoints of a cluster of BenchmarkXDS.
+const benchClusterSize = 100
+
+// BenchmarkXDS pushes one changed endpoint at a time, in clusters of 100, and reports how
 // long it takes from delivery (the last byte read) to in force, at what part of a core for
-// 100 changes a second, and how many bytes an endpoint holds.
+// 100 changes a second, and how many bytes an endpoint takes.
 func BenchmarkXDS(b *testing.B) {
 	for _, variant := range bothVariants {
 		for _, n := range []int{100, 1000, 10000} {
-			b.Run(fmt.Sprintf("%s/endpoints=%d", variant, n), func(b *testing.B) {
-				p := startPlane(b)
-				var routes []*routev3.Route
-				named := map[string]proto.Message{"ingress": ingressRoutes(b)}
-				assigned := func(c int, weight uint32) *endpointv3.ClusterLoadAssignment {
-					x := placed(fmt.Sprintf("c-%03d", c), healthy, nil)
-					for i := range 100 {
-						e := lbEndpoint(fmt.Sprintf("10.%d.%d.%d:80", c/250, c%250, i+1), healthy)
-						e.LoadBalancingWeight = wrapperspb.UInt32(weight)
-						x.Endpoints[0].LbEndpoints = append(x.Endpoints[0].LbEndpoints, e)
-						weight = 1
-					}
-					return x
-				}
-				ends := map[string]proto.Message{}
-				for c := range n / 100 {
-					name := fmt.Sprintf("c-%03d", c)
-					routes = append(routes, toCluster("/"+name, name, "read"))
-					named[name], ends[name] = edsCluster(name), assigned(c, 1)
-				}
-				named["main"] = mainRoutes(routes...)
-				set(b, p, named)
-				set(b, p, ends)
-				heap := func() float64 {
-					runtime.GC()
-					runtime.GC()
-					var m runtime.MemStats
-					runtime.ReadMemStats(&m)
-					return float64(m.HeapAlloc)
-				}
-				before := heap()
-				took := make(chan time.Duration, 1000)
-				ready := make(chan struct{})
-				var once sync.Once
-				follow(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet}, nil, func(d *xds.Delivery) {
-					if d.Full {
-						if len(d.View.Clusters()) == n/100 {
-							once.Do(func() { close(ready) })
-						}
-						return
-					}
-					select {
-					case took <- time.Since(d.ReceivedAt):
-					default:
-					}
-				})
-				testutil.Wait(b, ready, "all clusters")
-				held := (heap() - before) / float64(n)
-				for len(took) > 0 {
-					<-took
-				}
-				var times []time.Duration
-				sum := time.Duration(0)
-				for i := 0; b.Loop(); i++ {
-					set(b, p, map[string]proto.Message{fmt.Sprintf("c-%03d", i%(n/100)): assigned(i%(n/100), uint32(2+i%1000))})
-					d := testutil.Wait(b, took, "a delivery")
-					times = append(times, d)
-					sum += d
-				}
-				slices.Sort(times)
-				us := func(part float64) float64 {
-					return float64(times[int(part*float64(len(times)-1))].Nanoseconds()) / 1000
-				}
-				b.ReportMetric(us(0.5), "p50-us")
-				b.ReportMetric(us(0.99), "p99-us")
-				b.ReportMetric(100*sum.Seconds()/float64(len(times))*100, "%core@100/s")
-				b.ReportMetric(held, "B/endpoint")
-			})
+			b.Run(fmt.Sprintf("%s/endpoints=%d", variant, n), func(b *testing.B) { benchmarkXDS(b, variant, n) })
+		}
+	}
+}
+
+func benchmarkXDS(b *testing.B, variant string, endpoints int) {
+	clusters := endpoints / benchClusterSize
+	p := startPlane(b)
+	setBenchClusters(b, p, clusters)
+	before := heapBytes()
+	updates := make(chan time.Duration, 1000) // from delivery to in force
+	ready := make(chan struct{})
+	var once sync.Once
+	applied := func(d *xds.Delivery) {
+		if d.Full {
+			if len(d.View.Clusters()) == clusters {
+				once.Do(func() { close(ready) })
+			}
+			return
+		}
+		select {
+		case updates <- time.Since(d.ReceivedAt):
+		default:
 		}
 	}
+	follow(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet}, nil, applied)
+	testutil.Wait(b, ready, "all clusters")
+	perEndpoint := (heapBytes() - before) / float64(endpoints)
+	for len(updates) > 0 {
+		<-updates
+	}
+	var times []time.Duration
+	for i := 0; b.Loop(); i++ {
+		c := i % clusters
+		set(b, p, map[string]proto.Message{benchClusterName(c): benchAssignment(c, uint32(2+i%1000))})
+		times = append(times, testutil.Wait(b, updates, "a delivery"))
+	}
+	reportTimes(b, times)
+	b.ReportMetric(perEndpoint, "B/endpoint")
+}
+
+// setBenchClusters sets clusters with their endpoints, each with a route.
+func setBenchClusters(b *testing.B, p *controlplane.Plane, clusters int) {
+	b.Helper()
+	var routes []*routev3.Route
+	resources := map[string]proto.Message{"ingress": ingressRoutes(b)}
+	assignments := map[string]proto.Message{}
+	for c := range clusters {
+		name := benchClusterName(c)
+		routes = append(routes, toCluster("/"+name, name, "read"))
+		resources[name], assignments[name] = edsCluster(name), benchAssignment(c, 1)
+	}
+	resources["main"] = mainRoutes(routes...)
+	set(b, p, resources)
+	set(b, p, assignments)
+}
+
+func benchClusterName(c int) string { return fmt.Sprintf("c-%03d", c) }
+
+// benchAssignment is the endpoints of a cluster, the first of which has a weight other than 1.
+func benchAssignment(c int, firstWeight uint32) *endpointv3.ClusterLoadAssignment {
+	a := placed(benchClusterName(c), healthy, nil)
+	weight := firstWeight
+	for i := range benchClusterSize {
+		e := lbEndpoint(fmt.Sprintf("10.%d.%d.%d:80", c/250, c%250, i+1), healthy)
+		e.LoadBalancingWeight = wrapperspb.UInt32(weight)
+		a.Endpoints[0].LbEndpoints = append(a.Endpoints[0].LbEndpoints, e)
+		weight = 1
+	}
+	return a
+}
+
+// heapBytes returns the size of the live heap.
+func heapBytes() float64 {
+	runtime.GC()
+	runtime.GC()
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	return float64(m.HeapAlloc)
+}
+
+// reportTimes reports quantiles of times and the share of a core that 100 of them a second take.
+func reportTimes(b *testing.B, times []time.Duration) {
+	sum := time.Duration(0)
+	for _, d := range times {
+		sum += d
+	}
+	slices.Sort(times)
+	microseconds := func(quantile float64) float64 {
+		return float64(times[int(quantile*float64(len(times)-1))].Nanoseconds()) / 1000
+	}
+	b.ReportMetric(microseconds(0.5), "p50-us")
+	b.ReportMetric(microseconds(0.99), "p99-us")
+	b.ReportMetric(100*sum.Seconds()/float64(len(times))*100, "%core@100/s")
 }
