--- a/cmd/yokestall/scale_test.go
+++ b/cmd/yokestall/scale_test.go
@@ -41,6 +41,17 @@
 	if len(f.Untold) > 0 {
 		t.Errorf("not notified: %+v", f.Untold)
 	}
+	checkControlBounds(t, plan, f)
+	for _, p := range f.Series["apart.region1.alone"].Points {
+		if p.Value < p.At/2 {
+			t.Errorf("%v nodes of %v are cut off and act alone", p.Value, p.At)
+		}
+	}
+}
+
+// checkControlBounds checks the figures of each size of a plan against their bounds.
+func checkControlBounds(t *testing.T, plan *scale.Plan, f *scale.Figures) {
+	t.Helper()
 	// Polls a second: twice the lease's renewals, since a slow machine polls again after a lease that it lost.
 	polls := 2 * float64(plan.Voters) / plan.Terms.RenewInterval().Seconds()
 	const (
@@ -71,15 +82,11 @@
 		}
 		for _, p := range s.Points {
 			if p.Value < bound.least || p.Value > bound.most {
-				t.Errorf("%s at %v nodes is %v %s, not from %v to %v", bound.key, p.At, p.Value, s.Unit, bound.least, bound.most)
+				t.Errorf("%s at %v nodes is %v %s, not from %v to %v",
+					bound.key, p.At, p.Value, s.Unit, bound.least, bound.most)
 			}
 		}
 	}
-	for _, p := range f.Series["apart.region1.alone"].Points {
-		if p.Value < p.At/2 {
-			t.Errorf("%v nodes of %v are cut off and act alone", p.Value, p.At)
-		}
-	}
 }
 
 // No process of a run outlives the one that started it when that one is killed.
--- a/internal/cli/check_test.go
+++ b/internal/cli/check_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// The examples pass; a file with a fault is reported by its line, and serve rejects it too.
 func TestCheck(t *testing.T) {
 	example := filepath.Join("..", "..", "deploy", "yokestall.toml")
 	if out, err := run(t, "check", example); err != nil || out != "" {
@@ -30,12 +31,25 @@
 			t.Errorf("the example in xDS form: %q, %v", out, err)
 		}
 	}
-	// A cluster file alone is checked as such.
+	if _, err := run(t, "check"); err == nil {
+		t.Error("check of nothing gives no error")
+	}
+	if _, err := run(t, "serve"); err == nil {
+		t.Error("serve without a file gives no error")
+	}
+	if _, err := run(t, "serve", "-c", bad); !failsWith(err, "attempts") {
+		t.Errorf("serve of a bad file: %v", err)
+	}
+}
+
+// A cluster file alone is checked as such.
+func TestCheckClusterFile(t *testing.T) {
 	rooms := filepath.Join("..", "..", "deploy", "clusters", "rooms.toml")
 	if out, err := run(t, "check", rooms); err != nil || out != "" {
 		t.Errorf("the example of a cluster: %q, %v", out, err)
 	}
-	if text, err = os.ReadFile(rooms); err != nil {
+	text, err := os.ReadFile(rooms)
+	if err != nil {
 		t.Fatal(err)
 	}
 	for from, want := range map[string]string{
@@ -51,13 +65,4 @@
 			t.Errorf("%s: %q, %v", from, out, err)
 		}
 	}
-	if _, err := run(t, "check"); err == nil {
-		t.Error("check of nothing gives no error")
-	}
-	if _, err := run(t, "serve"); err == nil {
-		t.Error("serve without a file gives no error")
-	}
-	if _, err := run(t, "serve", "-c", bad); !failsWith(err, "attempts") {
-		t.Errorf("serve of a bad file: %v", err)
-	}
 }
