--- /dev/null
+++ b/cmd/simulator-adapter/host.go
@@ -0,0 +1,86 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"runtime/debug"
+
+	"yokestall/internal/simulator"
+	"yokestall/policy"
+)
+
+// host has the instances. They share nothing but the buffers of the host.
+type host struct {
+	instances  map[uint16]*policy.Balancer
+	current    uint16 // instance of the events that follow
+	hasCurrent bool   // the batch has named one
+	reply      simulator.Reply
+	event      simulator.Event
+}
+
+// handleBatch passes the events of a batch to the instances that it names; their decisions go to the reply. The error
+// is simulator.ErrFormat.
+func (h *host) handleBatch(b *simulator.Batch) error {
+	h.hasCurrent = false
+	for i := range b.Count {
+		if err := b.Event(i, &h.event); err != nil {
+			return err
+		}
+		e := &h.event
+		if e.Code == simulator.SelectInstance {
+			h.current, h.hasCurrent = e.Instance, true
+			h.reply.SelectInstance(e.Instance)
+			continue
+		}
+		if !h.hasCurrent || (e.Code != simulator.OpenInstance && h.instances[h.current] == nil) {
+			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
+				simulator.ErrFormat, b.Number, i, e.Code)
+		}
+		h.handle(b, e)
+	}
+	return nil
+}
+
+// handle passes one event to the current instance. A panic in the module is reported as fatal.
+func (h *host) handle(b *simulator.Batch, e *simulator.Event) {
+	defer func() {
+		if p := recover(); p != nil {
+			fmt.Fprintf(os.Stderr, "simulator-adapter: batch %d: panic: %v\n%s", b.Number, p, debug.Stack())
+			h.reply.Fatal(fmt.Sprintf("panic: %v", p))
+		}
+	}()
+	instance := h.instances[h.current]
+	switch e.Code {
+	case simulator.OpenInstance:
+		h.open(e)
+	case simulator.CloseInstance:
+		delete(h.instances, h.current)
+	case simulator.EndpointUpdate:
+		instance.UpdateEndpoints(b.Now, e.Kind, e.Endpoints)
+	case simulator.Request:
+		instance.Request(b.Now, e.Request)
+	case simulator.StreamStarted:
+		instance.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
+	case simulator.Outcome:
+		instance.Outcome(b.Now, e.Outcome)
+	case simulator.ClientDisconnected:
+		instance.ClientDisconnected(b.Now, e.Outcome.ID)
+	case simulator.Timer:
+		instance.Timer(b.Now, e.Token)
+	}
+}
+
+// open makes the current instance. Settings that are not accepted are reported as fatal.
+func (h *host) open(e *simulator.Event) {
+	settings, err := simulator.ParseSettings(e.Settings)
+	if err != nil {
+		h.reply.Fatal(err.Error())
+		return
+	}
+	instance, err := policy.New(settings, e.Seed, &h.reply)
+	if err != nil {
+		h.reply.Fatal(err.Error())
+		return
+	}
+	h.instances[h.current] = instance
+}
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,8 @@
-// Command simulator-adapter hosts instances of the decision module on the simulator's
-// wire: batches of events on standard input, one reply each on standard output.
+// Command simulator-adapter hosts instances of the decision module on the simulator's protocol: it reads batches of
+// events from standard input and writes one reply each to standard output. Exit codes: 0 at the end of the input, 1 at
+// input that is no batch.
+//
+// host.go has the instances.
 package main
 
 import (
@@ -14,18 +17,23 @@
 	"yokestall/policy"
 )
 
+const (
+	gcPercent    = 800     // the live heap is small, and the time of collections counts as the module's
+	outputBuffer = 1 << 16 // bytes
+)
+
 func main() {
-	debug.SetGCPercent(800) // the live heap is small; collections are metered
+	debug.SetGCPercent(gcPercent)
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
 
-// run answers batches until the input ends.
+// run answers batches until the input ends. An error other than of reading or writing is simulator.ErrFormat.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[uint16]*policy.Balancer{}}
-	reader, writer := simulator.NewReader(in), bufio.NewWriterSize(out, 1<<16)
+	reader, writer := simulator.NewReader(in), bufio.NewWriterSize(out, outputBuffer)
 	for {
 		batch, err := reader.Read()
 		if errors.Is(err, io.EOF) && !errors.Is(err, simulator.ErrFormat) {
@@ -35,7 +43,7 @@
 			return err
 		}
 		h.reply.Reset()
-		if err := h.batch(batch); err != nil {
+		if err := h.handleBatch(batch); err != nil {
 			return err
 		}
 		if err := h.reply.WriteTo(writer, batch.Number); err != nil {
@@ -43,76 +51,3 @@
 		}
 	}
 }
-
-// host holds the instances; they share nothing but the reply's buffer.
-type host struct {
-	instances map[uint16]*policy.Balancer
-	current   uint16
-	named     bool
-	reply     simulator.Reply
-	event     simulator.Event
-}
-
-func (h *host) batch(b *simulator.Batch) error {
-	h.named = false
-	for i := range b.Count {
-		if err := b.Event(i, &h.event); err != nil {
-			return err
-		}
-		e := &h.event
-		if e.Code == simulator.SelectInstance {
-			h.current, h.named = e.Instance, true
-			h.reply.SelectInstance(e.Instance)
-			continue
-		}
-		if !h.named || (e.Code != simulator.OpenInstance && h.instances[h.current] == nil) {
-			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
-				simulator.ErrFormat, b.Number, i, e.Code)
-		}
-		h.handle(b, e)
-	}
-	return nil
-}
-
-// handle passes one event on. A panic in the module is reported as fatal.
-func (h *host) handle(b *simulator.Batch, e *simulator.Event) {
-	defer func() {
-		if p := recover(); p != nil {
-			fmt.Fprintf(os.Stderr, "simulator-adapter: batch %d: panic: %v\n%s", b.Number, p, debug.Stack())
-			h.reply.Fatal(fmt.Sprintf("panic: %v", p))
-		}
-	}()
-	inst := h.instances[h.current]
-	switch e.Code {
-	case simulator.OpenInstance:
-		h.open(e)
-	case simulator.CloseInstance:
-		delete(h.instances, h.current)
-	case simulator.EndpointUpdate:
-		inst.UpdateEndpoints(b.Now, e.Kind, e.Endpoints)
-	case simulator.Request:
-		inst.Request(b.Now, e.Request)
-	case simulator.StreamStarted:
-		inst.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
-	case simulator.Outcome:
-		inst.Outcome(b.Now, e.Outcome)
-	case simulator.ClientDisconnected:
-		inst.ClientDisconnected(b.Now, e.Outcome.ID)
-	case simulator.Timer:
-		inst.Timer(b.Now, e.Token)
-	}
-}
-
-func (h *host) open(e *simulator.Event) {
-	settings, err := simulator.ParseSettings(e.Settings)
-	if err != nil {
-		h.reply.Fatal(err.Error())
-		return
-	}
-	inst, err := policy.New(settings, e.Seed, &h.reply)
-	if err != nil {
-		h.reply.Fatal(err.Error())
-		return
-	}
-	h.instances[h.current] = inst
-}
