--- a/cmd/yokestall/fleet_test.go
+++ b/cmd/yokestall/fleet_test.go
@@ -10,6 +10,7 @@
 	"yokestall/internal/fake/fleet"
 	"yokestall/internal/fleetsim"
 	"yokestall/internal/lab"
+	"yokestall/internal/lab/sockets"
 	"yokestall/internal/testutil"
 )
 
@@ -42,7 +43,7 @@
 func playFleet(t *testing.T, e *lab.Experiment) (o *lab.Outcome, void bool) {
 	itself, env := testutil.Itself()
 	dir := t.TempDir()
-	o, found, void, err := lab.Fleet(t.Context(), e, dir, itself, env)
+	o, found, void, err := sockets.RunProcesses(t.Context(), e, dir, itself, env)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +114,7 @@
 	e.Day.Troubles = []fleetsim.Trouble{{From: out - e.Day.News, To: 4900 * time.Millisecond, First: 1, Last: 4, Drain: true}}
 	e.Faults = []fleet.Fault{{From: 500 * time.Millisecond, To: heard, Kind: fleet.Deaf, Nodes: []int{3}}}
 	itself, env := testutil.Itself()
-	_, found, void, err := lab.Fleet(t.Context(), e, t.TempDir(), itself, env)
+	_, found, void, err := sockets.RunProcesses(t.Context(), e, t.TempDir(), itself, env)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -9,13 +9,13 @@
 
 	"yokestall/internal/fake/fleet"
 	"yokestall/internal/fleet/lease"
-	"yokestall/internal/lab"
+	"yokestall/internal/lab/versions"
 	"yokestall/internal/testutil"
 )
 
 // versionsRun is a run that fits a test: a lease that is over in the middle of most faults.
-func versionsRun(seed uint64) lab.Versions {
-	return lab.Versions{
+func versionsRun(seed uint64) versions.Experiment {
+	return versions.Experiment{
 		Seed: seed, Nodes: 5, Voters: 3, Boxes: 4, Count: 21, Length: 6 * time.Second, Faults: 6, Rate: 150, Clocks: true,
 		Terms: lease.Config{Duration: 600 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 250 * time.Millisecond},
 	}
@@ -85,10 +85,10 @@
 	}
 }
 
-func playVersions(t *testing.T, v lab.Versions) {
+func playVersions(t *testing.T, v versions.Experiment) {
 	itself, env := testutil.Itself()
 	dir := t.TempDir()
-	o, err := lab.PlayVersions(t.Context(), v, dir, itself, env)
+	o, err := versions.Play(t.Context(), v, dir, itself, env)
 	if err != nil {
 		showLogs(t, dir)
 		t.Fatal(err)
--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -15,6 +15,7 @@
 	"yokestall/internal/fake/fleet"
 	"yokestall/internal/fleetsim"
 	"yokestall/internal/lab"
+	"yokestall/internal/lab/sockets"
 )
 
 // experiment reads an experiment's file.
@@ -171,7 +172,7 @@
 	if err != nil {
 		return false, err
 	}
-	processes, found, void, err := lab.Fleet(ctx, e, dir, []string{itself}, nil)
+	processes, found, void, err := sockets.RunProcesses(ctx, e, dir, []string{itself}, nil)
 	if err != nil {
 		return false, err
 	}
@@ -188,11 +189,11 @@
 	if err != nil {
 		return false, err
 	}
-	sockets, void, err := lab.Real(ctx, e, slog.New(slog.DiscardHandler))
+	realTime, void, err := sockets.RunInProcess(ctx, e, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return false, err
 	}
-	held := printBeside(out, e, virtual, sockets, sockets.Broken(), void)
+	held := printBeside(out, e, virtual, realTime, realTime.Broken(), void)
 	fmt.Fprintln(out)
 	return held, nil
 }
--- a/internal/cli/versions.go
+++ b/internal/cli/versions.go
@@ -12,12 +12,12 @@
 
 	"yokestall/internal/fleet/agent"
 	"yokestall/internal/fleet/lease"
-	"yokestall/internal/lab"
+	"yokestall/internal/lab/versions"
 )
 
 // labVersions plays processes that agree on versions while parts of them fail.
 func labVersions(out io.Writer) *cobra.Command {
-	v := lab.Versions{Terms: lease.Config{ApplyTimeout: 250 * time.Millisecond}}
+	v := versions.Experiment{Terms: lease.Config{ApplyTimeout: 250 * time.Millisecond}}
 	first, seeds := uint64(1), 3
 	c := &cobra.Command{
 		Use:   "versions",
@@ -63,13 +63,13 @@
 	return c
 }
 
-func playVersions(cmd *cobra.Command, out io.Writer, v lab.Versions, self string) (held bool, err error) {
+func playVersions(cmd *cobra.Command, out io.Writer, v versions.Experiment, self string) (held bool, err error) {
 	dir, err := os.MkdirTemp("", "yokestall-versions-")
 	if err != nil {
 		return false, err
 	}
 	defer os.RemoveAll(dir)
-	o, err := lab.PlayVersions(cmd.Context(), v, dir, []string{self}, nil)
+	o, err := versions.Play(cmd.Context(), v, dir, []string{self}, nil)
 	if err != nil {
 		return false, err
 	}
--- /dev/null
+++ b/internal/fake/fleet/config.go
@@ -0,0 +1,27 @@
+package fleet
+
+import (
+	"os"
+	"path/filepath"
+)
+
+// clustersFolder is the folder of cluster files, relative to a process's configuration file.
+const clustersFolder = "clusters"
+
+// ServeCommand returns the command that has a program serve, without the configuration's path.
+func ServeCommand(program []string) []string {
+	return append(program[:len(program):len(program)], "serve", "-c")
+}
+
+// ClusterFile returns the path of a cluster's file, below the folder that WriteConfig creates.
+func (p *Process) ClusterFile(cluster string) string {
+	return filepath.Join(p.Dir, clustersFolder, cluster+".toml")
+}
+
+// WriteConfig writes the process's configuration file and creates an empty folder "clusters" beside it.
+func (p *Process) WriteConfig(text string) error {
+	if err := os.MkdirAll(filepath.Join(p.Dir, clustersFolder), 0o700); err != nil {
+		return err
+	}
+	return os.WriteFile(p.Config(), []byte(text), 0o600)
+}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -9,7 +9,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"yokestall/internal/fleetsim"
 	"yokestall/internal/testutil"
@@ -188,32 +187,6 @@
 	}
 }
 
-// A day on sockets, in short: the program, stand-ins by the model and the load generator, with a server that
-// dies; the rules hold and each request has one final answer.
-func TestReal(t *testing.T) {
-	e, _ := read(t, "half-gone.toml")
-	e.Day.Length, e.Day.Servers = 2*time.Second, 4
-	for i := range e.Day.Classes {
-		e.Day.Classes[i].Rate /= 4
-	}
-	e.Day.Troubles = []fleetsim.Trouble{
-		{From: 500 * time.Millisecond, To: 1200 * time.Millisecond, Down: true},
-		{From: 600 * time.Millisecond, To: 1500 * time.Millisecond, First: 1, Last: 1, Drain: true},
-	}
-	o, void, err := Real(t.Context(), e, testutil.Log(t))
-	if err != nil {
-		t.Fatal(err)
-	}
-	asked, answered, _ := o.Counts()
-	if broken := o.Broken(); len(broken) > 0 || asked == 0 || asked != answered || o.Seeds[0].Sends == 0 {
-		t.Errorf("%d asked, %d answered, %v (void %v)", asked, answered, broken, void)
-	}
-	e.Day.Nodes = 2
-	if _, _, err := Real(t.Context(), e, testutil.Quiet); err == nil {
-		t.Error("two nodes on sockets")
-	}
-}
-
 // Bad files are refused by line before anything starts.
 func TestBadFiles(t *testing.T) {
 	_, good := read(t, "calm.toml")
--- a/internal/lab/fleet.go
+++ b/internal/lab/sockets/fleet.go
@@ -1,10 +1,9 @@
-package lab
+package sockets
 
 import (
 	"context"
 	"fmt"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
@@ -14,6 +13,7 @@
 	"yokestall/internal/fake/modelbox"
 	"yokestall/internal/files"
 	"yokestall/internal/fleetsim"
+	"yokestall/internal/lab"
 	"yokestall/internal/loadgen"
 	"yokestall/policy"
 )
@@ -25,15 +25,15 @@
 	seenSlack = 400 * time.Millisecond
 )
 
-// Fleet plays an experiment on sockets with as many processes of the program as the day has nodes, started by a
+// RunProcesses plays an experiment on sockets with as many processes of the program as the day has nodes, started by a
 // command, each behind links of its own, while the script's faults befall them. Its findings are judged from what
-// clients and stand-ins recorded. Void as for Real.
-func Fleet(ctx context.Context, e *Experiment, dir string, command, env []string) (o *Outcome, found []fleet.Finding, void bool, err error) {
+// clients and stand-ins recorded. Void as for RunInProcess.
+func RunProcesses(ctx context.Context, e *lab.Experiment, dir string, command, env []string) (o *lab.Outcome, found []fleet.Finding, void bool, err error) {
 	d := &e.Day
 	if d.Servers > MaxReal || d.Nodes > MaxProcesses {
 		return nil, nil, false, fmt.Errorf("%s: %d servers and %d nodes; on sockets %d and %d at most", e.Name, d.Servers, d.Nodes, MaxReal, MaxProcesses)
 	}
-	if err := e.onSockets(); err != nil {
+	if err := onSockets(e); err != nil {
 		return nil, nil, false, err
 	}
 	r := &realRun{e: e, result: &fleetsim.Result{}, ids: map[uint64]int{}, rig: &fleet.Rig{}}
@@ -45,13 +45,13 @@
 		}
 		servers = append(servers, r.places[i].box.Addr)
 	}
-	if r.rig, err = fleet.NewRig(dir, d.Nodes, servers, serveCommand(command), env); err != nil {
+	if r.rig, err = fleet.NewRig(dir, d.Nodes, servers, fleet.ServeCommand(command), env); err != nil {
 		return nil, nil, false, err
 	}
 	defer r.rig.Close()
 	r.rig.News = r.deafen
 	for i, p := range r.rig.Processes {
-		if err := writeConfig(p, e.program(p.Addr, i)); err != nil {
+		if err := p.WriteConfig(programFile(e, p.Addr, i)); err != nil {
 			return nil, nil, false, err
 		}
 	}
@@ -74,8 +74,8 @@
 	var faults sync.WaitGroup
 	var played error
 	faults.Go(func() { r.troubles(faulty, r.publish) })
-	script := e.script()
-	faults.Go(func() { played = r.rig.Play(faulty, r.began, script) })
+	faultScript := script(e)
+	faults.Go(func() { played = r.rig.Play(faulty, r.began, faultScript) })
 	report := loadgen.Run(ctx, plan)
 	faults.Wait()
 	if r.err != nil {
@@ -89,7 +89,7 @@
 	for _, c := range d.Classes {
 		rules.Unsafe = append(rules.Unsafe, c.Idempotency == policy.NotIdempotent)
 	}
-	for _, f := range script {
+	for _, f := range faultScript {
 		rules.LinksKeep = rules.LinksKeep || f.Keeps()
 	}
 	events := r.rig.Record.Events()
@@ -103,24 +103,11 @@
 		asked += t.Asked
 	}
 	r.result.Copies = max(0, r.result.Sends-asked)
-	return &Outcome{Who: fmt.Sprint(d.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}, fleet.Judge(events, rules), report.Void, ctx.Err()
-}
-
-// serveCommand is the command that starts a process of the program with a configuration file.
-func serveCommand(command []string) []string {
-	return append(command[:len(command):len(command)], "serve", "-c")
-}
-
-// writeConfig writes a process's configuration file, beside an empty folder for its clusters.
-func writeConfig(p *fleet.Process, text string) error {
-	if err := os.MkdirAll(filepath.Join(p.Dir, "clusters"), 0o700); err != nil {
-		return err
-	}
-	return os.WriteFile(p.Config(), []byte(text), 0o600)
+	return &lab.Outcome{Who: fmt.Sprint(d.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}, fleet.Judge(events, rules), report.Void, ctx.Err()
 }
 
 // script is the day's faults, with the deaths of nodes that virtual time knows too.
-func (e *Experiment) script() []fleet.Fault {
+func script(e *lab.Experiment) []fleet.Fault {
 	script := slices.Clone(e.Faults)
 	for _, t := range e.Day.Troubles {
 		if !t.Nodes {
@@ -192,7 +179,7 @@
 			fmt.Fprintf(&b, "[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\nhealth = %q\nstarted_ms = %d\n", e.ID, r.rig.Links[i][s].Addr, health, e.Started)
 		}
 		fmt.Fprintf(&b, "[end]\nendpoints = %d\n", len(r.places))
-		path := filepath.Join(p.Dir, "clusters", "rooms.toml")
+		path := p.ClusterFile("rooms")
 		if err := os.WriteFile(path+".new", []byte(b.String()), 0o600); err != nil {
 			return err
 		}
--- a/internal/lab/real.go
+++ b/internal/lab/sockets/real.go
@@ -1,4 +1,4 @@
-package lab
+package sockets
 
 import (
 	"context"
@@ -23,6 +23,7 @@
 	"yokestall/internal/fake/modelbox"
 	"yokestall/internal/files"
 	"yokestall/internal/fleetsim"
+	"yokestall/internal/lab"
 	"yokestall/internal/loadgen"
 	"yokestall/internal/model"
 	"yokestall/policy"
@@ -37,7 +38,7 @@
 )
 
 // onSockets tells whether a day's troubles can be played on sockets.
-func (e *Experiment) onSockets() error {
+func onSockets(e *lab.Experiment) error {
 	for i, t := range e.Day.Troubles {
 		if t.Knows || t.Smaller > 0 || t.Holds {
 			return fmt.Errorf("%s: trouble %d: knows, smaller and holds are of virtual time", e.Name, i+1)
@@ -46,10 +47,10 @@
 	return nil
 }
 
-// Real plays an experiment on sockets: the program itself, stand-ins that take their service times from the
+// RunInProcess plays an experiment on sockets: the program itself, stand-ins that take their service times from the
 // model, and the load generator. Void tells that the generator was late itself, so that the result says
 // nothing.
-func Real(ctx context.Context, e *Experiment, log *slog.Logger) (o *Outcome, void bool, err error) {
+func RunInProcess(ctx context.Context, e *lab.Experiment, log *slog.Logger) (o *lab.Outcome, void bool, err error) {
 	d := &e.Day
 	if d.Servers > MaxReal || d.Nodes != 1 {
 		return nil, false, fmt.Errorf("%s: %d servers and %d nodes; on sockets %d at most, and one node", e.Name, d.Servers, d.Nodes, MaxReal)
@@ -57,7 +58,7 @@
 	if slices.ContainsFunc(d.Troubles, func(t fleetsim.Trouble) bool { return t.Nodes }) {
 		return nil, false, fmt.Errorf("%s: nodes die: lab fleet plays that", e.Name)
 	}
-	if err := e.onSockets(); err != nil {
+	if err := onSockets(e); err != nil {
 		return nil, false, err
 	}
 	r := &realRun{e: e, result: &fleetsim.Result{}, ids: map[uint64]int{}}
@@ -67,7 +68,7 @@
 			return nil, false, err
 		}
 	}
-	if r.program, err = config.ParseProgram("lab", []byte(e.program("127.0.0.1:0", 0))); err != nil {
+	if r.program, err = config.ParseProgram("lab", []byte(programFile(e, "127.0.0.1:0", 0))); err != nil {
 		return nil, false, fmt.Errorf("%s: %w", e.Name, err)
 	}
 	a, err := app.New(r.version(), app.Options{Seed: e.Seed, Log: log, OnSend: r.sent})
@@ -99,7 +100,7 @@
 		return nil, false, r.err
 	}
 	r.finish()
-	return &Outcome{Who: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Void, ctx.Err()
+	return &lab.Outcome{Who: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Void, ctx.Err()
 }
 
 // closeBoxes closes all servers that the run has started.
@@ -125,7 +126,7 @@
 }
 
 // program is the experiment as the program's own file.
-func (e *Experiment) program(address string, node int) string {
+func programFile(e *lab.Experiment, address string, node int) string {
 	var b strings.Builder
 	l, rules := &e.Day.Settings.Limits, &e.Day.Settings.Rules
 	fmt.Fprintf(&b, "[listen]\naddress = %q\nconnections = %d\nsilent = 1024\n[upstream]\nconnections = 8192\nconnect_timeout = \"1s\"\n", address, 2*mostOpen)
@@ -159,7 +160,7 @@
 type realRun struct {
 	rig       *fleet.Rig // nil: the program runs in this process
 	deaf      map[int]bool
-	e         *Experiment
+	e         *lab.Experiment
 	program   *config.Program
 	url       string
 	transport *http.Transport
--- a/internal/lab/versions.go
+++ b/internal/lab/versions/versions.go
@@ -1,4 +1,4 @@
-package lab
+package versions
 
 import (
 	"context"
@@ -26,9 +26,9 @@
 	"yokestall/internal/fleet/lease"
 )
 
-// Versions is a run of real processes that agree on versions while parts of them fail. Every version contradicts
+// Experiment is a run of real processes that agree on versions while parts of them fail. Every version contradicts
 // every other one: each bears a number that its attempts carry to the servers, and has another server out.
-type Versions struct {
+type Experiment struct {
 	Seed          uint64
 	Nodes, Voters int
 	Boxes         int
@@ -40,12 +40,12 @@
 	Terms         lease.Config
 	Rate          float64 // requests a second, over all processes
 	Clocks        bool    // the processes' clocks for leases are fast and slow in turn, by as much as the terms allow
-	// Programs are commands that start a node's program, by node, where that is another than PlayVersions is given.
+	// Programs are commands that start a node's program, by node, where that is another than Play is given.
 	Programs map[int][]string
 }
 
-// VersionsOutcome is what came of it.
-type VersionsOutcome struct {
+// Outcome is what came of it.
+type Outcome struct {
 	Script    []fleet.Fault
 	Bound     time.Duration
 	Published int
@@ -70,13 +70,13 @@
 var versionClasses = []string{"read", "push", "order"}
 
 type versionRun struct {
-	Versions
+	Experiment
 	rig    *fleet.Rig
 	boxes  []*http.Server
 	addrs  []string
 	asked  []string // voters' own addresses; "" for others
 	client *http.Client
-	out    VersionsOutcome
+	out    Outcome
 
 	asks, served, refused, failed atomic.Int64
 	acked                         map[uint64]string // ids of versions that were acknowledged, by number
@@ -85,9 +85,9 @@
 	last                          map[int]int // by process: the stamp of the last request that it had served
 }
 
-// PlayVersions plays a run in a folder, with processes started by a command.
-func PlayVersions(ctx context.Context, v Versions, dir string, command, env []string) (out *VersionsOutcome, err error) {
-	r := &versionRun{Versions: v, last: map[int]int{}, acked: map[uint64]string{}, news: make(chan struct{}, 1)}
+// Play plays a run in a folder, with processes started by a command.
+func Play(ctx context.Context, v Experiment, dir string, command, env []string) (out *Outcome, err error) {
+	r := &versionRun{Experiment: v, last: map[int]int{}, acked: map[uint64]string{}, news: make(chan struct{}, 1)}
 	r.client = &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer r.client.CloseIdleConnections()
 	defer func() {
@@ -95,12 +95,12 @@
 			b.Close()
 		}
 	}()
-	if r.rig, err = fleet.NewRig(dir, v.Nodes, nil, serveCommand(command), env); err != nil {
+	if r.rig, err = fleet.NewRig(dir, v.Nodes, nil, fleet.ServeCommand(command), env); err != nil {
 		return nil, err
 	}
 	defer r.rig.Close()
 	for i, p := range r.rig.Processes {
-		p.Command = serveCommand(v.program(i, command))
+		p.Command = fleet.ServeCommand(v.program(i, command))
 		if v.Clocks {
 			rate := 1 + v.Terms.MaxClockDrift*[]float64{1, -1, 0}[i%3]
 			p.Command = slices.Concat(v.program(i, command), []string{"lab", "serve", fmt.Sprint("--rate=", rate), "-c"})
@@ -126,7 +126,7 @@
 }
 
 // program is the command that starts a node's program.
-func (v *Versions) program(node int, command []string) []string {
+func (v *Experiment) program(node int, command []string) []string {
 	if own, ok := v.Programs[node]; ok {
 		return own
 	}
@@ -168,7 +168,7 @@
 		return err
 	}
 	for i, p := range r.rig.Processes {
-		if err := writeConfig(p, r.file(i, 0)); err != nil {
+		if err := p.WriteConfig(r.file(i, 0)); err != nil {
 			return err
 		}
 		if i >= r.Voters {
