--- /dev/null
+++ b/internal/lab/sockets/faults.go
@@ -0,0 +1,109 @@
+package sockets
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"yokestall/internal/fleetsim"
+	"yokestall/internal/model"
+)
+
+// faultStep is one moment of a fault: it begins or ends, or the endpoint list says so, somewhat later.
+type faultStep struct {
+	at      time.Duration
+	fault   *fleetsim.Trouble
+	ends    bool
+	publish bool
+}
+
+// faultSteps returns the steps of the experiment's faults of servers, by time. Faults of nodes are not among them.
+func (r *run) faultSteps() []faultStep {
+	day := &r.experiment.Day
+	var steps []faultStep
+	for i := range day.Troubles {
+		fault := &day.Troubles[i]
+		if fault.Nodes {
+			continue
+		}
+		steps = append(steps,
+			faultStep{at: fault.From, fault: fault},
+			faultStep{at: fault.To, fault: fault, ends: true},
+			faultStep{at: fault.From + day.News, fault: fault, publish: true},
+			faultStep{at: fault.To + day.News, fault: fault, ends: true, publish: true},
+		)
+	}
+	slices.SortStableFunc(steps, func(x, y faultStep) int { return int(x.at - y.at) })
+	return steps
+}
+
+// playFaults plays the experiment's faults of servers at their times, until ctx ends. That ctx ended is no error.
+func (r *run) playFaults(ctx context.Context) error {
+	for _, step := range r.faultSteps() {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-time.After(time.Until(r.began.Add(step.at))):
+		}
+		if err := r.playStep(step); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// playStep plays one step, for all servers of its fault.
+func (r *run) playStep(step faultStep) error {
+	if step.publish {
+		if err := r.deployment.publish(); err != nil {
+			return err
+		}
+		r.notePublishedDrains()
+		return nil
+	}
+	for place := step.fault.First; place <= step.fault.Last; place++ {
+		play := r.beginFault
+		if step.ends {
+			play = r.endFault
+		}
+		if err := play(step.fault, place); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// beginFault begins a fault of the server in a place.
+func (r *run) beginFault(fault *fleetsim.Trouble, place int) error {
+	s := r.serverAt(place)
+	switch {
+	case fault.Down:
+		s.box.Down()
+	case fault.Drain:
+		r.setDraining(s)
+	default:
+		s.box.Trouble(fault.With)
+	}
+	return nil
+}
+
+// endFault ends a fault of the server in a place: one that was down starts again, one that drained is replaced.
+func (r *run) endFault(fault *fleetsim.Trouble, place int) error {
+	s := r.serverAt(place)
+	switch {
+	case fault.Down:
+		if err := s.box.Up(); err != nil {
+			return err
+		}
+		r.setStarted(s)
+	case fault.Drain:
+		s.box.Down()
+		if err := r.startServer(place, true); err != nil {
+			return err
+		}
+		r.deployment.serverReplaced(place)
+	default:
+		s.box.Trouble(model.Trouble{})
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/lab/sockets/record.go
@@ -0,0 +1,48 @@
+package sockets
+
+import (
+	"slices"
+	"time"
+
+	"yokestall/internal/fake/fleet"
+	"yokestall/internal/fake/modelbox"
+	"yokestall/policy"
+)
+
+// observationSlack is how much later than a process's decision a server may see its effect, on a busy machine.
+const observationSlack = 400 * time.Millisecond
+
+// rules are what the run's record is judged by.
+func (p *processes) rules() fleet.Rules {
+	rules := fleet.Rules{Grace: drainGrace, Slack: observationSlack}
+	for _, c := range p.run.experiment.Day.Classes {
+		rules.Unsafe = append(rules.Unsafe, c.Idempotency == policy.NotIdempotent)
+	}
+	rules.LinksKeep = slices.ContainsFunc(p.script, func(f fleet.Fault) bool { return f.Keeps() })
+	return rules
+}
+
+// countArrivals returns how many attempts came to servers.
+func countArrivals(events []fleet.Event) int64 {
+	arrivals := int64(0)
+	for _, e := range events {
+		if e.What == fleet.Came {
+			arrivals++
+		}
+	}
+	return arrivals
+}
+
+// observations are the record's names of what servers observe.
+var observations = map[modelbox.Seen]fleet.What{
+	modelbox.Came: fleet.Came,
+	modelbox.Ran:  fleet.Ran,
+	modelbox.Fell: fleet.Fell,
+}
+
+// watch records what a server observes.
+func (p *processes) watch(s *server) {
+	s.box.Watch(func(seen modelbox.Seen, requestID string) {
+		p.rig.Record.Add(fleet.Event{What: observations[seen], Who: s.serial, ID: requestID})
+	})
+}
