--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -16,8 +16,8 @@
 // versionsRun is a run that fits a test: a lease that is over in the middle of most faults.
 func versionsRun(seed uint64) versions.Experiment {
 	return versions.Experiment{
-		Seed: seed, Nodes: 5, Voters: 3, Boxes: 4, Count: 21, Length: 6 * time.Second, Faults: 6, Rate: 150, Clocks: true,
-		Terms: lease.Config{Duration: 600 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 250 * time.Millisecond},
+		Seed: seed, Nodes: 5, Voters: 3, Servers: 4, Count: 21, Length: 6 * time.Second, Faults: 6, Rate: 150, SkewClocks: true,
+		Lease: lease.Config{Duration: 600 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 250 * time.Millisecond},
 	}
 }
 
@@ -41,7 +41,7 @@
 	}
 	for seed := range uint64(2) {
 		v := versionsRun(seed + 1)
-		v.Power = true
+		v.PowerLoss = true
 		t.Run("", func(t *testing.T) { playVersions(t, v) })
 	}
 }
@@ -54,7 +54,7 @@
 	}
 	for seed := range uint64(2) {
 		v := versionsRun(seed + 1)
-		v.Release, v.Boxes = true, 8
+		v.Release, v.Servers = true, 8
 		t.Run("", func(t *testing.T) { playVersions(t, v) })
 	}
 }
@@ -96,7 +96,7 @@
 	if o.Longest > o.Bound {
 		t.Errorf("two acted on versions that contradict for %v, and the bound is %v: %+v after the first of %d", o.Longest, o.Bound, o.Worst, o.Over)
 	}
-	found := slices.DeleteFunc(o.Found, func(f fleet.Finding) bool { return f.Timing })
+	found := slices.DeleteFunc(o.Findings, func(f fleet.Finding) bool { return f.Timing })
 	if len(found) > 0 || o.Served < o.Asked/4 {
 		t.Errorf("%d of %d served; rules broken: %v", o.Served, o.Asked, found)
 	}
@@ -105,7 +105,7 @@
 		showLogs(t, dir)
 	}
 	t.Logf("%d versions, in force after %v at half of them and %v at most; contradiction %v (%d attempts) of %v; %d owners; %d asked, %d served, %d refused, %d failed; %d late at servers that were out",
-		o.Published, o.Times[len(o.Times)/2], o.Times[len(o.Times)-1], o.Longest, o.Count, o.Bound, o.Owners, o.Asked, o.Served, o.Refused, o.Failed, len(o.Found))
+		o.Published, o.ActivationTimes[len(o.ActivationTimes)/2], o.ActivationTimes[len(o.ActivationTimes)-1], o.Longest, o.Count, o.Bound, o.Owners, o.Asked, o.Served, o.Rejected, o.Failed, len(o.Findings))
 }
 
 func showLogs(t *testing.T, dir string) {
--- a/internal/cli/versions.go
+++ b/internal/cli/versions.go
@@ -17,7 +17,7 @@
 
 // labVersions plays processes that agree on versions while parts of them fail.
 func labVersions(out io.Writer) *cobra.Command {
-	v := versions.Experiment{Terms: lease.Config{ApplyTimeout: 250 * time.Millisecond}}
+	v := versions.Experiment{Lease: lease.Config{ApplyTimeout: 250 * time.Millisecond}}
 	first, seeds := uint64(1), 3
 	c := &cobra.Command{
 		Use:   "versions",
@@ -53,13 +53,13 @@
 	f.DurationVar(&v.Length, "length", 6*time.Second, "the time in which they befall")
 	f.IntVar(&v.Nodes, "nodes", 5, "processes")
 	f.IntVar(&v.Voters, "voters", 3, "of which so many vote")
-	f.IntVar(&v.Boxes, "servers", 4, "stand-in servers")
+	f.IntVar(&v.Servers, "servers", 4, "stand-in servers")
 	f.Float64Var(&v.Rate, "rate", 150, "requests a second over all processes")
-	f.DurationVar(&v.Terms.Duration, "lease", 600*time.Millisecond, "of the nodes")
-	f.Float64Var(&v.Terms.MaxClockDrift, "drift", 0.1, "most that a clock may differ")
+	f.DurationVar(&v.Lease.Duration, "lease", 600*time.Millisecond, "of the nodes")
+	f.Float64Var(&v.Lease.MaxClockDrift, "drift", 0.1, "most that a clock may differ")
 	f.BoolVar(&v.Release, "release", false, "in place of versions have a release take each server out and back")
-	f.BoolVar(&v.Power, "power", false, "in place of drawn faults cut the power of all processes twice; they come back one by one")
-	f.BoolVar(&v.Clocks, "clocks", true, "give the processes clocks that are fast and slow by that much")
+	f.BoolVar(&v.PowerLoss, "power", false, "in place of drawn faults cut the power of all processes twice; they come back one by one")
+	f.BoolVar(&v.SkewClocks, "clocks", true, "give the processes clocks that are fast and slow by that much")
 	return c
 }
 
@@ -74,15 +74,15 @@
 		return false, err
 	}
 	at := func(share float64) time.Duration {
-		if len(o.Times) == 0 {
+		if len(o.ActivationTimes) == 0 {
 			return 0
 		}
-		return o.Times[int(share*float64(len(o.Times)-1))].Round(time.Millisecond)
+		return o.ActivationTimes[int(share*float64(len(o.ActivationTimes)-1))].Round(time.Millisecond)
 	}
 	fmt.Fprintf(out, "seed %d: %d versions, in force after %v (half) %v (99 %%); contradiction %v of %v (%d attempts); %d owners, none for %v at most (%d answers in one order); %d asked, %d served, %d refused, %d failed\n",
-		v.Seed, o.Published, at(0.5), at(0.99), o.Longest.Round(time.Millisecond), o.Bound.Round(time.Millisecond), o.Count, o.Owners, o.NoOwner.Round(time.Millisecond), o.Answers, o.Asked, o.Served, o.Refused, o.Failed)
-	if held = o.Longest <= o.Bound && len(o.Found) == 0; !held {
-		fmt.Fprintln(out, "NOT HELD:", o.Found, o.Worst)
+		v.Seed, o.Published, at(0.5), at(0.99), o.Longest.Round(time.Millisecond), o.Bound.Round(time.Millisecond), o.Count, o.Owners, o.NoOwner.Round(time.Millisecond), o.Answers, o.Asked, o.Served, o.Rejected, o.Failed)
+	if held = o.Longest <= o.Bound && len(o.Findings) == 0; !held {
+		fmt.Fprintln(out, "NOT HELD:", o.Findings, o.Worst)
 		for _, f := range o.Script {
 			fmt.Fprint(out, f)
 		}
