--- a/internal/lab/scale.go
+++ b/internal/lab/size.go
@@ -3,9 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"time"
-
-	"yokestall/internal/fleetsim"
 )
 
 // Size is what a day can be played at in place of what its file says; zero leaves a thing as it is.
@@ -58,63 +55,3 @@
 	}
 	return &c, nil
 }
-
-// Way is a way to decide, by name.
-type Way struct {
-	Name string
-	With fleetsim.MakeDecider
-}
-
-// Ways gives the program and, where wanted, those it is compared with, in the order of their names.
-func Ways(peers bool) []Way {
-	list := []Way{{"program", fleetsim.Program}}
-	if peers {
-		for name, with := range fleetsim.Peers {
-			list = append(list, Way{name, with})
-		}
-		slices.SortFunc(list[1:], func(x, y Way) int {
-			if x.Name < y.Name {
-				return -1
-			}
-			return 1
-		})
-	}
-	return list
-}
-
-// Recovered is how long after a moment o earned so many shares of what the oracle earned, each for the first time over
-// half a second, means over the seeds; negative: never.
-func Recovered(o, oracle *Outcome, from time.Duration, shares ...float64) []time.Duration {
-	const step, window = 100 * time.Millisecond, 5
-	sum := func(o *Outcome, at int) (earned float64) {
-		for _, r := range o.Seeds {
-			for _, e := range r.Tenths[at : at+window] {
-				earned += e
-			}
-		}
-		return earned
-	}
-	first := int(from / step)
-	var list []time.Duration
-	for _, share := range shares {
-		found := time.Duration(-1)
-		for at := first; at+window <= len(o.Seeds[0].Tenths)-1; at++ {
-			if could := sum(oracle, at); could > 0 && sum(o, at) >= share*could {
-				found = time.Duration(at-first) * step
-				break
-			}
-		}
-		list = append(list, found)
-	}
-	return list
-}
-
-// Return is when the first server that a power cut took is back; false: none is.
-func (e *Experiment) Return() (at time.Duration, ok bool) {
-	for _, t := range e.Day.Troubles {
-		if t.Down && !t.Nodes && t.To < e.Day.Length && (!ok || t.To < at) {
-			at, ok = t.To, true
-		}
-	}
-	return at, ok
-}
