--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -71,7 +71,7 @@
 				}
 				both = append(both, o)
 			}
-			lab.Table(out, both)
+			lab.WriteTable(out, both)
 			fmt.Fprintln(out, "service of the second over the first:", lab.Compare(both[0], both[1]))
 			return nil
 		},
@@ -193,7 +193,7 @@
 	if err != nil {
 		return false, err
 	}
-	held := printBeside(out, e, virtual, realTime, realTime.Broken(), void)
+	held := printBeside(out, e, virtual, realTime, realTime.Violations(), void)
 	fmt.Fprintln(out)
 	return held, nil
 }
@@ -201,7 +201,7 @@
 // printBeside prints a day's outcome in real time beside that in virtual time, and whether the former holds.
 func printBeside[T any](out io.Writer, e *lab.Experiment, virtual, realTime *lab.Outcome, broken []T, void bool) (held bool) {
 	fmt.Fprintln(out, e.Summary())
-	lab.Table(out, []*lab.Outcome{virtual, realTime})
+	lab.WriteTable(out, []*lab.Outcome{virtual, realTime})
 	for _, b := range broken {
 		fmt.Fprintln(out, "NOT HELD:", b)
 	}
@@ -236,14 +236,14 @@
 		return false, err
 	}
 	if size != (lab.Size{}) {
-		if e, err = e.At(size); err != nil {
+		if e, err = e.AtSize(size); err != nil {
 			return false, err
 		}
-		e.Service = 0
+		e.MinService = 0
 	}
 	var list []*lab.Outcome
-	for _, way := range lab.Ways(peers) {
-		o, err := lab.Run(e, way.Name, way.With, max(1, seeds))
+	for _, decider := range lab.Deciders(peers) {
+		o, err := lab.Run(e, decider.Name, decider.Make, max(1, seeds))
 		if err != nil {
 			return false, err
 		}
@@ -259,21 +259,21 @@
 		list = append(list, o)
 	}
 	fmt.Fprintln(out, e.Summary())
-	lab.Table(out, list)
+	lab.WriteTable(out, list)
 	for _, o := range list[1:] {
 		if seeds > 1 {
-			fmt.Fprintf(out, "service of the program over %s: %v\n", o.Who, lab.Compare(o, list[0]))
+			fmt.Fprintf(out, "service of the program over %s: %v\n", o.Name, lab.Compare(o, list[0]))
 		}
 	}
-	if at, ok := e.Return(); ok && peers {
+	if at, ok := e.FirstRestart(); ok && peers {
 		for _, o := range list {
-			if o.Who == "oracle" {
-				t := lab.Recovered(list[0], o, at, 0.5, 0.9, 0.99)
+			if o.Name == "oracle" {
+				t := lab.RecoveryTimes(list[0], o, at, 0.5, 0.9, 0.99)
 				fmt.Fprintf(out, "from the first server's return to 50, 90 and 99 %% of what the oracle serves: %v, %v, %v\n", t[0], t[1], t[2])
 			}
 		}
 	}
-	faults := e.Verdict(list[0])
+	faults := e.Failures(list[0])
 	for _, f := range faults {
 		fmt.Fprintln(out, "NOT HELD:", f)
 	}
@@ -282,7 +282,7 @@
 		if err != nil {
 			return false, err
 		}
-		if err := errors.Join(lab.CSV(f, list), f.Close()); err != nil {
+		if err := errors.Join(lab.WriteCSV(f, list), f.Close()); err != nil {
 			return false, err
 		}
 	}
--- a/internal/lab/classparser.go
+++ b/internal/lab/classparser.go
@@ -16,48 +16,56 @@
 	"unsafe": policy.NotIdempotent,
 }
 
+// setClasses sets the classes of requests. A class without a weight has 1.
 func (p *parser) setClasses() {
-	if n := len(p.file.Class); n == 0 || n > config.MaxClasses {
-		p.report("class", noIndex, "", "%d classes; 1 to %d", n, config.MaxClasses)
+	if count := len(p.file.Classes); count == 0 || count > config.MaxClasses {
+		p.section("class").problem("", "%d classes; 1 to %d", count, config.MaxClasses)
 	}
-	for i, c := range p.file.Class {
-		effect := p.checkClass(i, &c)
-		if c.Worth == 0 {
-			c.Worth = 1
-		}
-		p.experiment.Day.Classes = append(p.experiment.Day.Classes, fleetsim.Class{
-			Name:   c.Name,
-			Work:   c.Work.Duration,
-			Rate:   c.Rate,
-			Spread: model.Spread{CV: c.CV, Tail: c.Tail},
-			Class: policy.Class{
-				Deadline:         c.Deadline.Duration,
-				LatencyObjective: c.Aim.Duration,
-				PriorityWeight:   c.Worth,
-				LateWeight:       c.LateWorth,
-				Idempotency:      effect,
-				DedupWindow:      c.Window.Duration,
-			},
-		})
+	for i := range p.file.Classes {
+		c := &p.file.Classes[i]
+		p.checkClass(i, c)
+		p.experiment.Day.Classes = append(p.experiment.Day.Classes, c.class())
 	}
 }
 
-// checkClass checks the class at an index, and returns its idempotency.
-func (p *parser) checkClass(i int, c *classSection) policy.Idempotency {
-	effect, ok := effects[c.Effect]
-	if !ok {
-		p.report("class", i, "effect", "%q is none of safe, keyed, unsafe", c.Effect)
+// checkClass checks the class at an index.
+func (p *parser) checkClass(index int, c *classSection) {
+	s := p.sectionAt("class", index)
+	idempotency, known := effects[c.Effect]
+	if !known {
+		s.problem("effect", "%q is none of safe, keyed, unsafe", c.Effect)
 	}
-	if effect == policy.IdempotentByKey && c.Window.Duration <= 0 {
-		p.report("class", i, "window", "a keyed class needs one")
+	if idempotency == policy.IdempotentByKey && c.DedupWindow.Duration <= 0 {
+		s.problem("window", "a keyed class needs one")
+	}
+	s.checkDuration("deadline", c.Deadline, 20*time.Millisecond, time.Hour)
+	s.checkDuration("aim", c.LatencyObjective, 0, max(0, c.Deadline.Duration))
+	s.checkDuration("work", c.Work, time.Microsecond, time.Hour)
+	s.checkNumber("rate", c.Rate, 0.001, 1e6)
+	s.checkNumber("cv", c.CV, 0, 10)
+	s.checkNumber("tail", c.Tail, 0, 1)
+	s.checkNumber("worth", c.PriorityWeight, 0, 1e6)
+	s.checkNumber("late_worth", c.LateWeight, 0, 1)
+}
+
+// class translates a class.
+func (c *classSection) class() fleetsim.Class {
+	weight := c.PriorityWeight
+	if weight == 0 {
+		weight = 1
+	}
+	return fleetsim.Class{
+		Name:   c.Name,
+		Work:   c.Work.Duration,
+		Rate:   c.Rate,
+		Spread: model.Spread{CV: c.CV, Tail: c.Tail},
+		Class: policy.Class{
+			Deadline:         c.Deadline.Duration,
+			LatencyObjective: c.LatencyObjective.Duration,
+			PriorityWeight:   weight,
+			LateWeight:       c.LateWeight,
+			Idempotency:      effects[c.Effect],
+			DedupWindow:      c.DedupWindow.Duration,
+		},
 	}
-	p.checkDuration("class", i, "deadline", c.Deadline, 20*time.Millisecond, time.Hour)
-	p.checkDuration("class", i, "aim", c.Aim, 0, max(0, c.Deadline.Duration))
-	p.checkDuration("class", i, "work", c.Work, time.Microsecond, time.Hour)
-	p.checkNumber("class", i, "rate", c.Rate, 0.001, 1e6)
-	p.checkNumber("class", i, "cv", c.CV, 0, 10)
-	p.checkNumber("class", i, "tail", c.Tail, 0, 1)
-	p.checkNumber("class", i, "worth", c.Worth, 0, 1e6)
-	p.checkNumber("class", i, "late_worth", c.LateWorth, 0, 1)
-	return effect
 }
--- a/internal/lab/comparison.go
+++ b/internal/lab/comparison.go
@@ -6,36 +6,43 @@
 	"slices"
 )
 
-// Difference is how much more service b gave than a, seed by seed, with the bounds of a 95 % confidence
-// interval by bootstrap over the seeds (Efron, 1979).
+const (
+	bootstrapDraws = 4000
+	// The seed of the bootstrap's random numbers.
+	bootstrapSeed, bootstrapSequence = 1, 2
+)
+
+// Difference is how much more service one outcome has than another one, seed by seed: the mean, and the bounds of its
+// 95 % confidence interval.
 type Difference struct{ Mean, Low, High float64 }
 
-// Seen tells whether there is one.
-func (d Difference) Seen() bool { return d.Low > 0 || d.High < 0 }
+// Significant tells whether the interval leaves zero out.
+func (d Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
+// String describes the difference in a line.
 func (d Difference) String() string {
-	if !d.Seen() {
+	if !d.Significant() {
 		return fmt.Sprintf("no difference seen (%+.4f, from %+.4f to %+.4f)", d.Mean, d.Low, d.High)
 	}
 	return fmt.Sprintf("%+.4f (from %+.4f to %+.4f)", d.Mean, d.Low, d.High)
 }
 
-// Compare pairs two outcomes of the same seeds.
+// Compare returns how much more service b has than a. Both are of the same seeds, which are paired; the interval is by
+// bootstrap over the pairs (Efron, 1979).
 func Compare(a, b *Outcome) Difference {
-	diff := make([]float64, len(a.Seeds))
+	differences := make([]float64, len(a.Seeds))
 	mean := 0.0
-	for i := range diff {
-		diff[i] = b.Seeds[i].Service() - a.Seeds[i].Service()
-		mean += diff[i] / float64(len(diff))
+	for i := range differences {
+		differences[i] = b.Seeds[i].Service() - a.Seeds[i].Service()
+		mean += differences[i] / float64(len(differences))
 	}
-	const draws = 4000
-	rng := rand.New(rand.NewPCG(1, 2))
-	means := make([]float64, draws)
+	random := rand.New(rand.NewPCG(bootstrapSeed, bootstrapSequence))
+	means := make([]float64, bootstrapDraws)
 	for i := range means {
-		for range diff {
-			means[i] += diff[rng.IntN(len(diff))] / float64(len(diff))
+		for range differences {
+			means[i] += differences[random.IntN(len(differences))] / float64(len(differences))
 		}
 	}
 	slices.Sort(means)
-	return Difference{mean, means[draws*25/1000], means[draws*975/1000]}
+	return Difference{Mean: mean, Low: means[bootstrapDraws*25/1000], High: means[bootstrapDraws*975/1000]}
 }
--- a/internal/lab/dayparser.go
+++ b/internal/lab/dayparser.go
@@ -8,98 +8,118 @@
 	"yokestall/policy"
 )
 
+// Bounds of a day.
+const (
+	MaxRequests = 50_000_000
+	MaxNodes    = 1000
+	MaxServers  = 10_000
+)
+
+// checkDay checks the keys before all tables.
 func (p *parser) checkDay() {
-	f := &p.file
-	p.checkDuration("", noIndex, "length", f.Length, time.Second, 24*time.Hour)
-	p.checkDuration("", noIndex, "delay", f.Delay, 0, time.Second)
-	p.checkDuration("", noIndex, "news", f.News, 0, time.Minute)
-	p.checkNumber("", noIndex, "nodes", float64(f.Nodes), 1, MaxNodes)
-	p.checkNumber("", noIndex, "servers", float64(f.Servers), 1, MaxServers)
+	f, s := &p.file, p.section("")
+	s.checkDuration("length", f.Length, time.Second, 24*time.Hour)
+	s.checkDuration("delay", f.NetworkDelay, 0, time.Second)
+	s.checkDuration("news", f.ListDelay, 0, time.Minute)
+	s.checkNumber("nodes", float64(f.Nodes), 1, MaxNodes)
+	s.checkNumber("servers", float64(f.Servers), 1, MaxServers)
 }
 
-func (p *parser) checkKind() {
-	k := &p.file.Kind
-	p.checkNumber("kind", noIndex, "cores", float64(k.Cores), 1, 1024)
-	p.checkNumber("kind", noIndex, "speed", k.Speed, 0.001, 1000)
-	p.checkNumber("kind", noIndex, "queue", float64(k.Queue), 0, 1e6)
-	p.checkNumber("kind", noIndex, "crowd", k.Crowd, 0, 100)
-	p.checkNumber("kind", noIndex, "fall_multiple", k.FallMultiple, 0, 1e6)
-	if k.ColdFor.Duration > 0 || k.ColdFrom != 0 {
-		p.checkNumber("kind", noIndex, "cold_from", k.ColdFrom, 0.001, 1)
+// checkServer checks the model of a server.
+func (p *parser) checkServer() {
+	k, s := &p.file.Server, p.section("kind")
+	s.checkNumber("cores", float64(k.Cores), 1, 1024)
+	s.checkNumber("speed", k.Speed, 0.001, 1000)
+	s.checkNumber("queue", float64(k.Queue), 0, 1e6)
+	s.checkNumber("crowd", k.SlowdownPerQueuedJob, 0, 100)
+	s.checkNumber("fall_multiple", k.OverloadMultiple, 0, 1e6)
+	if k.SlowStartWindow.Duration > 0 || k.SlowStartCapacity != 0 {
+		s.checkNumber("cold_from", k.SlowStartCapacity, 0.001, 1)
 	}
-	p.checkDuration("kind", noIndex, "cold_for", k.ColdFor, 0, time.Hour)
-	p.checkDuration("kind", noIndex, "fall_for", k.FallFor, 0, time.Hour)
-	p.checkDuration("kind", noIndex, "window", k.Window, 0, time.Hour)
+	s.checkDuration("cold_for", k.SlowStartWindow, 0, time.Hour)
+	s.checkDuration("fall_for", k.OverloadDuration, 0, time.Hour)
+	s.checkDuration("window", k.DedupWindow, 0, time.Hour)
 }
 
+// checkLimitsAndClients checks the policy's limits, the clients and what is expected.
 func (p *parser) checkLimitsAndClients() {
 	f := &p.file
-	p.checkNumber("limits", noIndex, "attempts", float64(f.Limits.Attempts), 1, 16)
-	p.checkDuration("limits", noIndex, "max_retry_after", f.Limits.MaxRetryAfter, 0, time.Hour)
-	p.checkNumber("clients", noIndex, "retries", float64(f.Clients.Retries), 0, 100)
-	p.checkNumber("clients", noIndex, "honest", f.Clients.Honest, 0, 1)
-	p.checkNumber("", noIndex, "lead", f.Lead, 0, 1)
-	p.checkDuration("clients", noIndex, "align", f.Clients.Align, 0, time.Minute)
-	p.checkDuration("clients", noIndex, "wait", f.Clients.Wait, 0, time.Hour)
-	p.checkNumber("expect", noIndex, "service", f.Expect.Service, 0, 1)
+	limits, clients := p.section("limits"), p.section("clients")
+	limits.checkNumber("attempts", float64(f.Limits.Attempts), 1, 16)
+	limits.checkDuration("max_retry_after", f.Limits.MaxRetryAfter, 0, time.Hour)
+	clients.checkNumber("retries", float64(f.Clients.Retries), 0, 100)
+	clients.checkNumber("honest", f.Clients.HonorRetryAfter, 0, 1)
+	p.section("").checkNumber("lead", f.FirstNodeShare, 0, 1)
+	clients.checkDuration("align", f.Clients.AlignTo, 0, time.Minute)
+	clients.checkDuration("wait", f.Clients.Backoff, 0, time.Hour)
+	p.section("expect").checkNumber("service", f.Expect.MinService, 0, 1)
 }
 
 // setDay sets what a day has once.
 func (p *parser) setDay() {
-	f, k := &p.file, &p.file.Kind
+	f := &p.file
 	p.experiment.Day = fleetsim.Day{
 		Length:  f.Length.Duration,
 		Nodes:   f.Nodes,
 		Servers: f.Servers,
-		Delay:   f.Delay.Duration,
-		News:    f.News.Duration,
-		Kind: model.Kind{
-			Cores:        k.Cores,
-			Speed:        k.Speed,
-			Queue:        k.Queue,
-			Crowd:        k.Crowd,
-			ColdFrom:     k.ColdFrom,
-			ColdFor:      k.ColdFor.Duration,
-			FallMultiple: k.FallMultiple,
-			FallFor:      k.FallFor.Duration,
-			Window:       k.Window.Duration,
-		},
+		Delay:   f.NetworkDelay.Duration,
+		News:    f.ListDelay.Duration,
+		Kind:    f.Server.kind(),
 		Clients: fleetsim.Clients{
 			Retries: f.Clients.Retries,
-			Wait:    f.Clients.Wait.Duration,
-			Honest:  f.Clients.Honest,
-			Align:   f.Clients.Align.Duration,
+			Wait:    f.Clients.Backoff.Duration,
+			Honest:  f.Clients.HonorRetryAfter,
+			Align:   f.Clients.AlignTo.Duration,
 		},
-		Lead:     f.Lead,
+		Lead:     f.FirstNodeShare,
 		Settings: policy.Defaults(),
 	}
 }
 
-// setSettings sets the policy's settings: its limits, and what the operators say of the servers.
+// kind translates the model of a server.
+func (k *serverSection) kind() model.Kind {
+	return model.Kind{
+		Cores:        k.Cores,
+		Speed:        k.Speed,
+		Queue:        k.Queue,
+		Crowd:        k.SlowdownPerQueuedJob,
+		ColdFrom:     k.SlowStartCapacity,
+		ColdFor:      k.SlowStartWindow.Duration,
+		FallMultiple: k.OverloadMultiple,
+		FallFor:      k.OverloadDuration.Duration,
+		Window:       k.DedupWindow.Duration,
+	}
+}
+
+// setSettings sets the policy's settings: its limits, and how servers warm up and are overloaded, as the model has it.
 func (p *parser) setSettings() {
-	limits, k := &p.file.Limits, &p.file.Kind
+	limits, k := &p.file.Limits, &p.file.Server
 	s := &p.experiment.Day.Settings
 	s.Tick = 0
 	s.Limits = policy.Limits{
 		MaxAttempts:   limits.Attempts,
-		AllowHedging:  limits.SecondCopies,
-		AllowCancel:   limits.Cancel,
+		AllowHedging:  limits.AllowHedging,
+		AllowCancel:   limits.AllowCancel,
 		MaxRetryAfter: limits.MaxRetryAfter.Duration,
 	}
-	if k.ColdFrom > 0 {
-		s.Rules.SlowStartMinCapacity, s.Rules.SlowStartWindow = k.ColdFrom, k.ColdFor.Duration
+	if k.SlowStartCapacity > 0 {
+		s.Rules.SlowStartMinCapacity = k.SlowStartCapacity
+		s.Rules.SlowStartWindow = k.SlowStartWindow.Duration
 	}
-	if k.FallMultiple > 0 {
-		s.Rules.OverloadMultiple, s.Rules.OverloadDuration = k.FallMultiple, k.FallFor.Duration
+	if k.OverloadMultiple > 0 {
+		s.Rules.OverloadMultiple = k.OverloadMultiple
+		s.Rules.OverloadDuration = k.OverloadDuration.Duration
 	}
 }
 
+// setLoad sets the load's curve, whose points are in the order of their times.
 func (p *parser) setLoad() {
 	last := time.Duration(-1)
 	for i, point := range p.file.Load {
-		p.checkNumber("load", i, "value", point.Value, 0, 1000)
+		s := p.sectionAt("load", i)
+		s.checkNumber("value", point.Value, 0, 1000)
 		if point.At.Duration <= last {
-			p.report("load", i, "at", "%v is not behind the one before", point.At)
+			s.problem("at", "%v is not behind the one before", point.At)
 		}
 		last = point.At.Duration
 		p.experiment.Day.Load = append(p.experiment.Day.Load, model.Point{At: last, Value: point.Value})
@@ -109,10 +129,10 @@
 // checkRequests reports a day with too many requests.
 func (p *parser) checkRequests() {
 	requests := 0.0
-	for _, c := range p.file.Class {
+	for _, c := range p.file.Classes {
 		requests += c.Rate * p.file.Length.Seconds()
 	}
 	if requests *= p.experiment.Day.Load.Max(); requests > MaxRequests {
-		p.report("class", noIndex, "rate", "%.0f requests in all; %d at most", requests, MaxRequests)
+		p.section("class").problem("rate", "%.0f requests in all; %d at most", requests, MaxRequests)
 	}
 }
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -8,13 +8,16 @@
 	"yokestall/internal/fleetsim"
 )
 
-// Outcome is what became of an experiment with one way to decide.
+// digestBytes is how many bytes of a hash a digest shows.
+const digestBytes = 6
+
+// Outcome is the result of an experiment with one decider.
 type Outcome struct {
-	Who   string
-	Seeds []*fleetsim.Result
+	Name  string
+	Seeds []*fleetsim.Result // at least one
 }
 
-// Service is the mean over the seeds.
+// Service returns the mean over the seeds.
 func (o *Outcome) Service() float64 {
 	sum := 0.0
 	for _, r := range o.Seeds {
@@ -23,29 +26,32 @@
 	return sum / float64(len(o.Seeds))
 }
 
-// Broken tells which rules were, over all seeds.
-func (o *Outcome) Broken() (list []string) {
+// Violations returns the rules that were broken in any seed, with the seed.
+func (o *Outcome) Violations() []string {
+	var list []string
 	for i, r := range o.Seeds {
-		for _, b := range r.Broken() {
-			list = append(list, fmt.Sprintf("seed %d: %s", i, b))
+		for _, violation := range r.Broken() {
+			list = append(list, fmt.Sprintf("seed %d: %s", i, violation))
 		}
 	}
 	slices.Sort(list)
 	return list
 }
 
-// Counts gives how many requests were asked, how many ended in any way, and how many in time.
-func (o *Outcome) Counts() (asked, ended, inAim int64) {
+// Counts returns how many requests there were, how many of them have an answer, and how many of those are within the
+// latency objective.
+func (o *Outcome) Counts() (requests, answers, inObjective int64) {
 	for _, r := range o.Seeds {
 		for _, t := range r.Classes {
-			asked, inAim = asked+t.Asked, inAim+t.InAim
-			ended += t.InAim + t.Late + t.Refused + t.Failed
+			requests += t.Asked
+			answers += t.InAim + t.Late + t.Refused + t.Failed
+			inObjective += t.InAim
 		}
 	}
-	return asked, ended, inAim
+	return requests, answers, inObjective
 }
 
-// Digest tells results apart: the same day with the same seeds has the same one.
+// Digest returns a short hash of the results: it is the same for the same day with the same seeds.
 func (o *Outcome) Digest() string {
 	h := sha256.New()
 	for _, r := range o.Seeds {
@@ -54,5 +60,5 @@
 			fmt.Fprint(h, t.Asked, t.InAim, t.Late, t.Refused, t.Failed, t.Worth, t.Times.ValueAtQuantile(99))
 		}
 	}
-	return fmt.Sprintf("%x", h.Sum(nil)[:6])
+	return fmt.Sprintf("%x", h.Sum(nil)[:digestBytes])
 }
--- a/internal/lab/parser.go
+++ b/internal/lab/parser.go
@@ -7,52 +7,81 @@
 	"yokestall/internal/config"
 )
 
-// parser checks an experiment's file, a section a method, and translates it.
+// parser checks an experiment's file and translates it, a section a method. An experiment of a file with problems is
+// not used.
 type parser struct {
-	file       file
+	file       experimentFile
 	experiment *Experiment
-	// report adds an error about a key of a table. index is the table's, from 0, or noIndex.
-	report func(table string, index int, key, format string, args ...any)
+	report     reportFunc
 }
 
-// Parse parses an experiment. name is the file's in messages. The error joins a *cluster.Problem for each fault.
+// reportFunc adds a problem of a key of a table. index is the table's, from 0, or noIndex; key "" is the whole table.
+type reportFunc func(table string, index int, key, format string, args ...any)
+
+// noIndex is the index of a table that a file has once.
+const noIndex = -1
+
+// Parse parses an experiment. name is the file's in messages. The error joins a *cluster.Problem for each problem.
 func Parse(name string, text []byte) (*Experiment, error) {
 	f := defaultFile()
 	if err := config.Decode(name, text, &f); err != nil {
 		return nil, err
 	}
-	report, joinedErrors := config.Reporter(name, text)
+	report, joinedProblems := config.Reporter(name, text)
 	p := &parser{
-		file:       f,
-		experiment: &Experiment{Name: f.Name, Says: f.Says, Seed: f.Seed, Service: f.Expect.Service},
-		report:     report,
+		file: f,
+		experiment: &Experiment{
+			Name:        f.Name,
+			Description: f.Description,
+			Seed:        f.Seed,
+			MinService:  f.Expect.MinService,
+		},
+		report: report,
 	}
 	p.checkDay()
-	p.checkKind()
+	p.checkServer()
 	p.checkLimitsAndClients()
 	p.setDay()
 	p.setSettings()
 	p.setClasses()
 	p.setLoad()
 	p.checkRequests()
-	p.setTroubles()
-	p.setFaults()
-	if err := joinedErrors(); err != nil {
+	p.setServerFaults()
+	p.setProcessFaults()
+	if err := joinedProblems(); err != nil {
 		return nil, err
 	}
 	return p.experiment, nil
 }
 
+// section is a table of the file whose keys are checked.
+type section struct {
+	report reportFunc
+	table  string
+	index  int
+}
+
+// section returns the table of a name that a file has once; "": the keys before all tables.
+func (p *parser) section(table string) section { return section{p.report, table, noIndex} }
+
+// sectionAt returns one of the tables of a name.
+func (p *parser) sectionAt(table string, index int) section { return section{p.report, table, index} }
+
+// problem reports a problem of a key.
+func (s section) problem(key, format string, args ...any) {
+	s.report(s.table, s.index, key, format, args...)
+}
+
 // checkNumber reports a number that is not between two bounds.
-func (p *parser) checkNumber(table string, index int, key string, v, least, most float64) {
+func (s section) checkNumber(key string, v, least, most float64) {
 	if math.IsNaN(v) || v < least || v > most {
-		p.report(table, index, key, "%v is not from %v to %v", v, least, most)
+		s.problem(key, "%v is not from %v to %v", v, least, most)
 	}
 }
 
 // checkDuration reports a duration that is not between two bounds.
-func (p *parser) checkDuration(table string, index int, key string, d config.Duration, least, most time.Duration) {
+func (s section) checkDuration(key string, d config.Duration, least, most time.Duration) {
 	if d.Duration < least || d.Duration > most {
-		p.report(table, index, key, "%v is not from %v to %v", d, least, most)
+		s.problem(key, "%v is not from %v to %v", d, least, most)
 	}
 }
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -1,6 +1,7 @@
 package lab
 
 import (
+	"cmp"
 	"runtime"
 	"slices"
 	"sync"
@@ -8,48 +9,42 @@
 	"yokestall/internal/fleetsim"
 )
 
-// Run plays an experiment with one way to decide, over so many seeds, on all cores. The result doesn't
-// depend on how many there are.
-func Run(e *Experiment, who string, with fleetsim.MakeDecider, seeds int) (*Outcome, error) {
-	o := &Outcome{Who: who, Seeds: make([]*fleetsim.Result, seeds)}
-	errs := make([]error, seeds)
-	places := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var run sync.WaitGroup
-	for i := range seeds {
-		places <- struct{}{}
-		run.Go(func() {
-			defer func() { <-places }()
-			o.Seeds[i], errs[i] = fleetsim.Play(&e.Day, e.Seed+uint64(i), with)
-		})
-	}
-	run.Wait()
-	for _, err := range errs {
-		if err != nil {
-			return nil, err
-		}
-	}
-	return o, nil
+// Decider is a way to decide, with the name that tables give it.
+type Decider struct {
+	Name string
+	Make fleetsim.MakeDecider
 }
 
-// Way is a way to decide, by name.
-type Way struct {
-	Name string
-	With fleetsim.MakeDecider
+// Deciders returns the program and, with peers, the deciders that it is compared with, by name.
+func Deciders(peers bool) []Decider {
+	list := []Decider{{"program", fleetsim.Program}}
+	if !peers {
+		return list
+	}
+	for name, makeDecider := range fleetsim.Peers {
+		list = append(list, Decider{name, makeDecider})
+	}
+	slices.SortFunc(list[1:], func(x, y Decider) int { return cmp.Compare(x.Name, y.Name) })
+	return list
 }
 
-// Ways gives the program and, where wanted, those it is compared with, in the order of their names.
-func Ways(peers bool) []Way {
-	list := []Way{{"program", fleetsim.Program}}
-	if peers {
-		for name, with := range fleetsim.Peers {
-			list = append(list, Way{name, with})
-		}
-		slices.SortFunc(list[1:], func(x, y Way) int {
-			if x.Name < y.Name {
-				return -1
-			}
-			return 1
+// Run plays an experiment with one decider, over so many seeds from the experiment's own on, on all cores. The outcome
+// doesn't depend on the number of cores. name is the outcome's. The error is that of the first seed that has one.
+func Run(e *Experiment, name string, makeDecider fleetsim.MakeDecider, seeds int) (*Outcome, error) {
+	o := &Outcome{Name: name, Seeds: make([]*fleetsim.Result, seeds)}
+	errs := make([]error, seeds)
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var plays sync.WaitGroup
+	for i := range seeds {
+		slots <- struct{}{}
+		plays.Go(func() {
+			defer func() { <-slots }()
+			o.Seeds[i], errs[i] = fleetsim.Play(&e.Day, e.Seed+uint64(i), makeDecider)
 		})
 	}
-	return list
+	plays.Wait()
+	if err := cmp.Or(errs...); err != nil {
+		return nil, err
+	}
+	return o, nil
 }
--- a/internal/lab/size.go
+++ b/internal/lab/size.go
@@ -3,55 +3,72 @@
 import (
 	"fmt"
 	"slices"
+
+	"yokestall/internal/fleetsim"
 )
 
-// Size is what a day can be played at in place of what its file says; zero leaves a thing as it is.
+// Size is what an experiment is played at in place of what its file has; zero leaves a thing as it is.
 type Size struct {
 	Nodes   int
-	Servers int     // troubles keep their share of them
+	Servers int
 	Load    float64 // share of the fleet's capacity that is asked for on average
 }
 
-// At gives the day at another size. Rates grow with the servers, so that the load stays where Size has none.
-func (e *Experiment) At(to Size) (*Experiment, error) {
-	c := *e
-	d := &c.Day
+// AtSize returns the experiment at another size. Faults keep their share of the nodes and servers. Rates grow with the
+// servers, so that the load stays, unless the size has a load. The error says which bound of a day the size exceeds.
+func (e *Experiment) AtSize(size Size) (*Experiment, error) {
+	resized := *e
+	d := &resized.Day
 	d.Classes, d.Troubles = slices.Clone(d.Classes), slices.Clone(d.Troubles)
-	if n := d.Nodes; to.Nodes > 0 && to.Nodes != n {
-		for i := range d.Troubles {
-			if t := &d.Troubles[i]; t.Nodes {
-				t.First, t.Last = t.First*to.Nodes/n, max(t.First*to.Nodes/n, (t.Last+1)*to.Nodes/n-1)
-			}
-		}
-		d.Nodes = to.Nodes
+	if size.Nodes > 0 {
+		scaleFaults(d.Troubles, true, d.Nodes, size.Nodes)
+		d.Nodes = size.Nodes
 	}
-	load := e.Load()
-	if n := d.Servers; to.Servers > 0 && to.Servers != n {
-		for i := range d.Troubles {
-			t := &d.Troubles[i]
-			if t.Nodes {
-				continue
-			}
-			t.First, t.Last = t.First*to.Servers/n, max(t.First*to.Servers/n, (t.Last+1)*to.Servers/n-1)
-		}
-		d.Servers = to.Servers
+	if size.Servers > 0 {
+		scaleFaults(d.Troubles, false, d.Servers, size.Servers)
+		d.Servers = size.Servers
 	}
-	if to.Load > 0 {
-		load = to.Load
+	load := e.Load()
+	if size.Load > 0 {
+		load = size.Load
 	}
-	factor := load / c.Load()
-	asked := 0.0
+	factor := load / resized.Load()
 	for i := range d.Classes {
 		d.Classes[i].Rate *= factor
-		asked += d.Classes[i].Rate * d.Length.Seconds() * d.Load.Max()
+	}
+	if err := resized.checkSize(); err != nil {
+		return nil, fmt.Errorf("%s: %w", e.Name, err)
+	}
+	return &resized, nil
+}
+
+// scaleFaults changes the indexes of faults of nodes, or of servers, from one number of them to another. Each fault has
+// at least one.
+func scaleFaults(faults []fleetsim.Trouble, ofNodes bool, from, to int) {
+	for i := range faults {
+		t := &faults[i]
+		if t.Nodes != ofNodes {
+			continue
+		}
+		t.First, t.Last = t.First*to/from, (t.Last+1)*to/from-1
+		t.Last = max(t.First, t.Last)
+	}
+}
+
+// checkSize reports a bound of a day that the experiment exceeds.
+func (e *Experiment) checkSize() error {
+	d := &e.Day
+	requests := 0.0
+	for _, c := range d.Classes {
+		requests += c.Rate * d.Length.Seconds() * d.Load.Max()
 	}
 	switch {
 	case d.Nodes < 1 || d.Nodes > MaxNodes:
-		return nil, fmt.Errorf("%s: %d nodes are not from 1 to %d", e.Name, d.Nodes, MaxNodes)
+		return fmt.Errorf("%d nodes are not from 1 to %d", d.Nodes, MaxNodes)
 	case d.Servers < 1 || d.Servers > MaxServers:
-		return nil, fmt.Errorf("%s: %d servers are not from 1 to %d", e.Name, d.Servers, MaxServers)
-	case asked > MaxRequests:
-		return nil, fmt.Errorf("%s: %.0f requests in all; %d at most", e.Name, asked, MaxRequests)
+		return fmt.Errorf("%d servers are not from 1 to %d", d.Servers, MaxServers)
+	case requests > MaxRequests:
+		return fmt.Errorf("%.0f requests in all; %d at most", requests, MaxRequests)
 	}
-	return &c, nil
+	return nil
 }
--- a/internal/lab/sockets/inprocess.go
+++ b/internal/lab/sockets/inprocess.go
@@ -53,7 +53,7 @@
 		return nil, false, faultsErr
 	}
 	r.finish()
-	return &lab.Outcome{Who: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Void, ctx.Err()
+	return &lab.Outcome{Name: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Void, ctx.Err()
 }
 
 // checkInProcess reports what of an experiment can't be played in this process.
--- a/internal/lab/sockets/processes.go
+++ b/internal/lab/sockets/processes.go
@@ -50,7 +50,7 @@
 	events := p.rig.Record.Events()
 	r.result.Sends = countArrivals(events)
 	r.finish()
-	o = &lab.Outcome{Who: fmt.Sprint(e.Day.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}
+	o = &lab.Outcome{Name: fmt.Sprint(e.Day.Nodes, " processes"), Seeds: []*fleetsim.Result{r.result}}
 	return o, fleet.Judge(events, p.rules()), report.Void, ctx.Err()
 }
 
--- a/internal/lab/sockets/sockets_test.go
+++ b/internal/lab/sockets/sockets_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	asked, answered, _ := o.Counts()
-	if broken := o.Broken(); len(broken) > 0 || asked == 0 || asked != answered || o.Seeds[0].Sends == 0 {
+	if broken := o.Violations(); len(broken) > 0 || asked == 0 || asked != answered || o.Seeds[0].Sends == 0 {
 		t.Errorf("%d asked, %d answered, %v (void %v)", asked, answered, broken, void)
 	}
 	e.Day.Nodes = 2
