--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -20,8 +20,10 @@
 		t.Fatal(err)
 	}
 	run := &scale.Figures{Name: "run", Voters: 3, Series: map[string]*scale.Series{
-		"idle.voter.cpu": {Unit: "ms/s", Points: []scale.Point{{At: 50, Value: 110}, {At: 100, Value: 210}, {At: 200, Value: 410}, {At: 400, Value: 810}}},
-		"idle.node.in":   {Unit: "B/s", Points: []scale.Point{{At: 50, Value: 1651.7}}},
+		"idle.voter.cpu": {Unit: "ms/s", Points: []scale.Point{
+			{At: 50, Value: 110}, {At: 100, Value: 210}, {At: 200, Value: 410}, {At: 400, Value: 810},
+		}},
+		"idle.node.in": {Unit: "B/s", Points: []scale.Point{{At: 50, Value: 1651.7}}},
 	}}
 	for _, s := range run.Series {
 		s.Finish()
@@ -34,7 +36,7 @@
 		}
 	}
 	writeReport(t, filepath.Join(folder, "one-process.json"))
-	read, err := Read(folder)
+	read, err := ReadFiles(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,8 +49,11 @@
 	report := &process.Report{
 		Seed: 7, Machine: process.Machine{Cores: 8, MemoryMB: 24150, Load: 31.5},
 		Sizes: []process.Size{{Name: "plan", Services: 500, Servers: 30, Routes: 14000, Tenants: 1000, Nodes: 1900}},
-		Figures: []process.Figure{{Key: "plan.rest.memory", Value: 250.609375, Unit: "MB"}, {Key: "plan.load.121.services_4.cpu", Value: 15.1988, Unit: "% of a core"},
-			{Key: "tenants-125.rest.memory", Value: 245, Unit: "MB"}},
+		Figures: []process.Figure{
+			{Key: "plan.rest.memory", Value: 250.609375, Unit: "MB"},
+			{Key: "plan.load.121.services_4.cpu", Value: 15.1988, Unit: "% of a core"},
+			{Key: "tenants-125.rest.memory", Value: 245, Unit: "MB"},
+		},
 	}
 	text, err := report.JSON()
 	if err != nil {
@@ -81,7 +86,9 @@
 // A figure that was changed on the page is found, with its line.
 func TestChangedFigureOnPage(t *testing.T) {
 	all, _ := testFiles(t)
-	for number, good := range map[string]bool{"2": true, "2.0": true, "2.1": false, "1.9": false, "3": false, "-2": false, "20": false} {
+	for number, good := range map[string]bool{
+		"2": true, "2.0": true, "2.1": false, "1.9": false, "3": false, "-2": false, "20": false,
+	} {
 		page := fmt.Sprintf("# Capacity\n\n%s ms/s<!-- fig: run:idle.voter.cpu.slope -->\n", number)
 		err := Check("page.md", page, all)
 		if (err == nil) != good || err != nil && !strings.HasPrefix(err.Error(), "page.md:3: the page has "+number) {
@@ -92,7 +99,9 @@
 
 // A figure that was changed in a file is found: on the page, or as one that does not follow from the file's points.
 func TestChangedFigureInFile(t *testing.T) {
-	page := "251 MB<!-- fig: one_process:plan.rest.memory -->, 225<!-- fig: run:untold.apart.n400 -->\n2 ms/s<!-- fig: run:idle.voter.cpu.slope -->, 410<!-- fig: run:idle.voter.cpu.n200 -->, 385<!-- fig: run:idle.voter.cpu.mean -->, 1,900<!-- fig: plan:nodes -->\n"
+	page := "251 MB<!-- fig: one_process:plan.rest.memory -->, 225<!-- fig: run:untold.apart.n400 -->\n" +
+		"2 ms/s<!-- fig: run:idle.voter.cpu.slope -->, 410<!-- fig: run:idle.voter.cpu.n200 -->, " +
+		"385<!-- fig: run:idle.voter.cpu.mean -->, 1,900<!-- fig: plan:nodes -->\n"
 	for _, change := range []struct{ file, old, new, want string }{
 		{"run.json", `"value":410`, `"value":430`, "run.json:"},
 		{"run.json", `"slope":2`, `"slope":2.1`, "slope is 2.1, and its points give 2"},
@@ -103,7 +112,10 @@
 		{"run.json", `"count": 225`, `"count": 22`, "page.md:1: the page has 225, and run:untold.apart.n400 is 22"},
 		{"one-process.json", `250.609375`, `240.5`, "page.md:1: the page has 251, and one_process:plan.rest.memory is 240.5"},
 		{"one-process.json", `"seed"`, `"sed"`, `one-process.json: json: unknown field "sed"`},
-		{"one-process.json", `plan.load.121.services_4.cpu`, `plan.rest.memory`, "another figure is called plan.rest.memory too"},
+		{
+			"one-process.json", `plan.load.121.services_4.cpu`, `plan.rest.memory`,
+			"another figure is called plan.rest.memory too",
+		},
 		{"one-process.json", `"seed": 7`, `"seed": `, "one-process.json:"},
 	} {
 		_, folder := testFiles(t)
@@ -171,7 +183,7 @@
 // The repository's own files of figures are good, and so is its page, once there is one.
 func TestOwnPage(t *testing.T) {
 	const folder, page = "../../../docs/capacity", "../../../docs/CAPACITY.md"
-	if _, err := Read(folder); err != nil {
+	if _, err := ReadFiles(folder); err != nil {
 		t.Error(err)
 	}
 	if err := CheckFile(page); err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/internal/lab/capacity/content_test.go
+++ b/internal/lab/capacity/content_test.go
@@ -15,7 +15,7 @@
 // process` writes.
 func TestContentSizes(t *testing.T) {
 	const folder = "../../../docs/capacity"
-	all, err := Read(folder)
+	all, err := ReadFiles(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/capacity/doc.go
+++ b/internal/lab/capacity/doc.go
@@ -1,12 +1,13 @@
-// Package capacity checks a page of figures against the files that measured runs have written: where the two part, it
-// says the page's line.
+// Package capacity checks a page of figures against the files that measured runs have written, and reports the lines of
+// the page whose figures don't follow from them.
 //
 // # The page
 //
 // A page is Markdown. A figure on it is a number with a mark behind it, a comment that Markdown doesn't show:
 //
 //	A node carries 3.0 KB/s<!-- fig: (fleet:idle.node.in.mean + fleet:idle.node.out.mean) / 1000 -->.
-//	| voter | 1.62 ms/s<!-- fig: fleet:idle.voter.cpu.slope --> a node | 2.9 %<!-- fig: 100 * fleet:idle.voter.cpu.relative --> |
+//	| voter | 1.62 ms/s<!-- fig: fleet:idle.voter.cpu.slope --> a node |
+//	| its residual | 2.9 %<!-- fig: 100 * fleet:idle.voter.cpu.relative --> |
 //	At 1,900 nodes a voter needs some 3,100 ms/s<!-- fig: fleet:idle.voter.cpu.at(plan:nodes) to 100 -->.
 //
 // The mark belongs to the last number before it on its line; only words and signs without digits and without "|" may
@@ -23,9 +24,10 @@
 //	                     `yokestall lab scale FILE` prints them. FIELD is
 //	                       slope, intercept, residual, relative, r2    of the line through its points
 //	                       mean, most                                  of its points
-//	                       n400                                        its value at size 400 (the mean, if it has several there)
+//	                       n400                                        its value at size 400 (the mean of several there)
 //	FILE:KEY.at(EXPR)    the line's value at a size, which need not have been measured
-//	FILE:voters          of the run; also serves, regions, zones, seed, cores, memory_mb, clusters, servers, routes, tenants
+//	FILE:voters          of the run; also serves, regions, zones, seed, cores, memory_mb, clusters, servers, routes,
+//	                     tenants
 //	FILE:untold.STEP.n400  how many nodes did not act within the step's wait at size 400
 //	FILE:NAME            a number of the file's "numbers": plan:nodes is the operators' 1,900
 //
@@ -40,6 +42,13 @@
 // A file that was not written by a run has {"name", "says", "numbers": {NAME: NUMBER}}, as capacity/plan.json has.
 // Names are made of lower-case letters, digits and "_", so that a minus always subtracts.
 //
-// What the lines in the files say is worked out again from their points when they are read, so that a figure that was
-// changed in a file is found too, unless all that follows from it was changed with it.
+// The lines in the files are calculated again from their points when they are read, so that a figure that was changed
+// in a file is found too, unless all that follows from it was changed with it.
+//
+// # Files of this package
+//
+//   - page.go: the page and its marks
+//   - parser.go, expression.go: formulas, and their values
+//   - files.go: the folder of files
+//   - fleetfile.go, processfile.go: the two kinds of files
 package capacity
--- a/internal/lab/capacity/files.go
+++ b/internal/lab/capacity/files.go
@@ -13,17 +13,18 @@
 
 // File is a file of figures.
 type File interface {
-	// Value gives a figure by its name.
+	// Value returns a figure by its name. The error names the file and what it does not have.
 	Value(name string) (float64, error)
-	// At gives what the line through a series' points has at a size.
-	At(series string, size float64) (float64, error)
+	// LineAt returns the value at a size of the line through a series' points. The error is as that of Value.
+	LineAt(series string, size float64) (float64, error)
 }
 
 // Files are files of figures, by their names without the folder and ".json", with "_" for each "-".
 type Files map[string]File
 
-// Read reads all files of figures of a folder.
-func Read(folder string) (Files, error) {
+// ReadFiles reads all files of figures of a folder, at least one. The error names the file that can't be read or whose
+// figures don't follow from its points.
+func ReadFiles(folder string) (Files, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
 		return nil, err
@@ -46,7 +47,7 @@
 	return files, nil
 }
 
-// markName is a name as marks have it, where a minus always subtracts.
+// markName returns a name as marks have it, where a minus always subtracts.
 func markName(name string) string { return strings.ReplaceAll(name, "-", "_") }
 
 // readFile reads a file of either kind: only a report on a process has "figures".
@@ -72,6 +73,7 @@
 	return fleetFile{path, f}, err
 }
 
+// file returns a file by its name in marks.
 func (files Files) file(name string) (File, error) {
 	f := files[name]
 	if f == nil {
@@ -79,25 +81,3 @@
 	}
 	return f, nil
 }
-
-// Value gives what the file says.
-func (g Figure) Value(files Files) (float64, error) {
-	f, err := files.file(g.File)
-	if err != nil {
-		return 0, err
-	}
-	return f.Value(g.Name)
-}
-
-// Value gives the line's value.
-func (l Line) Value(files Files) (float64, error) {
-	f, err := files.file(l.Series.File)
-	if err != nil {
-		return 0, err
-	}
-	at, err := l.At.Value(files)
-	if err != nil {
-		return 0, err
-	}
-	return f.At(l.Series.Name, at)
-}
--- a/internal/lab/capacity/fleetfile.go
+++ b/internal/lab/capacity/fleetfile.go
@@ -1,6 +1,7 @@
 package capacity
 
 import (
+	"errors"
 	"fmt"
 	"path/filepath"
 	"strconv"
@@ -9,8 +10,11 @@
 	"yokestall/internal/lab/scale"
 )
 
-// untoldPrefix begins the names of counts of nodes that did not act in time.
-const untoldPrefix = "untold."
+// lateNodesPrefix begins the names of counts of nodes that did not act in time.
+const lateNodesPrefix = "untold."
+
+// errNoLine is of a series that has points of less than two sizes.
+var errNoLine = errors.New("there is no line through its points")
 
 // fleetFile is what `yokestall lab scale` has written, or a file of named numbers.
 type fleetFile struct {
@@ -26,78 +30,88 @@
 	if v, known := property(f.figures, name); known {
 		return v, nil
 	}
-	if step, isUntold := strings.CutPrefix(name, untoldPrefix); isUntold {
-		return f.untold(step)
+	if step, isLateNodes := strings.CutPrefix(name, lateNodesPrefix); isLateNodes {
+		return f.lateNodes(step)
 	}
 	dot := strings.LastIndexByte(name, '.')
 	if dot < 0 {
-		return 0, fmt.Errorf("%s has no %s", f.base(), name)
+		return 0, fmt.Errorf("%s has no %s", f.fileName(), name)
 	}
 	s, err := f.series(name[:dot])
 	if err != nil {
 		return 0, err
 	}
-	v, err := fieldOf(s, name[dot+1:])
+	v, err := seriesField(s, name[dot+1:])
 	if err != nil {
-		return 0, fmt.Errorf("%s:%s: %w", f.base(), name[:dot], err)
+		return 0, fmt.Errorf("%s:%s: %w", f.fileName(), name[:dot], err)
 	}
 	return v, nil
 }
 
-// At implements File.
-func (f fleetFile) At(series string, size float64) (float64, error) {
+// LineAt implements File.
+func (f fleetFile) LineAt(series string, size float64) (float64, error) {
 	s, err := f.series(series)
 	if err != nil {
 		return 0, err
 	}
 	if s.Fit == nil {
-		return 0, fmt.Errorf("%s:%s: there is no line through its points", f.base(), series)
+		return 0, fmt.Errorf("%s:%s: %w", f.fileName(), series, errNoLine)
 	}
 	return s.Fit.Slope*size + s.Fit.Intercept, nil
 }
 
-func (f fleetFile) base() string { return filepath.Base(f.path) }
+// fileName returns the file's name for messages.
+func (f fleetFile) fileName() string { return filepath.Base(f.path) }
 
+// series returns a series by its key.
 func (f fleetFile) series(key string) (*scale.Series, error) {
 	s := f.figures.Series[key]
 	if s == nil {
-		return nil, fmt.Errorf("%s has no series %s", f.base(), key)
+		return nil, fmt.Errorf("%s has no series %s", f.fileName(), key)
 	}
 	return s, nil
 }
 
-// untold gives how many nodes a step's last wait left behind at a size, by STEP.nSIZE.
-func (f fleetFile) untold(name string) (float64, error) {
+// lateNodes returns how many nodes a step's last wait left behind at a size, by STEP.nSIZE.
+func (f fleetFile) lateNodes(name string) (float64, error) {
 	step, size, found := strings.Cut(name, ".n")
 	at, err := strconv.Atoi(size)
 	if !found || err != nil {
-		return 0, fmt.Errorf("%s%s is not %sSTEP.nSIZE", untoldPrefix, name, untoldPrefix)
+		return 0, fmt.Errorf("%s%s is not %sSTEP.nSIZE", lateNodesPrefix, name, lateNodesPrefix)
 	}
-	count := -1
+	count := -1 // of the last entry of the step and size
 	for _, u := range f.figures.Untold {
 		if u.Step == step && u.Size == at {
 			count = u.Count
 		}
 	}
 	if count < 0 {
-		return 0, fmt.Errorf("%s has no nodes that were late in step %s at %d", f.base(), step, at)
+		return 0, fmt.Errorf("%s has no nodes that were late in step %s at %d", f.fileName(), step, at)
 	}
 	return float64(count), nil
 }
 
-// property gives one of a run's own.
+// property returns a property of a run; false: it is not known, or no run has written the file.
 func property(f *scale.Figures, name string) (float64, bool) {
 	properties := map[string]float64{
-		"voters": float64(f.Voters), "serves": float64(f.Serves), "regions": float64(f.Regions), "zones": float64(f.Zones), "seed": float64(f.Seed),
-		"cores": float64(f.Machine.Cores), "memory_mb": float64(f.Machine.MemoryMB), "clusters": float64(f.Content.Clusters),
-		"servers": float64(f.Content.Servers), "routes": float64(f.Content.Routes), "tenants": float64(f.Content.Tenants),
+		"voters":    float64(f.Voters),
+		"serves":    float64(f.Serves),
+		"regions":   float64(f.Regions),
+		"zones":     float64(f.Zones),
+		"seed":      float64(f.Seed),
+		"cores":     float64(f.Machine.Cores),
+		"memory_mb": float64(f.Machine.MemoryMB),
+		"clusters":  float64(f.Content.Clusters),
+		"servers":   float64(f.Content.Servers),
+		"routes":    float64(f.Content.Routes),
+		"tenants":   float64(f.Content.Tenants),
 	}
 	v, known := properties[name]
 	return v, known && len(f.Series) > 0
 }
 
-// fieldOf gives a field of a series.
-func fieldOf(s *scale.Series, field string) (float64, error) {
+// seriesField returns a field of a series.
+func seriesField(s *scale.Series, field string) (float64, error) {
 	switch field {
 	case "mean":
 		return s.Mean, nil
@@ -105,15 +119,19 @@
 		return s.Most, nil
 	}
 	if size, isSize := strings.CutPrefix(field, "n"); isSize {
-		if at, err := strconv.ParseUint(size, 10, 32); err == nil {
-			return valueAt(s, float64(at))
+		if number, err := strconv.ParseUint(size, 10, 32); err == nil {
+			return valueAt(s, float64(number))
 		}
 	}
 	if s.Fit == nil {
-		return 0, fmt.Errorf("there is no line through its points")
+		return 0, errNoLine
 	}
 	fields := map[string]float64{
-		"slope": s.Fit.Slope, "intercept": s.Fit.Intercept, "residual": s.Fit.Residual, "relative": s.Fit.Relative, "r2": s.Fit.R2,
+		"slope":     s.Fit.Slope,
+		"intercept": s.Fit.Intercept,
+		"residual":  s.Fit.Residual,
+		"relative":  s.Fit.Relative,
+		"r2":        s.Fit.R2,
 	}
 	v, known := fields[field]
 	if !known {
@@ -122,17 +140,17 @@
 	return v, nil
 }
 
-// valueAt gives the mean of the points at a size.
-func valueAt(s *scale.Series, at float64) (float64, error) {
+// valueAt returns the mean of the points at a size.
+func valueAt(s *scale.Series, size float64) (float64, error) {
 	total, count := 0.0, 0
 	for _, p := range s.Points {
-		if p.At == at {
+		if p.At == size {
 			total += p.Value
 			count++
 		}
 	}
 	if count == 0 {
-		return 0, fmt.Errorf("it was not measured at %v", at)
+		return 0, fmt.Errorf("it was not measured at %v", size)
 	}
 	return total / float64(count), nil
 }
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -11,14 +11,14 @@
 	"strings"
 )
 
-// Problem is a place on a page that the files don't bear out.
+// Problem is a place on a page whose figure does not follow from the files.
 type Problem struct {
 	Page string
 	Line int // from 1; 0: the whole page
 	Text string
 }
 
-// Error says it as compilers do.
+// Error returns the problem with its place, as compilers do.
 func (p *Problem) Error() string {
 	if p.Line == 0 {
 		return fmt.Sprintf("%s: %s", p.Page, p.Text)
@@ -26,26 +26,29 @@
 	return fmt.Sprintf("%s:%d: %s", p.Page, p.Line, p.Text)
 }
 
+// A mark is a formula between these.
 const markBegins, markEnds = "<!-- fig:", "-->"
 
-// shown is a number at the end of a text, with what may stand between it and its mark.
-var shown = regexp.MustCompile(`(^|[^0-9.,])([-−]?)([0-9][0-9,]*(?:\.([0-9]+))?)[^0-9|]*$`)
+// numberAtEnd matches a number at the end of a text, with what may stand between it and its mark. Its groups are what
+// stands before, the sign, the digits, and the decimals.
+var numberAtEnd = regexp.MustCompile(`(^|[^0-9.,])([-−]?)([0-9][0-9,]*(?:\.([0-9]+))?)[^0-9|]*$`)
 
-// CheckFile checks a page against the files in the folder "capacity" beside it.
+// CheckFile checks a page against the files in the folder "capacity" beside it. The error is as that of Check, or of a
+// file that can't be read.
 func CheckFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	files, err := Read(filepath.Join(filepath.Dir(path), "capacity"))
+	files, err := ReadFiles(filepath.Join(filepath.Dir(path), "capacity"))
 	if err != nil {
 		return err
 	}
 	return Check(path, string(text), files)
 }
 
-// Check checks a page against files; the error has a Problem for each figure that is not theirs. name is what
-// messages call the page.
+// Check checks a page against files. The error joins a *Problem for each figure that does not follow from them, and has
+// one if the page has no mark. name is what messages call the page.
 func Check(name, text string, files Files) error {
 	var problems []error
 	marks := 0
@@ -77,21 +80,24 @@
 	return errors.Join(problems...)
 }
 
+// roundingSlack is the part of a step that floating point may leave over.
+const roundingSlack = 1e-6
+
 // checkFigure checks the number at the end of a text against a formula.
 func checkFigure(before, formula string, files Files) error {
-	m := shown.FindStringSubmatch(before)
+	m := numberAtEnd.FindStringSubmatch(before)
 	if m == nil {
 		return fmt.Errorf("no number stands before the mark %q", formula)
 	}
-	number, decimals := m[3], len(m[4])
+	sign, number, decimals := m[2], m[3], len(m[4])
 	value, err := strconv.ParseFloat(strings.ReplaceAll(number, ",", ""), 64)
 	if err != nil {
 		return fmt.Errorf("%q is no number", number)
 	}
-	if m[2] != "" {
+	if sign != "" {
 		value = -value
 	}
-	f, err := Parse(formula)
+	f, err := ParseFormula(formula)
 	if err != nil {
 		return fmt.Errorf("the mark %q: %w", formula, err)
 	}
@@ -106,9 +112,8 @@
 	if step == 0 {
 		step = math.Pow10(-decimals)
 	}
-	const slack = 1e-6 // of a step, for what floating point leaves over
-	if math.Abs(value-want) > step*(0.5+slack) {
-		return fmt.Errorf("the page has %s%s, and %s is %v", m[2], number, formula, strconv.FormatFloat(want, 'g', 6, 64))
+	if math.Abs(value-want) > step*(0.5+roundingSlack) {
+		return fmt.Errorf("the page has %s%s, and %s is %v", sign, number, formula, strconv.FormatFloat(want, 'g', 6, 64))
 	}
 	return nil
 }
--- a/internal/lab/capacity/processfile.go
+++ b/internal/lab/capacity/processfile.go
@@ -14,7 +14,7 @@
 	values map[string]float64 // figures and dimensions of sizes, by name
 }
 
-// newProcessFile names what a report has.
+// newProcessFile names what a report has. The error is of names that are the same in marks.
 func newProcessFile(path string, r *process.Report) (processFile, error) {
 	f := processFile{path: path, values: map[string]float64{}}
 	add := func(name string, value float64) error {
@@ -31,13 +31,20 @@
 	}
 	for _, size := range r.Sizes {
 		for dimension, value := range map[string]int{
-			"services": size.Services, "servers": size.Servers, "routes": size.Routes, "tenants": size.Tenants, "nodes": size.Nodes,
+			"services": size.Services,
+			"servers":  size.Servers,
+			"routes":   size.Routes,
+			"tenants":  size.Tenants,
+			"nodes":    size.Nodes,
 		} {
 			problems = append(problems, add(size.Name+"."+dimension, float64(value)))
 		}
 	}
 	for name, value := range map[string]float64{
-		"seed": float64(r.Seed), "cores": float64(r.Machine.Cores), "memory_mb": float64(r.Machine.MemoryMB), "load": r.Machine.Load,
+		"seed":      float64(r.Seed),
+		"cores":     float64(r.Machine.Cores),
+		"memory_mb": float64(r.Machine.MemoryMB),
+		"load":      r.Machine.Load,
 	} {
 		problems = append(problems, add(name, value))
 	}
@@ -52,7 +59,7 @@
 	return 0, fmt.Errorf("%s has no %s", filepath.Base(f.path), name)
 }
 
-// At implements File: a report has no series, and a page works lines out from figures.
-func (f processFile) At(series string, _ float64) (float64, error) {
+// LineAt implements File: a report has no series, and a page calculates lines from figures.
+func (f processFile) LineAt(series string, _ float64) (float64, error) {
 	return 0, fmt.Errorf("%s has no series %s: there are no lines in a report on a process", filepath.Base(f.path), series)
 }
