--- a/internal/downstream/extproc/requestbody_test.go
+++ b/internal/downstream/extproc/requestbody_test.go
@@ -55,19 +55,21 @@
 	r.quiet()
 }
 
-// Bodies that come in parts: gRPC messages, which get gRPC's prefix for the endpoint, and STREAMED without waiting for
-// the reply to the headers; with trailers, or an end of their own. With a pick each part continues.
-func TestParts(t *testing.T) {
-	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body)
-		fmt.Fprintf(w, "%q", body)
-	})
-	r := start(t, []string{b.Addr()})
-	part := func(body string, end, none bool) *pb.ProcessingRequest {
-		return &pb.ProcessingRequest{Request: &pb.ProcessingRequest_RequestBody{
-			RequestBody: &pb.HttpBody{Body: []byte(body), EndOfStream: end, EndOfStreamWithoutMessage: none},
-		}}
+// bodyCase is a request body that comes in parts.
+type bodyCase struct {
+	name   string
+	config *pb.ProtocolConfiguration
+	parts  []*pb.ProcessingRequest
+	want   string // at the endpoint, where the processor forwards it
+}
+
+// bodyCases are gRPC messages, which get gRPC's prefix for the endpoint, and parts that are STREAMED without waiting
+// for the reply to the headers, or come in full duplex; with trailers, or an end of their own.
+func bodyCases() []bodyCase {
+	part := func(body string, end bool) *pb.ProcessingRequest {
+		return bodyPart(&pb.HttpBody{Body: []byte(body), EndOfStream: end})
 	}
+	endWithoutMessage := bodyPart(&pb.HttpBody{EndOfStream: true, EndOfStreamWithoutMessage: true})
 	trailers := &pb.ProcessingRequest{
 		Request: &pb.ProcessingRequest_RequestTrailers{RequestTrailers: &pb.HttpTrailers{}},
 	}
@@ -76,29 +78,63 @@
 	}
 	early := inMode(filterv3.ProcessingMode_STREAMED)
 	early.SendBodyWithoutWaitingForHeaderResponse = true
-	for _, tc := range []struct {
-		name   string
-		config *pb.ProtocolConfiguration
-		parts  []*pb.ProcessingRequest
-		want   string
-	}{
-		{"gRPC", inMode(filterv3.ProcessingMode_GRPC),
-			[]*pb.ProcessingRequest{part("abc", false, false), part("", false, false), part("", true, true)},
-			"\x00\x00\x00\x00\x03abc\x00\x00\x00\x00\x00"},
-		{"gRPC, trailers", inMode(filterv3.ProcessingMode_GRPC),
-			[]*pb.ProcessingRequest{part("abc", false, false), trailers}, "\x00\x00\x00\x00\x03abc"},
-		{"streamed", early,
-			[]*pb.ProcessingRequest{part("abc", false, false), part("def", true, false)}, "abcdef"},
-		{"duplex, trailers", inMode(filterv3.ProcessingMode_FULL_DUPLEX_STREAMED),
-			[]*pb.ProcessingRequest{part("abc", false, false), part("def", false, false), trailers}, "abcdef"},
-		{"buffered, trailers", inMode(filterv3.ProcessingMode_BUFFERED),
-			[]*pb.ProcessingRequest{part("abc", false, false), trailers}, "abc"},
-	} {
+	return []bodyCase{
+		{
+			name:   "gRPC",
+			config: inMode(filterv3.ProcessingMode_GRPC),
+			parts:  []*pb.ProcessingRequest{part("abc", false), part("", false), endWithoutMessage},
+			want:   "\x00\x00\x00\x00\x03abc\x00\x00\x00\x00\x00",
+		},
+		{
+			name:   "gRPC, trailers",
+			config: inMode(filterv3.ProcessingMode_GRPC),
+			parts:  []*pb.ProcessingRequest{part("abc", false), trailers},
+			want:   "\x00\x00\x00\x00\x03abc",
+		},
+		{
+			name:   "streamed",
+			config: early,
+			parts:  []*pb.ProcessingRequest{part("abc", false), part("def", true)},
+			want:   "abcdef",
+		},
+		{
+			name:   "duplex, trailers",
+			config: inMode(filterv3.ProcessingMode_FULL_DUPLEX_STREAMED),
+			parts:  []*pb.ProcessingRequest{part("abc", false), part("def", false), trailers},
+			want:   "abcdef",
+		},
+		{
+			name:   "buffered, trailers",
+			config: inMode(filterv3.ProcessingMode_BUFFERED),
+			parts:  []*pb.ProcessingRequest{part("abc", false), trailers},
+			want:   "abc",
+		},
+	}
+}
+
+func bodyPart(body *pb.HttpBody) *pb.ProcessingRequest {
+	return &pb.ProcessingRequest{Request: &pb.ProcessingRequest_RequestBody{RequestBody: body}}
+}
+
+// openBody opens a stream and sends the request headers of a body that follows.
+func (r *rig) openBody(path string, config *pb.ProtocolConfiguration) callerStream {
+	s := r.open(r.t.Context())
+	first := head(false, path)
+	first.ProtocolConfig = config
+	s.Send(first)
+	return s
+}
+
+// TestBodyParts checks that the endpoint gets a body that comes in parts.
+func TestBodyParts(t *testing.T) {
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		fmt.Fprintf(w, "%q", body)
+	})
+	r := start(t, []string{b.Addr()})
+	for _, tc := range bodyCases() {
 		t.Run(tc.name, func(t *testing.T) {
-			s := r.open(t.Context())
-			first := head(false, "/x")
-			first.ProtocolConfig = tc.config
-			s.Send(first)
+			s := r.openBody("/x", tc.config)
 			for _, m := range tc.parts {
 				s.Send(m)
 			}
@@ -113,16 +149,24 @@
 			want, got := fmt.Sprintf("%q", tc.want), string(last.GetImmediateResponse().GetBody())
 			streamed := string(last.GetStreamedImmediateResponse().GetBodyResponse().GetBody())
 			if got != want && streamed != want {
-				t.Errorf("the server got %s, not %q", got, tc.want)
+				t.Errorf("the endpoint got %s, not %q", got, tc.want)
 			}
-			s = r.open(t.Context())
-			first = head(false, "/pick/x")
-			first.ProtocolConfig = tc.config
-			s.Send(first)
+		})
+	}
+	r.quiet()
+}
+
+// TestBodyPartsOfPick checks that with a pick each part is continued by a reply of its kind.
+func TestBodyPartsOfPick(t *testing.T) {
+	_, addrs := boxes(t, 1)
+	r := start(t, addrs)
+	for _, tc := range bodyCases() {
+		t.Run(tc.name, func(t *testing.T) {
+			s := r.openBody("/pick/x", tc.config)
 			if reply, err := s.Recv(); err != nil || named(reply) == "" {
 				t.Fatalf("%v, %v", reply, err)
 			}
-			for _, m := range tc.parts { // each has its reply, of its kind
+			for _, m := range tc.parts {
 				s.Send(m)
 				reply, err := s.Recv()
 				if err != nil || (m.GetRequestBody() != nil) != (reply.GetRequestBody() != nil) ||
@@ -160,9 +204,7 @@
 			t.Fatalf("%s: %v, %v", tc.path, reply, err)
 		}
 		if tc.want == filterv3.ProcessingMode_BUFFERED {
-			s.Send(&pb.ProcessingRequest{Request: &pb.ProcessingRequest_RequestBody{
-				RequestBody: &pb.HttpBody{Body: []byte("body"), EndOfStream: true},
-			}})
+			s.Send(bodyPart(&pb.HttpBody{Body: []byte("body"), EndOfStream: true}))
 			reply, err = s.Recv()
 			if err != nil || !strings.Contains(string(reply.GetImmediateResponse().GetBody()), "(4 bytes)") {
 				t.Errorf("%v, %v", reply, err)
