--- a/cmd/yokestall/scale_test.go
+++ b/cmd/yokestall/scale_test.go
@@ -35,16 +35,16 @@
 	}
 	command, env := testutil.Itself()
 	dir := t.TempDir()
-	f, err := scale.Play(t.Context(), plan, scale.Options{Dir: dir, Command: command, Env: env, Tell: t.Logf})
+	f, err := scale.Play(t.Context(), plan, scale.Options{Dir: dir, Command: command, Env: env, Progress: t.Logf})
 	if err != nil {
 		showLogs(t, dir)
 		t.Fatal(err)
 	}
-	if len(f.Untold) > 0 {
-		t.Errorf("not told: %+v", f.Untold)
+	if len(f.Late) > 0 {
+		t.Errorf("not told: %+v", f.Late)
 	}
 	// Twice what the lease's renewals alone make: a machine that is slow asks again after a lease that it lost.
-	asks := 2 * float64(plan.Voters) / plan.Terms.RenewInterval().Seconds()
+	asks := 2 * float64(plan.Voters) / plan.Lease.RenewInterval().Seconds()
 	const (
 		askBytes = 250.0    // of an ask with its answer, headers of RPC included
 		list     = 60 << 10 // bytes of the list that the plan has, at least
--- a/internal/cli/scale.go
+++ b/internal/cli/scale.go
@@ -80,7 +80,7 @@
 	}
 	defer os.RemoveAll(dir)
 	began := time.Now()
-	figures, err := scale.Play(ctx, plan, scale.Options{Dir: dir, Command: []string{self}, Tell: func(format string, args ...any) {
+	figures, err := scale.Play(ctx, plan, scale.Options{Dir: dir, Command: []string{self}, Progress: func(format string, args ...any) {
 		fmt.Fprintf(progress, "%6.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	}})
 	if err != nil {
@@ -118,15 +118,15 @@
 		return fmt.Errorf("%s: a node of a fleet is controlled, in one of its regions", path)
 	}
 	meter, states := scale.NewMeter(own.Voters, at.regions), scale.NewStates()
-	states.Start(own.Name, at.region, at.zone)
+	states.Register(own.Name, at.region, at.zone)
 	hooks := meter.Hooks(at.region)
-	hooks.Applied = func(rules consensus.ActiveVersions, alone bool) { states.Acted(own.Name, rules, alone) }
+	hooks.Applied = func(rules consensus.ActiveVersions, alone bool) { states.Record(own.Name, rules, alone) }
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	controlled := make(chan error, 1)
 	err = serveBy(ctx, path, log, func(net.Addr) {
 		go func() {
-			c := &scale.Controlled{Meter: meter, States: states}
+			c := &scale.CommandServer{Meter: meter, States: states}
 			controlled <- c.Serve(ctx, os.Stdin, os.Stdout, ended(stop))
 		}()
 	}, clock, &hooks)
@@ -140,7 +140,7 @@
 func ended(stop context.CancelFunc) func() {
 	return func() {
 		stop()
-		time.AfterFunc(scale.ExitWithin, func() { os.Exit(1) })
+		time.AfterFunc(scale.ExitTimeout, func() { os.Exit(1) })
 	}
 }
 
@@ -151,7 +151,7 @@
 	c := &cobra.Command{
 		Use: "hollow", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if at.First < 0 || at.Count < 1 || at.Before < 0 || at.Regions < 1 || at.Zones < 1 {
+			if at.First < 0 || at.Count < 1 || at.Offset < 0 || at.Regions < 1 || at.Zones < 1 {
 				return errors.New("--first, --count, --before, --regions, --zones: no such nodes")
 			}
 			return runHollow(cmd.Context(), path, at, slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)))
@@ -161,7 +161,7 @@
 	f.StringVarP(&path, "config", "c", "", "the nodes' own `file`")
 	f.IntVar(&at.First, "first", 0, "number of the first one among all hollow nodes")
 	f.IntVar(&at.Count, "count", 1, "how many")
-	f.IntVar(&at.Before, "before", 0, "nodes of the fleet that are not hollow")
+	f.IntVar(&at.Offset, "before", 0, "nodes of the fleet that are not hollow")
 	f.IntVar(&at.Regions, "regions", 1, "over which all are spread")
 	f.IntVar(&at.Zones, "zones", 1, "likewise")
 	return c
@@ -189,7 +189,7 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	c := &scale.Controlled{Meter: meter, States: states, Hollows: hollow}
+	c := &scale.CommandServer{Meter: meter, States: states, Nodes: hollow}
 	return c.Serve(ctx, os.Stdin, os.Stdout, ended(stop))
 }
 
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -26,7 +26,7 @@
 	for _, s := range run.Series {
 		s.Finish()
 	}
-	run.Untold = []scale.Untold{{Step: "apart", Size: 400, Count: 225}}
+	run.Late = []scale.LateNodes{{Step: "apart", Size: 400, Count: 225}}
 	plan := &scale.Figures{Name: "plan", Numbers: map[string]float64{"nodes": 1900}}
 	for _, f := range []*scale.Figures{run, plan} {
 		if err := f.Write(filepath.Join(folder, f.Name+".json")); err != nil {
--- a/internal/lab/capacity/fleetfile.go
+++ b/internal/lab/capacity/fleetfile.go
@@ -74,7 +74,7 @@
 		return 0, fmt.Errorf("%s%s is not %sSTEP.nSIZE", untoldPrefix, name, untoldPrefix)
 	}
 	count := -1
-	for _, u := range f.figures.Untold {
+	for _, u := range f.figures.Late {
 		if u.Step == step && u.Size == at {
 			count = u.Count
 		}
@@ -88,7 +88,7 @@
 // property gives one of a run's own.
 func property(f *scale.Figures, name string) (float64, bool) {
 	properties := map[string]float64{
-		"voters": float64(f.Voters), "serves": float64(f.Serves), "regions": float64(f.Regions), "zones": float64(f.Zones), "seed": float64(f.Seed),
+		"voters": float64(f.Voters), "serves": float64(f.ServeProcesses), "regions": float64(f.Regions), "zones": float64(f.Zones), "seed": float64(f.Seed),
 		"cores": float64(f.Machine.Cores), "memory_mb": float64(f.Machine.MemoryMB), "clusters": float64(f.Content.Clusters),
 		"servers": float64(f.Content.Servers), "routes": float64(f.Content.Routes), "tenants": float64(f.Content.Tenants),
 	}
@@ -102,7 +102,7 @@
 	case "mean":
 		return s.Mean, nil
 	case "most":
-		return s.Most, nil
+		return s.Max, nil
 	}
 	if size, isSize := strings.CutPrefix(field, "n"); isSize {
 		if at, err := strconv.ParseUint(size, 10, 32); err == nil {
--- a/internal/lab/scale/content.go
+++ b/internal/lab/scale/content.go
@@ -24,8 +24,8 @@
 	window   int // seconds, of the keyed class: contradicts
 }
 
-// first is what the first version has.
-var first = settings{attempts: 2, window: 6}
+// firstSettings is what the firstSettings version has.
+var firstSettings = settings{attempts: 2, window: 6}
 
 // next gives the settings of the version that follows.
 func (s settings) next(contradicts bool) settings {
@@ -37,13 +37,13 @@
 	return s
 }
 
-// own is a node's own file up to what it says of the fleet's agreement.
-func own(address string, nodes, node int) string {
+// baseConfig is a node's baseConfig file up to what it says of the fleet's agreement.
+func baseConfig(address string, nodes, node int) string {
 	return fmt.Sprintf("[listen]\naddress = %q\n[files]\nclusters = \"clusters\"\n[fleet]\nnodes = %d\nnode = %d\n", address, nodes, node)
 }
 
-// rules are a version's classes, tenants and routes.
-func (c Content) rules(s settings) string {
+// policyConfig are a version's classes, tenants and routes.
+func (c Content) policyConfig(s settings) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[limits]\nattempts = %d\n", s.attempts)
 	for _, k := range classes {
@@ -65,36 +65,36 @@
 
 func clusterName(i int) string { return fmt.Sprintf("cluster-%04d", i) }
 
-// list is a cluster's file.
-func (c Content) list(cluster int) string {
+// clusterFile is a cluster's file.
+func (c Content) clusterFile(cluster int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[cluster]\nname = %q\n", clusterName(cluster))
 	count := 0
 	for i := cluster; i < c.Servers; i += c.Clusters {
-		b.WriteString(endpoint(i, 1))
+		b.WriteString(endpointTable(i, 1))
 		count++
 	}
 	fmt.Fprintf(&b, "[end]\nendpoints = %d\n", count)
 	return b.String()
 }
 
-// endpoint is a server in a list. Nothing is ever sent to it.
-func endpoint(i, weight int) string {
+// endpointTable is a server in a list. Nothing is ever sent to it.
+func endpointTable(i, weight int) string {
 	return fmt.Sprintf("[[endpoint]]\nid = \"server-%05d\"\naddress = \"127.%d.%d.%d:9\"\nzone = \"zone-%d\"\nweight = %d\nhealth = \"healthy\"\n",
 		i, 100+i>>16, i>>8&255, i&255, i%6, weight)
 }
 
 // bundle is a version's files.
 func (c Content) bundle(nodes int, s settings) []config.File {
-	list := []config.File{{Name: files.ProgramPart, Text: []byte(own("127.0.0.1:0", nodes, 0) + c.rules(s))}}
+	list := []config.File{{Name: files.ProgramPart, Text: []byte(baseConfig("127.0.0.1:0", nodes, 0) + c.policyConfig(s))}}
 	for i := range c.Clusters {
-		list = append(list, config.File{Name: fmt.Sprintf("list-%04d.toml", i), Text: []byte(c.list(i))})
+		list = append(list, config.File{Name: fmt.Sprintf("list-%04d.toml", i), Text: []byte(c.clusterFile(i))})
 	}
 	return list
 }
 
-// change is a change of the first cluster's list: one server gets another weight.
-func (c Content) change(number int) config.File {
-	text := fmt.Sprintf("[cluster]\nname = %q\nchange = true\n%s[end]\nendpoints = 1\n", clusterName(0), endpoint(0, 1+number%7))
+// deltaFile is a deltaFile of the first cluster's list: one server gets another weight.
+func (c Content) deltaFile(number int) config.File {
+	text := fmt.Sprintf("[cluster]\nname = %q\nchange = true\n%s[end]\nendpoints = 1\n", clusterName(0), endpointTable(0, 1+number%7))
 	return config.File{Name: "change.toml", Text: []byte(text)}
 }
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -14,23 +14,23 @@
 
 // The operations.
 const (
-	OpReport  Op = "report"  // tell what the process has used
-	OpStates  Op = "states"  // tell what its nodes act on
-	OpAwait   Op = "await"   // likewise, once all act on a version
-	OpApart   Op = "apart"   // lose the other regions
-	OpJoin    Op = "join"    // have them back
-	OpRestart Op = "restart" // restart nodes: hollow ones alone, as the following
-	OpStop    Op = "stop"    // stop all nodes
-	OpStart   Op = "start"   // start those that are stopped
+	OpReport    Op = "report"  // tell what the process has used
+	OpStates    Op = "states"  // tell what its nodes act on
+	OpAwait     Op = "await"   // likewise, once all act on a version
+	OpPartition Op = "apart"   // lose the other regions
+	OpHeal      Op = "join"    // have them back
+	OpRestart   Op = "restart" // restart nodes: hollow ones alone, as the following
+	OpStop      Op = "stop"    // stop all nodes
+	OpStart     Op = "start"   // start those that are stopped
 )
 
 // Command asks a process of a run for something, as a line of JSON on its standard input.
 type Command struct {
-	Op     Op            `json:"op"`
-	Number uint64        `json:"number,omitempty"` // await
-	For    time.Duration `json:"for,omitempty"`    // await: at most
-	Nodes  []string      `json:"nodes,omitempty"`  // restart
-	Empty  bool          `json:"empty,omitempty"`  // restart, start: on emptied stores
+	Op          Op            `json:"op"`
+	Version     uint64        `json:"number,omitempty"` // await
+	Timeout     time.Duration `json:"for,omitempty"`    // await: at most
+	Nodes       []string      `json:"nodes,omitempty"`  // restart
+	EmptyStores bool          `json:"empty,omitempty"`  // restart, start: on emptied stores
 }
 
 // Reply is the answer to a command, or word that the process is ready, as a line on its standard output.
@@ -40,26 +40,26 @@
 	States []State `json:"states,omitempty"`
 }
 
-// Hollows are nodes that can be stopped and started by themselves.
-type Hollows interface {
+// NodeController are nodes that can be stopped and started by themselves.
+type NodeController interface {
 	Restart(ctx context.Context, nodes []string, empty bool) error
 	Stop()
 	Start(ctx context.Context, empty bool) error
 }
 
-// Controlled answers the commands of the process that started this one.
-type Controlled struct {
-	Meter   *Meter
-	States  *States
-	Hollows Hollows // nil: the process is a node of its own
+// CommandServer answers the commands of the process that started this one.
+type CommandServer struct {
+	Meter  *Meter
+	States *States
+	Nodes  NodeController // nil: the process is a node of its own
 }
 
-// ExitWithin is how long a process may take to end in good order once the one that started it is gone.
-const ExitWithin = 5 * time.Second
+// ExitTimeout is how long a process may take to end in good order once the one that started it is gone.
+const ExitTimeout = 5 * time.Second
 
 // Serve says that the process is ready, and answers commands until their end, or ctx. Whoever sends them holds the
 // pipe: when that process ends, however it does, so do the commands; gone is called at once then.
-func (c *Controlled) Serve(ctx context.Context, in io.Reader, out io.Writer, gone func()) error {
+func (c *CommandServer) Serve(ctx context.Context, in io.Reader, out io.Writer, gone func()) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	commands, failed := make(chan Command), make(chan error, 1)
@@ -87,7 +87,7 @@
 	for {
 		select {
 		case command := <-commands:
-			reply := c.do(ctx, command)
+			reply := c.reply(ctx, command)
 			if err := e.Encode(reply); err != nil {
 				return err
 			}
@@ -105,48 +105,48 @@
 	}
 }
 
-func (c *Controlled) do(ctx context.Context, command Command) (r Reply) {
-	err := c.carryOut(ctx, command, &r)
+func (c *CommandServer) reply(ctx context.Context, command Command) (r Reply) {
+	err := c.execute(ctx, command, &r)
 	if err != nil {
 		r.Error = fmt.Sprintf("%s: %v", command.Op, err)
 	}
 	return r
 }
 
-func (c *Controlled) carryOut(ctx context.Context, command Command, r *Reply) error {
+func (c *CommandServer) execute(ctx context.Context, command Command, r *Reply) error {
 	switch command.Op {
 	case OpReport:
 		report, err := c.Meter.Report()
-		list, _, _ := c.States.All(0)
+		list, _, _ := c.States.Snapshot(0)
 		report.Nodes = len(list)
 		r.Report = &report
 		return err
 	case OpStates:
-		r.States, _, _ = c.States.All(0)
+		r.States, _, _ = c.States.Snapshot(0)
 		return nil
 	case OpAwait:
-		ctx, stop := context.WithTimeout(ctx, command.For)
+		ctx, stop := context.WithTimeout(ctx, command.Timeout)
 		defer stop()
-		r.States = c.States.Await(ctx, command.Number)
+		r.States = c.States.Await(ctx, command.Version)
 		return nil
-	case OpApart:
-		c.Meter.Apart(true)
+	case OpPartition:
+		c.Meter.SetPartitioned(true)
 		return nil
-	case OpJoin:
-		c.Meter.Apart(false)
+	case OpHeal:
+		c.Meter.SetPartitioned(false)
 		return nil
 	}
-	if c.Hollows == nil {
+	if c.Nodes == nil {
 		return errors.New("is of hollow nodes alone")
 	}
 	switch command.Op {
 	case OpRestart:
-		return c.Hollows.Restart(ctx, command.Nodes, command.Empty)
+		return c.Nodes.Restart(ctx, command.Nodes, command.EmptyStores)
 	case OpStop:
-		c.Hollows.Stop()
+		c.Nodes.Stop()
 		return nil
 	case OpStart:
-		return c.Hollows.Start(ctx, command.Empty)
+		return c.Nodes.Start(ctx, command.EmptyStores)
 	}
 	return errors.New("no such operation")
 }
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -14,12 +14,12 @@
 
 // Series is a figure at each size of a run.
 type Series struct {
-	Unit   string  `json:"unit"`
-	Per    string  `json:"per,omitempty"` // what At counts; "": hollow nodes
-	Points []Point `json:"points"`
-	Mean   float64 `json:"mean"`
-	Most   float64 `json:"most"`
-	Fit    *Fit    `json:"fit,omitempty"` // none with less than two sizes
+	Unit     string  `json:"unit"`
+	SizeUnit string  `json:"per,omitempty"` // what At counts; "": hollow nodes
+	Points   []Point `json:"points"`
+	Mean     float64 `json:"mean"`
+	Max      float64 `json:"most"`
+	Fit      *Fit    `json:"fit,omitempty"` // none with less than two sizes
 }
 
 // Machine is where a run was made.
@@ -28,49 +28,49 @@
 	MemoryMB int64  `json:"memory_mb"`
 	System   string `json:"system"`
 	Go       string `json:"go"`
-	// Stores is the kind of file system that the nodes' stores were on. All of them share it: on a disk their writes
+	// StoreFileSystem is the kind of file system that the nodes' stores were on. All of them share it: on a disk their writes
 	// wait for each other, in memory (tmpfs) they cost nothing, and a node with a disk of its own is between the two.
-	Stores string `json:"stores,omitempty"`
-	// Load is the machine's load average over a minute before each size: others were at work beside the run.
-	Load []float64 `json:"load"`
+	StoreFileSystem string `json:"stores,omitempty"`
+	// LoadAverages is the machine's load average over a minute before each size: others were at work beside the run.
+	LoadAverages []float64 `json:"load"`
 }
 
-// Untold are nodes that did not act on what they should within a step's wait.
-type Untold struct {
-	Step  string   `json:"step"`
-	Size  int      `json:"size"`
-	Count int      `json:"count"`
-	Nodes []string `json:"nodes"` // the first of them
-	By    []int    `json:"by_region"`
+// LateNodes are nodes that did not act on what they should within a step's wait.
+type LateNodes struct {
+	Step     string   `json:"step"`
+	Size     int      `json:"size"`
+	Count    int      `json:"count"`
+	Nodes    []string `json:"nodes"` // the first of them
+	ByRegion []int    `json:"by_region"`
 }
 
 // Figures are what came of a run, as their file has it.
 type Figures struct {
-	Name    string   `json:"name"`
-	Says    string   `json:"says,omitempty"`
-	Command string   `json:"command"`
-	Plan    string   `json:"plan"` // its file
-	Seed    uint64   `json:"seed"`
-	Sizes   []int    `json:"sizes"`
-	Voters  int      `json:"voters"`
-	Serves  int      `json:"serves"`
-	Regions int      `json:"regions"`
-	Zones   int      `json:"zones"`
-	TLS     bool     `json:"tls"`
-	Lease   string   `json:"lease"`
-	Renew   string   `json:"renew"`
-	Content Content  `json:"content"`
-	Machine Machine  `json:"machine"`
-	Counts  string   `json:"counts"` // what a byte and a message is
-	Untold  []Untold `json:"untold,omitempty"`
+	Name           string      `json:"name"`
+	Description    string      `json:"says,omitempty"`
+	Command        string      `json:"command"`
+	Plan           string      `json:"plan"` // its file
+	Seed           uint64      `json:"seed"`
+	Sizes          []int       `json:"sizes"`
+	Voters         int         `json:"voters"`
+	ServeProcesses int         `json:"serves"`
+	Regions        int         `json:"regions"`
+	Zones          int         `json:"zones"`
+	TLS            bool        `json:"tls"`
+	Lease          string      `json:"lease"`
+	Renew          string      `json:"renew"`
+	Content        Content     `json:"content"`
+	Machine        Machine     `json:"machine"`
+	CounterNotes   string      `json:"counts"` // what a byte and a message is
+	Late           []LateNodes `json:"untold,omitempty"`
 	// Numbers are named numbers of a file that no run has written.
 	Numbers map[string]float64 `json:"numbers,omitempty"`
 	// Series are by key: STEP.ROLE.QUANTITY.
 	Series map[string]*Series `json:"series,omitempty"`
 }
 
-// counts says what the counters count.
-const counts = "bytes: what the program reads and writes on its sockets, with HTTP/2's frames and, with TLS, its records and handshakes; " +
+// counterNotes says what the counters count.
+const counterNotes = "bytes: what the program reads and writes on its sockets, with HTTP/2's frames and, with TLS, its records and handshakes; " +
 	"without headers of TCP and IP. packets: TCP's segments, acknowledgements among them, by the kernel's count. " +
 	"wire: bytes both ways and 52 a packet (IPv4, TCP and its timestamps; no link's frame). messages: of RPCs, each at both of its ends. " +
 	"cpu: user and system time of a process by getrusage; of a hollow node, its process's divided by the nodes in it"
@@ -100,9 +100,9 @@
 		s.Points[i].Value = round(s.Points[i].Value)
 		total += s.Points[i].Value
 	}
-	s.Most = s.Points[0].Value
+	s.Max = s.Points[0].Value
 	for _, p := range s.Points {
-		s.Most = max(s.Most, p.Value)
+		s.Max = max(s.Max, p.Value)
 	}
 	s.Mean = round(total / float64(len(s.Points)))
 	s.Fit = FitLine(s.Points).rounded()
@@ -160,8 +160,8 @@
 	return 1 + bytes.Count(text[:max(0, min(at, len(text)))], []byte("\n"))
 }
 
-// near tells whether a figure is another one, but for what floating point leaves over in a series of this scale.
-func near(a, b, scale float64) bool {
+// approximatelyEqual tells whether a figure is another one, but for what floating point leaves over in a series of this scale.
+func approximatelyEqual(a, b, scale float64) bool {
 	return math.Abs(a-b) <= 1e-4*max(math.Abs(a), math.Abs(b))+1e-9*scale
 }
 
@@ -177,7 +177,7 @@
 	}
 	has, wanted := s.derived(), want.derived()
 	for i, d := range has {
-		if !near(d.value, wanted[i].value, math.Abs(s.Most)) {
+		if !approximatelyEqual(d.value, wanted[i].value, math.Abs(s.Max)) {
 			return fmt.Errorf("%s is %v, and its points give %v", d.name, d.value, wanted[i].value)
 		}
 	}
@@ -191,7 +191,7 @@
 }
 
 func (s *Series) derived() []derived {
-	list := []derived{{"mean", s.Mean}, {"most", s.Most}}
+	list := []derived{{"mean", s.Mean}, {"most", s.Max}}
 	if f := s.Fit; f != nil {
 		list = append(list, derived{"slope", f.Slope}, derived{"intercept", f.Intercept}, derived{"residual", f.Residual}, derived{"relative", f.Relative}, derived{"r2", f.R2})
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -17,16 +17,16 @@
 // Placement says which hollow nodes are in a process, and where they stand.
 type Placement struct {
 	First, Count   int // hollow nodes, by their number among all of them
-	Before         int // nodes of the fleet that are not hollow
+	Offset         int // nodes of the fleet that are not hollow
 	Regions, Zones int
 }
 
 // nodeName is the name of a hollow node.
 func nodeName(i int) string { return fmt.Sprintf("h%05d", i) }
 
-// Hollow are nodes without traffic: each takes part in the fleet's agreement by the code of any other node, reads and
+// HollowNodes are nodes without traffic: each takes part in the fleet's agreement by the code of any other node, reads and
 // checks each version and keeps it, and has nothing that would act on it. Create it with NewHollow.
-type Hollow struct {
+type HollowNodes struct {
 	nodes  map[string]*hollowNode
 	states *States
 }
@@ -35,23 +35,23 @@
 	config       agent.Config
 	region, zone int
 
-	stop context.CancelFunc // nil: it is stopped
-	over chan struct{}
+	stop  context.CancelFunc // nil: it is stopped
+	ended chan struct{}
 }
 
 // NewHollow makes nodes that have not been started. Each has base's configuration and own's file, but for a name, a
 // number and a store of its own.
-func NewHollow(base agent.Config, own *config.Program, at Placement, meter *Meter, states *States) *Hollow {
-	h := &Hollow{nodes: map[string]*hollowNode{}, states: states}
+func NewHollow(base agent.Config, own *config.Program, at Placement, meter *Meter, states *States) *HollowNodes {
+	h := &HollowNodes{nodes: map[string]*hollowNode{}, states: states}
 	for i := at.First; i < at.First+at.Count; i++ {
 		n := &hollowNode{config: base, region: i % at.Regions, zone: i % at.Zones}
 		name := nodeName(i)
 		n.config.Name = name
 		n.config.Dir = filepath.Join(base.Dir, name)
 		n.config.Hooks = meter.Hooks(n.region)
-		n.config.Hooks.Applied = func(rules consensus.ActiveVersions, alone bool) { states.Acted(name, rules, alone) }
+		n.config.Hooks.Applied = func(rules consensus.ActiveVersions, alone bool) { states.Record(name, rules, alone) }
 		program := *own
-		program.Node = at.Before + i
+		program.Node = at.Offset + i
 		source := app.NewAgreedSource(nil, &program)
 		n.config.Parse, n.config.Extend = source.Parse, source.Extend
 		n.config.Apply = func(a consensus.EffectiveVersion) error {
@@ -64,7 +64,7 @@
 }
 
 // start starts a node; states knows it from then on.
-func (h *Hollow) start(ctx context.Context, name string, empty bool) error {
+func (h *HollowNodes) start(ctx context.Context, name string, empty bool) error {
 	n := h.nodes[name]
 	if n.stop != nil {
 		return nil
@@ -74,32 +74,32 @@
 			return err
 		}
 	}
-	h.states.Start(name, n.region, n.zone)
+	h.states.Register(name, n.region, n.zone)
 	node, err := agent.Open(n.config)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	ctx, n.stop = context.WithCancel(context.WithoutCancel(ctx))
-	n.over = make(chan struct{})
+	n.ended = make(chan struct{})
 	go func() {
-		defer close(n.over)
+		defer close(n.ended)
 		node.Run(ctx)
 		node.Close()
 	}()
 	return nil
 }
 
-func (n *hollowNode) end() {
+func (n *hollowNode) shutDown() {
 	if n.stop == nil {
 		return
 	}
 	n.stop()
-	<-n.over
+	<-n.ended
 	n.stop = nil
 }
 
 // each does something with nodes, all at once.
-func (h *Hollow) each(names []string, do func(name string) error) error {
+func (h *HollowNodes) each(names []string, do func(name string) error) error {
 	errs := make([]error, len(names))
 	var all sync.WaitGroup
 	for i, name := range names {
@@ -109,7 +109,7 @@
 	return errors.Join(errs...)
 }
 
-func (h *Hollow) names() (list []string) {
+func (h *HollowNodes) names() (list []string) {
 	for name := range h.nodes {
 		list = append(list, name)
 	}
@@ -117,24 +117,24 @@
 }
 
 // Start starts all nodes that are stopped, at once.
-func (h *Hollow) Start(ctx context.Context, empty bool) error {
+func (h *HollowNodes) Start(ctx context.Context, empty bool) error {
 	return h.each(h.names(), func(name string) error { return h.start(ctx, name, empty) })
 }
 
 // Stop stops all nodes.
-func (h *Hollow) Stop() {
-	h.each(h.names(), func(name string) error { h.nodes[name].end(); return nil })
+func (h *HollowNodes) Stop() {
+	h.each(h.names(), func(name string) error { h.nodes[name].shutDown(); return nil })
 }
 
 // Restart stops nodes and starts them again, all at once.
-func (h *Hollow) Restart(ctx context.Context, names []string, empty bool) error {
+func (h *HollowNodes) Restart(ctx context.Context, names []string, empty bool) error {
 	for _, name := range names {
 		if h.nodes[name] == nil {
 			return fmt.Errorf("there is no node %s", name)
 		}
 	}
 	return h.each(names, func(name string) error {
-		h.nodes[name].end()
+		h.nodes[name].shutDown()
 		return h.start(ctx, name, empty)
 	})
 }
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("%#x", fs.Type), nil
 }
 
-// load gives the machine's load average over a minute; 0: it is not known.
-func load() float64 {
+// loadAverage gives the machine's loadAverage average over a minute; 0: it is not known.
+func loadAverage() float64 {
 	text, _ := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(text), " ")
 	v, _ := strconv.ParseFloat(first, 64)
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// rate is what a process uses in a time, of each quantity that is counted.
-type rate struct {
+// usage is what a process uses in a time, of each quantity that is counted.
+type usage struct {
 	seconds float64
 	used    [len(quantities)]float64
 }
 
-// headers are the bytes of IPv4's and TCP's headers in a packet, with the time stamps that each has.
-const headers = 20 + 20 + 12
+// packetHeaderBytes are the bytes of IPv4's and TCP's packetHeaderBytes in a packet, with the time stamps that each has.
+const packetHeaderBytes = 20 + 20 + 12
 
 // quantity is one that is counted.
 type quantity struct {
 	name, unit string
-	of         func(r *Report) float64 // since the process started
-	told       telling
+	value      func(r *Report) float64 // since the process started
+	detail     detail
 }
 
-// telling is in how many ways a quantity is told.
-type telling uint8
+// detail is in how many ways a quantity is told.
+type detail uint8
 
 const (
-	plain telling = iota // as it is
-	extra                // also what goes beyond the idle rate
-	full                 // and of the voter that has the most of it
+	basic        detail = iota // as it is
+	withExtra                  // also what goes beyond the idle rate
+	withVoterMax               // and of the voter that has the most of it
 )
 
 var quantities = [...]quantity{
-	{"cpu", "ms", func(r *Report) float64 { return float64(r.CPU) / float64(time.Millisecond) }, full},
-	{"in", "B", func(r *Report) float64 { return float64(r.Dialed.In + r.Accepted.In) }, full},
-	{"out", "B", func(r *Report) float64 { return float64(r.Dialed.Out + r.Accepted.Out) }, full},
-	{"peers_in", "B", func(r *Report) float64 { return float64(r.Dialed.In) }, plain},
-	{"peers_out", "B", func(r *Report) float64 { return float64(r.Dialed.Out) }, plain},
-	{"wire", "B", func(r *Report) float64 { return float64(r.Dialed.wire() + r.Accepted.wire()) }, extra},
-	{"packets", "packets", func(r *Report) float64 { return float64(r.Dialed.packets() + r.Accepted.packets()) }, plain},
-	{"sent", "messages", func(r *Report) float64 { return float64(r.Sent) }, plain},
-	{"received", "messages", func(r *Report) float64 { return float64(r.Received) }, plain},
-	{"connections", "connections", func(r *Report) float64 { return float64(r.Dialed.Connections + r.Accepted.Connections) }, plain},
+	{"cpu", "ms", func(r *Report) float64 { return float64(r.CPU) / float64(time.Millisecond) }, withVoterMax},
+	{"in", "B", func(r *Report) float64 { return float64(r.Dialed.In + r.Accepted.In) }, withVoterMax},
+	{"out", "B", func(r *Report) float64 { return float64(r.Dialed.Out + r.Accepted.Out) }, withVoterMax},
+	{"peers_in", "B", func(r *Report) float64 { return float64(r.Dialed.In) }, basic},
+	{"peers_out", "B", func(r *Report) float64 { return float64(r.Dialed.Out) }, basic},
+	{"wire", "B", func(r *Report) float64 { return float64(r.Dialed.wireBytes() + r.Accepted.wireBytes()) }, withExtra},
+	{"packets", "packets", func(r *Report) float64 { return float64(r.Dialed.packets() + r.Accepted.packets()) }, basic},
+	{"sent", "messages", func(r *Report) float64 { return float64(r.Sent) }, basic},
+	{"received", "messages", func(r *Report) float64 { return float64(r.Received) }, basic},
+	{"connections", "connections", func(r *Report) float64 { return float64(r.Dialed.Connections + r.Accepted.Connections) }, basic},
 }
 
 func (t *Traffic) packets() int64 { return t.PacketsIn + t.PacketsOut }
 
-// wire gives the bytes both ways, with headers.
-func (t *Traffic) wire() int64 { return t.In + t.Out + headers*t.packets() }
+// wireBytes gives the bytes both ways, with headers.
+func (t *Traffic) wireBytes() int64 { return t.In + t.Out + packetHeaderBytes*t.packets() }
 
-// between gives what a process used between two reports.
-func between(a, b *Report) rate {
-	r := rate{seconds: (b.At - a.At).Seconds()}
+// usageBetween gives what a process used usageBetween two reports.
+func usageBetween(a, b *Report) usage {
+	r := usage{seconds: (b.At - a.At).Seconds()}
 	for i, q := range quantities {
-		r.used[i] = q.of(b) - q.of(a)
+		r.used[i] = q.value(b) - q.value(a)
 	}
 	return r
 }
 
 // perSecond gives it for a second.
-func (r rate) perSecond() rate {
+func (r usage) perSecond() usage {
 	for i := range r.used {
 		r.used[i] /= r.seconds
 	}
@@ -67,8 +67,8 @@
 	return r
 }
 
-// beyond gives what is more than another rate, which is for a second, over the same time.
-func (r rate) beyond(o rate) rate {
+// above gives what is more than another rate, which is for a second, over the same time.
+func (r usage) above(o usage) usage {
 	for i := range r.used {
 		r.used[i] -= o.used[i] * r.seconds
 	}
@@ -78,37 +78,37 @@
 // measure adds a step's figures: of an idle one for a second, of others over the step, and what of it goes beyond the
 // idle one before.
 func (w *player) measure(s Step, before, after []Report) {
-	var all []rate
+	var all []usage
 	for i := range after {
-		all = append(all, between(&before[i], &after[i]))
+		all = append(all, usageBetween(&before[i], &after[i]))
 	}
-	w.memories(s, after)
-	if s.Kind == Idle {
+	w.addMemory(s, after)
+	if s.Kind == KindIdle {
 		for i := range all {
 			all[i] = all[i].perSecond()
 		}
-		w.idle = all
-		w.use(s.Name, "", "/s", all)
+		w.idleRates = all
+		w.addUsage(s.Name, "", "/s", all)
 		return
 	}
 	w.figures.add(s.Name+".run.length", "s", float64(w.size), all[0].seconds)
-	w.use(s.Name, "", "", all)
-	if w.idle == nil || s.Kind == Apart || s.Kind == Together { // then less is said, and on purpose
+	w.addUsage(s.Name, "", "", all)
+	if w.idleRates == nil || s.Kind == KindPartition || s.Kind == KindHeal { // then less is said, and on purpose
 		return
 	}
 	for i := range all {
-		all[i] = all[i].beyond(w.idle[i])
+		all[i] = all[i].above(w.idleRates[i])
 	}
-	w.use(s.Name, "extra_", "", all)
+	w.addUsage(s.Name, "extra_", "", all)
 }
 
-// use adds the figures of what processes used: by role the mean, for a hollow node its share of its process's, and of
+// addUsage adds the figures of what processes used: by role the mean, for a hollow node its share of its process's, and of
 // voters the most too. What goes between voters is told apart for them alone: others dial nobody else, and are dialed
 // by none.
-func (w *player) use(step, prefix, per string, all []rate) {
+func (w *player) addUsage(step, prefix, per string, all []usage) {
 	for _, role := range []Role{VoterRole, ServeRole, NodeRole} {
 		for at, q := range quantities {
-			if role != VoterRole && strings.HasPrefix(q.name, "peers_") || prefix != "" && q.told < extra {
+			if role != VoterRole && strings.HasPrefix(q.name, "peers_") || prefix != "" && q.detail < withExtra {
 				continue
 			}
 			total, most, nodes := 0.0, math.Inf(-1), 0
@@ -119,23 +119,23 @@
 				v := all[i].used[at]
 				total += v
 				most = max(most, v)
-				nodes += m.nodes
+				nodes += m.nodeCount
 			}
 			if nodes == 0 {
 				continue
 			}
 			key := step + "." + string(role) + "." + prefix + q.name
 			w.figures.add(key, q.unit+per, float64(w.size), total/float64(nodes))
-			if role == VoterRole && prefix == "" && q.told == full {
+			if role == VoterRole && prefix == "" && q.detail == withVoterMax {
 				w.figures.add(key+"_most", q.unit+per, float64(w.size), most)
 			}
 		}
 	}
 }
 
-// memories adds the figures of resident memory at a step's end. That of hollow nodes is by process, against the nodes
+// addMemory adds the figures of resident memory at a step's end. That of hollow nodes is by process, against the nodes
 // in it: the slope is a node's.
-func (w *player) memories(s Step, reports []Report) {
+func (w *player) addMemory(s Step, reports []Report) {
 	byRole := map[Role][]float64{}
 	const megabyte = 1 << 20
 	for i, m := range w.members {
@@ -143,8 +143,8 @@
 		byRole[m.role] = append(byRole[m.role], mb)
 		if m.role == NodeRole {
 			key := s.Name + ".node.process_memory"
-			w.figures.add(key, "MB", float64(m.nodes), mb)
-			w.figures.Series[key].Per = "nodes in the process"
+			w.figures.add(key, "MB", float64(m.nodeCount), mb)
+			w.figures.Series[key].SizeUnit = "nodes in the process"
 		}
 	}
 	for _, role := range []Role{VoterRole, ServeRole} {
--- a/internal/lab/scale/member.go
+++ b/internal/lab/scale/member.go
@@ -24,19 +24,19 @@
 	ServeRole Role = "serve"
 )
 
-// answerWithin is how much longer than asked for an answer may take before the process counts as stuck.
-const answerWithin = time.Minute
+// replyTimeout is how much longer than asked for an answer may take before the process counts as stuck.
+const replyTimeout = time.Minute
 
 // member is a process of a run.
 type member struct {
-	role  Role
-	name  string
-	nodes int // in it
-	proc  *fleet.Process
-
-	mu      sync.Mutex
-	in      *json.Encoder
-	answers chan Reply
+	role      Role
+	name      string
+	nodeCount int // in it
+	proc      *fleet.Process
+
+	mu       sync.Mutex
+	commands *json.Encoder
+	replies  chan Reply
 }
 
 // start starts the process and waits until it is ready.
@@ -45,29 +45,29 @@
 		return err
 	}
 	in, out := m.proc.Pipes()
-	m.in, m.answers = json.NewEncoder(in), make(chan Reply)
-	go m.listen(out)
-	_, err := m.answer(ctx, 0)
+	m.commands, m.replies = json.NewEncoder(in), make(chan Reply)
+	go m.readReplies(out)
+	_, err := m.awaitReply(ctx, 0)
 	return err
 }
 
-// listen passes on what the process answers, until it ends.
-func (m *member) listen(out io.Reader) {
-	defer close(m.answers)
+// readReplies passes on what the process answers, until it ends.
+func (m *member) readReplies(out io.Reader) {
+	defer close(m.replies)
 	for d := json.NewDecoder(out); ; {
 		var r Reply
 		if d.Decode(&r) != nil {
 			return
 		}
-		m.answers <- r
+		m.replies <- r
 	}
 }
 
-func (m *member) answer(ctx context.Context, longest time.Duration) (Reply, error) {
-	ctx, stop := context.WithTimeout(ctx, longest+answerWithin)
+func (m *member) awaitReply(ctx context.Context, longest time.Duration) (Reply, error) {
+	ctx, stop := context.WithTimeout(ctx, longest+replyTimeout)
 	defer stop()
 	select {
-	case r, more := <-m.answers:
+	case r, more := <-m.replies:
 		switch {
 		case !more:
 			return r, fmt.Errorf("%s ended: %s", m.name, m.log())
@@ -90,21 +90,21 @@
 	return string(text[max(0, len(text)-most):])
 }
 
-// ask asks the process for something.
-func (m *member) ask(ctx context.Context, c Command) (Reply, error) {
+// call asks the process for something.
+func (m *member) call(ctx context.Context, c Command) (Reply, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.in.Encode(c); err != nil {
+	if err := m.commands.Encode(c); err != nil {
 		return Reply{}, fmt.Errorf("%s: %w: %s", m.name, err, m.log())
 	}
-	return m.answer(ctx, c.For)
+	return m.awaitReply(ctx, c.Timeout)
 }
 
 // kill ends the process, and what it still answers.
 func (m *member) kill() {
 	m.proc.Kill()
-	if m.answers != nil {
-		for range m.answers {
+	if m.replies != nil {
+		for range m.replies {
 		}
 	}
 }
@@ -112,21 +112,21 @@
 // members are the processes of a run.
 type members []*member
 
-// ask asks all of them at once, each for what command gives; nil: nothing.
-func (list members) ask(ctx context.Context, command func(m *member) *Command) ([]Reply, error) {
+// call asks all of them at once, each for what command gives; nil: nothing.
+func (list members) call(ctx context.Context, command func(m *member) *Command) ([]Reply, error) {
 	replies, errs := make([]Reply, len(list)), make([]error, len(list))
 	var all sync.WaitGroup
 	for i, m := range list {
 		if c := command(m); c != nil {
-			all.Go(func() { replies[i], errs[i] = m.ask(ctx, *c) })
+			all.Go(func() { replies[i], errs[i] = m.call(ctx, *c) })
 		}
 	}
 	all.Wait()
 	return replies, errors.Join(errs...)
 }
 
-// of gives those of a role.
-func (list members) of(role Role) (of members) {
+// withRole gives those withRole a role.
+func (list members) withRole(role Role) (of members) {
 	for _, m := range list {
 		if m.role == role {
 			of = append(of, m)
@@ -135,5 +135,5 @@
 	return of
 }
 
-// same is a command that all are given.
-func same(c Command) func(*member) *Command { return func(*member) *Command { return &c } }
+// toAll is a command that all are given.
+func toAll(c Command) func(*member) *Command { return func(*member) *Command { return &c } }
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -88,9 +88,9 @@
 	sent, received   atomic.Int64
 	regions          map[string]int // by voter's address
 
-	mu     sync.Mutex
-	apart  bool
-	healed chan struct{} // closed when the regions hear of each other
+	mu          sync.Mutex
+	partitioned bool
+	healed      chan struct{} // closed when the regions hear of each other
 }
 
 // NewMeter makes a meter of a process among voters that are spread over so many regions in turn.
@@ -105,18 +105,18 @@
 
 // Hooks gives what counts a node's traffic that stands in a region.
 func (m *Meter) Hooks(region int) agent.Hooks {
-	return agent.Hooks{Dial: m.Dialer(region), Listen: m.Listener, Stats: (*messages)(m)}
+	return agent.Hooks{Dial: m.Dialer(region), Listen: m.Listener, Stats: (*messageCounter)(m)}
 }
 
-// Apart parts the regions, or joins them again. What was sent meanwhile over a connection that outlives it arrives
+// SetPartitioned parts the regions, or joins them again. What was sent meanwhile over a connection that outlives it arrives
 // then.
-func (m *Meter) Apart(apart bool) {
+func (m *Meter) SetPartitioned(apart bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if apart == m.apart {
+	if apart == m.partitioned {
 		return
 	}
-	if m.apart = apart; apart {
+	if m.partitioned = apart; apart {
 		m.healed = make(chan struct{})
 	} else {
 		close(m.healed)
@@ -128,7 +128,7 @@
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		far := m.regions[address] != region
 		if far {
-			if err := m.pass(ctx.Done()); err != nil {
+			if err := m.awaitHealed(ctx.Done()); err != nil {
 				return nil, ctx.Err()
 			}
 		}
@@ -141,8 +141,8 @@
 	}
 }
 
-// pass waits until the regions hear of each other.
-func (m *Meter) pass(closed <-chan struct{}) error {
+// awaitHealed waits until the regions hear of each other.
+func (m *Meter) awaitHealed(closed <-chan struct{}) error {
 	m.mu.Lock()
 	healed := m.healed
 	m.mu.Unlock()
@@ -180,16 +180,16 @@
 // told, as by a network that loses all.
 type conn struct {
 	net.Conn
-	meter  *Meter
-	count  *traffic
-	far    bool
-	once   sync.Once
-	closed chan struct{}
+	meter       *Meter
+	traffic     *traffic
+	crossRegion bool
+	once        sync.Once
+	closed      chan struct{}
 }
 
 // wrap has a connection counted, and cut while the regions are apart if it is to another one.
 func (m *Meter) wrap(c net.Conn, count *traffic, far bool) *conn {
-	w := &conn{Conn: c, meter: m, count: count, far: far, closed: make(chan struct{})}
+	w := &conn{Conn: c, meter: m, traffic: count, crossRegion: far, closed: make(chan struct{})}
 	count.add(w)
 	return w
 }
@@ -212,30 +212,30 @@
 	return in, out
 }
 
-func (c *conn) pass() error {
-	if !c.far {
+func (c *conn) awaitHealed() error {
+	if !c.crossRegion {
 		return nil
 	}
-	return c.meter.pass(c.closed)
+	return c.meter.awaitHealed(c.closed)
 }
 
 // Read gives what came.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if gone := c.pass(); gone != nil {
+	if gone := c.awaitHealed(); gone != nil {
 		return 0, gone
 	}
-	c.count.in.Add(int64(n))
+	c.traffic.in.Add(int64(n))
 	return n, err
 }
 
 // Write sends.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.pass(); err != nil {
+	if err := c.awaitHealed(); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
-	c.count.out.Add(int64(n))
+	c.traffic.out.Add(int64(n))
 	return n, err
 }
 
@@ -243,16 +243,16 @@
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		c.count.remove(c)
+		c.traffic.remove(c)
 	})
 	return c.Conn.Close()
 }
 
-// messages counts those of RPCs, as gRPC tells them.
-type messages Meter
+// messageCounter counts those of RPCs, as gRPC tells them.
+type messageCounter Meter
 
 // HandleRPC counts a message.
-func (m *messages) HandleRPC(_ context.Context, s stats.RPCStats) {
+func (m *messageCounter) HandleRPC(_ context.Context, s stats.RPCStats) {
 	switch s.(type) {
 	case *stats.OutPayload:
 		m.sent.Add(1)
@@ -262,13 +262,15 @@
 }
 
 // TagRPC adds nothing to a call.
-func (m *messages) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (m *messageCounter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
 // TagConn adds nothing to a connection.
-func (m *messages) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (m *messageCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
+	return ctx
+}
 
 // HandleConn takes no notice of connections.
-func (m *messages) HandleConn(context.Context, stats.ConnStats) {}
+func (m *messageCounter) HandleConn(context.Context, stats.ConnStats) {}
 
 // Report tells what the process has used.
 func (m *Meter) Report() (Report, error) {
@@ -276,7 +278,7 @@
 	if err != nil {
 		return Report{}, err
 	}
-	memory, err := resident()
+	memory, err := residentMemory()
 	if err != nil {
 		return Report{}, err
 	}
@@ -295,8 +297,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
 
-// resident is how much memory of this process is resident.
-func resident() (int64, error) {
+// residentMemory is how much memory of this process is residentMemory.
+func residentMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		return 0, err
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -13,19 +13,19 @@
 
 // Plan is a run of hollow nodes, as its file says.
 type Plan struct {
-	Name, Says string
-	Seed       uint64
-	Limit      time.Duration // the whole run takes no longer
-	Sizes      []int         // hollow nodes: the steps are played at each size, one after the other
-	PerProcess int           // hollow nodes that share a process
-	Voters     int           // each a process of its own, as are the following
-	Serves     int           // that follow, with everything that a node has
-	Regions    int           // over which all processes and nodes are spread in turn
-	Zones      int           // likewise
-	TLS        bool
-	Terms      lease.Config
-	Content    Content
-	Steps      []Step
+	Name, Description string
+	Seed              uint64
+	Timeout           time.Duration // the whole run takes no longer
+	Sizes             []int         // hollow nodes: the steps are played at each size, one after the other
+	NodesPerProcess   int           // hollow nodes that share a process
+	Voters            int           // each a process of its own, as are the following
+	ServeProcesses    int           // that follow, with everything that a node has
+	Regions           int           // over which all processes and nodes are spread in turn
+	Zones             int           // likewise
+	TLS               bool
+	Lease             lease.Config
+	Content           Content
+	Steps             []Step
 }
 
 // Content is the size of the configuration that the fleet agrees on.
@@ -41,28 +41,28 @@
 
 // The kinds of steps.
 const (
-	Idle     Kind = "idle"     // nothing changes
-	Settings Kind = "settings" // versions that differ in their settings are published, one after the other
-	List     Kind = "list"     // changes of one cluster's list
-	Restart  Kind = "restart"  // a share of the hollow nodes, or those of a zone, are restarted at once
-	Apart    Kind = "apart"    // the regions hear nothing of each other from now on
-	Together Kind = "together" // they do again
-	Return   Kind = "return"   // all hollow nodes are stopped, and come back at once
+	KindIdle       Kind = "idle"     // nothing changes
+	KindSettings   Kind = "settings" // versions that differ in their settings are published, one after the other
+	KindList       Kind = "list"     // changes of one cluster's list
+	KindRestart    Kind = "restart"  // a share of the hollow nodes, or those of a zone, are restarted at once
+	KindPartition  Kind = "apart"    // the regions hear nothing of each other from now on
+	KindHeal       Kind = "together" // they do again
+	KindRestartAll Kind = "return"   // all hollow nodes are stopped, and come back at once
 )
 
-var kinds = []Kind{Idle, Settings, List, Restart, Apart, Together, Return}
+var kinds = []Kind{KindIdle, KindSettings, KindList, KindRestart, KindPartition, KindHeal, KindRestartAll}
 
 // Step is a part of a run that is measured by itself.
 type Step struct {
 	Name        string // the kind unless the file says otherwise
 	Kind        Kind
-	Length      time.Duration // idle, apart: how long it lasts
+	Duration    time.Duration // idle, apart: how long it lasts
 	Count       int           // settings, list: changes
 	Contradicts bool          // settings: each version contradicts the one before
-	Share       float64       // restart: of the hollow nodes
+	Fraction    float64       // restart: of the hollow nodes
 	Zone        int           // restart: the nodes of this zone, from 0, in place of a share; -1: none
-	Empty       bool          // restart, return: on emptied stores
-	Wait        time.Duration // the longest until all nodes act on what they should
+	EmptyStores bool          // restart, return: on emptied stores
+	Timeout     time.Duration // the longest until all nodes act on what they should
 }
 
 // Bounds of a plan.
@@ -75,41 +75,41 @@
 )
 
 type planFile struct {
-	Name       string          `toml:"name"`
-	Says       string          `toml:"says"`
-	Seed       uint64          `toml:"seed"`
-	Limit      config.Duration `toml:"limit"`
-	Sizes      []int           `toml:"sizes"`
-	PerProcess int             `toml:"per_process"`
-	Voters     int             `toml:"voters"`
-	Serves     int             `toml:"serves"`
-	Regions    int             `toml:"regions"`
-	Zones      int             `toml:"zones"`
-	TLS        bool            `toml:"tls"`
-	Lease      config.Duration `toml:"lease"`
-	Drift      float64         `toml:"drift"`
-	Take       config.Duration `toml:"take"`
-	Content    Content         `toml:"content"`
-	Step       []stepFile      `toml:"step"`
+	Name            string          `toml:"name"`
+	Description     string          `toml:"says"`
+	Seed            uint64          `toml:"seed"`
+	Timeout         config.Duration `toml:"limit"`
+	Sizes           []int           `toml:"sizes"`
+	NodesPerProcess int             `toml:"per_process"`
+	Voters          int             `toml:"voters"`
+	ServeProcesses  int             `toml:"serves"`
+	Regions         int             `toml:"regions"`
+	Zones           int             `toml:"zones"`
+	TLS             bool            `toml:"tls"`
+	Lease           config.Duration `toml:"lease"`
+	MaxClockDrift   float64         `toml:"drift"`
+	ApplyTimeout    config.Duration `toml:"take"`
+	Content         Content         `toml:"content"`
+	Steps           []stepFile      `toml:"step"`
 }
 
 type stepFile struct {
 	Name        string          `toml:"name"`
 	Kind        string          `toml:"kind"`
-	Length      config.Duration `toml:"length"`
+	Duration    config.Duration `toml:"length"`
 	Count       int             `toml:"count"`
 	Contradicts bool            `toml:"contradicts"`
-	Share       float64         `toml:"share"`
+	Fraction    float64         `toml:"share"`
 	Zone        *int            `toml:"zone"`
 	Stores      string          `toml:"stores"`
-	Wait        config.Duration `toml:"wait"`
+	Timeout     config.Duration `toml:"wait"`
 }
 
 // Parse reads a plan; name is what messages call the file.
 func Parse(name string, text []byte) (*Plan, error) {
-	f := planFile{Seed: 1, PerProcess: 200, Voters: 3, Regions: 1, Zones: 1, Drift: 0.05, Content: Content{Clusters: 1, Servers: 4, Routes: 3}}
-	f.Limit.Duration = 2 * time.Minute
-	f.Lease.Duration, f.Take.Duration = 1500*time.Millisecond, 250*time.Millisecond
+	f := planFile{Seed: 1, NodesPerProcess: 200, Voters: 3, Regions: 1, Zones: 1, MaxClockDrift: 0.05, Content: Content{Clusters: 1, Servers: 4, Routes: 3}}
+	f.Timeout.Duration = 2 * time.Minute
+	f.Lease.Duration, f.ApplyTimeout.Duration = 1500*time.Millisecond, 250*time.Millisecond
 	if err := config.Decode(name, text, &f); err != nil {
 		return nil, err
 	}
@@ -117,12 +117,12 @@
 	c := &checker{report: report}
 	c.plan(&f)
 	p := &Plan{
-		Name: f.Name, Says: f.Says, Seed: f.Seed, Limit: f.Limit.Duration, Sizes: f.Sizes, PerProcess: f.PerProcess, Voters: f.Voters,
-		Serves: f.Serves, Regions: f.Regions, Zones: f.Zones, TLS: f.TLS, Content: f.Content,
-		Terms: lease.Config{Duration: f.Lease.Duration, MaxClockDrift: f.Drift, ApplyTimeout: f.Take.Duration},
+		Name: f.Name, Description: f.Description, Seed: f.Seed, Timeout: f.Timeout.Duration, Sizes: f.Sizes, NodesPerProcess: f.NodesPerProcess, Voters: f.Voters,
+		ServeProcesses: f.ServeProcesses, Regions: f.Regions, Zones: f.Zones, TLS: f.TLS, Content: f.Content,
+		Lease: lease.Config{Duration: f.Lease.Duration, MaxClockDrift: f.MaxClockDrift, ApplyTimeout: f.ApplyTimeout.Duration},
 	}
 	names := map[string]bool{}
-	for i := range f.Step {
+	for i := range f.Steps {
 		s := c.step(&f, i)
 		if names[s.Name] {
 			report("step", i, "name", "%q is there twice: name steps of one kind", s.Name)
@@ -143,14 +143,14 @@
 	}
 }
 
-func (c *checker) span(table string, index int, key string, d config.Duration, least, most time.Duration) {
+func (c *checker) duration(table string, index int, key string, d config.Duration, least, most time.Duration) {
 	if d.Duration < least || d.Duration > most {
 		c.report(table, index, key, "%v is not from %v to %v", d, least, most)
 	}
 }
 
 func (c *checker) plan(f *planFile) {
-	if !isName(f.Name) {
+	if !isKeyPart(f.Name) {
 		c.report("", -1, "name", "%q: lower-case letters, digits and _ make a name", f.Name)
 	}
 	if len(f.Sizes) == 0 || len(f.Sizes) > maxSizes {
@@ -162,40 +162,40 @@
 			c.report("", -1, "sizes", "%d does not come after %d: they ascend", n, f.Sizes[i-1])
 		}
 	}
-	c.number("", -1, "per_process", float64(f.PerProcess), 1, MaxNodes)
+	c.number("", -1, "per_process", float64(f.NodesPerProcess), 1, MaxNodes)
 	if f.Voters != 1 && f.Voters != 3 && f.Voters != 5 && f.Voters != 7 {
 		c.report("", -1, "voters", "%d; 1, 3, 5 or 7 vote", f.Voters)
 	}
-	c.number("", -1, "serves", float64(f.Serves), 0, 64)
+	c.number("", -1, "serves", float64(f.ServeProcesses), 0, 64)
 	c.number("", -1, "regions", float64(f.Regions), 1, 8)
 	c.number("", -1, "zones", float64(f.Zones), 1, 64)
-	c.number("", -1, "drift", f.Drift, 0, 0.25)
-	c.span("", -1, "limit", f.Limit, time.Second, 2*time.Hour)
-	c.span("", -1, "lease", f.Lease, 100*time.Millisecond, time.Minute)
-	c.span("", -1, "take", f.Take, time.Millisecond, time.Minute)
+	c.number("", -1, "drift", f.MaxClockDrift, 0, 0.25)
+	c.duration("", -1, "limit", f.Timeout, time.Second, 2*time.Hour)
+	c.duration("", -1, "lease", f.Lease, 100*time.Millisecond, time.Minute)
+	c.duration("", -1, "take", f.ApplyTimeout, time.Millisecond, time.Minute)
 	c.number("content", -1, "clusters", float64(f.Content.Clusters), 1, 1000)
 	c.number("content", -1, "servers", float64(f.Content.Servers), float64(f.Content.Clusters), 100_000)
 	c.number("content", -1, "routes", float64(f.Content.Routes), float64(len(classes)), 100_000)
 	c.number("content", -1, "tenants", float64(f.Content.Tenants), 0, 1_000_000)
-	if len(f.Sizes) > 0 && f.PerProcess > 0 {
-		if n := f.Voters + f.Serves + processes(f.Sizes[len(f.Sizes)-1], f.PerProcess); n > MaxProcesses {
+	if len(f.Sizes) > 0 && f.NodesPerProcess > 0 {
+		if n := f.Voters + f.ServeProcesses + processCount(f.Sizes[len(f.Sizes)-1], f.NodesPerProcess); n > MaxProcesses {
 			c.report("", -1, "per_process", "%d processes at the largest size; %d at most", n, MaxProcesses)
 		}
 	}
-	if len(f.Step) == 0 || len(f.Step) > maxSteps {
-		c.report("", -1, "step", "%d steps; from 1 to %d", len(f.Step), maxSteps)
+	if len(f.Steps) == 0 || len(f.Steps) > maxSteps {
+		c.report("", -1, "step", "%d steps; from 1 to %d", len(f.Steps), maxSteps)
 	}
 }
 
 // step checks a step, and gives it.
 func (c *checker) step(f *planFile, i int) Step {
-	in := &f.Step[i]
-	s := Step{Name: in.Name, Kind: Kind(in.Kind), Length: in.Length.Duration, Count: in.Count, Contradicts: in.Contradicts, Share: in.Share, Zone: -1, Wait: in.Wait.Duration}
+	in := &f.Steps[i]
+	s := Step{Name: in.Name, Kind: Kind(in.Kind), Duration: in.Duration.Duration, Count: in.Count, Contradicts: in.Contradicts, Fraction: in.Fraction, Zone: -1, Timeout: in.Timeout.Duration}
 	if s.Name == "" {
 		s.Name = in.Kind
 	}
-	if s.Wait == 0 {
-		s.Wait = 10 * time.Second
+	if s.Timeout == 0 {
+		s.Timeout = 10 * time.Second
 	}
 	if in.Zone != nil {
 		s.Zone = *in.Zone
@@ -204,16 +204,16 @@
 		c.report("step", i, "kind", "%q is none of %v", in.Kind, kinds)
 		return s
 	}
-	if !isName(s.Name) {
+	if !isKeyPart(s.Name) {
 		c.report("step", i, "name", "%q: lower-case letters, digits and _ make a name", s.Name)
 	}
-	c.span("step", i, "wait", config.Duration{Duration: s.Wait}, time.Millisecond, 10*time.Minute)
-	if s.Kind == Idle || s.Kind == Apart {
-		c.span("step", i, "length", in.Length, 100*time.Millisecond, time.Hour)
-	} else if s.Length != 0 {
+	c.duration("step", i, "wait", config.Duration{Duration: s.Timeout}, time.Millisecond, 10*time.Minute)
+	if s.Kind == KindIdle || s.Kind == KindPartition {
+		c.duration("step", i, "length", in.Duration, 100*time.Millisecond, time.Hour)
+	} else if s.Duration != 0 {
 		c.report("step", i, "length", "is of idle and apart alone")
 	}
-	if s.Kind == Settings || s.Kind == List {
+	if s.Kind == KindSettings || s.Kind == KindList {
 		if s.Count == 0 {
 			s.Count = 1
 		}
@@ -221,41 +221,41 @@
 	} else if s.Count != 0 {
 		c.report("step", i, "count", "is of settings and list alone")
 	}
-	if s.Contradicts && s.Kind != Settings {
+	if s.Contradicts && s.Kind != KindSettings {
 		c.report("step", i, "contradicts", "is of settings alone")
 	}
-	c.restart(f, i, &s)
+	c.storesAndRegions(f, i, &s)
 	return s
 }
 
-func (c *checker) restart(f *planFile, i int, s *Step) {
-	in := &f.Step[i]
+func (c *checker) storesAndRegions(f *planFile, i int, s *Step) {
+	in := &f.Steps[i]
 	switch {
-	case s.Kind != Restart && (s.Share != 0 || in.Zone != nil):
+	case s.Kind != KindRestart && (s.Fraction != 0 || in.Zone != nil):
 		c.report("step", i, "share", "share and zone are of restart alone")
-	case s.Kind == Restart && in.Zone == nil:
-		c.number("step", i, "share", s.Share, 0.0001, 1)
-	case s.Kind == Restart && s.Share != 0:
+	case s.Kind == KindRestart && in.Zone == nil:
+		c.number("step", i, "share", s.Fraction, 0.0001, 1)
+	case s.Kind == KindRestart && s.Fraction != 0:
 		c.report("step", i, "zone", "a share or a zone is restarted, not both")
-	case s.Kind == Restart:
+	case s.Kind == KindRestart:
 		c.number("step", i, "zone", float64(s.Zone), 0, float64(f.Zones-1))
 	}
 	switch {
 	case in.Stores == "" || in.Stores == "kept":
 	case in.Stores != "empty":
 		c.report("step", i, "stores", "%q is neither kept nor empty", in.Stores)
-	case s.Kind != Restart && s.Kind != Return:
+	case s.Kind != KindRestart && s.Kind != KindRestartAll:
 		c.report("step", i, "stores", "is of restart and return alone")
 	default:
-		s.Empty = true
+		s.EmptyStores = true
 	}
-	if (s.Kind == Apart || s.Kind == Together) && f.Regions < 2 {
+	if (s.Kind == KindPartition || s.Kind == KindHeal) && f.Regions < 2 {
 		c.report("step", i, "kind", "%s: there is one region", s.Kind)
 	}
 }
 
-// isName tells whether a word may be a part of a figure's key.
-func isName(word string) bool {
+// isKeyPart tells whether a word may be a part of a figure's key.
+func isKeyPart(word string) bool {
 	for i, r := range word {
 		if !(r == '_' || r >= 'a' && r <= 'z' || i > 0 && r >= '0' && r <= '9') {
 			return false
@@ -264,5 +264,5 @@
 	return word != ""
 }
 
-// processes gives how many processes so many hollow nodes need.
-func processes(nodes, perProcess int) int { return (nodes + perProcess - 1) / perProcess }
+// processCount gives how many processCount so many hollow nodes need.
+func processCount(nodes, perProcess int) int { return (nodes + perProcess - 1) / perProcess }
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -18,19 +18,19 @@
 
 // Options are what a run is played with.
 type Options struct {
-	Dir     string   // for the processes' folders
-	Command []string // that starts the program
-	Env     []string
-	Tell    func(format string, args ...any) // of progress
+	Dir      string   // for the processes' folders
+	Command  []string // that starts the program
+	Env      []string
+	Progress func(format string, args ...any) // of progress
 }
 
 // Play plays a plan at all its sizes.
 func Play(ctx context.Context, p *Plan, o Options) (*Figures, error) {
-	ctx, stop := context.WithTimeoutCause(ctx, p.Limit, fmt.Errorf("the run is not over within its limit of %v", p.Limit))
+	ctx, stop := context.WithTimeoutCause(ctx, p.Timeout, fmt.Errorf("the run is not over within its limit of %v", p.Timeout))
 	defer stop()
 	f := &Figures{
-		Name: p.Name, Says: p.Says, Seed: p.Seed, Sizes: p.Sizes, Voters: p.Voters, Serves: p.Serves, Regions: p.Regions, Zones: p.Zones,
-		TLS: p.TLS, Lease: p.Terms.Duration.String(), Renew: p.Terms.RenewInterval().String(), Content: p.Content, Counts: counts, Series: map[string]*Series{},
+		Name: p.Name, Description: p.Description, Seed: p.Seed, Sizes: p.Sizes, Voters: p.Voters, ServeProcesses: p.ServeProcesses, Regions: p.Regions, Zones: p.Zones,
+		TLS: p.TLS, Lease: p.Lease.Duration.String(), Renew: p.Lease.RenewInterval().String(), Content: p.Content, CounterNotes: counterNotes, Series: map[string]*Series{},
 		Machine: Machine{Cores: runtime.NumCPU(), System: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()},
 	}
 	memory, err := machineMemory()
@@ -38,14 +38,14 @@
 		return nil, err
 	}
 	f.Machine.MemoryMB = memory >> 20
-	if f.Machine.Stores, err = fileSystem(o.Dir); err != nil {
+	if f.Machine.StoreFileSystem, err = fileSystem(o.Dir); err != nil {
 		return nil, err
 	}
-	if _, err := files.Unbundle(p.Content.bundle(2, first)); err != nil {
+	if _, err := files.Unbundle(p.Content.bundle(2, firstSettings)); err != nil {
 		return nil, fmt.Errorf("%s: content: a node would refuse it: %w", p.Name, err)
 	}
 	for _, size := range p.Sizes {
-		f.Machine.Load = append(f.Machine.Load, load())
+		f.Machine.LoadAverages = append(f.Machine.LoadAverages, loadAverage())
 		if err := playSize(ctx, p, size, memory/2, o, f); err != nil {
 			if cause := context.Cause(ctx); cause != nil {
 				err = errors.Join(cause, err)
@@ -60,14 +60,14 @@
 // player plays a plan's steps at a size.
 type player struct {
 	*rig
-	tell     func(format string, args ...any)
-	figures  *Figures
-	memory   int64 // that all processes may have together
-	rng      *rand.Rand
-	settings settings
-	changes  int
-	number   uint64 // of the version that was published last
-	idle     []rate // by process: what it uses while nothing changes
+	progress    func(format string, args ...any)
+	figures     *Figures
+	memoryLimit int64 // that all processes may have together
+	rng         *rand.Rand
+	settings    settings
+	changes     int
+	version     uint64  // of the version that was published last
+	idleRates   []usage // by process: what it uses while nothing changes
 }
 
 func playSize(ctx context.Context, p *Plan, size int, memory int64, o Options, f *Figures) error {
@@ -78,8 +78,8 @@
 	}
 	defer os.RemoveAll(dir)
 	defer r.close()
-	w := &player{rig: r, tell: o.Tell, figures: f, memory: memory, rng: rand.New(rand.NewPCG(p.Seed, uint64(size))), settings: first}
-	if err := w.begin(ctx); err != nil {
+	w := &player{rig: r, progress: o.Progress, figures: f, memoryLimit: memory, rng: rand.New(rand.NewPCG(p.Seed, uint64(size))), settings: firstSettings}
+	if err := w.publishFirst(ctx); err != nil {
 		return err
 	}
 	for _, s := range p.Steps {
@@ -90,34 +90,34 @@
 	return nil
 }
 
-// startFor is how long the fleet has to act on its first version.
-const startFor = 5 * time.Minute
+// startTimeout is how long the fleet has to act on its first version.
+const startTimeout = 5 * time.Minute
 
-// begin publishes the first version and waits until all nodes act on it.
-func (w *player) begin(ctx context.Context) error {
+// publishFirst publishes the first version and waits until all nodes act on it.
+func (w *player) publishFirst(ctx context.Context) error {
 	began := time.Now()
 	if _, err := w.publish(ctx, func(ctx context.Context, id string) (*agent.PublishReply, error) {
-		return w.client.Publish(ctx, id, 0, w.plan.Content.bundle(w.total(), w.settings))
+		return w.client.Publish(ctx, id, 0, w.plan.Content.bundle(w.nodeCount(), w.settings))
 	}); err != nil {
 		return err
 	}
-	states, err := w.await(ctx, w.number, startFor)
+	states, err := w.awaitVersion(ctx, w.version, startTimeout)
 	if err != nil {
 		return err
 	}
-	if late := behind(states, w.number); len(late) > 0 {
-		return fmt.Errorf("%d nodes, %s among them, do not act on the first version within %v", len(late), late[0].Node, startFor)
+	if late := lateNodes(states, w.version); len(late) > 0 {
+		return fmt.Errorf("%d nodes, %s among them, do not act on the first version within %v", len(late), late[0].Node, startTimeout)
 	}
-	w.tell("%d nodes: all act on the first version %v after it was asked for", w.size, time.Since(began).Round(time.Millisecond))
+	w.progress("%d nodes: all act on the first version %v after it was asked for", w.size, time.Since(began).Round(time.Millisecond))
 	return nil
 }
 
-// publishWithin is how long it may take until a version is taken up.
-const publishWithin = time.Minute
+// publishTimeout is how long it may take until a version is taken up.
+const publishTimeout = time.Minute
 
 // publish has a version taken up, and gives when it was asked for.
 func (w *player) publish(ctx context.Context, do func(ctx context.Context, id string) (*agent.PublishReply, error)) (began time.Duration, err error) {
-	ctx, stop := context.WithTimeout(ctx, publishWithin)
+	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
 	id := agent.NewID()
 	began = agent.BootTime()
@@ -125,7 +125,7 @@
 		published, err := do(ctx, id)
 		switch {
 		case err == nil && published.Number > 0:
-			w.number = published.Number
+			w.version = published.Number
 			return began, nil
 		case err == nil && !published.Retry:
 			return 0, fmt.Errorf("nothing is published: %s", published.Error)
@@ -134,7 +134,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return 0, fmt.Errorf("it is not taken up within %v: %w", publishWithin, err)
+			return 0, fmt.Errorf("it is not taken up within %v: %w", publishTimeout, err)
 		case <-time.After(20 * time.Millisecond): // the voters elect a leader, or another version waits
 		}
 	}
@@ -147,18 +147,18 @@
 		return err
 	}
 	switch s.Kind {
-	case Idle:
-		err = pause(ctx, s.Length)
-	case Settings, List:
-		err = w.change(ctx, s)
-	case Restart:
+	case KindIdle:
+		err = pause(ctx, s.Duration)
+	case KindSettings, KindList:
+		err = w.publishChanges(ctx, s)
+	case KindRestart:
 		err = w.restart(ctx, s)
-	case Apart:
-		err = w.part(ctx, s)
-	case Together:
-		err = w.join(ctx, s)
-	case Return:
-		err = w.comeBack(ctx, s)
+	case KindPartition:
+		err = w.partitionRegions(ctx, s)
+	case KindHeal:
+		err = w.healRegions(ctx, s)
+	case KindRestartAll:
+		err = w.restartAll(ctx, s)
 	}
 	if err != nil {
 		return err
@@ -171,11 +171,11 @@
 	for _, r := range after {
 		total += r.Memory
 	}
-	if total > w.memory {
-		return fmt.Errorf("all processes have %d MB, and half of the machine's memory is %d: choose smaller sizes", total>>20, w.memory>>20)
+	if total > w.memoryLimit {
+		return fmt.Errorf("all processes have %d MB, and half of the machine's memory is %d: choose smaller sizes", total>>20, w.memoryLimit>>20)
 	}
 	w.measure(s, before, after)
-	w.tell("%d nodes: step %s, %v, all processes have %d MB", w.size, s.Name, (after[0].At - before[0].At).Round(time.Millisecond), total>>20)
+	w.progress("%d nodes: step %s, %v, all processes have %d MB", w.size, s.Name, (after[0].At - before[0].At).Round(time.Millisecond), total>>20)
 	return nil
 }
 
@@ -190,54 +190,54 @@
 	}
 }
 
-// change publishes a step's versions, one after the other, each once all act on the one before or the step's wait is
+// publishChanges publishes a step's versions, one after the other, each once all act on the one before or the step's wait is
 // over.
-func (w *player) change(ctx context.Context, s Step) error {
+func (w *player) publishChanges(ctx context.Context, s Step) error {
 	var published []float64
 	took := map[Role][]float64{}
 	for range s.Count {
-		base := w.number
+		base := w.version
 		began, err := w.publish(ctx, func(ctx context.Context, id string) (*agent.PublishReply, error) {
-			if s.Kind == List {
-				return w.client.PublishChange(ctx, id, base, w.plan.Content.change(w.changes+1))
+			if s.Kind == KindList {
+				return w.client.PublishChange(ctx, id, base, w.plan.Content.deltaFile(w.changes+1))
 			}
-			return w.client.Publish(ctx, id, base, w.plan.Content.bundle(w.total(), w.settings.next(s.Contradicts)))
+			return w.client.Publish(ctx, id, base, w.plan.Content.bundle(w.nodeCount(), w.settings.next(s.Contradicts)))
 		})
 		if err != nil {
 			return err
 		}
 		published = append(published, milliseconds(agent.BootTime()-began))
-		if w.changes++; s.Kind == Settings {
+		if w.changes++; s.Kind == KindSettings {
 			w.settings = w.settings.next(s.Contradicts)
 		}
-		states, err := w.await(ctx, w.number, s.Wait)
+		states, err := w.awaitVersion(ctx, w.version, s.Timeout)
 		if err != nil {
 			return err
 		}
-		w.untold(s, states)
-		w.gather(took, states, began)
+		w.recordLate(s, states)
+		w.addInForceTimes(took, states, began)
 	}
 	w.figures.add(s.Name+".operator.published", "ms", float64(w.size), mean(published))
-	w.times(s, "in_force", took)
+	w.addPercentiles(s, "in_force", took)
 	return nil
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// gather adds, by role, how long after a moment each node that acts on the last version took it.
-func (w *player) gather(took map[Role][]float64, states [][]State, began time.Duration) {
+// addInForceTimes adds, by role, how long after a moment each node that acts on the last version took it.
+func (w *player) addInForceTimes(took map[Role][]float64, states [][]State, began time.Duration) {
 	for i, list := range states {
 		for _, n := range list {
-			if n.On(w.number) && n.Took > began {
+			if n.ActsOn(w.version) && n.AppliedAt > began {
 				role := w.members[i].role
-				took[role] = append(took[role], milliseconds(n.Took-began))
+				took[role] = append(took[role], milliseconds(n.AppliedAt-began))
 			}
 		}
 	}
 }
 
-// times adds the figures of times, by role.
-func (w *player) times(s Step, what string, took map[Role][]float64) {
+// addPercentiles adds the figures of addPercentiles, by role.
+func (w *player) addPercentiles(s Step, what string, took map[Role][]float64) {
 	for role, list := range took {
 		slices.Sort(list)
 		for _, q := range []struct {
@@ -250,11 +250,11 @@
 	}
 }
 
-// behind gives the nodes that don't act on a version.
-func behind(states [][]State, number uint64) (list []State) {
+// lateNodes gives the nodes that don't act on a version.
+func lateNodes(states [][]State, number uint64) (list []State) {
 	for _, of := range states {
 		for _, n := range of {
-			if !n.On(number) {
+			if !n.ActsOn(number) {
 				list = append(list, n)
 			}
 		}
@@ -262,82 +262,82 @@
 	return list
 }
 
-// untoldMost is how many nodes are named that were not told.
-const untoldMost = 8
+// maxLateNames is how many nodes are named that were not told.
+const maxLateNames = 8
 
-// untold takes down the nodes that don't act on the last version.
-func (w *player) untold(s Step, states [][]State) {
-	late := behind(states, w.number)
+// recordLate takes down the nodes that don't act on the last version.
+func (w *player) recordLate(s Step, states [][]State) {
+	late := lateNodes(states, w.version)
 	if len(late) == 0 {
 		return
 	}
-	u := Untold{Step: s.Name, Size: w.size, Count: len(late), By: make([]int, w.plan.Regions)}
+	u := LateNodes{Step: s.Name, Size: w.size, Count: len(late), ByRegion: make([]int, w.plan.Regions)}
 	for _, n := range late {
-		if u.By[n.Region]++; len(u.Nodes) < untoldMost {
+		if u.ByRegion[n.Region]++; len(u.Nodes) < maxLateNames {
 			u.Nodes = append(u.Nodes, n.Node)
 		}
 	}
-	w.figures.Untold = append(w.figures.Untold, u)
+	w.figures.Late = append(w.figures.Late, u)
 }
 
 // restart restarts some hollow nodes at once and waits until they act again.
 func (w *player) restart(ctx context.Context, s Step) error {
 	chosen := map[string]bool{}
 	for _, i := range w.rng.Perm(w.size) {
-		if s.Zone >= 0 && i%w.plan.Zones == s.Zone || s.Zone < 0 && len(chosen) < int(math.Ceil(s.Share*float64(w.size))) {
+		if s.Zone >= 0 && i%w.plan.Zones == s.Zone || s.Zone < 0 && len(chosen) < int(math.Ceil(s.Fraction*float64(w.size))) {
 			chosen[nodeName(i)] = true
 		}
 	}
 	first := 0
 	began := agent.BootTime()
-	if _, err := w.members.ask(ctx, func(m *member) *Command {
+	if _, err := w.members.call(ctx, func(m *member) *Command {
 		if m.role != NodeRole {
 			return nil
 		}
-		c := &Command{Op: OpRestart, Empty: s.Empty}
-		for i := first; i < first+m.nodes; i++ {
+		c := &Command{Op: OpRestart, EmptyStores: s.EmptyStores}
+		for i := first; i < first+m.nodeCount; i++ {
 			if name := nodeName(i); chosen[name] {
 				c.Nodes = append(c.Nodes, name)
 			}
 		}
-		first += m.nodes
+		first += m.nodeCount
 		return c
 	}); err != nil {
 		return err
 	}
 	w.figures.add(s.Name+".node.restarted", "nodes", float64(w.size), float64(len(chosen)))
-	return w.back(ctx, s, began)
+	return w.awaitRecovery(ctx, s, began)
 }
 
-// back waits until all nodes act on the last version, and says how long those took that had not.
-func (w *player) back(ctx context.Context, s Step, began time.Duration) error {
-	states, err := w.await(ctx, w.number, s.Wait)
+// awaitRecovery waits until all nodes act on the last version, and says how long those took that had not.
+func (w *player) awaitRecovery(ctx context.Context, s Step, began time.Duration) error {
+	states, err := w.awaitVersion(ctx, w.version, s.Timeout)
 	if err != nil {
 		return err
 	}
-	w.untold(s, states)
+	w.recordLate(s, states)
 	took := map[Role][]float64{}
 	for i, list := range states {
 		for _, n := range list {
-			if n.On(w.number) && n.At > began {
+			if n.ActsOn(w.version) && n.ChangedAt > began {
 				role := w.members[i].role
-				took[role] = append(took[role], milliseconds(n.At-began))
+				took[role] = append(took[role], milliseconds(n.ChangedAt-began))
 			}
 		}
 	}
-	w.times(s, "back", took)
+	w.addPercentiles(s, "back", took)
 	return nil
 }
 
-// part has the regions hear nothing of each other, and counts the nodes' leases at the end of the step's length.
-func (w *player) part(ctx context.Context, s Step) error {
-	if err := w.apart(ctx, true); err != nil {
+// partitionRegions has the regions hear nothing of each other, and counts the nodes' leases at the end of the step's length.
+func (w *player) partitionRegions(ctx context.Context, s Step) error {
+	if err := w.setPartitioned(ctx, true); err != nil {
 		return err
 	}
-	if err := pause(ctx, s.Length); err != nil {
+	if err := pause(ctx, s.Duration); err != nil {
 		return err
 	}
-	states, err := w.await(ctx, 0, 0)
+	states, err := w.awaitVersion(ctx, 0, 0)
 	if err != nil {
 		return err
 	}
@@ -345,9 +345,9 @@
 	for _, list := range states {
 		for _, n := range list {
 			switch {
-			case n.Alone:
+			case n.Disconnected:
 				alone[n.Region]++
-			case n.Number > 0:
+			case n.Version > 0:
 				leased[n.Region]++
 			}
 		}
@@ -360,24 +360,24 @@
 	return nil
 }
 
-// join has the regions hear of each other again.
-func (w *player) join(ctx context.Context, s Step) error {
+// healRegions has the regions hear of each other again.
+func (w *player) healRegions(ctx context.Context, s Step) error {
 	began := agent.BootTime()
-	if err := w.apart(ctx, false); err != nil {
+	if err := w.setPartitioned(ctx, false); err != nil {
 		return err
 	}
-	return w.back(ctx, s, began)
+	return w.awaitRecovery(ctx, s, began)
 }
 
-// comeBack stops all hollow nodes and starts them at once.
-func (w *player) comeBack(ctx context.Context, s Step) error {
-	hollow := w.members.of(NodeRole)
-	if _, err := hollow.ask(ctx, same(Command{Op: OpStop})); err != nil {
+// restartAll stops all hollow nodes and starts them at once.
+func (w *player) restartAll(ctx context.Context, s Step) error {
+	hollow := w.members.withRole(NodeRole)
+	if _, err := hollow.call(ctx, toAll(Command{Op: OpStop})); err != nil {
 		return err
 	}
 	began := agent.BootTime()
-	if _, err := hollow.ask(ctx, same(Command{Op: OpStart, Empty: s.Empty})); err != nil {
+	if _, err := hollow.call(ctx, toAll(Command{Op: OpStart, EmptyStores: s.EmptyStores})); err != nil {
 		return err
 	}
-	return w.back(ctx, s, began)
+	return w.awaitRecovery(ctx, s, began)
 }
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -48,84 +48,84 @@
 // newRig starts the processes of a plan at a size, in a folder.
 func newRig(ctx context.Context, p *Plan, size int, dir string, command, env []string) (*rig, error) {
 	r := &rig{plan: p, size: size, dir: dir, command: command[:len(command):len(command)], env: env}
-	if err := r.build(ctx); err != nil {
+	if err := r.setUp(ctx); err != nil {
 		r.close()
 		return nil, err
 	}
 	return r, nil
 }
 
-// build makes the processes and starts them, voters first.
-func (r *rig) build(ctx context.Context) error {
-	if err := r.place(); err != nil {
+// setUp makes the processes and starts them, voters first.
+func (r *rig) setUp(ctx context.Context) error {
+	if err := r.addProcesses(); err != nil {
 		return err
 	}
-	if err := r.configure(ctx); err != nil {
+	if err := r.writeFiles(ctx); err != nil {
 		return err
 	}
-	if err := r.operator(); err != nil {
+	if err := r.connectOperator(); err != nil {
 		return err
 	}
 	for _, role := range []Role{VoterRole, ServeRole, NodeRole} {
-		if err := r.start(ctx, r.members.of(role)); err != nil {
+		if err := r.start(ctx, r.members.withRole(role)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// total is how many nodes the fleet has.
-func (r *rig) total() int { return r.plan.Voters + r.plan.Serves + r.size }
+// nodeCount is how many nodes the fleet has.
+func (r *rig) nodeCount() int { return r.plan.Voters + r.plan.ServeProcesses + r.size }
 
-// place makes the processes, which have not been started.
-func (r *rig) place() error {
+// addProcesses makes the processes, which have not been started.
+func (r *rig) addProcesses() error {
 	p := r.plan
 	for i := range p.Voters {
-		if err := r.add(VoterRole, fmt.Sprint("v", i), 1, r.serving(i)); err != nil {
+		if err := r.addProcess(VoterRole, fmt.Sprint("v", i), 1, r.serveArguments(i)); err != nil {
 			return err
 		}
 	}
-	for i := range p.Serves {
-		if err := r.add(ServeRole, fmt.Sprint("s", i), 1, r.serving(i)); err != nil {
+	for i := range p.ServeProcesses {
+		if err := r.addProcess(ServeRole, fmt.Sprint("s", i), 1, r.serveArguments(i)); err != nil {
 			return err
 		}
 	}
-	count := processes(r.size, p.PerProcess)
+	count := processCount(r.size, p.NodesPerProcess)
 	for i := range count {
 		first, next := i*r.size/count, (i+1)*r.size/count
-		at := Placement{First: first, Count: next - first, Before: p.Voters + p.Serves, Regions: p.Regions, Zones: p.Zones}
-		if err := r.add(NodeRole, fmt.Sprint("hollow", i), at.Count, at.Arguments()); err != nil {
+		at := Placement{First: first, Count: next - first, Offset: p.Voters + p.ServeProcesses, Regions: p.Regions, Zones: p.Zones}
+		if err := r.addProcess(NodeRole, fmt.Sprint("hollow", i), at.Count, at.arguments()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Arguments are those of the command that runs hollow nodes.
-func (at Placement) Arguments() []string {
-	return []string{"lab", "hollow", fmt.Sprint("--first=", at.First), fmt.Sprint("--count=", at.Count), fmt.Sprint("--before=", at.Before),
+// arguments are those of the command that runs hollow nodes.
+func (at Placement) arguments() []string {
+	return []string{"lab", "hollow", fmt.Sprint("--first=", at.First), fmt.Sprint("--count=", at.Count), fmt.Sprint("--before=", at.Offset),
 		fmt.Sprint("--regions=", at.Regions), fmt.Sprint("--zones=", at.Zones), "-c"}
 }
 
-// serving are those of the command that runs a whole node.
-func (r *rig) serving(i int) []string {
+// serveArguments are those of the command that runs a whole node.
+func (r *rig) serveArguments(i int) []string {
 	return []string{"lab", "serve", "--controlled", fmt.Sprint("--region=", i%r.plan.Regions), fmt.Sprint("--zone=", i%r.plan.Zones),
 		fmt.Sprint("--regions=", r.plan.Regions), "-c"}
 }
 
-func (r *rig) add(role Role, name string, nodes int, arguments []string) error {
+func (r *rig) addProcess(role Role, name string, nodes int, arguments []string) error {
 	proc, err := fleet.NewProcess(filepath.Join(r.dir, name), append(r.command, arguments...), r.env)
 	if err != nil {
 		return err
 	}
 	proc.Piped = true
-	r.members = append(r.members, &member{role: role, name: name, nodes: nodes, proc: proc})
+	r.members = append(r.members, &member{role: role, name: name, nodeCount: nodes, proc: proc})
 	return nil
 }
 
-// configure writes the processes' files, and makes the voters' stores.
-func (r *rig) configure(ctx context.Context) error {
-	for _, m := range r.members.of(VoterRole) {
+// writeFiles writes the processes' files, and makes the voters' stores.
+func (r *rig) writeFiles(ctx context.Context) error {
+	for _, m := range r.members.withRole(VoterRole) {
 		address, err := freeAddress(m.proc.Addr)
 		if err != nil {
 			return err
@@ -141,7 +141,7 @@
 		if err := os.MkdirAll(filepath.Join(m.proc.Dir, "clusters"), 0o700); err != nil {
 			return err
 		}
-		if err := os.WriteFile(m.proc.Config(), []byte(r.file(m, i)), 0o600); err != nil {
+		if err := os.WriteFile(m.proc.Config(), []byte(r.programFile(m, i)), 0o600); err != nil {
 			return err
 		}
 		if m.role != VoterRole {
@@ -195,14 +195,14 @@
 	return authority.Write(r.keys, pairName, names...)
 }
 
-// file is the own file of a process's nodes.
-func (r *rig) file(m *member, number int) string {
-	t := &r.plan.Terms
+// programFile is the own programFile of a process's nodes.
+func (r *rig) programFile(m *member, number int) string {
+	t := &r.plan.Lease
 	var b strings.Builder
 	if r.keys != "" {
 		fmt.Fprintf(&b, "[keys]\nfolder = %q\n", r.keys)
 	}
-	b.WriteString(own(m.proc.Addr, r.total(), number))
+	b.WriteString(baseConfig(m.proc.Addr, r.nodeCount(), number))
 	fmt.Fprintf(&b, "[fleet.agree]\nname = %q\nnode = %q\nlease = %q\ndrift = %v\ntake = %q\n", fleetName, m.name, t.Duration, t.MaxClockDrift, t.ApplyTimeout)
 	if r.keys != "" {
 		fmt.Fprintf(&b, "roots = %q\ncertificate = %q\n", rootsName, pairName)
@@ -215,12 +215,12 @@
 	if m.role == VoterRole {
 		fmt.Fprintf(&b, "listen = %q\n", r.voters[number].Address)
 	}
-	b.WriteString(Content{Clusters: 1, Servers: 1, Routes: len(classes)}.rules(first))
+	b.WriteString(Content{Clusters: 1, Servers: 1, Routes: len(classes)}.policyConfig(firstSettings))
 	return b.String()
 }
 
-// operator makes the client that publishes.
-func (r *rig) operator() error {
+// connectOperator makes the client that publishes.
+func (r *rig) connectOperator() error {
 	var with *tls.Config
 	if r.keys != "" {
 		keys, err := tlskeys.Open(r.keys, pairName, slog.New(slog.DiscardHandler))
@@ -257,7 +257,7 @@
 
 // reports gives what each process has used.
 func (r *rig) reports(ctx context.Context) ([]Report, error) {
-	replies, err := r.members.ask(ctx, same(Command{Op: OpReport}))
+	replies, err := r.members.call(ctx, toAll(Command{Op: OpReport}))
 	if err != nil {
 		return nil, err
 	}
@@ -268,9 +268,9 @@
 	return list, nil
 }
 
-// await gives what all nodes act on, by process, once all act on a version or so much time has passed.
-func (r *rig) await(ctx context.Context, number uint64, longest time.Duration) ([][]State, error) {
-	replies, err := r.members.ask(ctx, same(Command{Op: OpAwait, Number: number, For: longest}))
+// awaitVersion gives what all nodes act on, by process, once all act on a version or so much time has passed.
+func (r *rig) awaitVersion(ctx context.Context, number uint64, longest time.Duration) ([][]State, error) {
+	replies, err := r.members.call(ctx, toAll(Command{Op: OpAwait, Version: number, Timeout: longest}))
 	if err != nil {
 		return nil, err
 	}
@@ -281,13 +281,13 @@
 	return list, nil
 }
 
-// apart parts the regions, or joins them again.
-func (r *rig) apart(ctx context.Context, apart bool) error {
-	c := Command{Op: OpJoin}
+// setPartitioned parts the regions, or joins them again.
+func (r *rig) setPartitioned(ctx context.Context, apart bool) error {
+	c := Command{Op: OpHeal}
 	if apart {
-		c.Op = OpApart
+		c.Op = OpPartition
 	}
-	r.meter.Apart(apart)
-	_, err := r.members.ask(ctx, same(c))
+	r.meter.SetPartitioned(apart)
+	_, err := r.members.call(ctx, toAll(c))
 	return err
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -40,7 +40,7 @@
 			t.Error(err)
 			continue
 		}
-		s := first
+		s := firstSettings
 		for _, contradicts := range []bool{false, true} {
 			s = s.next(contradicts)
 			if _, err := files.Unbundle(p.Content.bundle(2, s)); err != nil {
@@ -157,7 +157,7 @@
 	for i := range 200 {
 		list = append(list, float64(200-i))
 	}
-	w.times(Step{Name: "list"}, "in_force", map[Role][]float64{NodeRole: list, ServeRole: {7}})
+	w.addPercentiles(Step{Name: "list"}, "in_force", map[Role][]float64{NodeRole: list, ServeRole: {7}})
 	for key, want := range map[string]float64{
 		"list.node.in_force_p50": 100, "list.node.in_force_p99": 198, "list.node.in_force_worst": 200, "list.serve.in_force_p50": 7, "list.serve.in_force_p99": 7,
 	} {
@@ -170,30 +170,30 @@
 // Await returns when the last node acts on the version, and names those that don't at its end.
 func TestAwait(t *testing.T) {
 	s := NewStates()
-	s.Start("a", 0, 0)
-	s.Start("b", 1, 0)
+	s.Register("a", 0, 0)
+	s.Register("b", 1, 0)
 	on := func(node string, number, pending uint64, alone bool) {
-		s.Acted(node, consensus.ActiveVersions{Version: number, PendingVersion: pending}, alone)
+		s.Record(node, consensus.ActiveVersions{Version: number, PendingVersion: pending}, alone)
 	}
 	on("a", 3, 0, false)
 	on("b", 2, 3, false) // the stricter of both is not yet the version
 	ended, stop := context.WithCancel(t.Context())
 	stop()
-	if list := s.Await(ended, 3); list[0].On(3) != true || list[1].On(3) || list[1].Region != 1 {
+	if list := s.Await(ended, 3); list[0].ActsOn(3) != true || list[1].ActsOn(3) || list[1].Region != 1 {
 		t.Errorf("%+v", list)
 	}
 	done := make(chan []State)
 	go func() { done <- s.Await(t.Context(), 3) }()
 	on("b", 3, 0, false)
 	list := testutil.Wait(t, done, "both")
-	took := list[1].Took
+	took := list[1].AppliedAt
 	on("b", 3, 0, true)
 	on("b", 3, 0, false) // its lease came back: it took the version before
-	if list, on, _ := s.All(3); !on || list[1].Took != took || list[1].At <= took {
+	if list, on, _ := s.Snapshot(3); !on || list[1].AppliedAt != took || list[1].ChangedAt <= took {
 		t.Errorf("%+v", list)
 	}
 	on("b", 3, 0, true)
-	if _, on, _ := s.All(3); on {
+	if _, on, _ := s.Snapshot(3); on {
 		t.Error("a node whose lease is over counts")
 	}
 }
@@ -256,8 +256,8 @@
 // are together. One that is closed meanwhile waits for nothing.
 func TestMeterApart(t *testing.T) {
 	m, near, far := pair(t, 1)
-	m.Apart(true)
-	m.Apart(true)
+	m.SetPartitioned(true)
+	m.SetPartitioned(true)
 	written := make(chan error, 1)
 	go func() {
 		_, err := io.WriteString(near, "late")
@@ -274,7 +274,7 @@
 		t.Errorf("written while apart: %v", err)
 	default:
 	}
-	m.Apart(false)
+	m.SetPartitioned(false)
 	if err := testutil.Wait(t, written, "the write"); err != nil {
 		t.Error(err)
 	}
@@ -285,7 +285,7 @@
 	if _, err := io.ReadFull(near, b); err != nil || string(b) != "held" {
 		t.Errorf("%q, %v", b, err)
 	}
-	m.Apart(true)
+	m.SetPartitioned(true)
 	go func() {
 		_, err := io.WriteString(near, "never")
 		written <- err
@@ -300,8 +300,8 @@
 // something.
 func TestControlled(t *testing.T) {
 	s := NewStates()
-	s.Start("a", 0, 0)
-	c := &Controlled{Meter: NewMeter(nil, 1), States: s}
+	s.Register("a", 0, 0)
+	c := &CommandServer{Meter: NewMeter(nil, 1), States: s}
 	in, commands := io.Pipe()
 	answers, out := io.Pipe()
 	ended, gone := make(chan error, 1), make(chan struct{})
@@ -328,7 +328,7 @@
 	if r := read(); r.Error != "" || r.Report.Nodes != 1 || r.Report.CPU <= 0 {
 		t.Errorf("%+v", r)
 	}
-	e.Encode(Command{Op: OpAwait, Number: 9, For: time.Hour})
+	e.Encode(Command{Op: OpAwait, Version: 9, Timeout: time.Hour})
 	commands.Close()
 	testutil.Wait(t, gone, "word that who commands is gone")
 	read() // what it knew by then
@@ -343,7 +343,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = Play(t.Context(), p, Options{Dir: t.TempDir(), Command: []string{"/nothing"}, Tell: t.Logf})
+	_, err = Play(t.Context(), p, Options{Dir: t.TempDir(), Command: []string{"/nothing"}, Progress: t.Logf})
 	if err == nil || !strings.Contains(err.Error(), "content: a node would refuse it") || !strings.Contains(err.Error(), fmt.Sprintf("over %d tenants", config.MaxTenants)) {
 		t.Error(err)
 	}
