--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -44,11 +44,6 @@
 	{"connections", "connections", func(r *Report) float64 { return float64(r.Dialed.Connections + r.Accepted.Connections) }, basic},
 }
 
-func (t *Traffic) packets() int64 { return t.PacketsIn + t.PacketsOut }
-
-// wireBytes gives the bytes both ways, with headers.
-func (t *Traffic) wireBytes() int64 { return t.In + t.Out + packetHeaderBytes*t.packets() }
-
 // usageBetween gives what a process used usageBetween two reports.
 func usageBetween(a, b *Report) usage {
 	r := usage{seconds: (b.At - a.At).Seconds()}
