--- a/internal/lab/process/measure.go
+++ b/internal/lab/process/measure.go
@@ -9,6 +9,8 @@
 	"path/filepath"
 	"slices"
 	"time"
+
+	"yokestall/internal/lab/ctxtime"
 )
 
 const megabyte = 1 << 20
@@ -157,7 +159,7 @@
 		return err
 	}
 	began := time.Now()
-	if err := pause(ctx, m.plan.Rest.Duration); err != nil {
+	if err := ctxtime.Sleep(ctx, m.plan.Rest.Duration); err != nil {
 		return err
 	}
 	after, err := m.served.Usage()
--- a/internal/lab/process/served.go
+++ b/internal/lab/process/served.go
@@ -14,6 +14,7 @@
 
 	"yokestall/internal/fake/appbox"
 	"yokestall/internal/fake/fleet"
+	"yokestall/internal/lab/ctxtime"
 )
 
 const (
@@ -169,7 +170,7 @@
 			s.taken++
 			return nil
 		}
-		if err := pause(ctx, lookEvery); err != nil {
+		if err := ctxtime.Sleep(ctx, lookEvery); err != nil {
 			return fmt.Errorf("version %d of the files: %w", s.taken+1, err)
 		}
 	}
@@ -195,7 +196,7 @@
 		if err == nil && text == want {
 			return nil
 		}
-		if pauseErr := pause(ctx, askEvery); pauseErr != nil {
+		if pauseErr := ctxtime.Sleep(ctx, askEvery); pauseErr != nil {
 			return errors.Join(fmt.Errorf("%s answers %q, not %q", path, text, want), err, pauseErr)
 		}
 	}
@@ -214,15 +215,3 @@
 	text, err := io.ReadAll(a.Body)
 	return string(bytes.TrimSpace(text)), err
 }
-
-// pause waits for a time, or for the end of ctx.
-func pause(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
