--- a/internal/lab/scale/conn.go
+++ b/internal/lab/scale/conn.go
@@ -7,28 +7,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn counts what it carries. One to another region carries nothing, either way, while that is apart: nobody is
-// told, as by a network that loses all.
+// conn counts what it carries. One to another region carries nothing either way during a partition, and neither end
+// gets an error, as with a network that drops all packets.
 type conn struct {
 	net.Conn
 	meter       *Meter
-	traffic     *traffic
+	traffic     *trafficCounter
 	crossRegion bool
 	once        sync.Once
 	closed      chan struct{}
 }
 
-// wrap has a connection counted, and cut while the regions are apart if it is to another one.
-func (m *Meter) wrap(c net.Conn, count *traffic, far bool) *conn {
-	w := &conn{Conn: c, meter: m, traffic: count, crossRegion: far, closed: make(chan struct{})}
-	count.add(w)
-	return w
+// wrap returns a connection that counter counts, and that a partition blocks if it crosses regions.
+func (m *Meter) wrap(c net.Conn, counter *trafficCounter, crossRegion bool) *conn {
+	counted := &conn{Conn: c, meter: m, traffic: counter, crossRegion: crossRegion, closed: make(chan struct{})}
+	counter.add(counted)
+	return counted
 }
 
-// packets gives how many segments the kernel has received and sent; none, if it doesn't say.
+// packets returns how many TCP segments the kernel has received and sent; 0 where it doesn't say.
 func (c *conn) packets() (in, out int64) {
-	tcp, is := c.Conn.(*net.TCPConn)
-	if !is {
+	tcp, ok := c.Conn.(*net.TCPConn)
+	if !ok {
 		return 0, 0
 	}
 	raw, err := tcp.SyscallConn()
@@ -43,6 +43,7 @@
 	return in, out
 }
 
+// awaitHealed blocks a connection that crosses regions during a partition, until it is closed.
 func (c *conn) awaitHealed() error {
 	if !c.crossRegion {
 		return nil
@@ -50,17 +51,17 @@
 	return c.meter.awaitHealed(c.closed)
 }
 
-// Read gives what came.
+// Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if gone := c.awaitHealed(); gone != nil {
-		return 0, gone
+	if closed := c.awaitHealed(); closed != nil {
+		return 0, closed
 	}
 	c.traffic.in.Add(int64(n))
 	return n, err
 }
 
-// Write sends.
+// Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	if err := c.awaitHealed(); err != nil {
 		return 0, err
@@ -70,7 +71,7 @@
 	return n, err
 }
 
-// Close ends it.
+// Close implements net.Conn.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
--- a/internal/lab/scale/content.go
+++ b/internal/lab/scale/content.go
@@ -8,48 +8,56 @@
 	"yokestall/internal/files"
 )
 
-// class is a class of the run's configuration, with its keys beside the name.
+// class is a class of requests, with its keys in the configuration beside the name and the deadline.
 type class struct{ name, keys string }
 
-// classes are those of every version: one of each effect.
+// classes are those of every version: one of each effect. %d is settings.dedupWindow.
 var classes = []class{
 	{"read", "effect = \"safe\"\n"},
 	{"push", "effect = \"keyed\"\nscope = \"all\"\nwindow = \"%ds\"\n"},
 	{"order", "effect = \"unsafe\"\n"},
 }
 
-// settings are what versions differ in.
+// settings are the values in which versions differ.
 type settings struct {
-	attempts int // contradicts nothing
-	window   int // seconds, of the keyed class: contradicts
+	attempts    int // versions that differ in it don't contradict each other
+	dedupWindow int // seconds, of the keyed class; versions that differ in it contradict each other
 }
 
-// firstSettings is what the firstSettings version has.
-var firstSettings = settings{attempts: 2, window: 6}
+// The two values that versions have in turn.
+var (
+	attemptValues     = [...]int{2, 3}
+	dedupWindowValues = [...]int{6, 7} // seconds
+)
+
+// firstSettings are those of the first version.
+var firstSettings = settings{attempts: attemptValues[0], dedupWindow: dedupWindowValues[0]}
 
-// next gives the settings of the version that follows.
+// next returns the settings of the following version.
 func (s settings) next(contradicts bool) settings {
 	if contradicts {
-		s.window = 13 - s.window
+		s.dedupWindow = dedupWindowValues[0] + dedupWindowValues[1] - s.dedupWindow
 		return s
 	}
-	s.attempts = 5 - s.attempts
+	s.attempts = attemptValues[0] + attemptValues[1] - s.attempts
 	return s
 }
 
-// baseConfig is a node's baseConfig file up to what it says of the fleet's agreement.
+// baseConfig is the part of a node's file that precedes [fleet.agree].
 func baseConfig(address string, nodes, node int) string {
-	return fmt.Sprintf("[listen]\naddress = %q\n[files]\nclusters = \"clusters\"\n[fleet]\nnodes = %d\nnode = %d\n", address, nodes, node)
+	return fmt.Sprintf("[listen]\naddress = %q\n", address) +
+		"[files]\nclusters = \"clusters\"\n" +
+		fmt.Sprintf("[fleet]\nnodes = %d\nnode = %d\n", nodes, node)
 }
 
-// policyConfig are a version's classes, tenants and routes.
+// policyConfig is the part of a file with the limits, classes, tenants and routes.
 func (c Content) policyConfig(s settings) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[limits]\nattempts = %d\n", s.attempts)
 	for _, k := range classes {
 		keys := k.keys
 		if strings.Contains(keys, "%d") {
-			keys = fmt.Sprintf(keys, s.window)
+			keys = fmt.Sprintf(keys, s.dedupWindow)
 		}
 		fmt.Fprintf(&b, "[[class]]\nname = %q\n%sdeadline = \"1s\"\n", k.name, keys)
 	}
@@ -58,14 +66,15 @@
 	}
 	b.WriteString("[[host]]\n")
 	for i := range c.Routes {
-		fmt.Fprintf(&b, "[[host.route]]\nprefix = \"/%06d\"\nclass = %q\ncluster = %q\n", i, classes[i%len(classes)].name, clusterName(i%c.Clusters))
+		fmt.Fprintf(&b, "[[host.route]]\nprefix = \"/%06d\"\n", i)
+		fmt.Fprintf(&b, "class = %q\ncluster = %q\n", classes[i%len(classes)].name, clusterName(i%c.Clusters))
 	}
 	return b.String()
 }
 
 func clusterName(i int) string { return fmt.Sprintf("cluster-%04d", i) }
 
-// clusterFile is a cluster's file.
+// clusterFile is the file with all endpoints of a cluster.
 func (c Content) clusterFile(cluster int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[cluster]\nname = %q\n", clusterName(cluster))
@@ -78,23 +87,30 @@
 	return b.String()
 }
 
-// endpointTable is a server in a list. Nothing is ever sent to it.
+// endpointTable is an endpoint in a cluster's file. No request is ever sent to it.
 func endpointTable(i, weight int) string {
-	return fmt.Sprintf("[[endpoint]]\nid = \"server-%05d\"\naddress = \"127.%d.%d.%d:9\"\nzone = \"zone-%d\"\nweight = %d\nhealth = \"healthy\"\n",
-		i, 100+i>>16, i>>8&255, i&255, i%6, weight)
+	const zones = 6
+	address := fmt.Sprintf("127.%d.%d.%d:9", 100+i>>16, i>>8&255, i&255)
+	return fmt.Sprintf("[[endpoint]]\nid = \"server-%05d\"\naddress = %q\n", i, address) +
+		fmt.Sprintf("zone = \"zone-%d\"\nweight = %d\nhealth = \"healthy\"\n", i%zones, weight)
 }
 
-// bundle is a version's files.
+// bundle is all files of a version.
 func (c Content) bundle(nodes int, s settings) []config.File {
-	list := []config.File{{Name: files.ProgramPart, Text: []byte(baseConfig("127.0.0.1:0", nodes, 0) + c.policyConfig(s))}}
+	program := baseConfig("127.0.0.1:0", nodes, 0) + c.policyConfig(s)
+	list := []config.File{{Name: files.ProgramPart, Text: []byte(program)}}
 	for i := range c.Clusters {
-		list = append(list, config.File{Name: fmt.Sprintf("list-%04d.toml", i), Text: []byte(c.clusterFile(i))})
+		name := fmt.Sprintf("list-%04d.toml", i)
+		list = append(list, config.File{Name: name, Text: []byte(c.clusterFile(i))})
 	}
 	return list
 }
 
-// deltaFile is a deltaFile of the first cluster's list: one server gets another weight.
+// deltaFile is a delta update of the first cluster: its first endpoint gets another weight. Consecutive numbers give
+// different weights.
 func (c Content) deltaFile(number int) config.File {
-	text := fmt.Sprintf("[cluster]\nname = %q\nchange = true\n%s[end]\nendpoints = 1\n", clusterName(0), endpointTable(0, 1+number%7))
+	const weights = 7
+	text := fmt.Sprintf("[cluster]\nname = %q\nchange = true\n", clusterName(0)) +
+		endpointTable(0, 1+number%weights) + "[end]\nendpoints = 1\n"
 	return config.File{Name: "change.toml", Text: []byte(text)}
 }
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -9,75 +9,67 @@
 	"time"
 )
 
-// Op is what a process of a run is asked to do.
+// Op is an operation that a process of a run carries out.
 type Op string
 
-// The operations.
+// The operations. Those that stop or start nodes are for processes with hollow nodes.
 const (
-	OpReport    Op = "report"  // tell what the process has used
-	OpStates    Op = "states"  // tell what its nodes act on
-	OpAwait     Op = "await"   // likewise, once all act on a version
-	OpPartition Op = "apart"   // lose the other regions
-	OpHeal      Op = "join"    // have them back
-	OpRestart   Op = "restart" // restart nodes: hollow ones alone, as the following
+	OpReport    Op = "report"  // return what the process has used
+	OpStates    Op = "states"  // return what its nodes act on
+	OpAwait     Op = "await"   // likewise, once all act on a version or after Timeout
+	OpPartition Op = "apart"   // begin a partition from the other regions
+	OpHeal      Op = "join"    // end it
+	OpRestart   Op = "restart" // restart Nodes
 	OpStop      Op = "stop"    // stop all nodes
-	OpStart     Op = "start"   // start those that are stopped
+	OpStart     Op = "start"   // start all nodes that are stopped
 )
 
-// Command asks a process of a run for something, as a line of JSON on its standard input.
+// Command is an operation for a process of a run: a line of JSON on its standard input.
 type Command struct {
 	Op          Op            `json:"op"`
-	Version     uint64        `json:"number,omitempty"` // await
-	Timeout     time.Duration `json:"for,omitempty"`    // await: at most
-	Nodes       []string      `json:"nodes,omitempty"`  // restart
-	EmptyStores bool          `json:"empty,omitempty"`  // restart, start: on emptied stores
+	Version     uint64        `json:"number,omitempty"` // of await
+	Timeout     time.Duration `json:"for,omitempty"`    // of await
+	Nodes       []string      `json:"nodes,omitempty"`  // of restart
+	EmptyStores bool          `json:"empty,omitempty"`  // of restart and start: remove the nodes' stores before
 }
 
-// Reply is the answer to a command, or word that the process is ready, as a line on its standard output.
+// Reply is the reply to a command, or without content the sign that a process is ready: a line of JSON on its standard
+// output.
 type Reply struct {
 	Error  string  `json:"error,omitempty"`
 	Report *Report `json:"report,omitempty"`
 	States []State `json:"states,omitempty"`
 }
 
-// NodeController are nodes that can be stopped and started by themselves.
+// NodeController stops and starts the nodes of a process.
 type NodeController interface {
-	Restart(ctx context.Context, nodes []string, empty bool) error
+	Restart(ctx context.Context, nodes []string, emptyStores bool) error
 	Stop()
-	Start(ctx context.Context, empty bool) error
+	Start(ctx context.Context, emptyStores bool) error
 }
 
-// CommandServer answers the commands of the process that started this one.
+// CommandServer carries out the commands of the process that started this one.
 type CommandServer struct {
 	Meter  *Meter
 	States *States
-	Nodes  NodeController // nil: the process is a node of its own
+	Nodes  NodeController // nil: the process is one complete node
 }
 
-// ExitTimeout is how long a process may take to end in good order once the one that started it is gone.
+// ExitTimeout bounds the graceful shutdown of a process after the one that started it has ended.
 const ExitTimeout = 5 * time.Second
 
-// Serve says that the process is ready, and answers commands until their end, or ctx. Whoever sends them holds the
-// pipe: when that process ends, however it does, so do the commands; gone is called at once then.
-func (c *CommandServer) Serve(ctx context.Context, in io.Reader, out io.Writer, gone func()) error {
+// Serve sends an empty reply once, as the sign that the process is ready, and then the reply to each command, until ctx
+// ends or in does. The process that sends commands has the other end of in: however that process ends, in ends, and
+// disconnected is called at once. The error is that of in or out, other than io.EOF.
+func (c *CommandServer) Serve(ctx context.Context, in io.Reader, out io.Writer, disconnected func()) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	commands, failed := make(chan Command), make(chan error, 1)
 	go func() {
-		defer gone()
-		d := json.NewDecoder(in)
-		for {
-			var command Command
-			if err := d.Decode(&command); err != nil {
-				failed <- err
-				stop()
-				return
-			}
-			select {
-			case commands <- command:
-			case <-ctx.Done():
-				return
-			}
+		defer disconnected()
+		if err := readCommands(ctx, in, commands); err != nil {
+			failed <- err
+			stop()
 		}
 	}()
 	e := json.NewEncoder(out)
@@ -87,32 +79,53 @@
 	for {
 		select {
 		case command := <-commands:
-			reply := c.reply(ctx, command)
-			if err := e.Encode(reply); err != nil {
+			if err := e.Encode(c.reply(ctx, command)); err != nil {
 				return err
 			}
 		case <-ctx.Done():
-			select {
-			case err := <-failed:
-				if errors.Is(err, io.EOF) {
-					return nil
-				}
-				return fmt.Errorf("commands: %w", err)
-			default:
-				return nil
-			}
+			return readError(failed)
+		}
+	}
+}
+
+// readCommands sends the commands of in to a channel until ctx ends, or in fails or ends: then it returns that error.
+func readCommands(ctx context.Context, in io.Reader, commands chan<- Command) error {
+	d := json.NewDecoder(in)
+	for {
+		var command Command
+		if err := d.Decode(&command); err != nil {
+			return err
+		}
+		select {
+		case commands <- command:
+		case <-ctx.Done():
+			return nil
 		}
 	}
 }
 
+// readError returns the error by which reading commands has ended; nil: it has not, or at the input's regular end.
+func readError(failed <-chan error) error {
+	select {
+	case err := <-failed:
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		return fmt.Errorf("commands: %w", err)
+	default:
+		return nil
+	}
+}
+
 func (c *CommandServer) reply(ctx context.Context, command Command) (r Reply) {
-	err := c.execute(ctx, command, &r)
-	if err != nil {
+	if err := c.execute(ctx, command, &r); err != nil {
 		r.Error = fmt.Sprintf("%s: %v", command.Op, err)
 	}
 	return r
 }
 
+// execute carries out a command and puts its results into r. Without Nodes it knows the operations of any process
+// alone.
 func (c *CommandServer) execute(ctx context.Context, command Command, r *Reply) error {
 	switch command.Op {
 	case OpReport:
@@ -139,6 +152,11 @@
 	if c.Nodes == nil {
 		return errors.New("is of hollow nodes alone")
 	}
+	return c.control(ctx, command)
+}
+
+// control carries out a command that stops or starts hollow nodes.
+func (c *CommandServer) control(ctx context.Context, command Command) error {
 	switch command.Op {
 	case OpRestart:
 		return c.Nodes.Restart(ctx, command.Nodes, command.EmptyStores)
--- a/internal/lab/scale/control_test.go
+++ b/internal/lab/scale/control_test.go
@@ -10,16 +10,16 @@
 	"yokestall/internal/testutil"
 )
 
-// A process answers commands, refuses those that are not its own, and ends with them, also while it waits for
-// something.
-func TestControlled(t *testing.T) {
+// A process replies to commands, rejects those that it can't carry out, and ends with its input, also while a command
+// waits.
+func TestCommandServer(t *testing.T) {
 	s := NewStates()
 	s.Register("a", 0, 0)
 	c := &CommandServer{Meter: NewMeter(nil, 1), States: s}
 	in, commands := io.Pipe()
 	answers, out := io.Pipe()
-	ended, gone := make(chan error, 1), make(chan struct{})
-	go func() { ended <- c.Serve(t.Context(), in, out, func() { close(gone) }) }()
+	ended, disconnected := make(chan error, 1), make(chan struct{})
+	go func() { ended <- c.Serve(t.Context(), in, out, func() { close(disconnected) }) }()
 	e, d := json.NewEncoder(commands), json.NewDecoder(answers)
 	read := func() (r Reply) {
 		t.Helper()
@@ -28,13 +28,13 @@
 		}
 		return r
 	}
-	read() // it is ready
-	for _, ask := range []struct {
+	read() // the sign that it is ready
+	for _, rejected := range []struct {
 		command Command
 		want    string
 	}{{Command{Op: OpStop}, "stop: is of hollow nodes alone"}, {Command{Op: "dance"}, "dance: "}} {
-		e.Encode(ask.command)
-		if r := read(); !strings.Contains(r.Error, ask.want) {
+		e.Encode(rejected.command)
+		if r := read(); !strings.Contains(r.Error, rejected.want) {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -44,8 +44,8 @@
 	}
 	e.Encode(Command{Op: OpAwait, Version: 9, Timeout: time.Hour})
 	commands.Close()
-	testutil.Wait(t, gone, "word that who commands is gone")
-	read() // what it knew by then
+	testutil.Wait(t, disconnected, "the call at the end of the input")
+	read() // the states at the end
 	if err := testutil.Wait(t, ended, "the end"); err != nil {
 		t.Error(err)
 	}
--- a/internal/lab/scale/convergence.go
+++ b/internal/lab/scale/convergence.go
@@ -8,31 +8,28 @@
 	"time"
 )
 
-// awaitRecovery waits until all nodes act on the last version, and says how long those took that had not.
-func (w *player) awaitRecovery(ctx context.Context, s Step, began time.Duration) error {
-	states, err := w.awaitVersion(ctx, w.version, s.Timeout)
+// timesByRole are nodes' times in milliseconds, by the role of their processes.
+type timesByRole map[Role][]float64
+
+// awaitRecovery waits until all nodes act on the last version, and adds the times from began of the nodes that began
+// to act on it since.
+func (p *player) awaitRecovery(ctx context.Context, s Step, began time.Duration) error {
+	states, err := p.awaitVersion(ctx, p.version, s.Timeout)
 	if err != nil {
 		return err
 	}
-	w.recordLate(s, states)
-	took := map[Role][]float64{}
-	for i, list := range states {
-		for _, n := range list {
-			if n.ActsOn(w.version) && n.ChangedAt > began {
-				role := w.members[i].role
-				took[role] = append(took[role], milliseconds(n.ChangedAt-began))
-			}
-		}
-	}
-	w.addPercentiles(s, "back", took)
+	p.recordLate(s, states)
+	times := timesByRole{}
+	p.addTimes(times, states, began, func(n *State) time.Duration { return n.ChangedAt })
+	p.addPercentiles(s, "back", times)
 	return nil
 }
 
-// lateNodes gives the nodes that don't act on a version.
-func lateNodes(states [][]State, number uint64) (list []State) {
-	for _, of := range states {
-		for _, n := range of {
-			if !n.ActsOn(number) {
+// lateNodes returns the nodes that don't act on a version.
+func lateNodes(states [][]State, version uint64) (list []State) {
+	for _, ofProcess := range states {
+		for _, n := range ofProcess {
+			if !n.ActsOn(version) {
 				list = append(list, n)
 			}
 		}
@@ -40,46 +37,52 @@
 	return list
 }
 
-// maxLateNames is how many nodes are named that were not told.
+// maxLateNames bounds the nodes that LateNodes names.
 const maxLateNames = 8
 
-// recordLate takes down the nodes that don't act on the last version.
-func (w *player) recordLate(s Step, states [][]State) {
-	late := lateNodes(states, w.version)
-	if len(late) == 0 {
+// recordLate adds the nodes that don't act on the last version to the figures.
+func (p *player) recordLate(s Step, states [][]State) {
+	list := lateNodes(states, p.version)
+	if len(list) == 0 {
 		return
 	}
-	u := LateNodes{Step: s.Name, Size: w.size, Count: len(late), ByRegion: make([]int, w.plan.Regions)}
-	for _, n := range late {
-		if u.ByRegion[n.Region]++; len(u.Nodes) < maxLateNames {
-			u.Nodes = append(u.Nodes, n.Node)
+	late := LateNodes{Step: s.Name, Size: p.size, Count: len(list), ByRegion: make([]int, p.plan.Regions)}
+	for _, n := range list {
+		late.ByRegion[n.Region]++
+		if len(late.Nodes) < maxLateNames {
+			late.Nodes = append(late.Nodes, n.Node)
 		}
 	}
-	w.figures.Late = append(w.figures.Late, u)
+	p.figures.Late = append(p.figures.Late, late)
 }
 
-// addInForceTimes adds, by role, how long after a moment each node that acts on the last version took it.
-func (w *player) addInForceTimes(took map[Role][]float64, states [][]State, began time.Duration) {
+// addTimes adds the time from began to a moment of each node that acts on the last version. A node whose moment is
+// before began adds nothing. states are by process, in the order of members.
+func (p *player) addTimes(to timesByRole, states [][]State, began time.Duration, moment func(*State) time.Duration) {
 	for i, list := range states {
+		role := p.members[i].role
 		for _, n := range list {
-			if n.ActsOn(w.version) && n.AppliedAt > began {
-				role := w.members[i].role
-				took[role] = append(took[role], milliseconds(n.AppliedAt-began))
+			if at := moment(&n); n.ActsOn(p.version) && at > began {
+				to[role] = append(to[role], milliseconds(at-began))
 			}
 		}
 	}
 }
 
-// addPercentiles adds the figures of addPercentiles, by role.
-func (w *player) addPercentiles(s Step, what string, took map[Role][]float64) {
-	for role, list := range took {
+// percentiles are the quantiles whose times are figures.
+var percentiles = []struct {
+	name     string
+	quantile float64
+}{{"p50", 0.5}, {"p99", 0.99}, {"worst", 1}}
+
+// addPercentiles adds the percentiles of times to the figures, by role.
+func (p *player) addPercentiles(s Step, what string, times timesByRole) {
+	for role, list := range times {
 		slices.Sort(list)
-		for _, q := range []struct {
-			name  string
-			share float64
-		}{{"p50", 0.5}, {"p99", 0.99}, {"worst", 1}} {
-			at := max(0, int(math.Ceil(q.share*float64(len(list))))-1)
-			w.figures.add(fmt.Sprintf("%s.%s.%s_%s", s.Name, role, what, q.name), "ms", float64(w.size), list[at])
+		for _, q := range percentiles {
+			rank := max(1, int(math.Ceil(q.quantile*float64(len(list)))))
+			key := fmt.Sprintf("%s.%s.%s_%s", s.Name, role, what, q.name)
+			p.figures.add(key, "ms", float64(p.size), list[rank-1])
 		}
 	}
 }
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -12,44 +12,44 @@
 	"strconv"
 )
 
-// Series is a figure at each size of a run.
+// Series is a figure at each size of a run. Mean, Max and Fit follow from Points, see Finish.
 type Series struct {
 	Unit     string  `json:"unit"`
-	SizeUnit string  `json:"per,omitempty"` // what At counts; "": hollow nodes
+	SizeUnit string  `json:"per,omitempty"` // what Point.At counts; "": hollow nodes
 	Points   []Point `json:"points"`
 	Mean     float64 `json:"mean"`
 	Max      float64 `json:"most"`
-	Fit      *Fit    `json:"fit,omitempty"` // none with less than two sizes
+	Fit      *Fit    `json:"fit,omitempty"` // nil with less than two sizes
 }
 
-// Machine is where a run was made.
+// Machine is the machine of a run.
 type Machine struct {
 	Cores    int    `json:"cores"`
 	MemoryMB int64  `json:"memory_mb"`
 	System   string `json:"system"`
 	Go       string `json:"go"`
-	// StoreFileSystem is the kind of file system that the nodes' stores were on. All of them share it: on a disk their writes
-	// wait for each other, in memory (tmpfs) they cost nothing, and a node with a disk of its own is between the two.
+	// StoreFileSystem is the kind of file system of the nodes' stores. All nodes share it: on a disk their writes queue,
+	// in memory (tmpfs) they cost nothing; a node with a disk of its own is between the two.
 	StoreFileSystem string `json:"stores,omitempty"`
-	// LoadAverages is the machine's load average over a minute before each size: others were at work beside the run.
+	// LoadAverages are the machine's load averages over the minute before each size: other processes ran beside the run.
 	LoadAverages []float64 `json:"load"`
 }
 
-// LateNodes are nodes that did not act on what they should within a step's wait.
+// LateNodes are the nodes that did not act on a version within a step's Timeout.
 type LateNodes struct {
 	Step     string   `json:"step"`
 	Size     int      `json:"size"`
 	Count    int      `json:"count"`
-	Nodes    []string `json:"nodes"` // the first of them
+	Nodes    []string `json:"nodes"` // the first few, by name
 	ByRegion []int    `json:"by_region"`
 }
 
-// Figures are what came of a run, as their file has it.
+// Figures are the results of a run, or named numbers for a page, as their file has them.
 type Figures struct {
 	Name           string      `json:"name"`
 	Description    string      `json:"says,omitempty"`
 	Command        string      `json:"command"`
-	Plan           string      `json:"plan"` // its file
+	Plan           string      `json:"plan"` // path of its file
 	Seed           uint64      `json:"seed"`
 	Sizes          []int       `json:"sizes"`
 	Voters         int         `json:"voters"`
@@ -61,21 +61,24 @@
 	Renew          string      `json:"renew"`
 	Content        Content     `json:"content"`
 	Machine        Machine     `json:"machine"`
-	CounterNotes   string      `json:"counts"` // what a byte and a message is
+	CounterNotes   string      `json:"counts"` // what the quantities count
 	Late           []LateNodes `json:"untold,omitempty"`
-	// Numbers are named numbers of a file that no run has written.
+	// Numbers are the named numbers of a file that is no run's.
 	Numbers map[string]float64 `json:"numbers,omitempty"`
-	// Series are by key: STEP.ROLE.QUANTITY.
+	// Series are by figure: STEP.ROLE.QUANTITY.
 	Series map[string]*Series `json:"series,omitempty"`
 }
 
-// counterNotes says what the counters count.
-const counterNotes = "bytes: what the program reads and writes on its sockets, with HTTP/2's frames and, with TLS, its records and handshakes; " +
+// counterNotes describes the quantities in a file of figures.
+const counterNotes = "bytes: what the program reads and writes on its sockets, " +
+	"with HTTP/2's frames and, with TLS, its records and handshakes; " +
 	"without headers of TCP and IP. packets: TCP's segments, acknowledgements among them, by the kernel's count. " +
-	"wire: bytes both ways and 52 a packet (IPv4, TCP and its timestamps; no link's frame). messages: of RPCs, each at both of its ends. " +
-	"cpu: user and system time of a process by getrusage; of a hollow node, its process's divided by the nodes in it"
+	"wire: bytes both ways and 52 a packet (IPv4, TCP and its timestamps; no link's frame). " +
+	"messages: of RPCs, each at both of its ends. " +
+	"cpu: user and system time of a process by getrusage; " +
+	"of a hollow node, its process's divided by the nodes in it"
 
-// add adds a point to a series.
+// add adds a point to the series of a key, which it makes if there is none.
 func (f *Figures) add(key, unit string, at, value float64) {
 	s := f.Series[key]
 	if s == nil {
@@ -85,15 +88,15 @@
 	s.Points = append(s.Points, Point{at, value})
 }
 
-// finish works out what follows from the points of all series.
+// finish finishes all series.
 func (f *Figures) finish() {
 	for _, s := range f.Series {
 		s.Finish()
 	}
 }
 
-// Finish rounds the points, and works out what follows from them as they are then: it can be worked out again from
-// the file.
+// Finish rounds the points, and sets Mean, Max and Fit from the rounded points, so that they can be checked against
+// the points in a file. There has to be a point.
 func (s *Series) Finish() {
 	total := 0.0
 	for i := range s.Points {
@@ -108,7 +111,7 @@
 	s.Fit = FitLine(s.Points).rounded()
 }
 
-// Write writes figures to a file, a line for each series.
+// Write writes a file of figures as JSON, with one line for each series.
 func (f *Figures) Write(path string) error {
 	head := *f
 	head.Series = nil
@@ -133,7 +136,8 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// ReadFigures reads a file of figures, and checks that its lines are those of its points.
+// ReadFigures reads a file of figures. An unknown field, and a mean, maximum or fit that does not follow from its
+// points, are errors that begin with the path and the line.
 func ReadFigures(path string) (*Figures, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -155,17 +159,17 @@
 	return f, errors.Join(found...)
 }
 
-// lineAt gives the line, from 1, of a place in a text.
-func lineAt(text []byte, at int) int {
-	return 1 + bytes.Count(text[:max(0, min(at, len(text)))], []byte("\n"))
+// lineAt returns the line, from 1, of an offset in a text.
+func lineAt(text []byte, offset int) int {
+	return 1 + bytes.Count(text[:max(0, min(offset, len(text)))], []byte("\n"))
 }
 
-// approximatelyEqual tells whether a figure is another one, but for what floating point leaves over in a series of this scale.
+// approximatelyEqual reports whether two values differ by no more than rounding does in a series of this scale.
 func approximatelyEqual(a, b, scale float64) bool {
 	return math.Abs(a-b) <= 1e-4*max(math.Abs(a), math.Abs(b))+1e-9*scale
 }
 
-// check tells whether what a series says follows from its points.
+// check returns an error if Mean, Max or Fit does not follow from the points.
 func (s *Series) check() error {
 	if len(s.Points) == 0 {
 		return errors.New("it has no points")
@@ -184,16 +188,19 @@
 	return nil
 }
 
-// derived is a figure that follows from a series' points.
+// derived is a value that follows from a series' points.
 type derived struct {
 	name  string
 	value float64
 }
 
+// derived returns the figures that Finish sets, in the order of the file.
 func (s *Series) derived() []derived {
 	list := []derived{{"mean", s.Mean}, {"most", s.Max}}
 	if f := s.Fit; f != nil {
-		list = append(list, derived{"slope", f.Slope}, derived{"intercept", f.Intercept}, derived{"residual", f.Residual}, derived{"relative", f.Relative}, derived{"r2", f.R2})
+		list = append(list, []derived{
+			{"slope", f.Slope}, {"intercept", f.Intercept}, {"residual", f.Residual}, {"relative", f.Relative}, {"r2", f.R2},
+		}...)
 	}
 	return list
 }
--- a/internal/lab/scale/figures_test.go
+++ b/internal/lab/scale/figures_test.go
@@ -10,14 +10,16 @@
 	"testing"
 )
 
-// A line through points on a line is that line, with nothing left over; what is off it is left over.
+// A line through points on a line is that line without a residual; distances from it are the residual.
 func TestFitLine(t *testing.T) {
+	equal := func(a, b float64) bool { return math.Abs(a-b) <= 1e-9 }
 	f := FitLine([]Point{{50, 110}, {100, 210}, {400, 810}})
-	if f == nil || math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.Intercept-10) > 1e-9 || f.Residual > 1e-9 || math.Abs(f.R2-1) > 1e-9 {
+	if f == nil || !equal(f.Slope, 2) || !equal(f.Intercept, 10) || f.Residual > 1e-9 || !equal(f.R2, 1) {
 		t.Errorf("%+v", f)
 	}
-	f = FitLine([]Point{{0, 1}, {1, 3}, {2, 1}, {3, 3}}) // by hand: y = 0.4 x + 1.4, left over -0.4, 1.2, -1.2, 0.4
-	if f == nil || math.Abs(f.Slope-0.4) > 1e-9 || math.Abs(f.Intercept-1.4) > 1e-9 || math.Abs(f.Residual-math.Sqrt(0.8)) > 1e-9 || math.Abs(f.R2-0.2) > 1e-9 || math.Abs(f.Relative-math.Sqrt(0.8)/2) > 1e-9 {
+	f = FitLine([]Point{{0, 1}, {1, 3}, {2, 1}, {3, 3}}) // by hand: y = 0.4 x + 1.4, distances -0.4, 1.2, -1.2, 0.4
+	if f == nil || !equal(f.Slope, 0.4) || !equal(f.Intercept, 1.4) || !equal(f.Residual, math.Sqrt(0.8)) ||
+		!equal(f.R2, 0.2) || !equal(f.Relative, math.Sqrt(0.8)/2) {
 		t.Errorf("%+v", f)
 	}
 	if f := FitLine([]Point{{5, 1}, {5, 2}}); f != nil {
@@ -25,7 +27,7 @@
 	}
 }
 
-// What is written is read again as it was.
+// Figures are read as they were written; an error of the file names its line.
 func TestFiguresFile(t *testing.T) {
 	f := &Figures{Name: "run", Series: map[string]*Series{}}
 	for i, at := range []float64{10, 20, 40} {
--- a/internal/lab/scale/golden_test.go
+++ b/internal/lab/scale/golden_test.go
@@ -10,10 +10,13 @@
 
 func TestGoldenFiguresDecode(t *testing.T) {
 	golden.Lines(t, "testdata/golden/figures.json", Figures{
-		Name: "run-a", Description: "text-a", Command: "command-a", Plan: "plan-a", Seed: 1, Sizes: []int{10, 20}, Voters: 3, ServeProcesses: 4, Regions: 5,
-		Zones: 6, TLS: true, Lease: "7s", Renew: "8s",
-		Content:      Content{Clusters: 9, Servers: 11, Routes: 12, Tenants: 13},
-		Machine:      Machine{Cores: 14, MemoryMB: 15, System: "system-a", Go: "go-a", StoreFileSystem: "stores-a", LoadAverages: []float64{16.5, 17.5}},
+		Name: "run-a", Description: "text-a", Command: "command-a", Plan: "plan-a", Seed: 1, Sizes: []int{10, 20},
+		Voters: 3, ServeProcesses: 4, Regions: 5, Zones: 6, TLS: true, Lease: "7s", Renew: "8s",
+		Content: Content{Clusters: 9, Servers: 11, Routes: 12, Tenants: 13},
+		Machine: Machine{
+			Cores: 14, MemoryMB: 15, System: "system-a", Go: "go-a", StoreFileSystem: "stores-a",
+			LoadAverages: []float64{16.5, 17.5},
+		},
 		CounterNotes: "counts-a",
 		Late:         []LateNodes{{Step: "step-a", Size: 18, Count: 19, Nodes: []string{"node-a"}, ByRegion: []int{21, 22}}},
 		Numbers:      map[string]float64{"number-a": 23.5},
@@ -31,14 +34,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Name != "fleet_tls" || f.Lease != "1.5s" || f.Renew != "356.25ms" || f.Machine.MemoryMB != 24150 || len(f.Series) != 449 {
-		t.Errorf("%s: lease %s, renewed each %s, %d MB, %d series", f.Name, f.Lease, f.Renew, f.Machine.MemoryMB, len(f.Series))
+	if f.Name != "fleet_tls" || f.Lease != "1.5s" || f.Renew != "356.25ms" || f.Machine.MemoryMB != 24150 ||
+		len(f.Series) != 449 {
+		t.Errorf("%s: lease %s, renewed each %s, %d MB, %d series",
+			f.Name, f.Lease, f.Renew, f.Machine.MemoryMB, len(f.Series))
 	}
 	if u := f.Late[3]; u.Step != "apart_settings" || u.Size != 400 || u.Count != 223 || u.ByRegion[1] != 202 {
 		t.Errorf("%+v", u)
 	}
 	s := f.Series["idle.node.process_memory"]
-	if s.Unit != "MB" || s.SizeUnit != "nodes in the process" || s.Points[1] != (Point{At: 100, Value: 148.06}) || s.Mean != 206.94 || s.Max != 273.89 {
+	if s.Unit != "MB" || s.SizeUnit != "nodes in the process" || s.Points[1] != (Point{At: 100, Value: 148.06}) ||
+		s.Mean != 206.94 || s.Max != 273.89 {
 		t.Errorf("%+v", s)
 	}
 	if want := (Fit{Slope: 1.1352, Intercept: 36.662, Residual: 6.0174, Relative: 0.029078, R2: 0.99302}); *s.Fit != want {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -2,11 +2,9 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
-	"sync"
 
 	"yokestall/internal/app"
 	"yokestall/internal/config"
@@ -14,18 +12,18 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// Placement says which hollow nodes are in a process, and where they stand.
+// Placement is the hollow nodes that a process has, and the regions and zones over which all of a run's are spread.
 type Placement struct {
-	First, Count   int // hollow nodes, by their number among all of them
+	First, Count   int // by number among all hollow nodes, from 0
 	Offset         int // nodes of the fleet that are not hollow
 	Regions, Zones int
 }
 
-// nodeName is the name of a hollow node.
+// nodeName names hollow node i.
 func nodeName(i int) string { return fmt.Sprintf("h%05d", i) }
 
-// HollowNodes are nodes without traffic: each takes part in the fleet's agreement by the code of any other node, reads and
-// checks each version and keeps it, and has nothing that would act on it. Create it with NewHollow.
+// HollowNodes are nodes without traffic: each runs a node's own agent, reads, checks and stores each version, and has
+// no engine that would apply it. Create it with NewHollow.
 type HollowNodes struct {
 	nodes  map[string]*hollowNode
 	states *States
@@ -36,11 +34,11 @@
 	region, zone int
 
 	stop  context.CancelFunc // nil: it is stopped
-	ended chan struct{}
+	ended chan struct{}      // closed once its agent has ended
 }
 
-// NewHollow makes nodes that have not been started. Each has base's configuration and own's file, but for a name, a
-// number and a store of its own.
+// NewHollow makes nodes without starting them. Each has the configuration of base and own, but for a name, a number
+// and a store of its own.
 func NewHollow(base agent.Config, own *config.Program, at Placement, meter *Meter, states *States) *HollowNodes {
 	h := &HollowNodes{nodes: map[string]*hollowNode{}, states: states}
 	for i := at.First; i < at.First+at.Count; i++ {
@@ -49,7 +47,9 @@
 		n.config.Name = name
 		n.config.Dir = filepath.Join(base.Dir, name)
 		n.config.Hooks = meter.Hooks(n.region)
-		n.config.Hooks.Applied = func(rules consensus.ActiveVersions, alone bool) { states.Record(name, rules, alone) }
+		n.config.Hooks.Applied = func(versions consensus.ActiveVersions, disconnected bool) {
+			states.Record(name, versions, disconnected)
+		}
 		program := *own
 		program.Node = at.Offset + i
 		source := app.NewAgreedSource(nil, &program)
@@ -63,13 +63,13 @@
 	return h
 }
 
-// start starts a node; states knows it from then on.
-func (h *HollowNodes) start(ctx context.Context, name string, empty bool) error {
+// start starts a node and registers it in states; a node that runs is left alone. emptyStore removes its store before.
+func (h *HollowNodes) start(ctx context.Context, name string, emptyStore bool) error {
 	n := h.nodes[name]
 	if n.stop != nil {
 		return nil
 	}
-	if empty {
+	if emptyStore {
 		if err := os.RemoveAll(n.config.Dir); err != nil {
 			return err
 		}
@@ -89,6 +89,7 @@
 	return nil
 }
 
+// shutDown stops a node and waits until it has ended.
 func (n *hollowNode) shutDown() {
 	if n.stop == nil {
 		return
@@ -98,17 +99,6 @@
 	n.stop = nil
 }
 
-// each does something with nodes, all at once.
-func (h *HollowNodes) each(names []string, do func(name string) error) error {
-	errs := make([]error, len(names))
-	var all sync.WaitGroup
-	for i, name := range names {
-		all.Go(func() { errs[i] = do(name) })
-	}
-	all.Wait()
-	return errors.Join(errs...)
-}
-
 func (h *HollowNodes) names() (list []string) {
 	for name := range h.nodes {
 		list = append(list, name)
@@ -116,25 +106,28 @@
 	return list
 }
 
-// Start starts all nodes that are stopped, at once.
-func (h *HollowNodes) Start(ctx context.Context, empty bool) error {
-	return h.each(h.names(), func(name string) error { return h.start(ctx, name, empty) })
+// Start starts all nodes that are stopped, at once. emptyStores removes their stores before.
+func (h *HollowNodes) Start(ctx context.Context, emptyStores bool) error {
+	return forEach(h.names(), func(_ int, name string) error { return h.start(ctx, name, emptyStores) })
 }
 
 // Stop stops all nodes.
 func (h *HollowNodes) Stop() {
-	h.each(h.names(), func(name string) error { h.nodes[name].shutDown(); return nil })
+	forEach(h.names(), func(_ int, name string) error {
+		h.nodes[name].shutDown()
+		return nil
+	})
 }
 
-// Restart stops nodes and starts them again, all at once.
-func (h *HollowNodes) Restart(ctx context.Context, names []string, empty bool) error {
+// Restart stops nodes and starts them again, all at once. It fails before it stops any if a name is unknown.
+func (h *HollowNodes) Restart(ctx context.Context, names []string, emptyStores bool) error {
 	for _, name := range names {
 		if h.nodes[name] == nil {
 			return fmt.Errorf("there is no node %s", name)
 		}
 	}
-	return h.each(names, func(name string) error {
+	return forEach(names, func(_ int, name string) error {
 		h.nodes[name].shutDown()
-		return h.start(ctx, name, empty)
+		return h.start(ctx, name, emptyStores)
 	})
 }
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// machineMemory gives the machine's memory.
+// machineMemory returns the machine's memory in bytes.
 func machineMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -24,20 +24,28 @@
 	return kb << 10, err
 }
 
-// fileSystem names the kind of file system that a folder is on.
+// fileSystemNames are those of the kinds that are known, by statfs's f_type.
+var fileSystemNames = map[int64]string{
+	unix.TMPFS_MAGIC:           "tmpfs",
+	unix.EXT4_SUPER_MAGIC:      "ext4",
+	unix.XFS_SUPER_MAGIC:       "xfs",
+	unix.BTRFS_SUPER_MAGIC:     "btrfs",
+	unix.OVERLAYFS_SUPER_MAGIC: "overlay",
+}
+
+// fileSystem returns the name of the kind of file system that a folder is on, or its number if it is unknown.
 func fileSystem(dir string) (string, error) {
 	var fs unix.Statfs_t
 	if err := unix.Statfs(dir, &fs); err != nil {
 		return "", fmt.Errorf("%s: %w", dir, err)
 	}
-	kinds := map[int64]string{unix.TMPFS_MAGIC: "tmpfs", unix.EXT4_SUPER_MAGIC: "ext4", unix.XFS_SUPER_MAGIC: "xfs", unix.BTRFS_SUPER_MAGIC: "btrfs", unix.OVERLAYFS_SUPER_MAGIC: "overlay"}
-	if name, known := kinds[int64(fs.Type)]; known {
+	if name, known := fileSystemNames[int64(fs.Type)]; known {
 		return name, nil
 	}
 	return fmt.Sprintf("%#x", fs.Type), nil
 }
 
-// loadAverage gives the machine's loadAverage average over a minute; 0: it is not known.
+// loadAverage returns the machine's load average over a minute; 0: it is not known.
 func loadAverage() float64 {
 	text, _ := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(text), " ")
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -3,148 +3,166 @@
 import (
 	"math"
 	"strings"
-	"time"
 )
 
-// usage is what a process uses in a time, of each quantity that is counted.
+// usage is how much of each quantity a process uses in a period.
 type usage struct {
 	seconds float64
 	used    [len(quantities)]float64
 }
 
-// packetHeaderBytes are the bytes of IPv4's and TCP's packetHeaderBytes in a packet, with the time stamps that each has.
-const packetHeaderBytes = 20 + 20 + 12
-
-// quantity is one that is counted.
+// quantity is a resource whose use is measured.
 type quantity struct {
-	name, unit string
-	value      func(r *Report) float64 // since the process started
+	name, unit string // parts of figures' keys and units
 	detail     detail
+	value      func(r *Report) float64 // since the process's start
 }
 
-// detail is in how many ways a quantity is told.
+// detail says which figures a quantity has. Each has those of the ones before it.
 type detail uint8
 
 const (
-	basic        detail = iota // as it is
-	withExtra                  // also what goes beyond the idle rate
-	withVoterMax               // and of the voter that has the most of it
+	basic        detail = iota // the mean by role
+	withExtra                  // the mean in excess of the idle rate
+	withVoterMax               // the maximum over voters
 )
 
+// quantities are those of a run, in the order of their figures. "in" and "out" are bytes on sockets, "peers_" those of
+// connections that the process made, and "wire" adds the packets' headers.
 var quantities = [...]quantity{
-	{"cpu", "ms", func(r *Report) float64 { return float64(r.CPU) / float64(time.Millisecond) }, withVoterMax},
-	{"in", "B", func(r *Report) float64 { return float64(r.Dialed.In + r.Accepted.In) }, withVoterMax},
-	{"out", "B", func(r *Report) float64 { return float64(r.Dialed.Out + r.Accepted.Out) }, withVoterMax},
-	{"peers_in", "B", func(r *Report) float64 { return float64(r.Dialed.In) }, basic},
-	{"peers_out", "B", func(r *Report) float64 { return float64(r.Dialed.Out) }, basic},
-	{"wire", "B", func(r *Report) float64 { return float64(r.Dialed.wireBytes() + r.Accepted.wireBytes()) }, withExtra},
-	{"packets", "packets", func(r *Report) float64 { return float64(r.Dialed.packets() + r.Accepted.packets()) }, basic},
-	{"sent", "messages", func(r *Report) float64 { return float64(r.Sent) }, basic},
-	{"received", "messages", func(r *Report) float64 { return float64(r.Received) }, basic},
-	{"connections", "connections", func(r *Report) float64 { return float64(r.Dialed.Connections + r.Accepted.Connections) }, basic},
+	{"cpu", "ms", withVoterMax, func(r *Report) float64 { return milliseconds(r.CPU) }},
+	{"in", "B", withVoterMax, func(r *Report) float64 { return float64(r.Dialed.In + r.Accepted.In) }},
+	{"out", "B", withVoterMax, func(r *Report) float64 { return float64(r.Dialed.Out + r.Accepted.Out) }},
+	{"peers_in", "B", basic, func(r *Report) float64 { return float64(r.Dialed.In) }},
+	{"peers_out", "B", basic, func(r *Report) float64 { return float64(r.Dialed.Out) }},
+	{"wire", "B", withExtra, func(r *Report) float64 {
+		return float64(r.Dialed.wireBytes() + r.Accepted.wireBytes())
+	}},
+	{"packets", "packets", basic, func(r *Report) float64 {
+		return float64(r.Dialed.packets() + r.Accepted.packets())
+	}},
+	{"sent", "messages", basic, func(r *Report) float64 { return float64(r.Sent) }},
+	{"received", "messages", basic, func(r *Report) float64 { return float64(r.Received) }},
+	{"connections", "connections", basic, func(r *Report) float64 {
+		return float64(r.Dialed.Connections + r.Accepted.Connections)
+	}},
 }
 
-// usageBetween gives what a process used usageBetween two reports.
-func usageBetween(a, b *Report) usage {
-	r := usage{seconds: (b.At - a.At).Seconds()}
+// usageBetween returns what a process used between two reports.
+func usageBetween(before, after *Report) usage {
+	u := usage{seconds: (after.At - before.At).Seconds()}
 	for i, q := range quantities {
-		r.used[i] = q.value(b) - q.value(a)
+		u.used[i] = q.value(after) - q.value(before)
 	}
-	return r
+	return u
 }
 
-// perSecond gives it for a second.
-func (r usage) perSecond() usage {
-	for i := range r.used {
-		r.used[i] /= r.seconds
+// perSecond returns the mean use of one second.
+func (u usage) perSecond() usage {
+	for i := range u.used {
+		u.used[i] /= u.seconds
 	}
-	r.seconds = 1
-	return r
+	u.seconds = 1
+	return u
 }
 
-// above gives what is more than another rate, which is for a second, over the same time.
-func (r usage) above(o usage) usage {
-	for i := range r.used {
-		r.used[i] -= o.used[i] * r.seconds
+// above returns the use in excess of a rate, which is the use of one second.
+func (u usage) above(rate usage) usage {
+	for i := range u.used {
+		u.used[i] -= rate.used[i] * u.seconds
 	}
-	return r
+	return u
 }
 
-// measure adds a step's figures: of an idle one for a second, of others over the step, and what of it goes beyond the
-// idle one before.
-func (w *player) measure(s Step, before, after []Report) {
+// measure adds a step's figures: of an idle step the use per second, of others the use over the step and its excess
+// over the last idle step's rate. A partition, and its end, have no such excess: the idle rate is not expected then.
+func (p *player) measure(s Step, before, after []Report) {
 	var all []usage
 	for i := range after {
 		all = append(all, usageBetween(&before[i], &after[i]))
 	}
-	w.addMemory(s, after)
+	p.addMemory(s, after)
 	if s.Kind == KindIdle {
 		for i := range all {
 			all[i] = all[i].perSecond()
 		}
-		w.idleRates = all
-		w.addUsage(s.Name, "", "/s", all)
+		p.idleRates = all
+		p.addUsage(s.Name, "", "/s", all)
 		return
 	}
-	w.figures.add(s.Name+".run.length", "s", float64(w.size), all[0].seconds)
-	w.addUsage(s.Name, "", "", all)
-	if w.idleRates == nil || s.Kind == KindPartition || s.Kind == KindHeal { // then less is said, and on purpose
+	p.figures.add(s.Name+".run.length", "s", float64(p.size), all[0].seconds)
+	p.addUsage(s.Name, "", "", all)
+	if p.idleRates == nil || s.Kind == KindPartition || s.Kind == KindHeal {
 		return
 	}
 	for i := range all {
-		all[i] = all[i].above(w.idleRates[i])
+		all[i] = all[i].above(p.idleRates[i])
 	}
-	w.addUsage(s.Name, "extra_", "", all)
+	p.addUsage(s.Name, extraPrefix, "", all)
 }
 
-// addUsage adds the figures of what processes used: by role the mean, for a hollow node its share of its process's, and of
-// voters the most too. What goes between voters is told apart for them alone: others dial nobody else, and are dialed
-// by none.
-func (w *player) addUsage(step, prefix, per string, all []usage) {
+const (
+	extraPrefix = "extra_" // of quantities in excess of the idle rate
+	peersPrefix = "peers_" // of quantities of traffic between voters
+)
+
+// addUsage adds the figures of processes' use: the mean over the nodes of each role, and for some quantities the
+// maximum over voters. Only voters have figures of traffic with peers: other nodes dial nobody else, and are dialed by
+// none.
+func (p *player) addUsage(step, prefix, unitSuffix string, all []usage) {
 	for _, role := range []Role{VoterRole, ServeRole, NodeRole} {
-		for at, q := range quantities {
-			if role != VoterRole && strings.HasPrefix(q.name, "peers_") || prefix != "" && q.detail < withExtra {
+		for i, q := range quantities {
+			if role != VoterRole && strings.HasPrefix(q.name, peersPrefix) {
 				continue
 			}
-			total, most, nodes := 0.0, math.Inf(-1), 0
-			for i, m := range w.members {
-				if m.role != role {
-					continue
-				}
-				v := all[i].used[at]
-				total += v
-				most = max(most, v)
-				nodes += m.nodeCount
+			if prefix == extraPrefix && q.detail < withExtra {
+				continue
 			}
+			total, most, nodes := p.sumOver(role, i, all)
 			if nodes == 0 {
 				continue
 			}
 			key := step + "." + string(role) + "." + prefix + q.name
-			w.figures.add(key, q.unit+per, float64(w.size), total/float64(nodes))
+			p.figures.add(key, q.unit+unitSuffix, float64(p.size), total/float64(nodes))
 			if role == VoterRole && prefix == "" && q.detail == withVoterMax {
-				w.figures.add(key+"_most", q.unit+per, float64(w.size), most)
+				p.figures.add(key+"_most", q.unit+unitSuffix, float64(p.size), most)
 			}
 		}
 	}
 }
 
-// addMemory adds the figures of resident memory at a step's end. That of hollow nodes is by process, against the nodes
-// in it: the slope is a node's.
-func (w *player) addMemory(s Step, reports []Report) {
+// sumOver returns the sum and the maximum of a quantity over the processes of a role, and how many nodes they have.
+func (p *player) sumOver(role Role, quantity int, all []usage) (total, most float64, nodes int) {
+	most = math.Inf(-1)
+	for i, m := range p.members {
+		if m.role != role {
+			continue
+		}
+		v := all[i].used[quantity]
+		total += v
+		most = max(most, v)
+		nodes += m.nodeCount
+	}
+	return total, most, nodes
+}
+
+// addMemory adds the figures of resident memory at a step's end, in MB. That of hollow nodes is by process, against
+// the nodes in the process, so that the slope is the memory of one node.
+func (p *player) addMemory(s Step, reports []Report) {
 	byRole := map[Role][]float64{}
 	const megabyte = 1 << 20
-	for i, m := range w.members {
+	for i, m := range p.members {
 		mb := float64(reports[i].Memory) / megabyte
 		byRole[m.role] = append(byRole[m.role], mb)
 		if m.role == NodeRole {
 			key := s.Name + ".node.process_memory"
-			w.figures.add(key, "MB", float64(m.nodeCount), mb)
-			w.figures.Series[key].SizeUnit = "nodes in the process"
+			p.figures.add(key, "MB", float64(m.nodeCount), mb)
+			p.figures.Series[key].SizeUnit = "nodes in the process"
 		}
 	}
 	for _, role := range []Role{VoterRole, ServeRole} {
 		if list := byRole[role]; len(list) > 0 {
-			w.figures.add(s.Name+"."+string(role)+".memory", "MB", float64(w.size), mean(list))
+			p.figures.add(s.Name+"."+string(role)+".memory", "MB", float64(p.size), mean(list))
 		}
 	}
 }
--- a/internal/lab/scale/member.go
+++ b/internal/lab/scale/member.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -14,29 +13,31 @@
 	"yokestall/internal/fake/fleet"
 )
 
-// Role is what a process of a run is.
+// Role is what a process of a run does.
 type Role string
 
-// The roles, as figures' keys name them.
+// The roles. Their values are parts of figures' keys.
 const (
 	VoterRole Role = "voter"
 	NodeRole  Role = "node" // hollow nodes that share a process
 	ServeRole Role = "serve"
 )
 
-// replyTimeout is how much longer than asked for an answer may take before the process counts as stuck.
-const replyTimeout = time.Minute
+const (
+	replyTimeout = time.Minute // beyond a command's own Timeout
+	maxLogBytes  = 2000        // of a process's log, in an error
+)
 
-// member is a process of a run.
+// member is a process of a run, with a pipe for commands and one for replies.
 type member struct {
 	role      Role
 	name      string
-	nodeCount int // in it
+	nodeCount int // nodes in the process
 	proc      *fleet.Process
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards a call: a reply has to follow its command
 	commands *json.Encoder
-	replies  chan Reply
+	replies  chan Reply // closed when the process has ended
 }
 
 // start starts the process and waits until it is ready.
@@ -51,7 +52,7 @@
 	return err
 }
 
-// readReplies passes on what the process answers, until it ends.
+// readReplies forwards the process's replies to m.replies until it ends.
 func (m *member) readReplies(out io.Reader) {
 	defer close(m.replies)
 	for d := json.NewDecoder(out); ; {
@@ -63,13 +64,14 @@
 	}
 }
 
-func (m *member) awaitReply(ctx context.Context, longest time.Duration) (Reply, error) {
-	ctx, stop := context.WithTimeout(ctx, longest+replyTimeout)
+// awaitReply returns the next reply. Its error is the reply's own, the end of the process, or a timeout.
+func (m *member) awaitReply(ctx context.Context, timeout time.Duration) (Reply, error) {
+	ctx, stop := context.WithTimeout(ctx, timeout+replyTimeout)
 	defer stop()
 	select {
-	case r, more := <-m.replies:
+	case r, open := <-m.replies:
 		switch {
-		case !more:
+		case !open:
 			return r, fmt.Errorf("%s ended: %s", m.name, m.log())
 		case r.Error != "":
 			return r, fmt.Errorf("%s: %s", m.name, r.Error)
@@ -80,17 +82,16 @@
 	}
 }
 
-// log gives the end of what the process logged.
+// log returns the end of the process's log.
 func (m *member) log() string {
-	const most = 2000
 	text, err := os.ReadFile(filepath.Join(m.proc.Dir, "log"))
 	if err != nil {
 		return err.Error()
 	}
-	return string(text[max(0, len(text)-most):])
+	return string(text[max(0, len(text)-maxLogBytes):])
 }
 
-// call asks the process for something.
+// call sends the process a command and returns its reply.
 func (m *member) call(ctx context.Context, c Command) (Reply, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,7 +101,7 @@
 	return m.awaitReply(ctx, c.Timeout)
 }
 
-// kill ends the process, and what it still answers.
+// kill ends the process, and waits until readReplies has ended.
 func (m *member) kill() {
 	m.proc.Kill()
 	if m.replies != nil {
@@ -112,28 +113,34 @@
 // members are the processes of a run.
 type members []*member
 
-// call asks all of them at once, each for what command gives; nil: nothing.
+// call sends each process its command at once, and returns the replies in the order of list. command is called in
+// that order; a process for which it returns nil is sent nothing.
 func (list members) call(ctx context.Context, command func(m *member) *Command) ([]Reply, error) {
-	replies, errs := make([]Reply, len(list)), make([]error, len(list))
-	var all sync.WaitGroup
+	commands := make([]*Command, len(list))
 	for i, m := range list {
-		if c := command(m); c != nil {
-			all.Go(func() { replies[i], errs[i] = m.call(ctx, *c) })
-		}
+		commands[i] = command(m)
 	}
-	all.Wait()
-	return replies, errors.Join(errs...)
+	replies := make([]Reply, len(list))
+	err := forEach(list, func(i int, m *member) (err error) {
+		if commands[i] != nil {
+			replies[i], err = m.call(ctx, *commands[i])
+		}
+		return err
+	})
+	return replies, err
 }
 
-// withRole gives those withRole a role.
-func (list members) withRole(role Role) (of members) {
+// withRole returns the processes of a role.
+func (list members) withRole(role Role) (found members) {
 	for _, m := range list {
 		if m.role == role {
-			of = append(of, m)
+			found = append(found, m)
 		}
 	}
-	return of
+	return found
 }
 
-// toAll is a command that all are given.
-func toAll(c Command) func(*member) *Command { return func(*member) *Command { return &c } }
+// toAll returns a function that gives each process the same command.
+func toAll(c Command) func(*member) *Command {
+	return func(*member) *Command { return &c }
+}
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -11,18 +11,19 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// Meter counts a process's control traffic, and parts it from other regions. Create it with NewMeter.
+// Meter counts a process's control traffic, and simulates a partition between its region and others. Create it with
+// NewMeter.
 type Meter struct {
-	dialed, accepted traffic
+	dialed, accepted trafficCounter
 	sent, received   atomic.Int64
-	regions          map[string]int // by voter's address
+	regions          map[string]int // by a voter's address
 
 	mu          sync.Mutex
 	partitioned bool
-	healed      chan struct{} // closed when the regions hear of each other
+	healed      chan struct{} // closed while there is no partition
 }
 
-// NewMeter makes a meter of a process among voters that are spread over so many regions in turn.
+// NewMeter makes a meter for a process of a fleet whose voters are spread over regions in turn.
 func NewMeter(voters []agent.Voter, regions int) *Meter {
 	m := &Meter{regions: map[string]int{}, healed: make(chan struct{})}
 	close(m.healed)
@@ -32,31 +33,32 @@
 	return m
 }
 
-// Hooks gives what counts a node's traffic that stands in a region.
+// Hooks returns the hooks by which the traffic of a node in a region is counted.
 func (m *Meter) Hooks(region int) agent.Hooks {
 	return agent.Hooks{Dial: m.Dialer(region), Listen: m.Listener, Stats: (*messageCounter)(m)}
 }
 
-// SetPartitioned parts the regions, or joins them again. What was sent meanwhile over a connection that outlives it arrives
-// then.
-func (m *Meter) SetPartitioned(apart bool) {
+// SetPartitioned begins or ends a partition between the regions. What is sent during a partition arrives after it,
+// unless the connection is closed before.
+func (m *Meter) SetPartitioned(partitioned bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if apart == m.partitioned {
+	if partitioned == m.partitioned {
 		return
 	}
-	if m.partitioned = apart; apart {
+	m.partitioned = partitioned
+	if partitioned {
 		m.healed = make(chan struct{})
 	} else {
 		close(m.healed)
 	}
 }
 
-// Dialer gives what connects a node of a region to voters.
+// Dialer returns a function that connects a node of a region to voters. During a partition it waits for its end.
 func (m *Meter) Dialer(region int) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		far := m.regions[address] != region
-		if far {
+		crossRegion := m.regions[address] != region
+		if crossRegion {
 			if err := m.awaitHealed(ctx.Done()); err != nil {
 				return nil, ctx.Err()
 			}
@@ -66,11 +68,11 @@
 		if err != nil {
 			return nil, err
 		}
-		return m.wrap(c, &m.dialed, far), nil
+		return m.wrap(c, &m.dialed, crossRegion), nil
 	}
 }
 
-// awaitHealed waits until the regions hear of each other.
+// awaitHealed returns nil as soon as there is no partition, and net.ErrClosed if closed is closed before.
 func (m *Meter) awaitHealed(closed <-chan struct{}) error {
 	m.mu.Lock()
 	healed := m.healed
@@ -88,7 +90,7 @@
 	}
 }
 
-// Listener has what a listener accepts counted.
+// Listener returns a listener whose connections are counted.
 func (m *Meter) Listener(l net.Listener) net.Listener { return &listener{l, m} }
 
 type listener struct {
@@ -96,7 +98,7 @@
 	meter *Meter
 }
 
-// Accept gives the next connection.
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -105,10 +107,10 @@
 	return l.meter.wrap(c, &l.meter.accepted, false), nil
 }
 
-// messageCounter counts those of RPCs, as gRPC tells them.
+// messageCounter counts the messages of RPCs, as a stats.Handler of gRPC.
 type messageCounter Meter
 
-// HandleRPC counts a message.
+// HandleRPC implements stats.Handler.
 func (m *messageCounter) HandleRPC(_ context.Context, s stats.RPCStats) {
 	switch s.(type) {
 	case *stats.OutPayload:
@@ -118,13 +120,13 @@
 	}
 }
 
-// TagRPC adds nothing to a call.
+// TagRPC implements stats.Handler.
 func (m *messageCounter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// TagConn adds nothing to a connection.
+// TagConn implements stats.Handler.
 func (m *messageCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
 	return ctx
 }
 
-// HandleConn takes no notice of connections.
+// HandleConn implements stats.Handler.
 func (m *messageCounter) HandleConn(context.Context, stats.ConnStats) {}
--- a/internal/lab/scale/meter_test.go
+++ b/internal/lab/scale/meter_test.go
@@ -37,7 +37,7 @@
 	return m, near, far
 }
 
-// Each byte is counted at both ends, and a connection's packets are still there when it is closed.
+// Each byte is counted at both ends, and a connection's packets still count after it is closed.
 func TestMeterCounts(t *testing.T) {
 	m, near, far := pair(t, 0)
 	io.WriteString(near, "12345")
@@ -52,7 +52,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Dialed.In != 3 || r.Dialed.Out != 5 || r.Accepted.In != 5 || r.Accepted.Out != 3 || r.Dialed.Connections != 1 || r.Accepted.Connections != 1 {
+	if r.Dialed.In != 3 || r.Dialed.Out != 5 || r.Accepted.In != 5 || r.Accepted.Out != 3 ||
+		r.Dialed.Connections != 1 || r.Accepted.Connections != 1 {
 		t.Errorf("%+v", r)
 	}
 	if r.Dialed.PacketsIn < 2 || r.Dialed.PacketsOut < 2 || r.CPU <= 0 || r.Memory < 1<<20 {
@@ -61,14 +62,15 @@
 	near.Close()
 	far.Close()
 	after, _ := m.Report()
-	if after.Dialed.PacketsIn < r.Dialed.PacketsIn || after.Accepted.PacketsOut < r.Accepted.PacketsOut || after.Dialed.Out != 5 {
+	if after.Dialed.PacketsIn < r.Dialed.PacketsIn || after.Accepted.PacketsOut < r.Accepted.PacketsOut ||
+		after.Dialed.Out != 5 {
 		t.Errorf("%+v after %+v", after, r)
 	}
 }
 
-// While regions are apart a connection to another one carries nothing and none is made; what waited arrives once they
-// are together. One that is closed meanwhile waits for nothing.
-func TestMeterApart(t *testing.T) {
+// During a partition a connection to another region carries nothing, and none is made; what waited arrives after it. A
+// connection that is closed meanwhile does not wait.
+func TestMeterPartition(t *testing.T) {
 	m, near, far := pair(t, 1)
 	m.SetPartitioned(true)
 	m.SetPartitioned(true)
@@ -77,15 +79,15 @@
 		_, err := io.WriteString(near, "late")
 		written <- err
 	}()
-	io.WriteString(far, "held")
+	io.WriteString(far, "wait")
 	ctx, stop := context.WithTimeout(t.Context(), time.Millisecond)
 	defer stop()
 	if _, err := m.Dialer(1)(ctx, far.LocalAddr().String()); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a connection between regions that are apart: %v", err)
+		t.Errorf("a connection during a partition: %v", err)
 	}
 	select {
 	case err := <-written:
-		t.Errorf("written while apart: %v", err)
+		t.Errorf("written during a partition: %v", err)
 	default:
 	}
 	m.SetPartitioned(false)
@@ -96,7 +98,7 @@
 	if _, err := io.ReadFull(far, b); err != nil || string(b) != "late" {
 		t.Errorf("%q, %v", b, err)
 	}
-	if _, err := io.ReadFull(near, b); err != nil || string(b) != "held" {
+	if _, err := io.ReadFull(near, b); err != nil || string(b) != "wait" {
 		t.Errorf("%q, %v", b, err)
 	}
 	m.SetPartitioned(true)
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -1,5 +1,3 @@
-// Package scale plays a fleet of hollow nodes (the real control code without its workload) beside real voters and
-// measures what control costs: messages, bytes, memory and processor time, and their slopes over the number of nodes.
 package scale
 
 import (
@@ -8,16 +6,16 @@
 	"yokestall/internal/fleet/lease"
 )
 
-// Plan is a run of hollow nodes, as its file says.
+// Plan is a run of hollow nodes. Parse reads it from its file.
 type Plan struct {
 	Name, Description string
 	Seed              uint64
-	Timeout           time.Duration // the whole run takes no longer
-	Sizes             []int         // hollow nodes: the steps are played at each size, one after the other
-	NodesPerProcess   int           // hollow nodes that share a process
-	Voters            int           // each a process of its own, as are the following
-	ServeProcesses    int           // that follow, with everything that a node has
-	Regions           int           // over which all processes and nodes are spread in turn
+	Timeout           time.Duration // of the run over all sizes
+	Sizes             []int         // hollow nodes, ascending: all steps are run at each size
+	NodesPerProcess   int           // the most hollow nodes that share a process
+	Voters            int           // each has a process of its own
+	ServeProcesses    int           // complete nodes that don't vote, each with a process of its own
+	Regions           int           // over which voters, serve processes and hollow nodes are spread in turn
 	Zones             int           // likewise
 	TLS               bool
 	Lease             lease.Config
@@ -25,7 +23,7 @@
 	Steps             []Step
 }
 
-// Content is the size of the configuration that the fleet agrees on.
+// Content is the size of the configuration that the voters replicate to all nodes.
 type Content struct {
 	Clusters int `toml:"clusters" json:"clusters"`
 	Servers  int `toml:"servers" json:"servers"` // over all clusters
@@ -33,40 +31,40 @@
 	Tenants  int `toml:"tenants" json:"tenants"`
 }
 
-// Kind is a kind of step.
+// Kind is what happens in a step.
 type Kind string
 
 // The kinds of steps.
 const (
 	KindIdle       Kind = "idle"     // nothing changes
-	KindSettings   Kind = "settings" // versions that differ in their settings are published, one after the other
-	KindList       Kind = "list"     // changes of one cluster's list
-	KindRestart    Kind = "restart"  // a share of the hollow nodes, or those of a zone, are restarted at once
-	KindPartition  Kind = "apart"    // the regions hear nothing of each other from now on
-	KindHeal       Kind = "together" // they do again
-	KindRestartAll Kind = "return"   // all hollow nodes are stopped, and come back at once
+	KindSettings   Kind = "settings" // versions with other settings are published one after the other
+	KindList       Kind = "list"     // delta updates of one cluster are published likewise
+	KindRestart    Kind = "restart"  // a fraction of the hollow nodes, or all of a zone, are restarted at once
+	KindPartition  Kind = "apart"    // a partition between the regions begins
+	KindHeal       Kind = "together" // it ends
+	KindRestartAll Kind = "return"   // all hollow nodes are stopped, and then started at once
 )
 
 var kinds = []Kind{KindIdle, KindSettings, KindList, KindRestart, KindPartition, KindHeal, KindRestartAll}
 
-// Step is a part of a run that is measured by itself.
+// Step is a part of a run with figures of its own.
 type Step struct {
-	Name        string // the kind unless the file says otherwise
+	Name        string // part of its figures' keys; by default the kind
 	Kind        Kind
-	Duration    time.Duration // idle, apart: how long it lasts
-	Count       int           // settings, list: changes
-	Contradicts bool          // settings: each version contradicts the one before
-	Fraction    float64       // restart: of the hollow nodes
-	Zone        int           // restart: the nodes of this zone, from 0, in place of a share; -1: none
-	EmptyStores bool          // restart, return: on emptied stores
-	Timeout     time.Duration // the longest until all nodes act on what they should
+	Duration    time.Duration // of idle and partition
+	Count       int           // of settings and list: versions
+	Contradicts bool          // of settings: each version contradicts the one before
+	Fraction    float64       // of restart: the part of the hollow nodes, to 1
+	Zone        int           // of restart: in place of Fraction the zone whose nodes are restarted, from 0; -1: none
+	EmptyStores bool          // of restart and restart all: the nodes' stores are removed before their start
+	Timeout     time.Duration // until all nodes act on the last version
 }
 
 // Bounds of a plan.
 const (
-	MaxNodes     = 4000
-	MaxProcesses = 300
+	MaxNodes     = 4000 // hollow nodes of a size
+	MaxProcesses = 300  // of a size
 	maxSteps     = 64
 	maxSizes     = 16
-	maxChanges   = 1000
+	maxChanges   = 1000 // of a step
 )
--- a/internal/lab/scale/plan_test.go
+++ b/internal/lab/scale/plan_test.go
@@ -11,8 +11,8 @@
 	"yokestall/internal/files"
 )
 
-// All plans of the library are read, and a node would take their content.
-func TestLibrary(t *testing.T) {
+// All plans of the repository are valid, and a node accepts their content.
+func TestRepositoryPlans(t *testing.T) {
 	paths, err := filepath.Glob("../../../deploy/lab/scale-*.toml")
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("%d plans, %v", len(paths), err)
@@ -49,7 +49,7 @@
 zone = 2
 `
 
-// What is wrong with a plan is said with its line and key.
+// The errors of a plan name its line and key.
 func TestBadPlans(t *testing.T) {
 	if _, err := Parse("plan.toml", []byte(goodPlan)); err != nil {
 		t.Fatal(err)
@@ -84,23 +84,28 @@
 			t.Errorf("%s: %v", bad.new, err)
 		}
 	}
-	if _, err := Parse("plan.toml", []byte(strings.Replace(goodPlan, "regions = 2\n", "", 1)+"[[step]]\nkind = \"apart\"\nlength = \"1s\"\n")); err == nil || !strings.Contains(err.Error(), "there is one region") {
+	const wantRegions = "there is one region"
+	oneRegion := strings.Replace(goodPlan, "regions = 2\n", "", 1) + "[[step]]\nkind = \"apart\"\nlength = \"1s\"\n"
+	if _, err := Parse("plan.toml", []byte(oneRegion)); err == nil || !strings.Contains(err.Error(), wantRegions) {
 		t.Error(err)
 	}
 	many := strings.Replace(goodPlan, "[10, 20]", "[4000]\nper_process = 10", 1)
-	if _, err := Parse("plan.toml", []byte(many)); err == nil || !strings.Contains(err.Error(), "403 processes at the largest size; 300 at most") {
+	const wantMany = "403 processes at the largest size; 300 at most"
+	if _, err := Parse("plan.toml", []byte(many)); err == nil || !strings.Contains(err.Error(), wantMany) {
 		t.Error(err)
 	}
 }
 
-// Content that a node would refuse is refused before anything is started.
-func TestRefusedContent(t *testing.T) {
+// Content that a node would reject fails a run before any process is started.
+func TestInvalidContent(t *testing.T) {
 	p, err := Parse("plan.toml", []byte(fmt.Sprintf("%s[content]\ntenants = %d\n", goodPlan, config.MaxTenants+1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = Play(t.Context(), p, Options{Dir: t.TempDir(), Command: []string{"/nothing"}, Progress: t.Logf})
-	if err == nil || !strings.Contains(err.Error(), "content: a node would refuse it") || !strings.Contains(err.Error(), fmt.Sprintf("over %d tenants", config.MaxTenants)) {
+	bound := fmt.Sprintf("over %d tenants", config.MaxTenants)
+	if err == nil || !strings.Contains(err.Error(), "content: a node would refuse it") ||
+		!strings.Contains(err.Error(), bound) {
 		t.Error(err)
 	}
 }
--- a/internal/lab/scale/planfile.go
+++ b/internal/lab/scale/planfile.go
@@ -9,6 +9,7 @@
 	"yokestall/internal/fleet/lease"
 )
 
+// planFile is a plan as its file has it.
 type planFile struct {
 	Name            string          `toml:"name"`
 	Description     string          `toml:"says"`
@@ -28,6 +29,7 @@
 	Steps           []stepFile      `toml:"step"`
 }
 
+// stepFile is a step as a plan's file has it.
 type stepFile struct {
 	Name        string          `toml:"name"`
 	Kind        string          `toml:"kind"`
@@ -40,22 +42,31 @@
 	Timeout     config.Duration `toml:"wait"`
 }
 
-// Parse reads a plan; name is what messages call the file.
+// defaultPlan returns a plan's file with the values of keys that a file may leave out.
+func defaultPlan() planFile {
+	return planFile{
+		Seed: 1, NodesPerProcess: 200, Voters: 3, Regions: 1, Zones: 1,
+		Timeout:       config.Duration{Duration: 2 * time.Minute},
+		Lease:         config.Duration{Duration: 1500 * time.Millisecond},
+		MaxClockDrift: 0.05,
+		ApplyTimeout:  config.Duration{Duration: 250 * time.Millisecond},
+		Content:       Content{Clusters: 1, Servers: 4, Routes: 3},
+	}
+}
+
+// defaultStepTimeout is a step's Timeout where its file has none.
+const defaultStepTimeout = 10 * time.Second
+
+// Parse reads a plan's file. Its errors begin with name and a line number.
 func Parse(name string, text []byte) (*Plan, error) {
-	f := planFile{Seed: 1, NodesPerProcess: 200, Voters: 3, Regions: 1, Zones: 1, MaxClockDrift: 0.05, Content: Content{Clusters: 1, Servers: 4, Routes: 3}}
-	f.Timeout.Duration = 2 * time.Minute
-	f.Lease.Duration, f.ApplyTimeout.Duration = 1500*time.Millisecond, 250*time.Millisecond
+	f := defaultPlan()
 	if err := config.Decode(name, text, &f); err != nil {
 		return nil, err
 	}
 	report, faults := config.Reporter(name, text)
 	c := &checker{report: report}
 	c.plan(&f)
-	p := &Plan{
-		Name: f.Name, Description: f.Description, Seed: f.Seed, Timeout: f.Timeout.Duration, Sizes: f.Sizes, NodesPerProcess: f.NodesPerProcess, Voters: f.Voters,
-		ServeProcesses: f.ServeProcesses, Regions: f.Regions, Zones: f.Zones, TLS: f.TLS, Content: f.Content,
-		Lease: lease.Config{Duration: f.Lease.Duration, MaxClockDrift: f.MaxClockDrift, ApplyTimeout: f.ApplyTimeout.Duration},
-	}
+	p := f.plan()
 	names := map[string]bool{}
 	for i := range f.Steps {
 		s := c.step(&f, i)
@@ -68,6 +79,19 @@
 	return p, faults()
 }
 
+// plan returns the plan without its steps.
+func (f *planFile) plan() *Plan {
+	return &Plan{
+		Name: f.Name, Description: f.Description, Seed: f.Seed, Timeout: f.Timeout.Duration,
+		Sizes: f.Sizes, NodesPerProcess: f.NodesPerProcess, Voters: f.Voters, ServeProcesses: f.ServeProcesses,
+		Regions: f.Regions, Zones: f.Zones, TLS: f.TLS, Content: f.Content,
+		Lease: lease.Config{
+			Duration: f.Lease.Duration, MaxClockDrift: f.MaxClockDrift, ApplyTimeout: f.ApplyTimeout.Duration,
+		},
+	}
+}
+
+// checker reports the values of a plan's file that are out of bounds.
 type checker struct {
 	report func(table string, index int, key, format string, args ...any)
 }
@@ -84,19 +108,12 @@
 	}
 }
 
+// plan checks all but the steps.
 func (c *checker) plan(f *planFile) {
 	if !isKeyPart(f.Name) {
 		c.report("", -1, "name", "%q: lower-case letters, digits and _ make a name", f.Name)
 	}
-	if len(f.Sizes) == 0 || len(f.Sizes) > maxSizes {
-		c.report("", -1, "sizes", "%d; from 1 to %d", len(f.Sizes), maxSizes)
-	}
-	for i, n := range f.Sizes {
-		c.number("", -1, "sizes", float64(n), 1, MaxNodes)
-		if i > 0 && n <= f.Sizes[i-1] {
-			c.report("", -1, "sizes", "%d does not come after %d: they ascend", n, f.Sizes[i-1])
-		}
-	}
+	c.sizes(f)
 	c.number("", -1, "per_process", float64(f.NodesPerProcess), 1, MaxNodes)
 	if f.Voters != 1 && f.Voters != 3 && f.Voters != 5 && f.Voters != 7 {
 		c.report("", -1, "voters", "%d; 1, 3, 5 or 7 vote", f.Voters)
@@ -108,29 +125,54 @@
 	c.duration("", -1, "limit", f.Timeout, time.Second, 2*time.Hour)
 	c.duration("", -1, "lease", f.Lease, 100*time.Millisecond, time.Minute)
 	c.duration("", -1, "take", f.ApplyTimeout, time.Millisecond, time.Minute)
-	c.number("content", -1, "clusters", float64(f.Content.Clusters), 1, 1000)
-	c.number("content", -1, "servers", float64(f.Content.Servers), float64(f.Content.Clusters), 100_000)
-	c.number("content", -1, "routes", float64(f.Content.Routes), float64(len(classes)), 100_000)
-	c.number("content", -1, "tenants", float64(f.Content.Tenants), 0, 1_000_000)
-	if len(f.Sizes) > 0 && f.NodesPerProcess > 0 {
-		if n := f.Voters + f.ServeProcesses + processCount(f.Sizes[len(f.Sizes)-1], f.NodesPerProcess); n > MaxProcesses {
-			c.report("", -1, "per_process", "%d processes at the largest size; %d at most", n, MaxProcesses)
-		}
-	}
+	c.content(&f.Content)
+	c.processes(f)
 	if len(f.Steps) == 0 || len(f.Steps) > maxSteps {
 		c.report("", -1, "step", "%d steps; from 1 to %d", len(f.Steps), maxSteps)
 	}
 }
 
-// step checks a step, and gives it.
+func (c *checker) sizes(f *planFile) {
+	if len(f.Sizes) == 0 || len(f.Sizes) > maxSizes {
+		c.report("", -1, "sizes", "%d; from 1 to %d", len(f.Sizes), maxSizes)
+	}
+	for i, n := range f.Sizes {
+		c.number("", -1, "sizes", float64(n), 1, MaxNodes)
+		if i > 0 && n <= f.Sizes[i-1] {
+			c.report("", -1, "sizes", "%d does not come after %d: they ascend", n, f.Sizes[i-1])
+		}
+	}
+}
+
+func (c *checker) content(in *Content) {
+	c.number("content", -1, "clusters", float64(in.Clusters), 1, 1000)
+	c.number("content", -1, "servers", float64(in.Servers), float64(in.Clusters), 100_000)
+	c.number("content", -1, "routes", float64(in.Routes), float64(len(classes)), 100_000)
+	c.number("content", -1, "tenants", float64(in.Tenants), 0, 1_000_000)
+}
+
+func (c *checker) processes(f *planFile) {
+	if len(f.Sizes) == 0 || f.NodesPerProcess <= 0 {
+		return
+	}
+	n := f.Voters + f.ServeProcesses + processCount(f.Sizes[len(f.Sizes)-1], f.NodesPerProcess)
+	if n > MaxProcesses {
+		c.report("", -1, "per_process", "%d processes at the largest size; %d at most", n, MaxProcesses)
+	}
+}
+
+// step checks a step, and returns it with its defaults.
 func (c *checker) step(f *planFile, i int) Step {
 	in := &f.Steps[i]
-	s := Step{Name: in.Name, Kind: Kind(in.Kind), Duration: in.Duration.Duration, Count: in.Count, Contradicts: in.Contradicts, Fraction: in.Fraction, Zone: -1, Timeout: in.Timeout.Duration}
+	s := Step{
+		Name: in.Name, Kind: Kind(in.Kind), Duration: in.Duration.Duration, Count: in.Count,
+		Contradicts: in.Contradicts, Fraction: in.Fraction, Zone: -1, Timeout: in.Timeout.Duration,
+	}
 	if s.Name == "" {
 		s.Name = in.Kind
 	}
 	if s.Timeout == 0 {
-		s.Timeout = 10 * time.Second
+		s.Timeout = defaultStepTimeout
 	}
 	if in.Zone != nil {
 		s.Zone = *in.Zone
@@ -159,11 +201,16 @@
 	if s.Contradicts && s.Kind != KindSettings {
 		c.report("step", i, "contradicts", "is of settings alone")
 	}
-	c.storesAndRegions(f, i, &s)
+	c.restart(f, i, &s)
+	c.stores(f, i, &s)
+	if (s.Kind == KindPartition || s.Kind == KindHeal) && f.Regions < 2 {
+		c.report("step", i, "kind", "%s: there is one region", s.Kind)
+	}
 	return s
 }
 
-func (c *checker) storesAndRegions(f *planFile, i int, s *Step) {
+// restart checks which nodes a step restarts.
+func (c *checker) restart(f *planFile, i int, s *Step) {
 	in := &f.Steps[i]
 	switch {
 	case s.Kind != KindRestart && (s.Fraction != 0 || in.Zone != nil):
@@ -175,6 +222,11 @@
 	case s.Kind == KindRestart:
 		c.number("step", i, "zone", float64(s.Zone), 0, float64(f.Zones-1))
 	}
+}
+
+// stores checks whether a step's nodes start with their stores, and sets EmptyStores if they don't.
+func (c *checker) stores(f *planFile, i int, s *Step) {
+	in := &f.Steps[i]
 	switch {
 	case in.Stores == "" || in.Stores == "kept":
 	case in.Stores != "empty":
@@ -184,12 +236,9 @@
 	default:
 		s.EmptyStores = true
 	}
-	if (s.Kind == KindPartition || s.Kind == KindHeal) && f.Regions < 2 {
-		c.report("step", i, "kind", "%s: there is one region", s.Kind)
-	}
 }
 
-// isKeyPart tells whether a word may be a part of a figure's key.
+// isKeyPart reports whether a word may be a part of a figure's key.
 func isKeyPart(word string) bool {
 	for i, r := range word {
 		if !(r == '_' || r >= 'a' && r <= 'z' || i > 0 && r >= '0' && r <= '9') {
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -14,23 +14,27 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// Options are what a run is played with.
+const (
+	startTimeout         = 5 * time.Minute // until all nodes act on the first version
+	publishTimeout       = time.Minute     // until the voters accept a version
+	publishRetryInterval = 20 * time.Millisecond
+)
+
+// Options are the surroundings of a run.
 type Options struct {
 	Dir      string   // for the processes' folders
 	Command  []string // that starts the program
-	Env      []string
-	Progress func(format string, args ...any) // of progress
+	Env      []string // beside the environment of this process
+	Progress func(format string, args ...any)
 }
 
-// Play plays a plan at all its sizes.
-func Play(ctx context.Context, p *Plan, o Options) (*Figures, error) {
-	ctx, stop := context.WithTimeoutCause(ctx, p.Timeout, fmt.Errorf("the run is not over within its limit of %v", p.Timeout))
+// Play runs a plan at all its sizes. A run that exceeds the plan's Timeout, or whose processes take more than half of
+// the machine's memory, fails without figures.
+func Play(ctx context.Context, plan *Plan, o Options) (*Figures, error) {
+	cause := fmt.Errorf("the run is not over within its limit of %v", plan.Timeout)
+	ctx, stop := context.WithTimeoutCause(ctx, plan.Timeout, cause)
 	defer stop()
-	f := &Figures{
-		Name: p.Name, Description: p.Description, Seed: p.Seed, Sizes: p.Sizes, Voters: p.Voters, ServeProcesses: p.ServeProcesses, Regions: p.Regions, Zones: p.Zones,
-		TLS: p.TLS, Lease: p.Lease.Duration.String(), Renew: p.Lease.RenewInterval().String(), Content: p.Content, CounterNotes: counterNotes, Series: map[string]*Series{},
-		Machine: Machine{Cores: runtime.NumCPU(), System: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()},
-	}
+	f := newFigures(plan)
 	memory, err := machineMemory()
 	if err != nil {
 		return nil, err
@@ -39,12 +43,12 @@
 	if f.Machine.StoreFileSystem, err = fileSystem(o.Dir); err != nil {
 		return nil, err
 	}
-	if _, err := files.Unbundle(p.Content.bundle(2, firstSettings)); err != nil {
-		return nil, fmt.Errorf("%s: content: a node would refuse it: %w", p.Name, err)
+	if _, err := files.Unbundle(plan.Content.bundle(2, firstSettings)); err != nil {
+		return nil, fmt.Errorf("%s: content: a node would refuse it: %w", plan.Name, err)
 	}
-	for _, size := range p.Sizes {
+	for _, size := range plan.Sizes {
 		f.Machine.LoadAverages = append(f.Machine.LoadAverages, loadAverage())
-		if err := playSize(ctx, p, size, memory/2, o, f); err != nil {
+		if err := playSize(ctx, plan, size, memory/2, o, f); err != nil {
 			if cause := context.Cause(ctx); cause != nil {
 				err = errors.Join(cause, err)
 			}
@@ -55,113 +59,115 @@
 	return f, nil
 }
 
-// player plays a plan's steps at a size.
+// newFigures returns figures without series, with what is known of a run before its start.
+func newFigures(plan *Plan) *Figures {
+	return &Figures{
+		Name: plan.Name, Description: plan.Description, Seed: plan.Seed, Sizes: plan.Sizes,
+		Voters: plan.Voters, ServeProcesses: plan.ServeProcesses, Regions: plan.Regions, Zones: plan.Zones,
+		TLS: plan.TLS, Lease: plan.Lease.Duration.String(), Renew: plan.Lease.RenewInterval().String(),
+		Content: plan.Content, CounterNotes: counterNotes, Series: map[string]*Series{},
+		Machine: Machine{
+			Cores: runtime.NumCPU(), System: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version(),
+		},
+	}
+}
+
+// player runs a plan's steps at one size.
 type player struct {
 	*rig
 	progress    func(format string, args ...any)
 	figures     *Figures
-	memoryLimit int64 // that all processes may have together
+	memoryLimit int64 // bytes, of all processes together
 	rng         *rand.Rand
-	settings    settings
-	changes     int
-	version     uint64  // of the version that was published last
-	idleRates   []usage // by process: what it uses while nothing changes
+	settings    settings // of the version that was published last
+	changes     int      // published so far, beside the first version
+	version     uint64   // number of the version that was published last
+	idleRates   []usage  // by process: a second's usage in the last idle step; nil before the first one
 }
 
-func playSize(ctx context.Context, p *Plan, size int, memory int64, o Options, f *Figures) error {
+func playSize(ctx context.Context, plan *Plan, size int, memoryLimit int64, o Options, f *Figures) error {
 	dir := filepath.Join(o.Dir, fmt.Sprint("size-", size))
-	r, err := newRig(ctx, p, size, dir, o.Command, o.Env)
+	r, err := newRig(ctx, plan, size, dir, o.Command, o.Env)
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
 	defer r.close()
-	w := &player{rig: r, progress: o.Progress, figures: f, memoryLimit: memory, rng: rand.New(rand.NewPCG(p.Seed, uint64(size))), settings: firstSettings}
-	if err := w.publishFirst(ctx); err != nil {
+	p := &player{
+		rig: r, progress: o.Progress, figures: f, memoryLimit: memoryLimit, settings: firstSettings,
+		rng: rand.New(rand.NewPCG(plan.Seed, uint64(size))),
+	}
+	if err := p.publishFirst(ctx); err != nil {
 		return err
 	}
-	for _, s := range p.Steps {
-		if err := w.step(ctx, s); err != nil {
+	for _, s := range plan.Steps {
+		if err := p.step(ctx, s); err != nil {
 			return fmt.Errorf("step %s: %w", s.Name, err)
 		}
 	}
 	return nil
 }
 
-// startTimeout is how long the fleet has to act on its first version.
-const startTimeout = 5 * time.Minute
-
 // publishFirst publishes the first version and waits until all nodes act on it.
-func (w *player) publishFirst(ctx context.Context) error {
+func (p *player) publishFirst(ctx context.Context) error {
 	began := time.Now()
-	if _, err := w.publish(ctx, func(ctx context.Context, id string) (*agent.PublishReply, error) {
-		return w.client.Publish(ctx, id, 0, w.plan.Content.bundle(w.nodeCount(), w.settings))
-	}); err != nil {
+	_, err := p.publish(ctx, func(ctx context.Context, id string) (*agent.PublishReply, error) {
+		return p.client.Publish(ctx, id, 0, p.plan.Content.bundle(p.nodeCount(), p.settings))
+	})
+	if err != nil {
 		return err
 	}
-	states, err := w.awaitVersion(ctx, w.version, startTimeout)
+	states, err := p.awaitVersion(ctx, p.version, startTimeout)
 	if err != nil {
 		return err
 	}
-	if late := lateNodes(states, w.version); len(late) > 0 {
-		return fmt.Errorf("%d nodes, %s among them, do not act on the first version within %v", len(late), late[0].Node, startTimeout)
+	if late := lateNodes(states, p.version); len(late) > 0 {
+		return fmt.Errorf("%d nodes, %s among them, do not act on the first version within %v",
+			len(late), late[0].Node, startTimeout)
 	}
-	w.progress("%d nodes: all act on the first version %v after it was asked for", w.size, time.Since(began).Round(time.Millisecond))
+	took := time.Since(began).Round(time.Millisecond)
+	p.progress("%d nodes: all act on the first version %v after it was asked for", p.size, took)
 	return nil
 }
 
-// publishTimeout is how long it may take until a version is taken up.
-const publishTimeout = time.Minute
+// publishFunc asks the voters for a new version, under an id that is the same in each attempt.
+type publishFunc func(ctx context.Context, id string) (*agent.PublishReply, error)
 
-// publish has a version taken up, and gives when it was asked for.
-func (w *player) publish(ctx context.Context, do func(ctx context.Context, id string) (*agent.PublishReply, error)) (began time.Duration, err error) {
+// publish repeats a request for a version until the voters accept it, and returns when it was sent first, since boot.
+func (p *player) publish(ctx context.Context, request publishFunc) (began time.Duration, err error) {
 	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
 	id := agent.NewID()
 	began = agent.BootTime()
 	for {
-		published, err := do(ctx, id)
+		reply, err := request(ctx, id)
 		switch {
-		case err == nil && published.Number > 0:
-			w.version = published.Number
+		case err == nil && reply.Number > 0:
+			p.version = reply.Number
 			return began, nil
-		case err == nil && !published.Retry:
-			return 0, fmt.Errorf("nothing is published: %s", published.Error)
+		case err == nil && !reply.Retry:
+			return 0, fmt.Errorf("nothing is published: %s", reply.Error)
 		case err == nil:
-			err = errors.New(published.Error)
+			err = errors.New(reply.Error)
 		}
 		select {
 		case <-ctx.Done():
 			return 0, fmt.Errorf("it is not taken up within %v: %w", publishTimeout, err)
-		case <-time.After(20 * time.Millisecond): // the voters elect a leader, or another version waits
+		case <-time.After(publishRetryInterval): // the voters elect a leader, or another version is pending
 		}
 	}
 }
 
-// step plays a step and measures it.
-func (w *player) step(ctx context.Context, s Step) error {
-	before, err := w.reports(ctx)
+// step runs a step and measures it.
+func (p *player) step(ctx context.Context, s Step) error {
+	before, err := p.reports(ctx)
 	if err != nil {
 		return err
 	}
-	switch s.Kind {
-	case KindIdle:
-		err = pause(ctx, s.Duration)
-	case KindSettings, KindList:
-		err = w.publishChanges(ctx, s)
-	case KindRestart:
-		err = w.restart(ctx, s)
-	case KindPartition:
-		err = w.partitionRegions(ctx, s)
-	case KindHeal:
-		err = w.healRegions(ctx, s)
-	case KindRestartAll:
-		err = w.restartAll(ctx, s)
-	}
-	if err != nil {
+	if err := p.execute(ctx, s); err != nil {
 		return err
 	}
-	after, err := w.reports(ctx)
+	after, err := p.reports(ctx)
 	if err != nil {
 		return err
 	}
@@ -169,10 +175,12 @@
 	for _, r := range after {
 		total += r.Memory
 	}
-	if total > w.memoryLimit {
-		return fmt.Errorf("all processes have %d MB, and half of the machine's memory is %d: choose smaller sizes", total>>20, w.memoryLimit>>20)
+	if total > p.memoryLimit {
+		return fmt.Errorf("all processes have %d MB, and half of the machine's memory is %d: choose smaller sizes",
+			total>>20, p.memoryLimit>>20)
 	}
-	w.measure(s, before, after)
-	w.progress("%d nodes: step %s, %v, all processes have %d MB", w.size, s.Name, (after[0].At - before[0].At).Round(time.Millisecond), total>>20)
+	p.measure(s, before, after)
+	took := (after[0].At - before[0].At).Round(time.Millisecond)
+	p.progress("%d nodes: step %s, %v, all processes have %d MB", p.size, s.Name, took, total>>20)
 	return nil
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -12,17 +12,17 @@
 
 // Report is what a process has used since it started.
 type Report struct {
-	At       time.Duration `json:"at"`     // by the machine's clock since boot
-	CPU      time.Duration `json:"cpu"`    // of the process, user and system
-	Memory   int64         `json:"memory"` // bytes resident at present
-	Dialed   Traffic       `json:"dialed"` // by connections that the process made
-	Accepted Traffic       `json:"accepted"`
-	Sent     int64         `json:"sent"` // messages of RPCs
+	At       time.Duration `json:"at"`       // since the machine's boot
+	CPU      time.Duration `json:"cpu"`      // user and system time of the process
+	Memory   int64         `json:"memory"`   // bytes resident now
+	Dialed   Traffic       `json:"dialed"`   // over connections that the process made
+	Accepted Traffic       `json:"accepted"` // over connections that were made to it
+	Sent     int64         `json:"sent"`     // messages of RPCs, as is Received
 	Received int64         `json:"received"`
-	Nodes    int           `json:"nodes"` // that are in the process
+	Nodes    int           `json:"nodes"` // in the process
 }
 
-// Report tells what the process has used.
+// Report returns what the process has used. Nodes is 0: the meter doesn't know them.
 func (m *Meter) Report() (Report, error) {
 	cpu, err := cpuTime()
 	if err != nil {
@@ -38,7 +38,7 @@
 	}, nil
 }
 
-// cpuTime is what this process has used of the processors.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -47,7 +47,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
 
-// residentMemory is how much memory of this process is residentMemory.
+// residentMemory returns the bytes of this process's memory that are resident.
 func residentMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -2,36 +2,31 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"path/filepath"
-	"sync"
 	"time"
 
 	"yokestall/internal/fake/fleet"
 	"yokestall/internal/fleet/agent"
 )
 
-// processCount gives how many processCount so many hollow nodes need.
-func processCount(nodes, perProcess int) int { return (nodes + perProcess - 1) / perProcess }
-
-// rig is the processes of a fleet at a size. Create it with newRig.
+// rig is the running processes of a fleet at one size. Create it with newRig, and end it with close.
 type rig struct {
 	plan    *Plan
-	size    int
-	dir     string
-	command []string // of the program
-	env     []string
+	size    int    // hollow nodes
+	dir     string // of the processes' folders
+	command []string
+	env     []string // beside the environment of this process
 	members members
 	voters  []agent.Voter
-	meter   *Meter // of the operator, who stands in region 0
+	meter   *Meter // of the operator, who is in region 0
 	keys    string // the folder of the run's keys; "": clear text
 	client  *agent.Client
 }
 
-// newRig starts the processes of a plan at a size, in a folder.
-func newRig(ctx context.Context, p *Plan, size int, dir string, command, env []string) (*rig, error) {
-	r := &rig{plan: p, size: size, dir: dir, command: command[:len(command):len(command)], env: env}
+// newRig starts the processes of a plan at a size, with their folders below dir.
+func newRig(ctx context.Context, plan *Plan, size int, dir string, command, env []string) (*rig, error) {
+	r := &rig{plan: plan, size: size, dir: dir, command: command[:len(command):len(command)], env: env}
 	if err := r.setUp(ctx); err != nil {
 		r.close()
 		return nil, err
@@ -51,17 +46,21 @@
 		return err
 	}
 	for _, role := range []Role{VoterRole, ServeRole, NodeRole} {
-		if err := r.start(ctx, r.members.withRole(role)); err != nil {
+		start := func(_ int, m *member) error { return m.start(ctx) }
+		if err := forEach(r.members.withRole(role), start); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// nodeCount is how many nodes the fleet has.
+// nodeCount returns how many nodes the fleet has.
 func (r *rig) nodeCount() int { return r.plan.Voters + r.plan.ServeProcesses + r.size }
 
-// addProcesses makes the processes, which have not been started.
+// processCount returns how many processes a number of hollow nodes needs.
+func processCount(nodes, perProcess int) int { return (nodes + perProcess - 1) / perProcess }
+
+// addProcesses makes the processes without starting them. Hollow nodes are spread evenly over theirs.
 func (r *rig) addProcesses() error {
 	p := r.plan
 	for i := range p.Voters {
@@ -77,7 +76,10 @@
 	count := processCount(r.size, p.NodesPerProcess)
 	for i := range count {
 		first, next := i*r.size/count, (i+1)*r.size/count
-		at := Placement{First: first, Count: next - first, Offset: p.Voters + p.ServeProcesses, Regions: p.Regions, Zones: p.Zones}
+		at := Placement{
+			First: first, Count: next - first, Offset: p.Voters + p.ServeProcesses,
+			Regions: p.Regions, Zones: p.Zones,
+		}
 		if err := r.addProcess(NodeRole, fmt.Sprint("hollow", i), at.Count, at.arguments()); err != nil {
 			return err
 		}
@@ -85,16 +87,28 @@
 	return nil
 }
 
-// arguments are those of the command that runs hollow nodes.
+// arguments returns those of the command that runs hollow nodes; the path of their file follows.
 func (at Placement) arguments() []string {
-	return []string{"lab", "hollow", fmt.Sprint("--first=", at.First), fmt.Sprint("--count=", at.Count), fmt.Sprint("--before=", at.Offset),
-		fmt.Sprint("--regions=", at.Regions), fmt.Sprint("--zones=", at.Zones), "-c"}
+	return []string{
+		"lab", "hollow",
+		fmt.Sprint("--first=", at.First),
+		fmt.Sprint("--count=", at.Count),
+		fmt.Sprint("--before=", at.Offset),
+		fmt.Sprint("--regions=", at.Regions),
+		fmt.Sprint("--zones=", at.Zones),
+		"-c",
+	}
 }
 
-// serveArguments are those of the command that runs a whole node.
+// serveArguments returns those of the command that runs a complete node; the path of its file follows.
 func (r *rig) serveArguments(i int) []string {
-	return []string{"lab", "serve", "--controlled", fmt.Sprint("--region=", i%r.plan.Regions), fmt.Sprint("--zone=", i%r.plan.Zones),
-		fmt.Sprint("--regions=", r.plan.Regions), "-c"}
+	return []string{
+		"lab", "serve", "--controlled",
+		fmt.Sprint("--region=", i%r.plan.Regions),
+		fmt.Sprint("--zone=", i%r.plan.Zones),
+		fmt.Sprint("--regions=", r.plan.Regions),
+		"-c",
+	}
 }
 
 func (r *rig) addProcess(role Role, name string, nodes int, arguments []string) error {
@@ -107,16 +121,6 @@
 	return nil
 }
 
-func (r *rig) start(ctx context.Context, list members) error {
-	errs := make([]error, len(list))
-	var all sync.WaitGroup
-	for i, m := range list {
-		all.Go(func() { errs[i] = m.start(ctx) })
-	}
-	all.Wait()
-	return errors.Join(errs...)
-}
-
 // close ends all processes.
 func (r *rig) close() {
 	if r.client != nil {
@@ -127,7 +131,7 @@
 	}
 }
 
-// reports gives what each process has used.
+// reports returns what each process has used, in the order of members.
 func (r *rig) reports(ctx context.Context) ([]Report, error) {
 	replies, err := r.members.call(ctx, toAll(Command{Op: OpReport}))
 	if err != nil {
@@ -140,9 +144,10 @@
 	return list, nil
 }
 
-// awaitVersion gives what all nodes act on, by process, once all act on a version or so much time has passed.
-func (r *rig) awaitVersion(ctx context.Context, number uint64, longest time.Duration) ([][]State, error) {
-	replies, err := r.members.call(ctx, toAll(Command{Op: OpAwait, Version: number, Timeout: longest}))
+// awaitVersion waits until all nodes act on a version, or timeout, and returns all nodes' states by process, in the
+// order of members.
+func (r *rig) awaitVersion(ctx context.Context, version uint64, timeout time.Duration) ([][]State, error) {
+	replies, err := r.members.call(ctx, toAll(Command{Op: OpAwait, Version: version, Timeout: timeout}))
 	if err != nil {
 		return nil, err
 	}
@@ -153,13 +158,13 @@
 	return list, nil
 }
 
-// setPartitioned parts the regions, or joins them again.
-func (r *rig) setPartitioned(ctx context.Context, apart bool) error {
+// setPartitioned separates the regions, or ends that.
+func (r *rig) setPartitioned(ctx context.Context, partitioned bool) error {
 	c := Command{Op: OpHeal}
-	if apart {
+	if partitioned {
 		c.Op = OpPartition
 	}
-	r.meter.SetPartitioned(apart)
+	r.meter.SetPartitioned(partitioned)
 	_, err := r.members.call(ctx, toAll(c))
 	return err
 }
--- a/internal/lab/scale/rigfiles.go
+++ b/internal/lab/scale/rigfiles.go
@@ -18,16 +18,14 @@
 	"yokestall/internal/tlskeys"
 )
 
-// fleetName is that of a run's fleet.
-const fleetName = "scale"
-
-// The names of the run's keys.
+// Names in the files of a run.
 const (
-	rootsName = "ca"
-	pairName  = "node"
+	fleetName = "scale"
+	rootsName = "ca"   // of the certificate authority
+	pairName  = "node" // of the certificate and key that all processes share
 )
 
-// writeFiles writes the processes' files, and makes the voters' stores.
+// writeFiles writes the processes' files, and initializes the voters' stores.
 func (r *rig) writeFiles(ctx context.Context) error {
 	for _, m := range r.members.withRole(VoterRole) {
 		address, err := freeAddress(m.proc.Addr)
@@ -51,26 +49,34 @@
 		if m.role != VoterRole {
 			continue
 		}
-		c := exec.CommandContext(ctx, r.command[0], append(r.command[1:], "fleet", "init", "-c", m.proc.Config())...)
-		c.Env = append(os.Environ(), r.env...)
-		if text, err := c.CombinedOutput(); err != nil {
-			return fmt.Errorf("fleet init: %w: %s", err, text)
+		if err := r.initStore(ctx, m); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// freeAddress gives a free port of a process's own address, other than the one on which it is to listen already.
+// initStore runs the program's command that makes a voter's store.
+func (r *rig) initStore(ctx context.Context, m *member) error {
+	c := exec.CommandContext(ctx, r.command[0], append(r.command[1:], "fleet", "init", "-c", m.proc.Config())...)
+	c.Env = append(os.Environ(), r.env...)
+	if text, err := c.CombinedOutput(); err != nil {
+		return fmt.Errorf("fleet init: %w: %s", err, text)
+	}
+	return nil
+}
+
+// freeAddress returns a free port on the host of taken, an address on which nobody listens yet, other than taken.
 func freeAddress(taken string) (string, error) {
 	host, _, err := net.SplitHostPort(taken)
 	if err != nil {
 		return "", err
 	}
-	held, err := net.Listen("tcp", taken) // until the other one is chosen
+	reserved, err := net.Listen("tcp", taken)
 	if err != nil {
 		return "", err
 	}
-	defer held.Close()
+	defer reserved.Close()
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		return "", err
@@ -79,6 +85,7 @@
 	return l.Addr().String(), nil
 }
 
+// makeKeys writes a certificate authority and a key for the names of all voters, in r.keys.
 func (r *rig) makeKeys() error {
 	authority, err := keymaker.New("the run's authority")
 	if err != nil {
@@ -99,15 +106,16 @@
 	return authority.Write(r.keys, pairName, names...)
 }
 
-// programFile is the own programFile of a process's nodes.
+// programFile returns the configuration of a process's nodes. number is the process's place among members.
 func (r *rig) programFile(m *member, number int) string {
-	t := &r.plan.Lease
+	l := &r.plan.Lease
 	var b strings.Builder
 	if r.keys != "" {
 		fmt.Fprintf(&b, "[keys]\nfolder = %q\n", r.keys)
 	}
 	b.WriteString(baseConfig(m.proc.Addr, r.nodeCount(), number))
-	fmt.Fprintf(&b, "[fleet.agree]\nname = %q\nnode = %q\nlease = %q\ndrift = %v\ntake = %q\n", fleetName, m.name, t.Duration, t.MaxClockDrift, t.ApplyTimeout)
+	fmt.Fprintf(&b, "[fleet.agree]\nname = %q\nnode = %q\n", fleetName, m.name)
+	fmt.Fprintf(&b, "lease = %q\ndrift = %v\ntake = %q\n", l.Duration, l.MaxClockDrift, l.ApplyTimeout)
 	if r.keys != "" {
 		fmt.Fprintf(&b, "roots = %q\ncertificate = %q\n", rootsName, pairName)
 	}
@@ -123,18 +131,19 @@
 	return b.String()
 }
 
-// connectOperator makes the client that publishes.
+// connectOperator makes the client that publishes versions.
 func (r *rig) connectOperator() error {
-	var with *tls.Config
+	var tlsConfig *tls.Config
 	if r.keys != "" {
 		keys, err := tlskeys.Open(r.keys, pairName, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return err
 		}
-		with = keys.Client(tlskeys.Servers{Roots: rootsName, Certificate: pairName})
+		tlsConfig = keys.Client(tlskeys.Servers{Roots: rootsName, Certificate: pairName})
 	}
 	r.meter = NewMeter(r.voters, r.plan.Regions)
 	var err error
-	r.client, err = agent.NewClient(fleetName, r.voters, with, grpc.WithContextDialer(r.meter.Dialer(0)))
+	dialer := grpc.WithContextDialer(r.meter.Dialer(0))
+	r.client, err = agent.NewClient(fleetName, r.voters, tlsConfig, dialer)
 	return err
 }
--- a/internal/lab/scale/states.go
+++ b/internal/lab/scale/states.go
@@ -11,34 +11,36 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// State is what a node acts on.
+// State is the version that a node acts on. Times are since the machine's boot.
 type State struct {
 	Node         string        `json:"node"`
 	Region       int           `json:"region"`
 	Zone         int           `json:"zone"`
-	Version      uint64        `json:"number"` // of the version, 0: none
-	Complete     bool          `json:"whole"`  // not the stricter of it and another one
-	Disconnected bool          `json:"alone"`  // its lease is over
-	ChangedAt    time.Duration `json:"at"`     // since when, by the machine's clock since boot
-	AppliedAt    time.Duration `json:"took"`   // when it first acted on this version whole with a lease since it started
+	Version      uint64        `json:"number"` // 0: none
+	Complete     bool          `json:"whole"`  // false: it acts on the stricter of this version and a pending one
+	Disconnected bool          `json:"alone"`  // its lease has expired
+	ChangedAt    time.Duration `json:"at"`     // the last change of this state
+	AppliedAt    time.Duration `json:"took"`   // the first complete use of Version under a lease since the node's start
 }
 
-// ActsOn tells whether the node acts on a version, or a later one, with a lease.
-func (s *State) ActsOn(number uint64) bool {
-	return s.Complete && !s.Disconnected && s.Version >= number
+// ActsOn reports whether the node acts on a version, or a later one, completely and under a lease.
+func (s *State) ActsOn(version uint64) bool {
+	return s.Complete && !s.Disconnected && s.Version >= version
 }
 
-// States are what the nodes of a process act on. Create it with NewStates.
+// States are the states of the nodes of a process. Create it with NewStates.
 type States struct {
 	mu      sync.Mutex
 	nodes   map[string]*State
-	changed chan struct{}
+	changed chan struct{} // closed and replaced at each change
 }
 
-// NewStates makes a record without nodes.
-func NewStates() *States { return &States{nodes: map[string]*State{}, changed: make(chan struct{})} }
+// NewStates returns the states of no nodes.
+func NewStates() *States {
+	return &States{nodes: map[string]*State{}, changed: make(chan struct{})}
+}
 
-// Register has a node be there that acts on nothing yet.
+// Register adds a node that acts on no version yet, or resets it to that.
 func (s *States) Register(node string, region, zone int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,43 +48,48 @@
 	s.notify()
 }
 
-// Record takes what a node acts on from now on.
-func (s *States) Record(node string, rules consensus.ActiveVersions, alone bool) {
+// Record sets what a registered node acts on from now on.
+func (s *States) Record(node string, versions consensus.ActiveVersions, disconnected bool) {
 	now := agent.BootTime()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.nodes[node]
-	whole := rules.PendingVersion == 0
-	if whole && !alone && (n.Version != rules.Version || n.AppliedAt == 0) {
+	complete := versions.PendingVersion == 0
+	if complete && !disconnected && (n.Version != versions.Version || n.AppliedAt == 0) {
 		n.AppliedAt = now
 	}
-	n.Version, n.Complete, n.Disconnected, n.ChangedAt = rules.Version, whole, alone, now
+	n.Version = versions.Version
+	n.Complete = complete
+	n.Disconnected = disconnected
+	n.ChangedAt = now
 	s.notify()
 }
 
+// notify wakes all that wait for a change. The caller has locked s.mu.
 func (s *States) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Snapshot gives the states in the order of the names, with whether all nodes act on a version.
-func (s *States) Snapshot(number uint64) (list []State, on bool, changed <-chan struct{}) {
+// Snapshot returns the states in the order of the nodes' names, whether all nodes act on a version, and a channel that
+// is closed at the next change.
+func (s *States) Snapshot(version uint64) (list []State, all bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	on = true
+	all = true
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
 		n := s.nodes[name]
-		on = on && n.ActsOn(number)
+		all = all && n.ActsOn(version)
 		list = append(list, *n)
 	}
-	return list, on, s.changed
+	return list, all, s.changed
 }
 
-// Await waits until all nodes act on a version or a later one, or ctx ends, and gives their states.
-func (s *States) Await(ctx context.Context, number uint64) []State {
+// Await waits until all nodes act on a version or a later one, or ctx ends, and returns their states.
+func (s *States) Await(ctx context.Context, version uint64) []State {
 	for {
-		list, on, changed := s.Snapshot(number)
-		if on {
+		list, all, changed := s.Snapshot(version)
+		if all {
 			return list
 		}
 		select {
--- a/internal/lab/scale/steps.go
+++ b/internal/lab/scale/steps.go
@@ -7,51 +7,76 @@
 	"time"
 
 	"yokestall/internal/fleet/agent"
+	"yokestall/internal/lab/ctxtime"
 )
 
-// publishChanges publishes a step's versions, one after the other, each once all act on the one before or the step's wait is
-// over.
-func (w *player) publishChanges(ctx context.Context, s Step) error {
+// execute does what a step of this kind does.
+func (p *player) execute(ctx context.Context, s Step) error {
+	switch s.Kind {
+	case KindIdle:
+		return ctxtime.Sleep(ctx, s.Duration)
+	case KindSettings, KindList:
+		return p.publishChanges(ctx, s)
+	case KindRestart:
+		return p.restart(ctx, s)
+	case KindPartition:
+		return p.partitionRegions(ctx, s)
+	case KindHeal:
+		return p.healRegions(ctx, s)
+	case KindRestartAll:
+		return p.restartAll(ctx, s)
+	}
+	return nil
+}
+
+// publishChanges publishes a step's versions one after the other, each as soon as all nodes act on the one before or
+// the step's Timeout is over.
+func (p *player) publishChanges(ctx context.Context, s Step) error {
 	var published []float64
-	took := map[Role][]float64{}
+	inForce := timesByRole{}
 	for range s.Count {
-		base := w.version
-		began, err := w.publish(ctx, func(ctx context.Context, id string) (*agent.PublishReply, error) {
-			if s.Kind == KindList {
-				return w.client.PublishChange(ctx, id, base, w.plan.Content.deltaFile(w.changes+1))
-			}
-			return w.client.Publish(ctx, id, base, w.plan.Content.bundle(w.nodeCount(), w.settings.next(s.Contradicts)))
-		})
+		began, err := p.publishChange(ctx, s)
 		if err != nil {
 			return err
 		}
 		published = append(published, milliseconds(agent.BootTime()-began))
-		if w.changes++; s.Kind == KindSettings {
-			w.settings = w.settings.next(s.Contradicts)
-		}
-		states, err := w.awaitVersion(ctx, w.version, s.Timeout)
+		states, err := p.awaitVersion(ctx, p.version, s.Timeout)
 		if err != nil {
 			return err
 		}
-		w.recordLate(s, states)
-		w.addInForceTimes(took, states, began)
+		p.recordLate(s, states)
+		p.addTimes(inForce, states, began, func(n *State) time.Duration { return n.AppliedAt })
 	}
-	w.figures.add(s.Name+".operator.published", "ms", float64(w.size), mean(published))
-	w.addPercentiles(s, "in_force", took)
+	p.figures.add(s.Name+".operator.published", "ms", float64(p.size), mean(published))
+	p.addPercentiles(s, "in_force", inForce)
 	return nil
 }
 
-// restart restarts some hollow nodes at once and waits until they act again.
-func (w *player) restart(ctx context.Context, s Step) error {
-	chosen := map[string]bool{}
-	for _, i := range w.rng.Perm(w.size) {
-		if s.Zone >= 0 && i%w.plan.Zones == s.Zone || s.Zone < 0 && len(chosen) < int(math.Ceil(s.Fraction*float64(w.size))) {
-			chosen[nodeName(i)] = true
+// publishChange publishes the next version of a step, and returns when it was sent first, since boot.
+func (p *player) publishChange(ctx context.Context, s Step) (began time.Duration, err error) {
+	base, next := p.version, p.settings.next(s.Contradicts)
+	began, err = p.publish(ctx, func(ctx context.Context, id string) (*agent.PublishReply, error) {
+		if s.Kind == KindList {
+			return p.client.PublishChange(ctx, id, base, p.plan.Content.deltaFile(p.changes+1))
 		}
+		return p.client.Publish(ctx, id, base, p.plan.Content.bundle(p.nodeCount(), next))
+	})
+	if err != nil {
+		return 0, err
 	}
+	p.changes++
+	if s.Kind == KindSettings {
+		p.settings = next
+	}
+	return began, nil
+}
+
+// restart restarts some hollow nodes at once and waits until all nodes act on the last version again.
+func (p *player) restart(ctx context.Context, s Step) error {
+	chosen := p.chooseNodes(s)
 	first := 0
 	began := agent.BootTime()
-	if _, err := w.members.call(ctx, func(m *member) *Command {
+	_, err := p.members.call(ctx, func(m *member) *Command {
 		if m.role != NodeRole {
 			return nil
 		}
@@ -63,56 +88,70 @@
 		}
 		first += m.nodeCount
 		return c
-	}); err != nil {
+	})
+	if err != nil {
 		return err
 	}
-	w.figures.add(s.Name+".node.restarted", "nodes", float64(w.size), float64(len(chosen)))
-	return w.awaitRecovery(ctx, s, began)
+	p.figures.add(s.Name+".node.restarted", "nodes", float64(p.size), float64(len(chosen)))
+	return p.awaitRecovery(ctx, s, began)
 }
 
-// partitionRegions has the regions hear nothing of each other, and counts the nodes' leases at the end of the step's length.
-func (w *player) partitionRegions(ctx context.Context, s Step) error {
-	if err := w.setPartitioned(ctx, true); err != nil {
+// chooseNodes draws the hollow nodes that a step restarts: all of its zone, or a fraction of all.
+func (p *player) chooseNodes(s Step) map[string]bool {
+	chosen := map[string]bool{}
+	count := int(math.Ceil(s.Fraction * float64(p.size)))
+	for _, i := range p.rng.Perm(p.size) {
+		if s.Zone >= 0 && i%p.plan.Zones == s.Zone || s.Zone < 0 && len(chosen) < count {
+			chosen[nodeName(i)] = true
+		}
+	}
+	return chosen
+}
+
+// partitionRegions separates the regions for the step's Duration, and counts the leases at its end. The regions stay
+// separated.
+func (p *player) partitionRegions(ctx context.Context, s Step) error {
+	if err := p.setPartitioned(ctx, true); err != nil {
 		return err
 	}
-	if err := pause(ctx, s.Duration); err != nil {
+	if err := ctxtime.Sleep(ctx, s.Duration); err != nil {
 		return err
 	}
-	states, err := w.awaitVersion(ctx, 0, 0)
+	states, err := p.awaitVersion(ctx, 0, 0)
 	if err != nil {
 		return err
 	}
-	leased, alone := make([]int, w.plan.Regions), make([]int, w.plan.Regions)
+	leased, disconnected := make([]int, p.plan.Regions), make([]int, p.plan.Regions)
 	for _, list := range states {
 		for _, n := range list {
 			switch {
 			case n.Disconnected:
-				alone[n.Region]++
+				disconnected[n.Region]++
 			case n.Version > 0:
 				leased[n.Region]++
 			}
 		}
 	}
-	for region := range w.plan.Regions {
+	for region := range p.plan.Regions {
 		key := fmt.Sprintf("%s.region%d.", s.Name, region)
-		w.figures.add(key+"leased", "nodes", float64(w.size), float64(leased[region]))
-		w.figures.add(key+"alone", "nodes", float64(w.size), float64(alone[region]))
+		p.figures.add(key+"leased", "nodes", float64(p.size), float64(leased[region]))
+		p.figures.add(key+"alone", "nodes", float64(p.size), float64(disconnected[region]))
 	}
 	return nil
 }
 
-// healRegions has the regions hear of each other again.
-func (w *player) healRegions(ctx context.Context, s Step) error {
+// healRegions ends the partition and waits until all nodes act on the last version.
+func (p *player) healRegions(ctx context.Context, s Step) error {
 	began := agent.BootTime()
-	if err := w.setPartitioned(ctx, false); err != nil {
+	if err := p.setPartitioned(ctx, false); err != nil {
 		return err
 	}
-	return w.awaitRecovery(ctx, s, began)
+	return p.awaitRecovery(ctx, s, began)
 }
 
-// restartAll stops all hollow nodes and starts them at once.
-func (w *player) restartAll(ctx context.Context, s Step) error {
-	hollow := w.members.withRole(NodeRole)
+// restartAll stops all hollow nodes, starts them at once and waits until all nodes act on the last version.
+func (p *player) restartAll(ctx context.Context, s Step) error {
+	hollow := p.members.withRole(NodeRole)
 	if _, err := hollow.call(ctx, toAll(Command{Op: OpStop})); err != nil {
 		return err
 	}
@@ -120,16 +159,5 @@
 	if _, err := hollow.call(ctx, toAll(Command{Op: OpStart, EmptyStores: s.EmptyStores})); err != nil {
 		return err
 	}
-	return w.awaitRecovery(ctx, s, began)
-}
-
-func pause(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
+	return p.awaitRecovery(ctx, s, began)
 }
--- a/internal/lab/scale/traffic.go
+++ b/internal/lab/scale/traffic.go
@@ -13,25 +13,28 @@
 	Out         int64 `json:"out"`
 	PacketsIn   int64 `json:"packets_in"`
 	PacketsOut  int64 `json:"packets_out"`
-	Connections int64 `json:"connections"` // that were made, over all time
+	Connections int64 `json:"connections"` // that were made so far
 }
 
 func (t *Traffic) packets() int64 { return t.PacketsIn + t.PacketsOut }
 
-// wireBytes gives the bytes both ways, with headers.
+// packetHeaderBytes are the bytes of a packet's headers: IPv4, TCP and TCP's timestamps.
+const packetHeaderBytes = 20 + 20 + 12
+
+// wireBytes returns the bytes in both directions, with the packets' headers.
 func (t *Traffic) wireBytes() int64 { return t.In + t.Out + packetHeaderBytes*t.packets() }
 
-// traffic counts what connections carry.
-type traffic struct {
+// trafficCounter counts what connections carry. The zero value is ready to use.
+type trafficCounter struct {
 	in, out, connections atomic.Int64
 
 	mu                    sync.Mutex
 	open                  map[*conn]struct{}
-	packetsIn, packetsOut int64 // of those that are closed
+	packetsIn, packetsOut int64 // of connections that are closed
 }
 
-// total gives what all connections have carried so far.
-func (t *traffic) total() Traffic {
+// total returns what all connections have carried so far.
+func (t *trafficCounter) total() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum := Traffic{t.in.Load(), t.out.Load(), t.packetsIn, t.packetsOut, t.connections.Load()}
@@ -43,7 +46,8 @@
 	return sum
 }
 
-func (t *traffic) add(c *conn) {
+// add counts a new connection.
+func (t *trafficCounter) add(c *conn) {
 	t.connections.Add(1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,8 +57,8 @@
 	t.open[c] = struct{}{}
 }
 
-// remove forgets a connection that is about to be closed, but for its packets.
-func (t *traffic) remove(c *conn) {
+// remove drops a connection that is about to be closed, and retains the count of its packets.
+func (t *trafficCounter) remove(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	in, out := c.packets()
