--- a/internal/cli/lab_process.go
+++ b/internal/cli/lab_process.go
@@ -38,7 +38,7 @@
 			if err != nil {
 				return err
 			}
-			if err := plan.Only(r.sizes); err != nil {
+			if err := plan.Select(r.sizes); err != nil {
 				return err
 			}
 			if r.write != "" {
@@ -57,7 +57,7 @@
 // writeSizes writes the files of each size below a folder of its name, and where it has more tenants than the program
 // may take, a second folder with the number that is measured with in that case.
 func writeSizes(out io.Writer, plan *process.Plan, folder string) error {
-	for _, size := range plan.Written() {
+	for _, size := range plan.WithFallbacks() {
 		g := process.Generator{Size: size, Seed: plan.Seed, Place: process.DefaultPlace()}
 		dir := filepath.Join(folder, size.Name)
 		if err := g.Write(dir); err != nil {
--- a/internal/lab/process/bad_test.go
+++ b/internal/lab/process/bad_test.go
@@ -33,15 +33,15 @@
 }
 
 const (
-	programHead = "[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"clusters\"\n[[class]]\nname = \"r\"\neffect = \"safe\"\ndeadline = \"1s\"\n"
-	hostHead    = "[[host]]\n"
-	restRoute   = "[[host.route]]\nprefix = \"/\"\nclass = \"r\"\ncluster = \"c\"\n"
+	programHead   = "[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"clusters\"\n[[class]]\nname = \"r\"\neffect = \"safe\"\ndeadline = \"1s\"\n"
+	hostHead      = "[[host]]\n"
+	catchAllRoute = "[[host.route]]\nprefix = \"/\"\nclass = \"r\"\ncluster = \"c\"\n"
 )
 
 var badInputs = []badInput{
 	// Their shortest forms have over 200 MB; nothing of such a file is read, so that it may be empty on the disk.
 	{"ten million tenants", sparse(10_000_000 * int64(len("[[tenant]]\nname=\"1\"\n"))), fmt.Sprintf("bytes; %d at most", config.MaxFile)},
-	{"a million routes", sparse(1_000_000 * int64(len(restRoute))), fmt.Sprintf("bytes; %d at most", config.MaxFile)},
+	{"a million routes", sparse(1_000_000 * int64(len(catchAllRoute))), fmt.Sprintf("bytes; %d at most", config.MaxFile)},
 	{"150,000 servers", manyServers(150_000), fmt.Sprintf(":%d: endpoint: over %d servers", 4*cluster.MaxEndpoints+3, cluster.MaxEndpoints)},
 	{"more tenants than the bound", manyTenants(max(100_000, config.MaxTenants+1), "tenant-%06d"), fmt.Sprintf("tenant: over %d tenants", config.MaxTenants)},
 	{"five times as many routes", manyRoutes(5 * route.MaxRoutes), fmt.Sprintf("host.route: over %d routes", route.MaxRoutes)},
@@ -96,7 +96,7 @@
 				}
 				fmt.Fprintf(w, "[[tenant]]\nname=%q\n", n)
 			}
-			io.WriteString(w, hostHead+restRoute)
+			io.WriteString(w, hostHead+catchAllRoute)
 		})
 	}
 }
@@ -126,8 +126,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v.Taken || !strings.HasPrefix(v.Text, path) || !strings.Contains(v.Text, in.want) {
-		t.Errorf("%s: taken %v, %q", in.name, v.Taken, v.Text)
+	if v.Accepted || !strings.HasPrefix(v.Output, path) || !strings.Contains(v.Output, in.want) {
+		t.Errorf("%s: taken %v, %q", in.name, v.Accepted, v.Output)
 	}
 	if v.Peak > maxRefusalMemory {
 		t.Errorf("%s: %d MB resident; %d at most", in.name, v.Peak>>20, maxRefusalMemory>>20)
@@ -144,7 +144,7 @@
 	for _, in := range badInputs {
 		t.Run(in.name, func(t *testing.T) {
 			v := refused(t, in, itself, env)
-			t.Logf("%v of CPU, %d MB resident: %s", v.CPU, v.Peak>>20, v.Text[strings.LastIndexByte(v.Text, '/')+1:])
+			t.Logf("%v of CPU, %d MB resident: %s", v.CPU, v.Peak>>20, v.Output[strings.LastIndexByte(v.Output, '/')+1:])
 		})
 	}
 }
@@ -172,7 +172,7 @@
 			}
 			var v process.Verdict
 			for b.Loop() {
-				if v, err = process.Check(b.Context(), itself, env, path); err != nil || v.Taken {
+				if v, err = process.Check(b.Context(), itself, env, path); err != nil || v.Accepted {
 					b.Fatalf("%+v, %v", v, err)
 				}
 			}
--- a/internal/lab/process/check.go
+++ b/internal/lab/process/check.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	checkSample  = time.Millisecond // how often the memory of a check is looked at
-	verdictBytes = 4096             // kept of what a check prints
+	peakSampleInterval = time.Millisecond // how often the memory of a check is looked at
+	maxOutputBytes     = 4096             // kept of what a check prints
 )
 
 // Verdict is what `yokestall check` said of files, and what that took.
 type Verdict struct {
-	Taken bool
-	Text  string // its first bytes
-	Lines int    // of all that it said
-	CPU   time.Duration
-	Wall  time.Duration
+	Accepted bool
+	Output   string // its first bytes
+	Lines    int    // of all that it said
+	CPU      time.Duration
+	Wall     time.Duration
 	// Peak is the most memory that was seen resident, by samples a millisecond apart: what the system reports at a
 	// child's end may be its parent's, from between fork and exec.
 	Peak int64
@@ -48,23 +48,23 @@
 	close(ended)
 	v.Peak = <-peak
 	v.Lines = bytes.Count(out.Bytes(), []byte("\n"))
-	v.Text = strings.TrimSpace(string(out.Bytes()[:min(out.Len(), verdictBytes)]))
+	v.Output = strings.TrimSpace(string(out.Bytes()[:min(out.Len(), maxOutputBytes)]))
 	var exit *exec.ExitError
 	switch {
 	case ctx.Err() != nil:
 		return v, ctx.Err()
 	case err == nil:
-		v.Taken = true
+		v.Accepted = true
 	case errors.As(err, &exit) && exit.ExitCode() == 1:
 	default:
-		return v, errors.Join(err, errors.New(v.Text))
+		return v, errors.Join(err, errors.New(v.Output))
 	}
 	return v, nil
 }
 
 // peakUntil samples the most memory that a process has had, until it has ended.
 func peakUntil(pid int, ended <-chan struct{}) (peak int64) {
-	tick := time.NewTicker(checkSample)
+	tick := time.NewTicker(peakSampleInterval)
 	defer tick.Stop()
 	for {
 		if u, err := ReadUsage(pid); err == nil {
--- a/internal/lab/process/generate.go
+++ b/internal/lab/process/generate.go
@@ -41,18 +41,18 @@
 	prefixRoute
 	exactRoute
 	regexRoute
-	writeRoute // a template that takes POST alone, of the keyed class
-	restRoute  // the last route of a host: everything else
+	writeRoute    // a template that takes POST alone, of the keyed class
+	catchAllRoute // the last route of a host: everything else
 )
 
-// kindTurns has each ten routes of a host be four templates, three prefixes, one exact path, one expression and one
+// routeKindCycle has each ten routes of a host be four templates, three prefixes, one exact path, one expression and one
 // write.
-var kindTurns = [...]routeKind{
+var routeKindCycle = [...]routeKind{
 	templateRoute, prefixRoute, templateRoute, exactRoute, prefixRoute, templateRoute, regexRoute, prefixRoute, writeRoute, templateRoute,
 }
 
-// quotaSpread is the sigma of the tenants' quotas, which are log-normal: a few are large, most are small.
-const quotaSpread = 1.5
+// quotaSigma is the sigma of the tenants' quotas, which are log-normal: a few are large, most are small.
+const quotaSigma = 1.5
 
 // ServiceName names service i, its cluster and its host.
 func ServiceName(i int) string { return fmt.Sprintf("service-%04d", i) }
@@ -63,8 +63,8 @@
 // hostName is the domain of service i.
 func hostName(i int) string { return ServiceName(i) + ".example.org" }
 
-// routesOf gives how many routes service i has; they differ by one at most.
-func (g *Generator) routesOf(i int) int {
+// routeCount gives how many routes service i has; they differ by one at most.
+func (g *Generator) routeCount(i int) int {
 	n := g.Size.Routes / g.Size.Services
 	if i < g.Size.Routes%g.Size.Services {
 		n++
@@ -74,10 +74,10 @@
 
 // kind gives the form of route j of service i.
 func (g *Generator) kind(i, j int) routeKind {
-	if j == g.routesOf(i)-1 {
-		return restRoute
+	if j == g.routeCount(i)-1 {
+		return catchAllRoute
 	}
-	return kindTurns[j%len(kindTurns)]
+	return routeKindCycle[j%len(routeKindCycle)]
 }
 
 // Settings are what changes of a configuration replace.
@@ -128,7 +128,7 @@
 		"answer = { status = 200, text = %q }\n[[host.route]]\nname = \"text\"\npath = \"/text\"\nanswer = { status = 200, text = \"text %d\" }\n",
 		VersionHost, VersionText(s), s.Text)
 	for i := range g.Size.Services {
-		g.host(b, i)
+		g.writeHost(b, i)
 	}
 }
 
@@ -141,7 +141,7 @@
 func (g *Generator) writeTenants(b io.Writer, step int) {
 	rng := rand.New(rand.NewPCG(g.Seed, 1))
 	for i := range g.Size.Tenants {
-		quota := math.Ceil(100*math.Exp(quotaSpread*rng.NormFloat64())) / 10
+		quota := math.Ceil(100*math.Exp(quotaSigma*rng.NormFloat64())) / 10
 		if i == 0 {
 			quota = float64(1000 + step)
 		}
@@ -149,9 +149,9 @@
 	}
 }
 
-func (g *Generator) host(b io.Writer, i int) {
+func (g *Generator) writeHost(b io.Writer, i int) {
 	fmt.Fprintf(b, "\n[[host]]\nname = %q\ndomains = [%q]\n", ServiceName(i), hostName(i))
-	for j := range g.routesOf(i) {
+	for j := range g.routeCount(i) {
 		class := "read"
 		fmt.Fprintf(b, "[[host.route]]\nname = \"r%d\"\n", j)
 		switch g.kind(i, j) {
@@ -166,7 +166,7 @@
 		case writeRoute:
 			class = "write"
 			fmt.Fprintf(b, "template = \"/bookings-%d/{booking}\"\nmethods = [\"POST\"]\n", j)
-		case restRoute:
+		case catchAllRoute:
 			io.WriteString(b, "prefix = \"/\"\n")
 		}
 		fmt.Fprintf(b, "class = %q\ncluster = %q\n", class, ServiceName(i))
@@ -190,20 +190,20 @@
 	return config.FormatCluster(c)
 }
 
-// Ask is a request of the load.
-type Ask struct {
+// Request is a request of the load.
+type Request struct {
 	Service            int
 	Method, Host, Path string
 	Tenant             string // "": the size has none
 	Key                string // of a write
 }
 
-// Ask draws request n, among the first services that are in use.
-func (g *Generator) Ask(n, inUse int) Ask {
+// Request draws request n, among the first services that are in use.
+func (g *Generator) Request(n, inUse int) Request {
 	rng := rand.New(rand.NewPCG(g.Seed, uint64(n)<<8|2))
 	i := n % inUse
-	j := rng.IntN(g.routesOf(i))
-	a := Ask{Service: i, Method: http.MethodGet, Host: hostName(i)}
+	j := rng.IntN(g.routeCount(i))
+	a := Request{Service: i, Method: http.MethodGet, Host: hostName(i)}
 	if g.Size.Tenants > 0 {
 		a.Tenant = TenantName(rng.IntN(g.Size.Tenants))
 	}
@@ -218,7 +218,7 @@
 		a.Path = fmt.Sprintf("/search-%d/word", j)
 	case writeRoute:
 		a.Method, a.Path, a.Key = http.MethodPost, fmt.Sprintf("/bookings-%d/%d", j, n), fmt.Sprintf("key-%d-%d", g.Seed, n)
-	case restRoute:
+	case catchAllRoute:
 		a.Path = fmt.Sprintf("/else/%d", rng.IntN(1000))
 	}
 	return a
--- a/internal/lab/process/golden_test.go
+++ b/internal/lab/process/golden_test.go
@@ -14,7 +14,7 @@
 		Machine: Machine{Cores: 2, MemoryMB: 3, System: "system-a", Go: "go-a", Load: 4.5},
 		Sizes:   []Size{{Name: "size-a", Services: 5, Servers: 6, Routes: 7, Tenants: 8, Nodes: 9, TenantsFile: true, MemoryMB: 10}},
 		Figures: []Figure{{Key: "key-a", Value: 11.5, Unit: "ms"}},
-		Slopes:  []Fit{{Key: "key-b", Per: "tenants", Slope: 12.5, Intercept: 13.5, Residual: 14.5, Points: 15, Unit: "MB"}},
+		Slopes:  []Fit{{Key: "key-b", Dimension: "tenants", Slope: 12.5, Intercept: 13.5, Residual: 14.5, Points: 15, Unit: "MB"}},
 		Notes:   []string{"note-a"},
 	})
 }
@@ -64,7 +64,7 @@
 		t.Errorf("%+v, %v", f, ok)
 	}
 	if want := (Fit{
-		Key: "together.check_fewer_tenants.cpu", Per: "services", Slope: 0.0006435842718606291, Intercept: -0.0011908656833523323,
+		Key: "together.check_fewer_tenants.cpu", Dimension: "services", Slope: 0.0006435842718606291, Intercept: -0.0011908656833523323,
 		Residual: 0.017268417782271405, Points: 4, Unit: "s",
 	}); r.Slopes[4] != want {
 		t.Errorf("%+v; want %+v", r.Slopes[4], want)
--- a/internal/lab/process/load.go
+++ b/internal/lab/process/load.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	generatorLate = 5 * time.Millisecond // a load is void beyond; see loadgen.Plan.Late
-	firstFaults   = 5                    // kept of a load, for its report
-	longestAdded  = int64(time.Minute / time.Microsecond)
+	maxGeneratorDelay = 5 * time.Millisecond // a load is void beyond; see loadgen.Plan.Late
+	maxLoadErrors     = 5                    // kept of a load, for its report
+	maxAddedLatency   = int64(time.Minute / time.Microsecond)
 )
 
 // Load is what came of asking for a while.
 type Load struct {
-	Asked, Answered int64
-	Statuses        map[int]int64
-	Faults          []string // the first few
-	// Added is, for each answer, the client's latency less the time that the server took itself, in microseconds.
-	Added       *hdrhistogram.Histogram
-	Connections int64         // that servers took meanwhile
-	CPU         time.Duration // of the process
-	Wall        time.Duration
-	Void        bool // the load generator was late itself
+	Requested, Answered int64
+	Statuses            map[int]int64
+	Errors              []string // the first few
+	// AddedLatency is, for each answer, the client's latency less the time that the server took itself, in microseconds.
+	AddedLatency *hdrhistogram.Histogram
+	Connections  int64         // that servers took meanwhile
+	CPU          time.Duration // of the process
+	Wall         time.Duration
+	Void         bool // the load generator was late itself
 }
 
-// Ask has clients ask the process at a rate, spread over the first services that are in use.
-func (s *Served) Ask(ctx context.Context, rate float64, inUse int, length time.Duration) (*Load, error) {
+// RunLoad has clients ask the process at a rate, spread over the first services that are in use.
+func (s *ServeProcess) RunLoad(ctx context.Context, rate float64, inUse int, length time.Duration) (*Load, error) {
 	before, err := s.Usage()
 	if err != nil {
 		return nil, err
 	}
-	l := s.load(ctx, s.client, rate, length, func(n int) (*http.Request, error) {
-		a := s.Generator.Ask(n, inUse)
+	l := s.runLoad(ctx, s.client, rate, length, func(n int) (*http.Request, error) {
+		a := s.Generator.Request(n, inUse)
 		return a.request(ctx)
 	})
 	after, err := s.Usage()
@@ -51,19 +51,19 @@
 	return l, errors.Join(err, ctx.Err())
 }
 
-// AskDirectly has the same clients ask the stand-in servers, past the process: what of the added latency is the
+// RunDirectLoad has the same clients ask the stand-in servers, past the process: what of the added latency is the
 // clients' own.
-func (s *Served) AskDirectly(ctx context.Context, rate float64, length time.Duration) (*Load, error) {
+func (s *ServeProcess) RunDirectLoad(ctx context.Context, rate float64, length time.Duration) (*Load, error) {
 	client := newClient("")
 	defer client.CloseIdleConnections()
-	l := s.load(ctx, client, rate, length, func(n int) (*http.Request, error) {
-		return http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Boxes[n%len(s.Boxes)].Addr()+"/", nil)
+	l := s.runLoad(ctx, client, rate, length, func(n int) (*http.Request, error) {
+		return http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Servers[n%len(s.Servers)].Addr()+"/", nil)
 	})
 	return l, ctx.Err()
 }
 
 // request makes what clients send.
-func (a Ask) request(ctx context.Context) (*http.Request, error) {
+func (a Request) request(ctx context.Context) (*http.Request, error) {
 	q, err := http.NewRequestWithContext(ctx, a.Method, "http://"+a.Host+a.Path, nil)
 	if err != nil {
 		return nil, err
@@ -77,37 +77,37 @@
 	return q, nil
 }
 
-func (s *Served) load(ctx context.Context, client *http.Client, rate float64, length time.Duration, next func(n int) (*http.Request, error)) *Load {
-	l := &Load{Statuses: map[int]int64{}, Added: hdrhistogram.New(1, longestAdded, 3)}
+func (s *ServeProcess) runLoad(ctx context.Context, client *http.Client, rate float64, length time.Duration, next func(n int) (*http.Request, error)) *Load {
+	l := &Load{Statuses: map[int]int64{}, AddedLatency: hdrhistogram.New(1, maxAddedLatency, 3)}
 	var mu sync.Mutex // guards l
 	connections := s.connections()
 	began := time.Now()
 	report := loadgen.Run(ctx, loadgen.Plan{
-		Length: length, Open: openLimit, Seed: s.Generator.Seed, Late: generatorLate,
+		Length: length, Open: maxOpenRequests, Seed: s.Generator.Seed, Late: maxGeneratorDelay,
 		Streams: []loadgen.Stream{{Rate: rate, Curve: model.Curve{}, Do: func(_ context.Context, n int, _ time.Time) {
-			status, added, err := ask(client, n, next)
+			status, added, err := do(client, n, next)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				if len(l.Faults) < firstFaults {
-					l.Faults = append(l.Faults, err.Error())
+				if len(l.Errors) < maxLoadErrors {
+					l.Errors = append(l.Errors, err.Error())
 				}
 				return
 			}
 			l.Answered++
 			l.Statuses[status]++
 			if status == http.StatusOK {
-				l.Added.RecordValue(min(max(1, added.Microseconds()), longestAdded))
+				l.AddedLatency.RecordValue(min(max(1, added.Microseconds()), maxAddedLatency))
 			}
 		}}},
 	})
-	l.Wall, l.Asked, l.Void = time.Since(began), report.Asked[0], report.Void
+	l.Wall, l.Requested, l.Void = time.Since(began), report.Asked[0], report.Void
 	l.Connections = s.connections() - connections
 	return l
 }
 
-// ask makes one request, and gives its status and what its answer took beyond the server's own time.
-func ask(client *http.Client, n int, next func(n int) (*http.Request, error)) (status int, added time.Duration, err error) {
+// do makes one request, and gives its status and what its answer took beyond the server's own time.
+func do(client *http.Client, n int, next func(n int) (*http.Request, error)) (status int, added time.Duration, err error) {
 	q, err := next(n)
 	if err != nil {
 		return 0, 0, err
@@ -133,8 +133,8 @@
 }
 
 // connections is how many connections all servers have taken.
-func (s *Served) connections() (sum int64) {
-	for _, b := range s.Boxes {
+func (s *ServeProcess) connections() (sum int64) {
+	for _, b := range s.Servers {
 		sum += b.Connections()
 	}
 	return sum
--- a/internal/lab/process/plan.go
+++ b/internal/lab/process/plan.go
@@ -32,33 +32,33 @@
 	TenantsFile bool `toml:"tenants_file" json:"tenants_file,omitempty"`
 	// MemoryMB is the program's soft limit of memory ([process] memory_mb); 0: none.
 	MemoryMB int `toml:"memory_mb" json:"memory_mb,omitempty"`
-	// OnlyIfTaken leaves the size at its check where the program refuses it, in place of measuring with fewer tenants.
-	OnlyIfTaken bool `toml:"only_if_taken" json:"-"`
+	// OnlyIfAccepted leaves the size at its check where the program refuses it, in place of measuring with fewer tenants.
+	OnlyIfAccepted bool `toml:"only_if_taken" json:"-"`
 }
 
 // Plan is what is measured, at which sizes.
 type Plan struct {
 	Seed uint64 `toml:"seed"`
-	// TenantsIfRefused is measured with where the program refuses as many tenants as a size has.
-	TenantsIfRefused int             `toml:"tenants_if_refused"`
-	Rates            []float64       `toml:"rates"`         // requests a second, each in turn
-	InUse            []int           `toml:"in_use"`        // services that requests are spread over, each in turn; 0: all
-	ServerTime       config.Duration `toml:"server_time"`   // what a stand-in server takes for an answer
-	Load             config.Duration `toml:"load"`          // how long each rate is asked for
-	Rest             config.Duration `toml:"rest"`          // how long the process is watched at rest
-	Settle           config.Duration `toml:"settle"`        // memory has settled where it is the same in two windows so long
-	Changes          []int           `toml:"changes"`       // of settings, counted from the start; figures are taken at each
-	RouteChanges     int             `toml:"route_changes"` // of one route, after these
-	ListChanges      int             `toml:"list_changes"`  // of one cluster's list, after those
-	Sizes            []Size          `toml:"size"`
-	Slopes           []Slope         `toml:"slope"`
+	// FallbackTenants is measured with where the program refuses as many tenants as a size has.
+	FallbackTenants int             `toml:"tenants_if_refused"`
+	Rates           []float64       `toml:"rates"`         // requests a second, each in turn
+	ServicesInUse   []int           `toml:"in_use"`        // services that requests are spread over, each in turn; 0: all
+	ServerDelay     config.Duration `toml:"server_time"`   // what a stand-in server takes for an answer
+	LoadDuration    config.Duration `toml:"load"`          // how long each rate is asked for
+	RestDuration    config.Duration `toml:"rest"`          // how long the process is watched at rest
+	SettleWindow    config.Duration `toml:"settle"`        // memory has settled where it is the same in two windows so long
+	SettingsChanges []int           `toml:"changes"`       // of settings, counted from the start; figures are taken at each
+	RouteChanges    int             `toml:"route_changes"` // of one route, after these
+	ListChanges     int             `toml:"list_changes"`  // of one cluster's list, after those
+	Sizes           []Size          `toml:"size"`
+	Slopes          []Slope         `toml:"slope"`
 }
 
 // Slope names sizes over which figures are held against one dimension of them.
 type Slope struct {
-	Name  string   `toml:"name"`
-	Per   string   `toml:"per"` // services, routes or tenants
-	Sizes []string `toml:"sizes"`
+	Name      string   `toml:"name"`
+	Dimension string   `toml:"per"` // services, routes or tenants
+	Sizes     []string `toml:"sizes"`
 }
 
 // ReadPlan reads a plan's file.
@@ -72,7 +72,7 @@
 
 // ParsePlan reads a plan. Faults are told by file and line.
 func ParsePlan(name string, text []byte) (*Plan, error) {
-	p := Plan{Settle: config.Duration{Duration: 4 * time.Second}}
+	p := Plan{SettleWindow: config.Duration{Duration: 4 * time.Second}}
 	if err := config.Decode(name, text, &p); err != nil {
 		return nil, err
 	}
@@ -98,8 +98,8 @@
 		within(i, "nodes", s.Nodes, 1, 100_000)
 	}
 	for i, s := range p.Slopes {
-		if dimensions[s.Per] == nil {
-			report("slope", i, "per", "%q is none of services, routes, tenants", s.Per)
+		if dimensions[s.Dimension] == nil {
+			report("slope", i, "per", "%q is none of services, routes, tenants", s.Dimension)
 		}
 		if len(s.Sizes) < 3 {
 			report("slope", i, "sizes", "%d sizes; a slope with a residual wants 3", len(s.Sizes))
@@ -110,13 +110,13 @@
 			}
 		}
 	}
-	for key, d := range map[string]config.Duration{"server_time": p.ServerTime, "load": p.Load, "rest": p.Rest, "settle": p.Settle} {
+	for key, d := range map[string]config.Duration{"server_time": p.ServerDelay, "load": p.LoadDuration, "rest": p.RestDuration, "settle": p.SettleWindow} {
 		if d.Duration < 0 || d.Duration > maxWindow {
 			report("", -1, key, "%v is not from 0 to %v", d.Duration, maxWindow)
 		}
 	}
 	last := 0
-	for _, n := range p.Changes {
+	for _, n := range p.SettingsChanges {
 		if n <= last {
 			report("", -1, "changes", "%d does not go up from %d", n, last)
 		}
@@ -128,8 +128,8 @@
 	return &p, nil
 }
 
-// Only keeps sizes by their names; none: all.
-func (p *Plan) Only(names []string) error {
+// Select keeps sizes by their names; none: all.
+func (p *Plan) Select(names []string) error {
 	if len(names) == 0 {
 		return nil
 	}
@@ -145,22 +145,22 @@
 	return nil
 }
 
-// Refused gives the size that is measured in place of one that is refused for its tenants; false: it has no more than
+// Fallback gives the size that is measured in place of one that is refused for its tenants; false: it has no more than
 // that.
-func (p *Plan) Refused(s Size) (Size, bool) {
-	if s.Tenants <= p.TenantsIfRefused {
+func (p *Plan) Fallback(s Size) (Size, bool) {
+	if s.Tenants <= p.FallbackTenants {
 		return s, false
 	}
-	s.Tenants = p.TenantsIfRefused
+	s.Tenants = p.FallbackTenants
 	s.Name = fmt.Sprintf("%s-%d-tenants", s.Name, s.Tenants)
 	return s, true
 }
 
-// Written gives all sizes whose files may be wanted: those of the plan, and what is measured in place of refused ones.
-func (p *Plan) Written() (list []Size) {
+// WithFallbacks gives all sizes whose files may be wanted: those of the plan, and what is measured in place of refused ones.
+func (p *Plan) WithFallbacks() (list []Size) {
 	for _, s := range p.Sizes {
 		list = append(list, s)
-		if less, ok := p.Refused(s); ok {
+		if less, ok := p.Fallback(s); ok {
 			list = append(list, less)
 		}
 	}
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -20,8 +20,8 @@
 // The same size, seed and place give the same bytes, another seed others.
 func TestGeneratorRepeats(t *testing.T) {
 	g := Generator{Size: tiny, Seed: 1, Place: DefaultPlace()}
-	first, cluster, ask := g.Program(Settings{}), g.Cluster(3, 0), g.Ask(17, 7)
-	if !bytes.Equal(first, g.Program(Settings{})) || !bytes.Equal(cluster, g.Cluster(3, 0)) || ask != g.Ask(17, 7) {
+	first, cluster, ask := g.Program(Settings{}), g.Cluster(3, 0), g.Request(17, 7)
+	if !bytes.Equal(first, g.Program(Settings{})) || !bytes.Equal(cluster, g.Cluster(3, 0)) || ask != g.Request(17, 7) {
 		t.Error("twice the same is not the same")
 	}
 	g.Seed = 2
@@ -69,14 +69,14 @@
 		t.Errorf("%d clusters, %d servers, %d routes, %d tenants", len(s.Version.Clusters), servers, routes, len(s.Program.Tenants))
 	}
 	for n := range 1000 {
-		checkAsk(t, s.Program, g.Ask(n, tiny.Services))
+		checkAsk(t, s.Program, g.Request(n, tiny.Services))
 	}
 	return s.Program
 }
 
 // checkAsk holds a request against the routes: it leads to its service's cluster, and has a key where the class wants
 // one.
-func checkAsk(t *testing.T, p *config.Program, a Ask) {
+func checkAsk(t *testing.T, p *config.Program, a Request) {
 	t.Helper()
 	q := route.Request{Host: a.Host, Path: a.Path, Method: a.Method}
 	m, ok := p.Table.Lookup(&q)
@@ -173,11 +173,11 @@
 	for _, name := range []string{"a", "b", "c"} {
 		r.Figures = append(r.Figures, Figure{name + ".check.wall", 1, "s"})
 	}
-	r.slope(Slope{Name: "by", Per: "services", Sizes: []string{"a", "b", "c"}})
-	if len(r.Slopes) != 1 || r.Slopes[0] != (Fit{Key: "by.memory", Per: "services", Slope: 2, Intercept: 80, Points: 3, Unit: "MB"}) || len(r.Notes) != 0 {
+	r.slope(Slope{Name: "by", Dimension: "services", Sizes: []string{"a", "b", "c"}})
+	if len(r.Slopes) != 1 || r.Slopes[0] != (Fit{Key: "by.memory", Dimension: "services", Slope: 2, Intercept: 80, Points: 3, Unit: "MB"}) || len(r.Notes) != 0 {
 		t.Errorf("%+v, %v", r.Slopes, r.Notes)
 	}
-	r.slope(Slope{Name: "none", Per: "tenants", Sizes: []string{"a", "b", "c", "d"}})
+	r.slope(Slope{Name: "none", Dimension: "tenants", Sizes: []string{"a", "b", "c", "d"}})
 	if len(r.Slopes) != 1 || len(r.Notes) != 2 {
 		t.Errorf("%+v, %v", r.Slopes, r.Notes)
 	}
--- a/internal/lab/process/real_test.go
+++ b/internal/lab/process/real_test.go
@@ -121,7 +121,7 @@
 	if f, _ := r.Value("tiny.check.taken"); f.Value != 0 || len(r.Sizes) != 1 || r.Sizes[0].Tenants != 40 || len(r.Notes) < 2 {
 		t.Errorf("%+v, %+v, %v", f, r.Sizes, r.Notes)
 	}
-	plan.Sizes[0].OnlyIfTaken = true
+	plan.Sizes[0].OnlyIfAccepted = true
 	if r, err = process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard); err != nil || len(r.Sizes) != 0 {
 		t.Errorf("%+v, %v", r.Sizes, err)
 	}
@@ -133,7 +133,7 @@
 	dir, addr string
 	generator process.Generator
 	settings  process.Settings
-	asked     int
+	requests  int
 }
 
 func newInside(t *testing.T, size process.Size) *inside {
@@ -179,16 +179,16 @@
 	}
 	want := process.VersionText(s.settings)
 	testutil.Until(s.t, want, func() bool {
-		return s.get(process.Ask{Method: http.MethodGet, Host: process.VersionHost, Path: "/version"}) == want
+		return s.get(process.Request{Method: http.MethodGet, Host: process.VersionHost, Path: "/version"}) == want
 	})
 	for range s.generator.Size.Services {
-		s.get(s.generator.Ask(s.asked, s.generator.Size.Services))
-		s.asked++
+		s.get(s.generator.Request(s.requests, s.generator.Size.Services))
+		s.requests++
 	}
 }
 
 // get makes a request over a connection of its own, and gives the answer's text.
-func (s *inside) get(a process.Ask) string {
+func (s *inside) get(a process.Request) string {
 	q, err := http.NewRequest(a.Method, "http://"+s.addr+a.Path, nil)
 	if err != nil {
 		s.t.Fatal(err)
@@ -212,8 +212,8 @@
 	return strings.TrimSpace(string(text))
 }
 
-// held counts what is alive after a collection.
-func held() (objects uint64, goroutines int) {
+// liveObjects counts what is alive after a collection.
+func liveObjects() (objects uint64, goroutines int) {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC() // what finalizers of the first let go
@@ -230,7 +230,7 @@
 	for range few {
 		s.change()
 	}
-	objects, goroutines := held()
+	objects, goroutines := liveObjects()
 	for range many - few {
 		s.change()
 	}
@@ -240,7 +240,7 @@
 		t.Logf("after %d changes %d objects and %d goroutines, after %d %d and %d", few, objects, goroutines, many, nowObjects, nowGoroutines)
 	}()
 	testutil.Until(t, "what changes held to be let go", func() bool {
-		nowObjects, nowGoroutines = held()
+		nowObjects, nowGoroutines = liveObjects()
 		return nowObjects < objects+objects/10 && nowGoroutines <= goroutines+10
 	})
 }
--- a/internal/lab/process/report.go
+++ b/internal/lab/process/report.go
@@ -22,7 +22,7 @@
 // Fit is a straight line through figures of several sizes, by least squares.
 type Fit struct {
 	Key       string  `json:"key"` // the slope's name, a dot, and what was measured
-	Per       string  `json:"per"` // the dimension of sizes
+	Dimension string  `json:"per"` // the dimension of sizes
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
 	Residual  float64 `json:"residual"` // standard error of the regression, in the figure's unit
@@ -104,8 +104,8 @@
 	return f, true
 }
 
-// wallTime tells whether a figure is a time by the clock, which says more of the machine's other work than of the size.
-func wallTime(what string) bool {
+// isWallTime tells whether a figure is a time by the clock, which says more of the machine's other work than of the size.
+func isWallTime(what string) bool {
 	for _, part := range []string{".wall", ".in_force_", ".added_"} {
 		if strings.Contains(what, part) {
 			return true
@@ -134,23 +134,23 @@
 	fitted := 0
 	for _, first := range r.Figures {
 		what, ok := strings.CutPrefix(first.Key, sizes[0].Name+".")
-		if !ok || wallTime(what) {
+		if !ok || isWallTime(what) {
 			continue
 		}
 		var x, y []float64
 		for _, size := range sizes {
 			if f, ok := r.Value(size.Name + "." + what); ok {
-				x, y = append(x, float64(dimensions[s.Per](size))), append(y, f.Value)
+				x, y = append(x, float64(dimensions[s.Dimension](size))), append(y, f.Value)
 			}
 		}
 		if f, ok := fit(x, y); ok {
-			f.Key, f.Per, f.Unit = s.Name+"."+what, s.Per, first.Unit
+			f.Key, f.Dimension, f.Unit = s.Name+"."+what, s.Dimension, first.Unit
 			r.Slopes = append(r.Slopes, f)
 			fitted++
 		}
 	}
 	if fitted == 0 {
-		r.note("slope %s: nothing to fit: fewer than three sizes that differ in %s were measured", s.Name, s.Per)
+		r.note("slope %s: nothing to fit: fewer than three sizes that differ in %s were measured", s.Name, s.Dimension)
 	}
 }
 
--- a/internal/lab/process/usage.go
+++ b/internal/lab/process/usage.go
@@ -67,18 +67,18 @@
 
 // How memory is found to have settled: two windows of samples in a row whose medians differ by less than a share.
 const (
-	settleWindow = 16 // samples
-	settleShare  = 0.02
-	settleMost   = 15 // windows
+	settleWindow     = 16 // samples
+	settleTolerance  = 0.02
+	maxSettleWindows = 15 // windows
 )
 
-// Settled waits until a process's resident memory stands still from one window of a length to the next, and gives the
+// AwaitSettledMemory waits until a process's resident memory stands still from one window of a length to the next, and gives the
 // median of the last one. ok is false where it had not within a number of windows.
-func Settled(ctx context.Context, pid int, window time.Duration) (rss int64, ok bool, err error) {
+func AwaitSettledMemory(ctx context.Context, pid int, window time.Duration) (rss int64, ok bool, err error) {
 	tick := time.NewTicker(max(time.Millisecond, window/settleWindow))
 	defer tick.Stop()
 	var before int64
-	for turn := range settleMost {
+	for turn := range maxSettleWindows {
 		var samples []int64
 		for range settleWindow {
 			select {
@@ -93,7 +93,7 @@
 			samples = append(samples, u.RSS)
 		}
 		rss = median(samples)
-		if turn > 0 && settled(before, rss) {
+		if turn > 0 && withinTolerance(before, rss) {
 			return rss, true, nil
 		}
 		before = rss
@@ -101,9 +101,9 @@
 	return rss, false, nil
 }
 
-func settled(before, now int64) bool {
+func withinTolerance(before, now int64) bool {
 	d := float64(now - before)
-	return max(d, -d) < settleShare*float64(before)
+	return max(d, -d) < settleTolerance*float64(before)
 }
 
 func median(list []int64) int64 {
