--- a/internal/lab/process/load.go
+++ b/internal/lab/process/load.go
@@ -62,21 +62,6 @@
 	return l, ctx.Err()
 }
 
-// request makes what clients send.
-func (a Request) request(ctx context.Context) (*http.Request, error) {
-	q, err := http.NewRequestWithContext(ctx, a.Method, "http://"+a.Host+a.Path, nil)
-	if err != nil {
-		return nil, err
-	}
-	if a.Tenant != "" {
-		q.Header.Set("X-Tenant-Id", a.Tenant)
-	}
-	if a.Key != "" {
-		q.Header.Set("Idempotency-Key", a.Key)
-	}
-	return q, nil
-}
-
 func (s *ServeProcess) runLoad(ctx context.Context, client *http.Client, rate float64, length time.Duration, next func(n int) (*http.Request, error)) *Load {
 	l := &Load{Statuses: map[int]int64{}, AddedLatency: hdrhistogram.New(1, maxAddedLatency, 3)}
 	var mu sync.Mutex // guards l
--- a/internal/lab/process/measure.go
+++ b/internal/lab/process/measure.go
@@ -4,17 +4,13 @@
 	"context"
 	"fmt"
 	"io"
-	"net/http"
 	"os"
 	"path/filepath"
-	"slices"
 	"time"
 
 	"yokestall/internal/lab/ctxtime"
 )
 
-const megabyte = 1 << 20
-
 // Measure measures a plan's sizes, each with processes of its own that command starts, in folders below dir. What is
 // found goes to out as it comes. Where the run ends early, the report has what was measured until then.
 func Measure(ctx context.Context, p *Plan, dir string, command, env []string, out io.Writer) (*Report, error) {
@@ -55,22 +51,6 @@
 	restCPU float64 // CPU time at rest, as a share of a core
 }
 
-// addFigure keeps a figure.
-func (m *measurement) addFigure(what string, value float64, unit string) {
-	f := Figure{Key: m.size.Name + "." + what, Value: value, Unit: unit}
-	m.report.Figures = append(m.report.Figures, f)
-	fmt.Fprintf(m.out, "%-52s %12.4g %s\n", f.Key, f.Value, f.Unit)
-}
-
-func (m *measurement) addMemory(what string, bytes int64) {
-	m.addFigure(what, float64(bytes)/megabyte, "MB")
-}
-
-func (m *measurement) note(format string, args ...any) {
-	m.report.note(m.size.Name+": "+format, args...)
-	fmt.Fprintf(m.out, m.size.Name+": "+format+"\n", args...)
-}
-
 func (m *measurement) run(ctx context.Context) error {
 	taken, err := m.measureCheck(ctx, "check")
 	if err != nil {
@@ -209,68 +189,6 @@
 	return m.measureMemory(ctx, "load.memory")
 }
 
-// addLatency keeps the latency that was added to the servers' own.
-func (m *measurement) addLatency(name string, l *Load) {
-	m.addFigure(name+".added_p50", float64(l.AddedLatency.ValueAtQuantile(50))/1000, "ms")
-	m.addFigure(name+".added_p99", float64(l.AddedLatency.ValueAtQuantile(99))/1000, "ms")
-	if l.Void {
-		m.note("%s: void, the load generator was late itself by more than %v for one request in a hundred", name, maxGeneratorDelay)
-	}
-	if bad := l.Requested - l.Statuses[http.StatusOK]; bad > 0 {
-		m.note("%s: %d of %d requests were not served: statuses %v, %v", name, bad, l.Requested, l.Statuses, l.Errors)
-	}
-}
-
-// addLoadCost keeps what the load cost the process. Its CPU time at rest is not the requests'.
-func (m *measurement) addLoadCost(name string, l *Load) {
-	asked := float64(max(1, l.Requested))
-	m.addFigure(name+".asked", float64(l.Requested), "requests")
-	m.addFigure(name+".served", float64(l.Statuses[http.StatusOK]), "requests")
-	m.addFigure(name+".connections", float64(l.Connections)/asked, "new connections to servers a request")
-	m.addFigure(name+".cpu", 100*l.CPU.Seconds()/l.Wall.Seconds(), "% of a core")
-	m.addFigure(name+".cpu_per_request", 1e6*(l.CPU.Seconds()-m.restCPU*l.Wall.Seconds())/asked, "us")
-}
-
-// changeSettings changes settings so many times, and takes the memory after some of them.
-func (m *measurement) changeSettings(ctx context.Context) error {
-	done := 0
-	for _, until := range m.plan.SettingsChanges {
-		if err := m.measureChanges(ctx, "settings", until-done, m.served.ChangeSettings); err != nil {
-			return err
-		}
-		done = until
-		if err := m.measureMemory(ctx, fmt.Sprintf("settings.%d.memory", done)); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func (m *measurement) changeRoutes(ctx context.Context) error {
-	if m.plan.RouteChanges == 0 {
-		return nil
-	}
-	if err := m.measureChanges(ctx, "route", m.plan.RouteChanges, m.served.ChangeRoute); err != nil {
-		return err
-	}
-	return m.measureMemory(ctx, fmt.Sprintf("route.%d.memory", m.plan.RouteChanges))
-}
-
-func (m *measurement) changeLists(ctx context.Context) error {
-	if m.plan.ListChanges == 0 {
-		return nil
-	}
-	n := 0
-	change := func(ctx context.Context) error {
-		n++
-		return m.served.ChangeList(ctx, 0, n)
-	}
-	if err := m.measureChanges(ctx, "list", m.plan.ListChanges, change); err != nil {
-		return err
-	}
-	return m.measureMemory(ctx, fmt.Sprintf("list.%d.memory", m.plan.ListChanges))
-}
-
 // measurePeak takes the most memory that the process had, over all that was done to it.
 func (m *measurement) measurePeak(context.Context) error {
 	u, err := m.served.Usage()
@@ -279,30 +197,3 @@
 	}
 	return err
 }
-
-// measureChanges makes changes one after the other, each when the one before is in force, and takes the CPU time of one.
-// What the last one has the process do after it is in force is not counted.
-func (m *measurement) measureChanges(ctx context.Context, kind string, count int, change func(context.Context) error) error {
-	before, err := m.served.Usage()
-	if err != nil {
-		return err
-	}
-	var times []int64 // until each was in force
-	for range count {
-		began := time.Now()
-		if err := change(ctx); err != nil {
-			return fmt.Errorf("%s: %w", kind, err)
-		}
-		times = append(times, time.Since(began).Microseconds())
-	}
-	after, err := m.served.Usage()
-	if err != nil {
-		return err
-	}
-	name := fmt.Sprintf("%s.of_%d", kind, count)
-	m.addFigure(name+".cpu_per_change", (after.CPU-before.CPU).Seconds()/float64(count), "s")
-	m.addFigure(name+".in_force_p50", float64(median(times))/1e6, "s")
-	m.addFigure(name+".in_force_most", float64(slices.Max(times))/1e6, "s")
-	m.addMemory(name+".peak", after.Peak)
-	return nil
-}
