--- a/internal/lab/process/bad_test.go
+++ b/internal/lab/process/bad_test.go
@@ -19,35 +19,57 @@
 )
 
 const (
-	// maxRefusalMemory is what a check may take to refuse files: 64 times the largest file that is read.
-	maxRefusalMemory = 64 * config.MaxFile
-	// maxRefusalLines is how many faults a check may tell at a time.
-	maxRefusalLines = 100
+	// maxRejectionMemory bounds the bytes that a check uses to reject files: 64 times the largest file that is read.
+	maxRejectionMemory = 64 * config.MaxFile
+	// maxRejectionLines bounds the errors that a check prints.
+	maxRejectionLines = 100
 )
 
-// badInput is configuration far beyond what is taken.
+// badInput is configuration far beyond the program's bounds.
 type badInput struct {
 	name  string
 	write func(dir string) (path string, err error)
-	want  string // in the verdict, beside the file's name
+	want  string // in the output, beside the file's name
 }
 
 const (
-	programHead   = "[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"clusters\"\n[[class]]\nname = \"r\"\neffect = \"safe\"\ndeadline = \"1s\"\n"
+	programHead = "[listen]\naddress = \"127.0.0.1:0\"\n" +
+		"[files]\nclusters = \"clusters\"\n" +
+		"[[class]]\nname = \"r\"\neffect = \"safe\"\ndeadline = \"1s\"\n"
 	hostHead      = "[[host]]\n"
 	catchAllRoute = "[[host.route]]\nprefix = \"/\"\nclass = \"r\"\ncluster = \"c\"\n"
 )
 
 var badInputs = []badInput{
 	// Their shortest forms have over 200 MB; nothing of such a file is read, so that it may be empty on the disk.
-	{"ten million tenants", sparse(10_000_000 * int64(len("[[tenant]]\nname=\"1\"\n"))), fmt.Sprintf("bytes; %d at most", config.MaxFile)},
-	{"a million routes", sparse(1_000_000 * int64(len(catchAllRoute))), fmt.Sprintf("bytes; %d at most", config.MaxFile)},
-	{"150,000 servers", manyServers(150_000), fmt.Sprintf(":%d: endpoint: over %d servers", 4*cluster.MaxEndpoints+3, cluster.MaxEndpoints)},
-	{"more tenants than the bound", manyTenants(max(100_000, config.MaxTenants+1), "tenant-%06d"), fmt.Sprintf("tenant: over %d tenants", config.MaxTenants)},
-	{"five times as many routes", manyRoutes(5 * route.MaxRoutes), fmt.Sprintf("host.route: over %d routes", route.MaxRoutes)},
+	{
+		"ten million tenants",
+		sparse(10_000_000 * int64(len("[[tenant]]\nname=\"1\"\n"))),
+		fmt.Sprintf("bytes; %d at most", config.MaxFile),
+	},
+	{
+		"a million routes",
+		sparse(1_000_000 * int64(len(catchAllRoute))),
+		fmt.Sprintf("bytes; %d at most", config.MaxFile),
+	},
+	{
+		"150,000 servers",
+		manyServers(150_000),
+		fmt.Sprintf(":%d: endpoint: over %d servers", 4*cluster.MaxEndpoints+3, cluster.MaxEndpoints),
+	},
+	{
+		"more tenants than the bound",
+		manyTenants(max(100_000, config.MaxTenants+1), "tenant-%06d"),
+		fmt.Sprintf("tenant: over %d tenants", config.MaxTenants),
+	},
+	{
+		"five times as many routes",
+		manyRoutes(5 * route.MaxRoutes),
+		fmt.Sprintf("host.route: over %d routes", route.MaxRoutes),
+	},
 }
 
-// fullInputs are as large as a file may be: for the benchmark, they take too long under the race detector.
+// fullInputs are as large as a file may be. They are for the benchmark: under the race detector they are too slow.
 var fullInputs = []badInput{
 	{"as many tenants as a file holds", manyTenants(500_000, "tenant-%06d"), "tenants"},
 	{"as many routes as a file holds", manyRoutes(290_000), "routes"},
@@ -77,14 +99,16 @@
 		return write(filepath.Join(dir, "service.toml"), func(w io.Writer) {
 			io.WriteString(w, "[cluster]\nname = \"c\"\n")
 			for i := range count {
-				fmt.Fprintf(w, "[[endpoint]]\nid = \"server-%06d\"\naddress = \"127.%d.%d.%d:9001\"\nzone = \"zone-%d\"\n", i, i/62500, i/250%250, i%250+1, i%3)
+				fmt.Fprintf(w, "[[endpoint]]\nid = \"server-%06d\"\n", i)
+				fmt.Fprintf(w, "address = \"127.%d.%d.%d:9001\"\n", i/62500, i/250%250, i%250+1)
+				fmt.Fprintf(w, "zone = \"zone-%d\"\n", i%3)
 			}
 			fmt.Fprintf(w, "[end]\nendpoints = %d\n", count)
 		})
 	}
 }
 
-// manyTenants writes a program's file with tenants whose names are this format's, given their number.
+// manyTenants writes a program's file with tenants whose names are name, formatted with their numbers if it has a verb.
 func manyTenants(count int, name string) func(string) (string, error) {
 	return func(dir string) (string, error) {
 		return write(filepath.Join(dir, "yokestall.toml"), func(w io.Writer) {
@@ -115,8 +139,8 @@
 	}
 }
 
-// refused has the program check bad input, and holds what it says and takes to the bounds.
-func refused(t testing.TB, in badInput, itself, env []string) process.Verdict {
+// checkRejected runs the program's check of bad input, and checks its output, memory and lines against the bounds.
+func checkRejected(t testing.TB, in badInput, itself, env []string) process.CheckResult {
 	t.Helper()
 	path, err := in.write(t.TempDir())
 	if err != nil {
@@ -129,34 +153,35 @@
 	if v.Accepted || !strings.HasPrefix(v.Output, path) || !strings.Contains(v.Output, in.want) {
 		t.Errorf("%s: taken %v, %q", in.name, v.Accepted, v.Output)
 	}
-	if v.Peak > maxRefusalMemory {
-		t.Errorf("%s: %d MB resident; %d at most", in.name, v.Peak>>20, maxRefusalMemory>>20)
+	if v.Peak > maxRejectionMemory {
+		t.Errorf("%s: %d MB resident; %d at most", in.name, v.Peak>>20, maxRejectionMemory>>20)
 	}
-	if v.Lines > maxRefusalLines {
-		t.Errorf("%s: %d faults are told at a time; %d at most", in.name, v.Lines, maxRefusalLines)
+	if v.Lines > maxRejectionLines {
+		t.Errorf("%s: %d errors at a time; %d at most", in.name, v.Lines, maxRejectionLines)
 	}
 	return v
 }
 
-// What is far too large is refused by the file's name and the bound, in memory that is bounded by what is read.
-func TestRefusalsAreBounded(t *testing.T) {
+// Input that is far too large is rejected by the file's name and the bound, in memory that is bounded by what is read.
+func TestRejectionsAreBounded(t *testing.T) {
 	itself, env := testutil.Itself()
 	for _, in := range badInputs {
 		t.Run(in.name, func(t *testing.T) {
-			v := refused(t, in, itself, env)
+			v := checkRejected(t, in, itself, env)
 			t.Logf("%v of CPU, %d MB resident: %s", v.CPU, v.Peak>>20, v.Output[strings.LastIndexByte(v.Output, '/')+1:])
 		})
 	}
 }
 
-// However many faults a file has, so many are told as can be mended at a time, and to find the line of each does not
-// mean to go through the whole file once more.
-func TestFaultsToldAreBounded(t *testing.T) {
+// The errors of a file are bounded however many it has, and finding the line of each doesn't scan the complete file
+// again.
+func TestReportedErrorsAreBounded(t *testing.T) {
 	itself, env := testutil.Itself()
-	refused(t, badInput{"300 tenants of one name", manyTenants(300, "the-same"), "the-same is another one's too"}, itself, env)
+	in := badInput{"300 tenants of one name", manyTenants(300, "the-same"), "the-same is another one's too"}
+	checkRejected(t, in, itself, env)
 }
 
-// BenchmarkBadInput tells the time and the memory in which bad input is refused, also such with many faults.
+// BenchmarkBadInput measures the time and memory in which bad input is rejected, also input with many errors.
 func BenchmarkBadInput(b *testing.B) {
 	itself, env := testutil.Itself()
 	list := slices.Concat(badInputs, fullInputs)
@@ -170,7 +195,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			var v process.Verdict
+			var v process.CheckResult
 			for b.Loop() {
 				if v, err = process.Check(b.Context(), itself, env, path); err != nil || v.Accepted {
 					b.Fatalf("%+v, %v", v, err)
--- a/internal/lab/process/changes.go
+++ b/internal/lab/process/changes.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// changeSettings changes settings so many times, and takes the memory after some of them.
+// changeSettings changes settings until each count of the plan, and measures the memory at each.
 func (m *measurement) changeSettings(ctx context.Context) error {
 	done := 0
-	for _, until := range m.plan.SettingsChanges {
-		if err := m.measureChanges(ctx, "settings", until-done, m.served.ChangeSettings); err != nil {
+	for _, total := range m.plan.SettingsChanges {
+		if err := m.measureChanges(ctx, "settings", total-done, m.served.ChangeSettings); err != nil {
 			return err
 		}
-		done = until
+		done = total
 		if err := m.measureMemory(ctx, fmt.Sprintf("settings.%d.memory", done)); err != nil {
 			return err
 		}
@@ -22,6 +22,7 @@
 	return nil
 }
 
+// changeRoutes changes the answer of one route, and measures the memory after all changes.
 func (m *measurement) changeRoutes(ctx context.Context) error {
 	if m.plan.RouteChanges == 0 {
 		return nil
@@ -32,6 +33,7 @@
 	return m.measureMemory(ctx, fmt.Sprintf("route.%d.memory", m.plan.RouteChanges))
 }
 
+// changeLists changes the list of one cluster, and measures the memory after all changes.
 func (m *measurement) changeLists(ctx context.Context) error {
 	if m.plan.ListChanges == 0 {
 		return nil
@@ -47,14 +49,17 @@
 	return m.measureMemory(ctx, fmt.Sprintf("list.%d.memory", m.plan.ListChanges))
 }
 
-// measureChanges makes changes one after the other, each when the one before is in force, and takes the CPU time of one.
-// What the last one has the process do after it is in force is not counted.
-func (m *measurement) measureChanges(ctx context.Context, kind string, count int, change func(context.Context) error) error {
+// changeFunc makes a change and returns once it is in force.
+type changeFunc func(context.Context) error
+
+// measureChanges makes changes one after the other, and measures the CPU time of one and the times until each is in
+// force. What the last change costs the process afterwards is not counted.
+func (m *measurement) measureChanges(ctx context.Context, kind string, count int, change changeFunc) error {
 	before, err := m.served.Usage()
 	if err != nil {
 		return err
 	}
-	var times []int64 // until each was in force
+	var times []int64 // microseconds until each change was in force
 	for range count {
 		began := time.Now()
 		if err := change(ctx); err != nil {
--- a/internal/lab/process/check.go
+++ b/internal/lab/process/check.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	peakSampleInterval = time.Millisecond // how often the memory of a check is looked at
-	maxOutputBytes     = 4096             // kept of what a check prints
+	peakSampleInterval = time.Millisecond // of a check's memory
+	maxOutputBytes     = 4096             // of what a check prints
 )
 
-// Verdict is what `yokestall check` said of files, and what that took.
-type Verdict struct {
+// CheckResult is what `yokestall check` says of files, and what it uses.
+type CheckResult struct {
 	Accepted bool
-	Output   string // its first bytes
-	Lines    int    // of all that it said
+	Output   string // its first maxOutputBytes
+	Lines    int    // of its complete output
 	CPU      time.Duration
 	Wall     time.Duration
-	// Peak is the most memory that was seen resident, by samples a millisecond apart: what the system reports at a
-	// child's end may be its parent's, from between fork and exec.
+	// Peak is the maximum of the resident memory in bytes, by samples peakSampleInterval apart: what the system reports
+	// at a child's end may be its parent's, from between fork and exec.
 	Peak int64
 }
 
-// Check has the program check a file.
-func Check(ctx context.Context, command, env []string, path string) (Verdict, error) {
+// Check runs the program's check of a file. An exit code other than 0 and 1 is an error.
+func Check(ctx context.Context, command, env []string, path string) (CheckResult, error) {
 	cmd := exec.CommandContext(ctx, command[0], append(command[1:len(command):len(command)], "check", path)...)
 	cmd.Env = append(os.Environ(), env...)
 	fleet.EndWithParent(cmd)
@@ -38,13 +38,13 @@
 	cmd.Stdout, cmd.Stderr = &out, &out
 	began := time.Now()
 	if err := cmd.Start(); err != nil {
-		return Verdict{}, err
+		return CheckResult{}, err
 	}
 	ended := make(chan struct{})
 	peak := make(chan int64)
 	go func() { peak <- peakUntil(cmd.Process.Pid, ended) }()
 	err := cmd.Wait()
-	v := Verdict{Wall: time.Since(began), CPU: cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()}
+	v := CheckResult{Wall: time.Since(began), CPU: cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()}
 	close(ended)
 	v.Peak = <-peak
 	v.Lines = bytes.Count(out.Bytes(), []byte("\n"))
@@ -62,7 +62,7 @@
 	return v, nil
 }
 
-// peakUntil samples the most memory that a process has had, until it has ended.
+// peakUntil samples the peak of a process's memory until the process has ended.
 func peakUntil(pid int, ended <-chan struct{}) (peak int64) {
 	tick := time.NewTicker(peakSampleInterval)
 	defer tick.Stop()
--- a/internal/lab/process/generate.go
+++ b/internal/lab/process/generate.go
@@ -11,14 +11,14 @@
 	"yokestall/internal/config"
 )
 
-// Place is where a generated configuration stands: the process and its stand-in servers.
+// Place is the addresses of a generated configuration: of the process and of its fake servers.
 type Place struct {
 	Listen string
-	// Server gives the address of server j, the same for each service: services share the stand-ins.
+	// Server returns the address of server j, the same for each service: services share the fake servers.
 	Server func(j int) string
 }
 
-// DefaultPlace is for files that are looked at and not served by: addresses of loopback.
+// DefaultPlace returns loopback addresses, for files that are checked and not served by.
 func DefaultPlace() Place {
 	return Place{Listen: "127.0.0.1:8080", Server: func(j int) string {
 		return fmt.Sprintf("127.%d.%d.%d:9001", 1+j/62500, j/250%250, 1+j%250)
@@ -44,10 +44,10 @@
 	catchAllRoute // the last route of a host: everything else
 )
 
-// routeKindCycle has each ten routes of a host be four templates, three prefixes, one exact path, one expression and one
-// write.
+// routeKindCycle are the kinds of a host's routes in turn.
 var routeKindCycle = [...]routeKind{
-	templateRoute, prefixRoute, templateRoute, exactRoute, prefixRoute, templateRoute, regexRoute, prefixRoute, writeRoute, templateRoute,
+	templateRoute, prefixRoute, templateRoute, exactRoute, prefixRoute,
+	templateRoute, regexRoute, prefixRoute, writeRoute, templateRoute,
 }
 
 // quotaSigma is the sigma of the tenants' quotas, which are log-normal: a few are large, most are small.
@@ -62,7 +62,7 @@
 // hostName is the domain of service i.
 func hostName(i int) string { return ServiceName(i) + ".example.org" }
 
-// routeCount gives how many routes service i has; they differ by one at most.
+// routeCount returns how many routes service i has. Services differ by one route at most.
 func (g *Generator) routeCount(i int) int {
 	n := g.Size.Routes / g.Size.Services
 	if i < g.Size.Routes%g.Size.Services {
@@ -71,7 +71,7 @@
 	return n
 }
 
-// kind gives the form of route j of service i.
+// kind returns the form of route j of service i.
 func (g *Generator) kind(i, j int) routeKind {
 	if j == g.routeCount(i)-1 {
 		return catchAllRoute
@@ -79,30 +79,49 @@
 	return routeKindCycle[j%len(routeKindCycle)]
 }
 
-// Settings are what changes of a configuration replace.
+// Settings are the values that changes of a configuration replace.
 type Settings struct {
-	Version int // told by the version route, so that a change that is in force can be seen
-	// Step is added to the first tenant's quota, or where the program's file has no tenants to max_retry_after: a change
-	// of settings.
+	Version int // the answer of the version route, which shows that a change is in force
+	// Step is added to the first tenant's quota, or to max_retry_after if the program's file has no tenants: a change of
+	// settings.
 	Step int
-	// Text is what one route answers: a change of a route alone.
+	// Text is a part of the answer of one route: a change of a route alone.
 	Text int
 }
 
-// VersionHost is the host at which a request is answered with the version in force, by Settings.
+// VersionHost is the host whose version route answers the Settings.Version in force.
 const VersionHost = "version.example.org"
 
 // VersionText is the answer of the version route.
 func VersionText(s Settings) string { return fmt.Sprintf("version %d", s.Version) }
 
-// Program gives the program's own file.
+// Program returns the program's own file.
 func (g *Generator) Program(s Settings) []byte {
 	var b bytes.Buffer
 	g.WriteProgram(&b, s)
 	return b.Bytes()
 }
 
-// WriteProgram writes the program's own file. Errors are the writer's to keep, as bufio's does.
+// classesConfig are the classes of generated routes: reads, and writes with an idempotency key.
+const classesConfig = `[[class]]
+name = "read"
+effect = "safe"
+deadline = "1400ms"
+aim = "580ms"
+worth = 2
+
+[[class]]
+name = "write"
+effect = "keyed"
+scope = "all"
+window = "6s"
+deadline = "1900ms"
+aim = "750ms"
+worth = 8
+
+`
+
+// WriteProgram writes the program's own file. Errors are left to the writer, as bufio.Writer returns them from Flush.
 func (g *Generator) WriteProgram(b io.Writer, s Settings) {
 	fmt.Fprintf(b, "[listen]\naddress = %q\n\n[files]\nclusters = \"clusters\"\n", g.Place.Listen)
 	if g.Size.TenantsFile {
@@ -111,32 +130,43 @@
 	if g.Size.MemoryMB > 0 {
 		fmt.Fprintf(b, "\n[process]\nmemory_mb = %d\n", g.Size.MemoryMB)
 	}
-	b.Write([]byte("\n"))
-	wait := 600
-	if g.Size.Tenants == 0 || g.Size.TenantsFile {
-		wait += s.Step
-	}
-	fmt.Fprintf(b, "[limits]\nattempts = 3\nsecond_copies = true\ncancel = true\nmax_retry_after = \"%dms\"\n\n", wait)
+	g.writeLimits(b, s)
 	fmt.Fprintf(b, "[fleet]\nnodes = %d\nnode = 0\nzone = \"zone-0\"\n\n", g.Size.Nodes)
-	io.WriteString(b, "[[class]]\nname = \"read\"\neffect = \"safe\"\ndeadline = \"1400ms\"\naim = \"580ms\"\nworth = 2\n\n"+
-		"[[class]]\nname = \"write\"\neffect = \"keyed\"\nscope = \"all\"\nwindow = \"6s\"\ndeadline = \"1900ms\"\naim = \"750ms\"\nworth = 8\n\n")
+	io.WriteString(b, classesConfig)
 	if !g.Size.TenantsFile {
 		g.writeTenants(b, s.Step)
 	}
-	fmt.Fprintf(b, "\n[[host]]\nname = \"version\"\ndomains = [%q]\n[[host.route]]\nname = \"version\"\npath = \"/version\"\n"+
-		"answer = { status = 200, text = %q }\n[[host.route]]\nname = \"text\"\npath = \"/text\"\nanswer = { status = 200, text = \"text %d\" }\n",
-		VersionHost, VersionText(s), s.Text)
+	writeVersionHost(b, s)
 	for i := range g.Size.Services {
 		g.writeHost(b, i)
 	}
 }
 
-// WriteTenants writes the file of the tenants, where they have one of their own.
+func (g *Generator) writeLimits(b io.Writer, s Settings) {
+	maxRetryAfter := 600 // milliseconds
+	if g.Size.Tenants == 0 || g.Size.TenantsFile {
+		maxRetryAfter += s.Step
+	}
+	io.WriteString(b, "\n[limits]\nattempts = 3\nsecond_copies = true\ncancel = true\n")
+	fmt.Fprintf(b, "max_retry_after = \"%dms\"\n\n", maxRetryAfter)
+}
+
+// writeVersionHost writes the host whose routes answer the version and the text of the settings.
+func writeVersionHost(b io.Writer, s Settings) {
+	fmt.Fprintf(b, "\n[[host]]\nname = \"version\"\ndomains = [%q]\n", VersionHost)
+	fmt.Fprintf(b, "[[host.route]]\nname = \"version\"\npath = \"/version\"\n")
+	fmt.Fprintf(b, "answer = { status = 200, text = %q }\n", VersionText(s))
+	fmt.Fprintf(b, "[[host.route]]\nname = \"text\"\npath = \"/text\"\n")
+	fmt.Fprintf(b, "answer = { status = 200, text = \"text %d\" }\n", s.Text)
+}
+
+// WriteTenants writes the tenants' file, for a size with TenantsFile.
 func (g *Generator) WriteTenants(b io.Writer) {
 	g.writeTenants(b, 0)
 	fmt.Fprintf(b, "\n[end]\ntenants = %d\n", g.Size.Tenants)
 }
 
+// writeTenants writes all tenants. step is added to the first one's quota.
 func (g *Generator) writeTenants(b io.Writer, step int) {
 	rng := rand.New(rand.NewPCG(g.Seed, 1))
 	for i := range g.Size.Tenants {
@@ -148,6 +178,7 @@
 	}
 }
 
+// writeHost writes the host of service i with its routes.
 func (g *Generator) writeHost(b io.Writer, i int) {
 	fmt.Fprintf(b, "\n[[host]]\nname = %q\ndomains = [%q]\n", ServiceName(i), hostName(i))
 	for j := range g.routeCount(i) {
@@ -172,7 +203,8 @@
 	}
 }
 
-// Cluster writes the file of service i. change alters the weight of its first server: a change of one cluster's list.
+// Cluster returns the file of the cluster of service i. change is added to the weight of its first server: a change of
+// one cluster's list.
 func (g *Generator) Cluster(i, change int) []byte {
 	const zones, cells = 3, 2
 	c := &cluster.Config{Name: ServiceName(i)}
--- a/internal/lab/process/golden_test.go
+++ b/internal/lab/process/golden_test.go
@@ -12,10 +12,14 @@
 	golden.Lines(t, "testdata/golden/report.json", Report{
 		Command: "command-a", Commit: "commit-a", Began: "began-a", Seed: 1,
 		Machine: Machine{Cores: 2, MemoryMB: 3, System: "system-a", Go: "go-a", Load: 4.5},
-		Sizes:   []Size{{Name: "size-a", Services: 5, Servers: 6, Routes: 7, Tenants: 8, Nodes: 9, TenantsFile: true, MemoryMB: 10}},
+		Sizes: []Size{{
+			Name: "size-a", Services: 5, Servers: 6, Routes: 7, Tenants: 8, Nodes: 9, TenantsFile: true, MemoryMB: 10,
+		}},
 		Figures: []Figure{{Key: "key-a", Value: 11.5, Unit: "ms"}},
-		Slopes:  []Fit{{Key: "key-b", Dimension: "tenants", Slope: 12.5, Intercept: 13.5, Residual: 14.5, Points: 15, Unit: "MB"}},
-		Notes:   []string{"note-a"},
+		Slopes: []Fit{{
+			Key: "key-b", Dimension: "tenants", Slope: 12.5, Intercept: 13.5, Residual: 14.5, Points: 15, Unit: "MB",
+		}},
+		Notes: []string{"note-a"},
 	})
 }
 
@@ -25,7 +29,8 @@
 	var r Report
 	golden.Strict(t, text, &r)
 	if want := (Size{
-		Name: "limited", Services: 500, Servers: 30, Routes: 14000, Tenants: 140000, Nodes: 1900, TenantsFile: true, MemoryMB: 200,
+		Name: "limited", Services: 500, Servers: 30, Routes: 14000, Tenants: 140000, Nodes: 1900,
+		TenantsFile: true, MemoryMB: 200,
 	}); len(r.Sizes) != 2 || r.Sizes[1] != want {
 		t.Errorf("%+v; want %+v", r.Sizes, want)
 	}
@@ -54,18 +59,20 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Error("the report is encoded otherwise than it is")
 	}
-	if want := (Machine{Cores: 8, MemoryMB: 24150, System: "linux/amd64", Go: "go1.26.8", Load: 32.11}); r.Machine != want || r.Began != "2026-12-02T05:06:38Z" || r.Seed != 1 {
+	wantMachine := Machine{Cores: 8, MemoryMB: 24150, System: "linux/amd64", Go: "go1.26.8", Load: 32.11}
+	if r.Machine != wantMachine || r.Began != "2026-12-02T05:06:38Z" || r.Seed != 1 {
 		t.Errorf("%+v, began %s, seed %d", r.Machine, r.Began, r.Seed)
 	}
-	if want := (Size{Name: "together-62", Services: 62, Servers: 30, Routes: 1736, Tenants: 1000, Nodes: 1900}); r.Sizes[0] != want {
-		t.Errorf("%+v; want %+v", r.Sizes[0], want)
+	wantSize := Size{Name: "together-62", Services: 62, Servers: 30, Routes: 1736, Tenants: 1000, Nodes: 1900}
+	if r.Sizes[0] != wantSize {
+		t.Errorf("%+v; want %+v", r.Sizes[0], wantSize)
 	}
 	if f, ok := r.Value("together-62.check_fewer_tenants.cpu"); !ok || f.Value != 0.049628 || f.Unit != "s" {
 		t.Errorf("%+v, %v", f, ok)
 	}
 	if want := (Fit{
-		Key: "together.check_fewer_tenants.cpu", Dimension: "services", Slope: 0.0006435842718606291, Intercept: -0.0011908656833523323,
-		Residual: 0.017268417782271405, Points: 4, Unit: "s",
+		Key: "together.check_fewer_tenants.cpu", Dimension: "services", Points: 4, Unit: "s",
+		Slope: 0.0006435842718606291, Intercept: -0.0011908656833523323, Residual: 0.017268417782271405,
 	}); r.Slopes[4] != want {
 		t.Errorf("%+v; want %+v", r.Slopes[4], want)
 	}
--- a/internal/lab/process/machine.go
+++ b/internal/lab/process/machine.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// Machine is what a report was measured on.
+// Machine is the machine of a run.
 type Machine struct {
 	Cores    int     `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	System   string  `json:"system"`
 	Go       string  `json:"go"`
-	Load     float64 `json:"load_1m"` // the machine's load average as the run began: others may be at work
+	Load     float64 `json:"load_1m"` // the load average over a minute at the run's start
 }
 
-// machine describes the machine; what can't be read is left 0.
+// machine describes this machine; what can't be read is 0.
 func machine() Machine {
 	m := Machine{Cores: runtime.NumCPU(), System: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()}
 	if text, err := os.ReadFile("/proc/meminfo"); err == nil {
@@ -32,7 +32,7 @@
 	return m
 }
 
-// loadAverage gives the machine's load over the last minute.
+// loadAverage returns the machine's load average over the last minute.
 func loadAverage() (float64, error) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -45,7 +45,8 @@
 	return strconv.ParseFloat(first, 64)
 }
 
-// revision is the commit that the program was built from, as the Go command stamps it.
+// revision returns the commit that the program was built from, as the Go command stamps it, and whether the tree had
+// changes.
 func revision() string {
 	commit, changed := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/internal/lab/process/measure.go
+++ b/internal/lab/process/measure.go
@@ -11,8 +11,9 @@
 	"yokestall/internal/lab/ctxtime"
 )
 
-// Measure measures a plan's sizes, each with processes of its own that command starts, in folders below dir. What is
-// found goes to out as it comes. Where the run ends early, the report has what was measured until then.
+// Measure measures a plan's sizes one after the other, each with processes of its own that command starts, in folders
+// below dir. Figures are printed to out as they are measured. With an error the report has what was measured until
+// then.
 func Measure(ctx context.Context, p *Plan, dir string, command, env []string, out io.Writer) (*Report, error) {
 	r := &Report{Commit: revision(), Began: time.Now().UTC().Format(time.RFC3339), Seed: p.Seed, Machine: machine()}
 	err := r.measureSizes(ctx, p, dir, command, env, out)
@@ -24,7 +25,9 @@
 
 func (r *Report) measureSizes(ctx context.Context, p *Plan, dir string, command, env []string, out io.Writer) error {
 	for _, size := range p.Sizes {
-		m := &measurement{plan: p, size: size, dir: filepath.Join(dir, size.Name), command: command, env: env, report: r, out: out}
+		m := &measurement{
+			plan: p, size: size, dir: filepath.Join(dir, size.Name), command: command, env: env, report: r, out: out,
+		}
 		if err := os.MkdirAll(m.dir, 0o700); err != nil {
 			return err
 		}
@@ -38,7 +41,7 @@
 	return nil
 }
 
-// measurement is the measuring of one size.
+// measurement is the run of one size.
 type measurement struct {
 	plan    *Plan
 	size    Size
@@ -47,37 +50,34 @@
 	env     []string
 	report  *Report
 	out     io.Writer
-	served  *ServeProcess
-	restCPU float64 // CPU time at rest, as a share of a core
+	served  *ServeProcess // nil before measureStart
+	restCPU float64       // CPU time a second at rest, in seconds
 }
 
+// run measures the size, with fewer tenants if the program rejects as many as it has.
 func (m *measurement) run(ctx context.Context) error {
-	taken, err := m.measureCheck(ctx, "check")
-	if err != nil {
+	ok, err := m.findAcceptedSize(ctx)
+	if err != nil || !ok {
 		return err
 	}
-	if !taken {
-		less, ok := m.plan.Fallback(m.size)
-		if m.size.OnlyIfAccepted || !ok {
-			m.note("not measured further: the program does not take it")
-			return nil
-		}
-		m.note("measured on with %d tenants, %d of the plan's", less.Tenants, m.size.Tenants)
-		m.size.Tenants = less.Tenants
-		if taken, err = m.measureCheck(ctx, "check_fewer_tenants"); err != nil || !taken {
-			return fmt.Errorf("with %d tenants: taken %v, %w", less.Tenants, taken, err)
-		}
-	}
 	m.report.Sizes = append(m.report.Sizes, m.size)
 	if load, err := loadAverage(); err == nil {
 		m.note("the machine's load average as it began: %.1f", load)
 	}
-	steps := []func(context.Context) error{m.measureStart, m.measureRest, m.measureLoad, m.changeSettings, m.changeRoutes, m.changeLists, m.measurePeak}
 	defer func() {
 		if m.served != nil {
 			m.served.Close()
 		}
 	}()
+	steps := []func(context.Context) error{
+		m.measureStart,
+		m.measureRest,
+		m.measureLoad,
+		m.changeSettings,
+		m.changeRoutes,
+		m.changeLists,
+		m.measurePeak,
+	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			return err
@@ -86,31 +86,52 @@
 	return nil
 }
 
-// measureCheck has the program check the files of the size.
+// findAcceptedSize checks the size, and if the program rejects it the one with the plan's FallbackTenants, which is the
+// size to measure then. false: there is none to measure.
+func (m *measurement) findAcceptedSize(ctx context.Context) (bool, error) {
+	accepted, err := m.measureCheck(ctx, "check")
+	if err != nil || accepted {
+		return accepted, err
+	}
+	fallback, ok := m.plan.Fallback(m.size)
+	if m.size.OnlyIfAccepted || !ok {
+		m.note("not measured further: the program does not take it")
+		return false, nil
+	}
+	m.note("measured on with %d tenants, %d of the plan's", fallback.Tenants, m.size.Tenants)
+	m.size.Tenants = fallback.Tenants
+	if accepted, err = m.measureCheck(ctx, "check_fewer_tenants"); err != nil || !accepted {
+		return false, fmt.Errorf("with %d tenants: taken %v, %w", fallback.Tenants, accepted, err)
+	}
+	return true, nil
+}
+
+// measureCheck runs the program's check of the size's files, and returns whether it accepts them.
 func (m *measurement) measureCheck(ctx context.Context, what string) (bool, error) {
 	g := Generator{Size: m.size, Seed: m.plan.Seed, Place: DefaultPlace()}
 	dir := filepath.Join(m.dir, "checked")
 	if err := g.Write(dir); err != nil {
 		return false, err
 	}
-	v, err := Check(ctx, m.command, m.env, filepath.Join(dir, programFile))
+	result, err := Check(ctx, m.command, m.env, filepath.Join(dir, programFile))
 	if err != nil {
 		return false, err
 	}
-	taken := 0.0
-	if v.Accepted {
-		taken = 1
+	accepted := 0.0
+	if result.Accepted {
+		accepted = 1
 	} else {
-		m.note("check refuses %d tenants, %d routes: %s", m.size.Tenants, m.size.Routes, withoutFolder(v.Output, dir))
-	}
-	m.addFigure(what+".taken", taken, "of 1")
-	m.addFigure(what+".cpu", v.CPU.Seconds(), "s")
-	m.addFigure(what+".wall", v.Wall.Seconds(), "s")
-	m.addMemory(what+".peak", v.Peak)
-	return v.Accepted, os.RemoveAll(dir)
+		m.note("check refuses %d tenants, %d routes: %s",
+			m.size.Tenants, m.size.Routes, withoutFolder(result.Output, dir))
+	}
+	m.addFigure(what+".taken", accepted, "of 1")
+	m.addFigure(what+".cpu", result.CPU.Seconds(), "s")
+	m.addFigure(what+".wall", result.Wall.Seconds(), "s")
+	m.addMemory(what+".peak", result.Peak)
+	return result.Accepted, os.RemoveAll(dir)
 }
 
-// measureStart starts the process, and takes what it has used until it serves.
+// measureStart starts the process and measures what it has used when it serves.
 func (m *measurement) measureStart(ctx context.Context) error {
 	began := time.Now()
 	s, err := StartServe(ctx, m.size, m.plan.Seed, m.plan.ServerDelay.Duration, m.dir, m.command, m.env)
@@ -129,7 +150,7 @@
 	return nil
 }
 
-// measureRest watches the process while nobody asks it anything.
+// measureRest measures the process while it gets no requests.
 func (m *measurement) measureRest(ctx context.Context) error {
 	if err := m.measureMemory(ctx, "rest.memory"); err != nil {
 		return err
@@ -151,7 +172,7 @@
 	return nil
 }
 
-// measureMemory waits until the process's memory has settled, and takes it.
+// measureMemory waits until the process's memory has settled and measures it.
 func (m *measurement) measureMemory(ctx context.Context, what string) error {
 	rss, ok, err := AwaitSettledMemory(ctx, m.served.process.PID(), m.plan.SettleWindow.Duration)
 	if err != nil {
@@ -164,7 +185,8 @@
 	return nil
 }
 
-// measureLoad asks at each rate, over each number of services in use.
+// measureLoad measures the process under each rate, over each number of services in use, and for each rate the latency
+// of the load generator without the process.
 func (m *measurement) measureLoad(ctx context.Context) error {
 	for _, rate := range m.plan.Rates {
 		direct, err := m.served.RunDirectLoad(ctx, rate, m.plan.LoadDuration.Duration)
@@ -189,7 +211,7 @@
 	return m.measureMemory(ctx, "load.memory")
 }
 
-// measurePeak takes the most memory that the process had, over all that was done to it.
+// measurePeak adds the maximum of the process's memory over all steps.
 func (m *measurement) measurePeak(context.Context) error {
 	u, err := m.served.Usage()
 	if err == nil {
--- a/internal/lab/process/real_test.go
+++ b/internal/lab/process/real_test.go
@@ -21,7 +21,7 @@
 	"yokestall/internal/testutil"
 )
 
-// program is the product program, for tests that start real processes of it.
+// program is the product's program, for tests that start processes of it.
 func program() {
 	if err := cli.New(os.Stdout, os.Stderr).ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -31,9 +31,9 @@
 
 func TestMain(m *testing.M) { testutil.MainOr(m, program) }
 
-// countersError is by how many MB two figures of the system on the same memory may differ: it counts pages on each
-// CPU, and adds them up in batches.
-const countersError = 2
+// maxCounterError bounds the difference in MB of two of the system's figures on the same memory: it counts pages on
+// each CPU, and adds the counts up in batches.
+const maxCounterError = 2
 
 const tinyPlan = `
 seed = 1
@@ -57,8 +57,7 @@
 nodes = 10
 `
 
-// A real process is measured whole: each request has an answer, each change is in force, each figure is there with
-// its unit.
+// In a complete run of a real process, requests are answered, changes are in force, and each figure has its unit.
 func TestMeasure(t *testing.T) {
 	plan, err := process.ParsePlan("tiny", []byte(tinyPlan))
 	if err != nil {
@@ -71,9 +70,10 @@
 	}
 	seen := map[string]bool{}
 	for _, f := range r.Figures {
-		// The CPU time of a request leaves out what the process takes at rest, which is a guess over so short a rest.
-		less := f.Value < 0 && !strings.HasSuffix(f.Key, ".cpu_per_request")
-		if f.Unit == "" || less || math.IsNaN(f.Value) || math.IsInf(f.Value, 0) || seen[f.Key] || !strings.HasPrefix(f.Key, "tiny.") {
+		// The CPU time at rest, which that of a request is without, is inexact after so short a rest.
+		negative := f.Value < 0 && !strings.HasSuffix(f.Key, ".cpu_per_request")
+		invalid := negative || math.IsNaN(f.Value) || math.IsInf(f.Value, 0)
+		if f.Unit == "" || invalid || seen[f.Key] || !strings.HasPrefix(f.Key, "tiny.") {
 			t.Errorf("%+v", f)
 		}
 		seen[f.Key] = true
@@ -88,8 +88,11 @@
 	if value("check.taken") != 1 || value("load.200.services_2.asked") < 1 || value("load.200.services_all.served") < 1 {
 		t.Errorf("%+v, %v", r.Figures, r.Notes)
 	}
-	for _, memory := range []string{"ready.memory", "rest.memory", "load.memory", "settings.1.memory", "settings.3.memory", "route.1.memory", "list.2.memory"} {
-		if v := value(memory); v <= 0 || v > value("end.peak")+countersError {
+	for _, memory := range []string{
+		"ready.memory", "rest.memory", "load.memory", "settings.1.memory", "settings.3.memory", "route.1.memory",
+		"list.2.memory",
+	} {
+		if v := value(memory); v <= 0 || v > value("end.peak")+maxCounterError {
 			t.Errorf("%s is %v MB, the most was %v", memory, v, value("end.peak"))
 		}
 	}
@@ -105,9 +108,12 @@
 	}
 }
 
-// A size whose tenants are refused is noted, and measured with fewer, or not at all where it says so.
-func TestRefusedTenants(t *testing.T) {
-	text := strings.NewReplacer("tenants = 40\nnodes", "tenants = 20000000\nnodes", "rates = [200]", "rates = []").Replace(tinyPlan)
+// A size whose tenants are rejected has a note, and is measured with fewer, or not at all with OnlyIfAccepted.
+func TestRejectedTenants(t *testing.T) {
+	text := strings.NewReplacer(
+		"tenants = 40\nnodes", "tenants = 20000000\nnodes",
+		"rates = [200]", "rates = []",
+	).Replace(tinyPlan)
 	plan, err := process.ParsePlan("tiny", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -118,17 +124,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f, _ := r.Value("tiny.check.taken"); f.Value != 0 || len(r.Sizes) != 1 || r.Sizes[0].Tenants != 40 || len(r.Notes) < 2 {
+	f, _ := r.Value("tiny.check.taken")
+	if f.Value != 0 || len(r.Sizes) != 1 || r.Sizes[0].Tenants != 40 || len(r.Notes) < 2 {
 		t.Errorf("%+v, %+v, %v", f, r.Sizes, r.Notes)
 	}
 	plan.Sizes[0].OnlyIfAccepted = true
-	if r, err = process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard); err != nil || len(r.Sizes) != 0 {
+	r, err = process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
+	if err != nil || len(r.Sizes) != 0 {
 		t.Errorf("%+v, %v", r.Sizes, err)
 	}
 }
 
-// inside is the program within the test's own process, whose heap can be counted.
-type inside struct {
+// inProcess is the program within the test's own process, whose heap objects can be counted.
+type inProcess struct {
 	t         *testing.T
 	dir, addr string
 	generator process.Generator
@@ -136,14 +144,19 @@
 	requests  int
 }
 
-func newInside(t *testing.T, size process.Size) *inside {
-	var servers []string // that keep nothing of what they are asked, or it would be counted
+func startInProcess(t *testing.T, size process.Size) *inProcess {
+	var servers []string // that store nothing of their requests, or it would count
 	for range size.Servers {
-		b := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") }))
-		t.Cleanup(func() { b.CloseClientConnections(); b.Close() })
-		servers = append(servers, b.Listener.Addr().String())
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			io.WriteString(w, "served")
+		}))
+		t.Cleanup(func() {
+			server.CloseClientConnections()
+			server.Close()
+		})
+		servers = append(servers, server.Listener.Addr().String())
 	}
-	s := &inside{t: t, dir: t.TempDir(), generator: process.Generator{Size: size, Seed: 1, Place: process.Place{
+	s := &inProcess{t: t, dir: t.TempDir(), generator: process.Generator{Size: size, Seed: 1, Place: process.Place{
 		Listen: "127.0.0.1:0", Server: func(j int) string { return servers[j] },
 	}}}
 	if err := s.generator.Write(filepath.Join(s.dir, "served")); err != nil {
@@ -164,10 +177,10 @@
 	return s
 }
 
-func (s *inside) path() string { return filepath.Join(s.dir, "served", "yokestall.toml") }
+func (s *inProcess) path() string { return filepath.Join(s.dir, "served", "yokestall.toml") }
 
-// change has other settings be in force, and some requests be served by them.
-func (s *inside) change() {
+// change replaces the settings, waits until the new ones are in force, and sends some requests.
+func (s *inProcess) change() {
 	s.settings.Version++
 	s.settings.Step++
 	written := filepath.Join(s.dir, "next")
@@ -187,8 +200,8 @@
 	}
 }
 
-// get makes a request over a connection of its own, and gives the answer's text.
-func (s *inside) get(a process.Request) string {
+// get sends a request over a connection of its own, and returns the answer's text.
+func (s *inProcess) get(a process.Request) string {
 	q, err := http.NewRequest(a.Method, "http://"+s.addr+a.Path, nil)
 	if err != nil {
 		s.t.Fatal(err)
@@ -212,21 +225,21 @@
 	return strings.TrimSpace(string(text))
 }
 
-// liveObjects counts what is alive after a collection.
+// liveObjects returns the heap objects and goroutines after a garbage collection.
 func liveObjects() (objects uint64, goroutines int) {
 	var m runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what finalizers of the first let go
+	runtime.GC() // frees what finalizers of the first released
 	runtime.ReadMemStats(&m)
 	return m.HeapObjects, runtime.NumGoroutine()
 }
 
-// What a version of the settings needed is let go when another takes its place: after 100 changes the program holds
-// about as many objects and goroutines as after 10. The bound is a tenth: ten objects kept of each of the 90 changes
-// between are found, so two of each cluster.
-func TestChangesLetGo(t *testing.T) {
+// A version's objects are freed when another replaces it: after 100 changes the program has about as many objects and
+// goroutines as after 10. The bound is a tenth, so that ten leaked objects of each of the 90 changes between are found,
+// or two of each cluster.
+func TestChangesDontLeak(t *testing.T) {
 	const few, many = 10, 100
-	s := newInside(t, process.Size{Services: 7, Servers: 3, Routes: 100, Tenants: 40, Nodes: 10})
+	s := startInProcess(t, process.Size{Services: 7, Servers: 3, Routes: 100, Tenants: 40, Nodes: 10})
 	for range few {
 		s.change()
 	}
@@ -237,9 +250,10 @@
 	var nowObjects uint64
 	var nowGoroutines int
 	defer func() {
-		t.Logf("after %d changes %d objects and %d goroutines, after %d %d and %d", few, objects, goroutines, many, nowObjects, nowGoroutines)
+		t.Logf("after %d changes %d objects and %d goroutines, after %d %d and %d",
+			few, objects, goroutines, many, nowObjects, nowGoroutines)
 	}()
-	testutil.Until(t, "what changes held to be let go", func() bool {
+	testutil.Until(t, "the objects of earlier versions to be freed", func() bool {
 		nowObjects, nowGoroutines = liveObjects()
 		return nowObjects < objects+objects/10 && nowGoroutines <= goroutines+10
 	})
--- a/internal/lab/process/replacefiles.go
+++ b/internal/lab/process/replacefiles.go
@@ -13,7 +13,7 @@
 	"yokestall/internal/lab/ctxtime"
 )
 
-// ChangeSettings replaces the program's file by one with other settings, and returns when they are in force.
+// ChangeSettings replaces the program's file by one with other settings, and returns once they are in force.
 func (s *ServeProcess) ChangeSettings(ctx context.Context) error {
 	next := s.settings
 	next.Version++
@@ -21,7 +21,8 @@
 	return s.change(ctx, next)
 }
 
-// ChangeRoute replaces the program's file by one in which a route answers another text, and returns when it does.
+// ChangeRoute replaces the program's file by one in which a route answers another text, and returns once that is
+// in force.
 func (s *ServeProcess) ChangeRoute(ctx context.Context) error {
 	next := s.settings
 	next.Version++
@@ -29,6 +30,7 @@
 	return s.change(ctx, next)
 }
 
+// change replaces the program's file by one with these settings, and returns once they are in force.
 func (s *ServeProcess) change(ctx context.Context, next Settings) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -42,8 +44,8 @@
 	return s.awaitResponse(ctx, "/version", VersionText(next))
 }
 
-// ChangeList replaces one cluster's file by one whose first server has another weight, and returns when the process
-// has taken it.
+// ChangeList replaces one cluster's file by one whose first server has another weight, and returns once the
+// process has accepted it.
 func (s *ServeProcess) ChangeList(ctx context.Context, service, change int) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -53,8 +55,8 @@
 	return s.awaitAccepted(ctx)
 }
 
-// replace puts a new file in the place of an old one at once. It is written outside of the folders that the program
-// watches, so that one change is one event there.
+// replace replaces a file atomically. The new file is written outside the folders that the program watches, so that one
+// change is one event there.
 func (s *ServeProcess) replace(name string, text []byte) error {
 	written := filepath.Join(s.dir, "next")
 	if err := os.WriteFile(written, text, 0o600); err != nil {
@@ -63,7 +65,8 @@
 	return os.Rename(written, filepath.Join(s.process.Dir, name))
 }
 
-// awaitAccepted waits until the process logs the next version of its files. It has not put it in force yet then.
+// awaitAccepted waits until the process logs the next version of its files, which it does before the version is in
+// force.
 func (s *ServeProcess) awaitAccepted(ctx context.Context) error {
 	want := []byte(fmt.Sprintf("version=%d ", s.acceptedVersions+1))
 	for {
@@ -84,42 +87,43 @@
 	}
 }
 
-// newLogLines gives the whole lines that the process has logged since the last look.
+// newLogLines returns the complete lines that the process has logged since the last call.
 func (s *ServeProcess) newLogLines() ([]byte, error) {
 	f, err := os.Open(s.process.Log)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.NewSectionReader(f, s.logOffset, 1<<30))
+	text, err := io.ReadAll(io.NewSectionReader(f, s.logOffset, maxLogBytes))
 	text = text[:bytes.LastIndexByte(text, '\n')+1]
 	s.logOffset += int64(len(text))
 	return text, err
 }
 
-// awaitResponse asks the version host until it answers a text.
+// awaitResponse polls the version host until its answer is want.
 func (s *ServeProcess) awaitResponse(ctx context.Context, path, want string) error {
 	for {
 		text, err := s.get(ctx, path)
 		if err == nil && text == want {
 			return nil
 		}
-		if pauseErr := ctxtime.Sleep(ctx, versionPollInterval); pauseErr != nil {
-			return errors.Join(fmt.Errorf("%s answers %q, not %q", path, text, want), err, pauseErr)
+		if sleepErr := ctxtime.Sleep(ctx, versionPollInterval); sleepErr != nil {
+			return errors.Join(fmt.Errorf("%s answers %q, not %q", path, text, want), err, sleepErr)
 		}
 	}
 }
 
+// get returns the version host's answer.
 func (s *ServeProcess) get(ctx context.Context, path string) (string, error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+VersionHost+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+VersionHost+path, nil)
 	if err != nil {
 		return "", err
 	}
-	a, err := s.client.Do(q)
+	response, err := s.client.Do(request)
 	if err != nil {
 		return "", err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	return string(bytes.TrimSpace(text)), err
 }
--- a/internal/lab/process/served.go
+++ b/internal/lab/process/served.go
@@ -13,31 +13,39 @@
 )
 
 const (
-	maxRunningServers   = 64 // stand-in servers, which all services share
+	maxRunningServers   = 64 // fake servers, which all services share
 	logPollInterval     = 2 * time.Millisecond
 	versionPollInterval = 10 * time.Millisecond
-	changeTimeout       = 2 * time.Minute // for a change to be in force
-	maxOpenRequests     = 4096            // requests of the load that may be open at once
+	changeTimeout       = 2 * time.Minute // until a change is in force
+	maxLogBytes         = 1 << 30         // of the process's log, that are read at once
+	connectTimeout      = 5 * time.Second
+	requestTimeout      = 10 * time.Second
+	idleTimeout         = time.Minute // of the load's connections
+	maxOpenRequests     = 4096        // of the load, at once
 )
 
-// ServeProcess is a process of the program before stand-in servers, which follows files that can be replaced. Create it
-// with Serve.
+// ServeProcess is a process of the program before fake servers, which follows files that can be replaced. Create it
+// with StartServe.
 type ServeProcess struct {
 	Generator Generator
 	Servers   []*appbox.Box
 
 	dir              string
 	process          *fleet.Process
-	client           *http.Client // connects to the process, whatever host is asked for
+	client           *http.Client // connects to the process, whatever the request's host is
 	settings         Settings     // in force
-	acceptedVersions int          // versions of the files that the process has logged
-	logOffset        int64        // bytes of the log that have been looked at
+	acceptedVersions int          // versions of the files that the process has logged as accepted
+	logOffset        int64        // bytes of the log that have been read
 }
 
-// StartServe writes the files of a size below dir and starts a process by them. It listens when StartServe returns.
-func StartServe(ctx context.Context, size Size, seed uint64, serverTime time.Duration, dir string, command, env []string) (s *ServeProcess, err error) {
+// StartServe starts fake servers with a delay, writes the files of a size below dir and starts a process by them. The
+// process serves when StartServe returns.
+func StartServe(
+	ctx context.Context, size Size, seed uint64, serverDelay time.Duration, dir string, command, env []string,
+) (s *ServeProcess, err error) {
 	if size.Servers > maxRunningServers {
-		return nil, fmt.Errorf("%s: %d servers of a service; %d at most where they are served", size.Name, size.Servers, maxRunningServers)
+		return nil, fmt.Errorf("%s: %d servers of a service; %d at most where they are served",
+			size.Name, size.Servers, maxRunningServers)
 	}
 	s = &ServeProcess{dir: dir, acceptedVersions: 1}
 	defer func() {
@@ -46,12 +54,12 @@
 		}
 	}()
 	for i := range size.Servers {
-		b, err := appbox.Start(fmt.Sprintf("server-%d", i))
+		server, err := appbox.Start(fmt.Sprintf("server-%d", i))
 		if err != nil {
 			return nil, err
 		}
-		b.SetDelay(serverTime)
-		s.Servers = append(s.Servers, b)
+		server.SetDelay(serverDelay)
+		s.Servers = append(s.Servers, server)
 	}
 	command = append(command[:len(command):len(command)], "serve", "-c")
 	if s.process, err = fleet.NewProcess(filepath.Join(dir, "served"), command, env); err != nil {
@@ -71,17 +79,22 @@
 	return s, s.awaitResponse(ctx, "/version", VersionText(s.settings))
 }
 
-// newClient gives a client whose connections all lead to one address; "": to the one that is asked for.
+// newClient returns a client that connects to addr whatever a request's host is; "": to the request's host.
 func newClient(addr string) *http.Client {
-	dialer := &net.Dialer{Timeout: 5 * time.Second}
-	t := &http.Transport{MaxIdleConnsPerHost: maxOpenRequests, MaxIdleConns: 0, IdleConnTimeout: time.Minute, DisableCompression: true}
-	t.DialContext = func(ctx context.Context, network, asked string) (net.Conn, error) {
+	dialer := &net.Dialer{Timeout: connectTimeout}
+	dial := func(ctx context.Context, network, host string) (net.Conn, error) {
 		if addr != "" {
-			asked = addr
+			host = addr
 		}
-		return dialer.DialContext(ctx, network, asked)
+		return dialer.DialContext(ctx, network, host)
 	}
-	return &http.Client{Transport: t, Timeout: 10 * time.Second}
+	t := &http.Transport{
+		DialContext:         dial,
+		MaxIdleConnsPerHost: maxOpenRequests,
+		IdleConnTimeout:     idleTimeout,
+		DisableCompression:  true,
+	}
+	return &http.Client{Transport: t, Timeout: requestTimeout}
 }
 
 // Close ends the process and the servers.
@@ -92,10 +105,10 @@
 	if s.client != nil {
 		s.client.CloseIdleConnections()
 	}
-	for _, b := range s.Servers {
-		b.Down()
+	for _, server := range s.Servers {
+		server.Down()
 	}
 }
 
-// Usage gives what the process has used so far.
+// Usage returns what the process has used so far.
 func (s *ServeProcess) Usage() (Usage, error) { return ReadUsage(s.process.PID()) }
--- a/internal/lab/process/slope.go
+++ b/internal/lab/process/slope.go
@@ -8,7 +8,7 @@
 // Fit is a straight line through figures of several sizes, by least squares.
 type Fit struct {
 	Key       string  `json:"key"` // the slope's name, a dot, and what was measured
-	Dimension string  `json:"per"` // the dimension of sizes
+	Dimension string  `json:"per"` // of the sizes
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
 	Residual  float64 `json:"residual"` // standard error of the regression, in the figure's unit
@@ -16,11 +16,13 @@
 	Unit      string  `json:"unit"` // of the figure
 }
 
-// fit lays a line through points by least squares; false: the points have fewer than two places, or there are not
-// three.
+// minFitPoints is how many points a line has to have, or its residual says nothing.
+const minFitPoints = 3
+
+// fit fits a line by least squares; false: there are fewer than minFitPoints, or all have the same x.
 func fit(x, y []float64) (f Fit, ok bool) {
 	n := float64(len(x))
-	if len(x) < 3 {
+	if len(x) < minFitPoints {
 		return f, false
 	}
 	var meanX, meanY float64
@@ -28,7 +30,7 @@
 		meanX += x[i] / n
 		meanY += y[i] / n
 	}
-	var xx, xy float64
+	var xx, xy float64 // variance and covariance, times n
 	for i := range x {
 		xx += (x[i] - meanX) * (x[i] - meanX)
 		xy += (x[i] - meanX) * (y[i] - meanY)
@@ -48,7 +50,7 @@
 	return f, true
 }
 
-// isWallTime tells whether a figure is a time by the clock, which says more of the machine's other work than of the size.
+// isWallTime reports whether a figure is a wall time, which depends on the machine's other work more than on the size.
 func isWallTime(what string) bool {
 	for _, part := range []string{".wall", ".in_force_", ".added_"} {
 		if strings.Contains(what, part) {
@@ -58,17 +60,10 @@
 	return false
 }
 
-// slope holds each figure that all of a slope's measured sizes have against their dimension, but for times by the
-// clock.
+// slope fits a line over the slope's dimension for each figure of its measured sizes that is no wall time. A figure has
+// to be there at minFitPoints sizes, the first of them among these.
 func (r *Report) slope(s Slope) {
-	var sizes []Size
-	for _, name := range s.Sizes {
-		for _, size := range r.Sizes {
-			if size.Name == name {
-				sizes = append(sizes, size)
-			}
-		}
-	}
+	sizes := r.measured(s.Sizes)
 	if len(sizes) < len(s.Sizes) {
 		r.note("slope %s: %d of %d sizes were measured", s.Name, len(sizes), len(s.Sizes))
 	}
@@ -81,12 +76,7 @@
 		if !ok || isWallTime(what) {
 			continue
 		}
-		var x, y []float64
-		for _, size := range sizes {
-			if f, ok := r.Value(size.Name + "." + what); ok {
-				x, y = append(x, float64(dimensions[s.Dimension](size))), append(y, f.Value)
-			}
-		}
+		x, y := r.points(sizes, s.Dimension, what)
 		if f, ok := fit(x, y); ok {
 			f.Key, f.Dimension, f.Unit = s.Name+"."+what, s.Dimension, first.Unit
 			r.Slopes = append(r.Slopes, f)
@@ -97,3 +87,26 @@
 		r.note("slope %s: nothing to fit: fewer than three sizes that differ in %s were measured", s.Name, s.Dimension)
 	}
 }
+
+// measured returns the measured sizes of these names, in the order of the names.
+func (r *Report) measured(names []string) (sizes []Size) {
+	for _, name := range names {
+		for _, size := range r.Sizes {
+			if size.Name == name {
+				sizes = append(sizes, size)
+			}
+		}
+	}
+	return sizes
+}
+
+// points returns the sizes' dimension and figure, for the sizes that have the figure.
+func (r *Report) points(sizes []Size, dimension, figure string) (x, y []float64) {
+	for _, size := range sizes {
+		if f, ok := r.Value(size.Name + "." + figure); ok {
+			x = append(x, float64(dimensions[dimension](size)))
+			y = append(y, f.Value)
+		}
+	}
+	return x, y
+}
--- a/internal/lab/process/usage.go
+++ b/internal/lab/process/usage.go
@@ -13,14 +13,14 @@
 // clockTick is the unit of times in /proc/PID/stat: USER_HZ is 100 on every architecture that Go runs on.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used, by /proc.
+// Usage is what a process has used, as /proc says.
 type Usage struct {
 	CPU  time.Duration // user and system time, of all its threads
 	RSS  int64         // bytes resident now
-	Peak int64         // the most that were
+	Peak int64         // the maximum so far
 }
 
-// ReadUsage gives what a process has used so far.
+// ReadUsage returns what a process has used so far.
 func ReadUsage(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -54,7 +54,7 @@
 	return u, err
 }
 
-// statusBytes gives a line of /proc/PID/status that is in kB.
+// statusBytes returns the bytes of a line of /proc/PID/status that is in kB.
 func statusBytes(status, name string) (int64, error) {
 	for line := range strings.Lines(status) {
 		if rest, ok := strings.CutPrefix(line, name); ok {
@@ -65,22 +65,22 @@
 	return 0, fmt.Errorf("status of a process: no %s", name)
 }
 
-// How memory is found to have settled: two windows of samples in a row whose medians differ by less than a share.
+// Memory has settled once the medians of two consecutive windows of samples differ by less than a fraction.
 const (
-	settleWindow     = 16 // samples
+	settleSamples    = 16 // of a window
 	settleTolerance  = 0.02
-	maxSettleWindows = 15 // windows
+	maxSettleWindows = 15
 )
 
-// AwaitSettledMemory waits until a process's resident memory stands still from one window of a length to the next, and gives the
-// median of the last one. ok is false where it had not within a number of windows.
+// AwaitSettledMemory waits until a process's resident memory settles from one window to the next, and returns the
+// median of the last window, in bytes. ok is false if it has not settled within maxSettleWindows.
 func AwaitSettledMemory(ctx context.Context, pid int, window time.Duration) (rss int64, ok bool, err error) {
-	tick := time.NewTicker(max(time.Millisecond, window/settleWindow))
+	tick := time.NewTicker(max(time.Millisecond, window/settleSamples))
 	defer tick.Stop()
 	var before int64
-	for turn := range maxSettleWindows {
+	for i := range maxSettleWindows {
 		var samples []int64
-		for range settleWindow {
+		for range settleSamples {
 			select {
 			case <-tick.C:
 			case <-ctx.Done():
@@ -93,7 +93,7 @@
 			samples = append(samples, u.RSS)
 		}
 		rss = median(samples)
-		if turn > 0 && withinTolerance(before, rss) {
+		if i > 0 && withinTolerance(before, rss) {
 			return rss, true, nil
 		}
 		before = rss
@@ -101,11 +101,13 @@
 	return rss, false, nil
 }
 
+// withinTolerance reports whether two medians differ by less than settleTolerance of the earlier one.
 func withinTolerance(before, now int64) bool {
 	d := float64(now - before)
 	return max(d, -d) < settleTolerance*float64(before)
 }
 
+// median returns the upper median. list has at least one element.
 func median(list []int64) int64 {
 	sorted := slices.Sorted(slices.Values(list))
 	return sorted[len(sorted)/2]
--- a/internal/lab/process/write.go
+++ b/internal/lab/process/write.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// The names of the files below a folder, as `yokestall serve` wants them.
+// The names of the files below a folder, as `yokestall serve` reads them.
 const (
 	programFile    = "yokestall.toml"
 	tenantsFile    = "tenants.toml"
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// writeFile writes a file, however long it is, without holding all of it.
+// writeFile writes a file through a buffer, so that a long file is never in memory completely.
 func writeFile(path string, write func(b io.Writer)) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return errors.Join(b.Flush(), f.Close())
 }
 
-// withoutFolder takes the folder's path out of messages that go into a report.
+// withoutFolder removes the folder's path from messages that go into a report.
 func withoutFolder(text, dir string) string {
 	return strings.ReplaceAll(text, dir+string(filepath.Separator), "")
 }
