--- a/internal/lab/process/check.go
+++ b/internal/lab/process/check.go
@@ -17,7 +17,7 @@
 	maxOutputBytes     = 4096             // of what a check prints
 )
 
-// CheckResult is what `yokestall check` says of files, and what it uses.
+// CheckResult is the result of `yokestall check`, and what the command used.
 type CheckResult struct {
 	Accepted bool
 	Output   string // its first maxOutputBytes
--- a/internal/lab/process/generate.go
+++ b/internal/lab/process/generate.go
@@ -40,7 +40,7 @@
 	prefixRoute
 	exactRoute
 	regexRoute
-	writeRoute    // a template that takes POST alone, of the keyed class
+	writeRoute    // a template for POST alone, of class "write"
 	catchAllRoute // the last route of a host: everything else
 )
 
--- a/internal/lab/process/load.go
+++ b/internal/lab/process/load.go
@@ -34,7 +34,7 @@
 	Connections  int64         // that the servers accepted
 	CPU          time.Duration // of the process
 	Wall         time.Duration
-	Void         bool // the load generator was late: the latencies say nothing
+	Void         bool // the load generator was late, so that the latencies are unreliable
 }
 
 // requestFunc makes request n of a load, from 0.
--- a/internal/lab/process/report.go
+++ b/internal/lab/process/report.go
@@ -12,20 +12,20 @@
 	Unit  string  `json:"unit"`
 }
 
-// Report is what a run of a plan gives.
+// Report is the result of a run, as its file has it.
 type Report struct {
-	Command string   `json:"command"`
-	Commit  string   `json:"commit"`
-	Began   string   `json:"began"`
+	Command string   `json:"command"` // that made the run
+	Commit  string   `json:"commit"`  // of the program
+	Began   string   `json:"began"`   // RFC 3339, UTC
 	Seed    uint64   `json:"seed"`
 	Machine Machine  `json:"machine"`
 	Sizes   []Size   `json:"sizes"` // as measured
 	Figures []Figure `json:"figures"`
 	Slopes  []Fit    `json:"slopes"`
-	Notes   []string `json:"notes"` // what was refused, void, or could not be measured
+	Notes   []string `json:"notes"` // what was rejected, is unreliable, or could not be measured
 }
 
-// Value gives a figure.
+// Value returns the figure of a key; false: there is none.
 func (r *Report) Value(key string) (Figure, bool) {
 	for _, f := range r.Figures {
 		if f.Key == key {
@@ -39,7 +39,7 @@
 	r.Notes = append(r.Notes, fmt.Sprintf(format, args...))
 }
 
-// JSON gives the report as its file has it.
+// JSON returns the content of the report's file.
 func (r *Report) JSON() ([]byte, error) {
 	text, err := json.MarshalIndent(r, "", "  ")
 	return append(text, '\n'), err
--- a/internal/lab/process/slope.go
+++ b/internal/lab/process/slope.go
@@ -16,7 +16,7 @@
 	Unit      string  `json:"unit"` // of the figure
 }
 
-// minFitPoints is how many points a line has to have, or its residual says nothing.
+// minFitPoints is the least number of points of a line: through two points every line fits without a residual.
 const minFitPoints = 3
 
 // fit fits a line by least squares; false: there are fewer than minFitPoints, or all have the same x.
--- a/internal/lab/process/usage.go
+++ b/internal/lab/process/usage.go
@@ -13,7 +13,7 @@
 // clockTick is the unit of times in /proc/PID/stat: USER_HZ is 100 on every architecture that Go runs on.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used, as /proc says.
+// Usage is what a process has used, by /proc.
 type Usage struct {
 	CPU  time.Duration // user and system time, of all its threads
 	RSS  int64         // bytes resident now
--- a/internal/lab/scale/conn.go
+++ b/internal/lab/scale/conn.go
@@ -25,7 +25,7 @@
 	return counted
 }
 
-// packets returns how many TCP segments the kernel has received and sent; 0 where it doesn't say.
+// packets returns how many TCP segments the kernel has received and sent; 0 if that is not known.
 func (c *conn) packets() (in, out int64) {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -18,7 +18,7 @@
 	value      func(r *Report) float64 // since the process's start
 }
 
-// detail says which figures a quantity has. Each has those of the ones before it.
+// detail selects the figures of a quantity. Each value includes those before it.
 type detail uint8
 
 const (
