--- a/cmd/yokestall/scale_test.go
+++ b/cmd/yokestall/scale_test.go
@@ -33,13 +33,13 @@
 	}
 	command, env := testutil.Itself()
 	dir := t.TempDir()
-	f, err := scale.Play(t.Context(), plan, scale.Options{Dir: dir, Command: command, Env: env, Tell: t.Logf})
+	f, err := scale.Play(t.Context(), plan, scale.Options{Dir: dir, Command: command, Env: env, Progress: t.Logf})
 	if err != nil {
 		showLogs(t, dir)
 		t.Fatal(err)
 	}
-	if len(f.Untold) > 0 {
-		t.Errorf("not notified: %+v", f.Untold)
+	if len(f.Late) > 0 {
+		t.Errorf("not notified: %+v", f.Late)
 	}
 	checkControlBounds(t, plan, f)
 	for _, p := range f.Series["apart.region1.alone"].Points {
@@ -53,7 +53,7 @@
 func checkControlBounds(t *testing.T, plan *scale.Plan, f *scale.Figures) {
 	t.Helper()
 	// Polls a second: twice the lease's renewals, since a slow machine polls again after a lease that it lost.
-	polls := 2 * float64(plan.Voters) / plan.Terms.RenewInterval().Seconds()
+	polls := 2 * float64(plan.Voters) / plan.Lease.RenewInterval().Seconds()
 	const (
 		pollBytes = 250.0    // of a poll and its answer, with the headers of RPC
 		listBytes = 60 << 10 // of the list that the plan has, at least
--- a/internal/cli/lab_hollow.go
+++ b/internal/cli/lab_hollow.go
@@ -22,7 +22,7 @@
 		Hidden: true,
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if at.First < 0 || at.Count < 1 || at.Before < 0 || at.Regions < 1 || at.Zones < 1 {
+			if at.First < 0 || at.Count < 1 || at.Offset < 0 || at.Regions < 1 || at.Zones < 1 {
 				return errors.New("--first, --count, --before, --regions, --zones: no such nodes")
 			}
 			return runHollow(cmd.Context(), path, at, slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)))
@@ -32,7 +32,7 @@
 	flags.StringVarP(&path, "config", "c", "", "the nodes' own `file`")
 	flags.IntVar(&at.First, "first", 0, "number of the first one among all hollow nodes")
 	flags.IntVar(&at.Count, "count", 1, "how many")
-	flags.IntVar(&at.Before, "before", 0, "nodes of the fleet that are not hollow")
+	flags.IntVar(&at.Offset, "before", 0, "nodes of the fleet that are not hollow")
 	flags.IntVar(&at.Regions, "regions", 1, "over which all are spread")
 	flags.IntVar(&at.Zones, "zones", 1, "likewise")
 	return c
@@ -61,6 +61,6 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	c := &scale.Controlled{Meter: meter, States: states, Hollows: hollow}
+	c := &scale.CommandServer{Meter: meter, States: states, Nodes: hollow}
 	return c.Serve(ctx, os.Stdin, os.Stdout, exitAfter(stop))
 }
--- a/internal/cli/lab_process.go
+++ b/internal/cli/lab_process.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	if err := plan.Only(r.sizes); err != nil {
+	if err := plan.Select(r.sizes); err != nil {
 		return err
 	}
 	if r.write != "" {
@@ -72,7 +72,7 @@
 // writeSizes writes the files of each size to a folder of its name, and for a size with more tenants than the program
 // accepts, a second folder with the number that is measured with.
 func (r *processRun) writeSizes(plan *process.Plan) error {
-	for _, size := range plan.Written() {
+	for _, size := range plan.WithFallbacks() {
 		g := process.Generator{Size: size, Seed: plan.Seed, Place: process.DefaultPlace()}
 		dir := filepath.Join(r.write, size.Name)
 		if err := g.Write(dir); err != nil {
--- a/internal/cli/lab_scale.go
+++ b/internal/cli/lab_scale.go
@@ -111,5 +111,5 @@
 	printProgress := func(format string, args ...any) {
 		fmt.Fprintf(r.progress, "%6.1f s  %s\n", time.Since(start).Seconds(), fmt.Sprintf(format, args...))
 	}
-	return scale.Play(ctx, plan, scale.Options{Dir: dir, Command: []string{executable}, Tell: printProgress})
+	return scale.Play(ctx, plan, scale.Options{Dir: dir, Command: []string{executable}, Progress: printProgress})
 }
--- a/internal/cli/lab_serve.go
+++ b/internal/cli/lab_serve.go
@@ -95,17 +95,17 @@
 		return fmt.Errorf("%s: a node of a fleet is controlled, in one of its regions", path)
 	}
 	meter, states := scale.NewMeter(node.Voters, at.regions), scale.NewStates()
-	states.Start(node.Name, at.region, at.zone)
+	states.Register(node.Name, at.region, at.zone)
 	hooks := meter.Hooks(at.region)
 	hooks.Applied = func(active consensus.ActiveVersions, disconnected bool) {
-		states.Acted(node.Name, active, disconnected)
+		states.Record(node.Name, active, disconnected)
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	controlled := make(chan error, 1)
 	startControl := func(net.Addr) {
 		go func() {
-			c := &scale.Controlled{Meter: meter, States: states}
+			c := &scale.CommandServer{Meter: meter, States: states}
 			controlled <- c.Serve(ctx, os.Stdin, os.Stdout, exitAfter(stop))
 		}()
 	}
@@ -116,10 +116,10 @@
 }
 
 // exitAfter returns what ends a process whose commands have ended: by stop, or if that takes longer than
-// scale.ExitWithin by an exit with code 1.
+// scale.ExitTimeout by an exit with code 1.
 func exitAfter(stop context.CancelFunc) func() {
 	return func() {
 		stop()
-		time.AfterFunc(scale.ExitWithin, func() { os.Exit(1) })
+		time.AfterFunc(scale.ExitTimeout, func() { os.Exit(1) })
 	}
 }
--- a/internal/lab/capacity/fleetfile.go
+++ b/internal/lab/capacity/fleetfile.go
@@ -80,7 +80,7 @@
 		return 0, fmt.Errorf("%s%s is not %sSTEP.nSIZE", lateNodesPrefix, name, lateNodesPrefix)
 	}
 	count := -1 // of the last entry of the step and size
-	for _, u := range f.figures.Untold {
+	for _, u := range f.figures.Late {
 		if u.Step == step && u.Size == at {
 			count = u.Count
 		}
@@ -95,7 +95,7 @@
 func property(f *scale.Figures, name string) (float64, bool) {
 	properties := map[string]float64{
 		"voters":    float64(f.Voters),
-		"serves":    float64(f.Serves),
+		"serves":    float64(f.ServeProcesses),
 		"regions":   float64(f.Regions),
 		"zones":     float64(f.Zones),
 		"seed":      float64(f.Seed),
@@ -116,7 +116,7 @@
 	case "mean":
 		return s.Mean, nil
 	case "most":
-		return s.Most, nil
+		return s.Max, nil
 	}
 	if size, isSize := strings.CutPrefix(field, "n"); isSize {
 		if number, err := strconv.ParseUint(size, 10, 32); err == nil {
--- /dev/null
+++ b/internal/lab/process/machine.go
@@ -0,0 +1,63 @@
+package process
+
+import (
+	"errors"
+	"os"
+	"runtime"
+	"runtime/debug"
+	"strconv"
+	"strings"
+)
+
+// Machine is the machine of a run.
+type Machine struct {
+	Cores    int     `json:"cores"`
+	MemoryMB int64   `json:"memory_mb"`
+	System   string  `json:"system"`
+	Go       string  `json:"go"`
+	Load     float64 `json:"load_1m"` // the load average over a minute at the run's start
+}
+
+// machine describes this machine; what can't be read is 0.
+func machine() Machine {
+	m := Machine{Cores: runtime.NumCPU(), System: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()}
+	if text, err := os.ReadFile("/proc/meminfo"); err == nil {
+		if bytes, err := statusBytes(string(text), "MemTotal:"); err == nil {
+			m.MemoryMB = bytes >> 20
+		}
+	}
+	if load, err := loadAverage(); err == nil {
+		m.Load = load
+	}
+	return m
+}
+
+// loadAverage returns the machine's load average over the last minute.
+func loadAverage() (float64, error) {
+	text, err := os.ReadFile("/proc/loadavg")
+	if err != nil {
+		return 0, err
+	}
+	first, _, ok := strings.Cut(string(text), " ")
+	if !ok {
+		return 0, errors.New("/proc/loadavg: no fields")
+	}
+	return strconv.ParseFloat(first, 64)
+}
+
+// revision returns the commit that the program was built from, as the Go command stamps it, and whether the tree had
+// changes.
+func revision() string {
+	commit, changed := "unknown", ""
+	if info, ok := debug.ReadBuildInfo(); ok {
+		for _, s := range info.Settings {
+			switch {
+			case s.Key == "vcs.revision":
+				commit = s.Value
+			case s.Key == "vcs.modified" && s.Value == "true":
+				changed = " with changes"
+			}
+		}
+	}
+	return commit + changed
+}
--- /dev/null
+++ b/internal/lab/process/slope.go
@@ -0,0 +1,112 @@
+package process
+
+import (
+	"math"
+	"strings"
+)
+
+// Fit is a straight line through figures of several sizes, by least squares.
+type Fit struct {
+	Key       string  `json:"key"` // the slope's name, a dot, and what was measured
+	Dimension string  `json:"per"` // of the sizes
+	Slope     float64 `json:"slope"`
+	Intercept float64 `json:"intercept"`
+	Residual  float64 `json:"residual"` // standard error of the regression, in the figure's unit
+	Points    int     `json:"points"`
+	Unit      string  `json:"unit"` // of the figure
+}
+
+// minFitPoints is the least number of points of a line: through two points every line fits without a residual.
+const minFitPoints = 3
+
+// fit fits a line by least squares; false: there are fewer than minFitPoints, or all have the same x.
+func fit(x, y []float64) (f Fit, ok bool) {
+	n := float64(len(x))
+	if len(x) < minFitPoints {
+		return f, false
+	}
+	var meanX, meanY float64
+	for i := range x {
+		meanX += x[i] / n
+		meanY += y[i] / n
+	}
+	var xx, xy float64 // variance and covariance, times n
+	for i := range x {
+		xx += (x[i] - meanX) * (x[i] - meanX)
+		xy += (x[i] - meanX) * (y[i] - meanY)
+	}
+	if xx == 0 {
+		return f, false
+	}
+	f.Slope = xy / xx
+	f.Intercept = meanY - f.Slope*meanX
+	var squares float64
+	for i := range x {
+		d := y[i] - f.Intercept - f.Slope*x[i]
+		squares += d * d
+	}
+	f.Residual = math.Sqrt(squares / (n - 2))
+	f.Points = len(x)
+	return f, true
+}
+
+// isWallTime reports whether a figure is a wall time, which depends on the machine's other work more than on the size.
+func isWallTime(what string) bool {
+	for _, part := range []string{".wall", ".in_force_", ".added_"} {
+		if strings.Contains(what, part) {
+			return true
+		}
+	}
+	return false
+}
+
+// slope fits a line over the slope's dimension for each figure of its measured sizes that is no wall time. A figure has
+// to be there at minFitPoints sizes, the first of them among these.
+func (r *Report) slope(s Slope) {
+	sizes := r.measured(s.Sizes)
+	if len(sizes) < len(s.Sizes) {
+		r.note("slope %s: %d of %d sizes were measured", s.Name, len(sizes), len(s.Sizes))
+	}
+	if len(sizes) == 0 {
+		return
+	}
+	fitted := 0
+	for _, first := range r.Figures {
+		what, ok := strings.CutPrefix(first.Key, sizes[0].Name+".")
+		if !ok || isWallTime(what) {
+			continue
+		}
+		x, y := r.points(sizes, s.Dimension, what)
+		if f, ok := fit(x, y); ok {
+			f.Key, f.Dimension, f.Unit = s.Name+"."+what, s.Dimension, first.Unit
+			r.Slopes = append(r.Slopes, f)
+			fitted++
+		}
+	}
+	if fitted == 0 {
+		r.note("slope %s: nothing to fit: fewer than three sizes that differ in %s were measured", s.Name, s.Dimension)
+	}
+}
+
+// measured returns the measured sizes of these names, in the order of the names.
+func (r *Report) measured(names []string) (sizes []Size) {
+	for _, name := range names {
+		for _, size := range r.Sizes {
+			if size.Name == name {
+				sizes = append(sizes, size)
+			}
+		}
+	}
+	return sizes
+}
+
+// points returns the sizes' dimension and figure, for the sizes that have the figure.
+func (r *Report) points(sizes []Size, dimension, figure string) (x, y []float64) {
+	for _, size := range sizes {
+		if f, ok := r.Value(size.Name + "." + figure); ok {
+			x = append(x, float64(dimensions[dimension](size)))
+			y = append(y, f.Value)
+		}
+	}
+	return x, y
+}
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -3,97 +3,27 @@
 import (
 	"context"
 	"net"
-	"os"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
-	"time"
 
-	"golang.org/x/sys/unix"
 	"google.golang.org/grpc/stats"
 
 	"yokestall/internal/fleet/agent"
 )
 
-// Traffic is what connections have carried. Bytes are those that the program reads and writes on its sockets:
-// messages with gRPC's and HTTP/2's frames and, with TLS, its records and handshakes. Packets are TCP's segments by
-// the kernel's count, acknowledgements among them.
-type Traffic struct {
-	In          int64 `json:"in"` // bytes
-	Out         int64 `json:"out"`
-	PacketsIn   int64 `json:"packets_in"`
-	PacketsOut  int64 `json:"packets_out"`
-	Connections int64 `json:"connections"` // that were made, over all time
-}
-
-// Report is what a process has used since it started.
-type Report struct {
-	At       time.Duration `json:"at"`     // by the machine's clock since boot
-	CPU      time.Duration `json:"cpu"`    // of the process, user and system
-	Memory   int64         `json:"memory"` // bytes resident at present
-	Dialed   Traffic       `json:"dialed"` // by connections that the process made
-	Accepted Traffic       `json:"accepted"`
-	Sent     int64         `json:"sent"` // messages of RPCs
-	Received int64         `json:"received"`
-	Nodes    int           `json:"nodes"` // that are in the process
-}
-
-// traffic counts what connections carry.
-type traffic struct {
-	in, out, connections atomic.Int64
-
-	mu                    sync.Mutex
-	open                  map[*conn]struct{}
-	packetsIn, packetsOut int64 // of those that are closed
-}
-
-// total gives what all connections have carried so far.
-func (t *traffic) total() Traffic {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	sum := Traffic{t.in.Load(), t.out.Load(), t.packetsIn, t.packetsOut, t.connections.Load()}
-	for c := range t.open {
-		in, out := c.packets()
-		sum.PacketsIn += in
-		sum.PacketsOut += out
-	}
-	return sum
-}
-
-func (t *traffic) add(c *conn) {
-	t.connections.Add(1)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.open == nil {
-		t.open = map[*conn]struct{}{}
-	}
-	t.open[c] = struct{}{}
-}
-
-// remove forgets a connection that is about to be closed, but for its packets.
-func (t *traffic) remove(c *conn) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	in, out := c.packets()
-	t.packetsIn += in
-	t.packetsOut += out
-	delete(t.open, c)
-}
-
-// Meter counts a process's control traffic, and parts it from other regions. Create it with NewMeter.
+// Meter counts a process's control traffic, and simulates a partition between its region and others. Create it with
+// NewMeter.
 type Meter struct {
-	dialed, accepted traffic
+	dialed, accepted trafficCounter
 	sent, received   atomic.Int64
-	regions          map[string]int // by voter's address
+	regions          map[string]int // by a voter's address
 
-	mu     sync.Mutex
-	apart  bool
-	healed chan struct{} // closed when the regions hear of each other
+	mu          sync.Mutex
+	partitioned bool
+	healed      chan struct{} // closed while there is no partition
 }
 
-// NewMeter makes a meter of a process among voters that are spread over so many regions in turn.
+// NewMeter makes a meter for a process of a fleet whose voters are spread over regions in turn.
 func NewMeter(voters []agent.Voter, regions int) *Meter {
 	m := &Meter{regions: map[string]int{}, healed: make(chan struct{})}
 	close(m.healed)
@@ -103,32 +33,33 @@
 	return m
 }
 
-// Hooks gives what counts a node's traffic that stands in a region.
+// Hooks returns the hooks by which the traffic of a node in a region is counted.
 func (m *Meter) Hooks(region int) agent.Hooks {
-	return agent.Hooks{Dial: m.Dialer(region), Listen: m.Listener, Stats: (*messages)(m)}
+	return agent.Hooks{Dial: m.Dialer(region), Listen: m.Listener, Stats: (*messageCounter)(m)}
 }
 
-// Apart parts the regions, or joins them again. What was sent meanwhile over a connection that outlives it arrives
-// then.
-func (m *Meter) Apart(apart bool) {
+// SetPartitioned begins or ends a partition between the regions. What is sent during a partition arrives after it,
+// unless the connection is closed before.
+func (m *Meter) SetPartitioned(partitioned bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if apart == m.apart {
+	if partitioned == m.partitioned {
 		return
 	}
-	if m.apart = apart; apart {
+	m.partitioned = partitioned
+	if partitioned {
 		m.healed = make(chan struct{})
 	} else {
 		close(m.healed)
 	}
 }
 
-// Dialer gives what connects a node of a region to voters.
+// Dialer returns a function that connects a node of a region to voters. During a partition it waits for its end.
 func (m *Meter) Dialer(region int) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
-		far := m.regions[address] != region
-		if far {
-			if err := m.pass(ctx.Done()); err != nil {
+		crossRegion := m.regions[address] != region
+		if crossRegion {
+			if err := m.awaitHealed(ctx.Done()); err != nil {
 				return nil, ctx.Err()
 			}
 		}
@@ -137,12 +68,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return m.wrap(c, &m.dialed, far), nil
+		return m.wrap(c, &m.dialed, crossRegion), nil
 	}
 }
 
-// pass waits until the regions hear of each other.
-func (m *Meter) pass(closed <-chan struct{}) error {
+// awaitHealed returns nil as soon as there is no partition, and net.ErrClosed if closed is closed before.
+func (m *Meter) awaitHealed(closed <-chan struct{}) error {
 	m.mu.Lock()
 	healed := m.healed
 	m.mu.Unlock()
@@ -159,7 +90,7 @@
 	}
 }
 
-// Listener has what a listener accepts counted.
+// Listener returns a listener whose connections are counted.
 func (m *Meter) Listener(l net.Listener) net.Listener { return &listener{l, m} }
 
 type listener struct {
@@ -167,7 +98,7 @@
 	meter *Meter
 }
 
-// Accept gives the next connection.
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -176,83 +107,11 @@
 	return l.meter.wrap(c, &l.meter.accepted, false), nil
 }
 
-// conn counts what it carries. One to another region carries nothing, either way, while that is apart: nobody is
-// told, as by a network that loses all.
-type conn struct {
-	net.Conn
-	meter  *Meter
-	count  *traffic
-	far    bool
-	once   sync.Once
-	closed chan struct{}
-}
-
-// wrap has a connection counted, and cut while the regions are apart if it is to another one.
-func (m *Meter) wrap(c net.Conn, count *traffic, far bool) *conn {
-	w := &conn{Conn: c, meter: m, count: count, far: far, closed: make(chan struct{})}
-	count.add(w)
-	return w
-}
-
-// packets gives how many segments the kernel has received and sent; none, if it doesn't say.
-func (c *conn) packets() (in, out int64) {
-	tcp, is := c.Conn.(*net.TCPConn)
-	if !is {
-		return 0, 0
-	}
-	raw, err := tcp.SyscallConn()
-	if err != nil {
-		return 0, 0
-	}
-	raw.Control(func(fd uintptr) {
-		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			in, out = int64(info.Segs_in), int64(info.Segs_out)
-		}
-	})
-	return in, out
-}
-
-func (c *conn) pass() error {
-	if !c.far {
-		return nil
-	}
-	return c.meter.pass(c.closed)
-}
+// messageCounter counts the messages of RPCs, as a stats.Handler of gRPC.
+type messageCounter Meter
 
-// Read gives what came.
-func (c *conn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	if gone := c.pass(); gone != nil {
-		return 0, gone
-	}
-	c.count.in.Add(int64(n))
-	return n, err
-}
-
-// Write sends.
-func (c *conn) Write(b []byte) (int, error) {
-	if err := c.pass(); err != nil {
-		return 0, err
-	}
-	n, err := c.Conn.Write(b)
-	c.count.out.Add(int64(n))
-	return n, err
-}
-
-// Close ends it.
-func (c *conn) Close() error {
-	c.once.Do(func() {
-		close(c.closed)
-		c.count.remove(c)
-	})
-	return c.Conn.Close()
-}
-
-// messages counts those of RPCs, as gRPC tells them.
-type messages Meter
-
-// HandleRPC counts a message.
-func (m *messages) HandleRPC(_ context.Context, s stats.RPCStats) {
+// HandleRPC implements stats.Handler.
+func (m *messageCounter) HandleRPC(_ context.Context, s stats.RPCStats) {
 	switch s.(type) {
 	case *stats.OutPayload:
 		m.sent.Add(1)
@@ -261,50 +120,13 @@
 	}
 }
 
-// TagRPC adds nothing to a call.
-func (m *messages) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
-
-// TagConn adds nothing to a connection.
-func (m *messages) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+// TagRPC implements stats.Handler.
+func (m *messageCounter) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// HandleConn takes no notice of connections.
-func (m *messages) HandleConn(context.Context, stats.ConnStats) {}
-
-// Report tells what the process has used.
-func (m *Meter) Report() (Report, error) {
-	cpu, err := cpuTime()
-	if err != nil {
-		return Report{}, err
-	}
-	memory, err := resident()
-	if err != nil {
-		return Report{}, err
-	}
-	return Report{
-		At: agent.BootTime(), CPU: cpu, Memory: memory, Dialed: m.dialed.total(), Accepted: m.accepted.total(),
-		Sent: m.sent.Load(), Received: m.received.Load(),
-	}, nil
-}
-
-// cpuTime is what this process has used of the processors.
-func cpuTime() (time.Duration, error) {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		return 0, err
-	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
+// TagConn implements stats.Handler.
+func (m *messageCounter) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
+	return ctx
 }
 
-// resident is how much memory of this process is resident.
-func resident() (int64, error) {
-	text, err := os.ReadFile("/proc/self/statm")
-	if err != nil {
-		return 0, err
-	}
-	fields := strings.Fields(string(text))
-	if len(fields) < 2 {
-		return 0, os.ErrInvalid
-	}
-	pages, err := strconv.ParseInt(fields[1], 10, 64)
-	return pages * int64(os.Getpagesize()), err
-}
+// HandleConn implements stats.Handler.
+func (m *messageCounter) HandleConn(context.Context, stats.ConnStats) {}
--- /dev/null
+++ b/internal/lab/scale/rigfiles.go
@@ -0,0 +1,149 @@
+package scale
+
+import (
+	"context"
+	"crypto/tls"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+
+	"google.golang.org/grpc"
+
+	"yokestall/internal/fake/keymaker"
+	"yokestall/internal/fleet/agent"
+	"yokestall/internal/tlskeys"
+)
+
+// Names in the files of a run.
+const (
+	fleetName = "scale"
+	rootsName = "ca"   // of the certificate authority
+	pairName  = "node" // of the certificate and key that all processes share
+)
+
+// writeFiles writes the processes' files, and initializes the voters' stores.
+func (r *rig) writeFiles(ctx context.Context) error {
+	for _, m := range r.members.withRole(VoterRole) {
+		address, err := freeAddress(m.proc.Addr)
+		if err != nil {
+			return err
+		}
+		r.voters = append(r.voters, agent.Voter{Name: m.name, Address: address})
+	}
+	if r.plan.TLS {
+		if err := r.makeKeys(); err != nil {
+			return err
+		}
+	}
+	for i, m := range r.members {
+		if err := os.MkdirAll(filepath.Join(m.proc.Dir, "clusters"), 0o700); err != nil {
+			return err
+		}
+		if err := os.WriteFile(m.proc.Config(), []byte(r.programFile(m, i)), 0o600); err != nil {
+			return err
+		}
+		if m.role != VoterRole {
+			continue
+		}
+		if err := r.initStore(ctx, m); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// initStore runs the program's command that makes a voter's store.
+func (r *rig) initStore(ctx context.Context, m *member) error {
+	c := exec.CommandContext(ctx, r.command[0], append(r.command[1:], "fleet", "init", "-c", m.proc.Config())...)
+	c.Env = append(os.Environ(), r.env...)
+	if text, err := c.CombinedOutput(); err != nil {
+		return fmt.Errorf("fleet init: %w: %s", err, text)
+	}
+	return nil
+}
+
+// freeAddress returns a free port on the host of taken, an address on which nobody listens yet, other than taken.
+func freeAddress(taken string) (string, error) {
+	host, _, err := net.SplitHostPort(taken)
+	if err != nil {
+		return "", err
+	}
+	reserved, err := net.Listen("tcp", taken)
+	if err != nil {
+		return "", err
+	}
+	defer reserved.Close()
+	l, err := net.Listen("tcp", host+":0")
+	if err != nil {
+		return "", err
+	}
+	defer l.Close()
+	return l.Addr().String(), nil
+}
+
+// makeKeys writes a certificate authority and a key for the names of all voters, in r.keys.
+func (r *rig) makeKeys() error {
+	authority, err := keymaker.New("the run's authority")
+	if err != nil {
+		return err
+	}
+	names := []string{pairName}
+	for _, v := range r.voters {
+		host, _, err := net.SplitHostPort(v.Address)
+		if err != nil {
+			return err
+		}
+		names = append(names, host)
+	}
+	r.keys = filepath.Join(r.dir, "keys")
+	if err := os.MkdirAll(r.keys, 0o700); err != nil {
+		return err
+	}
+	return authority.Write(r.keys, pairName, names...)
+}
+
+// programFile returns the configuration of a process's nodes. number is the process's place among members.
+func (r *rig) programFile(m *member, number int) string {
+	l := &r.plan.Lease
+	var b strings.Builder
+	if r.keys != "" {
+		fmt.Fprintf(&b, "[keys]\nfolder = %q\n", r.keys)
+	}
+	b.WriteString(baseConfig(m.proc.Addr, r.nodeCount(), number))
+	fmt.Fprintf(&b, "[fleet.agree]\nname = %q\nnode = %q\n", fleetName, m.name)
+	fmt.Fprintf(&b, "lease = %q\ndrift = %v\ntake = %q\n", l.Duration, l.MaxClockDrift, l.ApplyTimeout)
+	if r.keys != "" {
+		fmt.Fprintf(&b, "roots = %q\ncertificate = %q\n", rootsName, pairName)
+	}
+	b.WriteString("voters = [")
+	for _, v := range r.voters {
+		fmt.Fprintf(&b, "%q,", v.Name+"="+v.Address)
+	}
+	b.WriteString("]\n")
+	if m.role == VoterRole {
+		fmt.Fprintf(&b, "listen = %q\n", r.voters[number].Address)
+	}
+	b.WriteString(Content{Clusters: 1, Servers: 1, Routes: len(classes)}.policyConfig(firstSettings))
+	return b.String()
+}
+
+// connectOperator makes the client that publishes versions.
+func (r *rig) connectOperator() error {
+	var tlsConfig *tls.Config
+	if r.keys != "" {
+		keys, err := tlskeys.Open(r.keys, pairName, slog.New(slog.DiscardHandler))
+		if err != nil {
+			return err
+		}
+		tlsConfig = keys.ClientConfig(tlskeys.ServerAuth{Roots: rootsName, Certificate: pairName})
+	}
+	r.meter = NewMeter(r.voters, r.plan.Regions)
+	var err error
+	dialer := grpc.WithContextDialer(r.meter.Dialer(0))
+	r.client, err = agent.NewClient(fleetName, r.voters, tlsConfig, dialer)
+	return err
+}
