--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -55,9 +55,11 @@
 func (o *Outcome) Digest() string {
 	h := sha256.New()
 	for _, r := range o.Seeds {
-		fmt.Fprint(h, r.Attempts, r.ExtraAttempts, r.AttemptsAfterDrain, r.DuplicateEffects, r.OverloadedServers, r.Events, r.ServiceBySecond)
+		fmt.Fprint(h, r.Attempts, r.ExtraAttempts, r.AttemptsAfterDrain, r.DuplicateEffects, r.OverloadedServers,
+			r.Events, r.ServiceBySecond)
 		for _, t := range r.Classes {
-			fmt.Fprint(h, t.Requests, t.WithinObjective, t.Late, t.Rejected, t.Failed, t.EarnedWeight, t.Latencies.ValueAtQuantile(99))
+			fmt.Fprint(h, t.Requests, t.WithinObjective, t.Late, t.Rejected, t.Failed, t.EarnedWeight,
+				t.Latencies.ValueAtQuantile(99))
 		}
 	}
 	return fmt.Sprintf("%x", h.Sum(nil)[:digestBytes])
