--- a/internal/hotrestart/snapshot/golden_test.go
+++ b/internal/hotrestart/snapshot/golden_test.go
@@ -26,13 +26,13 @@
 		},
 		Policy: PolicyState{
 			Classes: []policy.ClassSnapshot{
-				{UnloadedLatency: 0.011, UnloadedSamples: 12, MeanLatency: 0.013, LatencySamples: 14, MeanWorkHint: 0.015, WorkHintSamples: 16},
-				{UnloadedLatency: 0.021, UnloadedSamples: 22, MeanLatency: 0.023, LatencySamples: 24, MeanWorkHint: 0.025, WorkHintSamples: 26},
+				{UnloadedLatency: 0.011, UnloadedSamples: 12, QueueCost: 0.013, LatencySamples: 14, MeanWorkHint: 0.015, WorkHintSamples: 16},
+				{UnloadedLatency: 0.021, UnloadedSamples: 22, QueueCost: 0.023, LatencySamples: 24, MeanWorkHint: 0.025, WorkHintSamples: 26},
 			},
-			Load: policy.LoadSnapshot{ConcurrencyLimit: 31.5, LastGoodLimit: 32.5, Saturated: true, LatencyInflation: -3.5, TypicalLatency: 0.034, WarmThroughput: 35.5, ArrivalRate: 36.5, SendRate: 37.5},
+			Load: policy.LoadSnapshot{ConcurrencyLimit: 31.5, LastGoodLimit: 32.5, Saturated: true, LatencyInflation: -3.5, TypicalLatency: 0.034, WarmWorkRate: 35.5, ArrivalRate: 36.5, WorkRate: 37.5},
 			Endpoints: []Endpoint{
 				{StartedAtMs: 1_699_999_990_001, EndpointSnapshot: policy.EndpointSnapshot{
-					ID: 51, StartedAt: 52 * time.Second, BreakerOpen: true, ReopenIn: 53 * time.Millisecond, OpenDuration: 54 * time.Millisecond, ConsecutiveFailures: 55,
+					ID: 51, StartedAt: 52 * time.Second, BreakerOpen: true, HalfOpenIn: 53 * time.Millisecond, OpenDuration: 54 * time.Millisecond, ConsecutiveFailures: 55,
 					RecentOutcomes: []policy.OutcomeSummary{
 						{Age: 4 * time.Second, Successes: 61, Failures: 62, MeanLatency: 6.3},
 						{Age: 3 * time.Second, Successes: 71, Failures: 72, MeanLatency: 7.3},
@@ -40,7 +40,7 @@
 					UnloadedInflation: 0.56, UnloadedSamples: 57, SlowStartCredit: 0.58,
 				}},
 				{StartedAtMs: 1_699_999_980_002, EndpointSnapshot: policy.EndpointSnapshot{
-					ID: 1<<63 + 81, StartedAt: 82 * time.Second, BreakerOpen: true, ReopenIn: 83 * time.Millisecond, OpenDuration: 84 * time.Millisecond, ConsecutiveFailures: 85,
+					ID: 1<<63 + 81, StartedAt: 82 * time.Second, BreakerOpen: true, HalfOpenIn: 83 * time.Millisecond, OpenDuration: 84 * time.Millisecond, ConsecutiveFailures: 85,
 					RecentOutcomes:    []policy.OutcomeSummary{{Age: 2 * time.Second, Successes: 91, Failures: 92, MeanLatency: 9.3}},
 					UnloadedInflation: -0.86, UnloadedSamples: 87, SlowStartCredit: -0.88,
 				}},
--- a/internal/hotrestart/snapshot/snapshot_test.go
+++ b/internal/hotrestart/snapshot/snapshot_test.go
@@ -23,16 +23,16 @@
 		Instances: []discovery.Instance{{InstanceID: "s-1", HostPort: "h:1", Lifecycle: "Ready", Weight: 1}},
 		Policy: PolicyState{
 			Classes: []policy.ClassSnapshot{
-				{UnloadedLatency: 0.05, UnloadedSamples: 12, MeanLatency: 0.06, LatencySamples: 40},
-				{UnloadedLatency: 0.07, MeanLatency: 0.1},
+				{UnloadedLatency: 0.05, UnloadedSamples: 12, QueueCost: 0.06, LatencySamples: 40},
+				{UnloadedLatency: 0.07, QueueCost: 0.1},
 			},
 			Load: policy.LoadSnapshot{
 				ConcurrencyLimit: 4.5, LastGoodLimit: 5, Saturated: true, LatencyInflation: -0.2,
-				TypicalLatency: 0.05, WarmThroughput: 3, ArrivalRate: 120, SendRate: 6,
+				TypicalLatency: 0.05, WarmWorkRate: 3, ArrivalRate: 120, WorkRate: 6,
 			},
 			Endpoints: []Endpoint{
 				{1_699_999_990_001, policy.EndpointSnapshot{
-					ID: 7, BreakerOpen: true, ReopenIn: time.Second, OpenDuration: 2 * time.Second, ConsecutiveFailures: 5,
+					ID: 7, BreakerOpen: true, HalfOpenIn: time.Second, OpenDuration: 2 * time.Second, ConsecutiveFailures: 5,
 					UnloadedInflation: 0.3, UnloadedSamples: 4,
 					RecentOutcomes: []policy.OutcomeSummary{
 						{Age: 4 * time.Second, Successes: 9, MeanLatency: 1.2},
@@ -112,7 +112,7 @@
 		"negative counts":         {func(s *Snapshot) { outcome(s).Successes = -3 }, takenAt, nil, 1, 1},
 		"too many outcomes":       {func(s *Snapshot) { outcome(s).Successes = 1e9 }, takenAt, nil, 1, 1},
 		"out of order":            {func(s *Snapshot) { slices.Reverse(s.Policy.Endpoints[0].RecentOutcomes) }, takenAt, nil, 1, 1},
-		"breaker open too long":   {func(s *Snapshot) { s.Policy.Endpoints[0].ReopenIn = math.MaxInt64 }, takenAt, nil, 1, 1},
+		"breaker open too long":   {func(s *Snapshot) { s.Policy.Endpoints[0].HalfOpenIn = math.MaxInt64 }, takenAt, nil, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := sample()
--- a/internal/hotrestart/snapshot/validate.go
+++ b/internal/hotrestart/snapshot/validate.go
@@ -98,7 +98,7 @@
 
 func classValid(c policy.ClassSnapshot) bool {
 	return inRange(c.UnloadedLatency, minLatencySeconds, maxLatencySeconds) &&
-		inRange(c.MeanLatency, minLatencySeconds, maxLatencySeconds) &&
+		inRange(c.QueueCost, minLatencySeconds, maxLatencySeconds) &&
 		inRange(c.MeanWorkHint, 0, maxLatencySeconds) &&
 		inRange(c.UnloadedSamples, 0, maxSamples) &&
 		inRange(c.LatencySamples, 0, maxSamples) &&
@@ -110,9 +110,9 @@
 		inRange(l.LastGoodLimit, 0, maxConcurrency) &&
 		inRange(l.TypicalLatency, minLatencySeconds, maxLatencySeconds) &&
 		inRange(math.Abs(l.LatencyInflation), 0, maxLogInflation) &&
-		inRange(l.WarmThroughput, 0, maxWorkPerSecond) &&
+		inRange(l.WarmWorkRate, 0, maxWorkPerSecond) &&
 		inRange(l.ArrivalRate, 0, maxRequestsPerSecond) &&
-		inRange(l.SendRate, 0, maxRequestsPerSecond)
+		inRange(l.WorkRate, 0, maxRequestsPerSecond)
 }
 
 func endpointValid(e Endpoint) bool {
@@ -122,7 +122,7 @@
 		inRange(math.Abs(e.SlowStartCredit), 0, maxLatencySeconds) &&
 		e.ConsecutiveFailures >= 0 && e.ConsecutiveFailures <= maxOutcomes &&
 		durationInRange(e.OpenDuration) &&
-		durationInRange(e.ReopenIn) &&
+		durationInRange(e.HalfOpenIn) &&
 		outcomesValid(e.RecentOutcomes)
 }
 
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -23,7 +23,7 @@
 	health         subsetHealth
 	pollDelay      time.Duration // until the next poll after a failed one
 	slowStartRules slowstart.Rules
-	nodeShare      float64      // share of the node's slow-start budgets that this Balancer may use, 0 to 1
+	budgetShare    float64      // share of the node's slow-start budgets that this Balancer may use, 0 to 1
 	workRate       decayingRate // work sent, in seconds per second
 	warmWorkRate   float64      // work per second that an endpoint got from all nodes while most were warm
 	candidates     []*endpoint  // scratch of pick
@@ -65,7 +65,7 @@
 		pollDelay: minPollBackoff, sweepAt: never,
 		concurrency:    concurrency{limit: float64(min(initialConcurrency, set.NodeCount))},
 		slowStartRules: newSlowStartRules(&set.Rules),
-		warmWorkRate:   minWarmWorkRate, nodeShare: 1, retrySuccessRate: 1,
+		warmWorkRate:   minWarmWorkRate, budgetShare: 1, retrySuccessRate: 1,
 	}
 	b.settings.Limits.MaxAttempts = min(set.Limits.MaxAttempts, maxAttempts)
 	b.typicalLatency = b.classes[0].unloadedLatency
--- a/policy/circuitbreaker.go
+++ b/policy/circuitbreaker.go
@@ -46,7 +46,7 @@
 	state        breakerState
 	failures     []time.Duration // times of the consecutive failures within failureWindow
 	openDuration time.Duration   // of the present or the next opening, before jitter
-	reopenAt     time.Duration   // when open: it turns half-open
+	halfOpenAt   time.Duration   // when open: it turns half-open
 	trial        *attempt        // when half-open: the trial in flight
 }
 
@@ -60,7 +60,7 @@
 
 // halfOpenIfDue turns an open breaker half-open when its time has come.
 func (c *breaker) halfOpenIfDue(now time.Duration) {
-	if c.state == breakerOpen && now >= c.reopenAt {
+	if c.state == breakerOpen && now >= c.halfOpenAt {
 		c.state, c.trial = breakerHalfOpen, nil
 	}
 }
@@ -71,7 +71,7 @@
 // admitsTrial reports whether the request may be the trial. One that is not idempotent is a last resort,
 // after the breaker has been half-open for its open duration: a failure could not be retried.
 func (c *breaker) admitsTrial(now time.Duration, r *request) bool {
-	return c.awaitsTrial() && (r.class.Idempotency != NotIdempotent || now > c.reopenAt+c.openDuration)
+	return c.awaitsTrial() && (r.class.Idempotency != NotIdempotent || now > c.halfOpenAt+c.openDuration)
 }
 
 // endTrial lets the next request be the trial if the attempt was one, without a verdict.
@@ -89,7 +89,7 @@
 	case c.state == breakerHalfOpen && c.trial == a:
 		c.state, c.trial, c.openDuration = breakerClosed, nil, minOpenDuration
 	case c.state == breakerOpen:
-		c.reopenAt = now
+		c.halfOpenAt = now
 	}
 }
 
@@ -114,10 +114,10 @@
 func (b *Balancer) openBreaker(now time.Duration, e *endpoint) {
 	e.breaker.state, e.breaker.trial = breakerOpen, nil
 	for _, a := range e.inFlight {
-		b.markUnresponsive(a)
+		b.excludeFromLoad(a)
 	}
 	b.subset.stale = true
-	e.breaker.reopenAt = now + b.jitter(e.breaker.openDuration)
+	e.breaker.halfOpenAt = now + b.jitter(e.breaker.openDuration)
 }
 
 // withinBaselineFailureRate reports whether the endpoint's baseline failure rate explains its current run of
--- a/policy/circuitbreaker_test.go
+++ b/policy/circuitbreaker_test.go
@@ -21,7 +21,7 @@
 			t.Fatal("an ejected endpoint was sent a request before its breaker was half-open")
 		}
 	}
-	r.advance(bad.breaker.reopenAt - r.now)
+	r.advance(bad.breaker.halfOpenAt - r.now)
 	trial := r.request(0)
 	if got := r.sendsOf(trial); len(got) != 1 || got[0] != bad.ID {
 		t.Fatalf("trial went to %v, want the half-open endpoint %d", got, bad.ID)
@@ -35,7 +35,7 @@
 		t.Fatalf("after a failed trial: breaker %v for %v, want open for %v",
 			bad.breaker.state, bad.breaker.openDuration, 2*before)
 	}
-	r.advance(bad.breaker.reopenAt - r.now)
+	r.advance(bad.breaker.halfOpenAt - r.now)
 	trial = r.request(0)
 	r.endAttempt(trial, OK, 50*ms)
 	if bad.breaker.state != breakerClosed {
@@ -85,7 +85,7 @@
 	for range failuresToOpen {
 		r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
 	}
-	r.now = s.breaker.reopenAt + ms
+	r.now = s.breaker.halfOpenAt + ms
 	if id := r.request(2); len(r.sendsOf(id)) != 0 {
 		t.Fatal("a request that is not idempotent was the trial at once, where an idempotent one could come")
 	}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -75,7 +75,7 @@
 		b.endpoints[entry.ID] = e
 	} else if entry.StartedAt != e.StartedAt {
 		for _, a := range e.inFlight {
-			b.markUnresponsive(a)
+			b.excludeFromLoad(a)
 		}
 		listed := e.Endpoint
 		*e = newEndpoint(e.ringPosition)
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -21,7 +21,7 @@
 		if !a.lacksAnswer(now, expected) {
 			continue
 		}
-		b.markUnresponsive(a)
+		b.excludeFromLoad(a)
 		a.endpoint.outcomes.record(now, false, 0)
 		b.recordFailure(now, a, failureBySlowness)
 		if r.inFlight == 1 && b.settings.Limits.AllowHedging && now+expected <= r.objectiveDeadline {
@@ -34,17 +34,17 @@
 
 // lacksAnswer reports whether the attempt is in flight for too long and its endpoint answered nothing since.
 func (a *attempt) lacksAnswer(now, expected time.Duration) bool {
-	if !a.inFlight || a.notCounted {
+	if !a.inFlight || a.excludedFromLoad {
 		return false
 	}
 	age := float64(now - a.sentAt)
 	return age > unresponsiveFactor*float64(expected) && a.endpoint.lastAnswerAt < a.sentAt
 }
 
-// markUnresponsive stops counting an attempt in flight against the concurrency limit.
-func (b *Balancer) markUnresponsive(a *attempt) {
-	if !a.notCounted {
-		a.notCounted = true
+// excludeFromLoad stops counting an attempt in flight against the concurrency limit.
+func (b *Balancer) excludeFromLoad(a *attempt) {
+	if !a.excludedFromLoad {
+		a.excludedFromLoad = true
 		b.concurrency.inFlight--
 	}
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -40,7 +40,7 @@
 		b.recordFailure(now, a, failureReported)
 	case Timeout:
 		// A shorter wait says more of the client's patience than of the endpoint.
-		if !a.notCounted && latency > b.health.meanLatency*unresponsiveFactor {
+		if !a.excludedFromLoad && latency > b.health.meanLatency*unresponsiveFactor {
 			e.outcomes.record(now, false, latency)
 			b.recordFailure(now, a, failureBySlowness)
 		}
--- a/policy/request.go
+++ b/policy/request.go
@@ -11,9 +11,9 @@
 const (
 	// maxAttempts bounds Limits.MaxAttempts: each request reserves space for its attempts.
 	maxAttempts = 16
-	// maxBodyDuration is the deadline of a request whose body is incomplete. The host enforces the pace of
+	// MaxBodyDuration is the deadline of a request whose body is incomplete. The host enforces the pace of
 	// bodies.
-	maxBodyDuration = 24 * time.Hour
+	MaxBodyDuration = 24 * time.Hour
 	// minWorkFactor bounds a request's work from below, as a multiple of its class's mean: hints are rough.
 	minWorkFactor = 0.25
 	// maxWorkFactor bounds a request's work from above, as a multiple of its class's mean.
@@ -31,9 +31,9 @@
 	inFlight   bool
 	neverRan   bool // ended, and the endpoint did not start it
 	unloaded   bool // no other request of this node was in flight at the endpoint
-	// notCounted says that the attempt is in flight but not counted in concurrency.inFlight: no answer is
-	// expected of it, or its body is incomplete.
-	notCounted bool
+	// excludedFromLoad says that the attempt is in flight but not counted in concurrency.inFlight: no answer
+	// is expected of it, or its body is incomplete.
+	excludedFromLoad bool
 }
 
 // request is a client's request.
@@ -74,7 +74,7 @@
 func (b *Balancer) setDeadlines(now time.Duration, r *request, remaining time.Duration) {
 	c := r.class
 	if r.BodyIncomplete {
-		r.deadline, r.objectiveDeadline = now+maxBodyDuration, now+c.LatencyObjective
+		r.deadline, r.objectiveDeadline = now+MaxBodyDuration, now+c.LatencyObjective
 		return
 	}
 	margin := max(0, b.settings.Tick-b.settings.Rules.AnswerGrace)
@@ -121,7 +121,7 @@
 	e.sentSinceStart = true
 	if r.BodyIncomplete {
 		e.incompleteBodies++
-		b.markUnresponsive(a)
+		b.excludeFromLoad(a)
 	}
 	e.inFlight = append(e.inFlight, a)
 	return a
@@ -142,7 +142,7 @@
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.inFlight && slices.Contains(a.endpoint.inFlight, a) {
-			a.sentAt, a.notCounted = now, false
+			a.sentAt, a.excludedFromLoad = now, false
 			a.endpoint.incompleteBodies--
 			b.concurrency.inFlight++
 		}
@@ -155,7 +155,7 @@
 	a.inFlight = false
 	a.neverRan = o.Status == Rejected || o.Status == ConnectFailed || o.Status == NeverSent
 	r.inFlight--
-	if !a.notCounted {
+	if !a.excludedFromLoad {
 		b.concurrency.inFlight--
 	}
 	i := slices.Index(a.endpoint.inFlight, a)
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -50,7 +50,7 @@
 	if !e.slowStart.Deferred() {
 		e.slowStart.Defer(now, work*b.random.Float64())
 	}
-	rate := b.slowStartRules.FixedRate(b.nodeShare*b.warmWorkRate/b.subset.nodesPerEndpoint, share)
+	rate := b.slowStartRules.FixedRate(b.budgetShare*b.warmWorkRate/b.subset.nodesPerEndpoint, share)
 	return e.slowStart.Allows(&b.slowStartRules, now, rate, work, work*float64(len(e.inFlight)))
 }
 
@@ -66,4 +66,4 @@
 
 // SetSlowStartShare sets the share of the node's slow-start budgets that this Balancer may use, 0 to 1;
 // initially 1. It is less than 1 while another Balancer decides for the same node, as during a hot restart.
-func (b *Balancer) SetSlowStartShare(share float64) { b.nodeShare = share }
+func (b *Balancer) SetSlowStartShare(share float64) { b.budgetShare = share }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -32,7 +32,7 @@
 type ClassSnapshot struct {
 	UnloadedLatency float64 `json:"Lone"`     // mean for a request of mean work on an idle endpoint, seconds
 	UnloadedSamples float64 `json:"LoneSeen"` // answers that it rests on
-	MeanLatency     float64 `json:"Work"`     // of all answers, seconds; 1 with Settings.WeightPerWork
+	QueueCost       float64 `json:"Work"`     // of all answers, seconds; 1 with Settings.WeightPerWork
 	LatencySamples  float64 `json:"Seen"`
 	MeanWorkHint    float64 `json:"Hint"` // seconds
 	WorkHintSamples float64 `json:"Hinted"`
@@ -43,7 +43,7 @@
 	ID                  EndpointID       `json:"Server"`
 	StartedAt           time.Duration    `json:"Started"`  // as in Endpoint: the start that this belongs to
 	BreakerOpen         bool             `json:"Open"`     // its breaker is open or half-open
-	ReopenIn            time.Duration    `json:"ReopenIn"` // until an open breaker turns half-open
+	HalfOpenIn          time.Duration    `json:"ReopenIn"` // until an open breaker turns half-open
 	OpenDuration        time.Duration    `json:"OpenFor"`  // of the present or the next opening
 	ConsecutiveFailures int              `json:"Failures"`
 	RecentOutcomes      []OutcomeSummary `json:"Recent"`   // the oldest first
@@ -67,9 +67,9 @@
 	Saturated        bool    `json:"Crowded"`  // endpoints were saturated at least once
 	LatencyInflation float64 `json:"Crowding"` // logarithm of the latency over the unloaded latency
 	TypicalLatency   float64 `json:"Typical"`  // seconds
-	WarmThroughput   float64 `json:"WarmPart"` // work per second that a warm endpoint got
+	WarmWorkRate     float64 `json:"WarmPart"` // work per second that a warm endpoint got
 	ArrivalRate      float64 `json:"Arrivals"` // requests per second
-	SendRate         float64 `json:"Sent"`     // work per second
+	WorkRate         float64 `json:"Sent"`     // work per second
 }
 
 // Snapshot returns what the Balancer has learnt.
@@ -77,14 +77,14 @@
 	s := Snapshot{Load: LoadSnapshot{
 		ConcurrencyLimit: b.concurrency.limit, LastGoodLimit: b.concurrency.lastGood,
 		Saturated: b.concurrency.saturated, LatencyInflation: b.latencyInflation,
-		TypicalLatency: b.typicalLatency, WarmThroughput: b.warmWorkRate,
-		ArrivalRate: b.subset.arrivals.perSecond(now), SendRate: b.workRate.perSecond(now),
+		TypicalLatency: b.typicalLatency, WarmWorkRate: b.warmWorkRate,
+		ArrivalRate: b.subset.arrivals.perSecond(now), WorkRate: b.workRate.perSecond(now),
 	}}
 	for i := range b.classes {
 		c := &b.classes[i]
 		s.Classes = append(s.Classes, ClassSnapshot{
 			UnloadedLatency: c.unloadedLatency, UnloadedSamples: c.unloadedSamples,
-			MeanLatency: c.queueCost, LatencySamples: c.latencySamples,
+			QueueCost: c.queueCost, LatencySamples: c.latencySamples,
 			MeanWorkHint: c.meanWorkHint, WorkHintSamples: c.workHintSamples,
 		})
 	}
@@ -107,7 +107,7 @@
 		SlowStartCredit: e.slowStart.FixedCredit(),
 	}
 	if e.breaker.state == breakerOpen {
-		s.ReopenIn = max(0, e.breaker.reopenAt-now)
+		s.HalfOpenIn = max(0, e.breaker.halfOpenAt-now)
 	}
 	return s
 }
@@ -154,7 +154,7 @@
 // on; trust is that share, lessened by the snapshot's age.
 func (c *class) restore(s *ClassSnapshot, known, trust float64) {
 	c.unloadedLatency += (s.UnloadedLatency - c.unloadedLatency) * known
-	c.queueCost += (s.MeanLatency - c.queueCost) * known
+	c.queueCost += (s.QueueCost - c.queueCost) * known
 	c.unloadedSamples, c.latencySamples = max(1, s.UnloadedSamples*trust), max(1, s.LatencySamples*trust)
 	c.meanWorkHint, c.workHintSamples = s.MeanWorkHint, s.WorkHintSamples*trust
 }
@@ -166,9 +166,9 @@
 	b.concurrency.saturated = s.Saturated
 	b.latencyInflation = s.LatencyInflation * trust
 	b.typicalLatency += (s.TypicalLatency - b.typicalLatency) * trust
-	b.warmWorkRate += (s.WarmThroughput - b.warmWorkRate) * trust
+	b.warmWorkRate += (s.WarmWorkRate - b.warmWorkRate) * trust
 	b.subset.arrivals = decayingRate{takenAt, s.ArrivalRate}
-	b.workRate = decayingRate{takenAt, s.SendRate}
+	b.workRate = decayingRate{takenAt, s.WorkRate}
 }
 
 // restoreEndpoint takes over what was learnt of an endpoint.
@@ -191,7 +191,7 @@
 	if s.BreakerOpen {
 		c := &e.breaker
 		c.state, c.openDuration = breakerOpen, max(minOpenDuration, min(s.OpenDuration, maxOpenDuration))
-		c.reopenAt = now + min(max(0, s.ReopenIn-age), c.openDuration)
+		c.halfOpenAt = now + min(max(0, s.HalfOpenIn-age), c.openDuration)
 	}
 }
 
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -23,7 +23,7 @@
 		}
 	}
 	bad := r.b.endpoints[1]
-	bad.breaker.state, bad.breaker.openDuration, bad.breaker.reopenAt = breakerOpen, 8*time.Second, r.now+6*time.Second
+	bad.breaker.state, bad.breaker.openDuration, bad.breaker.halfOpenAt = breakerOpen, 8*time.Second, r.now+6*time.Second
 	return r
 }
 
@@ -57,9 +57,9 @@
 				t.Errorf("limit %v, want %v", h.b.concurrency.limit, c.limit)
 			}
 			s := h.b.endpoints
-			state, reopenIn := s[1].breaker.state, s[1].breaker.reopenAt-h.now
-			if state == breakerClosed || reopenIn != c.open || (state == breakerHalfOpen) != (c.open == 0) {
-				t.Errorf("breaker %v, a trial in %v, want in %v", state, reopenIn, c.open)
+			state, halfOpenIn := s[1].breaker.state, s[1].breaker.halfOpenAt-h.now
+			if state == breakerClosed || halfOpenIn != c.open || (state == breakerHalfOpen) != (c.open == 0) {
+				t.Errorf("breaker %v, a trial in %v, want in %v", state, halfOpenIn, c.open)
 			}
 			if got := s[2].outcomes.count > 0; got != c.count {
 				t.Errorf("outcomes count: %v", got)
