--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -8,13 +8,9 @@
 	"yokestall/policy"
 )
 
-const (
-	// balancerAnswerTimeout is how long after a request's deadline the engine waits for the Balancer's answer before
-	// it gives one itself.
-	balancerAnswerTimeout = 5 * time.Millisecond
-	// maxUploadTime bounds a request whose body is incomplete; its downstream server sets the pace by the size.
-	maxUploadTime = 24 * time.Hour
-)
+// balancerAnswerTimeout is how long after a request's deadline the engine waits for the Balancer's answer before it
+// gives one itself.
+const balancerAnswerTimeout = 5 * time.Millisecond
 
 // ErrClientDisconnected is returned where the client disconnected before the answer: no answer is due.
 var ErrClientDisconnected = errors.New("engine: client disconnected")
@@ -97,8 +93,8 @@
 func (c *Cluster) startRequest(now time.Duration, r *Request) {
 	r.id = c.nextID()
 	c.requests[r.id] = r
-	if r.BodyIncomplete {
-		r.Deadline = now + maxUploadTime
+	if r.BodyIncomplete { // the Balancer's deadline; the downstream server sets the pace by the size
+		r.Deadline = now + policy.MaxBodyDuration
 	}
 	r.deadlineTimer = timer{at: r.Deadline, expiry: requestDeadline{r}}
 	if r.Class >= 0 && r.Class < len(c.classes) && c.classes[r.Class].Idempotency == policy.IdempotentByKey {
--- a/policy/api.go
+++ b/policy/api.go
@@ -25,7 +25,7 @@
 	Zone      int // failure domain; Settings.Zone is the node's
 	Cell      int // group of endpoints within a zone
 	State     EndpointState
-	Weight    float64       // relative size, comparable across endpoints; 0: unknown
+	Weight    float64       // relative size, comparable across endpoints; 0: unknown; not used by the policy
 	StartedAt time.Duration // time of the latest start; 0: unknown, long past
 }
 
@@ -70,8 +70,8 @@
 // Outcome reports the end of one attempt. Each Host.Send is followed by one.
 type Outcome struct {
 	ID          RequestID
-	Attempt     int // index of the attempt, in the order of the sends of this request, from 0
-	Endpoint    EndpointID
+	Attempt     int        // index of the attempt, in the order of the sends of this request, from 0
+	Endpoint    EndpointID // of the attempt; not used by the policy, which knows it from the send
 	Status      Status
 	RequestDone bool          // the request has its final answer, by this outcome or an earlier one
 	Latency     time.Duration // since the send
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -41,7 +41,8 @@
 	return age > unresponsiveFactor*float64(expected) && a.endpoint.lastAnswerAt < a.sentAt
 }
 
-// excludeFromLoad stops counting an attempt in flight against the concurrency limit.
+// excludeFromLoad stops counting an attempt in flight against the concurrency limit: no answer is expected of
+// it, or none before its body is complete.
 func (b *Balancer) excludeFromLoad(a *attempt) {
 	if !a.excludedFromLoad {
 		a.excludedFromLoad = true
--- a/policy/request.go
+++ b/policy/request.go
@@ -11,8 +11,8 @@
 const (
 	// maxAttempts bounds Limits.MaxAttempts: each request reserves space for its attempts.
 	maxAttempts = 16
-	// MaxBodyDuration is the deadline of a request whose body is incomplete. The host enforces the pace of
-	// bodies.
+	// MaxBodyDuration is the deadline of a request whose body is incomplete, from its arrival. The host
+	// enforces the pace of bodies, and uses the same deadline for its own timers.
 	MaxBodyDuration = 24 * time.Hour
 	// minWorkFactor bounds a request's work from below, as a multiple of its class's mean: hints are rough.
 	minWorkFactor = 0.25
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,7 +9,7 @@
 // Idempotency says what a repeated attempt of a request may do (RFC 9110, section 9.2.2).
 type Idempotency uint8
 
-// The kinds of idempotency.
+// The kinds of idempotency, from the laxest to the strictest: package consensus relies on the order.
 const (
 	Idempotent      Idempotency = iota // may be repeated freely
 	IdempotentByKey                    // repeats are dropped inside Class.DedupScope for Class.DedupWindow
@@ -19,7 +19,8 @@
 // Scope is the group of endpoints that drops repeats of a request with an idempotency key.
 type Scope uint8
 
-// The deduplication scopes.
+// The deduplication scopes, from the laxest to the strictest: the narrower the scope, the fewer endpoints may
+// get a retry. Package consensus relies on the order.
 const (
 	ScopeAll  Scope = iota // every endpoint
 	ScopeZone              // the endpoints of one zone
@@ -36,7 +37,7 @@
 	Idempotency         Idempotency
 	DedupScope          Scope         // with IdempotentByKey
 	DedupWindow         time.Duration // with IdempotentByKey: how long after the first send
-	Stream              bool          // the answer is a stream; see Balancer.StreamStarted
+	Stream              bool          // the answer is a stream; not used: see Balancer.StreamStarted
 }
 
 // Tenant is a party with a quota.
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -12,14 +12,14 @@
 // fixed rate rests on the work that endpoints got while most were warm. A node that started among warming
 // endpoints has not seen that, and assumes minWarmWorkRate.
 //
-// An endpoint may be sent, by one node, either credit of slowstart.Budget:
+// An endpoint may be sent, by one node, either credit of slowstart.Budget, in terms of slowstart.Rules:
 //
-//	fixed   warmWorkRate / nodesPerEndpoint * OverloadMultiple * capacityShare * safety, per second
-//	earned  (1 + (OverloadMultiple-1)/4) * the work that it has answered to this node
+//	fixed   Rules.FixedRate(budgetShare * warmWorkRate / nodesPerEndpoint, capacityShare), per second
+//	earned  Rules.GrowthFactor() * the work that it has answered to this node
 //
-// The fixed parts of all nodes add up to less than the overload rate if each endpoint is in the subsets of
-// nodesPerEndpoint nodes. That figure assumes subsets of this node's size at all nodes; the earned part needs
-// no such assumption.
+// The fixed parts of all nodes add up to the share fixedRateSafety (package slowstart) of the overload rate,
+// if each endpoint is in the subsets of nodesPerEndpoint nodes. That figure assumes subsets of this node's
+// size at all nodes; the earned part needs no such assumption.
 
 const (
 	// minWarmWorkRate is the work per second that a warm endpoint is assumed to manage: one slow core.
