--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -27,12 +27,12 @@
 			return err
 		}
 		e := &h.event
-		if e.Code == simulator.SelectInstance {
+		if e.Code == simulator.CodeSelectInstance {
 			h.current, h.hasCurrent = e.Instance, true
 			h.reply.SelectInstance(e.Instance)
 			continue
 		}
-		if !h.hasCurrent || (e.Code != simulator.OpenInstance && h.instances[h.current] == nil) {
+		if !h.hasCurrent || (e.Code != simulator.CodeOpenInstance && h.instances[h.current] == nil) {
 			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
 				simulator.ErrFormat, b.Number, i, e.Code)
 		}
@@ -51,21 +51,21 @@
 	}()
 	instance := h.instances[h.current]
 	switch e.Code {
-	case simulator.OpenInstance:
+	case simulator.CodeOpenInstance:
 		h.open(e)
-	case simulator.CloseInstance:
+	case simulator.CodeCloseInstance:
 		delete(h.instances, h.current)
-	case simulator.EndpointUpdate:
+	case simulator.CodeEndpointUpdate:
 		instance.UpdateEndpoints(b.Now, e.Kind, e.Endpoints)
-	case simulator.Request:
+	case simulator.CodeRequest:
 		instance.Request(b.Now, e.Request)
-	case simulator.StreamStarted:
+	case simulator.CodeStreamStarted:
 		instance.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
-	case simulator.Outcome:
+	case simulator.CodeOutcome:
 		instance.Outcome(b.Now, e.Outcome)
-	case simulator.ClientDisconnected:
+	case simulator.CodeClientDisconnected:
 		instance.ClientDisconnected(b.Now, e.Outcome.ID)
-	case simulator.Timer:
+	case simulator.CodeTimer:
 		instance.Timer(b.Now, e.Token)
 	}
 }
--- a/cmd/simulator-adapter/host_test.go
+++ b/cmd/simulator-adapter/host_test.go
@@ -14,7 +14,7 @@
 	h := host{instances: map[uint16]*policy.Balancer{4: nil}, current: 4}
 	h.reply.Reset()
 	h.reply.SelectInstance(4)
-	h.handle(&simulator.Batch{Number: 7}, &simulator.Event{Code: simulator.Request})
+	h.handle(&simulator.Batch{Number: 7}, &simulator.Event{Code: simulator.CodeRequest})
 	var out bytes.Buffer
 	if err := h.reply.WriteTo(bufio.NewWriter(&out), 7); err != nil {
 		t.Fatal(err)
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// shutdownMargin is how long a shutdown waits for connections after the longest deadline.
-	shutdownMargin = 300 * time.Millisecond
+	// connectionDrainMargin is how long a shutdown waits for connections after the longest deadline.
+	connectionDrainMargin = 300 * time.Millisecond
 	// finalAnswerMargin is how long before the end of a shutdown the last answers are sent, whatever the deadlines.
 	finalAnswerMargin = 50 * time.Millisecond
 	// proxyHeaderTimeout bounds the time in which a connection has to send its PROXY protocol header.
@@ -134,7 +134,7 @@
 // drain waits for the requests in flight, for the longest deadline and at least the time for streams.
 func (s *listenerServer) drain() {
 	deadline := s.app.state.Load().longestDeadline()
-	timeout := max(deadline, s.settings.Drain) + shutdownMargin
+	timeout := max(deadline, s.settings.Drain) + connectionDrainMargin
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	// Requests from before this time have their whole deadline; later ones would be cut off with their connections.
@@ -148,7 +148,7 @@
 	// Idle HTTP/2 connections end by themselves after StartDrain, and Shutdown waits for them. It comes last: from here on
 	// net/http drops HTTP/1.1 requests that it has read, and no such connections are left unless the time is over.
 	if ctx.Err() != nil {
-		ctx, cancel = context.WithTimeout(context.Background(), shutdownMargin)
+		ctx, cancel = context.WithTimeout(context.Background(), connectionDrainMargin)
 		defer cancel()
 	}
 	s.http.Shutdown(ctx)
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -108,7 +108,7 @@
 	c.closeAttempt(now, a, result.Status)
 	c.takeAnswer(a, result, servedBefore)
 	c.failIfNotResendable(r, result)
-	c.rejectIfSendForbidden(r, result)
+	c.answerIfSendForbidden(r, result)
 	c.balancer.Outcome(now, policy.Outcome{
 		ID:          r.id,
 		Attempt:     a.index,
@@ -190,8 +190,8 @@
 	}
 }
 
-// rejectIfSendForbidden ends a request whose only attempt was not sent because Request.SendAllowed forbids it.
-func (c *Cluster) rejectIfSendForbidden(r *Request, result Result) {
+// answerIfSendForbidden ends a request whose only attempt was not sent because Request.SendAllowed forbids it.
+func (c *Cluster) answerIfSendForbidden(r *Request, result Result) {
 	if r.ended || r.inFlight > 0 || result.Status != policy.NeverSent || r.SendAllowed == nil || r.SendAllowed() {
 		return
 	}
--- a/internal/hotrestart/adminrecord.go
+++ b/internal/hotrestart/adminrecord.go
@@ -47,9 +47,9 @@
 	return entries
 }
 
-// undelivered returns the changes that were not delivered yet, which they are now; f.mu is held, or f
+// takeUndelivered returns the changes that were not delivered yet, which they are now; f.mu is held, or f
 // is not shared yet.
-func (f *Folder) undelivered(entries []recordEntry) []adminstate.Change {
+func (f *Folder) takeUndelivered(entries []recordEntry) []adminstate.Change {
 	var changes []adminstate.Change
 	for _, e := range entries {
 		if e.seq > f.deliveredSeq {
--- a/internal/hotrestart/commit.go
+++ b/internal/hotrestart/commit.go
@@ -111,7 +111,7 @@
 // applyUndelivered applies the changes that were not delivered yet, and publishes that; f.mu is held.
 func (f *Folder) applyUndelivered(entries []recordEntry, state AdminState) error {
 	before := f.deliveredSeq
-	for _, c := range f.undelivered(entries) {
+	for _, c := range f.takeUndelivered(entries) {
 		state.Apply(c)
 	}
 	if f.deliveredSeq == before {
--- a/internal/hotrestart/descriptors_test.go
+++ b/internal/hotrestart/descriptors_test.go
@@ -4,7 +4,7 @@
 
 func TestDescriptorLimit(t *testing.T) {
 	const total = 400
-	predecessor := func(descriptors int, phase Phase) Presence {
+	predecessor := func(descriptors int, phase ProcessPhase) Presence {
 		return Presence{Number: 1, Phase: phase, Descriptors: descriptors}
 	}
 	starting := Presence{Number: 2}
--- a/internal/hotrestart/folder.go
+++ b/internal/hotrestart/folder.go
@@ -90,7 +90,7 @@
 		f.lockFile.Close()
 		return nil, nil, fmt.Errorf("folder of the node's processes: %w", err)
 	}
-	changes := f.undelivered(entries)
+	changes := f.takeUndelivered(entries)
 	f.self.AppliedSeq = f.deliveredSeq
 	if err := f.writePresence(); err != nil {
 		f.Close()
@@ -120,7 +120,7 @@
 
 // Publish shows the other processes this one's phase, the descriptors that it may hold and its latest
 // successor (0: none).
-func (f *Folder) Publish(phase Phase, descriptors int, successor uint64) error {
+func (f *Folder) Publish(phase ProcessPhase, descriptors int, successor uint64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	unchanged := f.self.Phase == phase && f.self.Descriptors == descriptors && f.self.Successor == successor
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -74,7 +74,7 @@
 
 // The numbers of the phases stand in presence files.
 func TestGoldenPhases(t *testing.T) {
-	if got := []Phase{PhaseStarting, PhaseServing, PhaseDraining}; !slices.Equal(got, []Phase{0, 1, 2}) {
+	if got := []ProcessPhase{PhaseStarting, PhaseServing, PhaseDraining}; !slices.Equal(got, []ProcessPhase{0, 1, 2}) {
 		t.Errorf("phases %d, want 0, 1, 2", got)
 	}
 }
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -7,12 +7,12 @@
 	"strconv"
 )
 
-// Phase is the phase of a process's life. Its numbers stand in presence files.
-type Phase uint8
+// ProcessPhase is the phase of a process's life. Its numbers stand in presence files.
+type ProcessPhase uint8
 
 // The phases of a process of the node.
 const (
-	PhaseStarting Phase = iota // accepts no clients yet
+	PhaseStarting ProcessPhase = iota // accepts no clients yet
 	PhaseServing
 	PhaseDraining // accepts no new connections any more
 )
@@ -20,7 +20,7 @@
 // Presence is what a process publishes to the other processes of the node.
 type Presence struct {
 	Number     uint64 // of the process; a successor's is greater
-	Phase      Phase
+	Phase      ProcessPhase
 	AppliedSeq uint64 // the record's entries up to this one are in force
 	// Descriptors is what other processes must leave to this one. Without a successor it is the number of
 	// descriptors that the process has open; with one it is the limit that the process keeps to.
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -17,15 +17,15 @@
 	// unsolicitedResponsePeriod is how long after a response another one may arrive that belongs to no
 	// request: some milliseconds, by the platform's protocol. Nothing in it names its request.
 	unsolicitedResponsePeriod = 20 * time.Millisecond
-	// drainGraceDivisor gives the part of the drain grace that is left for sends decided before: for
+	// drainSendGraceDivisor gives the part of the drain grace that is left for sends decided before: for
 	// the rest, the drain was on its way here (discovery.PushedTiming).
-	drainGraceDivisor = 5
+	drainSendGraceDivisor = 5
 	// bodyMemoryDivisor gives the part of the memory that request bodies may occupy.
 	bodyMemoryDivisor = 4
 )
 
-// components are the parts of a running node.
-type components struct {
+// runningNode are the parts of a running node.
+type runningNode struct {
 	clock      engine.Clock
 	endpoints  *endpointWatcher
 	pool       *h1client.Pool
@@ -37,12 +37,12 @@
 
 // assemble makes the components and connects them. The cluster and the lame duck mode run until
 // background ends. The error is that of the limits or of the policy's settings.
-func (n *Node) assemble(background context.Context) (*components, error) {
+func (n *Node) assemble(background context.Context) (*runningNode, error) {
 	upstream, clients, err := n.cfg.splitDescriptors(n.cfg.Limits.Sockets)
 	if err != nil {
 		return nil, fmt.Errorf("limits: %w", err)
 	}
-	c := &components{clock: engine.NewClock()}
+	c := &runningNode{clock: engine.NewClock()}
 	c.endpoints = newEndpointWatcher(n.cfg, c.clock, n.discoveryMoved, n.log)
 	c.pool = h1client.New(h1client.Options{
 		EndpointIdleTimeout: n.cfg.ConnIdle,
@@ -57,7 +57,7 @@
 		Seed:           n.cfg.Seed,
 		Clock:          c.clock,
 		RequestPoll:    c.endpoints.requestPoll,
-		DrainSendGrace: max(1, n.cfg.DrainGrace/drainGraceDivisor),
+		DrainSendGrace: max(1, n.cfg.DrainGrace/drainSendGraceDivisor),
 	})
 	if err != nil {
 		return nil, err
@@ -87,7 +87,9 @@
 	pool *h1client.Pool
 }
 
-// Servers implements endpointSink.
-func (s clusterSink) Servers(full bool, list []h1client.Endpoint) { s.pool.UpdateEndpoints(full, list) }
+// UpdateAddresses implements endpointSink.
+func (s clusterSink) UpdateAddresses(full bool, list []h1client.Endpoint) {
+	s.pool.UpdateEndpoints(full, list)
+}
 
 var _ endpointSink = clusterSink{}
--- a/internal/node/config_fuzz_test.go
+++ b/internal/node/config_fuzz_test.go
@@ -33,7 +33,7 @@
 			t.Errorf("of %d descriptors %d are for servers, %+v for clients", c.Limits.Sockets, servers, places)
 		}
 		if c.DrainGrace < 0 || c.ConnIdle <= 0 || c.ConnectTimeout <= 0 || c.longestDeadline() <= 0 ||
-			planShutdown(c.longestDeadline()).total > maxCountedDeadline+shutdownMargin {
+			planShutdown(c.longestDeadline()).total > maxCountedDeadline+shutdownAfterDeadline {
 			t.Errorf("grace %v, idle %v, connect %v, deadline %v",
 				c.DrainGrace, c.ConnIdle, c.ConnectTimeout, c.longestDeadline())
 		}
--- a/internal/node/detach_histories_test.go
+++ b/internal/node/detach_histories_test.go
@@ -26,7 +26,7 @@
 	names     map[policy.EndpointID]string
 }
 
-func (h *history) Servers(bool, []h1client.Endpoint) {}
+func (h *history) UpdateAddresses(bool, []h1client.Endpoint) {}
 func (h *history) UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool {
 	h.balancer.UpdateEndpoints(h.now, kind, entries)
 	return true
--- a/internal/node/endpointupdates.go
+++ b/internal/node/endpointupdates.go
@@ -14,8 +14,8 @@
 
 // endpointSink receives the endpoint list.
 type endpointSink interface {
-	// Servers gives the upstream clients the addresses: of all endpoints, or of the changed ones.
-	Servers(full bool, servers []h1client.Endpoint)
+	// UpdateAddresses gives the upstream clients the addresses: of all endpoints, or of the changed ones.
+	UpdateAddresses(full bool, servers []h1client.Endpoint)
 	// UpdateEndpoints gives the policy the endpoints, or reports a failed poll to it. It is false if the policy no
 	// longer runs.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool
@@ -107,10 +107,10 @@
 	servers := make([]h1client.Endpoint, 0, len(instances))
 	endpoints := make([]policy.Endpoint, 0, len(instances))
 	for i := range instances {
-		servers = append(servers, upstreamServer(&instances[i]))
+		servers = append(servers, upstreamEndpoint(&instances[i]))
 		endpoints = append(endpoints, w.policyEndpoint(&instances[i]))
 	}
-	w.sink.Servers(kind != policy.DeltaUpdate, servers) // before the policy can choose any of them
+	w.sink.UpdateAddresses(kind != policy.DeltaUpdate, servers) // before the policy can choose any of them
 	w.sink.UpdateEndpoints(kind, endpoints)
 	if onFirstUpdate := w.onFirstUpdate; onFirstUpdate != nil {
 		w.onFirstUpdate = nil
@@ -119,8 +119,8 @@
 	w.published = true
 }
 
-// upstreamServer returns an instance as the upstream clients see it.
-func upstreamServer(instance *discovery.Instance) h1client.Endpoint {
+// upstreamEndpoint returns an instance as the upstream clients see it.
+func upstreamEndpoint(instance *discovery.Instance) h1client.Endpoint {
 	return h1client.Endpoint{
 		ID:          instance.ID(),
 		Address:     instance.HostPort,
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -25,25 +25,25 @@
 // restartCoordinator is this process's part in a node that may have two processes while one replaces
 // the other. A nil coordinator is that of a node which always has one process.
 type restartCoordinator struct {
-	cfg        *Config
-	log        *slog.Logger
-	components *components
-	folder     *hotrestart.Folder // nil: the folder can't be used, for folderErr
-	folderErr  error
+	cfg       *Config
+	log       *slog.Logger
+	node      *runningNode
+	folder    *hotrestart.Folder // nil: the folder can't be used, for folderErr
+	folderErr error
 
 	// snapshotSentTo is the number of the latest successor that was sent a snapshot; of run alone.
 	snapshotSentTo uint64
 
 	mu              sync.Mutex // guards what follows
-	phase           hotrestart.Phase
+	phase           hotrestart.ProcessPhase
 	peers           []hotrestart.Presence // the oldest first
 	descriptorLimit int                   // as applied last
 }
 
 // joinNode makes this process a member of the node's shared folder, and applies the administrative
 // changes on record.
-func joinNode(cfg *Config, log *slog.Logger, c *components) *restartCoordinator {
-	r := &restartCoordinator{cfg: cfg, log: log, components: c, descriptorLimit: cfg.Limits.Sockets}
+func joinNode(cfg *Config, log *slog.Logger, c *runningNode) *restartCoordinator {
+	r := &restartCoordinator{cfg: cfg, log: log, node: c, descriptorLimit: cfg.Limits.Sockets}
 	folder, changes, err := hotrestart.Join(cfg.SharedDir, cfg.Name+" "+cfg.Listen, log)
 	if err != nil {
 		log.Error("shared folder unavailable, hot restart coordination and administrative changes disabled", "err", err)
@@ -70,7 +70,7 @@
 	if r.folder == nil {
 		return fmt.Errorf("nothing was done, since it would be forgotten: %w", r.folderErr)
 	}
-	return r.folder.Commit(ctx, c, r.components.admin)
+	return r.folder.Commit(ctx, c, r.node.admin)
 }
 
 // serving reports whether this process is in the phase in which it accepts clients.
@@ -84,7 +84,7 @@
 }
 
 // advancePhase enters a phase and publishes it.
-func (r *restartCoordinator) advancePhase(p hotrestart.Phase) {
+func (r *restartCoordinator) advancePhase(p hotrestart.ProcessPhase) {
 	if r == nil {
 		return
 	}
@@ -127,11 +127,11 @@
 			interval = peerRefreshInterval
 			r.sendSnapshotOnce(ctx)
 		}
-		if err := r.folder.ApplyPending(r.components.admin); err != nil {
+		if err := r.folder.ApplyPending(r.node.admin); err != nil {
 			r.log.Warn("following the administrative record failed", "err", err)
 		}
 		if !hasPeers {
-			if err := r.folder.Compact(r.components.admin); err != nil {
+			if err := r.folder.Compact(r.node.admin); err != nil {
 				r.log.Warn("compacting the administrative record failed", "err", err)
 			}
 		}
@@ -156,7 +156,7 @@
 	limit, successor := hotrestart.DescriptorLimit(r.cfg.Limits.Sockets, open, r.folder.Self(), peers)
 	if len(peers) != len(r.peers) {
 		r.log.Info("number of node processes changed", "peers", len(peers), "descriptor_limit", limit)
-		r.components.cluster.SetSlowStartShare(1 / float64(len(peers)+1))
+		r.node.cluster.SetSlowStartShare(1 / float64(len(peers)+1))
 	}
 	r.peers = peers
 	r.applyDescriptorLimit(limit)
@@ -172,7 +172,7 @@
 
 // openDescriptors returns how many descriptors this process has open, or may open by itself.
 func (r *restartCoordinator) openDescriptors() int {
-	connections := r.components.httpServer.Connections() + r.components.pool.OpenConnections()
+	connections := r.node.httpServer.Connections() + r.node.pool.OpenConnections()
 	return connections + ownDescriptors + adminapi.MaxDescriptors
 }
 
@@ -199,6 +199,6 @@
 	if err != nil {
 		return
 	}
-	r.components.pool.SetLimits(r.cfg.ConnectTimeout, upstream)
-	r.components.httpServer.SetConnectionLimits(clients)
+	r.node.pool.SetLimits(r.cfg.ConnectTimeout, upstream)
+	r.node.httpServer.SetConnectionLimits(clients)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -103,7 +103,7 @@
 
 // start starts the admin API and the restart coordinator, which tasks counts, and the retirement of idle
 // connections.
-func (n *Node) start(background context.Context, tasks *sync.WaitGroup, c *components) {
+func (n *Node) start(background context.Context, tasks *sync.WaitGroup, c *runningNode) {
 	if n.adminListener != nil {
 		tasks.Go(func() { adminapi.Serve(background, n.adminListener, c.admin) })
 	}
@@ -115,7 +115,7 @@
 
 // followEndpoints starts to follow the endpoint list, from what a predecessor passed on or else from
 // the configuration's. The channel is closed once the node may report that it is ready.
-func (n *Node) followEndpoints(ctx, background context.Context, c *components) (ready <-chan struct{}) {
+func (n *Node) followEndpoints(ctx, background context.Context, c *runningNode) (ready <-chan struct{}) {
 	initial := n.cfg.InitialList
 	if c.restart != nil {
 		if s := c.restart.receiveSnapshot(ctx); s != nil {
@@ -135,7 +135,7 @@
 // awaitEndpoints waits until there is an endpoint list to serve by, or none is waited for any more.
 // Meanwhile connections queue in the kernel, or a predecessor accepts them: a successor waits until it
 // is ready, for successorListTimeout at most.
-func (n *Node) awaitEndpoints(ctx context.Context, c *components, ready <-chan struct{}) {
+func (n *Node) awaitEndpoints(ctx context.Context, c *runningNode, ready <-chan struct{}) {
 	if c.restart.hasPredecessor() {
 		select {
 		case <-ready:
@@ -149,16 +149,16 @@
 	}
 }
 
-// serving is the HTTP server that accepts clients.
-type serving struct {
+// clientServer is the HTTP server that accepts clients.
+type clientServer struct {
 	http     *http.Server
 	listener net.Listener
 	failed   chan error // gets the error of http.Server.Serve
 }
 
 // serve starts to accept clients. The server's goroutine ends when its listener is closed.
-func (n *Node) serve(c *components) *serving {
-	s := &serving{
+func (n *Node) serve(c *runningNode) *clientServer {
+	s := &clientServer{
 		http:     c.httpServer.HTTPServer(),
 		listener: c.httpServer.Listener(n.listener),
 		failed:   make(chan error, 1),
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -168,7 +168,7 @@
 	drainedAt time.Time // when it was given the drain
 }
 
-func (p *pollingPolicy) Servers(bool, []h1client.Endpoint) {}
+func (p *pollingPolicy) UpdateAddresses(bool, []h1client.Endpoint) {}
 
 func (p *pollingPolicy) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool {
 	p.mu.Lock()
@@ -313,7 +313,7 @@
 	if !cfg.Policy.PollEndpoints {
 		bound = 0
 	}
-	if bound += cfg.DrainGrace - cfg.DrainGrace/drainGraceDivisor; took > bound {
+	if bound += cfg.DrainGrace - cfg.DrainGrace/drainSendGraceDivisor; took > bound {
 		t.Fatalf("seed %d: known %v after discovery had the change and could be reached, bound %v", seed, took, bound)
 	}
 	return took
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -15,10 +15,10 @@
 	// arrivalPeriod is how long the platform still sends connections to a node that shuts down, and how
 	// long no request must have arrived for the shutdown to end early.
 	arrivalPeriod = 500 * time.Millisecond
-	// shutdownMargin is what a shutdown may take beyond the longest deadline. The platform kills the node
+	// shutdownAfterDeadline is what a shutdown may take beyond the longest deadline. The platform kills the node
 	// 0.7 s after the longest deadline, of which it counts maxCountedDeadline at most.
-	shutdownMargin     = 500 * time.Millisecond
-	maxCountedDeadline = 3 * time.Second
+	shutdownAfterDeadline = 500 * time.Millisecond
+	maxCountedDeadline    = 3 * time.Second
 	// closingPeriod is the last part of a shutdown, in which no request is accepted. abortPeriod is the
 	// end of it, in which requests that are still open are answered.
 	closingPeriod = 300 * time.Millisecond
@@ -35,7 +35,7 @@
 }
 
 func planShutdown(longestDeadline time.Duration) shutdownPlan {
-	return shutdownPlan{min(longestDeadline, maxCountedDeadline) + shutdownMargin}
+	return shutdownPlan{min(longestDeadline, maxCountedDeadline) + shutdownAfterDeadline}
 }
 
 // accepts reports whether requests are still accepted. Clients may have no other node: they are served
@@ -69,7 +69,7 @@
 
 // shutDown ends serving: it leaves the clients to a successor, or serves them until they leave. All
 // requests that were accepted are answered when it returns.
-func (n *Node) shutDown(c *components, s *serving) error {
+func (n *Node) shutDown(c *runningNode, s *clientServer) error {
 	began := time.Now()
 	plan := planShutdown(n.cfg.longestDeadline())
 	n.log.Info("stopping",
@@ -101,7 +101,7 @@
 
 // leaveToSuccessor stops accepting at once, as connections that are queued in the kernel or still
 // arrive are the successor's, and waits until the clients have left.
-func (n *Node) leaveToSuccessor(limit context.Context, c *components, s *serving, plan shutdownPlan) {
+func (n *Node) leaveToSuccessor(limit context.Context, c *runningNode, s *clientServer, plan shutdownPlan) {
 	s.listener.Close()
 	c.restart.advancePhase(hotrestart.PhaseDraining)
 	c.httpServer.DrainToSuccessor(limit, plan.idleTimeout())
--- a/internal/node/snapshotexchange.go
+++ b/internal/node/snapshotexchange.go
@@ -90,15 +90,15 @@
 func (r *restartCoordinator) sendSnapshot(ctx context.Context, successor uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
-	state, err := r.components.cluster.Snapshot(ctx)
+	state, err := r.node.cluster.Snapshot(ctx)
 	if err != nil {
 		return err
 	}
-	list := r.components.endpoints.currentList()
+	list := r.node.endpoints.currentList()
 	data, err := snapshot.Encode(snapshot.Snapshot{
 		Node: r.cfg.Name, TakenAtMs: time.Now().UnixMilli(), Classes: r.cfg.classNames(),
 		Generation: list.Generation, ListReceived: list.Full, Instances: list.Instances,
-		Policy: snapshot.FromPolicy(state, r.components.clock),
+		Policy: snapshot.FromPolicy(state, r.node.clock),
 	})
 	if err != nil {
 		return err
--- a/internal/simulator/event.go
+++ b/internal/simulator/event.go
@@ -16,17 +16,17 @@
 
 // The codes of event records.
 const (
-	OpenInstance       Code = 1
-	EndpointUpdate     Code = 2
-	Request            Code = 3
-	StreamStarted      Code = 4
-	Outcome            Code = 5
-	ClientDisconnected Code = 6
-	Timer              Code = 7
-	HealthCheck        Code = 8 // ignored
-	PeerMessage        Code = 9 // ignored
-	CloseInstance      Code = 10
-	SelectInstance     Code = 11 // the following events are for Event.Instance
+	CodeOpenInstance       Code = 1
+	CodeEndpointUpdate     Code = 2
+	CodeRequest            Code = 3
+	CodeStreamStarted      Code = 4
+	CodeOutcome            Code = 5
+	CodeClientDisconnected Code = 6
+	CodeTimer              Code = 7
+	CodeHealthCheck        Code = 8 // ignored
+	CodePeerMessage        Code = 9 // ignored
+	CodeCloseInstance      Code = 10
+	CodeSelectInstance     Code = 11 // the following events are for Event.Instance
 )
 
 // Event is one record of a batch. Code says which of the other fields are set.
@@ -87,27 +87,27 @@
 // decode decodes the fields of e.Code.
 func (e *Event) decode(b *Batch, r record) error {
 	switch e.Code {
-	case SelectInstance:
+	case CodeSelectInstance:
 		e.Instance = r.uint16(1)
-	case OpenInstance:
+	case CodeOpenInstance:
 		return e.decodeOpenInstance(b, r)
-	case EndpointUpdate:
+	case CodeEndpointUpdate:
 		return e.decodeEndpointUpdate(b, r)
-	case Request:
+	case CodeRequest:
 		return e.decodeRequest(r)
-	case StreamStarted:
+	case CodeStreamStarted:
 		e.Outcome = policy.Outcome{ID: r.requestID(), Attempt: int(r.uint16(5)), Endpoint: parseEndpointID(r[15:])}
-	case Outcome:
+	case CodeOutcome:
 		return e.decodeOutcome(r)
-	case ClientDisconnected:
+	case CodeClientDisconnected:
 		e.Outcome = policy.Outcome{ID: r.requestID()}
-	case Timer:
+	case CodeTimer:
 		e.Token = r.uint64(1)
-	case PeerMessage:
+	case CodePeerMessage:
 		if _, ok := b.slice(r.uint32(5), r.uint32(9), 1); !ok {
 			return &fieldError{"message out of the tail:", r.uint32(5)}
 		}
-	case HealthCheck, CloseInstance:
+	case CodeHealthCheck, CodeCloseInstance:
 	default:
 		return &fieldError{"unknown event code", r[0]}
 	}
--- a/internal/simulator/event_test.go
+++ b/internal/simulator/event_test.go
@@ -26,7 +26,7 @@
 	if !errors.Is(err, io.EOF) || errors.Is(err, ErrFormat) {
 		t.Fatalf("ends with %v, want a clean end", err)
 	}
-	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != CloseInstance {
+	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != CodeCloseInstance {
 		t.Fatalf("instance %d, token %d, last code %d", events[0].Instance, events[2].Token, events[7].Code)
 	}
 	wantRequest := policy.Request{ID: 0x5d3a91c4, Tenant: 1,
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -63,20 +63,20 @@
 		{ID: 0x0a9011f21fbd, Zone: 5, Cell: 6, State: policy.Removed, Weight: 1.75, StartedAt: 6300500 * us},
 	}
 	want := []Event{
-		{Code: SelectInstance, Instance: 3},
-		{Code: OpenInstance, Seed: 0x8c1f30d27a5be964, Settings: []byte(`{"Me":2}`)},
-		{Code: EndpointUpdate, Kind: policy.DeltaUpdate, Endpoints: entries},
-		{Code: EndpointUpdate, Kind: policy.FullUpdate, Endpoints: entries},
-		{Code: EndpointUpdate, Kind: policy.CachedUpdate, Endpoints: entries},
-		{Code: EndpointUpdate, Kind: policy.UpdateFailed, Endpoints: entries},
-		{Code: Request, Request: policy.Request{ID: 0x5d3a91c4, Class: 5, Tenant: 6, TimeRemaining: 240500 * us, WorkHint: 12500 * us}},
-		{Code: StreamStarted, Outcome: policy.Outcome{ID: 0x5d3a91c5, Attempt: 7, Endpoint: 0x0a124a071f93}},
+		{Code: CodeSelectInstance, Instance: 3},
+		{Code: CodeOpenInstance, Seed: 0x8c1f30d27a5be964, Settings: []byte(`{"Me":2}`)},
+		{Code: CodeEndpointUpdate, Kind: policy.DeltaUpdate, Endpoints: entries},
+		{Code: CodeEndpointUpdate, Kind: policy.FullUpdate, Endpoints: entries},
+		{Code: CodeEndpointUpdate, Kind: policy.CachedUpdate, Endpoints: entries},
+		{Code: CodeEndpointUpdate, Kind: policy.UpdateFailed, Endpoints: entries},
+		{Code: CodeRequest, Request: policy.Request{ID: 0x5d3a91c4, Class: 5, Tenant: 6, TimeRemaining: 240500 * us, WorkHint: 12500 * us}},
+		{Code: CodeStreamStarted, Outcome: policy.Outcome{ID: 0x5d3a91c5, Attempt: 7, Endpoint: 0x0a124a071f93}},
 	}
 	for i, status := range []policy.Status{policy.OK, policy.ErrorResponse, policy.Rejected, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NeverSent} {
-		want = append(want, Event{Code: Outcome, Outcome: policy.Outcome{ID: policy.RequestID(0x5d3a91d0 + i), Attempt: i + 1,
+		want = append(want, Event{Code: CodeOutcome, Outcome: policy.Outcome{ID: policy.RequestID(0x5d3a91d0 + i), Attempt: i + 1,
 			Endpoint: 0x0a124a071f93, Status: status, RequestDone: true, Latency: 18500*us + time.Duration(i)*time.Millisecond}})
 	}
-	want = append(want, Event{Code: ClientDisconnected, Outcome: policy.Outcome{ID: 0x0e6f2b19}}, Event{Code: Timer, Token: 0x4d}, Event{Code: CloseInstance})
+	want = append(want, Event{Code: CodeClientDisconnected, Outcome: policy.Outcome{ID: 0x0e6f2b19}}, Event{Code: CodeTimer, Token: 0x4d}, Event{Code: CodeCloseInstance})
 	if len(want) != b.Count {
 		t.Fatalf("%d events, want %d", b.Count, len(want))
 	}
