--- a/internal/hotrestart/adminrecord.go
+++ b/internal/hotrestart/adminrecord.go
@@ -47,8 +47,8 @@
 	return entries
 }
 
-// takeUndelivered returns the changes that were not delivered yet, which they are now; f.mu is held, or f
-// is not shared yet.
+// takeUndelivered returns the changes that were not delivered yet, and marks them as delivered; f.mu is
+// held, or f is not shared yet.
 func (f *Folder) takeUndelivered(entries []recordEntry) []adminstate.Change {
 	var changes []adminstate.Change
 	for _, e := range entries {
--- a/internal/hotrestart/commit.go
+++ b/internal/hotrestart/commit.go
@@ -33,8 +33,13 @@
 
 // Commit carries out a change in all processes of the node: it is checked, put on record and applied
 // under the folder's lock, after what other processes have put on record. When Commit returns nil, the
-// change is in force in every live process. The errors are those of AdminState.Validate,
-// ErrPeerUnresponsive, and others where nothing was done.
+// change is in force in every live process.
+//
+// After an error of AdminState.Validate the change was not made. After ErrPeerUnresponsive it is on record
+// and in force in this process. Other errors leave open which of the two holds: the change was not made if
+// the call failed up to the writing of the record; it is on record and in force in this process if the
+// presence could not be published after that, or the peers not be listed. Calling again is safe: a change
+// that is in force has no effect.
 func (f *Folder) Commit(ctx context.Context, c adminstate.Change, state AdminState) error {
 	seq, err := f.commitHere(ctx, c, state)
 	if err != nil {
@@ -57,7 +62,7 @@
 }
 
 // commitHere puts a change on record and applies it in this process. It returns the sequence number
-// up to which peers have to apply the record.
+// up to which peers have to apply the record. An error of writePresence comes after the change was applied.
 func (f *Folder) commitHere(ctx context.Context, c adminstate.Change, state AdminState) (uint64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -7,7 +7,8 @@
 	"strconv"
 )
 
-// ProcessPhase is the phase of a process's life. Its numbers stand in presence files.
+// ProcessPhase is how far a process of the node is between its start and its end. Its numbers stand in
+// presence files.
 type ProcessPhase uint8
 
 // The phases of a process of the node.
@@ -22,8 +23,8 @@
 	Number     uint64 // of the process; a successor's is greater
 	Phase      ProcessPhase
 	AppliedSeq uint64 // the record's entries up to this one are in force
-	// Descriptors is what other processes must leave to this one. Without a successor it is the number of
-	// descriptors that the process has open; with one it is the limit that the process keeps to.
+	// Descriptors is what other processes must leave to this one. Without peers it is the number of
+	// descriptors that the process has open, capped by its limit; with peers it is the limit.
 	Descriptors int
 	Successor   uint64 // number of the latest process that this one yields descriptors to; 0: none
 }
--- a/internal/hotrestart/recordformat.go
+++ b/internal/hotrestart/recordformat.go
@@ -14,8 +14,12 @@
 	"yokestall/internal/discovery"
 )
 
-// recordHeader starts the first line of a record; the node's name, quoted, follows.
-const recordHeader = "yokestall-record 1 "
+const (
+	// recordVersion is the version of the record's form.
+	recordVersion = "1"
+	// recordHeader starts the first line of a record; the node's name, quoted, follows.
+	recordHeader = "yokestall-record " + recordVersion + " "
+)
 
 // recordEntry is a change with its sequence number in the record, from 1.
 type recordEntry struct {
@@ -88,7 +92,7 @@
 	return line[:space], err == nil && uint32(sum) == crc32.Checksum(line[:space], castagnoli)
 }
 
-// valid reports whether an entry has a sequence number, and an instance id if its operation wants one.
+// valid reports whether an entry has a sequence number, and an instance id if its operation has one.
 func (e recordEntry) valid() bool {
 	return e.seq != 0 &&
 		len(e.change.InstanceID) <= discovery.MaxIDBytes &&
