--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -7,7 +7,7 @@
 //	polltiming.go  the timing of polls, for a local agent and for a shared discovery service
 //	poll.go        the calls of one poll, and when an overdue call is hedged
 //	response.go    parsing a response, and the rule which of its lines are usable
-//	instance.go    one line of the list: its fields, identity, state and validation
+//	instance.go    one instance of the list: its fields, identity, state and validation
 //	list.go        the list as the responses so far leave it
 //	backoff.go     the delay after a failure
 //	resync.go      how often the full list may be requested where lists have a price
--- a/internal/discovery/instance.go
+++ b/internal/discovery/instance.go
@@ -1,5 +1,5 @@
-// One line of the endpoint list: its fields, identity and state, and which values are valid. A line that allows no new
-// requests needs no address.
+// One instance of the endpoint list: its fields, identity and state, and which values are valid. An instance that
+// allows no new requests needs no address. A line is its raw JSON in a response.
 
 package discovery
 
@@ -35,7 +35,7 @@
 	lifecycleGone        = "Gone"
 )
 
-// Instance is one line of the endpoint list.
+// Instance is one entry of the endpoint list.
 type Instance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -74,7 +74,7 @@
 	return policy.Draining
 }
 
-// withdrawn reports whether the line has a lifecycle that the protocol names and that allows no new requests.
+// withdrawn reports whether the instance has a lifecycle that the protocol names and that allows no new requests.
 func (i *Instance) withdrawn() bool {
 	return i.Lifecycle == lifecycleTerminating || i.Lifecycle == lifecycleGone
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-// The endpoint list across responses: deltas, full lists, and what stands in for unusable lines.
+// The endpoint list across responses: deltas, full lists, and what stands in for instances whose lines are unusable.
 
 package discovery
 
@@ -12,14 +12,14 @@
 // MaxRemovedIDs limits the IDs that a List remembers after they left it.
 const MaxRemovedIDs = 512
 
-// List is the endpoint list as the responses so far leave it: the last usable line of each instance. MaxInstances and
+// List is the endpoint list as the responses so far leave it: each instance as it was last usable. MaxInstances and
 // MaxRemovedIDs bound its size. The zero value is a list before its first response. It is not safe for concurrent use.
 type List struct {
 	byID       map[string]Instance // the instances on the list; nil before the first response
 	removedIDs []string            // distinct IDs that left the list, oldest first; some may be listed again
 }
 
-// Apply takes a response into the list and returns the lines to pass on: all instances if the response is full,
+// Apply takes a response into the list and returns the instances to pass on: all if the response is full,
 // with those that it retains as they were last known, and the changed ones if it is a delta.
 func (l *List) Apply(response *Response) []Instance {
 	previous := l.byID
@@ -46,7 +46,7 @@
 	return l.withRetained(response)
 }
 
-// store takes one line into the list. A new instance beyond MaxInstances is dropped.
+// store takes one instance into the list. A new instance beyond MaxInstances is dropped.
 func (l *List) store(instance Instance) {
 	id := instance.InstanceID
 	if instance.State() == policy.Removed {
--- a/internal/discovery/polltiming.go
+++ b/internal/discovery/polltiming.go
@@ -53,6 +53,8 @@
 
 // Timing for an agent on the node's machine, which responds at once: a slow response is due to this machine.
 const (
+	// agentIntervalDivisor gives the interval of the timing as a part of the drain grace.
+	agentIntervalDivisor = 4
 	minAgentInterval     = 10 * time.Millisecond
 	maxAgentInterval     = 250 * time.Millisecond
 	minAgentHedgeTimeout = 100 * time.Millisecond
@@ -66,10 +68,11 @@
 
 // PushedTiming returns the timing for an agent on the node's own machine, to which lists are pushed and whose calls
 // cost nothing. A change counts as known to the node once the agent has it, whether or not a call is in flight, so that
-// a call that failed silently must be found within the drain grace. Three quarters of the grace are used; the rest is
-// left to requests that are already on their way.
+// a call that failed silently must be found within the drain grace. That takes three intervals, the wait of a long poll
+// and the time after which it is overdue, so three quarters of the grace. The rest is left to requests that are already
+// on their way: a fifth to sends that were decided before the notice (package node), a twentieth as a margin.
 func PushedTiming(drainGrace time.Duration) PollTiming {
-	interval := min(max(drainGrace/4, minAgentInterval), maxAgentInterval)
+	interval := min(max(drainGrace/agentIntervalDivisor, minAgentInterval), maxAgentInterval)
 	return PollTiming{
 		LongPollWait:       2 * interval,
 		OverdueAfter:       interval,
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -39,7 +39,7 @@
 	// Full reports that the response is the full list: an instance that is in neither Instances nor RetainedIDs
 	// has been removed. Otherwise it is a delta.
 	Full bool
-	// Instances are the usable lines. Their IDs are distinct.
+	// Instances are those of the usable lines. Their IDs are distinct.
 	Instances []Instance
 	// RetainedIDs are the IDs of a full list whose lines are unusable: these instances stay as they were last known.
 	RetainedIDs []string
--- a/internal/discovery/resync.go
+++ b/internal/discovery/resync.go
@@ -11,9 +11,9 @@
 	minRequestsPerSecond = 0.01
 )
 
-// ResyncInterval returns the shortest interval between two requests of the full list, longest at most, so that the
-// lines of the list cost no more than maxResyncCostShare of the value of the node's requests meanwhile. price is the
-// cost of a hundred lines, in requests; at 0 there is no shortest interval. instances is the length of the list, and
+// ResyncInterval returns the shortest interval between two requests of the full list, longest at most, so that a list
+// costs no more than maxResyncCostShare of the value of the node's requests meanwhile. price is the cost of a hundred
+// instances, in requests; at 0 there is no shortest interval. instances is the length of the list, and
 // requestsPerSecond the rate of the node's own requests.
 func ResyncInterval(price float64, instances int, requestsPerSecond float64, longest time.Duration) time.Duration {
 	if price <= 0 || instances <= 0 {
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -17,8 +17,9 @@
 	// unsolicitedResponsePeriod is how long after a response another one may arrive that belongs to no
 	// request: some milliseconds, by the platform's protocol. Nothing in it names its request.
 	unsolicitedResponsePeriod = 20 * time.Millisecond
-	// drainSendGraceDivisor gives the part of the drain grace that is left for sends decided before: for
-	// the rest, the drain was on its way here (discovery.PushedTiming).
+	// drainSendGraceDivisor gives the part of the drain grace that is left for sends decided before the
+	// notice of the drain: a fifth. Three quarters are the notice's (discovery.PushedTiming). The remaining
+	// twentieth is the margin for the processing of the notice and for the send's way to the endpoint.
 	drainSendGraceDivisor = 5
 	// bodyMemoryDivisor gives the part of the memory that request bodies may occupy.
 	bodyMemoryDivisor = 4
@@ -42,9 +43,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("limits: %w", err)
 	}
-	c := &runningNode{clock: engine.NewClock()}
-	c.endpoints = newEndpointWatcher(n.cfg, c.clock, n.discoveryMoved, n.log)
-	c.pool = h1client.New(h1client.Options{
+	running := &runningNode{clock: engine.NewClock()}
+	running.endpoints = newEndpointWatcher(n.cfg, running.clock, n.discoveryMoved, n.log)
+	running.pool = h1client.New(h1client.Options{
 		EndpointIdleTimeout: n.cfg.ConnIdle,
 		ConnectTimeout:      n.cfg.ConnectTimeout,
 		MaxConnections:      upstream,
@@ -53,18 +54,18 @@
 		NodeCount:           n.cfg.Policy.NodeCount,
 		Prices:              n.cfg.IdlePrices,
 	})
-	c.cluster, err = engine.New(background, n.cfg.Policy, c.pool, engine.Options{
+	running.cluster, err = engine.New(background, n.cfg.Policy, running.pool, engine.Options{
 		Seed:           n.cfg.Seed,
-		Clock:          c.clock,
-		RequestPoll:    c.endpoints.requestPoll,
+		Clock:          running.clock,
+		RequestPoll:    running.endpoints.requestPoll,
 		DrainSendGrace: max(1, n.cfg.DrainGrace/drainSendGraceDivisor),
 	})
 	if err != nil {
 		return nil, err
 	}
-	c.endpoints.sink = clusterSink{c.cluster, c.pool}
-	c.httpServer = h1server.New(router{n.cfg, c.cluster}, h1server.Options{
-		Clock:            c.clock,
+	running.endpoints.sink = clusterSink{running.cluster, running.pool}
+	running.httpServer = h1server.New(router{n.cfg, running.cluster}, h1server.Options{
+		Clock:            running.clock,
 		ConnectionLimits: clients,
 		Strict:           true,
 		Log:              n.log,
@@ -72,13 +73,15 @@
 		MaxBodyBytes:     maxBodyBytes,
 		BodyMemory:       int64(n.cfg.Limits.MemoryMB) << 20 / bodyMemoryDivisor,
 	})
-	c.endpoints.requestCount = c.httpServer.RequestCount
-	c.admin = &adminHandler{background: background, endpoints: c.endpoints, httpServer: c.httpServer, log: n.log}
+	running.endpoints.requestCount = running.httpServer.RequestCount
+	running.admin = &adminHandler{
+		background: background, endpoints: running.endpoints, httpServer: running.httpServer, log: n.log,
+	}
 	if n.cfg.InheritedSocket != "" {
-		c.restart = joinNode(n.cfg, n.log, c)
-		c.admin.restart = c.restart
+		running.restart = joinNode(n.cfg, n.log, running)
+		running.admin.restart = running.restart
 	}
-	return c, nil
+	return running, nil
 }
 
 // clusterSink has both the cluster and the connection pool follow the endpoint list.
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -40,7 +40,7 @@
 	ConnIdle        time.Duration  // endpoints close a connection that was idle for so long
 	ConnectTimeout  time.Duration
 	IdlePrices      keepalive.Prices
-	ListPrice       float64      // cost of polling a hundred list lines, in requests
+	ListPrice       float64      // cost of polling a hundred instances of a list, in requests
 	ClientShare     float64      // of all descriptors, for client connections with a request; 0.1 to 1
 	Log             *slog.Logger // nil: the default one
 
--- a/internal/node/configfile.go
+++ b/internal/node/configfile.go
@@ -58,7 +58,9 @@
 	Prices struct {
 		Connection float64 `json:"Connection"`
 		Handshake  float64 `json:"Handshake"`
-		List       float64 `json:"RegistryMode"`
+		// List is the price of a list. Under the same key beside "Deductions" stands the discovery mode
+		// (simulator.ParseSettings).
+		List float64 `json:"RegistryMode"`
 	} `json:"Deductions"`
 }
 
--- a/internal/node/discoverysource.go
+++ b/internal/node/discoverysource.go
@@ -49,11 +49,10 @@
 type listRequest struct {
 	full  bool   // the full list, at once; otherwise what is newer than the generation after
 	after uint64 // unless full
-	// wait is how long the service may wait for something newer; 0 if full, and if the response is needed at once.
-	wait time.Duration
 }
 
-// fetch makes one call, with a wait of its own instead of the request's. timeout limits all of the call.
+// fetch makes one call. wait is how long the service may wait for something newer; it has no effect on a request of the
+// full list. timeout limits all of the call.
 func (s *discoverySource) fetch(
 	ctx context.Context, request listRequest, wait, timeout time.Duration,
 ) (*discovery.Response, error) {
--- a/internal/node/endpointupdates.go
+++ b/internal/node/endpointupdates.go
@@ -15,7 +15,7 @@
 // endpointSink receives the endpoint list.
 type endpointSink interface {
 	// UpdateAddresses gives the upstream clients the addresses: of all endpoints, or of the changed ones.
-	UpdateAddresses(full bool, servers []h1client.Endpoint)
+	UpdateAddresses(full bool, endpoints []h1client.Endpoint)
 	// UpdateEndpoints gives the policy the endpoints, or reports a failed poll to it. It is false if the policy no
 	// longer runs.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool
@@ -104,13 +104,13 @@
 // publish passes instances on to sink, with the administrative state laid over them. mu is locked.
 func (w *endpointWatcher) publish(kind policy.UpdateKind, instances []discovery.Instance) {
 	instances = w.admin.Overlay(instances)
-	servers := make([]h1client.Endpoint, 0, len(instances))
+	addresses := make([]h1client.Endpoint, 0, len(instances))
 	endpoints := make([]policy.Endpoint, 0, len(instances))
 	for i := range instances {
-		servers = append(servers, upstreamEndpoint(&instances[i]))
+		addresses = append(addresses, upstreamEndpoint(&instances[i]))
 		endpoints = append(endpoints, w.policyEndpoint(&instances[i]))
 	}
-	w.sink.UpdateAddresses(kind != policy.DeltaUpdate, servers) // before the policy can choose any of them
+	w.sink.UpdateAddresses(kind != policy.DeltaUpdate, addresses) // before the policy can choose any of them
 	w.sink.UpdateEndpoints(kind, endpoints)
 	if onFirstUpdate := w.onFirstUpdate; onFirstUpdate != nil {
 		w.onFirstUpdate = nil
--- a/internal/node/endpointwatcher.go
+++ b/internal/node/endpointwatcher.go
@@ -40,7 +40,7 @@
 	initialized  chan struct{}
 	clock        engine.Clock
 	log          *slog.Logger
-	listPrice    float64      // cost of a hundred lines of a list, in requests
+	listPrice    float64      // cost of polling a hundred instances of a list, in requests
 	requestCount func() int64 // requests since countingSince; nil if nobody counts them
 	// countingSince is the start of the watcher, in wall time.
 	countingSince time.Time
@@ -149,12 +149,18 @@
 		w.publishInitialList()
 		onUse()
 	case w.polled:
-		w.publish(policy.CachedUpdate, nil) // has the policy request a poll
-		w.published = false                 // there was no list in it
+		w.requestFirstPoll()
 	}
 	w.markInitialized()
 }
 
+// requestFirstPoll has the policy request the first poll of a process that has no list: the policy schedules that poll
+// when it gets a cached list, here an empty one. published stays false, since no list was given. mu is locked.
+func (w *endpointWatcher) requestFirstPoll() {
+	w.publish(policy.CachedUpdate, nil)
+	w.published = false
+}
+
 // reportReadyLater calls ready at the end of ReadyTimeout, unless the context ends before.
 func (w *endpointWatcher) reportReadyLater(ctx context.Context) {
 	timer := time.AfterFunc(w.timing.ReadyTimeout-w.timing.InitialListTimeout, w.ready)
--- a/internal/node/hedgedpoll.go
+++ b/internal/node/hedgedpoll.go
@@ -26,7 +26,7 @@
 ) (*discovery.Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the calls whose results are no longer needed
-	request := w.nextRequest(source, afterFailure)
+	request, wait := w.nextRequest(source, afterFailure)
 	results := make(chan fetchResult, w.timing.MaxCalls)
 	startCall := func(wait, timeout time.Duration) {
 		go func() {
@@ -35,8 +35,8 @@
 		}()
 	}
 	startedAt := time.Now()
-	schedule, timeout := w.timing.StartPoll(request.wait)
-	startCall(request.wait, timeout)
+	schedule, timeout := w.timing.StartPoll(wait)
+	startCall(wait, timeout)
 	hedge := time.NewTimer(schedule.NextHedge())
 	defer hedge.Stop()
 	for {
@@ -56,19 +56,23 @@
 	}
 }
 
-// nextRequest decides what the next poll of a source asks for: the full list if the source has given none, or if it is
-// time for a resync. After a failure the poll does not wait for a change, since a call that waits does not show whether
-// the service can be reached; nor does it before the first list was published.
-func (w *endpointWatcher) nextRequest(source *discoverySource, afterFailure bool) listRequest {
+// nextRequest decides what the next poll of a source asks for, and how long the service may wait for something newer.
+// It asks for the full list if the source has given none, or if it is time for a resync. After a failure the poll does
+// not wait for a change, since a call that waits does not show whether the service can be reached; nor does it before
+// the first list was published.
+func (w *endpointWatcher) nextRequest(
+	source *discoverySource, afterFailure bool,
+) (request listRequest, wait time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	request := listRequest{full: !source.hasList, after: source.generation, wait: w.timing.LongPollWait}
+	request = listRequest{full: !source.hasList, after: source.generation}
+	wait = w.timing.LongPollWait
 	if !w.resyncAt.IsZero() {
-		request.wait = min(request.wait, time.Until(w.resyncAt))
-		request.full = request.full || request.wait <= 0
+		wait = min(wait, time.Until(w.resyncAt))
+		request.full = request.full || wait <= 0
 	}
 	if !w.published || request.full || afterFailure {
-		request.wait = 0
+		wait = 0
 	}
-	return request
+	return request, wait
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -42,8 +42,8 @@
 
 // joinNode makes this process a member of the node's shared folder, and applies the administrative
 // changes on record.
-func joinNode(cfg *Config, log *slog.Logger, c *runningNode) *restartCoordinator {
-	r := &restartCoordinator{cfg: cfg, log: log, node: c, descriptorLimit: cfg.Limits.Sockets}
+func joinNode(cfg *Config, log *slog.Logger, running *runningNode) *restartCoordinator {
+	r := &restartCoordinator{cfg: cfg, log: log, node: running, descriptorLimit: cfg.Limits.Sockets}
 	folder, changes, err := hotrestart.Join(cfg.SharedDir, cfg.Name+" "+cfg.Listen, log)
 	if err != nil {
 		log.Error("shared folder unavailable, hot restart coordination and administrative changes disabled", "err", err)
@@ -51,7 +51,7 @@
 		return r
 	}
 	for _, change := range changes {
-		c.admin.Apply(change)
+		running.admin.Apply(change)
 	}
 	r.folder = folder
 	r.refresh()
@@ -139,8 +139,8 @@
 	}
 }
 
-// refresh reads the presences of the other processes, applies this one's part of the descriptors and
-// publishes its own presence. It reports whether there are other processes.
+// refresh takes in the presences of the other processes, applies this one's part of the descriptors and of
+// the slow-start budgets, and publishes its own presence. It reports whether there are other processes.
 func (r *restartCoordinator) refresh() (hasPeers bool) {
 	if r.folder == nil {
 		return false
@@ -154,20 +154,32 @@
 	defer r.mu.Unlock()
 	open := r.openDescriptors()
 	limit, successor := hotrestart.DescriptorLimit(r.cfg.Limits.Sockets, open, r.folder.Self(), peers)
+	r.setPeers(peers, limit)
+	r.applyDescriptorLimit(limit)
+	r.publishPresence(open, successor)
+	return len(peers) > 0
+}
+
+// setPeers takes over the other processes. A change of their number changes this process's share of the
+// slow-start budgets, and is logged with the descriptor limit that follows from it; r.mu is held.
+func (r *restartCoordinator) setPeers(peers []hotrestart.Presence, limit int) {
 	if len(peers) != len(r.peers) {
 		r.log.Info("number of node processes changed", "peers", len(peers), "descriptor_limit", limit)
 		r.node.cluster.SetSlowStartShare(1 / float64(len(peers)+1))
 	}
 	r.peers = peers
-	r.applyDescriptorLimit(limit)
-	published := r.descriptorLimit
-	if len(peers) == 0 {
-		published = min(published, open)
+}
+
+// publishPresence publishes this process's phase and descriptors, of which open are open: see
+// hotrestart.Presence.Descriptors. successor is the process that it yields descriptors to; r.mu is held.
+func (r *restartCoordinator) publishPresence(open int, successor uint64) {
+	descriptors := r.descriptorLimit
+	if len(r.peers) == 0 {
+		descriptors = min(descriptors, open)
 	}
-	if err := r.folder.Publish(r.phase, published, successor); err != nil {
+	if err := r.folder.Publish(r.phase, descriptors, successor); err != nil {
 		r.log.Warn("publishing this process's presence failed", "err", err)
 	}
-	return len(peers) > 0
 }
 
 // openDescriptors returns how many descriptors this process has open, or may open by itself.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,9 @@
 // Package node is the platform's node: one HTTP server for clients, one cluster and the platform's
 // endpoint list, assembled from its configuration.
+//
+// The platform is what the node's processes run on. Three parts of it matter here: its supervisor, which
+// starts processes and ends them by SIGTERM and later SIGKILL; its routing, which sends the clients'
+// connections to the nodes; and its discovery service, which has the endpoint list.
 package node
 
 import (
@@ -15,7 +19,9 @@
 	"yokestall/internal/hotrestart"
 )
 
-// successorListTimeout bounds how long a successor waits for an endpoint list before it accepts clients.
+// successorListTimeout bounds how long a successor waits for an endpoint list before it accepts clients, which
+// the predecessor serves meanwhile. It suffices for an unresponsive call and the retry interval after it
+// (discovery.PolledTiming).
 const successorListTimeout = 4 * time.Second
 
 // Node is one load balancer. Create it with Listen.
@@ -70,7 +76,7 @@
 	defer n.closeListeners()
 	background, stopBackground := context.WithCancel(context.Background())
 	defer stopBackground()
-	c, err := n.assemble(background)
+	running, err := n.assemble(background)
 	if err != nil {
 		return err
 	}
@@ -78,18 +84,18 @@
 	defer func() {
 		stopBackground()
 		tasks.Wait()
-		c.restart.close()
+		running.restart.close()
 	}()
-	n.start(background, &tasks, c)
-	ready := n.followEndpoints(ctx, background, c)
-	n.awaitEndpoints(ctx, c, ready)
-	s := n.serve(c)
+	n.start(background, &tasks, running)
+	ready := n.followEndpoints(ctx, background, running)
+	n.awaitEndpoints(ctx, running, ready)
+	s := n.serve(running)
 	defer s.http.Close()
 	select {
 	case err := <-s.failed:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
-		return n.shutDown(c, s)
+		return n.shutDown(running, s)
 	}
 }
 
@@ -103,40 +109,40 @@
 
 // start starts the admin API and the restart coordinator, which tasks counts, and the retirement of idle
 // connections.
-func (n *Node) start(background context.Context, tasks *sync.WaitGroup, c *runningNode) {
+func (n *Node) start(background context.Context, tasks *sync.WaitGroup, running *runningNode) {
 	if n.adminListener != nil {
-		tasks.Go(func() { adminapi.Serve(background, n.adminListener, c.admin) })
+		tasks.Go(func() { adminapi.Serve(background, n.adminListener, running.admin) })
 	}
-	if c.restart != nil {
-		tasks.Go(func() { c.restart.run(background) })
+	if running.restart != nil {
+		tasks.Go(func() { running.restart.run(background) })
 	}
-	go c.pool.EvictIdle(background)
+	go running.pool.EvictIdle(background)
 }
 
 // followEndpoints starts to follow the endpoint list, from what a predecessor passed on or else from
 // the configuration's. The channel is closed once the node may report that it is ready.
-func (n *Node) followEndpoints(ctx, background context.Context, c *runningNode) (ready <-chan struct{}) {
+func (n *Node) followEndpoints(ctx, background context.Context, running *runningNode) (ready <-chan struct{}) {
 	initial := n.cfg.InitialList
-	if c.restart != nil {
-		if s := c.restart.receiveSnapshot(ctx); s != nil {
+	if running.restart != nil {
+		if s := running.restart.receiveSnapshot(ctx); s != nil {
 			initial = s.initialList(initial)
-			c.endpoints.onFirstUpdate = func() { c.cluster.Restore(s.Policy.ToPolicy(c.clock), s.age) }
+			running.endpoints.onFirstUpdate = func() { running.cluster.Restore(s.Policy.ToPolicy(running.clock), s.age) }
 		}
 	}
 	reached := make(chan struct{})
 	markReady := sync.OnceFunc(func() {
-		c.httpServer.SetReady()
+		running.httpServer.SetReady()
 		close(reached)
 	})
-	go c.endpoints.run(background, initial, markReady)
+	go running.endpoints.run(background, initial, markReady)
 	return reached
 }
 
 // awaitEndpoints waits until there is an endpoint list to serve by, or none is waited for any more.
 // Meanwhile connections queue in the kernel, or a predecessor accepts them: a successor waits until it
 // is ready, for successorListTimeout at most.
-func (n *Node) awaitEndpoints(ctx context.Context, c *runningNode, ready <-chan struct{}) {
-	if c.restart.hasPredecessor() {
+func (n *Node) awaitEndpoints(ctx context.Context, running *runningNode, ready <-chan struct{}) {
+	if running.restart.hasPredecessor() {
 		select {
 		case <-ready:
 		case <-time.After(successorListTimeout):
@@ -144,7 +150,7 @@
 		}
 	}
 	select {
-	case <-c.endpoints.initialized:
+	case <-running.endpoints.initialized:
 	case <-ctx.Done():
 	}
 }
@@ -157,14 +163,14 @@
 }
 
 // serve starts to accept clients. The server's goroutine ends when its listener is closed.
-func (n *Node) serve(c *runningNode) *clientServer {
+func (n *Node) serve(running *runningNode) *clientServer {
 	s := &clientServer{
-		http:     c.httpServer.HTTPServer(),
-		listener: c.httpServer.Listener(n.listener),
+		http:     running.httpServer.HTTPServer(),
+		listener: running.httpServer.Listener(n.listener),
 		failed:   make(chan error, 1),
 	}
 	go func() { s.failed <- s.http.Serve(s.listener) }()
-	c.restart.advancePhase(hotrestart.PhaseServing)
+	running.restart.advancePhase(hotrestart.PhaseServing)
 	if n.adminListener != nil {
 		n.log.Info("admin API listening", "addr", n.adminListener.Addr().String())
 	}
--- a/internal/node/retryschedule.go
+++ b/internal/node/retryschedule.go
@@ -1,4 +1,14 @@
 // When a polled list is polled again after a failure.
+//
+// Three delays follow failed polls, each jittered:
+//
+//   - The policy's (policy/polling.go), for the source that is followed of a polled list: a mean of 0.5 s, doubled with
+//     each failure, up to 0.5 s more than a quarter of Rules.MaxPollInterval.
+//   - The retry interval of this file (discovery.PollTiming.RetryInterval), for the same source: 0.75 s to 1.5 s, which
+//     does not grow. Whichever of the two ends first starts the poll.
+//   - discovery.Backoff, for pushed lists, and for a source of a polled list that is not followed yet (pollLoop). With
+//     pushed lists it is 5 ms at first and up to a quarter of the drain grace, which is 10 ms to 250 ms here; with
+//     polled ones it is 250 ms at first and up to 1 s. Jitter takes up to half of it away.
 
 package node
 
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// arrivalPeriod is how long the platform still sends connections to a node that shuts down, and how
-	// long no request must have arrived for the shutdown to end early.
+	// arrivalPeriod is how long after SIGTERM the platform's routing of clients still sends connections to a
+	// node, and how long no request must have arrived for the shutdown to end early.
 	arrivalPeriod = 500 * time.Millisecond
-	// shutdownAfterDeadline is what a shutdown may take beyond the longest deadline. The platform kills the node
-	// 0.7 s after the longest deadline, of which it counts maxCountedDeadline at most.
+	// shutdownAfterDeadline is what a shutdown may take beyond the longest deadline. It ends 0.2 s before the
+	// platform's process supervisor kills the node: that is 0.7 s after the longest deadline, of which the
+	// supervisor counts maxCountedDeadline at most.
 	shutdownAfterDeadline = 500 * time.Millisecond
 	maxCountedDeadline    = 3 * time.Second
 	// closingPeriod is the last part of a shutdown, in which no request is accepted. abortPeriod is the
@@ -69,7 +70,7 @@
 
 // shutDown ends serving: it leaves the clients to a successor, or serves them until they leave. All
 // requests that were accepted are answered when it returns.
-func (n *Node) shutDown(c *runningNode, s *clientServer) error {
+func (n *Node) shutDown(running *runningNode, s *clientServer) error {
 	began := time.Now()
 	plan := planShutdown(n.cfg.longestDeadline())
 	n.log.Info("stopping",
@@ -77,34 +78,34 @@
 	limit, cancel := context.WithDeadline(context.Background(), began.Add(plan.total))
 	defer cancel()
 	abort := time.AfterFunc(time.Until(began.Add(plan.abortAt())), func() {
-		c.cluster.Abort()
-		c.httpServer.CloseIdleConnections() // a request on one of these would not be answered any more
+		running.cluster.Abort()
+		running.httpServer.CloseIdleConnections() // a request on one of these would not be answered any more
 	})
 	defer abort.Stop()
-	if c.restart.successorServing() {
-		n.leaveToSuccessor(limit, c, s, plan)
+	if running.restart.successorServing() {
+		n.leaveToSuccessor(limit, running, s, plan)
 		n.log.Info("clients left to the successor",
-			"connections", c.httpServer.Connections(), "elapsed_ms", time.Since(began).Milliseconds())
+			"connections", running.httpServer.Connections(), "elapsed_ms", time.Since(began).Milliseconds())
 		return nil
 	}
-	c.httpServer.FailHealthChecks()
-	awaitClose(plan, began, c.httpServer.LastRequestAt)
-	c.httpServer.CloseAfterResponses()
+	running.httpServer.FailHealthChecks()
+	awaitClose(plan, began, running.httpServer.LastRequestAt)
+	running.httpServer.CloseAfterResponses()
 	s.listener.Close()
 	if err := <-s.failed; !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
 	// Not http.Server.Shutdown: it drops requests that are just being read.
-	c.httpServer.Drain(limit)
+	running.httpServer.Drain(limit)
 	return nil
 }
 
 // leaveToSuccessor stops accepting at once, as connections that are queued in the kernel or still
 // arrive are the successor's, and waits until the clients have left.
-func (n *Node) leaveToSuccessor(limit context.Context, c *runningNode, s *clientServer, plan shutdownPlan) {
+func (n *Node) leaveToSuccessor(limit context.Context, running *runningNode, s *clientServer, plan shutdownPlan) {
 	s.listener.Close()
-	c.restart.advancePhase(hotrestart.PhaseDraining)
-	c.httpServer.DrainToSuccessor(limit, plan.idleTimeout())
+	running.restart.advancePhase(hotrestart.PhaseDraining)
+	running.httpServer.DrainToSuccessor(limit, plan.idleTimeout())
 }
 
 // awaitClose returns when the listener may be closed. lastRequest returns when a request last arrived.
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -67,11 +67,13 @@
 		MaxAttempts     *int             `json:"MaxAttempts"`
 		MaxRetryAfter   optionalDuration `json:"MaxRetryAfterMs"`
 	} `json:"Limits"`
-	Zone            int              `json:"Locality"`
-	NodeIndex       int              `json:"Me"`
-	OverQuotaWeight *float64         `json:"OverShareWorth"`
-	DiscoveryMode   string           `json:"RegistryMode"`
-	Tick            optionalDuration `json:"TickMs"`
+	Zone            int      `json:"Locality"`
+	NodeIndex       int      `json:"Me"`
+	OverQuotaWeight *float64 `json:"OverShareWorth"`
+	// DiscoveryMode says whether the list is pushed or polled. Under the same key within "Deductions" stands the price
+	// of a list, which only package node reads.
+	DiscoveryMode string           `json:"RegistryMode"`
+	Tick          optionalDuration `json:"TickMs"`
 }
 
 // classMessage is a class of requests in the protocol's form.
