--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -44,7 +44,7 @@
 	Log  *slog.Logger
 	// OnSend is called when an attempt is sent, with its cluster, the endpoint (cluster.Endpoint.Key) and the time. It
 	// must not block. It may be nil.
-	OnSend func(cluster string, server uint64, at time.Time)
+	OnSend func(cluster string, endpoint uint64, at time.Time)
 	// LeaseValid reports whether the node may act on the configuration that was applied last. It is called when a
 	// request is routed and before the first byte of each attempt. Nil: it always may.
 	LeaseValid func() bool
--- a/internal/app/apply.go
+++ b/internal/app/apply.go
@@ -11,8 +11,8 @@
 )
 
 // Apply puts a configuration version in force. When it returns, the engines have been updated, and from
-// engine.DefaultDrainSendGrace later nothing is sent to an endpoint that the version does not have. After an error
-// nothing has changed.
+// engine.DefaultDrainSendGrace later nothing is sent to an endpoint that the version does not have, or has as not
+// serving. After an error nothing has changed.
 func (a *App) Apply(s *files.Snapshot) error { return a.ApplyAt(time.Now(), s) }
 
 // ApplyAt is Apply for a version that was delivered at an earlier time, from which the grace counts.
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// hasSettings reports whether the cluster can stay in a state, since all that it was started with is the same.
+// hasSettings reports whether the cluster can stay in a state, since all that it was started with is the same. Settings
+// are compared by identity: newSettings returns the previous ones where they are equal.
 func (r *managedCluster) hasSettings(s *state, transport cluster.Transport) bool {
 	return r.settings == s.settings && r.upstream == s.program.Upstream && reflect.DeepEqual(r.transport, transport)
 }
--- a/internal/app/clusterrequest.go
+++ b/internal/app/clusterrequest.go
@@ -18,7 +18,7 @@
 // maxMigrations bounds how often a request moves to its cluster's successor because the settings changed.
 const maxMigrations = 3
 
-// Do implements ingress.Cluster. A request whose cluster is replaced under it, because the settings changed, migrates
+// Do implements ingress.Handler. A request whose cluster is replaced under it, because the settings changed, migrates
 // to the successor if nothing of it has run, or it may run again. The error is engine.ErrRetired if no cluster takes
 // the request.
 func (r *managedCluster) Do(ctx context.Context, q *engine.Request) (engine.Answer, error) {
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -285,8 +285,8 @@
 	testutil.Until(t, "the cluster to be given up", func() bool { return s.app.deactivateIdle(s.app.idleNow()) == 1 })
 }
 
-// A cluster stays active until servers that were cold at its last request are warm, and late answers are not listened
-// for any more.
+// A cluster stays active until servers that were warming up at its last request are warm, and late answers are not
+// listened for any more.
 func TestIdleAfterFollowsSettings(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(p *config.Program)
--- a/internal/app/managedcluster.go
+++ b/internal/app/managedcluster.go
@@ -23,7 +23,7 @@
 // managedCluster is a cluster of the version in force. While requests come it is active: it has an engine for each of
 // its tiers, of which a request gets one by the tiers' health. Without requests it is idle and has none, so that what a
 // node spends follows the clusters that it uses and not those that exist (see activate and deactivate). It implements
-// ingress.Cluster.
+// ingress.Handler.
 type managedCluster struct {
 	app       *App
 	name      string
--- a/internal/app/sender.go
+++ b/internal/app/sender.go
@@ -20,14 +20,16 @@
 
 // selfSender is a payload that sends its attempts itself.
 type selfSender interface {
-	Carry(call *engine.Call, address string, left time.Duration) engine.Result
+	Carry(call *engine.Call, address string, timeRemaining time.Duration) engine.Result
 }
 
 // Exchange implements engine.Exchanger.
-func (s *sender) Exchange(call *engine.Call, id policy.EndpointID, payload any, timeLeft time.Duration) engine.Result {
+func (s *sender) Exchange(
+	call *engine.Call, id policy.EndpointID, payload any, timeRemaining time.Duration,
+) engine.Result {
 	p, ok := payload.(selfSender)
 	if !ok {
-		return s.pool.Exchange(call, id, payload, timeLeft)
+		return s.pool.Exchange(call, id, payload, timeRemaining)
 	}
 	s.mu.RLock()
 	address, known := s.addresses[id]
@@ -35,18 +37,18 @@
 	if !known { // the endpoint was removed meanwhile
 		return engine.Result{Status: policy.NeverSent}
 	}
-	return p.Carry(call, address, timeLeft)
+	return p.Carry(call, address, timeRemaining)
 }
 
 // update applies changes of the endpoints.
-func (s *sender) update(servers []h1client.Endpoint) {
+func (s *sender) update(endpoints []h1client.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, server := range servers {
-		if server.Removed {
-			delete(s.addresses, server.ID)
+	for _, endpoint := range endpoints {
+		if endpoint.Removed {
+			delete(s.addresses, endpoint.ID)
 		} else {
-			s.addresses[server.ID] = server.Address
+			s.addresses[endpoint.ID] = endpoint.Address
 		}
 	}
 }
--- a/internal/app/sendpermission.go
+++ b/internal/app/sendpermission.go
@@ -24,7 +24,7 @@
 	retryAfter  time.Duration // for requests whose send is not allowed
 }
 
-// Do implements ingress.Cluster.
+// Do implements ingress.Handler.
 func (c leaseCheckedCluster) Do(ctx context.Context, q *engine.Request) (engine.Answer, error) {
 	q.SendAllowed, q.SendRetryAfter = c.sendAllowed, c.retryAfter
 	return c.Handler.Do(ctx, q)
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// connectionDrainMargin is how long a shutdown waits for connections after the longest deadline.
+	// connectionDrainMargin is how long the shutdown of a listener waits for connections after the longest deadline.
 	connectionDrainMargin = 300 * time.Millisecond
 	// finalAnswerMargin is how long before the end of a shutdown the last answers are sent, whatever the deadlines.
 	finalAnswerMargin = 50 * time.Millisecond
--- a/internal/app/tierupdate.go
+++ b/internal/app/tierupdate.go
@@ -12,7 +12,7 @@
 // tierUpdate is the difference of two versions of a tier, for each of those that follow its endpoints.
 type tierUpdate struct {
 	clock     engine.Clock
-	servers   []h1client.Endpoint // for the sender and the pool
+	addresses []h1client.Endpoint // for the sender and the pool
 	endpoints []policy.Endpoint   // for the engine
 	draining  []policy.EndpointID // those that drain or were removed, for the streams
 }
@@ -26,8 +26,8 @@
 	}
 	u := tierUpdate{clock: clock}
 	u.addDifference(&d)
-	t.sender.update(u.servers)
-	t.pool.UpdateEndpoints(false, u.servers)
+	t.sender.update(u.addresses)
+	t.pool.UpdateEndpoints(false, u.addresses)
 	t.engine.UpdateEndpointsAt(deliveredAt, policy.DeltaUpdate, u.endpoints)
 	streams.drain(deliveredAt, u.draining) // after the engine: see streams.limit
 }
@@ -55,7 +55,7 @@
 // put adds an endpoint as it is now.
 func (u *tierUpdate) put(e *cluster.Endpoint) {
 	id := policy.EndpointID(e.Key())
-	u.servers = append(u.servers, h1client.Endpoint{ID: id, Address: e.Address, Incarnation: float64(e.StartedMs)})
+	u.addresses = append(u.addresses, h1client.Endpoint{ID: id, Address: e.Address, Incarnation: float64(e.StartedMs)})
 	endpoint := policy.Endpoint{ID: id, Zone: zoneNumber(e.Zone), Cell: e.Cell, State: policy.Ready, Weight: e.Weight}
 	if !e.Serves() {
 		endpoint.State = policy.Draining
@@ -69,7 +69,7 @@
 
 func (u *tierUpdate) remove(e *cluster.Endpoint) {
 	id := policy.EndpointID(e.Key())
-	u.servers = append(u.servers, h1client.Endpoint{ID: id, Removed: true})
+	u.addresses = append(u.addresses, h1client.Endpoint{ID: id, Removed: true})
 	u.endpoints = append(u.endpoints, policy.Endpoint{ID: id, State: policy.Removed})
 	u.draining = append(u.draining, id)
 }
--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -35,6 +35,10 @@
 	return a
 }
 
+// endpointReady reports whether the endpoint was ready when the attempt was made. An attempt whose endpoint was not is
+// never started.
+func (a *attempt) endpointReady() bool { return a.drain != nil }
+
 // mayStart reports whether an attempt that the Balancer decided on is within the limits of its request.
 func (c *Cluster) mayStart(now time.Duration, a *attempt) bool {
 	r := a.request
@@ -42,7 +46,7 @@
 	if r.MaxAttempts > 0 {
 		maxAttempts = min(maxAttempts, r.MaxAttempts)
 	}
-	if r.ended || now >= r.Deadline || a.index >= maxAttempts || a.drain == nil {
+	if r.ended || now >= r.Deadline || a.index >= maxAttempts || !a.endpointReady() {
 		return false
 	}
 	return a.index == 0 || c.mayRetry(r)
@@ -190,7 +194,8 @@
 	}
 }
 
-// answerIfSendForbidden ends a request whose only attempt was not sent because Request.SendAllowed forbids it.
+// answerIfSendForbidden ends a request whose only attempt was not sent because Request.SendAllowed forbids it. It is
+// rejected, or fails if an earlier attempt may have run.
 func (c *Cluster) answerIfSendForbidden(r *Request, result Result) {
 	if r.ended || r.inFlight > 0 || result.Status != policy.NeverSent || r.SendAllowed == nil || r.SendAllowed() {
 		return
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -15,7 +15,7 @@
 
 	// Set before the attempt starts and not changed.
 	endpoint           policy.EndpointID
-	drain              *endpointDrain // of the endpoint; nil: the call is of NewCall
+	drain              *endpointDrain // of the endpoint; nil: see standalone and attempt.endpointReady
 	clock              Clock
 	onSend             func(endpoint policy.EndpointID, at time.Duration) // Options.OnSend
 	sendAllowed        func() bool                                        // Request.SendAllowed
@@ -36,6 +36,10 @@
 	return c
 }
 
+// standalone reports whether the call is one of NewCall, which only its gate restricts. The call of an attempt that is
+// started has an endpointDrain: see attempt.endpointReady.
+func (c *Call) standalone() bool { return c.drain == nil }
+
 // Context returns a context that ends when the call is stopped. It costs more than OnStop.
 func (c *Call) Context() context.Context {
 	c.mu.Lock()
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -36,7 +36,8 @@
 	wakeup.Reset(max(0, at-c.clock.Now()))
 }
 
-// expireTimers handles the timers that are due now. Those that become due meanwhile wait for the loop's next event.
+// expireTimers handles the timers that are due now. Those that become due meanwhile are handled in the loop's next
+// round, which follows at once.
 func (c *Cluster) expireTimers() {
 	now := c.clock.Now()
 	for t := c.timers.due(now); t != nil; t = c.timers.due(now) {
--- a/internal/engine/sendgate.go
+++ b/internal/engine/sendgate.go
@@ -39,7 +39,7 @@
 // is false as soon as there is notice of the endpoint's drain, which leaves the grace to that party, and for a retry
 // whose deduplication window ends before sentBy.
 func (c *Call) BeginSendUnlessDraining(sentBy time.Duration) bool {
-	if c.drain != nil {
+	if !c.standalone() {
 		if _, draining := c.drain.since(); draining {
 			c.Revoke()
 		}
@@ -49,7 +49,7 @@
 
 // begin is BeginSend for a call whose first byte leaves at sentBy, on the Clock, at the latest; 0: now.
 func (c *Call) begin(sentBy time.Duration) bool {
-	if c.drain == nil { // of NewCall
+	if c.standalone() {
 		return c.gate.pass()
 	}
 	now := c.clock.Now()
--- a/internal/idempotency/replay/deduplicator.go
+++ b/internal/idempotency/replay/deduplicator.go
@@ -81,7 +81,7 @@
 	window, minRetryAfter time.Duration
 }
 
-// Do implements ingress.Cluster. Besides the errors of the wrapped cluster it gives an *ingress.Rejection: 409
+// Do implements ingress.Handler. Besides the errors of the wrapped cluster it gives an *ingress.Rejection: 409
 // where the first request may have run and its outcome is not available, 422 where the key belongs to another
 // request.
 func (c *cluster) Do(ctx context.Context, r *engine.Request) (engine.Answer, error) {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -110,15 +110,15 @@
 	b.sweepBy(min(now+sweepInterval, r.deadline))
 }
 
-// BodyComplete says that the last byte arrived of a request that had BodyIncomplete. remaining is the time
-// until the client gives up, as in Request.TimeRemaining.
-func (b *Balancer) BodyComplete(now time.Duration, id RequestID, remaining time.Duration) {
+// BodyComplete says that the last byte arrived of a request that had BodyIncomplete. timeRemaining is the
+// time until the client gives up, as in Request.TimeRemaining.
+func (b *Balancer) BodyComplete(now time.Duration, id RequestID, timeRemaining time.Duration) {
 	r := b.requests[id]
 	if r == nil || !r.BodyIncomplete {
 		return
 	}
 	r.BodyIncomplete = false
-	b.setDeadlines(now, r, remaining)
+	b.setDeadlines(now, r, timeRemaining)
 	b.countBodyCompleted(now, r)
 	b.sweepBy(min(now+sweepInterval, r.deadline))
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -71,14 +71,14 @@
 // setDeadlines sets the deadline and the objective deadline. The answer is due one tick before the client
 // gives up, less the grace for final answers, since events are delivered a tick late at most. A request whose
 // body is incomplete must only be sent within its objective.
-func (b *Balancer) setDeadlines(now time.Duration, r *request, remaining time.Duration) {
+func (b *Balancer) setDeadlines(now time.Duration, r *request, timeRemaining time.Duration) {
 	c := r.class
 	if r.BodyIncomplete {
 		r.deadline, r.objectiveDeadline = now+MaxBodyDuration, now+c.LatencyObjective
 		return
 	}
 	margin := max(0, b.settings.Tick-b.settings.Rules.AnswerGrace)
-	r.deadline = now + max(0, min(remaining, c.Deadline)-margin)
+	r.deadline = now + max(0, min(timeRemaining, c.Deadline)-margin)
 	forWork := time.Duration(c.ObjectiveWorkFactor * float64(r.WorkHint))
 	r.objectiveDeadline = min(r.deadline, now+c.LatencyObjective+forWork)
 }
