--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -46,10 +46,10 @@
 func (r *Rules) GrowthFactor() float64 { return max(1, 1+(r.OverloadMultiple-1)/growthDivisor) }
 
 // FixedRate returns the work per second that a node may send without completed work to show for it.
-// throughput is the node's part of the work per second that a warm endpoint completes; share is
+// warmWorkRate is the node's part of the work per second that a warm endpoint completes; share is
 // CapacityShare.
-func (r *Rules) FixedRate(throughput, share float64) float64 {
-	return throughput * r.OverloadMultiple * share * fixedRateSafety
+func (r *Rules) FixedRate(warmWorkRate, share float64) float64 {
+	return warmWorkRate * r.OverloadMultiple * share * fixedRateSafety
 }
 
 // overloadSeconds returns OverloadDuration as a divisor.
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -32,9 +32,9 @@
 type ClassSnapshot struct {
 	UnloadedLatency float64 `json:"Lone"`     // mean for a request of mean work on an idle endpoint, seconds
 	UnloadedSamples float64 `json:"LoneSeen"` // answers that it rests on
-	QueueCost       float64 `json:"Work"`     // of all answers, seconds; 1 with Settings.WeightPerWork
-	LatencySamples  float64 `json:"Seen"`
-	MeanWorkHint    float64 `json:"Hint"` // seconds
+	QueueCost       float64 `json:"Work"`     // mean latency, seconds; 1 with Settings.WeightPerWork
+	LatencySamples  float64 `json:"Seen"`     // answers that QueueCost rests on
+	MeanWorkHint    float64 `json:"Hint"`     // seconds
 	WorkHintSamples float64 `json:"Hinted"`
 }
 
