--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -36,7 +36,7 @@
 	restart    *restartCoordinator // nil: there can't be another process of the node
 }
 
-// assemble makes the components and connects them. The cluster and the lame duck mode run until
+// assemble makes the parts of the node and connects them. The cluster and the lame duck mode run until
 // background ends. The error is that of the limits or of the policy's settings.
 func (n *Node) assemble(background context.Context) (*runningNode, error) {
 	upstream, clients, err := n.cfg.splitDescriptors(n.cfg.Limits.Sockets)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -4,6 +4,18 @@
 // The platform is what the node's processes run on. Three parts of it matter here: its supervisor, which
 // starts processes and ends them by SIGTERM and later SIGKILL; its routing, which sends the clients'
 // connections to the nodes; and its discovery service, which has the endpoint list.
+//
+// The files:
+//
+//	node.go, assemble.go                    a node's parts and its run
+//	shutdown.go                             the schedule of a shutdown
+//	command.go                              the command line, and reloads on a signal
+//	config.go, configfile.go, settings.go   the configuration: environment, file, operators' settings
+//	routing.go                              from a request's path to its class
+//	descriptors.go                          the split of the descriptors
+//	hotrestart.go, snapshotexchange.go      the node's other process: coordination, the learnt state
+//	adminhandler.go, endpointadmin.go       administrative changes and the node's status
+//	endpointwatcher.go                      the discovery client, with a list of its files
 package node
 
 import (
