--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,6 +16,7 @@
 //	hotrestart.go, snapshotexchange.go      the node's other process: coordination, the learnt state
 //	adminhandler.go, endpointadmin.go       administrative changes and the node's status
 //	endpointwatcher.go                      the discovery client, with a list of its files
+//	endpointlist.go                         the form of the list that a process starts from
 package node
 
 import (
