--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -7,12 +7,13 @@
 	"strconv"
 )
 
-// Phase is the phase of a process's life. Its numbers stand in presence files.
-type Phase uint8
+// ProcessPhase is how far a process of the node is between its start and its end. Its numbers stand in
+// presence files.
+type ProcessPhase uint8
 
 // The phases of a process of the node.
 const (
-	PhaseStarting Phase = iota // accepts no clients yet
+	PhaseStarting ProcessPhase = iota // accepts no clients yet
 	PhaseServing
 	PhaseDraining // accepts no new connections any more
 )
@@ -20,10 +21,10 @@
 // Presence is what a process publishes to the other processes of the node.
 type Presence struct {
 	Number     uint64 // of the process; a successor's is greater
-	Phase      Phase
+	Phase      ProcessPhase
 	AppliedSeq uint64 // the record's entries up to this one are in force
-	// Descriptors is what other processes must leave to this one. Without a successor it is the number of
-	// descriptors that the process has open; with one it is the limit that the process keeps to.
+	// Descriptors is what other processes must leave to this one. Without peers it is the number of
+	// descriptors that the process has open, capped by its limit; with peers it is the limit.
 	Descriptors int
 	Successor   uint64 // number of the latest process that this one yields descriptors to; 0: none
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -25,25 +25,25 @@
 // restartCoordinator is this process's part in a node that may have two processes while one replaces
 // the other. A nil coordinator is that of a node which always has one process.
 type restartCoordinator struct {
-	cfg        *Config
-	log        *slog.Logger
-	components *components
-	folder     *hotrestart.Folder // nil: the folder can't be used, for folderErr
-	folderErr  error
+	cfg       *Config
+	log       *slog.Logger
+	node      *runningNode
+	folder    *hotrestart.Folder // nil: the folder can't be used, for folderErr
+	folderErr error
 
 	// snapshotSentTo is the number of the latest successor that was sent a snapshot; of run alone.
 	snapshotSentTo uint64
 
 	mu              sync.Mutex // guards what follows
-	phase           hotrestart.Phase
+	phase           hotrestart.ProcessPhase
 	peers           []hotrestart.Presence // the oldest first
 	descriptorLimit int                   // as applied last
 }
 
 // joinNode makes this process a member of the node's shared folder, and applies the administrative
 // changes on record.
-func joinNode(cfg *Config, log *slog.Logger, c *components) *restartCoordinator {
-	r := &restartCoordinator{cfg: cfg, log: log, components: c, descriptorLimit: cfg.Limits.Sockets}
+func joinNode(cfg *Config, log *slog.Logger, running *runningNode) *restartCoordinator {
+	r := &restartCoordinator{cfg: cfg, log: log, node: running, descriptorLimit: cfg.Limits.Sockets}
 	folder, changes, err := hotrestart.Join(cfg.SharedDir, cfg.Name+" "+cfg.Listen, log)
 	if err != nil {
 		log.Error("shared folder unavailable, hot restart coordination and administrative changes disabled", "err", err)
@@ -51,7 +51,7 @@
 		return r
 	}
 	for _, change := range changes {
-		c.admin.Apply(change)
+		running.admin.Apply(change)
 	}
 	r.folder = folder
 	r.refresh()
@@ -70,7 +70,7 @@
 	if r.folder == nil {
 		return fmt.Errorf("nothing was done, since it would be forgotten: %w", r.folderErr)
 	}
-	return r.folder.Commit(ctx, c, r.components.admin)
+	return r.folder.Commit(ctx, c, r.node.admin)
 }
 
 // serving reports whether this process is in the phase in which it accepts clients.
@@ -84,7 +84,7 @@
 }
 
 // advancePhase enters a phase and publishes it.
-func (r *restartCoordinator) advancePhase(p hotrestart.Phase) {
+func (r *restartCoordinator) advancePhase(p hotrestart.ProcessPhase) {
 	if r == nil {
 		return
 	}
@@ -127,11 +127,11 @@
 			interval = peerRefreshInterval
 			r.sendSnapshotOnce(ctx)
 		}
-		if err := r.folder.ApplyPending(r.components.admin); err != nil {
+		if err := r.folder.ApplyPending(r.node.admin); err != nil {
 			r.log.Warn("following the administrative record failed", "err", err)
 		}
 		if !hasPeers {
-			if err := r.folder.Compact(r.components.admin); err != nil {
+			if err := r.folder.Compact(r.node.admin); err != nil {
 				r.log.Warn("compacting the administrative record failed", "err", err)
 			}
 		}
@@ -139,8 +139,8 @@
 	}
 }
 
-// refresh reads the presences of the other processes, applies this one's part of the descriptors and
-// publishes its own presence. It reports whether there are other processes.
+// refresh takes in the presences of the other processes, applies this one's part of the descriptors and of
+// the slow-start budgets, and publishes its own presence. It reports whether there are other processes.
 func (r *restartCoordinator) refresh() (hasPeers bool) {
 	if r.folder == nil {
 		return false
@@ -154,25 +154,37 @@
 	defer r.mu.Unlock()
 	open := r.openDescriptors()
 	limit, successor := hotrestart.DescriptorLimit(r.cfg.Limits.Sockets, open, r.folder.Self(), peers)
+	r.setPeers(peers, limit)
+	r.applyDescriptorLimit(limit)
+	r.publishPresence(open, successor)
+	return len(peers) > 0
+}
+
+// setPeers takes over the other processes. A change of their number changes this process's share of the
+// slow-start budgets, and is logged with the descriptor limit that follows from it; r.mu is held.
+func (r *restartCoordinator) setPeers(peers []hotrestart.Presence, limit int) {
 	if len(peers) != len(r.peers) {
 		r.log.Info("number of node processes changed", "peers", len(peers), "descriptor_limit", limit)
-		r.components.cluster.SetSlowStartShare(1 / float64(len(peers)+1))
+		r.node.cluster.SetSlowStartShare(1 / float64(len(peers)+1))
 	}
 	r.peers = peers
-	r.applyDescriptorLimit(limit)
-	published := r.descriptorLimit
-	if len(peers) == 0 {
-		published = min(published, open)
+}
+
+// publishPresence publishes this process's phase and descriptors, of which open are open: see
+// hotrestart.Presence.Descriptors. successor is the process that it yields descriptors to; r.mu is held.
+func (r *restartCoordinator) publishPresence(open int, successor uint64) {
+	descriptors := r.descriptorLimit
+	if len(r.peers) == 0 {
+		descriptors = min(descriptors, open)
 	}
-	if err := r.folder.Publish(r.phase, published, successor); err != nil {
+	if err := r.folder.Publish(r.phase, descriptors, successor); err != nil {
 		r.log.Warn("publishing this process's presence failed", "err", err)
 	}
-	return len(peers) > 0
 }
 
 // openDescriptors returns how many descriptors this process has open, or may open by itself.
 func (r *restartCoordinator) openDescriptors() int {
-	connections := r.components.httpServer.Connections() + r.components.pool.OpenConnections()
+	connections := r.node.httpServer.Connections() + r.node.pool.OpenConnections()
 	return connections + ownDescriptors + adminapi.MaxDescriptors
 }
 
@@ -199,6 +211,6 @@
 	if err != nil {
 		return
 	}
-	r.components.pool.SetLimits(r.cfg.ConnectTimeout, upstream)
-	r.components.httpServer.SetConnectionLimits(clients)
+	r.node.pool.SetLimits(r.cfg.ConnectTimeout, upstream)
+	r.node.httpServer.SetConnectionLimits(clients)
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -23,7 +23,7 @@
 	health         subsetHealth
 	pollDelay      time.Duration // until the next poll after a failed one
 	slowStartRules slowstart.Rules
-	nodeShare      float64      // share of the node's slow-start budgets that this Balancer may use, 0 to 1
+	budgetShare    float64      // share of the node's slow-start budgets that this Balancer may use, 0 to 1
 	workRate       decayingRate // work sent, in seconds per second
 	warmWorkRate   float64      // work per second that an endpoint got from all nodes while most were warm
 	candidates     []*endpoint  // scratch of pick
@@ -65,7 +65,7 @@
 		pollDelay: minPollBackoff, sweepAt: never,
 		concurrency:    concurrency{limit: float64(min(initialConcurrency, set.NodeCount))},
 		slowStartRules: newSlowStartRules(&set.Rules),
-		warmWorkRate:   minWarmWorkRate, nodeShare: 1, retrySuccessRate: 1,
+		warmWorkRate:   minWarmWorkRate, budgetShare: 1, retrySuccessRate: 1,
 	}
 	b.settings.Limits.MaxAttempts = min(set.Limits.MaxAttempts, maxAttempts)
 	b.typicalLatency = b.classes[0].unloadedLatency
@@ -110,15 +110,15 @@
 	b.sweepBy(min(now+sweepInterval, r.deadline))
 }
 
-// BodyComplete says that the last byte arrived of a request that had BodyIncomplete. remaining is the time
-// until the client gives up, as in Request.TimeRemaining.
-func (b *Balancer) BodyComplete(now time.Duration, id RequestID, remaining time.Duration) {
+// BodyComplete says that the last byte arrived of a request that had BodyIncomplete. timeRemaining is the
+// time until the client gives up, as in Request.TimeRemaining.
+func (b *Balancer) BodyComplete(now time.Duration, id RequestID, timeRemaining time.Duration) {
 	r := b.requests[id]
 	if r == nil || !r.BodyIncomplete {
 		return
 	}
 	r.BodyIncomplete = false
-	b.setDeadlines(now, r, remaining)
+	b.setDeadlines(now, r, timeRemaining)
 	b.countBodyCompleted(now, r)
 	b.sweepBy(min(now+sweepInterval, r.deadline))
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -12,14 +12,14 @@
 // fixed rate rests on the work that endpoints got while most were warm. A node that started among warming
 // endpoints has not seen that, and assumes minWarmWorkRate.
 //
-// An endpoint may be sent, by one node, either credit of slowstart.Budget:
+// An endpoint may be sent, by one node, either credit of slowstart.Budget, in terms of slowstart.Rules:
 //
-//	fixed   warmWorkRate / nodesPerEndpoint * OverloadMultiple * capacityShare * safety, per second
-//	earned  (1 + (OverloadMultiple-1)/4) * the work that it has answered to this node
+//	fixed   Rules.FixedRate(budgetShare * warmWorkRate / nodesPerEndpoint, capacityShare), per second
+//	earned  Rules.GrowthFactor() * the work that it has answered to this node
 //
-// The fixed parts of all nodes add up to less than the overload rate if each endpoint is in the subsets of
-// nodesPerEndpoint nodes. That figure assumes subsets of this node's size at all nodes; the earned part needs
-// no such assumption.
+// The fixed parts of all nodes add up to the share fixedRateSafety (package slowstart) of the overload rate,
+// if each endpoint is in the subsets of nodesPerEndpoint nodes. That figure assumes subsets of this node's
+// size at all nodes; the earned part needs no such assumption.
 
 const (
 	// minWarmWorkRate is the work per second that a warm endpoint is assumed to manage: one slow core.
@@ -50,7 +50,7 @@
 	if !e.slowStart.Deferred() {
 		e.slowStart.Defer(now, work*b.random.Float64())
 	}
-	rate := b.slowStartRules.FixedRate(b.nodeShare*b.warmWorkRate/b.subset.nodesPerEndpoint, share)
+	rate := b.slowStartRules.FixedRate(b.budgetShare*b.warmWorkRate/b.subset.nodesPerEndpoint, share)
 	return e.slowStart.Allows(&b.slowStartRules, now, rate, work, work*float64(len(e.inFlight)))
 }
 
@@ -66,4 +66,4 @@
 
 // SetSlowStartShare sets the share of the node's slow-start budgets that this Balancer may use, 0 to 1;
 // initially 1. It is less than 1 while another Balancer decides for the same node, as during a hot restart.
-func (b *Balancer) SetSlowStartShare(share float64) { b.nodeShare = share }
+func (b *Balancer) SetSlowStartShare(share float64) { b.budgetShare = share }
