--- /dev/null
+++ b/internal/testutil/logs.go
@@ -0,0 +1,82 @@
+package testutil
+
+import (
+	"bytes"
+	"log/slog"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// Logs is the log of a program under test. Its lines go to the test's own output, which
+// shows them only where the test fails.
+type Logs struct {
+	t testing.TB
+
+	mu      sync.Mutex
+	text    bytes.Buffer
+	changed chan struct{} // closed at the next line
+	over    bool          // the test has ended: t takes no more
+}
+
+// NewLogs makes a log that ends with the test.
+func NewLogs(t testing.TB) *Logs {
+	l := &Logs{t: t, changed: make(chan struct{})}
+	t.Cleanup(func() {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.over = true
+	})
+	return l
+}
+
+// Quiet is a logger for what would be thousands of lines.
+var Quiet = slog.New(slog.DiscardHandler)
+
+// Log gives a logger whose lines go to the test's own output.
+func Log(t testing.TB) *slog.Logger { return NewLogs(t).Logger() }
+
+// Logger gives the logger that writes to it.
+func (l *Logs) Logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
+
+// Write implements io.Writer.
+func (l *Logs) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.over {
+		l.t.Logf("%s", bytes.TrimRight(p, "\n"))
+	}
+	l.text.Write(p)
+	close(l.changed)
+	l.changed = make(chan struct{})
+	return len(p), nil
+}
+
+// String gives all lines so far.
+func (l *Logs) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.String()
+}
+
+// Wait waits until a text stands in the log, and gives the line.
+func (l *Logs) Wait(text string) string {
+	l.t.Helper()
+	timeout := time.After(Patience)
+	for {
+		l.mu.Lock()
+		all, changed := l.text.String(), l.changed
+		l.mu.Unlock()
+		for line := range strings.Lines(all) {
+			if strings.Contains(line, text) {
+				return line
+			}
+		}
+		select {
+		case <-changed:
+		case <-timeout:
+			l.t.Fatalf("%q never stands in the log:\n%s", text, all)
+		}
+	}
+}
