--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -22,7 +22,7 @@
 
 func newRig(t *testing.T, passed bool, boxes int, lines ...discovery.Instance) *rig {
 	t.Helper()
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	p, err := platform.New(platform.Options{
 		Command: command, Env: env, Passed: passed, MemoryMB: memoryMB, Sockets: 1024,
 		Servers: lines, Boxes: boxes, Work: 2 * time.Millisecond,
--- a/cmd/yokestall-node/former_test.go
+++ b/cmd/yokestall-node/former_test.go
@@ -34,7 +34,7 @@
 // version, over the real folder and the passed socket, with requests in flight: none is lost and none is sent
 // twice, the successor knows the endpoints' state, and operators' calls to the one are in force in the other.
 func TestUpgradeBetweenVersions(t *testing.T) {
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	present := program{command, env}
 	former := program{command: []string{testutil.BuildFormer(t, "cmd/yokestall-node")}}
 	t.Run("from the former to the present", func(t *testing.T) { upgradeBetween(t, former, present) })
@@ -122,7 +122,7 @@
 // untilAvoided waits until 300 requests in a row were served and none came to a box that fails.
 func (r *rig) untilAvoided(l *platform.Clients, box int) {
 	r.t.Helper()
-	for end := time.Now().Add(testutil.Patience); ; {
+	for end := time.Now().Add(testutil.WaitTimeout); ; {
 		before := r.Seen(box)
 		r.untilServed(l, 300)
 		if before >= breakerRun && r.Seen(box) == before {
--- a/cmd/yokestall-node/transfers_test.go
+++ b/cmd/yokestall-node/transfers_test.go
@@ -42,7 +42,7 @@
 		rate, _ := strconv.Atoi(q.Get("rate"))
 		if r.Method == http.MethodPost {
 			h := sha256.New()
-			if _, err := io.Copy(h, &testutil.Slow{Reader: r.Body, Rate: rate}); err != nil {
+			if _, err := io.Copy(h, &testutil.SlowReader{Reader: r.Body, Rate: rate}); err != nil {
 				return
 			}
 			io.WriteString(w, hex.EncodeToString(h.Sum(nil)))
@@ -51,7 +51,7 @@
 		if n%2 == 0 {
 			w.Header().Set("Content-Length", strconv.Itoa(size))
 		}
-		from := &testutil.Slow{Reader: &testutil.Pattern{Number: n, Size: size}, Rate: rate}
+		from := &testutil.SlowReader{Reader: &testutil.Pattern{Number: n, Size: size}, Rate: rate}
 		if q.Has("quarter") {
 			quarter, _ := strconv.Atoi(q.Get("quarter"))
 			io.CopyN(w, from, int64(quarter*size/4))
@@ -75,14 +75,15 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		nc.SetDeadline(time.Now().Add(10 * testutil.Patience))
+		nc.SetDeadline(time.Now().Add(10 * testutil.WaitTimeout))
 		start, body := "GET /read", ""
 		if upload {
 			start, body = "POST /pay", "Content-Length: "+strconv.Itoa(size)+"\r\n"
 		}
 		fmt.Fprintf(nc, "%s?%s HTTP/1.1\r\nHost: x\r\nX-Request-ID: t%d\r\nX-Timeout-Ms: 10000\r\n%s\r\n", start, target, n, body)
 		if upload {
-			if _, err := io.Copy(nc, &testutil.Slow{Reader: &testutil.Pattern{Number: n, Size: size}, Rate: rate}); err != nil {
+			content := &testutil.SlowReader{Reader: &testutil.Pattern{Number: n, Size: size}, Rate: rate}
+			if _, err := io.Copy(nc, content); err != nil {
 				nc.Close()
 				return nil, nil, err
 			}
@@ -110,7 +111,7 @@
 				return
 			}
 			h := sha256.New()
-			body := io.Reader(&testutil.Slow{Reader: resp.Body, Rate: rate})
+			body := io.Reader(&testutil.SlowReader{Reader: resp.Body, Rate: rate})
 			text := ""
 			if upload {
 				all, _ := io.ReadAll(body)
--- a/cmd/yokestall/fleet_test.go
+++ b/cmd/yokestall/fleet_test.go
@@ -40,7 +40,7 @@
 
 // playFleet plays it with real processes; each request has one outcome, and no rule is broken.
 func playFleet(t *testing.T, e *lab.Experiment) (o *lab.Outcome, void bool) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	dir := t.TempDir()
 	o, found, void, err := lab.Fleet(t.Context(), e, dir, itself, env)
 	if err != nil {
@@ -112,7 +112,7 @@
 	const out, heard = 1500 * time.Millisecond, 4 * time.Second
 	e.Day.Troubles = []fleetsim.Trouble{{From: out - e.Day.News, To: 4900 * time.Millisecond, First: 1, Last: 4, Drain: true}}
 	e.Faults = []fleet.Fault{{From: 500 * time.Millisecond, To: heard, Kind: fleet.Deaf, Nodes: []int{3}}}
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	_, found, void, err := lab.Fleet(t.Context(), e, t.TempDir(), itself, env)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/yokestall/kill_test.go
+++ b/cmd/yokestall/kill_test.go
@@ -56,7 +56,7 @@
 	list := "[cluster]\nname = \"rooms\"\n"
 	var boxes []*appbox.Box
 	for i := range 3 {
-		b := testutil.Box(t, fmt.Sprint("s-", i))
+		b := testutil.StartAppBox(t, fmt.Sprint("s-", i))
 		b.SetDelay(5 * time.Millisecond) // work, in which a kill may come
 		boxes = append(boxes, b)
 		list += fmt.Sprintf("[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\n", b.Name, b.Addr())
@@ -79,7 +79,7 @@
 		}
 	}
 	begin := func() *exec.Cmd {
-		itself, env := testutil.Itself()
+		itself, env := testutil.SelfCommand()
 		c := exec.Command(itself[0], "serve", "-c", filepath.Join(dir, "yokestall.toml"))
 		c.Env = append(os.Environ(), env...)
 		if err := c.Start(); err != nil {
--- a/cmd/yokestall/scale_test.go
+++ b/cmd/yokestall/scale_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	dir := t.TempDir()
 	f, err := scale.Play(t.Context(), plan, scale.Options{Dir: dir, Command: command, Env: env, Tell: t.Logf})
 	if err != nil {
@@ -89,7 +89,7 @@
 	if testing.Short() {
 		t.Skip("real time")
 	}
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	c := exec.Command(command[0], "lab", "scale", "testdata/scale.toml")
 	c.Env = append(append(os.Environ(), env...), "TMPDIR="+t.TempDir())
 	progress, err := c.StderrPipe()
@@ -166,7 +166,7 @@
 
 // The command refuses a file that is no plan by its line, and ends.
 func TestScaleRefusesBadFiles(t *testing.T) {
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	path := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(path, []byte("name = \"bad\"\nsizes = [3]\nnodes = 7\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -86,7 +86,7 @@
 }
 
 func playVersions(t *testing.T, v lab.Versions) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	dir := t.TempDir()
 	o, err := lab.PlayVersions(t.Context(), v, dir, itself, env)
 	if err != nil {
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(testutil.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	return nc
 }
 
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -151,7 +151,7 @@
 
 // A request with nothing but a path is served: the front gives it an id.
 func TestPlainRequest(t *testing.T) {
-	b := testutil.Box(t, "box-1")
+	b := testutil.StartAppBox(t, "box-1")
 	s := serve(t, snapshot(parse(t, program), rooms(at(b))))
 	status, _, body := s.get("/hotels", "")
 	if status != 200 || !strings.HasPrefix(body, "box-1 served ") {
@@ -165,7 +165,7 @@
 // A route to a cluster that nobody defines refuses its own requests and no others, and
 // heals when the cluster comes.
 func TestUndefinedCluster(t *testing.T) {
-	b := testutil.Box(t, "box-1")
+	b := testutil.StartAppBox(t, "box-1")
 	p := parse(t, program)
 	s := serve(t, snapshot(p, rooms(at(b))))
 	status, header, _ := s.get("/lost/x", "")
@@ -188,7 +188,7 @@
 // A cluster that is removed, or a route that moves, with requests open: what is out
 // finishes, new ones go where the version says.
 func TestClusterRemovedWhileOpen(t *testing.T) {
-	slow, other := testutil.Box(t, "slow"), testutil.Box(t, "other")
+	slow, other := testutil.StartAppBox(t, "slow"), testutil.StartAppBox(t, "other")
 	slow.SetDelay(300 * time.Millisecond)
 	p := parse(t, program)
 	s := serve(t, snapshot(p, rooms(at(slow))))
@@ -222,7 +222,7 @@
 
 // An endpoint under the same id at another address is another server at once.
 func TestEndpointMoves(t *testing.T) {
-	a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
+	a, b := testutil.StartAppBox(t, "a"), testutil.StartAppBox(t, "b")
 	p := parse(t, program)
 	at := func(b *appbox.Box) cluster.Endpoint { return cluster.Endpoint{ID: "same", Address: b.Addr()} }
 	s := serve(t, snapshot(p, rooms(at(a))))
@@ -240,7 +240,7 @@
 // A new endpoint at the address of one that has gone is another server, with nothing of
 // the former one's.
 func TestAddressReused(t *testing.T) {
-	b := testutil.Box(t, "b")
+	b := testutil.StartAppBox(t, "b")
 	log := &sends{names: map[uint64]string{}}
 	p := parse(t, program)
 	named := func(id string) *files.Snapshot {
@@ -263,7 +263,7 @@
 // A cluster's bounds: what is dropped by share or is more than may be open is refused at
 // once, with the time to come back, and reaches no server.
 func TestBounds(t *testing.T) {
-	b := testutil.Box(t, "b")
+	b := testutil.StartAppBox(t, "b")
 	p := parse(t, program)
 	held := func(bounds cluster.Limits) *files.Snapshot {
 		c := rooms(at(b))
@@ -303,7 +303,7 @@
 // A thousand versions, also such that start every cluster anew, leave no memory,
 // goroutine or descriptor behind.
 func TestThousandVersions(t *testing.T) {
-	b := testutil.Box(t, "box-1")
+	b := testutil.StartAppBox(t, "box-1")
 	p := parse(t, program)
 	other := parse(t, strings.Replace(program, "attempts = 3", "attempts = 2", 1))
 	s := serve(t, snapshot(p, rooms(at(b))))
@@ -359,9 +359,9 @@
 	const boxes, grace = 6, 500 * time.Millisecond
 	var all []*appbox.Box
 	for i := range boxes {
-		all = append(all, testutil.Box(t, fmt.Sprintf("box-%d", i)))
+		all = append(all, testutil.StartAppBox(t, fmt.Sprintf("box-%d", i)))
 	}
-	bait := testutil.Box(t, "bait") // in no complete, valid version
+	bait := testutil.StartAppBox(t, "bait") // in no complete, valid version
 	root := t.TempDir()
 	path, dir := filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
 	if err := os.Mkdir(dir, 0o755); err != nil {
@@ -394,7 +394,7 @@
 		t.Fatal(err)
 	}
 	swap(text(all, ""))
-	watcher, first, err := files.Open(path, testutil.Quiet) // thousands of lines
+	watcher, first, err := files.Open(path, testutil.DiscardLogger) // thousands of lines
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -403,7 +403,7 @@
 		e := at(b)
 		log.names[e.Key()] = b.Name
 	}
-	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Quiet, OnSend: log.note})
+	s := serveWith(t, first, Options{Seed: 1, Log: testutil.DiscardLogger, OnSend: log.note})
 	var inForce spans
 	members := func(v *cluster.Version) (ids []string) {
 		for _, e := range v.Clusters["rooms"].Endpoints {
@@ -518,7 +518,7 @@
 				return snapshot(p, rooms(list...))
 			}
 			two := []*files.Snapshot{version(1), version(2)}
-			a, err := New(two[0], Options{Seed: 1, Log: testutil.Quiet})
+			a, err := New(two[0], Options{Seed: 1, Log: testutil.DiscardLogger})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/app/bounds_test.go
+++ b/internal/app/bounds_test.go
@@ -51,10 +51,10 @@
 	if err != nil {
 		t.Skip("openssl is not installed")
 	}
-	b := testutil.Box(t, "b")
+	b := testutil.StartAppBox(t, "b")
 	keys, authority := matrixKeys(t)
 	c := newCellTo(t, webpeer.Wire{TLS: true}, webpeer.Wire{}, keys, authority, config.Listener{}, b.Addr())
-	ctx, cancel := context.WithTimeout(t.Context(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, openssl, "s_client", "-connect", c.addr, "-tls1_2")
 	in, err := cmd.StdinPipe()
--- a/internal/app/dedup_test.go
+++ b/internal/app/dedup_test.go
@@ -159,14 +159,14 @@
 func TestRepeatOverHTTP(t *testing.T) {
 	box := cluster.Endpoint{ID: "s-0", Address: testutil.NewBackend(t, testutil.OK).Addr()}
 	s := serve(t, snapshot(parse(t, strings.Replace(pushes, "ENTRIES", "10", 1)), rooms(box)))
-	status, header, first := s.push("k", "x", testutil.Patience)
+	status, header, first := s.push("k", "x", testutil.WaitTimeout)
 	if status != http.StatusOK || header.Get(replay.ReplayedHeader) != "" {
 		t.Fatalf("status %d, %s", status, header)
 	}
-	if status, header, text := s.push("k", "x", testutil.Patience); status != http.StatusOK || header.Get(replay.ReplayedHeader) != "true" || text != first {
+	if status, header, text := s.push("k", "x", testutil.WaitTimeout); status != http.StatusOK || header.Get(replay.ReplayedHeader) != "true" || text != first {
 		t.Errorf("again: status %d, %s, %q", status, header, text)
 	}
-	if status, _, _ := s.push("k", "y", testutil.Patience); status != http.StatusUnprocessableEntity {
+	if status, _, _ := s.push("k", "y", testutil.WaitTimeout); status != http.StatusUnprocessableEntity {
 		t.Errorf("another body: status %d", status)
 	}
 }
@@ -202,11 +202,11 @@
 			close(answer)
 			if late == "true" {
 				testutil.Until(t, "the late answer", func() bool {
-					status, _, body = s.push("k", "x", testutil.Patience)
+					status, _, body = s.push("k", "x", testutil.WaitTimeout)
 					return status == http.StatusOK
 				})
 			} else {
-				status, _, body = s.push("k", "x", testutil.Patience)
+				status, _, body = s.push("k", "x", testutil.WaitTimeout)
 			}
 			if status != want || want == http.StatusOK && body != "done at last" || runs.Load() != 1 {
 				t.Errorf("status %d, %q, %d runs; want status %d", status, body, runs.Load(), want)
@@ -227,7 +227,7 @@
 	for i, want := range []int{http.StatusOK, http.StatusConflict} {
 		t.Run(strconv.Itoa(i), func(t *testing.T) {
 			s := serveWith(t, snapshot(parse(t, text), rooms(box)), Options{Seed: 1, Log: testutil.Log(t), Path: folder + "/yokestall.toml"})
-			if status, _, _ := s.push("k", "x", testutil.Patience); status != want {
+			if status, _, _ := s.push("k", "x", testutil.WaitTimeout); status != want {
 				t.Errorf("status %d, want %d", status, want)
 			}
 		})
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -133,7 +133,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testutil.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(nc, text)
 		nc.(*net.TCPConn).CloseWrite()
 		answer, _ := io.ReadAll(nc)
@@ -218,7 +218,7 @@
 	if _, _, err := c.ask("GET", "/x", "", nil, 0); err != nil { // opens the connection
 		t.Fatal(err)
 	}
-	testutil.Wait(t, b.Got, "the first")
+	testutil.Wait(t, b.Requests, "the first")
 	var run sync.WaitGroup
 	var whole atomic.Int64
 	for range streams {
@@ -231,7 +231,7 @@
 			}
 		})
 	}
-	testutil.Wait(t, b.Got, "the first to be out")
+	testutil.Wait(t, b.Requests, "the first to be out")
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.listeners.Close() }()
 	testutil.Until(t, "the listener to be gone", func() bool {
@@ -245,7 +245,7 @@
 	run.Wait()
 	testutil.Wait(t, ended, "the end")
 	// Some came too late, behind the GOAWAY: they were not taken. What was taken is answered.
-	if n := int64(len(b.Got)) + 1; whole.Load() < n {
+	if n := int64(len(b.Requests)) + 1; whole.Load() < n {
 		t.Errorf("%d reached the server, %d whole answers came back", n, whole.Load())
 	}
 	if _, _, err := c.ask("GET", "/x", "", nil, 0); err == nil {
@@ -267,7 +267,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testutil.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		nc.Write(text)
 		nc.(*net.TCPConn).CloseWrite()
 		io.Copy(io.Discard, nc)
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -93,12 +93,12 @@
 	}
 	given := rooms(list...)
 	given.Transport.HTTP2 = back.HTTP2
-	given.Limits.ConnectTimeout = testutil.Patience
+	given.Limits.ConnectTimeout = testutil.WaitTimeout
 	if back.TLS {
 		given.Transport.TLS = &cluster.TLS{Roots: "ca", ServerName: "peer.test"}
 	}
 	p := parse(t, matrixProgram)
-	logs := testutil.Quiet // a fuzz target has no log of its own
+	logs := testutil.DiscardLogger // a fuzz target has no log of its own
 	if _, fuzz := t.(*testing.F); !fuzz {
 		logs = testutil.Log(t)
 	}
@@ -118,12 +118,12 @@
 	c.addr = c.listeners.Addr("").String()
 	c.url = scheme + "://" + c.addr
 	transport := &http.Transport{
-		Protocols: front.Protocols(), MaxIdleConnsPerHost: 16, DisableCompression: true, ExpectContinueTimeout: testutil.Patience,
+		Protocols: front.Protocols(), MaxIdleConnsPerHost: 16, DisableCompression: true, ExpectContinueTimeout: testutil.WaitTimeout,
 	}
 	if authority != nil {
 		transport.TLSClientConfig = &tls.Config{RootCAs: authority.Pool(), ServerName: "front.test"}
 	}
-	c.client = &http.Client{Timeout: testutil.Patience, Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	c.client = &http.Client{Timeout: testutil.WaitTimeout, Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	t.Cleanup(func() {
 		transport.CloseIdleConnections()
 		c.listeners.Close()
@@ -431,7 +431,7 @@
 			c.ask("POST", "/pay/x", "", from, 1<<20)
 		}()
 		to.Write(webpeer.Pattern(200_000))
-		for end := time.Now().Add(testutil.Patience); c.peer.Begun.Load() == begun; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testutil.WaitTimeout); c.peer.Begun.Load() == begun; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				return errors.New("the server never saw the upload begin")
 			}
--- a/internal/app/stop_test.go
+++ b/internal/app/stop_test.go
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		nc.SetDeadline(time.Now().Add(testutil.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		clients = append(clients, nc)
 	}
 	stop()
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -34,7 +34,7 @@
 		started <- struct{}{}
 		<-r.Context().Done()
 	})
-	other := testutil.Box(t, "other")
+	other := testutil.StartAppBox(t, "other")
 	bounds := func(text string) *config.Program {
 		return parse(t, strings.Replace(program, "effect = \"safe\"\n", "effect = \"safe\"\n"+text, 1))
 	}
@@ -118,8 +118,8 @@
 		}
 		over <- err
 	}()
-	testutil.Wait(t, b.Got, "the request")
-	err := s.app.Apply(snapshot(p, rooms(at(testutil.Box(t, "other")))))
+	testutil.Wait(t, b.Requests, "the request")
+	err := s.app.Apply(snapshot(p, rooms(at(testutil.StartAppBox(t, "other")))))
 	close(let)
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 
 // A client that floods a connection over HTTP/2 is told so and loses it; one beside it is served.
 func TestFloodsEndConnections(t *testing.T) {
-	b := testutil.Box(t, "b")
+	b := testutil.StartAppBox(t, "b")
 	for _, tc := range []struct {
 		name string
 		send func(f *http2.Framer, i int) error
@@ -206,7 +206,7 @@
 		<-hold
 		w.Write(bytes.Repeat([]byte("x"), 1000))
 	})
-	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, Drain: testutil.Patience}, b.Addr())
+	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, Drain: testutil.WaitTimeout}, b.Addr())
 	nc, f, err := rawpeer.OpenHTTP2(c.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -215,7 +215,7 @@
 	f.WriteSettingsAck()
 	f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, EndHeaders: true, EndStream: true,
 		BlockFragment: rawpeer.Fields(":method", "GET", ":scheme", "http", ":authority", "a", ":path", "/x")})
-	testutil.Wait(t, b.Got, "the request")
+	testutil.Wait(t, b.Requests, "the request")
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.listeners.Close() }()
 	var moved, whole bool
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -163,7 +163,7 @@
 func TestXDSLife(t *testing.T) {
 	for _, variant := range bothVariants {
 		t.Run(variant, func(t *testing.T) {
-			a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
+			a, b := testutil.StartAppBox(t, "a"), testutil.StartAppBox(t, "b")
 			p := startPlane(t)
 			p.Down()
 			keep := filepath.Join(t.TempDir(), "kept")
@@ -270,7 +270,7 @@
 // All of a priority unhealthy: the next one serves; all at all priorities: refused at once,
 // with the time to come back.
 func TestXDSFailover(t *testing.T) {
-	a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
+	a, b := testutil.StartAppBox(t, "a"), testutil.StartAppBox(t, "b")
 	p := startPlane(t)
 	set(t, p, map[string]proto.Message{"ingress": ingressRoutes(t), "main": mainRoutes(toCluster("/", "rooms", "read")), "rooms": edsCluster("rooms")})
 	both := func(first, second corev3.HealthStatus) {
@@ -380,7 +380,7 @@
 			var all []*appbox.Box
 			log := &sends{names: map[uint64]string{}}
 			for i := range boxes {
-				b := testutil.Box(t, fmt.Sprintf("box-%d", i))
+				b := testutil.StartAppBox(t, fmt.Sprintf("box-%d", i))
 				e := at(b)
 				e.ID = e.Address
 				log.names[e.Key()] = b.Addr()
@@ -393,7 +393,7 @@
 			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, all)})
 			var inForce spans
 			deliveries := 0
-			s, _ := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet, OnSend: log.note}, nil, func(d *xds.Delivery) {
+			s, _ := follow(t, xdsProgram(t, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.DiscardLogger, OnSend: log.note}, nil, func(d *xds.Delivery) {
 				deliveries++
 				if c := d.View.Clusters()["rooms"]; c != nil {
 					var ids []string
@@ -482,7 +482,8 @@
 				took := make(chan time.Duration, 1000)
 				ready := make(chan struct{})
 				var once sync.Once
-				follow(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet}, nil, func(d *xds.Delivery) {
+				options := Options{Seed: 1, Log: testutil.DiscardLogger}
+				follow(b, xdsProgram(b, p.Addr(), variant, ""), options, nil, func(d *xds.Delivery) {
 					if d.Full {
 						if len(d.View.Clusters()) == n/100 {
 							once.Do(func() { close(ready) })
--- a/internal/compare/sides_test.go
+++ b/internal/compare/sides_test.go
@@ -31,7 +31,7 @@
 	if err := authority.Write(folder, "side", tlsServerName); err != nil {
 		b.Fatal(err)
 	}
-	keys, err := tlskeys.Open(folder, "", testutil.Quiet)
+	keys, err := tlskeys.Open(folder, "", testutil.DiscardLogger)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/demo/maintenance_test.go
+++ b/internal/demo/maintenance_test.go
@@ -23,7 +23,7 @@
 // No rule is broken while a node is maintained.
 func TestMaintenance(t *testing.T) {
 	var out bytes.Buffer
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	violations, err := Maintenance(t.Context(), MaintenanceOptions{
 		Out: &out, NodeCommand: command, NodeEnv: env, Clients: 6, Phase: 400 * time.Millisecond,
 	})
--- a/internal/demo/rules_test.go
+++ b/internal/demo/rules_test.go
@@ -13,7 +13,7 @@
 // Each rule that is broken is found.
 func TestCheckRulesFindsViolations(t *testing.T) {
 	d := newDemo(Options{Out: &bytes.Buffer{}})
-	box := testutil.Box(t, "box-1")
+	box := testutil.StartAppBox(t, "box-1")
 	d.endpoints = []*appbox.Box{box}
 	drainedAt := time.Now()
 	d.drainedAt[box.Name] = drainedAt
--- a/internal/demo/run_test.go
+++ b/internal/demo/run_test.go
@@ -19,7 +19,7 @@
 			r, err := Run(t.Context(), Options{
 				Out: &out, Log: testutil.Log(t), Endpoints: 4, Clients: 6, Phase: 300 * time.Millisecond,
 				XDS: name == "xds", TLS: name == "tls", ExtProc: name == "extproc",
-				LatenessTolerance: testutil.Patience, // the engine's tests check deadlines, on its own clock
+				LatenessTolerance: testutil.WaitTimeout, // the engine's tests check deadlines, on its own clock
 			})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/downstream/extproc/idempotency_test.go
+++ b/internal/downstream/extproc/idempotency_test.go
@@ -64,7 +64,7 @@
 			first := make(chan proxy.Result, 1)
 			go func() { first <- p.Do(t.Context(), a) }()
 			if tc.when != "refused" {
-				testutil.Wait(t, b.Got, "the first at its server")
+				testutil.Wait(t, b.Requests, "the first at its server")
 			}
 			if tc.when != "open" {
 				let()
@@ -99,7 +99,7 @@
 			case tc.code == 200 && (string(two.Body) != "done one" || two.Header.Get("Idempotent-Replayed") != "true"):
 				t.Errorf("the second: %+v %q", two, two.Body)
 			}
-			if n := len(b.Got); tc.code != 0 && n > 0 {
+			if n := len(b.Requests); tc.code != 0 && n > 0 {
 				t.Errorf("%d more reached the server", n)
 			}
 			if tc.when == "open" {
--- a/internal/downstream/extproc/requestbody_test.go
+++ b/internal/downstream/extproc/requestbody_test.go
@@ -34,7 +34,7 @@
 			for _, way := range []string{"", "/pick"} {
 				a := proxy.Ask{
 					Method: "POST", Path: way + "/x?q=1", Body: bytes.Repeat([]byte("b"), n),
-					Timeout: testutil.Patience, Header: http.Header{"X-Own": {"mine"}},
+					Timeout: testutil.WaitTimeout, Header: http.Header{"X-Own": {"mine"}},
 				}
 				out := p.Do(t.Context(), a)
 				bypassing := mode == filterv3.ProcessingMode_NONE || mode == filterv3.ProcessingMode_STREAMED
--- a/internal/downstream/extproc/response_test.go
+++ b/internal/downstream/extproc/response_test.go
@@ -34,7 +34,7 @@
 		{"/x", filterv3.ProcessingMode_BUFFERED, 502, false},
 	} {
 		p := &proxy.Proxy{Conn: r.conn, Mode: tc.mode}
-		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: tc.path, Timeout: testutil.Patience})
+		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: tc.path, Timeout: testutil.WaitTimeout})
 		p.Close()
 		complete := len(out.Body) == 3_000_000
 		if out.Status != tc.status || out.Broken != tc.broken || !tc.broken && tc.status == 200 && !complete {
--- a/internal/downstream/extproc/rig_test.go
+++ b/internal/downstream/extproc/rig_test.go
@@ -135,7 +135,7 @@
 // boxes starts n endpoints.
 func boxes(t testing.TB, n int) (list []*appbox.Box, addrs []string) {
 	for i := range n {
-		b := testutil.Box(t, fmt.Sprintf("box-%d", i))
+		b := testutil.StartAppBox(t, fmt.Sprintf("box-%d", i))
 		list, addrs = append(list, b), append(addrs, b.Addr())
 	}
 	return list, addrs
--- a/internal/downstream/extproc/serve_test.go
+++ b/internal/downstream/extproc/serve_test.go
@@ -56,9 +56,9 @@
 	defer p.Close()
 	got := make(chan proxy.Result, 2)
 	for _, path := range []string{"/pay/x", "/pick/pay/x"} {
-		go func() { got <- p.Do(t.Context(), proxy.Ask{Method: "GET", Path: path, Timeout: testutil.Patience}) }()
+		go func() { got <- p.Do(t.Context(), proxy.Ask{Method: "GET", Path: path, Timeout: testutil.WaitTimeout}) }()
 		if path == "/pay/x" {
-			testutil.Wait(t, b.Got, "the request at its server")
+			testutil.Wait(t, b.Requests, "the request at its server")
 		}
 	}
 	testutil.Until(t, "both to be open", func() bool {
@@ -103,7 +103,7 @@
 		}
 		r := startWith(t, keys, credentials.NewTLS(set), addrs, change...)
 		p := &proxy.Proxy{Conn: r.conn}
-		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/x", Timeout: testutil.Patience})
+		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/x", Timeout: testutil.WaitTimeout})
 		p.Close()
 		if shows != (out.Status == 200) {
 			t.Errorf("a certificate shown %v: %+v", shows, out)
--- a/internal/downstream/extproc/stream_test.go
+++ b/internal/downstream/extproc/stream_test.go
@@ -113,7 +113,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			list, addrs := boxes(t, 1)
-			list[0].SetDelay(testutil.Patience)
+			list[0].SetDelay(testutil.WaitTimeout)
 			if strings.HasPrefix(tc.name, "before") {
 				addrs = nil // nothing can be decided: the request is held
 			}
@@ -167,7 +167,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ctx, cancel := context.WithTimeout(t.Context(), testutil.Patience)
+			ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 			if name == "the call's" {
 				cancel()
 				ctx, cancel = context.WithTimeout(t.Context(), 60*time.Millisecond)
@@ -218,10 +218,10 @@
 	// Buffered bodies: the second of two large ones finds no capacity, and capacity comes back.
 	bodies := &proxy.Proxy{Conn: r.conn, Mode: filterv3.ProcessingMode_BUFFERED}
 	defer bodies.Close()
-	large := proxy.Ask{Method: "POST", Path: "/held", Body: make([]byte, 700_000), Timeout: testutil.Patience}
+	large := proxy.Ask{Method: "POST", Path: "/held", Body: make([]byte, 700_000), Timeout: testutil.WaitTimeout}
 	got := make(chan proxy.Result, 1)
 	go func() { got <- bodies.Do(t.Context(), large) }()
-	testutil.Wait(t, b.Got, "the first body at its server")
+	testutil.Wait(t, b.Requests, "the first body at its server")
 	if out := bodies.Do(t.Context(), large); out.Status != 503 || out.Header.Get("Retry-After") == "" {
 		t.Errorf("over the bytes that may be held: %+v", out)
 	}
@@ -233,15 +233,15 @@
 	if out := bodies.Do(t.Context(), large); out.Status != 200 {
 		t.Errorf("once there is room again: %+v", out)
 	}
-	testutil.Wait(t, b.Got, "it")
+	testutil.Wait(t, b.Requests, "it")
 	ctx, cancel := context.WithCancel(t.Context())
 	slow := r.open(ctx)
 	slow.Send(head(true, "/large"))
-	testutil.Wait(t, b.Got, "the large answer to be asked for")
+	testutil.Wait(t, b.Requests, "the large answer to be asked for")
 	p := &proxy.Proxy{Conn: r.conn}
 	defer p.Close()
 	for range 20 {
-		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/x", Timeout: testutil.Patience})
+		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/x", Timeout: testutil.WaitTimeout})
 		if out.Status != 200 {
 			t.Errorf("beside a slow reader: %+v", out)
 		}
--- a/internal/downstream/h1server/clientconns_test.go
+++ b/internal/downstream/h1server/clientconns_test.go
@@ -25,7 +25,7 @@
 }
 
 func (h *gatedCluster) Route(*http.Request) (ingress.Destination, error) {
-	return ingress.Destination{Cluster: h, Deadline: testutil.Patience, MaxRetryAfter: 600 * time.Millisecond}, nil
+	return ingress.Destination{Cluster: h, Deadline: testutil.WaitTimeout, MaxRetryAfter: 600 * time.Millisecond}, nil
 }
 
 func (h *gatedCluster) Do(context.Context, *engine.Request) (engine.Answer, error) {
@@ -53,7 +53,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(testutil.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
 		return nc
 	}
@@ -230,7 +230,7 @@
 					t.Fatal(err)
 				}
 				defer nc.Close()
-				nc.SetDeadline(time.Now().Add(testutil.Patience))
+				nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 				in := bufio.NewReader(nc)
 				ask := func(id string) {
 					fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nX-Timeout-Ms: 5000\r\n\r\n", id)
--- a/internal/downstream/h1server/disconnect_test.go
+++ b/internal/downstream/h1server/disconnect_test.go
@@ -66,7 +66,7 @@
 		srv.Close()
 		<-served
 	}()
-	waits.SetReadDeadline(time.Now().Add(testutil.Patience))
+	waits.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 	if _, err := io.ReadFull(waits, make([]byte, 12)); err != nil { // it came last, and was taken last
 		t.Fatal("one that waits:", err)
 	}
@@ -208,7 +208,7 @@
 	})
 	close(release)
 	for _, nc := range conns {
-		nc.SetReadDeadline(time.Now().Add(testutil.Patience))
+		nc.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 		text, err := io.ReadAll(nc)
 		if n := strings.Count(string(text), "HTTP/1.1 503"); n != behind+1 || err != nil {
 			t.Errorf("%d answers, %v", n, err)
@@ -259,7 +259,7 @@
 			}))
 			f.conns.readAheadBytes.Add(others)
 			testutil.Wait(t, came, "the request")
-			nc.SetDeadline(time.Now().Add(testutil.Patience))
+			nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 			if n, err := io.WriteString(nc, flood); err != nil { // more than the sockets hold
 				t.Fatalf("the flood was not read behind %d bytes: %v", n, err)
 			}
@@ -323,7 +323,7 @@
 	silent := dial("")
 	testutil.Until(t, "both to be there", func() bool { return f.Connections() == 2 })
 	f.CloseIdleConnections()
-	silent.SetReadDeadline(time.Now().Add(testutil.Patience))
+	silent.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the silent one: %v", err)
 	}
--- a/internal/downstream/h1server/lateconnect_test.go
+++ b/internal/downstream/h1server/lateconnect_test.go
@@ -39,7 +39,7 @@
 			set := policy.Defaults()
 			set.Limits.AllowCancel = true
 			set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-			pool := h1client.New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: 2 * testutil.Patience, MaxConnections: 4})
+			pool := h1client.New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: 2 * testutil.WaitTimeout, MaxConnections: 4})
 			pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: l.Addr().String()}})
 			clock := engine.NewClock()
 			cluster, err := engine.New(t.Context(), set, pool, engine.Options{Seed: 1, Clock: clock})
--- a/internal/downstream/h2server/disconnect_test.go
+++ b/internal/downstream/h2server/disconnect_test.go
@@ -45,7 +45,7 @@
 		f := h1server.New(h, h1server.Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t)})
 		l := testutil.Listen(t)
 		srv := f.HTTPServer()
-		h2server.Attach(srv, h2server.Options{MaxStreams: 10, StallTimeout: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
+		h2server.Attach(srv, h2server.Options{MaxStreams: 10, StallTimeout: testutil.WaitTimeout, Clock: clock, Log: testutil.Log(t)})
 		served := make(chan error, 1)
 		go func() { served <- f.Serve(srv, f.Listener(l)) }()
 		var nc net.Conn
--- a/internal/downstream/h2server/flood_test.go
+++ b/internal/downstream/h2server/flood_test.go
@@ -47,7 +47,7 @@
 	f := h1server.New(to, h1server.Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 64, New: 64}, Log: testutil.Log(t)})
 	l := testutil.Listen(t)
 	srv := f.HTTPServer()
-	h2server.Attach(srv, h2server.Options{MaxStreams: 200, StallTimeout: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
+	h2server.Attach(srv, h2server.Options{MaxStreams: 200, StallTimeout: testutil.WaitTimeout, Clock: clock, Log: testutil.Log(t)})
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(srv, f.Listener(l)) }()
 	t.Cleanup(func() {
@@ -136,7 +136,7 @@
 	set := policy.Defaults()
 	set.Limits.AllowCancel = true
 	set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-	pool := h1client.New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 16})
+	pool := h1client.New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 16})
 	pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: b.Addr()}})
 	clock := engine.NewClock()
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/engine/answers_test.go
+++ b/internal/engine/answers_test.go
@@ -64,7 +64,7 @@
 			ctx, disconnect := context.WithCancel(t.Context())
 			defer disconnect()
 			go func() { <-sent; end(c, disconnect) }()
-			if a, err := c.Do(ctx, c.request(notIdempotent, testutil.Patience)); err == nil && a.Verdict == Served {
+			if a, err := c.Do(ctx, c.request(notIdempotent, testutil.WaitTimeout)); err == nil && a.Verdict == Served {
 				t.Errorf("%+v", a)
 			}
 			close(answered)
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -52,7 +52,7 @@
 				b.SetParallelism(at)
 				if at == 1 {
 					for b.Loop() {
-						if a, err := c.Do(b.Context(), c.request(idempotent, testutil.Patience)); err != nil || a.Verdict != Served {
+						if a, err := c.Do(b.Context(), c.request(idempotent, testutil.WaitTimeout)); err != nil || a.Verdict != Served {
 							b.Fatalf("%+v, %v", a, err)
 						}
 					}
@@ -60,7 +60,7 @@
 				}
 				b.RunParallel(func(pb *testing.PB) {
 					for pb.Next() {
-						c.Do(b.Context(), c.request(idempotent, testutil.Patience))
+						c.Do(b.Context(), c.request(idempotent, testutil.WaitTimeout))
 					}
 				})
 			})
--- a/internal/engine/cluster_test.go
+++ b/internal/engine/cluster_test.go
@@ -27,12 +27,12 @@
 	}), 1)
 	answered := make(chan Answer, 1)
 	go func() {
-		a, _ := c.Do(t.Context(), c.request(idempotent, testutil.Patience))
+		a, _ := c.Do(t.Context(), c.request(idempotent, testutil.WaitTimeout))
 		answered <- a
 	}()
 	<-sent
 	c.Retire()
-	if _, err := c.Do(t.Context(), c.request(idempotent, testutil.Patience)); !errors.Is(err, ErrRetired) {
+	if _, err := c.Do(t.Context(), c.request(idempotent, testutil.WaitTimeout)); !errors.Is(err, ErrRetired) {
 		t.Errorf("a new request gets %v", err)
 	}
 	select {
@@ -52,7 +52,7 @@
 	c := start(t, exchange(served), 1)
 	c.Retire()
 	<-c.Ended()
-	if _, err := c.Do(t.Context(), c.request(idempotent, testutil.Patience)); !errors.Is(err, ErrRetired) {
+	if _, err := c.Do(t.Context(), c.request(idempotent, testutil.WaitTimeout)); !errors.Is(err, ErrRetired) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -67,7 +67,7 @@
 		return Result{Status: policy.Reset}
 	}), 1)
 	go func() { <-sent; c.Abort() }()
-	if a, err := c.Do(t.Context(), c.request(idempotent, testutil.Patience)); err != nil || a.Verdict != Failed {
+	if a, err := c.Do(t.Context(), c.request(idempotent, testutil.WaitTimeout)); err != nil || a.Verdict != Failed {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
@@ -94,7 +94,7 @@
 		ch := make(chan Answer, 1)
 		answers[payload] = ch
 		go func() {
-			r := c.request(notIdempotent, testutil.Patience)
+			r := c.request(notIdempotent, testutil.WaitTimeout)
 			r.Payload = payload
 			a, err := c.Do(t.Context(), r)
 			if err != nil {
@@ -137,7 +137,7 @@
 		return Result{Status: policy.Reset}
 	}), 1)
 	go func() { <-sent; c.cancel() }()
-	if a, err := c.Do(t.Context(), c.request(notIdempotent, testutil.Patience)); err != nil || a.Verdict != Failed {
+	if a, err := c.Do(t.Context(), c.request(notIdempotent, testutil.WaitTimeout)); err != nil || a.Verdict != Failed {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
--- a/internal/engine/dedupwindow_test.go
+++ b/internal/engine/dedupwindow_test.go
@@ -33,7 +33,7 @@
 				attempts <- call.BeginSend()
 				return Result{Status: policy.ErrorResponse}
 			}), 1, 2)
-			go c.Do(t.Context(), c.request(idempotentByKey, testutil.Patience))
+			go c.Do(t.Context(), c.request(idempotentByKey, testutil.WaitTimeout))
 			if !testutil.Wait(t, attempts, "the first attempt") {
 				t.Fatal("the first attempt was not sent")
 			}
@@ -58,7 +58,7 @@
 			}
 			return Result{Status: policy.ErrorResponse}
 		}), 1, 2)
-		go c.Do(t.Context(), c.request(idempotentByKey, testutil.Patience))
+		go c.Do(t.Context(), c.request(idempotentByKey, testutil.WaitTimeout))
 		if !testutil.Wait(t, attempts, "the first attempt") {
 			t.Fatal("the first attempt was not sent")
 		}
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -17,7 +17,7 @@
 		began <- call.BeginSend()
 		return Result{Status: policy.NeverSent}
 	}), 1)
-	go c.Do(t.Context(), c.request(notIdempotent, testutil.Patience))
+	go c.Do(t.Context(), c.request(notIdempotent, testutil.WaitTimeout))
 	<-waiting
 	delivered := c.clock.Now() - DefaultDrainSendGrace
 	c.UpdateEndpointsAt(delivered, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
@@ -32,7 +32,7 @@
 	c := start(t, exchange(served), 1, 2)
 	c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	for range 20 {
-		if a, err := c.Do(t.Context(), c.request(idempotent, testutil.Patience)); err != nil || a.Verdict != Served {
+		if a, err := c.Do(t.Context(), c.request(idempotent, testutil.WaitTimeout)); err != nil || a.Verdict != Served {
 			t.Fatalf("%+v, %v", a, err)
 		}
 	}
--- a/internal/engine/requests_test.go
+++ b/internal/engine/requests_test.go
@@ -13,7 +13,7 @@
 // A request is answered with what its exchange returned.
 func TestServed(t *testing.T) {
 	c := start(t, exchange(served), 1, 2)
-	a, err := c.Do(t.Context(), c.request(idempotent, testutil.Patience))
+	a, err := c.Do(t.Context(), c.request(idempotent, testutil.WaitTimeout))
 	if err != nil || a.Verdict != Served || a.Value != "x" {
 		t.Errorf("%+v, %v", a, err)
 	}
@@ -32,7 +32,7 @@
 	began := time.Now()
 	a, err := c.Do(t.Context(), c.request(notIdempotent, 100*time.Millisecond))
 	took := time.Since(began)
-	if err != nil || a.Verdict == Served || took < 90*time.Millisecond || took > testutil.Patience {
+	if err != nil || a.Verdict == Served || took < 90*time.Millisecond || took > testutil.WaitTimeout {
 		t.Errorf("%+v, %v after %v", a, err, took)
 	}
 	<-ended
@@ -50,7 +50,7 @@
 	}), 1)
 	ctx, disconnect := context.WithCancel(t.Context())
 	go func() { <-sent; disconnect() }()
-	if _, err := c.Do(ctx, c.request(idempotent, testutil.Patience)); !errors.Is(err, ErrClientDisconnected) {
+	if _, err := c.Do(ctx, c.request(idempotent, testutil.WaitTimeout)); !errors.Is(err, ErrClientDisconnected) {
 		t.Errorf("error %v", err)
 	}
 	<-ended
--- a/internal/engine/sendgate_test.go
+++ b/internal/engine/sendgate_test.go
@@ -34,7 +34,7 @@
 				began <- call.BeginSend()
 				return Result{Status: policy.NeverSent}
 			}), 1)
-			go c.Do(t.Context(), c.request(notIdempotent, testutil.Patience))
+			go c.Do(t.Context(), c.request(notIdempotent, testutil.WaitTimeout))
 			call := <-waiting
 			c.UpdateEndpoints(update.kind, update.endpoints)
 			if _, draining := call.drain.since(); !draining {
@@ -59,7 +59,7 @@
 		began <- call.BeginSend()
 		return Result{Status: policy.NeverSent}
 	}), Options{DrainSendGrace: grace}, 1)
-	go c.Do(t.Context(), c.request(notIdempotent, testutil.Patience))
+	go c.Do(t.Context(), c.request(notIdempotent, testutil.WaitTimeout))
 	<-waiting
 	c.UpdateEndpointsAt(c.clock.Now()-grace-1, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	close(connected)
@@ -79,7 +79,7 @@
 			began <- call.BeginSendUnlessDraining(0)
 			return Result{Status: policy.NeverSent, Final: true}
 		}), 1)
-		go c.Do(t.Context(), c.request(notIdempotent, testutil.Patience))
+		go c.Do(t.Context(), c.request(notIdempotent, testutil.WaitTimeout))
 		testutil.Wait(t, waiting, "the attempt")
 		if drains {
 			c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
@@ -119,7 +119,7 @@
 		attempts <- begin(call)
 		return Result{Status: policy.ErrorResponse}
 	}), 1, 2, 3)
-	r := c.request(idempotent, testutil.Patience)
+	r := c.request(idempotent, testutil.WaitTimeout)
 	r.ClientDisconnected = disconnected.Load
 	ctx, disconnect := context.WithCancel(t.Context())
 	over := make(chan struct{})
--- a/internal/fake/fleet/fleet_test.go
+++ b/internal/fake/fleet/fleet_test.go
@@ -121,7 +121,7 @@
 
 // Processes are killed, emptied and stopped as the script says, and all run again when it is over.
 func TestScriptOfProcesses(t *testing.T) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	rig, err := NewRig(t.TempDir(), 3, nil, itself, env)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fake/fleet/parent_linux_test.go
+++ b/internal/fake/fleet/parent_linux_test.go
@@ -12,7 +12,7 @@
 
 // A process does not outlive the program that started it, even if that is killed.
 func TestEndsWithParent(t *testing.T) {
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	cmd := exec.Command(command[0], asParent, t.TempDir())
 	cmd.Env = append(os.Environ(), env...)
 	if _, err := cmd.StdinPipe(); err != nil { // kept open: it waits on it
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -190,7 +190,7 @@
 }
 
 func (g *group) patience() context.Context {
-	ctx, stop := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, stop := context.WithTimeout(context.Background(), testutil.WaitTimeout)
 	g.t.Cleanup(stop)
 	return ctx
 }
@@ -450,7 +450,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, stop := context.WithTimeout(context.Background(), testutil.Patience)
+		ctx, stop := context.WithTimeout(context.Background(), testutil.WaitTimeout)
 		if _, err := c.Status(ctx); status.Code(err) != tc.want {
 			t.Errorf("%s: %v", tc.what, err)
 		}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -209,7 +209,7 @@
 		t.Errorf("%d asked, %d answered, %v (void %v)", asked, answered, broken, void)
 	}
 	e.Day.Nodes = 2
-	if _, _, err := Real(t.Context(), e, testutil.Quiet); err == nil {
+	if _, _, err := Real(t.Context(), e, testutil.DiscardLogger); err == nil {
 		t.Error("two nodes on sockets")
 	}
 }
--- a/internal/lab/process/bad_test.go
+++ b/internal/lab/process/bad_test.go
@@ -140,7 +140,7 @@
 
 // What is far too large is refused by the file's name and the bound, in memory that is bounded by what is read.
 func TestRefusalsAreBounded(t *testing.T) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	for _, in := range badInputs {
 		t.Run(in.name, func(t *testing.T) {
 			v := refused(t, in, itself, env)
@@ -152,13 +152,13 @@
 // However many faults a file has, so many are told as can be mended at a time, and to find the line of each does not
 // mean to go through the whole file once more.
 func TestFaultsToldAreBounded(t *testing.T) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	refused(t, badInput{"300 tenants of one name", manyTenants(300, "the-same"), "the-same is another one's too"}, itself, env)
 }
 
 // BenchmarkBadInput tells the time and the memory in which bad input is refused, also such with many faults.
 func BenchmarkBadInput(b *testing.B) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	list := slices.Concat(badInputs, fullInputs)
 	for _, faults := range []int{1000, 2000, 4000} {
 		name := fmt.Sprintf("%d tenants of one name", faults)
--- a/internal/lab/process/real_test.go
+++ b/internal/lab/process/real_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	r, err := process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	plan.Sizes[0].Tenants = config.MaxTenants + 1
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	r, err := process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -55,7 +55,7 @@
 	if !r.Invalid {
 		t.Errorf("starved of its core and not invalid: late by %d us at p99", r.Lateness.ValueAtQuantile(99))
 	}
-	plan.MaxInFlight, plan.MaxLateness = 1, testutil.Patience
+	plan.MaxInFlight, plan.MaxLateness = 1, testutil.WaitTimeout
 	plan.Streams[0].Do = func(context.Context, int, time.Time) { time.Sleep(20 * time.Millisecond) } // the server's
 	if r := Run(t.Context(), plan); r.Invalid || r.LatencyFromDue[0].ValueAtQuantile(50) < 20_000 {
 		t.Errorf("invalid %v, p50 %d us", r.Invalid, r.LatencyFromDue[0].ValueAtQuantile(50))
--- a/internal/node/adminhandler_test.go
+++ b/internal/node/adminhandler_test.go
@@ -34,7 +34,7 @@
 // command sends one command to the admin API and returns the response.
 func (n *running) command(text string) string {
 	n.t.Helper()
-	answer, err := adminapi.Send(n.node.adminListener.Addr().String(), text, testutil.Patience)
+	answer, err := adminapi.Send(n.node.adminListener.Addr().String(), text, testutil.WaitTimeout)
 	if err != nil {
 		n.t.Fatalf("%s: %v", text, err)
 	}
@@ -70,16 +70,16 @@
 			t.Fatalf("status %d", r.status)
 		}
 	}
-	if len(a.Got) > 0 {
-		t.Errorf("%d requests at a detached server that is back on the list", len(a.Got))
+	if len(a.Requests) > 0 {
+		t.Errorf("%d requests at a detached server that is back on the list", len(a.Requests))
 	}
 	n.commandOK("ATTACH s-0") // one for two of DETACH
 	testutil.Until(t, "a request at the reattached server", func() bool {
 		n.do(n.request("read"))
-		for len(b.Got) > 0 {
-			<-b.Got
+		for len(b.Requests) > 0 {
+			<-b.Requests
 		}
-		return len(a.Got) > 0
+		return len(a.Requests) > 0
 	})
 	n.commandOK("DETACH s-0")
 	n.commandOK("DETACH s-1")
@@ -112,7 +112,7 @@
 	var boxes []*appbox.Box
 	var list []discovery.Instance
 	for i := range 3 {
-		b := testutil.Box(t, fmt.Sprint("s-", i))
+		b := testutil.StartAppBox(t, fmt.Sprint("s-", i))
 		b.SetDelay(2 * time.Millisecond)
 		boxes = append(boxes, b)
 		list = append(list, discovery.Instance{
--- a/internal/node/attempts_test.go
+++ b/internal/node/attempts_test.go
@@ -54,12 +54,12 @@
 			n, _ := startReady(t, bs...)
 			r := n.request(c.class)
 			a := n.do(r)
-			if sends := len(bs[0].Got) + len(bs[1].Got); a.status != c.status || sends != c.sends {
+			if sends := len(bs[0].Requests) + len(bs[1].Requests); a.status != c.status || sends != c.sends {
 				t.Fatalf("status %d after %d sends, want %d after %d", a.status, sends, c.status, c.sends)
 			}
 			for _, b := range bs {
-				for len(b.Got) > 0 {
-					got := <-b.Got
+				for len(b.Requests) > 0 {
+					got := <-b.Requests
 					for _, name := range []string{"X-Request-ID", "Idempotency-Key"} {
 						if got.Header.Get(name) != r.Header.Get(name) {
 							t.Errorf("%s changed to %q", name, got.Header.Get(name))
@@ -85,8 +85,8 @@
 		t.Errorf("status %d after %v", a.status, a.took)
 	}
 	testutil.Wait(t, left, "the attempt to be given up")
-	if len(b.Got) != 1 {
-		t.Errorf("%d sends", len(b.Got))
+	if len(b.Requests) != 1 {
+		t.Errorf("%d sends", len(b.Requests))
 	}
 }
 
@@ -109,13 +109,13 @@
 		n.do(n.request("push"))
 	}
 	quiet.Store(true)
-	before := len(a.Got) + len(b.Got)
+	before := len(a.Requests) + len(b.Requests)
 	if r := n.do(n.request("push")); r.status != http.StatusOK {
 		t.Fatalf("status %d", r.status)
 	}
 	testutil.Wait(t, left, "the silent attempt to be given up")
 	// On a busy machine the second may seem unresponsive too; the policy's tests bound the number of attempts.
-	if sends := len(a.Got) + len(b.Got) - before; sends < 2 || sends > 3 {
+	if sends := len(a.Requests) + len(b.Requests) - before; sends < 2 || sends > 3 {
 		t.Errorf("%d sends, want 2, or 3 at most", sends)
 	}
 }
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -260,7 +260,7 @@
 			if resp.StatusCode != 200 {
 				t.Fatalf("status %d", resp.StatusCode)
 			}
-			got := testutil.Wait(t, b.Got, "the request")
+			got := testutil.Wait(t, b.Requests, "the request")
 			if here, _ := io.ReadAll(got.Body); !bytes.Equal(here, body) {
 				t.Errorf("%d bytes came, want %d", len(here), size)
 			}
@@ -289,12 +289,12 @@
 			body := testutil.Bytes(c.size)
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(c.size)
 			a := n.do(r)
-			if sends := len(bs[0].Got) + len(bs[1].Got); a.status != c.status || sends != c.sends {
+			if sends := len(bs[0].Requests) + len(bs[1].Requests); a.status != c.status || sends != c.sends {
 				t.Errorf("status %d after %d sends, want %d after %d", a.status, sends, c.status, c.sends)
 			}
 			for _, b := range bs {
-				for len(b.Got) > 0 {
-					if got, _ := io.ReadAll((<-b.Got).Body); !bytes.Equal(got, body) {
+				for len(b.Requests) > 0 {
+					if got, _ := io.ReadAll((<-b.Requests).Body); !bytes.Equal(got, body) {
 						t.Errorf("%d bytes came, want %d", len(got), c.size)
 					}
 				}
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -21,7 +21,7 @@
 		n.t.Fatal(err)
 	}
 	n.t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(testutil.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	return nc
 }
 
@@ -57,7 +57,7 @@
 // client sees the close only after the node has freed the slot.
 func (n *running) waitReadyAlone() {
 	n.t.Helper()
-	for end := time.Now().Add(testutil.Patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testutil.WaitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		nc := n.dial()
 		io.WriteString(nc, "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 		text, err := io.ReadAll(nc)
@@ -194,8 +194,8 @@
 		})
 	}
 	t.Cleanup(func() { // after the parallel subtests
-		for len(b.Got) > 0 {
-			if got := <-b.Got; got.Header.Get("X-Request-ID") == "hidden" {
+		for len(b.Requests) > 0 {
+			if got := <-b.Requests; got.Header.Get("X-Request-ID") == "hidden" {
 				t.Error("a hidden request reached a server")
 			}
 		}
@@ -217,7 +217,7 @@
 	first := n.request("push")
 	answered := make(chan reply, 1)
 	go func() { answered <- n.do(first) }()
-	testutil.Wait(t, b.Got, "the first one")
+	testutil.Wait(t, b.Requests, "the first one")
 	second := n.request("read")
 	second.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
 	if a := n.do(second); a.status != http.StatusConflict {
@@ -227,7 +227,7 @@
 	if a := testutil.Wait(t, answered, "the first answer"); a.status != http.StatusOK {
 		t.Errorf("the first one got status %d", a.status)
 	}
-	if len(b.Got) != 0 {
+	if len(b.Requests) != 0 {
 		t.Error("the second one reached a server")
 	}
 	if a := n.do(second); a.status != http.StatusOK {
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -54,7 +54,7 @@
 		<-g.places
 		return nil, err
 	}
-	nc.SetDeadline(time.Now().Add(testutil.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	return &client{Conn: nc, reader: bufio.NewReader(nc), free: sync.OnceFunc(func() { <-g.places })}, nil
 }
 
@@ -178,7 +178,7 @@
 	g := newGateway(n, 64/3)
 	var idle []*client
 	for range 10 {
-		c, err := g.connect(testutil.Patience)
+		c, err := g.connect(testutil.WaitTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -197,7 +197,7 @@
 				if err != nil {
 					return
 				}
-				nc.SetDeadline(time.Now().Add(testutil.Patience))
+				nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 				unhook := context.AfterFunc(ctx, func() { nc.Close() })
 				nc.Read(make([]byte, 1)) // until the node closes it
 				unhook()
@@ -248,7 +248,7 @@
 					}
 					if c == nil {
 						var err error
-						if c, err = g.connect(testutil.Patience); err != nil {
+						if c, err = g.connect(testutil.WaitTimeout); err != nil {
 							t.Error(err)
 							return
 						}
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -68,7 +68,7 @@
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	shell := []string{"-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets)}
 	cmd := exec.Command("/bin/sh", append(shell, itself...)...)
 	cmd.Env = append(append(os.Environ(), env...), "BALANCER_CONFIG="+path, "TMPDIR="+folder)
@@ -176,7 +176,7 @@
 			d.change(t, func() { d.list = append(drained, instanceAt(fresh, "s-new")) })
 			t.Logf("updated %v after discovery's return, %d of %d descriptors were open at most",
 				time.Since(back), most, sockets)
-			testutil.Wait(t, fresh.Got, "a request at the new server")
+			testutil.Wait(t, fresh.Requests, "a request at the new server")
 		})
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -24,8 +24,8 @@
 			t.Fatalf("status %d", r.status)
 		}
 	}
-	if len(a.Got) != 0 || len(b.Got) != 20 {
-		t.Errorf("%d sends to the draining server, %d to the other", len(a.Got), len(b.Got))
+	if len(a.Requests) != 0 || len(b.Requests) != 20 {
+		t.Errorf("%d sends to the draining server, %d to the other", len(a.Requests), len(b.Requests))
 	}
 	d.change(t, func() { d.list = d.list[:1] })
 	if r := n.do(n.request("read")); r.status != http.StatusServiceUnavailable {
@@ -41,8 +41,8 @@
 	n.do(n.request("read"))
 	d.change(t, func() { d.list = []discovery.Instance{instanceAt(b, "s-0")} })
 	n.do(n.request("read"))
-	if len(a.Got) != 1 || len(b.Got) != 1 {
-		t.Errorf("%d sends to the old address, %d to the new one", len(a.Got), len(b.Got))
+	if len(a.Requests) != 1 || len(b.Requests) != 1 {
+		t.Errorf("%d sends to the old address, %d to the new one", len(a.Requests), len(b.Requests))
 	}
 }
 
@@ -89,11 +89,11 @@
 	}
 	testutil.Wait(t, next.calls, "the watch")
 	n.waitReady(http.StatusOK)
-	for len(a.Got) > 0 {
-		<-a.Got
+	for len(a.Requests) > 0 {
+		<-a.Requests
 	}
-	if r := n.do(n.request("read")); r.status != http.StatusOK || len(a.Got) > 0 || len(b.Got) == 0 {
-		t.Errorf("status %d; %d sends to the server of the old list", r.status, len(a.Got))
+	if r := n.do(n.request("read")); r.status != http.StatusOK || len(a.Requests) > 0 || len(b.Requests) == 0 {
+		t.Errorf("status %d; %d sends to the server of the old list", r.status, len(a.Requests))
 	}
 	next.change(t, func() { next.list = nil })
 	if r := n.do(n.request("read")); r.status != http.StatusServiceUnavailable {
@@ -199,7 +199,7 @@
 	d := newEndpointWatcher(&Config{}, clock, nil, testutil.Log(t))
 	at := float64(time.Now().Add(-3 * time.Second).UnixMilli())
 	first := d.clockTime(at)
-	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testutil.Patience {
+	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testutil.WaitTimeout {
 		t.Errorf("a start 3 s ago is %v ago on the clock", age)
 	}
 	if again := d.clockTime(at); again != first {
--- a/internal/node/endpointwatcher_test.go
+++ b/internal/node/endpointwatcher_test.go
@@ -74,7 +74,7 @@
 	addr, calls := startAgent(t)
 	n := startWithAgent(t, addr, listOf(3, instanceAt(old, "s-old")), func(c *Config) {
 		c.pollTiming = discovery.PushedTiming(c.DrainGrace)
-		c.pollTiming.InitialListTimeout = testutil.Patience
+		c.pollTiming.InitialListTimeout = testutil.WaitTimeout
 	})
 	first := testutil.Wait(t, calls, "the first call")
 	if first.query != "after=3&wait_ms=1" {
@@ -90,8 +90,8 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("%v, %v", resp, err)
 	}
-	if len(old.Got) != 0 || len(fresh.Got) != 1 {
-		t.Errorf("%d sends to the draining endpoint, %d to the other", len(old.Got), len(fresh.Got))
+	if len(old.Requests) != 0 || len(fresh.Requests) != 1 {
+		t.Errorf("%d sends to the draining endpoint, %d to the other", len(old.Requests), len(fresh.Requests))
 	}
 }
 
@@ -106,8 +106,8 @@
 			addr, calls := startAgent(t)
 			n := startWithAgent(t, addr, listOf(3, instanceAt(a, "s-a"), instanceAt(b, "s-b")), func(c *Config) {
 				c.pollTiming = discovery.PushedTiming(c.DrainGrace)
-				c.pollTiming.InitialListTimeout = 10 * testutil.Patience // only the response ends the wait
-				c.pollTiming.ReadyTimeout = 20 * testutil.Patience
+				c.pollTiming.InitialListTimeout = 10 * testutil.WaitTimeout // only the response ends the wait
+				c.pollTiming.ReadyTimeout = 20 * testutil.WaitTimeout
 			})
 			delta := endpointList{Generation: 3, Instances: []discovery.Instance{}}
 			if changed {
@@ -120,13 +120,13 @@
 					t.Fatalf("status %d", r.status)
 				}
 			}
-			toA, toB := len(a.Got), len(b.Got)
+			toA, toB := len(a.Requests), len(b.Requests)
 			ids := map[string]bool{} // on a busy machine one may be hedged
 			for range toA {
-				ids[(<-a.Got).Header.Get("X-Request-Id")] = true
+				ids[(<-a.Requests).Header.Get("X-Request-Id")] = true
 			}
 			for range toB {
-				ids[(<-b.Got).Header.Get("X-Request-Id")] = true
+				ids[(<-b.Requests).Header.Get("X-Request-Id")] = true
 			}
 			if changed && toA > 0 || len(ids) != 40 {
 				t.Errorf("%d and %d sends of %d requests", toA, toB, len(ids))
@@ -185,8 +185,8 @@
 			for range 20 {
 				n.do(n.request("read"))
 			}
-			if len(a.Got) != 0 {
-				t.Errorf("%d sends to the draining endpoint", len(a.Got))
+			if len(a.Requests) != 0 {
+				t.Errorf("%d sends to the draining endpoint", len(a.Requests))
 			}
 		})
 	}
@@ -251,15 +251,15 @@
 	for range 20 {
 		n.do(n.request("read"))
 	}
-	if len(a.Got) != 0 {
-		t.Errorf("%d sends to an endpoint that drains by the old one's list", len(a.Got))
+	if len(a.Requests) != 0 {
+		t.Errorf("%d sends to an endpoint that drains by the old one's list", len(a.Requests))
 	}
 	testutil.Until(t, "the new list to be in force", func() bool {
 		for len(fresh) > 0 { // those that were cancelled by now take no response
 			(<-fresh).response <- listOf(7, instanceAt(a, "s-a"))
 		}
 		n.do(n.request("read"))
-		return len(a.Got) > 0
+		return len(a.Requests) > 0
 	})
 	testutil.Until(t, "a long poll of the new one", func() bool {
 		return strings.HasPrefix(testutil.Wait(t, fresh, "a call to the new one").query, "after=7&")
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -26,7 +26,7 @@
 func leave(t *testing.T, nc net.Conn) {
 	t.Helper()
 	nc.(*net.TCPConn).CloseWrite()
-	nc.SetReadDeadline(time.Now().Add(testutil.Patience))
+	nc.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 	if text, err := io.ReadAll(nc); len(text) > 0 {
 		t.Errorf("%q, %v: a response to a client that disconnected", text, err)
 	}
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -50,8 +50,8 @@
 			}
 		})
 	}
-	if len(b.Got) != 0 {
-		t.Errorf("%d of them reached a server", len(b.Got))
+	if len(b.Requests) != 0 {
+		t.Errorf("%d of them reached a server", len(b.Requests))
 	}
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
 		t.Errorf("a good one gets status %d afterwards", a.status)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -30,7 +30,7 @@
 		a.header.Get("X-Kept") != "yes" || a.header.Get("Keep-Alive") != "" {
 		t.Errorf("answer %+v", a)
 	}
-	got := testutil.Wait(t, b.Got, "the request")
+	got := testutil.Wait(t, b.Requests, "the request")
 	body, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/push?obj=7f3a%2F9c&z" || string(body) != `{"x":1}` {
 		t.Errorf("the server got %s %s %q", got.Method, got.RequestURI, body)
@@ -63,7 +63,7 @@
 	if err := n.request("read").Write(nc); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Wait(t, b.Got, "the request")
+	testutil.Wait(t, b.Requests, "the request")
 	nc.Close()
 	testutil.Wait(t, left, "the attempt to be given up")
 }
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(testutil.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	for err == nil {
 		r := n.request("read")
 		r.Header.Set("X-Timeout-Ms", "1000")
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -264,7 +264,7 @@
 	}
 	cfg.Policy.NodeCount, cfg.Policy.Rules.MaxPollInterval = 300, maxPollInterval
 	clock := engine.NewClock()
-	watcher := newEndpointWatcher(cfg, clock, make(chan string), testutil.Quiet)
+	watcher := newEndpointWatcher(cfg, clock, make(chan string), testutil.DiscardLogger)
 	p := &pollingPolicy{clock: clock, ctx: ctx, watcher: watcher}
 	watcher.source.client = &http.Client{Transport: service}
 	watcher.sink = p
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -62,7 +62,7 @@
 	n, _ := startReady(t, b)
 	answered := make(chan reply, 1)
 	go func() { answered <- n.do(n.request("pay")) }()
-	testutil.Wait(t, b.Got, "the request")
+	testutil.Wait(t, b.Requests, "the request")
 	n.stop()
 	late := time.After(6 * time.Second)
 	select {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -24,7 +24,7 @@
 	n, _ := startReady(t, b)
 	held := make(chan reply, 1)
 	go func() { held <- n.do(n.request("pay")) }()
-	testutil.Wait(t, b.Got, "the request")
+	testutil.Wait(t, b.Requests, "the request")
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
 	late := make(chan reply, 1)
@@ -83,7 +83,7 @@
 	// requests may arrive too seldom for the plan, which then ends early.
 	plan, before := planShutdown(time.Second), began
 	for time.Since(began) < time.Second {
-		testutil.Wait(t, b.Got, "the request before")
+		testutil.Wait(t, b.Requests, "the request before")
 		asked := time.Now()
 		resp := n.ask(steady)
 		busy := time.Since(before) > arrivalPeriod/2 || time.Since(began) > plan.total-closingPeriod
--- a/internal/stress/callers/callers_test.go
+++ b/internal/stress/callers/callers_test.go
@@ -12,7 +12,7 @@
 // The rig in short.
 func TestRun(t *testing.T) {
 	var out strings.Builder
-	found, err := Run(t.Context(), Options{Requests: 5000, Callers: 16, Out: &out, Log: testutil.Quiet})
+	found, err := Run(t.Context(), Options{Requests: 5000, Callers: 16, Out: &out, Log: testutil.DiscardLogger})
 	if t.Log(out.String()); err != nil || len(found) > 0 {
 		t.Errorf("%v, %v", found, err)
 	}
--- a/internal/testutil/backend.go
+++ b/internal/testutil/backend.go
@@ -13,19 +13,19 @@
 // Backend is an HTTP server that tells the test what reaches it.
 type Backend struct {
 	*httptest.Server
-	Got chan *http.Request // whole requests, as far as there is room for 1,000
+	Requests chan *http.Request // whole requests, as far as there is room for 1,000
 }
 
 // NewBackend starts a server that handles requests whose bodies were read.
 func NewBackend(t testing.TB, handle http.HandlerFunc) *Backend {
-	b := &Backend{Got: make(chan *http.Request, 1000)}
+	b := &Backend{Requests: make(chan *http.Request, 1000)}
 	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		b.Got <- r
+		b.Requests <- r
 		handle(w, r)
 	}))
 	t.Cleanup(func() { b.CloseClientConnections(); b.Close() })
@@ -38,8 +38,8 @@
 // OK answers 200 with the body "done".
 func OK(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "done") }
 
-// Box starts a stand-in app box.
-func Box(t testing.TB, name string) *appbox.Box {
+// StartAppBox starts a stand-in app box.
+func StartAppBox(t testing.TB, name string) *appbox.Box {
 	t.Helper()
 	b, err := appbox.Start(name)
 	if err != nil {
--- a/internal/testutil/bodies.go
+++ b/internal/testutil/bodies.go
@@ -32,8 +32,8 @@
 	return b
 }
 
-// Slow reads no faster than Rate bytes a second; 0: as fast as it comes.
-type Slow struct {
+// SlowReader reads no faster than Rate bytes a second; 0: as fast as it comes.
+type SlowReader struct {
 	io.Reader
 	Rate  int
 	began time.Time
@@ -41,7 +41,7 @@
 }
 
 // Read implements io.Reader.
-func (s *Slow) Read(b []byte) (int, error) {
+func (s *SlowReader) Read(b []byte) (int, error) {
 	if s.Rate == 0 {
 		return s.Reader.Read(b)
 	}
--- a/internal/testutil/logs.go
+++ b/internal/testutil/logs.go
@@ -31,8 +31,8 @@
 	return l
 }
 
-// Quiet is a logger for what would be thousands of lines.
-var Quiet = slog.New(slog.DiscardHandler)
+// DiscardLogger is a logger for what would be thousands of lines.
+var DiscardLogger = slog.New(slog.DiscardHandler)
 
 // Log gives a logger whose lines go to the test's own output.
 func Log(t testing.TB) *slog.Logger { return NewLogs(t).Logger() }
@@ -63,7 +63,7 @@
 // Wait waits until a text stands in the log, and gives the line.
 func (l *Logs) Wait(text string) string {
 	l.t.Helper()
-	timeout := time.After(Patience)
+	timeout := time.After(WaitTimeout)
 	for {
 		l.mu.Lock()
 		all, changed := l.text.String(), l.changed
--- a/internal/testutil/main.go
+++ b/internal/testutil/main.go
@@ -29,9 +29,9 @@
 // asProgram has a test's own program be the one under test.
 const asProgram = "YOKESTALL_TEST_AS_PROGRAM"
 
-// Itself is the command, with its environment, by which a test starts the program that its package's
+// SelfCommand is the command, with its environment, by which a test starts the program that its package's
 // TestMain gave to MainOr.
-func Itself() (command, env []string) { return []string{os.Args[0]}, []string{asProgram + "=1"} }
+func SelfCommand() (command, env []string) { return []string{os.Args[0]}, []string{asProgram + "=1"} }
 
 // MainOr is Main, or the program itself where a test has started it.
 func MainOr(m *testing.M, program func()) {
--- a/internal/testutil/tcpserver.go
+++ b/internal/testutil/tcpserver.go
@@ -23,7 +23,7 @@
 				return
 			}
 			open.Store(nc, nil)
-			nc.SetDeadline(time.Now().Add(Patience))
+			nc.SetDeadline(time.Now().Add(WaitTimeout))
 			go func() {
 				defer nc.Close()
 				defer open.Delete(nc)
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Patience is how long a test waits for what must happen. It ends a failure; it is
+// WaitTimeout is how long a test waits for what must happen. It ends a failure; it is
 // never a pace, and no test passes by waiting it out.
-const Patience = 30 * time.Second
+const WaitTimeout = 30 * time.Second
 
 // Wait gives the next value of a channel.
 func Wait[T any](t testing.TB, c <-chan T, what string) T {
@@ -15,7 +15,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatalf("waited in vain for %s", what)
 		panic("unreachable")
 	}
@@ -24,7 +24,7 @@
 // Until waits for a condition that no event tells of.
 func Until(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
--- a/internal/tlskeys/auth_test.go
+++ b/internal/tlskeys/auth_test.go
@@ -70,7 +70,7 @@
 			s.Close()
 			done <- err
 		}()
-		clientEnd.SetDeadline(time.Now().Add(testutil.Patience))
+		clientEnd.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		c := tls.Client(clientEnd, store.ClientConfig(tc.server))
 		err := c.Handshake()
 		if err == nil { // in TLS 1.3 the server verifies the client's certificate after the client's handshake
--- a/internal/tlskeys/store_test.go
+++ b/internal/tlskeys/store_test.go
@@ -25,7 +25,7 @@
 	if err := a.Write(folder, "a", "a.test"); err != nil {
 		t.Fatal(err)
 	}
-	store, err := Open(folder, "", testutil.Quiet)
+	store, err := Open(folder, "", testutil.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/h1client/pool_test.go
+++ b/internal/upstream/h1client/pool_test.go
@@ -36,7 +36,7 @@
 // backend returns the address of an endpoint, and the requests that it receives.
 func backend(t *testing.T, handle http.HandlerFunc) (string, chan *http.Request) {
 	b := testutil.NewBackend(t, handle)
-	return b.Addr(), b.Got
+	return b.Addr(), b.Requests
 }
 
 func TestOutcomes(t *testing.T) {
@@ -81,7 +81,7 @@
 			u, id := poolTo(addr)
 			for range 2 {
 				// What is spoilt has to be seen from itself: the call has no deadline that is near.
-				ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+				ctx, cancel := context.WithTimeout(context.Background(), testutil.WaitTimeout)
 				status, body := send(ctx, u, id)
 				if ctx.Err() != nil {
 					t.Error("waited for to the end of the request's time")
@@ -259,7 +259,7 @@
 				done <- struct{}{}
 			})
 			u, id := poolTo(addr)
-			u.reuseDelay = testutil.Patience / 60
+			u.reuseDelay = testutil.WaitTimeout / 60
 			want := 1
 			if behind != nil {
 				want = 2
--- a/internal/upstream/h2client/pool_test.go
+++ b/internal/upstream/h2client/pool_test.go
@@ -71,10 +71,10 @@
 		{"a malformed frame", func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Write([]byte{0, 0, 1, 0, 0, 0, 0, 0, 0, 1}) }, policy.Reset},
 	} {
 		addr, _ := scripted(t, 1, tc.at)
-		u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 10})
+		u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 10})
 		u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 		q := &h1client.Request{Method: "POST", Target: "/x", Host: "a", Header: http.Header{}, Body: []byte("b")}
-		if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != tc.want {
+		if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.WaitTimeout); res.Status != tc.want {
 			t.Errorf("%s: status %v, want %v", tc.name, res.Status, tc.want)
 		}
 		u.UpdateEndpoints(true, nil)
@@ -86,16 +86,16 @@
 func TestStreamLimit(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 1, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 100})
+	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 100})
 	u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 10)
 	for range maxConnsPerEndpoint {
-		go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.Patience).Status }()
+		go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.WaitTimeout).Status }()
 		testutil.Wait(t, held, "a stream to be open")
 	}
-	if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.Patience); res.Status != policy.Rejected || conns() != maxConnsPerEndpoint {
+	if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.WaitTimeout); res.Status != policy.Rejected || conns() != maxConnsPerEndpoint {
 		t.Errorf("status %v with %d connections", res.Status, conns())
 	}
 	leave()
@@ -105,7 +105,7 @@
 		}
 	}
 	ctx, leave = context.WithCancel(t.Context())
-	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.Patience).Status }()
+	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.WaitTimeout).Status }()
 	testutil.Wait(t, held, "another stream")
 	leave()
 	testutil.Wait(t, ended, "its end")
@@ -118,17 +118,17 @@
 func TestUnsentAttemptReleasesPlace(t *testing.T) {
 	held := make(chan struct{}, 10)
 	addr, conns := scripted(t, 2, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 100})
+	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 100})
 	u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 1)
-	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.Patience).Status }()
+	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.WaitTimeout).Status }()
 	testutil.Wait(t, held, "a stream to be open")
 	given := engine.NewCall(t.Context())
 	given.Revoke()
 	for range 5 {
-		if res := u.Exchange(given, 1, q, testutil.Patience); res.Status != policy.NeverSent || conns() != 1 {
+		if res := u.Exchange(given, 1, q, testutil.WaitTimeout); res.Status != policy.NeverSent || conns() != 1 {
 			t.Errorf("status %v with %d connections", res.Status, conns())
 		}
 	}
