--- a/internal/testutil/backend.go
+++ b/internal/testutil/backend.go
@@ -10,15 +10,18 @@
 	"yokestall/internal/fake/appbox"
 )
 
-// Backend is an HTTP server that tells the test what reaches it.
+// requestsCapacity is how many requests of a Backend a test may leave unread before handlers block.
+const requestsCapacity = 1000
+
+// Backend is an HTTP server that passes the requests it receives on to the test.
 type Backend struct {
 	*httptest.Server
-	Requests chan *http.Request // whole requests, as far as there is room for 1,000
+	Requests chan *http.Request // complete requests; a handler blocks while requestsCapacity of them are unread
 }
 
-// NewBackend starts a server that handles requests whose bodies were read.
+// NewBackend starts a server that calls handle once a request's body was read. It ends with the test.
 func NewBackend(t testing.TB, handle http.HandlerFunc) *Backend {
-	b := &Backend{Requests: make(chan *http.Request, 1000)}
+	b := &Backend{Requests: make(chan *http.Request, requestsCapacity)}
 	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -32,13 +35,13 @@
 	return b
 }
 
-// Addr is where the server listens.
+// Addr returns the address that the server listens on.
 func (b *Backend) Addr() string { return b.Listener.Addr().String() }
 
 // OK answers 200 with the body "done".
 func OK(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "done") }
 
-// StartAppBox starts a stand-in app box.
+// StartAppBox starts a fake application server that ends with the test.
 func StartAppBox(t testing.TB, name string) *appbox.Box {
 	t.Helper()
 	b, err := appbox.Start(name)
--- a/internal/testutil/former.go
+++ b/internal/testutil/former.go
@@ -20,8 +20,8 @@
 // formerSources are the parts of the repository that the build of a program needs.
 var formerSources = []string{"go.mod", "go.sum", "cmd", "deploy", "internal", "policy"}
 
-// BuildFormer builds a program of FormerCommit, for example "cmd/yokestall", and gives the path of the
-// executable, which goes with the test. The sources come from the repository that the test runs in; where it
+// BuildFormer builds a program of FormerCommit, for example "cmd/yokestall", and returns the path of the
+// executable, which is removed with the test. The sources come from the repository that the test runs in; if it
 // lacks the commit, the test fails. A test that needs a program several times builds it once and runs sub-tests.
 func BuildFormer(t testing.TB, program string) string {
 	t.Helper()
@@ -51,12 +51,11 @@
 	return executable
 }
 
-// output runs a command in a folder and gives what it writes to its standard output. Its error has the standard
-// error.
+// output runs a command in a folder and returns its standard output. An error contains the standard error.
 func output(dir, name string, args ...string) ([]byte, error) {
-	c := exec.Command(name, args...)
-	c.Dir = dir
-	text, err := c.Output()
+	command := exec.Command(name, args...)
+	command.Dir = dir
+	text, err := command.Output()
 	if exit := (*exec.ExitError)(nil); errors.As(err, &exit) {
 		return nil, fmt.Errorf("%s %s: %w: %s", name, args[0], err, bytes.TrimSpace(exit.Stderr))
 	}
@@ -93,6 +92,7 @@
 	}
 }
 
+// extractFile writes a file and the folders above it.
 func extractFile(content io.Reader, path string) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
--- a/internal/testutil/lateness.go
+++ b/internal/testutil/lateness.go
@@ -7,15 +7,17 @@
 	"time"
 )
 
-// Lateness measures how late the machine is from now on: the function that it gives says by how much the latest of all
-// ticks was. A test whose verdict rests on when something was done asks it before it blames the program.
+// latenessInterval is the time between two ticks of Lateness.
+const latenessInterval = 5 * time.Millisecond
+
+// Lateness measures from now on how late the machine runs a goroutine that is due. The function that it returns gives
+// the largest delay so far. A test whose verdict depends on when something was done checks it before it fails.
 func Lateness(t testing.TB) func() time.Duration {
-	const every = 5 * time.Millisecond
 	var worst atomic.Int64
 	stop := make(chan struct{})
 	var run sync.WaitGroup
 	run.Go(func() {
-		tick := time.NewTicker(every)
+		tick := time.NewTicker(latenessInterval)
 		defer tick.Stop()
 		for last := time.Now(); ; {
 			select {
@@ -23,7 +25,7 @@
 				return
 			case <-tick.C:
 				now := time.Now()
-				worst.Store(max(worst.Load(), int64(now.Sub(last)-every)))
+				worst.Store(max(worst.Load(), int64(now.Sub(last)-latenessInterval)))
 				last = now
 			}
 		}
--- a/internal/testutil/listen.go
+++ b/internal/testutil/listen.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Listen takes a free port of 127.0.0.1 until the test ends.
+// Listen listens on a free port of 127.0.0.1 until the test ends.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -18,8 +18,8 @@
 	return l
 }
 
-// RefusingAddr gives an address that refuses connections until the test ends. Its port
-// is bound and not listened on, so nobody else can come to have it meanwhile.
+// RefusingAddr returns an address that refuses connections until the test ends. Its port is bound and not listened
+// on, so that no other process can take it meanwhile.
 func RefusingAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -30,15 +30,15 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	bound, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
+	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
 
-// IsTimeout tells whether an error is a socket's deadline.
+// IsTimeout reports whether an error says that a connection's deadline has passed.
 func IsTimeout(err error) bool {
-	e, ok := err.(net.Error)
-	return ok && e.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
--- a/internal/testutil/logs.go
+++ b/internal/testutil/logs.go
@@ -9,42 +9,42 @@
 	"time"
 )
 
-// Logs is the log of a program under test. Its lines go to the test's own output, which
-// shows them only where the test fails.
+// Logs is the log of a program under test. Its lines go to the test's own output, which the test shows only if it
+// fails. Its methods are safe for concurrent use.
 type Logs struct {
 	t testing.TB
 
 	mu      sync.Mutex
 	text    bytes.Buffer
 	changed chan struct{} // closed at the next line
-	over    bool          // the test has ended: t takes no more
+	ended   bool          // the test has ended: t must not be used
 }
 
-// NewLogs makes a log that ends with the test.
+// NewLogs returns an empty log that writes to t until the test ends.
 func NewLogs(t testing.TB) *Logs {
 	l := &Logs{t: t, changed: make(chan struct{})}
 	t.Cleanup(func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.over = true
+		l.ended = true
 	})
 	return l
 }
 
-// DiscardLogger is a logger for what would be thousands of lines.
+// DiscardLogger is a logger for tests that would log thousands of lines.
 var DiscardLogger = slog.New(slog.DiscardHandler)
 
-// Log gives a logger whose lines go to the test's own output.
+// Log returns a logger whose lines go to the test's own output.
 func Log(t testing.TB) *slog.Logger { return NewLogs(t).Logger() }
 
-// Logger gives the logger that writes to it.
+// Logger returns a logger that writes to the log.
 func (l *Logs) Logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
 
 // Write implements io.Writer.
 func (l *Logs) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.over {
+	if !l.ended {
 		l.t.Logf("%s", bytes.TrimRight(p, "\n"))
 	}
 	l.text.Write(p)
@@ -53,14 +53,14 @@
 	return len(p), nil
 }
 
-// String gives all lines so far.
+// String returns all lines so far.
 func (l *Logs) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// Wait waits until a text stands in the log, and gives the line.
+// Wait returns the first line that contains a text. The test fails if none comes within WaitTimeout.
 func (l *Logs) Wait(text string) string {
 	l.t.Helper()
 	timeout := time.After(WaitTimeout)
--- a/internal/testutil/tcpserver.go
+++ b/internal/testutil/tcpserver.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Accept has each connection of a listener handled on a goroutine of its own, and closed then.
-// All end with the test, or after Patience.
+// Accept listens on loopback, handles each connection on a goroutine of its own and closes it then. Connections end
+// with the test, at the latest after WaitTimeout.
 func Accept(t testing.TB, handle func(nc net.Conn)) (addr string) {
 	l := Listen(t)
 	var open sync.Map
@@ -19,7 +19,10 @@
 		for {
 			nc, err := l.Accept()
 			if err != nil { // the test has ended
-				open.Range(func(nc, _ any) bool { nc.(net.Conn).Close(); return true })
+				open.Range(func(nc, _ any) bool {
+					nc.(net.Conn).Close()
+					return true
+				})
 				return
 			}
 			open.Store(nc, nil)
@@ -34,19 +37,22 @@
 	return l.Addr().String()
 }
 
-// Script is a server that reads a request and writes fixed bytes; then it closes, or
-// keeps the connection for another request. It tells of its connections.
+// scriptConns is how many connections of a Script a test may leave unread before the server blocks.
+const scriptConns = 100
+
+// Script starts a server that reads a request and writes the answer as it is given. It then closes the connection
+// if closes is set, or else reads the next request. It sends each connection to conns when it accepts it.
 func Script(t testing.TB, answer string, closes bool) (addr string, conns chan net.Conn) {
-	conns = make(chan net.Conn, 100)
+	conns = make(chan net.Conn, scriptConns)
 	return Accept(t, func(nc net.Conn) {
 		conns <- nc
 		in := bufio.NewReader(nc)
 		for {
-			r, err := http.ReadRequest(in)
+			request, err := http.ReadRequest(in)
 			if err != nil {
 				return
 			}
-			io.Copy(io.Discard, r.Body)
+			io.Copy(io.Discard, request.Body)
 			io.WriteString(nc, answer)
 			if closes {
 				return
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// WaitTimeout is how long a test waits for what must happen. It ends a failure; it is
-// never a pace, and no test passes by waiting it out.
+// WaitTimeout is how long a test waits for what must happen. It bounds the time of a failure: no test passes by
+// waiting it out.
 const WaitTimeout = 30 * time.Second
 
-// Wait gives the next value of a channel.
+// Wait returns the next value of a channel. The test fails if none comes within WaitTimeout.
 func Wait[T any](t testing.TB, c <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -21,11 +21,14 @@
 	}
 }
 
-// Until waits for a condition that no event tells of.
+// pollInterval is the time between two checks of a condition.
+const pollInterval = 2 * time.Millisecond
+
+// Until polls a condition that no event announces. The test fails if it does not hold within WaitTimeout.
 func Until(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(WaitTimeout); !holds(); time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
 			t.Fatalf("waited in vain for %s", what)
 		}
 	}
