--- a/internal/stress/callers/run/main.go
+++ b/internal/stress/callers/run/main.go
@@ -1,5 +1,5 @@
-// Command run plays the rig of internal/stress/callers and exits with 1 if anything broke; with -bench it
-// compares the processor with an empty one instead.
+// Command run plays the rig of internal/stress/callers and exits with 1 if a rule was broken; with -bench
+// it compares the processor with an empty one instead.
 package main
 
 import (
@@ -13,33 +13,40 @@
 	"yokestall/internal/stress/callers"
 )
 
+// benchRounds is how many rounds of the comparison are measured for each number of streams.
+const benchRounds = 7
+
 func main() {
-	if len(os.Args) == 3 && os.Args[1] == "side" { // of the comparison
-		if err := callers.Side(os.Args[2]); err != nil {
-			fmt.Fprintln(os.Stderr, "callers:", err)
-			os.Exit(1)
+	if len(os.Args) == 3 && os.Args[1] == "side" { // a process of the comparison
+		if err := callers.ServeBench(os.Args[2]); err != nil {
+			fail(err)
 		}
 		return
 	}
-	o := callers.Options{Out: os.Stdout, Log: slog.New(slog.DiscardHandler)}
-	flag.IntVar(&o.Requests, "requests", 100_000, "`N` requests in all")
-	flag.IntVar(&o.Callers, "callers", 64, "at once")
-	bench := flag.Int("bench", 0, "compare, with `N` exchanges a round")
+	options := callers.Options{Out: os.Stdout, Log: slog.New(slog.DiscardHandler)}
+	flag.IntVar(&options.Requests, "requests", 100_000, "`N` requests in all")
+	flag.IntVar(&options.Callers, "callers", 64, "at once")
+	exchanges := flag.Int("bench", 0, "compare, with `N` exchanges a round")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	if *bench > 0 {
-		if err := callers.Bench(ctx, os.Stdout, *bench, 7); err != nil {
-			fmt.Fprintln(os.Stderr, "callers:", err)
-			os.Exit(1)
+	if *exchanges > 0 {
+		if err := callers.Bench(ctx, os.Stdout, *exchanges, benchRounds); err != nil {
+			fail(err)
 		}
 		return
 	}
-	found, err := callers.Run(ctx, o)
+	findings, err := callers.Run(ctx, options)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "callers:", err)
+		fail(err)
 	}
-	if err != nil || len(found) > 0 {
+	if len(findings) > 0 {
 		os.Exit(1)
 	}
 }
+
+// fail prints an error and exits with 1.
+func fail(err error) {
+	fmt.Fprintln(os.Stderr, "callers:", err)
+	os.Exit(1)
+}
