--- a/internal/app/bounds_test.go
+++ b/internal/app/bounds_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 	})
-	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, MaxHead: 1 << 10, Stall: 100 * time.Millisecond}, b.Addr())
+	c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10, MaxHead: 1 << 10, Stall: 100 * time.Millisecond}, b.Addr())
 	if got := raw(t, c.addr, "GET /x HTTP/1.1\r\nHost: a\r\nX: "+strings.Repeat("v", 8<<10)+"\r\n\r\n", "\r\n"); !strings.Contains(got, "431") {
 		t.Errorf("a head of 8 KiB: %q", got)
 	}
@@ -53,7 +53,7 @@
 	}
 	b := testutil.StartAppBox(t, "b")
 	keys, authority := matrixKeys(t)
-	c := newCellTo(t, webpeer.Wire{TLS: true}, webpeer.Wire{}, keys, authority, config.Listener{}, b.Addr())
+	c := newCellTo(t, webpeer.Protocol{TLS: true}, webpeer.Protocol{}, keys, authority, config.Listener{}, b.Addr())
 	ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, openssl, "s_client", "-connect", c.addr, "-tls1_2")
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -46,7 +46,7 @@
 			var run sync.WaitGroup
 			for lane := range lanes {
 				s := rawServer(t, tc.answer, tc.http2, 4, nil)
-				c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{HTTP2: tc.http2}, nil, nil, config.Listener{}, s.Addrs...)
+				c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{HTTP2: tc.http2}, nil, nil, config.Listener{}, s.Addrs...)
 				run.Go(func() {
 					for cut := lane; cut <= len(tc.answer); cut += lanes {
 						for _, path := range []string{"/x", "/pay/x"} {
@@ -127,7 +127,7 @@
 // passed on has one length alone.
 func TestSmuggling(t *testing.T) {
 	addr, tap := tapped(t)
-	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10}, addr)
+	c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10}, addr)
 	for _, text := range smuggled {
 		nc, err := net.Dial("tcp", c.addr)
 		if err != nil {
@@ -214,7 +214,7 @@
 		}
 		w.Write(webpeer.Pattern(3000))
 	})
-	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: streams}, b.Addr())
+	c := newCellTo(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: streams}, b.Addr())
 	if _, _, err := c.ask("GET", "/x", "", nil, 0); err != nil { // opens the connection
 		t.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 	}
 	f.Add([]byte(http2.ClientPreface + "\x00\x00\x00\x04\x00\x00\x00\x00\x00"))
 	addr, tap := tapped(f)
-	c := newCellTo(f, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10}, addr)
+	c := newCellTo(f, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10}, addr)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		nc, err := net.Dial("tcp", c.addr)
 		if err != nil {
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -29,7 +29,7 @@
 
 // cell is one pair of sides, with the program between them.
 type cell struct {
-	front, back webpeer.Wire
+	front, back webpeer.Protocol
 	addr, url   string
 	listeners   *Listeners
 	client      *http.Client
@@ -71,7 +71,7 @@
 cluster = "rooms"
 `
 
-func newCell(t testing.TB, front, back webpeer.Wire, keys *tlskeys.Store, authority *keymaker.Authority) *cell {
+func newCell(t testing.TB, front, back webpeer.Protocol, keys *tlskeys.Store, authority *keymaker.Authority) *cell {
 	t.Helper()
 	p, err := webpeer.Start(back, keys.ServerConfig(tlskeys.ClientAuth{}, back.ALPN()), 2)
 	if err != nil {
@@ -84,7 +84,7 @@
 }
 
 // newCellTo is newCell before other servers, with a listener's bounds where they differ.
-func newCellTo(t testing.TB, front, back webpeer.Wire, keys *tlskeys.Store, authority *keymaker.Authority, set config.Listener, addrs ...string) *cell {
+func newCellTo(t testing.TB, front, back webpeer.Protocol, keys *tlskeys.Store, authority *keymaker.Authority, set config.Listener, addrs ...string) *cell {
 	t.Helper()
 	c := &cell{front: front, back: back}
 	var list []cluster.Endpoint
@@ -118,7 +118,7 @@
 	c.addr = c.listeners.Addr("").String()
 	c.url = scheme + "://" + c.addr
 	transport := &http.Transport{
-		Protocols: front.Protocols(), MaxIdleConnsPerHost: 16, DisableCompression: true, ExpectContinueTimeout: testutil.WaitTimeout,
+		Protocols: front.HTTPProtocols(), MaxIdleConnsPerHost: 16, DisableCompression: true, ExpectContinueTimeout: testutil.WaitTimeout,
 	}
 	if authority != nil {
 		transport.TLSClientConfig = &tls.Config{RootCAs: authority.Pool(), ServerName: "front.test"}
@@ -183,14 +183,14 @@
 				if kind == "unknown" {
 					length = -1
 				}
-				before := c.peer.Ran.Load()
+				before := c.peer.Completed.Load()
 				resp, _, err := c.ask("POST", "/pay/x", "", io.NopCloser(bytes.NewReader(webpeer.Pattern(n))), length)
 				if err != nil || resp.StatusCode != 200 {
 					return fmt.Errorf("%v %v", resp, err)
 				}
 				want := fmt.Sprintf("%x", sha256.Sum256(webpeer.Pattern(n)))
-				if _, sum := c.peer.Last(); sum != want || c.peer.Ran.Load() != before+1 {
-					return fmt.Errorf("the server got another body, or %d requests", c.peer.Ran.Load()-before)
+				if _, sum := c.peer.Last(); sum != want || c.peer.Completed.Load() != before+1 {
+					return fmt.Errorf("the server got another body, or %d requests", c.peer.Completed.Load()-before)
 				}
 				return nil
 			})
@@ -359,12 +359,12 @@
 		return nil
 	})
 	add("a body over the listener's bound is 413", "9110 15.5.14", func(c *cell) error {
-		before := c.peer.Ran.Load()
+		before := c.peer.Completed.Load()
 		resp, _, err := c.ask("POST", "/pay/x", "", io.NopCloser(io.LimitReader(zeros{}, 17<<20)), -1)
 		if err == nil && resp.StatusCode != 413 {
 			return fmt.Errorf("status %d", resp.StatusCode)
 		}
-		if c.peer.Ran.Load() != before {
+		if c.peer.Completed.Load() != before {
 			return errors.New("the server took a part for the whole")
 		}
 		return nil
@@ -377,7 +377,7 @@
 		return nil
 	})
 	add("a server that breaks before its answer: a safe request goes out again", "9110 9.2.2", func(c *cell) error {
-		c.peer.Ran.Store(0)
+		c.peer.Completed.Store(0)
 		resp, text, err := c.ask("GET", "/x", "break-once", nil, 0)
 		if err != nil || string(text) != "second" {
 			return fmt.Errorf("%v, %q, %v", resp, text, err)
@@ -385,15 +385,15 @@
 		return nil
 	})
 	add("a server that breaks before its answer: an unsafe request does not", "9110 9.2.2", func(c *cell) error {
-		before := c.peer.Ran.Load()
+		before := c.peer.Completed.Load()
 		resp, _, err := c.ask("POST", "/pay/x", "break", nil, 0)
-		if err != nil || resp.StatusCode != 502 || c.peer.Ran.Load() != before+1 {
-			return fmt.Errorf("%v, %v, ran %d times", resp, err, c.peer.Ran.Load()-before)
+		if err != nil || resp.StatusCode != 502 || c.peer.Completed.Load() != before+1 {
+			return fmt.Errorf("%v, %v, ran %d times", resp, err, c.peer.Completed.Load()-before)
 		}
 		return nil
 	})
 	add("a short upload goes out again, whole", "own", func(c *cell) error {
-		c.peer.Ran.Store(0)
+		c.peer.Completed.Store(0)
 		_, text, err := c.ask("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(50_000))), -1)
 		_, sum := c.peer.Last()
 		if err != nil || string(text) != "second" || sum != fmt.Sprintf("%x", sha256.Sum256(webpeer.Pattern(50_000))) {
@@ -402,18 +402,18 @@
 		return nil
 	})
 	add("a long upload does not", "own", func(c *cell) error {
-		c.peer.Ran.Store(0)
+		c.peer.Completed.Store(0)
 		resp, _, err := c.ask("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(500_000))), -1)
-		if err != nil || resp.StatusCode != 502 || c.peer.Ran.Load() != 1 {
-			return fmt.Errorf("%v, %v, ran %d times", resp, err, c.peer.Ran.Load())
+		if err != nil || resp.StatusCode != 502 || c.peer.Completed.Load() != 1 {
+			return fmt.Errorf("%v, %v, ran %d times", resp, err, c.peer.Completed.Load())
 		}
 		return nil
 	})
 	for _, n := range []int{0, 10, 200_000} {
 		add(fmt.Sprintf("an answer that breaks after %d bytes is no whole one", n), "9112 8, 9113 8.1", func(c *cell) error {
-			before := c.peer.Ran.Load()
+			before := c.peer.Completed.Load()
 			resp, text, err := c.ask("POST", "/pay/x", fmt.Sprintf("break %d", n), nil, 0)
-			if c.peer.Ran.Load() != before+1 {
+			if c.peer.Completed.Load() != before+1 {
 				return errors.New("not one execution")
 			}
 			if err == nil && resp.StatusCode == 200 {
@@ -423,7 +423,7 @@
 		})
 	}
 	add("a client that leaves mid-upload leaves no whole request", "9112 8", func(c *cell) error {
-		ran, begun := c.peer.Ran.Load(), c.peer.Begun.Load()
+		ran, begun := c.peer.Completed.Load(), c.peer.Started.Load()
 		from, to := io.Pipe()
 		done := make(chan struct{})
 		go func() {
@@ -431,7 +431,7 @@
 			c.ask("POST", "/pay/x", "", from, 1<<20)
 		}()
 		to.Write(webpeer.Pattern(200_000))
-		for end := time.Now().Add(testutil.WaitTimeout); c.peer.Begun.Load() == begun; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testutil.WaitTimeout); c.peer.Started.Load() == begun; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				return errors.New("the server never saw the upload begin")
 			}
@@ -441,7 +441,7 @@
 		if resp, _, err := c.ask("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
 			return fmt.Errorf("the next request: %v, %v", resp, err)
 		}
-		if c.peer.Ran.Load() != ran+1 {
+		if c.peer.Completed.Load() != ran+1 {
 			return errors.New("the server took a part for the whole")
 		}
 		return nil
@@ -502,7 +502,7 @@
 		}
 	}
 	a, b := testutil.NewBackend(t, serve), testutil.NewBackend(t, serve)
-	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{}, a.Addr(), b.Addr())
+	c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{}, a.Addr(), b.Addr())
 	for range slow {
 		if resp, _, err := c.ask("GET", "/x", "slow", nil, 0); err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("a slow one: %v, %v", resp, err)
@@ -553,7 +553,7 @@
 // the table into docs/http.md; else it holds that the table there is this one.
 func TestMatrix(t *testing.T) {
 	keys, authority := matrixKeys(t)
-	list, wires := behaviours(), webpeer.Wires()
+	list, wires := behaviours(), webpeer.AllProtocols()
 	for _, front := range wires {
 		for _, back := range wires {
 			t.Run(front.String()+"/"+back.String(), func(t *testing.T) {
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -163,7 +163,7 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 1000, Resets: 20, Controls: 20, Pieces: 8}, b.Addr())
+			c := newCellTo(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 1000, Resets: 20, Controls: 20, Pieces: 8}, b.Addr())
 			nc, f, err := rawpeer.OpenHTTP2(c.addr)
 			if err != nil {
 				t.Fatal(err)
@@ -206,7 +206,7 @@
 		<-hold
 		w.Write(bytes.Repeat([]byte("x"), 1000))
 	})
-	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, Drain: testutil.WaitTimeout}, b.Addr())
+	c := newCellTo(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10, Drain: testutil.WaitTimeout}, b.Addr())
 	nc, f, err := rawpeer.OpenHTTP2(c.addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/compare/setup_test.go
+++ b/internal/compare/setup_test.go
@@ -36,7 +36,7 @@
 // setup is the HTTP version of both sides of a proxy, and whether they use TLS. The zero value is HTTP/1.1 in clear
 // text.
 type setup struct {
-	webpeer.Wire
+	webpeer.Protocol
 	keys      *tlskeys.Store
 	authority *keymaker.Authority
 }
@@ -45,7 +45,7 @@
 func (s *setup) startServer(tb testing.TB, h http.Handler) (addr string) {
 	l := testutil.Listen(tb)
 	server := &http.Server{
-		Handler: h, Protocols: s.Protocols(),
+		Handler: h, Protocols: s.HTTPProtocols(),
 		HTTP2: &http.HTTP2Config{MaxConcurrentStreams: http2Streams},
 	}
 	if s.TLS {
@@ -61,7 +61,7 @@
 // newTransport returns a transport for clients and for the reverse proxy.
 func (s *setup) newTransport() *http.Transport {
 	t := &http.Transport{
-		Protocols: s.Protocols(), MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConnsPerHost,
+		Protocols: s.HTTPProtocols(), MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		DisableCompression: true, WriteBufferSize: transportBuffer, ReadBufferSize: transportBuffer,
 	}
 	if s.TLS {
--- a/internal/compare/sides_test.go
+++ b/internal/compare/sides_test.go
@@ -40,7 +40,7 @@
 		{size: 1 << 20, clients: 16, requests: 200},
 		{size: 100 << 20, clients: 4, requests: 8},
 	}
-	for _, wire := range webpeer.Wires() {
+	for _, wire := range webpeer.AllProtocols() {
 		for _, l := range loads {
 			b.Run(fmt.Sprintf("%v/%dB", wire, l.size), func(b *testing.B) {
 				benchmarkSides(b, &setup{wire, keys, authority}, l)
--- a/internal/fake/webpeer/webpeer.go
+++ b/internal/fake/webpeer/webpeer.go
@@ -17,14 +17,16 @@
 	"sync/atomic"
 )
 
-// Wire is how a side speaks.
-type Wire struct{ HTTP2, TLS bool }
+// Protocol is how a side speaks.
+type Protocol struct{ HTTP2, TLS bool }
 
-// Wires gives all ways: HTTP/1.1 in clear and over TLS, HTTP/2 in clear and over TLS.
-func Wires() []Wire { return []Wire{{}, {TLS: true}, {HTTP2: true}, {HTTP2: true, TLS: true}} }
+// AllProtocols gives all ways: HTTP/1.1 in clear and over TLS, HTTP/2 in clear and over TLS.
+func AllProtocols() []Protocol {
+	return []Protocol{{}, {TLS: true}, {HTTP2: true}, {HTTP2: true, TLS: true}}
+}
 
 // String gives http1, http2+tls and the like.
-func (w Wire) String() string {
+func (w Protocol) String() string {
 	name := "http1"
 	if w.HTTP2 {
 		name = "http2"
@@ -35,8 +37,8 @@
 	return name
 }
 
-// Protocols has the one protocol of the side.
-func (w Wire) Protocols() *http.Protocols {
+// HTTPProtocols has the one protocol of the side.
+func (w Protocol) HTTPProtocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(!w.HTTP2)
 	p.SetHTTP2(w.HTTP2 && w.TLS)
@@ -45,7 +47,7 @@
 }
 
 // ALPN names the protocol of the side (RFC 7301).
-func (w Wire) ALPN() string {
+func (w Protocol) ALPN() string {
 	if w.HTTP2 {
 		return "h2"
 	}
@@ -54,9 +56,9 @@
 
 // Peer is the server. Create it with Start.
 type Peer struct {
-	Addrs []string
-	Ran   atomic.Int64 // requests that came to their last byte
-	Begun atomic.Int64
+	Addrs     []string
+	Completed atomic.Int64 // requests that came to their last byte
+	Started   atomic.Int64
 
 	srv  *http.Server
 	mu   sync.Mutex
@@ -64,10 +66,10 @@
 	sums []string // SHA-256 of the bodies, in hexadecimal digits
 }
 
-// Start starts a server in so many places of 127.0.0.1; keys are for a Wire with TLS.
-func Start(w Wire, keys *tls.Config, places int) (*Peer, error) {
+// Start starts a server in so many places of 127.0.0.1; keys are for a Protocol with TLS.
+func Start(w Protocol, keys *tls.Config, places int) (*Peer, error) {
 	p := &Peer{}
-	p.srv = &http.Server{Handler: p, Protocols: w.Protocols(), ErrorLog: log.New(io.Discard, "", 0), TLSConfig: keys}
+	p.srv = &http.Server{Handler: p, Protocols: w.HTTPProtocols(), ErrorLog: log.New(io.Discard, "", 0), TLSConfig: keys}
 	for range places {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -112,7 +114,7 @@
 
 // ServeHTTP reads the body, unless told to answer before, and does as it is told.
 func (p *Peer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	p.Begun.Add(1)
+	p.Started.Add(1)
 	do, arg, _ := strings.Cut(r.Header.Get("X-Do"), " ")
 	n, _ := strconv.Atoi(arg)
 	control := http.NewResponseController(w)
@@ -141,7 +143,7 @@
 	p.seen = append(p.seen, r)
 	p.sums = append(p.sums, fmt.Sprintf("%x", h.Sum(nil)))
 	p.mu.Unlock()
-	count := p.Ran.Add(1)
+	count := p.Completed.Add(1)
 	switch do {
 	case "status":
 		w.Header().Set("Location", "/elsewhere")
--- a/internal/stress/badpeers/badpeers.go
+++ b/internal/stress/badpeers/badpeers.go
@@ -147,7 +147,7 @@
 
 // between is the program between clients and a server that speak in their ways.
 type between struct {
-	front     webpeer.Wire
+	front     webpeer.Protocol
 	program   *config.Program
 	app       *app.App
 	listeners *app.Listeners
@@ -158,7 +158,7 @@
 }
 
 // between starts the program with its server; end ends both.
-func (r *rig) between(front, back webpeer.Wire) (b *between, err error) {
+func (r *rig) between(front, back webpeer.Protocol) (b *between, err error) {
 	b = &between{front: front}
 	if b.peer, err = webpeer.Start(back, r.keys.ServerConfig(tlskeys.ClientAuth{}, back.ALPN()), 2); err != nil {
 		return nil, err
@@ -183,7 +183,7 @@
 	}
 	b.addr = b.listeners.Addr("").String()
 	b.transport = &http.Transport{
-		Protocols: front.Protocols(), MaxIdleConnsPerHost: 64, DisableCompression: true,
+		Protocols: front.HTTPProtocols(), MaxIdleConnsPerHost: 64, DisableCompression: true,
 		TLSClientConfig: &tls.Config{RootCAs: r.authority.Pool(), ServerName: frontName},
 	}
 	return b, nil
@@ -230,6 +230,6 @@
 	return len(list)
 }
 
-func kinds(w webpeer.Wire, v webpeer.Wire) string {
+func kinds(w webpeer.Protocol, v webpeer.Protocol) string {
 	return strings.Join([]string{w.String(), v.String()}, " to ")
 }
--- a/internal/stress/badpeers/scenarios.go
+++ b/internal/stress/badpeers/scenarios.go
@@ -22,9 +22,9 @@
 )
 
 // pairs are sides that differ in all that can differ.
-func pairs() [][2]webpeer.Wire {
-	w := webpeer.Wires()
-	return [][2]webpeer.Wire{{w[0], w[0]}, {w[3], w[3]}, {w[2], w[1]}, {w[1], w[2]}}
+func pairs() [][2]webpeer.Protocol {
+	w := webpeer.AllProtocols()
+	return [][2]webpeer.Protocol{{w[0], w[0]}, {w[3], w[3]}, {w[2], w[1]}, {w[1], w[2]}}
 }
 
 // tally counts what came of requests.
@@ -149,7 +149,7 @@
 // idle opens connections over HTTP/2 that say nothing after their start. A client that comes
 // after them has to be served.
 func (r *rig) idle(ctx context.Context) (string, error) {
-	b, err := r.between(webpeer.Wire{HTTP2: true}, webpeer.Wire{})
+	b, err := r.between(webpeer.Protocol{HTTP2: true}, webpeer.Protocol{})
 	if err != nil {
 		return "", err
 	}
@@ -214,7 +214,7 @@
 	highest := int64(0)
 	runtime.GC() // the figure is of the latest collection: not of what earlier scenarios held
 	runtime.GC()
-	for _, w := range webpeer.Wires() {
+	for _, w := range webpeer.AllProtocols() {
 		b, err := r.between(w, w)
 		if err != nil {
 			return "", err
@@ -275,7 +275,7 @@
 		r.broken("%d bytes held, %d at most", highest, throughMost)
 	}
 	return fmt.Sprintf("%d MB each way over each of %d sides, at most %d MB held, clients and servers included",
-		r.Megabytes, len(webpeer.Wires()), highest>>20), nil
+		r.Megabytes, len(webpeer.AllProtocols()), highest>>20), nil
 }
 
 // drip is a body that comes byte by byte until its context ends.
@@ -298,7 +298,7 @@
 // resets opens streams and resets them at once, as fast as it can, over a few connections that
 // come again when they are closed (CVE-2023-44487), while usual clients ask.
 func (r *rig) resets(ctx context.Context) (string, error) {
-	b, err := r.between(webpeer.Wire{HTTP2: true}, webpeer.Wire{})
+	b, err := r.between(webpeer.Protocol{HTTP2: true}, webpeer.Protocol{})
 	if err != nil {
 		return "", err
 	}
