--- a/internal/stress/badpeers/badpeers_test.go
+++ b/internal/stress/badpeers/rig_test.go
@@ -9,7 +9,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// The rig in short.
+// TestRun plays a short run of the rig.
 func TestRun(t *testing.T) {
 	var out strings.Builder
 	found, err := Run(t.Context(), Options{
--- a/internal/stress/callers/bench.go
+++ b/internal/stress/callers/bench.go
@@ -16,14 +16,14 @@
 	// growthRounds is how many more rounds show whether memory grows with the number of exchanges.
 	growthRounds = 10
 
-	// growthStreams is how many streams are open at once in those rounds, and after the silent streams.
+	// growthStreams is how many streams are open at once in those rounds, and after the idle streams.
 	growthStreams = 64
 
-	// silentStreams is how many streams are opened that never send a message, more than maxBenchStreams.
-	silentStreams = 10_000
+	// idleStreams is how many streams are opened that never send a message, more than maxBenchStreams.
+	idleStreams = 10_000
 
-	// exchangesAfterSilence is how many exchanges check that the processor still serves others.
-	exchangesAfterSilence = 1000
+	// exchangesAfterIdle is how many exchanges check that the processor still serves others.
+	exchangesAfterIdle = 1000
 )
 
 // concurrencies are the numbers of streams at once that are compared.
@@ -56,7 +56,7 @@
 	if err := measureGrowth(ctx, out, pick, done, exchanges); err != nil {
 		return err
 	}
-	return measureSilentStreams(ctx, out, pick)
+	return measureIdleStreams(ctx, out, pick)
 }
 
 // comparison is what the rounds with one number of streams measured: of each round the CPU time of an exchange in
@@ -119,16 +119,16 @@
 	return nil
 }
 
-// measureSilentStreams opens silentStreams streams that never send a message. It prints the memory that each takes
+// measureIdleStreams opens idleStreams streams that never send a message. It prints the memory that each takes
 // and how they end, and checks that those beyond maxBenchStreams are rejected and the others time out.
-func measureSilentStreams(ctx context.Context, out io.Writer, p *process) error {
+func measureIdleStreams(ctx context.Context, out io.Writer, p *process) error {
 	before, err := p.memoryKB()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	streams, err := p.openStreams(ctx, silentStreams)
+	streams, err := p.openStreams(ctx, idleStreams)
 	if err != nil {
 		return err
 	}
@@ -145,11 +145,11 @@
 		ends[status.Code(err)]++
 	}
 	fmt.Fprintf(out, "%d streams that say nothing, at %.1f KB for each that is let in: %v\n",
-		silentStreams, float64(after-before)/maxBenchStreams, ends)
-	if ends[codes.DeadlineExceeded] != maxBenchStreams || ends[codes.ResourceExhausted] != silentStreams-maxBenchStreams {
+		idleStreams, float64(after-before)/maxBenchStreams, ends)
+	if ends[codes.DeadlineExceeded] != maxBenchStreams || ends[codes.ResourceExhausted] != idleStreams-maxBenchStreams {
 		return fmt.Errorf("%d should be let in, and ended for their silence", maxBenchStreams)
 	}
-	_, err = p.drive(ctx, growthStreams, exchangesAfterSilence)
+	_, err = p.drive(ctx, growthStreams, exchangesAfterIdle)
 	fmt.Fprintln(out, "usual exchanges go on")
 	return err
 }
