--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -24,8 +24,8 @@
 	t.Helper()
 	command, env := testutil.SelfCommand()
 	p, err := platform.New(platform.Options{
-		Command: command, Env: env, Passed: passed, MemoryMB: memoryMB, Sockets: 1024,
-		Servers: lines, Boxes: boxes, Work: 2 * time.Millisecond,
+		Command: command, Env: env, PassSocket: passed, MemoryMB: memoryMB, Sockets: 1024,
+		Servers: lines, Boxes: boxes, ResponseDelay: 2 * time.Millisecond,
 		Settings: `{"Classes": [
 			{"Name": "read", "Effect": "pure", "DeadlineMs": 10000, "PromiseMs": 5000, "Importance": 1},
 			{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 10000, "PromiseMs": 5000}],
--- a/cmd/yokestall-node/former_test.go
+++ b/cmd/yokestall-node/former_test.go
@@ -60,7 +60,7 @@
 	l := platform.Drive(t.Context(), r.Addr, 16, 0)
 	defer l.Stop()
 	r.untilAvoided(l, failing)
-	failures := r.Seen(failing)
+	failures := r.Received(failing)
 
 	r.use(to)
 	successor := r.node()
@@ -68,29 +68,29 @@
 	expect(t, successor.Call("DETACH box-2"), "+OK")
 	expect(t, predecessor.Call("PING"), "out of service: box-0 box-2")
 	r.stop(predecessor) // with requests in flight: the clients send the next one at once, and a box takes its time
-	beforeDetach := r.Seen(detachedAfter)
+	beforeDetach := r.Received(detachedAfter)
 	r.untilServed(l, 300) // by the successor alone
-	if n := r.Seen(failing) - failures; n >= breakerRun {
+	if n := r.Received(failing) - failures; n >= breakerRun {
 		t.Errorf("%d requests came to the failing box over the upgrade: the successor does not know its state", n)
 	}
-	if before, after := r.Seen(detachedBefore), r.Seen(detachedAfter)-beforeDetach; before > 0 || after > 0 {
+	if before, after := r.Received(detachedBefore), r.Received(detachedAfter)-beforeDetach; before > 0 || after > 0 {
 		t.Errorf("%d and %d requests came to the boxes that operators took out", before, after)
 	}
 	expect(t, successor.Call("ATTACH box-0"), "+OK")
-	testutil.Until(t, "requests to the box that operators returned", func() bool { return r.Seen(detachedBefore) > 0 })
+	testutil.Until(t, "requests to the box that operators returned", func() bool { return r.Received(detachedBefore) > 0 })
 	expectSnapshot(t, successor.Log())
 
 	lost := l.Stop()
 	t.Logf("%d served, %d refused, %d failed, %d lost, %d sent again, %d run twice",
-		l.Served.Load(), l.Refused.Load(), l.Failed.Load(), len(lost), l.Again.Load(), r.Twice())
-	if len(lost) > 0 || r.Twice() > 0 {
+		l.Served.Load(), l.Rejected.Load(), l.Failed.Load(), len(lost), l.Resent.Load(), r.Duplicates())
+	if len(lost) > 0 || r.Duplicates() > 0 {
 		t.Errorf("requests were lost or ran twice: %v", lost[:min(len(lost), 5)])
 	}
-	if failed, answers := l.Failed.Load(), int64(r.Seen(failing)); failed > answers {
+	if failed, answers := l.Failed.Load(), int64(r.Received(failing)); failed > answers {
 		t.Errorf("%d requests failed, %d by the failing box", failed, answers)
 	}
-	if l.Again.Load() > 2 {
-		t.Errorf("%d requests ended at the door, two an upgrade are the most", l.Again.Load())
+	if l.Resent.Load() > 2 {
+		t.Errorf("%d requests ended at the door, two an upgrade are the most", l.Resent.Load())
 	}
 }
 
@@ -103,10 +103,10 @@
 	defer l.Stop()
 	r.untilAvoided(l, failing)
 	predecessor.Kill()
-	seen := r.Seen(failing)
+	seen := r.Received(failing)
 	r.node()
 	r.untilServed(l, 300)
-	if n := r.Seen(failing) - seen; n < breakerRun {
+	if n := r.Received(failing) - seen; n < breakerRun {
 		t.Errorf("%d requests came to the failing box after a start without a snapshot: the comparison shows little", n)
 	}
 }
@@ -123,9 +123,9 @@
 func (r *rig) untilAvoided(l *platform.Clients, box int) {
 	r.t.Helper()
 	for end := time.Now().Add(testutil.WaitTimeout); ; {
-		before := r.Seen(box)
+		before := r.Received(box)
 		r.untilServed(l, 300)
-		if before >= breakerRun && r.Seen(box) == before {
+		if before >= breakerRun && r.Received(box) == before {
 			return
 		}
 		if time.Now().After(end) {
--- a/cmd/yokestall-node/upgrade_test.go
+++ b/cmd/yokestall-node/upgrade_test.go
@@ -43,15 +43,15 @@
 	lost := l.Wait()
 	t.Logf("%d upgrades, PING +OK after %v at most: "+
 		"%d served, %d rejected, %d failed, %d lost, %d sent again, %d run twice",
-		*upgrades, worst, l.Served.Load(), l.Refused.Load(), l.Failed.Load(), len(lost), l.Again.Load(), r.Twice())
-	if len(lost) > 0 || l.Failed.Load() > 0 || r.Twice() > 0 || l.Served.Load() == 0 {
+		*upgrades, worst, l.Served.Load(), l.Rejected.Load(), l.Failed.Load(), len(lost), l.Resent.Load(), r.Duplicates())
+	if len(lost) > 0 || l.Failed.Load() > 0 || r.Duplicates() > 0 || l.Served.Load() == 0 {
 		t.Errorf("requests were lost, failed, ran twice, or none was served: %v", lost[:min(len(lost), 5)])
 	}
-	if l.Again.Load() > int64(2**upgrades) {
-		t.Errorf("%d requests had to be sent again by their clients, two an upgrade are the most", l.Again.Load())
+	if l.Resent.Load() > int64(2**upgrades) {
+		t.Errorf("%d requests had to be sent again by their clients, two an upgrade are the most", l.Resent.Load())
 	}
-	if r.Seen(0) > 0 {
-		t.Errorf("%d requests at the detached server", r.Seen(0))
+	if r.Received(0) > 0 {
+		t.Errorf("%d requests at the detached server", r.Received(0))
 	}
 	expect(t, old.Call("ATTACH box-0"), "+OK")
 }
@@ -65,7 +65,7 @@
 	defer stop()
 	l := platform.Drive(ctx, r.Addr, 4, 0)
 	for range 3 {
-		n, err := r.Begin()
+		n, err := r.Launch()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,8 +96,8 @@
 	expect(t, next.Call("ATTACH box-1"), "+OK")
 	r.stop(old)
 	stop()
-	if lost := l.Wait(); len(lost) > 0 || r.Twice() > 0 {
-		t.Errorf("lost %v, %d run twice", lost, r.Twice())
+	if lost := l.Wait(); len(lost) > 0 || r.Duplicates() > 0 {
+		t.Errorf("lost %v, %d run twice", lost, r.Duplicates())
 	}
 	// A predecessor hangs: the successor serves, and answers changes with the cause.
 	next.Process.Signal(syscall.SIGSTOP)
@@ -139,9 +139,9 @@
 			t.Error(err)
 		}
 	}
-	r.Release()
+	r.ReleaseSocket()
 	l.Wait()
-	if r.Twice() > 0 {
+	if r.Duplicates() > 0 {
 		t.Error("requests ran twice")
 	}
 }
@@ -162,11 +162,11 @@
 	stop()
 	lost := l.Wait()
 	t.Logf("%d restarts: %d served, %d rejected, %d failed, %d could not connect, %d sent again, %d run twice",
-		restarts, l.Served.Load(), l.Refused.Load(), l.Failed.Load(), len(lost), l.Again.Load(), r.Twice())
+		restarts, l.Served.Load(), l.Rejected.Load(), l.Failed.Load(), len(lost), l.Resent.Load(), r.Duplicates())
 	if len(lost) == 0 {
 		t.Error("all clients could connect: the comparison shows nothing")
 	}
-	if r.Twice() > 0 {
+	if r.Duplicates() > 0 {
 		t.Error("requests ran twice")
 	}
 }
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -50,7 +50,7 @@
 				run.Go(func() {
 					for cut := lane; cut <= len(tc.answer); cut += lanes {
 						for _, path := range []string{"/x", "/pay/x"} {
-							s.Cut.Store(int64(cut))
+							s.AnswerBytes.Store(int64(cut))
 							before := s.Executed.Load()
 							resp, text, err := c.ask("POST", path, "", bytes.NewReader([]byte("body")), 4)
 							ran := s.Executed.Load() - before
@@ -138,7 +138,7 @@
 		nc.(*net.TCPConn).CloseWrite()
 		answer, _ := io.ReadAll(nc)
 		nc.Close()
-		seen := tap.Take()
+		seen := tap.Drain()
 		if strings.Contains(seen, "hidden") && !strings.Contains(seen, "Content-Length: ") {
 			t.Errorf("%q reached the server as %q", text, seen)
 		}
@@ -195,7 +195,7 @@
 			}
 		}
 		nc.Close()
-		seen := tap.Take()
+		seen := tap.Drain()
 		dropped := tc.name == "a host beside the authority" // what goes on has the authority alone
 		if status == "200" && !dropped || strings.Contains(seen, "/hidden HTTP") || strings.Contains(seen, "Host: hidden") {
 			t.Errorf("%s: status %s, the server saw %q", tc.name, status, seen)
@@ -272,7 +272,7 @@
 		nc.(*net.TCPConn).CloseWrite()
 		io.Copy(io.Discard, nc)
 		nc.Close()
-		for _, head := range bytes.SplitAfter([]byte(tap.Take()), []byte("\r\n\r\n")) {
+		for _, head := range bytes.SplitAfter([]byte(tap.Drain()), []byte("\r\n\r\n")) {
 			if bytes.Contains(head, []byte("Transfer-Encoding")) && bytes.Contains(head, []byte("Content-Length")) {
 				t.Errorf("two lengths: %q", head)
 			}
--- a/internal/demo/maintenance.go
+++ b/internal/demo/maintenance.go
@@ -42,8 +42,8 @@
 func Maintenance(ctx context.Context, o MaintenanceOptions) (violations []string, err error) {
 	m := &maintenance{MaintenanceOptions: o}
 	if m.Platform, err = platform.New(platform.Options{
-		Command: o.NodeCommand, Env: o.NodeEnv, Passed: true, Settings: maintenanceSettings,
-		MemoryMB: nodeMemoryMB, Sockets: nodeSockets, Boxes: maintainedEndpoints, Work: maintenancePause,
+		Command: o.NodeCommand, Env: o.NodeEnv, PassSocket: true, Settings: maintenanceSettings,
+		MemoryMB: nodeMemoryMB, Sockets: nodeSockets, Boxes: maintainedEndpoints, ResponseDelay: maintenancePause,
 	}); err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 		m.violation("%d requests failed", n)
 	}
 	fmt.Fprintf(o.Out, "\n%d served, %d refused, %d failed, %d sent again; rules broken: %d\n", clients.Served.Load(),
-		clients.Refused.Load(), clients.Failed.Load(), clients.Again.Load(), len(m.violations))
+		clients.Rejected.Load(), clients.Failed.Load(), clients.Resent.Load(), len(m.violations))
 	for _, v := range m.violations {
 		fmt.Fprintln(o.Out, "  ", v)
 	}
@@ -124,7 +124,7 @@
 // deliveries returns how many requests have reached each endpoint.
 func (m *maintenance) deliveries() (n [maintainedEndpoints]int) {
 	for i := range n {
-		n[i] = m.Seen(i)
+		n[i] = m.Received(i)
 	}
 	return n
 }
--- a/internal/fake/appbox/appbox.go
+++ b/internal/fake/appbox/appbox.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// MaxSeen is how many requests a box keeps; later ones are counted in Lost only.
-const MaxSeen = 1 << 20
+// maxSeen is how many requests a box keeps; later ones are counted in Lost only.
+const maxSeen = 1 << 20
 
 // Seen is one request that reached a box, whole.
 type Seen struct {
@@ -30,21 +30,21 @@
 type Box struct {
 	Name string
 
-	addr  string
-	delay atomic.Int64 // ns, of each answer
-	conns atomic.Int64 // connections taken so far
-	fail  atomic.Bool
+	addr    string
+	delay   atomic.Int64 // ns, of each answer
+	conns   atomic.Int64 // connections taken so far
+	failing atomic.Bool
 
-	mu     sync.Mutex
-	server *http.Server // nil while the box is down
-	ended  chan struct{}
-	seen   []Seen
-	lost   int
+	mu      sync.Mutex
+	server  *http.Server // nil while the box is down
+	stopped chan struct{}
+	seen    []Seen
+	lost    int
 }
 
-// OwnTime is the field of an answer with the time that the box took for it, in nanoseconds, from the whole request to
+// ResponseTimeHeader is the field of an answer with the time that the box took for it, in nanoseconds, from the whole request to
 // the answer's first byte.
-const OwnTime = "X-Box-Time-Ns"
+const ResponseTimeHeader = "X-Box-Time-Ns"
 
 // Start starts a box on a free port of 127.0.0.1.
 func Start(name string) (*Box, error) {
@@ -72,7 +72,7 @@
 func (b *Box) SetDelay(d time.Duration) { b.delay.Store(int64(d)) }
 
 // SetFailing has each answer from now on be a 500, or not.
-func (b *Box) SetFailing(on bool) { b.fail.Store(on) }
+func (b *Box) SetFailing(on bool) { b.failing.Store(on) }
 
 // Up starts the box, or starts it again at its address.
 func (b *Box) Up() error {
@@ -88,7 +88,7 @@
 	b.addr = l.Addr().String()
 	s := &http.Server{Handler: b, ConnState: b.count}
 	ended := make(chan struct{})
-	b.server, b.ended = s, ended
+	b.server, b.stopped = s, ended
 	go func() {
 		defer close(ended)
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -103,7 +103,7 @@
 // Down ends the box at once: connections break, new ones are refused.
 func (b *Box) Down() {
 	b.mu.Lock()
-	s, ended := b.server, b.ended
+	s, ended := b.server, b.stopped
 	b.server = nil
 	b.mu.Unlock()
 	if s != nil {
@@ -120,7 +120,7 @@
 	}
 	seen := Seen{ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), At: time.Now()}
 	b.mu.Lock()
-	if len(b.seen) < MaxSeen {
+	if len(b.seen) < maxSeen {
 		b.seen = append(b.seen, seen)
 	} else {
 		b.lost++
@@ -131,12 +131,12 @@
 		<-ctx.Done()
 		cancel()
 	}
-	if b.fail.Load() {
+	if b.failing.Load() {
 		http.Error(w, "failing", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("X-Box", b.Name)
-	w.Header().Set(OwnTime, strconv.FormatInt(time.Since(seen.At).Nanoseconds(), 10))
+	w.Header().Set(ResponseTimeHeader, strconv.FormatInt(time.Since(seen.At).Nanoseconds(), 10))
 	fmt.Fprintf(w, "%s served %s (%d bytes)\n", b.Name, seen.ID, len(body))
 }
 
--- a/internal/fake/modelbox/modelbox.go
+++ b/internal/fake/modelbox/modelbox.go
@@ -23,41 +23,41 @@
 type Box struct {
 	Addr string // the same after Down and Up
 
-	zero time.Time
-
-	mu      sync.Mutex
-	srv     *http.Server // nil while the box is down
-	done    chan struct{}
-	server  *model.Server
-	rng     *rand.Rand
-	id      uint64
-	open    map[uint64]chan bool // by job; true: served
-	timer   *time.Timer
-	effects map[string]int // by request id
-	seen    func(Seen, string)
-	fell    int
+	start time.Time
+
+	mu        sync.Mutex
+	srv       *http.Server // nil while the box is down
+	done      chan struct{}
+	server    *model.Server
+	rng       *rand.Rand
+	lastID    uint64
+	open      map[uint64]chan bool // by job; true: served
+	timer     *time.Timer
+	effects   map[string]int // by request id
+	observer  func(Event, string)
+	overloads int
 }
 
-// Seen is what a box saw of a request.
-type Seen uint8
+// Event is what a box saw of a request.
+type Event uint8
 
 // What a box sees.
 const (
-	Came Seen = iota
-	Ran
-	Fell
+	Arrived Event = iota
+	Completed
+	Overloaded
 )
 
 // Watch has a function told of each request as it comes, as it takes effect, and as the box falls over with it.
-func (b *Box) Watch(seen func(what Seen, requestID string)) {
+func (b *Box) Watch(seen func(what Event, requestID string)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.seen = seen
+	b.observer = seen
 }
 
-func (b *Box) see(what Seen, r *http.Request) {
+func (b *Box) notify(what Event, r *http.Request) {
 	b.mu.Lock()
-	seen := b.seen
+	seen := b.observer
 	b.mu.Unlock()
 	if seen != nil {
 		seen(what, r.Header.Get("X-Request-Id"))
@@ -67,10 +67,10 @@
 // Start starts a box on a free port of 127.0.0.1, warm.
 func Start(k *model.ServerSpec, seed uint64) (*Box, error) {
 	b := &Box{
-		Addr: "127.0.0.1:0", zero: time.Now(), server: model.NewServer(k),
+		Addr: "127.0.0.1:0", start: time.Now(), server: model.NewServer(k),
 		rng: rand.New(rand.NewPCG(seed, 11)), open: map[uint64]chan bool{}, effects: map[string]int{},
 	}
-	b.timer = time.AfterFunc(time.Hour, b.pop)
+	b.timer = time.AfterFunc(time.Hour, b.completeJobs)
 	return b, b.listen()
 }
 
@@ -96,12 +96,12 @@
 	b.timer.Stop()
 }
 
-func (b *Box) now() time.Duration { return time.Since(b.zero) }
+func (b *Box) now() time.Duration { return time.Since(b.start) }
 
 // Down has the box lose all its jobs: connections break, new ones are refused.
 func (b *Box) Down() {
 	b.mu.Lock()
-	b.lose(b.server.Stop())
+	b.failJobs(b.server.Stop())
 	srv, done := b.srv, b.done
 	b.srv = nil
 	b.mu.Unlock()
@@ -122,8 +122,8 @@
 	return b.listen()
 }
 
-// Trouble sets what is wrong with it.
-func (b *Box) Trouble(t model.Fault) {
+// SetFault sets what is wrong with it.
+func (b *Box) SetFault(t model.Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.server.Fault = t
@@ -137,10 +137,10 @@
 	for id, n := range b.effects {
 		by[id] = n
 	}
-	return by, b.fell
+	return by, b.overloads
 }
 
-func (b *Box) lose(lost []model.Job) {
+func (b *Box) failJobs(lost []model.Job) {
 	for _, j := range lost {
 		if c := b.open[j.ID]; c != nil {
 			delete(b.open, j.ID)
@@ -149,8 +149,8 @@
 	}
 }
 
-// pop ends the jobs whose service is over.
-func (b *Box) pop() {
+// completeJobs ends the jobs whose service is over.
+func (b *Box) completeJobs() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
@@ -163,10 +163,10 @@
 			c <- true
 		}
 	}
-	b.arm()
+	b.armTimer()
 }
 
-func (b *Box) arm() {
+func (b *Box) armTimer() {
 	if at, ok := b.server.NextCompletion(); ok {
 		b.timer.Reset(max(0, at-b.now()))
 	}
@@ -179,23 +179,23 @@
 		http.Error(w, "no work", http.StatusBadRequest)
 		return
 	}
-	b.see(Came, r)
+	b.notify(Arrived, r)
 	b.mu.Lock()
-	b.id++
-	j := model.Job{ID: b.id, Work: time.Duration(us) * time.Microsecond, Key: r.Header.Get("Idempotency-Key")}
+	b.lastID++
+	j := model.Job{ID: b.lastID, Work: time.Duration(us) * time.Microsecond, Key: r.Header.Get("Idempotency-Key")}
 	fate, lost := b.server.Arrive(b.now(), j, b.rng)
 	c := make(chan bool, 1)
 	if fate == model.Accepted {
 		b.open[j.ID] = c
-		b.arm()
+		b.armTimer()
 	}
 	if fate == model.Overloaded {
-		b.fell++
-		b.lose(lost)
+		b.overloads++
+		b.failJobs(lost)
 	}
 	b.mu.Unlock()
 	if fate == model.Overloaded {
-		b.see(Fell, r)
+		b.notify(Overloaded, r)
 	}
 	switch fate {
 	case model.Rejected:
@@ -218,7 +218,7 @@
 	b.effects[r.Header.Get("X-Request-Id")]++
 	silent := b.server.Fault.Unresponsive
 	b.mu.Unlock()
-	b.see(Ran, r)
+	b.notify(Completed, r)
 	if silent {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
--- a/internal/fake/platform/clients.go
+++ b/internal/fake/platform/clients.go
@@ -15,8 +15,8 @@
 // Clients ask over and over, each on a connection that it keeps. Where a close has crossed its
 // request a client sends it once more on a new one, as the platform's do.
 type Clients struct {
-	// Again counts requests that were sent once more, since a close had crossed them.
-	Served, Refused, Failed, Again atomic.Int64
+	// Resent counts requests that were sent once more, since a close had crossed them.
+	Served, Rejected, Failed, Resent atomic.Int64
 
 	mu   sync.Mutex
 	lost []string // requests with no whole answer, and why
@@ -34,8 +34,8 @@
 			defer one.close()
 			for n := 0; ctx.Err() == nil; n++ {
 				id := fmt.Sprintf("c%d-%d", i, n)
-				status, again, err := one.ask(id)
-				c.note(id, status, again, err)
+				status, again, err := one.send(id)
+				c.record(id, status, again, err)
 				if err != nil {
 					time.Sleep(5 * time.Millisecond) // the load is steady, not a storm
 				}
@@ -59,9 +59,9 @@
 	return c.lost
 }
 
-func (c *Clients) note(id string, status int, again bool, err error) {
+func (c *Clients) record(id string, status int, again bool, err error) {
 	if again {
-		c.Again.Add(1)
+		c.Resent.Add(1)
 	}
 	switch {
 	case err != nil:
@@ -71,7 +71,7 @@
 	case status == http.StatusOK:
 		c.Served.Add(1)
 	case status == http.StatusServiceUnavailable:
-		c.Refused.Add(1)
+		c.Rejected.Add(1)
 	default:
 		c.Failed.Add(1)
 	}
@@ -79,38 +79,38 @@
 
 type client struct {
 	addr string
-	nc   net.Conn // nil: the next request opens one
+	conn net.Conn // nil: the next request opens one
 	in   *bufio.Reader
 }
 
 func (c *client) close() {
-	if c.nc != nil {
-		c.nc.Close()
-		c.nc = nil
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// ask makes a request that must not run twice.
-func (c *client) ask(id string) (status int, again bool, err error) {
-	kept := c.nc != nil
-	status, err = c.try(id)
+// send makes a request that must not run twice.
+func (c *client) send(id string) (status int, again bool, err error) {
+	kept := c.conn != nil
+	status, err = c.attempt(id)
 	if err != nil && kept {
-		status, err = c.try(id)
+		status, err = c.attempt(id)
 		return status, true, err
 	}
 	return status, false, err
 }
 
-func (c *client) try(id string) (status int, err error) {
-	if c.nc == nil {
-		if c.nc, err = net.DialTimeout("tcp", c.addr, patience); err != nil {
-			c.nc = nil
+func (c *client) attempt(id string) (status int, err error) {
+	if c.conn == nil {
+		if c.conn, err = net.DialTimeout("tcp", c.addr, timeout); err != nil {
+			c.conn = nil
 			return 0, err
 		}
-		c.in = bufio.NewReader(c.nc)
+		c.in = bufio.NewReader(c.conn)
 	}
-	c.nc.SetDeadline(time.Now().Add(patience))
-	fmt.Fprintf(c.nc, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 3000\r\nContent-Length: 2\r\n\r\nhi", id)
+	c.conn.SetDeadline(time.Now().Add(timeout))
+	fmt.Fprintf(c.conn, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: %s\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 3000\r\nContent-Length: 2\r\n\r\nhi", id)
 	resp, err := http.ReadResponse(c.in, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -25,21 +25,21 @@
 	"yokestall/internal/fake/registrar"
 )
 
-// patience bounds what a process may take to say yes, or to end.
-const patience = 30 * time.Second
+// timeout bounds what a process may take to say yes, or to end.
+const timeout = 30 * time.Second
 
 // Options say what is run.
 type Options struct {
-	Command  []string // of the node
-	Env      []string // for it, besides what the platform sets
-	Passed   bool     // the platform holds the clients' socket; else each process listens by itself
-	Settings string   // as JSON
-	MemoryMB int
-	Sockets  int
+	Command    []string // of the node
+	Env        []string // for it, besides what the platform sets
+	PassSocket bool     // the platform holds the clients' socket; else each process listens by itself
+	Settings   string   // as JSON
+	MemoryMB   int
+	Sockets    int
 	// Servers are on the list, and before them so many app boxes of the platform's own.
-	Servers []discovery.Instance
-	Boxes   int
-	Work    time.Duration // of a box for a request
+	Servers       []discovery.Instance
+	Boxes         int
+	ResponseDelay time.Duration // of a box for a request
 }
 
 // Platform runs the processes of one node. Create it with New.
@@ -57,7 +57,7 @@
 // New makes a platform with no process yet.
 func New(o Options) (*Platform, error) {
 	p := &Platform{options: o}
-	err := p.begin()
+	err := p.setUp()
 	if err != nil {
 		p.Close()
 		return nil, fmt.Errorf("platform: %w", err)
@@ -65,7 +65,7 @@
 	return p, nil
 }
 
-func (p *Platform) begin() (err error) {
+func (p *Platform) setUp() (err error) {
 	if p.dir, err = os.MkdirTemp("", "yokestall-platform-"); err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 		if err != nil {
 			return err
 		}
-		b.SetDelay(p.options.Work)
+		b.SetDelay(p.options.ResponseDelay)
 		p.Boxes = append(p.Boxes, b)
 		lines = append(lines, discovery.Instance{InstanceID: b.Name, HostPort: b.Addr(), Lifecycle: "Ready", Zone: "a", Weight: 1})
 	}
@@ -88,7 +88,7 @@
 	}
 	defer l.Close() // a copy that is passed stays
 	p.Addr = l.Addr().String()
-	if !p.options.Passed {
+	if !p.options.PassSocket {
 		return nil
 	}
 	raw, err := l.(*net.TCPListener).SyscallConn()
@@ -112,8 +112,8 @@
 // UseCommand has processes that are started from now on be of another program of the node than Options.Command.
 func (p *Platform) UseCommand(command, env []string) { p.options.Command, p.options.Env = command, env }
 
-// Release gives the clients' socket up: what is queued there ends with the last process.
-func (p *Platform) Release() {
+// ReleaseSocket gives the clients' socket up: what is queued there ends with the last process.
+func (p *Platform) ReleaseSocket() {
 	if p.socket != nil {
 		p.socket.Close()
 	}
@@ -124,7 +124,7 @@
 	for _, n := range p.nodes {
 		n.Kill()
 	}
-	p.Release()
+	p.ReleaseSocket()
 	for _, b := range p.Boxes {
 		b.Down()
 	}
@@ -136,14 +136,14 @@
 	}
 }
 
-// Seen is how many requests have reached a box.
-func (p *Platform) Seen(i int) int {
+// Received is how many requests have reached a box.
+func (p *Platform) Received(i int) int {
 	list, lost := p.Boxes[i].Seen()
 	return len(list) + lost
 }
 
-// Twice is how many requests have reached the boxes more than once.
-func (p *Platform) Twice() (n int) {
+// Duplicates is how many requests have reached the boxes more than once.
+func (p *Platform) Duplicates() (n int) {
 	by := map[string]int{}
 	for _, b := range p.Boxes {
 		list, _ := b.Seen()
@@ -158,11 +158,11 @@
 
 // Start starts a process of the node, beside those that run, and waits until it says yes.
 func (p *Platform) Start() (*Node, error) {
-	n, err := p.Begin()
+	n, err := p.Launch()
 	if err != nil {
 		return nil, err
 	}
-	for end := time.Now().Add(patience); !strings.HasPrefix(n.Call("PING"), "+OK"); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(timeout); !strings.HasPrefix(n.Call("PING"), "+OK"); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			return nil, errors.New("platform: the node does not say yes")
 		}
@@ -170,8 +170,8 @@
 	return n, nil
 }
 
-// Begin starts a process and waits until it hears operators, no longer.
-func (p *Platform) Begin() (*Node, error) {
+// Launch starts a process and waits until it hears operators, no longer.
+func (p *Platform) Launch() (*Node, error) {
 	config, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": p.Addr, "discovery": p.list.Addr(), "mgmt": "127.0.0.1:0",
 		"limits":   map[string]any{"cores": 1, "memory_mb": p.options.MemoryMB, "sockets": p.options.Sockets},
@@ -199,13 +199,13 @@
 	}
 	p.nodes = append(p.nodes, n)
 	heard := make(chan string, 1)
-	go n.follow(log, heard)
+	go n.followLog(log, heard)
 	select {
-	case n.mgmt = <-heard:
+	case n.adminAddr = <-heard:
 		return n, nil
 	case <-n.Ended:
 		return nil, fmt.Errorf("platform: the node ended at once: %w; it said %q", n.Err, n.lastLine())
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return nil, errors.New("platform: the node does not start")
 	}
 }
@@ -213,12 +213,12 @@
 // Node is a process of the node.
 type Node struct {
 	*exec.Cmd
-	Ended chan struct{} // closed when it has
-	Err   error         // how; read after Ended
-	mgmt  string        // the operators' address
+	Ended     chan struct{} // closed when it has
+	Err       error         // how; read after Ended
+	adminAddr string        // the operators' address
 
-	mu  sync.Mutex
-	log []string // lines, the latest maxLogLines of them; guarded by mu
+	mu    sync.Mutex
+	lines []string // lines, the latest maxLogLines of them; guarded by mu
 }
 
 // maxLogLines bounds what is remembered of a process's log.
@@ -228,12 +228,12 @@
 // of the program, which run side by side here: they share the subject and an attribute that is an address.
 var operatorsLine = regexp.MustCompile(`^[^=]*\b(?:operators|admin)\b.*\b\w+=(127\.0\.0\.1:\d+)`)
 
-// follow reads the process's log to its end and takes the operators' address out of it.
-func (n *Node) follow(log io.Reader, heard chan<- string) {
+// followLog reads the process's log to its end and takes the operators' address out of it.
+func (n *Node) followLog(log io.Reader, heard chan<- string) {
 	found := false
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		line := lines.Text()
-		n.remember(line)
+		n.keepLine(line)
 		if at := operatorsLine.FindStringSubmatch(line); at != nil && !found {
 			found = true
 			heard <- at[1]
@@ -243,35 +243,35 @@
 	close(n.Ended)
 }
 
-func (n *Node) remember(line string) {
+func (n *Node) keepLine(line string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.log) == maxLogLines {
-		n.log = append(n.log[:0], n.log[1:]...)
+	if len(n.lines) == maxLogLines {
+		n.lines = append(n.lines[:0], n.lines[1:]...)
 	}
-	n.log = append(n.log, line)
+	n.lines = append(n.lines, line)
 }
 
 // Log gives the lines that the process has logged so far, the latest ones if there are very many.
 func (n *Node) Log() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]string(nil), n.log...)
+	return append([]string(nil), n.lines...)
 }
 
 // lastLine gives the last line of the process's log.
 func (n *Node) lastLine() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.log) == 0 {
+	if len(n.lines) == 0 {
 		return ""
 	}
-	return n.log[len(n.log)-1]
+	return n.lines[len(n.lines)-1]
 }
 
 // Call makes one call of an operator's and gives the answer, or why there is none.
 func (n *Node) Call(text string) string {
-	answer, err := adminapi.Send(n.mgmt, text, patience)
+	answer, err := adminapi.Send(n.adminAddr, text, timeout)
 	if err != nil {
 		return err.Error()
 	}
@@ -291,7 +291,7 @@
 	select {
 	case <-n.Ended:
 		return n.Err
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return errors.New("platform: the process does not end")
 	}
 }
--- a/internal/fake/rawpeer/rawpeer.go
+++ b/internal/fake/rawpeer/rawpeer.go
@@ -16,8 +16,8 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// patience ends a connection whose other side does nothing.
-const patience = 2 * time.Minute
+// connTimeout ends a connection whose other side does nothing.
+const connTimeout = 2 * time.Minute
 
 // Fields writes a block of fields, names and values in turn (RFC 7541).
 func Fields(list ...string) []byte {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(connTimeout))
 	f := http2.NewFramer(nc, nc)
 	f.AllowIllegalWrites = true
 	if _, err = io.WriteString(nc, http2.ClientPreface); err == nil {
@@ -51,24 +51,24 @@
 // Server reads one request of each connection and answers with so many bytes of an answer;
 // then it closes. Create it with Start.
 type Server struct {
-	Addrs    []string
-	Cut      atomic.Int64 // bytes of the answer that are sent
-	Executed atomic.Int64 // requests that came to their last byte
+	Addrs       []string
+	AnswerBytes atomic.Int64 // bytes of the answer that are sent
+	Executed    atomic.Int64 // requests that came to their last byte
 
-	answer []byte
-	read   func(io.Reader, io.Writer) bool
-	socket []net.Listener
-	tap    *Tap
-	open   sync.WaitGroup
+	answer      []byte
+	readRequest func(io.Reader, io.Writer) bool
+	listeners   []net.Listener
+	tap         *Tap
+	accepting   sync.WaitGroup
 }
 
 // Start starts a server in so many places of 127.0.0.1. Its answer is written as it is given,
 // all of it until Cut says otherwise. What comes in is written to a tap, if there is one.
 func Start(answer []byte, overHTTP2 bool, places int, tap *Tap) (*Server, error) {
-	s := &Server{answer: answer, read: readHTTP1, tap: tap}
-	s.Cut.Store(int64(len(answer)))
+	s := &Server{answer: answer, readRequest: readHTTP1, tap: tap}
+	s.AnswerBytes.Store(int64(len(answer)))
 	if overHTTP2 {
-		s.read = readHTTP2
+		s.readRequest = readHTTP2
 	}
 	for range places {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,8 +76,8 @@
 			s.Down()
 			return nil, err
 		}
-		s.Addrs, s.socket = append(s.Addrs, l.Addr().String()), append(s.socket, l)
-		s.open.Go(func() { s.accept(l) })
+		s.Addrs, s.listeners = append(s.Addrs, l.Addr().String()), append(s.listeners, l)
+		s.accepting.Go(func() { s.accept(l) })
 	}
 	return s, nil
 }
@@ -90,14 +90,14 @@
 		}
 		go func() {
 			defer nc.Close()
-			nc.SetDeadline(time.Now().Add(patience))
+			nc.SetDeadline(time.Now().Add(connTimeout))
 			from := io.Reader(nc)
 			if s.tap != nil {
 				from = io.TeeReader(nc, s.tap)
 			}
-			if s.read(from, nc) {
+			if s.readRequest(from, nc) {
 				s.Executed.Add(1)
-				nc.Write(s.answer[:s.Cut.Load()])
+				nc.Write(s.answer[:s.AnswerBytes.Load()])
 			}
 		}()
 	}
@@ -105,10 +105,10 @@
 
 // Down ends the server; connections end with their answer.
 func (s *Server) Down() {
-	for _, l := range s.socket {
+	for _, l := range s.listeners {
 		l.Close()
 	}
-	s.open.Wait()
+	s.accepting.Wait()
 }
 
 func readHTTP1(r io.Reader, _ io.Writer) bool {
@@ -147,24 +147,24 @@
 
 // Tap keeps every byte that a server is sent, up to a megabyte between two looks.
 type Tap struct {
-	mu   sync.Mutex
-	seen bytes.Buffer
+	mu       sync.Mutex
+	received bytes.Buffer
 }
 
 // Write implements io.Writer.
 func (t *Tap) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.seen.Len() < 1<<20 {
-		t.seen.Write(p)
+	if t.received.Len() < 1<<20 {
+		t.received.Write(p)
 	}
 	return len(p), nil
 }
 
-// Take gives what has come since the last time.
-func (t *Tap) Take() string {
+// Drain gives what has come since the last time.
+func (t *Tap) Drain() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	defer t.seen.Reset()
-	return t.seen.String()
+	defer t.received.Reset()
+	return t.received.String()
 }
--- a/internal/fake/registrar/registrar.go
+++ b/internal/fake/registrar/registrar.go
@@ -14,8 +14,8 @@
 	"yokestall/internal/discovery"
 )
 
-// longestWait bounds what a watch may ask for.
-const longestWait = time.Minute
+// maxWait bounds what a watch may ask for.
+const maxWait = time.Minute
 
 // Registrar serves one list. Create it with Start.
 type Registrar struct {
@@ -64,7 +64,7 @@
 	}
 	after, err := strconv.ParseUint(q.URL.Query().Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(q.URL.Query().Get("wait_ms"))
-	wait := min(max(0, time.Duration(ms)*time.Millisecond), longestWait)
+	wait := min(max(0, time.Duration(ms)*time.Millisecond), maxWait)
 	r.mu.Lock()
 	if err == nil && after >= r.generation {
 		changed := r.changed
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -167,8 +167,10 @@
 		}
 	}
 	r.mu.Unlock()
-	kinds := map[modelbox.Seen]fleet.What{modelbox.Came: fleet.Came, modelbox.Ran: fleet.Ran, modelbox.Fell: fleet.Fell}
-	b.Watch(func(what modelbox.Seen, id string) {
+	kinds := map[modelbox.Event]fleet.What{
+		modelbox.Arrived: fleet.Came, modelbox.Completed: fleet.Ran, modelbox.Overloaded: fleet.Fell,
+	}
+	b.Watch(func(what modelbox.Event, id string) {
 		r.rig.Record.Add(fleet.Event{What: kinds[what], Who: serial, ID: id})
 	})
 }
--- a/internal/lab/process/load.go
+++ b/internal/lab/process/load.go
@@ -125,7 +125,7 @@
 	if a.StatusCode != http.StatusOK {
 		return a.StatusCode, 0, nil
 	}
-	own, err := strconv.ParseInt(a.Header.Get(appbox.OwnTime), 10, 64)
+	own, err := strconv.ParseInt(a.Header.Get(appbox.ResponseTimeHeader), 10, 64)
 	if err != nil {
 		return 0, 0, fmt.Errorf("an answer without the server's own time: %w", err)
 	}
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -293,9 +293,9 @@
 					r.replaced(i)
 				}
 			case s.over:
-				p.box.Trouble(model.Fault{})
+				p.box.SetFault(model.Fault{})
 			default:
-				p.box.Trouble(s.t.With)
+				p.box.SetFault(s.t.With)
 			}
 		}
 	}
