--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -25,7 +25,7 @@
 	command, env := testutil.SelfCommand()
 	p, err := platform.New(platform.Options{
 		Command: command, Env: env, PassSocket: passed, MemoryMB: memoryMB, Sockets: 1024,
-		Servers: lines, Boxes: boxes, ResponseDelay: 2 * time.Millisecond,
+		Servers: lines, AppServers: boxes, ResponseDelay: 2 * time.Millisecond,
 		Settings: `{"Classes": [
 			{"Name": "read", "Effect": "pure", "DeadlineMs": 10000, "PromiseMs": 5000, "Importance": 1},
 			{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 10000, "PromiseMs": 5000}],
--- a/cmd/yokestall-node/former_test.go
+++ b/cmd/yokestall-node/former_test.go
@@ -45,10 +45,10 @@
 func newUpgradeRig(t *testing.T) *rig {
 	t.Helper()
 	r := newRig(t, true, upgradeBoxes)
-	for _, b := range r.Boxes {
+	for _, b := range r.AppServers {
 		b.SetDelay(10 * time.Millisecond)
 	}
-	r.Boxes[failing].SetFailing(true)
+	r.AppServers[failing].SetFailing(true)
 	return r
 }
 
--- a/cmd/yokestall/kill_test.go
+++ b/cmd/yokestall/kill_test.go
@@ -54,9 +54,9 @@
 func killsAmongPushes(t *testing.T, log string) (ran, twice int) {
 	dir := t.TempDir()
 	list := "[cluster]\nname = \"rooms\"\n"
-	var boxes []*appbox.Box
+	var boxes []*appbox.Server
 	for i := range 3 {
-		b := testutil.StartAppBox(t, fmt.Sprint("s-", i))
+		b := testutil.StartAppServer(t, fmt.Sprint("s-", i))
 		b.SetDelay(5 * time.Millisecond) // work, in which a kill may come
 		boxes = append(boxes, b)
 		list += fmt.Sprintf("[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\n", b.Name, b.Addr())
--- a/internal/app/agreedsource_test.go
+++ b/internal/app/agreedsource_test.go
@@ -16,7 +16,7 @@
 // A hundred changes of classes, limits and the fleet's figures under load: nothing fails, and what was learnt of a
 // server that fails stays known.
 func TestSettingsUnderLoad(t *testing.T) {
-	good, bad := testutil.StartAppBox(t, "good"), testutil.StartAppBox(t, "bad")
+	good, bad := testutil.StartAppServer(t, "good"), testutil.StartAppServer(t, "bad")
 	good.SetDelay(time.Millisecond)
 	bad.SetFailing(true)
 	list := rooms(at(good), at(bad))
@@ -71,7 +71,7 @@
 // The lease is looked at when a request is decided and again right before it is sent: lost in between, nothing goes
 // out, and the client is told when to come back.
 func TestLeaseAtDecisionAndSend(t *testing.T) {
-	b := testutil.StartAppBox(t, "box")
+	b := testutil.StartAppServer(t, "box")
 	var looks, until atomic.Int64
 	until.Store(1 << 40)
 	s := serveWith(t, snapshot(parse(t, program), rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return looks.Add(1) <= until.Load() }})
@@ -101,7 +101,7 @@
 
 // A request that was decided by rules of its class that are no more sends nothing, though the lease goes on.
 func TestDecidedByOldRules(t *testing.T) {
-	b := testutil.StartAppBox(t, "box")
+	b := testutil.StartAppServer(t, "box")
 	own := parse(t, program)
 	s := serveWith(t, snapshot(own, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return true }})
 	old := s.app.state.Load()
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -73,7 +73,7 @@
 	return c
 }
 
-func at(b *appbox.Box) cluster.Endpoint {
+func at(b *appbox.Server) cluster.Endpoint {
 	return cluster.Endpoint{ID: b.Name, Address: b.Addr(), Weight: 1}
 }
 
@@ -151,7 +151,7 @@
 
 // A request with nothing but a path is served: the front gives it an id.
 func TestPlainRequest(t *testing.T) {
-	b := testutil.StartAppBox(t, "box-1")
+	b := testutil.StartAppServer(t, "box-1")
 	s := serve(t, snapshot(parse(t, program), rooms(at(b))))
 	status, _, body := s.get("/hotels", "")
 	if status != 200 || !strings.HasPrefix(body, "box-1 served ") {
@@ -165,7 +165,7 @@
 // A route to a cluster that nobody defines refuses its own requests and no others, and
 // heals when the cluster comes.
 func TestUndefinedCluster(t *testing.T) {
-	b := testutil.StartAppBox(t, "box-1")
+	b := testutil.StartAppServer(t, "box-1")
 	p := parse(t, program)
 	s := serve(t, snapshot(p, rooms(at(b))))
 	status, header, _ := s.get("/lost/x", "")
@@ -188,7 +188,7 @@
 // A cluster that is removed, or a route that moves, with requests open: what is out
 // finishes, new ones go where the version says.
 func TestClusterRemovedWhileOpen(t *testing.T) {
-	slow, other := testutil.StartAppBox(t, "slow"), testutil.StartAppBox(t, "other")
+	slow, other := testutil.StartAppServer(t, "slow"), testutil.StartAppServer(t, "other")
 	slow.SetDelay(300 * time.Millisecond)
 	p := parse(t, program)
 	s := serve(t, snapshot(p, rooms(at(slow))))
@@ -222,12 +222,12 @@
 
 // An endpoint under the same id at another address is another server at once.
 func TestEndpointMoves(t *testing.T) {
-	a, b := testutil.StartAppBox(t, "a"), testutil.StartAppBox(t, "b")
+	a, b := testutil.StartAppServer(t, "a"), testutil.StartAppServer(t, "b")
 	p := parse(t, program)
-	at := func(b *appbox.Box) cluster.Endpoint { return cluster.Endpoint{ID: "same", Address: b.Addr()} }
+	at := func(b *appbox.Server) cluster.Endpoint { return cluster.Endpoint{ID: "same", Address: b.Addr()} }
 	s := serve(t, snapshot(p, rooms(at(a))))
 	for i := range 10 {
-		to := []*appbox.Box{a, b}[i%2]
+		to := []*appbox.Server{a, b}[i%2]
 		if err := s.app.Apply(snapshot(p, rooms(at(to)))); err != nil {
 			t.Fatal(err)
 		}
@@ -240,7 +240,7 @@
 // A new endpoint at the address of one that has gone is another server, with nothing of
 // the former one's.
 func TestAddressReused(t *testing.T) {
-	b := testutil.StartAppBox(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	log := &sends{names: map[uint64]string{}}
 	p := parse(t, program)
 	named := func(id string) *files.Snapshot {
@@ -263,7 +263,7 @@
 // A cluster's bounds: what is dropped by share or is more than may be open is refused at
 // once, with the time to come back, and reaches no server.
 func TestBounds(t *testing.T) {
-	b := testutil.StartAppBox(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
 	held := func(bounds cluster.Limits) *files.Snapshot {
 		c := rooms(at(b))
@@ -303,7 +303,7 @@
 // A thousand versions, also such that start every cluster anew, leave no memory,
 // goroutine or descriptor behind.
 func TestThousandVersions(t *testing.T) {
-	b := testutil.StartAppBox(t, "box-1")
+	b := testutil.StartAppServer(t, "box-1")
 	p := parse(t, program)
 	other := parse(t, strings.Replace(program, "attempts = 3", "attempts = 2", 1))
 	s := serve(t, snapshot(p, rooms(at(b))))
@@ -357,17 +357,17 @@
 		fmt.Sscan(v, &versions)
 	}
 	const boxes, grace = 6, 500 * time.Millisecond
-	var all []*appbox.Box
+	var all []*appbox.Server
 	for i := range boxes {
-		all = append(all, testutil.StartAppBox(t, fmt.Sprintf("box-%d", i)))
+		all = append(all, testutil.StartAppServer(t, fmt.Sprintf("box-%d", i)))
 	}
-	bait := testutil.StartAppBox(t, "bait") // in no complete, valid version
+	bait := testutil.StartAppServer(t, "bait") // in no complete, valid version
 	root := t.TempDir()
 	path, dir := filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
 	if err := os.Mkdir(dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	text := func(members []*appbox.Box, end string) string {
+	text := func(members []*appbox.Server, end string) string {
 		var b strings.Builder
 		b.WriteString("[cluster]\nname = \"rooms\"\n\n")
 		for _, m := range members {
@@ -443,7 +443,7 @@
 	rnd := rand.New(rand.NewPCG(1, 2))
 	began := time.Now()
 	for range versions {
-		members := append([]*appbox.Box(nil), all...)
+		members := append([]*appbox.Server(nil), all...)
 		// One box is away for a second at a time, long enough for a stray to show.
 		away := int(time.Since(began)/time.Second) % boxes
 		members = append(members[:away], members[away+1:]...)
--- a/internal/app/bounds_test.go
+++ b/internal/app/bounds_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Skip("openssl is not installed")
 	}
-	b := testutil.StartAppBox(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	keys, authority := matrixKeys(t)
 	c := newCellTo(t, webpeer.Protocol{TLS: true}, webpeer.Protocol{}, keys, authority, config.Listener{}, b.Addr())
 	ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -21,7 +21,7 @@
 )
 
 // services is a program with a route to each of a number of clusters, and the clusters, all on the same servers.
-func services(t testing.TB, count int, boxes ...*appbox.Box) *files.Snapshot {
+func services(t testing.TB, count int, boxes ...*appbox.Server) *files.Snapshot {
 	t.Helper()
 	text := strings.Builder{}
 	text.WriteString(program)
@@ -35,7 +35,7 @@
 	return snapshot(parse(t, text.String()), list...)
 }
 
-func service(i int, boxes ...*appbox.Box) *cluster.Config {
+func service(i int, boxes ...*appbox.Server) *cluster.Config {
 	var endpoints []cluster.Endpoint
 	for _, b := range boxes {
 		endpoints = append(endpoints, at(b))
@@ -71,7 +71,7 @@
 // theirs up.
 func TestClustersAreActiveWhileUsed(t *testing.T) {
 	const count = 200
-	box := testutil.StartAppBox(t, "b")
+	box := testutil.StartAppServer(t, "b")
 	before := runtime.NumGoroutine()
 	s := serve(t, services(t, count, box))
 	if n := runtime.NumGoroutine() - before; n > count/4 {
@@ -99,7 +99,7 @@
 // Guards against a request that falls between a cluster's looks at whether it is in use: all are answered while the
 // cluster is given up again and again.
 func TestRequestsDuringDeactivation(t *testing.T) {
-	box := testutil.StartAppBox(t, "b")
+	box := testutil.StartAppServer(t, "b")
 	s := serve(t, services(t, 1, box))
 	const clients, times = 2, 15
 	var refused atomic.Int64
@@ -132,7 +132,7 @@
 // look has engines that last until its end.
 func TestDeactivationRace(t *testing.T) {
 	const requests = 2000
-	s := serve(t, services(t, 1, testutil.StartAppBox(t, "b")))
+	s := serve(t, services(t, 1, testutil.StartAppServer(t, "b")))
 	r := s.app.state.Load().clusters["s0"]
 	looked := make(chan struct{}, 1) // the next request begins beside the look at the last one's end
 	go func() {
@@ -171,7 +171,7 @@
 
 // Guards against news that a cluster without engines misses: a server that was taken out meanwhile gets nothing.
 func TestUpdateWhileIdle(t *testing.T) {
-	stays, leaves := testutil.StartAppBox(t, "stays"), testutil.StartAppBox(t, "leaves")
+	stays, leaves := testutil.StartAppServer(t, "stays"), testutil.StartAppServer(t, "leaves")
 	first := services(t, 1, stays, leaves)
 	s := serve(t, first)
 	s.ask(0)
@@ -219,7 +219,7 @@
 
 // What is known of servers outlives the engines: through idleness, a change of settings while idle, and both again.
 func TestSnapshotsOutliveEngines(t *testing.T) {
-	bad := testutil.StartAppBox(t, "bad")
+	bad := testutil.StartAppServer(t, "bad")
 	bad.SetFailing(true)
 	first := services(t, 1, bad)
 	s := serve(t, first)
@@ -302,7 +302,7 @@
 		p := *parse(t, program)
 		p.Classes = append([]config.Class(nil), p.Classes...)
 		c.change(&p)
-		s := serve(t, snapshot(&p, rooms(at(testutil.StartAppBox(t, "b")))))
+		s := serve(t, snapshot(&p, rooms(at(testutil.StartAppServer(t, "b")))))
 		if got := s.app.idleAfter(s.app.state.Load()); got != c.want {
 			t.Errorf("%s: idle after %v, want %v", name, got, c.want)
 		}
@@ -312,7 +312,7 @@
 // Guards against what a version leaves behind: after many changes of settings the heap holds what it held after few.
 func TestChangesLeaveNothing(t *testing.T) {
 	const count = 100
-	box := testutil.StartAppBox(t, "b")
+	box := testutil.StartAppServer(t, "b")
 	first := services(t, count, box)
 	s := serve(t, first)
 	change := func(times int) (heap uint64) {
@@ -342,9 +342,9 @@
 // left.
 func TestTenantTables(t *testing.T) {
 	text := program + "[[tenant]]\nname = \"a\"\nquota_per_s = 5\ncertificates = [\"a.example\"]\n[[tenant]]\nname = \"b\"\n"
-	s := serve(t, snapshot(parse(t, text), rooms(at(testutil.StartAppBox(t, "b")))))
+	s := serve(t, snapshot(parse(t, text), rooms(at(testutil.StartAppServer(t, "b")))))
 	take := func(text string) *tenantTable {
-		if err := s.app.Apply(snapshot(parse(t, text), rooms(at(testutil.StartAppBox(t, "b"))))); err != nil {
+		if err := s.app.Apply(snapshot(parse(t, text), rooms(at(testutil.StartAppServer(t, "b"))))); err != nil {
 			t.Fatal(err)
 		}
 		return s.app.state.Load().tenants
--- a/internal/app/listeners_test.go
+++ b/internal/app/listeners_test.go
@@ -44,7 +44,7 @@
 
 // Listeners come, change under clients that stay, and go; what can't be opened changes nothing.
 func TestListenersComeAndGo(t *testing.T) {
-	b := testutil.StartAppBox(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
 	a, err := New(snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	if err != nil {
@@ -137,7 +137,7 @@
 
 // A listener outlives a lack of descriptors.
 func TestAcceptGoesOn(t *testing.T) {
-	b := testutil.StartAppBox(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
 	a, err := New(snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	if err != nil {
@@ -212,7 +212,7 @@
 	}
 	p := parse(t, edgeProgram)
 	e := rooms()
-	e.AllowEmpty, e.Endpoints = false, append(e.Endpoints, at(testutil.StartAppBox(t, "unused")))
+	e.AllowEmpty, e.Endpoints = false, append(e.Endpoints, at(testutil.StartAppServer(t, "unused")))
 	e.Endpoints[0].Address = b.Addr()
 	a, err := New(snapshot(p, e), Options{Seed: 1, Log: testutil.Log(t), Keys: keys})
 	if err != nil {
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -34,7 +34,7 @@
 		started <- struct{}{}
 		<-r.Context().Done()
 	})
-	other := testutil.StartAppBox(t, "other")
+	other := testutil.StartAppServer(t, "other")
 	bounds := func(text string) *config.Program {
 		return parse(t, strings.Replace(program, "effect = \"safe\"\n", "effect = \"safe\"\n"+text, 1))
 	}
@@ -119,7 +119,7 @@
 		over <- err
 	}()
 	testutil.Wait(t, b.Requests, "the request")
-	err := s.app.Apply(snapshot(p, rooms(at(testutil.StartAppBox(t, "other")))))
+	err := s.app.Apply(snapshot(p, rooms(at(testutil.StartAppServer(t, "other")))))
 	close(let)
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 
 // A client that floods a connection over HTTP/2 is told so and loses it; one beside it is served.
 func TestFloodsEndConnections(t *testing.T) {
-	b := testutil.StartAppBox(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	for _, tc := range []struct {
 		name string
 		send func(f *http2.Framer, i int) error
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -88,7 +88,7 @@
 }
 
 // placed is an assignment whose boxes have the priorities of their lists.
-func placed(cluster string, h corev3.HealthStatus, byPriority ...[]*appbox.Box) *endpointv3.ClusterLoadAssignment {
+func placed(cluster string, h corev3.HealthStatus, byPriority ...[]*appbox.Server) *endpointv3.ClusterLoadAssignment {
 	a := &endpointv3.ClusterLoadAssignment{ClusterName: cluster}
 	for p, boxes := range byPriority {
 		l := &endpointv3.LocalityLbEndpoints{Priority: uint32(p)}
@@ -163,7 +163,7 @@
 func TestXDSLife(t *testing.T) {
 	for _, variant := range bothVariants {
 		t.Run(variant, func(t *testing.T) {
-			a, b := testutil.StartAppBox(t, "a"), testutil.StartAppBox(t, "b")
+			a, b := testutil.StartAppServer(t, "a"), testutil.StartAppServer(t, "b")
 			p := startPlane(t)
 			p.Down()
 			keep := filepath.Join(t.TempDir(), "kept")
@@ -176,7 +176,7 @@
 				"ingress": ingressRoutes(t), "main": mainRoutes(toCluster("/lost/", "lost", "read"), toCluster("/c-99/", "c-99", "read"), toCluster("/pay/", "rooms", "pay"), toCluster("/", "rooms", "read")),
 				"rooms": edsCluster("rooms"),
 			})
-			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Box{a})})
+			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Server{a})})
 			if err := p.Up(); err != nil {
 				t.Fatal(err)
 			}
@@ -188,7 +188,7 @@
 			logs.Wait("request rejected, cluster not defined")
 			lost := map[string]proto.Message{"lost": edsCluster("lost")}
 			set(t, p, lost)
-			set(t, p, map[string]proto.Message{"lost": placed("lost", healthy, []*appbox.Box{b})})
+			set(t, p, map[string]proto.Message{"lost": placed("lost", healthy, []*appbox.Server{b})})
 			s.becomes("/lost/x", 200) // it heals
 
 			hundred := map[string]proto.Message{}
@@ -198,7 +198,7 @@
 			hundred["lost"] = &clusterv3.Cluster{Name: "lost", ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_LOGICAL_DNS}}
 			set(t, p, hundred)
 			logs.Wait("lost: type: LOGICAL_DNS is neither EDS nor STATIC")
-			set(t, p, map[string]proto.Message{"c-99": placed("c-99", healthy, []*appbox.Box{b})})
+			set(t, p, map[string]proto.Message{"c-99": placed("c-99", healthy, []*appbox.Server{b})})
 			s.becomes("/c-99/x", 200) // the others were taken
 			if status, _, _ := s.get("/lost/x", ""); status != 200 {
 				t.Errorf("the last good form: status %d", status)
@@ -228,8 +228,8 @@
 			// Each way to misbehave, with the stream broken after it as a restart would.
 			for fault := controlplane.WrongNonce; fault <= controlplane.Garbage; fault++ {
 				p.Misbehave(fault)
-				to := []*appbox.Box{a, b}[int(fault)%2]
-				set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Box{to})})
+				to := []*appbox.Server{a, b}[int(fault)%2]
+				set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Server{to})})
 				if status, _, _ := s.get("/x", ""); status != 200 {
 					t.Errorf("fault %d: status %d", fault, status)
 				}
@@ -254,7 +254,7 @@
 			// Restored from a backup: the version is older, and it is what counts.
 			url := message(t, placed("rooms", healthy)).TypeUrl
 			p.Rewind(url, 1)
-			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Box{b})})
+			set(t, p, map[string]proto.Message{"rooms": placed("rooms", healthy, []*appbox.Server{b})})
 			p.Rewind(url, 1)
 			if err := p.Up(); err != nil {
 				t.Fatal(err)
@@ -270,12 +270,12 @@
 // All of a priority unhealthy: the next one serves; all at all priorities: refused at once,
 // with the time to come back.
 func TestXDSFailover(t *testing.T) {
-	a, b := testutil.StartAppBox(t, "a"), testutil.StartAppBox(t, "b")
+	a, b := testutil.StartAppServer(t, "a"), testutil.StartAppServer(t, "b")
 	p := startPlane(t)
 	set(t, p, map[string]proto.Message{"ingress": ingressRoutes(t), "main": mainRoutes(toCluster("/", "rooms", "read")), "rooms": edsCluster("rooms")})
 	both := func(first, second corev3.HealthStatus) {
-		x := placed("rooms", first, []*appbox.Box{a}, nil)
-		x.Endpoints[1].LbEndpoints = placed("rooms", second, []*appbox.Box{b}).Endpoints[0].LbEndpoints
+		x := placed("rooms", first, []*appbox.Server{a}, nil)
+		x.Endpoints[1].LbEndpoints = placed("rooms", second, []*appbox.Server{b}).Endpoints[0].LbEndpoints
 		set(t, p, map[string]proto.Message{"rooms": x})
 	}
 	both(healthy, healthy)
@@ -377,10 +377,10 @@
 		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
 			const boxes, grace = 6, 500 * time.Millisecond
-			var all []*appbox.Box
+			var all []*appbox.Server
 			log := &sends{names: map[uint64]string{}}
 			for i := range boxes {
-				b := testutil.StartAppBox(t, fmt.Sprintf("box-%d", i))
+				b := testutil.StartAppServer(t, fmt.Sprintf("box-%d", i))
 				e := at(b)
 				e.ID = e.Address
 				log.names[e.Key()] = b.Addr()
--- a/internal/demo/endpointlist.go
+++ b/internal/demo/endpointlist.go
@@ -107,7 +107,7 @@
 }
 
 // endpointNamed returns the endpoint with a name, nil if there is none.
-func (d *demo) endpointNamed(name string) *appbox.Box {
+func (d *demo) endpointNamed(name string) *appbox.Server {
 	for _, e := range d.endpoints {
 		if e.Name == name {
 			return e
--- a/internal/demo/maintenance.go
+++ b/internal/demo/maintenance.go
@@ -43,7 +43,7 @@
 	m := &maintenance{MaintenanceOptions: o}
 	if m.Platform, err = platform.New(platform.Options{
 		Command: o.NodeCommand, Env: o.NodeEnv, PassSocket: true, Settings: maintenanceSettings,
-		MemoryMB: nodeMemoryMB, Sockets: nodeSockets, Boxes: maintainedEndpoints, ResponseDelay: maintenancePause,
+		MemoryMB: nodeMemoryMB, Sockets: nodeSockets, AppServers: maintainedEndpoints, ResponseDelay: maintenancePause,
 	}); err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	time.Sleep(drainGrace) // attempts that were decided before may still arrive
 	atDetach := m.deliveries()[detachedEndpoint]
 	m.step(ctx, "box-1 is out")
-	endpoint := m.Boxes[detachedEndpoint]
+	endpoint := m.AppServers[detachedEndpoint]
 	endpoint.Down()
 	if err := endpoint.Up(); err != nil {
 		return err
--- a/internal/demo/rules.go
+++ b/internal/demo/rules.go
@@ -28,7 +28,7 @@
 }
 
 // clusterEndpoint returns an endpoint of the demo as the program has it.
-func clusterEndpoint(b *appbox.Box) cluster.Endpoint {
+func clusterEndpoint(b *appbox.Server) cluster.Endpoint {
 	return cluster.Endpoint{ID: b.Name, Address: b.Addr()}
 }
 
--- a/internal/demo/rules_test.go
+++ b/internal/demo/rules_test.go
@@ -13,8 +13,8 @@
 // Each rule that is broken is found.
 func TestCheckRulesFindsViolations(t *testing.T) {
 	d := newDemo(Options{Out: &bytes.Buffer{}})
-	box := testutil.StartAppBox(t, "box-1")
-	d.endpoints = []*appbox.Box{box}
+	box := testutil.StartAppServer(t, "box-1")
+	d.endpoints = []*appbox.Server{box}
 	drainedAt := time.Now()
 	d.drainedAt[box.Name] = drainedAt
 	e := clusterEndpoint(box)
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -55,7 +55,7 @@
 	closers []func() // called in reverse order at the end
 
 	folder    string
-	endpoints []*appbox.Box
+	endpoints []*appbox.Server
 	app       *app.App
 	url       string // that clients send to
 
--- a/internal/downstream/extproc/pickrequest_test.go
+++ b/internal/downstream/extproc/pickrequest_test.go
@@ -147,7 +147,7 @@
 func TestDrainBeforeTheSend(t *testing.T) {
 	list, addrs := boxes(t, 2)
 	r := start(t, addrs)
-	p := &proxy.Proxy{Conn: r.conn, Wrong: testutil.StartAppBox(t, "wrong").Addr()}
+	p := &proxy.Proxy{Conn: r.conn, Wrong: testutil.StartAppServer(t, "wrong").Addr()}
 	defer p.Close()
 	for i := range 30 {
 		out := p.Do(t.Context(), proxy.Ask{Method: "GET", Path: "/pick/x", Timeout: 5 * time.Second})
--- a/internal/downstream/extproc/rig_test.go
+++ b/internal/downstream/extproc/rig_test.go
@@ -133,9 +133,9 @@
 }
 
 // boxes starts n endpoints.
-func boxes(t testing.TB, n int) (list []*appbox.Box, addrs []string) {
+func boxes(t testing.TB, n int) (list []*appbox.Server, addrs []string) {
 	for i := range n {
-		b := testutil.StartAppBox(t, fmt.Sprintf("box-%d", i))
+		b := testutil.StartAppServer(t, fmt.Sprintf("box-%d", i))
 		list, addrs = append(list, b), append(addrs, b.Addr())
 	}
 	return list, addrs
--- a/internal/fake/appbox/appbox.go
+++ b/internal/fake/appbox/appbox.go
@@ -19,15 +19,15 @@
 // maxSeen is how many requests a box keeps; later ones are counted in Lost only.
 const maxSeen = 1 << 20
 
-// Seen is one request that reached a box, whole.
-type Seen struct {
+// Request is one request that reached a box, whole.
+type Request struct {
 	ID  string // X-Request-ID
 	Key string // Idempotency-Key
 	At  time.Time
 }
 
-// Box is a stand-in server. Create it with Start; its methods are safe for concurrent use.
-type Box struct {
+// Server is a stand-in server. Create it with Start; its methods are safe for concurrent use.
+type Server struct {
 	Name string
 
 	addr    string
@@ -35,11 +35,11 @@
 	conns   atomic.Int64 // connections taken so far
 	failing atomic.Bool
 
-	mu      sync.Mutex
-	server  *http.Server // nil while the box is down
-	stopped chan struct{}
-	seen    []Seen
-	lost    int
+	mu         sync.Mutex
+	httpServer *http.Server // nil while the box is down
+	stopped    chan struct{}
+	requests   []Request
+	unrecorded int
 }
 
 // ResponseTimeHeader is the field of an answer with the time that the box took for it, in nanoseconds, from the whole request to
@@ -47,38 +47,38 @@
 const ResponseTimeHeader = "X-Box-Time-Ns"
 
 // Start starts a box on a free port of 127.0.0.1.
-func Start(name string) (*Box, error) {
-	b := &Box{Name: name, addr: "127.0.0.1:0"}
+func Start(name string) (*Server, error) {
+	b := &Server{Name: name, addr: "127.0.0.1:0"}
 	return b, b.Up()
 }
 
 // Connections is how many connections the box has taken so far.
-func (b *Box) Connections() int64 { return b.conns.Load() }
+func (b *Server) Connections() int64 { return b.conns.Load() }
 
-func (b *Box) count(_ net.Conn, is http.ConnState) {
+func (b *Server) countConnection(_ net.Conn, is http.ConnState) {
 	if is == http.StateNew {
 		b.conns.Add(1)
 	}
 }
 
 // Addr is where the box listens, the same after Down and Up.
-func (b *Box) Addr() string {
+func (b *Server) Addr() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.addr
 }
 
 // SetDelay has each answer from now on take so long.
-func (b *Box) SetDelay(d time.Duration) { b.delay.Store(int64(d)) }
+func (b *Server) SetDelay(d time.Duration) { b.delay.Store(int64(d)) }
 
 // SetFailing has each answer from now on be a 500, or not.
-func (b *Box) SetFailing(on bool) { b.failing.Store(on) }
+func (b *Server) SetFailing(on bool) { b.failing.Store(on) }
 
 // Up starts the box, or starts it again at its address.
-func (b *Box) Up() error {
+func (b *Server) Up() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.server != nil {
+	if b.httpServer != nil {
 		return nil
 	}
 	l, err := net.Listen("tcp", b.addr)
@@ -86,14 +86,14 @@
 		return fmt.Errorf("box %s: %w", b.Name, err)
 	}
 	b.addr = l.Addr().String()
-	s := &http.Server{Handler: b, ConnState: b.count}
+	s := &http.Server{Handler: b, ConnState: b.countConnection}
 	ended := make(chan struct{})
-	b.server, b.stopped = s, ended
+	b.httpServer, b.stopped = s, ended
 	go func() {
 		defer close(ended)
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			b.mu.Lock()
-			b.lost++
+			b.unrecorded++
 			b.mu.Unlock()
 		}
 	}()
@@ -101,10 +101,10 @@
 }
 
 // Down ends the box at once: connections break, new ones are refused.
-func (b *Box) Down() {
+func (b *Server) Down() {
 	b.mu.Lock()
-	s, ended := b.server, b.stopped
-	b.server = nil
+	s, ended := b.httpServer, b.stopped
+	b.httpServer = nil
 	b.mu.Unlock()
 	if s != nil {
 		s.Close()
@@ -113,17 +113,17 @@
 }
 
 // ServeHTTP answers a request with the box's name and the request's id.
-func (b *Box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 	if err != nil {
 		return // never whole
 	}
-	seen := Seen{ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), At: time.Now()}
+	seen := Request{ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), At: time.Now()}
 	b.mu.Lock()
-	if len(b.seen) < maxSeen {
-		b.seen = append(b.seen, seen)
+	if len(b.requests) < maxSeen {
+		b.requests = append(b.requests, seen)
 	} else {
-		b.lost++
+		b.unrecorded++
 	}
 	b.mu.Unlock()
 	if d := time.Duration(b.delay.Load()); d > 0 {
@@ -141,15 +141,15 @@
 }
 
 // Seen gives what has reached the box so far, and how many requests it could not keep.
-func (b *Box) Seen() (list []Seen, lost int) {
+func (b *Server) Seen() (list []Request, lost int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]Seen(nil), b.seen...), b.lost
+	return append([]Request(nil), b.requests...), b.unrecorded
 }
 
 // Count is how many requests have reached the box.
-func (b *Box) Count() int {
+func (b *Server) Count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.seen) + b.lost
+	return len(b.requests) + b.unrecorded
 }
--- a/internal/fake/modelbox/modelbox.go
+++ b/internal/fake/modelbox/modelbox.go
@@ -19,23 +19,23 @@
 // WorkHeader is a job's work in microseconds.
 const WorkHeader = "X-Work-Us"
 
-// Box is a server. Create it with Start; its methods are safe for concurrent use.
-type Box struct {
+// Server is a server. Create it with Start; its methods are safe for concurrent use.
+type Server struct {
 	Addr string // the same after Down and Up
 
 	start time.Time
 
-	mu        sync.Mutex
-	srv       *http.Server // nil while the box is down
-	done      chan struct{}
-	server    *model.Server
-	rng       *rand.Rand
-	lastID    uint64
-	open      map[uint64]chan bool // by job; true: served
-	timer     *time.Timer
-	effects   map[string]int // by request id
-	observer  func(Event, string)
-	overloads int
+	mu         sync.Mutex
+	httpServer *http.Server // nil while the box is down
+	done       chan struct{}
+	model      *model.Server
+	rng        *rand.Rand
+	lastID     uint64
+	waiting    map[uint64]chan bool // by job; true: served
+	timer      *time.Timer
+	effects    map[string]int // by request id
+	observer   func(Event, string)
+	overloads  int
 }
 
 // Event is what a box saw of a request.
@@ -49,13 +49,13 @@
 )
 
 // Watch has a function told of each request as it comes, as it takes effect, and as the box falls over with it.
-func (b *Box) Watch(seen func(what Event, requestID string)) {
+func (b *Server) Watch(seen func(what Event, requestID string)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.observer = seen
 }
 
-func (b *Box) notify(what Event, r *http.Request) {
+func (b *Server) notify(what Event, r *http.Request) {
 	b.mu.Lock()
 	seen := b.observer
 	b.mu.Unlock()
@@ -65,24 +65,24 @@
 }
 
 // Start starts a box on a free port of 127.0.0.1, warm.
-func Start(k *model.ServerSpec, seed uint64) (*Box, error) {
-	b := &Box{
-		Addr: "127.0.0.1:0", start: time.Now(), server: model.NewServer(k),
-		rng: rand.New(rand.NewPCG(seed, 11)), open: map[uint64]chan bool{}, effects: map[string]int{},
+func Start(k *model.ServerSpec, seed uint64) (*Server, error) {
+	b := &Server{
+		Addr: "127.0.0.1:0", start: time.Now(), model: model.NewServer(k),
+		rng: rand.New(rand.NewPCG(seed, 11)), waiting: map[uint64]chan bool{}, effects: map[string]int{},
 	}
 	b.timer = time.AfterFunc(time.Hour, b.completeJobs)
 	return b, b.listen()
 }
 
 // listen takes connections at the box's address.
-func (b *Box) listen() error {
+func (b *Server) listen() error {
 	l, err := net.Listen("tcp", b.Addr)
 	if err != nil {
 		return err
 	}
 	b.Addr = l.Addr().String()
 	srv, done := &http.Server{Handler: b, ErrorLog: log.New(io.Discard, "", 0)}, make(chan struct{})
-	b.srv, b.done = srv, done
+	b.httpServer, b.done = srv, done
 	go func() {
 		defer close(done)
 		srv.Serve(l)
@@ -91,19 +91,19 @@
 }
 
 // Close ends the box.
-func (b *Box) Close() {
+func (b *Server) Close() {
 	b.Down()
 	b.timer.Stop()
 }
 
-func (b *Box) now() time.Duration { return time.Since(b.start) }
+func (b *Server) now() time.Duration { return time.Since(b.start) }
 
 // Down has the box lose all its jobs: connections break, new ones are refused.
-func (b *Box) Down() {
+func (b *Server) Down() {
 	b.mu.Lock()
-	b.failJobs(b.server.Stop())
-	srv, done := b.srv, b.done
-	b.srv = nil
+	b.failJobs(b.model.Stop())
+	srv, done := b.httpServer, b.done
+	b.httpServer = nil
 	b.mu.Unlock()
 	if srv != nil {
 		srv.Close()
@@ -112,25 +112,25 @@
 }
 
 // Up starts it again, cold, at its address.
-func (b *Box) Up() error {
+func (b *Server) Up() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.server.Start(b.now())
-	if b.srv != nil {
+	b.model.Start(b.now())
+	if b.httpServer != nil {
 		return nil
 	}
 	return b.listen()
 }
 
 // SetFault sets what is wrong with it.
-func (b *Box) SetFault(t model.Fault) {
+func (b *Server) SetFault(t model.Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.server.Fault = t
+	b.model.Fault = t
 }
 
 // Effects gives how often each request took effect, by its id, and how often the box fell over.
-func (b *Box) Effects() (by map[string]int, fell int) {
+func (b *Server) Effects() (by map[string]int, fell int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	by = make(map[string]int, len(b.effects))
@@ -140,40 +140,40 @@
 	return by, b.overloads
 }
 
-func (b *Box) failJobs(lost []model.Job) {
+func (b *Server) failJobs(lost []model.Job) {
 	for _, j := range lost {
-		if c := b.open[j.ID]; c != nil {
-			delete(b.open, j.ID)
+		if c := b.waiting[j.ID]; c != nil {
+			delete(b.waiting, j.ID)
 			c <- false
 		}
 	}
 }
 
 // completeJobs ends the jobs whose service is over.
-func (b *Box) completeJobs() {
+func (b *Server) completeJobs() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
-		j, ok := b.server.PopCompleted(b.now())
+		j, ok := b.model.PopCompleted(b.now())
 		if !ok {
 			break
 		}
-		if c := b.open[j.ID]; c != nil {
-			delete(b.open, j.ID)
+		if c := b.waiting[j.ID]; c != nil {
+			delete(b.waiting, j.ID)
 			c <- true
 		}
 	}
 	b.armTimer()
 }
 
-func (b *Box) armTimer() {
-	if at, ok := b.server.NextCompletion(); ok {
+func (b *Server) armTimer() {
+	if at, ok := b.model.NextCompletion(); ok {
 		b.timer.Reset(max(0, at-b.now()))
 	}
 }
 
 // ServeHTTP takes a job.
-func (b *Box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	us, err := strconv.ParseInt(r.Header.Get(WorkHeader), 10, 40)
 	if err != nil || us <= 0 {
 		http.Error(w, "no work", http.StatusBadRequest)
@@ -183,10 +183,10 @@
 	b.mu.Lock()
 	b.lastID++
 	j := model.Job{ID: b.lastID, Work: time.Duration(us) * time.Microsecond, Key: r.Header.Get("Idempotency-Key")}
-	fate, lost := b.server.Arrive(b.now(), j, b.rng)
+	fate, lost := b.model.Arrive(b.now(), j, b.rng)
 	c := make(chan bool, 1)
 	if fate == model.Accepted {
-		b.open[j.ID] = c
+		b.waiting[j.ID] = c
 		b.armTimer()
 	}
 	if fate == model.Overloaded {
@@ -216,7 +216,7 @@
 	}
 	b.mu.Lock()
 	b.effects[r.Header.Get("X-Request-Id")]++
-	silent := b.server.Fault.Unresponsive
+	silent := b.model.Fault.Unresponsive
 	b.mu.Unlock()
 	b.notify(Completed, r)
 	if silent {
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -33,14 +33,14 @@
 
 	// Servers are on the list after Boxes servers of the platform's own.
 	Servers       []discovery.Instance
-	Boxes         int
+	AppServers    int
 	ResponseDelay time.Duration // of a server of the platform's own
 }
 
 // Platform runs the processes of one node. Create it with New. Its methods are not safe for concurrent use.
 type Platform struct {
-	Addr  string        // where clients connect
-	Boxes []*appbox.Box // the platform's own servers
+	Addr       string           // where clients connect
+	AppServers []*appbox.Server // the platform's own servers
 
 	options Options
 	list    *registrar.Registrar
@@ -77,13 +77,13 @@
 
 // startServers starts the platform's own servers and returns their entries of the list.
 func (p *Platform) startServers() (instances []discovery.Instance, err error) {
-	for i := range p.options.Boxes {
+	for i := range p.options.AppServers {
 		box, err := appbox.Start(fmt.Sprint("box-", i))
 		if err != nil {
 			return nil, err
 		}
 		box.SetDelay(p.options.ResponseDelay)
-		p.Boxes = append(p.Boxes, box)
+		p.AppServers = append(p.AppServers, box)
 		instances = append(instances, discovery.Instance{
 			InstanceID: box.Name, HostPort: box.Addr(), Lifecycle: "Ready", Zone: "a", Weight: 1,
 		})
@@ -100,7 +100,7 @@
 		node.Kill()
 	}
 	p.ReleaseSocket()
-	for _, box := range p.Boxes {
+	for _, box := range p.AppServers {
 		box.Down()
 	}
 	if p.list != nil {
@@ -112,12 +112,12 @@
 }
 
 // Received returns how many requests have reached a server, by its index in Boxes.
-func (p *Platform) Received(i int) int { return p.Boxes[i].Count() }
+func (p *Platform) Received(i int) int { return p.AppServers[i].Count() }
 
 // Duplicates returns how many requests, by their id, have reached the servers more than once.
 func (p *Platform) Duplicates() (n int) {
 	received := map[string]int{}
-	for _, box := range p.Boxes {
+	for _, box := range p.AppServers {
 		requests, _ := box.Seen()
 		for _, request := range requests {
 			received[request.ID]++
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -158,7 +158,7 @@
 }
 
 // watch has a box's sights recorded.
-func (r *realRun) watch(b *modelbox.Box) {
+func (r *realRun) watch(b *modelbox.Server) {
 	r.mu.Lock()
 	serial := 0
 	for _, p := range r.places {
--- a/internal/lab/process/served.go
+++ b/internal/lab/process/served.go
@@ -28,7 +28,7 @@
 // with Serve.
 type Served struct {
 	Generator Generator
-	Boxes     []*appbox.Box
+	Boxes     []*appbox.Server
 
 	dir      string
 	process  *fleet.Process
--- a/internal/lab/real.go
+++ b/internal/lab/real.go
@@ -150,7 +150,7 @@
 
 type place struct {
 	serial   int
-	box      *modelbox.Box
+	box      *modelbox.Server
 	endpoint cluster.Endpoint
 	told     time.Time // word of its drain
 }
@@ -167,7 +167,7 @@
 
 	mu      sync.Mutex
 	places  []*place
-	all     []*modelbox.Box
+	all     []*modelbox.Server
 	serial  int
 	ids     map[uint64]int // endpoint key to place
 	draws   []*rand.Rand
--- a/internal/node/adminhandler_test.go
+++ b/internal/node/adminhandler_test.go
@@ -109,10 +109,10 @@
 // after DETACH was answered and ATTACH.
 func TestDetachUnderTraffic(t *testing.T) {
 	t.Parallel()
-	var boxes []*appbox.Box
+	var boxes []*appbox.Server
 	var list []discovery.Instance
 	for i := range 3 {
-		b := testutil.StartAppBox(t, fmt.Sprint("s-", i))
+		b := testutil.StartAppServer(t, fmt.Sprint("s-", i))
 		b.SetDelay(2 * time.Millisecond)
 		boxes = append(boxes, b)
 		list = append(list, discovery.Instance{
--- a/internal/stress/callers/rig.go
+++ b/internal/stress/callers/rig.go
@@ -97,8 +97,8 @@
 	Options
 	program     *config.Program
 	app         *app.App
-	servers     []*appbox.Box // those of the cluster, and wrongServer last
-	wrongServer *appbox.Box   // where a misbehaving proxy sends: in no snapshot
+	servers     []*appbox.Server // those of the cluster, and wrongServer last
+	wrongServer *appbox.Server   // where a misbehaving proxy sends: in no snapshot
 
 	// Requests by their outcome.
 	served, rejected, failed, conflicts, disconnected atomic.Int64
--- a/internal/testutil/backend.go
+++ b/internal/testutil/backend.go
@@ -41,8 +41,8 @@
 // OK answers 200 with the body "done".
 func OK(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "done") }
 
-// StartAppBox starts a fake application server that ends with the test.
-func StartAppBox(t testing.TB, name string) *appbox.Box {
+// StartAppServer starts a fake application server that ends with the test.
+func StartAppServer(t testing.TB, name string) *appbox.Server {
 	t.Helper()
 	b, err := appbox.Start(name)
 	if err != nil {
