--- a/internal/fake/appbox/appbox.go
+++ b/internal/fake/appbox/appbox.go
@@ -1,155 +1,102 @@
-// Package appbox is a stand-in for a server behind the load balancer: an HTTP server on
-// loopback that can be slow, die and come back at the same address, and that keeps what
-// reached it, for demos and tests.
+// Package appbox is a fake of an application server behind the load balancer, for demos and tests: an HTTP server on
+// loopback that can be slow, fail, crash and come back at the same address, and that records what reached it.
+//
+//   - appbox.go: the server's start and end, and its settings
+//   - requests.go: how it answers and what it records
 package appbox
 
 import (
-	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// maxSeen is how many requests a box keeps; later ones are counted in Lost only.
-const maxSeen = 1 << 20
-
-// Request is one request that reached a box, whole.
-type Request struct {
-	ID  string // X-Request-ID
-	Key string // Idempotency-Key
-	At  time.Time
-}
-
-// Server is a stand-in server. Create it with Start; its methods are safe for concurrent use.
+// Server is a fake application server. Create it with Start; its methods are safe for concurrent use.
 type Server struct {
 	Name string
 
-	addr    string
-	delay   atomic.Int64 // ns, of each answer
-	conns   atomic.Int64 // connections taken so far
-	failing atomic.Bool
+	delay       atomic.Int64 // of each answer, in nanoseconds
+	connections atomic.Int64 // accepted so far
+	failing     atomic.Bool
 
+	// mu guards the fields below.
 	mu         sync.Mutex
-	httpServer *http.Server // nil while the box is down
-	stopped    chan struct{}
-	requests   []Request
-	unrecorded int
+	addr       string        // with port 0 until the first Up
+	httpServer *http.Server  // nil while the server is down
+	stopped    chan struct{} // closed when httpServer has ended
+	requests   []Request     // at most maxRequests
+	unrecorded int           // requests beyond maxRequests, and listeners that failed
 }
 
-// ResponseTimeHeader is the field of an answer with the time that the box took for it, in nanoseconds, from the whole request to
-// the answer's first byte.
-const ResponseTimeHeader = "X-Box-Time-Ns"
-
-// Start starts a box on a free port of 127.0.0.1.
+// Start starts a server on a free port of 127.0.0.1.
 func Start(name string) (*Server, error) {
-	b := &Server{Name: name, addr: "127.0.0.1:0"}
-	return b, b.Up()
+	s := &Server{Name: name, addr: "127.0.0.1:0"}
+	return s, s.Up()
 }
 
-// Connections is how many connections the box has taken so far.
-func (b *Server) Connections() int64 { return b.conns.Load() }
-
-func (b *Server) countConnection(_ net.Conn, is http.ConnState) {
-	if is == http.StateNew {
-		b.conns.Add(1)
-	}
+// Addr returns the address that the server listens on. It stays the same after Down and Up.
+func (s *Server) Addr() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.addr
 }
 
-// Addr is where the box listens, the same after Down and Up.
-func (b *Server) Addr() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.addr
-}
+// Connections returns how many connections the server has accepted so far.
+func (s *Server) Connections() int64 { return s.connections.Load() }
 
-// SetDelay has each answer from now on take so long.
-func (b *Server) SetDelay(d time.Duration) { b.delay.Store(int64(d)) }
+// SetDelay sets how long each answer takes from now on.
+func (s *Server) SetDelay(d time.Duration) { s.delay.Store(int64(d)) }
 
-// SetFailing has each answer from now on be a 500, or not.
-func (b *Server) SetFailing(on bool) { b.failing.Store(on) }
+// SetFailing sets whether each answer from now on is a 500.
+func (s *Server) SetFailing(on bool) { s.failing.Store(on) }
 
-// Up starts the box, or starts it again at its address.
-func (b *Server) Up() error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.httpServer != nil {
+// Up starts the server, at its former address if it had one. It does nothing while the server is up.
+func (s *Server) Up() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.httpServer != nil {
 		return nil
 	}
-	l, err := net.Listen("tcp", b.addr)
+	listener, err := net.Listen("tcp", s.addr)
 	if err != nil {
-		return fmt.Errorf("box %s: %w", b.Name, err)
+		return fmt.Errorf("box %s: %w", s.Name, err)
 	}
-	b.addr = l.Addr().String()
-	s := &http.Server{Handler: b, ConnState: b.countConnection}
-	ended := make(chan struct{})
-	b.httpServer, b.stopped = s, ended
-	go func() {
-		defer close(ended)
-		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			b.mu.Lock()
-			b.unrecorded++
-			b.mu.Unlock()
-		}
-	}()
+	s.addr = listener.Addr().String()
+	s.httpServer = &http.Server{Handler: s, ConnState: s.countConnection}
+	s.stopped = make(chan struct{})
+	go s.serve(s.httpServer, listener, s.stopped)
 	return nil
 }
 
-// Down ends the box at once: connections break, new ones are refused.
-func (b *Server) Down() {
-	b.mu.Lock()
-	s, ended := b.httpServer, b.stopped
-	b.httpServer = nil
-	b.mu.Unlock()
-	if s != nil {
-		s.Close()
-		<-ended
+// serve runs an HTTP server until it is closed, and closes stopped then.
+func (s *Server) serve(httpServer *http.Server, listener net.Listener, stopped chan<- struct{}) {
+	defer close(stopped)
+	if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		s.mu.Lock()
+		s.unrecorded++
+		s.mu.Unlock()
 	}
 }
 
-// ServeHTTP answers a request with the box's name and the request's id.
-func (b *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
-	if err != nil {
-		return // never whole
-	}
-	seen := Request{ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), At: time.Now()}
-	b.mu.Lock()
-	if len(b.requests) < maxSeen {
-		b.requests = append(b.requests, seen)
-	} else {
-		b.unrecorded++
-	}
-	b.mu.Unlock()
-	if d := time.Duration(b.delay.Load()); d > 0 {
-		ctx, cancel := context.WithTimeout(r.Context(), d)
-		<-ctx.Done()
-		cancel()
-	}
-	if b.failing.Load() {
-		http.Error(w, "failing", http.StatusInternalServerError)
-		return
+// countConnection counts a connection that is new.
+func (s *Server) countConnection(_ net.Conn, state http.ConnState) {
+	if state == http.StateNew {
+		s.connections.Add(1)
 	}
-	w.Header().Set("X-Box", b.Name)
-	w.Header().Set(ResponseTimeHeader, strconv.FormatInt(time.Since(seen.At).Nanoseconds(), 10))
-	fmt.Fprintf(w, "%s served %s (%d bytes)\n", b.Name, seen.ID, len(body))
 }
 
-// Seen gives what has reached the box so far, and how many requests it could not keep.
-func (b *Server) Seen() (list []Request, lost int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]Request(nil), b.requests...), b.unrecorded
-}
-
-// Count is how many requests have reached the box.
-func (b *Server) Count() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.requests) + b.unrecorded
+// Down ends the server at once: connections break, and new ones are refused.
+func (s *Server) Down() {
+	s.mu.Lock()
+	httpServer, stopped := s.httpServer, s.stopped
+	s.httpServer = nil
+	s.mu.Unlock()
+	if httpServer != nil {
+		httpServer.Close()
+		<-stopped
+	}
 }
