--- a/internal/fake/keymaker/keymaker.go
+++ b/internal/fake/keymaker/keymaker.go
@@ -1,5 +1,5 @@
-// Package keymaker makes the keys of a stand-in authority, for tests and demos: certificates
-// that nobody else trusts, in files as an operator would have them.
+// Package keymaker is a fake certificate authority for tests and demos. It issues certificates that nobody else trusts,
+// and writes them to files as an operator would.
 package keymaker
 
 import (
@@ -16,76 +16,103 @@
 	"time"
 )
 
-// Authority signs certificates.
+const (
+	// clockMargin is how long before its issue a certificate is valid, for clocks that differ.
+	clockMargin = time.Hour
+
+	// authorityLifetime is how long an authority's own certificate is valid.
+	authorityLifetime = 24 * time.Hour
+
+	// writtenLifetime is how long the certificates of Write are valid, less than the authority's.
+	writtenLifetime = 23 * time.Hour
+)
+
+// Authority signs certificates. It is not safe for concurrent use.
 type Authority struct {
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	PEM  []byte // its certificate
-	next int64
+	PEM []byte // its certificate
+
+	cert       *x509.Certificate
+	key        *ecdsa.PrivateKey
+	lastSerial int64
 }
 
-// New makes an authority that lasts a day.
+// New returns an authority that is valid for a day.
 func New(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	t := &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: name}, IsCA: true, BasicConstraintsValid: true,
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(24 * time.Hour), KeyUsage: x509.KeyUsageCertSign,
+	const serial = 1
+	template := &x509.Certificate{
+		SerialNumber:          big.NewInt(serial),
+		Subject:               pkix.Name{CommonName: name},
+		NotBefore:             time.Now().Add(-clockMargin),
+		NotAfter:              time.Now().Add(authorityLifetime),
+		KeyUsage:              x509.KeyUsageCertSign,
+		IsCA:                  true,
+		BasicConstraintsValid: true,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return nil, err
 	}
-	a := &Authority{key: key, PEM: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), next: 1}
+	a := &Authority{key: key, PEM: encodePEM("CERTIFICATE", der), lastSerial: serial}
 	a.cert, err = x509.ParseCertificate(der)
 	return a, err
 }
 
-// Pool has the authority alone.
+// Pool returns a pool with this authority alone.
 func (a *Authority) Pool() *x509.CertPool {
-	p := x509.NewCertPool()
-	p.AddCert(a.cert)
-	return p
+	pool := x509.NewCertPool()
+	pool.AddCert(a.cert)
+	return pool
 }
 
-// Issue makes a certificate with its chain, and its key, for names and addresses, the first
-// of which is its subject.
+// Issue returns a certificate with its chain, and its key, both in PEM, that is valid from one time until another. The
+// names are DNS names and IP addresses, at least one, of which the first is the subject's common name.
 func (a *Authority) Issue(from, until time.Time, names ...string) (cert, key []byte, err error) {
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	a.next++
-	t := &x509.Certificate{
-		SerialNumber: big.NewInt(a.next), Subject: pkix.Name{CommonName: names[0]}, NotBefore: from, NotAfter: until,
-		KeyUsage:    x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	a.lastSerial++
+	template := &x509.Certificate{
+		SerialNumber: big.NewInt(a.lastSerial),
+		Subject:      pkix.Name{CommonName: names[0]},
+		NotBefore:    from,
+		NotAfter:     until,
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	for _, n := range names {
-		if ip := net.ParseIP(n); ip != nil {
-			t.IPAddresses = append(t.IPAddresses, ip)
+	for _, name := range names {
+		if ip := net.ParseIP(name); ip != nil {
+			template.IPAddresses = append(template.IPAddresses, ip)
 		} else {
-			t.DNSNames = append(t.DNSNames, n)
+			template.DNSNames = append(template.DNSNames, name)
 		}
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, &private.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &private.PublicKey, a.key)
 	if err != nil {
 		return nil, nil, err
 	}
-	raw, err := x509.MarshalPKCS8PrivateKey(private)
+	pkcs8, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
 		return nil, nil, err
 	}
-	cert = append(pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), a.PEM...)
-	return cert, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}), nil
+	cert = append(encodePEM("CERTIFICATE", der), a.PEM...)
+	return cert, encodePEM("PRIVATE KEY", pkcs8), nil
+}
+
+// encodePEM returns a block in PEM.
+func encodePEM(blockType string, der []byte) []byte {
+	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
 
-// Write puts a certificate for names, good for a day, into a folder, as NAME.crt and
-// NAME.key, and the authority beside it as ca.ca.
+// Write issues a certificate for names that is valid for 23 hours. It writes it and its key to a folder, as NAME.crt
+// and NAME.key, and the authority's certificate as ca.ca.
 func (a *Authority) Write(folder, name string, names ...string) error {
-	cert, key, err := a.Issue(time.Now().Add(-time.Hour), time.Now().Add(23*time.Hour), names...)
+	now := time.Now()
+	cert, key, err := a.Issue(now.Add(-clockMargin), now.Add(writtenLifetime), names...)
 	if err != nil {
 		return err
 	}
--- a/internal/fake/registrar/registrar.go
+++ b/internal/fake/registrar/registrar.go
@@ -1,12 +1,14 @@
-// Package registrar is a stand-in for the platform's discovery: a list of servers that the caller
-// changes, asked for whole or watched (protocol of the platform's registry over HTTP/1.1).
+// Package registrar is a fake of the platform's discovery service: a list of servers that the caller changes, and that
+// clients poll or watch by long polls (protocol of the platform's registry over HTTP/1.1).
 package registrar
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
+	"net/url"
 	"strconv"
 	"sync"
 	"time"
@@ -14,78 +16,99 @@
 	"yokestall/internal/discovery"
 )
 
-// maxWait bounds what a watch may ask for.
+// maxWait bounds the wait of a long poll.
 const maxWait = time.Minute
 
-// Registrar serves one list. Create it with Start.
+// Registrar serves one list. Create it with Start; its methods are safe for concurrent use.
 type Registrar struct {
 	listener net.Listener
 	server   *http.Server
 
+	// mu guards the fields below.
 	mu         sync.Mutex
-	generation uint64
-	list       []discovery.Instance
+	generation uint64 // of the list, from 1
+	instances  []discovery.Instance
 	changed    chan struct{} // closed at the next change
 }
 
+// response is the body of an answer.
+type response struct {
+	Generation uint64               `json:"generation"`
+	Reset      bool                 `json:"reset"` // Instances is the complete list
+	Instances  []discovery.Instance `json:"instances"`
+}
+
 // Start serves a list on a free port of 127.0.0.1.
-func Start(list ...discovery.Instance) (*Registrar, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func Start(instances ...discovery.Instance) (*Registrar, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("registrar: %w", err)
 	}
-	r := &Registrar{listener: l, generation: 1, list: list, changed: make(chan struct{})}
+	r := &Registrar{listener: listener, generation: 1, instances: instances, changed: make(chan struct{})}
 	r.server = &http.Server{Handler: r}
-	go r.server.Serve(l)
+	go r.server.Serve(listener)
 	return r, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the registrar listens on.
 func (r *Registrar) Addr() string { return r.listener.Addr().String() }
 
-// Close ends it, and all watches.
+// Close closes the registrar and its connections.
 func (r *Registrar) Close() error { return r.server.Close() }
 
-// Set changes the list and tells the watches.
-func (r *Registrar) Set(list ...discovery.Instance) {
+// Set replaces the list and answers the long polls that wait.
+func (r *Registrar) Set(instances ...discovery.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list = list
+	r.instances = instances
 	r.generation++
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// ServeHTTP implements http.Handler.
-func (r *Registrar) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != "/registry/instances" {
-		http.NotFound(w, q)
+// ServeHTTP answers a poll with the list. A long poll, which names the generation that the client has in "after", is
+// answered once there is a later one, or without instances after "wait_ms" milliseconds.
+func (r *Registrar) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/registry/instances" {
+		http.NotFound(w, request)
 		return
 	}
-	after, err := strconv.ParseUint(q.URL.Query().Get("after"), 10, 64)
-	ms, _ := strconv.Atoi(q.URL.Query().Get("wait_ms"))
-	wait := min(max(0, time.Duration(ms)*time.Millisecond), maxWait)
-	r.mu.Lock()
-	if err == nil && after >= r.generation {
-		changed := r.changed
-		r.mu.Unlock()
-		select {
-		case <-changed:
-		case <-time.After(wait):
-		case <-q.Context().Done():
-			return
-		}
-		r.mu.Lock()
+	query := request.URL.Query()
+	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
+	isLongPoll := err == nil
+	if isLongPoll && !r.waitForChange(request.Context(), after, waitOf(query)) {
+		return
 	}
-	answer := struct {
-		Generation uint64               `json:"generation"`
-		Reset      bool                 `json:"reset"`
-		Instances  []discovery.Instance `json:"instances"`
-	}{r.generation, true, r.list}
-	if err == nil && after >= r.generation { // nothing is newer
+	r.mu.Lock()
+	answer := response{Generation: r.generation, Reset: true, Instances: r.instances}
+	if isLongPoll && after >= r.generation { // the client has the latest list
 		answer.Reset, answer.Instances = false, []discovery.Instance{}
 	}
-	text, _ := json.Marshal(answer) // of plain fields
+	text, _ := json.Marshal(answer) // cannot fail: all fields are plain
 	r.mu.Unlock()
 	w.Write(text)
 }
+
+// waitOf returns how long a long poll asks to wait.
+func waitOf(query url.Values) time.Duration {
+	milliseconds, _ := strconv.Atoi(query.Get("wait_ms"))
+	return min(max(0, time.Duration(milliseconds)*time.Millisecond), maxWait)
+}
+
+// waitForChange waits for a generation later than after, at most for a time. It returns false if ctx ended first.
+func (r *Registrar) waitForChange(ctx context.Context, after uint64, wait time.Duration) bool {
+	r.mu.Lock()
+	generation, changed := r.generation, r.changed
+	r.mu.Unlock()
+	if after < generation {
+		return true
+	}
+	select {
+	case <-changed:
+		return true
+	case <-time.After(wait):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
