--- a/internal/fake/platform/nodelog.go
+++ b/internal/fake/platform/nodelog.go
@@ -20,7 +20,7 @@
 	found := false
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		line := lines.Text()
-		n.keepLine(line)
+		n.appendLine(line)
 		if match := operatorsLine.FindStringSubmatch(line); match != nil && !found {
 			found = true
 			adminAddr <- match[1]
@@ -30,8 +30,8 @@
 	close(n.Ended)
 }
 
-// keepLine adds a line to the retained ones.
-func (n *Node) keepLine(line string) {
+// appendLine adds a line to the retained ones.
+func (n *Node) appendLine(line string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.lines) == maxLogLines {
--- a/internal/fake/registrar/registrar.go
+++ b/internal/fake/registrar/registrar.go
@@ -76,7 +76,7 @@
 	query := request.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
 	isLongPoll := err == nil
-	if isLongPoll && !r.waitForChange(request.Context(), after, waitOf(query)) {
+	if isLongPoll && !r.waitForChange(request.Context(), after, requestedWait(query)) {
 		return
 	}
 	r.mu.Lock()
@@ -89,8 +89,8 @@
 	w.Write(text)
 }
 
-// waitOf returns how long a long poll asks to wait.
-func waitOf(query url.Values) time.Duration {
+// requestedWait returns the wait that a long poll requests.
+func requestedWait(query url.Values) time.Duration {
 	milliseconds, _ := strconv.Atoi(query.Get("wait_ms"))
 	return min(max(0, time.Duration(milliseconds)*time.Millisecond), maxWait)
 }
--- a/internal/stress/badpeers/rig.go
+++ b/internal/stress/badpeers/rig.go
@@ -25,7 +25,7 @@
 	"yokestall/internal/tlskeys"
 )
 
-// maxFindings is how many findings a run keeps.
+// maxFindings is the number of findings after which a run discards further ones.
 const maxFindings = 20
 
 // Options are the size of each scenario, which is left out at 0, and where the output goes.
--- a/internal/stress/callers/check.go
+++ b/internal/stress/callers/check.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxFindings is how many findings a run keeps.
+	// maxFindings is the number of findings after which a run discards further ones.
 	maxFindings = 20
 
 	// maxDrainDelay is how long after the notification of a drain a request may still be sent to the server.
