--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -22,10 +22,10 @@
 
 func newRig(t *testing.T, passed bool, boxes int, lines ...discovery.Instance) *rig {
 	t.Helper()
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	p, err := platform.New(platform.Options{
-		Command: command, Env: env, Passed: passed, MemoryMB: memoryMB, Sockets: 1024,
-		Servers: lines, Boxes: boxes, Work: 2 * time.Millisecond,
+		Command: command, Env: env, PassSocket: passed, MemoryMB: memoryMB, Sockets: 1024,
+		Servers: lines, AppServers: boxes, ResponseDelay: 2 * time.Millisecond,
 		Settings: `{"Classes": [
 			{"Name": "read", "Effect": "pure", "DeadlineMs": 10000, "PromiseMs": 5000, "Importance": 1},
 			{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 10000, "PromiseMs": 5000}],
--- a/cmd/yokestall-node/transfers_test.go
+++ b/cmd/yokestall-node/transfers_test.go
@@ -35,13 +35,13 @@
 	n, _ := strconv.Atoi(q.Get("n"))
 	rate, _ := strconv.Atoi(q.Get("rate"))
 	if r.Method == http.MethodPost {
-		h.receive(w, &testutil.Slow{Reader: r.Body, Rate: rate})
+		h.receive(w, &testutil.SlowReader{Reader: r.Body, Rate: rate})
 		return
 	}
 	if n%2 == 0 {
 		w.Header().Set("Content-Length", strconv.Itoa(h.size))
 	}
-	body := &testutil.Slow{Reader: &testutil.Pattern{Number: n, Size: h.size}, Rate: rate}
+	body := &testutil.SlowReader{Reader: &testutil.Pattern{Number: n, Size: h.size}, Rate: rate}
 	if q.Has("quarter") {
 		quarter, _ := strconv.Atoi(q.Get("quarter"))
 		io.CopyN(w, body, int64(quarter*h.size/4))
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	conn.SetDeadline(time.Now().Add(10 * testutil.Patience))
+	conn.SetDeadline(time.Now().Add(10 * testutil.WaitTimeout))
 	start, length := "GET /read", ""
 	if x.upload {
 		start, length = "POST /pay", "Content-Length: "+strconv.Itoa(c.size)+"\r\n"
@@ -123,7 +123,7 @@
 	fmt.Fprintf(conn, "%s?%s HTTP/1.1\r\nHost: x\r\nX-Request-ID: t%d\r\nX-Timeout-Ms: 10000\r\n%s\r\n",
 		start, x.query(), id, length)
 	if x.upload {
-		body := &testutil.Slow{Reader: &testutil.Pattern{Number: x.number, Size: c.size}, Rate: x.clientRate}
+		body := &testutil.SlowReader{Reader: &testutil.Pattern{Number: x.number, Size: c.size}, Rate: x.clientRate}
 		if _, err := io.Copy(conn, body); err != nil {
 			conn.Close()
 			return nil, nil, err
@@ -145,7 +145,7 @@
 		c.rejected.Add(1)
 		return
 	}
-	sum, err := readChecksum(&testutil.Slow{Reader: resp.Body, Rate: x.clientRate}, x.upload)
+	sum, err := readChecksum(&testutil.SlowReader{Reader: resp.Body, Rate: x.clientRate}, x.upload)
 	if err != nil || resp.StatusCode != 200 || sum != checksum(x.number, c.size) {
 		c.Errorf("transfer %+v: status %d, %v, checksum %.70s", x, resp.StatusCode, err, sum)
 	}
--- a/cmd/yokestall/fleet_test.go
+++ b/cmd/yokestall/fleet_test.go
@@ -41,7 +41,7 @@
 
 // playFleet plays a day with real processes; each request has one outcome, and no rule is broken.
 func playFleet(t *testing.T, e *lab.Experiment) (o *lab.Outcome, void bool) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	dir := t.TempDir()
 	o, found, void, err := sockets.RunProcesses(t.Context(), e, dir, itself, env)
 	if err != nil {
@@ -111,7 +111,7 @@
 		{From: drained - e.Day.ListDelay, To: 4900 * time.Millisecond, First: 1, Last: 4, Drain: true},
 	}
 	e.Faults = []fleet.Fault{{From: 500 * time.Millisecond, To: notified, Kind: fleet.BlockUpdates, Nodes: []int{3}}}
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	_, found, void, err := sockets.RunProcesses(t.Context(), e, t.TempDir(), itself, env)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/yokestall/kill_test.go
+++ b/cmd/yokestall/kill_test.go
@@ -51,7 +51,7 @@
 type killTest struct {
 	dir     string // of its files
 	address string // that it listens on after each start
-	boxes   []*appbox.Box
+	boxes   []*appbox.Server
 	client  *http.Client
 	program *exec.Cmd
 }
@@ -77,7 +77,7 @@
 	l.Close()
 	list := "[cluster]\nname = \"rooms\"\n"
 	for i := range killEndpoints {
-		b := testutil.Box(t, fmt.Sprint("s-", i))
+		b := testutil.StartAppServer(t, fmt.Sprint("s-", i))
 		b.SetDelay(killWork)
 		k.boxes = append(k.boxes, b)
 		list += fmt.Sprintf("[[endpoint]]\nid = %q\naddress = %q\nzone = \"a\"\nweight = 1\n", b.Name, b.Addr())
@@ -99,7 +99,7 @@
 // start starts the program and returns once it listens.
 func (k *killTest) start(t *testing.T) {
 	t.Helper()
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	k.program = exec.Command(command[0], "serve", "-c", filepath.Join(k.dir, "yokestall.toml"))
 	k.program.Env = append(os.Environ(), env...)
 	if err := k.program.Start(); err != nil {
--- a/cmd/yokestall/scale_test.go
+++ b/cmd/yokestall/scale_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	dir := t.TempDir()
 	f, err := scale.Play(t.Context(), plan, scale.Options{Dir: dir, Command: command, Env: env, Progress: t.Logf})
 	if err != nil {
@@ -94,7 +94,7 @@
 	if testing.Short() {
 		t.Skip("real time")
 	}
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	c := exec.Command(command[0], "lab", "scale", "testdata/scale.toml")
 	c.Env = append(append(os.Environ(), env...), "TMPDIR="+t.TempDir())
 	progress, err := c.StderrPipe()
@@ -127,7 +127,7 @@
 
 // The command rejects a file that is no plan with its line, and ends.
 func TestScaleRejectsBadFiles(t *testing.T) {
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	path := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(path, []byte("name = \"bad\"\nsizes = [3]\nnodes = 7\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -95,7 +95,7 @@
 
 // playVersions plays a run with real processes; no rule is broken, and the bound of contradiction is kept.
 func playVersions(t *testing.T, v versions.Experiment) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	dir := t.TempDir()
 	o, err := versions.Play(t.Context(), v, dir, itself, env)
 	if err != nil {
--- a/internal/app/apply_test.go
+++ b/internal/app/apply_test.go
@@ -17,7 +17,7 @@
 // A route to a cluster that nobody defines rejects its own requests and no others, and
 // serves them once the cluster is defined.
 func TestUndefinedCluster(t *testing.T) {
-	b := testutil.Box(t, "box-1")
+	b := testutil.StartAppServer(t, "box-1")
 	p := parse(t, program)
 	s := serve(t, snapshot(p, rooms(at(b))))
 	status, header, _ := s.get("/lost/x", "")
@@ -39,7 +39,7 @@
 
 // A cluster is removed, or a route changed, with requests open: those end, and new ones go where the version says.
 func TestClusterRemovedWhileOpen(t *testing.T) {
-	slow, other := testutil.Box(t, "slow"), testutil.Box(t, "other")
+	slow, other := testutil.StartAppServer(t, "slow"), testutil.StartAppServer(t, "other")
 	slow.SetDelay(300 * time.Millisecond)
 	p := parse(t, program)
 	s := serve(t, snapshot(p, rooms(at(slow))))
@@ -73,12 +73,12 @@
 
 // An endpoint under the same id at another address is another server at once.
 func TestEndpointMoves(t *testing.T) {
-	a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
+	a, b := testutil.StartAppServer(t, "a"), testutil.StartAppServer(t, "b")
 	p := parse(t, program)
-	at := func(b *appbox.Box) cluster.Endpoint { return cluster.Endpoint{ID: "same", Address: b.Addr()} }
+	at := func(b *appbox.Server) cluster.Endpoint { return cluster.Endpoint{ID: "same", Address: b.Addr()} }
 	s := serve(t, snapshot(p, rooms(at(a))))
 	for i := range 10 {
-		to := []*appbox.Box{a, b}[i%2]
+		to := []*appbox.Server{a, b}[i%2]
 		if err := s.app.Apply(snapshot(p, rooms(at(to)))); err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +91,7 @@
 // A new endpoint at the address of one that was removed is another server, with nothing of
 // the former one's.
 func TestAddressReused(t *testing.T) {
-	b := testutil.Box(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	log := &sendLog{names: map[uint64]string{}}
 	p := parse(t, program)
 	named := func(id string) *files.Snapshot {
@@ -114,7 +114,7 @@
 // A cluster's bounds: a request that is dropped by share, or is over the limit of open ones, is rejected at once, with
 // Retry-After, and reaches no server.
 func TestBounds(t *testing.T) {
-	b := testutil.Box(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
 	bounded := func(bounds cluster.Limits) *files.Snapshot {
 		c := rooms(at(b))
@@ -154,7 +154,7 @@
 // A thousand versions, some of which start every cluster anew, leave no memory,
 // goroutine or descriptor behind.
 func TestThousandVersions(t *testing.T) {
-	b := testutil.Box(t, "box-1")
+	b := testutil.StartAppServer(t, "box-1")
 	p := parse(t, program)
 	other := parse(t, strings.Replace(program, "attempts = 3", "attempts = 2", 1))
 	s := serve(t, snapshot(p, rooms(at(b))))
@@ -217,7 +217,7 @@
 				return snapshot(p, rooms(list...))
 			}
 			two := []*files.Snapshot{version(1), version(2)}
-			a, err := New(two[0], Options{Seed: 1, Log: testutil.Quiet})
+			a, err := New(two[0], Options{Seed: 1, Log: testutil.DiscardLogger})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/app/behaviours_messages_test.go
+++ b/internal/app/behaviours_messages_test.go
@@ -28,14 +28,14 @@
 				if kind == "unknown" {
 					length = -1
 				}
-				before := c.peer.Ran.Load()
+				before := c.peer.Completed.Load()
 				resp, _, err := c.ask("POST", "/pay/x", "", io.NopCloser(bytes.NewReader(webpeer.Pattern(n))), length)
 				if err != nil || resp.StatusCode != 200 {
 					return fmt.Errorf("%v %v", resp, err)
 				}
 				want := patternSum(n)
-				if _, sum := c.peer.Last(); sum != want || c.peer.Ran.Load() != before+1 {
-					return fmt.Errorf("the server got another body, or %d requests", c.peer.Ran.Load()-before)
+				if _, sum := c.peer.Last(); sum != want || c.peer.Completed.Load() != before+1 {
+					return fmt.Errorf("the server got another body, or %d requests", c.peer.Completed.Load()-before)
 				}
 				return nil
 			})
--- a/internal/app/behaviours_streams_test.go
+++ b/internal/app/behaviours_streams_test.go
@@ -72,12 +72,12 @@
 func (l *behaviourList) addEarlyAnswers() {
 	add := l.add
 	add("a body over the listener's bound is 413", "9110 15.5.14", func(c *cell) error {
-		before := c.peer.Ran.Load()
+		before := c.peer.Completed.Load()
 		resp, _, err := c.ask("POST", "/pay/x", "", io.NopCloser(io.LimitReader(zeros{}, 17<<20)), -1)
 		if err == nil && resp.StatusCode != 413 {
 			return fmt.Errorf("status %d", resp.StatusCode)
 		}
-		if c.peer.Ran.Load() != before {
+		if c.peer.Completed.Load() != before {
 			return errors.New("the server took a part for a complete request")
 		}
 		return nil
--- a/internal/app/cell_test.go
+++ b/internal/app/cell_test.go
@@ -17,7 +17,7 @@
 
 // cell is one pair of sides, with the program between them.
 type cell struct {
-	front, back webpeer.Wire
+	front, back webpeer.Protocol
 	addr, url   string // of the program
 	listeners   *Listeners
 	client      *http.Client
@@ -61,7 +61,7 @@
 
 // newCell returns a cell with two servers of its own.
 func newCell(
-	t testing.TB, front, back webpeer.Wire, keys *tlskeys.Store, authority *keymaker.Authority,
+	t testing.TB, front, back webpeer.Protocol, keys *tlskeys.Store, authority *keymaker.Authority,
 ) *cell {
 	t.Helper()
 	p, err := webpeer.Start(back, keys.ServerConfig(tlskeys.ClientAuth{}, back.ALPN()), 2)
@@ -77,13 +77,13 @@
 // newCellTo returns a cell with other servers, and with a listener's bounds where they differ. keys and authority may
 // be nil where neither side has TLS.
 func newCellTo(
-	t testing.TB, front, back webpeer.Wire, keys *tlskeys.Store, authority *keymaker.Authority,
+	t testing.TB, front, back webpeer.Protocol, keys *tlskeys.Store, authority *keymaker.Authority,
 	listener config.Listener, addrs ...string,
 ) *cell {
 	t.Helper()
 	c := &cell{front: front, back: back}
 	p := parse(t, matrixProgram)
-	logs := testutil.Quiet // a fuzz target has no log of its own
+	logs := testutil.DiscardLogger // a fuzz target has no log of its own
 	if _, fuzz := t.(*testing.F); !fuzz {
 		logs = testutil.Log(t)
 	}
@@ -101,14 +101,14 @@
 }
 
 // cellCluster returns the cluster rooms with servers that speak a protocol.
-func cellCluster(back webpeer.Wire, addrs []string) *cluster.Config {
+func cellCluster(back webpeer.Protocol, addrs []string) *cluster.Config {
 	var list []cluster.Endpoint
 	for i, a := range addrs {
 		list = append(list, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
 	}
 	c := rooms(list...)
 	c.Transport.HTTP2 = back.HTTP2
-	c.Limits.ConnectTimeout = testutil.Patience // longer than any busy machine takes
+	c.Limits.ConnectTimeout = testutil.WaitTimeout // longer than any busy machine takes
 	if back.TLS {
 		c.Transport.TLS = &cluster.TLS{Roots: "ca", ServerName: "peer.test"}
 	}
@@ -116,19 +116,19 @@
 }
 
 // newCellClient returns a client that speaks a protocol and follows no redirects.
-func newCellClient(t testing.TB, front webpeer.Wire, authority *keymaker.Authority) *http.Client {
+func newCellClient(t testing.TB, front webpeer.Protocol, authority *keymaker.Authority) *http.Client {
 	transport := &http.Transport{
-		Protocols:             front.Protocols(),
+		Protocols:             front.HTTPProtocols(),
 		MaxIdleConnsPerHost:   16,
 		DisableCompression:    true,
-		ExpectContinueTimeout: testutil.Patience,
+		ExpectContinueTimeout: testutil.WaitTimeout,
 	}
 	if authority != nil {
 		transport.TLSClientConfig = &tls.Config{RootCAs: authority.Pool(), ServerName: "front.test"}
 	}
 	t.Cleanup(transport.CloseIdleConnections)
 	noRedirects := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &http.Client{Timeout: testutil.Patience, Transport: transport, CheckRedirect: noRedirects}
+	return &http.Client{Timeout: testutil.WaitTimeout, Transport: transport, CheckRedirect: noRedirects}
 }
 
 // ask sends a request and returns the complete answer. do is what the server is to do (webpeer); length is the
--- a/internal/app/configuration_test.go
+++ b/internal/app/configuration_test.go
@@ -62,7 +62,7 @@
 }
 
 // at returns the endpoint of a box.
-func at(b *appbox.Box) cluster.Endpoint {
+func at(b *appbox.Server) cluster.Endpoint {
 	return cluster.Endpoint{ID: b.Name, Address: b.Addr(), Weight: 1}
 }
 
--- a/internal/app/edge_test.go
+++ b/internal/app/edge_test.go
@@ -71,7 +71,7 @@
 	p := parse(t, edgeProgram)
 	e.listener = p.Listener
 	c := rooms()
-	c.AllowEmpty, c.Endpoints = false, append(c.Endpoints, at(testutil.Box(t, "unused")))
+	c.AllowEmpty, c.Endpoints = false, append(c.Endpoints, at(testutil.StartAppServer(t, "unused")))
 	c.Endpoints[0].Address = testutil.NewBackend(t, answerWithFields).Addr()
 	e.app = newApp(t, snapshot(p, c), Options{Seed: 1, Log: testutil.Log(t), Keys: keys})
 	return e
--- a/internal/app/faults_test.go
+++ b/internal/app/faults_test.go
@@ -46,11 +46,11 @@
 			var run sync.WaitGroup
 			for lane := range lanes {
 				s := rawServer(t, tc.answer, tc.http2, 4, nil)
-				c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{HTTP2: tc.http2}, nil, nil, config.Listener{}, s.Addrs...)
+				c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{HTTP2: tc.http2}, nil, nil, config.Listener{}, s.Addrs...)
 				run.Go(func() {
 					for cut := lane; cut <= len(tc.answer); cut += lanes {
 						for _, path := range []string{"/x", "/pay/x"} {
-							s.Cut.Store(int64(cut))
+							s.AnswerBytes.Store(int64(cut))
 							before := s.Executed.Load()
 							resp, text, err := c.ask("POST", path, "", bytes.NewReader([]byte("body")), 4)
 							ran := s.Executed.Load() - before
@@ -127,18 +127,18 @@
 // passed on has one length alone.
 func TestSmuggling(t *testing.T) {
 	addr, tap := tapped(t)
-	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10}, addr)
+	c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10}, addr)
 	for _, text := range smuggled {
 		nc, err := net.Dial("tcp", c.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testutil.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		io.WriteString(nc, text)
 		nc.(*net.TCPConn).CloseWrite()
 		answer, _ := io.ReadAll(nc)
 		nc.Close()
-		seen := tap.Take()
+		seen := tap.Drain()
 		if strings.Contains(seen, "hidden") && !strings.Contains(seen, "Content-Length: ") {
 			t.Errorf("%q reached the server as %q", text, seen)
 		}
@@ -195,7 +195,7 @@
 			}
 		}
 		nc.Close()
-		seen := tap.Take()
+		seen := tap.Drain()
 		dropped := tc.name == "a host beside the authority" // what goes on has the authority alone
 		if status == "200" && !dropped || strings.Contains(seen, "/hidden HTTP") || strings.Contains(seen, "Host: hidden") {
 			t.Errorf("%s: status %s, the server saw %q", tc.name, status, seen)
@@ -214,11 +214,11 @@
 		}
 		w.Write(webpeer.Pattern(3000))
 	})
-	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: streams}, b.Addr())
+	c := newCellTo(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: streams}, b.Addr())
 	if _, _, err := c.ask("GET", "/x", "", nil, 0); err != nil { // opens the connection
 		t.Fatal(err)
 	}
-	testutil.Wait(t, b.Got, "the first")
+	testutil.Wait(t, b.Requests, "the first")
 	var run sync.WaitGroup
 	var whole atomic.Int64
 	for range streams {
@@ -231,7 +231,7 @@
 			}
 		})
 	}
-	testutil.Wait(t, b.Got, "the first to be out")
+	testutil.Wait(t, b.Requests, "the first to be out")
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.listeners.Close() }()
 	testutil.Until(t, "the listener to be gone", func() bool {
@@ -245,7 +245,7 @@
 	run.Wait()
 	testutil.Wait(t, ended, "the end")
 	// Some came too late, behind the GOAWAY: they were not taken. What was taken is answered.
-	if n := int64(len(b.Got)) + 1; whole.Load() < n {
+	if n := int64(len(b.Requests)) + 1; whole.Load() < n {
 		t.Errorf("%d reached the server, %d whole answers came back", n, whole.Load())
 	}
 	if _, _, err := c.ask("GET", "/x", "", nil, 0); err == nil {
@@ -261,18 +261,18 @@
 	}
 	f.Add([]byte(http2.ClientPreface + "\x00\x00\x00\x04\x00\x00\x00\x00\x00"))
 	addr, tap := tapped(f)
-	c := newCellTo(f, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10}, addr)
+	c := newCellTo(f, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10}, addr)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		nc, err := net.Dial("tcp", c.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(testutil.Patience))
+		nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 		nc.Write(text)
 		nc.(*net.TCPConn).CloseWrite()
 		io.Copy(io.Discard, nc)
 		nc.Close()
-		for _, head := range bytes.SplitAfter([]byte(tap.Take()), []byte("\r\n\r\n")) {
+		for _, head := range bytes.SplitAfter([]byte(tap.Drain()), []byte("\r\n\r\n")) {
 			if bytes.Contains(head, []byte("Transfer-Encoding")) && bytes.Contains(head, []byte("Content-Length")) {
 				t.Errorf("two lengths: %q", head)
 			}
--- a/internal/app/listeners_test.go
+++ b/internal/app/listeners_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(testutil.Patience))
+	nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 	io.WriteString(nc, text)
 	var got strings.Builder
 	part := make([]byte, 4096)
@@ -89,7 +89,7 @@
 // Listeners are added, changed under clients that stay, and removed; one that can't be opened changes nothing.
 func TestListenersComeAndGo(t *testing.T) {
 	const want = "b served"
-	b := testutil.Box(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
 	a := newApp(t, snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	listeners := openListeners(t, a)
@@ -149,7 +149,7 @@
 
 // A listener goes on after a lack of descriptors.
 func TestAcceptGoesOn(t *testing.T) {
-	b := testutil.Box(t, "b")
+	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
 	a := newApp(t, snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	listeners := openListeners(t, a)
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	a, b := testutil.NewBackend(t, serve), testutil.NewBackend(t, serve)
-	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{}, a.Addr(), b.Addr())
+	c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{}, a.Addr(), b.Addr())
 	for range slow {
 		if resp, _, err := c.ask("GET", "/x", "slow", nil, 0); err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("a slow one: %v, %v", resp, err)
@@ -57,7 +57,7 @@
 // the table into docs/http.md; else it checks that the table there is this one.
 func TestMatrix(t *testing.T) {
 	keys, authority := matrixKeys(t)
-	list, wires := behaviours(), webpeer.Wires()
+	list, wires := behaviours(), webpeer.AllProtocols()
 	for _, front := range wires {
 		for _, back := range wires {
 			t.Run(front.String()+"/"+back.String(), func(t *testing.T) {
@@ -80,7 +80,7 @@
 }
 
 // checkMatrixTable compares the table in docs/http.md with the behaviours, or writes it with YOKESTALL_WRITE=1.
-func checkMatrixTable(t *testing.T, list []behaviour, wires []webpeer.Wire) {
+func checkMatrixTable(t *testing.T, list []behaviour, wires []webpeer.Protocol) {
 	t.Helper()
 	const begin, end = "<!-- matrix -->\n", "<!-- end of matrix -->\n"
 	var table strings.Builder
--- a/internal/app/versionstorm_test.go
+++ b/internal/app/versionstorm_test.go
@@ -53,9 +53,9 @@
 type versionStorm struct {
 	*serving
 	t       *testing.T
-	boxes   []*appbox.Box
-	bait    *appbox.Box // in no complete, valid version
-	file    string      // of the cluster
+	boxes   []*appbox.Server
+	bait    *appbox.Server // in no complete, valid version
+	file    string         // of the cluster
 	watcher *files.Watcher
 	random  *rand.Rand
 	inForce memberships
@@ -70,9 +70,9 @@
 	t.Helper()
 	s := &versionStorm{t: t, random: rand.New(rand.NewPCG(1, 2)), sends: &sendLog{names: map[uint64]string{}}}
 	for i := range stormBoxes {
-		s.boxes = append(s.boxes, testutil.Box(t, fmt.Sprintf("box-%d", i)))
+		s.boxes = append(s.boxes, testutil.StartAppServer(t, fmt.Sprintf("box-%d", i)))
 	}
-	s.bait = testutil.Box(t, "bait")
+	s.bait = testutil.StartAppServer(t, "bait")
 	root := t.TempDir()
 	path, folder := filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
 	if err := os.Mkdir(folder, 0o755); err != nil {
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	s.swap(roomsFile(s.boxes))
-	watcher, first, err := files.Open(path, testutil.Quiet) // thousands of lines
+	watcher, first, err := files.Open(path, testutil.DiscardLogger) // thousands of lines
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		e := at(b)
 		s.sends.names[e.Key()] = b.Name
 	}
-	s.serving = serveWith(t, first, Options{Seed: 1, Log: testutil.Quiet, OnSend: s.sends.note})
+	s.serving = serveWith(t, first, Options{Seed: 1, Log: testutil.DiscardLogger, OnSend: s.sends.note})
 	now := time.Now()
 	s.inForce.apply(endpointIDs(first.Version), now, now)
 	s.applied = 1
@@ -100,7 +100,7 @@
 }
 
 // roomsFile returns the file of the cluster rooms with boxes.
-func roomsFile(members []*appbox.Box) string {
+func roomsFile(members []*appbox.Server) string {
 	var b strings.Builder
 	b.WriteString("[cluster]\nname = \"rooms\"\n\n")
 	for _, m := range members {
@@ -162,7 +162,7 @@
 func (s *versionStorm) writeVersions(count int) {
 	start := time.Now()
 	for range count {
-		members := append([]*appbox.Box(nil), s.boxes...)
+		members := append([]*appbox.Server(nil), s.boxes...)
 		away := int(time.Since(start)/stormAwayTime) % stormBoxes
 		members = append(members[:away], members[away+1:]...)
 		s.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
@@ -172,7 +172,7 @@
 }
 
 // writeVersion writes a valid file with boxes, or one that is invalid and has the bait.
-func (s *versionStorm) writeVersion(members []*appbox.Box) {
+func (s *versionStorm) writeVersion(members []*appbox.Server) {
 	good := roomsFile(members)
 	bad := roomsFile(append(members, s.bait))
 	switch s.random.IntN(8) {
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -24,7 +24,7 @@
 	t         *testing.T
 	variant   string
 	plane     *controlplane.Server
-	a, b      *appbox.Box // of the cluster rooms, and of others
+	a, b      *appbox.Server // of the cluster rooms, and of others
 	cacheFile string
 	logs      *testutil.Logs
 }
@@ -42,9 +42,9 @@
 }
 
 // place has a cluster's only endpoint be a box.
-func (r *xdsRun) place(cluster string, b *appbox.Box) {
+func (r *xdsRun) place(cluster string, b *appbox.Server) {
 	r.t.Helper()
-	r.set(map[string]proto.Message{cluster: placed(cluster, healthy, []*appbox.Box{b})})
+	r.set(map[string]proto.Message{cluster: placed(cluster, healthy, []*appbox.Server{b})})
 }
 
 // wantStatus checks the status of one request.
@@ -56,7 +56,7 @@
 }
 
 // servedBy waits until a box answers.
-func (r *xdsRun) servedBy(b *appbox.Box, what string) {
+func (r *xdsRun) servedBy(b *appbox.Server, what string) {
 	r.t.Helper()
 	testutil.Until(r.t, what, func() bool {
 		_, _, body := r.get("/x", "")
@@ -73,8 +73,8 @@
 			r := &xdsRun{
 				t:         t,
 				variant:   variant,
-				a:         testutil.Box(t, "a"),
-				b:         testutil.Box(t, "b"),
+				a:         testutil.StartAppServer(t, "a"),
+				b:         testutil.StartAppServer(t, "b"),
 				plane:     startPlane(t),
 				cacheFile: filepath.Join(t.TempDir(), "kept"),
 			}
@@ -167,7 +167,7 @@
 func (r *xdsRun) checkMisbehaviour() {
 	for fault := controlplane.WrongNonce; fault <= controlplane.InvalidBodies; fault++ {
 		r.plane.QueueFaults(fault)
-		to := []*appbox.Box{r.a, r.b}[int(fault)%2]
+		to := []*appbox.Server{r.a, r.b}[int(fault)%2]
 		r.place("rooms", to)
 		r.wantStatus("/x", 200, fmt.Sprintf("fault %d", fault))
 		testutil.Until(r.t, "the fault to happen", func() bool { return r.plane.PendingFaults() == 0 })
@@ -201,7 +201,7 @@
 // All endpoints of a priority are unhealthy: the next one serves; those of all priorities are: requests are rejected at
 // once, with Retry-After.
 func TestXDSFailover(t *testing.T) {
-	a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
+	a, b := testutil.StartAppServer(t, "a"), testutil.StartAppServer(t, "b")
 	p := startPlane(t)
 	set(t, p, map[string]proto.Message{
 		"ingress": ingressRoutes(t),
@@ -209,8 +209,8 @@
 		"rooms":   edsCluster("rooms"),
 	})
 	both := func(first, second corev3.HealthStatus) {
-		x := placed("rooms", first, []*appbox.Box{a}, nil)
-		x.Endpoints[1].LbEndpoints = placed("rooms", second, []*appbox.Box{b}).Endpoints[0].LbEndpoints
+		x := placed("rooms", first, []*appbox.Server{a}, nil)
+		x.Endpoints[1].LbEndpoints = placed("rooms", second, []*appbox.Server{b}).Endpoints[0].LbEndpoints
 		set(t, p, map[string]proto.Message{"rooms": x})
 	}
 	both(healthy, healthy)
--- a/internal/app/xdsbench_test.go
+++ b/internal/app/xdsbench_test.go
@@ -52,7 +52,7 @@
 		default:
 		}
 	}
-	follow(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.Quiet}, nil, applied)
+	follow(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.DiscardLogger}, nil, applied)
 	testutil.Wait(b, ready, "all clusters")
 	perEndpoint := (heapBytes() - before) / float64(endpoints)
 	for len(updates) > 0 {
--- a/internal/app/xdsstorm_test.go
+++ b/internal/app/xdsstorm_test.go
@@ -57,7 +57,7 @@
 	*serving
 	t          *testing.T
 	plane      *controlplane.Server
-	boxes      []*appbox.Box
+	boxes      []*appbox.Server
 	sends      *sendLog
 	inForce    memberships
 	deliveries int
@@ -68,7 +68,7 @@
 	t.Helper()
 	s := &xdsStorm{t: t, sends: &sendLog{names: map[uint64]string{}}}
 	for i := range stormBoxes {
-		b := testutil.Box(t, fmt.Sprintf("box-%d", i))
+		b := testutil.StartAppServer(t, fmt.Sprintf("box-%d", i))
 		e := at(b)
 		e.ID = e.Address
 		s.sends.names[e.Key()] = b.Addr()
@@ -81,7 +81,7 @@
 		"rooms":   edsCluster("rooms"),
 	})
 	set(t, s.plane, map[string]proto.Message{"rooms": placed("rooms", healthy, s.boxes)})
-	o := Options{Seed: 1, Log: testutil.Quiet, OnSend: s.sends.note}
+	o := Options{Seed: 1, Log: testutil.DiscardLogger, OnSend: s.sends.note}
 	s.serving, _ = follow(t, xdsProgram(t, s.plane.Addr(), variant, ""), o, nil, s.applied)
 	s.becomes("/x", 200)
 	return s
--- a/internal/downstream/extproc/idempotency_test.go
+++ b/internal/downstream/extproc/idempotency_test.go
@@ -94,7 +94,7 @@
 func (d *duplicateTest) sendFirst() {
 	go func() { d.answer <- d.caller.Do(d.Context(), d.request("one")) }()
 	if d.first != firstUnsent {
-		testutil.Wait(d, d.backend.Got, "the first at its server")
+		testutil.Wait(d, d.backend.Requests, "the first at its server")
 	}
 	if d.first == firstInFlight {
 		return
@@ -139,7 +139,7 @@
 	case d.want == 200 && (string(two.Body) != "done one" || two.Header.Get("Idempotent-Replayed") != "true"):
 		d.Errorf("the second: %+v %q", two, two.Body)
 	}
-	if n := len(d.backend.Got); d.want != 0 && n > 0 {
+	if n := len(d.backend.Requests); d.want != 0 && n > 0 {
 		d.Errorf("%d more reached the server", n)
 	}
 }
--- a/internal/fake/fleet/parent_linux_test.go
+++ b/internal/fake/fleet/parent_linux_test.go
@@ -12,7 +12,7 @@
 
 // A process does not outlive the program that started it, even one that is killed.
 func TestEndsWithParent(t *testing.T) {
-	command, env := testutil.Itself()
+	command, env := testutil.SelfCommand()
 	cmd := exec.Command(command[0], asParent, t.TempDir())
 	cmd.Env = append(os.Environ(), env...)
 	if _, err := cmd.StdinPipe(); err != nil { // it ends when this closes
--- a/internal/fake/fleet/rig_test.go
+++ b/internal/fake/fleet/rig_test.go
@@ -37,7 +37,7 @@
 
 // Processes are killed, erased and paused by the script, and all run again at its end.
 func TestApplyFaults(t *testing.T) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	rig, err := NewRig(t.TempDir(), 3, nil, itself, env)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/process/bad_test.go
+++ b/internal/lab/process/bad_test.go
@@ -164,7 +164,7 @@
 
 // Input that is far too large is rejected by the file's name and the bound, in memory that is bounded by what is read.
 func TestRejectionsAreBounded(t *testing.T) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	for _, in := range badInputs {
 		t.Run(in.name, func(t *testing.T) {
 			v := checkRejected(t, in, itself, env)
@@ -176,14 +176,14 @@
 // The errors of a file are bounded however many it has, and finding the line of each doesn't scan the complete file
 // again.
 func TestReportedErrorsAreBounded(t *testing.T) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	in := badInput{"300 tenants of one name", manyTenants(300, "the-same"), "the-same is another one's too"}
 	checkRejected(t, in, itself, env)
 }
 
 // BenchmarkBadInput measures the time and memory in which bad input is rejected, also input with many errors.
 func BenchmarkBadInput(b *testing.B) {
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	list := slices.Concat(badInputs, fullInputs)
 	for _, faults := range []int{1000, 2000, 4000} {
 		name := fmt.Sprintf("%d tenants of one name", faults)
--- a/internal/lab/process/load.go
+++ b/internal/lab/process/load.go
@@ -123,7 +123,7 @@
 	if response.StatusCode != http.StatusOK {
 		return response.StatusCode, 0, nil
 	}
-	own, err := strconv.ParseInt(response.Header.Get(appbox.OwnTime), 10, 64)
+	own, err := strconv.ParseInt(response.Header.Get(appbox.ResponseTimeHeader), 10, 64)
 	if err != nil {
 		return 0, 0, fmt.Errorf("an answer without the server's own time: %w", err)
 	}
--- a/internal/lab/process/real_test.go
+++ b/internal/lab/process/real_test.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	r, err := process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	plan.Sizes[0].Tenants = config.MaxTenants + 1
-	itself, env := testutil.Itself()
+	itself, env := testutil.SelfCommand()
 	r, err := process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/process/served.go
+++ b/internal/lab/process/served.go
@@ -28,7 +28,7 @@
 // with StartServe.
 type ServeProcess struct {
 	Generator Generator
-	Servers   []*appbox.Box
+	Servers   []*appbox.Server
 
 	dir              string
 	process          *fleet.Process
--- a/internal/lab/sockets/faults.go
+++ b/internal/lab/sockets/faults.go
@@ -82,7 +82,7 @@
 	case fault.Drain:
 		r.setDraining(s)
 	default:
-		s.box.Trouble(fault.Impairment)
+		s.box.SetFault(fault.Impairment)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 		}
 		r.deployment.serverReplaced(place)
 	default:
-		s.box.Trouble(model.Fault{})
+		s.box.SetFault(model.Fault{})
 	}
 	return nil
 }
--- a/internal/lab/sockets/record.go
+++ b/internal/lab/sockets/record.go
@@ -34,15 +34,15 @@
 }
 
 // observations are the record's names of what servers observe.
-var observations = map[modelbox.Seen]fleet.EventKind{
-	modelbox.Came: fleet.AttemptArrived,
-	modelbox.Ran:  fleet.EffectApplied,
-	modelbox.Fell: fleet.ServerOverloaded,
+var observations = map[modelbox.Event]fleet.EventKind{
+	modelbox.Arrived:    fleet.AttemptArrived,
+	modelbox.Completed:  fleet.EffectApplied,
+	modelbox.Overloaded: fleet.ServerOverloaded,
 }
 
 // watch records what a server observes.
 func (p *processes) watch(s *server) {
-	s.box.Watch(func(seen modelbox.Seen, requestID string) {
+	s.box.Watch(func(seen modelbox.Event, requestID string) {
 		p.rig.Record.Add(fleet.Event{Kind: observations[seen], Party: s.serial, ID: requestID})
 	})
 }
--- a/internal/lab/sockets/run.go
+++ b/internal/lab/sockets/run.go
@@ -50,7 +50,7 @@
 
 	mu         sync.Mutex // guards what follows
 	places     []*server
-	servers    []*modelbox.Box // all that were started, with those that were replaced
+	servers    []*modelbox.Server // all that were started, with those that were replaced
 	lastSerial int
 	placeByKey map[uint64]int // by endpoint key
 	random     []*rand.Rand   // by class
--- a/internal/lab/sockets/servers.go
+++ b/internal/lab/sockets/servers.go
@@ -14,7 +14,7 @@
 // server is the server in a place, and its entry in the endpoint list. The run's mutex guards the entry.
 type server struct {
 	serial           int // from 1, over all places
-	box              *modelbox.Box
+	box              *modelbox.Server
 	endpoint         cluster.Endpoint
 	drainPublishedAt time.Time // zero: it was not
 }
--- a/internal/stress/callers/callers_test.go
+++ b/internal/stress/callers/rig_test.go
@@ -9,10 +9,10 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// The rig in short.
+// TestRun plays a short run of the rig.
 func TestRun(t *testing.T) {
 	var out strings.Builder
-	found, err := Run(t.Context(), Options{Requests: 5000, Callers: 16, Out: &out, Log: testutil.Quiet})
+	found, err := Run(t.Context(), Options{Requests: 5000, Callers: 16, Out: &out, Log: testutil.DiscardLogger})
 	if t.Log(out.String()); err != nil || len(found) > 0 {
 		t.Errorf("%v, %v", found, err)
 	}
