--- a/internal/stress/callers/requests.go
+++ b/internal/stress/callers/requests.go
@@ -49,7 +49,11 @@
 
 // proxyFaults are the faults that a proxy draws from.
 var proxyFaults = []proxy.Fault{
-	proxy.DisconnectBeforeDecision, proxy.DisconnectAfterDecision, proxy.NoResponseHeaders, proxy.OtherServer, proxy.HalfCloseStream,
+	proxy.DisconnectBeforeDecision,
+	proxy.DisconnectAfterDecision,
+	proxy.NoResponseHeaders,
+	proxy.OtherServer,
+	proxy.HalfCloseStream,
 }
 
 // sendRequests sends all requests through the proxies and waits for their answers.
