--- a/internal/app/apply_test.go
+++ b/internal/app/apply_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"os"
-	"runtime"
 	"strings"
 	"testing"
 	"time"
@@ -151,56 +149,6 @@
 	}
 }
 
-// A thousand versions, some of which start every cluster anew, leave no memory,
-// goroutine or descriptor behind.
-func TestThousandVersions(t *testing.T) {
-	b := testutil.Box(t, "box-1")
-	p := parse(t, program)
-	other := parse(t, strings.Replace(program, "attempts = 3", "attempts = 2", 1))
-	s := serve(t, snapshot(p, rooms(at(b))))
-	apply := func(n int) {
-		for i := range n {
-			extra := cluster.Endpoint{
-				ID: fmt.Sprintf("x-%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Health: cluster.Draining,
-			}
-			next := p
-			if i%10 == 5 {
-				next = other
-			}
-			if err := s.app.Apply(snapshot(next, rooms(at(b), extra))); err != nil {
-				t.Fatal(err)
-			}
-			if i%50 == 0 {
-				if status, _, _ := s.get("/x", ""); status != 200 {
-					t.Fatalf("version %d: status %d", i, status)
-				}
-			}
-		}
-	}
-	descriptors := func() int {
-		list, _ := os.ReadDir("/proc/self/fd")
-		return len(list)
-	}
-	heap := func() uint64 {
-		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
-	}
-	apply(100)
-	s.client.CloseIdleConnections()
-	testutil.Until(t, "retired clusters to end", func() bool { return runtime.NumGoroutine() < 40 })
-	g0, d0, h0 := runtime.NumGoroutine(), descriptors(), heap()
-	apply(1000)
-	s.client.CloseIdleConnections()
-	testutil.Until(t, "goroutines and descriptors to be as few as before", func() bool {
-		return runtime.NumGoroutine() <= g0+10 && descriptors() <= d0+10
-	})
-	if h1 := heap(); h1 > h0+4<<20 {
-		t.Errorf("heap %d to %d bytes", h0, h1)
-	}
-}
-
 // BenchmarkTake puts a version in force of which one server changed.
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
--- /dev/null
+++ b/internal/app/drain_test.go
@@ -0,0 +1,116 @@
+package app
+
+import (
+	"bytes"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"golang.org/x/net/http2"
+
+	"yokestall/internal/config"
+	"yokestall/internal/fake/rawpeer"
+	"yokestall/internal/fake/webpeer"
+	"yokestall/internal/testutil"
+)
+
+// Clients of HTTP/2 that have a stream open are told to move as soon as the listener ends, not
+// when their stream does.
+func TestMoveIsTold(t *testing.T) {
+	hold := make(chan struct{})
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
+		<-hold
+		w.Write(bytes.Repeat([]byte("x"), 1000))
+	})
+	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, Drain: testutil.Patience}, b.Addr())
+	nc, f, err := rawpeer.OpenHTTP2(c.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	f.WriteSettingsAck()
+	f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, EndHeaders: true, EndStream: true,
+		BlockFragment: rawpeer.Fields(":method", "GET", ":scheme", "http", ":authority", "a", ":path", "/x")})
+	testutil.Wait(t, b.Got, "the request")
+	ended := make(chan struct{})
+	go func() { defer close(ended); c.listeners.Close() }()
+	var moved, whole bool
+	for got := 0; !whole; {
+		frame, err := f.ReadFrame()
+		if err != nil {
+			t.Fatalf("moved %v, %d bytes: %v", moved, got, err)
+		}
+		switch frame := frame.(type) {
+		case *http2.GoAwayFrame:
+			if moved = true; frame.ErrCode != http2.ErrCodeNo || frame.LastStreamID < 1 {
+				t.Errorf("%v", frame)
+			}
+			close(hold) // only now: told while the stream is open
+		case *http2.DataFrame:
+			got += len(frame.Data())
+			whole = frame.StreamEnded()
+			if whole && got != 1000 {
+				t.Errorf("%d bytes", got)
+			}
+		}
+	}
+	testutil.Wait(t, ended, "the listener's end")
+	if _, err := net.Dial("tcp", c.addr); err == nil {
+		t.Error("the listener still takes connections")
+	}
+	if !moved {
+		t.Error("never told")
+	}
+}
+
+// The listener's end with streams open on one HTTP/2 connection: each gets its whole answer,
+// the client is told to move, and nothing is refused that had been taken.
+func TestDrainWithStreams(t *testing.T) {
+	const streams = 1000
+	hold := make(chan struct{})
+	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.Method == http.MethodPost {
+			<-hold
+		}
+		w.Write(webpeer.Pattern(3000))
+	})
+	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: streams}, b.Addr())
+	if _, _, err := c.ask("GET", "/x", "", nil, 0); err != nil { // opens the connection
+		t.Fatal(err)
+	}
+	testutil.Wait(t, b.Got, "the first")
+	var run sync.WaitGroup
+	var whole atomic.Int64
+	for range streams {
+		run.Go(func() {
+			resp, text, err := c.ask("POST", "/x", "", nil, 0)
+			if err == nil && resp.StatusCode == 200 && bytes.Equal(text, webpeer.Pattern(3000)) {
+				whole.Add(1)
+			} else if err == nil && resp.StatusCode != 503 { // the module may refuse what it can't place
+				t.Errorf("%v", resp)
+			}
+		})
+	}
+	testutil.Wait(t, b.Got, "the first to be out")
+	ended := make(chan struct{})
+	go func() { defer close(ended); c.listeners.Close() }()
+	testutil.Until(t, "the listener to be gone", func() bool {
+		nc, err := net.Dial("tcp", c.addr)
+		if err == nil {
+			nc.Close()
+		}
+		return err != nil
+	})
+	close(hold)
+	run.Wait()
+	testutil.Wait(t, ended, "the end")
+	// Some came too late, behind the GOAWAY: they were not taken. What was taken is answered.
+	if n := int64(len(b.Got)) + 1; whole.Load() < n {
+		t.Errorf("%d reached the server, %d whole answers came back", n, whole.Load())
+	}
+	if _, _, err := c.ask("GET", "/x", "", nil, 0); err == nil {
+		t.Error("the listener still serves")
+	}
+}
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 	"net/http"
 	"runtime"
@@ -14,54 +13,9 @@
 
 	"yokestall/internal/cluster"
 	"yokestall/internal/config"
-	"yokestall/internal/fake/appbox"
-	"yokestall/internal/files"
 	"yokestall/internal/testutil"
-	"yokestall/policy"
 )
 
-// services is a program with a route to each of a number of clusters, and the clusters, all on the same servers.
-func services(t testing.TB, count int, boxes ...*appbox.Box) *files.Snapshot {
-	t.Helper()
-	text := strings.Builder{}
-	text.WriteString(program)
-	for i := range count {
-		fmt.Fprintf(&text, "[[host]]\ndomains = [\"s%d.example\"]\n[[host.route]]\nprefix = \"/\"\nclass = \"read\"\ncluster = \"s%d\"\n", i, i)
-	}
-	var list []*cluster.Config
-	for i := range count {
-		list = append(list, service(i, boxes...))
-	}
-	return snapshot(parse(t, text.String()), list...)
-}
-
-func service(i int, boxes ...*appbox.Box) *cluster.Config {
-	var endpoints []cluster.Endpoint
-	for _, b := range boxes {
-		endpoints = append(endpoints, at(b))
-	}
-	c := rooms(endpoints...)
-	c.Name = fmt.Sprint("s", i)
-	return c
-}
-
-// ask has a service answer a request, and gives the status.
-func (s *serving) ask(service int) int {
-	r, err := http.NewRequest(http.MethodGet, s.url+"/", nil)
-	if err != nil {
-		s.t.Fatal(err)
-	}
-	r.Host = fmt.Sprintf("s%d.example", service)
-	resp, err := s.client.Do(r)
-	if err != nil {
-		s.t.Error(err)
-		return 0
-	}
-	defer resp.Body.Close()
-	io.Copy(io.Discard, resp.Body)
-	return resp.StatusCode
-}
-
 // idleNow is a time at which each cluster that is not in use has been idle for long enough.
 func (a *App) idleNow() time.Duration {
 	return a.clock.Now() + a.idleAfter(a.state.Load()) + time.Second
@@ -201,56 +155,6 @@
 	}
 }
 
-// knowledge gives what a cluster's only engine knows, or remembers where it is idle.
-func (s *serving) knowledge(name string) policy.Snapshot {
-	s.t.Helper()
-	r := s.app.state.Load().clusters[name]
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	m := r.takeSnapshots()
-	if m == nil || len(m.tiers) != 1 {
-		s.t.Fatalf("cluster %s remembers %v", name, m)
-	}
-	for _, k := range m.tiers {
-		return k
-	}
-	return policy.Snapshot{}
-}
-
-// What is known of servers outlives the engines: through idleness, a change of settings while idle, and both again.
-func TestSnapshotsOutliveEngines(t *testing.T) {
-	bad := testutil.Box(t, "bad")
-	bad.SetFailing(true)
-	first := services(t, 1, bad)
-	s := serve(t, first)
-	opened := func() (count int) {
-		for _, k := range s.knowledge("s0").Endpoints {
-			if k.BreakerOpen {
-				count++
-			}
-		}
-		return count
-	}
-	testutil.Until(t, "the failing server's breaker to open", func() bool { s.ask(0); return opened() == 1 })
-	if s.app.deactivateIdle(s.app.idleNow()); opened() != 1 {
-		t.Error("an idle cluster forgot the open breaker")
-	}
-	for round := range 2 {
-		changed := *first.Program
-		changed.Limits.MaxRetryAfter += time.Duration(round+1) * time.Millisecond
-		if err := s.app.Apply(&files.Snapshot{Program: &changed, Version: first.Version}); err != nil {
-			t.Fatal(err)
-		}
-		if s.app.ActiveClusters() != 0 || opened() != 1 {
-			t.Errorf("change %d of settings: %d active clusters, %d open breakers remembered", round, s.app.ActiveClusters(), opened())
-		}
-	}
-	s.ask(0)
-	if s.app.ActiveClusters() != 1 || opened() != 1 {
-		t.Error("an engine that was started anew forgot the open breaker")
-	}
-}
-
 // A cluster with an open stream that its class bounds stays active, so that a drain still reaches the stream.
 func TestStreamsKeepClustersActive(t *testing.T) {
 	begun, end := make(chan struct{}), make(chan struct{})
@@ -308,61 +212,3 @@
 		}
 	}
 }
-
-// Guards against what a version leaves behind: after many changes of settings the heap holds what it held after few.
-func TestChangesLeaveNothing(t *testing.T) {
-	const count = 100
-	box := testutil.Box(t, "b")
-	first := services(t, count, box)
-	s := serve(t, first)
-	change := func(times int) (heap uint64) {
-		for i := range times {
-			p := *first.Program
-			p.Limits.MaxRetryAfter += time.Duration(1+i%2) * time.Millisecond
-			if err := s.app.Apply(&files.Snapshot{Program: &p, Version: first.Version}); err != nil {
-				t.Fatal(err)
-			}
-			s.ask(i % count) // so that engines are among what is replaced
-		}
-		s.app.deactivateIdle(s.app.idleNow())
-		runtime.GC()
-		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
-	}
-	few := change(20)
-	many := change(200)
-	if grown := int64(many) - int64(few); grown > 200*count*16 { // 16 bytes for each cluster of each version
-		t.Errorf("200 changes of settings left %d bytes, %d for each cluster of each", grown, grown/200/count)
-	}
-}
-
-// Versions with equal tenants share one table, whose quotas hold over all clusters; another list takes over what is
-// left.
-func TestTenantTables(t *testing.T) {
-	text := program + "[[tenant]]\nname = \"a\"\nquota_per_s = 5\ncertificates = [\"a.example\"]\n[[tenant]]\nname = \"b\"\n"
-	s := serve(t, snapshot(parse(t, text), rooms(at(testutil.Box(t, "b")))))
-	take := func(text string) *tenantTable {
-		if err := s.app.Apply(snapshot(parse(t, text), rooms(at(testutil.Box(t, "b"))))); err != nil {
-			t.Fatal(err)
-		}
-		return s.app.state.Load().tenants
-	}
-	first := s.app.state.Load().tenants
-	if again := take(strings.Replace(text, `max_retry_after = "600ms"`, `max_retry_after = "601ms"`, 1)); again != first {
-		t.Error("a version with the same tenants has a table of its own")
-	}
-	if first.byName["b"] != 1 || first.byCertificate["a.example"] != 0 || first.index("c") >= 0 {
-		t.Errorf("places %v, by certificate %v", first.byName, first.byCertificate)
-	}
-	for name, change := range map[string][2]string{
-		"a quota":       {"quota_per_s = 5", "quota_per_s = 6"},
-		"a certificate": {"a.example", "b.example"},
-		"a name":        {`name = "b"`, `name = "c"`},
-	} {
-		if other := take(strings.Replace(text, change[0], change[1], 1)); other == first {
-			t.Errorf("%s changed, and the table is the same", name)
-		}
-	}
-}
--- a/internal/app/faults_test.go
+++ b/internal/app/smuggling_test.go
@@ -4,10 +4,7 @@
 	"bytes"
 	"io"
 	"net"
-	"net/http"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -20,60 +17,6 @@
 	"yokestall/internal/testutil"
 )
 
-// A server that dies at each byte of its answer, for each class: what the client takes for
-// whole is whole, an unsafe request is executed once, a safe one within its attempts.
-func TestServerDiesAtEachByte(t *testing.T) {
-	var frames bytes.Buffer
-	f := http2.NewFramer(&frames, nil)
-	f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: rawpeer.Fields(":status", "200", "x-a", "b"), EndHeaders: true})
-	f.WriteData(1, false, []byte("whole "))
-	f.WriteData(1, false, []byte("answer"))
-	f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: rawpeer.Fields("x-sum", "42"), EndHeaders: true, EndStream: true})
-	for _, tc := range []struct {
-		name   string
-		answer string
-		http2  bool
-		whole  int // bytes from which the body is all there; its framing says so
-	}{
-		{"length", "HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 12\r\n\r\nwhole answer", false, 0},
-		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nwhole \r\n6\r\nanswer\r\n0\r\nX-Sum: 42\r\n\r\n", false, 0},
-		{"interim", "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nwhole answer", false, 0},
-		{"http2", frames.String(), true, 0},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			t.Parallel()
-			const lanes = 8 // each with servers of its own
-			var run sync.WaitGroup
-			for lane := range lanes {
-				s := rawServer(t, tc.answer, tc.http2, 4, nil)
-				c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{HTTP2: tc.http2}, nil, nil, config.Listener{}, s.Addrs...)
-				run.Go(func() {
-					for cut := lane; cut <= len(tc.answer); cut += lanes {
-						for _, path := range []string{"/x", "/pay/x"} {
-							s.Cut.Store(int64(cut))
-							before := s.Executed.Load()
-							resp, text, err := c.ask("POST", path, "", bytes.NewReader([]byte("body")), 4)
-							ran := s.Executed.Load() - before
-							whole := err == nil && resp.StatusCode == 200
-							switch {
-							case whole && string(text) != "whole answer":
-								t.Errorf("cut at %d: %q passes for the whole", cut, text)
-							case !whole && cut == len(tc.answer):
-								t.Errorf("the whole answer is not passed on: %v %v", resp, err)
-							case !whole && err == nil && resp.StatusCode != 502 && resp.StatusCode != 503:
-								t.Errorf("cut at %d: status %d", cut, resp.StatusCode)
-							case path == "/pay/x" && ran > 1, ran > 3:
-								t.Errorf("cut at %d: %s executed %d times", cut, path, ran)
-							}
-						}
-					}
-				})
-			}
-			run.Wait()
-		})
-	}
-}
-
 // Messages whose ends, names or targets two readers could see differently (RFC 9112, 11.2).
 // Each ends in a request for /hidden that only a server that is led astray would see.
 var smuggled = []string{
@@ -114,15 +57,6 @@
 	return rawServer(t, okAnswer, false, 1, tap).Addrs[0], tap
 }
 
-func rawServer(t testing.TB, answer string, overHTTP2 bool, places int, tap *rawpeer.Tap) *rawpeer.Server {
-	s, err := rawpeer.Start([]byte(answer), overHTTP2, places, tap)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(s.Down)
-	return s
-}
-
 // Nothing that is hidden in a message reaches a server, over either version; and what is
 // passed on has one length alone.
 func TestSmuggling(t *testing.T) {
@@ -203,56 +137,6 @@
 	}
 }
 
-// The listener's end with streams open on one HTTP/2 connection: each gets its whole answer,
-// the client is told to move, and nothing is refused that had been taken.
-func TestDrainWithStreams(t *testing.T) {
-	const streams = 1000
-	hold := make(chan struct{})
-	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		if r.Method == http.MethodPost {
-			<-hold
-		}
-		w.Write(webpeer.Pattern(3000))
-	})
-	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: streams}, b.Addr())
-	if _, _, err := c.ask("GET", "/x", "", nil, 0); err != nil { // opens the connection
-		t.Fatal(err)
-	}
-	testutil.Wait(t, b.Got, "the first")
-	var run sync.WaitGroup
-	var whole atomic.Int64
-	for range streams {
-		run.Go(func() {
-			resp, text, err := c.ask("POST", "/x", "", nil, 0)
-			if err == nil && resp.StatusCode == 200 && bytes.Equal(text, webpeer.Pattern(3000)) {
-				whole.Add(1)
-			} else if err == nil && resp.StatusCode != 503 { // the module may refuse what it can't place
-				t.Errorf("%v", resp)
-			}
-		})
-	}
-	testutil.Wait(t, b.Got, "the first to be out")
-	ended := make(chan struct{})
-	go func() { defer close(ended); c.listeners.Close() }()
-	testutil.Until(t, "the listener to be gone", func() bool {
-		nc, err := net.Dial("tcp", c.addr)
-		if err == nil {
-			nc.Close()
-		}
-		return err != nil
-	})
-	close(hold)
-	run.Wait()
-	testutil.Wait(t, ended, "the end")
-	// Some came too late, behind the GOAWAY: they were not taken. What was taken is answered.
-	if n := int64(len(b.Got)) + 1; whole.Load() < n {
-		t.Errorf("%d reached the server, %d whole answers came back", n, whole.Load())
-	}
-	if _, _, err := c.ask("GET", "/x", "", nil, 0); err == nil {
-		t.Error("the listener still serves")
-	}
-}
-
 // FuzzClient: whatever bytes a client sends, the listener lives, and a server sees whole
 // requests with one length alone.
 func FuzzClient(f *testing.F) {
