--- a/internal/app/agreedsource_test.go
+++ b/internal/app/agreedsource_test.go
@@ -19,7 +19,7 @@
 	good, bad := testutil.Box(t, "good"), testutil.Box(t, "bad")
 	good.SetDelay(time.Millisecond)
 	bad.SetFailing(true)
-	list := rooms(at(good), at(bad))
+	list := rooms(endpointOf(good), endpointOf(bad))
 	own := parse(t, program)
 	s := serve(t, snapshot(own, list))
 	for i := range 60 { // it learns
@@ -74,7 +74,7 @@
 	b := testutil.Box(t, "box")
 	var looks, until atomic.Int64
 	until.Store(1 << 40)
-	s := serveWith(t, snapshot(parse(t, program), rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return looks.Add(1) <= until.Load() }})
+	s := serveWith(t, snapshot(parse(t, program), rooms(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return looks.Add(1) <= until.Load() }})
 	if status, _, _ := s.get("/x", "good"); status != http.StatusOK || b.Count() != 1 {
 		t.Fatalf("status %d", status)
 	}
@@ -103,12 +103,12 @@
 func TestDecidedByOldRules(t *testing.T) {
 	b := testutil.Box(t, "box")
 	own := parse(t, program)
-	s := serveWith(t, snapshot(own, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return true }})
+	s := serveWith(t, snapshot(own, rooms(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return true }})
 	old := s.app.state.Load()
 	read, pay := s.app.sendAllowed(old, "read"), s.app.sendAllowed(old, "pay")
 	take := func(text string, refused map[string]string) {
 		t.Helper()
-		if err := s.app.ApplyRejecting(time.Now(), snapshot(parse(t, text), rooms(at(b))), refused); err != nil {
+		if err := s.app.ApplyRejecting(time.Now(), snapshot(parse(t, text), rooms(endpointOf(b))), refused); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/app/apply_test.go
+++ b/internal/app/apply_test.go
@@ -17,7 +17,7 @@
 func TestUndefinedCluster(t *testing.T) {
 	b := testutil.Box(t, "box-1")
 	p := parse(t, program)
-	s := serve(t, snapshot(p, rooms(at(b))))
+	s := serve(t, snapshot(p, rooms(endpointOf(b))))
 	status, header, _ := s.get("/lost/x", "")
 	if status != 503 || header.Get("Retry-After") != "0.600" {
 		t.Errorf("status %d, %v", status, header)
@@ -25,9 +25,9 @@
 	if status, _, _ := s.get("/x", ""); status != 200 {
 		t.Errorf("another route gets status %d", status)
 	}
-	found := rooms(at(b))
+	found := rooms(endpointOf(b))
 	found.Name = "undefined"
-	if err := s.app.Apply(snapshot(p, rooms(at(b)), found)); err != nil {
+	if err := s.app.Apply(snapshot(p, rooms(endpointOf(b)), found)); err != nil {
 		t.Fatal(err)
 	}
 	if status, _, _ := s.get("/lost/x", ""); status != 200 {
@@ -40,7 +40,7 @@
 	slow, other := testutil.Box(t, "slow"), testutil.Box(t, "other")
 	slow.SetDelay(300 * time.Millisecond)
 	p := parse(t, program)
-	s := serve(t, snapshot(p, rooms(at(slow))))
+	s := serve(t, snapshot(p, rooms(endpointOf(slow))))
 	answers := make(chan string, 8)
 	for i := range 4 {
 		go func() {
@@ -50,7 +50,7 @@
 	}
 	testutil.Until(t, "a request to reach the box", func() bool { return slow.Count() > 0 })
 	moved := parse(t, strings.ReplaceAll(program, `cluster = "rooms"`, `cluster = "suites"`))
-	suites := rooms(at(other))
+	suites := rooms(endpointOf(other))
 	suites.Name = "suites"
 	if err := s.app.Apply(snapshot(moved, suites)); err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 	b := testutil.Box(t, "b")
 	p := parse(t, program)
 	bounded := func(bounds cluster.Limits) *files.Snapshot {
-		c := rooms(at(b))
+		c := rooms(endpointOf(b))
 		c.Limits = bounds
 		return snapshot(p, c)
 	}
--- a/internal/app/behaviours_failures_test.go
+++ b/internal/app/behaviours_failures_test.go
@@ -16,7 +16,7 @@
 	add := l.add
 	add("a server that breaks before its answer: a safe request goes out again", "9110 9.2.2", func(c *cell) error {
 		c.peer.Ran.Store(0)
-		resp, text, err := c.ask("GET", "/x", "break-once", nil, 0)
+		resp, text, err := c.exchange("GET", "/x", "break-once", nil, 0)
 		if err != nil || string(text) != "second" {
 			return fmt.Errorf("%v, %q, %v", resp, text, err)
 		}
@@ -24,7 +24,7 @@
 	})
 	add("a server that breaks before its answer: an unsafe request does not", "9110 9.2.2", func(c *cell) error {
 		before := c.peer.Ran.Load()
-		resp, _, err := c.ask("POST", "/pay/x", "break", nil, 0)
+		resp, _, err := c.exchange("POST", "/pay/x", "break", nil, 0)
 		if err != nil || resp.StatusCode != 502 || c.peer.Ran.Load() != before+1 {
 			return fmt.Errorf("%v, %v, ran %d times", resp, err, c.peer.Ran.Load()-before)
 		}
@@ -32,7 +32,7 @@
 	})
 	add("a short upload goes out again, whole", "own", func(c *cell) error {
 		c.peer.Ran.Store(0)
-		_, text, err := c.ask("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(50_000))), -1)
+		_, text, err := c.exchange("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(50_000))), -1)
 		_, sum := c.peer.Last()
 		if err != nil || string(text) != "second" || sum != patternSum(50_000) {
 			return fmt.Errorf("%q, %v", text, err)
@@ -41,7 +41,7 @@
 	})
 	add("a long upload does not", "own", func(c *cell) error {
 		c.peer.Ran.Store(0)
-		resp, _, err := c.ask("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(500_000))), -1)
+		resp, _, err := c.exchange("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(500_000))), -1)
 		if err != nil || resp.StatusCode != 502 || c.peer.Ran.Load() != 1 {
 			return fmt.Errorf("%v, %v, ran %d times", resp, err, c.peer.Ran.Load())
 		}
@@ -55,7 +55,7 @@
 	for _, n := range []int{0, 10, 200_000} {
 		add(fmt.Sprintf("an answer that breaks after %d bytes is no whole one", n), "9112 8, 9113 8.1", func(c *cell) error {
 			before := c.peer.Ran.Load()
-			resp, text, err := c.ask("POST", "/pay/x", fmt.Sprintf("break %d", n), nil, 0)
+			resp, text, err := c.exchange("POST", "/pay/x", fmt.Sprintf("break %d", n), nil, 0)
 			if c.peer.Ran.Load() != before+1 {
 				return errors.New("not one execution")
 			}
@@ -71,7 +71,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			c.ask("POST", "/pay/x", "", from, 1<<20)
+			c.exchange("POST", "/pay/x", "", from, 1<<20)
 		}()
 		to.Write(webpeer.Pattern(200_000))
 		deadline := time.Now().Add(testutil.Patience)
@@ -82,7 +82,7 @@
 		}
 		to.CloseWithError(errors.New("disconnected"))
 		<-done
-		if resp, _, err := c.ask("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
+		if resp, _, err := c.exchange("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
 			return fmt.Errorf("the next request: %v, %v", resp, err)
 		}
 		if c.peer.Ran.Load() != ran+1 {
--- a/internal/app/behaviours_fields_test.go
+++ b/internal/app/behaviours_fields_test.go
@@ -25,7 +25,7 @@
 		{"empty fields pass", "9110 5.5", "X-Void", "", ""},
 	} {
 		add(f.name, f.source, func(c *cell) error {
-			resp, _, err := c.ask("GET", "/x", "", nil, 0, f.field, f.in, "Host", "book.test")
+			resp, _, err := c.exchange("GET", "/x", "", nil, 0, f.field, f.in, "Host", "book.test")
 			if err != nil || resp.StatusCode != 200 {
 				return fmt.Errorf("%v, %v", resp, err)
 			}
@@ -37,7 +37,7 @@
 		})
 	}
 	add("the scheme is told on", "trust", func(c *cell) error {
-		c.ask("GET", "/x", "", nil, 0)
+		c.exchange("GET", "/x", "", nil, 0)
 		want := map[bool]string{false: "http", true: "https"}[c.front.TLS]
 		if seen, _ := c.peer.Last(); seen.Header.Get("X-Forwarded-Proto") != want {
 			return fmt.Errorf("%v", seen.Header)
@@ -45,7 +45,7 @@
 		return nil
 	})
 	add("several values and cookies of an answer", "9110 5.3", func(c *cell) error {
-		resp, _, err := c.ask("GET", "/x", "fields 8000", nil, 0)
+		resp, _, err := c.exchange("GET", "/x", "fields 8000", nil, 0)
 		if err != nil || !slices.Equal(resp.Header["X-Many"], []string{"a", "b", "c, d"}) ||
 			len(resp.Header["Set-Cookie"]) != 2 || len(resp.Header.Get("X-Long")) != 8000 {
 			return fmt.Errorf("%v, %v", resp, err)
@@ -53,7 +53,7 @@
 		return nil
 	})
 	add("hop-by-hop fields of an answer stay here", "9110 7.6.1", func(c *cell) error {
-		resp, _, err := c.ask("GET", "/x", "hop", nil, 0)
+		resp, _, err := c.exchange("GET", "/x", "hop", nil, 0)
 		if err != nil || resp.Header.Get("X-End") == "" {
 			return fmt.Errorf("%v, %v", resp, err)
 		}
@@ -69,7 +69,7 @@
 	add := l.add
 	for _, n := range []int{3, 100_000} {
 		add(fmt.Sprintf("trailers behind %d bytes", n), "9110 6.5", func(c *cell) error {
-			resp, text, err := c.ask("GET", "/x", fmt.Sprintf("trailer %d", n), nil, 0)
+			resp, text, err := c.exchange("GET", "/x", fmt.Sprintf("trailer %d", n), nil, 0)
 			if err != nil || len(text) != n || resp.Trailer.Get("X-Sum") != "42" {
 				return fmt.Errorf("%v, %d bytes, %v", resp, len(text), err)
 			}
--- a/internal/app/behaviours_messages_test.go
+++ b/internal/app/behaviours_messages_test.go
@@ -17,7 +17,7 @@
 	for _, kind := range []string{"known", "unknown"} {
 		for _, n := range sizes {
 			add(fmt.Sprintf("answer of %d bytes, %s length", n, kind), "9112 6.3, 9113 8.1", func(c *cell) error {
-				resp, text, err := c.ask("GET", "/x", fmt.Sprintf("%s %d", kind, n), nil, 0)
+				resp, text, err := c.exchange("GET", "/x", fmt.Sprintf("%s %d", kind, n), nil, 0)
 				if err != nil || resp.StatusCode != 200 || !bytes.Equal(text, webpeer.Pattern(n)) {
 					return fmt.Errorf("%d bytes, %v", len(text), err)
 				}
@@ -29,7 +29,7 @@
 					length = -1
 				}
 				before := c.peer.Ran.Load()
-				resp, _, err := c.ask("POST", "/pay/x", "", io.NopCloser(bytes.NewReader(webpeer.Pattern(n))), length)
+				resp, _, err := c.exchange("POST", "/pay/x", "", io.NopCloser(bytes.NewReader(webpeer.Pattern(n))), length)
 				if err != nil || resp.StatusCode != 200 {
 					return fmt.Errorf("%v %v", resp, err)
 				}
@@ -48,7 +48,7 @@
 	add := l.add
 	for _, status := range []int{200, 201, 204, 206, 301, 304, 400, 401, 404, 409, 418, 500, 503} {
 		add(fmt.Sprintf("status %d with its body", status), "9110 15", func(c *cell) error {
-			resp, text, err := c.ask("GET", "/x", fmt.Sprintf("status %d", status), nil, 0)
+			resp, text, err := c.exchange("GET", "/x", fmt.Sprintf("status %d", status), nil, 0)
 			want := fmt.Sprintf("status %d", status)
 			if status == 204 || status == 304 {
 				want = ""
@@ -64,7 +64,7 @@
 	}
 	for _, method := range []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "BREW"} {
 		add("method "+method, "9110 9", func(c *cell) error {
-			resp, text, err := c.ask(method, "/x", "", nil, 0)
+			resp, text, err := c.exchange(method, "/x", "", nil, 0)
 			if err != nil || resp.StatusCode != 200 {
 				return fmt.Errorf("%v, %v", resp, err)
 			}
--- a/internal/app/behaviours_streams_test.go
+++ b/internal/app/behaviours_streams_test.go
@@ -25,7 +25,7 @@
 		}
 		defer resp.Body.Close()
 		for range 3 {
-			resp, text, err := c.ask("GET", "/x", "known 100000", nil, 0)
+			resp, text, err := c.exchange("GET", "/x", "known 100000", nil, 0)
 			if err != nil || resp.StatusCode != 200 || len(text) != 100_000 {
 				return fmt.Errorf("%v, %d bytes, %v", resp, len(text), err)
 			}
@@ -73,7 +73,7 @@
 	add := l.add
 	add("a body over the listener's bound is 413", "9110 15.5.14", func(c *cell) error {
 		before := c.peer.Ran.Load()
-		resp, _, err := c.ask("POST", "/pay/x", "", io.NopCloser(io.LimitReader(zeros{}, 17<<20)), -1)
+		resp, _, err := c.exchange("POST", "/pay/x", "", io.NopCloser(io.LimitReader(zeros{}, 17<<20)), -1)
 		if err == nil && resp.StatusCode != 413 {
 			return fmt.Errorf("status %d", resp.StatusCode)
 		}
@@ -83,7 +83,7 @@
 		return nil
 	})
 	add("an answer before the request's end", "9110 7.5", func(c *cell) error {
-		resp, _, err := c.ask("POST", "/pay/x", "early", io.NopCloser(io.LimitReader(zeros{}, 8<<20)), -1)
+		resp, _, err := c.exchange("POST", "/pay/x", "early", io.NopCloser(io.LimitReader(zeros{}, 8<<20)), -1)
 		// 502: a server that resets the connection may destroy its own answer
 		if err == nil && resp.StatusCode != 413 && resp.StatusCode != 502 {
 			return fmt.Errorf("status %d", resp.StatusCode)
--- a/internal/app/bounds_test.go
+++ b/internal/app/bounds_test.go
@@ -29,10 +29,10 @@
 		}
 	})
 	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, MaxHead: 1 << 10, Stall: 100 * time.Millisecond}, b.Addr())
-	if got := raw(t, c.addr, "GET /x HTTP/1.1\r\nHost: a\r\nX: "+strings.Repeat("v", 8<<10)+"\r\n\r\n", "\r\n"); !strings.Contains(got, "431") {
+	if got := exchangeRaw(t, c.addr, "GET /x HTTP/1.1\r\nHost: a\r\nX: "+strings.Repeat("v", 8<<10)+"\r\n\r\n", "\r\n"); !strings.Contains(got, "431") {
 		t.Errorf("a head of 8 KiB: %q", got)
 	}
-	if got := raw(t, c.addr, "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhe", "\r\n"); !strings.Contains(got, "408") {
+	if got := exchangeRaw(t, c.addr, "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhe", "\r\n"); !strings.Contains(got, "408") {
 		t.Errorf("an upload that stops: %q", got)
 	}
 	nc, err := net.Dial("tcp", c.addr)
@@ -72,7 +72,7 @@
 	if text := out.String(); ctx.Err() != nil || !strings.Contains(text, "RENEGOTIATING") || !strings.Contains(text, "alert") {
 		t.Errorf("%v: %s", ctx.Err(), text)
 	}
-	if resp, _, err := c.ask("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
+	if resp, _, err := c.exchange("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
 		t.Errorf("the next client: %v, %v", resp, err)
 	}
 }
--- a/internal/app/cell_test.go
+++ b/internal/app/cell_test.go
@@ -131,9 +131,9 @@
 	return &http.Client{Timeout: testutil.Patience, Transport: transport, CheckRedirect: noRedirects}
 }
 
-// ask sends a request and returns the complete answer. do is what the server is to do (webpeer); length is the
+// exchange sends a request and returns the complete answer. do is what the server is to do (webpeer); length is the
 // body's, -1 if unknown; fields are names and values in turn.
-func (c *cell) ask(
+func (c *cell) exchange(
 	method, path, do string, body io.Reader, length int64, fields ...string,
 ) (*http.Response, []byte, error) {
 	r, err := http.NewRequest(method, c.url+path, body)
--- a/internal/app/configuration_test.go
+++ b/internal/app/configuration_test.go
@@ -61,8 +61,8 @@
 	return c
 }
 
-// at returns the endpoint of a box.
-func at(b *appbox.Box) cluster.Endpoint {
+// endpointOf returns the endpoint of a box.
+func endpointOf(b *appbox.Box) cluster.Endpoint {
 	return cluster.Endpoint{ID: b.Name, Address: b.Addr(), Weight: 1}
 }
 
--- a/internal/app/dedup_test.go
+++ b/internal/app/dedup_test.go
@@ -20,7 +20,7 @@
 // What a client sees of it, and that another request under its key is told from it.
 func TestRepeatOverHTTP(t *testing.T) {
 	box := cluster.Endpoint{ID: "s-0", Address: testutil.NewBackend(t, testutil.OK).Addr()}
-	s := serve(t, snapshot(parse(t, strings.Replace(pushes, "ENTRIES", "10", 1)), rooms(box)))
+	s := serve(t, snapshot(parse(t, strings.Replace(pushProgram, "ENTRIES", "10", 1)), rooms(box)))
 	status, header, first := s.push("k", "x", testutil.Patience)
 	if status != http.StatusOK || header.Get(replay.ReplayedHeader) != "" {
 		t.Fatalf("status %d, %s", status, header)
@@ -47,11 +47,11 @@
 				io.WriteString(w, "done at last")
 			}))
 			t.Cleanup(func() { box.CloseClientConnections(); box.Close() })
-			text := strings.Replace(pushes, "ENTRIES", "10\nlate = "+late, 1)
+			text := strings.Replace(pushProgram, "ENTRIES", "10\nlate = "+late, 1)
 			s := serve(t, snapshot(parse(t, text), rooms(cluster.Endpoint{ID: "s", Address: box.Listener.Addr().String()})))
 			ctx, leave := context.WithCancel(context.Background())
 			var first sync.WaitGroup
-			first.Go(func() { s.pushIn(ctx, "k", "x") })
+			first.Go(func() { s.pushWithContext(ctx, "k", "x") })
 			testutil.Wait(t, begun, "the push at its server")
 			leave()
 			first.Wait()
@@ -84,7 +84,7 @@
 		runs.Add(1)
 		testutil.OK(w, r)
 	}).Addr()}
-	text := strings.Replace(pushes, "ENTRIES", "10\nlog = \"keys\"", 1)
+	text := strings.Replace(pushProgram, "ENTRIES", "10\nlog = \"keys\"", 1)
 	folder := t.TempDir()
 	for i, want := range []int{http.StatusOK, http.StatusConflict} {
 		t.Run(strconv.Itoa(i), func(t *testing.T) {
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -77,7 +77,7 @@
 		w.Write(webpeer.Pattern(3000))
 	})
 	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: streams}, b.Addr())
-	if _, _, err := c.ask("GET", "/x", "", nil, 0); err != nil { // opens the connection
+	if _, _, err := c.exchange("GET", "/x", "", nil, 0); err != nil { // opens the connection
 		t.Fatal(err)
 	}
 	testutil.Wait(t, b.Got, "the first")
@@ -85,7 +85,7 @@
 	var whole atomic.Int64
 	for range streams {
 		run.Go(func() {
-			resp, text, err := c.ask("POST", "/x", "", nil, 0)
+			resp, text, err := c.exchange("POST", "/x", "", nil, 0)
 			if err == nil && resp.StatusCode == 200 && bytes.Equal(text, webpeer.Pattern(3000)) {
 				whole.Add(1)
 			} else if err == nil && resp.StatusCode != 503 { // the module may refuse what it can't place
@@ -110,7 +110,7 @@
 	if n := int64(len(b.Got)) + 1; whole.Load() < n {
 		t.Errorf("%d reached the server, %d whole answers came back", n, whole.Load())
 	}
-	if _, _, err := c.ask("GET", "/x", "", nil, 0); err == nil {
+	if _, _, err := c.exchange("GET", "/x", "", nil, 0); err == nil {
 		t.Error("the listener still serves")
 	}
 }
--- a/internal/app/edge_test.go
+++ b/internal/app/edge_test.go
@@ -71,7 +71,7 @@
 	p := parse(t, edgeProgram)
 	e.listener = p.Listener
 	c := rooms()
-	c.AllowEmpty, c.Endpoints = false, append(c.Endpoints, at(testutil.Box(t, "unused")))
+	c.AllowEmpty, c.Endpoints = false, append(c.Endpoints, endpointOf(testutil.Box(t, "unused")))
 	c.Endpoints[0].Address = testutil.NewBackend(t, answerWithFields).Addr()
 	e.app = newApp(t, snapshot(p, c), Options{Seed: 1, Log: testutil.Log(t), Keys: keys})
 	return e
@@ -150,7 +150,7 @@
 		{"an upgrade", plain, upgrade, "hello ping", "101 Switching Protocols"},
 		{"an upgrade that the server ignores", plain, otherUpgrade, "for=", "200 OK"},
 	} {
-		got := raw(t, tc.addr, tc.in, tc.until)
+		got := exchangeRaw(t, tc.addr, tc.in, tc.until)
 		served := strings.Contains(got, "200 OK")
 		if tc.out == "" && served || !strings.Contains(got, tc.out) || strings.Contains(got, "inside") {
 			t.Errorf("%s: %q", tc.name, got)
--- a/internal/app/floods_test.go
+++ b/internal/app/floods_test.go
@@ -69,7 +69,7 @@
 			sent := 0
 			for ; sent < 2000 && tc.send(f, sent) == nil; sent++ {
 				if sent == 50 {
-					if resp, _, err := c.ask("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
+					if resp, _, err := c.exchange("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
 						t.Errorf("a usual client: %v, %v", resp, err)
 					}
 				}
--- a/internal/app/http_test.go
+++ b/internal/app/http_test.go
@@ -18,7 +18,7 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-func behind(t testing.TB, handle http.HandlerFunc) *serving {
+func serveBackend(t testing.TB, handle http.HandlerFunc) *serving {
 	t.Helper()
 	b := testutil.NewBackend(t, handle)
 	e := cluster.Endpoint{ID: "b", Address: b.Addr(), Weight: 1}
@@ -46,7 +46,7 @@
 
 // Where no attempt is left the client sees what a server said last, whatever the class.
 func TestLastWordOfAServer(t *testing.T) {
-	s := behind(t, func(w http.ResponseWriter, r *http.Request) {
+	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Cause", "disk")
 		w.WriteHeader(507)
 		io.WriteString(w, "no room on "+r.URL.Path)
@@ -61,7 +61,7 @@
 
 // HEAD is carried (RFC 9110, 9.3.2): the answer's head with the length that GET would have.
 func TestHead(t *testing.T) {
-	s := behind(t, func(w http.ResponseWriter, r *http.Request) {
+	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/length" {
 			w.Header().Set("Content-Length", "3000000")
 		}
@@ -86,7 +86,7 @@
 		bytes[i] = byte(rnd.Uint32())
 	}
 	var conns sync.Map
-	s := behind(t, func(w http.ResponseWriter, r *http.Request) {
+	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		conns.Store(r.RemoteAddr, nil)
 		n, _ := strconv.Atoi(r.URL.Query().Get("n"))
 		if r.URL.Path == "/length" {
@@ -120,7 +120,7 @@
 // framed; it never ends as if it were whole. The server is not asked again.
 func TestBrokenStreams(t *testing.T) {
 	var asked atomic.Int64
-	s := behind(t, func(w http.ResponseWriter, r *http.Request) {
+	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		asked.Add(1)
 		if r.URL.Path == "/length" {
 			w.Header().Set("Content-Length", "1000000")
@@ -150,7 +150,7 @@
 // server. A server is not told by another one's stream: the next request is served.
 func TestEventStream(t *testing.T) {
 	events, left := make(chan string), make(chan struct{})
-	s := behind(t, func(w http.ResponseWriter, r *http.Request) {
+	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/events" {
 			return
 		}
@@ -192,7 +192,7 @@
 func TestBackPressure(t *testing.T) {
 	var written atomic.Int64
 	over := make(chan struct{})
-	s := behind(t, func(w http.ResponseWriter, _ *http.Request) {
+	s := serveBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		defer close(over)
 		part := make([]byte, 64<<10)
 		for range 1 << 14 { // 1 GB
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -27,12 +27,12 @@
 	const count = 200
 	box := testutil.Box(t, "b")
 	before := runtime.NumGoroutine()
-	s := serve(t, services(t, count, box))
+	s := serve(t, servicesSnapshot(t, count, box))
 	if n := runtime.NumGoroutine() - before; n > count/4 {
 		t.Errorf("%d goroutines more for %d clusters that nobody asks", n, count)
 	}
 	for i := range 3 {
-		if got := s.ask(i); got != http.StatusOK {
+		if got := s.requestStatus(i); got != http.StatusOK {
 			t.Fatalf("service %d: status %d", i, got)
 		}
 	}
@@ -45,7 +45,7 @@
 	if n := s.app.deactivateIdle(s.app.idleNow()); n != 3 || s.app.ActiveClusters() != 0 {
 		t.Errorf("%d clusters were given up of 3 without requests; %d are active", n, s.app.ActiveClusters())
 	}
-	if got := s.ask(1); got != http.StatusOK || s.app.ActiveClusters() != 1 {
+	if got := s.requestStatus(1); got != http.StatusOK || s.app.ActiveClusters() != 1 {
 		t.Errorf("status %d of a service that was idle; %d are active", got, s.app.ActiveClusters())
 	}
 }
@@ -54,7 +54,7 @@
 // cluster is given up again and again.
 func TestRequestsDuringDeactivation(t *testing.T) {
 	box := testutil.Box(t, "b")
-	s := serve(t, services(t, 1, box))
+	s := serve(t, servicesSnapshot(t, 1, box))
 	const clients, times = 2, 15
 	var refused atomic.Int64
 	var over atomic.Bool
@@ -63,7 +63,7 @@
 	for range clients {
 		asking.Go(func() {
 			for !over.Load() {
-				if s.ask(0) != http.StatusOK {
+				if s.requestStatus(0) != http.StatusOK {
 					refused.Add(1)
 				}
 				answered <- struct{}{}
@@ -86,7 +86,7 @@
 // look has engines that last until its end.
 func TestDeactivationRace(t *testing.T) {
 	const requests = 2000
-	s := serve(t, services(t, 1, testutil.Box(t, "b")))
+	s := serve(t, servicesSnapshot(t, 1, testutil.Box(t, "b")))
 	r := s.app.state.Load().clusters["s0"]
 	looked := make(chan struct{}, 1) // the next request begins beside the look at the last one's end
 	go func() {
@@ -126,13 +126,13 @@
 // Guards against news that a cluster without engines misses: a server that was taken out meanwhile gets nothing.
 func TestUpdateWhileIdle(t *testing.T) {
 	stays, leaves := testutil.Box(t, "stays"), testutil.Box(t, "leaves")
-	first := services(t, 1, stays, leaves)
+	first := servicesSnapshot(t, 1, stays, leaves)
 	s := serve(t, first)
-	s.ask(0)
+	s.requestStatus(0)
 	if s.app.deactivateIdle(s.app.idleNow()) != 1 {
 		t.Fatal("the cluster is still active")
 	}
-	next := service(0, stays, leaves)
+	next := serviceConfig(0, stays, leaves)
 	for i := range next.Endpoints {
 		if e := &next.Endpoints[i]; e.ID == leaves.Name {
 			e.Health = cluster.Draining
@@ -146,7 +146,7 @@
 	}
 	before := leaves.Count()
 	for range 40 {
-		if got := s.ask(0); got != http.StatusOK {
+		if got := s.requestStatus(0); got != http.StatusOK {
 			t.Fatalf("status %d", got)
 		}
 	}
@@ -206,7 +206,7 @@
 		p := *parse(t, program)
 		p.Classes = append([]config.Class(nil), p.Classes...)
 		c.change(&p)
-		s := serve(t, snapshot(&p, rooms(at(testutil.Box(t, "b")))))
+		s := serve(t, snapshot(&p, rooms(endpointOf(testutil.Box(t, "b")))))
 		if got := s.app.idleAfter(s.app.state.Load()); got != c.want {
 			t.Errorf("%s: idle after %v, want %v", name, got, c.want)
 		}
--- a/internal/app/leaks_test.go
+++ b/internal/app/leaks_test.go
@@ -17,7 +17,7 @@
 func TestChangesLeaveNothing(t *testing.T) {
 	const count = 100
 	box := testutil.Box(t, "b")
-	first := services(t, count, box)
+	first := servicesSnapshot(t, count, box)
 	s := serve(t, first)
 	change := func(times int) (heap uint64) {
 		for i := range times {
@@ -26,7 +26,7 @@
 			if err := s.app.Apply(&files.Snapshot{Program: &p, Version: first.Version}); err != nil {
 				t.Fatal(err)
 			}
-			s.ask(i % count) // so that engines are among what is replaced
+			s.requestStatus(i % count) // so that engines are among what is replaced
 		}
 		s.app.deactivateIdle(s.app.idleNow())
 		runtime.GC()
@@ -48,7 +48,7 @@
 	b := testutil.Box(t, "box-1")
 	p := parse(t, program)
 	other := parse(t, strings.Replace(program, "attempts = 3", "attempts = 2", 1))
-	s := serve(t, snapshot(p, rooms(at(b))))
+	s := serve(t, snapshot(p, rooms(endpointOf(b))))
 	apply := func(n int) {
 		for i := range n {
 			extra := cluster.Endpoint{
@@ -58,7 +58,7 @@
 			if i%10 == 5 {
 				next = other
 			}
-			if err := s.app.Apply(snapshot(next, rooms(at(b), extra))); err != nil {
+			if err := s.app.Apply(snapshot(next, rooms(endpointOf(b), extra))); err != nil {
 				t.Fatal(err)
 			}
 			if i%50 == 0 {
--- a/internal/app/listeners_test.go
+++ b/internal/app/listeners_test.go
@@ -14,8 +14,8 @@
 	"yokestall/internal/testutil"
 )
 
-// raw sends bytes and returns what comes back until the end, or until a text has come.
-func raw(t testing.TB, addr, text, until string) string {
+// exchangeRaw sends bytes and returns what comes back until the end, or until a text has come.
+func exchangeRaw(t testing.TB, addr, text, until string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -41,7 +41,7 @@
 // rawGet sends getRequest and returns the answer.
 func rawGet(t testing.TB, addr string) string {
 	t.Helper()
-	return raw(t, addr, getRequest, "")
+	return exchangeRaw(t, addr, getRequest, "")
 }
 
 // freeAddress returns an address at which nothing listens; the caller listens on it at once.
@@ -91,7 +91,7 @@
 	const want = "b served"
 	b := testutil.Box(t, "b")
 	p := parse(t, program)
-	a := newApp(t, snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
+	a := newApp(t, snapshot(p, rooms(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	listeners := openListeners(t, a)
 	apply := func(list ...config.Listener) error { return listeners.Apply(list) }
 	one := p.Listener
@@ -120,7 +120,7 @@
 		}
 	}
 	stop()
-	got := raw(t, one.Address, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 25\r\n\r\n", "")
+	got := exchangeRaw(t, one.Address, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 25\r\n\r\n", "")
 	if !strings.Contains(got, "413") {
 		t.Errorf("a bound of %d: %q", one.MaxBody, got)
 	}
@@ -151,7 +151,7 @@
 func TestAcceptGoesOn(t *testing.T) {
 	b := testutil.Box(t, "b")
 	p := parse(t, program)
-	a := newApp(t, snapshot(p, rooms(at(b))), Options{Seed: 1, Log: testutil.Log(t)})
+	a := newApp(t, snapshot(p, rooms(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	listeners := openListeners(t, a)
 	l := &failingListener{Listener: testutil.Listen(t)}
 	l.failures.Store(3)
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -37,16 +37,16 @@
 	a, b := testutil.NewBackend(t, serve), testutil.NewBackend(t, serve)
 	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{}, a.Addr(), b.Addr())
 	for range slow {
-		if resp, _, err := c.ask("GET", "/x", "slow", nil, 0); err != nil || resp.StatusCode != http.StatusOK {
+		if resp, _, err := c.exchange("GET", "/x", "slow", nil, 0); err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatalf("a slow one: %v, %v", resp, err)
 		}
 	}
 	for range 3 {
-		resp, text, err := c.ask("GET", "/x", "break-once", nil, 0)
+		resp, text, err := c.exchange("GET", "/x", "break-once", nil, 0)
 		if err != nil || string(text) != "second" {
 			t.Errorf("a safe request: %v, %q, %v", resp, text, err)
 		}
-		resp, text, err = c.ask("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(50_000))), -1)
+		resp, text, err = c.exchange("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(50_000))), -1)
 		if err != nil || string(text) != "second" {
 			t.Errorf("a short upload: %v, %q, %v", resp, text, err)
 		}
--- a/internal/app/pushes_test.go
+++ b/internal/app/pushes_test.go
@@ -16,7 +16,7 @@
 	"yokestall/internal/cluster"
 )
 
-const pushes = `[listen]
+const pushProgram = `[listen]
 
 address = "127.0.0.1:0"
 [files]
@@ -45,10 +45,10 @@
 func (s *serving) push(key, body string, patience time.Duration) (status int, header http.Header, text string) {
 	ctx, leave := context.WithTimeout(context.Background(), patience)
 	defer leave()
-	return s.pushIn(ctx, key, body)
+	return s.pushWithContext(ctx, key, body)
 }
 
-func (s *serving) pushIn(ctx context.Context, key, body string) (status int, header http.Header, text string) {
+func (s *serving) pushWithContext(ctx context.Context, key, body string) (status int, header http.Header, text string) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url+"/push", strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
@@ -111,7 +111,7 @@
 			t.Cleanup(func() { box.CloseClientConnections(); box.Close() })
 			list = append(list, cluster.Endpoint{ID: "s" + strconv.Itoa(i), Address: box.Listener.Addr().String()})
 		}
-		s := serve(t, snapshot(parse(t, strings.Replace(pushes, "ENTRIES", entries, 1)), rooms(list...)))
+		s := serve(t, snapshot(parse(t, strings.Replace(pushProgram, "ENTRIES", entries, 1)), rooms(list...)))
 		var all sync.WaitGroup
 		for worker := range workers {
 			all.Go(func() {
--- a/internal/app/services_test.go
+++ b/internal/app/services_test.go
@@ -12,8 +12,8 @@
 	"yokestall/internal/files"
 )
 
-// services is a program with a route to each of a number of clusters, and the clusters, all on the same servers.
-func services(t testing.TB, count int, boxes ...*appbox.Box) *files.Snapshot {
+// servicesSnapshot is a program with a route to each of a number of clusters, and the clusters, all on the same servers.
+func servicesSnapshot(t testing.TB, count int, boxes ...*appbox.Box) *files.Snapshot {
 	t.Helper()
 	text := strings.Builder{}
 	text.WriteString(program)
@@ -22,23 +22,23 @@
 	}
 	var list []*cluster.Config
 	for i := range count {
-		list = append(list, service(i, boxes...))
+		list = append(list, serviceConfig(i, boxes...))
 	}
 	return snapshot(parse(t, text.String()), list...)
 }
 
-func service(i int, boxes ...*appbox.Box) *cluster.Config {
+func serviceConfig(i int, boxes ...*appbox.Box) *cluster.Config {
 	var endpoints []cluster.Endpoint
 	for _, b := range boxes {
-		endpoints = append(endpoints, at(b))
+		endpoints = append(endpoints, endpointOf(b))
 	}
 	c := rooms(endpoints...)
 	c.Name = fmt.Sprint("s", i)
 	return c
 }
 
-// ask has a service answer a request, and gives the status.
-func (s *serving) ask(service int) int {
+// requestStatus has a service answer a request, and gives the status.
+func (s *serving) requestStatus(service int) int {
 	r, err := http.NewRequest(http.MethodGet, s.url+"/", nil)
 	if err != nil {
 		s.t.Fatal(err)
--- a/internal/app/smuggling_test.go
+++ b/internal/app/smuggling_test.go
@@ -19,7 +19,7 @@
 
 // Messages whose ends, names or targets two readers could see differently (RFC 9112, 11.2).
 // Each ends in a request for /hidden that only a server that is led astray would see.
-var smuggled = []string{
+var smuggledMessages = []string{
 	"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 60\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
 	"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4, 60\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
 	"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: +4\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -51,18 +51,18 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"
 
-// tapped is a server whose bytes a test sees.
-func tapped(t testing.TB) (addr string, tap *rawpeer.Tap) {
+// startTappedServer is a server whose bytes a test sees.
+func startTappedServer(t testing.TB) (addr string, tap *rawpeer.Tap) {
 	tap = &rawpeer.Tap{}
-	return rawServer(t, okAnswer, false, 1, tap).Addrs[0], tap
+	return startRawServer(t, okAnswer, false, 1, tap).Addrs[0], tap
 }
 
 // Nothing that is hidden in a message reaches a server, over either version; and what is
 // passed on has one length alone.
 func TestSmuggling(t *testing.T) {
-	addr, tap := tapped(t)
+	addr, tap := startTappedServer(t)
 	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10}, addr)
-	for _, text := range smuggled {
+	for _, text := range smuggledMessages {
 		nc, err := net.Dial("tcp", c.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -140,11 +140,11 @@
 // FuzzClient: whatever bytes a client sends, the listener lives, and a server sees whole
 // requests with one length alone.
 func FuzzClient(f *testing.F) {
-	for _, text := range smuggled {
+	for _, text := range smuggledMessages {
 		f.Add([]byte(text))
 	}
 	f.Add([]byte(http2.ClientPreface + "\x00\x00\x00\x04\x00\x00\x00\x00\x00"))
-	addr, tap := tapped(f)
+	addr, tap := startTappedServer(f)
 	c := newCellTo(f, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10}, addr)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		nc, err := net.Dial("tcp", c.addr)
--- a/internal/app/snapshots_test.go
+++ b/internal/app/snapshots_test.go
@@ -9,8 +9,8 @@
 	"yokestall/policy"
 )
 
-// knowledge gives what a cluster's only engine knows, or remembers where it is idle.
-func (s *serving) knowledge(name string) policy.Snapshot {
+// learntState gives what a cluster's only engine knows, or remembers where it is idle.
+func (s *serving) learntState(name string) policy.Snapshot {
 	s.t.Helper()
 	r := s.app.state.Load().clusters[name]
 	r.mu.Lock()
@@ -29,17 +29,17 @@
 func TestSnapshotsOutliveEngines(t *testing.T) {
 	bad := testutil.Box(t, "bad")
 	bad.SetFailing(true)
-	first := services(t, 1, bad)
+	first := servicesSnapshot(t, 1, bad)
 	s := serve(t, first)
 	opened := func() (count int) {
-		for _, k := range s.knowledge("s0").Endpoints {
+		for _, k := range s.learntState("s0").Endpoints {
 			if k.BreakerOpen {
 				count++
 			}
 		}
 		return count
 	}
-	testutil.Until(t, "the failing server's breaker to open", func() bool { s.ask(0); return opened() == 1 })
+	testutil.Until(t, "the failing server's breaker to open", func() bool { s.requestStatus(0); return opened() == 1 })
 	if s.app.deactivateIdle(s.app.idleNow()); opened() != 1 {
 		t.Error("an idle cluster forgot the open breaker")
 	}
@@ -53,7 +53,7 @@
 			t.Errorf("change %d of settings: %d active clusters, %d open breakers remembered", round, s.app.ActiveClusters(), opened())
 		}
 	}
-	s.ask(0)
+	s.requestStatus(0)
 	if s.app.ActiveClusters() != 1 || opened() != 1 {
 		t.Error("an engine that was started anew forgot the open breaker")
 	}
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -41,14 +41,14 @@
 	}{
 		{"whole", "stream = \"50ms\"\n", nil, true},
 		{"progress", "progress = \"50ms\"\n", nil, true},
-		{"drains", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Config { return rooms(leaves, at(other)) }, true},
-		{"is gone", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Config { return rooms(at(other)) }, true},
+		{"drains", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Config { return rooms(leaves, endpointOf(other)) }, true},
+		{"is gone", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Config { return rooms(endpointOf(other)) }, true},
 		{"another drains", "stream_drain = \"50ms\"\n", func(*config.Program) *cluster.Config {
-			o := at(other)
+			o := endpointOf(other)
 			o.Health = cluster.Draining
 			return rooms(server, o)
 		}, false},
-		{"no bound", "", func(*config.Program) *cluster.Config { return rooms(at(other)) }, false},
+		{"no bound", "", func(*config.Program) *cluster.Config { return rooms(endpointOf(other)) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := bounds(tc.class)
@@ -112,7 +112,7 @@
 		over <- err
 	}()
 	testutil.Wait(t, b.Got, "the request")
-	err := s.app.Apply(snapshot(p, rooms(at(testutil.Box(t, "other")))))
+	err := s.app.Apply(snapshot(p, rooms(endpointOf(testutil.Box(t, "other")))))
 	close(let)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/app/tenants_test.go
+++ b/internal/app/tenants_test.go
@@ -11,9 +11,9 @@
 // left.
 func TestTenantTables(t *testing.T) {
 	text := program + "[[tenant]]\nname = \"a\"\nquota_per_s = 5\ncertificates = [\"a.example\"]\n[[tenant]]\nname = \"b\"\n"
-	s := serve(t, snapshot(parse(t, text), rooms(at(testutil.Box(t, "b")))))
+	s := serve(t, snapshot(parse(t, text), rooms(endpointOf(testutil.Box(t, "b")))))
 	take := func(text string) *tenantTable {
-		if err := s.app.Apply(snapshot(parse(t, text), rooms(at(testutil.Box(t, "b"))))); err != nil {
+		if err := s.app.Apply(snapshot(parse(t, text), rooms(endpointOf(testutil.Box(t, "b"))))); err != nil {
 			t.Fatal(err)
 		}
 		return s.app.state.Load().tenants
--- a/internal/app/truncatedanswers_test.go
+++ b/internal/app/truncatedanswers_test.go
@@ -37,14 +37,14 @@
 			const lanes = 8 // each with servers of its own
 			var run sync.WaitGroup
 			for lane := range lanes {
-				s := rawServer(t, tc.answer, tc.http2, 4, nil)
+				s := startRawServer(t, tc.answer, tc.http2, 4, nil)
 				c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{HTTP2: tc.http2}, nil, nil, config.Listener{}, s.Addrs...)
 				run.Go(func() {
 					for cut := lane; cut <= len(tc.answer); cut += lanes {
 						for _, path := range []string{"/x", "/pay/x"} {
 							s.Cut.Store(int64(cut))
 							before := s.Executed.Load()
-							resp, text, err := c.ask("POST", path, "", bytes.NewReader([]byte("body")), 4)
+							resp, text, err := c.exchange("POST", path, "", bytes.NewReader([]byte("body")), 4)
 							ran := s.Executed.Load() - before
 							whole := err == nil && resp.StatusCode == 200
 							switch {
@@ -66,7 +66,7 @@
 	}
 }
 
-func rawServer(t testing.TB, answer string, overHTTP2 bool, places int, tap *rawpeer.Tap) *rawpeer.Server {
+func startRawServer(t testing.TB, answer string, overHTTP2 bool, places int, tap *rawpeer.Tap) *rawpeer.Server {
 	s, err := rawpeer.Start([]byte(answer), overHTTP2, places, tap)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/app/versionstorm_test.go
+++ b/internal/app/versionstorm_test.go
@@ -54,7 +54,7 @@
 	*serving
 	t       *testing.T
 	boxes   []*appbox.Box
-	bait    *appbox.Box // in no complete, valid version
+	decoy    *appbox.Box // in no complete, valid version
 	file    string      // of the cluster
 	watcher *files.Watcher
 	random  *rand.Rand
@@ -72,7 +72,7 @@
 	for i := range stormBoxes {
 		s.boxes = append(s.boxes, testutil.Box(t, fmt.Sprintf("box-%d", i)))
 	}
-	s.bait = testutil.Box(t, "bait")
+	s.decoy = testutil.Box(t, "bait")
 	root := t.TempDir()
 	path, folder := filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
 	if err := os.Mkdir(folder, 0o755); err != nil {
@@ -88,8 +88,8 @@
 		t.Fatal(err)
 	}
 	s.watcher = watcher
-	for _, b := range append(s.boxes, s.bait) {
-		e := at(b)
+	for _, b := range append(s.boxes, s.decoy) {
+		e := endpointOf(b)
 		s.sends.names[e.Key()] = b.Name
 	}
 	s.serving = serveWith(t, first, Options{Seed: 1, Log: testutil.Quiet, OnSend: s.sends.note})
@@ -174,7 +174,7 @@
 // writeVersion writes a valid file with boxes, or one that is invalid and has the bait.
 func (s *versionStorm) writeVersion(members []*appbox.Box) {
 	good := roomsFile(members)
-	bad := roomsFile(append(members, s.bait))
+	bad := roomsFile(append(members, s.decoy))
 	switch s.random.IntN(8) {
 	case 0, 1, 2:
 		s.swap(good)
@@ -185,7 +185,7 @@
 	case 4:
 		s.write("")
 	case 5:
-		s.write(roomsFile(append(members, s.bait, s.bait)))
+		s.write(roomsFile(append(members, s.decoy, s.decoy)))
 	case 6:
 		s.write(strings.Replace(bad, "address", "adress", 1))
 	case 7:
@@ -215,8 +215,8 @@
 		}
 	}
 	sent, requests, served, notServed := len(s.sends.list), s.requests.Load(), s.served.Load(), s.notServed.Load()
-	if astray != 0 || s.bait.Count() != 0 {
-		s.t.Errorf("%d of %d requests went astray, %d to a server of no valid version", astray, sent, s.bait.Count())
+	if astray != 0 || s.decoy.Count() != 0 {
+		s.t.Errorf("%d of %d requests went astray, %d to a server of no valid version", astray, sent, s.decoy.Count())
 	}
 	if reached > sent {
 		s.t.Errorf("%d requests reached a box, %d sends are known", reached, sent)
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -23,7 +23,7 @@
 	*serving
 	t         *testing.T
 	variant   string
-	plane     *controlplane.Server
+	controlPlane     *controlplane.Server
 	a, b      *appbox.Box // of the cluster rooms, and of others
 	cacheFile string
 	logs      *testutil.Logs
@@ -32,19 +32,19 @@
 // start starts the program with the cache file of the run.
 func (r *xdsRun) start() {
 	useCache := func(c *xds.Config) { c.CacheFile = r.cacheFile }
-	r.serving, r.logs = follow(r.t, xdsProgram(r.t, r.plane.Addr(), r.variant, ""), Options{}, useCache, nil)
+	r.serving, r.logs = follow(r.t, xdsProgram(r.t, r.controlPlane.Addr(), r.variant, ""), Options{}, useCache, nil)
 }
 
 // set changes resources of the control plane.
 func (r *xdsRun) set(named map[string]proto.Message) {
 	r.t.Helper()
-	set(r.t, r.plane, named)
+	set(r.t, r.controlPlane, named)
 }
 
-// place has a cluster's only endpoint be a box.
-func (r *xdsRun) place(cluster string, b *appbox.Box) {
+// assign has a cluster's only endpoint be a box.
+func (r *xdsRun) assign(cluster string, b *appbox.Box) {
 	r.t.Helper()
-	r.set(map[string]proto.Message{cluster: placed(cluster, healthy, []*appbox.Box{b})})
+	r.set(map[string]proto.Message{cluster: loadAssignment(cluster, healthy, []*appbox.Box{b})})
 }
 
 // wantStatus checks the status of one request.
@@ -75,7 +75,7 @@
 				variant:   variant,
 				a:         testutil.Box(t, "a"),
 				b:         testutil.Box(t, "b"),
-				plane:     startPlane(t),
+				controlPlane:     startControlPlane(t),
 				cacheFile: filepath.Join(t.TempDir(), "kept"),
 			}
 			r.checkStart()
@@ -91,7 +91,7 @@
 
 // checkStart starts without a control plane, which then comes.
 func (r *xdsRun) checkStart() {
-	r.plane.Down()
+	r.controlPlane.Down()
 	r.start()
 	if status, header, _ := r.get("/x", ""); status != 503 || header.Get("Retry-After") == "" {
 		r.t.Errorf("before any version: status %d, %v", status, header)
@@ -104,8 +104,8 @@
 		),
 		"rooms": edsCluster("rooms"),
 	})
-	r.place("rooms", r.a)
-	if err := r.plane.Up(); err != nil {
+	r.assign("rooms", r.a)
+	if err := r.controlPlane.Up(); err != nil {
 		r.t.Fatal(err)
 	}
 	r.becomes("/x", 200)
@@ -116,7 +116,7 @@
 	r.wantStatus("/lost/x", 503, "an undefined cluster")
 	r.logs.Wait("request rejected, cluster not defined")
 	r.set(map[string]proto.Message{"lost": edsCluster("lost")})
-	r.place("lost", r.b)
+	r.assign("lost", r.b)
 	r.becomes("/lost/x", 200)
 }
 
@@ -132,11 +132,11 @@
 	}
 	r.set(hundred)
 	r.logs.Wait("lost: type: LOGICAL_DNS is neither EDS nor STATIC")
-	r.place("c-99", r.b)
+	r.assign("c-99", r.b)
 	r.becomes("/c-99/x", 200) // the others were accepted
 	r.wantStatus("/lost/x", 200, "the last good form")
 	testutil.Until(r.t, "a NACK that names the fault", func() bool {
-		return slices.ContainsFunc(r.plane.Acks(), func(a controlplane.Ack) bool {
+		return slices.ContainsFunc(r.controlPlane.Acks(), func(a controlplane.Ack) bool {
 			return strings.Contains(a.Error, "LOGICAL_DNS")
 		})
 	})
@@ -153,7 +153,7 @@
 		open <- status
 	}()
 	testutil.Until(r.t, "the request to reach the box", func() bool { return r.a.Count() > count })
-	r.plane.RemoveResources(message(r.t, edsCluster("rooms")).TypeUrl, "rooms")
+	r.controlPlane.RemoveResources(message(r.t, edsCluster("rooms")).TypeUrl, "rooms")
 	r.becomes("/x", 503)
 	if status := testutil.Wait(r.t, open, "the open request"); status != 200 {
 		r.t.Errorf("open while its cluster was removed: status %d", status)
@@ -166,19 +166,19 @@
 // checkMisbehaviour has the control plane misbehave in each way. The stream is broken after it as by a restart.
 func (r *xdsRun) checkMisbehaviour() {
 	for fault := controlplane.WrongNonce; fault <= controlplane.InvalidBodies; fault++ {
-		r.plane.QueueFaults(fault)
+		r.controlPlane.QueueFaults(fault)
 		to := []*appbox.Box{r.a, r.b}[int(fault)%2]
-		r.place("rooms", to)
+		r.assign("rooms", to)
 		r.wantStatus("/x", 200, fmt.Sprintf("fault %d", fault))
-		testutil.Until(r.t, "the fault to happen", func() bool { return r.plane.PendingFaults() == 0 })
-		r.plane.BreakStreams()
+		testutil.Until(r.t, "the fault to happen", func() bool { return r.controlPlane.PendingFaults() == 0 })
+		r.controlPlane.BreakStreams()
 		r.servedBy(to, fmt.Sprintf("recovery from fault %d", fault))
 	}
 }
 
 // checkRestartFromCache ends the control plane: its last version stays, also for a program that starts meanwhile.
 func (r *xdsRun) checkRestartFromCache() {
-	r.plane.Down()
+	r.controlPlane.Down()
 	r.wantStatus("/x", 200, "with the control plane down")
 	r.leave()
 	r.start()
@@ -188,11 +188,11 @@
 
 // checkOlderVersion restores the control plane from a backup: its version is older, and it applies.
 func (r *xdsRun) checkOlderVersion() {
-	url := message(r.t, placed("rooms", healthy)).TypeUrl
-	r.plane.SetVersion(url, 1)
-	r.place("rooms", r.b)
-	r.plane.SetVersion(url, 1)
-	if err := r.plane.Up(); err != nil {
+	url := message(r.t, loadAssignment("rooms", healthy)).TypeUrl
+	r.controlPlane.SetVersion(url, 1)
+	r.assign("rooms", r.b)
+	r.controlPlane.SetVersion(url, 1)
+	if err := r.controlPlane.Up(); err != nil {
 		r.t.Fatal(err)
 	}
 	r.servedBy(r.b, "the older version to be in force")
@@ -202,15 +202,15 @@
 // once, with Retry-After.
 func TestXDSFailover(t *testing.T) {
 	a, b := testutil.Box(t, "a"), testutil.Box(t, "b")
-	p := startPlane(t)
+	p := startControlPlane(t)
 	set(t, p, map[string]proto.Message{
 		"ingress": ingressRoutes(t),
 		"main":    mainRoutes(toCluster("/", "rooms", "read")),
 		"rooms":   edsCluster("rooms"),
 	})
 	both := func(first, second corev3.HealthStatus) {
-		x := placed("rooms", first, []*appbox.Box{a}, nil)
-		x.Endpoints[1].LbEndpoints = placed("rooms", second, []*appbox.Box{b}).Endpoints[0].LbEndpoints
+		x := loadAssignment("rooms", first, []*appbox.Box{a}, nil)
+		x.Endpoints[1].LbEndpoints = loadAssignment("rooms", second, []*appbox.Box{b}).Endpoints[0].LbEndpoints
 		set(t, p, map[string]proto.Message{"rooms": x})
 	}
 	both(healthy, healthy)
--- a/internal/app/xdsbench_test.go
+++ b/internal/app/xdsbench_test.go
@@ -34,7 +34,7 @@
 
 func benchmarkXDS(b *testing.B, variant string, endpoints int) {
 	clusters := endpoints / benchClusterSize
-	p := startPlane(b)
+	p := startControlPlane(b)
 	setBenchClusters(b, p, clusters)
 	before := heapBytes()
 	updates := make(chan time.Duration, 1000) // from delivery to in force
@@ -88,7 +88,7 @@
 
 // benchAssignment is the endpoints of a cluster, the first of which has a weight other than 1.
 func benchAssignment(c int, firstWeight uint32) *endpointv3.ClusterLoadAssignment {
-	a := placed(benchClusterName(c), healthy, nil)
+	a := loadAssignment(benchClusterName(c), healthy, nil)
 	weight := firstWeight
 	for i := range benchClusterSize {
 		e := lbEndpoint(fmt.Sprintf("10.%d.%d.%d:80", c/250, c%250, i+1), healthy)
--- a/internal/app/xdsserving_test.go
+++ b/internal/app/xdsserving_test.go
@@ -28,8 +28,8 @@
 // bothVariants are the variants of the protocol.
 var bothVariants = []string{"incremental", "state-of-the-world"}
 
-// startPlane starts a control plane without resources.
-func startPlane(t testing.TB) *controlplane.Server {
+// startControlPlane starts a control plane without resources.
+func startControlPlane(t testing.TB) *controlplane.Server {
 	p, err := controlplane.Start()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/app/xdsstorm_test.go
+++ b/internal/app/xdsstorm_test.go
@@ -56,7 +56,7 @@
 type xdsStorm struct {
 	*serving
 	t          *testing.T
-	plane      *controlplane.Server
+	controlPlane      *controlplane.Server
 	boxes      []*appbox.Box
 	sends      *sendLog
 	inForce    memberships
@@ -69,20 +69,20 @@
 	s := &xdsStorm{t: t, sends: &sendLog{names: map[uint64]string{}}}
 	for i := range stormBoxes {
 		b := testutil.Box(t, fmt.Sprintf("box-%d", i))
-		e := at(b)
+		e := endpointOf(b)
 		e.ID = e.Address
 		s.sends.names[e.Key()] = b.Addr()
 		s.boxes = append(s.boxes, b)
 	}
-	s.plane = startPlane(t)
-	set(t, s.plane, map[string]proto.Message{
+	s.controlPlane = startControlPlane(t)
+	set(t, s.controlPlane, map[string]proto.Message{
 		"ingress": ingressRoutes(t),
 		"main":    mainRoutes(toCluster("/pay/", "rooms", "pay"), toCluster("/", "rooms", "read")),
 		"rooms":   edsCluster("rooms"),
 	})
-	set(t, s.plane, map[string]proto.Message{"rooms": placed("rooms", healthy, s.boxes)})
+	set(t, s.controlPlane, map[string]proto.Message{"rooms": loadAssignment("rooms", healthy, s.boxes)})
 	o := Options{Seed: 1, Log: testutil.Quiet, OnSend: s.sends.note}
-	s.serving, _ = follow(t, xdsProgram(t, s.plane.Addr(), variant, ""), o, nil, s.applied)
+	s.serving, _ = follow(t, xdsProgram(t, s.controlPlane.Addr(), variant, ""), o, nil, s.applied)
 	s.becomes("/x", 200)
 	return s
 }
@@ -118,15 +118,15 @@
 		away := int(time.Since(start)/stormAwayTime) % stormBoxes
 		members := append(slices.Clone(s.boxes[:away]), s.boxes[away+1:]...)
 		random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-		assignment := placed("rooms", healthy, members[:1+random.IntN(len(members))])
+		assignment := loadAssignment("rooms", healthy, members[:1+random.IntN(len(members))])
 		if i%3 == 0 { // the box is not left out but draining
 			first := assignment.Endpoints[0]
 			first.LbEndpoints = append(first.LbEndpoints, lbEndpoint(s.boxes[away].Addr(), corev3.HealthStatus_DRAINING))
 		}
 		if i%(count/xdsStreamBreaks) == 0 {
-			s.plane.BreakStreams()
+			s.controlPlane.BreakStreams()
 		}
-		set(s.t, s.plane, map[string]proto.Message{"rooms": assignment})
+		set(s.t, s.controlPlane, map[string]proto.Message{"rooms": assignment})
 		time.Sleep(time.Duration(random.IntN(int(xdsChangePause/time.Millisecond))) * time.Millisecond)
 	}
 }
@@ -134,7 +134,7 @@
 // check checks where the requests went.
 func (s *xdsStorm) check(changes int) {
 	s.t.Helper()
-	opened, _ := s.plane.Streams()
+	opened, _ := s.controlPlane.Streams()
 	sent := len(s.sends.list)
 	if n := s.sends.astray(&s.inForce, removalGrace); n != 0 || sent == 0 || opened < 20 {
 		s.t.Errorf("%d of %d sends went astray; %d streams", n, sent, opened)
