--- a/internal/app/agreedsource_test.go
+++ b/internal/app/agreedsource_test.go
@@ -13,8 +13,8 @@
 	"yokestall/internal/testutil"
 )
 
-// A hundred changes of classes, limits and the fleet's figures under load: nothing fails, and what was learnt of a
-// server that fails stays known.
+// A hundred changes of classes, limits and the number of nodes under load: no request fails, and what was learnt of a
+// server that fails is retained.
 func TestSettingsUnderLoad(t *testing.T) {
 	good, bad := testutil.Box(t, "good"), testutil.Box(t, "bad")
 	good.SetDelay(time.Millisecond)
@@ -27,7 +27,7 @@
 	}
 	before := bad.Count()
 	var run sync.WaitGroup
-	var asked, failed atomic.Int64
+	var sent, failed atomic.Int64
 	stop := make(chan struct{})
 	for c := range 8 {
 		run.Go(func() {
@@ -37,7 +37,7 @@
 					return
 				default:
 				}
-				asked.Add(1)
+				sent.Add(1)
 				if status, _, body := s.get("/x", fmt.Sprint("c", c, "-", i)); status != http.StatusOK {
 					if failed.Add(1) == 1 {
 						t.Logf("first failure: %d %s", status, body)
@@ -48,50 +48,63 @@
 	}
 	source := NewAgreedSource(s.app, own)
 	for i := range 100 {
-		text := strings.Replace(program, "attempts = 3", fmt.Sprint("attempts = ", 2+i%3), 1)
-		text = strings.Replace(text, "[[class]]\nname = \"read\"", fmt.Sprintf("[fleet]\nnodes = %d\n[[class]]\nname = \"first-%d\"\neffect = \"safe\"\ndeadline = \"1s\"\n[[class]]\nname = \"read\"", 1+i%4, i), 1)
-		if err := source.Apply(consensus.EffectiveVersion{Version: &consensus.Version{Program: parse(t, text), Clusters: snapshot(own, list).Version.Clusters}}); err != nil {
+		version := &consensus.Version{
+			Program: parse(t, changedProgram(i)), Clusters: snapshot(own, list).Version.Clusters,
+		}
+		if err := source.Apply(consensus.EffectiveVersion{Version: version}); err != nil {
 			t.Fatal(err)
 		}
-		n := asked.Load()
-		testutil.Until(t, "some to be asked under these settings", func() bool { return asked.Load() >= n+5 })
+		n := sent.Load()
+		testutil.Until(t, "some requests under these settings", func() bool { return sent.Load() >= n+5 })
 	}
 	close(stop)
 	run.Wait()
 	if failed.Load() > 0 {
-		t.Errorf("%d of %d failed", failed.Load(), asked.Load())
+		t.Errorf("%d of %d failed", failed.Load(), sent.Load())
 	}
-	// Anew, each of the 100 would have tried it again until its breaker opened: three times at least.
+	// Without what was learnt, each of the 100 would have sent attempts until its breaker opened: three at least.
 	if more := bad.Count() - before; more > 150 {
 		t.Errorf("%d attempts at a server that was known to fail", more)
 	}
-	t.Logf("%d asked, %d failed; %d attempts at the bad server over 100 changes, %d while it was learnt", asked.Load(), failed.Load(), bad.Count()-before, before)
+	t.Logf("%d sent, %d failed; %d attempts at the bad server over 100 changes, %d while it was learnt",
+		sent.Load(), failed.Load(), bad.Count()-before, before)
+}
+
+// changedProgram returns program with another limit of attempts, a fleet and a further class before the others.
+func changedProgram(i int) string {
+	const firstClass = "[[class]]\nname = \"read\""
+	added := fmt.Sprintf("[fleet]\nnodes = %d\n", 1+i%4) +
+		fmt.Sprintf("[[class]]\nname = \"first-%d\"\neffect = \"safe\"\ndeadline = \"1s\"\n", i)
+	text := strings.Replace(program, "attempts = 3", fmt.Sprint("attempts = ", 2+i%3), 1)
+	return strings.Replace(text, firstClass, added+firstClass, 1)
 }
 
-// The lease is looked at when a request is decided and again right before it is sent: lost in between, nothing goes
-// out, and the client is told when to come back.
+// The lease is checked when a request is decided and again right before it is sent: where it is lost in between,
+// nothing is sent, and the client gets Retry-After.
 func TestLeaseAtDecisionAndSend(t *testing.T) {
 	b := testutil.Box(t, "box")
-	var looks, until atomic.Int64
-	until.Store(1 << 40)
-	s := serveWith(t, snapshot(parse(t, program), rooms(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return looks.Add(1) <= until.Load() }})
+	var checks, validChecks atomic.Int64
+	validChecks.Store(1 << 40)
+	s := serveWith(t, snapshot(parse(t, program), rooms(endpointOf(b))), Options{
+		Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return checks.Add(1) <= validChecks.Load() },
+	})
 	if status, _, _ := s.get("/x", "good"); status != http.StatusOK || b.Count() != 1 {
 		t.Fatalf("status %d", status)
 	}
-	each := looks.Load() // at the decision, and before the first byte
+	each := checks.Load() // at the decision, and before the first byte
 	if each < 2 {
-		t.Errorf("looked at %d times", each)
+		t.Errorf("checked %d times", each)
 	}
 	for at := range each {
-		looks.Store(0)
-		until.Store(at)
+		checks.Store(0)
+		validChecks.Store(at)
 		began := time.Now()
 		for _, path := range []string{"/x", "/pay/x"} {
 			status, header, _ := s.get(path, "")
 			if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || b.Count() != 1 {
-				t.Errorf("%s, lost after %d looks: status %d, %v, %d came", path, at, status, header, b.Count())
+				t.Errorf("%s, lost after %d checks: status %d, %v, %d came", path, at, status, header, b.Count())
 			}
-			looks.Store(0)
+			checks.Store(0)
 		}
 		if took := time.Since(began); took > testutil.Patience/2 {
 			t.Errorf("answered after %v", took)
@@ -99,35 +112,38 @@
 	}
 }
 
-// A request that was decided by rules of its class that are no more sends nothing, though the lease goes on.
+// A request that was decided by rules of its class that no longer apply is not sent, although the lease is valid.
 func TestDecidedByOldRules(t *testing.T) {
 	b := testutil.Box(t, "box")
 	own := parse(t, program)
-	s := serveWith(t, snapshot(own, rooms(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return true }})
+	o := Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return true }}
+	s := serveWith(t, snapshot(own, rooms(endpointOf(b))), o)
 	old := s.app.state.Load()
 	read, pay := s.app.sendAllowed(old, "read"), s.app.sendAllowed(old, "pay")
-	take := func(text string, refused map[string]string) {
+	apply := func(text string, rejected map[string]string) {
 		t.Helper()
-		if err := s.app.ApplyRejecting(time.Now(), snapshot(parse(t, text), rooms(endpointOf(b))), refused); err != nil {
+		if err := s.app.ApplyRejecting(time.Now(), snapshot(parse(t, text), rooms(endpointOf(b))), rejected); err != nil {
 			t.Fatal(err)
 		}
 	}
-	take(strings.Replace(program, "attempts = 3", "attempts = 2", 1), nil)
+	apply(strings.Replace(program, "attempts = 3", "attempts = 2", 1), nil)
 	if !read() || !pay() {
 		t.Error("a change of limits ends what was decided before")
 	}
-	take(program, map[string]string{"pay": "its routes change"})
+	apply(program, map[string]string{"pay": "its routes change"})
 	if !read() || pay() {
 		t.Error("a class that is refused goes on, or another doesn't")
 	}
-	if status, header, body := s.get("/pay/x", "refused"); status != 503 || header.Get("Retry-After") == "" || !strings.Contains(body, "its routes change") || b.Count() > 0 {
+	status, header, body := s.get("/pay/x", "refused")
+	rejected := status == 503 && header.Get("Retry-After") != "" && strings.Contains(body, "its routes change")
+	if !rejected || b.Count() > 0 {
 		t.Errorf("status %d, %v, %q", status, header, body)
 	}
-	take(program, nil)
+	apply(program, nil)
 	if pay() || !s.app.sendAllowed(s.app.state.Load(), "pay")() {
 		t.Error("what was decided before goes on, or new ones don't")
 	}
-	take(strings.Replace(program, "effect = \"safe\"", "effect = \"unsafe\"", 1), nil)
+	apply(strings.Replace(program, "effect = \"safe\"", "effect = \"unsafe\"", 1), nil)
 	if read() {
 		t.Error("decided as safe, it is sent as unsafe")
 	}
--- a/internal/app/bounds_test.go
+++ b/internal/app/bounds_test.go
@@ -15,9 +15,9 @@
 	"yokestall/internal/testutil"
 )
 
-// A listener's bounds on heads and on clients that stand still, over both versions' sockets: a head over
-// the bound is 431, an upload that stops 408, and a client that takes nothing of its stream is cut, which
-// ends the stream at its server.
+// A listener's bounds on heads and on clients that stall, on a socket of both versions: a head over the bound gets
+// 431, an upload that stalls 408, and a client that reads nothing of its stream loses its connection, which ends the
+// stream at its server.
 func TestListenerBounds(t *testing.T) {
 	over := make(chan struct{}, 1)
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -28,11 +28,14 @@
 			}
 		}
 	})
-	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, MaxHead: 1 << 10, Stall: 100 * time.Millisecond}, b.Addr())
-	if got := exchangeRaw(t, c.addr, "GET /x HTTP/1.1\r\nHost: a\r\nX: "+strings.Repeat("v", 8<<10)+"\r\n\r\n", "\r\n"); !strings.Contains(got, "431") {
+	listener := config.Listener{HTTP2: 10, MaxHead: 1 << 10, Stall: 100 * time.Millisecond}
+	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, listener, b.Addr())
+	largeHead := "GET /x HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("v", 8<<10) + "\r\n\r\n"
+	if got := exchangeRaw(t, c.addr, largeHead, "\r\n"); !strings.Contains(got, "431") {
 		t.Errorf("a head of 8 KiB: %q", got)
 	}
-	if got := exchangeRaw(t, c.addr, "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhe", "\r\n"); !strings.Contains(got, "408") {
+	const stalledUpload = "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhe"
+	if got := exchangeRaw(t, c.addr, stalledUpload, "\r\n"); !strings.Contains(got, "408") {
 		t.Errorf("an upload that stops: %q", got)
 	}
 	nc, err := net.Dial("tcp", c.addr)
@@ -69,7 +72,8 @@
 	}
 	io.WriteString(in, "R\n") // its command to renegotiate
 	cmd.Wait()
-	if text := out.String(); ctx.Err() != nil || !strings.Contains(text, "RENEGOTIATING") || !strings.Contains(text, "alert") {
+	text := out.String()
+	if ctx.Err() != nil || !strings.Contains(text, "RENEGOTIATING") || !strings.Contains(text, "alert") {
 		t.Errorf("%v: %s", ctx.Err(), text)
 	}
 	if resp, _, err := c.exchange("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -16,15 +16,15 @@
 	"yokestall/internal/testutil"
 )
 
-// Clients of HTTP/2 that have a stream open are told to move as soon as the listener ends, not
-// when their stream does.
-func TestMoveIsTold(t *testing.T) {
-	hold := make(chan struct{})
+// Clients of HTTP/2 that have a stream open get GOAWAY as soon as the listener ends, not when their stream does.
+func TestGoAwayAtListenerEnd(t *testing.T) {
+	release := make(chan struct{})
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
-		<-hold
+		<-release
 		w.Write(bytes.Repeat([]byte("x"), 1000))
 	})
-	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10, Drain: testutil.Patience}, b.Addr())
+	listener := config.Listener{HTTP2: 10, Drain: testutil.Patience}
+	c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, listener, b.Addr())
 	nc, f, err := rawpeer.OpenHTTP2(c.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -36,22 +36,22 @@
 	testutil.Wait(t, b.Got, "the request")
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.listeners.Close() }()
-	var moved, whole bool
-	for got := 0; !whole; {
+	var goneAway, complete bool
+	for got := 0; !complete; {
 		frame, err := f.ReadFrame()
 		if err != nil {
-			t.Fatalf("moved %v, %d bytes: %v", moved, got, err)
+			t.Fatalf("GOAWAY %v, %d bytes: %v", goneAway, got, err)
 		}
 		switch frame := frame.(type) {
 		case *http2.GoAwayFrame:
-			if moved = true; frame.ErrCode != http2.ErrCodeNo || frame.LastStreamID < 1 {
+			if goneAway = true; frame.ErrCode != http2.ErrCodeNo || frame.LastStreamID < 1 {
 				t.Errorf("%v", frame)
 			}
-			close(hold) // only now: told while the stream is open
+			close(release) // only now: GOAWAY came while the stream was open
 		case *http2.DataFrame:
 			got += len(frame.Data())
-			whole = frame.StreamEnded()
-			if whole && got != 1000 {
+			complete = frame.StreamEnded()
+			if complete && got != 1000 {
 				t.Errorf("%d bytes", got)
 			}
 		}
@@ -60,19 +60,19 @@
 	if _, err := net.Dial("tcp", c.addr); err == nil {
 		t.Error("the listener still takes connections")
 	}
-	if !moved {
-		t.Error("never told")
+	if !goneAway {
+		t.Error("no GOAWAY")
 	}
 }
 
-// The listener's end with streams open on one HTTP/2 connection: each gets its whole answer,
-// the client is told to move, and nothing is refused that had been taken.
+// The listener's end with streams open on one HTTP/2 connection: each gets its complete answer, the client gets GOAWAY,
+// and no request is rejected that had been accepted.
 func TestDrainWithStreams(t *testing.T) {
 	const streams = 1000
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
-			<-hold
+			<-release
 		}
 		w.Write(webpeer.Pattern(3000))
 	})
@@ -82,13 +82,13 @@
 	}
 	testutil.Wait(t, b.Got, "the first")
 	var run sync.WaitGroup
-	var whole atomic.Int64
+	var complete atomic.Int64
 	for range streams {
 		run.Go(func() {
 			resp, text, err := c.exchange("POST", "/x", "", nil, 0)
 			if err == nil && resp.StatusCode == 200 && bytes.Equal(text, webpeer.Pattern(3000)) {
-				whole.Add(1)
-			} else if err == nil && resp.StatusCode != 503 { // the module may refuse what it can't place
+				complete.Add(1)
+			} else if err == nil && resp.StatusCode != 503 { // the policy may reject what it can't place
 				t.Errorf("%v", resp)
 			}
 		})
@@ -103,12 +103,12 @@
 		}
 		return err != nil
 	})
-	close(hold)
+	close(release)
 	run.Wait()
 	testutil.Wait(t, ended, "the end")
-	// Some came too late, behind the GOAWAY: they were not taken. What was taken is answered.
-	if n := int64(len(b.Got)) + 1; whole.Load() < n {
-		t.Errorf("%d reached the server, %d whole answers came back", n, whole.Load())
+	// Some came too late, behind the GOAWAY: they were not accepted. What was accepted is answered.
+	if n := int64(len(b.Got)) + 1; complete.Load() < n {
+		t.Errorf("%d reached the server, %d whole answers came back", n, complete.Load())
 	}
 	if _, _, err := c.exchange("GET", "/x", "", nil, 0); err == nil {
 		t.Error("the listener still serves")
--- a/internal/app/floods_test.go
+++ b/internal/app/floods_test.go
@@ -12,71 +12,91 @@
 	"yokestall/internal/testutil"
 )
 
-// A client that floods a connection over HTTP/2 is told so and loses it; one beside it is served.
-func TestFloodsEndConnections(t *testing.T) {
-	b := testutil.Box(t, "b")
-	for _, tc := range []struct {
-		name string
-		send func(f *http2.Framer, i int) error
-	}{
-		{"pings", func(f *http2.Framer, _ int) error { return f.WritePing(false, [8]byte{}) }},
-		{"settings", func(f *http2.Framer, _ int) error { return f.WriteSettings() }},
-		{"empty data", func(f *http2.Framer, i int) error {
+// flood is a way to flood a connection over HTTP/2.
+type flood struct {
+	name string
+	// send sends the frame with an index from 0.
+	send func(f *http2.Framer, i int) error
+}
+
+// floods returns the floods of TestFloodsEndConnections.
+func floods() []flood {
+	head := func(stream uint32, method string) http2.HeadersFrameParam {
+		fields := rawpeer.Fields(":method", method, ":scheme", "http", ":authority", "a", ":path", "/x")
+		return http2.HeadersFrameParam{StreamID: stream, EndHeaders: true, BlockFragment: fields}
+	}
+	return []flood{
+		{name: "pings", send: func(f *http2.Framer, _ int) error {
+			return f.WritePing(false, [8]byte{})
+		}},
+		{name: "settings", send: func(f *http2.Framer, _ int) error {
+			return f.WriteSettings()
+		}},
+		{name: "empty data", send: func(f *http2.Framer, i int) error {
 			if i == 0 {
-				return f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, EndHeaders: true,
-					BlockFragment: rawpeer.Fields(":method", "POST", ":scheme", "http", ":authority", "a", ":path", "/x")})
+				return f.WriteHeaders(head(1, "POST"))
 			}
 			return f.WriteData(1, false, nil)
 		}},
-		{"continuations", func(f *http2.Framer, i int) error {
+		{name: "continuations", send: func(f *http2.Framer, i int) error {
 			if i == 0 {
-				return f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: rawpeer.Fields(":method", "GET")})
+				begin := http2.HeadersFrameParam{StreamID: 1, BlockFragment: rawpeer.Fields(":method", "GET")}
+				return f.WriteHeaders(begin)
 			}
 			return f.WriteContinuation(1, false, nil)
 		}},
-		{"resets", func(f *http2.Framer, i int) error {
-			var err error
+		{name: "resets", send: func(f *http2.Framer, i int) error {
 			if i%2 == 0 {
-				err = f.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(i + 1), EndHeaders: true, EndStream: true,
-					BlockFragment: rawpeer.Fields(":method", "GET", ":scheme", "http", ":authority", "a", ":path", "/x")})
-			} else {
-				err = f.WriteRSTStream(uint32(i), http2.ErrCodeCancel)
+				get := head(uint32(i+1), "GET")
+				get.EndStream = true
+				return f.WriteHeaders(get)
 			}
-			return err
+			return f.WriteRSTStream(uint32(i), http2.ErrCodeCancel)
 		}},
-	} {
+	}
+}
+
+// A client that floods a connection over HTTP/2 gets GOAWAY with ENHANCE_YOUR_CALM and loses the connection; a client
+// beside it is served.
+func TestFloodsEndConnections(t *testing.T) {
+	const maxFrames, otherClientAt = 2000, 50
+	b := testutil.Box(t, "b")
+	for _, tc := range floods() {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 1000, Resets: 20, Controls: 20, Pieces: 8}, b.Addr())
+			listener := config.Listener{HTTP2: 1000, Resets: 20, Controls: 20, Pieces: 8}
+			c := newCellTo(t, webpeer.Wire{HTTP2: true}, webpeer.Wire{}, nil, nil, listener, b.Addr())
 			nc, f, err := rawpeer.OpenHTTP2(c.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer nc.Close()
-			told := make(chan http2.ErrCode, 1)
-			go func() {
-				for {
-					frame, err := f.ReadFrame()
-					if g, ok := frame.(*http2.GoAwayFrame); ok {
-						told <- g.ErrCode
-						return
-					}
-					if err != nil && !errors.As(err, new(http2.StreamError)) {
-						told <- http2.ErrCodeNo
-						return
-					}
-				}
-			}()
+			goAway := make(chan http2.ErrCode, 1)
+			go func() { goAway <- awaitGoAway(f) }()
 			sent := 0
-			for ; sent < 2000 && tc.send(f, sent) == nil; sent++ {
-				if sent == 50 {
+			for ; sent < maxFrames && tc.send(f, sent) == nil; sent++ {
+				if sent == otherClientAt {
 					if resp, _, err := c.exchange("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
 						t.Errorf("a usual client: %v, %v", resp, err)
 					}
 				}
 			}
-			if code := testutil.Wait(t, told, "the end"); code != http2.ErrCodeEnhanceYourCalm && sent == 2000 {
+			code := testutil.Wait(t, goAway, "the end")
+			if code != http2.ErrCodeEnhanceYourCalm && sent == maxFrames {
 				t.Errorf("after %d frames: %v", sent, code)
 			}
 		})
 	}
 }
+
+// awaitGoAway reads frames until a GOAWAY and returns its code, or http2.ErrCodeNo if the connection ends without one.
+func awaitGoAway(f *http2.Framer) http2.ErrCode {
+	for {
+		frame, err := f.ReadFrame()
+		if g, ok := frame.(*http2.GoAwayFrame); ok {
+			return g.ErrCode
+		}
+		if err != nil && !errors.As(err, new(http2.StreamError)) {
+			return http2.ErrCodeNo
+		}
+	}
+}
--- a/internal/app/http_test.go
+++ b/internal/app/http_test.go
@@ -18,6 +18,7 @@
 	"yokestall/internal/upstream/h1client"
 )
 
+// serveBackend serves with one server, which has a handler.
 func serveBackend(t testing.TB, handle http.HandlerFunc) *serving {
 	t.Helper()
 	b := testutil.NewBackend(t, handle)
@@ -44,8 +45,8 @@
 	return resp, string(text)
 }
 
-// Where no attempt is left the client sees what a server said last, whatever the class.
-func TestLastWordOfAServer(t *testing.T) {
+// Where no attempt is left the client gets the last answer of a server, whatever the class.
+func TestLastAnswerIsForwarded(t *testing.T) {
 	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Cause", "disk")
 		w.WriteHeader(507)
@@ -77,8 +78,8 @@
 	}
 }
 
-// Answers of any size come through byte by byte, in both framings, over connections that
-// are used again; small ones right after large ones too.
+// Answers of any size are forwarded unchanged, in both framings, over connections that are reused; small ones right
+// after large ones too.
 func TestAnswersOfAnySize(t *testing.T) {
 	bytes := make([]byte, 3<<20)
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -99,10 +100,13 @@
 			}
 		}
 	})
-	asked := 0
+	sizes := []int{
+		0, 1, 4096, h1client.MaxBody - 1, h1client.MaxBody, h1client.MaxBody + 1, 200000, len(bytes), 17,
+	}
+	requests := 0
 	for _, path := range []string{"/length", "/chunks", "/pauses"} {
-		for _, n := range []int{0, 1, 4096, h1client.MaxBody - 1, h1client.MaxBody, h1client.MaxBody + 1, 200000, len(bytes), 17} {
-			asked++
+		for _, n := range sizes {
+			requests++
 			resp, body := s.do("GET", fmt.Sprintf("%s?n=%d", path, n), "")
 			if resp.StatusCode != 200 || body != string(bytes[:n]) {
 				t.Errorf("%s of %d bytes: status %d, %d bytes", path, n, resp.StatusCode, len(body))
@@ -111,17 +115,17 @@
 	}
 	used := 0
 	conns.Range(func(any, any) bool { used++; return true })
-	if used > asked/2 {
-		t.Errorf("%d connections for %d requests", used, asked)
+	if used > requests/2 {
+		t.Errorf("%d connections for %d requests", used, requests)
 	}
 }
 
 // A stream that breaks is broken for the client too, wherever it breaks and however it is
-// framed; it never ends as if it were whole. The server is not asked again.
+// framed; it never ends as if it were complete. There is no retry.
 func TestBrokenStreams(t *testing.T) {
-	var asked atomic.Int64
+	var requests atomic.Int64
 	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		if r.URL.Path == "/length" {
 			w.Header().Set("Content-Length", "1000000")
 		}
@@ -132,22 +136,22 @@
 	})
 	for _, path := range []string{"/length", "/chunks"} {
 		for _, n := range []int{h1client.MaxBody + 1, 300000, 999999} {
-			before := asked.Load()
+			before := requests.Load()
 			resp, err := s.client.Get(fmt.Sprintf("%s%s?n=%d", s.url, path, n))
 			if err != nil {
 				continue // not even the head came through whole: it is broken all right
 			}
 			text, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
-			if err == nil || len(text) > n || asked.Load() != before+1 {
-				t.Errorf("%s broken after %d: %d bytes, %v, asked %d times", path, n, len(text), err, asked.Load()-before)
+			if err == nil || len(text) > n || requests.Load() != before+1 {
+				t.Errorf("%s broken after %d: %d bytes, %v, %d requests", path, n, len(text), err, requests.Load()-before)
 			}
 		}
 	}
 }
 
-// Events come through as they are sent, and a client that leaves ends the stream at its
-// server. A server is not told by another one's stream: the next request is served.
+// Events are forwarded as they are sent, and a client that disconnects ends the stream at its server. A request beside
+// the stream is served.
 func TestEventStream(t *testing.T) {
 	events, left := make(chan string), make(chan struct{})
 	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -188,7 +192,7 @@
 	testutil.Wait(t, left, "the stream to end at its server")
 }
 
-// A client that takes nothing holds its server back: what lies between is bounded.
+// A client that reads nothing stops its server: what is buffered between them is bounded.
 func TestBackPressure(t *testing.T) {
 	var written atomic.Int64
 	over := make(chan struct{})
@@ -207,7 +211,7 @@
 		t.Fatal(err)
 	}
 	last := int64(-1)
-	testutil.Until(t, "the server to be held back", func() bool {
+	testutil.Until(t, "the server to be stopped", func() bool {
 		now := written.Load()
 		still := now == last
 		last = now
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -16,20 +16,20 @@
 	"yokestall/internal/testutil"
 )
 
-// idleNow is a time at which each cluster that is not in use has been idle for long enough.
+// idleNow returns a time at which each cluster that is not in use has been idle for long enough.
 func (a *App) idleNow() time.Duration {
 	return a.clock.Now() + a.idleAfter(a.state.Load()) + time.Second
 }
 
-// Guards against a cost of clusters that exist and aren't used: they hold no goroutine, and those without requests give
-// theirs up.
+// Clusters without requests cost no goroutines: a cluster is active from its first request on, and no longer once it
+// has been idle.
 func TestClustersAreActiveWhileUsed(t *testing.T) {
 	const count = 200
-	box := testutil.Box(t, "b")
+	server := testutil.Box(t, "b")
 	before := runtime.NumGoroutine()
-	s := serve(t, servicesSnapshot(t, count, box))
+	s := serve(t, servicesSnapshot(t, count, server))
 	if n := runtime.NumGoroutine() - before; n > count/4 {
-		t.Errorf("%d goroutines more for %d clusters that nobody asks", n, count)
+		t.Errorf("%d goroutines more for %d clusters without requests", n, count)
 	}
 	for i := range 3 {
 		if got := s.requestStatus(i); got != http.StatusOK {
@@ -40,60 +40,60 @@
 		t.Errorf("%d clusters are active after requests to 3", n)
 	}
 	if n := s.app.deactivateIdle(s.app.clock.Now()); n != 0 {
-		t.Errorf("%d clusters were given up right after a request", n)
+		t.Errorf("%d clusters were deactivated right after a request", n)
 	}
 	if n := s.app.deactivateIdle(s.app.idleNow()); n != 3 || s.app.ActiveClusters() != 0 {
-		t.Errorf("%d clusters were given up of 3 without requests; %d are active", n, s.app.ActiveClusters())
+		t.Errorf("%d clusters were deactivated of 3 without requests; %d are active", n, s.app.ActiveClusters())
 	}
 	if got := s.requestStatus(1); got != http.StatusOK || s.app.ActiveClusters() != 1 {
 		t.Errorf("status %d of a service that was idle; %d are active", got, s.app.ActiveClusters())
 	}
 }
 
-// Guards against a request that falls between a cluster's looks at whether it is in use: all are answered while the
-// cluster is given up again and again.
+// A request may arrive at any moment of a check whether its cluster is idle: all are answered while the cluster is
+// deactivated over and over.
 func TestRequestsDuringDeactivation(t *testing.T) {
-	box := testutil.Box(t, "b")
-	s := serve(t, servicesSnapshot(t, 1, box))
+	server := testutil.Box(t, "b")
+	s := serve(t, servicesSnapshot(t, 1, server))
 	const clients, times = 2, 15
-	var refused atomic.Int64
-	var over atomic.Bool
+	var notServed atomic.Int64
+	var done atomic.Bool
 	answered := make(chan struct{})
-	var asking sync.WaitGroup
+	var running sync.WaitGroup
 	for range clients {
-		asking.Go(func() {
-			for !over.Load() {
+		running.Go(func() {
+			for !done.Load() {
 				if s.requestStatus(0) != http.StatusOK {
-					refused.Add(1)
+					notServed.Add(1)
 				}
 				answered <- struct{}{}
 			}
 		})
 	}
-	go func() { asking.Wait(); close(answered) }()
-	asked, ended := 0, 0
+	go func() { running.Wait(); close(answered) }()
+	requests, deactivated := 0, 0
 	for range answered { // the other client's request is anywhere on its way
-		asked++
-		ended += s.app.deactivateIdle(s.app.idleNow())
-		over.Store(ended >= times)
+		requests++
+		deactivated += s.app.deactivateIdle(s.app.idleNow())
+		done.Store(deactivated >= times)
 	}
-	if n := refused.Load(); n > 0 {
-		t.Errorf("%d of %d requests were not served while the cluster was given up %d times", n, asked, ended)
+	if n := notServed.Load(); n > 0 {
+		t.Errorf("%d of %d requests were not served while the cluster was deactivated %d times", n, requests, deactivated)
 	}
 }
 
-// The same without sockets, for the race between a look and a request alone: a request that begins at any moment of a
-// look has engines that last until its end.
+// The same without sockets, for the race between a check for idleness and a request alone: a request that begins at any
+// moment of a check has engines that last until its end.
 func TestDeactivationRace(t *testing.T) {
 	const requests = 2000
 	s := serve(t, servicesSnapshot(t, 1, testutil.Box(t, "b")))
 	r := s.app.state.Load().clusters["s0"]
-	looked := make(chan struct{}, 1) // the next request begins beside the look at the last one's end
+	checks := make(chan struct{}, 1) // the next request begins beside the check at the last one's end
 	go func() {
-		defer close(looked)
+		defer close(checks)
 		for i := range requests {
 			for range i % 8 {
-				runtime.Gosched() // a look is at another place each time
+				runtime.Gosched() // a check is at another place each time
 			}
 			r.inFlight.Add(1)
 			tiers, err := r.activate()
@@ -101,8 +101,8 @@
 				t.Error(err)
 				return
 			}
-			for range 4 { // the look that may have begun before the request is over then
-				looked <- struct{}{}
+			for range 4 { // the check that may have begun before the request is over then
+				checks <- struct{}{}
 			}
 			select {
 			case <-tiers.list[0].engine.Ended():
@@ -111,19 +111,19 @@
 			default:
 			}
 			r.endRequest()
-			looked <- struct{}{}
+			checks <- struct{}{}
 		}
 	}()
-	ended := 0
-	for range looked {
-		ended += s.app.deactivateIdle(s.app.idleNow())
+	deactivated := 0
+	for range checks {
+		deactivated += s.app.deactivateIdle(s.app.idleNow())
 	}
-	if !t.Failed() && ended < requests/10 {
-		t.Errorf("the cluster was given up %d times over %d requests", ended, requests)
+	if !t.Failed() && deactivated < requests/10 {
+		t.Errorf("the cluster was deactivated %d times over %d requests", deactivated, requests)
 	}
 }
 
-// Guards against news that a cluster without engines misses: a server that was taken out meanwhile gets nothing.
+// An update applies to a cluster without engines too: a server that was drained meanwhile gets no request.
 func TestUpdateWhileIdle(t *testing.T) {
 	stays, leaves := testutil.Box(t, "stays"), testutil.Box(t, "leaves")
 	first := servicesSnapshot(t, 1, stays, leaves)
@@ -142,7 +142,7 @@
 		t.Fatal("the version was not taken")
 	}
 	if s.app.ActiveClusters() != 0 {
-		t.Error("news activated a cluster that nobody asks")
+		t.Error("an update activated a cluster without requests")
 	}
 	before := leaves.Count()
 	for range 40 {
@@ -157,40 +157,40 @@
 
 // A cluster with an open stream that its class bounds stays active, so that a drain still reaches the stream.
 func TestStreamsKeepClustersActive(t *testing.T) {
-	begun, end := make(chan struct{}), make(chan struct{})
+	started, end := make(chan struct{}), make(chan struct{})
 	server := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, strings.Repeat("x", 1<<10))
 		w.(http.Flusher).Flush()
-		begun <- struct{}{}
+		started <- struct{}{}
 		select {
 		case <-end:
 		case <-r.Context().Done():
 		}
 	})
-	text := strings.Replace(program, "effect = \"safe\"\ndeadline = \"5s\"", "effect = \"safe\"\ndeadline = \"5s\"\nstream = \"1h\"", 1)
-	s := serve(t, snapshot(parse(t, text), rooms(cluster.Endpoint{ID: "b", Address: server.Addr(), Weight: 1})))
-	ctx, leave := context.WithCancel(t.Context())
-	defer leave()
+	endpoint := cluster.Endpoint{ID: "b", Address: server.Addr(), Weight: 1}
+	s := serve(t, snapshot(parse(t, streamText("stream = \"1h\"\n")), rooms(endpoint)))
+	ctx, disconnect := context.WithCancel(t.Context())
+	defer disconnect()
 	r, _ := http.NewRequestWithContext(ctx, http.MethodGet, s.url+"/", nil)
 	resp, err := s.client.Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	testutil.Wait(t, begun, "the stream")
+	testutil.Wait(t, started, "the stream")
 	rooms := s.app.state.Load().clusters["rooms"]
 	testutil.Until(t, "the request's end", func() bool { return rooms.inFlight.Load() == 0 })
 	if n := s.app.deactivateIdle(s.app.idleNow()); n != 0 {
-		t.Error("a cluster with an open stream was given up")
+		t.Error("a cluster with an open stream was deactivated")
 	}
 	close(end)
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	testutil.Until(t, "the cluster to be given up", func() bool { return s.app.deactivateIdle(s.app.idleNow()) == 1 })
+	testutil.Until(t, "the cluster to be deactivated", func() bool { return s.app.deactivateIdle(s.app.idleNow()) == 1 })
 }
 
-// A cluster stays active until servers that were cold at its last request are warm, and late answers are not listened
-// for any more.
+// A cluster stays active until the slow start of servers that were new at its last request is over, and late answers
+// are no longer awaited.
 func TestIdleAfterFollowsSettings(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(p *config.Program)
@@ -198,7 +198,9 @@
 	}{
 		"nothing longer":   {func(p *config.Program) { p.Rules.SlowStartWindow = 0 }, 2 * time.Minute},
 		"as the file says": {func(p *config.Program) { p.ClusterIdle = time.Hour }, time.Hour},
-		"servers are cold": {func(p *config.Program) { p.Rules.SlowStartWindow, p.Rules.OverloadDuration = time.Hour, time.Second }, time.Hour + time.Second},
+		"slow start": {func(p *config.Program) {
+			p.Rules.SlowStartWindow, p.Rules.OverloadDuration = time.Hour, time.Second
+		}, time.Hour + time.Second},
 		"late answers": {func(p *config.Program) {
 			p.Repeats.Late, p.Classes[0].DedupWindow = true, 24*time.Hour
 		}, 24 * time.Hour},
--- a/internal/app/leaks_test.go
+++ b/internal/app/leaks_test.go
@@ -13,11 +13,10 @@
 	"yokestall/internal/testutil"
 )
 
-// Guards against what a version leaves behind: after many changes of settings the heap holds what it held after few.
+// A version leaves no memory behind: after many changes of settings the heap has the size that it had after few.
 func TestChangesLeaveNothing(t *testing.T) {
 	const count = 100
-	box := testutil.Box(t, "b")
-	first := servicesSnapshot(t, count, box)
+	first := servicesSnapshot(t, count, testutil.Box(t, "b"))
 	s := serve(t, first)
 	change := func(times int) (heap uint64) {
 		for i := range times {
--- a/internal/app/pushes_test.go
+++ b/internal/app/pushes_test.go
@@ -16,6 +16,7 @@
 	"yokestall/internal/cluster"
 )
 
+// pushProgram is a program with one class of pushes; ENTRIES is the size of the store of their keys.
 const pushProgram = `[listen]
 
 address = "127.0.0.1:0"
@@ -39,16 +40,21 @@
 cluster = "rooms"
 `
 
+// pushCount is the number of pushes of TestPushesRunOnce.
 var pushCount = flag.Int("pushes", 2048, "pushes of TestPushesRunOnce")
 
-// push sends a keyed request, for as long as its client waits.
+// push sends a request with an idempotency key, whose client disconnects after its patience. Without an answer the
+// status is 0.
 func (s *serving) push(key, body string, patience time.Duration) (status int, header http.Header, text string) {
-	ctx, leave := context.WithTimeout(context.Background(), patience)
-	defer leave()
+	ctx, disconnect := context.WithTimeout(context.Background(), patience)
+	defer disconnect()
 	return s.pushWithContext(ctx, key, body)
 }
 
-func (s *serving) pushWithContext(ctx context.Context, key, body string) (status int, header http.Header, text string) {
+// pushWithContext is push by a client that disconnects when ctx ends.
+func (s *serving) pushWithContext(
+	ctx context.Context, key, body string,
+) (status int, header http.Header, text string) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url+"/push", strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
@@ -64,91 +70,121 @@
 	return resp.StatusCode, resp.Header, string(b)
 }
 
-// Pushes whose clients send them again, whatever became of the former try, to app boxes that drop
-// no repeats themselves: each runs once at most. With the store off many run more often, so the
-// check is known to bite. Over the program's own sockets, both ways.
+// Limits of TestPushesRunOnce.
+const (
+	pushWorkers       = 16 // so few that two cores carry them: what is rejected for load proves nothing
+	pushAttempts      = 4  // of a client, for each push
+	pushServers       = 4
+	unprotectedPushes = 2048 // at most, with the store off
+)
+
+// Pushes whose clients send them again, whatever became of the previous attempt, to servers that detect no repeats
+// themselves: each runs at most once. With the store off many run more often, which shows that the check finds them.
+// Over the program's own sockets, both ways.
 func TestPushesRunOnce(t *testing.T) {
-	const workers = 16 // so few that two cores carry them: what is refused by load proves nothing
 	n := *pushCount
-	twice := func(entries string) (twice, ran int) {
-		var mu sync.Mutex
-		runs := map[string]int{}
-		rng := rand.New(rand.NewPCG(5, 6))
-		draw := func(n int) int {
-			mu.Lock()
-			defer mu.Unlock()
-			return rng.IntN(n)
-		}
-		act := func(w http.ResponseWriter, r *http.Request) {
-			key := r.Header.Get("Idempotency-Key")
-			io.Copy(io.Discard, r.Body)
-			how := draw(24) // few enough failures for breakers to stay closed, mostly
-			if how == 0 {   // turned away
-				w.Header().Set("X-Not-Processed", "1")
-				w.WriteHeader(http.StatusServiceUnavailable)
-				return
-			}
-			mu.Lock()
-			runs[key]++
-			mu.Unlock()
-			switch how {
-			case 1:
-				http.Error(w, "after the work", http.StatusInternalServerError)
-			case 2: // the answer is lost
-				if nc, _, err := w.(http.Hijacker).Hijack(); err == nil {
-					nc.Close()
-				}
-			case 3, 4, 5, 6, 7:
-				time.Sleep(time.Duration(draw(40)) * time.Millisecond)
-				fallthrough
-			default:
-				io.WriteString(w, key)
+	ran, repeated := runPushes(t, "2000000", n)
+	t.Logf("%d of %d pushes ran, %d more than once", ran, n, repeated)
+	if repeated > 0 || ran < n/4 {
+		t.Errorf("%d of %d pushes ran more than once", repeated, ran)
+	}
+	n = min(n, unprotectedPushes)
+	if _, repeated := runPushes(t, "0", n); repeated < n/10 {
+		t.Errorf("without the store %d pushes ran more than once: the check proves little", repeated)
+	}
+}
+
+// runPushes sends n pushes through a program whose store takes so many entries. It returns how many ran, and how many
+// of those more than once.
+func runPushes(t *testing.T, entries string, n int) (ran, repeated int) {
+	t.Helper()
+	p := &pushRun{t: t, runs: map[string]int{}, random: rand.New(rand.NewPCG(5, 6))}
+	var endpoints []cluster.Endpoint
+	for i := range pushServers {
+		server := httptest.NewServer(http.HandlerFunc(p.runPush))
+		t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
+		endpoints = append(endpoints, cluster.Endpoint{
+			ID: "s" + strconv.Itoa(i), Address: server.Listener.Addr().String(),
+		})
+	}
+	text := strings.Replace(pushProgram, "ENTRIES", entries, 1)
+	p.serving = serve(t, snapshot(parse(t, text), rooms(endpoints...)))
+	for worker := range pushWorkers {
+		p.clients.Go(func() {
+			for i := range n / pushWorkers {
+				p.sendPush(strconv.Itoa(worker) + "-" + strconv.Itoa(i))
 			}
+		})
+	}
+	p.clients.Wait()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, times := range p.runs {
+		if times > 1 {
+			repeated++
+		}
+	}
+	return len(p.runs), repeated
+}
+
+// pushRun is a program with servers that fail in many ways, and clients that send their pushes again.
+type pushRun struct {
+	*serving
+	t       *testing.T
+	clients sync.WaitGroup
+
+	mu     sync.Mutex
+	runs   map[string]int // by key
+	random *rand.Rand
+}
+
+// draw returns a random number below n.
+func (p *pushRun) draw(n int) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.random.IntN(n)
+}
+
+// runPush is a server's handler: it rejects a push, or runs it and then answers, fails or closes the connection.
+func (p *pushRun) runPush(w http.ResponseWriter, r *http.Request) {
+	key := r.Header.Get("Idempotency-Key")
+	io.Copy(io.Discard, r.Body)
+	outcome := p.draw(24) // few enough failures for circuit breakers to stay closed, mostly
+	if outcome == 0 {     // rejected
+		w.Header().Set("X-Not-Processed", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	p.mu.Lock()
+	p.runs[key]++
+	p.mu.Unlock()
+	switch outcome {
+	case 1:
+		http.Error(w, "after the work", http.StatusInternalServerError)
+	case 2: // the answer is lost
+		if nc, _, err := w.(http.Hijacker).Hijack(); err == nil {
+			nc.Close()
 		}
-		var list []cluster.Endpoint
-		for i := range 4 {
-			box := httptest.NewServer(http.HandlerFunc(act))
-			t.Cleanup(func() { box.CloseClientConnections(); box.Close() })
-			list = append(list, cluster.Endpoint{ID: "s" + strconv.Itoa(i), Address: box.Listener.Addr().String()})
+	case 3, 4, 5, 6, 7:
+		time.Sleep(time.Duration(p.draw(40)) * time.Millisecond)
+		fallthrough
+	default:
+		io.WriteString(w, key)
+	}
+}
+
+// sendPush sends a push until it is answered, at most pushAttempts times, and now and then twice at once.
+func (p *pushRun) sendPush(key string) {
+	for range pushAttempts {
+		if p.draw(4) == 0 { // beside the one that may still run
+			p.clients.Go(func() { p.push(key, "x", time.Second) })
 		}
-		s := serve(t, snapshot(parse(t, strings.Replace(pushProgram, "ENTRIES", entries, 1)), rooms(list...)))
-		var all sync.WaitGroup
-		for worker := range workers {
-			all.Go(func() {
-				for i := range n / workers {
-					key := strconv.Itoa(worker) + "-" + strconv.Itoa(i)
-					for range 4 {
-						if draw(4) == 0 { // beside the one that may still run
-							all.Go(func() { s.push(key, "x", time.Second) })
-						}
-						status, _, text := s.push(key, "x", time.Duration(5+draw(100))*time.Millisecond)
-						if status == http.StatusOK && text != key {
-							t.Errorf("%s got the answer %q", key, text)
-						}
-						if status == http.StatusOK {
-							break
-						}
-					}
-				}
-			})
+		status, _, text := p.push(key, "x", time.Duration(5+p.draw(100))*time.Millisecond)
+		if status == http.StatusOK && text != key {
+			p.t.Errorf("%s got the answer %q", key, text)
 		}
-		all.Wait()
-		mu.Lock()
-		defer mu.Unlock()
-		for _, times := range runs {
-			if times > 1 {
-				twice++
-			}
+		if status == http.StatusOK {
+			return
 		}
-		return twice, len(runs)
-	}
-	more, ran := twice("2000000")
-	t.Logf("%d of %d pushes ran, %d more than once", ran, n, more)
-	if more > 0 || ran < n/4 {
-		t.Errorf("%d of %d pushes ran more than once", more, ran)
-	}
-	n = min(n, 2048)
-	if more, _ := twice("0"); more < n/10 {
-		t.Errorf("without the store %d pushes ran more than once: the check proves little", more)
 	}
 }
--- a/internal/app/services_test.go
+++ b/internal/app/services_test.go
@@ -12,24 +12,27 @@
 	"yokestall/internal/files"
 )
 
-// servicesSnapshot is a program with a route to each of a number of clusters, and the clusters, all on the same servers.
-func servicesSnapshot(t testing.TB, count int, boxes ...*appbox.Box) *files.Snapshot {
+// servicesSnapshot returns a program with a route to each of a number of clusters, which are called services here, and
+// the clusters, all with the same servers.
+func servicesSnapshot(t testing.TB, count int, servers ...*appbox.Box) *files.Snapshot {
 	t.Helper()
 	text := strings.Builder{}
 	text.WriteString(program)
 	for i := range count {
-		fmt.Fprintf(&text, "[[host]]\ndomains = [\"s%d.example\"]\n[[host.route]]\nprefix = \"/\"\nclass = \"read\"\ncluster = \"s%d\"\n", i, i)
+		fmt.Fprintf(&text, "[[host]]\ndomains = [\"s%d.example\"]\n", i)
+		fmt.Fprintf(&text, "[[host.route]]\nprefix = \"/\"\nclass = \"read\"\ncluster = \"s%d\"\n", i)
 	}
 	var list []*cluster.Config
 	for i := range count {
-		list = append(list, serviceConfig(i, boxes...))
+		list = append(list, serviceConfig(i, servers...))
 	}
 	return snapshot(parse(t, text.String()), list...)
 }
 
-func serviceConfig(i int, boxes ...*appbox.Box) *cluster.Config {
+// serviceConfig returns the cluster of a service.
+func serviceConfig(i int, servers ...*appbox.Box) *cluster.Config {
 	var endpoints []cluster.Endpoint
-	for _, b := range boxes {
+	for _, b := range servers {
 		endpoints = append(endpoints, endpointOf(b))
 	}
 	c := rooms(endpoints...)
@@ -37,7 +40,7 @@
 	return c
 }
 
-// requestStatus has a service answer a request, and gives the status.
+// requestStatus sends a request to a service and returns the status of the answer; 0 if there is none.
 func (s *serving) requestStatus(service int) int {
 	r, err := http.NewRequest(http.MethodGet, s.url+"/", nil)
 	if err != nil {
--- a/internal/app/smuggling_test.go
+++ b/internal/app/smuggling_test.go
@@ -17,24 +17,30 @@
 	"yokestall/internal/testutil"
 )
 
-// Messages whose ends, names or targets two readers could see differently (RFC 9112, 11.2).
-// Each ends in a request for /hidden that only a server that is led astray would see.
+// Parts of smuggledMessages.
+const (
+	postHead  = "POST /x HTTP/1.1\r\nHost: a\r\n"
+	hiddenGet = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
+)
+
+// smuggledMessages are messages whose ends, names or targets two readers could see differently (RFC 9112, 11.2). Many
+// end in a request for /hidden that only a server that was misled would see.
 var smuggledMessages = []string{
-	"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 60\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4, 60\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: +4\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 0x4\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length : 40\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\n Content-Length: 40\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n1\r\nA\r\nX\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: identity\r\nContent-Length: 4\r\n\r\nbodyGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding:\x0bchunked\r\n\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0x5\r\nhello\r\n0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
-	"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhelloXX0\r\n\r\nGET /hidden HTTP/1.1\r\nHost: a\r\n\r\n",
+	postHead + "Content-Length: 5\r\nContent-Length: 60\r\n\r\n" + hiddenGet,
+	postHead + "Content-Length: 4, 60\r\n\r\n" + hiddenGet,
+	postHead + "Content-Length: +4\r\n\r\n" + hiddenGet,
+	postHead + "Content-Length: 0x4\r\n\r\n" + hiddenGet,
+	postHead + "Content-Length : 40\r\n\r\n" + hiddenGet,
+	postHead + " Content-Length: 40\r\n\r\n" + hiddenGet,
+	postHead + "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n1\r\nA\r\nX\r\n",
+	postHead + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n" + hiddenGet,
+	postHead + "Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n" + hiddenGet,
+	postHead + "Transfer-Encoding: identity\r\nContent-Length: 4\r\n\r\nbody" + hiddenGet,
+	postHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n\r\n0\r\n\r\n" + hiddenGet,
+	postHead + "Transfer-Encoding:\x0bchunked\r\n\r\n0\r\n\r\n" + hiddenGet,
+	postHead + "Transfer-Encoding: chunked\r\n\r\n0x5\r\nhello\r\n0\r\n\r\n" + hiddenGet,
+	postHead + "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n" + hiddenGet,
+	postHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhelloXX0\r\n\r\n" + hiddenGet,
 	"GET /x HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n",
 	"GET /x HTTP/1.1\r\nHost: a b\r\n\r\n",
 	"GET /x HTTP/1.1\r\n\r\n",
@@ -49,96 +55,139 @@
 	"GET x HTTP/1.1\r\nHost: a\r\n\r\n",
 }
 
+// okAnswer is the answer of startTappedServer.
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"
 
-// startTappedServer is a server whose bytes a test sees.
+// startTappedServer starts a server that answers with okAnswer, and returns a tap on the bytes that it receives.
 func startTappedServer(t testing.TB) (addr string, tap *rawpeer.Tap) {
 	tap = &rawpeer.Tap{}
 	return startRawServer(t, okAnswer, false, 1, tap).Addrs[0], tap
 }
 
 // Nothing that is hidden in a message reaches a server, over either version; and what is
-// passed on has one length alone.
+// forwarded has one length alone.
 func TestSmuggling(t *testing.T) {
 	addr, tap := startTappedServer(t)
 	c := newCellTo(t, webpeer.Wire{}, webpeer.Wire{}, nil, nil, config.Listener{HTTP2: 10}, addr)
 	for _, text := range smuggledMessages {
-		nc, err := net.Dial("tcp", c.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		nc.SetDeadline(time.Now().Add(testutil.Patience))
-		io.WriteString(nc, text)
-		nc.(*net.TCPConn).CloseWrite()
-		answer, _ := io.ReadAll(nc)
-		nc.Close()
-		seen := tap.Take()
-		if strings.Contains(seen, "hidden") && !strings.Contains(seen, "Content-Length: ") {
-			t.Errorf("%q reached the server as %q", text, seen)
-		}
-		if status := string(answer[:min(12, len(answer))]); !strings.HasPrefix(status, "HTTP/1.1 4") && !strings.HasPrefix(status, "HTTP/1.1 5") && seen != "" {
-			if n := strings.Count(seen, "HTTP/1.1\r\n"); n > 1 || strings.Contains(strings.ToLower(seen), "transfer-encoding") && strings.Contains(seen, "Content-Length") {
-				t.Errorf("%q reached the server as %q", text, seen)
-			}
-		}
+		checkSmuggledMessage(t, c, tap, text)
 	}
-	good := []string{":method", "POST", ":scheme", "http", ":authority", "a", ":path", "/x"}
-	for _, tc := range []struct {
-		name string
-		list []string
-		body string
-	}{
-		{"a line's end in a value", append(good[:8:8], "x", "y\r\nContent-Length: 0\r\n\r\nGET /hidden HTTP/1.1"), ""},
-		{"a line's end in a name", append(good[:8:8], "x: y\r\nz", "v"), ""},
-		{"a colon in a name", append(good[:8:8], "x:y", "v"), ""},
-		{"a capital in a name", append(good[:8:8], "X-Y", "v"), ""},
-		{"a coding", append(good[:8:8], "transfer-encoding", "chunked"), "0\r\n\r\nGET /hidden HTTP/1.1\r\n\r\n"},
-		{"connection", append(good[:8:8], "connection", "x-forwarded-for"), ""},
-		{"a length that is too short", append(good[:8:8], "content-length", "2"), "GET /hidden HTTP/1.1\r\n\r\n"},
-		{"a length that is too long", append(good[:8:8], "content-length", "200"), "GET /hidden HTTP/1.1\r\n\r\n"},
-		{"two lengths", append(good[:8:8], "content-length", "2", "content-length", "24"), "GET /hidden HTTP/1.1\r\n\r\n"},
-		{"a path with a line's end", []string{":method", "GET", ":scheme", "http", ":authority", "a", ":path", "/x HTTP/1.1\r\n\r\nGET /hidden"}, ""},
-		{"a method with a space", []string{":method", "GET /hidden HTTP/1.1\r\n", ":scheme", "http", ":authority", "a", ":path", "/x"}, ""},
-		{"an authority with a line's end", []string{":method", "GET", ":scheme", "http", ":authority", "a\r\nx: y", ":path", "/x"}, ""},
-		{"two paths", append(good[:8:8], ":path", "/hidden"), ""},
-		{"a pseudo-field behind others", append([]string{"x", "y"}, good...), ""},
-		{"an unknown pseudo-field", append(good[:8:8], ":hidden", "1"), ""},
-		{"a host beside the authority", append(good[:8:8], "host", "hidden"), ""},
-		{"no path", good[:6], ""},
-	} {
-		nc, f, err := rawpeer.OpenHTTP2(c.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: rawpeer.Fields(tc.list...), EndHeaders: true, EndStream: tc.body == ""})
-		if tc.body != "" {
-			f.WriteData(1, true, []byte(tc.body))
-		}
-		status := ""
-		for status == "" {
-			frame, err := f.ReadFrame()
-			switch frame := frame.(type) {
-			case *http2.RSTStreamFrame, *http2.GoAwayFrame:
-				status = "reset"
-			case *http2.HeadersFrame:
-				list, _ := hpack.NewDecoder(4096, nil).DecodeFull(frame.HeaderBlockFragment())
-				status = list[0].Value
-			}
-			if err != nil {
-				status = "closed"
-			}
+	for _, tc := range smuggledStreams() {
+		checkSmuggledStream(t, c, tap, tc)
+	}
+}
+
+// checkSmuggledMessage sends a message over HTTP/1.1 and checks what reaches the server.
+func checkSmuggledMessage(t *testing.T, c *cell, tap *rawpeer.Tap, text string) {
+	t.Helper()
+	nc, err := net.Dial("tcp", c.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	nc.SetDeadline(time.Now().Add(testutil.Patience))
+	io.WriteString(nc, text)
+	nc.(*net.TCPConn).CloseWrite()
+	answer, _ := io.ReadAll(nc)
+	nc.Close()
+	seen := tap.Take()
+	if strings.Contains(seen, "hidden") && !strings.Contains(seen, "Content-Length: ") {
+		t.Errorf("%q reached the server as %q", text, seen)
+	}
+	status := string(answer[:min(12, len(answer))])
+	rejected := strings.HasPrefix(status, "HTTP/1.1 4") || strings.HasPrefix(status, "HTTP/1.1 5")
+	if rejected || seen == "" {
+		return
+	}
+	requests := strings.Count(seen, "HTTP/1.1\r\n")
+	twoLengths := strings.Contains(strings.ToLower(seen), "transfer-encoding") && strings.Contains(seen, "Content-Length")
+	if requests > 1 || twoLengths {
+		t.Errorf("%q reached the server as %q", text, seen)
+	}
+}
+
+// smuggledStream is a request over HTTP/2 that would be another one in HTTP/1.1.
+type smuggledStream struct {
+	name   string
+	fields []string // names and values in turn
+	body   string
+	// forwarded reports that the request may be served, without what is smuggled.
+	forwarded bool
+}
+
+// smuggledStreams returns the requests of TestSmuggling over HTTP/2.
+func smuggledStreams() []smuggledStream {
+	post := []string{":method", "POST", ":scheme", "http", ":authority", "a", ":path", "/x"}
+	with := func(fields ...string) []string { return append(post[:len(post):len(post)], fields...) }
+	get := func(method, authority, path string) []string {
+		return []string{":method", method, ":scheme", "http", ":authority", authority, ":path", path}
+	}
+	const hidden = "GET /hidden HTTP/1.1\r\n\r\n"
+	return []smuggledStream{
+		{
+			name:   "a line's end in a value",
+			fields: with("x", "y\r\nContent-Length: 0\r\n\r\nGET /hidden HTTP/1.1"),
+		},
+		{name: "a line's end in a name", fields: with("x: y\r\nz", "v")},
+		{name: "a colon in a name", fields: with("x:y", "v")},
+		{name: "a capital in a name", fields: with("X-Y", "v")},
+		{name: "a coding", fields: with("transfer-encoding", "chunked"), body: "0\r\n\r\n" + hidden},
+		{name: "connection", fields: with("connection", "x-forwarded-for")},
+		{name: "a length that is too short", fields: with("content-length", "2"), body: hidden},
+		{name: "a length that is too long", fields: with("content-length", "200"), body: hidden},
+		{name: "two lengths", fields: with("content-length", "2", "content-length", "24"), body: hidden},
+		{name: "a path with a line's end", fields: get("GET", "a", "/x HTTP/1.1\r\n\r\nGET /hidden")},
+		{name: "a method with a space", fields: get("GET /hidden HTTP/1.1\r\n", "a", "/x")},
+		{name: "an authority with a line's end", fields: get("GET", "a\r\nx: y", "/x")},
+		{name: "two paths", fields: with(":path", "/hidden")},
+		{name: "a pseudo-field behind others", fields: append([]string{"x", "y"}, post...)},
+		{name: "an unknown pseudo-field", fields: with(":hidden", "1")},
+		{name: "a host beside the authority", fields: with("host", "hidden"), forwarded: true}, // the authority is forwarded
+		{name: "no path", fields: post[:len(post)-2]},
+	}
+}
+
+// checkSmuggledStream sends a request over HTTP/2 and checks its status and what reaches the server.
+func checkSmuggledStream(t *testing.T, c *cell, tap *rawpeer.Tap, tc smuggledStream) {
+	t.Helper()
+	nc, f, err := rawpeer.OpenHTTP2(c.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.WriteHeaders(http2.HeadersFrameParam{
+		StreamID: 1, BlockFragment: rawpeer.Fields(tc.fields...), EndHeaders: true, EndStream: tc.body == "",
+	})
+	if tc.body != "" {
+		f.WriteData(1, true, []byte(tc.body))
+	}
+	status := streamStatus(f)
+	nc.Close()
+	seen := tap.Take()
+	served := status == "200" && !tc.forwarded
+	if served || strings.Contains(seen, "/hidden HTTP") || strings.Contains(seen, "Host: hidden") {
+		t.Errorf("%s: status %s, the server saw %q", tc.name, status, seen)
+	}
+}
+
+// streamStatus reads frames until a stream has an end or a status, which it returns.
+func streamStatus(f *http2.Framer) (status string) {
+	for status == "" {
+		frame, err := f.ReadFrame()
+		switch frame := frame.(type) {
+		case *http2.RSTStreamFrame, *http2.GoAwayFrame:
+			status = "reset"
+		case *http2.HeadersFrame:
+			list, _ := hpack.NewDecoder(4096, nil).DecodeFull(frame.HeaderBlockFragment())
+			status = list[0].Value
 		}
-		nc.Close()
-		seen := tap.Take()
-		dropped := tc.name == "a host beside the authority" // what goes on has the authority alone
-		if status == "200" && !dropped || strings.Contains(seen, "/hidden HTTP") || strings.Contains(seen, "Host: hidden") {
-			t.Errorf("%s: status %s, the server saw %q", tc.name, status, seen)
+		if err != nil {
+			status = "closed"
 		}
 	}
+	return status
 }
 
-// FuzzClient: whatever bytes a client sends, the listener lives, and a server sees whole
-// requests with one length alone.
+// FuzzClient: whatever bytes a client sends, the listener goes on, and a server sees complete requests with one length
+// alone.
 func FuzzClient(f *testing.F) {
 	for _, text := range smuggledMessages {
 		f.Add([]byte(text))
--- a/internal/app/snapshots_test.go
+++ b/internal/app/snapshots_test.go
@@ -9,7 +9,7 @@
 	"yokestall/policy"
 )
 
-// learntState gives what a cluster's only engine knows, or remembers where it is idle.
+// learntState returns what a cluster's only engine has learnt, or the snapshot where the cluster is idle.
 func (s *serving) learntState(name string) policy.Snapshot {
 	s.t.Helper()
 	r := s.app.state.Load().clusters[name]
@@ -25,7 +25,7 @@
 	return policy.Snapshot{}
 }
 
-// What is known of servers outlives the engines: through idleness, a change of settings while idle, and both again.
+// What was learnt of servers outlives the engines: through idleness, a change of settings while idle, and both again.
 func TestSnapshotsOutliveEngines(t *testing.T) {
 	bad := testutil.Box(t, "bad")
 	bad.SetFailing(true)
@@ -50,7 +50,8 @@
 			t.Fatal(err)
 		}
 		if s.app.ActiveClusters() != 0 || opened() != 1 {
-			t.Errorf("change %d of settings: %d active clusters, %d open breakers remembered", round, s.app.ActiveClusters(), opened())
+			t.Errorf("change %d of settings: %d active clusters, %d open breakers remembered",
+				round, s.app.ActiveClusters(), opened())
 		}
 	}
 	s.requestStatus(0)
--- a/internal/app/truncatedanswers_test.go
+++ b/internal/app/truncatedanswers_test.go
@@ -12,25 +12,32 @@
 	"yokestall/internal/fake/webpeer"
 )
 
+// completeBody is the body of every answer of TestServerDiesAtEachByte.
+const completeBody = "whole answer"
+
 // A server that dies at each byte of its answer, for each class: what the client takes for
-// whole is whole, an unsafe request is executed once, a safe one within its attempts.
+// complete is complete, an unsafe request is executed once, a safe one within its attempts.
 func TestServerDiesAtEachByte(t *testing.T) {
-	var frames bytes.Buffer
-	f := http2.NewFramer(&frames, nil)
-	f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: rawpeer.Fields(":status", "200", "x-a", "b"), EndHeaders: true})
-	f.WriteData(1, false, []byte("whole "))
-	f.WriteData(1, false, []byte("answer"))
-	f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: rawpeer.Fields("x-sum", "42"), EndHeaders: true, EndStream: true})
 	for _, tc := range []struct {
 		name   string
 		answer string
 		http2  bool
-		whole  int // bytes from which the body is all there; its framing says so
 	}{
-		{"length", "HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 12\r\n\r\nwhole answer", false, 0},
-		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nwhole \r\n6\r\nanswer\r\n0\r\nX-Sum: 42\r\n\r\n", false, 0},
-		{"interim", "HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nwhole answer", false, 0},
-		{"http2", frames.String(), true, 0},
+		{
+			name:   "length",
+			answer: "HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 12\r\n\r\nwhole answer",
+		},
+		{
+			name: "chunks",
+			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+				"6\r\nwhole \r\n6\r\nanswer\r\n0\r\nX-Sum: 42\r\n\r\n",
+		},
+		{
+			name: "interim",
+			answer: "HTTP/1.1 103 Early Hints\r\n\r\n" +
+				"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\nwhole answer",
+		},
+		{name: "http2", answer: answerFrames(), http2: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -42,21 +49,7 @@
 				run.Go(func() {
 					for cut := lane; cut <= len(tc.answer); cut += lanes {
 						for _, path := range []string{"/x", "/pay/x"} {
-							s.Cut.Store(int64(cut))
-							before := s.Executed.Load()
-							resp, text, err := c.exchange("POST", path, "", bytes.NewReader([]byte("body")), 4)
-							ran := s.Executed.Load() - before
-							whole := err == nil && resp.StatusCode == 200
-							switch {
-							case whole && string(text) != "whole answer":
-								t.Errorf("cut at %d: %q passes for the whole", cut, text)
-							case !whole && cut == len(tc.answer):
-								t.Errorf("the whole answer is not passed on: %v %v", resp, err)
-							case !whole && err == nil && resp.StatusCode != 502 && resp.StatusCode != 503:
-								t.Errorf("cut at %d: status %d", cut, resp.StatusCode)
-							case path == "/pay/x" && ran > 1, ran > 3:
-								t.Errorf("cut at %d: %s executed %d times", cut, path, ran)
-							}
+							checkTruncatedAnswer(t, c, s, path, cut, cut == len(tc.answer))
 						}
 					}
 				})
@@ -66,7 +59,47 @@
 	}
 }
 
-func startRawServer(t testing.TB, answer string, overHTTP2 bool, places int, tap *rawpeer.Tap) *rawpeer.Server {
+// answerFrames returns the frames of an answer over HTTP/2, with trailers.
+func answerFrames() string {
+	var frames bytes.Buffer
+	f := http2.NewFramer(&frames, nil)
+	f.WriteHeaders(http2.HeadersFrameParam{
+		StreamID: 1, BlockFragment: rawpeer.Fields(":status", "200", "x-a", "b"), EndHeaders: true,
+	})
+	f.WriteData(1, false, []byte("whole "))
+	f.WriteData(1, false, []byte("answer"))
+	f.WriteHeaders(http2.HeadersFrameParam{
+		StreamID: 1, BlockFragment: rawpeer.Fields("x-sum", "42"), EndHeaders: true, EndStream: true,
+	})
+	return frames.String()
+}
+
+// checkTruncatedAnswer sends a request to a server that dies after so many bytes of its answer. uncut reports that
+// these are all.
+func checkTruncatedAnswer(t *testing.T, c *cell, s *rawpeer.Server, path string, cut int, uncut bool) {
+	t.Helper()
+	s.Cut.Store(int64(cut))
+	before := s.Executed.Load()
+	resp, text, err := c.exchange("POST", path, "", bytes.NewReader([]byte("body")), 4)
+	executed := s.Executed.Load() - before
+	complete := err == nil && resp.StatusCode == 200
+	switch {
+	case complete && string(text) != completeBody:
+		t.Errorf("cut at %d: %q passes for the whole", cut, text)
+	case !complete && uncut:
+		t.Errorf("the whole answer is not passed on: %v %v", resp, err)
+	case !complete && err == nil && resp.StatusCode != 502 && resp.StatusCode != 503:
+		t.Errorf("cut at %d: status %d", cut, resp.StatusCode)
+	case path == "/pay/x" && executed > 1, executed > 3:
+		t.Errorf("cut at %d: %s executed %d times", cut, path, executed)
+	}
+}
+
+// startRawServer starts a server that answers each request with the same bytes, until the end of the test. tap may be
+// nil.
+func startRawServer(
+	t testing.TB, answer string, overHTTP2 bool, places int, tap *rawpeer.Tap,
+) *rawpeer.Server {
 	s, err := rawpeer.Start([]byte(answer), overHTTP2, places, tap)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/app/versionstorm_test.go
+++ b/internal/app/versionstorm_test.go
@@ -54,7 +54,7 @@
 	*serving
 	t       *testing.T
 	boxes   []*appbox.Box
-	decoy    *appbox.Box // in no complete, valid version
+	decoy   *appbox.Box // in no complete, valid version
 	file    string      // of the cluster
 	watcher *files.Watcher
 	random  *rand.Rand
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -21,12 +21,12 @@
 // xdsRun is a program that follows a control plane, with the boxes of its clusters.
 type xdsRun struct {
 	*serving
-	t         *testing.T
-	variant   string
-	controlPlane     *controlplane.Server
-	a, b      *appbox.Box // of the cluster rooms, and of others
-	cacheFile string
-	logs      *testutil.Logs
+	t            *testing.T
+	variant      string
+	controlPlane *controlplane.Server
+	a, b         *appbox.Box // of the cluster rooms, and of others
+	cacheFile    string
+	logs         *testutil.Logs
 }
 
 // start starts the program with the cache file of the run.
@@ -71,12 +71,12 @@
 	for _, variant := range bothVariants {
 		t.Run(variant, func(t *testing.T) {
 			r := &xdsRun{
-				t:         t,
-				variant:   variant,
-				a:         testutil.Box(t, "a"),
-				b:         testutil.Box(t, "b"),
-				controlPlane:     startControlPlane(t),
-				cacheFile: filepath.Join(t.TempDir(), "kept"),
+				t:            t,
+				variant:      variant,
+				a:            testutil.Box(t, "a"),
+				b:            testutil.Box(t, "b"),
+				controlPlane: startControlPlane(t),
+				cacheFile:    filepath.Join(t.TempDir(), "kept"),
 			}
 			r.checkStart()
 			r.checkUndefinedCluster()
--- a/internal/app/xdsresources_test.go
+++ b/internal/app/xdsresources_test.go
@@ -77,7 +77,9 @@
 }
 
 // loadAssignment is an assignment whose boxes have the priorities of their lists.
-func loadAssignment(cluster string, h corev3.HealthStatus, byPriority ...[]*appbox.Box) *endpointv3.ClusterLoadAssignment {
+func loadAssignment(
+	cluster string, h corev3.HealthStatus, byPriority ...[]*appbox.Box,
+) *endpointv3.ClusterLoadAssignment {
 	a := &endpointv3.ClusterLoadAssignment{ClusterName: cluster}
 	for p, boxes := range byPriority {
 		l := &endpointv3.LocalityLbEndpoints{Priority: uint32(p)}
--- a/internal/app/xdsstorm_test.go
+++ b/internal/app/xdsstorm_test.go
@@ -55,12 +55,12 @@
 // xdsStorm is an app that follows a control plane.
 type xdsStorm struct {
 	*serving
-	t          *testing.T
-	controlPlane      *controlplane.Server
-	boxes      []*appbox.Box
-	sends      *sendLog
-	inForce    memberships
-	deliveries int
+	t            *testing.T
+	controlPlane *controlplane.Server
+	boxes        []*appbox.Box
+	sends        *sendLog
+	inForce      memberships
+	deliveries   int
 }
 
 // newXDSStorm serves by a first version with all boxes.
