--- a/internal/node/adminhandler_test.go
+++ b/internal/node/adminhandler_test.go
@@ -19,7 +19,7 @@
 )
 
 // startWithAdmin starts a node with an admin API and waits until it is ready.
-func startWithAdmin(t *testing.T, d *registryStub, change func(file map[string]any)) *running {
+func startWithAdmin(t *testing.T, d *fakeDiscovery, change func(file map[string]any)) *running {
 	t.Helper()
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["mgmt"] = "127.0.0.1:0"
@@ -52,7 +52,7 @@
 func TestDetachAndAttach(t *testing.T) {
 	t.Parallel()
 	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
-	d := newRegistry(t, instanceAt(a, "s-0"), instanceAt(b, "s-1"))
+	d := newFakeDiscovery(t, instanceAt(a, "s-0"), instanceAt(b, "s-1"))
 	n := startWithAdmin(t, d, nil)
 	n.commandOK("PING")
 	for _, text := range []string{"DETACH s-9", "ATTACH s-9", "DETACH", "REJOIN x"} {
@@ -93,7 +93,7 @@
 // Without an endpoint list no id is known, and no clients are accepted.
 func TestCommandsWithoutList(t *testing.T) {
 	t.Parallel()
-	d := newRegistry(t)
+	d := newFakeDiscovery(t)
 	d.set(func() { d.down = true })
 	n := start(t, testConfig(t, d, func(file map[string]any) { file["mgmt"] = "127.0.0.1:0" }))
 	for _, text := range []string{"PING", "DETACH s-0"} {
@@ -119,7 +119,7 @@
 			InstanceID: b.Name, HostPort: b.Addr(), Zone: "a", Lifecycle: "Ready", Weight: 1,
 		})
 	}
-	n := startWithAdmin(t, newRegistry(t, list...), nil)
+	n := startWithAdmin(t, newFakeDiscovery(t, list...), nil)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	clients := platform.Drive(ctx, n.addr, 8, 0)
@@ -149,7 +149,7 @@
 func TestLameDuck(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
-	n := startWithAdmin(t, newRegistry(t, instanceAt(b, "s-0")), nil)
+	n := startWithAdmin(t, newFakeDiscovery(t, instanceAt(b, "s-0")), nil)
 	idle := n.dial() // after a request
 	n.ask(idle)
 	active := n.dial() // sends further requests
@@ -184,7 +184,7 @@
 func TestRejoinWhileEmptying(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
-	n := startWithAdmin(t, newRegistry(t, instanceAt(b, "s-0")), nil)
+	n := startWithAdmin(t, newFakeDiscovery(t, instanceAt(b, "s-0")), nil)
 	for range 3 {
 		n.commandOK("LAMEDUCK")
 		n.commandOK("REJOIN")
@@ -203,7 +203,7 @@
 	t.Parallel()
 	left := make(chan struct{}, 1)
 	b := testutil.NewBackend(t, silent(left))
-	n := startWithAdmin(t, newRegistry(t, instanceAt(b, "s-0")), func(file map[string]any) {
+	n := startWithAdmin(t, newFakeDiscovery(t, instanceAt(b, "s-0")), func(file map[string]any) {
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 96}
 	})
 	for i := range 120 {
--- a/internal/node/attempts_test.go
+++ b/internal/node/attempts_test.go
@@ -146,7 +146,7 @@
 // With every breaker open, requests are rejected at once with Retry-After.
 func TestEveryServerDown(t *testing.T) {
 	t.Parallel()
-	d := newRegistry(t, discovery.Instance{
+	d := newFakeDiscovery(t, discovery.Instance{
 		InstanceID: "s-0", HostPort: testutil.RefusingAddr(t), Zone: "a", Lifecycle: "Ready", Weight: 1,
 	})
 	n := start(t, testConfig(t, d, nil))
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -138,7 +138,7 @@
 			}
 		}
 	})
-	n := start(t, testConfig(t, newRegistry(t, discovery.Instance{InstanceID: "s-0", HostPort: addr, Zone: "a", Lifecycle: "Ready", Weight: 1}), nil))
+	n := start(t, testConfig(t, newFakeDiscovery(t, discovery.Instance{InstanceID: "s-0", HostPort: addr, Zone: "a", Lifecycle: "Ready", Weight: 1}), nil))
 	n.waitReady(http.StatusOK)
 	return n
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -45,7 +45,7 @@
 func startSmall(t *testing.T, b *testutil.Backend) *running { return startSized(t, b, 64) }
 
 func startSized(t *testing.T, b *testutil.Backend, sockets int) *running {
-	d := newRegistry(t, instanceAt(b, "s-0"))
+	d := newFakeDiscovery(t, instanceAt(b, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
 	}))
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -158,7 +158,7 @@
 	b := testutil.NewBackend(t, testutil.OK)
 	b.Config.Handler = http.HandlerFunc(testutil.OK)
 	for part, places := range map[float64]int{0.1: 25, 1: 95} { // of 256; 1 is as many as fit
-		d := newRegistry(t, instanceAt(b, "s-0"))
+		d := newFakeDiscovery(t, instanceAt(b, "s-0"))
 		cfg := testConfig(t, d, nil)
 		cfg.ClientShare = part
 		n := start(t, cfg)
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -24,13 +24,13 @@
 
 // lostDiscovery is a registryStub that can become unresponsive: it accepts calls and sends no response.
 type lostDiscovery struct {
-	*registryStub
+	*fakeDiscovery
 	silent atomic.Bool
 	begun  chan struct{} // gets a token when a call gets no response
 }
 
 func newLostDiscovery(t *testing.T, list ...discovery.Instance) *lostDiscovery {
-	d := &lostDiscovery{registryStub: newRegistry(t, list...), begun: make(chan struct{}, 1)}
+	d := &lostDiscovery{fakeDiscovery: newFakeDiscovery(t, list...), begun: make(chan struct{}, 1)}
 	inner := d.Config.Handler
 	d.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.silent.Load() {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -49,7 +49,7 @@
 func TestDiscoveryFailsAndReturns(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
-	d := newRegistry(t)
+	d := newFakeDiscovery(t)
 	d.down = true
 	n := start(t, testConfig(t, d, nil))
 	testutil.Wait(t, d.calls, "a first call")
@@ -72,10 +72,10 @@
 func TestDiscoveryMoves(t *testing.T) {
 	t.Parallel()
 	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
-	old := newRegistry(t, instanceAt(a, "s-a"))
+	old := newFakeDiscovery(t, instanceAt(a, "s-a"))
 	n := start(t, testConfig(t, old, nil))
 	n.waitReady(http.StatusOK)
-	next := newRegistry(t, instanceAt(b, "s-b"))
+	next := newFakeDiscovery(t, instanceAt(b, "s-b"))
 	for len(old.calls) > 0 {
 		<-old.calls
 	}
@@ -115,7 +115,7 @@
 func TestKnownListServes(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
-	d := newRegistry(t)
+	d := newFakeDiscovery(t)
 	d.down = true
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["known"] = endpointList{Generation: 7, Full: true, Instances: []discovery.Instance{instanceAt(b, "s-0")}}
@@ -145,7 +145,7 @@
 func TestPolledList(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
-	d := newRegistry(t, instanceAt(b, "s-0"))
+	d := newFakeDiscovery(t, instanceAt(b, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["settings"] = jsonText(strings.Replace(settingsText, "pushed", "on_request", 1))
 	}))
@@ -183,7 +183,7 @@
 		io.WriteString(w, lists[poll-1])
 	}))
 	t.Cleanup(d.Close)
-	n := start(t, testConfig(t, &registryStub{Server: d}, nil))
+	n := start(t, testConfig(t, &fakeDiscovery{Server: d}, nil))
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
 		t.Errorf("status %d", a.status)
--- a/internal/node/endpointwatcher_test.go
+++ b/internal/node/endpointwatcher_test.go
@@ -59,7 +59,7 @@
 // startWithAgent starts a node with an initial list whose discovery is at addr.
 func startWithAgent(t *testing.T, addr string, initial endpointList, change func(*Config)) *running {
 	t.Helper()
-	cfg := testConfig(t, newRegistry(t), func(file map[string]any) { file["discovery"], file["known"] = addr, initial })
+	cfg := testConfig(t, newFakeDiscovery(t), func(file map[string]any) { file["discovery"], file["known"] = addr, initial })
 	if change != nil {
 		change(cfg)
 	}
@@ -158,7 +158,7 @@
 			t.Parallel()
 			a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
 			addr, calls := startAgent(t)
-			cfg := testConfig(t, newRegistry(t), func(file map[string]any) {
+			cfg := testConfig(t, newFakeDiscovery(t), func(file map[string]any) {
 				file["discovery"] = addr
 				file["settings"] = jsonText(strings.Replace(settingsText, "pushed", mode, 1))
 			})
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -30,8 +30,8 @@
 		"MaxRetryAfterMs": 600, "RetryAfter": true, "SecondCopies": true},
 	"RegistryMode": "pushed", "TickMs": 5, "Zones": ["a"], "Novel": {"x": 1}}`
 
-// registryStub is a discovery service with a list that the test sets.
-type registryStub struct {
+// fakeDiscovery is a discovery service with a list that the test sets.
+type fakeDiscovery struct {
 	*httptest.Server
 	mu      sync.Mutex
 	list    []discovery.Instance
@@ -41,8 +41,8 @@
 	calls   chan string   // queries; dropped when it is full
 }
 
-func newRegistry(t *testing.T, list ...discovery.Instance) *registryStub {
-	d := &registryStub{list: list, changed: make(chan struct{}), calls: make(chan string, 4096)}
+func newFakeDiscovery(t *testing.T, list ...discovery.Instance) *fakeDiscovery {
+	d := &fakeDiscovery{list: list, changed: make(chan struct{}), calls: make(chan string, 4096)}
 	d.Server = httptest.NewServer(d)
 	t.Cleanup(d.Close)
 	t.Cleanup(func() { d.set(func() {}) })
@@ -50,7 +50,7 @@
 }
 
 // set makes a change and notifies the watches.
-func (d *registryStub) set(change func()) {
+func (d *fakeDiscovery) set(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change()
@@ -61,7 +61,7 @@
 
 // change makes a change and waits for the watch after it: the node has applied the
 // change before it polls again.
-func (d *registryStub) change(t *testing.T, change func()) {
+func (d *fakeDiscovery) change(t *testing.T, change func()) {
 	t.Helper()
 	d.set(change)
 	d.mu.Lock()
@@ -72,7 +72,7 @@
 	}
 }
 
-func (d *registryStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case d.calls <- r.URL.RawQuery:
 	default:
@@ -122,7 +122,7 @@
 }
 
 // testConfig returns a configuration as read from a file.
-func testConfig(t *testing.T, d *registryStub, change func(file map[string]any)) *Config {
+func testConfig(t *testing.T, d *fakeDiscovery, change func(file map[string]any)) *Config {
 	t.Helper()
 	file := map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": d.Listener.Addr().String(), "seed": "8c1f30d27a5be964",
@@ -177,13 +177,13 @@
 }
 
 // startReady starts a node with the given servers on its list and waits until it is ready.
-func startReady(t *testing.T, backends ...*testutil.Backend) (*running, *registryStub) {
+func startReady(t *testing.T, backends ...*testutil.Backend) (*running, *fakeDiscovery) {
 	t.Helper()
 	var list []discovery.Instance
 	for i, b := range backends {
 		list = append(list, instanceAt(b, fmt.Sprintf("s-%d", i)))
 	}
-	d := newRegistry(t, list...)
+	d := newFakeDiscovery(t, list...)
 	n := start(t, testConfig(t, d, nil))
 	n.waitReady(http.StatusOK)
 	return n, d
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -46,7 +46,7 @@
 					attempts <- struct{}{}
 				}), fmt.Sprint("s-", i)))
 			}
-			d := newRegistry(t, list...)
+			d := newFakeDiscovery(t, list...)
 			n := start(t, testConfig(t, d, func(file map[string]any) { // a backoff of 2.5 s
 				file["settings"] = jsonText(strings.ReplaceAll(settingsText,
 					`"DeadlineMs": 8000, "PromiseMs": 6000`, `"DeadlineMs": 60000, "PromiseMs": 40000`))
@@ -88,7 +88,7 @@
 		case <-r.Context().Done():
 		}
 	})
-	d := newRegistry(t, instanceAt(b, "s-0"))
+	d := newFakeDiscovery(t, instanceAt(b, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}
 	}))
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -66,7 +66,7 @@
 		}
 		testutil.OK(w, r)
 	})
-	d := newRegistry(t, instanceAt(b, "s-0"))
+	d := newFakeDiscovery(t, instanceAt(b, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["settings"] = json.RawMessage(strings.ReplaceAll(settingsText,
 			`"DeadlineMs": 8000, "PromiseMs": 6000`, `"DeadlineMs": 1000, "PromiseMs": 900`))
