--- /dev/null
+++ b/internal/node/answerforms_test.go
@@ -0,0 +1,131 @@
+package node
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"testing"
+	"time"
+
+	"yokestall/internal/discovery"
+	"yokestall/internal/testutil"
+)
+
+// startBefore starts a node with a server that writes raw responses.
+func startBefore(t *testing.T, handle func(nc net.Conn, r *http.Request)) *running {
+	t.Helper()
+	addr := testutil.Accept(t, func(nc net.Conn) {
+		in := bufio.NewReader(nc)
+		for {
+			r, err := http.ReadRequest(in)
+			if err != nil {
+				return
+			}
+			io.Copy(io.Discard, r.Body)
+			handle(nc, r)
+			if r.URL.Query().Has("close") {
+				return
+			}
+		}
+	})
+	n := start(t, testConfig(t, newFakeDiscovery(t, discovery.Instance{InstanceID: "s-0", HostPort: addr, Zone: "a", Lifecycle: "Ready", Weight: 1}), nil))
+	n.waitReady(http.StatusOK)
+	return n
+}
+
+// Responses in every form, at once and byte by byte.
+func TestFormsOfAnswers(t *testing.T) {
+	t.Parallel()
+	big := string(testutil.Bytes(200 << 10))
+	forms := map[string]struct {
+		answer, want string
+		close        bool
+	}{
+		"length":                   {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", "hello", false},
+		"chunks":                   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nhe\r\n3\r\nllo\r\n0\r\nX-Sum: 1\r\n\r\n", "hello", false},
+		"1xx ahead":                {"HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", "hello", false},
+		"ends with the connection": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello", "hello", true},
+		"HTTP/1.0":                 {"HTTP/1.0 200 OK\r\n\r\nhello", "hello", true},
+		"large":                    {"HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(big)) + "\r\n\r\n" + big, big, false},
+		"large, in chunks":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(big), big) + "0\r\n\r\n", big, false},
+		"large, to its end":        {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big, big, true},
+	}
+	n := startBefore(t, func(nc net.Conn, r *http.Request) {
+		q := r.URL.Query()
+		piece, _ := strconv.Atoi(q.Get("piece"))
+		drip(nc, forms[q.Get("form")].answer, piece)
+	})
+	for name, c := range forms {
+		for _, piece := range []int{1 << 30, 1} {
+			if piece == 1 && len(c.answer) > 100<<10 {
+				piece = 1000
+			}
+			t.Run(fmt.Sprintf("%s by %d", name, piece), func(t *testing.T) {
+				r := n.request("read")
+				q := r.URL.Query()
+				q.Set("form", name)
+				q.Set("piece", strconv.Itoa(piece))
+				if c.close {
+					q.Set("close", "1")
+				}
+				r.URL.RawQuery = q.Encode()
+				if a := n.do(r); a.status != 200 || a.body != c.want {
+					t.Errorf("status %d, %d bytes, want %d", a.status, len(a.body), len(c.want))
+				}
+			})
+		}
+	}
+}
+
+// A server fails within a long response: a client of HTTP/1.0, which has no chunks to count, can tell too that the
+// response is incomplete. (Others, at each quarter: TestTransfers.)
+func TestBreaksInMidAnswer(t *testing.T) {
+	t.Parallel()
+	const size = 400 << 10
+	n := startBefore(t, func(nc net.Conn, _ *http.Request) {
+		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s", size, testutil.Bytes(size/2))
+	})
+	nc := n.dial()
+	io.WriteString(nc, "GET /read?close=1 HTTP/1.0\r\nX-Request-ID: b1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n\r\n")
+	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if body, err := io.ReadAll(resp.Body); err == nil {
+		t.Errorf("%d bytes of %d are taken for the whole", len(body), size)
+	}
+}
+
+// A response over 64 KiB continues after the client's deadline while it makes progress; a smaller slow one is
+// buffered.
+func TestSlowAnswers(t *testing.T) {
+	t.Parallel()
+	big := testutil.Bytes(256 << 10)
+	n := startBefore(t, func(nc net.Conn, r *http.Request) {
+		if r.URL.Query().Get("size") == "big" {
+			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(big))
+			for part := range 8 {
+				time.Sleep(100 * time.Millisecond) // the pace under test
+				nc.Write(big[part*len(big)/8 : (part+1)*len(big)/8])
+			}
+			return
+		}
+		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
+		for _, c := range []byte("hello") {
+			time.Sleep(60 * time.Millisecond) // five of them exceed AnswerTransferTimeout
+			nc.Write([]byte{c})
+		}
+	})
+	r := n.request("read")
+	r.URL.RawQuery = "size=big"
+	r.Header.Set("X-Timeout-Ms", "400")
+	if a := n.do(r); a.status != 200 || a.body != string(big) {
+		t.Errorf("status %d, %d bytes", a.status, len(a.body))
+	}
+	if a := n.do(n.request("read")); a.status != 200 || a.body != "hello" {
+		t.Errorf("status %d, body %q", a.status, a.body)
+	}
+}
