--- a/internal/downstream/h1server/clientconns_test.go
+++ b/internal/downstream/h1server/clientconns_test.go
@@ -224,7 +224,7 @@
 		for _, again := range []bool{false, true} { // a first request, or a further one
 			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
 				t.Parallel()
-				f := New(&countingCluster{}, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+				f := New(&countingCluster{}, strictOptions(t))
 				nc, err := net.Dial("tcp", serve(t, f))
 				if err != nil {
 					t.Fatal(err)
--- a/internal/downstream/h1server/disconnect_test.go
+++ b/internal/downstream/h1server/disconnect_test.go
@@ -20,10 +20,12 @@
 // countingCluster is a router and its cluster, which counts the requests.
 type countingCluster struct{ requests atomic.Int64 }
 
+// Route implements ingress.Router.
 func (c *countingCluster) Route(*http.Request) (ingress.Destination, error) {
 	return ingress.Destination{Cluster: c, Deadline: time.Second, MaxAttempts: 1}, nil
 }
 
+// Do implements ingress.Handler.
 func (c *countingCluster) Do(context.Context, *engine.Request) (engine.Answer, error) {
 	c.requests.Add(1)
 	return engine.Answer{Verdict: engine.Rejected}, nil
@@ -33,8 +35,12 @@
 // forwarded. One whose client waits is.
 func TestClientsDisconnectedBeforeRead(t *testing.T) {
 	for _, strict := range []bool{false, true} {
-		for _, behind := range []string{"", "GET /x HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish", strings.Repeat("rubbish", 3000)} {
-			t.Run(fmt.Sprint("strict ", strict, " and ", len(behind), " bytes behind"), func(t *testing.T) { testDisconnectedBeforeRead(t, strict, behind) })
+		for _, behind := range []string{
+			"", "GET /x HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish", strings.Repeat("rubbish", 3000),
+		} {
+			t.Run(fmt.Sprint("strict ", strict, " and ", len(behind), " bytes behind"), func(t *testing.T) {
+				testDisconnectedBeforeRead(t, strict, behind)
+			})
 		}
 	}
 }
@@ -42,9 +48,10 @@
 func testDisconnectedBeforeRead(t *testing.T, strict bool, behind string) {
 	const clients = 64
 	c := &countingCluster{}
-	f := New(c, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 2 * clients, New: 2 * clients}, Log: testutil.Log(t), Strict: strict})
+	limits := connlimit.Limits{Active: 2 * clients, New: 2 * clients}
+	f := New(c, Options{Clock: engine.NewClock(), ConnectionLimits: limits, Log: testutil.Log(t), Strict: strict})
 	l := testutil.Listen(t)
-	ask := func() net.Conn {
+	send := func() net.Conn {
 		nc, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -53,12 +60,12 @@
 		return nc
 	}
 	for range clients { // they wait in the socket: nobody has accepted them
-		nc := ask()
+		nc := send()
 		io.WriteString(nc, behind)
 		nc.Close()
 	}
-	waits := ask()
-	defer waits.Close()
+	waiting := send()
+	defer waiting.Close()
 	srv := f.HTTPServer()
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(srv, f.Listener(l)) }()
@@ -66,8 +73,8 @@
 		srv.Close()
 		<-served
 	}()
-	waits.SetReadDeadline(time.Now().Add(testutil.Patience))
-	if _, err := io.ReadFull(waits, make([]byte, 12)); err != nil { // it came last, and was taken last
+	waiting.SetReadDeadline(time.Now().Add(testutil.Patience))
+	if _, err := io.ReadFull(waiting, make([]byte, 12)); err != nil { // it came last, and was taken last
 		t.Fatal("one that waits:", err)
 	}
 	testutil.Until(t, "all connections to be over but one", func() bool { return f.Connections() <= 1 })
@@ -79,10 +86,16 @@
 // pendingCluster is a router and its cluster, which answers no request before its context ends.
 type pendingCluster struct{ received, ended chan *engine.Request }
 
+func newPendingCluster() *pendingCluster {
+	return &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
+}
+
+// Route implements ingress.Router.
 func (h *pendingCluster) Route(*http.Request) (ingress.Destination, error) {
 	return ingress.Destination{Cluster: h, Deadline: time.Hour, MaxAttempts: 1}, nil
 }
 
+// Do implements ingress.Handler.
 func (h *pendingCluster) Do(ctx context.Context, r *engine.Request) (engine.Answer, error) {
 	h.received <- r
 	<-ctx.Done()
@@ -96,14 +109,20 @@
 	t.Parallel()
 	for _, strict := range []bool{true, false} {
 		for name, behind := range map[string]string{
-			"nothing": "", "a request": "GET /x HTTP/1.1\r\nHost: a\r\n\r\n", "a byte": "x",
-			"part of a request": "GET /x HTTP/1.1\r\nHo", "rubbish": strings.Repeat("rubbish", 5000), "more than is read": strings.Repeat("rubbish", 20000),
+			"nothing":           "",
+			"a request":         "GET /x HTTP/1.1\r\nHost: a\r\n\r\n",
+			"a byte":            "x",
+			"part of a request": "GET /x HTTP/1.1\r\nHo",
+			"rubbish":           strings.Repeat("rubbish", 5000),
+			"more than is read": strings.Repeat("rubbish", 20000),
 		} {
 			for _, resets := range []bool{false, true} {
 				t.Run(fmt.Sprint(name, ", strict ", strict, ", resets ", resets), func(t *testing.T) {
 					t.Parallel()
-					h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-					f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: strict})
+					h := newPendingCluster()
+					o := strictOptions(t)
+					o.Strict = strict
+					f := New(h, o)
 					nc, err := net.Dial("tcp", serve(t, f))
 					if err != nil {
 						t.Fatal(err)
@@ -133,8 +152,8 @@
 // The watch alone, without checks before sends, ends the request of a client that has disconnected.
 func TestWatchDetectsDisconnect(t *testing.T) {
 	t.Parallel()
-	h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+	h := newPendingCluster()
+	f := New(h, strictOptions(t))
 	nc, err := net.Dial("tcp", serve(t, f))
 	if err != nil {
 		t.Fatal(err)
@@ -151,8 +170,8 @@
 func TestWatchDetectsDisconnectInTime(t *testing.T) {
 	t.Parallel()
 	const tries, rule = 6, 100 * time.Millisecond
-	h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+	h := newPendingCluster()
+	f := New(h, strictOptions(t))
 	addr := serve(t, f)
 	shortest, lateness := time.Hour, testutil.Lateness(t)
 	for range tries {
@@ -179,14 +198,17 @@
 	t.Parallel()
 	const clients, behind = 40, 4000
 	release := make(chan struct{})
-	var served atomic.Int64
+	var requests atomic.Int64
 	f := New(routerFunc(func(*http.Request) (ingress.Destination, error) {
 		return ingress.Destination{Cluster: clusterFunc(func() engine.Answer {
 			<-release
-			served.Add(1)
+			requests.Add(1)
 			return engine.Answer{Verdict: engine.Rejected}
 		}), Deadline: time.Hour, MaxAttempts: 1}, nil
-	}), Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 2 * clients, New: 2 * clients}, Log: testutil.Log(t)})
+	}), Options{
+		Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 2 * clients, New: 2 * clients},
+		Log: testutil.Log(t),
+	})
 	addr := serve(t, f)
 	const head = "GET /x HTTP/1.1\r\nHost: a\r\n"
 	conns := make([]net.Conn, clients)
@@ -197,7 +219,8 @@
 		}
 		defer nc.Close()
 		conns[i] = nc
-		go io.WriteString(nc, strings.Repeat(head+"\r\n", behind)+head+"Connection: close\r\n\r\n") // more than is read ahead
+		// More than is read ahead.
+		go io.WriteString(nc, strings.Repeat(head+"\r\n", behind)+head+"Connection: close\r\n\r\n")
 	}
 	testutil.Until(t, "the bound to be met", func() bool {
 		n := f.conns.readAheadBytes.Load()
@@ -214,8 +237,8 @@
 			t.Errorf("%d answers, %v", n, err)
 		}
 	}
-	if n := f.conns.readAheadBytes.Load(); n != 0 || served.Load() != clients*(behind+1) {
-		t.Errorf("%d bytes are held, %d requests were served", n, served.Load())
+	if n := f.conns.readAheadBytes.Load(); n != 0 || requests.Load() != clients*(behind+1) {
+		t.Errorf("%d bytes are held, %d requests were served", n, requests.Load())
 	}
 }
 
@@ -226,8 +249,8 @@
 	t.Parallel()
 	const head = "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n"
 	flood := strings.Repeat(head, 1<<17) // 9 MB
-	ask := func(t *testing.T, to ingress.Router) (*Server, net.Conn) {
-		f := New(to, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+	connect := func(t *testing.T, to ingress.Router) (*Server, net.Conn) {
+		f := New(to, strictOptions(t))
 		nc, err := net.Dial("tcp", serve(t, f))
 		if err != nil {
 			t.Fatal(err)
@@ -238,8 +261,8 @@
 	}
 	t.Run("and leaves", func(t *testing.T) {
 		t.Parallel()
-		h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-		_, nc := ask(t, h)
+		h := newPendingCluster()
+		_, nc := connect(t, h)
 		testutil.Wait(t, h.received, "the request")
 		nc.SetWriteDeadline(time.Now().Add(500 * time.Millisecond)) // it does not wait to be read
 		io.WriteString(nc, flood)
@@ -249,16 +272,16 @@
 	for _, others := range []int64{0, maxTotalReadAhead} { // held of other connections
 		t.Run(fmt.Sprint("and stays, ", others, " held"), func(t *testing.T) {
 			t.Parallel()
-			came, answer := make(chan bool, 2), make(chan bool)
-			f, nc := ask(t, routerFunc(func(*http.Request) (ingress.Destination, error) {
+			received, release := make(chan bool, 2), make(chan bool)
+			f, nc := connect(t, routerFunc(func(*http.Request) (ingress.Destination, error) {
 				return ingress.Destination{Cluster: clusterFunc(func() engine.Answer {
-					came <- true
-					<-answer
+					received <- true
+					<-release
 					return engine.Answer{Verdict: engine.Rejected}
 				}), Deadline: time.Hour, MaxAttempts: 1}, nil
 			}))
 			f.conns.readAheadBytes.Add(others)
-			testutil.Wait(t, came, "the request")
+			testutil.Wait(t, received, "the request")
 			nc.SetDeadline(time.Now().Add(testutil.Patience))
 			if n, err := io.WriteString(nc, flood); err != nil { // more than the sockets hold
 				t.Fatalf("the flood was not read behind %d bytes: %v", n, err)
@@ -266,12 +289,14 @@
 			if n := f.conns.readAheadBytes.Load() - others; n > maxReadAhead+readAheadChunk {
 				t.Errorf("%d bytes are held", n)
 			}
-			close(answer)
+			close(release)
 			text, _ := io.ReadAll(nc) // ends with a reset where bytes were left unread
-			if !strings.HasPrefix(string(text), "HTTP/1.1 503") || !strings.Contains(string(text), "Connection: close") || strings.Count(string(text), "HTTP/1.1") != 1 {
+			rejected := strings.HasPrefix(string(text), "HTTP/1.1 503")
+			closed := strings.Contains(string(text), "Connection: close")
+			if !rejected || !closed || strings.Count(string(text), "HTTP/1.1") != 1 {
 				t.Errorf("answered by %q", text)
 			}
-			if len(came) > 0 {
+			if len(received) > 0 {
 				t.Error("what came behind was served")
 			}
 			testutil.Until(t, "the connection to be over", func() bool { return f.conns.readAheadBytes.Load() == others })
@@ -282,13 +307,23 @@
 // routerFunc is a router.
 type routerFunc func(*http.Request) (ingress.Destination, error)
 
+// Route implements ingress.Router.
 func (r routerFunc) Route(q *http.Request) (ingress.Destination, error) { return r(q) }
 
 // clusterFunc is a cluster.
 type clusterFunc func() engine.Answer
 
+// Do implements ingress.Handler.
 func (d clusterFunc) Do(context.Context, *engine.Request) (engine.Answer, error) { return d(), nil }
 
+// fewConnections are limits for a few clients.
+var fewConnections = connlimit.Limits{Active: 4, New: 4}
+
+// strictOptions are options of a server for a few of the platform's clients.
+func strictOptions(t *testing.T) Options {
+	return Options{Clock: engine.NewClock(), ConnectionLimits: fewConnections, Log: testutil.Log(t), Strict: true}
+}
+
 // serve serves a server's listener until the end of the test.
 func serve(t *testing.T, f *Server) (addr string) {
 	t.Helper()
@@ -306,8 +341,8 @@
 // At the end of a shutdown the connections without an open request are closed, and no others.
 func TestCloseIdleConnections(t *testing.T) {
 	t.Parallel()
-	h := &pendingCluster{make(chan *engine.Request, 1), make(chan *engine.Request, 1)}
-	f := New(h, Options{Clock: engine.NewClock(), ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+	h := newPendingCluster()
+	f := New(h, strictOptions(t))
 	addr := serve(t, f)
 	dial := func(text string) net.Conn {
 		nc, err := net.Dial("tcp", addr)
@@ -318,7 +353,7 @@
 		io.WriteString(nc, text)
 		return nc
 	}
-	asks := dial("GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
+	busy := dial("GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
 	testutil.Wait(t, h.received, "the request")
 	silent := dial("")
 	testutil.Until(t, "both to be there", func() bool { return f.Connections() == 2 })
@@ -330,6 +365,6 @@
 	if n := f.Connections(); n != 1 {
 		t.Errorf("%d connections are left", n)
 	}
-	asks.Close()
+	busy.Close()
 	testutil.Wait(t, h.ended, "the request to be over")
 }
--- a/internal/downstream/h1server/lateconnect_test.go
+++ b/internal/downstream/h1server/lateconnect_test.go
@@ -10,19 +10,22 @@
 	"testing"
 	"time"
 
-	"yokestall/internal/connlimit"
 	"yokestall/internal/engine"
 	"yokestall/internal/ingress"
 	"yokestall/internal/testutil"
+	"yokestall/internal/testutil/enginetest"
 	"yokestall/internal/upstream/h1client"
-	"yokestall/policy"
 )
 
 // A request whose client disconnects while a connection to the endpoint is being opened is not sent, and opening the
 // connection ends at once.
 func TestDisconnectDuringConnect(t *testing.T) {
 	t.Parallel()
-	for name, more := range map[string]string{"nothing": "", "a request": "GET /x HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish": strings.Repeat("rubbish", 1000)} {
+	for name, more := range map[string]string{
+		"nothing":   "",
+		"a request": "GET /x HTTP/1.1\r\nHost: a\r\n\r\n",
+		"rubbish":   strings.Repeat("rubbish", 1000),
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := testutil.Listen(t).(*net.TCPListener)
@@ -30,26 +33,20 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) }) // one waits to be accepted; the next ones come up only then
+			// One connection waits to be accepted; the next ones are established only then.
+			raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
 			first, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer first.Close()
-			set := policy.Defaults()
-			set.Limits.AllowCancel = true
-			set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-			pool := h1client.New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: 2 * testutil.Patience, MaxConnections: 4})
-			pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: l.Addr().String()}})
 			clock := engine.NewClock()
-			cluster, err := engine.New(t.Context(), set, pool, engine.Options{Seed: 1, Clock: clock})
-			if err != nil {
-				t.Fatal(err)
-			}
-			cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
+			cluster, pool := enginetest.OneEndpoint(t, l.Addr().String(), clock, h1client.Options{
+				EndpointIdleTimeout: time.Minute, ConnectTimeout: 2 * testutil.Patience, MaxConnections: 4,
+			})
 			f := New(routerFunc(func(*http.Request) (ingress.Destination, error) {
 				return ingress.Destination{Cluster: cluster, Deadline: time.Hour}, nil
-			}), Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t), Strict: true})
+			}), Options{Clock: clock, ConnectionLimits: fewConnections, Log: testutil.Log(t), Strict: true})
 			nc, err := net.Dial("tcp", serve(t, f))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/downstream/h1server/platformbody_test.go
+++ b/internal/downstream/h1server/platformbody_test.go
@@ -15,7 +15,7 @@
 func TestBodyMemoryLimit(t *testing.T) {
 	const part = 4 << 20
 	f := New(nil, Options{Strict: true, BodyMemory: part, ConnectionLimits: connlimit.Limits{Active: 1, New: 1}})
-	var held []*h1client.Request
+	var buffered []*h1client.Request
 	for i := range 200 {
 		length := int64(-1)
 		if i%3 > 0 {
@@ -27,12 +27,14 @@
 		if err := f.readPlatformBody(r, http.NewResponseController(httptest.NewRecorder()), to); err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, to)
-		if most := int64(part + len(held)*minBodyBuffer); f.bufferedBytes.Load() > most || to.ReservedBytes < minBodyBuffer {
-			t.Fatalf("%d bodies hold %d bytes, %d at most; the last one %d", len(held), f.bufferedBytes.Load(), most, to.ReservedBytes)
+		buffered = append(buffered, to)
+		most := int64(part + len(buffered)*minBodyBuffer)
+		if f.bufferedBytes.Load() > most || to.ReservedBytes < minBodyBuffer {
+			t.Fatalf("%d bodies have %d bytes, %d at most; the last one %d",
+				len(buffered), f.bufferedBytes.Load(), most, to.ReservedBytes)
 		}
 	}
-	for _, to := range held {
+	for _, to := range buffered {
 		f.releaseBuffer(to)
 	}
 	if left := f.bufferedBytes.Load(); left != 0 {
--- a/internal/downstream/h2server/disconnect_test.go
+++ b/internal/downstream/h2server/disconnect_test.go
@@ -1,20 +1,13 @@
 package h2server_test
 
-//lint:file-ignore SA1019 golang.org/x/net/http2 gives control over the connection of a client that net/http does not offer
+//lint:file-ignore SA1019 golang.org/x/net/http2 gives control over the connection of a client
 
 import (
 	"context"
-	"crypto/tls"
-	"net"
 	"net/http"
 	"testing"
 	"time"
 
-	"golang.org/x/net/http2"
-
-	"yokestall/internal/connlimit"
-	"yokestall/internal/downstream/h1server"
-	"yokestall/internal/downstream/h2server"
 	"yokestall/internal/engine"
 	"yokestall/internal/ingress"
 	"yokestall/internal/testutil"
@@ -39,45 +32,32 @@
 // Over HTTP/2 a client that resets its stream, or closes its connection, ends its request: the frames of a connection
 // are read whatever its streams do.
 func TestDisconnectDuringRequest(t *testing.T) {
-	for _, cuts := range []bool{false, true} {
+	for _, closes := range []bool{false, true} {
 		h := &pendingCluster{make(chan struct{}, 1), make(chan struct{}, 1)}
-		clock := engine.NewClock()
-		f := h1server.New(h, h1server.Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 4, New: 4}, Log: testutil.Log(t)})
-		l := testutil.Listen(t)
-		srv := f.HTTPServer()
-		h2server.Attach(srv, h2server.Options{MaxStreams: 10, StallTimeout: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
-		served := make(chan error, 1)
-		go func() { served <- f.Serve(srv, f.Listener(l)) }()
-		var nc net.Conn
-		peer := &http2.Transport{AllowHTTP: true, DialTLSContext: func(ctx context.Context, _, addr string, _ *tls.Config) (net.Conn, error) {
-			var err error
-			nc, err = (&net.Dialer{}).DialContext(ctx, "tcp", addr)
-			return nc, err
-		}}
-		ctx, leave := context.WithCancel(t.Context())
-		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+l.Addr().String()+"/x", nil)
+		addr := serve(t, h, engine.NewClock())
+		p := newPeer()
+		ctx, reset := context.WithCancel(t.Context())
+		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/x", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		gone := make(chan struct{})
+		ended := make(chan struct{})
 		go func() {
-			defer close(gone)
-			if resp, err := peer.RoundTrip(r); err == nil {
+			defer close(ended)
+			if resp, err := p.RoundTrip(r); err == nil {
 				resp.Body.Close()
 				t.Error("an answer")
 			}
 		}()
 		testutil.Wait(t, h.received, "the request")
-		if cuts {
-			nc.Close()
+		if closes {
+			p.conn.Close()
 		} else {
-			leave()
+			reset()
 		}
 		testutil.Wait(t, h.ended, "the request to be given up")
-		testutil.Wait(t, gone, "the client")
-		leave()
-		peer.CloseIdleConnections()
-		srv.Close()
-		<-served
+		testutil.Wait(t, ended, "the client")
+		reset()
+		p.CloseIdleConnections()
 	}
 }
--- a/internal/downstream/h2server/flood_test.go
+++ b/internal/downstream/h2server/flood_test.go
@@ -1,6 +1,6 @@
 package h2server_test
 
-//lint:file-ignore SA1019 golang.org/x/net/http2 gives control over the connection of a client that net/http does not offer
+//lint:file-ignore SA1019 golang.org/x/net/http2 gives control over the connection of a client
 
 import (
 	"context"
@@ -21,33 +21,40 @@
 	"yokestall/internal/engine"
 	"yokestall/internal/ingress"
 	"yokestall/internal/testutil"
+	"yokestall/internal/testutil/enginetest"
 	"yokestall/internal/upstream/h1client"
-	"yokestall/policy"
 )
 
-// asking is a cluster that passes requests to the test, and holds each until the test releases it.
-type asking struct {
-	came chan *engine.Request
-	goes chan struct{}
+// blockingCluster is a router and its cluster, which passes requests to the test, and answers none before the test
+// releases them.
+type blockingCluster struct {
+	received chan *engine.Request
+	release  chan struct{} // closed to release them
 }
 
-func (a *asking) Route(*http.Request) (ingress.Destination, error) {
-	return ingress.Destination{Cluster: a, Deadline: time.Hour, MaxAttempts: 1}, nil
+// Route implements ingress.Router.
+func (c *blockingCluster) Route(*http.Request) (ingress.Destination, error) {
+	return ingress.Destination{Cluster: c, Deadline: time.Hour, MaxAttempts: 1}, nil
 }
 
-func (a *asking) Do(_ context.Context, r *engine.Request) (engine.Answer, error) {
-	a.came <- r
-	<-a.goes
+// Do implements ingress.Handler.
+func (c *blockingCluster) Do(_ context.Context, r *engine.Request) (engine.Answer, error) {
+	c.received <- r
+	<-c.release
 	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
 // serve serves a listener over HTTP/2 until the end of the test.
 func serve(t *testing.T, to ingress.Router, clock engine.Clock) (addr string) {
 	t.Helper()
-	f := h1server.New(to, h1server.Options{Clock: clock, ConnectionLimits: connlimit.Limits{Active: 64, New: 64}, Log: testutil.Log(t)})
+	f := h1server.New(to, h1server.Options{
+		Clock: clock, ConnectionLimits: connlimit.Limits{Active: 64, New: 64}, Log: testutil.Log(t),
+	})
 	l := testutil.Listen(t)
 	srv := f.HTTPServer()
-	h2server.Attach(srv, h2server.Options{MaxStreams: 200, StallTimeout: testutil.Patience, Clock: clock, Log: testutil.Log(t)})
+	h2server.Attach(srv, h2server.Options{
+		MaxStreams: 200, StallTimeout: testutil.Patience, Clock: clock, Log: testutil.Log(t),
+	})
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(srv, f.Listener(l)) }()
 	t.Cleanup(func() {
@@ -57,24 +64,26 @@
 	return l.Addr().String()
 }
 
-// peer is a client's connection over HTTP/2.
+// peer is a client with a connection over HTTP/2.
 type peer struct {
 	*http2.Transport
 	conn net.Conn
 	open sync.WaitGroup
 }
 
+// newPeer returns a client that connects at its first request.
 func newPeer() *peer {
 	p := &peer{}
-	p.Transport = &http2.Transport{AllowHTTP: true, DialTLSContext: func(ctx context.Context, _, addr string, _ *tls.Config) (nc net.Conn, err error) {
+	dial := func(ctx context.Context, _, addr string, _ *tls.Config) (nc net.Conn, err error) {
 		p.conn, err = (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		return p.conn, err
-	}}
+	}
+	p.Transport = &http2.Transport{AllowHTTP: true, DialTLSContext: dial}
 	return p
 }
 
-// ask sends a request that ends with ctx, and does not wait.
-func (p *peer) ask(ctx context.Context, addr, id string) {
+// send sends a request that ends with ctx, and does not wait.
+func (p *peer) send(ctx context.Context, addr, id string) {
 	r, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/x", nil)
 	r.Header.Set("X-Request-Id", id)
 	p.open.Go(func() {
@@ -88,120 +97,91 @@
 // before the request's context ends.
 func TestStreamDisconnectedBeforeSend(t *testing.T) {
 	t.Parallel()
-	for _, cuts := range []bool{false, true} {
-		a := &asking{make(chan *engine.Request, 1), make(chan struct{})}
-		addr := serve(t, a, engine.NewClock())
+	for _, closes := range []bool{false, true} {
+		c := &blockingCluster{make(chan *engine.Request, 1), make(chan struct{})}
+		addr := serve(t, c, engine.NewClock())
 		p := newPeer()
-		ctx, leave := context.WithCancel(t.Context())
-		p.ask(ctx, addr, "i")
-		r := testutil.Wait(t, a.came, "the request")
+		ctx, reset := context.WithCancel(t.Context())
+		p.send(ctx, addr, "i")
+		r := testutil.Wait(t, c.received, "the request")
 		if r.ClientDisconnected == nil {
-			t.Fatal("nobody asks for the client")
+			t.Fatal("the check is missing")
 		}
 		if r.ClientDisconnected() {
 			t.Error("a client that waits has left")
 		}
-		if cuts {
+		if closes {
 			p.conn.Close()
 		} else {
-			leave()
+			reset()
 		}
 		testutil.Until(t, "a send to be barred", r.ClientDisconnected)
-		close(a.goes)
-		leave()
+		close(c.release)
+		reset()
 		p.open.Wait()
 		p.CloseIdleConnections()
 	}
 }
 
+// Load of TestQueuedStreamsDisconnectInBursts.
+const (
+	waves       = 8
+	burst       = 100 // streams of one connection
+	resetsEvery = 2   // of so many waves one ends by RST_STREAM, the others by the end of the connection
+	// disconnectBound is the time after a disconnect at which no attempt may begin for the client.
+	disconnectBound = 100 * time.Millisecond
+)
+
 // Hundreds of streams are reset in bursts, by RST_STREAM and by the end of their connection, while their requests are
 // queued for an endpoint that does not answer. Once it answers again, none is forwarded 0.1 s after its disconnect.
 func TestQueuedStreamsDisconnectInBursts(t *testing.T) {
 	t.Parallel()
-	const waves, burst, rule = 8, 100, 100 * time.Millisecond
-	var mu sync.Mutex
-	gate := make(chan struct{})
-	left, sent := map[string]time.Time{}, map[string]time.Time{}
-	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		mu.Lock()
-		sent[r.Header.Get("X-Request-Id")] = time.Now()
-		goes := gate
-		mu.Unlock()
-		select {
-		case <-goes:
-			testutil.OK(w, r)
-		case <-r.Context().Done():
-		}
-	})
-	set := policy.Defaults()
-	set.Limits.AllowCancel = true
-	set.Classes = []policy.Class{{Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent}}
-	pool := h1client.New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 16})
-	pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: b.Addr()}})
+	b := testutil.NewGatedBackend(t)
 	clock := engine.NewClock()
-	ctx, stop := context.WithCancel(context.Background())
-	cluster, err := engine.New(ctx, set, pool, engine.Options{Seed: 1, Clock: clock})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		stop()
-		<-cluster.Ended()
-		pool.UpdateEndpoints(true, nil)
+	cluster, _ := enginetest.OneEndpoint(t, b.Addr(), clock, h1client.Options{
+		EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.Patience, MaxConnections: 16,
 	})
-	cluster.UpdateEndpoints(policy.FullUpdate, []policy.Endpoint{{ID: 1, State: policy.Ready, Weight: 1}})
-	to := &routes{Handler: cluster}
-	addr := serve(t, to, clock)
+	router := &countingRouter{Handler: cluster}
+	addr := serve(t, router, clock)
 	lateness := testutil.Lateness(t)
 	for wave := range waves {
 		p := newPeer()
-		here, leave := context.WithCancel(t.Context())
+		ctx, reset := context.WithCancel(t.Context())
+		var ids []string
 		for i := range burst {
-			p.ask(here, addr, fmt.Sprint(wave, "-", i))
+			ids = append(ids, fmt.Sprint(wave, "-", i))
+			p.send(ctx, addr, ids[i])
 		}
-		testutil.Until(t, "all to be there", func() bool { return to.asked.Load() == int64(wave+1)*burst })
-		mu.Lock()
-		if wave%2 == 0 {
-			leave()
+		testutil.Until(t, "all to be there", func() bool { return router.requests.Load() == int64(wave+1)*burst })
+		if wave%resetsEvery == 0 {
+			b.Disconnect(ids, reset)
 		} else {
-			p.conn.Close()
+			b.Disconnect(ids, func() { p.conn.Close() })
 		}
-		for i := range burst {
-			left[fmt.Sprint(wave, "-", i)] = time.Now()
-		}
-		mu.Unlock()
 		if wave%4 < 2 {
-			time.Sleep(rule + lateness()) // the rule's own time
+			time.Sleep(disconnectBound + lateness()) // the time that the rule allows
 		}
-		mu.Lock()
-		close(gate)
-		gate = make(chan struct{})
-		mu.Unlock()
-		leave()
+		b.Release()
+		reset()
 		p.open.Wait()
 		p.CloseIdleConnections()
 	}
-	mu.Lock()
-	defer mu.Unlock()
-	late, bound := 0, rule+lateness()
-	for id, at := range left {
-		if s, ok := sent[id]; ok && s.Sub(at) > bound {
-			late++
-		}
-	}
-	if late > 0 || len(left) != waves*burst || len(sent) == len(left) {
-		t.Errorf("%d of %d were sent on %v after their clients had left, %d in all", late, len(left), bound, len(sent))
+	bound := disconnectBound + lateness()
+	arrived, disconnected, late := b.Counts(bound)
+	if late > 0 || disconnected != waves*burst || arrived == disconnected {
+		t.Errorf("%d of %d were sent on %v after their clients had left, %d in all", late, disconnected, bound, arrived)
 	}
-	t.Logf("%d streams, %d had been sent on, %d later than %v", len(left), len(sent), late, bound)
+	t.Logf("%d streams, %d had been sent on, %d later than %v", disconnected, arrived, late, bound)
 }
 
-// routes is a router to one cluster, which counts the requests.
-type routes struct {
+// countingRouter is a router to one cluster, which counts the requests.
+type countingRouter struct {
 	ingress.Handler
-	asked atomic.Int64
+	requests atomic.Int64
 }
 
-func (r *routes) Route(*http.Request) (ingress.Destination, error) {
-	r.asked.Add(1)
+// Route implements ingress.Router.
+func (r *countingRouter) Route(*http.Request) (ingress.Destination, error) {
+	r.requests.Add(1)
 	return ingress.Destination{Cluster: r.Handler, Deadline: time.Hour}, nil
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -19,7 +18,9 @@
 // behind is what clients have sent after a request when they disconnect: then their disconnect is seen by nothing
 // but the read of it.
 var behind = map[string]string{
-	"nothing": "", "a request": "GET /read?obj=1 HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish": strings.Repeat("rubbish", 1000),
+	"nothing":   "",
+	"a request": "GET /read?obj=1 HTTP/1.1\r\nHost: a\r\n\r\n",
+	"rubbish":   strings.Repeat("rubbish", 1000),
 }
 
 // leave ends the client's side of a connection and waits until the node has closed it.
@@ -68,59 +69,35 @@
 	}
 }
 
+// Load of TestStormOfLeavingClients.
+const (
+	stormClients = 1000
+	stormBurst   = 100 // clients that disconnect at once
+	// disconnectBound is the time after a disconnect at which no attempt may begin for the client.
+	disconnectBound = 100 * time.Millisecond
+)
+
 // A thousand clients disconnect in bursts while their requests are queued for a server that hangs, with bytes after
 // their requests and without. Once it continues, at once or later, none is forwarded 0.1 s after its client
 // disconnected.
 func TestStormOfLeavingClients(t *testing.T) {
 	t.Parallel()
-	const clients, burst, rule = 1000, 100, 100 * time.Millisecond
-	var mu sync.Mutex
-	gate := make(chan struct{})
-	left, sent := map[string]time.Time{}, map[string]time.Time{}
-	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
-		mu.Lock()
-		sent[r.Header.Get("X-Request-Id")] = time.Now()
-		goes := gate
-		mu.Unlock()
-		select {
-		case <-goes:
-			testutil.OK(w, r)
-		case <-r.Context().Done():
-		}
-	})
-	d := newFakeDiscovery(t, instanceAt(b, "s-0"))
+	b := testutil.NewGatedBackend(t)
+	d := newFakeDiscovery(t, instanceAt(b.Backend, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}
 	}))
 	n.waitReady(http.StatusOK)
 	lateness := testutil.Lateness(t)
 	rng := rand.New(rand.NewPCG(45, 1))
-	names := []string{"nothing", "a request", "rubbish"}
-	waited := 0
-	for wave := range clients / burst {
-		var open []net.Conn
-		for i := range burst {
-			nc := n.dial()
-			r := n.request("read")
-			r.Header.Set("X-Request-Id", fmt.Sprintf("w%d-%d", wave, i))
-			r.Write(nc)
-			io.WriteString(nc, behind[names[rng.IntN(len(names))]])
-			open = append(open, nc)
-		}
-		for i, nc := range open {
-			if nothingCame(nc) {
-				waited++
-			}
-			nc.Close()
-			mu.Lock()
-			left[fmt.Sprintf("w%d-%d", wave, i)] = time.Now()
-			mu.Unlock()
-		}
+	queued := 0
+	for wave := range stormClients / stormBurst {
+		queued += n.leaveInBurst(b, wave, rng)
 		late := wave%2 == 0
 		if late {
-			time.Sleep(rule + lateness()) // the time that the rule allows
+			time.Sleep(disconnectBound + lateness()) // the time that the rule allows
 		}
-		close(gate) // queued requests continue, and this one after them
+		b.OpenGate() // queued requests continue, and this one after them
 		if a := n.do(n.request("read")); late && a.status != http.StatusOK {
 			t.Errorf("status %d", a.status)
 		} else if !late { // the connections of those that have just disconnected may still count
@@ -128,25 +105,36 @@
 				return n.do(n.request("read")).status == http.StatusOK
 			})
 		}
-		mu.Lock()
-		gate = make(chan struct{})
-		mu.Unlock()
-	}
-	mu.Lock()
-	defer mu.Unlock()
-	late, bound := 0, rule+lateness()
-	for id, at := range left {
-		if s, ok := sent[id]; ok && s.Sub(at) > bound {
-			late++
-		}
+		b.CloseGate()
 	}
-	if late > 0 || len(left) != clients || waited < clients/4 {
+	bound := disconnectBound + lateness()
+	arrived, disconnected, late := b.Counts(bound)
+	if late > 0 || disconnected != stormClients || queued < stormClients/4 {
 		t.Errorf("%d of %d were forwarded %v after their clients had disconnected, %d were queued",
-			late, len(left), bound, waited)
+			late, disconnected, bound, queued)
 	}
 	t.Logf("%d clients, %d queued when they disconnected, %d had been forwarded, %d later than %v",
-		len(left), waited, len(sent), late, bound)
+		disconnected, queued, arrived, late, bound)
 }
 
-// nothingCame reports whether a client has no response yet.
-func nothingCame(nc net.Conn) bool { return h1client.NothingToRead(nc) }
+// leaveInBurst sends requests and then disconnects their clients. It returns how many had no response by then.
+func (n *running) leaveInBurst(b *testutil.GatedBackend, wave int, rng *rand.Rand) (queued int) {
+	names := []string{"nothing", "a request", "rubbish"}
+	id := func(i int) string { return fmt.Sprintf("w%d-%d", wave, i) }
+	var open []net.Conn
+	for i := range stormBurst {
+		nc := n.dial()
+		r := n.request("read")
+		r.Header.Set("X-Request-Id", id(i))
+		r.Write(nc)
+		io.WriteString(nc, behind[names[rng.IntN(len(names))]])
+		open = append(open, nc)
+	}
+	for i, nc := range open {
+		if h1client.NothingToRead(nc) {
+			queued++
+		}
+		b.Disconnect([]string{id(i)}, func() { nc.Close() })
+	}
+	return queued
+}
