--- a/internal/downstream/h1server/clientconns_test.go
+++ b/internal/downstream/h1server/clientconns_test.go
@@ -1,95 +1,15 @@
 package h1server
 
 import (
-	"bufio"
-	"context"
-	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"testing"
 	"time"
 
-	"yokestall/internal/adminstate"
 	"yokestall/internal/connlimit"
-	"yokestall/internal/engine"
-	"yokestall/internal/ingress"
 	"yokestall/internal/testutil"
-	"yokestall/internal/upstream/h1client"
 )
 
-// gatedCluster is a router and its cluster, which answers when it is released. Any other answer is the server's own.
-type gatedCluster struct {
-	started chan struct{}
-	release chan struct{}
-}
-
-func (h *gatedCluster) Route(*http.Request) (ingress.Destination, error) {
-	return ingress.Destination{Cluster: h, Deadline: testutil.Patience, MaxRetryAfter: 600 * time.Millisecond}, nil
-}
-
-func (h *gatedCluster) Do(context.Context, *engine.Request) (engine.Answer, error) {
-	h.started <- struct{}{}
-	<-h.release
-	return engine.Answer{Verdict: engine.Served, Value: &h1client.Answer{Status: 200, Body: []byte("done")}}, nil
-}
-
-// While all connections are busy, further clients get a response with Retry-After, and beyond those places their
-// connections are closed. The busy ones are served, and end with their response where they use the reserve.
-func TestOverflowWhenAllConnectionsAreBusy(t *testing.T) {
-	const asked, reserve, over = 16, 2, 2
-	h := &gatedCluster{started: make(chan struct{}, 100), release: make(chan struct{})}
-	f := New(h, Options{
-		Clock: engine.NewClock(), Log: testutil.Log(t),
-		ConnectionLimits: connlimit.Limits{Active: asked, Reserve: reserve, New: 4, Overflow: over},
-	})
-	l := testutil.Listen(t)
-	srv, listener, ended := f.HTTPServer(), f.Listener(l), make(chan error, 1)
-	go func() { ended <- srv.Serve(listener) }()
-	defer func() { srv.Close(); listener.Close(); <-ended }()
-	dial := func() net.Conn {
-		nc, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { nc.Close() })
-		nc.SetDeadline(time.Now().Add(testutil.Patience))
-		io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
-		return nc
-	}
-	var busy []net.Conn
-	for range asked {
-		busy = append(busy, dial())
-		testutil.Wait(t, h.started, "a request to be at work")
-	}
-	for range over { // a connection that is told to end keeps its place a while
-		resp, err := http.ReadResponse(bufio.NewReader(dial()), nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if resp.StatusCode != 503 || !resp.Close || resp.Header.Get("Retry-After") != "0.600" {
-			t.Errorf("over the places: status %d, close %v, headers %v", resp.StatusCode, resp.Close, resp.Header)
-		}
-	}
-	close(h.release)
-	last := 0
-	for _, nc := range busy {
-		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("one at work ended with %v, %v", resp, err)
-		}
-		if resp.Close {
-			last++
-		}
-	}
-	if last == 0 {
-		t.Error("nobody made room although the reserve was in use")
-	}
-	if len(h.started) != 0 {
-		t.Errorf("%d of those over the places reached the cluster", len(h.started))
-	}
-}
-
 // Bytes that are read from a connection that was closed meanwhile count as not read: its client sends the request again
 // elsewhere. Its place is released once.
 func TestReadAfterCloseReturnsNothing(t *testing.T) {
@@ -154,128 +74,6 @@
 	}
 }
 
-// Lame duck mode, a shutdown and a hot restart close idle connections, but none on which the next request has arrived:
-// that one is read and answered.
-func TestClosesOnlyIdleConnections(t *testing.T) {
-	for name, empty := range map[string]func(cs *clientConns){
-		"emptied": func(cs *clientConns) {
-			cs.closeExpired(0, adminstate.LameDuckNotice)
-		},
-		"stopping":     func(cs *clientConns) { cs.closeExpired(0, unlimitedIdle) },
-		"handing over": func(cs *clientConns) { cs.closeExpired(0, 0) },
-	} {
-		t.Run(name, func(t *testing.T) {
-			l := testutil.Listen(t)
-			conns := newClientConns(connlimit.Limits{Active: 8, New: 8})
-			listener := limitedListener{l, conns}
-			defer listener.Close()
-			accept := func(asked bool) (client net.Conn, c *clientConn) {
-				client, err := net.Dial("tcp", l.Addr().String())
-				if err != nil {
-					t.Fatal(err)
-				}
-				t.Cleanup(func() { client.Close() })
-				nc, err := listener.Accept()
-				if err != nil {
-					t.Fatal(err)
-				}
-				t.Cleanup(func() { nc.Close() })
-				c = nc.(*clientConn)
-				if asked { // and rests
-					conns.mu.Lock()
-					conns.bytesReceived(c)
-					conns.table.RequestComplete(conns.now(), c.entry)
-					conns.table.ResponseSent(conns.now(), c.entry)
-					conns.mu.Unlock()
-				}
-				return client, c
-			}
-			_, resting := accept(true)
-			crossing, crossed := accept(true)
-			late, spoken := accept(false)
-			io.WriteString(crossing, "GET /read")
-			io.WriteString(late, "GET /read")
-			for _, c := range []*clientConn{crossed, spoken} { // until it is here
-				testutil.Until(t, "the bytes", func() bool { return !h1client.NothingToRead(c.Conn) })
-			}
-			conns.mu.Lock()
-			empty(conns)
-			conns.mu.Unlock()
-			if !resting.entry.Removed() {
-				t.Error("one that rests stays")
-			}
-			for _, c := range []*clientConn{crossed, spoken} {
-				if n, err := c.Read(make([]byte, 20)); n != 9 {
-					t.Errorf("what had come was closed on: %d bytes, %v", n, err)
-				}
-			}
-		})
-	}
-}
-
-// A request that was read from its socket while its connection was being closed as idle, before the table knew of it,
-// gets its answer: the socket has nothing to read any more, and its client cannot know that it was not served.
-func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
-	t.Parallel()
-	for name, close := range map[string]func(cs *clientConns){
-		"a stop":          func(cs *clientConns) { cs.closeExpired(0, unlimitedIdle) },
-		"the last moment": func(cs *clientConns) { cs.closeExpired(0, 0) },
-	} {
-		for _, again := range []bool{false, true} { // a first request, or a further one
-			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
-				t.Parallel()
-				f := New(&countingCluster{}, strictOptions(t))
-				nc, err := net.Dial("tcp", serve(t, f))
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer nc.Close()
-				nc.SetDeadline(time.Now().Add(testutil.Patience))
-				in := bufio.NewReader(nc)
-				ask := func(id string) {
-					fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nX-Timeout-Ms: 5000\r\n\r\n", id)
-				}
-				answered := func() error {
-					resp, err := http.ReadResponse(in, nil)
-					if err == nil {
-						resp.Body.Close()
-					}
-					return err
-				}
-				cs := f.conns
-				var c *clientConn
-				find := func() bool {
-					cs.mu.Lock()
-					defer cs.mu.Unlock()
-					if e := cs.table.NextExpired(unlimitedIdle, 0, 0); e != nil {
-						c = e.Owner.(*clientConn)
-					}
-					return c != nil
-				}
-				if again {
-					ask("first")
-					if err := answered(); err != nil {
-						t.Fatal(err)
-					}
-				}
-				testutil.Until(t, "the connection to rest", find)
-				cs.mu.Lock() // nobody can tell the table
-				ask("second")
-				testutil.Until(t, "the request to be read", func() bool {
-					c.readMu.Lock()
-					defer c.readMu.Unlock()
-					return c.unreported
-				})
-				close(cs)
-				cs.mu.Unlock()
-				if err := answered(); err != nil {
-					t.Errorf("a request that was read got no answer: %v", err)
-				}
-			})
-		}
-	}
-}
-
 // A complete request that was read does not lose its place for being slow, however late its handler runs; an incomplete
 // one does.
 func TestBufferedRequestRetainsPlace(t *testing.T) {
--- a/internal/downstream/h2server/disconnect_test.go
+++ b/internal/downstream/h2server/disconnect_test.go
@@ -6,29 +6,11 @@
 	"context"
 	"net/http"
 	"testing"
-	"time"
 
 	"yokestall/internal/engine"
-	"yokestall/internal/ingress"
 	"yokestall/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testutil.Main(m) }
-
-// pendingCluster is a router and its cluster, which answers no request before its context ends.
-type pendingCluster struct{ received, ended chan struct{} }
-
-func (h *pendingCluster) Route(*http.Request) (ingress.Destination, error) {
-	return ingress.Destination{Cluster: h, Deadline: time.Hour, MaxAttempts: 1}, nil
-}
-
-func (h *pendingCluster) Do(ctx context.Context, _ *engine.Request) (engine.Answer, error) {
-	h.received <- struct{}{}
-	<-ctx.Done()
-	h.ended <- struct{}{}
-	return engine.Answer{}, engine.ErrClientDisconnected
-}
-
 // Over HTTP/2 a client that resets its stream, or closes its connection, ends its request: the frames of a connection
 // are read whatever its streams do.
 func TestDisconnectDuringRequest(t *testing.T) {
@@ -61,3 +43,33 @@
 		p.CloseIdleConnections()
 	}
 }
+
+// The check before a send detects that the client of an HTTP/2 stream has reset the stream or closed its connection,
+// before the request's context ends.
+func TestStreamDisconnectedBeforeSend(t *testing.T) {
+	t.Parallel()
+	for _, closes := range []bool{false, true} {
+		c := &blockingCluster{make(chan *engine.Request, 1), make(chan struct{})}
+		addr := serve(t, c, engine.NewClock())
+		p := newPeer()
+		ctx, reset := context.WithCancel(t.Context())
+		p.send(ctx, addr, "i")
+		r := testutil.Wait(t, c.received, "the request")
+		if r.ClientDisconnected == nil {
+			t.Fatal("the check is missing")
+		}
+		if r.ClientDisconnected() {
+			t.Error("a client that waits has left")
+		}
+		if closes {
+			p.conn.Close()
+		} else {
+			reset()
+		}
+		testutil.Until(t, "a send to be barred", r.ClientDisconnected)
+		close(c.release)
+		reset()
+		p.open.Wait()
+		p.CloseIdleConnections()
+	}
+}
