--- a/internal/upstream/h1client/harness_test.go
+++ b/internal/upstream/h1client/harness_test.go
@@ -11,6 +11,7 @@
 	"yokestall/policy"
 )
 
+// poolTo returns a pool with one endpoint at an address, and the endpoint.
 func poolTo(addr string) (*Pool, policy.EndpointID) {
 	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 5 * time.Second, MaxConnections: 10})
 	u.reuseDelay = 0
@@ -18,7 +19,7 @@
 	return u, 1
 }
 
-// send makes one attempt and returns the body of its answer.
+// send makes one attempt and returns its status and the body of its answer.
 func send(ctx context.Context, u *Pool, id policy.EndpointID) (policy.Status, string) {
 	r := &Request{Method: "POST", Target: "/pay", Host: "x", Header: http.Header{}, Body: []byte("b")}
 	res := u.Exchange(engine.NewCall(ctx), id, r, time.Minute)
--- a/internal/upstream/h1client/idleconns_test.go
+++ b/internal/upstream/h1client/idleconns_test.go
@@ -33,10 +33,10 @@
 // a moment. The next request is not written before, or it would be lost or get another request's answer. It waits
 // rather than open a connection, and uses the connection where nothing follows.
 func TestReuseDelay(t *testing.T) {
-	const again = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
+	const secondCopy = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
 	for name, behind := range map[string]func(nc net.Conn){
 		"a close":       func(nc net.Conn) { nc.Close() },
-		"a second copy": func(nc net.Conn) { io.WriteString(nc, again) },
+		"a second copy": func(nc net.Conn) { io.WriteString(nc, secondCopy) },
 		"noise":         func(nc net.Conn) { io.WriteString(nc, "\x00\x01") },
 		"nothing":       nil,
 	} {
@@ -123,7 +123,7 @@
 			u.release(newConn(near, s), true)
 		}
 		if len(s.idle) != c.want || u.OpenConnections() != c.want {
-			t.Errorf("%d nodes: %d are kept, %d counted, want %d", c.nodes, len(s.idle), u.OpenConnections(), c.want)
+			t.Errorf("%d nodes: %d are idle, %d counted, want %d", c.nodes, len(s.idle), u.OpenConnections(), c.want)
 		}
 	}
 }
--- a/internal/upstream/h1client/pool_test.go
+++ b/internal/upstream/h1client/pool_test.go
@@ -16,7 +16,8 @@
 	u, id := poolTo(addr)
 	c := engine.NewCall(t.Context())
 	c.Revoke()
-	if res := u.Exchange(c, id, &Request{Method: "GET", Target: "/", Host: "x", Header: http.Header{}}, time.Minute); res.Status != policy.NeverSent {
+	r := &Request{Method: "GET", Target: "/", Host: "x", Header: http.Header{}}
+	if res := u.Exchange(c, id, r, time.Minute); res.Status != policy.NeverSent {
 		t.Errorf("status %d", res.Status)
 	}
 	send(t.Context(), u, id)
