--- a/internal/idempotency/replay/crash_test.go
+++ b/internal/idempotency/replay/crash_test.go
@@ -55,13 +55,13 @@
 	if err != nil || a.Verdict != engine.Rejected || s.runs.Load() != 3 {
 		t.Errorf("a start that is not durable: %+v, %v, %d runs", a, err, s.runs.Load())
 	}
-	again := &stub{run: func(context.Context, int64) (engine.Answer, error) { return served("b"), nil }}
-	c, log = start(again)
+	restarted := &stub{run: func(context.Context, int64) (engine.Answer, error) { return served("b"), nil }}
+	c, log = start(restarted)
 	defer log.Close()
 	for key, want := range map[string]int64{"answered": 0, "open": 0, "rejected": 1, "late": 1} {
-		before := again.runs.Load()
-		if c.Do(t.Context(), keyed(clock, key, "x")); again.runs.Load()-before != want {
-			t.Errorf("%s: %d runs after the crash, want %d", key, again.runs.Load()-before, want)
+		before := restarted.runs.Load()
+		if c.Do(t.Context(), keyed(clock, key, "x")); restarted.runs.Load()-before != want {
+			t.Errorf("%s: %d runs after the crash, want %d", key, restarted.runs.Load()-before, want)
 		}
 	}
 	log.Close()
--- a/internal/idempotency/replay/histories_test.go
+++ b/internal/idempotency/replay/histories_test.go
@@ -14,84 +14,112 @@
 	"yokestall/internal/ingress"
 )
 
+// Load of TestNoKeyRunsTwice.
+const (
+	historyRequests = 5000
+	historyKeys     = 200
+	historyEntries  = 1000 // of the store
+)
+
 // Drawn histories over few keys: no key runs again within its window once a run of it may have had
 // its effect, whatever clients and servers do. Without the deduplicator there are many that do.
 func TestNoKeyRunsTwice(t *testing.T) {
-	const requests = 5000
-	twice := func(deduplicated bool) int {
-		n := 0
-		synctest.Test(t, func(t *testing.T) {
-			clock := engine.NewClock()
-			var mu sync.Mutex
-			rng := rand.New(rand.NewPCG(3, 4))
-			draw := func(n int) int {
-				mu.Lock()
-				defer mu.Unlock()
-				return rng.IntN(n)
+	if n := repeatedRuns(t, true); n > 0 {
+		t.Errorf("%d runs beside, or after, one that may have had its effect", n)
+	}
+	if n := repeatedRuns(t, false); n < 100 {
+		t.Errorf("without the deduplicator only %d: the check proves little", n)
+	}
+}
+
+// repeatedRuns plays a history and returns how many runs began within the window of one that may have had its effect.
+func repeatedRuns(t *testing.T, deduplicated bool) (n int) {
+	synctest.Test(t, func(t *testing.T) {
+		h := &history{
+			clock:   engine.NewClock(),
+			random:  rand.New(rand.NewPCG(3, 4)),
+			started: map[string]time.Duration{},
+		}
+		g := New(idempotency.Limits{Entries: historyEntries, Bytes: 1 << 20, Joiners: 8}, h.clock)
+		var all sync.WaitGroup
+		for i := range historyRequests {
+			key := fmt.Sprint("k", h.draw(historyKeys))
+			var c ingress.Handler = h.cluster(key)
+			if deduplicated {
+				c = g.Cluster(c, window, 0)
 			}
-			ran := map[string]time.Duration{}
-			g := New(idempotency.Limits{Entries: 1000, Bytes: 1 << 20, Joiners: 8}, clock)
-			var all sync.WaitGroup
-			for i := range requests {
-				key := fmt.Sprint("k", draw(200))
-				s := &stub{run: func(ctx context.Context, _ int64) (engine.Answer, error) {
-					began := clock.Now()
-					select {
-					case <-time.After(time.Duration(draw(300)) * time.Millisecond):
-					case <-ctx.Done():
-					}
-					how := draw(4)
-					if how == 0 {
-						return engine.Answer{Verdict: engine.Rejected}, nil // never ran
-					}
-					mu.Lock()
-					if at, did := ran[key]; did && began < at+window {
-						n++
-					}
-					ran[key] = began
-					mu.Unlock()
-					switch {
-					case ctx.Err() != nil:
-						return engine.Answer{}, engine.ErrClientDisconnected
-					case how == 1:
-						return engine.Answer{Verdict: engine.Rejected, MayHaveRun: true}, nil
-					case how == 2:
-						return engine.Answer{Verdict: engine.Failed, MayHaveRun: true}, nil
-					}
-					return served(key), nil
-				}}
-				var c ingress.Handler = s
-				if deduplicated {
-					c = g.Cluster(s, window, 0)
-				}
-				patience := time.Duration(50+draw(400)) * time.Millisecond
-				all.Go(func() {
-					ctx, leave := context.WithTimeout(t.Context(), patience)
-					defer leave()
-					c.Do(ctx, keyed(clock, key, "x"))
-				})
-				if i%8 == 0 {
-					time.Sleep(time.Duration(draw(20)) * time.Millisecond)
-				}
-				g.mu.Lock()
-				held := g.store.Len()
-				g.mu.Unlock()
-				if held > 1000 {
-					t.Fatalf("the store holds %d keys, 1000 at most", held)
-				}
+			patience := time.Duration(50+h.draw(400)) * time.Millisecond
+			all.Go(func() {
+				ctx, disconnect := context.WithTimeout(t.Context(), patience)
+				defer disconnect()
+				c.Do(ctx, keyed(h.clock, key, "x"))
+			})
+			if i%8 == 0 {
+				time.Sleep(time.Duration(h.draw(20)) * time.Millisecond)
 			}
-			all.Wait()
-			synctest.Wait()
-			if len(g.running) > 0 {
-				t.Errorf("%d keys are still open", len(g.running))
+			g.mu.Lock()
+			stored := g.store.Len()
+			g.mu.Unlock()
+			if stored > historyEntries {
+				t.Fatalf("the store holds %d keys, %d at most", stored, historyEntries)
 			}
-		})
-		return n
+		}
+		all.Wait()
+		synctest.Wait()
+		if len(g.running) > 0 {
+			t.Errorf("%d keys are still open", len(g.running))
+		}
+		n = h.repeated
+	})
+	return n
+}
+
+// history draws what servers do, and counts runs that should not have begun.
+type history struct {
+	clock engine.Clock
+
+	mu       sync.Mutex
+	random   *rand.Rand
+	started  map[string]time.Duration // the last run of a key that may have had its effect
+	repeated int
+}
+
+// draw returns a random number below n.
+func (h *history) draw(n int) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.random.IntN(n)
+}
+
+// cluster returns a cluster that runs the requests of a key.
+func (h *history) cluster(key string) *stub {
+	return &stub{run: func(ctx context.Context, _ int64) (engine.Answer, error) { return h.run(ctx, key) }}
+}
+
+// run is a run of a key with a drawn outcome.
+func (h *history) run(ctx context.Context, key string) (engine.Answer, error) {
+	startedAt := h.clock.Now()
+	select {
+	case <-time.After(time.Duration(h.draw(300)) * time.Millisecond):
+	case <-ctx.Done():
 	}
-	if n := twice(true); n > 0 {
-		t.Errorf("%d runs beside, or after, one that may have had its effect", n)
+	outcome := h.draw(4)
+	if outcome == 0 {
+		return engine.Answer{Verdict: engine.Rejected}, nil // never ran
 	}
-	if n := twice(false); n < 100 {
-		t.Errorf("without the deduplicator only %d: the check proves little", n)
+	h.mu.Lock()
+	if at, ok := h.started[key]; ok && startedAt < at+window {
+		h.repeated++
+	}
+	h.started[key] = startedAt
+	h.mu.Unlock()
+	switch {
+	case ctx.Err() != nil:
+		return engine.Answer{}, engine.ErrClientDisconnected
+	case outcome == 1:
+		return engine.Answer{Verdict: engine.Rejected, MayHaveRun: true}, nil
+	case outcome == 2:
+		return engine.Answer{Verdict: engine.Failed, MayHaveRun: true}, nil
 	}
+	return served(key), nil
 }
--- a/internal/idempotency/replay/joiners_test.go
+++ b/internal/idempotency/replay/joiners_test.go
@@ -29,8 +29,8 @@
 					}
 				}}
 				c := New(limits(), clock).Cluster(s, window, 0)
-				ctx, leave := context.WithCancel(t.Context())
-				other, leaveToo := context.WithCancel(t.Context())
+				ctx, disconnect := context.WithCancel(t.Context())
+				other, disconnectOther := context.WithCancel(t.Context())
 				var all sync.WaitGroup
 				var joined engine.Answer
 				var joinedErr error
@@ -44,9 +44,9 @@
 					all.Go(func() { joined, joinedErr = c.Do(other, keyed(clock, "k", "x")) })
 					synctest.Wait()
 				}
-				leave()
+				disconnect()
 				if synctest.Wait(); joiners < 0 {
-					leaveToo()
+					disconnectOther()
 				}
 				began := clock.Now()
 				all.Wait()
@@ -58,7 +58,7 @@
 				case joiners <= 0 && took != 0:
 					t.Errorf("the request went on for %v with nobody there", took)
 				}
-				leaveToo()
+				disconnectOther()
 			})
 		})
 	}
@@ -69,8 +69,8 @@
 func TestClientLeftCountsWithoutJoinersOnly(t *testing.T) {
 	for _, joined := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			clock, goes := engine.NewClock(), make(chan struct{})
-			s := &stub{run: func(context.Context, int64) (engine.Answer, error) { <-goes; return served("a"), nil }}
+			clock, release := engine.NewClock(), make(chan struct{})
+			s := &stub{run: func(context.Context, int64) (engine.Answer, error) { <-release; return served("a"), nil }}
 			c := New(limits(), clock).Cluster(s, window, 0)
 			left := false
 			r := keyed(clock, "k", "x")
@@ -88,7 +88,7 @@
 			if left = true; r.ClientDisconnected() == joined {
 				t.Errorf("joined %v: left %v once the first's client has gone", joined, r.ClientDisconnected())
 			}
-			close(goes)
+			close(release)
 			all.Wait()
 		})
 	}
