--- a/internal/connlimit/anyorder_test.go
+++ b/internal/connlimit/anyorder_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Whatever happens in whatever order, counts and limits hold.
+// Counts and limits hold for any order of events.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -44,7 +44,7 @@
 		return
 	case 1:
 		if s.table.NextToClose(s.now) != nil {
-			s.t.Error("a connection that has to make room is left")
+			s.t.Error("a connection that has to be closed is left")
 		}
 		if c.phase != fresh {
 			s.table.ExtendGrace(s.now, c)
@@ -56,7 +56,7 @@
 	case c.phase == partial:
 		s.table.RequestComplete(s.now, c)
 	case c.phase == busy && c.Overflow():
-		s.close(c) // told to come back later
+		s.close(c) // rejected with Retry-After
 	case c.phase == busy:
 		s.respond(c)
 	default:
--- a/internal/connlimit/harness_test.go
+++ b/internal/connlimit/harness_test.go
@@ -15,13 +15,16 @@
 	closed []*Conn
 }
 
+// newServer returns a server with limits.
 func newServer(t *testing.T, l Limits) *server { return &server{t: t, table: New(l)} }
 
+// close closes a connection.
 func (s *server) close(c *Conn) {
 	s.table.Remove(c)
 	s.closed = append(s.closed, c)
 }
 
+// connect admits a new connection, and closes others or waits for that as the table says.
 func (s *server) connect() *Conn {
 	s.t.Helper()
 	for range 1000 {
@@ -39,12 +42,14 @@
 	return nil
 }
 
+// trim closes the connections that the table wants closed now.
 func (s *server) trim() {
 	for v := s.table.NextToClose(s.now); v != nil; v = s.table.NextToClose(s.now) {
 		s.close(v)
 	}
 }
 
+// receive has the first bytes of a request arrive.
 func (s *server) receive(c *Conn) {
 	if s.table.BytesReceived(s.now, c) {
 		s.trim()
@@ -54,6 +59,7 @@
 	}
 }
 
+// respond sends the response to a complete request.
 func (s *server) respond(c *Conn) {
 	s.table.ResponseSent(s.now, c)
 	s.trim()
@@ -67,6 +73,7 @@
 	s.respond(c)
 }
 
+// check checks the counts and limits of the table.
 func (s *server) check() {
 	s.t.Helper()
 	t, l := s.table, s.table.limits
--- a/internal/connlimit/table_test.go
+++ b/internal/connlimit/table_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A crowd that sends one request each and stays has to leave the reserve free at all times: a client that finds all
-// places taken is never seen here.
+// Clients that send one request each and stay connected leave the reserve free at all times: a client that finds all
+// places taken never gets to the table.
 func TestCrowdLeavesTheReserve(t *testing.T) {
 	s := newServer(t, Limits{Active: 16, Reserve: 3, New: 4, Overflow: 1})
 	for range 500 {
@@ -20,7 +20,7 @@
 	}
 }
 
-// Clients that return keep their connection through a crowd of clients that don't.
+// Clients that reuse their connections retain them among many clients that don't.
 func TestRegularsStay(t *testing.T) {
 	s := newServer(t, Limits{Active: 16, Reserve: 2, New: 4, Overflow: 1})
 	var regulars []*Conn
@@ -41,7 +41,7 @@
 	}
 }
 
-// A client that no longer returns loses its place in the end.
+// A client that sends no further request loses its place eventually.
 func TestFormerRegularsGo(t *testing.T) {
 	s := newServer(t, Limits{Active: 16, Reserve: 2, New: 4, Overflow: 1})
 	var former []*Conn
@@ -77,7 +77,7 @@
 	}
 	for i, c := range idle {
 		if c.Removed() {
-			t.Errorf("idle connection %d made room for a new one", i)
+			t.Errorf("idle connection %d was closed for a new one", i)
 		}
 	}
 	if took, want := s.now-began, 99*NewGrace; took < want-NewGrace || took > want+NewGrace {
