--- a/internal/files/atrest_test.go
+++ b/internal/files/atrest_test.go
@@ -8,66 +8,123 @@
 	"testing"
 )
 
-// Each way in which files can change is seen at the next poll by stamps alone, long after they came to rest, and only
-// what changed is read.
-func TestChangesAtRest(t *testing.T) {
-	for name, tc := range map[string]struct {
-		prepare, change func(f *folder)
-		want            string
-		reads           int
-	}{
-		"in place": {nil, func(f *folder) { f.put(f.rooms(), clusterText("", 1, 2, 3, 5)) }, "1 2 3 5", 1},
-		"in place, with the size and the time of before": {nil, func(f *folder) {
-			before, err := os.Stat(f.rooms())
-			must(f.t, err)
-			f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
-			must(f.t, os.Chtimes(f.rooms(), before.ModTime(), before.ModTime()))
-		}, "1 2 3 5", 1},
-		"renamed over, with the size and the time of before": {nil, func(f *folder) {
-			before, err := os.Stat(f.rooms())
-			must(f.t, err)
-			f.put(f.rooms()+".new", clusterText("", 1, 2, 3, 5))
-			must(f.t, os.Chtimes(f.rooms()+".new", before.ModTime(), before.ModTime()), os.Rename(f.rooms()+".new", f.rooms()))
-		}, "1 2 3 5", 2}, // and the folder
-		"a link is swapped": {
-			func(f *folder) {
+// restChange is a change of a folder at rest and what one poll takes and reads after it.
+type restChange struct {
+	name    string
+	prepare func(f *folder) // before the folder comes to rest; nil: nothing
+	change  func(f *folder)
+	want    string // ports of the servers
+	reads   int    // files and folders
+}
+
+// fileChanges returns changes of files that are no links.
+func fileChanges() []restChange {
+	return []restChange{
+		{
+			name:   "in place",
+			change: func(f *folder) { f.put(f.rooms(), clusterText("", 1, 2, 3, 5)) },
+			want:   "1 2 3 5", reads: 1,
+		},
+		{
+			name: "in place, with the size and the time of before",
+			change: func(f *folder) {
+				before, err := os.Stat(f.rooms())
+				must(f.t, err)
+				f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
+				must(f.t, os.Chtimes(f.rooms(), before.ModTime(), before.ModTime()))
+			},
+			want: "1 2 3 5", reads: 1,
+		},
+		{
+			name: "renamed over, with the size and the time of before",
+			change: func(f *folder) {
+				before, err := os.Stat(f.rooms())
+				must(f.t, err)
+				next := f.rooms() + ".new"
+				f.put(next, clusterText("", 1, 2, 3, 5))
+				must(f.t, os.Chtimes(next, before.ModTime(), before.ModTime()), os.Rename(next, f.rooms()))
+			},
+			want: "1 2 3 5", reads: 2, // and the folder
+		},
+		{
+			name:   "a file comes",
+			change: func(f *folder) { f.put(f.dir+"/b.toml", clusterText("", 9)) },
+			want:   "1 2 3 4", reads: 2,
+		},
+		{
+			name:   "the program's file",
+			change: func(f *folder) { f.put(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1)) },
+			want:   "1 2 3 4", reads: 1,
+		},
+		{
+			name:    "a file goes",
+			prepare: func(f *folder) { f.put(f.rooms(), clusterText("no_servers = \"on purpose\"\n")) },
+			change:  func(f *folder) { must(f.t, os.Remove(f.rooms())) },
+			want:    "none", reads: 1,
+		},
+	}
+}
+
+// folderChanges returns changes of links and of folders.
+func folderChanges() []restChange {
+	return []restChange{
+		{
+			name: "a link is swapped",
+			prepare: func(f *folder) {
 				f.put(f.dir+"/.one", clusterText("", 1, 2, 3, 4))
 				f.put(f.dir+"/.two", clusterText("", 1, 2, 3, 5))
 				must(f.t, os.Remove(f.rooms()), os.Symlink(".one", f.rooms()))
 			},
-			func(f *folder) {
+			change: func(f *folder) {
 				must(f.t, os.Symlink(".two", f.rooms()+".new"), os.Rename(f.rooms()+".new", f.rooms()))
-			}, "1 2 3 5", 2},
-		"the folder that a link leads through": {
-			func(f *folder) {
+			},
+			want: "1 2 3 5", reads: 2,
+		},
+		{
+			name: "the folder that a link leads through",
+			prepare: func(f *folder) {
 				for i, name := range []string{"..one", "..two"} {
 					must(f.t, os.Mkdir(filepath.Join(f.dir, name), 0o755))
 					f.put(filepath.Join(f.dir, name, "rooms.toml"), clusterText("", 1, 2, 3, 4+i))
 				}
-				must(f.t, os.Remove(f.rooms()), os.Symlink("..one", f.dir+"/..data"), os.Symlink("..data/rooms.toml", f.rooms()))
+				must(f.t, os.Remove(f.rooms()))
+				must(f.t, os.Symlink("..one", f.dir+"/..data"), os.Symlink("..data/rooms.toml", f.rooms()))
 			},
-			func(f *folder) {
+			change: func(f *folder) {
 				must(f.t, os.Symlink("..two", f.dir+"/..new"), os.Rename(f.dir+"/..new", f.dir+"/..data"))
-			}, "1 2 3 5", 2},
-		"the folder is a link": {
-			func(f *folder) {
+			},
+			want: "1 2 3 5", reads: 2,
+		},
+		{
+			name: "the folder is a link",
+			prepare: func(f *folder) {
 				must(f.t, os.Rename(f.dir, f.dir+"-1"), os.Mkdir(f.dir+"-2", 0o755), os.Symlink("clusters-1", f.dir))
 				f.put(f.dir+"-2/rooms.toml", clusterText("", 1, 2, 3, 5))
 			},
-			func(f *folder) { must(f.t, os.Symlink("clusters-2", f.dir+"-3"), os.Rename(f.dir+"-3", f.dir)) }, "1 2 3 5", 2},
-		"the folder is replaced": {
-			func(f *folder) {
+			change: func(f *folder) {
+				must(f.t, os.Symlink("clusters-2", f.dir+"-3"), os.Rename(f.dir+"-3", f.dir))
+			},
+			want: "1 2 3 5", reads: 2,
+		},
+		{
+			name: "the folder is replaced",
+			prepare: func(f *folder) {
 				must(f.t, os.Mkdir(f.dir+"-2", 0o755))
 				f.put(f.dir+"-2/rooms.toml", clusterText("", 1, 2, 3, 5))
 			},
-			func(f *folder) { must(f.t, os.Rename(f.dir, f.dir+"-1"), os.Rename(f.dir+"-2", f.dir)) }, "1 2 3 5", 2},
-		"a file comes":       {nil, func(f *folder) { f.put(f.dir+"/b.toml", clusterText("", 9)) }, "1 2 3 4", 2},
-		"the program's file": {nil, func(f *folder) { f.put(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1)) }, "1 2 3 4", 1},
-		"a file goes": {
-			func(f *folder) { f.put(f.rooms(), clusterText("no_servers = \"on purpose\"\n")) },
-			func(f *folder) { must(f.t, os.Remove(f.rooms())) }, "none", 1},
-	} {
-		t.Run(name, func(t *testing.T) {
+			change: func(f *folder) {
+				must(f.t, os.Rename(f.dir, f.dir+"-1"), os.Rename(f.dir+"-2", f.dir))
+			},
+			want: "1 2 3 5", reads: 2,
+		},
+	}
+}
+
+// Each way in which files can change is seen at the next poll by stamps alone, long after they came to rest, and only
+// what changed is read.
+func TestChangesAtRest(t *testing.T) {
+	for _, tc := range append(fileChanges(), folderChanges()...) {
+		t.Run(tc.name, func(t *testing.T) {
 			f := newFolder(t)
 			if tc.prepare != nil {
 				tc.prepare(f)
@@ -117,12 +174,15 @@
 // each file and folder.
 func TestQuietPolls(t *testing.T) {
 	for name, damage := range map[string]func(f *folder){
-		"in force":                 func(*folder) {},
-		"refused":                  func(f *folder) { f.put(f.rooms(), clusterText("", 1)) },
-		"a cluster file is bad":    func(f *folder) { f.put(f.rooms(), "x") },
-		"the program's is bad":     func(f *folder) { f.put(f.path, "x") },
-		"a link leads nowhere":     func(f *folder) { must(f.t, os.Remove(f.rooms()), os.Symlink("none", f.rooms())) },
-		"another is too long":      func(f *folder) { f.put(f.dir+"/a.toml", ""); must(f.t, os.Truncate(f.dir+"/a.toml", 100<<20)) },
+		"in force":              func(*folder) {},
+		"refused":               func(f *folder) { f.put(f.rooms(), clusterText("", 1)) },
+		"a cluster file is bad": func(f *folder) { f.put(f.rooms(), "x") },
+		"the program's is bad":  func(f *folder) { f.put(f.path, "x") },
+		"a link leads nowhere":  func(f *folder) { must(f.t, os.Remove(f.rooms()), os.Symlink("none", f.rooms())) },
+		"another is too long": func(f *folder) {
+			f.put(f.dir+"/a.toml", "")
+			must(f.t, os.Truncate(f.dir+"/a.toml", 100<<20))
+		},
 		"the same bytes are there": func(f *folder) { f.swap(f.rooms(), clusterText("", 1, 2, 3, 4)) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -149,7 +209,9 @@
 			if n := r.stats - stats; n > 1000*14 { // the program's file, the folder, 12 of clusters
 				t.Errorf("%d stats", n)
 			}
-			if n, want := strings.Count(f.logs.String(), filesRejected), 1; n > want || (n == 0) != (name == "in force" || name == "the same bytes are there") {
+			n := strings.Count(f.logs.String(), filesRejected)
+			accepted := name == "in force" || name == "the same bytes are there"
+			if n > 1 || (n == 0) != accepted {
 				t.Errorf("logged %d times:\n%s", n, f.logs.String())
 			}
 		})
@@ -190,12 +252,15 @@
 	if change(f.rooms(), clusterText("", 1, 2, 3, 5), 0) != nil {
 		t.Fatal("taken again")
 	}
-	if s := change(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1), 1); s == nil || s.Program == first.Program || s.Version.Clusters["rooms"] != r.w.current.Version.Clusters["rooms"] {
+	s = change(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1), 1)
+	rooms := r.w.current.Version.Clusters["rooms"]
+	if s == nil || s.Program == first.Program || s.Version.Clusters["rooms"] != rooms {
 		t.Error("a class's change is not taken, or with other clusters")
 	}
-	held := len(r.w.parser.clusters.current) + len(r.w.parser.clusters.last) + len(r.w.parser.programs.current) + len(r.w.parser.programs.last)
-	if held > 2*12 {
-		t.Errorf("%d parsed files are held", held)
+	clusters, programs := &r.w.parser.clusters, &r.w.parser.programs
+	cached := len(clusters.current) + len(clusters.last) + len(programs.current) + len(programs.last)
+	if cached > 2*12 {
+		t.Errorf("%d parsed files are cached", cached)
 	}
 }
 
--- a/internal/files/harness_test.go
+++ b/internal/files/harness_test.go
@@ -14,6 +14,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
+// program is a program's file with one route.
 const program = `[listen]
 
 address = "127.0.0.1:0"
@@ -52,6 +53,7 @@
 	seen chan struct{} // one for each poll
 }
 
+// newFolder returns a folder with a valid program and the cluster rooms.
 func newFolder(t *testing.T) *folder {
 	f := &folder{t: t, logs: testutil.NewLogs(t), got: make(chan *Snapshot, 1000), seen: make(chan struct{})}
 	root := t.TempDir()
@@ -64,8 +66,10 @@
 	return f
 }
 
+// rooms is the file of the cluster rooms.
 func (f *folder) rooms() string { return filepath.Join(f.dir, "rooms.toml") }
 
+// put writes a file in place.
 func (f *folder) put(name, text string) {
 	f.t.Helper()
 	if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
@@ -82,8 +86,10 @@
 	}
 }
 
+// watch watches the folder until the end of the test and returns its first version.
 func (f *folder) watch() *Snapshot { return f.watchBy(newNotifier) }
 
+// watchBy is watch with another notifier.
 func (f *folder) watchBy(notify func() (*notifier, error)) *Snapshot {
 	f.t.Helper()
 	w, first, err := Open(f.path, f.logs.Logger())
@@ -104,6 +110,7 @@
 	return first
 }
 
+// next waits for the next version.
 func (f *folder) next() *Snapshot {
 	f.t.Helper()
 	return testutil.Wait(f.t, f.got, "a version to be taken")
@@ -123,6 +130,7 @@
 	}
 }
 
+// ports returns the ports of the servers of the cluster rooms.
 func ports(s *Snapshot) string {
 	c := s.Version.Clusters["rooms"]
 	if c == nil {
@@ -135,6 +143,7 @@
 	return strings.Join(list, " ")
 }
 
+// want waits for a version with the ports of a text.
 func (f *folder) want(text string) {
 	f.t.Helper()
 	for {
--- a/internal/files/notification_test.go
+++ b/internal/files/notification_test.go
@@ -9,13 +9,14 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// Where notification is not to be had, or says nothing, polling by content takes over,
-// also where size and time of the file stay the same; an overflow has it look at once.
+// Where notification is unavailable or silent, polling by content takes over, also where size and time of the file stay
+// the same; an overflow causes a poll at once.
 func TestWithoutNotification(t *testing.T) {
 	for name, notify := range map[string]func() (*notifier, error){
 		"unavailable": func() (*notifier, error) { return nil, errors.New("too many open files") },
 		"silent": func() (*notifier, error) {
-			return &notifier{add: func(string) error { return errors.New("no space left") }, close: func() error { return nil }}, nil
+			add := func(string) error { return errors.New("no space left") }
+			return &notifier{add: add, close: func() error { return nil }}, nil
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +39,8 @@
 		f.put(f.path, strings.Replace(program, "20ms", "1m", 1)) // no poll in time
 		faults := make(chan error, 1)
 		f.watchBy(func() (*notifier, error) {
-			return &notifier{faults: faults, add: func(string) error { return nil }, close: func() error { return nil }}, nil
+			add := func(string) error { return nil }
+			return &notifier{faults: faults, add: add, close: func() error { return nil }}, nil
 		})
 		f.swap(f.rooms(), clusterText("", 1, 2, 3, 5))
 		faults <- fsnotify.ErrEventOverflow
--- a/internal/files/races_test.go
+++ b/internal/files/races_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// A write that leaves the stamp as it was is seen as long as the stamp is young, also where it makes whole what was
-// torn.
+// A write that leaves the stamp as it was is seen while the stamp is young, also where it completes a file that was
+// incomplete.
 func TestWritesInOneTick(t *testing.T) {
 	f := newFolder(t)
 	r := rest(f)
 	tick(t)
-	whole := clusterText("", 1, 2, 3, 5)
-	f.put(f.rooms(), whole[:len(whole)/2])
+	complete := clusterText("", 1, 2, 3, 5)
+	f.put(f.rooms(), complete[:len(complete)/2])
 	frozen := readStamp(f.rooms())
 	r.w.reader.stat = func(name string) stamp {
 		if name == f.rooms() {
@@ -24,9 +24,9 @@
 	if r.poll() != nil || r.w.verdict.err == nil {
 		t.Fatal("half a file is taken")
 	}
-	f.put(f.rooms(), whole)
+	f.put(f.rooms(), complete)
 	if s := r.poll(); s == nil || ports(s) != "1 2 3 5" {
-		t.Fatal("the whole file is not seen")
+		t.Fatal("the complete file is not seen")
 	}
 	if log := f.logs.String(); strings.Contains(log, filesRejected) {
 		t.Errorf("a file that was being written is logged:\n%s", log)
@@ -37,7 +37,7 @@
 	}
 }
 
-// A file that changes while others are read starts the look again: no version is of two times.
+// A file that changes while others are read starts the scan again: no version is of two times.
 func TestChangeWhileReading(t *testing.T) {
 	f := newFolder(t)
 	other := filepath.Join(f.dir, "z.toml")
@@ -45,10 +45,10 @@
 	r := rest(f)
 	tick(t)
 	f.put(other, clusterText("", 51))
-	looked := 0
+	reads := 0
 	r.w.reader.stat = func(name string) stamp {
 		if name == other {
-			if looked++; looked == 2 { // rooms.toml was looked at before
+			if reads++; reads == 2 { // rooms.toml was looked at before
 				f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
 			}
 		}
@@ -69,11 +69,11 @@
 	r.settle()
 	tick(t)
 	f.put(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1))
-	looked := 0
+	reads := 0
 	r.w.reader.stat = func(name string) stamp {
 		s := readStamp(name)
 		if name == f.rooms() {
-			if looked++; looked == 2 { // after it was seen to stand still at the end of the scan
+			if reads++; reads == 2 { // after it was seen to stand still at the end of the scan
 				f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
 			}
 		}
--- a/internal/files/rejected_test.go
+++ b/internal/files/rejected_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// What is not whole or not good is refused, is logged once with its place, and leaves
-// the last good version; check gives the same verdict.
+// Files that are incomplete or invalid are rejected, which is logged once with the place, and leave the last good
+// version in force; check gives the same verdict.
 func TestRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(f *folder)
@@ -43,37 +43,43 @@
 			f.put(filepath.Join(f.dir, "b.toml"), "x")
 			f.put(f.rooms(), clusterText("", 1, 2, 3))
 		}, "b.toml:1: is not whole"},
-		"the program's file": {func(f *folder) { f.put(f.path, strings.Replace(program, "read", "raed", 1)) }, "is no [[class]]"},
+		"the program's file": {func(f *folder) {
+			f.put(f.path, strings.Replace(program, "read", "raed", 1))
+		}, "is no [[class]]"},
 		"no folder": {func(f *folder) {
 			os.RemoveAll(f.dir)
 		}, "cluster files: open"},
 	} {
-		t.Run(name, func(t *testing.T) {
-			f := newFolder(t)
-			f.watch()
-			c.change(f)
-			f.logged(c.want)
-			f.polls(5)
-			if n := strings.Count(f.logs.String(), c.want); n != 1 {
-				t.Errorf("logged %d times:\n%s", n, f.logs.String())
-			}
-			if len(f.got) > 0 {
-				t.Error("a version is taken")
-			}
-			if _, err := Load(f.path); name != "too many gone" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-				t.Errorf("check says %v", err)
-			}
-			// It heals.
-			os.RemoveAll(f.rooms())
-			os.Remove(filepath.Join(f.dir, "b.toml"))
-			os.Mkdir(f.dir, 0o755)
-			f.put(f.path, program)
-			f.put(f.rooms(), clusterText("", 1, 2, 3, 9))
-			f.want("1 2 3 9")
-		})
+		t.Run(name, func(t *testing.T) { checkRejected(t, c.change, c.want, name == "too many gone") })
 	}
 }
 
+// checkRejected checks that a change is rejected with a text in the log, and that a good change after it is accepted.
+// loadable reports that the files are good except as a change.
+func checkRejected(t *testing.T, change func(f *folder), want string, loadable bool) {
+	f := newFolder(t)
+	f.watch()
+	change(f)
+	f.logged(want)
+	f.polls(5)
+	if n := strings.Count(f.logs.String(), want); n != 1 {
+		t.Errorf("logged %d times:\n%s", n, f.logs.String())
+	}
+	if len(f.got) > 0 {
+		t.Error("a version is taken")
+	}
+	if _, err := Load(f.path); !loadable && (err == nil || !strings.Contains(err.Error(), want)) {
+		t.Errorf("check says %v", err)
+	}
+	os.RemoveAll(f.rooms())
+	os.Remove(filepath.Join(f.dir, "b.toml"))
+	os.Mkdir(f.dir, 0o755)
+	f.put(f.path, program)
+	f.put(f.rooms(), clusterText("", 1, 2, 3, 9))
+	f.want("1 2 3 9")
+}
+
+// Open and Load reject files that are invalid or missing.
 func TestOpenRefuses(t *testing.T) {
 	f := newFolder(t)
 	f.put(f.rooms(), "")
--- a/internal/files/resting_test.go
+++ b/internal/files/resting_test.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// poll polls a second later.
 func (r *resting) poll() *Snapshot {
 	r.now = r.now.Add(time.Second)
 	return r.w.poll(true)
@@ -70,6 +71,7 @@
 	}
 }
 
+// must ends the test at the first error.
 func must(t testing.TB, errs ...error) {
 	t.Helper()
 	for _, err := range errs {
--- a/internal/files/stamp_test.go
+++ b/internal/files/stamp_test.go
@@ -49,7 +49,8 @@
 	if h.recordRead(s, at); h.firstSeen != start || !h.upToDate(s, at) {
 		t.Errorf("read again with the same stamp: %+v", h)
 	}
-	if h.recordRead(other(func(s *stamp) { s.changed++ }), at); h.firstSeen != at || h.upToDate(h.stamp, at.Add(stampSettleTime)) {
+	h.recordRead(other(func(s *stamp) { s.changed++ }), at)
+	if h.firstSeen != at || h.upToDate(h.stamp, at.Add(stampSettleTime)) {
 		t.Errorf("read with another stamp: %+v", h)
 	}
 }
--- a/internal/files/xdsfolder_test.go
+++ b/internal/files/xdsfolder_test.go
@@ -8,6 +8,18 @@
 	"testing"
 )
 
+// withXDSFolder returns a program's file that takes files in xDS form too, before its first class.
+func withXDSFolder(text string) string {
+	return strings.Replace(text, "[[class]]", "[xds]\nfolder = \"xds\"\nclass = \"read\"\n[[class]]", 1)
+}
+
+// xdsCluster returns a cluster in xDS form with one endpoint, without the line that ends the file.
+func xdsCluster(name string, port int) string {
+	return "\"@type\": type.googleapis.com/envoy.config.cluster.v3.Cluster\n" +
+		fmt.Sprintf("name: %s\ntype: STATIC\nload_assignment:\n  endpoints:\n  - lb_endpoints:\n", name) +
+		fmt.Sprintf("    - endpoint: {address: {socket_address: {address: 127.0.0.1, port_value: %d}}}\n", port)
+}
+
 // Files in xDS form are taken with the others, whole or not at all.
 func TestXDSFolder(t *testing.T) {
 	f := newFolder(t)
@@ -15,18 +27,18 @@
 	if err := os.Mkdir(folder, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	f.put(f.path, strings.Replace(program[:strings.Index(program, "[[host]]")], "[[class]]", "[xds]\nfolder = \"xds\"\nclass = \"read\"\n[[class]]", 1))
+	withoutRoutes, _, _ := strings.Cut(program, "[[host]]")
+	f.put(f.path, withXDSFolder(withoutRoutes))
 	const routes = `{"@type": "type.googleapis.com/envoy.config.route.v3.RouteConfiguration", "name": "main",
-		"virtual_hosts": [{"name": "v", "domains": ["*"], "routes": [{"match": {"prefix": "/"}, "route": {"cluster": "suites"}}]}]}`
-	suites := func(port int) string {
-		return fmt.Sprintf("\"@type\": type.googleapis.com/envoy.config.cluster.v3.Cluster\nname: suites\ntype: STATIC\nload_assignment:\n"+
-			"  endpoints:\n  - lb_endpoints:\n    - endpoint: {address: {socket_address: {address: 127.0.0.1, port_value: %d}}}\n", port)
-	}
+		"virtual_hosts": [{"name": "v", "domains": ["*"],
+		"routes": [{"match": {"prefix": "/"}, "route": {"cluster": "suites"}}]}]}`
+	suites := func(port int) string { return xdsCluster("suites", port) }
 	file := filepath.Join(folder, "suites.yaml")
 	f.put(filepath.Join(folder, "routes.json"), routes)
 	f.put(file, suites(1)+"...\n")
 	first := f.watch()
-	if c := first.Version.Clusters["suites"]; c == nil || c.Endpoints[0].Address != "127.0.0.1:1" || first.Version.Clusters["rooms"] == nil {
+	c := first.Version.Clusters["suites"]
+	if c == nil || c.Endpoints[0].Address != "127.0.0.1:1" || first.Version.Clusters["rooms"] == nil {
 		t.Errorf("first %+v", first.Version.Clusters)
 	}
 	if got := first.Program.Table.Clusters(); len(got) != 1 || got[0] != "suites" {
@@ -55,10 +67,9 @@
 	f := newFolder(t)
 	folder := filepath.Join(filepath.Dir(f.path), "xds")
 	must(t, os.Mkdir(folder, 0o755))
-	f.put(f.path, strings.Replace(program, "[[class]]", "[xds]\nfolder = \"xds\"\nclass = \"read\"\n[[class]]", 1))
+	f.put(f.path, withXDSFolder(program))
 	list := func(name string, port int) {
-		f.put(filepath.Join(folder, name+".yaml"), fmt.Sprintf("\"@type\": type.googleapis.com/envoy.config.cluster.v3.Cluster\nname: %s\ntype: STATIC\nload_assignment:\n"+
-			"  endpoints:\n  - lb_endpoints:\n    - endpoint: {address: {socket_address: {address: 127.0.0.1, port_value: %d}}}\n...\n", name, port))
+		f.put(filepath.Join(folder, name+".yaml"), xdsCluster(name, port)+"...\n")
 	}
 	list("suites", 1)
 	list("villas", 2)
@@ -78,7 +89,9 @@
 	}
 	tick(t)
 	list("villas", 3)
-	if s := r.poll(); s == nil || s.Version.Clusters["villas"].Endpoints[0].Address != "127.0.0.1:3" || s.Version.Clusters["suites"] != suites {
+	s := r.poll()
+	if s == nil || s.Version.Clusters["villas"].Endpoints[0].Address != "127.0.0.1:3" ||
+		s.Version.Clusters["suites"] != suites {
 		t.Errorf("a change in xDS form: %+v", s)
 	}
 }
