--- /dev/null
+++ b/internal/app/services_test.go
@@ -0,0 +1,58 @@
+package app
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"yokestall/internal/cluster"
+	"yokestall/internal/fake/appbox"
+	"yokestall/internal/files"
+)
+
+// servicesSnapshot returns a program with a route to each of a number of clusters, which are called services here, and
+// the clusters, all with the same servers.
+func servicesSnapshot(t testing.TB, count int, servers ...*appbox.Server) *files.Snapshot {
+	t.Helper()
+	text := strings.Builder{}
+	text.WriteString(program)
+	for i := range count {
+		fmt.Fprintf(&text, "[[host]]\ndomains = [\"s%d.example\"]\n", i)
+		fmt.Fprintf(&text, "[[host.route]]\nprefix = \"/\"\nclass = \"read\"\ncluster = \"s%d\"\n", i)
+	}
+	var list []*cluster.Config
+	for i := range count {
+		list = append(list, serviceConfig(i, servers...))
+	}
+	return snapshot(parse(t, text.String()), list...)
+}
+
+// serviceConfig returns the cluster of a service.
+func serviceConfig(i int, servers ...*appbox.Server) *cluster.Config {
+	var endpoints []cluster.Endpoint
+	for _, b := range servers {
+		endpoints = append(endpoints, endpointOf(b))
+	}
+	c := rooms(endpoints...)
+	c.Name = fmt.Sprint("s", i)
+	return c
+}
+
+// requestStatus sends a request to a service and returns the status of the answer; 0 if there is none.
+func (s *serving) requestStatus(service int) int {
+	r, err := http.NewRequest(http.MethodGet, s.url+"/", nil)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	r.Host = fmt.Sprintf("s%d.example", service)
+	resp, err := s.client.Do(r)
+	if err != nil {
+		s.t.Error(err)
+		return 0
+	}
+	defer resp.Body.Close()
+	io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode
+}
--- a/internal/downstream/extproc/serve.go
+++ b/internal/downstream/extproc/serve.go
@@ -58,7 +58,7 @@
 	}
 	healthServer.Shutdown()
 	gracefulclose.WaitForBacklog() // the server drops what it accepts from here on
-	stopGracefully(srv, max(o.MinDrainTimeout, time.Duration(s.maxPatience.Load()))+stopMargin)
+	stopGracefully(srv, max(o.MinDrainTimeout, time.Duration(s.maxTimeout.Load()))+stopMargin)
 	if err := <-ended; err != nil && !errors.Is(err, grpc.ErrServerStopped) {
 		return err
 	}
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -96,14 +96,14 @@
 		p.terms.Timeout = min(p.terms.Timeout, time.Until(at))
 	}
 	p.deadline = p.arrivedAt + p.terms.Timeout - responseMargin
-	p.server.notePatience(p.terms.Timeout)
+	p.server.recordTimeout(p.terms.Timeout)
 }
 
-// notePatience raises maxPatience to a request's patience.
-func (s *Server) notePatience(patience time.Duration) {
+// recordTimeout raises maxTimeout to a request's timeout.
+func (s *Server) recordTimeout(timeout time.Duration) {
 	for {
-		longest := s.maxPatience.Load()
-		if longest >= int64(patience) || s.maxPatience.CompareAndSwap(longest, int64(patience)) {
+		longest := s.maxTimeout.Load()
+		if longest >= int64(timeout) || s.maxTimeout.CompareAndSwap(longest, int64(timeout)) {
 			return
 		}
 	}
