--- a/internal/downstream/extproc/serve.go
+++ b/internal/downstream/extproc/serve.go
@@ -41,7 +41,7 @@
 }
 
 // Serve serves callers on a listener until ctx ends. Then it has them move to other processors (GOAWAY), reports that
-// it is not serving (grpc.health.v1), lets open streams finish within the longest patience that a request had, or
+// it is not serving (grpc.health.v1), lets open streams finish within the longest timeout that a request had, or
 // MinDrainTimeout if that is longer, and ends the rest.
 func (s *Server) Serve(ctx context.Context, l net.Listener, o ListenOptions) error {
 	srv := s.newGRPCServer(o)
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -26,7 +26,7 @@
 	bufferedBytes atomic.Int64 // reserved, at most MaxBufferedBytes
 	lastID        atomic.Uint64
 	idPrefix      string       // of the ids of requests that come without one
-	maxTimeout   atomic.Int64 // ns, the longest that a request has had
+	maxTimeout    atomic.Int64 // ns, the longest that a request has had
 
 	// mu guards the fields below.
 	mu         sync.Mutex
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// setDeadline sets the deadline by the request's own patience, the caller's timeout of the request and the deadline of
+// setDeadline sets the deadline by the request's own timeout, the caller's timeout of the request and the deadline of
 // the gRPC call.
 func (p *processingStream) setDeadline() {
 	timeout := ingress.SingleValue(p.request.Header[expectedTimeoutHeader])
