--- a/internal/app/agreedsource.go
+++ b/internal/app/agreedsource.go
@@ -88,5 +88,5 @@
 		return err
 	}
 	snapshot := &files.Snapshot{Program: p, Version: &cluster.Version{Clusters: v.Clusters}}
-	return s.app.ApplyRejecting(time.Now(), snapshot, v.Refused)
+	return s.app.ApplyRejecting(time.Now(), snapshot, v.RefusedClasses)
 }
--- a/internal/app/apply.go
+++ b/internal/app/apply.go
@@ -21,12 +21,12 @@
 }
 
 // ApplyRejecting is ApplyAt with classes whose requests are rejected, each with the reason, until the next version.
-func (a *App) ApplyRejecting(delivered time.Time, s *files.Snapshot, rejectedClasses map[string]string) error {
+func (a *App) ApplyRejecting(delivered time.Time, s *files.Snapshot, refusedClasses map[string]string) error {
 	deliveredAt := a.clock.Now() - time.Since(delivered)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	old := a.state.Load()
-	next, err := newState(old, s, rejectedClasses)
+	next, err := newState(old, s, refusedClasses)
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 	for i := range next.program.Classes {
 		c := &next.program.Classes[i]
 		from := old.validFrom[c.Name]
-		if old.program != nil && (next.rejectedClasses[c.Name] != "" || !hasSameGuarantees(old.program, c)) {
+		if old.program != nil && (next.refusedClasses[c.Name] != "" || !hasSameGuarantees(old.program, c)) {
 			from = next.sequence
 		}
 		if from > 0 {
--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -32,7 +32,7 @@
 	if a.LeaseValid != nil && !a.LeaseValid() {
 		return ingress.Destination{}, s.unavailable("the node's lease is over")
 	}
-	if reason := s.rejectedClasses[c.Name]; reason != "" {
+	if reason := s.refusedClasses[c.Name]; reason != "" {
 		return ingress.Destination{}, s.unavailable(reason)
 	}
 	out := s.destination(match.Route, c)
--- a/internal/app/state.go
+++ b/internal/app/state.go
@@ -18,8 +18,8 @@
 	tenants  *tenantTable
 	settings *policy.Settings // of all clusters
 	clusters map[string]*managedCluster
-	// rejectedClasses has, by class, the reason why its requests are rejected while this state is in force.
-	rejectedClasses map[string]string
+	// refusedClasses has, by class, the reason why its requests are rejected while this state is in force.
+	refusedClasses map[string]string
 	// sequence counts the states.
 	sequence uint64
 	// validFrom has, by class, the sequence of the first state whose decisions are still valid; none: 0. Requests that
@@ -29,7 +29,7 @@
 
 // newState returns the state that follows another one, without clusters. Tenants and settings that are equal are
 // shared.
-func newState(old *state, s *files.Snapshot, rejectedClasses map[string]string) (*state, error) {
+func newState(old *state, s *files.Snapshot, refusedClasses map[string]string) (*state, error) {
 	tenants, err := newTenantTable(old.tenants, s.Program)
 	if err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 	}
 	next := &state{
 		program: s.Program, version: s.Version, tenants: tenants, settings: settings,
-		clusters: map[string]*managedCluster{}, rejectedClasses: rejectedClasses, sequence: old.sequence + 1,
+		clusters: map[string]*managedCluster{}, refusedClasses: refusedClasses, sequence: old.sequence + 1,
 	}
 	next.validFrom = validFrom(old, next)
 	return next, nil
--- a/internal/cli/fleet_init.go
+++ b/internal/cli/fleet_init.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	isVoter := slices.ContainsFunc(config.Voters, func(v agent.Voter) bool { return v.Name == config.Name })
+	isVoter := slices.ContainsFunc(config.Voters, func(v agent.VoterAddress) bool { return v.Name == config.Name })
 	if !isVoter {
 		return fmt.Errorf("%s: voters: %s is not among them, and needs no init", f.config, config.Name)
 	}
--- a/internal/cli/fleet_member.go
+++ b/internal/cli/fleet_member.go
@@ -25,7 +25,7 @@
 		Log:          log,
 	}
 	for _, v := range a.Voters {
-		c.Voters = append(c.Voters, agent.Voter{Name: v.Name, Address: v.Address})
+		c.Voters = append(c.Voters, agent.VoterAddress{Name: v.Name, Address: v.Address})
 	}
 	if keys != nil && a.Roots != "" {
 		c.ServerTLS = keys.ServerConfig(tlskeys.ClientAuth{Roots: a.Roots, Require: true}, "h2")
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -94,7 +94,7 @@
 }
 
 // listen creates the nodes, and listeners for those that vote.
-func (d *fleetDemo) listen() (voters []agent.Voter, err error) {
+func (d *fleetDemo) listen() (voters []agent.VoterAddress, err error) {
 	for i := range fleetNodes {
 		n := &fleetNode{name: string(rune('a' + i))}
 		d.nodes = append(d.nodes, n)
@@ -104,7 +104,7 @@
 		if n.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return nil, err
 		}
-		voters = append(voters, agent.Voter{Name: n.name, Address: n.listener.Addr().String()})
+		voters = append(voters, agent.VoterAddress{Name: n.name, Address: n.listener.Addr().String()})
 	}
 	return voters, nil
 }
--- a/internal/demo/fleetnode.go
+++ b/internal/demo/fleetnode.go
@@ -29,7 +29,7 @@
 }
 
 // open opens a node with a link to each voter but itself.
-func (n *fleetNode) open(dir string, leases lease.Config, voters []agent.Voter) error {
+func (n *fleetNode) open(dir string, leases lease.Config, voters []agent.VoterAddress) error {
 	c := agent.Config{
 		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: leases,
 		Log: slog.New(slog.DiscardHandler),
@@ -75,7 +75,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.window = class.DedupWindow.String()
-	if v.Refused[class.Name] != "" {
+	if v.RefusedClasses[class.Name] != "" {
 		n.window = keyedRefused
 	}
 	return nil
--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -40,7 +40,7 @@
 
 // serveHello admits another voter's start, unless this voter has seen a later one.
 func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*StartReply, error) {
-	if !slices.ContainsFunc(n.Voters, func(v Voter) bool { return v.Name == start.Name }) {
+	if !slices.ContainsFunc(n.Voters, func(v VoterAddress) bool { return v.Name == start.Name }) {
 		name := start.Name[:min(len(start.Name), consensus.MaxName)]
 		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", name)
 	}
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -45,7 +45,7 @@
 type group struct {
 	t      testing.TB
 	dir    string
-	voters []Voter
+	voters []VoterAddress
 	nodes  []*one
 	client *Client
 	keys   []*tlskeys.Store // by node; nil: clear text
@@ -81,7 +81,7 @@
 			}
 			n.listen = l.Addr().String()
 			l.Close()
-			g.voters = append(g.voters, Voter{n.name, n.listen})
+			g.voters = append(g.voters, VoterAddress{n.name, n.listen})
 		}
 		g.nodes = append(g.nodes, n)
 	}
@@ -142,7 +142,7 @@
 			defer n.mu.Unlock()
 			c := a.Program.Classes[0]
 			word := []string{"safe", "keyed", "unsafe"}[c.Idempotency]
-			if a.Refused[c.Name] != "" {
+			if a.RefusedClasses[c.Name] != "" {
 				word = "-"
 			}
 			n.acts = append(n.acts, word)
--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -61,7 +61,7 @@
 	previous := n.boundByLease(active)
 	if err := n.Apply(effective); err != nil {
 		n.applied.Store(previous) // the program still acts on that
-		n.rejectVersions(active, err)
+		n.markUnusable(active, err)
 		return
 	}
 	n.leaseMu.Lock()
@@ -88,11 +88,11 @@
 		return consensus.EffectiveVersion{Version: version}, true
 	}
 	stricter := consensus.Stricter(version, pending)
-	if err := errors.Join(consensus.AsStrict(stricter, version), consensus.AsStrict(stricter, pending)); err != nil {
+	if err := errors.Join(consensus.CheckNotLaxer(stricter, version), consensus.CheckNotLaxer(stricter, pending)); err != nil {
 		n.Log.Error("combined version is laxer than one of its parts, refusing all classes",
 			"versions", active.String(), "err", err)
 		for _, c := range stricter.Program.Classes {
-			stricter.Refused[c.Name] = "the rules change"
+			stricter.RefusedClasses[c.Name] = "the rules change"
 		}
 	}
 	return stricter, true
@@ -110,17 +110,17 @@
 	return current
 }
 
-// rejectVersions records that the program can't apply the newer of the versions, and reports it while that version is
+// markUnusable records that the program can't apply the newer of the versions, and reports it while that version is
 // pending.
-func (n *Node) rejectVersions(active consensus.ActiveVersions, err error) {
+func (n *Node) markUnusable(active consensus.ActiveVersions, err error) {
 	newest := max(active.Version, active.PendingVersion)
 	n.versionsMu.Lock()
-	n.rejected[newest] = err.Error()
+	n.unusable[newest] = err.Error()
 	delete(n.versions, newest)
 	n.versionsMu.Unlock()
 	n.Log.Error("version not applied", "versions", active.String(), "err", err)
 	if active.PendingVersion != 0 {
-		n.background.Go(func() { n.reportRefusal(active.PendingVersion, err.Error()) })
+		n.background.Go(func() { n.reportUnusable(active.PendingVersion, err.Error()) })
 	}
 }
 
--- a/internal/fleet/agent/client.go
+++ b/internal/fleet/agent/client.go
@@ -26,12 +26,12 @@
 
 // Client is an operator's client of a fleet's voters.
 type Client struct {
-	voters []Voter
+	voters []VoterAddress
 	conns  []*Conn
 }
 
 // NewClient creates a client. Its connections are established when they are needed.
-func NewClient(fleet string, voters []Voter, with *tls.Config, more ...grpc.DialOption) (*Client, error) {
+func NewClient(fleet string, voters []VoterAddress, with *tls.Config, more ...grpc.DialOption) (*Client, error) {
 	c := &Client{voters: voters}
 	for _, v := range voters {
 		conn, err := Dial(v, with, fleet, more...)
--- a/internal/fleet/agent/conn.go
+++ b/internal/fleet/agent/conn.go
@@ -28,7 +28,7 @@
 )
 
 // Dial returns a connection to a voter. It is established when it is first used, and re-established when it breaks.
-func Dial(v Voter, with *tls.Config, fleet string, more ...grpc.DialOption) (*Conn, error) {
+func Dial(v VoterAddress, with *tls.Config, fleet string, more ...grpc.DialOption) (*Conn, error) {
 	creds := insecure.NewCredentials()
 	if with != nil {
 		creds = credentials.NewTLS(with)
--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -22,11 +22,11 @@
 	"yokestall/internal/fleet/store"
 )
 
-// Voter is the name and the address of a voter of the fleet.
-type Voter struct{ Name, Address string }
+// VoterAddress is the name and the address of a voter of the fleet.
+type VoterAddress struct{ Name, Address string }
 
 // ID returns the voter's id in the log.
-func (v Voter) ID() uint64 { return voterID(v.Name) }
+func (v VoterAddress) ID() uint64 { return voterID(v.Name) }
 
 // voterID returns the id in the log of the voter of a name: its FNV-1a hash.
 func voterID(name string) uint64 {
@@ -37,7 +37,7 @@
 
 func hash(data []byte) string { return store.Hash(data) }
 
-func voterIDs(voters []Voter) (ids []uint64) {
+func voterIDs(voters []VoterAddress) (ids []uint64) {
 	for _, v := range voters {
 		ids = append(ids, v.ID())
 	}
@@ -47,9 +47,9 @@
 
 // Config configures a node.
 type Config struct {
-	Fleet, Name  string  // of the fleet, and of this node
-	Dir          string  // folder of the store
-	Voters       []Voter // all voters of the fleet, this node included if it is one
+	Fleet, Name  string         // of the fleet, and of this node
+	Dir          string         // folder of the store
+	Voters       []VoterAddress // all voters of the fleet, this node included if it is one
 	Lease        lease.Config
 	Disconnected lease.DisconnectedPolicy // after the lease has expired
 	ServerTLS    *tls.Config              // nil: clear text, for loopback only
@@ -99,7 +99,7 @@
 	versionsMu sync.Mutex                     // guards versions to fetching
 	versions   map[uint64]*consensus.Version  // the cache, by number
 	manifests  map[uint64]*consensus.Manifest // of the cached versions
-	rejected   map[uint64]string              // why this node can't use a version, by number
+	unusable   map[uint64]string              // why this node can't use a version, by number
 	fetching   map[uint64]bool                // versions with a fetchVersion in progress
 
 	parseMu         sync.Mutex         // guards lastParsed and lastParsedParts, and serializes Parse
@@ -149,14 +149,14 @@
 		stateChanged: make(chan struct{}), recentContent: map[string]time.Time{},
 		renewNow: make(chan struct{}), wake: make(chan struct{}, 1),
 		versions: map[uint64]*consensus.Version{}, manifests: map[uint64]*consensus.Manifest{},
-		rejected: map[uint64]string{}, fetching: map[uint64]bool{},
+		unusable: map[uint64]string{}, fetching: map[uint64]bool{},
 	}
 	var err error
 	if n.store, err = store.Open(c.Dir); err != nil {
 		return nil, err
 	}
 	n.ctx, n.stop = context.WithCancel(context.Background())
-	n.lease = consensus.NewLease(c.Lease, len(c.Voters), n.hasVersion)
+	n.lease = consensus.NewLease(c.Lease, len(c.Voters), n.hasOrFetch)
 	if err := n.connect(); err != nil {
 		n.Close()
 		return nil, err
--- a/internal/fleet/agent/releaserunner.go
+++ b/internal/fleet/agent/releaserunner.go
@@ -19,7 +19,7 @@
 	token   uint64 // by which this node owns releases
 	release string
 	wave    int
-	phase   consensus.Phase
+	phase   consensus.WavePhase
 }
 
 // runReleases carries out releases while this node owns that task, until the node stops.
--- a/internal/fleet/agent/silent_test.go
+++ b/internal/fleet/agent/silent_test.go
@@ -49,7 +49,7 @@
 	t.Parallel()
 	g := newGroup(t, 3, 0)
 	relay := newSilenceable(t, g.voters[2].Address)
-	voters := []Voter{g.voters[0], g.voters[1], {g.voters[2].Name, relay.address}}
+	voters := []VoterAddress{g.voters[0], g.voters[1], {g.voters[2].Name, relay.address}}
 	g.client.Close()
 	var err error
 	if g.client, err = NewClient("f", voters, nil); err != nil {
--- a/internal/fleet/agent/versions.go
+++ b/internal/fleet/agent/versions.go
@@ -18,14 +18,14 @@
 	refusalTimeout  = time.Second     // for one voter to take a refusal
 )
 
-// hasVersion reports whether a version is cached, and begins to fetch it if not; n.leaseMu is held.
-func (n *Node) hasVersion(number uint64) bool {
+// hasOrFetch reports whether a version is cached, and begins to fetch it if not; n.leaseMu is held.
+func (n *Node) hasOrFetch(number uint64) bool {
 	n.versionsMu.Lock()
 	defer n.versionsMu.Unlock()
 	if n.versions[number] != nil {
 		return true
 	}
-	if number != 0 && !n.fetching[number] && n.rejected[number] == "" {
+	if number != 0 && !n.fetching[number] && n.unusable[number] == "" {
 		n.fetching[number] = true
 		n.background.Go(func() { n.fetchVersion(number) })
 	}
@@ -68,13 +68,13 @@
 	if err == nil {
 		n.cacheVersion(m, v)
 	} else {
-		n.rejected[number] = err.Error()
-		maps.DeleteFunc(n.rejected, func(old uint64, _ string) bool { return old+maxCachedVersions < number })
+		n.unusable[number] = err.Error()
+		maps.DeleteFunc(n.unusable, func(old uint64, _ string) bool { return old+maxCachedVersions < number })
 	}
 	n.versionsMu.Unlock()
 	if err != nil {
 		n.Log.Error("version not usable", "version", number, "err", err)
-		n.reportRefusal(number, err.Error())
+		n.reportUnusable(number, err.Error())
 	}
 	n.handleLeaseReply(nil, nil)
 }
@@ -105,8 +105,8 @@
 	return a != nil && (number == a.versions.Version || number == a.versions.PendingVersion)
 }
 
-// reportRefusal reports to the voters that this node can't use a version, until it is no longer pending.
-func (n *Node) reportRefusal(number uint64, reason string) {
+// reportUnusable reports to the voters that this node can't use a version, until it is no longer pending.
+func (n *Node) reportUnusable(number uint64, reason string) {
 	for n.ctx.Err() == nil {
 		if n.logStatus().PendingVersion != number {
 			return
--- a/internal/fleet/consensus/contradict_test.go
+++ b/internal/fleet/consensus/contradict_test.go
@@ -149,11 +149,11 @@
 		a, b := drawn(t, rng), drawn(t, rng)
 		joint := Stricter(a, b)
 		for _, v := range []*Version{a, b} {
-			if err := AsStrict(joint, v); err != nil {
+			if err := CheckNotLaxer(joint, v); err != nil {
 				t.Fatalf("%v\ndifferences: %v", err, Differences(a, b))
 			}
 		}
-		there, back := AsStrict(EffectiveVersion{Version: a}, b), AsStrict(EffectiveVersion{Version: b}, a)
+		there, back := CheckNotLaxer(EffectiveVersion{Version: a}, b), CheckNotLaxer(EffectiveVersion{Version: b}, a)
 		if Contradicts(Differences(a, b)) && there == nil && back == nil {
 			t.Fatalf("neither is laxer: %v", Differences(a, b))
 		}
@@ -167,8 +167,8 @@
 	for _, tc := range changes { // of one kind alone, too
 		a := version(t, program, servers)
 		b := version(t, strings.Replace(program, tc.old, tc.new, 1), strings.Replace(servers, tc.old, tc.new, 1))
-		if row := Table()[tc.want]; row.Contradicts && AsStrict(EffectiveVersion{Version: a}, b) == nil &&
-			AsStrict(EffectiveVersion{Version: b}, a) == nil {
+		if row := Table()[tc.want]; row.Contradicts && CheckNotLaxer(EffectiveVersion{Version: a}, b) == nil &&
+			CheckNotLaxer(EffectiveVersion{Version: b}, a) == nil {
 			t.Errorf("%s: neither is laxer", row.What)
 		}
 	}
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -16,7 +16,7 @@
 	p := *last.Program
 	p.Classes = slices.Clone(p.Classes)
 	out := EffectiveVersion{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
-	maps.Copy(out.Refused, last.Refused) // no safe choice exists for these classes now either
+	maps.Copy(out.RefusedClasses, last.RefusedClasses) // no safe choice exists for these classes now either
 	if rules.Effects == lease.Cautious {
 		p.Limits.MaxAttempts, p.Limits.AllowHedging = 1, false
 	}
@@ -28,9 +28,9 @@
 		}
 		switch {
 		case rules.Effects == lease.Refuse, rules.Servers == lease.Refuse, rules.Routes == lease.Refuse:
-			out.Refused[c.Name] = "the node is cut off from the fleet"
+			out.RefusedClasses[c.Name] = "the node is cut off from the fleet"
 		case !safe && (rules.Routes == lease.Cautious || rules.Servers == lease.Cautious):
-			out.Refused[c.Name] = "the node is cut off from the fleet, and the class's routes or servers may have changed"
+			out.RefusedClasses[c.Name] = "the node is cut off from the fleet, and the class's routes or servers may have changed"
 		}
 	}
 	if rules.Servers != lease.ServeLast {
--- a/internal/fleet/consensus/disconnected_test.go
+++ b/internal/fleet/consensus/disconnected_test.go
@@ -23,13 +23,13 @@
 			t.Fatalf("attempts: %+v", a.Program.Limits)
 		}
 		for _, c := range last.Program.Classes {
-			if c.Idempotency != policy.Idempotent && a.Refused[c.Name] == "" {
+			if c.Idempotency != policy.Idempotent && a.RefusedClasses[c.Name] == "" {
 				t.Fatalf("class %s is served alone", c.Name)
 			}
 		}
 		// Of what is left, only what the documents name may be laxer than a version that follows: a server that is out by
 		// then, or has moved or started; wider budgets; routes of a class that was safe and is no more.
-		if err := AsStrict(a, next); err != nil && !strings.HasPrefix(err.Error(), "server ") &&
+		if err := CheckNotLaxer(a, next); err != nil && !strings.HasPrefix(err.Error(), "server ") &&
 			!strings.HasPrefix(err.Error(), "cold ") &&
 			!strings.HasPrefix(err.Error(), "host ") {
 			t.Fatal(err)
@@ -43,11 +43,11 @@
 	last := version(t, program, servers)
 	serveLast := lease.DisconnectedPolicy{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}
 	a := DisconnectedVersion(EffectiveVersion{Version: last}, serveLast, now)
-	if AsStrict(a, last) != nil || AsStrict(EffectiveVersion{Version: last}, a.Version) != nil || len(a.Refused) > 0 {
-		t.Errorf("not as the last: %v", a.Refused)
+	if CheckNotLaxer(a, last) != nil || CheckNotLaxer(EffectiveVersion{Version: last}, a.Version) != nil || len(a.RefusedClasses) > 0 {
+		t.Errorf("not as the last: %v", a.RefusedClasses)
 	}
 	between := EffectiveVersion{last, map[string]string{"push": "its routes change"}}
-	if a := DisconnectedVersion(between, serveLast, now); a.Refused["push"] == "" {
+	if a := DisconnectedVersion(between, serveLast, now); a.RefusedClasses["push"] == "" {
 		t.Error("what was refused between two versions is served alone")
 	}
 	for _, r := range []lease.DisconnectedPolicy{
@@ -55,8 +55,8 @@
 		{Effects: lease.ServeLast, Routes: lease.Refuse, Servers: lease.ServeLast},
 		{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.Refuse},
 	} {
-		if a := DisconnectedVersion(EffectiveVersion{Version: last}, r, now); len(a.Refused) != 2 {
-			t.Errorf("%+v: %v", r, a.Refused)
+		if a := DisconnectedVersion(EffectiveVersion{Version: last}, r, now); len(a.RefusedClasses) != 2 {
+			t.Errorf("%+v: %v", r, a.RefusedClasses)
 		}
 	}
 	if _, err := lease.ParseDisconnectedAction("brave"); err == nil {
--- a/internal/fleet/consensus/entry.go
+++ b/internal/fleet/consensus/entry.go
@@ -46,15 +46,15 @@
 	EpochAck      *EpochAck       `json:"clear,omitempty"`
 	Refusal       *Refusal        `json:"refuse,omitempty"`
 	Assignment    *TaskAssignment `json:"own,omitempty"`
-	TaskRelease   *OwnershipEnd   `json:"free,omitempty"`
+	OwnershipEnd  *OwnershipEnd   `json:"free,omitempty"`
 	Release       *Release        `json:"release,omitempty"`
 	ReleaseUpdate *ReleaseUpdate  `json:"move,omitempty"`
 }
 
 // EpochAck is a voter's statement that no node that it granted a lease acts on anything before an epoch any more.
 type EpochAck struct {
-	Epoch uint64 `json:"epoch"`
-	Voter uint64 `json:"voter"`
+	Epoch   uint64 `json:"epoch"`
+	VoterID uint64 `json:"voter"`
 }
 
 // Refusal is a node's statement that it can't use a pending version.
@@ -93,7 +93,7 @@
 func (e *Entry) kinds() (set int) {
 	for _, isSet := range []bool{
 		e.Propose != nil, e.EpochAck != nil, e.Refusal != nil,
-		e.Assignment != nil, e.TaskRelease != nil,
+		e.Assignment != nil, e.OwnershipEnd != nil,
 		e.Release != nil, e.ReleaseUpdate != nil,
 	} {
 		if isSet {
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -33,10 +33,10 @@
 	manifest, release := goldenManifest(), goldenRelease()
 	return []Entry{
 		{Propose: &manifest},
-		{EpochAck: &EpochAck{Epoch: 21, Voter: 22}},
+		{EpochAck: &EpochAck{Epoch: 21, VoterID: 22}},
 		{Refusal: &Refusal{Number: 23, Node: "node-c", Reason: "reason-c"}},
 		{Assignment: &TaskAssignment{Task: "task-a", Node: "node-d", Incarnation: "incarnation-d", ExpectedToken: 24}},
-		{TaskRelease: &OwnershipEnd{Task: "task-b", TransferIndex: 25, Voter: 26}},
+		{OwnershipEnd: &OwnershipEnd{Task: "task-b", TransferIndex: 25, VoterID: 26}},
 		{Release: &release},
 		{ReleaseUpdate: &ReleaseUpdate{ID: "release-b", Wave: 1, Phase: Restarting, Action: PauseRelease, Reason: "reason-d"}},
 	}
@@ -86,7 +86,7 @@
 	golden.Lines(t, "testdata/golden/lease.jsonl",
 		LeaseRequest{Node: "node-a", Incarnation: "incarnation-a", Sequence: 31, ConfirmedEpoch: 32, ConfirmedOwnership: 33},
 		Grant{
-			Voter: 34, Sequence: 35, MaxEpoch: 36, OwnershipRevision: 37,
+			VoterID: 34, Sequence: 35, MaxEpoch: 36, OwnershipRevision: 37,
 			LogStatus: LogStatus{Index: 38, Epoch: 39, ActiveVersion: 40, PendingVersion: 41},
 		},
 		ActiveVersions{Epoch: 42, Version: 43, PendingVersion: 44},
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -38,7 +38,7 @@
 // Grant is a voter's promise for a lease's duration from the request on: unless the node confirms, the voter
 // acknowledges no epoch after MaxEpoch, and releases no task that the node's process loses after OwnershipRevision.
 type Grant struct {
-	Voter             uint64    `json:"voter"`
+	VoterID           uint64    `json:"voter"`
 	Sequence          uint64    `json:"seq"`
 	MaxEpoch          uint64    `json:"upto"`
 	OwnershipRevision uint64    `json:"set"`
@@ -112,12 +112,12 @@
 func (l *Lease) HandleGrant(g Grant) {
 	l.UpdateLogStatus(g.LogStatus)
 	requested, known := l.requestedAt[g.Sequence]
-	if !known || len(l.epochGrants) >= 2*l.voters && l.epochGrants[g.Voter] == nil {
+	if !known || len(l.epochGrants) >= 2*l.voters && l.epochGrants[g.VoterID] == nil {
 		return
 	}
 	end := requested + l.config.HolderTerm()
-	l.epochGrants.add(g.Voter, activeGrant{g.MaxEpoch, end}, l.logStatus.Epoch)
-	l.ownershipGrants.add(g.Voter, activeGrant{g.OwnershipRevision, end}, l.ownershipRevision+1)
+	l.epochGrants.add(g.VoterID, activeGrant{g.MaxEpoch, end}, l.logStatus.Epoch)
+	l.ownershipGrants.add(g.VoterID, activeGrant{g.OwnershipRevision, end}, l.ownershipRevision+1)
 }
 
 // UpdateLogStatus records what a voter says of the log.
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -60,7 +60,7 @@
 	leases.epochs.extend(s.LeaseEpoch(), request.ConfirmedEpoch, end)
 	leases.ownership.extend(s.OwnershipRevision(request.Node, request.Incarnation), request.ConfirmedOwnership, end)
 	return Grant{
-		Voter: voter, Sequence: request.Sequence, LogStatus: s.LogStatus(),
+		VoterID: voter, Sequence: request.Sequence, LogStatus: s.LogStatus(),
 		MaxEpoch: leases.epochs.revision, OwnershipRevision: leases.ownership.revision,
 	}, nil
 }
--- a/internal/fleet/consensus/release.go
+++ b/internal/fleet/consensus/release.go
@@ -67,31 +67,31 @@
 	return nil
 }
 
-// Phase is a step of a wave.
-type Phase uint8
+// WavePhase is a step of a wave.
+type WavePhase uint8
 
 // The phases of a wave, in their order.
 const (
-	TakingOut   Phase = iota // the version without the wave has yet to come into force
-	Draining                 // the wave's last requests finish
-	Restarting               // the servers may be restarted
-	PuttingBack              // the version with the wave has yet to come into force
-	Warming                  // the servers are back and in slow start
+	TakingOut   WavePhase = iota // the version without the wave has yet to come into force
+	Draining                     // the wave's last requests finish
+	Restarting                   // the servers may be restarted
+	PuttingBack                  // the version with the wave has yet to come into force
+	Warming                      // the servers are back and in slow start
 	phaseCount
 )
 
 var phaseNames = [...]string{"taking it out", "draining", "away", "giving it back", "warming"}
 
 // String formats the phase for operators.
-func (p Phase) String() string { return phaseNames[p%phaseCount] }
+func (p WavePhase) String() string { return phaseNames[p%phaseCount] }
 
 // ReleaseProgress is a release's state in the log. Waves and phases only advance, whichever node proposes it.
 type ReleaseProgress struct {
 	Release
-	Wave   int    `json:"wave"` // from 0; len(Waves): all are done
-	Phase  Phase  `json:"phase"`
-	Paused bool   `json:"paused,omitempty"`
-	Result string `json:"ended,omitempty"` // how the release ended: "done", or why it was stopped; "": it goes on
+	Wave   int       `json:"wave"` // from 0; len(Waves): all are done
+	Phase  WavePhase `json:"phase"`
+	Paused bool      `json:"paused,omitempty"`
+	Result string    `json:"ended,omitempty"` // how the release ended: "done", or why it was stopped; "": it goes on
 	// StopReason is set once the release is to end with its present wave, as soon as that is back in use.
 	StopReason string `json:"stops,omitempty"`
 }
@@ -118,7 +118,7 @@
 type ReleaseUpdate struct {
 	ID     string        `json:"id"`
 	Wave   int           `json:"wave"`
-	Phase  Phase         `json:"phase"`
+	Phase  WavePhase     `json:"phase"`
 	Action ReleaseAction `json:"word,omitempty"`
 	Reason string        `json:"why,omitempty"`
 }
@@ -205,6 +205,6 @@
 // PublishID is the id of the version by which the present phase takes effect: the same whichever node publishes it,
 // and however often.
 func (p *ReleaseProgress) PublishID() string {
-	direction := map[Phase]string{TakingOut: "out", PuttingBack: "in"}[p.Phase]
+	direction := map[WavePhase]string{TakingOut: "out", PuttingBack: "in"}[p.Phase]
 	return fmt.Sprintf("release/%s/%d/%s", p.Release.ID, p.Wave, direction)
 }
--- a/internal/fleet/consensus/release_test.go
+++ b/internal/fleet/consensus/release_test.go
@@ -9,7 +9,7 @@
 	r := &Release{ID: "r", Cluster: "c", Waves: [][]string{{"a"}, {"b"}, {"c"}}}
 	s.startRelease(r)
 	s.startRelease(&Release{ID: "other", Cluster: "c", Waves: [][]string{{"a"}}})
-	at := func(wave int, phase Phase, ended string) {
+	at := func(wave int, phase WavePhase, ended string) {
 		t.Helper()
 		if p := s.Release; p.Release.ID != "r" || p.Wave != wave || p.Phase != phase || p.Result != ended {
 			t.Fatalf("%+v; want wave %d, %v, %q", p, wave, phase, ended)
--- a/internal/fleet/consensus/state.go
+++ b/internal/fleet/consensus/state.go
@@ -103,8 +103,8 @@
 		s.refuseVersion(e.Refusal)
 	case e.Assignment != nil:
 		s.assignTask(index, e.Assignment)
-	case e.TaskRelease != nil:
-		s.releaseTask(index, e.TaskRelease, voters)
+	case e.OwnershipEnd != nil:
+		s.confirmOwnershipEnd(index, e.OwnershipEnd, voters)
 	case e.Release != nil:
 		s.startRelease(e.Release)
 	case e.ReleaseUpdate != nil:
@@ -175,11 +175,11 @@
 	if s.PendingVersion == 0 || ack.Epoch != s.Epoch+1 {
 		return
 	}
-	at, recorded := slices.BinarySearch(s.EpochAcks, ack.Voter)
+	at, recorded := slices.BinarySearch(s.EpochAcks, ack.VoterID)
 	if recorded {
 		return
 	}
-	s.EpochAcks = slices.Insert(s.EpochAcks, at, ack.Voter)
+	s.EpochAcks = slices.Insert(s.EpochAcks, at, ack.VoterID)
 	if len(s.EpochAcks) <= voters/2 {
 		return
 	}
--- a/internal/fleet/consensus/state_test.go
+++ b/internal/fleet/consensus/state_test.go
@@ -43,10 +43,10 @@
 					}
 				}
 			case 2, 3:
-				c := &EpochAck{Epoch: epoch + uint64(rng.IntN(3)), Voter: uint64(1 + rng.IntN(3))}
+				c := &EpochAck{Epoch: epoch + uint64(rng.IntN(3)), VoterID: uint64(1 + rng.IntN(3))}
 				e.EpochAck = c
 				if waits != 0 && c.Epoch == epoch+1 {
-					if cleared[c.Voter] = true; len(cleared) == 2 {
+					if cleared[c.VoterID] = true; len(cleared) == 2 {
 						present, waits, epoch, alive = waits, 0, epoch+1, 1
 					}
 				}
@@ -87,7 +87,7 @@
 		}
 		s.addVersion(manifest(fmt.Sprint(i), s.ActiveVersion, i%3 == 0, parts))
 		if s.PendingVersion != 0 {
-			s.acknowledgeEpoch(&EpochAck{Epoch: s.Epoch + 1, Voter: 1}, 1)
+			s.acknowledgeEpoch(&EpochAck{Epoch: s.Epoch + 1, VoterID: 1}, 1)
 		}
 		total := 0
 		for _, m := range s.History {
--- a/internal/fleet/consensus/strictcheck.go
+++ b/internal/fleet/consensus/strictcheck.go
@@ -9,9 +9,9 @@
 	"yokestall/policy"
 )
 
-// AsStrict returns how acting on a could break a rule that b keeps; nil: it can't. It compares the rules alone,
+// CheckNotLaxer returns how acting on a could break a rule that b keeps; nil: it can't. It compares the rules alone,
 // however a was made.
-func AsStrict(a EffectiveVersion, b *Version) error {
+func CheckNotLaxer(a EffectiveVersion, b *Version) error {
 	for _, laxer := range []func(a EffectiveVersion, b *Version) error{laxerClass, laxerRoute, laxerBudget, laxerServer} {
 		if err := laxer(a, b); err != nil {
 			return err
@@ -25,7 +25,7 @@
 	for i := range a.Program.Classes {
 		x := &a.Program.Classes[i]
 		at := b.Program.Class(x.Name)
-		if at < 0 || a.Refused[x.Name] != "" {
+		if at < 0 || a.RefusedClasses[x.Name] != "" {
 			continue
 		}
 		y := &b.Program.Classes[at]
@@ -44,7 +44,7 @@
 func laxerRoute(a EffectiveVersion, b *Version) (err error) {
 	differingRoutes(a.Program, b.Program, func(host string, routes, _ []route.Route, _ int) {
 		for _, r := range routes {
-			if isUnsafe(b.Program, r.Class) && a.Refused[r.Class] == "" {
+			if isUnsafe(b.Program, r.Class) && a.RefusedClasses[r.Class] == "" {
 				err = fmt.Errorf("host %s: route %s of class %s leads elsewhere in the other", host, r.Name, r.Class)
 			}
 		}
--- a/internal/fleet/consensus/stricter.go
+++ b/internal/fleet/consensus/stricter.go
@@ -13,7 +13,7 @@
 // safe choice exists for them.
 type EffectiveVersion struct {
 	*Version
-	Refused map[string]string // by class: why
+	RefusedClasses map[string]string // by class: why
 }
 
 // Stricter combines two versions that contradict each other into rules that contradict neither: for each kind of rule
@@ -44,7 +44,7 @@
 	a.OverloadMultiple = min(a.OverloadMultiple, b.OverloadMultiple)
 	a.OverloadDuration = min(a.OverloadDuration, b.OverloadDuration)
 	for name := range changedUnsafeRoutes(from.Program, to.Program) {
-		out.Refused[name] = "its routes change"
+		out.RefusedClasses[name] = "its routes change"
 	}
 	for name, c := range from.Clusters {
 		out.Clusters[name] = stricterCluster(c, to.Clusters[name])
--- a/internal/fleet/consensus/taskassignment.go
+++ b/internal/fleet/consensus/taskassignment.go
@@ -55,22 +55,22 @@
 
 // manageTasks proposes the releases of tasks that this voter can confirm and, at the leader, new assignments.
 func (v *Voter) manageTasks(now time.Duration) {
-	v.releaseTasks(now)
+	v.proposeOwnershipEnds(now)
 	if v.Leader() == v.ID && now >= v.leases.quietUntil {
 		v.assignTasks(now)
 	}
 }
 
-// releaseTasks proposes a TaskRelease for each task that is moved and whose former owner no longer acts on a lease of
+// proposeOwnershipEnds proposes a TaskRelease for each task that is moved and whose former owner no longer acts on a lease of
 // this voter.
-func (v *Voter) releaseTasks(now time.Duration) {
+func (v *Voter) proposeOwnershipEnds(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(v.state.Tasks)) {
 		task := v.state.Tasks[name]
 		if task.TransferIndex == 0 || slices.Contains(task.EndConfirmedBy, v.ID) {
 			continue
 		}
 		if v.shouldPropose("free "+name, task.TransferIndex) && v.leases.FormerOwnerEnded(now, task) {
-			v.Propose(&Entry{TaskRelease: &OwnershipEnd{Task: name, TransferIndex: task.TransferIndex, Voter: v.ID}})
+			v.Propose(&Entry{OwnershipEnd: &OwnershipEnd{Task: name, TransferIndex: task.TransferIndex, VoterID: v.ID}})
 		}
 	}
 }
--- a/internal/fleet/consensus/tasks.go
+++ b/internal/fleet/consensus/tasks.go
@@ -51,7 +51,7 @@
 type OwnershipEnd struct {
 	Task          string `json:"work"`
 	TransferIndex uint64 `json:"asked"`
-	Voter         uint64 `json:"voter"`
+	VoterID       uint64 `json:"voter"`
 }
 
 // processKey identifies a process in the state.
@@ -96,17 +96,17 @@
 	s.OwnershipRevisions[processKey(task.Owner, task.Incarnation)] = index
 }
 
-// releaseTask records a voter's release of a task that is moved. That of a majority makes the next owner the owner.
-func (s *State) releaseTask(index uint64, r *OwnershipEnd, voters int) {
+// confirmOwnershipEnd records a voter's release of a task that is moved. That of a majority makes the next owner the owner.
+func (s *State) confirmOwnershipEnd(index uint64, r *OwnershipEnd, voters int) {
 	task, known := s.Tasks[r.Task]
 	if !known || task.TransferIndex == 0 || task.TransferIndex != r.TransferIndex {
 		return
 	}
-	at, released := slices.BinarySearch(task.EndConfirmedBy, r.Voter)
+	at, released := slices.BinarySearch(task.EndConfirmedBy, r.VoterID)
 	if released {
 		return
 	}
-	task.EndConfirmedBy = slices.Insert(slices.Clone(task.EndConfirmedBy), at, r.Voter)
+	task.EndConfirmedBy = slices.Insert(slices.Clone(task.EndConfirmedBy), at, r.VoterID)
 	if len(task.EndConfirmedBy) > voters/2 {
 		task = TaskOwnership{Owner: task.NextOwner, Incarnation: task.NextIncarnation, Token: index}
 		s.OwnershipRevisions[processKey(task.Owner, task.Incarnation)] = index
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -199,7 +199,7 @@
 	if !ok || v.ackedEpoch == s.Epoch+1 && v.ticksSinceAck < ackRetryTicks {
 		return waitingFor
 	}
-	if v.Propose(&Entry{EpochAck: &EpochAck{Epoch: s.Epoch + 1, Voter: v.ID}}) == nil {
+	if v.Propose(&Entry{EpochAck: &EpochAck{Epoch: s.Epoch + 1, VoterID: v.ID}}) == nil {
 		v.ticksSinceAck, v.ackedEpoch = 0, s.Epoch+1
 	}
 	return nil
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -94,7 +94,7 @@
 }
 
 // NewMeter makes a meter of a process among voters that are spread over so many regions in turn.
-func NewMeter(voters []agent.Voter, regions int) *Meter {
+func NewMeter(voters []agent.VoterAddress, regions int) *Meter {
 	m := &Meter{regions: map[string]int{}, healed: make(chan struct{})}
 	close(m.healed)
 	for i, v := range voters {
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -39,7 +39,7 @@
 	command []string // of the program
 	env     []string
 	members members
-	voters  []agent.Voter
+	voters  []agent.VoterAddress
 	meter   *Meter // of the operator, who stands in region 0
 	keys    string // the folder of the run's keys; "": clear text
 	client  *agent.Client
@@ -130,7 +130,7 @@
 		if err != nil {
 			return err
 		}
-		r.voters = append(r.voters, agent.Voter{Name: m.name, Address: address})
+		r.voters = append(r.voters, agent.VoterAddress{Name: m.name, Address: address})
 	}
 	if r.plan.TLS {
 		if err := r.makeKeys(); err != nil {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -202,7 +202,7 @@
 // region 0.
 func pair(t *testing.T, region int) (m *Meter, near, far net.Conn) {
 	l := testutil.Listen(t)
-	m = NewMeter([]agent.Voter{{Name: "v0", Address: l.Addr().String()}}, 2)
+	m = NewMeter([]agent.VoterAddress{{Name: "v0", Address: l.Addr().String()}}, 2)
 	accepted := make(chan net.Conn)
 	go func() {
 		c, err := m.Listener(l).Accept()
--- a/internal/lab/versions/run.go
+++ b/internal/lab/versions/run.go
@@ -174,10 +174,10 @@
 }
 
 // voters returns the voters, by node.
-func (r *run) voters() []agent.Voter {
-	var list []agent.Voter
+func (r *run) voters() []agent.VoterAddress {
+	var list []agent.VoterAddress
 	for i := range r.Voters {
-		list = append(list, agent.Voter{Name: nodeName(i), Address: r.voterAddresses[i]})
+		list = append(list, agent.VoterAddress{Name: nodeName(i), Address: r.voterAddresses[i]})
 	}
 	return list
 }
