--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// effectiveVersion returns the version, or the stricter of two, that active stands for; false: one of them is not cached.
+// effectiveVersion returns the version, or the stricter of two, that active stands for; false: one of them is not
+// cached.
 func (n *Node) effectiveVersion(active consensus.ActiveVersions) (consensus.EffectiveVersion, bool) {
 	n.versionsMu.Lock()
 	version, pending := n.versions[active.Version], n.versions[active.PendingVersion]
@@ -88,7 +89,8 @@
 		return consensus.EffectiveVersion{Version: version}, true
 	}
 	stricter := consensus.Stricter(version, pending)
-	if err := errors.Join(consensus.CheckNotLaxer(stricter, version), consensus.CheckNotLaxer(stricter, pending)); err != nil {
+	err := errors.Join(consensus.CheckNotLaxer(stricter, version), consensus.CheckNotLaxer(stricter, pending))
+	if err != nil {
 		n.Log.Error("combined version is laxer than one of its parts, refusing all classes",
 			"versions", active.String(), "err", err)
 		for _, c := range stricter.Program.Classes {
@@ -140,11 +142,18 @@
 	n.versionsMu.Lock()
 	active, pending := n.versions[last.Version], n.versions[last.PendingVersion]
 	n.versionsMu.Unlock()
+	var effective consensus.EffectiveVersion
 	switch {
 	case active != nil && pending != nil:
-		n.applyDisconnected(consensus.Stricter(active, pending), last)
+		effective = consensus.Stricter(active, pending)
 	case active != nil:
-		n.applyDisconnected(consensus.EffectiveVersion{Version: active}, last)
+		effective = consensus.EffectiveVersion{Version: active}
+	default:
+		return
+	}
+	if n.applyDisconnected(effective, last) {
+		n.Log.Warn("lease expired, disconnected policy applied",
+			"versions", last.String(), "boot_time_ns", int64(BootTime()))
 	}
 }
 
@@ -162,14 +171,19 @@
 	n.versionsMu.Lock()
 	n.cacheVersion(m, v)
 	n.versionsMu.Unlock()
-	n.applyDisconnected(consensus.EffectiveVersion{Version: v}, consensus.ActiveVersions{Version: m.Number})
+	last := consensus.ActiveVersions{Version: m.Number}
+	if n.applyDisconnected(consensus.EffectiveVersion{Version: v}, last) {
+		n.Log.Warn("no lease since the start, disconnected policy applied",
+			"versions", last.String(), "boot_time_ns", int64(BootTime()))
+	}
 }
 
-// applyDisconnected makes the program act on what the disconnected policy leaves of a version.
-func (n *Node) applyDisconnected(effective consensus.EffectiveVersion, last consensus.ActiveVersions) {
+// applyDisconnected makes the program act on what the disconnected policy leaves of a version, and reports whether the
+// program does.
+func (n *Node) applyDisconnected(effective consensus.EffectiveVersion, last consensus.ActiveVersions) bool {
 	if err := n.Apply(consensus.DisconnectedVersion(effective, n.Disconnected, time.Now())); err != nil {
 		n.Log.Error("disconnected policy not applied", "err", err)
-		return
+		return false
 	}
 	until := time.Duration(math.MaxInt64)
 	if limit := n.Disconnected.MaxDuration; limit > 0 {
@@ -177,5 +191,5 @@
 	}
 	n.applied.Store(&appliedVersions{versions: last, disconnected: true, until: until})
 	n.notifyApplied(last, true)
-	n.Log.Warn("lease expired, disconnected policy applied", "versions", last.String(), "boot_time_ns", int64(BootTime()))
+	return true
 }
