--- a/internal/fleet/agent/client.go
+++ b/internal/fleet/agent/client.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"google.golang.org/grpc"
+
+	"yokestall/internal/fleet/consensus"
 )
 
 const (
@@ -96,13 +98,13 @@
 			latest = a.Status
 		}
 	}
-	if !c.isQuorum(answers) {
+	if answers < c.quorumSize() {
 		return nil, fmt.Errorf("%w: %d of %d (%s)", ErrNoQuorum, answers, len(c.conns), lastError)
 	}
 	return latest, nil
 }
 
-func (c *Client) isQuorum(voters int) bool { return voters > len(c.conns)/2 }
+func (c *Client) quorumSize() int { return consensus.QuorumSize(len(c.conns)) }
 
 // OwnershipToken queries the voter at an index of the client's voters for the fencing token by which it owns a task at
 // this moment; 0: it doesn't.
--- a/internal/fleet/agent/clientpublish.go
+++ b/internal/fleet/agent/clientpublish.go
@@ -115,7 +115,7 @@
 	ctx context.Context, request PublishRequest, content map[string][]byte,
 ) (*PublishReply, error) {
 	errs := c.upload(ctx, content)
-	if !c.isQuorum(countNil(errs)) {
+	if countNil(errs) < c.quorumSize() {
 		return nil, fmt.Errorf("%w: %w", ErrNoQuorum, errors.Join(errs...))
 	}
 	var last error
@@ -179,7 +179,7 @@
 		if r.err != nil {
 			continue
 		}
-		if stored++; c.isQuorum(stored) {
+		if stored++; stored >= c.quorumSize() {
 			grace := time.AfterFunc(uploadGrace, stop)
 			defer grace.Stop()
 		}
--- a/internal/fleet/agent/conn.go
+++ b/internal/fleet/agent/conn.go
@@ -129,7 +129,7 @@
 		data = append(data, out.GetValue()...)
 	}
 	if hash(data) != part.Hash {
-		return nil, fmt.Errorf("%s: its hash doesn't fit", part.Name)
+		return nil, fmt.Errorf("%s: the content doesn't match its hash", part.Name)
 	}
 	return data, nil
 }
@@ -147,7 +147,7 @@
 	for _, h := range missing.Hashes {
 		data, ok := content[h]
 		if !ok {
-			return errors.New("the node wants what was not offered")
+			return errors.New("the node requests content that was not offered")
 		}
 		if err := c.upload(ctx, data); err != nil {
 			return err
--- a/internal/fleet/agent/doc.go
+++ b/internal/fleet/agent/doc.go
@@ -8,9 +8,9 @@
 //	Node.withVoter             each voter runs the log: processReady saves, sends and applies what raft has ready
 //	Node.serveLeases           voters grant leases, and report the log's status over the same streams
 //	Node.handleLeaseReply      a node records both, and wakes reconcile
-//	Node.fetchVersion          fetches and parses the version that the log names, or reports a refusal
+//	Node.fetchVersion          fetches and parses the version that the log names, or reports it as unusable
 //	Node.reconcile             compares what the lease permits with what the program acts on
-//	Node.applyRules            makes the program act on it, and confirms that with the next lease request
+//	Node.applyVersions         makes the program act on it, and confirms that with the next lease request
 //	Node.MayServe              is checked by the program at each decision and at each send
 //
 // A node whose lease expires goes from reconcile to enterDisconnected, which applies the disconnected policy.
--- a/internal/fleet/agent/lease.go
+++ b/internal/fleet/agent/lease.go
@@ -40,13 +40,30 @@
 	if status != nil {
 		n.lease.UpdateLogStatus(*status)
 	}
+	n.updateLeaseEnd()
+	n.leaseMu.Unlock()
+	n.wakeReconcile()
+}
+
+// reevaluateLease updates when the lease ends without a reply of a voter, and wakes reconcile.
+func (n *Node) reevaluateLease() {
+	n.leaseMu.Lock()
+	n.updateLeaseEnd()
+	n.leaseMu.Unlock()
+	n.wakeReconcile()
+}
+
+// updateLeaseEnd sets until when the program may act on what it applied last; n.leaseMu is held.
+func (n *Node) updateLeaseEnd() {
 	if a := n.applied.Load(); a != nil && !a.disconnected {
 		n.applied.Store(&appliedVersions{versions: a.versions, until: n.leaseEnd(a.versions)})
 	}
-	n.leaseMu.Unlock()
+}
+
+func (n *Node) wakeReconcile() {
 	select {
 	case n.wake <- struct{}{}:
-	default:
+	default: // it is woken already
 	}
 }
 
--- a/internal/fleet/agent/leaseserver.go
+++ b/internal/fleet/agent/leaseserver.go
@@ -79,7 +79,8 @@
 // checkLeaseRequest validates the names in a request.
 func checkLeaseRequest(request consensus.LeaseRequest) error {
 	if request.Node == "" || len(request.Node) > consensus.MaxName || len(request.Incarnation) > consensus.MaxName {
-		return status.Error(codes.InvalidArgument, "an ask without a good name")
+		return status.Errorf(codes.InvalidArgument,
+			"lease request: node of 1 to %d bytes, incarnation of at most as many", consensus.MaxName)
 	}
 	return nil
 }
--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -78,10 +78,13 @@
 	stop        context.CancelFunc          // cancels ctx
 	background  sync.WaitGroup              // the goroutines that Run waits for
 	uploads     chan struct{}               // one token for each upload of content in progress
-	conns       map[uint64]*Conn            // to the other voters, by id; constant after Open
 	outbox      map[uint64]chan *pb.Message // raft messages for the other voters, by id; constant once Run has begun
 	ownStart    store.VoterStart            // of a voter; constant after Open
 
+	// conns are the connections to the other voters, by id. One to itself is among them on a node that the configuration
+	// names as a voter and whose store is not initialized. Constant after Open.
+	conns map[uint64]*Conn
+
 	mu            sync.Mutex           // guards unadmitted to recentContent
 	unadmitted    *consensus.Voter     // the voter until the other voters admit it; nil on a follower
 	voter         *consensus.Voter     // the voter once it is admitted; nil on a follower
--- a/internal/fleet/agent/releaserunner.go
+++ b/internal/fleet/agent/releaserunner.go
@@ -126,8 +126,9 @@
 }
 
 // waveChange returns the change by which the present phase takes effect: the wave's servers are taken out, or put
-// back as started now. A server that left the list, or that an operator took out, stays as it is. It returns nil if
-// there is nothing to change, and an error if fewer servers than the floor would be left in use.
+// back as started now. A server that left the list stays as it is, and so does one that is not in use when its wave is
+// taken out. But any server of the wave that is draining is put back, even if an operator took it out. It returns nil
+// if there is nothing to change, and an error if fewer servers than the floor would be left in use.
 func waveChange(c *cluster.Config, p *consensus.ReleaseProgress, now time.Time) (*config.File, error) {
 	if c == nil {
 		return nil, fmt.Errorf("cluster %s is gone", p.Cluster)
--- a/internal/fleet/agent/versions.go
+++ b/internal/fleet/agent/versions.go
@@ -18,7 +18,8 @@
 	refusalTimeout  = time.Second     // for one voter to take a refusal
 )
 
-// hasOrFetch reports whether a version is cached, and begins to fetch it if not; n.leaseMu is held.
+// hasOrFetch reports whether a version is cached. If it isn't, nor known to be unusable, it starts to fetch it;
+// n.leaseMu is held.
 func (n *Node) hasOrFetch(number uint64) bool {
 	n.versionsMu.Lock()
 	defer n.versionsMu.Unlock()
@@ -61,7 +62,7 @@
 	return m, v, err
 }
 
-// finishFetch caches a version, or rejects it for an error.
+// finishFetch caches a version, or records why this node can't use it.
 func (n *Node) finishFetch(number uint64, m *consensus.Manifest, v *consensus.Version, err error) {
 	n.versionsMu.Lock()
 	delete(n.fetching, number)
@@ -76,7 +77,7 @@
 		n.Log.Error("version not usable", "version", number, "err", err)
 		n.reportUnusable(number, err.Error())
 	}
-	n.handleLeaseReply(nil, nil)
+	n.reevaluateLease()
 }
 
 // cacheVersion caches a version and evicts the oldest ones that nothing needs; n.versionsMu is held, and n.mu must
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -10,9 +10,10 @@
 	"yokestall/policy"
 )
 
-// DisconnectedVersion restricts what a node acted on last to what its policy allows without a lease. The wall-clock
-// time serves only to find the endpoints that had been started shortly before the lease ended.
-func DisconnectedVersion(last EffectiveVersion, rules lease.DisconnectedPolicy, ended time.Time) EffectiveVersion {
+// DisconnectedVersion restricts what a node acted on last to what its policy allows without a lease. now is the
+// wall-clock time at which the policy is applied. It serves only to find the endpoints that were started shortly before
+// that time.
+func DisconnectedVersion(last EffectiveVersion, rules lease.DisconnectedPolicy, now time.Time) EffectiveVersion {
 	p := *last.Program
 	p.Classes = slices.Clone(p.Classes)
 	out := EffectiveVersion{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
@@ -36,7 +37,7 @@
 	if rules.Servers != lease.ServeLast {
 		out.Clusters = map[string]*cluster.Config{}
 		for name, c := range last.Clusters {
-			out.Clusters[name] = drainWarmingEndpoints(c, p.Rules.SlowStartWindow, ended)
+			out.Clusters[name] = drainWarmingEndpoints(c, p.Rules.SlowStartWindow, now)
 		}
 	}
 	return out
--- a/internal/fleet/consensus/disconnected_test.go
+++ b/internal/fleet/consensus/disconnected_test.go
@@ -43,7 +43,8 @@
 	last := version(t, program, servers)
 	serveLast := lease.DisconnectedPolicy{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}
 	a := DisconnectedVersion(EffectiveVersion{Version: last}, serveLast, now)
-	if CheckNotLaxer(a, last) != nil || CheckNotLaxer(EffectiveVersion{Version: last}, a.Version) != nil || len(a.RefusedClasses) > 0 {
+	if CheckNotLaxer(a, last) != nil || CheckNotLaxer(EffectiveVersion{Version: last}, a.Version) != nil ||
+		len(a.RefusedClasses) > 0 {
 		t.Errorf("not as the last: %v", a.RefusedClasses)
 	}
 	between := EffectiveVersion{last, map[string]string{"push": "its routes change"}}
--- a/internal/fleet/consensus/doc.go
+++ b/internal/fleet/consensus/doc.go
@@ -11,13 +11,13 @@
 //
 //	Voter.Propose             a Manifest becomes an Entry of the raft log
 //	State.Apply               every voter applies the entry: the version is pending, for the epoch after the present one
-//	LeaseTable.Grant          voters grant leases up to that epoch, and report the log's status with them
-//	Lease.DesiredRules        a node with a quorum of such leases acts on the stricter of both versions (Stricter)
-//	Lease.ConfirmRules        its next LeaseRequest confirms that it acts on nothing older
+//	LeaseTable.Grant          voters grant leases that cover that epoch, and report the log's status with them
+//	Lease.DesiredVersions     a node with a quorum of such leases acts on the stricter of both versions (Stricter)
+//	Lease.ConfirmVersions     its next LeaseRequest confirms that it acts on nothing older
 //	LeaseTable.CanAcknowledge a voter waits until each process that it granted a lease has confirmed or lost it
 //	Voter.AcknowledgeEpoch    the voter proposes an EpochAck; those of a majority make the version the active one
 //
-// Ownership of a singleton task moves in the same way: TaskAssignment, Lease.ConfirmOwnership, LeaseTable.CanRelease,
-// TaskRelease. Every voter's table grants leases by itself; a quorum of grants meets every quorum of acknowledgments in
-// one voter at least (C. Gray and D. Cheriton, "Leases", SOSP 1989).
+// Ownership of a singleton task moves in the same way: TaskAssignment, Lease.ConfirmOwnership,
+// LeaseTable.FormerOwnerEnded, OwnershipEnd. Every voter's table grants leases by itself; a quorum of grants meets every
+// quorum of acknowledgments in one voter at least (C. Gray and D. Cheriton, "Leases", SOSP 1989).
 package consensus
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -36,7 +36,9 @@
 }
 
 // Grant is a voter's promise for a lease's duration from the request on: unless the node confirms, the voter
-// acknowledges no epoch after MaxEpoch, and releases no task that the node's process loses after OwnershipRevision.
+// acknowledges no epoch after MaxEpoch, and confirms no end of an ownership that the node's process loses after
+// OwnershipRevision. So a grant covers each epoch that is at least MaxEpoch, and each ownership revision that is at
+// least OwnershipRevision: a node may act on what the grants of a quorum cover.
 type Grant struct {
 	VoterID           uint64    `json:"voter"`
 	Sequence          uint64    `json:"seq"`
@@ -48,7 +50,7 @@
 // ActiveVersions identifies what a node acts on: one version, or, with PendingVersion, the stricter combination of two
 // versions that contradict each other. The zero value is no version at all.
 type ActiveVersions struct {
-	Epoch          uint64 `json:"epoch"` // that a lease has to cover
+	Epoch          uint64 `json:"epoch"` // that the grants of a quorum have to cover
 	Version        uint64 `json:"number"`
 	PendingVersion uint64 `json:"pending"`
 }
@@ -80,7 +82,7 @@
 	epochGrants       voterGrants
 	ownershipGrants   voterGrants
 	ownershipRevision uint64                        // that the node acts on
-	hasVersion        func(number uint64) (ok bool) // whether the node has a version's content, checked
+	hasVersion        func(number uint64) (ok bool) // whether the node could act on a version; may start to fetch it
 }
 
 // voterGrants are the grants of one kind, by voter.
@@ -88,11 +90,12 @@
 
 // activeGrant is a grant on its holder's clock.
 type activeGrant struct {
-	revision uint64 // an epoch or an ownership revision
+	revision uint64 // Grant.MaxEpoch or Grant.OwnershipRevision: the smallest that the grant covers
 	end      time.Duration
 }
 
-// NewLease creates a node's side of its leases; hasVersion reports whether the node could act on a version.
+// NewLease creates a node's side of its leases; hasVersion reports whether the node could act on a version, and may
+// start to fetch it. DesiredVersions calls it.
 func NewLease(config LeaseConfig, voters int, hasVersion func(number uint64) bool) *Lease {
 	return &Lease{
 		config: config, voters: voters, hasVersion: hasVersion,
@@ -150,11 +153,12 @@
 
 // Permits reports whether the node may act on versions at this moment.
 func (l *Lease) Permits(now time.Duration, r ActiveVersions) bool {
-	return r.Version != 0 && r.Epoch >= l.confirmedEpoch && l.isQuorum(l.epochGrants.count(now, r.Epoch))
+	return r.Version != 0 && r.Epoch >= l.confirmedEpoch &&
+		l.epochGrants.countCovering(now, r.Epoch) >= QuorumSize(l.voters)
 }
 
-// ConfirmVersions records that the node acts on versions from now on, and on nothing earlier; the next request confirms it
-// to the voters.
+// ConfirmVersions records that the node acts on versions from now on, and on nothing earlier; the next request confirms
+// it to the voters.
 func (l *Lease) ConfirmVersions(r ActiveVersions) { l.confirmedEpoch = max(l.confirmedEpoch, r.Epoch) }
 
 // ConfirmOwnership records that the node owns the tasks of an ownership revision from now on, and no others; the next
@@ -165,7 +169,8 @@
 
 // PermitsOwnership reports whether the node may act at this moment as the owner of the tasks that it confirmed last.
 func (l *Lease) PermitsOwnership(now time.Duration) bool {
-	return l.ownershipRevision > 0 && l.isQuorum(l.ownershipGrants.count(now, l.ownershipRevision))
+	return l.ownershipRevision > 0 &&
+		l.ownershipGrants.countCovering(now, l.ownershipRevision) >= QuorumSize(l.voters)
 }
 
 // Remaining is how long the node may go on acting on versions without a further grant.
@@ -181,20 +186,21 @@
 	return l.remaining(l.ownershipGrants, now, l.ownershipRevision)
 }
 
-// remaining is how long a quorum of the grants that cover a revision lasts.
+// remaining is how long the grants of a quorum cover a revision.
 func (l *Lease) remaining(grants voterGrants, now time.Duration, revision uint64) time.Duration {
 	ends := grants.ends(revision)
 	slices.Sort(ends)
-	quorum := l.voters/2 + 1
+	quorum := QuorumSize(l.voters)
 	if len(ends) < quorum {
 		return 0
 	}
 	return max(0, ends[len(ends)-quorum]-now)
 }
 
-func (l *Lease) isQuorum(voters int) bool { return voters > l.voters/2 }
+// covers reports whether a grant covers a revision: see Grant.
+func (g activeGrant) covers(revision uint64) bool { return g.revision <= revision }
 
-// add records a voter's grant. Of its grants for revisions before the current one only the latest revision is retained.
+// add records a voter's grant. Of those that cover revisions before the current one only the latest is retained.
 func (g voterGrants) add(voter uint64, grant activeGrant, current uint64) {
 	list := g[voter]
 	if i := slices.IndexFunc(list, func(other activeGrant) bool { return other.revision == grant.revision }); i >= 0 {
@@ -205,23 +211,23 @@
 	g[voter] = append(list, grant)
 }
 
-// count returns how many voters have promised not to go past a revision at this moment.
-func (g voterGrants) count(now time.Duration, revision uint64) (voters int) {
+// countCovering returns the grants of how many voters cover a revision at this moment.
+func (g voterGrants) countCovering(now time.Duration, revision uint64) (voters int) {
 	for _, list := range g {
-		if slices.ContainsFunc(list, func(grant activeGrant) bool { return grant.revision <= revision && now < grant.end }) {
+		if slices.ContainsFunc(list, func(grant activeGrant) bool { return grant.covers(revision) && now < grant.end }) {
 			voters++
 		}
 	}
 	return voters
 }
 
-// ends returns, for each voter, when its promise not to go past a revision ends; 0: it has made none.
+// ends returns, for each voter, when its last grant that covers a revision ends; 0: it has none.
 func (g voterGrants) ends(revision uint64) []time.Duration {
 	var ends []time.Duration
 	for _, list := range g {
 		latest := time.Duration(0)
 		for _, grant := range list {
-			if grant.revision <= revision {
+			if grant.covers(revision) {
 				latest = max(latest, grant.end)
 			}
 		}
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -20,25 +20,24 @@
 // nothing until every lease that the voter may have granted before has expired. Times are on the voter's own clock.
 type LeaseTable struct {
 	config     LeaseConfig
-	quietUntil time.Duration              // nothing is acknowledged or released before
+	quietUntil time.Duration              // no epoch is acknowledged, and no end of an ownership confirmed, before
 	holders    map[process]*processLeases // MaxHolders at most
 }
 
 // process is one run of a node's program.
 type process struct{ node, incarnation string }
 
-// processLeases are the promises made to one process.
+// processLeases are the grants to one process.
 type processLeases struct {
-	epochs, ownership promise
+	epochs, ownership grantRecord
 	continuousSince   time.Duration // since when the process has had leases without a gap
 }
 
-// promise is the sum of a voter's grants of one kind to one process: the voter goes along with everything up to a
-// revision.
-type promise struct {
-	revision   uint64
+// grantRecord sums up a voter's grants of one kind, for epochs or ownership, to one process.
+type grantRecord struct {
+	revision   uint64        // of the latest grant: the smallest that it covers, see Grant
 	end        time.Duration // of the latest grant
-	earlierEnd time.Duration // of the latest grant for a smaller revision
+	earlierEnd time.Duration // of the latest grant that covers an earlier revision
 	confirmed  uint64        // the process no longer acts on anything before this revision
 }
 
@@ -116,8 +115,8 @@
 	return len(waitingFor) == 0, slices.Compact(waitingFor)
 }
 
-// FormerOwnerEnded reports whether the former owner of a task no longer acts as its owner, as far as this voter granted it
-// leases.
+// FormerOwnerEnded reports whether the former owner of a task no longer acts as its owner, as far as this voter granted
+// it leases.
 func (t *LeaseTable) FormerOwnerEnded(now time.Duration, task TaskOwnership) bool {
 	if now < t.quietUntil {
 		return false
@@ -147,20 +146,20 @@
 	return live
 }
 
-// extend records a grant. A grant for a larger revision leaves the end of those for smaller ones as it is.
-func (p *promise) extend(revision, confirmed uint64, end time.Duration) {
-	p.confirmed = max(p.confirmed, confirmed)
-	if revision > p.revision {
-		p.revision, p.earlierEnd = revision, max(p.earlierEnd, p.end)
+// extend records a grant. One that covers later revisions alone leaves the end of those before it as it is.
+func (r *grantRecord) extend(revision, confirmed uint64, end time.Duration) {
+	r.confirmed = max(r.confirmed, confirmed)
+	if revision > r.revision {
+		r.revision, r.earlierEnd = revision, max(r.earlierEnd, r.end)
 	}
-	p.end = end
+	r.end = end
 }
 
 // expired reports whether the process can no longer act on anything before a revision.
-func (p *promise) expired(now time.Duration, revision uint64) bool {
-	end := p.earlierEnd
-	if p.revision < revision {
-		end = p.end
+func (r *grantRecord) expired(now time.Duration, revision uint64) bool {
+	end := r.earlierEnd
+	if r.revision < revision {
+		end = r.end
 	}
-	return p.confirmed >= revision || now >= end
+	return r.confirmed >= revision || now >= end
 }
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -63,7 +63,9 @@
 	ownerAnswers []fleet.Event // of the owners of task w0 to probeOwner
 }
 
-var simLeaseConfig = LeaseConfig{Duration: 1500 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 100 * time.Millisecond}
+var simLeaseConfig = LeaseConfig{
+	Duration: 1500 * time.Millisecond, MaxClockDrift: 0.1, ApplyTimeout: 100 * time.Millisecond,
+}
 
 // newSim starts a fleet with a guard omitted.
 func newSim(t testing.TB, seed uint64, voters, followers int, omitted guard) *fleetSim {
--- a/internal/fleet/consensus/state.go
+++ b/internal/fleet/consensus/state.go
@@ -13,7 +13,7 @@
 type State struct {
 	Index          uint64     `json:"index"`   // of the last entry
 	Epoch          uint64     `json:"epoch"`   // of the version in force
-	ActiveVersion  uint64     `json:"number"`  // of the version in force; 0: none yet
+	ActiveVersion  uint64     `json:"number"`  // number of the version in force; 0: none yet
 	PendingVersion uint64     `json:"pending"` // comes into force with epoch Epoch+1; 0: none
 	EpochAcks      []uint64   `json:"cleared"` // voters that have acknowledged the pending version's epoch, ascending
 	EpochVersions  []uint64   `json:"alive"`   // versions of this epoch, any of which some node may act on; ascending
@@ -26,7 +26,7 @@
 	Release *ReleaseProgress `json:"release,omitempty"` // the latest one; nil: there has been none
 }
 
-// LeaseEpoch is the epoch up to which a lease that is granted now reaches.
+// LeaseEpoch is the Grant.MaxEpoch of a lease that is granted now.
 func (s *State) LeaseEpoch() uint64 {
 	if s.PendingVersion != 0 {
 		return s.Epoch + 1
@@ -180,7 +180,7 @@
 		return
 	}
 	s.EpochAcks = slices.Insert(s.EpochAcks, at, ack.VoterID)
-	if len(s.EpochAcks) <= voters/2 {
+	if len(s.EpochAcks) < QuorumSize(voters) {
 		return
 	}
 	s.Epoch++
--- a/internal/fleet/consensus/state_test.go
+++ b/internal/fleet/consensus/state_test.go
@@ -143,8 +143,10 @@
 	s.nodes[followers/2].disconnectedUntil = s.now + time.Minute
 	s.publish("second", true)
 	s.runUntil(s.now + 3*time.Second)
-	if s.versions != 2 || s.longestActivation == 0 || s.longestActivation > s.leaseConfig.ActivationBound() || s.longestActivation < s.leaseConfig.HolderTerm()/2 {
-		t.Errorf("%d versions, in force after %v, and the bound is %v", s.versions, s.longestActivation, s.leaseConfig.ActivationBound())
+	bound := s.leaseConfig.ActivationBound()
+	if s.versions != 2 || s.longestActivation == 0 || s.longestActivation > bound ||
+		s.longestActivation < s.leaseConfig.HolderTerm()/2 {
+		t.Errorf("%d versions, in force after %v, and the bound is %v", s.versions, s.longestActivation, bound)
 	}
 	on := 0
 	for _, n := range s.nodes {
--- a/internal/fleet/consensus/taskassignment.go
+++ b/internal/fleet/consensus/taskassignment.go
@@ -14,7 +14,7 @@
 	leasesBeforeOwning = 2
 	// maxAssignmentsPerTick spreads the takeover of many tasks over time.
 	maxAssignmentsPerTick = 8
-	// proposalRetryTicks is after how many ticks a proposal that the log doesn't show is repeated.
+	// proposalRetryTicks is after how many ticks (see Tick) a proposal that the log doesn't show is repeated: 300 ms.
 	proposalRetryTicks = 10
 )
 
@@ -53,7 +53,7 @@
 	return x ^ x>>31
 }
 
-// manageTasks proposes the releases of tasks that this voter can confirm and, at the leader, new assignments.
+// manageTasks proposes the ends of ownership that this voter can confirm and, at the leader, new assignments.
 func (v *Voter) manageTasks(now time.Duration) {
 	v.proposeOwnershipEnds(now)
 	if v.Leader() == v.ID && now >= v.leases.quietUntil {
@@ -61,8 +61,8 @@
 	}
 }
 
-// proposeOwnershipEnds proposes a TaskRelease for each task that is moved and whose former owner no longer acts on a lease of
-// this voter.
+// proposeOwnershipEnds proposes an OwnershipEnd for each task that is moved and whose former owner no longer acts on a
+// lease of this voter.
 func (v *Voter) proposeOwnershipEnds(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(v.state.Tasks)) {
 		task := v.state.Tasks[name]
--- a/internal/fleet/consensus/tasks.go
+++ b/internal/fleet/consensus/tasks.go
@@ -41,7 +41,7 @@
 // check validates the names in an assignment.
 func (a *TaskAssignment) check() error {
 	if a.Task == "" || a.Node == "" || len(a.Task) > MaxName || len(a.Node) > MaxName || len(a.Incarnation) > MaxName {
-		return fmt.Errorf("own: a work, a node and a life of at most %d bytes", MaxName)
+		return fmt.Errorf("assignment: task and node of 1 to %d bytes, incarnation of at most as many", MaxName)
 	}
 	return nil
 }
@@ -58,7 +58,7 @@
 func processKey(node, incarnation string) string { return node + "\x00" + incarnation }
 
 // OwnershipRevision returns the index of the log at which the tasks of a process changed last. Leases for ownership
-// cover a revision.
+// cover a revision: see Grant.
 func (s *State) OwnershipRevision(node, incarnation string) uint64 {
 	return s.OwnershipRevisions[processKey(node, incarnation)]
 }
@@ -96,23 +96,24 @@
 	s.OwnershipRevisions[processKey(task.Owner, task.Incarnation)] = index
 }
 
-// confirmOwnershipEnd records a voter's release of a task that is moved. That of a majority makes the next owner the owner.
-func (s *State) confirmOwnershipEnd(index uint64, r *OwnershipEnd, voters int) {
-	task, known := s.Tasks[r.Task]
-	if !known || task.TransferIndex == 0 || task.TransferIndex != r.TransferIndex {
+// confirmOwnershipEnd records that a voter confirms the end of the former ownership of a task that is moved. The
+// confirmations of a majority make the next owner the owner.
+func (s *State) confirmOwnershipEnd(index uint64, end *OwnershipEnd, voters int) {
+	task, known := s.Tasks[end.Task]
+	if !known || task.TransferIndex == 0 || task.TransferIndex != end.TransferIndex {
 		return
 	}
-	at, released := slices.BinarySearch(task.EndConfirmedBy, r.VoterID)
-	if released {
+	at, recorded := slices.BinarySearch(task.EndConfirmedBy, end.VoterID)
+	if recorded {
 		return
 	}
-	task.EndConfirmedBy = slices.Insert(slices.Clone(task.EndConfirmedBy), at, r.VoterID)
-	if len(task.EndConfirmedBy) > voters/2 {
+	task.EndConfirmedBy = slices.Insert(slices.Clone(task.EndConfirmedBy), at, end.VoterID)
+	if len(task.EndConfirmedBy) >= QuorumSize(voters) {
 		task = TaskOwnership{Owner: task.NextOwner, Incarnation: task.NextIncarnation, Token: index}
 		s.OwnershipRevisions[processKey(task.Owner, task.Incarnation)] = index
 		s.pruneOwnershipRevisions()
 	}
-	s.Tasks[r.Task] = task
+	s.Tasks[end.Task] = task
 }
 
 // pruneOwnershipRevisions drops the revisions of processes that neither own a task nor are to own one.
--- a/internal/fleet/consensus/virtualtime_test.go
+++ b/internal/fleet/consensus/virtualtime_test.go
@@ -27,7 +27,8 @@
 		if len(s.violations) > 0 {
 			t.Fatalf("seed %d: %d findings, first: %s", seed, len(s.violations), s.violations[0])
 		}
-		versions, changes, takeovers, reads = versions+s.versions, changes+s.changes, takeovers+s.ownershipRevisions, reads+s.answeredReads
+		versions, changes = versions+s.versions, changes+s.changes
+		takeovers, reads = takeovers+s.ownershipRevisions, reads+s.answeredReads
 	}
 	if versions < seeds || changes < 4*seeds || takeovers < 4*seeds || reads < 100*seeds {
 		t.Errorf("%d versions, %d changes, %d ownership revisions, %d reads: too few to say anything", versions, changes,
@@ -43,8 +44,10 @@
 	if raced {
 		t.Skip("played without the race detector")
 	}
-	for _, out := range []guard{leaseCheck, leaseCheckAtUse, leaseExpiryWait, quietPeriod, clockDriftMargin, leaseFromRequest, confirmAfterApply, leaseQuorum,
-		ownerLeaseCheck, ownershipEndWait, linearizableRead, readIncarnation} {
+	for _, out := range []guard{
+		leaseCheck, leaseCheckAtUse, leaseExpiryWait, quietPeriod, clockDriftMargin, leaseFromRequest, confirmAfterApply,
+		leaseQuorum, ownerLeaseCheck, ownershipEndWait, linearizableRead, readIncarnation,
+	} {
 		t.Run(string(out), func(t *testing.T) {
 			for seed := range uint64(400) {
 				cryptotest.SetGlobalRandom(t, seed)
@@ -80,7 +83,8 @@
 	t.Logf("%d answers over %d seeds", answers, seeds)
 	for seed := range uint64(400) {
 		cryptotest.SetGlobalRandom(t, seed)
-		if _, found := fleet.CheckOwnerOrder(playWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), ownerLeaseCheck).ownerAnswers); len(found) > 0 {
+		s := playWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), ownerLeaseCheck)
+		if _, found := fleet.CheckOwnerOrder(s.ownerAnswers); len(found) > 0 {
 			if !strings.Contains(found[0].Rule, string(porcupine.Illegal)) {
 				t.Fatalf("seed %d: %v", seed, found[0])
 			}
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -12,10 +12,13 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
+// Tick is the interval at which Voter.Tick has to be called.
+const Tick = 30 * time.Millisecond
+
 const (
-	electionTicks      = 10       // without a heartbeat, before an election
-	heartbeatTicks     = 2        // between two heartbeats of the leader
-	ackRetryTicks      = 5        // after which a voter repeats an acknowledgment that the log doesn't show
+	electionTicks      = 10       // without a heartbeat, before an election: 300 ms
+	heartbeatTicks     = 2        // between two heartbeats of the leader: 60 ms
+	ackRetryTicks      = 5        // after which a voter repeats an acknowledgment that the log doesn't show: 150 ms
 	compactionInterval = 1000     // applied entries between two snapshots
 	compactionRetained = 200      // entries before a snapshot that stay in memory for voters that lag behind
 	maxMessageBytes    = 1 << 20  // of entries in one raft message
@@ -23,9 +26,6 @@
 	maxUncommitted     = 16 << 20 // bytes of uncommitted proposals that the leader accepts
 )
 
-// Tick is the interval at which Voter.Tick has to be called.
-const Tick = 30 * time.Millisecond
-
 // DiskState is what a voter keeps on its disk.
 type DiskState struct {
 	HardState *pb.HardState
@@ -73,7 +73,7 @@
 	conf            *pb.ConfState
 	state           *State
 	leases          *LeaseTable
-	ticksSinceAck   int                       // since the latest EpochAck that this voter proposed
+	ticksSinceAck   int                       // calls of Tick since the latest EpochAck that this voter proposed
 	ackedEpoch      uint64                    // of the latest EpochAck that this voter proposed
 	commit          uint64                    // commit index on the disk when the voter was started
 	ticks           int                       // calls of Tick
@@ -88,7 +88,7 @@
 func NewVoter(now time.Duration, id uint64, t LeaseConfig, disk DiskState) (*Voter, error) {
 	v := &Voter{ID: id, storage: raft.NewMemoryStorage(), state: &State{}, leases: NewLeaseTable(now, t)}
 	if disk.Snapshot == nil {
-		return nil, errors.New("the store has no beginning: it was not made by init")
+		return nil, errors.New("the store has no snapshot: it was not made by `yokestall fleet init`")
 	}
 	if err := v.restore(disk.Snapshot); err != nil {
 		return nil, err
