--- /dev/null
+++ b/internal/fleet/ownership/allocator_test.go
@@ -0,0 +1,21 @@
+package ownership
+
+import (
+	"fmt"
+	"testing"
+)
+
+// An allocator serves MaxNodes nodes and no more.
+func TestMaxNodes(t *testing.T) {
+	a := NewAllocator(1, simConfig)
+	for i := range MaxNodes + 10 {
+		a.Allocate(0, LeaseRequest{Node: fmt.Sprint(i), Incarnation: "a", Sequence: 1, Demand: 1})
+	}
+	if len(a.nodes) != MaxNodes {
+		t.Errorf("%d nodes", len(a.nodes))
+	}
+	a.Allocate(3*simConfig.ReleaseDuration, LeaseRequest{Node: "late", Incarnation: "a", Sequence: 1})
+	if len(a.nodes) != 1 {
+		t.Errorf("%d nodes after the others expired", len(a.nodes))
+	}
+}
