--- a/internal/fleet/agent/change_test.go
+++ b/internal/fleet/agent/change_test.go
@@ -11,8 +11,8 @@
 	"yokestall/internal/testutil"
 )
 
-// many is a version with a long list.
-func many(endpoints int) []config.File {
+// versionWithEndpoints is a version with a long list.
+func versionWithEndpoints(endpoints int) []config.File {
 	var b strings.Builder
 	b.WriteString("[cluster]\nname = \"rooms\"\n")
 	for i := range endpoints {
@@ -20,10 +20,10 @@
 			i, i/250, i%250)
 	}
 	fmt.Fprintf(&b, "[end]\nendpoints = %d\n", endpoints)
-	return []config.File{bundle("safe")[0], {Name: "rooms.toml", Text: []byte(b.String())}}
+	return []config.File{versionWithEffect("safe")[0], {Name: "rooms.toml", Text: []byte(b.String())}}
 }
 
-func change(i int, health string) config.File {
+func healthChange(i int, health string) config.File {
 	return config.File{Name: "change.toml", Text: fmt.Appendf(nil,
 		"[cluster]\nname = \"rooms\"\nchange = true\n[[endpoint]]\nid = \"s-%05d\"\naddress = \"10.%d.%d.1:80\"\n"+
 			"zone = \"a\"\nweight = 1\nhealth = %q\n[end]\nendpoints = 1\n", i, i/250, i%250, health)}
@@ -36,10 +36,10 @@
 	if testing.Short() || raced {
 		endpoints, changes = 500, maxChangesPerVersion+5
 	}
-	g := newGroup(t, 3, 2)
-	g.publish("one", 0, many(endpoints))
-	for i := range g.nodes {
-		g.acts(i, "safe")
+	f := newTestFleet(t, 3, 2)
+	f.publish("one", 0, versionWithEndpoints(endpoints))
+	for i := range f.nodes {
+		f.waitForEffect(i, "safe")
 	}
 	base, began := uint64(1), time.Now()
 	for i := range changes {
@@ -48,7 +48,7 @@
 			health = "healthy"
 		}
 		for id := fmt.Sprint("c", i); ; {
-			p, err := g.client.PublishChange(g.patience(), id, base, change(i/2, health))
+			p, err := f.client.PublishChange(f.context(), id, base, healthChange(i/2, health))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -60,22 +60,22 @@
 				t.Fatalf("%+v", p)
 			}
 		}
-		testutil.Until(t, "it to be in force", func() bool { return g.nodes[0].node.state().ActiveVersion == base })
+		testutil.Until(t, "it to be in force", func() bool { return f.nodes[0].node.state().ActiveVersion == base })
 	}
 	took := time.Since(began)
 	unknown := config.File{
 		Name: "c",
 		Text: []byte("[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"s-none\"]\n[end]\nendpoints = 0\n"),
 	}
-	bad, err := g.client.PublishChange(g.patience(), "bad", base, unknown)
+	bad, err := f.client.PublishChange(f.context(), "bad", base, unknown)
 	if err != nil || bad.Number != 0 || !strings.Contains(bad.Error, "not in the list") {
 		t.Errorf("%+v, %v", bad, err)
 	}
-	drain, err := g.client.PublishChange(g.patience(), "last", base, change(7, "draining"))
-	if err != nil || !g.inForce(drain.Number).InForce {
+	drain, err := f.client.PublishChange(f.context(), "last", base, healthChange(7, "draining"))
+	if err != nil || !f.waitForOutcome(drain.Number).InForce {
 		t.Fatalf("%+v, %v", drain, err)
 	}
-	for i, n := range g.nodes {
+	for i, n := range f.nodes {
 		var v *consensus.Version
 		testutil.Until(t, n.name+" to hold it", func() bool {
 			n.node.versionsMu.Lock()
@@ -93,7 +93,7 @@
 		}
 		n.mu.Unlock()
 	}
-	n := g.nodes[4]
+	n := f.nodes[4]
 	t.Logf("%d changes of a list of %d, half of them contradicting: %v each; "+
 		"%s parsed the list %d times, changes %d times",
 		changes, endpoints, took/time.Duration(changes), n.name, n.parsed, n.extended)
--- a/internal/fleet/agent/release_test.go
+++ b/internal/fleet/agent/release_test.go
@@ -11,10 +11,10 @@
 	"yokestall/internal/testutil"
 )
 
-// ownerOf gives which voter may act as the owner of releases, -1 if none may, and by which token.
-func (g *group) ownerOf() (at int, token uint64) {
-	for i := range g.voters {
-		if n := g.nodes[i]; n.stop != nil {
+// releaseOwner returns the index of the voter that may act as the owner of releases, -1 if none may, and its token.
+func (f *testFleet) releaseOwner() (at int, token uint64) {
+	for i := range f.voters {
+		if n := f.nodes[i]; n.stop != nil {
 			if token, ok := n.node.Owns(ReleaseTask); ok {
 				return i, token
 			}
@@ -23,23 +23,31 @@
 	return -1, 0
 }
 
-func (g *group) control(in ReleaseCommand) *ReleaseReply {
-	g.t.Helper()
+func (f *testFleet) controlRelease(in ReleaseCommand) *ReleaseReply {
+	f.t.Helper()
 	var out *ReleaseReply
-	testutil.Until(g.t, "an answer on the release", func() bool {
-		r, err := g.client.ControlRelease(g.patience(), in)
+	testutil.Until(f.t, "an answer on the release", func() bool {
+		r, err := f.client.ControlRelease(f.context(), in)
 		out = r
 		return err == nil
 	})
 	return out
 }
 
+// waitForReleaseEnd waits until the latest release has ended.
+func (f *testFleet) waitForReleaseEnd() {
+	f.t.Helper()
+	testutil.Until(f.t, "the release to end", func() bool {
+		return f.controlRelease(ReleaseCommand{}).Progress.Result != ""
+	})
+}
+
 // A release goes on through the death of its owner: each wave is out once and back once, never two at a time, and the
 // next owner has a higher token. What can't be done is refused before its first step.
 func TestRelease(t *testing.T) {
-	g := newGroup(t, 3, 1)
-	g.publish("one", 0, many(6))
-	g.acts(3, "safe")
+	f := newTestFleet(t, 3, 1)
+	f.publish("one", 0, versionWithEndpoints(6))
+	f.waitForEffect(3, "safe")
 	r := consensus.Release{ID: "r", Cluster: "rooms", Floor: 0.6, Drain: 20 * time.Millisecond,
 		Restart: 20 * time.Millisecond, Warm: 20 * time.Millisecond}
 	for i := range 3 {
@@ -56,34 +64,35 @@
 	} {
 		try := r
 		bad.change(&try)
-		if out := g.control(ReleaseCommand{Start: &try}); !strings.Contains(out.Error, bad.want) || out.Progress != nil {
+		out := f.controlRelease(ReleaseCommand{Start: &try})
+		if !strings.Contains(out.Error, bad.want) || out.Progress != nil {
 			t.Errorf("%q: %+v", bad.want, out)
 		}
 	}
-	if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
+	if out := f.controlRelease(ReleaseCommand{Start: &r}); out.Error != "" {
 		t.Fatalf("%+v", out)
 	}
 	testutil.Until(t, "the first wave to be out", func() bool {
-		s, err := g.client.LatestStatus(g.patience())
+		s, err := f.client.LatestStatus(f.context())
 		return err == nil && s.LogStatus.ActiveVersion >= 2
 	})
-	first, before := g.ownerOf()
+	first, before := f.releaseOwner()
 	if first < 0 {
 		t.Fatal("nobody owns it")
 	}
-	g.kill(first)
+	f.kill(first)
 	testutil.Until(t, "the release to end", func() bool {
-		out := g.control(ReleaseCommand{})
+		out := f.controlRelease(ReleaseCommand{})
 		return out.Progress != nil && out.Progress.Result != ""
 	})
-	if out := g.control(ReleaseCommand{}); out.Progress.Result != "done" {
+	if out := f.controlRelease(ReleaseCommand{}); out.Progress.Result != "done" {
 		t.Errorf("%+v", out.Progress)
 	}
-	if at, after := g.ownerOf(); at < 0 || at == first || after <= before {
+	if at, after := f.releaseOwner(); at < 0 || at == first || after <= before {
 		t.Errorf("owner %d by %d after %d by %d", at, after, first, before)
 	}
-	g.start(first)
-	s, err := g.client.LatestStatus(g.patience())
+	f.start(first)
+	s, err := f.client.LatestStatus(f.context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +105,7 @@
 	if !slices.Equal(ids, want) {
 		t.Errorf("versions %v, want %v", ids, want)
 	}
-	v := g.nodes[3].node
+	v := f.nodes[3].node
 	testutil.Until(t, "the follower to hold the last version", func() bool {
 		v.versionsMu.Lock()
 		defer v.versionsMu.Unlock()
@@ -113,33 +122,33 @@
 
 // Paused, a release begins nothing; aborted, it gives back what is out, once, and ends.
 func TestReleaseStops(t *testing.T) {
-	g := newGroup(t, 3, 0)
-	g.publish("one", 0, many(4))
+	f := newTestFleet(t, 3, 0)
+	f.publish("one", 0, versionWithEndpoints(4))
 	r := consensus.Release{ID: "r", Cluster: "rooms", Waves: [][]string{{"s-00000"}, {"s-00001"}}, Restart: time.Hour}
-	if out := g.control(ReleaseCommand{Action: "pause"}); out.Error != "no release goes on" {
+	if out := f.controlRelease(ReleaseCommand{Action: "pause"}); out.Error != "no release goes on" {
 		t.Errorf("%+v", out)
 	}
-	if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
+	if out := f.controlRelease(ReleaseCommand{Start: &r}); out.Error != "" {
 		t.Fatalf("%+v", out)
 	}
 	testutil.Until(t, "the first wave to be away",
-		func() bool { p := g.control(ReleaseCommand{}).Progress; return p.Phase == consensus.Restarting })
-	if out := g.control(ReleaseCommand{Action: "pause"}); !out.Progress.Paused {
+		func() bool { p := f.controlRelease(ReleaseCommand{}).Progress; return p.Phase == consensus.Restarting })
+	if out := f.controlRelease(ReleaseCommand{Action: "pause"}); !out.Progress.Paused {
 		t.Errorf("%+v", out)
 	}
 	other := r
 	other.ID = "other"
-	if out := g.control(ReleaseCommand{Start: &other}); !strings.Contains(out.Error, "goes on") {
+	if out := f.controlRelease(ReleaseCommand{Start: &other}); !strings.Contains(out.Error, "goes on") {
 		t.Errorf("two at once: %+v", out)
 	}
-	if out := g.control(ReleaseCommand{Action: "abort", Reason: "the new program fails"}); out.Error != "" {
+	if out := f.controlRelease(ReleaseCommand{Action: "abort", Reason: "the new program fails"}); out.Error != "" {
 		t.Errorf("%+v", out)
 	}
-	testutil.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Result != "" })
-	if p := g.control(ReleaseCommand{}).Progress; p.Result != "abort: the new program fails" {
+	f.waitForReleaseEnd()
+	if p := f.controlRelease(ReleaseCommand{}).Progress; p.Result != "abort: the new program fails" {
 		t.Errorf("%+v", p)
 	}
-	s, err := g.client.LatestStatus(g.patience())
+	s, err := f.client.LatestStatus(f.context())
 	if err != nil || len(s.History) != 3 || s.History[2].ID != "release/r/0/in" {
 		t.Errorf("%+v, %v", s.History, err)
 	}
@@ -147,25 +156,25 @@
 
 // A voter that has just started on an old log answers an operator by all that the fleet has agreed on meanwhile.
 func TestVoterThatIsBehindAnswersByTheLog(t *testing.T) {
-	g := newGroup(t, 3, 0)
+	f := newTestFleet(t, 3, 0)
 	for i := range 3 {
-		g.kill(i)
+		f.kill(i)
 		if i == 0 {
-			g.publish("one", 0, many(4))
+			f.publish("one", 0, versionWithEndpoints(4))
 		}
 		r := consensus.Release{ID: fmt.Sprint("r", i), Cluster: "rooms", Waves: [][]string{{fmt.Sprint("s-0000", i)}},
 			Restart: time.Hour}
 		if i > 0 { // what it has not heard of, or only the begin of
-			if out := g.control(ReleaseCommand{Start: &r}); out.Error != "" {
+			if out := f.controlRelease(ReleaseCommand{Start: &r}); out.Error != "" {
 				t.Fatalf("%+v", out)
 			}
 		}
-		g.start(i)
-		n := g.nodes[i].node
+		f.start(i)
+		n := f.nodes[i].node
 		ask := func(in ReleaseCommand) (out *ReleaseReply) {
 			testutil.Until(t, "a leader", func() bool {
 				var err error
-				out, err = n.serveReleaseCommand(g.patience(), &in)
+				out, err = n.serveReleaseCommand(f.context(), &in)
 				return err == nil
 			})
 			return out
@@ -181,22 +190,22 @@
 		if out := ask(ReleaseCommand{Action: "abort", Reason: "test"}); out.Error != "" {
 			t.Errorf("%+v", out)
 		}
-		testutil.Until(t, "the release to end", func() bool { return g.control(ReleaseCommand{}).Progress.Result != "" })
+		f.waitForReleaseEnd()
 	}
 	// A publisher is told of the present version, not of one that was.
 	var s *Status
 	testutil.Until(t, "the last release to be back", func() (calm bool) {
 		var err error
-		s, err = g.client.LatestStatus(g.patience())
+		s, err = f.client.LatestStatus(f.context())
 		return err == nil && s.LogStatus.PendingVersion == 0
 	})
-	parts := g.nodes[1].node.state().Version(1).Parts
-	g.kill(0)
-	g.inForce(g.publish("two", s.LogStatus.ActiveVersion, many(5)).Number)
-	g.start(0)
-	n := g.nodes[0].node
+	parts := f.nodes[1].node.state().Version(1).Parts
+	f.kill(0)
+	f.waitForOutcome(f.publish("two", s.LogStatus.ActiveVersion, versionWithEndpoints(5)).Number)
+	f.start(0)
+	n := f.nodes[0].node
 	testutil.Until(t, "a leader", func() bool {
-		out, err := n.servePublish(g.patience(), &PublishRequest{ID: "three", Base: s.LogStatus.ActiveVersion, Parts: parts})
+		out, err := n.servePublish(f.context(), &PublishRequest{ID: "three", Base: s.LogStatus.ActiveVersion, Parts: parts})
 		if err == nil && out.ActiveVersion != s.LogStatus.ActiveVersion+1 {
 			t.Errorf("%+v, and version %d is there", out, s.LogStatus.ActiveVersion+1)
 		}
--- a/internal/fleet/agent/silent_test.go
+++ b/internal/fleet/agent/silent_test.go
@@ -10,16 +10,16 @@
 	"yokestall/internal/testutil"
 )
 
-// silenceable carries connections to an address until it falls silent: then what comes is dropped and nothing is
+// relay carries connections to an address until it falls silent: then what comes is dropped and nothing is
 // closed, as behind a link that is cut.
-type silenceable struct {
+type relay struct {
 	address string
 	silent  atomic.Bool
 }
 
-// newSilenceable starts a relay to an address.
-func newSilenceable(t testing.TB, to string) *silenceable {
-	s := &silenceable{}
+// newRelay starts a relay to an address.
+func newRelay(t testing.TB, to string) *relay {
+	s := &relay{}
 	s.address = testutil.Accept(t, func(client net.Conn) {
 		server, err := net.Dial("tcp", to)
 		if err != nil {
@@ -32,7 +32,7 @@
 	return s
 }
 
-func (s *silenceable) carry(to io.Writer, from io.Reader) {
+func (s *relay) carry(to io.Writer, from io.Reader) {
 	for piece := make([]byte, 32<<10); ; {
 		n, err := from.Read(piece)
 		if err != nil {
@@ -47,21 +47,21 @@
 // Guards against a publish that waits for a voter which doesn't answer: a quorum that has the content is enough.
 func TestSilentVoterHoldsNoPublishUp(t *testing.T) {
 	t.Parallel()
-	g := newGroup(t, 3, 0)
-	relay := newSilenceable(t, g.voters[2].Address)
-	voters := []VoterAddress{g.voters[0], g.voters[1], {g.voters[2].Name, relay.address}}
-	g.client.Close()
+	f := newTestFleet(t, 3, 0)
+	relay := newRelay(t, f.voters[2].Address)
+	voters := []VoterAddress{f.voters[0], f.voters[1], {f.voters[2].Name, relay.address}}
+	f.client.Close()
 	var err error
-	if g.client, err = NewClient("f", voters, nil); err != nil {
+	if f.client, err = NewClient("f", voters, nil); err != nil {
 		t.Fatal(err)
 	}
-	first := g.publish("first", 0, bundle("safe")) // the connections are there now
-	g.inForce(first.Number)
+	first := f.publish("first", 0, versionWithEffect("safe")) // the connections are there now
+	f.waitForOutcome(first.Number)
 	relay.silent.Store(true)
 	begun := time.Now()
-	second := g.publish("second", first.Number, bundle("unsafe"))
+	second := f.publish("second", first.Number, versionWithEffect("unsafe"))
 	if took := time.Since(begun); second.Number == 0 || took >= publishTimeout {
 		t.Fatalf("version %d after %v: %+v", second.Number, took, second)
 	}
-	g.inForce(second.Number)
+	f.waitForOutcome(second.Number)
 }
