--- a/internal/fleet/agent/client.go
+++ b/internal/fleet/agent/client.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"google.golang.org/grpc"
+
+	"yokestall/internal/fleet/consensus"
 )
 
 const (
@@ -26,12 +28,12 @@
 
 // Client is an operator's client of a fleet's voters.
 type Client struct {
-	voters []Voter
+	voters []VoterAddress
 	conns  []*Conn
 }
 
 // NewClient creates a client. Its connections are established when they are needed.
-func NewClient(fleet string, voters []Voter, with *tls.Config, more ...grpc.DialOption) (*Client, error) {
+func NewClient(fleet string, voters []VoterAddress, with *tls.Config, more ...grpc.DialOption) (*Client, error) {
 	c := &Client{voters: voters}
 	for _, v := range voters {
 		conn, err := Dial(v, with, fleet, more...)
@@ -96,13 +98,13 @@
 			latest = a.Status
 		}
 	}
-	if !c.isQuorum(answers) {
+	if answers < c.quorumSize() {
 		return nil, fmt.Errorf("%w: %d of %d (%s)", ErrNoQuorum, answers, len(c.conns), lastError)
 	}
 	return latest, nil
 }
 
-func (c *Client) isQuorum(voters int) bool { return voters > len(c.conns)/2 }
+func (c *Client) quorumSize() int { return consensus.QuorumSize(len(c.conns)) }
 
 // OwnershipToken queries the voter at an index of the client's voters for the fencing token by which it owns a task at
 // this moment; 0: it doesn't.
--- a/internal/fleet/agent/versions.go
+++ b/internal/fleet/agent/versions.go
@@ -18,14 +18,15 @@
 	refusalTimeout  = time.Second     // for one voter to take a refusal
 )
 
-// hasVersion reports whether a version is cached, and begins to fetch it if not; n.leaseMu is held.
-func (n *Node) hasVersion(number uint64) bool {
+// hasOrFetch reports whether a version is cached. If it isn't, nor known to be unusable, it starts to fetch it;
+// n.leaseMu is held.
+func (n *Node) hasOrFetch(number uint64) bool {
 	n.versionsMu.Lock()
 	defer n.versionsMu.Unlock()
 	if n.versions[number] != nil {
 		return true
 	}
-	if number != 0 && !n.fetching[number] && n.rejected[number] == "" {
+	if number != 0 && !n.fetching[number] && n.unusable[number] == "" {
 		n.fetching[number] = true
 		n.background.Go(func() { n.fetchVersion(number) })
 	}
@@ -61,22 +62,22 @@
 	return m, v, err
 }
 
-// finishFetch caches a version, or rejects it for an error.
+// finishFetch caches a version, or records why this node can't use it.
 func (n *Node) finishFetch(number uint64, m *consensus.Manifest, v *consensus.Version, err error) {
 	n.versionsMu.Lock()
 	delete(n.fetching, number)
 	if err == nil {
 		n.cacheVersion(m, v)
 	} else {
-		n.rejected[number] = err.Error()
-		maps.DeleteFunc(n.rejected, func(old uint64, _ string) bool { return old+maxCachedVersions < number })
+		n.unusable[number] = err.Error()
+		maps.DeleteFunc(n.unusable, func(old uint64, _ string) bool { return old+maxCachedVersions < number })
 	}
 	n.versionsMu.Unlock()
 	if err != nil {
 		n.Log.Error("version not usable", "version", number, "err", err)
-		n.reportRefusal(number, err.Error())
+		n.reportUnusable(number, err.Error())
 	}
-	n.handleLeaseReply(nil, nil)
+	n.reevaluateLease()
 }
 
 // cacheVersion caches a version and evicts the oldest ones that nothing needs; n.versionsMu is held, and n.mu must
@@ -105,8 +106,8 @@
 	return a != nil && (number == a.versions.Version || number == a.versions.PendingVersion)
 }
 
-// reportRefusal reports to the voters that this node can't use a version, until it is no longer pending.
-func (n *Node) reportRefusal(number uint64, reason string) {
+// reportUnusable reports to the voters that this node can't use a version, until it is no longer pending.
+func (n *Node) reportUnusable(number uint64, reason string) {
 	for n.ctx.Err() == nil {
 		if n.logStatus().PendingVersion != number {
 			return
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -10,13 +10,14 @@
 	"yokestall/policy"
 )
 
-// DisconnectedVersion restricts what a node acted on last to what its policy allows without a lease. The wall-clock
-// time serves only to find the endpoints that had been started shortly before the lease ended.
-func DisconnectedVersion(last EffectiveVersion, rules lease.DisconnectedPolicy, ended time.Time) EffectiveVersion {
+// DisconnectedVersion restricts what a node acted on last to what its policy allows without a lease. now is the
+// wall-clock time at which the policy is applied. It serves only to find the endpoints that were started shortly before
+// that time.
+func DisconnectedVersion(last EffectiveVersion, rules lease.DisconnectedPolicy, now time.Time) EffectiveVersion {
 	p := *last.Program
 	p.Classes = slices.Clone(p.Classes)
 	out := EffectiveVersion{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
-	maps.Copy(out.Refused, last.Refused) // no safe choice exists for these classes now either
+	maps.Copy(out.RefusedClasses, last.RefusedClasses) // no safe choice exists for these classes now either
 	if rules.Effects == lease.Cautious {
 		p.Limits.MaxAttempts, p.Limits.AllowHedging = 1, false
 	}
@@ -28,15 +29,15 @@
 		}
 		switch {
 		case rules.Effects == lease.Refuse, rules.Servers == lease.Refuse, rules.Routes == lease.Refuse:
-			out.Refused[c.Name] = "the node is cut off from the fleet"
+			out.RefusedClasses[c.Name] = "the node is cut off from the fleet"
 		case !safe && (rules.Routes == lease.Cautious || rules.Servers == lease.Cautious):
-			out.Refused[c.Name] = "the node is cut off from the fleet, and the class's routes or servers may have changed"
+			out.RefusedClasses[c.Name] = "the node is cut off from the fleet, and the class's routes or servers may have changed"
 		}
 	}
 	if rules.Servers != lease.ServeLast {
 		out.Clusters = map[string]*cluster.Config{}
 		for name, c := range last.Clusters {
-			out.Clusters[name] = drainWarmingEndpoints(c, p.Rules.SlowStartWindow, ended)
+			out.Clusters[name] = drainWarmingEndpoints(c, p.Rules.SlowStartWindow, now)
 		}
 	}
 	return out
--- a/internal/fleet/consensus/state.go
+++ b/internal/fleet/consensus/state.go
@@ -13,7 +13,7 @@
 type State struct {
 	Index          uint64     `json:"index"`   // of the last entry
 	Epoch          uint64     `json:"epoch"`   // of the version in force
-	ActiveVersion  uint64     `json:"number"`  // of the version in force; 0: none yet
+	ActiveVersion  uint64     `json:"number"`  // number of the version in force; 0: none yet
 	PendingVersion uint64     `json:"pending"` // comes into force with epoch Epoch+1; 0: none
 	EpochAcks      []uint64   `json:"cleared"` // voters that have acknowledged the pending version's epoch, ascending
 	EpochVersions  []uint64   `json:"alive"`   // versions of this epoch, any of which some node may act on; ascending
@@ -26,7 +26,7 @@
 	Release *ReleaseProgress `json:"release,omitempty"` // the latest one; nil: there has been none
 }
 
-// LeaseEpoch is the epoch up to which a lease that is granted now reaches.
+// LeaseEpoch is the Grant.MaxEpoch of a lease that is granted now.
 func (s *State) LeaseEpoch() uint64 {
 	if s.PendingVersion != 0 {
 		return s.Epoch + 1
@@ -103,8 +103,8 @@
 		s.refuseVersion(e.Refusal)
 	case e.Assignment != nil:
 		s.assignTask(index, e.Assignment)
-	case e.TaskRelease != nil:
-		s.releaseTask(index, e.TaskRelease, voters)
+	case e.OwnershipEnd != nil:
+		s.confirmOwnershipEnd(index, e.OwnershipEnd, voters)
 	case e.Release != nil:
 		s.startRelease(e.Release)
 	case e.ReleaseUpdate != nil:
@@ -175,12 +175,12 @@
 	if s.PendingVersion == 0 || ack.Epoch != s.Epoch+1 {
 		return
 	}
-	at, recorded := slices.BinarySearch(s.EpochAcks, ack.Voter)
+	at, recorded := slices.BinarySearch(s.EpochAcks, ack.VoterID)
 	if recorded {
 		return
 	}
-	s.EpochAcks = slices.Insert(s.EpochAcks, at, ack.Voter)
-	if len(s.EpochAcks) <= voters/2 {
+	s.EpochAcks = slices.Insert(s.EpochAcks, at, ack.VoterID)
+	if len(s.EpochAcks) < QuorumSize(voters) {
 		return
 	}
 	s.Epoch++
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -24,7 +24,7 @@
 }
 
 // NewMeter makes a meter for a process of a fleet whose voters are spread over regions in turn.
-func NewMeter(voters []agent.Voter, regions int) *Meter {
+func NewMeter(voters []agent.VoterAddress, regions int) *Meter {
 	m := &Meter{regions: map[string]int{}, healed: make(chan struct{})}
 	close(m.healed)
 	for i, v := range voters {
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -18,7 +18,7 @@
 	command []string
 	env     []string // beside the environment of this process
 	members members
-	voters  []agent.Voter
+	voters  []agent.VoterAddress
 	meter   *Meter // of the operator, who is in region 0
 	keys    string // the folder of the run's keys; "": clear text
 	client  *agent.Client
--- a/internal/lab/scale/rigfiles.go
+++ b/internal/lab/scale/rigfiles.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err
 		}
-		r.voters = append(r.voters, agent.Voter{Name: m.name, Address: address})
+		r.voters = append(r.voters, agent.VoterAddress{Name: m.name, Address: address})
 	}
 	if r.plan.TLS {
 		if err := r.makeKeys(); err != nil {
