--- a/internal/app/agreedsource.go
+++ b/internal/app/agreedsource.go
@@ -27,10 +27,10 @@
 }
 
 // EmptySnapshot returns the first version of an app that gets its routes and clusters from its fleet.
-func EmptySnapshot(own *config.Program) *files.Snapshot {
+func EmptySnapshot(own *config.Program) *files.Configuration {
 	p := *own
 	p.Hosts, p.Table = nil, nil
-	return &files.Snapshot{Program: &p, Version: &cluster.Version{Clusters: map[string]*cluster.Config{}}}
+	return &files.Configuration{Program: &p, Version: &cluster.Version{Clusters: map[string]*cluster.Config{}}}
 }
 
 // Parse parses the files of a version. The error says why this node can't apply it.
@@ -87,6 +87,6 @@
 	if err != nil {
 		return err
 	}
-	snapshot := &files.Snapshot{Program: p, Version: &cluster.Version{Clusters: v.Clusters}}
+	snapshot := &files.Configuration{Program: p, Version: &cluster.Version{Clusters: v.Clusters}}
 	return s.app.ApplyRejecting(time.Now(), snapshot, v.RefusedClasses)
 }
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -54,7 +54,7 @@
 
 // New starts an app with its first configuration version. The error says why that can't be applied, or the log of
 // idempotency keys can't be opened.
-func New(first *files.Snapshot, o Options) (*App, error) {
+func New(first *files.Configuration, o Options) (*App, error) {
 	a := &App{Options: o, clock: engine.NewClock()}
 	a.ctx, a.stop = context.WithCancel(context.Background())
 	a.state.Store(&state{clusters: map[string]*managedCluster{}})
--- a/internal/app/apply.go
+++ b/internal/app/apply.go
@@ -13,15 +13,15 @@
 // Apply puts a configuration version in force. When it returns, the engines have been updated, and from
 // engine.DefaultDrainSendGrace later nothing is sent to an endpoint that the version does not have, or has as not
 // serving. After an error nothing has changed.
-func (a *App) Apply(s *files.Snapshot) error { return a.ApplyAt(time.Now(), s) }
+func (a *App) Apply(s *files.Configuration) error { return a.ApplyAt(time.Now(), s) }
 
 // ApplyAt is Apply for a version that was delivered at an earlier time, from which the grace counts.
-func (a *App) ApplyAt(delivered time.Time, s *files.Snapshot) error {
+func (a *App) ApplyAt(delivered time.Time, s *files.Configuration) error {
 	return a.ApplyRejecting(delivered, s, nil)
 }
 
 // ApplyRejecting is ApplyAt with classes whose requests are rejected, each with the reason, until the next version.
-func (a *App) ApplyRejecting(delivered time.Time, s *files.Snapshot, refusedClasses map[string]string) error {
+func (a *App) ApplyRejecting(delivered time.Time, s *files.Configuration, refusedClasses map[string]string) error {
 	deliveredAt := a.clock.Now() - time.Since(delivered)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/app/apply_test.go
+++ b/internal/app/apply_test.go
@@ -92,14 +92,14 @@
 	b := testutil.StartAppServer(t, "b")
 	log := &sendLog{names: map[uint64]string{}}
 	p := parse(t, program)
-	named := func(id string) *files.Snapshot {
+	named := func(id string) *files.Configuration {
 		e := cluster.Endpoint{ID: id, Address: b.Addr(), Weight: 1}
 		log.names[e.Key()] = id
 		return snapshot(p, rooms(e))
 	}
 	first, second := named("old"), named("new")
 	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t), OnSend: log.note})
-	for i, v := range []*files.Snapshot{first, second} {
+	for i, v := range []*files.Configuration{first, second} {
 		if err := s.app.Apply(v); err != nil {
 			t.Fatal(err)
 		}
@@ -114,7 +114,7 @@
 func TestBounds(t *testing.T) {
 	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
-	bounded := func(bounds cluster.Limits) *files.Snapshot {
+	bounded := func(bounds cluster.Limits) *files.Configuration {
 		c := rooms(endpointOf(b))
 		c.Limits = bounds
 		return snapshot(p, c)
@@ -154,7 +154,7 @@
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p := parse(b, program)
-			version := func(weight float64) *files.Snapshot {
+			version := func(weight float64) *files.Configuration {
 				var list []cluster.Endpoint
 				for i := range n {
 					list = append(list, cluster.Endpoint{
@@ -164,7 +164,7 @@
 				list[n/2].Weight = weight
 				return snapshot(p, rooms(list...))
 			}
-			two := []*files.Snapshot{version(1), version(2)}
+			two := []*files.Configuration{version(1), version(2)}
 			a, err := New(two[0], Options{Seed: 1, Log: testutil.DiscardLogger})
 			if err != nil {
 				b.Fatal(err)
--- a/internal/app/configuration_test.go
+++ b/internal/app/configuration_test.go
@@ -67,10 +67,10 @@
 }
 
 // snapshot returns a version of the files with clusters.
-func snapshot(p *config.Program, list ...*cluster.Config) *files.Snapshot {
+func snapshot(p *config.Program, list ...*cluster.Config) *files.Configuration {
 	v := &cluster.Version{Clusters: map[string]*cluster.Config{}}
 	for _, c := range list {
 		v.Clusters[c.Name] = c
 	}
-	return &files.Snapshot{Program: p, Version: v}
+	return &files.Configuration{Program: p, Version: v}
 }
--- a/internal/app/leaks_test.go
+++ b/internal/app/leaks_test.go
@@ -22,7 +22,7 @@
 		for i := range times {
 			p := *first.Program
 			p.Limits.MaxRetryAfter += time.Duration(1+i%2) * time.Millisecond
-			if err := s.app.Apply(&files.Snapshot{Program: &p, Version: first.Version}); err != nil {
+			if err := s.app.Apply(&files.Configuration{Program: &p, Version: first.Version}); err != nil {
 				t.Fatal(err)
 			}
 			s.requestStatus(i % count) // so that engines are among what is replaced
--- a/internal/app/services_test.go
+++ b/internal/app/services_test.go
@@ -14,7 +14,7 @@
 
 // servicesSnapshot returns a program with a route to each of a number of clusters, which are called services here, and
 // the clusters, all with the same servers.
-func servicesSnapshot(t testing.TB, count int, servers ...*appbox.Server) *files.Snapshot {
+func servicesSnapshot(t testing.TB, count int, servers ...*appbox.Server) *files.Configuration {
 	t.Helper()
 	text := strings.Builder{}
 	text.WriteString(program)
--- a/internal/app/serving_test.go
+++ b/internal/app/serving_test.go
@@ -15,7 +15,7 @@
 )
 
 // newApp returns an app, which is closed at the end of the test.
-func newApp(t testing.TB, first *files.Snapshot, o Options) *App {
+func newApp(t testing.TB, first *files.Configuration, o Options) *App {
 	t.Helper()
 	a, err := New(first, o)
 	if err != nil {
@@ -46,13 +46,13 @@
 }
 
 // serve serves by a snapshot until the end of the test.
-func serve(t testing.TB, first *files.Snapshot) *serving {
+func serve(t testing.TB, first *files.Configuration) *serving {
 	t.Helper()
 	return serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t)})
 }
 
 // serveWith is serve with options.
-func serveWith(t testing.TB, first *files.Snapshot, o Options) *serving {
+func serveWith(t testing.TB, first *files.Configuration, o Options) *serving {
 	t.Helper()
 	a := newApp(t, first, o)
 	l := testutil.Listen(t)
--- a/internal/app/snapshots_test.go
+++ b/internal/app/snapshots_test.go
@@ -46,7 +46,7 @@
 	for round := range 2 {
 		changed := *first.Program
 		changed.Limits.MaxRetryAfter += time.Duration(round+1) * time.Millisecond
-		if err := s.app.Apply(&files.Snapshot{Program: &changed, Version: first.Version}); err != nil {
+		if err := s.app.Apply(&files.Configuration{Program: &changed, Version: first.Version}); err != nil {
 			t.Fatal(err)
 		}
 		if s.app.ActiveClusters() != 0 || opened() != 1 {
--- a/internal/app/source.go
+++ b/internal/app/source.go
@@ -19,14 +19,14 @@
 	app *App
 
 	mu       sync.Mutex // guards the fields below, and the order in which versions are applied
-	files    *files.Snapshot
+	files    *files.Configuration
 	received bool // the control plane has delivered something; clusters and routes are its last delivery
 	clusters map[string]*cluster.Config
 	routes   *translate.Routes
 }
 
 // NewSource returns a source for an app that has applied the first version of the files.
-func NewSource(a *App, first *files.Snapshot) *Source { return &Source{app: a, files: first} }
+func NewSource(a *App, first *files.Configuration) *Source { return &Source{app: a, files: first} }
 
 // XDSConfig returns the configuration of the xDS client for the program's file at path; nil if it names no control
 // plane. The file of the last good version is looked up beside the program's.
@@ -49,7 +49,7 @@
 }
 
 // SetFiles puts another version of the files in force.
-func (s *Source) SetFiles(next *files.Snapshot) {
+func (s *Source) SetFiles(next *files.Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.files = next
@@ -92,8 +92,8 @@
 
 // merge returns files and control plane as one version; s.mu is locked. The error is that the control plane's routes
 // don't go with the files, such as one of a class that the program's file no longer has.
-func (s *Source) merge() (*files.Snapshot, error) {
-	next := &files.Snapshot{Program: s.files.Program, Version: s.files.Version}
+func (s *Source) merge() (*files.Configuration, error) {
+	next := &files.Configuration{Program: s.files.Program, Version: s.files.Version}
 	if !s.received {
 		return next, nil
 	}
--- a/internal/app/state.go
+++ b/internal/app/state.go
@@ -29,7 +29,7 @@
 
 // newState returns the state that follows another one, without clusters. Tenants and settings that are equal are
 // shared.
-func newState(old *state, s *files.Snapshot, refusedClasses map[string]string) (*state, error) {
+func newState(old *state, s *files.Configuration, refusedClasses map[string]string) (*state, error) {
 	tenants, err := newTenantTable(old.tenants, s.Program)
 	if err != nil {
 		return nil, err
--- a/internal/app/versionstorm_test.go
+++ b/internal/app/versionstorm_test.go
@@ -136,7 +136,7 @@
 }
 
 // apply applies a version of the files.
-func (s *versionStorm) apply(v *files.Snapshot) {
+func (s *versionStorm) apply(v *files.Configuration) {
 	before := time.Now() // a server may get requests as soon as the app has the version
 	if err := s.app.Apply(v); err != nil {
 		s.t.Error(err)
--- a/internal/app/xdsserving_test.go
+++ b/internal/app/xdsserving_test.go
@@ -18,7 +18,7 @@
 )
 
 // xdsProgram is a program that follows a control plane at an address by its listener "ingress".
-func xdsProgram(t testing.TB, addr, variant, more string) *files.Snapshot {
+func xdsProgram(t testing.TB, addr, variant, more string) *files.Configuration {
 	text := program[:strings.Index(program, "[[host]]")] +
 		fmt.Sprintf("[xds]\nservers = [%q]\nvariant = %q\n", addr, variant) +
 		"node_id = \"test\"\nlistener = \"ingress\"\nclass = \"read\"\n" + more
@@ -49,7 +49,7 @@
 // follow serves by a control plane. change may change the client's configuration; applied is called with each delivery
 // once the app has applied it; both may be nil.
 func follow(
-	t testing.TB, first *files.Snapshot, o Options, change func(*xds.Config), applied func(*xds.Delivery),
+	t testing.TB, first *files.Configuration, o Options, change func(*xds.Config), applied func(*xds.Delivery),
 ) (*serving, *testutil.Logs) {
 	t.Helper()
 	logs := testutil.NewLogs(t)
--- a/internal/cli/server.go
+++ b/internal/cli/server.go
@@ -22,8 +22,8 @@
 
 // server is the running program: an app, and the tasks that keep it up to date.
 type server struct {
-	path      string          // of the program's file
-	first     *files.Snapshot // the version that it was started with
+	path      string               // of the program's file
+	first     *files.Configuration // the version that it was started with
 	memory    memoryLimit
 	keys      *tlskeys.Store // nil: the file names none
 	app       *app.App
@@ -35,7 +35,7 @@
 
 // newServer makes the app, which does not listen yet.
 func newServer(
-	path string, first *files.Snapshot, memory memoryLimit, log *slog.Logger, options serveOptions,
+	path string, first *files.Configuration, memory memoryLimit, log *slog.Logger, options serveOptions,
 ) (*server, error) {
 	s := &server{path: path, first: first, memory: memory, log: log}
 	o := app.Options{Seed: rand.Uint64(), Log: log, Path: path}
@@ -81,7 +81,7 @@
 		s.tasks.Go(func() { client.Run(ctx, source.Deliver) })
 	}
 	s.tasks.Go(func() {
-		watcher.Run(ctx, func(next *files.Snapshot) { s.applyFiles(source, next) })
+		watcher.Run(ctx, func(next *files.Configuration) { s.applyFiles(source, next) })
 	})
 	if s.keys != nil {
 		s.tasks.Go(func() { s.keys.Run(ctx, s.first.Program.Keys.Poll) })
@@ -89,7 +89,7 @@
 }
 
 // applyFiles applies a new version of the files.
-func (s *server) applyFiles(source *app.Source, next *files.Snapshot) {
+func (s *server) applyFiles(source *app.Source, next *files.Configuration) {
 	s.memory.set(next.Program.MemoryLimit)
 	if s.member != nil {
 		s.member.source.SetOwnProgram(next.Program)
--- a/internal/compare/setup_test.go
+++ b/internal/compare/setup_test.go
@@ -104,7 +104,7 @@
 		tb.Fatal(err)
 	}
 	version := &cluster.Version{Clusters: map[string]*cluster.Config{"c": s.cluster("c", addrs)}}
-	a, err := app.New(&files.Snapshot{Program: program, Version: version},
+	a, err := app.New(&files.Configuration{Program: program, Version: version},
 		app.Options{Seed: 1, Log: testutil.DiscardLogger, Keys: s.keys})
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/demo/program.go
+++ b/internal/demo/program.go
@@ -43,7 +43,7 @@
 	}
 	source := app.NewSource(d.app, first)
 	parts.Go(func() {
-		watcher.Run(running, func(v *files.Snapshot) {
+		watcher.Run(running, func(v *files.Configuration) {
 			source.SetFiles(v)
 			d.noteVersion()
 		})
--- a/internal/downstream/extproc/rig_test.go
+++ b/internal/downstream/extproc/rig_test.go
@@ -76,13 +76,13 @@
 	return r
 }
 
-func (r *rig) version(addrs []string) *files.Snapshot {
+func (r *rig) version(addrs []string) *files.Configuration {
 	c := &cluster.Config{Name: "rooms", ShrinkTo: -1, AllowEmpty: len(addrs) == 0}
 	for i, a := range addrs {
 		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
 	}
 	version := &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: c}}
-	return &files.Snapshot{Program: r.program, Version: version}
+	return &files.Configuration{Program: r.program, Version: version}
 }
 
 // open opens a processing stream.
--- a/internal/files/atrest_test.go
+++ b/internal/files/atrest_test.go
@@ -226,7 +226,7 @@
 	}
 	r := rest(f)
 	first := r.w.current
-	change := func(name, text string, parses int) *Snapshot {
+	change := func(name, text string, parses int) *Configuration {
 		t.Helper()
 		tick(t)
 		before := r.w.parser.parses()
--- a/internal/files/bundle.go
+++ b/internal/files/bundle.go
@@ -59,10 +59,10 @@
 }
 
 // Unbundle parses and checks the files of a version, as Load does those of a folder. The error has what is wrong.
-func Unbundle(list []config.File) (*Snapshot, error) { return NewParser().Unbundle(list) }
+func Unbundle(list []config.File) (*Configuration, error) { return NewParser().Unbundle(list) }
 
 // Unbundle is like the function, at the cost of what differs from the two previous versions.
-func (p *Parser) Unbundle(list []config.File) (*Snapshot, error) {
+func (p *Parser) Unbundle(list []config.File) (*Configuration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, err := p.unbundle(list)
@@ -75,7 +75,7 @@
 	return s, nil
 }
 
-func (p *Parser) unbundle(list []config.File) (*Snapshot, error) {
+func (p *Parser) unbundle(list []config.File) (*Configuration, error) {
 	v, changes, err := sortParts(list)
 	if err != nil {
 		return nil, err
--- a/internal/files/bundle_test.go
+++ b/internal/files/bundle_test.go
@@ -85,7 +85,7 @@
 		return files
 	}
 	var p Parser
-	unbundle := func(list []config.File, parses int) *Snapshot {
+	unbundle := func(list []config.File, parses int) *Configuration {
 		t.Helper()
 		before := p.parses()
 		s, err := p.Unbundle(list)
--- a/internal/files/snapshot.go
+++ b/internal/files/configuration.go
@@ -7,8 +7,8 @@
 	"yokestall/internal/xds/translate"
 )
 
-// Snapshot is a complete, checked version of all files.
-type Snapshot struct {
+// Configuration is a complete, checked version of all files.
+type Configuration struct {
 	Program     *config.Program
 	Version     *cluster.Version
 	contentHash hash
@@ -16,11 +16,11 @@
 
 // Load reads and checks the program's file and the files that it names: all that a check does, and all that the running
 // program accepts a version by except cluster.CheckRemovals. The error has what is wrong by file and line.
-func Load(path string) (*Snapshot, error) {
+func Load(path string) (*Configuration, error) {
 	return load(newReader(path), NewParser())
 }
 
-func load(r *reader, p *Parser) (*Snapshot, error) {
+func load(r *reader, p *Parser) (*Configuration, error) {
 	v, err := r.scan(p)
 	if err != nil {
 		return nil, err
--- a/internal/files/harness_test.go
+++ b/internal/files/harness_test.go
@@ -49,13 +49,13 @@
 	path string
 	dir  string // of the cluster files
 	logs *testutil.Logs
-	got  chan *Snapshot
+	got  chan *Configuration
 	seen chan struct{} // one for each poll
 }
 
 // newFolder returns a folder with a valid program and the cluster rooms.
 func newFolder(t *testing.T) *folder {
-	f := &folder{t: t, logs: testutil.NewLogs(t), got: make(chan *Snapshot, 1000), seen: make(chan struct{})}
+	f := &folder{t: t, logs: testutil.NewLogs(t), got: make(chan *Configuration, 1000), seen: make(chan struct{})}
 	root := t.TempDir()
 	f.path, f.dir = filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
 	if err := os.Mkdir(f.dir, 0o755); err != nil {
@@ -87,10 +87,10 @@
 }
 
 // watch watches the folder until the end of the test and returns its first version.
-func (f *folder) watch() *Snapshot { return f.watchBy(newNotifier) }
+func (f *folder) watch() *Configuration { return f.watchBy(newNotifier) }
 
 // watchBy is watch with another notifier.
-func (f *folder) watchBy(notify func() (*notifier, error)) *Snapshot {
+func (f *folder) watchBy(notify func() (*notifier, error)) *Configuration {
 	f.t.Helper()
 	w, first, err := Open(f.path, f.logs.Logger())
 	if err != nil {
@@ -105,13 +105,13 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
-	run.Go(func() { w.Run(ctx, func(s *Snapshot) { f.got <- s }) })
+	run.Go(func() { w.Run(ctx, func(s *Configuration) { f.got <- s }) })
 	f.t.Cleanup(func() { stop(); run.Wait() })
 	return first
 }
 
 // next waits for the next version.
-func (f *folder) next() *Snapshot {
+func (f *folder) next() *Configuration {
 	f.t.Helper()
 	return testutil.Wait(f.t, f.got, "a version to be taken")
 }
@@ -131,7 +131,7 @@
 }
 
 // ports returns the ports of the servers of the cluster rooms.
-func ports(s *Snapshot) string {
+func ports(s *Configuration) string {
 	c := s.Version.Clusters["rooms"]
 	if c == nil {
 		return "none"
--- a/internal/files/limits_test.go
+++ b/internal/files/limits_test.go
@@ -72,7 +72,7 @@
 			before := r.w.current
 			tick(t)
 			tc.change(f, tenants, text)
-			var s *Snapshot
+			var s *Configuration
 			bytes := allocated(func() { s = r.poll() })
 			if s != nil || r.w.current != before {
 				t.Fatal("it is taken")
--- a/internal/files/parser.go
+++ b/internal/files/parser.go
@@ -60,7 +60,7 @@
 }
 
 // check parses the files of a version and checks them together.
-func (p *Parser) check(v *contents) (*Snapshot, error) {
+func (p *Parser) check(v *contents) (*Configuration, error) {
 	program, err := p.programWithTenants(v)
 	if err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Snapshot{Program: program, Version: &cluster.Version{Clusters: clusters}, contentHash: v.hash()}
+	s := &Configuration{Program: program, Version: &cluster.Version{Clusters: clusters}, contentHash: v.hash()}
 	if program.XDS.Folder == "" {
 		return s, nil
 	}
@@ -123,7 +123,7 @@
 }
 
 // addView adds the clusters and routes of the files in xDS form to a snapshot.
-func (p *Parser) addView(s *Snapshot, v *contents) error {
+func (p *Parser) addView(s *Configuration, v *contents) error {
 	view, err := p.view(v)
 	if err != nil {
 		return err
--- a/internal/files/planwatcher_test.go
+++ b/internal/files/planwatcher_test.go
@@ -21,4 +21,4 @@
 }
 
 // planUnbundle gives what reads the versions of a fleet, one after the other.
-func planUnbundle() func([]config.File) (*Snapshot, error) { return NewParser().Unbundle }
+func planUnbundle() func([]config.File) (*Configuration, error) { return NewParser().Unbundle }
--- a/internal/files/resting_test.go
+++ b/internal/files/resting_test.go
@@ -45,7 +45,7 @@
 }
 
 // poll polls a second later.
-func (r *resting) poll() *Snapshot {
+func (r *resting) poll() *Configuration {
 	r.now = r.now.Add(time.Second)
 	return r.w.poll(true)
 }
--- a/internal/files/tenants_test.go
+++ b/internal/files/tenants_test.go
@@ -33,7 +33,7 @@
 	if len(first.Tenants) != 5 || first.Tenants[0].QuotaPerS != 20 {
 		t.Fatalf("tenants %+v", first.Tenants)
 	}
-	change := func(name, text string) *Snapshot {
+	change := func(name, text string) *Configuration {
 		t.Helper()
 		tick(t)
 		parses := r.w.parser.parses()
--- a/internal/files/watcher.go
+++ b/internal/files/watcher.go
@@ -25,7 +25,7 @@
 	log     *slog.Logger
 	reader  *reader
 	parser  *Parser
-	current *Snapshot
+	current *Configuration
 	number  uint64 // of current
 
 	verdict      verdict         // of the last poll that read something
@@ -43,7 +43,7 @@
 }
 
 // Open reads the first version. The error says why it is rejected.
-func Open(path string, log *slog.Logger) (*Watcher, *Snapshot, error) {
+func Open(path string, log *slog.Logger) (*Watcher, *Configuration, error) {
 	r, p := newReader(path), NewParser()
 	s, err := load(r, p)
 	if err != nil {
@@ -61,7 +61,7 @@
 
 // Run calls apply with each new version, in its own goroutine, until ctx ends. Changes are found by notification, and
 // by the stamps and the contents of the files at each poll, which alone is sufficient.
-func (w *Watcher) Run(ctx context.Context, apply func(*Snapshot)) {
+func (w *Watcher) Run(ctx context.Context, apply func(*Configuration)) {
 	notifier := w.startNotifier()
 	defer notifier.close()
 	watched := w.folders()
@@ -145,7 +145,7 @@
 // poll returns a version that is new and accepted; nil if there is none. Files that have not changed since the last
 // poll are not read, and the verdict on them stays. byTimer is false for a poll after a notification, which may come
 // while a file is being written, so that nothing is logged then.
-func (w *Watcher) poll(byTimer bool) *Snapshot {
+func (w *Watcher) poll(byTimer bool) *Configuration {
 	if !w.reader.unchanged() {
 		if s := w.read(); s != nil {
 			return s
@@ -158,7 +158,7 @@
 }
 
 // read reads the files that changed. It returns a version that is new and accepted, or sets the verdict.
-func (w *Watcher) read() *Snapshot {
+func (w *Watcher) read() *Configuration {
 	s, err := w.readNext()
 	w.reader.finishScan(err == nil)
 	switch {
@@ -186,7 +186,7 @@
 
 // readNext reads the files. It returns neither a snapshot nor an error if they are as in the current version. A
 // snapshot beside an error has only the hash of the rejected contents.
-func (w *Watcher) readNext() (*Snapshot, error) {
+func (w *Watcher) readNext() (*Configuration, error) {
 	v, err := w.reader.scan(w.parser)
 	if err != nil {
 		return nil, err
@@ -203,7 +203,7 @@
 		err = cluster.CheckRemovals(w.current.Version, s.Version, s.Program.Files.MaxShare)
 	}
 	if err != nil {
-		return &Snapshot{contentHash: contentHash}, err
+		return &Configuration{contentHash: contentHash}, err
 	}
 	return s, nil
 }
@@ -225,7 +225,7 @@
 
 // reuseUnchanged replaces clusters of a new version by equal ones of the current version, so that their users see by
 // identity that nothing changed.
-func (w *Watcher) reuseUnchanged(s *Snapshot) {
+func (w *Watcher) reuseUnchanged(s *Configuration) {
 	for name, c := range s.Version.Clusters {
 		if old := w.current.Version.Clusters[name]; old != nil && old != c && equalClusters(old, c) {
 			s.Version.Clusters[name] = old
--- a/internal/lab/sockets/inprocess.go
+++ b/internal/lab/sockets/inprocess.go
@@ -104,9 +104,9 @@
 }
 
 // snapshot returns the program's configuration with the present endpoints.
-func (p *inProcess) snapshot() *files.Snapshot {
+func (p *inProcess) snapshot() *files.Configuration {
 	c := &cluster.Config{Name: clusterName, ShrinkTo: -1, Endpoints: p.run.endpoints()}
-	return &files.Snapshot{
+	return &files.Configuration{
 		Program: p.program,
 		Version: &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: c}},
 	}
--- a/internal/stress/badpeers/deployment.go
+++ b/internal/stress/badpeers/deployment.go
@@ -90,7 +90,7 @@
 func (d *deployment) String() string { return d.front.String() + " to " + d.back.String() }
 
 // snapshot returns a configuration in which one endpoint, by its index, drains, or none with noneDraining.
-func (d *deployment) snapshot(draining int) *files.Snapshot {
+func (d *deployment) snapshot(draining int) *files.Configuration {
 	c := d.cluster
 	c.Endpoints = nil
 	for i, addr := range d.server.Addrs {
@@ -100,7 +100,7 @@
 		}
 		c.Endpoints = append(c.Endpoints, endpoint)
 	}
-	return &files.Snapshot{
+	return &files.Configuration{
 		Program: d.program,
 		Version: &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: &c}},
 	}
--- a/internal/stress/callers/benchserver.go
+++ b/internal/stress/callers/benchserver.go
@@ -73,7 +73,7 @@
 		address := fmt.Sprintf("127.0.0.1:%d", i+1) // nothing is sent there
 		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: address, Weight: 1})
 	}
-	snapshot := &files.Snapshot{
+	snapshot := &files.Configuration{
 		Program: program,
 		Version: &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: c}},
 	}
--- a/internal/stress/callers/rig.go
+++ b/internal/stress/callers/rig.go
@@ -155,7 +155,7 @@
 }
 
 // snapshot returns a configuration in which one server, by its index, drains, or none with noneDraining.
-func (r *rig) snapshot(draining int) *files.Snapshot {
+func (r *rig) snapshot(draining int) *files.Configuration {
 	c := &cluster.Config{Name: "rooms", ShrinkTo: cluster.ShrinkUnspecified}
 	for i, server := range r.servers {
 		if server == r.wrongServer {
@@ -167,7 +167,7 @@
 		}
 		c.Endpoints = append(c.Endpoints, endpoint)
 	}
-	return &files.Snapshot{
+	return &files.Configuration{
 		Program: r.program,
 		Version: &cluster.Version{Clusters: map[string]*cluster.Config{c.Name: c}},
 	}
