--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -133,8 +133,12 @@
 // repeatedly.
 func TestWatchAfterVersionZero(t *testing.T) {
 	t.Parallel()
-	b := testutil.NewBackend(t, testutil.OK)
-	_, d := startReady(t, b)
+	d := newFakeDiscovery(t, instanceAt(testutil.NewBackend(t, testutil.OK), "s-0"))
+	cfg := testConfig(t, d, nil)
+	cfg.pollTiming = discovery.PushedTiming(cfg.DrainGrace)
+	cfg.pollTiming.OverdueAfter = testutil.WaitTimeout // a slow first call must not be hedged by another one
+	cfg.pollTiming.AbandonAfter = 2 * testutil.WaitTimeout
+	start(t, cfg).waitReady(http.StatusOK)
 	testutil.Wait(t, d.calls, "the first call")
 	if q := testutil.Wait(t, d.calls, "the watch"); !strings.Contains(q, "after=0") {
 		t.Errorf("the second call asks for %q", q)
