--- a/internal/fleet/agent/change_test.go
+++ b/internal/fleet/agent/change_test.go
@@ -29,6 +29,22 @@
 			"zone = \"a\"\nweight = 1\nhealth = %q\n[end]\nendpoints = 1\n", i, i/250, i%250, health)}
 }
 
+// waitForVersion waits until a version is active and all nodes hold it. A node that lags may skip versions, and then
+// parses the next one completely.
+func (f *testFleet) waitForVersion(number uint64) {
+	f.t.Helper()
+	testutil.Until(f.t, "the version to be active", func() bool {
+		return f.nodes[0].node.state().ActiveVersion == number
+	})
+	for _, n := range f.nodes {
+		testutil.Until(f.t, n.name+" to hold the version", func() bool {
+			n.node.versionsMu.Lock()
+			defer n.node.versionsMu.Unlock()
+			return n.node.versions[number] != nil
+		})
+	}
+}
+
 // Changes of one long list: each node reads the list itself once, and again when changes are folded into it; all come
 // to the same list, and what doesn't go with it is refused.
 func TestChangesOfAList(t *testing.T) {
@@ -60,7 +76,7 @@
 				t.Fatalf("%+v", p)
 			}
 		}
-		testutil.Until(t, "it to be in force", func() bool { return f.nodes[0].node.state().ActiveVersion == base })
+		f.waitForVersion(base)
 	}
 	took := time.Since(began)
 	unknown := config.File{
