--- a/internal/app/idle.go
+++ b/internal/app/idle.go
@@ -66,7 +66,7 @@
 }
 
 // idleAfter returns how long the clusters of a state stay active without requests: at least until endpoints that were
-// warming up at the last one are warm, and late answers to it are no longer awaited.
+// warming up at the last request are warm, and late answers to that are no longer awaited.
 func (a *App) idleAfter(s *state) time.Duration {
 	after := max(s.program.ClusterIdle, s.settings.Rules.SlowStartWindow+s.settings.Rules.OverloadDuration)
 	if s.program.Repeats.Late {
--- a/internal/app/managedcluster.go
+++ b/internal/app/managedcluster.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// wait waits for the end of all engines, which the end of a context above them has begun.
+// wait waits for the end of all engines. The caller has canceled their context or a parent of it.
 func (r *managedCluster) wait() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/app/sendpermission.go
+++ b/internal/app/sendpermission.go
@@ -8,8 +8,8 @@
 	"yokestall/internal/ingress"
 )
 
-// sendAllowed returns what reports, before each attempt of a request that was routed by a state, whether it may still
-// be sent: the node's lease is valid, and the class's decisions of that state are.
+// sendAllowed returns a function that reports, before each attempt of a request that was routed by a state, whether it
+// may still be sent: the node's lease is valid, and no later state has invalidated the class's decisions.
 func (a *App) sendAllowed(s *state, class string) func() bool {
 	return func() bool {
 		current := a.state.Load()
--- a/internal/app/source.go
+++ b/internal/app/source.go
@@ -56,7 +56,8 @@
 	s.applyMerged(time.Now())
 }
 
-// Deliver puts a control plane's delivery in force: a change of clusters alone at its own cost where the app can.
+// Deliver puts a control plane's delivery in force. A delivery that changes known clusters only is applied without
+// rebuilding the state, where the app can.
 func (s *Source) Deliver(d *xds.Delivery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -24,7 +24,7 @@
 	limits cluster.Limits
 }
 
-// tier is a part of a cluster, by locality or priority, with an engine and connections of its own.
+// tier is the healthy or the degraded endpoints of one priority, with an engine and connections of its own.
 type tier struct {
 	engine  *engine.Cluster
 	pool    upstreamPool
--- a/internal/app/tierupdate.go
+++ b/internal/app/tierupdate.go
@@ -9,7 +9,8 @@
 	"yokestall/policy"
 )
 
-// tierUpdate is the difference of two versions of a tier, for each of those that follow its endpoints.
+// tierUpdate is the difference of two versions of a tier, in the forms that the sender and the pool, the engine, and
+// the streams need.
 type tierUpdate struct {
 	clock     engine.Clock
 	addresses []h1client.Endpoint // for the sender and the pool
@@ -32,7 +33,8 @@
 	streams.drain(deliveredAt, u.draining) // after the engine: see streams.limit
 }
 
-// addDifference adds removals before additions: an endpoint whose address changed is another one under the same key.
+// addDifference adds removals before additions: an endpoint that was restarted at the same address is removed and added
+// under the same key.
 func (u *tierUpdate) addDifference(d *cluster.Difference) {
 	for i := range d.Removed {
 		u.remove(&d.Removed[i])
--- a/internal/cluster/limits.go
+++ b/internal/cluster/limits.go
@@ -8,7 +8,7 @@
 // Limits bound a cluster's requests and connections, beside the program's own limits. The zero value adds no limit.
 type Limits struct {
 	ConnectTimeout time.Duration // 0: the program's
-	MaxConnections int           // to all endpoints of a priority; 0: the program's
+	MaxConnections int           // to the healthy, and to the degraded, endpoints of a priority; 0: the program's
 	MaxRequests    int           // in flight; 0: no limit
 	MaxRetries     int           // second and later attempts in flight; 0: no limit
 	// OverprovisioningFactor is how much of a priority's load its healthy part is taken to serve: 1.4 keeps all of
--- a/internal/downstream/extproc/doc.go
+++ b/internal/downstream/extproc/doc.go
@@ -20,9 +20,10 @@
 //
 // Goroutines: Serve starts the gRPC server and ends it before it returns. A Process call runs in a goroutine of the
 // gRPC server. recvBy and receiveUpload start one that receives; it ends with the stream, since the library ends a
-// Recv once Process has returned. pickRequest.run is started by the first stream of a request and ends with the
+// Recv once Process has returned. receiveUpload starts another one for the upload, and stopGracefully one that ends
+// with the gRPC server. pickRequest.run is started by the first stream of a request and ends with the
 // engine's answer, at the request's deadline at the latest.
 //
-// Locks: Server.mu guards the requests in flight, pickRequest.mu the state of one of them. pickRequest.mu may be locked
-// while Server.mu is, not the other way round.
+// Locks: Server.mu guards the requests in flight and the stored outcomes, pickRequest.mu the state of one request.
+// pickRequest.mu may be locked while Server.mu is, not the other way round.
 package extproc
--- a/internal/downstream/extproc/forward.go
+++ b/internal/downstream/extproc/forward.go
@@ -63,7 +63,7 @@
 	if p.destination.RequestEdits != nil {
 		p.destination.RequestEdits.Apply(out.Header)
 	}
-	out.Header["X-Request-Id"] = []string{p.terms.ID}
+	out.Header["X-Request-Id"] = []string{p.attributes.ID}
 	return out
 }
 
@@ -71,8 +71,8 @@
 func (p *processingStream) engineRequest(payload any) *engine.Request {
 	return &engine.Request{
 		Class:         p.destination.Class,
-		Tenant:        p.terms.Tenant,
-		WorkHint:      p.terms.WorkHint,
+		Tenant:        p.attributes.Tenant,
+		WorkHint:      p.attributes.WorkHint,
 		Deadline:      p.deadline,
 		MaxAttempts:   p.destination.MaxAttempts,
 		PerTryTimeout: p.destination.PerTryTimeout,
--- a/internal/downstream/extproc/idempotency.go
+++ b/internal/downstream/extproc/idempotency.go
@@ -34,10 +34,10 @@
 	if p.destination.Idempotency == policy.Idempotent {
 		return admission{}, false, nil
 	}
-	key := idempotency.Key{Tenant: p.terms.Tenant, Name: "key " + p.terms.IdempotencyKey}
+	key := idempotency.Key{Tenant: p.attributes.Tenant, Name: "key " + p.attributes.IdempotencyKey}
 	window := p.destination.DedupWindow
 	if p.destination.Idempotency == policy.NotIdempotent {
-		key.Name, window, mayJoin = "id "+p.terms.ID, 2*p.destination.Deadline, false
+		key.Name, window, mayJoin = "id "+p.attributes.ID, 2*p.destination.Deadline, false
 	}
 	r := p.request
 	fingerprint := replay.Fingerprint(p.destination.Class, r.Method, r.RequestURI, r.Host, body)
--- a/internal/downstream/extproc/pick.go
+++ b/internal/downstream/extproc/pick.go
@@ -48,7 +48,7 @@
 // findOrBeginPick returns the request that the stream belongs to, and begins it if it is the first one. handled reports
 // that the stream was answered.
 func (p *processingStream) findOrBeginPick() (r *pickRequest, handled bool, err error) {
-	key := pickKey{p.terms.Tenant, p.terms.ID}
+	key := pickKey{p.attributes.Tenant, p.attributes.ID}
 	attempt, _ := strconv.Atoi(ingress.SingleValue(p.request.Header[attemptHeader]))
 	s := p.server
 	s.mu.Lock()
@@ -137,7 +137,7 @@
 	r.waiting--
 	r.mu.Unlock()
 	if p.server.OnEndpointPicked != nil {
-		p.server.OnEndpointPicked(p.terms.ID, e.address, remaining)
+		p.server.OnEndpointPicked(p.attributes.ID, e.address, remaining)
 	}
 	return true
 }
@@ -192,7 +192,7 @@
 	})
 	if len(before["X-Request-Id"]) == 0 {
 		mutation.SetHeaders = append(mutation.SetHeaders, &corev3.HeaderValueOption{
-			Header: &corev3.HeaderValue{Key: "x-request-id", RawValue: []byte(p.terms.ID)},
+			Header: &corev3.HeaderValue{Key: "x-request-id", RawValue: []byte(p.attributes.ID)},
 		})
 	}
 	return mutation
--- a/internal/downstream/extproc/pickoutcome.go
+++ b/internal/downstream/extproc/pickoutcome.go
@@ -83,7 +83,7 @@
 	if used != "" && used != e.address {
 		p.server.Stats.EndpointMismatches.Add(1)
 		p.server.Log.Warn("caller used another endpoint than the selected one",
-			"given", e.address, "sent", used, "request", p.terms.ID)
+			"given", e.address, "sent", used, "request", p.attributes.ID)
 		return policy.Cancelled, nil // says nothing of the picked endpoint
 	}
 	return Outcome(code, h.fields, details), nil
@@ -113,10 +113,13 @@
 // Envoy's response.code_details. details is "" where it is not reported: then a 503 of the caller's own passes for the
 // endpoint's, which may have run all the same.
 //
-//	no connection         upstream_reset_before_response_started{connection_failure...}  never sent
+//	no connection         upstream_reset_before_response_started{connection_failure...},
+//	                      the same with connection_timeout or overflow                   never sent
 //	a reset               upstream_reset_before_response_started{...}                    may have run
-//	the caller's timeout  response_timeout, upstream_per_try_timeout                     may have run
-//	no endpoint           no_healthy_upstream, cluster_not_found, ...overflow            never sent
+//	the caller's timeout  response_timeout, upstream_per_try_timeout,
+//	                      max_duration_timeout                                           may have run
+//	no endpoint           no_healthy_upstream, cluster_not_found, maintenance_mode,
+//	                      ...overflow                                                    never sent
 func Outcome(code int, h http.Header, details string) policy.Status {
 	switch {
 	case isConnectFailure(details):
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -32,7 +32,7 @@
 	message     *pb.ProcessingRequest // the latest
 	request     *http.Request
 	destination ingress.Destination
-	terms       ingress.Attributes
+	attributes  ingress.Attributes
 	deadline    time.Duration // on the clock, of the final answer
 }
 
@@ -76,11 +76,11 @@
 	if p.destination, err = p.server.Router.Route(p.request); err != nil {
 		return err
 	}
-	if p.terms, err = ingress.ReadAttributes(h.fields, &p.destination, false); err != nil {
+	if p.attributes, err = ingress.ReadAttributes(h.fields, &p.destination, false); err != nil {
 		return err
 	}
-	if p.terms.ID == "" {
-		p.terms.ID = p.server.idPrefix + strconv.FormatUint(p.server.lastID.Add(1), 36)
+	if p.attributes.ID == "" {
+		p.attributes.ID = p.server.idPrefix + strconv.FormatUint(p.server.lastID.Add(1), 36)
 	}
 	return nil
 }
@@ -90,13 +90,13 @@
 func (p *processingStream) setDeadline() {
 	timeout := ingress.SingleValue(p.request.Header[expectedTimeoutHeader])
 	if ms, err := strconv.ParseUint(timeout, 10, 31); err == nil && ms > 0 {
-		p.terms.Timeout = min(p.terms.Timeout, time.Duration(ms)*time.Millisecond)
+		p.attributes.Timeout = min(p.attributes.Timeout, time.Duration(ms)*time.Millisecond)
 	}
 	if at, ok := p.rpc.Context().Deadline(); ok {
-		p.terms.Timeout = min(p.terms.Timeout, time.Until(at))
+		p.attributes.Timeout = min(p.attributes.Timeout, time.Until(at))
 	}
-	p.deadline = p.arrivedAt + p.terms.Timeout - responseMargin
-	p.server.recordTimeout(p.terms.Timeout)
+	p.deadline = p.arrivedAt + p.attributes.Timeout - responseMargin
+	p.server.recordTimeout(p.attributes.Timeout)
 }
 
 // recordTimeout raises maxTimeout to a request's timeout.
--- a/internal/files/bundle.go
+++ b/internal/files/bundle.go
@@ -61,7 +61,7 @@
 // Unbundle parses and checks the files of a version, as Load does those of a folder. The error has what is wrong.
 func Unbundle(list []config.File) (*Configuration, error) { return NewParser().Unbundle(list) }
 
-// Unbundle is like the function, at the cost of what differs from the two previous versions.
+// Unbundle parses a bundle. It reuses what is the same in one of the two previous versions.
 func (p *Parser) Unbundle(list []config.File) (*Configuration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/files/check.go
+++ b/internal/files/check.go
@@ -13,7 +13,7 @@
 )
 
 // Check checks one file of the configuration by its kind: the program's own, with the files and keys that it names,
-// whose snapshot is returned, or a file of a cluster, of tenants or in xDS form alone. The warnings are of what
+// whose configuration is returned, or a file of a cluster, of tenants or in xDS form alone. The warnings are of what
 // will soon be wrong with the keys.
 func Check(path string) (s *Configuration, warnings []string, err error) {
 	text, err := readFile(path)
@@ -37,7 +37,7 @@
 	return s, warnings, err
 }
 
-// checkKeys checks the keys of a folder, and that those that a snapshot refers to are there.
+// checkKeys checks the keys of a folder, and that those that a configuration refers to are there.
 func checkKeys(folder string, s *Configuration) (warnings []string, err error) {
 	warnings, set, err := tlskeys.Check(folder, s.Program.Keys.First, time.Now())
 	if err != nil {
--- a/internal/files/configuration.go
+++ b/internal/files/configuration.go
@@ -14,8 +14,9 @@
 	contentHash hash
 }
 
-// Load reads and checks the program's file and the files that it names: all that a check does, and all that the running
-// program accepts a version by except cluster.CheckRemovals. The error has what is wrong by file and line.
+// Load reads and checks the program's file and the files that it names: all that Check does except for the keys'
+// folder, and all that the running program accepts a version by except cluster.CheckRemovals. The error has what is
+// wrong by file and line.
 func Load(path string) (*Configuration, error) {
 	return load(newReader(path), NewParser())
 }
--- a/internal/files/fileread.go
+++ b/internal/files/fileread.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// readFile returns the content of a path of any kind. The error is a *cluster.Problem.
+// readFile returns the content of a regular file. Other kinds are an error. The error is a *cluster.Problem.
 func readFile(name string) ([]byte, error) {
 	s := readStamp(name)
 	if err := s.fileProblem(name); err != nil {
--- a/internal/files/notifier.go
+++ b/internal/files/notifier.go
@@ -2,7 +2,8 @@
 
 import "github.com/fsnotify/fsnotify"
 
-// notifier reports changes below folders. A report only hints at a change.
+// notifier reports changes of the entries of folders, not of those below their subfolders. A report only hints at a
+// change.
 type notifier struct {
 	events <-chan fsnotify.Event
 	faults <-chan error // such as an overflow, after which reports are missing
--- a/internal/files/parser.go
+++ b/internal/files/parser.go
@@ -122,7 +122,7 @@
 	})
 }
 
-// addView adds the clusters and routes of the files in xDS form to a snapshot.
+// addView adds the clusters and routes of the files in xDS form to a configuration.
 func (p *Parser) addView(s *Configuration, v *contents) error {
 	view, err := p.view(v)
 	if err != nil {
--- a/internal/files/watcher.go
+++ b/internal/files/watcher.go
@@ -184,8 +184,8 @@
 	return s
 }
 
-// readNext reads the files. It returns neither a snapshot nor an error if they are as in the current version. A
-// snapshot beside an error has only the hash of the rejected contents.
+// readNext reads the files. It returns neither a configuration nor an error if they are as in the current version. A
+// configuration beside an error has only the hash of the rejected contents.
 func (w *Watcher) readNext() (*Configuration, error) {
 	v, err := w.reader.scan(w.parser)
 	if err != nil {
--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -58,7 +58,7 @@
 	if !ok {
 		return // a version was evicted meanwhile, and is being refetched
 	}
-	previous := n.boundByLease(active)
+	previous := n.bindToLease(active)
 	if err := n.Apply(effective); err != nil {
 		n.applied.Store(previous) // the program still acts on that
 		n.markUnusable(active, err)
@@ -100,9 +100,9 @@
 	return stricter, true
 }
 
-// boundByLease binds a program that acts on nothing, or without a lease, to the lease of the versions that it is about
+// bindToLease binds a program that acts on nothing, or without a lease, to the lease of the versions that it is about
 // to apply, so that it is bound from the first moment on. It returns what the program acts on.
-func (n *Node) boundByLease(active consensus.ActiveVersions) *appliedVersions {
+func (n *Node) bindToLease(active consensus.ActiveVersions) *appliedVersions {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
 	current := n.applied.Load()
--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -69,7 +69,7 @@
 // Node is a node of a fleet: a voter of the log, or a follower that only applies versions. Create it with Open.
 //
 // The goroutines in background end when ctx is canceled, and Run waits for them. Where several locks are needed, they
-// are taken in this order: leaseMu, versionsMu, mu.
+// are taken in this order: leaseMu, versionsMu, mu. parseMu is taken alone.
 type Node struct {
 	Config
 	incarnation string                      // of this process
--- a/internal/fleet/agent/release.go
+++ b/internal/fleet/agent/release.go
@@ -134,7 +134,7 @@
 }
 
 // checkFeasible returns why a release can't start: a server that isn't in use, or a wave that leaves fewer servers in
-// use than the floor.
+// use than the floor, here a share of the servers in use. The release itself counts all listed servers (waveChange).
 func checkFeasible(r *consensus.Release, c *cluster.Config) error {
 	if c == nil {
 		return fmt.Errorf("cluster: there is no %s in the version in force", r.Cluster)
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// scheduleHere runs a function at a time, unless the node has ended by then, even if it has started again.
+// scheduleHere runs a function at a time, unless the node was killed meanwhile, whether or not it has restarted.
 func (n *node) scheduleHere(at time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.schedule(at, func() {
--- a/internal/fleetsim/scenario.go
+++ b/internal/fleetsim/scenario.go
@@ -43,7 +43,8 @@
 type Clients struct {
 	Retries int           // at most, for each request
 	Backoff time.Duration // before each retry
-	// HonorRetryAfter is the share of the retries that wait for Retry-After where it is longer than Backoff.
+	// HonorRetryAfter is the share of the retries, or on sockets of the requests, that wait for Retry-After where it is
+	// longer than Backoff.
 	HonorRetryAfter float64
 	// AlignTo delays each retry to the next multiple of it; 0: not at all.
 	AlignTo time.Duration
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -155,7 +155,8 @@
 	}
 }
 
-// restartServer starts a server, which warms up. speed is its share of its kind's; 0: it is the same server as before.
+// restartServer starts a server, which warms up. speed is its share of its kind's; 0: its kind
+// and ID stay as they are.
 func (s *simulation) restartServer(m *fleetServer, speed float64) {
 	if speed > 0 {
 		kind := s.scenario.ServerKind
--- a/internal/lab/versions/doc.go
+++ b/internal/lab/versions/doc.go
@@ -1,6 +1,6 @@
 // Package versions has real processes of the program agree on versions of their configuration while they are stopped,
-// killed and cut off from each other. Every version contradicts every other one, so that servers see when two processes
-// act on different versions.
+// killed and cut off from each other. Unless a release is played, every version contradicts every other one, so that
+// servers see when two processes act on different versions.
 //
 //   - versions.go: Experiment, Outcome and Play
 //   - run.go: the state of a run, its processes and servers
--- a/internal/xds/translate/translate.go
+++ b/internal/xds/translate/translate.go
@@ -24,7 +24,7 @@
 	AllowUnknownClasses bool
 }
 
-// Decode decodes a resource into a *Cluster, *Assignment, *Routes or *Listener. It is an ads.Decode.
+// Decode decodes a resource into a *ClusterResource, *Assignment, *Routes or *Listener. It is an ads.Decode.
 func (o *Options) Decode(t ads.Type, body *anypb.Any) (name string, value any, err error) {
 	defer func() { // a fault of this program must reject one resource and not end the process
 		if p := recover(); p != nil {
--- a/internal/xds/wire.go
+++ b/internal/xds/wire.go
@@ -15,8 +15,8 @@
 	"yokestall/internal/xds/ads"
 )
 
-// rawCodec passes gRPC's messages on as bytes: the time of receipt is taken before they are parsed, and one that is
-// malformed does not end the stream.
+// rawCodec passes gRPC's messages on as bytes: the time of receipt is taken before they are parsed, and this package
+// reports one that is malformed, which ends the stream.
 type rawCodec struct{}
 
 var _ encoding.CodecV2 = rawCodec{}
