--- a/internal/downstream/extproc/forward.go
+++ b/internal/downstream/extproc/forward.go
@@ -30,7 +30,7 @@
 		stop := p.receiveUpload(out, cancel)
 		defer stop()
 	case BypassingBody:
-		return p.sendRejection(&ingress.Rejection{
+		return p.sendInvalid(&ingress.Rejection{
 			Status: http.StatusNotImplemented,
 			Message: "the route carries requests out: " +
 				"the caller has to send their bodies (request_body_mode), or heed mode_override",
--- a/internal/downstream/extproc/immediateresponse.go
+++ b/internal/downstream/extproc/immediateresponse.go
@@ -31,8 +31,8 @@
 	}}
 }
 
-// sendRejection sends a final answer that depends on the request alone.
-func (p *processingStream) sendRejection(r *ingress.Rejection) error {
+// sendInvalid sends a final answer that depends on the request alone: it is not valid, or is redirected.
+func (p *processingStream) sendInvalid(r *ingress.Rejection) error {
 	fields := http.Header{"Content-Type": {"text/plain; charset=utf-8"}}
 	if r.AllowedMethods != "" {
 		fields.Set("Allow", r.AllowedMethods)
@@ -65,5 +65,5 @@
 // sendConflict answers a request that may not run because of another one.
 func (p *processingStream) sendConflict(status int, text string) error {
 	p.server.Stats.Duplicates.Add(1)
-	return p.sendRejection(&ingress.Rejection{Status: status, Message: text})
+	return p.sendInvalid(&ingress.Rejection{Status: status, Message: text})
 }
--- a/internal/downstream/extproc/requestbody.go
+++ b/internal/downstream/extproc/requestbody.go
@@ -67,7 +67,7 @@
 		return false, nil
 	}
 	if p.state.RequestMode == modePartial {
-		return true, p.sendRejection(&ingress.Rejection{
+		return true, p.sendInvalid(&ingress.Rejection{
 			Status: http.StatusRequestEntityTooLarge, Message: "the body is over the caller's buffer",
 		})
 	}
--- a/internal/downstream/extproc/response.go
+++ b/internal/downstream/extproc/response.go
@@ -35,7 +35,7 @@
 	}
 	switch answer.Verdict {
 	case engine.Rejected:
-		return p.sendRejected(a, answer, response)
+		return p.completeRejected(a, answer, response)
 	case engine.Failed:
 		p.server.complete(a, idempotency.Indeterminate, nil, 0)
 		if response == nil {
@@ -47,8 +47,8 @@
 	return p.sendServed(a, response)
 }
 
-// sendRejected sends an answer to a request that has not run. response is the endpoint's, if it rejected the request.
-func (p *processingStream) sendRejected(a admission, answer engine.Answer, response *h1client.Answer) error {
+// completeRejected sends an answer to a request that has not run. response is the endpoint's, if it rejected the request.
+func (p *processingStream) completeRejected(a admission, answer engine.Answer, response *h1client.Answer) error {
 	p.server.complete(a, idempotency.Rejected, nil, answer.RetryAfter)
 	if response == nil {
 		return p.sendUnavailable(answer.RetryAfter)
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -48,7 +48,7 @@
 	var rejection *ingress.Rejection
 	switch {
 	case errors.As(err, &rejection):
-		return p.sendRejection(rejection)
+		return p.sendInvalid(rejection)
 	case err != nil:
 		return err
 	}
