--- a/internal/fleet/agent/messages.go
+++ b/internal/fleet/agent/messages.go
@@ -58,7 +58,7 @@
 	Applied      consensus.ActiveVersions `json:"acts"` // what the node acts on
 	Disconnected bool                     `json:"alone"`
 	LeaseLeftMs  int64                    `json:"left_ms"`         // milliseconds left of the node's own lease
-	WaitingFor   []string                 `json:"waits,omitempty"` // nodes whose leases keep this voter from acknowledging the epoch
+	WaitingFor   []string                 `json:"waits,omitempty"` // nodes that keep this voter from acknowledging the epoch
 	LeaseHolders []string                 `json:"nodes,omitempty"` // nodes that hold a lease of this voter
 	History      []consensus.Manifest     `json:"history,omitempty"`
 	VotingError  string                   `json:"store,omitempty"` // why the node no longer votes
