--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -6,21 +6,21 @@
 	"yokestall/policy"
 )
 
-// attempt is one delivery of a request to one endpoint. Its fields belong to the loop's goroutine, but for Call and,
-// until exchangeReturned is posted, result.
+// attempt is one delivery of a request to one endpoint. Only the loop's goroutine uses its fields, except for Call, which
+// is safe for concurrent use, and result, which Cluster.exchange sets before it posts exchangeReturned.
 type attempt struct {
 	Call
 	request          *Request
-	index            int           // in Request.attempts; above 0: a retry or a hedged request
-	startedAt        time.Duration // of the Balancer's decision; for an upload, of its last byte
-	reported         bool          // the Balancer has the outcome
-	awaitsLateAnswer bool          // it is not stopped yet, for Request.OnLateAnswer
-	countsAsRetry    bool          // it is in Cluster.retriesInFlight
+	index            int           // position in Request.attempts; retries and hedged requests have 1 and above
+	startedAt        time.Duration // time on the Clock of the Balancer's decision, or of the upload's last byte if later
+	reported         bool          // the outcome was reported to the Balancer
+	awaitsLateAnswer bool          // the exchange goes on after the outcome, for Request.OnLateAnswer
+	countsAsRetry    bool          // the attempt is counted in Cluster.retriesInFlight
 	timeoutTimer     timer
-	result           Result // of Exchanger.Exchange, taken by takeResult
+	result           Result // returned by Exchanger.Exchange; cleared by takeResult
 }
 
-// newAttempt adds an attempt to a request.
+// newAttempt adds an attempt to a request. The attempt counts as in flight but is not started.
 func (c *Cluster) newAttempt(now time.Duration, r *Request, endpoint policy.EndpointID) *attempt {
 	a := &attempt{request: r, index: len(r.attempts), startedAt: now}
 	a.endpoint, a.drain = endpoint, c.drainOf(endpoint)
@@ -35,11 +35,12 @@
 	return a
 }
 
-// endpointReady reports whether the endpoint was ready when the attempt was made. An attempt whose endpoint was not is
-// never started.
+// endpointReady reports whether the endpoint was ready when the attempt was created. Otherwise the attempt is never
+// started.
 func (a *attempt) endpointReady() bool { return a.drain != nil }
 
-// mayStart reports whether an attempt that the Balancer decided on is within the limits of its request.
+// mayStart reports whether an attempt that the Balancer decided on may start: its request has not ended and is within its
+// deadline and its limits, and the endpoint is ready.
 func (c *Cluster) mayStart(now time.Duration, a *attempt) bool {
 	r := a.request
 	maxAttempts := c.maxAttempts
@@ -53,7 +54,7 @@
 }
 
 // mayRetry reports whether the retry limit and the request's payload allow a second or later attempt.
-// Request.inFlight counts that attempt already.
+// Request.inFlight must include that attempt.
 func (c *Cluster) mayRetry(r *Request) bool {
 	if limit := int(c.maxRetries.Load()); limit > 0 && c.retriesInFlight >= limit {
 		return false
@@ -65,8 +66,9 @@
 	return !payload.Consumed() && (r.inFlight == 1 || !payload.Streaming())
 }
 
-// setTimeout sets an attempt's timer to the shorter of the Balancer's timeout, where 0 is none, and the request's. None
-// is set where the request's deadline comes first.
+// setTimeout sets an attempt's timer to the shorter of the Balancer's timeout and Request.PerTryTimeout; for both, 0
+// means no timeout. It sets no timer if the request's deadline is not later than the timeout or the payload is a
+// SelfTimedPayload.
 func (c *Cluster) setTimeout(now time.Duration, a *attempt, timeout time.Duration) {
 	r := a.request
 	if r.PerTryTimeout > 0 && (timeout == 0 || timeout > r.PerTryTimeout) {
@@ -86,7 +88,7 @@
 	c.handle(now, attemptEnded{t.attempt, policy.Timeout})
 }
 
-// exchange carries out an attempt, on a goroutine of its own.
+// exchange carries out an attempt on the attempt's goroutine and posts the result to the loop.
 func (c *Cluster) exchange(a *attempt, timeRemaining time.Duration) {
 	a.result = c.exchanger.Exchange(&a.Call, a.endpoint, a.request.Payload, timeRemaining)
 	if !c.post(exchangeReturned{a}) {
@@ -94,14 +96,16 @@
 	}
 }
 
-// takeResult returns the result of the exchange and drops the attempt's reference to its answer.
+// takeResult returns the result of the exchange and clears it in the attempt, so that the attempt does not keep the
+// answer in memory.
 func (a *attempt) takeResult() Result {
 	result := a.result
 	a.result = Result{}
 	return result
 }
 
-// reportOutcome reports the first outcome of an attempt to the Balancer; later ones carry a late answer at most.
+// reportOutcome reports the first outcome of an attempt to the Balancer. Of later results, only the answer is used, for
+// Request.OnLateAnswer.
 func (c *Cluster) reportOutcome(now time.Duration, a *attempt, result Result) {
 	r := a.request
 	if a.reported {
@@ -121,10 +125,11 @@
 		RequestDone: r.ended,
 		Latency:     now - a.startedAt,
 	})
-	c.forgetIfDone(r)
+	c.removeIfDone(r)
 }
 
-// closeAttempt takes an attempt out of what is in flight and stops it, unless its late answer is awaited.
+// closeAttempt removes an attempt from the counts of attempts in flight and stops it. If Request.OnLateAnswer wants the
+// attempt's answer, the attempt is stopped after Request.LateAnswerTimeout instead.
 func (c *Cluster) closeAttempt(now time.Duration, a *attempt, status policy.Status) {
 	r := a.request
 	a.reported = true
@@ -141,14 +146,15 @@
 		a.Stop()
 	}
 	if a.mayHaveRun(status) {
-		r.ran = true
+		r.attemptMayHaveRun = true
 	} else if r.dedupWindow != nil {
-		r.dedupWindow.neverRan(&a.Call)
+		r.dedupWindow.remove(&a.Call)
 	}
 	c.timers.clear(&a.timeoutTimer)
 }
 
-// mayAnswerLate reports whether an attempt that ends with this status is one whose answer Request.OnLateAnswer wants.
+// mayAnswerLate reports whether Request.OnLateAnswer wants the answer of an attempt that ends with this status: the
+// attempt was sent and then abandoned, and its request has ended or reached its deadline without being served.
 func (a *attempt) mayAnswerLate(now time.Duration, status policy.Status) bool {
 	r := a.request
 	if r.OnLateAnswer == nil || r.served || !a.gate.passed() {
@@ -158,7 +164,7 @@
 	return gaveUp && (r.ended || now >= r.Deadline)
 }
 
-// takeLateAnswer passes on or closes the answer of an attempt whose outcome was reported before.
+// takeLateAnswer passes the answer of an attempt whose outcome was reported before to Request.OnLateAnswer, or closes it.
 func (a *attempt) takeLateAnswer(result Result) {
 	if a.awaitsLateAnswer && result.Status == policy.OK {
 		go a.request.OnLateAnswer(result.Answer)
@@ -167,8 +173,9 @@
 	closeAnswer(result.Answer)
 }
 
-// takeAnswer answers the request with a successful result, and stores the answer of another one as the fallback. The
-// first successful answer to a request that has ended goes to OnLateAnswer.
+// takeAnswer gives a successful answer to the request as its final answer, and stores the answer of any other result as
+// the request's fallback. If the request has ended, the first successful answer goes to Request.OnLateAnswer, if that is
+// set, and other answers are closed.
 func (c *Cluster) takeAnswer(a *attempt, result Result, servedBefore bool) {
 	r := a.request
 	switch {
@@ -183,7 +190,8 @@
 	}
 }
 
-// failIfNotResendable fails a request that can have no further attempt: its result is final, or its payload consumed.
+// failIfNotResendable fails a request that can have no further attempt because its result is final or its payload was
+// consumed.
 func (c *Cluster) failIfNotResendable(r *Request, result Result) {
 	if r.ended {
 		return
@@ -194,14 +202,14 @@
 	}
 }
 
-// answerIfSendForbidden ends a request whose only attempt was not sent because Request.SendAllowed forbids it. It is
-// rejected, or fails if an earlier attempt may have run.
+// answerIfSendForbidden answers a request whose last attempt in flight was not sent because Request.SendAllowed returned
+// false. The request is rejected, or fails if an earlier attempt may have run.
 func (c *Cluster) answerIfSendForbidden(r *Request, result Result) {
 	if r.ended || r.inFlight > 0 || result.Status != policy.NeverSent || r.SendAllowed == nil || r.SendAllowed() {
 		return
 	}
 	verdict := Rejected
-	if r.ran {
+	if r.attemptMayHaveRun {
 		verdict = Failed
 	}
 	c.answerUnserved(r.id, Answer{Verdict: verdict, RetryAfter: r.SendRetryAfter})
--- a/internal/engine/attempts_test.go
+++ b/internal/engine/attempts_test.go
@@ -10,35 +10,35 @@
 	"yokestall/policy"
 )
 
-// What an exchanger returns after the outcome of its attempt was reported is no second outcome.
+// A result that an exchanger returns after the outcome of its attempt was reported must not count as a second outcome.
 func TestOutcomeIsReportedOnce(t *testing.T) {
-	release, answer := make(chan struct{}), make(closer)
-	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+	release, answer := make(chan struct{}), make(closeSignal)
+	c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		call.BeginSend()
-		<-release // beyond the deadline, which ends the attempt
+		<-release // released after the deadline has ended the attempt
 		return Result{Status: policy.OK, Answer: answer}
 	}), 1)
 	r := c.request(notIdempotent, 50*time.Millisecond)
 	if a, err := c.Do(t.Context(), r); err != nil || a.Verdict == Served {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("got %+v, error %v; want a verdict other than Served and no error", a, err)
 	}
 	close(release)
 	testutil.Wait(t, answer, "the late answer to be closed")
 	inFlight := make(chan int, 1)
 	c.runOnLoop(func() { inFlight <- r.inFlight })
 	if n := testutil.Wait(t, inFlight, "the loop"); n != 0 {
-		t.Errorf("%d attempts in flight after the end of the only one", n)
+		t.Errorf("%d attempts are in flight after the only attempt has ended, want 0", n)
 	}
 }
 
-// A request's own limits hold within the cluster's: its attempts, the time of each, and how many retries may be in
-// flight at once.
+// The limits of a request (attempts and time per attempt) and the cluster's limits (attempts and concurrent retries) all
+// hold together.
 func TestLimitsOfARequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		attempts, retries int
 		perTry            time.Duration
-		status            policy.Status // of each attempt; Timeout: it never comes back
-		sends             int64
+		status            policy.Status // of each attempt; with Timeout, the exchange lasts until the call is stopped
+		sends             int64         // the wanted number of sends
 	}{
 		"the cluster's":    {0, 0, 0, policy.ConnectFailed, 3},
 		"one attempt":      {1, 0, 0, policy.ConnectFailed, 1},
@@ -48,7 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sends atomic.Int64
-			cl := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+			cl := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 				if !call.BeginSend() {
 					return Result{Status: policy.NeverSent}
 				}
@@ -62,19 +62,20 @@
 			r := cl.request(idempotent, 3*time.Second)
 			r.MaxAttempts, r.PerTryTimeout = c.attempts, c.perTry
 			if a, err := cl.Do(t.Context(), r); err != nil || a.Verdict == Served || sends.Load() != c.sends {
-				t.Errorf("%+v, %v after %d sends, want %d", a, err, sends.Load(), c.sends)
+				t.Errorf("got %+v, error %v after %d sends; want a verdict other than Served after %d sends",
+					a, err, sends.Load(), c.sends)
 			}
 		})
 	}
 }
 
-// No more retries are in flight at once than the limit allows.
+// The number of retries in flight at the same time does not exceed the limit of Cluster.LimitRetries.
 func TestConcurrentRetryLimit(t *testing.T) {
 	const requests, limit = 4, 1
 	var inFlight, most, retried atomic.Int64
 	var mu sync.Mutex
 	seen := map[any]bool{}
-	c := start(t, exchange(func(call *Call, _ policy.EndpointID, payload any, _ time.Duration) Result {
+	c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, payload any, _ time.Duration) Result {
 		if !call.BeginSend() {
 			return Result{Status: policy.NeverSent}
 		}
@@ -89,7 +90,7 @@
 		if n := inFlight.Add(1); n > most.Load() {
 			most.Store(n)
 		}
-		<-call.Context().Done() // until the request's end
+		<-call.Context().Done() // the retry is in flight until the request ends
 		inFlight.Add(-1)
 		return Result{Status: policy.Reset}
 	}), endpointIDs(40)...)
@@ -104,15 +105,16 @@
 	}
 	all.Wait()
 	if most.Load() > limit || retried.Load() == 0 {
-		t.Errorf("%d retries, %d at once", retried.Load(), most.Load())
+		t.Errorf("got %d retries, at most %d in flight at once; want at least one retry and never two in flight",
+			retried.Load(), most.Load())
 	}
 }
 
-// An endpoint that drains during the backoff of a request gets no second attempt.
+// A request gets no second attempt at an endpoint that starts to drain during the request's backoff.
 func TestDrainDuringRetryBackoff(t *testing.T) {
 	failed := make(chan struct{}, 4)
 	var sends atomic.Int64
-	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+	c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		if call.BeginSend() {
 			sends.Add(1)
 		}
@@ -127,6 +129,6 @@
 	<-failed
 	c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	if a := <-answered; a.Verdict == Served || sends.Load() != 1 {
-		t.Errorf("%+v after %d sends", a, sends.Load())
+		t.Errorf("got %+v after %d sends, want a verdict other than Served after one send", a, sends.Load())
 	}
 }
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -9,7 +9,7 @@
 	"yokestall/policy"
 )
 
-// nullHost is a policy.Host that does nothing.
+// nullHost is a policy.Host that only records the last request that was sent.
 type nullHost struct{ sent policy.RequestID }
 
 func (h *nullHost) Send(id policy.RequestID, _ policy.EndpointID, _ time.Duration) { h.sent = id }
@@ -19,8 +19,8 @@
 func (h *nullHost) SetTimer(time.Duration, uint64)                                 {}
 func (h *nullHost) RequestPoll()                                                   {}
 
-// BenchmarkRequest compares the Balancer alone with the engine around it: one request after another, and 16 at
-// once.
+// BenchmarkRequest compares the Balancer alone with the engine around the Balancer. The engine runs with requests in
+// sequence, and with 16 parallel goroutines per CPU.
 func BenchmarkRequest(b *testing.B) {
 	for _, endpoints := range []int{10, 100} {
 		b.Run(fmt.Sprintf("policy/endpoints=%d", endpoints), func(b *testing.B) {
@@ -30,7 +30,7 @@
 				b.Fatal(err)
 			}
 			now := clockOffset
-			p.UpdateEndpoints(now, policy.FullUpdate, ready(endpointIDs(endpoints)...))
+			p.UpdateEndpoints(now, policy.FullUpdate, readyEndpoints(endpointIDs(endpoints)...))
 			b.ReportAllocs()
 			id := policy.RequestID(0)
 			for b.Loop() {
@@ -42,18 +42,18 @@
 				})
 			}
 			if h.sent == 0 {
-				b.Error("nothing was sent")
+				b.Error("the Balancer sent no request")
 			}
 		})
 		for _, at := range []int{1, 16} {
 			b.Run(fmt.Sprintf("engine/endpoints=%d/at=%d", endpoints, at), func(b *testing.B) {
-				c := start(b, exchange(served), endpointIDs(endpoints)...)
+				c := startCluster(b, exchangerFunc(echoExchange), endpointIDs(endpoints)...)
 				b.ReportAllocs()
 				b.SetParallelism(at)
 				if at == 1 {
 					for b.Loop() {
 						if a, err := c.Do(b.Context(), c.request(idempotent, testutil.WaitTimeout)); err != nil || a.Verdict != Served {
-							b.Fatalf("%+v, %v", a, err)
+							b.Fatalf("got %+v, error %v; want the verdict Served", a, err)
 						}
 					}
 					return
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -8,14 +8,14 @@
 	"yokestall/policy"
 )
 
-// Call is one attempt as its Exchanger sees it: whether it may be sent (BeginSend), and when it is given up (OnStop,
-// Context). It is safe for concurrent use.
+// Call is the Exchanger's handle of one attempt. It tells the Exchanger whether the attempt may be sent (BeginSend) and
+// when the attempt is abandoned (OnStop, Context). A Call is safe for concurrent use.
 type Call struct {
 	gate sendGate
 
-	// Set before the attempt starts and not changed.
+	// The fields up to mu are set before the attempt starts and do not change afterwards.
 	endpoint           policy.EndpointID
-	drain              *endpointDrain // of the endpoint; nil: see standalone and attempt.endpointReady
+	drain              *endpointDrain // drain state of the endpoint; for nil, see standalone and attempt.endpointReady
 	clock              Clock
 	onSend             func(endpoint policy.EndpointID, at time.Duration) // Options.OnSend
 	sendAllowed        func() bool                                        // Request.SendAllowed
@@ -24,23 +24,24 @@
 
 	mu      sync.Mutex // guards the fields below
 	stopped bool
-	onStop  func()             // runs when the call is stopped; nil: nothing does
+	onStop  func()             // runs when the call is stopped; may be nil
 	ctx     context.Context    // nil until Context is called
-	cancel  context.CancelFunc // of ctx
+	cancel  context.CancelFunc // cancels ctx; nil until Context is called
 }
 
-// NewCall returns a call that belongs to no cluster and is stopped when ctx ends, for tests of exchangers.
+// NewCall returns a standalone call, which belongs to no cluster and is stopped when ctx ends. It is for tests of
+// exchangers.
 func NewCall(ctx context.Context) *Call {
 	c := &Call{}
 	context.AfterFunc(ctx, c.Stop)
 	return c
 }
 
-// standalone reports whether the call is one of NewCall, which only its gate restricts. The call of an attempt that is
-// started has an endpointDrain: see attempt.endpointReady.
+// standalone reports whether the call was made by NewCall. The only restriction on such a call is its gate. The call of
+// a started attempt always has an endpointDrain (see attempt.endpointReady).
 func (c *Call) standalone() bool { return c.drain == nil }
 
-// Context returns a context that ends when the call is stopped. It costs more than OnStop.
+// Context returns a context that ends when the call is stopped. OnStop is cheaper where a callback is enough.
 func (c *Call) Context() context.Context {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,8 +54,8 @@
 	return c.ctx
 }
 
-// OnStop runs f, on another goroutine, when the call is stopped; at once if it was. A call has one such function at
-// a time.
+// OnStop runs f on a new goroutine when the call is stopped, or at once if the call is stopped already. A call has one
+// such function at a time: a later OnStop replaces the function of an earlier one.
 func (c *Call) OnStop(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +66,8 @@
 	c.onStop = f
 }
 
-// ClearOnStop removes the function of OnStop; false if the call was stopped and the function started.
+// ClearOnStop removes the function set by OnStop. It returns false if the call was stopped before, in which case the
+// function was already started.
 func (c *Call) ClearOnStop() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +75,7 @@
 	return !c.stopped
 }
 
-// Stop gives up the attempt: its context ends, and the function of OnStop runs.
+// Stop abandons the attempt: the call's context ends, and the function set by OnStop starts.
 func (c *Call) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/engine/dedupwindow.go
+++ b/internal/engine/dedupwindow.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// dedupWindow is the time in which endpoints drop the repeats of one request that is idempotent by key
-// (policy.Class.DedupWindow). It starts with the first attempt that may have run. The Balancer respects it when it
-// decides; but a connection may be established long afterwards, and what is sent then would run a second time.
+// dedupWindow is the deduplication window of one request that is idempotent by key (policy.Class.DedupWindow): the time
+// in which endpoints recognize repeats of the request and do not run them again. It starts with the first attempt that
+// may have run. The Balancer respects the window when it decides on a retry, but the retry's connection may be
+// established long after that decision, and a retry sent after the window would run a second time.
 type dedupWindow struct {
 	length time.Duration
 
@@ -18,11 +19,12 @@
 
 type sentCall struct {
 	call *Call
-	at   time.Duration // on the Clock, right before the first byte
+	at   time.Duration // the time on the Clock right before the first byte was sent
 }
 
-// begin passes a call's gate, unless the window of an earlier attempt is over at sentBy, the latest time for the
-// call's first byte. Check and record are one step under mu: two attempts may begin at the same time.
+// begin passes a call's gate unless the window of an earlier attempt has ended by sentBy, the latest time for the call's
+// first byte. It checks the earlier attempts and records the call under one lock of mu, since two attempts may begin
+// concurrently.
 func (w *dedupWindow) begin(c *Call, now, sentBy time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -38,8 +40,8 @@
 	return true
 }
 
-// neverRan removes an attempt that surely has not run: it has started no window.
-func (w *dedupWindow) neverRan(c *Call) {
+// remove deletes the record of an attempt that has certainly not run, since such an attempt starts no window.
+func (w *dedupWindow) remove(c *Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sent = slices.DeleteFunc(w.sent, func(s sentCall) bool { return s.call == c })
--- a/internal/engine/dedupwindow_test.go
+++ b/internal/engine/dedupwindow_test.go
@@ -9,12 +9,12 @@
 	"yokestall/policy"
 )
 
-// A retry that was decided within the deduplication window, and whose connection is established after it, is not sent:
-// the endpoints would run the request a second time. After attempts that surely have not run there is no window.
+// A retry that was decided within the deduplication window is not sent if its connection is established after the window:
+// the endpoints would run the request a second time. An attempt that has certainly not run starts no window.
 func TestNoRetryConnectedAfterDedupWindow(t *testing.T) {
 	for name, first := range map[string]struct {
-		status policy.Status
-		sent   bool
+		status policy.Status // of the first attempt
+		sent   bool          // whether the second attempt is sent
 	}{
 		"the first may have run": {policy.Reset, false},
 		"the first never ran":    {policy.Rejected, true},
@@ -23,13 +23,13 @@
 			t.Parallel()
 			var number atomic.Int32
 			attempts := make(chan bool, 4)
-			c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+			c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 				if number.Add(1) == 1 {
 					attempts <- call.BeginSend()
 					return Result{Status: first.status}
 				}
 				window := settings().Classes[idempotentByKey].DedupWindow
-				call.clock.zero = call.clock.zero.Add(-window) // as if connecting took that long
+				call.clock.zero = call.clock.zero.Add(-window) // as if connecting took the length of the window
 				attempts <- call.BeginSend()
 				return Result{Status: policy.ErrorResponse}
 			}), 1, 2)
@@ -38,20 +38,19 @@
 				t.Fatal("the first attempt was not sent")
 			}
 			if sent := testutil.Wait(t, attempts, "the second attempt"); sent != first.sent {
-				t.Errorf("the second attempt was sent: %v, want %v", sent, first.sent)
+				t.Errorf("second attempt sent: got %v, want %v", sent, first.sent)
 			}
 		})
 	}
 }
 
-// A retry that another party sends, at some time before the request's deadline, is not sent where the window may end
-// before that time.
+// A retry that another party sends later is not sent if the deduplication window ends before the latest time of that send.
 func TestRetrySentByAnotherParty(t *testing.T) {
 	window := settings().Classes[idempotentByKey].DedupWindow
 	for delay, sent := range map[time.Duration]bool{window / 2: true, 2 * window: false} {
 		var number atomic.Int32
 		attempts := make(chan bool, 4)
-		c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+		c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 			attempts <- call.BeginSendUnlessDraining(call.clock.Now() + delay)
 			if number.Add(1) == 1 {
 				return Result{Status: policy.Reset}
@@ -63,29 +62,30 @@
 			t.Fatal("the first attempt was not sent")
 		}
 		if got := testutil.Wait(t, attempts, "the second attempt"); got != sent {
-			t.Errorf("sent by %v from now: the second attempt was sent: %v", delay, got)
+			t.Errorf("retry sent at most %v from now: BeginSendUnlessDraining returned %v, want the opposite", delay, got)
 		}
 	}
 }
 
-// Of two attempts, the one that was decided first may be the last whose connection is established.
+// The deduplication window starts with the attempt that is sent first, which may be one that was decided later: a hedged
+// request's connection may be established before that of the first attempt.
 func TestDedupWindowStartsAtFirstSend(t *testing.T) {
 	w := &dedupWindow{length: time.Second}
 	first, hedged, third := &Call{}, &Call{}, &Call{}
 	if !w.begin(hedged, time.Minute, time.Minute) {
-		t.Error("the hedged request was not sent")
+		t.Error("begin of the hedged request returned false, want true")
 	}
 	if w.begin(first, time.Minute+w.length, time.Minute+w.length) {
-		t.Error("sent when the window of the hedged request was over")
+		t.Error("begin returned true after the window of the hedged request had ended, want false")
 	}
 	if first.gate.state.Load() != gateClosed {
 		t.Error("the gate of an attempt that may not be sent is not closed")
 	}
-	w.neverRan(hedged)
+	w.remove(hedged)
 	if !w.begin(third, time.Minute+w.length, time.Minute+w.length) {
-		t.Error("not sent because of an attempt that never ran")
+		t.Error("begin returned false because of an attempt that has not run, want true")
 	}
 	if w.begin(third, time.Minute+w.length, time.Minute+w.length) {
-		t.Error("sent twice")
+		t.Error("a second begin of the same call returned true, want false")
 	}
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -6,14 +6,14 @@
 	"yokestall/policy"
 )
 
-// UpdateEndpoints applies an endpoint update that is delivered now; false if the cluster has ended. Nothing is sent
-// later than Options.DrainSendGrace from now to an endpoint that drains, was removed or is missing in a full update.
+// UpdateEndpoints applies an endpoint update that is delivered now. It returns false if the cluster has ended. No send to
+// an endpoint that drains, was removed or is missing in a full update begins later than Options.DrainSendGrace from now.
 func (c *Cluster) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool {
 	return c.UpdateEndpointsAt(c.clock.Now(), kind, endpoints)
 }
 
-// UpdateEndpointsAt is UpdateEndpoints for an update that was delivered at an earlier time on the Clock, from which
-// Options.DrainSendGrace counts.
+// UpdateEndpointsAt is UpdateEndpoints for an update that was delivered earlier. Options.DrainSendGrace counts from
+// delivered, a time on the Clock.
 func (c *Cluster) UpdateEndpointsAt(
 	delivered time.Duration, kind policy.UpdateKind, endpoints []policy.Endpoint,
 ) bool {
@@ -23,8 +23,8 @@
 	return c.post(endpointsUpdated{kind, endpoints})
 }
 
-// updateDrains starts the drain of the endpoints that are not ready any more and adds those that became ready. It
-// runs before the loop takes the update, so that a long queue of events does not delay a drain.
+// updateDrains starts the drain of the endpoints that are no longer ready and adds the endpoints that became ready. It
+// runs before the update is posted to the loop, so that a long queue of events does not delay a drain.
 func (c *Cluster) updateDrains(at time.Duration, full bool, endpoints []policy.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// drainOf returns the drain state of an endpoint that is ready, nil of another.
+// drainOf returns the drain state of a ready endpoint, or nil if the endpoint is not ready or not known.
 func (c *Cluster) drainOf(id policy.EndpointID) *endpointDrain {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -8,10 +8,11 @@
 	"yokestall/policy"
 )
 
-// A drain counts from the delivery of its notice: one that was delivered DrainGrace ago stops sends at once.
+// Options.DrainSendGrace counts from the delivery of the drain's notice: a notice that was delivered one grace ago stops
+// sends at once.
 func TestDrainCountsFromDelivery(t *testing.T) {
 	waiting, connected, began := make(chan *Call, 4), make(chan struct{}), make(chan bool, 4)
-	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+	c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		waiting <- call
 		<-connected
 		began <- call.BeginSend()
@@ -23,17 +24,17 @@
 	c.UpdateEndpointsAt(delivered, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	close(connected)
 	if <-began {
-		t.Error("a send a grace after the delivery")
+		t.Error("BeginSend returned true after the grace since the delivery of the notice, want false")
 	}
 }
 
-// Requests are served by the endpoints that stay while another one drains.
+// While one endpoint drains, requests are served by the other endpoint.
 func TestDrainSparesOtherEndpoints(t *testing.T) {
-	c := start(t, exchange(served), 1, 2)
+	c := startCluster(t, exchangerFunc(echoExchange), 1, 2)
 	c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	for range 20 {
 		if a, err := c.Do(t.Context(), c.request(idempotent, testutil.WaitTimeout)); err != nil || a.Verdict != Served {
-			t.Fatalf("%+v, %v", a, err)
+			t.Fatalf("got %+v, error %v; want the verdict Served", a, err)
 		}
 	}
 }
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -6,42 +6,44 @@
 	"yokestall/policy"
 )
 
-// event is one thing that the loop handles. An event's time is when the loop takes it.
+// event is an event that the loop handles. The time of an event is the time at which the loop handles it.
 //
-// The events of every request hold one pointer, so that they need no allocation as interface values.
+// The event types that occur for every request hold a single pointer, so that converting them to an interface value needs
+// no allocation.
 type event interface {
 	apply(c *Cluster, now time.Duration)
 }
 
 type (
-	// requestReceived begins a request.
+	// requestReceived starts a request.
 	requestReceived struct{ request *Request }
-	// bodyCompleted is the arrival of a request's last byte; its final answer is due at deadline.
+	// bodyCompleted reports the arrival of a request's last byte. The final answer is due at deadline, a time on the
+	// Clock.
 	bodyCompleted struct {
 		request  *Request
 		deadline time.Duration
 	}
 	// clientDisconnected ends a request without an answer.
 	clientDisconnected struct{ request *Request }
-	// requestAnswered removes a request that has its final answer.
+	// requestAnswered removes a request that has its final answer, unless attempts are still in flight.
 	requestAnswered struct{ request *Request }
 
-	// exchangeReturned ends an attempt with attempt.result.
+	// exchangeReturned ends an attempt with the result of its exchange, attempt.result.
 	exchangeReturned struct{ attempt *attempt }
-	// attemptEnded ends an attempt without an answer, by its timeout, its cancellation, or before it started.
+	// attemptEnded ends an attempt without an answer, because it timed out, was cancelled or could not start.
 	attemptEnded struct {
 		attempt *attempt
 		status  policy.Status
 	}
 
-	// endpointsUpdated is a change of the endpoint list.
+	// endpointsUpdated passes an endpoint update to the Balancer.
 	endpointsUpdated struct {
 		kind      policy.UpdateKind
 		endpoints []policy.Endpoint
 	}
-	// abortRequested ends all requests.
+	// abortRequested ends all open requests.
 	abortRequested struct{}
-	// functionCall is a function to run on the loop's goroutine.
+	// functionCall runs a function on the loop's goroutine.
 	functionCall func()
 )
 
@@ -55,7 +57,7 @@
 	c.clientDisconnected(now, e.request)
 }
 
-func (e requestAnswered) apply(c *Cluster, _ time.Duration) { c.forgetIfDone(e.request) }
+func (e requestAnswered) apply(c *Cluster, _ time.Duration) { c.removeIfDone(e.request) }
 
 func (e exchangeReturned) apply(c *Cluster, now time.Duration) {
 	c.reportOutcome(now, e.attempt, e.attempt.takeResult())
@@ -71,7 +73,7 @@
 
 func (abortRequested) apply(c *Cluster, now time.Duration) { c.abortRequests(now) }
 
-// apply implements event: a timer that the Balancer set has expired.
+// apply implements event: it notifies the Balancer that the timer has expired.
 func (t *balancerTimer) apply(c *Cluster, now time.Duration) { c.balancer.Timer(now, t.token) }
 
 func (f functionCall) apply(*Cluster, time.Duration) { f() }
--- a/internal/engine/exchanger.go
+++ b/internal/engine/exchanger.go
@@ -8,33 +8,34 @@
 
 // Exchanger carries attempts to endpoints.
 type Exchanger interface {
-	// Exchange sends the payload to the endpoint and returns how that ended. timeRemaining is the request's time until
-	// its deadline. It runs on a goroutine of its own, calls call.BeginSend right before the first byte leaves,
-	// and returns policy.NeverSent, with nothing sent, where that is false. It returns soon after the call is
-	// stopped (Call.OnStop, Call.Context); its result then is dropped, unless the request takes late answers.
+	// Exchange sends the payload to the endpoint and returns the result. timeRemaining is the time until the request's
+	// deadline, or Request.UploadTimeout while the body is incomplete. Exchange runs on a goroutine of its own. It
+	// calls call.BeginSend right before it sends the first byte; if BeginSend returns false, it sends nothing and
+	// returns policy.NeverSent. It returns soon after the call is stopped (Call.OnStop, Call.Context); the result of
+	// a stopped call is discarded unless the request takes late answers (Request.OnLateAnswer).
 	Exchange(call *Call, endpoint policy.EndpointID, payload any, timeRemaining time.Duration) Result
 }
 
-// Result is how one attempt ended, and the endpoint's answer, if there is one.
+// Result is the outcome of one attempt, with the endpoint's answer if there is one.
 //
-// An Answer that is an io.Closer holds resources until the receiver of the final answer closes it: the engine closes
-// the answers that it gives to nobody.
+// An Answer that is an io.Closer holds resources until it is closed. The receiver of the final answer closes it; the
+// engine closes the answers that it passes to nobody.
 type Result struct {
 	Status policy.Status
-	// Answer is the endpoint's, nil if there is none. With another status than policy.OK it is what the client gets
-	// if no attempt succeeds.
+	// Answer is the endpoint's answer, nil if there is none. With a Status other than policy.OK, it is passed to the
+	// client if no attempt succeeds.
 	Answer any
-	// Final ends the request with this outcome, whatever it is: there are no further attempts.
+	// Final makes this outcome the last one of the request, whatever Status is: no further attempt is made.
 	Final bool
 }
 
-// StreamingPayload is a payload that may still be arriving from the client while it is sent. It has no second attempt
-// in flight while it streams, and no further attempt once its beginning was discarded.
+// StreamingPayload is a payload that may still be arriving from the client while it is sent. Its request has no second
+// attempt in flight while the payload streams, and no further attempt once the beginning of the payload was discarded.
 type StreamingPayload interface {
-	Streaming() bool // a part of it has not arrived
-	Consumed() bool  // it can't be sent from its beginning any more
+	Streaming() bool // reports whether a part of the payload has not arrived yet
+	Consumed() bool  // reports whether the payload can no longer be sent from its beginning
 }
 
-// SelfTimedPayload is a payload whose attempts have no timeout of the engine's: its Exchanger has one of its own, or
-// they last until the request's deadline.
+// SelfTimedPayload is a payload whose attempts get no timeout from the engine: either its Exchanger has a timeout of its
+// own, or the attempts last until the request's deadline.
 type SelfTimedPayload interface{ SelfTimed() }
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// The classes of settings.
+// The indices of the classes in the result of settings.
 const (
 	idempotent = iota
 	idempotentByKey
@@ -33,30 +33,30 @@
 	return s
 }
 
-// exchange is an Exchanger made of a function.
-type exchange func(call *Call, endpoint policy.EndpointID, payload any, timeRemaining time.Duration) Result
+// exchangerFunc is a function that implements Exchanger.
+type exchangerFunc func(call *Call, endpoint policy.EndpointID, payload any, timeRemaining time.Duration) Result
 
-func (f exchange) Exchange(
+func (f exchangerFunc) Exchange(
 	call *Call, endpoint policy.EndpointID, payload any, timeRemaining time.Duration,
 ) Result {
 	return f(call, endpoint, payload, timeRemaining)
 }
 
-// served is an exchange that succeeds at once.
-func served(call *Call, _ policy.EndpointID, payload any, _ time.Duration) Result {
+// echoExchange is an exchange that succeeds at once, with the payload as its answer.
+func echoExchange(call *Call, _ policy.EndpointID, payload any, _ time.Duration) Result {
 	if !call.BeginSend() {
 		return Result{Status: policy.NeverSent}
 	}
 	return Result{Status: policy.OK, Answer: payload}
 }
 
-// start returns a cluster with these endpoints, which are ready. It ends with the test.
-func start(t testing.TB, ex Exchanger, endpoints ...policy.EndpointID) *Cluster {
+// startCluster returns a cluster whose endpoints are ready. The cluster ends with the test.
+func startCluster(t testing.TB, ex Exchanger, endpoints ...policy.EndpointID) *Cluster {
 	t.Helper()
-	return startWith(t, ex, Options{}, endpoints...)
+	return startClusterWith(t, ex, Options{}, endpoints...)
 }
 
-func startWith(t testing.TB, ex Exchanger, o Options, endpoints ...policy.EndpointID) *Cluster {
+func startClusterWith(t testing.TB, ex Exchanger, o Options, endpoints ...policy.EndpointID) *Cluster {
 	t.Helper()
 	o.Seed, o.Clock = 1, NewClock()
 	c, err := New(context.Background(), settings(), ex, o)
@@ -64,18 +64,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.cancel(); <-c.Ended() })
-	c.UpdateEndpoints(policy.FullUpdate, ready(endpoints...))
+	c.UpdateEndpoints(policy.FullUpdate, readyEndpoints(endpoints...))
 	return c
 }
 
-func ready(endpoints ...policy.EndpointID) (entries []policy.Endpoint) {
+func readyEndpoints(endpoints ...policy.EndpointID) (entries []policy.Endpoint) {
 	for _, id := range endpoints {
 		entries = append(entries, policy.Endpoint{ID: id, State: policy.Ready, Weight: 1})
 	}
 	return entries
 }
 
-// endpointIDs returns the first n ids.
+// endpointIDs returns the ids 1 to n.
 func endpointIDs(n int) (ids []policy.EndpointID) {
 	for i := range n {
 		ids = append(ids, policy.EndpointID(i+1))
@@ -83,7 +83,7 @@
 	return ids
 }
 
-// request returns a request of the class whose deadline is timeRemaining from now.
+// request returns a request of a class, with a deadline that is timeRemaining from now.
 func (c *Cluster) request(class int, timeRemaining time.Duration) *Request {
 	return &Request{Class: class, Deadline: c.clock.Now() + timeRemaining, Payload: "x"}
 }
--- a/internal/engine/host.go
+++ b/internal/engine/host.go
@@ -6,11 +6,11 @@
 	"yokestall/policy"
 )
 
-// Cluster carries out the Balancer's actions. The Balancer calls them on the loop's goroutine, from within its own
-// methods, and must not be called back: what they would report to it goes to Cluster.deferred.
+// Cluster carries out the Balancer's actions. The Balancer calls the methods of policy.Host on the loop's goroutine, from
+// within its own methods, so these must not call the Balancer back: they append their events to Cluster.deferred.
 var _ policy.Host = (*Cluster)(nil)
 
-// Send implements policy.Host: it starts an attempt. One that may not start ends as policy.NeverSent.
+// Send implements policy.Host: it starts an attempt. An attempt that may not start ends as policy.NeverSent.
 func (c *Cluster) Send(id policy.RequestID, endpoint policy.EndpointID, timeout time.Duration) {
 	r := c.requests[id]
 	if r == nil {
@@ -41,30 +41,30 @@
 	}
 }
 
-// Reject implements policy.Host: it gives a final answer of Rejected.
+// Reject implements policy.Host: it gives the request a final answer with the verdict Rejected.
 func (c *Cluster) Reject(id policy.RequestID, retryAfter time.Duration) {
 	c.answerUnserved(id, Answer{Verdict: Rejected, RetryAfter: retryAfter})
 }
 
-// Fail implements policy.Host: it gives a final answer of Failed.
+// Fail implements policy.Host: it gives the request a final answer with the verdict Failed.
 func (c *Cluster) Fail(id policy.RequestID) { c.answerUnserved(id, Answer{Verdict: Failed}) }
 
-// SetTimer implements policy.Host.
+// SetTimer implements policy.Host: it has the loop call Balancer.Timer with the token at a time on the Clock.
 func (c *Cluster) SetTimer(at time.Duration, token uint64) {
 	t := &balancerTimer{token: token}
 	t.timer = timer{at: at, expiry: t}
 	c.timers.set(&t.timer)
 }
 
-// balancerTimer is a timer that the Balancer set. It is its own expiry and event.
+// balancerTimer is a timer that the Balancer set. It implements both expiry and event.
 type balancerTimer struct {
 	timer
-	token uint64 // the Balancer's name for it
+	token uint64 // identifies the timer to the Balancer
 }
 
 func (t *balancerTimer) expire(c *Cluster, now time.Duration) { c.handle(now, t) }
 
-// RequestPoll implements policy.Host.
+// RequestPoll implements policy.Host: it asks for a poll of the endpoint list by calling Options.RequestPoll, if that is set.
 func (c *Cluster) RequestPoll() {
 	if c.requestPoll != nil {
 		c.requestPoll()
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -8,56 +8,58 @@
 	"yokestall/policy"
 )
 
-// balancerAnswerTimeout is how long after a request's deadline the engine waits for the Balancer's answer before it
-// gives one itself.
+// balancerAnswerTimeout is how long after a request's deadline the engine waits for the Balancer to reject or fail the
+// request before the engine fails it.
 const balancerAnswerTimeout = 5 * time.Millisecond
 
-// ErrClientDisconnected is returned where the client disconnected before the answer: no answer is due.
+// ErrClientDisconnected is returned for a request whose client disconnected before its final answer.
 var ErrClientDisconnected = errors.New("engine: client disconnected")
 
-// Request is what a downstream server submits to a cluster, once. The exported fields are not changed by the caller
-// after Do has begun.
+// Request is a request that a downstream server submits to a cluster. A Request is submitted only once, and the caller
+// does not change its exported fields after Do has begun.
 type Request struct {
 	Class, Tenant int           // indices in the cluster's policy.Settings
-	WorkHint      time.Duration // the client's estimate of the work; 0: none
-	Deadline      time.Duration // on the Clock: when the final answer is due
-	// BodyIncomplete: a part of the body has not arrived from the client. Deadline holds from Cluster.BodyComplete
-	// on; attempts that start before have UploadTimeout.
+	WorkHint      time.Duration // the client's estimate of the work; 0 means no estimate
+	Deadline      time.Duration // the time on the Clock at which the final answer is due
+	// BodyIncomplete means that a part of the body has not arrived from the client. The deadline is then set by
+	// Cluster.BodyComplete, and attempts that start earlier get UploadTimeout as their time remaining.
 	BodyIncomplete bool
 	UploadTimeout  time.Duration
-	Payload        any           // for the Exchanger
-	MaxAttempts    int           // within the cluster's limit; 0: that limit
-	PerTryTimeout  time.Duration // the longest wait for one attempt; 0: the Balancer's choice
-	// OnLateAnswer, if set, is called with the answer of an attempt that was in flight at the request's deadline or
-	// when its client disconnected, unless the request was served. It runs on a goroutine of its own. The
-	// attempt is stopped LateAnswerTimeout after it ended for the Balancer.
+	Payload        any           // passed to the Exchanger
+	MaxAttempts    int           // limit of attempts, in addition to the cluster's limit; 0 means only the cluster's limit
+	PerTryTimeout  time.Duration // upper limit of an attempt's timeout; 0 means only the Balancer's timeout
+	// OnLateAnswer, if set, is called with the successful answer of an attempt that was in flight when the request
+	// ended without being served, such as at its deadline or when its client disconnected. It runs on a goroutine of
+	// its own. The attempt is stopped LateAnswerTimeout after its outcome was reported to the Balancer.
 	OnLateAnswer      func(answer any)
 	LateAnswerTimeout time.Duration
-	// SendAllowed, if set, is called on the attempt's goroutine right before the first byte leaves. Where it is false
-	// nothing is sent, and the request is rejected with SendRetryAfter unless another attempt is in flight.
+	// SendAllowed, if set, is called on the attempt's goroutine right before the first byte leaves, and again on the
+	// loop's goroutine when an attempt ends as policy.NeverSent. If it returns false, nothing is sent. Unless another
+	// attempt is in flight, the request is then rejected with SendRetryAfter, or fails if an earlier attempt may have
+	// run.
 	SendAllowed    func() bool
 	SendRetryAfter time.Duration
-	// ClientDisconnected, if set, is called at the same point; where it is true nothing is sent. The context of Do has
-	// to end as well then.
+	// ClientDisconnected, if set, is called on the attempt's goroutine right before the first byte leaves. If it returns
+	// true, nothing is sent; the context given to Do has to end as well in this case.
 	ClientDisconnected func() bool
 
 	answer chan Answer // capacity 1
 
-	// For the loop's goroutine only.
-	id             policy.RequestID
-	attempts       []*attempt
-	firstAttempt   [1]*attempt // storage of attempts until there is a second one
-	inFlight       int         // attempts without an outcome
-	ended          bool        // has its final answer, or its client disconnected
-	served         bool        // an attempt succeeded
-	ran            bool        // an attempt that has ended may have run
-	fallbackAnswer any         // Result.Answer of the latest attempt that did not succeed
-	deadlineTimer  timer
-	dedupWindow    *dedupWindow // nil unless the class is idempotent by key
+	// The fields below are used by the loop's goroutine only.
+	id                policy.RequestID
+	attempts          []*attempt
+	firstAttempt      [1]*attempt // storage of attempts until there is a second one
+	inFlight          int         // attempts without an outcome
+	ended             bool        // the request has its final answer, or its client disconnected
+	served            bool        // an attempt succeeded
+	attemptMayHaveRun bool        // an attempt that has ended may have run
+	fallbackAnswer    any         // Result.Answer of the latest attempt that did not succeed
+	deadlineTimer     timer
+	dedupWindow       *dedupWindow // nil unless the class is idempotent by key
 }
 
-// Do submits a request and waits for its final answer. The error is ErrClientDisconnected if ctx ended first, and
-// ErrRetired if the cluster takes no requests.
+// Do submits a request and waits for its final answer. It returns ErrClientDisconnected if ctx ends before the answer,
+// and ErrRetired if the cluster takes no more requests.
 func (c *Cluster) Do(ctx context.Context, r *Request) (Answer, error) {
 	r.answer = make(chan Answer, 1)
 	c.openRequests.Add(1)
@@ -78,14 +80,14 @@
 		select {
 		case a := <-r.answer:
 			return a, nil
-		default: // not Rejected, which promises that nothing ran: an attempt may have
+		default: // not Rejected, since an attempt may have run
 			return Answer{Verdict: Failed}, nil
 		}
 	}
 }
 
-// BodyComplete notifies the cluster that the last byte of a request with BodyIncomplete has arrived: its final answer
-// is due at deadline, on the Clock. It may be called before Do.
+// BodyComplete notifies the cluster that the last byte of a request with BodyIncomplete has arrived, and that the final
+// answer is due at deadline, a time on the Clock. BodyComplete may be called before Do.
 func (c *Cluster) BodyComplete(r *Request, deadline time.Duration) {
 	c.post(bodyCompleted{r, deadline})
 }
@@ -93,7 +95,7 @@
 func (c *Cluster) startRequest(now time.Duration, r *Request) {
 	r.id = c.nextID()
 	c.requests[r.id] = r
-	if r.BodyIncomplete { // the Balancer's deadline; the downstream server sets the pace by the size
+	if r.BodyIncomplete { // a bound for the Balancer; the downstream server enforces an upload rate by the body's size
 		r.Deadline = now + policy.MaxBodyDuration
 	}
 	r.deadlineTimer = timer{at: r.Deadline, expiry: requestDeadline{r}}
@@ -102,7 +104,7 @@
 	}
 	if c.aborted {
 		c.sendAnswer(r, Answer{Verdict: Rejected, RetryAfter: c.abortRetryAfter})
-		c.forgetIfDone(r)
+		c.removeIfDone(r)
 		return
 	}
 	c.timers.set(&r.deadlineTimer)
@@ -114,10 +116,10 @@
 		WorkHint:       r.WorkHint,
 		BodyIncomplete: r.BodyIncomplete,
 	})
-	c.forgetIfDone(r)
+	c.removeIfDone(r)
 }
 
-// nextID returns an id that no open request has; ids start anew after 2^32 requests.
+// nextID returns an id that no request in Cluster.requests has. Ids wrap around after 2^32 requests.
 func (c *Cluster) nextID() policy.RequestID {
 	c.lastID++
 	for c.requests[c.lastID] != nil {
@@ -131,7 +133,7 @@
 		return
 	}
 	r.BodyIncomplete, r.Deadline = false, deadline
-	if c.requests[r.id] != r || r.ended { // not started, or over
+	if c.requests[r.id] != r || r.ended { // the request has not started yet or has ended
 		return
 	}
 	c.timers.clear(&r.deadlineTimer)
@@ -139,7 +141,7 @@
 	c.timers.set(&r.deadlineTimer)
 	for _, a := range r.attempts {
 		if !a.reported {
-			a.startedAt = now // the endpoint's latency does not include the upload
+			a.startedAt = now // excludes the upload from the endpoint's latency
 		}
 	}
 	c.balancer.BodyComplete(now, r.id, max(0, deadline-now))
@@ -152,11 +154,11 @@
 	}
 	c.endRequest(r)
 	c.balancer.ClientDisconnected(now, r.id)
-	c.forgetIfDone(r)
+	c.removeIfDone(r)
 }
 
-// endRequest closes the send gates of a request's attempts, such as those that wait for a connection: nothing is sent
-// for it any more.
+// endRequest marks a request as ended and closes the send gates of its attempts, so that attempts that still wait for a
+// connection are never sent.
 func (c *Cluster) endRequest(r *Request) {
 	r.ended = true
 	for _, a := range r.attempts {
@@ -164,8 +166,8 @@
 	}
 }
 
-// forgetIfDone removes a request that has ended and whose attempts all have their outcomes.
-func (c *Cluster) forgetIfDone(r *Request) {
+// removeIfDone removes a request that has ended and whose attempts all have their outcomes.
+func (c *Cluster) removeIfDone(r *Request) {
 	if r.ended && r.inFlight == 0 {
 		c.timers.clear(&r.deadlineTimer)
 		delete(c.requests, r.id)
@@ -175,8 +177,8 @@
 // requestDeadline is the expiry of Request.deadlineTimer.
 type requestDeadline struct{ request *Request }
 
-// expire ends the request's attempts at the deadline, upon which the Balancer answers the request, at once or by a
-// timer of its own. If it has not done so balancerAnswerTimeout later, the request fails.
+// expire ends the request's attempts at the deadline. The Balancer then has to reject or fail the request, at once or by
+// a timer of its own. If it has not done so balancerAnswerTimeout after the deadline, the engine fails the request.
 func (d requestDeadline) expire(c *Cluster, now time.Duration) {
 	r := d.request
 	if now >= r.Deadline+balancerAnswerTimeout {
--- a/internal/engine/requests_test.go
+++ b/internal/engine/requests_test.go
@@ -10,20 +10,20 @@
 	"yokestall/policy"
 )
 
-// A request is answered with what its exchange returned.
+// The final answer of a request is the answer that its exchange returned.
 func TestServed(t *testing.T) {
-	c := start(t, exchange(served), 1, 2)
+	c := startCluster(t, exchangerFunc(echoExchange), 1, 2)
 	a, err := c.Do(t.Context(), c.request(idempotent, testutil.WaitTimeout))
 	if err != nil || a.Verdict != Served || a.Value != "x" {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("got %+v, error %v; want the verdict Served with the value x", a, err)
 	}
 }
 
-// An exchanger that does not return must not delay the answer: the deadline ends the attempt, and the answer follows
-// at once.
+// An exchanger that does not return must not delay the final answer: the deadline ends the attempt, and the answer
+// follows at once.
 func TestUnresponsiveExchanger(t *testing.T) {
 	ended := make(chan struct{}, 3)
-	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+	c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		call.BeginSend()
 		<-call.Context().Done()
 		ended <- struct{}{}
@@ -33,15 +33,15 @@
 	a, err := c.Do(t.Context(), c.request(notIdempotent, 100*time.Millisecond))
 	took := time.Since(began)
 	if err != nil || a.Verdict == Served || took < 90*time.Millisecond || took > testutil.WaitTimeout {
-		t.Errorf("%+v, %v after %v", a, err, took)
+		t.Errorf("got %+v, error %v after %v; want a verdict other than Served at the deadline, after 100 ms", a, err, took)
 	}
 	<-ended
 }
 
-// A client that disconnects ends its attempt.
+// A client that disconnects has the attempt of its request stopped.
 func TestClientDisconnects(t *testing.T) {
 	sent, ended := make(chan struct{}), make(chan struct{})
-	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+	c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		call.BeginSend()
 		close(sent)
 		<-call.Context().Done()
@@ -51,7 +51,7 @@
 	ctx, disconnect := context.WithCancel(t.Context())
 	go func() { <-sent; disconnect() }()
 	if _, err := c.Do(ctx, c.request(idempotent, testutil.WaitTimeout)); !errors.Is(err, ErrClientDisconnected) {
-		t.Errorf("error %v", err)
+		t.Errorf("got the error %v, want ErrClientDisconnected", err)
 	}
 	<-ended
 }
--- a/internal/engine/sendgate_test.go
+++ b/internal/engine/sendgate_test.go
@@ -10,8 +10,8 @@
 	"yokestall/policy"
 )
 
-// A send that was decided before notice of a drain must not begin later than DrainGrace after it, even if its
-// connection is established only then.
+// A send that was decided before the notice of a drain must not begin later than Options.DrainSendGrace after the notice,
+// even if its connection is established only then.
 func TestDrainStopsSendsDecidedBefore(t *testing.T) {
 	for name, update := range map[string]struct {
 		kind      policy.UpdateKind
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			waiting, connected := make(chan *Call, 4), make(chan struct{})
 			began := make(chan bool, 4)
-			c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+			c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 				waiting <- call
 				<-connected
 				began <- call.BeginSend()
@@ -43,17 +43,17 @@
 			testutil.Until(t, "the grace to end", func() bool { return call.drain.graceOver(c.clock.Now()) })
 			close(connected)
 			if <-began {
-				t.Error("a send after the grace")
+				t.Error("BeginSend returned true after the grace, want false")
 			}
 		})
 	}
 }
 
-// Options.DrainSendGrace takes the place of DefaultDrainSendGrace: a deployment may allow less.
+// Options.DrainSendGrace replaces DefaultDrainSendGrace, since a deployment may allow a shorter grace.
 func TestDrainGraceOption(t *testing.T) {
 	const grace = 50 * time.Millisecond
 	waiting, connected, began := make(chan *Call, 4), make(chan struct{}), make(chan bool, 4)
-	c := startWith(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+	c := startClusterWith(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		waiting <- call
 		<-connected
 		began <- call.BeginSend()
@@ -64,35 +64,36 @@
 	c.UpdateEndpointsAt(c.clock.Now()-grace-1, policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 	close(connected)
 	if <-began {
-		t.Error("a send after the grace")
+		t.Error("BeginSend returned true after the grace, want false")
 	}
 }
 
-// A call that another party sends may not begin as soon as there is notice of the drain; DrainGrace is that party's.
+// A call that another party sends must not begin after the notice of a drain: Options.DrainSendGrace is left to that
+// party.
 func TestBeginSendUnlessDraining(t *testing.T) {
 	for _, drains := range []bool{false, true} {
 		began := make(chan bool, 4)
 		waiting, notified := make(chan struct{}, 4), make(chan struct{})
-		c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+		c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 			waiting <- struct{}{}
 			<-notified
 			began <- call.BeginSendUnlessDraining(0)
 			return Result{Status: policy.NeverSent, Final: true}
 		}), 1)
 		go c.Do(t.Context(), c.request(notIdempotent, testutil.WaitTimeout))
-		testutil.Wait(t, waiting, "the attempt")
+		testutil.Wait(t, waiting, "the attempt to start")
 		if drains {
 			c.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{ID: 1, State: policy.Draining}})
 		}
 		close(notified)
 		if got := testutil.Wait(t, began, "the attempt to begin"); got == drains {
-			t.Errorf("drains %v, began %v", drains, got)
+			t.Errorf("endpoint draining: %v; BeginSendUnlessDraining returned %v, want the opposite", drains, got)
 		}
 	}
 }
 
-// No attempt begins once the client has disconnected, also if the engine has no event of that yet: neither the first
-// one, which was decided before, nor a later one, nor one that another party sends.
+// No attempt is sent once Request.ClientDisconnected returns true, even before the loop has handled the disconnection.
+// This holds for the first attempt, for later attempts, and for attempts that another party sends.
 func TestNoSendAfterClientDisconnected(t *testing.T) {
 	t.Parallel()
 	for name, sentBefore := range map[string]int32{"the first": 0, "the second": 1, "the third": 2} {
@@ -112,9 +113,9 @@
 	var disconnected atomic.Bool
 	var number atomic.Int32
 	attempts := make(chan bool, 8)
-	c := start(t, exchange(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
+	c := startCluster(t, exchangerFunc(func(call *Call, _ policy.EndpointID, _ any, _ time.Duration) Result {
 		if number.Add(1) > sentBefore {
-			disconnected.Store(true) // while its connection is established
+			disconnected.Store(true) // while the attempt's connection is being established
 		}
 		attempts <- begin(call)
 		return Result{Status: policy.ErrorResponse}
@@ -122,16 +123,16 @@
 	r := c.request(idempotent, testutil.WaitTimeout)
 	r.ClientDisconnected = disconnected.Load
 	ctx, disconnect := context.WithCancel(t.Context())
-	over := make(chan struct{})
-	go func() { c.Do(ctx, r); close(over) }()
+	returned := make(chan struct{})
+	go func() { c.Do(ctx, r); close(returned) }()
 	for range sentBefore {
-		if !testutil.Wait(t, attempts, "an attempt before") {
-			t.Fatal("an attempt was not sent whose client waits")
+		if !testutil.Wait(t, attempts, "an attempt before the disconnection") {
+			t.Fatal("an attempt was not sent although the client was connected")
 		}
 	}
-	if testutil.Wait(t, attempts, "the attempt after") {
-		t.Error("an attempt was sent whose client has disconnected")
+	if testutil.Wait(t, attempts, "the attempt after the disconnection") {
+		t.Error("an attempt was sent although the client had disconnected")
 	}
 	disconnect()
-	testutil.Wait(t, over, "the request's end")
+	testutil.Wait(t, returned, "Do to return")
 }
--- a/internal/engine/storm_test.go
+++ b/internal/engine/storm_test.go
@@ -12,18 +12,19 @@
 	"yokestall/policy"
 )
 
-// Whatever exchangers, endpoint updates and clients do at the same time: one answer a request, nothing sent after it,
-// nothing to an endpoint that was removed, and no request or timer left over.
+// Exchangers, endpoint updates and clients act concurrently and at random. Each request must get exactly one answer or end
+// with its client, nothing may be sent after that, or to an endpoint after its drain grace, and no request and no timer
+// of a request may remain in the cluster.
 func TestStorm(t *testing.T) {
 	const clients, requests = 24, 60
-	s := &storm{clock: NewClock()}
-	c, err := New(context.Background(), settings(), exchange(s.exchange), Options{Seed: 7, Clock: s.clock})
+	s := &stressTest{clock: NewClock()}
+	c, err := New(context.Background(), settings(), exchangerFunc(s.exchange), Options{Seed: 7, Clock: s.clock})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.cluster = c
 	defer func() { c.cancel(); <-c.Ended() }()
-	c.UpdateEndpoints(policy.FullUpdate, ready(endpointIDs(stormEndpoints)...))
+	c.UpdateEndpoints(policy.FullUpdate, readyEndpoints(endpointIDs(stressEndpoints)...))
 	ctx, stop := context.WithCancel(t.Context())
 	var updates, work sync.WaitGroup
 	updates.Go(func() { s.updateEndpoints(ctx) })
@@ -42,12 +43,12 @@
 	for i := range s.verdicts {
 		total += s.verdicts[i].Load()
 	}
-	if total != clients*requests || s.strays.Load() != 0 {
-		t.Errorf("%d ends for %d requests, %d stray sends", total, clients*requests, s.strays.Load())
+	if total != clients*requests || s.forbiddenSends.Load() != 0 {
+		t.Errorf("%d requests ended, want %d; %d forbidden sends, want 0", total, clients*requests, s.forbiddenSends.Load())
 	}
 	t.Logf("%d sends; served %d, rejected %d, failed %d, disconnected %d", s.sends.Load(), s.verdicts[Served].Load(),
 		s.verdicts[Rejected].Load(), s.verdicts[Failed].Load(), s.disconnected.Load())
-	testutil.Until(t, "the loop to forget all requests and timers", func() bool {
+	testutil.Until(t, "the loop to remove all requests and their timers", func() bool {
 		sizes := make(chan [2]int, 1)
 		c.runOnLoop(func() { sizes <- [2]int{len(c.requests), len(c.timers.timers)} })
 		size := <-sizes
@@ -55,36 +56,36 @@
 	})
 }
 
-const stormEndpoints = 6
+const stressEndpoints = 6
 
-// storm checks each send against the endpoint updates and answers so far.
-type storm struct {
-	cluster      *Cluster
-	clock        Clock
-	removedSince [stormEndpoints + 1]atomic.Int64 // on the clock, by id; 0: ready
-	sends        atomic.Int64
-	strays       atomic.Int64 // sends after the answer, or to an endpoint that was removed
-	verdicts     [3]atomic.Int64
-	disconnected atomic.Int64 // requests that ended with their client
+// stressTest checks each send against the earlier endpoint updates and final answers.
+type stressTest struct {
+	cluster        *Cluster
+	clock          Clock
+	removedSince   [stressEndpoints + 1]atomic.Int64 // time on the clock, by endpoint id; 0 while ready
+	sends          atomic.Int64
+	forbiddenSends atomic.Int64 // sends after the request's end, or to an endpoint after its drain grace
+	verdicts       [3]atomic.Int64
+	disconnected   atomic.Int64 // requests that ended because the client disconnected
 }
 
-// stormPayload is the payload of one request.
-type stormPayload struct{ answered atomic.Bool }
+// stressPayload is the payload of one request.
+type stressPayload struct{ answered atomic.Bool }
 
-func (s *storm) exchange(call *Call, to policy.EndpointID, payload any, _ time.Duration) Result {
+func (s *stressTest) exchange(call *Call, to policy.EndpointID, payload any, _ time.Duration) Result {
 	rnd := rand.New(rand.NewPCG(uint64(to), uint64(s.clock.Now())))
 	if rnd.IntN(4) == 0 {
-		time.Sleep(time.Duration(rnd.IntN(30)) * time.Millisecond) // to connect takes a while
+		time.Sleep(time.Duration(rnd.IntN(30)) * time.Millisecond) // the time to connect
 	}
 	since, before := s.removedSince[to].Load(), s.clock.Now()
-	answered := payload.(*stormPayload).answered.Load()
+	answered := payload.(*stressPayload).answered.Load()
 	if !call.BeginSend() {
 		return Result{Status: policy.NeverSent}
 	}
 	s.sends.Add(1)
-	// before was read ahead of BeginSend, so that no delay of this goroutine adds to it.
+	// before was read before BeginSend, so that a delay of this goroutine does not count as a late send.
 	if answered || since != 0 && before-time.Duration(since) > DefaultDrainSendGrace {
-		s.strays.Add(1)
+		s.forbiddenSends.Add(1)
 	}
 	switch rnd.IntN(10) {
 	case 0:
@@ -99,9 +100,9 @@
 }
 
 // updateEndpoints changes the state of one endpoint every 2 ms until the context ends.
-func (s *storm) updateEndpoints(ctx context.Context) {
+func (s *stressTest) updateEndpoints(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(3, 4))
-	all := endpointIDs(stormEndpoints)
+	all := endpointIDs(stressEndpoints)
 	for ctx.Err() == nil {
 		id := all[rnd.IntN(len(all))]
 		state := []policy.EndpointState{policy.Ready, policy.Draining, policy.Removed}[rnd.IntN(3)]
@@ -117,8 +118,8 @@
 }
 
 // request submits one request, whose client may disconnect.
-func (s *storm) request(t *testing.T, rnd *rand.Rand) {
-	payload := &stormPayload{}
+func (s *stressTest) request(t *testing.T, rnd *rand.Rand) {
+	payload := &stressPayload{}
 	r := s.cluster.request(rnd.IntN(3), time.Duration(20+rnd.IntN(80))*time.Millisecond)
 	r.Payload = payload
 	ctx, cancel := context.WithCancel(t.Context())
@@ -127,7 +128,7 @@
 	}
 	a, err := s.cluster.Do(ctx, r)
 	cancel()
-	if err != nil { // disconnected: nothing is sent once the loop has handled that
+	if err != nil { // after a disconnection, sends are forbidden only once the loop has handled it
 		handled := make(chan struct{})
 		s.cluster.runOnLoop(func() { close(handled) })
 		<-handled
@@ -140,7 +141,7 @@
 	s.verdicts[a.Verdict].Add(1)
 	select {
 	case second := <-r.answer:
-		t.Errorf("a second answer: %+v", second)
+		t.Errorf("the request got a second answer: %+v", second)
 	default:
 	}
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// timer is one time that the loop waits for.
+// timer is a timer of the loop.
 type timer struct {
-	at       time.Duration // on the Clock
-	position int           // in the heap, from 1; 0: not set
+	at       time.Duration // expiration time on the Clock
+	position int           // position in the timerHeap, counted from 1; 0 if the timer is not set
 	expiry   expiry
 }
 
-// expiry is what happens at a timer's time: a requestDeadline, an attemptTimeout or a balancerTimer.
+// expiry is the action of a timer: a requestDeadline, an attemptTimeout or a balancerTimer.
 type expiry interface {
-	// expire runs on the loop's goroutine, with the timer taken out of the heap. It handles events of its own.
+	// expire runs on the loop's goroutine, after the timer was removed from the heap. It calls Cluster.handle for the
+	// events that it causes.
 	expire(c *Cluster, now time.Duration)
 }
 
-// timerHeap is a binary heap of timers, the next one first. A timer is taken out when its request or attempt ends, so
-// that the size is bounded by what is open.
+// timerHeap is a binary heap of timers with the earliest timer first. The timer of a request or an attempt is removed when
+// its request or attempt ends, so that the number of these timers is bounded by the open requests and attempts.
 type timerHeap struct{ timers []*timer }
 
-// next returns the time of the next timer, below 0 if none is set.
+// next returns the time of the earliest timer, or a negative value if no timer is set.
 func (h *timerHeap) next() time.Duration {
 	if len(h.timers) == 0 {
 		return -1
@@ -27,7 +28,7 @@
 	return h.timers[0].at
 }
 
-// due takes out the next timer if its time has come, and returns nil otherwise.
+// due removes and returns the earliest timer if its time has come, and returns nil otherwise.
 func (h *timerHeap) due(now time.Duration) *timer {
 	if len(h.timers) == 0 || h.timers[0].at > now {
 		return nil
@@ -44,7 +45,7 @@
 	h.up(t.position - 1)
 }
 
-// clear takes a timer out; one that is not set stays so.
+// clear removes a timer. It has no effect on a timer that is not set.
 func (h *timerHeap) clear(t *timer) {
 	if t.position == 0 {
 		return
--- a/internal/engine/timers_test.go
+++ b/internal/engine/timers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Timers come out in the order of their times, and those that were cleared do not.
+// Timers become due in the order of their times, and timers that were cleared do not become due.
 func TestTimerHeap(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var h timerHeap
@@ -26,15 +26,15 @@
 	last := time.Duration(-1)
 	for range set {
 		if h.due(h.next()-1) != nil {
-			t.Fatal("due before its time")
+			t.Fatal("due returned a timer before its time")
 		}
 		next := h.due(time.Hour)
 		if next == nil || next.at < last {
-			t.Fatalf("%+v after %v", next, last)
+			t.Fatalf("got the timer %+v after one at %v, want a timer at the same time or later", next, last)
 		}
 		last = next.at
 	}
 	if h.next() >= 0 || h.due(time.Hour) != nil {
-		t.Error("more timers than were set")
+		t.Error("the heap holds more timers than were set")
 	}
 }
