--- a/internal/connlimit/anyorder_test.go
+++ b/internal/connlimit/anyorder_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Counts and limits hold for any order of events.
+// The counts and the limits of a table hold for any order of events on the connections.
 func TestAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -23,41 +23,42 @@
 				continue
 			}
 			i := rnd.IntN(len(conns))
-			s.drawnEvent(rnd.IntN(5), conns[i])
+			s.randomEvent(rnd.IntN(5), conns[i])
 			if conns[i].Removed() {
 				conns = append(conns[:i], conns[i+1:]...)
 			}
-			s.trim()
+			s.closeExcess()
 			s.check()
 			if t.Failed() {
-				t.Fatalf("seed %d", seed)
+				t.Fatalf("failed with seed %d", seed)
 			}
 		}
 	}
 }
 
-// drawnEvent has something happen on a connection: a close, an extension of its grace, or what comes next in its phase.
-func (s *server) drawnEvent(event int, c *Conn) {
+// randomEvent applies an event to a connection: 0 is a close, 1 an extension of the connection's grace, and any other
+// value the next event in the life of the connection.
+func (s *server) randomEvent(event int, c *Conn) {
 	switch event {
 	case 0:
 		s.close(c)
 		return
 	case 1:
 		if s.table.NextToClose(s.now) != nil {
-			s.t.Error("a connection that has to be closed is left")
+			s.t.Error("NextToClose returned a connection although all connections to close were closed before")
 		}
-		if c.phase != fresh {
+		if c.phase != phaseNew {
 			s.table.ExtendGrace(s.now, c)
 		}
 		return
 	}
 	switch {
 	case c.Removed():
-	case c.phase == partial:
+	case c.phase == phasePartial:
 		s.table.RequestComplete(s.now, c)
-	case c.phase == busy && c.Overflow():
-		s.close(c) // rejected with Retry-After
-	case c.phase == busy:
+	case c.phase == phaseBusy && c.Overflow():
+		s.close(c) // after the response with Retry-After
+	case c.phase == phaseBusy:
 		s.respond(c)
 	default:
 		s.receive(c)
--- a/internal/connlimit/bench_test.go
+++ b/internal/connlimit/bench_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// BenchmarkCrowd measures the table's work for a client that connects, sends one request and stays connected.
 func BenchmarkCrowd(b *testing.B) {
 	t := New(Limits{Active: 341, Reserve: 21, New: 159, Overflow: 50})
 	b.ReportAllocs()
--- a/internal/connlimit/conn.go
+++ b/internal/connlimit/conn.go
@@ -2,41 +2,42 @@
 
 import "time"
 
+// phase is the state of a connection with regard to its requests.
 type phase uint8
 
 const (
-	fresh      phase = iota // nothing was received
-	partial                 // a part of a request was received
-	idle                    // between two requests, after the first
-	idleReused              // between two requests, after a later one
-	busy                    // a complete request was received, and its response is not sent
-	removed                 // no longer in the table
+	phaseNew        phase = iota // nothing was received on the connection
+	phasePartial                 // a part of a request was received
+	phaseIdle                    // no request is in progress, after the first request
+	phaseIdleReused              // no request is in progress, after the second or a later request
+	phaseBusy                    // a complete request was received, and its response was not sent yet
+	phaseRemoved                 // the connection is no longer in the table
 	phaseCount
 )
 
-// Conn is a connection in a Table. Table.Admit makes them.
+// Conn is a connection in a Table. Table.Admit creates it.
 type Conn struct {
-	// Owner is for the caller, to find its connection again.
+	// Owner is the owner that was given to Table.Admit. The package does not use it.
 	Owner any
 
 	phase      phase
 	phaseSince time.Duration
-	requests   int  // complete ones
-	pipelined  bool // bytes of a further request were received while busy
+	requests   int  // number of complete requests
+	pipelined  bool // bytes of a further request were received while the connection was busy
 	overflow   bool
 
-	// Neighbours in the list of the phase.
+	// previous and next are the neighbours in the connList of the phase.
 	previous, next *Conn
 }
 
-// Overflow reports whether the connection is beyond Limits.Active, and only gets a response with Retry-After.
+// Overflow reports whether the connection exceeds Limits.Active and only gets a response with Retry-After.
 func (c *Conn) Overflow() bool { return c.overflow }
 
 // Removed reports whether the connection has left the table.
-func (c *Conn) Removed() bool { return c.phase == removed }
+func (c *Conn) Removed() bool { return c.phase == phaseRemoved }
 
-// connList is a list of connections, linked by their own fields: a connection changes its phase several times a
-// request, which costs no allocation.
+// connList is a doubly linked list of connections. The links are fields of Conn, so that a change of the phase, which
+// happens several times for each request, needs no allocation.
 type connList struct {
 	head, tail *Conn
 	length     int
--- a/internal/connlimit/doc.go
+++ b/internal/connlimit/doc.go
@@ -1,13 +1,14 @@
-// Package connlimit limits the client connections of a server: it decides which connections are admitted, and
-// which idle one is closed when the limits are reached. It is pure: it does no I/O and has no clock. The owner of
-// the sockets reports what happens on them and closes the connections that the package names.
+// Package connlimit limits the client connections of a server: it decides which connections are admitted, and which
+// connection is closed when the limits are reached. It is pure: it does no I/O and has no clock. The owner of the
+// sockets reports what happens on them and closes the connections that the package returns.
 //
-// A connection is in one of five phases: new (nothing was received on it), partial (a part of a request was
-// received), busy (a complete request was), and idle, after its first request or after a later one. All but the
-// new ones are active and share the limit of active connections. New ones have a limit of their own, so that a
-// flood of connections that send nothing does not take the places of clients that send requests.
+// A connection is in one of five phases: new (nothing was received on it), partial (a part of a request was received),
+// busy (a complete request was received), idle after its first request, or idle after a later request. Connections in all
+// phases but new are active and share the limit of active connections, except for overflow connections, which have a
+// limit of their own. New connections have a limit of their own too, so that a flood of connections that send nothing
+// does not displace clients that send requests.
 //
-// Where a gateway before this node grants each client a number of connections, a client that finds them all in
-// use never reaches this node. So places are kept free in advance: as soon as the active connections grow into
-// the reserve, an idle one is closed.
+// Where a gateway in front of this node grants each client a limited number of connections, a client whose connections
+// are all in use never reaches this node, and it is too late to close an idle connection then. A reserve is therefore
+// kept free in advance: as soon as the active connections extend into the reserve, an idle connection is closed.
 package connlimit
--- a/internal/connlimit/harness_test.go
+++ b/internal/connlimit/harness_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// server drives a table as a downstream server does, with sockets that never have unread bytes.
+// server calls a table in the way a downstream server does. Its sockets never have unread bytes.
 type server struct {
 	t      *testing.T
 	table  *Table
@@ -15,16 +15,16 @@
 	closed []*Conn
 }
 
-// newServer returns a server with limits.
+// newServer returns a server with these limits and no connections.
 func newServer(t *testing.T, l Limits) *server { return &server{t: t, table: New(l)} }
 
-// close closes a connection.
+// close closes a connection and removes it from the table.
 func (s *server) close(c *Conn) {
 	s.table.Remove(c)
 	s.closed = append(s.closed, c)
 }
 
-// connect admits a new connection, and closes others or waits for that as the table says.
+// connect admits a new connection. It closes other connections or lets time pass as Table.Admit requires.
 func (s *server) connect() *Conn {
 	s.t.Helper()
 	for range 1000 {
@@ -38,21 +38,21 @@
 			s.now += wait
 		}
 	}
-	s.t.Fatal("no place in a thousand steps")
+	s.t.Fatal("Admit admitted no connection in 1000 calls")
 	return nil
 }
 
-// trim closes the connections that the table wants closed now.
-func (s *server) trim() {
+// closeExcess closes the connections that NextToClose returns.
+func (s *server) closeExcess() {
 	for v := s.table.NextToClose(s.now); v != nil; v = s.table.NextToClose(s.now) {
 		s.close(v)
 	}
 }
 
-// receive has the first bytes of a request arrive.
+// receive reports the arrival of the first bytes of a request on a connection.
 func (s *server) receive(c *Conn) {
 	if s.table.BytesReceived(s.now, c) {
-		s.trim()
+		s.closeExcess()
 		if !s.table.AssignPlace(c) {
 			s.close(c)
 		}
@@ -62,10 +62,10 @@
 // respond sends the response to a complete request.
 func (s *server) respond(c *Conn) {
 	s.table.ResponseSent(s.now, c)
-	s.trim()
+	s.closeExcess()
 }
 
-// request takes a connection through one request.
+// request receives a request on a connection and sends the response 1 ms later.
 func (s *server) request(c *Conn) {
 	s.receive(c)
 	s.table.RequestComplete(s.now, c)
@@ -73,21 +73,23 @@
 	s.respond(c)
 }
 
-// check checks the counts and limits of the table.
+// check fails the test if the table's counts are inconsistent or exceed its limits.
 func (s *server) check() {
 	s.t.Helper()
 	t, l := s.table, s.table.limits
 	listed := 0
-	for p := range t.phases {
-		listed += t.phases[p].length
+	for p := range t.byPhase {
+		listed += t.byPhase[p].length
 	}
 	if listed != t.Len() {
-		s.t.Fatalf("%d connections are listed, %d counted", listed, t.Len())
+		s.t.Fatalf("the lists hold %d connections, Len returned %d; want the same number", listed, t.Len())
 	}
-	if t.active > l.Active || t.overflow > l.Overflow || t.phases[fresh].length > l.New {
-		s.t.Fatalf("active %d, overflow %d, new %d of %+v", t.active, t.overflow, t.phases[fresh].length, l)
+	if t.active > l.Active || t.overflow > l.Overflow || t.byPhase[phaseNew].length > l.New {
+		s.t.Fatalf("got %d active, %d overflow and %d new connections; want them within %+v",
+			t.active, t.overflow, t.byPhase[phaseNew].length, l)
 	}
 	if t.active > l.Active-l.Reserve && t.Idle() > 0 {
-		s.t.Fatalf("the reserve is in use (%d active) while %d are idle", t.active, t.Idle())
+		s.t.Fatalf("the reserve is in use (%d active connections) while %d connections are idle, want 0 idle",
+			t.active, t.Idle())
 	}
 }
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -5,47 +5,50 @@
 	"fmt"
 )
 
-// Limits are numbers of connections, 0 or more.
+// Limits are the limits of a Table, in connections.
 type Limits struct {
-	// Active limits the connections on which something was received, those in the reserve included; at least 1.
+	// Active limits the connections on which something was received, including those in the reserve but not the
+	// overflow connections. It is at least 1.
 	Active int
-	// Reserve is the part of Active that idle connections leave to other clients; less than Active.
+	// Reserve is the part of Active that is kept free of idle connections, for other clients. It is 0 or more and less
+	// than Active.
 	Reserve int
-	// New limits the connections on which nothing was received; at least 1.
+	// New limits the connections on which nothing was received. It is at least 1.
 	New int
-	// Overflow limits the connections beyond Active that only get a response with Retry-After.
+	// Overflow limits the connections beyond Active that only get a response with Retry-After. It is 0 or more.
 	Overflow int
 }
 
-// The least that Split can divide, in connections.
+// The lowest arguments that Split accepts, in connections.
 const (
-	minPlaces      = 8
-	minClientsPart = 4
+	minTotal     = 8
+	minMaxActive = 4
 )
 
-// ErrTooFew says that there are too few descriptors for clients.
+// ErrTooFew is returned by Split if there are too few descriptors for client connections.
 var ErrTooFew = errors.New("too few descriptors for client connections")
 
-// Split divides places, the connections that a server may hold in all, among new, active and overflow
-// connections. clientsPart is the most that may be active. The new ones get what it leaves of the places, and a
-// sixth of them at least, for which the active ones give way. The error is ErrTooFew, below 8 places or a part of
-// 4.
-func Split(places, clientsPart int) (Limits, error) {
-	if places < minPlaces || clientsPart < minClientsPart {
-		return Limits{}, fmt.Errorf("%w: %d places and a clients' part of %d: %d and %d are the least",
-			ErrTooFew, places, clientsPart, minPlaces, minClientsPart)
+// Split divides total, the number of connections that a server may hold in all, into the limits of new, active and
+// overflow connections. maxActive is the upper limit of active connections. An eleventh of total is for overflow
+// connections, and the limit of active connections is reduced where fewer than a sixth of total would be left for new
+// connections. New connections get all that the others leave. The reserve is a sixteenth of the active connections. The
+// error is ErrTooFew if total is below 8 or maxActive is below 4.
+func Split(total, maxActive int) (Limits, error) {
+	if total < minTotal || maxActive < minMaxActive {
+		return Limits{}, fmt.Errorf("%w: got %d connections in total and at most %d active, need at least %d and %d",
+			ErrTooFew, total, maxActive, minTotal, minMaxActive)
 	}
-	overflow := max(1, places/11)
-	minNew := max(2, places/6)
-	active := min(clientsPart, places-overflow-minNew)
+	overflow := max(1, total/11)
+	minNew := max(2, total/6)
+	active := min(maxActive, total-overflow-minNew)
 	return Limits{
-		Active: active, Reserve: max(1, active/16), New: places - overflow - active, Overflow: overflow,
+		Active: active, Reserve: max(1, active/16), New: total - overflow - active, Overflow: overflow,
 	}, nil
 }
 
-// mustBeValid panics on limits that are out of range, which is a mistake of the program.
+// mustBeValid panics if a limit is out of its range, which is a programming error.
 func (l Limits) mustBeValid() {
 	if l.Active < 1 || l.Reserve < 0 || l.Reserve >= l.Active || l.New < 1 || l.Overflow < 0 {
-		panic(fmt.Sprintf("connlimit: limits %+v", l))
+		panic(fmt.Sprintf("connlimit: limits out of range: %+v", l))
 	}
 }
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -3,82 +3,84 @@
 import "time"
 
 const (
-	// NewGrace is how long a connection on which nothing was received keeps its place where others want it.
+	// NewGrace is how long a connection on which nothing was received is kept when its place is needed for another
+	// connection.
 	NewGrace = 20 * time.Millisecond
-	// PartialGrace is the same for a connection on which a part of a request was received.
+	// PartialGrace is how long a connection on which only a part of a request was received is kept when its place is
+	// needed for another connection.
 	PartialGrace = 150 * time.Millisecond
-	// reusedIdleFactor is how many times as long as others a connection with more than one request may be idle
-	// before it is closed first. It is a ratio, not an order: a client that no longer returns has to lose its
-	// place in the end.
+	// reusedIdleFactor is how many times as long as a connection with one request a connection with several requests
+	// may be idle before it is closed first. It is a ratio rather than an absolute preference, so that a client that
+	// no longer sends requests loses its connection eventually.
 	reusedIdleFactor = 8
 )
 
-// Table holds the connections of one server. It is not safe for concurrent use. Times are on any clock that does
-// not go back.
+// Table holds the connections of one server. It is not safe for concurrent use. The times that the caller passes to its
+// methods may be on any clock that does not go back.
 type Table struct {
 	limits   Limits
-	phases   [phaseCount]connList // by phase, the longest in it first
-	active   int                  // connections that are neither new nor overflow
+	byPhase  [phaseCount]connList // the connections of each phase, the one that entered it first at the head
+	active   int                  // number of connections that are neither new nor overflow
 	overflow int
 }
 
-// New makes a table. It panics on limits that are out of their range.
+// New returns an empty table. It panics if a limit is out of its range.
 func New(l Limits) *Table {
 	l.mustBeValid()
 	return &Table{limits: l}
 }
 
-// Resize changes the limits, which have to be as New wants them. Connections beyond smaller limits are closed as
-// others are admitted: the caller closes those that NextToClose gives.
+// Resize changes the limits. It panics if a limit is out of its range. Connections that exceed smaller limits are not
+// closed at once but as others are admitted: the caller closes the connections that NextToClose returns.
 func (t *Table) Resize(l Limits) {
 	l.mustBeValid()
 	t.limits = l
 }
 
-// Len gives the number of connections. It is at most Limits.Active + Limits.New + Limits.Overflow, but for
-// connections that were there before a Resize.
-func (t *Table) Len() int { return t.active + t.overflow + t.phases[fresh].length }
+// Len returns the number of connections. It is at most Limits.Active + Limits.New + Limits.Overflow, unless connections
+// were admitted before a Resize to smaller limits.
+func (t *Table) Len() int { return t.active + t.overflow + t.byPhase[phaseNew].length }
 
-// Idle gives the number of connections between two requests.
-func (t *Table) Idle() int { return t.phases[idle].length + t.phases[idleReused].length }
+// Idle returns the number of connections that are idle after a request.
+func (t *Table) Idle() int { return t.byPhase[phaseIdle].length + t.byPhase[phaseIdleReused].length }
 
-// Admit takes in a new connection. If the limit of new ones is reached it gives instead either the one that has
-// to be closed first (the caller closes it and calls Remove, or calls BytesReceived if it has bytes to read), or
-// how long to wait before the next call.
+// Admit adds a new connection and returns it as c. If Limits.New is reached, it adds none and returns either a victim,
+// the connection that has to be closed first, or how long the caller has to wait before it calls Admit again. The caller
+// closes the victim and calls Remove, or calls BytesReceived if the victim has bytes to read.
 func (t *Table) Admit(now time.Duration, owner any) (c, victim *Conn, wait time.Duration) {
-	if t.phases[fresh].length >= t.limits.New {
-		first := t.first(fresh)
+	if t.byPhase[phaseNew].length >= t.limits.New {
+		first := t.oldest(phaseNew)
 		if left := NewGrace - (now - first.phaseSince); left > 0 {
 			return nil, nil, left
 		}
 		return nil, first, 0
 	}
-	c = &Conn{Owner: owner, phase: fresh, phaseSince: now}
-	t.phases[fresh].pushBack(c)
+	c = &Conn{Owner: owner, phase: phaseNew, phaseSince: now}
+	t.byPhase[phaseNew].pushBack(c)
 	return c, nil, 0
 }
 
-// BytesReceived records that bytes were received, and reports whether they are the connection's first. If they
-// are, the caller closes what NextToClose gives, and then calls AssignPlace.
+// BytesReceived records that bytes were received on a connection, and reports whether they are the connection's first. If
+// they are, the caller closes the connections that NextToClose returns, and then calls AssignPlace.
 func (t *Table) BytesReceived(now time.Duration, c *Conn) (first bool) {
 	switch c.phase {
-	case fresh:
+	case phaseNew:
 		t.active++
-		t.move(now, c, partial)
+		t.move(now, c, phasePartial)
 		return true
-	case idle, idleReused:
-		t.move(now, c, partial)
-	case busy:
+	case phaseIdle, phaseIdleReused:
+		t.move(now, c, phasePartial)
+	case phaseBusy:
 		c.pipelined = true
 	}
 	return false
 }
 
-// AssignPlace finds a place for a connection on which the first bytes were received. Beyond Limits.Active it
-// becomes an overflow connection. It reports false if there is no place for that either, and the caller has to
-// close the connection and call Remove.
+// AssignPlace assigns a place to a connection on which the first bytes were received. If Limits.Active is exceeded, the
+// connection becomes an overflow connection. AssignPlace returns false if that exceeds Limits.Overflow; the caller then
+// has to close the connection and call Remove.
 func (t *Table) AssignPlace(c *Conn) bool {
-	if c.phase != partial || c.overflow || t.active <= t.limits.Active {
+	if c.phase != phasePartial || c.overflow || t.active <= t.limits.Active {
 		return true
 	}
 	t.active--
@@ -87,113 +89,118 @@
 	return t.overflow <= t.limits.Overflow
 }
 
-// RequestBuffered records that all bytes of a request were read from the connection, before its handler has seen
-// them. The connection is busy from here on: closing it would lose the request.
+// RequestBuffered records that all bytes of a request were read from the connection, before the request's handler has
+// seen them. The connection is busy from then on, because closing it would lose the request. RequestBuffered has no effect
+// on overflow connections.
 func (t *Table) RequestBuffered(now time.Duration, c *Conn) {
-	if c.phase == partial && !c.overflow {
-		t.move(now, c, busy)
+	if c.phase == phasePartial && !c.overflow {
+		t.move(now, c, phaseBusy)
 	}
 }
 
-// RequestComplete records that a request has been received to its last byte.
+// RequestComplete records that the last byte of a request was received.
 func (t *Table) RequestComplete(now time.Duration, c *Conn) {
-	if c.phase == removed {
+	if c.phase == phaseRemoved {
 		return
 	}
 	c.requests++
-	t.move(now, c, busy)
+	t.move(now, c, phaseBusy)
 }
 
-// ResponseSent records that the response was sent and the connection stays open. It is idle, unless bytes of the
-// next request were received already.
+// ResponseSent records that the response was sent and the connection stays open. The connection is then idle, or partial
+// if bytes of the next request were received already.
 func (t *Table) ResponseSent(now time.Duration, c *Conn) {
 	switch {
-	case c.phase == removed:
+	case c.phase == phaseRemoved:
 	case c.pipelined:
 		c.pipelined = false
-		t.move(now, c, partial)
+		t.move(now, c, phasePartial)
 	case c.requests > 1:
-		t.move(now, c, idleReused)
+		t.move(now, c, phaseIdleReused)
 	default:
-		t.move(now, c, idle)
+		t.move(now, c, phaseIdle)
 	}
 }
 
-// ExtendGrace keeps a connection that NextToClose gave, since bytes on it were not read yet: its grace begins
-// anew.
+// ExtendGrace keeps a connection that NextToClose returned but that has bytes to read. The connection's grace starts
+// again; an idle connection becomes partial.
 func (t *Table) ExtendGrace(now time.Duration, c *Conn) {
-	if c.phase == partial {
-		t.move(now, c, partial)
+	if c.phase == phasePartial {
+		t.move(now, c, phasePartial)
 	} else {
 		t.BytesReceived(now, c)
 	}
 }
 
-// NextToClose gives the next connection to close for the reserve or for Limits.Active; nil if there is none. The
-// caller closes it and calls Remove, or calls ExtendGrace if it has bytes to read.
+// NextToClose returns the next connection to close in order to free the reserve or to get back to Limits.Active, or nil if
+// there is none. The caller closes the connection and calls Remove, or calls ExtendGrace if the connection has bytes to
+// read.
 //
-// While the reserve is in use, the first of these that exists is closed:
-//   - the connection that is idle after its first request for longest, unless a reused one has been idle for
-//     reusedIdleFactor times as long;
-//   - the connection that is partial for longest, if it is past its grace, and either there is a reused idle one or
-//     Limits.Active is exceeded;
-//   - the reused connection that is idle for longest.
+// While the reserve is in use, NextToClose returns the first of these connections that exists. A reused connection is one
+// with two or more requests.
+//   - The connection that has been idle after its first request for longest, unless a reused connection has been idle for
+//     more than reusedIdleFactor times as long.
+//   - The connection that has been partial for longest, if its grace has passed, and if there is a reused idle connection
+//     or Limits.Active is exceeded.
+//   - The reused connection that has been idle for longest.
 func (t *Table) NextToClose(now time.Duration) *Conn {
 	if !t.reserveInUse() {
 		return nil
 	}
-	once, reused, part := t.first(idle), t.first(idleReused), t.first(partial)
-	if part != nil && now-part.phaseSince < PartialGrace {
-		part = nil
+	idleOnce, idleReused, oldestPartial := t.oldest(phaseIdle), t.oldest(phaseIdleReused), t.oldest(phasePartial)
+	if oldestPartial != nil && now-oldestPartial.phaseSince < PartialGrace {
+		oldestPartial = nil
 	}
 	switch {
-	case once != nil && (reused == nil || now-reused.phaseSince <= reusedIdleFactor*(now-once.phaseSince)):
-		return once
-	case part != nil && (reused != nil || t.active > t.limits.Active):
-		return part
+	case idleOnce != nil && (idleReused == nil || now-idleReused.phaseSince <= reusedIdleFactor*(now-idleOnce.phaseSince)):
+		return idleOnce
+	case oldestPartial != nil && (idleReused != nil || t.active > t.limits.Active):
+		return oldestPartial
 	}
-	return reused
+	return idleReused
 }
 
-// Saturated reports whether the reserve is in use and no idle connection is left to close. A response had better
-// close its connection then: a close by the response can't cross a request.
+// Saturated reports whether the reserve is in use and no idle connection is left to close. Responses should then close
+// their connections, since a close that comes with the response cannot race with the client's next request.
 func (t *Table) Saturated() bool { return t.reserveInUse() && t.Idle() == 0 }
 
+// reserveInUse reports whether the active connections extend into the reserve.
 func (t *Table) reserveInUse() bool { return t.active > t.limits.Active-t.limits.Reserve }
 
-// NextExpired gives a connection that was idle for idleTimeout, or new for newTimeout; nil if there is none.
+// NextExpired returns a connection that has been idle for idleTimeout or new for newTimeout, or nil if there is none.
 func (t *Table) NextExpired(now, idleTimeout, newTimeout time.Duration) *Conn {
-	for _, p := range []phase{idle, idleReused, fresh} {
+	for _, p := range []phase{phaseIdle, phaseIdleReused, phaseNew} {
 		timeout := idleTimeout
-		if p == fresh {
+		if p == phaseNew {
 			timeout = newTimeout
 		}
-		if c := t.first(p); c != nil && now-c.phaseSince >= timeout {
+		if c := t.oldest(p); c != nil && now-c.phaseSince >= timeout {
 			return c
 		}
 	}
 	return nil
 }
 
-// Remove takes a connection out. A second call for it has no effect.
+// Remove removes a connection from the table. A second call for the same connection has no effect.
 func (t *Table) Remove(c *Conn) {
 	switch {
-	case c.phase == removed:
+	case c.phase == phaseRemoved:
 		return
 	case c.overflow:
 		t.overflow--
-	case c.phase != fresh:
+	case c.phase != phaseNew:
 		t.active--
 	}
-	t.phases[c.phase].remove(c)
-	c.phase = removed
+	t.byPhase[c.phase].remove(c)
+	c.phase = phaseRemoved
 }
 
-// first gives the connection that is longest in a phase; nil if there is none.
-func (t *Table) first(p phase) *Conn { return t.phases[p].head }
+// oldest returns the connection that has been in a phase for longest, or nil if there is none.
+func (t *Table) oldest(p phase) *Conn { return t.byPhase[p].head }
 
+// move puts a connection into a phase, as of now.
 func (t *Table) move(now time.Duration, c *Conn, to phase) {
-	t.phases[c.phase].remove(c)
+	t.byPhase[c.phase].remove(c)
 	c.phase, c.phaseSince = to, now
-	t.phases[to].pushBack(c)
+	t.byPhase[to].pushBack(c)
 }
--- a/internal/connlimit/table_test.go
+++ b/internal/connlimit/table_test.go
@@ -4,44 +4,44 @@
 	"testing"
 )
 
-// Clients that send one request each and stay connected leave the reserve free at all times: a client that finds all
-// places taken never gets to the table.
+// Clients that send one request each and stay connected must leave the reserve free at all times, because a client that
+// finds no free place may never reach the table.
 func TestCrowdLeavesTheReserve(t *testing.T) {
 	s := newServer(t, Limits{Active: 16, Reserve: 3, New: 4, Overflow: 1})
 	for range 500 {
 		s.request(s.connect())
 		s.check()
 		if s.table.active > 13 {
-			t.Fatalf("%d stay of 16 with 3 in the reserve", s.table.active)
+			t.Fatalf("%d connections are active; want at most 13, which is 16 without the reserve of 3", s.table.active)
 		}
 	}
 	if len(s.closed) != 500-13 {
-		t.Errorf("%d closed of 500", len(s.closed))
+		t.Errorf("%d of 500 connections were closed, want 487", len(s.closed))
 	}
 }
 
-// Clients that reuse their connections retain them among many clients that don't.
+// Clients that reuse their connections keep them while many other clients send one request per connection.
 func TestRegularsStay(t *testing.T) {
 	s := newServer(t, Limits{Active: 16, Reserve: 2, New: 4, Overflow: 1})
-	var regulars []*Conn
+	var reusedConns []*Conn
 	for range 6 {
 		c := s.connect()
 		s.request(c)
 		s.request(c)
-		regulars = append(regulars, c)
+		reusedConns = append(reusedConns, c)
 	}
 	for i := range 1000 {
 		s.request(s.connect())
-		s.request(regulars[i%len(regulars)])
+		s.request(reusedConns[i%len(reusedConns)])
 	}
-	for i, c := range regulars {
+	for i, c := range reusedConns {
 		if c.Removed() {
-			t.Errorf("regular %d was closed", i)
+			t.Errorf("reused connection %d was closed", i)
 		}
 	}
 }
 
-// A client that sends no further request loses its place eventually.
+// A client that reused its connection but sends no further request loses the connection eventually.
 func TestFormerRegularsGo(t *testing.T) {
 	s := newServer(t, Limits{Active: 16, Reserve: 2, New: 4, Overflow: 1})
 	var former []*Conn
@@ -56,12 +56,12 @@
 	}
 	for i, c := range former {
 		if !c.Removed() {
-			t.Errorf("former regular %d still has its place", i)
+			t.Errorf("formerly reused connection %d was not closed", i)
 		}
 	}
 }
 
-// New connections replace one another and take no place of an active one.
+// New connections displace one another and no active connection.
 func TestFloodOfNewConnections(t *testing.T) {
 	s := newServer(t, Limits{Active: 8, Reserve: 1, New: 4, Overflow: 1})
 	var idle []*Conn
@@ -77,16 +77,16 @@
 	}
 	for i, c := range idle {
 		if c.Removed() {
-			t.Errorf("idle connection %d was closed for a new one", i)
+			t.Errorf("idle connection %d was closed for a new connection", i)
 		}
 	}
 	if took, want := s.now-began, 99*NewGrace; took < want-NewGrace || took > want+NewGrace {
-		t.Errorf("400 at 4 places took %v, want about %v", took, want)
+		t.Errorf("400 new connections with a limit of 4 took %v, want about %v", took, want)
 	}
 }
 
-// With all connections busy, further ones are overflow; beyond that limit they are closed; and responses make room by
-// closing their connections.
+// If all active connections are busy, further connections become overflow connections. Connections beyond the overflow
+// limit are closed, and responses free the reserve by closing their connections.
 func TestAllBusy(t *testing.T) {
 	s := newServer(t, Limits{Active: 8, Reserve: 2, New: 4, Overflow: 2})
 	var busyConns []*Conn
@@ -96,57 +96,59 @@
 		s.table.RequestComplete(s.now, c)
 		busyConns = append(busyConns, c)
 		if got, want := s.table.Saturated(), i >= 6; got != want {
-			t.Errorf("with %d busy saturated is %v", i+1, got)
+			t.Errorf("with %d busy connections Saturated returned %v, want the opposite", i+1, got)
 		}
 	}
 	for i := range 3 {
 		c := s.connect()
 		s.receive(c)
 		if overflow, closed := c.Overflow(), c.Removed(); !overflow || closed != (i == 2) {
-			t.Errorf("further connection %d: overflow %v, closed %v", i, overflow, closed)
+			t.Errorf("further connection %d: got overflow %v, closed %v; want overflow and only the last one closed",
+				i, overflow, closed)
 		}
 		s.check()
 	}
 	s.respond(busyConns[0])
 	if !busyConns[0].Removed() {
-		t.Error("an idle one stays although the reserve is in use")
+		t.Error("an idle connection is kept although the reserve is in use")
 	}
 	if s.table.active != 7 {
-		t.Errorf("%d have a place, want 7", s.table.active)
+		t.Errorf("got %d active connections, want 7", s.table.active)
 	}
-	s.table.RequestComplete(s.now, s.closed[0]) // after its removal
+	s.table.RequestComplete(s.now, s.closed[0]) // no effect after the connection's removal
 	s.table.ResponseSent(s.now, s.closed[0])
 	s.table.Remove(s.closed[0])
 	s.check()
 }
 
-// Connections with a partial request are closed after their grace: before reused idle ones, and where Limits.Active is
-// reached.
+// Connections with a partial request are closed after their grace, before reused idle connections are closed, or if
+// Limits.Active is exceeded.
 func TestPartialsGo(t *testing.T) {
 	s := newServer(t, Limits{Active: 8, Reserve: 1, New: 4, Overflow: 1})
-	regular := s.connect()
-	s.request(regular)
-	s.request(regular)
+	reused := s.connect()
+	s.request(reused)
+	s.request(reused)
 	for range 6 {
 		s.receive(s.connect())
 	}
 	s.now += PartialGrace
 	s.receive(s.connect())
-	if regular.Removed() || len(s.closed) != 1 {
-		t.Errorf("regular closed: %v; %d closed in all", regular.Removed(), len(s.closed))
+	if reused.Removed() || len(s.closed) != 1 {
+		t.Errorf("reused connection closed: %v, %d connections closed in all; want false and 1",
+			reused.Removed(), len(s.closed))
 	}
 	for range 40 {
 		c := s.connect()
 		s.receive(c)
 		if c.Removed() {
-			t.Error("a new client is closed while others are past their grace")
+			t.Error("the connection of a new client was closed while the grace of others had passed")
 		}
 		s.now += PartialGrace / 4
 		s.check()
 	}
 }
 
-// A request that was pipelined counts as received once the response is sent.
+// A connection with a pipelined request is partial, not idle, once the response to the earlier request is sent.
 func TestPipelined(t *testing.T) {
 	s := newServer(t, Limits{Active: 4, Reserve: 1, New: 2, Overflow: 1})
 	c := s.connect()
@@ -154,12 +156,12 @@
 	s.table.RequestComplete(s.now, c)
 	s.receive(c)
 	s.respond(c)
-	if c.phase != partial {
-		t.Errorf("phase %d", c.phase)
+	if c.phase != phasePartial {
+		t.Errorf("after the first response, got phase %d, want phasePartial", c.phase)
 	}
 	s.table.RequestComplete(s.now, c)
 	s.respond(c)
-	if c.phase != idleReused {
-		t.Errorf("phase %d", c.phase)
+	if c.phase != phaseIdleReused {
+		t.Errorf("after the second response, got phase %d, want phaseIdleReused", c.phase)
 	}
 }
