--- a/internal/gracefulclose/backlog.go
+++ b/internal/gracefulclose/backlog.go
@@ -5,31 +5,31 @@
 const (
 	// PollInterval is the time between two polls of a BacklogWatch.
 	PollInterval = 10 * time.Millisecond
-	// maxPollInterval is the interval from which on the process counts as stalled: the goroutine that accepts
-	// connections may have waited for as long.
+	// maxPollInterval is the longest interval between two polls that does not count as a stall of the process. After a
+	// longer interval, the goroutine that accepts connections may have been stalled for as long.
 	maxPollInterval = 3 * PollInterval
-	// requiredPolls is the number of consecutive polls without a stall after which the backlog was accepted.
+	// requiredPolls is the number of consecutive polls without a stall after which the backlog counts as accepted.
 	requiredPolls = 3
-	// maxWait bounds the wait of a process that is stalled over and over.
+	// maxWait is the upper limit of WaitForBacklog's wait, for a process that stalls repeatedly.
 	maxWait = 500 * time.Millisecond
 )
 
-// BacklogWatch estimates when a listener whose connections are accepted without a pause has had the time to
-// accept its backlog. The kernel does not report how long a backlog is, so that the estimate is consecutive polls
-// without a stall of the process. The zero value is ready to use.
-type BacklogWatch struct{ onTime int }
+// BacklogWatch estimates when a listener whose connections are accepted without a pause has had the time to accept its
+// backlog. Since the kernel does not report the length of a backlog, the backlog counts as accepted after a number of
+// consecutive polls without a stall of the process. The zero value is ready to use.
+type BacklogWatch struct{ onTimePolls int }
 
-// Poll records a poll that came an interval after the previous one, and reports whether the backlog was accepted.
+// Poll records a poll that came an interval after the previous poll, and reports whether the backlog counts as accepted.
 func (w *BacklogWatch) Poll(interval time.Duration) (accepted bool) {
 	if interval > maxPollInterval {
-		w.onTime = 0
+		w.onTimePolls = 0
 	} else {
-		w.onTime++
+		w.onTimePolls++
 	}
-	return w.onTime >= requiredPolls
+	return w.onTimePolls >= requiredPolls
 }
 
-// WaitForBacklog returns when the backlog was accepted, or after half a second.
+// WaitForBacklog returns when the backlog counts as accepted, but after about half a second at the latest.
 func WaitForBacklog() {
 	var w BacklogWatch
 	for began, before := time.Now(), time.Now(); time.Since(began) < maxWait; {
--- a/internal/gracefulclose/backlog_test.go
+++ b/internal/gracefulclose/backlog_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// A poll after a long interval says that the goroutine that accepts may have waited as long.
+// A poll after too long an interval restarts the count of polls on time, because the goroutine that accepts connections
+// may have been stalled for as long.
 func TestBacklogWatch(t *testing.T) {
 	const onTime, stalled = PollInterval, maxPollInterval + 1
 	for name, c := range map[string]struct {
 		intervals []time.Duration
-		accepted  int // after so many polls; 0: not yet
+		accepted  int // the number of polls after which the backlog counts as accepted; 0 if it does not
 	}{
 		"in time":               {[]time.Duration{onTime, onTime, onTime}, 3},
 		"late once":             {[]time.Duration{onTime, stalled, onTime, onTime, onTime}, 5},
@@ -26,7 +27,7 @@
 			}
 		}
 		if accepted != c.accepted {
-			t.Errorf("%s: accepted after %d polls, want %d", name, accepted, c.accepted)
+			t.Errorf("%s: backlog accepted after %d polls, want %d", name, accepted, c.accepted)
 		}
 	}
 }
--- a/internal/gracefulclose/listener.go
+++ b/internal/gracefulclose/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// WrapListener gives a listener whose first Close waits until the backlog was accepted.
+// WrapListener returns a listener that is l except that its first Close calls WaitForBacklog before it closes l.
 func WrapListener(l net.Listener) net.Listener { return &listener{Listener: l} }
 
 type listener struct {
@@ -13,7 +13,7 @@
 	wait sync.Once
 }
 
-// Close implements net.Listener.
+// Close implements net.Listener. Only the first call waits for the backlog.
 func (l *listener) Close() error {
 	l.wait.Do(WaitForBacklog)
 	return l.Listener.Close()
--- a/internal/gracefulclose/listener_test.go
+++ b/internal/gracefulclose/listener_test.go
@@ -12,63 +12,64 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// queue is a socket with one connection in its backlog that the program accepts late.
-type queue struct {
+// backlogListener is a listener with one connection in its backlog, which Accept returns after acceptDelay.
+type backlogListener struct {
 	net.Listener
-	late   time.Duration
-	gone   chan struct{}
-	closed time.Time
+	acceptDelay time.Duration
+	done        chan struct{}
+	closed      time.Time
 }
 
-func (q *queue) Accept() (net.Conn, error) {
+func (q *backlogListener) Accept() (net.Conn, error) {
 	select {
-	case <-time.After(q.late):
+	case <-time.After(q.acceptDelay):
 		c, _ := net.Pipe()
 		return c, nil
-	case <-q.gone:
+	case <-q.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (q *queue) Close() error {
+func (q *backlogListener) Close() error {
 	q.closed = time.Now()
-	close(q.gone)
+	close(q.done)
 	return nil
 }
 
-// The backlog of a socket that is being closed is accepted, also where that takes the program two polls.
+// The first Close closes a socket only after the backlog was accepted, even if that takes longer than two polls. A second
+// Close does not wait.
 func TestCloseAcceptsTheBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := &queue{late: 2*PollInterval + PollInterval/2, gone: make(chan struct{})}
+		q := &backlogListener{acceptDelay: 2*PollInterval + PollInterval/2, done: make(chan struct{})}
 		l := WrapListener(q)
-		began, taken := time.Now(), make(chan error, 1)
+		began, acceptErr := time.Now(), make(chan error, 1)
 		go func() {
 			nc, err := l.Accept()
 			if err == nil {
 				nc.Close()
 			}
-			taken <- err
+			acceptErr <- err
 		}()
 		l.Close()
-		if err := <-taken; err != nil {
-			t.Errorf("it was not accepted: %v", err)
+		if err := <-acceptErr; err != nil {
+			t.Errorf("the connection in the backlog was not accepted: %v", err)
 		}
 		if took := q.closed.Sub(began); took != requiredPolls*PollInterval {
-			t.Errorf("closed after %v", took)
+			t.Errorf("the socket was closed after %v, want requiredPolls times PollInterval", took)
 		}
-		again := &queue{gone: make(chan struct{})}
+		again := &backlogListener{done: make(chan struct{})}
 		l.(*listener).Listener = again
 		if at := time.Now(); l.Close() != nil || again.closed != at {
-			t.Error("closing it again has to wait")
+			t.Error("a second Close failed or waited for the backlog, want an immediate close without an error")
 		}
 	})
 }
 
-// A socket that can't be closed says so.
+// Close returns the error of closing the socket.
 func TestCloseFails(t *testing.T) {
 	l := testutil.Listen(t)
 	l.Close()
 	if err := WrapListener(l).Close(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("error %v", err)
+		t.Errorf("got the error %v, want net.ErrClosed", err)
 	}
 }
