--- a/internal/keepalive/sizing_test.go
+++ b/internal/keepalive/sizing_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// All nodes together hold no more idle connections to an endpoint than it accepts, or one each; a node alone
-// holds what is useful.
+// All nodes together hold no more idle connections to an endpoint than MaxIdlePerEndpoint, or one each if there are more
+// nodes than that. A node alone holds at most MaxIdlePerNode.
 func TestMaxIdleIsAShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := Fleet{Nodes: rapid.IntRange(1, 1000).Draw(t, "nodes"), Endpoints: rapid.IntRange(1, 300).Draw(t, "endpoints")}
@@ -16,7 +16,7 @@
 		nodesEach := float64(f.Nodes) * float64(f.UsedEndpoints) / float64(f.Endpoints)
 		idle := MaxIdle(f)
 		if idle < 1 || idle > MaxIdlePerNode || float64(idle)*nodesEach > max(MaxIdlePerEndpoint, nodesEach) {
-			t.Fatalf("%+v: %d, by %.1f nodes each", f, idle, nodesEach)
+			t.Fatalf("MaxIdle(%+v): got %d with %.1f nodes per endpoint, which exceeds the bounds", f, idle, nodesEach)
 		}
 	})
 	for _, c := range []struct {
@@ -30,28 +30,29 @@
 		{Fleet{}, 32},
 	} {
 		if got := MaxIdle(c.f); got != c.want {
-			t.Errorf("%+v: %d, want %d", c.f, got, c.want)
+			t.Errorf("MaxIdle(%+v): got %d, want %d", c.f, got, c.want)
 		}
 	}
 }
 
+// IdleTimeout is the time at which keeping a connection and opening a new one cost the same, within its bounds.
 func TestIdleTimeoutHeedsPrices(t *testing.T) {
 	f := Fleet{Nodes: 80, Endpoints: 60, UsedEndpoints: 9, RequestsPerSecond: 400}
 	for _, c := range []struct {
 		p    Prices
 		want time.Duration
 	}{
-		{Prices{}, 9 * time.Second},                                     // nothing has a price
-		{Prices{Handshake: 0.02}, 9 * time.Second},                      // only opening has
-		{Prices{Connection: 0.05}, time.Second},                         // only holding has
+		{Prices{}, 9 * time.Second},                                     // no prices
+		{Prices{Handshake: 0.02}, 9 * time.Second},                      // only a price of new connections
+		{Prices{Connection: 0.05}, time.Second},                         // only a price of open connections
 		{Prices{Handshake: 0.02, Connection: 0.06}, 5 * time.Second},    // 100 x 0.02 x 60 / (0.06 x 400)
-		{Prices{Handshake: 1, Connection: 0.06}, 9 * time.Second},       // opening is dear
-		{Prices{Handshake: 0.0001, Connection: 0.06}, time.Second},      // and cheap
-		{Prices{Handshake: 1e300, Connection: 1e-300}, 9 * time.Second}, // absurd ones do no harm
-		{Prices{Handshake: 0.02, Connection: -1}, 9 * time.Second},      // nor ones that make no sense
+		{Prices{Handshake: 1, Connection: 0.06}, 9 * time.Second},       // expensive handshakes
+		{Prices{Handshake: 0.0001, Connection: 0.06}, time.Second},      // cheap handshakes
+		{Prices{Handshake: 1e300, Connection: 1e-300}, 9 * time.Second}, // extreme prices
+		{Prices{Handshake: 0.02, Connection: -1}, 9 * time.Second},      // a negative price
 	} {
 		if got := IdleTimeout(f, c.p, 9*time.Second); got != c.want {
-			t.Errorf("%+v: %v, want %v", c.p, got, c.want)
+			t.Errorf("IdleTimeout with %+v: got %v, want %v", c.p, got, c.want)
 		}
 	}
 }
