--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -29,10 +29,10 @@
 var ErrTooFew = errors.New("too few descriptors for client connections")
 
 // Split divides total, the number of connections that a server may hold in all, into the limits of new, active and
-// overflow connections. maxActive is the upper limit of active connections. An eleventh of total is for overflow
-// connections, and the limit of active connections is reduced where fewer than a sixth of total would be left for new
-// connections. New connections get all that the others leave. The reserve is a sixteenth of the active connections. The
-// error is ErrTooFew if total is below 8 or maxActive is below 4.
+// overflow connections. maxActive is the upper limit of active connections. An eleventh of total, and at least 1, is for
+// overflow connections. Active is reduced below maxActive where fewer than a sixth of total, or fewer than 2, would be
+// left for new connections. New is the rest of total. Reserve is a sixteenth of Active, and at least 1. The error is
+// ErrTooFew if total is below 8 or maxActive is below 4.
 func Split(total, maxActive int) (Limits, error) {
 	if total < minTotal || maxActive < minMaxActive {
 		return Limits{}, fmt.Errorf("%w: got %d connections in total and at most %d active, need at least %d and %d",
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -12,7 +12,8 @@
 // request before the engine fails it.
 const balancerAnswerTimeout = 5 * time.Millisecond
 
-// ErrClientDisconnected is returned for a request whose client disconnected before its final answer.
+// ErrClientDisconnected is returned for a request whose client disconnected before the final answer. No final answer is
+// due then.
 var ErrClientDisconnected = errors.New("engine: client disconnected")
 
 // Request is a request that a downstream server submits to a cluster. A Request is submitted only once, and the caller
