--- a/internal/discovery/instance_test.go
+++ b/internal/discovery/instance_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// now is the wall time of the tests.
+// now is the wall time that the tests pass to ParseResponse.
 var now = time.UnixMilli(1_800_000_000_000)
 
-// validLine is a line with valid fields only.
-const validLine = `{"instanceId":"a","hostPort":"10.0.0.1:80","zone":"z","cell":1,"lifecycle":"Ready","weight":1.5,` +
+// validEntry is an entry of which all fields are valid.
+const validEntry = `{"instanceId":"a","hostPort":"10.0.0.1:80","zone":"z","cell":1,"lifecycle":"Ready","weight":1.5,` +
 	`"startedAtMs":1799999999000}`
 
-// overlong is longer than any field may be.
+// overlong is a string one byte longer than the limit of an ID and a zone.
 var overlong = strings.Repeat("x", MaxIDBytes+1)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -18,8 +18,8 @@
 		list, model := List{}, map[string]policy.EndpointState{}
 		for step := range rapid.IntRange(1, 12).Draw(t, "responses") {
 			full := step == 0 || rapid.Bool().Draw(t, "full")
-			lines, drawn := drawLines(t)
-			body, _ := json.Marshal(map[string]any{"generation": step, "reset": full, "instances": rawLines(lines)})
+			lines, drawn := drawEntries(t)
+			body, _ := json.Marshal(map[string]any{"generation": step, "reset": full, "instances": rawEntries(lines)})
 			response, err := ParseResponse(body, false, now)
 			if err != nil {
 				t.Fatal(err)
@@ -38,15 +38,15 @@
 	})
 }
 
-// drawnLine is what a drawn line says, and whether its other fields are valid.
-type drawnLine struct {
+// drawnEntry is what a drawn line says, and whether its other fields are valid.
+type drawnEntry struct {
 	state policy.EndpointState
 	valid bool
 }
 
-// drawLines draws the lines of a response.
-func drawLines(t *rapid.T) (lines []string, drawn map[string]drawnLine) {
-	drawn = map[string]drawnLine{}
+// drawEntries draws the lines of a response.
+func drawEntries(t *rapid.T) (lines []string, drawn map[string]drawnEntry) {
+	drawn = map[string]drawnEntry{}
 	for _, n := range rapid.SliceOfDistinct(rapid.IntRange(0, 9), rapid.ID).Draw(t, "ids") {
 		id := fmt.Sprint("s", n)
 		states := []policy.EndpointState{policy.Ready, policy.Draining, policy.Removed}
@@ -59,13 +59,13 @@
 		lifecycle := [...]string{policy.Ready: "Ready", policy.Draining: "Terminating", policy.Removed: "Gone"}[state]
 		lines = append(lines, fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.0.0.1:80","lifecycle":%q,"weight":%d}`,
 			id, lifecycle, weight))
-		drawn[id] = drawnLine{state, valid}
+		drawn[id] = drawnEntry{state, valid}
 	}
 	return lines, drawn
 }
 
 // updateModel applies drawn lines to the model: the states of the instances on the list, by ID.
-func updateModel(model map[string]policy.EndpointState, drawn map[string]drawnLine, full bool) {
+func updateModel(model map[string]policy.EndpointState, drawn map[string]drawnEntry, full bool) {
 	if full {
 		for id := range model {
 			if _, named := drawn[id]; !named {
