--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -13,11 +13,11 @@
 			want /= 2
 		}
 		if got := backoff.Next(float64(i % 2)); got != want {
-			t.Errorf("failure %d: %v, want %v", i+1, got, want)
+			t.Errorf("delay after failure %d: got %v, want %v", i+1, got, want)
 		}
 	}
 	backoff.Reset()
 	if got := backoff.Next(1); got != backoff.Initial {
-		t.Errorf("after a success: %v", got)
+		t.Errorf("delay after a success and a failure: got %v, want Initial", got)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,5 @@
-// The endpoint list across responses: deltas, full lists, and what stands in for instances whose lines are unusable.
+// The endpoint list across responses: how full lists and deltas change it, and which instances are retained because
+// their entries in a full list are unusable.
 
 package discovery
 
@@ -9,18 +10,19 @@
 	"yokestall/policy"
 )
 
-// MaxRemovedIDs limits the IDs that a List remembers after they left it.
+// MaxRemovedIDs is the maximum number of removed IDs that a List remembers.
 const MaxRemovedIDs = 512
 
-// List is the endpoint list as the responses so far leave it: each instance as it was last usable. MaxInstances and
-// MaxRemovedIDs bound its size. The zero value is a list before its first response. It is not safe for concurrent use.
+// List is the endpoint list after the responses received so far. It holds each instance as the last usable entry
+// described it. MaxInstances and MaxRemovedIDs bound its size. The zero value is a list before its first response. A
+// List is not safe for concurrent use.
 type List struct {
 	byID       map[string]Instance // the instances on the list; nil before the first response
-	removedIDs []string            // distinct IDs that left the list, oldest first; some may be listed again
+	removedIDs []string            // distinct IDs, earliest removal first; some may be on the list again
 }
 
-// Apply takes a response into the list and returns the instances to pass on: all if the response is full,
-// with those that it retains as they were last known, and the changed ones if it is a delta.
+// Apply updates the list by a response and returns the instances of which the caller has to be informed: for a full
+// response all instances, including the retained ones as they were last known; for a delta only the changed ones.
 func (l *List) Apply(response *Response) []Instance {
 	previous := l.byID
 	replaces := previous == nil || response.Full
@@ -46,7 +48,8 @@
 	return l.withRetained(response)
 }
 
-// store takes one instance into the list. A new instance beyond MaxInstances is dropped.
+// store adds an instance to the list or replaces it there, or removes it if its state is removed. A new instance that
+// would exceed MaxInstances is dropped.
 func (l *List) store(instance Instance) {
 	id := instance.InstanceID
 	if instance.State() == policy.Removed {
@@ -59,23 +62,24 @@
 	}
 }
 
-// withRetained returns the instances of a full response, followed by those that it retains.
+// withRetained returns the instances of a full response, followed by its retained instances as they are on the list.
 func (l *List) withRetained(response *Response) []Instance {
 	instances := response.Instances
-	named := make(map[string]bool, len(instances))
+	included := make(map[string]bool, len(instances))
 	for _, instance := range instances {
-		named[instance.InstanceID] = true
+		included[instance.InstanceID] = true
 	}
 	for _, id := range response.RetainedIDs {
-		if instance, listed := l.byID[id]; listed && !named[id] {
-			named[id] = true
+		if instance, listed := l.byID[id]; listed && !included[id] {
+			included[id] = true
 			instances = append(instances, instance)
 		}
 	}
 	return instances
 }
 
-// rememberRemoved remembers an ID that is no longer on the list, in place of the oldest one where there are too many.
+// rememberRemoved adds an ID to removedIDs, unless it is on the list or remembered already. The oldest removed ID is
+// dropped if there are MaxRemovedIDs already. An ID that is removed again keeps its place.
 func (l *List) rememberRemoved(id string) {
 	if l.RecentlyListed(id) {
 		return
@@ -105,8 +109,8 @@
 	return instance, listed
 }
 
-// RecentlyListed reports whether an ID is on the list, or is among the last MaxRemovedIDs that left it: an instance
-// that is being replaced under its ID is off the list for a while.
+// RecentlyListed reports whether an ID is on the list or among the remembered removed IDs, MaxRemovedIDs at most. Removed
+// IDs are included because an instance that is being replaced under the same ID is off the list for a while.
 func (l *List) RecentlyListed(id string) bool {
 	_, listed := l.byID[id]
 	return listed || slices.Contains(l.removedIDs, id)
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -11,15 +11,15 @@
 	"yokestall/policy"
 )
 
-// Guards against an incomplete response that removes endpoints, and against an invalid line that takes a drain back:
-// the list is compared with a plain model, whatever the responses.
+// Guards against an incomplete response that removes endpoints, and against an invalid entry that reverts an endpoint
+// from draining to ready: after each of several random responses, the list must agree with a simple model.
 func TestListMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list, model := List{}, map[string]policy.EndpointState{}
 		for step := range rapid.IntRange(1, 12).Draw(t, "responses") {
 			full := step == 0 || rapid.Bool().Draw(t, "full")
-			lines, drawn := drawEntries(t)
-			body, _ := json.Marshal(map[string]any{"generation": step, "reset": full, "instances": rawEntries(lines)})
+			entries, drawn := drawEntries(t)
+			body, _ := json.Marshal(map[string]any{"generation": step, "reset": full, "instances": rawEntries(entries)})
 			response, err := ParseResponse(body, false, now)
 			if err != nil {
 				t.Fatal(err)
@@ -28,24 +28,24 @@
 			for _, instance := range list.Apply(response) {
 				id, state := instance.InstanceID, instance.State()
 				if state != policy.Removed && model[id] != state {
-					t.Fatalf("%s is passed on as %v, want %v", id, state, model[id])
+					t.Fatalf("instance %s is passed on in state %v, want %v", id, state, model[id])
 				}
 			}
 			if len(list.byID) != len(model) {
-				t.Fatalf("list %v, want %v", list.byID, model)
+				t.Fatalf("the list has the instances %v, want those of the model %v", list.byID, model)
 			}
 		}
 	})
 }
 
-// drawnEntry is what a drawn line says, and whether its other fields are valid.
+// drawnEntry is a random entry: the state that its lifecycle stands for, and whether its other fields are valid.
 type drawnEntry struct {
 	state policy.EndpointState
 	valid bool
 }
 
-// drawEntries draws the lines of a response.
-func drawEntries(t *rapid.T) (lines []string, drawn map[string]drawnEntry) {
+// drawEntries draws the entries of a response with distinct IDs. It returns their JSON texts, and by ID what they say.
+func drawEntries(t *rapid.T) (entries []string, drawn map[string]drawnEntry) {
 	drawn = map[string]drawnEntry{}
 	for _, n := range rapid.SliceOfDistinct(rapid.IntRange(0, 9), rapid.ID).Draw(t, "ids") {
 		id := fmt.Sprint("s", n)
@@ -57,32 +57,33 @@
 			weight = -1
 		}
 		lifecycle := [...]string{policy.Ready: "Ready", policy.Draining: "Terminating", policy.Removed: "Gone"}[state]
-		lines = append(lines, fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.0.0.1:80","lifecycle":%q,"weight":%d}`,
+		entries = append(entries, fmt.Sprintf(`{"instanceId":%q,"hostPort":"10.0.0.1:80","lifecycle":%q,"weight":%d}`,
 			id, lifecycle, weight))
 		drawn[id] = drawnEntry{state, valid}
 	}
-	return lines, drawn
+	return entries, drawn
 }
 
-// updateModel applies drawn lines to the model: the states of the instances on the list, by ID.
+// updateModel applies drawn entries to the model, which maps the ID of each instance on the list to its state.
 func updateModel(model map[string]policy.EndpointState, drawn map[string]drawnEntry, full bool) {
 	if full {
 		for id := range model {
-			if _, named := drawn[id]; !named {
+			if _, included := drawn[id]; !included {
 				delete(model, id)
 			}
 		}
 	}
-	for id, line := range drawn {
-		if line.state == policy.Removed {
+	for id, entry := range drawn {
+		if entry.state == policy.Removed {
 			delete(model, id)
-		} else if line.valid || line.state == policy.Draining {
-			model[id] = line.state
+		} else if entry.valid || entry.state == policy.Draining {
+			model[id] = entry.state
 		}
 	}
 }
 
-// IDs that have left the list are remembered, the latest MaxRemovedIDs of them.
+// Guards against removed IDs that are forgotten too early or accumulate without a limit: of many IDs removed one after
+// another, the list remembers just the last MaxRemovedIDs.
 func TestListRecentlyListed(t *testing.T) {
 	var list List
 	for i := range 3 * MaxRemovedIDs {
@@ -90,13 +91,13 @@
 		list.Apply(&Response{Full: true, Instances: []Instance{instance}})
 	}
 	if len(list.removedIDs) != MaxRemovedIDs {
-		t.Errorf("%d IDs are remembered", len(list.removedIDs))
+		t.Errorf("the list remembers %d removed IDs, want MaxRemovedIDs", len(list.removedIDs))
 	}
 	for id, want := range map[string]bool{
 		strconv.Itoa(3*MaxRemovedIDs - 1): true, strconv.Itoa(2 * MaxRemovedIDs): true, "0": false, "none": false,
 	} {
 		if got := list.RecentlyListed(id); got != want {
-			t.Errorf("%s: %v, want %v", id, got, want)
+			t.Errorf("RecentlyListed(%q) is %v, want %v", id, got, want)
 		}
 	}
 }
--- a/internal/discovery/polltiming.go
+++ b/internal/discovery/polltiming.go
@@ -1,76 +1,80 @@
-// The timing of polls, for the two kinds of discovery: an agent on the node's machine to which lists are pushed, and a
-// service that all nodes share and poll.
+// The timing of polls for the two kinds of discovery: an agent on the node's machine, to which lists are pushed, and a
+// discovery service that all nodes share and poll.
 
 package discovery
 
 import "time"
 
-// PollTiming is the timing of the polls of one discovery address. A poll begins with a long poll. A long poll that is
-// overdue may have lost its connection without notice, and what it misses counts as known to the node all the same:
-// hedged calls, which ask for an immediate response, are then made beside it.
+// PollTiming is the timing of the polls of one discovery address. A poll begins with a long poll. The connection of an
+// overdue long poll may have failed silently, and the node must act in time even on changes that such a long poll
+// misses. Hedged calls, which ask for an immediate response, are therefore made while a long poll is overdue.
 type PollTiming struct {
 	// LongPollWait is how long a long poll asks the discovery service to wait for a change.
 	LongPollWait time.Duration
-	// OverdueAfter is how long after its wait a long poll is overdue.
+	// OverdueAfter is the time from the end of a long poll's wait until the long poll is overdue.
 	OverdueAfter time.Duration
-	// AbandonAfter is how long after its wait a long poll is abandoned. It exceeds OverdueAfter.
+	// AbandonAfter is the time from the end of a long poll's wait until the call times out. It exceeds OverdueAfter.
 	AbandonAfter time.Duration
-	// HedgeInterval is the interval between hedged calls.
+	// HedgeInterval is the interval between the hedged calls of a poll.
 	HedgeInterval time.Duration
-	// HedgeTimeout is how long a hedged call may take.
+	// HedgeTimeout is the timeout of a hedged call.
 	HedgeTimeout time.Duration
-	// MaxCalls limits the calls in flight of one poll, hedged calls included; at least 2.
+	// MaxCalls is the maximum number of calls in flight of one poll, including the long poll. It is at least 2.
 	MaxCalls int
-	// Backoff spaces the polls after failures.
+	// Backoff gives the delays between failed polls.
 	Backoff Backoff
-	// MaxRetryInterval is the longest time from a failed poll to the next one, whatever else schedules polls.
+	// MaxRetryInterval is the maximum time from a failed poll to the next poll, whatever else schedules polls.
+	// RetryInterval applies jitter to it.
 	MaxRetryInterval time.Duration
-	// InitialListTimeout is how long a process waits for its first response before it uses the list that it
-	// was started with.
+	// InitialListTimeout is how long a process waits for its first response before it uses its initial list.
 	InitialListTimeout time.Duration
-	// ReadyTimeout is how long a process waits for its first response before it reports ready with that list. It
-	// exceeds InitialListTimeout.
+	// ReadyTimeout is how long a process waits for its first response before it reports ready with its initial list.
+	// It exceeds InitialListTimeout.
 	ReadyTimeout time.Duration
 }
 
-// Timing for a shared discovery service. By the protocol a node must act on a change within 6 s of the moment when the
-// service has it and can be reached, and within 2 s after the wait of a long poll.
+// Timing for a shared discovery service. The protocol requires that a node acts on a change within 6 s of the moment from
+// which the service has the change and can be reached, and within 2 s after the end of a long poll's wait.
 const (
-	// polledLongPollWait is long, since each call loads the service. With polledOverdueAfter it leaves a hedged call
-	// 0.3 s of the 6 s, if the long poll failed just after its start, and 0.8 s of the 2 s.
+	// polledLongPollWait is long because each call adds load to the service. If a long poll fails just after its start,
+	// the hedged call is due after polledLongPollWait + polledOverdueAfter, which leaves the call 0.3 s of the 6 s. Of
+	// the 2 s after the long poll's wait, polledOverdueAfter leaves 0.8 s.
 	polledLongPollWait = 4500 * time.Millisecond
 	polledOverdueAfter = 1200 * time.Millisecond
-	// polledCallTimeout exceeds the 2 s for which the service queues calls.
+	// polledCallTimeout exceeds the 2 s for which a call may be queued at the service.
 	polledCallTimeout = 2500 * time.Millisecond
-	// polledMaxRetryInterval leaves, of the 6 s, polledCallTimeout for an unresponsive call before it and 2 s for
-	// the next call's time in the service's queue.
+	// polledMaxRetryInterval is what remains of the 6 s after polledCallTimeout, for an unresponsive call before the
+	// interval, and the 2 s for which the next call may be queued at the service.
 	polledMaxRetryInterval = 1500 * time.Millisecond
 	polledInitialBackoff   = 250 * time.Millisecond
 	polledMaxBackoff       = time.Second
-	// polledMaxCalls allows one hedged call, since each call loads the service.
+	// polledMaxCalls allows one hedged call beside the long poll, because each call adds load to the service.
 	polledMaxCalls = 2
 )
 
-// Timing for an agent on the node's machine, which responds at once: a slow response is due to this machine.
+// Timing for an agent on the node's machine. The agent responds at once, so a slow response means that the machine is
+// busy.
 const (
-	// agentIntervalDivisor gives the interval of the timing as a part of the drain grace.
+	// agentIntervalDivisor divides the drain grace into the interval on which the timing is based.
 	agentIntervalDivisor = 4
 	minAgentInterval     = 10 * time.Millisecond
 	maxAgentInterval     = 250 * time.Millisecond
 	minAgentHedgeTimeout = 100 * time.Millisecond
 	agentAbandonAfter    = 2 * time.Second
 	agentInitialBackoff  = 5 * time.Millisecond
-	// agentMaxCalls fits into the descriptors that a node reserves for itself.
+	// agentMaxCalls is limited by the number of descriptors that a node reserves for its own use.
 	agentMaxCalls = 8
-	// agentReadyTimeout is short, so that nodes that restart while the discovery service is down soon return.
+	// agentReadyTimeout is short, so that a node that restarts while the discovery service is down soon becomes ready.
 	agentReadyTimeout = time.Second
 )
 
-// PushedTiming returns the timing for an agent on the node's own machine, to which lists are pushed and whose calls
+// PushedTiming returns the timing for an agent on the node's own machine, to which lists are pushed. Calls to the agent
 // cost nothing. A change counts as known to the node once the agent has it, whether or not a call is in flight, so that
-// a call that failed silently must be found within the drain grace. That takes three intervals, the wait of a long poll
-// and the time after which it is overdue, so three quarters of the grace. The rest is left to requests that are already
-// on their way: a fifth to sends that were decided before the notice (package node), a twentieth as a margin.
+// a long poll that failed silently must be detected within the drain grace. The detection takes three intervals: two for
+// the wait of the long poll and one until the long poll is overdue. Unless minAgentInterval applies, these are at most
+// three quarters of the drain grace. The rest is left for requests that are already on their way to an endpoint: a fifth
+// for requests whose endpoint was selected before the node learned of the drain (drainSendGraceDivisor in package node),
+// and a twentieth as a margin.
 func PushedTiming(drainGrace time.Duration) PollTiming {
 	interval := min(max(drainGrace/agentIntervalDivisor, minAgentInterval), maxAgentInterval)
 	return PollTiming{
@@ -87,8 +91,8 @@
 	}
 }
 
-// PolledTiming returns the timing for a discovery service that all nodes share and that each call loads. It has no
-// InitialListTimeout and no ReadyTimeout: the process uses the list that it was started with at once.
+// PolledTiming returns the timing for a discovery service that all nodes share, where each call adds load to the service.
+// InitialListTimeout and ReadyTimeout are 0 and not used, since the process uses its initial list at once.
 func PolledTiming() PollTiming {
 	return PollTiming{
 		LongPollWait:     polledLongPollWait,
@@ -102,8 +106,9 @@
 	}
 }
 
-// RetryInterval returns the longest time from a failed poll to the next one: between half of MaxRetryInterval and all
-// of it, since nodes that failed together must not return in step. draw is a random number from 0 to 1.
+// RetryInterval returns the maximum time from a failed poll to the next poll, with jitter: between half of
+// MaxRetryInterval and all of it, so that nodes whose polls failed together do not retry together. draw is a random
+// number from 0 to 1.
 func (t PollTiming) RetryInterval(draw float64) time.Duration {
 	return jitter(t.MaxRetryInterval, draw)
 }
