--- a/cmd/yokestall-node/child_test.go
+++ b/cmd/yokestall-node/child_test.go
@@ -11,21 +11,23 @@
 
 func TestMain(m *testing.M) { testutil.MainOr(m, main) }
 
-// memoryMB is the limit of the nodes here.
-const memoryMB = 64
+// memoryLimitMB is the memory limit of the nodes that the tests start, in MB.
+const memoryLimitMB = 64
 
-// rig is a platform that runs real processes of this program.
+// rig is a fake platform that runs real processes of this program.
 type rig struct {
 	*platform.Platform
 	t *testing.T
 }
 
-func newRig(t *testing.T, passed bool, boxes int, lines ...discovery.Instance) *rig {
+// newRig starts a platform with a number of boxes and with other instances on its endpoint list. With passSocket the
+// platform holds the listening socket and passes it to each process; otherwise each process listens by itself.
+func newRig(t *testing.T, passSocket bool, boxes int, instances ...discovery.Instance) *rig {
 	t.Helper()
 	command, env := testutil.SelfCommand()
 	p, err := platform.New(platform.Options{
-		Command: command, Env: env, PassSocket: passed, MemoryMB: memoryMB, Sockets: 1024,
-		Servers: lines, AppServers: boxes, ResponseDelay: 2 * time.Millisecond,
+		Command: command, Env: env, PassSocket: passSocket, MemoryMB: memoryLimitMB, Sockets: 1024,
+		Servers: instances, AppServers: boxes, ResponseDelay: 2 * time.Millisecond,
 		Settings: `{"Classes": [
 			{"Name": "read", "Effect": "pure", "DeadlineMs": 10000, "PromiseMs": 5000, "Importance": 1},
 			{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 10000, "PromiseMs": 5000}],
@@ -38,8 +40,8 @@
 	return &rig{p, t}
 }
 
-// node starts a process and waits until it serves.
-func (r *rig) node() *platform.Node {
+// startNode starts a process of the node, in addition to those that run, and waits until it serves.
+func (r *rig) startNode() *platform.Node {
 	r.t.Helper()
 	n, err := r.Start()
 	if err != nil {
@@ -48,7 +50,8 @@
 	return n
 }
 
-func (r *rig) stop(n *platform.Node) {
+// stopNode stops a process and expects that it ends without an error.
+func (r *rig) stopNode(n *platform.Node) {
 	r.t.Helper()
 	if err := n.Stop(); err != nil {
 		r.t.Error(err)
--- a/cmd/yokestall-node/former_test.go
+++ b/cmd/yokestall-node/former_test.go
@@ -12,27 +12,30 @@
 	"yokestall/internal/testutil"
 )
 
-// program is how a version of the node is started.
+// program is the command line and the additional environment that start a version of the node.
 type program struct{ command, env []string }
 
-func (r *rig) use(p program) { r.UseCommand(p.command, p.env) }
+// useProgram makes the rig start later processes with the given program.
+func (r *rig) useProgram(p program) { r.UseCommand(p.command, p.env) }
 
-// The boxes of the upgrades between versions, by what befalls them.
+// Indexes of the boxes in the tests of upgrades between versions, named for what happens to each box.
 const (
-	detachedBefore = iota // operators take it out in the predecessor, and return it in the successor
-	failing               // it answers each request with an error, so that its breaker opens
-	detachedAfter         // operators take it out in the successor
+	detachedBefore = iota // detached by a command to the predecessor, attached again by one to the successor
+	failing               // answers each request with an error, so that the breaker opens
+	detachedAfter         // detached by a command to the successor
 	healthy
 	alsoHealthy
-	upgradeBoxes
+	numBoxes
 )
 
-// breakerRun is how many consecutive failures open a breaker; a process that has no snapshot has to see as many.
-const breakerRun = 5
+// failuresToOpen is the number of consecutive failures that open a breaker. A process that starts without a snapshot has
+// to observe that many failures before it avoids the endpoint.
+const failuresToOpen = 5
 
-// A process of the former version of the program is the predecessor and the successor of one of the present
-// version, over the real folder and the passed socket, with requests in flight: none is lost and none is sent
-// twice, the successor knows the endpoints' state, and operators' calls to the one are in force in the other.
+// Guards against a hot restart between versions that fails because their formats differ. A process of the former version
+// and one of the present version are predecessor and successor, in both directions, with the real shared folder, the
+// passed socket and requests in flight. No request may be lost or run twice, the successor must know the state of the
+// endpoints, and an operator's command to one process must take effect in the other.
 func TestUpgradeBetweenVersions(t *testing.T) {
 	command, env := testutil.SelfCommand()
 	present := program{command, env}
@@ -41,10 +44,10 @@
 	t.Run("from the present to the former", func(t *testing.T) { upgradeBetween(t, present, former) })
 }
 
-// newUpgradeRig makes a rig whose boxes take so long for a request that each client has one in flight at any time.
+// newUpgradeRig returns a rig whose boxes respond so slowly that each client has a request in flight at almost any time.
 func newUpgradeRig(t *testing.T) *rig {
 	t.Helper()
-	r := newRig(t, true, upgradeBoxes)
+	r := newRig(t, true, numBoxes)
 	for _, b := range r.AppServers {
 		b.SetDelay(10 * time.Millisecond)
 	}
@@ -52,103 +55,110 @@
 	return r
 }
 
+// upgradeBetween upgrades a node under load from one program to another and checks what TestUpgradeBetweenVersions
+// requires.
 func upgradeBetween(t *testing.T, from, to program) {
 	r := newUpgradeRig(t)
-	r.use(from)
-	predecessor := r.node()
-	expect(t, predecessor.Call("DETACH box-0"), "+OK") // nothing has been sent to it yet
-	l := platform.Drive(t.Context(), r.Addr, 16, 0)
-	defer l.Stop()
-	r.untilAvoided(l, failing)
-	failures := r.Received(failing)
-
-	r.use(to)
-	successor := r.node()
-	expect(t, successor.Call("PING"), "out of service: box-0")
-	expect(t, successor.Call("DETACH box-2"), "+OK")
-	expect(t, predecessor.Call("PING"), "out of service: box-0 box-2")
-	r.stop(predecessor) // with requests in flight: the clients send the next one at once, and a box takes its time
+	r.useProgram(from)
+	predecessor := r.startNode()
+	expectAnswer(t, predecessor.Call("DETACH box-0"), "+OK") // before the box gets any request
+	clients := platform.Drive(t.Context(), r.Addr, 16, 0)
+	defer clients.Stop()
+	r.untilAvoided(clients, failing)
+	failuresBefore := r.Received(failing)
+
+	r.useProgram(to)
+	successor := r.startNode()
+	expectAnswer(t, successor.Call("PING"), "out of service: box-0")
+	expectAnswer(t, successor.Call("DETACH box-2"), "+OK")
+	expectAnswer(t, predecessor.Call("PING"), "out of service: box-0 box-2")
+	r.stopNode(predecessor) // with requests in flight, since the clients send without pauses to slow boxes
 	beforeDetach := r.Received(detachedAfter)
-	r.untilServed(l, 300) // by the successor alone
-	if n := r.Received(failing) - failures; n >= breakerRun {
-		t.Errorf("%d requests came to the failing box over the upgrade: the successor does not know its state", n)
+	r.untilServed(clients, 300) // only the successor still runs
+	if n := r.Received(failing) - failuresBefore; n >= failuresToOpen {
+		t.Errorf("%d requests reached the failing box during the upgrade, want fewer than open a breaker: its state was not restored",
+			n)
 	}
 	if before, after := r.Received(detachedBefore), r.Received(detachedAfter)-beforeDetach; before > 0 || after > 0 {
-		t.Errorf("%d and %d requests came to the boxes that operators took out", before, after)
+		t.Errorf("%d and %d requests reached the two detached boxes, want none", before, after)
 	}
-	expect(t, successor.Call("ATTACH box-0"), "+OK")
-	testutil.Until(t, "requests to the box that operators returned", func() bool { return r.Received(detachedBefore) > 0 })
+	expectAnswer(t, successor.Call("ATTACH box-0"), "+OK")
+	testutil.Until(t, "requests to the box that was attached again", func() bool { return r.Received(detachedBefore) > 0 })
 	expectSnapshot(t, successor.Log())
 
-	lost := l.Stop()
-	t.Logf("%d served, %d refused, %d failed, %d lost, %d sent again, %d run twice",
-		l.Served.Load(), l.Rejected.Load(), l.Failed.Load(), len(lost), l.Resent.Load(), r.Duplicates())
+	lost := clients.Stop()
+	t.Logf("requests: %d served, %d rejected, %d failed, %d lost, %d sent again by clients, %d run twice",
+		clients.Served.Load(), clients.Rejected.Load(), clients.Failed.Load(), len(lost), clients.Resent.Load(), r.Duplicates())
 	if len(lost) > 0 || r.Duplicates() > 0 {
-		t.Errorf("requests were lost or ran twice: %v", lost[:min(len(lost), 5)])
+		t.Errorf("requests were lost or run twice, want none; the first lost requests: %v", lost[:min(len(lost), 5)])
 	}
-	if failed, answers := l.Failed.Load(), int64(r.Received(failing)); failed > answers {
-		t.Errorf("%d requests failed, %d by the failing box", failed, answers)
+	if failed, answers := clients.Failed.Load(), int64(r.Received(failing)); failed > answers {
+		t.Errorf("%d requests failed, want at most the %d that reached the failing box", failed, answers)
 	}
-	if l.Resent.Load() > 2 {
-		t.Errorf("%d requests ended at the door, two an upgrade are the most", l.Resent.Load())
+	if clients.Resent.Load() > 2 {
+		t.Errorf("%d requests had to be sent again by their clients, want at most two for the upgrade", clients.Resent.Load())
 	}
 }
 
-// A successor that finds no predecessor sends the failing box as many requests as open a breaker: without a
-// snapshot the check of TestUpgradeBetweenVersions would fail.
+// Shows that TestUpgradeBetweenVersions detects a missing snapshot: a process that starts without one has to send the
+// failing box as many requests as open a breaker, which that test's check does not allow.
 func TestNoSnapshotShows(t *testing.T) {
 	r := newUpgradeRig(t)
-	predecessor := r.node()
-	l := platform.Drive(t.Context(), r.Addr, 16, 0)
-	defer l.Stop()
-	r.untilAvoided(l, failing)
+	predecessor := r.startNode()
+	clients := platform.Drive(t.Context(), r.Addr, 16, 0)
+	defer clients.Stop()
+	r.untilAvoided(clients, failing)
 	predecessor.Kill()
-	seen := r.Received(failing)
-	r.node()
-	r.untilServed(l, 300)
-	if n := r.Received(failing) - seen; n < breakerRun {
-		t.Errorf("%d requests came to the failing box after a start without a snapshot: the comparison shows little", n)
+	failuresBefore := r.Received(failing)
+	r.startNode()
+	r.untilServed(clients, 300)
+	if n := r.Received(failing) - failuresBefore; n < failuresToOpen {
+		t.Errorf("%d requests reached the failing box after a start without a snapshot, want at least as many as open a breaker",
+			n)
 	}
 }
 
-// untilServed waits until so many more requests were served.
-func (r *rig) untilServed(l *platform.Clients, more int64) {
+// untilServed waits until the given number of further requests were served.
+func (r *rig) untilServed(clients *platform.Clients, more int64) {
 	r.t.Helper()
-	target := l.Served.Load() + more
+	target := clients.Served.Load() + more
 	what := strconv.FormatInt(more, 10) + " requests to be served"
-	testutil.Until(r.t, what, func() bool { return l.Served.Load() >= target })
+	testutil.Until(r.t, what, func() bool { return clients.Served.Load() >= target })
 }
 
-// untilAvoided waits until 300 requests in a row were served and none came to a box that fails.
-func (r *rig) untilAvoided(l *platform.Clients, box int) {
+// untilAvoided waits until the box has had enough requests to open its breaker and then none while 300 requests were
+// served.
+func (r *rig) untilAvoided(clients *platform.Clients, box int) {
 	r.t.Helper()
 	for end := time.Now().Add(testutil.WaitTimeout); ; {
 		before := r.Received(box)
-		r.untilServed(l, 300)
-		if before >= breakerRun && r.Received(box) == before {
+		r.untilServed(clients, 300)
+		if before >= failuresToOpen && r.Received(box) == before {
 			return
 		}
 		if time.Now().After(end) {
-			r.t.Fatalf("box %d fails and is sent requests all the same", box)
+			r.t.Fatalf("box %d still gets requests though all of them fail, want its breaker to open", box)
 		}
 	}
 }
 
-// endpointsAttribute matches the attribute of a log line that counts the endpoints of a snapshot.
+// endpointsAttribute matches the log attribute that counts the endpoints of a snapshot, by its names in both versions.
 var endpointsAttribute = regexp.MustCompile(`\b(?:servers|endpoints)=(\d+)`)
 
-// expectSnapshot expects that a process has logged that it restored a snapshot with all endpoints, and no warning
-// or error. The words of the line differ between versions of the program, its attribute does not.
+// expectSnapshot checks that a process has logged an event with the number of endpoints in a restored snapshot, which must
+// be all of them, and has logged no warning or error. The message of the event differs between versions of the program,
+// so only the attribute is matched.
 func expectSnapshot(t *testing.T, log []string) {
 	t.Helper()
 	restored := slices.ContainsFunc(log, func(line string) bool {
 		count := endpointsAttribute.FindStringSubmatch(line)
-		return strings.Contains(line, " INFO ") && count != nil && count[1] == strconv.Itoa(upgradeBoxes)
+		return strings.Contains(line, " INFO ") && count != nil && count[1] == strconv.Itoa(numBoxes)
 	})
-	bad := slices.ContainsFunc(log, func(line string) bool {
+	warned := slices.ContainsFunc(log, func(line string) bool {
 		return strings.Contains(line, " WARN ") || strings.Contains(line, " ERROR ")
 	})
-	if !restored || bad {
-		t.Errorf("snapshot restored: %v; warnings or errors: %v; the log:\n%s", restored, bad, strings.Join(log, "\n"))
+	if !restored || warned {
+		t.Errorf("snapshot restored: %v, want true; warnings or errors logged: %v, want false; log:\n%s",
+			restored, warned, strings.Join(log, "\n"))
 	}
 }
--- a/cmd/yokestall-node/imports_test.go
+++ b/cmd/yokestall-node/imports_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The node's smallest machine has 32 MB. Dependencies of the product program (gRPC with Envoy's types is about
-// 10 MB resident at start) must not be linked through a shared package.
+// Guards against dependencies of the product program that are linked into yokestall-node through a shared package. The
+// smallest machine of a node has 32 MB, and gRPC with Envoy's types alone has about 10 MB resident at start.
 func TestImportGraph(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", ".").Output()
 	if err != nil {
@@ -15,18 +15,18 @@
 	}
 	deps := strings.Fields(string(out))
 	if len(deps) < 50 {
-		t.Fatalf("only %d packages are listed", len(deps))
+		t.Fatalf("go list -deps lists %d packages, want 50 or more", len(deps))
 	}
 	for _, dep := range deps {
 		switch first, _, _ := strings.Cut(dep, "/"); {
-		case !strings.Contains(first, "."): // the standard library and our own
+		case !strings.Contains(first, "."): // the standard library and this module
 		case strings.HasPrefix(dep, "github.com/pelletier/go-toml/v2"):
 		default:
-			t.Errorf("%s is linked", dep)
+			t.Errorf("package %s is linked, want only the standard library, this module and go-toml", dep)
 		}
 		for _, own := range []string{"internal/app", "internal/cli", "internal/config", "internal/files", "internal/xds", "internal/downstream/extproc"} {
 			if dep == "yokestall/"+own {
-				t.Errorf("%s is linked: it serves the product program", dep)
+				t.Errorf("package %s is linked, want it in the product program only", dep)
 			}
 		}
 	}
--- a/cmd/yokestall-node/main.go
+++ b/cmd/yokestall-node/main.go
@@ -1,4 +1,5 @@
-// Command yokestall-node is the platform's node of the load balancer.
+// Command yokestall-node runs one process of a node of the load balancer on the platform. The environment
+// variable BALANCER_CONFIG names the configuration file, and the flag -settings an optional settings file.
 package main
 
 import (
--- a/cmd/yokestall-node/main_test.go
+++ b/cmd/yokestall-node/main_test.go
@@ -16,8 +16,11 @@
 	"yokestall/internal/testutil"
 )
 
+// settings are valid settings of a node, with one class and one zone.
 const settings = `{"Classes": [{"Name": "pay", "Effect": "side_effect", "DeadlineMs": 8000}], "Zones": ["a"]}`
 
+// Guards against a node that starts with an invalid configuration, and against an error that an operator would see as
+// several lines.
 func TestBadConfiguration(t *testing.T) {
 	for name, text := range map[string]string{
 		"empty":             ``,
@@ -38,21 +41,22 @@
 			t.Setenv("BALANCER_CONFIG", path)
 			err := node.Command(nil)
 			if err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("ended with %v, want one plain line", err)
+				t.Errorf("Command returned the error %v, want an error of a single line", err)
 			}
 		})
 	}
 	t.Setenv("BALANCER_CONFIG", filepath.Join(t.TempDir(), "none.json"))
 	if err := node.Command(nil); err == nil {
-		t.Error("started with no file")
+		t.Error("Command returned no error though the configuration file is missing")
 	}
 }
 
-// SIGTERM ends the program without an error, after the requests in flight were answered.
+// Guards against a graceful shutdown that loses requests: after SIGTERM the program answers the request in flight and
+// then ends without an error.
 func TestSIGTERM(t *testing.T) {
-	got, release := make(chan struct{}), make(chan struct{})
+	received, release := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		close(got)
+		close(received)
 		<-release
 		io.WriteString(w, "done")
 	}))
@@ -100,25 +104,26 @@
 		body, _ := io.ReadAll(resp.Body)
 		answered <- string(body)
 	}()
-	testutil.Wait(t, got, "the request")
+	testutil.Wait(t, received, "the request at the endpoint")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	close(release)
-	if a := testutil.Wait(t, answered, "an answer"); a != "done" {
-		t.Errorf("answer %q", a)
+	if body := testutil.Wait(t, answered, "the answer to the request in flight"); body != "done" {
+		t.Errorf("the request in flight got the answer %q, want \"done\"", body)
 	}
-	expectEnd(t, ended)
+	expectCleanExit(t, ended)
 }
 
-// SIGHUP reloads discovery's address from the file, repeatedly and also after a file that can't be read. The file
-// takes precedence over the environment, which can't have changed.
+// Guards against a SIGHUP that does not apply a new address of the discovery service: the program must reload the
+// configuration file on every SIGHUP, also after a reload of an invalid file has failed. The file takes precedence over
+// BALANCER_DISCOVERY, because the environment of a running process does not change.
 func TestSIGHUP(t *testing.T) {
 	calls := make(chan string, 1000)
-	registry := func(name string) string {
+	startDiscovery := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Has("after") {
-				<-r.Context().Done() // nothing new
+				<-r.Context().Done() // the list never changes
 				return
 			}
 			calls <- name
@@ -128,7 +133,7 @@
 		return s.Listener.Addr().String()
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(text string) {
+	writeConfig := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -140,62 +145,64 @@
 	config := func(discovery string) string {
 		return `{"listen": "127.0.0.1:0", "discovery": "` + discovery + `", "settings": ` + settings + `}`
 	}
-	expect := func(name string) {
+	expectPollOf := func(name string) {
 		t.Helper()
-		if got := testutil.Wait(t, calls, "a call to "+name); got != name {
-			t.Fatalf("%s is polled, want %s", got, name)
+		if got := testutil.Wait(t, calls, "a poll of the discovery service "+name); got != name {
+			t.Fatalf("discovery service %q was polled, want %q", got, name)
 		}
 	}
-	first := registry("first")
-	write(config(first))
+	first := startDiscovery("first")
+	writeConfig(config(first))
 	t.Setenv("BALANCER_CONFIG", path)
 	t.Setenv("BALANCER_DISCOVERY", first)
 	ended := make(chan error, 1)
 	go func() { ended <- node.Command(nil) }()
-	expect("first")
-	hup := func() {
+	expectPollOf("first")
+	sendSIGHUP := func() {
 		t.Helper()
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, name := range []string{"second", "third"} {
-		write(config(registry(name)))
-		hup()
-		expect(name)
+		writeConfig(config(startDiscovery(name)))
+		sendSIGHUP()
+		expectPollOf(name)
 	}
 	logged := make(chan string, 100)
 	before := slog.Default()
-	slog.SetDefault(slog.New(slog.NewTextHandler(lines(logged), nil)))
+	slog.SetDefault(slog.New(slog.NewTextHandler(logWriter(logged), nil)))
 	defer slog.SetDefault(before)
 	for _, text := range []string{`{"listen"`, config("nowhere"), ``} {
-		write(text)
-		hup()
-		line := testutil.Wait(t, logged, "the log of a failed reload")
+		writeConfig(text)
+		sendSIGHUP()
+		line := testutil.Wait(t, logged, "the log line of a failed reload")
 		if !strings.Contains(line, "previous configuration in use") {
-			t.Errorf("logged %q", line)
+			t.Errorf("after an invalid file the program logged %q, want \"previous configuration in use\" in it", line)
 		}
 	}
-	write(config(registry("fourth")))
-	hup()
-	expect("fourth")
+	writeConfig(config(startDiscovery("fourth")))
+	sendSIGHUP()
+	expectPollOf("fourth")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	expectEnd(t, ended)
+	expectCleanExit(t, ended)
 }
 
-// lines is a writer that sends what is written to a channel.
-type lines chan<- string
+// logWriter is an io.Writer that sends each write to a channel.
+type logWriter chan<- string
 
-func (l lines) Write(p []byte) (int, error) {
-	l <- string(p)
+// Write implements io.Writer.
+func (w logWriter) Write(p []byte) (int, error) {
+	w <- string(p)
 	return len(p), nil
 }
 
-func expectEnd(t *testing.T, ended <-chan error) {
+// expectCleanExit waits for the result of node.Command and expects that it is no error.
+func expectCleanExit(t *testing.T, ended <-chan error) {
 	t.Helper()
-	if err := testutil.Wait(t, ended, "the end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := testutil.Wait(t, ended, "the end of the program"); err != nil {
+		t.Errorf("the program ended with the error %v, want none", err)
 	}
 }
--- a/cmd/yokestall-node/transfers_test.go
+++ b/cmd/yokestall-node/transfers_test.go
@@ -20,13 +20,14 @@
 )
 
 var (
-	transfers = flag.Int("transfers", 24, "how many transfers TestTransfers makes at once")
-	megabytes = flag.Int("megabytes", 2, "the size of each")
-	slowRate  = flag.Int("slow", 1024, "rate of a slow one, in kB per second")
+	transfers = flag.Int("transfers", 24, "number of concurrent transfers in TestTransfers")
+	megabytes = flag.Int("megabytes", 2, "size of each transfer, in MiB")
+	slowRate  = flag.Int("slow", 1024, "rate of a slow client or endpoint, in KiB per second")
 )
 
-// transferHandler is an endpoint of transfers. Its query names the transfer (n) and may name the endpoint's rate in
-// bytes per second (rate) and the quarter of the response after which it fails (quarter).
+// transferHandler handles the transfers' requests at the endpoint. The query of a request has the transfer's number (n)
+// and may have the endpoint's rate in bytes per second (rate) and the number of quarters of the response after which the
+// endpoint fails (quarter). size is the size of a response's body, in bytes.
 type transferHandler struct{ size int }
 
 // ServeHTTP implements http.Handler.
@@ -50,7 +51,7 @@
 	io.Copy(w, body)
 }
 
-// receive answers with the checksum of a body.
+// receive reads an upload's body and responds with the checksum.
 func (h transferHandler) receive(w io.Writer, body io.Reader) {
 	sum := sha256.New()
 	if _, err := io.Copy(sum, body); err != nil {
@@ -59,7 +60,7 @@
 	io.WriteString(w, hex.EncodeToString(sum.Sum(nil)))
 }
 
-// checksum returns the checksum of a transfer's body.
+// checksum returns the hexadecimal SHA-256 of the body of transfer n with the given size in bytes.
 func checksum(n, size int) string {
 	sum := sha256.New()
 	io.Copy(sum, &testutil.Pattern{Number: n, Size: size})
@@ -69,23 +70,23 @@
 // transferTest is a client that makes transfers through a node.
 type transferTest struct {
 	*testing.T
-	addr            string // of the node
-	size            int    // of each transfer, in bytes
-	moved, rejected atomic.Int64
+	addr            string       // address of the node
+	size            int          // size of each transfer, in bytes
+	moved, rejected atomic.Int64 // bytes transferred, and transfers rejected
 }
 
-// transfer is a response, or a body as an upload, that passes the node.
+// transfer is a response's or an upload's body that passes through the node.
 type transfer struct {
 	number       int
 	upload       bool
-	clientRate   int // bytes per second; 0: as fast as it goes
-	endpointRate int // bytes per second; 0: as fast as it goes
-	failAfter    int // quarters of the response after which the endpoint fails; 0: it doesn't
+	clientRate   int // bytes per second; 0: unlimited
+	endpointRate int // bytes per second; 0: unlimited
+	failAfter    int // quarters of the response after which the endpoint fails; 0: no failure
 }
 
-// drawTransfer returns the transfer of a number: in each eight there are slow clients and slow endpoints, of responses
-// and of uploads.
-func drawTransfer(n int) transfer {
+// newTransfer returns transfer n. Among each eight consecutive transfers, a response and an upload have a slow client, a
+// response and an upload have a slow endpoint, and the other four are not slow.
+func newTransfer(n int) transfer {
 	x := transfer{number: n, upload: n%4 >= 2}
 	switch {
 	case n%2 == 0:
@@ -97,7 +98,7 @@
 	return x
 }
 
-// query returns the transfer's query for transferHandler.
+// query returns the query of the transfer's request, as transferHandler reads it.
 func (x transfer) query() string {
 	q := "n=" + strconv.Itoa(x.number)
 	if x.endpointRate > 0 {
@@ -109,7 +110,8 @@
 	return q
 }
 
-// begin sends a transfer's request under an ID, with its body if it is an upload, and reads the response's header.
+// begin sends a transfer's request with the given request ID, including the body of an upload, and reads the response's
+// header. On success the caller closes the connection.
 func (c *transferTest) begin(id int, x transfer) (*http.Response, net.Conn, error) {
 	conn, err := net.Dial("tcp", c.addr)
 	if err != nil {
@@ -133,11 +135,11 @@
 	return resp, conn, err
 }
 
-// run makes a transfer and checks that its body is unchanged, unless the node rejects it.
+// run makes a transfer and, unless the node rejects it, checks that the body arrives unchanged.
 func (c *transferTest) run(x transfer) {
 	resp, conn, err := c.begin(x.number, x)
 	if err != nil {
-		c.Errorf("transfer %+v: %v", x, err)
+		c.Errorf("transfer %+v failed: %v", x, err)
 		return
 	}
 	defer conn.Close()
@@ -147,12 +149,13 @@
 	}
 	sum, err := readChecksum(&testutil.SlowReader{Reader: resp.Body, Rate: x.clientRate}, x.upload)
 	if err != nil || resp.StatusCode != 200 || sum != checksum(x.number, c.size) {
-		c.Errorf("transfer %+v: status %d, %v, checksum %.70s", x, resp.StatusCode, err, sum)
+		c.Errorf("transfer %+v: got status %d, error %v, checksum %.70s; want status 200, no error and the checksum of the body",
+			x, resp.StatusCode, err, sum)
 	}
 	c.moved.Add(int64(c.size))
 }
 
-// readChecksum returns the checksum of a response's body, or the one that the response to an upload names.
+// readChecksum returns the checksum of a response's body or, for an upload, the checksum that the response contains.
 func readChecksum(body io.Reader, upload bool) (string, error) {
 	if upload {
 		text, _ := io.ReadAll(body)
@@ -163,17 +166,17 @@
 	return hex.EncodeToString(sum.Sum(nil)), err
 }
 
-// runBroken makes a transfer whose endpoint fails after some quarters of the response, and another one whose client
-// disconnects after as many.
+// runBroken makes a transfer whose endpoint fails after the given number of quarters of the response, and another one
+// whose client disconnects after that number.
 func (c *transferTest) runBroken(quarters int) {
 	resp, conn, err := c.begin(1000+quarters, transfer{number: quarters, failAfter: quarters})
 	if err != nil {
-		c.Errorf("a transfer that breaks: %v", err)
+		c.Errorf("transfer with a failing endpoint: no response: %v", err)
 		return
 	}
 	defer conn.Close()
 	if got, err := io.Copy(io.Discard, resp.Body); err == nil && resp.StatusCode == http.StatusOK {
-		c.Errorf("%d bytes pass for the complete response", got)
+		c.Errorf("a response whose endpoint failed ended without an error after %d bytes, want an error", got)
 	}
 	if resp, conn, err := c.begin(2000+quarters, transfer{number: quarters}); err == nil {
 		io.CopyN(io.Discard, resp.Body, int64(quarters*c.size/4))
@@ -181,39 +184,39 @@
 	}
 }
 
-// TestTransfers checks that concurrent long responses and uploads, half of them slow at either side, are transferred
-// unchanged, beside some whose client disconnects and some whose endpoint fails, and that the node's memory stays
-// within its limit.
+// Guards against long responses and uploads that are corrupted or that exceed the node's memory limit. Concurrent
+// transfers, half of them with a slow client or a slow endpoint, must arrive unchanged while the clients or endpoints of
+// other transfers fail.
 func TestTransfers(t *testing.T) {
 	c := &transferTest{T: t, size: *megabytes << 20}
-	l := testutil.Listen(t)
-	srv := &http.Server{Handler: transferHandler{c.size}}
-	go srv.Serve(l)
-	t.Cleanup(func() { srv.Close() })
-	p := newRig(t, true, 0, discovery.Instance{
-		InstanceID: "s-0", HostPort: l.Addr().String(), Lifecycle: "Ready", Zone: "a", Weight: 1,
+	listener := testutil.Listen(t)
+	server := &http.Server{Handler: transferHandler{c.size}}
+	go server.Serve(listener)
+	t.Cleanup(func() { server.Close() })
+	r := newRig(t, true, 0, discovery.Instance{
+		InstanceID: "s-0", HostPort: listener.Addr().String(), Lifecycle: "Ready", Zone: "a", Weight: 1,
 	})
-	node := p.node()
-	c.addr = p.Addr
-	idle := node.PeakMB()
+	node := r.startNode()
+	c.addr = r.Addr
+	idlePeak := node.PeakMB()
 
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for n := range *transfers {
-		time.Sleep(5 * time.Millisecond) // all are in flight together, but do not arrive at one instant
-		all.Go(func() { c.run(drawTransfer(n)) })
+		time.Sleep(5 * time.Millisecond) // so that the transfers overlap but do not all arrive at the same moment
+		running.Go(func() { c.run(newTransfer(n)) })
 	}
 	for quarters := 1; quarters < 4; quarters++ {
-		all.Go(func() { c.runBroken(quarters) })
+		running.Go(func() { c.runBroken(quarters) })
 	}
-	all.Wait()
+	running.Wait()
 	peak := node.PeakMB()
-	t.Logf("%d transfers of %d MB: %d MB moved, %d rejected, peak of the node %.0f MB of %d, %.0f MB before",
-		*transfers, *megabytes, c.moved.Load()>>20, c.rejected.Load(), peak, memoryMB, idle)
-	if !raceEnabled && peak > memoryMB {
-		t.Errorf("the node had %.0f MB, %d are its limit", peak, memoryMB)
+	t.Logf("%d transfers of %d MiB: %d MiB transferred, %d rejected; node: peak memory %.0f MB, limit %d MB, idle peak %.0f MB",
+		*transfers, *megabytes, c.moved.Load()>>20, c.rejected.Load(), peak, memoryLimitMB, idlePeak)
+	if !raceEnabled && peak > memoryLimitMB {
+		t.Errorf("peak memory of the node is %.0f MB, want at most its limit of %d MB", peak, memoryLimitMB)
 	}
 	if c.rejected.Load() > int64(*transfers/10) {
-		t.Errorf("%d were rejected", c.rejected.Load())
+		t.Errorf("%d transfers were rejected, want at most a tenth", c.rejected.Load())
 	}
-	p.stop(node)
+	r.stopNode(node)
 }
--- a/cmd/yokestall-node/upgrade_test.go
+++ b/cmd/yokestall-node/upgrade_test.go
@@ -12,124 +12,130 @@
 	"yokestall/internal/testutil"
 )
 
-var upgrades = flag.Int("upgrades", 4, "how many upgrades TestUpgrades makes")
+var upgrades = flag.Int("upgrades", 4,
+	"number of upgrades in TestUpgrades; TestRestartsWithoutTheSocket restarts the node a quarter as often")
 
-func expect(t *testing.T, answer, want string) {
+// expectAnswer checks that a process's answer to an operator's command contains a text.
+func expectAnswer(t *testing.T, answer, want string) {
 	t.Helper()
 	if !strings.Contains(answer, want) {
-		t.Errorf("answer %q, want %q in it", answer, want)
+		t.Errorf("the process answered %q, want %q in the answer", answer, want)
 	}
 }
 
-// Upgrades under steady load, with real processes: no request is lost, none runs twice, and a detached server
-// stays detached over all of them.
+// Guards against hot restarts that lose requests, run a request twice or attach a detached server again. Real processes
+// are upgraded several times under steady load.
 func TestUpgrades(t *testing.T) {
 	r := newRig(t, true, 3)
-	old := r.node()
-	expect(t, old.Call("DETACH box-0"), "+OK") // before any request
+	old := r.startNode()
+	expectAnswer(t, old.Call("DETACH box-0"), "+OK") // before the first request
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	l := platform.Drive(ctx, r.Addr, 16, 0)
-	worst := time.Duration(0)
+	clients := platform.Drive(ctx, r.Addr, 16, 0)
+	slowestStart := time.Duration(0)
 	for range *upgrades {
-		began := time.Now()
-		next := r.node()
-		worst = max(worst, time.Since(began))
-		r.stop(old)
-		expect(t, next.Call("PING"), "box-0")
+		startedAt := time.Now()
+		next := r.startNode()
+		slowestStart = max(slowestStart, time.Since(startedAt))
+		r.stopNode(old)
+		expectAnswer(t, next.Call("PING"), "box-0")
 		old = next
 	}
 	stop()
-	lost := l.Wait()
-	t.Logf("%d upgrades, PING +OK after %v at most: "+
-		"%d served, %d rejected, %d failed, %d lost, %d sent again, %d run twice",
-		*upgrades, worst, l.Served.Load(), l.Rejected.Load(), l.Failed.Load(), len(lost), l.Resent.Load(), r.Duplicates())
-	if len(lost) > 0 || l.Failed.Load() > 0 || r.Duplicates() > 0 || l.Served.Load() == 0 {
-		t.Errorf("requests were lost, failed, ran twice, or none was served: %v", lost[:min(len(lost), 5)])
-	}
-	if l.Resent.Load() > int64(2**upgrades) {
-		t.Errorf("%d requests had to be sent again by their clients, two an upgrade are the most", l.Resent.Load())
+	lost := clients.Wait()
+	t.Logf("%d upgrades, each successor answered PING with +OK within %v: "+
+		"requests: %d served, %d rejected, %d failed, %d lost, %d sent again by clients, %d run twice",
+		*upgrades, slowestStart, clients.Served.Load(), clients.Rejected.Load(), clients.Failed.Load(), len(lost),
+		clients.Resent.Load(), r.Duplicates())
+	if len(lost) > 0 || clients.Failed.Load() > 0 || r.Duplicates() > 0 || clients.Served.Load() == 0 {
+		t.Errorf("requests were lost, failed or run twice, or none was served; the first lost requests: %v",
+			lost[:min(len(lost), 5)])
+	}
+	if clients.Resent.Load() > int64(2**upgrades) {
+		t.Errorf("%d requests had to be sent again by their clients, want at most two per upgrade", clients.Resent.Load())
 	}
 	if r.Received(0) > 0 {
-		t.Errorf("%d requests at the detached server", r.Received(0))
+		t.Errorf("%d requests reached the detached server, want none", r.Received(0))
 	}
-	expect(t, old.Call("ATTACH box-0"), "+OK")
+	expectAnswer(t, old.Call("ATTACH box-0"), "+OK")
 }
 
-// A successor that is killed before it serves leaves the predecessor as it was; a predecessor that hangs does not
-// prevent the successor from serving; changes are in force in both processes.
+// Guards against upgrades that fail and affect the service: a successor that is killed before it serves must leave the
+// predecessor unaffected, and an unresponsive predecessor must not prevent the successor from serving. An operator's
+// command to one of the two processes must take effect in both.
 func TestUpgradesThatFail(t *testing.T) {
 	r := newRig(t, true, 2)
-	old := r.node()
+	old := r.startNode()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	l := platform.Drive(ctx, r.Addr, 4, 0)
+	clients := platform.Drive(ctx, r.Addr, 4, 0)
 	for range 3 {
 		n, err := r.Launch()
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Kill() // at any point of its start
+		n.Kill() // while the process is starting
 	}
-	next := r.node()
+	next := r.startNode()
 	for _, c := range []struct {
-		to   *platform.Node
-		text string
-		seen *platform.Node // its PING shows the change
-		want string
+		target   *platform.Node
+		command  string
+		observer *platform.Node // answers PING with the changed state
+		want     string
 	}{
 		{old, "DETACH box-0", next, "box-0"},
 		{next, "LAMEDUCK", old, "drained"},
 		{old, "REJOIN", next, "serving"},
 		{next, "ATTACH box-0", old, "+OK serving"},
 	} {
-		expect(t, c.to.Call(c.text), "+OK")
-		expect(t, c.seen.Call("PING"), c.want)
+		expectAnswer(t, c.target.Call(c.command), "+OK")
+		expectAnswer(t, c.observer.Call("PING"), c.want)
 	}
-	answers := make(chan string, 2) // both processes at the same time
+	answers := make(chan string, 2) // of both processes to the same command at the same time
 	for _, n := range []*platform.Node{old, next} {
 		go func() { answers <- n.Call("DETACH box-1") }()
 	}
 	for range 2 {
-		expect(t, <-answers, "+OK")
+		expectAnswer(t, <-answers, "+OK")
 	}
-	expect(t, next.Call("ATTACH box-1"), "+OK")
-	r.stop(old)
+	expectAnswer(t, next.Call("ATTACH box-1"), "+OK")
+	r.stopNode(old)
 	stop()
-	if lost := l.Wait(); len(lost) > 0 || r.Duplicates() > 0 {
-		t.Errorf("lost %v, %d run twice", lost, r.Duplicates())
+	if lost := clients.Wait(); len(lost) > 0 || r.Duplicates() > 0 {
+		t.Errorf("lost requests %v and %d requests run twice, want none", lost, r.Duplicates())
 	}
-	// A predecessor hangs: the successor serves, and answers changes with the cause.
+	// While the predecessor is unresponsive, the successor serves, and rejects operators' changes with that cause.
 	next.Process.Signal(syscall.SIGSTOP)
-	last := r.node()
-	expect(t, last.Call("DETACH box-1"), "other process does not answer")
+	last := r.startNode()
+	expectAnswer(t, last.Call("DETACH box-1"), "other process does not answer")
 	next.Process.Signal(syscall.SIGCONT)
-	r.stop(next)
-	expect(t, last.Call("DETACH box-1"), "+OK")
-	last.Kill() // the committed change outlives it
-	expect(t, r.node().Call("PING"), "box-1")
+	r.stopNode(next)
+	expectAnswer(t, last.Call("DETACH box-1"), "+OK")
+	last.Kill() // the committed change must survive the process
+	expectAnswer(t, r.startNode().Call("PING"), "box-1")
 }
 
-// An upgrade in lame duck mode: the successor is in it too, until REJOIN.
+// Guards against an upgrade that ends lame duck mode: the successor must stay in this mode until the REJOIN command.
 func TestUpgradeWhileDrained(t *testing.T) {
 	r := newRig(t, true, 1)
-	old := r.node()
-	expect(t, old.Call("LAMEDUCK"), "+OK")
-	next := r.node()
-	expect(t, next.Call("PING"), "+OK drained")
-	r.stop(old)
-	expect(t, next.Call("REJOIN"), "+OK serving")
-	r.stop(next)
+	old := r.startNode()
+	expectAnswer(t, old.Call("LAMEDUCK"), "+OK")
+	next := r.startNode()
+	expectAnswer(t, next.Call("PING"), "+OK drained")
+	r.stopNode(old)
+	expectAnswer(t, next.Call("REJOIN"), "+OK serving")
+	r.stopNode(next)
 }
 
-// Both processes get SIGTERM at the same time: each answers what it has accepted, and ends without an error.
+// Guards against a process that hangs, fails or runs requests twice when both processes of a node get SIGTERM at the same
+// time. Each must end without an error.
 func TestBothAskedToStop(t *testing.T) {
 	r := newRig(t, true, 1)
-	old, next := r.node(), r.node()
+	old, next := r.startNode(), r.startNode()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	l := platform.Drive(ctx, r.Addr, 4, 0)
-	testutil.Until(t, "requests to be served", func() bool { return l.Served.Load() > 10 })
+	clients := platform.Drive(ctx, r.Addr, 4, 0)
+	testutil.Until(t, "requests to be served", func() bool { return clients.Served.Load() > 10 })
 	for _, n := range []*platform.Node{old, next} {
 		n.Process.Signal(syscall.SIGTERM)
 	}
@@ -140,33 +146,34 @@
 		}
 	}
 	r.ReleaseSocket()
-	l.Wait()
+	clients.Wait()
 	if r.Duplicates() > 0 {
-		t.Error("requests ran twice")
+		t.Error("requests were run twice, want none")
 	}
 }
 
-// Without the platform's socket the old process has to end before the new one can listen: meanwhile clients can't
-// connect.
+// Shows that the socket that the platform passes is what prevents refused connections in TestUpgrades. Without it the old
+// process has to end before the new one can listen, so that clients can't connect in between.
 func TestRestartsWithoutTheSocket(t *testing.T) {
 	r := newRig(t, false, 2)
-	old := r.node()
+	old := r.startNode()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	l := platform.Drive(ctx, r.Addr, 16, 0)
+	clients := platform.Drive(ctx, r.Addr, 16, 0)
 	restarts := max(1, *upgrades/4)
 	for range restarts {
-		r.stop(old)
-		old = r.node()
+		r.stopNode(old)
+		old = r.startNode()
 	}
 	stop()
-	lost := l.Wait()
-	t.Logf("%d restarts: %d served, %d rejected, %d failed, %d could not connect, %d sent again, %d run twice",
-		restarts, l.Served.Load(), l.Rejected.Load(), l.Failed.Load(), len(lost), l.Resent.Load(), r.Duplicates())
+	lost := clients.Wait()
+	t.Logf("%d restarts, requests: %d served, %d rejected, %d failed, %d lost, %d sent again by clients, %d run twice",
+		restarts, clients.Served.Load(), clients.Rejected.Load(), clients.Failed.Load(), len(lost),
+		clients.Resent.Load(), r.Duplicates())
 	if len(lost) == 0 {
-		t.Error("all clients could connect: the comparison shows nothing")
+		t.Error("no request was lost, want some without the passed socket")
 	}
 	if r.Duplicates() > 0 {
-		t.Error("requests ran twice")
+		t.Error("requests were run twice, want none")
 	}
 }
