--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// Guards against delays that do not double up to Max, that leave the range of the jitter, or that do not start from
+// Initial again after a success. The draws alternate between 0 and 1.
 func TestBackoff(t *testing.T) {
 	backoff := Backoff{Initial: 100 * time.Millisecond, Max: time.Second}
 	for i, want := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -89,6 +89,8 @@
 	return "used"
 }
 
+// Guards against a response that is truncated, malformed or over a limit and is applied in part: ParseResponse must return
+// an error for it.
 func TestParseResponseInvalid(t *testing.T) {
 	valid := `{"generation":4,"reset":true,"instances":[` + validEntry + `]}`
 	for n := range len(valid) { // a response truncated at each byte
@@ -149,6 +151,7 @@
 	}
 }
 
+// Guards against bodies for which ParseResponse panics or returns instances with a duplicate ID or an invalid field.
 func FuzzParseResponse(f *testing.F) {
 	f.Add([]byte(`{"generation":4,"reset":true,"instances":[` + validEntry + `,{"instanceId":"a","lifecycle":"Gone"},7]}`))
 	f.Add([]byte(`{"generation":4,"instances":[]}`))
--- a/internal/discovery/resync_test.go
+++ b/internal/discovery/resync_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// Guards against full lists that cost more than maxResyncCostShare of the node's requests, and against intervals beyond
+// maxInterval, also for extreme inputs.
 func TestResyncInterval(t *testing.T) {
 	for _, c := range []struct {
 		price             float64
