--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -11,64 +11,64 @@
 	rules    *Rules
 	capacity float64 // work a second when warm
 	started  time.Duration
-	free     time.Duration // time at which all work sent so far is done
-	sent     []load
+	idleAt   time.Duration // time at which all work sent so far is done
+	sent     []sentWork
 }
 
-type load struct {
+type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
-// take queues work and returns the time at which it will be done.
-func (s *endpoint) take(now time.Duration, work float64) time.Duration {
-	s.sent = append(s.sent, load{now, work})
-	s.free = max(s.free, now) + time.Duration(work/(s.capacity*s.rules.CapacityShare(s.free, s.started))*1e9)
-	return s.free
+// enqueue queues work and returns the time at which it will be done.
+func (e *endpoint) enqueue(now time.Duration, work float64) time.Duration {
+	e.sent = append(e.sent, sentWork{now, work})
+	e.idleAt = max(e.idleAt, now) + time.Duration(work/(e.capacity*e.rules.CapacityShare(e.idleAt, e.started))*1e9)
+	return e.idleAt
 }
 
 // maxMultiple returns the most work that it was sent in any window of OverloadDuration, as a multiple of
 // its capacity at the window's end. Windows begin at its start at the earliest.
-func (s *endpoint) maxMultiple() (most float64) {
+func (e *endpoint) maxMultiple() (most float64) {
 	sum, first := 0.0, 0
-	for _, l := range s.sent {
+	for _, l := range e.sent {
 		sum += l.work
-		for s.sent[first].at <= l.at-s.rules.OverloadDuration {
-			sum -= s.sent[first].work
+		for e.sent[first].at <= l.at-e.rules.OverloadDuration {
+			sum -= e.sent[first].work
 			first++
 		}
-		if l.at-s.started >= s.rules.OverloadDuration {
-			most = max(most, sum/(s.capacity*s.rules.CapacityShare(l.at, s.started)*s.rules.OverloadDuration.Seconds()))
+		if l.at-e.started >= e.rules.OverloadDuration {
+			most = max(most, sum/(e.capacity*e.rules.CapacityShare(l.at, e.started)*e.rules.OverloadDuration.Seconds()))
 		}
 	}
 	return most
 }
 
-type done struct {
+type completion struct {
 	at   time.Duration
 	node int
 }
 
-// play sends an endpoint a demand from several nodes, as far as their budgets allow; without budgets if
+// simulate sends an endpoint a demand from several nodes, as far as their budgets allow; without budgets if
 // unlimited. known is the throughput that the nodes know of warm endpoints. It returns the largest multiple
 // of its capacity that the endpoint was sent, and the share of its capacity that was used.
-func play(
-	r *Rules, seed uint64, nodes int, capacity, demand, known float64, unlimited bool,
-) (multiple, served float64) {
+func simulate(
+	r *Rules, seed uint64, nodes int, capacity, demand, known float64, ignoreBudgets bool,
+) (multiple, utilization float64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const work = 0.02
-	s := &endpoint{rules: r, capacity: capacity, started: time.Second}
+	e := &endpoint{rules: r, capacity: capacity, started: time.Second}
 	budgets, inFlight := make([]Budget, nodes), make([]float64, nodes)
 	for i := range budgets {
-		budgets[i].Defer(s.started, work*rng.Float64())
+		budgets[i].Defer(e.started, work*rng.Float64())
 	}
-	var answers []done // in the order of their times, since the endpoint is one queue
-	now := s.started
-	for end := s.started + r.Window; now < end; now += time.Duration(rng.ExpFloat64() / (demand / work) * 1e9) {
+	var answers []completion // in the order of their times, since the endpoint is one queue
+	now := e.started
+	for end := e.started + r.Window; now < end; now += time.Duration(rng.ExpFloat64() / (demand / work) * 1e9) {
 		for len(answers) > 0 && answers[0].at <= now {
 			budgets[answers[0].node].RecordCompleted(r, answers[0].at, work)
 			inFlight[answers[0].node] -= work
-			served += work
+			utilization += work
 			answers = answers[1:]
 		}
 		node := 0 // one has half of the traffic
@@ -76,14 +76,14 @@
 			node = rng.IntN(nodes)
 		}
 		b := &budgets[node]
-		rate := r.FixedRate(known/float64(nodes), r.CapacityShare(now, s.started))
-		if b.Allows(r, now, rate, work, inFlight[node]) || unlimited {
+		rate := r.FixedRate(known/float64(nodes), r.CapacityShare(now, e.started))
+		if b.Allows(r, now, rate, work, inFlight[node]) || ignoreBudgets {
 			b.RecordSent(work)
 			inFlight[node] += work
-			answers = append(answers, done{s.take(now, work), node})
+			answers = append(answers, completion{e.enqueue(now, work), node})
 		}
 	}
-	return s.maxMultiple(), served / (capacity * (1 + r.MinCapacity) / 2 * r.Window.Seconds())
+	return e.maxMultiple(), utilization / (capacity * (1 + r.MinCapacity) / 2 * r.Window.Seconds())
 }
 
 // Whatever the number of nodes and however uneven their traffic, what they send an endpoint together stays
@@ -99,8 +99,8 @@
 			for _, tc := range []struct {
 				name            string
 				capacity, known float64
-				least           float64 // share of its capacity that is used
-				most            int     // nodes: each sends a request before it has an answer
+				minUtilization  float64 // share of its capacity that is used
+				maxNodes        int     // nodes: each sends a request before it has an answer
 			}{
 				{"known in full", 4, 4, 0.85, 30},
 				{"a quarter known", 4, 1, 0.8, 100},
@@ -108,19 +108,19 @@
 				{"half of the expected capacity", 2, 4, 0.8, 5},
 				{"a tenth of the expected capacity", 0.4, 4, 0.8, 1},
 			} {
-				if nodes > tc.most {
+				if nodes > tc.maxNodes {
 					continue
 				}
 				for seed := range uint64(seeds) {
 					demand := 6 * tc.capacity
-					multiple, served := play(r, seed, nodes, tc.capacity, demand, tc.known, false)
-					if multiple > 1.05*r.OverloadMultiple || served < tc.least {
+					multiple, utilization := simulate(r, seed, nodes, tc.capacity, demand, tc.known, false)
+					if multiple > 1.05*r.OverloadMultiple || utilization < tc.minUtilization {
 						t.Fatalf("%d nodes, %s, seed %d: sent %.2f times its capacity "+
 							"(at most %v and a twentieth for chance), %.2f of it used",
-							nodes, tc.name, seed, multiple, r.OverloadMultiple, served)
+							nodes, tc.name, seed, multiple, r.OverloadMultiple, utilization)
 					}
 				}
-				if multiple, _ := play(r, 1, nodes, tc.capacity, 6*tc.capacity, tc.known, true); multiple < r.OverloadMultiple {
+				if multiple, _ := simulate(r, 1, nodes, tc.capacity, 6*tc.capacity, tc.known, true); multiple < r.OverloadMultiple {
 					t.Errorf("without a budget only %.2f times its capacity: the test proves nothing", multiple)
 				}
 			}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,9 +7,9 @@
 
 func TestAllOpenRejectsAtOnceWithRetryAfter(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	for _, s := range r.b.ready {
+	for _, e := range r.b.ready {
 		for range failuresToOpen {
-			r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+			r.b.recordFailure(r.now, &attempt{endpoint: e}, failureReported)
 		}
 	}
 	id := r.request(2)
@@ -46,9 +46,9 @@
 		r.serve(30, 1, 20*ms)
 		id := r.request(1)
 		given := func() bool { _, rejected := r.h.rejected[id]; return rejected || r.h.failed[id] }
-		for !given() && r.done[id] < 4 {
+		for !given() && r.delivered[id] < 4 {
 			r.advance(c.took)
-			if r.done[id] == len(r.sendsOf(id)) {
+			if r.delivered[id] == len(r.sendsOf(id)) {
 				break
 			}
 			r.endAttempt(id, Reset, c.took)
@@ -57,7 +57,7 @@
 			}
 		}
 		if _, rejected := r.h.rejected[id]; !given() || rejected != (c.scope == ScopeAll) {
-			t.Errorf("%s: after %d attempts rejected %v, failed %v", name, r.done[id], rejected, r.h.failed[id])
+			t.Errorf("%s: after %d attempts rejected %v, failed %v", name, r.delivered[id], rejected, r.h.failed[id])
 		}
 	}
 	// One that is queued for capacity when its window ends.
@@ -101,15 +101,15 @@
 	set.OverQuotaWeight = 0.05
 	r := newRig(t, set, 1)
 	request := func(tenant int) RequestID {
-		r.next++
-		r.b.Request(r.now, Request{ID: r.next, Tenant: tenant, TimeRemaining: 2 * time.Second})
-		return r.next
+		r.lastID++
+		r.b.Request(r.now, Request{ID: r.lastID, Tenant: tenant, TimeRemaining: 2 * time.Second})
+		return r.lastID
 	}
 	first := request(0)
 	request(0)
 	over, within := request(0), request(1)
 	for i := RequestID(1); i < within; i++ {
-		if i != over && len(r.sendsOf(i)) > r.done[i] {
+		if i != over && len(r.sendsOf(i)) > r.delivered[i] {
 			r.endAttempt(i, OK, 10*ms)
 		}
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// idleHost takes the actions of a Balancer and records the last attempt and the next sweep.
-type idleHost struct {
+// benchHost takes the actions of a Balancer and records the last attempt and the next sweep.
+type benchHost struct {
 	id       RequestID
 	sweepAt  time.Duration
 	endpoint EndpointID
 }
 
-func (h *idleHost) Send(id RequestID, endpoint EndpointID, _ time.Duration) {
+func (h *benchHost) Send(id RequestID, endpoint EndpointID, _ time.Duration) {
 	h.id, h.endpoint = id, endpoint
 }
-func (h *idleHost) Cancel(RequestID, int)               {}
-func (h *idleHost) Reject(RequestID, time.Duration)     {}
-func (h *idleHost) Fail(RequestID)                      {}
-func (h *idleHost) SetTimer(at time.Duration, _ uint64) { h.sweepAt = at }
-func (h *idleHost) RequestPoll()                        {}
+func (h *benchHost) Cancel(RequestID, int)               {}
+func (h *benchHost) Reject(RequestID, time.Duration)     {}
+func (h *benchHost) Fail(RequestID)                      {}
+func (h *benchHost) SetTimer(at time.Duration, _ uint64) { h.sweepAt = at }
+func (h *benchHost) RequestPoll()                        {}
 
-func benchBalancer(b *testing.B, endpoints, nodes int) (*Balancer, *idleHost) {
+func benchBalancer(b *testing.B, endpoints, nodes int) (*Balancer, *benchHost) {
 	b.Helper()
 	set := testSettings()
 	set.NodeCount = nodes
-	h := &idleHost{}
+	h := &benchHost{}
 	p, err := New(set, 1, h)
 	if err != nil {
 		b.Fatal(err)
--- a/policy/circuitbreaker_test.go
+++ b/policy/circuitbreaker_test.go
@@ -45,20 +45,20 @@
 
 func TestFailuresOpenOnlyInARowWithinTheWindow(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	s := r.b.ready[0]
+	e := r.b.ready[0]
 	for range failuresToOpen - 1 {
-		r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+		r.b.recordFailure(r.now, &attempt{endpoint: e}, failureReported)
 	}
-	s.recordSuccess(r.now, nil)
-	r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
-	if s.breaker.state != breakerClosed {
+	e.recordSuccess(r.now, nil)
+	r.b.recordFailure(r.now, &attempt{endpoint: e}, failureReported)
+	if e.breaker.state != breakerClosed {
 		t.Fatal("failures with a success between them opened the breaker")
 	}
 	for range 2 * failuresToOpen {
 		r.now += failureWindow / 3
-		r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+		r.b.recordFailure(r.now, &attempt{endpoint: e}, failureReported)
 	}
-	if s.breaker.state != breakerClosed {
+	if e.breaker.state != breakerClosed {
 		t.Fatal("failures spread wider than the window opened the breaker")
 	}
 }
@@ -68,9 +68,9 @@
 	r := newRig(t, testSettings(), 6)
 	r.b.subset.arrivals.add(r.now, 100) // enough for a subset of all endpoints
 	r.b.refresh(r.now)
-	for _, s := range r.b.ready {
+	for _, e := range r.b.ready {
 		for range 2 * failuresToOpen {
-			r.b.recordFailure(r.now, &attempt{endpoint: s}, failureBySlowness)
+			r.b.recordFailure(r.now, &attempt{endpoint: e}, failureBySlowness)
 		}
 	}
 	if got := r.breakers(); got[breakerOpen] != 3 {
@@ -81,15 +81,15 @@
 // Guards against a breaker that never closes because no request is idempotent.
 func TestNonIdempotentRequestIsTheTrialAsALastResort(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
-	s := r.b.ready[0]
+	e := r.b.ready[0]
 	for range failuresToOpen {
-		r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+		r.b.recordFailure(r.now, &attempt{endpoint: e}, failureReported)
 	}
-	r.now = s.breaker.halfOpenAt + ms
+	r.now = e.breaker.halfOpenAt + ms
 	if id := r.request(2); len(r.sendsOf(id)) != 0 {
 		t.Fatal("a request that is not idempotent was the trial at once, where an idempotent one could come")
 	}
-	r.advance(s.breaker.openDuration + ms)
+	r.advance(e.breaker.openDuration + ms)
 	if r.request(2); len(r.h.sends) != 1 {
 		t.Fatal("no other request was the trial, and a request that is not idempotent was not either")
 	}
@@ -99,14 +99,14 @@
 // say nothing of their endpoint: each breaker that opens removes what the endpoint still serves. An endpoint
 // with a low baseline is ejected after the fifth.
 func TestBaselineFailuresOpenNoBreaker(t *testing.T) {
-	outcomes := func(b *Balancer, s *endpoint, now time.Duration, pattern string) {
+	recordOutcomes := func(b *Balancer, e *endpoint, now time.Duration, pattern string) {
 		for _, c := range pattern {
-			a := &attempt{endpoint: s}
+			a := &attempt{endpoint: e}
 			if c == '+' {
-				s.outcomes.record(now, true, 1)
-				s.recordSuccess(now, a)
+				e.outcomes.record(now, true, 1)
+				e.recordSuccess(now, a)
 			} else {
-				s.outcomes.record(now, false, 1)
+				e.outcomes.record(now, false, 1)
 				b.recordFailure(now, a, failureReported)
 			}
 		}
@@ -114,17 +114,17 @@
 	}
 	r := newRig(t, testSettings(), 4)
 	r.b.refresh(r.now)
-	often, seldom := r.b.endpoints[1], r.b.endpoints[2]
-	outcomes(r.b, often, r.now, strings.Repeat("++-", 20)+"+-----")
-	if often.breaker.state != breakerClosed {
+	unreliable, reliable := r.b.endpoints[1], r.b.endpoints[2]
+	recordOutcomes(r.b, unreliable, r.now, strings.Repeat("++-", 20)+"+-----")
+	if unreliable.breaker.state != breakerClosed {
 		t.Error("a run of failures within the baseline rate opened the breaker")
 	}
-	outcomes(r.b, often, r.now, strings.Repeat("-", maxBaselineRun-5))
-	if often.breaker.state != breakerOpen {
+	recordOutcomes(r.b, unreliable, r.now, strings.Repeat("-", maxBaselineRun-5))
+	if unreliable.breaker.state != breakerOpen {
 		t.Error("the breaker of an endpoint that answers no more stays closed")
 	}
-	outcomes(r.b, seldom, r.now, strings.Repeat("+", 60)+"-----")
-	if seldom.breaker.state != breakerOpen {
+	recordOutcomes(r.b, reliable, r.now, strings.Repeat("+", 60)+"-----")
+	if reliable.breaker.state != breakerOpen {
 		t.Error("five failures in a row of an endpoint with a low baseline left its breaker closed")
 	}
 }
@@ -135,14 +135,14 @@
 	set.NodeCount = 80
 	r := newRig(t, set, 6)
 	r.b.refresh(r.now)
-	s := r.b.subset.members[0]
+	e := r.b.subset.members[0]
 	q := &request{class: &r.b.classes[0]}
 	for range failuresToOpen {
-		a := &attempt{endpoint: s, request: q, sentAt: r.now}
+		a := &attempt{endpoint: e, request: q, sentAt: r.now}
 		slow := time.Duration(2 * slowAnswerFactor * r.b.unloadedLatency(q) * float64(time.Second))
 		r.b.recordOutcome(r.now, q, a, Outcome{Status: OK, Latency: slow})
 	}
-	if s.breaker.state != breakerOpen {
+	if e.breaker.state != breakerOpen {
 		t.Fatal("the breaker of an endpoint whose answers take ten times the unloaded latency stays closed")
 	}
 }
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -142,7 +142,7 @@
 		if len(r.sendsOf(id)) == 0 {
 			queued++
 		}
-		for id := range r.next {
+		for id := range r.lastID {
 			a := r.b.requests[id]
 			if a == nil || len(a.attempts) == 0 || r.now-a.attempts[0].sentAt < 500*ms {
 				continue
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -15,7 +15,7 @@
 	rejected map[RequestID]time.Duration
 	failed   map[RequestID]bool
 	timers   []timer
-	watches  int
+	polls    int
 	log      []string
 }
 
@@ -29,7 +29,7 @@
 	token uint64
 }
 
-func newHost() *fakeHost {
+func newFakeHost() *fakeHost {
 	return &fakeHost{rejected: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
 }
 
@@ -64,7 +64,7 @@
 
 func (h *fakeHost) RequestPoll() {
 	h.logf("watch")
-	h.watches++
+	h.polls++
 }
 
 // testSettings has an idempotent, a keyed and a non-idempotent class, in this order.
@@ -86,22 +86,22 @@
 
 // rig drives a Balancer against a fakeHost and controls its clock.
 type rig struct {
-	t    *testing.T
-	b    *Balancer
-	h    *fakeHost
-	now  time.Duration
-	next RequestID
-	done map[RequestID]int // outcomes delivered, by request
+	t         *testing.T
+	b         *Balancer
+	h         *fakeHost
+	now       time.Duration
+	lastID    RequestID
+	delivered map[RequestID]int // outcomes delivered, by request
 }
 
 func newRig(t *testing.T, set Settings, endpoints int) *rig {
 	t.Helper()
-	h := newHost()
+	h := newFakeHost()
 	b, err := New(set, 1, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, h: h, now: time.Hour, done: map[RequestID]int{}}
+	r := &rig{t: t, b: b, h: h, now: time.Hour, delivered: map[RequestID]int{}}
 	r.update(CachedUpdate, ready(1, endpoints)...)
 	return r
 }
@@ -122,9 +122,9 @@
 
 // request sends a request of a class and returns its id.
 func (r *rig) request(class int) RequestID {
-	r.next++
-	r.b.Request(r.now, Request{ID: r.next, Class: class, TimeRemaining: 2 * time.Second})
-	return r.next
+	r.lastID++
+	r.b.Request(r.now, Request{ID: r.lastID, Class: class, TimeRemaining: 2 * time.Second})
+	return r.lastID
 }
 
 // sendsOf lists the endpoints that a request was sent to.
@@ -140,8 +140,8 @@
 
 // endAttempt delivers the next outcome of a request.
 func (r *rig) endAttempt(id RequestID, status Status, latency time.Duration) {
-	i := r.done[id]
-	r.done[id]++
+	i := r.delivered[id]
+	r.delivered[id]++
 	r.b.Outcome(r.now, Outcome{ID: id, Attempt: i, Endpoint: r.sendsOf(id)[i], Status: status, Latency: latency,
 		RequestDone: status == OK})
 }
@@ -171,7 +171,7 @@
 	for range n {
 		id := r.request(class)
 		r.advance(latency)
-		if r.done[id] < len(r.sendsOf(id)) {
+		if r.delivered[id] < len(r.sendsOf(id)) {
 			r.endAttempt(id, OK, latency)
 		}
 	}
@@ -179,8 +179,8 @@
 
 // breakers counts the ready endpoints by the state of their breaker.
 func (r *rig) breakers() (count [3]int) {
-	for _, s := range r.b.ready {
-		count[s.breaker.state]++
+	for _, e := range r.b.ready {
+		count[e.breaker.state]++
 	}
 	return count
 }
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -10,9 +10,9 @@
 	for range 60 {
 		id := r.request(0)
 		r.advance(20 * ms)
-		for _, s := range r.sendsOf(id)[r.done[id]:] {
-			if s != hanging.ID {
-				r.done[id] = len(r.sendsOf(id)) - 1
+		for _, endpointID := range r.sendsOf(id)[r.delivered[id]:] {
+			if endpointID != hanging.ID {
+				r.delivered[id] = len(r.sendsOf(id)) - 1
 				r.endAttempt(id, OK, 20*ms)
 				break
 			}
@@ -34,13 +34,13 @@
 	for range 4 {
 		r.request(0)
 	}
-	for _, s := range r.b.ready[:2] {
+	for _, e := range r.b.ready[:2] {
 		for range failuresToOpen {
-			r.b.recordFailure(r.now, &attempt{endpoint: s}, failureReported)
+			r.b.recordFailure(r.now, &attempt{endpoint: e}, failureReported)
 		}
 	}
-	for _, s := range r.b.ready[2:] {
-		for _, a := range append([]*attempt(nil), s.inFlight...) {
+	for _, e := range r.b.ready[2:] {
+		for _, a := range append([]*attempt(nil), e.inFlight...) {
 			r.endAttempt(a.request.ID, OK, 10*ms)
 		}
 	}
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -29,9 +29,9 @@
 func TestWarmingEndpointsAreNoMeasureOfAClass(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	c := &r.b.classes[0]
-	learn := func(s *endpoint) float64 {
+	recordSlowAnswers := func(e *endpoint) float64 {
 		for range 50 {
-			r.b.recordLatency(r.now, &attempt{endpoint: s, unloaded: true}, &request{class: c}, 3*c.unloadedLatency)
+			r.b.recordLatency(r.now, &attempt{endpoint: e, unloaded: true}, &request{class: c}, 3*c.unloadedLatency)
 		}
 		return c.unloadedLatency
 	}
@@ -39,15 +39,15 @@
 		r.b.recordLatency(r.now, &attempt{endpoint: r.b.ready[1], unloaded: true}, &request{class: c}, c.unloadedLatency)
 	}
 	before := c.unloadedLatency
-	s := r.b.ready[0]
-	s.StartedAt = r.now
-	if r.b.capacityShare(s, r.now) >= 1 {
+	warming := r.b.ready[0]
+	warming.StartedAt = r.now
+	if r.b.capacityShare(warming, r.now) >= 1 {
 		t.Fatal("the endpoint is not warming")
 	}
-	if got := learn(s); got != before {
+	if got := recordSlowAnswers(warming); got != before {
 		t.Fatalf("a class is taken to need %v instead of %v", got, before)
 	}
-	if got := learn(r.b.ready[1]); got <= before {
+	if got := recordSlowAnswers(r.b.ready[1]); got <= before {
 		t.Fatal("what a warm endpoint takes is not learnt")
 	}
 }
--- a/policy/outcomes_test.go
+++ b/policy/outcomes_test.go
@@ -10,25 +10,25 @@
 func TestConsecutiveRejectionsPauseAnEndpoint(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	r.serve(30, 0, 20*ms)
-	began, sends := r.now, len(r.h.sends)
+	start, sends := r.now, len(r.h.sends)
 	for range 400 { // one request after the other, for 4 s
 		r.request(0)
 		r.advance(10 * ms)
 		for _, s := range r.h.sends[sends:] {
-			if r.done[s.id] == 0 {
+			if r.delivered[s.id] == 0 {
 				r.endAttempt(s.id, Rejected, 0)
 			}
 		}
 	}
 	pause := time.Duration(r.b.typicalLatency * float64(time.Second))
-	if n := len(r.h.sends) - sends; n < 4 || n > 5+int((r.now-began)/(pause<<4)) {
-		t.Errorf("a full endpoint got %d attempts in %v with a typical latency of %v", n, r.now-began, pause)
+	if n := len(r.h.sends) - sends; n < 4 || n > 5+int((r.now-start)/(pause<<4)) {
+		t.Errorf("a full endpoint got %d attempts in %v with a typical latency of %v", n, r.now-start, pause)
 	}
 	for n := len(r.h.sends); n == len(r.h.sends); r.advance(10 * ms) {
 		r.request(0)
 	}
 	r.endAttempt(r.h.sends[len(r.h.sends)-1].id, OK, 20*ms)
-	if s := r.b.ready[0]; s.consecutiveRejections != 0 || s.pausedUntil != 0 {
+	if e := r.b.ready[0]; e.consecutiveRejections != 0 || e.pausedUntil != 0 {
 		t.Error("an answer did not end the pause")
 	}
 }
@@ -65,17 +65,17 @@
 		r := newRig(t, testSettings(), 3)
 		r.serve(60, 0, 20*ms)
 		r.advance(2 * presumedAliveDuration)
-		s := r.b.subset.members[0]
+		e := r.b.subset.members[0]
 		q := &request{class: &r.b.classes[0]}
 		for range failuresToOpen {
 			if tc.answer > 0 {
-				s.lastAnswerAt = r.now - tc.answer
+				e.lastAnswerAt = r.now - tc.answer
 			}
-			a := &attempt{endpoint: s, request: q, sentAt: r.now}
+			a := &attempt{endpoint: e, request: q, sentAt: r.now}
 			r.b.recordOutcome(r.now, q, a, Outcome{Status: ConnectFailed})
 		}
-		if (s.breaker.state == breakerOpen) != tc.opens {
-			t.Errorf("%s: breaker open %v, want %v", tc.name, s.breaker.state == breakerOpen, tc.opens)
+		if (e.breaker.state == breakerOpen) != tc.opens {
+			t.Errorf("%s: breaker open %v, want %v", tc.name, e.breaker.state == breakerOpen, tc.opens)
 		}
 	}
 }
@@ -85,13 +85,13 @@
 func TestRefusedConnectionsOfADeadServer(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	r.serve(50, 0, 10*ms)
-	s := r.b.endpoints[1]
-	for n := 0; s.breaker.state == breakerClosed; n++ {
+	e := r.b.endpoints[1]
+	for n := 0; e.breaker.state == breakerClosed; n++ {
 		if n > maxPresumedAliveRejections+failuresToOpen {
-			t.Fatalf("%d connections refused %v after its last answer, and it is in use", n, r.now-s.lastAnswerAt)
+			t.Fatalf("%d connections refused %v after its last answer, and it is in use", n, r.now-e.lastAnswerAt)
 		}
 		q := &request{class: &r.b.classes[0], Request: Request{Class: 0}}
-		r.b.recordOutcome(r.now, q, &attempt{endpoint: s, request: q, sentAt: r.now}, Outcome{Status: ConnectFailed})
+		r.b.recordOutcome(r.now, q, &attempt{endpoint: e, request: q, sentAt: r.now}, Outcome{Status: ConnectFailed})
 		r.now += 10 * ms
 	}
 }
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -10,14 +10,14 @@
 	set.PollEndpoints = true
 	r := newRig(t, set, 3)
 	r.advance(firstPollSpread)
-	if r.h.watches != 1 {
-		t.Fatalf("%d polls at the start, want 1", r.h.watches)
+	if r.h.polls != 1 {
+		t.Fatalf("%d polls at the start, want 1", r.h.polls)
 	}
 	r.update(UpdateFailed)
 	r.advance(2 * minPollBackoff)
 	r.update(UpdateFailed)
 	r.advance(set.Rules.MaxPollInterval / 2)
-	if r.h.watches != 3 {
+	if r.h.polls != 3 {
 		t.Fatal("no further poll after a failure")
 	}
 	if len(r.b.ready) != 3 {
@@ -35,15 +35,15 @@
 	for node := range nodes {
 		set := testSettings()
 		set.PollEndpoints, set.NodeCount, set.NodeIndex = true, nodes, node
-		h := newHost()
+		h := newFakeHost()
 		b, err := New(set, uint64(node), h)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.UpdateEndpoints(time.Hour, CachedUpdate, ready(1, 60))
-		r := &rig{t: t, b: b, h: h, now: time.Hour, done: map[RequestID]int{}}
-		if r.request(0); len(h.sends) != 1 || h.watches != 0 {
-			t.Fatalf("%d sends and %d polls at the start, want service by the cached list first", len(h.sends), h.watches)
+		r := &rig{t: t, b: b, h: h, now: time.Hour, delivered: map[RequestID]int{}}
+		if r.request(0); len(h.sends) != 1 || h.polls != 0 {
+			t.Fatalf("%d sends and %d polls at the start, want service by the cached list first", len(h.sends), h.polls)
 		}
 		rigs = append(rigs, r)
 	}
@@ -51,8 +51,8 @@
 	for at := time.Hour; at < time.Hour+20*time.Second; at += 10 * ms {
 		busy = max(0, busy-perSecond*0.01)
 		for _, r := range rigs {
-			before := r.h.watches
-			if r.advance(10 * ms); r.h.watches == before {
+			before := r.h.polls
+			if r.advance(10 * ms); r.h.polls == before {
 				continue
 			}
 			if polls = append(polls, at); busy > 2*perSecond { // would wait for more than 2 s
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -40,9 +40,9 @@
 		}
 		const left = 122*ms + ms/2
 		r.b.classes[2].unloadedLatency = 0.0001 // so that it stays queued to the last
-		r.next++
+		r.lastID++
 		start := r.now
-		r.b.Request(r.now, Request{ID: r.next, Class: 2, TimeRemaining: left})
+		r.b.Request(r.now, Request{ID: r.lastID, Class: 2, TimeRemaining: left})
 		for r.now < start+left+set.Rules.AnswerGrace {
 			r.now += tick // batches, and so timers, come a tick apart
 			due := r.h.timers
@@ -54,11 +54,11 @@
 					r.h.timers = append(r.h.timers, x)
 				}
 			}
-			if _, rejected := r.h.rejected[r.next]; rejected {
+			if _, rejected := r.h.rejected[r.lastID]; rejected {
 				break
 			}
 		}
-		if _, rejected := r.h.rejected[r.next]; !rejected || r.now > start+left+set.Rules.AnswerGrace {
+		if _, rejected := r.h.rejected[r.lastID]; !rejected || r.now > start+left+set.Rules.AnswerGrace {
 			t.Errorf("tick %v: rejected %v, %v after the end", tick, rejected, r.now-start-left)
 		}
 	}
@@ -68,23 +68,23 @@
 // last byte. One that finds no capacity is given up in time, however long its body may take.
 func TestBodyIncomplete(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
-	b, s := r.b, r.b.endpoints[1]
+	b, e := r.b, r.b.endpoints[1]
 	unloadedLatency := b.classes[0].unloadedLatency
 	incomplete := func() RequestID {
-		r.next++
-		b.Request(r.now, Request{ID: r.next, TimeRemaining: time.Second, BodyIncomplete: true})
-		return r.next
+		r.lastID++
+		b.Request(r.now, Request{ID: r.lastID, TimeRemaining: time.Second, BodyIncomplete: true})
+		return r.lastID
 	}
 	for range 20 { // many more than a limit allows
 		incomplete()
 	}
 	r.advance(time.Minute) // slow clients
-	if len(s.inFlight) != 20 || b.concurrency.inFlight != 0 || len(b.openRequests) != 20 {
+	if len(e.inFlight) != 20 || b.concurrency.inFlight != 0 || len(b.openRequests) != 20 {
 		t.Fatalf("%d of 20 were sent, %d count as load, %d are open",
-			len(s.inFlight), b.concurrency.inFlight, len(b.openRequests))
+			len(e.inFlight), b.concurrency.inFlight, len(b.openRequests))
 	}
-	if s.breaker.state != breakerClosed || len(s.breaker.failures) > 0 {
-		t.Fatalf("breaker %v, %d failures", s.breaker.state, len(s.breaker.failures))
+	if e.breaker.state != breakerClosed || len(e.breaker.failures) > 0 {
+		t.Fatalf("breaker %v, %d failures", e.breaker.state, len(e.breaker.failures))
 	}
 	r.endAttempt(1, OK, time.Minute) // answered before its end
 	if b.classes[0].unloadedLatency != unloadedLatency {
@@ -97,8 +97,8 @@
 			t.Fatalf("its time ends after %v", left)
 		}
 	}
-	if b.concurrency.inFlight != 19 || s.incompleteBodies != 0 {
-		t.Errorf("%d count as load, %d as incomplete", b.concurrency.inFlight, s.incompleteBodies)
+	if b.concurrency.inFlight != 19 || e.incompleteBodies != 0 {
+		t.Errorf("%d count as load, %d as incomplete", b.concurrency.inFlight, e.incompleteBodies)
 	}
 	for id := RequestID(2); id <= 20; id++ {
 		r.endAttempt(id, OK, 10*ms)
@@ -113,8 +113,8 @@
 	r.update(DeltaUpdate, Endpoint{ID: 1, State: Ready, Weight: 1, StartedAt: r.now})
 	b.BodyComplete(r.now, orphan, time.Second)
 	r.endAttempt(orphan, Reset, ms)
-	if s := b.endpoints[1]; s.incompleteBodies != 0 || b.concurrency.inFlight != 0 || len(s.inFlight) != 0 {
+	if e := b.endpoints[1]; e.incompleteBodies != 0 || b.concurrency.inFlight != 0 || len(e.inFlight) != 0 {
 		t.Errorf("%d incomplete, %d in flight, %d at the endpoint",
-			s.incompleteBodies, b.concurrency.inFlight, len(s.inFlight))
+			e.incompleteBodies, b.concurrency.inFlight, len(e.inFlight))
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -33,19 +33,19 @@
 // Guards against queueing a request until its deadline when every listed endpoint was tried; and against
 // giving up one that never reached an endpoint, since the list may be about to change.
 func TestGivesUpWhenEveryEndpointWasTried(t *testing.T) {
-	for status, given := range map[Status]bool{ErrorResponse: true, Reset: true, ConnectFailed: false, NeverSent: false} {
+	for status, wantGivenUp := range map[Status]bool{ErrorResponse: true, Reset: true, ConnectFailed: false, NeverSent: false} {
 		r := newRig(t, testSettings(), 2)
 		r.serve(30, 0, 20*ms)
-		id, began := r.request(0), r.now
+		id, start := r.request(0), r.now
 		for range 2 {
 			r.endAttempt(id, status, 20*ms)
 			r.advance(300 * ms)
-			if len(r.sendsOf(id)) == r.done[id] {
+			if len(r.sendsOf(id)) == r.delivered[id] {
 				break
 			}
 		}
-		if _, rejected := r.h.rejected[id]; rejected != given || r.now-began > 800*ms {
-			t.Errorf("status %v everywhere: given up %v, %v after its start", status, rejected, r.now-began)
+		if _, rejected := r.h.rejected[id]; rejected != wantGivenUp || r.now-start > 800*ms {
+			t.Errorf("status %v everywhere: given up %v, %v after its start", status, rejected, r.now-start)
 		}
 	}
 }
--- a/policy/scoring_test.go
+++ b/policy/scoring_test.go
@@ -16,9 +16,9 @@
 	r.endAttempt(id, Rejected, 0)
 	r.advance(ms)
 	r.b.refresh(r.now)
-	for _, s := range r.b.subset.members {
-		if s.ID != full && s.score <= r.b.endpoints[full].score {
-			t.Fatalf("the full endpoint scores %.2f, another %.2f", r.b.endpoints[full].score, s.score)
+	for _, e := range r.b.subset.members {
+		if e.ID != full && e.score <= r.b.endpoints[full].score {
+			t.Fatalf("the full endpoint scores %.2f, another %.2f", r.b.endpoints[full].score, e.score)
 		}
 	}
 }
@@ -53,12 +53,12 @@
 		r.b.ready[1].outcomes.record(r.now, true, 3)
 	}
 	r.b.refresh(r.now)
-	s := r.b.ready
-	if !(s[0].score > s[2].score && s[2].score > s[1].score) {
-		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", s[0].score, s[1].score, s[2].score)
+	endpoints := r.b.ready
+	if !(endpoints[0].score > endpoints[2].score && endpoints[2].score > endpoints[1].score) {
+		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", endpoints[0].score, endpoints[1].score, endpoints[2].score)
 	}
 	r.b.refresh(r.now + 2*outcomeMaxAge)
-	if s[0].score != s[1].score {
+	if endpoints[0].score != endpoints[1].score {
 		t.Fatal("expired outcomes still count: an endpoint that was bad once is never used again")
 	}
 }
@@ -67,36 +67,36 @@
 func TestOutcomesGrowWithUse(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		s := &endpoint{}
+		e := &endpoint{}
 		var model []outcome
 		for step := range 400 {
 			o := outcome{time.Duration(step), rng.IntN(3) > 0, rng.Float64()}
-			s.outcomes.record(o.at, o.success, o.latency)
+			e.outcomes.record(o.at, o.success, o.latency)
 			if model = append(model, o); len(model) > maxOutcomes {
 				model = model[1:]
 			}
 			for len(model) > 0 && rng.IntN(8) == 0 { // as dropExpired does
-				s.outcomes.dropOldest()
+				e.outcomes.dropOldest()
 				model = model[1:]
 			}
 			good := 0
 			for i, want := range model {
-				if *s.outcomes.at(i) != want {
+				if *e.outcomes.at(i) != want {
 					t.Fatalf("seed %d, step %d: outcome %d of %d is %v, want %v",
-						seed, step, i, len(model), *s.outcomes.at(i), want)
+						seed, step, i, len(model), *e.outcomes.at(i), want)
 				}
 				if want.success {
 					good++
 				}
 			}
-			w := &s.outcomes
+			w := &e.outcomes
 			if w.count != len(model) || w.successes != good || len(w.ring) > maxOutcomes {
 				t.Fatalf("seed %d, step %d: %d outcomes, %d successes in a ring of %d; want %d and %d",
 					seed, step, w.count, w.successes, len(w.ring), len(model), good)
 			}
 		}
 	}
-	if s := (&endpoint{}); len(s.outcomes.ring) != 0 {
+	if e := (&endpoint{}); len(e.outcomes.ring) != 0 {
 		t.Error("an endpoint that was never used has space for outcomes")
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -10,13 +10,13 @@
 	r := newRig(t, testSettings(), 2)
 	q := r.b.newRequest(Request{ID: 9, TimeRemaining: time.Second}, &r.b.classes[0])
 	q.deadline = r.now + time.Second
-	s := r.b.ready[0]
-	if !r.b.maySend(r.now, q, s) {
+	e := r.b.ready[0]
+	if !r.b.maySend(r.now, q, e) {
 		t.Fatal("a ready endpoint must pass")
 	}
 	for _, state := range []EndpointState{Draining, Removed} {
-		s.State = state
-		if r.b.maySend(r.now, q, s) {
+		e.State = state
+		if r.b.maySend(r.now, q, e) {
 			t.Errorf("state %d passes the gate", state)
 		}
 	}
@@ -53,12 +53,12 @@
 		e := r.b.endpoints[4].Endpoint
 		e.StartedAt = r.now
 		r.update(DeltaUpdate, e)
-		back, before := r.now, len(r.h.sends)
-		for !r.b.endpoints[4].sentSinceStart && r.now-back < 10*time.Second {
+		restartedAt, before := r.now, len(r.h.sends)
+		for !r.b.endpoints[4].sentSinceStart && r.now-restartedAt < 10*time.Second {
 			request()
 		}
-		if r.now-back > 3*time.Second || len(r.h.sends) == before {
-			t.Fatalf("seed %d: first request %v after its return", seed, r.now-back)
+		if r.now-restartedAt > 3*time.Second || len(r.h.sends) == before {
+			t.Fatalf("seed %d: first request %v after its return", seed, r.now-restartedAt)
 		}
 	}
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -41,7 +41,7 @@
 	} {
 		set := testSettings()
 		tc.change(&set)
-		_, err := New(set, 1, newHost())
+		_, err := New(set, 1, newFakeHost())
 		if err == nil || !strings.Contains(err.Error(), "setting "+tc.field+" ") {
 			t.Errorf("%s: error %v does not name it", tc.field, err)
 		}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -20,13 +20,13 @@
 				restarted[i].StartedAt = r.now
 			}
 			r.update(DeltaUpdate, restarted...)
-			s, c, rules := r.b.endpoints[1], &r.b.classes[0], r.b.settings.Rules
+			e, c, rules := r.b.endpoints[1], &r.b.classes[0], r.b.settings.Rules
 			r.b.refresh(r.now)
 			rate := r.b.warmWorkRate // what a warm endpoint gets
 			var sends []time.Duration
 			for start := r.now; r.now < start+rules.SlowStartWindow; r.now += ms { // the budget alone
-				if work := c.unloadedLatency + 0.001; r.b.slowStartAllows(s, r.now, work) {
-					s.slowStart.RecordSent(work)
+				if work := c.unloadedLatency + 0.001; r.b.slowStartAllows(e, r.now, work) {
+					e.slowStart.RecordSent(work)
 					sends = append(sends, r.now)
 				}
 				within := 0
@@ -35,7 +35,7 @@
 						within++
 					}
 				}
-				most := rate * rules.OverloadDuration.Seconds() * rules.OverloadMultiple * r.b.capacityShare(s, r.now)
+				most := rate * rules.OverloadDuration.Seconds() * rules.OverloadMultiple * r.b.capacityShare(e, r.now)
 				if work := float64(within) * c.unloadedLatency; work > most+c.unloadedLatency {
 					t.Fatalf("sent %.3f s of work within a window, more than %.3f", work, most)
 				}
@@ -43,7 +43,7 @@
 			if len(sends) == 0 {
 				t.Error("a warming endpoint must get some work, or it never shows that it is warm")
 			}
-			if q := r.b.requests[r.request(0)]; !r.b.maySend(r.now, q, s) {
+			if q := r.b.requests[r.request(0)]; !r.b.maySend(r.now, q, e) {
 				t.Error("the budget still holds for a warm endpoint")
 			}
 		})
@@ -53,9 +53,9 @@
 // Guards against one request from each of many nodes at once, as soon as the list announces a start.
 func TestFirstRequestsToAWarmingEndpointAreSpread(t *testing.T) {
 	const nodes = 40
-	inTenth := map[time.Duration]int{}
+	nodesByTenth := map[time.Duration]int{}
 	for seed := range uint64(nodes) {
-		b, err := New(testSettings(), seed, newHost())
+		b, err := New(testSettings(), seed, newFakeHost())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,9 +70,9 @@
 				break
 			}
 		}
-		inTenth[wait/(100*ms)]++
+		nodesByTenth[wait/(100*ms)]++
 	}
-	for tenth, n := range inTenth {
+	for tenth, n := range nodesByTenth {
 		if n > nodes/4 {
 			t.Errorf("%d of %d nodes sent first in tenth %d of a second after the start", n, nodes, tenth)
 		}
@@ -120,11 +120,11 @@
 		r := newRig(t, testSettings(), 1)
 		r.b.SetSlowStartShare(share)
 		r.update(FullUpdate, Endpoint{ID: 1, State: Ready, Weight: 1, StartedAt: r.now})
-		s := r.b.endpoints[1]
+		e := r.b.endpoints[1]
 		for range 200 {
 			r.advance(10 * ms)
-			if r.b.slowStartAllows(s, r.now, 0.02) {
-				s.slowStart.RecordSent(0.02)
+			if r.b.slowStartAllows(e, r.now, 0.02) {
+				e.slowStart.RecordSent(0.02)
 				work += 0.02
 			}
 		}
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// predecessor has used its endpoints, of which the first fails every attempt and has an open breaker with 6 s
+// newPredecessor has used its endpoints, of which the first fails every attempt and has an open breaker with 6 s
 // to go.
-func predecessor(t *testing.T) *rig {
+func newPredecessor(t *testing.T) *rig {
 	t.Helper()
 	r := newRig(t, testSettings(), 4)
 	for range 400 {
 		id := r.request(0)
 		r.advance(10 * ms)
-		for r.done[id] < len(r.sendsOf(id)) {
+		for r.delivered[id] < len(r.sendsOf(id)) {
 			status := OK
-			if r.sendsOf(id)[r.done[id]] == 1 {
+			if r.sendsOf(id)[r.delivered[id]] == 1 {
 				status = ErrorResponse
 			}
 			r.endAttempt(id, status, 10*ms)
@@ -31,9 +31,9 @@
 // half in restoreHalfLife; nothing of an endpoint that has restarted since, nor where the successor has
 // outcomes of its own. A successor without a snapshot knows nothing.
 func TestRestore(t *testing.T) {
-	d := predecessor(t)
-	k := d.b.Snapshot(d.now)
-	k.Load.ConcurrencyLimit = 20
+	predecessor := newPredecessor(t)
+	snapshot := predecessor.b.Snapshot(predecessor.now)
+	snapshot.Load.ConcurrencyLimit = 20
 	for _, c := range []struct {
 		name  string
 		age   time.Duration
@@ -47,36 +47,36 @@
 		{"older", 2 * restoreHalfLife, 1 + 19/4., 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newRig(t, testSettings(), 4)
-			h.now = d.now
-			h.update(DeltaUpdate, Endpoint{ID: 3, State: Ready, Weight: 1, StartedAt: h.now})
-			h.b.endpoints[4].outcomes.record(h.now, true, 1)
-			h.b.Restore(h.now, k, c.age)
-			h.b.refresh(h.now)
-			if math.Abs(h.b.concurrency.limit-c.limit) > 1e-9 {
-				t.Errorf("limit %v, want %v", h.b.concurrency.limit, c.limit)
+			successor := newRig(t, testSettings(), 4)
+			successor.now = predecessor.now
+			successor.update(DeltaUpdate, Endpoint{ID: 3, State: Ready, Weight: 1, StartedAt: successor.now})
+			successor.b.endpoints[4].outcomes.record(successor.now, true, 1)
+			successor.b.Restore(successor.now, snapshot, c.age)
+			successor.b.refresh(successor.now)
+			if math.Abs(successor.b.concurrency.limit-c.limit) > 1e-9 {
+				t.Errorf("limit %v, want %v", successor.b.concurrency.limit, c.limit)
 			}
-			s := h.b.endpoints
-			state, halfOpenIn := s[1].breaker.state, s[1].breaker.halfOpenAt-h.now
+			endpoints := successor.b.endpoints
+			state, halfOpenIn := endpoints[1].breaker.state, endpoints[1].breaker.halfOpenAt-successor.now
 			if state == breakerClosed || halfOpenIn != c.open || (state == breakerHalfOpen) != (c.open == 0) {
 				t.Errorf("breaker %v, a trial in %v, want in %v", state, halfOpenIn, c.open)
 			}
-			if got := s[2].outcomes.count > 0; got != c.count {
+			if got := endpoints[2].outcomes.count > 0; got != c.count {
 				t.Errorf("outcomes count: %v", got)
 			}
-			if s[3].outcomes.count > 0 || s[4].outcomes.count != 1 {
+			if endpoints[3].outcomes.count > 0 || endpoints[4].outcomes.count != 1 {
 				t.Errorf("%d outcomes of a former process count, %d of an endpoint that the successor has used",
-					s[3].outcomes.count, s[4].outcomes.count)
+					endpoints[3].outcomes.count, endpoints[4].outcomes.count)
 			}
-			next := h.b.Snapshot(h.now)
-			if c.age == 0 && (math.Abs(next.Load.TypicalLatency-k.Load.TypicalLatency) > 1e-9 ||
-				next.Endpoints[1].RecentOutcomes[0].Successes != k.Endpoints[1].RecentOutcomes[0].Successes) {
-				t.Errorf("the successor's snapshot is %+v, the predecessor's was %+v", next, k)
+			next := successor.b.Snapshot(successor.now)
+			if c.age == 0 && (math.Abs(next.Load.TypicalLatency-snapshot.Load.TypicalLatency) > 1e-9 ||
+				next.Endpoints[1].RecentOutcomes[0].Successes != snapshot.Endpoints[1].RecentOutcomes[0].Successes) {
+				t.Errorf("the successor's snapshot is %+v, the predecessor's was %+v", next, snapshot)
 			}
 		})
 	}
 	sentToBad := func(h *rig) (n int) {
-		h.now = d.now
+		h.now = predecessor.now
 		h.serve(40, 0, 10*ms)
 		for _, s := range h.h.sends {
 			if s.endpoint == 1 {
@@ -85,9 +85,9 @@
 		}
 		return n
 	}
-	blank, successor := newRig(t, testSettings(), 4), newRig(t, testSettings(), 4)
-	successor.b.Restore(d.now, k, 0)
-	if b, h := sentToBad(blank), sentToBad(successor); h > 0 || b == 0 {
+	withoutSnapshot, successor := newRig(t, testSettings(), 4), newRig(t, testSettings(), 4)
+	successor.b.Restore(predecessor.now, snapshot, 0)
+	if b, h := sentToBad(withoutSnapshot), sentToBad(successor); h > 0 || b == 0 {
 		t.Errorf("%d sends to the bad endpoint, %d without a snapshot", h, b)
 	}
 }
@@ -95,21 +95,21 @@
 // What was learnt of classes and of the load counts by the share of the present endpoints that it was learnt
 // on.
 func TestRestoreFromOtherMachines(t *testing.T) {
-	d := predecessor(t) // of endpoints 1 to 4
-	k := d.b.Snapshot(d.now)
-	k.Load.ConcurrencyLimit, k.Classes[0].UnloadedLatency, k.Classes[0].UnloadedSamples = 21, 4, 100
+	predecessor := newPredecessor(t) // of endpoints 1 to 4
+	snapshot := predecessor.b.Snapshot(predecessor.now)
+	snapshot.Load.ConcurrencyLimit, snapshot.Classes[0].UnloadedLatency, snapshot.Classes[0].UnloadedSamples = 21, 4, 100
 	for _, c := range []struct {
 		first, last int // endpoints of the successor
 		share       float64
 	}{{1, 4, 1}, {3, 6, 0.5}, {11, 14, 0}} {
-		h := newRig(t, testSettings(), 0)
-		h.now = d.now
-		h.update(FullUpdate, ready(c.first, c.last)...)
-		class, limit := &h.b.classes[0], h.b.concurrency.limit
+		successor := newRig(t, testSettings(), 0)
+		successor.now = predecessor.now
+		successor.update(FullUpdate, ready(c.first, c.last)...)
+		class, limit := &successor.b.classes[0], successor.b.concurrency.limit
 		before := class.unloadedLatency
-		h.b.Restore(h.now, k, 0)
-		if want := limit + (21-limit)*c.share; math.Abs(h.b.concurrency.limit-want) > 1e-9 {
-			t.Errorf("endpoints %d to %d: limit %v, want %v", c.first, c.last, h.b.concurrency.limit, want)
+		successor.b.Restore(successor.now, snapshot, 0)
+		if want := limit + (21-limit)*c.share; math.Abs(successor.b.concurrency.limit-want) > 1e-9 {
+			t.Errorf("endpoints %d to %d: limit %v, want %v", c.first, c.last, successor.b.concurrency.limit, want)
 		}
 		want := before + (4-before)*c.share
 		if math.Abs(class.unloadedLatency-want) > 1e-9 || class.unloadedSamples != max(1, 100*c.share) {
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -37,8 +37,8 @@
 		set.NodeCount, set.NodeIndex = nodes, node
 		r := newRig(t, set, endpoints)
 		r.b.refresh(r.now)
-		for _, s := range r.b.subset.members {
-			subsets[s.ID]++
+		for _, e := range r.b.subset.members {
+			subsets[e.ID]++
 		}
 	}
 	for id := EndpointID(1); id <= endpoints; id++ {
--- a/policy/sweep.go
+++ b/policy/sweep.go
@@ -35,7 +35,7 @@
 	b.refresh(now)
 	b.shed(now)
 	next := now + sweepInterval
-	for i := len(b.openRequests) - 1; i >= 0; i-- { // giveUp may move the last request to i
+	for i := len(b.openRequests) - 1; i >= 0; i-- { // giveUp may move the last request, already handled, to i
 		r := b.openRequests[i]
 		switch {
 		case r.streaming:
