--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -15,29 +15,29 @@
 	id := r.request(2)
 	after, ok := r.h.rejected[id]
 	if !ok || after <= 0 || after > time.Second {
-		t.Fatalf("rejected %v with retry-after %v, want at once and within the limit", ok, after)
+		t.Fatalf("rejected %v with Retry-After %v, want an immediate rejection with one above 0 and at most 1s", ok, after)
 	}
 	r.advance(2 * minOpenDuration)
 	trial, second := r.request(0), r.request(0)
 	if len(r.sendsOf(trial)) != 1 {
-		t.Fatal("half-open endpoints must still take their trial")
+		t.Fatal("a half-open endpoint did not get its trial request")
 	}
 	_ = second
 }
 
-// Guards against queueing a keyed request that no endpoint may get any more: the window of its first attempt
-// is over, or no endpoint in its scope is left. It is answered at once, rejected where its scope is all
-// endpoints.
+// Guards against queueing a request with an idempotency key that no endpoint may get any more, because the
+// deduplication window of its first attempt is over or no endpoint in its deduplication scope is left. The request
+// must get its final answer at once. The answer is a rejection if the scope is all endpoints.
 func TestNothingIsQueuedThatNoEndpointMayGet(t *testing.T) {
 	for name, c := range map[string]struct {
 		scope     Scope
 		window    time.Duration
-		endpoints int           // two to a cell
-		took      time.Duration // by each attempt, until it breaks
+		endpoints int           // number of endpoints, two to a cell
+		took      time.Duration // duration of each attempt until its connection breaks
 	}{
-		"its window ends while it waits to be sent again": {ScopeAll, 100 * ms, 9, 80 * ms},
-		"its window was over":                             {ScopeAll, 100 * ms, 9, 150 * ms},
-		"its cell has been tried":                         {ScopeCell, time.Second, 9, 20 * ms},
+		"the window ends during the backoff":        {ScopeAll, 100 * ms, 9, 80 * ms},
+		"the window ended before the attempt broke": {ScopeAll, 100 * ms, 9, 150 * ms},
+		"every endpoint of the cell was tried":      {ScopeCell, time.Second, 9, 20 * ms},
 	} {
 		set := testSettings()
 		set.Limits.AllowHedging = false
@@ -53,14 +53,15 @@
 			}
 			r.endAttempt(id, Reset, c.took)
 			if len(r.sendsOf(id)) == 1 && c.scope == ScopeCell {
-				r.advance(200 * ms) // the other one of its cell
+				r.advance(200 * ms) // time for the retry at the other endpoint of the cell
 			}
 		}
 		if _, rejected := r.h.rejected[id]; !given() || rejected != (c.scope == ScopeAll) {
-			t.Errorf("%s: after %d attempts rejected %v, failed %v", name, r.delivered[id], rejected, r.h.failed[id])
+			t.Errorf("%s: after %d attempts rejected %v, failed %v; want a final answer, a rejection only with ScopeAll",
+				name, r.delivered[id], rejected, r.h.failed[id])
 		}
 	}
-	// One that is queued for capacity when its window ends.
+	// The window ends while the request is queued for capacity.
 	set := testSettings()
 	set.Limits.AllowHedging = false
 	set.Classes[1].DedupScope, set.Classes[1].DedupWindow = ScopeAll, 300*ms
@@ -70,31 +71,32 @@
 	r.advance(20 * ms)
 	r.endAttempt(id, Reset, 20*ms)
 	for range 40 {
-		r.request(0) // no endpoint has capacity for it when its backoff is over
+		r.request(0) // so that no endpoint has capacity when the backoff of the keyed request ends
 	}
 	r.advance(400 * ms)
 	if _, rejected := r.h.rejected[id]; !rejected || len(r.sendsOf(id)) != 1 {
-		t.Errorf("queued for capacity: rejected %v after %d sends", rejected, len(r.sendsOf(id)))
+		t.Errorf("queued for capacity: rejected %v after %d sends, want a rejection after 1 send",
+			rejected, len(r.sendsOf(id)))
 	}
 }
 
-// Guards against saturation at the endpoints: requests beyond their capacity are queued, and those that would
-// be late are rejected while the client can still try elsewhere.
+// Guards against saturating the endpoints. Requests beyond the capacity are queued, and requests that would be
+// answered late are rejected while the client can still try elsewhere.
 func TestRequestsBeyondTheLimitQueueAndAreShedInTime(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 10 {
 		r.request(0)
 	}
 	if n := len(r.h.sends); n > 4 {
-		t.Fatalf("%d requests in flight at two unknown endpoints", n)
+		t.Fatalf("%d requests in flight at two endpoints without outcomes, want at most 4", n)
 	}
 	r.advance(790 * ms)
 	if n := len(r.h.rejected); n < 6 {
-		t.Fatalf("%d of the queued requests rejected before their objective had passed", n)
+		t.Fatalf("%d of the queued requests rejected before their objective deadline, want at least 6", n)
 	}
 }
 
-// Guards against one tenant's surplus taking the capacity of the others.
+// Guards against a tenant whose requests beyond its quota take the capacity of other tenants.
 func TestOverQuotaTrafficWaitsBehindTheRest(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{QuotaPerS: 2}, {QuotaPerS: 100}}
@@ -115,12 +117,12 @@
 	}
 	_ = first
 	if len(r.sendsOf(over)) != 0 || len(r.sendsOf(within)) != 1 {
-		t.Fatal("a request over its tenant's quota was served first")
+		t.Fatal("a request over its tenant's quota was sent before one within its tenant's quota")
 	}
 }
 
-// Guards against waiting so long that the answer comes late, where a node does not see how long others'
-// requests wait: work is wasted, and saturates the endpoints.
+// Guards against queueing requests so long that their answers come late. Among many nodes a node does not see the
+// queues of the others, and the wasted work saturates the endpoints. Therefore requests are shed earlier there.
 func TestThinTrafficShedsBeforeAnAnswerBarelyFits(t *testing.T) {
 	for _, tc := range []struct {
 		nodes int
@@ -132,27 +134,28 @@
 		r.b.refresh(r.now)
 		id := r.request(0)
 		q := r.b.requests[id]
-		r.endAttempt(id, Rejected, ms) // not run, waits for another endpoint
+		r.endAttempt(id, Rejected, ms) // the request has not run and waits for another endpoint
 		r.b.enqueue(q)
 		q.objectiveDeadline = r.now + 2*r.b.expectedLatency(q)
 		r.b.shed(r.now)
 		if _, rejected := r.h.rejected[id]; rejected != tc.shed {
-			t.Errorf("%d nodes: shed %v, want %v", tc.nodes, rejected, tc.shed)
+			t.Errorf("%d nodes: request shed %v, want %v", tc.nodes, rejected, tc.shed)
 		}
 	}
 }
 
-// Guards against ordering queued requests by a guess that busy fleets never correct.
+// Guards against ordering the queue by the initial latency estimates. On busy endpoints no attempt is unloaded, so
+// the order must follow the latencies of all answers.
 func TestQueueOrderFollowsAllAnswers(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	heavy := &request{class: &r.b.classes[0]}
 	for range 50 {
-		r.b.recordLatency(r.now, &attempt{endpoint: r.b.ready[0]}, heavy, 0.9) // never unloaded
+		r.b.recordLatency(r.now, &attempt{endpoint: r.b.ready[0]}, heavy, 0.9) // not unloaded
 	}
-	r.request(0) // fills an endpoint, as does the next
+	r.request(0) // each of these two requests fills an endpoint
 	r.request(0)
 	a, b := r.request(0), r.request(1)
 	if x, y := r.b.requests[a], r.b.requests[b]; x == nil || y == nil || !y.precedes(x) {
-		t.Fatal("a class that takes longer for the same weight must come second")
+		t.Fatal("a request of a class with a higher mean latency and the same weight was queued first")
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -18,11 +18,11 @@
 	r.b.Timer(r.now, 77)
 	r.update(DeltaUpdate, Endpoint{ID: 55, State: Removed})
 	if len(r.h.log) != before {
-		t.Fatalf("stale events led to %v", r.h.log[before:])
+		t.Fatalf("stale events led to the actions %v, want none", r.h.log[before:])
 	}
 	r.b.Request(r.now, Request{ID: 1000, Class: 9, TimeRemaining: time.Second})
 	if _, ok := r.h.rejected[1000]; !ok {
-		t.Fatal("a request of an unknown class got no answer")
+		t.Fatal("a request of an unknown class was not rejected")
 	}
 }
 
@@ -34,6 +34,6 @@
 	r.b.StreamStarted(r.now, id, 0)
 	r.advance(10 * time.Second) // long after the deadline
 	if len(r.sendsOf(id)) != 1 || r.h.failed[id] || r.h.cancels > 0 {
-		t.Fatalf("a running stream was touched: %v", r.h.log)
+		t.Fatalf("a running stream was cancelled, failed or sent again: %v", r.h.log)
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// benchHost takes the actions of a Balancer and records the last attempt and the next sweep.
+// benchHost is a Host that only records the last attempt and the time of the last timer.
 type benchHost struct {
 	id       RequestID
 	sweepAt  time.Duration
@@ -33,13 +33,13 @@
 	}
 	entries := ready(1, endpoints)
 	for i := range entries {
-		entries[i].StartedAt = time.Hour - time.Duration(i)*time.Second // some are warming
+		entries[i].StartedAt = time.Hour - time.Duration(i)*time.Second // the most recently started endpoints are warming
 	}
 	p.UpdateEndpoints(time.Hour, FullUpdate, entries)
 	return p, h
 }
 
-// BenchmarkRequest measures the decisions for one request and its answer.
+// BenchmarkRequest measures the time to handle one request and its answer.
 func BenchmarkRequest(b *testing.B) {
 	for _, endpoints := range []int{10, 100} {
 		for _, nodes := range []int{1, 80} {
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkSweep measures a sweep over requests in flight and a queue under overload.
+// BenchmarkSweep measures a sweep over requests in flight and a long queue, as under overload.
 func BenchmarkSweep(b *testing.B) {
 	p, _ := benchBalancer(b, 20, 1)
 	now := time.Hour
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Guards against attempts after a notice, also by retries and queued requests.
+// Guards against attempts, including retries and queued requests, to an endpoint that was announced as draining or
+// removed.
 func TestNothingIsSentToDrainingOrRemovedEndpoints(t *testing.T) {
 	set := testSettings()
 	r := newRig(t, set, 2)
-	for i := range 20 { // more than there is capacity for: some are queued
+	for i := range 20 { // more requests than there is capacity for, so that some are queued
 		r.request(i % 3)
 	}
 	first := r.h.sends[0]
-	r.endAttempt(first.id, ErrorResponse, ms) // waits for its backoff
+	r.endAttempt(first.id, ErrorResponse, ms) // the request is in backoff
 	r.update(DeltaUpdate, Endpoint{ID: 1, State: Draining})
 	r.update(DeltaUpdate, Endpoint{ID: 2, State: Removed})
 	before := len(r.h.sends)
 	r.advance(3 * time.Second)
 	if len(r.h.sends) != before {
-		t.Fatalf("sent %v after the notices", r.h.sends[before:])
+		t.Fatalf("sent %v after the endpoints were announced as draining or removed, want nothing", r.h.sends[before:])
 	}
 	r.update(FullUpdate, ready(2, 3)...)
 	if id := r.request(0); len(r.sendsOf(id)) != 1 {
-		t.Fatal("the full list's endpoints are not used")
+		t.Fatal("a request was not sent to the endpoints of the full update")
 	}
 }
 
-// Endpoints are replaced under ever new ids. One that drains and is then missing from a full update is
-// forgotten like one that was ready.
+// Guards against a memory leak when endpoints are continually replaced under new ids. An endpoint that is draining
+// and then missing from a full update must be removed, as a ready one is.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for i := 5; i < 3000; i++ {
@@ -38,12 +39,12 @@
 		r.now += ms
 	}
 	if n := len(r.b.endpoints); n > 4 {
-		t.Errorf("%d endpoints are remembered, want the 4 listed", n)
+		t.Errorf("%d endpoints are stored, want at most the 4 listed", n)
 	}
 }
 
-// Guards against attempts to an endpoint's former process that use up the capacity of the new one though they
-// are not answered.
+// Guards against attempts to an endpoint's former process that keep occupying capacity after a restart although
+// they will not be answered.
 func TestRestartFreesTheCapacityOfTheFormerProcess(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	first, second := r.request(0), r.request(0)
@@ -57,37 +58,38 @@
 	r.now += ms
 	r.update(DeltaUpdate, restarted...)
 	if r.b.concurrency.inFlight != 0 || len(r.b.endpoints[1].inFlight)+len(r.b.endpoints[2].inFlight) != 0 {
-		t.Fatalf("%d attempts use up the capacity of new processes", r.b.concurrency.inFlight)
+		t.Fatalf("%d attempts to former processes count against the concurrency limit, or some against an endpoint; want 0",
+			r.b.concurrency.inFlight)
 	}
 	r.endAttempt(first, Reset, ms)
 	r.endAttempt(second, Timeout, time.Second)
 	if r.b.concurrency.inFlight < 0 {
-		t.Fatalf("%d attempts in flight", r.b.concurrency.inFlight)
+		t.Fatalf("%d attempts in flight, want at least 0", r.b.concurrency.inFlight)
 	}
 }
 
-// Guards against counts that go wrong when an endpoint leaves the list and comes back while attempts are in
-// flight there, and when events name what has ended.
+// Guards against wrong counts when an endpoint leaves the list and returns while attempts are in flight there, and
+// when events refer to requests or attempts that have ended.
 func TestRelistedEndpointAndStaleEventsKeepCountsRight(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	first, second := r.request(0), r.request(2)
 	r.update(FullUpdate, ready(2, 2)...)
 	r.update(FullUpdate, ready(1, 2)...)
 	if len(r.b.ready) != 2 {
-		t.Fatalf("%d endpoints ready after one came back, want 2", len(r.b.ready))
+		t.Fatalf("%d endpoints ready after one returned to the list, want 2", len(r.b.ready))
 	}
 	r.endAttempt(first, OK, 20*ms)
-	r.b.ClientDisconnected(r.now, first) // in the batch of its end
+	r.b.ClientDisconnected(r.now, first) // in the same batch as the answer
 	r.b.ClientDisconnected(r.now, second)
 	if r.h.cancels != 1 || len(r.h.rejected)+len(r.h.failed) != 0 {
-		t.Fatalf("%d cancels, answers %v %v; want one cancel", r.h.cancels, r.h.rejected, r.h.failed)
+		t.Fatalf("%d cancels, rejected %v, failed %v; want one cancel and no final answer", r.h.cancels, r.h.rejected, r.h.failed)
 	}
 	r.endAttempt(second, Cancelled, 20*ms)
 	r.b.Outcome(r.now, Outcome{ID: second, Status: OK}) // repeated
 	r.b.Outcome(r.now, Outcome{ID: 999, Attempt: 3, Status: ErrorResponse})
 	r.b.StreamStarted(r.now, 999, 0)
 	if r.b.concurrency.inFlight != 0 || len(r.b.requests) != 0 || len(r.b.openRequests) != 0 {
-		t.Fatalf("%d in flight, %d known, %d open at the end",
+		t.Fatalf("at the end %d attempts are in flight, %d requests stored, %d requests open; want 0 of each",
 			r.b.concurrency.inFlight, len(r.b.requests), len(r.b.openRequests))
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"yokestall/policy"
 )
 
-// printer is a Host that prints its actions and records the time of the last timer.
+// printer is a Host that prints the actions of its Balancer, except timers, and records the time of the last timer.
 type printer struct{ timerAt time.Duration }
 
 func (p *printer) Send(id policy.RequestID, _ policy.EndpointID, _ time.Duration) {
@@ -37,7 +37,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := time.Second // any monotonic clock
+	now := time.Second // a time of any monotonic clock
 	b.UpdateEndpoints(now, policy.FullUpdate, []policy.Endpoint{
 		{ID: 1, State: policy.Ready, Weight: 1},
 		{ID: 2, State: policy.Ready, Weight: 1},
@@ -49,7 +49,7 @@
 
 	b.Request(now, policy.Request{ID: 2, TimeRemaining: 2 * time.Second})
 	b.Outcome(now, policy.Outcome{ID: 2, Status: policy.ErrorResponse, Latency: time.Millisecond})
-	for range 10 { // the timers fire until the retry after its backoff
+	for range 10 { // fire timers until the backoff of the retry has ended
 		now = max(now, host.timerAt)
 		b.Timer(now, 0)
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -19,11 +19,13 @@
 	log      []string
 }
 
+// sentAttempt is one call of Host.Send.
 type sentAttempt struct {
 	id       RequestID
 	endpoint EndpointID
 }
 
+// timer is one call of Host.SetTimer.
 type timer struct {
 	at    time.Duration
 	token uint64
@@ -63,11 +65,11 @@
 }
 
 func (h *fakeHost) RequestPoll() {
-	h.logf("watch")
+	h.logf("poll")
 	h.polls++
 }
 
-// testSettings has an idempotent, a keyed and a non-idempotent class, in this order.
+// testSettings returns settings with three classes: idempotent, idempotent by key and not idempotent, in this order.
 func testSettings() Settings {
 	s := Defaults()
 	class := Class{Deadline: 2 * time.Second, LatencyObjective: 800 * ms, PriorityWeight: 1}
@@ -84,16 +86,17 @@
 	return s
 }
 
-// rig drives a Balancer against a fakeHost and controls its clock.
+// rig drives a Balancer with a fakeHost and controls its clock.
 type rig struct {
 	t         *testing.T
 	b         *Balancer
 	h         *fakeHost
 	now       time.Duration
 	lastID    RequestID
-	delivered map[RequestID]int // outcomes delivered, by request
+	delivered map[RequestID]int // number of outcomes delivered for each request
 }
 
+// newRig returns a rig whose Balancer has a cached list of the given number of ready endpoints.
 func newRig(t *testing.T, set Settings, endpoints int) *rig {
 	t.Helper()
 	h := newFakeHost()
@@ -106,7 +109,7 @@
 	return r
 }
 
-// ready returns entries for endpoints first to last, two to a cell, five to a zone.
+// ready returns entries for the ready endpoints with the ids first to last, two in each cell and five in each zone.
 func ready(first, last int) []Endpoint {
 	var entries []Endpoint
 	for i := first; i <= last; i++ {
@@ -120,14 +123,14 @@
 // update delivers an endpoint update.
 func (r *rig) update(kind UpdateKind, entries ...Endpoint) { r.b.UpdateEndpoints(r.now, kind, entries) }
 
-// request sends a request of a class and returns its id.
+// request delivers a new request of a class, with 2 s remaining, and returns its id.
 func (r *rig) request(class int) RequestID {
 	r.lastID++
 	r.b.Request(r.now, Request{ID: r.lastID, Class: class, TimeRemaining: 2 * time.Second})
 	return r.lastID
 }
 
-// sendsOf lists the endpoints that a request was sent to.
+// sendsOf returns the endpoints that a request was sent to, in the order of the sends.
 func (r *rig) sendsOf(id RequestID) []EndpointID {
 	var endpoints []EndpointID
 	for _, s := range r.h.sends {
@@ -138,7 +141,7 @@
 	return endpoints
 }
 
-// endAttempt delivers the next outcome of a request.
+// endAttempt delivers the outcome of the request's earliest attempt that has none yet.
 func (r *rig) endAttempt(id RequestID, status Status, latency time.Duration) {
 	i := r.delivered[id]
 	r.delivered[id]++
@@ -146,7 +149,7 @@
 		RequestDone: status == OK})
 }
 
-// advance moves the clock and fires the timers that fall due.
+// advance moves the clock by d and fires the timers that expire meanwhile.
 func (r *rig) advance(d time.Duration) {
 	for end := r.now + d; ; {
 		due := -1
@@ -166,7 +169,7 @@
 	}
 }
 
-// serve sends n requests of a class, one after the other, each answered with the same latency.
+// serve delivers n requests of a class, one after the other, and answers each with the given latency.
 func (r *rig) serve(n, class int, latency time.Duration) {
 	for range n {
 		id := r.request(class)
@@ -177,7 +180,7 @@
 	}
 }
 
-// breakers counts the ready endpoints by the state of their breaker.
+// breakers returns the number of ready endpoints for each state of their breakers.
 func (r *rig) breakers() (count [3]int) {
 	for _, e := range r.b.ready {
 		count[e.breaker.state]++
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Guards against counting on an endpoint that answers nothing until its timeout.
+// Guards against sending further requests to an endpoint that answers nothing until their timeouts expire. The
+// endpoint must be avoided as soon as its attempts are unresponsive, and hedged requests must be sent for them.
 func TestUnresponsiveEndpointIsAvoidedBeforeAnyTimeout(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	r.serve(100, 0, 20*ms)
@@ -19,16 +20,17 @@
 		}
 	}
 	if n := len(hanging.inFlight); n > 3 {
-		t.Fatalf("%d requests wait at an endpoint that answers nothing", n)
+		t.Fatalf("%d requests in flight at an endpoint that answers nothing, want at most 3", n)
 	}
 	for _, a := range hanging.inFlight {
 		if len(a.request.attempts) != 2 {
-			t.Fatal("no hedged request was sent for a request that got no answer")
+			t.Fatal("a request at an endpoint that answers nothing does not have exactly one hedged request")
 		}
 	}
 }
 
-// Guards against a stop of all sends when endpoints with attempts in flight vanish.
+// Guards against a stop of all sends when endpoints with attempts in flight are ejected: these attempts must not
+// count against the concurrency limit.
 func TestAttemptsAtEjectedEndpointsDoNotCountInTheLimit(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 4 {
@@ -45,6 +47,6 @@
 		}
 	}
 	if id := r.request(0); len(r.sendsOf(id)) != 1 {
-		t.Fatal("an endpoint is left idle because ejected ones have attempts in flight")
+		t.Fatal("a request was not sent to an idle endpoint because ejected endpoints have attempts in flight")
 	}
 }
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Guards against a second effect and against a false promise, under every outcome.
+// Guards against a second effect of a request and against a rejection that falsely promises no effect, for every
+// status of an attempt and every kind of idempotency.
 func TestIdempotencyUnderEveryOutcome(t *testing.T) {
 	const retried, rejected, failed = "retried", "rejected", "failed"
 	for _, tc := range []struct {
@@ -39,22 +40,22 @@
 				got = failed
 			}
 			if got != tc.want {
-				t.Fatalf("got %s, want %s", got, tc.want)
+				t.Fatalf("request was %s, want %s", got, tc.want)
 			}
 			if s := r.sendsOf(id); len(s) == 2 {
 				if s[0] == s[1] {
-					t.Fatal("retried at the endpoint that failed")
+					t.Fatal("request was retried at the endpoint that it had been sent to before")
 				}
 				ran := tc.status == ErrorResponse || tc.status == Timeout || tc.status == Reset
 				if tc.class == 1 && ran && s[0]/2 != s[1]/2 {
-					t.Fatalf("keyed request left its scope, the cell: %v", s)
+					t.Fatalf("request with an idempotency key was sent to %v, want only endpoints of one cell", s)
 				}
 			}
 		})
 	}
 }
 
-// Guards against repeating a keyed request whose deduplication window is over.
+// Guards against repeating a request with an idempotency key after its deduplication window.
 func TestDedupWindow(t *testing.T) {
 	set := testSettings()
 	set.Limits.AllowHedging = false
@@ -65,6 +66,6 @@
 	r.endAttempt(id, ErrorResponse, 150*ms)
 	r.advance(300 * ms)
 	if n := len(r.sendsOf(id)); n != 1 || !r.h.failed[id] {
-		t.Fatalf("%d sends, failed %v; want one send and a failure", n, r.h.failed[id])
+		t.Fatalf("%d sends, failed %v; want 1 send and a failed request", n, r.h.failed[id])
 	}
 }
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// invariantHost plays a random script against one Balancer and checks the rules on each action: one final answer in
-// time, no effect twice, no send after a notice, no attempt too many.
+// invariantHost delivers random events to one Balancer and checks invariants at each action: one final answer for
+// each request and in time, no second effect, no send to an endpoint that is not ready, and no more attempts than
+// allowed.
 type invariantHost struct {
 	*fakeHost
 	t            *testing.T
@@ -21,6 +22,7 @@
 	endpoints    map[EndpointID]Endpoint
 }
 
+// trackedRequest is the state of a request as the host knows it.
 type trackedRequest struct {
 	class    Class
 	deadline time.Duration
@@ -28,6 +30,7 @@
 	done     bool
 }
 
+// trackedAttempt is the state of an attempt as the host knows it.
 type trackedAttempt struct {
 	endpoint Endpoint
 	sent     time.Duration
@@ -35,67 +38,68 @@
 	neverRan bool
 }
 
-func (w *invariantHost) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
-	w.fakeHost.Send(id, endpoint, timeout)
-	p, e := w.requests[id], w.endpoints[endpoint]
+func (h *invariantHost) Send(id RequestID, endpoint EndpointID, timeout time.Duration) {
+	h.fakeHost.Send(id, endpoint, timeout)
+	r, e := h.requests[id], h.endpoints[endpoint]
 	switch {
-	case p == nil || p.done:
-		w.t.Errorf("%v: sent request %d, which is finished", w.now, id)
+	case r == nil || r.done:
+		h.t.Errorf("%v: request %d was sent after its final answer", h.now, id)
 		return
 	case e.State != Ready:
-		w.t.Errorf("%v: sent request %d to endpoint %d in state %d", w.now, id, endpoint, e.State)
-	case len(p.attempts) >= 4:
-		w.t.Errorf("%v: request %d has too many attempts", w.now, id)
+		h.t.Errorf("%v: request %d was sent to endpoint %d in state %d, want only ready endpoints", h.now, id, endpoint, e.State)
+	case len(r.attempts) >= 4:
+		h.t.Errorf("%v: request %d has more than 4 attempts", h.now, id)
 	}
-	for _, a := range p.attempts {
+	for _, a := range r.attempts {
 		if a.neverRan {
 			continue
 		}
-		if p.class.Idempotency == NotIdempotent {
-			w.t.Errorf("%v: non-idempotent request %d sent again though it may have run", w.now, id)
+		if r.class.Idempotency == NotIdempotent {
+			h.t.Errorf("%v: request %d, which is not idempotent, was sent again though it may have run", h.now, id)
 		}
-		if p.class.Idempotency == IdempotentByKey &&
-			(a.endpoint.Cell != e.Cell || w.now-a.sent >= p.class.DedupWindow) {
-			w.t.Errorf("%v: keyed request %d repeated outside its scope or window", w.now, id)
+		if r.class.Idempotency == IdempotentByKey &&
+			(a.endpoint.Cell != e.Cell || h.now-a.sent >= r.class.DedupWindow) {
+			h.t.Errorf("%v: request %d with an idempotency key was repeated outside its deduplication scope or window", h.now, id)
 		}
 	}
-	p.attempts = append(p.attempts, &trackedAttempt{endpoint: e, sent: w.now, inFlight: true})
+	r.attempts = append(r.attempts, &trackedAttempt{endpoint: e, sent: h.now, inFlight: true})
 }
 
-func (w *invariantHost) recordFinalAnswer(id RequestID) *trackedRequest {
-	w.finalAnswers[id]++
-	p := w.requests[id]
+func (h *invariantHost) recordFinalAnswer(id RequestID) *trackedRequest {
+	h.finalAnswers[id]++
+	p := h.requests[id]
 	if p == nil || p.done {
-		w.t.Errorf("%v: request %d answered twice", w.now, id)
+		h.t.Errorf("%v: request %d has a second final answer or is unknown", h.now, id)
 		return &trackedRequest{}
 	}
-	if w.now > p.deadline+20*ms {
-		w.t.Errorf("%v: request %d answered after its end at %v", w.now, id, p.deadline)
+	if h.now > p.deadline+20*ms {
+		h.t.Errorf("%v: request %d has its final answer more than 20 ms after its deadline %v", h.now, id, p.deadline)
 	}
 	p.done = true
 	return p
 }
 
-func (w *invariantHost) Reject(id RequestID, after time.Duration) {
-	w.fakeHost.Reject(id, after)
-	p := w.recordFinalAnswer(id)
+func (h *invariantHost) Reject(id RequestID, after time.Duration) {
+	h.fakeHost.Reject(id, after)
+	p := h.recordFinalAnswer(id)
 	for _, a := range p.attempts {
 		if !a.neverRan && p.class.Idempotency != Idempotent {
-			w.t.Errorf("%v: request %d rejected though it may have run", w.now, id)
+			h.t.Errorf("%v: request %d is not idempotent and was rejected though it may have run", h.now, id)
 		}
 	}
 }
 
-func (w *invariantHost) Fail(id RequestID) {
-	w.fakeHost.Fail(id)
-	w.recordFinalAnswer(id)
+func (h *invariantHost) Fail(id RequestID) {
+	h.fakeHost.Fail(id)
+	h.recordFinalAnswer(id)
 }
 
-// endAttempt ends attempt i of a request with a random status, or by its deadline.
-func (w *invariantHost) endAttempt(id RequestID, p *trackedRequest, i int) {
+// endAttempt ends attempt i of a request. The status is Cancelled for a request that is done, else Timeout after the
+// deadline, else random.
+func (h *invariantHost) endAttempt(id RequestID, p *trackedRequest, i int) {
 	a := p.attempts[i]
-	status := []Status{OK, OK, OK, ErrorResponse, Rejected, Timeout, ConnectFailed, Reset}[w.rng.IntN(8)]
-	if w.now >= p.deadline {
+	status := []Status{OK, OK, OK, ErrorResponse, Rejected, Timeout, ConnectFailed, Reset}[h.rng.IntN(8)]
+	if h.now >= p.deadline {
 		status = Timeout
 	}
 	if p.done {
@@ -104,97 +108,99 @@
 	a.inFlight = false
 	a.neverRan = status == Rejected || status == ConnectFailed
 	if status == OK {
-		w.recordFinalAnswer(id)
+		h.recordFinalAnswer(id)
 	}
-	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Endpoint: a.endpoint.ID, Status: status,
-		Latency: w.now - a.sent, RequestDone: p.done})
+	h.b.Outcome(h.now, Outcome{ID: id, Attempt: i, Endpoint: a.endpoint.ID, Status: status,
+		Latency: h.now - a.sent, RequestDone: p.done})
 }
 
-func (w *invariantHost) step(ids []RequestID) {
+func (h *invariantHost) step(ids []RequestID) {
 	for _, id := range ids {
-		p := w.requests[id]
+		p := h.requests[id]
 		for i, a := range p.attempts {
-			if a.inFlight && (w.now >= p.deadline || p.done || w.rng.IntN(12) == 0) {
-				w.endAttempt(id, p, i)
+			if a.inFlight && (h.now >= p.deadline || p.done || h.rng.IntN(12) == 0) {
+				h.endAttempt(id, p, i)
 			}
 		}
-		if !p.done && w.rng.IntN(400) == 0 {
+		if !p.done && h.rng.IntN(400) == 0 {
 			p.done = true
-			w.finalAnswers[id]++
-			w.b.ClientDisconnected(w.now, id)
+			h.finalAnswers[id]++
+			h.b.ClientDisconnected(h.now, id)
 		}
 	}
 	var due []timer
-	pending := w.timers[:0]
-	for _, t := range w.timers {
-		if t.at <= w.now {
+	pending := h.timers[:0]
+	for _, t := range h.timers {
+		if t.at <= h.now {
 			due = append(due, t)
 		} else {
 			pending = append(pending, t)
 		}
 	}
-	w.timers = pending
+	h.timers = pending
 	for _, t := range due {
-		w.b.Timer(w.now, t.token)
+		h.b.Timer(h.now, t.token)
 	}
 }
 
-// changeEndpoint drains, removes, restarts or adds an endpoint.
-func (w *invariantHost) changeEndpoint(start time.Duration) {
-	id := EndpointID(1 + w.rng.IntN(12))
-	e := Endpoint{ID: id, Cell: int(id) / 3, Weight: 1, State: EndpointState(w.rng.IntN(3))}
-	if w.rng.IntN(3) == 0 {
+// changeEndpoint changes the state of a random endpoint, restarts it or adds it.
+func (h *invariantHost) changeEndpoint(start time.Duration) {
+	id := EndpointID(1 + h.rng.IntN(12))
+	e := Endpoint{ID: id, Cell: int(id) / 3, Weight: 1, State: EndpointState(h.rng.IntN(3))}
+	if h.rng.IntN(3) == 0 {
 		e.State, e.StartedAt = Ready, start
 	}
-	w.endpoints[id] = e
-	w.b.UpdateEndpoints(w.now, DeltaUpdate, []Endpoint{e})
+	h.endpoints[id] = e
+	h.b.UpdateEndpoints(h.now, DeltaUpdate, []Endpoint{e})
 }
 
+// runScript delivers the random events of a seed and checks that every request has exactly one final answer. It
+// returns the actions of the Balancer.
 func runScript(t *testing.T, seed uint64) []string {
 	set := testSettings()
 	set.Classes[0].LateWeight = 0.5
 	set.Tenants = []Tenant{{QuotaPerS: 50}}
-	w := &invariantHost{fakeHost: newFakeHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
+	h := &invariantHost{fakeHost: newFakeHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
 		requests: map[RequestID]*trackedRequest{}, finalAnswers: map[RequestID]int{}, endpoints: map[EndpointID]Endpoint{}}
-	b, err := New(set, seed, w)
+	b, err := New(set, seed, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.b = b
+	h.b = b
 	entries := ready(1, 8)
 	for i := range entries {
 		entries[i].Cell = int(entries[i].ID) / 3
-		w.endpoints[entries[i].ID] = entries[i]
+		h.endpoints[entries[i].ID] = entries[i]
 	}
-	b.UpdateEndpoints(w.now, CachedUpdate, entries)
+	b.UpdateEndpoints(h.now, CachedUpdate, entries)
 	var ids []RequestID
 	for step := range 4000 {
-		w.now += 5 * ms
-		for range w.rng.IntN(4) {
+		h.now += 5 * ms
+		for range h.rng.IntN(4) {
 			if step >= 3500 {
 				break // let it run dry
 			}
 			id := RequestID(len(ids) + 1)
-			class := w.rng.IntN(3)
-			left := time.Duration(300+w.rng.IntN(1700)) * ms
+			class := h.rng.IntN(3)
+			left := time.Duration(300+h.rng.IntN(1700)) * ms
 			ids = append(ids, id)
-			w.requests[id] = &trackedRequest{class: set.Classes[class], deadline: w.now + left}
-			b.Request(w.now, Request{ID: id, Class: class, TimeRemaining: left})
+			h.requests[id] = &trackedRequest{class: set.Classes[class], deadline: h.now + left}
+			b.Request(h.now, Request{ID: id, Class: class, TimeRemaining: left})
 		}
-		if w.rng.IntN(60) == 0 {
-			w.changeEndpoint(w.now)
+		if h.rng.IntN(60) == 0 {
+			h.changeEndpoint(h.now)
 		}
-		w.step(ids)
+		h.step(ids)
 	}
 	for _, id := range ids {
-		if w.finalAnswers[id] != 1 {
-			t.Errorf("request %d got %d final answers", id, w.finalAnswers[id])
+		if h.finalAnswers[id] != 1 {
+			t.Errorf("request %d got %d final answers, want 1", id, h.finalAnswers[id])
 		}
 	}
 	if len(b.requests) > 0 || len(b.openRequests) > 0 {
-		t.Errorf("%d requests and %d open ones remembered at the end", len(b.requests), len(b.openRequests))
+		t.Errorf("%d requests and %d open requests stored at the end, want none", len(b.requests), len(b.openRequests))
 	}
-	return w.log
+	return h.log
 }
 
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
@@ -210,7 +216,7 @@
 	t.Parallel()
 	one, two := runScript(t, 3), runScript(t, 3)
 	if a, b := strings.Join(one, "\n"), strings.Join(two, "\n"); a != b {
-		t.Fatal("two runs of the same script differ")
+		t.Fatal("two runs with the same events and seed have different actions")
 	}
 }
 
@@ -231,6 +237,6 @@
 	drive(a, b)
 	want := strings.Join(alone.h.log, "\n")
 	if strings.Join(a.h.log, "\n") != want || strings.Join(b.h.log, "\n") != want {
-		t.Fatal("interleaved instances act unlike a single one")
+		t.Fatal("interleaved Balancers have other actions than a single one with the same events")
 	}
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against an unloaded latency that grows with the load: no other request of this node is not no other
-// request.
+// Guards against an unloaded latency that grows with the load. An attempt that is this node's only one at an endpoint
+// may still share the endpoint with requests of other nodes.
 func TestUnloadedLatenciesAreLearntOnlyWithoutLoad(t *testing.T) {
 	set := testSettings()
 	set.NodeCount = 7
@@ -20,12 +20,13 @@
 		}
 	}
 	if unloaded == 0 || sends < 5 || unloaded > 4 {
-		t.Fatalf("%d of %d requests count as unloaded, want the first few", unloaded, sends)
+		t.Fatalf("%d of %d attempts count as unloaded, want 1 to 4 of at least 5", unloaded, sends)
 	}
 }
 
-// Guards against a fleet in slow start being charged for its own slowness: what unloaded requests take on
-// warming endpoints is no measure of their class.
+// Guards against a class's unloaded latency that rises because endpoints are warming; it would raise the work that is
+// charged to their slow-start budgets. Latencies on warming endpoints must not change the estimate of a class that
+// is known from warm endpoints.
 func TestWarmingEndpointsAreNoMeasureOfAClass(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	c := &r.b.classes[0]
@@ -35,7 +36,7 @@
 		}
 		return c.unloadedLatency
 	}
-	for range 12 { // known from warm ones
+	for range 12 { // so that the class has samples from a warm endpoint
 		r.b.recordLatency(r.now, &attempt{endpoint: r.b.ready[1], unloaded: true}, &request{class: c}, c.unloadedLatency)
 	}
 	before := c.unloadedLatency
@@ -45,9 +46,9 @@
 		t.Fatal("the endpoint is not warming")
 	}
 	if got := recordSlowAnswers(warming); got != before {
-		t.Fatalf("a class is taken to need %v instead of %v", got, before)
+		t.Fatalf("unloaded latency of the class is %v after answers of a warming endpoint, want %v", got, before)
 	}
 	if got := recordSlowAnswers(r.b.ready[1]); got <= before {
-		t.Fatal("what a warm endpoint takes is not learnt")
+		t.Fatal("higher latencies on a warm endpoint did not raise the unloaded latency of the class")
 	}
 }
--- a/policy/outcomes_test.go
+++ b/policy/outcomes_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a full endpoint that always has capacity by the node's count: with the others at their
-// limits it attracted every queued request, and rejected each.
+// Guards against a full endpoint that attracts requests because it always has capacity by the node's own count. While
+// the other endpoints were at their limits, such an endpoint got every queued request and rejected each.
 func TestConsecutiveRejectionsPauseAnEndpoint(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	r.serve(30, 0, 20*ms)
@@ -22,27 +22,28 @@
 	}
 	pause := time.Duration(r.b.typicalLatency * float64(time.Second))
 	if n := len(r.h.sends) - sends; n < 4 || n > 5+int((r.now-start)/(pause<<4)) {
-		t.Errorf("a full endpoint got %d attempts in %v with a typical latency of %v", n, r.now-start, pause)
+		t.Errorf("a full endpoint got %d attempts in %v with a typical latency of %v, want at least 4 and pauses between them",
+			n, r.now-start, pause)
 	}
 	for n := len(r.h.sends); n == len(r.h.sends); r.advance(10 * ms) {
 		r.request(0)
 	}
 	r.endAttempt(r.h.sends[len(r.h.sends)-1].id, OK, 20*ms)
 	if e := r.b.ready[0]; e.consecutiveRejections != 0 || e.pausedUntil != 0 {
-		t.Error("an answer did not end the pause")
+		t.Error("an answer did not reset the consecutive rejections and the pause")
 	}
 }
 
-// Guards against pauses at every endpoint where many reject a request now and then: all pause at once, and
-// what waits for capacity is shed though endpoints have some.
+// Guards against pauses of all endpoints at once while many endpoints occasionally reject a request. Queued requests
+// would then be shed although endpoints have capacity.
 func TestSingleRejectionPausesNoEndpoint(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	r.serve(30, 0, 20*ms)
-	for i, sent := range []bool{true, true, false} { // by the rejections before it, in a row
+	for i, sent := range []bool{true, true, false} { // indexed by the number of consecutive rejections before the request
 		before := len(r.h.sends)
 		id := r.request(0)
 		if (len(r.h.sends) > before) != sent {
-			t.Fatalf("after %d rejections in a row: sent %v, want %v", i, !sent, sent)
+			t.Fatalf("after %d consecutive rejections: request sent %v, want %v", i, !sent, sent)
 		}
 		if sent {
 			r.endAttempt(id, Rejected, ms)
@@ -50,13 +51,13 @@
 	}
 }
 
-// Guards against ejecting endpoints that are out of connections as if they were dead, by all nodes at once:
-// an endpoint that answers on its open connections is only full.
+// Guards against all nodes ejecting an endpoint that has reached its connection limit, as if it were down. An endpoint
+// that still answers on its open connections is only full.
 func TestRefusedConnectionsAfterAnAnswerAreRejections(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		answer time.Duration // this long before each refused connection; 0: none lately
-		opens  bool
+		answer time.Duration // time from an answer to each refused connection; 0 means no recent answer
+		opens  bool          // whether the breaker opens
 	}{
 		{"dead", 0, true},
 		{"out of connections", presumedAliveDuration / 2, false},
@@ -80,15 +81,15 @@
 	}
 }
 
-// An endpoint that refuses connections soon after an answer is out of them, but not for as long as it answers
-// nothing at all: then it is dead, and its breaker opens.
+// Guards against treating an endpoint that is down as only full. An endpoint that refuses connections soon after an
+// answer may have reached its connection limit, but if it then answers nothing its breaker must open.
 func TestRefusedConnectionsOfADeadServer(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	r.serve(50, 0, 10*ms)
 	e := r.b.endpoints[1]
 	for n := 0; e.breaker.state == breakerClosed; n++ {
 		if n > maxPresumedAliveRejections+failuresToOpen {
-			t.Fatalf("%d connections refused %v after its last answer, and it is in use", n, r.now-e.lastAnswerAt)
+			t.Fatalf("%d connections refused up to %v after the last answer, want the breaker open", n, r.now-e.lastAnswerAt)
 		}
 		q := &request{class: &r.b.classes[0], Request: Request{Class: 0}}
 		r.b.recordOutcome(r.now, q, &attempt{endpoint: e, request: q, sentAt: r.now}, Outcome{Status: ConnectFailed})
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -11,25 +11,25 @@
 	r := newRig(t, set, 3)
 	r.advance(firstPollSpread)
 	if r.h.polls != 1 {
-		t.Fatalf("%d polls at the start, want 1", r.h.polls)
+		t.Fatalf("%d polls within the spread of the first poll, want 1", r.h.polls)
 	}
 	r.update(UpdateFailed)
 	r.advance(2 * minPollBackoff)
 	r.update(UpdateFailed)
 	r.advance(set.Rules.MaxPollInterval / 2)
 	if r.h.polls != 3 {
-		t.Fatal("no further poll after a failure")
+		t.Fatal("there was no further poll after a failed one, or more than one")
 	}
 	if len(r.b.ready) != 3 {
-		t.Fatal("a failed poll must leave the list in force")
+		t.Fatal("a failed poll changed the endpoint list")
 	}
 }
 
-// Guards against all nodes polling discovery at one moment, when they start together and again after each
-// poll that it rejected: it can answer one poll from every node in a few seconds, and one that waits for over
-// two fails. A node serves by its cached list meanwhile.
+// Guards against all nodes polling discovery at the same time, when they start together and again after each failed
+// poll. In this test discovery needs a few seconds to answer one poll from every node, and a poll that would wait for
+// more than 2 s fails. Meanwhile each node serves requests with its cached list.
 func TestPollsOfManyNodesAreSpread(t *testing.T) {
-	const nodes, perSecond = 80, 25 // that discovery can answer
+	const nodes, perSecond = 80, 25 // number of nodes, and polls per second that discovery can answer
 	var polls []time.Duration
 	var rigs []*rig
 	for node := range nodes {
@@ -43,7 +43,7 @@
 		b.UpdateEndpoints(time.Hour, CachedUpdate, ready(1, 60))
 		r := &rig{t: t, b: b, h: h, now: time.Hour, delivered: map[RequestID]int{}}
 		if r.request(0); len(h.sends) != 1 || h.polls != 0 {
-			t.Fatalf("%d sends and %d polls at the start, want service by the cached list first", len(h.sends), h.polls)
+			t.Fatalf("%d sends and %d polls at the start, want 1 send with the cached list and no poll", len(h.sends), h.polls)
 		}
 		rigs = append(rigs, r)
 	}
@@ -55,7 +55,7 @@
 			if r.advance(10 * ms); r.h.polls == before {
 				continue
 			}
-			if polls = append(polls, at); busy > 2*perSecond { // would wait for more than 2 s
+			if polls = append(polls, at); busy > 2*perSecond { // the poll would wait for more than 2 s
 				failed++
 				r.update(UpdateFailed)
 				continue
@@ -66,6 +66,7 @@
 		}
 	}
 	if failed > 0 || len(polls) != nodes {
-		t.Errorf("%d of %d polls failed, up to %.0f waited at once", failed, len(polls), most)
+		t.Errorf("%d of %d polls failed, up to %.0f waited at once; want one poll for each node and no failure",
+			failed, len(polls), most)
 	}
 }
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// modelBucket is the plain token bucket that a Quotas has to agree with.
+// modelBucket is a simple token bucket that serves as a model of one tenant's quota in Quotas.
 type modelBucket struct {
 	rate, tokens float64
 	at           time.Duration
@@ -27,7 +27,7 @@
 	return true
 }
 
-// Quotas agrees with a plain bucket for each tenant on random histories.
+// Checks Quotas against a model bucket for each tenant, with random requests.
 func TestQuotasAgreeWithPlainBuckets(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -48,14 +48,15 @@
 			now += time.Duration(rng.ExpFloat64() * float64(20*time.Millisecond))
 			tenant := rng.IntN(len(tenants))
 			if got, want := quotas.take(now, tenant), model[tenant].take(now); got != want {
-				t.Fatalf("seed %d, step %d, tenant %d of quota %v: within its quota %v, want %v",
+				t.Fatalf("seed %d, step %d, tenant %d with quota %v: within its quota %v, want %v",
 					seed, step, tenant, tenants[tenant].QuotaPerS, got, want)
 			}
 		}
 	}
 }
 
-// Balancers that share a table share its quotas: guards against a tenant with its full quota in each cluster.
+// Guards against a tenant that gets its full quota in each cluster: Balancers that share a Quotas share each tenant's
+// quota.
 func TestBalancersShareQuotas(t *testing.T) {
 	const quota, clusters = 10, 5
 	quotas, err := NewQuotas([]Tenant{{QuotaPerS: quota}}, 1)
@@ -75,18 +76,18 @@
 	}
 	run.Wait()
 	if n := within.Load(); n != quota {
-		t.Errorf("%d requests at one moment are within a quota of %d a second", n, quota)
+		t.Errorf("%d simultaneous requests are within a quota of %d per second, want as many as the quota", n, quota)
 	}
 	set := testSettings()
 	set.OverQuotaWeight, set.Quotas = 0.05, quotas
 	r := newRig(t, set, 1)
 	r.b.Request(time.Hour, Request{ID: 1, TimeRemaining: time.Second})
 	if weight := r.b.requests[1].weight; weight != set.Classes[0].PriorityWeight*0.05 {
-		t.Errorf("a request beyond a quota that others used up has weight %v", weight)
+		t.Errorf("a request beyond a quota that is used up has weight %v, want the priority weight times 0.05", weight)
 	}
 }
 
-// The rest of a quota passes on with its tenant, and new tenants begin with full buckets.
+// Checks that Restore keeps the rest of each tenant's quota, and that new tenants begin with full buckets.
 func TestQuotasRestore(t *testing.T) {
 	now := time.Hour
 	before, _ := NewQuotas([]Tenant{{QuotaPerS: 3}, {QuotaPerS: 3}}, 1)
@@ -96,9 +97,9 @@
 	after, _ := NewQuotas([]Tenant{{QuotaPerS: 3}, {QuotaPerS: 3}}, 1)
 	after.Restore(before, func(tenant int) int { return map[int]int{0: 1, 1: -1}[tenant] })
 	if after.take(now, 0) {
-		t.Error("a quota that was used up is full again")
+		t.Error("a quota that was used up has tokens after Restore")
 	}
 	if !after.take(now, 1) {
-		t.Error("a new tenant has no quota")
+		t.Error("the bucket of a new tenant is empty after Restore")
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -20,18 +20,18 @@
 		waits = append(waits, r.now-from)
 	}
 	if !(waits[0] < waits[1] && waits[1] < waits[2]) || waits[0] < 20*ms {
-		t.Fatalf("waits %v do not grow", waits)
+		t.Fatalf("backoffs %v, want growing ones of at least 20ms", waits)
 	}
 	late := r.request(0)
 	r.advance(790 * ms)
 	r.endAttempt(late, ErrorResponse, 790*ms)
 	if _, ok := r.h.rejected[late]; !ok {
-		t.Fatal("a retry that cannot be in time must be rejected at once")
+		t.Fatal("a request whose retry cannot be answered in time was not rejected at once")
 	}
 }
 
-// Guards against queueing a request until its deadline when every listed endpoint was tried; and against
-// giving up one that never reached an endpoint, since the list may be about to change.
+// Guards against queueing a request until its deadline after every listed endpoint was tried. Also guards against
+// giving up a request that never reached an endpoint, since the endpoint list may be about to change.
 func TestGivesUpWhenEveryEndpointWasTried(t *testing.T) {
 	for status, wantGivenUp := range map[Status]bool{ErrorResponse: true, Reset: true, ConnectFailed: false, NeverSent: false} {
 		r := newRig(t, testSettings(), 2)
@@ -45,13 +45,14 @@
 			}
 		}
 		if _, rejected := r.h.rejected[id]; rejected != wantGivenUp || r.now-start > 800*ms {
-			t.Errorf("status %v everywhere: given up %v, %v after its start", status, rejected, r.now-start)
+			t.Errorf("status %v at every endpoint: given up %v, %v after the start; want %v, at most 800ms",
+				status, rejected, r.now-start, wantGivenUp)
 		}
 	}
 }
 
-// Where nothing can be reached, retries stop except for one in sixteen; as soon as some succeed, all are made
-// again.
+// Checks the retry budget: while no endpoint can be reached, only one in sixteen retries is made, and once a retry
+// succeeds all retries are made again.
 func TestHopelessAttemptsStop(t *testing.T) {
 	r := newRig(t, testSettings(), 40)
 	record := func(n int, status Status) {
@@ -69,29 +70,29 @@
 	}
 	record(8, ConnectFailed)
 	if n := allowed(); n != 1600 {
-		t.Errorf("%d of 1600 after a few failures", n)
+		t.Errorf("%d of 1600 retries allowed after 8 failures, want all", n)
 	}
 	record(24, ConnectFailed)
 	if n := allowed(); n < 50 || n > 150 {
-		t.Errorf("%d of 1600 while none succeeds", n)
+		t.Errorf("%d of 1600 retries allowed after 32 failures, want 50 to 150", n)
 	}
-	record(10, Cancelled) // says nothing
+	record(10, Cancelled) // has no influence
 	record(1, OK)
 	if n := allowed(); n != 1600 {
-		t.Errorf("%d of 1600 after a success", n)
+		t.Errorf("%d of 1600 retries allowed after a success, want all", n)
 	}
 }
 
-// A request that has had all its attempts is answered at once; one that may have more is not.
+// Checks that a request gets its final answer as soon as its last allowed attempt has failed, and not before.
 func TestNoAttemptIsLeft(t *testing.T) {
 	set := testSettings()
-	set.Limits.MaxAttempts = 2 // by a third the backoff leaves no time anyway
+	set.Limits.MaxAttempts = 2 // before a third attempt the backoff would leave too little time
 	r := newRig(t, set, 10)
 	r.serve(50, 0, 10*ms)
 	id := r.request(0)
 	for n := 1; n <= r.b.settings.Limits.MaxAttempts; n++ {
 		if len(r.sendsOf(id)) != n || len(r.h.rejected) > 0 {
-			t.Fatalf("%d sends, rejected %v, when %d were due", len(r.sendsOf(id)), r.h.rejected, n)
+			t.Fatalf("%d sends, rejected %v; want %d sends and no rejection", len(r.sendsOf(id)), r.h.rejected, n)
 		}
 		r.endAttempt(id, ErrorResponse, ms)
 		for i := 0; i < 200 && n < r.b.settings.Limits.MaxAttempts && len(r.sendsOf(id)) == n; i++ {
@@ -99,6 +100,6 @@
 		}
 	}
 	if _, rejected := r.h.rejected[id]; !rejected {
-		t.Error("it is not answered, though no attempt is left")
+		t.Error("the request was not rejected though no attempt is left")
 	}
 }
