--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -178,7 +178,7 @@
 		h.now += 5 * ms
 		for range h.rng.IntN(4) {
 			if step >= 3500 {
-				break // let it run dry
+				break // no new requests, so that the open ones end
 			}
 			id := RequestID(len(ids) + 1)
 			class := h.rng.IntN(3)
--- a/policy/scoring_test.go
+++ b/policy/scoring_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against taking an endpoint that rejects requests for an idle one, which attracts most of the traffic
-// while others hang.
+// Guards against an endpoint that rejects requests but looks idle, and so attracts most of the traffic while the other
+// endpoints hang.
 func TestRejectionsLowerTheScore(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.serve(30, 0, 20*ms)
@@ -18,7 +18,8 @@
 	r.b.refresh(r.now)
 	for _, e := range r.b.subset.members {
 		if e.ID != full && e.score <= r.b.endpoints[full].score {
-			t.Fatalf("the full endpoint scores %.2f, another %.2f", r.b.endpoints[full].score, e.score)
+			t.Fatalf("score of the full endpoint is %.2f, want less than that of another, %.2f",
+				r.b.endpoints[full].score, e.score)
 		}
 	}
 }
@@ -34,15 +35,15 @@
 	}
 	r.b.refresh(r.now)
 	if !(good.score > slow.score && good.score > failing.score) {
-		t.Fatalf("scores: good %.2f slow %.2f failing %.2f", good.score, slow.score, failing.score)
+		t.Fatalf("scores: good %.2f, slow %.2f, failing %.2f; want the good one highest", good.score, slow.score, failing.score)
 	}
 	if better(good, slow) != good || better(failing, good) != good {
-		t.Fatal("the better score lost")
+		t.Fatal("better did not return the endpoint with the higher score")
 	}
 	twin := &endpoint{score: good.score - scoreTie/2}
 	good.inFlight = append(good.inFlight, &attempt{})
 	if better(good, twin) != twin {
-		t.Fatal("a near-tie must go to fewer requests in flight")
+		t.Fatal("better did not return the endpoint with fewer requests in flight at near-equal scores")
 	}
 }
 
@@ -55,15 +56,16 @@
 	r.b.refresh(r.now)
 	endpoints := r.b.ready
 	if !(endpoints[0].score > endpoints[2].score && endpoints[2].score > endpoints[1].score) {
-		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", endpoints[0].score, endpoints[1].score, endpoints[2].score)
+		t.Fatalf("scores %.2f and %.2f with outcomes, %.2f without; want the last in between",
+			endpoints[0].score, endpoints[1].score, endpoints[2].score)
 	}
 	r.b.refresh(r.now + 2*outcomeMaxAge)
 	if endpoints[0].score != endpoints[1].score {
-		t.Fatal("expired outcomes still count: an endpoint that was bad once is never used again")
+		t.Fatal("expired outcomes still count, so an endpoint with a low score would never be used again")
 	}
 }
 
-// The ring of outcomes grows with use and agrees with a plain list.
+// Checks the ring of outcomes, which grows with use, against a slice as model, with random outcomes.
 func TestOutcomesGrowWithUse(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -75,14 +77,14 @@
 			if model = append(model, o); len(model) > maxOutcomes {
 				model = model[1:]
 			}
-			for len(model) > 0 && rng.IntN(8) == 0 { // as dropExpired does
+			for len(model) > 0 && rng.IntN(8) == 0 { // dropExpired drops in the same way
 				e.outcomes.dropOldest()
 				model = model[1:]
 			}
 			good := 0
 			for i, want := range model {
 				if *e.outcomes.at(i) != want {
-					t.Fatalf("seed %d, step %d: outcome %d of %d is %v, want %v",
+					t.Fatalf("seed %d, step %d: outcome with index %d of %d is %v, want %v",
 						seed, step, i, len(model), *e.outcomes.at(i), want)
 				}
 				if want.success {
@@ -97,6 +99,6 @@
 		}
 	}
 	if e := (&endpoint{}); len(e.outcomes.ring) != 0 {
-		t.Error("an endpoint that was never used has space for outcomes")
+		t.Error("an endpoint without outcomes has allocated space for outcomes")
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -12,12 +12,12 @@
 	q.deadline = r.now + time.Second
 	e := r.b.ready[0]
 	if !r.b.maySend(r.now, q, e) {
-		t.Fatal("a ready endpoint must pass")
+		t.Fatal("maySend refused a ready endpoint")
 	}
 	for _, state := range []EndpointState{Draining, Removed} {
 		e.State = state
 		if r.b.maySend(r.now, q, e) {
-			t.Errorf("state %d passes the gate", state)
+			t.Errorf("maySend allowed an endpoint in state %d, want only ready endpoints", state)
 		}
 	}
 }
@@ -25,16 +25,16 @@
 func TestEqualEndpointsGoByZone(t *testing.T) {
 	near, far := &endpoint{sameZone: true}, &endpoint{}
 	if better(far, near) != near || better(near, far) != near {
-		t.Fatal("among equals the own zone must win")
+		t.Fatal("better did not return the endpoint in the node's zone among equal endpoints")
 	}
 	near.inFlight = append(near.inFlight, &attempt{})
 	if better(near, far) != far {
-		t.Fatal("fewer in flight must win over the zone")
+		t.Fatal("better preferred the zone to fewer requests in flight")
 	}
 }
 
-// An endpoint that returns to service gets a request within 3 s among many nodes, whatever the seed. With
-// sixteen endpoints and eight requests per second chance alone passes it over for longer.
+// Guards against a restarted endpoint that gets no request for a long time, since random selection alone may miss it.
+// With 16 endpoints and 8 requests per second, it must get one within 3 s for every seed.
 func TestBackOnThinTraffic(t *testing.T) {
 	for seed := range uint64(200) {
 		r := newRig(t, testSettings(), 16)
@@ -58,7 +58,7 @@
 			request()
 		}
 		if r.now-restartedAt > 3*time.Second || len(r.h.sends) == before {
-			t.Fatalf("seed %d: first request %v after its return", seed, r.now-restartedAt)
+			t.Fatalf("seed %d: no request within %v after the restart, want one within 3s", seed, r.now-restartedAt)
 		}
 	}
 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -43,10 +43,10 @@
 		tc.change(&set)
 		_, err := New(set, 1, newFakeHost())
 		if err == nil || !strings.Contains(err.Error(), "setting "+tc.field+" ") {
-			t.Errorf("%s: error %v does not name it", tc.field, err)
+			t.Errorf("%s: error %v does not name the field", tc.field, err)
 		}
 		if setting := new(SettingError); !errors.As(err, &setting) || setting.Field != tc.field {
-			t.Errorf("%s: error %v is no SettingError of it", tc.field, err)
+			t.Errorf("%s: error %v is not a *SettingError for the field", tc.field, err)
 		}
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newPredecessor has used its endpoints, of which the first fails every attempt and has an open breaker with 6 s
-// to go.
+// newPredecessor returns a rig that has used its four endpoints. Endpoint 1 has failed every attempt, and its breaker
+// stays open for another 6 s.
 func newPredecessor(t *testing.T) *rig {
 	t.Helper()
 	r := newRig(t, testSettings(), 4)
@@ -27,9 +27,10 @@
 	return r
 }
 
-// What of a snapshot counts by its age: outcomes by their own age, the breaker's time goes on, the limit by
-// half in restoreHalfLife; nothing of an endpoint that has restarted since, nor where the successor has
-// outcomes of its own. A successor without a snapshot knows nothing.
+// Checks how much of a snapshot counts at several ages. Outcomes expire by their own age, the time until the breaker is
+// half-open continues, and the weight of the concurrency limit halves with each restoreHalfLife. Nothing is restored
+// for an endpoint that has restarted since or of which the successor has outcomes. A successor without a snapshot sends
+// requests to the failing endpoint.
 func TestRestore(t *testing.T) {
 	predecessor := newPredecessor(t)
 	snapshot := predecessor.b.Snapshot(predecessor.now)
@@ -38,8 +39,8 @@
 		name  string
 		age   time.Duration
 		limit float64
-		open  time.Duration // until the bad endpoint's trial
-		count bool          // outcomes of the others count
+		open  time.Duration // time until the breaker of the failing endpoint is half-open
+		count bool          // whether the outcomes of the other endpoints count
 	}{
 		{"at once", 0, 20, 6 * time.Second, true},
 		{"some seconds old", restoreHalfLife / 2, 1 + 19*math.Sqrt(0.5), time.Second, true},
@@ -54,24 +55,24 @@
 			successor.b.Restore(successor.now, snapshot, c.age)
 			successor.b.refresh(successor.now)
 			if math.Abs(successor.b.concurrency.limit-c.limit) > 1e-9 {
-				t.Errorf("limit %v, want %v", successor.b.concurrency.limit, c.limit)
+				t.Errorf("concurrency limit %v, want %v", successor.b.concurrency.limit, c.limit)
 			}
 			endpoints := successor.b.endpoints
 			state, halfOpenIn := endpoints[1].breaker.state, endpoints[1].breaker.halfOpenAt-successor.now
 			if state == breakerClosed || halfOpenIn != c.open || (state == breakerHalfOpen) != (c.open == 0) {
-				t.Errorf("breaker %v, a trial in %v, want in %v", state, halfOpenIn, c.open)
+				t.Errorf("breaker %v, half-open in %v; want open or half-open, half-open in %v", state, halfOpenIn, c.open)
 			}
 			if got := endpoints[2].outcomes.count > 0; got != c.count {
-				t.Errorf("outcomes count: %v", got)
+				t.Errorf("outcomes count: %v, want %v", got, c.count)
 			}
 			if endpoints[3].outcomes.count > 0 || endpoints[4].outcomes.count != 1 {
-				t.Errorf("%d outcomes of a former process count, %d of an endpoint that the successor has used",
+				t.Errorf("%d outcomes of a restarted endpoint count, want 0; %d of an endpoint that the successor has used, want 1",
 					endpoints[3].outcomes.count, endpoints[4].outcomes.count)
 			}
 			next := successor.b.Snapshot(successor.now)
 			if c.age == 0 && (math.Abs(next.Load.TypicalLatency-snapshot.Load.TypicalLatency) > 1e-9 ||
 				next.Endpoints[1].RecentOutcomes[0].Successes != snapshot.Endpoints[1].RecentOutcomes[0].Successes) {
-				t.Errorf("the successor's snapshot is %+v, the predecessor's was %+v", next, snapshot)
+				t.Errorf("the successor's snapshot is %+v, want the latency and outcomes of the predecessor's, %+v", next, snapshot)
 			}
 		})
 	}
@@ -92,15 +93,15 @@
 	}
 }
 
-// What was learnt of classes and of the load counts by the share of the present endpoints that it was learnt
-// on.
+// Checks that the learned state of classes and of the load counts by the share of the successor's endpoints that are in
+// the snapshot.
 func TestRestoreFromOtherMachines(t *testing.T) {
-	predecessor := newPredecessor(t) // of endpoints 1 to 4
+	predecessor := newPredecessor(t) // uses endpoints 1 to 4
 	snapshot := predecessor.b.Snapshot(predecessor.now)
 	snapshot.Load.ConcurrencyLimit, snapshot.Classes[0].UnloadedLatency, snapshot.Classes[0].UnloadedSamples = 21, 4, 100
 	for _, c := range []struct {
-		first, last int // endpoints of the successor
-		share       float64
+		first, last int     // ids of the successor's endpoints
+		share       float64 // share of them that are in the snapshot
 	}{{1, 4, 1}, {3, 6, 0.5}, {11, 14, 0}} {
 		successor := newRig(t, testSettings(), 0)
 		successor.now = predecessor.now
@@ -109,11 +110,11 @@
 		before := class.unloadedLatency
 		successor.b.Restore(successor.now, snapshot, 0)
 		if want := limit + (21-limit)*c.share; math.Abs(successor.b.concurrency.limit-want) > 1e-9 {
-			t.Errorf("endpoints %d to %d: limit %v, want %v", c.first, c.last, successor.b.concurrency.limit, want)
+			t.Errorf("endpoints %d to %d: concurrency limit %v, want %v", c.first, c.last, successor.b.concurrency.limit, want)
 		}
 		want := before + (4-before)*c.share
 		if math.Abs(class.unloadedLatency-want) > 1e-9 || class.unloadedSamples != max(1, 100*c.share) {
-			t.Errorf("endpoints %d to %d: an unloaded request takes %v by %v answers, want %v",
+			t.Errorf("endpoints %d to %d: unloaded latency %v from %v samples, want %v from 100 times the share, at least 1",
 				c.first, c.last, class.unloadedLatency, class.unloadedSamples, want)
 		}
 	}
--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// sourceFiles returns the files of the package without its tests.
+// sourceFiles returns the names of the package's Go files without its tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
@@ -30,8 +30,8 @@
 	return files
 }
 
-// The decisions are read at night: files, functions and lines stay short, and what is exported and each
-// constant is documented.
+// Checks that the package stays readable for operators during an incident: files, functions and lines must be short,
+// and every exported name and every constant must have a comment.
 func TestSourceSizeAndDocs(t *testing.T) {
 	const maxFileLines, maxFuncLines, maxColumns, tabWidth = 300, 60, 110, 4
 	for _, name := range sourceFiles(t) {
@@ -41,12 +41,12 @@
 		}
 		lines := bytes.Split(bytes.TrimSuffix(text, []byte("\n")), []byte("\n"))
 		if len(lines) > maxFileLines {
-			t.Errorf("%s has %d lines, %d at most", name, len(lines), maxFileLines)
+			t.Errorf("file %s has %d lines, want at most %d", name, len(lines), maxFileLines)
 		}
 		for i, line := range lines {
 			line = bytes.ReplaceAll(line, []byte("\t"), bytes.Repeat([]byte(" "), tabWidth))
 			if len(line) > maxColumns {
-				t.Errorf("%s:%d has %d columns, %d at most", name, i+1, len(line), maxColumns)
+				t.Errorf("line %s:%d has %d columns, want at most %d", name, i+1, len(line), maxColumns)
 			}
 		}
 		files := token.NewFileSet()
@@ -57,7 +57,7 @@
 		for _, decl := range file.Decls {
 			if f, ok := decl.(*ast.FuncDecl); ok {
 				if n := files.Position(f.End()).Line - files.Position(f.Pos()).Line + 1; n > maxFuncLines {
-					t.Errorf("%s: %s has %d lines, %d at most", name, f.Name.Name, n, maxFuncLines)
+					t.Errorf("%s: function %s has %d lines, want at most %d", name, f.Name.Name, n, maxFuncLines)
 				}
 			}
 			for _, ident := range undocumented(decl) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// undocumented returns the exported names and the constants of a declaration that have no comment. A comment
-// after a specification counts, and so does that of a group whose specifications share one type.
+// undocumented returns the exported names and the constants of a declaration that have no comment. For constants and
+// variables, an end-of-line comment and the comment of their group count as well.
 func undocumented(decl ast.Decl) (names []*ast.Ident) {
 	if f, ok := decl.(*ast.FuncDecl); ok {
 		if f.Name.IsExported() && f.Doc == nil {
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// Guards against nodes that use the whole fleet and so learn nothing of it, and against a subset of warming
-// endpoints alone.
+// Guards against nodes that use all endpoints and so send each too few requests to judge it, and against a subset of
+// only warming endpoints.
 func TestSubsetGrowsWithTrafficAndSkipsOpenAndWarmingEndpoints(t *testing.T) {
 	set := testSettings()
 	set.NodeCount, set.NodeIndex = 100, 37
 	r := newRig(t, set, 40)
 	r.b.refresh(r.now)
 	if n := len(r.b.subset.members); n != minSubsetSize {
-		t.Fatalf("a node without traffic uses %d endpoints, want %d", n, minSubsetSize)
+		t.Fatalf("subset of a node without traffic has %d endpoints, want %d", n, minSubsetSize)
 	}
 	r.b.subset.members[0].breaker.state = breakerOpen
 	r.b.subset.members[1].StartedAt = r.now // warming
@@ -18,17 +18,17 @@
 	r.now += ms
 	r.b.refresh(r.now)
 	if n := len(r.b.subset.members); n != minSubsetSize+2 {
-		t.Fatalf("%d endpoints with one open and one warming, want %d", n, minSubsetSize+2)
+		t.Fatalf("subset with one open breaker and one warming endpoint has %d endpoints, want %d", n, minSubsetSize+2)
 	}
 	r.b.subset.arrivals.add(r.now, 240)
 	r.now += ms
 	r.b.refresh(r.now)
 	if n := len(r.b.subset.members); n < 25 {
-		t.Fatalf("a node with 120 requests a second uses %d endpoints", n)
+		t.Fatalf("subset of a node with 120 requests per second has %d endpoints, want at least 25", n)
 	}
 }
 
-// Guards against subsets that overlap on some endpoints and leave others idle.
+// Guards against subsets that overlap at some endpoints and leave others idle.
 func TestSubsetsCoverTheEndpointsEvenly(t *testing.T) {
 	const nodes, endpoints = 90, 30
 	subsets := map[EndpointID]int{}
