--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -28,8 +28,9 @@
 	return e.idleAt
 }
 
-// maxMultiple returns the maximum work that the endpoint was sent in any window of OverloadDuration, as a multiple of
-// the endpoint's capacity at the end of the window. No window begins before the endpoint's start.
+// maxMultiple returns the maximum work that the endpoint was sent in any window of OverloadDuration, as a
+// multiple of the endpoint's capacity at the end of the window. No window begins before the endpoint's
+// start.
 func (e *endpoint) maxMultiple() (most float64) {
 	sum, first := 0.0, 0
 	for _, l := range e.sent {
@@ -51,10 +52,10 @@
 	node int
 }
 
-// simulate sends requests from several nodes to a warming endpoint. demand is the offered work per second of all nodes;
-// a request is sent only if the node's budget allows it, unless ignoreBudgets is set. known is the work per second that
-// the nodes assume of a warm endpoint. simulate returns the maximum multiple of its capacity that the endpoint was sent,
-// and the share of its capacity that was used.
+// simulate sends requests from several nodes to a warming endpoint. demand is the offered work per second
+// of all nodes; a request is sent only if the node's budget allows it, unless ignoreBudgets is set. known
+// is the work per second that the nodes assume of a warm endpoint. simulate returns the maximum multiple of
+// its capacity that the endpoint was sent, and the share of its capacity that was used.
 func simulate(
 	r *Rules, seed uint64, nodes int, capacity, demand, known float64, ignoreBudgets bool,
 ) (multiple, utilization float64) {
@@ -89,10 +90,11 @@
 	return e.maxMultiple(), utilization / (capacity * (1 + r.MinCapacity) / 2 * r.Window.Seconds())
 }
 
-// Guards against overloading or underusing a warming endpoint. For several numbers of nodes with uneven traffic, the work
-// that all nodes together send must stay below the overload multiple, even if the endpoint has a tenth of the expected
-// capacity. Most of the capacity must be used, even if the nodes assume a small part of it. Without budgets the same
-// demand must overload the endpoint, which shows that the demand is high enough.
+// Guards against overloading or underusing a warming endpoint. For several numbers of nodes with uneven
+// traffic, the work that all nodes together send must stay below the overload multiple, even if the
+// endpoint has a tenth of the expected capacity. Most of the capacity must be used, even if the nodes
+// assume a small part of it. Without budgets the same demand must overload the endpoint, which shows that
+// the demand is high enough.
 func TestNeverPushedOverAndWellUsed(t *testing.T) {
 	const seeds = 40
 	for _, r := range []*Rules{
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -26,8 +26,8 @@
 }
 
 // Guards against queueing a request with an idempotency key that no endpoint may get any more, because the
-// deduplication window of its first attempt is over or no endpoint in its deduplication scope is left. The request
-// must get its final answer at once. The answer is a rejection if the scope is all endpoints.
+// deduplication window of its first attempt is over or no endpoint in its deduplication scope is left. The
+// request must get its final answer at once. The answer is a rejection if the scope is all endpoints.
 func TestNothingIsQueuedThatNoEndpointMayGet(t *testing.T) {
 	for name, c := range map[string]struct {
 		scope     Scope
@@ -80,8 +80,8 @@
 	}
 }
 
-// Guards against saturating the endpoints. Requests beyond the capacity are queued, and requests that would be
-// answered late are rejected while the client can still try elsewhere.
+// Guards against saturating the endpoints. Requests beyond the capacity are queued, and requests that would
+// be answered late are rejected while the client can still try elsewhere.
 func TestRequestsBeyondTheLimitQueueAndAreShedInTime(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 10 {
@@ -121,8 +121,9 @@
 	}
 }
 
-// Guards against queueing requests so long that their answers come late. Among many nodes a node does not see the
-// queues of the others, and the wasted work saturates the endpoints. Therefore requests are shed earlier there.
+// Guards against queueing requests so long that their answers come late. Among many nodes a node does not
+// see the queues of the others, and the wasted work saturates the endpoints. Therefore requests are shed
+// earlier there.
 func TestThinTrafficShedsBeforeAnAnswerBarelyFits(t *testing.T) {
 	for _, tc := range []struct {
 		nodes int
@@ -144,8 +145,8 @@
 	}
 }
 
-// Guards against ordering the queue by the initial latency estimates. On busy endpoints no attempt is unloaded, so
-// the order must follow the latencies of all answers.
+// Guards against ordering the queue by the initial latency estimates. On busy endpoints no attempt is
+// unloaded, so the order must follow the latencies of all answers.
 func TestQueueOrderFollowsAllAnswers(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	heavy := &request{class: &r.b.classes[0]}
--- a/policy/circuitbreaker_test.go
+++ b/policy/circuitbreaker_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Guards against a breaker that never closes because all requests are not idempotent. Such a request becomes the
-// trial request only after the breaker has been half-open for its open duration.
+// Guards against a breaker that never closes because no request is idempotent. A request that is not
+// idempotent becomes the trial request only after the breaker has been half-open for its open duration.
 func TestNonIdempotentRequestIsTheTrialAsALastResort(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	e := r.b.ready[0]
@@ -96,9 +96,10 @@
 	}
 }
 
-// Guards against breakers that open by chance while attempts fail at all endpoints alike, for example because
-// connections break. Runs of failures then say nothing about their endpoint, and an open breaker removes capacity
-// that still answers requests. An endpoint with a low baseline failure rate is ejected after the fifth failure.
+// Guards against breakers that open by chance while attempts fail at all endpoints alike, for example
+// because connections break. Runs of failures then say nothing about their endpoint, and an open breaker
+// removes capacity that still answers requests. An endpoint with a low baseline failure rate is ejected
+// after the fifth failure.
 func TestBaselineFailuresOpenNoBreaker(t *testing.T) {
 	recordOutcomes := func(b *Balancer, e *endpoint, now time.Duration, pattern string) {
 		for _, c := range pattern {
--- a/policy/concurrencylimit_test.go
+++ b/policy/concurrencylimit_test.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// newLimitRig returns a rig with four endpoints, with as many requests in flight as the limit allows, and with one
-// queued request.
+// newLimitRig returns a rig with four endpoints, with as many requests in flight as the limit allows, and
+// with one queued request.
 func newLimitRig(t *testing.T) (*rig, *Balancer) {
 	r := newRig(t, testSettings(), 4)
 	r.b.typicalLatency, r.b.concurrency.adjustedAt = 0.1, r.now
@@ -41,9 +41,9 @@
 	}
 }
 
-// Guards against many nodes that each raise their limit during bursts of their own and later all use the higher
-// limit at the same time. The limit may grow only to what endpoints are seen to handle from all nodes together. A
-// single node observes this by its own requests.
+// Guards against many nodes that each raise their limit during bursts of their own and later all use the
+// higher limit at the same time. The limit may grow only to what endpoints are seen to handle from all
+// nodes together. A single node observes this by its own requests.
 func TestLimitGrowsToWhatAllNodesObserve(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -68,8 +68,8 @@
 	}
 }
 
-// Guards against a limit that doubles before the answers that would show saturation have arrived. A node that gets
-// few answers detects saturation late, so its limit must grow more slowly.
+// Guards against a limit that doubles before the answers that would show saturation have arrived. A node
+// that gets few answers detects saturation late, so its limit must grow more slowly.
 func TestLimitGrowsInStepWithAnswers(t *testing.T) {
 	grown := func(answers int) float64 {
 		r, b := newLimitRig(t)
@@ -87,8 +87,8 @@
 	}
 }
 
-// Guards against saturation of endpoints that complete less work the more requests they have in flight, and against
-// a limit that falls without bound because all endpoints are slow.
+// Guards against saturation of endpoints that complete less work the more requests they have in flight, and
+// against a limit that falls without bound because all endpoints are slow.
 func TestLimitShrinksButNotFarBelowTheLastGoodOne(t *testing.T) {
 	r, b := newLimitRig(t)
 	b.concurrency.saturated, b.concurrency.limit, b.concurrency.lastGood = true, 8, 4
@@ -102,7 +102,8 @@
 	}
 }
 
-// Guards against endpoints that stay saturated because many nodes each send up to a limit that was good before.
+// Guards against endpoints that stay saturated because many nodes each send up to a limit that was good
+// before.
 func TestThinTrafficLetsSaturatedEndpointsRecover(t *testing.T) {
 	r, b := newLimitRig(t)
 	b.settings.NodeCount = maxInformativeNodes + 1
@@ -123,8 +124,9 @@
 	}
 }
 
-// Guards against saturation by many nodes that each have one request per endpoint in flight. Also guards against a
-// node that queues requests during a short burst of its own although all nodes together are far below their limit.
+// Guards against saturation by many nodes that each have one request per endpoint in flight. Also guards
+// against a node that queues requests during a short burst of its own although all nodes together are far
+// below their limit.
 func TestThinTrafficLimitsTheMeanInFlight(t *testing.T) {
 	set := testSettings()
 	set.NodeCount = 80
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -24,10 +24,10 @@
 	inFlight         []*attempt    // this node's attempts in flight to the current process, oldest first
 	incompleteBodies int           // number of attempts in inFlight whose request body is incomplete
 	sentSinceStart   bool          // an attempt was sent to the endpoint since its start
-	lastAnswerAt     time.Duration // time of the last answer; 0 if there was none
+	lastAnswerAt     time.Duration // time of the last success; 0 if there was none
 
 	breaker               breaker
-	consecutiveRejections int           // number of rejections since the last answer
+	consecutiveRejections int           // number of rejections since the last success
 	pausedUntil           time.Duration // no attempt is sent before this time, after consecutive rejections
 	slowStart             slowstart.Budget
 
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against attempts, including retries and queued requests, to an endpoint that was announced as draining or
-// removed.
+// Guards against attempts, including retries and queued requests, to an endpoint that was announced as
+// draining or removed.
 func TestNothingIsSentToDrainingOrRemovedEndpoints(t *testing.T) {
 	set := testSettings()
 	r := newRig(t, set, 2)
@@ -28,8 +28,8 @@
 	}
 }
 
-// Guards against a memory leak when endpoints are continually replaced under new ids. An endpoint that is draining
-// and then missing from a full update must be removed, as a ready one is.
+// Guards against a memory leak when endpoints are continually replaced under new ids. An endpoint that is
+// draining and then missing from a full update must be removed, as a ready one is.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for i := 5; i < 3000; i++ {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Guards against attempts to an endpoint's former process that keep occupying capacity after a restart although
-// they will not be answered.
+// Guards against attempts to an endpoint's former process that keep occupying capacity after a restart
+// although they will not be answered.
 func TestRestartFreesTheCapacityOfTheFormerProcess(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	first, second := r.request(0), r.request(0)
@@ -68,8 +68,8 @@
 	}
 }
 
-// Guards against wrong counts when an endpoint leaves the list and returns while attempts are in flight there, and
-// when events refer to requests or attempts that have ended.
+// Guards against wrong counts when an endpoint leaves the list and returns while attempts are in flight
+// there, and when events refer to requests or attempts that have ended.
 func TestRelistedEndpointAndStaleEventsKeepCountsRight(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	first, second := r.request(0), r.request(2)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,8 @@
 	"yokestall/policy"
 )
 
-// printer is a Host that prints the actions of its Balancer, except timers, and records the time of the last timer.
+// printer is a Host that prints the actions of its Balancer, except timers, and records the time of the
+// last timer.
 type printer struct{ timerAt time.Duration }
 
 func (p *printer) Send(id policy.RequestID, _ policy.EndpointID, _ time.Duration) {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -69,7 +69,8 @@
 	h.polls++
 }
 
-// testSettings returns settings with three classes: idempotent, idempotent by key and not idempotent, in this order.
+// testSettings returns settings with three classes: idempotent, idempotent by key and not idempotent, in
+// this order.
 func testSettings() Settings {
 	s := Defaults()
 	class := Class{Deadline: 2 * time.Second, LatencyObjective: 800 * ms, PriorityWeight: 1}
@@ -109,7 +110,8 @@
 	return r
 }
 
-// ready returns entries for the ready endpoints with the ids first to last, two in each cell and five in each zone.
+// ready returns entries for the ready endpoints with the ids first to last, two in each cell and five in
+// each zone.
 func ready(first, last int) []Endpoint {
 	var entries []Endpoint
 	for i := first; i <= last; i++ {
--- a/policy/hedging_test.go
+++ b/policy/hedging_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Guards against sending further requests to an endpoint that answers nothing until their timeouts expire. The
-// endpoint must be avoided as soon as its attempts are unresponsive, and hedged requests must be sent for them.
+// Guards against sending further requests to an endpoint that answers nothing until their timeouts expire.
+// The endpoint must be avoided as soon as its attempts are unresponsive, and hedged requests must be sent
+// for them.
 func TestUnresponsiveEndpointIsAvoidedBeforeAnyTimeout(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	r.serve(100, 0, 20*ms)
@@ -29,8 +30,8 @@
 	}
 }
 
-// Guards against a stop of all sends when endpoints with attempts in flight are ejected: these attempts must not
-// count against the concurrency limit.
+// Guards against a stop of all sends when endpoints with attempts in flight are ejected: these attempts
+// must not count against the concurrency limit.
 func TestAttemptsAtEjectedEndpointsDoNotCountInTheLimit(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 4 {
--- a/policy/idempotency_test.go
+++ b/policy/idempotency_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against a second effect of a request and against a rejection that falsely promises no effect, for every
-// status of an attempt and every kind of idempotency.
+// Guards against a second effect of a request and against a rejection that falsely promises no effect, for
+// every status of an attempt and every kind of idempotency.
 func TestIdempotencyUnderEveryOutcome(t *testing.T) {
 	const retried, rejected, failed = "retried", "rejected", "failed"
 	for _, tc := range []struct {
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// invariantHost delivers random events to one Balancer and checks invariants at each action: one final answer for
-// each request and in time, no second effect, no send to an endpoint that is not ready, and no more attempts than
-// allowed.
+// invariantHost delivers random events to one Balancer and checks invariants at each action: one final
+// answer for each request and in time, no second effect, no send to an endpoint that is not ready, and no
+// more attempts than allowed.
 type invariantHost struct {
 	*fakeHost
 	t            *testing.T
@@ -94,8 +94,8 @@
 	h.recordFinalAnswer(id)
 }
 
-// endAttempt ends attempt i of a request. The status is Cancelled for a request that is done, else Timeout after the
-// deadline, else random.
+// endAttempt ends attempt i of a request. The status is Cancelled for a request that is done, else Timeout
+// after the deadline, else random.
 func (h *invariantHost) endAttempt(id RequestID, p *trackedRequest, i int) {
 	a := p.attempts[i]
 	status := []Status{OK, OK, OK, ErrorResponse, Rejected, Timeout, ConnectFailed, Reset}[h.rng.IntN(8)]
@@ -154,8 +154,8 @@
 	h.b.UpdateEndpoints(h.now, DeltaUpdate, []Endpoint{e})
 }
 
-// runScript delivers the random events of a seed and checks that every request has exactly one final answer. It
-// returns the actions of the Balancer.
+// runScript delivers the random events of a seed and checks that every request has exactly one final
+// answer. It returns the actions of the Balancer.
 func runScript(t *testing.T, seed uint64) []string {
 	set := testSettings()
 	set.Classes[0].LateWeight = 0.5
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -104,10 +104,10 @@
 }
 
 // recordLatency adds the latency of an answer, in seconds, to the estimates. The latency on a warming
-// endpoint is scaled by the endpoint's capacity share. It counts for the class's unloaded latency only
-// until there are minUnloadedSamples samples; otherwise the slow-start budgets would be charged too much
-// work for the class. The latency of a request whose body is incomplete is not recorded, since it includes
-// the client's upload.
+// endpoint is scaled by the endpoint's capacity share. Such a latency counts for the class's unloaded
+// latency only until there are minUnloadedSamples samples; otherwise the slow-start budgets would be
+// charged too much work for the class. The latency of a request whose body is incomplete is not recorded,
+// since it includes the client's upload.
 func (b *Balancer) recordLatency(now time.Duration, a *attempt, r *request, latency float64) {
 	if r.BodyIncomplete {
 		return
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against an unloaded latency that grows with the load. An attempt that is this node's only one at an endpoint
-// may still share the endpoint with requests of other nodes.
+// Guards against an unloaded latency that grows with the load. An attempt that is this node's only one at
+// an endpoint may still share the endpoint with requests of other nodes.
 func TestUnloadedLatenciesAreLearntOnlyWithoutLoad(t *testing.T) {
 	set := testSettings()
 	set.NodeCount = 7
@@ -24,9 +24,9 @@
 	}
 }
 
-// Guards against a class's unloaded latency that rises because endpoints are warming; it would raise the work that is
-// charged to their slow-start budgets. Latencies on warming endpoints must not change the estimate of a class that
-// is known from warm endpoints.
+// Guards against a class's unloaded latency that rises because endpoints are warming; it would raise the
+// work that is charged to their slow-start budgets. Latencies on warming endpoints must not change the
+// estimate of a class that is known from warm endpoints.
 func TestWarmingEndpointsAreNoMeasureOfAClass(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	c := &r.b.classes[0]
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -55,7 +55,8 @@
 }
 
 // effectiveStatus returns the status that counts for the endpoint. It is the given status, except that a
-// refused connection soon after an answer counts as a rejection.
+// refused connection within presumedAliveDuration of an answer counts as a rejection. After
+// maxPresumedAliveRejections consecutive rejections it counts as a refused connection again.
 func (e *endpoint) effectiveStatus(now time.Duration, status Status) Status {
 	if status == ConnectFailed && e.lastAnswerAt > 0 && now-e.lastAnswerAt < presumedAliveDuration &&
 		e.consecutiveRejections < maxPresumedAliveRejections {
@@ -66,8 +67,8 @@
 
 // recordAnswer updates the endpoint's state and the node's estimates after an answer. seconds is the
 // latency of the answer; latency is the same as a multiple of the unloaded latency. Among many nodes an
-// answer that took more than slowAnswerFactor counts as a failure: the endpoint is saturated by other
-// nodes' requests, and an open breaker lets it recover.
+// answer that took more than slowAnswerFactor times the unloaded latency counts as a failure: the endpoint
+// is saturated by other nodes' requests, and an open breaker lets it recover.
 func (b *Balancer) recordAnswer(now time.Duration, r *request, a *attempt, seconds, latency float64) {
 	e := a.endpoint
 	e.outcomes.record(now, true, latency)
--- a/policy/outcomes_test.go
+++ b/policy/outcomes_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Guards against a full endpoint that attracts requests because it always has capacity by the node's own count. While
-// the other endpoints were at their limits, such an endpoint got every queued request and rejected each.
+// Guards against a full endpoint that attracts requests because it always has capacity by the node's own
+// count. While the other endpoints were at their limits, such an endpoint got every queued request and
+// rejected each.
 func TestConsecutiveRejectionsPauseAnEndpoint(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	r.serve(30, 0, 20*ms)
@@ -34,8 +35,8 @@
 	}
 }
 
-// Guards against pauses of all endpoints at once while many endpoints occasionally reject a request. Queued requests
-// would then be shed although endpoints have capacity.
+// Guards against pauses of all endpoints at once while many endpoints occasionally reject a request. Queued
+// requests would then be shed although endpoints have capacity.
 func TestSingleRejectionPausesNoEndpoint(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	r.serve(30, 0, 20*ms)
@@ -51,17 +52,17 @@
 	}
 }
 
-// Guards against all nodes ejecting an endpoint that has reached its connection limit, as if it were down. An endpoint
-// that still answers on its open connections is only full.
+// Guards against all nodes ejecting an endpoint that has reached its connection limit, as if it were down.
+// An endpoint that still answers on its open connections is only full.
 func TestRefusedConnectionsAfterAnAnswerAreRejections(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		answer time.Duration // time from an answer to each refused connection; 0 means no recent answer
 		opens  bool          // whether the breaker opens
 	}{
-		{"dead", 0, true},
-		{"out of connections", presumedAliveDuration / 2, false},
-		{"died a while ago", 2 * presumedAliveDuration, true},
+		{"no answer", 0, true},
+		{"recent answer", presumedAliveDuration / 2, false},
+		{"earlier answer", 2 * presumedAliveDuration, true},
 	} {
 		r := newRig(t, testSettings(), 3)
 		r.serve(60, 0, 20*ms)
@@ -81,8 +82,9 @@
 	}
 }
 
-// Guards against treating an endpoint that is down as only full. An endpoint that refuses connections soon after an
-// answer may have reached its connection limit, but if it then answers nothing its breaker must open.
+// Guards against treating an endpoint that is down as only full. An endpoint that refuses connections soon
+// after an answer may have reached its connection limit, but if it then answers nothing its breaker must
+// open.
 func TestRefusedConnectionsOfADeadServer(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	r.serve(50, 0, 10*ms)
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// Guards against all nodes polling discovery at the same time, when they start together and again after each failed
-// poll. In this test discovery needs a few seconds to answer one poll from every node, and a poll that would wait for
-// more than 2 s fails. Meanwhile each node serves requests with its cached list.
+// Guards against all nodes polling discovery at the same time, when they start together and again after
+// each failed poll. In this test discovery needs a few seconds to answer one poll from every node, and a
+// poll that would wait for more than 2 s fails. Meanwhile each node serves requests with its cached list.
 func TestPollsOfManyNodesAreSpread(t *testing.T) {
 	const nodes, perSecond = 80, 25 // number of nodes, and polls per second that discovery can answer
 	var polls []time.Duration
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Guards against a tenant that gets its full quota in each cluster: Balancers that share a Quotas share each tenant's
-// quota.
+// Guards against a tenant that gets its full quota in each cluster: Balancers that share a Quotas share
+// each tenant's quota.
 func TestBalancersShareQuotas(t *testing.T) {
 	const quota, clusters = 10, 5
 	quotas, err := NewQuotas([]Tenant{{QuotaPerS: quota}}, 1)
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Guards against a final answer after the answer grace has passed. Sweeps run every 10 ms, the grace may be shorter,
-// and a tick may be longer than both.
+// Guards against a final answer after the answer grace has passed. Sweeps run every 10 ms, the grace may be
+// shorter, and a tick may be longer than both.
 func TestAnswerComesInTimeWhateverTheTick(t *testing.T) {
 	for _, tick := range []time.Duration{ms, 5 * ms, 50 * ms} {
 		set := testSettings()
@@ -65,9 +65,9 @@
 	}
 }
 
-// Guards against taking a slow upload for a slow endpoint. An attempt whose request body is incomplete does not count
-// as load, is not unresponsive and does not change the latency estimates; the deadline counts from the last byte. A
-// request that gets no capacity is given up in time, however long its body may take.
+// Guards against taking a slow upload for a slow endpoint. An attempt whose request body is incomplete does
+// not count as load, is not unresponsive and does not change the latency estimates; the deadline counts
+// from the last byte. A request that gets no capacity is given up in time, however long its body may take.
 func TestBodyIncomplete(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	b, e := r.b, r.b.endpoints[1]
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -20,8 +20,8 @@
 	maxBackoff = 30 * time.Second
 	// minJitter is the smallest factor that a randomized delay is multiplied by.
 	minJitter = 0.8
-	// jitterSpan is the width of the range of that factor. The range is 20% either way, so that doubled
-	// delays still grow.
+	// jitterSpan is the width of the range of the factor that a randomized delay is multiplied by. The range
+	// is 20% either way, so that doubled delays still grow.
 	jitterSpan = 0.4
 	// minRetrySuccessRate is the success rate of retries at or below which the retry budget is exhausted.
 	minRetrySuccessRate = 0.05
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// Guards against queueing a request until its deadline after every listed endpoint was tried. Also guards against
-// giving up a request that never reached an endpoint, since the endpoint list may be about to change.
+// Guards against queueing a request until its deadline after every listed endpoint was tried. Also guards
+// against giving up a request that never reached an endpoint, since the endpoint list may be about to
+// change.
 func TestGivesUpWhenEveryEndpointWasTried(t *testing.T) {
 	for status, wantGivenUp := range map[Status]bool{ErrorResponse: true, Reset: true, ConnectFailed: false, NeverSent: false} {
 		r := newRig(t, testSettings(), 2)
@@ -51,8 +52,8 @@
 	}
 }
 
-// Checks the retry budget: while no endpoint can be reached, only one in sixteen retries is made, and once a retry
-// succeeds all retries are made again.
+// Checks the retry budget: while no endpoint can be reached, only one in sixteen retries is made, and once
+// a retry succeeds all retries are made again.
 func TestHopelessAttemptsStop(t *testing.T) {
 	r := newRig(t, testSettings(), 40)
 	record := func(n int, status Status) {
--- a/policy/scoring_test.go
+++ b/policy/scoring_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against an endpoint that rejects requests but looks idle, and so attracts most of the traffic while the other
-// endpoints hang.
+// Guards against an endpoint that rejects requests but looks idle, and so attracts most of the traffic
+// while the other endpoints hang.
 func TestRejectionsLowerTheScore(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.serve(30, 0, 20*ms)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -4,13 +4,13 @@
 
 // Selection determines the endpoint of a request's next attempt. A half-open endpoint that awaits its trial
 // request comes first. Otherwise the first attempt goes to an endpoint that was sent nothing since its
-// start, or to the better of two random candidates (Mitzenmacher, The Power of Two Choices in Randomized
-// Load Balancing, 2001). A retry or a hedged request goes to the best candidate, since it is the request's
-// last chance. The inputs are the scores (0 to 1), this node's requests in flight, the limits of
-// concurrencylimit.go and slowstart.go, and the time to the objective deadline. The candidates are the
-// endpoints of the subset that have a closed breaker and capacity and that pass maySend. Endpoints whose
-// capacity in slow start is too low to answer within the objective are candidates only if every endpoint
-// that passes is in that state.
+// start some time ago (unusedCandidate), or to the better of two random candidates (Mitzenmacher, The Power
+// of Two Choices in Randomized Load Balancing, 2001). A retry or a hedged request goes to the best
+// candidate, since it is the request's last chance. The inputs are the scores (0 to 1), this node's
+// requests in flight, the limits of concurrencylimit.go and slowstart.go, and the time to the objective
+// deadline. The candidates are the endpoints of the subset that have a closed breaker and capacity and that
+// pass maySend. Endpoints whose capacity in slow start is too low to answer within the objective are
+// candidates only if every endpoint that passes is in that state.
 
 const (
 	// scoreTie is the difference between two scores up to which the number of requests in flight decides.
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Guards against a restarted endpoint that gets no request for a long time, since random selection alone may miss it.
-// With 16 endpoints and 8 requests per second, it must get one within 3 s for every seed.
+// Guards against a restarted endpoint that gets no request for a long time, since random selection alone
+// may miss it. With 16 endpoints and 8 requests per second, it must get one within 3 s for every seed.
 func TestBackOnThinTraffic(t *testing.T) {
 	for seed := range uint64(200) {
 		r := newRig(t, testSettings(), 16)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Guards against overloading a warming endpoint, by a burst right after its start or while most endpoints restart.
+// Guards against overloading a warming endpoint, by a burst right after its start or while most endpoints
+// restart.
 func TestSlowStartBudget(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -49,7 +50,8 @@
 	}
 }
 
-// Guards against a burst of one request from each of many nodes as soon as the endpoint list announces a start.
+// Guards against a burst of one request from each of many nodes as soon as the endpoint list announces a
+// start.
 func TestFirstRequestsToAWarmingEndpointAreSpread(t *testing.T) {
 	const nodes = 40
 	nodesByTenth := map[time.Duration]int{}
@@ -79,9 +81,9 @@
 	}
 }
 
-// Guards against a node that sends nothing because it started while most endpoints were warming and so has no known
-// work rate of a warm endpoint. Also guards against sending a warming endpoint requests that it would answer too late
-// while other endpoints are fast enough.
+// Guards against a node that sends nothing because it started while most endpoints were warming and so has
+// no known work rate of a warm endpoint. Also guards against sending a warming endpoint requests that it
+// would answer too late while other endpoints are fast enough.
 func TestNodeStartsAmongWarmingEndpoints(t *testing.T) {
 	for _, warm := range []int{0, 2} {
 		r := newRig(t, testSettings(), 10)
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -65,7 +65,7 @@
 	ConcurrencyLimit float64 `json:"Limit"`      // requests in flight per endpoint
 	LastGoodLimit    float64 `json:"LimitKnown"` // requests in flight per endpoint; 0 means unknown
 	Saturated        bool    `json:"Crowded"`    // endpoints were saturated at least once
-	LatencyInflation float64 `json:"Crowding"`   // mean of ln(latency / unloaded latency)
+	LatencyInflation float64 `json:"Crowding"`   // Balancer.latencyInflation, a logarithm
 	TypicalLatency   float64 `json:"Typical"`    // seconds
 	WarmWorkRate     float64 `json:"WarmPart"`   // work per second that a warm endpoint got
 	ArrivalRate      float64 `json:"Arrivals"`   // requests per second
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newPredecessor returns a rig that has used its four endpoints. Endpoint 1 has failed every attempt, and its breaker
-// stays open for another 6 s.
+// newPredecessor returns a rig that has used its four endpoints. Endpoint 1 has failed every attempt, and
+// its breaker stays open for another 6 s.
 func newPredecessor(t *testing.T) *rig {
 	t.Helper()
 	r := newRig(t, testSettings(), 4)
@@ -27,10 +27,10 @@
 	return r
 }
 
-// Checks how much of a snapshot counts at several ages. Outcomes expire by their own age, the time until the breaker is
-// half-open continues, and the weight of the concurrency limit halves with each restoreHalfLife. Nothing is restored
-// for an endpoint that has restarted since or of which the successor has outcomes. A successor without a snapshot sends
-// requests to the failing endpoint.
+// Checks how much of a snapshot counts at several ages. Outcomes expire by their own age, the time until
+// the breaker is half-open continues, and the weight of the concurrency limit halves with each
+// restoreHalfLife. Nothing is restored for an endpoint that has restarted since or of which the successor
+// has outcomes. A successor without a snapshot sends requests to the failing endpoint.
 func TestRestore(t *testing.T) {
 	predecessor := newPredecessor(t)
 	snapshot := predecessor.b.Snapshot(predecessor.now)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Checks that the learned state of classes and of the load counts by the share of the successor's endpoints that are in
-// the snapshot.
+// Checks that the learned state of classes and of the load counts by the share of the successor's endpoints
+// that are in the snapshot.
 func TestRestoreFromOtherMachines(t *testing.T) {
 	predecessor := newPredecessor(t) // uses endpoints 1 to 4
 	snapshot := predecessor.b.Snapshot(predecessor.now)
--- a/policy/source_test.go
+++ b/policy/source_test.go
@@ -30,8 +30,8 @@
 	return files
 }
 
-// Checks that the package stays readable for operators during an incident: files, functions and lines must be short,
-// and every exported name and every constant must have a comment.
+// Checks that the package stays readable for operators during an incident: files, functions and lines must
+// be short, and every exported name and every constant must have a comment.
 func TestSourceSizeAndDocs(t *testing.T) {
 	const maxFileLines, maxFuncLines, maxColumns, tabWidth = 300, 60, 110, 4
 	for _, name := range sourceFiles(t) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// undocumented returns the exported names and the constants of a declaration that have no comment. For constants and
-// variables, an end-of-line comment and the comment of their group count as well.
+// undocumented returns the exported names and the constants of a declaration that have no comment. For
+// constants and variables, an end-of-line comment and the comment of their group count as well.
 func undocumented(decl ast.Decl) (names []*ast.Ident) {
 	if f, ok := decl.(*ast.FuncDecl); ok {
 		if f.Name.IsExported() && f.Doc == nil {
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against nodes that use all endpoints and so send each too few requests to judge it, and against a subset of
-// only warming endpoints.
+// Guards against nodes that use all endpoints and so send each too few requests to judge it, and against a
+// subset of only warming endpoints.
 func TestSubsetGrowsWithTrafficAndSkipsOpenAndWarmingEndpoints(t *testing.T) {
 	set := testSettings()
 	set.NodeCount, set.NodeIndex = 100, 37
