--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// idleHost takes the actions of a Balancer and records the last attempt and the next sweep.
-type idleHost struct {
+// benchHost is a Host that only records the last attempt and the time of the last timer.
+type benchHost struct {
 	id       RequestID
 	sweepAt  time.Duration
 	endpoint EndpointID
 }
 
-func (h *idleHost) Send(id RequestID, endpoint EndpointID, _ time.Duration) {
+func (h *benchHost) Send(id RequestID, endpoint EndpointID, _ time.Duration) {
 	h.id, h.endpoint = id, endpoint
 }
-func (h *idleHost) Cancel(RequestID, int)               {}
-func (h *idleHost) Reject(RequestID, time.Duration)     {}
-func (h *idleHost) Fail(RequestID)                      {}
-func (h *idleHost) SetTimer(at time.Duration, _ uint64) { h.sweepAt = at }
-func (h *idleHost) RequestPoll()                        {}
+func (h *benchHost) Cancel(RequestID, int)               {}
+func (h *benchHost) Reject(RequestID, time.Duration)     {}
+func (h *benchHost) Fail(RequestID)                      {}
+func (h *benchHost) SetTimer(at time.Duration, _ uint64) { h.sweepAt = at }
+func (h *benchHost) RequestPoll()                        {}
 
-func benchBalancer(b *testing.B, endpoints, nodes int) (*Balancer, *idleHost) {
+func benchBalancer(b *testing.B, endpoints, nodes int) (*Balancer, *benchHost) {
 	b.Helper()
 	set := testSettings()
 	set.NodeCount = nodes
-	h := &idleHost{}
+	h := &benchHost{}
 	p, err := New(set, 1, h)
 	if err != nil {
 		b.Fatal(err)
 	}
 	entries := ready(1, endpoints)
 	for i := range entries {
-		entries[i].StartedAt = time.Hour - time.Duration(i)*time.Second // some are warming
+		entries[i].StartedAt = time.Hour - time.Duration(i)*time.Second // the most recently started endpoints are warming
 	}
 	p.UpdateEndpoints(time.Hour, FullUpdate, entries)
 	return p, h
 }
 
-// BenchmarkRequest measures the decisions for one request and its answer.
+// BenchmarkRequest measures the time to handle one request and its answer.
 func BenchmarkRequest(b *testing.B) {
 	for _, endpoints := range []int{10, 100} {
 		for _, nodes := range []int{1, 80} {
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkSweep measures a sweep over requests in flight and a queue under overload.
+// BenchmarkSweep measures a sweep over requests in flight and a long queue, as under overload.
 func BenchmarkSweep(b *testing.B) {
 	p, _ := benchBalancer(b, 20, 1)
 	now := time.Hour
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -15,21 +15,23 @@
 	rejected map[RequestID]time.Duration
 	failed   map[RequestID]bool
 	timers   []timer
-	watches  int
+	polls    int
 	log      []string
 }
 
+// sentAttempt is one call of Host.Send.
 type sentAttempt struct {
 	id       RequestID
 	endpoint EndpointID
 }
 
+// timer is one call of Host.SetTimer.
 type timer struct {
 	at    time.Duration
 	token uint64
 }
 
-func newHost() *fakeHost {
+func newFakeHost() *fakeHost {
 	return &fakeHost{rejected: map[RequestID]time.Duration{}, failed: map[RequestID]bool{}}
 }
 
@@ -63,11 +65,12 @@
 }
 
 func (h *fakeHost) RequestPoll() {
-	h.logf("watch")
-	h.watches++
+	h.logf("poll")
+	h.polls++
 }
 
-// testSettings has an idempotent, a keyed and a non-idempotent class, in this order.
+// testSettings returns settings with three classes: idempotent, idempotent by key and not idempotent, in
+// this order.
 func testSettings() Settings {
 	s := Defaults()
 	class := Class{Deadline: 2 * time.Second, LatencyObjective: 800 * ms, PriorityWeight: 1}
@@ -84,29 +87,31 @@
 	return s
 }
 
-// rig drives a Balancer against a fakeHost and controls its clock.
+// rig drives a Balancer with a fakeHost and controls its clock.
 type rig struct {
-	t    *testing.T
-	b    *Balancer
-	h    *fakeHost
-	now  time.Duration
-	next RequestID
-	done map[RequestID]int // outcomes delivered, by request
+	t         *testing.T
+	b         *Balancer
+	h         *fakeHost
+	now       time.Duration
+	lastID    RequestID
+	delivered map[RequestID]int // number of outcomes delivered for each request
 }
 
+// newRig returns a rig whose Balancer has a cached list of the given number of ready endpoints.
 func newRig(t *testing.T, set Settings, endpoints int) *rig {
 	t.Helper()
-	h := newHost()
+	h := newFakeHost()
 	b, err := New(set, 1, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, h: h, now: time.Hour, done: map[RequestID]int{}}
+	r := &rig{t: t, b: b, h: h, now: time.Hour, delivered: map[RequestID]int{}}
 	r.update(CachedUpdate, ready(1, endpoints)...)
 	return r
 }
 
-// ready returns entries for endpoints first to last, two to a cell, five to a zone.
+// ready returns entries for the ready endpoints with the ids first to last, two in each cell and five in
+// each zone.
 func ready(first, last int) []Endpoint {
 	var entries []Endpoint
 	for i := first; i <= last; i++ {
@@ -120,14 +125,14 @@
 // update delivers an endpoint update.
 func (r *rig) update(kind UpdateKind, entries ...Endpoint) { r.b.UpdateEndpoints(r.now, kind, entries) }
 
-// request sends a request of a class and returns its id.
+// request delivers a new request of a class, with 2 s remaining, and returns its id.
 func (r *rig) request(class int) RequestID {
-	r.next++
-	r.b.Request(r.now, Request{ID: r.next, Class: class, TimeRemaining: 2 * time.Second})
-	return r.next
+	r.lastID++
+	r.b.Request(r.now, Request{ID: r.lastID, Class: class, TimeRemaining: 2 * time.Second})
+	return r.lastID
 }
 
-// sendsOf lists the endpoints that a request was sent to.
+// sendsOf returns the endpoints that a request was sent to, in the order of the sends.
 func (r *rig) sendsOf(id RequestID) []EndpointID {
 	var endpoints []EndpointID
 	for _, s := range r.h.sends {
@@ -138,15 +143,15 @@
 	return endpoints
 }
 
-// endAttempt delivers the next outcome of a request.
+// endAttempt delivers the outcome of the request's earliest attempt that has none yet.
 func (r *rig) endAttempt(id RequestID, status Status, latency time.Duration) {
-	i := r.done[id]
-	r.done[id]++
+	i := r.delivered[id]
+	r.delivered[id]++
 	r.b.Outcome(r.now, Outcome{ID: id, Attempt: i, Endpoint: r.sendsOf(id)[i], Status: status, Latency: latency,
 		RequestDone: status == OK})
 }
 
-// advance moves the clock and fires the timers that fall due.
+// advance moves the clock by d and fires the timers that expire meanwhile.
 func (r *rig) advance(d time.Duration) {
 	for end := r.now + d; ; {
 		due := -1
@@ -166,21 +171,21 @@
 	}
 }
 
-// serve sends n requests of a class, one after the other, each answered with the same latency.
+// serve delivers n requests of a class, one after the other, and answers each with the given latency.
 func (r *rig) serve(n, class int, latency time.Duration) {
 	for range n {
 		id := r.request(class)
 		r.advance(latency)
-		if r.done[id] < len(r.sendsOf(id)) {
+		if r.delivered[id] < len(r.sendsOf(id)) {
 			r.endAttempt(id, OK, latency)
 		}
 	}
 }
 
-// breakers counts the ready endpoints by the state of their breaker.
+// breakers returns the number of ready endpoints for each state of their breakers.
 func (r *rig) breakers() (count [3]int) {
-	for _, s := range r.b.ready {
-		count[s.breaker.state]++
+	for _, e := range r.b.ready {
+		count[e.breaker.state]++
 	}
 	return count
 }
--- a/policy/scoring_test.go
+++ b/policy/scoring_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against taking an endpoint that rejects requests for an idle one, which attracts most of the traffic
-// while others hang.
+// Guards against an endpoint that rejects requests but looks idle, and so attracts most of the traffic
+// while the other endpoints hang.
 func TestRejectionsLowerTheScore(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.serve(30, 0, 20*ms)
@@ -16,9 +16,10 @@
 	r.endAttempt(id, Rejected, 0)
 	r.advance(ms)
 	r.b.refresh(r.now)
-	for _, s := range r.b.subset.members {
-		if s.ID != full && s.score <= r.b.endpoints[full].score {
-			t.Fatalf("the full endpoint scores %.2f, another %.2f", r.b.endpoints[full].score, s.score)
+	for _, e := range r.b.subset.members {
+		if e.ID != full && e.score <= r.b.endpoints[full].score {
+			t.Fatalf("score of the full endpoint is %.2f, want less than that of another, %.2f",
+				r.b.endpoints[full].score, e.score)
 		}
 	}
 }
@@ -34,15 +35,15 @@
 	}
 	r.b.refresh(r.now)
 	if !(good.score > slow.score && good.score > failing.score) {
-		t.Fatalf("scores: good %.2f slow %.2f failing %.2f", good.score, slow.score, failing.score)
+		t.Fatalf("scores: good %.2f, slow %.2f, failing %.2f; want the good one highest", good.score, slow.score, failing.score)
 	}
 	if better(good, slow) != good || better(failing, good) != good {
-		t.Fatal("the better score lost")
+		t.Fatal("better did not return the endpoint with the higher score")
 	}
 	twin := &endpoint{score: good.score - scoreTie/2}
 	good.inFlight = append(good.inFlight, &attempt{})
 	if better(good, twin) != twin {
-		t.Fatal("a near-tie must go to fewer requests in flight")
+		t.Fatal("better did not return the endpoint with fewer requests in flight at near-equal scores")
 	}
 }
 
@@ -53,50 +54,51 @@
 		r.b.ready[1].outcomes.record(r.now, true, 3)
 	}
 	r.b.refresh(r.now)
-	s := r.b.ready
-	if !(s[0].score > s[2].score && s[2].score > s[1].score) {
-		t.Fatalf("scores %.2f %.2f, unmeasured %.2f: not between", s[0].score, s[1].score, s[2].score)
+	endpoints := r.b.ready
+	if !(endpoints[0].score > endpoints[2].score && endpoints[2].score > endpoints[1].score) {
+		t.Fatalf("scores %.2f and %.2f with outcomes, %.2f without; want the last in between",
+			endpoints[0].score, endpoints[1].score, endpoints[2].score)
 	}
 	r.b.refresh(r.now + 2*outcomeMaxAge)
-	if s[0].score != s[1].score {
-		t.Fatal("expired outcomes still count: an endpoint that was bad once is never used again")
+	if endpoints[0].score != endpoints[1].score {
+		t.Fatal("expired outcomes still count, so an endpoint with a low score would never be used again")
 	}
 }
 
-// The ring of outcomes grows with use and agrees with a plain list.
+// Checks the ring of outcomes, which grows with use, against a slice as model, with random outcomes.
 func TestOutcomesGrowWithUse(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		s := &endpoint{}
+		e := &endpoint{}
 		var model []outcome
 		for step := range 400 {
 			o := outcome{time.Duration(step), rng.IntN(3) > 0, rng.Float64()}
-			s.outcomes.record(o.at, o.success, o.latency)
+			e.outcomes.record(o.at, o.success, o.latency)
 			if model = append(model, o); len(model) > maxOutcomes {
 				model = model[1:]
 			}
-			for len(model) > 0 && rng.IntN(8) == 0 { // as dropExpired does
-				s.outcomes.dropOldest()
+			for len(model) > 0 && rng.IntN(8) == 0 { // dropExpired drops in the same way
+				e.outcomes.dropOldest()
 				model = model[1:]
 			}
 			good := 0
 			for i, want := range model {
-				if *s.outcomes.at(i) != want {
-					t.Fatalf("seed %d, step %d: outcome %d of %d is %v, want %v",
-						seed, step, i, len(model), *s.outcomes.at(i), want)
+				if *e.outcomes.at(i) != want {
+					t.Fatalf("seed %d, step %d: outcome with index %d of %d is %v, want %v",
+						seed, step, i, len(model), *e.outcomes.at(i), want)
 				}
 				if want.success {
 					good++
 				}
 			}
-			w := &s.outcomes
+			w := &e.outcomes
 			if w.count != len(model) || w.successes != good || len(w.ring) > maxOutcomes {
 				t.Fatalf("seed %d, step %d: %d outcomes, %d successes in a ring of %d; want %d and %d",
 					seed, step, w.count, w.successes, len(w.ring), len(model), good)
 			}
 		}
 	}
-	if s := (&endpoint{}); len(s.outcomes.ring) != 0 {
-		t.Error("an endpoint that was never used has space for outcomes")
+	if e := (&endpoint{}); len(e.outcomes.ring) != 0 {
+		t.Error("an endpoint without outcomes has allocated space for outcomes")
 	}
 }
