--- a/internal/node/adminhandler.go
+++ b/internal/node/adminhandler.go
@@ -14,18 +14,18 @@
 	"yokestall/internal/hotrestart"
 )
 
-// The answers to PING of a process that accepts no clients. Operators see their texts.
+// The errors that PING returns from a process that does not accept clients. The admin API sends their texts to operators.
 var (
-	errNoEndpointList = errors.New("no list of servers yet: no clients are taken")
-	errNotServing     = errors.New("another process of the node takes the clients")
+	errNoEndpointList = errors.New("not ready: the process has no endpoint list yet and accepts no clients")
+	errNotServing     = errors.New("not serving: another process of the node accepts the clients")
 )
 
 // adminHandler executes operators' commands.
 type adminHandler struct {
-	background context.Context // ends with the node
+	background context.Context // cancelled when the node stops
 	endpoints  *endpointWatcher
 	httpServer *h1server.Server
-	restart    *restartCoordinator // nil: there can't be another process of the node
+	restart    *restartCoordinator // nil if the node always has a single process
 	log        *slog.Logger
 }
 
@@ -47,7 +47,7 @@
 	return a.status(), nil
 }
 
-// ping returns the status of a process that accepts clients, or why this one does not.
+// ping returns the node's status if this process accepts clients, and otherwise an error that says why it does not.
 func (a *adminHandler) ping() (string, error) {
 	if !a.httpServer.IsReady() {
 		return "", errNoEndpointList
@@ -58,7 +58,7 @@
 	return a.status(), nil
 }
 
-// commit carries out a change in all processes of the node.
+// commit applies a change in all processes of the node.
 func (a *adminHandler) commit(ctx context.Context, c adminstate.Change) error {
 	if a.restart != nil {
 		return a.restart.commit(ctx, c)
@@ -89,7 +89,7 @@
 // MinimalChanges implements hotrestart.AdminState.
 func (a *adminHandler) MinimalChanges() []adminstate.Change { return a.endpoints.adminChanges() }
 
-// status returns the node's state as operators see it.
+// status returns the administrative state of the node in the text form of the admin API.
 func (a *adminHandler) status() string {
 	detached, lameDuck := a.endpoints.adminStatus()
 	text := "serving"
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -12,20 +12,21 @@
 
 const (
 	maxBodyBytes = 64 << 20
-	// streamStallTimeout is how long a streamed response may make no progress, at either side.
+	// streamStallTimeout is how long a streamed response may make no progress, on the upstream or the downstream side.
 	streamStallTimeout = 5 * time.Second
-	// unsolicitedResponsePeriod is how long after a response another one may arrive that belongs to no
-	// request: some milliseconds, by the platform's protocol. Nothing in it names its request.
+	// unsolicitedResponsePeriod is how long after a response a connection is not reused. By the platform's protocol an
+	// endpoint may send an unsolicited response some milliseconds after a response; since a response does not name its
+	// request, the node would take it for the response to the next request on that connection.
 	unsolicitedResponsePeriod = 20 * time.Millisecond
-	// drainSendGraceDivisor gives the part of the drain grace that is left for sends decided before the
-	// notice of the drain: a fifth. Three quarters are the notice's (discovery.PushedTiming). The remaining
-	// twentieth is the margin for the processing of the notice and for the send's way to the endpoint.
+	// drainSendGraceDivisor divides the drain grace into the part, a fifth, that is left for sends decided before the
+	// node learns of the drain. Learning of the drain may take three quarters (discovery.PushedTiming). The remaining
+	// twentieth is the margin for processing the update and for the transmission of the request to the endpoint.
 	drainSendGraceDivisor = 5
-	// bodyMemoryDivisor gives the part of the memory that request bodies may occupy.
+	// bodyMemoryDivisor divides the node's memory limit into the part that request bodies may occupy.
 	bodyMemoryDivisor = 4
 )
 
-// runningNode are the parts of a running node.
+// runningNode holds the components of a running node.
 type runningNode struct {
 	clock      engine.Clock
 	endpoints  *endpointWatcher
@@ -33,11 +34,11 @@
 	cluster    *engine.Cluster
 	httpServer *h1server.Server
 	admin      *adminHandler
-	restart    *restartCoordinator // nil: there can't be another process of the node
+	restart    *restartCoordinator // nil if the node always has a single process
 }
 
-// assemble makes the parts of the node and connects them. The cluster and the lame duck mode run until
-// background ends. The error is that of the limits or of the policy's settings.
+// assemble creates the node's components and connects them. The cluster and the lame duck mode run until background is
+// done. It returns an error if the limits leave too few descriptors, or if the policy's settings are invalid.
 func (n *Node) assemble(background context.Context) (*runningNode, error) {
 	upstream, clients, err := n.cfg.splitDescriptors(n.cfg.Limits.Sockets)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return running, nil
 }
 
-// clusterSink has both the cluster and the connection pool follow the endpoint list.
+// clusterSink passes the endpoint list to both the cluster and the connection pool.
 type clusterSink struct {
 	*engine.Cluster
 	pool *h1client.Pool
--- a/internal/node/command.go
+++ b/internal/node/command.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// memoryLimitTenths is the part of the granted memory that the Go runtime may use, in tenths; the
-	// rest is the kernel's for sockets and files.
+	// memoryLimitTenths is the part of the memory limit that the Go runtime may use, in tenths. The rest is left to
+	// the kernel's buffers for sockets and files.
 	memoryLimitTenths = 7
-	// gcPercent is low for a program of little garbage: a heap that may grow severalfold would grow
-	// for minutes.
+	// gcPercent is low for a program that allocates little garbage: with a higher value, which lets the heap grow
+	// severalfold between collections, the heap would grow for minutes.
 	gcPercent = 100
 )
 
-// Command runs the node that the environment configures until SIGTERM or an interrupt; args are the
-// program's arguments. SIGHUP reloads the address of discovery.
+// Command runs a node until SIGTERM or an interrupt. The environment names its configuration file, and args are the
+// program's arguments without its name. SIGHUP reloads the address of the discovery service.
 func Command(args []string) error {
 	settingsPath, err := parseArguments(args)
 	if err != nil {
@@ -52,11 +52,11 @@
 	return n.Run(ctx)
 }
 
-// parseArguments returns the path of the settings file; "": none.
+// parseArguments returns the path of the settings file, or "" if the arguments name none.
 func parseArguments(args []string) (settingsPath string, err error) {
 	flags := flag.NewFlagSet("yokestall-node", flag.ContinueOnError)
 	settings := flags.String("settings", "",
-		"the operator's `file` of settings (deploy/node.toml is the example); none by default")
+		"path of the operator's settings `file` (deploy/node.toml is an example); no file by default")
 	if err := flags.Parse(args); err != nil {
 		return "", err
 	}
@@ -66,8 +66,8 @@
 	return *settings, nil
 }
 
-// reloadOnSignal reloads the configuration at each signal until the context ends. Only the address of
-// discovery may change while the node runs; a configuration that can't be read changes nothing.
+// reloadOnSignal rereads the configuration file at each signal until ctx is done. Only the address of the discovery
+// service may change while the node runs. If the file can't be read, the node keeps the previous address.
 func reloadOnSignal(ctx context.Context, reload <-chan os.Signal, n *Node) {
 	for {
 		select {
@@ -84,7 +84,7 @@
 	}
 }
 
-// limitRuntime bounds the runtime's use of the machine.
+// limitRuntime sets the CPU and memory limits of the Go runtime.
 func limitRuntime(l Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -14,42 +14,43 @@
 	"yokestall/policy"
 )
 
-// Limits is what the node's machine grants it; 0 means no limit.
+// Limits holds the resources that the node may use on its machine. Cores and MemoryMB are unlimited if they are 0.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"` // MiB
-	Sockets  int     `json:"sockets"`   // descriptors; defaultSockets if the file has none
+	MemoryMB int     `json:"memory_mb"` // in MiB
+	Sockets  int     `json:"sockets"`   // file descriptors; 0 in the file stands for defaultSockets
 }
 
-// Config is the configuration of a node at its start.
+// Config is the configuration that a node starts with.
 type Config struct {
 	Name            string
-	Listen          string // address for clients
-	Discovery       string // address of discovery
-	AdminAddr       string // address of the admin API; "": none
-	SharedDir       string // a folder that all processes of the node share; "": none
-	InheritedSocket string // the descriptor of the clients' socket; "": the node opens its own
-	Seed            uint64 // of the policy's random draws
+	Listen          string // address on which the node accepts clients
+	Discovery       string // host and port of the discovery service
+	AdminAddr       string // address of the admin API; "" disables the admin API
+	SharedDir       string // directory that all processes of the node share; "" if there is none
+	InheritedSocket string // descriptor number of the inherited listener for clients; "" if the node opens its own
+	Seed            uint64 // seed of the policy's random numbers
 	Limits          Limits
-	InitialList     endpointList // the endpoint list as this node last had it
+	InitialList     endpointList // the last endpoint list that this node had
 	Policy          policy.Settings
-	Classes         map[string]int // name to index in Policy.Classes
-	Tenants         map[string]int // name to index in Policy.Tenants
-	Zones           map[string]int // name to zone number
-	DrainGrace      time.Duration  // from the notice of a drain until the last send to the endpoint
-	ConnIdle        time.Duration  // endpoints close a connection that was idle for so long
+	Classes         map[string]int // index in Policy.Classes by class name
+	Tenants         map[string]int // index in Policy.Tenants by tenant name
+	Zones           map[string]int // zone number by zone name
+	DrainGrace      time.Duration  // time from the drain notice to the last send to the draining endpoint
+	ConnIdle        time.Duration  // time after which endpoints close an idle connection
 	ConnectTimeout  time.Duration
 	IdlePrices      keepalive.Prices
-	ListPrice       float64      // cost of polling a hundred instances of a list, in requests
-	ClientShare     float64      // of all descriptors, for client connections with a request; 0.1 to 1
-	Log             *slog.Logger // nil: the default one
+	ListPrice       float64      // cost of polling an endpoint list, in requests per 100 instances
+	ClientShare     float64      // share of all descriptors for client connections with a request, from 0.1 to 1
+	Log             *slog.Logger // nil selects slog.Default
 
-	pollTiming discovery.PollTiming // of calls to discovery; zero: by the settings
+	pollTiming discovery.PollTiming // zero selects the timing for the kind of discovery that the settings name
 }
 
-// The environment variables that override the configuration file's values.
+// The environment variables that a node reads besides hotrestart.InheritedSocketEnv. configEnv names the configuration file,
+// and sharedDirEnv the directory that the node's processes share. The others override values of the configuration file.
 const (
-	configEnv    = "BALANCER_CONFIG" // path of the file
+	configEnv    = "BALANCER_CONFIG" // path of the configuration file
 	nameEnv      = "BALANCER_NAME"
 	listenEnv    = "BALANCER_LISTEN"
 	discoveryEnv = "BALANCER_DISCOVERY"
@@ -57,11 +58,11 @@
 	sharedDirEnv = "TMPDIR"
 )
 
-// errNoConfig is returned where the environment names no configuration file.
+// errNoConfig is returned if the environment names no configuration file.
 var errNoConfig = errors.New(configEnv + " is not set")
 
-// LoadConfig reads the configuration file that the environment names, and applies the environment's
-// overrides.
+// LoadConfig reads the configuration file that the environment names, and then applies the environment variables that
+// override its values.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv(configEnv)
 	if path == "" {
@@ -85,9 +86,9 @@
 	return c, nil
 }
 
-// ReloadDiscovery returns the address of discovery in the configuration file that the environment
-// names. Here the file takes precedence over the environment: it may have been replaced since the
-// start, the environment can't have changed.
+// ReloadDiscovery rereads the configuration file that the environment names, and returns its address of the discovery
+// service. Here the file takes precedence over the environment, since the file may have been replaced after the start of
+// the process and the environment can't have changed.
 func ReloadDiscovery(getenv func(string) string) (string, error) {
 	path := getenv(configEnv)
 	c, err := readConfig(path)
@@ -112,7 +113,7 @@
 	return c, nil
 }
 
-// classNames returns the names of the classes by their indices.
+// classNames returns the names of the classes, ordered by their indices in Policy.Classes.
 func (c *Config) classNames() []string {
 	names := make([]string, len(c.Policy.Classes))
 	for name, i := range c.Classes {
@@ -121,7 +122,7 @@
 	return names
 }
 
-// longestDeadline returns how long a request accepted now may still be in flight.
+// longestDeadline returns the longest deadline of all classes, which bounds how long an accepted request is in flight.
 func (c *Config) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.Policy.Classes {
--- a/internal/node/configfile.go
+++ b/internal/node/configfile.go
@@ -14,24 +14,24 @@
 
 const (
 	defaultSockets = 1024
-	minSockets     = 64
-	// defaultConnIdle and defaultConnectTimeout are those of a deployment whose settings have none.
+	minSockets     = 64 // also stated in the error text of Limits.complete
+	// defaultConnIdle and defaultConnectTimeout apply if the settings leave these values out.
 	defaultConnIdle       = 15 * time.Second
 	defaultConnectTimeout = 250 * time.Millisecond
-	// defaultDrainGrace is the shortest grace of any deployment: without a stated one, sends have to
-	// end as early.
+	// defaultDrainGrace applies if the settings leave out the drain grace. It is the shortest grace of any deployment,
+	// so that sends to a draining endpoint end early enough whichever grace the deployment has.
 	defaultDrainGrace = 100 * time.Millisecond
 	maxDrainGrace     = time.Minute
 	maxConnDuration   = 24 * time.Hour
 )
 
-// The errors of a configuration file that have no cause below them.
+// The errors that a configuration file can cause and that wrap no other error.
 var (
-	errNoSettings     = errors.New("settings are missing")
-	errNegativeLimits = errors.New("limits: negative")
+	errNoSettings     = errors.New("settings: the object is missing")
+	errNegativeLimits = errors.New("limits: cores, memory_mb and sockets must not be negative")
 )
 
-// configFile is the configuration file.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name        string          `json:"name"`
 	Listen      string          `json:"listen"`
@@ -40,10 +40,10 @@
 	Seed        string          `json:"seed"` // hexadecimal
 	Limits      Limits          `json:"limits"`
 	InitialList endpointList    `json:"known"`
-	Settings    json.RawMessage `json:"settings"` // of the policy, and nodeSettings
+	Settings    json.RawMessage `json:"settings"` // decoded as the policy's settings and as nodeSettings
 }
 
-// nodeSettings are the settings that the policy does not need: names, and figures of connections.
+// nodeSettings holds the settings that the node needs and the policy does not: names, and limits and costs of connections.
 type nodeSettings struct {
 	Tenants []named  `json:"Accounts"`
 	Classes []named  `json:"Classes"`
@@ -58,8 +58,8 @@
 	Prices struct {
 		Connection float64 `json:"Connection"`
 		Handshake  float64 `json:"Handshake"`
-		// List is the price of a list. Under the same key beside "Deductions" stands the discovery mode
-		// (simulator.ParseSettings).
+		// List is the cost of polling an endpoint list, in requests per 100 instances. The same key outside "Deductions"
+		// is the discovery mode (simulator.ParseSettings).
 		List float64 `json:"RegistryMode"`
 	} `json:"Deductions"`
 }
@@ -68,7 +68,7 @@
 	Name string `json:"Name"`
 }
 
-// parseConfig parses a configuration file.
+// parseConfig parses the text of a configuration file and applies the defaults for values that the file leaves out.
 func parseConfig(text []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -110,7 +110,7 @@
 	return c, nil
 }
 
-// complete checks the limits and sets the default of those that need one.
+// complete validates the limits, and sets Sockets to its default if it is 0.
 func (l *Limits) complete() error {
 	if l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 {
 		return errNegativeLimits
@@ -119,26 +119,27 @@
 		l.Sockets = defaultSockets
 	}
 	if l.Sockets < minSockets {
-		return fmt.Errorf("limits: %d sockets are too few", l.Sockets)
+		return fmt.Errorf("limits: sockets: %d is below the minimum of 64", l.Sockets)
 	}
 	return nil
 }
 
-// setNames sets the indices of classes, tenants and zones by their names.
+// setNames maps the names of classes, tenants and zones to their indices. Names of classes and tenants must be unique and
+// not empty, and a class name must be a valid path segment.
 func (c *Config) setNames(s *nodeSettings) error {
 	c.Classes, c.Tenants, c.Zones = map[string]int{}, map[string]int{}, map[string]int{}
 	for i, class := range s.Classes {
 		if class.Name == "" || strings.ContainsAny(class.Name, "/?#") {
-			return fmt.Errorf("settings: Classes[%d].Name: %q can't be the first part of a path", i, class.Name)
+			return fmt.Errorf("settings: Classes[%d].Name: %q is empty or contains '/', '?' or '#'", i, class.Name)
 		}
 		if first, exists := c.Classes[class.Name]; exists {
-			return fmt.Errorf("settings: Classes[%d].Name: %q is Classes[%d] already", i, class.Name, first)
+			return fmt.Errorf("settings: Classes[%d].Name: %q is the name of Classes[%d] too", i, class.Name, first)
 		}
 		c.Classes[class.Name] = i
 	}
 	for i, tenant := range s.Tenants {
 		if first, exists := c.Tenants[tenant.Name]; exists || tenant.Name == "" {
-			return fmt.Errorf("settings: Accounts[%d].Name: %q is none, or Accounts[%d] already", i, tenant.Name, first)
+			return fmt.Errorf("settings: Accounts[%d].Name: %q is empty, or the name of Accounts[%d] too", i, tenant.Name, first)
 		}
 		c.Tenants[tenant.Name] = i
 	}
@@ -148,11 +149,11 @@
 	return nil
 }
 
-// setDurations sets the durations that the settings have, each within its range.
+// setDurations sets the durations that the settings contain. A duration out of its range is an error.
 func (c *Config) setDurations(s *nodeSettings) error {
 	for _, d := range []struct {
 		key         string
-		valueMs     *float64 // nil: the default stays
+		valueMs     *float64 // nil keeps the default
 		least, most time.Duration
 		field       *time.Duration
 	}{
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -8,19 +8,22 @@
 )
 
 const (
-	// ownDescriptors are the standard streams, the runtime's, the listener and discovery's connections.
+	// ownDescriptors is the number of descriptors reserved for the standard streams, the Go runtime, the listener and
+	// the connections to the discovery service.
 	ownDescriptors = 30
-	// minConnections is the least that a process can serve with, clients and endpoints together.
+	// minConnections is the smallest number of connections, to endpoints and from clients together, with which a
+	// process can serve.
 	minConnections = 16
-	// upstreamShare is the part of the connections that go to endpoints. Clients have more, since
-	// theirs may be idle or without a request.
+	// upstreamShare is the share of all connections that go to endpoints. Clients have the larger share, since client
+	// connections may be idle or have sent no request yet.
 	upstreamShare = 0.45
 )
 
-// errTooFewDescriptors is returned for a limit that leaves fewer than minConnections.
-var errTooFewDescriptors = errors.New("limits: too few descriptors")
+// errTooFewDescriptors is returned if a descriptor limit leaves fewer than minConnections connections.
+var errTooFewDescriptors = errors.New("limits: too few descriptors for the connections to endpoints and from clients")
 
-// splitDescriptors splits a number of descriptors into connections to endpoints and from clients.
+// splitDescriptors divides a number of descriptors into a limit of connections to endpoints and the limits of connections
+// from clients. It subtracts the descriptors that the process itself and the admin API need.
 func (c *Config) splitDescriptors(total int) (upstream int, clients connlimit.Limits, err error) {
 	connections := total - ownDescriptors
 	if c.AdminAddr != "" {
