--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -45,7 +45,7 @@
 		return nil, fmt.Errorf("limits: %w", err)
 	}
 	running := &runningNode{clock: engine.NewClock()}
-	running.endpoints = newEndpointWatcher(n.cfg, running.clock, n.discoveryMoved, n.log)
+	running.endpoints = newEndpointWatcher(n.cfg, running.clock, n.newDiscoveryAddr, n.log)
 	running.pool = h1client.New(h1client.Options{
 		EndpointIdleTimeout: n.cfg.ConnIdle,
 		ConnectTimeout:      n.cfg.ConnectTimeout,
--- a/internal/node/discoverysource.go
+++ b/internal/node/discoverysource.go
@@ -1,4 +1,4 @@
-// One address of the discovery service, and single calls to it.
+// This file has the client for one address of the discovery service, which makes single calls.
 
 package node
 
@@ -14,30 +14,31 @@
 	"yokestall/internal/discovery"
 )
 
-// maxErrorBodyBytes is how much is read of the body of a response that is not 200, to keep its connection.
+// maxErrorBodyBytes is how much of the body of a response with a status other than 200 is read, so that its connection can
+// be reused.
 const maxErrorBodyBytes = 4 << 10
 
 // discoverySource is one address of the discovery service.
 type discoverySource struct {
 	url    string
 	client *http.Client
-	stop   context.CancelFunc // ends its poll loop; set before the loop starts
+	stop   context.CancelFunc // stops the source's poll loop; set before the loop starts
 
-	// The mutex of the endpointWatcher guards the fields below.
+	// endpointWatcher.mu guards the fields below.
 
-	// hasList reports that generation is the version of a list that this source has given, or that the process was
-	// started with. A version may be 0.
+	// hasList reports that generation is the version of a list that this source has returned, or that the process was
+	// started with. Version 0 is a valid version.
 	hasList    bool
 	generation uint64
-	// stopReplaced ends the source that this one replaces once this one has given its list. It is nil in the source
-	// that is followed, and in one that was replaced before it gave a list.
+	// stopReplaced stops the source that this source replaces. It is called when this source has returned its first
+	// list, and is nil in the current source and in a source that was itself replaced before it returned a list.
 	stopReplaced func()
 }
 
-// newDiscoverySource returns a source that nobody follows yet. addr is a host and port.
+// newDiscoverySource returns a source that no poll loop follows yet. addr is a host and port.
 func newDiscoverySource(addr string, timing discovery.PollTiming) *discoverySource {
-	// net/http dials beyond the end of a call. The timeout keeps connections that are never established from
-	// outliving many calls, since calls are limited in number and dials are not.
+	// net/http continues to dial after a call has ended. Calls are limited in number and dials are not, so that dials to
+	// an address that does not respond would accumulate without this timeout.
 	dialer := net.Dialer{Timeout: timing.HedgeTimeout, KeepAlive: -1}
 	return &discoverySource{
 		url:    "http://" + addr + "/registry/instances",
@@ -45,14 +46,14 @@
 	}
 }
 
-// listRequest is what one poll asks the discovery service for.
+// listRequest says which part of the endpoint list one poll requests.
 type listRequest struct {
-	full  bool   // the full list, at once; otherwise what is newer than the generation after
-	after uint64 // unless full
+	full  bool   // requests the full list without waiting; otherwise changes newer than the generation after
+	after uint64 // ignored if full is set
 }
 
-// fetch makes one call. wait is how long the service may wait for something newer; it has no effect on a request of the
-// full list. timeout limits all of the call.
+// fetch makes one call to the discovery service. wait is how long the service may wait for a newer generation; it has no
+// effect on a request for the full list. timeout limits the whole call.
 func (s *discoverySource) fetch(
 	ctx context.Context, request listRequest, wait, timeout time.Duration,
 ) (*discovery.Response, error) {
@@ -69,7 +70,7 @@
 	defer httpResponse.Body.Close()
 	if httpResponse.StatusCode != http.StatusOK {
 		io.CopyN(io.Discard, httpResponse.Body, maxErrorBodyBytes)
-		return nil, fmt.Errorf("unexpected status %d", httpResponse.StatusCode)
+		return nil, fmt.Errorf("discovery service returned status %d, want 200", httpResponse.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, discovery.MaxResponseBytes+1))
 	if err != nil {
@@ -78,7 +79,8 @@
 	return discovery.ParseResponse(body, request.full, time.Now())
 }
 
-// query returns the query of the URL. A wait is at least minPollWait, as the service requires one.
+// query returns the URL's query, or "" for the full list. A wait below minPollWait is raised to it, since the service
+// requires a wait.
 func (r listRequest) query(wait time.Duration) string {
 	if r.full {
 		return ""
--- a/internal/node/endpointadmin.go
+++ b/internal/node/endpointadmin.go
@@ -1,4 +1,4 @@
-// Administrative changes: operators take endpoints out of service and return them.
+// This file applies administrative changes, by which operators take endpoints out of service and return them to it.
 
 package node
 
@@ -8,15 +8,15 @@
 	"yokestall/policy"
 )
 
-// checkChange reports whether an administrative change would make a difference. The error says why it is not allowed.
+// checkChange reports whether an administrative change would have an effect. The error says why the change is not allowed.
 func (w *endpointWatcher) checkChange(change adminstate.Change) (differs bool, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.admin.HasEffect(change), w.admin.Validate(change, w.list.RecentlyListed)
 }
 
-// applyChange applies an administrative change. When it returns, no attempt is decided for a detached endpoint any
-// more; one that was decided before may still be sent within the engine's DrainSendGrace.
+// applyChange applies an administrative change. After it has returned, the policy selects a detached endpoint for no
+// further attempt; an attempt that was decided before may still be sent within the engine's DrainSendGrace.
 func (w *endpointWatcher) applyChange(change adminstate.Change) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -28,15 +28,15 @@
 	}
 }
 
-// adminChanges returns the changes that lead to the administrative state.
+// adminChanges returns a minimal list of changes that leads to the present administrative state.
 func (w *endpointWatcher) adminChanges() []adminstate.Change {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.admin.MinimalChanges()
 }
 
-// adminStatus returns the IDs of the endpoints that operators took out of service, and whether the node is in lame duck
-// mode.
+// adminStatus returns the IDs of the endpoints that operators have taken out of service, and whether the node is in lame
+// duck mode.
 func (w *endpointWatcher) adminStatus() (outOfService []string, lameDuck bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/node/endpointupdates.go
+++ b/internal/node/endpointupdates.go
@@ -1,5 +1,5 @@
-// From a response to the policy and the upstream clients: which source's responses count, when the full list is
-// requested, and the form of the updates.
+// This file passes responses of the discovery service on to the policy and the upstream clients. It decides which source's
+// responses are used and when the full list is requested, and converts the instances.
 
 package node
 
@@ -12,20 +12,21 @@
 	"yokestall/policy"
 )
 
-// endpointSink receives the endpoint list.
+// endpointSink receives updates of the endpoint list.
 type endpointSink interface {
-	// UpdateAddresses gives the upstream clients the addresses: of all endpoints, or of the changed ones.
+	// UpdateAddresses passes addresses to the upstream clients: those of all endpoints if full is set, and otherwise
+	// those of the changed endpoints.
 	UpdateAddresses(full bool, endpoints []h1client.Endpoint)
-	// UpdateEndpoints gives the policy the endpoints, or reports a failed poll to it. It is false if the policy no
-	// longer runs.
+	// UpdateEndpoints passes an endpoint update to the policy, or notifies the policy of a failed poll. It returns false
+	// if the policy no longer runs.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) bool
 }
 
-// applyResponse takes a response into the list and publishes it. It reports false, and leaves the list, if the source
-// is no longer followed.
+// applyResponse applies a response to the list and publishes the result. If the source is no longer followed, it returns
+// false and leaves the list unchanged.
 //
-// An incomplete response has the full list requested after a delay. Long polls go on until then, since a line may stay
-// unusable for good.
+// After an incomplete response the full list is requested with a delay. Long polls continue until then, since an entry of
+// the list may remain unusable permanently.
 func (w *endpointWatcher) applyResponse(source *discoverySource, response *discovery.Response) (followed bool) {
 	var resyncDelay time.Duration
 	if response.Incomplete != nil {
@@ -39,7 +40,7 @@
 		return false
 	}
 	source.hasList, source.generation = true, response.Generation
-	if !w.published && len(w.initialList) > 0 { // the response may be a delta to it
+	if !w.published && len(w.initialList) > 0 { // the response may be a delta to the initial list
 		w.publishInitialList()
 	}
 	w.scheduleResync(response, resyncDelay)
@@ -48,8 +49,8 @@
 	return true
 }
 
-// makeCurrent makes a source that has given a list the current one and ends the one that it replaces. It reports false
-// if the source was replaced itself. mu is locked.
+// makeCurrent makes a source that has returned a list the current one and stops the source that it replaces. It returns
+// false if the given source was itself replaced. w.mu is held.
 func (w *endpointWatcher) makeCurrent(source *discoverySource) bool {
 	if w.source != source {
 		if source.stopReplaced == nil {
@@ -62,7 +63,8 @@
 	return true
 }
 
-// scheduleResync sets when the full list is requested. A complete delta leaves that as it is. mu is locked.
+// scheduleResync updates resyncAt: an incomplete response sets it, and a complete full list clears it. A complete delta
+// leaves it unchanged. w.mu is held.
 func (w *endpointWatcher) scheduleResync(response *discovery.Response, delay time.Duration) {
 	switch {
 	case response.Incomplete != nil:
@@ -73,7 +75,8 @@
 	}
 }
 
-// minResyncInterval returns the shortest delay until the full list may be requested at the price of lists.
+// minResyncInterval returns the shortest delay after which the full list may be requested, given the cost of polling lists
+// and the node's rate of requests.
 func (w *endpointWatcher) minResyncInterval() time.Duration {
 	if w.listPrice <= 0 || w.requestCount == nil {
 		return 0
@@ -84,13 +87,13 @@
 	return discovery.ResyncInterval(w.listPrice, w.list.Len(), requestsPerSecond, maxResyncDelay)
 }
 
-// publishInitialList publishes the list that the process was started with. mu is locked.
+// publishInitialList publishes the list that the process was started with. w.mu is held.
 func (w *endpointWatcher) publishInitialList() {
 	initial := &discovery.Response{Full: true, Instances: w.initialList}
 	w.publish(policy.CachedUpdate, w.list.Apply(initial))
 }
 
-// publishResponse takes a response into the list and publishes what changed. mu is locked.
+// publishResponse applies a response to the list and publishes the full list or the changed instances. w.mu is held.
 func (w *endpointWatcher) publishResponse(response *discovery.Response) {
 	instances := w.list.Apply(response)
 	switch {
@@ -101,7 +104,7 @@
 	}
 }
 
-// publish passes instances on to sink, with the administrative state laid over them. mu is locked.
+// publish passes instances on to sink, after applying the administrative state to them. w.mu is held.
 func (w *endpointWatcher) publish(kind policy.UpdateKind, instances []discovery.Instance) {
 	instances = w.admin.Overlay(instances)
 	addresses := make([]h1client.Endpoint, 0, len(instances))
@@ -110,7 +113,7 @@
 		addresses = append(addresses, upstreamEndpoint(&instances[i]))
 		endpoints = append(endpoints, w.policyEndpoint(&instances[i]))
 	}
-	w.sink.UpdateAddresses(kind != policy.DeltaUpdate, addresses) // before the policy can choose any of them
+	w.sink.UpdateAddresses(kind != policy.DeltaUpdate, addresses) // before the policy can select any of the endpoints
 	w.sink.UpdateEndpoints(kind, endpoints)
 	if onFirstUpdate := w.onFirstUpdate; onFirstUpdate != nil {
 		w.onFirstUpdate = nil
@@ -119,7 +122,7 @@
 	w.published = true
 }
 
-// upstreamEndpoint returns an instance as the upstream clients see it.
+// upstreamEndpoint converts an instance to the form of the upstream clients.
 func upstreamEndpoint(instance *discovery.Instance) h1client.Endpoint {
 	return h1client.Endpoint{
 		ID:          instance.ID(),
@@ -129,10 +132,10 @@
 	}
 }
 
-// policyEndpoint returns an instance as the policy sees it. All zones that the settings do not name are one.
+// policyEndpoint converts an instance to the form of the policy. All zones that the settings do not name count as one zone.
 func (w *endpointWatcher) policyEndpoint(instance *discovery.Instance) policy.Endpoint {
-	zone, named := w.zoneIndex[instance.Zone]
-	if !named {
+	zone, known := w.zoneIndex[instance.Zone]
+	if !known {
 		zone = len(w.zoneIndex)
 	}
 	return policy.Endpoint{
@@ -145,7 +148,8 @@
 	}
 }
 
-// clockTime returns wall time, in Unix milliseconds, on the node's clock; 0, which means long ago, stays 0.
+// clockTime converts Unix milliseconds to a time on the node's clock. It returns 0, which stands for long ago, if unixMs is
+// 0 or less.
 func (w *endpointWatcher) clockTime(unixMs float64) time.Duration {
 	if unixMs <= 0 {
 		return 0
@@ -153,21 +157,21 @@
 	return w.clock.At(time.UnixMilli(int64(unixMs)))
 }
 
-// isCurrent reports whether the list is that of the given source.
+// isCurrent reports whether the given source is the current one, whose responses are in the list.
 func (w *endpointWatcher) isCurrent(source *discoverySource) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.source == source
 }
 
-// hasReadyEndpoint reports whether the list has an endpoint that may get new requests.
+// hasReadyEndpoint reports whether the list has an endpoint to which new requests may be sent.
 func (w *endpointWatcher) hasReadyEndpoint() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.list.HasReady()
 }
 
-// currentList returns the list as a later process starts from it.
+// currentList returns the list in the form that a successor starts from.
 func (w *endpointWatcher) currentList() endpointList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/node/endpointwatcher.go
+++ b/internal/node/endpointwatcher.go
@@ -1,6 +1,6 @@
-// The node's discovery client: its state and lifecycle. Its other files are discoverysource.go (one address),
-// pollloop.go and retryschedule.go (when an address is polled), hedgedpoll.go (one poll), endpointupdates.go (from a
-// response to the policy) and endpointadmin.go (administrative changes).
+// This file has the state and the lifecycle of the node's discovery client. The client's other files are discoverysource.go
+// (one address), pollloop.go and retryschedule.go (when an address is polled), hedgedpoll.go (one poll), endpointupdates.go
+// (from a response to the policy) and endpointadmin.go (administrative changes).
 
 package node
 
@@ -17,59 +17,59 @@
 )
 
 const (
-	// initialResyncDelay is the delay from the first incomplete response to the request of the full list.
+	// initialResyncDelay is the delay between the first incomplete response and the request for the full list.
 	initialResyncDelay = 500 * time.Millisecond
 	maxResyncDelay     = time.Minute
 )
 
-// endpointWatcher follows the endpoint list of the discovery service and passes it on to the policy and the upstream
-// connection pool, with the administrative state laid over it. The rules are those of package discovery.
+// endpointWatcher follows the endpoint list of the discovery service, applies the administrative state to it, and passes it
+// on to the policy and the upstream connection pool. Package discovery has the rules for polls and updates.
 //
-// Each address that is followed has a pollLoop in a goroutine of its own; there are two while the discovery service
-// moves to another address. run starts them and returns once all have ended.
+// Each address that is followed has a pollLoop in a goroutine of its own. Two addresses are followed while the discovery
+// service moves to another address. run starts the loops and returns once all have ended.
 type endpointWatcher struct {
 	sink      endpointSink
 	zoneIndex map[string]int // the policy's zones by name
-	// polled reports that polls load a shared discovery service, so that the policy requests them; otherwise the
-	// lists are pushed to an agent on this machine.
+	// polled reports that polls load a shared discovery service, so that the policy decides when to poll. Otherwise an
+	// agent on this machine, to which the lists are pushed, is polled.
 	polled        bool
 	timing        discovery.PollTiming
-	pollRequested chan struct{} // of capacity 1; holds a token from a request of the policy until a poll
-	newAddress    <-chan string // the latest discovery address
-	// initialized is closed once the node has a list to serve by, or has stopped waiting for one.
+	pollRequested chan struct{} // has capacity 1 and holds a token from the policy's request until the poll
+	newAddress    <-chan string // receives the latest discovery address
+	// initialized is closed once the node has a list to serve by, or has stopped waiting for a list.
 	initialized  chan struct{}
 	clock        engine.Clock
 	log          *slog.Logger
-	listPrice    float64      // cost of polling a hundred instances of a list, in requests
-	requestCount func() int64 // requests since countingSince; nil if nobody counts them
-	// countingSince is the start of the watcher, in wall time.
+	listPrice    float64      // cost of polling an endpoint list, in requests per 100 instances
+	requestCount func() int64 // number of requests since countingSince; nil if requests are not counted
+	// countingSince is the wall time at which the watcher was created.
 	countingSince time.Time
-	ready         func() // reports the node ready; may be called repeatedly
+	ready         func() // reports that the node is ready; may be called repeatedly
 
-	// resyncBackoff spaces the requests of the full list after incomplete responses. Next is called without mu, Reset
-	// with it: while discovery moves to another address, two pollLoops may call them at once.
+	// resyncBackoff spaces the requests for the full list after incomplete responses. Next is called without mu held and
+	// Reset with mu held. While discovery moves to another address, two pollLoops may call them concurrently.
 	resyncBackoff discovery.Backoff
 
-	// mu guards the fields below, and the order in which sink is given lists.
+	// mu guards the fields below, and the order in which updates are passed to sink.
 	mu sync.Mutex
-	// list is what the responses so far have left; before the first one it is empty or initialList.
+	// list is the result of all responses so far. Before the first response it is empty or the initial list.
 	list  discovery.List
 	admin adminstate.State
 	// source is the address whose responses are in list.
 	source *discoverySource
-	// published reports that sink has been given the initial list or a response.
+	// published reports that the initial list or a response has been passed to sink.
 	published bool
 	// initialList is the list that the process was started with.
 	initialList []discovery.Instance
-	// resyncAt is when a poll requests the full list, since a response was incomplete; zero if none has to.
+	// resyncAt is when a poll requests the full list after an incomplete response. It is zero if no resync is due.
 	resyncAt time.Time
-	// onFirstUpdate is called once sink has been given the first list; nil from then on, or if there is nothing to
-	// call. The caller of run sets it before.
+	// onFirstUpdate is called after the first list has been passed to sink, and is nil from then on. It may be nil from
+	// the beginning. It must be set before run is called.
 	onFirstUpdate func()
 }
 
-// newEndpointWatcher returns a watcher that follows nothing before run. newAddress receives the latest address when the
-// discovery service moves. The caller sets sink.
+// newEndpointWatcher returns a watcher that makes no calls before run. newAddress receives the latest address when the
+// discovery service moves. The caller must set sink before run.
 func newEndpointWatcher(
 	cfg *Config, clock engine.Clock, newAddress <-chan string, log *slog.Logger,
 ) *endpointWatcher {
@@ -90,7 +90,7 @@
 	}
 }
 
-// configuredTiming returns the timing that a configuration sets, and otherwise the one for its kind of discovery.
+// configuredTiming returns the timing that the configuration sets, or else the default timing for its kind of discovery.
 func configuredTiming(cfg *Config) discovery.PollTiming {
 	switch {
 	case cfg.pollTiming.MaxCalls > 0:
@@ -101,19 +101,20 @@
 	return discovery.PushedTiming(cfg.DrainGrace)
 }
 
-// requestPoll has a polled list requested now rather than after a while. The policy calls it.
+// requestPoll starts the next poll of a polled list now instead of after the retry interval. The policy calls it.
 func (w *endpointWatcher) requestPoll() {
 	select {
 	case w.pollRequested <- struct{}{}:
-	default: // a request is pending already
+	default: // a request is already pending
 	}
 }
 
-// run starts from the initial list and follows the discovery service until the context ends. ready is called once the
-// node has a list of its own to serve by; it may be called repeatedly and concurrently.
+// run starts with the initial list and follows the discovery service until ctx is done. It calls ready, possibly repeatedly
+// and concurrently, once the node has a list to serve by.
 //
-// Where the list is polled, the policy requests the first poll and the initial list is used until its response. What an
-// agent has counts from the start of the process: the initial list is used only if the agent does not respond in time.
+// If the list is polled, the policy requests the first poll, and the initial list is used until the response. If an agent
+// has the list, the agent's list applies from the start of the process, and the initial list is used only if the agent
+// does not respond in time.
 func (w *endpointWatcher) run(ctx context.Context, initial endpointList, ready func()) {
 	w.ready = ready
 	w.mu.Lock()
@@ -136,8 +137,9 @@
 	w.followAddresses(ctx, &loops)
 }
 
-// useInitialList publishes the list that the process was started with, unless there has been a response, and calls
-// onUse if there is one. After that the node no longer waits for a list.
+// useInitialList publishes the list that the process was started with and calls onUse, if that list is not empty. If it is
+// empty and lists are polled, the policy is made to request the first poll. From then on the node no longer waits for a
+// list. useInitialList does nothing after the first response.
 func (w *endpointWatcher) useInitialList(onUse func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,20 +156,22 @@
 	w.markInitialized()
 }
 
-// requestFirstPoll has the policy request the first poll of a process that has no list: the policy schedules that poll
-// when it gets a cached list, here an empty one. published stays false, since no list was given. mu is locked.
+// requestFirstPoll makes the policy request the first poll of a process that has no initial list. The policy schedules that
+// poll when it receives a cached list, so that an empty one is passed to it. published stays false, since the sink still
+// has no list. w.mu is held.
 func (w *endpointWatcher) requestFirstPoll() {
 	w.publish(policy.CachedUpdate, nil)
 	w.published = false
 }
 
-// reportReadyLater calls ready at the end of ReadyTimeout, unless the context ends before.
+// reportReadyLater calls ready at the end of ReadyTimeout, unless ctx is done before that. It must be called at the end of
+// InitialListTimeout.
 func (w *endpointWatcher) reportReadyLater(ctx context.Context) {
 	timer := time.AfterFunc(w.timing.ReadyTimeout-w.timing.InitialListTimeout, w.ready)
 	context.AfterFunc(ctx, func() { timer.Stop() })
 }
 
-// markInitialized closes initialized. mu is locked.
+// markInitialized closes initialized if it is not closed yet. w.mu is held.
 func (w *endpointWatcher) markInitialized() {
 	select {
 	case <-w.initialized:
@@ -176,7 +180,7 @@
 	}
 }
 
-// followAddresses starts to follow each new address of the discovery service, until the context ends.
+// followAddresses starts to follow each new address of the discovery service until ctx is done.
 func (w *endpointWatcher) followAddresses(ctx context.Context, loops *sync.WaitGroup) {
 	var latest *discoverySource
 	for {
@@ -191,8 +195,8 @@
 	}
 }
 
-// addSource returns a source for a new address. The current source is followed until the new one has given its list;
-// one that was added before and has not given its list is no longer followed. added is the one added last, or nil.
+// addSource returns a source for a new address. The current source is followed until the new source has returned its list.
+// added is the source that was added last, or nil; it is stopped if it has not become the current source.
 func (w *endpointWatcher) addSource(addr string, added *discoverySource) *discoverySource {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -206,8 +210,8 @@
 	return source
 }
 
-// startPollLoop follows a source in a goroutine, which ends with the context or with source.stop. With immediately the
-// first poll does not wait for the policy's request.
+// startPollLoop follows a source in a goroutine, which ends when ctx is done or source.stop is called. If immediately is
+// set, the first poll does not wait for the policy's request.
 func (w *endpointWatcher) startPollLoop(
 	ctx context.Context, loops *sync.WaitGroup, source *discoverySource, immediately bool,
 ) {
--- a/internal/node/hedgedpoll.go
+++ b/internal/node/hedgedpoll.go
@@ -1,4 +1,4 @@
-// One poll of an address: what it asks for, and its calls.
+// This file has a single poll of an address: the choice of the request, and the calls that the poll makes.
 
 package node
 
@@ -9,7 +9,7 @@
 	"yokestall/internal/discovery"
 )
 
-// minPollWait is the shortest wait that a call asks for. The service then responds at once.
+// minPollWait is the shortest wait that a call requests. With it the service responds without waiting for a change.
 const minPollWait = time.Millisecond
 
 // fetchResult is the outcome of one call.
@@ -18,14 +18,14 @@
 	err      error
 }
 
-// poll asks a source for what is newer than its list, or for the full list, and returns the first response of its
-// calls. An overdue call is hedged as discovery.Poll says. The error is that of the call that failed last, or the
-// context's. afterFailure reports that the source's previous poll failed.
+// poll requests from a source the changes since its list, or the full list, and returns the first response of its calls.
+// An overdue call is hedged, on the schedule of discovery.Poll. If no call succeeds, poll returns the error of the call
+// that failed last, or that of ctx. afterFailure says that the source's previous poll failed.
 func (w *endpointWatcher) poll(
 	ctx context.Context, source *discoverySource, afterFailure bool,
 ) (*discovery.Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the calls whose results are no longer needed
+	defer cancel() // cancels the calls whose results are no longer needed
 	request, wait := w.nextRequest(source, afterFailure)
 	results := make(chan fetchResult, w.timing.MaxCalls)
 	startCall := func(wait, timeout time.Duration) {
@@ -56,10 +56,10 @@
 	}
 }
 
-// nextRequest decides what the next poll of a source asks for, and how long the service may wait for something newer.
-// It asks for the full list if the source has given none, or if it is time for a resync. After a failure the poll does
-// not wait for a change, since a call that waits does not show whether the service can be reached; nor does it before
-// the first list was published.
+// nextRequest returns what the next poll of a source requests, and how long the service may wait for a change. The poll
+// requests the full list if the source has returned no list yet, or if a resync is due. After a failure the poll does not
+// wait for a change, since a call that waits does not show whether the service can be reached. Neither does it wait before
+// the first list has been published.
 func (w *endpointWatcher) nextRequest(
 	source *discoverySource, afterFailure bool,
 ) (request listRequest, wait time.Duration) {
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// singleRefreshInterval is how often a process without peers checks for one, and peerRefreshInterval
-	// how often it reads the presences of those that it has.
+	// singleRefreshInterval is the interval at which a process without peers checks whether there is a peer, and
+	// peerRefreshInterval the interval at which a process with peers reads their presences.
 	singleRefreshInterval = 50 * time.Millisecond
 	peerRefreshInterval   = 10 * time.Millisecond
-	// minLimitIncrease is the least increase of the descriptor limit that is applied before the limit
-	// is the node's.
+	// minLimitIncrease is the smallest increase of this process's descriptor limit that is applied. Smaller increases
+	// are applied only if the limit reaches that of the node.
 	minLimitIncrease = 8
 )
 
-// restartCoordinator is this process's part in a node that may have two processes while one replaces
-// the other. A nil coordinator is that of a node which always has one process.
+// restartCoordinator coordinates this process with the node's other processes during a hot restart, in which a successor
+// replaces its predecessor. A nil *restartCoordinator stands for a node that always has a single process.
 type restartCoordinator struct {
 	cfg       *Config
 	log       *slog.Logger
 	node      *runningNode
-	folder    *hotrestart.Folder // nil: the folder can't be used, for folderErr
+	folder    *hotrestart.Folder // nil if the shared folder is unavailable; folderErr is the reason
 	folderErr error
 
-	// snapshotSentTo is the number of the latest successor that was sent a snapshot; of run alone.
+	// snapshotSentTo is the number of the latest successor to which a snapshot was sent. Only run uses it.
 	snapshotSentTo uint64
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	phase           hotrestart.ProcessPhase
-	peers           []hotrestart.Presence // the oldest first
-	descriptorLimit int                   // as applied last
+	peers           []hotrestart.Presence // sorted from the oldest process to the latest
+	descriptorLimit int                   // the limit that was last applied
 }
 
-// joinNode makes this process a member of the node's shared folder, and applies the administrative
-// changes on record.
+// joinNode registers this process in the node's shared folder, and applies the administrative changes of the
+// administrative record.
 func joinNode(cfg *Config, log *slog.Logger, running *runningNode) *restartCoordinator {
 	r := &restartCoordinator{cfg: cfg, log: log, node: running, descriptorLimit: cfg.Limits.Sockets}
 	folder, changes, err := hotrestart.Join(cfg.SharedDir, cfg.Name+" "+cfg.Listen, log)
@@ -58,22 +58,23 @@
 	return r
 }
 
-// close leaves the folder.
+// close removes this process from the shared folder.
 func (r *restartCoordinator) close() {
 	if r != nil && r.folder != nil {
 		r.folder.Close()
 	}
 }
 
-// commit carries out a change in all processes of the node.
+// commit applies a change in all processes of the node. It returns an error if the shared folder is unavailable, since the
+// change could not be recorded.
 func (r *restartCoordinator) commit(ctx context.Context, c adminstate.Change) error {
 	if r.folder == nil {
-		return fmt.Errorf("nothing was done, since it would be forgotten: %w", r.folderErr)
+		return fmt.Errorf("change not applied, since the shared folder to record it in is unavailable: %w", r.folderErr)
 	}
 	return r.folder.Commit(ctx, c, r.node.admin)
 }
 
-// serving reports whether this process is in the phase in which it accepts clients.
+// serving reports whether this process is in PhaseServing. It returns true for a nil coordinator.
 func (r *restartCoordinator) serving() bool {
 	if r == nil {
 		return true
@@ -83,7 +84,7 @@
 	return r.phase == hotrestart.PhaseServing
 }
 
-// advancePhase enters a phase and publishes it.
+// advancePhase sets the phase of this process and publishes it.
 func (r *restartCoordinator) advancePhase(p hotrestart.ProcessPhase) {
 	if r == nil {
 		return
@@ -94,7 +95,7 @@
 	r.refresh()
 }
 
-// successorServing reports whether a successor accepts the clients.
+// successorServing reports whether a successor accepts clients.
 func (r *restartCoordinator) successorServing() bool {
 	if r == nil || r.folder == nil {
 		return false
@@ -105,7 +106,7 @@
 	return hotrestart.SuccessorServing(r.folder.Self(), r.peers)
 }
 
-// hasPredecessor reports whether a predecessor lives.
+// hasPredecessor reports whether a predecessor was running when the peers were last read.
 func (r *restartCoordinator) hasPredecessor() bool {
 	if r == nil || r.folder == nil {
 		return false
@@ -115,7 +116,7 @@
 	return len(r.peers) > 0 && r.peers[0].Number < r.folder.Self().Number
 }
 
-// run follows the other processes of the node until the context ends.
+// run follows the other processes of the node and the administrative record until ctx is done.
 func (r *restartCoordinator) run(ctx context.Context) {
 	if r.folder == nil {
 		return
@@ -139,8 +140,8 @@
 	}
 }
 
-// refresh takes in the presences of the other processes, applies this one's part of the descriptors and of
-// the slow-start budgets, and publishes its own presence. It reports whether there are other processes.
+// refresh reads the presences of the other processes, applies this process's share of the descriptors and of the slow-start
+// budgets, and publishes its own presence. It reports whether there are other processes.
 func (r *restartCoordinator) refresh() (hasPeers bool) {
 	if r.folder == nil {
 		return false
@@ -160,8 +161,8 @@
 	return len(peers) > 0
 }
 
-// setPeers takes over the other processes. A change of their number changes this process's share of the
-// slow-start budgets, and is logged with the descriptor limit that follows from it; r.mu is held.
+// setPeers stores the presences of the other processes. A change of their number changes this process's share of the
+// slow-start budgets, and is logged with the descriptor limit that results. r.mu is held.
 func (r *restartCoordinator) setPeers(peers []hotrestart.Presence, limit int) {
 	if len(peers) != len(r.peers) {
 		r.log.Info("number of node processes changed", "peers", len(peers), "descriptor_limit", limit)
@@ -170,8 +171,9 @@
 	r.peers = peers
 }
 
-// publishPresence publishes this process's phase and descriptors, of which open are open: see
-// hotrestart.Presence.Descriptors. successor is the process that it yields descriptors to; r.mu is held.
+// publishPresence publishes this process's phase and the number of descriptors that the other processes must leave to it
+// (hotrestart.Presence.Descriptors). open is the number of descriptors that this process has open, and successor the number
+// of the process that it yields descriptors to. r.mu is held.
 func (r *restartCoordinator) publishPresence(open int, successor uint64) {
 	descriptors := r.descriptorLimit
 	if len(r.peers) == 0 {
@@ -182,15 +184,16 @@
 	}
 }
 
-// openDescriptors returns how many descriptors this process has open, or may open by itself.
+// openDescriptors returns the number of descriptors that this process has open, including those reserved for its own needs
+// and for the admin API.
 func (r *restartCoordinator) openDescriptors() int {
 	connections := r.node.httpServer.Connections() + r.node.pool.OpenConnections()
 	return connections + ownDescriptors + adminapi.MaxDescriptors
 }
 
-// applyDescriptorLimit applies a limit of this process's descriptors, unless it is a small increase
-// below the node's limit; r.mu is held. While the process drains, its connections end by themselves:
-// closing idle ones for the limit's sake would cost requests.
+// applyDescriptorLimit applies a descriptor limit to this process, unless the limit is a small increase that stays below the
+// node's limit. While the process drains, the limit is only stored: its connections end by themselves, and closing idle
+// connections to meet the limit would fail requests. r.mu is held.
 func (r *restartCoordinator) applyDescriptorLimit(limit int) {
 	if r.phase == hotrestart.PhaseDraining {
 		r.descriptorLimit = limit
@@ -204,8 +207,8 @@
 	}
 }
 
-// resize splits a descriptor limit into connections to endpoints and from clients. A limit too small to
-// serve with leaves the present split.
+// resize applies a descriptor limit to the connections to endpoints and from clients. A limit that is too small to serve
+// with leaves both as they are.
 func (r *restartCoordinator) resize(limit int) {
 	upstream, clients, err := r.cfg.splitDescriptors(limit)
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,19 +1,19 @@
-// Package node is the platform's node: one HTTP server for clients, one cluster and the platform's
-// endpoint list, assembled from its configuration.
+// Package node implements a node of the platform: an HTTP server for clients and a single cluster that follows the
+// platform's endpoint list.
 //
-// The platform is what the node's processes run on. Three parts of it matter here: its supervisor, which
-// starts processes and ends them by SIGTERM and later SIGKILL; its routing, which sends the clients'
-// connections to the nodes; and its discovery service, which has the endpoint list.
+// The platform is the environment in which the node's processes run. Three parts of it matter here: its supervisor starts
+// processes and ends them with SIGTERM and later SIGKILL, its routing distributes the clients' connections among the nodes,
+// and its discovery service has the endpoint list.
 //
 // The files:
 //
-//	node.go, assemble.go                    a node's parts and its run
+//	node.go, assemble.go                    a node's components and lifecycle
 //	shutdown.go                             the schedule of a shutdown
 //	command.go                              the command line, and reloads on a signal
 //	config.go, configfile.go, settings.go   the configuration: environment, file, operators' settings
-//	routing.go                              from a request's path to its class
-//	descriptors.go                          the split of the descriptors
-//	hotrestart.go, snapshotexchange.go      the node's other process: coordination, the learnt state
+//	routing.go                              the class of a request by its path
+//	descriptors.go                          the division of the descriptors among connections
+//	hotrestart.go, snapshotexchange.go      coordination with the node's other process, and snapshots
 //	adminhandler.go, endpointadmin.go       administrative changes and the node's status
 //	endpointwatcher.go                      the discovery client, with a list of its files
 //	endpointlist.go                         the form of the list that a process starts from
@@ -32,27 +32,27 @@
 	"yokestall/internal/hotrestart"
 )
 
-// successorListTimeout bounds how long a successor waits for an endpoint list before it accepts clients, which
-// the predecessor serves meanwhile. It suffices for an unresponsive call and the retry interval after it
+// successorListTimeout is how long a successor waits at most for an endpoint list before it accepts clients. The predecessor
+// serves the clients meanwhile. The time suffices for an unresponsive call and the retry interval after it
 // (discovery.PolledTiming).
 const successorListTimeout = 4 * time.Second
 
-// Node is one load balancer. Create it with Listen.
+// Node is a load balancer process. Create it with Listen.
 type Node struct {
-	cfg            *Config
-	log            *slog.Logger
-	listener       net.Listener // the clients'
-	adminListener  net.Listener // nil: no admin API
-	discoveryMoved chan string  // the latest new address of discovery
+	cfg              *Config
+	log              *slog.Logger
+	listener         net.Listener // for clients
+	adminListener    net.Listener // nil if the admin API is disabled
+	newDiscoveryAddr chan string  // holds the latest new address of the discovery service
 }
 
-// Listen opens the node's listeners. The error wraps that of the listener.
+// Listen opens the listeners for clients and for the admin API. The error wraps that of the listener that failed.
 func Listen(cfg *Config) (*Node, error) {
 	l, err := hotrestart.Listen(cfg.InheritedSocket, cfg.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
-	n := &Node{cfg: cfg, log: cfg.Log, listener: l, discoveryMoved: make(chan string, 1)}
+	n := &Node{cfg: cfg, log: cfg.Log, listener: l, newDiscoveryAddr: make(chan string, 1)}
 	if n.log == nil {
 		n.log = slog.Default()
 	}
@@ -61,30 +61,29 @@
 	}
 	if n.adminListener, err = net.Listen("tcp", cfg.AdminAddr); err != nil {
 		l.Close()
-		return nil, fmt.Errorf("listen for operators: %w", err)
+		return nil, fmt.Errorf("listen for the admin API: %w", err)
 	}
 	return n, nil
 }
 
-// Addr returns the address at which the node accepts clients.
+// Addr returns the address on which the node accepts clients.
 func (n *Node) Addr() net.Addr { return n.listener.Addr() }
 
-// MoveDiscovery has the node follow the endpoint list at another address of discovery. It must not be
-// called concurrently.
+// MoveDiscovery makes the node follow the endpoint list at another address of the discovery service. It must not be called
+// concurrently.
 func (n *Node) MoveDiscovery(addr string) {
 	select {
-	case <-n.discoveryMoved: // only the latest address counts
+	case <-n.newDiscoveryAddr: // drop an address that was not taken yet
 	default:
 	}
-	n.discoveryMoved <- addr
+	n.newDiscoveryAddr <- addr
 }
 
-// Run serves until the context ends, then answers the requests that it has accepted, and returns. It
-// returns an error where the limits or the policy's settings are not usable, or where the listener
-// failed.
+// Run serves until ctx is done, then answers the requests that it has accepted, and returns. It returns an error if the
+// limits or the policy's settings are unusable, or if the listener failed.
 //
-// Run ends all goroutines that it started: it waits for the admin API and the restart coordinator;
-// those of the endpoint list and of the connection pool end soon after it.
+// Run stops all goroutines that it started. It waits for those of the admin API and the restart coordinator; those of the
+// endpoint watcher and the connection pool end soon after Run has returned.
 func (n *Node) Run(ctx context.Context) error {
 	defer n.closeListeners()
 	background, stopBackground := context.WithCancel(context.Background())
@@ -106,13 +105,13 @@
 	defer s.http.Close()
 	select {
 	case err := <-s.failed:
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("serve clients: %w", err)
 	case <-ctx.Done():
 		return n.shutDown(running, s)
 	}
 }
 
-// closeListeners closes what Listen has opened.
+// closeListeners closes the listeners that Listen has opened.
 func (n *Node) closeListeners() {
 	if n.adminListener != nil {
 		n.adminListener.Close()
@@ -120,8 +119,8 @@
 	n.listener.Close()
 }
 
-// start starts the admin API and the restart coordinator, which tasks counts, and the retirement of idle
-// connections.
+// start starts the admin API and the restart coordinator, whose goroutines it adds to tasks, and the eviction of idle
+// upstream connections.
 func (n *Node) start(background context.Context, tasks *sync.WaitGroup, running *runningNode) {
 	if n.adminListener != nil {
 		tasks.Go(func() { adminapi.Serve(background, n.adminListener, running.admin) })
@@ -132,8 +131,8 @@
 	go running.pool.EvictIdle(background)
 }
 
-// followEndpoints starts to follow the endpoint list, from what a predecessor passed on or else from
-// the configuration's. The channel is closed once the node may report that it is ready.
+// followEndpoints starts to follow the endpoint list. It begins with the list in a predecessor's snapshot, or else with the
+// list of the configuration. The returned channel is closed once the node is ready.
 func (n *Node) followEndpoints(ctx, background context.Context, running *runningNode) (ready <-chan struct{}) {
 	initial := n.cfg.InitialList
 	if running.restart != nil {
@@ -142,18 +141,18 @@
 			running.endpoints.onFirstUpdate = func() { running.cluster.Restore(s.Policy.ToPolicy(running.clock), s.age) }
 		}
 	}
-	reached := make(chan struct{})
+	readyChan := make(chan struct{})
 	markReady := sync.OnceFunc(func() {
 		running.httpServer.SetReady()
-		close(reached)
+		close(readyChan)
 	})
 	go running.endpoints.run(background, initial, markReady)
-	return reached
+	return readyChan
 }
 
-// awaitEndpoints waits until there is an endpoint list to serve by, or none is waited for any more.
-// Meanwhile connections queue in the kernel, or a predecessor accepts them: a successor waits until it
-// is ready, for successorListTimeout at most.
+// awaitEndpoints waits until there is an endpoint list to serve by, or until the endpoint watcher has stopped waiting for
+// one. Until then connections queue in the kernel or are accepted by a predecessor. A successor waits until it is ready, but
+// not for that longer than successorListTimeout.
 func (n *Node) awaitEndpoints(ctx context.Context, running *runningNode, ready <-chan struct{}) {
 	if running.restart.hasPredecessor() {
 		select {
@@ -172,10 +171,10 @@
 type clientServer struct {
 	http     *http.Server
 	listener net.Listener
-	failed   chan error // gets the error of http.Server.Serve
+	failed   chan error // receives the error of http.Server.Serve
 }
 
-// serve starts to accept clients. The server's goroutine ends when its listener is closed.
+// serve starts to accept clients. The goroutine that accepts them ends when the listener is closed.
 func (n *Node) serve(running *runningNode) *clientServer {
 	s := &clientServer{
 		http:     running.httpServer.HTTPServer(),
--- a/internal/node/pollloop.go
+++ b/internal/node/pollloop.go
@@ -1,4 +1,4 @@
-// The loop that polls one address: what follows a response, and what follows a failure.
+// This file has the loop that polls one address, with the handling of responses and failures.
 
 package node
 
@@ -12,26 +12,25 @@
 )
 
 const (
-	// minPollInterval bounds the rate of polls of a service that responds without waiting.
+	// minPollInterval limits the rate of polls if the discovery service responds without waiting for a change.
 	minPollInterval = 20 * time.Millisecond
-	// warningInterval is the shortest interval between warnings of failed polls.
+	// warningInterval is the shortest interval between two logged failures of polls.
 	warningInterval = time.Second
 )
 
-// pollLoop polls one source, one poll at a time, until its context ends or another source has replaced it.
+// pollLoop polls one source, one poll at a time, until its context is done or another source has replaced the source.
 type pollLoop struct {
 	watcher *endpointWatcher
 	source  *discoverySource
-	// immediate reports that the next poll does not wait for its time in schedule.
-	immediate bool
-	schedule  retrySchedule     // of a polled list
-	backoff   discovery.Backoff // of failed polls that have no place in schedule
-	// lastFailed reports that the last poll failed.
-	lastFailed bool
-	warnedAt   time.Time // when a failed poll was last logged
+	// immediate reports that the next poll starts without waiting for schedule.
+	immediate  bool
+	schedule   retrySchedule     // schedules the polls after failures of the current source of a polled list
+	backoff    discovery.Backoff // schedules the polls after all other failures
+	lastFailed bool              // whether the last poll failed
+	warnedAt   time.Time         // when a failed poll was last logged
 }
 
-// newPollLoop returns a loop that begins with a poll at once, or with one that waits for the policy's request.
+// newPollLoop returns a loop whose first poll starts at once if immediate is set, and otherwise at the policy's request.
 func newPollLoop(watcher *endpointWatcher, source *discoverySource, immediate bool) *pollLoop {
 	return &pollLoop{
 		watcher:   watcher,
@@ -42,7 +41,7 @@
 	}
 }
 
-// run polls until the context ends, or the source is replaced.
+// run polls until ctx is done or the source has been replaced.
 func (l *pollLoop) run(ctx context.Context) {
 	defer l.source.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -69,7 +68,8 @@
 	}
 }
 
-// handleSuccess reports the node ready, unless the list is incomplete and has no endpoint that may get requests.
+// handleSuccess reports that the node is ready, unless the response is incomplete and the list has no endpoint to which
+// requests may be sent. After a response that came without a wait it pauses for minPollInterval.
 func (l *pollLoop) handleSuccess(ctx context.Context, response *discovery.Response, startedAt time.Time) {
 	if response.Incomplete == nil || l.watcher.hasReadyEndpoint() {
 		l.watcher.ready()
@@ -81,14 +81,14 @@
 	}
 }
 
-// handleFailure decides when the next poll starts: by the schedule where the list is polled and the source is the
-// current one, and otherwise after a backoff, which this waits for.
+// handleFailure decides when the next poll starts. If the list is polled and the source is the current one, the schedule
+// decides. Otherwise the poll starts after a backoff, for which handleFailure waits.
 func (l *pollLoop) handleFailure(ctx context.Context, err error) {
 	l.warn(err)
-	l.source.client.CloseIdleConnections() // they may have failed like the one of the poll
+	l.source.client.CloseIdleConnections() // they may have failed like the connection of the poll
 	if l.watcher.polled && l.watcher.isCurrent(l.source) {
 		l.immediate = false
-		if l.schedule.failed() {
+		if l.schedule.pollFailed() {
 			l.watcher.sink.UpdateEndpoints(policy.UpdateFailed, nil)
 		}
 		return
@@ -96,7 +96,7 @@
 	pause(ctx, l.backoff.Next(rand.Float64()))
 }
 
-// warn logs a failed poll, at most once in a warningInterval.
+// warn logs a failed poll, at most once per warningInterval.
 func (l *pollLoop) warn(err error) {
 	now := time.Now()
 	if now.Sub(l.warnedAt) < warningInterval {
@@ -106,7 +106,7 @@
 	l.watcher.log.Warn("discovery poll failed", "url", l.source.url, "err", err)
 }
 
-// pause waits for a time, or until the context ends.
+// pause waits for d, or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/node/retryschedule.go
+++ b/internal/node/retryschedule.go
@@ -1,14 +1,14 @@
-// When a polled list is polled again after a failure.
+// This file schedules the next poll of a polled list after a failed poll.
 //
-// Three delays follow failed polls, each jittered:
+// Three delays apply after failed polls, each of them jittered:
 //
-//   - The policy's (policy/polling.go), for the source that is followed of a polled list: a mean of 0.5 s, doubled with
-//     each failure, up to 0.5 s more than a quarter of Rules.MaxPollInterval.
-//   - The retry interval of this file (discovery.PollTiming.RetryInterval), for the same source: 0.75 s to 1.5 s, which
-//     does not grow. Whichever of the two ends first starts the poll.
-//   - discovery.Backoff, for pushed lists, and for a source of a polled list that is not followed yet (pollLoop). With
-//     pushed lists it is 5 ms at first and up to a quarter of the drain grace, which is 10 ms to 250 ms here; with
-//     polled ones it is 250 ms at first and up to 1 s. Jitter takes up to half of it away.
+//   - The policy's backoff (policy/polling.go) applies to the current source of a polled list. Its mean is 0.5 s, doubles
+//     with each failure, and grows to 0.5 s more than a quarter of Rules.MaxPollInterval.
+//   - The retry interval of this file (discovery.PollTiming.RetryInterval) applies to the same source. It is 0.75 s to
+//     1.5 s and does not grow. The poll starts when the shorter of the two delays ends.
+//   - discovery.Backoff applies to pushed lists, and to a source of a polled list that is not the current one yet
+//     (pollLoop). For pushed lists it begins at 5 ms and grows to a quarter of the drain grace, limited to the range from
+//     10 ms to 250 ms. For polled lists it begins at 250 ms and grows to 1 s. Jitter subtracts up to half of the delay.
 
 package node
 
@@ -18,34 +18,35 @@
 	"time"
 )
 
-// retrySchedule says when a list that is polled is polled again after a failure: when the policy requests it, whose
-// backoff grows, and after retryInterval at the latest, which does not grow.
+// retrySchedule decides when a polled list is polled again after a failure: when the policy requests the poll after its
+// growing backoff, and at the latest after retryInterval, which does not grow.
 type retrySchedule struct {
 	pollRequested <-chan struct{}
 	retryInterval func(draw float64) time.Duration
 
-	// requestPending reports that the policy was notified of a failure and has not yet requested the poll that follows.
+	// requestPending reports that the policy was notified of a failure and has not yet requested the next poll.
 	requestPending bool
-	// latest fires at the end of the retry interval; nil before the first failure.
-	latest <-chan time.Time
+	// intervalEnd fires at the end of the retry interval. It is nil before the first failure.
+	intervalEnd <-chan time.Time
 }
 
-// wait waits for the time of the next poll, or until the context ends.
+// wait waits until the next poll is due or ctx is done.
 func (s *retrySchedule) wait(ctx context.Context) {
 	select {
 	case <-s.pollRequested:
 		s.requestPending = false
-	case <-s.latest:
+	case <-s.intervalEnd:
 	case <-ctx.Done():
 	}
 }
 
-// failed starts a retry interval, and reports whether to notify the policy of the failure. The policy requests one poll
-// for each notification; while one is pending it is not notified again, or requests would accumulate in an outage.
-func (s *retrySchedule) failed() (notify bool) {
-	s.latest = time.After(s.retryInterval(rand.Float64()))
+// pollFailed starts a retry interval, and reports whether the policy has to be notified of the failure. The policy requests one
+// poll for each notification. While such a request is pending, the policy is not notified again, since requests would
+// otherwise accumulate in an outage.
+func (s *retrySchedule) pollFailed() (notify bool) {
+	s.intervalEnd = time.After(s.retryInterval(rand.Float64()))
 	select {
-	case <-s.pollRequested: // from before the failure
+	case <-s.pollRequested: // a request from before the failure
 		s.requestPending = false
 	default:
 	}
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -9,13 +9,13 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// router sends all requests to the one cluster. The first segment of the path is the class.
+// router sends all requests to a single cluster. The first segment of a request's path is the name of its class.
 type router struct {
 	cfg     *Config
 	cluster *engine.Cluster
 }
 
-// Route implements ingress.Router. An unknown class is an *ingress.Rejection with status 404.
+// Route implements ingress.Router. For an unknown class it returns an *ingress.Rejection with status 404.
 func (r router) Route(req *http.Request) (ingress.Destination, error) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	index, known := r.cfg.Classes[name]
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// defaultClientShare is the part of all descriptors that the platform lets clients hold for
-	// requests. Where it is taken, new clients are rejected before they reach the node.
+	// defaultClientShare is the share of all descriptors that the platform allows for client connections with a request.
+	// Once they are in use, the platform rejects new clients before they reach the node.
 	defaultClientShare = 1.0 / 3
 	minClientShare     = 0.1
 	maxSettingsBytes   = 64 << 10
 )
 
-// ApplySettings applies the operator's settings file to the configuration. What the file leaves out
-// stays. A file that can't be read and parsed as a whole changes nothing; the error names the place.
+// ApplySettings applies the operator's settings file to the configuration. Values that the file leaves out stay unchanged.
+// If the file can't be read or any part of it is invalid, the whole configuration stays unchanged; the error names the file
+// and the place in it.
 func (c *Config) ApplySettings(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -31,7 +32,7 @@
 		return fmt.Errorf("settings: %w", err)
 	}
 	if len(text) > maxSettingsBytes {
-		return fmt.Errorf("settings: %s: over %d bytes", path, maxSettingsBytes)
+		return fmt.Errorf("settings: %s: the file is over %d bytes", path, maxSettingsBytes)
 	}
 	if err := c.applySettings(text); err != nil {
 		return fmt.Errorf("settings: %s: %w", path, err)
--- a/internal/node/snapshotexchange.go
+++ b/internal/node/snapshotexchange.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// snapshotTimeout bounds a successor's wait for the snapshot of its predecessor, and the
-	// predecessor's writing of it.
+	// snapshotTimeout limits both how long a successor waits for its predecessor's snapshot, and how long the predecessor
+	// takes to collect it.
 	snapshotTimeout      = 700 * time.Millisecond
 	snapshotPollInterval = 2 * time.Millisecond
 )
 
-// receivedSnapshot is a predecessor's snapshot of the given age.
+// receivedSnapshot is a snapshot received from a predecessor, with its age at that time.
 type receivedSnapshot struct {
 	snapshot.Snapshot
 	age time.Duration
 }
 
-// initialList returns the snapshot's endpoint list, or the configured one where that can't be used.
+// initialList returns the snapshot's endpoint list, or the configured list if the snapshot's list can't be used.
 func (s *receivedSnapshot) initialList(configured endpointList) endpointList {
 	if !s.ListReceived || len(s.Instances) == 0 || len(s.Instances) > discovery.MaxInstances {
 		return configured
@@ -30,8 +30,8 @@
 	return endpointList{Generation: s.Generation, Full: true, Instances: s.Instances}
 }
 
-// receiveSnapshot waits for the snapshot of a predecessor, for snapshotTimeout at most. It returns nil
-// without a live predecessor, or where none that can be used came in time.
+// receiveSnapshot waits for a predecessor's snapshot, for snapshotTimeout at most. It returns nil if there is no running
+// predecessor, or if no usable snapshot arrives in time.
 func (r *restartCoordinator) receiveSnapshot(ctx context.Context) *receivedSnapshot {
 	if r.folder == nil {
 		return nil
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// decodeSnapshot returns the snapshot in data, or nil if nothing of it can be used.
+// decodeSnapshot decodes a predecessor's snapshot. It returns nil if no part of the snapshot is usable.
 func (r *restartCoordinator) decodeSnapshot(data []byte) *receivedSnapshot {
 	s, age, invalid, err := snapshot.Decode(data, r.cfg.Name, r.cfg.classNames(), time.Now())
 	if err != nil {
@@ -62,7 +62,7 @@
 	return &receivedSnapshot{s, age}
 }
 
-// sendSnapshotOnce leaves a snapshot for the latest successor, unless it was sent one.
+// sendSnapshotOnce writes a snapshot for the latest successor, unless a snapshot was already written for it.
 func (r *restartCoordinator) sendSnapshotOnce(ctx context.Context) {
 	successor, ok := r.latestSuccessor()
 	if !ok || successor <= r.snapshotSentTo {
@@ -74,8 +74,8 @@
 	}
 }
 
-// latestSuccessor returns the number of the latest successor. A process that is starting has nothing to
-// leave to one: ok is false.
+// latestSuccessor returns the number of the latest successor. ok is false if there is none, or if this process is still
+// starting and has no state to pass on.
 func (r *restartCoordinator) latestSuccessor() (number uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +86,7 @@
 	return number, number > r.folder.Self().Number
 }
 
-// sendSnapshot leaves a snapshot of what this process has learnt for a successor.
+// sendSnapshot writes a snapshot of this process's endpoint list and policy state for a successor.
 func (r *restartCoordinator) sendSnapshot(ctx context.Context, successor uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
