--- a/internal/node/answerforms_test.go
+++ b/internal/node/answerforms_test.go
@@ -14,8 +14,8 @@
 	"yokestall/internal/testutil"
 )
 
-// startWithRawServer starts a node with a server that writes raw responses.
-func startWithRawServer(t *testing.T, handle func(nc net.Conn, r *http.Request)) *running {
+// startWithRawServer starts a node with a single server, whose responses handle writes to the connection.
+func startWithRawServer(t *testing.T, handle func(nc net.Conn, r *http.Request)) *testNode {
 	t.Helper()
 	addr := testutil.Accept(t, func(nc net.Conn) {
 		in := bufio.NewReader(nc)
@@ -37,61 +37,61 @@
 	return n
 }
 
-// answerForm is a form of a server's answer.
-type answerForm struct {
-	answer   string // with its framing
-	wantBody string // of the client
-	// closes reports that the answer ends with its connection.
+// responseForm is a form of a server's response.
+type responseForm struct {
+	response string // the whole response, with its framing
+	wantBody string // the body that the client must get
+	// closes reports that the end of the connection ends the response.
 	closes bool
 }
 
-// answerForms returns forms of answers by their names.
-func answerForms() map[string]answerForm {
+// responseForms returns forms of responses by their names.
+func responseForms() map[string]responseForm {
 	big := string(testutil.Bytes(200 << 10))
-	return map[string]answerForm{
-		"length": {answer: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", wantBody: "hello"},
+	return map[string]responseForm{
+		"length": {response: "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", wantBody: "hello"},
 		"chunks": {
-			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 				"2;x=y\r\nhe\r\n3\r\nllo\r\n0\r\nX-Sum: 1\r\n\r\n",
 			wantBody: "hello",
 		},
 		"1xx ahead": {
-			answer: "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" +
+			response: "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" +
 				"HTTP/1.1 100 Continue\r\n\r\n" +
 				"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
 			wantBody: "hello",
 		},
 		"ends with the connection": {
-			answer:   "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello",
+			response: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello",
 			wantBody: "hello",
 			closes:   true,
 		},
-		"HTTP/1.0": {answer: "HTTP/1.0 200 OK\r\n\r\nhello", wantBody: "hello", closes: true},
+		"HTTP/1.0": {response: "HTTP/1.0 200 OK\r\n\r\nhello", wantBody: "hello", closes: true},
 		"large": {
-			answer:   "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(big)) + "\r\n\r\n" + big,
+			response: "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(big)) + "\r\n\r\n" + big,
 			wantBody: big,
 		},
 		"large, in chunks": {
-			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 				fmt.Sprintf("%x\r\n%s\r\n", len(big), big) + "0\r\n\r\n",
 			wantBody: big,
 		},
-		"large, to its end": {answer: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big, wantBody: big, closes: true},
+		"large, to its end": {response: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + big, wantBody: big, closes: true},
 	}
 }
 
-// Responses in every form, at once and byte by byte.
+// The client gets the body of responses in every form, sent at once or byte by byte.
 func TestFormsOfAnswers(t *testing.T) {
 	t.Parallel()
-	forms := answerForms()
+	forms := responseForms()
 	n := startWithRawServer(t, func(nc net.Conn, r *http.Request) {
 		q := r.URL.Query()
 		piece, _ := strconv.Atoi(q.Get("piece"))
-		drip(nc, forms[q.Get("form")].answer, piece)
+		drip(nc, forms[q.Get("form")].response, piece)
 	})
 	for name, c := range forms {
 		for _, piece := range []int{1 << 30, 1} {
-			if piece == 1 && len(c.answer) > 100<<10 {
+			if piece == 1 && len(c.response) > 100<<10 {
 				piece = 1000
 			}
 			t.Run(fmt.Sprintf("%s by %d", name, piece), func(t *testing.T) {
@@ -104,15 +104,15 @@
 				}
 				r.URL.RawQuery = q.Encode()
 				if a := n.do(r); a.status != 200 || a.body != c.wantBody {
-					t.Errorf("status %d, %d bytes, want %d", a.status, len(a.body), len(c.wantBody))
+					t.Errorf("got status %d, %d bytes, want 200, %d bytes", a.status, len(a.body), len(c.wantBody))
 				}
 			})
 		}
 	}
 }
 
-// A server fails within a long response: a client of HTTP/1.0, which has no chunks to count, can tell too that the
-// response is incomplete. (Others, at each quarter: TestTransfers.)
+// A server fails in the middle of a long response. A client of HTTP/1.0, which gets no chunks, must be able to tell that
+// the response is incomplete. TestTransfers tests other clients, with failures at each quarter of the response.
 func TestBreaksInMidAnswer(t *testing.T) {
 	t.Parallel()
 	const size = 400 << 10
@@ -126,11 +126,11 @@
 		t.Fatal(err)
 	}
 	if body, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("%d bytes of %d are taken for the whole", len(body), size)
+		t.Errorf("the client takes %d bytes of %d for the complete body", len(body), size)
 	}
 }
 
-// A response over 64 KiB continues after the client's deadline while it makes progress; a smaller slow one is
+// A response over 64 KiB continues after the client's deadline while it makes progress. A smaller slow response is
 // buffered.
 func TestSlowAnswers(t *testing.T) {
 	t.Parallel()
@@ -139,14 +139,14 @@
 		if r.URL.Query().Get("size") == "big" {
 			fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(big))
 			for part := range 8 {
-				time.Sleep(100 * time.Millisecond) // the pace under test
+				time.Sleep(100 * time.Millisecond) // 800 ms in all, which exceeds the client's 400 ms
 				nc.Write(big[part*len(big)/8 : (part+1)*len(big)/8])
 			}
 			return
 		}
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
 		for _, c := range []byte("hello") {
-			time.Sleep(60 * time.Millisecond) // five of them exceed AnswerTransferTimeout
+			time.Sleep(60 * time.Millisecond) // five such pauses exceed AnswerTransferTimeout
 			nc.Write([]byte{c})
 		}
 	})
@@ -154,9 +154,9 @@
 	r.URL.RawQuery = "size=big"
 	r.Header.Set("X-Timeout-Ms", "400")
 	if a := n.do(r); a.status != 200 || a.body != string(big) {
-		t.Errorf("status %d, %d bytes", a.status, len(a.body))
+		t.Errorf("large response: got status %d, %d bytes, want 200 and the whole body", a.status, len(a.body))
 	}
 	if a := n.do(n.request("read")); a.status != 200 || a.body != "hello" {
-		t.Errorf("status %d, body %q", a.status, a.body)
+		t.Errorf("small response: got status %d, body %q, want 200, \"hello\"", a.status, a.body)
 	}
 }
--- a/internal/node/attempts_test.go
+++ b/internal/node/attempts_test.go
@@ -13,11 +13,11 @@
 	"yokestall/internal/testutil"
 )
 
-// firstFails returns two servers; the one that is sent the first request runs fail.
-func firstFails(t *testing.T, fail http.HandlerFunc) []*testutil.Backend {
-	var met atomic.Bool
+// backendsFailingFirst returns two servers. Whichever of them gets the first request handles it with fail.
+func backendsFailingFirst(t *testing.T, fail http.HandlerFunc) []*testutil.Backend {
+	var failed atomic.Bool
 	handle := func(w http.ResponseWriter, r *http.Request) {
-		if met.CompareAndSwap(false, true) {
+		if failed.CompareAndSwap(false, true) {
 			fail(w, r)
 			return
 		}
@@ -33,6 +33,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
+// A failed request is retried if its class is idempotent or idempotent by key, or if the server rejected the request. Retries
+// keep the request ID and the idempotency key.
 func TestRetries(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -42,27 +44,27 @@
 		status      int
 	}{
 		{"safe after an error", "read", serverError, 2, 200},
-		{"safe after a reset", "read", reset, 2, 200},
+		{"safe after a reset", "read", resetConnection, 2, 200},
 		{"keyed after an error", "push", serverError, 2, 200},
-		{"keyed after a reset", "push", reset, 2, 200},
+		{"keyed after a reset", "push", resetConnection, 2, 200},
 		{"unsafe after an error", "pay", serverError, 1, 502},
-		{"unsafe after a reset", "pay", reset, 1, 502},
+		{"unsafe after a reset", "pay", resetConnection, 1, 502},
 		{"unsafe that was turned away", "pay", rejectRequest, 2, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			bs := firstFails(t, c.fail)
+			bs := backendsFailingFirst(t, c.fail)
 			n, _ := startReady(t, bs...)
 			r := n.request(c.class)
 			a := n.do(r)
 			if sends := len(bs[0].Requests) + len(bs[1].Requests); a.status != c.status || sends != c.sends {
-				t.Fatalf("status %d after %d sends, want %d after %d", a.status, sends, c.status, c.sends)
+				t.Fatalf("got status %d after %d sends, want %d after %d", a.status, sends, c.status, c.sends)
 			}
 			for _, b := range bs {
 				for len(b.Requests) > 0 {
 					got := <-b.Requests
 					for _, name := range []string{"X-Request-ID", "Idempotency-Key"} {
 						if got.Header.Get(name) != r.Header.Get(name) {
-							t.Errorf("%s changed to %q", name, got.Header.Get(name))
+							t.Errorf("%s at the server: got %q, want that of the client", name, got.Header.Get(name))
 						}
 					}
 				}
@@ -71,34 +73,34 @@
 	}
 }
 
-// A server that does not answer must not delay the client's response past its deadline;
-// once the client has it, no more is sent and the attempt is cancelled.
+// A server that does not respond must not delay the client's response past its deadline. Once the client has its response,
+// no further attempt is sent and the attempt in flight is cancelled.
 func TestUnresponsiveEndpoint(t *testing.T) {
 	t.Parallel()
-	left := make(chan struct{}, 1)
-	b := testutil.NewBackend(t, silent(left))
+	disconnected := make(chan struct{}, 1)
+	b := testutil.NewBackend(t, neverRespond(disconnected))
 	n, _ := startReady(t, b)
 	r := n.request("pay")
 	r.Header.Set("X-Timeout-Ms", "300")
 	a := n.do(r)
 	if a.status != http.StatusBadGateway || a.took < 200*time.Millisecond {
-		t.Errorf("status %d after %v", a.status, a.took)
+		t.Errorf("got status %d after %v, want 502 after 200 ms or more", a.status, a.took)
 	}
-	testutil.Wait(t, left, "the attempt to be given up")
+	testutil.Wait(t, disconnected, "the attempt to be cancelled")
 	if len(b.Requests) != 1 {
-		t.Errorf("%d sends", len(b.Requests))
+		t.Errorf("got %d sends, want 1", len(b.Requests))
 	}
 }
 
-// When a server becomes unresponsive a hedged request goes to another one; once that is
-// answered the first attempt is cancelled, which closes its connection.
+// When a server becomes unresponsive, a hedged request is sent to another server. Once the hedged request is answered, the
+// first attempt is cancelled, which closes its connection.
 func TestSecondCopyPastASilentServer(t *testing.T) {
 	t.Parallel()
-	left := make(chan struct{}, 1)
-	var quiet atomic.Bool // the next request gets no response
+	disconnected := make(chan struct{}, 1)
+	var hangNext atomic.Bool // the next request gets no response
 	handle := func(w http.ResponseWriter, r *http.Request) {
-		if quiet.CompareAndSwap(true, false) {
-			silent(left)(w, r)
+		if hangNext.CompareAndSwap(true, false) {
+			neverRespond(disconnected)(w, r)
 			return
 		}
 		testutil.OK(w, r)
@@ -108,20 +110,20 @@
 	for range 50 { // the policy learns the typical latency
 		n.do(n.request("push"))
 	}
-	quiet.Store(true)
+	hangNext.Store(true)
 	before := len(a.Requests) + len(b.Requests)
 	if r := n.do(n.request("push")); r.status != http.StatusOK {
-		t.Fatalf("status %d", r.status)
+		t.Fatalf("got status %d, want 200", r.status)
 	}
-	testutil.Wait(t, left, "the silent attempt to be given up")
-	// On a busy machine the second may seem unresponsive too; the policy's tests bound the number of attempts.
+	testutil.Wait(t, disconnected, "the unresponsive attempt to be cancelled")
+	// On a busy machine the second server may seem unresponsive too. The policy's tests check the limit of attempts.
 	if sends := len(a.Requests) + len(b.Requests) - before; sends < 2 || sends > 3 {
-		t.Errorf("%d sends, want 2, or 3 at most", sends)
+		t.Errorf("got %d sends, want 2 or 3", sends)
 	}
 }
 
-// The server closes a connection after its response without announcing it. A request
-// written to it would be lost if it is not idempotent.
+// The server closes a connection after its response without announcing that. A request that is not idempotent must not be
+// written to such a connection, since it would fail without a retry.
 func TestStaleIdleConnection(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 10)
@@ -137,13 +139,13 @@
 	n, _ := startReady(t, b)
 	for range 5 {
 		if a := n.do(n.request("pay")); a.status != http.StatusOK {
-			t.Fatalf("status %d", a.status)
+			t.Fatalf("got status %d, want 200", a.status)
 		}
 		testutil.Wait(t, closed, "the server's close")
 	}
 }
 
-// With every breaker open, requests are rejected at once with Retry-After.
+// While every breaker is open, requests are rejected at once with Retry-After.
 func TestEveryServerDown(t *testing.T) {
 	t.Parallel()
 	d := newFakeDiscovery(t, discovery.Instance{
@@ -154,25 +156,25 @@
 	for try := range 60 {
 		r := n.request("push")
 		if try%6 != 5 {
-			r.Header.Set("X-Timeout-Ms", "300") // no time for a retry: it opens the breaker
+			r.Header.Set("X-Timeout-Ms", "300") // leaves no time for a retry, so that the failure opens the breaker
 		}
 		a := n.do(r)
 		if a.status != http.StatusServiceUnavailable {
-			t.Fatalf("status %d", a.status)
+			t.Fatalf("got status %d, want 503", a.status)
 		}
 		if s, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64); err != nil || s <= 0 || s > 0.6 {
-			t.Errorf("Retry-After %q", a.header.Get("Retry-After"))
+			t.Errorf("got Retry-After %q, want more than 0 and at most 0.6", a.header.Get("Retry-After"))
 		}
 		if try%6 == 5 && a.took < time.Second {
 			return
 		}
 	}
-	t.Error("never refused at once")
+	t.Error("no request was rejected at once")
 }
 
-// An unsolicited response may arrive some milliseconds after a response, and nothing in it names its request: a
-// connection is not reused before that time is over. The gap is taken at the server, from before its response: a
-// slow machine makes it only longer.
+// An unsolicited response may arrive some milliseconds after a response and does not name its request, so that a connection
+// is not reused before that time is over. The server measures the gap from before its response, so that a slow machine can
+// only make the measured gap longer.
 func TestConnectionsRestBehindAnAnswer(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -185,11 +187,11 @@
 		if at, again := answered[r.RemoteAddr]; again {
 			reused++
 			if gap := now.Sub(at); gap < unsolicitedResponsePeriod {
-				t.Errorf("the next request comes %v behind an answer", gap)
+				t.Errorf("a connection is reused %v after a response, which is before unsolicitedResponsePeriod is over", gap)
 			}
 		}
 		if r.URL.Path == "/read" {
-			time.Sleep(patientParts * unsolicitedResponsePeriod) // long enough that waiting for its connection pays
+			time.Sleep(slowExchangeFactor * unsolicitedResponsePeriod) // so slow that the node waits to reuse the connection
 		}
 		answered[r.RemoteAddr] = time.Now()
 		testutil.OK(w, r)
@@ -197,12 +199,12 @@
 	n, _ := startReady(t, b)
 	for _, class := range []string{"read", "read", "pay", "pay", "read", "pay", "read"} {
 		if a := n.do(n.request(class)); a.status != http.StatusOK {
-			t.Errorf("status %d", a.status)
+			t.Errorf("got status %d, want 200", a.status)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if reused == 0 {
-		t.Error("no connection was used again")
+		t.Error("no connection was reused")
 	}
 }
--- a/internal/node/clientconns_test.go
+++ b/internal/node/clientconns_test.go
@@ -12,7 +12,7 @@
 	"yokestall/internal/testutil"
 )
 
-func (n *running) dial() net.Conn {
+func (n *testNode) dial() net.Conn {
 	n.t.Helper()
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -23,8 +23,8 @@
 	return nc
 }
 
-// ask sends a request on a connection and reads the response.
-func (n *running) ask(nc net.Conn) *http.Response {
+// roundTrip sends a request of class "read" on a connection and reads the response.
+func (n *testNode) roundTrip(nc net.Conn) *http.Response {
 	n.t.Helper()
 	r := n.request("read")
 	if err := r.Write(nc); err != nil {
@@ -32,17 +32,17 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(nc), r)
 	if err != nil {
-		n.t.Fatalf("no answer: %v", err)
+		n.t.Fatalf("no response: %v", err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	return resp
 }
 
-// startSmall starts a node with 64 descriptors: 17 client connections with a request, 3
-// without, 2 that are rejected with Retry-After.
-func startSmall(t *testing.T, b *testutil.Backend) *running { return startSized(t, b, 64) }
+// startSmall starts a node with 64 descriptors. It allows 17 client connections with a request and 3 without, and 2 more that
+// it rejects with Retry-After.
+func startSmall(t *testing.T, b *testutil.Backend) *testNode { return startSized(t, b, 64) }
 
-func startSized(t *testing.T, b *testutil.Backend, sockets int) *running {
+func startSized(t *testing.T, b *testutil.Backend, sockets int) *testNode {
 	d := newFakeDiscovery(t, instanceAt(b, "s-0"))
 	n := start(t, testConfig(t, d, func(file map[string]any) {
 		file["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
@@ -51,9 +51,9 @@
 	return n
 }
 
-// waitReadyAlone waits until the node is ready, with connections of which none is left: a
-// client sees the close only after the node has freed the slot.
-func (n *running) waitReadyAlone() {
+// waitReadyAlone waits until the node is ready. None of its connections is left when it returns, since a client sees the
+// close only after the node has freed the connection's slot.
+func (n *testNode) waitReadyAlone() {
 	n.t.Helper()
 	for end := time.Now().Add(testutil.WaitTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		nc := n.dial()
--- a/internal/node/config_fuzz_test.go
+++ b/internal/node/config_fuzz_test.go
@@ -30,27 +30,27 @@
 		if _, err := policy.New(c.Policy, c.Seed, host{}); err != nil {
 			return // rejected by the policy
 		}
-		servers, places, err := c.splitDescriptors(c.Limits.Sockets)
-		if err == nil && (servers < 1 || servers+places.Active+places.New+places.Overflow+ownDescriptors > c.Limits.Sockets) {
-			t.Errorf("of %d descriptors %d are for servers, %+v for clients", c.Limits.Sockets, servers, places)
+		upstream, clients, err := c.splitDescriptors(c.Limits.Sockets)
+		if err == nil && (upstream < 1 || upstream+clients.Active+clients.New+clients.Overflow+ownDescriptors > c.Limits.Sockets) {
+			t.Errorf("%d descriptors are split into %d for servers and %+v for clients", c.Limits.Sockets, upstream, clients)
 		}
 		if c.DrainGrace < 0 || c.ConnIdle <= 0 || c.ConnectTimeout <= 0 || c.longestDeadline() <= 0 ||
 			planShutdown(c.longestDeadline()).total > maxCountedDeadline+shutdownAfterDeadline {
-			t.Errorf("grace %v, idle %v, connect %v, deadline %v",
+			t.Errorf("out of range: drain grace %v, idle time %v, connect timeout %v or longest deadline %v",
 				c.DrainGrace, c.ConnIdle, c.ConnectTimeout, c.longestDeadline())
 		}
 		for _, d := range []time.Duration{c.DrainGrace, c.ConnIdle, c.ConnectTimeout} {
 			if d > maxConnDuration {
-				t.Errorf("%v is longer than a day", d)
+				t.Errorf("duration %v is longer than a day", d)
 			}
 		}
 		if newEndpointWatcher(c, engine.NewClock(), nil, nil).timing.MaxCalls < 2 {
-			t.Error("no second look at discovery")
+			t.Error("the timing allows no hedged call: MaxCalls is below 2")
 		}
 	})
 }
 
-// host ignores the actions of a Balancer that is not used.
+// host is the policy.Host of a Balancer that gets no requests. It ignores timers.
 type host struct{ policy.Host }
 
 func (host) SetTimer(time.Duration, uint64) {}
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -12,9 +12,8 @@
 	"yokestall/internal/testutil"
 )
 
-// Client connections with a request have a third of the descriptors. If clients that send
-// one request and stay could occupy that third, others could not reach the node, which
-// would look idle.
+// The platform allows a third of the descriptors for client connections with a request. If clients that send one request and
+// stay connected could occupy that third, other clients could not reach the node although it would be idle.
 func TestCrowdThatStays(t *testing.T) {
 	t.Parallel()
 	for _, sockets := range []int{64, 256, 384, 1024} {
@@ -23,32 +22,32 @@
 			b.Config.Handler = http.HandlerFunc(testutil.OK) // does not record requests
 			n := startSized(t, b, sockets)
 			third := sockets / 3
-			if got := newGateway(n, third).crowd(t, third+third/2); got > 0 {
-				t.Errorf("clients found no connection left, %d times before the test gave up", got)
+			if got := newGateway(n, third).occupySlots(t, third+third/2); got > 0 {
+				t.Errorf("clients got no connection %d times before the test stopped, want 0", got)
 			}
 		})
 	}
 }
 
-// The same with another share of the descriptors for clients.
+// Clients that stay connected must not lock others out with other values of clients.part either.
 func TestCrowdWithConfiguredPart(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
 	b.Config.Handler = http.HandlerFunc(testutil.OK)
-	for part, places := range map[float64]int{0.1: 25, 1: 95} { // of 256; 1 is as many as fit
+	for share, slots := range map[float64]int{0.1: 25, 1: 95} { // of 256 descriptors; at 1, 95 connections fit
 		d := newFakeDiscovery(t, instanceAt(b, "s-0"))
 		cfg := testConfig(t, d, nil)
-		cfg.ClientShare = part
+		cfg.ClientShare = share
 		n := start(t, cfg)
 		n.waitReadyAlone()
-		if got := newGateway(n, places).crowd(t, 2*places); got > 0 {
-			t.Errorf("part %v: clients found no connection left", part)
+		if got := newGateway(n, slots).occupySlots(t, 2*slots); got > 0 {
+			t.Errorf("clients.part = %v: some clients got no connection", share)
 		}
 	}
 }
 
-// A flood of connections without a request has slots of its own: clients that are idle
-// between two requests stay connected.
+// Connections without a request have slots of their own, so that a flood of them does not disconnect clients that are idle
+// between two requests.
 func TestSilentFloodBesideAskingClients(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -61,8 +60,8 @@
 			t.Fatal(err)
 		}
 		defer c.close()
-		if status, _, err := c.ask(n.request("read")); err != nil || status != http.StatusOK {
-			t.Fatalf("status %d, %v", status, err)
+		if status, _, err := c.roundTrip(n.request("read")); err != nil || status != http.StatusOK {
+			t.Fatalf("got status %d, error %v, want status 200", status, err)
 		}
 		idle = append(idle, c)
 	}
@@ -85,8 +84,8 @@
 	}
 	for range 5 {
 		for i, c := range idle {
-			if status, last, err := c.ask(n.request("read")); err != nil || status != http.StatusOK || last {
-				t.Fatalf("client %d: status %d, last %v, %v", i, status, last, err)
+			if status, last, err := c.roundTrip(n.request("read")); err != nil || status != http.StatusOK || last {
+				t.Fatalf("client %d: got status %d, close %v, error %v, want 200, false, nil", i, status, last, err)
 			}
 		}
 	}
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -22,20 +22,20 @@
 	"yokestall/internal/testutil"
 )
 
-// lostDiscovery is a registryStub that can become unresponsive: it accepts calls and sends no response.
-type lostDiscovery struct {
+// hangingDiscovery is a fakeDiscovery that can become unresponsive: it then accepts calls and sends no response.
+type hangingDiscovery struct {
 	*fakeDiscovery
-	silent atomic.Bool
-	begun  chan struct{} // gets a token when a call gets no response
+	hanging   atomic.Bool
+	hungCalls chan struct{} // receives a token when a call starts that gets no response
 }
 
-func newLostDiscovery(t *testing.T, list ...discovery.Instance) *lostDiscovery {
-	d := &lostDiscovery{fakeDiscovery: newFakeDiscovery(t, list...), begun: make(chan struct{}, 1)}
+func newHangingDiscovery(t *testing.T, list ...discovery.Instance) *hangingDiscovery {
+	d := &hangingDiscovery{fakeDiscovery: newFakeDiscovery(t, list...), hungCalls: make(chan struct{}, 1)}
 	inner := d.Config.Handler
 	d.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.silent.Load() {
+		if d.hanging.Load() {
 			select {
-			case d.begun <- struct{}{}:
+			case d.hungCalls <- struct{}{}:
 			default:
 			}
 			<-r.Context().Done()
@@ -46,14 +46,14 @@
 	return d
 }
 
-// child is a node in a process of its own, whose descriptors the system limits.
-type child struct {
-	*running
+// childNode is a node in a process of its own, whose number of descriptors the system limits.
+type childNode struct {
+	*testNode
 	process *os.Process
 	logs    *testutil.Logs
 }
 
-func startChild(t *testing.T, mode, discovery string, sockets int) *child {
+func startChild(t *testing.T, mode, discovery string, sockets int) *childNode {
 	t.Helper()
 	folder := t.TempDir()
 	config, err := json.Marshal(map[string]any{
@@ -82,13 +82,13 @@
 		cmd.Wait()
 	})
 	_, addr, _ := strings.Cut(strings.TrimSpace(logs.Wait("INFO serving")), "addr=")
-	n := &child{&running{t: t, addr: addr}, cmd.Process, logs}
+	n := &childNode{&testNode{t: t, addr: addr}, cmd.Process, logs}
 	n.waitReadyAlone()
 	return n
 }
 
-// descriptors returns how many descriptors the process has open.
-func (c *child) descriptors() int {
+// descriptors returns the number of descriptors that the process has open.
+func (c *childNode) descriptors() int {
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.process.Pid))
 	if err != nil {
 		c.t.Fatal(err)
@@ -96,9 +96,10 @@
 	return len(list)
 }
 
-// crowdIn has a number of clients connect, send one request or none, and stay; those whose connection is closed
-// connect again, until the end of ctx. It counts the requests that the node has answered.
-func crowdIn(ctx context.Context, n *child, clients int, answered *atomic.Int64) (gone func()) {
+// occupyConnections has a number of clients connect, send one request or none, and stay connected. A client whose connection
+// is closed connects again, until ctx is done. answered counts the requests that the node has answered. wait waits until all
+// clients have ended.
+func occupyConnections(ctx context.Context, n *childNode, clients int, answered *atomic.Int64) (wait func()) {
 	var all sync.WaitGroup
 	for i := range clients {
 		all.Go(func() {
@@ -124,9 +125,9 @@
 	return all.Wait
 }
 
-// Idle clients use the descriptors while discovery is unavailable, and servers that hang the others. When discovery
-// returns the node reaches it all the same, and applies its list: descriptors are reserved for that. The system's own
-// limit is as low as the node's.
+// While the discovery service is unresponsive, idle clients use all descriptors for clients, and servers that hang use all
+// descriptors for endpoints. When the discovery service returns, the node must still be able to call it and apply its list,
+// since descriptors are reserved for that. The system's limit of descriptors is as low as the node's.
 func TestCrowdWhileDiscoveryIsAway(t *testing.T) {
 	t.Parallel()
 	const sockets = 64
@@ -135,10 +136,10 @@
 			t.Parallel()
 			hold := make(chan struct{})
 			var list, drained []discovery.Instance
-			for i := range 12 { // enough for all connections that the node may have to servers
+			for i := range 12 { // enough servers to use all connections that the node may have to endpoints
 				b := testutil.NewBackend(t, testutil.OK)
 				b.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					if r.Method == http.MethodPost { // hangs
+					if r.Method == http.MethodPost { // a request of class "pay", which hangs
 						select {
 						case <-hold:
 						case <-r.Context().Done():
@@ -150,32 +151,32 @@
 				drained = append(drained, draining(list[i]))
 			}
 			fresh := testutil.NewBackend(t, testutil.OK)
-			d := newLostDiscovery(t, list...)
+			d := newHangingDiscovery(t, list...)
 			n := startChild(t, mode, d.Listener.Addr().String(), sockets)
-			d.silent.Store(true)
+			d.hanging.Store(true)
 			d.CloseClientConnections()
 			ctx, stop := context.WithCancel(t.Context())
 			var answered atomic.Int64
-			gone := crowdIn(ctx, n, 2*sockets, &answered)
-			defer gone()
+			waitForClients := occupyConnections(ctx, n, 2*sockets, &answered)
+			defer waitForClients()
 			defer close(hold)
 			defer stop()
-			most := 0
-			testutil.Until(t, "the crowd to be in", func() bool {
-				most = max(most, n.descriptors())
-				return answered.Load() > 2*sockets && most >= sockets-ownDescriptors
+			maxOpen := 0
+			testutil.Until(t, "the clients to use all descriptors", func() bool {
+				maxOpen = max(maxOpen, n.descriptors())
+				return answered.Load() > 2*sockets && maxOpen >= sockets-ownDescriptors
 			})
-			testutil.Wait(t, d.begun, "a call without a response")
-			// The calls to one discovery service need descriptors besides, as do those to another one after SIGHUP.
+			testutil.Wait(t, d.hungCalls, "a call without a response")
+			// The calls to the discovery service need further descriptors, as do those to another address after SIGHUP.
 			calls := discovery.PushedTiming(0).MaxCalls
-			if most+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
-				t.Errorf("%d of %d descriptors were open: none are reserved for %d calls", most, sockets, calls)
+			if maxOpen+calls > sockets || strings.Contains(n.logs.String(), syscall.EMFILE.Error()) {
+				t.Errorf("%d of %d descriptors were open: too few are left for %d calls to discovery", maxOpen, sockets, calls)
 			}
-			d.silent.Store(false)
+			d.hanging.Store(false)
 			back := time.Now()
 			d.change(t, func() { d.list = append(drained, instanceAt(fresh, "s-new")) })
-			t.Logf("updated %v after discovery's return, %d of %d descriptors were open at most",
-				time.Since(back), most, sockets)
+			t.Logf("the list was updated %v after discovery returned; at most %d of %d descriptors were open",
+				time.Since(back), maxOpen, sockets)
 			testutil.Wait(t, fresh.Requests, "a request at the new server")
 		})
 	}
--- a/internal/node/detach_histories_test.go
+++ b/internal/node/detach_histories_test.go
@@ -13,9 +13,9 @@
 	"yokestall/policy"
 )
 
-// history is an endpoint list with the administrative state and a policy that follows both, on a clock of the
-// test's.
-type history struct {
+// detachHistory has an endpoint list with administrative state and a policy that follows both, on a clock that the test
+// advances.
+type detachHistory struct {
 	*rapid.T
 	endpoints *endpointWatcher
 	balancer  *policy.Balancer
@@ -26,26 +26,26 @@
 	names     map[policy.EndpointID]string
 }
 
-func (h *history) UpdateAddresses(bool, []h1client.Endpoint) {}
-func (h *history) UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool {
+func (h *detachHistory) UpdateAddresses(bool, []h1client.Endpoint) {}
+func (h *detachHistory) UpdateEndpoints(kind policy.UpdateKind, entries []policy.Endpoint) bool {
 	h.balancer.UpdateEndpoints(h.now, kind, entries)
 	return true
 }
-func (h *history) Send(id policy.RequestID, s policy.EndpointID, _ time.Duration) {
+func (h *detachHistory) Send(id policy.RequestID, s policy.EndpointID, _ time.Duration) {
 	if h.endpoints.admin.Detached(h.names[s]) {
-		h.Fatalf("a request is sent to %s, which is detached", h.names[s])
+		h.Fatalf("a request was sent to %s, which is detached", h.names[s])
 	}
 	h.inFlight = append(h.inFlight, policy.Outcome{ID: id, Attempt: h.attempts[id], Endpoint: s})
 	h.attempts[id]++
 }
-func (h *history) Cancel(policy.RequestID, int)           {}
-func (h *history) Reject(policy.RequestID, time.Duration) {}
-func (h *history) Fail(policy.RequestID)                  {}
-func (h *history) SetTimer(time.Duration, uint64)         {}
-func (h *history) RequestPoll()                           {}
+func (h *detachHistory) Cancel(policy.RequestID, int)           {}
+func (h *detachHistory) Reject(policy.RequestID, time.Duration) {}
+func (h *detachHistory) Fail(policy.RequestID)                  {}
+func (h *detachHistory) SetTimer(time.Duration, uint64)         {}
+func (h *detachHistory) RequestPoll()                           {}
 
-// request starts a request, and ends all attempts in flight as drawn; failures lead to retries.
-func (h *history) request() {
+// request starts a request, and then ends all attempts in flight with drawn statuses, so that failures lead to retries.
+func (h *detachHistory) request() {
 	h.lastID++
 	h.balancer.Request(h.now, policy.Request{ID: h.lastID, TimeRemaining: 2 * time.Second})
 	h.now += 10 * time.Millisecond
@@ -61,11 +61,11 @@
 	h.balancer.Timer(h.now, 0)
 }
 
-// Drawn histories of changes, lists, restarts, requests and failures: no request is sent to a detached
-// instance, at whatever point of its attempts it is detached.
+// In drawn sequences of administrative changes, lists, server restarts, requests and failures, no request is sent to a
+// detached instance, whichever attempt of the request is in flight when the instance is detached.
 func TestDetachHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &history{T: t, now: 2 * time.Hour, attempts: map[policy.RequestID]int{}, names: map[policy.EndpointID]string{}}
+		h := &detachHistory{T: t, now: 2 * time.Hour, attempts: map[policy.RequestID]int{}, names: map[policy.EndpointID]string{}}
 		h.endpoints = &endpointWatcher{
 			sink: h, zoneIndex: map[string]int{}, source: &discoverySource{}, initialized: make(chan struct{}),
 		}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -14,6 +14,7 @@
 	"yokestall/internal/testutil"
 )
 
+// A draining server gets no requests. Once no server is left, requests are rejected.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
@@ -21,19 +22,19 @@
 	d.change(t, func() { d.list[0].Lifecycle = "Terminating" })
 	for range 20 {
 		if r := n.do(n.request("read")); r.status != http.StatusOK {
-			t.Fatalf("status %d", r.status)
+			t.Fatalf("got status %d, want 200", r.status)
 		}
 	}
 	if len(a.Requests) != 0 || len(b.Requests) != 20 {
-		t.Errorf("%d sends to the draining server, %d to the other", len(a.Requests), len(b.Requests))
+		t.Errorf("got %d sends to the draining server, %d to the other, want 0 and 20", len(a.Requests), len(b.Requests))
 	}
 	d.change(t, func() { d.list = d.list[:1] })
 	if r := n.do(n.request("read")); r.status != http.StatusServiceUnavailable {
-		t.Errorf("status %d with no server left", r.status)
+		t.Errorf("with no server left: got status %d, want 503", r.status)
 	}
 }
 
-// A server with another address is another process: connections to the old one are closed.
+// An instance whose address changes is another process: requests go to the new address, not on connections to the old one.
 func TestServerMoves(t *testing.T) {
 	t.Parallel()
 	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
@@ -42,10 +43,11 @@
 	d.change(t, func() { d.list = []discovery.Instance{instanceAt(b, "s-0")} })
 	n.do(n.request("read"))
 	if len(a.Requests) != 1 || len(b.Requests) != 1 {
-		t.Errorf("%d sends to the old address, %d to the new one", len(a.Requests), len(b.Requests))
+		t.Errorf("got %d sends to the old address, %d to the new one, want 1 each", len(a.Requests), len(b.Requests))
 	}
 }
 
+// The node becomes ready when the discovery service becomes available, and keeps its list when the service fails later.
 func TestDiscoveryFailsAndReturns(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -53,22 +55,22 @@
 	d.down = true
 	n := start(t, testConfig(t, d, nil))
 	testutil.Wait(t, d.calls, "a first call")
-	testutil.Wait(t, d.calls, "a call after the failed one")
+	testutil.Wait(t, d.calls, "a call after the failed call")
 	n.waitReady(http.StatusServiceUnavailable)
 	d.set(func() { d.down, d.list = false, []discovery.Instance{instanceAt(b, "s-0")} })
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
-		t.Errorf("status %d", a.status)
+		t.Errorf("got status %d, want 200", a.status)
 	}
-	d.set(func() { d.down = true }) // the list stays
+	d.set(func() { d.down = true }) // the node keeps its list
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
-		t.Errorf("status %d while discovery is down", a.status)
+		t.Errorf("while discovery is down: got status %d, want 200", a.status)
 	}
 }
 
-// Discovery moves, as after SIGHUP, more than once: the old watch ends, the new address
-// is polled for a full update, whatever its versions, and the node serves and stays
-// ready throughout, also while the new address doesn't answer.
+// The discovery service moves more than once, as after SIGHUP. The long poll of the old address ends, and the new address is
+// polled for a full update whichever version it has. The node serves and stays ready throughout, also while the new address
+// does not respond.
 func TestDiscoveryMoves(t *testing.T) {
 	t.Parallel()
 	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
@@ -79,25 +81,25 @@
 	for len(old.calls) > 0 {
 		<-old.calls
 	}
-	n.node.MoveDiscovery(testutil.RefusingAddr(t)) // nothing listens there yet
+	n.node.MoveDiscovery(testutil.RefusingAddr(t)) // an address that refuses connections
 	if r := n.do(n.request("read")); r.status != http.StatusOK {
-		t.Errorf("status %d while discovery is away", r.status)
+		t.Errorf("while discovery refuses connections: got status %d, want 200", r.status)
 	}
 	n.node.MoveDiscovery(next.Listener.Addr().String())
 	if q := testutil.Wait(t, next.calls, "the first call"); q != "" {
-		t.Errorf("the new place is asked for %q", q)
+		t.Errorf("the first call to the new address has query %q, want none (the full list)", q)
 	}
-	testutil.Wait(t, next.calls, "the watch")
+	testutil.Wait(t, next.calls, "the long poll of the new address")
 	n.waitReady(http.StatusOK)
 	for len(a.Requests) > 0 {
 		<-a.Requests
 	}
 	if r := n.do(n.request("read")); r.status != http.StatusOK || len(a.Requests) > 0 || len(b.Requests) == 0 {
-		t.Errorf("status %d; %d sends to the server of the old list", r.status, len(a.Requests))
+		t.Errorf("got status %d, %d sends to the server of the old list, want 200, 0", r.status, len(a.Requests))
 	}
 	next.change(t, func() { next.list = nil })
 	if r := n.do(n.request("read")); r.status != http.StatusServiceUnavailable {
-		t.Errorf("status %d: the new place is not watched", r.status)
+		t.Errorf("got status %d, want 503: the list of the new address is not followed", r.status)
 	}
 	n.node.MoveDiscovery(old.Listener.Addr().String())
 	for q := range old.calls {
@@ -105,9 +107,9 @@
 			break
 		}
 	}
-	testutil.Wait(t, old.calls, "the watch")
+	testutil.Wait(t, old.calls, "the long poll of the old address")
 	if r := n.do(n.request("read")); r.status != http.StatusOK {
-		t.Errorf("status %d after the move back", r.status)
+		t.Errorf("after the move back: got status %d, want 200", r.status)
 	}
 }
 
@@ -122,30 +124,30 @@
 	}))
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
-		t.Errorf("status %d", a.status)
+		t.Errorf("got status %d, want 200", a.status)
 	}
-	if q := testutil.Wait(t, d.calls, "a watch"); !strings.Contains(q, "after=7") {
-		t.Errorf("the watch asks for %q", q)
+	if q := testutil.Wait(t, d.calls, "a long poll"); !strings.Contains(q, "after=7") {
+		t.Errorf("the long poll has query %q, want after=7", q)
 	}
 }
 
-// Version 0 is a version: a list that has it must be watched, not polled in full
-// repeatedly.
+// Version 0 is a valid version. After a list with that version the node must make a long poll instead of requesting the full
+// list again.
 func TestWatchAfterVersionZero(t *testing.T) {
 	t.Parallel()
 	d := newFakeDiscovery(t, instanceAt(testutil.NewBackend(t, testutil.OK), "s-0"))
 	cfg := testConfig(t, d, nil)
 	cfg.pollTiming = discovery.PushedTiming(cfg.DrainGrace)
-	cfg.pollTiming.OverdueAfter = testutil.WaitTimeout // a slow first call must not be hedged by another one
+	cfg.pollTiming.OverdueAfter = testutil.WaitTimeout // a slow first call must not be hedged
 	cfg.pollTiming.AbandonAfter = 2 * testutil.WaitTimeout
 	start(t, cfg).waitReady(http.StatusOK)
 	testutil.Wait(t, d.calls, "the first call")
-	if q := testutil.Wait(t, d.calls, "the watch"); !strings.Contains(q, "after=0") {
-		t.Errorf("the second call asks for %q", q)
+	if q := testutil.Wait(t, d.calls, "the long poll"); !strings.Contains(q, "after=0") {
+		t.Errorf("the second call has query %q, want after=0", q)
 	}
 }
 
-// Where lists are polled, the policy decides when.
+// A node whose lists are polled at the policy's request gets its list and serves.
 func TestPolledList(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -155,7 +157,7 @@
 	}))
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
-		t.Errorf("status %d", a.status)
+		t.Errorf("got status %d, want 200", a.status)
 	}
 }
 
@@ -164,7 +166,7 @@
 // MarshalJSON implements json.Marshaler.
 func (j jsonText) MarshalJSON() ([]byte, error) { return []byte(j), nil }
 
-// Discovery's responses may be malformed; the node polls again and applies what it can use.
+// Responses of the discovery service may be malformed. The node polls again and applies the entries that it can use.
 func TestBadListsAreSurvived(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -182,7 +184,7 @@
 	}
 	var polls atomic.Int64
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		// The last list is given to each later poll as well: the node may have abandoned the poll that got it first.
+		// Each later poll gets the last list too, since the node may have abandoned the poll that got it first.
 		poll := min(int(polls.Add(1)), len(lists))
 		io.WriteString(w, lists[poll-1])
 	}))
@@ -190,13 +192,12 @@
 	n := start(t, testConfig(t, &fakeDiscovery{Server: d}, nil))
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
-		t.Errorf("status %d", a.status)
+		t.Errorf("got status %d, want 200", a.status)
 	}
 }
 
-// A server that started before this node may still be warming up: its start must be after
-// the zero of the clock, which means long ago, and must not differ from list to list,
-// which would mean a restart.
+// A server that started before this node may still be warming up. Its start time must not be 0 on the node's clock, which
+// stands for long ago, and must be the same for each list, since another start time would mean a restart.
 func TestEndpointStartTimes(t *testing.T) {
 	t.Parallel()
 	clock := engine.NewClock()
@@ -204,12 +205,12 @@
 	at := float64(time.Now().Add(-3 * time.Second).UnixMilli())
 	first := d.clockTime(at)
 	if age := clock.Now() - first; age < 2900*time.Millisecond || age > 3*time.Second+testutil.WaitTimeout {
-		t.Errorf("a start 3 s ago is %v ago on the clock", age)
+		t.Errorf("a start 3 s ago is %v ago on the node's clock, want 3 s", age)
 	}
 	if again := d.clockTime(at); again != first {
-		t.Errorf("the start moved from %v to %v", first, again)
+		t.Errorf("the same start time was converted to %v and then to %v", first, again)
 	}
 	if d.clockTime(0) != 0 {
-		t.Error("a start long ago is not 0")
+		t.Error("a start at 0 Unix milliseconds is not 0 on the node's clock")
 	}
 }
--- a/internal/node/endpointwatcher.go
+++ b/internal/node/endpointwatcher.go
@@ -101,7 +101,7 @@
 	return discovery.PushedTiming(cfg.DrainGrace)
 }
 
-// requestPoll starts the next poll of a polled list now instead of after the retry interval. The policy calls it.
+// requestPoll makes the next poll of a polled list start now instead of after the retry interval. The policy calls it.
 func (w *endpointWatcher) requestPoll() {
 	select {
 	case w.pollRequested <- struct{}{}:
--- a/internal/node/endpointwatcher_test.go
+++ b/internal/node/endpointwatcher_test.go
@@ -17,10 +17,10 @@
 type agentCall struct {
 	query    string
 	response chan<- endpointList
-	done     <-chan struct{} // closed once it has a response, or was cancelled
+	done     <-chan struct{} // closed once the call has a response or was cancelled
 }
 
-// startAgent starts a discovery service whose every response the test gives.
+// startAgent starts a discovery service whose responses the test provides.
 func startAgent(t *testing.T) (addr string, calls <-chan agentCall) {
 	received := make(chan agentCall, 256)
 	closing := make(chan struct{})
@@ -34,7 +34,7 @@
 		}
 		select {
 		case list := <-response:
-			text, _ := json.MarshalIndent(list, "", "  ") // lists may come indented
+			text, _ := json.MarshalIndent(list, "", "  ") // the protocol allows indented lists
 			w.Write(text)
 		case <-r.Context().Done():
 		case <-closing:
@@ -50,14 +50,14 @@
 	return endpointList{Generation: generation, Full: true, Instances: instances}
 }
 
-// draining returns an instance that drains.
+// draining returns a copy of an instance that is draining.
 func draining(instance discovery.Instance) discovery.Instance {
 	instance.Lifecycle = "Terminating"
 	return instance
 }
 
-// startWithAgent starts a node with an initial list whose discovery is at addr.
-func startWithAgent(t *testing.T, addr string, initial endpointList, change func(*Config)) *running {
+// startWithAgent starts a node with an initial list and with addr as the address of its discovery service.
+func startWithAgent(t *testing.T, addr string, initial endpointList, change func(*Config)) *testNode {
 	t.Helper()
 	cfg := testConfig(t, newFakeDiscovery(t), func(file map[string]any) {
 		file["discovery"], file["known"] = addr, initial
@@ -68,8 +68,8 @@
 	return start(t, cfg)
 }
 
-// What the agent has counts from the start of the process: a request that comes before the agent's first response waits
-// for it, and is not sent by the list of the configuration.
+// The agent's list applies from the start of the process. A request that arrives before the agent's first response waits for
+// that response, and is not sent to an endpoint of the configuration's list.
 func TestAgentPrecedesInitialList(t *testing.T) {
 	t.Parallel()
 	old, fresh := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
@@ -80,9 +80,9 @@
 	})
 	first := testutil.Wait(t, calls, "the first call")
 	if first.query != "after=3&wait_ms=1" {
-		t.Errorf("the first call asks for %q: it needs a response at once", first.query)
+		t.Errorf("the first call has query %q, want after=3 and no wait for a change", first.query)
 	}
-	nc := n.dial() // from a load balancer before it that did not notice the restart
+	nc := n.dial() // a connection from a downstream load balancer that did not notice the restart
 	r := n.request("pay")
 	if err := r.Write(nc); err != nil {
 		t.Fatal(err)
@@ -90,15 +90,15 @@
 	first.response <- listOf(4, draining(instanceAt(old, "s-old")), instanceAt(fresh, "s-new"))
 	resp, err := http.ReadResponse(bufio.NewReader(nc), r)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("got response %v, error %v, want status 200", resp, err)
 	}
 	if len(old.Requests) != 0 || len(fresh.Requests) != 1 {
-		t.Errorf("%d sends to the draining endpoint, %d to the other", len(old.Requests), len(fresh.Requests))
+		t.Errorf("got %d sends to the draining endpoint, %d to the other, want 0 and 1", len(old.Requests), len(fresh.Requests))
 	}
 }
 
-// The first response of an agent may be a delta to the list that the process was started with, or empty: both together
-// are what it serves by, and it is ready with that response.
+// The first response of an agent may be a delta, also an empty one, to the list that the process was started with. The
+// process then serves by the result of both, and is ready with that response.
 func TestFirstResponseIsDelta(t *testing.T) {
 	t.Parallel()
 	for name, changed := range map[string]bool{"none": false, "one": true} {
@@ -108,7 +108,7 @@
 			addr, calls := startAgent(t)
 			n := startWithAgent(t, addr, listOf(3, instanceAt(a, "s-a"), instanceAt(b, "s-b")), func(c *Config) {
 				c.pollTiming = discovery.PushedTiming(c.DrainGrace)
-				c.pollTiming.InitialListTimeout = 10 * testutil.WaitTimeout // only the response ends the wait
+				c.pollTiming.InitialListTimeout = 10 * testutil.WaitTimeout // so that only the response ends the wait
 				c.pollTiming.ReadyTimeout = 20 * testutil.WaitTimeout
 			})
 			delta := endpointList{Generation: 3, Instances: []discovery.Instance{}}
@@ -119,11 +119,11 @@
 			n.waitReady(http.StatusOK)
 			for range 40 {
 				if r := n.do(n.request("read")); r.status != http.StatusOK {
-					t.Fatalf("status %d", r.status)
+					t.Fatalf("got status %d, want 200", r.status)
 				}
 			}
 			toA, toB := len(a.Requests), len(b.Requests)
-			ids := map[string]bool{} // on a busy machine one may be hedged
+			ids := map[string]bool{} // counts requests instead of sends, since a request may be hedged on a busy machine
 			for range toA {
 				ids[(<-a.Requests).Header.Get("X-Request-Id")] = true
 			}
@@ -131,14 +131,15 @@
 				ids[(<-b.Requests).Header.Get("X-Request-Id")] = true
 			}
 			if changed && toA > 0 || len(ids) != 40 {
-				t.Errorf("%d and %d sends of %d requests", toA, toB, len(ids))
+				t.Errorf("got %d sends to s-a, %d to s-b, of %d requests, want 40 requests, none at a draining endpoint",
+					toA, toB, len(ids))
 			}
 		})
 	}
 }
 
-// An agent that does not respond as a process starts, as with a discovery service that is down, keeps the node from
-// neither serving nor being ready: the initial list is all that there is.
+// If the agent does not respond when a process starts, for example because the discovery service is down, the node serves and
+// becomes ready with its initial list.
 func TestAgentUnresponsiveAtStart(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -147,12 +148,12 @@
 	testutil.Wait(t, calls, "the first call")
 	n.waitReady(http.StatusOK)
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
-		t.Errorf("status %d", a.status)
+		t.Errorf("got status %d, want 200", a.status)
 	}
 }
 
-// A long poll that has become unresponsive is hedged, in both modes: what it misses counts as known, whether or not it
-// arrived.
+// An unresponsive long poll is hedged, with pushed and with polled lists, since by the protocol a change counts as known to
+// the node whether or not the node received it.
 func TestUnresponsiveLongPoll(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"pushed", "on_request"} {
@@ -175,7 +176,7 @@
 			default:
 			}
 			if hedge.query != "after=1&wait_ms=1" {
-				t.Errorf("the hedged call asks for %q", hedge.query)
+				t.Errorf("the hedged call has query %q, want after=1&wait_ms=1", hedge.query)
 			}
 			hedge.response <- listOf(2, draining(instanceAt(a, "s-a")), instanceAt(b, "s-b"))
 			for {
@@ -188,14 +189,14 @@
 				n.do(n.request("read"))
 			}
 			if len(a.Requests) != 0 {
-				t.Errorf("%d sends to the draining endpoint", len(a.Requests))
+				t.Errorf("got %d sends to the draining endpoint, want 0", len(a.Requests))
 			}
 		})
 	}
 }
 
-// Where the agent does not respond for long, hedged calls go on, within the limit: what it has at its return counts at
-// once, and the calls that were in flight then may never be answered.
+// While the agent is unresponsive, the node continues to make hedged calls within the limit of calls. The agent's list counts
+// as known as soon as the agent responds again, and the calls that were in flight before may never be answered.
 func TestAgentUnresponsiveForLong(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -206,7 +207,7 @@
 	var inFlight []agentCall
 	for range 4 * maxCalls {
 		inFlight = append(inFlight, testutil.Wait(t, calls, "a further hedged call"))
-		testutil.Until(t, "no more calls in flight than allowed", func() bool {
+		testutil.Until(t, "the calls in flight to be within the limit", func() bool {
 			inFlight = slices.DeleteFunc(inFlight, func(c agentCall) bool {
 				select {
 				case <-c.done:
@@ -218,9 +219,9 @@
 			return len(inFlight) <= maxCalls
 		})
 	}
-	testutil.Until(t, "the change to be in force", func() bool {
+	testutil.Until(t, "the change to be applied", func() bool {
 		select {
-		case c := <-calls: // one that was cancelled by now takes no response
+		case c := <-calls: // a call that was cancelled in the meantime ignores the response
 			c.response <- listOf(4)
 		default:
 		}
@@ -228,7 +229,7 @@
 	})
 }
 
-// While a new discovery address does not respond, as after SIGHUP, the old one is followed: what it has counts.
+// While a new discovery address, as after SIGHUP, does not respond, the list of the old address is followed.
 func TestPreviousAddressUntilNewOneResponds(t *testing.T) {
 	t.Parallel()
 	a, b := testutil.NewBackend(t, testutil.OK), testutil.NewBackend(t, testutil.OK)
@@ -238,12 +239,12 @@
 	testutil.Wait(t, old, "the first call").response <- listOf(1, instanceAt(a, "s-a"), instanceAt(b, "s-b"))
 	n.waitReady(http.StatusOK)
 	n.node.MoveDiscovery(newAddr)
-	first := testutil.Wait(t, fresh, "a call to the new one")
+	first := testutil.Wait(t, fresh, "a call to the new address")
 	if first.query != "" {
-		t.Errorf("the new one is asked for %q, not for the full list", first.query)
+		t.Errorf("the first call to the new address has query %q, want none (the full list)", first.query)
 	}
 	for {
-		c := testutil.Wait(t, old, "a call to the old one")
+		c := testutil.Wait(t, old, "a call to the old address")
 		if strings.HasPrefix(c.query, "after=1&") {
 			c.response <- listOf(2, draining(instanceAt(a, "s-a")), instanceAt(b, "s-b"))
 		} else if strings.HasPrefix(c.query, "after=2&") {
@@ -254,16 +255,16 @@
 		n.do(n.request("read"))
 	}
 	if len(a.Requests) != 0 {
-		t.Errorf("%d sends to an endpoint that drains by the old one's list", len(a.Requests))
+		t.Errorf("got %d sends to an endpoint that drains by the old address's list, want 0", len(a.Requests))
 	}
-	testutil.Until(t, "the new list to be in force", func() bool {
-		for len(fresh) > 0 { // those that were cancelled by now take no response
+	testutil.Until(t, "the list of the new address to be applied", func() bool {
+		for len(fresh) > 0 { // calls that were cancelled in the meantime ignore the response
 			(<-fresh).response <- listOf(7, instanceAt(a, "s-a"))
 		}
 		n.do(n.request("read"))
 		return len(a.Requests) > 0
 	})
-	testutil.Until(t, "a long poll of the new one", func() bool {
-		return strings.HasPrefix(testutil.Wait(t, fresh, "a call to the new one").query, "after=7&")
+	testutil.Until(t, "a long poll of the new address", func() bool {
+		return strings.HasPrefix(testutil.Wait(t, fresh, "a call to the new address").query, "after=7&")
 	})
 }
--- a/internal/node/fakediscovery_test.go
+++ b/internal/node/fakediscovery_test.go
@@ -22,7 +22,7 @@
 	return d
 }
 
-// set makes a change and notifies the watches.
+// set makes a change to the list or the availability, and ends the long polls in flight.
 func (d *fakeDiscovery) set(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -32,8 +32,8 @@
 	d.changed = make(chan struct{})
 }
 
-// change makes a change and waits for the watch after it: the node has applied the
-// change before it polls again.
+// change makes a change and waits for the long poll that follows it. The node has then applied the change, since it polls
+// again only after that.
 func (d *fakeDiscovery) change(t *testing.T, change func()) {
 	t.Helper()
 	d.set(change)
@@ -41,7 +41,7 @@
 	after := fmt.Sprintf("after=%d&", d.version)
 	d.mu.Unlock()
 	for query := ""; !strings.HasPrefix(query, after); {
-		query = testutil.Wait(t, d.calls, "the watch after the change")
+		query = testutil.Wait(t, d.calls, "the long poll after the change")
 	}
 }
 
--- a/internal/node/faultydiscovery_test.go
+++ b/internal/node/faultydiscovery_test.go
@@ -15,41 +15,42 @@
 	"yokestall/internal/discovery"
 )
 
-// outage is how a discovery service is unavailable.
+// outage says in which way a discovery service is unavailable.
 type outage struct {
 	name string
 	// newCalls is the fault of calls that start during the outage.
 	newCalls fault
-	// openCalls is the fault of calls that are in flight when it begins.
+	// openCalls is the fault of calls that are in flight when the outage begins.
 	openCalls fault
 }
 
+// fault is the way in which a call fails.
 type fault int
 
-// shortOutage is an outage that may be over before any call is made in it.
+// shortOutage is the duration of an outage that may be over before any call starts in it.
 const shortOutage = 50 * time.Millisecond
 
 const (
 	refused      fault = iota // the call fails at once
-	errorStatus               // it is answered by an error status, after a while
-	unresponsive              // it is never answered
-	anyFault                  // one of the others, drawn for each call
+	errorStatus               // the call is answered with an error status after the response time
+	unresponsive              // the call is never answered
+	anyFault                  // one of the other faults, drawn for each call
 )
 
-// faultyDiscovery is a discovery service in virtual time that can be unavailable. It responds as the protocol says.
+// faultyDiscovery is a discovery service in virtual time that can be unavailable. Otherwise it follows the protocol.
 type faultyDiscovery struct {
 	rng             *rand.Rand    // guarded by mu
-	maxResponseTime time.Duration // a response takes up to so long
+	maxResponseTime time.Duration // longest time that a response takes
 
 	mu         sync.Mutex
 	generation uint64
 	draining   bool
 	outage     *outage
-	changed    chan struct{} // closed at the next change, or as an outage begins
-	called     chan struct{} // takes a token where a call starts in an outage
+	changed    chan struct{} // closed at the next change, the start of an outage included
+	called     chan struct{} // receives a token when a call starts during an outage
 }
 
-// change makes a change, and wakes the calls in flight.
+// change makes a change and wakes the long polls in flight.
 func (d *faultyDiscovery) change(do func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,7 +101,7 @@
 
 func parseUint(text string) (n uint64, err error) { _, err = fmt.Sscan(text, &n); return n, err }
 
-// fail ends a call with a fault.
+// fail ends a call with the given fault.
 func (d *faultyDiscovery) fail(ctx context.Context, f fault) (*http.Response, error) {
 	d.mu.Lock()
 	if f == anyFault {
@@ -139,7 +140,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(text)))}, err
 }
 
-// awaitCalls waits until so many further calls have started in the outage.
+// awaitCalls waits until n further calls have started during the outage.
 func (d *faultyDiscovery) awaitCalls(n int) {
 	for range n {
 		select {
--- a/internal/node/gateway_test.go
+++ b/internal/node/gateway_test.go
@@ -13,21 +13,21 @@
 	"yokestall/internal/testutil"
 )
 
-// gateway is a fake of what lies between clients and a node on the platform: it limits
-// client connections, and a client above the limit never reaches the node.
+// gateway is a fake of the platform's routing between clients and a node. It limits client connections, and a client above
+// the limit never reaches the node.
 type gateway struct {
-	node   *running
-	places chan struct{}
+	node  *testNode
+	slots chan struct{} // holds a token for each open connection
 }
 
-func newGateway(n *running, places int) *gateway {
-	return &gateway{node: n, places: make(chan struct{}, places)}
+func newGateway(n *testNode, slots int) *gateway {
+	return &gateway{node: n, slots: make(chan struct{}, slots)}
 }
 
-var errNoPlace = errors.New("no connection left for this client")
+var errNoSlot = errors.New("the gateway has no connection left for this client")
 
-// client is a client's connection; its slot is free once the node or the client has
-// closed it.
+// client is a client's connection through the gateway. Its slot is freed once the node or the client has closed the
+// connection.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
@@ -39,33 +39,34 @@
 	c.free()
 }
 
-// connect returns a connection, or errNoPlace if no slot was free in time.
-func (g *gateway) connect(most time.Duration) (*client, error) {
+// connect returns a connection, or errNoSlot if no slot becomes free within maxWait.
+func (g *gateway) connect(maxWait time.Duration) (*client, error) {
 	select {
-	case g.places <- struct{}{}:
-	case <-time.After(most):
-		return nil, errNoPlace
+	case g.slots <- struct{}{}:
+	case <-time.After(maxWait):
+		return nil, errNoSlot
 	}
 	nc, err := net.Dial("tcp", g.node.addr)
 	if err != nil {
-		<-g.places
+		<-g.slots
 		return nil, err
 	}
 	nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
-	return &client{Conn: nc, reader: bufio.NewReader(nc), free: sync.OnceFunc(func() { <-g.places })}, nil
+	return &client{Conn: nc, reader: bufio.NewReader(nc), free: sync.OnceFunc(func() { <-g.slots })}, nil
 }
 
-// ask sends one request. A connection that ended before the response's first byte is
-// errCrossed: the client may retry on a new one.
-func (c *client) ask(r *http.Request) (status int, last bool, err error) {
+// roundTrip sends one request. It returns the status of the response, and in last whether the connection ends with the
+// response. If the connection ended before the response's first byte, it returns errClosedBeforeResponse, and the client may
+// retry on a new connection.
+func (c *client) roundTrip(r *http.Request) (status int, last bool, err error) {
 	if err := r.Write(c); err != nil {
-		return 0, true, errCrossed
+		return 0, true, errClosedBeforeResponse
 	}
 	if _, err := c.reader.Peek(1); err != nil {
 		if testutil.IsTimeout(err) {
 			return 0, true, err
 		}
-		return 0, true, errCrossed
+		return 0, true, errClosedBeforeResponse
 	}
 	resp, err := http.ReadResponse(c.reader, r)
 	if err != nil {
@@ -76,57 +77,57 @@
 	return resp.StatusCode, resp.Close, err
 }
 
-var errCrossed = errors.New("the connection ended before an answer")
+var errClosedBeforeResponse = errors.New("the connection ended before the response")
 
-// stay keeps the connection open in the background until the node closes it.
-func (c *client) stay() {
+// holdOpen keeps the connection open in the background until the node closes it.
+func (c *client) holdOpen() {
 	go func() {
 		c.reader.Peek(1)
 		c.close()
 	}()
 }
 
-// crowd has a number of clients send one request and stay connected, with one regular
-// client among them that reconnects repeatedly. It returns how many got no slot.
-func (g *gateway) crowd(t *testing.T, clients int) (turnedAway int) {
+// occupySlots has a number of clients send one request each and stay connected. Between them a regular client sends requests,
+// and connects again whenever its connection has ended. It returns how often a client got no slot.
+func (g *gateway) occupySlots(t *testing.T, clients int) (withoutSlot int) {
 	t.Helper()
-	// How long a client waits for a slot: longer than delays of a busy machine, shorter than the 10 s after
-	// which idle connections are closed.
-	const most = 3 * time.Second
-	var usual *client
+	// A client waits for a slot longer than delays of a busy machine last, and shorter than the 10 s after which idle
+	// connections are closed.
+	const maxWait = 3 * time.Second
+	var regular *client
 	for i := range clients {
-		c, err := g.connect(most)
+		c, err := g.connect(maxWait)
 		switch {
-		case errors.Is(err, errNoPlace):
-			turnedAway++
+		case errors.Is(err, errNoSlot):
+			withoutSlot++
 		case err != nil:
 			t.Fatal(err)
 		default:
-			if status, _, err := c.ask(g.node.request("read")); err != nil || status != http.StatusOK {
-				t.Fatalf("client %d: status %d, %v", i, status, err)
+			if status, _, err := c.roundTrip(g.node.request("read")); err != nil || status != http.StatusOK {
+				t.Fatalf("client %d: got status %d, error %v, want status 200", i, status, err)
 			}
-			c.stay()
+			c.holdOpen()
 		}
-		if turnedAway > 1 {
-			return turnedAway
+		if withoutSlot > 1 {
+			return withoutSlot
 		}
-		if usual == nil {
-			if usual, err = g.connect(most); err != nil {
-				turnedAway++
-				usual = nil
+		if regular == nil {
+			if regular, err = g.connect(maxWait); err != nil {
+				withoutSlot++
+				regular = nil
 				continue
 			}
 		}
-		switch status, last, err := usual.ask(g.node.request("read")); {
-		case errors.Is(err, errCrossed), err == nil && last:
-			usual.close()
-			usual = nil
+		switch status, last, err := regular.roundTrip(g.node.request("read")); {
+		case errors.Is(err, errClosedBeforeResponse), err == nil && last:
+			regular.close()
+			regular = nil
 		case err != nil || status != http.StatusOK:
-			t.Fatalf("the usual client: status %d, %v", status, err)
+			t.Fatalf("the regular client: got status %d, error %v, want status 200", status, err)
 		}
 	}
-	if usual != nil {
-		usual.close()
+	if regular != nil {
+		regular.close()
 	}
-	return turnedAway
+	return withoutSlot
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -13,12 +13,12 @@
 	"yokestall/internal/keepalive"
 )
 
-// The golden file is a configuration with every key that is read here. The platform writes such
-// files and passes the known list on, so names, types and units in them must not change.
+// goldenFile is a configuration file with every key that this package reads. The platform writes such files and passes the
+// known list on, so that the names, types and units in them must not change.
 const goldenFile = "testdata/golden/configuration.json"
 
-// goldenKnown gives the known list in the golden file; no field is zero.
-func goldenKnown() endpointList {
+// goldenInitialList returns the known list in the golden file. No field of it is zero.
+func goldenInitialList() endpointList {
 	return endpointList{Generation: 41, Full: true, Instances: []discovery.Instance{
 		{
 			InstanceID: "server-1", HostPort: "10.0.0.1:8001",
@@ -33,7 +33,7 @@
 	}}
 }
 
-// golden reads the golden file.
+// golden returns the text of the golden file.
 func golden(t *testing.T) []byte {
 	t.Helper()
 	text, err := os.ReadFile(goldenFile)
@@ -48,13 +48,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := goldenKnown(); !reflect.DeepEqual(c.InitialList, want) {
+	if want := goldenInitialList(); !reflect.DeepEqual(c.InitialList, want) {
 		t.Errorf("known list %+v, want %+v", c.InitialList, want)
 	}
 	addresses := [...]string{c.Listen, c.Discovery, c.AdminAddr}
 	wantAddresses := [...]string{"127.0.0.1:8101", "127.0.0.1:8102", "127.0.0.1:8103"}
 	if c.Name != "node-a" || addresses != wantAddresses || c.Seed != 0x8c1f30d27a5be964 {
-		t.Errorf("name %q, listen %q, discovery %q, mgmt %q, seed %x",
+		t.Errorf("got name %q, listen %q, discovery %q, mgmt %q, seed %x, want those of the golden file",
 			c.Name, c.Listen, c.Discovery, c.AdminAddr, c.Seed)
 	}
 	if want := (Limits{Cores: 1.5, MemoryMB: 192, Sockets: 256}); c.Limits != want {
@@ -64,20 +64,21 @@
 	wantClasses := map[string]int{"read": 0, "push": 1}
 	wantZones := map[string]int{"east": 0, "west": 1}
 	if !maps.Equal(c.Tenants, wantTenants) || !maps.Equal(c.Classes, wantClasses) || !maps.Equal(c.Zones, wantZones) {
-		t.Errorf("tenants %v, classes %v, zones %v", c.Tenants, c.Classes, c.Zones)
+		t.Errorf("got tenants %v, classes %v, zones %v, want those of the golden file", c.Tenants, c.Classes, c.Zones)
 	}
 	const ms = time.Millisecond
 	if c.ConnIdle != 14001*ms || c.ConnectTimeout != 252*ms || c.DrainGrace != 353*ms {
-		t.Errorf("idle %v, connect %v, grace %v", c.ConnIdle, c.ConnectTimeout, c.DrainGrace)
+		t.Errorf("got idle time %v, connect timeout %v, drain grace %v, want 14.001s, 252ms, 353ms",
+			c.ConnIdle, c.ConnectTimeout, c.DrainGrace)
 	}
 	if want := (keepalive.Prices{Handshake: 0.042, Connection: 0.041}); c.IdlePrices != want || c.ListPrice != 0.043 {
-		t.Errorf("prices %+v and %v", c.IdlePrices, c.ListPrice)
+		t.Errorf("got idle prices %+v, list price %v, want those of the golden file", c.IdlePrices, c.ListPrice)
 	}
 }
 
-// The known list is written as it stands in the golden file, byte for byte.
+// The known list is encoded exactly as in the golden file.
 func TestGoldenKnownListWrites(t *testing.T) {
-	got, err := json.Marshal(goldenKnown())
+	got, err := json.Marshal(goldenInitialList())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -36,29 +36,29 @@
 	version int
 	down    bool
 	changed chan struct{} // closed at the next change
-	calls   chan string   // queries; dropped when it is full
+	calls   chan string   // queries of the calls; further queries are dropped while the channel is full
 }
 
-// reset closes the connection without a response.
-func reset(w http.ResponseWriter, _ *http.Request) {
+// resetConnection closes the connection without a response.
+func resetConnection(w http.ResponseWriter, _ *http.Request) {
 	nc, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		nc.Close()
 	}
 }
 
-// silent accepts requests and sends no response until its client disconnects.
-func silent(left chan<- struct{}) http.HandlerFunc {
+// neverRespond accepts requests and sends no response until its client disconnects.
+func neverRespond(disconnected chan<- struct{}) http.HandlerFunc {
 	return func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		select {
-		case left <- struct{}{}:
+		case disconnected <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// testConfig returns a configuration as read from a file.
+// testConfig writes a configuration file, which change may modify, and returns the configuration that is read from it.
 func testConfig(t *testing.T, d *fakeDiscovery, change func(file map[string]any)) *Config {
 	t.Helper()
 	file := map[string]any{
@@ -87,23 +87,23 @@
 	return cfg
 }
 
-// running is a running node.
-type running struct {
+// testNode is a testNode node.
+type testNode struct {
 	t    *testing.T
 	node *Node
 	addr string
 	stop context.CancelFunc
-	done chan error // gets what Run returned
+	done chan error // receives the result of Node.Run
 }
 
-func start(t *testing.T, cfg *Config) *running {
+func start(t *testing.T, cfg *Config) *testNode {
 	t.Helper()
 	n, err := Listen(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{t: t, node: n, addr: n.Addr().String(), stop: cancel, done: make(chan error, 1)}
+	r := &testNode{t: t, node: n, addr: n.Addr().String(), stop: cancel, done: make(chan error, 1)}
 	ended := make(chan struct{})
 	go func() { r.done <- n.Run(ctx); close(ended) }()
 	t.Cleanup(func() {
@@ -113,8 +113,8 @@
 	return r
 }
 
-// startReady starts a node with the given servers on its list and waits until it is ready.
-func startReady(t *testing.T, backends ...*testutil.Backend) (*running, *fakeDiscovery) {
+// startReady starts a node with the given servers on its endpoint list and waits until the node is ready.
+func startReady(t *testing.T, backends ...*testutil.Backend) (*testNode, *fakeDiscovery) {
 	t.Helper()
 	var list []discovery.Instance
 	for i, b := range backends {
@@ -126,7 +126,7 @@
 	return n, d
 }
 
-func (n *running) waitReady(status int) {
+func (n *testNode) waitReady(status int) {
 	n.t.Helper()
 	testutil.Until(n.t, fmt.Sprintf("readiness to become %d", status), func() bool {
 		resp, err := http.Get("http://" + n.addr + "/health/ready")
@@ -143,8 +143,8 @@
 	n int
 }
 
-// request returns a valid request of a class.
-func (n *running) request(class string) *http.Request {
+// request returns a valid request of a class, with a new request ID.
+func (n *testNode) request(class string) *http.Request {
 	lastID.Lock()
 	lastID.n++
 	id := fmt.Sprintf("%016x", lastID.n)
@@ -174,7 +174,7 @@
 	took   time.Duration
 }
 
-func (n *running) do(r *http.Request) reply {
+func (n *testNode) do(r *http.Request) reply {
 	n.t.Helper()
 	began := time.Now()
 	resp, err := http.DefaultClient.Do(r)
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -15,28 +15,28 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// behind is what clients have sent after a request when they disconnect: then their disconnect is seen by nothing
-// but the read of it.
-var behind = map[string]string{
+// trailingData has the data that clients have sent after a request when they disconnect. After such data the node learns of
+// the disconnect only by reading the data.
+var trailingData = map[string]string{
 	"nothing":   "",
 	"a request": "GET /read?obj=1 HTTP/1.1\r\nHost: a\r\n\r\n",
 	"rubbish":   strings.Repeat("rubbish", 1000),
 }
 
-// leave ends the client's side of a connection and waits until the node has closed it.
-func leave(t *testing.T, nc net.Conn) {
+// disconnect closes the client's side of a connection and waits until the node has closed its side.
+func disconnect(t *testing.T, nc net.Conn) {
 	t.Helper()
 	nc.(*net.TCPConn).CloseWrite()
 	nc.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 	if text, err := io.ReadAll(nc); len(text) > 0 {
-		t.Errorf("%q, %v: a response to a client that disconnected", text, err)
+		t.Errorf("a client that has disconnected got %q, error %v, want no response", text, err)
 	}
 }
 
-// A request whose client disconnects in a retry's backoff is not sent again.
+// A request is not retried if its client disconnects during the backoff before the retry.
 func TestLeavesInARetrysDelay(t *testing.T) {
 	t.Parallel()
-	for name, more := range behind {
+	for name, more := range trailingData {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			attempts := make(chan struct{}, 8)
@@ -61,25 +61,25 @@
 			}
 			io.WriteString(nc, more)
 			testutil.Wait(t, attempts, "the first attempt")
-			leave(t, nc)
+			disconnect(t, nc)
 			if more := len(attempts); more > 0 {
-				t.Errorf("%d further attempts", more)
+				t.Errorf("got %d further attempts, want 0", more)
 			}
 		})
 	}
 }
 
-// Load of TestStormOfLeavingClients.
+// The load of TestStormOfLeavingClients.
 const (
-	stormClients = 1000
-	stormBurst   = 100 // clients that disconnect at once
-	// disconnectBound is the time after a disconnect at which no attempt may begin for the client.
+	burstClients = 1000
+	burstSize    = 100 // number of clients that disconnect at the same time
+	// disconnectBound is the time after a client's disconnect from which on no attempt may start for the client.
 	disconnectBound = 100 * time.Millisecond
 )
 
-// A thousand clients disconnect in bursts while their requests are queued for a server that hangs, with bytes after
-// their requests and without. Once it continues, at once or later, none is forwarded 0.1 s after its client
-// disconnected.
+// A thousand clients disconnect in bursts while their requests are queued for a server that hangs; some have sent further
+// bytes after their requests. When the server continues, at once or later, no request is forwarded 0.1 s or more after its
+// client disconnected.
 func TestStormOfLeavingClients(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewGatedBackend(t)
@@ -91,17 +91,17 @@
 	lateness := testutil.Lateness(t)
 	rng := rand.New(rand.NewPCG(45, 1))
 	queued := 0
-	for wave := range stormClients / stormBurst {
-		queued += n.leaveInBurst(b, wave, rng)
-		late := wave%2 == 0
+	for burst := range burstClients / burstSize {
+		queued += n.disconnectBurst(b, burst, rng)
+		late := burst%2 == 0
 		if late {
-			time.Sleep(disconnectBound + lateness()) // the time that the rule allows
+			time.Sleep(disconnectBound + lateness()) // the time within which attempts may still start
 		}
-		b.OpenGate() // queued requests continue, and this one after them
+		b.OpenGate() // the server continues with the queued requests, and then serves the request below
 		if a := n.do(n.request("read")); late && a.status != http.StatusOK {
-			t.Errorf("status %d", a.status)
-		} else if !late { // the connections of those that have just disconnected may still count
-			testutil.Until(t, "a request after them to be served", func() bool {
+			t.Errorf("got status %d, want 200", a.status)
+		} else if !late { // the connections of clients that have just disconnected may still count
+			testutil.Until(t, "a request after the burst to be served", func() bool {
 				return n.do(n.request("read")).status == http.StatusOK
 			})
 		}
@@ -109,25 +109,26 @@
 	}
 	bound := disconnectBound + lateness()
 	arrived, disconnected, late := b.Counts(bound)
-	if late > 0 || disconnected != stormClients || queued < stormClients/4 {
-		t.Errorf("%d of %d were forwarded %v after their clients had disconnected, %d were queued",
+	if late > 0 || disconnected != burstClients || queued < burstClients/4 {
+		t.Errorf("%d of %d requests were forwarded %v after their clients had disconnected, want 0; %d were queued",
 			late, disconnected, bound, queued)
 	}
-	t.Logf("%d clients, %d queued when they disconnected, %d had been forwarded, %d later than %v",
+	t.Logf("%d clients, %d queued when they disconnected, %d requests forwarded, %d of them later than %v",
 		disconnected, queued, arrived, late, bound)
 }
 
-// leaveInBurst sends requests and then disconnects their clients. It returns how many had no response by then.
-func (n *running) leaveInBurst(b *testutil.GatedBackend, wave int, rng *rand.Rand) (queued int) {
+// disconnectBurst sends a burst of requests and then disconnects their clients. It returns how many clients had no response
+// when they disconnected.
+func (n *testNode) disconnectBurst(b *testutil.GatedBackend, burst int, rng *rand.Rand) (queued int) {
 	names := []string{"nothing", "a request", "rubbish"}
-	id := func(i int) string { return fmt.Sprintf("w%d-%d", wave, i) }
+	id := func(i int) string { return fmt.Sprintf("w%d-%d", burst, i) }
 	var open []net.Conn
-	for i := range stormBurst {
+	for i := range burstSize {
 		nc := n.dial()
 		r := n.request("read")
 		r.Header.Set("X-Request-Id", id(i))
 		r.Write(nc)
-		io.WriteString(nc, behind[names[rng.IntN(len(names))]])
+		io.WriteString(nc, trailingData[names[rng.IntN(len(names))]])
 		open = append(open, nc)
 	}
 	for i, nc := range open {
--- a/internal/node/malformed_test.go
+++ b/internal/node/malformed_test.go
@@ -14,6 +14,7 @@
 
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
+// A malformed request gets an error status with a short text and reaches no server.
 func TestMalformedRequests(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
@@ -46,14 +47,14 @@
 			c.change(r)
 			a := n.do(r)
 			if a.status != c.status || a.body == "" || len(a.body) > 100 {
-				t.Errorf("status %d, want %d; text %q", a.status, c.status, a.body)
+				t.Errorf("got status %d, want %d; got text %q, want 1 to 100 bytes", a.status, c.status, a.body)
 			}
 		})
 	}
 	if len(b.Requests) != 0 {
-		t.Errorf("%d of them reached a server", len(b.Requests))
+		t.Errorf("%d malformed requests reached a server, want 0", len(b.Requests))
 	}
 	if a := n.do(n.request("read")); a.status != http.StatusOK {
-		t.Errorf("a good one gets status %d afterwards", a.status)
+		t.Errorf("a valid request after the malformed ones: got status %d, want 200", a.status)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,7 +37,7 @@
 // (discovery.PolledTiming).
 const successorListTimeout = 4 * time.Second
 
-// Node is a load balancer process. Create it with Listen.
+// Node is a load balancer. Create it with Listen.
 type Node struct {
 	cfg              *Config
 	log              *slog.Logger
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -13,6 +13,8 @@
 	"yokestall/internal/upstream/h1client"
 )
 
+// Requests and responses are forwarded unchanged, except for hop-by-hop headers, which are removed, and X-Timeout-Ms, which
+// is reduced to the time remaining.
 func TestServesUnchanged(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -28,33 +30,34 @@
 	a := n.do(r)
 	if a.status != http.StatusOK || a.body != "rooms" ||
 		a.header.Get("X-Kept") != "yes" || a.header.Get("Keep-Alive") != "" {
-		t.Errorf("answer %+v", a)
+		t.Errorf("got response %+v, want status 200, body \"rooms\", X-Kept and no Keep-Alive", a)
 	}
 	got := testutil.Wait(t, b.Requests, "the request")
 	body, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/push?obj=7f3a%2F9c&z" || string(body) != `{"x":1}` {
-		t.Errorf("the server got %s %s %q", got.Method, got.RequestURI, body)
+		t.Errorf("the server got %s %s %q, want the client's method, target and body", got.Method, got.RequestURI, body)
 	}
 	for _, name := range []string{"X-Request-ID", "Idempotency-Key", "X-Tenant-Id"} {
 		if got.Header.Get(name) != r.Header.Get(name) {
-			t.Errorf("%s: %q became %q", name, r.Header.Get(name), got.Header.Get(name))
+			t.Errorf("%s: the client sent %q, the server got %q", name, r.Header.Get(name), got.Header.Get(name))
 		}
 	}
 	if got.Header.Get("X-Hop") != "" {
-		t.Error("a hop-by-hop header went on")
+		t.Error("a hop-by-hop header was forwarded")
 	}
 	if got.Header.Get("User-Agent") != r.Header.Get("User-Agent") {
-		t.Errorf("User-Agent %q", got.Header.Get("User-Agent"))
+		t.Errorf("got User-Agent %q, want none", got.Header.Get("User-Agent"))
 	}
 	if left, err := strconv.Atoi(got.Header.Get("X-Timeout-Ms")); err != nil || left <= 0 || left >= 8000 {
-		t.Errorf("X-Timeout-Ms %q", got.Header.Get("X-Timeout-Ms"))
+		t.Errorf("got X-Timeout-Ms %q, want more than 0 and less than 8000", got.Header.Get("X-Timeout-Ms"))
 	}
 }
 
+// When a client disconnects, the attempt in flight is cancelled.
 func TestClientDisconnects(t *testing.T) {
 	t.Parallel()
-	left := make(chan struct{}, 1)
-	b := testutil.NewBackend(t, silent(left))
+	disconnected := make(chan struct{}, 1)
+	b := testutil.NewBackend(t, neverRespond(disconnected))
 	n, _ := startReady(t, b)
 	nc, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -65,11 +68,11 @@
 	}
 	testutil.Wait(t, b.Requests, "the request")
 	nc.Close()
-	testutil.Wait(t, left, "the attempt to be given up")
+	testutil.Wait(t, disconnected, "the attempt to be cancelled")
 }
 
-// A client that sends requests but reads no response must not occupy its connection past
-// its deadline: the node closes it.
+// A client that sends requests but reads no response must not occupy its connection beyond the deadline: the node closes the
+// connection.
 func TestClientReadsNothing(t *testing.T) {
 	t.Parallel()
 	text := strings.Repeat("x", h1client.MaxBody)
@@ -87,9 +90,10 @@
 		err = r.Write(nc)
 	}
 	if e, ok := err.(net.Error); ok && e.Timeout() {
-		t.Error("the node keeps the connection")
+		t.Error("the node does not close the connection")
 	}
 }
 
-// patientParts is how many times unsolicitedResponsePeriod an exchange takes whose connection is waited for.
-const patientParts = 3
+// slowExchangeFactor is the duration of an exchange, in multiples of unsolicitedResponsePeriod, after which the node waits to
+// reuse the connection instead of opening another one.
+const slowExchangeFactor = 3
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// outageCase is a kind of discovery and the length of its outages.
+// outageCase is a kind of discovery and the range of its outages' lengths.
 type outageCase struct {
 	mode            string
-	maxPollInterval time.Duration // the policy's backoff grows to a quarter of it
-	shortest        time.Duration // outage
-	longest         time.Duration
+	maxPollInterval time.Duration // the policy's backoff grows to a quarter of this
+	shortest        time.Duration // shortest outage
+	longest         time.Duration // longest outage
 	maxResponseTime time.Duration
-	seeds           uint64
+	seeds           uint64 // number of runs, each with a seed of its own
 }
 
-// After a failed, refused or abandoned call a change counts as known 6 s after discovery had it and could be reached,
-// however long it was unavailable and however its calls failed meanwhile: with the part of the drain grace that is
-// left to requests on their way, the node has acted on it by then. Where lists are pushed, what the agent has counts
-// at once.
+// By the protocol, after a failed, refused or abandoned call a change counts as known to the node 6 s after the discovery
+// service had it and could be reached, however long the service was unavailable and however calls failed meanwhile. The node
+// must have acted on the change by then, apart from the part of the drain grace that is left to requests on their way. If
+// lists are pushed, a change counts as known at once when the agent has it.
 func TestChangeAfterOutage(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []outageCase{
-		{"pushed", 10 * time.Second, time.Millisecond, 4 * time.Second, 10 * time.Millisecond, 15}, // short backoff
+		{"pushed", 10 * time.Second, time.Millisecond, 4 * time.Second, 10 * time.Millisecond, 15}, // the backoff is short
 		{"on_request", 10 * time.Second, time.Millisecond, shortOutage, 300 * time.Millisecond, 60},
-		{"on_request", 10 * time.Second, 2 * time.Second, 90 * time.Second, time.Second, 60}, // calls are queued
+		{"on_request", 10 * time.Second, 2 * time.Second, 90 * time.Second, time.Second, 60}, // the service queues calls
 		{"on_request", time.Minute, 2 * time.Second, 90 * time.Second, time.Second, 60},
 	} {
 		for _, o := range []outage{
@@ -54,11 +54,11 @@
 	}
 }
 
-// changeAfterOutage plays one outage and returns how long after discovery's return, or the change if that came later,
-// the policy was given the change.
+// changeAfterOutage simulates one outage. It returns the time until the policy received the change, counted from the end of
+// the outage or from the change, whichever came later.
 func changeAfterOutage(t *testing.T, tc outageCase, o *outage, seed uint64) time.Duration {
 	rng := rand.New(rand.NewPCG(seed, 48))
-	between := func(from, to time.Duration) time.Duration {
+	randomBetween := func(from, to time.Duration) time.Duration {
 		return from + time.Duration(rng.Int64N(int64(to-from)))
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -70,20 +70,20 @@
 	ready := make(chan struct{})
 	running.Go(func() { p.watcher.run(ctx, endpointList{}, sync.OnceFunc(func() { close(ready) })) })
 	<-ready
-	time.Sleep(between(time.Second, 20*time.Second)) // some way into a long poll,
-	if rng.IntN(2) == 0 {                            // or just after its start
+	time.Sleep(randomBetween(time.Second, 20*time.Second)) // some way into a long poll,
+	if rng.IntN(2) == 0 {                                  // or just after its start
 		service.change(func() { service.generation++ })
 		time.Sleep(tc.maxResponseTime + minPollInterval + time.Millisecond)
 	}
 	service.change(func() { service.outage = o })
-	time.Sleep(between(tc.shortest, tc.longest))
-	if tc.longest > shortOutage && rng.IntN(4) > 0 { // it returns just after a call, which may be unresponsive
+	time.Sleep(randomBetween(tc.shortest, tc.longest))
+	if tc.longest > shortOutage && rng.IntN(4) > 0 { // the outage ends just after the start of a call, which may be unresponsive
 		service.awaitCalls(1 + rng.IntN(3))
 		time.Sleep(time.Millisecond)
 	}
-	changeDelay := time.Duration(0) // the change may come before discovery's return, or after it
+	changeDelay := time.Duration(0) // the change comes at the end of the outage, or some time after it
 	if rng.IntN(4) == 0 {
-		changeDelay = between(0, 8*time.Second)
+		changeDelay = randomBetween(0, 8*time.Second)
 	}
 	service.change(func() { service.outage = nil })
 	time.Sleep(changeDelay)
@@ -94,7 +94,7 @@
 		bound = 0
 	}
 	if bound += cfg.DrainGrace - cfg.DrainGrace/drainSendGraceDivisor; took > bound {
-		t.Fatalf("seed %d: known %v after discovery had the change and could be reached, bound %v", seed, took, bound)
+		t.Fatalf("seed %d: change known %v after discovery had it and could be reached, want at most %v", seed, took, bound)
 	}
 	return took
 }
--- a/internal/node/platformsettings_test.go
+++ b/internal/node/platformsettings_test.go
@@ -8,8 +8,8 @@
 	"yokestall/policy"
 )
 
-// The grace of drains comes from the settings, as little as is known where they have none, and
-// one that makes no sense is no default's matter.
+// The drain grace comes from the settings, and is defaultDrainGrace if they have none. An invalid drain grace is an error and
+// is not replaced by the default.
 func TestGraceOfTheSettings(t *testing.T) {
 	t.Parallel()
 	parse := func(contract string) (*Config, error) {
@@ -23,19 +23,19 @@
 		`"Contract": {"DrainGraceMs": null},`: defaultDrainGrace,
 	} {
 		if c, err := parse(contract); err != nil || c.DrainGrace != want {
-			t.Errorf("%s: %v, %v", contract, c, err)
+			t.Errorf("%s: got configuration %v, error %v, want the stated or default drain grace", contract, c, err)
 		}
 	}
 	for _, contract := range []string{
 		`"Contract": {"DrainGraceMs": -1},`, `"Contract": {"DrainGraceMs": 1e300},`, `"Contract": {"DrainGraceMs": "500"},`,
 	} {
 		if _, err := parse(contract); err == nil || !strings.Contains(err.Error(), "DrainGraceMs") {
-			t.Errorf("%s: %v", contract, err)
+			t.Errorf("%s: got error %v, want an error that names DrainGraceMs", contract, err)
 		}
 	}
 }
 
-// Settings of another customer that make no sense are an error that names the place, not a default.
+// Invalid settings are an error that names the setting, and are not replaced by defaults.
 func TestSettingsThatMakeNoSense(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string][2]string{
@@ -60,14 +60,14 @@
 	} {
 		text := strings.Replace(settingsText, change[0], change[1], 1)
 		if text == settingsText {
-			t.Errorf("%s: nothing to change", name)
+			t.Errorf("%s: the text to replace is not in the settings", name)
 		}
 		c, err := parseConfig([]byte(`{"name": "n", "limits": {"sockets": 256}, "settings": ` + text + `}`))
 		if err == nil {
 			_, err = policy.New(c.Policy, 1, nil)
 		}
 		if err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want an error that contains this name", name, err)
 		}
 	}
 }
--- a/internal/node/pollingpolicy_test.go
+++ b/internal/node/pollingpolicy_test.go
@@ -14,8 +14,8 @@
 	"yokestall/policy"
 )
 
-// pollingPolicy is the real policy before an endpointWatcher: it requests polls, with its own backoff, and nothing
-// else. It implements endpointSink and policy.Host.
+// pollingPolicy connects a policy.Balancer to an endpointWatcher. The balancer gets no requests and only requests polls, with
+// its own backoff. pollingPolicy implements endpointSink and policy.Host.
 type pollingPolicy struct {
 	clock   engine.Clock
 	watcher *endpointWatcher
@@ -23,7 +23,7 @@
 
 	mu        sync.Mutex
 	balancer  *policy.Balancer
-	drainedAt time.Time // when it was given the drain
+	drainedAt time.Time // when the policy received a draining endpoint
 }
 
 func (p *pollingPolicy) UpdateAddresses(bool, []h1client.Endpoint) {}
@@ -60,7 +60,8 @@
 	_ policy.Host  = (*pollingPolicy)(nil)
 )
 
-// newPollingPolicy returns the policy and watcher of a node that follows a service in virtual time until ctx ends.
+// newPollingPolicy returns the configuration, and the policy with its watcher, of a node that follows a discovery service in
+// virtual time until ctx is done.
 func newPollingPolicy(
 	ctx context.Context, t *testing.T, mode string, maxPollInterval time.Duration, seed uint64, service *faultyDiscovery,
 ) (*Config, *pollingPolicy) {
@@ -81,7 +82,8 @@
 	return cfg, p
 }
 
-// awaitDrain waits until the policy was given a drain, and returns how long after the call that was.
+// awaitDrain waits until the policy has received a draining endpoint, and returns how long after the call to awaitDrain that
+// was.
 func (p *pollingPolicy) awaitDrain(t *testing.T, seed uint64) time.Duration {
 	drainedAt := func() time.Time {
 		p.mu.Lock()
@@ -91,7 +93,7 @@
 	startedAt := time.Now()
 	for drainedAt().IsZero() {
 		if time.Since(startedAt) > time.Minute {
-			t.Fatalf("seed %d: not known within a minute", seed)
+			t.Fatalf("seed %d: the policy did not get the drain within a minute", seed)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/node/pollloop.go
+++ b/internal/node/pollloop.go
@@ -69,7 +69,7 @@
 }
 
 // handleSuccess reports that the node is ready, unless the response is incomplete and the list has no endpoint to which
-// requests may be sent. After a response that came without a wait it pauses for minPollInterval.
+// requests may be sent. If the poll took less than minPollInterval, handleSuccess pauses for minPollInterval.
 func (l *pollLoop) handleSuccess(ctx context.Context, response *discovery.Response, startedAt time.Time) {
 	if response.Incomplete == nil || l.watcher.hasReadyEndpoint() {
 		l.watcher.ready()
--- a/internal/node/requestforms_test.go
+++ b/internal/node/requestforms_test.go
@@ -16,7 +16,7 @@
 	"yokestall/internal/testutil"
 )
 
-// drip writes a text in pieces of a number of bytes.
+// drip writes a text in pieces of the given number of bytes.
 func drip(nc net.Conn, text string, piece int) {
 	for len(text) > 0 {
 		n := min(piece, len(text))
@@ -30,19 +30,19 @@
 // requestForm is a form of a request.
 type requestForm struct {
 	name   string
-	line   string // without its end
-	fields string // without those that the platform needs
-	body   string // with its framing
-	// What the server gets.
+	line   string // the request line without its line end
+	fields string // the header fields besides platformFields
+	body   string // the body with its framing
+	// wantMethod, wantTarget and wantBody are what the server must get.
 	wantMethod, wantTarget, wantBody string
 	// closes reports that the connection ends with the response.
 	closes bool
 }
 
-// largeFormSize is the size of a large body in bytes. Nine of them are more than is buffered.
+// largeFormSize is the size of a large body in bytes. A body of nine times that size is too large to be buffered.
 const largeFormSize = 300 << 10
 
-// requestForms returns forms of HTTP/1.1 and 1.0.
+// requestForms returns forms of HTTP/1.1 and HTTP/1.0 requests.
 func requestForms() []requestForm {
 	return slices.Concat(formsWithoutBody(), formsWithLength(), formsInChunks())
 }
@@ -203,7 +203,7 @@
 	}
 }
 
-// chunksOf returns a body in chunks of many sizes with extensions, without the last chunk.
+// chunksOf returns a body in chunks of many sizes with chunk extensions. The last, empty chunk is left out.
 func chunksOf(body string) string {
 	var chunks strings.Builder
 	for rest := body; rest != ""; {
@@ -214,29 +214,29 @@
 	return chunks.String()
 }
 
-// formIDs counts the requests of platformFields.
+// formIDs is the number of request IDs that platformFields has used.
 var formIDs atomic.Int64
 
-// platformFields returns the fields that the platform needs, with another id each time.
+// platformFields returns the header fields that the platform requires, with a new request ID at each call.
 func platformFields() string {
 	return fmt.Sprintf("X-Request-ID: form-%d\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 8000\r\n", formIDs.Add(1))
 }
 
-// describeRequest answers with the method, the target and a hash of the body.
+// describeRequest responds with the method, the target and a hash of the body.
 func describeRequest(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	fmt.Fprintf(w, "%s %s %x", r.Method, r.RequestURI, sha256.Sum256(body))
 }
 
-// Requests in every form of HTTP/1.1 and 1.0, at once and byte by byte: the server gets the method, the target and
-// the body unchanged, and the client the response. Pipelined requests are answered in their order.
+// For requests in every form of HTTP/1.1 and HTTP/1.0, sent at once or byte by byte, the server gets the method, the target
+// and the body unchanged, and the client gets the response. Pipelined requests are answered in order.
 func TestFormsOfRequests(t *testing.T) {
 	t.Parallel()
 	n, _ := startReady(t, testutil.NewBackend(t, describeRequest))
 	for _, c := range requestForms() {
 		for _, piece := range []int{1 << 30, 1} {
 			if piece == 1 && len(c.body) > 100<<10 {
-				piece = 1000 // the others are sent byte by byte
+				piece = 1000 // a large body is sent in larger pieces than one byte
 			}
 			t.Run(fmt.Sprintf("%s by %d", c.name, piece), func(t *testing.T) { checkRequestForm(t, n.addr, c, piece) })
 		}
@@ -244,9 +244,9 @@
 	checkPipelinedBodies(t, n.addr)
 }
 
-// checkRequestForm sends a request to a node in pieces of a number of bytes and checks the response.
+// checkRequestForm sends a request to a node in pieces of the given number of bytes and checks the response.
 func checkRequestForm(t *testing.T, addr string, c requestForm, piece int) {
-	nc := (&running{t: t, addr: addr}).dial()
+	nc := (&testNode{t: t, addr: addr}).dial()
 	go drip(nc, c.line+"\r\n"+c.fields+platformFields()+"\r\n"+c.body, piece)
 	in := bufio.NewReader(nc)
 	request := &http.Request{Method: c.wantMethod}
@@ -257,23 +257,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer, err := io.ReadAll(resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	want := fmt.Sprintf("%s %s %x", c.wantMethod, c.wantTarget, sha256.Sum256([]byte(c.wantBody)))
 	if c.wantMethod == "HEAD" {
 		want = ""
 	}
-	if err != nil || resp.StatusCode != 200 || string(answer) != want {
-		t.Fatalf("status %d, %v, got %.200q, want %q", resp.StatusCode, err, answer, want)
+	if err != nil || resp.StatusCode != 200 || string(body) != want {
+		t.Fatalf("got status %d, error %v, body %.200q, want 200 and body %q", resp.StatusCode, err, body, want)
 	}
 	if resp.Close != c.closes {
-		t.Errorf("the connection ends: %v, want %v", resp.Close, c.closes)
+		t.Errorf("the connection ends with the response: got %v, want %v", resp.Close, c.closes)
 	}
 }
 
 // checkPipelinedBodies pipelines requests with bodies and checks the order of the responses.
 func checkPipelinedBodies(t *testing.T, addr string) {
 	const requests = 5
-	nc := (&running{t: t, addr: addr}).dial()
+	nc := (&testNode{t: t, addr: addr}).dial()
 	var all strings.Builder
 	for i := range requests {
 		fmt.Fprintf(&all, "POST /pay?n=%d HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n%s\r\nabc", i, platformFields())
@@ -285,8 +285,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answer, _ := io.ReadAll(resp.Body); !strings.HasPrefix(string(answer), fmt.Sprintf("POST /pay?n=%d ", i)) {
-			t.Errorf("answer %d is %q", i, answer)
+		if body, _ := io.ReadAll(resp.Body); !strings.HasPrefix(string(body), fmt.Sprintf("POST /pay?n=%d ", i)) {
+			t.Errorf("response %d is %q, want that to the request with the same number", i, body)
 		}
 	}
 }
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -11,8 +11,8 @@
 	"yokestall/internal/discovery"
 )
 
-// Nine in ten processes that start anew are ready within 10 s, whatever their discovery does then: unavailable in any
-// way, with the list that they were started with, or slow to respond, with that list and with none.
+// Of ten restarted processes nine are ready within 10 s. That holds if the discovery service is unavailable in any way and
+// the process has an initial list, and if the service is slow and the process has an initial list or none.
 func TestRestartedProcessesAreReady(t *testing.T) {
 	t.Parallel()
 	const processes, bound = 50, 10 * time.Second
@@ -44,16 +44,16 @@
 						})
 					}
 					if late > processes/10 {
-						t.Errorf("%d of %d were ready after more than %v, the slowest after %v", late, processes, bound, slowest)
+						t.Errorf("%d of %d processes took over %v to be ready, the slowest %v", late, processes, bound, slowest)
 					}
-					t.Logf("the slowest was ready after %v", slowest)
+					t.Logf("the slowest process was ready after %v", slowest)
 				})
 			}
 		}
 	}
 }
 
-// timeToReady returns how long a process takes until it is ready; a minute at most.
+// timeToReady returns how long a process takes until it is ready, or a minute if the process is not ready by then.
 func timeToReady(
 	t *testing.T, mode string, maxPollInterval time.Duration, seed uint64, o *outage, initial endpointList,
 ) time.Duration {
@@ -61,8 +61,8 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
-	maxResponseTime := 2 * time.Second // calls are queued for so long at a shared discovery,
-	if mode == "pushed" {              // but not at an agent
+	maxResponseTime := 2 * time.Second // a shared discovery service queues calls for up to 2 s
+	if mode == "pushed" {              // an agent does not queue calls
 		maxResponseTime = 10 * time.Millisecond
 	}
 	service := newFaultyDiscovery(seed, maxResponseTime)
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// Settings that the file leaves out keep their values. A file with an error changes nothing, and the error names the file and
+// what is wrong.
 func TestApplySettings(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]struct {
@@ -33,19 +35,19 @@
 		named := err != nil && strings.Contains(err.Error(), want.err) && strings.Contains(err.Error(), path)
 		switch {
 		case want.err == "" && err != nil:
-			t.Errorf("%q: %v", name, err)
+			t.Errorf("%q: got error %v, want none", name, err)
 		case want.err != "" && !named:
-			t.Errorf("%q: error %v, want %q and the file", name, err, want.err)
+			t.Errorf("%q: got error %v, want %q and the file's path", name, err, want.err)
 		}
 		if c.ClientShare != want.part {
-			t.Errorf("%q: part %v, want %v", name, c.ClientShare, want.part)
+			t.Errorf("%q: got clients.part %v, want %v", name, c.ClientShare, want.part)
 		}
 	}
 	c := &Config{}
 	if err := c.ApplySettings(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a missing file gives no error")
+		t.Error("got no error for a missing file")
 	}
 	if err := c.ApplySettings("../../deploy/node.toml"); err != nil || c.ClientShare < 0.333 || c.ClientShare > 0.334 {
-		t.Errorf("the example: part %v, %v", c.ClientShare, err)
+		t.Errorf("example file: got clients.part %v, error %v, want a third", c.ClientShare, err)
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -70,8 +70,8 @@
 	return c.backlog.Poll(sinceLast) || now >= c.plan.abortAt()
 }
 
-// shutDown ends serving. If there is a successor, it leaves the clients to that; otherwise it serves them until they stop
-// sending requests or the plan ends. All accepted requests have been answered when it returns.
+// shutDown ends serving. It leaves the clients to the successor, if there is one, and otherwise serves them until they stop
+// sending requests or closingPeriod starts. All accepted requests have been answered when shutDown returns.
 func (n *Node) shutDown(running *runningNode, s *clientServer) error {
 	startedAt := time.Now()
 	plan := planShutdown(n.cfg.longestDeadline())
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -8,8 +8,8 @@
 	"yokestall/internal/testutil"
 )
 
-// A node that shuts down serves while its clients send requests, for 500 ms at least (connections are sent to
-// it for so long) and until 300 ms before its end at most.
+// A node that shuts down serves as long as its clients send requests: for at least 500 ms, during which the platform still
+// sends connections to it, and at most until 300 ms before the end of the shutdown.
 func TestStopPlan(t *testing.T) {
 	t.Parallel()
 	const ms = time.Millisecond
@@ -19,24 +19,24 @@
 		accepts          bool
 	}{
 		{0, -time.Hour, true},
-		{499 * ms, -time.Hour, true}, // the last request came long before, but the period counts from the start
+		{499 * ms, -time.Hour, true}, // arrivalPeriod counts from the shutdown's start if the last request came before
 		{500 * ms, -time.Hour, false},
 		{900 * ms, 401 * ms, true},
-		{901 * ms, 401 * ms, false}, // no more requests
+		{901 * ms, 401 * ms, false}, // no request arrived during arrivalPeriod
 		{1199 * ms, 1199 * ms, true},
-		{1200 * ms, 1199 * ms, false}, // the closing period
+		{1200 * ms, 1199 * ms, false}, // start of closingPeriod
 	} {
 		if got := p.accepts(c.now, c.lastRequest); got != c.accepts {
-			t.Errorf("at %v, last request at %v: accepts %v", c.now, c.lastRequest, got)
+			t.Errorf("at %v, last request at %v: got accepts %v, want the opposite", c.now, c.lastRequest, got)
 		}
 	}
 	if p.total != 1500*ms || p.abortAt() != 1450*ms {
-		t.Errorf("total %v, abort at %v", p.total, p.abortAt())
+		t.Errorf("got total %v, abort at %v, want 1.5s, 1.45s", p.total, p.abortAt())
 	}
 }
 
-// The platform counts a deadline over 3 s as 3 s and kills the node 0.7 s after it: a shutdown has answered
-// everything by then, whatever the deadlines are.
+// The platform kills the node 0.7 s after the longest deadline, and counts a deadline over 3 s as 3 s. A shutdown must have
+// answered all requests by then, whatever the deadlines are.
 func TestStopEndsBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	for _, deadline := range []time.Duration{
@@ -49,17 +49,17 @@
 			t.Errorf("deadline %v: the shutdown takes %v, the node is killed after %v", deadline, p.total, killed)
 		}
 		if p.accepts(p.abortAt(), p.abortAt()) {
-			t.Errorf("deadline %v: requests are accepted while open ones are aborted", deadline)
+			t.Errorf("deadline %v: requests are accepted while those in flight are aborted", deadline)
 		}
 	}
 }
 
-// A request with a deadline over 3 s, in flight at an endpoint that hangs, is answered before the node is
-// killed, not at its deadline, and the node has ended by then. The deadline here is 8 s: 5 s lie between the
-// kill and where the answer came without the cap.
+// A request with a deadline over 3 s that is in flight at an endpoint that hangs is answered before the node is killed, not at
+// its deadline, and the node has ended by then. The deadline here is 8 s, and without the cap of 3 s the response would come
+// about 5 s after the kill.
 func TestStopCutsLongDeadlines(t *testing.T) {
 	t.Parallel()
-	b := testutil.NewBackend(t, silent(make(chan struct{}, 1)))
+	b := testutil.NewBackend(t, neverRespond(make(chan struct{}, 1)))
 	n, _ := startReady(t, b)
 	answered := make(chan reply, 1)
 	go func() { answered <- n.do(n.request("pay")) }()
@@ -69,24 +69,24 @@
 	select {
 	case a := <-answered:
 		if a.status != http.StatusBadGateway {
-			t.Errorf("status %d", a.status)
+			t.Errorf("got status %d, want 502", a.status)
 		}
 	case <-late:
-		t.Fatal("no answer long after the node would have been killed")
+		t.Fatal("no response long after the time at which the platform kills the node")
 	}
-	if err := testutil.Wait(t, n.done, "the end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := testutil.Wait(t, n.done, "the node to stop"); err != nil {
+		t.Errorf("Run returned error %v, want none", err)
 	}
 }
 
-// The listener is closed only once the process was scheduled in time for a while: on a busy machine, the
-// kernel may have accepted connections that the process has not seen yet.
+// The listener is closed only after several consecutive checks without a stall of the process, since on a busy machine the
+// kernel may have accepted connections that the process has not accepted yet.
 func TestListenerHasItsTurnBeforeItCloses(t *testing.T) {
 	t.Parallel()
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
-		checks [][2]time.Duration // how long since the one before, when
-		met    int                // the check with which the listener may be closed; -1: with none of them
+		checks [][2]time.Duration // the time since the previous check, and the time of the check
+		met    int                // index of the check at which the listener may be closed; -1 if there is none
 	}{
 		"in time": {[][2]time.Duration{
 			{10 * ms, 490 * ms}, {10 * ms, 500 * ms}, {10 * ms, 510 * ms}, {10 * ms, 520 * ms},
@@ -114,7 +114,7 @@
 			}
 		}
 		if got != c.met {
-			t.Errorf("%s: closed at check %d, want %d", name, got, c.met)
+			t.Errorf("%s: got close at check %d, want %d (-1: none)", name, got, c.met)
 		}
 	}
 }
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -12,8 +12,8 @@
 	"yokestall/internal/testutil"
 )
 
-// Requests accepted before a shutdown are answered, and new connections are accepted while
-// the platform still sends them.
+// Requests accepted before a shutdown are answered, and new connections are accepted as long as the platform still sends
+// them.
 func TestStopAnswersAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -46,17 +46,17 @@
 	}()
 	close(release)
 	for _, c := range []chan reply{held, late} {
-		if a := testutil.Wait(t, c, "an answer"); a.status != http.StatusOK {
-			t.Errorf("status %d", a.status)
+		if a := testutil.Wait(t, c, "a response"); a.status != http.StatusOK {
+			t.Errorf("got status %d, want 200", a.status)
 		}
 	}
-	if err := testutil.Wait(t, n.done, "the end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := testutil.Wait(t, n.done, "the node to stop"); err != nil {
+		t.Errorf("Run returned error %v, want none", err)
 	}
 }
 
-// The clients of a node that shuts down may have no other node: they are served until
-// shortly before the node has to end, and requests that are then open are answered.
+// The clients of a node that shuts down may have no other node. They are served until shortly before the node has to end, and
+// requests that are in flight then are answered.
 func TestServesWhileItStops(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -73,23 +73,23 @@
 	}))
 	n.waitReady(http.StatusOK)
 	steady, late := n.dial(), n.dial()
-	n.ask(steady)
-	n.ask(late)
+	n.roundTrip(steady)
+	n.roundTrip(late)
 	lateness := testutil.Lateness(t)
 	began := time.Now()
 	n.stop()
 	n.waitReady(http.StatusServiceUnavailable)
-	// TestStopPlan tests how long it serves; here, that it does as the plan says. On a busy machine the test's
-	// requests may arrive too seldom for the plan, which then ends early.
+	// This test checks that the node follows its plan; TestStopPlan checks the plan. On a busy machine the test's requests
+	// may arrive too rarely, so that the plan ends early.
 	plan, before := planShutdown(time.Second), began
 	for time.Since(began) < time.Second {
-		testutil.Wait(t, b.Requests, "the request before")
+		testutil.Wait(t, b.Requests, "the previous request")
 		asked := time.Now()
-		resp := n.ask(steady)
+		resp := n.roundTrip(steady)
 		busy := time.Since(before) > arrivalPeriod/2 || time.Since(began) > plan.total-closingPeriod
 		if resp.StatusCode != http.StatusOK || resp.Close {
 			if !busy {
-				t.Fatalf("status %d, close %v after %v", resp.StatusCode, resp.Close, time.Since(began))
+				t.Fatalf("got status %d, close %v after %v, want 200, false", resp.StatusCode, resp.Close, time.Since(began))
 			}
 			break
 		}
@@ -104,12 +104,12 @@
 	}
 	switch {
 	case err == nil && resp.StatusCode == http.StatusBadGateway:
-	case sent > plan.total-closingPeriod-50*time.Millisecond: // sent too late to be accepted
-	case lateness() > 25*time.Millisecond: // or possibly read too late, on a busy machine
+	case sent > plan.total-closingPeriod-50*time.Millisecond: // the request was sent too late to be accepted
+	case lateness() > 25*time.Millisecond: // the request may have been read too late on a busy machine
 	default:
-		t.Errorf("the last one is answered with %v, %v", resp, err)
+		t.Errorf("the last request got response %v, error %v, want status 502", resp, err)
 	}
-	if err := testutil.Wait(t, n.done, "the end"); err != nil {
-		t.Errorf("ended with %v", err)
+	if err := testutil.Wait(t, n.done, "the node to stop"); err != nil {
+		t.Errorf("Run returned error %v, want none", err)
 	}
 }
