--- a/internal/node/adminhandler_test.go
+++ b/internal/node/adminhandler_test.go
@@ -219,7 +219,7 @@
 			}
 		}
 	}
-	rejected := n.dial() // no connection is left: rejected with Retry-After, or closed
+	rejected := n.dial() // rejected with Retry-After or disconnected, since no connection is left
 	if err := n.request("read").Write(rejected); err == nil {
 		resp, err := http.ReadResponse(bufio.NewReader(rejected), nil)
 		if err == nil && resp.StatusCode != http.StatusServiceUnavailable {
--- a/internal/node/badbytes_test.go
+++ b/internal/node/badbytes_test.go
@@ -189,7 +189,7 @@
 			t.Logf("took %v", time.Since(began))
 		})
 	}
-	t.Cleanup(func() { // after the parallel subtests
+	t.Cleanup(func() { // runs after the parallel subtests
 		for len(b.Requests) > 0 {
 			if got := <-b.Requests; got.Header.Get("X-Request-ID") == "hidden" {
 				t.Error("a smuggled request reached a server")
--- a/internal/node/config_fuzz_test.go
+++ b/internal/node/config_fuzz_test.go
@@ -28,7 +28,7 @@
 			return
 		}
 		if _, err := policy.New(c.Policy, c.Seed, host{}); err != nil {
-			return // rejected by the policy
+			return // the policy rejects the settings
 		}
 		upstream, clients, err := c.splitDescriptors(c.Limits.Sockets)
 		if err == nil && (upstream < 1 || upstream+clients.Active+clients.New+clients.Overflow+ownDescriptors > c.Limits.Sockets) {
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -19,7 +19,7 @@
 	for _, sockets := range []int{64, 256, 384, 1024} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
 			b := testutil.NewBackend(t, testutil.OK)
-			b.Config.Handler = http.HandlerFunc(testutil.OK) // does not record requests
+			b.Config.Handler = http.HandlerFunc(testutil.OK) // a handler that does not record requests
 			n := startSized(t, b, sockets)
 			third := sockets / 3
 			if got := newGateway(n, third).occupySlots(t, third+third/2); got > 0 {
@@ -76,7 +76,7 @@
 				}
 				nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 				unhook := context.AfterFunc(ctx, func() { nc.Close() })
-				nc.Read(make([]byte, 1)) // until the node closes it
+				nc.Read(make([]byte, 1)) // returns when the node closes the connection
 				unhook()
 				nc.Close()
 			}
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -110,13 +110,13 @@
 				}
 				unhook := context.AfterFunc(ctx, func() { nc.Close() })
 				if i%4 > 0 {
-					r := n.request([]string{"read", "pay"}[i%4%2]) // read is answered, pay hangs
+					r := n.request([]string{"read", "pay"}[i%4%2]) // class "read" is answered, class "pay" hangs
 					r.Write(nc)
 					if _, err := http.ReadResponse(bufio.NewReader(nc), r); err == nil {
 						answered.Add(1)
 					}
 				}
-				io.Copy(io.Discard, nc) // until the node closes it
+				io.Copy(io.Discard, nc) // returns when the node closes the connection
 				unhook()
 				nc.Close()
 			}
--- a/internal/node/detach_histories_test.go
+++ b/internal/node/detach_histories_test.go
@@ -21,7 +21,7 @@
 	balancer  *policy.Balancer
 	now       time.Duration
 	lastID    policy.RequestID
-	attempts  map[policy.RequestID]int // sent so far
+	attempts  map[policy.RequestID]int // number of attempts sent so far
 	inFlight  []policy.Outcome
 	names     map[policy.EndpointID]string
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -178,7 +178,7 @@
 		`{"generation":4,"reset":true,"instances":[{},{"instanceId":"s-1","lifecycle":"Ready"},` +
 			`{"instanceId":"s-2","hostPort":"nowhere","lifecycle":"Novel"},` +
 			`{"instanceId":"s-0","hostPort":"` + good.HostPort + `","zone":"far","cell":-1,"lifecycle":"Ready",` +
-			`"weight":-3,"startedAtMs":1.5e12,"novel":[]}]}`, // incomplete: a full update is requested
+			`"weight":-3,"startedAtMs":1.5e12,"novel":[]}]}`, // an incomplete list, after which a full update is requested
 		`{"generation":5,"reset":true,"instances":[{"instanceId":"s-1","lifecycle":"Ready"},` +
 			`{"instanceId":"s-0","hostPort":"` + good.HostPort + `","zone":"far","lifecycle":"Ready","novel":[]}]}`,
 	}
--- a/internal/node/endpointwatcher.go
+++ b/internal/node/endpointwatcher.go
@@ -29,7 +29,7 @@
 // service moves to another address. run starts the loops and returns once all have ended.
 type endpointWatcher struct {
 	sink      endpointSink
-	zoneIndex map[string]int // the policy's zones by name
+	zoneIndex map[string]int // zone number of the policy by zone name
 	// polled reports that polls load a shared discovery service, so that the policy decides when to poll. Otherwise an
 	// agent on this machine, to which the lists are pushed, is polled.
 	polled        bool
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -48,7 +48,7 @@
 				}), fmt.Sprint("s-", i)))
 			}
 			d := newFakeDiscovery(t, list...)
-			n := start(t, testConfig(t, d, func(file map[string]any) { // a backoff of 2.5 s
+			n := start(t, testConfig(t, d, func(file map[string]any) { // the backoff is 2.5 s with these deadlines
 				file["settings"] = jsonText(strings.ReplaceAll(settingsText,
 					`"DeadlineMs": 8000, "PromiseMs": 6000`, `"DeadlineMs": 60000, "PromiseMs": 40000`))
 			}))
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -26,7 +26,7 @@
 	r := n.request("push")
 	r.Header.Set("Connection", "X-Hop")
 	r.Header.Set("X-Hop", "1")
-	r.Header.Set("User-Agent", "") // none: the node must not add its own
+	r.Header.Set("User-Agent", "") // disables User-Agent; the node must not add one of its own
 	a := n.do(r)
 	if a.status != http.StatusOK || a.body != "rooms" ||
 		a.header.Get("X-Kept") != "yes" || a.header.Get("Keep-Alive") != "" {
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -70,8 +70,8 @@
 	ready := make(chan struct{})
 	running.Go(func() { p.watcher.run(ctx, endpointList{}, sync.OnceFunc(func() { close(ready) })) })
 	<-ready
-	time.Sleep(randomBetween(time.Second, 20*time.Second)) // some way into a long poll,
-	if rng.IntN(2) == 0 {                                  // or just after its start
+	time.Sleep(randomBetween(time.Second, 20*time.Second)) // the outage may start in the middle of a long poll
+	if rng.IntN(2) == 0 {                                  // the outage starts just after the start of a long poll
 		service.change(func() { service.generation++ })
 		time.Sleep(tc.maxResponseTime + minPollInterval + time.Millisecond)
 	}
