--- a/internal/fleet/consensus/contradict_test.go
+++ b/internal/fleet/consensus/contradict_test.go
@@ -11,7 +11,7 @@
 	"yokestall/internal/config"
 )
 
-const program = `[listen]
+const programText = `[listen]
 address = "127.0.0.1:0"
 [files]
 clusters = "clusters"
@@ -45,7 +45,7 @@
 cluster = "rooms"
 `
 
-const servers = `[cluster]
+const clusterText = `[cluster]
 name = "rooms"
 [[endpoint]]
 id = "s-1"
@@ -75,64 +75,64 @@
 	return &Version{p, map[string]*cluster.Config{c.Name: c}}
 }
 
-// changes has one for each kind of difference.
-var changes = []struct {
-	old, new string
-	want     Kind
-	back     Kind // of the same change, undone
+// changeCases has one for each kind of difference.
+var changeCases = []struct {
+	old, new    string
+	want        Kind
+	reverseWant Kind // of the same change, undone
 }{
-	{"effect = \"safe\"", "effect = \"unsafe\"", ClassEffect, ClassEffect},
-	{"scope = \"all\"", "scope = \"zone\"", ClassScope, ClassScope},
-	{"window = \"6s\"", "window = \"2m\"", ClassWindow, ClassWindow},
-	{"deadline = \"1s\"", "deadline = \"2s\"", ClassService, ClassService},
+	{"effect = \"safe\"", "effect = \"unsafe\"", ClassIdempotency, ClassIdempotency},
+	{"scope = \"all\"", "scope = \"zone\"", ClassDedupScope, ClassDedupScope},
+	{"window = \"6s\"", "window = \"2m\"", ClassDedupWindow, ClassDedupWindow},
+	{"deadline = \"1s\"", "deadline = \"2s\"", ClassOtherSettings, ClassOtherSettings},
 	{"[[host]]\n[[host.route]]\nprefix = \"/read\"",
 		"[[class]]\nname = \"more\"\neffect = \"unsafe\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\n" +
 			"prefix = \"/read\"", ClassAdded, ClassRemoved},
 	{"quota_per_s = 10", "quota_per_s = 20", TenantQuota, TenantQuota},
-	{"attempts = 3", "attempts = 2", Attempts, Attempts},
-	{"nodes = 3", "nodes = 5", Nodes, Nodes},
+	{"attempts = 3", "attempts = 2", AttemptLimits, AttemptLimits},
+	{"nodes = 3", "nodes = 5", NodeCount, NodeCount},
 	{"nodes = 3", "nodes = 3\ncold_for = \"9s\"", SlowStartRules, SlowStartRules},
-	{"prefix = \"/\"\n", "prefix = \"/new\"\n", UnsafeRoute, UnsafeRoute},
-	{"prefix = \"/read\"", "prefix = \"/see\"", SafeRoute, SafeRoute},
-	{"address = \"127.0.0.1:9001\"", "address = \"127.0.0.1:9003\"", ServerMoved, ServerMoved},
-	{"zone = \"a\"\nweight = 1\n[[", "zone = \"a\"\nweight = 1\nstarted_ms = 5\n[[", ServerStarted, ServerStarted},
-	{"zone = \"a\"\nweight = 1\n[[", "zone = \"b\"\nweight = 1\n[[", ServerGroup, ServerGroup},
-	{"weight = 1\n[[", "weight = 2\n[[", ServerSize, ServerSize},
-	{"weight = 1\n[[", "weight = 1\nhealth = \"unhealthy\"\n[[", ServerRemoved, ServerAdded},
-	{"health = \"draining\"", "health = \"healthy\"", ServerAdded, ServerRemoved},
-	{"id = \"s-1\"", "id = \"s-0\"", ServerRemoved, ServerRemoved},
+	{"prefix = \"/\"\n", "prefix = \"/new\"\n", NonIdempotentRoute, NonIdempotentRoute},
+	{"prefix = \"/read\"", "prefix = \"/see\"", IdempotentRoute, IdempotentRoute},
+	{"address = \"127.0.0.1:9001\"", "address = \"127.0.0.1:9003\"", EndpointMoved, EndpointMoved},
+	{"zone = \"a\"\nweight = 1\n[[", "zone = \"a\"\nweight = 1\nstarted_ms = 5\n[[", EndpointStarted, EndpointStarted},
+	{"zone = \"a\"\nweight = 1\n[[", "zone = \"b\"\nweight = 1\n[[", EndpointLocality, EndpointLocality},
+	{"weight = 1\n[[", "weight = 2\n[[", EndpointWeight, EndpointWeight},
+	{"weight = 1\n[[", "weight = 1\nhealth = \"unhealthy\"\n[[", EndpointRemoved, EndpointAdded},
+	{"health = \"draining\"", "health = \"healthy\"", EndpointAdded, EndpointRemoved},
+	{"id = \"s-1\"", "id = \"s-0\"", EndpointRemoved, EndpointRemoved},
 }
 
 // Each kind of difference is found, as what it is and nothing else, and contradicts as the table says.
 func TestDifferences(t *testing.T) {
-	from := version(t, program, servers)
-	if list := Differences(from, version(t, program, servers)); len(list) > 0 {
+	from := version(t, programText, clusterText)
+	if list := Differences(from, version(t, programText, clusterText)); len(list) > 0 {
 		t.Fatalf("between equals: %v", list)
 	}
 	found := map[Kind]bool{}
-	for _, tc := range changes {
-		to := version(t, strings.Replace(program, tc.old, tc.new, 1), strings.Replace(servers, tc.old, tc.new, 1))
+	for _, tc := range changeCases {
+		to := version(t, strings.Replace(programText, tc.old, tc.new, 1), strings.Replace(clusterText, tc.old, tc.new, 1))
 		for _, dir := range []struct {
 			list []Difference
 			want Kind
-		}{{Differences(from, to), tc.want}, {Differences(to, from), tc.back}} {
+		}{{Differences(from, to), tc.want}, {Differences(to, from), tc.reverseWant}} {
 			if len(dir.list) == 0 || dir.list[0].Kind != dir.want || Contradicts(dir.list) != Table()[dir.want].Contradicts {
-				t.Errorf("%q to %q: %v, want %q", tc.old, tc.new, dir.list, Table()[dir.want].What)
+				t.Errorf("%q to %q: %v, want %q", tc.old, tc.new, dir.list, Table()[dir.want].Description)
 			}
 			found[dir.want] = true
 		}
 	}
 	for _, row := range Table() {
 		if !found[row.Kind] {
-			t.Errorf("no case for %q", row.What)
+			t.Errorf("no case for %q", row.Description)
 		}
 	}
 }
 
-// drawn is a version with some of the changes.
-func drawn(t *testing.T, rng *rand.Rand) *Version {
-	p, c := program, servers
-	for _, tc := range changes {
+// randomVersion is a version with some of the changes.
+func randomVersion(t *testing.T, rng *rand.Rand) *Version {
+	p, c := programText, clusterText
+	for _, tc := range changeCases {
 		if rng.IntN(4) == 0 {
 			p, c = strings.Replace(p, tc.old, tc.new, 1), strings.Replace(c, tc.old, tc.new, 1)
 		}
@@ -146,7 +146,7 @@
 	rng := rand.New(rand.NewPCG(39, 1))
 	laxer := 0
 	for range 2000 {
-		a, b := drawn(t, rng), drawn(t, rng)
+		a, b := randomVersion(t, rng), randomVersion(t, rng)
 		joint := Stricter(a, b)
 		for _, v := range []*Version{a, b} {
 			if err := CheckNotLaxer(joint, v); err != nil {
@@ -164,12 +164,12 @@
 	if laxer < 200 {
 		t.Errorf("%d laxer ones of 2000", laxer)
 	}
-	for _, tc := range changes { // of one kind alone, too
-		a := version(t, program, servers)
-		b := version(t, strings.Replace(program, tc.old, tc.new, 1), strings.Replace(servers, tc.old, tc.new, 1))
+	for _, tc := range changeCases { // of one kind alone, too
+		a := version(t, programText, clusterText)
+		b := version(t, strings.Replace(programText, tc.old, tc.new, 1), strings.Replace(clusterText, tc.old, tc.new, 1))
 		if row := Table()[tc.want]; row.Contradicts && CheckNotLaxer(EffectiveVersion{Version: a}, b) == nil &&
 			CheckNotLaxer(EffectiveVersion{Version: b}, a) == nil {
-			t.Errorf("%s: neither is laxer", row.What)
+			t.Errorf("%s: neither is laxer", row.Description)
 		}
 	}
 }
@@ -182,16 +182,16 @@
 	}
 	var b strings.Builder
 	for i, r := range Table() {
-		if int(r.Kind) != i || i >= int(kinds) {
+		if int(r.Kind) != i || i >= int(kindCount) {
 			t.Fatalf("row %d is of kind %d", i, r.Kind)
 		}
 		word := "no"
 		if r.Contradicts {
 			word = "**yes**"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s |\n", r.What, word, r.Why)
+		fmt.Fprintf(&b, "| %s | %s | %s |\n", r.Description, word, r.Why)
 	}
-	if len(Table()) != int(kinds) || !strings.Contains(string(text), b.String()) {
+	if len(Table()) != int(kindCount) || !strings.Contains(string(text), b.String()) {
 		t.Errorf("docs/agree.md has another table; this is the program's:\n%s", b.String())
 	}
 }
--- a/internal/fleet/consensus/differences.go
+++ b/internal/fleet/consensus/differences.go
@@ -23,7 +23,7 @@
 
 // String formats the difference for operators.
 func (d Difference) String() string {
-	s := fmt.Sprintf("%s: %s", Table()[d.Kind].What, d.Name)
+	s := fmt.Sprintf("%s: %s", Table()[d.Kind].Description, d.Name)
 	if d.From != "" || d.To != "" {
 		s += fmt.Sprintf(": %s to %s", d.From, d.To)
 	}
@@ -40,11 +40,11 @@
 func Differences(from, to *Version) []Difference {
 	d := &differ{table: Table()}
 	if from.Program != to.Program {
-		d.classes(from.Program, to.Program)
-		d.fleet(from.Program, to.Program)
-		d.routes(from.Program, to.Program)
+		d.compareClasses(from.Program, to.Program)
+		d.compareFleet(from.Program, to.Program)
+		d.compareRoutes(from.Program, to.Program)
 	}
-	d.clusters(from.Clusters, to.Clusters)
+	d.compareClusters(from.Clusters, to.Clusters)
 	slices.SortStableFunc(d.list, func(x, y Difference) int {
 		if x.Kind != y.Kind {
 			return int(x.Kind) - int(y.Kind)
@@ -56,12 +56,12 @@
 
 // differ collects the differences between two versions.
 type differ struct {
-	table []Row // by kind
+	table []TableRow // by kind
 	list  []Difference
 }
 
-// note adds a difference if the two values differ.
-func (d *differ) note(k Kind, name string, from, to any) {
+// compare adds a difference if the two values differ.
+func (d *differ) compare(k Kind, name string, from, to any) {
 	if !reflect.DeepEqual(from, to) {
 		d.add(k, name, fmt.Sprint(from), fmt.Sprint(to))
 	}
@@ -72,8 +72,8 @@
 	d.list = append(d.list, Difference{Kind: k, Name: name, From: from, To: to, Contradicts: d.table[k].Contradicts})
 }
 
-// classes compares classes by name, and the tenants' quotas.
-func (d *differ) classes(from, to *config.Program) {
+// compareClasses compares compareClasses by name, and the tenants' quotas.
+func (d *differ) compareClasses(from, to *config.Program) {
 	for i := range from.Classes {
 		a := from.Classes[i]
 		at := to.Class(a.Name)
@@ -82,58 +82,58 @@
 			continue
 		}
 		b := to.Classes[at]
-		d.note(ClassEffect, a.Name, effect(a.Idempotency), effect(b.Idempotency))
+		d.compare(ClassIdempotency, a.Name, effectName(a.Idempotency), effectName(b.Idempotency))
 		if a.Idempotency == policy.IdempotentByKey && b.Idempotency == policy.IdempotentByKey {
-			d.note(ClassScope, a.Name, a.DedupScope, b.DedupScope)
-			d.note(ClassWindow, a.Name, a.DedupWindow, b.DedupWindow)
+			d.compare(ClassDedupScope, a.Name, a.DedupScope, b.DedupScope)
+			d.compare(ClassDedupWindow, a.Name, a.DedupWindow, b.DedupWindow)
 		}
 		a.Idempotency, a.DedupScope, a.DedupWindow = b.Idempotency, b.DedupScope, b.DedupWindow
-		d.note(ClassService, a.Name, a, b)
+		d.compare(ClassOtherSettings, a.Name, a, b)
 	}
 	for i := range to.Classes {
 		if name := to.Classes[i].Name; from.Class(name) < 0 {
 			d.add(ClassAdded, name, "", "")
 		}
 	}
-	d.note(TenantQuota, "tenants", from.Tenants, to.Tenants)
+	d.compare(TenantQuota, "tenants", from.Tenants, to.Tenants)
 }
 
-// effect is the word for an effect in configuration files.
-func effect(e policy.Idempotency) string { return [...]string{"safe", "keyed", "unsafe"}[e] }
+// effectName is the word for an effectName in configuration files.
+func effectName(e policy.Idempotency) string { return [...]string{"safe", "keyed", "unsafe"}[e] }
 
-// fleet compares what a program says of all nodes together.
-func (d *differ) fleet(from, to *config.Program) {
-	d.note(Attempts, "limits", from.Limits, to.Limits)
-	d.note(Nodes, "fleet", from.Nodes, to.Nodes)
-	d.note(SlowStartRules, "fleet", from.Rules, to.Rules)
+// compareFleet compares what a program says of all nodes together.
+func (d *differ) compareFleet(from, to *config.Program) {
+	d.compare(AttemptLimits, "limits", from.Limits, to.Limits)
+	d.compare(NodeCount, "fleet", from.Nodes, to.Nodes)
+	d.compare(SlowStartRules, "fleet", from.Rules, to.Rules)
 }
 
-// routes compares hosts by their domains. Of a host that changed, all routes from the first different one on count,
+// compareRoutes compares hosts by their domains. Of a host that changed, all compareRoutes from the first different one on count,
 // since the first route that matches a request is taken.
-func (d *differ) routes(from, to *config.Program) {
+func (d *differ) compareRoutes(from, to *config.Program) {
 	differingRoutes(from, to, func(host string, a, b []route.Route, same int) {
-		kind := SafeRoute
-		if anyUnsafe(from, a) || anyUnsafe(to, b) {
-			kind = UnsafeRoute
+		kind := IdempotentRoute
+		if anyNotIdempotent(from, a) || anyNotIdempotent(to, b) {
+			kind = NonIdempotentRoute
 		}
 		d.add(kind, host,
 			fmt.Sprint(same+len(a), " routes"), fmt.Sprintf("%d, from the %d. on others", same+len(b), same+1))
 	})
 }
 
-// anyUnsafe reports whether any of the routes leads to a class that is not safe.
-func anyUnsafe(p *config.Program, routes []route.Route) bool {
-	return slices.ContainsFunc(routes, func(r route.Route) bool { return isUnsafe(p, r.Class) })
+// anyNotIdempotent reports whether any of the routes leads to a class that is not safe.
+func anyNotIdempotent(p *config.Program, routes []route.Route) bool {
+	return slices.ContainsFunc(routes, func(r route.Route) bool { return isNotIdempotent(p, r.Class) })
 }
 
-// isUnsafe reports whether a program has a class that is not safe by a name.
-func isUnsafe(p *config.Program, class string) bool {
+// isNotIdempotent reports whether a program has a class that is not safe by a name.
+func isNotIdempotent(p *config.Program, class string) bool {
 	at := p.Class(class)
 	return at >= 0 && p.Classes[at].Idempotency != policy.Idempotent
 }
 
-// clusters compares clusters by name. One that is missing counts as one without servers.
-func (d *differ) clusters(from, to map[string]*cluster.Config) {
+// compareClusters compares compareClusters by name. One that is missing counts as one without servers.
+func (d *differ) compareClusters(from, to map[string]*cluster.Config) {
 	for name, a := range from {
 		b := to[name]
 		if a == b {
@@ -142,51 +142,51 @@
 		if b == nil {
 			b = &cluster.Config{Name: name, Transport: a.Transport, Limits: a.Limits}
 		}
-		d.servers(name, a.Endpoints, b.Endpoints)
-		d.note(ServerSize, name, a.Limits, b.Limits)
+		d.compareEndpoints(name, a.Endpoints, b.Endpoints)
+		d.compare(EndpointWeight, name, a.Limits, b.Limits)
 	}
 	for name, b := range to {
 		if from[name] == nil {
-			d.servers(name, nil, b.Endpoints)
+			d.compareEndpoints(name, nil, b.Endpoints)
 		}
 	}
 }
 
-// servers compares the servers of the cluster in by id. Servers that are out of use in both versions don't differ.
-func (d *differ) servers(in string, from, to []cluster.Endpoint) {
-	walk(from, to, func(a, b *cluster.Endpoint) {
+// compareEndpoints compares the compareEndpoints of the cluster in by id. Servers that are out of use in both versions don't differ.
+func (d *differ) compareEndpoints(clusterName string, from, to []cluster.Endpoint) {
+	forEachEndpointPair(from, to, func(a, b *cluster.Endpoint) {
 		switch {
 		case a == nil && b.Serves():
-			d.note(ServerAdded, in+"/"+b.ID, "none", b.Health.String())
+			d.compare(EndpointAdded, clusterName+"/"+b.ID, "none", b.Health.String())
 			return
 		case a == nil, b != nil && *a == *b, b == nil && !a.Serves(): // nothing was sent to it, or is to be
 			return
 		}
-		name := in + "/" + a.ID
+		name := clusterName + "/" + a.ID
 		switch {
 		case b == nil:
-			d.note(ServerRemoved, name, a.Health.String(), "gone")
+			d.compare(EndpointRemoved, name, a.Health.String(), "gone")
 			return
 		case a.Serves() && !b.Serves():
-			d.note(ServerRemoved, name, a.Health.String(), b.Health.String())
+			d.compare(EndpointRemoved, name, a.Health.String(), b.Health.String())
 			return
 		case !a.Serves() && b.Serves():
-			d.note(ServerAdded, name, a.Health.String(), b.Health.String())
+			d.compare(EndpointAdded, name, a.Health.String(), b.Health.String())
 			return
 		case !a.Serves():
 			return
 		}
-		d.note(ServerMoved, name, a.Address, b.Address)
-		d.note(ServerStarted, name, a.StartedMs, b.StartedMs)
-		d.note(ServerGroup, name, fmt.Sprint(a.Zone, " ", a.Cell), fmt.Sprint(b.Zone, " ", b.Cell))
-		d.note(ServerSize, name,
+		d.compare(EndpointMoved, name, a.Address, b.Address)
+		d.compare(EndpointStarted, name, a.StartedMs, b.StartedMs)
+		d.compare(EndpointLocality, name, fmt.Sprint(a.Zone, " ", a.Cell), fmt.Sprint(b.Zone, " ", b.Cell))
+		d.compare(EndpointWeight, name,
 			fmt.Sprint(a.Weight, " ", a.Priority, " ", a.Health), fmt.Sprint(b.Weight, " ", b.Priority, " ", b.Health))
 	})
 }
 
-// walk calls do for each pair of endpoints with the same id in two lists; nil where one list has none. The lists have
+// forEachEndpointPair calls do for each pair of endpoints with the same id in two lists; nil where one list has none. The lists have
 // to be sorted by id, as cluster.Config.Check requires.
-func walk(from, to []cluster.Endpoint, do func(a, b *cluster.Endpoint)) {
+func forEachEndpointPair(from, to []cluster.Endpoint, do func(a, b *cluster.Endpoint)) {
 	for i, j := 0, 0; i < len(from) || j < len(to); {
 		switch {
 		case j == len(to) || i < len(from) && from[i].ID < to[j].ID:
--- a/internal/fleet/consensus/disconnected_test.go
+++ b/internal/fleet/consensus/disconnected_test.go
@@ -16,7 +16,7 @@
 	rng := rand.New(rand.NewPCG(39, 2))
 	now := time.UnixMilli(3000)
 	for range 300 {
-		last, next := drawn(t, rng), drawn(t, rng)
+		last, next := randomVersion(t, rng), randomVersion(t, rng)
 		a := DisconnectedVersion(EffectiveVersion{Version: last},
 			lease.DisconnectedPolicy{Effects: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious}, now)
 		if a.Program.Limits.MaxAttempts != 1 || a.Program.Limits.AllowHedging {
@@ -40,7 +40,7 @@
 			}
 		}
 	}
-	last := version(t, program, servers)
+	last := version(t, programText, clusterText)
 	serveLast := lease.DisconnectedPolicy{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}
 	a := DisconnectedVersion(EffectiveVersion{Version: last}, serveLast, now)
 	if CheckNotLaxer(a, last) != nil || CheckNotLaxer(EffectiveVersion{Version: last}, a.Version) != nil ||
--- a/internal/fleet/consensus/entry.go
+++ b/internal/fleet/consensus/entry.go
@@ -8,11 +8,11 @@
 
 // The limits of the log.
 const (
-	MaxHistory = 256     // versions that a rollback can name
-	MaxFiles   = 1100    // files of a version
-	maxParts   = 16384   // of all versions in the history together, so that a snapshot fits a message
-	MaxName    = 255     // bytes of a file's or a node's name
-	MaxEntry   = 1 << 20 // bytes of an entry; content goes by hash beside it
+	MaxHistory      = 256     // versions that a rollback can name
+	MaxFiles        = 1100    // files of a version
+	maxHistoryParts = 16384   // of all versions in the history together, so that a snapshot fits a message
+	MaxName         = 255     // bytes of a file's or a node's name
+	MaxEntryBytes   = 1 << 20 // bytes of an entry; content goes by hash beside it
 	// maxVersionsPerEpoch is how many versions may share an epoch. Each new version is compared with all of them, since
 	// "does not contradict" is not transitive.
 	maxVersionsPerEpoch = 16
@@ -66,8 +66,8 @@
 
 // ParseEntry parses and validates an entry.
 func ParseEntry(data []byte) (*Entry, error) {
-	if len(data) > MaxEntry {
-		return nil, fmt.Errorf("%d bytes; %d at most", len(data), MaxEntry)
+	if len(data) > MaxEntryBytes {
+		return nil, fmt.Errorf("%d bytes; %d at most", len(data), MaxEntryBytes)
 	}
 	e := &Entry{}
 	if err := json.Unmarshal(data, e); err != nil {
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -41,7 +41,7 @@
 	confirmed  uint64        // the process no longer acts on anything before this revision
 }
 
-// NewLeaseTable creates the table of a voter that has just been started.
+// NewLeaseTable creates the NewLeaseTable of a voter that has just been started.
 func NewLeaseTable(now time.Duration, config LeaseConfig) *LeaseTable {
 	return &LeaseTable{config: config, quietUntil: now + config.GranterTerm(), holders: map[process]*processLeases{}}
 }
--- a/internal/fleet/consensus/norace_test.go
+++ b/internal/fleet/consensus/norace_test.go
@@ -2,4 +2,4 @@
 
 package consensus
 
-const raced = false
+const raceEnabled = false
--- a/internal/fleet/consensus/race_test.go
+++ b/internal/fleet/consensus/race_test.go
@@ -2,4 +2,4 @@
 
 package consensus
 
-const raced = true
+const raceEnabled = true
--- a/internal/fleet/consensus/release.go
+++ b/internal/fleet/consensus/release.go
@@ -20,9 +20,9 @@
 
 // The limits of a release.
 const (
-	MaxWaves           = 1000
-	MaxReleaseServers  = 10_000 // of all waves together
-	maxReleaseDuration = time.Hour
+	MaxWaves            = 1000
+	MaxReleaseEndpoints = 10_000 // of all waves together
+	maxReleaseDuration  = time.Hour
 )
 
 // Check validates a release by itself, without the cluster that it is for.
@@ -61,8 +61,8 @@
 			seen[id] = true
 		}
 	}
-	if len(seen) > MaxReleaseServers {
-		return fmt.Errorf("waves: %d servers; %d at most", len(seen), MaxReleaseServers)
+	if len(seen) > MaxReleaseEndpoints {
+		return fmt.Errorf("waves: %d servers; %d at most", len(seen), MaxReleaseEndpoints)
 	}
 	return nil
 }
--- a/internal/fleet/consensus/simchecks_test.go
+++ b/internal/fleet/consensus/simchecks_test.go
@@ -8,8 +8,8 @@
 	"yokestall/internal/fake/fleet"
 )
 
-// violate records a violation of the protocol.
-func (s *fleetSim) violate(format string, args ...any) {
+// recordViolation records a violation of the protocol.
+func (s *fleetSim) recordViolation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
@@ -43,7 +43,7 @@
 		}
 		delete(n.pendingReads, id)
 		if index := n.voter.State().Index; index < applied {
-			s.violate("%v: a read of %s ends at %d, and %d had been applied", s.now, n.name, index, applied)
+			s.recordViolation("%v: a read of %s ends at %d, and %d had been applied", s.now, n.name, index, applied)
 		}
 		s.answeredReads++
 	}
@@ -70,7 +70,7 @@
 func (s *fleetSim) recordVersion(m Manifest) {
 	number, known := s.acked[m.ID]
 	if known && number != m.Number {
-		s.violate("%s is version %d and %d", m.ID, number, m.Number)
+		s.recordViolation("%s is version %d and %d", m.ID, number, m.Number)
 	}
 	if number == 0 {
 		s.versions++
@@ -107,11 +107,11 @@
 		n := s.nodes[id-1]
 		for task, token := range s.ownedTasks(n) {
 			if other := owners[task]; other != nil {
-				s.violate("%v: %s is owned by %s and %s", s.now, task, other.name, n.name)
+				s.recordViolation("%v: %s is owned by %s and %s", s.now, task, other.name, n.name)
 			}
 			owners[task] = n
 			if highest := s.highestTokens[task]; token < highest {
-				s.violate("%v: %s owns %s by token %d after %d", s.now, n.name, task, token, highest)
+				s.recordViolation("%v: %s owns %s by token %d after %d", s.now, n.name, task, token, highest)
 			}
 			s.highestTokens[task] = max(s.highestTokens[task], token)
 		}
@@ -128,7 +128,7 @@
 	for _, other := range s.nodes {
 		b := s.activeVersions(other)
 		if other != n && b.Version != 0 && !compatible(a, b) && !compatible(b, a) {
-			s.violate("%v: %s acts on %v, %s on %v", s.now, n.name, a, other.name, b)
+			s.recordViolation("%v: %s acts on %v, %s on %v", s.now, n.name, a, other.name, b)
 		}
 	}
 }
--- a/internal/fleet/consensus/simfaults_test.go
+++ b/internal/fleet/consensus/simfaults_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// playWithFaults plays a fleet under faults until the first violation, and then without faults.
-func playWithFaults(t testing.TB, seed uint64, voters, followers int, out guard) *fleetSim {
-	s := newSim(t, seed, voters, followers, out)
+// runWithFaults plays a fleet under faults until the first violation, and then without faults.
+func runWithFaults(t testing.TB, seed uint64, voters, followers int, omitted guard) *fleetSim {
+	s := newSim(t, seed, voters, followers, omitted)
 	s.runUntil(2 * time.Second)
 	s.networkFaults = true
 	for i := range 40 {
--- a/internal/fleet/consensus/simnode_test.go
+++ b/internal/fleet/consensus/simnode_test.go
@@ -143,9 +143,9 @@
 			if !some {
 				break
 			}
-			s.doWork(n, work)
+			s.handleReadyWork(n, work)
 		}
-		s.omitWaits(n.voter)
+		s.omitLeaseWaits(n.voter)
 		s.confirmOwnership(n)
 		s.checkReads(n)
 		s.checkOwners()
@@ -153,8 +153,8 @@
 	s.applyDesired(n)
 }
 
-// doWork saves, sends and applies what a voter is ready for.
-func (s *fleetSim) doWork(n *simNode, work ReadyWork) {
+// handleReadyWork saves, sends and applies what a voter is ready for.
+func (s *fleetSim) handleReadyWork(n *simNode, work ReadyWork) {
 	v := n.voter
 	s.saveReady(n, work)
 	for _, m := range work.Messages {
@@ -212,8 +212,8 @@
 	}
 }
 
-// omitWaits has a voter forget the leases that it should wait for, where the simulation omits that wait.
-func (s *fleetSim) omitWaits(v *Voter) {
+// omitLeaseWaits has a voter forget the leases that it should wait for, where the simulation omits that wait.
+func (s *fleetSim) omitLeaseWaits(v *Voter) {
 	transfers := func(task TaskOwnership) bool { return task.TransferIndex != 0 }
 	omit := s.omitted == leaseExpiryWait && v.State().PendingVersion != 0 ||
 		s.omitted == ownershipEndWait && slices.ContainsFunc(slices.Collect(maps.Values(v.State().Tasks)), transfers)
--- a/internal/fleet/consensus/splits_test.go
+++ b/internal/fleet/consensus/splits_test.go
@@ -54,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			seeds := uint64(15)
-			if testing.Short() || raced {
+			if testing.Short() || raceEnabled {
 				seeds = 4
 			}
 			versions := 0
@@ -86,13 +86,13 @@
 
 // An hour of changes, two a second: what voters and nodes keep does not grow with them.
 func TestMemoryOverAnHourOfChanges(t *testing.T) {
-	if testing.Short() || raced {
+	if testing.Short() || raceEnabled {
 		t.Skip("played without the race detector")
 	}
 	cryptotest.SetGlobalRandom(t, 39)
 	s := newSim(t, 39, 3, 2, noGuard)
 	s.runUntil(3 * time.Second)
-	kept := func() (entries int, heap uint64) {
+	retained := func() (entries int, heap uint64) {
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.GC() // what pools of other tests had is gone with the second
@@ -102,7 +102,7 @@
 		}
 		return entries, m.HeapAlloc
 	}
-	changes := func(from, to int) {
+	publishChanges := func(from, to int) {
 		for i := from; i < to; i++ {
 			s.publish(fmt.Sprint("c", i), false)
 			s.runUntil(s.now + 500*time.Millisecond)
@@ -110,12 +110,12 @@
 			s.ownerAnswers = nil                     // and what only they keep
 		}
 	}
-	changes(0, 1800) // a quarter of an hour: all bounds are met
+	publishChanges(0, 1800) // a quarter of an hour: all bounds are met
 	clear(s.pendingAt)
-	entries, before := kept()
-	changes(1800, 7200)
+	entries, before := retained()
+	publishChanges(1800, 7200)
 	clear(s.pendingAt)
-	now, after := kept()
+	now, after := retained()
 	state := s.nodes[0].voter.State()
 	if state.LastNumber < 6000 || len(state.History) > MaxHistory {
 		t.Fatalf("%d versions, %d in the history", state.LastNumber, len(state.History))
--- a/internal/fleet/consensus/state.go
+++ b/internal/fleet/consensus/state.go
@@ -148,7 +148,7 @@
 	for i := range s.History {
 		parts += len(s.History[i].Parts)
 	}
-	for len(s.History) > MaxHistory || parts > maxParts {
+	for len(s.History) > MaxHistory || parts > maxHistoryParts {
 		dropped := s.dropOldestVersion(newest)
 		if parts -= dropped; dropped == 0 {
 			return
--- a/internal/fleet/consensus/state_test.go
+++ b/internal/fleet/consensus/state_test.go
@@ -23,50 +23,50 @@
 		rng := rand.New(rand.NewPCG(39, seed))
 		s := &State{}
 		var list []string // ids, by number from 1
-		present, waits, epoch := uint64(0), uint64(0), uint64(0)
-		alive := 0
-		cleared := map[uint64]bool{}
+		activeVersion, pendingVersion, epoch := uint64(0), uint64(0), uint64(0)
+		epochVersions := 0
+		ackedBy := map[uint64]bool{}
 		for i := range uint64(300) {
 			var e Entry
 			switch rng.IntN(5) {
 			case 0, 1:
 				id := fmt.Sprint("v", rng.IntN(400))
-				m := manifest(id, present-min(present, uint64(rng.IntN(5)/4)), rng.IntN(2) == 0, 1)
+				m := manifest(id, activeVersion-min(activeVersion, uint64(rng.IntN(5)/4)), rng.IntN(2) == 0, 1)
 				e.Propose = m
-				if waits == 0 && m.Base == present && !slices.Contains(list, id) {
+				if pendingVersion == 0 && m.Base == activeVersion && !slices.Contains(list, id) {
 					list = append(list, id)
-					if n := uint64(len(list)); present != 0 && (m.Contradicts || alive >= maxVersionsPerEpoch) {
-						waits, cleared = n, map[uint64]bool{}
+					if n := uint64(len(list)); activeVersion != 0 && (m.Contradicts || epochVersions >= maxVersionsPerEpoch) {
+						pendingVersion, ackedBy = n, map[uint64]bool{}
 					} else {
-						present = n
-						alive++
+						activeVersion = n
+						epochVersions++
 					}
 				}
 			case 2, 3:
-				c := &EpochAck{Epoch: epoch + uint64(rng.IntN(3)), VoterID: uint64(1 + rng.IntN(3))}
-				e.EpochAck = c
-				if waits != 0 && c.Epoch == epoch+1 {
-					if cleared[c.VoterID] = true; len(cleared) == 2 {
-						present, waits, epoch, alive = waits, 0, epoch+1, 1
+				ack := &EpochAck{Epoch: epoch + uint64(rng.IntN(3)), VoterID: uint64(1 + rng.IntN(3))}
+				e.EpochAck = ack
+				if pendingVersion != 0 && ack.Epoch == epoch+1 {
+					if ackedBy[ack.VoterID] = true; len(ackedBy) == 2 {
+						activeVersion, pendingVersion, epoch, epochVersions = pendingVersion, 0, epoch+1, 1
 					}
 				}
 			case 4:
 				if rng.IntN(4) > 0 {
 					continue
 				}
-				r := &Refusal{Number: uint64(rng.IntN(len(list) + 2)), Node: "n", Reason: "no"}
-				e.Refusal = r
-				if waits != 0 && r.Number == waits {
-					waits, epoch = 0, epoch+1
+				refusal := &Refusal{Number: uint64(rng.IntN(len(list) + 2)), Node: "n", Reason: "no"}
+				e.Refusal = refusal
+				if pendingVersion != 0 && refusal.Number == pendingVersion {
+					pendingVersion, epoch = 0, epoch+1
 				}
 			}
 			if err := s.Apply(i+1, e.Marshal(), 3); err != nil {
 				t.Fatal(err)
 			}
-			if s.ActiveVersion != present || s.PendingVersion != waits || s.Epoch != epoch ||
-				s.LastNumber != uint64(len(list)) || len(s.EpochVersions) != alive {
+			if s.ActiveVersion != activeVersion || s.PendingVersion != pendingVersion || s.Epoch != epoch ||
+				s.LastNumber != uint64(len(list)) || len(s.EpochVersions) != epochVersions {
 				t.Fatalf("seed %d, entry %d: %+v; want %d in force, %d waits, epoch %d, %d alive", seed, i, s.LogStatus(),
-					present, waits, epoch, alive)
+					activeVersion, pendingVersion, epoch, epochVersions)
 			}
 			for n, id := range list {
 				if m := s.Version(uint64(n + 1)); m == nil || m.ID != id {
@@ -93,7 +93,7 @@
 		for _, m := range s.History {
 			total += len(m.Parts)
 		}
-		if len(s.History) > MaxHistory || total > maxParts+(maxVersionsPerEpoch+1)*MaxFiles ||
+		if len(s.History) > MaxHistory || total > maxHistoryParts+(maxVersionsPerEpoch+1)*MaxFiles ||
 			s.Version(s.ActiveVersion) == nil {
 			t.Fatalf("%d versions of %d files, %d in force", len(s.History), total, s.ActiveVersion)
 		}
@@ -133,7 +133,7 @@
 func TestThousandFollowers(t *testing.T) {
 	cryptotest.SetGlobalRandom(t, 2)
 	followers := 1000
-	if raced {
+	if raceEnabled {
 		followers = 100
 	}
 	s := newSim(t, 2, 3, followers, noGuard)
@@ -148,43 +148,43 @@
 		s.longestActivation < s.leaseConfig.HolderTerm()/2 {
 		t.Errorf("%d versions, in force after %v, and the bound is %v", s.versions, s.longestActivation, bound)
 	}
-	on := 0
+	onSecond := 0
 	for _, n := range s.nodes {
 		if a := s.activeVersions(n); a.Version == 2 && a.PendingVersion == 0 {
-			on++
+			onSecond++
 		}
 	}
-	if on != len(s.nodes)-1 || len(s.violations) > 0 {
-		t.Errorf("%d of %d act on it; %v", on, len(s.nodes), s.violations)
+	if onSecond != len(s.nodes)-1 || len(s.violations) > 0 {
+		t.Errorf("%d of %d act on it; %v", onSecond, len(s.nodes), s.violations)
 	}
 	for _, id := range s.voters {
-		if held := len(s.nodes[id-1].voter.leases.holders); held < followers || held > MaxHolders {
-			t.Errorf("voter %d has %d leases out", id, held)
+		if granted := len(s.nodes[id-1].voter.leases.holders); granted < followers || granted > MaxHolders {
+			t.Errorf("voter %d has %d leases out", id, granted)
 		}
 	}
 }
 
 // A voter grants so many leases and no more; those that are over make room.
 func TestLeaseTableIsFull(t *testing.T) {
-	d := NewLeaseTable(0, simLeaseConfig)
+	table := NewLeaseTable(0, simLeaseConfig)
 	s := &State{}
-	ask := func(now time.Duration, i int) error {
-		_, err := d.Grant(now, 1, LeaseRequest{Node: fmt.Sprint(i), Incarnation: "a"}, s)
+	requestLease := func(now time.Duration, i int) error {
+		_, err := table.Grant(now, 1, LeaseRequest{Node: fmt.Sprint(i), Incarnation: "a"}, s)
 		return err
 	}
 	for i := range MaxHolders {
-		if err := ask(0, i); err != nil {
+		if err := requestLease(0, i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := ask(time.Second, MaxHolders); err != ErrTooManyLeases {
+	if err := requestLease(time.Second, MaxHolders); err != ErrTooManyLeases {
 		t.Errorf("one more: %v", err)
 	}
-	if err := ask(time.Second, 7); err != nil {
+	if err := requestLease(time.Second, 7); err != nil {
 		t.Errorf("one that has a lease: %v", err)
 	}
-	if err := ask(simLeaseConfig.GranterTerm()+time.Millisecond, MaxHolders); err != nil || len(d.holders) != 2 {
-		t.Errorf("once they are over: %v, %d", err, len(d.holders))
+	if err := requestLease(simLeaseConfig.GranterTerm()+time.Millisecond, MaxHolders); err != nil || len(table.holders) != 2 {
+		t.Errorf("once they are over: %v, %d", err, len(table.holders))
 	}
 }
 
--- a/internal/fleet/consensus/strictcheck.go
+++ b/internal/fleet/consensus/strictcheck.go
@@ -12,7 +12,7 @@
 // CheckNotLaxer returns how acting on a could break a rule that b keeps; nil: it can't. It compares the rules alone,
 // however a was made.
 func CheckNotLaxer(a EffectiveVersion, b *Version) error {
-	for _, laxer := range []func(a EffectiveVersion, b *Version) error{laxerClass, laxerRoute, laxerBudget, laxerServer} {
+	for _, laxer := range []func(a EffectiveVersion, b *Version) error{laxerClass, laxerRoute, laxerSlowStart, laxerEndpoint} {
 		if err := laxer(a, b); err != nil {
 			return err
 		}
@@ -31,7 +31,7 @@
 		y := &b.Program.Classes[at]
 		switch {
 		case x.Idempotency < y.Idempotency:
-			return fmt.Errorf("class %s: %s where the other has %s", x.Name, effect(x.Idempotency), effect(y.Idempotency))
+			return fmt.Errorf("class %s: %s where the other has %s", x.Name, effectName(x.Idempotency), effectName(y.Idempotency))
 		case x.Idempotency == policy.IdempotentByKey && y.Idempotency == policy.IdempotentByKey &&
 			(x.DedupScope < y.DedupScope || x.DedupWindow > y.DedupWindow):
 			return fmt.Errorf("class %s: keys are dropped more widely, or longer, than in the other", x.Name)
@@ -44,7 +44,7 @@
 func laxerRoute(a EffectiveVersion, b *Version) (err error) {
 	differingRoutes(a.Program, b.Program, func(host string, routes, _ []route.Route, _ int) {
 		for _, r := range routes {
-			if isUnsafe(b.Program, r.Class) && a.RefusedClasses[r.Class] == "" {
+			if isNotIdempotent(b.Program, r.Class) && a.RefusedClasses[r.Class] == "" {
 				err = fmt.Errorf("host %s: route %s of class %s leads elsewhere in the other", host, r.Name, r.Class)
 			}
 		}
@@ -52,8 +52,8 @@
 	return err
 }
 
-// laxerBudget returns whether cold servers get more from a than from b.
-func laxerBudget(a EffectiveVersion, b *Version) error {
+// laxerSlowStart returns whether cold servers get more from a than from b.
+func laxerSlowStart(a EffectiveVersion, b *Version) error {
 	x, y := &a.Program.Rules, &b.Program.Rules
 	if a.Program.Nodes < b.Program.Nodes ||
 		x.SlowStartMinCapacity > y.SlowStartMinCapacity || x.SlowStartWindow < y.SlowStartWindow ||
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// laxerServer returns a server that is in use in a, and not in b, or not there, or that b takes for colder.
-func laxerServer(a EffectiveVersion, b *Version) (err error) {
+// laxerEndpoint returns a server that is in use in a, and not in b, or not there, or that b takes for colder.
+func laxerEndpoint(a EffectiveVersion, b *Version) (err error) {
 	for name, c := range a.Clusters {
 		if c == b.Clusters[name] {
 			continue
@@ -73,7 +73,7 @@
 		if other := b.Clusters[name]; other != nil {
 			others = other.Endpoints
 		}
-		walk(c.Endpoints, others, func(e, other *cluster.Endpoint) {
+		forEachEndpointPair(c.Endpoints, others, func(e, other *cluster.Endpoint) {
 			if e == nil || !e.Serves() {
 				return
 			}
--- a/internal/fleet/consensus/stricter.go
+++ b/internal/fleet/consensus/stricter.go
@@ -43,7 +43,7 @@
 	a.SlowStartWindow = max(a.SlowStartWindow, b.SlowStartWindow)
 	a.OverloadMultiple = min(a.OverloadMultiple, b.OverloadMultiple)
 	a.OverloadDuration = min(a.OverloadDuration, b.OverloadDuration)
-	for name := range changedUnsafeRoutes(from.Program, to.Program) {
+	for name := range classesWithChangedRoutes(from.Program, to.Program) {
 		out.RefusedClasses[name] = "its routes change"
 	}
 	for name, c := range from.Clusters {
@@ -63,7 +63,7 @@
 	}
 	out := *from
 	out.Endpoints = make([]cluster.Endpoint, 0, len(from.Endpoints))
-	walk(from.Endpoints, after, func(a, b *cluster.Endpoint) {
+	forEachEndpointPair(from.Endpoints, after, func(a, b *cluster.Endpoint) {
 		if a == nil {
 			return
 		}
@@ -85,16 +85,16 @@
 	return e != nil && e.Serves() && e.Address == other.Address && e.Zone == other.Zone && e.Cell == other.Cell
 }
 
-// changedUnsafeRoutes returns the classes, other than safe ones, whose routes differ between two versions.
-func changedUnsafeRoutes(from, to *config.Program) map[string]bool {
+// classesWithChangedRoutes returns the classes, other than safe ones, whose routes differ between two versions.
+func classesWithChangedRoutes(from, to *config.Program) map[string]bool {
 	out := map[string]bool{}
 	differingRoutes(from, to, func(_ string, a, b []route.Route, _ int) {
-		for _, of := range []struct {
+		for _, versionRoutes := range []struct {
 			p    *config.Program
 			list []route.Route
 		}{{from, a}, {to, b}} {
-			for _, r := range of.list {
-				if isUnsafe(of.p, r.Class) {
+			for _, r := range versionRoutes.list {
+				if isNotIdempotent(versionRoutes.p, r.Class) {
 					out[r.Class] = true
 				}
 			}
--- a/internal/fleet/consensus/taskassignment.go
+++ b/internal/fleet/consensus/taskassignment.go
@@ -109,14 +109,14 @@
 
 // shouldPropose reports whether something has not been proposed within the last ticks for the same revision of its
 // subject, and records that it is proposed now.
-func (v *Voter) shouldPropose(what string, revision uint64) bool {
-	last, known := v.recentProposals[what]
+func (v *Voter) shouldPropose(subject string, revision uint64) bool {
+	last, known := v.recentProposals[subject]
 	if known && last.revision == revision && v.ticks-last.tick < proposalRetryTicks {
 		return false
 	}
 	if v.recentProposals == nil || len(v.recentProposals) > maxOwnershipRevisions {
 		v.recentProposals = map[string]recentProposal{}
 	}
-	v.recentProposals[what] = recentProposal{revision, v.ticks}
+	v.recentProposals[subject] = recentProposal{revision, v.ticks}
 	return true
 }
--- a/internal/fleet/consensus/virtualtime_test.go
+++ b/internal/fleet/consensus/virtualtime_test.go
@@ -16,42 +16,42 @@
 // No two nodes act on versions that contradict, no version is lost, and there is one history, whatever befalls them.
 func TestFleetInVirtualTime(t *testing.T) {
 	seeds := *seedCount
-	if testing.Short() || raced { // the whole number is played without the detector
+	if testing.Short() || raceEnabled { // the whole number is played without the detector
 		seeds = min(seeds, 8)
 	}
-	versions, changes, takeovers, reads := 0, 0, 0, 0
+	versions, changes, ownershipRevisions, reads := 0, 0, 0, 0
 	for seed := range uint64(seeds) {
 		cryptotest.SetGlobalRandom(t, seed)
-		s := playWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), noGuard)
+		s := runWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), noGuard)
 		s.checkHealed()
 		if len(s.violations) > 0 {
 			t.Fatalf("seed %d: %d findings, first: %s", seed, len(s.violations), s.violations[0])
 		}
 		versions, changes = versions+s.versions, changes+s.changes
-		takeovers, reads = takeovers+s.ownershipRevisions, reads+s.answeredReads
+		ownershipRevisions, reads = ownershipRevisions+s.ownershipRevisions, reads+s.answeredReads
 	}
-	if versions < seeds || changes < 4*seeds || takeovers < 4*seeds || reads < 100*seeds {
+	if versions < seeds || changes < 4*seeds || ownershipRevisions < 4*seeds || reads < 100*seeds {
 		t.Errorf("%d versions, %d changes, %d ownership revisions, %d reads: too few to say anything", versions, changes,
-			takeovers, reads)
+			ownershipRevisions, reads)
 	}
 	t.Logf("%d seeds: %d versions, %d changes of a node's rules, no contradiction; "+
 		"%d ownership revisions confirmed, never two owners; %d reads, none of a stale log",
-		seeds, versions, changes, takeovers, reads)
+		seeds, versions, changes, ownershipRevisions, reads)
 }
 
 // Each guard that is left out is found by the same runs.
 func TestGuardsInVirtualTime(t *testing.T) {
-	if raced {
+	if raceEnabled {
 		t.Skip("played without the race detector")
 	}
-	for _, out := range []guard{
+	for _, omitted := range []guard{
 		leaseCheck, leaseCheckAtUse, leaseExpiryWait, quietPeriod, clockDriftMargin, leaseFromRequest, confirmAfterApply,
 		leaseQuorum, ownerLeaseCheck, ownershipEndWait, linearizableRead, readIncarnation,
 	} {
-		t.Run(string(out), func(t *testing.T) {
+		t.Run(string(omitted), func(t *testing.T) {
 			for seed := range uint64(400) {
 				cryptotest.SetGlobalRandom(t, seed)
-				if s := playWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), out); len(s.violations) > 0 {
+				if s := runWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), omitted); len(s.violations) > 0 {
 					t.Logf("seed %d: %s", seed, s.violations[0])
 					return
 				}
@@ -65,13 +65,13 @@
 // follows the one before it by a higher token; with the owner's look at its lease taken out it has none. The checker
 // knows nothing of the program.
 func TestOwnersHaveOneOrder(t *testing.T) {
-	if raced {
+	if raceEnabled {
 		t.Skip("played without the race detector")
 	}
 	seeds, answers := uint64(40), 0
 	for seed := range seeds {
 		cryptotest.SetGlobalRandom(t, seed)
-		n, found := fleet.CheckOwnerOrder(playWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), noGuard).ownerAnswers)
+		n, found := fleet.CheckOwnerOrder(runWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), noGuard).ownerAnswers)
 		if len(found) > 0 {
 			t.Fatalf("seed %d: %v", seed, found)
 		}
@@ -83,7 +83,7 @@
 	t.Logf("%d answers over %d seeds", answers, seeds)
 	for seed := range uint64(400) {
 		cryptotest.SetGlobalRandom(t, seed)
-		s := playWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), ownerLeaseCheck)
+		s := runWithFaults(t, seed, 3+2*int(seed%3), int(seed%5), ownerLeaseCheck)
 		if _, found := fleet.CheckOwnerOrder(s.ownerAnswers); len(found) > 0 {
 			if !strings.Contains(found[0].Rule, string(porcupine.Illegal)) {
 				t.Fatalf("seed %d: %v", seed, found[0])
--- a/internal/fleet/consensus/voter.go
+++ b/internal/fleet/consensus/voter.go
@@ -155,8 +155,8 @@
 // Propose proposes an entry. A nil error doesn't mean that it gets committed: State shows that in time.
 func (v *Voter) Propose(e *Entry) error {
 	data := e.Marshal()
-	if len(data) > MaxEntry {
-		return fmt.Errorf("an entry of %d bytes; %d at most", len(data), MaxEntry)
+	if len(data) > MaxEntryBytes {
+		return fmt.Errorf("an entry of %d bytes; %d at most", len(data), MaxEntryBytes)
 	}
 	return v.node.Propose(data)
 }
--- a/internal/fleet/ownership/capacitylease_test.go
+++ b/internal/fleet/ownership/capacitylease_test.go
@@ -12,8 +12,8 @@
 	return time.Duration(float64(c) * float64(now))
 }
 
-// exchange has a holder request from an allocator, without handling the reply yet.
-func exchange(
+// requestFrom has a holder request from an allocator, without handling the reply yet.
+func requestFrom(
 	now time.Duration, h *Holder, holderClock rateClock, a *Allocator, ownerClock rateClock, node string, demand float64,
 ) (LeaseRequest, LeaseReply) {
 	request := h.NextRequest(holderClock.at(now), 0.5, demand)
@@ -34,13 +34,13 @@
 	lender, borrower := NewHolder(-time.Hour, simConfig), NewHolder(-time.Hour, simConfig)
 	owner := NewAllocator(1, simConfig)
 	for _, now := range []time.Duration{time.Hour, time.Hour + time.Millisecond} { // the owner's nonce, then a release
-		_, reply := exchange(now, borrower, borrowerClock, owner, ownerClock, "b", 100)
+		_, reply := requestFrom(now, borrower, borrowerClock, owner, ownerClock, "b", 100)
 		borrower.HandleReply(borrowerClock.at(now), reply)
-		_, reply = exchange(now, lender, lenderClock, owner, ownerClock, "l", 1)
+		_, reply = requestFrom(now, lender, lenderClock, owner, ownerClock, "l", 1)
 		lender.HandleReply(lenderClock.at(now), reply)
 	}
 	now := time.Hour + 200*time.Millisecond
-	request, reply := exchange(now, borrower, borrowerClock, owner, ownerClock, "b", 100)
+	request, reply := requestFrom(now, borrower, borrowerClock, owner, ownerClock, "b", 100)
 	if reply.Granted < 0.4 || request.Sequence != reply.Sequence ||
 		!borrower.HandleReply(borrowerClock.at(now), reply) || borrower.HandleReply(borrowerClock.at(now), reply) {
 		t.Fatalf("%+v", reply)
--- a/internal/fleet/ownership/norace_test.go
+++ b/internal/fleet/ownership/norace_test.go
@@ -2,4 +2,4 @@
 
 package ownership
 
-const raced = false
+const raceEnabled = false
--- a/internal/fleet/ownership/race_test.go
+++ b/internal/fleet/ownership/race_test.go
@@ -2,4 +2,4 @@
 
 package ownership
 
-const raced = true
+const raceEnabled = true
--- a/internal/fleet/ownership/simfaults_test.go
+++ b/internal/fleet/ownership/simfaults_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// playWithFaults plays a fleet under faults and changes until the first violation.
-func playWithFaults(seed uint64, omitted guard) *budgetSim {
+// runWithFaults plays a fleet under faults and changes until the first violation.
+func runWithFaults(seed uint64, omitted guard) *budgetSim {
 	s := newSim(seed, 3+int(seed%4)*9, omitted)
 	for range 50 {
 		s.runUntil(s.now + time.Duration(s.rng.Int64N(int64(1500*time.Millisecond))))
--- a/internal/fleet/ownership/virtualtime_test.go
+++ b/internal/fleet/ownership/virtualtime_test.go
@@ -6,11 +6,11 @@
 func TestSharesNeverExceedTheBudget(t *testing.T) {
 	granted, largest := 0.0, 0.0
 	seeds := 1000
-	if raced {
+	if raceEnabled {
 		seeds = 50
 	}
 	for seed := range uint64(seeds) {
-		s := playWithFaults(seed, noGuard)
+		s := runWithFaults(seed, noGuard)
 		if s.violation != "" {
 			t.Fatalf("seed %d: %s", seed, s.violation)
 		}
@@ -25,7 +25,7 @@
 
 // Each guard that is left out is found by the same runs.
 func TestGuards(t *testing.T) {
-	if raced {
+	if raceEnabled {
 		t.Skip("played without the race detector")
 	}
 	for _, omitted := range []guard{
@@ -33,7 +33,7 @@
 	} {
 		t.Run(string(omitted), func(t *testing.T) {
 			for seed := range uint64(2000) {
-				if s := playWithFaults(seed, omitted); s.violation != "" {
+				if s := runWithFaults(seed, omitted); s.violation != "" {
 					t.Logf("seed %d: %s", seed, s.violation)
 					return
 				}
