--- a/internal/fleet/consensus/contradict.go
+++ b/internal/fleet/consensus/contradict.go
@@ -5,8 +5,8 @@
 	"yokestall/internal/config"
 )
 
-// Version is a configuration version: the program's file without listeners, keys and paths, which each node has of
-// its own, and the lists of servers.
+// Version is a configuration version: the settings that all nodes share, and the clusters with their endpoint lists.
+// Listeners, keys and paths are each node's own settings and are not compared.
 type Version struct {
 	Program  *config.Program
 	Clusters map[string]*cluster.Config
@@ -15,7 +15,7 @@
 // Kind is a kind of difference between two versions.
 type Kind uint8
 
-// The kindCount, in the order of the table.
+// The kinds of difference, in the order of the rows of Table.
 const (
 	ClassIdempotency Kind = iota
 	ClassDedupScope
@@ -46,7 +46,8 @@
 	Why         string
 }
 
-// Table says for each kind of difference whether it contradicts, and why. docs/agree.md shows it.
+// Table returns, for each kind of difference, whether two versions that differ in it contradict each other, and why.
+// docs/agree.md shows the same rows.
 func Table() []TableRow {
 	return []TableRow{
 		{ClassIdempotency, "effect of a class", true, "rule 2: one node sends again what the other takes for unsafe"},
--- a/internal/fleet/consensus/differences.go
+++ b/internal/fleet/consensus/differences.go
@@ -16,8 +16,8 @@
 // Difference is a difference between two versions.
 type Difference struct {
 	Kind        Kind
-	Name        string // of the class, the route, the server
-	From, To    string
+	Name        string // name of the class, host or cluster, cluster/id of the endpoint, or name of the settings
+	From, To    string // values in the two versions; both are empty if the class exists in only one of them
 	Contradicts bool
 }
 
@@ -30,13 +30,14 @@
 	return s
 }
 
-// Contradicts reports whether any of the differences contradicts.
+// Contradicts reports whether any of the differences makes the two versions contradict each other.
 func Contradicts(list []Difference) bool {
 	return slices.ContainsFunc(list, func(d Difference) bool { return d.Contradicts })
 }
 
-// Differences returns what differs between the version that nodes act on and one that is to follow it, sorted by kind
-// and then by name. It is directed: taking a server out contradicts, putting one back doesn't.
+// Differences returns the differences between the version that nodes act on and the version that is to follow it,
+// sorted by kind and then by name. The order of the versions matters: taking an endpoint out of use contradicts, putting
+// one back doesn't.
 func Differences(from, to *Version) []Difference {
 	d := &differ{table: Table()}
 	if from.Program != to.Program {
@@ -67,12 +68,12 @@
 	}
 }
 
-// add adds a difference, with the table's word on whether its kind contradicts.
+// add adds a difference. The table says whether its kind contradicts.
 func (d *differ) add(k Kind, name, from, to string) {
 	d.list = append(d.list, Difference{Kind: k, Name: name, From: from, To: to, Contradicts: d.table[k].Contradicts})
 }
 
-// compareClasses compares compareClasses by name, and the tenants' quotas.
+// compareClasses compares classes of the same name, and the tenants' quotas.
 func (d *differ) compareClasses(from, to *config.Program) {
 	for i := range from.Classes {
 		a := from.Classes[i]
@@ -98,18 +99,18 @@
 	d.compare(TenantQuota, "tenants", from.Tenants, to.Tenants)
 }
 
-// effectName is the word for an effectName in configuration files.
+// effectName returns the word that configuration files use for an idempotency.
 func effectName(e policy.Idempotency) string { return [...]string{"safe", "keyed", "unsafe"}[e] }
 
-// compareFleet compares what a program says of all nodes together.
+// compareFleet compares the limits, the number of nodes and the slow-start rules, which apply to the whole fleet.
 func (d *differ) compareFleet(from, to *config.Program) {
 	d.compare(AttemptLimits, "limits", from.Limits, to.Limits)
 	d.compare(NodeCount, "fleet", from.Nodes, to.Nodes)
 	d.compare(SlowStartRules, "fleet", from.Rules, to.Rules)
 }
 
-// compareRoutes compares hosts by their domains. Of a host that changed, all compareRoutes from the first different one on count,
-// since the first route that matches a request is taken.
+// compareRoutes compares the routes of hosts with the same domains. Of a host that changed, all routes from the first
+// different one on count as changed, since the first route that matches a request is taken.
 func (d *differ) compareRoutes(from, to *config.Program) {
 	differingRoutes(from, to, func(host string, a, b []route.Route, same int) {
 		kind := IdempotentRoute
@@ -117,22 +118,22 @@
 			kind = NonIdempotentRoute
 		}
 		d.add(kind, host,
-			fmt.Sprint(same+len(a), " routes"), fmt.Sprintf("%d, from the %d. on others", same+len(b), same+1))
+			fmt.Sprint(same+len(a), " routes"), fmt.Sprintf("%d routes, which differ from route %d on", same+len(b), same+1))
 	})
 }
 
-// anyNotIdempotent reports whether any of the routes leads to a class that is not safe.
+// anyNotIdempotent reports whether any of the routes leads to a class that is not idempotent, or only by key.
 func anyNotIdempotent(p *config.Program, routes []route.Route) bool {
 	return slices.ContainsFunc(routes, func(r route.Route) bool { return isNotIdempotent(p, r.Class) })
 }
 
-// isNotIdempotent reports whether a program has a class that is not safe by a name.
+// isNotIdempotent reports whether a program has a class of this name that is not idempotent, or only by key.
 func isNotIdempotent(p *config.Program, class string) bool {
 	at := p.Class(class)
 	return at >= 0 && p.Classes[at].Idempotency != policy.Idempotent
 }
 
-// compareClusters compares compareClusters by name. One that is missing counts as one without servers.
+// compareClusters compares clusters of the same name. A missing cluster counts as a cluster without endpoints.
 func (d *differ) compareClusters(from, to map[string]*cluster.Config) {
 	for name, a := range from {
 		b := to[name]
@@ -152,14 +153,14 @@
 	}
 }
 
-// compareEndpoints compares the compareEndpoints of the cluster in by id. Servers that are out of use in both versions don't differ.
+// compareEndpoints compares a cluster's endpoints by id. An endpoint that is out of use in both versions doesn't differ.
 func (d *differ) compareEndpoints(clusterName string, from, to []cluster.Endpoint) {
 	forEachEndpointPair(from, to, func(a, b *cluster.Endpoint) {
 		switch {
 		case a == nil && b.Serves():
 			d.compare(EndpointAdded, clusterName+"/"+b.ID, "none", b.Health.String())
 			return
-		case a == nil, b != nil && *a == *b, b == nil && !a.Serves(): // nothing was sent to it, or is to be
+		case a == nil, b != nil && *a == *b, b == nil && !a.Serves(): // out of use in both versions, or unchanged
 			return
 		}
 		name := clusterName + "/" + a.ID
@@ -184,8 +185,8 @@
 	})
 }
 
-// forEachEndpointPair calls do for each pair of endpoints with the same id in two lists; nil where one list has none. The lists have
-// to be sorted by id, as cluster.Config.Check requires.
+// forEachEndpointPair calls do for each pair of endpoints with the same id in two lists; an endpoint that one list lacks
+// is nil. The lists have to be sorted by id, as cluster.Config.Check requires.
 func forEachEndpointPair(from, to []cluster.Endpoint, do func(a, b *cluster.Endpoint)) {
 	for i, j := 0, 0; i < len(from) || j < len(to); {
 		switch {
@@ -203,8 +204,8 @@
 	}
 }
 
-// differingRoutes calls found for each host of either program whose routes differ, with the routes from the first
-// difference on and its index.
+// differingRoutes calls found for each host of either program whose routes differ, with the routes of both programs from
+// the first difference on, and the number of equal routes before it.
 func differingRoutes(from, to *config.Program, found func(host string, a, b []route.Route, same int)) {
 	type host struct{ from, to []route.Route }
 	hosts := map[string]*host{}
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -10,14 +10,13 @@
 	"yokestall/policy"
 )
 
-// DisconnectedVersion restricts what a node acted on last to what its policy allows without a lease. now is the
-// wall-clock time at which the policy is applied. It serves only to find the endpoints that were started shortly before
-// that time.
+// DisconnectedVersion restricts what a node acted on last to what its disconnected policy allows without a lease. now is
+// the wall-clock time at which the policy is applied, and serves only to find endpoints that may still be warming up.
 func DisconnectedVersion(last EffectiveVersion, rules lease.DisconnectedPolicy, now time.Time) EffectiveVersion {
 	p := *last.Program
 	p.Classes = slices.Clone(p.Classes)
 	out := EffectiveVersion{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
-	maps.Copy(out.RefusedClasses, last.RefusedClasses) // no safe choice exists for these classes now either
+	maps.Copy(out.RefusedClasses, last.RefusedClasses) // still no choice of rules is safe for these classes
 	if rules.Effects == lease.Cautious {
 		p.Limits.MaxAttempts, p.Limits.AllowHedging = 1, false
 	}
@@ -29,9 +28,9 @@
 		}
 		switch {
 		case rules.Effects == lease.Refuse, rules.Servers == lease.Refuse, rules.Routes == lease.Refuse:
-			out.RefusedClasses[c.Name] = "the node is cut off from the fleet"
+			out.RefusedClasses[c.Name] = "the node has no lease from the fleet's voters"
 		case !safe && (rules.Routes == lease.Cautious || rules.Servers == lease.Cautious):
-			out.RefusedClasses[c.Name] = "the node is cut off from the fleet, and the class's routes or servers may have changed"
+			out.RefusedClasses[c.Name] = "the node has no lease, and the class's routes or endpoints may have changed"
 		}
 	}
 	if rules.Servers != lease.ServeLast {
@@ -43,8 +42,8 @@
 	return out
 }
 
-// drainWarmingEndpoints drains the endpoints that were started less than a slow-start window before a time, and so may
-// still be warming up: the parts of their budget may have been redistributed among the other nodes.
+// drainWarmingEndpoints drains the endpoints that were started less than a slow-start window before a time. They may
+// still be warming up, and the shares of their budget may have been redistributed among the other nodes.
 func drainWarmingEndpoints(c *cluster.Config, window time.Duration, at time.Time) *cluster.Config {
 	warming := func(e cluster.Endpoint) bool {
 		return e.Serves() && e.StartedMs > 0 && at.Sub(time.UnixMilli(e.StartedMs)) < window
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -11,16 +11,17 @@
 const MaxHolders = 4096
 
 // waitingForEarlierLeases stands in a list of nodes for the leases that a voter granted before it was restarted.
-const waitingForEarlierLeases = "leases of an earlier life"
+const waitingForEarlierLeases = "leases granted before the voter's restart"
 
-// ErrTooManyLeases is returned by a voter that has granted MaxHolders leases.
-var ErrTooManyLeases = errors.New("the voter grants as many leases as it may; ask again later")
+// ErrTooManyLeases is returned by a voter that has granted leases to MaxHolders processes.
+var ErrTooManyLeases = errors.New("lease not granted: the voter has granted as many leases as it may; retry later")
 
-// LeaseTable records the leases that a voter has granted. It is in memory only: after a restart it acknowledges
-// nothing until every lease that the voter may have granted before has expired. Times are on the voter's own clock.
+// LeaseTable records the leases that a voter has granted. The table is in memory only: after a restart the voter
+// acknowledges nothing until every lease that it may have granted before has expired. Times are on the voter's own
+// clock.
 type LeaseTable struct {
 	config     LeaseConfig
-	quietUntil time.Duration              // no epoch is acknowledged, and no end of an ownership confirmed, before
+	quietUntil time.Duration              // before, no epoch is acknowledged and no end of an ownership confirmed
 	holders    map[process]*processLeases // MaxHolders at most
 }
 
@@ -30,18 +31,18 @@
 // processLeases are the grants to one process.
 type processLeases struct {
 	epochs, ownership grantRecord
-	continuousSince   time.Duration // since when the process has had leases without a gap
+	continuousSince   time.Duration // time since which the process has had leases without a gap
 }
 
 // grantRecord sums up a voter's grants of one kind, for epochs or ownership, to one process.
 type grantRecord struct {
-	revision   uint64        // of the latest grant: the smallest that it covers, see Grant
-	end        time.Duration // of the latest grant
-	earlierEnd time.Duration // of the latest grant that covers an earlier revision
+	revision   uint64        // smallest revision that the latest grant covers: see Grant
+	end        time.Duration // end of the latest grant
+	earlierEnd time.Duration // end of the latest grant that covers an earlier revision
 	confirmed  uint64        // the process no longer acts on anything before this revision
 }
 
-// NewLeaseTable creates the NewLeaseTable of a voter that has just been started.
+// NewLeaseTable creates the table of a voter that has just been started.
 func NewLeaseTable(now time.Duration, config LeaseConfig) *LeaseTable {
 	return &LeaseTable{config: config, quietUntil: now + config.GranterTerm(), holders: map[process]*processLeases{}}
 }
@@ -100,8 +101,8 @@
 	return slices.Compact(nodes)
 }
 
-// CanAcknowledge reports whether no process that this voter granted a lease acts on anything before an epoch any
-// more; if one may, it returns the nodes that are waited for.
+// CanAcknowledge reports whether every process that this voter granted a lease has stopped acting on epochs before the
+// given one. If not, it returns the nodes whose processes may still act on them.
 func (t *LeaseTable) CanAcknowledge(now time.Duration, epoch uint64) (ok bool, waitingFor []string) {
 	if now < t.quietUntil {
 		return false, []string{waitingForEarlierLeases}
@@ -115,8 +116,7 @@
 	return len(waitingFor) == 0, slices.Compact(waitingFor)
 }
 
-// FormerOwnerEnded reports whether the former owner of a task no longer acts as its owner, as far as this voter granted
-// it leases.
+// FormerOwnerEnded reports whether the former owner of a task can no longer act as its owner by leases of this voter.
 func (t *LeaseTable) FormerOwnerEnded(now time.Duration, task TaskOwnership) bool {
 	if now < t.quietUntil {
 		return false
@@ -128,11 +128,11 @@
 // LiveProcess is a process that holds a lease.
 type LiveProcess struct {
 	Incarnation string
-	Since       time.Duration // it has had leases without a gap since then
+	Since       time.Duration // time since which the process has had leases without a gap
 }
 
-// LiveProcesses returns the process of each node that holds a lease; where a node has several, the one that started
-// last.
+// LiveProcesses returns, by node, the process that holds a lease. If several processes of a node hold one, the process
+// with the latest Since is returned.
 func (t *LeaseTable) LiveProcesses(now time.Duration) map[string]LiveProcess {
 	live := map[string]LiveProcess{}
 	for p, leases := range t.holders {
@@ -146,7 +146,7 @@
 	return live
 }
 
-// extend records a grant. One that covers later revisions alone leaves the end of those before it as it is.
+// extend records a grant. A grant that covers only later revisions doesn't extend the grants for earlier ones.
 func (r *grantRecord) extend(revision, confirmed uint64, end time.Duration) {
 	r.confirmed = max(r.confirmed, confirmed)
 	if revision > r.revision {
@@ -155,7 +155,8 @@
 	r.end = end
 }
 
-// expired reports whether the process can no longer act on anything before a revision.
+// expired reports whether the process can no longer act on revisions before the given one: it has confirmed so, or its
+// grants have expired.
 func (r *grantRecord) expired(now time.Duration, revision uint64) bool {
 	end := r.earlierEnd
 	if r.revision < revision {
--- a/internal/fleet/consensus/linearizableread.go
+++ b/internal/fleet/consensus/linearizableread.go
@@ -6,15 +6,15 @@
 	"go.etcd.io/raft/v3"
 )
 
-// StartRead starts a linearizable read: it requests the commit index of the leader and returns a number for ReadDone. A
-// read may get lost, as without a leader, so it has to be retried after a while.
+// StartRead starts a linearizable read: it requests the leader's commit index and returns a number for ReadDone. A read
+// may get lost, for example when there is no leader, so callers have to retry it after a while.
 func (v *Voter) StartRead() uint64 {
 	v.readsStarted++
 	v.node.ReadIndex(v.readContext())
 	return v.readsStarted
 }
 
-// ReadDone reports whether State has everything that was committed anywhere when StartRead returned the number.
+// ReadDone reports whether State includes every entry that was committed when StartRead returned the number.
 func (v *Voter) ReadDone(read uint64) bool {
 	return v.readsAnswered >= read && v.state.Index >= v.readIndex
 }
@@ -22,13 +22,14 @@
 // ReadsAnswered returns the number of the latest read that the leader has answered.
 func (v *Voter) ReadsAnswered() uint64 { return v.readsAnswered }
 
-// The context of a linearizable read tells the reads of all voters apart. It is these numbers, one after the other.
+// Byte offsets in the context of a linearizable read, which tells the reads of all voters apart. The context is the
+// voter's id, its incarnation and the number of the read, each a big-endian 64-bit integer.
 const (
-	readIncarnationAt = 8  // after the voter's id
-	readNumberAt      = 16 // of the voter's read
+	readIncarnationAt = 8
+	readNumberAt      = 16
 )
 
-// readContext is the context of this voter's latest read.
+// readContext returns the context of this voter's latest read.
 func (v *Voter) readContext() (context []byte) {
 	for _, n := range []uint64{v.ID, v.Incarnation, v.readsStarted} {
 		context = binary.BigEndian.AppendUint64(context, n)
@@ -36,7 +37,7 @@
 	return context
 }
 
-// answerReads records the answers to this voter's reads. Each answers the reads before it too.
+// answerReads records the leader's answers to this voter's reads. An answer to a read also answers all earlier reads.
 func (v *Voter) answerReads(answers []raft.ReadState) {
 	for _, r := range answers {
 		incarnation := binary.BigEndian.Uint64(r.RequestCtx[readIncarnationAt:])
--- a/internal/fleet/consensus/stricter.go
+++ b/internal/fleet/consensus/stricter.go
@@ -10,15 +10,16 @@
 )
 
 // EffectiveVersion is what a node acts on: a version, and those of its classes whose requests are refused because no
-// safe choice exists for them.
+// choice of rules is safe for them.
 type EffectiveVersion struct {
 	*Version
-	RefusedClasses map[string]string // by class: why
+	RefusedClasses map[string]string // reason of the refusal, by class name
 }
 
-// Stricter combines two versions that contradict each other into rules that contradict neither: for each kind of rule
-// the stricter one. A node acts on it from when it has heard of the second version until that one is in force, so
-// that it harms neither nodes that still act on the first nor those that act on the second already.
+// Stricter returns the stricter combination of two versions that contradict each other: it takes the stricter rule of
+// each kind, and so contradicts neither version. A node acts on the combination from when it has heard of the second
+// version until that version is active, so that it conflicts neither with nodes that still act on the first version nor
+// with nodes that already act on the second.
 func Stricter(from, to *Version) EffectiveVersion {
 	p := *from.Program
 	out := EffectiveVersion{&Version{Program: &p, Clusters: map[string]*cluster.Config{}}, map[string]string{}}
@@ -44,7 +45,7 @@
 	a.OverloadMultiple = min(a.OverloadMultiple, b.OverloadMultiple)
 	a.OverloadDuration = min(a.OverloadDuration, b.OverloadDuration)
 	for name := range classesWithChangedRoutes(from.Program, to.Program) {
-		out.RefusedClasses[name] = "its routes change"
+		out.RefusedClasses[name] = "its routes differ between the active and the pending version"
 	}
 	for name, c := range from.Clusters {
 		out.Clusters[name] = stricterCluster(c, to.Clusters[name])
@@ -52,7 +53,8 @@
 	return out
 }
 
-// stricterCluster keeps in use only the servers that both versions have in use at the same place. to may be nil.
+// stricterCluster returns a cluster with only those endpoints in use that both versions have in use at the same place.
+// to is nil if the second version lacks the cluster.
 func stricterCluster(from, to *cluster.Config) *cluster.Config {
 	if from == to {
 		return from
@@ -80,12 +82,12 @@
 	return &out
 }
 
-// servesAt reports whether a server, which may be missing, is in use at the same place as another one.
+// servesAt reports whether an endpoint is in use at the same address, zone and cell as another one. e may be nil.
 func servesAt(e, other *cluster.Endpoint) bool {
 	return e != nil && e.Serves() && e.Address == other.Address && e.Zone == other.Zone && e.Cell == other.Cell
 }
 
-// classesWithChangedRoutes returns the classes, other than safe ones, whose routes differ between two versions.
+// classesWithChangedRoutes returns the classes whose routes differ between two versions, without idempotent classes.
 func classesWithChangedRoutes(from, to *config.Program) map[string]bool {
 	out := map[string]bool{}
 	differingRoutes(from, to, func(_ string, a, b []route.Route, _ int) {
--- a/internal/fleet/consensus/taskassignment.go
+++ b/internal/fleet/consensus/taskassignment.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// leasesBeforeOwning is for how many leases' durations a node has to have leases without a gap before it owns a task.
+	// leasesBeforeOwning is how long a node must have held leases without a gap before it can own a task, as a multiple of
+	// the lease duration.
 	leasesBeforeOwning = 2
 	// maxAssignmentsPerTick spreads the takeover of many tasks over time.
 	maxAssignmentsPerTick = 8
-	// proposalRetryTicks is after how many ticks (see Tick) a proposal that the log doesn't show is repeated: 300 ms.
+	// proposalRetryTicks is the number of ticks (see Tick) after which a proposal that is not in the log yet is repeated:
+	// 300 ms.
 	proposalRetryTicks = 10
 )
 
 // ChooseOwner returns the process that should own a task, by rendezvous hashing over the eligible nodes that have had
-// leases without a gap for minLeaseAge: a node that fails moves no tasks but its own. It returns empty strings if there
-// is none.
+// leases without a gap for minLeaseAge. With rendezvous hashing, the failure of a node moves only the tasks of that
+// node. If no node qualifies, ChooseOwner returns empty strings.
 func ChooseOwner(
 	task string, live map[string]LiveProcess, eligible []string, now, minLeaseAge time.Duration,
 ) (node, incarnation string) {
@@ -37,7 +39,7 @@
 	return node, incarnation
 }
 
-// ownerScore is the rendezvous hash of a node and a task.
+// ownerScore returns the rendezvous hash of a node and a task.
 func ownerScore(node, task string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, node)
@@ -46,14 +48,15 @@
 	return splitMix64(h.Sum64())
 }
 
-// splitMix64 is the finalizer of SplitMix64: it spreads a difference in a hash's low bits over all of its bits.
+// splitMix64 applies the finalizer of SplitMix64, which spreads a difference in a hash's low bits over all of its bits.
 func splitMix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// manageTasks proposes the ends of ownership that this voter can confirm and, at the leader, new assignments.
+// manageTasks proposes the ends of ownership that this voter can confirm and, if this voter is the leader, new
+// assignments.
 func (v *Voter) manageTasks(now time.Duration) {
 	v.proposeOwnershipEnds(now)
 	if v.Leader() == v.ID && now >= v.leases.quietUntil {
@@ -75,7 +78,7 @@
 	}
 }
 
-// assignTasks gives tasks without an owner, or whose owner holds no lease, to other nodes.
+// assignTasks proposes assignments for tasks that have no owner or whose owner holds no lease.
 func (v *Voter) assignTasks(now time.Duration) {
 	if len(v.Tasks) == 0 {
 		return
@@ -101,14 +104,14 @@
 	}
 }
 
-// recentProposal is when something was proposed last, and at which state of its subject.
+// recentProposal records the latest proposal about a subject.
 type recentProposal struct {
-	revision uint64
-	tick     int
+	revision uint64 // revision of the subject at that time
+	tick     int    // value of Voter.ticks at that time
 }
 
-// shouldPropose reports whether something has not been proposed within the last ticks for the same revision of its
-// subject, and records that it is proposed now.
+// shouldPropose reports whether the latest proposal about a subject was for another revision of the subject or at least
+// proposalRetryTicks ago. If so, it records that a proposal is made now.
 func (v *Voter) shouldPropose(subject string, revision uint64) bool {
 	last, known := v.recentProposals[subject]
 	if known && last.revision == revision && v.ticks-last.tick < proposalRetryTicks {
