--- a/internal/fleet/lease/disconnected.go
+++ b/internal/fleet/lease/disconnected.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// DisconnectedAction is how a node without a lease treats one kind of rule. Such a node can't know which version the
-// others act on.
+// DisconnectedAction is how a node without a lease treats one kind of rule. Such a node can't know which version other
+// nodes act on.
 type DisconnectedAction uint8
 
 // The actions, the strictest first.
@@ -18,10 +18,11 @@
 	ServeLast                           // go on as the last known version says, which a later version may contradict
 )
 
-// disconnectedActions are the actions by their words in configuration files.
+// disconnectedActions maps the words in configuration files to their actions.
 var disconnectedActions = map[string]DisconnectedAction{"refuse": Refuse, "cautious": Cautious, "serve-last": ServeLast}
 
-// ParseDisconnectedAction parses an action as configuration files write it. Its error names the words that there are.
+// ParseDisconnectedAction parses an action as configuration files write it. The error for another word lists the allowed
+// words.
 func ParseDisconnectedAction(word string) (DisconnectedAction, error) {
 	if action, ok := disconnectedActions[word]; ok {
 		return action, nil
@@ -38,6 +39,6 @@
 	// Servers is for the lists of endpoints. Cautious: only idempotent requests are served, and none by endpoints that
 	// may still be warming up.
 	Servers DisconnectedAction
-	// MaxDuration is how long the node serves by this policy, from when it is applied; 0: without limit.
+	// MaxDuration is how long the node serves by this policy, counted from when the policy is applied; 0: without limit.
 	MaxDuration time.Duration
 }
--- a/internal/fleet/lease/doc.go
+++ b/internal/fleet/lease/doc.go
@@ -1,7 +1,7 @@
-// Package lease defines the timing of a fleet's leases, and the policy of a node that has lost its lease. It has no
-// state and does no I/O; package consensus grants and evaluates leases by it.
+// Package lease defines the timing of a fleet's leases, and the disconnected policy of a node whose lease has expired.
+// The package has no state and does no I/O. Package consensus grants and evaluates leases by this timing.
 //
-// A lease counts for its holder from when it was requested, and for the voter that granted it from when it was granted,
-// each on a clock of its own. Of both terms the holder's is over first, on any clocks within the allowed drift (C. Gray
-// and D. Cheriton, "Leases", SOSP 1989).
+// The holder of a lease counts its term from when it requested the lease, and the voter that granted it counts from when
+// it granted the lease, each on its own clock. The holder's term ends first, on any clocks within the allowed drift
+// (C. Gray and D. Cheriton, "Leases", SOSP 1989).
 package lease
--- a/internal/fleet/ownership/allocator.go
+++ b/internal/fleet/ownership/allocator.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// MaxNodes is how many nodes an allocator serves. It takes nothing from further ones and grants them nothing.
+// MaxNodes is how many nodes an allocator serves. From further nodes, an allocator accepts no released shares, and it
+// grants them nothing.
 const MaxNodes = 4096
 
-// Allocator is the owner's side for one fencing token. An owner with another token starts with a new allocator, which
-// needs to know nothing of what earlier ones granted.
+// Allocator allocates shares of the budget at the task's owner, for one fencing token. An owner with another token starts
+// with a new allocator, which does not need to know the grants of earlier allocators.
 //
-// It is not safe for concurrent use.
+// An Allocator is not safe for concurrent use.
 type Allocator struct {
 	config LeaseConfig
 	token  uint64
-	pool   []capacityLease       // what nodes have released and nobody was granted; ends by the slowest allowed clock
+	pool   []capacityLease       // shares that are released and not granted; the ends allow for the slowest clock
 	nodes  map[string]*nodeState // by name; MaxNodes at most
 }
 
-// nodeState is what an allocator knows of a node.
+// nodeState is an allocator's record of a node.
 type nodeState struct {
 	incarnation string          // of the latest request
 	sequence    uint64          // of the latest request
-	demand      float64         // requests per second
-	lastRequest time.Duration   // on the owner's clock
-	granted     []capacityLease // what the node was granted
+	demand      float64         // requests per second, by the latest request
+	lastRequest time.Duration   // time of the latest request, on the owner's clock
+	granted     []capacityLease // grants to the node
 }
 
-// NewAllocator creates the allocator of an owner's token.
+// NewAllocator creates the allocator for an owner's fencing token.
 func NewAllocator(token uint64, config LeaseConfig) *Allocator {
 	return &Allocator{config: config, token: token, nodes: map[string]*nodeState{}}
 }
 
-// Allocate replies to a node's request. The caller has to check its lease for the token right before, and to send the
-// reply at once. A node past MaxNodes is granted nothing, and its request is not recorded.
+// Allocate replies to a node's request. The caller has to check right before that its lease permits the token, and has
+// to send the reply at once. A node past MaxNodes is granted nothing, and its request is not recorded.
 func (a *Allocator) Allocate(now time.Duration, request LeaseRequest) LeaseReply {
 	reply := LeaseReply{Token: a.token, Sequence: request.Sequence, Nonce: Nonce{a.token, now}}
 	a.expire(now)
@@ -55,7 +56,7 @@
 	return reply
 }
 
-// nodeOf returns the record of a node and creates it if there is none; nil if there are MaxNodes already.
+// nodeOf returns the record of a node, and creates the record if there is none; nil if there are MaxNodes already.
 func (a *Allocator) nodeOf(name string) *nodeState {
 	if n := a.nodes[name]; n != nil {
 		return n
@@ -68,26 +69,27 @@
 	return n
 }
 
-// isNew reports whether a request is later than those that have been recorded.
+// isNew reports whether a request is later than the node's latest recorded request, or from another incarnation.
 func (n *nodeState) isNew(request LeaseRequest) bool {
 	return n.incarnation != request.Incarnation || request.Sequence > n.sequence
 }
 
-// record records a request's demand, and adds what it releases to the pool.
+// record records a request's demand, and adds the share that the request releases to the pool.
 func (a *Allocator) record(now time.Duration, n *nodeState, request LeaseRequest) {
 	n.incarnation, n.sequence = request.Incarnation, request.Sequence
 	n.demand, n.lastRequest = request.Demand, now
 	if request.Released <= 0 || request.Echo.Token != a.token {
 		return
 	}
-	// The node released the share after the moment that it echoes, so the share is free for at least ReleaseDuration from
-	// that moment on.
+	// The node released the share after the moment of the nonce that the request echoes, so the share stays free for at
+	// least ReleaseDuration from that moment on.
 	if end := request.Echo.At + a.config.onSlowestClock(a.config.ReleaseDuration); now < end {
 		a.pool = append(a.pool, capacityLease{request.Released, end})
 	}
 }
 
-// grant grants a node what others have released, up to its part of the fleet's demand.
+// grant grants a node shares that other nodes have released, until the node's shares match its fraction of the fleet's
+// demand.
 func (a *Allocator) grant(now time.Duration, n *nodeState, request LeaseRequest, reply *LeaseReply) {
 	want := request.Demand/reply.Demand - request.OwnShare
 	for _, l := range n.granted {
@@ -100,14 +102,14 @@
 	if reply.Granted == 0 {
 		return
 	}
-	// The pool's ends are counted as early as the slowest clock shows them. At least this much true time is left on that
-	// clock.
+	// The pool's ends are as early as they are for the slowest allowed clock. On that clock, at least this much true time
+	// is left.
 	reply.Duration = time.Duration(float64(end-now) / (1 - a.config.MaxClockDrift))
 	n.granted = append(n.granted, capacityLease{reply.Granted, end})
 }
 
-// takeFromPool takes up to want from the pool into the reply, the latest ends first, and returns the earliest end of
-// what it took.
+// takeFromPool moves up to want from the pool into the reply, shares with the latest end first, and returns the earliest
+// end of the shares that it took.
 func (a *Allocator) takeFromPool(now time.Duration, want float64, reply *LeaseReply) (end time.Duration) {
 	slices.SortFunc(a.pool, func(x, y capacityLease) int { return int(y.end - x.end) })
 	for i := range a.pool {
@@ -126,7 +128,7 @@
 	return end
 }
 
-// expire removes leases that have ended, and nodes without a request for two ReleaseDurations.
+// expire removes shares and grants that have ended, and nodes without a request for more than two ReleaseDurations.
 func (a *Allocator) expire(now time.Duration) {
 	a.pool = slices.DeleteFunc(a.pool, func(l capacityLease) bool { return l.end <= now || l.share <= 0 })
 	for name, n := range a.nodes {
--- a/internal/fleet/ownership/capacitylease.go
+++ b/internal/fleet/ownership/capacitylease.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// minLeaseDivisor bounds leases from below: one of less than a hundredth of a node's own share is not made.
+	// minLeaseDivisor avoids tiny leases: a node releases nothing if it can spare at most a hundredth of its own share,
+	// and is granted nothing if it lacks at most a hundredth of its own share.
 	minLeaseDivisor = 100
-	// maxLeases is how many leases of each kind a node has at most.
+	// maxLeases is how many released shares and how many grants a node has at most.
 	maxLeases = 64
 )
 
-// capacityLease is a share of the budget that is leased until a time.
+// capacityLease is a share of the budget that is released or granted until a time.
 type capacityLease struct {
 	share float64       // fraction of the budget
-	end   time.Duration // on the clock of whoever has the record
+	end   time.Duration // on the clock of the process that has the record
 }
 
-// removeExpired removes the leases that have ended.
+// removeExpired returns the leases that have not ended; it reuses the slice.
 func removeExpired(leases []capacityLease, now time.Duration) []capacityLease {
 	return slices.DeleteFunc(leases, func(l capacityLease) bool { return l.end <= now })
 }
--- a/internal/fleet/ownership/capacitylease_test.go
+++ b/internal/fleet/ownership/capacitylease_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// rateClock is a clock of a rate that showed 0 at the start.
+// rateClock is the rate of a clock that shows 0 at true time 0.
 type rateClock float64
 
 func (c rateClock) at(now time.Duration) time.Duration {
 	return time.Duration(float64(c) * float64(now))
 }
 
-// requestFrom has a holder request from an allocator, without handling the reply yet.
+// requestFrom sends a holder's next request to an allocator and returns the request and the reply. The holder has not
+// handled the reply yet.
 func requestFrom(
 	now time.Duration, h *Holder, holderClock rateClock, a *Allocator, ownerClock rateClock, node string, demand float64,
 ) (LeaseRequest, LeaseReply) {
@@ -21,7 +22,8 @@
 	return request, a.Allocate(ownerClock.at(now), request)
 }
 
-// A grant ends before the release that it was taken from on any three clocks, and not long before.
+// On any three allowed clocks, a grant ends before the release that it was taken from, but not more than a
+// ReleaseDuration before.
 func TestGrantEndsBeforeItsRelease(t *testing.T) {
 	rates := []rateClock{1 - rateClock(simConfig.MaxClockDrift), 1, 1 + rateClock(simConfig.MaxClockDrift)}
 	for i := range 27 {
@@ -33,7 +35,7 @@
 	t.Helper()
 	lender, borrower := NewHolder(-time.Hour, simConfig), NewHolder(-time.Hour, simConfig)
 	owner := NewAllocator(1, simConfig)
-	for _, now := range []time.Duration{time.Hour, time.Hour + time.Millisecond} { // the owner's nonce, then a release
+	for _, now := range []time.Duration{time.Hour, time.Hour + time.Millisecond} { // fetch the owner's nonce, then release
 		_, reply := requestFrom(now, borrower, borrowerClock, owner, ownerClock, "b", 100)
 		borrower.HandleReply(borrowerClock.at(now), reply)
 		_, reply = requestFrom(now, lender, lenderClock, owner, ownerClock, "l", 1)
@@ -43,20 +45,20 @@
 	request, reply := requestFrom(now, borrower, borrowerClock, owner, ownerClock, "b", 100)
 	if reply.Granted < 0.4 || request.Sequence != reply.Sequence ||
 		!borrower.HandleReply(borrowerClock.at(now), reply) || borrower.HandleReply(borrowerClock.at(now), reply) {
-		t.Fatalf("%+v", reply)
+		t.Fatalf("reply %+v; want a grant of at least 0.4, a matching sequence, and that it is handled only once", reply)
 	}
 	grantEnd := time.Duration(float64(borrower.granted[0].end) / float64(borrowerClock))
 	releaseEnd := time.Duration(float64(lender.released[0].end) / float64(lenderClock))
 	if grantEnd > releaseEnd || releaseEnd-grantEnd > simConfig.ReleaseDuration {
-		t.Errorf("lender %.1f, owner %.1f, borrower %.1f: the grant ends %v, the release %v",
+		t.Errorf("clock rates: lender %.1f, owner %.1f, borrower %.1f: grant ends at %v, want shortly before the release at %v",
 			lenderClock, ownerClock, borrowerClock, grantEnd-time.Hour, releaseEnd-time.Hour)
 	}
 	usable := lender.Usable(lenderClock.at(now), lenderClock.at(now), 0.5) +
 		borrower.Usable(borrowerClock.at(now), borrowerClock.at(now), 0.5)
 	if usable > 1 {
-		t.Errorf("%.3f of the budget", usable)
+		t.Errorf("lender and borrower may use %.3f of the budget, want at most 1", usable)
 	}
 	if borrower.HandleReply(0, LeaseReply{Token: 0}) {
-		t.Error("a reply by an earlier token is handled")
+		t.Error("reply with an earlier token is handled, want it ignored")
 	}
 }
--- a/internal/fleet/ownership/holder.go
+++ b/internal/fleet/ownership/holder.go
@@ -3,34 +3,37 @@
 import "time"
 
 const (
-	// maxOutstandingRequests is how many requests may be unanswered. Replies to older ones are ignored.
+	// maxOutstandingRequests is how many requests may be unanswered. Replies to older requests are ignored.
 	maxOutstandingRequests = 16
-	// minReservedShare is the part of its own share that a node never releases, for the first requests that arrive.
+	// minReservedShare is the fraction of its own share that a node never releases, so that it can send the first requests
+	// that arrive.
 	minReservedShare = 0.1
 )
 
-// Holder is a node's side: its share of the budget. It is not safe for concurrent use.
+// Holder keeps a node's share of the budget: its own share, without the parts that it has released, and its grants. A
+// Holder is not safe for concurrent use.
 type Holder struct {
 	config       LeaseConfig
-	highestToken uint64                   // of the owners' replies
-	released     []capacityLease          // parts of the own share that others may use
-	granted      []capacityLease          // parts of others' shares
+	highestToken uint64                   // highest fencing token of the owners' replies
+	released     []capacityLease          // parts of the node's own share that other nodes may use
+	granted      []capacityLease          // parts of other nodes' shares
 	requestedAt  map[uint64]time.Duration // when each outstanding request was made, by sequence
 	sequence     uint64                   // of the latest request
 	echo         Nonce                    // of the latest reply
-	fleetDemand  float64                  // by the latest reply, in requests per second
+	fleetDemand  float64                  // demand of all nodes by the latest reply, in requests per second
 }
 
-// NewHolder creates a node's side after a start. An earlier run of the node may have released all of its own share.
+// NewHolder creates the holder of a process that has just been started. An earlier process of the node may have released
+// all of the node's own share, so the whole budget counts as released for ReleaseDuration.
 func NewHolder(now time.Duration, config LeaseConfig) *Holder {
 	earlier := capacityLease{1, now + config.onFastestClock(config.ReleaseDuration)}
 	return &Holder{config: config, requestedAt: map[uint64]time.Duration{}, released: []capacityLease{earlier}}
 }
 
-// Usable returns the fraction of the budget that the node may use from now until a time, at which Usable has to be
-// called again. own is its share without any lease. That may change at all nodes together, as versions do: a node never
-// releases more than its share was, and one that is added with more nodes starts with nothing until the leases of the
-// smaller fleet have ended.
+// Usable returns the fraction of the budget that the node may use from now until the given time, at which Usable has to
+// be called again. own is the node's share without any lease. own may change with a version, at all nodes together: a
+// node never releases more than its share was, and a node that is added can use nothing until the leases of the smaller
+// fleet have ended.
 func (h *Holder) Usable(now, until time.Duration, own float64) float64 {
 	remaining := own
 	for _, l := range h.released {
@@ -47,8 +50,8 @@
 	return usable
 }
 
-// NextRequest creates the next request to the owner. What it releases is deducted from now on, whether the request
-// arrives or not. own is the node's share without any lease, demand its requests per second.
+// NextRequest creates the next request to the owner. The share that the request releases is deducted from now on, whether
+// the request arrives or not. own is the node's share without any lease, and demand is its requests per second.
 func (h *Holder) NextRequest(now time.Duration, own, demand float64) LeaseRequest {
 	h.released = removeExpired(h.released, now)
 	h.granted = removeExpired(h.granted, now)
@@ -67,7 +70,8 @@
 	return request
 }
 
-// spare returns the fraction of the budget that the node does not need of its own share; negative where it needs more.
+// spare returns the part of the node's own share that the node does not need, as a fraction of the budget. The result is
+// negative if the node needs more than it has.
 func (h *Holder) spare(own, demand float64) float64 {
 	free := own
 	for _, l := range h.released {
@@ -86,7 +90,7 @@
 	if !outstanding {
 		return false
 	}
-	delete(h.requestedAt, reply.Sequence) // a reply that comes twice counts once
+	delete(h.requestedAt, reply.Sequence) // a duplicate of the reply is ignored
 	h.highestToken = reply.Token
 	h.echo, h.fleetDemand = reply.Nonce, reply.Demand
 	end := requested + h.config.onSlowestClock(reply.Duration)
--- a/internal/fleet/ownership/sim_test.go
+++ b/internal/fleet/ownership/sim_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// guard is a check of the protocol that a simulation omits, to show that its violation would be found.
+// guard is a check of the protocol that a simulation can omit, to show that the simulation finds the violation that the
+// check prevents.
 type guard string
 
 const (
@@ -22,27 +23,28 @@
 
 var simConfig = LeaseConfig{ReleaseDuration: 2 * time.Second, MaxClockDrift: 0.1}
 
-// budgetSim is a fleet with capacity leases in one goroutine, in virtual time: clocks that drift, a network that drops,
-// delays and duplicates messages, nodes that are paused and restarted, owners that are replaced and go on all the same,
-// and versions that change the number of nodes. All draws come from the seed, so that a run can be repeated.
+// budgetSim simulates a fleet with capacity leases in one goroutine, in virtual time: clocks that drift, a network that
+// drops, delays and duplicates messages, nodes that are paused and restarted, owners that go on although they are
+// replaced, and versions that change the number of nodes. All random numbers come from the seed, so that a run can be
+// repeated.
 type budgetSim struct {
 	rng       *rand.Rand
 	omitted   guard
 	config    LeaseConfig
 	now       time.Duration
 	queue     eventQueue
-	lastOrder int // of the events that were scheduled
+	lastOrder int // order of the event that was scheduled last
 	nodes     []*simNode
 	owners    []*simOwner // ascending by token
-	ownShares []float64   // of each node without any lease, by epoch
-	epoch     uint64      // of the nodes' version
+	ownShares []float64   // share of each node without any lease, by epoch
+	epoch     uint64      // epoch of the nodes' version
 
-	violation    string  // "": none
-	granted      float64 // sum of all grants that arrived, in budgets
-	largestShare float64 // that a node could use, as a multiple of its own share
+	violation    string  // first violation; empty: none
+	granted      float64 // sum of all grants in replies that arrived, in budgets
+	largestShare float64 // largest share that a node could use, as a multiple of its own share
 }
 
-// newSim starts a fleet of nodes with a guard omitted.
+// newSim starts a fleet that omits a guard; noGuard omits none.
 func newSim(seed uint64, nodes int, omitted guard) *budgetSim {
 	s := &budgetSim{
 		rng:       rand.New(rand.NewPCG(40, seed)),
@@ -67,19 +69,19 @@
 	return s
 }
 
-// replaceOwner makes a node the owner by a higher token. The owners before go on.
+// replaceOwner makes a random node the owner, with a higher token. Earlier owners go on replying.
 func (s *budgetSim) replaceOwner() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	s.owners = append(s.owners, &simOwner{n, NewAllocator(uint64(len(s.owners)+1), s.config)})
 }
 
-// schedule has something happen after a time.
+// schedule calls do after a time.
 func (s *budgetSim) schedule(in time.Duration, do func()) {
 	s.lastOrder++
 	heap.Push(&s.queue, simEvent{s.now + in, s.lastOrder, do})
 }
 
-// runUntil plays all events up to a time, or up to the first violation.
+// runUntil runs all events up to a time, or up to the first violation.
 func (s *budgetSim) runUntil(end time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= end && s.violation == "" {
 		e := heap.Pop(&s.queue).(simEvent)
@@ -89,7 +91,8 @@
 	s.now = end
 }
 
-// checkBudget adds up what all nodes may use at this moment. Nodes that are down or paused use nothing.
+// checkBudget checks that the shares that all nodes may use at this moment do not exceed the budget. Nodes that are down
+// or paused use nothing.
 func (s *budgetSim) checkBudget() {
 	sum := 0.0
 	for _, n := range s.nodes {
@@ -101,6 +104,6 @@
 		sum += usable
 	}
 	if sum > 1+1e-9 && s.violation == "" {
-		s.violation = fmt.Sprintf("%v: %.6f of the budget", s.now, sum)
+		s.violation = fmt.Sprintf("%v: nodes may use %.6f of the budget, at most 1 is allowed", s.now, sum)
 	}
 }
--- a/internal/fleet/ownership/simevents_test.go
+++ b/internal/fleet/ownership/simevents_test.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// simEvent is something that happens at a time. Events of one time happen in the order in which they were scheduled.
+// simEvent is a function that is called at a virtual time. Events of the same time are called in the order in which they
+// were scheduled.
 type simEvent struct {
 	at    time.Duration
 	order int
--- a/internal/fleet/ownership/simfaults_test.go
+++ b/internal/fleet/ownership/simfaults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// runWithFaults plays a fleet under faults and changes until the first violation.
+// runWithFaults runs a fleet under faults and changes, up to the first violation.
 func runWithFaults(seed uint64, omitted guard) *budgetSim {
 	s := newSim(seed, 3+int(seed%4)*9, omitted)
 	for range 50 {
@@ -18,7 +18,7 @@
 	return s
 }
 
-// injectFault draws a fault of a node, or a change of the fleet.
+// injectFault injects a random fault of a node or a random change of the fleet.
 func (s *budgetSim) injectFault(n *simNode) {
 	switch s.rng.IntN(9) {
 	case 0:
@@ -38,7 +38,7 @@
 	}
 }
 
-// pause stops a node where it stands. What happened to it meanwhile happens when it goes on.
+// pause pauses a node's process. Events for the node are deferred until the pause ends.
 func (s *budgetSim) pause(n *simNode) {
 	n.pausedUntil = s.now + time.Duration(s.rng.Int64N(int64(4*time.Second)))
 	incarnation := n.incarnation
@@ -54,7 +54,7 @@
 	})
 }
 
-// addNodes brings a version with more nodes: all act on it before the new ones start.
+// addNodes applies a version with more nodes. All nodes act on the version before the new nodes start.
 func (s *budgetSim) addNodes() {
 	for range 1 + s.rng.IntN(3) {
 		added := &simNode{name: fmt.Sprint("n", len(s.nodes)), clockRate: 1, demand: 1, down: true}
@@ -69,7 +69,7 @@
 	}
 }
 
-// moveDemand makes the demand uneven: one node has more than the others.
+// moveDemand sets a demand of 1 at all nodes other than n, and a larger one at n.
 func (s *budgetSim) moveDemand(n *simNode) {
 	for _, other := range s.nodes {
 		other.demand = 1
--- a/internal/fleet/ownership/simnode_test.go
+++ b/internal/fleet/ownership/simnode_test.go
@@ -16,17 +16,17 @@
 	pausedUntil time.Duration // in true time
 	extraDelay  time.Duration // of all messages to and from the node
 	down        bool
-	deferred    []func() // what happened to the node while it was paused
-	epoch       uint64   // of its version
+	deferred    []func() // events that came during the pause
+	epoch       uint64   // epoch of the node's version
 }
 
-// simOwner is a node that was made the owner.
+// simOwner is a node that is, or was, the owner, with the allocator of its token.
 type simOwner struct {
 	node      *simNode
 	allocator *Allocator
 }
 
-// clock is what the node's clock shows at a true time.
+// clock returns what the node's clock shows at a true time.
 func (n *simNode) clock(now time.Duration) time.Duration {
 	return n.clockOffset + time.Duration(float64(now)*n.clockRate)
 }
@@ -42,7 +42,8 @@
 	s.scheduleRequest(n)
 }
 
-// scheduleOn has something happen to a node after a time, unless its process has ended by then.
+// scheduleOn calls do on a node after a time, or at the end of the node's pause if it is paused then. If the node's
+// process has ended by then, do is not called.
 func (s *budgetSim) scheduleOn(n *simNode, in time.Duration, do func()) {
 	incarnation := n.incarnation
 	s.schedule(in, func() {
@@ -57,7 +58,7 @@
 	})
 }
 
-// scheduleRequest has a node send its requests from its next renewal on.
+// scheduleRequest makes a node send its requests regularly, from the next RenewInterval on.
 func (s *budgetSim) scheduleRequest(n *simNode) {
 	interval := time.Duration(float64(s.config.RenewInterval()) / n.clockRate)
 	s.scheduleOn(n, interval, func() {
@@ -74,7 +75,7 @@
 		n.holder.released = n.holder.released[:len(n.holder.released)-1]
 	}
 	owner := s.owners[len(s.owners)-1]
-	if s.rng.IntN(4) == 0 { // the node knows an earlier owner
+	if s.rng.IntN(4) == 0 { // the node may still know an earlier owner
 		owner = s.owners[s.rng.IntN(len(s.owners))]
 	}
 	s.send(n, owner.node, func() {
@@ -83,7 +84,7 @@
 	})
 }
 
-// allocate has an owner handle a request that has arrived.
+// allocate makes an owner handle a request that has arrived.
 func (s *budgetSim) allocate(owner *simOwner, request LeaseRequest) LeaseReply {
 	now := owner.node.clock(s.now)
 	if s.omitted == releaseFromEcho {
@@ -97,7 +98,7 @@
 	return owner.allocator.Allocate(now, request)
 }
 
-// handleReply has a node handle the reply to a request.
+// handleReply makes a node handle the reply to a request.
 func (s *budgetSim) handleReply(n *simNode, request LeaseRequest, reply LeaseReply) {
 	now := n.clock(s.now)
 	if s.omitted == grantFromRequest {
--- a/internal/fleet/ownership/virtualtime_test.go
+++ b/internal/fleet/ownership/virtualtime_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// The sum of what all nodes may use at one moment never exceeds the budget, and what is released is granted.
+// Under random faults, the sum of what all nodes may use at one moment never exceeds the budget, and released shares are
+// granted to other nodes.
 func TestSharesNeverExceedTheBudget(t *testing.T) {
 	granted, largest := 0.0, 0.0
 	seeds := 1000
@@ -17,16 +18,16 @@
 		granted, largest = granted+s.granted, max(largest, s.largestShare)
 	}
 	if granted < float64(seeds)/10 || largest < 3 {
-		t.Errorf("%.1f budgets granted, %.1f times a node's own share at most: too little to say anything",
+		t.Errorf("%.1f budgets granted, at most %.1f times a node's own share used: too little to test the protocol",
 			granted, largest)
 	}
 	t.Logf("%d seeds: %.0f budgets were granted, up to %.1f times a node's own share", seeds, granted, largest)
 }
 
-// Each guard that is left out is found by the same runs.
+// The same runs find a violation for each guard that is omitted, which shows that they would find a fault in it.
 func TestGuards(t *testing.T) {
 	if raceEnabled {
-		t.Skip("played without the race detector")
+		t.Skip("skipped under the race detector: takes too long")
 	}
 	for _, omitted := range []guard{
 		deductBeforeReply, releaseFromEcho, grantFromRequest, clockDriftMargin, duplicateCheck, releaseBeforeStarts,
@@ -38,7 +39,7 @@
 					return
 				}
 			}
-			t.Error("not found in 2000 seeds")
+			t.Error("no violation found in 2000 seeds")
 		})
 	}
 }
