--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -29,7 +29,7 @@
 // ownership revisions the node no longer acts on.
 type LeaseRequest struct {
 	Node               string `json:"node"`
-	Incarnation        string `json:"life"`      // of the process: different after each start
+	Incarnation        string `json:"life"`      // identifies the node's process: different after each start
 	Sequence           uint64 `json:"seq"`       // matches grants to requests
 	ConfirmedEpoch     uint64 `json:"confirmed"` // the node no longer acts on epochs before this one
 	ConfirmedOwnership uint64 `json:"set"`       // the node no longer owns tasks by ownership revisions before this one
@@ -95,8 +95,8 @@
 	end      time.Duration
 }
 
-// NewLease creates a node's side of its leases; hasVersion reports whether the node could act on a version, and may
-// start to fetch it. DesiredVersions calls it.
+// NewLease creates a node's side of its leases. DesiredVersions calls hasVersion, which reports whether the node could act
+// on a version, and may start to fetch the version.
 func NewLease(config LeaseConfig, voters int, hasVersion func(number uint64) bool) *Lease {
 	return &Lease{
 		config: config, voters: voters, hasVersion: hasVersion,
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// MaxHolders is how many processes a voter grants leases to at once. A process that ended counts until its lease
+// MaxHolders is how many processes a voter grants leases to at once. A process that has ended counts until its lease
 // expires.
 const MaxHolders = 4096
 
@@ -25,7 +25,7 @@
 	holders    map[process]*processLeases // MaxHolders at most
 }
 
-// process is one run of a node's program.
+// process identifies a process of a node.
 type process struct{ node, incarnation string }
 
 // processLeases are the grants to one process.
--- a/internal/fleet/consensus/splits_test.go
+++ b/internal/fleet/consensus/splits_test.go
@@ -123,7 +123,7 @@
 			state.LastNumber, len(state.History))
 	}
 	if now > entries+3*(compactionInterval+compactionRetained) || after > before+before/4 {
-		t.Errorf("%d entries and %d KiB after a quarter of an hour, %d and %d KiB after an hour; want about the same",
+		t.Errorf("%d entries and %d KiB after a quarter of an hour, %d and %d KiB after an hour; want no growth",
 			entries, before>>10, now, after>>10)
 	}
 	t.Logf("%d versions: %d entries and %d KiB after a quarter of an hour, %d entries and %d KiB after an hour",
--- a/internal/fleet/consensus/state.go
+++ b/internal/fleet/consensus/state.go
@@ -12,7 +12,7 @@
 // time.
 type State struct {
 	Index          uint64     `json:"index"`   // log index of the last applied entry
-	Epoch          uint64     `json:"epoch"`   // epoch of the active version
+	Epoch          uint64     `json:"epoch"`   // current epoch
 	ActiveVersion  uint64     `json:"number"`  // number of the active version; 0: none yet
 	PendingVersion uint64     `json:"pending"` // number of the version that becomes active with epoch Epoch+1; 0: none
 	EpochAcks      []uint64   `json:"cleared"` // voters that have acknowledged the pending version's epoch, ascending
@@ -141,7 +141,7 @@
 	s.ActiveVersion, s.EpochVersions = m.Number, append(s.EpochVersions, m.Number)
 }
 
-// trimHistory drops old versions until the history is within its limits.
+// trimHistory drops old versions until the history is within its limits or all remaining versions are needed.
 func (s *State) trimHistory() {
 	newest := s.LastNumber
 	parts := 0
--- a/internal/fleet/consensus/taskassignment.go
+++ b/internal/fleet/consensus/taskassignment.go
@@ -13,7 +13,8 @@
 	// leasesBeforeOwning is how long a node must have held leases without a gap before it can own a task, as a multiple of
 	// the lease duration.
 	leasesBeforeOwning = 2
-	// maxAssignmentsPerTick spreads the takeover of many tasks over time.
+	// maxAssignmentsPerTick bounds the assignments that the leader proposes in one tick, which spreads the takeover of many
+	// tasks over time.
 	maxAssignmentsPerTick = 8
 	// proposalRetryTicks is the number of ticks (see Tick) after which a proposal that is not in the log yet is repeated:
 	// 300 ms.
@@ -64,15 +65,15 @@
 	}
 }
 
-// proposeOwnershipEnds proposes an OwnershipEnd for each task that is moved and whose former owner no longer acts on a
-// lease of this voter.
+// proposeOwnershipEnds proposes an OwnershipEnd for each task that is being moved and whose former owner can no longer
+// act as its owner by leases of this voter.
 func (v *Voter) proposeOwnershipEnds(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(v.state.Tasks)) {
 		task := v.state.Tasks[name]
 		if task.TransferIndex == 0 || slices.Contains(task.EndConfirmedBy, v.ID) {
 			continue
 		}
-		if v.shouldPropose("free "+name, task.TransferIndex) && v.leases.FormerOwnerEnded(now, task) {
+		if v.shouldPropose("ownership end of "+name, task.TransferIndex) && v.leases.FormerOwnerEnded(now, task) {
 			v.Propose(&Entry{OwnershipEnd: &OwnershipEnd{Task: name, TransferIndex: task.TransferIndex, VoterID: v.ID}})
 		}
 	}
@@ -92,7 +93,7 @@
 			continue
 		}
 		node, incarnation := ChooseOwner(name, live, v.EligibleOwners, now, leasesBeforeOwning*v.leases.config.Duration)
-		if node == "" || !v.shouldPropose("own "+name, task.Token) {
+		if node == "" || !v.shouldPropose("assignment of "+name, task.Token) {
 			continue
 		}
 		v.Propose(&Entry{Assignment: &TaskAssignment{
--- a/internal/fleet/consensus/tasks.go
+++ b/internal/fleet/consensus/tasks.go
@@ -16,7 +16,7 @@
 // TaskOwnership says which node runs a singleton task.
 type TaskOwnership struct {
 	Owner       string `json:"owner"` // name of the node; empty: none
-	Incarnation string `json:"life"`  // of the node's process
+	Incarnation string `json:"life"`  // incarnation of the owner's process
 	Token       uint64 `json:"token"` // fencing token: the log index of the ownership's start, so that tokens only grow
 	// TransferIndex is the log index at which the move of the task to NextOwner began; 0 if the task is not being moved.
 	TransferIndex   uint64   `json:"asked,omitempty"`
--- a/internal/fleet/lease/disconnected.go
+++ b/internal/fleet/lease/disconnected.go
@@ -13,9 +13,9 @@
 
 // The actions, the strictest first.
 const (
-	Refuse    DisconnectedAction = iota // refuse every request that the rule affects
-	Cautious                            // do only what no later version could contradict, and refuse the rest
-	ServeLast                           // go on as the last known version says, which a later version may contradict
+	Refuse    DisconnectedAction = iota // refuse all requests
+	Cautious                            // serve only what no later version could contradict, and refuse the rest
+	ServeLast                           // act on the last known version, which a later version may contradict
 )
 
 // disconnectedActions maps the words in configuration files to their actions.
@@ -30,14 +30,17 @@
 	return 0, fmt.Errorf("%q is none of %v", word, slices.Sorted(maps.Keys(disconnectedActions)))
 }
 
-// DisconnectedPolicy is what a node does after its lease has expired, by kind of rule.
+// DisconnectedPolicy is what a node does after its lease has expired, by kind of rule. If any of the actions is Refuse,
+// the node refuses all requests.
 type DisconnectedPolicy struct {
-	// Effects is for the idempotency of classes. Cautious: one attempt for each request, no hedged request and no retry.
+	// Effects is the action for the idempotency of classes. Under Cautious, each request gets one attempt, without hedged
+	// requests and retries.
 	Effects DisconnectedAction
-	// Routes is for the routes of classes that are not idempotent. Cautious: their requests are refused.
+	// Routes is the action for the routes of classes that are not idempotent, or only by key. Under Cautious, the requests
+	// of these classes are refused.
 	Routes DisconnectedAction
-	// Servers is for the lists of endpoints. Cautious: only idempotent requests are served, and none by endpoints that
-	// may still be warming up.
+	// Servers is the action for the endpoint lists. Under Cautious, only idempotent requests are served, and none by
+	// endpoints that may still be warming up.
 	Servers DisconnectedAction
 	// MaxDuration is how long the node serves by this policy, counted from when the policy is applied; 0: without limit.
 	MaxDuration time.Duration
--- a/internal/fleet/ownership/allocator.go
+++ b/internal/fleet/ownership/allocator.go
@@ -22,8 +22,8 @@
 
 // nodeState is an allocator's record of a node.
 type nodeState struct {
-	incarnation string          // of the latest request
-	sequence    uint64          // of the latest request
+	incarnation string          // incarnation in the latest request
+	sequence    uint64          // sequence of the latest request
 	demand      float64         // requests per second, by the latest request
 	lastRequest time.Duration   // time of the latest request, on the owner's clock
 	granted     []capacityLease // grants to the node
--- a/internal/fleet/ownership/holder.go
+++ b/internal/fleet/ownership/holder.go
@@ -18,8 +18,8 @@
 	released     []capacityLease          // parts of the node's own share that other nodes may use
 	granted      []capacityLease          // parts of other nodes' shares
 	requestedAt  map[uint64]time.Duration // when each outstanding request was made, by sequence
-	sequence     uint64                   // of the latest request
-	echo         Nonce                    // of the latest reply
+	sequence     uint64                   // sequence of the latest request
+	echo         Nonce                    // nonce of the latest reply
 	fleetDemand  float64                  // demand of all nodes by the latest reply, in requests per second
 }
 
