--- a/internal/fleet/consensus/taskassignment.go
+++ b/internal/fleet/consensus/taskassignment.go
@@ -10,17 +10,20 @@
 )
 
 const (
-	// leasesBeforeOwning is for how many leases' durations a node has to have leases without a gap before it owns a task.
+	// leasesBeforeOwning is how long a node must have held leases without a gap before it can own a task, as a multiple of
+	// the lease duration.
 	leasesBeforeOwning = 2
-	// maxAssignmentsPerTick spreads the takeover of many tasks over time.
+	// maxAssignmentsPerTick bounds the assignments that the leader proposes in one tick, which spreads the takeover of many
+	// tasks over time.
 	maxAssignmentsPerTick = 8
-	// proposalRetryTicks is after how many ticks (see Tick) a proposal that the log doesn't show is repeated: 300 ms.
+	// proposalRetryTicks is the number of ticks (see Tick) after which a proposal that is not in the log yet is repeated:
+	// 300 ms.
 	proposalRetryTicks = 10
 )
 
 // ChooseOwner returns the process that should own a task, by rendezvous hashing over the eligible nodes that have had
-// leases without a gap for minLeaseAge: a node that fails moves no tasks but its own. It returns empty strings if there
-// is none.
+// leases without a gap for minLeaseAge. With rendezvous hashing, the failure of a node moves only the tasks of that
+// node. If no node qualifies, ChooseOwner returns empty strings.
 func ChooseOwner(
 	task string, live map[string]LiveProcess, eligible []string, now, minLeaseAge time.Duration,
 ) (node, incarnation string) {
@@ -37,7 +40,7 @@
 	return node, incarnation
 }
 
-// ownerScore is the rendezvous hash of a node and a task.
+// ownerScore returns the rendezvous hash of a node and a task.
 func ownerScore(node, task string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, node)
@@ -46,14 +49,15 @@
 	return splitMix64(h.Sum64())
 }
 
-// splitMix64 is the finalizer of SplitMix64: it spreads a difference in a hash's low bits over all of its bits.
+// splitMix64 applies the finalizer of SplitMix64, which spreads a difference in a hash's low bits over all of its bits.
 func splitMix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// manageTasks proposes the ends of ownership that this voter can confirm and, at the leader, new assignments.
+// manageTasks proposes the ends of ownership that this voter can confirm and, if this voter is the leader, new
+// assignments.
 func (v *Voter) manageTasks(now time.Duration) {
 	v.proposeOwnershipEnds(now)
 	if v.Leader() == v.ID && now >= v.leases.quietUntil {
@@ -61,21 +65,21 @@
 	}
 }
 
-// proposeOwnershipEnds proposes an OwnershipEnd for each task that is moved and whose former owner no longer acts on a
-// lease of this voter.
+// proposeOwnershipEnds proposes an OwnershipEnd for each task that is being moved and whose former owner can no longer
+// act as its owner by leases of this voter.
 func (v *Voter) proposeOwnershipEnds(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(v.state.Tasks)) {
 		task := v.state.Tasks[name]
 		if task.TransferIndex == 0 || slices.Contains(task.EndConfirmedBy, v.ID) {
 			continue
 		}
-		if v.shouldPropose("free "+name, task.TransferIndex) && v.leases.FormerOwnerEnded(now, task) {
+		if v.shouldPropose("ownership end of "+name, task.TransferIndex) && v.leases.FormerOwnerEnded(now, task) {
 			v.Propose(&Entry{OwnershipEnd: &OwnershipEnd{Task: name, TransferIndex: task.TransferIndex, VoterID: v.ID}})
 		}
 	}
 }
 
-// assignTasks gives tasks without an owner, or whose owner holds no lease, to other nodes.
+// assignTasks proposes assignments for tasks that have no owner or whose owner holds no lease.
 func (v *Voter) assignTasks(now time.Duration) {
 	if len(v.Tasks) == 0 {
 		return
@@ -89,7 +93,7 @@
 			continue
 		}
 		node, incarnation := ChooseOwner(name, live, v.EligibleOwners, now, leasesBeforeOwning*v.leases.config.Duration)
-		if node == "" || !v.shouldPropose("own "+name, task.Token) {
+		if node == "" || !v.shouldPropose("assignment of "+name, task.Token) {
 			continue
 		}
 		v.Propose(&Entry{Assignment: &TaskAssignment{
@@ -101,22 +105,22 @@
 	}
 }
 
-// recentProposal is when something was proposed last, and at which state of its subject.
+// recentProposal records the latest proposal about a subject.
 type recentProposal struct {
-	revision uint64
-	tick     int
+	revision uint64 // revision of the subject at that time
+	tick     int    // value of Voter.ticks at that time
 }
 
-// shouldPropose reports whether something has not been proposed within the last ticks for the same revision of its
-// subject, and records that it is proposed now.
-func (v *Voter) shouldPropose(what string, revision uint64) bool {
-	last, known := v.recentProposals[what]
+// shouldPropose reports whether the latest proposal about a subject was for another revision of the subject or at least
+// proposalRetryTicks ago. If so, it records that a proposal is made now.
+func (v *Voter) shouldPropose(subject string, revision uint64) bool {
+	last, known := v.recentProposals[subject]
 	if known && last.revision == revision && v.ticks-last.tick < proposalRetryTicks {
 		return false
 	}
 	if v.recentProposals == nil || len(v.recentProposals) > maxOwnershipRevisions {
 		v.recentProposals = map[string]recentProposal{}
 	}
-	v.recentProposals[what] = recentProposal{revision, v.ticks}
+	v.recentProposals[subject] = recentProposal{revision, v.ticks}
 	return true
 }
