--- a/internal/fleet/store/content.go
+++ b/internal/fleet/store/content.go
@@ -9,16 +9,18 @@
 	"go.etcd.io/bbolt"
 )
 
-// MaxContent is how many bytes of content a store has at most. A version that needs more is refused.
+// MaxContent is the maximum total size of a store's content, in bytes. A version that needs more is refused, since
+// Store.Put refuses its content.
 const MaxContent = 1 << 30
 
-// Hash is the key of content: its SHA-256 in hexadecimal.
+// Hash returns the key of content: its SHA-256 hash in hexadecimal.
 func Hash(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// Put stores content. It is durable when Put returns nil. Content beyond MaxContent is refused.
+// Put stores content under its Hash. The content is durable once Put returns nil. Put refuses content that would exceed
+// MaxContent; later writes still succeed.
 func (s *Store) Put(data []byte) error {
 	name := []byte(Hash(data))
 	added := int64(0)
@@ -28,7 +30,8 @@
 			return nil
 		}
 		if s.size+int64(len(data)) > MaxContent {
-			return &refusedError{fmt.Sprintf("%s: over %d bytes of content", s.path, int64(MaxContent))}
+			return &refusedError{fmt.Sprintf("%s: content refused: the store would exceed its maximum of %d bytes of content",
+				s.path, int64(MaxContent))}
 		}
 		added = int64(len(data))
 		return b.Put(name, data)
@@ -41,8 +44,8 @@
 	return err
 }
 
-// Get returns content; nil without an error if it isn't there. Content that no longer matches its hash is deleted,
-// and has to be fetched from another node again.
+// Get returns the content with a hash. It returns nil without an error if the store doesn't have the content, or has
+// content that no longer matches the hash: Get deletes such content, which must be fetched from another node again.
 func (s *Store) Get(hash string) (data []byte, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		data = bytes.Clone(tx.Bucket(bucketContent).Get([]byte(hash)))
@@ -54,7 +57,7 @@
 	return data, err
 }
 
-// Sweep deletes content whose hash is not in the map.
+// Sweep deletes all content whose hash is not a key of retained.
 func (s *Store) Sweep(retained map[string]int) error {
 	size := int64(0)
 	err := s.update(func(tx *bbolt.Tx) error {
--- a/internal/fleet/store/doc.go
+++ b/internal/fleet/store/doc.go
@@ -1,9 +1,10 @@
-// Package store is the durable state of a node of a fleet: a voter's raft log, the content of versions, the last
-// version that the node acted on, and the starts of voters. It is one bbolt file, whose transactions are atomic. Values
-// have a checksum of their own, since the database has none for its pages; content is named by its hash.
+// Package store holds the durable state of a node of a fleet: a voter's Raft log, the content of versions, the last
+// version that the node acted on, and the starts of voters. A store is one bbolt file, whose transactions are atomic.
+// Since bbolt has no checksums for its pages, each value has a checksum of its own, and the key of content is the hash
+// of the content.
 //
-// The way of a voter's work: Store.Save makes its entries and snapshot durable before any message is sent,
-// Store.CompactTo replaces the start of the log by a snapshot, and Store.Voter reads all of it at the next start.
-// Content is stored with Store.Put before a version that names it is proposed, and deleted by Store.Sweep once no
-// version names it.
+// A voter makes its hard state, entries and snapshots durable with Store.Save before it sends any message, replaces the
+// start of its log by a snapshot with Store.CompactTo, and reads its state with Store.Voter at its next start. Content
+// is stored with Store.Put before a version that names it is proposed, and deleted by Store.Sweep once no version names
+// it.
 package store
--- a/internal/fleet/store/encoding.go
+++ b/internal/fleet/store/encoding.go
@@ -11,23 +11,24 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// castagnoli is the polynomial of the checksums.
+// castagnoli is the table of the checksums' polynomial (CRC-32C).
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// withChecksum prepends a checksum to a value, since the database has none for its pages.
+// withChecksum prepends a checksum to a value, since bbolt has no checksums for its pages.
 func withChecksum(data []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(data, castagnoli)), data...)
 }
 
-// verifyChecksum returns a value without its checksum, or an error that says what is damaged.
+// verifyChecksum returns a value without its checksum. If the checksum does not match or the value is missing, it
+// returns an error that names the value by what.
 func verifyChecksum(what string, value []byte) ([]byte, error) {
 	if len(value) < 4 || binary.BigEndian.Uint32(value) != crc32.Checksum(value[4:], castagnoli) {
-		return nil, fmt.Errorf("%s is damaged: its checksum doesn't fit", what)
+		return nil, fmt.Errorf("%s is damaged: its checksum does not match", what)
 	}
 	return bytes.Clone(value[4:]), nil
 }
 
-// putMessage encodes a message of the raft library and stores it with a checksum.
+// putMessage encodes a protobuf message of the Raft library and stores the encoding with a checksum.
 func putMessage(b *bbolt.Bucket, name []byte, m proto.Message) error {
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -36,7 +37,8 @@
 	return b.Put(name, withChecksum(data))
 }
 
-// getMessage verifies and decodes a message of the raft library.
+// getMessage reads a protobuf message of the Raft library into to, and returns an error if the stored message is missing
+// or damaged.
 func getMessage(b *bbolt.Bucket, name []byte, to proto.Message) error {
 	data, err := verifyChecksum(string(name), b.Get(name))
 	if err != nil {
@@ -48,7 +50,7 @@
 	return nil
 }
 
-// putJSON encodes a value as JSON and stores it with a checksum.
+// putJSON encodes a value as JSON and stores the encoding with a checksum.
 func putJSON(b *bbolt.Bucket, key []byte, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -57,7 +59,8 @@
 	return b.Put(key, withChecksum(text))
 }
 
-// getJSON verifies and decodes a value. A missing value leaves to unchanged.
+// getJSON reads a value that putJSON stored into to, and returns an error if the stored value is damaged. If the key has
+// no value, getJSON leaves to unchanged.
 func getJSON(b *bbolt.Bucket, key []byte, to any) error {
 	value := b.Get(key)
 	if value == nil {
--- a/internal/fleet/store/golden_test.go
+++ b/internal/fleet/store/golden_test.go
@@ -18,7 +18,7 @@
 
 const goldenStore = "testdata/golden/agree.db"
 
-// goldenContent is the content in the golden store, and goldenHash its key.
+// goldenContent is the content in the golden store; goldenHash is the key of goldenContent.
 const (
 	goldenContent = "content-a"
 	goldenHash    = "f245bf6913791c35ae6570bbb86958c35ac200bf95291ca841ef96d4b2cdf5f6"
@@ -29,7 +29,7 @@
 	return Identity{Fleet: "fleet-a", Name: "voter-a", ID: 3, Voters: []uint64{3, 4, 5}}
 }
 
-// goldenWork returns what is saved in the golden store's log.
+// goldenWork returns the hard state and the entries in the golden store.
 func goldenWork() consensus.ReadyWork {
 	return consensus.ReadyWork{
 		HardState: &pb.HardState{Term: new(uint64(7)), Vote: new(uint64(5)), Commit: new(uint64(2))},
@@ -49,7 +49,7 @@
 	}
 }
 
-// The starts in the golden store: its own voter's and another one's.
+// The starts in the golden store: goldenStart of the store's own voter, goldenOtherStart of another voter.
 var (
 	goldenStart      = VoterStart{Name: "voter-a", Count: 1, Nonce: "nonce-a"}
 	goldenOtherStart = VoterStart{Name: "voter-b", Count: 9, Nonce: "nonce-b"}
@@ -84,7 +84,7 @@
 	return dir
 }
 
-// storeValues returns all keys and values of a store as they are on the disk.
+// storeValues returns all values of a store as they are on disk, by "bucket/key".
 func storeValues(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(dir, "agree.db"), 0o600, &bbolt.Options{ReadOnly: true})
@@ -115,29 +115,29 @@
 	defer s.Close()
 	id, disk, err := s.Voter()
 	if err != nil || !reflect.DeepEqual(id, goldenIdentity()) {
-		t.Errorf("identity %+v, %v", id, err)
+		t.Errorf("got identity %+v, error %v; want goldenIdentity and no error", id, err)
 	}
 	work := goldenWork()
 	if !proto.Equal(disk.HardState, work.HardState) {
-		t.Errorf("hard state %v", disk.HardState)
+		t.Errorf("got hard state %v, want that of goldenWork", disk.HardState)
 	}
 	if want := consensus.InitialDiskState([]uint64{3, 4, 5}).Snapshot; !proto.Equal(disk.Snapshot, want) || disk.Snapshot.GetMetadata().GetIndex() != 1 {
-		t.Errorf("snapshot %v", disk.Snapshot)
+		t.Errorf("got snapshot %v, want the initial one of voters 3, 4 and 5, with index 1", disk.Snapshot)
 	}
 	if len(disk.Entries) != 2 || !proto.Equal(disk.Entries[0], work.Entries[0]) || !proto.Equal(disk.Entries[1], work.Entries[1]) {
-		t.Errorf("entries %v", disk.Entries)
+		t.Errorf("got entries %v, want those of goldenWork", disk.Entries)
 	}
 	if data, err := s.Get(goldenHash); err != nil || !bytes.Equal(data, []byte(goldenContent)) {
-		t.Errorf("content %q, %v", data, err)
+		t.Errorf("got content %q, error %v; want goldenContent and no error", data, err)
 	}
 	if m, err := s.LastVersion(); err != nil || !reflect.DeepEqual(m, goldenVersion()) {
-		t.Errorf("last version %+v, %v", m, err)
+		t.Errorf("got last version %+v, error %v; want goldenVersion and no error", m, err)
 	}
 	if ok, latest, err := s.RecordStart(VoterStart{Name: "voter-b", Count: 8, Nonce: "nonce-c"}); ok || latest != goldenOtherStart || err != nil {
-		t.Errorf("other voter's start %+v, %v, %v", latest, ok, err)
+		t.Errorf("recording an older start of voter-b: got latest start %+v, is latest %v, error %v; want goldenOtherStart, false, nil", latest, ok, err)
 	}
 	if next, err := s.NextStart("voter-a", "nonce-d"); err != nil || next != (VoterStart{Name: "voter-a", Count: 2, Nonce: "nonce-d"}) {
-		t.Errorf("next start %+v, %v", next, err)
+		t.Errorf("got next start %+v, error %v; want voter-a with count 2 and nonce nonce-d, no error", next, err)
 	}
 }
 
@@ -147,13 +147,13 @@
 	got, want := storeValues(t, dir), storeValues(t, copyGoldenStore(t))
 	for k, v := range want {
 		if got[k] != v {
-			t.Errorf("%q is written as %q; want %q", k, got[k], v)
+			t.Errorf("value of %q: got %q, want %q", k, got[k], v)
 		}
 	}
 	if len(got) != len(want) || len(want) != 9 {
-		t.Errorf("%d values written, %d in the golden file; want 9", len(got), len(want))
+		t.Errorf("got %d values written and %d in the golden store, want 9 in both", len(got), len(want))
 	}
 	if got["meta/life"][4:] != `{"name":"voter-a","count":1,"nonce":"nonce-a"}` {
-		t.Errorf("own start %q", got["meta/life"])
+		t.Errorf("got %q as the stored start of the store's own voter, want voter-a with count 1 and nonce-a as JSON", got["meta/life"])
 	}
 }
--- a/internal/fleet/store/lastversion.go
+++ b/internal/fleet/store/lastversion.go
@@ -8,7 +8,8 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// SaveLastVersion records the version that the node acted on last, for a start without a quorum.
+// SaveLastVersion records the version that the node acted on last. The node uses this version when it starts without a
+// quorum.
 func (s *Store) SaveLastVersion(m *consensus.Manifest) error {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -17,7 +18,7 @@
 	return s.update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyLastVersion, withChecksum(text)) })
 }
 
-// LastVersion returns the version that SaveLastVersion recorded; nil: none.
+// LastVersion returns the version that SaveLastVersion recorded last, or nil if no version was recorded.
 func (s *Store) LastVersion() (m *consensus.Manifest, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		value := tx.Bucket(bucketMeta).Get(keyLastVersion)
--- a/internal/fleet/store/norace_test.go
+++ b/internal/fleet/store/norace_test.go
@@ -2,4 +2,4 @@
 
 package store
 
-const raced = false
+const raceEnabled = false
--- a/internal/fleet/store/race_test.go
+++ b/internal/fleet/store/race_test.go
@@ -2,4 +2,4 @@
 
 package store
 
-const raced = true
+const raceEnabled = true
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -28,18 +28,19 @@
 	keyLastVersion = []byte("last")
 )
 
-// Store is an open store. Its methods are safe for concurrent use. After a failed write nothing is written any more,
-// since it is unknown what the disk has then.
+// Store is an open store. Its methods are safe for concurrent use. After a failed write it is unknown what the file
+// contains, so all later writes fail with the same error.
 type Store struct {
 	path string
 	db   *bbolt.DB
 
 	mu     sync.Mutex // guards failed and size, and is held during each write transaction
-	failed error      // of the first write that failed; nil: none has
-	size   int64      // bytes of content
+	failed error      // the error of the first failed write; nil: no write has failed
+	size   int64      // total size of the content, in bytes
 }
 
-// Open opens the store of a folder and creates it if there is none. It fails while another process has the store open.
+// Open opens the store in a folder, and creates the folder and the store if they don't exist. Open fails while another
+// process has the store open.
 func Open(dir string) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -47,7 +48,7 @@
 	path := filepath.Join(dir, "agree.db")
 	db, err := open(path)
 	if errors.Is(err, berrors.ErrTimeout) {
-		return nil, fmt.Errorf("%s: another process has it open", path)
+		return nil, fmt.Errorf("%s: another process has the store open", path)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -76,19 +77,19 @@
 	return s, nil
 }
 
-// recoverDamage returns a function to be deferred that turns into an error what the library does on a damaged file: it
-// panics, or faults past the end of a truncated mapping.
+// recoverDamage returns a function that, when deferred, stores a panic as an error in err. With a damaged file, bbolt
+// panics or reads past the end of the mapped file; SetPanicOnFault turns the memory fault of such a read into a panic.
 func recoverDamage(err *error) func() {
 	previous := debug.SetPanicOnFault(true)
 	return func() {
 		debug.SetPanicOnFault(previous)
 		if r := recover(); r != nil {
-			*err = fmt.Errorf("is damaged: %v", r)
+			*err = fmt.Errorf("the file is damaged: %v", r)
 		}
 	}
 }
 
-// open opens the database file, and returns an error where the library panics.
+// open opens the database file, and returns an error if bbolt panics.
 func open(path string) (db *bbolt.DB, err error) {
 	defer recoverDamage(&err)()
 	return bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
@@ -97,7 +98,8 @@
 // Close closes the store. No other method may be called afterwards.
 func (s *Store) Close() error { return s.db.Close() }
 
-// update runs a write transaction, unless an earlier one failed.
+// update runs a write transaction. After a failed transaction, update runs no further ones and returns the error of
+// the failed one. A transaction that returned a refusedError has not failed.
 func (s *Store) update(do func(*bbolt.Tx) error) (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,28 +107,29 @@
 		return s.failed
 	}
 	var refused *refusedError
-	if err = s.try(s.db.Update, do); err != nil && !errors.As(err, &refused) {
+	if err = s.runTransaction(s.db.Update, do); err != nil && !errors.As(err, &refused) {
 		s.failed = fmt.Errorf("%s: nothing is written after a failure: %w", s.path, err)
 		return s.failed
 	}
 	return err
 }
 
-// try runs a transaction and turns panics into errors.
-func (s *Store) try(run func(func(*bbolt.Tx) error) error, do func(*bbolt.Tx) error) (err error) {
+// runTransaction runs a transaction and returns a panic of bbolt as an error.
+func (s *Store) runTransaction(run func(func(*bbolt.Tx) error) error, do func(*bbolt.Tx) error) (err error) {
 	defer recoverDamage(&err)()
 	return run(do)
 }
 
 // view runs a read transaction.
 func (s *Store) view(do func(*bbolt.Tx) error) error {
-	if err := s.try(s.db.View, do); err != nil {
+	if err := s.runTransaction(s.db.View, do); err != nil {
 		return fmt.Errorf("%s: %w", s.path, err)
 	}
 	return nil
 }
 
-// refusedError is why a transaction was refused, rather than failed.
+// refusedError is the error of a write transaction that refused its input before it wrote anything. Later writes are
+// still allowed.
 type refusedError struct{ text string }
 
 func (r *refusedError) Error() string { return r.text }
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -20,32 +20,33 @@
 	return &pb.Entry{Index: &index, Term: &term, Data: []byte(text)}
 }
 
-func hard(term, commit uint64) *pb.HardState { return &pb.HardState{Term: &term, Commit: &commit} }
+func hardState(term, commit uint64) *pb.HardState { return &pb.HardState{Term: &term, Commit: &commit} }
 
-var me = Identity{Fleet: "f", Name: "a", ID: 1, Voters: []uint64{1, 2, 3}}
+var testIdentity = Identity{Fleet: "f", Name: "a", ID: 1, Voters: []uint64{1, 2, 3}}
 
-func made(t *testing.T, dir string) *Store {
+// initStore returns an open store that is initialized for testIdentity.
+func initStore(t *testing.T, dir string) *Store {
 	t.Helper()
 	s, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Init(me); err != nil {
+	if err := s.Init(testIdentity); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// The store holds what a plain list holds, over drawn writes and starts.
+// Over random saves, compactions and reopenings, the store returns the same entries as a slice that models the log.
 func TestAgainstAList(t *testing.T) {
 	dir := t.TempDir()
-	s := made(t, dir)
+	s := initStore(t, dir)
 	rng := rand.New(rand.NewPCG(41, 1))
 	var list []string
 	first, term := uint64(2), uint64(1)
 	for i := range 120 {
 		switch rng.IntN(6) {
-		case 0: // a new leader's entries replace some
+		case 0: // a new leader's entries replace the end of the log
 			term++
 			list = list[:rng.IntN(len(list)+1)]
 		case 1:
@@ -53,7 +54,7 @@
 				at := first + uint64(n/2)
 				data := []byte("{}")
 				snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: &at, Term: &term,
-					ConfState: &pb.ConfState{Voters: me.Voters}}}
+					ConfState: &pb.ConfState{Voters: testIdentity.Voters}}}
 				if err := s.CompactTo(snap); err != nil {
 					t.Fatal(err)
 				}
@@ -67,7 +68,7 @@
 				t.Fatal(err)
 			}
 		}
-		w := consensus.ReadyWork{HardState: hard(term, first-1)}
+		w := consensus.ReadyWork{HardState: hardState(term, first-1)}
 		for range 1 + rng.IntN(3) {
 			text := fmt.Sprint(i, rng.IntN(100))
 			w.Entries = append(w.Entries, entry(first+uint64(len(list)), term, text))
@@ -84,8 +85,8 @@
 		for _, e := range disk.Entries {
 			got = append(got, string(e.Data))
 		}
-		if !slices.Equal(got, list) || disk.HardState.GetTerm() != term || id.Name != me.Name {
-			t.Fatalf("%v; want %v", got, list)
+		if !slices.Equal(got, list) || disk.HardState.GetTerm() != term || id.Name != testIdentity.Name {
+			t.Fatalf("got entries %v, want %v; or the hard state or the identity differs", got, list)
 		}
 	}
 	s.Close()
@@ -98,35 +99,36 @@
 		t.Fatal(err)
 	}
 	if _, _, err := s.Voter(); !errors.Is(err, ErrNotInitialized) {
-		t.Errorf("an empty store: %v", err)
+		t.Errorf("Voter of an empty store: got error %v, want ErrNotInitialized", err)
 	}
-	if err := s.Init(me); err != nil {
+	if err := s.Init(testIdentity); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Init(me); err == nil {
-		t.Error("made twice")
+	if err := s.Init(testIdentity); err == nil {
+		t.Error("a second Init succeeded, want an error")
 	}
 	if err := s.Put([]byte("after a refusal")); err != nil {
-		t.Errorf("a refusal stops the store: %v", err)
+		t.Errorf("Put after a refused Init: got error %v, want none", err)
 	}
 	if _, err := Open(dir); err == nil {
-		t.Error("two have it open")
+		t.Error("a second Open of an open store succeeded, want an error")
 	}
 	if m, err := s.LastVersion(); m != nil || err != nil {
-		t.Errorf("%v, %v", m, err)
+		t.Errorf("before a version is saved: got last version %v, error %v; want none", m, err)
 	}
 	if err := s.SaveLastVersion(&consensus.Manifest{Number: 7}); err != nil {
 		t.Fatal(err)
 	}
 	if m, err := s.LastVersion(); err != nil || m.Number != 7 {
-		t.Errorf("%v, %v", m, err)
+		t.Errorf("got last version %v, error %v; want number 7 and no error", m, err)
 	}
 	s.Close()
 }
 
-// Content is there by its hash, or not at all; what nobody refers to goes.
+// Content can be read by its hash; Sweep deletes the content that is not retained, Get doesn't return damaged content,
+// and Put refuses content beyond MaxContent.
 func TestContent(t *testing.T) {
-	s := made(t, t.TempDir())
+	s := initStore(t, t.TempDir())
 	defer s.Close()
 	a, b := []byte("a"), bytes.Repeat([]byte("b"), 1<<20)
 	for _, data := range [][]byte{a, b, a} {
@@ -135,36 +137,37 @@
 		}
 	}
 	if s.size != int64(len(a)+len(b)) {
-		t.Errorf("%d bytes", s.size)
+		t.Errorf("got a size of %d bytes, want that of a and b, each counted once", s.size)
 	}
 	if err := s.Sweep(map[string]int{Hash(a): 1}); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := s.Get(Hash(b)); got != nil || err != nil || s.size != 1 {
-		t.Errorf("%d bytes left of b, %v; %d", len(got), err, s.size)
+		t.Errorf("content b after Sweep: got %d bytes, error %v, store size %d; want 0 bytes, no error, size 1", len(got), err, s.size)
 	}
 	s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketContent).Put([]byte(Hash(a)), []byte("x")) })
 	if got, err := s.Get(Hash(a)); got != nil || err != nil {
-		t.Errorf("damaged content: %q, %v", got, err)
+		t.Errorf("damaged content: got %q, error %v; want neither", got, err)
 	}
 	s.size = MaxContent
 	if err := s.Put([]byte("more")); err == nil {
-		t.Error("over the limit")
+		t.Error("Put beyond MaxContent succeeded, want an error")
 	}
 }
 
-// A file that was cut at any length, or in which any bit flipped, is refused or holds whole entries: never other ones.
+// A store whose file was truncated at a random length, or in which a random bit was flipped, can't be opened or read, or
+// returns entries as they were saved.
 func TestDamagedFile(t *testing.T) {
 	dir := t.TempDir()
-	s := made(t, dir)
+	s := initStore(t, dir)
 	for i := range uint64(6) {
-		if err := s.Save(consensus.ReadyWork{HardState: hard(1, 1),
+		if err := s.Save(consensus.ReadyWork{HardState: hardState(1, 1),
 			Entries: []*pb.Entry{entry(2+i, 1, fmt.Sprint("text ", i))}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	s.Close()
-	whole, err := os.ReadFile(filepath.Join(dir, "agree.db"))
+	intact, err := os.ReadFile(filepath.Join(dir, "agree.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,36 +187,38 @@
 		}
 		for i, e := range disk.Entries {
 			if string(e.Data) != fmt.Sprint("text ", i) || e.GetIndex() != uint64(2+i) {
-				t.Fatalf("%s: entry %d is %q", what, e.GetIndex(), e.Data)
+				t.Fatalf("file %s: entry %d is %q, which was never saved at that index", what, e.GetIndex(), e.Data)
 			}
 		}
 		return len(disk.Entries) == 6
 	}
-	if !check("whole", whole) {
-		t.Fatal("the whole file is not taken")
+	if !check("intact", intact) {
+		t.Fatal("the intact file was not read with all 6 entries")
 	}
-	if raced { // the checks of pointers that come with the detector end the process at what is an error without them
-		t.Skip("played without the race detector")
+	// The race detector enables pointer checks (checkptr) that end the process where bbolt reads a damaged file; without
+	// them Open or Voter returns an error.
+	if raceEnabled {
+		t.Skip("damaged files are tested only without the race detector")
 	}
 	rng := rand.New(rand.NewPCG(41, 2))
 	for range 600 {
-		at := rng.IntN(len(whole))
-		check(fmt.Sprint("cut at ", at), whole[:at])
-		flipped := bytes.Clone(whole)
+		at := rng.IntN(len(intact))
+		check(fmt.Sprint("truncated at byte ", at), intact[:at])
+		flipped := bytes.Clone(intact)
 		flipped[at] ^= 1 << rng.IntN(8)
-		check(fmt.Sprint("flipped at ", at), flipped)
+		check(fmt.Sprint("with a bit flipped in byte ", at), flipped)
 	}
 }
 
-// After a write that failed nothing is claimed any more.
+// After a failed write, later writes fail with the error of the failed one.
 func TestNothingAfterAFailure(t *testing.T) {
-	s := made(t, t.TempDir())
-	boom := errors.New("no space left")
-	if err := s.update(func(*bbolt.Tx) error { return boom }); !errors.Is(err, boom) {
+	s := initStore(t, t.TempDir())
+	errWrite := errors.New("no space left")
+	if err := s.update(func(*bbolt.Tx) error { return errWrite }); !errors.Is(err, errWrite) {
 		t.Fatal(err)
 	}
-	if err := s.Save(consensus.ReadyWork{HardState: hard(2, 1)}); !errors.Is(err, boom) {
-		t.Errorf("written after a failure: %v", err)
+	if err := s.Save(consensus.ReadyWork{HardState: hardState(2, 1)}); !errors.Is(err, errWrite) {
+		t.Errorf("Save after a failed write: got error %v, want that of the failed write", err)
 	}
 	s.Close()
 }
--- a/internal/fleet/store/voterlog.go
+++ b/internal/fleet/store/voterlog.go
@@ -14,20 +14,21 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// Identity says which voter a store belongs to. Init writes it once.
+// Identity identifies the voter that a store belongs to. Store.Init writes the identity once.
 type Identity struct {
 	Fleet  string   `json:"fleet"`
-	Name   string   `json:"name"`   // of the voter
-	ID     uint64   `json:"id"`     // of the voter in the log
-	Voters []uint64 `json:"voters"` // ids of all voters
+	Name   string   `json:"name"`   // the voter's name
+	ID     uint64   `json:"id"`     // the voter's id in the Raft log
+	Voters []uint64 `json:"voters"` // ids of all voters of the fleet
 }
 
-// ErrNotInitialized is returned for a store that Init was never called on, or that was lost.
+// ErrNotInitialized is returned by Store.Voter for a store that belongs to no voter: Store.Init was never called on it,
+// or the initialized store was lost and a new one created.
 var ErrNotInitialized = errors.New("the store was not made by `yokestall fleet init`")
 
-// Init makes the store that of a voter of a new fleet. It fails if the store belongs to a voter already.
+// Init initializes the store for a voter of a new fleet. Init fails if the store belongs to a voter already.
 func (s *Store) Init(id Identity) error {
-	first := consensus.InitialDiskState(id.Voters)
+	initial := consensus.InitialDiskState(id.Voters)
 	return s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if meta.Get(keyIdentity) != nil {
@@ -40,15 +41,16 @@
 		if err := meta.Put(keyIdentity, withChecksum(text)); err != nil {
 			return err
 		}
-		if err := putMessage(meta, keyHardState, first.HardState); err != nil {
+		if err := putMessage(meta, keyHardState, initial.HardState); err != nil {
 			return err
 		}
-		return putMessage(meta, keySnapshot, first.Snapshot)
+		return putMessage(meta, keySnapshot, initial.Snapshot)
 	})
 }
 
-// Voter returns the identity of the voter that the store belongs to, and the voter's log. Without a voter the error
-// wraps ErrNotInitialized; any other error means that the store is damaged or was not read.
+// Voter returns the identity of the voter that the store belongs to, and the voter's hard state, snapshot and entries.
+// If the store belongs to no voter, the error wraps ErrNotInitialized; any other error means that the store is damaged
+// or could not be read.
 func (s *Store) Voter() (id Identity, disk consensus.DiskState, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -77,18 +79,19 @@
 		}
 		next := first + uint64(len(disk.Entries))
 		if commit := disk.HardState.GetCommit(); commit >= next {
-			return fmt.Errorf("the log ends at %d, and %d had been committed", next-1, commit)
+			return fmt.Errorf("the log is incomplete: it ends at entry %d, but entries up to %d were committed", next-1, commit)
 		}
 		return nil
 	})
 	return id, disk, err
 }
 
-// readEntries returns the entries from an index on. It returns an error if one is damaged or missing.
+// readEntries returns all entries of the log from index first on. It returns an error if an entry is damaged or
+// missing.
 func readEntries(log *bbolt.Bucket, first uint64) (entries []*pb.Entry, err error) {
 	next := first
 	c := log.Cursor()
-	for k, v := c.Seek(key(next)); k != nil; k, v = c.Next() {
+	for k, v := c.Seek(entryKey(next)); k != nil; k, v = c.Next() {
 		data, err := verifyChecksum(fmt.Sprintf("entry %d", next), v)
 		if err != nil {
 			return nil, err
@@ -98,7 +101,7 @@
 			return nil, fmt.Errorf("entry %d: %w", next, err)
 		}
 		if e.GetIndex() != next || len(k) != 8 || binary.BigEndian.Uint64(k) != next {
-			return nil, fmt.Errorf("entry %d is missing: the next one is %d", next, e.GetIndex())
+			return nil, fmt.Errorf("entry %d is missing: the next entry in the log is %d", next, e.GetIndex())
 		}
 		entries = append(entries, e)
 		next++
@@ -106,10 +109,12 @@
 	return entries, nil
 }
 
-// key is the key of an entry in the log's bucket: big-endian, so that the keys are in the order of the log.
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+// entryKey returns the entryKey of an entry in the log's bucket: the big-endian index, so that bbolt keeps the entries in the
+// order of the log.
+func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// Save makes a voter's work durable, atomically.
+// Save makes a voter's hard state, snapshot and entries durable in one transaction. A snapshot replaces all entries
+// that were saved before.
 func (s *Store) Save(w consensus.ReadyWork) error {
 	if w.HardState == nil && w.Snapshot == nil && len(w.Entries) == 0 {
 		return nil
@@ -130,7 +135,7 @@
 	})
 }
 
-// saveEntries appends entries. They replace those of the log from the index of the first one on.
+// saveEntries writes entries to the log. It first deletes all entries of the log from the index of entries[0] on.
 func saveEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -139,21 +144,21 @@
 		return err
 	}
 	for _, e := range entries {
-		if err := putMessage(log, key(e.GetIndex()), e); err != nil {
+		if err := putMessage(log, entryKey(e.GetIndex()), e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// CompactTo replaces the log up to a snapshot by that snapshot.
+// CompactTo stores a snapshot and deletes the entries up to and including the snapshot's index.
 func (s *Store) CompactTo(snap *pb.Snapshot) error {
 	return s.update(func(tx *bbolt.Tx) error {
 		return saveSnapshot(tx.Bucket(bucketMeta), tx.Bucket(bucketLog), snap, snap.GetMetadata().GetIndex())
 	})
 }
 
-// saveSnapshot replaces the entries up to an index by a snapshot.
+// saveSnapshot stores a snapshot and deletes the entries up to and including index to.
 func saveSnapshot(meta, log *bbolt.Bucket, snap *pb.Snapshot, to uint64) error {
 	if err := putMessage(meta, keySnapshot, snap); err != nil {
 		return err
@@ -161,10 +166,10 @@
 	return deleteEntries(log, 0, to)
 }
 
-// deleteEntries deletes the entries from one index to another, both included.
+// deleteEntries deletes the entries with indices from from to to, both included.
 func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	c := log.Cursor()
-	for k, _ := c.Seek(key(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
+	for k, _ := c.Seek(entryKey(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
 		if err := c.Delete(); err != nil {
 			return err
 		}
--- a/internal/fleet/store/voterstart.go
+++ b/internal/fleet/store/voterstart.go
@@ -4,21 +4,22 @@
 	"go.etcd.io/bbolt"
 )
 
-// VoterStart identifies one start of a voter. Its disk counts them; two starts with the same count and different
-// nonces come from two copies of one disk.
+// VoterStart identifies one start of a voter. The count of starts is kept in the voter's own store, so two starts with
+// the same count and different nonces come from two copies of one store.
 type VoterStart struct {
 	Name  string `json:"name"`
 	Count uint64 `json:"count"`
 	Nonce string `json:"nonce"`
 }
 
-// keyStart is the key of the latest start of the store's own voter.
+// keyStart is the key of the latest start of the voter that the store belongs to.
 var keyStart = []byte("life")
 
-// latestStartPrefix and a voter's name are the key of the latest start seen of another voter.
+// latestStartPrefix is the prefix of the keys of other voters' latest starts; the voter's name follows.
 const latestStartPrefix = "met/"
 
-// NextStart counts a start of the voter that the store belongs to. The nonce must differ for each start.
+// NextStart increments the count of starts of the voter that the store belongs to, and returns the new start. The nonce
+// must differ for each start.
 func (s *Store) NextStart(name, nonce string) (start VoterStart, err error) {
 	err = s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -31,8 +32,9 @@
 	return start, err
 }
 
-// RecordStart records another voter's start if it is the latest one seen of that voter, and reports whether it is. If
-// it isn't, the voter runs on an older copy of its disk.
+// RecordStart records another voter's start if no later one of that voter was recorded. It returns whether start is the
+// latest recorded start of the voter, and the latest one. A start that is not the latest comes from a voter that runs
+// on an older copy of its store.
 func (s *Store) RecordStart(start VoterStart) (isLatest bool, latest VoterStart, err error) {
 	key := append([]byte(latestStartPrefix), start.Name...)
 	err = s.update(func(tx *bbolt.Tx) error {
