--- a/internal/hotrestart/adminrecord.go
+++ b/internal/hotrestart/adminrecord.go
@@ -8,16 +8,18 @@
 	"yokestall/internal/adminstate"
 )
 
-// The record of administrative changes stands in two files with the same content, so that damage to
-// one of them loses nothing.
+// The sizes of a copy of the administrative record. The record has two copies, which are files with the
+// same content, so that damage to one of them loses no entry.
 const (
-	maxRecordBytes        = 1 << 20   // of a copy
-	compactThresholdBytes = 128 << 10 // of a copy
+	maxRecordBytes        = 1 << 20   // maximum size of a copy
+	compactThresholdBytes = 128 << 10 // Compact leaves a smaller copy as it is
 )
 
+// recordNames are the names of the files with the two copies of the record.
 var recordNames = [2]string{"record-a", "record-b"}
 
-// readRecord returns the entries that either copy has, and what is wrong with the copies.
+// readRecord returns the entries that at least one copy of the record has. damage is an error for the
+// copies that could not be read completely; a missing copy is not damage.
 func (f *Folder) readRecord() (entries []recordEntry, damage error) {
 	var copies [2][]recordEntry
 	for i, name := range recordNames {
@@ -35,7 +37,7 @@
 	return mergeCopies(copies[0], copies[1]), damage
 }
 
-// readRecordLogged is readRecord; damage and gaps are logged.
+// readRecordLogged reads the record, and logs damage and missing entries.
 func (f *Folder) readRecordLogged() []recordEntry {
 	entries, damage := f.readRecord()
 	if damage != nil {
@@ -47,8 +49,8 @@
 	return entries
 }
 
-// takeUndelivered returns the changes that were not delivered yet, and marks them as delivered; f.mu is
-// held, or f is not shared yet.
+// takeUndelivered returns those changes of the entries that were not delivered to the AdminState yet, and
+// marks them as delivered. The caller holds f.mu, or f is not shared yet.
 func (f *Folder) takeUndelivered(entries []recordEntry) []adminstate.Change {
 	var changes []adminstate.Change
 	for _, e := range entries {
@@ -60,8 +62,9 @@
 	return changes
 }
 
-// appendToRecord appends an entry to both copies of the record, or to neither. entries and damage are
-// the record as it was read; a copy that differs from it is written anew. The folder is locked.
+// appendToRecord appends an entry to both copies of the record. entries and damage are the results of
+// readRecord; a copy that differs from the entries is first replaced. After an error of an append,
+// appendToRecord removes the entry from both copies again. The caller holds the folder's lock.
 func (f *Folder) appendToRecord(entries []recordEntry, damage error, e recordEntry) error {
 	record := formatRecord(f.nodeName, entries)
 	if err := f.repairCopies(record, damage); err != nil {
@@ -69,10 +72,10 @@
 	}
 	line := appendEntry(nil, e)
 	if len(record)+len(line) > maxRecordBytes {
-		return fmt.Errorf("over %d bytes", maxRecordBytes)
+		return fmt.Errorf("the record would exceed its maximum of %d bytes", maxRecordBytes)
 	}
 	for _, name := range recordNames {
-		if err := f.append(f.path(name), line); err != nil {
+		if err := f.appendLine(f.path(name), line); err != nil {
 			f.truncateCopies(int64(len(record)))
 			return err
 		}
@@ -80,8 +83,8 @@
 	return nil
 }
 
-// repairCopies replaces the copies that differ from the record: all after damage, else those of another
-// size.
+// repairCopies replaces the copies that differ from the record: all copies if there is damage, otherwise
+// those that are missing or have another size.
 func (f *Folder) repairCopies(record []byte, damage error) error {
 	for _, name := range recordNames {
 		info, err := os.Stat(f.path(name))
@@ -95,14 +98,16 @@
 	return nil
 }
 
+// truncateCopies truncates both copies of the record to a size in bytes. Errors are ignored.
 func (f *Folder) truncateCopies(size int64) {
 	for _, name := range recordNames {
 		os.Truncate(f.path(name), size)
 	}
 }
 
-// minimalEntries returns the fewest entries that lead to the present state. The last one has the sequence
-// number of the last delivered entry, so that a process which applied the record does not apply them again.
+// minimalEntries returns the smallest list of entries that leads to the present state. The last one has the
+// sequence number of the last delivered entry, so that a process that has applied the record up to that
+// entry does not apply the new entries again.
 func (f *Folder) minimalEntries(state AdminState) []recordEntry {
 	changes := state.MinimalChanges()
 	entries := make([]recordEntry, len(changes))
@@ -112,8 +117,9 @@
 	return entries
 }
 
-// Compact replaces a long record by the fewest entries that lead to the same state. It does nothing
-// while another process lives, which could be reading the record, and where the folder is locked.
+// Compact replaces a record of at least compactThresholdBytes by the smallest list of entries that leads to
+// the same state. It does nothing while another process of the node is alive, since that process could be
+// reading the record, or while the folder is locked.
 func (f *Folder) Compact(state AdminState) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/hotrestart/commit.go
+++ b/internal/hotrestart/commit.go
@@ -10,36 +10,37 @@
 	"yokestall/internal/adminstate"
 )
 
-// peerPollInterval is how often Commit checks whether the peers have applied the change.
+// peerPollInterval is the interval at which Commit checks whether all peers have applied the change.
 const peerPollInterval = 2 * time.Millisecond
 
-// ErrPeerUnresponsive is returned by Commit for a change that is on record and in force in this
-// process, while another process of the node has not published that it applied it. Operators see its
-// text.
+// ErrPeerUnresponsive is returned by Folder.Commit if the change is in the record and in force in this
+// process, but another process of the node did not publish in time that it applied the change.
+// Operators see its text.
 var ErrPeerUnresponsive = errors.New(
 	"done in this process and on record, but the node's other process does not answer; call again")
 
-// AdminState is the administrative state of this process, as adminstate.State has it. Its methods are
-// called with the folder locked.
+// AdminState is the administrative state of this process; adminstate.State has similar methods. The
+// methods are called with the folder locked.
 type AdminState interface {
-	// Validate returns why a change can't be applied, and otherwise whether it has an effect.
+	// Validate returns an error if a change can't be applied, and otherwise whether the change would
+	// alter the state.
 	Validate(c adminstate.Change) (effective bool, err error)
-	// Apply applies a change, which is in force when it returns.
+	// Apply applies a change. The change is in force once Apply returns.
 	Apply(c adminstate.Change)
-	// MinimalChanges returns the shortest list of changes that leads to the present state. It is
-	// never longer than what was applied.
+	// MinimalChanges returns the shortest list of changes that leads to the present state. The list
+	// is never longer than that of the applied changes.
 	MinimalChanges() []adminstate.Change
 }
 
-// Commit carries out a change in all processes of the node: it is checked, put on record and applied
-// under the folder's lock, after what other processes have put on record. When Commit returns nil, the
-// change is in force in every live process.
+// Commit makes a change in all processes of the node. Under the folder's lock it first applies the changes
+// that other processes have added to the record, and then validates the change, adds it to the record and
+// applies it in this process. When Commit returns nil, the change is in force in every live process.
 //
-// After an error of AdminState.Validate the change was not made. After ErrPeerUnresponsive it is on record
-// and in force in this process. Other errors leave open which of the two holds: the change was not made if
-// the call failed up to the writing of the record; it is on record and in force in this process if the
-// presence could not be published after that, or the peers not be listed. Calling again is safe: a change
-// that is in force has no effect.
+// After an error of AdminState.Validate the change was not made. After ErrPeerUnresponsive the change is in
+// the record and in force in this process. Other errors leave open which of the two holds: the change was
+// not made if Commit failed before or while it wrote the record; it is in the record and in force in this
+// process if Commit then failed to publish the presence or to list the peers. Calling Commit again is safe,
+// since a change that is already in force has no effect.
 func (f *Folder) Commit(ctx context.Context, c adminstate.Change, state AdminState) error {
 	seq, err := f.commitHere(ctx, c, state)
 	if err != nil {
@@ -61,13 +62,14 @@
 	}
 }
 
-// commitHere puts a change on record and applies it in this process. It returns the sequence number
-// up to which peers have to apply the record. An error of writePresence comes after the change was applied.
+// commitHere adds a change to the record and applies the change in this process. It returns the sequence
+// number up to which the peers have to apply the record. An error of the last writePresence is returned
+// although the change was applied.
 func (f *Folder) commitHere(ctx context.Context, c adminstate.Change, state AdminState) (uint64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.presenceFile == nil {
-		return 0, errLeft
+		return 0, errClosed
 	}
 	if err := f.acquireLock(ctx); err != nil {
 		return 0, err
@@ -77,7 +79,7 @@
 	if err := f.applyUndelivered(entries, state); err != nil {
 		return 0, err
 	}
-	if hasGap(entries, f.deliveredSeq) { // this process still has what both copies have lost
+	if hasGap(entries, f.deliveredSeq) { // the state of this process still has the entries that both copies have lost
 		entries, damage = f.minimalEntries(state), errDamaged
 	}
 	effective, err := state.Validate(c)
@@ -100,8 +102,9 @@
 	return f.deliveredSeq, nil
 }
 
-// ApplyPending applies the changes that other processes have put on record, and publishes that. It
-// does nothing while the folder is locked: the next call applies them.
+// ApplyPending applies the changes that other processes have added to the record, and publishes the new
+// AppliedSeq. While another process holds the folder's lock, ApplyPending does nothing and leaves these
+// changes to its next call.
 func (f *Folder) ApplyPending(state AdminState) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,7 +116,8 @@
 	return f.applyUndelivered(entries, state)
 }
 
-// applyUndelivered applies the changes that were not delivered yet, and publishes that; f.mu is held.
+// applyUndelivered applies those changes of the entries that were not delivered to the AdminState yet, and
+// publishes the new AppliedSeq. The caller holds f.mu.
 func (f *Folder) applyUndelivered(entries []recordEntry, state AdminState) error {
 	before := f.deliveredSeq
 	for _, c := range f.takeUndelivered(entries) {
--- a/internal/hotrestart/commit_test.go
+++ b/internal/hotrestart/commit_test.go
@@ -14,12 +14,12 @@
 	"yokestall/internal/testutil"
 )
 
-// Commit returns once each live process has the change in force; it does not wait for a dead one.
+// Commit returns nil once the change is in force in each live process. It does not wait for a dead process.
 func TestYesWaitsForTheOther(t *testing.T) {
 	dir := t.TempDir()
 	a, b := join(t, dir), join(t, dir)
-	if err := b.call(adminstate.Detach, "s1"); !errors.Is(err, ErrPeerUnresponsive) {
-		t.Errorf("while the other process does not apply the record: %v", err)
+	if err := b.commitChange(adminstate.Detach, "s1"); !errors.Is(err, ErrPeerUnresponsive) {
+		t.Errorf("while the other process does not apply the record: got error %v, want ErrPeerUnresponsive", err)
 	}
 	applied := make(chan struct{})
 	go func() {
@@ -28,21 +28,21 @@
 			a.ApplyPending(a)
 		}
 	}()
-	if err := b.call(adminstate.Detach, "s2"); err != nil || !a.detached("s2") {
-		t.Errorf("%v; out in the other process: %v", err, a.detached("s2"))
+	if err := b.commitChange(adminstate.Detach, "s2"); err != nil || !a.detached("s2") {
+		t.Errorf("got error %v, s2 detached in the other process: %v; want no error and true", err, a.detached("s2"))
 	}
-	testutil.Wait(t, applied, "the change")
-	if err := b.call(adminstate.Attach, "nobody"); !errors.Is(err, adminstate.ErrUnknownInstance) {
-		t.Errorf("an id that nobody has: %v", err)
+	testutil.Wait(t, applied, "the other process to apply the change")
+	if err := b.commitChange(adminstate.Attach, "nobody"); !errors.Is(err, adminstate.ErrUnknownInstance) {
+		t.Errorf("an unknown id: got error %v, want ErrUnknownInstance", err)
 	}
 	a.kill()
-	if err := b.call(adminstate.LameDuck, ""); err != nil {
-		t.Errorf("when the other process is dead: %v", err)
+	if err := b.commitChange(adminstate.LameDuck, ""); err != nil {
+		t.Errorf("when the other process is dead: got error %v, want none", err)
 	}
 }
 
-// Drawn histories of processes that commit changes, are killed and replaced, and whose record is damaged
-// in one copy: what was committed is in force in every live process.
+// Processes commit changes, are killed and replaced, and one copy of the record is damaged, in a random
+// order: committed changes stay in force in every live process.
 func TestCommittedChangesSurvive(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
@@ -69,7 +69,7 @@
 				if len(live) == 0 {
 					live = append(live, join(t, dir))
 				}
-			case 2: // one copy is cut, or a bit of it flips
+			case 2: // one copy of the record is truncated, or has a bit flipped
 				path := filepath.Join(dir, folderName, rapid.SampledFrom(recordNames[:]).Draw(rt, "copy"))
 				text, err := os.ReadFile(path)
 				if err != nil || len(text) == 0 {
@@ -82,17 +82,17 @@
 					text[at] ^= 1 << rapid.IntRange(0, 7).Draw(rt, "bit")
 				}
 				os.WriteFile(path, text, 0o600)
-				// A commit repairs the copy before the other one may be damaged.
-				clock++
-				p.commitHere(context.Background(), adminstate.Change{Operation: adminstate.LameDuck, AtMs: clock}, p)
-				p.commitHere(context.Background(), adminstate.Change{Operation: adminstate.Rejoin, AtMs: clock}, p)
+				// A commit repairs the damaged copy, so that a later step may damage the other one.
+				lastChangeMs++
+				p.commitHere(context.Background(), adminstate.Change{Operation: adminstate.LameDuck, AtMs: lastChangeMs}, p)
+				p.commitHere(context.Background(), adminstate.Change{Operation: adminstate.Rejoin, AtMs: lastChangeMs}, p)
 			default:
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "id")
 				op := rapid.SampledFrom([]adminstate.Operation{adminstate.Detach, adminstate.Attach}).Draw(rt, "op")
-				clock++
-				change := adminstate.Change{Operation: op, InstanceID: id, AtMs: clock}
+				lastChangeMs++
+				change := adminstate.Change{Operation: op, InstanceID: id, AtMs: lastChangeMs}
 				if _, err := p.commitHere(context.Background(), change, p); err != nil {
-					rt.Fatalf("%v %s: %v", op, id, err)
+					rt.Fatalf("commitHere of %v %s: got error %v, want none", op, id, err)
 				}
 				detached[id] = op == adminstate.Detach
 			}
@@ -100,7 +100,7 @@
 				p.ApplyPending(p)
 				for id, want := range detached {
 					if p.state.Detached(id) != want {
-						rt.Fatalf("process %d: %s is detached: %v, want %v", p.Self().Number, id, !want, want)
+						rt.Fatalf("process %d: got %s detached: %v, want %v", p.Self().Number, id, !want, want)
 					}
 				}
 			}
--- a/internal/hotrestart/descriptors.go
+++ b/internal/hotrestart/descriptors.go
@@ -1,19 +1,23 @@
 package hotrestart
 
-// MinDescriptors is what a process may always hold of the node's descriptors.
+// MinDescriptors is the number of descriptors that a process of the node may always hold, unless the
+// node's limit is smaller.
 const MinDescriptors = 64
 
 // DescriptorLimit returns how many of a node's descriptors this process may hold, and the number of
-// its latest successor (0: none). total is the node's limit, open what this process has open, self
-// what it published last, peers the other processes.
+// its latest successor (0: none). total is the node's limit, open the number of descriptors that this
+// process has open, self the presence that it published last, and peers are the presences of the other
+// processes.
 //
-// A process without peers may hold all. A predecessor keeps half, or what it has open if that is more:
-// to close connections in use would cost requests. Its limit never grows again, and what it closes as
-// its clients leave is the successor's. The successor has what its predecessors published that they
-// leave, so its limit grows only after theirs have shrunk; one that hangs keeps what it had open when
-// it published last.
+// A process without peers may hold all of the node's descriptors. A predecessor may hold half of them,
+// or as many as it has open if these are more, since closing connections in use would fail requests.
+// While there is a successor, the limit of a predecessor does not grow; a draining predecessor's limit
+// is what it has open, so the descriptors that it closes as its clients leave go to the successor. The
+// successor may hold the descriptors that its predecessors' published Descriptors leave over, so its
+// limit grows only after theirs have shrunk. A predecessor that hangs keeps the Descriptors that it
+// published last.
 func DescriptorLimit(total, open int, self Presence, peers []Presence) (limit int, successor uint64) {
-	predecessors := 0 // descriptors of theirs
+	predecessors := 0 // descriptors that all predecessors together may hold
 	for _, p := range peers {
 		if p.Number > self.Number {
 			successor = max(successor, p.Number)
@@ -35,7 +39,8 @@
 	return max(limit, min(MinDescriptors, total)), successor
 }
 
-// SuccessorServing reports whether a successor of this process accepts clients.
+// SuccessorServing reports whether a successor of this process is in PhaseServing. self is this
+// process's presence, peers are the other processes'.
 func SuccessorServing(self Presence, peers []Presence) bool {
 	for _, p := range peers {
 		if p.Number > self.Number && p.Phase == PhaseServing {
--- a/internal/hotrestart/descriptors_test.go
+++ b/internal/hotrestart/descriptors_test.go
@@ -17,27 +17,26 @@
 		peers     []Presence
 		limit     int
 		successor uint64
-		// serving: the successor accepts clients
-		serving bool
+		serving   bool // SuccessorServing
 	}{
-		{"alone", 90, predecessor(90, PhaseServing), nil, total, 0, false},
+		{"without peers", 90, predecessor(90, PhaseServing), nil, total, 0, false},
 		{"a successor starts", 90, predecessor(90, PhaseServing), []Presence{starting}, 200, 2, false},
 		{"a successor serves", 90, predecessor(90, PhaseServing), []Presence{{Number: 2, Phase: PhaseServing}}, 200, 2, true},
-		{"with more than half open", 250, predecessor(250, PhaseServing), []Presence{starting}, 250, 2, false},
-		{"the limit does not grow again", 260, yielding, []Presence{starting}, 220, 2, false},
-		{"draining", 80, draining, []Presence{starting}, 80, 2, false},
-		{"nearly empty", 3, draining, []Presence{starting}, MinDescriptors, 2, false},
-		{"the successor", 20, starting, []Presence{predecessor(250, PhaseServing)}, 150, 0, false},
-		{"the predecessor holds nearly all", 20, starting, []Presence{predecessor(390, PhaseServing)}, MinDescriptors, 0, false},
-		{"the predecessor shrinks", 20, starting, []Presence{predecessor(80, PhaseDraining)}, 320, 0, false},
+		{"a predecessor with more than half of the descriptors open", 250, predecessor(250, PhaseServing), []Presence{starting}, 250, 2, false},
+		{"the limit of a predecessor does not grow", 260, yielding, []Presence{starting}, 220, 2, false},
+		{"a draining predecessor", 80, draining, []Presence{starting}, 80, 2, false},
+		{"a draining predecessor with few descriptors", 3, draining, []Presence{starting}, MinDescriptors, 2, false},
+		{"the successor of a predecessor with more than half", 20, starting, []Presence{predecessor(250, PhaseServing)}, 150, 0, false},
+		{"the successor of a predecessor with nearly all", 20, starting, []Presence{predecessor(390, PhaseServing)}, MinDescriptors, 0, false},
+		{"the successor of a draining predecessor", 20, starting, []Presence{predecessor(80, PhaseDraining)}, 320, 0, false},
 		{"the successor was killed", 90, yielding, nil, total, 0, false},
 	} {
 		if got := SuccessorServing(c.self, c.peers); got != c.serving {
-			t.Errorf("%s: successor serving %v", c.name, got)
+			t.Errorf("%s: got SuccessorServing %v, want the opposite", c.name, got)
 		}
 		limit, successor := DescriptorLimit(total, c.open, c.self, c.peers)
 		if limit != c.limit || successor != c.successor {
-			t.Errorf("%s: limit %d, successor %d; want %d, %d", c.name, limit, successor, c.limit, c.successor)
+			t.Errorf("%s: got limit %d, successor %d; want %d, %d", c.name, limit, successor, c.limit, c.successor)
 		}
 	}
 }
--- a/internal/hotrestart/file.go
+++ b/internal/hotrestart/file.go
@@ -7,7 +7,8 @@
 	"os"
 )
 
-// replaceFile replaces a file: readers see the former content or all of the new.
+// replaceFile replaces a file atomically: readers see either the former content or all of the new
+// content.
 func replaceFile(path string, data []byte) error {
 	next := path + ".new"
 	if err := os.WriteFile(next, data, 0o600); err != nil {
@@ -17,7 +18,7 @@
 	return os.Rename(next, path)
 }
 
-// appendToFile appends a line to a file that exists.
+// appendToFile appends a line to an existing file.
 func appendToFile(path string, line []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
@@ -27,7 +28,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// readLimited reads a file; one of more than maxBytes is an error.
+// readLimited reads a file, and returns an error if the file has more than maxBytes bytes.
 func readLimited(path string, maxBytes int) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -36,7 +37,7 @@
 	defer file.Close()
 	data, err := io.ReadAll(io.LimitReader(file, int64(maxBytes)+1))
 	if err == nil && len(data) > maxBytes {
-		return nil, fmt.Errorf("over %d bytes", maxBytes)
+		return nil, fmt.Errorf("the file has more than %d bytes", maxBytes)
 	}
 	return data, err
 }
--- a/internal/hotrestart/folder_test.go
+++ b/internal/hotrestart/folder_test.go
@@ -9,8 +9,8 @@
 	"yokestall/internal/adminstate"
 )
 
-// Leftovers do not prevent joining: the record of another node or version, files of dead processes,
-// foreign files.
+// A process joins a folder that has a record of another node or version or an unreadable one, files of dead
+// processes, and unknown files.
 func TestJoinWithLeftovers(t *testing.T) {
 	foreign := []recordEntry{{1, adminstate.Change{Operation: adminstate.Detach, InstanceID: "s1", AtMs: 1}}}
 	for name, text := range map[string]string{
@@ -22,22 +22,22 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			os.Mkdir(filepath.Join(dir, folderName), 0o700)
-			for file, what := range map[string]string{
+			for file, content := range map[string]string{
 				recordNames[0]: text, recordNames[1]: text,
 				"process-7": "junk", "process-x": "", "knowledge-7": "junk", "other": "",
 			} {
-				if err := os.WriteFile(filepath.Join(dir, folderName, file), []byte(what), 0o600); err != nil {
+				if err := os.WriteFile(filepath.Join(dir, folderName, file), []byte(content), 0o600); err != nil {
 					t.Fatal(err)
 				}
 			}
 			p := join(t, dir)
 			if p.state.Version() != 0 || p.Self().Number != 8 {
-				t.Errorf("state %+v, number %d", p.state, p.Self().Number)
+				t.Errorf("got state %+v, process number %d; want version 0, number 8", p.state, p.Self().Number)
 			}
 			if peers, err := p.Peers(); err != nil || len(peers) != 0 {
-				t.Errorf("peers %v, %v", peers, err)
+				t.Errorf("got peers %v, error %v; want neither", peers, err)
 			}
-			if err := p.call(adminstate.Detach, "s1"); err != nil {
+			if err := p.commitChange(adminstate.Detach, "s1"); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -11,14 +11,14 @@
 	"yokestall/internal/testutil"
 )
 
-// The golden files are as they were written before identifiers were renamed. Processes of
-// different versions share them, so their form must not change.
+// The golden files were written before identifiers of this package were renamed. Processes of different
+// versions share such files, so their format must not change.
 const (
 	goldenRecord   = "testdata/golden/record.txt"
 	goldenPresence = "testdata/golden/presence.txt"
 )
 
-// goldenEntries gives the entries in the golden record: each of the operations once.
+// goldenEntries returns the entries in the golden record: one for each operation.
 func goldenEntries() []recordEntry {
 	return []recordEntry{
 		{seq: 3, change: adminstate.Change{Operation: adminstate.Detach, InstanceID: "server 1", AtMs: 1_700_000_000_101}},
@@ -28,7 +28,7 @@
 	}
 }
 
-// goldenPresent gives the values in the golden presence.
+// goldenPresent returns the presence in the golden presence file.
 func goldenPresent() Presence {
 	return Presence{Number: 11, Phase: PhaseDraining, AppliedSeq: 12, Descriptors: 13, Successor: 14}
 }
@@ -62,7 +62,7 @@
 func TestGoldenPresenceParses(t *testing.T) {
 	got, err := parsePresence(golden(t, goldenPresence))
 	if want := goldenPresent(); err != nil || got != want {
-		t.Errorf("got %+v, %v, want %+v", got, err, want)
+		t.Errorf("got presence %+v, error %v; want %+v and no error", got, err, want)
 	}
 }
 
@@ -72,10 +72,10 @@
 	}
 }
 
-// The numbers of the phases stand in presence files.
+// Presence files contain the numbers of the phases, so these must not change.
 func TestGoldenPhases(t *testing.T) {
 	if got := []ProcessPhase{PhaseStarting, PhaseServing, PhaseDraining}; !slices.Equal(got, []ProcessPhase{0, 1, 2}) {
-		t.Errorf("phases %d, want 0, 1, 2", got)
+		t.Errorf("got phases %d, want 0, 1, 2", got)
 	}
 }
 
@@ -83,11 +83,11 @@
 	got := []string{folderName, lockName, presencePrefix, snapshotPrefix, recordNames[0], recordNames[1], InheritedSocketEnv}
 	want := []string{"yokestall", "lock", "process-", "knowledge-", "record-a", "record-b", "BALANCER_PASSED_SOCKET"}
 	if !slices.Equal(got, want) {
-		t.Errorf("names %q, want %q", got, want)
+		t.Errorf("got names %q, want %q", got, want)
 	}
 }
 
-// A process finds the record, and makes its own files, under the names that other versions use.
+// A process reads the record, and creates its own files, under the names that other versions use.
 func TestGoldenFolder(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, "yokestall"), 0o700); err != nil {
@@ -108,7 +108,7 @@
 		want = append(want, e.change)
 	}
 	if !slices.Equal(changes, want) {
-		t.Errorf("changes %+v, want %+v", changes, want)
+		t.Errorf("got changes %+v, want %+v", changes, want)
 	}
 	if err := f.WriteSnapshot(7, []byte("snapshot")); err != nil {
 		t.Fatal(err)
@@ -122,6 +122,6 @@
 		names = append(names, file.Name())
 	}
 	if want := []string{"knowledge-7", "lock", "process-1", "record-a", "record-b"}; !slices.Equal(names, want) {
-		t.Errorf("files %q, want %q", names, want)
+		t.Errorf("got files %q, want %q", names, want)
 	}
 }
--- a/internal/hotrestart/harness_test.go
+++ b/internal/hotrestart/harness_test.go
@@ -11,7 +11,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// process is a process of the node, with its administrative state.
+// process is a member of the folder with its administrative state. The instance "nobody" is unknown to it.
 type process struct {
 	*Folder
 	state adminstate.State
@@ -27,6 +27,7 @@
 
 func (p *process) MinimalChanges() []adminstate.Change { return p.state.MinimalChanges() }
 
+// join returns a process that has joined the folder below dir and applied the record.
 func join(t testing.TB, dir string) *process {
 	t.Helper()
 	f, changes, err := Join(dir, "n0", testutil.Log(t))
@@ -41,7 +42,7 @@
 	return p
 }
 
-// kill ends a process as the kernel does: its locks are released, its files stay.
+// kill simulates the end of a killed process: its locks are released, its files stay.
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,18 +51,21 @@
 	p.presenceFile = nil
 }
 
-// detached reports whether an instance is out of service, in a process that applies the record meanwhile.
+// detached reports whether an instance is out of service in a process. It may be called while another
+// goroutine applies changes.
 func (p *process) detached(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state.Detached(id)
 }
 
-var clock int64
+// lastChangeMs is the time of the latest change, in milliseconds.
+var lastChangeMs int64
 
-func (p *process) call(op adminstate.Operation, id string) error {
+// commitChange commits a change at the next millisecond, with a timeout of 100 ms.
+func (p *process) commitChange(op adminstate.Operation, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	clock++
-	return p.Commit(ctx, adminstate.Change{Operation: op, InstanceID: id, AtMs: clock}, p)
+	lastChangeMs++
+	return p.Commit(ctx, adminstate.Change{Operation: op, InstanceID: id, AtMs: lastChangeMs}, p)
 }
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// InheritedSocketEnv is the environment variable with the descriptor of the clients' listening socket,
-// where the platform owns it.
+// InheritedSocketEnv is the environment variable that has the number of the descriptor of the clients'
+// listening socket, if the platform owns that socket.
 const InheritedSocketEnv = "BALANCER_PASSED_SOCKET"
 
 const (
-	firstInheritable = 3 // descriptors below it are the standard streams
+	firstInheritable = 3 // descriptors 0 to 2 are the standard streams
 	maxDescriptor    = 1 << 20
 	// closeTimeout bounds the close of an inherited listener.
 	closeTimeout = 100 * time.Millisecond
 )
 
-// The reasons for which an inherited descriptor is rejected.
+// The errors for which Listen rejects an inherited descriptor. Operators see their texts.
 var (
 	errNoDescriptor = errors.New("not the number of a descriptor above the standard streams")
 	errNotOpen      = errors.New("is not open")
@@ -31,13 +31,14 @@
 	errNotListening = errors.New("does not listen")
 )
 
-// Listen returns the clients' listener: the inherited descriptor (the value of InheritedSocketEnv), or
-// for "" a new one at the address. An inherited descriptor that is not a TCP socket listening at the
-// address is an error: to listen anew beside a socket of the platform's would fail, or hide that
-// clients connect to another one.
+// Listen returns the listener for clients. inherited is the value of InheritedSocketEnv: the number of
+// an inherited descriptor, or "" to open a new listening socket at the address. Listen returns an error
+// for an inherited descriptor that is not a TCP socket listening at the address, and does not open a new
+// socket instead: opening one beside the platform's socket would fail, or hide that clients connect to
+// another socket.
 //
-// The platform's socket outlives this process: closing the listener closes this process's descriptor
-// alone.
+// Closing a listener of an inherited descriptor closes only this process's descriptor: the platform's
+// socket outlives this process.
 func Listen(inherited, addr string) (net.Listener, error) {
 	if inherited == "" {
 		return net.Listen("tcp", addr)
@@ -58,7 +59,7 @@
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
 	file := os.NewFile(uintptr(fd), "clients' listening socket")
-	defer file.Close() // FileListener duplicates it, closed on exec
+	defer file.Close() // FileListener uses a duplicate of the descriptor, which is closed on exec
 	l, err := net.FileListener(file)
 	if err != nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
@@ -66,12 +67,13 @@
 	return &sharedListener{TCPListener: l.(*net.TCPListener)}, nil
 }
 
-// sharedListener is a listener whose socket other processes have too. Whoever starts them may make it
-// blocking for all (O_NONBLOCK belongs to the socket, not to the descriptor): an Accept then blocks
-// its thread until the next connection arrives, and a Close would wait for that.
+// sharedListener is a listener whose socket is open in other processes too. The process that starts
+// them may make the socket blocking in all of them, since O_NONBLOCK is a flag of the socket and not of
+// the descriptor. Accept then blocks its thread until the next connection arrives, and Close of a plain
+// net.TCPListener would wait for that connection.
 type sharedListener struct{ *net.TCPListener }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It first makes the socket non-blocking again.
 func (l *sharedListener) Accept() (net.Conn, error) {
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.SetNonblock(int(fd), true) })
@@ -79,8 +81,8 @@
 	return l.TCPListener.Accept()
 }
 
-// Close implements net.Listener. It returns after closeTimeout at the latest; the caller serves what an
-// Accept in progress still returns after it.
+// Close implements net.Listener. It returns after closeTimeout at the latest. An Accept in progress may
+// return a connection after Close has returned; the caller must serve that connection.
 func (l *sharedListener) Close() error {
 	closed := make(chan error, 1)
 	go func() { closed <- l.TCPListener.Close() }()
@@ -92,7 +94,7 @@
 	}
 }
 
-// checkListening returns why a descriptor is not a TCP socket that listens at the address.
+// checkListening returns an error if a descriptor is not a TCP socket that listens at the address.
 func checkListening(fd int, addr string) error {
 	if err := checkStream(fd); err != nil {
 		return err
@@ -103,7 +105,7 @@
 	}
 	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
-		return fmt.Errorf("listening: %w", err)
+		return fmt.Errorf("reading whether the socket listens: %w", err)
 	}
 	if listening == 0 {
 		return errNotListening
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// checkStream checks that a descriptor is an open stream socket.
+// checkStream returns an error if a descriptor is not an open stream socket.
 func checkStream(fd int) error {
 	kind, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_TYPE)
 	switch {
@@ -127,7 +129,7 @@
 	case errors.Is(err, syscall.ENOTSOCK):
 		return errNoSocket
 	case err != nil:
-		return fmt.Errorf("socket type: %w", err)
+		return fmt.Errorf("reading the socket's type: %w", err)
 	case kind != syscall.SOCK_STREAM:
 		return errNoTCP
 	}
@@ -138,7 +140,7 @@
 func localAddress(fd int) (netip.AddrPort, error) {
 	bound, err := syscall.Getsockname(fd)
 	if err != nil {
-		return netip.AddrPort{}, fmt.Errorf("address: %w", err)
+		return netip.AddrPort{}, fmt.Errorf("reading the address that the socket is bound to: %w", err)
 	}
 	switch a := bound.(type) {
 	case *syscall.SockaddrInet4:
@@ -149,8 +151,8 @@
 	return netip.AddrPort{}, errNoTCP
 }
 
-// addressMatches reports whether a socket bound to local listens at the configured address, which may
-// be any address of a port.
+// addressMatches reports whether a socket that is bound to local listens at the configured address. A
+// configured address with an unspecified IP address matches all local addresses with its port.
 func addressMatches(local, configured netip.AddrPort) bool {
 	addr := configured.Addr().Unmap()
 	anyAddr := !addr.IsValid() || addr.IsUnspecified()
--- a/internal/hotrestart/listener_test.go
+++ b/internal/hotrestart/listener_test.go
@@ -12,8 +12,9 @@
 	"yokestall/internal/testutil"
 )
 
-// inheritable returns a listening socket as the platform passes it: each call of pass returns another
-// descriptor, since Listen closes it.
+// inheritable returns the address of a listening socket, and a function that returns the number of a new
+// descriptor of the socket, as the platform passes it. Each call of pass duplicates the descriptor, since
+// Listen closes the descriptor that it gets.
 func inheritable(t *testing.T) (addr string, pass func() string) {
 	l := testutil.Listen(t).(*net.TCPListener)
 	file, err := l.File()
@@ -59,13 +60,13 @@
 		l, err := Listen(c.value, c.addr)
 		if err == nil {
 			l.Close()
-			t.Fatalf("%s is accepted", c.value)
+			t.Fatalf("Listen accepted descriptor %s, want an error", c.value)
 		}
 		if !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), InheritedSocketEnv) {
-			t.Errorf("%s: %v, want %q", c.value, err, c.want)
+			t.Errorf("descriptor %s: got error %v, want one with %q and the name of the environment variable", c.value, err, c.want)
 		}
 	}
-	for range 2 { // the listener accepts, and its close leaves the socket open for other processes
+	for range 2 { // the second listener accepts too, since closing the first leaves the socket open
 		l, err := Listen(pass(), addr)
 		if err != nil {
 			t.Fatal(err)
@@ -84,7 +85,7 @@
 	}
 }
 
-// A socket that was made blocking for all processes does not delay Close in one.
+// Close returns also while Accept blocks on a socket that another process has made blocking.
 func TestCloseOfBlockingSocket(t *testing.T) {
 	addr, pass := inheritable(t)
 	l, err := Listen(pass(), addr)
@@ -103,17 +104,18 @@
 	go func() {
 		defer close(accepted)
 		close(started)
-		// Without the switch to non-blocking, like an Accept that waits already.
+		// TCPListener.Accept does not make the socket non-blocking again. It stands for a sharedListener.Accept
+		// that was already waiting when the socket was made blocking.
 		if nc, err := l.(*sharedListener).TCPListener.Accept(); err == nil {
 			nc.Close()
 		}
 	}()
-	<-started // whether it has reached the kernel or not, Close has to return
+	<-started // Close has to return whether or not Accept has reached the kernel
 	closed := make(chan struct{})
 	go func() { l.Close(); close(closed) }()
-	testutil.Wait(t, closed, "the end of Close")
+	testutil.Wait(t, closed, "Close to return")
 	if nc, err := net.Dial("tcp", addr); err == nil { // releases Accept
 		nc.Close()
 	}
-	testutil.Wait(t, accepted, "the end of Accept")
+	testutil.Wait(t, accepted, "Accept to return")
 }
--- a/internal/hotrestart/lock.go
+++ b/internal/hotrestart/lock.go
@@ -12,16 +12,17 @@
 
 const (
 	lockName = "lock"
-	// lockTimeout bounds the wait for the folder's lock at a start. Other processes hold it for
-	// moments only, unless they hang.
+	// lockTimeout bounds Join's wait for the folder's lock. Other processes hold the lock only for
+	// moments, unless they hang.
 	lockTimeout       = 300 * time.Millisecond
 	lockRetryInterval = 2 * time.Millisecond
 )
 
-// errLocked is returned where the folder's lock was not released in time. Operators see its text.
-var errLocked = errors.New("lock: another process holds it")
+// errLocked is returned if another process did not release the folder's lock in time. Operators see
+// its text.
+var errLocked = errors.New("shared folder not locked in time: another process holds its lock")
 
-// openLock makes the folder and opens the file whose lock is the folder's.
+// openLock creates the folder, and opens the file in it whose file lock is the folder's lock.
 func (f *Folder) openLock() error {
 	if err := os.MkdirAll(f.dir, 0o700); err != nil {
 		return err
@@ -31,7 +32,8 @@
 	return err
 }
 
-// acquireLock acquires the folder's lock, or returns errLocked at the end of the context.
+// acquireLock waits for the folder's lock and acquires it. It returns errLocked if the context ends
+// first.
 func (f *Folder) acquireLock(ctx context.Context) error {
 	for {
 		err := tryLock(f.lockFile)
@@ -39,7 +41,7 @@
 		case err == nil:
 			return nil
 		case !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR):
-			return fmt.Errorf("lock: %w", err)
+			return fmt.Errorf("lock of the shared folder: %w", err)
 		}
 		select {
 		case <-time.After(lockRetryInterval):
@@ -52,12 +54,13 @@
 // releaseLock releases the folder's lock.
 func (f *Folder) releaseLock() { syscall.Flock(int(f.lockFile.Fd()), syscall.LOCK_UN) }
 
-// tryLock acquires a file's lock; syscall.EWOULDBLOCK if another process holds it.
+// tryLock acquires the exclusive lock of a file without waiting. It returns syscall.EWOULDBLOCK if
+// another process holds the lock.
 func tryLock(file *os.File) error {
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
-// isLocked reports whether a process holds the lock of a file of the folder.
+// isLocked reports whether a process holds the exclusive lock of a file of the folder.
 func (f *Folder) isLocked(name string) bool {
 	file, err := os.Open(f.path(name))
 	if err != nil {
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -7,24 +7,25 @@
 	"strconv"
 )
 
-// ProcessPhase is how far a process of the node is between its start and its end. Its numbers stand in
-// presence files.
+// ProcessPhase is the phase of a process of the node between its start and its end. Presence files
+// contain the phases' numbers.
 type ProcessPhase uint8
 
 // The phases of a process of the node.
 const (
-	PhaseStarting ProcessPhase = iota // accepts no clients yet
-	PhaseServing
-	PhaseDraining // accepts no new connections any more
+	PhaseStarting ProcessPhase = iota // the process does not accept clients yet
+	PhaseServing                      // the process accepts clients
+	PhaseDraining                     // the process no longer accepts new connections
 )
 
 // Presence is what a process publishes to the other processes of the node.
 type Presence struct {
-	Number     uint64 // of the process; a successor's is greater
+	Number     uint64 // the process's number, greater than those of its predecessors
 	Phase      ProcessPhase
-	AppliedSeq uint64 // the record's entries up to this one are in force
-	// Descriptors is what other processes must leave to this one. Without peers it is the number of
-	// descriptors that the process has open, capped by its limit; with peers it is the limit.
+	AppliedSeq uint64 // the record's entries up to this sequence number are in force in the process
+	// Descriptors is the number of the node's descriptors that other processes must leave to this one.
+	// Without peers it is the number of descriptors that the process has open, capped by the process's
+	// limit; with peers it is that limit.
 	Descriptors int
 	Successor   uint64 // number of the latest process that this one yields descriptors to; 0: none
 }
@@ -32,10 +33,11 @@
 const (
 	presencePrefix  = "process-"
 	presenceVersion = 1
-	presenceBytes   = 96 // size of the file
+	presenceBytes   = 96 // size of a presence file
 )
 
-// encode returns a presence with its checksum, always presenceBytes long: it overwrites the last one.
+// encode returns the content of the presence file, with a checksum. The content always has presenceBytes
+// bytes, so that writing it overwrites all of the former content.
 func (p Presence) encode() []byte {
 	b := fmt.Appendf(nil, "%d %d %d %d %d %d",
 		presenceVersion, p.Number, p.Phase, p.AppliedSeq, p.Descriptors, p.Successor)
@@ -46,7 +48,8 @@
 	return b[:presenceBytes]
 }
 
-// parsePresence decodes a presence. One that is being written, or has another version, is errDamaged.
+// parsePresence decodes the content of a presence file. It returns errDamaged for a file that is being
+// written, is damaged or has another version.
 func parsePresence(b []byte) (Presence, error) {
 	var p Presence
 	var version int
@@ -62,16 +65,17 @@
 	return p, nil
 }
 
-// createPresence makes and locks this process's presence file, numbered above all others, and removes
-// what dead processes left. The folder's lock is held.
+// createPresence removes the files of dead processes, and creates and locks this process's presence file
+// with a number above those of all other processes. Join calls it with the folder's lock held, except
+// when that lock could not be acquired.
 func (f *Folder) createPresence() error {
 	names, err := f.fileNames()
 	if err != nil {
 		return err
 	}
-	last, live := f.removeDead(names)
+	lastNumber, live := f.removeDead(names)
 	f.removeOrphanedSnapshots(names, live)
-	f.self.Number = last + 1
+	f.self.Number = lastNumber + 1
 	path := f.path(presencePrefix + strconv.FormatUint(f.self.Number, 10))
 	if f.presenceFile, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600); err != nil {
 		return err
@@ -79,8 +83,8 @@
 	return tryLock(f.presenceFile)
 }
 
-// removeDead removes the presence files of dead processes. It returns the greatest number of all, and
-// the numbers of live processes.
+// removeDead removes the presence files of dead processes. It returns the greatest process number among
+// all presence files, and the numbers of the live processes.
 func (f *Folder) removeDead(names []string) (last uint64, live map[uint64]bool) {
 	live = map[uint64]bool{}
 	for _, name := range names {
@@ -98,13 +102,14 @@
 	return last, live
 }
 
-// writePresence writes this process's presence; f.mu is held, or f is not shared yet.
+// writePresence writes this process's presence file. The caller holds f.mu, or f is not shared yet.
 func (f *Folder) writePresence() error {
 	_, err := f.presenceFile.WriteAt(f.self.encode(), 0)
 	return err
 }
 
-// readPresence returns the presence of a process, or its number alone if the file can't be read.
+// readPresence returns the presence of a process. If its presence file can't be read, the returned
+// Presence has only the number.
 func (f *Folder) readPresence(name string, number uint64) Presence {
 	data, err := readLimited(f.path(name), presenceBytes)
 	if err != nil {
--- a/internal/hotrestart/recordformat.go
+++ b/internal/hotrestart/recordformat.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// recordVersion is the version of the record's form.
+	// recordVersion is the version of the record's format.
 	recordVersion = "1"
-	// recordHeader starts the first line of a record; the node's name, quoted, follows.
+	// recordHeader is the start of the first line of a record. The quoted name of the node follows.
 	recordHeader = "yokestall-record " + recordVersion + " "
 )
 
-// recordEntry is a change with its sequence number in the record, from 1.
+// recordEntry is a change with its sequence number in the record. Sequence numbers start at 1.
 type recordEntry struct {
 	seq    uint64
 	change adminstate.Change
 }
 
-// The errors of what is read from the folder.
+// The errors of reading files of the folder.
 var (
-	// errDamaged is returned for data whose checksum or form does not hold.
+	// errDamaged is returned for data with a wrong checksum or format.
 	errDamaged = errors.New("damaged")
 	// errForeignRecord is returned for a record of another node, or of an unsupported version.
+	// Operators see its text.
 	errForeignRecord = errors.New("record of another node or of an unsupported version")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// operations maps the words of the record.
+// operations maps the names of operations in the record to the operations.
 var operations = map[string]adminstate.Operation{
 	adminstate.Detach.String():   adminstate.Detach,
 	adminstate.Attach.String():   adminstate.Attach,
@@ -45,7 +46,7 @@
 	adminstate.Rejoin.String():   adminstate.Rejoin,
 }
 
-// appendEntry appends an entry as a line with its checksum.
+// appendEntry appends a line with the entry and its checksum to b.
 func appendEntry(b []byte, e recordEntry) []byte {
 	start := len(b)
 	b = strconv.AppendUint(b, e.seq, 10)
@@ -58,7 +59,8 @@
 	return fmt.Appendf(b, " %08x\n", crc32.Checksum(b[start:], castagnoli))
 }
 
-// parseEntry parses a line without its end; errDamaged if any of it does not hold.
+// parseEntry parses a line of the record, given without its line end. It returns errDamaged if the
+// checksum, the format or a value is invalid.
 func parseEntry(line []byte) (recordEntry, error) {
 	text, ok := cutChecksum(line)
 	if !ok {
@@ -81,7 +83,7 @@
 	return e, nil
 }
 
-// cutChecksum returns a line without its checksum, and whether that holds.
+// cutChecksum returns a line without its checksum, and whether the checksum matches.
 func cutChecksum(line []byte) (text []byte, ok bool) {
 	const digits = 8
 	space := bytes.LastIndexByte(line, ' ')
@@ -92,15 +94,16 @@
 	return line[:space], err == nil && uint32(sum) == crc32.Checksum(line[:space], castagnoli)
 }
 
-// valid reports whether an entry has a sequence number, and an instance id if its operation has one.
+// valid reports whether an entry has a sequence number, and has an instance id of valid length if, and only
+// if, its operation targets an instance.
 func (e recordEntry) valid() bool {
 	return e.seq != 0 &&
 		len(e.change.InstanceID) <= discovery.MaxIDBytes &&
 		e.change.Operation.TargetsInstance() == (e.change.InstanceID != "")
 }
 
-// parseRecord parses a copy of the record. Damaged entries are skipped; the error says that some were,
-// or that none could be read.
+// parseRecord parses a copy of the record. It skips damaged entries; the error then wraps errDamaged and
+// names the line of the last one. For errForeignRecord there are no entries.
 func parseRecord(data []byte, nodeName string) ([]recordEntry, error) {
 	if len(data) == 0 {
 		return nil, nil
@@ -124,7 +127,7 @@
 	return entries, damage
 }
 
-// formatRecord returns a copy of the record.
+// formatRecord returns the content of a copy of the record with these entries.
 func formatRecord(nodeName string, entries []recordEntry) []byte {
 	b := append([]byte(recordHeader), strconv.Quote(nodeName)+"\n"...)
 	for _, e := range entries {
@@ -133,15 +136,16 @@
 	return b
 }
 
-// mergeCopies returns the entries of all copies by sequence number: what one copy has lost is taken
-// from the other.
+// mergeCopies returns the entries that at least one copy has, once each and in the order of their sequence
+// numbers.
 func mergeCopies(copies ...[]recordEntry) []recordEntry {
 	all := slices.Concat(copies...)
 	slices.SortStableFunc(all, func(x, y recordEntry) int { return cmp.Compare(x.seq, y.seq) })
 	return slices.CompactFunc(all, func(x, y recordEntry) bool { return x.seq == y.seq })
 }
 
-// hasGap reports whether entries are missing between the first one of a record and lastSeq.
+// hasGap reports whether the record has lost entries: whether an entry between its first one and lastSeq is
+// missing, or the record is empty although lastSeq is not 0.
 func hasGap(entries []recordEntry, lastSeq uint64) bool {
 	if len(entries) == 0 {
 		return lastSeq > 0
--- a/internal/hotrestart/snapshot/encoding.go
+++ b/internal/hotrestart/snapshot/encoding.go
@@ -11,34 +11,37 @@
 
 const (
 	version = 1
-	// headerFormat is the first line: the version and the checksum of the rest.
+	// headerFormat is the format of the first line: the version, and the checksum of the bytes after
+	// the line.
 	headerFormat = "yokestall-knowledge %d %08x"
-	// MaxAge is the greatest age of a snapshot. The policy's window of outcomes is as long: an older
-	// snapshot has no recent outcome of any endpoint.
+	// MaxAge is the maximum age of a snapshot that is used. The policy's window of outcomes is as long,
+	// so an older snapshot has no recent outcome of any endpoint.
 	MaxAge = 10 * time.Second
-	// maxClockSkew is how far in the receiver's future a snapshot may have been taken.
+	// maxClockSkew is how far in the future of the receiver's clock a snapshot may have been taken.
 	maxClockSkew = time.Second
 )
 
-// The errors of Decode, which wraps them with what was found.
+// The errors for which Decode rejects a whole snapshot. Decode wraps them with what was found.
 var (
-	// ErrMalformed is returned for data that is not a snapshot.
+	// ErrMalformed is returned for data that does not have the format of a snapshot.
 	ErrMalformed = errors.New("malformed")
-	// ErrUnsupportedVersion is returned for a snapshot of another version.
+	// ErrUnsupportedVersion is returned for a snapshot with another version of the format.
 	ErrUnsupportedVersion = errors.New("unsupported version")
-	// ErrChecksum is returned for a snapshot that was damaged or cut off.
+	// ErrChecksum is returned for a snapshot that is damaged or truncated.
 	ErrChecksum = errors.New("checksum does not match")
 	// ErrOtherNode is returned for a snapshot of a node with another name.
 	ErrOtherNode = errors.New("taken by another node")
 	// ErrExpired is returned for a snapshot older than MaxAge.
 	ErrExpired = errors.New("expired")
-	// ErrClockSkew is returned for a snapshot that was taken in the receiver's future.
+	// ErrClockSkew is returned for a snapshot that was taken more than maxClockSkew after the receiver's
+	// present time.
 	ErrClockSkew = errors.New("taken in the future")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode returns a header line with the checksum, and the snapshot as JSON.
+// Encode returns the encoding of a snapshot: a header line with the version and a checksum, and the snapshot
+// as JSON. It sets s.Version.
 func Encode(s Snapshot) ([]byte, error) {
 	s.Version = version
 	body, err := json.Marshal(s)
@@ -49,10 +52,11 @@
 	return append(header, body...), nil
 }
 
-// Decode returns the snapshot in data and its age, for a receiver with this name of its node, these
-// classes by their indices, and this wall time. invalid are the parts that were dropped, as ErrClasses,
-// ErrLoadRange, *EndpointCountError or *EndpointRangeError. An error, one of the above, means that
-// nothing of the snapshot can be used.
+// Decode returns the snapshot in data and the snapshot's age. node is the name of the receiver's node,
+// classes are the names of the receiver's classes in the order of their indices, and now is the wall time.
+// invalid has an error for each part that was dropped: ErrClasses, ErrLoadRange, *EndpointCountError or
+// *EndpointRangeError. If err is not nil, nothing of the snapshot can be used; err wraps ErrMalformed,
+// ErrUnsupportedVersion, ErrChecksum, ErrOtherNode, ErrExpired or ErrClockSkew.
 func Decode(data []byte, node string, classes []string, now time.Time) (
 	s Snapshot, age time.Duration, invalid []error, err error,
 ) {
@@ -67,7 +71,7 @@
 	return s, max(0, age), invalid, nil
 }
 
-// decodeBody checks the header line against the rest and decodes that.
+// decodeBody checks the version and the checksum in the header line, and decodes the JSON after that line.
 func decodeBody(data []byte) (s Snapshot, err error) {
 	header, body, _ := bytes.Cut(data, []byte("\n"))
 	var gotVersion int
@@ -87,7 +91,8 @@
 	return s, nil
 }
 
-// checkOrigin checks that the snapshot was taken lately, and by this node.
+// checkOrigin returns an error if the snapshot was not taken by the node with this name, is older than
+// MaxAge or was taken in the future.
 func checkOrigin(s *Snapshot, age time.Duration, node string) error {
 	switch {
 	case s.Node != node:
@@ -95,7 +100,7 @@
 	case age > MaxAge:
 		return fmt.Errorf("%w: %v old, maximum %v", ErrExpired, age.Round(time.Millisecond), MaxAge)
 	case age < -maxClockSkew:
-		return fmt.Errorf("%w: %v from now", ErrClockSkew, -age.Round(time.Millisecond))
+		return fmt.Errorf("%w: %v ahead of the receiver's clock", ErrClockSkew, -age.Round(time.Millisecond))
 	}
 	return nil
 }
--- a/internal/hotrestart/snapshot/golden_test.go
+++ b/internal/hotrestart/snapshot/golden_test.go
@@ -11,11 +11,11 @@
 	"yokestall/policy"
 )
 
-// The golden file is a snapshot as it was written before fields were renamed. Another version of
-// the program may read or write such a snapshot, so names, types and units in it must not change.
+// goldenFile is a snapshot that was written before fields of Snapshot were renamed. Other versions of the
+// program may read or write such a snapshot, so the names, types and units in it must not change.
 const goldenFile = "testdata/golden/snapshot.txt"
 
-// goldenSnapshot gives the values in the golden file; no field is zero.
+// goldenSnapshot returns the snapshot in the golden file. None of its fields is zero.
 func goldenSnapshot() Snapshot {
 	return Snapshot{
 		Version: 1, Node: "node-a", TakenAtMs: 1_700_000_000_123, Classes: []string{"read", "push"},
@@ -61,9 +61,9 @@
 
 func TestGoldenSnapshotDecodes(t *testing.T) {
 	want := goldenSnapshot()
-	got, age, left, err := Decode(golden(t), "node-a", []string{"read", "push"}, time.UnixMilli(1_700_000_000_523))
-	if err != nil || len(left) > 0 || age != 400*time.Millisecond {
-		t.Fatalf("age %v, left out %v, error %v", age, left, err)
+	got, age, invalid, err := Decode(golden(t), "node-a", []string{"read", "push"}, time.UnixMilli(1_700_000_000_523))
+	if err != nil || len(invalid) > 0 || age != 400*time.Millisecond {
+		t.Fatalf("got age %v, dropped parts %v, error %v; want 400ms, none, none", age, invalid, err)
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
@@ -80,7 +80,7 @@
 	}
 }
 
-// offsetClock is a Clock whose zero is at a fixed wall time.
+// offsetClock is a Clock that starts at a fixed wall time.
 type offsetClock struct{ zero time.Time }
 
 // At implements Clock.
@@ -89,20 +89,21 @@
 // Wall implements Clock.
 func (c offsetClock) Wall(at time.Duration) time.Time { return c.zero.Add(at) }
 
-// Every field of a module's part arrives in policy.Snapshot and back; starts change clocks.
+// ToPolicy and FromPolicy convert every field of the policy's state, and convert the endpoints' start times
+// between wall time and the clock.
 func TestGoldenModuleConverts(t *testing.T) {
 	clock := offsetClock{time.UnixMilli(1_699_999_900_000)}
-	module := goldenSnapshot().Policy
-	want := policy.Snapshot{Classes: module.Classes, Load: module.Load,
-		Endpoints: []policy.EndpointSnapshot{module.Endpoints[0].EndpointSnapshot, module.Endpoints[1].EndpointSnapshot}}
+	state := goldenSnapshot().Policy
+	want := policy.Snapshot{Classes: state.Classes, Load: state.Load,
+		Endpoints: []policy.EndpointSnapshot{state.Endpoints[0].EndpointSnapshot, state.Endpoints[1].EndpointSnapshot}}
 	want.Endpoints[0].StartedAt, want.Endpoints[1].StartedAt = 90_001*time.Millisecond, 80_002*time.Millisecond
-	got := module.ToPolicy(clock)
+	got := state.ToPolicy(clock)
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("to the module: got  %+v\nwant %+v", got, want)
+		t.Errorf("ToPolicy: got  %+v\nwant %+v", got, want)
 	}
 	back := FromPolicy(got, clock)
-	module.Endpoints[0].StartedAt, module.Endpoints[1].StartedAt = 90_001*time.Millisecond, 80_002*time.Millisecond
-	if !reflect.DeepEqual(back, module) {
-		t.Errorf("from the module: got  %+v\nwant %+v", back, module)
+	state.Endpoints[0].StartedAt, state.Endpoints[1].StartedAt = 90_001*time.Millisecond, 80_002*time.Millisecond
+	if !reflect.DeepEqual(back, state) {
+		t.Errorf("FromPolicy: got  %+v\nwant %+v", back, state)
 	}
 }
--- a/internal/hotrestart/snapshot/snapshot.go
+++ b/internal/hotrestart/snapshot/snapshot.go
@@ -1,7 +1,7 @@
-// Package snapshot is the encoding in which the learnt state of a node is passed from one of its
-// processes to the next: a snapshot with a version, a checksum and the time at which it was taken.
-// It is pure. Parts that are out of range or do not fit the receiver are dropped one by one; a part
-// that is dropped only makes the receiver learn it anew.
+// Package snapshot encodes and decodes the learnt state of a node that one of its processes passes to its
+// successor: a snapshot with a version, a checksum and the time at which it was taken. The package does no
+// I/O and reads no clock. Decode drops parts that are out of range or do not fit the receiver; the receiver
+// then learns the dropped parts anew.
 package snapshot
 
 import (
@@ -11,32 +11,32 @@
 	"yokestall/policy"
 )
 
-// Snapshot is what one process passes to the next. Times of starts are wall time, so that they hold
-// on the receiver's clock.
+// Snapshot is the learnt state that a process passes to its successor. Start times are wall times, since
+// the processes' monotonic clocks differ.
 type Snapshot struct {
 	Version   int    `json:"version"` // set by Encode
 	Node      string `json:"node"`    // name of the node
 	TakenAtMs int64  `json:"takenMs"` // Unix milliseconds
 	// Classes are the names of the sender's classes, in the order of Policy.Classes.
 	Classes []string `json:"classes"`
-	// Generation is the version of the endpoint list, ListReceived whether the sender had it from
-	// discovery, Instances the list.
+	// Generation is the version of the endpoint list, ListReceived says whether the sender received the
+	// list from discovery, and Instances are the instances in the list.
 	Generation   uint64               `json:"generation"`
 	ListReceived bool                 `json:"listed"`
 	Instances    []discovery.Instance `json:"list"`
 	Policy       PolicyState          `json:"module"`
 }
 
-// PolicyState is policy.Snapshot with starts in wall time.
+// PolicyState is a policy.Snapshot in which the endpoints' start times are wall times.
 type PolicyState struct {
 	Classes   []policy.ClassSnapshot `json:"classes"`
 	Load      policy.LoadSnapshot    `json:"bounds"`
 	Endpoints []Endpoint             `json:"servers"`
 }
 
-// Endpoint is policy.EndpointSnapshot with its start in wall time.
+// Endpoint is a policy.EndpointSnapshot with the endpoint's start as wall time.
 type Endpoint struct {
-	StartedAtMs int64 `json:"startedMs"` // Unix milliseconds; 0: not known, long ago
+	StartedAtMs int64 `json:"startedMs"` // Unix milliseconds; 0: the start is not known, and counts as long ago
 	policy.EndpointSnapshot
 }
 
@@ -46,7 +46,8 @@
 	Wall(at time.Duration) time.Time
 }
 
-// FromPolicy returns the form of the policy's state that is passed on. clock is the sender's.
+// FromPolicy converts a snapshot of the policy to the state that is passed to the successor. clock is the
+// sender's clock.
 func FromPolicy(s policy.Snapshot, clock Clock) PolicyState {
 	state := PolicyState{Classes: s.Classes, Load: s.Load}
 	for _, e := range s.Endpoints {
@@ -59,7 +60,7 @@
 	return state
 }
 
-// ToPolicy returns the policy's form. clock is the receiver's.
+// ToPolicy converts the state to a snapshot of the policy. clock is the receiver's clock.
 func (p PolicyState) ToPolicy(clock Clock) policy.Snapshot {
 	s := policy.Snapshot{Classes: p.Classes, Load: p.Load}
 	for _, e := range p.Endpoints {
--- a/internal/hotrestart/snapshot/snapshot_test.go
+++ b/internal/hotrestart/snapshot/snapshot_test.go
@@ -16,6 +16,7 @@
 
 var takenAt = time.UnixMilli(1_700_000_000_123)
 
+// sample returns a valid snapshot of node n0 with two classes, one instance and two endpoints.
 func sample() Snapshot {
 	return Snapshot{
 		Node: "n0", TakenAtMs: takenAt.UnixMilli(), Classes: []string{"read", "push"},
@@ -58,7 +59,7 @@
 	want := sample()
 	got, age, invalid, err := Decode(encode(t, want), "n0", want.Classes, takenAt.Add(300*time.Millisecond))
 	if err != nil || len(invalid) > 0 || age != 300*time.Millisecond {
-		t.Fatalf("age %v, dropped %v, error %v", age, invalid, err)
+		t.Fatalf("got age %v, dropped parts %v, error %v; want 300ms, none, none", age, invalid, err)
 	}
 	want.Version = version
 	if !reflect.DeepEqual(got, want) {
@@ -66,19 +67,20 @@
 	}
 }
 
-// A start is converted from the sender's clock to the receiver's, which compares it with its own list.
+// An endpoint's start time is converted from the sender's clock to the receiver's, since the receiver
+// compares it with the start times in its own endpoint list.
 func TestStartsChangeClocks(t *testing.T) {
 	sender, receiver := engine.NewClock(), engine.NewClock()
 	start := time.Now().Add(-20 * time.Second).Truncate(time.Millisecond)
-	k := policy.Snapshot{Endpoints: []policy.EndpointSnapshot{{ID: 1, StartedAt: sender.At(start)}, {ID: 2}}}
-	got := FromPolicy(k, sender).ToPolicy(receiver)
+	sent := policy.Snapshot{Endpoints: []policy.EndpointSnapshot{{ID: 1, StartedAt: sender.At(start)}, {ID: 2}}}
+	got := FromPolicy(sent, sender).ToPolicy(receiver)
 	if got.Endpoints[0].StartedAt != receiver.At(start) || got.Endpoints[1].StartedAt != 0 {
-		t.Errorf("starts %v and %v, want %v and 0",
+		t.Errorf("got start times %v and %v, want %v and 0",
 			got.Endpoints[0].StartedAt, got.Endpoints[1].StartedAt, receiver.At(start))
 	}
 }
 
-// Data that is cut, or has a bit flipped, at any byte is never decoded.
+// Decode rejects data that is truncated, or has a bit flipped, at any byte.
 func TestDamaged(t *testing.T) {
 	text := encode(t, sample())
 	for at := range text {
@@ -86,7 +88,7 @@
 		bad[at] ^= 1 << (at % 8)
 		for _, b := range [][]byte{text[:at], bad} {
 			if s, _, _, err := Decode(b, "n0", sample().Classes, takenAt); err == nil {
-				t.Fatalf("at byte %d: decoded as %+v", at, s)
+				t.Fatalf("data damaged at byte %d was decoded as %+v, want an error", at, s)
 			}
 		}
 	}
@@ -97,9 +99,9 @@
 	for name, c := range map[string]struct {
 		change    func(s *Snapshot)
 		now       time.Time
-		err       error // nothing can be used; nil: some of it can
-		dropped   int   // parts that are
-		endpoints int   // that are not
+		err       error // error for which the whole snapshot is rejected; nil: it is not rejected
+		dropped   int   // number of dropped parts
+		endpoints int   // number of endpoints that are not dropped
 	}{
 		"another node":            {func(s *Snapshot) { s.Node = "n1" }, takenAt, ErrOtherNode, 0, 0},
 		"too old":                 {func(*Snapshot) {}, takenAt.Add(MaxAge + time.Millisecond), ErrExpired, 0, 0},
@@ -119,13 +121,14 @@
 			c.change(&s)
 			got, _, invalid, err := Decode(encode(t, s), "n0", sample().Classes, c.now)
 			if !errors.Is(err, c.err) {
-				t.Fatalf("error %v", err)
+				t.Fatalf("got error %v, want that of the test case", err)
 			}
 			if len(invalid) != c.dropped || len(got.Policy.Endpoints) != c.endpoints {
-				t.Errorf("dropped %v; %d endpoints, want %d", invalid, len(got.Policy.Endpoints), c.endpoints)
+				t.Errorf("got dropped parts %v and %d endpoints, want %d endpoints and the number of dropped parts of the test case",
+					invalid, len(got.Policy.Endpoints), c.endpoints)
 			}
 			if c.err == nil && len(got.Instances) != 1 {
-				t.Error("the endpoint list was dropped")
+				t.Error("the endpoint list was dropped, want its one instance")
 			}
 		})
 	}
@@ -137,7 +140,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, age, _, err := Decode(text, "n0", []string{"read", "push"}, takenAt)
 		if err == nil && (age > MaxAge || s.Node != "n0" || len(s.Policy.Endpoints) > MaxEndpoints) {
-			t.Errorf("decoded: %+v", s)
+			t.Errorf("Decode accepted a snapshot that is too old, of another node or too large: %+v", s)
 		}
 	})
 }
--- a/internal/hotrestart/snapshot/validate.go
+++ b/internal/hotrestart/snapshot/validate.go
@@ -10,13 +10,13 @@
 	"yokestall/policy"
 )
 
-// The ranges of a snapshot's figures.
+// The ranges of the values in a snapshot.
 const (
-	// MaxEndpoints bounds the endpoints of a snapshot.
+	// MaxEndpoints is the maximum number of endpoints in a snapshot.
 	MaxEndpoints = discovery.MaxInstances
 
-	maxOutcomeSummaries  = 16  // of an endpoint
-	maxOutcomes          = 1e3 // of an endpoint
+	maxOutcomeSummaries  = 16  // per endpoint
+	maxOutcomes          = 1e3 // per endpoint, in all summaries together
 	maxSamples           = 1e6
 	maxConcurrency       = 1e6
 	maxWorkPerSecond     = 1e6
@@ -24,17 +24,18 @@
 	maxRequestsPerSecond = 1e9
 	minLatencySeconds    = 1e-6
 	maxLatencySeconds    = 3600.0
-	maxLogInflation      = 20.0 // of the natural logarithm of a latency ratio
+	maxLogInflation      = 20.0 // bounds the natural logarithm of a latency ratio
 	maxRelativeLatency   = 1e6
-	maxDuration          = time.Hour // of breakers and ages
+	maxDuration          = time.Hour // bounds the durations of breakers and the ages of outcomes
 )
 
 var (
-	// ErrClasses says that the policy's state was dropped: without the same classes its relative
-	// latencies mean nothing.
+	// ErrClasses says that the policy's state was dropped, since the sender's classes differ from the
+	// receiver's or have values out of range. The relative latencies in the state have a meaning only
+	// together with the classes' values.
 	ErrClasses = errors.New("classes differ or are out of range, policy state dropped")
-	// ErrLoadRange says that the policy's state was dropped for its load figures.
-	ErrLoadRange = errors.New("load figures out of range, policy state dropped")
+	// ErrLoadRange says that the policy's state was dropped, since a value of its load is out of range.
+	ErrLoadRange = errors.New("load values out of range, policy state dropped")
 )
 
 // EndpointCountError says that the endpoints over MaxEndpoints were dropped.
@@ -42,17 +43,18 @@
 
 // Error implements error.
 func (e *EndpointCountError) Error() string {
-	return fmt.Sprintf("%d endpoints, maximum %d", e.Count, MaxEndpoints)
+	return fmt.Sprintf("snapshot has %d endpoints, maximum %d: further endpoints dropped", e.Count, MaxEndpoints)
 }
 
-// EndpointRangeError says that an endpoint was dropped for figures that are out of range.
+// EndpointRangeError says that an endpoint was dropped, since a value of it is out of range.
 type EndpointRangeError struct{ ID policy.EndpointID }
 
 // Error implements error.
-func (e *EndpointRangeError) Error() string { return fmt.Sprintf("endpoint %d out of range", e.ID) }
+func (e *EndpointRangeError) Error() string { return fmt.Sprintf("endpoint %d is out of range", e.ID) }
 
-// dropInvalid drops the parts that are out of range, or that do not fit the receiver's classes, and
-// returns an error for each.
+// dropInvalid drops the parts of the snapshot that are out of range or do not fit the receiver's classes,
+// and returns an error for each dropped part. If the classes or the load are invalid, dropInvalid drops
+// all of the policy's state.
 func (s *Snapshot) dropInvalid(classes []string) (invalid []error) {
 	if !s.classesValid(classes) {
 		s.Policy = PolicyState{}
@@ -78,7 +80,7 @@
 	return invalid
 }
 
-// classesValid reports whether the snapshot has these classes, in this order, with figures in range.
+// classesValid reports whether the snapshot has these classes in this order, with values in range.
 func (s *Snapshot) classesValid(classes []string) bool {
 	if len(s.Classes) != len(classes) || len(s.Policy.Classes) != len(classes) {
 		return false
@@ -91,7 +93,7 @@
 	return true
 }
 
-// inRange reports whether a number is in a range; NaN is not.
+// inRange reports whether a number is in a range. NaN is in no range.
 func inRange(v, least, most float64) bool { return v >= least && v <= most }
 
 func durationInRange(d time.Duration) bool { return d >= 0 && d <= maxDuration }
@@ -126,8 +128,8 @@
 		outcomesValid(e.RecentOutcomes)
 }
 
-// outcomesValid reports whether summaries are in range and in the order in which they were recorded,
-// the oldest first.
+// outcomesValid reports whether the values of the summaries are in range, and the summaries are in the order
+// in which they were recorded, the oldest first.
 func outcomesValid(summaries []policy.OutcomeSummary) bool {
 	if len(summaries) > maxOutcomeSummaries {
 		return false
--- a/internal/hotrestart/snapshotfile.go
+++ b/internal/hotrestart/snapshotfile.go
@@ -12,16 +12,17 @@
 	maxSnapshotBytes = 4 << 20
 )
 
-// WriteSnapshot leaves a snapshot for the successor with a number, in place of an earlier one.
+// WriteSnapshot writes a snapshot for the successor with this process number. It replaces an earlier
+// snapshot for that successor.
 func (f *Folder) WriteSnapshot(successor uint64, data []byte) error {
 	if len(data) > maxSnapshotBytes {
-		return fmt.Errorf("snapshot of %d bytes, maximum %d", len(data), maxSnapshotBytes)
+		return fmt.Errorf("snapshot not written: it has %d bytes, maximum %d", len(data), maxSnapshotBytes)
 	}
 	return replaceFile(f.snapshotPath(successor), data)
 }
 
-// TakeSnapshot returns and removes the snapshot that a predecessor left for this process; nil if there
-// is none yet.
+// TakeSnapshot returns and removes the snapshot that a predecessor wrote for this process. It returns
+// nil if there is no snapshot yet, or the snapshot can't be read.
 func (f *Folder) TakeSnapshot() []byte {
 	path := f.snapshotPath(f.self.Number)
 	data, err := readLimited(path, maxSnapshotBytes)
@@ -36,7 +37,7 @@
 	return f.path(snapshotPrefix + strconv.FormatUint(successor, 10))
 }
 
-// removeOrphanedSnapshots removes the snapshots for processes that are not live.
+// removeOrphanedSnapshots removes the snapshot files among names whose process is not live.
 func (f *Folder) removeOrphanedSnapshots(names []string, live map[uint64]bool) {
 	for _, name := range names {
 		if !strings.HasPrefix(name, snapshotPrefix) {
