--- a/internal/adminapi/command.go
+++ b/internal/adminapi/command.go
@@ -10,17 +10,17 @@
 	"yokestall/internal/discovery"
 )
 
-// MaxCommandBytes bounds a command, its line end included.
+// MaxCommandBytes is the maximum length of a command, including its line end.
 const MaxCommandBytes = 256
 
 // Command is one command of an operator.
 type Command struct {
 	Ping       bool
-	Operation  adminstate.Operation // if not Ping
-	InstanceID string               // for operations that target an instance
+	Operation  adminstate.Operation // 0 if Ping
+	InstanceID string               // "" unless the operation targets an instance
 }
 
-// commands maps the operators' words, which are upper case only.
+// commands maps the names of commands, which are case-sensitive, to the commands.
 var commands = map[string]Command{
 	"PING":     {Ping: true},
 	"DETACH":   {Operation: adminstate.Detach},
@@ -29,10 +29,11 @@
 	"REJOIN":   {Operation: adminstate.Rejoin},
 }
 
-// errEmptyLine is a command without a word.
+// errEmptyLine is returned for a line without a word.
 var errEmptyLine = errors.New("the line is empty")
 
-// ParseCommand parses a command without its line end. The error's text is the operator's answer.
+// ParseCommand parses a command, given without its line end. The operator gets the text of the error in the
+// response.
 func ParseCommand(line []byte) (Command, error) {
 	if len(line) >= MaxCommandBytes {
 		return Command{}, fmt.Errorf("the line is longer than %d bytes", MaxCommandBytes-1)
@@ -42,18 +43,19 @@
 			return Command{}, fmt.Errorf("byte %d of the line is not printable ASCII", i+1)
 		}
 	}
-	words := bytes.Fields(line)
-	if len(words) == 0 {
+	fields := bytes.Fields(line)
+	if len(fields) == 0 {
 		return Command{}, errEmptyLine
 	}
-	c, known := commands[string(words[0])]
+	c, known := commands[string(fields[0])]
 	if !known {
-		return Command{}, fmt.Errorf("unknown call %s", strconv.Quote(string(words[0])))
+		return Command{}, fmt.Errorf("unknown call %s", strconv.Quote(string(fields[0])))
 	}
-	return c.withArguments(string(words[0]), words[1:])
+	return c.withArguments(string(fields[0]), fields[1:])
 }
 
-// withArguments returns the command with the arguments that followed its name.
+// withArguments returns the command with its arguments, which are the words that follow its name. It returns
+// an error if their number is wrong or the instance id is too long.
 func (c Command) withArguments(name string, arguments [][]byte) (Command, error) {
 	want := 0
 	if c.Operation.TargetsInstance() {
--- a/internal/adminapi/connection.go
+++ b/internal/adminapi/connection.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// serve reads a command, has it executed and writes the response.
+// serve reads a command from a connection, executes it with the handler and writes the response. It writes
+// none if the connection was evicted or ended before the end of the command.
 func (s *server) serve(ctx context.Context, c *connection) {
 	c.SetDeadline(time.Now().Add(readTimeout))
 	line, err := readLine(c)
@@ -36,7 +37,8 @@
 	discardRest(c)
 }
 
-// execute has a command executed within CommandTimeout.
+// execute parses a command line and executes the command with the handler, whose context ends after
+// CommandTimeout.
 func (s *server) execute(ctx context.Context, line []byte) (text string, err error) {
 	c, err := ParseCommand(line)
 	if err != nil {
@@ -47,7 +49,8 @@
 	return s.handler.Handle(ctx, c)
 }
 
-// discardRest sends the end of the response and reads what follows the command, within bounds.
+// discardRest ends the sending side of a connection, and discards the bytes that follow the command until the
+// operator ends the connection, lingerTimeout has passed or maxDiscardedBytes were read.
 func discardRest(c *connection) {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok || tcp.CloseWrite() != nil {
--- a/internal/adminapi/line.go
+++ b/internal/adminapi/line.go
@@ -7,25 +7,26 @@
 	"strings"
 )
 
-// maxResponseBytes bounds the text that follows a response's status word.
+// maxResponseBytes is the maximum length of the text that follows +OK or -ERR in a response.
 const maxResponseBytes = 400
 
-// The malformed lines. Their texts are the operator's answer.
+// The errors of readLine for malformed lines. The operator gets their texts in the response.
 var (
 	errSeveralLines     = &malformedLineError{"more than one line came"}
 	errLineTooLong      = &malformedLineError{"the line is too long"}
 	errUnterminatedLine = &malformedLineError{"the line has no end"}
 )
 
-// malformedLineError is a line that came in time but can't be a command. The operator gets a
-// response, unlike after an error of the connection.
+// malformedLineError is the error for a line that was received in time but can't be a command. The operator
+// gets a response to such a line, but no response after an error of the connection other than a timeout.
 type malformedLineError struct{ text string }
 
 // Error implements error.
 func (e *malformedLineError) Error() string { return e.text }
 
-// readLine reads one line, ended by LF or CR LF, and requires that nothing follows. The error is a
-// *malformedLineError or the reader's.
+// readLine reads one line that ends with LF or CR LF, and returns it without its line end. It returns a
+// *malformedLineError if the line is too long or has no end, or if bytes after the line were read along with
+// it, and otherwise an error of the reader.
 func readLine(r io.Reader) ([]byte, error) {
 	buffer := make([]byte, 0, MaxCommandBytes)
 	for {
@@ -49,8 +50,8 @@
 	}
 }
 
-// formatResponse returns a response: one line of printable ASCII, "+OK" and the text, or "-ERR" and
-// the error's.
+// formatResponse returns a response, which is one line of printable ASCII: "+OK" and the text if err is nil,
+// otherwise "-ERR" and the text of err. A text longer than maxResponseBytes is truncated.
 func formatResponse(text string, err error) string {
 	response := "+OK"
 	if err != nil {
@@ -62,7 +63,7 @@
 	return response + "\n"
 }
 
-// printable replaces all but printable ASCII.
+// printable replaces each character that is not printable ASCII by a question mark.
 func printable(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,8 +1,9 @@
-// Package adminapi is the protocol of a node's admin API: one command line in and one response line
-// out per connection. It decides nothing; a Handler executes the commands.
+// Package adminapi implements the protocol of a node's admin API: on each connection an operator sends one
+// command line and gets one response line. A Handler executes the commands.
 //
-// It shares only the processor with clients' requests: connection slots, buffers and descriptors are
-// its own. A connection that occupies a slot without completing its command is evicted by the next.
+// The admin API has its own connection slots, buffers and descriptors, and shares only the processor with
+// clients' requests. When all slots are taken, a new connection evicts a connection that has not completed
+// its command.
 package adminapi
 
 import (
@@ -14,32 +15,34 @@
 )
 
 const (
-	// MaxConnections bounds the open connections. A further one evicts the connection that has been
-	// sending its command for longest.
+	// MaxConnections is the maximum number of open connections. A further connection evicts one that
+	// already has its response or, if there is none, the one that has been sending its command for longest.
 	MaxConnections = 16
-	// MaxDescriptors bounds the descriptors of the admin API: the listener, the connections and one
-	// that is being accepted.
+	// MaxDescriptors is the maximum number of descriptors of the admin API: those of the listener, of the
+	// connections and of a connection that is being accepted.
 	MaxDescriptors = MaxConnections + 2
-	// CommandTimeout bounds the execution of a command; operators wait for a second.
+	// CommandTimeout bounds the execution of a command. Operators wait one second for the response.
 	CommandTimeout = 800 * time.Millisecond
-	// readTimeout bounds the reading of a command.
+	// readTimeout bounds the time from accepting a connection to the end of its command.
 	readTimeout = 5 * time.Second
-	// acceptRetryDelay follows a failed accept, such as for want of descriptors.
+	// acceptRetryDelay is the delay after a failed accept, such as one for lack of descriptors.
 	acceptRetryDelay = 10 * time.Millisecond
-	// lingerTimeout and maxDiscardedBytes bound the reading of what follows a command. Closing a
-	// socket with unread bytes resets the connection, and the reset may overtake the response.
+	// lingerTimeout and maxDiscardedBytes bound the reading of bytes that follow a command. These bytes
+	// are read since closing a socket with unread bytes resets the connection, and the operator may then
+	// lose the response.
 	lingerTimeout     = 100 * time.Millisecond
 	maxDiscardedBytes = 4 << 10
 )
 
-// Handler executes commands. It has to return within CommandTimeout, which bounds the context. The
-// text follows +OK in the response, the error's text follows -ERR.
+// Handler executes the commands of the admin API.
 type Handler interface {
+	// Handle executes a command. It has to return within CommandTimeout, at the end of which the context
+	// ends. In the response, text follows +OK, or the text of err follows -ERR.
 	Handle(ctx context.Context, c Command) (text string, err error)
 }
 
-// Serve serves the admin API until the context ends. It closes the listener, and returns nil once all
-// connections have ended.
+// Serve serves the admin API until the context ends, which closes the listener and all connections, or until
+// the listener is closed. It returns nil once all connections have ended.
 func Serve(ctx context.Context, l net.Listener, h Handler) error {
 	s := &server{handler: h}
 	stop := context.AfterFunc(ctx, func() {
@@ -65,14 +68,15 @@
 	}
 }
 
-// server serves connections; it has one goroutine for each, which ends with the connection.
+// server serves the connections of the admin API, each in a goroutine that ends with the connection.
 type server struct {
 	handler     Handler
 	connections sync.WaitGroup
 	slots       slots
 }
 
-// start serves a connection if a slot is free or can be freed, and closes it otherwise.
+// start serves a connection in a new goroutine if a slot is free or another connection can be evicted.
+// Otherwise start closes the connection.
 func (s *server) start(ctx context.Context, conn net.Conn) {
 	c := s.slots.acquire(conn)
 	if c == nil {
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -16,7 +16,8 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// handler records commands, and responds as respond does; nil: with "done".
+// handler is a Handler that records commands in got and responds with the result of respond, or with "done" if
+// respond is nil.
 type handler struct {
 	got     chan Command
 	respond func(ctx context.Context, c Command) (string, error)
@@ -30,6 +31,7 @@
 	return "done", nil
 }
 
+// serve serves the admin API with h until the test ends, and returns the address.
 func serve(t *testing.T, h *handler) (addr string) {
 	t.Helper()
 	h.got = make(chan Command, 1000)
@@ -60,17 +62,17 @@
 	return nc
 }
 
-// exchange sends a text as it is, ends its side of the connection and returns the response.
+// exchange sends a text unchanged, ends the sending side of the connection and returns the response.
 func exchange(t *testing.T, addr, text string) string {
 	t.Helper()
 	nc := dial(t, addr)
 	io.WriteString(nc, text)
 	nc.(*net.TCPConn).CloseWrite()
-	answer, err := io.ReadAll(nc)
+	response, err := io.ReadAll(nc)
 	if err != nil {
-		t.Fatalf("%q: %v", text, err)
+		t.Fatalf("reading the response to %q: %v", text, err)
 	}
-	return string(answer)
+	return string(response)
 }
 
 func TestCommands(t *testing.T) {
@@ -83,7 +85,7 @@
 	addr := serve(t, h)
 	for _, c := range []struct {
 		text, response string
-		command        *Command // nil: the handler gets none
+		command        *Command // command that the handler gets; nil: it gets none
 	}{
 		{"PING\n", "+OK done\n", &Command{Ping: true}},
 		{"DETACH s-1\r\n", "+OK done\n", &Command{Operation: adminstate.Detach, InstanceID: "s-1"}},
@@ -101,26 +103,26 @@
 		{strings.Repeat("x", 5000) + "\n", "-ERR the line is too long\n", nil},
 		{"PING\x00\n", "-ERR byte 5 of the line is not printable ASCII\n", nil},
 		{"DETACH s-1\nDETACH s-2\n", "-ERR more than one line came\n", nil},
-		{"DETACH s-1", "-ERR the line has no end\n", nil}, // a part of an id may be another id
+		{"DETACH s-1", "-ERR the line has no end\n", nil}, // must not be executed: a truncated id may be the id of another instance
 	} {
 		if got := exchange(t, addr, c.text); got != c.response {
-			t.Errorf("%.40q: %q, want %q", c.text, got, c.response)
+			t.Errorf("%.40q: got response %q, want %q", c.text, got, c.response)
 		}
 		select {
 		case got := <-h.got:
 			if c.command == nil || got != *c.command {
-				t.Errorf("%.40q: executed %+v", c.text, got)
+				t.Errorf("%.40q: executed command %+v, want none or that of the test case", c.text, got)
 			}
 		default:
 			if c.command != nil {
-				t.Errorf("%.40q: not executed", c.text)
+				t.Errorf("%.40q: no command executed, want that of the test case", c.text)
 			}
 		}
 	}
 }
 
-// Connections that send nothing or a part of a line, or don't read, are evicted for one that does, and there are
-// never more than MaxConnections.
+// Connections that send nothing or only a part of a line do not keep other operators from getting a response:
+// they are evicted for new connections, and there are never more than MaxConnections.
 func TestStalledCallers(t *testing.T) {
 	h := &handler{}
 	addr := serve(t, h)
@@ -136,26 +138,26 @@
 		stalled = append(stalled, nc)
 		if i%20 == 0 {
 			if got := exchange(t, addr, "PING\n"); got != "+OK done\n" {
-				t.Fatalf("response %q after %d stalled connections", got, i)
+				t.Fatalf("got response %q after stalled connection %d, want \"+OK done\"", got, i)
 			}
 		}
 	}
-	// All but the last ones were evicted.
+	// All connections but the last MaxConnections ones were evicted.
 	for _, nc := range stalled[:len(stalled)-MaxConnections] {
 		if _, err := io.Copy(io.Discard, nc); testutil.IsTimeout(err) {
-			t.Fatal("a stalled connection was not evicted")
+			t.Fatal("a stalled connection was not evicted, want only the last MaxConnections ones open")
 		}
 	}
-	// The last one has a slot, and may complete its command.
+	// The last stalled connection still has a slot, so it gets a response once it completes its command.
 	last := stalled[len(stalled)-1]
 	io.WriteString(last, "PING\n")
-	if answer, _ := io.ReadAll(last); !strings.HasPrefix(string(answer), "+OK") {
-		t.Errorf("response %q to the last connection", answer)
+	if response, _ := io.ReadAll(last); !strings.HasPrefix(string(response), "+OK") {
+		t.Errorf("got response %q on the last stalled connection, want one with +OK", response)
 	}
 }
 
-// While all slots are taken by commands that are being executed, a further connection is closed, and
-// each of them gets its response.
+// While commands are being executed on the connections of all slots, a further connection is closed without a
+// response, and each of the executing connections gets its response.
 func TestExecutingConnectionsAreNotEvicted(t *testing.T) {
 	release := make(chan struct{})
 	h := &handler{respond: func(context.Context, Command) (string, error) { <-release; return "", nil }}
@@ -167,20 +169,20 @@
 		executing = append(executing, nc)
 	}
 	for range MaxConnections {
-		testutil.Wait(t, h.got, "the commands")
+		testutil.Wait(t, h.got, "all commands to reach the handler")
 	}
-	more := dial(t, addr)
-	if answer, _ := io.ReadAll(more); len(answer) != 0 {
-		t.Errorf("response %q to one connection too many", answer)
+	extra := dial(t, addr)
+	if response, _ := io.ReadAll(extra); len(response) != 0 {
+		t.Errorf("got response %q on a connection beyond MaxConnections, want none", response)
 	}
 	close(release)
 	for _, nc := range executing {
-		if answer, _ := io.ReadAll(nc); string(answer) != "+OK\n" {
-			t.Errorf("response %q", answer)
+		if response, _ := io.ReadAll(nc); string(response) != "+OK\n" {
+			t.Errorf("got response %q to an executing command, want +OK", response)
 		}
 	}
 	if got := exchange(t, addr, "PING\n"); got != "+OK\n" {
-		t.Errorf("afterwards %q", got)
+		t.Errorf("got response %q after the slots were released, want +OK", got)
 	}
 }
 
@@ -195,7 +197,7 @@
 		if err != nil {
 			text := formatResponse("", err)
 			if strings.Count(text, "\n") != 1 || len(text) > maxResponseBytes+10 || !strings.HasPrefix(text, "-ERR ") {
-				t.Errorf("response %q", text)
+				t.Errorf("got response %q, want one line that starts with -ERR, with at most maxResponseBytes of text", text)
 			}
 			return
 		}
--- a/internal/adminapi/slots.go
+++ b/internal/adminapi/slots.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// slots are the MaxConnections slots for open connections. The zero value has all of them free.
+// slots are the MaxConnections slots for open connections. In the zero value all slots are free.
 type slots struct {
-	mu sync.Mutex // guards what follows and the connections' fields
-	// evictable are the *connection values whose command is not being executed, in the order in
-	// which they are evicted.
+	mu sync.Mutex // guards the fields below and the connections' fields
+	// evictable has the *connection values whose command is not being executed, in the order in which
+	// they are evicted.
 	evictable list.List
 	open      map[*connection]struct{}
 }
@@ -18,12 +18,12 @@
 // connection is an open connection with a slot. Its fields are guarded by slots.mu.
 type connection struct {
 	net.Conn
-	position *list.Element // in slots.evictable; nil while its command is executed
-	released bool          // its slot is free or another connection's
+	position *list.Element // element of slots.evictable; nil while the connection's command is executed
+	released bool          // whether the connection no longer has a slot
 }
 
-// acquire gives a connection a slot, evicting another one if there is none. It returns nil where all
-// slots are taken by commands that are being executed, which takes CommandTimeout at most.
+// acquire gives a connection a slot. If no slot is free, it evicts the first evictable connection. It returns
+// nil if all slots belong to connections whose commands are being executed, each for CommandTimeout at most.
 func (s *slots) acquire(conn net.Conn) *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +43,7 @@
 	return c
 }
 
-// release closes a connection and frees its slot, unless it was evicted.
+// release closes a connection and frees its slot. It does nothing if the connection was evicted.
 func (s *slots) release(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	c.Close()
 }
 
-// closeAll closes all connections; their goroutines release the slots.
+// closeAll closes all connections. The connections' goroutines then release the slots.
 func (s *slots) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +72,8 @@
 	}
 }
 
-// beginExecution exempts a connection from eviction while its command is executed. It reports false
-// if the connection was evicted.
+// beginExecution exempts a connection from eviction while its command is executed. It returns false if the
+// connection was evicted already.
 func (s *slots) beginExecution(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	return true
 }
 
-// endExecution makes a connection the first to be evicted: it has its response.
+// endExecution makes a connection that has its response the first to be evicted.
 func (s *slots) endExecution(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/adminstate/change.go
+++ b/internal/adminstate/change.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Operation is what a change does.
+// Operation is the kind of a change.
 type Operation uint8
 
 // The operations. Each is idempotent.
 const (
 	Detach   Operation = 1 + iota // take an instance out of service
 	Attach                        // return an instance to service
-	LameDuck                      // enter lame duck mode: empty the node
+	LameDuck                      // enter lame duck mode, in which the node's clients leave
 	Rejoin                        // leave lame duck mode
 )
 
-// String returns the operators' word for the operation, as commands and the record have it.
+// String returns the name that the operation has in operators' commands and in the administrative record.
 func (o Operation) String() string {
 	switch o {
 	case Detach:
@@ -34,6 +34,6 @@
 // Change is one change of the administrative state that an operator requested.
 type Change struct {
 	Operation  Operation
-	InstanceID string // for Detach and Attach; else ""
-	AtMs       int64  // when it was requested, Unix milliseconds
+	InstanceID string // instance of a Detach or Attach; "" for other operations
+	AtMs       int64  // when the change was requested, Unix milliseconds
 }
--- a/internal/adminstate/overlay.go
+++ b/internal/adminstate/overlay.go
@@ -2,33 +2,34 @@
 
 import "yokestall/internal/discovery"
 
-// The lifecycles of the endpoint list that an override replaces, and by what.
+// Lifecycles of instances in the endpoint list. For a detached instance, Overlay replaces lifecycleReady by
+// lifecycleTerminating.
 const (
 	lifecycleReady       = "Ready"
 	lifecycleTerminating = "Terminating"
 )
 
-// Overlay overrides lines of the endpoint list by the state, in place, and returns them. A detached
-// instance drains. A reattached one has started at that moment at the earliest; once the list has a
-// later start, the override is dropped.
-func (s *State) Overlay(lines []discovery.Instance) []discovery.Instance {
+// Overlay applies the state to instances of the endpoint list, in place, and returns them. A detached
+// instance drains. A reattached instance counts as started when it was reattached, unless the list has a
+// later start. Once the list has a later start, Overlay drops the override of an instance in service.
+func (s *State) Overlay(instances []discovery.Instance) []discovery.Instance {
 	if len(s.overrides) == 0 {
-		return lines
+		return instances
 	}
-	for i := range lines {
-		line := &lines[i]
-		o, known := s.overrides[line.InstanceID]
+	for i := range instances {
+		instance := &instances[i]
+		o, known := s.overrides[instance.InstanceID]
 		if !known {
 			continue
 		}
-		if !o.detached && o.reattachedMs > 0 && line.StartedAtMs > float64(o.reattachedMs) {
-			delete(s.overrides, line.InstanceID)
+		if !o.detached && o.reattachedMs > 0 && instance.StartedAtMs > float64(o.reattachedMs) {
+			delete(s.overrides, instance.InstanceID)
 			continue
 		}
-		line.StartedAtMs = max(line.StartedAtMs, float64(o.reattachedMs))
-		if o.detached && line.Lifecycle == lifecycleReady {
-			line.Lifecycle = lifecycleTerminating
+		instance.StartedAtMs = max(instance.StartedAtMs, float64(o.reattachedMs))
+		if o.detached && instance.Lifecycle == lifecycleReady {
+			instance.Lifecycle = lifecycleTerminating
 		}
 	}
-	return lines
+	return instances
 }
--- a/internal/adminstate/state.go
+++ b/internal/adminstate/state.go
@@ -1,12 +1,12 @@
-// Package adminstate is the administrative state of a node: which instances its operators have taken
-// out of service, and whether the node itself is in lame duck mode. It is pure: it does no I/O and
-// reads no clock.
+// Package adminstate implements the administrative state of a node: which instances its operators have taken
+// out of service, and whether the node itself is in lame duck mode. The package does no I/O and reads no
+// clock.
 //
-// The state is independent of the endpoint list and overrides it (Overlay): a detached instance
-// drains, whatever the list says of it, also when it leaves the list and returns. A reattached
-// instance counts as started at that moment, since operators restart it meanwhile and the endpoint
-// list may show that late or never: policy then discards what it learnt of the former process and
-// warms the endpoint up.
+// The state is independent of the endpoint list and overrides it (State.Overlay). A detached instance drains,
+// whatever lifecycle the list has for it, also after it has left the list and returned. A reattached instance
+// counts as started when it was reattached, since operators may have restarted it while it was detached, and
+// the endpoint list may show the restart late or never. Because of the new start, the policy discards what it
+// learnt of the former process and warms the endpoint up.
 package adminstate
 
 import (
@@ -16,37 +16,38 @@
 	"slices"
 )
 
-// MaxOverrides bounds the instances that are detached, or were reattached and have not been seen to
-// start since.
+// MaxOverrides is the maximum number of instances that are detached, or that were reattached and for which
+// the endpoint list has shown no later start since.
 const MaxOverrides = 4096
 
-// ErrUnknownInstance is returned by State.Validate for an id that neither the state nor the endpoint
+// ErrUnknownInstance is returned by State.Validate for an instance id that neither the state nor the endpoint
 // list has. Operators see its text.
 var ErrUnknownInstance = errors.New("no server has this id")
 
-// ErrTooManyOverrides is returned by State.Validate where MaxOverrides instances are detached.
-// Operators see its text.
+// ErrTooManyOverrides is returned by State.Validate for a further Detach when MaxOverrides instances are
+// detached. Operators see its text.
 var ErrTooManyOverrides = fmt.Errorf("%d servers are out or just back, which is the most", MaxOverrides)
 
-// override is what the state says of one instance.
+// override is the administrative state of one instance.
 type override struct {
 	detached     bool
-	reattachedMs int64 // when it was last reattached, Unix milliseconds; 0: never
+	reattachedMs int64 // when the instance was last reattached, Unix milliseconds; 0: never
 }
 
-// State is the administrative state. The zero value has all instances in service and lame duck mode
-// off. It is not safe for concurrent use.
+// State is the administrative state of a node. In the zero value all instances are in service and lame duck
+// mode is off. A State is not safe for concurrent use.
 type State struct {
 	version         uint64
 	lameDuck        bool
-	lameDuckSinceMs int64 // Unix milliseconds of the last LameDuck or Rejoin
+	lameDuckSinceMs int64 // when lame duck mode was last entered or left, Unix milliseconds; 0: never
 	overrides       map[string]override
 }
 
 // Version returns the number of changes that had an effect.
 func (s *State) Version() uint64 { return s.version }
 
-// LameDuckSince reports whether the node is in lame duck mode, and since when in Unix milliseconds.
+// LameDuckSince reports whether the node is in lame duck mode, and when it last entered or left the mode, in
+// Unix milliseconds (0: never).
 func (s *State) LameDuckSince() (sinceMs int64, active bool) { return s.lameDuckSinceMs, s.lameDuck }
 
 // Detached reports whether an instance is out of service.
@@ -64,8 +65,9 @@
 	return ids
 }
 
-// Validate returns why a change can't be applied: ErrUnknownInstance or ErrTooManyOverrides. listed
-// reports whether the endpoint list has, or lately had, an id; a detached instance is known without it.
+// Validate returns ErrUnknownInstance or ErrTooManyOverrides if a change can't be applied. listed reports
+// whether the endpoint list has, or recently had, an instance with this id. An instance that the state
+// overrides need not be listed.
 func (s *State) Validate(c Change, listed func(id string) bool) error {
 	if !c.Operation.TargetsInstance() {
 		return nil
@@ -82,21 +84,21 @@
 	return nil
 }
 
-// HasEffect reports whether applying a change would alter the state.
+// HasEffect reports whether Apply of a change would alter the state.
 func (s *State) HasEffect(c Change) bool {
 	switch c.Operation {
 	case Detach:
 		return !s.overrides[c.InstanceID].detached
 	case Attach:
-		return s.overrides[c.InstanceID].detached // an instance in service is not warmed up anew
+		return s.overrides[c.InstanceID].detached // Attach must not warm up an instance in service again
 	case LameDuck, Rejoin:
 		return s.lameDuck != (c.Operation == LameDuck)
 	}
 	return false
 }
 
-// Apply applies a change that passed Validate, here or in another process of the node, and reports
-// whether it altered the state.
+// Apply applies a change that passed Validate in this or another process of the node, and reports whether
+// the change altered the state.
 func (s *State) Apply(c Change) (altered bool) {
 	if !s.HasEffect(c) {
 		return false
@@ -113,6 +115,8 @@
 	return true
 }
 
+// detach takes an instance out of service. If there are MaxOverrides overrides, detach drops that of the
+// instance in service that was reattached first.
 func (s *State) detach(id string) {
 	if _, known := s.overrides[id]; !known && len(s.overrides) >= MaxOverrides {
 		delete(s.overrides, s.oldestReattached())
@@ -129,11 +133,12 @@
 func (s *State) reattach(id string, atMs int64) {
 	o := s.overrides[id]
 	o.detached = false
-	o.reattachedMs = max(atMs, o.reattachedMs+1) // a new start, also where the wall clock went back
+	o.reattachedMs = max(atMs, o.reattachedMs+1) // later than the last reattachment even if the wall clock was set back
 	s.overrides[id] = o
 }
 
-// oldestReattached returns the id of the instance in service that was reattached first; "": none.
+// oldestReattached returns the id of the instance in service that was reattached first, or "" if no instance
+// with an override is in service.
 func (s *State) oldestReattached() (oldest string) {
 	oldestMs := int64(0)
 	for id, o := range s.overrides {
--- a/internal/adminstate/state_test.go
+++ b/internal/adminstate/state_test.go
@@ -13,7 +13,7 @@
 	"yokestall/internal/discovery"
 )
 
-// model is a State as the list of all changes, searched from its end.
+// model is a simple model of State: the list of all changes, which its methods search from the end.
 type model struct{ changes []Change }
 
 func (m *model) detached(id string) bool {
@@ -25,7 +25,7 @@
 	return false
 }
 
-// reattachedMs is the time of the latest change that reattached an instance; 0: none did.
+// reattachedMs returns the time of the latest change that reattached an instance, or 0 if there is none.
 func (m *model) reattachedMs(id string) int64 {
 	for i := len(m.changes) - 1; i >= 0; i-- {
 		if c := m.changes[i]; c.InstanceID == id && c.Operation == Attach && (&model{m.changes[:i]}).detached(id) {
@@ -44,8 +44,9 @@
 	return false
 }
 
-// Drawn histories of changes and lists: Overlay never leaves a detached instance ready, has a reattached
-// one start at that moment at the earliest, and does not alter any other.
+// For random changes and endpoint lists, Overlay never leaves a detached instance ready, makes a reattached
+// instance start no earlier than its reattachment, and leaves all other instances as they are. Apply reports
+// whether it altered the state, and MinimalChanges leads to the same state.
 func TestDrawnHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
@@ -57,7 +58,7 @@
 			now += int64(rapid.IntRange(1, 5).Draw(t, "ms"))
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			switch op := Operation(rapid.IntRange(0, 4).Draw(t, "op")); op {
-			case 0: // the instance restarts, and the list has it
+			case 0: // the instance restarts, and the endpoint list has its new start
 				started[id] = float64(now)
 			default:
 				c := Change{Operation: op, AtMs: now}
@@ -65,7 +66,7 @@
 					c.InstanceID = id
 				}
 				if err := s.Validate(c, func(string) bool { return true }); err != nil {
-					t.Fatalf("%v: %v", c, err)
+					t.Fatalf("Validate(%v): got error %v, want none", c, err)
 				}
 				before := s.Version()
 				wasDetached, wasLameDuck := m.detached(id), m.lameDuck()
@@ -75,15 +76,15 @@
 					altered = wasDetached != m.detached(id)
 				}
 				if got := s.Apply(c); got != altered || (s.Version() > before) != altered {
-					t.Fatalf("%v altered the state: %v, want %v; version %d to %d", c, got, altered, before, s.Version())
+					t.Fatalf("Apply(%v): got altered %v, want %v; version changed from %d to %d", c, got, altered, before, s.Version())
 				}
 			}
 			if _, active := s.LameDuckSince(); active != m.lameDuck() {
-				t.Fatalf("lame duck mode %v, want %v", active, m.lameDuck())
+				t.Fatalf("got lame duck mode %v, want %v", active, m.lameDuck())
 			}
 			listed := rapid.SampledFrom([]string{"Ready", "Ready", "Terminating", "Gone", "novel"}).Draw(t, "lifecycle")
-			lines := []discovery.Instance{{InstanceID: id, Lifecycle: listed, StartedAtMs: started[id], HostPort: "h:1"}}
-			got := s.Overlay(lines)[0]
+			instances := []discovery.Instance{{InstanceID: id, Lifecycle: listed, StartedAtMs: started[id], HostPort: "h:1"}}
+			got := s.Overlay(instances)[0]
 			want := discovery.Instance{
 				InstanceID: id, Lifecycle: listed, HostPort: "h:1",
 				StartedAtMs: max(started[id], float64(m.reattachedMs(id))),
@@ -92,16 +93,16 @@
 				want.Lifecycle = "Terminating"
 			}
 			if got != want {
-				t.Fatalf("overlaid line %+v, want %+v", got, want)
+				t.Fatalf("got instance %+v from Overlay, want %+v", got, want)
 			}
-			// The minimal changes lead to the same state.
+			// MinimalChanges leads from the zero State to the same state.
 			var copied State
 			for _, c := range s.MinimalChanges() {
 				copied.Apply(c)
 			}
 			if !maps.Equal(copied.overrides, s.overrides) || copied.lameDuck != s.lameDuck ||
 				s.lameDuck && copied.lameDuckSinceMs != s.lameDuckSinceMs {
-				t.Fatalf("copied %+v, want %+v", copied, s)
+				t.Fatalf("got state %+v after the minimal changes, want %+v", copied, s)
 			}
 		}
 	})
@@ -113,19 +114,20 @@
 	var s State
 	for _, op := range []Operation{Detach, Attach} {
 		if err := s.Validate(Change{Operation: op, InstanceID: "x"}, noneListed); !errors.Is(err, ErrUnknownInstance) {
-			t.Errorf("%v of an unknown id: %v", op, err)
+			t.Errorf("%v of an unknown id: got error %v, want ErrUnknownInstance", op, err)
 		}
 	}
 	s.Apply(Change{Operation: Detach, InstanceID: "x", AtMs: 1})
 	if err := s.Validate(Change{Operation: Attach, InstanceID: "x"}, noneListed); err != nil {
-		t.Errorf("Attach of a detached instance that has left the list: %v", err)
+		t.Errorf("Attach of a detached instance that has left the list: got error %v, want none", err)
 	}
 	if err := s.Validate(Change{Operation: Detach, InstanceID: "y"}, allListed); err != nil {
 		t.Error(err)
 	}
 }
 
-// At MaxOverrides, reattached instances are dropped for new ones, detached instances never are.
+// When there are MaxOverrides overrides, a further Detach drops the override of the instance that was
+// reattached first. The override of a detached instance is never dropped.
 func TestMaxOverrides(t *testing.T) {
 	allListed := func(string) bool { return true }
 	var s State
@@ -133,7 +135,7 @@
 		s.Apply(Change{Detach, fmt.Sprint("s", i), int64(i + 1)})
 	}
 	if err := s.Validate(Change{Operation: Detach, InstanceID: "more"}, allListed); !errors.Is(err, ErrTooManyOverrides) {
-		t.Fatalf("one too many: %v", err)
+		t.Fatalf("Detach with MaxOverrides detached instances: got error %v, want ErrTooManyOverrides", err)
 	}
 	s.Apply(Change{Attach, "s7", 9e3})
 	s.Apply(Change{Attach, "s9", 9e3 + 1})
@@ -143,7 +145,7 @@
 	}
 	s.Apply(c)
 	if len(s.overrides) != MaxOverrides || s.Detached("s7") || !s.Detached("more") || s.overrides["s9"].reattachedMs == 0 {
-		t.Errorf("%d overrides, s7 detached %v, more detached %v", len(s.overrides), s.Detached("s7"), s.Detached("more"))
+		t.Errorf("got %d overrides, s7 detached %v, more detached %v; want MaxOverrides, false, true and s9 kept", len(s.overrides), s.Detached("s7"), s.Detached("more"))
 	}
 }
 
@@ -151,19 +153,19 @@
 	const ms = time.Millisecond
 	var m LameDuckMode
 	if !m.Ready() || m.ClosesIdle(time.Hour) {
-		t.Error("not ready, or closes connections, while off")
+		t.Error("the zero LameDuckMode is not ready or closes idle connections, want neither")
 	}
 	m.Enter(10 * time.Second)
-	m.Enter(12 * time.Second) // does not restart the delay
+	m.Enter(12 * time.Second) // must not restart the delay
 	end := 10*time.Second + LameDuckIdleDelay
 	if m.Ready() || m.ClosesIdle(end-ms) || !m.ClosesIdle(end) {
-		t.Error("idle connections are closed too soon, or too late")
+		t.Error("the mode is ready, or closes idle connections earlier or later than LameDuckIdleDelay after the first Enter")
 	}
 	if LameDuckIdleDelay+LameDuckNotice > 2*time.Second {
-		t.Error("requests could arrive in the 2 s in which the node has to empty")
+		t.Error("LameDuckIdleDelay and LameDuckNotice together exceed the 2 s after which the node must get no more requests")
 	}
 	m.Exit()
 	if !m.Ready() || m.ClosesIdle(time.Hour) {
-		t.Error("not ready, or closes connections, after Exit")
+		t.Error("after Exit the mode is not ready or closes idle connections, want neither")
 	}
 }
