--- a/internal/adminstate/state.go
+++ b/internal/adminstate/state.go
@@ -115,8 +115,8 @@
 	return true
 }
 
-// detach takes an instance out of service. If there are MaxOverrides overrides, detach drops that of the
-// instance in service that was reattached first.
+// detach takes an instance out of service. If that needs a new override and there are MaxOverrides already, detach
+// drops the override of the instance in service that was reattached first.
 func (s *State) detach(id string) {
 	if _, known := s.overrides[id]; !known && len(s.overrides) >= MaxOverrides {
 		delete(s.overrides, s.oldestReattached())
--- a/internal/fleet/store/encoding.go
+++ b/internal/fleet/store/encoding.go
@@ -37,14 +37,14 @@
 	return b.Put(name, withChecksum(data))
 }
 
-// getMessage reads a protobuf message of the Raft library into to, and returns an error if the stored message is missing
-// or damaged.
-func getMessage(b *bbolt.Bucket, name []byte, to proto.Message) error {
+// getMessage verifies and decodes a protobuf message that putMessage stored. It returns an error if the stored message
+// is missing or damaged.
+func getMessage(b *bbolt.Bucket, name []byte, message proto.Message) error {
 	data, err := verifyChecksum(string(name), b.Get(name))
 	if err != nil {
 		return err
 	}
-	if err := proto.Unmarshal(data, to); err != nil {
+	if err := proto.Unmarshal(data, message); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
@@ -59,9 +59,9 @@
 	return b.Put(key, withChecksum(text))
 }
 
-// getJSON reads a value that putJSON stored into to, and returns an error if the stored value is damaged. If the key has
-// no value, getJSON leaves to unchanged.
-func getJSON(b *bbolt.Bucket, key []byte, to any) error {
+// getJSON verifies and decodes a value that putJSON stored. It returns an error if the stored value is damaged. If the
+// key has no value, getJSON leaves target unchanged.
+func getJSON(b *bbolt.Bucket, key []byte, target any) error {
 	value := b.Get(key)
 	if value == nil {
 		return nil
@@ -70,5 +70,5 @@
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(text, to)
+	return json.Unmarshal(text, target)
 }
--- a/internal/fleet/store/voterlog.go
+++ b/internal/fleet/store/voterlog.go
@@ -24,7 +24,7 @@
 
 // ErrNotInitialized is returned by Store.Voter for a store that belongs to no voter: Store.Init was never called on it,
 // or the initialized store was lost and a new one created.
-var ErrNotInitialized = errors.New("the store was not made by `yokestall fleet init`")
+var ErrNotInitialized = errors.New("the store was not initialized by `yokestall fleet init`")
 
 // Init initializes the store for a voter of a new fleet. Init fails if the store belongs to a voter already.
 func (s *Store) Init(id Identity) error {
@@ -109,8 +109,8 @@
 	return entries, nil
 }
 
-// entryKey returns the entryKey of an entry in the log's bucket: the big-endian index, so that bbolt keeps the entries in the
-// order of the log.
+// entryKey returns the key of an entry in the log's bucket: the big-endian index, so that bbolt keeps the entries in
+// the order of the log.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // Save makes a voter's hard state, snapshot and entries durable in one transaction. A snapshot replaces all entries
@@ -158,18 +158,18 @@
 	})
 }
 
-// saveSnapshot stores a snapshot and deletes the entries up to and including index to.
-func saveSnapshot(meta, log *bbolt.Bucket, snap *pb.Snapshot, to uint64) error {
+// saveSnapshot stores a snapshot and deletes the entries up to and including index last.
+func saveSnapshot(meta, log *bbolt.Bucket, snap *pb.Snapshot, last uint64) error {
 	if err := putMessage(meta, keySnapshot, snap); err != nil {
 		return err
 	}
-	return deleteEntries(log, 0, to)
+	return deleteEntries(log, 0, last)
 }
 
-// deleteEntries deletes the entries with indices from from to to, both included.
-func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
+// deleteEntries deletes the entries whose index is at least first and at most last.
+func deleteEntries(log *bbolt.Bucket, first, last uint64) error {
 	c := log.Cursor()
-	for k, _ := c.Seek(entryKey(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Next() {
+	for k, _ := c.Seek(entryKey(first)); k != nil && binary.BigEndian.Uint64(k) <= last; k, _ = c.Next() {
 		if err := c.Delete(); err != nil {
 			return err
 		}
--- a/internal/fleet/store/voterstart.go
+++ b/internal/fleet/store/voterstart.go
@@ -32,9 +32,9 @@
 	return start, err
 }
 
-// RecordStart records another voter's start if no later one of that voter was recorded. It returns whether start is the
-// latest recorded start of the voter, and the latest one. A start that is not the latest comes from a voter that runs
-// on an older copy of its store.
+// RecordStart records another voter's start, unless a start of that voter with the same or a greater count was recorded
+// before. It returns whether start is the latest recorded start of that voter, and the latest recorded start. If start
+// is not the latest, the voter runs on an older copy of its store, or on one of several copies.
 func (s *Store) RecordStart(start VoterStart) (isLatest bool, latest VoterStart, err error) {
 	key := append([]byte(latestStartPrefix), start.Name...)
 	err = s.update(func(tx *bbolt.Tx) error {
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -24,7 +24,7 @@
 
 // The errors for which Listen rejects an inherited descriptor. Operators see their texts.
 var (
-	errNoDescriptor = errors.New("not the number of a descriptor above the standard streams")
+	errNoDescriptor = errors.New("not the number of a descriptor above the standard streams (0 to 2)")
 	errNotOpen      = errors.New("is not open")
 	errNoSocket     = errors.New("is no socket")
 	errNoTCP        = errors.New("is no TCP socket")
