--- a/internal/hotrestart/descriptors_test.go
+++ b/internal/hotrestart/descriptors_test.go
@@ -17,7 +17,7 @@
 		peers     []Presence
 		limit     int
 		successor uint64
-		serving   bool // SuccessorServing
+		serving   bool // want of SuccessorServing
 	}{
 		{"without peers", 90, predecessor(90, PhaseServing), nil, total, 0, false},
 		{"a successor starts", 90, predecessor(90, PhaseServing), []Presence{starting}, 200, 2, false},
