--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -21,25 +21,25 @@
 // helloTimeout is how long one attempt to be admitted by another voter takes at most.
 const helloTimeout = time.Second
 
-// StartReply is a voter's answer to another voter's start.
-type StartReply struct {
+// AdmissionReply is a voter's answer to another voter's start.
+type AdmissionReply struct {
 	Admitted bool             `json:"ok"`
 	Latest   store.VoterStart `json:"latest"` // start that the voter has seen
 }
 
-// oldDiskError is why a voter that runs on an older copy of its disk doesn't vote.
-type oldDiskError struct {
+// staleDiskError is why a voter that runs on an older copy of its disk doesn't vote.
+type staleDiskError struct {
 	dir         string
 	own, latest uint64 // counts of starts
 }
 
-func (e *oldDiskError) Error() string {
+func (e *staleDiskError) Error() string {
 	return fmt.Sprintf("%s: an old copy of this voter's disk: it is at start %d, and another voter has met start %d",
 		e.dir, e.own, e.latest)
 }
 
 // serveHello admits another voter's start, unless this voter has seen a later one.
-func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*StartReply, error) {
+func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*AdmissionReply, error) {
 	if !slices.ContainsFunc(n.Voters, func(v VoterAddress) bool { return v.Name == start.Name }) {
 		name := start.Name[:min(len(start.Name), consensus.MaxName)]
 		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", name)
@@ -48,23 +48,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return &StartReply{admitted, latest}, nil
+	return &AdmissionReply{admitted, latest}, nil
 }
 
-// admit has the other voters admit this start of the voter. It returns false if one refused, or the node stops.
-func (n *Node) admit() bool {
-	need := (len(n.conns) + 1) / 2
+// waitForAdmission has the other voters waitForAdmission this start of the voter. It returns false if one refused, or the node stops.
+func (n *Node) waitForAdmission() bool {
+	needed := (len(n.conns) + 1) / 2
 	replies := make(chan bool, len(n.conns))
 	for _, c := range n.conns {
-		n.background.Go(func() { replies <- n.introduce(c) })
+		n.background.Go(func() { replies <- n.requestAdmission(c) })
 	}
-	for need > 0 {
+	for needed > 0 {
 		select {
 		case admitted := <-replies:
 			if !admitted {
 				return false
 			}
-			need--
+			needed--
 		case <-n.ctx.Done():
 			return false
 		}
@@ -75,11 +75,11 @@
 	return n.voter != nil
 }
 
-// introduce sends this start to another voter until that admits it, or refuses it, which ends this node's voting.
-func (n *Node) introduce(c *Conn) bool {
+// requestAdmission sends this start to another voter until that admits it, or refuses it, which ends this node's voting.
+func (n *Node) requestAdmission(c *Conn) bool {
 	for n.ctx.Err() == nil {
 		ctx, stop := context.WithTimeout(n.ctx, helloTimeout)
-		reply, err := call[StartReply](ctx, c, methodHello, n.ownStart)
+		reply, err := call[AdmissionReply](ctx, c, methodHello, n.ownStart)
 		stop()
 		if err != nil {
 			n.sleep(minDialBackoff)
@@ -87,7 +87,7 @@
 		}
 		if !reply.Admitted {
 			n.mu.Lock()
-			n.stopVoting(&oldDiskError{n.Dir, n.ownStart.Count, reply.Latest.Count})
+			n.stopVoting(&staleDiskError{n.Dir, n.ownStart.Count, reply.Latest.Count})
 			n.mu.Unlock()
 		}
 		return reply.Admitted
--- a/internal/fleet/agent/authentication_test.go
+++ b/internal/fleet/agent/authentication_test.go
@@ -51,7 +51,7 @@
 	f := newTestFleet(t, 1, 0, ours)
 	f.publish("one", 0, versionWithEffect("safe"))
 	for _, tc := range []struct {
-		what, fleet string
+		name, fleet string
 		with        *tls.Config
 		want        codes.Code
 	}{
@@ -66,7 +66,7 @@
 		}
 		ctx, stop := context.WithTimeout(context.Background(), testutil.WaitTimeout)
 		if _, err := c.Status(ctx); status.Code(err) != tc.want {
-			t.Errorf("%s: %v", tc.what, err)
+			t.Errorf("%s: %v", tc.name, err)
 		}
 		stop()
 		c.Close()
--- a/internal/fleet/agent/change_test.go
+++ b/internal/fleet/agent/change_test.go
@@ -49,7 +49,7 @@
 // to the same list, and what doesn't go with it is refused.
 func TestChangesOfAList(t *testing.T) {
 	endpoints, changes := 10_000, 100
-	if testing.Short() || raced {
+	if testing.Short() || raceEnabled {
 		endpoints, changes = 500, maxChangesPerVersion+5
 	}
 	f := newTestFleet(t, 3, 2)
@@ -57,7 +57,7 @@
 	for i := range f.nodes {
 		f.waitForEffect(i, "safe")
 	}
-	base, began := uint64(1), time.Now()
+	base, started := uint64(1), time.Now()
 	for i := range changes {
 		health := "draining" // each other one contradicts what is in force
 		if i%2 == 1 {
@@ -78,7 +78,7 @@
 		}
 		f.waitForVersion(base)
 	}
-	took := time.Since(began)
+	took := time.Since(started)
 	unknown := config.File{
 		Name: "c",
 		Text: []byte("[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"s-none\"]\n[end]\nendpoints = 0\n"),
--- a/internal/fleet/agent/client.go
+++ b/internal/fleet/agent/client.go
@@ -33,10 +33,10 @@
 }
 
 // NewClient creates a client. Its connections are established when they are needed.
-func NewClient(fleet string, voters []VoterAddress, with *tls.Config, more ...grpc.DialOption) (*Client, error) {
+func NewClient(fleet string, voters []VoterAddress, tlsConfig *tls.Config, extraOptions ...grpc.DialOption) (*Client, error) {
 	c := &Client{voters: voters}
 	for _, v := range voters {
-		conn, err := Dial(v, with, fleet, more...)
+		conn, err := Dial(v, tlsConfig, fleet, extraOptions...)
 		if err != nil {
 			c.Close()
 			return nil, err
--- a/internal/fleet/agent/clientpublish.go
+++ b/internal/fleet/agent/clientpublish.go
@@ -115,16 +115,16 @@
 	ctx context.Context, request PublishRequest, content map[string][]byte,
 ) (*PublishReply, error) {
 	errs := c.upload(ctx, content)
-	if countNil(errs) < c.quorumSize() {
+	if countSuccesses(errs) < c.quorumSize() {
 		return nil, fmt.Errorf("%w: %w", ErrNoQuorum, errors.Join(errs...))
 	}
-	var last error
+	var lastErr error
 	for i, conn := range c.conns {
 		if errs[i] != nil {
 			continue
 		}
-		one, stop := context.WithTimeout(ctx, publishTimeout+statusTimeout)
-		reply, err := conn.Publish(one, request)
+		callCtx, stop := context.WithTimeout(ctx, publishTimeout+statusTimeout)
+		reply, err := conn.Publish(callCtx, request)
 		stop()
 		switch {
 		case err == nil && (reply.Number > 0 || !reply.Retry):
@@ -134,13 +134,13 @@
 		case err == nil:
 			err = errors.New(reply.Error)
 		}
-		last = err
+		lastErr = err
 	}
-	return &PublishReply{Error: last.Error(), Retry: true}, nil
+	return &PublishReply{Error: lastErr.Error(), Retry: true}, nil
 }
 
-// countNil returns how many of the errors are nil.
-func countNil(errs []error) (count int) {
+// countSuccesses returns how many of the errors are nil.
+func countSuccesses(errs []error) (count int) {
 	for _, err := range errs {
 		if err == nil {
 			count++
@@ -204,14 +204,14 @@
 	defer t.Stop()
 	for {
 		if s, err := c.LatestStatus(ctx); err == nil {
-			now := s.outcome(number)
-			if now.InForce || now.RefusalReason != "" {
-				return now, nil
+			current := s.outcome(number)
+			if current.InForce || current.RefusalReason != "" {
+				return current, nil
 			}
-			if fmt.Sprint(now) != fmt.Sprint(last) {
-				progress(now)
+			if fmt.Sprint(current) != fmt.Sprint(last) {
+				progress(current)
 			}
-			last = now
+			last = current
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/fleet/agent/conn.go
+++ b/internal/fleet/agent/conn.go
@@ -28,10 +28,10 @@
 )
 
 // Dial returns a connection to a voter. It is established when it is first used, and re-established when it breaks.
-func Dial(v VoterAddress, with *tls.Config, fleet string, more ...grpc.DialOption) (*Conn, error) {
+func Dial(v VoterAddress, tlsConfig *tls.Config, fleet string, extraOptions ...grpc.DialOption) (*Conn, error) {
 	creds := insecure.NewCredentials()
-	if with != nil {
-		creds = credentials.NewTLS(with)
+	if tlsConfig != nil {
+		creds = credentials.NewTLS(tlsConfig)
 	}
 	options := append([]grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
@@ -43,7 +43,7 @@
 			},
 			MinConnectTimeout: dialTimeout,
 		}),
-	}, more...)
+	}, extraOptions...)
 	c, err := grpc.NewClient("passthrough:///"+v.Address, options...)
 	if err != nil {
 		return nil, err
@@ -59,21 +59,21 @@
 
 // context adds the name of the fleet to a call's metadata.
 func (c *Conn) context(ctx context.Context) context.Context {
-	return metadata.AppendToOutgoingContext(ctx, fleetKey, c.fleet)
+	return metadata.AppendToOutgoingContext(ctx, fleetMetadataKey, c.fleet)
 }
 
 // call calls a unary method.
 func call[Out any](ctx context.Context, c *Conn, name string, in any) (*Out, error) {
-	raw, err := pack(in)
+	raw, err := encodeMessage(in)
 	if err != nil {
 		return nil, err
 	}
-	back := &wrapperspb.BytesValue{}
-	if err := c.Invoke(c.context(ctx), methodPath(name), raw, back); err != nil {
+	reply := &wrapperspb.BytesValue{}
+	if err := c.Invoke(c.context(ctx), methodPath(name), raw, reply); err != nil {
 		return nil, err
 	}
 	out := new(Out)
-	return out, json.Unmarshal(back.GetValue(), out)
+	return out, json.Unmarshal(reply.GetValue(), out)
 }
 
 // firstAnswer calls request for one connection after the other, each within a timeout, and returns the first answer
@@ -82,18 +82,18 @@
 	ctx context.Context, conns iter.Seq[*Conn], timeout time.Duration, noAnswer error,
 	request func(context.Context, *Conn) (T, error),
 ) (T, error) {
-	last := noAnswer
+	lastErr := noAnswer
 	for c := range conns {
-		one, stop := context.WithTimeout(ctx, timeout)
-		answer, err := request(one, c)
+		callCtx, stop := context.WithTimeout(ctx, timeout)
+		answer, err := request(callCtx, c)
 		stop()
 		if err == nil {
 			return answer, nil
 		}
-		last = err
+		lastErr = err
 	}
-	var none T
-	return none, last
+	var zero T
+	return zero, lastErr
 }
 
 // Describe returns a version's manifest.
@@ -116,7 +116,7 @@
 	var data []byte
 	for len(data) < part.Size {
 		out := &wrapperspb.BytesValue{}
-		raw, err := pack(FetchRequest{part.Hash, len(data)})
+		raw, err := encodeMessage(FetchRequest{part.Hash, len(data)})
 		if err != nil {
 			return nil, err
 		}
@@ -162,8 +162,8 @@
 	if err != nil {
 		return err
 	}
-	for at := 0; at < len(data) || at == 0; at += chunkSize {
-		if err := s.SendMsg(wrapperspb.Bytes(data[at:min(len(data), at+chunkSize)])); err != nil {
+	for offset := 0; offset < len(data) || offset == 0; offset += chunkSize {
+		if err := s.SendMsg(wrapperspb.Bytes(data[offset:min(len(data), offset+chunkSize)])); err != nil {
 			break // RecvMsg returns why
 		}
 	}
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -58,7 +58,7 @@
 		ContentHashes{Hashes: []string{"hash-b", "hash-c"}},
 		consensus.Refusal{Number: 21, Node: "node-b", Reason: "reason-b"},
 		store.VoterStart{Name: "voter-a", Count: 22, Nonce: "nonce-a"},
-		StartReply{Admitted: true, Latest: store.VoterStart{Name: "voter-b", Count: 23, Nonce: "nonce-b"}},
+		AdmissionReply{Admitted: true, Latest: store.VoterStart{Name: "voter-b", Count: 23, Nonce: "nonce-b"}},
 		OwnershipQuery{Task: "task-b", Token: 24},
 		ReleaseCommand{Start: &release, Action: consensus.AbortRelease, Reason: "reason-c"},
 		ReleaseReply{Error: "error-d", Progress: &consensus.ReleaseProgress{
@@ -81,7 +81,7 @@
 		names = append(names, methodPath(s.StreamName))
 	}
 	golden.Lines(t, "testdata/golden/methods.json", names)
-	if fleetKey != "yokestall-fleet" {
-		t.Errorf("metadata key %q", fleetKey)
+	if fleetMetadataKey != "yokestall-fleet" {
+		t.Errorf("metadata key %q", fleetMetadataKey)
 	}
 }
--- a/internal/fleet/agent/lease.go
+++ b/internal/fleet/agent/lease.go
@@ -139,7 +139,7 @@
 	defer t.Stop()
 	for {
 		request, renewNow := n.nextLeaseRequest()
-		out, err := pack(request)
+		out, err := encodeMessage(request)
 		if err != nil || s.SendMsg(out) != nil {
 			return
 		}
--- a/internal/fleet/agent/leaseserver.go
+++ b/internal/fleet/agent/leaseserver.go
@@ -35,7 +35,7 @@
 			status := state.LogStatus()
 			reply.LogStatus = &status
 		}
-		out, err := pack(reply)
+		out, err := encodeMessage(reply)
 		if err != nil {
 			return err
 		}
@@ -62,7 +62,7 @@
 			return ignoreEOF(err)
 		}
 		var request consensus.LeaseRequest
-		if err := unpack(in, &request); err != nil {
+		if err := decodeMessage(in, &request); err != nil {
 			return err
 		}
 		if err := checkLeaseRequest(request); err != nil {
--- a/internal/fleet/agent/linearizableread.go
+++ b/internal/fleet/agent/linearizableread.go
@@ -18,11 +18,11 @@
 func (n *Node) currentState(ctx context.Context) (*consensus.State, error) {
 	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
-	first := uint64(0)
+	firstRead := uint64(0)
 	startRead := func() error {
 		return n.withVoter(func(v *consensus.Voter) error {
-			if id := v.StartRead(); first == 0 {
-				first = id
+			if id := v.StartRead(); firstRead == 0 {
+				firstRead = id
 			}
 			return nil
 		})
@@ -33,7 +33,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s, changed := n.stateOfRead(first)
+		s, changed := n.stateOfRead(firstRead)
 		if s != nil {
 			return s, nil
 		}
--- a/internal/fleet/agent/norace_test.go
+++ b/internal/fleet/agent/norace_test.go
@@ -2,4 +2,4 @@
 
 package agent
 
-const raced = false
+const raceEnabled = false
--- a/internal/fleet/agent/publish_test.go
+++ b/internal/fleet/agent/publish_test.go
@@ -105,20 +105,20 @@
 	if _, err := f.client.Publish(f.context(), "big", 1, big); err == nil {
 		t.Error("a file over the limit")
 	}
-	var flood sync.WaitGroup
-	taken := make(chan uint64, 200)
+	var publishers sync.WaitGroup
+	numbersReceived := make(chan uint64, 200)
 	for i := range 200 {
-		flood.Go(func() {
+		publishers.Go(func() {
 			p, err := f.client.Publish(f.context(), fmt.Sprint("flood-", i), 1, versionWithEffect("unsafe"))
 			if err == nil {
-				taken <- p.Number
+				numbersReceived <- p.Number
 			}
 		})
 	}
-	flood.Wait()
-	close(taken)
+	publishers.Wait()
+	close(numbersReceived)
 	numbers := map[uint64]bool{}
-	for n := range taken {
+	for n := range numbersReceived {
 		numbers[n] = true
 	}
 	delete(numbers, 0)
--- a/internal/fleet/agent/race_test.go
+++ b/internal/fleet/agent/race_test.go
@@ -2,4 +2,4 @@
 
 package agent
 
-const raced = true
+const raceEnabled = true
--- a/internal/fleet/agent/raftstream.go
+++ b/internal/fleet/agent/raftstream.go
@@ -45,7 +45,7 @@
 			return
 		case m := <-queue:
 			if err := sendRaftMessage(s, m); err != nil {
-				n.withVoter(func(v *consensus.Voter) error { reportLost(v, m); return nil })
+				n.withVoter(func(v *consensus.Voter) error { reportUndelivered(v, m); return nil })
 				return
 			}
 			if m.GetType() == pb.MsgSnap {
@@ -69,7 +69,7 @@
 	for {
 		select {
 		case m := <-queue:
-			n.withVoter(func(v *consensus.Voter) error { reportLost(v, m); return nil })
+			n.withVoter(func(v *consensus.Voter) error { reportUndelivered(v, m); return nil })
 		default:
 			return
 		}
@@ -90,7 +90,7 @@
 		if err := proto.Unmarshal(in.GetValue(), m); err != nil {
 			return status.Errorf(codes.InvalidArgument, "a voter's message: %v", err)
 		}
-		if err := n.receive(m); err != nil {
+		if err := n.handleRaftMessage(m); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/agent/release.go
+++ b/internal/fleet/agent/release.go
@@ -142,7 +142,7 @@
 	serving := countServing(c)
 	for i, wave := range r.Waves {
 		for _, id := range wave {
-			if e := findServer(c, id); e == nil || !e.Serves() {
+			if e := findEndpoint(c, id); e == nil || !e.Serves() {
 				return fmt.Errorf("waves: the %d. names %s, which is not in use in the version in force", i+1, id)
 			}
 		}
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// findServer returns a cluster's server by its id; nil if there is none.
-func findServer(c *cluster.Config, id string) *cluster.Endpoint {
+// findEndpoint returns a cluster's server by its id; nil if there is none.
+func findEndpoint(c *cluster.Config, id string) *cluster.Endpoint {
 	byID := func(e cluster.Endpoint, id string) int { return cmp.Compare(e.ID, id) }
 	at, found := slices.BinarySearchFunc(c.Endpoints, id, byID)
 	if !found {
--- a/internal/fleet/agent/release_test.go
+++ b/internal/fleet/agent/release_test.go
@@ -23,11 +23,11 @@
 	return -1, 0
 }
 
-func (f *testFleet) controlRelease(in ReleaseCommand) *ReleaseReply {
+func (f *testFleet) controlRelease(command ReleaseCommand) *ReleaseReply {
 	f.t.Helper()
 	var out *ReleaseReply
 	testutil.Until(f.t, "an answer on the release", func() bool {
-		r, err := f.client.ControlRelease(f.context(), in)
+		r, err := f.client.ControlRelease(f.context(), command)
 		out = r
 		return err == nil
 	})
@@ -53,7 +53,7 @@
 	for i := range 3 {
 		r.Waves = append(r.Waves, []string{fmt.Sprintf("s-%05d", 2*i), fmt.Sprintf("s-%05d", 2*i+1)})
 	}
-	for _, bad := range []struct {
+	for _, tc := range []struct {
 		change func(r *consensus.Release)
 		want   string
 	}{
@@ -62,11 +62,11 @@
 		{func(r *consensus.Release) { r.Waves = [][]string{{"s-00001"}, {"s-00001"}} }, "another's"},
 		{func(r *consensus.Release) { r.Cluster = "suites" }, "there is no suites"},
 	} {
-		try := r
-		bad.change(&try)
-		out := f.controlRelease(ReleaseCommand{Start: &try})
-		if !strings.Contains(out.Error, bad.want) || out.Progress != nil {
-			t.Errorf("%q: %+v", bad.want, out)
+		invalid := r
+		tc.change(&invalid)
+		out := f.controlRelease(ReleaseCommand{Start: &invalid})
+		if !strings.Contains(out.Error, tc.want) || out.Progress != nil {
+			t.Errorf("%q: %+v", tc.want, out)
 		}
 	}
 	if out := f.controlRelease(ReleaseCommand{Start: &r}); out.Error != "" {
@@ -171,7 +171,7 @@
 		}
 		f.start(i)
 		n := f.nodes[i].node
-		ask := func(in ReleaseCommand) (out *ReleaseReply) {
+		sendCommand := func(in ReleaseCommand) (out *ReleaseReply) {
 			testutil.Until(t, "a leader", func() bool {
 				var err error
 				out, err = n.serveReleaseCommand(f.context(), &in)
@@ -180,21 +180,21 @@
 			return out
 		}
 		if i == 0 {
-			if out := ask(ReleaseCommand{Start: &r}); out.Error != "" {
+			if out := sendCommand(ReleaseCommand{Start: &r}); out.Error != "" {
 				t.Errorf("asked of who missed the version: %+v", out)
 			}
 		}
-		if out := ask(ReleaseCommand{}); out.Error != "" || out.Progress.Release.ID != r.ID {
+		if out := sendCommand(ReleaseCommand{}); out.Error != "" || out.Progress.Release.ID != r.ID {
 			t.Errorf("asked of who missed the release: %+v", out)
 		}
-		if out := ask(ReleaseCommand{Action: "abort", Reason: "test"}); out.Error != "" {
+		if out := sendCommand(ReleaseCommand{Action: "abort", Reason: "test"}); out.Error != "" {
 			t.Errorf("%+v", out)
 		}
 		f.waitForReleaseEnd()
 	}
 	// A publisher is told of the present version, not of one that was.
 	var s *Status
-	testutil.Until(t, "the last release to be back", func() (calm bool) {
+	testutil.Until(t, "the last release to be back", func() (settled bool) {
 		var err error
 		s, err = f.client.LatestStatus(f.context())
 		return err == nil && s.LogStatus.PendingVersion == 0
--- a/internal/fleet/agent/releaserunner.go
+++ b/internal/fleet/agent/releaserunner.go
@@ -25,7 +25,7 @@
 // runReleases carries out releases while this node owns that task, until the node stops.
 func (n *Node) runReleases() {
 	var current currentPhase
-	var since time.Duration
+	var phaseStart time.Duration
 	poll := time.NewTicker(releasePollInterval)
 	defer poll.Stop()
 	for {
@@ -47,19 +47,19 @@
 			continue
 		}
 		p := s.Release
-		if now := (currentPhase{token, p.Release.ID, p.Wave, p.Phase}); now != current {
+		if latest := (currentPhase{token, p.Release.ID, p.Wave, p.Phase}); latest != current {
 			// A new owner measures a phase from its takeover: the phase may last longer than configured, never shorter.
-			current, since = now, n.Clock()
+			current, phaseStart = latest, n.Clock()
 		}
-		n.runPhase(s, token, since)
+		n.runPhase(s, token, phaseStart)
 	}
 }
 
 // runPhase does what the present phase needs, and proposes the next one when it is over.
-func (n *Node) runPhase(s *consensus.State, token uint64, since time.Duration) {
+func (n *Node) runPhase(s *consensus.State, token uint64, phaseStart time.Duration) {
 	p := s.Release
 	update := &consensus.ReleaseUpdate{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase, Action: consensus.AdvanceRelease}
-	over, err := n.phaseOver(s, since)
+	over, err := n.phaseOver(s, phaseStart)
 	switch {
 	case err != nil:
 		n.Log.Error("release failed", "release", p.Release.ID, "wave", p.Wave, "phase", p.Phase.String(), "err", err)
@@ -73,16 +73,16 @@
 // stillOwnsReleases reports whether this node owns releases by a token. It is called right before the node does
 // something by it.
 func (n *Node) stillOwnsReleases(token uint64) bool {
-	now, ok := n.Owns(ReleaseTask)
-	return ok && now == token
+	current, ok := n.Owns(ReleaseTask)
+	return ok && current == token
 }
 
 // phaseOver reports whether the present phase is over. A phase that takes effect by a version publishes that version
 // first.
-func (n *Node) phaseOver(s *consensus.State, since time.Duration) (bool, error) {
+func (n *Node) phaseOver(s *consensus.State, phaseStart time.Duration) (bool, error) {
 	p := s.Release
 	if p.Phase != consensus.TakingOut && p.Phase != consensus.PuttingBack {
-		return !p.Paused && n.Clock()-since >= p.PhaseDuration(), nil
+		return !p.Paused && n.Clock()-phaseStart >= p.PhaseDuration(), nil
 	}
 	if p.Paused && p.Phase == consensus.TakingOut {
 		return false, nil
@@ -135,7 +135,7 @@
 	}
 	changed := cluster.Config{Name: c.Name}
 	for _, id := range p.Waves[p.Wave] {
-		found := findServer(c, id)
+		found := findEndpoint(c, id)
 		if found == nil {
 			continue
 		}
--- a/internal/fleet/agent/service.go
+++ b/internal/fleet/agent/service.go
@@ -16,11 +16,11 @@
 // of several versions run side by side.
 
 const (
-	service    = "yokestall.fleet.v1.Fleet"
-	fleetKey   = "yokestall-fleet" // metadata: the name of the fleet that a call is for
-	maxMessage = 4 << 20           // bytes of a message, enough for the whole history
-	chunkSize  = 256 << 10         // bytes of content in a message
-	maxReason  = 4 << 10           // bytes of a node's reason for a refusal
+	serviceName      = "yokestall.fleet.v1.Fleet"
+	fleetMetadataKey = "yokestall-fleet" // metadata: the name of the fleet that a call is for
+	maxMessage       = 4 << 20           // bytes of a message, enough for the whole history
+	chunkSize        = 256 << 10         // bytes of content in a message
+	maxReason        = 4 << 10           // bytes of a node's reason for a refusal
 )
 
 // The names of the service's methods.
@@ -39,8 +39,8 @@
 	streamPut          = "Put"
 )
 
-// pack encodes a message as JSON.
-func pack(v any) (*wrapperspb.BytesValue, error) {
+// encodeMessage encodes a message as JSON.
+func encodeMessage(v any) (*wrapperspb.BytesValue, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -48,8 +48,8 @@
 	return wrapperspb.Bytes(data), nil
 }
 
-// unpack decodes a message from JSON. Its error has the code InvalidArgument.
-func unpack(in *wrapperspb.BytesValue, to any) error {
+// decodeMessage decodes a message from JSON. Its error has the code InvalidArgument.
+func decodeMessage(in *wrapperspb.BytesValue, to any) error {
 	if err := json.Unmarshal(in.GetValue(), to); err != nil {
 		return status.Errorf(codes.InvalidArgument, "a message that can't be read: %v", err)
 	}
@@ -59,7 +59,7 @@
 // checkFleet refuses a call that is for another fleet, before its message is decoded.
 func (n *Node) checkFleet(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
-	if got := md.Get(fleetKey); len(got) != 1 || got[0] != n.Fleet {
+	if got := md.Get(fleetMetadataKey); len(got) != 1 || got[0] != n.Fleet {
 		return status.Errorf(codes.PermissionDenied, "this is a node of the fleet %q", n.Fleet)
 	}
 	return nil
@@ -81,7 +81,7 @@
 			return nil, err
 		}
 		in := new(In)
-		if err := unpack(raw, in); err != nil {
+		if err := decodeMessage(raw, in); err != nil {
 			return nil, err
 		}
 		out, err := do(n, ctx, in)
@@ -91,13 +91,13 @@
 		if data, ok := any(out).(*rawBytes); ok {
 			return wrapperspb.Bytes(*data), nil
 		}
-		return pack(out)
+		return encodeMessage(out)
 	}
 	return grpc.MethodDesc{MethodName: name, Handler: handler}
 }
 
 // streamMethod describes a streaming method; up and down say which side sends several messages.
-func streamMethod(name string, up, down bool, do func(n *Node, s grpc.ServerStream) error) grpc.StreamDesc {
+func streamMethod(name string, clientStreams, serverStreams bool, do func(n *Node, s grpc.ServerStream) error) grpc.StreamDesc {
 	handler := func(server any, s grpc.ServerStream) error {
 		n := server.(*Node)
 		if err := n.checkFleet(s.Context()); err != nil {
@@ -105,13 +105,13 @@
 		}
 		return do(n, s)
 	}
-	return grpc.StreamDesc{StreamName: name, ClientStreams: up, ServerStreams: down, Handler: handler}
+	return grpc.StreamDesc{StreamName: name, ClientStreams: clientStreams, ServerStreams: serverStreams, Handler: handler}
 }
 
 // serviceDescription describes the gRPC service that a node serves.
 func serviceDescription() *grpc.ServiceDesc {
 	return &grpc.ServiceDesc{
-		ServiceName: service, HandlerType: (*any)(nil),
+		ServiceName: serviceName, HandlerType: (*any)(nil),
 		Methods: []grpc.MethodDesc{
 			unaryMethod(methodDescribe, (*Node).serveDescribe),
 			unaryMethod(methodFetch, (*Node).serveFetch),
@@ -132,4 +132,4 @@
 }
 
 // methodPath is the path of a method in gRPC calls.
-func methodPath(name string) string { return "/" + service + "/" + name }
+func methodPath(name string) string { return "/" + serviceName + "/" + name }
--- a/internal/fleet/agent/silent_test.go
+++ b/internal/fleet/agent/silent_test.go
@@ -13,8 +13,8 @@
 // relay carries connections to an address until it falls silent: then what comes is dropped and nothing is
 // closed, as behind a link that is cut.
 type relay struct {
-	address string
-	silent  atomic.Bool
+	address  string
+	dropping atomic.Bool
 }
 
 // newRelay starts a relay to an address.
@@ -26,20 +26,20 @@
 			return
 		}
 		defer server.Close()
-		go s.carry(client, server)
-		s.carry(server, client)
+		go s.forward(client, server)
+		s.forward(server, client)
 	})
 	return s
 }
 
-func (s *relay) carry(to io.Writer, from io.Reader) {
-	for piece := make([]byte, 32<<10); ; {
-		n, err := from.Read(piece)
+func (s *relay) forward(to io.Writer, from io.Reader) {
+	for buffer := make([]byte, 32<<10); ; {
+		n, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
-		if !s.silent.Load() {
-			to.Write(piece[:n])
+		if !s.dropping.Load() {
+			to.Write(buffer[:n])
 		}
 	}
 }
@@ -57,10 +57,10 @@
 	}
 	first := f.publish("first", 0, versionWithEffect("safe")) // the connections are there now
 	f.waitForOutcome(first.Number)
-	relay.silent.Store(true)
-	begun := time.Now()
+	relay.dropping.Store(true)
+	started := time.Now()
 	second := f.publish("second", first.Number, versionWithEffect("unsafe"))
-	if took := time.Since(begun); second.Number == 0 || took >= publishTimeout {
+	if took := time.Since(started); second.Number == 0 || took >= publishTimeout {
 		t.Fatalf("version %d after %v: %+v", second.Number, took, second)
 	}
 	f.waitForOutcome(second.Number)
--- a/internal/fleet/agent/versions.go
+++ b/internal/fleet/agent/versions.go
@@ -84,14 +84,14 @@
 // not be.
 func (n *Node) cacheVersion(m *consensus.Manifest, v *consensus.Version) {
 	n.versions[m.Number], n.manifests[m.Number] = v, m
-	var ofEpoch []uint64 // a voter compares a new version with each of them
+	var epochVersions []uint64 // a voter compares a new version with each of them
 	if s := n.state(); s != nil {
-		ofEpoch = s.EpochVersions
+		epochVersions = s.EpochVersions
 	}
-	for len(n.versions) > maxCachedVersions+len(ofEpoch) {
+	for len(n.versions) > maxCachedVersions+len(epochVersions) {
 		oldest := uint64(math.MaxUint64)
 		for number := range n.versions {
-			if !n.isApplied(number) && !slices.Contains(ofEpoch, number) {
+			if !n.isApplied(number) && !slices.Contains(epochVersions, number) {
 				oldest = min(oldest, number)
 			}
 		}
--- a/internal/fleet/agent/voter.go
+++ b/internal/fleet/agent/voter.go
@@ -16,7 +16,7 @@
 
 // runVoter waits until the other voters have admitted the voter, and starts the goroutines that run it.
 func (n *Node) runVoter() {
-	if !n.admit() {
+	if !n.waitForAdmission() {
 		return
 	}
 	for id, queue := range n.outbox {
@@ -83,8 +83,8 @@
 func (n *Node) processReady() error {
 	before, reads := n.voter.State().LogStatus(), n.voter.ReadsAnswered()
 	for {
-		work, some := n.voter.Ready()
-		if !some {
+		work, ready := n.voter.Ready()
+		if !ready {
 			break
 		}
 		if err := n.doWork(work); err != nil {
@@ -92,7 +92,7 @@
 			return err
 		}
 	}
-	if now := n.voter.State(); now.LogStatus() != before || n.voter.ReadsAnswered() != reads {
+	if after := n.voter.State(); after.LogStatus() != before || n.voter.ReadsAnswered() != reads {
 		n.notifyStateChanged()
 	}
 	return nil
@@ -104,7 +104,7 @@
 		return err
 	}
 	for _, m := range work.Messages {
-		n.send(m)
+		n.queueRaftMessage(m)
 	}
 	snapshot, err := n.voter.Advance(work)
 	if err != nil || snapshot == nil {
@@ -142,25 +142,25 @@
 	return n.store.Sweep(retained)
 }
 
-// send queues a message for another voter, or drops it if the queue is full; n.mu is held.
-func (n *Node) send(m *pb.Message) {
+// queueRaftMessage queues a message for another voter, or drops it if the queue is full; n.mu is held.
+func (n *Node) queueRaftMessage(m *pb.Message) {
 	select {
 	case n.outbox[m.GetTo()] <- m:
 	default:
-		reportLost(n.voter, m)
+		reportUndelivered(n.voter, m)
 	}
 }
 
-// reportLost reports to this node's voter that a message was not delivered.
-func reportLost(v *consensus.Voter, m *pb.Message) {
+// reportUndelivered reports to this node's voter that a message was not delivered.
+func reportUndelivered(v *consensus.Voter, m *pb.Message) {
 	v.Unreachable(m.GetTo())
 	if m.GetType() == pb.MsgSnap {
 		v.SnapshotSent(m.GetTo(), false)
 	}
 }
 
-// receive handles another voter's message.
-func (n *Node) receive(m *pb.Message) error {
+// handleRaftMessage handles another voter's message.
+func (n *Node) handleRaftMessage(m *pb.Message) error {
 	return n.withVoter(func(v *consensus.Voter) error {
 		if m.GetTo() != v.ID || !slices.Contains(v.Voters(), m.GetFrom()) || m.GetFrom() == v.ID {
 			return errNotVoter
