--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -13,36 +13,38 @@
 	"yokestall/internal/fleet/store"
 )
 
-// A voter that starts on an older copy of its disk has forgotten its votes and promises, so it must not vote. Each
-// voter counts its starts on its own disk, and records the latest start of every other voter that it has seen. Before
-// a voter votes, half of the others have to admit it. A voter of which any other has seen a later start stays a
-// follower.
+// A voter that starts on an older copy of its disk has lost votes that it cast and leases that it granted, so it must
+// not vote. Each voter counts its starts on its own disk, and records the latest start that it has seen of every other
+// voter. Before a voter votes, at least half of the other voters have to admit its start. A voter stays a follower if
+// any other voter has seen a later start of it.
 
-// helloTimeout is how long one attempt to be admitted by another voter takes at most.
+// helloTimeout is the timeout of one call that asks another voter for admission.
 const helloTimeout = time.Second
 
-// AdmissionReply is a voter's answer to another voter's start.
+// AdmissionReply says whether a voter admits another voter's start.
 type AdmissionReply struct {
 	Admitted bool             `json:"ok"`
-	Latest   store.VoterStart `json:"latest"` // start that the voter has seen
+	Latest   store.VoterStart `json:"latest"` // latest start that the replying voter has seen of the other voter
 }
 
-// staleDiskError is why a voter that runs on an older copy of its disk doesn't vote.
+// staleDiskError is the error of a voter that does not vote because it runs on an older copy of its disk.
 type staleDiskError struct {
 	dir         string
-	own, latest uint64 // counts of starts
+	own, latest uint64 // numbers of starts: as this disk counts them, and as another voter has recorded them
 }
 
 func (e *staleDiskError) Error() string {
-	return fmt.Sprintf("%s: an old copy of this voter's disk: it is at start %d, and another voter has met start %d",
+	return fmt.Sprintf(
+		"%s: an old copy of this voter's disk: this is start %d, but another voter has recorded a different start, number %d",
 		e.dir, e.own, e.latest)
 }
 
-// serveHello admits another voter's start, unless this voter has seen a later one.
+// serveHello admits another voter's start, unless this voter has already recorded a later start of that voter, or the
+// same start number with another nonce.
 func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*AdmissionReply, error) {
 	if !slices.ContainsFunc(n.Voters, func(v VoterAddress) bool { return v.Name == start.Name }) {
 		name := start.Name[:min(len(start.Name), consensus.MaxName)]
-		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", name)
+		return nil, status.Errorf(codes.InvalidArgument, "%q is not a voter of this fleet", name)
 	}
 	admitted, latest, err := n.store.RecordStart(*start)
 	if err != nil {
@@ -51,7 +53,8 @@
 	return &AdmissionReply{admitted, latest}, nil
 }
 
-// waitForAdmission has the other voters waitForAdmission this start of the voter. It returns false if one refused, or the node stops.
+// waitForAdmission asks the other voters to admit this start, and makes the node a voter once at least half of them have
+// done so. It returns false if a voter refuses or the node stops.
 func (n *Node) waitForAdmission() bool {
 	needed := (len(n.conns) + 1) / 2
 	replies := make(chan bool, len(n.conns))
@@ -75,7 +78,8 @@
 	return n.voter != nil
 }
 
-// requestAdmission sends this start to another voter until that admits it, or refuses it, which ends this node's voting.
+// requestAdmission sends this start to another voter until that voter admits or refuses it. A refusal makes this node
+// stop voting, also after it was admitted by others.
 func (n *Node) requestAdmission(c *Conn) bool {
 	for n.ctx.Err() == nil {
 		ctx, stop := context.WithTimeout(n.ctx, helloTimeout)
--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -8,10 +8,11 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// minReconcileDelay is the shortest time between two rounds of reconcile that nothing woke.
+// minReconcileDelay is the shortest delay until reconcile's timer starts another round. A wake-up starts one at once.
 const minReconcileDelay = time.Millisecond
 
-// reconcile makes the program act on what the lease permits, until the node stops.
+// reconcile brings the versions that the program acts on, and the tasks that this process owns, in line with the lease
+// and the log, until the node stops.
 func (n *Node) reconcile() {
 	started := n.Clock()
 	t := time.NewTimer(0)
@@ -33,8 +34,8 @@
 	}
 }
 
-// reconcileVersions applies other versions where the lease permits them, and the disconnected policy where there is no
-// lease.
+// reconcileVersions applies the desired versions if the lease permits them and the program acts on others. If the lease
+// has expired, or none was granted within a lease's duration after started, it applies the disconnected policy.
 func (n *Node) reconcileVersions(started time.Duration) {
 	n.leaseMu.Lock()
 	now := n.Clock()
@@ -52,15 +53,16 @@
 	}
 }
 
-// applyVersions makes the program act on versions that the lease permits.
+// applyVersions makes the program act on active, which the lease permits, and confirms that to the voters. If the
+// program can't apply the versions, it keeps acting on the previous ones.
 func (n *Node) applyVersions(active consensus.ActiveVersions) {
 	effective, ok := n.effectiveVersion(active)
 	if !ok {
-		return // a version was evicted meanwhile, and is being refetched
+		return // a version has been evicted from the cache and is fetched again
 	}
 	previous := n.bindToLease(active)
 	if err := n.Apply(effective); err != nil {
-		n.applied.Store(previous) // the program still acts on that
+		n.applied.Store(previous) // the program still acts on the previous versions
 		n.markUnusable(active, err)
 		return
 	}
@@ -76,8 +78,9 @@
 	}
 }
 
-// effectiveVersion returns the version, or the stricter of two, that active stands for; false: one of them is not
-// cached.
+// effectiveVersion returns the active version, or its stricter combination with the pending version if active has one.
+// It returns false if one of the versions is not cached. If the combination is laxer than one of the two, which would be
+// a fault of consensus.Stricter, all classes are refused.
 func (n *Node) effectiveVersion(active consensus.ActiveVersions) (consensus.EffectiveVersion, bool) {
 	n.versionsMu.Lock()
 	version, pending := n.versions[active.Version], n.versions[active.PendingVersion]
@@ -100,8 +103,9 @@
 	return stricter, true
 }
 
-// bindToLease binds a program that acts on nothing, or without a lease, to the lease of the versions that it is about
-// to apply, so that it is bound from the first moment on. It returns what the program acts on.
+// bindToLease limits a program that acts on no version, or on the disconnected policy, to the lease of the versions that
+// it is about to apply: MayServe then depends on that lease before Apply is called. It returns what the program has
+// acted on so far.
 func (n *Node) bindToLease(active consensus.ActiveVersions) *appliedVersions {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
@@ -112,8 +116,8 @@
 	return current
 }
 
-// markUnusable records that the program can't apply the newer of the versions, and reports it while that version is
-// pending.
+// markUnusable records that the program can't apply the newer of the versions, and removes that version from the cache.
+// If the version is pending, it is also reported to the voters.
 func (n *Node) markUnusable(active consensus.ActiveVersions, err error) {
 	newest := max(active.Version, active.PendingVersion)
 	n.versionsMu.Lock()
@@ -126,7 +130,7 @@
 	}
 }
 
-// saveLastVersion records a version as the one for a start without a quorum.
+// saveLastVersion saves a version's manifest in the store, for a start at which no quorum answers.
 func (n *Node) saveLastVersion(number uint64) {
 	m, err := n.fetchManifest(n.ctx, number)
 	if err == nil {
@@ -137,7 +141,7 @@
 	}
 }
 
-// enterDisconnected restricts the program to the disconnected policy after the lease has expired.
+// enterDisconnected applies the disconnected policy to the versions that the program acted on when the lease expired.
 func (n *Node) enterDisconnected(last consensus.ActiveVersions) {
 	n.versionsMu.Lock()
 	active, pending := n.versions[last.Version], n.versions[last.PendingVersion]
@@ -157,7 +161,8 @@
 	}
 }
 
-// startDisconnected is enterDisconnected for a node that has reached no quorum since its start.
+// startDisconnected applies the disconnected policy to the version that saveLastVersion saved, on a node that has held
+// no lease since its start.
 func (n *Node) startDisconnected() {
 	m, err := n.store.LastVersion()
 	if m == nil || err != nil {
@@ -178,8 +183,8 @@
 	}
 }
 
-// applyDisconnected makes the program act on what the disconnected policy leaves of a version, and reports whether the
-// program does.
+// applyDisconnected makes the program act on a version as the disconnected policy restricts it, and reports whether that
+// succeeded. last are the versions that the program acted on before.
 func (n *Node) applyDisconnected(effective consensus.EffectiveVersion, last consensus.ActiveVersions) bool {
 	if err := n.Apply(consensus.DisconnectedVersion(effective, n.Disconnected, time.Now())); err != nil {
 		n.Log.Error("disconnected policy not applied", "err", err)
--- a/internal/fleet/agent/client.go
+++ b/internal/fleet/agent/client.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	statusTimeout      = 2 * time.Second // for a voter's status
-	statusPollInterval = 20 * time.Millisecond
-	// maxChangesPerVersion is how many changes of lists a version may consist of; the next one replaces the lists as a
-	// whole.
+	statusTimeout      = 2 * time.Second       // of a request for a voter's status or manifest, and of a linearizable read
+	statusPollInterval = 20 * time.Millisecond // between two requests of WaitForVersion
+	// maxChangesPerVersion is the largest number of endpoint list changes in a version. The next change is merged with
+	// all earlier ones into complete lists.
 	maxChangesPerVersion = 64
 )
 
 // ErrNoQuorum is returned when fewer than a majority of the voters answer.
-var ErrNoQuorum = errors.New("no majority of the voters answers")
+var ErrNoQuorum = errors.New("no quorum: fewer than a majority of the voters answered")
 
 // Client is an operator's client of a fleet's voters.
 type Client struct {
@@ -32,7 +32,8 @@
 	conns  []*Conn
 }
 
-// NewClient creates a client. Its connections are established when they are needed.
+// NewClient creates a client. Its connections are established when they are first used. A nil tlsConfig means clear
+// text.
 func NewClient(fleet string, voters []VoterAddress, tlsConfig *tls.Config, extraOptions ...grpc.DialOption) (*Client, error) {
 	c := &Client{voters: voters}
 	for _, v := range voters {
@@ -53,7 +54,7 @@
 	}
 }
 
-// VoterStatus is a voter's status, or why there is none.
+// VoterStatus is a voter's status, or the error of the request for it.
 type VoterStatus struct {
 	Voter  string  `json:"voter"`
 	Status *Status `json:"status,omitempty"`
@@ -84,7 +85,8 @@
 	calls.Wait()
 }
 
-// LatestStatus returns the status of the voter that has applied most of the log, if a majority of the voters answers.
+// LatestStatus returns the status of the voter that has applied the most of the log. It returns ErrNoQuorum if fewer
+// than a majority of the nodes answer as voters.
 func (c *Client) LatestStatus(ctx context.Context) (*Status, error) {
 	var latest *Status
 	answers := 0
@@ -99,15 +101,15 @@
 		}
 	}
 	if answers < c.quorumSize() {
-		return nil, fmt.Errorf("%w: %d of %d (%s)", ErrNoQuorum, answers, len(c.conns), lastError)
+		return nil, fmt.Errorf("%w: %d of %d voters (last error: %s)", ErrNoQuorum, answers, len(c.conns), lastError)
 	}
 	return latest, nil
 }
 
 func (c *Client) quorumSize() int { return consensus.QuorumSize(len(c.conns)) }
 
-// OwnershipToken queries the voter at an index of the client's voters for the fencing token by which it owns a task at
-// this moment; 0: it doesn't.
+// OwnershipToken asks a voter, given by its index among the client's voters, for the fencing token by which it owns a
+// task at this moment. The token is 0 if the voter does not own the task.
 func (c *Client) OwnershipToken(ctx context.Context, voter int, task string) (token uint64, err error) {
 	reply, err := call[OwnershipQuery](ctx, c.conns[voter], methodOwnership, OwnershipQuery{Task: task})
 	if err != nil {
@@ -116,7 +118,7 @@
 	return reply.Token, nil
 }
 
-// NewID creates an id for a publish. A publish that is repeated with the same id takes effect once.
+// NewID creates a random id, for example of a publish. A publish that is repeated with the same id takes effect once.
 func NewID() string {
 	b := make([]byte, 16)
 	rand.Read(b)
--- a/internal/fleet/agent/clientpublish.go
+++ b/internal/fleet/agent/clientpublish.go
@@ -16,9 +16,9 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// Publish publishes a version that was made from a base. Its content is stored by a majority of the voters before the
-// version is proposed, so that no version is lost with a minority. A reply without a number says why; if its Retry is
-// set, the same call may succeed later.
+// Publish publishes a version that was made from the version base. A majority of the voters stores the content before
+// the version is proposed, so that the loss of a minority of the voters loses no version. If the reply's Number is 0, the
+// version was not published and Error says why; if Retry is set, the same call may succeed later.
 func (c *Client) Publish(ctx context.Context, id string, base uint64, list []config.File) (*PublishReply, error) {
 	request := PublishRequest{ID: id, Base: base}
 	content := map[string][]byte{}
@@ -30,8 +30,8 @@
 	return c.publish(ctx, request, content)
 }
 
-// PublishChange publishes a version that differs from its base in one cluster's list; only the change is sent. Once a
-// version consists of maxChangesPerVersion changes, the lists are sent completely.
+// PublishChange publishes a version that differs from its base in one cluster's endpoint list; only the change is sent.
+// If the base already has maxChangesPerVersion changes, all changes are merged and complete lists are sent.
 func (c *Client) PublishChange(ctx context.Context, id string, base uint64, change config.File) (*PublishReply, error) {
 	patch, err := config.ParseChange(change)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return c.publish(ctx, request, map[string][]byte{h: change.Text})
 }
 
-// countChanges returns how many of the parts are changes of lists.
+// countChanges returns how many of the parts are changes of endpoint lists.
 func countChanges(parts []consensus.Part) (changes int) {
 	for _, p := range parts {
 		if files.IsChange(p.Name) {
@@ -75,7 +75,8 @@
 	return m, from, err
 }
 
-// mergeChanges returns the files of a version with its changes, and a further one, applied to the lists.
+// mergeChanges returns the files of a version with complete endpoint lists, to which the version's own changes and a
+// further change have been applied.
 func mergeChanges(
 	ctx context.Context, conn *Conn, m *consensus.Manifest, change config.File,
 ) ([]config.File, error) {
@@ -101,7 +102,7 @@
 	return merged, nil
 }
 
-// Rollback publishes a version of the history as a new one.
+// Rollback publishes the content of an earlier version, which must be in the history, as a new version.
 func (c *Client) Rollback(ctx context.Context, id string, base, number uint64) (*PublishReply, error) {
 	m, _, err := c.describe(ctx, number)
 	if err != nil {
@@ -110,7 +111,8 @@
 	return c.publish(ctx, PublishRequest{ID: id, Base: base, Parts: m.Parts}, nil)
 }
 
-// publish uploads content to a majority of the voters and has one of them publish a version.
+// publish uploads content to a majority of the voters, and then asks those voters one after the other to publish the
+// version until one of them gives a final reply. If none does, the reply has the last error and Retry is set.
 func (c *Client) publish(
 	ctx context.Context, request PublishRequest, content map[string][]byte,
 ) (*PublishReply, error) {
@@ -129,7 +131,7 @@
 		switch {
 		case err == nil && (reply.Number > 0 || !reply.Retry):
 			return reply, nil
-		case status.Code(err) == codes.InvalidArgument: // any voter would refuse it
+		case status.Code(err) == codes.InvalidArgument: // every voter would reject the request
 			return nil, err
 		case err == nil:
 			err = errors.New(reply.Error)
@@ -149,18 +151,18 @@
 	return count
 }
 
-// uploadGrace is how long the other voters have for storing content once a quorum has stored it. What they miss they
-// fetch from the others.
+// uploadGrace is how long the remaining voters have to store content once a quorum has stored it. A voter that misses
+// content fetches it later from another voter.
 const uploadGrace = 250 * time.Millisecond
 
 // uploadResult is the result of storing content at one voter.
 type uploadResult struct {
-	voter int // index of the client's connection
+	voter int // index of the voter's connection in the client
 	err   error
 }
 
-// upload stores content at all voters at the same time and returns their errors. A voter that doesn't answer
-// delays it by no more than uploadGrace after a quorum has stored the content.
+// upload stores content at all voters at the same time and returns their errors, nil for those that stored it. Once a
+// quorum has stored the content, a voter that does not answer delays upload by no more than uploadGrace.
 func (c *Client) upload(ctx context.Context, content map[string][]byte) []error {
 	errs := make([]error, len(c.conns))
 	if content == nil {
@@ -194,8 +196,8 @@
 	WaitingFor    []string `json:"waits,omitempty"` // nodes that have neither confirmed nor lost their lease
 }
 
-// WaitForVersion waits until a version is in force or refused, and calls progress whenever the outcome so far
-// changes. If ctx ends first, it returns the outcome so far and ctx's error.
+// WaitForVersion waits until a version is in force or refused, and calls progress whenever the state of the publish
+// changes before that. If ctx ends first, it returns the latest state and ctx's error.
 func (c *Client) WaitForVersion(
 	ctx context.Context, number uint64, progress func(PublishOutcome),
 ) (PublishOutcome, error) {
@@ -221,7 +223,7 @@
 	}
 }
 
-// outcome returns the state of a version by a voter's status.
+// outcome returns the state of a published version according to a voter's status.
 func (s *Status) outcome(number uint64) PublishOutcome {
 	for i := range s.History {
 		if m := &s.History[i]; m.Number == number && m.RefusalReason != "" {
--- a/internal/fleet/agent/conn.go
+++ b/internal/fleet/agent/conn.go
@@ -21,13 +21,14 @@
 
 const (
 	minDialBackoff        = 50 * time.Millisecond
-	maxDialBackoff        = 500 * time.Millisecond // short, so that a link that is back is soon used
+	maxDialBackoff        = 500 * time.Millisecond // short, so that a link is used again soon after it is restored
 	dialBackoffMultiplier = 1.6
 	dialBackoffJitter     = 0.2
 	dialTimeout           = time.Second
 )
 
-// Dial returns a connection to a voter. It is established when it is first used, and re-established when it breaks.
+// Dial returns a connection to a voter. The connection is established when it is first used, and re-established when it
+// breaks. A nil tlsConfig means clear text.
 func Dial(v VoterAddress, tlsConfig *tls.Config, fleet string, extraOptions ...grpc.DialOption) (*Conn, error) {
 	creds := insecure.NewCredentials()
 	if tlsConfig != nil {
@@ -57,12 +58,12 @@
 	fleet string // name of the fleet
 }
 
-// context adds the name of the fleet to a call's metadata.
+// context adds the name of the fleet to a call's metadata; the node rejects calls for another fleet.
 func (c *Conn) context(ctx context.Context) context.Context {
 	return metadata.AppendToOutgoingContext(ctx, fleetMetadataKey, c.fleet)
 }
 
-// call calls a unary method.
+// call calls a unary method whose request and reply are encoded as JSON.
 func call[Out any](ctx context.Context, c *Conn, name string, in any) (*Out, error) {
 	raw, err := encodeMessage(in)
 	if err != nil {
@@ -76,8 +77,8 @@
 	return out, json.Unmarshal(reply.GetValue(), out)
 }
 
-// firstAnswer calls request for one connection after the other, each within a timeout, and returns the first answer
-// without an error. Where there is none, it returns the last error; noAnswer if there are no connections.
+// firstAnswer calls request for one connection after the other, each with the timeout, and returns the first answer
+// without an error. If all calls fail, it returns the last error; if there are no connections, it returns noAnswer.
 func firstAnswer[T any](
 	ctx context.Context, conns iter.Seq[*Conn], timeout time.Duration, noAnswer error,
 	request func(context.Context, *Conn) (T, error),
@@ -96,7 +97,7 @@
 	return zero, lastErr
 }
 
-// Describe returns a version's manifest.
+// Describe returns a version's manifest, from the history of the node, which must be a voter.
 func (c *Conn) Describe(ctx context.Context, number uint64) (*consensus.Manifest, error) {
 	return call[consensus.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number})
 }
@@ -106,12 +107,12 @@
 	return call[Status](ctx, c, methodStatus, struct{}{})
 }
 
-// Publish asks the node to publish a version.
+// Publish asks the node, which must be a voter, to publish a version whose content is stored already.
 func (c *Conn) Publish(ctx context.Context, p PublishRequest) (*PublishReply, error) {
 	return call[PublishReply](ctx, c, methodPublish, p)
 }
 
-// Fetch returns content and verifies its hash.
+// Fetch returns a part's content, in chunks from the node, after verifying its hash.
 func (c *Conn) Fetch(ctx context.Context, part consensus.Part) ([]byte, error) {
 	var data []byte
 	for len(data) < part.Size {
@@ -124,17 +125,18 @@
 			return nil, err
 		}
 		if len(out.GetValue()) == 0 {
-			return nil, fmt.Errorf("%s: %d bytes of %d", part.Name, len(data), part.Size)
+			return nil, fmt.Errorf("%s: content truncated: got %d of %d bytes", part.Name, len(data), part.Size)
 		}
 		data = append(data, out.GetValue()...)
 	}
 	if hash(data) != part.Hash {
-		return nil, fmt.Errorf("%s: the content doesn't match its hash", part.Name)
+		return nil, fmt.Errorf("%s: the received content does not match the part's hash", part.Name)
 	}
 	return data, nil
 }
 
-// Put uploads the content that the node doesn't have. The node has stored all of it when the error is nil.
+// Put uploads those entries of content, which is keyed by hash, that the node does not have. If Put returns nil, the
+// node has stored all of the content.
 func (c *Conn) Put(ctx context.Context, content map[string][]byte) error {
 	var all ContentHashes
 	for h := range content {
@@ -147,7 +149,7 @@
 	for _, h := range missing.Hashes {
 		data, ok := content[h]
 		if !ok {
-			return errors.New("the node requests content that was not offered")
+			return errors.New("the node requested content by a hash that was not offered to it")
 		}
 		if err := c.upload(ctx, data); err != nil {
 			return err
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// upload sends content in chunks and waits until the node has stored it.
+// upload sends one file's content in chunks and waits until the node has stored it.
 func (c *Conn) upload(ctx context.Context, data []byte) error {
 	s, err := c.NewStream(c.context(ctx), &grpc.StreamDesc{ClientStreams: true}, methodPath(streamPut))
 	if err != nil {
@@ -164,7 +166,7 @@
 	}
 	for offset := 0; offset < len(data) || offset == 0; offset += chunkSize {
 		if err := s.SendMsg(wrapperspb.Bytes(data[offset:min(len(data), offset+chunkSize)])); err != nil {
-			break // RecvMsg returns why
+			break // RecvMsg returns the reason
 		}
 	}
 	if err := s.CloseSend(); err != nil {
--- a/internal/fleet/agent/content.go
+++ b/internal/fleet/agent/content.go
@@ -30,18 +30,20 @@
 	return list, nil
 }
 
-// fetchContent returns a part's content, from the store or from a voter.
+// fetchContent returns a part's content from the store. If the store does not have it or can't be read, the content is
+// fetched from another voter and stored.
 func (n *Node) fetchContent(ctx context.Context, p consensus.Part) ([]byte, error) {
 	if p.Size > config.MaxFile {
-		return nil, &invalidVersionError{fmt.Errorf("%s: %d bytes; %d at most", p.Name, p.Size, config.MaxFile)}
+		return nil, &invalidVersionError{
+			fmt.Errorf("%s: the file has %d bytes; at most %d are allowed", p.Name, p.Size, config.MaxFile)}
 	}
 	data, err := n.store.Get(p.Hash)
 	if data != nil {
 		return data, nil
 	}
-	noAnswer := err // after a failed read of the disk the voters still have the content
+	noAnswer := err // if the read of the store failed, the content is requested from the voters all the same
 	if noAnswer == nil {
-		noAnswer = fmt.Errorf("%s: no voter has its content", p.Name)
+		noAnswer = fmt.Errorf("%s: content not in the store, and no other voter to fetch it from", p.Name)
 	}
 	request := func(ctx context.Context, c *Conn) ([]byte, error) { return c.Fetch(ctx, p) }
 	data, err = firstAnswer(ctx, maps.Values(n.conns), contentTimeout, noAnswer, request)
@@ -54,7 +56,7 @@
 	return data, nil
 }
 
-// storeContent stores content that no version may name yet.
+// storeContent stores content. Content that no version refers to yet is retained for recentContentRetention.
 func (n *Node) storeContent(data []byte) error {
 	n.mu.Lock()
 	n.recentContent[hash(data)] = time.Now()
@@ -62,26 +64,28 @@
 	return n.store.Put(data)
 }
 
-// rawBytes is content, which is sent as it is instead of as JSON.
+// rawBytes is a reply that is sent as it is instead of encoded as JSON.
 type rawBytes []byte
 
-// serveFetch returns a chunk of content of at most chunkSize bytes.
+// serveFetch returns a chunk of at most chunkSize bytes of content from an offset on.
 func (n *Node) serveFetch(_ context.Context, in *FetchRequest) (*rawBytes, error) {
 	data, err := n.store.Get(in.Hash)
 	if err != nil {
 		return nil, err
 	}
 	if data == nil || in.Offset < 0 || in.Offset > len(data) {
-		return nil, status.Error(codes.NotFound, "content that is not here")
+		return nil, status.Error(codes.NotFound,
+			"this node does not have the requested content, or the offset is outside the content")
 	}
 	out := rawBytes(data[in.Offset:min(len(data), in.Offset+chunkSize)])
 	return &out, nil
 }
 
-// serveMissing returns which of the hashes name content that this node doesn't have.
+// serveMissing returns those of the hashes whose content is not in this node's store.
 func (n *Node) serveMissing(_ context.Context, in *ContentHashes) (*ContentHashes, error) {
 	if len(in.Hashes) > consensus.MaxFiles {
-		return nil, status.Errorf(codes.InvalidArgument, "%d hashes; %d at most", len(in.Hashes), consensus.MaxFiles)
+		return nil, status.Errorf(codes.InvalidArgument,
+			"the request has %d content hashes; at most %d are allowed", len(in.Hashes), consensus.MaxFiles)
 	}
 	missing := &ContentHashes{}
 	for _, h := range in.Hashes {
@@ -96,7 +100,7 @@
 	return missing, nil
 }
 
-// servePut stores uploaded content.
+// servePut receives and stores one upload of content. It waits while maxUploads other uploads are in progress.
 func (n *Node) servePut(s grpc.ServerStream) error {
 	select {
 	case n.uploads <- struct{}{}:
@@ -127,7 +131,7 @@
 			return nil, err
 		}
 		if len(data)+len(in.GetValue()) > config.MaxFile {
-			return nil, status.Errorf(codes.InvalidArgument, "a file of over %d bytes", config.MaxFile)
+			return nil, status.Errorf(codes.InvalidArgument, "the uploaded file exceeds the limit of %d bytes", config.MaxFile)
 		}
 		data = append(data, in.GetValue()...)
 	}
--- a/internal/fleet/agent/doc.go
+++ b/internal/fleet/agent/doc.go
@@ -1,19 +1,20 @@
 // Package agent runs a node of a fleet: it drives the state machines of package consensus with RPCs, a store and
-// clocks, and has the program apply the configuration version that the node's lease permits.
+// clocks, and makes the program act on the configuration version that the node's lease permits.
 //
-// The way of a version, from an operator to what the program acts on:
+// A version passes through these steps, from the operator's publish until the program acts on it:
 //
 //	Client.Publish             stores the content at a majority of the voters, and calls Publish at one of them
 //	Node.servePublish          validates the version, compares it with those that nodes may act on, and proposes it
-//	Node.withVoter             each voter runs the log: processReady saves, sends and applies what raft has ready
-//	Node.serveLeases           voters grant leases, and report the log's status over the same streams
-//	Node.handleLeaseReply      a node records both, and wakes reconcile
+//	Node.withVoter             runs the log on each voter: processReady saves, sends and applies what raft has ready
+//	Node.serveLeases           grants leases to the nodes, and reports the log's status over the same streams
+//	Node.handleLeaseReply      records grants and the log's status on the node, and wakes reconcile
 //	Node.fetchVersion          fetches and parses the version that the log names, or reports it as unusable
 //	Node.reconcile             compares what the lease permits with what the program acts on
-//	Node.applyVersions         makes the program act on it, and confirms that with the next lease request
-//	Node.MayServe              is checked by the program at each decision and at each send
+//	Node.applyVersions         makes the program act on the version, and confirms that with the next lease request
+//	Node.MayServe              tells the program, at each decision and at each send, whether the lease is still valid
 //
-// A node whose lease expires goes from reconcile to enterDisconnected, which applies the disconnected policy.
+// If a node's lease expires, reconcile calls enterDisconnected, which applies the disconnected policy.
 //
-// A voter that starts is admitted by the others first (Node.admit), which excludes one with an older copy of its disk.
+// A voter that starts must first be admitted by other voters (Node.waitForAdmission). They refuse a voter that runs on an
+// older copy of its disk.
 package agent
--- a/internal/fleet/agent/hooks.go
+++ b/internal/fleet/agent/hooks.go
@@ -10,16 +10,16 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// Hooks let a rig measure a node's control traffic and fail its links. All of them are nil in a program that serves.
+// Hooks let a test rig measure a node's traffic with other nodes and fail its links. All hooks are nil in production.
 type Hooks struct {
-	// Dial makes a connection to a voter in place of the network.
+	// Dial replaces the network's dialer for connections to the voters.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Listen wraps the listener on which this node serves the others.
 	Listen func(l net.Listener) net.Listener
-	// Stats handles the events of each RPC and message, of both sides.
+	// Stats receives the gRPC events of each RPC and message, on this node's client connections and its server.
 	Stats stats.Handler
-	// Applied is called with what the program acts on from now on, and whether the policy for a node without a lease
-	// restricts it. It must not block.
+	// Applied is called with the versions that the program acts on from now on, and whether the disconnected policy
+	// restricts them. It must not block.
 	Applied func(active consensus.ActiveVersions, disconnected bool)
 }
 
--- a/internal/fleet/agent/lease.go
+++ b/internal/fleet/agent/lease.go
@@ -11,10 +11,11 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// streamIdleLeases is after how many leases' durations without a reply a stream is closed.
+// streamIdleLeases is the number of lease durations without a reply after which a lease stream is closed.
 const streamIdleLeases = 2
 
-// nextLeaseRequest returns the next request, and a channel that is closed when the one after it should be sent at once.
+// nextLeaseRequest returns the next lease request, and a channel that is closed when the lease should be renewed without
+// waiting for the next interval.
 func (n *Node) nextLeaseRequest() (consensus.LeaseRequest, <-chan struct{}) {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
@@ -23,7 +24,7 @@
 	return request, n.renewNow
 }
 
-// renewLeasesNow renews the lease at all voters at once.
+// renewLeasesNow makes all renewing goroutines send a lease request to their voters without delay.
 func (n *Node) renewLeasesNow() {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
@@ -45,7 +46,8 @@
 	n.wakeReconcile()
 }
 
-// reevaluateLease updates when the lease ends without a reply of a voter, and wakes reconcile.
+// reevaluateLease updates the end of the lease after a change on this node, without a reply of a voter, and wakes
+// reconcile.
 func (n *Node) reevaluateLease() {
 	n.leaseMu.Lock()
 	n.updateLeaseEnd()
@@ -53,7 +55,8 @@
 	n.wakeReconcile()
 }
 
-// updateLeaseEnd sets until when the program may act on what it applied last; n.leaseMu is held.
+// updateLeaseEnd sets the time until which the program may act on the versions that it applied last, unless the
+// disconnected policy restricts them; n.leaseMu is held.
 func (n *Node) updateLeaseEnd() {
 	if a := n.applied.Load(); a != nil && !a.disconnected {
 		n.applied.Store(&appliedVersions{versions: a.versions, until: n.leaseEnd(a.versions)})
@@ -63,11 +66,12 @@
 func (n *Node) wakeReconcile() {
 	select {
 	case n.wake <- struct{}{}:
-	default: // it is woken already
+	default: // a wake-up is pending already
 	}
 }
 
-// leaseEnd returns when the lease for versions ends; n.leaseMu is held.
+// leaseEnd returns when the lease for the active versions ends, on the node's clock; 0 if the lease does not permit them.
+// n.leaseMu is held.
 func (n *Node) leaseEnd(active consensus.ActiveVersions) time.Duration {
 	now := n.Clock()
 	if !n.lease.Permits(now, active) {
@@ -76,14 +80,14 @@
 	return now + n.lease.Remaining(now, active)
 }
 
-// logStatus returns the latest state of the log that this node has heard of.
+// logStatus returns the latest status of the log that this node has received.
 func (n *Node) logStatus() consensus.LogStatus {
 	n.leaseMu.Lock()
 	defer n.leaseMu.Unlock()
 	return n.lease.LogStatus()
 }
 
-// renewOwnLease renews the lease that a voter grants to its own node.
+// renewOwnLease renews the lease that this node's voter grants to the node itself, until the node stops.
 func (n *Node) renewOwnLease() {
 	t := time.NewTicker(n.Lease.RenewInterval())
 	defer t.Stop()
@@ -111,8 +115,8 @@
 	}
 }
 
-// renewLeaseStream renews the lease over one stream until that breaks or no reply arrives for too long. It ends the
-// goroutine that receives the replies before it returns.
+// renewLeaseStream renews the lease over one stream until the stream breaks, or no reply has arrived for
+// streamIdleLeases lease durations. The goroutine that receives the replies has ended when renewLeaseStream returns.
 func (n *Node) renewLeaseStream(c *Conn) {
 	ctx, stop := context.WithCancel(n.ctx)
 	defer stop()
@@ -133,7 +137,8 @@
 	n.sendLeaseRequests(ctx, s)
 }
 
-// sendLeaseRequests sends requests until the stream breaks.
+// sendLeaseRequests sends lease requests at the renewal interval, and at once after renewLeasesNow, until the stream
+// breaks.
 func (n *Node) sendLeaseRequests(ctx context.Context, s grpc.ClientStream) {
 	t := time.NewTicker(n.Lease.RenewInterval())
 	defer t.Stop()
@@ -152,7 +157,8 @@
 	}
 }
 
-// receiveLeaseReplies handles replies until the stream breaks. Each reply resets the idle timer.
+// receiveLeaseReplies handles lease replies until the stream breaks or a reply can't be decoded. Each reply resets the
+// idle timer.
 func (n *Node) receiveLeaseReplies(c *Conn, s grpc.ClientStream, idle *time.Timer) {
 	for {
 		in := &wrapperspb.BytesValue{}
--- a/internal/fleet/agent/leaseserver.go
+++ b/internal/fleet/agent/leaseserver.go
@@ -9,8 +9,9 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// serveLeases grants leases to another node for as long as its stream lasts, and sends it the log's status when that
-// changes. The goroutine that receives the requests ends with the stream, which gRPC ends when serveLeases returns.
+// serveLeases grants leases to another node for as long as the node's stream lasts, and sends the log's status whenever
+// the status changes. The goroutine that receives the requests ends with the stream, which gRPC closes when serveLeases
+// returns.
 func (n *Node) serveLeases(s grpc.ServerStream) error {
 	if !n.isVoter() {
 		return errNotVoter
@@ -45,7 +46,7 @@
 	}
 }
 
-// replyToLeaseRequest grants a lease, or replies why it doesn't.
+// replyToLeaseRequest returns a reply with a grant, or with the reason why no lease was granted.
 func (n *Node) replyToLeaseRequest(request consensus.LeaseRequest) LeaseReply {
 	grant, err := n.grantLease(request)
 	if err != nil {
@@ -54,7 +55,8 @@
 	return LeaseReply{Grant: &grant}
 }
 
-// receiveLeaseRequests passes a node's requests on until its stream ends, and returns why it did.
+// receiveLeaseRequests passes a node's lease requests to the channel until the stream ends, and returns the reason; nil
+// if the node closed the stream.
 func receiveLeaseRequests(s grpc.ServerStream, requests chan<- consensus.LeaseRequest) error {
 	for {
 		in := &wrapperspb.BytesValue{}
@@ -76,11 +78,11 @@
 	}
 }
 
-// checkLeaseRequest validates the names in a request.
+// checkLeaseRequest validates the lengths of the names in a lease request.
 func checkLeaseRequest(request consensus.LeaseRequest) error {
 	if request.Node == "" || len(request.Node) > consensus.MaxName || len(request.Incarnation) > consensus.MaxName {
 		return status.Errorf(codes.InvalidArgument,
-			"lease request: node of 1 to %d bytes, incarnation of at most as many", consensus.MaxName)
+			"lease request: the node's name must have 1 to %d bytes, and its incarnation no more than that", consensus.MaxName)
 	}
 	return nil
 }
--- a/internal/fleet/agent/linearizableread.go
+++ b/internal/fleet/agent/linearizableread.go
@@ -10,11 +10,11 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// readRetryInterval is how often a linearizable read is repeated until the leader answers.
+// readRetryInterval is the time between two attempts of a linearizable read, until the leader answers one of them.
 const readRetryInterval = 5 * consensus.Tick
 
-// currentState is a linearizable read: it returns a state with everything that was committed before the call. The
-// state that a voter has at hand may be older.
+// currentState does a linearizable read: it returns a state that includes everything that was committed before the call.
+// Without it, a voter may use an older state, since it may not yet have applied the whole log.
 func (n *Node) currentState(ctx context.Context) (*consensus.State, error) {
 	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
@@ -42,13 +42,14 @@
 		case <-retry.C:
 			err = startRead()
 		case <-ctx.Done():
-			return nil, status.Error(codes.Unavailable, "no leader of the log answers") // another voter may have one
+			// The client can retry at another voter, which may be connected to a leader.
+			return nil, status.Error(codes.Unavailable, "linearizable read not completed: no leader of the log answered")
 		}
 	}
 }
 
-// stateOfRead returns the state once a read is done; nil before, with a channel that is closed when that may have
-// changed.
+// stateOfRead returns the state if a read is done. Otherwise it returns nil, and a channel that is closed when the read
+// may be done.
 func (n *Node) stateOfRead(read uint64) (*consensus.State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/agent/messages.go
+++ b/internal/fleet/agent/messages.go
@@ -7,16 +7,17 @@
 // DescribeRequest asks for a version's manifest.
 type DescribeRequest struct {
 	Number       uint64 `json:"number"`
-	OwnPartsOnly bool   `json:"short"` // without the parts of the base
+	OwnPartsOnly bool   `json:"short"` // the reply leaves out the parts of the base that the version extends
 }
 
 // FetchRequest asks for a chunk of content.
 type FetchRequest struct {
 	Hash   string `json:"hash"`
-	Offset int    `json:"from"`
+	Offset int    `json:"from"` // bytes
 }
 
-// LeaseReply is a voter's reply to a lease request, or an update of the log's status without a request.
+// LeaseReply is a voter's reply to a lease request (Grant or Error), or an update of the log's status, which is sent
+// without a request.
 type LeaseReply struct {
 	Grant     *consensus.Grant     `json:"grant,omitempty"`
 	LogStatus *consensus.LogStatus `json:"news,omitempty"`
@@ -26,9 +27,9 @@
 // PublishRequest asks a voter to publish a version whose content is stored by a majority of the voters.
 type PublishRequest struct {
 	ID    string           `json:"id"`
-	Base  uint64           `json:"base"`
+	Base  uint64           `json:"base"` // number of the version that this one was made from; 0: none
 	Parts []consensus.Part `json:"parts"`
-	// Extends says that the version consists of the base's parts, followed by Parts.
+	// Extends means that the version consists of the base's parts, followed by Parts.
 	Extends bool `json:"extends,omitempty"`
 }
 
@@ -39,10 +40,11 @@
 	Error         string   `json:"error,omitempty"`
 	Retry         bool     `json:"again"` // the same request may succeed later
 	ActiveVersion uint64   `json:"present"`
-	Differences   []string `json:"differs,omitempty"` // from the active version
+	Differences   []string `json:"differs,omitempty"` // how a version with a stale base differs from the active version
 }
 
-// ContentHashes names content. As a request it asks which of it a node doesn't have; the reply names that.
+// ContentHashes lists content by hash. In a request, it asks which of the content a node does not have; the reply lists
+// the missing content.
 type ContentHashes struct {
 	Hashes []string `json:"hashes"`
 }
@@ -52,15 +54,15 @@
 	Node         string                   `json:"node"`
 	Fleet        string                   `json:"fleet"`
 	Voter        bool                     `json:"voter"`
-	Leader       string                   `json:"leader,omitempty"` // "": the node knows of none
+	Leader       string                   `json:"leader,omitempty"` // "": the node knows no leader
 	Term         uint64                   `json:"term,omitempty"`
 	LogStatus    consensus.LogStatus      `json:"facts"`
-	Applied      consensus.ActiveVersions `json:"acts"` // what the node acts on
-	Disconnected bool                     `json:"alone"`
+	Applied      consensus.ActiveVersions `json:"acts"`            // versions that the node acts on
+	Disconnected bool                     `json:"alone"`           // the disconnected policy restricts the node
 	LeaseLeftMs  int64                    `json:"left_ms"`         // milliseconds left of the node's own lease
 	WaitingFor   []string                 `json:"waits,omitempty"` // nodes that keep this voter from acknowledging the epoch
 	LeaseHolders []string                 `json:"nodes,omitempty"` // nodes that hold a lease of this voter
 	History      []consensus.Manifest     `json:"history,omitempty"`
-	VotingError  string                   `json:"store,omitempty"` // why the node no longer votes
+	VotingError  string                   `json:"store,omitempty"` // why the node stopped voting; "": it has not
 	Tasks        []TaskStatus             `json:"owners,omitempty"`
 }
