--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -13,10 +13,10 @@
 	"yokestall/internal/fleet/store"
 )
 
-// A voter that starts on an older copy of its disk has lost votes that it cast and leases that it granted, so it must
-// not vote. Each voter counts its starts on its own disk, and records the latest start that it has seen of every other
-// voter. Before a voter votes, at least half of the other voters have to admit its start. A voter stays a follower if
-// any other voter has seen a later start of it.
+// A voter that starts on an older copy of its disk has lost votes that it cast and log entries that it acknowledged, so
+// it must not vote. Each voter counts its starts on its own disk, and records the latest start that it has seen of every
+// other voter. Before a voter votes, at least half of the other voters have to admit its start. A voter stays a follower
+// if any other voter has seen a later start of it.
 
 // helloTimeout is the timeout of one call that asks another voter for admission.
 const helloTimeout = time.Second
--- a/internal/fleet/agent/content.go
+++ b/internal/fleet/agent/content.go
@@ -56,7 +56,8 @@
 	return data, nil
 }
 
-// storeContent stores content. Content that no version refers to yet is retained for recentContentRetention.
+// storeContent stores content. Content that no version refers to yet is retained for at least
+// recentContentRetention.
 func (n *Node) storeContent(data []byte) error {
 	n.mu.Lock()
 	n.recentContent[hash(data)] = time.Now()
--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -28,15 +28,16 @@
 // ID returns the voter's id in the log.
 func (v VoterAddress) ID() uint64 { return voterID(v.Name) }
 
-// voterID returns the id in the log of the voter of a name: its FNV-1a hash.
+// voterID returns the id that the voter of a name has in the log: the name's FNV-1a hash.
 func voterID(name string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, name)
-	return max(1, h.Sum64()) // 0 is no voter
+	return max(1, h.Sum64()) // in raft, id 0 stands for no voter
 }
 
 func hash(data []byte) string { return store.Hash(data) }
 
+// voterIDs returns the ids of voters in ascending order.
 func voterIDs(voters []VoterAddress) (ids []uint64) {
 	for _, v := range voters {
 		ids = append(ids, v.ID())
@@ -47,90 +48,91 @@
 
 // Config configures a node.
 type Config struct {
-	Fleet, Name  string         // of the fleet, and of this node
-	Dir          string         // folder of the store
-	Voters       []VoterAddress // all voters of the fleet, this node included if it is one
+	Fleet, Name  string         // names of the fleet and of this node
+	Dir          string         // directory of the store
+	Voters       []VoterAddress // all voters of the fleet, including this node if it is one
 	Lease        lease.Config
-	Disconnected lease.DisconnectedPolicy // after the lease has expired
+	Disconnected lease.DisconnectedPolicy // applied after the lease has expired
 	ServerTLS    *tls.Config              // nil: clear text, for loopback only
 	ClientTLS    *tls.Config              // nil: clear text
 	Log          *slog.Logger
-	// Clock measures leases. It has to advance while the process is suspended. nil: BootTime.
+	// Clock measures leases. It must also advance while the machine or the process is suspended. nil: BootTime.
 	Clock func() time.Duration
 	// Parse parses and validates a version's files. An error means that this node can't use the version.
 	Parse func(list []config.File) (*consensus.Version, error)
-	// Extend applies changes of cluster lists to a version that Parse returned; nil: every version is parsed completely.
+	// Extend applies changes of endpoint lists to a version that Parse or Extend returned. If Extend is nil, every version
+	// is parsed completely.
 	Extend func(v *consensus.Version, changes []config.File) (*consensus.Version, error)
-	// Apply makes the program act on a version. The program no longer acts on the one before when Apply returns.
+	// Apply makes the program act on a version. When Apply returns nil, the program no longer acts on the previous one.
 	Apply func(v consensus.EffectiveVersion) error
 	Hooks
 }
 
-// Node is a node of a fleet: a voter of the log, or a follower that only applies versions. Create it with Open.
+// Node is a node of a fleet: a voter of the log, or a follower that only applies versions. Open creates a Node.
 //
-// The goroutines in background end when ctx is canceled, and Run waits for them. Where several locks are needed, they
-// are taken in this order: leaseMu, versionsMu, mu. parseMu is taken alone.
+// The goroutines in background end when ctx is canceled, and Run waits for them. Several locks are always taken in this
+// order: leaseMu, versionsMu, mu. No other lock is held while parseMu is locked.
 type Node struct {
 	Config
-	incarnation string                      // of this process
+	incarnation string                      // random id of this process
 	store       *store.Store                // closed by Close
 	ctx         context.Context             // canceled when the node stops
 	stop        context.CancelFunc          // cancels ctx
 	background  sync.WaitGroup              // the goroutines that Run waits for
-	uploads     chan struct{}               // one token for each upload of content in progress
-	outbox      map[uint64]chan *pb.Message // raft messages for the other voters, by id; constant once Run has begun
-	ownStart    store.VoterStart            // of a voter; constant after Open
+	uploads     chan struct{}               // semaphore: has one element for each content upload in progress
+	outbox      map[uint64]chan *pb.Message // queues of raft messages, by id of the voter; the map is constant once Run has begun
+	ownStart    store.VoterStart            // this start of the voter, zero on a follower; constant after Open
 
-	// conns are the connections to the other voters, by id. One to itself is among them on a node that the configuration
-	// names as a voter and whose store is not initialized. Constant after Open.
+	// conns are the connections to the other voters, by id. They include a connection to this node itself if the
+	// configuration names it as a voter but its store is not initialized. Constant after Open.
 	conns map[uint64]*Conn
 
 	mu            sync.Mutex           // guards unadmitted to recentContent
 	unadmitted    *consensus.Voter     // the voter until the other voters admit it; nil on a follower
 	voter         *consensus.Voter     // the voter once it is admitted; nil on a follower
-	votingError   error                // why this node no longer votes
+	votingError   error                // why this node has stopped voting
 	stateChanged  chan struct{}        // closed, and replaced, when the voter's state changes
-	recentContent map[string]time.Time // when content was stored that no version may name yet, by hash
+	recentContent map[string]time.Time // storage time, by hash, of content that no version may refer to yet
 
 	leaseMu  sync.Mutex       // guards lease and renewNow, and writes of applied that depend on the lease
-	lease    *consensus.Lease // this node's side of its leases
+	lease    *consensus.Lease // the leases that voters have granted to this node
 	renewNow chan struct{}    // closed, and replaced, to renew the lease at all voters at once
 
-	applied atomic.Pointer[appliedVersions] // nil: the program acts on nothing
+	applied atomic.Pointer[appliedVersions] // nil: the program has applied no version yet
 	wake    chan struct{}                   // wakes reconcile
 
 	versionsMu sync.Mutex                     // guards versions to fetching
-	versions   map[uint64]*consensus.Version  // the cache, by number
-	manifests  map[uint64]*consensus.Manifest // of the cached versions
+	versions   map[uint64]*consensus.Version  // cached versions, by number
+	manifests  map[uint64]*consensus.Manifest // manifests of the cached versions, by number
 	unusable   map[uint64]string              // why this node can't use a version, by number
-	fetching   map[uint64]bool                // versions with a fetchVersion in progress
+	fetching   map[uint64]bool                // numbers of the versions that fetchVersion is fetching
 
 	parseMu         sync.Mutex         // guards lastParsed and lastParsedParts, and serializes Parse
 	lastParsed      *consensus.Version // the last version that Parse returned
-	lastParsedParts []consensus.Part   // of lastParsed
+	lastParsedParts []consensus.Part   // the parts of lastParsed
 
-	ownership ownership // has a lock of its own, which is never held together with another
+	ownership ownership // has its own lock, which is never held together with another
 }
 
-// appliedVersions is what the program acts on.
+// appliedVersions describes the versions that the program acts on, and for how long it may.
 type appliedVersions struct {
-	versions     consensus.ActiveVersions // with disconnected: those it acted on last
-	disconnected bool                     // restricted by the disconnected policy
+	versions     consensus.ActiveVersions // if disconnected, the versions to which the disconnected policy was applied
+	disconnected bool                     // whether the disconnected policy restricts the versions
 	until        time.Duration            // end of the lease, or of disconnected service, on the node's clock
 }
 
 const (
-	// maxOutbox is how many raft messages may wait for one voter. Raft repeats those that are dropped.
+	// maxOutbox is how many raft messages for one voter may be queued. Further messages are dropped, and raft resends them.
 	maxOutbox = 1024
-	// maxCachedVersions is how many versions are cached besides those of the present epoch.
+	// maxCachedVersions is how many versions are cached in addition to those of the current epoch.
 	maxCachedVersions = 4
 	// retryDelay is the time between two attempts to fetch a version, or to report a refusal.
 	retryDelay = 100 * time.Millisecond
-	// recentContentRetention is how long content is retained that no version names yet.
+	// recentContentRetention is the shortest time for which stored content is retained if no version refers to it.
 	recentContentRetention = time.Minute
 )
 
-// Init makes the store in c.Dir that of a voter of a new fleet.
+// Init initializes the store in c.Dir for a voter of a new fleet.
 func Init(c Config) error {
 	s, err := store.Open(c.Dir)
 	if err != nil {
@@ -140,8 +142,8 @@
 	return s.Init(store.Identity{Fleet: c.Fleet, Name: c.Name, ID: voterID(c.Name), Voters: voterIDs(c.Voters)})
 }
 
-// Open opens a node. It is a voter if the configuration names it as one and its store was made by Init; otherwise it
-// is a follower.
+// Open opens a node. The node is a voter if the configuration names it as one and its store was initialized by Init;
+// otherwise it is a follower.
 func Open(c Config) (*Node, error) {
 	if c.Clock == nil {
 		c.Clock = BootTime
@@ -188,7 +190,8 @@
 	return nil
 }
 
-// loadVoter loads the voter from the store. There is none if the store was not made by Init.
+// loadVoter loads this node's voter from the store, and counts a start of it. If the store was not initialized by Init,
+// the node remains a follower.
 func (n *Node) loadVoter(own uint64) error {
 	id, disk, err := n.store.Voter()
 	if errors.Is(err, store.ErrNotInitialized) {
@@ -199,8 +202,8 @@
 		return err
 	}
 	if id.Fleet != n.Fleet || id.ID != own || !slices.Equal(id.Voters, voterIDs(n.Voters)) {
-		return fmt.Errorf("%s: the store is of the voter %s of the fleet %q, among others: "+
-			"the configuration names another, or other voters", n.Dir, id.Name, id.Fleet)
+		return fmt.Errorf("%s: the store belongs to the voter %s of the fleet %q, but the configuration "+
+			"names another node, another fleet or another set of voters", n.Dir, id.Name, id.Fleet)
 	}
 	v, err := consensus.NewVoter(n.Clock(), own, n.Lease, disk)
 	if err != nil {
@@ -242,13 +245,14 @@
 	return n.store.Close()
 }
 
-// MayServe reports whether the program may act, at this moment, on what it applied last.
+// MayServe reports whether the program may act, at this moment, on the version that it applied last. The result must not
+// be kept: the lease may expire at any time.
 func (n *Node) MayServe() bool {
 	a := n.applied.Load()
 	return a != nil && n.Clock() < a.until
 }
 
-// sleep waits for a time, or until the node stops.
+// sleep waits for the duration d, or until the node stops.
 func (n *Node) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/fleet/agent/parse.go
+++ b/internal/fleet/agent/parse.go
@@ -9,12 +9,13 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// invalidVersionError is why this node can't use a version. Another error means that the version isn't here yet.
+// invalidVersionError means that this node can't use a version. Any other error of parseVersion means that the version
+// could not be fetched so far, and that another attempt may succeed.
 type invalidVersionError struct{ error }
 
 func (e *invalidVersionError) Unwrap() error { return e.error }
 
-// parseVersion fetches a version's content and parses it.
+// parseVersion fetches a version's content and parses it, or makes the version from its cached base.
 func (n *Node) parseVersion(ctx context.Context, m *consensus.Manifest) (*consensus.Version, error) {
 	if v, err := n.extendBase(ctx, m); v != nil || err != nil {
 		return v, err
@@ -23,7 +24,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A publish and the application of its version often need the same version at the same time: it is parsed once.
+	// servePublish and fetchVersion often need the same version at the same time. The second one uses the result of the
+	// first.
 	n.parseMu.Lock()
 	defer n.parseMu.Unlock()
 	if n.lastParsed != nil && slices.Equal(n.lastParsedParts, m.Parts) {
@@ -37,8 +39,8 @@
 	return v, nil
 }
 
-// extendBase makes a version from its base, if that is cached and only changes of lists were added to it; otherwise
-// it returns nil.
+// extendBase makes a version from its base if the base is cached and the version adds only changes of endpoint lists;
+// otherwise it returns nil without an error.
 func (n *Node) extendBase(ctx context.Context, m *consensus.Manifest) (*consensus.Version, error) {
 	n.versionsMu.Lock()
 	base, baseManifest := n.versions[m.Base], n.manifests[m.Base]
@@ -61,7 +63,7 @@
 	return v, nil
 }
 
-// versionInLog returns a version of the log's history, parsed.
+// versionInLog returns a parsed version of the log's history, from the cache if it is there.
 func (n *Node) versionInLog(ctx context.Context, s *consensus.State, number uint64) (*consensus.Version, error) {
 	n.versionsMu.Lock()
 	v := n.versions[number]
--- a/internal/fleet/agent/publish.go
+++ b/internal/fleet/agent/publish.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// publishTimeout is how long a proposal may take until it is committed.
+	// publishTimeout is how long a publish, an upload of its content, or a change of a release may take.
 	publishTimeout = 10 * time.Second
-	// proposalRetryInterval is the time between two attempts to propose an entry, which may be lost with its leader. A
-	// repeated entry has no further effect, since it has the same id.
+	// proposalRetryInterval is the time between two attempts to propose an entry. A proposal may be lost if the leader
+	// fails. A repeated entry has no further effect, since it has the same id.
 	proposalRetryInterval = time.Second
-	// maxShownDifferences is how many differences a PublishReply names.
+	// maxShownDifferences is the largest number of differences in a PublishReply.
 	maxShownDifferences = 100
 )
 
-// servePublish publishes a version: it validates the content, which has to be stored before, compares the version
-// with all that nodes may act on, and proposes it.
+// servePublish publishes a version whose content is already stored: it validates the content, compares the version with
+// all versions that nodes may act on, and proposes it.
 func (n *Node) servePublish(ctx context.Context, in *PublishRequest) (*PublishReply, error) {
 	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
@@ -36,13 +36,14 @@
 		return nil, err
 	}
 	if reply := publishReply(state, in.ID); reply != nil {
-		return reply, nil // the request was sent twice
+		return reply, nil // the log already has a version with this id: the request was sent before
 	}
 	complete, err := completeManifest(state, m)
 	if err != nil {
 		return rejectedPublish(state, err.Error(), false), nil
 	}
-	// Parsing is expensive, so what can be rejected without it is rejected first.
+	// Parsing is expensive, so a version is rejected before it while another version is pending. A version with a stale
+	// base is parsed, since the reply shows its differences.
 	if err := state.CheckProposal(m); errors.Is(err, consensus.ErrVersionPending) {
 		return rejectedPublish(state, err.Error(), true), nil
 	}
@@ -59,7 +60,7 @@
 	return n.proposeVersion(ctx, state, m, next)
 }
 
-// publishReply returns the reply for a publisher's id that is in the log; nil: it isn't.
+// publishReply returns the reply for the version that was published with an id; nil if the history has no such version.
 func publishReply(s *consensus.State, id string) *PublishReply {
 	m := s.Published(id)
 	if m == nil {
@@ -72,13 +73,12 @@
 	return reply
 }
 
-// rejectedPublish is the reply for a version that was not published; retry says that the same request may succeed
-// later.
+// rejectedPublish returns the reply for a version that was not published. With retry, the same request may succeed later.
 func rejectedPublish(s *consensus.State, reason string, retry bool) *PublishReply {
 	return &PublishReply{Error: reason, Retry: retry, ActiveVersion: s.ActiveVersion}
 }
 
-// completeManifest returns a manifest with the parts of its base.
+// completeManifest returns a copy of the manifest that starts with the parts of its base if the version extends that.
 func completeManifest(s *consensus.State, m *consensus.Manifest) (*consensus.Manifest, error) {
 	complete := *m
 	complete.OwnParts = len(m.Parts)
@@ -92,7 +92,8 @@
 	return &complete, complete.Extend(base)
 }
 
-// staleBaseReply is the reply for a version that was not made from the active one: it shows how the two differ.
+// staleBaseReply returns the reply for a version whose base is not the active version. The reply shows how the version
+// differs from the active one.
 func (n *Node) staleBaseReply(
 	ctx context.Context, s *consensus.State, next *consensus.Version, reason error,
 ) *PublishReply {
@@ -110,7 +111,7 @@
 	return reply
 }
 
-// contradictsEpoch reports whether a version contradicts any that nodes may act on.
+// contradictsEpoch reports whether a version contradicts any version of the epoch, all of which nodes may act on.
 func (n *Node) contradictsEpoch(ctx context.Context, s *consensus.State, next *consensus.Version) (bool, error) {
 	for _, number := range s.EpochVersions {
 		v, err := n.versionInLog(ctx, s, number)
@@ -124,7 +125,8 @@
 	return false, nil
 }
 
-// proposeVersion proposes a version until it is in the log, another one is there before it, or ctx ends.
+// proposeVersion proposes a version repeatedly until it is in the log, the log no longer allows it because of another
+// version, or ctx ends.
 func (n *Node) proposeVersion(
 	ctx context.Context, state *consensus.State, m *consensus.Manifest, next *consensus.Version,
 ) (*PublishReply, error) {
@@ -135,7 +137,7 @@
 	}
 	for {
 		state, changed := n.stateAndChange()
-		if state == nil { // the disk failed: another voter has the result
+		if state == nil { // this node has stopped voting; the client can ask another voter for the result
 			return nil, errNotVoter
 		}
 		if reply := publishReply(state, m.ID); reply != nil {
@@ -152,7 +154,8 @@
 		case <-retry.C:
 			n.propose(&consensus.Entry{Propose: m})
 		case <-ctx.Done():
-			return rejectedPublish(state, "it is not known whether it was taken up: ask again with the same id", true), nil
+			return rejectedPublish(state,
+				"timed out before the log showed whether the version was published; retry with the same id", true), nil
 		}
 	}
 }
--- a/internal/fleet/agent/raftstream.go
+++ b/internal/fleet/agent/raftstream.go
@@ -13,7 +13,8 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// sendRaftMessages sends the queued messages to another voter until the node stops.
+// sendRaftMessages sends the queued raft messages to another voter, over one stream after the other, until the node
+// stops.
 func (n *Node) sendRaftMessages(c *Conn, queue <-chan *pb.Message) {
 	for n.ctx.Err() == nil {
 		n.sendRaftStream(c, queue)
@@ -21,8 +22,8 @@
 	}
 }
 
-// sendRaftStream sends queued messages over one stream until that breaks. The goroutine that waits for the stream's end
-// has ended when it returns.
+// sendRaftStream sends queued messages over one stream until the stream breaks. The goroutine that waits for the end of
+// the stream has ended when sendRaftStream returns.
 func (n *Node) sendRaftStream(c *Conn, queue <-chan *pb.Message) {
 	ctx, stop := context.WithCancel(n.ctx)
 	defer stop()
@@ -55,7 +56,7 @@
 	}
 }
 
-// sendRaftMessage sends one message as the raft library encodes it.
+// sendRaftMessage sends one message in the raft library's protobuf encoding.
 func sendRaftMessage(s grpc.ClientStream, m *pb.Message) error {
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return s.SendMsg(wrapperspb.Bytes(data))
 }
 
-// dropQueued drops the queued messages: they are too old once the connection is back.
+// dropQueued drops the queued messages, which would be out of date once the connection is restored.
 func (n *Node) dropQueued(queue <-chan *pb.Message) {
 	for {
 		select {
@@ -88,7 +89,7 @@
 		}
 		m := &pb.Message{}
 		if err := proto.Unmarshal(in.GetValue(), m); err != nil {
-			return status.Errorf(codes.InvalidArgument, "a voter's message: %v", err)
+			return status.Errorf(codes.InvalidArgument, "raft message not decodable: %v", err)
 		}
 		if err := n.handleRaftMessage(m); err != nil {
 			return err
--- a/internal/fleet/agent/release.go
+++ b/internal/fleet/agent/release.go
@@ -15,21 +15,21 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// ReleaseCommand is an operator's command: it starts a release, acts on the one that goes on, or, empty, requests its
-// progress.
+// ReleaseCommand is an operator's command. With Start, it starts a release; with Action, it acts on the release in
+// progress; with neither, it requests the progress of the latest release.
 type ReleaseCommand struct {
 	Start  *consensus.Release      `json:"begin,omitempty"`
 	Action consensus.ReleaseAction `json:"word,omitempty"` // PauseRelease, ResumeRelease or AbortRelease
-	Reason string                  `json:"why,omitempty"`
+	Reason string                  `json:"why,omitempty"`  // operator's reason for the action
 }
 
-// ReleaseReply is the progress of a release after a command.
+// ReleaseReply is the reply to a ReleaseCommand: an error, or the progress of the release, or both.
 type ReleaseReply struct {
 	Error    string                     `json:"error,omitempty"`
 	Progress *consensus.ReleaseProgress `json:"progress,omitempty"`
 }
 
-// ControlRelease sends an operator's command to the first voter that answers.
+// ControlRelease sends an operator's command to one voter after the other until one of them replies.
 func (c *Client) ControlRelease(ctx context.Context, command ReleaseCommand) (*ReleaseReply, error) {
 	send := func(ctx context.Context, conn *Conn) (*ReleaseReply, error) {
 		return call[ReleaseReply](ctx, conn, methodRelease, command)
@@ -37,7 +37,7 @@
 	return firstAnswer(ctx, slices.Values(c.conns), publishTimeout+statusTimeout, ErrNoQuorum, send)
 }
 
-// serveReleaseCommand carries out an operator's command on releases.
+// serveReleaseCommand executes an operator's command on releases.
 func (n *Node) serveReleaseCommand(ctx context.Context, command *ReleaseCommand) (*ReleaseReply, error) {
 	if command.Start == nil && command.Action == "" {
 		return n.releaseProgress(ctx)
@@ -49,13 +49,13 @@
 	case command.Start != nil:
 		return n.startRelease(ctx, s, command.Start)
 	case s.Release == nil || s.Release.Ended():
-		return &ReleaseReply{Error: "no release goes on", Progress: s.Release}, nil
+		return &ReleaseReply{Error: "no release is in progress", Progress: s.Release}, nil
 	}
 	return n.changeRelease(ctx, s.Release, command)
 }
 
-// releaseProgress returns the progress of the latest release; if no leader answers, as far as this node has applied the
-// log.
+// releaseProgress returns the progress of the latest release. If no leader answers, it returns the progress in the part
+// of the log that this node has applied.
 func (n *Node) releaseProgress(ctx context.Context) (*ReleaseReply, error) {
 	s, err := n.currentState(ctx)
 	if err != nil {
@@ -64,18 +64,18 @@
 		}
 	}
 	if s.Release == nil {
-		return &ReleaseReply{Error: "no release goes on"}, nil
+		return &ReleaseReply{Error: "no release is in progress"}, nil
 	}
 	return &ReleaseReply{Progress: s.Release}, nil
 }
 
-// startRelease starts a release by the version in force, unless another one goes on.
+// startRelease starts a release if it is feasible in the version in force and no other release is in progress.
 func (n *Node) startRelease(ctx context.Context, s *consensus.State, r *consensus.Release) (*ReleaseReply, error) {
 	if err := r.Check(); err != nil {
 		return &ReleaseReply{Error: err.Error()}, nil
 	}
 	if p := s.Release; p != nil && !p.Ended() && p.Release.ID != r.ID {
-		return &ReleaseReply{Error: fmt.Sprintf("the release %s goes on", p.Release.ID), Progress: p}, nil
+		return &ReleaseReply{Error: fmt.Sprintf("release %s is still in progress", p.Release.ID), Progress: p}, nil
 	}
 	v, err := n.versionInLog(ctx, s, s.ActiveVersion)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return n.proposeUntil(ctx, &consensus.Entry{Release: r}, started)
 }
 
-// changeRelease pauses, resumes or aborts the release that goes on.
+// changeRelease pauses, resumes or aborts the release in progress.
 func (n *Node) changeRelease(
 	ctx context.Context, current *consensus.ReleaseProgress, command *ReleaseCommand,
 ) (*ReleaseReply, error) {
@@ -101,14 +101,16 @@
 	case consensus.AbortRelease:
 		done = func(p *consensus.ReleaseProgress) bool { return p.StopReason != "" }
 	default:
-		return nil, status.Errorf(codes.InvalidArgument, "%q is no word on a release", command.Action)
+		return nil, status.Errorf(codes.InvalidArgument,
+			"unknown release action %q; allowed are pause, resume and abort", command.Action)
 	}
 	update := &consensus.ReleaseUpdate{ID: current.Release.ID, Action: command.Action, Reason: command.Reason}
 	applied := func(p *consensus.ReleaseProgress) bool { return p.Ended() || done(p) }
 	return n.proposeUntil(ctx, &consensus.Entry{ReleaseUpdate: update}, applied)
 }
 
-// proposeUntil proposes an entry until the release in the log shows that it was applied.
+// proposeUntil proposes an entry repeatedly until done reports that the release in the log shows the entry's effect, or
+// publishTimeout has passed.
 func (n *Node) proposeUntil(
 	ctx context.Context, e *consensus.Entry, done func(p *consensus.ReleaseProgress) bool,
 ) (*ReleaseReply, error) {
@@ -128,33 +130,34 @@
 			err = n.propose(e)
 		case <-ctx.Done():
 			err = errors.Join(err, ctx.Err())
-			return &ReleaseReply{Error: fmt.Sprintf("it is not known whether it was taken up: %v", err)}, nil
+			return &ReleaseReply{Error: fmt.Sprintf("timed out before the log showed the command's effect: %v", err)}, nil
 		}
 	}
 }
 
-// checkFeasible returns why a release can't start: a server that isn't in use, or a wave that leaves fewer servers in
-// use than the floor, here a share of the servers in use. The release itself counts all listed servers (waveChange).
+// checkFeasible returns an error if a release can't start: because the cluster doesn't exist, a wave names an endpoint
+// that is not in use, or a wave leaves fewer endpoints in use than the floor allows. Here the floor is a share of the
+// endpoints that are in use; waveChange, during the release, takes it as a share of all endpoints in the list.
 func checkFeasible(r *consensus.Release, c *cluster.Config) error {
 	if c == nil {
-		return fmt.Errorf("cluster: there is no %s in the version in force", r.Cluster)
+		return fmt.Errorf("cluster: the version in force has no cluster %s", r.Cluster)
 	}
 	serving := countServing(c)
 	for i, wave := range r.Waves {
 		for _, id := range wave {
 			if e := findEndpoint(c, id); e == nil || !e.Serves() {
-				return fmt.Errorf("waves: the %d. names %s, which is not in use in the version in force", i+1, id)
+				return fmt.Errorf("waves: wave %d names the endpoint %s, which is not in use in the version in force", i+1, id)
 			}
 		}
 		if left := serving - len(wave); float64(left) < r.Floor*float64(serving) {
-			return fmt.Errorf("floor: with the %d. wave out %d of %d servers are in use, and %.0f %% are wanted",
+			return fmt.Errorf("floor: with the %d. wave out %d of %d endpoints would be in use; the floor is %.0f %%",
 				i+1, left, serving, 100*r.Floor)
 		}
 	}
 	return nil
 }
 
-// findEndpoint returns a cluster's server by its id; nil if there is none.
+// findEndpoint returns a cluster's endpoint by its id, which the cluster's endpoints are sorted by; nil if there is none.
 func findEndpoint(c *cluster.Config, id string) *cluster.Endpoint {
 	byID := func(e cluster.Endpoint, id string) int { return cmp.Compare(e.ID, id) }
 	at, found := slices.BinarySearchFunc(c.Endpoints, id, byID)
@@ -164,7 +167,7 @@
 	return &c.Endpoints[at]
 }
 
-// countServing returns how many servers of a cluster are in use.
+// countServing returns how many endpoints of a cluster are in use.
 func countServing(c *cluster.Config) (serving int) {
 	for i := range c.Endpoints {
 		if c.Endpoints[i].Serves() {
--- a/internal/fleet/agent/release_test.go
+++ b/internal/fleet/agent/release_test.go
@@ -60,7 +60,7 @@
 		{func(r *consensus.Release) { r.Floor = 0.9 }, "floor: with the 1. wave out 4 of 6"},
 		{func(r *consensus.Release) { r.Waves = [][]string{{"s-none"}} }, "s-none, which is not in use"},
 		{func(r *consensus.Release) { r.Waves = [][]string{{"s-00001"}, {"s-00001"}} }, "another's"},
-		{func(r *consensus.Release) { r.Cluster = "suites" }, "there is no suites"},
+		{func(r *consensus.Release) { r.Cluster = "suites" }, "has no cluster suites"},
 	} {
 		invalid := r
 		tc.change(&invalid)
@@ -125,7 +125,7 @@
 	f := newTestFleet(t, 3, 0)
 	f.publish("one", 0, versionWithEndpoints(4))
 	r := consensus.Release{ID: "r", Cluster: "rooms", Waves: [][]string{{"s-00000"}, {"s-00001"}}, Restart: time.Hour}
-	if out := f.controlRelease(ReleaseCommand{Action: "pause"}); out.Error != "no release goes on" {
+	if out := f.controlRelease(ReleaseCommand{Action: "pause"}); out.Error != "no release is in progress" {
 		t.Errorf("%+v", out)
 	}
 	if out := f.controlRelease(ReleaseCommand{Start: &r}); out.Error != "" {
@@ -138,7 +138,7 @@
 	}
 	other := r
 	other.ID = "other"
-	if out := f.controlRelease(ReleaseCommand{Start: &other}); !strings.Contains(out.Error, "goes on") {
+	if out := f.controlRelease(ReleaseCommand{Start: &other}); !strings.Contains(out.Error, "is still in progress") {
 		t.Errorf("two at once: %+v", out)
 	}
 	if out := f.controlRelease(ReleaseCommand{Action: "abort", Reason: "the new program fails"}); out.Error != "" {
--- a/internal/fleet/agent/releaserunner.go
+++ b/internal/fleet/agent/releaserunner.go
@@ -11,18 +11,18 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// releasePollInterval is how often the owner of releases checks whether a phase is over.
+// releasePollInterval is the time between two checks whether the current phase of a release is over.
 const releasePollInterval = 50 * time.Millisecond
 
-// currentPhase is the phase that the owner of releases works on.
+// currentPhase identifies the phase that this node, as the owner of the release task, carries out.
 type currentPhase struct {
-	token   uint64 // by which this node owns releases
-	release string
+	token   uint64 // fencing token of the release task
+	release string // id of the release
 	wave    int
 	phase   consensus.WavePhase
 }
 
-// runReleases carries out releases while this node owns that task, until the node stops.
+// runReleases carries out releases whenever this node owns the release task, until the node stops.
 func (n *Node) runReleases() {
 	var current currentPhase
 	var phaseStart time.Duration
@@ -30,7 +30,7 @@
 	defer poll.Stop()
 	for {
 		s, changed := n.stateAndChange()
-		var tick <-chan time.Time // phases end by the clock
+		var tick <-chan time.Time // nil without a release in progress; phases also end by time, without a change of state
 		if s != nil && s.Release != nil && !s.Release.Ended() {
 			tick = poll.C
 		}
@@ -48,14 +48,16 @@
 		}
 		p := s.Release
 		if latest := (currentPhase{token, p.Release.ID, p.Wave, p.Phase}); latest != current {
-			// A new owner measures a phase from its takeover: the phase may last longer than configured, never shorter.
+			// A new owner measures the phase from when it took over, so that the phase may last longer than configured,
+			// but never shorter.
 			current, phaseStart = latest, n.Clock()
 		}
 		n.runPhase(s, token, phaseStart)
 	}
 }
 
-// runPhase does what the present phase needs, and proposes the next one when it is over.
+// runPhase carries out the current phase, and proposes to advance the release when the phase is over. If the phase fails,
+// it proposes the failure of the release.
 func (n *Node) runPhase(s *consensus.State, token uint64, phaseStart time.Duration) {
 	p := s.Release
 	update := &consensus.ReleaseUpdate{ID: p.Release.ID, Wave: p.Wave, Phase: p.Phase, Action: consensus.AdvanceRelease}
@@ -70,15 +72,16 @@
 	}
 }
 
-// stillOwnsReleases reports whether this node owns releases by a token. It is called right before the node does
-// something by it.
+// stillOwnsReleases reports whether this node owns the release task by a token. It is called right before each action
+// that requires the ownership.
 func (n *Node) stillOwnsReleases(token uint64) bool {
 	current, ok := n.Owns(ReleaseTask)
 	return ok && current == token
 }
 
-// phaseOver reports whether the present phase is over. A phase that takes effect by a version publishes that version
-// first.
+// phaseOver reports whether the current phase is over. The phases TakingOut and PuttingBack take effect by a version:
+// phaseOver publishes that version, and the phase is over when the version is in force, or when there is nothing to
+// change. The other phases are over after their duration. While the release is paused, only PuttingBack proceeds.
 func (n *Node) phaseOver(s *consensus.State, phaseStart time.Duration) (bool, error) {
 	p := s.Release
 	if p.Phase != consensus.TakingOut && p.Phase != consensus.PuttingBack {
@@ -95,7 +98,7 @@
 	}
 	v, err := n.versionInLog(n.ctx, s, s.ActiveVersion)
 	if err != nil {
-		return false, nil // its content is still being fetched
+		return false, nil // the active version is not available on this node yet; the next poll tries again
 	}
 	change, err := waveChange(v.Clusters[p.Cluster], p, time.Now())
 	if err != nil {
@@ -110,8 +113,9 @@
 	return false, nil
 }
 
-// publishWave publishes the version by which a phase takes effect. Its id makes it one version whichever owner
-// publishes it, also one whose time is past; and it is made from the active version, or refused.
+// publishWave publishes the version by which a phase takes effect. The publish id depends only on the release, the wave
+// and the phase, so that one version results even if several owners publish it, among them one that has lost the
+// ownership. The publish is rejected if base is no longer the active version.
 func (n *Node) publishWave(id string, base uint64, change config.File) {
 	ctx, stop := context.WithTimeout(n.ctx, statusTimeout)
 	defer stop()
@@ -125,13 +129,14 @@
 	}
 }
 
-// waveChange returns the change by which the present phase takes effect: the wave's servers are taken out, or put
-// back as started now. A server that left the list stays as it is, and so does one that is not in use when its wave is
-// taken out. But any server of the wave that is draining is put back, even if an operator took it out. It returns nil
-// if there is nothing to change, and an error if fewer servers than the floor would be left in use.
+// waveChange returns the change of the endpoint list by which the current phase takes effect. TakingOut sets the wave's
+// endpoints that are in use to draining. PuttingBack sets the wave's draining endpoints to healthy, with now as their
+// start time, also those that an operator set to draining. Endpoints that are no longer in the list are skipped.
+// waveChange returns nil if there is nothing to change, and an error if TakingOut would leave fewer endpoints in use than
+// the floor, a share of all endpoints in the list.
 func waveChange(c *cluster.Config, p *consensus.ReleaseProgress, now time.Time) (*config.File, error) {
 	if c == nil {
-		return nil, fmt.Errorf("cluster %s is gone", p.Cluster)
+		return nil, fmt.Errorf("the version in force no longer has the cluster %s", p.Cluster)
 	}
 	changed := cluster.Config{Name: c.Name}
 	for _, id := range p.Waves[p.Wave] {
@@ -155,7 +160,7 @@
 	}
 	left, all := countServing(c)-len(changed.Endpoints), len(c.Endpoints)
 	if p.Phase == consensus.TakingOut && float64(left) < p.Floor*float64(all) {
-		return nil, fmt.Errorf("with the %d. wave out %d of %d servers are in use, and the floor is %.0f %%",
+		return nil, fmt.Errorf("with the %d. wave out %d of %d endpoints would be in use; the floor is %.0f %%",
 			p.Wave+1, left, all, 100*p.Floor)
 	}
 	return &config.File{Name: p.PublishID(), Text: config.FormatChange(&changed)}, nil
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	maxConns          = consensus.MaxHolders + 256 // connections to this node: those of all holders, and operators'
-	maxStreams        = 64                         // concurrent calls of a connection
-	maxUploads        = 4                          // of content at the same time
-	maxHeaderBytes    = 16 << 10                   // of a call's metadata
-	maxStatusHistory  = 32                         // versions in a Status
-	keepaliveInterval = 2 * time.Second            // without traffic, after which a connection is probed
-	connectTimeout    = 5 * time.Second            // for a handshake
+	maxConns          = consensus.MaxHolders + 256 // connections to this node, of all lease holders and of operators
+	maxStreams        = 64                         // concurrent calls of one connection
+	maxUploads        = 4                          // concurrent uploads of content
+	maxHeaderBytes    = 16 << 10                   // size of a call's metadata
+	maxStatusHistory  = 32                         // versions in the History of a Status
+	keepaliveInterval = 2 * time.Second            // time without traffic after which a connection is probed
+	connectTimeout    = 5 * time.Second            // of a new connection's handshake
 )
 
-// Serve serves the other nodes on a listener until ctx ends.
+// Serve serves other nodes and operators' clients on a listener until ctx ends.
 func (n *Node) Serve(ctx context.Context, l net.Listener) error {
 	options := []grpc.ServerOption{
 		grpc.MaxConcurrentStreams(maxStreams), grpc.MaxRecvMsgSize(maxMessage), grpc.MaxSendMsgSize(maxMessage),
@@ -61,7 +61,7 @@
 	return err
 }
 
-// serveDescribe returns the manifest of a version of the history.
+// serveDescribe returns the manifest of a version in the history.
 func (n *Node) serveDescribe(_ context.Context, in *DescribeRequest) (*consensus.Manifest, error) {
 	state := n.state()
 	if state == nil {
@@ -82,7 +82,7 @@
 // serveRefusal proposes a node's refusal of a pending version.
 func (n *Node) serveRefusal(_ context.Context, in *consensus.Refusal) (*struct{}, error) {
 	if len(in.Node) > consensus.MaxName || len(in.Reason) > maxReason {
-		return nil, status.Error(codes.InvalidArgument, "a name or a reason that is too long")
+		return nil, status.Error(codes.InvalidArgument, "the refusal's node name or reason is too long")
 	}
 	if !n.isVoter() {
 		return nil, errNotVoter
@@ -114,7 +114,7 @@
 	return out, nil
 }
 
-// addVoterStatus adds a voter's part of a status; n.mu is held.
+// addVoterStatus adds the fields of a status that only a voter sets; n.mu is held.
 func (n *Node) addVoterStatus(out *Status, now time.Duration) {
 	out.Voter, out.Term, out.LogStatus = true, n.voter.Term(), n.voter.State().LogStatus()
 	for _, v := range n.Voters {
@@ -127,7 +127,7 @@
 	if extra := len(out.History) - maxStatusHistory; extra > 0 {
 		out.History = out.History[extra:]
 	}
-	for i := range out.History { // Describe returns the parts
+	for i := range out.History { // clients get the parts from Describe
 		out.History[i].Parts = nil
 	}
 }
--- a/internal/fleet/agent/service.go
+++ b/internal/fleet/agent/service.go
@@ -11,16 +11,16 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// The nodes of a fleet talk over gRPC. Every message is a google.protobuf.BytesValue: of a raft message as the raft
-// library encodes it, of content as it is, or of JSON. The names of methods and of JSON fields are fixed, since nodes
-// of several versions run side by side.
+// The nodes of a fleet communicate over gRPC. Every message is a google.protobuf.BytesValue, which contains a raft message
+// in the raft library's encoding, raw content, or JSON. The names of methods and of JSON fields must not change, since
+// nodes with different releases of the program run in one fleet.
 
 const (
 	serviceName      = "yokestall.fleet.v1.Fleet"
-	fleetMetadataKey = "yokestall-fleet" // metadata: the name of the fleet that a call is for
-	maxMessage       = 4 << 20           // bytes of a message, enough for the whole history
+	fleetMetadataKey = "yokestall-fleet" // metadata key of the name of the fleet that a call is for
+	maxMessage       = 4 << 20           // bytes of a message, enough for a manifest or status with the whole history
 	chunkSize        = 256 << 10         // bytes of content in a message
-	maxReason        = 4 << 10           // bytes of a node's reason for a refusal
+	maxReason        = 4 << 10           // bytes of the reason in a node's refusal
 )
 
 // The names of the service's methods.
@@ -39,7 +39,7 @@
 	streamPut          = "Put"
 )
 
-// encodeMessage encodes a message as JSON.
+// encodeMessage encodes a message as JSON in a BytesValue.
 func encodeMessage(v any) (*wrapperspb.BytesValue, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -48,19 +48,19 @@
 	return wrapperspb.Bytes(data), nil
 }
 
-// decodeMessage decodes a message from JSON. Its error has the code InvalidArgument.
+// decodeMessage decodes a message from the JSON in a BytesValue. Its error has the code InvalidArgument.
 func decodeMessage(in *wrapperspb.BytesValue, to any) error {
 	if err := json.Unmarshal(in.GetValue(), to); err != nil {
-		return status.Errorf(codes.InvalidArgument, "a message that can't be read: %v", err)
+		return status.Errorf(codes.InvalidArgument, "message not decodable as JSON: %v", err)
 	}
 	return nil
 }
 
-// checkFleet refuses a call that is for another fleet, before its message is decoded.
+// checkFleet rejects a call that names another fleet or none. It is called before the call's message is decoded.
 func (n *Node) checkFleet(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if got := md.Get(fleetMetadataKey); len(got) != 1 || got[0] != n.Fleet {
-		return status.Errorf(codes.PermissionDenied, "this is a node of the fleet %q", n.Fleet)
+		return status.Errorf(codes.PermissionDenied, "the call is not for this node's fleet, %q", n.Fleet)
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 	return grpc.MethodDesc{MethodName: name, Handler: handler}
 }
 
-// streamMethod describes a streaming method; up and down say which side sends several messages.
+// streamMethod describes a streaming method. clientStreams and serverStreams say which side may send several messages.
 func streamMethod(name string, clientStreams, serverStreams bool, do func(n *Node, s grpc.ServerStream) error) grpc.StreamDesc {
 	handler := func(server any, s grpc.ServerStream) error {
 		n := server.(*Node)
@@ -131,5 +131,5 @@
 	}
 }
 
-// methodPath is the path of a method in gRPC calls.
+// methodPath returns the path of a method in gRPC calls.
 func methodPath(name string) string { return "/" + serviceName + "/" + name }
--- a/internal/fleet/agent/tasks.go
+++ b/internal/fleet/agent/tasks.go
@@ -10,19 +10,19 @@
 // ReleaseTask is the singleton task that carries out releases.
 const ReleaseTask = "release"
 
-// singletonTasks returns the tasks that one node at a time runs for the fleet. Their owners are voters, with which
-// every node has a connection anyway.
+// singletonTasks returns the tasks that one node at a time runs for the fleet. Only voters own tasks, since every node
+// has a connection to each voter anyway.
 func singletonTasks() []string { return []string{ReleaseTask} }
 
-// ownership is the tasks that this process owns.
+// ownership records the tasks that the log assigns to this process. Owns also checks the lease.
 type ownership struct {
 	mu       sync.Mutex        // guards tokens and revision
-	tokens   map[string]uint64 // fencing tokens by task
-	revision uint64            // index of the log at which tokens changed last
+	tokens   map[string]uint64 // fencing tokens of the tasks, by task
+	revision uint64            // index of the log at which tokens last changed
 }
 
-// applyOwnership takes over the tasks that the log assigns to this process, and gives up those that it doesn't any
-// more.
+// applyOwnership takes over the tasks that the log newly assigns to this process, gives up the tasks that the log no
+// longer assigns to it, and confirms the change to the voters.
 func (n *Node) applyOwnership() {
 	s := n.state()
 	if s == nil {
@@ -44,7 +44,8 @@
 	n.renewLeasesNow() // sends the confirmation to the voters
 }
 
-// Owns returns the fencing token of a task, and whether this process may act as its owner at this moment.
+// Owns returns the fencing token of a task, and whether this process may act as the task's owner at this moment. The
+// result must not be kept: the lease may expire at any time.
 func (n *Node) Owns(task string) (token uint64, ok bool) {
 	n.ownership.mu.Lock()
 	token, ok = n.ownership.tokens[task]
@@ -57,8 +58,8 @@
 	return token, n.lease.PermitsOwnership(n.Clock())
 }
 
-// OwnershipQuery is a query whether a node owns a task. The reply is the same message with the token set; 0: the node
-// doesn't own it, or has no lease.
+// OwnershipQuery asks whether a node owns a task. The reply is the same message with the fencing token; the token is 0 if
+// the node does not own the task, or has no lease for it.
 type OwnershipQuery struct {
 	Task  string `json:"work"`
 	Token uint64 `json:"token"`
@@ -72,14 +73,14 @@
 	return reply, nil
 }
 
-// TaskStatus is a singleton task as a voter sees it.
+// TaskStatus is the status of a singleton task according to one voter.
 type TaskStatus struct {
 	Task        string `json:"work"`
 	Owner       string `json:"owner"`
 	Token       uint64 `json:"token"`
-	NextOwner   string `json:"leaving,omitempty"` // to which the task is moved
-	Active      bool   `json:"acts"`              // the voter itself is the owner and has a lease for it
-	LeaseLeftMs int64  `json:"left_ms,omitempty"` // of an active owner
+	NextOwner   string `json:"leaving,omitempty"` // node to which the task is being moved; "": it is not moved
+	Active      bool   `json:"acts"`              // the voter itself owns the task and has a lease for it
+	LeaseLeftMs int64  `json:"left_ms,omitempty"` // milliseconds left of that lease if Active, else 0
 }
 
 // taskStatuses returns the status of all tasks; n.mu must not be held.
--- a/internal/fleet/agent/versions.go
+++ b/internal/fleet/agent/versions.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	manifestTimeout = time.Second     // for one voter to return a manifest
-	contentTimeout  = 5 * time.Second // for one voter to return the content of a part
-	refusalTimeout  = time.Second     // for one voter to take a refusal
+	manifestTimeout = time.Second     // of a request to one voter for a manifest
+	contentTimeout  = 5 * time.Second // of a request to one voter for the content of a part
+	refusalTimeout  = time.Second     // of the report of a refusal to one voter
 )
 
-// hasOrFetch reports whether a version is cached. If it isn't, nor known to be unusable, it starts to fetch it;
-// n.leaseMu is held.
+// hasOrFetch reports whether a version is cached. If the version is neither cached nor known to be unusable, hasOrFetch
+// starts to fetch it. n.leaseMu is held.
 func (n *Node) hasOrFetch(number uint64) bool {
 	n.versionsMu.Lock()
 	defer n.versionsMu.Unlock()
@@ -33,7 +33,7 @@
 	return false
 }
 
-// fetchVersion fetches a version until it is cached, found invalid, or no longer needed.
+// fetchVersion tries to fetch a version until it is cached, found to be unusable, or neither active nor pending.
 func (n *Node) fetchVersion(number uint64) {
 	for n.ctx.Err() == nil {
 		m, v, err := n.fetchOnce(number)
@@ -62,7 +62,8 @@
 	return m, v, err
 }
 
-// finishFetch caches a version, or records why this node can't use it.
+// finishFetch caches a fetched version. If err is not nil, it records the version as unusable and reports that to the
+// voters.
 func (n *Node) finishFetch(number uint64, m *consensus.Manifest, v *consensus.Version, err error) {
 	n.versionsMu.Lock()
 	delete(n.fetching, number)
@@ -80,11 +81,11 @@
 	n.reevaluateLease()
 }
 
-// cacheVersion caches a version and evicts the oldest ones that nothing needs; n.versionsMu is held, and n.mu must
-// not be.
+// cacheVersion caches a version, and evicts the oldest versions that are neither applied nor in the current epoch if the
+// cache is full. n.versionsMu is held; n.mu must not be held.
 func (n *Node) cacheVersion(m *consensus.Manifest, v *consensus.Version) {
 	n.versions[m.Number], n.manifests[m.Number] = v, m
-	var epochVersions []uint64 // a voter compares a new version with each of them
+	var epochVersions []uint64 // on a voter, which compares each new version with all of them
 	if s := n.state(); s != nil {
 		epochVersions = s.EpochVersions
 	}
@@ -106,7 +107,8 @@
 	return a != nil && (number == a.versions.Version || number == a.versions.PendingVersion)
 }
 
-// reportUnusable reports to the voters that this node can't use a version, until it is no longer pending.
+// reportUnusable reports to the voters that this node can't use a version, and repeats the report until the version is
+// no longer pending.
 func (n *Node) reportUnusable(number uint64, reason string) {
 	for n.ctx.Err() == nil {
 		if n.logStatus().PendingVersion != number {
@@ -123,14 +125,14 @@
 	}
 }
 
-// fetchManifest returns a version's manifest, from this node's own log or from a voter.
+// fetchManifest returns a version's manifest, from this node's own log or from another voter.
 func (n *Node) fetchManifest(ctx context.Context, number uint64) (*consensus.Manifest, error) {
 	if s := n.state(); s != nil {
 		if m := s.Version(number); m != nil {
 			return m, nil
 		}
 	}
-	noAnswer := fmt.Errorf("no voter has version %d", number)
+	noAnswer := fmt.Errorf("no other voter returned the manifest of version %d", number)
 	request := func(ctx context.Context, c *Conn) (*consensus.Manifest, error) {
 		m, err := n.describeFrom(ctx, c, number)
 		if err == nil && m.Number != number {
@@ -145,7 +147,8 @@
 	return m, m.Check()
 }
 
-// describeFrom asks a voter for a manifest. Of one that extends a known base, only the own parts are sent.
+// describeFrom requests a version's manifest from a voter. If the version extends a base whose manifest is cached, the
+// voter sends only the version's own parts.
 func (n *Node) describeFrom(ctx context.Context, c *Conn, number uint64) (*consensus.Manifest, error) {
 	m, err := call[consensus.Manifest](ctx, c, methodDescribe, DescribeRequest{Number: number, OwnPartsOnly: true})
 	if err != nil || !m.Extends {
--- a/internal/fleet/agent/voter.go
+++ b/internal/fleet/agent/voter.go
@@ -11,10 +11,10 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// errNotVoter is returned for calls that only a voter serves.
-var errNotVoter = status.Error(codes.FailedPrecondition, "this node doesn't vote")
+// errNotVoter is returned by a node that does not vote at present, for calls that only a voter serves.
+var errNotVoter = status.Error(codes.FailedPrecondition, "this node is not a voter at present")
 
-// runVoter waits until the other voters have admitted the voter, and starts the goroutines that run it.
+// runVoter waits until other voters have admitted this node's voter, and starts the goroutines that run it.
 func (n *Node) runVoter() {
 	if !n.waitForAdmission() {
 		return
@@ -27,7 +27,7 @@
 	n.background.Go(n.runReleases)
 }
 
-// runTicker calls the voter's Tick until the node stops.
+// runTicker calls the voter's Tick method every consensus.Tick until the node stops.
 func (n *Node) runTicker() {
 	t := time.NewTicker(consensus.Tick)
 	defer t.Stop()
@@ -48,13 +48,14 @@
 	return n.voter != nil
 }
 
-// state returns the log's state as far as this node has applied it; nil on a node that doesn't vote.
+// state returns the state of the log as far as this node has applied it; nil on a node that does not vote.
 func (n *Node) state() *consensus.State {
 	s, _ := n.stateAndChange()
 	return s
 }
 
-// stateAndChange returns the state, nil on a node that doesn't vote, and a channel that is closed when it changes.
+// stateAndChange returns the state, as the method state does, and a channel that is closed when the state changes or the
+// node stops voting.
 func (n *Node) stateAndChange() (*consensus.State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -64,8 +65,8 @@
 	return n.voter.State(), n.stateChanged
 }
 
-// withVoter calls do with the voter and n.mu held, and processes what the voter is ready for afterwards. It returns
-// errNotVoter on a node that doesn't vote.
+// withVoter calls do with the voter while n.mu is held, and then does the work that the voter has ready. It returns
+// errNotVoter on a node that does not vote.
 func (n *Node) withVoter(do func(v *consensus.Voter) error) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -78,8 +79,8 @@
 	return n.processReady()
 }
 
-// processReady does all work that the voter is ready for; n.mu is held. After a failed write the node stops voting,
-// since what it has promised may be lost.
+// processReady does all the work that the voter has ready; n.mu is held. After a failed write the node stops voting,
+// since votes that it cast and log entries that it acknowledged may not be on the disk.
 func (n *Node) processReady() error {
 	before, reads := n.voter.State().LogStatus(), n.voter.ReadsAnswered()
 	for {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// doWork saves, sends and applies what the voter is ready for; n.mu is held.
+// doWork saves the voter's state and log entries, sends its messages, and applies committed entries; n.mu is held.
 func (n *Node) doWork(work consensus.ReadyWork) error {
 	if err := n.store.Save(work); err != nil {
 		return err
@@ -113,20 +114,21 @@
 	return n.compactLog(snapshot)
 }
 
-// notifyStateChanged wakes everything that waits for a change of the state; n.mu is held.
+// notifyStateChanged wakes all goroutines that wait for a change of the state; n.mu is held.
 func (n *Node) notifyStateChanged() {
 	close(n.stateChanged)
 	n.stateChanged = make(chan struct{})
 }
 
-// stopVoting makes the node a follower for good; n.mu is held.
+// stopVoting makes the node a follower until the process is restarted; n.mu is held.
 func (n *Node) stopVoting(err error) {
 	n.votingError, n.voter, n.unadmitted = err, nil, nil
 	n.Log.Error("voting stopped", "err", err)
 	n.notifyStateChanged()
 }
 
-// compactLog replaces the start of the log by a snapshot, and deletes content that no version names; n.mu is held.
+// compactLog replaces the start of the log by a snapshot, and deletes content that no version in the history refers to,
+// unless it was stored within recentContentRetention; n.mu is held.
 func (n *Node) compactLog(snapshot *pb.Snapshot) error {
 	if err := n.store.CompactTo(snapshot); err != nil {
 		return err
@@ -151,7 +153,7 @@
 	}
 }
 
-// reportUndelivered reports to this node's voter that a message was not delivered.
+// reportUndelivered reports to this node's voter that a message to another voter was not delivered.
 func reportUndelivered(v *consensus.Voter, m *pb.Message) {
 	v.Unreachable(m.GetTo())
 	if m.GetType() == pb.MsgSnap {
@@ -165,7 +167,7 @@
 		if m.GetTo() != v.ID || !slices.Contains(v.Voters(), m.GetFrom()) || m.GetFrom() == v.ID {
 			return errNotVoter
 		}
-		v.Step(m) // an error means that the message came too late
+		v.Step(m) // an error means that the message arrived too late and was ignored
 		return nil
 	})
 }
@@ -174,7 +176,8 @@
 	return n.withVoter(func(v *consensus.Voter) error { return v.Propose(e) })
 }
 
-// grantLease grants a lease as a voter.
+// grantLease grants a node a lease as a voter. It then checks at once whether this voter can acknowledge the pending
+// version's epoch, which the request may have made possible.
 func (n *Node) grantLease(request consensus.LeaseRequest) (grant consensus.Grant, err error) {
 	err = n.withVoter(func(v *consensus.Voter) error {
 		if grant, err = v.GrantLease(n.Clock(), request); err != nil {
