--- a/internal/fleet/agent/authentication_test.go
+++ b/internal/fleet/agent/authentication_test.go
@@ -18,7 +18,7 @@
 	"yokestall/internal/tlskeys"
 )
 
-// newKeys returns the keys of a new fleet.
+// newKeys returns a key store with a new CA for a fleet, and a certificate and key of a node that this CA issued.
 func newKeys(t *testing.T) *tlskeys.Store {
 	t.Helper()
 	dir := t.TempDir()
@@ -44,7 +44,7 @@
 	return keys
 }
 
-// A client that names another fleet, or has no key of this one, is rejected.
+// A client is rejected if it names another fleet, or has no certificate that this fleet's CA issued.
 func TestStrangers(t *testing.T) {
 	ours, theirs := newKeys(t), newKeys(t)
 	withKey := tlskeys.ServerAuth{Roots: "fleet", Certificate: "node"}
@@ -66,7 +66,7 @@
 		}
 		ctx, stop := context.WithTimeout(context.Background(), testutil.WaitTimeout)
 		if _, err := c.Status(ctx); status.Code(err) != tc.want {
-			t.Errorf("%s: %v", tc.name, err)
+			t.Errorf("%s: Status returned %v, want code %v", tc.name, err, tc.want)
 		}
 		stop()
 		c.Close()
--- a/internal/fleet/agent/fleet_test.go
+++ b/internal/fleet/agent/fleet_test.go
@@ -25,7 +25,7 @@
 	Duration: 400 * time.Millisecond, MaxClockDrift: 0.05, ApplyTimeout: 50 * time.Millisecond,
 }
 
-// versionWithEffect returns the files of a version whose only class has an effect.
+// versionWithEffect returns the files of a version whose only class has the given effect: safe, keyed or unsafe.
 func versionWithEffect(effect string) []config.File {
 	return []config.File{
 		{Name: files.ProgramPart, Text: []byte("[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"c\"\n[fleet]\n" +
@@ -36,36 +36,37 @@
 	}
 }
 
-// testFleet is a fleet within a test: its first nodes are the voters, the others are followers.
+// testFleet is a fleet within the test process. Its first nodes are the voters, the others are followers.
 type testFleet struct {
 	t         testing.TB
-	dir       string // of the nodes' stores
+	dir       string // parent directory of the nodes' stores
 	voters    []VoterAddress
 	nodes     []*testNode
 	client    *Client
 	keys      []*tlskeys.Store       // by node; nil: clear text
-	configure func(i int, c *Config) // changes each node's configuration
+	configure func(i int, c *Config) // adjusts the configuration of the node with index i
 }
 
-// testNode is a node of a testFleet, and the program that acts on its versions.
+// testNode is a node of a testFleet. It also stands for the program that acts on the versions.
 type testNode struct {
 	name         string
-	address      string             // "": a follower
+	address      string             // address on which the node serves; "": the node is a follower
 	stop         context.CancelFunc // nil: the node is not running
 	running      sync.WaitGroup
 	node         *Node
-	checkVersion func(v *consensus.Version) error // of Parse, in addition; nil: none
+	checkVersion func(v *consensus.Version) error // additional validation in Parse; nil: none
 
 	mu               sync.Mutex // guards the fields below
-	parsed, extended int        // calls
-	effects          []string   // of the class, by each version that was applied; "-" where it is refused
+	parsed, extended int        // numbers of calls of parse and extend
+	effects          []string   // effect of the class in each applied version; "-" if its requests are refused
 }
 
+// newTestFleet starts a fleet, which ends with the test. Without keys, the nodes communicate in clear text.
 func newTestFleet(t testing.TB, voters, followers int, keys ...*tlskeys.Store) *testFleet {
 	return newTestFleetWith(t, voters, followers, func(int, *Config) {}, keys...)
 }
 
-// newTestFleetWith is newTestFleet with a change of each node's configuration.
+// newTestFleetWith is like newTestFleet, and calls configure on each node's configuration.
 func newTestFleetWith(
 	t testing.TB, voters, followers int, configure func(i int, c *Config), keys ...*tlskeys.Store,
 ) *testFleet {
@@ -91,7 +92,7 @@
 	return f
 }
 
-// addNode adds a node, which is not started yet.
+// addNode adds a node without starting it.
 func (f *testFleet) addNode(i int, voter bool) {
 	f.t.Helper()
 	n := &testNode{name: fmt.Sprint("n", i)}
@@ -107,6 +108,7 @@
 	f.nodes = append(f.nodes, n)
 }
 
+// connectClient creates the fleet's client.
 func (f *testFleet) connectClient() {
 	f.t.Helper()
 	var with *tls.Config
@@ -192,7 +194,7 @@
 	n.running.Go(func() { n.node.Run(ctx) })
 }
 
-// kill stops a node, if it runs, without telling the others.
+// kill stops a node, if it is running, without notice to the other nodes.
 func (f *testFleet) kill(i int) {
 	n := f.nodes[i]
 	if n.stop == nil {
@@ -204,18 +206,18 @@
 	n.stop = nil
 }
 
-// context returns a context that ends after testutil.WaitTimeout.
+// context returns a context with a timeout of testutil.WaitTimeout.
 func (f *testFleet) context() context.Context {
 	ctx, stop := context.WithTimeout(context.Background(), testutil.WaitTimeout)
 	f.t.Cleanup(stop)
 	return ctx
 }
 
-// publish publishes a version until its outcome is known.
+// publish publishes a version, and repeats that until a reply is final.
 func (f *testFleet) publish(id string, base uint64, list []config.File) *PublishReply {
 	f.t.Helper()
 	var reply *PublishReply
-	testutil.Until(f.t, "the outcome of the publish "+id, func() bool {
+	testutil.Until(f.t, "a final reply to the publish "+id, func() bool {
 		var err error
 		reply, err = f.client.Publish(f.context(), id, base, list)
 		return err == nil && (reply.Number > 0 || !reply.Retry)
@@ -233,11 +235,12 @@
 	return outcome
 }
 
-// waitForEffect waits until the version that a node applied last has an effect, and the node may act on it.
+// waitForEffect waits until the class has the given effect in the version that a node applied last, and the node may act
+// on that version. The effect "-" means that the requests of the class are refused.
 func (f *testFleet) waitForEffect(i int, effect string) {
 	f.t.Helper()
 	n := f.nodes[i]
-	testutil.Until(f.t, n.name+" to act on "+effect, func() bool {
+	testutil.Until(f.t, n.name+" to act on a version with the effect "+effect, func() bool {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return len(n.effects) > 0 && n.effects[len(n.effects)-1] == effect && n.node.MayServe()
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -70,7 +70,8 @@
 	)
 }
 
-// The names in the paths of the service are part of the messages.
+// The method paths and the metadata key are fixed, like the messages, since nodes with different releases of the program
+// communicate.
 func TestGoldenMethodNames(t *testing.T) {
 	var names []string
 	d := serviceDescription()
@@ -82,6 +83,6 @@
 	}
 	golden.Lines(t, "testdata/golden/methods.json", names)
 	if fleetMetadataKey != "yokestall-fleet" {
-		t.Errorf("metadata key %q", fleetMetadataKey)
+		t.Errorf("metadata key is %q, want yokestall-fleet", fleetMetadataKey)
 	}
 }
--- a/internal/fleet/agent/release_test.go
+++ b/internal/fleet/agent/release_test.go
@@ -11,7 +11,8 @@
 	"yokestall/internal/testutil"
 )
 
-// releaseOwner returns the index of the voter that may act as the owner of releases, -1 if none may, and its token.
+// releaseOwner returns the index of the voter that may act as the owner of the release task, and its token. The index is
+// -1 if there is no such voter.
 func (f *testFleet) releaseOwner() (at int, token uint64) {
 	for i := range f.voters {
 		if n := f.nodes[i]; n.stop != nil {
@@ -23,10 +24,11 @@
 	return -1, 0
 }
 
+// controlRelease sends a command on releases until a voter replies.
 func (f *testFleet) controlRelease(command ReleaseCommand) *ReleaseReply {
 	f.t.Helper()
 	var out *ReleaseReply
-	testutil.Until(f.t, "an answer on the release", func() bool {
+	testutil.Until(f.t, "a reply to the release command", func() bool {
 		r, err := f.client.ControlRelease(f.context(), command)
 		out = r
 		return err == nil
@@ -37,13 +39,13 @@
 // waitForReleaseEnd waits until the latest release has ended.
 func (f *testFleet) waitForReleaseEnd() {
 	f.t.Helper()
-	testutil.Until(f.t, "the release to end", func() bool {
+	testutil.Until(f.t, "the latest release to end", func() bool {
 		return f.controlRelease(ReleaseCommand{}).Progress.Result != ""
 	})
 }
 
-// A release goes on through the death of its owner: each wave is out once and back once, never two at a time, and the
-// next owner has a higher token. What can't be done is refused before its first step.
+// A release continues after its owner was killed: each wave is taken out once and put back once, one wave at a time, and
+// the next owner has a higher token. A release that is not feasible is refused before its first step.
 func TestRelease(t *testing.T) {
 	f := newTestFleet(t, 3, 1)
 	f.publish("one", 0, versionWithEndpoints(6))
@@ -66,19 +68,19 @@
 		tc.change(&invalid)
 		out := f.controlRelease(ReleaseCommand{Start: &invalid})
 		if !strings.Contains(out.Error, tc.want) || out.Progress != nil {
-			t.Errorf("%q: %+v", tc.want, out)
+			t.Errorf("infeasible release: reply %+v, want no progress and an error with %q", out, tc.want)
 		}
 	}
 	if out := f.controlRelease(ReleaseCommand{Start: &r}); out.Error != "" {
-		t.Fatalf("%+v", out)
+		t.Fatalf("start of the release: reply %+v, want no error", out)
 	}
-	testutil.Until(t, "the first wave to be out", func() bool {
+	testutil.Until(t, "the first wave to be taken out", func() bool {
 		s, err := f.client.LatestStatus(f.context())
 		return err == nil && s.LogStatus.ActiveVersion >= 2
 	})
 	first, before := f.releaseOwner()
 	if first < 0 {
-		t.Fatal("nobody owns it")
+		t.Fatal("no voter owns the release task")
 	}
 	f.kill(first)
 	testutil.Until(t, "the release to end", func() bool {
@@ -86,10 +88,10 @@
 		return out.Progress != nil && out.Progress.Result != ""
 	})
 	if out := f.controlRelease(ReleaseCommand{}); out.Progress.Result != "done" {
-		t.Errorf("%+v", out.Progress)
+		t.Errorf("progress %+v after the release ended, want the result \"done\"", out.Progress)
 	}
 	if at, after := f.releaseOwner(); at < 0 || at == first || after <= before {
-		t.Errorf("owner %d by %d after %d by %d", at, after, first, before)
+		t.Errorf("owner: voter %d with token %d, want another voter than %d, with a higher token than %d", at, after, first, before)
 	}
 	f.start(first)
 	s, err := f.client.LatestStatus(f.context())
@@ -106,7 +108,7 @@
 		t.Errorf("versions %v, want %v", ids, want)
 	}
 	v := f.nodes[3].node
-	testutil.Until(t, "the follower to hold the last version", func() bool {
+	testutil.Until(t, "the follower to cache the last version", func() bool {
 		v.versionsMu.Lock()
 		defer v.versionsMu.Unlock()
 		return v.versions[s.LogStatus.ActiveVersion] != nil
@@ -115,46 +117,48 @@
 	defer v.versionsMu.Unlock()
 	for _, e := range v.versions[s.LogStatus.ActiveVersion].Clusters["rooms"].Endpoints {
 		if !e.Serves() || e.StartedMs == 0 {
-			t.Errorf("%+v is not back", e)
+			t.Errorf("endpoint %+v, want it in use and with a start time", e)
 		}
 	}
 }
 
-// Paused, a release begins nothing; aborted, it gives back what is out, once, and ends.
+// A release that is paused and then aborted puts the wave that is out back into use, once, and ends. Only one release can
+// be in progress.
 func TestReleaseStops(t *testing.T) {
 	f := newTestFleet(t, 3, 0)
 	f.publish("one", 0, versionWithEndpoints(4))
 	r := consensus.Release{ID: "r", Cluster: "rooms", Waves: [][]string{{"s-00000"}, {"s-00001"}}, Restart: time.Hour}
 	if out := f.controlRelease(ReleaseCommand{Action: "pause"}); out.Error != "no release is in progress" {
-		t.Errorf("%+v", out)
+		t.Errorf("pause without a release: reply %+v, want an error that none is in progress", out)
 	}
 	if out := f.controlRelease(ReleaseCommand{Start: &r}); out.Error != "" {
-		t.Fatalf("%+v", out)
+		t.Fatalf("start of the release: reply %+v, want no error", out)
 	}
-	testutil.Until(t, "the first wave to be away",
+	testutil.Until(t, "the first wave to be in the phase Restarting",
 		func() bool { p := f.controlRelease(ReleaseCommand{}).Progress; return p.Phase == consensus.Restarting })
 	if out := f.controlRelease(ReleaseCommand{Action: "pause"}); !out.Progress.Paused {
-		t.Errorf("%+v", out)
+		t.Errorf("pause: reply %+v, want a paused release", out)
 	}
 	other := r
 	other.ID = "other"
 	if out := f.controlRelease(ReleaseCommand{Start: &other}); !strings.Contains(out.Error, "is still in progress") {
-		t.Errorf("two at once: %+v", out)
+		t.Errorf("start of a second release: reply %+v, want an error that another is in progress", out)
 	}
 	if out := f.controlRelease(ReleaseCommand{Action: "abort", Reason: "the new program fails"}); out.Error != "" {
-		t.Errorf("%+v", out)
+		t.Errorf("abort: reply %+v, want no error", out)
 	}
 	f.waitForReleaseEnd()
 	if p := f.controlRelease(ReleaseCommand{}).Progress; p.Result != "abort: the new program fails" {
-		t.Errorf("%+v", p)
+		t.Errorf("progress %+v after the abort, want the abort with its reason as the result", p)
 	}
 	s, err := f.client.LatestStatus(f.context())
 	if err != nil || len(s.History) != 3 || s.History[2].ID != "release/r/0/in" {
-		t.Errorf("%+v, %v", s.History, err)
+		t.Errorf("history %+v, %v; want three versions, the last of which puts the wave back", s.History, err)
 	}
 }
 
-// A voter that has just started on an old log answers an operator by all that the fleet has agreed on meanwhile.
+// A voter that has just started with an old log takes into account everything that was committed while it was stopped
+// when it answers an operator. Guards against answers from the state that the voter has applied so far.
 func TestVoterThatIsBehindAnswersByTheLog(t *testing.T) {
 	f := newTestFleet(t, 3, 0)
 	for i := range 3 {
@@ -164,15 +168,15 @@
 		}
 		r := consensus.Release{ID: fmt.Sprint("r", i), Cluster: "rooms", Waves: [][]string{{fmt.Sprint("s-0000", i)}},
 			Restart: time.Hour}
-		if i > 0 { // what it has not heard of, or only the begin of
+		if i > 0 { // the stopped voter misses the start of this release
 			if out := f.controlRelease(ReleaseCommand{Start: &r}); out.Error != "" {
-				t.Fatalf("%+v", out)
+				t.Fatalf("start of release %s: reply %+v, want no error", r.ID, out)
 			}
 		}
 		f.start(i)
 		n := f.nodes[i].node
 		sendCommand := func(in ReleaseCommand) (out *ReleaseReply) {
-			testutil.Until(t, "a leader", func() bool {
+			testutil.Until(t, "the restarted voter to answer a release command", func() bool {
 				var err error
 				out, err = n.serveReleaseCommand(f.context(), &in)
 				return err == nil
@@ -181,20 +185,20 @@
 		}
 		if i == 0 {
 			if out := sendCommand(ReleaseCommand{Start: &r}); out.Error != "" {
-				t.Errorf("asked of who missed the version: %+v", out)
+				t.Errorf("start at the voter that missed the version: reply %+v, want no error", out)
 			}
 		}
 		if out := sendCommand(ReleaseCommand{}); out.Error != "" || out.Progress.Release.ID != r.ID {
-			t.Errorf("asked of who missed the release: %+v", out)
+			t.Errorf("progress from restarted voter %d: reply %+v, want release %s", i, out, r.ID)
 		}
 		if out := sendCommand(ReleaseCommand{Action: "abort", Reason: "test"}); out.Error != "" {
-			t.Errorf("%+v", out)
+			t.Errorf("abort at restarted voter %d: reply %+v, want no error", i, out)
 		}
 		f.waitForReleaseEnd()
 	}
-	// A publisher is told of the present version, not of one that was.
+	// The reply to a publisher names the version that is active now, not the one that the voter has applied so far.
 	var s *Status
-	testutil.Until(t, "the last release to be back", func() (settled bool) {
+	testutil.Until(t, "the version that ended the last release to be in force", func() (settled bool) {
 		var err error
 		s, err = f.client.LatestStatus(f.context())
 		return err == nil && s.LogStatus.PendingVersion == 0
@@ -204,10 +208,10 @@
 	f.waitForOutcome(f.publish("two", s.LogStatus.ActiveVersion, versionWithEndpoints(5)).Number)
 	f.start(0)
 	n := f.nodes[0].node
-	testutil.Until(t, "a leader", func() bool {
+	testutil.Until(t, "the restarted voter to answer a publish", func() bool {
 		out, err := n.servePublish(f.context(), &PublishRequest{ID: "three", Base: s.LogStatus.ActiveVersion, Parts: parts})
 		if err == nil && out.ActiveVersion != s.LogStatus.ActiveVersion+1 {
-			t.Errorf("%+v, and version %d is there", out, s.LogStatus.ActiveVersion+1)
+			t.Errorf("publish at the restarted voter: reply %+v, want version %d as the active one", out, s.LogStatus.ActiveVersion+1)
 		}
 		return err == nil
 	})
