--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -79,7 +79,7 @@
 }
 
 // requestAdmission sends this start to another voter until that voter admits or refuses it. A refusal makes this node
-// stop voting, also after it was admitted by others.
+// stop voting, even if enough other voters have admitted it before.
 func (n *Node) requestAdmission(c *Conn) bool {
 	for n.ctx.Err() == nil {
 		ctx, stop := context.WithTimeout(n.ctx, helloTimeout)
--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// reconcileVersions applies the desired versions if the lease permits them and the program acts on others. If the lease
-// has expired, or none was granted within a lease's duration after started, it applies the disconnected policy.
+// reconcileVersions applies the desired versions, which the lease permits, if the program does not act on them yet. If
+// there are none, it applies the disconnected policy when the lease no longer permits the versions that the program acts
+// on, or when the program has applied no version within a lease's duration after started.
 func (n *Node) reconcileVersions(started time.Duration) {
 	n.leaseMu.Lock()
 	now := n.Clock()
@@ -141,7 +142,7 @@
 	}
 }
 
-// enterDisconnected applies the disconnected policy to the versions that the program acted on when the lease expired.
+// enterDisconnected applies the disconnected policy to the versions that the program acted on under the expired lease.
 func (n *Node) enterDisconnected(last consensus.ActiveVersions) {
 	n.versionsMu.Lock()
 	active, pending := n.versions[last.Version], n.versions[last.PendingVersion]
@@ -161,8 +162,8 @@
 	}
 }
 
-// startDisconnected applies the disconnected policy to the version that saveLastVersion saved, on a node that has held
-// no lease since its start.
+// startDisconnected applies the disconnected policy to the version that saveLastVersion saved before the restart, on a
+// node that has applied no version since its start.
 func (n *Node) startDisconnected() {
 	m, err := n.store.LastVersion()
 	if m == nil || err != nil {
--- a/internal/fleet/agent/client.go
+++ b/internal/fleet/agent/client.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	statusTimeout      = 2 * time.Second       // of a request for a voter's status or manifest, and of a linearizable read
+	statusTimeout      = 2 * time.Second       // timeout of a status or manifest request, and of a linearizable read
 	statusPollInterval = 20 * time.Millisecond // between two requests of WaitForVersion
 	// maxChangesPerVersion is the largest number of endpoint list changes in a version. The next change is merged with
 	// all earlier ones into complete lists.
--- a/internal/fleet/agent/content.go
+++ b/internal/fleet/agent/content.go
@@ -30,7 +30,7 @@
 	return list, nil
 }
 
-// fetchContent returns a part's content from the store. If the store does not have it or can't be read, the content is
+// fetchContent returns a part's content from the store. If the content is not in the store or can't be read, it is
 // fetched from another voter and stored.
 func (n *Node) fetchContent(ctx context.Context, p consensus.Part) ([]byte, error) {
 	if p.Size > config.MaxFile {
--- a/internal/fleet/agent/fleet_test.go
+++ b/internal/fleet/agent/fleet_test.go
@@ -43,7 +43,7 @@
 	voters    []VoterAddress
 	nodes     []*testNode
 	client    *Client
-	keys      []*tlskeys.Store       // by node; nil: clear text
+	keys      []*tlskeys.Store       // the nodes use them in turn; empty: clear text
 	configure func(i int, c *Config) // adjusts the configuration of the node with index i
 }
 
--- a/internal/fleet/agent/linearizableread.go
+++ b/internal/fleet/agent/linearizableread.go
@@ -14,7 +14,7 @@
 const readRetryInterval = 5 * consensus.Tick
 
 // currentState does a linearizable read: it returns a state that includes everything that was committed before the call.
-// Without it, a voter may use an older state, since it may not yet have applied the whole log.
+// The state that a voter has without a linearizable read may be older, since the voter may lag behind the log.
 func (n *Node) currentState(ctx context.Context) (*consensus.State, error) {
 	ctx, stop := context.WithTimeout(ctx, statusTimeout)
 	defer stop()
--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -71,7 +71,7 @@
 // Node is a node of a fleet: a voter of the log, or a follower that only applies versions. Open creates a Node.
 //
 // The goroutines in background end when ctx is canceled, and Run waits for them. Several locks are always taken in this
-// order: leaseMu, versionsMu, mu. No other lock is held while parseMu is locked.
+// order: leaseMu, versionsMu, mu. No other lock of the node is held together with parseMu.
 type Node struct {
 	Config
 	incarnation string                      // random id of this process
--- a/internal/fleet/agent/parse.go
+++ b/internal/fleet/agent/parse.go
@@ -24,8 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// servePublish and fetchVersion often need the same version at the same time. The second one uses the result of the
-	// first.
+	// servePublish and fetchVersion often need the same version at the same time. It is parsed once for both.
 	n.parseMu.Lock()
 	defer n.parseMu.Unlock()
 	if n.lastParsed != nil && slices.Equal(n.lastParsedParts, m.Parts) {
--- a/internal/fleet/agent/publish.go
+++ b/internal/fleet/agent/publish.go
@@ -78,7 +78,8 @@
 	return &PublishReply{Error: reason, Retry: retry, ActiveVersion: s.ActiveVersion}
 }
 
-// completeManifest returns a copy of the manifest that starts with the parts of its base if the version extends that.
+// completeManifest returns a copy of a manifest. If the version extends its base, the copy's parts begin with those of the
+// base.
 func completeManifest(s *consensus.State, m *consensus.Manifest) (*consensus.Manifest, error) {
 	complete := *m
 	complete.OwnParts = len(m.Parts)
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	maxConns          = consensus.MaxHolders + 256 // connections to this node, of all lease holders and of operators
+	maxConns          = consensus.MaxHolders + 256 // connections to this node, from all lease holders and from operators
 	maxStreams        = 64                         // concurrent calls of one connection
 	maxUploads        = 4                          // concurrent uploads of content
 	maxHeaderBytes    = 16 << 10                   // size of a call's metadata
 	maxStatusHistory  = 32                         // versions in the History of a Status
 	keepaliveInterval = 2 * time.Second            // time without traffic after which a connection is probed
-	connectTimeout    = 5 * time.Second            // of a new connection's handshake
+	connectTimeout    = 5 * time.Second            // timeout of a new connection's handshake
 )
 
 // Serve serves other nodes and operators' clients on a listener until ctx ends.
--- a/internal/fleet/agent/versions.go
+++ b/internal/fleet/agent/versions.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	manifestTimeout = time.Second     // of a request to one voter for a manifest
-	contentTimeout  = 5 * time.Second // of a request to one voter for the content of a part
-	refusalTimeout  = time.Second     // of the report of a refusal to one voter
+	manifestTimeout = time.Second     // timeout of a request to one voter for a manifest
+	contentTimeout  = 5 * time.Second // timeout of a request to one voter for the content of a part
+	refusalTimeout  = time.Second     // timeout of a call that reports a refusal to one voter
 )
 
 // hasOrFetch reports whether a version is cached. If the version is neither cached nor known to be unusable, hasOrFetch
