--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -13,58 +13,61 @@
 	"yokestall/internal/fleet/store"
 )
 
-// A voter that starts on an older copy of its disk has forgotten its votes and promises, so it must not vote. Each
-// voter counts its starts on its own disk, and records the latest start of every other voter that it has seen. Before
-// a voter votes, half of the others have to admit it. A voter of which any other has seen a later start stays a
-// follower.
+// A voter that starts on an older copy of its disk has lost votes that it cast and log entries that it acknowledged, so
+// it must not vote. Each voter counts its starts on its own disk, and records the latest start that it has seen of every
+// other voter. Before a voter votes, at least half of the other voters have to admit its start. A voter stays a follower
+// if any other voter has seen a later start of it.
 
-// helloTimeout is how long one attempt to be admitted by another voter takes at most.
+// helloTimeout is the timeout of one call that asks another voter for admission.
 const helloTimeout = time.Second
 
-// StartReply is a voter's answer to another voter's start.
-type StartReply struct {
+// AdmissionReply says whether a voter admits another voter's start.
+type AdmissionReply struct {
 	Admitted bool             `json:"ok"`
-	Latest   store.VoterStart `json:"latest"` // start that the voter has seen
+	Latest   store.VoterStart `json:"latest"` // latest start that the replying voter has seen of the other voter
 }
 
-// oldDiskError is why a voter that runs on an older copy of its disk doesn't vote.
-type oldDiskError struct {
+// staleDiskError is the error of a voter that does not vote because it runs on an older copy of its disk.
+type staleDiskError struct {
 	dir         string
-	own, latest uint64 // counts of starts
+	own, latest uint64 // numbers of starts: as this disk counts them, and as another voter has recorded them
 }
 
-func (e *oldDiskError) Error() string {
-	return fmt.Sprintf("%s: an old copy of this voter's disk: it is at start %d, and another voter has met start %d",
+func (e *staleDiskError) Error() string {
+	return fmt.Sprintf(
+		"%s: an old copy of this voter's disk: this is start %d, but another voter has recorded a different start, number %d",
 		e.dir, e.own, e.latest)
 }
 
-// serveHello admits another voter's start, unless this voter has seen a later one.
-func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*StartReply, error) {
+// serveHello admits another voter's start, unless this voter has already recorded a later start of that voter, or the
+// same start number with another nonce.
+func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*AdmissionReply, error) {
 	if !slices.ContainsFunc(n.Voters, func(v VoterAddress) bool { return v.Name == start.Name }) {
 		name := start.Name[:min(len(start.Name), consensus.MaxName)]
-		return nil, status.Errorf(codes.InvalidArgument, "%q is no voter of this fleet", name)
+		return nil, status.Errorf(codes.InvalidArgument, "%q is not a voter of this fleet", name)
 	}
 	admitted, latest, err := n.store.RecordStart(*start)
 	if err != nil {
 		return nil, err
 	}
-	return &StartReply{admitted, latest}, nil
+	return &AdmissionReply{admitted, latest}, nil
 }
 
-// admit has the other voters admit this start of the voter. It returns false if one refused, or the node stops.
-func (n *Node) admit() bool {
-	need := (len(n.conns) + 1) / 2
+// waitForAdmission asks the other voters to admit this start, and makes the node a voter once at least half of them have
+// done so. It returns false if a voter refuses or the node stops.
+func (n *Node) waitForAdmission() bool {
+	needed := (len(n.conns) + 1) / 2
 	replies := make(chan bool, len(n.conns))
 	for _, c := range n.conns {
-		n.background.Go(func() { replies <- n.introduce(c) })
+		n.background.Go(func() { replies <- n.requestAdmission(c) })
 	}
-	for need > 0 {
+	for needed > 0 {
 		select {
 		case admitted := <-replies:
 			if !admitted {
 				return false
 			}
-			need--
+			needed--
 		case <-n.ctx.Done():
 			return false
 		}
@@ -75,11 +78,12 @@
 	return n.voter != nil
 }
 
-// introduce sends this start to another voter until that admits it, or refuses it, which ends this node's voting.
-func (n *Node) introduce(c *Conn) bool {
+// requestAdmission sends this start to another voter until that voter admits or refuses it. A refusal makes this node
+// stop voting, even if enough other voters have admitted it before.
+func (n *Node) requestAdmission(c *Conn) bool {
 	for n.ctx.Err() == nil {
 		ctx, stop := context.WithTimeout(n.ctx, helloTimeout)
-		reply, err := call[StartReply](ctx, c, methodHello, n.ownStart)
+		reply, err := call[AdmissionReply](ctx, c, methodHello, n.ownStart)
 		stop()
 		if err != nil {
 			n.sleep(minDialBackoff)
@@ -87,7 +91,7 @@
 		}
 		if !reply.Admitted {
 			n.mu.Lock()
-			n.stopVoting(&oldDiskError{n.Dir, n.ownStart.Count, reply.Latest.Count})
+			n.stopVoting(&staleDiskError{n.Dir, n.ownStart.Count, reply.Latest.Count})
 			n.mu.Unlock()
 		}
 		return reply.Admitted
