--- a/internal/idempotency/bench_test.go
+++ b/internal/idempotency/bench_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// BenchmarkEntry compares what entries take of the heap with what is counted for them.
+// BenchmarkEntry compares the heap memory of entries with the size that the store counts for them.
 func BenchmarkEntry(b *testing.B) {
 	const n, payload = 100_000, 512
 	for b.Loop() {
@@ -28,7 +28,8 @@
 	}
 }
 
-// BenchmarkBegin is a look-up, on as many cores as -cpu says, under the lock that a user of the store has.
+// BenchmarkBegin measures Begin for known keys under a mutex, as users of the store call it. The flag -cpu sets the number
+// of cores that compete for the mutex.
 func BenchmarkBegin(b *testing.B) {
 	for _, n := range []int{1000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -1,17 +1,16 @@
-// Package idempotency recognises repeated requests by their idempotency keys: while the first request under a key
-// is in progress, and after that until the window of the key ends. It follows the IETF draft on the
-// Idempotency-Key header field (draft-ietf-httpapi-idempotency-key-header): a repeat gets the outcome of the
-// first request, or a conflict.
+// Package idempotency recognises repeated requests by their idempotency keys, from the start of the first request under a
+// key to the end of the key's deduplication window. It follows the IETF draft on the Idempotency-Key header field
+// (draft-ietf-httpapi-idempotency-key-header): a repeated request gets the outcome of the first request, or a conflict.
 //
-// The package is pure: time is passed in, and nothing blocks.
+// The package does no I/O: time is passed in, and no call blocks.
 //
-//	state           meaning                                       a request under the key gets
-//	(none)          nothing is known of the key                   First: it runs
-//	running         the first request is in progress              Joined, InProgress or Mismatch
-//	answered        it was answered; its outcome may be cached    Replayed or Mismatch
-//	outcomeUnknown  it may have run, and no outcome is known      OutcomeUnknown or Mismatch
+//	state of the key  meaning                                                    verdict on a request under the key
+//	(none)            the key has no entry                                       First or StoreFull
+//	running           the first request is in progress                           Joined, InProgress or Mismatch
+//	answered          the first request was answered; its outcome may be cached  Replayed or Mismatch
+//	outcomeUnknown    the first request may have run; its outcome is unknown     OutcomeUnknown or Mismatch
 //
-// A request that was rejected has not run, and its key is forgotten at once. A running entry is never evicted,
-// and a completed one not before its window ends: when the store is full, requests under new keys are rejected,
-// which is safe.
+// The entry of a request that was rejected is removed at once, because the request has not run. An entry is never evicted
+// while its request runs, and after that not before its window has ended: when the store is full, requests under new keys
+// are rejected, which is safe.
 package idempotency
--- a/internal/idempotency/expiry.go
+++ b/internal/idempotency/expiry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// expiryQueue is a heap of completed entries by the end of their windows.
+// expiryQueue is a min-heap of completed entries, ordered by the end of their windows.
 type expiryQueue []*Entry
 
 var _ heap.Interface = (*expiryQueue)(nil)
@@ -33,7 +33,7 @@
 	}
 }
 
-// nextExpiry gives the time until the next window ends; 0 if no entry is completed.
+// nextExpiry returns the time until the next window of a completed entry ends, or 0 if no entry is completed.
 func (s *Store) nextExpiry(now time.Duration) time.Duration {
 	if len(s.expiry) == 0 {
 		return 0
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Key identifies a request that must not run twice. Equal names of different tenants are different keys.
+// Key identifies a request that must not run twice. The same name under two tenants makes two different keys.
 type Key struct {
 	Tenant int
 	Name   string
 }
 
-// Fingerprint tells requests under one key apart: a digest of method, path, class and body for which clients
-// can't choose collisions.
+// Fingerprint is a digest of a request's class, method, target, host and body, by which different requests under one key
+// are distinguished. Package replay computes it with a hash for which clients can't construct collisions.
 type Fingerprint [16]byte
 
-// Verdict says how a request under a key is handled.
+// Verdict is the decision on how to handle a request under a key.
 type Verdict uint8
 
 // The verdicts.
 const (
-	First          Verdict = iota // it runs, and the caller calls Store.Complete
-	Joined                        // the first is running, and this request waits for its outcome
-	InProgress                    // the first is running, and this request can't wait, or too many do
-	Replayed                      // the first was answered, by Entry.Outcome if that is cached
-	OutcomeUnknown                // the first may have run
-	Mismatch                      // the key belongs to a request with another fingerprint
-	StoreFull                     // no capacity for a new key; the request does not run
+	First          Verdict = iota // the key is new: the request runs, and the caller calls Store.Complete at its end
+	Joined                        // the first request is running, and this request waits for its outcome
+	InProgress                    // the first request is running; this one can't wait, or Limits.Joiners is reached
+	Replayed                      // the first request was answered; Entry.Outcome is its outcome, or nil if not cached
+	OutcomeUnknown                // the first request may have run, and its outcome is unknown
+	Mismatch                      // the first request under the key has another fingerprint
+	StoreFull                     // the store has no capacity for a new key; the request does not run
 )
 
-// Completion is how the first request under a key ended.
+// Completion is the way in which the first request under a key ended.
 type Completion uint8
 
 // The completions.
 const (
-	Rejected      Completion = iota // it has not run
-	Answered                        // it has run, and its outcome is known
-	Indeterminate                   // it may have run
+	Rejected      Completion = iota // the request has not run
+	Answered                        // the request has run, and its outcome is known
+	Indeterminate                   // the request may have run, and its outcome is unknown
 )
 
 type state uint8
@@ -47,49 +47,50 @@
 	outcomeUnknown
 )
 
-// Entry is the state of a key in a Store. Apart from Outcome its fields belong to the store.
+// Entry is the state of a key in a Store. Callers hand it back to the store's methods and read only Outcome.
 type Entry struct {
-	// Outcome is the cached outcome of a request that was answered; nil if it is not cached.
+	// Outcome is the cached outcome of a request that was answered; nil means that none is cached.
 	Outcome any
 
 	key         Key
 	fingerprint Fingerprint
 	state       state
-	expiresAt   time.Duration // end of the window
+	expiresAt   time.Duration // end of the deduplication window
 	size        int64         // bytes that count against Limits.Bytes
-	joiners     int           // 0 unless running
+	joiners     int           // requests that wait for the outcome; 0 unless the state is running
 }
 
-// Store holds the entries of all keys. Create it with New; it is not safe for concurrent use. Times are on any
-// clock that does not go back.
+// Store holds the entries of all keys. Create it with New. A Store is not safe for concurrent use. The times passed to its
+// methods are readings of one clock that never goes back.
 type Store struct {
 	limits  Limits
 	entries map[Key]*Entry
 	expiry  expiryQueue
-	bytes   int64
-	tenants map[int]usage // of tenants that have entries
+	bytes   int64         // size of all entries
+	tenants map[int]usage // by tenant; only tenants that have entries
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New(l Limits) *Store {
 	return &Store{limits: l, entries: map[Key]*Entry{}, tenants: map[int]usage{}}
 }
 
-// Len gives the number of entries.
+// Len returns the number of entries.
 func (s *Store) Len() int { return len(s.entries) }
 
-// Bytes gives the bytes that count against Limits.Bytes.
+// Bytes returns the size of all entries, as it counts against Limits.Bytes.
 func (s *Store) Bytes() int64 { return s.bytes }
 
-// Begin takes a request under a key. The window is how long the key of a first request is known, from now on;
-// join says that the request can wait for one that is running. The entry is nil for InProgress, Mismatch and
-// StoreFull. For StoreFull, retryAfter is the time until there may be capacity; 0 if that is not known.
+// Begin decides how to handle a request under a key. If the key is new, its deduplication window starts now and lasts for
+// window. join says that the request can wait for the outcome of a running request. The entry is nil for the verdicts
+// InProgress, Mismatch and StoreFull. For StoreFull, retryAfter is the time until there may be capacity, or 0 if that time
+// is unknown; for other verdicts it is 0.
 func (s *Store) Begin(
 	now time.Duration, key Key, fingerprint Fingerprint, window time.Duration, join bool,
 ) (v Verdict, e *Entry, retryAfter time.Duration) {
 	s.expire(now)
 	if e = s.entries[key]; e != nil {
-		v, e = s.repeat(e, fingerprint, join)
+		v, e = s.handleRepeat(e, fingerprint, join)
 		return v, e, 0
 	}
 	e = &Entry{key: key, fingerprint: fingerprint, expiresAt: now + window, size: entryBytes(key)}
@@ -100,8 +101,8 @@
 	return First, e, 0
 }
 
-// repeat handles a request whose key has an entry.
-func (s *Store) repeat(e *Entry, fingerprint Fingerprint, join bool) (Verdict, *Entry) {
+// handleRepeat decides on a request whose key has the entry e, and adds the request to the joiners if it may wait.
+func (s *Store) handleRepeat(e *Entry, fingerprint Fingerprint, join bool) (Verdict, *Entry) {
 	switch {
 	case e.fingerprint != fingerprint:
 		return Mismatch, nil
@@ -116,37 +117,38 @@
 	return Joined, e
 }
 
-// RemoveJoiner takes back a Joined whose request no longer waits.
+// RemoveJoiner tells the store that a request with the verdict Joined no longer waits.
 func (s *Store) RemoveJoiner(e *Entry) {
 	if e.joiners > 0 {
 		e.joiners--
 	}
 }
 
-// HasJoiners reports whether requests wait for the outcome of a running entry.
+// HasJoiners reports whether any requests wait for the outcome of a running entry.
 func (s *Store) HasJoiners(e *Entry) bool { return e.joiners > 0 }
 
-// Complete records how the first request under a key ended, and caches its outcome of size bytes if it was
-// answered and there is capacity for it. A second call for an entry has no effect.
-func (s *Store) Complete(now time.Duration, e *Entry, how Completion, outcome any, size int64) {
+// Complete records how the first request under a key ended. For Answered it caches the outcome, of size bytes, if the
+// limits allow that. The entry is removed if the request was rejected or the key's window has ended. A second call for an
+// entry has no effect.
+func (s *Store) Complete(now time.Duration, e *Entry, completion Completion, outcome any, size int64) {
 	if e.state != running {
 		return
 	}
 	e.joiners = 0
-	if how == Rejected || e.expiresAt <= now {
+	if completion == Rejected || e.expiresAt <= now {
 		s.remove(e)
 		return
 	}
 	e.state = outcomeUnknown
-	if how == Answered {
+	if completion == Answered {
 		e.state = answered
 		s.cache(e, outcome, size)
 	}
 	heap.Push(&s.expiry, e)
 }
 
-// CompleteLate records an answer to a request whose completion was Indeterminate. It reports whether it did: it
-// does not if the entry has expired or is answered already.
+// CompleteLate records an answer to a request whose completion was Indeterminate, and caches the outcome as Complete does.
+// It reports whether it recorded the answer, which it does not if the entry has expired or has an answer already.
 func (s *Store) CompleteLate(now time.Duration, e *Entry, outcome any, size int64) bool {
 	s.expire(now)
 	if s.entries[e.key] != e || e.state != outcomeUnknown {
@@ -157,8 +159,9 @@
 	return true
 }
 
-// Restore adds a key that was known before a restart, as answered without an outcome or as one whose outcome is
-// unknown. It reports false if there is no capacity for it or the key has an entry already.
+// Restore adds the entry of a key that was known before a restart: as answered, without a cached outcome, if wasAnswered
+// is set, and otherwise as one whose outcome is unknown. It reports false if the key has an entry already, or if Entries
+// or Bytes of the limits would be exceeded; the equal shares of tenants do not apply.
 func (s *Store) Restore(key Key, fingerprint Fingerprint, wasAnswered bool, expiresAt time.Duration) bool {
 	size := entryBytes(key)
 	if s.entries[key] != nil || len(s.entries) >= s.limits.Entries || s.bytes+size > s.limits.Bytes {
@@ -178,7 +181,7 @@
 	s.charge(e.key.Tenant, 1, e.size)
 }
 
-// cache keeps an outcome of size bytes for repeats if there is capacity for it.
+// cache keeps an outcome of size bytes for repeated requests if the limits allow that.
 func (s *Store) cache(e *Entry, outcome any, size int64) {
 	if outcome == nil || !s.outcomeFits(e.key, size) {
 		return
@@ -189,7 +192,7 @@
 }
 
 func (s *Store) remove(e *Entry) {
-	e.state = outcomeUnknown // a later Complete has no effect
+	e.state = outcomeUnknown // not running, so that a later Complete has no effect
 	delete(s.entries, e.key)
 	s.charge(e.key.Tenant, -1, -e.size)
 }
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -7,21 +7,22 @@
 	"pgregory.net/rapid"
 )
 
-// model is what a store has to know: plain records of all requests, without limits.
+// model is the reference for a Store: a record for each key, without limits.
 type model map[Key]*modelRecord
 
+// modelRecord is what the model knows of the first request under a key.
 type modelRecord struct {
 	entry       *Entry
 	fingerprint Fingerprint
 	running     bool
-	completion  Completion // unless running
+	completion  Completion // set when the request has ended
 	expiresAt   time.Duration
-	outcome     int // 0: none
+	outcome     int // 0 means that none was given to Complete
 	joiners     int
 }
 
-// history drives a store and the model with drawn calls.
-type history struct {
+// modelTest applies random calls to a store and to the model.
+type modelTest struct {
 	*rapid.T
 	limits Limits
 	store  *Store
@@ -29,9 +30,9 @@
 	now    time.Duration
 }
 
-// TestAgainstModel compares the store with the model on drawn histories: no key runs twice inside its window
-// unless it was rejected; the limits are exact after each step; no running entry is evicted; a tenant with few
-// entries finds capacity while another floods.
+// Compares a store with the model over random sequences of calls. Guards against a key whose request runs twice within its
+// window without having been rejected, against exceeded limits and wrong sizes after any call, and against the eviction
+// of a running entry.
 func TestAgainstModel(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "long key"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,16 +41,16 @@
 			Bytes:   int64(rapid.IntRange(2, 9).Draw(t, "bytes") * EntryOverheadBytes),
 			Joiners: rapid.IntRange(0, 2).Draw(t, "joiners"), Tenants: 2,
 		}
-		h := &history{T: t, limits: limits, store: New(limits), model: model{}}
+		h := &modelTest{T: t, limits: limits, store: New(limits), model: model{}}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			h.now += time.Duration(rapid.IntRange(0, 2).Draw(t, "pass"))
+			h.now += time.Duration(rapid.IntRange(0, 2).Draw(t, "elapsed"))
 			key := Key{rapid.IntRange(0, 1).Draw(t, "tenant"), rapid.SampledFrom(names).Draw(t, "name")}
 			r := h.model[key]
 			if r != nil && !r.running && r.expiresAt <= h.now {
 				delete(h.model, key)
 				r = nil
 			}
-			if rapid.IntRange(0, 2).Draw(t, "what") == 0 && r != nil && r.running {
+			if rapid.IntRange(0, 2).Draw(t, "operation") == 0 && r != nil && r.running {
 				h.complete(key, r)
 			} else {
 				h.begin(key, r)
@@ -59,22 +60,23 @@
 	})
 }
 
-// complete ends the request under a key.
-func (h *history) complete(key Key, r *modelRecord) {
-	how := Completion(rapid.IntRange(0, 2).Draw(h.T, "how"))
+// complete ends the first request under a key with a random completion and outcome.
+func (h *modelTest) complete(key Key, r *modelRecord) {
+	completion := Completion(rapid.IntRange(0, 2).Draw(h.T, "completion"))
 	outcome, size := any(nil), rapid.Int64Range(0, 3*EntryOverheadBytes).Draw(h.T, "size")
 	if rapid.Bool().Draw(h.T, "cached") {
 		outcome, r.outcome = int(h.now)+1, int(h.now)+1
 	}
-	h.store.Complete(h.now, r.entry, how, outcome, size)
-	h.store.Complete(h.now, r.entry, Answered, 999, 1) // has no effect
-	if r.running, r.completion = false, how; how == Rejected || r.expiresAt <= h.now {
+	h.store.Complete(h.now, r.entry, completion, outcome, size)
+	h.store.Complete(h.now, r.entry, Answered, 999, 1) // a second call must have no effect
+	if r.running, r.completion = false, completion; completion == Rejected || r.expiresAt <= h.now {
 		delete(h.model, key)
 	}
 }
 
-// begin has a request come under a key, of which the model has a record or, if r is nil, none.
-func (h *history) begin(key Key, r *modelRecord) {
+// begin submits a random request under a key and compares the verdict with the model's record r, which is nil if the model
+// has none for the key.
+func (h *modelTest) begin(key Key, r *modelRecord) {
 	fingerprint := Fingerprint{byte(rapid.IntRange(0, 1).Draw(h.T, "fingerprint"))}
 	join := rapid.Bool().Draw(h.T, "join")
 	window := time.Duration(rapid.IntRange(1, 6).Draw(h.T, "window"))
@@ -84,35 +86,35 @@
 		h.model[key] = &modelRecord{entry: e, fingerprint: fingerprint, running: true, expiresAt: e.expiresAt}
 	case r == nil && v == StoreFull:
 		if retryAfter < 0 || h.store.Len() == 0 {
-			h.Fatalf("full with %d entries, retry after %d", h.store.Len(), retryAfter)
+			h.Fatalf("got StoreFull with %d entries and retryAfter %d, want some entries and retryAfter >= 0", h.store.Len(), retryAfter)
 		}
 	case r == nil:
-		h.Fatalf("a new key gets %d", v)
+		h.Fatalf("a new key got verdict %d, want First or StoreFull", v)
 	case (r.fingerprint != fingerprint) != (v == Mismatch):
-		h.Fatalf("fingerprint %v for %v gets %d", fingerprint, r.fingerprint, v)
+		h.Fatalf("fingerprint %v for an entry with %v got verdict %d; want Mismatch only if they differ", fingerprint, r.fingerprint, v)
 	case v == Mismatch:
 	case r.running && v != Joined && v != InProgress,
 		!r.running && r.completion == Answered && v != Replayed,
 		!r.running && r.completion == Indeterminate && v != OutcomeUnknown:
-		h.Fatalf("running %v, completion %d gets %d", r.running, r.completion, v)
+		h.Fatalf("a key with running %v and completion %d got the wrong verdict %d", r.running, r.completion, v)
 	case v == Joined:
 		if r.joiners++; !join || r.joiners > h.limits.Joiners {
-			h.Fatalf("joined by %d, allowed %v", r.joiners, join)
+			h.Fatalf("Joined with %d joiners and join %v, want join true and at most Limits.Joiners", r.joiners, join)
 		}
-		if rapid.Bool().Draw(h.T, "leave") {
+		if rapid.Bool().Draw(h.T, "joiner leaves") {
 			h.store.RemoveJoiner(e)
 			r.joiners--
 		}
 	case v == Replayed && e.Outcome != nil && e.Outcome != r.outcome:
-		h.Fatalf("outcome %v, not %d", e.Outcome, r.outcome)
+		h.Fatalf("got cached outcome %v, want %d", e.Outcome, r.outcome)
 	}
 }
 
-// check compares the store's counts with its entries and limits, and its entries with the model.
-func (h *history) check() {
+// check compares the store's sizes with its limits and its entries, and its entries with the model's records.
+func (h *modelTest) check() {
 	s := h.store
 	if s.Len() > h.limits.Entries || s.Bytes() > h.limits.Bytes {
-		h.Fatalf("%d entries and %d bytes, over %+v", s.Len(), s.Bytes(), h.limits)
+		h.Fatalf("store has %d entries and %d bytes, more than its limits %+v", s.Len(), s.Bytes(), h.limits)
 	}
 	bytes, tenants := int64(0), map[int]bool{}
 	for _, e := range s.entries {
@@ -120,21 +122,22 @@
 		tenants[e.key.Tenant] = true
 	}
 	if bytes != s.Bytes() || len(tenants) != len(s.tenants) {
-		h.Fatalf("%d bytes counted, the entries have %d", s.Bytes(), bytes)
+		h.Fatalf("Bytes() = %d, but the entries have %d bytes; or the numbers of tenants differ", s.Bytes(), bytes)
 	}
 	for key, r := range h.model {
 		if (r.running || r.expiresAt > h.now) && s.entries[key] != r.entry {
-			h.Fatalf("%v is not in the store", key)
+			h.Fatalf("key %v is running or within its window, but its entry is not in the store", key)
 		}
 	}
 }
 
-// A repeat that comes in the instant of the first's completion is handled by which of the two is first.
+// Guards against a wrong verdict on a repeated request that arrives at the same time as the completion of the first request.
+// The verdict depends on which of the two calls the store sees first.
 func TestRepeatInTheInstantOfCompletion(t *testing.T) {
 	for _, tc := range []struct {
-		how    Completion
-		before Verdict // of a repeat before the completion
-		after  Verdict
+		completion Completion
+		before     Verdict // on a repeated request that precedes the completion
+		after      Verdict // on a repeated request that follows the completion
 	}{{Rejected, Joined, First}, {Answered, Joined, Replayed}, {Indeterminate, Joined, OutcomeUnknown}} {
 		for _, repeatFirst := range []bool{true, false} {
 			s := New(Limits{Entries: 4, Bytes: 1 << 20, Joiners: 4})
@@ -144,29 +147,30 @@
 			if repeatFirst {
 				want = tc.before
 			} else {
-				s.Complete(5, e, tc.how, "outcome", 7)
+				s.Complete(5, e, tc.completion, "outcome", 7)
 			}
 			if v, _, _ := s.Begin(5, k, Fingerprint{}, 10, true); v != want {
-				t.Errorf("completion %d, repeat first %v: %d, not %d", tc.how, repeatFirst, v, want)
+				t.Errorf("completion %d, repeat first %v: got verdict %d, want %d", tc.completion, repeatFirst, v, want)
 			}
 			if repeatFirst {
-				s.Complete(5, e, tc.how, "outcome", 7)
+				s.Complete(5, e, tc.completion, "outcome", 7)
 			}
 			if v, _, _ := s.Begin(5, k, Fingerprint{}, 10, true); v != tc.after && repeatFirst {
-				t.Errorf("completion %d: %d afterwards", tc.how, v)
+				t.Errorf("completion %d: got verdict %d after the completion, want that of the table", tc.completion, v)
 			}
 		}
 	}
 }
 
-// A flood by one tenant leaves another its part, never evicts a running entry, and ends with its windows.
+// Guards against one tenant's flood of new keys taking the share of another tenant or evicting a running entry, and against
+// the flood's entries outliving their windows.
 func TestFloodLeavesOtherTenantsTheirPart(t *testing.T) {
 	s := New(Limits{Entries: 1000, Bytes: 1 << 30, Tenants: 10})
 	begin := func(now time.Duration, tenant int, name string) (Verdict, *Entry) {
 		v, e, _ := s.Begin(now, Key{tenant, name}, Fingerprint{}, 100, false)
 		return v, e
 	}
-	_, mine := begin(0, 1, "mine")
+	_, runningEntry := begin(0, 1, "mine")
 	flooded := 0
 	for i := range 10_000 {
 		if v, e := begin(0, 2, string(rune('a'+i))); v == First {
@@ -175,24 +179,24 @@
 		}
 	}
 	if flooded == 0 || flooded > 500 {
-		t.Errorf("the flood has %d of 1000 entries", flooded)
+		t.Errorf("the flooding tenant got %d of 1000 entries, want 1 to 500", flooded)
 	}
 	for i := range 300 {
 		if v, _ := begin(0, 1, string(rune('a'+i))); v != First {
-			t.Fatalf("the other tenant's entry %d: %d", i, v)
+			t.Fatalf("new key %d of the other tenant: got verdict %d, want First", i, v)
 		}
 	}
-	if v, _ := begin(99, 1, "mine"); v != InProgress || mine.state != running {
-		t.Errorf("the running entry: %d", v)
+	if v, _ := begin(99, 1, "mine"); v != InProgress || runningEntry.state != running {
+		t.Errorf("running entry within its window: got verdict %d, want InProgress", v)
 	}
-	// A clock that stands still, or jumps by hours.
+	// The clock stands still, and then jumps forward by hours.
 	if v, _ := begin(99, 2, "a"); v != OutcomeUnknown {
-		t.Errorf("inside its window: %d", v)
+		t.Errorf("completed key within its window: got verdict %d, want OutcomeUnknown", v)
 	}
 	if v, _ := begin(5*time.Hour, 2, "a"); v != First {
-		t.Errorf("after its window: %d", v)
+		t.Errorf("completed key after its window: got verdict %d, want First", v)
 	}
 	if v, _ := begin(5*time.Hour, 1, "mine"); v != InProgress {
-		t.Errorf("the running entry, after its window: %d", v)
+		t.Errorf("running entry after its window: got verdict %d, want InProgress", v)
 	}
 }
--- a/internal/idempotency/transitions_test.go
+++ b/internal/idempotency/transitions_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// transition is a line of the table in docs/repeats.md.
+// transition is a row of the state table in docs/repeats.md.
 type transition struct {
 	state, event string
-	verdict      string // of the request that is the event; "": the event is no request
-	next         string // state
+	verdict      string // on the request; "" if the event is not a request
+	next         string // the state after the event
 }
 
-// documentedTransitions reads the table.
-func documentedTransitions(t *testing.T) (lines []transition) {
+// documentedTransitions returns the rows of the state table in docs/repeats.md.
+func documentedTransitions(t *testing.T) (rows []transition) {
 	t.Helper()
 	text, err := os.ReadFile("../../docs/repeats.md")
 	if err != nil {
@@ -32,32 +32,33 @@
 			cells[i] = strings.TrimSpace(cells[i])
 		}
 		if inTable && cells[0] != "---" {
-			lines = append(lines, transition{cells[0], cells[1], cells[2], cells[3]})
+			rows = append(rows, transition{cells[0], cells[1], cells[2], cells[3]})
 		}
 		inTable = inTable || cells[0] == "state"
 	}
-	return lines
+	return rows
 }
 
 const testWindow = time.Minute
 
-// subject is a store with one key in a state.
-type subject struct {
+// singleKeyStore is a store in which at most testKey has an entry.
+type singleKeyStore struct {
 	*Store
-	entry       *Entry // nil in state none
+	entry       *Entry // nil in the state none
 	fingerprint Fingerprint
 	now         time.Duration
 }
 
-var subjectKey = Key{Name: "k"}
+var testKey = Key{Name: "k"}
 
-func newSubject(t *testing.T, state string) *subject {
+// newSingleKeyStore returns a store in which testKey is in the given state.
+func newSingleKeyStore(t *testing.T, state string) *singleKeyStore {
 	t.Helper()
-	s := &subject{Store: New(Limits{Entries: 4, Bytes: 1 << 20, Joiners: 4, Tenants: 1}), fingerprint: Fingerprint{1}}
+	s := &singleKeyStore{Store: New(Limits{Entries: 4, Bytes: 1 << 20, Joiners: 4, Tenants: 1}), fingerprint: Fingerprint{1}}
 	if state == "none" {
 		return s
 	}
-	_, s.entry, _ = s.Begin(0, subjectKey, s.fingerprint, testWindow, true)
+	_, s.entry, _ = s.Begin(0, testKey, s.fingerprint, testWindow, true)
 	switch state {
 	case "running":
 	case "cached":
@@ -72,14 +73,14 @@
 	return s
 }
 
-// request gives the verdict on a request under the key.
-func (s *subject) request(canWait bool) Verdict {
-	v, _, _ := s.Begin(s.now, subjectKey, s.fingerprint, testWindow, canWait)
+// request submits a request under testKey and returns the verdict.
+func (s *singleKeyStore) request(canWait bool) Verdict {
+	v, _, _ := s.Begin(s.now, testKey, s.fingerprint, testWindow, canWait)
 	return v
 }
 
-// apply has an event happen, and gives the verdict if it is a request.
-func (s *subject) apply(t *testing.T, event string) (v Verdict, isRequest bool) {
+// apply applies an event to the store. If the event is a request, it returns the verdict.
+func (s *singleKeyStore) apply(t *testing.T, event string) (v Verdict, isRequest bool) {
 	t.Helper()
 	switch event {
 	case "request":
@@ -90,7 +91,7 @@
 		first := s.fingerprint
 		s.fingerprint = Fingerprint{2}
 		v = s.request(true)
-		if s.entry != nil { // else it is the first
+		if s.entry != nil { // without an entry, the request is the first under the key
 			s.fingerprint = first
 		}
 		return v, true
@@ -114,10 +115,10 @@
 	return 0, false
 }
 
-// state is the key's, by what a request gets.
-func (s *subject) state(t *testing.T) string {
+// state returns the state of testKey, derived from the verdict on another request under it.
+func (s *singleKeyStore) state(t *testing.T) string {
 	t.Helper()
-	switch v, e, _ := s.Begin(s.now, subjectKey, s.fingerprint, testWindow, true); {
+	switch v, e, _ := s.Begin(s.now, testKey, s.fingerprint, testWindow, true); {
 	case v == First:
 		return "none"
 	case v == Joined:
@@ -129,28 +130,29 @@
 	case v == OutcomeUnknown:
 		return "unknown"
 	default:
-		t.Fatalf("verdict %d", v)
+		t.Fatalf("verdict %d belongs to no state", v)
 		return ""
 	}
 }
 
-// Each line of the table in docs/repeats.md, on a store of its own; and no line is missing.
+// Guards against a state table in docs/repeats.md that differs from the store: each row is checked on a new store, and each
+// combination of state and event must have a row.
 func TestTransitions(t *testing.T) {
 	verdicts := map[string]Verdict{
 		"First": First, "Joined": Joined, "InProgress": InProgress,
 		"Replayed": Replayed, "OutcomeUnknown": OutcomeUnknown, "Mismatch": Mismatch,
 	}
 	documented := map[string]bool{}
-	for _, line := range documentedTransitions(t) {
-		documented[line.state+"/"+line.event] = true
-		s := newSubject(t, line.state)
-		got, isRequest := s.apply(t, line.event)
-		want, known := verdicts[line.verdict]
-		if known != (line.verdict != "") || known != isRequest || isRequest && got != want {
-			t.Errorf("%s, %s: a request gets %d, want %s", line.state, line.event, got, line.verdict)
+	for _, row := range documentedTransitions(t) {
+		documented[row.state+"/"+row.event] = true
+		s := newSingleKeyStore(t, row.state)
+		got, isRequest := s.apply(t, row.event)
+		want, known := verdicts[row.verdict]
+		if known != (row.verdict != "") || known != isRequest || isRequest && got != want {
+			t.Errorf("state %s, event %s: got verdict %d, want %s", row.state, row.event, got, row.verdict)
 		}
-		if next := s.state(t); next != line.next {
-			t.Errorf("%s, %s: the next state is %s, want %s", line.state, line.event, next, line.next)
+		if next := s.state(t); next != row.next {
+			t.Errorf("state %s, event %s: got next state %s, want %s", row.state, row.event, next, row.next)
 		}
 	}
 	completions := []string{
@@ -166,7 +168,7 @@
 		requests := []string{"request", "request that can't wait", "request with another fingerprint"}
 		for _, event := range append(events, requests...) {
 			if !documented[state+"/"+event] {
-				t.Errorf("the table has no line for %s, %s", state, event)
+				t.Errorf("docs/repeats.md has no row for state %s, event %s", state, event)
 			}
 		}
 	}
