--- a/internal/idempotency/keystore/compact.go
+++ b/internal/idempotency/keystore/compact.go
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// load reads the file and compacts it.
+// load reads the file, if it exists, and compacts it.
 func (l *Log) load(now time.Time) error {
-	text, err := os.ReadFile(l.path)
+	data, err := os.ReadFile(l.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("keystore: %w", err)
+		return fmt.Errorf("keystore: reading the log: %w", err)
 	}
-	if len(text) >= len(magic) && string(text[:len(magic)]) != magic {
+	if len(data) >= len(magic) && string(data[:len(magic)]) != magic {
 		return fmt.Errorf("%w: %s", ErrNotLog, l.path)
 	}
-	end := min(len(magic), len(text))
-	for end < len(text) {
-		r, ok := decode(text[end:])
+	end := min(len(magic), len(data))
+	for end < len(data) {
+		r, ok := decode(data[end:])
 		if !ok {
 			break
 		}
 		end += int(r.size())
 		l.apply(r)
 	}
-	if hasRecord(text, end+1) {
-		return fmt.Errorf("%w: %s: byte %d", ErrDamaged, l.path, end)
+	if hasRecord(data, end+1) {
+		return fmt.Errorf("%w: %s: unreadable record at byte %d", ErrDamaged, l.path, end)
 	}
 	return l.compact(now)
 }
 
-// hasRecord reports whether a complete record begins anywhere in text from an offset on.
-func hasRecord(text []byte, from int) bool {
-	for ; from < len(text); from++ {
-		if _, ok := decode(text[from:]); ok {
+// hasRecord reports whether a complete record begins anywhere in data at or after the offset from.
+func hasRecord(data []byte, from int) bool {
+	for ; from < len(data); from++ {
+		if _, ok := decode(data[from:]); ok {
 			return true
 		}
 	}
 	return false
 }
 
-// compact replaces the file by one with the live records that have not expired. The new file is complete and
-// durable before it takes the place of the old one.
+// compact replaces the file by one that holds only the live records that have not expired. The new file is complete and
+// durable before it replaces the old one.
 func (l *Log) compact(now time.Time) error {
 	l.removeExpired(now)
-	next := l.path + ".new"
-	f, err := os.OpenFile(next, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	newPath := l.path + ".new"
+	f, err := os.OpenFile(newPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fmt.Errorf("keystore: %w", err)
+		return fmt.Errorf("keystore: creating the compacted log: %w", err)
 	}
 	file := l.wrap(f)
 	size, err := l.writeLive(file)
@@ -58,14 +58,14 @@
 		err = file.Sync()
 	}
 	if err == nil {
-		err = os.Rename(next, l.path)
+		err = os.Rename(newPath, l.path)
 	}
 	if err == nil {
 		err = syncDir(filepath.Dir(l.path))
 	}
 	if err != nil {
 		file.Close()
-		return fmt.Errorf("keystore: %w", err)
+		return fmt.Errorf("keystore: writing the compacted log: %w", err)
 	}
 	if l.file != nil {
 		l.file.Close()
@@ -74,6 +74,7 @@
 	return nil
 }
 
+// removeExpired removes the live records of keys whose windows have ended.
 func (l *Log) removeExpired(now time.Time) {
 	for key, r := range l.live {
 		if !now.Before(r.expiresAt) {
@@ -83,11 +84,11 @@
 	}
 }
 
-// writeLive writes a file's head and the live records, a completed one after its start, and gives the size in
-// bytes.
+// writeLive writes the magic number and the live records to a file, and returns the file's size in bytes. For a key whose
+// request has completed it writes the record of the start and then that of the completion.
 func (l *Log) writeLive(file File) (int64, error) {
 	w := bufio.NewWriter(file)
-	w.WriteString(magic) // Flush gives the error of any write
+	w.WriteString(magic) // Flush returns the error of any earlier write
 	size := int64(len(magic))
 	for _, r := range l.live {
 		start := r
@@ -102,7 +103,7 @@
 	return size, w.Flush()
 }
 
-// syncDir makes a rename in a directory durable.
+// syncDir calls fsync on a directory, which makes a rename in it durable.
 func syncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
--- a/internal/idempotency/keystore/golden_test.go
+++ b/internal/idempotency/keystore/golden_test.go
@@ -13,11 +13,12 @@
 	"yokestall/internal/idempotency"
 )
 
-// The golden file is a log as it was written before identifiers were renamed. It stays on disk
-// between versions of the program, so its form must not change.
+// goldenFile is a log that an earlier version of the program wrote. Logs outlive the version that wrote them, so their format
+// must not change.
 const goldenFile = "testdata/golden/keys.log"
 
-// goldenKnown gives what Open reads from the golden file, by name; the key that was rejected is not among them.
+// goldenKnown returns the keys that Open reads from the golden file, sorted by name. The key that was rejected is not one of
+// them.
 func goldenKnown() []KnownKey {
 	return []KnownKey{
 		{
@@ -38,7 +39,7 @@
 	}
 }
 
-// writeGolden writes the golden file's content with a log of its own.
+// writeGolden records the events of the golden file in a new log and returns its content.
 func writeGolden(t *testing.T) []byte {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "keys")
@@ -60,26 +61,27 @@
 	if err := errors.Join(err, l.Close()); err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return data
 }
 
-// golden reads the golden file.
-func golden(t *testing.T) []byte {
+// readGolden returns the content of the golden file.
+func readGolden(t *testing.T) []byte {
 	t.Helper()
-	text, err := os.ReadFile(goldenFile)
+	data, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return data
 }
 
+// Guards against a change to the format by which logs of earlier versions lose keys when they are opened.
 func TestGoldenLogOpens(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "keys") // Open writes the file anew
-	if err := os.WriteFile(path, golden(t), 0o600); err != nil {
+	path := filepath.Join(t.TempDir(), "keys") // a copy, because Open replaces the file
+	if err := os.WriteFile(path, readGolden(t), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	l, got, err := Open(path, time.Unix(4_000_000_000, 0), nil)
@@ -89,29 +91,30 @@
 	defer l.Close()
 	slices.SortFunc(got, func(a, b KnownKey) int { return cmp.Compare(a.Key.Name, b.Key.Name) })
 	if want := goldenKnown(); !slices.Equal(got, want) {
-		t.Errorf("got  %+v\nwant %+v", got, want)
+		t.Errorf("known keys differ:\ngot  %+v\nwant %+v", got, want)
 	}
 }
 
+// Guards against a change to the format in which records are written.
 func TestGoldenLogWrites(t *testing.T) {
-	if got, want := writeGolden(t), golden(t); !bytes.Equal(got, want) {
-		t.Errorf("got\n%x\nwant\n%x", got, want)
+	if got, want := writeGolden(t), readGolden(t); !bytes.Equal(got, want) {
+		t.Errorf("content of the log differs:\ngot\n%x\nwant\n%x", got, want)
 	}
 }
 
-// The byte of each kind of record, in the order of the golden file.
+// Guards against other values of the kinds of records than the golden file has.
 func TestGoldenLogKinds(t *testing.T) {
 	var kinds []byte
-	text := golden(t)
-	for at := len("ykkeys01"); at < len(text); {
-		r, ok := decode(text[at:])
+	data := readGolden(t)
+	for at := len("ykkeys01"); at < len(data); {
+		r, ok := decode(data[at:])
 		if !ok {
-			t.Fatalf("no record at byte %d", at)
+			t.Fatalf("found no valid record at byte %d", at)
 		}
 		kinds = append(kinds, byte(r.kind))
 		at += int(r.size())
 	}
 	if want := []byte{1, 1, 1, 1, 2, 3, 4}; !bytes.Equal(kinds, want) {
-		t.Errorf("kinds %v, want %v", kinds, want)
+		t.Errorf("got kinds %v, want %v", kinds, want)
 	}
 }
--- a/internal/idempotency/keystore/writer.go
+++ b/internal/idempotency/keystore/writer.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// compactMinBytes is the size of the file from which it may be compacted.
+	// compactMinBytes is the size that a file must exceed to be compacted, in bytes.
 	compactMinBytes = 1 << 20
-	// compactRatio is the size of the file, over that of the live records in it, from which it is compacted.
+	// compactRatio is the ratio of the file's size to the size of the live records that a file must exceed to be compacted.
 	compactRatio = 4
 )
 
-// write is the writer's goroutine. It ends when the queue is closed and empty.
-func (l *Log) write() {
+// runWriter writes the queued records in batches. It is the writer's goroutine, and returns when the queue is closed and
+// empty.
+func (l *Log) runWriter() {
 	defer close(l.done)
 	defer l.lock.Close()
 	defer func() { l.file.Close() }()
@@ -36,9 +37,9 @@
 	}
 }
 
-// collect adds to a batch the records that are queued.
+// collect adds the queued records to a batch, up to maxQueuedRecords in total, without waiting for further ones.
 func (l *Log) collect(batch []record) []record {
-	for len(batch) < maxQueued {
+	for len(batch) < maxQueuedRecords {
 		select {
 		case r, open := <-l.queue:
 			if !open {
@@ -52,7 +53,7 @@
 	return batch
 }
 
-// commit makes a batch durable.
+// commit makes a batch durable, and then compacts the file if it has become too large.
 func (l *Log) commit(batch []record, encoded []byte) error {
 	n, err := l.file.Write(encoded)
 	l.size += int64(n)
@@ -60,7 +61,7 @@
 		err = l.file.Sync()
 	}
 	if err != nil {
-		return fmt.Errorf("keystore: %w", err)
+		return fmt.Errorf("keystore: writing to the log: %w", err)
 	}
 	for _, r := range batch {
 		l.apply(r)
@@ -71,11 +72,11 @@
 	return nil
 }
 
-// apply updates the live records by one that is durable.
+// apply updates the live records for a record that is durable.
 func (l *Log) apply(r record) {
 	old, known := l.live[r.key]
 	if !known && r.kind != started {
-		return // the key has expired
+		return // the key has expired, or its start was not recorded
 	}
 	if known {
 		l.liveBytes -= old.size()
