--- a/internal/idempotency/replay/answer.go
+++ b/internal/idempotency/replay/answer.go
@@ -10,14 +10,14 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// shareable reports whether an answer can be given more than once: it is complete, and neither a stream nor a
-// tunnel.
+// shareable reports whether an answer can be returned for more than one request: it was served, its body is complete, and
+// it is neither a stream nor a tunnel.
 func shareable(a engine.Answer) bool {
 	h, ok := a.Value.(*h1client.Answer)
 	return ok && a.Verdict == engine.Served && h.Stream == nil && h.Tunnel == nil
 }
 
-// clone copies a shareable answer with a header of its own.
+// clone returns a copy of a shareable answer that has its own Header.
 func clone(a engine.Answer) engine.Answer {
 	h := *a.Value.(*h1client.Answer)
 	if h.Header = h.Header.Clone(); h.Header == nil {
@@ -27,14 +27,15 @@
 	return a
 }
 
-// replayed copies a shareable answer and marks it as made for an earlier request.
-func replayed(a engine.Answer) engine.Answer {
+// cloneAsReplay returns a copy of a shareable answer with ReplayedHeader set.
+func cloneAsReplay(a engine.Answer) engine.Answer {
 	a = clone(a)
 	a.Value.(*h1client.Answer).Header.Set(ReplayedHeader, "true")
 	return a
 }
 
-// AnswerBytes is what a cached answer takes, in bytes.
+// AnswerBytes returns the size of an answer as it counts against the limits of the cache: the bytes of its body, header and
+// trailer.
 func AnswerBytes(a *h1client.Answer) int64 {
 	size := int64(len(a.Body))
 	for _, fields := range []http.Header{a.Header, a.Trailer} {
@@ -47,12 +48,12 @@
 	return size
 }
 
-// Fingerprint tells requests under one key apart. It is a part of a SHA-256 digest, since whoever chooses keys
-// and bodies could choose collisions of a weaker hash.
+// Fingerprint returns a digest by which different requests under one key are distinguished. It is a prefix of a SHA-256
+// digest, because a client that chooses keys and bodies could construct collisions of a weaker hash.
 func Fingerprint(class int, method, target, host string, body []byte) (f idempotency.Fingerprint) {
 	h := sha256.New()
-	for _, part := range []string{method, target, host} { // with lengths, so that no two lists are alike
-		fmt.Fprintf(h, "%d:%s", len(part), part)
+	for _, field := range []string{method, target, host} { // the lengths make the encoding unambiguous
+		fmt.Fprintf(h, "%d:%s", len(field), field)
 	}
 	fmt.Fprintf(h, "%d:", class)
 	h.Write(body)
--- a/internal/idempotency/replay/crash_test.go
+++ b/internal/idempotency/replay/crash_test.go
@@ -13,27 +13,28 @@
 	"yokestall/internal/ingress"
 )
 
-// A process is killed at a drawn moment and comes back with its log: a key that had started is not
-// taken for new, one that was rejected is, and one whose start the disk did not take never ran.
+// Guards against a request that runs again after the process was killed and restarted with its log. The key of a request
+// that was answered, or that had started, must be known after the restart. The key of a request that was rejected must be
+// new. A request whose start could not be recorded must not have run.
 func TestKnownAfterACrash(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	clock := engine.NewClock()
-	start := func(s *stub) (ingress.Handler, *keystore.Log) {
+	start := func(s *stubCluster) (ingress.Handler, *keystore.Log) {
 		log, known, err := keystore.Open(path, time.Now(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := New(limits(), clock)
-		if err := g.AttachLog(log, known); err != nil {
+		d := New(limits(), clock)
+		if err := d.AttachLog(log, known); err != nil {
 			t.Fatal(err)
 		}
-		return g.Cluster(s, time.Hour, 0), log
+		return d.Cluster(s, time.Hour, 0), log
 	}
 	running := make(chan struct{})
-	s := &stub{run: func(ctx context.Context, n int64) (engine.Answer, error) {
+	s := &stubCluster{run: func(ctx context.Context, n int64) (engine.Answer, error) {
 		switch n {
 		case 1:
-			return served("a"), nil
+			return servedAnswer("a"), nil
 		case 2:
 			return engine.Answer{Verdict: engine.Rejected}, nil
 		}
@@ -42,36 +43,36 @@
 		return engine.Answer{}, engine.ErrClientDisconnected
 	}}
 	c, log := start(s)
-	c.Do(t.Context(), keyed(clock, "answered", "x"))
-	c.Do(t.Context(), keyed(clock, "rejected", "x"))
-	ctx, kill := context.WithCancel(t.Context())
-	var all sync.WaitGroup
-	all.Go(func() { c.Do(ctx, keyed(clock, "open", "x")) })
+	c.Do(t.Context(), keyedRequest(clock, "answered", "x"))
+	c.Do(t.Context(), keyedRequest(clock, "rejected", "x"))
+	ctx, killProcess := context.WithCancel(t.Context())
+	var wg sync.WaitGroup
+	wg.Go(func() { c.Do(ctx, keyedRequest(clock, "open", "x")) })
 	<-running
-	log.Close() // what is recorded from here on is lost, as by a kill
-	kill()
-	all.Wait()
-	a, err := c.Do(t.Context(), keyed(clock, "late", "x"))
+	log.Close() // later records are lost, as after the process was killed
+	killProcess()
+	wg.Wait()
+	a, err := c.Do(t.Context(), keyedRequest(clock, "late", "x"))
 	if err != nil || a.Verdict != engine.Rejected || s.runs.Load() != 3 {
-		t.Errorf("a start that is not durable: %+v, %v, %d runs", a, err, s.runs.Load())
+		t.Errorf("request whose start is not durable: got answer %+v, error %v, %d runs; want Rejected and 3 runs", a, err, s.runs.Load())
 	}
-	restarted := &stub{run: func(context.Context, int64) (engine.Answer, error) { return served("b"), nil }}
+	restarted := &stubCluster{run: func(context.Context, int64) (engine.Answer, error) { return servedAnswer("b"), nil }}
 	c, log = start(restarted)
 	defer log.Close()
 	for key, want := range map[string]int64{"answered": 0, "open": 0, "rejected": 1, "late": 1} {
 		before := restarted.runs.Load()
-		if c.Do(t.Context(), keyed(clock, key, "x")); restarted.runs.Load()-before != want {
-			t.Errorf("%s: %d runs after the crash, want %d", key, restarted.runs.Load()-before, want)
+		if c.Do(t.Context(), keyedRequest(clock, key, "x")); restarted.runs.Load()-before != want {
+			t.Errorf("key %s: got %d runs after the crash, want %d", key, restarted.runs.Load()-before, want)
 		}
 	}
 	log.Close()
-	g := New(idempotency.Limits{Entries: 2, Bytes: 1 << 20}, clock)
+	d := New(idempotency.Limits{Entries: 2, Bytes: 1 << 20}, clock)
 	log, known, err := keystore.Open(path, time.Now(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer log.Close()
-	if g.AttachLog(log, known) == nil {
-		t.Errorf("%d known keys are taken into a store of two", len(known))
+	if d.AttachLog(log, known) == nil {
+		t.Errorf("AttachLog accepted %d known keys for a store of 2 entries", len(known))
 	}
 }
--- a/internal/idempotency/replay/deduplicator.go
+++ b/internal/idempotency/replay/deduplicator.go
@@ -17,79 +17,81 @@
 const (
 	// keyHeader is the request header field that carries the idempotency key.
 	keyHeader = "Idempotency-Key"
-	// ReplayedHeader is the field of an answer that was made for an earlier request under the key.
+	// ReplayedHeader is the header field that marks an answer as a replay of the first request's answer.
 	ReplayedHeader = "Idempotent-Replayed"
 )
 
-// Deduplicator holds the idempotency keys of all clusters. Create it with New; it is safe for concurrent use.
+// Deduplicator deduplicates the requests of all clusters by their idempotency keys. Create it with New. A Deduplicator is
+// safe for concurrent use.
 type Deduplicator struct {
 	clock engine.Clock
 
-	// Set before the first request:
-	acceptLate bool // answers after the client's deadline complete their key
-	log        Log  // nil: keys are forgotten when the process ends
+	// The fields acceptLate and log are set before the first request.
+	acceptLate bool // an answer after the final answer of its request completes the key
+	log        Log  // nil means that keys are lost when the process ends
 
-	mu      sync.Mutex // guards the following, and clientLeft of executions
+	mu      sync.Mutex // guards store, running, and execution.clientDisconnected
 	store   *idempotency.Store
-	running map[*idempotency.Entry]*execution // by running entry of the store
+	running map[*idempotency.Entry]*execution // by the store's entry, for keys whose first request runs
 }
 
-// Log makes keys outlive the process.
+// Log records keys so that they are known after a restart of the process.
 type Log interface {
-	// RecordStart returns nil once it is durable that the request under the key has started.
+	// RecordStart records that the request under the key has started. It returns nil once the record is durable.
 	RecordStart(key idempotency.Key, fingerprint idempotency.Fingerprint, expiresAt time.Time) error
-	// RecordCompletion records how the request under a key that has started ended. It need not be durable.
+	// RecordCompletion records how the request under the key ended. The record need not be durable when the call returns.
 	RecordCompletion(key idempotency.Key, how idempotency.Completion)
 }
 
 var _ Log = (*keystore.Log)(nil)
 
-// New makes a deduplicator without keys.
+// New returns a Deduplicator without keys.
 func New(l idempotency.Limits, clock engine.Clock) *Deduplicator {
 	return &Deduplicator{clock: clock, store: idempotency.New(l), running: map[*idempotency.Entry]*execution{}}
 }
 
-// AcceptLateOutcomes has attempts that are in flight at their client's deadline go on for the rest of the window
-// of the key, so that a repeat gets their outcome. It is called before the first request.
+// AcceptLateOutcomes lets attempts that are in flight when their request ends, such as at the deadline, go on for up to the
+// length of the key's window, so that a repeated request gets their outcome. It must be called before the first request.
 func (d *Deduplicator) AcceptLateOutcomes() { d.acceptLate = true }
 
-// AttachLog has starts and completions recorded in a log, and restores the keys that are in it. It is called
-// before the first request. It fails if the store has no capacity for all keys: a forgotten one could run again.
+// AttachLog restores the keys of a log and lets the Deduplicator record starts and completions in it. It must be called
+// before the first request. It returns an error if the store has no capacity for all keys, because the request of a key
+// that is not restored could run again.
 func (d *Deduplicator) AttachLog(log Log, known []keystore.KnownKey) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.log = log
 	for _, k := range known {
 		if !d.store.Restore(k.Key, k.Fingerprint, k.Answered, d.clock.At(k.ExpiresAt)) {
-			return fmt.Errorf("repeats: the log knows %d keys, more than there is room for", len(known))
+			return fmt.Errorf("replay: log of idempotency keys has %d keys, more than the limits of the store allow", len(known))
 		}
 	}
 	return nil
 }
 
-// Cluster wraps a cluster so that its requests with an idempotency key are deduplicated. The window is how long a
-// key is known, from the start of its first request; minRetryAfter is the least Retry-After of a request for
-// which there is no capacity.
+// Cluster returns a handler that deduplicates requests with an idempotency key and forwards the others to inner. window is
+// the length of a key's deduplication window, which begins at the start of the first request. minRetryAfter is the minimum
+// Retry-After of a request that is rejected because the store is full or because its start can't be recorded.
 func (d *Deduplicator) Cluster(inner ingress.Handler, window, minRetryAfter time.Duration) ingress.Handler {
 	return &cluster{Deduplicator: d, inner: inner, window: window, minRetryAfter: minRetryAfter}
 }
 
-// cluster is one cluster behind a Deduplicator.
+// cluster is a cluster whose requests are deduplicated.
 type cluster struct {
 	*Deduplicator
 	inner                 ingress.Handler
 	window, minRetryAfter time.Duration
 }
 
-// Do implements ingress.Handler. Besides the errors of the wrapped cluster it gives an *ingress.Rejection: 409
-// where the first request may have run and its outcome is not available, 422 where the key belongs to another
-// request.
+// Do implements ingress.Handler. In addition to the errors of the wrapped cluster it returns an *ingress.Rejection with
+// status 409 if the first request is running and this one can't wait for it, or if the first request may have run and its
+// outcome is not available. The status is 422 if the first request under the key has another fingerprint.
 func (c *cluster) Do(ctx context.Context, r *engine.Request) (engine.Answer, error) {
-	o, ok := r.Payload.(*h1client.Request)
-	if !ok || o.Header.Get(keyHeader) == "" {
+	payload, ok := r.Payload.(*h1client.Request)
+	if !ok || payload.Header.Get(keyHeader) == "" {
 		return c.inner.Do(ctx, r)
 	}
-	d := c.begin(r, o)
+	d := c.decide(r, payload)
 	switch d.verdict {
 	case idempotency.First:
 		return c.runFirst(ctx, d.execution, r)
@@ -97,7 +99,7 @@
 		return c.join(ctx, d.execution, r.Deadline)
 	case idempotency.Replayed:
 		if a, ok := d.cached.(engine.Answer); ok {
-			return replayed(a), nil
+			return cloneAsReplay(a), nil
 		}
 		return engine.Answer{}, conflict("the request under this key was answered")
 	case idempotency.InProgress:
@@ -112,26 +114,27 @@
 	return engine.Answer{Verdict: engine.Rejected, RetryAfter: max(d.retryAfter, c.minRetryAfter)}, nil
 }
 
+// conflict returns a rejection with status 409.
 func conflict(text string) error {
 	return &ingress.Rejection{Status: http.StatusConflict, Message: text}
 }
 
-// decision is how a request under a key is handled.
+// decision is the decision on how to handle a request under a key.
 type decision struct {
 	verdict    idempotency.Verdict
-	execution  *execution    // of the first request; for First and Joined
-	cached     any           // outcome, for Replayed; nil: not cached
-	retryAfter time.Duration // for StoreFull; 0: not known
+	execution  *execution    // the first request, for First and Joined
+	cached     any           // the cached outcome, for Replayed; nil if none is cached
+	retryAfter time.Duration // for StoreFull: time until there may be capacity; 0 if unknown
 }
 
-// begin decides by the store how a request is handled.
-func (c *cluster) begin(r *engine.Request, o *h1client.Request) decision {
-	key := idempotency.Key{Tenant: r.Tenant, Name: o.Header.Get(keyHeader)}
-	// A request whose body is still being read can't wait, and its fingerprint lacks the body.
-	canWait := o.Upload == nil
+// decide submits a request to the store and returns the decision. For First it creates the execution.
+func (c *cluster) decide(r *engine.Request, payload *h1client.Request) decision {
+	key := idempotency.Key{Tenant: r.Tenant, Name: payload.Header.Get(keyHeader)}
+	// A request whose body is still being read can't wait for another one, and its fingerprint does not cover the body.
+	canWait := payload.Upload == nil
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	fingerprint := Fingerprint(r.Class, o.Method, o.Target, o.Host, o.Body)
+	fingerprint := Fingerprint(r.Class, payload.Method, payload.Target, payload.Host, payload.Body)
 	verdict, entry, retryAfter := c.store.Begin(c.clock.Now(), key, fingerprint, c.window, canWait)
 	d := decision{verdict: verdict, retryAfter: retryAfter}
 	switch verdict {
--- a/internal/idempotency/replay/deduplicator_test.go
+++ b/internal/idempotency/replay/deduplicator_test.go
@@ -13,24 +13,24 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// Times of TestRepeat.
+// The durations of TestRepeat.
 const (
-	firstTakes   = 100 * time.Millisecond
-	whileRunning = 50 * time.Millisecond
+	firstDuration = 100 * time.Millisecond // from the start to the end of a request in the cluster
+	duringFirst   = 50 * time.Millisecond  // from the start of the first request to that of the repeated one
 )
 
-// repeatCase is what a first request comes to, and what its repeat gets.
+// repeatCase is the outcome of a first request and the expected outcome of a repeated request under the same key.
 type repeatCase struct {
 	name  string
 	first engine.Answer
-	err   error         // of the first
-	body  string        // of the repeat; the first one's is "x"
-	after time.Duration // the start of the repeat, from the start of the first
-	// What the repeat gets.
-	status   int // 0: no rejection
+	err   error         // error of the first request
+	body  string        // body of the repeated request; the first request has the body "x"
+	after time.Duration // time from the start of the first request to that of the repeated one
+	// The expected outcome of the repeated request.
+	status   int // status of the *ingress.Rejection; 0 means none
 	verdict  engine.Verdict
 	replayed bool
-	runs     int // of both requests
+	runs     int // expected number of requests that reach the cluster
 }
 
 // repeatCases returns the cases of TestRepeat.
@@ -40,27 +40,27 @@
 	mayHaveRun := engine.Answer{Verdict: engine.Rejected, MayHaveRun: true}
 	return []repeatCase{
 		{
-			name: "while it runs", first: served("a"), body: "x", after: whileRunning,
+			name: "while it runs", first: servedAnswer("a"), body: "x", after: duringFirst,
 			verdict: engine.Served, replayed: true, runs: 1,
 		},
 		{
-			name: "in the instant of its end", first: served("a"), body: "x", after: firstTakes,
+			name: "in the instant of its end", first: servedAnswer("a"), body: "x", after: firstDuration,
 			verdict: engine.Served, replayed: true, runs: 1,
 		},
 		{
-			name: "after it", first: served("a"), body: "x", after: time.Second,
+			name: "after it", first: servedAnswer("a"), body: "x", after: time.Second,
 			verdict: engine.Served, replayed: true, runs: 1,
 		},
 		{
-			name: "after the window", first: served("a"), body: "x", after: window,
+			name: "after the window", first: servedAnswer("a"), body: "x", after: testWindow,
 			verdict: engine.Served, runs: 2,
 		},
 		{
-			name: "another body", first: served("a"), body: "y", after: whileRunning,
+			name: "another body", first: servedAnswer("a"), body: "y", after: duringFirst,
 			status: 422, runs: 1,
 		},
 		{
-			name: "rejected, joined", first: rejected, body: "x", after: whileRunning,
+			name: "rejected, joined", first: rejected, body: "x", after: duringFirst,
 			verdict: engine.Rejected, runs: 1,
 		},
 		{
@@ -68,7 +68,7 @@
 			verdict: engine.Rejected, runs: 2,
 		},
 		{
-			name: "rejected after it may have run, joined", first: mayHaveRun, body: "x", after: whileRunning,
+			name: "rejected after it may have run, joined", first: mayHaveRun, body: "x", after: duringFirst,
 			verdict: engine.Failed, runs: 1,
 		},
 		{
@@ -76,7 +76,7 @@
 			status: 409, runs: 1,
 		},
 		{
-			name: "failed, joined", first: failed, body: "x", after: whileRunning,
+			name: "failed, joined", first: failed, body: "x", after: duringFirst,
 			verdict: engine.Failed, runs: 1,
 		},
 		{
@@ -90,7 +90,8 @@
 	}
 }
 
-// What a repeat gets, by what the first came to and by when the repeat comes.
+// Guards against a repeated request that runs although it must not, or that gets an answer other than the one for the
+// outcome of the first request and the time of the repetition.
 func TestRepeat(t *testing.T) {
 	for _, tc := range repeatCases() {
 		t.Run(tc.name, func(t *testing.T) {
@@ -99,34 +100,34 @@
 	}
 }
 
-// checkRepeat sends a request and its repeat in virtual time.
+// checkRepeat sends a request and a repeated request in virtual time and checks the outcome of the repeated one.
 func checkRepeat(t *testing.T, tc repeatCase) {
 	clock := engine.NewClock()
-	s := &stub{}
+	s := &stubCluster{}
 	s.run = func(_ context.Context, n int64) (engine.Answer, error) {
-		time.Sleep(firstTakes)
+		time.Sleep(firstDuration)
 		if n > 1 && tc.err != nil {
-			return served("b"), nil
+			return servedAnswer("b"), nil
 		}
 		return tc.first, tc.err
 	}
-	c := New(limits(), clock).Cluster(s, window, 0)
-	var all sync.WaitGroup
-	all.Go(func() { c.Do(t.Context(), keyed(clock, "k", "x")) })
+	c := New(limits(), clock).Cluster(s, testWindow, 0)
+	var wg sync.WaitGroup
+	wg.Go(func() { c.Do(t.Context(), keyedRequest(clock, "k", "x")) })
 	time.Sleep(tc.after)
-	a, err := c.Do(t.Context(), keyed(clock, "k", tc.body))
-	all.Wait()
+	a, err := c.Do(t.Context(), keyedRequest(clock, "k", tc.body))
+	wg.Wait()
 	status := 0
 	if rejection := (*ingress.Rejection)(nil); errors.As(err, &rejection) {
 		status = rejection.Status
 	}
 	if status != tc.status || tc.status == 0 && err != nil {
-		t.Fatalf("%v, want status %d", err, tc.status)
+		t.Fatalf("got error %v, want a rejection with status %d (0 means no error)", err, tc.status)
 	}
 	h, ok := a.Value.(*h1client.Answer)
 	replayed := ok && h.Header.Get(ReplayedHeader) == "true"
 	otherVerdict := tc.status == 0 && a.Verdict != tc.verdict
 	if otherVerdict || replayed != tc.replayed || s.runs.Load() != int64(tc.runs) {
-		t.Errorf("verdict %d, replayed %v, %d runs", a.Verdict, replayed, s.runs.Load())
+		t.Errorf("got verdict %d, replayed %v, %d runs; want those of the test case", a.Verdict, replayed, s.runs.Load())
 	}
 }
--- a/internal/idempotency/replay/execution.go
+++ b/internal/idempotency/replay/execution.go
@@ -10,20 +10,20 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// execution is the first request under a key, while it runs.
+// execution is the first request under a key from its start until its outcome is recorded.
 type execution struct {
-	entry       *idempotency.Entry
-	key         idempotency.Key
-	fingerprint idempotency.Fingerprint
-	cancel      context.CancelFunc
-	clientLeft  bool // the client of the first request disconnected; guarded by Deduplicator.mu
+	entry              *idempotency.Entry
+	key                idempotency.Key
+	fingerprint        idempotency.Fingerprint
+	cancel             context.CancelFunc
+	clientDisconnected bool // the first request's own client disconnected; guarded by Deduplicator.mu
 
-	done   chan struct{} // closed after answer and err are set
+	done   chan struct{} // closed once answer and err are set and recorded
 	answer engine.Answer
 	err    error
 }
 
-// runFirst runs the first request under a key, and waits for it as long as its client does.
+// runFirst runs the first request under a key and waits for its outcome until the request's own client disconnects.
 func (c *cluster) runFirst(ctx context.Context, e *execution, r *engine.Request) (engine.Answer, error) {
 	c.observeLateAnswer(e, r)
 	c.ignoreDisconnectWhileJoined(e, r)
@@ -39,25 +39,25 @@
 		return e.firstAnswer()
 	case <-ctx.Done():
 	}
-	if c.abandon(e) {
+	if c.recordDisconnect(e) {
 		cancel()
-		<-e.done // soon, since its context has ended
+		<-e.done // closed soon, because the context of the execution has ended
 	}
 	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
-// observeLateAnswer has an answer after the client's deadline complete the key, where that is configured. A
-// request whose body is still being read can't be attempted beyond its client.
+// observeLateAnswer lets an answer that arrives after the request has ended complete the key, if AcceptLateOutcomes was
+// called. It does nothing for a request whose body is still being read, because its attempts can't outlive its client.
 func (c *cluster) observeLateAnswer(e *execution, r *engine.Request) {
-	if o := r.Payload.(*h1client.Request); !c.acceptLate || o.Upload != nil {
+	if payload := r.Payload.(*h1client.Request); !c.acceptLate || payload.Upload != nil {
 		return
 	}
 	r.LateAnswerTimeout = c.window
 	r.OnLateAnswer = func(answer any) { c.completeLate(e, answer) }
 }
 
-// ignoreDisconnectWhileJoined has a request whose client disconnected go on as long as others wait for its
-// outcome.
+// ignoreDisconnectWhileJoined makes the request count as connected while other requests wait for its outcome, even if its
+// own client has disconnected.
 func (c *cluster) ignoreDisconnectWhileJoined(e *execution, r *engine.Request) {
 	disconnected := r.ClientDisconnected
 	if disconnected == nil {
@@ -73,8 +73,8 @@
 	}
 }
 
-// execute records the start of the request and has the cluster answer it. Without a durable record it does not
-// run: it could run a second time after a crash.
+// execute records the start of the request in the log, if there is one, and forwards the request to the cluster. If the
+// start is not durable, it rejects the request, which could otherwise run a second time after a crash.
 func (c *cluster) execute(ctx context.Context, e *execution, r *engine.Request) {
 	if c.log != nil {
 		expiresAt := c.clock.Wall(c.clock.Now() + c.window)
@@ -86,37 +86,39 @@
 	e.answer, e.err = c.inner.Do(ctx, r)
 }
 
-// abandon notes that the client of the first request disconnected, and reports whether nobody else waits for the
-// outcome.
-func (c *cluster) abandon(e *execution) bool {
+// recordDisconnect records that the client of the first request disconnected, and reports whether no other request waits
+// for the outcome.
+func (c *cluster) recordDisconnect(e *execution) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e.clientLeft = true
+	e.clientDisconnected = true
 	return !c.store.HasJoiners(e.entry)
 }
 
-// complete records the outcome of an execution and releases those who wait for it.
+// complete records the outcome of an execution and wakes the requests that wait for it.
 func (c *cluster) complete(e *execution) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	how := e.completion()
+	completion := e.completion()
 	var outcome any
 	var size int64
-	if how == idempotency.Answered && shareable(e.answer) {
+	if completion == idempotency.Answered && shareable(e.answer) {
 		outcome, size = e.answer, AnswerBytes(e.answer.Value.(*h1client.Answer))
 	}
-	c.store.Complete(c.clock.Now(), e.entry, how, outcome, size)
+	c.store.Complete(c.clock.Now(), e.entry, completion, outcome, size)
 	if c.log != nil {
-		c.log.RecordCompletion(e.key, how) // under the lock: a later start of the key follows it in the log
+		// With mu locked, a later start of the key follows the completion in the log.
+		c.log.RecordCompletion(e.key, completion)
 	}
 	delete(c.running, e.entry)
 	close(e.done)
 }
 
-// completion classifies the outcome. A rejection of a request that may have run does not promise that it has not.
+// completion classifies the outcome. A request that the cluster did not accept (engine.ErrRetired) is Rejected. A request
+// that was rejected after an attempt may have run is Indeterminate.
 func (e *execution) completion() idempotency.Completion {
 	switch {
-	case errors.Is(e.err, engine.ErrRetired), e.rejectedUnstarted():
+	case errors.Is(e.err, engine.ErrRetired), e.rejectedWithoutRunning():
 		return idempotency.Rejected
 	case e.err == nil && e.answer.Verdict == engine.Served:
 		return idempotency.Answered
@@ -124,12 +126,12 @@
 	return idempotency.Indeterminate
 }
 
-// rejectedUnstarted reports whether the request was rejected and no attempt may have run.
-func (e *execution) rejectedUnstarted() bool {
+// rejectedWithoutRunning reports whether the request was rejected and no attempt may have run.
+func (e *execution) rejectedWithoutRunning() bool {
 	return e.err == nil && e.answer.Verdict == engine.Rejected && !e.answer.MayHaveRun
 }
 
-// completeLate records an answer that came after the client's deadline.
+// completeLate records an answer that arrived after the request had ended without being served.
 func (c *cluster) completeLate(e *execution, late any) {
 	<-e.done
 	value, ok := late.(*h1client.Answer)
@@ -150,8 +152,8 @@
 	}
 }
 
-// firstAnswer is the answer to the first request's own client. A server changes the header of an answer, so that
-// a cached one is copied.
+// firstAnswer returns the answer for the first request's own client. A shareable answer is copied, because it may be cached
+// and a server changes the header of the answers that it gets.
 func (e *execution) firstAnswer() (engine.Answer, error) {
 	if shareable(e.answer) {
 		return clone(e.answer), e.err
@@ -159,7 +161,7 @@
 	return e.answer, e.err
 }
 
-// join waits for the outcome of the first request until the joiner's own deadline, or until its client
+// join waits for the outcome of the first request until the waiting request's own deadline, or until its client
 // disconnects.
 func (c *cluster) join(ctx context.Context, e *execution, deadline time.Duration) (engine.Answer, error) {
 	timer := time.NewTimer(deadline - c.clock.Now())
@@ -167,30 +169,31 @@
 	select {
 	case <-e.done:
 	case <-timer.C:
-		c.leave(e)
+		c.removeJoiner(e)
 		return engine.Answer{Verdict: engine.Failed}, nil
 	case <-ctx.Done():
-		c.leave(e)
+		c.removeJoiner(e)
 		return engine.Answer{}, engine.ErrClientDisconnected
 	}
 	switch {
-	case e.rejectedUnstarted():
+	case e.rejectedWithoutRunning():
 		return engine.Answer{Verdict: engine.Rejected, RetryAfter: e.answer.RetryAfter}, nil
 	case e.err == nil && shareable(e.answer):
-		return replayed(e.answer), nil
+		return cloneAsReplay(e.answer), nil
 	}
 	return engine.Answer{Verdict: engine.Failed}, nil
 }
 
-// leave takes a joiner back. The last one cancels an execution whose own client disconnected.
-func (c *cluster) leave(e *execution) {
+// removeJoiner tells the store that a request no longer waits for the execution. If it was the last one and the execution's
+// own client has disconnected, it cancels the execution.
+func (c *cluster) removeJoiner(e *execution) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running[e.entry] != e {
-		return // it has completed, and its entry may be gone
+		return // the execution has completed, and the store may have removed its entry
 	}
 	c.store.RemoveJoiner(e.entry)
-	if e.clientLeft && !c.store.HasJoiners(e.entry) {
+	if e.clientDisconnected && !c.store.HasJoiners(e.entry) {
 		e.cancel()
 	}
 }
--- a/internal/idempotency/replay/histories_test.go
+++ b/internal/idempotency/replay/histories_test.go
@@ -14,90 +14,91 @@
 	"yokestall/internal/ingress"
 )
 
-// Load of TestNoKeyRunsTwice.
+// The load of TestNoKeyRunsTwice.
 const (
 	historyRequests = 5000
 	historyKeys     = 200
-	historyEntries  = 1000 // of the store
+	historyEntries  = 1000 // limit of the store
 )
 
-// Drawn histories over few keys: no key runs again within its window once a run of it may have had
-// its effect, whatever clients and servers do. Without the deduplicator there are many that do.
+// Guards against a request that runs within its key's window although an earlier run of the key may have had its effect,
+// over random behaviour of clients and servers. Without the deduplicator this must happen often, or the test proves little.
 func TestNoKeyRunsTwice(t *testing.T) {
 	if n := repeatedRuns(t, true); n > 0 {
-		t.Errorf("%d runs beside, or after, one that may have had its effect", n)
+		t.Errorf("got %d runs within the window of a run that may have had its effect, want 0", n)
 	}
 	if n := repeatedRuns(t, false); n < 100 {
-		t.Errorf("without the deduplicator only %d: the check proves little", n)
+		t.Errorf("got %d repeated runs without the deduplicator, want at least 100 for the check to be meaningful", n)
 	}
 }
 
-// repeatedRuns plays a history and returns how many runs began within the window of one that may have had its effect.
+// repeatedRuns sends the requests of a random history and returns how many runs began within the window of a run of the same
+// key that may have had its effect.
 func repeatedRuns(t *testing.T, deduplicated bool) (n int) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &history{
+		h := &historyTest{
 			clock:   engine.NewClock(),
 			random:  rand.New(rand.NewPCG(3, 4)),
 			started: map[string]time.Duration{},
 		}
-		g := New(idempotency.Limits{Entries: historyEntries, Bytes: 1 << 20, Joiners: 8}, h.clock)
-		var all sync.WaitGroup
+		d := New(idempotency.Limits{Entries: historyEntries, Bytes: 1 << 20, Joiners: 8}, h.clock)
+		var wg sync.WaitGroup
 		for i := range historyRequests {
 			key := fmt.Sprint("k", h.draw(historyKeys))
 			var c ingress.Handler = h.cluster(key)
 			if deduplicated {
-				c = g.Cluster(c, window, 0)
+				c = d.Cluster(c, testWindow, 0)
 			}
-			patience := time.Duration(50+h.draw(400)) * time.Millisecond
-			all.Go(func() {
-				ctx, disconnect := context.WithTimeout(t.Context(), patience)
+			clientTimeout := time.Duration(50+h.draw(400)) * time.Millisecond
+			wg.Go(func() {
+				ctx, disconnect := context.WithTimeout(t.Context(), clientTimeout)
 				defer disconnect()
-				c.Do(ctx, keyed(h.clock, key, "x"))
+				c.Do(ctx, keyedRequest(h.clock, key, "x"))
 			})
 			if i%8 == 0 {
 				time.Sleep(time.Duration(h.draw(20)) * time.Millisecond)
 			}
-			g.mu.Lock()
-			stored := g.store.Len()
-			g.mu.Unlock()
+			d.mu.Lock()
+			stored := d.store.Len()
+			d.mu.Unlock()
 			if stored > historyEntries {
-				t.Fatalf("the store holds %d keys, %d at most", stored, historyEntries)
+				t.Fatalf("the store has %d entries, want at most %d", stored, historyEntries)
 			}
 		}
-		all.Wait()
+		wg.Wait()
 		synctest.Wait()
-		if len(g.running) > 0 {
-			t.Errorf("%d keys are still open", len(g.running))
+		if len(d.running) > 0 {
+			t.Errorf("%d executions are still running after all requests have ended, want 0", len(d.running))
 		}
-		n = h.repeated
+		n = h.repeatedRuns
 	})
 	return n
 }
 
-// history draws what servers do, and counts runs that should not have begun.
-type history struct {
+// historyTest chooses the random behaviour of servers and counts the runs that should not have begun.
+type historyTest struct {
 	clock engine.Clock
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	started  map[string]time.Duration // the last run of a key that may have had its effect
-	repeated int
+	mu           sync.Mutex
+	random       *rand.Rand
+	started      map[string]time.Duration // by key: start of the latest run that may have had its effect
+	repeatedRuns int
 }
 
-// draw returns a random number below n.
-func (h *history) draw(n int) int {
+// draw returns a random number from 0 to n-1.
+func (h *historyTest) draw(n int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.random.IntN(n)
 }
 
 // cluster returns a cluster that runs the requests of a key.
-func (h *history) cluster(key string) *stub {
-	return &stub{run: func(ctx context.Context, _ int64) (engine.Answer, error) { return h.run(ctx, key) }}
+func (h *historyTest) cluster(key string) *stubCluster {
+	return &stubCluster{run: func(ctx context.Context, _ int64) (engine.Answer, error) { return h.run(ctx, key) }}
 }
 
-// run is a run of a key with a drawn outcome.
-func (h *history) run(ctx context.Context, key string) (engine.Answer, error) {
+// run runs a request under a key, with a random duration and outcome.
+func (h *historyTest) run(ctx context.Context, key string) (engine.Answer, error) {
 	startedAt := h.clock.Now()
 	select {
 	case <-time.After(time.Duration(h.draw(300)) * time.Millisecond):
@@ -105,11 +106,11 @@
 	}
 	outcome := h.draw(4)
 	if outcome == 0 {
-		return engine.Answer{Verdict: engine.Rejected}, nil // never ran
+		return engine.Answer{Verdict: engine.Rejected}, nil // the request never ran
 	}
 	h.mu.Lock()
-	if at, ok := h.started[key]; ok && startedAt < at+window {
-		h.repeated++
+	if at, ok := h.started[key]; ok && startedAt < at+testWindow {
+		h.repeatedRuns++
 	}
 	h.started[key] = startedAt
 	h.mu.Unlock()
@@ -121,5 +122,5 @@
 	case outcome == 2:
 		return engine.Answer{Verdict: engine.Failed, MayHaveRun: true}, nil
 	}
-	return served(key), nil
+	return servedAnswer(key), nil
 }
