--- a/internal/priority/plan.go
+++ b/internal/priority/plan.go
@@ -13,19 +13,19 @@
 // ClusterLoadAssignment.Policy.overprovisioning_factor, 140).
 const defaultOverprovisioning = 1.4
 
-// SlowStart says how an endpoint warms up (policy.Rules).
+// SlowStart are the parameters by which an endpoint warms up, as in policy.Rules.
 type SlowStart struct {
-	MinCapacity float64       // part of its capacity that an endpoint starts with, 0 to 1
-	Window      time.Duration // from its start until it has all of it; 0: it starts with all
+	MinCapacity float64       // fraction of its capacity that an endpoint has at its start, 0 to 1
+	Window      time.Duration // time from an endpoint's start to its full capacity; 0 means no slow start
 }
 
-// Key names a tier.
+// Key identifies a tier of a cluster.
 type Key struct {
-	Priority int
-	Degraded bool
+	Priority int  // 0 is the most preferred
+	Degraded bool // the tier is the degraded part of the priority
 }
 
-// compare orders keys by preference: the healthy parts by priority, then the degraded ones.
+// compare orders keys by preference: first the healthy parts of all priorities, then the degraded parts, each by priority.
 func (k Key) compare(other Key) int {
 	if k.Degraded != other.Degraded {
 		if other.Degraded {
@@ -36,36 +36,36 @@
 	return cmp.Compare(k.Priority, other.Priority)
 }
 
-// Tier is a part of a cluster.
+// Tier is the healthy or the degraded part of a priority.
 type Tier struct {
 	Key
-	// Cluster has the tier's endpoints. Those that get no new requests are in the healthy part of their priority, so that
-	// whoever follows that part sees them drain.
+	// Cluster has the tier's endpoints. Endpoints that get no new requests belong to the healthy part of their priority, so
+	// that users of that part see them drain.
 	Cluster *cluster.Config
 
-	priorityTotal int             // endpoints of the priority, whatever their health
-	fullCapacity  int             // endpoints of this tier without a slow start
-	starts        []time.Duration // start times of the others since the Unix epoch, ascending
+	priorityEndpoints int             // number of endpoints of the priority, whatever their health
+	warmEndpoints     int             // number of endpoints of the tier that serve and have no slow start
+	startTimes        []time.Duration // of the tier's other serving endpoints, since the Unix epoch, ascending
 }
 
-// Plan is the tiers of one version of a cluster. It is immutable, except for the shares that it caches, and safe for
-// concurrent use.
+// Plan has the tiers of one version of a cluster. It is immutable except for its cached shares, and safe for concurrent
+// use.
 type Plan struct {
-	Tiers            []Tier // in order of preference, at least one
-	overprovisioning float64
+	Tiers            []Tier  // in order of preference, at least one
+	overprovisioning float64 // Envoy's overprovisioning factor, as a ratio
 	slowStart        SlowStart
 	lastShares       atomic.Pointer[cachedShares]
 }
 
-// New returns the plan of a cluster whose endpoints are sorted, as cluster.Check leaves them. A cluster without
-// endpoints has one tier.
+// New returns the plan of a cluster. The endpoints of c must be sorted, as cluster.Config.Check leaves them; those of each
+// tier are then sorted too. A cluster without endpoints has one tier.
 func New(c *cluster.Config, slowStart SlowStart) *Plan {
 	p := &Plan{overprovisioning: c.OverprovisioningFactor, slowStart: slowStart}
 	if p.overprovisioning == 0 {
 		p.overprovisioning = defaultOverprovisioning
 	}
 	if hasSingleTier(c) {
-		p.Tiers = []Tier{{Cluster: c, priorityTotal: len(c.Endpoints)}} // the usual case, without a copy
+		p.Tiers = []Tier{{Cluster: c, priorityEndpoints: len(c.Endpoints)}} // the usual case; the endpoints are not copied
 	} else {
 		p.Tiers = divide(c)
 	}
@@ -88,7 +88,7 @@
 // divide returns the tiers of a cluster, in order of preference.
 func divide(c *cluster.Config) []Tier {
 	parts := map[Key]*cluster.Config{}
-	totals := map[int]int{} // endpoints by priority
+	totals := map[int]int{} // numbers of endpoints by priority
 	for _, e := range c.Endpoints {
 		key := Key{e.Priority, e.Health == cluster.Degraded}
 		part := parts[key]
@@ -103,22 +103,22 @@
 	}
 	var tiers []Tier
 	for key, part := range parts {
-		tiers = append(tiers, Tier{Key: key, Cluster: part, priorityTotal: totals[key.Priority]})
+		tiers = append(tiers, Tier{Key: key, Cluster: part, priorityEndpoints: totals[key.Priority]})
 	}
 	slices.SortFunc(tiers, func(a, b Tier) int { return a.Key.compare(b.Key) })
 	return tiers
 }
 
-// countEndpoints sets what the tier's capacity is calculated from.
+// countEndpoints sets warmEndpoints and startTimes from the tier's endpoints.
 func (t *Tier) countEndpoints(slowStart SlowStart) {
 	for i := range t.Cluster.Endpoints {
 		switch e := &t.Cluster.Endpoints[i]; {
 		case !e.Serves():
 		case e.StartedMs == 0 || slowStart.Window <= 0:
-			t.fullCapacity++
+			t.warmEndpoints++
 		default:
-			t.starts = append(t.starts, time.Duration(e.StartedMs)*time.Millisecond)
+			t.startTimes = append(t.startTimes, time.Duration(e.StartedMs)*time.Millisecond)
 		}
 	}
-	slices.Sort(t.starts)
+	slices.Sort(t.startTimes)
 }
--- a/internal/priority/shares.go
+++ b/internal/priority/shares.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// sharesLifetime is how long shares are used before they are calculated again. Endpoints warm up over seconds.
+// sharesLifetime is the time for which calculated shares are cached. It is short compared with the seconds over which
+// endpoints warm up.
 const sharesLifetime = 50 * time.Millisecond
 
-// cachedShares are the shares of a plan's tiers as of a time since the Unix epoch.
+// cachedShares are the shares of a plan's tiers at the time calculatedAt, which is since the Unix epoch.
 type cachedShares struct {
 	calculatedAt time.Duration
 	shares       []float64
 }
 
-// Shares returns the part of the requests that each tier gets, which add up to 1, or nil if no tier can serve any. now
-// is the time since the Unix epoch.
+// Shares returns the fraction of the requests that each tier gets. The shares add up to 1. Shares returns nil if no tier can
+// serve requests. now is the time since the Unix epoch. The caller must not change the result, which is cached.
 //
-// As in Envoy (priority levels, degraded endpoints), the capacity of a tier is its part of the priority's endpoints
-// times the overprovisioning factor, 1 at most; what exceeds it is left to the next tier. Where all capacities add up
-// to less than 1, all tiers get more than theirs, in proportion.
+// As in Envoy (priority levels, degraded endpoints), the capacity of a tier is its fraction of the priority's endpoints
+// times the overprovisioning factor, at most 1. Requests beyond a tier's capacity go to the next tier. If all capacities add
+// up to less than 1, each tier's share is larger than its capacity, in proportion to it.
 func (p *Plan) Shares(now time.Duration) []float64 {
 	if last := p.lastShares.Load(); last != nil && now >= last.calculatedAt && now-last.calculatedAt < sharesLifetime {
 		return last.shares
@@ -26,13 +27,14 @@
 	return shares
 }
 
+// calculateShares calculates the result of Shares.
 func (p *Plan) calculateShares(now time.Duration) []float64 {
 	capacities := make([]float64, len(p.Tiers))
 	total := 0.0
 	for i := range p.Tiers {
 		t := &p.Tiers[i]
-		if t.priorityTotal > 0 {
-			capacities[i] = min(1, p.overprovisioning*t.capacity(now, p.slowStart)/float64(t.priorityTotal))
+		if t.priorityEndpoints > 0 {
+			capacities[i] = min(1, p.overprovisioning*t.capacity(now, p.slowStart)/float64(t.priorityEndpoints))
 		}
 		total += capacities[i]
 	}
@@ -48,17 +50,17 @@
 	return shares
 }
 
-// capacity returns the tier's capacity, in endpoints that are warmed up.
+// capacity returns the tier's capacity as a number of endpoints at full capacity.
 func (t *Tier) capacity(now time.Duration, slowStart SlowStart) float64 {
-	sum := float64(t.fullCapacity)
-	for _, start := range t.starts {
+	sum := float64(t.warmEndpoints)
+	for _, start := range t.startTimes {
 		sum += slowStart.capacityAt(now - start)
 	}
 	return sum
 }
 
-// capacityAt returns the part of its capacity that an endpoint has at an age; an endpoint that starts in the future has
-// age 0.
+// capacityAt returns the fraction of its capacity that an endpoint has at an age. A negative age, of an endpoint whose start
+// time is in the future, counts as 0.
 func (s SlowStart) capacityAt(age time.Duration) float64 {
 	age = max(0, age)
 	if age >= s.Window {
@@ -67,8 +69,8 @@
 	return s.MinCapacity + (1-s.MinCapacity)*(float64(age)/float64(s.Window))
 }
 
-// Pick returns the index of the tier that gets a request; draw is evenly distributed from 0 to below 1. If no tier can
-// serve any, it is the first, whose rejection has a Retry-After.
+// Pick returns the index of the tier that gets a request. draw is a random number, uniformly distributed in [0, 1). If no
+// tier can serve requests, Pick returns 0: the first tier rejects the request with a Retry-After.
 func (p *Plan) Pick(now time.Duration, draw float64) int {
 	if len(p.Tiers) == 1 {
 		return 0
