--- a/internal/priority/shares_test.go
+++ b/internal/priority/shares_test.go
@@ -41,7 +41,7 @@
 	}
 	for name, c := range map[string]struct {
 		groups []group
-		want  string
+		want   string
 	}{
 		"all healthy":           {[]group{{10, 0, healthy}, {10, 1, healthy}}, "[1.00 0.00]"},
 		"72 of 100 healthy":     {[]group{{72, 0, healthy}, {28, 0, bad}, {100, 1, healthy}}, "[1.00 0.00]"},
--- a/internal/streamtimeout/streamheap.go
+++ b/internal/streamtimeout/streamheap.go
@@ -1,6 +1,6 @@
 package streamtimeout
 
-// streamHeap is a heap (container/heap) of streams by the times at which they have to end.
+// streamHeap is a min-heap (container/heap) of streams, ordered by the times at which they have to end.
 type streamHeap []*Stream
 
 // Len implements heap.Interface.
