--- a/internal/h2flood/doc.go
+++ b/internal/h2flood/doc.go
@@ -1,10 +1,11 @@
-// Package h2flood counts the frames of an HTTP/2 connection against limits. It is pure: bytes and times are passed in.
-// It reads the headers of frames alone (RFC 9113, 4.1); what they mean is left to the server behind it.
+// Package h2flood counts the frames of an HTTP/2 connection and compares the counts with limits. It does no I/O: bytes and
+// times are passed in. It reads frame headers and the error codes of RST_STREAM frames (RFC 9113, 4.1 and 6.4), and leaves
+// the meaning of frames to the HTTP/2 server.
 //
-// That server's own limits bound what a flood costs in memory. They don't bound what it costs in work: a client may
-// reset a stream a microsecond after it opened it, or have the server reset it, as often as it likes, and each time a
-// request is begun for nothing.
+// The limits of that server bound the memory that a flood costs, but not the work. A client may reset each stream a
+// microsecond after it opened it, or make the server reset it, any number of times, and each time the server begins a
+// request in vain.
 //
-// guard.go has the limits and what counts against them, framescanner.go finds frames in the bytes of a direction, and
-// tokenbucket.go limits a rate.
+// guard.go has the limits and the frames that count against them, framescanner.go finds the frames in the bytes of one
+// direction, and tokenbucket.go limits a rate.
 package h2flood
--- a/internal/h2flood/guard_test.go
+++ b/internal/h2flood/guard_test.go
@@ -10,16 +10,16 @@
 	"golang.org/x/net/http2"
 )
 
-// TestFloods: each kind of flood is found at its limit and not one frame before, whatever parts its bytes come in; a
-// client at its rates never is one.
+// Guards against a flood that is not detected at its limit, against a limit that applies one frame too early, and against a
+// client that is taken for a flood although it keeps to the rates. The bytes arrive in pieces of random length.
 func TestFloods(t *testing.T) {
 	const rate = 10
 	limits := Limits{ResetsPerSecond: rate, ControlFramesPerSecond: rate, ContinuationsPerBlock: 4}
 	burst := int(BurstWindow.Seconds()) * rate
 	for _, tc := range []struct {
 		name  string
-		allow int  // frames that pass at once; -1: any number
-		out   bool // they are sent to the client
+		allow int  // number of frames that pass at once; -1 means any number
+		out   bool // the frames are sent to the client
 		frame func(f *http2.Framer, i int)
 	}{
 		{"resets", burst, false, func(f *http2.Framer, i int) { f.WriteRSTStream(uint32(2*i+1), http2.ErrCodeCancel) }},
@@ -79,21 +79,21 @@
 				}
 			}
 			if want := tc.allow; want >= 0 && passed != want || want < 0 && passed != 3*burst {
-				t.Fatalf("%d frames passed, %d should", passed, want)
+				t.Fatalf("got %d frames passed, want %d (-1 means all)", passed, want)
 			}
 			if tc.name == "a block in pieces" {
 				return
 			}
-			for i := range 20 * rate { // at the rate, for 20 s
+			for i := range 20 * rate { // 20 s at the rate of the limit
 				if err := send(time.Duration(i+1)*time.Second/rate, i); err != nil {
-					t.Fatalf("at the rate, frame %d: %v", i, err)
+					t.Fatalf("frame %d at the rate of the limit: got error %v, want none", i, err)
 				}
 			}
 		})
 	}
 }
 
-// TestWindowUpdatesForSentBytes: bytes that were sent allow window updates for them.
+// Guards against a client that is taken for a flood although it sends WINDOW_UPDATE frames only for bytes that it got.
 func TestWindowUpdatesForSentBytes(t *testing.T) {
 	g := New(Limits{ControlFramesPerSecond: 1}, 0, true)
 	var b, answer bytes.Buffer
@@ -101,12 +101,12 @@
 	http2.NewFramer(&answer, nil).WriteData(1, false, make([]byte, 16384))
 	for i := range 10_000 {
 		if g.Sent(0, answer.Bytes()) != nil || g.Received(0, b.Bytes()) != nil {
-			t.Fatalf("update %d of a client that reads is taken for a flood", i)
+			t.Fatalf("WINDOW_UPDATE frame %d for sent bytes: got an error, want none", i)
 		}
 	}
 }
 
-// FuzzGuard: whatever parts bytes come in, the guard finds the same frames.
+// Guards against a Guard that finds other frames if the same bytes arrive in pieces of another length.
 func FuzzGuard(f *testing.F) {
 	f.Add([]byte("\x00\x00\x04\x03\x00\x00\x00\x00\x01\x00\x00\x00\x08"), uint8(1))
 	f.Add([]byte("\x00\x00\x02\x03\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x06"), uint8(3))
@@ -120,11 +120,11 @@
 				}
 				left = left[n:]
 			}
-			return 0, g.received.skip, g.received.buffered
+			return 0, g.received.bytesToSkip, g.received.buffered
 		}
 		a, b, c := count(len(text) + 1)
 		if x, y, z := count(int(step) + 1); a != x || b != y || c != z {
-			t.Errorf("in one part %d %d %d, in parts of %d: %d %d %d", a, b, c, step+1, x, y, z)
+			t.Errorf("got floods, bytesToSkip and buffered %d %d %d in one piece, but in pieces of %d bytes: %d %d %d", a, b, c, step+1, x, y, z)
 		}
 	})
 }
