--- a/internal/idempotency/keystore/keystore.go
+++ b/internal/idempotency/keystore/keystore.go
@@ -56,7 +56,7 @@
 	// The fields below are used only by Open and then by the writer's goroutine.
 	file      File
 	size      int64                      // of file, in bytes
-	live      map[idempotency.Key]record // latest record of each key; about as many as the store has entries
+	live      map[idempotency.Key]record // latest record of each key; compaction removes expired keys
 	liveBytes int64                      // total size of the records in live
 	err       error                      // first error of a write, an fsync or a compaction; Close reads it after done
 }
--- a/internal/idempotency/keystore/keystore_test.go
+++ b/internal/idempotency/keystore/keystore_test.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// Guards against one fsync for each record, and against a file that grows without bound: concurrent callers must share
-// fsyncs, and compaction must keep the file small compared with the number of bytes written.
+// Guards against one fsync for each record, and against a file that grows without bound under keys that are rejected:
+// concurrent callers must share fsyncs, and compaction must keep the file small compared with the number of bytes written.
 func TestCommitsTogetherAndCompacts(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	var syncs counter
