--- a/internal/simulator/event.go
+++ b/internal/simulator/event.go
@@ -8,7 +8,7 @@
 	"yokestall/policy"
 )
 
-// endpointSize is the size of an endpoint of an EndpointUpdate in the tail, in bytes.
+// endpointSize is the size in bytes of one endpoint of an endpoint update, in a frame's tail.
 const endpointSize = 25
 
 // Code is the type of an event record.
@@ -23,27 +23,28 @@
 	CodeOutcome            Code = 5
 	CodeClientDisconnected Code = 6
 	CodeTimer              Code = 7
-	CodeHealthCheck        Code = 8 // ignored
-	CodePeerMessage        Code = 9 // ignored
+	CodeHealthCheck        Code = 8 // ignored by the adapter
+	CodePeerMessage        Code = 9 // ignored by the adapter
 	CodeCloseInstance      Code = 10
-	CodeSelectInstance     Code = 11 // the following events are for Event.Instance
+	CodeSelectInstance     Code = 11 // the events that follow are for Event.Instance
 )
 
 // Event is one record of a batch. Code says which of the other fields are set.
 type Event struct {
 	Code      Code
-	Instance  uint16            // of SelectInstance
-	Seed      uint64            // of OpenInstance
-	Settings  []byte            // of OpenInstance: JSON; valid until the next Reader.Read
-	Kind      policy.UpdateKind // of EndpointUpdate
-	Endpoints []policy.Endpoint // of EndpointUpdate; valid until the next Batch.Event
-	Request   policy.Request    // of Request
-	// Outcome is set for Outcome; for StreamStarted its ID, Attempt and Endpoint are, for ClientDisconnected its ID.
+	Instance  uint16            // set by CodeSelectInstance
+	Seed      uint64            // set by CodeOpenInstance
+	Settings  []byte            // set by CodeOpenInstance: JSON, valid until the next call of Reader.Read
+	Kind      policy.UpdateKind // set by CodeEndpointUpdate
+	Endpoints []policy.Endpoint // set by CodeEndpointUpdate, valid until the Event is decoded into again
+	Request   policy.Request    // set by CodeRequest
+	// Outcome is set by CodeOutcome. CodeStreamStarted sets its ID, Attempt and Endpoint only, and
+	// CodeClientDisconnected its ID only.
 	Outcome policy.Outcome
-	Token   uint64 // of Timer
+	Token   uint64 // set by CodeTimer
 }
 
-// statuses maps the protocol's numbers of outcomes.
+// statuses maps the protocol's numbers for outcomes to the policy's.
 var statuses = map[uint16]policy.Status{
 	200: policy.OK,
 	408: policy.Timeout,
@@ -55,7 +56,7 @@
 	521: policy.ConnectFailed,
 }
 
-// fieldError reports a field of a record whose value is invalid.
+// fieldError reports an invalid value in a record. field says what is wrong with which field.
 type fieldError struct {
 	field string
 	value any
@@ -64,7 +65,7 @@
 // Error implements error.
 func (e *fieldError) Error() string { return fmt.Sprintf("%s %v", e.field, e.value) }
 
-// record is an event record. Its methods read the field at an offset.
+// record is an event record, or an endpoint in a frame's tail. Its methods read the field at an offset in bytes.
 type record []byte
 
 func (r record) uint16(at int) uint16   { return binary.BigEndian.Uint16(r[at:]) }
@@ -74,7 +75,7 @@
 
 func (r record) requestID() policy.RequestID { return policy.RequestID(r.uint32(1)) }
 
-// Event decodes record i of the batch into e. The error wraps ErrFormat.
+// Event decodes record i of the batch into e, from 0. The error wraps ErrFormat and names the batch and the record.
 func (b *Batch) Event(i int, e *Event) error {
 	r := record(b.records[i*eventSize : (i+1)*eventSize])
 	e.Code = Code(r[0])
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// decode decodes the fields of e.Code.
+// decode decodes the fields that a record of the type e.Code has.
 func (e *Event) decode(b *Batch, r record) error {
 	switch e.Code {
 	case CodeSelectInstance:
@@ -105,7 +106,7 @@
 		e.Token = r.uint64(1)
 	case CodePeerMessage:
 		if _, ok := b.slice(r.uint32(5), r.uint32(9), 1); !ok {
-			return &fieldError{"message out of the tail:", r.uint32(5)}
+			return &fieldError{"peer message is not all within the frame's tail: offset", r.uint32(5)}
 		}
 	case CodeHealthCheck, CodeCloseInstance:
 	default:
@@ -117,7 +118,7 @@
 func (e *Event) decodeOpenInstance(b *Batch, r record) error {
 	settings, ok := b.slice(r.uint32(9), r.uint32(13), 1)
 	if !ok {
-		return &fieldError{"settings out of the tail:", r.uint32(9)}
+		return &fieldError{"settings are not all within the frame's tail: offset", r.uint32(9)}
 	}
 	e.Seed, e.Settings = r.uint64(1), settings
 	return nil
@@ -125,11 +126,11 @@
 
 func (e *Event) decodeEndpointUpdate(b *Batch, r record) error {
 	if r[1] > uint8(policy.UpdateFailed) {
-		return &fieldError{"list kind", r[1]}
+		return &fieldError{"unknown kind of endpoint update", r[1]}
 	}
 	endpoints, ok := b.slice(r.uint32(10), r.uint32(14), endpointSize)
 	if !ok {
-		return &fieldError{"entries out of the tail:", r.uint32(10)}
+		return &fieldError{"endpoints are not all within the frame's tail: offset", r.uint32(10)}
 	}
 	e.Kind = policy.UpdateKind(r[1])
 	e.Endpoints = e.Endpoints[:0]
@@ -146,12 +147,12 @@
 // decodeEndpoint decodes the first endpoint in r.
 func decodeEndpoint(r record) (policy.Endpoint, error) {
 	if r[12] > uint8(policy.Draining) {
-		return policy.Endpoint{}, &fieldError{"server state", r[12]}
+		return policy.Endpoint{}, &fieldError{"unknown endpoint state", r[12]}
 	}
 	weight := float64(math.Float32frombits(r.uint32(13)))
 	startedAt, ok := parseMilliseconds(r.float64(17))
 	if !ok || !(weight >= 0) || math.IsInf(weight, 1) {
-		return policy.Endpoint{}, &fieldError{"server weight or start:", weight}
+		return policy.Endpoint{}, &fieldError{"endpoint has an invalid weight or start time: weight", weight}
 	}
 	return policy.Endpoint{
 		ID:        parseEndpointID(r),
@@ -164,11 +165,11 @@
 }
 
 func (e *Event) decodeRequest(r record) error {
-	const hasWorkHint = 1 // of the flags
+	const hasWorkHint = 1 // bit of the flags in byte 32
 	remaining, remainingOK := parseMilliseconds(r.float64(16))
 	hint, hintOK := parseMilliseconds(r.float64(24))
 	if !remainingOK || !hintOK {
-		return &fieldError{"time of a query:", r.float64(16)}
+		return &fieldError{"request has an invalid time remaining or work hint: time remaining in ms", r.float64(16)}
 	}
 	if r[32]&hasWorkHint == 0 {
 		hint = 0
@@ -186,11 +187,11 @@
 func (e *Event) decodeOutcome(r record) error {
 	status, ok := statuses[r.uint16(5)]
 	if !ok {
-		return &fieldError{"status", r.uint16(5)}
+		return &fieldError{"unknown outcome status", r.uint16(5)}
 	}
 	latency, ok := parseMilliseconds(r.float64(16))
 	if !ok {
-		return &fieldError{"latency", r.float64(16)}
+		return &fieldError{"latency in ms is not a number or out of range:", r.float64(16)}
 	}
 	e.Outcome = policy.Outcome{
 		ID:          r.requestID(),
--- a/internal/simulator/event_test.go
+++ b/internal/simulator/event_test.go
@@ -24,38 +24,38 @@
 		"0a9011f2 1fbc 0000 0000 0000 02 3fc00000 40b7d40000000000"))
 	events, err := decodeAll(raw)
 	if !errors.Is(err, io.EOF) || errors.Is(err, ErrFormat) {
-		t.Fatalf("ends with %v, want a clean end", err)
+		t.Fatalf("error %v, want io.EOF without ErrFormat", err)
 	}
 	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != CodeCloseInstance {
-		t.Fatalf("instance %d, token %d, last code %d", events[0].Instance, events[2].Token, events[7].Code)
+		t.Fatalf("got instance %d, timer token %d and last code %d, want 3, 77 and 10", events[0].Instance, events[2].Token, events[7].Code)
 	}
 	wantRequest := policy.Request{ID: 0x5d3a91c4, Tenant: 1,
 		TimeRemaining: 240 * time.Millisecond, WorkHint: 12 * time.Millisecond}
 	if events[1].Request != wantRequest {
-		t.Errorf("request %+v, want %+v", events[1].Request, wantRequest)
+		t.Errorf("got request %+v, want %+v", events[1].Request, wantRequest)
 	}
-	const server = policy.EndpointID(0x0a124a071f93)
-	list := events[3]
+	const endpoint = policy.EndpointID(0x0a124a071f93)
+	update := events[3]
 	want := []policy.Endpoint{
-		{ID: server, Zone: 1, Cell: 2, State: policy.Ready, Weight: 1},
+		{ID: endpoint, Zone: 1, Cell: 2, State: policy.Ready, Weight: 1},
 		{ID: 0x0a9011f21fbc, State: policy.Draining, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
-	if list.Kind != policy.CachedUpdate || len(list.Endpoints) != 2 ||
-		list.Endpoints[0] != want[0] || list.Endpoints[1] != want[1] {
-		t.Errorf("list %d %+v, want %+v", list.Kind, list.Endpoints, want)
+	if update.Kind != policy.CachedUpdate || len(update.Endpoints) != 2 ||
+		update.Endpoints[0] != want[0] || update.Endpoints[1] != want[1] {
+		t.Errorf("got endpoint update of kind %d with %+v, want a CachedUpdate with %+v", update.Kind, update.Endpoints, want)
 	}
-	wantOutcome := policy.Outcome{ID: 0x5d3a91c4, Endpoint: server, Status: policy.OK, RequestDone: true,
+	wantOutcome := policy.Outcome{ID: 0x5d3a91c4, Endpoint: endpoint, Status: policy.OK, RequestDone: true,
 		Latency: 18500 * time.Microsecond}
 	if events[4].Outcome != wantOutcome {
-		t.Errorf("outcome %+v, want %+v", events[4].Outcome, wantOutcome)
+		t.Errorf("got outcome %+v, want %+v", events[4].Outcome, wantOutcome)
 	}
 	if events[5].Outcome.ID != 0x0e6f2b19 || events[6].Outcome.Attempt != 2 ||
-		events[6].Outcome.Endpoint != server {
-		t.Errorf("left %+v, started %+v", events[5].Outcome, events[6].Outcome)
+		events[6].Outcome.Endpoint != endpoint {
+		t.Errorf("got %+v for the disconnected client and %+v for the started stream, want request 0x0e6f2b19 and attempt 2", events[5].Outcome, events[6].Outcome)
 	}
 }
 
-// Each malformed frame must give one plain error with its batch, and no panic.
+// malformed builds frames for each of which decoding must return one error line that names the batch, without a panic.
 var malformed = map[string]func(testing.TB) []byte{
 	"truncated header":    func(testing.TB) []byte { return frame(0, nil, nil)[:7] },
 	"truncated body":      func(t testing.TB) []byte { return frame(1, hexRecord(t, "0b 0003"), nil)[:40] },
@@ -102,7 +102,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := decodeAll(build(t))
 			if !errors.Is(err, ErrFormat) || !strings.Contains(err.Error(), "batch") || strings.Contains(err.Error(), "\n") {
-				t.Fatalf("error %v", err)
+				t.Fatalf("got error %v, want one line that wraps ErrFormat and names the batch", err)
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 	f.Add(frame(2, join(hexRecord(f, "0b 0003"), hexRecord(f, "07 000000000000004d")), nil))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if _, err := decodeAll(raw); err == nil {
-			t.Fatal("an input that ends must give an error or io.EOF")
+			t.Fatal("decoding a finite input returned no error, want io.EOF or a format error")
 		}
 	})
 }
--- a/internal/simulator/frame_test.go
+++ b/internal/simulator/frame_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// unhex parses hexadecimal digits with spaces between them.
+// unhex decodes hexadecimal digits, which may have spaces between them.
 func unhex(t testing.TB, text string) []byte {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
@@ -19,13 +19,13 @@
 	return raw
 }
 
-// hexRecord pads an event record to its size.
+// hexRecord decodes the hexadecimal digits of an event record and pads it with zeros to eventSize.
 func hexRecord(t testing.TB, text string) []byte {
 	raw := unhex(t, text)
 	return append(raw, make([]byte, eventSize-len(raw))...)
 }
 
-// frame builds a batch at 8,500 ms with number 12.
+// frame returns the frame of batch 12, at 8,500 ms on the simulator's clock.
 func frame(count int, records, tail []byte) []byte {
 	head := make([]byte, batchHeaderSize)
 	binary.BigEndian.PutUint32(head[0:], uint32(len(records)+len(tail)))
@@ -35,10 +35,11 @@
 	return append(append(head, records...), tail...)
 }
 
-// join concatenates parts of a frame.
+// join concatenates byte slices.
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// decodeAll decodes all events of a stream of batches, up to the first error.
+// decodeAll decodes the events of a stream of batches up to the first error, which it returns with them. At the end of
+// the input the error is io.EOF.
 func decodeAll(raw []byte) ([]Event, error) {
 	r := NewReader(bytes.NewReader(raw))
 	var events []Event
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -11,8 +11,8 @@
 	"yokestall/policy"
 )
 
-// The golden file holds every key that is read of an instance's settings. Others write such
-// files, so the names, types and units of the keys must not change; this program writes none.
+// The golden file holds every key of an instance's settings that the program reads. The settings are written by other
+// programs only, so the names, types and units of the keys must not change.
 func TestGoldenSettingsParse(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/settings.json")
 	if err != nil {
@@ -41,9 +41,8 @@
 	}
 }
 
-// The golden file is a batch in hexadecimal digits, one record a line: its header, each of the
-// events, and its tail. The simulator writes batches, so their form must not change; this program
-// writes none.
+// The golden file is a batch in hexadecimal digits: its header, one event record per line, and its tail. The simulator
+// writes batches and this program only reads them, so their format must not change.
 func TestGoldenBatchDecodes(t *testing.T) {
 	text, err := os.ReadFile("testdata/golden/batch.hex")
 	if err != nil {
@@ -54,10 +53,10 @@
 		t.Fatal(err)
 	}
 	if b.Now != 8500500*time.Microsecond || b.Number != 12 {
-		t.Errorf("at %v, number %d", b.Now, b.Number)
+		t.Errorf("got a clock of %v and batch number %d, want 8.5005s and 12", b.Now, b.Number)
 	}
 	const us = time.Microsecond
-	entries := []policy.Endpoint{
+	endpoints := []policy.Endpoint{
 		{ID: 0x0a124a071f93, Zone: 1, Cell: 2, State: policy.Ready, Weight: 1.25, StartedAt: 6100500 * us},
 		{ID: 0x0a9011f21fbc, Zone: 3, Cell: 4, State: policy.Draining, Weight: 1.5, StartedAt: 6200500 * us},
 		{ID: 0x0a9011f21fbd, Zone: 5, Cell: 6, State: policy.Removed, Weight: 1.75, StartedAt: 6300500 * us},
@@ -65,10 +64,10 @@
 	want := []Event{
 		{Code: CodeSelectInstance, Instance: 3},
 		{Code: CodeOpenInstance, Seed: 0x8c1f30d27a5be964, Settings: []byte(`{"Me":2}`)},
-		{Code: CodeEndpointUpdate, Kind: policy.DeltaUpdate, Endpoints: entries},
-		{Code: CodeEndpointUpdate, Kind: policy.FullUpdate, Endpoints: entries},
-		{Code: CodeEndpointUpdate, Kind: policy.CachedUpdate, Endpoints: entries},
-		{Code: CodeEndpointUpdate, Kind: policy.UpdateFailed, Endpoints: entries},
+		{Code: CodeEndpointUpdate, Kind: policy.DeltaUpdate, Endpoints: endpoints},
+		{Code: CodeEndpointUpdate, Kind: policy.FullUpdate, Endpoints: endpoints},
+		{Code: CodeEndpointUpdate, Kind: policy.CachedUpdate, Endpoints: endpoints},
+		{Code: CodeEndpointUpdate, Kind: policy.UpdateFailed, Endpoints: endpoints},
 		{Code: CodeRequest, Request: policy.Request{ID: 0x5d3a91c4, Class: 5, Tenant: 6, TimeRemaining: 240500 * us, WorkHint: 12500 * us}},
 		{Code: CodeStreamStarted, Outcome: policy.Outcome{ID: 0x5d3a91c5, Attempt: 7, Endpoint: 0x0a124a071f93}},
 	}
@@ -78,7 +77,7 @@
 	}
 	want = append(want, Event{Code: CodeClientDisconnected, Outcome: policy.Outcome{ID: 0x0e6f2b19}}, Event{Code: CodeTimer, Token: 0x4d}, Event{Code: CodeCloseInstance})
 	if len(want) != b.Count {
-		t.Fatalf("%d events, want %d", b.Count, len(want))
+		t.Fatalf("got %d events, want %d", b.Count, len(want))
 	}
 	for i := range b.Count {
 		var got Event
--- a/internal/simulator/reply.go
+++ b/internal/simulator/reply.go
@@ -15,10 +15,10 @@
 	actionSize      = 24
 )
 
-// initialReplySize is the memory that a Reply starts with, in bytes.
+// initialReplySize is the initial capacity of a Reply's buffer for header and records, in bytes.
 const initialReplySize = 1 << 14
 
-// noInstance stands for the instance before a reply's first action.
+// noInstance is the value of Reply.recorded before the first action of a reply.
 const noInstance = -1
 
 // The codes of action records.
@@ -35,16 +35,16 @@
 
 var _ policy.Host = (*Reply)(nil)
 
-// Reply collects the actions on one batch. It is the policy.Host of all instances.
+// Reply collects the actions of the instances on one batch. All instances have the same Reply as their policy.Host.
 type Reply struct {
 	out      []byte // header and records
 	tail     []byte
-	count    uint32 // of records
-	instance uint16 // of the actions that follow
-	recorded int    // the instance that the records name last, or noInstance
+	count    uint32 // number of records
+	instance uint16 // instance that the next actions belong to
+	recorded int    // instance that the last actionSelectInstance record names, or noInstance
 }
 
-// Reset starts a new reply.
+// Reset starts a new, empty reply. It has to be called before the first action of each batch.
 func (r *Reply) Reset() {
 	if r.out == nil {
 		r.out = make([]byte, 0, initialReplySize)
@@ -55,10 +55,11 @@
 	r.recorded = noInstance
 }
 
-// SelectInstance selects the instance that the following actions belong to.
+// SelectInstance sets the instance that the following actions belong to.
 func (r *Reply) SelectInstance(instance uint16) { r.instance = instance }
 
-// record appends an action record. A record that names the instance precedes it where that has changed.
+// record appends an action record and returns it. If the instance has changed since the previous action, a record that
+// names the instance is appended before the action's.
 func (r *Reply) record(code byte) []byte {
 	if r.recorded != int(r.instance) {
 		r.recorded = int(r.instance)
@@ -67,7 +68,7 @@
 	return r.append(code)
 }
 
-// append appends a blank record with a code.
+// append appends a record that is zero except for its code, and returns it.
 func (r *Reply) append(code byte) []byte {
 	var blank [actionSize]byte
 	r.out = append(r.out, blank[:]...)
@@ -77,7 +78,7 @@
 	return rec
 }
 
-// requestRecord appends an action record on a request.
+// requestRecord appends an action record about a request and returns it.
 func (r *Reply) requestRecord(code byte, id policy.RequestID) []byte {
 	rec := r.record(code)
 	binary.BigEndian.PutUint32(rec[1:], uint32(id))
@@ -122,7 +123,7 @@
 	r.tail = append(r.tail, text...)
 }
 
-// WriteTo writes the frame of the reply to a batch, and flushes w.
+// WriteTo writes the reply to the batch with the given number as one frame, and flushes w.
 func (r *Reply) WriteTo(w *bufio.Writer, batch uint32) error {
 	binary.BigEndian.PutUint32(r.out[0:], r.count)
 	binary.BigEndian.PutUint32(r.out[4:], uint32(len(r.out)-replyHeaderSize+len(r.tail)))
--- a/internal/simulator/reply_test.go
+++ b/internal/simulator/reply_test.go
@@ -12,9 +12,9 @@
 func TestEncodesActions(t *testing.T) {
 	var r Reply
 	r.Reset()
-	const server = policy.EndpointID(0x0a124a071f93)
+	const endpoint = policy.EndpointID(0x0a124a071f93)
 	r.SelectInstance(3)
-	r.Send(0x5d3a91c4, server, 80*time.Millisecond)
+	r.Send(0x5d3a91c4, endpoint, 80*time.Millisecond)
 	r.SetTimer(8400*time.Millisecond, 0x4d)
 	r.Cancel(0x5d3a91c4, 1)
 	r.SelectInstance(5)
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -9,13 +9,14 @@
 	"yokestall/policy"
 )
 
-// optionalDuration is a time that the protocol gives in milliseconds; it stays at its default where a key is absent.
+// optionalDuration is a duration that the settings give in milliseconds. Its zero value stands for a key that is absent
+// or null.
 type optionalDuration struct {
 	value time.Duration
 	given bool
 }
 
-// UnmarshalJSON implements json.Unmarshaler.
+// UnmarshalJSON implements json.Unmarshaler. It rejects times for which parseMilliseconds reports false.
 func (m *optionalDuration) UnmarshalJSON(text []byte) error {
 	if string(text) == "null" {
 		return nil
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// or returns the time, or d where the key is absent.
+// or returns the duration, or d if the key is absent or null.
 func (m optionalDuration) or(d time.Duration) time.Duration {
 	if m.given {
 		return m.value
@@ -40,10 +41,10 @@
 	return d
 }
 
-// settingsMessage is an instance's settings in the protocol's form. The tags are the protocol's names.
+// settingsMessage is an instance's settings as the protocol encodes them in JSON. The tags are the protocol's keys.
 type settingsMessage struct {
 	Tenants []struct {
-		QuotaPerS float64 `json:"QuotaPerS"` // requests a second
+		QuotaPerS float64 `json:"QuotaPerS"` // requests per second
 	} `json:"Accounts"`
 	NodeCount *int           `json:"Balancers"`
 	Classes   []classMessage `json:"Classes"`
@@ -70,13 +71,13 @@
 	Zone            int      `json:"Locality"`
 	NodeIndex       int      `json:"Me"`
 	OverQuotaWeight *float64 `json:"OverShareWorth"`
-	// DiscoveryMode says whether the list is pushed or polled. Under the same key within "Deductions" stands the price
-	// of a list, which only package node reads.
+	// DiscoveryMode says whether the endpoint list is pushed or polled. The key "RegistryMode" within "Deductions" is
+	// another setting, the price of an endpoint list, which only package node reads.
 	DiscoveryMode string           `json:"RegistryMode"`
 	Tick          optionalDuration `json:"TickMs"`
 }
 
-// classMessage is a class of requests in the protocol's form.
+// classMessage is a class of requests as the protocol encodes it in JSON.
 type classMessage struct {
 	Deadline            optionalDuration `json:"DeadlineMs"`
 	LatencyObjective    optionalDuration `json:"PromiseMs"`
@@ -89,23 +90,24 @@
 	Stream              bool             `json:"Streaming"`
 }
 
-// set replaces a default by the value given, if any.
-func set[T any](to, given *T) {
+// setIfGiven stores *given in *to, unless given is nil because the key is absent or null.
+func setIfGiven[T any](to, given *T) {
 	if given != nil {
 		*to = *given
 	}
 }
 
-// ParseSettings parses an instance's settings (JSON). Unknown keys are skipped, and absent ones leave
-// policy.Defaults. A class without an effect is not idempotent. The error names the key.
+// ParseSettings parses an instance's settings (JSON). Unknown keys are ignored, and settings whose keys are absent have
+// the values of policy.Defaults. A class without the key "Effect" is not idempotent. The error names the key, except
+// for malformed JSON and for a time that is out of range.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	s := policy.Defaults()
 	var m settingsMessage
 	if err := json.Unmarshal(text, &m); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
 	}
-	set(&s.NodeCount, m.NodeCount)
-	set(&s.OverQuotaWeight, m.OverQuotaWeight)
+	setIfGiven(&s.NodeCount, m.NodeCount)
+	setIfGiven(&s.OverQuotaWeight, m.OverQuotaWeight)
 	s.NodeIndex = m.NodeIndex
 	s.Zone = m.Zone
 	s.WeightPerWork = m.WeightUnit == "work"
@@ -115,7 +117,7 @@
 	m.setRules(&s.Rules)
 	var ok bool
 	if s.PollEndpoints, ok = pollsByMode[m.DiscoveryMode]; !ok {
-		return s, fmt.Errorf("settings: RegistryMode: unknown word %q", m.DiscoveryMode)
+		return s, fmt.Errorf("settings: RegistryMode: unknown mode %q, want \"pushed\", \"on_request\" or none", m.DiscoveryMode)
 	}
 	for i := range m.Classes {
 		class, err := m.Classes[i].class(fmt.Sprintf("settings: Classes[%d]", i))
@@ -128,32 +130,33 @@
 		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: t.QuotaPerS})
 	}
 	if math.IsNaN(s.OverQuotaWeight) {
-		return s, fmt.Errorf("settings: OverShareWorth: not a number")
+		return s, fmt.Errorf("settings: OverShareWorth: the value is not a number")
 	}
 	return s, nil
 }
 
-// setLimits sets the limits that are given.
+// setLimits copies the limits to the policy's. MaxAttempts keeps its default if its key is absent, and MaxRetryAfter keeps
+// its default unless Retry-After is allowed.
 func (m *settingsMessage) setLimits(to *policy.Limits) {
-	set(&to.MaxAttempts, m.Limits.MaxAttempts)
+	setIfGiven(&to.MaxAttempts, m.Limits.MaxAttempts)
 	to.AllowCancel, to.AllowHedging = m.Limits.AllowCancel, m.Limits.AllowHedging
 	if m.Limits.AllowRetryAfter {
 		to.MaxRetryAfter = m.Limits.MaxRetryAfter.or(0)
 	}
 }
 
-// setRules sets the rules' figures that are given.
+// setRules copies the rules to the policy's. A rule whose key is absent keeps its default.
 func (m *settingsMessage) setRules(to *policy.Rules) {
-	set(&to.SlowStartMinCapacity, m.Rules.SlowStartMinCapacity)
-	set(&to.OverloadMultiple, m.Rules.OverloadMultiple)
+	setIfGiven(&to.SlowStartMinCapacity, m.Rules.SlowStartMinCapacity)
+	setIfGiven(&to.OverloadMultiple, m.Rules.OverloadMultiple)
 	to.SlowStartWindow = m.Rules.SlowStartWindow.or(to.SlowStartWindow)
 	to.OverloadDuration = m.Rules.OverloadDuration.or(to.OverloadDuration)
 	to.AnswerGrace = m.Rules.AnswerGrace.or(to.AnswerGrace)
 	to.MaxPollInterval = m.Rules.MaxPollInterval.or(to.MaxPollInterval)
 }
 
-// class converts the class. place is its path in the settings, for errors.
-func (m *classMessage) class(place string) (policy.Class, error) {
+// class converts the message to a policy.Class. path is the class's path in the settings, for error messages.
+func (m *classMessage) class(path string) (policy.Class, error) {
 	deadline := m.Deadline.or(0)
 	c := policy.Class{
 		Deadline:            deadline,
@@ -164,18 +167,19 @@
 		DedupWindow:         m.DedupWindow.or(0),
 		Stream:              m.Stream,
 	}
-	set(&c.PriorityWeight, m.PriorityWeight)
+	setIfGiven(&c.PriorityWeight, m.PriorityWeight)
 	var ok bool
 	if c.Idempotency, ok = idempotencies[m.Idempotency]; !ok {
-		return c, fmt.Errorf("%s.Effect: unknown word %q", place, m.Idempotency)
+		return c, fmt.Errorf("%s.Effect: unknown effect %q, want \"pure\", \"token\", \"side_effect\" or none",
+			path, m.Idempotency)
 	}
 	if c.DedupScope, ok = scopes[m.DedupScope]; !ok {
-		return c, fmt.Errorf("%s.DedupScope: unknown word %q", place, m.DedupScope)
+		return c, fmt.Errorf("%s.DedupScope: unknown scope %q, want \"all\", \"zone\", \"cell\" or none", path, m.DedupScope)
 	}
 	return c, nil
 }
 
-// idempotencies maps the protocol's names of effects.
+// idempotencies maps the protocol's effects to the policy's idempotency. "" stands for an absent key.
 var idempotencies = map[string]policy.Idempotency{
 	"pure":        policy.Idempotent,
 	"token":       policy.IdempotentByKey,
@@ -183,10 +187,12 @@
 	"":            policy.NotIdempotent,
 }
 
-// pollsByMode maps the protocol's discovery modes to whether the endpoint list has to be polled.
+// pollsByMode tells for each of the protocol's discovery modes whether the endpoint list has to be polled. "" stands for
+// an absent key.
 var pollsByMode = map[string]bool{"": false, "pushed": false, "on_request": true}
 
-// scopes maps the protocol's names of deduplication scopes. The narrowest is the default.
+// scopes maps the protocol's deduplication scopes to the policy's. The narrowest scope is the default for an absent key,
+// which "" stands for.
 var scopes = map[string]policy.Scope{
 	"all":  policy.ScopeAll,
 	"zone": policy.ScopeZone,
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -33,11 +33,11 @@
 			MaxAttempts: 4, AllowHedging: true, AllowCancel: true, MaxRetryAfter: 600 * time.Millisecond}) ||
 		s.Rules.OverloadMultiple != 3 || s.Rules.SlowStartWindow != 8800*time.Millisecond ||
 		s.Rules.MaxPollInterval != 9*time.Second {
-		t.Errorf("settings %+v", s)
+		t.Errorf("got settings %+v, which differ from the JSON", s)
 	}
 	if d := s.Classes[1]; d.Idempotency != policy.NotIdempotent || d.DedupScope != policy.ScopeCell ||
 		d.LatencyObjective != d.Deadline || d.PriorityWeight != 1 {
-		t.Errorf("class without most keys %+v: not the safe defaults", d)
+		t.Errorf("got class %+v, want the defaults for the absent keys", d)
 	}
 }
 
@@ -51,12 +51,12 @@
 		`{"Contract": {"ColdMs": 1e300}}`:       "time 1e+300",
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name %s", text, err, field)
+			t.Errorf("settings %s: got error %v, want one that names %s", text, err, field)
 		}
 	}
 }
 
-// Guards against an error that does not tell which setting was mistyped.
+// The error for a setting of the wrong type or with an unknown value must tell which setting it is.
 func TestMistypedSettingsNameTheField(t *testing.T) {
 	for field, text := range map[string]string{
 		"Balancers":     `{"Balancers": "two"}`,
@@ -71,7 +71,7 @@
 		"GraceToAnswer": `{"Contract": {"GraceToAnswerMs": true}}`,
 	} {
 		if _, err := ParseSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
+			t.Errorf("wrong value of %s: got error %v, want one that names the key", field, err)
 		}
 	}
 }
