--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -9,17 +9,17 @@
 	"yokestall/policy"
 )
 
-// host has the instances. They share nothing but the buffers of the host.
+// host runs the instances. They share nothing but the host's buffers for the reply and the decoded event.
 type host struct {
 	instances  map[uint16]*policy.Balancer
-	current    uint16 // instance of the events that follow
-	hasCurrent bool   // the batch has named one
+	current    uint16 // instance that the next events are for; not valid without hasCurrent
+	hasCurrent bool   // the present batch has selected an instance
 	reply      simulator.Reply
 	event      simulator.Event
 }
 
-// handleBatch passes the events of a batch to the instances that it names; their decisions go to the reply. The error
-// is simulator.ErrFormat.
+// handleBatch passes the events of a batch to the instances that the batch selects; the instances add their actions to the
+// reply. The error wraps simulator.ErrFormat.
 func (h *host) handleBatch(b *simulator.Batch) error {
 	h.hasCurrent = false
 	for i := range b.Count {
@@ -33,7 +33,7 @@
 			continue
 		}
 		if !h.hasCurrent || (e.Code != simulator.CodeOpenInstance && h.instances[h.current] == nil) {
-			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
+			return fmt.Errorf("%w: batch %d, record %d: event of code %d is for an instance that is not open",
 				simulator.ErrFormat, b.Number, i, e.Code)
 		}
 		h.handle(b, e)
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// handle passes one event to the current instance. A panic in the module is reported as fatal.
+// handle passes one event to the current instance. If that panics, the reply gets a fatal action and the panic's stack is
+// printed.
 func (h *host) handle(b *simulator.Batch, e *simulator.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -70,7 +71,8 @@
 	}
 }
 
-// open makes the current instance. Settings that are not accepted are reported as fatal.
+// open creates the current instance, in place of a former one with the same number. If its settings are rejected, the
+// reply gets a fatal action.
 func (h *host) open(e *simulator.Event) {
 	settings, err := simulator.ParseSettings(e.Settings)
 	if err != nil {
--- a/cmd/simulator-adapter/host_test.go
+++ b/cmd/simulator-adapter/host_test.go
@@ -9,7 +9,7 @@
 	"yokestall/policy"
 )
 
-// Guards against a panic of the module that takes the whole host down silently.
+// A panic of one instance must be reported to the simulator; unhandled, it would end the process without a reply.
 func TestPanicIsReportedAsFatal(t *testing.T) {
 	h := host{instances: map[uint16]*policy.Balancer{4: nil}, current: 4}
 	h.reply.Reset()
@@ -21,6 +21,6 @@
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 77}) ||
 		!bytes.Contains(out.Bytes(), []byte("panic")) {
-		t.Fatalf("action codes %v, want a context and fatal", got)
+		t.Fatalf("got action codes %v, want 68 (select instance) and 77 (fatal), with the panic's text", got)
 	}
 }
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,8 +1,8 @@
-// Command simulator-adapter hosts instances of the decision module on the simulator's protocol: it reads batches of
-// events from standard input and writes one reply each to standard output. Exit codes: 0 at the end of the input, 1 at
-// input that is no batch.
+// Command simulator-adapter runs instances of the load balancer's policy (package policy) for the simulator: it reads
+// batches of events in the simulator's binary protocol from standard input and writes one reply to each batch to standard
+// output. It exits with 0 at the end of the input, and with 1 if it reads a malformed batch or can't read or write.
 //
-// host.go has the instances.
+// host.go passes the events to the instances.
 package main
 
 import (
@@ -18,8 +18,11 @@
 )
 
 const (
-	gcPercent    = 800     // the live heap is small, and the time of collections counts as the module's
-	outputBuffer = 1 << 16 // bytes
+	// gcPercent makes garbage collections rare: the live heap is small, and the simulator counts the time of collections
+	// as the policy's.
+	gcPercent = 800
+
+	outputBufferSize = 1 << 16 // bytes
 )
 
 func main() {
@@ -30,10 +33,10 @@
 	}
 }
 
-// run answers batches until the input ends. An error other than of reading or writing is simulator.ErrFormat.
+// run replies to batches until the input ends. Errors about the input wrap simulator.ErrFormat; errors of writing do not.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[uint16]*policy.Balancer{}}
-	reader, writer := simulator.NewReader(in), bufio.NewWriterSize(out, outputBuffer)
+	reader, writer := simulator.NewReader(in), bufio.NewWriterSize(out, outputBufferSize)
 	for {
 		batch, err := reader.Read()
 		if errors.Is(err, io.EOF) && !errors.Is(err, simulator.ErrFormat) {
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -13,7 +13,7 @@
 
 const settings = `{"Classes": [{"DeadlineMs": 1000, "Effect": "pure"}], "Limits": {"MaxAttempts": 2}}`
 
-// record returns an event record; its parts are written one after the other.
+// record returns an event record that consists of the given parts, padded with zeros to recordSize.
 func record(parts ...any) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
@@ -24,7 +24,7 @@
 	return append(b.Bytes(), make([]byte, recordSize-b.Len())...)
 }
 
-// batch returns a batch with number 7 of records and what they refer to.
+// batch returns the frame of batch 7 with the given records, and with the tail that they refer to.
 func batch(tail string, records ...[]byte) []byte {
 	var b bytes.Buffer
 	body := bytes.Join(records, nil)
@@ -37,11 +37,11 @@
 	return append(append(b.Bytes(), body...), tail...)
 }
 
-// instance returns the record that names the instance of those that follow.
-func instance(n uint16) []byte { return record(uint8(11), n) }
+// selectRecord returns the record that selects the instance for the records that follow.
+func selectRecord(n uint16) []byte { return record(uint8(11), n) }
 
-// open returns the record that opens an instance with settings.
-func open(text string) []byte { return record(uint8(1), uint64(1), uint32(0), uint32(len(text))) }
+// openRecord returns the record that opens an instance. Its settings are the given text, at the start of the tail.
+func openRecord(text string) []byte { return record(uint8(1), uint64(1), uint32(0), uint32(len(text))) }
 
 // actionCodes returns the action codes of all replies.
 func actionCodes(t *testing.T, out []byte) (all []byte) {
@@ -57,12 +57,12 @@
 }
 
 func TestRunServesABatchAndEndsCleanly(t *testing.T) {
-	entry := "\x0a\x00\x00\x01\x1f\x90" +
+	endpoint := "\x0a\x00\x00\x01\x1f\x90" +
 		"\x00\x00\x00\x00\x00\x00\x01\x3f\x80\x00\x00" + strings.Repeat("\x00", 8)
 	in := bytes.Join([][]byte{
 		batch(""),
-		batch(settings, instance(4), open(settings)),
-		batch(entry, instance(4), record(uint8(2), uint8(2), uint64(1), uint32(0), uint32(1)),
+		batch(settings, selectRecord(4), openRecord(settings)),
+		batch(endpoint, selectRecord(4), record(uint8(2), uint8(2), uint64(1), uint32(0), uint32(1)),
 			record(uint8(3), uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
 	}, nil)
 	var out bytes.Buffer
@@ -70,33 +70,33 @@
 		t.Fatal(err)
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 66, 72}) {
-		t.Fatalf("action codes %v, want context, call_out, notify_me", got)
+		t.Fatalf("got action codes %v, want 68 (select instance), 66 (send) and 72 (set timer)", got)
 	}
 }
 
 func TestRunReportsImpossibleSettingsAsFatal(t *testing.T) {
 	text := `{"Classes": [{"DeadlineMs": -5, "Effect": "pure"}]}`
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(batch(text, instance(4), open(text))), &out); err != nil {
+	if err := run(bytes.NewReader(batch(text, selectRecord(4), openRecord(text))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("Classes[0].Deadline")) ||
 		!bytes.Contains(actionCodes(t, out.Bytes()), []byte{77}) {
-		t.Fatalf("reply %q names no field", out.Bytes())
+		t.Fatalf("got reply %q, want a fatal action that names Classes[0].Deadline", out.Bytes())
 	}
 }
 
 func TestRunRejectsEventsForNoInstance(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"never opened": batch("", instance(4), record(uint8(7), uint64(0))),
+		"never opened": batch("", selectRecord(4), record(uint8(7), uint64(0))),
 		"not named":    batch("", record(uint8(7), uint64(0))),
-		"stopped": batch(settings, instance(4), open(settings), record(uint8(10)),
+		"stopped": batch(settings, selectRecord(4), openRecord(settings), record(uint8(10)),
 			record(uint8(7), uint64(0))),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
 		if err == nil || !strings.Contains(err.Error(), "batch 7, record") {
-			t.Errorf("%s: error %v, want batch and record", name, err)
+			t.Errorf("instance %s: got error %v, want one that names batch 7 and the record", name, err)
 		}
 	}
 }
