--- a/internal/route/directresponse.go
+++ b/internal/route/directresponse.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// DirectResponse is a route's own response (route.v3.DirectResponseAction), or a redirect (route.v3.RedirectAction).
+// DirectResponse is a response that is sent without a cluster: a fixed response (route.v3.DirectResponseAction) or a
+// redirect (route.v3.RedirectAction).
 type DirectResponse struct {
 	Status   int
 	Body     string
-	Redirect bool // the response is a redirect, by the fields below
-	// Scheme, Host, Path, Prefix and Port replace parts of the request's URL; "" and 0 leave a part as it is. Prefix
-	// replaces what a PathPrefix route has matched, unless there is a Path.
+	Redirect bool // the response is a redirect to the URL that Location returns
+	// Scheme, Host, Path, Prefix and Port of a redirect replace parts of the request's URL; "" and 0 leave a part as it
+	// is. Prefix replaces the prefix that a PathPrefix route has matched, and has no effect if Path is set.
 	Scheme, Host, Path, Prefix string
 	Port                       int
 	StripQuery                 bool
 }
 
-// Location returns the URL that a redirect of the route r leads to, given the parts of the request's URL.
+// Location returns the target URL of a redirect, given the redirect's route and the parts of the request's URL.
 func (d *DirectResponse) Location(r *Route, scheme, host, path, query string) string {
 	if d.Scheme != "" {
 		scheme = d.Scheme
@@ -41,7 +42,7 @@
 	return scheme + "://" + host + path
 }
 
-// withPort sets the port of a host, which may have another.
+// withPort returns the host with the given port, in place of a port that the host may have.
 func withPort(host string, port int) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,10 +1,11 @@
 // Package route finds the cluster and class of a request, in the order and with the meaning of Envoy's
 // RouteConfiguration (envoy.config.route.v3): the virtual host whose domain fits best, and in it the first route that
-// matches. It is pure; a lookup in a compiled Table allocates nothing, with the exceptions that HeaderMatcher and
-// VirtualHost.Domains name.
+// matches. The package does no I/O. A lookup in a compiled Table allocates no memory, except in the cases described at
+// HeaderMatcher and VirtualHost.Domains.
 //
-// route.go declares what a route consists of: a condition on requests, and edits.go and directresponse.go what is done
-// with those that meet it. compile.go checks and compiles a route, path templates in template.go and conditions on
-// header fields in headers.go. host.go finds the route of a path in a virtual host, domains.go the virtual host of a
-// name, table.go the route of a request; weighted.go picks among the clusters of a route.
+//   - route.go declares virtual hosts and routes: conditions on requests, and where matching requests go
+//   - edits.go and directresponse.go: changes to header fields, and responses without a cluster
+//   - compile.go checks and compiles a route; template.go its path template, headers.go its header conditions
+//   - table.go finds the route of a request: domains.go finds the virtual host, and host.go the route in it
+//   - weighted.go picks one of a route's clusters
 package route
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// compiledHost is a virtual host's routes by how their paths begin: every kind of path has a literal prefix, maybe an
-// empty one, which narrows the routes to compare. Of those that match, the one with the lowest index wins.
+// compiledHost holds the routes of a virtual host, indexed by their exact path or the literal prefix of their path. A
+// lookup compares a request only with routes whose exact path or prefix fits the request's path. Of the routes that
+// match, the route with the lowest index is found.
 type compiledHost struct {
 	routes        []compiledRoute
-	exactPaths    map[string][]int32 // path to indices of PathExact routes, ascending
-	prefixLengths []int              // of the keys of prefixes, ascending
-	prefixes      map[string][]int32 // literal prefix to indices of the other routes, ascending
+	exactPaths    map[string][]int32 // maps a path to the indices of its PathExact routes, ascending
+	prefixLengths []int              // lengths of the keys of prefixes, ascending, each once
+	prefixes      map[string][]int32 // maps a literal prefix, which may be "", to the indices of the other routes, ascending
 }
 
-// compileHost compiles the routes of a virtual host. It returns an error for each route that is wrong.
+// compileHost checks and compiles the routes of a virtual host. It returns an error for each invalid route.
 func compileHost(v *VirtualHost) (*compiledHost, []error) {
 	h := &compiledHost{exactPaths: map[string][]int32{}, prefixes: map[string][]int32{}}
 	var errs []error
@@ -31,7 +32,7 @@
 	return h, errs
 }
 
-// add appends a route. prefix is its path's literal prefix; a PathExact route has none.
+// add appends a route and indexes it. prefix is the literal prefix of the route's path; it is not used for PathExact.
 func (h *compiledHost) add(c compiledRoute, prefix string) {
 	index := int32(len(h.routes))
 	h.routes = append(h.routes, c)
@@ -45,7 +46,7 @@
 	h.prefixes[prefix] = append(h.prefixes[prefix], index)
 }
 
-// find returns the first route that matches a request whose path, without its query, is path; nil if none does.
+// find returns the first route that matches a request, or nil if none does. path is the request's path without the query.
 func (h *compiledHost) find(r *Request, path string) *compiledRoute {
 	best := int32(len(h.routes))
 	best = h.firstMatch(h.exactPaths[path], best, r, path)
@@ -61,7 +62,7 @@
 	return &h.routes[best]
 }
 
-// firstMatch returns the first of the routes with the given indices that matches and comes before best, or else best.
+// firstMatch returns the first of the given indices that is below best and whose route matches the request, or else best.
 func (h *compiledHost) firstMatch(indices []int32, best int32, r *Request, path string) int32 {
 	for _, index := range indices {
 		if index >= best {
