--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -12,7 +12,7 @@
 	return list
 }
 
-// newConfig returns a cluster of the file NAME.toml.
+// newConfig returns a cluster whose source is the file NAME.toml.
 func newConfig(name string, list []Endpoint) *Config {
 	return &Config{Name: name, Endpoints: list, ShrinkTo: ShrinkUnspecified, Source: name + ".toml"}
 }
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -1,30 +1,30 @@
 package cluster
 
-// The sizes of a version.
+// The limits of a version's size.
 const (
 	MaxClusters  = 1000
-	MaxEndpoints = 20000 // of one cluster
+	MaxEndpoints = 20000 // number of endpoints of one cluster
 )
 
-// ShrinkUnspecified is the value of Config.ShrinkTo where a source says nothing about it.
+// ShrinkUnspecified is the value of Config.ShrinkTo if the cluster's source does not set shrink_to.
 const ShrinkUnspecified = -1
 
 // Config is one version of a cluster. It is immutable once it is in a Version.
 type Config struct {
 	Name      string
 	Endpoints []Endpoint // sorted by id
-	// AllowEmpty says that the cluster has no endpoints on purpose.
+	// AllowEmpty says that the cluster has no endpoints on purpose. Check accepts no endpoints then, and rejects any.
 	AllowEmpty bool
-	// ShrinkTo is the number of endpoints that the version has on purpose, however many were removed;
-	// ShrinkUnspecified: CheckRemovals limits how many may be removed.
+	// ShrinkTo is the number of endpoints that the version has on purpose: if the number is right, CheckRemovals accepts
+	// any number of removals. With ShrinkUnspecified, CheckRemovals limits the removals.
 	ShrinkTo int
-	// Source names where the cluster comes from, for messages.
+	// Source names where the cluster comes from, for example a file, in error messages.
 	Source    string
 	Transport Transport
 	Limits
 }
 
-// countServing returns how many endpoints new requests may be sent to.
+// countServing returns the number of endpoints that new requests may be sent to.
 func (c *Config) countServing() (serving int) {
 	for i := range c.Endpoints {
 		if c.Endpoints[i].Serves() {
@@ -34,7 +34,7 @@
 	return serving
 }
 
-// Version is all clusters at one time. It is immutable once it is in use.
+// Version is the set of all clusters at one time. It is immutable once it is in use.
 type Version struct {
 	Number   uint64
 	Clusters map[string]*Config // by name
--- a/internal/cluster/difference_test.go
+++ b/internal/cluster/difference_test.go
@@ -9,7 +9,7 @@
 
 func TestDiff(t *testing.T) {
 	a := endpoints(6)
-	b := append([]Endpoint(nil), a[1:]...) // s-00000 goes
+	b := append([]Endpoint(nil), a[1:]...) // without s-00000
 	b[0].Weight = 7
 	b[1].Address = "10.9.9.9:80"
 	b[2].Health = Draining
@@ -22,24 +22,24 @@
 		Replaced: []EndpointChange{{a[2], b[1]}, {a[4], b[3]}},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v\nwant %+v", got, want)
+		t.Errorf("got difference %+v\nwant %+v", got, want)
 	}
 	back := Diff(newConfig("x", b), newConfig("x", a))
 	if len(back.Changed) != 2 || len(back.Removed) != 1 || len(back.Added) != 1 {
-		t.Errorf("back: %+v", back)
+		t.Errorf("got difference %+v in the other direction, want 2 changed, 1 removed and 1 added", back)
 	}
 	if d := Diff(newConfig("x", a), newConfig("x", a)); !d.Empty() {
-		t.Errorf("a version differs from itself: %+v", d)
+		t.Errorf("got difference %+v between a version and itself, want none", d)
 	}
 	if d := Diff(nil, newConfig("x", a)); len(d.Added) != 6 {
-		t.Errorf("from nothing: %+v", d)
+		t.Errorf("got difference %+v from nil to 6 endpoints, want 6 added", d)
 	}
 	if d := Diff(newConfig("x", a), nil); len(d.Removed) != 6 {
-		t.Errorf("to nothing: %+v", d)
+		t.Errorf("got difference %+v from 6 endpoints to nil, want 6 removed", d)
 	}
 }
 
-// The difference, applied to the old version, gives the new one.
+// The difference between two random versions, applied to the old version, must give the new one.
 func TestDiffAppliedGivesNewVersion(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	draw := func() *Config {
@@ -74,17 +74,17 @@
 		for _, list := range [][]EndpointChange{d.Changed, d.Replaced} {
 			for _, c := range list {
 				if state[c.Old.ID] != c.Old {
-					t.Fatalf("%+v was %+v", c.Old, state[c.Old.ID])
+					t.Fatalf("the difference has old endpoint %+v, want %+v", c.Old, state[c.Old.ID])
 				}
 				state[c.New.ID] = c.New
 			}
 		}
 		if len(state) != len(b.Endpoints) {
-			t.Fatalf("%d endpoints, want %d", len(state), len(b.Endpoints))
+			t.Fatalf("got %d endpoints after applying the difference, want %d", len(state), len(b.Endpoints))
 		}
 		for _, e := range b.Endpoints {
 			if state[e.ID] != e {
-				t.Fatalf("%+v, want %+v", state[e.ID], e)
+				t.Fatalf("got endpoint %+v after applying the difference, want %+v", state[e.ID], e)
 			}
 		}
 	}
--- a/internal/cluster/endpoint.go
+++ b/internal/cluster/endpoint.go
@@ -8,31 +8,32 @@
 	"strings"
 )
 
-// The ranges of an endpoint's fields.
+// The limits of an endpoint's fields.
 const (
-	MaxNameBytes = 128 // of a cluster's name, an endpoint's id or a zone
+	MaxNameBytes = 128 // length of a cluster's name, an endpoint's id or a zone
 	MaxWeight    = 1e6
-	MaxPriority  = 15 // the last one to be used
+	MaxPriority  = 15 // the least preferred priority
 )
 
-// Health is what a source says of an endpoint.
+// Health is the state of an endpoint as the cluster's source gives it.
 type Health uint8
 
-// The states of health of an endpoint.
+// The health states of an endpoint.
 const (
 	Healthy   Health = iota
-	Draining         // finishes the requests it has and gets no new ones
-	Unhealthy        // gets no new requests
-	Degraded         // gets requests where the healthy endpoints are not enough
+	Draining         // the endpoint finishes its requests and gets no new ones
+	Unhealthy        // the endpoint gets no new requests
+	Degraded         // the endpoint gets requests if the healthy endpoints are not enough
 )
 
-// healthNames are the names in configuration files, by Health.
+// healthNames are the names of the health states in configuration files, by Health.
 var healthNames = []string{"healthy", "draining", "unhealthy", "degraded"}
 
-// String returns the name that configuration files have for the health.
+// String returns the name of the health state in configuration files.
 func (h Health) String() string { return healthNames[h] }
 
-// ParseHealth parses the name of a health; "" is Healthy. It returns an error for any other unknown name.
+// ParseHealth parses the name of a health state in configuration files; "" is Healthy. It returns an error for an unknown
+// name.
 func ParseHealth(name string) (Health, error) {
 	if name == "" {
 		return Healthy, nil
@@ -43,25 +44,25 @@
 	return 0, fmt.Errorf("%q is none of %s", name, strings.Join(healthNames, ", "))
 }
 
-// Endpoint is what requests of a cluster are sent to.
+// Endpoint is a server process that requests of a cluster are sent to.
 type Endpoint struct {
 	ID        string
 	Address   string // host:port
 	Zone      string
-	Cell      int     // a group of endpoints within a zone; 0 or more
-	Weight    float64 // approximate capacity, above 0 up to MaxWeight; 0: unknown
+	Cell      int     // group of endpoints within a zone; 0 or more
+	Weight    float64 // approximate capacity, relative to other endpoints, up to MaxWeight; 0: unknown
 	Health    Health
-	StartedMs int64 // when it last started, in Unix milliseconds; 0: long ago
-	// Priority is from 0, the first to be used, to MaxPriority.
+	StartedMs int64 // time of the latest start, in Unix milliseconds; 0: unknown, long past
+	// Priority is from 0, which is preferred, to MaxPriority.
 	Priority int
 }
 
 // Serves reports whether new requests may be sent to the endpoint.
 func (e *Endpoint) Serves() bool { return e.Health == Healthy || e.Health == Degraded }
 
-// Key returns a hash of the endpoint's id and address, which is the same on every node. An endpoint whose address
-// changes under the same id gets another key, so that neither statistics nor connections of the former process are
-// used for the new one.
+// Key returns a hash of the endpoint's id and address, which is the same on every node. If an endpoint's address changes,
+// its key changes too, so that neither statistics nor connections of the process at the former address are used for the
+// process at the new one.
 func (e *Endpoint) Key() uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, e.ID)
--- a/internal/cluster/patch.go
+++ b/internal/cluster/patch.go
@@ -8,31 +8,32 @@
 // Patch is a change to one cluster's list of endpoints.
 type Patch struct {
 	Name       string
-	Upserts    []Endpoint // to add, or to replace those of the same id; checked, and sorted by id
-	RemovedIDs []string
+	Upserts    []Endpoint // endpoints to add, or to replace by id; checked, and sorted by id
+	RemovedIDs []string   // ids of the endpoints to remove
 	Source     string
 }
 
-// Apply returns the cluster with a patch applied, at the cost of one pass over both. c stays as it is. The error is a
-// Problem for a patch that doesn't fit the list: an id to remove that is not in it, an address that another endpoint
-// has, too many endpoints, or none.
+// Apply returns the cluster with a patch applied, after one pass over both. It does not change c. The result has neither
+// AllowEmpty nor ShrinkTo set. The error is a *Problem for a patch that does not fit the cluster: an id that is both
+// upserted and removed, an id to remove that the cluster does not have, an address that another endpoint has, upserts
+// that are not sorted, or a result with no endpoints or with too many.
 func (c *Config) Apply(p *Patch) (*Config, error) {
 	removed := make(map[string]bool, len(p.RemovedIDs))
 	for _, id := range p.RemovedIDs {
 		removed[id] = true
 	}
-	newAddresses := make(map[string]string, len(p.Upserts)) // to the id
+	newAddresses := make(map[string]string, len(p.Upserts)) // maps an address to the endpoint's id
 	for i := range p.Upserts {
 		e := &p.Upserts[i]
 		newAddresses[e.Address] = e.ID
 		if removed[e.ID] {
-			return nil, c.patchProblem(p, "%s is removed and named", e.ID)
+			return nil, c.patchProblem(p, "endpoint %s is both in the change's endpoints and among the removed", e.ID)
 		}
 	}
 	out := *c
 	out.Endpoints = make([]Endpoint, 0, len(c.Endpoints)+len(p.Upserts))
 	out.AllowEmpty, out.ShrinkTo = false, ShrinkUnspecified
-	found := 0 // of the ids to remove
+	found := 0 // number of ids to remove that are in the cluster
 	upserts := p.Upserts
 	for i := range c.Endpoints {
 		e := &c.Endpoints[i]
@@ -46,7 +47,8 @@
 			found++
 		default:
 			if id, taken := newAddresses[e.Address]; taken {
-				return nil, c.patchProblem(p, "%s has the address %s that %s is to have", e.ID, e.Address, id)
+				return nil, c.patchProblem(p, "endpoint %s has the address %s, which the change gives to endpoint %s",
+					e.ID, e.Address, id)
 			}
 			out.Endpoints = append(out.Endpoints, *e)
 		}
@@ -61,15 +63,15 @@
 	return &out, nil
 }
 
-// checkPatched checks the result of a patch.
+// checkPatched checks the number and the order of the endpoints of a patch's result.
 func (c *Config) checkPatched(p *Patch, out *Config) error {
 	switch n := len(out.Endpoints); {
 	case n > MaxEndpoints:
-		return c.patchProblem(p, "%d endpoints; %d at most", n, MaxEndpoints)
+		return c.patchProblem(p, "%d endpoints after the change, at most %d are allowed", n, MaxEndpoints)
 	case n == 0:
-		return c.patchProblem(p, "no servers are left; a change can't mean that")
+		return c.patchProblem(p, "the change leaves no endpoints, which is allowed in a complete list only")
 	case !slices.IsSortedFunc(out.Endpoints, compareIDs):
-		return c.patchProblem(p, "the change is not in the order of its ids")
+		return c.patchProblem(p, "the change's endpoints are not sorted by id")
 	}
 	return nil
 }
--- a/internal/cluster/patch_test.go
+++ b/internal/cluster/patch_test.go
@@ -8,11 +8,12 @@
 	"testing"
 )
 
-// A random patch has the same result as on a map; one that doesn't fit the list is an error, and nothing changes.
+// Random patches must have the same result on a cluster as on a map of endpoints. A patch that does not fit must return an
+// error, and no patch may change the earlier version.
 func TestPatchAgainstMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(39, 3))
 	c := &Config{Name: "rooms", ShrinkTo: ShrinkUnspecified}
-	plain := map[string]Endpoint{}
+	reference := map[string]Endpoint{}
 	draw := func() Endpoint {
 		i := rng.IntN(60)
 		return Endpoint{
@@ -20,7 +21,7 @@
 			Weight: float64(rng.IntN(3)), Health: Health(rng.IntN(2)),
 		}
 	}
-	good, rejected := 0, 0
+	applied, rejected := 0, 0
 	for range 3000 {
 		p := &Patch{Name: "rooms"}
 		for range rng.IntN(4) {
@@ -32,11 +33,11 @@
 		for range rng.IntN(3) {
 			p.RemovedIDs = append(p.RemovedIDs, draw().ID)
 		}
-		want, ok := applyToMap(plain, p)
+		want, ok := applyToMap(reference, p)
 		before := slices.Clone(c.Endpoints)
 		next, err := c.Apply(p)
 		if (err == nil) != ok {
-			t.Fatalf("%+v: %v, want success: %v", p, err, ok)
+			t.Fatalf("patch %+v: got error %v, want success %v", p, err, ok)
 		}
 		if !reflect.DeepEqual(before, c.Endpoints) && len(before) > 0 {
 			t.Fatal("the patch changed the earlier version")
@@ -45,30 +46,30 @@
 			rejected++
 			continue
 		}
-		good++
-		c, plain = next, want
-		if err := c.Check(nil); err != nil || len(c.Endpoints) != len(plain) {
-			t.Fatalf("%v; %d of %d", err, len(c.Endpoints), len(plain))
+		applied++
+		c, reference = next, want
+		if err := c.Check(nil); err != nil || len(c.Endpoints) != len(reference) {
+			t.Fatalf("got error %v from Check and %d endpoints, want %d", err, len(c.Endpoints), len(reference))
 		}
 		for _, e := range c.Endpoints {
-			if plain[e.ID] != e {
-				t.Fatalf("%+v, want %+v", e, plain[e.ID])
+			if reference[e.ID] != e {
+				t.Fatalf("got endpoint %+v, want %+v", e, reference[e.ID])
 			}
 		}
 	}
-	if good < 500 || rejected < 500 {
-		t.Errorf("%d good, %d rejected", good, rejected)
+	if applied < 500 || rejected < 500 {
+		t.Errorf("got %d applied and %d rejected patches, want at least 500 of each", applied, rejected)
 	}
 }
 
-// applyToMap applies a patch to endpoints by id; false: it doesn't fit them.
-func applyToMap(plain map[string]Endpoint, p *Patch) (map[string]Endpoint, bool) {
+// applyToMap returns a map of endpoints by id with a patch applied. The result is false if the patch does not fit.
+func applyToMap(reference map[string]Endpoint, p *Patch) (map[string]Endpoint, bool) {
 	out := map[string]Endpoint{}
-	for id, e := range plain {
+	for id, e := range reference {
 		out[id] = e
 	}
 	for _, id := range slices.Compact(slices.Sorted(slices.Values(p.RemovedIDs))) {
-		if _, there := out[id]; !there {
+		if _, found := out[id]; !found {
 			return nil, false
 		}
 		delete(out, id)
--- a/internal/cluster/problem.go
+++ b/internal/cluster/problem.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Problem is the error for a version or a file that can't be used.
+// Problem is the error for a fault in a version or in a file.
 type Problem struct {
-	Source string // the file; "": none
-	Line   int    // from 1; 0: the file as such
-	Field  string // may be ""
+	Source string // file or other origin of the fault; "": none
+	Line   int    // line in the source, from 1; 0: no certain line
+	Field  string // field at fault; "": no certain field
 	Text   string
 }
 
-// Error returns file:line: field: text.
+// Error returns "source:line: field: text", without the parts that are not set.
 func (p *Problem) Error() string {
 	var b strings.Builder
 	if p.Source != "" {
--- a/internal/cluster/removals.go
+++ b/internal/cluster/removals.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// CheckRemovals compares a candidate with the active version. It returns a Problem, joined, for each cluster that
-// would lose more than maxShare (0 to 1) of its serving endpoints at once, by removal or by draining, unless
-// Config.ShrinkTo or Config.AllowEmpty says that this is on purpose. A single endpoint may always go, unless it is the
-// last. active may be nil.
+// CheckRemovals compares a candidate version with the active version, which may be nil. It returns the joined *Problems
+// of all clusters that would lose more than maxShare (0 to 1) of their serving endpoints at once, by removal or by
+// draining, unless Config.ShrinkTo or Config.AllowEmpty says that this is on purpose. The loss of a single endpoint is
+// always accepted if another serving endpoint remains.
 func CheckRemovals(active, candidate *Version, maxShare float64) error {
 	if active == nil {
 		return nil
@@ -24,8 +24,8 @@
 	return errors.Join(problems...)
 }
 
-// checkRemovals returns the problem of the cluster with a name, nil if there is none. after is nil if the candidate has
-// no such cluster.
+// checkRemovals returns the Problem of the cluster with the given name, or nil if there is none. after is nil if the
+// candidate version does not have the cluster.
 func checkRemovals(name string, before, after *Config, maxShare float64) *Problem {
 	if before == after {
 		return nil
@@ -49,11 +49,11 @@
 		return p
 	}
 	p.Source = after.Source
-	p.Text += fmt.Sprintf("; if that is meant, say shrink_to = %d in [cluster]", len(after.Endpoints))
+	p.Text += fmt.Sprintf("; if this is on purpose, set shrink_to = %d in the [cluster] table", len(after.Endpoints))
 	return p
 }
 
-// countLost returns how many serving endpoints are removed or begin to drain.
+// countLost returns the number of serving endpoints that are removed or stop serving between two versions of a cluster.
 func countLost(before, after *Config) int {
 	d := Diff(before, after)
 	lost := len(d.Draining)
--- a/internal/cluster/removals_test.go
+++ b/internal/cluster/removals_test.go
@@ -49,7 +49,7 @@
 			case c.want == "" && err != nil:
 				t.Error(err)
 			case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-				t.Errorf("error %v, want %q", err, c.want)
+				t.Errorf("got error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
--- a/internal/cluster/transport.go
+++ b/internal/cluster/transport.go
@@ -1,16 +1,16 @@
 package cluster
 
-// Transport is how a cluster's endpoints are connected to. The zero value is HTTP/1.1 in clear text.
+// Transport says how to connect to a cluster's endpoints. The zero value is HTTP/1.1 in clear text.
 type Transport struct {
-	HTTP2 bool
+	HTTP2 bool // HTTP/2 in place of HTTP/1.1
 	TLS   *TLS // nil: clear text
 }
 
-// TLS is what the endpoints have to prove, and which certificate they are shown. Roots and Certificate are names of
-// entries in the program's folder of keys (package tlskeys).
+// TLS says how endpoints' certificates are verified, and which client certificate is sent to endpoints. Roots and
+// Certificate are names of entries in the program's folder of keys (package tlskeys).
 type TLS struct {
-	ServerName  string   // that their certificates are for; "": the address's host
-	Roots       string   // "": the system's
-	Certificate string   // the client certificate; "": none
-	Pins        []string // SHA-256 of keys in base 64, one of which the chain must have; nil: any
+	ServerName  string   // name that an endpoint's certificate must be valid for; "": the host of the endpoint's address
+	Roots       string   // trusted root certificates; "": the system's
+	Certificate string   // client certificate; "": none
+	Pins        []string // SHA-256 hashes of public keys, in base64; the chain must have one of the keys; nil: any key
 }
--- a/internal/cluster/validate.go
+++ b/internal/cluster/validate.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	// maxProblems bounds the problems of endpoints that Check returns at a time.
+	// maxProblems is the number of problems after which Check validates no further endpoint.
 	maxProblems = 20
-	// maxHostBytes is the longest host name in text: 255 bytes on the wire (RFC 1035, section 2.3.4).
+	// maxHostBytes is the length in text of the longest host name, which has 255 bytes on the wire (RFC 1035, section
+	// 2.3.4).
 	maxHostBytes = 253
 	maxPort      = 65535
 )
 
-// clusterFields is the index that a Locator gets for the cluster's own fields.
+// clusterFields is the endpoint index that a Locator gets for a field of the cluster itself.
 const clusterFields = -1
 
-// Locator returns the line of a field of the endpoint with an index, the line of the endpoint itself where the field
-// is "", and the line of the cluster's own field for an index below 0. Lines count from 1; 0 is unknown.
+// Locator returns the line of a field of the endpoint with the given index, or the line of the endpoint itself if field is
+// "". For an index below 0, it returns the line of a field of the cluster. Lines count from 1; 0 is unknown.
 type Locator func(index int, field string) int
 
-// Check validates a cluster and sorts its endpoints by id. It returns a Problem for each fault, joined. at may be nil.
-func (c *Config) Check(at Locator) error {
+// Check validates a cluster and, if it is valid, sorts its endpoints by id. It returns the joined *Problems of the faults;
+// after maxProblems, it validates no further endpoint. locate may be nil.
+func (c *Config) Check(locate Locator) error {
 	v := &validator{
-		config: c, locate: at,
+		config: c, locate: locate,
 		firstWithID: map[string]int{}, firstWithAddress: map[string]int{},
 	}
 	v.checkSize()
@@ -55,11 +57,11 @@
 	locate   Locator // may be nil
 	problems []error
 
-	// The index of the first endpoint with an id, and with an address.
+	// firstWithID and firstWithAddress map an id and an address to the index of the first endpoint that has it.
 	firstWithID, firstWithAddress map[string]int
 }
 
-// report adds a problem of the endpoint with an index, or of the cluster for clusterFields.
+// report adds a problem of the endpoint with the given index, or of the cluster if index is clusterFields.
 func (v *validator) report(index int, field, format string, args ...any) {
 	p := &Problem{Source: v.config.Source, Field: field, Text: fmt.Sprintf(format, args...)}
 	if v.locate != nil {
@@ -77,7 +79,7 @@
 	v.problems = append(v.problems, p)
 }
 
-// checkSize checks the cluster's name, and whether it has as many endpoints as it says.
+// checkSize checks the cluster's name and its number of endpoints, also against AllowEmpty and ShrinkTo.
 func (v *validator) checkSize() {
 	c := v.config
 	if err := checkName(c.Name); err != nil {
@@ -85,20 +87,20 @@
 	}
 	switch n := len(c.Endpoints); {
 	case n > MaxEndpoints:
-		v.report(clusterFields, "", "%d endpoints; %d at most", n, MaxEndpoints)
+		v.report(clusterFields, "", "the cluster has %d endpoints, at most %d are allowed", n, MaxEndpoints)
 		return
 	case n == 0 && !c.AllowEmpty:
 		v.report(clusterFields, "",
 			"names no servers; if that is meant, say no_servers = \"on purpose\" in [cluster]")
 	case n > 0 && c.AllowEmpty:
-		v.report(clusterFields, "no_servers", "%d servers are named all the same", n)
+		v.report(clusterFields, "no_servers", "%d servers are named though the cluster is to have none", n)
 	}
 	if c.ShrinkTo >= 0 && c.ShrinkTo != len(c.Endpoints) {
 		v.report(clusterFields, "shrink_to", "says %d servers, %d are named", c.ShrinkTo, len(c.Endpoints))
 	}
 }
 
-// checkEndpoint checks the endpoint with an index.
+// checkEndpoint checks the endpoint with the given index.
 func (v *validator) checkEndpoint(index int) {
 	e := &v.config.Endpoints[index]
 	if err := checkName(e.ID); err != nil {
@@ -132,16 +134,16 @@
 	}
 }
 
-// checkDrops checks the categories of requests that are rejected.
+// checkDrops checks the cluster's drop categories.
 func (v *validator) checkDrops() {
 	drops := v.config.Drops
 	for i, d := range drops {
 		if i >= MaxDrops {
-			v.report(clusterFields, "drops", "%d categories; %d at most", len(drops), MaxDrops)
+			v.report(clusterFields, "drops", "%d categories, at most %d are allowed", len(drops), MaxDrops)
 			return
 		}
 		if math.IsNaN(d.Fraction) || d.Fraction < 0 || d.Fraction > 1 {
-			v.report(clusterFields, "drops", "%s: %v is not from 0 to 1", d.Category, d.Fraction)
+			v.report(clusterFields, "drops", "category %s: the fraction %v is not from 0 to 1", d.Category, d.Fraction)
 		}
 	}
 }
@@ -155,27 +157,27 @@
 		return fmt.Errorf("is longer than %d bytes", MaxNameBytes)
 	}
 	for _, r := range name {
-		if r <= ' ' || r == '\x7f' || r == '\ufffd' { // spaces, control characters, and what is not UTF-8
-			return fmt.Errorf("%q has a character that a name may not have", name)
+		if r <= ' ' || r == '\x7f' || r == '\ufffd' { // space, control characters or invalid UTF-8
+			return fmt.Errorf("%q has a space, a control character or invalid UTF-8, which a name may not have", name)
 		}
 	}
 	return nil
 }
 
-// checkAddress checks a host:port.
+// checkAddress checks that an address is host:port with a possible host and port.
 func checkAddress(address string) error {
 	if address == "" {
 		return errors.New("is missing")
 	}
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
-		return fmt.Errorf("%q is no host:port", address)
+		return fmt.Errorf("%q is not of the form host:port", address)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > maxPort {
 		return fmt.Errorf("%q: the port is not from 1 to %d", address, maxPort)
 	}
 	if host == "" || len(host) > maxHostBytes || strings.ContainsAny(host, " \t/%") {
-		return fmt.Errorf("%q has no host that can be called", address)
+		return fmt.Errorf("%q has no host or an invalid host", address)
 	}
 	return nil
 }
--- a/internal/cluster/validate_test.go
+++ b/internal/cluster/validate_test.go
@@ -9,7 +9,7 @@
 func TestCheck(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(c *Config)
-		want   string // "" for nothing wrong
+		want   string // part of the error; "" for no error
 	}{
 		"good":             {func(*Config) {}, ""},
 		"no name":          {func(c *Config) { c.Name = "" }, "name: is missing"},
@@ -30,7 +30,7 @@
 			"endpoint 3 (s-00002): address: 10.0.0.1:80 is endpoint 1's",
 		},
 		"no address":         {func(c *Config) { c.Endpoints[0].Address = "" }, "address: is missing"},
-		"no port":            {func(c *Config) { c.Endpoints[0].Address = "10.0.0.1" }, "no host:port"},
+		"no port":            {func(c *Config) { c.Endpoints[0].Address = "10.0.0.1" }, "not of the form host:port"},
 		"port 0":             {func(c *Config) { c.Endpoints[0].Address = "10.0.0.1:0" }, "1 to 65535"},
 		"port 70000":         {func(c *Config) { c.Endpoints[0].Address = "10.0.0.1:70000" }, "1 to 65535"},
 		"no host":            {func(c *Config) { c.Endpoints[0].Address = ":80" }, "no host"},
@@ -41,7 +41,7 @@
 		"cell negative":      {func(c *Config) { c.Endpoints[0].Cell = -1 }, "cell: -1"},
 		"started negative":   {func(c *Config) { c.Endpoints[0].StartedMs = -1 }, "started_ms"},
 		"zone long":          {func(c *Config) { c.Endpoints[0].Zone = strings.Repeat("z", MaxNameBytes+1) }, "zone"},
-		"too many":           {func(c *Config) { c.Endpoints = make([]Endpoint, MaxEndpoints+1) }, "20000 at most"},
+		"too many":           {func(c *Config) { c.Endpoints = make([]Endpoint, MaxEndpoints+1) }, "at most 20000"},
 		"everything at once": {func(c *Config) { c.Endpoints = make([]Endpoint, 1000) }, "is missing"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -54,11 +54,11 @@
 			}
 			switch {
 			case c.want == "" && err != nil:
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want none", err)
 			case !strings.Contains(text, c.want), c.want != "" && !strings.Contains(text, "rooms.toml:"):
-				t.Errorf("error %v, want %q with its place", err, c.want)
+				t.Errorf("got error %v, want one that contains %q and the file", err, c.want)
 			case strings.Count(text, "\n") > 30:
-				t.Errorf("%d lines of errors", strings.Count(text, "\n"))
+				t.Errorf("got %d lines of errors, want at most 30", strings.Count(text, "\n"))
 			}
 		})
 	}
