--- a/internal/ingress/attributes_test.go
+++ b/internal/ingress/attributes_test.go
@@ -39,7 +39,7 @@
 	for name, c := range map[string]struct {
 		header          http.Header
 		want            Attributes
-		lenient, strict string // the error's message, without and with strict
+		lenient, strict string // start of the error's message without and with strict; "": no error
 	}{
 		"complete":       {complete("X-Other", ""), all, "", ""},
 		"no id":          {complete("X-Request-Id", ""), with(func(a *Attributes) { a.ID = "" }), "", "X-Request-ID"},
@@ -65,26 +65,26 @@
 			got, err := ReadAttributes(c.header, &destination, strict)
 			if wantMessage == "" {
 				if err != nil || got != c.want {
-					t.Errorf("%s, strict %v: %+v, error %v; want %+v", name, strict, got, err, c.want)
+					t.Errorf("%s, strict %v: got %+v, error %v; want %+v", name, strict, got, err, c.want)
 				}
 				continue
 			}
 			var rejection *Rejection
 			if !errors.As(err, &rejection) || rejection.Status != http.StatusBadRequest ||
 				!strings.HasPrefix(rejection.Message, wantMessage) {
-				t.Errorf("%s, strict %v: error %v, want a 400 on %s", name, strict, err, wantMessage)
+				t.Errorf("%s, strict %v: got error %v, want a Rejection with status 400 and a message about %s", name, strict, err, wantMessage)
 			}
 		}
 	}
 }
 
-// TestReadAttributesOfGRPC: Grpc-Timeout lowers the class's deadline, but not with strict.
+// TestReadAttributesOfGRPC checks that Grpc-Timeout lowers the timeout of a request, except with strict.
 func TestReadAttributesOfGRPC(t *testing.T) {
 	h := http.Header{"X-Request-Id": {"r"}, "X-Timeout-Ms": {"500"}, "Grpc-Timeout": {"100m"}}
 	for strict, want := range map[bool]time.Duration{false: 100 * time.Millisecond, true: 500 * time.Millisecond} {
 		a, err := ReadAttributes(h, &Destination{Deadline: time.Second}, strict)
 		if err != nil || a.Timeout != want || a.IdempotencyKey != "" {
-			t.Errorf("strict %v: %+v, error %v; want %v", strict, a, err, want)
+			t.Errorf("strict %v: got %+v, error %v; want timeout %v and no key", strict, a, err, want)
 		}
 	}
 }
@@ -99,13 +99,13 @@
 		got, ok := ParseGRPCTimeout(text)
 		switch {
 		case ok != (want >= 0):
-			t.Errorf("%q: %v, valid %v", text, got, ok)
+			t.Errorf("%q: got %v, valid %v; want the opposite validity", text, got, ok)
 		case want == tooLong:
 			if got > maxGRPCTimeout || got < maxGRPCTimeout-time.Hour {
-				t.Errorf("%q: %v, want about %v", text, got, maxGRPCTimeout)
+				t.Errorf("%q: got %v, want at most %v and less than an hour below it", text, got, maxGRPCTimeout)
 			}
 		case ok && got != want:
-			t.Errorf("%q: %v, want %v", text, got, want)
+			t.Errorf("%q: got %v, want %v", text, got, want)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 		0: "0.000", 250 * time.Millisecond: "0.250", 2 * time.Second: "2.000", 1234567 * time.Nanosecond: "0.001",
 	} {
 		if got := FormatRetryAfter(d); got != want {
-			t.Errorf("%v: %s, want %s", d, got, want)
+			t.Errorf("%v: got %s, want %s", d, got, want)
 		}
 	}
 }
--- a/internal/ingress/destination.go
+++ b/internal/ingress/destination.go
@@ -10,37 +10,38 @@
 	"yokestall/policy"
 )
 
-// Router finds the destination of a request. An error ends the request: a *Rejection is sent as it says.
+// Router finds the destination of a request. If it returns an error, the request is not forwarded; a *Rejection is sent
+// to the client.
 type Router interface {
 	Route(r *http.Request) (Destination, error)
 }
 
-// Handler decides on a request and returns its one answer; *engine.Cluster is one.
+// Handler decides on a request and returns its final answer. *engine.Cluster implements it.
 type Handler interface {
 	Do(ctx context.Context, r *engine.Request) (engine.Answer, error)
 }
 
-// HeaderEditor changes header fields; names are canonical.
+// HeaderEditor changes header fields. The keys of h are canonical names.
 type HeaderEditor interface{ Apply(h map[string][]string) }
 
-// Destination is what a Router finds for a request: the cluster that decides on it, the class that it has there, and
-// the limits of the two.
+// Destination is the result of routing a request: the cluster that decides on the request, the request's class in that
+// cluster, and the limits of the class and the route.
 type Destination struct {
 	Cluster     Handler
-	Class       int // as in the cluster's settings
+	Class       int // index of the class in the cluster's settings
 	Idempotency policy.Idempotency
-	DedupWindow time.Duration  // for policy.IdempotentByKey: how long endpoints drop a repeated request
-	Deadline    time.Duration  // the longest that a client of the class waits
-	Tenants     map[string]int // name to index; nil if requests have none
-	// TenantsByCertificate are tenants by names in clients' certificates. A client that shows such a name is that
-	// tenant, whatever X-Tenant-Id says.
+	DedupWindow time.Duration  // for policy.IdempotentByKey: time for which endpoints drop a repeated request
+	Deadline    time.Duration  // the class's deadline, or the route's timeout if that is shorter
+	Tenants     map[string]int // maps a tenant's name to its index; nil if requests have no tenants
+	// TenantsByCertificate maps names in clients' certificates to indices of tenants. If a client's certificate has such
+	// a name, the client's requests belong to that tenant, whatever X-Tenant-Id says.
 	TenantsByCertificate map[string]int
-	MaxRetryAfter        time.Duration // Retry-After of rejections that are not the cluster's; 0: none
-	MaxAttempts          int           // lowers the cluster's limit; 0: that one holds
-	PerTryTimeout        time.Duration // of one attempt; 0: none
+	MaxRetryAfter        time.Duration // Retry-After of rejections that the cluster does not decide on; 0: none
+	MaxAttempts          int           // lowers the cluster's limit for a request's attempts; 0: no change
+	PerTryTimeout        time.Duration // limit for one attempt; 0: no limit
 	StreamLimits         h1client.StreamLimits
-	// RequestEdits and ResponseEdits change the header fields of the forwarded messages; nil: they stay.
+	// RequestEdits and ResponseEdits change the header fields of the forwarded messages; nil: no changes.
 	RequestEdits, ResponseEdits HeaderEditor
-	// PickEndpoint makes a calling proxy send the request itself, to the endpoint that it is given.
+	// PickEndpoint says that a calling proxy (package extproc) gets an endpoint's address and sends the request itself.
 	PickEndpoint bool
 }
--- a/internal/ingress/doc.go
+++ b/internal/ingress/doc.go
@@ -1,3 +1,4 @@
-// Package ingress has what every downstream server needs to know of a request before it hands it on: where it goes
-// (destination.go), why it goes nowhere (rejection.go), and what its header fields ask for (attributes.go). It is pure.
+// Package ingress declares what every downstream server needs before it forwards a request: the request's destination
+// (destination.go), the response to a request that is not forwarded (rejection.go), and the attributes in the request's
+// header fields (attributes.go). The package does no I/O.
 package ingress
