--- a/internal/forwarded/forwarded_test.go
+++ b/internal/forwarded/forwarded_test.go
@@ -10,7 +10,7 @@
 	for _, tc := range []struct {
 		name, trusted, peer string
 		header              http.Header
-		want                http.Header // of the fields named
+		want                http.Header // the fields to check; nil: absent
 		client              string
 	}{
 		{
@@ -70,14 +70,14 @@
 		r := &Rules{TrustedProxies: trusted, WriteForwarded: true}
 		q := &http.Request{RemoteAddr: tc.peer, Host: "a", Header: tc.header.Clone()}
 		if got := r.Client(&http.Request{RemoteAddr: tc.peer, Header: tc.header}).String(); got != tc.client {
-			t.Errorf("%s: the client is %s, want %s", tc.name, got, tc.client)
+			t.Errorf("%s: got client %s, want %s", tc.name, got, tc.client)
 		}
 		if err := r.Apply(q); err != nil {
-			t.Errorf("%s: %v", tc.name, err)
+			t.Errorf("%s: got error %v from Apply, want none", tc.name, err)
 		}
 		for name, want := range tc.want {
 			if got := q.Header[name]; strings.Join(got, "|") != strings.Join(want, "|") {
-				t.Errorf("%s: %s is %q, want %q", tc.name, name, got, want)
+				t.Errorf("%s: got %s %q, want %q", tc.name, name, got, want)
 			}
 		}
 	}
@@ -90,14 +90,14 @@
 	}
 	trusted, _ := ParseTrustedProxies([]string{"10.0.0.1"})
 	if err := (&Rules{TrustedProxies: trusted}).Apply(q); err == nil {
-		t.Error("the number of hops is not limited")
+		t.Error("Apply returned no error for more than MaxHops hops")
 	}
 }
 
 func TestParseTrustedProxiesErrors(t *testing.T) {
 	for _, text := range []string{"10.0.0.1/8", "x", "10.0.0.9-10.0.0.1", ""} {
 		if _, err := ParseTrustedProxies([]string{text}); err == nil || !strings.Contains(err.Error(), text) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want one that contains the text", text, err)
 		}
 	}
 }
--- a/internal/forwarded/trust.go
+++ b/internal/forwarded/trust.go
@@ -9,14 +9,14 @@
 	"go4.org/netipx"
 )
 
-// Rules are an operator's settings. The zero value trusts no proxy.
+// Rules are an operator's settings for these header fields. The zero value trusts no proxy.
 type Rules struct {
-	TrustedProxies *netipx.IPSet // networks of the proxies in front; nil: none
-	WriteForwarded bool          // adds Forwarded (RFC 7239) beside X-Forwarded-*
+	TrustedProxies *netipx.IPSet // addresses of the trusted proxies in front of this program; nil: none
+	WriteForwarded bool          // also write Forwarded (RFC 7239), in addition to X-Forwarded-*
 }
 
-// ParseTrustedProxies parses networks ("10.0.0.0/8"), addresses and ranges ("10.0.0.1-10.0.0.9"); the set of none is
-// nil. The error names the first text that is wrong.
+// ParseTrustedProxies parses networks ("10.0.0.0/8"), addresses and ranges ("10.0.0.1-10.0.0.9") to one set, which is nil
+// for an empty list. The error names the first invalid text.
 func ParseTrustedProxies(list []string) (*netipx.IPSet, error) {
 	if len(list) == 0 {
 		return nil, nil
@@ -25,7 +25,7 @@
 	for _, text := range list {
 		if p, err := netip.ParsePrefix(text); err == nil {
 			if p != p.Masked() {
-				return nil, fmt.Errorf("%q: the network is %s", text, p.Masked())
+				return nil, fmt.Errorf("%q has host bits set, the network is %s", text, p.Masked())
 			}
 			b.AddPrefix(p)
 		} else if a, err := netip.ParseAddr(text); err == nil {
@@ -33,33 +33,35 @@
 		} else if r, err := netipx.ParseIPRange(text); err == nil {
 			b.AddRange(r)
 		} else {
-			return nil, fmt.Errorf("%q is no network, address or range", text)
+			return nil, fmt.Errorf("%q is not a network, an address or a range of addresses", text)
 		}
 	}
 	return b.IPSet()
 }
 
-// Trusts reports whether an address is a trusted proxy's.
+// Trusts reports whether an address belongs to a trusted proxy.
 func (r *Rules) Trusts(a netip.Addr) bool {
 	return r.TrustedProxies != nil && a.IsValid() && r.TrustedProxies.Contains(a.Unmap())
 }
 
-// Client returns the address of the client: the last one on the request's way, counted from this program, that is not a
-// trusted proxy's.
+// Client returns the address of the client. Client goes back from the peer through X-Forwarded-For to the first address
+// that does not belong to a trusted proxy. At the end of the list, or at an entry that is not an address, it returns the
+// last address that it has read.
 func (r *Rules) Client(q *http.Request) netip.Addr {
 	client := ParseAddr(q.RemoteAddr)
 	hops := strings.Split(strings.Join(q.Header["X-Forwarded-For"], ","), ",")
 	for i := len(hops) - 1; i >= 0 && r.Trusts(client); i-- {
 		a, err := netip.ParseAddr(strings.TrimSpace(hops[i]))
 		if err != nil {
-			break // a proxy could not name what is before it
+			break // the proxy at client does not know the address before it
 		}
 		client = a.Unmap()
 	}
 	return client
 }
 
-// ParseAddr returns the address in host:port; the zero Addr if there is none.
+// ParseAddr returns the address in an address:port without its zone, and an IPv4-mapped IPv6 address as IPv4. It returns
+// the zero Addr for any other text.
 func ParseAddr(hostport string) netip.Addr {
 	a, err := netip.ParseAddrPort(hostport)
 	if err != nil {
