--- a/cmd/simulator-adapter/host.go
+++ b/cmd/simulator-adapter/host.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// handle passes one event to the current instance. If that panics, the reply gets a fatal action and the panic's stack is
-// printed.
+// handle passes one event to the current instance. If the instance panics, the reply gets a fatal action and the stack is
+// printed to standard error.
 func (h *host) handle(b *simulator.Batch, e *simulator.Event) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/cluster/endpoint.go
+++ b/internal/cluster/endpoint.go
@@ -50,7 +50,7 @@
 	Address   string // host:port
 	Zone      string
 	Cell      int     // group of endpoints within a zone; 0 or more
-	Weight    float64 // approximate capacity, relative to other endpoints, up to MaxWeight; 0: unknown
+	Weight    float64 // approximate capacity, above 0 up to MaxWeight; 0: unknown
 	Health    Health
 	StartedMs int64 // time of the latest start, in Unix milliseconds; 0: unknown, long past
 	// Priority is from 0, which is preferred, to MaxPriority.
--- a/internal/simulator/event_test.go
+++ b/internal/simulator/event_test.go
@@ -24,7 +24,7 @@
 		"0a9011f2 1fbc 0000 0000 0000 02 3fc00000 40b7d40000000000"))
 	events, err := decodeAll(raw)
 	if !errors.Is(err, io.EOF) || errors.Is(err, ErrFormat) {
-		t.Fatalf("error %v, want io.EOF without ErrFormat", err)
+		t.Fatalf("got error %v, want io.EOF without ErrFormat", err)
 	}
 	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != CodeCloseInstance {
 		t.Fatalf("got instance %d, timer token %d and last code %d, want 3, 77 and 10", events[0].Instance, events[2].Token, events[7].Code)
