--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -12,17 +12,19 @@
 	"yokestall/policy"
 )
 
-// Class is a class of requests. Its index in Program.Classes is its index in the policy.
+// Class is the settings of a request class. Its index in Program.Classes is its index in the policy.
 type Class struct {
 	Name string
 	policy.Class
-	// The timeouts of streamed responses and upgraded connections; 0: the default for Progress, none for the others.
-	Progress time.Duration // how long an endpoint may send nothing
-	Stream   time.Duration // the whole duration
-	Drain    time.Duration // how long one may last once its endpoint drains
+	// Progress is how long an endpoint may send nothing in a streamed response or an upgraded connection; 0: the default.
+	Progress time.Duration
+	// Stream is the maximum duration of a streamed response or an upgraded connection; 0: unlimited.
+	Stream time.Duration
+	// Drain is how long a streamed response or an upgraded connection may last once its endpoint is draining; 0: unlimited.
+	Drain time.Duration
 }
 
-// classFile is the part of a file on classes and tenants, as written.
+// classFile is the tables [[class]] and [[tenant]] as decoded from the program's file, or from a control plane's JSON.
 type classFile struct {
 	tenantTables
 	Class []struct {
@@ -40,14 +42,14 @@
 	} `toml:"class" json:"classes"`
 }
 
-// Tenant is a client organization with a quota.
+// Tenant is the settings of a tenant: a client organization with a quota.
 type Tenant struct {
 	Name         string
-	Certificates []string // names in client certificates that identify it
+	Certificates []string // names in client certificates that identify the tenant
 	policy.Tenant
 }
 
-// tenantTables is the part of a file on tenants, as written.
+// tenantTables is the tables [[tenant]] as decoded from a file, or from a control plane's JSON.
 type tenantTables struct {
 	Tenant []struct {
 		Name      string  `toml:"name" json:"name"`
@@ -57,8 +59,9 @@
 	} `toml:"tenant" json:"tenants"`
 }
 
-// ParseClasses parses classes and tenants from a resource of a control plane, as JSON: {"classes": [...], "tenants":
-// [...]} with the keys of the program's own file. Either may be missing. The error has what is wrong.
+// ParseClasses parses the classes and tenants of a control plane's resource, which is JSON of the form {"classes": [...],
+// "tenants": [...]} with the keys of the program's own file. Either list may be missing. The error joins up to maxProblems
+// problems.
 func ParseClasses(text []byte) ([]Class, []Tenant, error) {
 	var f classFile
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -80,18 +83,18 @@
 	return p.Classes, p.Tenants, errors.Join(found...)
 }
 
-// The words of the keys effect and scope.
+// The values that the keys effect and scope may have.
 var (
-	effects = map[string]policy.Idempotency{
+	idempotencyByEffect = map[string]policy.Idempotency{
 		"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NotIdempotent,
 	}
-	scopes = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+	scopeByName = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 )
 
-// readClasses reads the classes.
+// readClasses checks the classes and sets p.Classes.
 func (p *Program) readClasses(f *classFile, report reporter) {
 	if n := len(f.Class); n == 0 || n > MaxClasses {
-		report("class", -1, "", "%d classes; 1 to %d", n, MaxClasses)
+		report("class", -1, "", "%d classes are defined; the number must be from 1 to %d", n, MaxClasses)
 	}
 	seen := map[string]bool{}
 	for i, c := range f.Class {
@@ -100,20 +103,20 @@
 			DedupWindow: c.Window.Duration,
 		}, Progress: c.Progress.Duration, Stream: c.Stream.Duration, Drain: c.Drain.Duration}
 		var ok bool
-		if k.Idempotency, ok = effects[c.Effect]; !ok {
-			report("class", i, "effect", "%q is none of safe, keyed, unsafe", c.Effect)
+		if k.Idempotency, ok = idempotencyByEffect[c.Effect]; !ok {
+			report("class", i, "effect", "%q is not one of safe, keyed, unsafe", c.Effect)
 		}
-		if k.DedupScope, ok = scopes[c.Scope]; !ok && c.Scope != "" {
-			report("class", i, "scope", "%q is none of all, zone, cell", c.Scope)
+		if k.DedupScope, ok = scopeByName[c.Scope]; !ok && c.Scope != "" {
+			report("class", i, "scope", "%q is not one of all, zone, cell", c.Scope)
 		}
 		if k.PriorityWeight == 0 {
 			k.PriorityWeight = 1
 		}
 		switch {
 		case c.Name == "" || len(c.Name) > cluster.MaxNameBytes:
-			report("class", i, "name", "1 to %d bytes", cluster.MaxNameBytes)
+			report("class", i, "name", "length is not from 1 to %d bytes", cluster.MaxNameBytes)
 		case seen[c.Name]:
-			report("class", i, "name", "%s is another one's too", c.Name)
+			report("class", i, "name", "%s is the name of another class", c.Name)
 		}
 		seen[c.Name] = true
 		if k.Deadline < time.Millisecond*20 || k.Deadline > time.Hour {
@@ -143,21 +146,21 @@
 	}
 }
 
-// readTenants reads the tenants.
+// readTenants checks the tenants and sets p.Tenants.
 func (p *Program) readTenants(f *tenantTables, report reporter) {
 	if n := len(f.Tenant); n > MaxTenants {
-		report("tenant", -1, "", "%d tenants; %d at most", n, MaxTenants)
+		report("tenant", -1, "", "%d tenants are defined; the limit is %d", n, MaxTenants)
 		return
 	}
 	if len(f.Tenant) == 0 {
 		return
 	}
 	p.Tenants = make([]Tenant, 0, len(f.Tenant))
-	seen, certified := make(map[string]bool, len(f.Tenant)), map[string]bool{}
+	seen, certificateNames := make(map[string]bool, len(f.Tenant)), map[string]bool{}
 	for i, t := range f.Tenant {
 		switch {
 		case t.Name == "" || len(t.Name) > cluster.MaxNameBytes:
-			report("tenant", i, "name", "1 to %d bytes", cluster.MaxNameBytes)
+			report("tenant", i, "name", "length is not from 1 to %d bytes", cluster.MaxNameBytes)
 		case seen[t.Name]:
 			report("tenant", i, "name", "%s is another one's too", t.Name)
 		}
@@ -166,10 +169,10 @@
 			report("tenant", i, "quota_per_s", "%v is not from 0 to 1e9", t.QuotaPerS)
 		}
 		for _, name := range t.Certificates {
-			if name == "" || certified[name] {
-				report("tenant", i, "certificates", "%q is empty or another one's too", name)
+			if name == "" || certificateNames[name] {
+				report("tenant", i, "certificates", "%q is empty or repeats a name of a tenant's certificate", name)
 			}
-			certified[name] = true
+			certificateNames[name] = true
 		}
 		p.Tenants = append(p.Tenants, Tenant{t.Name, t.Certificates, policy.Tenant{QuotaPerS: t.QuotaPerS}})
 	}
--- a/internal/config/clusterfile.go
+++ b/internal/config/clusterfile.go
@@ -13,13 +13,13 @@
 	"yokestall/internal/cluster"
 )
 
-// File is a file's name, as problems have it, and its content.
+// File is the content of a file, and the name that problems give as their source.
 type File struct {
 	Name string
 	Text []byte
 }
 
-// clusterFile is a cluster file as written.
+// clusterFile is a cluster file as decoded.
 type clusterFile struct {
 	Cluster struct {
 		Name      string   `toml:"name"`
@@ -50,30 +50,30 @@
 	} `toml:"end"`
 }
 
-// IsCluster reports whether a text looks like a cluster file rather than the program's own, by the tables in it, so
-// that the problems of a faulty one are those of its kind.
-func IsCluster(text []byte) bool { return clusterTable.Match(text) && !programTable.Match(text) }
+// IsCluster reports whether a text has tables of a cluster file and none of the program's own file. A caller that parses the
+// text accordingly reports the problems of a faulty file as those of its kind.
+func IsCluster(text []byte) bool { return clusterTableRE.Match(text) && !programTableRE.Match(text) }
 
-// ParseCluster parses a cluster file. It has to end with the closing entry, which has the number of endpoints:
+// ParseCluster parses a cluster file. The file must end with a closing entry that has the number of endpoints:
 //
 //	[end]
 //	endpoints = 3
 //
-// with the end of its line and nothing behind it, so that no part of a file is ever accepted as complete. The error has
-// what is wrong by line.
+// A line feed must end the entry and nothing may follow it, so that no truncated file is accepted as complete. Errors are
+// cluster.Problems with their lines.
 func ParseCluster(file File) (*cluster.Config, error) {
 	c, f, err := parseCluster(file)
 	if err != nil {
 		return nil, err
 	}
 	if f.Cluster.Change || len(f.Cluster.Removed) > 0 {
-		return nil, &cluster.Problem{Source: file.Name, Field: "change", Text: "is a change of a list, not a list"}
+		return nil, &cluster.Problem{Source: file.Name, Field: "change", Text: "is a change to an endpoint list, not an endpoint list"}
 	}
 	return c, nil
 }
 
-// ParseChange parses a change of a cluster's endpoint list: a cluster file that says change = true, with the endpoints
-// that are new or changed, and the removed ones under their key. The error has what is wrong.
+// ParseChange parses a change to a cluster's endpoint list: a cluster file with change = true that has the new and the changed
+// endpoints, and the IDs of removed endpoints under the key removed. Errors are cluster.Problems.
 func ParseChange(file File) (*cluster.Patch, error) {
 	c, f, err := parseCluster(file)
 	if err != nil {
@@ -85,32 +85,33 @@
 	in := &f.Cluster
 	switch {
 	case !in.Change:
-		return nil, fail("change", "is missing: change = true in [cluster]")
+		return nil, fail("change", "is missing: a change has change = true in [cluster]")
 	case in.Name == "":
-		return nil, fail("name", "is missing: of the cluster that it changes")
+		return nil, fail("name", "is missing: a change must name the cluster that it changes")
 	case in.NoServers != "" || in.ShrinkTo != nil || in.Protocol != "" || in.TLS != nil:
-		return nil, fail("change", "a change has servers alone: no no_servers, shrink_to, protocol or tls")
+		return nil, fail("change", "a change may only have endpoints: no no_servers, shrink_to, protocol or tls")
 	case len(in.Removed) > cluster.MaxEndpoints:
-		return nil, fail("removed", fmt.Sprintf("%d; %d at most", len(in.Removed), cluster.MaxEndpoints))
+		return nil, fail("removed", fmt.Sprintf("%d endpoints are removed; the limit is %d", len(in.Removed), cluster.MaxEndpoints))
 	case len(in.Removed)+len(c.Endpoints) == 0:
-		return nil, fail("change", "changes nothing")
+		return nil, fail("change", "neither adds, changes nor removes an endpoint")
 	}
 	return &cluster.Patch{Name: c.Name, Upserts: c.Endpoints, RemovedIDs: in.Removed, Source: file.Name}, nil
 }
 
-// clusterReader reads a decoded cluster file.
+// clusterReader converts a decoded cluster file into a cluster.Config.
 type clusterReader struct {
-	name  string // of the file
+	name  string // the file's name
 	in    *clusterFile
-	lines func() lines
+	lines func() lineFinder
 	out   *cluster.Config
 }
 
+// parseCluster parses a cluster file, which may be a change. It also returns the decoded file.
 func parseCluster(file File) (*cluster.Config, *clusterFile, error) {
 	if len(file.Text) > MaxFile {
 		return nil, nil, &cluster.Problem{Source: file.Name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
 	}
-	if !clusterEnd.Match(lastBytes(file.Text)) {
+	if !clusterEndRE.Match(lastBytes(file.Text)) {
 		const text = `is not whole: the last lines have to be "[end]" and "endpoints = N"`
 		lastLine := bytes.Count(file.Text, []byte("\n")) + 1
 		return nil, nil, &cluster.Problem{Source: file.Name, Line: lastLine, Text: text}
@@ -120,7 +121,7 @@
 		return nil, nil, err
 	}
 	r := clusterReader{
-		name: file.Name, in: &f, lines: sync.OnceValue(func() lines { return newLines(file.Text) }),
+		name: file.Name, in: &f, lines: sync.OnceValue(func() lineFinder { return newLineFinder(file.Text) }),
 		out: &cluster.Config{Name: f.Cluster.Name, Source: file.Name, ShrinkTo: cluster.ShrinkUnspecified},
 	}
 	if err := r.read(); err != nil {
@@ -129,7 +130,7 @@
 	return r.out, &f, nil
 }
 
-// read reads the whole file up to its first problem.
+// read converts and checks the whole file, up to the first problem of a part.
 func (r *clusterReader) read() error {
 	if r.out.Name == "" {
 		r.out.Name = strings.TrimSuffix(path.Base(r.name), ".toml")
@@ -139,12 +140,13 @@
 			return err
 		}
 	}
-	// A change may only remove endpoints.
+	// A change that only removes endpoints has an empty list.
 	r.out.AllowEmpty = r.out.AllowEmpty || r.in.Cluster.Change && len(r.out.Endpoints) == 0
 	return r.out.Check(r.line)
 }
 
-// line returns the line of a key in the endpoint with an index; below 0: in the cluster's table.
+// line returns the line of a key in the table of the endpoint with this index, or in the table [cluster] if index is
+// negative.
 func (r *clusterReader) line(index int, key string) int {
 	if index < 0 {
 		return r.lines().find("cluster", 0, key)
@@ -152,26 +154,27 @@
 	return r.lines().find("endpoint", index, key)
 }
 
-// problem returns a problem of a key in the endpoint with an index; below 0: in the cluster's table.
+// problem returns a problem of a key in the table of the endpoint with this index, or in the table [cluster] if index is
+// negative.
 func (r *clusterReader) problem(index int, key, text string) error {
 	return &cluster.Problem{Source: r.name, Line: r.line(index, key), Field: key, Text: text}
 }
 
-// readCluster reads what the cluster's table says of the list and the protocol.
+// readCluster reads the keys no_servers and protocol of the table [cluster].
 func (r *clusterReader) readCluster() error {
 	switch r.in.Cluster.NoServers {
 	case "":
 	case "on purpose":
 		r.out.AllowEmpty = true
 	default:
-		return r.problem(-1, "no_servers", `may say "on purpose" only`)
+		return r.problem(-1, "no_servers", `the only allowed value is "on purpose"`)
 	}
 	switch r.in.Cluster.Protocol {
 	case "", "http1":
 	case "http2":
 		r.out.Transport.HTTP2 = true
 	default:
-		return r.problem(-1, "protocol", "is none of http1, http2")
+		return r.problem(-1, "protocol", "is not one of http1, http2")
 	}
 	return nil
 }
@@ -185,7 +188,7 @@
 		if sum, err := base64.StdEncoding.DecodeString(pin); err != nil || len(sum) != sha256.Size {
 			return &cluster.Problem{
 				Source: r.name, Line: r.lines().find("cluster.tls", 0, "pins"), Field: "pins",
-				Text: fmt.Sprintf("%q is no SHA-256 in base 64", pin),
+				Text: fmt.Sprintf("%q is not a SHA-256 hash in base64", pin),
 			}
 		}
 	}
@@ -205,7 +208,7 @@
 	return nil
 }
 
-// readEndpoints reads the endpoints, whose number has to be that of the closing entry.
+// readEndpoints reads the endpoints. Their number must equal that of the closing entry.
 func (r *clusterReader) readEndpoints() error {
 	list := r.in.Endpoint
 	if n := r.in.End.Endpoints; n == nil || *n != len(list) {
@@ -229,11 +232,12 @@
 	return nil
 }
 
+// Patterns of the table headers by which IsCluster distinguishes cluster files from the program's file.
 var (
-	clusterTable = regexp.MustCompile(`(?m)^[ \t]*(\[[ \t]*(cluster|end)[ \t]*\]|\[\[[ \t]*endpoint[ \t]*\]\])`)
-	programTable = regexp.MustCompile(
+	clusterTableRE = regexp.MustCompile(`(?m)^[ \t]*(\[[ \t]*(cluster|end)[ \t]*\]|\[\[[ \t]*endpoint[ \t]*\]\])`)
+	programTableRE = regexp.MustCompile(
 		`(?m)^[ \t]*\[\[?[ \t]*(listen|upstream|files|process|limits|fleet|class|tenant|host)[ \t.\]]`)
 )
 
-// clusterEnd matches the last line of a complete cluster file.
-var clusterEnd = regexp.MustCompile(`(?:^|\n)endpoints = ([0-9]{1,6})\n$`)
+// clusterEndRE matches the last line of a complete cluster file.
+var clusterEndRE = regexp.MustCompile(`(?:^|\n)endpoints = ([0-9]{1,6})\n$`)
--- a/internal/config/clusterformat.go
+++ b/internal/config/clusterformat.go
@@ -9,12 +9,13 @@
 	"yokestall/internal/cluster"
 )
 
-// FormatCluster returns a cluster's file, as ParseCluster parses it.
+// FormatCluster returns the cluster file that ParseCluster parses to c.
 func FormatCluster(c *cluster.Config) []byte { return formatCluster(c, "") }
 
-// FormatChange returns a change that adds the cluster's endpoints, as ParseChange parses it.
+// FormatChange returns a change file, as ParseChange parses it, that adds the cluster's endpoints.
 func FormatChange(c *cluster.Config) []byte { return formatCluster(c, "change = true\n") }
 
+// formatCluster formats a cluster file with extraKeys, complete lines, in the table [cluster].
 func formatCluster(c *cluster.Config, extraKeys string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "[cluster]\nname = %q\n%s", c.Name, extraKeys)
--- a/internal/config/clusters.go
+++ b/internal/config/clusters.go
@@ -7,8 +7,8 @@
 	"yokestall/internal/cluster"
 )
 
-// ParseClusters parses all cluster files of a version and returns the clusters by name. A problem of any of them is one
-// of the version.
+// ParseClusters parses all cluster files of a version and returns the clusters by name. It fails if any of the files has a
+// problem.
 func ParseClusters(files []File) (map[string]*cluster.Config, error) {
 	names := make([]string, len(files))
 	for i := range files {
@@ -17,7 +17,9 @@
 	return GatherClusters(names, func(i int) (*cluster.Config, error) { return ParseCluster(files[i]) })
 }
 
-// GatherClusters is ParseClusters for files with these names, where parse returns the cluster of the file at an index.
+// GatherClusters collects the clusters of the files with these names, by cluster name. parse returns the cluster of the file
+// at an index of names. GatherClusters checks that cluster names are unique and that the number of files and of servers is
+// within the limits. Its error joins up to maxProblems problems of files.
 func GatherClusters(names []string, parse func(i int) (*cluster.Config, error)) (map[string]*cluster.Config, error) {
 	if len(names) > MaxFiles {
 		return nil, fmt.Errorf("%d cluster files; %d at most", len(names), MaxFiles)
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/cluster"
 )
 
-// Duration is a duration as files have it: "1.4s", "250ms".
+// Duration is a duration that files have as a string of time.ParseDuration, such as "1.4s" or "250ms".
 type Duration struct{ time.Duration }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -23,10 +23,11 @@
 	return err
 }
 
-// Decode decodes TOML into a value; an unknown key is a problem. The error has all problems by file and line.
+// Decode decodes a TOML file of at most MaxFile bytes into the value that to points to. A key that the value's type does not
+// have is a problem. Errors are cluster.Problems with the file's name and line, joined if the file has several unknown keys.
 func Decode(name string, text []byte, to any) error { return decode(name, text, to, nil) }
 
-// decode is Decode with limits of tables.
+// decode implements Decode. It also limits the number of tables and list values in the file.
 func decode(name string, text []byte, to any, limits tableLimits) error {
 	if len(text) > MaxFile {
 		return &cluster.Problem{Source: name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
@@ -45,12 +46,12 @@
 	}
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
-		return unknownKeys(name, strict)
+		return unknownKeyProblems(name, strict)
 	}
 	return decodeProblem(name, err)
 }
 
-// lineOfInvalidUTF8 returns the line, from 1, of the first byte that is not UTF-8.
+// lineOfInvalidUTF8 returns the line, counted from 1, of the first byte that is not valid UTF-8.
 func lineOfInvalidUTF8(text []byte) int {
 	line := 1
 	for i := 0; i < len(text); {
@@ -66,8 +67,8 @@
 	return line
 }
 
-// unknownKeys returns the problems of a file with unknown keys.
-func unknownKeys(name string, strict *toml.StrictMissingError) error {
+// unknownKeyProblems returns the file's first unknown keys, maxProblems at most, as joined problems.
+func unknownKeyProblems(name string, strict *toml.StrictMissingError) error {
 	var found []error
 	for i := range strict.Errors {
 		if i == maxProblems {
@@ -76,25 +77,26 @@
 		e := &strict.Errors[i]
 		line, _ := e.Position()
 		found = append(found, &cluster.Problem{
-			Source: name, Line: line, Field: shorten(strings.Join(e.Key(), ".")), Text: "is no known key",
+			Source: name, Line: line, Field: truncate(strings.Join(e.Key(), ".")), Text: "is no known key",
 		})
 	}
 	return errors.Join(found...)
 }
 
-// decodeProblem returns an error of the TOML library as a problem, without the library's name and our types'.
+// decodeProblem converts an error of the TOML library to a problem. It removes the library's prefix and, from type mismatches,
+// the name of the Go type.
 func decodeProblem(name string, err error) error {
-	p := &cluster.Problem{Source: name, Text: shorten(strings.TrimPrefix(err.Error(), "toml: "))}
-	if m := wrongType.FindStringSubmatch(p.Text); m != nil {
+	p := &cluster.Problem{Source: name, Text: truncate(strings.TrimPrefix(err.Error(), "toml: "))}
+	if m := typeMismatchRE.FindStringSubmatch(p.Text); m != nil {
 		p.Text = "can't be a " + m[1]
 	}
 	var where *toml.DecodeError
 	if errors.As(err, &where) {
 		p.Line, _ = where.Position()
-		p.Field = shorten(strings.Join(where.Key(), "."))
+		p.Field = truncate(strings.Join(where.Key(), "."))
 	}
 	return p
 }
 
-// wrongType matches the library's error of a value of another type than the key's.
-var wrongType = regexp.MustCompile(`^cannot decode TOML (\w+) into `)
+// typeMismatchRE matches the TOML library's error for a value whose type differs from that of its key.
+var typeMismatchRE = regexp.MustCompile(`^cannot decode TOML (\w+) into `)
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,14 +1,15 @@
-// Package config parses the configuration files of the product program: the program's own file, the cluster files and
-// the tenants' file. It does no I/O: it is given the bytes of the files, and returns a complete, checked configuration
-// or what is wrong with it, by file and line (cluster.Problem).
+// Package config parses the configuration files of the load balancer program: the program's own file, the cluster files and
+// the tenants' file. It does no I/O: its functions take the content of files and return either a complete, checked
+// configuration or its problems with their files and lines (cluster.Problem).
 //
-// A file is surveyed, then decoded strictly, then each part is checked and converted:
+// A file is first surveyed, which is one pass that checks its size limits and unknown keys without storing its content. It is
+// then decoded strictly, and each part of it is checked and converted:
 //
-//   - survey.go, schema.go: limits and unknown keys, before a file is decoded into memory
-//   - decode.go, problems.go: decoding TOML, and problems by line
-//   - programfile.go, parseprogram.go, program.go: the program's file as written, its parsing, and the result
+//   - survey.go, schema.go: limits and unknown keys, checked before a file is decoded into memory
+//   - decode.go, problems.go: decoding of TOML, and problems with their lines
+//   - programfile.go, parseprogram.go, program.go: the program's file as decoded, its parsing, and the result
 //   - listeners.go, classes.go, tenants.go, routes.go, xds.go, extproc.go, agree.go: parts of the program's file
-//   - clusterfile.go, clusterformat.go, clusters.go: parsing a cluster file, writing one, and all of a version
+//   - clusterfile.go, clusterformat.go, clusters.go: parsing a cluster file, formatting one, and parsing all of a version
 //
-// The types whose names end in File have the names that operators write in their struct tags.
+// Types whose names end in File mirror the files: their struct tags are the keys that operators write.
 package config
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -37,24 +37,24 @@
 
 // listenerFile is a listener as written.
 type listenerFile struct {
-	Name        string   `toml:"name"`
-	Address     string   `toml:"address"`
-	Connections *int     `toml:"connections"`
-	Silent      *int     `toml:"silent"`
-	HTTP2       *int     `toml:"http2_streams"`
-	MaxBody     int64    `toml:"max_body_mb"`
-	Trust       []string `toml:"trust"`
-	Forwarded   bool     `toml:"forwarded"`
-	Proxy       string   `toml:"proxy_protocol"`
-	Drain       Duration `toml:"drain"`
-	TLS         bool     `toml:"tls"`
-	ClientRoots string   `toml:"client_roots"`
-	ClientNeeds bool     `toml:"client_required"`
-	MaxHead     *int     `toml:"max_head_kb"`
-	Stall       Duration `toml:"client_stall"`
-	Resets      *int     `toml:"http2_resets_per_s"`
-	Controls    *int     `toml:"http2_controls_per_s"`
-	Pieces      *int     `toml:"http2_head_pieces"`
+	Name           string   `toml:"name"`
+	Address        string   `toml:"address"`
+	Connections    *int     `toml:"connections"`
+	Silent         *int     `toml:"silent"`
+	HTTP2          *int     `toml:"http2_streams"`
+	MaxBodyMB      int64    `toml:"max_body_mb"`
+	Trust          []string `toml:"trust"`
+	Forwarded      bool     `toml:"forwarded"`
+	Proxy          string   `toml:"proxy_protocol"`
+	Drain          Duration `toml:"drain"`
+	TLS            bool     `toml:"tls"`
+	ClientRoots    string   `toml:"client_roots"`
+	ClientRequired bool     `toml:"client_required"`
+	MaxHeadKB      *int     `toml:"max_head_kb"`
+	Stall          Duration `toml:"client_stall"`
+	Resets         *int     `toml:"http2_resets_per_s"`
+	Controls       *int     `toml:"http2_controls_per_s"`
+	Pieces         *int     `toml:"http2_head_pieces"`
 }
 
 // readListeners reads [listen], which most files have, and [[listener]].
@@ -89,12 +89,12 @@
 func (p *Program) readListener(table string, i int, f *listenerFile, keys string, report reporter) {
 	l := Listener{
 		Name: f.Name, Address: f.Address, Connections: 1024, NewConnections: 256, HTTP2: 128,
-		MaxBody: f.MaxBody << 20, Trust: strings.Join(f.Trust, " "), Forwarded: f.Forwarded, Proxy: f.Proxy,
+		MaxBody: f.MaxBodyMB << 20, Trust: strings.Join(f.Trust, " "), Forwarded: f.Forwarded, Proxy: f.Proxy,
 		MaxHead: 16, Stall: 30 * time.Second, Resets: 200, Controls: 500, Pieces: 16,
-		Drain: f.Drain.Duration, TLS: f.TLS, ClientRoots: f.ClientRoots, RequireClientCert: f.ClientNeeds,
+		Drain: f.Drain.Duration, TLS: f.TLS, ClientRoots: f.ClientRoots, RequireClientCert: f.ClientRequired,
 	}
 	for to, given := range map[*int]*int{&l.Connections: f.Connections, &l.NewConnections: f.Silent, &l.HTTP2: f.HTTP2,
-		&l.MaxHead: f.MaxHead, &l.Resets: f.Resets, &l.Controls: f.Controls, &l.Pieces: f.Pieces} {
+		&l.MaxHead: f.MaxHeadKB, &l.Resets: f.Resets, &l.Controls: f.Controls, &l.Pieces: f.Pieces} {
 		if given != nil {
 			*to = *given
 		}
@@ -129,7 +129,7 @@
 	if n := l.HTTP2; n < 0 || n > 1000 {
 		report(table, i, "http2_streams", "%d is not from 0 to 1000", n)
 	}
-	if n := f.MaxBody; n < 0 || n > 1<<20 {
+	if n := f.MaxBodyMB; n < 0 || n > 1<<20 {
 		report(table, i, "max_body_mb", "%d is not from 0 to 1048576", n)
 	}
 	if n := l.MaxHead; n < 1 || n > 1024 {
--- a/internal/config/parseprogram.go
+++ b/internal/config/parseprogram.go
@@ -38,7 +38,7 @@
 	if len(p.Hosts) > 0 {
 		var err error
 		if p.Table, err = route.Compile(p.Hosts); err != nil {
-			return nil, &cluster.Problem{Source: name, Text: shortenLines(err.Error())}
+			return nil, &cluster.Problem{Source: name, Text: truncateLines(err.Error())}
 		}
 	}
 	return p, nil
@@ -84,8 +84,8 @@
 	}
 }
 
-// within reports a duration that is not in its range.
-func (report reporter) within(table, key string, d, least, most time.Duration) {
+// checkDuration reports a duration that is not in its range.
+func (report reporter) checkDuration(table, key string, d, least, most time.Duration) {
 	if d < least || d > most {
 		report(table, -1, key, "%v is not from %v to %v", d, least, most)
 	}
@@ -94,18 +94,18 @@
 // readConnections reads the keys, and the settings of upstream connections and of the process.
 func (p *Program) readConnections(f *programFile, report reporter) {
 	p.Keys = Keys{f.Keys.Folder, f.Keys.First, f.Keys.Poll.Duration}
-	report.within("keys", "poll", p.Keys.Poll, 10*time.Millisecond, time.Minute)
+	report.checkDuration("keys", "poll", p.Keys.Poll, 10*time.Millisecond, time.Minute)
 	if n := p.Upstream.Connections; n < 1 || n > 1e6 {
 		report("upstream", -1, "connections", "%d is not from 1 to 1000000", n)
 	}
-	report.within("upstream", "idle", p.Upstream.Idle, 100*time.Millisecond, time.Hour)
-	report.within("upstream", "connect_timeout", p.Upstream.ConnectTimeout, time.Millisecond, time.Minute)
+	report.checkDuration("upstream", "idle", p.Upstream.Idle, 100*time.Millisecond, time.Hour)
+	report.checkDuration("upstream", "connect_timeout", p.Upstream.ConnectTimeout, time.Millisecond, time.Minute)
 	p.ClusterIdle = f.Upstream.ClusterIdle.Duration
 	p.MemoryLimit = f.Process.MemoryMB << 20
 	if n := f.Process.MemoryMB; n != 0 && (n < minMemoryMB || n > maxMemoryMB) {
 		report("process", -1, "memory_mb", "%d is neither 0 nor from %d to %d", n, minMemoryMB, maxMemoryMB)
 	}
-	report.within("upstream", "cluster_idle", p.ClusterIdle, time.Second, 24*time.Hour)
+	report.checkDuration("upstream", "cluster_idle", p.ClusterIdle, time.Second, 24*time.Hour)
 }
 
 func (p *Program) checkFiles(report reporter) {
@@ -115,14 +115,14 @@
 	if s := p.Files.MaxShare; math.IsNaN(s) || s < 0 || s > 1 {
 		report("files", -1, "max_removed_share", "%v is not from 0 to 1", s)
 	}
-	report.within("files", "poll", p.Files.Poll, 10*time.Millisecond, time.Minute)
+	report.checkDuration("files", "poll", p.Files.Poll, 10*time.Millisecond, time.Minute)
 }
 
 func (p *Program) checkLimits(report reporter) {
 	if n := p.Limits.MaxAttempts; n < 1 || n > 16 {
 		report("limits", -1, "attempts", "%d is not from 1 to 16", n)
 	}
-	report.within("limits", "max_retry_after", p.Limits.MaxRetryAfter, 0, time.Hour)
+	report.checkDuration("limits", "max_retry_after", p.Limits.MaxRetryAfter, 0, time.Hour)
 }
 
 func (p *Program) checkFleet(report reporter) {
@@ -138,6 +138,6 @@
 	if m := p.Rules.OverloadMultiple; math.IsNaN(m) || m < 0 || m > 1e6 {
 		report("fleet", -1, "fall_multiple", "%v is not from 0 to 1000000", m)
 	}
-	report.within("fleet", "cold_for", p.Rules.SlowStartWindow, 0, time.Hour)
-	report.within("fleet", "fall_for", p.Rules.OverloadDuration, 0, time.Hour)
+	report.checkDuration("fleet", "cold_for", p.Rules.SlowStartWindow, 0, time.Hour)
+	report.checkDuration("fleet", "fall_for", p.Rules.OverloadDuration, 0, time.Hour)
 }
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxProblems      = 20   // reported of a file at a time
-	maxProblemLength = 1000 // bytes of the text of one
+	maxProblems     = 20   // reported of a file at a time
+	maxProblemBytes = 1000 // bytes of the text of one
 )
 
 // reporter records a problem of a table's key; see Reporter.
@@ -26,13 +26,13 @@
 	report func(table string, index int, key, format string, args ...any), problems func() error,
 ) {
 	var found []error
-	lines := sync.OnceValue(func() lines { return newLines(text) })
+	lines := sync.OnceValue(func() lineFinder { return newLineFinder(text) })
 	report = func(table string, index int, key, format string, args ...any) {
 		if len(found) == maxProblems {
 			return
 		}
 		p := &cluster.Problem{
-			Source: name, Line: lines().find(table, index, key), Text: shorten(fmt.Sprintf(format, args...)),
+			Source: name, Line: lines().find(table, index, key), Text: truncate(fmt.Sprintf(format, args...)),
 		}
 		if p.Field = table; index >= 0 {
 			p.Field += " " + strconv.Itoa(index+1)
@@ -48,16 +48,16 @@
 	return report, func() error { return errors.Join(found...) }
 }
 
-// lines finds the lines of tables and keys in a TOML file, for problems. It reads the beginnings of lines only, so that
-// a string over several lines can lead to a wrong line.
-type lines struct{ text []string }
+// lineFinder finds the lineFinder of tables and keys in a TOML file, for problems. It reads the beginnings of lineFinder only, so that
+// a string over several lineFinder can lead to a wrong line.
+type lineFinder struct{ text []string }
 
-func newLines(text []byte) lines { return lines{strings.Split(string(text), "\n")} }
+func newLineFinder(text []byte) lineFinder { return lineFinder{strings.Split(string(text), "\n")} }
 
 // find returns the line, from 1, of a key in the table with an index among those of its name (below 0: the first); the
 // line of the table if it does not have the key; 0 if there is no such table. The table "" is that of the file's keys
 // before all tables.
-func (l lines) find(table string, index int, key string) int {
+func (l lineFinder) find(table string, index int, key string) int {
 	found, inside, n := 0, table == "", -1
 	for i, line := range l.text {
 		if name, ok := tableHeader(line); ok {
@@ -87,29 +87,29 @@
 	if line = strings.TrimSpace(line); !strings.HasPrefix(line, "[") {
 		return "", false
 	}
-	m := tableLine.FindStringSubmatch(line)
+	m := tableHeaderRE.FindStringSubmatch(line)
 	if m == nil {
 		return "", false
 	}
 	return m[1], true
 }
 
-var tableLine = regexp.MustCompile(`^\s*\[+\s*([A-Za-z0-9_.]+)\s*\]+`)
+var tableHeaderRE = regexp.MustCompile(`^\s*\[+\s*([A-Za-z0-9_.]+)\s*\]+`)
 
-// shorten limits the text of a problem.
-func shorten(text string) string {
-	if len(text) <= maxProblemLength {
+// truncate limits the text of a problem.
+func truncate(text string) string {
+	if len(text) <= maxProblemBytes {
 		return text
 	}
-	return text[:maxProblemLength] + "..."
+	return text[:maxProblemBytes] + "..."
 }
 
-// shortenLines limits the number of lines and the length of each.
-func shortenLines(text string) string {
+// truncateLines limits the number of lines and the length of each.
+func truncateLines(text string) string {
 	lines := strings.SplitN(text, "\n", maxProblems+1)
 	lines = lines[:min(len(lines), maxProblems)]
 	for i := range lines {
-		lines[i] = shorten(lines[i])
+		lines[i] = truncate(lines[i])
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,8 +9,8 @@
 	"yokestall/internal/route"
 )
 
-// maxAnswerText limits the text of a route's own response, in bytes.
-const maxAnswerText = 4096
+// maxDirectResponseBytes limits the text of a route's own response, in bytes.
+const maxDirectResponseBytes = 4096
 
 // The tables of hosts and routes are aliases of unnamed types: errors of the TOML library contain the names of types, and
 // operators search for these texts.
@@ -78,7 +78,7 @@
 	Remove []string          `toml:"remove"`
 }
 
-func (e *editFile) edits() *route.HeaderEdits {
+func (e *editFile) headerEdits() *route.HeaderEdits {
 	if e == nil {
 		return nil
 	}
@@ -132,13 +132,13 @@
 		r.problem("processor", "%q is none of carry, pick", in.Process)
 	}
 	r.readPath()
-	r.out.RequestEdits, r.out.ResponseEdits = in.Request.edits(), in.Response.edits()
-	r.readAnswer()
+	r.out.RequestEdits, r.out.ResponseEdits = in.Request.headerEdits(), in.Response.headerEdits()
+	r.readDirectResponse()
 	if r.out.DirectResponse == nil && p.Class(in.Class) < 0 {
 		r.problem("class", "%q is no [[class]]", in.Class)
 	}
 	for i := range in.Header {
-		r.out.Headers = append(r.out.Headers, r.header(&in.Header[i]))
+		r.out.Headers = append(r.out.Headers, r.headerMatcher(&in.Header[i]))
 	}
 	r.readClusters()
 	return r.out
@@ -161,8 +161,8 @@
 	}
 }
 
-// readAnswer reads the route's own response, if it has one.
-func (r *routeReader) readAnswer() {
+// readDirectResponse reads the route's own response, if it has one.
+func (r *routeReader) readDirectResponse() {
 	if d := r.in.Redirect; d != nil {
 		r.out.DirectResponse = &route.DirectResponse{
 			Redirect: true, Status: cmp.Or(d.Status, http.StatusMovedPermanently),
@@ -174,15 +174,15 @@
 	}
 	if d := r.in.Answer; d != nil {
 		r.out.DirectResponse = &route.DirectResponse{Status: d.Status, Body: d.Text}
-		if d.Status < 200 || d.Status > 599 || len(d.Text) > maxAnswerText {
+		if d.Status < 200 || d.Status > 599 || len(d.Text) > maxDirectResponseBytes {
 			const text = "status %d, %d bytes: 200 to 599 and %d at most"
-			r.problem("answer", text, d.Status, len(d.Text), maxAnswerText)
+			r.problem("answer", text, d.Status, len(d.Text), maxDirectResponseBytes)
 		}
 	}
 }
 
-// header reads a condition on a request's header. Without a value it is that the header is present.
-func (r *routeReader) header(in *headerFile) route.HeaderMatcher {
+// headerMatcher reads a condition on a request's headerMatcher. Without a value it is that the headerMatcher is present.
+func (r *routeReader) headerMatcher(in *headerFile) route.HeaderMatcher {
 	out := route.HeaderMatcher{Name: in.Name, Kind: route.HeaderPresent, Invert: in.Not}
 	given := 0
 	for kind, text := range map[route.HeaderKind]*string{
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// sizedProgram is a program's file with so many tenants.
-func sizedProgram(tenants int) string {
+// programWithTenants is a program's file with so many tenants.
+func programWithTenants(tenants int) string {
 	var b strings.Builder
-	b.WriteString(smallProgram)
+	b.WriteString(baseProgram)
 	for t := range tenants {
 		fmt.Fprintf(&b, "[[tenant]]\nname = \"tenant-%06d\"\nquota_per_s = 20\n", t)
 	}
 	return b.String()
 }
 
-const smallProgram = `[listen]
+const baseProgram = `[listen]
 address = "127.0.0.1:0"
 [files]
 clusters = "clusters"
@@ -37,30 +37,30 @@
 // BenchmarkParseProgram gives a program's time and allocations by its tenants, and what stays of them.
 func BenchmarkParseProgram(b *testing.B) {
 	for _, tenants := range []int{1000, 140_000, MaxTenants} {
-		text := []byte(sizedProgram(tenants))
+		text := []byte(programWithTenants(tenants))
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
 			var p *Program
 			var err error
-			before := processor()
+			before := processorTime()
 			for b.Loop() {
 				if p, err = ParseProgram("x.toml", text); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.StopTimer()
-			b.ReportMetric(float64((processor()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
-			with := heap()
+			b.ReportMetric(float64((processorTime()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
+			with := heapBytes()
 			runtime.KeepAlive(p)
 			p = nil
-			b.ReportMetric(float64(with-heap()), "kept-B")
+			b.ReportMetric(float64(with-heapBytes()), "kept-B")
 		})
 	}
 }
 
-// processor gives the processor time of the process.
-func processor() time.Duration {
+// processorTime gives the processorTime time of the process.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -68,7 +68,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/config/survey.go
+++ b/internal/config/survey.go
@@ -24,8 +24,8 @@
 type tableLimits map[string]tableLimit
 
 type tableLimit struct {
-	most int
-	what string // what problems call them
+	max  int
+	noun string // what problems call them
 }
 
 var (
@@ -44,7 +44,7 @@
 // has the whole file in memory, and searches for the line of each unknown key from the file's beginning. A few unknown
 // keys, and errors of syntax, are left to decoding.
 func survey(name string, text []byte, to any, limits tableLimits) error {
-	if err := surveyItems(name, text); err != nil {
+	if err := checkExpressionSizes(name, text); err != nil {
 		return err
 	}
 	s := surveyor{name: name, text: text, limits: limits, counts: map[string]int{}}
@@ -55,10 +55,10 @@
 		e := s.parser.Expression()
 		switch e.Kind {
 		case unstable.Table:
-			table = s.enter(root, e.Key())
+			table = s.resolve(root, e.Key())
 		case unstable.ArrayTable:
-			table = s.enter(root, e.Key())
-			s.count(table, e)
+			table = s.resolve(root, e.Key())
+			s.countItem(table, e)
 		case unstable.KeyValue:
 			s.keyValue(table, e)
 		}
@@ -72,23 +72,23 @@
 	return nil
 }
 
-// surveyItems limits the memory that one expression can take in the parser.
-func surveyItems(name string, text []byte) error {
+// checkExpressionSizes limits the memory that one expression can take in the parser.
+func checkExpressionSizes(name string, text []byte) error {
 	if n := bytes.Count(text, []byte(",")) + bytes.Count(text, []byte("{")); n > MaxItems {
 		text := fmt.Sprintf("over %d commas and braces of lists and inline tables", MaxItems)
 		return &cluster.Problem{Source: name, Text: text}
 	}
 	for i, line := 1, []byte(nil); len(text) > 0; i++ {
 		line, text, _ = bytes.Cut(text, []byte("\n"))
-		if len(line) > 2*MaxKeyParts && longKey(line) {
+		if len(line) > 2*MaxKeyParts && hasLongKey(line) {
 			return &cluster.Problem{Source: name, Line: i, Text: fmt.Sprintf("a key of over %d parts", MaxKeyParts)}
 		}
 	}
 	return nil
 }
 
-// longKey reports whether a line has too many dots with nothing between them that can't be in a key.
-func longKey(line []byte) bool {
+// hasLongKey reports whether a line has too many dots with nothing between them that can't be in a key.
+func hasLongKey(line []byte) bool {
 	dots := 0
 	for _, b := range line {
 		switch b {
@@ -114,17 +114,17 @@
 	unknown       []error        // of unknown keys
 }
 
-// anything is the schema of an unknown table.
-var anything = &schema{}
+// unknownTable is the schema of an unknown table.
+var unknownTable = &schema{}
 
-// enter returns the schema that a key leads to, and records an unknown key.
-func (s *surveyor) enter(from *schema, key unstable.Iterator) *schema {
+// resolve returns the schema that a key leads to, and records an unknown key.
+func (s *surveyor) resolve(from *schema, key unstable.Iterator) *schema {
 	for key.Next() && from.fields != nil {
 		part := key.Node()
 		next := from.field(part.Data)
 		if next == nil {
-			s.unknown = append(s.unknown, s.problem(part, joinKeys(from.path, shorten(string(part.Data))), "is no known key"))
-			return anything
+			s.unknown = append(s.unknown, s.problem(part, joinKeys(from.path, truncate(string(part.Data))), "is no known key"))
+			return unknownTable
 		}
 		from = next
 	}
@@ -133,32 +133,32 @@
 
 // keyValue surveys the value of a key.
 func (s *surveyor) keyValue(table *schema, n *unstable.Node) {
-	field := s.enter(table, n.Key())
+	field := s.resolve(table, n.Key())
 	value := n.Value()
 	switch value.Kind {
 	case unstable.InlineTable:
-		s.inline(field, value)
+		s.inlineTable(field, value)
 	case unstable.Array:
-		s.list(field, n, value)
+		s.array(field, n, value)
 	}
 }
 
-// list surveys the values of a list.
-func (s *surveyor) list(field *schema, n, value *unstable.Node) {
+// array surveys the values of a array.
+func (s *surveyor) array(field *schema, n, value *unstable.Node) {
 	_, limited := s.limits[field.path]
 	if !limited && field.fields == nil {
 		return
 	}
 	for items := value.Children(); items.Next() && s.limitExceeded == nil; {
-		s.count(field, n)
+		s.countItem(field, n)
 		if items.Node().Kind == unstable.InlineTable {
-			s.inline(field, items.Node())
+			s.inlineTable(field, items.Node())
 		}
 	}
 }
 
-// inline surveys an inline table.
-func (s *surveyor) inline(field *schema, value *unstable.Node) {
+// inlineTable surveys an inlineTable table.
+func (s *surveyor) inlineTable(field *schema, value *unstable.Node) {
 	if field.fields == nil {
 		return
 	}
@@ -167,17 +167,17 @@
 	}
 }
 
-// count counts a table or a list's value.
-func (s *surveyor) count(field *schema, n *unstable.Node) {
+// countItem counts a table or a list's value.
+func (s *surveyor) countItem(field *schema, n *unstable.Node) {
 	limit, limited := s.limits[field.path]
 	if !limited {
 		return
 	}
 	s.counts[field.path]++
-	if s.counts[field.path] > limit.most && s.limitExceeded == nil {
+	if s.counts[field.path] > limit.max && s.limitExceeded == nil {
 		key := n.Key()
 		key.Next()
-		s.limitExceeded = s.problem(key.Node(), field.path, fmt.Sprintf("over %d %s", limit.most, limit.what))
+		s.limitExceeded = s.problem(key.Node(), field.path, fmt.Sprintf("over %d %s", limit.max, limit.noun))
 	}
 }
 
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -18,7 +18,7 @@
 
 // IsTenants reports whether a text looks like a file of tenants, by the tables in it.
 func IsTenants(text []byte) bool {
-	return tenantsEnd.Match(lastBytes(text)) || tenantTable.Match(text) && !otherTable.Match(text)
+	return tenantsEndRE.Match(lastBytes(text)) || tenantTableRE.Match(text) && !otherTableRE.Match(text)
 }
 
 // ParseTenants parses a file of tenants: [[tenant]] tables as in the program's file, and a closing entry with their
@@ -30,7 +30,7 @@
 	if len(file.Text) > MaxFile {
 		return nil, &cluster.Problem{Source: file.Name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
 	}
-	if !tenantsEnd.Match(lastBytes(file.Text)) {
+	if !tenantsEndRE.Match(lastBytes(file.Text)) {
 		const text = `is not whole: the last lines have to be "[end]" and "tenants = N"`
 		lastLine := bytes.Count(file.Text, []byte("\n")) + 1
 		return nil, &cluster.Problem{Source: file.Name, Line: lastLine, Text: text}
@@ -59,9 +59,9 @@
 }
 
 var (
-	tenantsEnd  = regexp.MustCompile(`(?:^|\n)\[end\]\ntenants = ([0-9]{1,9})\n$`)
-	tenantTable = regexp.MustCompile(`(?m)^[ \t]*\[\[[ \t]*tenant[ \t]*\]\]`)
-	otherTable  = regexp.MustCompile(
+	tenantsEndRE  = regexp.MustCompile(`(?:^|\n)\[end\]\ntenants = ([0-9]{1,9})\n$`)
+	tenantTableRE = regexp.MustCompile(`(?m)^[ \t]*\[\[[ \t]*tenant[ \t]*\]\]`)
+	otherTableRE  = regexp.MustCompile(
 		`(?m)^[ \t]*\[\[?[ \t]*(listen|upstream|files|limits|fleet|class|host|cluster|endpoint)[ \t.\]]`)
 )
 
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-const tenantList = "[[tenant]]\nname = \"a\"\nquota_per_s = 20\n[[tenant]]\nname = \"b\"\ncertificates = [\"b.example.org\"]\n[end]\ntenants = 2\n"
+const tenantsText = "[[tenant]]\nname = \"a\"\nquota_per_s = 20\n[[tenant]]\nname = \"b\"\ncertificates = [\"b.example.org\"]\n[end]\ntenants = 2\n"
 
 // A file of tenants is read as those of the program's file are, and its faults are told by their lines.
 func TestParseTenants(t *testing.T) {
-	list, err := ParseTenants(File{"t.toml", []byte(tenantList)})
+	list, err := ParseTenants(File{"t.toml", []byte(tenantsText)})
 	if err != nil || len(list) != 2 || list[0].Name != "a" || list[0].QuotaPerS != 20 || list[1].Certificates[0] != "b.example.org" {
 		t.Fatalf("%+v, %v", list, err)
 	}
@@ -17,7 +17,7 @@
 		t.Errorf("none: %+v, %v", list, err)
 	}
 	for _, tc := range []struct{ old, new, want string }{
-		{tenantList, "", "t.toml:1: is not whole"},
+		{tenantsText, "", "t.toml:1: is not whole"},
 		{"tenants = 2", "tenants = 3", "t.toml:8: end: tenants: 2 tenants are named"},
 		{"= 20", "= -1", "t.toml:3: tenant 1: quota_per_s: -1"},
 		{`"b"`, `"a"`, "t.toml:5: tenant 2: name: a is another one's too"},
@@ -25,7 +25,7 @@
 		{"[end]", "[[class]]\nname = \"x\"\n[end]", "t.toml:7: class: is no known key"},
 		{"= 20", "= \"x\"", "t.toml:3"},
 	} {
-		text := strings.Replace(tenantList, tc.old, tc.new, 1)
+		text := strings.Replace(tenantsText, tc.old, tc.new, 1)
 		if _, err := ParseTenants(File{"t.toml", []byte(text)}); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q for %q: %v, want %q", tc.new, tc.old, err, tc.want)
 		}
@@ -52,7 +52,7 @@
 
 // Tenants stand in one place; each file is told for what it is.
 func TestOnePlaceOfTenants(t *testing.T) {
-	good := string(example(t, "yokestall.toml"))
+	good := string(readExample(t, "yokestall.toml"))
 	text := strings.Replace(good, "[files]\n", "[files]\ntenants = \"many.toml\"\n", 1)
 	_, err := ParseProgram("x.toml", []byte(text))
 	if err == nil || !strings.Contains(err.Error(), "files: tenants: many.toml is to have the tenants, and x.toml has [[tenant]] too") {
@@ -63,19 +63,19 @@
 	if err != nil || p.Files.Tenants != "many.toml" || len(p.Tenants) != 0 {
 		t.Fatalf("its own file: %v", err)
 	}
-	list, err := ParseTenants(File{"many.toml", []byte(tenantList)})
+	list, err := ParseTenants(File{"many.toml", []byte(tenantsText)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if with := p.WithTenants(list); &with.Tenants[0] != &list[0] || with.Table != p.Table || len(p.Tenants) != 0 {
 		t.Errorf("%+v", with)
 	}
-	rooms := example(t, "clusters/rooms.toml")
+	rooms := readExample(t, "clusters/rooms.toml")
 	for name, tc := range map[string]struct {
 		text             []byte
 		tenants, cluster bool
 	}{
-		"tenants": {[]byte(tenantList), true, false}, "part of them": {[]byte(tenantList[:40]), true, false}, "none": {[]byte("[end]\ntenants = 0\n"), true, true},
+		"tenants": {[]byte(tenantsText), true, false}, "part of them": {[]byte(tenantsText[:40]), true, false}, "none": {[]byte("[end]\ntenants = 0\n"), true, true},
 		"a program": {[]byte(good), false, false}, "a cluster": {rooms, false, true},
 	} {
 		if IsTenants(tc.text) != tc.tenants || IsCluster(tc.text) != tc.cluster {
@@ -85,7 +85,7 @@
 }
 
 func FuzzParseTenants(f *testing.F) {
-	f.Add([]byte(tenantList))
+	f.Add([]byte(tenantsText))
 	f.Add([]byte("[end]\ntenants = 0\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		list, err := ParseTenants(File{"t.toml", text})
--- a/internal/tlskeys/check.go
+++ b/internal/tlskeys/check.go
@@ -19,11 +19,11 @@
 		file := filepath.Join(folder, e.Name+certSuffix)
 		warnings = append(warnings, fmt.Sprintf("%s: ends in %s", file, formatDays(e.Remaining)))
 	}
-	return warnings, set, errors.Join(inFolder(folder, faults)...)
+	return warnings, set, errors.Join(withFolder(folder, faults)...)
 }
 
-// inFolder puts a folder before the file names of faults.
-func inFolder(folder string, faults []error) []error {
+// withFolder puts a folder before the file names of faults.
+func withFolder(folder string, faults []error) []error {
 	for i, fault := range faults {
 		faults[i] = fmt.Errorf("%s/%w", folder, fault)
 	}
--- a/internal/tlskeys/expiry.go
+++ b/internal/tlskeys/expiry.go
@@ -13,8 +13,8 @@
 // expiryWarning is how long before its end a certificate is warned about first.
 const expiryWarning = 30 * day
 
-// expirySteps are the times before a certificate's end at which a warning is logged, the longest first.
-var expirySteps = []time.Duration{expiryWarning, 7 * day, day, 0}
+// expiryThresholds are the times before a certificate's end at which a warning is logged, the longest first.
+var expiryThresholds = []time.Duration{expiryWarning, 7 * day, day, 0}
 
 // Expiry is the time that a pair has left.
 type Expiry struct {
@@ -22,10 +22,10 @@
 	Remaining time.Duration
 }
 
-// step returns the last of expirySteps that the pair has reached.
-func (e *Expiry) step() time.Duration {
+// threshold returns the last of expirySteps that the pair has reached.
+func (e *Expiry) threshold() time.Duration {
 	reached := expiryWarning
-	for _, step := range expirySteps {
+	for _, step := range expiryThresholds {
 		if e.Remaining < step {
 			reached = step
 		}
--- a/internal/tlskeys/serverconfig.go
+++ b/internal/tlskeys/serverconfig.go
@@ -28,7 +28,7 @@
 		}
 	}
 	config := c.base.Clone()
-	config.GetConfigForClient = c.forClient
+	config.GetConfigForClient = c.configForClient
 	return config
 }
 
@@ -45,17 +45,17 @@
 	store *Store
 	auth  ClientAuth
 	base  *tls.Config // without what depends on the set
-	last  atomic.Pointer[configOfSet]
+	last  atomic.Pointer[setConfig]
 }
 
-// configOfSet is a configuration with what depends on a set.
-type configOfSet struct {
+// setConfig is a configuration with what depends on a set.
+type setConfig struct {
 	set    *Set
 	config *tls.Config
 }
 
-// forClient returns the configuration for a handshake, which is shared by all handshakes with the same set.
-func (c *serverConfig) forClient(*tls.ClientHelloInfo) (*tls.Config, error) {
+// configForClient returns the configuration for a handshake, which is shared by all handshakes with the same set.
+func (c *serverConfig) configForClient(*tls.ClientHelloInfo) (*tls.Config, error) {
 	set := c.store.Set()
 	if last := c.last.Load(); last != nil && last.set == set {
 		return last.config, nil
@@ -70,7 +70,7 @@
 	if len(set.ticketKeys) > 0 { // else Go's own, which it changes every day
 		config.SetSessionTicketKeys(set.ticketKeys)
 	}
-	c.last.Store(&configOfSet{set, config})
+	c.last.Store(&setConfig{set, config})
 	return config, nil
 }
 
--- a/internal/tlskeys/store.go
+++ b/internal/tlskeys/store.go
@@ -19,12 +19,12 @@
 	log                 *slog.Logger
 	set                 atomic.Pointer[Set]
 	changes             atomic.Uint64
-	logged              map[string]bool // causes logged since the set in force was loaded
+	loggedCauses        map[string]bool // causes logged since the set in force was loaded
 }
 
 // Open reads a folder. Any fault is an error, since there is no earlier set whose entries could stay.
 func Open(folder, defaultPair string, log *slog.Logger) (*Store, error) {
-	s := &Store{folder: folder, defaultPair: defaultPair, log: log, logged: map[string]bool{}}
+	s := &Store{folder: folder, defaultPair: defaultPair, log: log, loggedCauses: map[string]bool{}}
 	s.set.Store(Empty())
 	if faults := s.Reload(time.Now()); len(faults) > 0 {
 		return nil, errors.Join(faults...)
@@ -42,44 +42,44 @@
 func (s *Store) Reload(now time.Time) []error {
 	files, err := readFolder(s.folder)
 	if err != nil {
-		if cause := err.Error(); s.firstTime(cause) {
+		if cause := err.Error(); s.shouldLog(cause) {
 			s.log.Error("the folder of the keys can't be read; the last ones stay", "what", cause)
 		}
 		return []error{err}
 	}
 	old := s.Set()
 	next, faults := Update(old, files, s.defaultPair, now)
-	for _, fault := range inFolder(s.folder, faults) {
-		if cause := fault.Error(); s.firstTime(cause) {
+	for _, fault := range withFolder(s.folder, faults) {
+		if cause := fault.Error(); s.shouldLog(cause) {
 			s.log.Error("an entry of the keys is not taken; what was there stays", "what", cause)
 		}
 	}
 	if !next.equal(old) {
 		s.set.Store(next)
 		s.changes.Add(1)
-		clear(s.logged)
+		clear(s.loggedCauses)
 		s.log.Info("TLS keys loaded", "folder", s.folder, "certificates", len(next.pairs), "roots", len(next.roots))
 	}
-	s.warnOfExpiry(now)
+	s.logExpiring(now)
 	return faults
 }
 
-// warnOfExpiry logs the certificates that are about to end, once for each of expirySteps.
-func (s *Store) warnOfExpiry(now time.Time) {
+// logExpiring logs the certificates that are about to end, once for each of expirySteps.
+func (s *Store) logExpiring(now time.Time) {
 	for _, e := range s.Set().Expiring(now, expiryWarning) {
-		cause := fmt.Sprintf("%s%s, within %s", e.Name, certSuffix, formatDays(e.step()))
-		if s.firstTime(cause) {
+		cause := fmt.Sprintf("%s%s, within %s", e.Name, certSuffix, formatDays(e.threshold()))
+		if s.shouldLog(cause) {
 			s.log.Warn("a certificate is about to end", "what", cause)
 		}
 	}
 }
 
-// firstTime reports whether a cause is to be logged: once for as long as the set in force stays.
-func (s *Store) firstTime(cause string) bool {
-	if s.logged[cause] || len(s.logged) >= maxLoggedCauses {
+// shouldLog reports whether a cause is to be logged: once for as long as the set in force stays.
+func (s *Store) shouldLog(cause string) bool {
+	if s.loggedCauses[cause] || len(s.loggedCauses) >= maxLoggedCauses {
 		return false
 	}
-	s.logged[cause] = true
+	s.loggedCauses[cause] = true
 	return true
 }
 
--- a/internal/tlskeys/store_test.go
+++ b/internal/tlskeys/store_test.go
@@ -58,7 +58,7 @@
 			if err != nil {
 				t.Fatalf("rotation %d, step %d: %v", i, step, err)
 			}
-			if err := ping(c); err != nil {
+			if err := echoByte(c); err != nil {
 				t.Fatal(err)
 			}
 			shown[fmt.Sprint(c.ConnectionState().PeerCertificates[0].SerialNumber)] = true
@@ -68,7 +68,7 @@
 	if len(shown) != 31 { // the first and three of four
 		t.Errorf("%d certificates were shown", len(shown))
 	}
-	if err := ping(first); err != nil {
+	if err := echoByte(first); err != nil {
 		t.Errorf("the first connection: %v", err)
 	}
 	if store.Changes() != 31 {
@@ -96,8 +96,8 @@
 	}
 }
 
-// ping writes a byte and reads one.
-func ping(c net.Conn) error {
+// echoByte writes a byte and reads one.
+func echoByte(c net.Conn) error {
 	b := [1]byte{'x'}
 	if _, err := c.Write(b[:]); err != nil {
 		return err
--- a/internal/tlskeys/update.go
+++ b/internal/tlskeys/update.go
@@ -20,7 +20,7 @@
 	}
 	for _, f := range files {
 		if len(f.Data) > MaxFileBytes {
-			u.fault(f.Name, fmt.Errorf("%d bytes; %d at most", len(f.Data), MaxFileBytes))
+			u.addError(f.Name, fmt.Errorf("%d bytes; %d at most", len(f.Data), MaxFileBytes))
 			continue
 		}
 		u.contents[f.Name] = f.Data
@@ -30,9 +30,9 @@
 	}
 	u.set.index(defaultPair)
 	if defaultPair != "" && u.set.pairs[defaultPair] == nil {
-		u.fault(defaultPair+certSuffix, errors.New("is to be the first one, and there is none"))
+		u.addError(defaultPair+certSuffix, errors.New("is to be the first one, and there is none"))
 	}
-	return u.set, u.faults
+	return u.set, u.errs
 }
 
 // updater makes a new set.
@@ -41,12 +41,12 @@
 	now      time.Time
 	contents map[string][]byte // by file name
 	set      *Set
-	faults   []error
+	errs     []error
 }
 
-// fault adds a fault of a file.
-func (u *updater) fault(file string, err error) {
-	u.faults = append(u.faults, fmt.Errorf("%s: %w", file, err))
+// addError adds a addError of a file.
+func (u *updater) addError(file string, err error) {
+	u.errs = append(u.errs, fmt.Errorf("%s: %w", file, err))
 }
 
 // addFile adds the entry of a file.
@@ -56,7 +56,7 @@
 	switch suffix {
 	case keySuffix:
 		if u.contents[name+certSuffix] == nil { // else the key is read with its certificate
-			u.fault(file, errors.New("there is no certificate beside it"))
+			u.addError(file, errors.New("there is no certificate beside it"))
 			u.setPair(name, u.old.pairs[name])
 		}
 	case certSuffix:
@@ -72,13 +72,13 @@
 func (u *updater) addPair(file, name string) {
 	key, ok := u.contents[name+keySuffix]
 	if !ok {
-		u.fault(file, errors.New("there is no key beside it"))
+		u.addError(file, errors.New("there is no key beside it"))
 		u.setPair(name, u.old.pairs[name])
 		return
 	}
 	p, err := parsePair(name, u.contents[file], key, u.now)
 	if err != nil {
-		u.fault(file, err)
+		u.addError(file, err)
 		p = u.old.pairs[name]
 	}
 	u.setPair(name, p)
@@ -95,7 +95,7 @@
 func (u *updater) addRoots(file, name string) {
 	pool, err := parseRoots(u.contents[file])
 	if err != nil {
-		u.fault(file, err)
+		u.addError(file, err)
 		pool = u.old.roots[name]
 	}
 	if pool != nil {
@@ -107,7 +107,7 @@
 func (u *updater) addTicketKeys(file string) {
 	keys, err := parseTicketKeys(u.contents[file])
 	if err != nil {
-		u.fault(file, err)
+		u.addError(file, err)
 		keys = u.old.ticketKeys
 	}
 	u.set.ticketKeys = keys
