--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -170,7 +170,7 @@
 		}
 		for _, name := range t.Certificates {
 			if name == "" || certificateNames[name] {
-				report("tenant", i, "certificates", "%q is empty or repeats a name of a tenant's certificate", name)
+				report("tenant", i, "certificates", "%q is empty or already identifies a tenant", name)
 			}
 			certificateNames[name] = true
 		}
--- a/internal/config/clusterfile.go
+++ b/internal/config/clusterfile.go
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	if f.Cluster.Change || len(f.Cluster.Removed) > 0 {
-		return nil, &cluster.Problem{Source: file.Name, Field: "change", Text: "is a change to an endpoint list, not an endpoint list"}
+		return nil, &cluster.Problem{Source: file.Name, Field: "change", Text: "is a change, not a complete endpoint list"}
 	}
 	return c, nil
 }
@@ -91,7 +91,7 @@
 	case in.NoServers != "" || in.ShrinkTo != nil || in.Protocol != "" || in.TLS != nil:
 		return nil, fail("change", "a change may only have endpoints: no no_servers, shrink_to, protocol or tls")
 	case len(in.Removed) > cluster.MaxEndpoints:
-		return nil, fail("removed", fmt.Sprintf("%d endpoints are removed; the limit is %d", len(in.Removed), cluster.MaxEndpoints))
+		return nil, fail("removed", fmt.Sprintf("%d removed endpoints; the limit is %d", len(in.Removed), cluster.MaxEndpoints))
 	case len(in.Removed)+len(c.Endpoints) == 0:
 		return nil, fail("change", "neither adds, changes nor removes an endpoint")
 	}
--- a/internal/config/extproc.go
+++ b/internal/config/extproc.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// Repeats is the settings of the deduplication of requests with an idempotency key. It is off without entries.
+// Repeats holds the settings of the deduplication of requests that have an idempotency key.
 type Repeats struct {
-	Entries int
-	Bytes   int64
-	Late    bool   // answers are awaited after their client's deadline
-	Log     string // file of durable keys; "": none
+	Entries int    // limit of the stored keys; 0: deduplication is off
+	Bytes   int64  // limit of the stored keys and answers, in bytes
+	Late    bool   // outcomes of attempts are awaited beyond the client's deadline
+	Log     string // file that stores keys durably; "": none
 }
 
-// ExtProc is the settings of the external processing server for other proxies (envoy.service.ext_proc.v3). The zero
-// value has none.
+// ExtProc holds the settings of the external processing server for other proxies (envoy.service.ext_proc.v3). In the zero
+// value the server is off.
 type ExtProc struct {
-	Address           string // host:port; "": there is none
-	Pick              bool   // the other proxy sends the request, where its route doesn't say
-	Connections       int
-	Streams           int           // limit over all connections
-	PerConn           int           // limit of the streams of a connection
-	Head              int           // bytes of a head
-	Message           int           // bytes of a message
-	Buffer            int64         // bytes of all buffered bodies
-	Answer            int           // bytes of a response that can't be streamed
-	First             time.Duration // timeout of a stream's first message
-	Report            time.Duration // timeout of the outcome of a request that the other proxy sends
-	Drain             time.Duration
-	Override          bool
-	Repeats           int   // limit of the entries of the deduplication
-	RepeatBytes       int64 // limit of their size
+	Address           string        // host:port of the listener; "": the server is off
+	Pick              bool          // the other proxy sends the request itself, unless the route says otherwise
+	Connections       int           // limit of connections
+	Streams           int           // limit of streams over all connections
+	PerConn           int           // limit of streams of a connection
+	Head              int           // limit of a request head, in bytes
+	Message           int           // limit of a message, in bytes
+	Buffer            int64         // limit of all buffered bodies together, in bytes
+	Answer            int           // limit of a response that can't be streamed, in bytes
+	First             time.Duration // timeout for a stream's first message
+	Report            time.Duration // timeout for the other proxy's next request after a retry decision
+	Drain             time.Duration // minimum drain timeout of streams at shutdown
+	Override          bool          // the other proxy applies mode_override
+	Repeats           int           // limit of the deduplication's entries
+	RepeatBytes       int64         // limit of the deduplication's entries together, in bytes
 	TLS               bool
-	ClientRoots       string
-	RequireClientCert bool
+	ClientRoots       string // name of the root bundle that verifies client certificates; "": none are requested
+	RequireClientCert bool   // a client without a certificate is rejected
 }
 
-// readExtProc reads the settings of deduplication and of external processing.
+// readExtProc checks the tables [repeats] and [extproc] and sets p.Repeats and p.ExtProc.
 func (p *Program) readExtProc(f *programFile, report reporter) {
 	p.Repeats = Repeats{Entries: f.Repeats.Entries, Bytes: f.Repeats.MB << 20, Log: f.Repeats.Log, Late: f.Repeats.Late}
 	if n := f.Repeats.Entries; n < 0 || n > 10e6 {
 		report("repeats", -1, "entries", "%d is not from 0 to 10000000", n)
 	}
 	if f.Repeats.Log != "" && f.Repeats.Entries == 0 {
-		report("repeats", -1, "log", "without entries nothing is written to it")
+		report("repeats", -1, "log", "requires entries above 0: without entries nothing is written to the log")
 	}
 	if n := f.Repeats.MB; n < 1 || n > 1<<20 {
 		report("repeats", -1, "mb", "%d is not from 1 to 1048576", n)
@@ -57,10 +57,10 @@
 		TLS: x.TLS, ClientRoots: x.ClientRoots, RequireClientCert: x.ClientNeeds,
 	}
 	if _, port, err := net.SplitHostPort(x.Address); x.Address != "" && (err != nil || port == "") {
-		report("extproc", -1, "address", "%q is no host:port", x.Address)
+		report("extproc", -1, "address", "%q is not host:port", x.Address)
 	}
 	if x.Way != "carry" && x.Way != "pick" {
-		report("extproc", -1, "way", "%q is none of carry, pick", x.Way)
+		report("extproc", -1, "way", "%q is not one of carry, pick", x.Way)
 	}
 	for key, n := range map[string]int64{
 		"connections": int64(x.Connections), "streams": int64(x.Streams), "streams_per_connection": int64(x.PerConn),
@@ -82,10 +82,10 @@
 	}
 	switch {
 	case x.TLS && f.Keys.Folder == "":
-		report("extproc", -1, "tls", "wants [keys] folder")
+		report("extproc", -1, "tls", "requires the folder in [keys]")
 	case !x.TLS && (x.ClientRoots != "" || x.ClientNeeds):
-		report("extproc", -1, "client_roots", "wants tls = true")
+		report("extproc", -1, "client_roots", "requires tls = true")
 	case x.ClientNeeds && x.ClientRoots == "":
-		report("extproc", -1, "client_required", "wants client_roots")
+		report("extproc", -1, "client_required", "requires client_roots")
 	}
 }
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -10,32 +10,33 @@
 	"yokestall/internal/forwarded"
 )
 
-// MaxListeners limits the listeners of a program.
+// MaxListeners is the maximum number of [[listener]] tables in the program's file, apart from [listen].
 const MaxListeners = 16
 
-// Listener is the settings of a listener for HTTP clients. Listeners are compared by ==.
+// Listener holds the settings of a listener for HTTP clients. Listeners are compared by ==, so that all fields are
+// comparable.
 type Listener struct {
-	Name              string        // "" for the one of [listen]
+	Name              string        // "" for the listener of [listen]
 	Address           string        // host:port
-	Connections       int           // limit of client connections that have sent something, 4 or more
-	NewConnections    int           // limit of those that have sent nothing yet
-	HTTP2             int           // limit of streams of an HTTP/2 connection; 0: HTTP/1.1 alone
-	MaxBody           int64         // bytes of a request's body; 0: any length
+	Connections       int           // limit of client connections that have sent something, at least 4
+	NewConnections    int           // limit of client connections that have sent nothing yet
+	HTTP2             int           // limit of concurrent streams of an HTTP/2 connection; 0: HTTP/1.1 only
+	MaxBody           int64         // limit of a request body, in bytes; 0: no limit
 	Trust             string        // networks of trusted proxies, separated by spaces
-	Forwarded         bool          // the Forwarded field is written too (RFC 7239)
-	Proxy             string        // the PROXY protocol of trusted proxies: "" none, "optional", "required"
-	Drain             time.Duration // how long streams may last after the listener is closed
+	Forwarded         bool          // the Forwarded field (RFC 7239) is written beside X-Forwarded-*
+	Proxy             string        // PROXY protocol of trusted proxies: "" for none, "optional" or "required"
+	Drain             time.Duration // how long streams may last after the listener is closed; 0: the longest deadline
 	TLS               bool
-	ClientRoots       string        // that client certificates are verified by; "": none are requested
+	ClientRoots       string        // name of the root bundle that verifies client certificates; "": none are requested
 	RequireClientCert bool          // a client without a certificate is rejected
-	MaxHead           int           // bytes of a request head
-	Stall             time.Duration // how long a client may not read a stream, or not continue an upload
-	Resets            int           // RST_STREAM frames a second of an HTTP/2 connection; 0: no limit
-	Controls          int           // its frames a second that carry no request; 0: no limit
-	Pieces            int           // CONTINUATION frames of a head; 0: no limit
+	MaxHead           int           // limit of a request head, in bytes
+	Stall             time.Duration // how long a client may stop reading a stream or sending an upload
+	Resets            int           // limit of RST_STREAM frames per second of an HTTP/2 connection; 0: no limit
+	Controls          int           // limit of frames per second without a request of an HTTP/2 connection; 0: no limit
+	Pieces            int           // limit of CONTINUATION frames of an HTTP/2 request head; 0: no limit
 }
 
-// listenerFile is a listener as written.
+// listenerFile is the table [listen] or a table [[listener]] as decoded.
 type listenerFile struct {
 	Name           string   `toml:"name"`
 	Address        string   `toml:"address"`
@@ -57,35 +58,35 @@
 	Pieces         *int     `toml:"http2_head_pieces"`
 }
 
-// readListeners reads [listen], which most files have, and [[listener]].
+// readListeners reads the tables [listen] and [[listener]]. [listen] may be omitted if there is a [[listener]].
 func (p *Program) readListeners(f *programFile, report reporter) {
 	if f.Listen.Address != "" || len(f.Listener) == 0 {
 		p.readListener("listen", -1, &f.Listen, f.Keys.Folder, report)
 	}
 	if n := len(f.Listener); n > MaxListeners {
-		report("listener", -1, "", "%d listeners; %d at most", n, MaxListeners)
+		report("listener", -1, "", "%d listeners are defined; the limit is %d", n, MaxListeners)
 		return
 	}
 	seen, addresses := map[string]bool{"": true}, map[string]bool{}
 	for i := range f.Listener {
 		l := &f.Listener[i]
 		if seen[l.Name] || len(l.Name) > cluster.MaxNameBytes {
-			report("listener", i, "name", "wants a name of its own, of %d bytes at most", cluster.MaxNameBytes)
+			report("listener", i, "name", "is empty, duplicate or longer than %d bytes", cluster.MaxNameBytes)
 		}
 		seen[l.Name] = true
 		p.readListener("listener", i, l, f.Keys.Folder, report)
 	}
 	for i, l := range p.Listeners {
 		if _, port, _ := net.SplitHostPort(l.Address); port != "0" && addresses[l.Address] {
-			report("listener", i, "address", "%s is another one's too", l.Address)
+			report("listener", i, "address", "%s is the address of another listener", l.Address)
 		}
 		addresses[l.Address] = true
 	}
 	p.Listener = p.Listeners[0]
 }
 
-// readListener reads the listener with an index among the tables of a name; below 0: the only one. keys is the folder
-// of keys.
+// readListener reads a listener, checks it and appends it to p.Listeners. i is its index among the tables of this name, -1 if
+// the name has one table. keys is the directory of the TLS keys; "": TLS is not available.
 func (p *Program) readListener(table string, i int, f *listenerFile, keys string, report reporter) {
 	l := Listener{
 		Name: f.Name, Address: f.Address, Connections: 1024, NewConnections: 256, HTTP2: 128,
@@ -110,15 +111,16 @@
 	p.Listeners = append(p.Listeners, l)
 }
 
+// checkAddress checks that the address is host:port with a numeric port. Port 0 selects a free port.
 func (l *Listener) checkAddress(table string, i int, report reporter) {
 	if _, port, err := net.SplitHostPort(l.Address); err != nil {
-		report(table, i, "address", "%q is no host:port", l.Address)
+		report(table, i, "address", "%q is not host:port", l.Address)
 	} else if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
-		report(table, i, "address", "%q: the port is not from 0 to 65535", l.Address)
+		report(table, i, "address", "the port of %q is not from 0 to 65535", l.Address)
 	}
 }
 
-// checkLimits checks the numbers; l.MaxHead is in KiB still.
+// checkLimits checks numbers and durations. l.MaxHead is still in KiB when checkLimits is called.
 func (l *Listener) checkLimits(f *listenerFile, table string, i int, report reporter) {
 	if n := l.Connections; n < 4 || n > 1e6 {
 		report(table, i, "connections", "%d is not from 4 to 1000000", n)
@@ -150,26 +152,28 @@
 	}
 }
 
+// checkTrust checks the networks of trusted proxies and the PROXY protocol, which only trusted proxies may send.
 func (l *Listener) checkTrust(f *listenerFile, table string, i int, report reporter) {
 	if _, err := forwarded.ParseTrustedProxies(f.Trust); err != nil {
 		report(table, i, "trust", "%v", err)
 	}
 	if l.Proxy != "" && l.Proxy != "optional" && l.Proxy != "required" {
-		report(table, i, "proxy_protocol", "%q is none of optional, required", l.Proxy)
+		report(table, i, "proxy_protocol", "%q is not one of optional, required", l.Proxy)
 	}
 	if l.Proxy != "" && len(f.Trust) == 0 {
-		report(table, i, "proxy_protocol", "trust has to name who may speak it")
+		report(table, i, "proxy_protocol", "requires trust, which has the networks that may send the PROXY protocol")
 	}
 }
 
-// checkTLS checks the certificates; keys is the folder of keys.
+// checkTLS checks that the settings for TLS and client certificates fit together. keys is the directory of the TLS keys; "":
+// TLS is not available.
 func (l *Listener) checkTLS(keys, table string, i int, report reporter) {
 	switch {
 	case l.TLS && keys == "":
-		report(table, i, "tls", "wants [keys] folder")
+		report(table, i, "tls", "requires the folder in [keys]")
 	case !l.TLS && (l.ClientRoots != "" || l.RequireClientCert):
-		report(table, i, "client_roots", "wants tls = true")
+		report(table, i, "client_roots", "requires tls = true")
 	case l.RequireClientCert && l.ClientRoots == "":
-		report(table, i, "client_required", "wants client_roots")
+		report(table, i, "client_required", "requires client_roots")
 	}
 }
--- a/internal/config/parseprogram.go
+++ b/internal/config/parseprogram.go
@@ -9,7 +9,8 @@
 	"yokestall/policy"
 )
 
-// ParseProgram parses the program's own file. name is what problems call it. The error has them by line.
+// ParseProgram parses the program's own file. name is the file's name in problems. Errors are cluster.Problems with their
+// lines, up to maxProblems joined.
 func ParseProgram(name string, text []byte) (*Program, error) {
 	f := defaultProgramFile()
 	if err := decode(name, text, f, programLimits); err != nil {
@@ -44,7 +45,7 @@
 	return p, nil
 }
 
-// defaultProgramFile returns the values of keys that the file may leave out.
+// defaultProgramFile returns a programFile with the values of keys that the file may omit.
 func defaultProgramFile() *programFile {
 	f, rules := &programFile{}, policy.Defaults().Rules
 	f.Keys.Poll.Duration = time.Second
@@ -66,7 +67,7 @@
 	return f
 }
 
-// newProgram returns the settings that are converted without a check of their own.
+// newProgram returns a program with the settings that are converted before they are checked.
 func newProgram(f *programFile) *Program {
 	return &Program{
 		Upstream: Upstream{f.Upstream.Connections, f.Upstream.Idle.Duration, f.Upstream.ConnectTimeout.Duration},
@@ -84,14 +85,14 @@
 	}
 }
 
-// checkDuration reports a duration that is not in its range.
+// checkDuration reports a duration that is not from least to most.
 func (report reporter) checkDuration(table, key string, d, least, most time.Duration) {
 	if d < least || d > most {
 		report(table, -1, key, "%v is not from %v to %v", d, least, most)
 	}
 }
 
-// readConnections reads the keys, and the settings of upstream connections and of the process.
+// readConnections sets p.Keys, p.ClusterIdle and p.MemoryLimit, and checks them and the settings of upstream connections.
 func (p *Program) readConnections(f *programFile, report reporter) {
 	p.Keys = Keys{f.Keys.Folder, f.Keys.First, f.Keys.Poll.Duration}
 	report.checkDuration("keys", "poll", p.Keys.Poll, 10*time.Millisecond, time.Minute)
@@ -110,7 +111,7 @@
 
 func (p *Program) checkFiles(report reporter) {
 	if p.Files.Folder == "" && !p.XDS.On() {
-		report("files", -1, "clusters", "is missing: the folder of the cluster files")
+		report("files", -1, "clusters", "is missing; it must name the folder of the cluster files")
 	}
 	if s := p.Files.MaxShare; math.IsNaN(s) || s < 0 || s > 1 {
 		report("files", -1, "max_removed_share", "%v is not from 0 to 1", s)
@@ -130,7 +131,7 @@
 		report("fleet", -1, "nodes", "%d is not from 1 to 100000", p.Nodes)
 	}
 	if p.Node < 0 || p.Node >= max(1, p.Nodes) {
-		report("fleet", -1, "node", "%d is not from 0 to nodes less 1", p.Node)
+		report("fleet", -1, "node", "%d is not from 0 to nodes - 1", p.Node)
 	}
 	if c := p.Rules.SlowStartMinCapacity; math.IsNaN(c) || c < 0 || c > 1 {
 		report("fleet", -1, "cold_from", "%v is not from 0 to 1", c)
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -12,16 +12,18 @@
 )
 
 const (
-	maxProblems     = 20   // reported of a file at a time
-	maxProblemBytes = 1000 // bytes of the text of one
+	maxProblems     = 20   // limit of the problems that are reported of a file
+	maxProblemBytes = 1000 // limit of a problem's text
 )
 
-// reporter records a problem of a table's key; see Reporter.
+// reporter records a problem of a key in a table, as described for Reporter.
 type reporter func(table string, index int, key, format string, args ...any)
 
-// Reporter returns a function that records a problem of a file's content, by the line of a table's key, and one that
-// returns all of them, up to a maximum; nil: there is none. index counts the tables of the same name from 0; below 0:
-// there is one. The table "" is that of the file's keys before all tables.
+// Reporter returns two functions for the problems of a file. report records a problem of a key in a table, with the line at
+// which the file has the key. problems returns the recorded problems joined, up to maxProblems, or nil if there are none.
+//
+// index is the table's index, from 0, among the tables with its name; it is negative if the name has only one table. The table
+// "" stands for the file's keys before the first table. The key "" stands for the table as such.
 func Reporter(name string, text []byte) (
 	report func(table string, index int, key, format string, args ...any), problems func() error,
 ) {
@@ -48,15 +50,15 @@
 	return report, func() error { return errors.Join(found...) }
 }
 
-// lineFinder finds the lineFinder of tables and keys in a TOML file, for problems. It reads the beginnings of lineFinder only, so that
-// a string over several lineFinder can lead to a wrong line.
+// lineFinder finds the lines of tables and keys in a TOML file. It looks only at the beginning of each line, so that a
+// multi-line string that contains a table header or a key can lead to a wrong line in a problem.
 type lineFinder struct{ text []string }
 
 func newLineFinder(text []byte) lineFinder { return lineFinder{strings.Split(string(text), "\n")} }
 
-// find returns the line, from 1, of a key in the table with an index among those of its name (below 0: the first); the
-// line of the table if it does not have the key; 0 if there is no such table. The table "" is that of the file's keys
-// before all tables.
+// find returns the line, counted from 1, of a key in a table. It returns the line of the table's header if the table does not
+// have the key, and 0 if there is no such table. index is the table's index, from 0, among the tables with its name; a negative
+// index means the first one. The table "" stands for the file's keys before the first table.
 func (l lineFinder) find(table string, index int, key string) int {
 	found, inside, n := 0, table == "", -1
 	for i, line := range l.text {
@@ -82,7 +84,7 @@
 	return found
 }
 
-// tableHeader returns the name of the table that a line begins.
+// tableHeader returns the name of the table whose header is on the line. ok is false if the line has no header.
 func tableHeader(line string) (name string, ok bool) {
 	if line = strings.TrimSpace(line); !strings.HasPrefix(line, "[") {
 		return "", false
@@ -96,7 +98,7 @@
 
 var tableHeaderRE = regexp.MustCompile(`^\s*\[+\s*([A-Za-z0-9_.]+)\s*\]+`)
 
-// truncate limits the text of a problem.
+// truncate limits the text of a problem to maxProblemBytes, after which it appends an ellipsis.
 func truncate(text string) string {
 	if len(text) <= maxProblemBytes {
 		return text
@@ -104,7 +106,7 @@
 	return text[:maxProblemBytes] + "..."
 }
 
-// truncateLines limits the number of lines and the length of each.
+// truncateLines limits a text to maxProblems lines, each of which it truncates.
 func truncateLines(text string) string {
 	lines := strings.SplitN(text, "\n", maxProblems+1)
 	lines = lines[:min(len(lines), maxProblems)]
--- a/internal/config/program.go
+++ b/internal/config/program.go
@@ -9,72 +9,72 @@
 	"yokestall/policy"
 )
 
-// The limits of files.
+// The limits of configuration files.
 const (
-	MaxFile    = 16 << 20 // bytes of one file
-	MaxFiles   = 1000     // cluster files
+	MaxFile    = 16 << 20 // bytes of a file
+	MaxFiles   = 1000     // cluster files of a version
 	MaxClasses = 64
 	MaxTenants = 250_000
-	MaxServers = 100_000 // over all clusters of a version
+	MaxServers = 100_000 // endpoints of all clusters of a version
 )
 
-// The range of the soft memory limit, in MiB: below the least the garbage collector would run without end.
+// The range of the soft memory limit, in MiB. Below the minimum the garbage collector would run continuously.
 const (
 	minMemoryMB = 32
 	maxMemoryMB = 1 << 20
 )
 
-// Keys is where the keys and certificates of TLS are.
+// Keys holds the settings of the directory with TLS keys and certificates.
 type Keys struct {
-	Folder string // as written; relative to the program's file; "": TLS is not available
-	First  string // the certificate for clients that name no server
-	Poll   time.Duration
+	Folder string        // path as written, relative to the program's file; "": TLS is not available
+	First  string        // name of the certificate for clients that name no server or an unknown one; "": the first by name
+	Poll   time.Duration // interval at which the directory is read
 }
 
-// Upstream is the settings of connections to endpoints.
+// Upstream holds the settings of connections to endpoints.
 type Upstream struct {
-	Connections    int // limit of those to all endpoints of a cluster
-	Idle           time.Duration
+	Connections    int           // limit of the connections to all endpoints of a cluster together
+	Idle           time.Duration // how long an idle connection is kept
 	ConnectTimeout time.Duration
 }
 
-// Files is where the files beside the program's are, and how they are watched.
+// Files holds the paths of the cluster files and the tenants' file, and how they are watched.
 type Files struct {
-	Folder   string  // of cluster files, as written; relative to the program's file
-	Tenants  string  // the tenants' own file, likewise; "": they stand in the program's file
-	MaxShare float64 // of a cluster's endpoints that a version may remove
-	Poll     time.Duration
+	Folder   string        // directory of the cluster files as written, relative to the program's file
+	Tenants  string        // path of the tenants' file as written, relative to the program's file; "": none
+	MaxShare float64       // share of a cluster's endpoints that a version may remove at once, from 0 to 1
+	Poll     time.Duration // interval at which the files are polled
 }
 
-// Program is the settings of the program's own file. It is immutable.
+// Program holds the settings of the program's own file. It is immutable.
 type Program struct {
-	Listener  Listener   // the first of Listeners
-	Listeners []Listener // at least one
+	Listener  Listener   // the same as Listeners[0]
+	Listeners []Listener // has at least one element
 	Keys      Keys
 	Upstream  Upstream
-	// ClusterIdle is how long a cluster without requests keeps its engines and its connections.
+	// ClusterIdle is how long a cluster without requests keeps its engines and connections.
 	ClusterIdle time.Duration
 	// MemoryLimit is the soft memory limit of the Go runtime, in bytes; 0: the runtime's default.
 	MemoryLimit int64
 	Files       Files
 	Limits      policy.Limits
 	Rules       policy.Rules
-	Nodes       int
-	Node        int
-	Zone        string
+	Nodes       int    // number of nodes that send to the same endpoints
+	Node        int    // number of this node, from 0 to Nodes - 1
+	Zone        string // zone of this node
 	Classes     []Class
 	Tenants     []Tenant
 	Hosts       []route.VirtualHost
-	Table       *route.Table // nil: routes come from a control plane
+	Table       *route.Table // compiled from Hosts; nil: routes come from a control plane
 	XDS         XDS
 	ExtProc     ExtProc
 	Repeats     Repeats
 	Agree       Agree
 }
 
-// Routed returns the program with routes of a control plane, with its classes beside the program's own, and with its
-// tenants in place of them if there are any. A program with routes of its own is returned as it is. The error names a
-// route whose class is not defined.
+// Routed returns a copy of the program with the virtual hosts and the routing table of a control plane. classes are added to
+// the program's own classes; tenants, if there are any, replace the program's own tenants. A program that has virtual hosts of
+// its own is returned unchanged. Routed fails if a route without a direct response has a class that is not defined.
 func (p *Program) Routed(
 	table *route.Table, hosts []route.VirtualHost, classes []Class, tenants []Tenant,
 ) (*Program, error) {
@@ -101,7 +101,7 @@
 	return &out, nil
 }
 
-// Class returns the index of the class with a name; -1 if there is none.
+// Class returns the index in Classes of the class with this name, or -1 if there is none.
 func (p *Program) Class(name string) int {
 	return slices.IndexFunc(p.Classes, func(c Class) bool { return c.Name == name })
 }
--- a/internal/config/programfile.go
+++ b/internal/config/programfile.go
@@ -1,6 +1,6 @@
 package config
 
-// programFile is the program's file as written.
+// programFile is the program's file as decoded.
 type programFile struct {
 	Listen   listenerFile   `toml:"listen"`
 	Listener []listenerFile `toml:"listener"`
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,20 +9,20 @@
 	"yokestall/internal/route"
 )
 
-// maxDirectResponseBytes limits the text of a route's own response, in bytes.
+// maxDirectResponseBytes limits the body of a direct response.
 const maxDirectResponseBytes = 4096
 
-// The tables of hosts and routes are aliases of unnamed types: errors of the TOML library contain the names of types, and
-// operators search for these texts.
+// The types of the tables [[host]] and [[host.route]] are aliases of unnamed types: some errors of the TOML library contain the
+// name of the Go type, and operators search for these texts.
 
-// hostFile is a virtual host as written.
+// hostFile is a table [[host]], a virtual host, as decoded.
 type hostFile = struct {
 	Name    string      `toml:"name"`
 	Domains []string    `toml:"domains"`
 	Route   []routeFile `toml:"route"`
 }
 
-// routeFile is a route as written.
+// routeFile is a table [[host.route]] as decoded.
 type routeFile = struct {
 	Name     string        `toml:"name"`
 	Path     string        `toml:"path"`
@@ -44,7 +44,7 @@
 	} `toml:"share"`
 }
 
-// headerFile is a condition on a request's header as written.
+// headerFile is a condition on a request header field as decoded.
 type headerFile = struct {
 	Name     string  `toml:"name"`
 	Exact    *string `toml:"exact"`
@@ -55,7 +55,7 @@
 	Not      bool    `toml:"not"`
 }
 
-// redirectFile is a route's redirect as written.
+// redirectFile is a route's redirect as decoded.
 type redirectFile = struct {
 	Status     int    `toml:"status"`
 	Scheme     string `toml:"scheme"`
@@ -66,18 +66,19 @@
 	StripQuery bool   `toml:"strip_query"`
 }
 
-// answerFile is a route's own response as written.
+// answerFile is a route's direct response as decoded.
 type answerFile = struct {
 	Status int    `toml:"status"`
 	Text   string `toml:"text"`
 }
 
-// editFile is the changes of a message's header fields as written.
+// editFile is the header edits of a request or a response as decoded.
 type editFile struct {
 	Set    map[string]string `toml:"set"`
 	Remove []string          `toml:"remove"`
 }
 
+// headerEdits converts the header edits, in the order of field names. It returns nil for nil.
 func (e *editFile) headerEdits() *route.HeaderEdits {
 	if e == nil {
 		return nil
@@ -89,15 +90,16 @@
 	return out
 }
 
-// readRoutes reads the virtual hosts and their routes.
+// readRoutes checks the virtual hosts and their routes and sets p.Hosts. The hosts may be missing if routes come from a control
+// plane.
 func (p *Program) readRoutes(f *programFile, report reporter) {
 	if len(f.Host) == 0 && p.XDS.On() {
 		return
 	}
 	if len(f.Host) == 0 {
-		report("host", -1, "", "no [[host]]: nothing would be routed")
+		report("host", -1, "", "there is no [[host]], so that no request would be routed")
 	}
-	n := -1 // counts [[host.route]] over all hosts, as the lines of problems are found by
+	n := -1 // index of the [[host.route]] over all hosts, which the reporter needs to find its line
 	for i := range f.Host {
 		h := &f.Host[i]
 		v := route.VirtualHost{Name: h.Name, Domains: h.Domains}
@@ -113,9 +115,9 @@
 	}
 }
 
-// routeReader reads one route.
+// routeReader converts a decoded route and reports its problems.
 type routeReader struct {
-	index  int // among all [[host.route]] of the file
+	index  int // index of the route's table among all [[host.route]] of the file
 	report reporter
 	in     *routeFile
 	out    route.Route
@@ -129,7 +131,7 @@
 	in := r.in
 	r.out = route.Route{Name: in.Name, Methods: in.Methods, Class: in.Class, Processor: in.Process}
 	if in.Process != "" && in.Process != route.ProcessorForward && in.Process != route.ProcessorPick {
-		r.problem("processor", "%q is none of carry, pick", in.Process)
+		r.problem("processor", "%q is not one of carry, pick", in.Process)
 	}
 	r.readPath()
 	r.out.RequestEdits, r.out.ResponseEdits = in.Request.headerEdits(), in.Response.headerEdits()
@@ -144,7 +146,7 @@
 	return r.out
 }
 
-// readPath reads the condition on the path.
+// readPath reads the condition on the path, of which a route must have exactly one.
 func (r *routeReader) readPath() {
 	given := 0
 	for kind, text := range map[route.PathKind]string{
@@ -157,11 +159,11 @@
 		}
 	}
 	if given != 1 {
-		r.problem("", "one of path, prefix, template, regex is wanted; %d are given", given)
+		r.problem("", "exactly one of path, prefix, template, regex must be set; %d are set", given)
 	}
 }
 
-// readDirectResponse reads the route's own response, if it has one.
+// readDirectResponse reads the route's redirect or direct response, if there is one.
 func (r *routeReader) readDirectResponse() {
 	if d := r.in.Redirect; d != nil {
 		r.out.DirectResponse = &route.DirectResponse{
@@ -169,19 +171,19 @@
 			Scheme: d.Scheme, Host: d.Host, Port: d.Port, Path: d.Path, Prefix: d.Prefix, StripQuery: d.StripQuery,
 		}
 		if s := r.out.DirectResponse.Status; s != 301 && s != 302 && s != 303 && s != 307 && s != 308 {
-			r.problem("redirect", "status %d is none of 301, 302, 303, 307, 308", s)
+			r.problem("redirect", "status %d is not one of 301, 302, 303, 307, 308", s)
 		}
 	}
 	if d := r.in.Answer; d != nil {
 		r.out.DirectResponse = &route.DirectResponse{Status: d.Status, Body: d.Text}
 		if d.Status < 200 || d.Status > 599 || len(d.Text) > maxDirectResponseBytes {
-			const text = "status %d, %d bytes: 200 to 599 and %d at most"
+			const text = "status is %d and text has %d bytes; the status must be from 200 to 599, the text at most %d bytes long"
 			r.problem("answer", text, d.Status, len(d.Text), maxDirectResponseBytes)
 		}
 	}
 }
 
-// headerMatcher reads a condition on a request's headerMatcher. Without a value it is that the headerMatcher is present.
+// headerMatcher converts a condition on a request header field. A condition without a value matches if the field is present.
 func (r *routeReader) headerMatcher(in *headerFile) route.HeaderMatcher {
 	out := route.HeaderMatcher{Name: in.Name, Kind: route.HeaderPresent, Invert: in.Not}
 	given := 0
@@ -195,21 +197,21 @@
 		}
 	}
 	if given > 1 {
-		r.problem("header", "%s: one of exact, prefix, suffix, contains, regex at most", in.Name)
+		r.problem("header", "%s: at most one of exact, prefix, suffix, contains, regex may be set", in.Name)
 	}
 	return out
 }
 
-// readClusters reads the cluster, or the weighted clusters, of a route without a response of its own.
+// readClusters reads the cluster or the weighted clusters of a route without a direct response.
 func (r *routeReader) readClusters() {
 	in := r.in
 	switch {
 	case r.out.DirectResponse != nil:
 		if in.Cluster != "" || len(in.Share) > 0 || in.Redirect != nil && in.Answer != nil {
-			r.problem("", "one of cluster, [[host.route.share]], redirect, answer is wanted")
+			r.problem("", "exactly one of cluster, [[host.route.share]], redirect, answer must be set")
 		}
 	case (in.Cluster == "") == (len(in.Share) == 0):
-		r.problem("cluster", "either cluster or [[host.route.share]] is wanted")
+		r.problem("cluster", "either cluster or [[host.route.share]] must be set")
 	case in.Cluster != "":
 		r.out.Clusters = []route.WeightedCluster{{Cluster: in.Cluster, Weight: 1}}
 	default:
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -7,15 +7,16 @@
 	"sync"
 )
 
-// schema is the known keys of a table, by the type that it is decoded into.
+// schema describes the known keys of a table, which are those of the struct type that the table is decoded into.
 type schema struct {
-	path   string             // dotted; "" for the whole file
-	fields map[string]*schema // nil: its content is checked by decoding alone
+	path   string             // dotted name of the table; "" for the whole file
+	fields map[string]*schema // by key in lower case; nil: the survey does not check the keys, decoding does
 }
 
-var schemas sync.Map // *schema by reflect.Type
+// schemas caches the schemas of types that are decoded into: *schema by reflect.Type.
+var schemas sync.Map
 
-// schemaOf returns the schema of a type.
+// schemaOf returns the schema of a type, from the cache if possible.
 func schemaOf(t reflect.Type) *schema {
 	if s, known := schemas.Load(t); known {
 		return s.(*schema)
@@ -27,6 +28,8 @@
 
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
+// newSchema returns the schema of a type at a dotted path. Types that are not structs, and types that decode themselves from
+// text, have no fields.
 func newSchema(t reflect.Type, path string) *schema {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -40,6 +43,7 @@
 	return s
 }
 
+// addFields adds the fields of a struct type that have a toml tag, and those of its embedded structs.
 func (s *schema) addFields(t reflect.Type) {
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -53,6 +57,7 @@
 	}
 }
 
+// joinKeys appends a name to a dotted path, which may be empty.
 func joinKeys(path, name string) string {
 	if path == "" {
 		return name
@@ -60,7 +65,7 @@
 	return path + "." + name
 }
 
-// field returns the schema of a key, whatever the case of its letters, as in decoding; nil: the key is unknown.
+// field returns the schema of a key, or nil if the key is unknown. It ignores the case of letters, as decoding does.
 func (s *schema) field(key []byte) *schema {
 	if f := s.fields[string(key)]; f != nil {
 		return f
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// programWithTenants is a program's file with so many tenants.
+// programWithTenants returns a program's file with the given number of tenants.
 func programWithTenants(tenants int) string {
 	var b strings.Builder
 	b.WriteString(baseProgram)
@@ -19,6 +19,7 @@
 	return b.String()
 }
 
+// baseProgram is a valid program's file of 13 lines without tenants.
 const baseProgram = `[listen]
 address = "127.0.0.1:0"
 [files]
@@ -34,7 +35,8 @@
 cluster = "rooms"
 `
 
-// BenchmarkParseProgram gives a program's time and allocations by its tenants, and what stays of them.
+// BenchmarkParseProgram measures the time, the processor time and the allocations of parsing a program's file by its number of
+// tenants, and as kept-B the bytes of the heap that the parsed program occupies.
 func BenchmarkParseProgram(b *testing.B) {
 	for _, tenants := range []int{1000, 140_000, MaxTenants} {
 		text := []byte(programWithTenants(tenants))
@@ -59,7 +61,7 @@
 	}
 }
 
-// processorTime gives the processorTime time of the process.
+// processorTime returns the processor time that the process has used, or 0 if it can't be read.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -68,6 +70,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
+// heapBytes returns the size of the heap after garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/config/survey.go
+++ b/internal/config/survey.go
@@ -12,20 +12,20 @@
 	"yokestall/internal/route"
 )
 
-// The limits of a file that are checked before it is decoded, in one pass that stores nothing of the file.
+// The limits of a file that are checked before the file is decoded, in one pass that stores nothing of it.
 const (
-	MaxItems    = 1_000_000 // of lists and inline tables, by commas and braces
-	MaxKeyParts = 1000      // of a dotted key
+	MaxItems    = 1_000_000 // commas and opening braces in a file, which bound the items of arrays and inline tables
+	MaxKeyParts = 1000      // parts of a dotted key
 	MaxHosts    = 5000      // virtual hosts
-	MaxDomains  = 50_000    // over all virtual hosts
+	MaxDomains  = 50_000    // domains of all virtual hosts
 )
 
-// tableLimits limits the number of tables, or of a list's values, in a file, by their dotted names.
+// tableLimits limits the number of tables, or of an array's values, in a file, by the dotted names of the tables or arrays.
 type tableLimits map[string]tableLimit
 
 type tableLimit struct {
 	max  int
-	noun string // what problems call them
+	noun string // plural noun for the items in problems
 }
 
 var (
@@ -40,9 +40,10 @@
 	}
 )
 
-// survey returns the limit that a file exceeds, or its unknown keys if they are many, before it is decoded: decoding
-// has the whole file in memory, and searches for the line of each unknown key from the file's beginning. A few unknown
-// keys, and errors of syntax, are left to decoding.
+// survey checks a file before it is decoded into the type of to. It returns the limit that the file exceeds, or the first
+// maxProblems unknown keys if there are more of them. Decoding alone would be too expensive for such files: it holds the whole
+// file in memory, and searches for the line of each unknown key from the beginning of the file. Up to maxProblems unknown keys,
+// and syntax errors, are left to decoding.
 func survey(name string, text []byte, to any, limits tableLimits) error {
 	if err := checkExpressionSizes(name, text); err != nil {
 		return err
@@ -72,7 +73,8 @@
 	return nil
 }
 
-// checkExpressionSizes limits the memory that one expression can take in the parser.
+// checkExpressionSizes limits the items and the parts of keys in a file, and with them the memory that the parser can need for
+// one expression.
 func checkExpressionSizes(name string, text []byte) error {
 	if n := bytes.Count(text, []byte(",")) + bytes.Count(text, []byte("{")); n > MaxItems {
 		text := fmt.Sprintf("over %d commas and braces of lists and inline tables", MaxItems)
@@ -81,13 +83,14 @@
 	for i, line := 1, []byte(nil); len(text) > 0; i++ {
 		line, text, _ = bytes.Cut(text, []byte("\n"))
 		if len(line) > 2*MaxKeyParts && hasLongKey(line) {
-			return &cluster.Problem{Source: name, Line: i, Text: fmt.Sprintf("a key of over %d parts", MaxKeyParts)}
+			return &cluster.Problem{Source: name, Line: i, Text: fmt.Sprintf("a key has over %d parts", MaxKeyParts)}
 		}
 	}
 	return nil
 }
 
-// hasLongKey reports whether a line has too many dots with nothing between them that can't be in a key.
+// hasLongKey reports whether a line may have a key with over MaxKeyParts parts: whether it has more dots than that without an
+// equals sign, a comma or a brace between them.
 func hasLongKey(line []byte) bool {
 	dots := 0
 	for _, b := range line {
@@ -109,15 +112,15 @@
 	text          []byte
 	parser        unstable.Parser
 	limits        tableLimits
-	counts        map[string]int // by the keys of limits
-	limitExceeded error          // the first limit that is exceeded
-	unknown       []error        // of unknown keys
+	counts        map[string]int // tables or array values so far, by the keys of limits
+	limitExceeded error          // problem of the first limit that is exceeded
+	unknown       []error        // problems of unknown keys
 }
 
-// unknownTable is the schema of an unknown table.
+// unknownTable is the schema of an unknown key. The content of such a table or value is not checked.
 var unknownTable = &schema{}
 
-// resolve returns the schema that a key leads to, and records an unknown key.
+// resolve returns the schema of a dotted key in a table. It records the key as unknown if the table has no such key.
 func (s *surveyor) resolve(from *schema, key unstable.Iterator) *schema {
 	for key.Next() && from.fields != nil {
 		part := key.Node()
@@ -131,7 +134,7 @@
 	return from
 }
 
-// keyValue surveys the value of a key.
+// keyValue surveys a key of a table and its value.
 func (s *surveyor) keyValue(table *schema, n *unstable.Node) {
 	field := s.resolve(table, n.Key())
 	value := n.Value()
@@ -143,7 +146,7 @@
 	}
 }
 
-// array surveys the values of a array.
+// array surveys the values of an array.
 func (s *surveyor) array(field *schema, n, value *unstable.Node) {
 	_, limited := s.limits[field.path]
 	if !limited && field.fields == nil {
@@ -157,7 +160,7 @@
 	}
 }
 
-// inlineTable surveys an inlineTable table.
+// inlineTable surveys an inline table.
 func (s *surveyor) inlineTable(field *schema, value *unstable.Node) {
 	if field.fields == nil {
 		return
@@ -167,7 +170,7 @@
 	}
 }
 
-// countItem counts a table or a list's value.
+// countItem counts a table or an array's value, and records the limit if the count exceeds it.
 func (s *surveyor) countItem(field *schema, n *unstable.Node) {
 	limit, limited := s.limits[field.path]
 	if !limited {
@@ -181,6 +184,7 @@
 	}
 }
 
+// problem returns a problem with the line of a node of the syntax tree.
 func (s *surveyor) problem(at *unstable.Node, field, text string) error {
 	line := 1 + bytes.Count(s.text[:at.Raw.Offset], []byte("\n"))
 	return &cluster.Problem{Source: s.name, Line: line, Field: field, Text: text}
--- a/internal/config/survey_test.go
+++ b/internal/config/survey_test.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/route"
 )
 
-// repeat repeats what is written of each index.
+// repeat concatenates the texts for the indexes from 0 to n - 1.
 func repeat(n int, text func(i int) string) string {
 	var b strings.Builder
 	for i := range n {
@@ -23,23 +23,26 @@
 	return b.String()
 }
 
+// manyTenants returns n [[tenant]] tables, each of which ends with rest.
 func manyTenants(n int, rest string) string {
 	return repeat(n, func(i int) string { return fmt.Sprintf("[[tenant]]\nname = \"t%06d\"\n%s", i, rest) })
 }
 
+// manyRoutes returns n valid [[host.route]] tables.
 func manyRoutes(n int) string {
 	return repeat(n, func(i int) string {
 		return fmt.Sprintf("[[host.route]]\nprefix = \"/%d/\"\nclass=\"read\"\ncluster=\"c\"\n", i)
 	})
 }
 
+// manyServers returns a complete cluster file with n endpoints.
 func manyServers(n int) string {
 	return "[cluster]\nname = \"rooms\"\n" + repeat(n, func(i int) string {
 		return fmt.Sprintf("[[endpoint]]\nid = \"s%06d\"\naddress = \"10.%d.%d.%d:80\"\n", i, i>>16, i>>8&255, i&255)
 	}) + fmt.Sprintf("[end]\nendpoints = %d\n", n)
 }
 
-// allocatedBytes gives the bytes that an operation allocates.
+// allocatedBytes returns the number of bytes that an operation allocates.
 func allocatedBytes(operation func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -58,7 +61,9 @@
 	return err
 }
 
-// What is too much is told by its place and the limit, in a few MB beside the file, however much it is.
+// Guards against oversized files that are accepted or rejected only after they are decoded: the error must have the line and
+// the limit, must itself be short, and parsing must allocate at most the bytes of the case beside the file's size. Files far
+// beyond a limit would otherwise exhaust the memory of a running program that reloads its configuration.
 func TestTooMuch(t *testing.T) {
 	const few = 4 << 20
 	for name, tc := range map[string]struct {
@@ -88,7 +93,7 @@
 		"values": {func() string {
 			return baseProgram + "[[host]]\ndomains = [" + repeat(4_000_000, func(int) string { return "\"\"," }) + "]\n"
 		}, parseProgramText, "over 1000000 commas and braces", few},
-		"parts of a key": {func() string { return baseProgram + strings.Repeat("a.", 4_000_000) + "a = 1\n" }, parseProgramText, "x.toml:14: a key of over 1000 parts", few},
+		"parts of a key": {func() string { return baseProgram + strings.Repeat("a.", 4_000_000) + "a = 1\n" }, parseProgramText, "x.toml:14: a key has over 1000 parts", few},
 		"lists in lists": {func() string { return "a = " + strings.Repeat("[", 4_000_000) }, parseProgramText, "x.toml:1: arrays and inline tables are nested", 64 << 20},
 		"bytes":          {func() string { return strings.Repeat("#", MaxFile+1) }, parseProgramText, "x.toml: over 16777216 bytes", 24 << 20},
 		"unknown keys":   {func() string { return baseProgram + manyTenants(140_000, "qouta_per_s = 20\n") }, parseProgramText, "x.toml:16: tenant.qouta_per_s: is no known key\n", few},
@@ -112,37 +117,37 @@
 			var err error
 			size := allocatedBytes(func() { err = tc.parse(text) })
 			if err == nil || !strings.Contains(strings.ReplaceAll(err.Error(), "...: ", "... "), tc.want) {
-				t.Fatalf("error %.300v, want %q", err, tc.want)
+				t.Fatalf("got error %.300v, want %q", err, tc.want)
 			}
 			if n := len(err.Error()); n > 2*maxProblems*maxProblemBytes {
-				t.Errorf("the error has %d bytes", n)
+				t.Errorf("the error has %d bytes, want at most twice the size of maxProblems problems", n)
 			}
-			if most := tc.bytes + uint64(len(text)); size > most { // a copy is the test's
-				t.Errorf("%d bytes are allocated, %d at most", size, most)
+			if most := tc.bytes + uint64(len(text)); size > most { // the test itself copies the text once
+				t.Errorf("parsing allocated %d bytes, want at most %d", size, most)
 			}
 		})
 	}
 }
 
-// What is just within the limits is taken.
+// Guards against limits that are off by one: a file exactly at a limit must be accepted, one item more must be rejected.
 func TestAtTheLimits(t *testing.T) {
 	if err := parseProgramText(baseProgram + manyTenants(MaxTenants, "")); err != nil {
-		t.Errorf("tenants: %v", err)
+		t.Errorf("MaxTenants tenants: got error %v, want none", err)
 	}
 	if err := parseProgramText(baseProgram + manyTenants(MaxTenants+1, "")); err == nil {
-		t.Error("one tenant more")
+		t.Error("MaxTenants+1 tenants were accepted")
 	}
 	if err := parseProgramText(baseProgram + manyRoutes(route.MaxRoutes-1)); err != nil {
-		t.Errorf("routes: %v", err)
+		t.Errorf("MaxRoutes routes: got error %v, want none", err)
 	}
 	if err := parseProgramText(baseProgram + manyRoutes(route.MaxRoutes)); err == nil {
-		t.Error("one route more")
+		t.Error("MaxRoutes+1 routes were accepted")
 	}
 	if err := parseClusterText(manyServers(cluster.MaxEndpoints)); err != nil {
-		t.Errorf("servers: %v", err)
+		t.Errorf("MaxEndpoints endpoints: got error %v, want none", err)
 	}
 	if err := parseClusterText(manyServers(cluster.MaxEndpoints + 1)); err == nil {
-		t.Error("one server more")
+		t.Error("MaxEndpoints+1 endpoints were accepted")
 	}
 	clusters := func(extra int) error {
 		names := make([]string, MaxServers/1000+1)
@@ -156,32 +161,34 @@
 		return err
 	}
 	if err := clusters(0); err != nil {
-		t.Errorf("servers in all: %v", err)
+		t.Errorf("MaxServers endpoints in all clusters: got error %v, want none", err)
 	}
 	if err := clusters(1); err == nil || !strings.Contains(err.Error(), "over 100000 servers in all clusters together") {
-		t.Errorf("one server more in all: %v", err)
+		t.Errorf("MaxServers+1 endpoints in all clusters: got error %v, want one with the limit", err)
 	}
 }
 
-// A few unknown keys are told as before, each by its line; letters' case doesn't count, as in decoding.
+// Guards against a survey that is stricter than decoding: it must leave up to maxProblems unknown keys to decoding, which
+// reports each with its line, and must accept keys in any case of letters and any keys of a map.
 func TestSurveyLeavesToDecoding(t *testing.T) {
 	text := baseProgram + manyTenants(maxProblems, "qouta_per_s = 20\n")
 	err := parseProgramText(text)
 	var list interface{ Unwrap() []error }
 	if !errors.As(err, &list) || len(list.Unwrap()) != maxProblems {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want maxProblems joined problems", err)
 	}
 	upper := strings.NewReplacer("[[tenant]]", "[[TENANT]]", "name =", "Name =").Replace(baseProgram + manyTenants(100, "quota_per_s = 20\n"))
 	if err := parseProgramText(upper); err != nil {
-		t.Errorf("letters' case: %v", err)
+		t.Errorf("keys in another case of letters: got error %v, want none", err)
 	}
 	if err := parseProgramText(baseProgram + "[[host.route]]\nprefix = \"/a\"\nclass = \"read\"\ncluster = \"c\"\nrequest = { set = { " +
 		repeat(50, func(i int) string { return fmt.Sprintf("x-%d = \"1\", ", i) }) + "y = \"2\" } }\n"); err != nil {
-		t.Errorf("keys of a map: %v", err)
+		t.Errorf("keys of a map: got error %v, want none", err)
 	}
 }
 
-// What decoding takes the survey takes: none of the texts here comes near a limit.
+// Guards against a survey that rejects files that decoding accepts. Texts are limited to 64 KiB, so that none of them exceeds a
+// limit of the survey.
 func FuzzSurvey(f *testing.F) {
 	f.Add(readExample(f, "yokestall.toml"))
 	f.Add([]byte(baseProgram + manyTenants(3, "")))
@@ -196,7 +203,7 @@
 		decoded := d.Decode(&p)
 		surveyed := survey("x.toml", text, &p, programLimits)
 		if decoded == nil && surveyed != nil {
-			t.Errorf("decoding takes it, and the survey says %v", surveyed)
+			t.Errorf("the survey rejected a file that decoding accepts: %v", surveyed)
 		}
 	})
 }
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -8,7 +8,7 @@
 	"yokestall/internal/cluster"
 )
 
-// tenantsFile is a file of tenants as written.
+// tenantsFile is the tenants' file as decoded.
 type tenantsFile struct {
 	tenantTables
 	End struct {
@@ -16,16 +16,19 @@
 	} `toml:"end"`
 }
 
-// IsTenants reports whether a text looks like a file of tenants, by the tables in it.
+// IsTenants reports whether a text looks like a tenants' file: it ends with the closing entry of one, or has [[tenant]] tables
+// and none of another kind of file.
 func IsTenants(text []byte) bool {
 	return tenantsEndRE.Match(lastBytes(text)) || tenantTableRE.Match(text) && !otherTableRE.Match(text)
 }
 
-// ParseTenants parses a file of tenants: [[tenant]] tables as in the program's file, and a closing entry with their
-// number, so that no part of a file is accepted as complete. The error has what is wrong by line:
+// ParseTenants parses a tenants' file. The file has [[tenant]] tables as in the program's file, and must end with a closing
+// entry that has their number, so that no truncated file is accepted as complete:
 //
 //	[end]
 //	tenants = 3
+//
+// Errors are cluster.Problems with their lines.
 func ParseTenants(file File) ([]Tenant, error) {
 	if len(file.Text) > MaxFile {
 		return nil, &cluster.Problem{Source: file.Name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
@@ -41,7 +44,7 @@
 	}
 	report, problems := Reporter(file.Name, file.Text)
 	if n := f.End.Tenants; n == nil || *n != len(f.Tenant) {
-		report("end", -1, "tenants", "%d tenants are named", len(f.Tenant))
+		report("end", -1, "tenants", "the file has %d [[tenant]] tables, which must be the number here", len(f.Tenant))
 	}
 	var p Program
 	p.readTenants(&f.tenantTables, report)
@@ -51,13 +54,15 @@
 	return p.Tenants, nil
 }
 
-// WithTenants returns the program with the tenants of their own file.
+// WithTenants returns a copy of the program with the tenants of the tenants' file.
 func (p *Program) WithTenants(tenants []Tenant) *Program {
 	out := *p
 	out.Tenants = tenants
 	return &out
 }
 
+// tenantsEndRE matches the end of a complete tenants' file. tenantTableRE and otherTableRE match the headers of [[tenant]]
+// tables and of tables that a tenants' file does not have.
 var (
 	tenantsEndRE  = regexp.MustCompile(`(?:^|\n)\[end\]\ntenants = ([0-9]{1,9})\n$`)
 	tenantTableRE = regexp.MustCompile(`(?m)^[ \t]*\[\[[ \t]*tenant[ \t]*\]\]`)
@@ -65,5 +70,5 @@
 		`(?m)^[ \t]*\[\[?[ \t]*(listen|upstream|files|limits|fleet|class|host|cluster|endpoint)[ \t.\]]`)
 )
 
-// lastBytes returns the end of a file, where its closing entry is.
+// lastBytes returns the last 64 bytes of a file, which are enough for its closing entry.
 func lastBytes(text []byte) []byte { return text[max(0, len(text)-64):] }
