--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -67,7 +67,7 @@
 	whole := readExample(t, "clusters/rooms.toml")
 	more := append([]byte(nil), whole...)
 	more = bytes.Replace(more, []byte("[end]\nendpoints = 2\n"), nil, 1)
-	for i := range 10 { // 12 endpoints, so that a cut within the count leaves another valid count
+	for i := range 10 { // 12 endpoints, so that a cut within the count leaves another number
 		id := string(rune('a' + i))
 		more = append(more, "[[endpoint]]\nid = \""+id+"\"\naddress = \"10.0.0.1:"+"80"+string(rune('0'+i))+"\"\n\n"...)
 	}
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -13,8 +13,7 @@
 // MaxListeners is the maximum number of [[listener]] tables in the program's file, apart from [listen].
 const MaxListeners = 16
 
-// Listener holds the settings of a listener for HTTP clients. Listeners are compared by ==, so that all fields are
-// comparable.
+// Listener holds the settings of a listener for HTTP clients. Listeners are compared by ==, so all fields must be comparable.
 type Listener struct {
 	Name              string        // "" for the listener of [listen]
 	Address           string        // host:port
--- a/internal/config/program.go
+++ b/internal/config/program.go
@@ -34,7 +34,7 @@
 // Upstream holds the settings of connections to endpoints.
 type Upstream struct {
 	Connections    int           // limit of the connections to all endpoints of a cluster together
-	Idle           time.Duration // how long an idle connection is kept
+	Idle           time.Duration // how long a connection may be idle before endpoints close it
 	ConnectTimeout time.Duration
 }
 
--- a/internal/config/survey_test.go
+++ b/internal/config/survey_test.go
@@ -62,8 +62,8 @@
 }
 
 // Guards against oversized files that are accepted or rejected only after they are decoded: the error must have the line and
-// the limit, must itself be short, and parsing must allocate at most the bytes of the case beside the file's size. Files far
-// beyond a limit would otherwise exhaust the memory of a running program that reloads its configuration.
+// the limit, must itself be short, and parsing must allocate at most the bytes of the case beside the file's size, however
+// large the file is. Decoding alone would hold the whole file in memory.
 func TestTooMuch(t *testing.T) {
 	const few = 4 << 20
 	for name, tc := range map[string]struct {
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -36,7 +36,7 @@
 // Guards against a truncated tenants' file that is accepted, which would remove the tenants after the cut.
 func TestEveryPrefixOfTenantsIsRefused(t *testing.T) {
 	var b strings.Builder
-	for i := range 12 { // 12 tenants, so that a cut within the count leaves another valid count
+	for i := range 12 { // 12 tenants, so that a cut within the count leaves another number
 		b.WriteString("[[tenant]]\nname = \"" + string(rune('a'+i)) + "\"\nquota_per_s = 20\n")
 	}
 	b.WriteString("[end]\ntenants = 12\n")
--- a/internal/tlskeys/auth_test.go
+++ b/internal/tlskeys/auth_test.go
@@ -12,7 +12,8 @@
 	"yokestall/internal/testutil"
 )
 
-// What is required of servers and of clients is verified: names, roots, pins, certificates.
+// Guards against handshakes that succeed although the peer's certificate has another name, other roots, another key than the
+// pinned one or is missing where one is required; and against handshakes that fail with a valid peer.
 func TestVerification(t *testing.T) {
 	a, stranger := newAuthority(t), newAuthority(t)
 	folder := t.TempDir()
@@ -31,31 +32,31 @@
 		name   string
 		server ServerAuth
 		client ClientAuth
-		want   string // of the client's error; "": none
+		want   string // part of the client's error; "": the handshake succeeds
 	}{
-		{"as it should be", ServerAuth{ServerName: "server.test", Roots: "ca"}, ClientAuth{}, ""},
-		{"another name", ServerAuth{ServerName: "other.test", Roots: "ca"}, ClientAuth{}, "not other.test"},
-		{"other roots", ServerAuth{ServerName: "server.test", Roots: "strange"}, ClientAuth{}, "unknown authority"},
-		{"no such roots", ServerAuth{ServerName: "server.test", Roots: "none"}, ClientAuth{}, "no roots none"},
+		{"matching name and roots", ServerAuth{ServerName: "server.test", Roots: "ca"}, ClientAuth{}, ""},
+		{"name that the certificate does not have", ServerAuth{ServerName: "other.test", Roots: "ca"}, ClientAuth{}, "not other.test"},
+		{"roots of another authority", ServerAuth{ServerName: "server.test", Roots: "strange"}, ClientAuth{}, "unknown authority"},
+		{"root bundle that does not exist", ServerAuth{ServerName: "server.test", Roots: "none"}, ClientAuth{}, "there is no root bundle none"},
 		{
-			"the key is pinned", ServerAuth{ServerName: "server.test", Roots: "ca", Pins: []string{pin}},
+			"server's key is pinned", ServerAuth{ServerName: "server.test", Roots: "ca", Pins: []string{pin}},
 			ClientAuth{}, "",
 		},
 		{
-			"another is pinned", ServerAuth{ServerName: "server.test", Roots: "ca", Pins: []string{"x"}},
-			ClientAuth{}, "is pinned",
+			"another key is pinned", ServerAuth{ServerName: "server.test", Roots: "ca", Pins: []string{"x"}},
+			ClientAuth{}, "has a pinned key",
 		},
 		{
-			"a certificate is shown", ServerAuth{ServerName: "server.test", Roots: "ca", Certificate: "client.test"},
+			"client presents a certificate", ServerAuth{ServerName: "server.test", Roots: "ca", Certificate: "client.test"},
 			ClientAuth{Roots: "ca", Require: true}, "",
 		},
 		{
-			"none is shown", ServerAuth{ServerName: "server.test", Roots: "ca"},
+			"client presents no certificate and one is required", ServerAuth{ServerName: "server.test", Roots: "ca"},
 			ClientAuth{Roots: "ca", Require: true}, "certificate required",
 		},
-		{"none is required", ServerAuth{ServerName: "server.test", Roots: "ca"}, ClientAuth{Roots: "ca"}, ""},
+		{"client presents no certificate and none is required", ServerAuth{ServerName: "server.test", Roots: "ca"}, ClientAuth{Roots: "ca"}, ""},
 		{
-			"of other roots", ServerAuth{ServerName: "server.test", Roots: "ca", Certificate: "client.test"},
+			"client certificate of another authority", ServerAuth{ServerName: "server.test", Roots: "ca", Certificate: "client.test"},
 			ClientAuth{Roots: "strange"}, "unknown certificate authority",
 		},
 	} {
@@ -79,7 +80,7 @@
 		clientEnd.Close()
 		<-done
 		if (err == nil) != (tc.want == "") || err != nil && !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%s: %v", tc.name, err)
+			t.Errorf("%s: got error %v, want one with the text of the case, or none", tc.name, err)
 		}
 	}
 }
--- a/internal/tlskeys/check.go
+++ b/internal/tlskeys/check.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Check reads a folder once. It returns the set of its complete entries, a warning for each certificate that ends
-// within 30 days, and the faults, joined. set is nil if the folder can't be read.
+// Check reads a directory of keys once. It returns the set of the complete entries, a warning for each certificate that expires
+// within 30 days, and the joined errors of the faulty files. set is nil if the directory can't be read.
 func Check(folder, defaultPair string, now time.Time) (warnings []string, set *Set, err error) {
 	files, err := readFolder(folder)
 	if err != nil {
 		return nil, nil, err
 	}
-	set, faults := Update(Empty(), files, defaultPair, now)
+	set, fileErrs := Update(Empty(), files, defaultPair, now)
 	for _, e := range set.Expiring(now, expiryWarning) {
 		file := filepath.Join(folder, e.Name+certSuffix)
-		warnings = append(warnings, fmt.Sprintf("%s: ends in %s", file, formatDays(e.Remaining)))
+		warnings = append(warnings, fmt.Sprintf("%s: expires in %s", file, formatDays(e.Remaining)))
 	}
-	return warnings, set, errors.Join(withFolder(folder, faults)...)
+	return warnings, set, errors.Join(withFolder(folder, fileErrs)...)
 }
 
-// withFolder puts a folder before the file names of faults.
-func withFolder(folder string, faults []error) []error {
-	for i, fault := range faults {
-		faults[i] = fmt.Errorf("%s/%w", folder, fault)
+// withFolder puts the directory's path before the file names in errors. It changes the slice.
+func withFolder(folder string, fileErrs []error) []error {
+	for i, fileErr := range fileErrs {
+		fileErrs[i] = fmt.Errorf("%s/%w", folder, fileErr)
 	}
-	return faults
+	return fileErrs
 }
--- a/internal/tlskeys/clientconfig.go
+++ b/internal/tlskeys/clientconfig.go
@@ -7,37 +7,38 @@
 	"slices"
 )
 
-var errNotPinned = errors.New("tlskeys: no key of the server's chain is pinned")
+var errNotPinned = errors.New("tlskeys: no certificate of the server's verified chain has a pinned key")
 
-// ServerAuth is what a client requires of servers, and the certificate that it shows them.
+// ServerAuth is what a client requires of servers, and the certificate that the client presents to them.
 type ServerAuth struct {
-	ServerName  string   // that their certificates are for; "": the address's host
-	Roots       string   // bundle that verifies their certificates; "": the system's
-	Certificate string   // pair that is shown to them; "": none
-	Pins        []string // of keys, as Pin returns them; one of the verified chain must have one; nil: any key
+	ServerName  string   // name that servers' certificates must be valid for; "": the host of the server's address
+	Roots       string   // name of the root bundle that verifies servers' certificates; "": the roots of the system
+	Certificate string   // name of the pair that is presented to servers; "": none
+	Pins        []string // pins as Pin returns them, of which the verified chain must have one; none: any key is accepted
 }
 
-// ClientConfig returns the configuration of connections to servers, which follows the set in force: a change applies
-// to connections that are opened afterwards.
+// ClientConfig returns a TLS configuration for connections to servers. It uses the set in force at the time of the handshake, so
+// that a change of the set applies to connections that are opened afterwards.
 func (s *Store) ClientConfig(auth ServerAuth) *tls.Config {
 	c := &clientConfig{store: s, auth: auth}
 	return &tls.Config{
 		ServerName:           auth.ServerName,
 		GetClientCertificate: c.certificate,
-		// Go's own verification takes its roots from the configuration, which can't follow the set. So verify does
-		// the same with the roots in force.
+		// The verification by crypto/tls uses the roots of the configuration, which can't follow the set in force. It is
+		// therefore off, and verify does the same with the roots in force.
 		InsecureSkipVerify: true,
 		VerifyConnection:   c.verify,
 	}
 }
 
-// clientConfig is what the callbacks of a configuration need.
+// clientConfig holds what the callbacks of a client's TLS configuration need.
 type clientConfig struct {
 	store *Store
 	auth  ServerAuth
 }
 
-// certificate returns the client certificate, an empty one if there is none: the server decides whether to go on.
+// certificate returns the client certificate in force. It returns an empty certificate if there is none, with which the server
+// decides whether the handshake continues.
 func (c *clientConfig) certificate(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 	if p := c.store.Set().Pair(c.auth.Certificate); p != nil {
 		return &p.Certificate, nil
@@ -45,7 +46,7 @@
 	return &tls.Certificate{}, nil
 }
 
-// verify verifies the server's chain and its pins.
+// verify verifies the server's certificate chain with the roots in force, and that the chain has a pinned key if there are pins.
 func (c *clientConfig) verify(state tls.ConnectionState) (err error) {
 	options := x509.VerifyOptions{DNSName: state.ServerName, Intermediates: x509.NewCertPool()}
 	if c.auth.Roots != "" {
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// isPinned reports whether any certificate of the chains has a pinned key.
+// isPinned reports whether a certificate in any of the chains has a pinned key.
 func isPinned(chains [][]*x509.Certificate, pins []string) bool {
 	for _, chain := range chains {
 		for _, certificate := range chain {
--- a/internal/tlskeys/expiry.go
+++ b/internal/tlskeys/expiry.go
@@ -10,19 +10,19 @@
 
 const day = 24 * time.Hour
 
-// expiryWarning is how long before its end a certificate is warned about first.
+// expiryWarning is the time before a certificate expires at which the first warning is logged.
 const expiryWarning = 30 * day
 
-// expiryThresholds are the times before a certificate's end at which a warning is logged, the longest first.
+// expiryThresholds are the remaining times of a certificate below which a warning is logged, the longest first.
 var expiryThresholds = []time.Duration{expiryWarning, 7 * day, day, 0}
 
-// Expiry is the time that a pair has left.
+// Expiry is the time until a pair expires.
 type Expiry struct {
-	Name      string // the pair's
-	Remaining time.Duration
+	Name      string        // name of the pair
+	Remaining time.Duration // negative if the pair has expired
 }
 
-// threshold returns the last of expirySteps that the pair has reached.
+// threshold returns the last of expiryThresholds that the pair's remaining time is below, or expiryWarning if there is none.
 func (e *Expiry) threshold() time.Duration {
 	reached := expiryWarning
 	for _, step := range expiryThresholds {
@@ -33,7 +33,7 @@
 	return reached
 }
 
-// Expiring returns the pairs that end within a time, the first to end first.
+// Expiring returns the pairs that have expired or expire within the given time, in the order in which they expire.
 func (s *Set) Expiring(now time.Time, within time.Duration) (list []Expiry) {
 	for name, p := range s.pairs {
 		if remaining := p.NotAfter.Sub(now); remaining < within {
@@ -46,7 +46,7 @@
 	return list
 }
 
-// formatDays formats a time in days, or in hours and minutes if it is under two days.
+// formatDays formats a duration in whole days, or rounded to minutes if it is below two days.
 func formatDays(d time.Duration) string {
 	if d < 2*day {
 		return d.Round(time.Minute).String()
--- a/internal/tlskeys/folder.go
+++ b/internal/tlskeys/folder.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// The limits of a folder.
+// The limits of a directory of keys.
 const (
-	MaxFiles     = 1000    // with keys
-	MaxFileBytes = 1 << 20 // of one file
-	// maxFolderEntries bounds the entries of any kind.
+	MaxFiles     = 1000    // files that are read
+	MaxFileBytes = 1 << 20 // bytes of a file
+	// maxFolderEntries limits all directory entries, including those that are not read.
 	maxFolderEntries = 4 * MaxFiles
 )
 
-// The suffixes of file names. NAME.crt and NAME.key are a certificate with its chain and its key, NAME.ca is a bundle
-// of root certificates, all in PEM. NAME.tickets has a key of session tickets a line, 64 hexadecimal digits, the first
-// of which encrypts new tickets.
+// The suffixes of file names. NAME.crt has a certificate with its chain and NAME.key its private key, NAME.ca is a bundle of
+// root certificates, all in PEM. NAME.tickets has a session ticket key of 64 hexadecimal digits on each line; the first key
+// encrypts new tickets.
 const (
 	certSuffix    = ".crt"
 	keySuffix     = ".key"
@@ -26,20 +26,21 @@
 	ticketsSuffix = ".tickets"
 )
 
-// File is a file's name, without its folder, and its content.
+// File is the name of a file, without its directory, and the file's content.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// readFolder returns the folder's files with keys, by name. Data of a file over MaxFileBytes is cut one byte after.
+// readFolder returns the directory's key files in the order of their names. It truncates the data of a file that is longer than
+// MaxFileBytes to MaxFileBytes+1 bytes.
 func readFolder(folder string) ([]File, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
 		return nil, err
 	}
 	if len(entries) > maxFolderEntries {
-		return nil, fmt.Errorf("%s: over %d files", folder, maxFolderEntries)
+		return nil, fmt.Errorf("%s: folder has over %d entries", folder, maxFolderEntries)
 	}
 	var files []File
 	for _, e := range entries {
@@ -47,7 +48,7 @@
 			continue
 		}
 		if len(files) == MaxFiles {
-			return nil, fmt.Errorf("%s: over %d files of keys", folder, MaxFiles)
+			return nil, fmt.Errorf("%s: folder has over %d files of keys", folder, MaxFiles)
 		}
 		data, err := readFile(filepath.Join(folder, e.Name()))
 		if err != nil {
@@ -58,7 +59,7 @@
 	return files, nil
 }
 
-// isKeyFile reports whether a file is read, by its name. Hidden files are not.
+// isKeyFile reports whether the file with this name is read. Hidden files are not read.
 func isKeyFile(name string) bool {
 	if strings.HasPrefix(name, ".") {
 		return false
@@ -70,11 +71,11 @@
 	return false
 }
 
-// readFile returns the content of a regular file, cut one byte after MaxFileBytes.
+// readFile returns the content of a regular file, truncated to MaxFileBytes+1 bytes.
 func readFile(name string) ([]byte, error) {
 	info, err := os.Stat(name)
-	if err != nil || !info.Mode().IsRegular() { // opening a pipe would block
-		return nil, fmt.Errorf("%s: is no file that can be read", name)
+	if err != nil || !info.Mode().IsRegular() { // opening a named pipe would block
+		return nil, fmt.Errorf("%s: is not a readable regular file", name)
 	}
 	f, err := os.Open(name)
 	if err != nil {
--- a/internal/tlskeys/serverconfig.go
+++ b/internal/tlskeys/serverconfig.go
@@ -8,17 +8,17 @@
 	"sync/atomic"
 )
 
-var errNoCertificate = errors.New("tlskeys: there is no certificate to show")
+var errNoCertificate = errors.New("tlskeys: the folder has no certificate for the handshake")
 
 // ClientAuth is what a listener requires of its clients.
 type ClientAuth struct {
-	Roots   string // bundle that verifies their certificates; "": none are requested
-	Require bool   // handshakes without a certificate fail
+	Roots   string // name of the root bundle that verifies clients' certificates; "": none are requested
+	Require bool   // a handshake without a client certificate fails
 }
 
-// ServerConfig returns the configuration of a listener, which follows the set in force. All but the keys is Go's
-// default. protocols are those of ALPN (RFC 7301), in order of preference. A handshake fails if the set has no
-// certificate, or not the client's roots.
+// ServerConfig returns the TLS configuration of a listener. It uses the set in force at the time of the handshake, and the
+// defaults of crypto/tls for all settings other than keys and protocols. protocols are the ALPN protocols (RFC 7301) in order
+// of preference. A handshake fails if the set has no certificate, or no root bundle with the name in auth.
 func (s *Store) ServerConfig(auth ClientAuth, protocols ...string) *tls.Config {
 	c := &serverConfig{store: s, auth: auth, base: &tls.Config{NextProtos: protocols, GetCertificate: s.certificate}}
 	if auth.Roots != "" {
@@ -32,7 +32,7 @@
 	return config
 }
 
-// certificate returns the certificate for a handshake as the server.
+// certificate returns the server's certificate for a handshake.
 func (s *Store) certificate(hello *tls.ClientHelloInfo) (*tls.Certificate, error) {
 	if p := s.Set().ForServerName(hello.ServerName); p != nil {
 		return &p.Certificate, nil
@@ -40,15 +40,15 @@
 	return nil, errNoCertificate
 }
 
-// serverConfig derives a listener's configuration for each set in force.
+// serverConfig derives a listener's TLS configuration from each set in force.
 type serverConfig struct {
 	store *Store
 	auth  ClientAuth
-	base  *tls.Config // without what depends on the set
+	base  *tls.Config // settings that do not depend on the set
 	last  atomic.Pointer[setConfig]
 }
 
-// setConfig is a configuration with what depends on a set.
+// setConfig is the TLS configuration for a set.
 type setConfig struct {
 	set    *Set
 	config *tls.Config
@@ -67,18 +67,18 @@
 			return nil, err
 		}
 	}
-	if len(set.ticketKeys) > 0 { // else Go's own, which it changes every day
+	if len(set.ticketKeys) > 0 { // otherwise crypto/tls uses keys of its own, which it rotates daily
 		config.SetSessionTicketKeys(set.ticketKeys)
 	}
 	c.last.Store(&setConfig{set, config})
 	return config, nil
 }
 
-// requireRoots returns a bundle of root certificates, or an error if there is none of that name.
+// requireRoots returns the bundle of root certificates with this name, or an error if the set has none.
 func (s *Set) requireRoots(name string) (*x509.CertPool, error) {
 	pool := s.Roots(name)
 	if pool == nil {
-		return nil, fmt.Errorf("tlskeys: there are no roots %s", name)
+		return nil, fmt.Errorf("tlskeys: there is no root bundle %s", name)
 	}
 	return pool, nil
 }
--- a/internal/tlskeys/set.go
+++ b/internal/tlskeys/set.go
@@ -14,26 +14,28 @@
 type Pair struct {
 	Name        string
 	Certificate tls.Certificate
-	NotAfter    time.Time // the earliest end of the chain's certificates
-	digest      [sha256.Size]byte
+	NotAfter    time.Time         // the earliest expiry of the chain's certificates
+	digest      [sha256.Size]byte // hash of the content of both files
 }
 
-// Set is all entries of a folder at one time. It is immutable once Update has returned it.
+// Set has all entries of a directory of keys at one time. It is immutable once Update has returned it.
 type Set struct {
 	pairs map[string]*Pair          // by file name without suffix
 	roots map[string]*x509.CertPool // by file name without suffix
-	// byServerName has the names that certificates are for, in lower case; "*.x" as it stands.
+	// byServerName maps the names and addresses in certificates, in lower case, to pairs. Wildcard names are keys as they are
+	// written, such as "*.example.org".
 	byServerName map[string]*Pair
-	// defaultPair is for clients that name no server, or an unknown one.
+	// defaultPair is the pair for clients that name no server or an unknown one; nil: there are no pairs.
 	defaultPair *Pair
-	ticketKeys  [][ticketKeyBytes]byte // the first one encrypts new tickets
+	ticketKeys  [][ticketKeyBytes]byte // the first key encrypts new tickets
 }
 
 // Empty returns a set without entries.
 func Empty() *Set { return &Set{} }
 
-// index fills the lookups by server name. Of two pairs for the same name it takes the one that ends later, so that a
-// new one beside the old takes over. defaultPair names the default pair; "": the first one by name.
+// index fills byServerName and sets the default pair. Of two pairs for the same server name it uses the one that expires later,
+// so that a new pair that is added beside the old one replaces it. defaultPair is the name of the default pair; if it is "" or
+// there is no such pair, the first pair by name is the default.
 func (s *Set) index(defaultPair string) {
 	s.byServerName = map[string]*Pair{}
 	for _, name := range slices.Sorted(maps.Keys(s.pairs)) {
@@ -49,7 +51,7 @@
 	}
 }
 
-// serverNames returns the DNS names and IP addresses that a certificate is for, in lower case.
+// serverNames returns the DNS names and IP addresses that a certificate is valid for, in lower case.
 func serverNames(c *x509.Certificate) []string {
 	names := make([]string, 0, len(c.DNSNames)+len(c.IPAddresses))
 	for _, name := range c.DNSNames {
@@ -61,8 +63,8 @@
 	return names
 }
 
-// ForServerName returns the pair for a server name indication (RFC 6066, section 3): by the name, by a wildcard in
-// place of its first label, else the default pair; nil if the set is empty.
+// ForServerName returns the pair for a server name indication (RFC 6066, section 3). It looks for the name, then for a wildcard
+// in place of its first label, and otherwise returns the default pair, which is nil if the set has no pairs.
 func (s *Set) ForServerName(name string) *Pair {
 	name = strings.ToLower(strings.TrimSuffix(name, "."))
 	if p := s.byServerName[name]; p != nil {
@@ -76,10 +78,10 @@
 	return s.defaultPair
 }
 
-// Pair returns the pair with a file name without suffix, nil if there is none.
+// Pair returns the pair with this file name without suffix, or nil if there is none.
 func (s *Set) Pair(name string) *Pair { return s.pairs[name] }
 
-// Roots returns the bundle of root certificates with a file name without suffix, nil if there is none.
+// Roots returns the bundle of root certificates with this file name without suffix, or nil if there is none.
 func (s *Set) Roots(name string) *x509.CertPool { return s.roots[name] }
 
 // equal reports whether two sets have the same entries.
--- a/internal/tlskeys/store.go
+++ b/internal/tlskeys/store.go
@@ -9,25 +9,27 @@
 	"time"
 )
 
-// maxLoggedCauses bounds the causes that are remembered as logged. Further ones are not logged.
+// maxLoggedCauses limits the causes that are stored as logged. Further causes are not logged while the set in force stays.
 const maxLoggedCauses = MaxFiles
 
-// Store follows a folder. A handshake uses the set in force at its time; open connections are not affected by a
-// change. Create it with Open. Its configurations and Set may be used concurrently with one call of Run or Reload.
+// Store holds the set of a directory of keys that is in force, and follows changes of the directory. A handshake uses the set
+// in force at its time; a change does not affect open connections. A Store is created with Open. Its TLS configurations and Set
+// may be used concurrently with each other and with one call of Run or Reload.
 type Store struct {
 	folder, defaultPair string
 	log                 *slog.Logger
 	set                 atomic.Pointer[Set]
 	changes             atomic.Uint64
-	loggedCauses        map[string]bool // causes logged since the set in force was loaded
+	loggedCauses        map[string]bool // causes that were logged since the set in force was loaded
 }
 
-// Open reads a folder. Any fault is an error, since there is no earlier set whose entries could stay.
+// Open reads a directory of keys. It fails if any file is faulty, since there is no earlier set whose entries could remain in
+// use.
 func Open(folder, defaultPair string, log *slog.Logger) (*Store, error) {
 	s := &Store{folder: folder, defaultPair: defaultPair, log: log, loggedCauses: map[string]bool{}}
 	s.set.Store(Empty())
-	if faults := s.Reload(time.Now()); len(faults) > 0 {
-		return nil, errors.Join(faults...)
+	if fileErrs := s.Reload(time.Now()); len(fileErrs) > 0 {
+		return nil, errors.Join(fileErrs...)
 	}
 	return s, nil
 }
@@ -35,10 +37,12 @@
 // Set returns the set in force.
 func (s *Store) Set() *Set { return s.set.Load() }
 
-// Changes returns how many sets have come into force.
+// Changes returns how many sets have come into force, including the first one unless that is empty.
 func (s *Store) Changes() uint64 { return s.changes.Load() }
 
-// Reload reads the folder once and puts its complete entries in force. It returns the faults, and logs new ones.
+// Reload reads the directory once and puts the complete entries in force; for a faulty entry the earlier one stays. It returns
+// the errors of the faulty files, and logs those that were not logged since the set in force was loaded. If the directory can't
+// be read, the set in force stays.
 func (s *Store) Reload(now time.Time) []error {
 	files, err := readFolder(s.folder)
 	if err != nil {
@@ -48,9 +52,9 @@
 		return []error{err}
 	}
 	old := s.Set()
-	next, faults := Update(old, files, s.defaultPair, now)
-	for _, fault := range withFolder(s.folder, faults) {
-		if cause := fault.Error(); s.shouldLog(cause) {
+	next, fileErrs := Update(old, files, s.defaultPair, now)
+	for _, fileErr := range withFolder(s.folder, fileErrs) {
+		if cause := fileErr.Error(); s.shouldLog(cause) {
 			s.log.Error("an entry of the keys is not taken; what was there stays", "what", cause)
 		}
 	}
@@ -61,10 +65,10 @@
 		s.log.Info("TLS keys loaded", "folder", s.folder, "certificates", len(next.pairs), "roots", len(next.roots))
 	}
 	s.logExpiring(now)
-	return faults
+	return fileErrs
 }
 
-// logExpiring logs the certificates that are about to end, once for each of expirySteps.
+// logExpiring logs the certificates that expire soon, once for each of expiryThresholds.
 func (s *Store) logExpiring(now time.Time) {
 	for _, e := range s.Set().Expiring(now, expiryWarning) {
 		cause := fmt.Sprintf("%s%s, within %s", e.Name, certSuffix, formatDays(e.threshold()))
@@ -74,7 +78,8 @@
 	}
 }
 
-// shouldLog reports whether a cause is to be logged: once for as long as the set in force stays.
+// shouldLog reports whether a cause is to be logged, and stores it as logged. Each cause is logged once while the set in force
+// stays.
 func (s *Store) shouldLog(cause string) bool {
 	if s.loggedCauses[cause] || len(s.loggedCauses) >= maxLoggedCauses {
 		return false
@@ -83,7 +88,7 @@
 	return true
 }
 
-// Run reloads the folder at an interval until ctx ends.
+// Run reloads the directory at the given interval until ctx ends.
 func (s *Store) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/tlskeys/store_test.go
+++ b/internal/tlskeys/store_test.go
@@ -12,8 +12,9 @@
 	"yokestall/internal/testutil"
 )
 
-// Rotations under load, each written in halves and some of them faulty: no handshake fails, an open connection goes on,
-// and the last good certificate is shown.
+// Guards against rotations that interrupt service. Each rotation writes certificate and key in two steps each, and every fourth
+// has an expired certificate: no handshake may fail, an open connection must keep working, and the last valid certificate must
+// be presented.
 func TestRotationUnderLoad(t *testing.T) {
 	a := newAuthority(t)
 	folder := t.TempDir()
@@ -50,13 +51,13 @@
 			func() { write("a.key", key[:len(key)/2]) }, func() { write("a.key", key) },
 		} {
 			writeStep()
-			faults := store.Reload(time.Now())
-			if (len(faults) == 0) != (step == 3 && i%4 != 3) {
-				t.Fatalf("rotation %d, step %d: %v", i, step, faults)
+			fileErrs := store.Reload(time.Now())
+			if (len(fileErrs) == 0) != (step == 3 && i%4 != 3) {
+				t.Fatalf("rotation %d, step %d: got errors %v, want none only after the last step of a valid rotation", i, step, fileErrs)
 			}
 			c, err := connect()
 			if err != nil {
-				t.Fatalf("rotation %d, step %d: %v", i, step, err)
+				t.Fatalf("rotation %d, step %d: the handshake failed: %v", i, step, err)
 			}
 			if err := echoByte(c); err != nil {
 				t.Fatal(err)
@@ -65,14 +66,14 @@
 			c.Close()
 		}
 	}
-	if len(shown) != 31 { // the first and three of four
-		t.Errorf("%d certificates were shown", len(shown))
+	if len(shown) != 31 { // the first certificate and three of every four rotations
+		t.Errorf("%d different certificates were presented, want 31", len(shown))
 	}
 	if err := echoByte(first); err != nil {
-		t.Errorf("the first connection: %v", err)
+		t.Errorf("the connection from before the rotations failed: %v", err)
 	}
 	if store.Changes() != 31 {
-		t.Errorf("%d sets came into force", store.Changes())
+		t.Errorf("%d sets came into force, want 31", store.Changes())
 	}
 }
 
@@ -96,7 +97,7 @@
 	}
 }
 
-// echoByte writes a byte and reads one.
+// echoByte writes a byte to a connection with serveEcho and reads the response.
 func echoByte(c net.Conn) error {
 	b := [1]byte{'x'}
 	if _, err := c.Write(b[:]); err != nil {
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// newAuthority returns a certificate authority.
+// newAuthority returns a new certificate authority.
 func newAuthority(t testing.TB) *keymaker.Authority {
 	t.Helper()
 	a, err := keymaker.New("test")
@@ -20,7 +20,8 @@
 	return a
 }
 
-// issue returns a certificate in PEM, valid between two times from now, and its key.
+// issue returns a certificate for names and its private key, both in PEM. from and until are the bounds of its validity,
+// relative to the current time.
 func issue(t testing.TB, a *keymaker.Authority, from, until time.Duration, names ...string) (cert, key []byte) {
 	t.Helper()
 	cert, key, err := a.Issue(time.Now().Add(from), time.Now().Add(until), names...)
--- a/internal/tlskeys/update.go
+++ b/internal/tlskeys/update.go
@@ -11,8 +11,10 @@
 	"time"
 )
 
-// Update returns the set of a folder's files, and the faults by file. A faulty entry is taken from old, if it is
-// there. defaultPair names the pair for clients that name no server, or an unknown one; "": the first pair by name.
+// Update returns the set of a directory's files, and an error for each faulty file, which begins with the file's name. For a
+// faulty entry the set has the entry of old, if there is one. A file over MaxFileBytes, however, counts as missing: its root
+// bundle or ticket keys are not taken from old, nor is a pair of which both files are too long. defaultPair is the name of the
+// pair for clients that name no server or an unknown one; "": the first pair by name.
 func Update(old *Set, files []File, defaultPair string, now time.Time) (*Set, []error) {
 	u := &updater{
 		old: old, now: now, contents: map[string][]byte{},
@@ -20,7 +22,7 @@
 	}
 	for _, f := range files {
 		if len(f.Data) > MaxFileBytes {
-			u.addError(f.Name, fmt.Errorf("%d bytes; %d at most", len(f.Data), MaxFileBytes))
+			u.addError(f.Name, fmt.Errorf("has at least %d bytes; the limit is %d", len(f.Data), MaxFileBytes))
 			continue
 		}
 		u.contents[f.Name] = f.Data
@@ -30,12 +32,12 @@
 	}
 	u.set.index(defaultPair)
 	if defaultPair != "" && u.set.pairs[defaultPair] == nil {
-		u.addError(defaultPair+certSuffix, errors.New("is to be the first one, and there is none"))
+		u.addError(defaultPair+certSuffix, errors.New("is missing, but the setting first of [keys] names it"))
 	}
 	return u.set, u.errs
 }
 
-// updater makes a new set.
+// updater computes a set for Update.
 type updater struct {
 	old      *Set
 	now      time.Time
@@ -44,19 +46,19 @@
 	errs     []error
 }
 
-// addError adds a addError of a file.
+// addError records an error of a file.
 func (u *updater) addError(file string, err error) {
 	u.errs = append(u.errs, fmt.Errorf("%s: %w", file, err))
 }
 
-// addFile adds the entry of a file.
+// addFile adds the entry that a file belongs to. A pair is added with its certificate's file.
 func (u *updater) addFile(file string) {
 	suffix := path.Ext(file)
 	name := strings.TrimSuffix(file, suffix)
 	switch suffix {
 	case keySuffix:
-		if u.contents[name+certSuffix] == nil { // else the key is read with its certificate
-			u.addError(file, errors.New("there is no certificate beside it"))
+		if u.contents[name+certSuffix] == nil { // otherwise the key is read with its certificate
+			u.addError(file, errors.New("there is no certificate file for this key"))
 			u.setPair(name, u.old.pairs[name])
 		}
 	case certSuffix:
@@ -68,11 +70,11 @@
 	}
 }
 
-// addPair adds the pair whose certificate is in a file.
+// addPair adds the pair with this name, whose certificate is in file, or the old pair if the new one is faulty.
 func (u *updater) addPair(file, name string) {
 	key, ok := u.contents[name+keySuffix]
 	if !ok {
-		u.addError(file, errors.New("there is no key beside it"))
+		u.addError(file, errors.New("there is no key file for this certificate"))
 		u.setPair(name, u.old.pairs[name])
 		return
 	}
@@ -84,14 +86,14 @@
 	u.setPair(name, p)
 }
 
-// setPair sets a pair unless it is nil.
+// setPair adds a pair to the set unless the pair is nil.
 func (u *updater) setPair(name string, p *Pair) {
 	if p != nil {
 		u.set.pairs[name] = p
 	}
 }
 
-// addRoots adds the bundle of root certificates in a file.
+// addRoots adds the bundle of root certificates in a file, or the old bundle if the file is faulty.
 func (u *updater) addRoots(file, name string) {
 	pool, err := parseRoots(u.contents[file])
 	if err != nil {
@@ -103,7 +105,8 @@
 	}
 }
 
-// addTicketKeys sets the keys of session tickets to those of a file. Of several files the last one by name counts.
+// addTicketKeys sets the session ticket keys to those of a file, or to the old keys if the file is faulty. Of several files the
+// last one by name is used.
 func (u *updater) addTicketKeys(file string) {
 	keys, err := parseTicketKeys(u.contents[file])
 	if err != nil {
--- a/internal/tlskeys/update_test.go
+++ b/internal/tlskeys/update_test.go
@@ -10,16 +10,17 @@
 	"yokestall/internal/fake/keymaker"
 )
 
-// A faulty entry is reported by its file and its cause; the earlier one stays.
+// Guards against an entry that is used although its files are faulty or partly written, and against errors without the file and
+// the cause: the earlier entry must remain in use.
 func TestFaultyEntries(t *testing.T) {
 	a := newAuthority(t)
 	cert, key := issue(t, a, -time.Hour, time.Hour, "a.test")
 	good := []File{
 		{"a.crt", cert}, {"a.key", key}, {"ca.ca", a.PEM}, {"s.tickets", []byte(strings.Repeat("ab", 32) + "\n")},
 	}
-	old, faults := Update(Empty(), good, "", time.Now())
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	old, fileErrs := Update(Empty(), good, "", time.Now())
+	if len(fileErrs) > 0 {
+		t.Fatal(fileErrs)
 	}
 	otherCert, otherKey := issue(t, a, -time.Hour, time.Hour, "b.test")
 	lateCert, lateKey := issue(t, a, -2*time.Hour, -time.Hour, "a.test")
@@ -32,30 +33,30 @@
 		files      []File
 		want       string
 	}{
-		{"no key", "a.crt", []File{{"a.crt", cert}}, "no key beside it"},
-		{"no certificate", "a.key", []File{{"a.key", key}}, "no certificate beside it"},
+		{"no key", "a.crt", []File{{"a.crt", cert}}, "there is no key file"},
+		{"no certificate", "a.key", []File{{"a.key", key}}, "there is no certificate file"},
 		{"another's key", "a.crt", []File{{"a.crt", cert}, {"a.key", otherKey}}, "private key does not match"},
 		{"another's certificate", "a.crt", []File{{"a.crt", otherCert}, {"a.key", key}}, "private key does not match"},
-		{"expired", "a.crt", []File{{"a.crt", lateCert}, {"a.key", lateKey}}, "ended at"},
-		{"not yet", "a.crt", []File{{"a.crt", soonCert}, {"a.key", soonKey}}, "begins at"},
+		{"expired", "a.crt", []File{{"a.crt", lateCert}, {"a.key", lateKey}}, "expired at"},
+		{"not yet", "a.crt", []File{{"a.crt", soonCert}, {"a.key", soonKey}}, "is not valid before"},
 		{"another chain", "a.crt", []File{{"a.crt", wrongChain}, {"a.key", key}}, "out of order"},
 		{"empty", "a.crt", []File{{"a.crt", nil}, {"a.key", key}}, "has no certificate"},
 		{
 			"a key in it", "a.crt", []File{{"a.crt", slices.Concat(key, cert)}, {"a.key", key}},
-			`block of type "PRIVATE KEY"`,
+			`PEM block of type "PRIVATE KEY"`,
 		},
-		{"too long", "a.crt", []File{{"a.crt", make([]byte, MaxFileBytes+1)}, {"a.key", key}}, "at most"},
-		{"roots cut", "ca.ca", []File{{"ca.ca", a.PEM[:len(a.PEM)/2]}}, "not whole"},
-		{"tickets cut", "s.tickets", []File{{"s.tickets", []byte("abab")}}, "no end"},
+		{"too long", "a.crt", []File{{"a.crt", make([]byte, MaxFileBytes+1)}, {"a.key", key}}, "the limit is"},
+		{"roots cut", "ca.ca", []File{{"ca.ca", a.PEM[:len(a.PEM)/2]}}, "is truncated"},
+		{"tickets cut", "s.tickets", []File{{"s.tickets", []byte("abab")}}, "does not end with a line feed"},
 		{"tickets malformed", "s.tickets", []File{{"s.tickets", []byte("xy\n")}}, "hexadecimal"},
 	} {
-		set, faults := Update(old, tc.files, "", time.Now())
+		set, fileErrs := Update(old, tc.files, "", time.Now())
 		first := ""
-		if len(faults) > 0 {
-			first = faults[0].Error()
+		if len(fileErrs) > 0 {
+			first = fileErrs[0].Error()
 		}
 		if !strings.HasPrefix(first, tc.file+": ") || !strings.Contains(first, tc.want) {
-			t.Errorf("%s: %v", tc.name, faults)
+			t.Errorf("%s: got errors %v, want the first one to have the file and the text of the case", tc.name, fileErrs)
 			continue
 		}
 		stays := true
@@ -68,27 +69,27 @@
 			stays = len(set.ticketKeys) == 1
 		}
 		if !stays {
-			t.Errorf("%s: the earlier entry is gone", tc.name)
+			t.Errorf("%s: the earlier entry did not stay in the set", tc.name)
 		}
 	}
-	// Cut at each byte: the earlier pair stays, or the new one is complete.
+	// With a file truncated at each byte, either the earlier pair stays or the new pair is complete.
 	for _, file := range []int{0, 1} {
 		for n := range good[file].Data {
 			files := []File{{"a.crt", cert}, {"a.key", key}}
 			files[file].Data = files[file].Data[:n]
-			set, faults := Update(old, files, "", time.Now())
+			set, fileErrs := Update(old, files, "", time.Now())
 			p := set.Pair("a")
-			if p == nil || len(faults) == 0 && len(p.Certificate.Certificate) == 0 {
-				t.Fatalf("%s cut at %d: %v", good[file].Name, n, faults)
+			if p == nil || len(fileErrs) == 0 && len(p.Certificate.Certificate) == 0 {
+				t.Fatalf("%s truncated to %d bytes: the set has no complete pair; errors: %v", good[file].Name, n, fileErrs)
 			}
-			if len(faults) > 0 && p != old.Pair("a") {
-				t.Fatalf("%s cut at %d: used with %v", good[file].Name, n, faults)
+			if len(fileErrs) > 0 && p != old.Pair("a") {
+				t.Fatalf("%s truncated to %d bytes: a new pair is used in spite of errors %v", good[file].Name, n, fileErrs)
 			}
 		}
 	}
 }
 
-// FuzzUpdate: whatever the files contain, the result is a usable set.
+// Guards against file contents for which Update panics or returns a pair without a parsed certificate.
 func FuzzUpdate(f *testing.F) {
 	a, _ := keymaker.New("test")
 	cert, key, _ := a.Issue(time.Now(), time.Now().Add(time.Hour), "a.test")
@@ -97,7 +98,7 @@
 		files := []File{{"a.crt", cert}, {"a.key", key}, {"r.ca", roots}, {"t.tickets", tickets}}
 		set, _ := Update(Empty(), files, "", time.Now())
 		if p := set.ForServerName("a.test"); p != nil && p.Certificate.Leaf == nil {
-			t.Error("a pair without a certificate")
+			t.Error("Update returned a pair without a parsed certificate")
 		}
 	})
 }
