--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// sizedProgram is a program's file with so many tenants.
-func sizedProgram(tenants int) string {
+// programWithTenants returns a program's file with the given number of tenants.
+func programWithTenants(tenants int) string {
 	var b strings.Builder
-	b.WriteString(smallProgram)
+	b.WriteString(baseProgram)
 	for t := range tenants {
 		fmt.Fprintf(&b, "[[tenant]]\nname = \"tenant-%06d\"\nquota_per_s = 20\n", t)
 	}
 	return b.String()
 }
 
-const smallProgram = `[listen]
+// baseProgram is a valid program's file of 13 lines without tenants.
+const baseProgram = `[listen]
 address = "127.0.0.1:0"
 [files]
 clusters = "clusters"
@@ -34,33 +35,34 @@
 cluster = "rooms"
 `
 
-// BenchmarkParseProgram gives a program's time and allocations by its tenants, and what stays of them.
+// BenchmarkParseProgram measures the time, the processor time and the allocations of parsing a program's file by its number of
+// tenants, and as kept-B the bytes of the heap that the parsed program occupies.
 func BenchmarkParseProgram(b *testing.B) {
 	for _, tenants := range []int{1000, 140_000, MaxTenants} {
-		text := []byte(sizedProgram(tenants))
+		text := []byte(programWithTenants(tenants))
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
 			var p *Program
 			var err error
-			before := processor()
+			before := processorTime()
 			for b.Loop() {
 				if p, err = ParseProgram("x.toml", text); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.StopTimer()
-			b.ReportMetric(float64((processor()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
-			with := heap()
+			b.ReportMetric(float64((processorTime()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
+			with := heapBytes()
 			runtime.KeepAlive(p)
 			p = nil
-			b.ReportMetric(float64(with-heap()), "kept-B")
+			b.ReportMetric(float64(with-heapBytes()), "kept-B")
 		})
 	}
 }
 
-// processor gives the processor time of the process.
-func processor() time.Duration {
+// processorTime returns the processor time that the process has used, or 0 if it can't be read.
+func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -68,7 +70,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() int64 {
+// heapBytes returns the size of the heap after garbage collection.
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
