--- a/internal/files/bundle.go
+++ b/internal/files/bundle.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// ProgramPart is the name of the program's own file in a bundle; its cluster files have their base names.
+	// ProgramPart is the name of the program's file in a bundle. Cluster files have their base names there.
 	ProgramPart = "yokestall.toml"
-	// TenantsPart is the name of the tenants' own file. No cluster file has it, since their names end in .toml.
+	// TenantsPart is the name of the tenants file in a bundle. It can't be the name of a cluster file, which ends in
+	// .toml.
 	TenantsPart = "tenants"
 )
 
-// Bundle reads a configuration as the files of a version that a fleet can agree on: the program's own, the tenants' and
-// the cluster files. The error says why the files can't be read, or Unbundle rejects them.
+// Bundle reads the configuration whose program's file is at path as the files of a version that a fleet can agree on:
+// the program's file, the tenants file if there is one, and the cluster files. It returns an error if a file can't be
+// read or Unbundle rejects the files.
 func Bundle(path string) ([]config.File, error) {
 	v, err := newReader(path).scan(NewParser())
 	if err != nil {
@@ -39,7 +41,7 @@
 	return list, err
 }
 
-// bundleParts returns the files of a version with their names in a bundle.
+// bundleParts returns the files of a version under the names that they have in a bundle.
 func bundleParts(v *contents) ([]part, error) {
 	v.program.name = ProgramPart
 	parts := []part{v.program}
@@ -50,7 +52,8 @@
 	for _, f := range v.clusters {
 		name := filepath.Base(f.name)
 		if name == ProgramPart || IsChange(name) {
-			return nil, &cluster.Problem{Source: f.name, Text: "a cluster file of a version can't have this name"}
+			return nil, &cluster.Problem{Source: f.name,
+				Text: "a cluster file of a version can't be named yokestall.toml, nor have a + in its name"}
 		}
 		f.name = name
 		parts = append(parts, f)
@@ -58,10 +61,11 @@
 	return parts, nil
 }
 
-// Unbundle parses and checks the files of a version, as Load does those of a folder. The error has what is wrong.
+// Unbundle parses and checks the files of a version, as Load does for the files of a node.
 func Unbundle(list []config.File) (*Configuration, error) { return NewParser().Unbundle(list) }
 
-// Unbundle parses a bundle. It reuses what is the same in one of the two previous versions.
+// Unbundle parses and checks the files of a version. It reuses the parsed values of files that one of the two versions
+// before had too.
 func (p *Parser) Unbundle(list []config.File) (*Configuration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,8 +74,8 @@
 		p.end(discarded)
 		return nil, err
 	}
-	p.end(followed)
-	clear(p.extended)
+	p.end(unbundled)
+	clear(p.lastResults)
 	return s, nil
 }
 
@@ -94,13 +98,13 @@
 	return s, err
 }
 
-// sortParts returns the files of a bundle by their kinds, and the changes of endpoint lists in their order.
+// sortParts sorts the files of a bundle by kind. The changes of endpoint lists keep their order.
 func sortParts(list []config.File) (v *contents, changes []config.File, err error) {
 	v = &contents{}
 	total := 0
 	for _, f := range list {
 		if total += len(f.Text); total > maxTotalBytes {
-			text := fmt.Sprintf("over %d bytes in all files together", maxTotalBytes)
+			text := fmt.Sprintf("the files of the version have over %d bytes together", maxTotalBytes)
 			return nil, nil, &cluster.Problem{Source: f.Name, Text: text}
 		}
 		switch {
@@ -115,36 +119,39 @@
 		}
 	}
 	if v.program.name == "" {
-		return nil, nil, &cluster.Problem{Source: ProgramPart, Text: "is missing"}
+		return nil, nil, &cluster.Problem{Source: ProgramPart, Text: "is missing from the version"}
 	}
 	return v, changes, nil
 }
 
-// checkBundledProgram checks what a fleet's version needs beyond what a node's own files need.
+// checkBundledProgram checks the rules that hold for a version of a fleet but not for the files of a single node.
 func checkBundledProgram(v *contents) error {
 	needsTenants, tenantFiles := v.parsed.Files.Tenants != "", len(v.tenants)
 	switch {
 	case needsTenants && tenantFiles != 1:
-		text := "is missing, or is there twice: " + ProgramPart + " names a file of tenants"
+		text := "is missing from the version or occurs more than once: " + ProgramPart + " names a tenants file"
 		return &cluster.Problem{Source: TenantsPart, Text: text}
 	case !needsTenants && tenantFiles > 0:
-		return &cluster.Problem{Source: TenantsPart, Text: ProgramPart + " names no file of tenants"}
+		return &cluster.Problem{Source: TenantsPart,
+			Text: ProgramPart + " names no tenants file, so that the version can't contain one"}
 	case v.parsed.XDS.On():
-		return &cluster.Problem{Source: ProgramPart, Field: "xds", Text: "a version can't follow a control plane"}
+		return &cluster.Problem{Source: ProgramPart, Field: "xds",
+			Text: "a version of a fleet can't follow a control plane or a folder of files in xDS form"}
 	case len(v.parsed.Hosts) == 0:
-		return &cluster.Problem{Source: ProgramPart, Field: "host", Text: "a version has routes"}
+		return &cluster.Problem{Source: ProgramPart, Field: "host", Text: "is missing: a version of a fleet must have routes"}
 	}
 	return nil
 }
 
-// ChangePart returns the name of a change of a cluster's endpoint list that follows a number of others.
+// ChangePart returns the name in a bundle of a change of a cluster's endpoint list. others is the number of the cluster's
+// changes before it.
 func ChangePart(cluster string, others int) string { return fmt.Sprintf("%s+%04d", cluster, others+1) }
 
-// IsChange reports whether a file of a bundle is a change of an endpoint list, by its name.
+// IsChange reports whether the file with this name in a bundle is a change of an endpoint list.
 func IsChange(name string) bool { return strings.Contains(name, "+") }
 
-// Change returns the clusters after the changes, applied in their order. Clusters without a change are the same values.
-// The error says which change can't be applied.
+// Change applies changes of endpoint lists in their order and returns the resulting clusters. A cluster without a change
+// is the same value as in clusters. The error names the change that can't be applied.
 func Change(clusters map[string]*cluster.Config, changes []config.File) (map[string]*cluster.Config, error) {
 	return NewParser().Change(clusters, changes)
 }
--- a/internal/files/bundle_test.go
+++ b/internal/files/bundle_test.go
@@ -11,7 +11,7 @@
 	"yokestall/internal/config"
 )
 
-const bundled = "[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"c\"\n[[class]]\nname = \"a\"\neffect = \"safe\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/\"\nclass = \"a\"\ncluster = \"rooms\"\n"
+const bundledProgram = "[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"c\"\n[[class]]\nname = \"a\"\neffect = \"safe\"\ndeadline = \"1s\"\n[[host]]\n[[host.route]]\nprefix = \"/\"\nclass = \"a\"\ncluster = \"rooms\"\n"
 
 const roomsList = "[cluster]\nname = \"rooms\"\n[[endpoint]]\nid = \"a\"\naddress = \"10.0.0.1:80\"\n[[endpoint]]\nid = \"b\"\naddress = \"10.0.0.2:80\"\n[end]\nendpoints = 2\n"
 
@@ -25,7 +25,7 @@
 	if err := os.Mkdir(filepath.Join(dir, "c"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string]string{path: bundled, filepath.Join(dir, "c", "rooms.toml"): roomsList} {
+	for name, text := range map[string]string{path: bundledProgram, filepath.Join(dir, "c", "rooms.toml"): roomsList} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -44,10 +44,10 @@
 		list []config.File
 		want string
 	}{
-		{append(list, change, again), "not in the list"}, {list[1:], "is missing"}, {append(list, config.File{Name: "b.toml", Text: []byte(roomsList)}), "is rooms.toml's too"},
-		{append(list, config.File{Name: "other+0001", Text: []byte(strings.Replace(roomsChange, "rooms", "suites", 1))}), "there is no cluster suites"},
-		{[]config.File{{Name: ProgramPart, Text: []byte(bundled[:strings.Index(bundled, "[[host]]")] + "[xds]\nfolder = \"x\"\n")}}, "can't follow a control plane"},
-		{append(list, config.File{Name: "big.toml", Text: make([]byte, maxTotalBytes)}), "in all files together"},
+		{append(list, change, again), "not in the list"}, {list[1:], "yokestall.toml: is missing from the version"}, {append(list, config.File{Name: "b.toml", Text: []byte(roomsList)}), "is rooms.toml's too"},
+		{append(list, config.File{Name: "other+0001", Text: []byte(strings.Replace(roomsChange, "rooms", "suites", 1))}), "changes the cluster suites, which the version does not have"},
+		{[]config.File{{Name: ProgramPart, Text: []byte(bundledProgram[:strings.Index(bundledProgram, "[[host]]")] + "[xds]\nfolder = \"x\"\n")}}, "can't follow a control plane"},
+		{append(list, config.File{Name: "big.toml", Text: make([]byte, maxTotalBytes)}), "big.toml: the files of the version have over 67108864 bytes together"},
 	} {
 		if _, err := Unbundle(tc.list); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%v, want %q", err, tc.want)
@@ -57,8 +57,8 @@
 
 // Whatever a version's files are, they are read or refused; what is read is whole.
 func FuzzUnbundle(f *testing.F) {
-	f.Add(bundled, roomsList, roomsChange)
-	f.Add(bundled, roomsList, "[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"a\", \"b\"]\n[end]\nendpoints = 0\n")
+	f.Add(bundledProgram, roomsList, roomsChange)
+	f.Add(bundledProgram, roomsList, "[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"a\", \"b\"]\n[end]\nendpoints = 0\n")
 	f.Add("[listen]\n", "", "[end]\nendpoints = 0\n")
 	f.Fuzz(func(t *testing.T, program, list, change string) {
 		s, err := Unbundle([]config.File{{Name: ProgramPart, Text: []byte(program)}, {Name: "rooms.toml", Text: []byte(list)}, {Name: ChangePart("rooms", 0), Text: []byte(change)}})
@@ -76,7 +76,7 @@
 // A version costs what it changes against the two before it: what stays is the same value, changes of lists included.
 func TestUnbundleKeeps(t *testing.T) {
 	other := strings.Replace(roomsList, "rooms", "suites", 1)
-	settings := strings.Replace(bundled, "1s", "2s", 1)
+	settings := strings.Replace(bundledProgram, "1s", "2s", 1)
 	bundle := func(program, list string, changes ...string) []config.File {
 		files := []config.File{{Name: ProgramPart, Text: []byte(program)}, {Name: "rooms.toml", Text: []byte(list)}, {Name: "suites.toml", Text: []byte(other)}}
 		for i, text := range changes {
@@ -98,7 +98,7 @@
 		return s
 	}
 	back := "[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"c\"]\n[end]\nendpoints = 0\n"
-	first := unbundle(bundle(bundled, roomsList, roomsChange), 4)
+	first := unbundle(bundle(bundledProgram, roomsList, roomsChange), 4)
 	second := unbundle(bundle(settings, roomsList, roomsChange), 1)
 	if second.Program == first.Program || second.Version.Clusters["rooms"] != first.Version.Clusters["rooms"] || second.Version.Clusters["suites"] != first.Version.Clusters["suites"] {
 		t.Error("a change of settings gives other clusters")
@@ -107,7 +107,7 @@
 	if err != nil || len(extended["rooms"].Endpoints) != 1 || extended["suites"] != second.Version.Clusters["suites"] {
 		t.Fatalf("%+v, %v", extended, err)
 	}
-	third := unbundle(bundle(bundled, roomsList, roomsChange, back), 1) // the change alone
+	third := unbundle(bundle(bundledProgram, roomsList, roomsChange, back), 1) // the change alone
 	if third.Program != first.Program || third.Version.Clusters["rooms"] != extended["rooms"] {
 		t.Error("a version that was extended gives other clusters when it is read whole")
 	}
@@ -115,11 +115,11 @@
 		t.Error("half a list is taken")
 	}
 	longer := strings.Replace(roomsList, "10.0.0.1", "10.0.0.9", 1)
-	if s := unbundle(bundle(bundled, longer), 1); s.Program != first.Program || s.Version.Clusters["suites"] != first.Version.Clusters["suites"] || s.Version.Clusters["rooms"].Endpoints[0].Address != "10.0.0.9:80" {
+	if s := unbundle(bundle(bundledProgram, longer), 1); s.Program != first.Program || s.Version.Clusters["suites"] != first.Version.Clusters["suites"] || s.Version.Clusters["rooms"].Endpoints[0].Address != "10.0.0.9:80" {
 		t.Errorf("after a version that can't be read: %+v", s)
 	}
 	for i := range 50 { // nothing of them stays for long
-		settings := strings.Replace(bundled, "1s", fmt.Sprintf("%ds", 3+i), 1)
+		settings := strings.Replace(bundledProgram, "1s", fmt.Sprintf("%ds", 3+i), 1)
 		unbundle(bundle(settings, roomsList, roomsChange), 1)
 		for range 5 {
 			clusters := map[string]*cluster.Config{"rooms": first.Version.Clusters["rooms"]}
@@ -129,7 +129,7 @@
 		}
 	}
 	if n := len(p.clusters.current) + len(p.clusters.last) + len(p.programs.current) + len(p.programs.last) +
-		len(p.changed.current) + len(p.changed.last) + len(p.patches.current) + len(p.patches.last) + len(p.extended); n > 2*(2+1+1+1)+1 {
+		len(p.changed.current) + len(p.changed.last) + len(p.patches.current) + len(p.patches.last) + len(p.lastResults); n > 2*(2+1+1+1)+1 {
 		t.Errorf("%d values are kept of two versions", n)
 	}
 }
@@ -141,7 +141,7 @@
 		return fmt.Sprintf("[cluster]\nname = \"rooms\"\nchange = true\n[[endpoint]]\nid = %q\naddress = \"10.0.1.1:%d\"\n[end]\nendpoints = 1\n", id, port)
 	}
 	for port := 80; port < 83; port++ {
-		s, err := p.Unbundle([]config.File{{Name: ProgramPart, Text: []byte(bundled)}, {Name: "rooms.toml", Text: []byte(roomsList)},
+		s, err := p.Unbundle([]config.File{{Name: ProgramPart, Text: []byte(bundledProgram)}, {Name: "rooms.toml", Text: []byte(roomsList)},
 			{Name: ChangePart("rooms", 0), Text: []byte(put("c", port))}, {Name: ChangePart("rooms", 1), Text: []byte(put("d", 99))}})
 		if err != nil || s.Version.Clusters["rooms"].Endpoints[2].Address != fmt.Sprint("10.0.1.1:", port) {
 			t.Errorf("port %d: %+v, %v", port, s, err)
@@ -152,7 +152,7 @@
 // A long row of changes of one list holds one list beside that of its version.
 func TestChangesHoldOneList(t *testing.T) {
 	var p Parser
-	s, err := p.Unbundle([]config.File{{Name: ProgramPart, Text: []byte(bundled)}, {Name: "rooms.toml", Text: []byte(roomsList)}})
+	s, err := p.Unbundle([]config.File{{Name: ProgramPart, Text: []byte(bundledProgram)}, {Name: "rooms.toml", Text: []byte(roomsList)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +163,7 @@
 			t.Fatal(err)
 		}
 	}
-	if n := len(p.changed.current) + len(p.changed.last) + len(p.patches.current) + len(p.patches.last) + len(p.extended); n != 1 {
+	if n := len(p.changed.current) + len(p.changed.last) + len(p.patches.current) + len(p.patches.last) + len(p.lastResults); n != 1 {
 		t.Errorf("%d values are kept", n)
 	}
 }
--- a/internal/files/change.go
+++ b/internal/files/change.go
@@ -9,26 +9,26 @@
 	"yokestall/internal/config"
 )
 
-// changedKey identifies the result of changes of a cluster's endpoint list.
+// changedKey identifies a cluster after changes of its endpoint list.
 type changedKey struct {
-	original *cluster.Config // as its file has it
-	changes  hash            // of the changes since, in their order
+	original *cluster.Config // the cluster as its file defines it
+	changes  hash            // hash of all changes that were applied to original, in their order
 }
 
-// extension is the result of the last Change of a cluster.
-type extension struct {
+// changeResult is the result of the last Change of a cluster, with its key.
+type changeResult struct {
 	key    changedKey
 	result *cluster.Config
 }
 
-// pendingChanges is a cluster with changes that are to be applied to it.
+// pendingChanges is a cluster and the changes that are still to be applied to it.
 type pendingChanges struct {
-	from    *cluster.Config // may itself be the result of changes
-	key     changedKey      // of the result
+	from    *cluster.Config // cluster before patches; may itself be the result of earlier changes
+	key     changedKey      // key of the cluster after patches
 	patches []*cluster.Patch
 }
 
-// Change is like the function. Its results are cached for an Unbundle of the same files and changes.
+// Change is like the function Change. It caches its results for a later Unbundle of the same files and changes.
 func (p *Parser) Change(
 	clusters map[string]*cluster.Config, changes []config.File,
 ) (map[string]*cluster.Config, error) {
@@ -40,16 +40,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.extended == nil {
-		p.extended = map[*cluster.Config]extension{}
+	if p.lastResults == nil {
+		p.lastResults = map[*cluster.Config]changeResult{}
 	}
 	for name, l := range pending {
-		p.extended[l.key.original] = extension{l.key, out[name]}
+		p.lastResults[l.key.original] = changeResult{l.key, out[name]}
 	}
 	return out, nil
 }
 
-// change returns the clusters after the changes, and the changes by the names of their clusters.
+// change returns the clusters after the changes, and the changes by cluster name.
 func (p *Parser) change(clusters map[string]*cluster.Config, changes []config.File) (
 	map[string]*cluster.Config, map[string]*pendingChanges, error,
 ) {
@@ -71,13 +71,13 @@
 		endpoints += len(c.Endpoints)
 	}
 	if endpoints > config.MaxServers {
-		text := fmt.Sprintf("over %d servers in all clusters together", config.MaxServers)
+		text := fmt.Sprintf("the clusters of the version have over %d endpoints together", config.MaxServers)
 		return nil, nil, &cluster.Problem{Source: changes[len(changes)-1].Name, Text: text}
 	}
 	return out, pending, nil
 }
 
-// groupChanges parses changes and returns them by the names of the clusters that they change.
+// groupChanges parses changes and returns them by the name of the cluster that they change.
 func (p *Parser) groupChanges(
 	clusters map[string]*cluster.Config, changes []config.File,
 ) (map[string]*pendingChanges, error) {
@@ -92,7 +92,8 @@
 		if l == nil {
 			c := clusters[patch.Name]
 			if c == nil {
-				return nil, &cluster.Problem{Source: f.Name, Text: fmt.Sprintf("there is no cluster %s", patch.Name)}
+				return nil, &cluster.Problem{Source: f.Name,
+					Text: fmt.Sprintf("changes the cluster %s, which the version does not have", patch.Name)}
 			}
 			l = p.newPendingChanges(c)
 			pending[patch.Name] = l
@@ -102,12 +103,12 @@
 	return pending, nil
 }
 
-// newPendingChanges returns no changes so far to a cluster, which may itself be the result of changes.
+// newPendingChanges returns an empty list of changes of a cluster, which may itself be the result of earlier changes.
 func (p *Parser) newPendingChanges(c *cluster.Config) *pendingChanges {
 	if key, found := keyOf(&p.changed, c); found {
 		return &pendingChanges{from: c, key: key}
 	}
-	for _, e := range p.extended {
+	for _, e := range p.lastResults {
 		if e.result == c {
 			return &pendingChanges{from: c, key: e.key}
 		}
@@ -115,15 +116,15 @@
 	return &pendingChanges{from: c, key: changedKey{original: c}}
 }
 
-// applyChanges returns the cluster after the changes; one that is cached is the same value.
+// applyChanges returns the cluster after the changes. If the result is cached, it is the cached value.
 func (p *Parser) applyChanges(l *pendingChanges) (*cluster.Config, error) {
-	if e, found := p.extended[l.key.original]; found && e.key == l.key {
+	if e, found := p.lastResults[l.key.original]; found && e.key == l.key {
 		p.changed.put(l.key, e.result)
 	}
 	return p.changed.get(l.key, l.apply)
 }
 
-// add appends a change, of which it is given the hash.
+// add appends a change. textHash is the hash of the change's text.
 func (l *pendingChanges) add(patch *cluster.Patch, textHash hash) {
 	l.key.changes = hashOf(slices.Concat(l.key.changes[:], textHash[:]))
 	l.patches = append(l.patches, patch)
--- a/internal/files/check.go
+++ b/internal/files/check.go
@@ -12,9 +12,9 @@
 	"yokestall/internal/xds/xdsfile"
 )
 
-// Check checks one file of the configuration by its kind: the program's own, with the files and keys that it names,
-// whose configuration is returned, or a file of a cluster, of tenants or in xDS form alone. The warnings are of what
-// will soon be wrong with the keys.
+// Check checks one configuration file according to its kind. A cluster file, a tenants file or a file in xDS form is
+// checked alone. The program's file is checked together with the files and keys that it names, and its configuration is
+// returned. The warnings are about keys that are still valid but will soon not be.
 func Check(path string) (s *Configuration, warnings []string, err error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return s, warnings, err
 }
 
-// checkKeys checks the keys of a folder, and that those that a configuration refers to are there.
+// checkKeys checks the keys in a folder, and that the folder has all keys that the configuration refers to.
 func checkKeys(folder string, s *Configuration) (warnings []string, err error) {
 	warnings, set, err := tlskeys.Check(folder, s.Program.Keys.First, time.Now())
 	if err != nil {
@@ -46,7 +46,7 @@
 	var missing []error
 	require := func(where, kind, name string, present bool) {
 		if name != "" && !present {
-			missing = append(missing, fmt.Errorf("%s: %s %q is not in %s", where, kind, name, folder))
+			missing = append(missing, fmt.Errorf("%s: %s %q is not in the keys folder %s", where, kind, name, folder))
 		}
 	}
 	for _, l := range s.Program.Listeners {
@@ -61,7 +61,7 @@
 	return warnings, errors.Join(missing...)
 }
 
-// checkXDS checks one file in xDS form by itself: its resources, not what they refer to.
+// checkXDS checks the resources of one file in xDS form, but not the resources in other files that they refer to.
 func checkXDS(path string, text []byte) error {
 	list := []config.File{{Name: path, Text: text}}
 	if sum, err := readFile(path + xdsfile.ChecksumSuffix); err == nil {
--- a/internal/files/configuration.go
+++ b/internal/files/configuration.go
@@ -7,16 +7,16 @@
 	"yokestall/internal/xds/translate"
 )
 
-// Configuration is a complete, checked version of all files.
+// Configuration is a complete and checked version of the configuration, parsed from all its files.
 type Configuration struct {
 	Program     *config.Program
 	Version     *cluster.Version
 	contentHash hash
 }
 
-// Load reads and checks the program's file and the files that it names: all that Check does except for the keys'
-// folder, and all that the running program accepts a version by except cluster.CheckRemovals. The error has what is
-// wrong by file and line.
+// Load reads and checks the program's file and the files that it names. Unlike Check, it does not check the keys folder.
+// Unlike the running program, it does not apply cluster.CheckRemovals, which compares a version with the one before. The
+// error names the file and, where it is known, the line of each problem.
 func Load(path string) (*Configuration, error) {
 	return load(newReader(path), NewParser())
 }
@@ -29,7 +29,7 @@
 	return p.check(v)
 }
 
-// XDSOptions returns the options by which a program's file has resources in xDS form translated and tracked.
+// XDSOptions returns the options that a program's file sets for translating and tracking resources in xDS form.
 func XDSOptions(p *config.Program) (translate.Options, state.Options) {
 	t := translate.Options{DefaultClass: p.XDS.Class}
 	for _, c := range p.Classes {
--- a/internal/files/contents.go
+++ b/internal/files/contents.go
@@ -11,7 +11,7 @@
 // part is a file of a version. Its content is read only if it has to be parsed.
 type part struct {
 	name string
-	hash hash // of the content
+	hash hash // hash of the content
 	text func() ([]byte, error)
 }
 
@@ -21,22 +21,22 @@
 
 func (f *part) key() partKey { return partKey{f.name, f.hash} }
 
-// partKey identifies what is parsed from a file: its name goes into the result.
+// partKey identifies the result of parsing a file. The name is part of the key since the result contains it.
 type partKey struct {
 	name string
 	hash hash
 }
 
-// contents is the files of a version, of which the program's own is parsed.
+// contents holds the files of a version. Only the program's file is parsed already, since it names the others.
 type contents struct {
 	program  part
-	tenants  []part // one, if the tenants have a file of their own
+	tenants  []part // the tenants file; empty if the program's file names none
 	clusters []part
 	xds      []part
-	parsed   *config.Program // of program
+	parsed   *config.Program // parsed from program
 }
 
-// hash returns the hash of all files.
+// hash returns a hash over the names and contents of all files.
 func (v *contents) hash() (sum hash) {
 	h := sha256.New()
 	for _, list := range [][]part{{v.program}, v.tenants, v.clusters, v.xds} {
@@ -46,7 +46,7 @@
 	return sum
 }
 
-// writeHashes writes the names and hashes of files.
+// writeHashes writes the number of files, and the name and content hash of each.
 func writeHashes(to io.Writer, list []part) {
 	fmt.Fprintf(to, "%d\n", len(list))
 	for i := range list {
--- a/internal/files/fileread.go
+++ b/internal/files/fileread.go
@@ -15,10 +15,10 @@
 	"yokestall/internal/config"
 )
 
-// folderBatch is the number of a folder's entries that are read at a time.
+// folderBatch is the number of folder entries that are read at a time.
 const folderBatch = 256
 
-// Beside resolves a path that is written in the file at another path: a relative one starts from that file's folder.
+// Beside resolves name, a path that is written in the file at path. A relative name is relative to that file's folder.
 func Beside(path, name string) string {
 	if filepath.IsAbs(name) {
 		return name
@@ -26,7 +26,7 @@
 	return filepath.Join(filepath.Dir(path), name)
 }
 
-// listFolder returns the sorted paths of a folder's files whose names are selected and don't begin with a dot.
+// listFolder returns the sorted paths of the entries of a folder whose names are selected and don't begin with a dot.
 func listFolder(folder string, selected func(name string) bool) ([]string, error) {
 	d, err := os.Open(folder)
 	if err != nil {
@@ -42,7 +42,7 @@
 			}
 		}
 		if len(names) > config.MaxFiles {
-			return nil, &cluster.Problem{Source: folder, Text: fmt.Sprintf("over %d files", config.MaxFiles)}
+			return nil, &cluster.Problem{Source: folder, Text: fmt.Sprintf("has over %d files", config.MaxFiles)}
 		}
 		if err == io.EOF {
 			slices.Sort(names)
@@ -54,7 +54,8 @@
 	}
 }
 
-// readFile returns the content of a regular file. Other kinds are an error. The error is a *cluster.Problem.
+// readFile returns the content of a regular file. It returns a *cluster.Problem if the file can't be read or is of
+// another kind.
 func readFile(name string) ([]byte, error) {
 	s := readStamp(name)
 	if err := s.fileProblem(name); err != nil {
@@ -63,7 +64,8 @@
 	return readContent(name, s.size)
 }
 
-// readContent returns the content of a regular file of about this size. The error is a *cluster.Problem.
+// readContent returns the content of a regular file. size is the expected number of bytes; the file may have changed
+// since. The error is a *cluster.Problem.
 func readContent(name string, size int64) ([]byte, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -75,12 +77,12 @@
 		return nil, &cluster.Problem{Source: name, Text: withoutPath(err)}
 	}
 	if text.Len() > config.MaxFile {
-		return nil, &cluster.Problem{Source: name, Text: fmt.Sprintf("over %d bytes", config.MaxFile)}
+		return nil, &cluster.Problem{Source: name, Text: fmt.Sprintf("has over %d bytes", config.MaxFile)}
 	}
 	return text.Bytes(), nil
 }
 
-// withoutPath returns the text of a file system error without the path, which the problem has.
+// withoutPath returns the text of a file system error without its path, which cluster.Problem.Source holds already.
 func withoutPath(err error) string {
 	var p *fs.PathError
 	if errors.As(err, &p) {
--- a/internal/files/harness_test.go
+++ b/internal/files/harness_test.go
@@ -43,54 +43,54 @@
 	return b.String()
 }
 
-// folder is a configuration that a test changes while it is watched.
-type folder struct {
-	t    *testing.T
-	path string
-	dir  string // of the cluster files
-	logs *testutil.Logs
-	got  chan *Configuration
-	seen chan struct{} // one for each poll
+// fixture is a configuration that a test changes while it is watched.
+type fixture struct {
+	t        *testing.T
+	path     string
+	dir      string // of the cluster files
+	logs     *testutil.Logs
+	versions chan *Configuration
+	polled   chan struct{} // one for each poll
 }
 
-// newFolder returns a folder with a valid program and the cluster rooms.
-func newFolder(t *testing.T) *folder {
-	f := &folder{t: t, logs: testutil.NewLogs(t), got: make(chan *Configuration, 1000), seen: make(chan struct{})}
+// newFixture returns a folder with a valid program and the cluster rooms.
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t, logs: testutil.NewLogs(t), versions: make(chan *Configuration, 1000), polled: make(chan struct{})}
 	root := t.TempDir()
 	f.path, f.dir = filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
 	if err := os.Mkdir(f.dir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	f.put(f.path, program)
-	f.put(f.rooms(), clusterText("", 1, 2, 3, 4))
+	f.writeFile(f.path, program)
+	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 4))
 	return f
 }
 
-// rooms is the file of the cluster rooms.
-func (f *folder) rooms() string { return filepath.Join(f.dir, "rooms.toml") }
+// roomsFile is the file of the cluster roomsFile.
+func (f *fixture) roomsFile() string { return filepath.Join(f.dir, "rooms.toml") }
 
-// put writes a file in place.
-func (f *folder) put(name, text string) {
+// writeFile writes a file in place.
+func (f *fixture) writeFile(name, text string) {
 	f.t.Helper()
 	if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// swap puts a file in place by renaming.
-func (f *folder) swap(name, text string) {
+// replaceFile puts a file in place by renaming.
+func (f *fixture) replaceFile(name, text string) {
 	f.t.Helper()
-	f.put(name+".new", text)
+	f.writeFile(name+".new", text)
 	if err := os.Rename(name+".new", name); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
 // watch watches the folder until the end of the test and returns its first version.
-func (f *folder) watch() *Configuration { return f.watchBy(newNotifier) }
+func (f *fixture) watch() *Configuration { return f.watchWith(newNotifier) }
 
-// watchBy is watch with another notifier.
-func (f *folder) watchBy(notify func() (*notifier, error)) *Configuration {
+// watchWith is watch with another notifier.
+func (f *fixture) watchWith(notify func() (*notifier, error)) *Configuration {
 	f.t.Helper()
 	w, first, err := Open(f.path, f.logs.Logger())
 	if err != nil {
@@ -99,34 +99,34 @@
 	w.newNotifier = notify
 	w.onPoll = func() {
 		select {
-		case f.seen <- struct{}{}:
+		case f.polled <- struct{}{}:
 		default:
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
-	run.Go(func() { w.Run(ctx, func(s *Configuration) { f.got <- s }) })
+	run.Go(func() { w.Run(ctx, func(s *Configuration) { f.versions <- s }) })
 	f.t.Cleanup(func() { stop(); run.Wait() })
 	return first
 }
 
-// next waits for the next version.
-func (f *folder) next() *Configuration {
+// awaitVersion waits for the awaitVersion version.
+func (f *fixture) awaitVersion() *Configuration {
 	f.t.Helper()
-	return testutil.Wait(f.t, f.got, "a version to be taken")
+	return testutil.Wait(f.t, f.versions, "a version to be taken")
 }
 
-// logged waits until a text stands in the log.
-func (f *folder) logged(text string) {
+// awaitLog waits until a text stands in the log.
+func (f *fixture) awaitLog(text string) {
 	f.t.Helper()
 	f.logs.Wait(text)
 }
 
-// polls waits for so many polls that begin from now on: what is to be seen has been seen.
-func (f *folder) polls(n int) {
+// awaitPolls waits for so many awaitPolls that begin from now on: what is to be seen has been seen.
+func (f *fixture) awaitPolls(n int) {
 	f.t.Helper()
 	for range n + 1 { // the first may have begun before
-		testutil.Wait(f.t, f.seen, "a poll")
+		testutil.Wait(f.t, f.polled, "a poll")
 	}
 }
 
@@ -143,11 +143,11 @@
 	return strings.Join(list, " ")
 }
 
-// want waits for a version with the ports of a text.
-func (f *folder) want(text string) {
+// awaitPorts waits for a version with the ports of a text.
+func (f *fixture) awaitPorts(text string) {
 	f.t.Helper()
 	for {
-		s := f.next()
+		s := f.awaitVersion()
 		if got := ports(s); got == text {
 			return
 		}
--- a/internal/files/limits_test.go
+++ b/internal/files/limits_test.go
@@ -11,8 +11,8 @@
 	"yokestall/internal/config"
 )
 
-// allocated gives the bytes that an operation allocates.
-func allocated(operation func()) uint64 {
+// allocatedBytes gives the bytes that an operation allocates.
+func allocatedBytes(operation func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	operation()
@@ -20,8 +20,8 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// manyServers is a cluster file of so many servers.
-func manyServers(n int) string {
+// largeCluster is a cluster file of so many servers.
+func largeCluster(n int) string {
 	var b strings.Builder
 	b.WriteString("[cluster]\n")
 	for i := range n {
@@ -35,45 +35,45 @@
 // version in force goes on.
 func TestTooMuch(t *testing.T) {
 	for name, tc := range map[string]struct {
-		change func(f *folder, tenants, text string)
+		change func(f *fixture, tenants, text string)
 		want   string
 		bytes  uint64
 	}{
-		"10 million tenants": {func(f *folder, tenants, _ string) {
+		"10 million tenants": {func(f *fixture, tenants, _ string) {
 			must(f.t, os.Truncate(tenants, 590_000_000))
-		}, "tenants.toml: 590000000 bytes; 16777216 at most", 1 << 20},
-		"400,000 tenants": {func(f *folder, tenants, _ string) {
-			f.put(tenants, strings.Repeat("[[tenant]]\nname = \"a\"\n", 400_000)+"[end]\ntenants = 400000\n")
+		}, "tenants.toml: has 590000000 bytes, and at most 16777216 are allowed", 1 << 20},
+		"400,000 tenants": {func(f *fixture, tenants, _ string) {
+			f.writeFile(tenants, strings.Repeat("[[tenant]]\nname = \"a\"\n", 400_000)+"[end]\ntenants = 400000\n")
 		}, "tenants.toml:500001: tenant: over 250000 tenants", 20 << 20},
-		"1,000,000 routes": {func(f *folder, _, text string) {
-			f.put(f.path, text+"[[host]]\ndomains = [\"x\"]\nroute = ["+strings.Repeat("{path=\"/\"},", 1_000_000)+"]\n")
+		"1,000,000 routes": {func(f *fixture, _, text string) {
+			f.writeFile(f.path, text+"[[host]]\ndomains = [\"x\"]\nroute = ["+strings.Repeat("{path=\"/\"},", 1_000_000)+"]\n")
 		}, "yokestall.toml: over 1000000 commas and braces of lists and inline tables", 24 << 20},
-		"200,000 routes": {func(f *folder, _, text string) {
-			f.put(f.path, text+strings.Repeat("[[host.route]]\nprefix = \"/a\"\nclass = \"read\"\ncluster = \"rooms\"\n", 200_000))
+		"200,000 routes": {func(f *fixture, _, text string) {
+			f.writeFile(f.path, text+strings.Repeat("[[host.route]]\nprefix = \"/a\"\nclass = \"read\"\ncluster = \"rooms\"\n", 200_000))
 		}, "host.route: over 20000 routes", 24 << 20},
-		"150,000 servers": {func(f *folder, _, _ string) { f.put(f.rooms(), manyServers(150_000)) },
+		"150,000 servers": {func(f *fixture, _, _ string) { f.writeFile(f.roomsFile(), largeCluster(150_000)) },
 			"rooms.toml:60002: endpoint: over 20000 servers", 20 << 20},
-		"5,000 clusters": {func(f *folder, _, _ string) {
+		"5,000 clusters": {func(f *fixture, _, _ string) {
 			for i := range 5000 {
-				f.put(filepath.Join(f.dir, fmt.Sprintf("c%04d.toml", i)), "")
+				f.writeFile(filepath.Join(f.dir, fmt.Sprintf("c%04d.toml", i)), "")
 			}
-		}, "over 1000 files", 4 << 20},
-		"too many bytes in all": {func(f *folder, _, _ string) {
+		}, "clusters: has over 1000 files", 4 << 20},
+		"too many bytes in all": {func(f *fixture, _, _ string) {
 			for i := range 5 {
 				name := filepath.Join(f.dir, fmt.Sprintf("z%d.toml", i))
-				f.put(name, "")
+				f.writeFile(name, "")
 				must(f.t, os.Truncate(name, 15<<20))
 			}
-		}, "z4.toml: all files together have over 67108864 bytes", 70 << 20},
+		}, "z4.toml: the configuration files have over 67108864 bytes together", 70 << 20},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, tenants, text := withTenants(t, 5)
-			r := rest(f)
+			f, tenants, text := newTenantsFixture(t, 5)
+			r := watchManually(f)
 			before := r.w.current
-			tick(t)
+			awaitClockTick(t)
 			tc.change(f, tenants, text)
 			var s *Configuration
-			bytes := allocated(func() { s = r.poll() })
+			bytes := allocatedBytes(func() { s = r.poll() })
 			if s != nil || r.w.current != before {
 				t.Fatal("it is taken")
 			}
@@ -93,10 +93,10 @@
 
 // Versions of a fleet have the same limits, also where changes lead over them.
 func TestUnbundleTooMuch(t *testing.T) {
-	program := config.File{Name: ProgramPart, Text: []byte(bundled)}
+	program := config.File{Name: ProgramPart, Text: []byte(bundledProgram)}
 	list := []config.File{program}
 	for i := range config.MaxServers / 20_000 {
-		list = append(list, config.File{Name: fmt.Sprintf("c%d.toml", i), Text: []byte(manyServers(20_000))})
+		list = append(list, config.File{Name: fmt.Sprintf("c%d.toml", i), Text: []byte(largeCluster(20_000))})
 	}
 	var p Parser
 	if _, err := p.Unbundle(list); err != nil {
@@ -112,14 +112,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.Change(s.Version.Clusters, []config.File{more}); err == nil || !strings.Contains(err.Error(), "d+0001: over 100000 servers in all") {
+	if _, err := p.Change(s.Version.Clusters, []config.File{more}); err == nil || !strings.Contains(err.Error(), "d+0001: the clusters of the version have over 100000 endpoints together") {
 		t.Errorf("one server more by a change: %v", err)
 	}
 	many := []config.File{program}
 	for i := range 10 * planClusters {
 		many = append(many, config.File{Name: fmt.Sprintf("c%d.toml", i), Text: []byte(roomsList)})
 	}
-	bytes := allocated(func() { _, err = Unbundle(many) })
+	bytes := allocatedBytes(func() { _, err = Unbundle(many) })
 	if err == nil || !strings.Contains(err.Error(), "5000 cluster files; 1000 at most") {
 		t.Errorf("ten times the clusters: %v", err)
 	}
--- a/internal/files/notification_test.go
+++ b/internal/files/notification_test.go
@@ -20,30 +20,30 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFolder(t)
-			before, err := os.Stat(f.rooms())
+			f := newFixture(t)
+			before, err := os.Stat(f.roomsFile())
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.watchBy(notify)
-			f.logged("polling only")
-			f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
-			if err := os.Chtimes(f.rooms(), before.ModTime(), before.ModTime()); err != nil {
+			f.watchWith(notify)
+			f.awaitLog("polling only")
+			f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
+			if err := os.Chtimes(f.roomsFile(), before.ModTime(), before.ModTime()); err != nil {
 				t.Fatal(err)
 			}
-			f.want("1 2 3 5")
+			f.awaitPorts("1 2 3 5")
 		})
 	}
 	t.Run("overflowed", func(t *testing.T) {
-		f := newFolder(t)
-		f.put(f.path, strings.Replace(program, "20ms", "1m", 1)) // no poll in time
+		f := newFixture(t)
+		f.writeFile(f.path, strings.Replace(program, "20ms", "1m", 1)) // no poll in time
 		faults := make(chan error, 1)
-		f.watchBy(func() (*notifier, error) {
+		f.watchWith(func() (*notifier, error) {
 			add := func(string) error { return nil }
-			return &notifier{faults: faults, add: add, close: func() error { return nil }}, nil
+			return &notifier{errs: faults, add: add, close: func() error { return nil }}, nil
 		})
-		f.swap(f.rooms(), clusterText("", 1, 2, 3, 5))
+		f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
 		faults <- fsnotify.ErrEventOverflow
-		f.want("1 2 3 5")
+		f.awaitPorts("1 2 3 5")
 	})
 }
--- a/internal/files/notifier.go
+++ b/internal/files/notifier.go
@@ -2,16 +2,16 @@
 
 import "github.com/fsnotify/fsnotify"
 
-// notifier reports changes of the entries of folders, not of those below their subfolders. A report only hints at a
-// change.
+// notifier reports changes of the entries of folders, but not of entries in their subfolders. A report is only a hint: the
+// files may be unchanged.
 type notifier struct {
 	events <-chan fsnotify.Event
-	faults <-chan error // such as an overflow, after which reports are missing
+	errs   <-chan error // errors such as an overflow, after which events are missing
 	add    func(folder string) error
 	close  func() error
 }
 
-// newNotifier returns a notifier of the operating system.
+// newNotifier returns a notifier that uses the operating system's file notification.
 func newNotifier() (*notifier, error) {
 	w, err := fsnotify.NewWatcher()
 	if err != nil {
--- a/internal/files/parser.go
+++ b/internal/files/parser.go
@@ -10,12 +10,13 @@
 	"yokestall/internal/xds/xdsfile"
 )
 
-// Parser parses versions of a configuration, at the cost of what differs between them: the result for a file is cached
-// by the file's name and the hash of its content, for two versions. What has not changed is the same value in both.
+// Parser parses successive versions of a configuration incrementally. It caches the result of each file of two versions
+// by the file's name and the hash of its content, so that only changed files are parsed. A file that is the same in both
+// versions has the same parsed value in both.
 //
 // Unbundle and Change may be called concurrently.
 type Parser struct {
-	mu          sync.Mutex // guards the fields below in Unbundle and Change; a Watcher has a Parser to itself
+	mu          sync.Mutex // guards the fields below in Unbundle and Change; not used by a Watcher, which owns its Parser
 	programs    cache[partKey, *config.Program]
 	tenants     cache[partKey, []config.Tenant]
 	withTenants cache[withTenantsKey, *config.Program]
@@ -24,16 +25,16 @@
 	routed      cache[routedKey, *config.Program]
 	patches     cache[partKey, *cluster.Patch]
 	changed     cache[changedKey, *cluster.Config]
-	extended    map[*cluster.Config]extension // by the cluster as its file has it
+	lastResults map[*cluster.Config]changeResult // by the cluster as its file defines it
 }
 
-// withTenantsKey identifies a program with the tenants of their own file.
+// withTenantsKey identifies a program that has its tenants from a tenants file.
 type withTenantsKey struct {
 	program *config.Program
 	tenants partKey
 }
 
-// routedKey identifies a program with the routes of files in xDS form.
+// routedKey identifies a program that has its routes from files in xDS form.
 type routedKey struct {
 	program *config.Program
 	view    *xdsfile.View
@@ -42,7 +43,7 @@
 // NewParser returns a parser with empty caches.
 func NewParser() *Parser { return &Parser{} }
 
-// end records in all caches what became of the version that was parsed.
+// end ends the parsing of a version in all caches.
 func (p *Parser) end(o outcome) {
 	p.programs.end(o)
 	p.tenants.end(o)
@@ -54,7 +55,7 @@
 	p.changed.end(o)
 }
 
-// parses returns the number of files parsed so far, for tests.
+// parses returns the number of parse calls so far, for tests. All files in xDS form are parsed by one call.
 func (p *Parser) parses() int {
 	return p.programs.misses + p.tenants.misses + p.clusters.misses + p.views.misses + p.patches.misses
 }
@@ -101,7 +102,7 @@
 	})
 }
 
-// programWithTenants returns the program of a version, with the tenants of their own file if they have one.
+// programWithTenants returns the program of a version, with the tenants of the tenants file if there is one.
 func (p *Parser) programWithTenants(v *contents) (*config.Program, error) {
 	if len(v.tenants) == 0 {
 		return v.parsed, nil
@@ -131,7 +132,7 @@
 	clusters := s.Version.Clusters
 	for name, c := range view.Clusters {
 		if first := clusters[name]; first != nil {
-			return &cluster.Problem{Source: c.Source, Text: fmt.Sprintf("cluster %s is %s's too", name, first.Source)}
+			return &cluster.Problem{Source: c.Source, Text: fmt.Sprintf("cluster %s is also defined in %s", name, first.Source)}
 		}
 		clusters[name] = c
 	}
@@ -145,7 +146,7 @@
 	return err
 }
 
-// view parses the files in xDS form. They refer to each other, so that all are parsed if one has changed.
+// view parses the files in xDS form. Since they refer to each other, all of them are parsed if one has changed.
 func (p *Parser) view(v *contents) (*xdsfile.View, error) {
 	t, from := XDSOptions(v.parsed)
 	var key hash
--- a/internal/files/plan_test.go
+++ b/internal/files/plan_test.go
@@ -97,22 +97,22 @@
 	if err := os.Mkdir(filepath.Join(dir, "clusters"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	write(t, path, planProgram(tenants))
+	writeConfigFile(t, path, planProgram(tenants))
 	for s := range planClusters {
-		write(t, filepath.Join(dir, "clusters", fmt.Sprintf("svc-%03d.toml", s)), planCluster(s, 1))
+		writeConfigFile(t, filepath.Join(dir, "clusters", fmt.Sprintf("svc-%03d.toml", s)), planCluster(s, 1))
 	}
 	return planWatcher(t, path), path
 }
 
-func write(t testing.TB, name, text string) {
+func writeConfigFile(t testing.TB, name, text string) {
 	t.Helper()
 	if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// processor gives the processor time of the process.
-func processor() time.Duration {
+// cpuTime gives the cpuTime time of the process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -130,11 +130,11 @@
 		b.StopTimer()
 		prepare(i)
 		runtime.GC()
-		before := processor()
+		before := cpuTime()
 		b.StartTimer()
 		operation()
 		b.StopTimer()
-		used += processor() - before
+		used += cpuTime() - before
 		b.StartTimer()
 	}
 	b.ReportMetric(float64(used.Nanoseconds())/float64(b.N), "cpu-ns/op")
@@ -146,13 +146,13 @@
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			w, _ := planFolder(b, tenants)
 			b.ReportAllocs()
-			before := processor()
+			before := cpuTime()
 			for b.Loop() {
 				if w.poll(true) != nil {
 					b.Fatal("a version is taken")
 				}
 			}
-			b.ReportMetric(float64((processor()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64((cpuTime()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
 		})
 	}
 }
@@ -167,12 +167,12 @@
 			name string
 			make func(i int)
 		}{
-			{"list", func(i int) { write(b, list, planCluster(7, float64(2+i%100))) }},
+			{"list", func(i int) { writeConfigFile(b, list, planCluster(7, float64(2+i%100))) }},
 			{"class", func(i int) {
-				write(b, path, strings.Replace(text, "1400ms", fmt.Sprintf("%dms", 1400+i%100), 1))
+				writeConfigFile(b, path, strings.Replace(text, "1400ms", fmt.Sprintf("%dms", 1400+i%100), 1))
 			}},
 			{"tenant", func(i int) {
-				write(b, path, strings.Replace(text, "per_s = 20", fmt.Sprintf("per_s = %d", 100+i%100), 1))
+				writeConfigFile(b, path, strings.Replace(text, "per_s = 20", fmt.Sprintf("per_s = %d", 100+i%100), 1))
 			}},
 		} {
 			b.Run(fmt.Sprintf("tenants=%d/%s", tenants, change.name), func(b *testing.B) {
@@ -223,9 +223,9 @@
 	w, path := planFolder(b, 0)
 	tenants := filepath.Join(filepath.Dir(path), "tenants.toml")
 	list := filepath.Join(filepath.Dir(path), "clusters", "svc-007.toml")
-	text := strings.Replace(planProgram(0), "[files]\n", "[files]\n"+tenantsProgram, 1)
-	write(b, tenants, tenantsFile(planTenants, 20))
-	write(b, path, text)
+	text := strings.Replace(planProgram(0), "[files]\n", "[files]\n"+tenantsSetting, 1)
+	writeConfigFile(b, tenants, tenantsFile(planTenants, 20))
+	writeConfigFile(b, path, text)
 	if w.poll(true) == nil {
 		b.Fatal("no version is taken")
 	}
@@ -233,11 +233,11 @@
 		name string
 		make func(i int)
 	}{
-		{"list", func(i int) { write(b, list, planCluster(7, float64(2+i%100))) }},
+		{"list", func(i int) { writeConfigFile(b, list, planCluster(7, float64(2+i%100))) }},
 		{"class", func(i int) {
-			write(b, path, strings.Replace(text, "1400ms", fmt.Sprintf("%dms", 1400+i%100), 1))
+			writeConfigFile(b, path, strings.Replace(text, "1400ms", fmt.Sprintf("%dms", 1400+i%100), 1))
 		}},
-		{"tenant", func(i int) { write(b, tenants, tenantsFile(planTenants, 100+i%100)) }},
+		{"tenant", func(i int) { writeConfigFile(b, tenants, tenantsFile(planTenants, 100+i%100)) }},
 	} {
 		b.Run(change.name, func(b *testing.B) {
 			measure(b, func(i int) { change.make(i + 1) }, func() {
--- a/internal/files/races_test.go
+++ b/internal/files/races_test.go
@@ -9,14 +9,14 @@
 // A write that leaves the stamp as it was is seen while the stamp is young, also where it completes a file that was
 // incomplete.
 func TestWritesInOneTick(t *testing.T) {
-	f := newFolder(t)
-	r := rest(f)
-	tick(t)
+	f := newFixture(t)
+	r := watchManually(f)
+	awaitClockTick(t)
 	complete := clusterText("", 1, 2, 3, 5)
-	f.put(f.rooms(), complete[:len(complete)/2])
-	frozen := readStamp(f.rooms())
+	f.writeFile(f.roomsFile(), complete[:len(complete)/2])
+	frozen := readStamp(f.roomsFile())
 	r.w.reader.stat = func(name string) stamp {
-		if name == f.rooms() {
+		if name == f.roomsFile() {
 			return frozen
 		}
 		return readStamp(name)
@@ -24,14 +24,14 @@
 	if r.poll() != nil || r.w.verdict.err == nil {
 		t.Fatal("half a file is taken")
 	}
-	f.put(f.rooms(), complete)
+	f.writeFile(f.roomsFile(), complete)
 	if s := r.poll(); s == nil || ports(s) != "1 2 3 5" {
 		t.Fatal("the complete file is not seen")
 	}
 	if log := f.logs.String(); strings.Contains(log, filesRejected) {
 		t.Errorf("a file that was being written is logged:\n%s", log)
 	}
-	f.put(f.rooms(), clusterText("", 1, 2, 3, 6))
+	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 6))
 	if s := r.poll(); s == nil || ports(s) != "1 2 3 6" { // read at the end of settle
 		t.Fatal("the second write is not seen")
 	}
@@ -39,17 +39,17 @@
 
 // A file that changes while others are read starts the scan again: no version is of two times.
 func TestChangeWhileReading(t *testing.T) {
-	f := newFolder(t)
+	f := newFixture(t)
 	other := filepath.Join(f.dir, "z.toml")
-	f.put(other, clusterText("", 50))
-	r := rest(f)
-	tick(t)
-	f.put(other, clusterText("", 51))
+	f.writeFile(other, clusterText("", 50))
+	r := watchManually(f)
+	awaitClockTick(t)
+	f.writeFile(other, clusterText("", 51))
 	reads := 0
 	r.w.reader.stat = func(name string) stamp {
 		if name == other {
 			if reads++; reads == 2 { // rooms.toml was looked at before
-				f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
+				f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
 			}
 		}
 		return readStamp(name)
@@ -62,19 +62,19 @@
 
 // A file that is read again, since what it held was not to be parsed, has to hold the same still.
 func TestChangeBeforeParsing(t *testing.T) {
-	f := newFolder(t)
-	r := rest(f)
-	tick(t)
-	f.put(f.rooms(), "x")
+	f := newFixture(t)
+	r := watchManually(f)
+	awaitClockTick(t)
+	f.writeFile(f.roomsFile(), "x")
 	r.settle()
-	tick(t)
-	f.put(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1))
+	awaitClockTick(t)
+	f.writeFile(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1))
 	reads := 0
 	r.w.reader.stat = func(name string) stamp {
 		s := readStamp(name)
-		if name == f.rooms() {
+		if name == f.roomsFile() {
 			if reads++; reads == 2 { // after it was seen to stand still at the end of the scan
-				f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
+				f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
 			}
 		}
 		return s
--- a/internal/files/reader.go
+++ b/internal/files/reader.go
@@ -12,36 +12,38 @@
 )
 
 const (
-	// maxScans bounds how often a scan starts over because files change while they are read.
+	// maxScans is the number of attempts of a scan, which starts over if files change while they are read.
 	maxScans = 5
-	// rescanDelay is the time between two of them.
+	// rescanDelay is the time between two attempts of a scan.
 	rescanDelay = 5 * time.Millisecond
-	// maxTotalBytes bounds the size of all files of a version.
+	// maxTotalBytes is the largest total size of the files of a version.
 	maxTotalBytes = 64 << 20
-	// maxRecords bounds the records that are cached while versions are rejected.
+	// maxRecords is the number of records above which finishScan removes those that the last scan did not use, even
+	// after a rejected version.
 	maxRecords = 4 * config.MaxFiles
 )
 
-// errFilesChanged is returned where files change while they are read.
-var errFilesChanged = errors.New("the files change while they are read")
+// errFilesChanged is returned if files change while they are read.
+var errFilesChanged = errors.New("the configuration files changed while they were read")
 
-// reader reads the files of a configuration repeatedly, and of them only those that changed by their stamps.
+// reader reads the files of a configuration repeatedly. It reads a file or folder again only if
+// readState.upToDate reports that the last read is no longer valid.
 type reader struct {
-	path      string // of the program's file
+	path      string // path of the program's file
 	clock     func() time.Time
 	stat      func(name string) stamp
 	records   map[string]*record // by record.key
-	scanned   []*record          // by the last scan
-	stable    bool               // no file changed during the last scan
-	scanBytes int64              // size of the files of this scan so far
-	reads     int                // of files and folders, for tests
+	scanned   []*record          // records of the files and folders of the last scan
+	stable    bool               // no file changed during the last scan; unset by text if a file changed later
+	scanBytes int64              // total size of the files that the present scan has read so far
+	reads     int                // number of reads of files and folders, for tests
 }
 
 func newReader(path string) *reader {
 	return &reader{path: path, clock: time.Now, stat: readStamp, records: map[string]*record{}}
 }
 
-// unchanged reports whether no file changed since the last scan, at the cost of a stat for each file and folder.
+// unchanged reports whether no file changed since the last scan. It costs one stat for each file and folder.
 func (r *reader) unchanged() bool {
 	if !r.stable {
 		return false
@@ -55,8 +57,8 @@
 	return true
 }
 
-// scan returns the files of one version and starts over where one of them changes meanwhile. The parser reads the
-// program's file, which names the others. The error is errFilesChanged if the files don't come to rest.
+// scan returns the files of one version. It starts over if one of them changes meanwhile, and returns errFilesChanged if
+// files change in each of maxScans attempts. The parser parses the program's file, which names the other files.
 func (r *reader) scan(p *Parser) (*contents, error) {
 	for scans := 1; ; scans++ {
 		v, err := r.scanOnce(p)
@@ -82,7 +84,7 @@
 	return v, err
 }
 
-// contents reads the program's file and those that it names.
+// contents reads the program's file and the files that it names.
 func (r *reader) contents(p *Parser) (v *contents, err error) {
 	v = &contents{}
 	if v.program, err = r.file(r.path); err != nil {
@@ -117,7 +119,7 @@
 	return xdsfile.HasExtension(strings.TrimSuffix(name, xdsfile.ChecksumSuffix))
 }
 
-// files returns the files of a folder whose names are selected. Errors call them kind.
+// files returns the files of a folder whose names are selected. An error of listing the folder begins with kind.
 func (r *reader) files(folder, kind string, selected func(name string) bool) ([]part, error) {
 	names, err := r.folder(Beside(r.path, folder), selected)
 	if err != nil {
@@ -134,7 +136,8 @@
 	return list, nil
 }
 
-// record returns the record of a file or folder with its present stamp, and whether it has to be read.
+// record returns the record of a file or folder. If stale is true, the record has the present stamp, and the caller has to
+// read the file or folder.
 func (r *reader) record(key, name string) (f *record, stale bool) {
 	f = r.records[key]
 	if f == nil {
@@ -162,7 +165,7 @@
 	return f.names, f.err
 }
 
-// file returns a file, whose content is read if its stamp changed.
+// file returns a file. It reads the content if the file's record is stale.
 func (r *reader) file(name string) (part, error) {
 	f, stale := r.record(name, name)
 	if stale {
@@ -181,11 +184,11 @@
 }
 
 func totalSizeProblem(name string) error {
-	text := fmt.Sprintf("all files together have over %d bytes", maxTotalBytes)
+	text := fmt.Sprintf("the configuration files have over %d bytes together", maxTotalBytes)
 	return &cluster.Problem{Source: name, Text: text}
 }
 
-// read reads a file's content into its record, unless all files together would be too large.
+// read reads a file's content into its record, unless the files of the scan would exceed maxTotalBytes.
 func (r *reader) read(f *record) error {
 	if r.scanBytes+f.stamp.size > maxTotalBytes {
 		f.invalidate()
@@ -201,8 +204,8 @@
 	return nil
 }
 
-// text returns the content that a scan found in a file, which is read once more after finishScan. The error is
-// errFilesChanged if the file has another content by then.
+// text returns the content that a scan found in a file. If the record does not hold the content, since an earlier scan
+// read it, text reads the file again, and returns errFilesChanged if its content is no longer the same.
 func (r *reader) text(f *record) ([]byte, error) {
 	if f.text != nil {
 		return f.text, nil
@@ -217,7 +220,8 @@
 	return nil, errFilesChanged
 }
 
-// finishScan releases the contents, and the records that an accepted version did not use.
+// finishScan releases the contents of the scanned files. After an accepted version, or with over maxRecords records, it
+// also removes the records that the scan did not use.
 func (r *reader) finishScan(accepted bool) {
 	if accepted || len(r.records) > maxRecords {
 		clear(r.records)
--- a/internal/files/record.go
+++ b/internal/files/record.go
@@ -5,49 +5,51 @@
 	"time"
 )
 
+// hash is a SHA-256 sum.
 type hash = [sha256.Size]byte
 
 func hashOf(text []byte) hash { return sha256.Sum256(text) }
 
 // record is what the last read of a file or folder found.
 type record struct {
-	key  string // in reader.records: the name; with a slash behind it that of a folder
+	key  string // key in reader.records: the name, followed by a slash for a folder
 	name string
-	history
-	hash  hash     // of a file's content
-	text  []byte   // a file's content, between its read and the end of the scan
-	size  int64    // of a file's content, in bytes
-	names []string // of a folder
-	err   error    // why it could not be read
+	readState
+	hash  hash     // hash of a file's content
+	text  []byte   // content of a file, held from its read until finishScan
+	size  int64    // size of a file's content, in bytes
+	names []string // paths of a folder's selected files
+	err   error    // why the file or folder could not be read; nil: it was read
 }
 
-// history is the present stamp of a file or folder, and when it was seen and read with it.
-type history struct {
+// readState holds the stamp of a file or folder at its last read, and the times by which the read is judged up to date.
+type readState struct {
 	stamp     stamp
-	firstSeen time.Time // with this stamp
-	lastRead  time.Time // zero: it has to be read whatever its stamp is
+	firstSeen time.Time // when stamp was first seen
+	lastRead  time.Time // when the content was last read; zero: it has to be read whatever the stamp is
 }
 
-// upToDate reports whether the last read still holds, by the present stamp. Within stampSettleTime after a stamp was
-// first seen a later write may leave the same one, so that the content is read again until then ("racily clean", as
-// git's index calls it). The file system's clock is not compared with this machine's, which may differ.
-func (h *history) upToDate(present stamp, at time.Time) bool {
+// upToDate reports whether the last read is still valid, given the present stamp. For stampSettleTime after a stamp was
+// first seen, a further write may leave the stamp unchanged (git's index calls such an entry "racily clean"), so that the
+// content is read again until a read after that time. The file system's clock is not compared with the machine's clock,
+// since the two may differ.
+func (s *readState) upToDate(present stamp, at time.Time) bool {
 	switch {
-	case h.lastRead.IsZero() || h.stamp != present:
+	case s.lastRead.IsZero() || s.stamp != present:
 		return false
-	case h.lastRead.Before(h.firstSeen.Add(stampSettleTime)):
+	case s.lastRead.Before(s.firstSeen.Add(stampSettleTime)):
 		return false
 	}
-	return at.Before(h.lastRead.Add(fullReadInterval))
+	return at.Before(s.lastRead.Add(fullReadInterval))
 }
 
-// recordRead records the present stamp before the content is read.
-func (h *history) recordRead(present stamp, at time.Time) {
-	if h.lastRead.IsZero() || h.stamp != present {
-		h.stamp, h.firstSeen = present, at
+// recordRead records a read at a time, with the stamp that was taken before the read.
+func (s *readState) recordRead(present stamp, at time.Time) {
+	if s.lastRead.IsZero() || s.stamp != present {
+		s.stamp, s.firstSeen = present, at
 	}
-	h.lastRead = at
+	s.lastRead = at
 }
 
-// invalidate has the file or folder read by the next scan whatever its stamp is.
-func (h *history) invalidate() { h.lastRead = time.Time{} }
+// invalidate makes the next scan read the file or folder whatever its stamp is.
+func (s *readState) invalidate() { s.lastRead = time.Time{} }
--- a/internal/files/rejected_test.go
+++ b/internal/files/rejected_test.go
@@ -13,40 +13,40 @@
 // version in force; check gives the same verdict.
 func TestRefused(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(f *folder)
+		change func(f *fixture)
 		want   string
 	}{
-		"half a file":   {func(f *folder) { f.put(f.rooms(), clusterText("", 1, 2)[:60]) }, "is not whole"},
-		"empty":         {func(f *folder) { f.put(f.rooms(), "") }, "rooms.toml:1: is not whole"},
-		"no servers":    {func(f *folder) { f.put(f.rooms(), clusterText("")) }, "names no servers"},
-		"too many gone": {func(f *folder) { f.put(f.rooms(), clusterText("", 1)) }, "3 of 4 servers would go at once"},
-		"a folder": {func(f *folder) {
-			os.Remove(f.rooms())
-			os.Mkdir(f.rooms(), 0o755)
-		}, "rooms.toml: is a folder"},
-		"a dangling link": {func(f *folder) {
-			os.Remove(f.rooms())
-			os.Symlink("nowhere", f.rooms())
-		}, "points to a file that is not there"},
-		"unreadable to anybody": {func(f *folder) {
-			os.Remove(f.rooms())
-			os.Symlink("rooms.toml", f.rooms())
+		"half a file":   {func(f *fixture) { f.writeFile(f.roomsFile(), clusterText("", 1, 2)[:60]) }, "is not whole"},
+		"empty":         {func(f *fixture) { f.writeFile(f.roomsFile(), "") }, "rooms.toml:1: is not whole"},
+		"no servers":    {func(f *fixture) { f.writeFile(f.roomsFile(), clusterText("")) }, "names no servers"},
+		"too many gone": {func(f *fixture) { f.writeFile(f.roomsFile(), clusterText("", 1)) }, "3 of 4 servers would go at once"},
+		"a folder": {func(f *fixture) {
+			os.Remove(f.roomsFile())
+			os.Mkdir(f.roomsFile(), 0o755)
+		}, "rooms.toml: is a folder, not a regular file"},
+		"a dangling link": {func(f *fixture) {
+			os.Remove(f.roomsFile())
+			os.Symlink("nowhere", f.roomsFile())
+		}, "is a symbolic link to a file that does not exist"},
+		"unreadable to anybody": {func(f *fixture) {
+			os.Remove(f.roomsFile())
+			os.Symlink("rooms.toml", f.roomsFile())
 		}, "too many levels of symbolic links"},
-		"a pipe": {func(f *folder) {
-			os.Remove(f.rooms())
-			syscall.Mkfifo(f.rooms(), 0o644)
-		}, "is no regular file"},
-		"100 MB": {func(f *folder) {
-			os.Truncate(f.rooms(), 100<<20)
-		}, "104857600 bytes; 16777216 at most"},
-		"another file is bad": {func(f *folder) {
-			f.put(filepath.Join(f.dir, "b.toml"), "x")
-			f.put(f.rooms(), clusterText("", 1, 2, 3))
+		"a pipe": {func(f *fixture) {
+			os.Remove(f.roomsFile())
+			syscall.Mkfifo(f.roomsFile(), 0o644)
+		}, "is not a regular file"},
+		"100 MB": {func(f *fixture) {
+			os.Truncate(f.roomsFile(), 100<<20)
+		}, "has 104857600 bytes, and at most 16777216 are allowed"},
+		"another file is bad": {func(f *fixture) {
+			f.writeFile(filepath.Join(f.dir, "b.toml"), "x")
+			f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3))
 		}, "b.toml:1: is not whole"},
-		"the program's file": {func(f *folder) {
-			f.put(f.path, strings.Replace(program, "read", "raed", 1))
+		"the program's file": {func(f *fixture) {
+			f.writeFile(f.path, strings.Replace(program, "read", "raed", 1))
 		}, "is no [[class]]"},
-		"no folder": {func(f *folder) {
+		"no folder": {func(f *fixture) {
 			os.RemoveAll(f.dir)
 		}, "cluster files: open"},
 	} {
@@ -56,33 +56,33 @@
 
 // checkRejected checks that a change is rejected with a text in the log, and that a good change after it is accepted.
 // loadable reports that the files are good except as a change.
-func checkRejected(t *testing.T, change func(f *folder), want string, loadable bool) {
-	f := newFolder(t)
+func checkRejected(t *testing.T, change func(f *fixture), want string, loadable bool) {
+	f := newFixture(t)
 	f.watch()
 	change(f)
-	f.logged(want)
-	f.polls(5)
+	f.awaitLog(want)
+	f.awaitPolls(5)
 	if n := strings.Count(f.logs.String(), want); n != 1 {
 		t.Errorf("logged %d times:\n%s", n, f.logs.String())
 	}
-	if len(f.got) > 0 {
+	if len(f.versions) > 0 {
 		t.Error("a version is taken")
 	}
 	if _, err := Load(f.path); !loadable && (err == nil || !strings.Contains(err.Error(), want)) {
 		t.Errorf("check says %v", err)
 	}
-	os.RemoveAll(f.rooms())
+	os.RemoveAll(f.roomsFile())
 	os.Remove(filepath.Join(f.dir, "b.toml"))
 	os.Mkdir(f.dir, 0o755)
-	f.put(f.path, program)
-	f.put(f.rooms(), clusterText("", 1, 2, 3, 9))
-	f.want("1 2 3 9")
+	f.writeFile(f.path, program)
+	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 9))
+	f.awaitPorts("1 2 3 9")
 }
 
 // Open and Load reject files that are invalid or missing.
 func TestOpenRefuses(t *testing.T) {
-	f := newFolder(t)
-	f.put(f.rooms(), "")
+	f := newFixture(t)
+	f.writeFile(f.roomsFile(), "")
 	if _, _, err := Open(f.path, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("opened on half a file")
 	}
--- a/internal/files/resting_test.go
+++ b/internal/files/resting_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// resting is a watched folder that a test polls by itself, with a clock of its own.
-type resting struct {
-	*folder
+// manualWatcher is a watched folder that a test polls by itself, with a clock of its own.
+type manualWatcher struct {
+	*fixture
 	w     *Watcher
 	now   time.Time
 	stats int
 }
 
-// rest watches a folder until its stamps have settled.
-func rest(f *folder) *resting {
+// watchManually watches a folder until its stamps have settled.
+func watchManually(f *fixture) *manualWatcher {
 	f.t.Helper()
-	r := &resting{folder: f, now: time.Now()}
+	r := &manualWatcher{fixture: f, now: time.Now()}
 	var err error
 	if r.w, _, err = Open(f.path, f.logs.Logger()); err != nil {
 		f.t.Fatal(err)
@@ -33,7 +33,7 @@
 }
 
 // settle has what stands in the folder read long enough after it was seen first.
-func (r *resting) settle() {
+func (r *manualWatcher) settle() {
 	r.t.Helper()
 	for range 2 {
 		r.now = r.now.Add(stampSettleTime)
@@ -45,13 +45,13 @@
 }
 
 // poll polls a second later.
-func (r *resting) poll() *Configuration {
+func (r *manualWatcher) poll() *Configuration {
 	r.now = r.now.Add(time.Second)
 	return r.w.poll(true)
 }
 
-// tick waits until the file system's clock has gone on, so that what is changed from now on has another stamp.
-func tick(t testing.TB) {
+// awaitClockTick waits until the file system's clock has gone on, so that what is changed from now on has another stamp.
+func awaitClockTick(t testing.TB) {
 	t.Helper()
 	probe := filepath.Join(t.TempDir(), "probe")
 	touch := func() time.Time {
--- a/internal/files/stamp.go
+++ b/internal/files/stamp.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// stampSettleTime is longer than the steps of any file system's clock. A file that is read later than this after
-	// its stamp was first seen can't be written again without another stamp.
+	// stampSettleTime is longer than the granularity of any file system's timestamps. Once a stamp has been seen for
+	// this long, any further write gives the file another stamp.
 	stampSettleTime = 2 * time.Second
-	// fullReadInterval is how often files are read whatever their stamps are: writes through a memory map, and some
-	// network file systems, leave no stamp or leave it late.
+	// fullReadInterval is the interval at which files are read whatever their stamps are, because writes through a
+	// memory map and writes on some network file systems change the stamp late or not at all.
 	fullReadInterval = time.Hour
 )
 
@@ -25,8 +25,8 @@
 	device, inode     uint64
 	mode              uint32
 	size              int64
-	modified, changed int64         // nanoseconds; a program can set modified, not changed
-	fault             syscall.Errno // of stat; the rest is zero then
+	modified, changed int64         // mtime and ctime in Unix nanoseconds; a program can set mtime but not ctime
+	errno             syscall.Errno // error of stat; the other fields are zero then
 }
 
 // readStamp returns the present stamp of a path.
@@ -36,9 +36,9 @@
 		switch err := syscall.Stat(name, &st); {
 		case errors.Is(err, syscall.EINTR):
 		case err != nil:
-			var fault syscall.Errno
-			errors.As(err, &fault)
-			return stamp{fault: fault}
+			var errno syscall.Errno
+			errors.As(err, &errno)
+			return stamp{errno: errno}
 		default:
 			return stamp{
 				device: uint64(st.Dev), inode: st.Ino, mode: st.Mode, size: st.Size,
@@ -48,22 +48,23 @@
 	}
 }
 
-// fileProblem returns why a file with this stamp can't be read, a *cluster.Problem; nil if it may be. It has to be
-// called before the file is opened, since opening a pipe waits for a writer.
+// fileProblem returns a *cluster.Problem if a file with this stamp can't be read as a configuration file, else nil. It has
+// to be called before the file is opened, since opening a named pipe blocks until there is a writer.
 func (s stamp) fileProblem(name string) error {
-	if s.fault != 0 {
-		if _, err := os.Lstat(name); s.fault == syscall.ENOENT && err == nil {
-			return &cluster.Problem{Source: name, Text: "points to a file that is not there"}
+	if s.errno != 0 {
+		if _, err := os.Lstat(name); s.errno == syscall.ENOENT && err == nil {
+			return &cluster.Problem{Source: name, Text: "is a symbolic link to a file that does not exist"}
 		}
-		return &cluster.Problem{Source: name, Text: s.fault.Error()}
+		return &cluster.Problem{Source: name, Text: s.errno.Error()}
 	}
 	switch kind := s.mode & syscall.S_IFMT; {
 	case kind == syscall.S_IFDIR:
-		return &cluster.Problem{Source: name, Text: "is a folder"}
+		return &cluster.Problem{Source: name, Text: "is a folder, not a regular file"}
 	case kind != syscall.S_IFREG:
-		return &cluster.Problem{Source: name, Text: "is no regular file"}
+		return &cluster.Problem{Source: name, Text: "is not a regular file"}
 	case s.size > config.MaxFile:
-		return &cluster.Problem{Source: name, Text: fmt.Sprintf("%d bytes; %d at most", s.size, config.MaxFile)}
+		return &cluster.Problem{Source: name,
+			Text: fmt.Sprintf("has %d bytes, and at most %d are allowed", s.size, config.MaxFile)}
 	}
 	return nil
 }
--- a/internal/files/stamp_test.go
+++ b/internal/files/stamp_test.go
@@ -11,7 +11,7 @@
 func TestStampUpToDate(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	s := stamp{device: 1, inode: 2, mode: syscall.S_IFREG | 0o644, size: 3, modified: 4, changed: 5}
-	settled := history{stamp: s, firstSeen: start, lastRead: start.Add(stampSettleTime)}
+	settled := readState{stamp: s, firstSeen: start, lastRead: start.Add(stampSettleTime)}
 	at := settled.lastRead.Add(time.Second)
 	other := func(change func(s *stamp)) stamp {
 		s := s
@@ -20,16 +20,16 @@
 	}
 	for _, tc := range []struct {
 		name  string
-		h     history
+		h     readState
 		now   stamp
 		at    time.Time
 		fresh bool
 	}{
 		{"at rest", settled, s, at, true},
-		{"never read", history{}, s, at, false},
-		{"never read and not there", history{}, stamp{}, at, false},
-		{"read as it was seen first", history{s, start, start}, s, at, false},
-		{"read just before it settled", history{s, start, start.Add(stampSettleTime - 1)}, s, at, false},
+		{"never read", readState{}, s, at, false},
+		{"never read and not there", readState{}, stamp{}, at, false},
+		{"read as it was seen first", readState{s, start, start}, s, at, false},
+		{"read just before it settled", readState{s, start, start.Add(stampSettleTime - 1)}, s, at, false},
 		{"another device", settled, other(func(s *stamp) { s.device++ }), at, false},
 		{"another file", settled, other(func(s *stamp) { s.inode++ }), at, false},
 		{"another kind", settled, other(func(s *stamp) { s.mode = syscall.S_IFDIR }), at, false},
@@ -37,7 +37,7 @@
 		{"modified", settled, other(func(s *stamp) { s.modified++ }), at, false},
 		{"an older modification", settled, other(func(s *stamp) { s.modified = -1 }), at, false},
 		{"changed with its modification restored", settled, other(func(s *stamp) { s.changed++ }), at, false},
-		{"gone", settled, stamp{fault: syscall.ENOENT}, at, false},
+		{"gone", settled, stamp{errno: syscall.ENOENT}, at, false},
 		{"just before the full read", settled, s, settled.lastRead.Add(fullReadInterval - 1), true},
 		{"at the full read", settled, s, settled.lastRead.Add(fullReadInterval), false},
 	} {
--- a/internal/files/tenants_test.go
+++ b/internal/files/tenants_test.go
@@ -14,30 +14,30 @@
 	return tenantsText(n, first) + fmt.Sprintf("[end]\ntenants = %d\n", n)
 }
 
-const tenantsProgram = "tenants = \"tenants.toml\"\n"
+const tenantsSetting = "tenants = \"tenants.toml\"\n"
 
-// withTenants is a folder whose tenants have a file of their own.
-func withTenants(t *testing.T, n int) (f *folder, name, text string) {
-	f = newFolder(t)
-	name, text = filepath.Join(filepath.Dir(f.path), "tenants.toml"), strings.Replace(program, "poll =", tenantsProgram+"poll =", 1)
-	f.put(f.path, text)
-	f.put(name, tenantsFile(n, 20))
+// newTenantsFixture is a folder whose tenants have a file of their own.
+func newTenantsFixture(t *testing.T, n int) (f *fixture, name, text string) {
+	f = newFixture(t)
+	name, text = filepath.Join(filepath.Dir(f.path), "tenants.toml"), strings.Replace(program, "poll =", tenantsSetting+"poll =", 1)
+	f.writeFile(f.path, text)
+	f.writeFile(name, tenantsFile(n, 20))
 	return f, name, text
 }
 
 // A change of a class leaves the tenants the same ones, and a change of them the routes; each parses one file.
 func TestTenantsFile(t *testing.T) {
-	f, name, text := withTenants(t, 5)
-	r := rest(f)
+	f, name, text := newTenantsFixture(t, 5)
+	r := watchManually(f)
 	first := r.w.current.Program
 	if len(first.Tenants) != 5 || first.Tenants[0].QuotaPerS != 20 {
 		t.Fatalf("tenants %+v", first.Tenants)
 	}
 	change := func(name, text string) *Configuration {
 		t.Helper()
-		tick(t)
+		awaitClockTick(t)
 		parses := r.w.parser.parses()
-		f.put(name, text)
+		f.writeFile(name, text)
 		s := r.poll()
 		if s == nil {
 			t.Fatalf("nothing is taken:\n%s", f.logs.String())
@@ -51,18 +51,18 @@
 		t.Error("a class's change gives other tenants")
 	}
 	before := r.w.current.Program
-	if s := change(f.rooms(), clusterText("", 1, 2, 3, 5)); s.Program != before {
+	if s := change(f.roomsFile(), clusterText("", 1, 2, 3, 5)); s.Program != before {
 		t.Error("a list's change gives another program")
 	}
 	if s := change(name, tenantsFile(6, 30)); len(s.Program.Tenants) != 6 || s.Program.Tenants[0].QuotaPerS != 30 || s.Program.Table != before.Table {
 		t.Error("a tenant's change gives other routes, or the former tenants")
 	}
-	tick(t)
-	f.put(name, tenantsText(6, 40)) // as it is being written
+	awaitClockTick(t)
+	f.writeFile(name, tenantsText(6, 40)) // as it is being written
 	if r.poll() != nil {
 		t.Error("a part is taken for the whole")
 	}
-	f.put(name, tenantsFile(6, 40))
+	f.writeFile(name, tenantsFile(6, 40))
 	if s := r.poll(); s == nil || s.Program.Tenants[0].QuotaPerS != 40 {
 		t.Error("the whole is not taken")
 	}
@@ -78,37 +78,37 @@
 
 // The file is watched and is found wrong as a cluster file is; check tells the same of it alone.
 func TestTenantsFileFaults(t *testing.T) {
-	f, name, text := withTenants(t, 5)
+	f, name, text := newTenantsFixture(t, 5)
 	f.watch()
-	f.swap(name, tenantsFile(5, 30))
-	if s := f.next(); s.Program.Tenants[0].QuotaPerS != 30 {
+	f.replaceFile(name, tenantsFile(5, 30))
+	if s := f.awaitVersion(); s.Program.Tenants[0].QuotaPerS != 30 {
 		t.Errorf("%+v", s.Program.Tenants[0])
 	}
-	f.put(name, tenantsFile(5, -1))
-	f.logged("tenants.toml:3: tenant 1: quota_per_s: -1")
+	f.writeFile(name, tenantsFile(5, -1))
+	f.awaitLog("tenants.toml:3: tenant 1: quota_per_s: -1")
 	if _, _, err := Check(name); err == nil || !strings.Contains(err.Error(), "tenants.toml:3: tenant 1: quota_per_s: -1") {
 		t.Errorf("check: %v", err)
 	}
-	f.put(name, tenantsFile(5, 7))
-	if s := f.next(); s.Program.Tenants[0].QuotaPerS != 7 {
+	f.writeFile(name, tenantsFile(5, 7))
+	if s := f.awaitVersion(); s.Program.Tenants[0].QuotaPerS != 7 {
 		t.Errorf("%+v", s.Program.Tenants[0])
 	}
 	if _, _, err := Check(name); err != nil {
 		t.Errorf("check: %v", err)
 	}
-	f.put(f.path, text+tenantsText(1, 20))
-	f.logged("files: tenants: tenants.toml is to have the tenants, and " + f.path + " has [[tenant]] too")
-	f.put(f.path, text)
+	f.writeFile(f.path, text+tenantsText(1, 20))
+	f.awaitLog("files: tenants: tenants.toml is to have the tenants, and " + f.path + " has [[tenant]] too")
+	f.writeFile(f.path, text)
 	must(t, os.Remove(name))
-	f.logged("tenants.toml: no such file or directory")
-	if len(f.got) > 0 {
+	f.awaitLog("tenants.toml: no such file or directory")
+	if len(f.versions) > 0 {
 		t.Error("a version is taken")
 	}
 }
 
 // A version of a fleet has the tenants as a part of their own, which stays the same where it doesn't change.
 func TestBundleTenants(t *testing.T) {
-	f, _, _ := withTenants(t, 5)
+	f, _, _ := newTenantsFixture(t, 5)
 	list, err := Bundle(f.path)
 	if err != nil || len(list) != 3 || list[1].Name != TenantsPart {
 		t.Fatalf("%+v, %v", list, err)
@@ -128,9 +128,9 @@
 		list []config.File
 		want string
 	}{
-		{[]config.File{list[0], list[2]}, "tenants: is missing"},
-		{append(list, list[1]), "is there twice"},
-		{append([]config.File{{Name: ProgramPart, Text: []byte(bundled)}}, list[1:]...), "names no file of tenants"},
+		{[]config.File{list[0], list[2]}, "tenants: is missing from the version"},
+		{append(list, list[1]), "occurs more than once"},
+		{append([]config.File{{Name: ProgramPart, Text: []byte(bundledProgram)}}, list[1:]...), "names no tenants file"},
 		{[]config.File{list[0], list[2], {Name: TenantsPart, Text: []byte("[[tenant]]\n")}}, "tenants:2: is not whole"},
 	} {
 		if _, err := p.Unbundle(tc.list); err == nil || !strings.Contains(err.Error(), tc.want) {
--- a/internal/files/watcher.go
+++ b/internal/files/watcher.go
@@ -13,36 +13,38 @@
 	"yokestall/internal/cluster"
 )
 
-// maxLoggedCauses bounds the causes of rejected files that are cached so that each is logged once.
+// maxLoggedCauses is the largest number of causes in Watcher.loggedCauses. Further causes are not logged until a version is
+// accepted.
 const maxLoggedCauses = 1000
 
-// filesRejected is the log event of files that are not put in force.
+// filesRejected is the log event for files that were rejected.
 const filesRejected = "configuration files rejected, keeping the last good version"
 
-// Watcher follows the files of a configuration. Create it with Open. Its methods are for one goroutine.
+// Watcher follows the files of a configuration. Create it with Open. It must be used by one goroutine at a time.
 type Watcher struct {
-	path    string // of the program's file
+	path    string // path of the program's file
 	log     *slog.Logger
 	reader  *reader
 	parser  *Parser
 	current *Configuration
-	number  uint64 // of current
+	number  uint64 // version number of current
 
-	verdict      verdict         // of the last poll that read something
-	lastRejected hash            // verdict.hash of the poll before, if that was rejected; else zero
-	loggedCauses map[string]bool // since the last accepted version
+	verdict      verdict         // verdict of the last poll that read files
+	lastRejected hash            // verdict.hash at the last logVerdict; zero if the files have been accepted or restored since
+	loggedCauses map[string]bool // causes logged since the last accepted version
 
 	newNotifier func() (*notifier, error)
-	onPoll      func() // called after each poll by the timer, for tests; may be nil
+	onPoll      func() // called after each poll that the timer caused, for tests; may be nil
 }
 
-// verdict is what is wrong with the files, as they were when some of them were read last.
+// verdict says what is wrong with the files, as of the last poll that read any of them.
 type verdict struct {
-	hash hash  // of their contents; of err where not all could be read
-	err  error // nil: nothing is wrong
+	hash hash  // hash of the contents of the files; hash of err's text if not all could be read
+	err  error // why the files are rejected; nil: they are not
 }
 
-// Open reads the first version. The error says why it is rejected.
+// Open reads the first version of the configuration whose program's file is at path. It returns an error if that version
+// is rejected.
 func Open(path string, log *slog.Logger) (*Watcher, *Configuration, error) {
 	r, p := newReader(path), NewParser()
 	s, err := load(r, p)
@@ -59,8 +61,9 @@
 	return w, s, nil
 }
 
-// Run calls apply with each new version, in its own goroutine, until ctx ends. Changes are found by notification, and
-// by the stamps and the contents of the files at each poll, which alone is sufficient.
+// Run calls apply with each new version until ctx ends, on the goroutine that called Run. File notification makes it poll
+// early. Without notification, the polls at the configured interval find all changes by the stamps and contents of the
+// files.
 func (w *Watcher) Run(ctx context.Context, apply func(*Configuration)) {
 	notifier := w.startNotifier()
 	defer notifier.close()
@@ -79,14 +82,14 @@
 		}
 		if folders := w.folders(); !slices.Equal(folders, watched) {
 			for _, folder := range folders {
-				notifier.add(folder) // polling finds what a failure misses
+				notifier.add(folder) // after an error, polling finds the changes
 			}
 			watched = folders
 		}
 	}
 }
 
-// startNotifier returns a notifier of the present folders. Without one, polling finds the changes.
+// startNotifier returns a notifier of the present folders, or a notifier without events if notification is unavailable.
 func (w *Watcher) startNotifier() *notifier {
 	n, err := w.newNotifier()
 	if err != nil {
@@ -101,16 +104,16 @@
 	return n
 }
 
-// wakeup is why a Watcher polls the files.
+// wakeup is the reason why awaitWakeup returned.
 type wakeup uint8
 
 const (
-	wakeupStopped  wakeup = iota // it does not: its context has ended
-	wakeupNotified               // a change was notified, or notifications were lost
-	wakeupTimer                  // the poll interval is over
+	wakeupStopped  wakeup = iota // the context has ended; the files are not polled
+	wakeupNotified               // a change was notified, or the notifier reported an error such as lost events
+	wakeupTimer                  // the poll interval has passed
 )
 
-// awaitWakeup waits for a notification, the end of the poll interval or that of ctx.
+// awaitWakeup waits for a notification, the end of the poll interval or the end of ctx.
 func awaitWakeup(ctx context.Context, n *notifier, pollInterval time.Duration) wakeup {
 	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
@@ -119,14 +122,14 @@
 		return wakeupStopped
 	case <-n.events:
 		return wakeupNotified
-	case <-n.faults:
+	case <-n.errs:
 		return wakeupNotified
 	case <-timer.C:
 		return wakeupTimer
 	}
 }
 
-// folders returns the folders with files of the present version.
+// folders returns the folders that contain files of the current version.
 func (w *Watcher) folders() []string {
 	p, all := w.current.Program, []string{filepath.Dir(w.path)}
 	for _, folder := range []string{p.Files.Folder, p.XDS.Folder} {
@@ -142,9 +145,9 @@
 	return all
 }
 
-// poll returns a version that is new and accepted; nil if there is none. Files that have not changed since the last
-// poll are not read, and the verdict on them stays. byTimer is false for a poll after a notification, which may come
-// while a file is being written, so that nothing is logged then.
+// poll returns the new version if there is one and it is accepted, else nil. If no file has changed since the last scan, no
+// file is read and the verdict stays. byTimer is false for a poll after a notification. Such a poll does not log a
+// rejection, since the notification may come while a file is being written.
 func (w *Watcher) poll(byTimer bool) *Configuration {
 	if !w.reader.unchanged() {
 		if s := w.read(); s != nil {
@@ -157,7 +160,8 @@
 	return nil
 }
 
-// read reads the files that changed. It returns a version that is new and accepted, or sets the verdict.
+// read reads the files that changed. It returns the new version if there is one and it is accepted. Otherwise it sets the
+// verdict and returns nil.
 func (w *Watcher) read() *Configuration {
 	s, err := w.readNext()
 	w.reader.finishScan(err == nil)
@@ -184,8 +188,8 @@
 	return s
 }
 
-// readNext reads the files. It returns neither a configuration nor an error if they are as in the current version. A
-// configuration beside an error has only the hash of the rejected contents.
+// readNext reads the files. It returns neither a configuration nor an error if their contents are those of the current
+// version. A configuration that is returned with an error has only the hash of the rejected contents.
 func (w *Watcher) readNext() (*Configuration, error) {
 	v, err := w.reader.scan(w.parser)
 	if err != nil {
@@ -208,8 +212,8 @@
 	return s, nil
 }
 
-// logVerdict logs why the files are rejected, each cause once, and only if two polls in a row rejected the same
-// contents: a file that is being written is no fault.
+// logVerdict logs why the files are rejected, each cause once. It logs only if two polls by the timer in a row rejected the
+// same contents, since contents that are rejected once may be those of a file that is being written.
 func (w *Watcher) logVerdict() {
 	if w.verdict.hash != w.lastRejected {
 		w.lastRejected = w.verdict.hash
@@ -223,8 +227,8 @@
 	}
 }
 
-// reuseUnchanged replaces clusters of a new version by equal ones of the current version, so that their users see by
-// identity that nothing changed.
+// reuseUnchanged replaces clusters of a new version by equal clusters of the current version. A user of a cluster then sees
+// that it is unchanged by comparing pointers.
 func (w *Watcher) reuseUnchanged(s *Configuration) {
 	for name, c := range s.Version.Clusters {
 		if old := w.current.Version.Clusters[name]; old != nil && old != c && equalClusters(old, c) {
@@ -233,7 +237,7 @@
 	}
 }
 
-// equalClusters reports whether requests are served alike by two versions of a cluster.
+// equalClusters reports whether two versions of a cluster serve requests in the same way.
 func equalClusters(old, c *cluster.Config) bool {
 	switch {
 	case old.AllowEmpty != c.AllowEmpty, len(old.Endpoints) != len(c.Endpoints):
--- a/internal/files/watcher_test.go
+++ b/internal/files/watcher_test.go
@@ -9,19 +9,19 @@
 )
 
 func TestWaysToReplace(t *testing.T) {
-	f := newFolder(t)
+	f := newFixture(t)
 	if got := ports(f.watch()); got != "1 2 3 4" {
 		t.Fatalf("first %q", got)
 	}
-	f.swap(f.rooms(), clusterText("", 1, 2, 3)) // renamed over
-	f.want("1 2 3")
-	f.put(f.rooms(), clusterText("", 1, 2, 3, 5)) // in place
-	f.want("1 2 3 5")
-	f.swap(f.rooms(), clusterText("", 1, 2)) // twice within a second
-	f.swap(f.rooms(), clusterText("", 1, 2, 6))
-	f.want("1 2 6")
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 3)) // renamed over
+	f.awaitPorts("1 2 3")
+	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5)) // in place
+	f.awaitPorts("1 2 3 5")
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2)) // twice within a second
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 6))
+	f.awaitPorts("1 2 6")
 	text := clusterText("", 1, 2, 7) // slowly, a few bytes at a time
-	file, err := os.Create(f.rooms())
+	file, err := os.Create(f.roomsFile())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,20 +30,20 @@
 		time.Sleep(4 * time.Millisecond)
 	}
 	file.Close()
-	f.want("1 2 7")
-	if err := os.Remove(f.rooms()); err != nil { // deleted and written again
+	f.awaitPorts("1 2 7")
+	if err := os.Remove(f.roomsFile()); err != nil { // deleted and written again
 		t.Fatal(err)
 	}
-	f.logged("to remove a cluster, first say")
-	f.put(f.rooms(), clusterText("", 1, 2, 8))
-	f.want("1 2 8")
+	f.awaitLog("to remove a cluster, first say")
+	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 8))
+	f.awaitPorts("1 2 8")
 	// A link to a folder that is exchanged, as mounted configuration does.
 	one, two := filepath.Join(t.TempDir(), "one"), filepath.Join(t.TempDir(), "two")
 	for i, dir := range []string{one, two} {
 		if err := os.Mkdir(dir, 0o755); err != nil {
 			t.Fatal(err)
 		}
-		f.put(filepath.Join(dir, "rooms.toml"), clusterText("", 1, 2, 20+i))
+		f.writeFile(filepath.Join(dir, "rooms.toml"), clusterText("", 1, 2, 20+i))
 	}
 	link := filepath.Join(f.dir, "..data")
 	for i, dir := range []string{one, two} {
@@ -54,40 +54,40 @@
 			t.Fatal(err)
 		}
 		if i == 0 {
-			if err := os.Remove(f.rooms()); err != nil {
+			if err := os.Remove(f.roomsFile()); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.Symlink(filepath.Join("..data", "rooms.toml"), f.rooms()); err != nil {
+			if err := os.Symlink(filepath.Join("..data", "rooms.toml"), f.roomsFile()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f.want(fmt.Sprintf("1 2 %d", 20+i))
+		f.awaitPorts(fmt.Sprintf("1 2 %d", 20+i))
 	}
 }
 
 func TestMeant(t *testing.T) {
-	f := newFolder(t)
+	f := newFixture(t)
 	f.watch()
-	f.swap(f.rooms(), clusterText("shrink_to = 1\n", 1))
-	f.want("1")
-	f.swap(f.rooms(), clusterText("no_servers = \"on purpose\"\n"))
-	f.want("")
-	os.Remove(f.rooms())
-	f.want("none")
+	f.replaceFile(f.roomsFile(), clusterText("shrink_to = 1\n", 1))
+	f.awaitPorts("1")
+	f.replaceFile(f.roomsFile(), clusterText("no_servers = \"on purpose\"\n"))
+	f.awaitPorts("")
+	os.Remove(f.roomsFile())
+	f.awaitPorts("none")
 }
 
 // Where the same bytes are written again nothing is taken, and a cluster that stays the
 // same is the same.
 func TestUnchanged(t *testing.T) {
-	f := newFolder(t)
+	f := newFixture(t)
 	first := f.watch()
-	f.swap(f.rooms(), clusterText("", 1, 2, 3, 4))
-	f.polls(4)
-	if len(f.got) > 0 {
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 3, 4))
+	f.awaitPolls(4)
+	if len(f.versions) > 0 {
 		t.Error("a version with nothing new is taken")
 	}
-	f.put(filepath.Join(f.dir, "b.toml"), clusterText("", 7))
-	s := f.next()
+	f.writeFile(filepath.Join(f.dir, "b.toml"), clusterText("", 7))
+	s := f.awaitVersion()
 	if s.Version.Clusters["rooms"] != first.Version.Clusters["rooms"] || s.Version.Clusters["b"] == nil {
 		t.Errorf("clusters %+v", s.Version.Clusters)
 	}
--- a/internal/files/xdsfolder_test.go
+++ b/internal/files/xdsfolder_test.go
@@ -22,20 +22,20 @@
 
 // Files in xDS form are taken with the others, whole or not at all.
 func TestXDSFolder(t *testing.T) {
-	f := newFolder(t)
+	f := newFixture(t)
 	folder := filepath.Join(filepath.Dir(f.path), "xds")
 	if err := os.Mkdir(folder, 0o755); err != nil {
 		t.Fatal(err)
 	}
 	withoutRoutes, _, _ := strings.Cut(program, "[[host]]")
-	f.put(f.path, withXDSFolder(withoutRoutes))
+	f.writeFile(f.path, withXDSFolder(withoutRoutes))
 	const routes = `{"@type": "type.googleapis.com/envoy.config.route.v3.RouteConfiguration", "name": "main",
 		"virtual_hosts": [{"name": "v", "domains": ["*"],
 		"routes": [{"match": {"prefix": "/"}, "route": {"cluster": "suites"}}]}]}`
 	suites := func(port int) string { return xdsCluster("suites", port) }
 	file := filepath.Join(folder, "suites.yaml")
-	f.put(filepath.Join(folder, "routes.json"), routes)
-	f.put(file, suites(1)+"...\n")
+	f.writeFile(filepath.Join(folder, "routes.json"), routes)
+	f.writeFile(file, suites(1)+"...\n")
 	first := f.watch()
 	c := first.Version.Clusters["suites"]
 	if c == nil || c.Endpoints[0].Address != "127.0.0.1:1" || first.Version.Clusters["rooms"] == nil {
@@ -44,17 +44,17 @@
 	if got := first.Program.Table.Clusters(); len(got) != 1 || got[0] != "suites" {
 		t.Errorf("routes lead to %v", got)
 	}
-	f.put(file, suites(2)) // as half of a longer one may look
-	f.logged("suites.yaml: is not whole")
-	f.polls(2)
-	if len(f.got) > 0 {
+	f.writeFile(file, suites(2)) // as half of a longer one may look
+	f.awaitLog("suites.yaml: is not whole")
+	f.awaitPolls(2)
+	if len(f.versions) > 0 {
 		t.Error("a part is taken for the whole")
 	}
 	if _, _, err := Check(file); err == nil || !strings.Contains(err.Error(), "is not whole") {
 		t.Errorf("check says %v", err)
 	}
-	f.put(file, suites(3)+"...\n")
-	if c := f.next().Version.Clusters["suites"]; c.Endpoints[0].Address != "127.0.0.1:3" {
+	f.writeFile(file, suites(3)+"...\n")
+	if c := f.awaitVersion().Version.Clusters["suites"]; c.Endpoints[0].Address != "127.0.0.1:3" {
 		t.Errorf("then %+v", c)
 	}
 	if _, _, err := Check(file); err != nil {
@@ -64,16 +64,16 @@
 
 // Files in xDS form at rest are not read, and are read all together where one changes.
 func TestXDSAtRest(t *testing.T) {
-	f := newFolder(t)
+	f := newFixture(t)
 	folder := filepath.Join(filepath.Dir(f.path), "xds")
 	must(t, os.Mkdir(folder, 0o755))
-	f.put(f.path, withXDSFolder(program))
+	f.writeFile(f.path, withXDSFolder(program))
 	list := func(name string, port int) {
-		f.put(filepath.Join(folder, name+".yaml"), xdsCluster(name, port)+"...\n")
+		f.writeFile(filepath.Join(folder, name+".yaml"), xdsCluster(name, port)+"...\n")
 	}
 	list("suites", 1)
 	list("villas", 2)
-	r := rest(f)
+	r := watchManually(f)
 	suites := r.w.current.Version.Clusters["suites"]
 	reads, parses := r.w.reader.reads, r.w.parser.parses()
 	for range 100 {
@@ -82,12 +82,12 @@
 	if r.w.reader.reads != reads || r.w.parser.parses() != parses {
 		t.Error("files at rest are read or parsed")
 	}
-	tick(t)
-	f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
+	awaitClockTick(t)
+	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
 	if s := r.poll(); s == nil || s.Version.Clusters["suites"] != suites || r.w.parser.parses() != parses+1 {
 		t.Error("a cluster file's change reads those in xDS form")
 	}
-	tick(t)
+	awaitClockTick(t)
 	list("villas", 3)
 	s := r.poll()
 	if s == nil || s.Version.Clusters["villas"].Endpoints[0].Address != "127.0.0.1:3" ||
