--- a/internal/files/atrest_test.go
+++ b/internal/files/atrest_test.go
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// settledChange is a change of a folder at rest and what one poll takes and reads after it.
+// settledChange is a change of a fixture whose stamps have settled, and what the next poll accepts and reads.
 type settledChange struct {
 	name    string
-	prepare func(f *fixture) // before the folder comes to rest; nil: nothing
+	prepare func(f *fixture) // changes the files before their stamps settle; nil: no change
 	change  func(f *fixture)
-	want    string // ports of the servers
-	reads   int    // files and folders
+	want    string // ports of the endpoints after the change
+	reads   int    // number of files and folders that the poll reads
 }
 
-// fileChanges returns changes of files that are no links.
+// fileChanges returns changes of regular files.
 func fileChanges() []settledChange {
 	return []settledChange{
 		{
@@ -44,7 +44,7 @@
 				f.writeFile(next, clusterText("", 1, 2, 3, 5))
 				must(f.t, os.Chtimes(next, before.ModTime(), before.ModTime()), os.Rename(next, f.roomsFile()))
 			},
-			want: "1 2 3 5", reads: 2, // and the folder
+			want: "1 2 3 5", reads: 2, // the file and the folder
 		},
 		{
 			name:   "a file comes",
@@ -65,7 +65,7 @@
 	}
 }
 
-// folderChanges returns changes of links and of folders.
+// folderChanges returns changes of symbolic links and of folders.
 func folderChanges() []settledChange {
 	return []settledChange{
 		{
@@ -120,8 +120,8 @@
 	}
 }
 
-// Each way in which files can change is seen at the next poll by stamps alone, long after they came to rest, and only
-// what changed is read.
+// After the stamps have settled, the next poll detects each kind of change by stamps alone, and reads only the files and
+// folders that changed.
 func TestChangesAtRest(t *testing.T) {
 	for _, tc := range append(fileChanges(), folderChanges()...) {
 		t.Run(tc.name, func(t *testing.T) {
@@ -135,23 +135,23 @@
 			reads := r.w.reader.reads
 			s := r.poll()
 			if s == nil {
-				t.Fatalf("nothing is seen:\n%s", f.logs.String())
+				t.Fatalf("the poll returned no version after the change; log:\n%s", f.logs.String())
 			}
 			if got := ports(s); got != tc.want {
-				t.Errorf("servers %q, want %q", got, tc.want)
+				t.Errorf("endpoints with ports %q, want %q", got, tc.want)
 			}
 			if n := r.w.reader.reads - reads; n != tc.reads {
-				t.Errorf("%d files and folders are read, want %d", n, tc.reads)
+				t.Errorf("the poll read %d files and folders, want %d", n, tc.reads)
 			}
 			r.settle()
 			if r.poll() != nil {
-				t.Error("it is taken twice")
+				t.Error("a second poll returned the version again, want nil")
 			}
 		})
 	}
 }
 
-// Writes without any stamp are seen at the next full read.
+// A write that leaves the stamp unchanged, even after the stamp has settled, is found at the next full read.
 func TestFullRead(t *testing.T) {
 	f := newFixture(t)
 	r := watchManually(f)
@@ -162,16 +162,16 @@
 	r.w.reader.stat = func(name string) stamp { return frozen[name] }
 	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
 	if r.poll() != nil {
-		t.Fatal("seen with the stamp of before: the test freezes nothing")
+		t.Fatal("a poll with unchanged stamps returned a version, so that the test does not freeze the stamps")
 	}
 	r.now = r.now.Add(fullReadInterval)
 	if s := r.w.poll(true); s == nil || ports(s) != "1 2 3 5" {
-		t.Error("it is never seen")
+		t.Error("the poll after fullReadInterval did not return the version with the write")
 	}
 }
 
-// A thousand polls at rest read and parse nothing, whether the files are in force or refused, and cost a stat for
-// each file and folder.
+// While no file changes, polls read and parse nothing, whether the files are accepted or rejected. Each poll costs one stat
+// for each file and folder.
 func TestQuietPolls(t *testing.T) {
 	for name, damage := range map[string]func(f *fixture){
 		"in force":              func(*fixture) {},
@@ -197,28 +197,29 @@
 			reads, parses, stats := r.w.reader.reads, r.w.parser.parses(), r.stats
 			for range 1000 {
 				if r.poll() != nil {
-					t.Fatal("a version is taken")
+					t.Fatal("a poll returned a version though no file had changed")
 				}
 			}
 			if n := r.w.reader.reads - reads; n != 0 {
-				t.Errorf("%d reads", n)
+				t.Errorf("%d reads in 1000 polls, want 0", n)
 			}
 			if n := r.w.parser.parses() - parses; n != 0 {
-				t.Errorf("%d parses", n)
+				t.Errorf("%d parses in 1000 polls, want 0", n)
 			}
-			if n := r.stats - stats; n > 1000*14 { // the program's file, the folder, 12 of clusters
-				t.Errorf("%d stats", n)
+			if n := r.stats - stats; n > 1000*14 { // the program's file, the folder and at most 12 cluster files
+				t.Errorf("%d stats in 1000 polls, want at most 14000", n)
 			}
 			n := strings.Count(f.logs.String(), filesRejected)
 			accepted := name == "in force" || name == "the same bytes are there"
 			if n > 1 || (n == 0) != accepted {
-				t.Errorf("logged %d times:\n%s", n, f.logs.String())
+				t.Errorf("%d log lines for rejected files, want none for accepted files and one otherwise; log:\n%s", n, f.logs.String())
 			}
 		})
 	}
 }
 
-// A change of one file parses that one, and the other clusters are the same ones; so they are when it is taken back.
+// After a change of one file only that file is parsed, and the other clusters are the same values as before. When the change
+// is reverted, nothing is parsed.
 func TestOneIsParsed(t *testing.T) {
 	f := newFixture(t)
 	for i := range 10 {
@@ -233,44 +234,44 @@
 		f.writeFile(name, text)
 		s := r.poll()
 		if n := r.w.parser.parses() - before; n != parses {
-			t.Errorf("%d files are parsed, want %d", n, parses)
+			t.Errorf("the poll parsed %d files, want %d", n, parses)
 		}
 		return s
 	}
 	s := change(f.roomsFile(), clusterText("", 1, 2, 3, 5), 1)
 	if s == nil || s.Program != first.Program {
-		t.Fatal("not taken, or with another program")
+		t.Fatal("a changed cluster file is not accepted, or the version has another program")
 	}
 	for name, c := range first.Version.Clusters {
 		if (s.Version.Clusters[name] == c) == (name == "rooms") {
-			t.Errorf("%s: the same: %v", name, name == "rooms")
+			t.Errorf("cluster %s: is the same value as before: %v, want the opposite", name, name == "rooms")
 		}
 	}
 	if change(f.roomsFile(), "x", 1) != nil {
-		t.Fatal("taken")
+		t.Fatal("an invalid cluster file is accepted")
 	}
 	if change(f.roomsFile(), clusterText("", 1, 2, 3, 5), 0) != nil {
-		t.Fatal("taken again")
+		t.Fatal("the files of the current version are accepted as a new version")
 	}
 	s = change(f.path, strings.Replace(program, `"1s"`, `"2s"`, 1), 1)
 	rooms := r.w.current.Version.Clusters["rooms"]
 	if s == nil || s.Program == first.Program || s.Version.Clusters["rooms"] != rooms {
-		t.Error("a class's change is not taken, or with other clusters")
+		t.Error("a changed class is not accepted, or the version has the former program or another cluster")
 	}
 	clusters, programs := &r.w.parser.clusters, &r.w.parser.programs
 	cached := len(clusters.current) + len(clusters.last) + len(programs.current) + len(programs.last)
 	if cached > 2*12 {
-		t.Errorf("%d parsed files are cached", cached)
+		t.Errorf("%d parsed files are cached, want at most 24", cached)
 	}
 }
 
-// How servers are spoken to is taken as well where the servers stay.
+// A change of a cluster's transport makes a new version even if its endpoints stay the same.
 func TestTransportChanges(t *testing.T) {
 	f := newFixture(t)
 	r := watchManually(f)
 	awaitClockTick(t)
 	f.writeFile(f.roomsFile(), clusterText("protocol = \"http2\"\n", 1, 2, 3, 4))
 	if s := r.poll(); s == nil || !s.Version.Clusters["rooms"].Transport.HTTP2 {
-		t.Error("the former protocol stays")
+		t.Error("the version after the change of the protocol does not use HTTP/2")
 	}
 }
--- a/internal/files/bundle_test.go
+++ b/internal/files/bundle_test.go
@@ -17,8 +17,8 @@
 
 const roomsChange = "[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"a\"]\n[[endpoint]]\nid = \"c\"\naddress = \"10.0.0.3:80\"\n[end]\nendpoints = 1\n"
 
-// A folder's configuration goes through a bundle unchanged; changes count in their order, and what is no version is
-// told.
+// Unbundle returns the configuration that Bundle read, with the changes applied in their order. It rejects a list of files
+// that is not a valid version.
 func TestBundle(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "x.toml")
@@ -32,12 +32,12 @@
 	}
 	list, err := Bundle(path)
 	if err != nil || len(list) != 2 || list[0].Name != ProgramPart || list[1].Name != "rooms.toml" {
-		t.Fatalf("%v, %v", list, err)
+		t.Fatalf("Bundle returned %v, error %v", list, err)
 	}
 	change := config.File{Name: ChangePart("rooms", 0), Text: []byte(roomsChange)}
 	s, err := Unbundle(append(list, change))
 	if err != nil || len(s.Version.Clusters["rooms"].Endpoints) != 2 || s.Version.Clusters["rooms"].Endpoints[1].ID != "c" {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("after a change Unbundle returned %+v, error %v; want the endpoints b and c", s, err)
 	}
 	again := config.File{Name: ChangePart("rooms", 1), Text: []byte(roomsChange)}
 	for _, tc := range []struct {
@@ -50,12 +50,12 @@
 		{append(list, config.File{Name: "big.toml", Text: make([]byte, maxTotalBytes)}), "big.toml: the files of the version have over 67108864 bytes together"},
 	} {
 		if _, err := Unbundle(tc.list); err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%v, want %q", err, tc.want)
+			t.Errorf("Unbundle returned error %v, want one with %q", err, tc.want)
 		}
 	}
 }
 
-// Whatever a version's files are, they are read or refused; what is read is whole.
+// Unbundle accepts or rejects any files, and each cluster of an accepted version is valid.
 func FuzzUnbundle(f *testing.F) {
 	f.Add(bundledProgram, roomsList, roomsChange)
 	f.Add(bundledProgram, roomsList, "[cluster]\nname = \"rooms\"\nchange = true\nremoved = [\"a\", \"b\"]\n[end]\nendpoints = 0\n")
@@ -67,13 +67,14 @@
 		}
 		for name, c := range s.Version.Clusters {
 			if err := c.Check(nil); err != nil || c.Name != name || s.Program.Table == nil {
-				t.Fatalf("%s: %v", name, err)
+				t.Fatalf("accepted cluster %s: check returned %v, or it has another name, or the version has no routes", name, err)
 			}
 		}
 	})
 }
 
-// A version costs what it changes against the two before it: what stays is the same value, changes of lists included.
+// Unbundle only parses the files that neither of the two versions before had, and returns the same values for all others,
+// including clusters with changes.
 func TestUnbundleKeeps(t *testing.T) {
 	other := strings.Replace(roomsList, "rooms", "suites", 1)
 	settings := strings.Replace(bundledProgram, "1s", "2s", 1)
@@ -93,7 +94,7 @@
 			t.Fatal(err)
 		}
 		if n := p.parses() - before; n != parses {
-			t.Errorf("%d files are parsed, want %d", n, parses)
+			t.Errorf("Unbundle parsed %d files, want %d", n, parses)
 		}
 		return s
 	}
@@ -101,24 +102,24 @@
 	first := unbundle(bundle(bundledProgram, roomsList, roomsChange), 4)
 	second := unbundle(bundle(settings, roomsList, roomsChange), 1)
 	if second.Program == first.Program || second.Version.Clusters["rooms"] != first.Version.Clusters["rooms"] || second.Version.Clusters["suites"] != first.Version.Clusters["suites"] {
-		t.Error("a change of settings gives other clusters")
+		t.Error("after a change of the settings the program is the same value, or a cluster is another value")
 	}
 	extended, err := p.Change(second.Version.Clusters, []config.File{{Name: ChangePart("rooms", 1), Text: []byte(back)}})
 	if err != nil || len(extended["rooms"].Endpoints) != 1 || extended["suites"] != second.Version.Clusters["suites"] {
-		t.Fatalf("%+v, %v", extended, err)
+		t.Fatalf("Change returned %+v, error %v; want one endpoint in rooms and an unchanged suites", extended, err)
 	}
-	third := unbundle(bundle(bundledProgram, roomsList, roomsChange, back), 1) // the change alone
+	third := unbundle(bundle(bundledProgram, roomsList, roomsChange, back), 1) // only the second change is parsed
 	if third.Program != first.Program || third.Version.Clusters["rooms"] != extended["rooms"] {
-		t.Error("a version that was extended gives other clusters when it is read whole")
+		t.Error("Unbundle returned another program, or another cluster rooms than Change with the same changes")
 	}
 	if _, err := p.Unbundle(bundle(settings, "x")); err == nil {
-		t.Error("half a list is taken")
+		t.Error("a cluster file that is not complete is accepted")
 	}
 	longer := strings.Replace(roomsList, "10.0.0.1", "10.0.0.9", 1)
 	if s := unbundle(bundle(bundledProgram, longer), 1); s.Program != first.Program || s.Version.Clusters["suites"] != first.Version.Clusters["suites"] || s.Version.Clusters["rooms"].Endpoints[0].Address != "10.0.0.9:80" {
-		t.Errorf("after a version that can't be read: %+v", s)
+		t.Errorf("after a rejected version Unbundle returned %+v; want the former program and suites, and a changed rooms", s)
 	}
-	for i := range 50 { // nothing of them stays for long
+	for i := range 50 { // the values of these versions must not accumulate
 		settings := strings.Replace(bundledProgram, "1s", fmt.Sprintf("%ds", 3+i), 1)
 		unbundle(bundle(settings, roomsList, roomsChange), 1)
 		for range 5 {
@@ -130,11 +131,12 @@
 	}
 	if n := len(p.clusters.current) + len(p.clusters.last) + len(p.programs.current) + len(p.programs.last) +
 		len(p.changed.current) + len(p.changed.last) + len(p.patches.current) + len(p.patches.last) + len(p.lastResults); n > 2*(2+1+1+1)+1 {
-		t.Errorf("%d values are kept of two versions", n)
+		t.Errorf("%d values are cached after 50 versions, want at most 11", n)
 	}
 }
 
-// Rows of changes that end alike are not taken for each other.
+// Two sequences of changes that differ only before their last change have different results. A cache key made of the last
+// change alone would mix them up.
 func TestOtherChanges(t *testing.T) {
 	var p Parser
 	put := func(id string, port int) string {
@@ -144,12 +146,12 @@
 		s, err := p.Unbundle([]config.File{{Name: ProgramPart, Text: []byte(bundledProgram)}, {Name: "rooms.toml", Text: []byte(roomsList)},
 			{Name: ChangePart("rooms", 0), Text: []byte(put("c", port))}, {Name: ChangePart("rooms", 1), Text: []byte(put("d", 99))}})
 		if err != nil || s.Version.Clusters["rooms"].Endpoints[2].Address != fmt.Sprint("10.0.1.1:", port) {
-			t.Errorf("port %d: %+v, %v", port, s, err)
+			t.Errorf("port %d: Unbundle returned %+v, error %v; want this port at the third endpoint", port, s, err)
 		}
 	}
 }
 
-// A long row of changes of one list holds one list beside that of its version.
+// After many changes of one endpoint list, the parser caches only the result of the last one.
 func TestChangesHoldOneList(t *testing.T) {
 	var p Parser
 	s, err := p.Unbundle([]config.File{{Name: ProgramPart, Text: []byte(bundledProgram)}, {Name: "rooms.toml", Text: []byte(roomsList)}})
@@ -164,6 +166,6 @@
 		}
 	}
 	if n := len(p.changed.current) + len(p.changed.last) + len(p.patches.current) + len(p.patches.last) + len(p.lastResults); n != 1 {
-		t.Errorf("%d values are kept", n)
+		t.Errorf("%d values are cached after 100 changes, want 1", n)
 	}
 }
--- a/internal/files/harness_test.go
+++ b/internal/files/harness_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// program is a program's file with one route.
+// program is the text of a valid program's file with one route, to the cluster rooms.
 const program = `[listen]
 
 address = "127.0.0.1:0"
@@ -32,7 +32,7 @@
 cluster = "rooms"
 `
 
-// clusterText is a cluster file whose servers have these ports.
+// clusterText returns the text of a cluster file whose endpoints have these ports. head is added to [cluster].
 func clusterText(head string, ports ...int) string {
 	var b strings.Builder
 	b.WriteString("[cluster]\n" + head)
@@ -43,17 +43,17 @@
 	return b.String()
 }
 
-// fixture is a configuration that a test changes while it is watched.
+// fixture is a folder with configuration files that a test changes while a Watcher follows them.
 type fixture struct {
 	t        *testing.T
 	path     string
-	dir      string // of the cluster files
+	dir      string // folder of the cluster files
 	logs     *testutil.Logs
 	versions chan *Configuration
-	polled   chan struct{} // one for each poll
+	polled   chan struct{} // receives a value after each poll by the timer, if the test waits for it
 }
 
-// newFixture returns a folder with a valid program and the cluster rooms.
+// newFixture returns a fixture with a valid program's file and the cluster rooms with four endpoints.
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{t: t, logs: testutil.NewLogs(t), versions: make(chan *Configuration, 1000), polled: make(chan struct{})}
 	root := t.TempDir()
@@ -66,10 +66,10 @@
 	return f
 }
 
-// roomsFile is the file of the cluster roomsFile.
+// roomsFile returns the path of the file of the cluster rooms.
 func (f *fixture) roomsFile() string { return filepath.Join(f.dir, "rooms.toml") }
 
-// writeFile writes a file in place.
+// writeFile writes a file in place, without a rename.
 func (f *fixture) writeFile(name, text string) {
 	f.t.Helper()
 	if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// replaceFile puts a file in place by renaming.
+// replaceFile replaces a file atomically: it writes a new file and renames it.
 func (f *fixture) replaceFile(name, text string) {
 	f.t.Helper()
 	f.writeFile(name+".new", text)
@@ -86,10 +86,10 @@
 	}
 }
 
-// watch watches the folder until the end of the test and returns its first version.
+// watch runs a Watcher until the end of the test and returns the first version.
 func (f *fixture) watch() *Configuration { return f.watchWith(newNotifier) }
 
-// watchWith is watch with another notifier.
+// watchWith is like watch with another notifier.
 func (f *fixture) watchWith(notify func() (*notifier, error)) *Configuration {
 	f.t.Helper()
 	w, first, err := Open(f.path, f.logs.Logger())
@@ -110,27 +110,27 @@
 	return first
 }
 
-// awaitVersion waits for the awaitVersion version.
+// awaitVersion waits for the next accepted version and returns it.
 func (f *fixture) awaitVersion() *Configuration {
 	f.t.Helper()
-	return testutil.Wait(f.t, f.versions, "a version to be taken")
+	return testutil.Wait(f.t, f.versions, "a version to be accepted")
 }
 
-// awaitLog waits until a text stands in the log.
+// awaitLog waits until the log contains a text.
 func (f *fixture) awaitLog(text string) {
 	f.t.Helper()
 	f.logs.Wait(text)
 }
 
-// awaitPolls waits for so many awaitPolls that begin from now on: what is to be seen has been seen.
+// awaitPolls waits for the end of n polls that begin after the call, so that they see all files as they are now.
 func (f *fixture) awaitPolls(n int) {
 	f.t.Helper()
-	for range n + 1 { // the first may have begun before
+	for range n + 1 { // the first poll may have begun before the call
 		testutil.Wait(f.t, f.polled, "a poll")
 	}
 }
 
-// ports returns the ports of the servers of the cluster rooms.
+// ports returns the ports of the endpoints of the cluster rooms, separated by spaces; "none" without that cluster.
 func ports(s *Configuration) string {
 	c := s.Version.Clusters["rooms"]
 	if c == nil {
@@ -143,7 +143,7 @@
 	return strings.Join(list, " ")
 }
 
-// awaitPorts waits for a version with the ports of a text.
+// awaitPorts waits for a version for which ports returns text.
 func (f *fixture) awaitPorts(text string) {
 	f.t.Helper()
 	for {
--- a/internal/files/limits_test.go
+++ b/internal/files/limits_test.go
@@ -11,7 +11,7 @@
 	"yokestall/internal/config"
 )
 
-// allocatedBytes gives the bytes that an operation allocates.
+// allocatedBytes returns the number of bytes that an operation allocates.
 func allocatedBytes(operation func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -20,7 +20,7 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// largeCluster is a cluster file of so many servers.
+// largeCluster returns the text of a cluster file with n endpoints.
 func largeCluster(n int) string {
 	var b strings.Builder
 	b.WriteString("[cluster]\n")
@@ -31,8 +31,8 @@
 	return b.String()
 }
 
-// Files that are too much are told with their place and the limit, at the cost of reading one file at most, and the
-// version in force goes on.
+// Files that exceed a limit are rejected with an error that names the place and the limit. The check allocates little more
+// than the reading of one file, and the last accepted version stays in force.
 func TestTooMuch(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(f *fixture, tenants, text string)
@@ -75,23 +75,23 @@
 			var s *Configuration
 			bytes := allocatedBytes(func() { s = r.poll() })
 			if s != nil || r.w.current != before {
-				t.Fatal("it is taken")
+				t.Fatal("a version over a limit is accepted")
 			}
 			if err := r.w.verdict.err; err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Fatalf("error %.300v, want %q", err, tc.want)
+				t.Fatalf("the files are rejected with error %.300v, want one with %q", err, tc.want)
 			}
 			if bytes > tc.bytes {
-				t.Errorf("%d bytes are allocated, %d at most", bytes, tc.bytes)
+				t.Errorf("the poll allocated %d bytes, want at most %d", bytes, tc.bytes)
 			}
 			r.poll()
 			if n := strings.Count(f.logs.String(), tc.want); n != 1 {
-				t.Errorf("logged %d times", n)
+				t.Errorf("the error is logged %d times, want once", n)
 			}
 		})
 	}
 }
 
-// Versions of a fleet have the same limits, also where changes lead over them.
+// The limits hold for versions of a fleet too, including versions that exceed a limit only after their changes.
 func TestUnbundleTooMuch(t *testing.T) {
 	program := config.File{Name: ProgramPart, Text: []byte(bundledProgram)}
 	list := []config.File{program}
@@ -105,7 +105,7 @@
 	more := config.File{Name: ChangePart("d", 0), Text: []byte("[cluster]\nname = \"d\"\nchange = true\n[[endpoint]]\nid = \"x\"\naddress = \"10.9.9.9:80\"\n[end]\nendpoints = 1\n")}
 	one := config.File{Name: "d.toml", Text: []byte("[cluster]\n[[endpoint]]\nid = \"a\"\naddress = \"10.9.9.8:80\"\n[end]\nendpoints = 1\n")}
 	if _, err := p.Unbundle(append(list, one)); err == nil || !strings.Contains(err.Error(), "d.toml: over 100000 servers in all") {
-		t.Errorf("one server more: %v", err)
+		t.Errorf("one endpoint over the limit: Unbundle returned error %v, want that of too many endpoints", err)
 	}
 	none := config.File{Name: "d.toml", Text: []byte("[cluster]\nno_servers = \"on purpose\"\n[end]\nendpoints = 0\n")}
 	s, err := p.Unbundle(append(list, none))
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	if _, err := p.Change(s.Version.Clusters, []config.File{more}); err == nil || !strings.Contains(err.Error(), "d+0001: the clusters of the version have over 100000 endpoints together") {
-		t.Errorf("one server more by a change: %v", err)
+		t.Errorf("one endpoint over the limit by a change: Change returned error %v, want that of too many endpoints", err)
 	}
 	many := []config.File{program}
 	for i := range 10 * planClusters {
@@ -121,12 +121,12 @@
 	}
 	bytes := allocatedBytes(func() { _, err = Unbundle(many) })
 	if err == nil || !strings.Contains(err.Error(), "5000 cluster files; 1000 at most") {
-		t.Errorf("ten times the clusters: %v", err)
+		t.Errorf("5000 clusters: Unbundle returned error %v, want that of too many cluster files", err)
 	}
 	if bytes > 8<<20 {
-		t.Errorf("%d bytes are allocated", bytes)
+		t.Errorf("rejecting 5000 clusters allocated %d bytes, want at most 8 MiB", bytes)
 	}
 	if again, err := p.Unbundle(append(list, none)); err != nil || again.Version.Clusters["c0"] != s.Version.Clusters["c0"] {
-		t.Errorf("the version before is parsed anew: %v", err)
+		t.Errorf("after rejected versions the accepted one is parsed again, or Unbundle returned error %v", err)
 	}
 }
--- a/internal/files/notification_test.go
+++ b/internal/files/notification_test.go
@@ -9,8 +9,8 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// Where notification is unavailable or silent, polling by content takes over, also where size and time of the file stay
-// the same; an overflow causes a poll at once.
+// If file notification is unavailable or can't watch a folder, polling finds a change, even one that keeps the file's size
+// and modification time. An overflow of the notifier causes a poll at once.
 func TestWithoutNotification(t *testing.T) {
 	for name, notify := range map[string]func() (*notifier, error){
 		"unavailable": func() (*notifier, error) { return nil, errors.New("too many open files") },
@@ -36,7 +36,7 @@
 	}
 	t.Run("overflowed", func(t *testing.T) {
 		f := newFixture(t)
-		f.writeFile(f.path, strings.Replace(program, "20ms", "1m", 1)) // no poll in time
+		f.writeFile(f.path, strings.Replace(program, "20ms", "1m", 1)) // the timer does not poll during the test
 		faults := make(chan error, 1)
 		f.watchWith(func() (*notifier, error) {
 			add := func(string) error { return nil }
--- a/internal/files/plan_test.go
+++ b/internal/files/plan_test.go
@@ -14,11 +14,11 @@
 	"yokestall/internal/config"
 )
 
-// The operators' plan.
+// The size of the largest deployment that the operators plan for.
 const (
 	planClusters = 500
-	planServers  = 30 // of a cluster
-	planRoutes   = 28 // to a cluster
+	planServers  = 30 // endpoints of each cluster
+	planRoutes   = 28 // routes to each cluster
 	planTenants  = 140_000
 )
 
@@ -43,7 +43,7 @@
 deadline = "1900ms"
 `
 
-// planProgram is a program's file of the plan's size.
+// planProgram returns the text of a program's file with planRoutes routes to each of planClusters clusters.
 func planProgram(tenants int) string {
 	var b strings.Builder
 	b.WriteString(planHead)
@@ -61,7 +61,7 @@
 	return b.String()
 }
 
-// tenantsText is so many [[tenant]] tables; the first has this quota.
+// tenantsText returns n [[tenant]] tables. first is the quota of the first tenant, in requests per second.
 func tenantsText(n, first int) string {
 	var b bytes.Buffer
 	for t := range n {
@@ -74,7 +74,7 @@
 	return b.String()
 }
 
-// planCluster is the list of a cluster; the first server has this weight.
+// planCluster returns the text of the cluster file with index s. weight is the weight of the first endpoint.
 func planCluster(s int, weight float64) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[cluster]\nname = \"svc-%03d\"\n", s)
@@ -89,7 +89,7 @@
 	return b.String()
 }
 
-// planFolder writes a configuration of the plan's size and watches it.
+// planFolder writes a configuration of the planned size and returns a Watcher of it and the path of the program's file.
 func planFolder(t testing.TB, tenants int) (*Watcher, string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -111,7 +111,7 @@
 	}
 }
 
-// cpuTime gives the cpuTime time of the process.
+// cpuTime returns the CPU time that the process has used, in user and system mode.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -120,8 +120,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measure reports the processor time of an operation, all threads' and the collector's included; prepare is not
-// counted.
+// measure reports the CPU time of an operation, including that of all threads and of the garbage collector. It does not
+// count prepare, which runs before each operation.
 func measure(b *testing.B, prepare func(i int), operation func()) {
 	b.Helper()
 	var used time.Duration
@@ -140,7 +140,7 @@
 	b.ReportMetric(float64(used.Nanoseconds())/float64(b.N), "cpu-ns/op")
 }
 
-// A poll at which nothing has changed.
+// BenchmarkPollAtRest measures a poll when no file has changed.
 func BenchmarkPollAtRest(b *testing.B) {
 	for _, tenants := range []int{1000, planTenants} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
@@ -149,7 +149,7 @@
 			before := cpuTime()
 			for b.Loop() {
 				if w.poll(true) != nil {
-					b.Fatal("a version is taken")
+					b.Fatal("a poll returned a version though no file had changed")
 				}
 			}
 			b.ReportMetric(float64((cpuTime()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
@@ -157,7 +157,7 @@
 	}
 }
 
-// A change of one class, of one list, or of one tenant, until the version is there.
+// BenchmarkChange measures the poll after a change of one class, one endpoint list or one tenant.
 func BenchmarkChange(b *testing.B) {
 	for _, tenants := range []int{1000, planTenants} {
 		w, path := planFolder(b, tenants)
@@ -178,7 +178,7 @@
 			b.Run(fmt.Sprintf("tenants=%d/%s", tenants, change.name), func(b *testing.B) {
 				measure(b, func(i int) { change.make(i + 1) }, func() {
 					if w.poll(true) == nil {
-						b.Fatal("no version is taken")
+						b.Fatal("the poll after a change returned no version")
 					}
 				})
 			})
@@ -186,7 +186,8 @@
 	}
 }
 
-// A version of the fleet that differs from the one before in a class, or in one list.
+// BenchmarkUnbundle measures parsing a version of a fleet that differs from the version before in one class or one
+// endpoint list.
 func BenchmarkUnbundle(b *testing.B) {
 	for _, tenants := range []int{1000, planTenants} {
 		text := planProgram(tenants)
@@ -218,7 +219,7 @@
 	}
 }
 
-// A change of one class, of one list, or of one tenant, where the tenants have a file of their own.
+// BenchmarkChangeOwnTenants is like BenchmarkChange with the tenants in a tenants file.
 func BenchmarkChangeOwnTenants(b *testing.B) {
 	w, path := planFolder(b, 0)
 	tenants := filepath.Join(filepath.Dir(path), "tenants.toml")
@@ -227,7 +228,7 @@
 	writeConfigFile(b, tenants, tenantsFile(planTenants, 20))
 	writeConfigFile(b, path, text)
 	if w.poll(true) == nil {
-		b.Fatal("no version is taken")
+		b.Fatal("the poll after a change returned no version")
 	}
 	for _, change := range []struct {
 		name string
@@ -242,7 +243,7 @@
 		b.Run(change.name, func(b *testing.B) {
 			measure(b, func(i int) { change.make(i + 1) }, func() {
 				if w.poll(true) == nil {
-					b.Fatal("no version is taken")
+					b.Fatal("the poll after a change returned no version")
 				}
 			})
 		})
--- a/internal/files/planwatcher_test.go
+++ b/internal/files/planwatcher_test.go
@@ -8,7 +8,7 @@
 	"yokestall/internal/config"
 )
 
-// planWatcher watches files that are at rest.
+// planWatcher returns a Watcher of files whose stamps have settled.
 func planWatcher(t testing.TB, path string) *Watcher {
 	t.Helper()
 	w, _, err := Open(path, slog.New(slog.DiscardHandler))
@@ -20,5 +20,5 @@
 	return w
 }
 
-// planUnbundle gives what reads the versions of a fleet, one after the other.
+// planUnbundle returns a function that parses successive versions of a fleet with one Parser.
 func planUnbundle() func([]config.File) (*Configuration, error) { return NewParser().Unbundle }
--- a/internal/files/races_test.go
+++ b/internal/files/races_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A write that leaves the stamp as it was is seen while the stamp is young, also where it completes a file that was
-// incomplete.
+// A write that leaves the stamp unchanged is detected if it follows within stampSettleTime after the stamp was first seen,
+// also if it completes a file that was incomplete.
 func TestWritesInOneTick(t *testing.T) {
 	f := newFixture(t)
 	r := watchManually(f)
@@ -22,22 +22,22 @@
 		return readStamp(name)
 	}
 	if r.poll() != nil || r.w.verdict.err == nil {
-		t.Fatal("half a file is taken")
+		t.Fatal("an incomplete file is accepted")
 	}
 	f.writeFile(f.roomsFile(), complete)
 	if s := r.poll(); s == nil || ports(s) != "1 2 3 5" {
-		t.Fatal("the complete file is not seen")
+		t.Fatal("the poll after the write that completed the file did not return the version")
 	}
 	if log := f.logs.String(); strings.Contains(log, filesRejected) {
-		t.Errorf("a file that was being written is logged:\n%s", log)
+		t.Errorf("a file that was being written is logged as rejected; log:\n%s", log)
 	}
 	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 6))
-	if s := r.poll(); s == nil || ports(s) != "1 2 3 6" { // read at the end of settle
-		t.Fatal("the second write is not seen")
+	if s := r.poll(); s == nil || ports(s) != "1 2 3 6" { // at stampSettleTime after the stamp was first seen
+		t.Fatal("the poll after the second write did not return the version")
 	}
 }
 
-// A file that changes while others are read starts the scan again: no version is of two times.
+// If a file changes while others are read, the scan starts over. Otherwise a version could mix files of two times.
 func TestChangeWhileReading(t *testing.T) {
 	f := newFixture(t)
 	other := filepath.Join(f.dir, "z.toml")
@@ -48,7 +48,7 @@
 	reads := 0
 	r.w.reader.stat = func(name string) stamp {
 		if name == other {
-			if reads++; reads == 2 { // rooms.toml was looked at before
+			if reads++; reads == 2 { // the scan has read rooms.toml before
 				f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
 			}
 		}
@@ -56,11 +56,12 @@
 	}
 	s := r.poll()
 	if s == nil || ports(s) != "1 2 3 5" || s.Version.Clusters["z"].Endpoints[0].ID != "s-51" {
-		t.Errorf("taken: %+v", s)
+		t.Errorf("the poll returned %+v, want a version with both changes", s)
 	}
 }
 
-// A file that is read again, since what it held was not to be parsed, has to hold the same still.
+// If a rejected scan did not parse a file and released its content, a later scan that parses it reads it again. It must then
+// find the same content, or a version could mix files of two times.
 func TestChangeBeforeParsing(t *testing.T) {
 	f := newFixture(t)
 	r := watchManually(f)
@@ -73,19 +74,19 @@
 	r.w.reader.stat = func(name string) stamp {
 		s := readStamp(name)
 		if name == f.roomsFile() {
-			if reads++; reads == 2 { // after it was seen to stand still at the end of the scan
+			if reads++; reads == 2 { // after the stat at the end of the scan, before the file is parsed
 				f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
 			}
 		}
 		return s
 	}
 	if s := r.poll(); s != nil {
-		t.Error("content is taken for what was there before")
+		t.Error("a version is accepted with content that was written after the scan")
 	}
 	if s := r.poll(); s == nil || ports(s) != "1 2 3 5" {
-		t.Error("the new content is not taken")
+		t.Error("the poll after the change did not return the version with the new content")
 	}
 	if r.settle(); r.poll() != nil {
-		t.Error("it is taken twice")
+		t.Error("a second poll returned the version again, want nil")
 	}
 }
--- a/internal/files/rejected_test.go
+++ b/internal/files/rejected_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Files that are incomplete or invalid are rejected, which is logged once with the place, and leave the last good
-// version in force; check gives the same verdict.
+// Incomplete or invalid files are rejected, and the last accepted version stays in force. The rejection is logged once with
+// the place of the problem. Load rejects the files for the same reason.
 func TestRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(f *fixture)
@@ -54,8 +54,8 @@
 	}
 }
 
-// checkRejected checks that a change is rejected with a text in the log, and that a good change after it is accepted.
-// loadable reports that the files are good except as a change.
+// checkRejected checks that a change is rejected with the text want in the log, and that a valid change after it is
+// accepted. loadable says that the files are valid as a first version, so that Load accepts them.
 func checkRejected(t *testing.T, change func(f *fixture), want string, loadable bool) {
 	f := newFixture(t)
 	f.watch()
@@ -63,13 +63,13 @@
 	f.awaitLog(want)
 	f.awaitPolls(5)
 	if n := strings.Count(f.logs.String(), want); n != 1 {
-		t.Errorf("logged %d times:\n%s", n, f.logs.String())
+		t.Errorf("the rejection is logged %d times, want once; log:\n%s", n, f.logs.String())
 	}
 	if len(f.versions) > 0 {
-		t.Error("a version is taken")
+		t.Error("a version with rejected files is accepted")
 	}
 	if _, err := Load(f.path); !loadable && (err == nil || !strings.Contains(err.Error(), want)) {
-		t.Errorf("check says %v", err)
+		t.Errorf("Load returned error %v, want one with the logged text", err)
 	}
 	os.RemoveAll(f.roomsFile())
 	os.Remove(filepath.Join(f.dir, "b.toml"))
@@ -79,14 +79,14 @@
 	f.awaitPorts("1 2 3 9")
 }
 
-// Open and Load reject files that are invalid or missing.
+// Open rejects a first version that is invalid, and Load a program's file that is missing.
 func TestOpenRefuses(t *testing.T) {
 	f := newFixture(t)
 	f.writeFile(f.roomsFile(), "")
 	if _, _, err := Open(f.path, slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("opened on half a file")
+		t.Error("Open accepted an empty cluster file")
 	}
 	if _, err := Load(filepath.Join(f.dir, "none.toml")); err == nil || !strings.Contains(err.Error(), "none.toml") {
-		t.Errorf("error %v", err)
+		t.Errorf("Load of a missing file returned error %v, want one with its name", err)
 	}
 }
--- a/internal/files/resting_test.go
+++ b/internal/files/resting_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// manualWatcher is a watched folder that a test polls by itself, with a clock of its own.
+// manualWatcher is a fixture with a Watcher that the test polls itself, at times that the test sets.
 type manualWatcher struct {
 	*fixture
 	w     *Watcher
 	now   time.Time
-	stats int
+	stats int // number of stats so far
 }
 
-// watchManually watches a folder until its stamps have settled.
+// watchManually opens a Watcher of a fixture and polls until the stamps have settled.
 func watchManually(f *fixture) *manualWatcher {
 	f.t.Helper()
 	r := &manualWatcher{fixture: f, now: time.Now()}
@@ -32,7 +32,7 @@
 	return r
 }
 
-// settle has what stands in the folder read long enough after it was seen first.
+// settle polls until the present stamps have settled, so that a further poll reads nothing unless a stamp changes.
 func (r *manualWatcher) settle() {
 	r.t.Helper()
 	for range 2 {
@@ -40,17 +40,17 @@
 		r.w.poll(true)
 	}
 	if !r.w.reader.unchanged() {
-		r.t.Fatal("the folder does not come to rest")
+		r.t.Fatal("files count as changed after twice stampSettleTime")
 	}
 }
 
-// poll polls a second later.
+// poll advances the clock by a second and polls as by the timer.
 func (r *manualWatcher) poll() *Configuration {
 	r.now = r.now.Add(time.Second)
 	return r.w.poll(true)
 }
 
-// awaitClockTick waits until the file system's clock has gone on, so that what is changed from now on has another stamp.
+// awaitClockTick waits until the file system's clock has advanced, so that a change from now on gives a file another stamp.
 func awaitClockTick(t testing.TB) {
 	t.Helper()
 	probe := filepath.Join(t.TempDir(), "probe")
--- a/internal/files/stamp_test.go
+++ b/internal/files/stamp_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// What was read stands for as long as the stamp stays and shows each later write; near its first sight it doesn't.
+// A read is valid while the stamp is unchanged, until fullReadInterval has passed. It is not valid if it was less than
+// stampSettleTime after the stamp was first seen, since a later write may have left the stamp unchanged.
 func TestStampUpToDate(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	s := stamp{device: 1, inode: 2, mode: syscall.S_IFREG | 0o644, size: 3, modified: 4, changed: 5}
@@ -27,35 +28,36 @@
 	}{
 		{"at rest", settled, s, at, true},
 		{"never read", readState{}, s, at, false},
-		{"never read and not there", readState{}, stamp{}, at, false},
-		{"read as it was seen first", readState{s, start, start}, s, at, false},
-		{"read just before it settled", readState{s, start, start.Add(stampSettleTime - 1)}, s, at, false},
+		{"never read and does not exist", readState{}, stamp{}, at, false},
+		{"read when the stamp was first seen", readState{s, start, start}, s, at, false},
+		{"read just before the stamp settled", readState{s, start, start.Add(stampSettleTime - 1)}, s, at, false},
 		{"another device", settled, other(func(s *stamp) { s.device++ }), at, false},
-		{"another file", settled, other(func(s *stamp) { s.inode++ }), at, false},
+		{"another inode", settled, other(func(s *stamp) { s.inode++ }), at, false},
 		{"another kind", settled, other(func(s *stamp) { s.mode = syscall.S_IFDIR }), at, false},
-		{"longer", settled, other(func(s *stamp) { s.size++ }), at, false},
+		{"another size", settled, other(func(s *stamp) { s.size++ }), at, false},
 		{"modified", settled, other(func(s *stamp) { s.modified++ }), at, false},
 		{"an older modification", settled, other(func(s *stamp) { s.modified = -1 }), at, false},
 		{"changed with its modification restored", settled, other(func(s *stamp) { s.changed++ }), at, false},
-		{"gone", settled, stamp{errno: syscall.ENOENT}, at, false},
+		{"removed", settled, stamp{errno: syscall.ENOENT}, at, false},
 		{"just before the full read", settled, s, settled.lastRead.Add(fullReadInterval - 1), true},
 		{"at the full read", settled, s, settled.lastRead.Add(fullReadInterval), false},
 	} {
 		if tc.h.upToDate(tc.now, tc.at) != tc.fresh {
-			t.Errorf("%s: fresh is %v", tc.name, !tc.fresh)
+			t.Errorf("%s: upToDate returned %v, want the opposite", tc.name, !tc.fresh)
 		}
 	}
 	h := settled
 	if h.recordRead(s, at); h.firstSeen != start || !h.upToDate(s, at) {
-		t.Errorf("read again with the same stamp: %+v", h)
+		t.Errorf("after a second read with the same stamp: %+v, want the former firstSeen and up to date", h)
 	}
 	h.recordRead(other(func(s *stamp) { s.changed++ }), at)
 	if h.firstSeen != at || h.upToDate(h.stamp, at.Add(stampSettleTime)) {
-		t.Errorf("read with another stamp: %+v", h)
+		t.Errorf("after a read with another stamp: %+v, want a new firstSeen and not up to date", h)
 	}
 }
 
-// Files that come and go while a fault stands are not remembered for ever.
+// While versions are rejected, records of files that no longer exist must not accumulate: above maxRecords records, a
+// rejected scan removes those that it did not use.
 func TestRecordsAreBounded(t *testing.T) {
 	r := newReader("x")
 	for i := range maxRecords + 1 {
@@ -64,6 +66,6 @@
 	r.scanned = []*record{r.records["7"]}
 	r.finishScan(false)
 	if len(r.records) != 1 || r.records["7"] == nil {
-		t.Errorf("%d are remembered", len(r.records))
+		t.Errorf("%d records are left, want only that of the scanned file", len(r.records))
 	}
 }
--- a/internal/files/tenants_test.go
+++ b/internal/files/tenants_test.go
@@ -10,13 +10,16 @@
 	"yokestall/internal/config"
 )
 
+// tenantsFile returns the text of a tenants file with n tenants. first is the quota of the first tenant, in requests per
+// second.
 func tenantsFile(n, first int) string {
 	return tenantsText(n, first) + fmt.Sprintf("[end]\ntenants = %d\n", n)
 }
 
+// tenantsSetting is the setting in [files] that names the tenants file.
 const tenantsSetting = "tenants = \"tenants.toml\"\n"
 
-// newTenantsFixture is a folder whose tenants have a file of their own.
+// newTenantsFixture returns a fixture with a tenants file, its path, and the text of the program's file.
 func newTenantsFixture(t *testing.T, n int) (f *fixture, name, text string) {
 	f = newFixture(t)
 	name, text = filepath.Join(filepath.Dir(f.path), "tenants.toml"), strings.Replace(program, "poll =", tenantsSetting+"poll =", 1)
@@ -25,13 +28,14 @@
 	return f, name, text
 }
 
-// A change of a class leaves the tenants the same ones, and a change of them the routes; each parses one file.
+// A change of a class keeps the same tenants, and a change of the tenants keeps the same routes. Each change parses one
+// file.
 func TestTenantsFile(t *testing.T) {
 	f, name, text := newTenantsFixture(t, 5)
 	r := watchManually(f)
 	first := r.w.current.Program
 	if len(first.Tenants) != 5 || first.Tenants[0].QuotaPerS != 20 {
-		t.Fatalf("tenants %+v", first.Tenants)
+		t.Fatalf("tenants are %+v, want 5 with a quota of 20 for the first", first.Tenants)
 	}
 	change := func(name, text string) *Configuration {
 		t.Helper()
@@ -40,31 +44,31 @@
 		f.writeFile(name, text)
 		s := r.poll()
 		if s == nil {
-			t.Fatalf("nothing is taken:\n%s", f.logs.String())
+			t.Fatalf("the poll returned no version after a change; log:\n%s", f.logs.String())
 		}
 		if n := r.w.parser.parses() - parses; n != 1 {
-			t.Errorf("%d files are parsed", n)
+			t.Errorf("the poll parsed %d files, want 1", n)
 		}
 		return s
 	}
 	if s := change(f.path, strings.Replace(text, `"1s"`, `"2s"`, 1)); &s.Program.Tenants[0] != &first.Tenants[0] || len(s.Program.Tenants) != 5 || s.Program.Classes[0].Deadline == first.Classes[0].Deadline {
-		t.Error("a class's change gives other tenants")
+		t.Error("after a change of a class the tenants are not the same values, or the class is unchanged")
 	}
 	before := r.w.current.Program
 	if s := change(f.roomsFile(), clusterText("", 1, 2, 3, 5)); s.Program != before {
-		t.Error("a list's change gives another program")
+		t.Error("after a change of an endpoint list the program is not the same value")
 	}
 	if s := change(name, tenantsFile(6, 30)); len(s.Program.Tenants) != 6 || s.Program.Tenants[0].QuotaPerS != 30 || s.Program.Table != before.Table {
-		t.Error("a tenant's change gives other routes, or the former tenants")
+		t.Error("after a change of the tenants the routes are not the same value, or the tenants are unchanged")
 	}
 	awaitClockTick(t)
-	f.writeFile(name, tenantsText(6, 40)) // as it is being written
+	f.writeFile(name, tenantsText(6, 40)) // incomplete, as while it is being written
 	if r.poll() != nil {
-		t.Error("a part is taken for the whole")
+		t.Error("an incomplete tenants file is accepted")
 	}
 	f.writeFile(name, tenantsFile(6, 40))
 	if s := r.poll(); s == nil || s.Program.Tenants[0].QuotaPerS != 40 {
-		t.Error("the whole is not taken")
+		t.Error("the complete tenants file is not accepted")
 	}
 	r.settle()
 	reads, parses := r.w.reader.reads, r.w.parser.parses()
@@ -72,29 +76,29 @@
 		r.poll()
 	}
 	if r.w.reader.reads != reads || r.w.parser.parses() != parses {
-		t.Error("tenants at rest are read or parsed")
+		t.Error("polls read or parsed files though none had changed")
 	}
 }
 
-// The file is watched and is found wrong as a cluster file is; check tells the same of it alone.
+// The tenants file is watched and checked like a cluster file. Check of the tenants file alone finds the same problem.
 func TestTenantsFileFaults(t *testing.T) {
 	f, name, text := newTenantsFixture(t, 5)
 	f.watch()
 	f.replaceFile(name, tenantsFile(5, 30))
 	if s := f.awaitVersion(); s.Program.Tenants[0].QuotaPerS != 30 {
-		t.Errorf("%+v", s.Program.Tenants[0])
+		t.Errorf("the first tenant is %+v, want a quota of 30", s.Program.Tenants[0])
 	}
 	f.writeFile(name, tenantsFile(5, -1))
 	f.awaitLog("tenants.toml:3: tenant 1: quota_per_s: -1")
 	if _, _, err := Check(name); err == nil || !strings.Contains(err.Error(), "tenants.toml:3: tenant 1: quota_per_s: -1") {
-		t.Errorf("check: %v", err)
+		t.Errorf("Check of a negative quota returned error %v, want the logged one", err)
 	}
 	f.writeFile(name, tenantsFile(5, 7))
 	if s := f.awaitVersion(); s.Program.Tenants[0].QuotaPerS != 7 {
-		t.Errorf("%+v", s.Program.Tenants[0])
+		t.Errorf("the first tenant is %+v, want a quota of 7", s.Program.Tenants[0])
 	}
 	if _, _, err := Check(name); err != nil {
-		t.Errorf("check: %v", err)
+		t.Errorf("Check of a valid tenants file: %v", err)
 	}
 	f.writeFile(f.path, text+tenantsText(1, 20))
 	f.awaitLog("files: tenants: tenants.toml is to have the tenants, and " + f.path + " has [[tenant]] too")
@@ -102,27 +106,28 @@
 	must(t, os.Remove(name))
 	f.awaitLog("tenants.toml: no such file or directory")
 	if len(f.versions) > 0 {
-		t.Error("a version is taken")
+		t.Error("a version with rejected files is accepted")
 	}
 }
 
-// A version of a fleet has the tenants as a part of their own, which stays the same where it doesn't change.
+// A version of a fleet contains the tenants file as a part of its own. While it is unchanged, versions have the same tenant
+// values.
 func TestBundleTenants(t *testing.T) {
 	f, _, _ := newTenantsFixture(t, 5)
 	list, err := Bundle(f.path)
 	if err != nil || len(list) != 3 || list[1].Name != TenantsPart {
-		t.Fatalf("%+v, %v", list, err)
+		t.Fatalf("Bundle returned %+v, error %v; want 3 files, the second being the tenants file", list, err)
 	}
 	var p Parser
 	first, err := p.Unbundle(list)
 	if err != nil || len(first.Program.Tenants) != 5 {
-		t.Fatalf("%+v, %v", first, err)
+		t.Fatalf("Unbundle returned %+v, error %v; want 5 tenants", first, err)
 	}
 	changed := append([]config.File{{Name: ProgramPart, Text: []byte(strings.Replace(string(list[0].Text), `"1s"`, `"2s"`, 1))}}, list[1:]...)
 	parses := p.parses()
 	second, err := p.Unbundle(changed)
 	if err != nil || &second.Program.Tenants[0] != &first.Program.Tenants[0] || p.parses() != parses+1 {
-		t.Errorf("%+v, %v, %d parses", second, err, p.parses()-parses)
+		t.Errorf("Unbundle returned %+v, error %v after %d parses; want the same tenants after 1", second, err, p.parses()-parses)
 	}
 	for _, tc := range []struct {
 		list []config.File
@@ -134,7 +139,7 @@
 		{[]config.File{list[0], list[2], {Name: TenantsPart, Text: []byte("[[tenant]]\n")}}, "tenants:2: is not whole"},
 	} {
 		if _, err := p.Unbundle(tc.list); err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%v, want %q", err, tc.want)
+			t.Errorf("Unbundle returned error %v, want one with %q", err, tc.want)
 		}
 	}
 }
--- a/internal/files/watcher_test.go
+++ b/internal/files/watcher_test.go
@@ -8,19 +8,21 @@
 	"time"
 )
 
+// The Watcher finds a change however the file is replaced: by rename, in place, by two renames in a row, slowly, by removal
+// and a new file, or by an exchanged symbolic link to a folder.
 func TestWaysToReplace(t *testing.T) {
 	f := newFixture(t)
 	if got := ports(f.watch()); got != "1 2 3 4" {
-		t.Fatalf("first %q", got)
+		t.Fatalf("the first version has the ports %q, want \"1 2 3 4\"", got)
 	}
-	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 3)) // renamed over
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 3)) // replaced by rename
 	f.awaitPorts("1 2 3")
-	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5)) // in place
+	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5)) // written in place
 	f.awaitPorts("1 2 3 5")
-	f.replaceFile(f.roomsFile(), clusterText("", 1, 2)) // twice within a second
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2)) // replaced twice within a second
 	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 6))
 	f.awaitPorts("1 2 6")
-	text := clusterText("", 1, 2, 7) // slowly, a few bytes at a time
+	text := clusterText("", 1, 2, 7) // written slowly, a few bytes at a time
 	file, err := os.Create(f.roomsFile())
 	if err != nil {
 		t.Fatal(err)
@@ -31,13 +33,13 @@
 	}
 	file.Close()
 	f.awaitPorts("1 2 7")
-	if err := os.Remove(f.roomsFile()); err != nil { // deleted and written again
+	if err := os.Remove(f.roomsFile()); err != nil { // removed and written again
 		t.Fatal(err)
 	}
 	f.awaitLog("to remove a cluster, first say")
 	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 8))
 	f.awaitPorts("1 2 8")
-	// A link to a folder that is exchanged, as mounted configuration does.
+	// Exchange a symbolic link to a folder, as mounted configuration does.
 	one, two := filepath.Join(t.TempDir(), "one"), filepath.Join(t.TempDir(), "two")
 	for i, dir := range []string{one, two} {
 		if err := os.Mkdir(dir, 0o755); err != nil {
@@ -65,6 +67,8 @@
 	}
 }
 
+// A version may remove most endpoints of a cluster if the cluster file sets shrink_to, and all of them if it sets no_servers.
+// After no_servers the cluster's file may be removed.
 func TestMeant(t *testing.T) {
 	f := newFixture(t)
 	f.watch()
@@ -76,22 +80,21 @@
 	f.awaitPorts("none")
 }
 
-// Where the same bytes are written again nothing is taken, and a cluster that stays the
-// same is the same.
+// A file that is replaced by the same bytes makes no new version. In a new version, an unchanged cluster is the same value.
 func TestUnchanged(t *testing.T) {
 	f := newFixture(t)
 	first := f.watch()
 	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 3, 4))
 	f.awaitPolls(4)
 	if len(f.versions) > 0 {
-		t.Error("a version with nothing new is taken")
+		t.Error("a version with unchanged contents is accepted")
 	}
 	f.writeFile(filepath.Join(f.dir, "b.toml"), clusterText("", 7))
 	s := f.awaitVersion()
 	if s.Version.Clusters["rooms"] != first.Version.Clusters["rooms"] || s.Version.Clusters["b"] == nil {
-		t.Errorf("clusters %+v", s.Version.Clusters)
+		t.Errorf("clusters are %+v, want the same rooms as before and b", s.Version.Clusters)
 	}
 	if s.Version.Number != 2 {
-		t.Errorf("version %d", s.Version.Number)
+		t.Errorf("version number is %d, want 2", s.Version.Number)
 	}
 }
--- a/internal/files/xdsfolder_test.go
+++ b/internal/files/xdsfolder_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// withXDSFolder returns a program's file that takes files in xDS form too, before its first class.
+// withXDSFolder adds an [xds] table with the folder xds to the text of a program's file, before its first class.
 func withXDSFolder(text string) string {
 	return strings.Replace(text, "[[class]]", "[xds]\nfolder = \"xds\"\nclass = \"read\"\n[[class]]", 1)
 }
 
-// xdsCluster returns a cluster in xDS form with one endpoint, without the line that ends the file.
+// xdsCluster returns the text of a cluster in xDS form with one endpoint, without the last line "..." of a complete file.
 func xdsCluster(name string, port int) string {
 	return "\"@type\": type.googleapis.com/envoy.config.cluster.v3.Cluster\n" +
 		fmt.Sprintf("name: %s\ntype: STATIC\nload_assignment:\n  endpoints:\n  - lb_endpoints:\n", name) +
 		fmt.Sprintf("    - endpoint: {address: {socket_address: {address: 127.0.0.1, port_value: %d}}}\n", port)
 }
 
-// Files in xDS form are taken with the others, whole or not at all.
+// Files in xDS form are accepted together with the other files. An incomplete one is rejected.
 func TestXDSFolder(t *testing.T) {
 	f := newFixture(t)
 	folder := filepath.Join(filepath.Dir(f.path), "xds")
@@ -39,30 +39,31 @@
 	first := f.watch()
 	c := first.Version.Clusters["suites"]
 	if c == nil || c.Endpoints[0].Address != "127.0.0.1:1" || first.Version.Clusters["rooms"] == nil {
-		t.Errorf("first %+v", first.Version.Clusters)
+		t.Errorf("clusters of the first version are %+v, want suites with 127.0.0.1:1 and rooms", first.Version.Clusters)
 	}
 	if got := first.Program.Table.Clusters(); len(got) != 1 || got[0] != "suites" {
-		t.Errorf("routes lead to %v", got)
+		t.Errorf("routes lead to the clusters %v, want only suites", got)
 	}
-	f.writeFile(file, suites(2)) // as half of a longer one may look
+	f.writeFile(file, suites(2)) // without its last line, as a file that was cut off
 	f.awaitLog("suites.yaml: is not whole")
 	f.awaitPolls(2)
 	if len(f.versions) > 0 {
-		t.Error("a part is taken for the whole")
+		t.Error("an incomplete file is accepted")
 	}
 	if _, _, err := Check(file); err == nil || !strings.Contains(err.Error(), "is not whole") {
-		t.Errorf("check says %v", err)
+		t.Errorf("Check of an incomplete file returned error %v, want one with \"is not whole\"", err)
 	}
 	f.writeFile(file, suites(3)+"...\n")
 	if c := f.awaitVersion().Version.Clusters["suites"]; c.Endpoints[0].Address != "127.0.0.1:3" {
-		t.Errorf("then %+v", c)
+		t.Errorf("after the change the cluster is %+v, want the address 127.0.0.1:3", c)
 	}
 	if _, _, err := Check(file); err != nil {
-		t.Errorf("check says %v", err)
+		t.Errorf("Check of a complete file: %v", err)
 	}
 }
 
-// Files in xDS form at rest are not read, and are read all together where one changes.
+// While no file changes, files in xDS form are neither read nor parsed. After a change of one of them, all of them are
+// parsed; clusters that did not change are the same values.
 func TestXDSAtRest(t *testing.T) {
 	f := newFixture(t)
 	folder := filepath.Join(filepath.Dir(f.path), "xds")
@@ -80,18 +81,18 @@
 		r.poll()
 	}
 	if r.w.reader.reads != reads || r.w.parser.parses() != parses {
-		t.Error("files at rest are read or parsed")
+		t.Error("polls read or parsed files though none had changed")
 	}
 	awaitClockTick(t)
 	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
 	if s := r.poll(); s == nil || s.Version.Clusters["suites"] != suites || r.w.parser.parses() != parses+1 {
-		t.Error("a cluster file's change reads those in xDS form")
+		t.Error("after a change of a cluster file, the clusters in xDS form are not the same values, or more than one file is parsed")
 	}
 	awaitClockTick(t)
 	list("villas", 3)
 	s := r.poll()
 	if s == nil || s.Version.Clusters["villas"].Endpoints[0].Address != "127.0.0.1:3" ||
 		s.Version.Clusters["suites"] != suites {
-		t.Errorf("a change in xDS form: %+v", s)
+		t.Errorf("after a change in xDS form the poll returned %+v; want the new address of villas and the same suites", s)
 	}
 }
