--- a/internal/upstream/h2client/answer.go
+++ b/internal/upstream/h2client/answer.go
@@ -12,11 +12,11 @@
 	"yokestall/policy"
 )
 
-// errBodyTooLong ends the reading of a body that exceeds its Content-Length.
-var errBodyTooLong = errors.New("h2client: body longer than its Content-Length")
+// errBodyTooLong is the error of a response body that is longer than its Content-Length.
+var errBodyTooLong = errors.New("h2client: response body is longer than its Content-Length")
 
-// readAnswer returns an answer as a whole where it is short and arrives soon, and as a stream otherwise. The stream is
-// closed unless the answer has it.
+// readAnswer returns an answer with its whole body if the body is short and arrives soon. Otherwise the answer's body is s as
+// a stream, which then belongs to the answer. In all other cases readAnswer closes s.
 func (s *stream) readAnswer(ctx context.Context, r *h1client.Request, resp *http.Response) engine.Result {
 	s.resp, s.reader = resp, resp.Body
 	a := &h1client.Answer{Status: resp.StatusCode, Length: resp.ContentLength}
@@ -31,7 +31,7 @@
 		a.Body, a.Trailer = body, resp.Trailer
 		s.ended.Store(true)
 		s.Close()
-	case resp.StatusCode >= 500: // is returned without its body
+	case resp.StatusCode >= 500: // a long or slow body of an error is not forwarded
 		a.Length = -1
 		s.Close()
 	default:
@@ -48,7 +48,8 @@
 	return engine.Result{Status: status, Answer: a, Final: final}
 }
 
-// readBody reads a body that is short and arrives soon. Of any other it returns what was read, and complete is false.
+// readBody reads a body that is short and arrives soon. For any other body complete is false, and body is the start that was
+// read, which may be empty.
 func (s *stream) readBody(r *h1client.Request) (body []byte, complete bool, err error) {
 	switch length := s.resp.ContentLength; {
 	case r.Method == http.MethodHead || length == 0:
@@ -61,7 +62,8 @@
 	return nil, false, nil
 }
 
-// readKnownLength reads a body of length bytes while its parts arrive within AnswerTransferTimeout of the first read.
+// readKnownLength reads a body of length bytes. After each read it checks the time: if the body is incomplete after more than
+// AnswerTransferTimeout, it returns the bytes that have arrived, and complete is false.
 func (s *stream) readKnownLength(length int) (body []byte, complete bool, err error) {
 	body = make([]byte, length)
 	read, start := 0, time.Now()
@@ -75,7 +77,7 @@
 			return body[:read], false, nil
 		}
 	}
-	var end [1]byte // the end, and with it the trailers, may be a frame of its own
+	var end [1]byte // the end of the stream and the trailers may come in a frame of their own
 	switch _, err = s.resp.Body.Read(end[:]); err {
 	case io.EOF:
 		return body, true, nil
@@ -85,8 +87,8 @@
 	return nil, false, err
 }
 
-// readBuffered reads a body of unknown length as far as it arrives within UploadBufferTimeout. An h1client.Upload
-// buffers it; if there is more, the stream reads on from the upload.
+// readBuffered reads a body of unknown length into the buffer of an h1client.Upload, for at most UploadBufferTimeout. If the
+// body is not complete by then, s reads the whole body from the upload.
 func (s *stream) readBuffered() (body []byte, complete bool, err error) {
 	s.buffer = h1client.NewUpload(s.resp.Body, h1client.MaxBody)
 	s.bufferRun.Go(func() { s.buffer.Run(false) })
--- a/internal/upstream/h2client/connect.go
+++ b/internal/upstream/h2client/connect.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// maxConnsPerEndpoint limits the connections to one endpoint. One carries as many streams as the endpoint allows;
-	// further ones serve while one ends.
+	// maxConnsPerEndpoint is the largest number of connections to one endpoint. One connection carries as many streams as
+	// the endpoint allows. Further connections are needed if it allows few, and while a connection takes no new streams.
 	maxConnsPerEndpoint = 4
-	// initialMaxStreams is the number of streams that a connection carries until the endpoint's settings have arrived.
-	// A stream that exceeds them is refused, and has not run.
+	// initialMaxStreams is the largest number of streams on a connection until the endpoint's settings have arrived. If
+	// they allow fewer, the endpoint refuses the excess streams, whose requests have not run.
 	initialMaxStreams = 100
 )
 
-// maxStreams returns how many streams the endpoint allows on a connection.
+// maxStreams returns the number of concurrent streams that the endpoint allows on the connection.
 func (c *conn) maxStreams() int {
 	if n := c.client.State().MaxConcurrentStreams; n > 0 {
 		return int(n)
@@ -28,9 +28,11 @@
 	return initialMaxStreams
 }
 
-// connect returns a place for a stream on a connection, which release takes back. Otherwise the status is
-// ConnectFailed, NeverSent at the limit on connections, or Rejected where the endpoint allows no more streams at
-// present.
+// connect reserves a stream on a connection to an endpoint, and opens a connection if none has a free stream. The caller
+// returns the stream with release. If the status is not OK, no stream is reserved. The status is then ConnectFailed if
+// the endpoint is unknown or the dial fails, and Rejected if all streams of maxConnsPerEndpoint connections are in use. It is
+// NeverSent if maxConnections is reached and no connection is idle, or if the call ends while connect waits for the dial of
+// another attempt.
 func (p *Pool) connect(call *engine.Call, id policy.EndpointID) (*endpoint, *conn, policy.Status) {
 	for {
 		p.mu.Lock()
@@ -65,8 +67,9 @@
 	}
 }
 
-// acquire returns a connection with a free stream and counts it as in use; nil if there is none. The reservations of
-// golang.org/x/net's ClientConn can't be returned where nothing is sent. Pool.mu is locked.
+// acquire counts a stream as in use on a connection with a free stream, and returns the connection; nil if there is none.
+// The pool counts streams itself because a reservation on golang.org/x/net's ClientConn can't be returned if nothing is
+// sent. The caller holds Pool.mu.
 func (e *endpoint) acquire() *conn {
 	for _, c := range e.conns {
 		if c.client.CanTakeNewRequest() && c.inUse < c.maxStreams() {
@@ -77,7 +80,7 @@
 	return nil
 }
 
-// release takes back a place on a connection.
+// release returns a stream that connect reserved.
 func (p *Pool) release(e *endpoint, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,8 +90,8 @@
 	}
 }
 
-// reserve counts a connection that the caller has to dial, and sets e.dialing; the status is not OK if none may be
-// opened. mu is locked.
+// reserve counts a new connection, which the caller has to dial, and sets e.dialing. The status is not OK if no connection
+// may be opened. The caller holds mu.
 func (p *Pool) reserve(e *endpoint) policy.Status {
 	p.closeUnused(e, time.Time{})
 	switch {
@@ -102,8 +105,8 @@
 	return policy.OK
 }
 
-// dial opens the connection that reserve has counted. Other attempts may wait for it, so that it does not end with the
-// attempt that began it. It returns false if it fails.
+// dial opens the connection that reserve has counted. Other attempts may wait for the dial, so that it goes on if the attempt
+// that started it is stopped. It returns false if there is no connection to use.
 func (p *Pool) dial(e *endpoint, timeout time.Duration) bool {
 	c, err := p.newConn(e.address, timeout)
 	p.mu.Lock()
@@ -111,7 +114,7 @@
 	close(e.dialing)
 	e.dialing = nil
 	failed := err != nil
-	if !failed && e.removed { // meanwhile: no attempt would use the connection
+	if !failed && e.removed { // no attempt would use a connection to an endpoint that was removed during the dial
 		c.client.Close()
 		failed = true
 	}
--- a/internal/upstream/h2client/doc.go
+++ b/internal/upstream/h2client/doc.go
@@ -1,18 +1,19 @@
-// Package h2client sends attempts to endpoints over HTTP/2 (RFC 9113), on top of golang.org/x/net/http2. Like package
-// h1client it decides nothing, and nothing is sent again by itself.
+// Package h2client sends attempts to endpoints over HTTP/2 (RFC 9113), with golang.org/x/net/http2. Like package h1client, it
+// makes no decisions: each call of Pool.Exchange is one attempt, and the package sends no request again by itself.
 //
-// The way of an attempt: Pool.Exchange (exchange.go) gets a place on a connection, which is opened if there is none
-// (connect.go), and opens a stream on it (request.go). A short answer that arrives soon is read as a whole (answer.go),
-// any other follows as an h1client.Stream (stream.go). gRPC's statuses are evaluated in grpc.go.
+// Pool.Exchange (exchange.go) runs an attempt. It reserves a stream on a connection, and opens a connection if none has a
+// free stream (connect.go). It then sends the request on the stream (request.go). A short answer that arrives soon is read as
+// a whole (answer.go), and any other answer's body is an h1client.Stream (stream.go). The status codes of gRPC are evaluated
+// in grpc.go.
 //
 // # Goroutines
 //
-// An attempt runs on the caller's goroutine, and the owner of a Pool runs EvictIdle until it ends its context.
-// stream.readBuffered starts one that reads the answer's body; stream.Close ends it and waits for it. Those of
-// golang.org/x/net's ClientConn end when it is closed.
+// An attempt runs on the caller's goroutine. The owner of a Pool runs EvictIdle on a goroutine of its own until it ends the
+// context. stream.readBuffered starts a goroutine that reads the answer's body; stream.Close ends that goroutine and waits
+// for it. The goroutines of golang.org/x/net's ClientConn end when the ClientConn is closed.
 //
 // # Locks
 //
-// Pool.mu guards the endpoints, their connections and the counts. A stream belongs to one attempt or its answer's
-// owner.
+// Pool.mu guards the endpoints, their connections and the counts. A stream belongs to one attempt, or to the owner of its
+// answer, and has no lock.
 package h2client
--- a/internal/upstream/h2client/exchange.go
+++ b/internal/upstream/h2client/exchange.go
@@ -15,8 +15,8 @@
 	"yokestall/policy"
 )
 
-// Exchange implements engine.Exchanger. payload is an *h1client.Request, and the result's Answer an *h1client.Answer or
-// nil. An upgrade needs HTTP/1.1 and is never sent (RFC 9113, 8.6).
+// Exchange implements engine.Exchanger. payload is an *h1client.Request, and the result's Answer is an *h1client.Answer or
+// nil. A request with an Upgrade is never sent, since HTTP/2 does not support it (RFC 9113, 8.6).
 func (p *Pool) Exchange(
 	call *engine.Call, id policy.EndpointID, payload any, remaining time.Duration,
 ) engine.Result {
@@ -29,7 +29,7 @@
 	if status != policy.OK {
 		return engine.Result{Status: status}
 	}
-	// A stream outlives its attempt, and so its context.
+	// The context must not end with the attempt, since the answer's stream may outlive the attempt.
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &stream{pool: p, endpoint: e, conn: c, cancel: cancel}
 	call.OnStop(cancel)
@@ -45,7 +45,7 @@
 		return engine.Result{Status: status}
 	}
 	result := s.readAnswer(ctx, r, resp)
-	if !call.ClearOnStop() { // stopped
+	if !call.ClearOnStop() { // the call was stopped during the attempt
 		if a, ok := result.Answer.(*h1client.Answer); ok {
 			a.Close()
 		}
@@ -54,9 +54,10 @@
 	return result
 }
 
-// failureStatus returns the status of an attempt whose stream ended with err, without a complete answer. What certainly
-// has not run may be sent again whatever its class: a stream that the endpoint refused (REFUSED_STREAM, RFC 9113, 8.7),
-// and one beyond the last that a GOAWAY names (6.8). All else may have run.
+// failureStatus returns the status of an attempt whose stream ended with err before a complete answer. The status says
+// whether the request may have run: a request that certainly has not may be sent again whatever its class. That holds for a
+// stream that the endpoint refused (REFUSED_STREAM, RFC 9113, 8.7) and for a stream beyond the last one that a GOAWAY frame
+// names (RFC 9113, 6.8). Any other request may have run.
 func failureStatus(ctx context.Context, err error, r *h1client.Request) policy.Status {
 	var streamError http2.StreamError
 	switch text := err.Error(); {
--- a/internal/upstream/h2client/pool.go
+++ b/internal/upstream/h2client/pool.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// streamWindowBytes is the flow-control window of a stream (RFC 9113, 5.2): what an endpoint may send ahead, and so
-	// the most that a stream holds whose client reads nothing.
+	// streamWindowBytes is the flow-control window of a stream (RFC 9113, 5.2). An endpoint may send this much ahead of the
+	// client, so that it is also the largest amount that is buffered for a client that reads nothing.
 	streamWindowBytes  = 512 << 10
 	maxHeaderListBytes = 64 << 10
-	// pingInterval is the time without a frame, while streams are open, after which an endpoint is sent a PING, and the
-	// time that it has to answer.
+	// pingInterval is the time without a frame from an endpoint, while streams are open, after which the endpoint is sent a
+	// PING. It is also the time in which the endpoint must answer the PING.
 	pingInterval = 5 * time.Second
-	// evictionsPerIdleTime and minEvictionInterval set how often EvictIdle runs.
+	// evictionsPerIdleTime is how often EvictIdle looks for idle connections within Options.EndpointIdleTimeout, with at
+	// least minEvictionInterval in between.
 	evictionsPerIdleTime = 8
 	minEvictionInterval  = 10 * time.Millisecond
 )
 
-// Pool holds the endpoints' addresses and the connections to them, each of which carries many attempts. It is an
-// engine.Exchanger for payloads of *h1client.Request and answers of *h1client.Answer. Create it with New.
+// Pool holds the endpoints' addresses and the connections to the endpoints. A connection carries many attempts at a time. Pool
+// is an engine.Exchanger for payloads of type *h1client.Request and answers of type *h1client.Answer. Create it with New.
 type Pool struct {
 	options   h1client.Options
 	transport *http2.Transport
@@ -37,7 +38,7 @@
 	// mu guards the fields below, and those of the endpoints and their connections.
 	mu             sync.Mutex
 	endpoints      map[policy.EndpointID]*endpoint
-	connections    int // to all endpoints, those being opened included
+	connections    int // number of connections to all endpoints, including those that are being opened
 	maxConnections int
 	connectTimeout time.Duration
 }
@@ -48,26 +49,26 @@
 type endpoint struct {
 	address     string
 	incarnation float64
-	removed     bool // or restarted, or moved: its connections end with their last stream
+	removed     bool // removed, or replaced after a restart or a new address; its connections end with their last stream
 	conns       []*conn
-	dialing     chan struct{} // closed when the dial in progress has ended; nil: there is none
+	dialing     chan struct{} // closed when the dial in progress ends; nil: no dial is in progress
 }
 
 // conn is a connection to an endpoint.
 type conn struct {
 	client    *http2.ClientConn
-	inUse     int       // places that acquire gave and release has not taken back
-	idleSince time.Time // while inUse is 0
+	inUse     int       // number of streams that acquire reserved and release has not returned yet
+	idleSince time.Time // when inUse became 0 or the connection was opened; only valid while inUse is 0
 }
 
-// New returns a pool without endpoints. Options.AnyStatus is taken as set.
+// New returns a pool without endpoints. The pool behaves as with Options.AnyStatus set, whatever its value is.
 func New(o h1client.Options) *Pool {
-	// The stream window can only be set through net/http's transport, which has no other use here.
+	// The stream window can only be set by means of a net/http.Transport, which is not used for anything else.
 	transport, err := http2.ConfigureTransports(&http.Transport{
 		DisableCompression: true, HTTP2: &http.HTTP2Config{MaxReceiveBufferPerStream: streamWindowBytes},
 	})
 	if err != nil {
-		panic(err) // only for a transport that has HTTP/2 already
+		panic(err) // fails only for a transport that already has HTTP/2
 	}
 	transport.AllowHTTP, transport.MaxHeaderListSize = true, maxHeaderListBytes
 	transport.ReadIdleTimeout, transport.PingTimeout = pingInterval, pingInterval
@@ -78,15 +79,15 @@
 	}
 }
 
-// SetLimits changes Options.ConnectTimeout and MaxConnections, for connections that are opened from now on.
+// SetLimits changes Options.ConnectTimeout and Options.MaxConnections for connections that are opened from now on.
 func (p *Pool) SetLimits(connectTimeout time.Duration, maxConnections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connectTimeout, p.maxConnections = connectTimeout, maxConnections
 }
 
-// UpdateEndpoints applies an endpoint update. With full, endpoints that are not in the list are removed. An endpoint at
-// a new address or with a new incarnation is another process.
+// UpdateEndpoints applies an endpoint update. If full is true, endpoints that are not in the list are removed. An endpoint
+// with a new address or a new incarnation is another process, so that its former connections are not used any more.
 func (p *Pool) UpdateEndpoints(full bool, list []h1client.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// remove removes an endpoint. Its connections end as soon as no stream is open on them. mu is locked.
+// remove removes an endpoint. Each of its connections ends as soon as no stream is open on it. The caller holds mu.
 func (p *Pool) remove(id policy.EndpointID) {
 	e := p.endpoints[id]
 	if e == nil {
@@ -121,7 +122,8 @@
 	p.closeUnused(e, time.Time{})
 }
 
-// EvictIdle closes connections that were idle for too long, until ctx ends.
+// EvictIdle closes connections that are idle for longer than h1client.IdleTimeoutFraction of Options.EndpointIdleTimeout. It
+// runs until ctx ends.
 func (p *Pool) EvictIdle(ctx context.Context) {
 	ticker := time.NewTicker(max(p.options.EndpointIdleTimeout/evictionsPerIdleTime, minEvictionInterval))
 	defer ticker.Stop()
@@ -141,8 +143,9 @@
 	}
 }
 
-// closeUnused closes the connections of an endpoint with no stream that have been idle since before a time, or that
-// take no new streams; all idle ones of an endpoint that is removed. mu is locked.
+// closeUnused closes connections of an endpoint that have no stream in use: those that have been idle since before a time
+// and those that take no new streams. If the endpoint is removed, it closes all its connections without a stream in use. The
+// caller holds mu.
 func (p *Pool) closeUnused(e *endpoint, before time.Time) {
 	remaining := e.conns[:0]
 	for _, c := range e.conns {
@@ -157,7 +160,8 @@
 	e.conns = remaining
 }
 
-// evictOldest closes the connection that is idle for longest. It returns false if none is idle. mu is locked.
+// evictOldest closes the connection of all endpoints that has been idle for longest. It returns false if no connection is
+// idle. The caller holds mu.
 func (p *Pool) evictOldest() bool {
 	var from *endpoint
 	var oldest *conn
--- a/internal/upstream/h2client/pool_test.go
+++ b/internal/upstream/h2client/pool_test.go
@@ -18,15 +18,16 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// scripted is an endpoint that reads the start of each connection and calls at for each request.
-func scripted(t testing.TB, streams uint32, at func(f *http2.Framer, nc net.Conn, stream uint32)) (addr string, conns func() int) {
+// newScriptedEndpoint starts an endpoint that allows streams concurrent streams on a connection. It calls onRequest for each
+// request, but not before the client has acknowledged the settings. conns returns the number of connections so far.
+func newScriptedEndpoint(t testing.TB, streams uint32, onRequest func(f *http2.Framer, nc net.Conn, stream uint32)) (addr string, conns func() int) {
 	count := make(chan int, 100)
 	addr = testutil.Accept(t, func(nc net.Conn) {
 		count <- 1
 		io.ReadFull(nc, make([]byte, len(http2.ClientPreface)))
 		f := http2.NewFramer(nc, nc)
 		f.WriteSettings(http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: streams})
-		settled, early := false, []uint32(nil) // whether the client knows the settings
+		settled, early := false, []uint32(nil) // whether the client has acknowledged the settings, and the streams before that
 		for {
 			frame, err := f.ReadFrame()
 			if err != nil {
@@ -40,27 +41,27 @@
 				}
 				settled = true
 				for _, id := range early {
-					at(f, nc, id)
+					onRequest(f, nc, id)
 				}
 			case *http2.HeadersFrame:
 				if !settled {
 					early = append(early, frame.StreamID)
 					continue
 				}
-				at(f, nc, frame.StreamID)
+				onRequest(f, nc, frame.StreamID)
 			}
 		}
 	})
 	return addr, func() int { return len(count) }
 }
 
-// How a stream ends says whether its request may have run: what certainly has not may be sent again whatever its class
-// (RFC 9113, 6.8 and 8.7).
+// The status of an attempt whose stream ends without an answer says whether the request may have run. A request that
+// certainly has not may be sent again whatever its class (RFC 9113, 6.8 and 8.7).
 func TestFailureStatus(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		at   func(f *http2.Framer, nc net.Conn, stream uint32)
-		want policy.Status
+		name      string
+		onRequest func(f *http2.Framer, nc net.Conn, stream uint32)
+		want      policy.Status
 	}{
 		{"refused", func(f *http2.Framer, _ net.Conn, id uint32) { f.WriteRSTStream(id, http2.ErrCodeRefusedStream) }, policy.Rejected},
 		{"reset otherwise", func(f *http2.Framer, _ net.Conn, id uint32) { f.WriteRSTStream(id, http2.ErrCodeInternal) }, policy.Reset},
@@ -70,74 +71,75 @@
 		{"closed", func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Close() }, policy.Reset},
 		{"a malformed frame", func(_ *http2.Framer, nc net.Conn, _ uint32) { nc.Write([]byte{0, 0, 1, 0, 0, 0, 0, 0, 0, 1}) }, policy.Reset},
 	} {
-		addr, _ := scripted(t, 1, tc.at)
-		u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 10})
-		u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
+		addr, _ := newScriptedEndpoint(t, 1, tc.onRequest)
+		pool := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 10})
+		pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 		q := &h1client.Request{Method: "POST", Target: "/x", Host: "a", Header: http.Header{}, Body: []byte("b")}
-		if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.WaitTimeout); res.Status != tc.want {
+		if res := pool.Exchange(engine.NewCall(t.Context()), 1, q, testutil.WaitTimeout); res.Status != tc.want {
 			t.Errorf("%s: status %v, want %v", tc.name, res.Status, tc.want)
 		}
-		u.UpdateEndpoints(true, nil)
+		pool.UpdateEndpoints(true, nil)
 	}
 }
 
-// An endpoint that allows one stream a connection gets maxConnsPerEndpoint connections. An attempt that finds no free
-// stream has not run, and a place is free again once a stream ends.
+// An endpoint that allows one stream on a connection gets at most maxConnsPerEndpoint connections. An attempt that finds no
+// free stream is rejected without being sent, and a stream that ends becomes free for another attempt.
 func TestStreamLimit(t *testing.T) {
 	held := make(chan struct{}, 10)
-	addr, conns := scripted(t, 1, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 100})
-	u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
+	addr, conns := newScriptedEndpoint(t, 1, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
+	pool := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 100})
+	pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 10)
 	for range maxConnsPerEndpoint {
-		go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.WaitTimeout).Status }()
+		go func() { ended <- pool.Exchange(engine.NewCall(ctx), 1, q, testutil.WaitTimeout).Status }()
 		testutil.Wait(t, held, "a stream to be open")
 	}
-	if res := u.Exchange(engine.NewCall(t.Context()), 1, q, testutil.WaitTimeout); res.Status != policy.Rejected || conns() != maxConnsPerEndpoint {
-		t.Errorf("status %v with %d connections", res.Status, conns())
+	if res := pool.Exchange(engine.NewCall(t.Context()), 1, q, testutil.WaitTimeout); res.Status != policy.Rejected || conns() != maxConnsPerEndpoint {
+		t.Errorf("without a free stream: status %v with %d connections, want rejected with maxConnsPerEndpoint connections", res.Status, conns())
 	}
 	leave()
 	for range maxConnsPerEndpoint {
-		if s := testutil.Wait(t, ended, "the end of those given up"); s != policy.Cancelled {
-			t.Errorf("given up: status %v", s)
+		if s := testutil.Wait(t, ended, "the end of the cancelled attempts"); s != policy.Cancelled {
+			t.Errorf("status of a cancelled attempt is %v, want cancelled", s)
 		}
 	}
 	ctx, leave = context.WithCancel(t.Context())
-	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.WaitTimeout).Status }()
-	testutil.Wait(t, held, "another stream")
+	go func() { ended <- pool.Exchange(engine.NewCall(ctx), 1, q, testutil.WaitTimeout).Status }()
+	testutil.Wait(t, held, "a stream to be open after the cancelled ones")
 	leave()
-	testutil.Wait(t, ended, "its end")
-	u.UpdateEndpoints(true, nil)
-	testutil.Until(t, "all connections to end", func() bool { u.mu.Lock(); defer u.mu.Unlock(); return u.connections == 0 })
+	testutil.Wait(t, ended, "the end of the attempt")
+	pool.UpdateEndpoints(true, nil)
+	testutil.Until(t, "all connections to be closed", func() bool { pool.mu.Lock(); defer pool.mu.Unlock(); return pool.connections == 0 })
 }
 
-// An attempt that gets a connection and may not be sent any more, as after a final answer, releases its place: beside
-// an open stream the second stays free.
+// An attempt that gets a stream but may no longer be sent, as after a final answer, returns the stream. If it did not, later
+// attempts would need another connection.
 func TestUnsentAttemptReleasesPlace(t *testing.T) {
 	held := make(chan struct{}, 10)
-	addr, conns := scripted(t, 2, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
-	u := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 100})
-	u.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
+	addr, conns := newScriptedEndpoint(t, 2, func(*http2.Framer, net.Conn, uint32) { held <- struct{}{} })
+	pool := New(h1client.Options{EndpointIdleTimeout: time.Minute, ConnectTimeout: testutil.WaitTimeout, MaxConnections: 100})
+	pool.UpdateEndpoints(true, []h1client.Endpoint{{ID: 1, Address: addr}})
 	q := &h1client.Request{Method: "GET", Target: "/x", Host: "a", Header: http.Header{}}
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan policy.Status, 1)
-	go func() { ended <- u.Exchange(engine.NewCall(ctx), 1, q, testutil.WaitTimeout).Status }()
+	go func() { ended <- pool.Exchange(engine.NewCall(ctx), 1, q, testutil.WaitTimeout).Status }()
 	testutil.Wait(t, held, "a stream to be open")
 	given := engine.NewCall(t.Context())
 	given.Revoke()
 	for range 5 {
-		if res := u.Exchange(given, 1, q, testutil.WaitTimeout); res.Status != policy.NeverSent || conns() != 1 {
-			t.Errorf("status %v with %d connections", res.Status, conns())
+		if res := pool.Exchange(given, 1, q, testutil.WaitTimeout); res.Status != policy.NeverSent || conns() != 1 {
+			t.Errorf("call that may not be sent: status %v with %d connections, want never sent with 1", res.Status, conns())
 		}
 	}
 	leave()
-	testutil.Wait(t, ended, "the end of the first")
-	u.UpdateEndpoints(true, nil)
+	testutil.Wait(t, ended, "the end of the first attempt")
+	pool.UpdateEndpoints(true, nil)
 }
 
-// The statuses of gRPC that count as the endpoint's failure, and grpc-retry-pushback-ms.
+// grpcOutcome counts some gRPC status codes as failures, and a failure with grpc-retry-pushback-ms as final. The fields may be
+// trailers or, in a Trailers-Only response, in the header.
 func TestGRPCOutcomes(t *testing.T) {
 	for _, tc := range []struct {
 		kind, status, pushback string
@@ -161,7 +163,7 @@
 				a.Header.Set("Content-Type", tc.kind)
 			}
 			if s, final := grpcOutcome(a); s != tc.want || final != tc.final {
-				t.Errorf("%+v, trailing %v: %v, final %v", tc, trailing, s, final)
+				t.Errorf("%+v, as trailers %v: status %v, final %v", tc, trailing, s, final)
 			}
 		}
 	}
--- a/internal/upstream/h2client/request.go
+++ b/internal/upstream/h2client/request.go
@@ -14,7 +14,8 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// newRequest returns the request to an endpoint, with the remaining time. The error is that of an invalid target.
+// newRequest returns the HTTP request to an endpoint. remaining is the time remaining, which the header tells the endpoint.
+// It returns an error if the target is invalid.
 func (p *Pool) newRequest(ctx context.Context, r *h1client.Request, remaining time.Duration) (*http.Request, error) {
 	target, err := p.targetURL(r)
 	if err != nil {
@@ -39,7 +40,7 @@
 	return req.WithContext(ctx), nil
 }
 
-// targetURL returns a URL that is sent as the client sent it.
+// targetURL returns a URL for which the transport sends r.Target as the client sent it.
 func (p *Pool) targetURL(r *h1client.Request) (*url.URL, error) {
 	scheme := "http"
 	if p.options.TLS != nil {
@@ -48,7 +49,7 @@
 	if !strings.HasPrefix(r.Target, "//") {
 		return &url.URL{Scheme: scheme, Host: r.Host, Opaque: r.Target}, nil
 	}
-	target, err := url.ParseRequestURI(r.Target) // url.URL would take Opaque for a host
+	target, err := url.ParseRequestURI(r.Target) // an Opaque that begins with // would be sent as an absolute URL with a host
 	if err != nil {
 		return nil, err
 	}
@@ -56,10 +57,10 @@
 	return target, nil
 }
 
-// newHeader returns the header to an endpoint.
+// newHeader returns the header of the request to an endpoint.
 func newHeader(r *h1client.Request, remaining time.Duration) http.Header {
-	const ownFields = 3
-	h := make(http.Header, len(r.Header)+ownFields)
+	const addedFields = 3
+	h := make(http.Header, len(r.Header)+addedFields)
 	for name, values := range r.Header {
 		if name != "Host" {
 			h[name] = values
@@ -74,12 +75,12 @@
 		h["Te"] = []string{"trailers"}
 	}
 	if len(h["User-Agent"]) == 0 {
-		h["User-Agent"] = []string{""} // has golang.org/x/net's transport send none
+		h["User-Agent"] = []string{""} // makes golang.org/x/net's transport send no User-Agent
 	}
 	return h
 }
 
-// trailerBody sets a request's trailers when its body has been read to its end.
+// trailerBody is the body of a request with trailers. It sets the request's trailers when the body is read to its end.
 type trailerBody struct {
 	io.ReadCloser
 	upload  *h1client.Upload
--- a/internal/upstream/h2client/stream.go
+++ b/internal/upstream/h2client/stream.go
@@ -11,23 +11,23 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// stream is an attempt on a connection, and the h1client.Stream of its answer.
+// stream is the HTTP/2 stream of an attempt. It is also the h1client.Stream of the attempt's answer.
 type stream struct {
 	pool     *Pool
 	endpoint *endpoint
 	conn     *conn
 	cancel   context.CancelFunc // resets the HTTP/2 stream
 
-	// Set by readAnswer.
+	// The following fields are set by readAnswer.
 	resp         *http.Response
-	start        []byte           // of the body, already read
-	buffer       *h1client.Upload // of a body of unknown length; nil: none
-	bufferRun    sync.WaitGroup   // buffer.Run
-	reader       io.Reader        // of the body behind start
-	stallTimer   *time.Timer      // cancels a Read that takes stallTimeout; nil: the answer is no stream
+	start        []byte           // start of the body that was read before the first Read
+	buffer       *h1client.Upload // buffers a body of unknown length; nil: the body is not buffered
+	bufferRun    sync.WaitGroup   // waits for the goroutine of buffer.Run
+	reader       io.Reader        // rest of the body after start
+	stallTimer   *time.Timer      // resets the stream if a Read, or the wait for the first, takes stallTimeout; may be nil
 	stallTimeout time.Duration
 
-	ended     atomic.Bool // the body was read to its end
+	ended     atomic.Bool // whether the body was read to its end
 	closeOnce sync.Once
 }
 
@@ -42,7 +42,7 @@
 	}
 	s.stallTimer.Reset(s.stallTimeout)
 	n, err := s.reader.Read(p)
-	s.stallTimer.Stop() // the time that the client takes is not the endpoint's
+	s.stallTimer.Stop() // the timer must not count the time that the client takes between reads
 	if err == io.EOF {
 		s.ended.Store(true)
 	}
@@ -55,7 +55,7 @@
 // Trailer implements h1client.Stream.
 func (s *stream) Trailer() http.Header { return s.resp.Trailer }
 
-// Close implements h1client.Stream. It resets a stream whose body was not read to its end, and releases its place on
+// Close implements h1client.Stream. It resets the HTTP/2 stream if the body was not read to its end, and returns the stream to
 // the connection.
 func (s *stream) Close() error {
 	s.closeOnce.Do(func() {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// closeBody ends the reading of the body.
+// closeBody ends the reading of the body, and waits for the goroutine that reads it, if there is one.
 func (s *stream) closeBody() {
 	if !s.ended.Load() {
 		s.cancel()
