--- a/internal/files/limits_test.go
+++ b/internal/files/limits_test.go
@@ -31,8 +31,8 @@
 	return b.String()
 }
 
-// Files that exceed a limit are rejected with an error that names the place and the limit. The check allocates little more
-// than the reading of one file, and the last accepted version stays in force.
+// Files that exceed a limit are rejected with an error that names the place and the limit. The check allocates at
+// most as many bytes as the case states, and the last accepted version stays in force.
 func TestTooMuch(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(f *fixture, tenants, text string)
--- a/internal/files/parser.go
+++ b/internal/files/parser.go
@@ -25,7 +25,7 @@
 	routed      cache[routedKey, *config.Program]
 	patches     cache[partKey, *cluster.Patch]
 	changed     cache[changedKey, *cluster.Config]
-	lastResults map[*cluster.Config]changeResult // by the cluster as its file defines it
+	lastResults map[*cluster.Config]changeResult // results of Change, by the cluster as its file defines it
 }
 
 // withTenantsKey identifies a program that has its tenants from a tenants file.
--- a/internal/files/races_test.go
+++ b/internal/files/races_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// If a rejected scan did not parse a file and released its content, a later scan that parses it reads it again. It must then
-// find the same content, or a version could mix files of two times.
+// After a rejected version, the content of an invalid file is released and its parse error is not cached. A later check reads
+// the file again and must find the content that the scan found. Otherwise a version could mix files of two times.
 func TestChangeBeforeParsing(t *testing.T) {
 	f := newFixture(t)
 	r := watchManually(f)
--- a/internal/files/record.go
+++ b/internal/files/record.go
@@ -31,8 +31,8 @@
 
 // upToDate reports whether the last read is still valid, given the present stamp. For stampSettleTime after a stamp was
 // first seen, a further write may leave the stamp unchanged (git's index calls such an entry "racily clean"), so that the
-// content is read again until a read after that time. The file system's clock is not compared with the machine's clock,
-// since the two may differ.
+// content is read again until a read after that time. After fullReadInterval a read is no longer valid in any case. The file
+// system's clock is not compared with the machine's clock, since the two may differ.
 func (s *readState) upToDate(present stamp, at time.Time) bool {
 	switch {
 	case s.lastRead.IsZero() || s.stamp != present:
--- a/internal/upstream/h2client/pool.go
+++ b/internal/upstream/h2client/pool.go
@@ -122,8 +122,8 @@
 	p.closeUnused(e, time.Time{})
 }
 
-// EvictIdle closes connections that are idle for longer than h1client.IdleTimeoutFraction of Options.EndpointIdleTimeout. It
-// runs until ctx ends.
+// EvictIdle closes connections that are idle for longer than h1client.IdleTimeoutFraction of Options.EndpointIdleTimeout, and
+// idle connections that take no new streams. It runs until ctx ends.
 func (p *Pool) EvictIdle(ctx context.Context) {
 	ticker := time.NewTicker(max(p.options.EndpointIdleTimeout/evictionsPerIdleTime, minEvictionInterval))
 	defer ticker.Stop()
@@ -160,8 +160,8 @@
 	e.conns = remaining
 }
 
-// evictOldest closes the connection of all endpoints that has been idle for longest. It returns false if no connection is
-// idle. The caller holds mu.
+// evictOldest closes the connection that has been idle for longest, among the connections to all endpoints. It returns false
+// if no connection is idle. The caller holds mu.
 func (p *Pool) evictOldest() bool {
 	var from *endpoint
 	var oldest *conn
