--- a/internal/files/notification_test.go
+++ b/internal/files/notification_test.go
@@ -9,8 +9,8 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// Where notification is unavailable or silent, polling by content takes over, also where size and time of the file stay
-// the same; an overflow causes a poll at once.
+// If file notification is unavailable or can't watch a folder, polling finds a change, even one that keeps the file's size
+// and modification time. An overflow of the notifier causes a poll at once.
 func TestWithoutNotification(t *testing.T) {
 	for name, notify := range map[string]func() (*notifier, error){
 		"unavailable": func() (*notifier, error) { return nil, errors.New("too many open files") },
@@ -20,30 +20,30 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFolder(t)
-			before, err := os.Stat(f.rooms())
+			f := newFixture(t)
+			before, err := os.Stat(f.roomsFile())
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.watchBy(notify)
-			f.logged("polling only")
-			f.put(f.rooms(), clusterText("", 1, 2, 3, 5))
-			if err := os.Chtimes(f.rooms(), before.ModTime(), before.ModTime()); err != nil {
+			f.watchWith(notify)
+			f.awaitLog("polling only")
+			f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
+			if err := os.Chtimes(f.roomsFile(), before.ModTime(), before.ModTime()); err != nil {
 				t.Fatal(err)
 			}
-			f.want("1 2 3 5")
+			f.awaitPorts("1 2 3 5")
 		})
 	}
 	t.Run("overflowed", func(t *testing.T) {
-		f := newFolder(t)
-		f.put(f.path, strings.Replace(program, "20ms", "1m", 1)) // no poll in time
+		f := newFixture(t)
+		f.writeFile(f.path, strings.Replace(program, "20ms", "1m", 1)) // the timer does not poll during the test
 		faults := make(chan error, 1)
-		f.watchBy(func() (*notifier, error) {
+		f.watchWith(func() (*notifier, error) {
 			add := func(string) error { return nil }
-			return &notifier{faults: faults, add: add, close: func() error { return nil }}, nil
+			return &notifier{errs: faults, add: add, close: func() error { return nil }}, nil
 		})
-		f.swap(f.rooms(), clusterText("", 1, 2, 3, 5))
+		f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 3, 5))
 		faults <- fsnotify.ErrEventOverflow
-		f.want("1 2 3 5")
+		f.awaitPorts("1 2 3 5")
 	})
 }
--- a/internal/files/watcher_test.go
+++ b/internal/files/watcher_test.go
@@ -8,20 +8,22 @@
 	"time"
 )
 
+// The Watcher finds a change however the file is replaced: by rename, in place, by two renames in a row, slowly, by removal
+// and a new file, or by an exchanged symbolic link to a folder.
 func TestWaysToReplace(t *testing.T) {
-	f := newFolder(t)
+	f := newFixture(t)
 	if got := ports(f.watch()); got != "1 2 3 4" {
-		t.Fatalf("first %q", got)
+		t.Fatalf("the first version has the ports %q, want \"1 2 3 4\"", got)
 	}
-	f.swap(f.rooms(), clusterText("", 1, 2, 3)) // renamed over
-	f.want("1 2 3")
-	f.put(f.rooms(), clusterText("", 1, 2, 3, 5)) // in place
-	f.want("1 2 3 5")
-	f.swap(f.rooms(), clusterText("", 1, 2)) // twice within a second
-	f.swap(f.rooms(), clusterText("", 1, 2, 6))
-	f.want("1 2 6")
-	text := clusterText("", 1, 2, 7) // slowly, a few bytes at a time
-	file, err := os.Create(f.rooms())
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 3)) // replaced by rename
+	f.awaitPorts("1 2 3")
+	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 3, 5)) // written in place
+	f.awaitPorts("1 2 3 5")
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2)) // replaced twice within a second
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 6))
+	f.awaitPorts("1 2 6")
+	text := clusterText("", 1, 2, 7) // written slowly, a few bytes at a time
+	file, err := os.Create(f.roomsFile())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,20 +32,20 @@
 		time.Sleep(4 * time.Millisecond)
 	}
 	file.Close()
-	f.want("1 2 7")
-	if err := os.Remove(f.rooms()); err != nil { // deleted and written again
+	f.awaitPorts("1 2 7")
+	if err := os.Remove(f.roomsFile()); err != nil { // removed and written again
 		t.Fatal(err)
 	}
-	f.logged("to remove a cluster, first say")
-	f.put(f.rooms(), clusterText("", 1, 2, 8))
-	f.want("1 2 8")
-	// A link to a folder that is exchanged, as mounted configuration does.
+	f.awaitLog("to remove a cluster, first say")
+	f.writeFile(f.roomsFile(), clusterText("", 1, 2, 8))
+	f.awaitPorts("1 2 8")
+	// Exchange a symbolic link to a folder, as mounted configuration does.
 	one, two := filepath.Join(t.TempDir(), "one"), filepath.Join(t.TempDir(), "two")
 	for i, dir := range []string{one, two} {
 		if err := os.Mkdir(dir, 0o755); err != nil {
 			t.Fatal(err)
 		}
-		f.put(filepath.Join(dir, "rooms.toml"), clusterText("", 1, 2, 20+i))
+		f.writeFile(filepath.Join(dir, "rooms.toml"), clusterText("", 1, 2, 20+i))
 	}
 	link := filepath.Join(f.dir, "..data")
 	for i, dir := range []string{one, two} {
@@ -54,44 +56,45 @@
 			t.Fatal(err)
 		}
 		if i == 0 {
-			if err := os.Remove(f.rooms()); err != nil {
+			if err := os.Remove(f.roomsFile()); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.Symlink(filepath.Join("..data", "rooms.toml"), f.rooms()); err != nil {
+			if err := os.Symlink(filepath.Join("..data", "rooms.toml"), f.roomsFile()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f.want(fmt.Sprintf("1 2 %d", 20+i))
+		f.awaitPorts(fmt.Sprintf("1 2 %d", 20+i))
 	}
 }
 
+// A version may remove most endpoints of a cluster if the cluster file sets shrink_to, and all of them if it sets no_servers.
+// After no_servers the cluster's file may be removed.
 func TestMeant(t *testing.T) {
-	f := newFolder(t)
+	f := newFixture(t)
 	f.watch()
-	f.swap(f.rooms(), clusterText("shrink_to = 1\n", 1))
-	f.want("1")
-	f.swap(f.rooms(), clusterText("no_servers = \"on purpose\"\n"))
-	f.want("")
-	os.Remove(f.rooms())
-	f.want("none")
+	f.replaceFile(f.roomsFile(), clusterText("shrink_to = 1\n", 1))
+	f.awaitPorts("1")
+	f.replaceFile(f.roomsFile(), clusterText("no_servers = \"on purpose\"\n"))
+	f.awaitPorts("")
+	os.Remove(f.roomsFile())
+	f.awaitPorts("none")
 }
 
-// Where the same bytes are written again nothing is taken, and a cluster that stays the
-// same is the same.
+// A file that is replaced by the same bytes makes no new version. In a new version, an unchanged cluster is the same value.
 func TestUnchanged(t *testing.T) {
-	f := newFolder(t)
+	f := newFixture(t)
 	first := f.watch()
-	f.swap(f.rooms(), clusterText("", 1, 2, 3, 4))
-	f.polls(4)
-	if len(f.got) > 0 {
-		t.Error("a version with nothing new is taken")
+	f.replaceFile(f.roomsFile(), clusterText("", 1, 2, 3, 4))
+	f.awaitPolls(4)
+	if len(f.versions) > 0 {
+		t.Error("a version with unchanged contents is accepted")
 	}
-	f.put(filepath.Join(f.dir, "b.toml"), clusterText("", 7))
-	s := f.next()
+	f.writeFile(filepath.Join(f.dir, "b.toml"), clusterText("", 7))
+	s := f.awaitVersion()
 	if s.Version.Clusters["rooms"] != first.Version.Clusters["rooms"] || s.Version.Clusters["b"] == nil {
-		t.Errorf("clusters %+v", s.Version.Clusters)
+		t.Errorf("clusters are %+v, want the same rooms as before and b", s.Version.Clusters)
 	}
 	if s.Version.Number != 2 {
-		t.Errorf("version %d", s.Version.Number)
+		t.Errorf("version number is %d, want 2", s.Version.Number)
 	}
 }
