--- a/internal/upstream/h1client/answer.go
+++ b/internal/upstream/h1client/answer.go
@@ -1,7 +1,7 @@
 package h1client
 
-// Reading an answer: as a whole where it is short and arrives soon, otherwise its body follows as a stream. An answer
-// that is incomplete must never be taken for a complete one.
+// This file reads the endpoints' answers. A short answer that arrives in time is read as a whole; the body of any other
+// answer is returned as a Stream. An incomplete answer must never be taken for a complete one.
 
 import (
 	"errors"
@@ -16,32 +16,36 @@
 )
 
 const (
-	// MaxBody is the length up to which an answer's body is read as a whole, in bytes, and the default buffer of an
-	// Upload.
+	// MaxBody is the maximum length, in bytes, of an answer's body that is read as a whole. It is also the default size
+	// of an Upload's buffer.
 	MaxBody = 64 << 10
-	// maxAnswerBytes limits an answer with head and framing, or one part of a stream.
+	// maxAnswerBytes is the maximum size of an answer that is read as a whole, including its heads and its framing. For
+	// a body that may be longer, the limit applies to each single Read.
 	maxAnswerBytes = MaxBody + 64<<10
-	// AnswerTransferTimeout is the longest time from an answer's first byte to its last.
+	// AnswerTransferTimeout is the timeout for the rest of an answer after its first byte, unless the body is returned as
+	// a Stream. It starts again whenever data of an unfinished head arrives, and with Options.StreamLargeBodies also
+	// whenever data of the body arrives.
 	AnswerTransferTimeout = 150 * time.Millisecond
 )
 
-// Answer is an endpoint's answer. Whoever gets it closes it unless its Stream or Tunnel is used.
+// Answer is an endpoint's HTTP response. Its receiver must either close it or take over its Stream or Tunnel.
 type Answer struct {
-	Status int         // 200, unless Options.AnyStatus is set
+	Status int         // 200, or 101 after an upgrade; any status with Options.AnyStatus
 	Header http.Header // end-to-end fields
 	Body   []byte
-	// Length is the length in the head of an answer to a HEAD request (RFC 9110, 9.3.2), or of the stream, in bytes;
-	// -1: not known.
+	// Length is the length of the body in bytes as the head states it, or -1 if it is not known. The answer to a HEAD
+	// request may have a Length although it has no body (RFC 9110, 9.3.2).
 	Length int64
-	Stream Stream // in place of Body; nil: Body is complete
-	// Tunnel is the connection to the endpoint after an upgrade (status 101) to the protocol Upgrade; nil: none.
+	Stream Stream // replaces Body; nil if Body is complete
+	// Tunnel is the connection to the endpoint after an upgrade (status 101); nil if there was no upgrade.
 	Tunnel  net.Conn
-	Upgrade string
-	// Trailer are the fields behind the body (RFC 9110, 6.5); nil: none. Those of a stream are in Stream.Trailer.
+	Upgrade string // protocol of Tunnel
+	// Trailer holds the trailer fields after Body (RFC 9110, 6.5); nil if there are none. The trailer fields of a stream
+	// are returned by Stream.Trailer.
 	Trailer http.Header
 }
 
-// Close closes an answer's stream or tunnel that is not used.
+// Close closes the answer's stream or tunnel, if it has one.
 func (a *Answer) Close() error {
 	switch {
 	case a.Stream != nil:
@@ -52,7 +56,8 @@
 	return nil
 }
 
-// FailureStatus returns the status of an attempt whose answer does not serve the request.
+// FailureStatus returns the status of an attempt whose answer is a failure: policy.Rejected if the endpoint states, with
+// status 503 or 504 and X-Not-Processed: 1, that it did not process the request, and policy.ErrorResponse otherwise.
 func FailureStatus(resp *http.Response) policy.Status {
 	if (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Processed") == "1" {
@@ -61,8 +66,8 @@
 	return policy.ErrorResponse
 }
 
-// readAnswer reads the answer to a request. sender writes the request's upload; nil: there is none. reusable reports
-// whether the connection can serve a further request.
+// readAnswer reads the answer to a request. sender writes the request's upload; it is nil if there is no upload. reusable
+// reports whether the connection can serve a further request.
 func (p *Pool) readAnswer(c *conn, r *Request, sender *uploadSender) (result engine.Result, reusable bool) {
 	c.readBudget = maxAnswerBytes
 	resp, err := c.readFinalHead(r)
@@ -77,7 +82,7 @@
 			Upgrade: r.Upgrade, Tunnel: &tunnel{pool: p, conn: c},
 		}}, false
 	}
-	noBody := r.Method == http.MethodHead // whatever the head says of one
+	noBody := r.Method == http.MethodHead // even if the head states a length
 	if resp.ContentLength > MaxBody && !noBody {
 		if p.anyStatus || p.streamLargeBodies && resp.StatusCode == http.StatusOK {
 			return p.streamAnswer(c, r, resp, nil, sender), false
@@ -91,8 +96,9 @@
 	return p.completeAnswer(c, resp, body, err, noBody)
 }
 
-// readBody reads a body as far as it is not to follow as a stream: then it returns its beginning, and streams is true.
-// resp.Body is never closed, which would read it to its end; the connection is, unless the body was read.
+// readBody reads a body as a whole, or reports with streams that the body must be returned as a stream, after the
+// beginning that readBody has read. It does not close resp.Body, because Close would read the body to its end; a connection
+// whose answer was not read to its end is closed instead.
 func (p *Pool) readBody(c *conn, resp *http.Response, noBody bool) (body []byte, streams bool, err error) {
 	switch length := resp.ContentLength; {
 	case noBody:
@@ -109,40 +115,41 @@
 			return body, true, nil
 		}
 	default:
-		c.limitTransfer(true)
+		c.setTransferDeadline(true)
 		body, err = io.ReadAll(io.LimitReader(resp.Body, MaxBody+1))
 	}
 	return body, p.anyStatus && errors.Is(err, os.ErrDeadlineExceeded), err
 }
 
-// readKnownLength reads a body of length bytes. With an error it returns what was read.
+// readKnownLength reads a body of length bytes. With an error, it returns the bytes that it has read.
 func (p *Pool) readKnownLength(c *conn, resp *http.Response, length int64) ([]byte, error) {
 	if length > int64(c.reader.Buffered()) {
-		c.limitTransfer(true)
+		c.setTransferDeadline(true)
 	}
-	var from io.Reader = resp.Body
+	var source io.Reader = resp.Body
 	if p.streamLargeBodies {
-		from = progressReader{resp.Body, c}
+		source = progressReader{resp.Body, c}
 	}
 	body := make([]byte, length)
-	n, err := io.ReadFull(from, body)
+	n, err := io.ReadFull(source, body)
 	return body[:n], err
 }
 
-// completeAnswer returns the result of an answer whose body was read, or whose reading ended with err.
+// completeAnswer returns the result for an answer whose body was read as a whole, or for a body whose reading failed with
+// err.
 func (p *Pool) completeAnswer(
 	c *conn, resp *http.Response, body []byte, err error, noBody bool,
 ) (result engine.Result, reusable bool) {
 	switch {
 	case err != nil:
 		return engine.Result{Status: c.readFailure()}, false
-	case len(body) > MaxBody && !p.anyStatus: // with anyStatus by one read of readBuffered at most
+	case len(body) > MaxBody && !p.anyStatus: // with anyStatus, readBuffered exceeds MaxBody by less than one piece
 		return engine.Result{Status: policy.ErrorResponse}, false
-	case !noBody && !p.endIsMarked(c, resp):
+	case !noBody && !p.bodyEndConfirmed(c, resp):
 		return engine.Result{Status: policy.Reset}, false
 	}
-	c.limitTransfer(false)
-	reusable = !resp.Close && c.reader.Buffered() == 0 // no bytes behind the answer
+	c.setTransferDeadline(false)
+	reusable = !resp.Close && c.reader.Buffered() == 0 // no bytes follow the answer
 	if resp.StatusCode != http.StatusOK && !p.anyStatus {
 		return engine.Result{Status: FailureStatus(resp)}, reusable
 	}
@@ -156,9 +163,10 @@
 	return result, reusable
 }
 
-// endIsMarked reports whether the body that was read is known to be complete: by its length or chunks, or because its
-// head says that it ends with the connection.
-func (p *Pool) endIsMarked(c *conn, resp *http.Response) bool {
+// bodyEndConfirmed reports whether the body that was read is known to be complete: because it has a length or chunks, or
+// because the end of the connection delimits it. With anyStatus, the end of the connection delimits every body without
+// length and chunks; with streamLargeBodies, only that of an answer for which lacksFraming is false.
+func (p *Pool) bodyEndConfirmed(c *conn, resp *http.Response) bool {
 	switch {
 	case resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0:
 		return true
@@ -170,20 +178,20 @@
 	return false
 }
 
-// lacksFraming reports whether an HTTP/1.1 answer has neither a length nor chunks, and does not announce that it ends
-// with its connection (RFC 9112, 6.3): its length may have been lost on the way, and its end too.
+// lacksFraming reports whether an HTTP/1.1 answer has neither a length nor chunks and does not announce that the connection
+// will be closed (RFC 9112, 6.3). Such an answer may have lost its length in transit, so it may be truncated as well.
 func (c *conn) lacksFraming(resp *http.Response) bool {
 	unknownLength := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	return unknownLength && !c.announcedClose && resp.ProtoAtLeast(1, 1)
 }
 
-// readBuffered reads what has arrived of a body of unknown length, and reports whether that is all. Waiting for more
-// would delay a stream that pauses.
-func (c *conn) readBuffered(from io.Reader) (body []byte, complete bool, err error) {
-	part := make([]byte, 4<<10)
+// readBuffered reads the part of a body of unknown length that is in the connection's read buffer, and reports whether it
+// is the whole body. It does not wait for more data, because that would delay a stream that pauses.
+func (c *conn) readBuffered(source io.Reader) (body []byte, complete bool, err error) {
+	piece := make([]byte, 4<<10)
 	for c.reader.Buffered() > 0 && len(body) <= MaxBody {
-		n, err := from.Read(part)
-		body = append(body, part[:n]...)
+		n, err := source.Read(piece)
+		body = append(body, piece[:n]...)
 		if err == io.EOF {
 			return body, true, nil
 		}
@@ -194,8 +202,8 @@
 	return body, false, nil
 }
 
-// progressReader reads a body of which each part must arrive within AnswerTransferTimeout, whatever time all of it
-// takes.
+// progressReader reads the body of an answer and applies AnswerTransferTimeout to each read from the connection, so that
+// the whole body may take longer.
 type progressReader struct {
 	io.Reader
 	conn *conn
@@ -203,15 +211,15 @@
 
 // Read implements io.Reader.
 func (p progressReader) Read(b []byte) (int, error) {
-	p.conn.readBudget = maxAnswerBytes // limits one Read, not the body
+	p.conn.readBudget = maxAnswerBytes // per Read, not per body
 	if p.conn.reader.Buffered() == 0 {
-		p.conn.extendTransferLimit()
+		p.conn.extendTransferDeadline()
 	}
 	return p.Reader.Read(b)
 }
 
-// readFailure returns the status for an answer whose reading failed: Reset if the connection ended, ErrorResponse if
-// the answer is invalid or too slow.
+// readFailure returns the status for an answer that could not be read: policy.Reset if the connection ended or failed, and
+// policy.ErrorResponse if the answer is invalid, too large or too slow.
 func (c *conn) readFailure() policy.Status {
 	if c.readErr != nil && !errors.Is(c.readErr, os.ErrDeadlineExceeded) {
 		return policy.Reset
--- a/internal/upstream/h1client/answerhead.go
+++ b/internal/upstream/h1client/answerhead.go
@@ -7,62 +7,64 @@
 	"strings"
 )
 
-// maxInterimResponses limits the 1xx responses before the final one (RFC 9110, 15.2).
+// maxInterimResponses is the maximum number of interim (1xx) responses before the final one (RFC 9110, 15.2).
 const maxInterimResponses = 8
 
-// versionPrefix begins each answer (RFC 9112, 4).
+// versionPrefix is the beginning of every HTTP/1 answer (RFC 9112, 4).
 const versionPrefix = "HTTP/1."
 
 var (
 	headEnd = []byte("\r\n\r\n")
 
-	errNotHTTP           = errors.New("h1client: not an HTTP/1 answer")
-	errUnexpectedInterim = errors.New("h1client: too many interim responses, or an upgrade that was not requested")
+	errNotHTTP           = errors.New("h1client: the endpoint's answer does not begin with \"HTTP/1.\"")
+	errUnexpectedInterim = errors.New("h1client: endpoint sent too many interim responses or an upgrade that was not requested")
 )
 
-// readFinalHead reads the head of an answer, behind its interim responses. Status 101 is final where it upgrades to the
-// protocol that the request asks for. The error is errUnexpectedInterim, or that of reading.
+// readFinalHead skips an answer's interim responses and reads the head of its final response. Status 101 is final if it
+// upgrades to the protocol that the request asks for. The error is errUnexpectedInterim for too many interim responses or
+// for any other status 101, and otherwise the error of reading.
 func (c *conn) readFinalHead(r *Request) (*http.Response, error) {
-	req := &http.Request{Method: r.Method} // whether an answer has a body depends on it
+	req := &http.Request{Method: r.Method} // the method decides whether the answer has a body
 	resp, err := c.readHead(req)
 	for n := 0; err == nil && resp.StatusCode/100 == 1; n++ {
 		upgrades := resp.StatusCode == http.StatusSwitchingProtocols
 		if upgrades && r.Upgrade != "" && strings.EqualFold(resp.Header.Get("Upgrade"), r.Upgrade) {
-			c.limitTransfer(false)
+			c.setTransferDeadline(false)
 			return resp, nil
 		}
 		if upgrades || n == maxInterimResponses {
 			return nil, errUnexpectedInterim
 		}
-		c.limitTransfer(false)
+		c.setTransferDeadline(false)
 		resp, err = c.readHead(req)
 	}
 	return resp, err
 }
 
-// readHead reads the head of an answer or interim response. Its first byte may take as long as the request has; what
-// follows must arrive within AnswerTransferTimeout, or waiting for the rest of a broken answer would take the time of a
-// further attempt.
+// readHead reads the head of an answer or of an interim response. The wait for the first byte has no timeout and ends
+// at the latest when the call is stopped. After the first byte, each read of the head must succeed within
+// AnswerTransferTimeout, because waiting for the rest of a broken answer would leave no time for a further attempt.
 func (c *conn) readHead(req *http.Request) (*http.Response, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, err
 	}
 	if !bytes.Contains(c.buffered(), headEnd) {
-		c.limitTransfer(true)
+		c.setTransferDeadline(true)
 	}
 	start, err := c.reader.Peek(len(versionPrefix))
 	if err != nil {
 		return nil, err
 	}
 	if string(start) != versionPrefix {
-		return nil, errNotHTTP // which may never end its line
+		return nil, errNotHTTP // http.ReadResponse could wait for a line end that never comes
 	}
 	c.awaitHead()
 	return http.ReadResponse(c.reader, req)
 }
 
-// awaitHead waits until the head is complete, while it makes progress, and sets announcedClose. It gives up on a head
-// that is longer than the buffer or does not arrive: http.ReadResponse reports the error.
+// awaitHead waits until the whole head is buffered, and sets announcedClose. Each part of the head must arrive within
+// AnswerTransferTimeout. If the head does not fit the buffer or does not arrive, awaitHead returns without it, and
+// http.ReadResponse reads what is missing or reports the error.
 func (c *conn) awaitHead() {
 	for {
 		head := c.buffered()
@@ -70,7 +72,7 @@
 			c.announcedClose = announcesClose(head[:end])
 			return
 		}
-		c.extendTransferLimit()
+		c.extendTransferDeadline()
 		if _, err := c.reader.Peek(len(head) + 1); err != nil {
 			c.announcedClose = false
 			return
@@ -78,14 +80,15 @@
 	}
 }
 
-// buffered returns what the reader has read, without consuming it.
+// buffered returns the bytes in the read buffer without consuming them.
 func (c *conn) buffered() []byte {
 	b, _ := c.reader.Peek(c.reader.Buffered())
 	return b
 }
 
-// announcesClose reports whether a raw head announces the end of the connection (RFC 9112, 9.6). net/http removes the
-// field, and an answer whose length was lost on its way would look the same.
+// announcesClose reports whether a raw head announces that the connection will be closed (RFC 9112, 9.6). It examines the
+// raw head because net/http removes the Connection field: http.Response does not tell an announced close from an answer
+// that lost its length in transit.
 func announcesClose(head []byte) bool {
 	for line := range bytes.SplitSeq(head, []byte("\n")) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
--- a/internal/upstream/h1client/conn.go
+++ b/internal/upstream/h1client/conn.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// errTooLarge ends the reading of an answer that exceeds conn.readBudget.
-var errTooLarge = errors.New("h1client: answer too large")
+// errTooLarge is the error of reading an answer that exceeds conn.readBudget.
+var errTooLarge = errors.New("h1client: the endpoint's answer exceeds the size limit")
 
-// conn is a connection to an endpoint. It belongs to one attempt, stream or tunnel at a time, or is idle.
+// conn is a connection to an endpoint. At any time, it is either idle or used by one attempt, stream or tunnel.
 type conn struct {
 	net.Conn
-	endpoint *endpoint
-	reader   *bufio.Reader // of Read
-	message  []byte        // buffer of the request's head and short body
+	endpoint      *endpoint
+	reader        *bufio.Reader // reads through conn.Read
+	requestBuffer []byte        // the request's head and its body if that is short; reused by later requests
 
-	readBudget int   // bytes that may still be read of the present answer
-	readErr    error // of the last Read
-	// announcedClose reports that the present answer's head announces the end of the connection.
-	announcedClose bool
-	transferLimit  bool // a deadline of limitTransfer is set
+	readBudget int   // number of bytes that Read may still return for the current answer
+	readErr    error // error of the last Read
+	// announcedClose is set if the current answer's head announces that the connection will be closed.
+	announcedClose      bool
+	transferDeadlineSet bool // setTransferDeadline or extendTransferDeadline has set a read deadline
 
-	reused        bool          // it was idle before
-	idleSince     time.Time     // where it was
-	exchangeStart time.Time     // of the latest exchange
-	exchangeTime  time.Duration // of the latest complete exchange
+	reused        bool          // the connection has served an exchange before
+	idleSince     time.Time     // time at which the connection last became idle
+	exchangeStart time.Time     // start of the latest exchange
+	exchangeTime  time.Duration // duration of the latest complete exchange
 
-	tls     bool            // a new one has session tickets to read, behind the handshake (RFC 8446, 4.6.1)
-	rawConn syscall.RawConn // nil if the connection has none
+	tls     bool            // TLS is used: session tickets may follow the handshake (RFC 8446, 4.6.1)
+	rawConn syscall.RawConn // nil if the connection gives no access to its socket
 	empty   bool            // result of checkEmpty
-	// Functions that are allocated once.
-	checkEmpty func(fd uintptr)
-	abort      func() // closes the connection
+	// The functions below are fields so that they are allocated once per connection.
+	checkEmpty func(fd uintptr) // sets empty
+	abort      func()           // closes the connection
 }
 
 func newConn(nc net.Conn, e *endpoint) *conn {
@@ -52,7 +52,7 @@
 	return c
 }
 
-// Read implements net.Conn, within readBudget.
+// Read implements net.Conn. It returns at most readBudget bytes, and errTooLarge once readBudget is used up.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.readBudget <= 0 {
 		return 0, errTooLarge
@@ -63,30 +63,31 @@
 	return n, err
 }
 
-// limitTransfer sets AnswerTransferTimeout as the deadline for what is still to be read, or removes the deadline.
-func (c *conn) limitTransfer(on bool) {
+// setTransferDeadline sets a read deadline of AnswerTransferTimeout from now if on is true and none is set, and removes the
+// read deadline if on is false.
+func (c *conn) setTransferDeadline(on bool) {
 	switch {
-	case on && !c.transferLimit:
+	case on && !c.transferDeadlineSet:
 		c.SetReadDeadline(time.Now().Add(AnswerTransferTimeout))
-	case !on && c.transferLimit:
+	case !on && c.transferDeadlineSet:
 		c.SetReadDeadline(time.Time{})
 	}
-	c.transferLimit = on
+	c.transferDeadlineSet = on
 }
 
-// extendTransferLimit sets AnswerTransferTimeout from now on as the deadline of the next read.
-func (c *conn) extendTransferLimit() {
+// extendTransferDeadline sets the read deadline to AnswerTransferTimeout from now, also if one is set already.
+func (c *conn) extendTransferDeadline() {
 	c.SetReadDeadline(time.Now().Add(AnswerTransferTimeout))
-	c.transferLimit = true
+	c.transferDeadlineSet = true
 }
 
-// nothingToRead is NothingToRead without allocations.
+// nothingToRead does the same as NothingToRead, without allocations.
 func (c *conn) nothingToRead() bool {
 	return c.rawConn != nil && c.rawConn.Control(c.checkEmpty) == nil && c.empty
 }
 
-// NothingToRead reports whether a connection is open and has nothing to read, neither a byte nor the end. It does not
-// wait for a Read in progress.
+// NothingToRead reports whether a connection is open and its socket's receive buffer is empty: neither data, nor the peer's
+// close, nor an error is pending. It does not wait for a Read in progress, and returns false if nc has no socket.
 func NothingToRead(nc net.Conn) bool {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -97,11 +98,12 @@
 		return false
 	}
 	empty := false
-	// Not raw.Read, which would wait for a Read in progress.
+	// Control is used because raw.Read would wait for a Read in progress.
 	err = raw.Control(func(fd uintptr) { empty = socketEmpty(fd) })
 	return err == nil && empty
 }
 
+// socketEmpty reports whether a socket is open and has nothing to receive.
 func socketEmpty(fd uintptr) bool {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/upstream/h1client/dial.go
+++ b/internal/upstream/h1client/dial.go
@@ -11,12 +11,12 @@
 	"yokestall/policy"
 )
 
-// connect returns a connection to an endpoint, idle or new; nil with the attempt's status if there is none.
+// connect returns an idle or a new connection to an endpoint. If there is none, it returns nil and the attempt's status.
 func (p *Pool) connect(call *engine.Call, id policy.EndpointID) (*conn, policy.Status) {
 	c, e, status := p.acquire(id)
 	if c != nil || status != policy.OK {
 		if c != nil {
-			time.Sleep(p.reuseDelay - time.Since(c.idleSince)) // shorter than a handshake
+			time.Sleep(p.reuseDelay - time.Since(c.idleSince)) // this wait is shorter than the handshake of a new connection
 		}
 		return c, status
 	}
@@ -35,8 +35,8 @@
 	return newConn(nc, e), policy.OK
 }
 
-// Dial connects to an endpoint. With a TLS configuration it performs the handshake and negotiates the protocol (ALPN,
-// RFC 7301): an endpoint that negotiates none is taken to speak HTTP/1.1, any other protocol than proto is an error.
+// Dial connects to an endpoint. With a TLS configuration, it performs the handshake and negotiates proto by ALPN (RFC 7301).
+// If the endpoint negotiates no protocol, Dial assumes HTTP/1.1. It returns an error if the protocol is not proto.
 func Dial(ctx context.Context, address string, config *tls.Config, proto string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAlive: -1}
 	nc, err := dialer.DialContext(ctx, "tcp", address)
@@ -56,7 +56,7 @@
 	negotiated := tc.ConnectionState().NegotiatedProtocol
 	if negotiated != proto && (proto == "h2" || negotiated != "") {
 		nc.Close()
-		return nil, fmt.Errorf("h1client: %s does not speak %s", address, proto)
+		return nil, fmt.Errorf("h1client: the TLS handshake with endpoint %s did not negotiate protocol %s", address, proto)
 	}
 	return tc, nil
 }
--- a/internal/upstream/h1client/exchange.go
+++ b/internal/upstream/h1client/exchange.go
@@ -8,7 +8,7 @@
 	"yokestall/policy"
 )
 
-// Exchange implements engine.Exchanger. payload is a *Request, and the result's Answer a *Answer or nil.
+// Exchange implements engine.Exchanger. payload must be a *Request. The result's Answer is a *Answer or nil.
 func (p *Pool) Exchange(
 	call *engine.Call, id policy.EndpointID, payload any, remaining time.Duration,
 ) engine.Result {
@@ -19,8 +19,8 @@
 		if c == nil {
 			return engine.Result{Status: status}
 		}
-		c.message = r.appendTo(c.message[:0], remaining-time.Since(start))
-		if (c.reused || !c.tls) && !c.nothingToRead() { // closed, or with bytes behind the last answer
+		c.requestBuffer = r.appendTo(c.requestBuffer[:0], remaining-time.Since(start))
+		if (c.reused || !c.tls) && !c.nothingToRead() { // closed, or data is pending
 			p.release(c, false)
 			if c.reused {
 				continue
@@ -35,26 +35,28 @@
 		result, reusable := p.exchange(c, r)
 		active := call.ClearOnStop()
 		if a, ok := result.Answer.(*Answer); ok && (a.Stream != nil || a.Tunnel != nil) {
-			if !active { // stopped: the connection is closed
+			if !active { // the call was stopped, which closes the connection
 				a.Close()
 				return engine.Result{Status: policy.Cancelled}
 			}
-			return result // which owns the connection
+			return result // its Stream or Tunnel owns the connection
 		}
 		p.release(c, active && reusable)
 		return result
 	}
 }
 
-// exchange writes the request and reads the answer. Once the request's last byte is written it may have run. reusable
-// reports whether the connection can serve a further request.
+// exchange writes the request and reads the answer. Once the last byte of the request is written, the endpoint may
+// have run it. If a write fails, the endpoint has not received the whole request, and the status is policy.ConnectFailed;
+// with Options.AnyStatus it is policy.Reset if the whole head was written. reusable reports whether the connection can
+// serve a further request.
 func (p *Pool) exchange(c *conn, r *Request) (result engine.Result, reusable bool) {
-	n, err := c.Conn.Write(c.message)
+	n, err := c.Conn.Write(c.requestBuffer)
 	if err == nil && len(r.Body) > MaxBody {
 		_, err = c.Conn.Write(r.Body)
 	}
 	if err != nil {
-		if p.anyStatus && bytes.Contains(c.message[:n], headEnd) { // the endpoint may act on a part of a body
+		if p.anyStatus && bytes.Contains(c.requestBuffer[:n], headEnd) { // the endpoint may act on part of the body
 			return engine.Result{Status: policy.Reset}, false
 		}
 		return engine.Result{Status: policy.ConnectFailed}, false
@@ -65,10 +67,10 @@
 	sender := c.startUpload(r.Upload, r.chunked(), r.StallTimeout())
 	result, reusable = p.readAnswer(c, r, sender)
 	if a, ok := result.Answer.(*Answer); ok && a.Stream != nil {
-		return result, false // the upload goes on beside the stream
+		return result, false // the upload continues while the stream is read
 	}
 	complete := sender.stop(c)
-	if sender.clientFailed && result.Status != policy.OK { // not a fault of the endpoint
+	if sender.clientFailed && result.Status != policy.OK { // reading the body failed or was ended by stop
 		result.Status = policy.Cancelled
 	}
 	return result, reusable && complete
--- a/internal/upstream/h1client/idleconns.go
+++ b/internal/upstream/h1client/idleconns.go
@@ -1,7 +1,8 @@
 package h1client
 
-// Idle connections: which one an attempt gets, and which are closed, by age, number or for room. Their number and idle
-// time come from package keepalive, by what this node has used since the last look.
+// This file manages the idle connections. It selects the one that an attempt gets, and closes those that have been idle
+// for too long, that are too many for one endpoint, or that must make room for new connections. Package keepalive computes
+// the limits on their number and idle time from the node's recent use of the endpoints.
 
 import (
 	"context"
@@ -13,24 +14,28 @@
 )
 
 const (
-	// IdleTimeoutFraction is the part of Options.EndpointIdleTimeout after which a connection is closed here: a request
-	// that is written while the endpoint closes its connection counts as one that may have run.
+	// IdleTimeoutFraction is the fraction of Options.EndpointIdleTimeout after which the pool closes an idle connection.
+	// It is less than 1 so that the pool closes the connection before the endpoint does: a request that is written while
+	// the endpoint closes the connection must be treated as one that may have run.
 	IdleTimeoutFraction = 0.6
-	// defaultReuseDelay is the default of Options.ReuseDelay. A longer one has connections idle for longer, and more of
-	// them are reset at their next request.
+	// defaultReuseDelay is the default of Options.ReuseDelay. With a longer delay, connections would be idle for longer,
+	// and more of them would be reset at their next request.
 	defaultReuseDelay = time.Millisecond
-	// minAwaitReuseFrom and awaitReuseFactor set Pool.awaitReuseFrom: in time, and in multiples of a ReuseDelay that is
-	// set. An endpoint that answers faster would see its latency grow by the wait.
-	minAwaitReuseFrom = 10 * defaultReuseDelay
-	awaitReuseFactor  = 2
-	// maxIdleMessageBytes limits the request buffer that an idle connection retains.
-	maxIdleMessageBytes = 4 << 10
-	// evictionsPerIdleTime and minEvictionInterval set how often EvictIdle runs.
+	// minReuseWaitThreshold is the minimum and the default of Pool.reuseWaitThreshold. An endpoint that answers faster
+	// than the threshold would have its latency increased noticeably by the wait for ReuseDelay.
+	minReuseWaitThreshold = 10 * defaultReuseDelay
+	// reuseWaitFactor is the ratio of Pool.reuseWaitThreshold to an Options.ReuseDelay that is set.
+	reuseWaitFactor = 2
+	// maxIdleRequestBufferBytes is the maximum size of the request buffer that an idle connection retains.
+	maxIdleRequestBufferBytes = 4 << 10
+	// evictionsPerIdleTime is how many times per Pool.maxIdleTime EvictIdle closes connections.
 	evictionsPerIdleTime = 8
-	minEvictionInterval  = 10 * time.Millisecond
+	// minEvictionInterval is the minimum interval at which EvictIdle closes connections.
+	minEvictionInterval = 10 * time.Millisecond
 )
 
-// EvictIdle closes connections that were idle for too long, or that are too many for one endpoint, until ctx ends.
+// EvictIdle runs until ctx ends. At regular intervals it updates the limits on idle connections, and closes those that have
+// been idle for too long or are too many for one endpoint.
 func (p *Pool) EvictIdle(ctx context.Context) {
 	ticker := time.NewTicker(max(p.maxIdleTime/evictionsPerIdleTime, minEvictionInterval))
 	defer ticker.Stop()
@@ -49,17 +54,19 @@
 	}
 }
 
-// evictExpired closes an endpoint's idle connections beyond the limits, the oldest first. mu is locked.
+// evictExpired closes the endpoint's idle connections that exceed idleTimeout or maxIdlePerEndpoint, those that have been
+// idle for longest first. p.mu must be locked.
 func (p *Pool) evictExpired(e *endpoint) {
 	n := 0
-	for n < len(e.idle) && (time.Since(e.idle[n].idleSince) > p.idleTimeout || len(e.idle)-n > p.idlePerEndpoint) {
+	for n < len(e.idle) && (time.Since(e.idle[n].idleSince) > p.idleTimeout || len(e.idle)-n > p.maxIdlePerEndpoint) {
 		p.closeConn(e.idle[n])
 		n++
 	}
 	e.idle = append(e.idle[:0], e.idle[n:]...)
 }
 
-// updateIdleLimits sets idlePerEndpoint and idleTimeout by what this node has used since measuredAt. mu is locked.
+// updateIdleLimits computes maxIdlePerEndpoint and idleTimeout from this node's use of the endpoints since limitsUpdatedAt.
+// p.mu must be locked.
 func (p *Pool) updateIdleLimits(now time.Time) {
 	f := keepalive.Fleet{Nodes: p.nodeCount, Endpoints: len(p.endpoints)}
 	for _, e := range p.endpoints {
@@ -68,15 +75,16 @@
 		}
 		e.used = false
 	}
-	f.RequestsPerSecond = float64(p.releases*max(1, p.nodeCount)) / max(now.Sub(p.measuredAt).Seconds(), 1e-3)
-	p.releases, p.measuredAt = 0, now
-	p.idlePerEndpoint = keepalive.MaxIdle(f)
+	f.RequestsPerSecond = float64(p.releases*max(1, p.nodeCount)) / max(now.Sub(p.limitsUpdatedAt).Seconds(), 1e-3)
+	p.releases, p.limitsUpdatedAt = 0, now
+	p.maxIdlePerEndpoint = keepalive.MaxIdle(f)
 	p.idleTimeout = keepalive.IdleTimeout(f, p.prices, p.maxIdleTime)
 }
 
-// acquire returns an idle connection, or nil, the endpoint and policy.OK as permission to open one. At the limit on
-// connections it closes the oldest idle one. Otherwise the status is ConnectFailed for an endpoint that is not known,
-// or NeverSent at the limit.
+// acquire returns an idle connection to the endpoint. If there is none, it returns nil and policy.OK, and the caller may
+// open a connection, which is counted already. To stay within maxConnections, acquire closes the connection that has been
+// idle for longest. The status is policy.ConnectFailed if the endpoint is unknown, and policy.NeverSent if maxConnections
+// is reached and no connection is idle.
 func (p *Pool) acquire(id policy.EndpointID) (*conn, *endpoint, policy.Status) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,27 +96,29 @@
 		return c, e, policy.OK
 	}
 	if p.connections >= p.maxConnections && !p.evictOldest() {
-		return nil, nil, policy.NeverSent // not a fault of the endpoint
+		return nil, nil, policy.NeverSent // the endpoint is not to blame
 	}
 	p.connections++
 	return nil, e, policy.OK
 }
 
-// takeIdle removes and returns the last used connection that may be used again; nil if there is none. mu is locked.
+// takeIdle removes and returns the most recently used idle connection that may be used again, or nil if there is none. p.mu
+// must be locked.
 //
-// What an endpoint does with a connection behind an answer, to close it or to send more than belongs to the answer,
-// shows only after a moment: a request that is written before is lost, or gets what belongs to the former one, since
-// nothing in an answer names its request. So a connection that is idle for less than reuseDelay is passed over. Where
-// it is the only one it is returned all the same, and the caller waits for the delay, unless the endpoint answers so
-// fast that the wait would count: what waited for the endpoint goes to the connection that has just answered, and to
-// open one each time would cost both sides a handshake.
+// An endpoint may close a connection after its answer, or send more bytes than belong to the answer, and either becomes
+// visible only after a moment. A request that is written before then is lost, or gets the excess bytes as its answer,
+// because nothing in an answer identifies its request. Therefore takeIdle passes over a connection that has been idle for
+// less than reuseDelay, with one exception: it returns the connection, and the caller waits for the rest of the delay, if
+// there is no older usable one and the last exchange took at least reuseWaitThreshold. In that case the wait is short
+// compared with the endpoint's latency. Without the exception, requests that wait for an endpoint, and thus follow its last
+// answer at once, would open a new connection each time, which costs both sides a handshake.
 func (p *Pool) takeIdle(e *endpoint) *conn {
 	for n := len(e.idle) - 1; n >= 0; n-- {
 		c := e.idle[n]
 		idleTime := time.Since(c.idleSince)
 		if idleTime < p.reuseDelay {
 			olderUsable := n > 0 && time.Since(e.idle[n-1].idleSince) <= p.maxIdleTime
-			if c.exchangeTime < p.awaitReuseFrom || olderUsable {
+			if c.exchangeTime < p.reuseWaitThreshold || olderUsable {
 				continue
 			}
 		}
@@ -122,7 +132,8 @@
 	return nil
 }
 
-// evictOldest closes the connection that is idle for longest. It returns false if none is idle. mu is locked.
+// evictOldest closes the connection that has been idle for longest, of all endpoints. It returns false if none is idle.
+// p.mu must be locked.
 func (p *Pool) evictOldest() bool {
 	var oldest *endpoint
 	for _, e := range p.endpoints {
@@ -138,19 +149,20 @@
 	return true
 }
 
-// release ends the use of a connection. It becomes idle if it is reusable, and is closed otherwise.
+// release ends an attempt's, stream's or tunnel's use of a connection. The connection becomes idle if it is reusable, the
+// endpoint is still listed and maxIdlePerEndpoint is not reached; otherwise release closes it.
 func (p *Pool) release(c *conn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := c.endpoint
 	p.releases++
 	e.used = true
-	if !reusable || e.removed || len(e.idle) >= p.idlePerEndpoint {
+	if !reusable || e.removed || len(e.idle) >= p.maxIdlePerEndpoint {
 		p.closeConn(c)
 		return
 	}
-	if cap(c.message) > maxIdleMessageBytes {
-		c.message = nil
+	if cap(c.requestBuffer) > maxIdleRequestBufferBytes {
+		c.requestBuffer = nil
 	}
 	c.reused, c.idleSince = true, time.Now()
 	c.exchangeTime = c.idleSince.Sub(c.exchangeStart)
--- a/internal/upstream/h1client/idleconns_test.go
+++ b/internal/upstream/h1client/idleconns_test.go
@@ -46,7 +46,7 @@
 			addr, _ := backend(t, func(w http.ResponseWriter, r *http.Request) {
 				from[r.RemoteAddr] = true // one request at a time
 				if behind == nil {
-					time.Sleep(minAwaitReuseFrom) // the server's work
+					time.Sleep(minReuseWaitThreshold) // the server's work
 					io.WriteString(w, "hi")
 					return
 				}
@@ -90,7 +90,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if idle := u.endpoints[id].idle; len(idle) != 1 || cap(idle[0].message) > maxIdleMessageBytes {
+	if idle := u.endpoints[id].idle; len(idle) != 1 || cap(idle[0].requestBuffer) > maxIdleRequestBufferBytes {
 		t.Errorf("%d idle", len(idle))
 	}
 }
--- a/internal/upstream/h1client/pool.go
+++ b/internal/upstream/h1client/pool.go
@@ -12,92 +12,93 @@
 
 // Options configure a Pool.
 type Options struct {
-	// EndpointIdleTimeout is how long a connection may be idle before endpoints close it.
+	// EndpointIdleTimeout is how long a connection must be idle before the endpoints close it.
 	EndpointIdleTimeout time.Duration
-	ConnectTimeout      time.Duration // includes the TLS handshake
-	// MaxConnections limits the connections to all endpoints, those being opened included.
+	ConnectTimeout      time.Duration // timeout for opening a connection, including the TLS handshake
+	// MaxConnections is the maximum number of connections to all endpoints, including those that are being opened.
 	MaxConnections int
-	// ReuseDelay is the time from an answer to the next request on its connection; 0: 1 ms. What an endpoint sends
-	// behind an answer would be taken for the next request's.
+	// ReuseDelay is the minimum time from an answer to the next request on its connection; 0 means 1 ms. Bytes that an
+	// endpoint sends after the answer would otherwise be taken for the answer to the next request.
 	ReuseDelay time.Duration
-	// AnyStatus takes each answer below 500 as served; otherwise only status 200. Other answers are returned with their
-	// results, for clients that get nothing better, and a body that is longer than MaxBody, or slow, follows as a
-	// stream.
+	// AnyStatus makes every answer with a status below 500 a success; without it, only answers with status 200 are. With
+	// AnyStatus, an answer from status 500 on is returned with the failed result, for clients that get no better answer,
+	// and a body that is longer than MaxBody or slow is returned as a stream.
 	AnyStatus bool
-	// NodeCount is the number of nodes that share the endpoints; 0: one.
+	// NodeCount is the number of nodes that share the endpoints; 0 means 1.
 	NodeCount int
-	Prices    keepalive.Prices // of the site, for the number and time of idle connections
-	// StreamLargeBodies has bodies longer than MaxBody follow as streams without AnyStatus too. A shorter one may take
-	// any time while it makes progress.
+	Prices    keepalive.Prices // the site's prices, which limit the idle time of connections
+	// StreamLargeBodies returns bodies longer than MaxBody as streams, even without AnyStatus. The transfer of a shorter
+	// body has no time limit as long as data arrives (see AnswerTransferTimeout).
 	StreamLargeBodies bool
-	TLS               *tls.Config // to endpoints; nil: clear text
+	TLS               *tls.Config // configuration of connections to endpoints; nil means plain TCP
 }
 
-// Endpoint is the address of an endpoint during one of its incarnations.
+// Endpoint is an entry of an endpoint update: the address of an endpoint in one incarnation, or the endpoint's removal.
 type Endpoint struct {
 	ID          policy.EndpointID
 	Address     string  // host:port
-	Incarnation float64 // any value that changes when the endpoint restarts
-	Removed     bool
+	Incarnation float64 // a value that changes when the endpoint restarts
+	Removed     bool    // the endpoint was removed from the endpoint list
 }
 
-// Pool holds the endpoints' addresses and the idle connections to them. It is an engine.Exchanger for payloads of
-// *Request and answers of *Answer. Create it with New.
+// Pool holds the addresses of the endpoints and the idle connections to them. It is an engine.Exchanger whose payloads are
+// of type *Request and whose answers are of type *Answer. Use New to create a Pool.
 type Pool struct {
-	// maxIdleTime is how long a connection may be idle and still be used.
+	// maxIdleTime is how long a connection may have been idle and still be reused.
 	maxIdleTime time.Duration
 	reuseDelay  time.Duration
-	// awaitReuseFrom is the least time of a connection's last exchange for which its reuseDelay is awaited.
-	awaitReuseFrom    time.Duration
-	nodeCount         int
-	prices            keepalive.Prices
-	anyStatus         bool
-	streamLargeBodies bool
-	tls               *tls.Config
+	// reuseWaitThreshold is the minimum duration of a connection's last exchange for an attempt to wait for the end of the
+	// connection's reuseDelay. After a shorter exchange, the attempt uses another connection.
+	reuseWaitThreshold time.Duration
+	nodeCount          int
+	prices             keepalive.Prices
+	anyStatus          bool
+	streamLargeBodies  bool
+	tls                *tls.Config
 
-	// mu guards the fields below, and those of the endpoints.
-	mu              sync.Mutex
-	connectTimeout  time.Duration
-	maxConnections  int
-	endpoints       map[policy.EndpointID]*endpoint
-	connections     int           // to all endpoints, those being opened included
-	idlePerEndpoint int           // limit on idle connections to one endpoint
-	idleTimeout     time.Duration // after which idle connections are closed
-	releases        int           // since measuredAt
-	measuredAt      time.Time     // of the last updateIdleLimits
+	// mu guards the fields below and the fields of the endpoints.
+	mu                 sync.Mutex
+	connectTimeout     time.Duration
+	maxConnections     int
+	endpoints          map[policy.EndpointID]*endpoint
+	connections        int           // number of connections to all endpoints, including those being opened
+	maxIdlePerEndpoint int           // maximum number of idle connections to one endpoint
+	idleTimeout        time.Duration // idle time after which EvictIdle closes a connection
+	releases           int           // number of connections released since limitsUpdatedAt
+	limitsUpdatedAt    time.Time     // time of the last updateIdleLimits
 }
 
 var _ engine.Exchanger = (*Pool)(nil)
 
-// endpoint is an Endpoint with its idle connections.
+// endpoint is an endpoint in one incarnation, with the idle connections to it.
 type endpoint struct {
 	address     string
 	incarnation float64
-	idle        []*conn // the last used at the end
-	removed     bool    // or restarted, or moved: connections are not reused
-	used        bool    // a connection was released since Pool.measuredAt
+	idle        []*conn // idle connections, ordered by idleSince: the most recently used one is last
+	removed     bool    // the endpoint was removed, has restarted or has a new address: its connections are not reused
+	used        bool    // a connection was released since Pool.limitsUpdatedAt
 }
 
 // New returns a pool without endpoints.
 func New(o Options) *Pool {
 	maxIdleTime := time.Duration(float64(o.EndpointIdleTimeout) * IdleTimeoutFraction)
 	p := &Pool{
-		maxIdleTime: maxIdleTime, reuseDelay: defaultReuseDelay, awaitReuseFrom: minAwaitReuseFrom,
+		maxIdleTime: maxIdleTime, reuseDelay: defaultReuseDelay, reuseWaitThreshold: minReuseWaitThreshold,
 		nodeCount: o.NodeCount, prices: o.Prices,
 		anyStatus: o.AnyStatus, streamLargeBodies: o.StreamLargeBodies, tls: o.TLS,
 		connectTimeout: o.ConnectTimeout, maxConnections: o.MaxConnections,
-		endpoints:       map[policy.EndpointID]*endpoint{},
-		idlePerEndpoint: keepalive.MaxIdle(keepalive.Fleet{Nodes: o.NodeCount}),
-		idleTimeout:     maxIdleTime, measuredAt: time.Now(),
+		endpoints:          map[policy.EndpointID]*endpoint{},
+		maxIdlePerEndpoint: keepalive.MaxIdle(keepalive.Fleet{Nodes: o.NodeCount}),
+		idleTimeout:        maxIdleTime, limitsUpdatedAt: time.Now(),
 	}
 	if o.ReuseDelay > 0 {
-		p.reuseDelay, p.awaitReuseFrom = o.ReuseDelay, max(minAwaitReuseFrom, awaitReuseFactor*o.ReuseDelay)
+		p.reuseDelay, p.reuseWaitThreshold = o.ReuseDelay, max(minReuseWaitThreshold, reuseWaitFactor*o.ReuseDelay)
 	}
 	return p
 }
 
-// SetLimits changes Options.ConnectTimeout and MaxConnections, for connections that are opened from now on. Idle
-// connections beyond the limit are closed.
+// SetLimits replaces Options.ConnectTimeout and Options.MaxConnections. Both apply to connections that are opened from now
+// on; SetLimits also closes idle connections until no more than maxConnections are open or none is idle.
 func (p *Pool) SetLimits(connectTimeout time.Duration, maxConnections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,15 +109,16 @@
 	}
 }
 
-// OpenConnections returns the number of connections, those being opened included.
+// OpenConnections returns the number of connections to all endpoints, including those that are being opened.
 func (p *Pool) OpenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connections
 }
 
-// UpdateEndpoints applies an endpoint update. With full, endpoints that are not in the list are removed. An endpoint at
-// a new address or with a new incarnation is another process: idle connections to the former one are closed.
+// UpdateEndpoints applies an endpoint update. If full is true, it is a full update: endpoints that are not in the list are
+// removed. An endpoint with a new address or a new incarnation is another process, so the idle connections to the former
+// process are closed.
 func (p *Pool) UpdateEndpoints(full bool, list []Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,7 +146,7 @@
 	}
 }
 
-// remove removes an endpoint, if it is not nil, and closes its idle connections. mu is locked.
+// remove removes the endpoint e and closes its idle connections. It does nothing if e is nil. p.mu must be locked.
 func (p *Pool) remove(id policy.EndpointID, e *endpoint) {
 	if e == nil {
 		return
@@ -157,7 +159,7 @@
 	delete(p.endpoints, id)
 }
 
-// closeConn closes a connection. mu is locked.
+// closeConn closes a connection and subtracts it from the number of open connections. p.mu must be locked.
 func (p *Pool) closeConn(c *conn) {
 	p.connections--
 	c.Conn.Close()
--- a/internal/upstream/h1client/request.go
+++ b/internal/upstream/h1client/request.go
@@ -9,29 +9,29 @@
 	"yokestall/internal/engine"
 )
 
-// Request is what is forwarded of a client's request. It is the payload of an attempt.
+// Request holds the forwarded parts of a client's request. It is the payload of an attempt.
 type Request struct {
 	Method string
-	Target string // path and query as the client sent them; begins with /
+	Target string // path and query as sent by the client; begins with a slash
 	Host   string
-	Header http.Header // end-to-end fields, with names and values as net/http accepts them
+	Header http.Header // end-to-end fields, with valid names and values, as net/http accepts them
 	Body   []byte
-	// Upload is the body where it was not read before the request; nil: Body is complete.
+	// Upload is the body if it is still arriving; nil if Body is complete.
 	Upload        *Upload
-	Length        int64 // of Upload in bytes; -1: not known
-	ReservedBytes int64 // of the downstream server's memory for bodies
-	// Upgrade is the protocol that the client asks for (RFC 9110, 7.8); "": none.
+	Length        int64 // length of Upload in bytes; -1 if it is not known
+	ReservedBytes int64 // share of the downstream server's memory for bodies that is reserved for this request
+	// Upgrade is the protocol that the client asks to upgrade to (RFC 9110, 7.8); empty if there is none.
 	Upgrade string
-	// TrailerNames are the fields behind Upload that the client has announced, sorted; nil: none.
+	// TrailerNames lists the trailer fields of Upload that the client has announced, sorted; nil if there are none.
 	TrailerNames []string
 	Limits       StreamLimits
-	// AcceptsTrailers reports that the client accepts fields behind the answer's body (RFC 9110, 10.1.4).
+	// AcceptsTrailers is set if the client accepts trailer fields after the answer's body (RFC 9110, 10.1.4).
 	AcceptsTrailers bool
 }
 
 var _ engine.StreamingPayload = (*Request)(nil)
 
-// StallTimeout returns Limits.StallTimeout or its default.
+// StallTimeout returns Limits.StallTimeout, or DefaultStallTimeout if that is not set.
 func (r *Request) StallTimeout() time.Duration {
 	if r.Limits.StallTimeout > 0 {
 		return r.Limits.StallTimeout
@@ -45,12 +45,12 @@
 // Consumed implements engine.StreamingPayload.
 func (r *Request) Consumed() bool { return r.Upload != nil && r.Upload.Consumed() }
 
-// chunked reports whether the upload is sent in chunks over HTTP/1.1: its length is not known, or trailers follow it
-// (RFC 9112, 7.1.2).
+// chunked reports whether the upload is sent with chunked transfer coding over HTTP/1.1: its length is not known, or trailer
+// fields follow it (RFC 9112, 7.1.2).
 func (r *Request) chunked() bool { return r.Length < 0 || len(r.TrailerNames) > 0 }
 
-// appendTo appends the request to b, with the remaining time, up to its body. A Body of at most MaxBody is included.
-// Names and values were read by net/http, which accepts no line end in them.
+// appendTo appends the request's head to b, with the time remaining in X-Timeout-Ms, and also Body if it has at most MaxBody
+// bytes. Field names and values need no check here: net/http has read them, and accepts no line ends in them.
 func (r *Request) appendTo(b []byte, remaining time.Duration) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
@@ -77,7 +77,7 @@
 	return r.appendBody(b)
 }
 
-// appendBody appends the fields that frame the body, the end of the head, and a Body of at most MaxBody.
+// appendBody appends the header fields that frame the body, the end of the head, and Body if it has at most MaxBody bytes.
 func (r *Request) appendBody(b []byte) []byte {
 	switch {
 	case r.Upload != nil && r.chunked():
@@ -94,7 +94,7 @@
 		b = strconv.AppendInt(b, int64(len(r.Body)), 10)
 	}
 	b = append(b, "\r\n\r\n"...)
-	if len(r.Body) > MaxBody { // exchange writes it
+	if len(r.Body) > MaxBody { // Pool.exchange writes a longer Body by itself
 		return b
 	}
 	return append(b, r.Body...)
--- a/internal/upstream/h1client/stream.go
+++ b/internal/upstream/h1client/stream.go
@@ -10,28 +10,30 @@
 	"yokestall/policy"
 )
 
-// DefaultStallTimeout is the default of StreamLimits.StallTimeout. An event stream without events for longer sends
-// comments, as HTML's server-sent events advise every 15 s or so.
+// DefaultStallTimeout is the default of StreamLimits.StallTimeout. It does not interrupt an event stream that has no events
+// for longer, provided that the stream sends comments, as the HTML standard advises for server-sent events (about every
+// 15 s).
 const DefaultStallTimeout = time.Minute
 
-// StreamLimits limit bodies that are forwarded while they arrive, and upgraded connections. 0 is no limit, except for
-// StallTimeout.
+// StreamLimits holds the time limits of bodies that are forwarded while they arrive, and of upgraded connections. A value of
+// 0 means no limit, except for StallTimeout.
 type StreamLimits struct {
-	// StallTimeout is how long an endpoint may send nothing, or read nothing of an upload; 0: DefaultStallTimeout.
+	// StallTimeout is how long an endpoint may send no data, or read no data of an upload; 0 means DefaultStallTimeout.
 	StallTimeout time.Duration
-	MaxDuration  time.Duration // from the answer's head
-	DrainTimeout time.Duration // from the update that the endpoint drains or is removed
+	MaxDuration  time.Duration // maximum duration, from the answer's head on
+	DrainTimeout time.Duration // maximum duration after the endpoint update that makes the endpoint draining or removed
 }
 
-// Stream is the body of an answer that is forwarded while it arrives. Its owner closes it once, at any time; its
-// connection or HTTP/2 stream is in use until then.
+// Stream is the body of an answer that is forwarded while it arrives. The owner of a Stream must close it once, at any time.
+// Until then, the connection or HTTP/2 stream remains in use.
 //
-// Read returns io.EOF at the body's end. After any other error what was read must not be taken for the complete body.
+// Read returns io.EOF at the end of the body. After any other error, the body is incomplete.
 type Stream interface {
 	io.ReadCloser
-	// Abort has a Read in progress, and all later ones, return an error.
+	// Abort makes a Read in progress and all later ones return an error.
 	Abort()
-	// Trailer returns the fields behind the body once Read has returned io.EOF; nil: none.
+	// Trailer returns the trailer fields after the body, or nil if there are none. It is valid once Read has returned
+	// io.EOF.
 	Trailer() http.Header
 }
 
@@ -41,10 +43,10 @@
 	conn         *conn
 	stallTimeout time.Duration
 	resp         *http.Response
-	start        []byte        // of the body, already read
-	sender       *uploadSender // of the request's upload, which goes on beside; nil: none
+	prefix       []byte        // beginning of the body that was read before; Read returns it first
+	sender       *uploadSender // writes the rest of the request's upload; nil if the request has none
 	reusable     bool          // the connection can serve a further request after the body's end
-	// lacksFraming has the end of the connection count as an error: it may be the end of a part (conn.lacksFraming).
+	// lacksFraming makes the end of the connection an error, because the body may be truncated (see conn.lacksFraming).
 	lacksFraming bool
 	closeOnce    sync.Once
 	ended        bool // the body was read to its end
@@ -52,20 +54,21 @@
 
 var _ Stream = (*stream)(nil)
 
-// streamAnswer returns the result of an answer whose body follows as a stream, behind start. The stream owns the
-// connection. A failure, from status 500 on, is returned without its body.
+// streamAnswer returns the result for an answer whose body is returned as a stream. The stream begins with prefix, the part
+// of the body that was read before, and owns the connection. An answer with a status of 500 or more is returned without its
+// body and without a stream.
 func (p *Pool) streamAnswer(
-	c *conn, r *Request, resp *http.Response, start []byte, sender *uploadSender,
+	c *conn, r *Request, resp *http.Response, prefix []byte, sender *uploadSender,
 ) engine.Result {
 	a := &Answer{Status: resp.StatusCode, Header: EndToEndHeader(resp.Header)}
 	if resp.StatusCode >= 500 {
 		a.Length = -1
 		return engine.Result{Status: FailureStatus(resp), Answer: a}
 	}
-	c.limitTransfer(false)
+	c.setTransferDeadline(false)
 	a.Length = resp.ContentLength
 	a.Stream = &stream{
-		pool: p, conn: c, stallTimeout: r.StallTimeout(), resp: resp, start: start, sender: sender,
+		pool: p, conn: c, stallTimeout: r.StallTimeout(), resp: resp, prefix: prefix, sender: sender,
 		reusable: !resp.Close, lacksFraming: !p.anyStatus && c.lacksFraming(resp),
 	}
 	return engine.Result{Status: policy.OK, Answer: a}
@@ -73,15 +76,15 @@
 
 // Read implements Stream.
 func (s *stream) Read(p []byte) (int, error) {
-	if len(s.start) > 0 {
-		n := copy(p, s.start)
-		s.start = s.start[n:]
+	if len(s.prefix) > 0 {
+		n := copy(p, s.prefix)
+		s.prefix = s.prefix[n:]
 		return n, nil
 	}
 	if s.ended {
 		return 0, io.EOF
 	}
-	s.conn.readBudget = maxAnswerBytes // limits one Read, not the body
+	s.conn.readBudget = maxAnswerBytes // per Read, not per body
 	s.conn.SetReadDeadline(time.Now().Add(s.stallTimeout))
 	n, err := s.resp.Body.Read(p)
 	switch {
@@ -99,12 +102,13 @@
 // Trailer implements Stream.
 func (s *stream) Trailer() http.Header { return s.resp.Trailer }
 
-// Close releases the connection, which is closed unless the body was read to its end.
+// Close stops the upload and releases the connection. The connection is reused only if the body was read to its end and the
+// upload was written to its end.
 func (s *stream) Close() error {
 	s.closeOnce.Do(func() {
 		uploaded := s.sender.stop(s.conn)
 		s.conn.SetReadDeadline(time.Time{})
-		s.conn.transferLimit = false
+		s.conn.transferDeadlineSet = false
 		s.pool.release(s.conn, s.ended && uploaded && s.reusable && s.conn.reader.Buffered() == 0)
 	})
 	return nil
--- a/internal/upstream/h1client/upload.go
+++ b/internal/upstream/h1client/upload.go
@@ -9,55 +9,57 @@
 )
 
 const (
-	// uploadPartBytes is read from a client at a time.
-	uploadPartBytes = 16 << 10
-	// forwardBufferBytes is the buffer of an upload that can't be sent again any more.
+	// uploadReadBytes is the maximum number of bytes of an upload that are read or written at a time.
+	uploadReadBytes = 16 << 10
+	// forwardBufferBytes is the maximum size of the buffer of an upload that can't be sent again from its beginning.
 	forwardBufferBytes = 64 << 10
-	// UploadBufferTimeout is how long the end of a body of unknown length is awaited before its request is forwarded.
-	// It suffices for a body that a client sends together with its header.
+	// UploadBufferTimeout is how long a request whose body has an unknown length waits for the end of the body before it
+	// is forwarded. The timeout suffices for a body that the client sends together with the header.
 	UploadBufferTimeout = 10 * time.Millisecond
 )
 
 var (
-	errBeginningDropped = errors.New("h1client: the beginning of the body was dropped")
-	errUploadClosed     = errors.New("h1client: the body is closed")
+	errBeginningDropped = errors.New("h1client: the beginning of the request body is no longer buffered")
+	errUploadClosed     = errors.New("h1client: the request body is closed for reading")
 )
 
-// Upload is a request's body that is forwarded while it arrives. It buffers the beginning, up to a limit: while all of
-// the body fits, further attempts can send it from its first byte. The first attempt that needs more becomes the owner
-// of the upload, and what it has read is dropped to make room.
+// Upload is a request body that is forwarded while it arrives. It buffers the beginning of the body, up to a limit. As long
+// as the body fits the buffer, any number of attempts can send it from its first byte. The first attempt that needs more of
+// the body than fits becomes the owner of the upload, and the bytes that it has read are dropped to make room.
 //
-// An upload uses the limit and one part of 16 KiB of memory, whatever its length.
+// Whatever the length of the body, an upload needs only the memory of its buffer, up to the limit, and of one read buffer
+// of at most 16 KiB.
 type Upload struct {
-	from io.Reader // the client's body; only Run reads it
-	// Trailer returns the announced fields behind the body (RFC 9110, 6.5), once it was read to its end; nil: none. It
-	// must be set before Run.
+	source io.Reader // the client's body; only Run reads it
+	// Trailer returns the announced trailer fields (RFC 9110, 6.5) once the body was read to its end. It is nil if there
+	// are none. It must be set before Run is called.
 	Trailer func() http.Header
 
 	// mu guards the fields below.
 	mu         sync.Mutex
-	changed    sync.Cond // of any field below
-	limit      int       // on buffer, in bytes
-	buffer     []byte    // of the body, from offset on
-	offset     int64
-	owner      *uploadReader // has read what was dropped; nil: nothing was
-	err        error         // io.EOF: buffer ends with the body's last byte; otherwise why reading failed
-	requested  bool          // an attempt has read from the body
-	closed     bool
-	discarding bool // what arrives is read and dropped
+	changed    sync.Cond     // signals that a field below has changed
+	limit      int           // maximum length of buffer in bytes
+	buffer     []byte        // part of the body that starts at offset
+	offset     int64         // number of bytes of the body that were dropped
+	owner      *uploadReader // the reader that has read the dropped bytes; nil if none were dropped
+	err        error         // io.EOF if the body was read to its end, or the error of reading it; nil before
+	requested  bool          // an attempt has called Read
+	closed     bool          // Close was called
+	discarding bool          // the rest of the body is read and dropped
 }
 
-// NewUpload returns an upload that buffers at most limit bytes, 1 or more. Run fills it.
-func NewUpload(from io.Reader, limit int) *Upload {
-	u := &Upload{from: from, limit: limit}
+// NewUpload returns an upload that buffers at most limit bytes; limit must be at least 1. Run must be called to read the
+// body.
+func NewUpload(source io.Reader, limit int) *Upload {
+	u := &Upload{source: source, limit: limit}
 	u.changed.L = &u.mu
 	return u
 }
 
-// Run reads the client's body until its end, an error or Close. With onDemand it waits until an attempt reads the body,
-// since the client expects 100 Continue (RFC 9110, 10.1.1).
+// Run reads the client's body until its end, an error or Close. If onDemand is true, it starts only when an attempt reads the
+// body, because the first Read of a body whose client expects 100 Continue sends that response (RFC 9110, 10.1.1).
 func (u *Upload) Run(onDemand bool) {
-	part := make([]byte, min(uploadPartBytes, u.limit))
+	readBuffer := make([]byte, min(uploadReadBytes, u.limit))
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for onDemand && !u.requested && !u.closed {
@@ -71,12 +73,12 @@
 		}
 		u.mu.Unlock()
 		if u.discarding {
-			free = len(part)
+			free = len(readBuffer)
 		}
-		n, err := u.from.Read(part[:min(free, len(part))])
+		n, err := u.source.Read(readBuffer[:min(free, len(readBuffer))])
 		u.mu.Lock()
 		if !u.discarding {
-			u.buffer = append(u.buffer, part[:n]...)
+			u.buffer = append(u.buffer, readBuffer[:n]...)
 		}
 		if err != nil {
 			u.err = err
@@ -87,8 +89,8 @@
 	}
 }
 
-// Discard has the rest of the body read and dropped, and waits for its end: a client may read its response only after
-// it has sent all. Attempts get no more of the body.
+// Discard makes Run read and drop the rest of the body, and waits for the end of the body, an error or Close. It is for
+// clients that read the response only after they have sent the whole body. Attempts can't read the body any more.
 func (u *Upload) Discard() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -99,7 +101,7 @@
 	}
 }
 
-// Close ends all reading. Run returns after its Read in progress.
+// Close ends the reading of the body by Run and by all attempts. Run returns once its Read in progress has returned.
 func (u *Upload) Close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -107,9 +109,9 @@
 	u.changed.Broadcast()
 }
 
-// AwaitBufferFor waits until the body has ended or its buffer is full, at most for timeout.
+// AwaitBufferFor waits until the body has ended or failed, its buffer is full, or the timeout has expired.
 func (u *Upload) AwaitBufferFor(timeout time.Duration) {
-	expired := false // set by the timer: a clock that is read a moment too early would have the wait never end
+	expired := false // set by the timer: a clock that is read too early would make the wait endless
 	timer := time.AfterFunc(timeout, func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
@@ -124,7 +126,8 @@
 	}
 }
 
-// AwaitBuffer waits until the body has ended or failed, or its buffer is full. The client's body must have a deadline.
+// AwaitBuffer waits until the body has ended or failed, or its buffer is full. It has no timeout, so reads of the client's
+// body must have a deadline.
 func (u *Upload) AwaitBuffer() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -133,21 +136,22 @@
 	}
 }
 
-// Complete returns the body and true if it was read to its end and nothing was dropped.
+// Complete returns the buffered part of the body, and true if the body was read to its end and no reader has become the
+// owner of the upload. The buffered part is then the whole body, unless Discard was called.
 func (u *Upload) Complete() ([]byte, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.buffer, u.err == io.EOF && u.owner == nil
 }
 
-// ReadToEnd reports whether the client's last byte has arrived.
+// ReadToEnd reports whether the body was read to its end.
 func (u *Upload) ReadToEnd() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.err == io.EOF
 }
 
-// Err returns why reading the client's body failed; nil: it did not.
+// Err returns the error of reading the client's body, or nil if reading has not failed.
 func (u *Upload) Err() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -157,24 +161,24 @@
 	return u.err
 }
 
-// Consumed reports whether the body's beginning was dropped, so that no further attempt can send it.
+// Consumed reports whether the beginning of the body was dropped, so that no further attempt can send the body.
 func (u *Upload) Consumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.owner != nil
 }
 
-// Reader returns the body from its first byte, for one attempt. Closing it ends a Read that waits.
+// Reader returns a reader of the body for one attempt, from the first byte on. Closing the reader ends a Read in progress.
 func (u *Upload) Reader() io.ReadCloser { return &uploadReader{upload: u} }
 
 // uploadReader reads an upload for one attempt.
 type uploadReader struct {
 	upload *Upload
-	offset int64 // guarded by upload.mu, as is
-	closed bool
+	offset int64 // number of bytes read; guarded by upload.mu
+	closed bool  // Close was called; guarded by upload.mu
 }
 
-// Read implements io.Reader. After an error other than io.EOF the body is not complete.
+// Read implements io.Reader. After an error other than io.EOF, the attempt has not got the whole body.
 func (r *uploadReader) Read(p []byte) (int, error) {
 	u := r.upload
 	u.mu.Lock()
@@ -195,8 +199,8 @@
 			return n, nil
 		case u.err != nil:
 			return 0, u.err
-		case len(u.buffer) == u.limit || u.owner == r: // it does not fit: r becomes the owner
-			if u.owner != r && cap(u.buffer) > forwardBufferBytes { // it was to be sent again
+		case len(u.buffer) == u.limit || u.owner == r: // the body does not fit the buffer: r is or becomes the owner
+			if u.owner != r && cap(u.buffer) > forwardBufferBytes { // only resending needs so much
 				u.buffer, u.limit = nil, min(u.limit, forwardBufferBytes)
 			}
 			u.owner = r
@@ -206,7 +210,7 @@
 	}
 }
 
-// Close implements io.Closer.
+// Close implements io.Closer. It ends a Read in progress, but not the upload.
 func (r *uploadReader) Close() error {
 	r.upload.mu.Lock()
 	defer r.upload.mu.Unlock()
