--- a/internal/upstream/h1client/dial_test.go
+++ b/internal/upstream/h1client/dial_test.go
@@ -12,65 +12,67 @@
 	"yokestall/policy"
 )
 
+// If an endpoint refuses the connection, the attempt ends with ConnectFailed and the pool counts no connection.
 func TestConnectFailed(t *testing.T) {
-	u, id := poolTo(testutil.RefusingAddr(t))
-	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
-		t.Errorf("status %d", status)
+	p, id := poolTo(testutil.RefusingAddr(t))
+	if status, _ := send(t.Context(), p, id); status != policy.ConnectFailed {
+		t.Errorf("attempt to a refusing address: got status %d, want ConnectFailed", status)
 	}
-	if u.connections != 0 {
-		t.Errorf("%d connections counted", u.connections)
+	if p.connections != 0 {
+		t.Errorf("open connections: got %d, want 0", p.connections)
 	}
 }
 
-// A connection that ends before anything was written to it has carried no request.
+// A new connection that the endpoint closes before the request is written has carried no request: the attempt ends with
+// ConnectFailed.
 func TestNewConnectionReset(t *testing.T) {
 	l := testutil.Listen(t)
-	u, id := poolTo(l.Addr().String())
-	conn, _ := u.connect(engine.NewCall(t.Context()), id)
+	p, id := poolTo(l.Addr().String())
+	conn, _ := p.connect(engine.NewCall(t.Context()), id)
 	nc, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	nc.Close()
-	testutil.Until(t, "the close to be seen", func() bool { return !NothingToRead(conn.Conn) })
-	conn.endpoint.idle = append(conn.endpoint.idle, conn) // for the next send, though never used
+	testutil.Until(t, "the endpoint's close to arrive", func() bool { return !NothingToRead(conn.Conn) })
+	conn.endpoint.idle = append(conn.endpoint.idle, conn) // the next attempt takes it as a connection that was never used
 	conn.idleSince = time.Now()
-	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
-		t.Errorf("status %d", status)
+	if status, _ := send(t.Context(), p, id); status != policy.ConnectFailed {
+		t.Errorf("attempt on a closed connection: got status %d, want ConnectFailed", status)
 	}
 }
 
-// A connection that is established after its timeout carries nothing: the attempt counts as not sent, its descriptor is
-// released at once, and the connection is closed.
+// When the connect timeout expires, the attempt ends with ConnectFailed, its descriptor is released at once, and a connection
+// that is established later carries no request. Otherwise a request that counts as not run could still run.
 func TestConnectionComesUpTooLate(t *testing.T) {
 	l := testutil.Listen(t)
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) }) // one waits to be accepted, the next ones don't come up
+	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) }) // accepts one connection into the backlog only
 	first, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Close()
-	u := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 50 * time.Millisecond, MaxConnections: 10})
-	u.UpdateEndpoints(true, []Endpoint{{ID: 1, Address: l.Addr().String()}})
-	if status, _ := send(t.Context(), u, 1); status != policy.ConnectFailed {
-		t.Errorf("status %d: it has surely not run", status)
+	p := New(Options{EndpointIdleTimeout: 15 * time.Second, ConnectTimeout: 50 * time.Millisecond, MaxConnections: 10})
+	p.UpdateEndpoints(true, []Endpoint{{ID: 1, Address: l.Addr().String()}})
+	if status, _ := send(t.Context(), p, 1); status != policy.ConnectFailed {
+		t.Errorf("attempt after the connect timeout: got status %d, want ConnectFailed", status)
 	}
-	if n := u.OpenConnections(); n != 0 {
-		t.Errorf("%d connections are counted", n)
+	if n := p.OpenConnections(); n != 0 {
+		t.Errorf("open connections: got %d, want 0", n)
 	}
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(1500 * time.Millisecond)) // the next SYN would come after a second
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(1500 * time.Millisecond)) // the kernel would send the next SYN after one second
 	for range 2 {
 		nc, err := l.Accept()
 		if err != nil {
 			return
 		}
-		nc.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // first says nothing
+		nc.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // ends the read of the first connection, which sends nothing
 		if text, err := io.ReadAll(nc); len(text) > 0 {
-			t.Errorf("%q, %v", text, err)
+			t.Errorf("bytes on a connection after the timeout: got %q (error %v), want none", text, err)
 		}
 		nc.Close()
 	}
--- a/internal/upstream/h1client/idleconns.go
+++ b/internal/upstream/h1client/idleconns.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// IdleTimeoutFraction is the fraction of Options.EndpointIdleTimeout after which the pool closes an idle connection.
-	// It is less than 1 so that the pool closes the connection before the endpoint does: a request that is written while
-	// the endpoint closes the connection must be treated as one that may have run.
+	// IdleTimeoutFraction is the fraction of Options.EndpointIdleTimeout for which a connection may be idle at most. It is
+	// less than 1 so that the pool closes the connection before the endpoint does: a request that is written while the
+	// endpoint closes the connection must be treated as one that may have run.
 	IdleTimeoutFraction = 0.6
 	// defaultReuseDelay is the default of Options.ReuseDelay. With a longer delay, connections would be idle for longer,
 	// and more of them would be reset at their next request.
@@ -81,10 +81,10 @@
 	p.idleTimeout = keepalive.IdleTimeout(f, p.prices, p.maxIdleTime)
 }
 
-// acquire returns an idle connection to the endpoint. If there is none, it returns nil and policy.OK, and the caller may
-// open a connection, which is counted already. To stay within maxConnections, acquire closes the connection that has been
-// idle for longest. The status is policy.ConnectFailed if the endpoint is unknown, and policy.NeverSent if maxConnections
-// is reached and no connection is idle.
+// acquire returns an idle connection to the endpoint. If there is none, it returns a nil conn, the endpoint and policy.OK,
+// and the caller may open a connection, which is counted already. At maxConnections, acquire first closes the connection
+// that has been idle for longest. The status is policy.ConnectFailed if the endpoint is unknown, and policy.NeverSent if
+// maxConnections is reached and no connection is idle.
 func (p *Pool) acquire(id policy.EndpointID) (*conn, *endpoint, policy.Status) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/h1client/idleconns_test.go
+++ b/internal/upstream/h1client/idleconns_test.go
@@ -13,40 +13,42 @@
 	"yokestall/policy"
 )
 
+// EvictIdle closes a connection that has been idle for too long, even if no further request is sent.
 func TestEvictIdle(t *testing.T) {
 	addr, conns := testutil.Script(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false)
-	u, id := poolTo(addr)
-	u.maxIdleTime = 20 * time.Millisecond
+	p, id := poolTo(addr)
+	p.maxIdleTime = 20 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go u.EvictIdle(ctx)
-	send(ctx, u, id)
+	go p.EvictIdle(ctx)
+	send(ctx, p, id)
 	testutil.Wait(t, conns, "a connection")
 	testutil.Until(t, "the idle connection to be closed", func() bool {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		return u.connections == 0
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return p.connections == 0
 	})
 }
 
-// What an endpoint does with a connection behind its answer, to close it or to send the answer again, shows only after
-// a moment. The next request is not written before, or it would be lost or get another request's answer. It waits
-// rather than open a connection, and uses the connection where nothing follows.
+// An endpoint may close a connection after its answer, or send further bytes, and either becomes visible only after a moment.
+// A request that is written before then would be lost or get another request's answer. Therefore no request uses the
+// connection before the end of the reuse delay. After a long exchange, the next request waits for that rather than open
+// another connection, and reuses the connection if nothing follows the answer.
 func TestReuseDelay(t *testing.T) {
-	const secondCopy = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
-	for name, behind := range map[string]func(nc net.Conn){
+	const duplicateAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold"
+	for name, afterAnswer := range map[string]func(nc net.Conn){
 		"a close":       func(nc net.Conn) { nc.Close() },
-		"a second copy": func(nc net.Conn) { io.WriteString(nc, secondCopy) },
+		"a second copy": func(nc net.Conn) { io.WriteString(nc, duplicateAnswer) },
 		"noise":         func(nc net.Conn) { io.WriteString(nc, "\x00\x01") },
 		"nothing":       nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			done := make(chan struct{}, 10)
-			from := map[string]bool{}
-			addr, _ := backend(t, func(w http.ResponseWriter, r *http.Request) {
-				from[r.RemoteAddr] = true // one request at a time
-				if behind == nil {
-					time.Sleep(minReuseWaitThreshold) // the server's work
+			remoteAddrs := map[string]bool{}
+			addr, _ := startBackend(t, func(w http.ResponseWriter, r *http.Request) {
+				remoteAddrs[r.RemoteAddr] = true // needs no lock: there is one request at a time
+				if afterAnswer == nil {
+					time.Sleep(minReuseWaitThreshold) // makes the exchange long enough for the next request to wait
 					io.WriteString(w, "hi")
 					return
 				}
@@ -55,75 +57,75 @@
 					return
 				}
 				io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
-				time.Sleep(time.Millisecond) // long for a server, short for a connection to settle
-				behind(nc)
+				time.Sleep(time.Millisecond) // much shorter than the reuse delay
+				afterAnswer(nc)
 				done <- struct{}{}
 			})
-			u, id := poolTo(addr)
-			u.reuseDelay = testutil.WaitTimeout / 60
+			p, id := poolTo(addr)
+			p.reuseDelay = testutil.WaitTimeout / 60
 			want := 1
-			if behind != nil {
+			if afterAnswer != nil {
 				want = 2
 			}
 			for range 2 {
-				if status, body := send(t.Context(), u, id); status != policy.OK || body != "hi" {
-					t.Errorf("status %d, body %q", status, body)
+				if status, body := send(t.Context(), p, id); status != policy.OK || body != "hi" {
+					t.Errorf("attempt: got status %d and body %q, want OK and \"hi\"", status, body)
 				}
-				if behind != nil {
-					testutil.Wait(t, done, "what comes behind")
+				if afterAnswer != nil {
+					testutil.Wait(t, done, "the endpoint's action after its answer")
 				}
 			}
-			if len(from) != want {
-				t.Errorf("%d connections for two requests, want %d", len(from), want)
+			if len(remoteAddrs) != want {
+				t.Errorf("two requests: got %d connections, want %d", len(remoteAddrs), want)
 			}
 		})
 	}
 }
 
-// An idle connection retains no large request buffer.
+// An idle connection does not retain the buffer of a large request.
 func TestIdleConnectionsReleaseLargeBuffers(t *testing.T) {
-	addr, _ := backend(t, testutil.OK)
-	u, id := poolTo(addr)
+	addr, _ := startBackend(t, testutil.OK)
+	p, id := poolTo(addr)
 	r := &Request{Method: "POST", Target: "/", Host: "x", Header: http.Header{}, Body: make([]byte, MaxBody)}
-	if res := u.Exchange(engine.NewCall(t.Context()), id, r, time.Minute); res.Status != policy.OK {
-		t.Fatalf("status %d", res.Status)
+	if res := p.Exchange(engine.NewCall(t.Context()), id, r, time.Minute); res.Status != policy.OK {
+		t.Fatalf("attempt: got status %d, want OK", res.Status)
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if idle := u.endpoints[id].idle; len(idle) != 1 || cap(idle[0].requestBuffer) > maxIdleRequestBufferBytes {
-		t.Errorf("%d idle", len(idle))
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if idle := p.endpoints[id].idle; len(idle) != 1 || cap(idle[0].requestBuffer) > maxIdleRequestBufferBytes {
+		t.Errorf("got %d idle connections, want 1 without a large request buffer", len(idle))
 	}
 }
 
-// A node among many retains its share of idle connections to an endpoint, however many were in use at once; a node
-// alone retains what is useful.
+// With many nodes, a node retains only its share of the idle connections to an endpoint, even if it had more in use at once.
+// With one node, the maximum per node applies.
 func TestIdleConnectionsAreAShare(t *testing.T) {
 	for _, c := range []struct {
 		nodes, want int
 	}{{1, 32}, {80, 1}, {2, 32}, {10, 12}} {
-		u := New(Options{EndpointIdleTimeout: 15 * time.Second, MaxConnections: 1000, NodeCount: c.nodes})
+		p := New(Options{EndpointIdleTimeout: 15 * time.Second, MaxConnections: 1000, NodeCount: c.nodes})
 		var list []Endpoint
 		for id := range policy.EndpointID(20) {
 			list = append(list, Endpoint{ID: id, Address: "127.0.0.1:1"})
 		}
-		u.UpdateEndpoints(true, list)
-		u.mu.Lock()
-		for _, s := range u.endpoints { // this node uses all of them
-			s.used = true
+		p.UpdateEndpoints(true, list)
+		p.mu.Lock()
+		for _, e := range p.endpoints { // this node has used all endpoints
+			e.used = true
 		}
-		u.updateIdleLimits(time.Now().Add(time.Second))
-		s := u.endpoints[7]
-		u.mu.Unlock()
+		p.updateIdleLimits(time.Now().Add(time.Second))
+		e := p.endpoints[7]
+		p.mu.Unlock()
 		for range 50 {
-			near, far := net.Pipe()
-			defer far.Close()
-			u.mu.Lock()
-			u.connections++
-			u.mu.Unlock()
-			u.release(newConn(near, s), true)
+			local, remote := net.Pipe()
+			defer remote.Close()
+			p.mu.Lock()
+			p.connections++
+			p.mu.Unlock()
+			p.release(newConn(local, e), true)
 		}
-		if len(s.idle) != c.want || u.OpenConnections() != c.want {
-			t.Errorf("%d nodes: %d are idle, %d counted, want %d", c.nodes, len(s.idle), u.OpenConnections(), c.want)
+		if len(e.idle) != c.want || p.OpenConnections() != c.want {
+			t.Errorf("%d nodes: got %d idle and %d open connections, want %d of each", c.nodes, len(e.idle), p.OpenConnections(), c.want)
 		}
 	}
 }
--- a/internal/upstream/h1client/pool_test.go
+++ b/internal/upstream/h1client/pool_test.go
@@ -10,63 +10,63 @@
 	"yokestall/policy"
 )
 
-// A request that has its final answer while an attempt waits for its connection is not sent.
+// An attempt that waits for a connection is not sent if the request gets its final answer meanwhile.
 func TestNoSendAfterFinalAnswer(t *testing.T) {
-	addr, got := backend(t, testutil.OK)
-	u, id := poolTo(addr)
+	addr, got := startBackend(t, testutil.OK)
+	p, id := poolTo(addr)
 	c := engine.NewCall(t.Context())
 	c.Revoke()
 	r := &Request{Method: "GET", Target: "/", Host: "x", Header: http.Header{}}
-	if res := u.Exchange(c, id, r, time.Minute); res.Status != policy.NeverSent {
-		t.Errorf("status %d", res.Status)
+	if res := p.Exchange(c, id, r, time.Minute); res.Status != policy.NeverSent {
+		t.Errorf("attempt of an answered request: got status %d, want NeverSent", res.Status)
 	}
-	send(t.Context(), u, id)
+	send(t.Context(), p, id)
 	if len(got) != 1 {
-		t.Errorf("%d sends, want the second one only", len(got))
+		t.Errorf("got %d requests at the endpoint, want only that of the second attempt", len(got))
 	}
 }
 
-// At the limit on connections nothing is sent and the endpoint is not blamed; an idle connection is closed to make
-// room.
+// At the limit on connections, nothing is sent, and the status NeverSent does not count against the endpoint. If a connection
+// is idle, it is closed to make room.
 func TestConnectionLimit(t *testing.T) {
-	addr, _ := backend(t, testutil.OK)
-	u, id := poolTo(addr)
-	u.maxConnections = 1
-	u.connections = 1 // one is in use
-	if status, _ := send(t.Context(), u, id); status != policy.NeverSent {
-		t.Errorf("status %d at the cap", status)
+	addr, _ := startBackend(t, testutil.OK)
+	p, id := poolTo(addr)
+	p.maxConnections = 1
+	p.connections = 1 // simulates a connection in use
+	if status, _ := send(t.Context(), p, id); status != policy.NeverSent {
+		t.Errorf("attempt at the connection limit: got status %d, want NeverSent", status)
 	}
-	u.connections = 0
-	other, _ := backend(t, testutil.OK)
-	u.UpdateEndpoints(false, []Endpoint{{ID: 2, Address: other}})
+	p.connections = 0
+	other, _ := startBackend(t, testutil.OK)
+	p.UpdateEndpoints(false, []Endpoint{{ID: 2, Address: other}})
 	for _, to := range []policy.EndpointID{id, 2, id} {
-		if status, _ := send(t.Context(), u, to); status != policy.OK {
-			t.Errorf("status %d although an idle connection could make room", status)
+		if status, _ := send(t.Context(), p, to); status != policy.OK {
+			t.Errorf("attempt with an idle connection to close: got status %d, want OK", status)
 		}
 	}
 }
 
-// An endpoint with the same ID at another address, or with another incarnation, is another process: it gets no
-// connection of the former one.
+// An endpoint with the same ID but another address or another incarnation is another process: requests to it must not use the
+// connections to the former process.
 func TestServerReplaced(t *testing.T) {
-	first, gotFirst := backend(t, testutil.OK)
-	second, gotSecond := backend(t, testutil.OK)
-	u, id := poolTo(first)
-	send(t.Context(), u, id)
-	u.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second}})
-	if u.connections != 0 {
-		t.Errorf("%d connections to the former address are kept", u.connections)
+	first, gotFirst := startBackend(t, testutil.OK)
+	second, gotSecond := startBackend(t, testutil.OK)
+	p, id := poolTo(first)
+	send(t.Context(), p, id)
+	p.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second}})
+	if p.connections != 0 {
+		t.Errorf("connections to the former address: got %d, want 0", p.connections)
 	}
-	send(t.Context(), u, id)
+	send(t.Context(), p, id)
 	if len(gotFirst) != 1 || len(gotSecond) != 1 {
-		t.Errorf("%d and %d requests", len(gotFirst), len(gotSecond))
+		t.Errorf("requests at the first and second address: got %d and %d, want 1 each", len(gotFirst), len(gotSecond))
 	}
-	u.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second, Incarnation: 5}})
-	if u.connections != 0 {
-		t.Errorf("%d connections from before the restart are kept", u.connections)
+	p.UpdateEndpoints(true, []Endpoint{{ID: id, Address: second, Incarnation: 5}})
+	if p.connections != 0 {
+		t.Errorf("connections from before the restart: got %d, want 0", p.connections)
 	}
-	u.UpdateEndpoints(false, []Endpoint{{ID: id, Removed: true}})
-	if status, _ := send(t.Context(), u, id); status != policy.ConnectFailed {
-		t.Errorf("status %d for one that is gone", status)
+	p.UpdateEndpoints(false, []Endpoint{{ID: id, Removed: true}})
+	if status, _ := send(t.Context(), p, id); status != policy.ConnectFailed {
+		t.Errorf("attempt to a removed endpoint: got status %d, want ConnectFailed", status)
 	}
 }
--- a/internal/upstream/h1client/upload.go
+++ b/internal/upstream/h1client/upload.go
@@ -111,7 +111,7 @@
 
 // AwaitBufferFor waits until the body has ended or failed, its buffer is full, or the timeout has expired.
 func (u *Upload) AwaitBufferFor(timeout time.Duration) {
-	expired := false // set by the timer: a clock that is read too early would make the wait endless
+	expired := false // set by the timer: a clock read slightly early would show time left and the wait would never end
 	timer := time.AfterFunc(timeout, func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
--- a/internal/upstream/h1client/upload_test.go
+++ b/internal/upstream/h1client/upload_test.go
@@ -14,36 +14,39 @@
 	"yokestall/internal/testutil"
 )
 
-// parts returns a body in random pieces with pauses, and then an error.
-type parts struct {
-	left []byte
-	rng  *rand.Rand
-	end  error
+// fragmentedBody is a reader that returns a body in pieces of random length with pauses between them, and then an error.
+type fragmentedBody struct {
+	remaining []byte
+	rng       *rand.Rand
+	end       error
 }
 
-func (p *parts) Read(b []byte) (int, error) {
-	if len(p.left) == 0 {
+func (p *fragmentedBody) Read(b []byte) (int, error) {
+	if len(p.remaining) == 0 {
 		return 0, p.end
 	}
 	time.Sleep(time.Duration(p.rng.IntN(3)) * time.Millisecond)
-	n := copy(b[:min(len(b), 1+p.rng.IntN(200))], p.left)
-	p.left = p.left[n:]
+	n := copy(b[:min(len(b), 1+p.rng.IntN(200))], p.remaining)
+	p.remaining = p.remaining[n:]
 	return n, nil
 }
 
-// errClientGone is the error of bodies whose clients disconnect.
-var errClientGone = errors.New("the client is gone")
+// errClientGone is the error of reading a body whose client has disconnected.
+var errClientGone = errors.New("client disconnected")
 
-// For random bodies, limits and attempts: an attempt reads the body from its first byte or an error, never a part with
-// a clean end; while the body fits the limit any number of attempts read it, beyond it one alone; and the buffer does
-// not exceed the limit.
+// A client's body must never reach an endpoint truncated, and must remain available for retries while it fits the buffer. The
+// test draws random bodies, limits and attempts, and checks that
+//   - an attempt reads the body from its first byte or gets an error, and never reads a part of the body followed by io.EOF;
+//   - at least one attempt reads the whole of a body that fits the limit;
+//   - the beginning of the body is dropped only if the body does not fit the limit;
+//   - the buffer does not exceed the limit.
 func TestUploadAgainstModel(t *testing.T) {
 	for seed := range uint64(300) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newUploadCase(t, seed)
 			var run sync.WaitGroup
-			patient := c.rng.IntN(2) == 0
-			run.Go(func() { c.upload.Run(patient) })
+			onDemand := c.rng.IntN(2) == 0
+			run.Go(func() { c.upload.Run(onDemand) })
 			complete := 0
 			for attempt := range 3 {
 				maxBytes := c.rng.IntN(len(c.body) + 2)
@@ -55,7 +58,7 @@
 				}
 			}
 			if len(c.body) <= c.limit && c.end == io.EOF && complete == 0 {
-				t.Fatalf("seed %d: the last attempt did not get a body that fits", seed)
+				t.Fatalf("seed %d: no attempt read a body that fits the limit, want at least the last one to read it", seed)
 			}
 			c.upload.Close()
 			run.Wait()
@@ -63,18 +66,18 @@
 	}
 }
 
-// uploadCase is an upload with what is drawn for it.
+// uploadCase is an upload with its randomly drawn body and limit.
 type uploadCase struct {
 	t      *testing.T
 	seed   uint64
 	rng    *rand.Rand
 	body   []byte
-	limit  int   // of the buffer, in bytes
-	end    error // io.EOF, or errClientGone
+	limit  int   // maximum length of the buffer in bytes
+	end    error // error at the end of the body: io.EOF or errClientGone
 	upload *Upload
 }
 
-// newUploadCase draws a body, a limit and the body's end.
+// newUploadCase draws a body, a limit, and the error at the end of the body.
 func newUploadCase(t *testing.T, seed uint64) *uploadCase {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	body := make([]byte, rng.IntN(2000))
@@ -85,34 +88,35 @@
 	if rng.IntN(4) == 0 {
 		end = errClientGone
 	}
-	u := NewUpload(&parts{bytes.Clone(body), rand.New(rand.NewPCG(seed, 2)), end}, limit)
+	u := NewUpload(&fragmentedBody{bytes.Clone(body), rand.New(rand.NewPCG(seed, 2)), end}, limit)
 	return &uploadCase{t: t, seed: seed, rng: rng, body: body, limit: limit, end: end, upload: u}
 }
 
-// attempt reads the body up to a number of bytes or to its end, checks what was read, and reports whether that was the
-// complete body.
+// attempt reads the body until it has at least maxBytes bytes or the body ends, checks the bytes that were read, and reports
+// whether they are the whole body.
 func (c *uploadCase) attempt(attempt, maxBytes int) (complete bool) {
 	got, err := c.read(maxBytes)
 	if !bytes.HasPrefix(c.body, got) {
-		c.t.Fatalf("seed %d: attempt %d read other bytes", c.seed, attempt)
+		c.t.Fatalf("seed %d: attempt %d read bytes that differ from the beginning of the body", c.seed, attempt)
 	}
 	switch {
 	case err == io.EOF:
 		if c.end != io.EOF || len(got) != len(c.body) {
-			c.t.Fatalf("seed %d: %d of %d bytes pass for the whole", c.seed, len(got), len(c.body))
+			c.t.Fatalf("seed %d: got io.EOF after %d of %d bytes, want it only after a whole body", c.seed, len(got), len(c.body))
 		}
 		return true
 	case errors.Is(err, errBeginningDropped):
 		if !c.upload.Consumed() || len(c.body) <= c.limit {
-			c.t.Fatalf("seed %d: a body of %d is spent under a limit of %d", c.seed, len(c.body), c.limit)
+			c.t.Fatalf("seed %d: beginning of a body of %d bytes dropped with a limit of %d, want none dropped", c.seed, len(c.body), c.limit)
 		}
 	case err != nil && !errors.Is(err, errClientGone):
-		c.t.Fatalf("seed %d: %v", c.seed, err)
+		c.t.Fatalf("seed %d: got error %v, want none or that of the client's body", c.seed, err)
 	}
 	return false
 }
 
-// read reads the body as an attempt does, and checks the size of the buffer meanwhile.
+// read reads at least maxBytes bytes of the body, or the body to its end, as an attempt does. It checks the length of the
+// buffer after each Read.
 func (c *uploadCase) read(maxBytes int) (got []byte, err error) {
 	r := c.upload.Reader()
 	defer r.Close()
@@ -125,21 +129,22 @@
 		buffered := len(c.upload.buffer)
 		c.upload.mu.Unlock()
 		if buffered > c.limit {
-			c.t.Fatalf("seed %d: %d bytes held, limit %d", c.seed, buffered, c.limit)
+			c.t.Fatalf("seed %d: got %d buffered bytes, want at most %d", c.seed, buffered, c.limit)
 		}
 	}
 	return got, err
 }
 
-// AwaitBufferFor ends on however busy a machine: where it read the clock, the time between the start of its timer and
-// the reading had it wait until the request's deadline.
+// AwaitBufferFor returns after its timeout even on a busy machine. If it compared the clock with an end time
+// computed after the start of its timer, it could find the timeout not yet expired when the timer fires, and would then
+// wait until the request's deadline.
 func TestSettleEnds(t *testing.T) {
 	const waiters, times = 256, 100
 	var all sync.WaitGroup
 	for range waiters {
 		all.Go(func() {
 			for range times {
-				u := NewUpload(strings.NewReader(""), 1) // nothing ever comes: Run is not called
+				u := NewUpload(strings.NewReader(""), 1) // receives no data because Run is not called
 				u.AwaitBufferFor(20 * time.Microsecond)
 			}
 		})
@@ -149,5 +154,5 @@
 		all.Wait()
 		close(ended)
 	}()
-	testutil.Wait(t, ended, "all waits to end")
+	testutil.Wait(t, ended, "all calls of AwaitBufferFor to return")
 }
