--- a/internal/upstream/h1client/answerhead.go
+++ b/internal/upstream/h1client/answerhead.go
@@ -62,9 +62,9 @@
 	return http.ReadResponse(c.reader, req)
 }
 
-// awaitHead waits until the whole head is buffered, and sets announcedClose. Each part of the head must arrive within
-// AnswerTransferTimeout. If the head does not fit the buffer or does not arrive, awaitHead returns without it, and
-// http.ReadResponse reads what is missing or reports the error.
+// awaitHead waits until the whole head is buffered, and sets announcedClose. Each read from the connection must succeed
+// within AnswerTransferTimeout. If the head does not fit the buffer or does not arrive, awaitHead returns early;
+// http.ReadResponse then reads the rest of the head or reports the error.
 func (c *conn) awaitHead() {
 	for {
 		head := c.buffered()
--- a/internal/upstream/h1client/conn.go
+++ b/internal/upstream/h1client/conn.go
@@ -30,7 +30,7 @@
 	exchangeStart time.Time     // start of the latest exchange
 	exchangeTime  time.Duration // duration of the latest complete exchange
 
-	tls     bool            // TLS is used: session tickets may follow the handshake (RFC 8446, 4.6.1)
+	tls     bool            // uses TLS: a new connection may have session tickets to read (RFC 8446, 4.6.1)
 	rawConn syscall.RawConn // nil if the connection gives no access to its socket
 	empty   bool            // result of checkEmpty
 	// The functions below are fields so that they are allocated once per connection.
--- a/internal/upstream/h1client/dial.go
+++ b/internal/upstream/h1client/dial.go
@@ -36,7 +36,8 @@
 }
 
 // Dial connects to an endpoint. With a TLS configuration, it performs the handshake and negotiates proto by ALPN (RFC 7301).
-// If the endpoint negotiates no protocol, Dial assumes HTTP/1.1. It returns an error if the protocol is not proto.
+// If the endpoint negotiates no protocol, Dial assumes HTTP/1.1. Dial returns an error if the protocol is not
+// proto.
 func Dial(ctx context.Context, address string, config *tls.Config, proto string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAlive: -1}
 	nc, err := dialer.DialContext(ctx, "tcp", address)
--- a/internal/upstream/h1client/doc.go
+++ b/internal/upstream/h1client/doc.go
@@ -9,10 +9,10 @@
 //
 // # Goroutines
 //
-// An attempt runs on the caller's goroutine. The owner of a Pool runs Pool.EvictIdle until it ends the context, and the
-// owner of an Upload runs Upload.Run until it closes the upload. The only goroutine that the package starts itself is that
-// of conn.startUpload, which writes an upload. uploadSender.stop ends it and waits for its end, at the end of the exchange
-// or in stream.Close.
+// An attempt runs on the caller's goroutine. The owner of a Pool runs Pool.EvictIdle until it ends the context. The owner of
+// an Upload runs Upload.Run, which ends with the body or with Upload.Close. The only goroutine that the package starts itself
+// is that of conn.startUpload, which writes an upload. uploadSender.stop ends it and waits for its end, at the end of the
+// exchange or in stream.Close.
 //
 // # Locks
 //
--- a/internal/upstream/h1client/upload.go
+++ b/internal/upstream/h1client/upload.go
@@ -161,7 +161,8 @@
 	return u.err
 }
 
-// Consumed reports whether the beginning of the body was dropped, so that no further attempt can send the body.
+// Consumed reports whether a reader has become the owner of the upload, so that the beginning of the body was dropped and no
+// further attempt can send the body.
 func (u *Upload) Consumed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
