--- a/internal/xds/cachefile.go
+++ b/internal/xds/cachefile.go
@@ -18,15 +18,16 @@
 	"yokestall/internal/xds/ads"
 )
 
-// The cache file has a line with cacheFileMark, the time of writing (ms since 1970) and the SHA-256 of the rest, and
-// then a DeltaDiscoveryResponse as versionCache.snapshot makes it.
+// The first line of the cache file holds cacheFileMagic, the time of writing (milliseconds since 1970) and the SHA-256
+// of the bytes after the line, in hexadecimal. Those bytes are a DeltaDiscoveryResponse that versionCache.snapshot
+// returned.
 
 const (
-	// cacheFileMark is the first word of the file, with the version of its form.
-	cacheFileMark = "yokestall-xds-1"
-	// maxCacheFileBytes bounds the file that is read.
+	// cacheFileMagic is the first word of a cache file. It includes the version of the file format.
+	cacheFileMagic = "yokestall-xds-1"
+	// maxCacheFileBytes is the size of the largest cache file that is read.
 	maxCacheFileBytes = 256 << 20
-	// maxCacheFileLineBytes bounds the part of the first line that is read.
+	// maxCacheFileLineBytes is the number of bytes of the first line that are parsed; further bytes are ignored.
 	maxCacheFileLineBytes = 200
 )
 
@@ -34,10 +35,10 @@
 type cachedVersion struct {
 	savedAt   time.Time
 	resources [ads.TypeCount]map[string]ads.Resource // by name
-	versions  [ads.TypeCount]string                  // of the types (state of the world)
+	versions  [ads.TypeCount]string                  // last accepted version of each type (state of the world only)
 }
 
-// writeCacheFile replaces the file atomically.
+// writeCacheFile writes m to the cache file at path. An existing file is replaced atomically.
 func writeCacheFile(path string, m *discoveryv3.DeltaDiscoveryResponse) error {
 	body, err := proto.Marshal(m)
 	if err != nil {
@@ -49,7 +50,7 @@
 		return err
 	}
 	defer os.Remove(f.Name())
-	_, err = fmt.Fprintf(f, "%s %d %s\n", cacheFileMark, time.Now().UnixMilli(), hex.EncodeToString(sum[:]))
+	_, err = fmt.Fprintf(f, "%s %d %s\n", cacheFileMagic, time.Now().UnixMilli(), hex.EncodeToString(sum[:]))
 	if err == nil {
 		_, err = f.Write(body)
 	}
@@ -62,7 +63,7 @@
 	return os.Rename(f.Name(), path)
 }
 
-// readCacheFile returns the content of the file; nil if there is none.
+// readCacheFile returns the content of the cache file at path, or nil if the file does not exist.
 func readCacheFile(path string) (*cachedVersion, error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -77,27 +78,27 @@
 		return nil, err
 	}
 	if len(text) > maxCacheFileBytes {
-		return nil, fmt.Errorf("over %d bytes", maxCacheFileBytes)
+		return nil, fmt.Errorf("cache file is larger than the limit of %d bytes", maxCacheFileBytes)
 	}
 	return parseCacheFile(text)
 }
 
-// parseCacheFile parses the content of a file. One that is incomplete or damaged is an error.
+// parseCacheFile parses the content of a cache file. It returns an error if the content is truncated or damaged.
 func parseCacheFile(text []byte) (*cachedVersion, error) {
 	line, body, _ := bytes.Cut(text, []byte("\n"))
 	line = line[:min(len(line), maxCacheFileLineBytes)]
-	var mark, sum string
+	var magic, sum string
 	var savedAtMs int64
-	n, err := fmt.Sscanf(string(line), "%s %d %s", &mark, &savedAtMs, &sum)
-	if n != 3 || err != nil || mark != cacheFileMark {
-		return nil, errors.New("line 1: is no kept version")
+	n, err := fmt.Sscanf(string(line), "%s %d %s", &magic, &savedAtMs, &sum)
+	if n != 3 || err != nil || magic != cacheFileMagic {
+		return nil, errors.New("line 1: not the first line of a cache file in a supported format")
 	}
 	if actual := sha256.Sum256(body); hex.EncodeToString(actual[:]) != sum {
-		return nil, errors.New("is not whole: its bytes are not those that were written")
+		return nil, errors.New("cache file truncated or damaged: its content does not match the SHA-256 in line 1")
 	}
 	var m discoveryv3.DeltaDiscoveryResponse
 	if err := proto.Unmarshal(body, &m); err != nil {
-		return nil, fmt.Errorf("can't be read: %w", err)
+		return nil, fmt.Errorf("parse the cached DeltaDiscoveryResponse: %w", err)
 	}
 	out := &cachedVersion{savedAt: time.UnixMilli(savedAtMs)}
 	for t := range out.resources {
@@ -109,7 +110,8 @@
 	return out, nil
 }
 
-// add adds a resource of the file, or the version of a type. Those of unknown types are ignored.
+// add adds an entry of the cache file: a resource, or the version of a type if r has the type's URL as its name and no
+// body. Entries of unknown types are ignored.
 func (v *cachedVersion) add(r *discoveryv3.Resource) {
 	if t, ok := ads.TypeByURL(r.GetName()); ok && r.GetResource() == nil {
 		v.versions[t] = r.GetVersion()
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -13,10 +13,11 @@
 	"yokestall/internal/xds/state"
 )
 
-// maxLoggedNames bounds the names of resources in a log event.
+// maxLoggedNames is the largest number of resource names in one log event.
 const maxLoggedNames = 10
 
-// Client follows control planes. Create it with New, and call Run once; only Restore may be called before.
+// Client follows control planes, one at a time. Create a Client with New and call Run once. Restore is the only method
+// that may be called before Run.
 type Client struct {
 	config   Config
 	log      *slog.Logger
@@ -24,13 +25,14 @@
 	machine  *ads.Machine
 	state    *state.State
 	selector *ads.ServerSelector
-	started  time.Time // the zero of now
+	started  time.Time // when New was called; the method now counts from here
 	onChange func(*Delivery)
-	cache    *versionCache    // nil if there is none
-	requests chan ads.Request // to the sender of the present stream
+	cache    *versionCache    // nil if Config.CacheFile is empty
+	requests chan ads.Request // read by the sender of the current stream
 }
 
-// New returns a client. With Config.CacheFile, Run has to be called, since it ends the goroutine that writes the file.
+// New returns a client. If Config.CacheFile is set, New starts the goroutine that writes the file, and Run has to be
+// called to end it.
 func New(c Config, log *slog.Logger) *Client {
 	c.setDefaults()
 	x := &Client{
@@ -56,11 +58,11 @@
 	return x
 }
 
-// now returns the time on the clock of the machine and the selector.
+// now returns the time since New was called. The state machine and the server selector use this clock.
 func (x *Client) now() time.Duration { return time.Since(x.started) }
 
-// Restore reads the last valid version from the cache file and calls onChange with it. It reports whether there was
-// one.
+// Restore reads the last valid version from the cache file and calls onChange with it. It reports whether the file had
+// a usable version.
 func (x *Client) Restore(onChange func(*Delivery)) bool {
 	if x.cache == nil {
 		return false
@@ -73,7 +75,7 @@
 	if cached == nil {
 		return false
 	}
-	for t := range ads.TypeCount { // a type's references go to later ones, which are subscribed to by then
+	for t := range ads.TypeCount { // referring types come first: the state drops resources that nothing refers to
 		x.restoreType(t, cached)
 	}
 	x.subscribe()
@@ -83,8 +85,8 @@
 	return true
 }
 
-// restoreType applies the cached resources of a type. One that is not valid any more is ignored: it was so for another
-// version of this program or its settings.
+// restoreType applies the cached resources of a type. A resource that is no longer valid is ignored: another version of
+// this program, or other settings, accepted it.
 func (x *Client) restoreType(t ads.Type, cached *cachedVersion) {
 	u := &ads.Update{Type: t}
 	versions := map[string]string{}
@@ -101,7 +103,7 @@
 	x.machine.Restore(t, cached.versions[t], versions)
 }
 
-// Run follows the control planes until ctx ends, and calls onChange with what they change.
+// Run follows the control planes until ctx ends, and calls onChange for each change of clusters or routes.
 func (x *Client) Run(ctx context.Context, onChange func(*Delivery)) {
 	x.onChange = onChange
 	x.subscribe()
@@ -113,7 +115,7 @@
 		err := x.runStream(ctx, server)
 		x.machine.StreamClosed()
 		if x.cache != nil {
-			x.cache.saveNow(x.machine) // the present version may be used for long
+			x.cache.saveNow(x.machine) // this version may stay in use for long while no control plane is reachable
 		}
 		if ctx.Err() != nil {
 			return
@@ -122,7 +124,8 @@
 	}
 }
 
-// backoff returns the time to wait before the next stream. err is why the last one ended; nil for a preferred server.
+// backoff returns the time to wait before the next stream is opened. err is the reason for which the last stream ended;
+// it is nil if the stream was closed to probe a preferred server.
 func (x *Client) backoff(server string, err error) time.Duration {
 	if err == nil {
 		x.log.Info("probing a preferred control plane", "addr", x.config.Servers[x.selector.Current()])
@@ -135,7 +138,7 @@
 	return wait
 }
 
-// sleep returns after a time, or once ctx ends.
+// sleep returns after wait, or as soon as ctx ends.
 func sleep(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -145,7 +148,7 @@
 	}
 }
 
-// handleMessage handles a received message. An error ends the stream.
+// handleMessage handles a received message. The caller ends the stream if handleMessage returns an error.
 func (x *Client) handleMessage(m message) error {
 	r, err := x.parseResponse(m.bytes)
 	if err != nil {
@@ -166,7 +169,7 @@
 	if x.cache != nil {
 		x.cache.record(&u)
 	}
-	// The engines are notified before anything else is done: drains count from the time of receipt.
+	// Changes are delivered before the ACK or NACK is sent, because drain timeouts count from the time of receipt.
 	if !u.Empty() {
 		if err := x.apply(m.receivedAt, &u); err != nil {
 			return err
@@ -175,8 +178,8 @@
 	return x.send(answers)
 }
 
-// handleTick handles the timeouts that have passed. done reports that the stream is to be closed for a preferred
-// server; an error ends the stream too.
+// handleTick handles the timeouts that have passed. done reports that the stream is to be closed to probe a preferred
+// server. The caller also ends the stream if handleTick returns an error.
 func (x *Client) handleTick() (done bool, err error) {
 	now := x.now()
 	for _, u := range x.machine.Tick(now) {
@@ -187,12 +190,12 @@
 		}
 	}
 	if openedAt, awaits := x.machine.AwaitsFirstResponse(); awaits && now-openedAt >= x.config.FirstResponseTimeout {
-		return false, fmt.Errorf("silent for %v", x.config.FirstResponseTimeout)
+		return false, fmt.Errorf("no response on the stream within %v", x.config.FirstResponseTimeout)
 	}
 	return x.selector.ReturnToPreferred(now), nil
 }
 
-// nextTick returns the time at which handleTick is due.
+// nextTick returns the time, on the clock of now, at which handleTick is due.
 func (x *Client) nextTick() time.Duration {
 	due := x.now() + maxTickInterval
 	if at, ok := x.machine.NextTick(); ok {
@@ -204,7 +207,7 @@
 	return due
 }
 
-// apply applies an update and passes on what it changes.
+// apply applies an update to the state, calls onChange if clusters or routes changed, and updates the subscriptions.
 func (x *Client) apply(receivedAt time.Time, u *ads.Update) error {
 	change := x.state.Apply(receivedAt, u)
 	if change.Full || len(change.Clusters) > 0 {
@@ -222,7 +225,7 @@
 	return x.subscribe()
 }
 
-// subscribe subscribes to the resources that the present state refers to.
+// subscribe subscribes to the resources that the current state refers to.
 func (x *Client) subscribe() error {
 	for t := range ads.TypeCount {
 		requests, overLimit := x.machine.Subscribe(x.now(), t, x.state.Subscriptions(t))
@@ -236,13 +239,13 @@
 	return nil
 }
 
-// send queues requests for the sender of the present stream.
+// send queues requests for the sender of the current stream. It returns an error if the queue is full.
 func (x *Client) send(requests []ads.Request) error {
 	for _, r := range requests {
 		select {
 		case x.requests <- r:
 		default:
-			return fmt.Errorf("the control plane reads nothing: %d requests wait", maxQueuedRequests)
+			return fmt.Errorf("control plane does not read its requests: the queue of %d requests is full", maxQueuedRequests)
 		}
 	}
 	return nil
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -22,9 +22,11 @@
 
 const clusterURL = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 
-func static(name string) proto.Message { return padded(name, 1000) }
+// staticCluster returns a cluster resource of about 1 kB.
+func staticCluster(name string) proto.Message { return paddedCluster(name, 1000) }
 
-func padded(name string, bytes int) proto.Message {
+// paddedCluster returns a cluster resource whose alt_stat_name has the given number of bytes.
+func paddedCluster(name string, bytes int) proto.Message {
 	return &clusterv3.Cluster{
 		Name:                 name,
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_STATIC},
@@ -32,28 +34,30 @@
 	}
 }
 
-func plane(t *testing.T, clusters ...string) *controlplane.Server {
+// startControlPlane starts a fake control plane that serves the named clusters.
+func startControlPlane(t *testing.T, clusters ...string) *controlplane.Server {
 	p, err := controlplane.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Down)
-	put(t, p, clusters...)
+	setClusters(t, p, clusters...)
 	return p
 }
 
-func put(t *testing.T, p *controlplane.Server, clusters ...string) {
+// setClusters adds the named clusters to the resources of a control plane, or replaces them there.
+func setClusters(t *testing.T, p *controlplane.Server, clusters ...string) {
 	all := map[string]proto.Message{}
 	for _, name := range clusters {
-		all[name] = static(name)
+		all[name] = staticCluster(name)
 	}
 	if err := p.SetResources(all); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// run runs a client; seen waits until a cluster is in force.
-func run(t *testing.T, c Config) (seen func(name string), logs *testutil.Logs) {
+// runClient runs a client until the test ends. The returned waitForCluster waits until a cluster is in force.
+func runClient(t *testing.T, c Config) (waitForCluster func(name string), logs *testutil.Logs) {
 	logs = testutil.NewLogs(t)
 	c.Failover.InitialBackoff, c.Failover.MaxBackoff = 5*time.Millisecond, 50*time.Millisecond
 	if c.Failover.PreferredProbeInterval == 0 {
@@ -61,137 +65,143 @@
 	}
 	client := New(c, logs.Logger())
 	var mu sync.Mutex
-	all := map[string]bool{}
-	take := func(d *Delivery) {
+	active := map[string]bool{}
+	onChange := func(d *Delivery) {
 		mu.Lock()
 		defer mu.Unlock()
-		clear(all)
+		clear(active)
 		for name := range d.View.Clusters() {
-			all[name] = true
+			active[name] = true
 		}
 	}
-	client.Restore(take)
+	client.Restore(onChange)
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { client.Run(ctx, take) })
+	running.Go(func() { client.Run(ctx, onChange) })
 	t.Cleanup(func() { stop(); running.Wait() })
 	return func(name string) {
 		t.Helper()
-		testutil.Until(t, "cluster "+name, func() bool { mu.Lock(); defer mu.Unlock(); return all[name] })
+		testutil.Until(t, "cluster "+name, func() bool { mu.Lock(); defer mu.Unlock(); return active[name] })
 	}, logs
 }
 
 var variants = map[string]ads.Variant{"state of the world": ads.StateOfTheWorld, "incremental": ads.Incremental}
 
-// The first control plane sends nothing on an open connection, the second refuses connections, the third responds. Once
-// the preferred one responds it is followed again.
+// TestPreference checks failover and the return to the preferred server: the first control plane opens a stream but
+// sends nothing at first, the second refuses connections, and the third responds. The client has to follow the third,
+// and the first again once a probe shows that it responds.
 func TestPreference(t *testing.T) {
 	for name, variant := range variants {
 		t.Run(name, func(t *testing.T) {
-			first, second := plane(t, "of-first"), plane(t, "of-second")
+			first, second := startControlPlane(t, "of-first"), startControlPlane(t, "of-second")
 			first.QueueFaults(controlplane.StopSending)
-			seen, logs := run(t, Config{
+			waitForCluster, logs := runClient(t, Config{
 				Servers: []string{first.Addr(), testutil.RefusingAddr(t), second.Addr()}, Variant: variant,
 				FirstResponseTimeout: 50 * time.Millisecond,
 				Failover:             ads.FailoverOptions{PreferredProbeInterval: 200 * time.Millisecond},
 			})
-			seen("of-second")
-			logs.Wait("silent for 50ms")
+			waitForCluster("of-second")
+			logs.Wait("no response on the stream within 50ms")
 			logs.Wait("probing a preferred control plane")
-			seen("of-first")
+			waitForCluster("of-first")
 		})
 	}
 }
 
-// A control plane whose streams break often is followed all the same, with a bounded number of streams.
+// TestFlaps checks that the client keeps following a control plane whose streams break often, that it opens a bounded
+// number of streams, and that each new stream states the versions of the resources that the client has.
 func TestFlaps(t *testing.T) {
-	p := plane(t, "a")
-	seen, _ := run(t, Config{Servers: []string{p.Addr()}, Variant: ads.Incremental})
+	p := startControlPlane(t, "a")
+	waitForCluster, _ := runClient(t, Config{Servers: []string{p.Addr()}, Variant: ads.Incremental})
 	for _, name := range []string{"b", "c", "d", "e", "f"} {
 		p.BreakStreams()
-		put(t, p, name)
-		seen(name)
+		setClusters(t, p, name)
+		waitForCluster(name)
 	}
 	if opened, open := p.Streams(); opened > 12 || open > 1 {
-		t.Errorf("%d streams, %d open", opened, open)
+		t.Errorf("got %d streams opened and %d still open, want at most 12 and 1", opened, open)
 	}
 	for _, versions := range p.InitialVersions()[1:] {
 		if versions["a"] == "" {
-			t.Errorf("a stream begins with %v", versions)
+			t.Errorf("got initial versions %v, want a version for a", versions)
 		}
 	}
 }
 
-// A message over the limit ends the stream with an error that says so; the former version stays. With YOKESTALL_LARGE
-// set the limit is the default one, and 100 resources have over 64 MB.
+// TestMessageTooLarge checks that a message over the limit ends the stream with an error that says so, and that the
+// former version stays in force. If YOKESTALL_LARGE is set, the test uses the default limit, and 100 resources of more
+// than 64 MB in all.
 func TestMessageTooLarge(t *testing.T) {
-	p := plane(t, "a")
-	most := 64 << 10
+	p := startControlPlane(t, "a")
+	maxBytes := 64 << 10
 	if os.Getenv("YOKESTALL_LARGE") != "" {
-		most = DefaultMaxMessageBytes
+		maxBytes = DefaultMaxMessageBytes
 	}
-	seen, logs := run(t, Config{Servers: []string{p.Addr()}, Variant: ads.StateOfTheWorld, MaxMessageBytes: most})
-	seen("a")
+	waitForCluster, logs := runClient(t, Config{Servers: []string{p.Addr()}, Variant: ads.StateOfTheWorld, MaxMessageBytes: maxBytes})
+	waitForCluster("a")
 	var many []string
 	large := map[string]proto.Message{}
 	for i := range 100 {
 		many = append(many, "c"+strings.Repeat("x", i))
-		large[many[i]] = padded(many[i], most/100)
+		large[many[i]] = paddedCluster(many[i], maxBytes/100)
 	}
 	if err := p.SetResources(large); err != nil {
 		t.Fatal(err)
 	}
 	logs.Wait("larger than max")
-	seen("a")
+	waitForCluster("a")
 	p.RemoveResources(clusterURL, many...)
-	put(t, p, "b")
-	seen("b")
+	setClusters(t, p, "b")
+	waitForCluster("b")
 }
 
-// A cache file that is truncated or changed, at whichever byte, is not used.
+// TestKept checks that a client starts from a cache file without a control plane, and that a cache file that is
+// truncated at any byte, or has a changed byte, is rejected.
 func TestKept(t *testing.T) {
-	keep := filepath.Join(t.TempDir(), "kept")
-	p := plane(t, "a", "b")
-	c := Config{Servers: []string{p.Addr()}, Variant: ads.Incremental, CacheFile: keep}
+	cacheFile := filepath.Join(t.TempDir(), "kept")
+	p := startControlPlane(t, "a", "b")
+	c := Config{Servers: []string{p.Addr()}, Variant: ads.Incremental, CacheFile: cacheFile}
 	t.Run("write", func(t *testing.T) {
-		seen, _ := run(t, c)
-		seen("b")
+		waitForCluster, _ := runClient(t, c)
+		waitForCluster("b")
 	})
 	p.Down()
-	text, err := os.ReadFile(keep)
+	text, err := os.ReadFile(cacheFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := parseCacheFile(text)
 	if err != nil || len(got.resources[ads.Cluster]) != 2 || time.Since(got.savedAt) > time.Hour {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("got cached version %+v, error %v; want 2 clusters saved within the last hour", got, err)
 	}
 	for n := range text {
 		if _, err := parseCacheFile(text[:n]); err == nil {
-			t.Fatalf("the first %d of %d bytes are taken", n, len(text))
+			t.Fatalf("the first %d of %d bytes of a cache file were accepted", n, len(text))
 		}
-		broken := append([]byte(nil), text...)
-		if broken[n] ^= 1; n > len(cacheFileMark)+14 { // before that are the mark and the time
-			if _, err := parseCacheFile(broken); err == nil {
-				t.Fatalf("byte %d of %d is another one, and it is taken", n, len(text))
+		damaged := append([]byte(nil), text...)
+		// The magic word and the time, which come first, are not covered by the hash.
+		if damaged[n] ^= 1; n > len(cacheFileMagic)+14 {
+			if _, err := parseCacheFile(damaged); err == nil {
+				t.Fatalf("a cache file with a changed byte %d of %d was accepted", n, len(text))
 			}
 		}
 	}
 	t.Run("use", func(t *testing.T) {
-		seen, logs := run(t, c)
-		seen("a")
+		waitForCluster, logs := runClient(t, c)
+		waitForCluster("a")
 		logs.Wait("starting from the cached control plane version")
 	})
 	t.Run("broken", func(t *testing.T) {
-		if err := os.WriteFile(keep, text[:len(text)-1], 0o644); err != nil {
+		if err := os.WriteFile(cacheFile, text[:len(text)-1], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		_, logs := run(t, c)
+		_, logs := runClient(t, c)
 		logs.Wait("cached control plane version unusable")
 	})
 }
 
-// FuzzParse: a malformed message is an error.
+// FuzzParse checks that parsing any bytes as a response gives either a response or an error, and that parsing them as a
+// cache file does not panic.
 func FuzzParse(f *testing.F) {
 	b, err := proto.Marshal(&discoveryv3.DeltaDiscoveryResponse{
 		TypeUrl: clusterURL, Nonce: "1", RemovedResources: []string{"x"},
@@ -206,7 +216,7 @@
 			x.config.Variant = ads.Incremental
 		}
 		if r, err := x.parseResponse(b); (r == nil) == (err == nil) {
-			t.Fatalf("%v, %v", r, err)
+			t.Fatalf("got response %v and error %v, want exactly one of them", r, err)
 		}
 		parseCacheFile(b)
 	})
--- a/internal/xds/config.go
+++ b/internal/xds/config.go
@@ -9,20 +9,20 @@
 	"yokestall/internal/xds/translate"
 )
 
-// DefaultMaxMessageBytes is Config.MaxMessageBytes where that is 0.
+// DefaultMaxMessageBytes is used if Config.MaxMessageBytes is 0.
 const DefaultMaxMessageBytes = 64 << 20
 
-// defaultFirstResponseTimeout is Config.FirstResponseTimeout where that is 0.
+// defaultFirstResponseTimeout is used if Config.FirstResponseTimeout is 0.
 const defaultFirstResponseTimeout = 10 * time.Second
 
-// defaultFailover is Config.Failover where that is zero.
+// defaultFailover is used if Config.Failover is the zero value.
 var defaultFailover = ads.FailoverOptions{
 	InitialBackoff:         500 * time.Millisecond,
 	MaxBackoff:             30 * time.Second,
 	PreferredProbeInterval: time.Minute,
 }
 
-// Config says which control planes are followed, and how.
+// Config is the configuration of a Client.
 type Config struct {
 	Servers     []string // host:port, in order of preference; 1 or more
 	Variant     ads.Variant
@@ -31,18 +31,18 @@
 	Zone        string // node.locality.zone
 	State       state.Options
 	Translate   translate.Options
-	Failover    ads.FailoverOptions // zero for the defaults
-	// MissingTimeout is ads.Options.MissingTimeout.
+	Failover    ads.FailoverOptions // defaultFailover if it is the zero value
+	// MissingTimeout is the time after which a requested resource that has not come counts as nonexistent; 0 for 15 s.
 	MissingTimeout time.Duration
 	// FirstResponseTimeout is the time after which a stream without a response is closed; 0 for 10 s.
 	FirstResponseTimeout time.Duration
-	// MaxMessageBytes bounds one message; 0 for DefaultMaxMessageBytes.
+	// MaxMessageBytes is the size of the largest message that is accepted; 0 for DefaultMaxMessageBytes.
 	MaxMessageBytes int
-	// CacheFile is the file of the last valid version; "" for none.
+	// CacheFile is the path of the file that stores the last valid version; "" for no file.
 	CacheFile string
 }
 
-// setDefaults replaces zero values by the defaults.
+// setDefaults replaces zero values of fields that have a default.
 func (c *Config) setDefaults() {
 	if c.MaxMessageBytes == 0 {
 		c.MaxMessageBytes = DefaultMaxMessageBytes
@@ -55,10 +55,10 @@
 	}
 }
 
-// Delivery is a change that a control plane has made.
+// Delivery is a change of clusters or routes, as passed to the caller's function.
 type Delivery struct {
-	ReceivedAt time.Time         // when its last byte came
-	Clusters   []*cluster.Config // new versions of clusters that were there before
-	Full       bool              // View differs in more than Clusters
-	View       *state.State      // valid during the call only
+	ReceivedAt time.Time         // when the message was received or the timeout handled; on Restore, the time of the call
+	Clusters   []*cluster.Config // the new versions of clusters, including clusters that were not in force before
+	Full       bool              // clusters were added or removed, or the routes changed: read View again
+	View       *state.State      // valid only until the caller's function returns
 }
--- a/internal/xds/doc.go
+++ b/internal/xds/doc.go
@@ -1,13 +1,13 @@
-// Package xds follows control planes that speak Envoy's aggregated discovery service. The protocol is in package ads,
-// the meaning of resources in translate and what follows from them in state; this package has the sockets and the cache
-// file, and decides nothing.
+// Package xds follows control planes that speak Envoy's aggregated discovery service (ADS). Package ads implements the
+// protocol, package translate decodes and validates the resources, and package state derives the clusters and routes in
+// force from them. This package does the I/O, on the network and on the cache file, and leaves all decisions to those.
 //
-// The way of a response through the files: stream.go receives its bytes, wire.go parses them, client.go has package ads
-// accept or reject the resources and package state apply them, gives the result to the caller's function, and sends the
-// ACK or NACK. versioncache.go stores the last valid form of each resource by cachefile.go, so that a process can start
-// without a control plane.
+// Control flow of a response: stream.go receives its bytes, wire.go parses them, client.go has package ads accept or
+// reject the resources and package state apply them, passes the result to the caller's function, and sends the ACK or
+// NACK. versioncache.go stores the last valid form of each resource, in a file of the format of cachefile.go, so that a
+// process can start without a control plane.
 //
-// Goroutines: Run is one, which owns the state machine and the state; there are no locks. For each stream it starts a
-// receiver and a sender, which it ends and waits for before the next one. New starts the writer of the cache file, if
-// there is one; Run ends it.
+// Goroutines: the goroutine that calls Run owns the state machine and the state, without locks. For each stream it
+// starts a receiver and a sender, and waits until both have ended before it opens the next stream. If a cache file is
+// configured, New starts the goroutine that writes the file, and Run ends it.
 package xds
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// connectTimeout bounds the time to open a stream.
+	// connectTimeout bounds the time to connect and open a stream.
 	connectTimeout = 5 * time.Second
-	// pingInterval is the idle time after which a connection is checked.
+	// pingInterval is the idle time after which a connection is checked by an HTTP/2 ping.
 	pingInterval = 30 * time.Second
 	// pingTimeout is the time in which a ping must be acknowledged.
 	pingTimeout = 10 * time.Second
 	// bufferBytes is the size of a connection's read and write buffers.
 	bufferBytes = 16 << 10
-	// maxQueuedRequests bounds the requests that a control plane has not read; one more ends the stream.
+	// maxQueuedRequests bounds the requests that wait to be sent on a stream; one more ends the stream.
 	maxQueuedRequests = 64
-	// maxTickInterval bounds the time between two calls of handleTick.
+	// maxTickInterval bounds the time for which the event loop waits before it calls handleTick.
 	maxTickInterval = time.Second
 )
 
-// message is what the receiver of a stream read: its bytes as they came, or the error that ended the stream.
+// message is a message that a stream received, not yet parsed, or the error that ended the stream.
 type message struct {
 	bytes      []byte
 	receivedAt time.Time
 	err        error
 }
 
-// runStream follows a control plane on one stream, until that breaks, brings no response, or is closed for a preferred
-// server (nil).
+// runStream follows a control plane on one stream, until the stream fails, receives no first response in time, or is
+// closed to probe a preferred server. It returns nil only in the last case.
 func (x *Client) runStream(ctx context.Context, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -67,7 +67,7 @@
 	return x.eventLoop(ctx, messages)
 }
 
-// dial returns a connection to a control plane; it is established with the first stream.
+// dial returns a connection to a control plane. gRPC establishes the connection when the first stream is opened.
 func (x *Client) dial(addr string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -79,8 +79,8 @@
 	)
 }
 
-// openStream opens the stream of the configured variant. cancel ends ctx, which a stream that does not open in time
-// needs.
+// openStream opens a stream of the configured variant. cancel has to end ctx; openStream calls it if the stream is not
+// open within connectTimeout.
 func (x *Client) openStream(
 	ctx context.Context, cancel context.CancelFunc, conn *grpc.ClientConn,
 ) (grpc.ClientStream, error) {
@@ -96,7 +96,7 @@
 	return stream, err
 }
 
-// receiveMessages passes on what the stream brings, until its end.
+// receiveMessages passes on the messages of the stream, and then the error that ended it. It returns early if ctx ends.
 func receiveMessages(ctx context.Context, stream grpc.ClientStream, messages chan<- message) {
 	for {
 		var b []byte
@@ -112,14 +112,14 @@
 	}
 }
 
-// sendRequests sends requests until the stream's end.
+// sendRequests sends requests until the stream fails or ctx ends.
 func (x *Client) sendRequests(ctx context.Context, stream grpc.ClientStream, requests <-chan ads.Request) {
 	first := true
 	for {
 		select {
 		case r := <-requests:
 			if err := stream.SendMsg(x.discoveryRequest(&r, first)); err != nil {
-				return // the receiver gets the cause
+				return // the receiver gets the error that ended the stream
 			}
 			first = false
 		case <-ctx.Done():
@@ -128,7 +128,8 @@
 	}
 }
 
-// eventLoop handles messages and timeouts until the stream's end.
+// eventLoop handles messages and timeouts until the stream is to be closed. It returns nil if the stream is to be closed
+// to probe a preferred server.
 func (x *Client) eventLoop(ctx context.Context, messages <-chan message) error {
 	timer := time.NewTimer(maxTickInterval)
 	defer timer.Stop()
--- a/internal/xds/versioncache.go
+++ b/internal/xds/versioncache.go
@@ -10,23 +10,23 @@
 	"yokestall/internal/xds/ads"
 )
 
-// minSaveInterval is the least time between two writes of the cache file.
+// minSaveInterval is the shortest time between two writes of the cache file that saveIfDue queues.
 const minSaveInterval = time.Second
 
-// versionCache stores the last valid form of each resource in a file. Its methods are for the client's goroutine; the
-// file is written by a goroutine of its own, which newVersionCache starts and close ends.
+// versionCache stores the last valid form of each resource in a file. Only the client's goroutine may call its methods.
+// A separate goroutine, which newVersionCache starts and close ends, writes the file.
 type versionCache struct {
 	path   string
 	log    *slog.Logger
-	writes chan *discoveryv3.DeltaDiscoveryResponse // of capacity 1; closed by close
+	writes chan *discoveryv3.DeltaDiscoveryResponse // has a capacity of 1; closed by close
 	writer sync.WaitGroup
 
 	resources [ads.TypeCount]map[string]ads.Resource // by name
-	dirty     bool                                   // changed since the last write
-	savedAt   time.Time                              // of the last write
+	dirty     bool                                   // resources changed since the last write was queued
+	savedAt   time.Time                              // when the last write was queued
 }
 
-// newVersionCache returns a cache in which no resource is stored.
+// newVersionCache returns a cache without resources, and starts the goroutine that writes its file.
 func newVersionCache(path string, log *slog.Logger) *versionCache {
 	c := &versionCache{path: path, log: log, writes: make(chan *discoveryv3.DeltaDiscoveryResponse, 1)}
 	for t := range c.resources {
@@ -42,7 +42,8 @@
 	return c
 }
 
-// load returns the version in the file, which the cache has then too; nil if there is no file.
+// load reads the file, stores its resources in the cache and returns its content. It returns nil if the file does not
+// exist.
 func (c *versionCache) load() (*cachedVersion, error) {
 	v, err := readCacheFile(c.path)
 	if v == nil || err != nil {
@@ -56,7 +57,7 @@
 	return v, nil
 }
 
-// record records an update.
+// record applies an update to the stored resources.
 func (c *versionCache) record(u *ads.Update) {
 	for _, r := range u.Accepted {
 		c.resources[u.Type][r.Name] = ads.Resource{Name: r.Name, Version: r.Version, Body: r.Body}
@@ -67,7 +68,8 @@
 	c.dirty = c.dirty || !u.Empty()
 }
 
-// saveIfDue has the file written if something has changed and minSaveInterval has passed. It does not wait.
+// saveIfDue queues a write of the file if a resource has changed and minSaveInterval has passed. It does not block: if
+// a queued write has not started yet, a later call has to queue the change.
 func (c *versionCache) saveIfDue(m *ads.Machine) {
 	if !c.dirty || time.Since(c.savedAt) < minSaveInterval {
 		return
@@ -75,17 +77,17 @@
 	select {
 	case c.writes <- c.snapshot(m):
 		c.dirty, c.savedAt = false, time.Now()
-	default: // the last write has not ended
+	default: // the writer has not taken the last write yet
 	}
 }
 
-// saveNow is saveIfDue without the interval.
+// saveNow queues a write as saveIfDue does, even if minSaveInterval has not passed.
 func (c *versionCache) saveNow(m *ads.Machine) {
 	c.savedAt = time.Time{}
 	c.saveIfDue(m)
 }
 
-// close has the last changes written and waits for the end of the writer.
+// close queues a write of the last changes, and waits until the goroutine that writes the file has ended.
 func (c *versionCache) close(m *ads.Machine) {
 	if c.dirty {
 		c.writes <- c.snapshot(m)
@@ -94,8 +96,9 @@
 	c.writer.Wait()
 }
 
-// snapshot returns what the file stores: the resources of all types, and the version of each type (state of the world)
-// as a resource without a body. Resources that are not subscribed to any more are removed from the cache.
+// snapshot returns the message that the file stores: the resources of all types, and the version of each type (state of
+// the world only) as a resource without a body. It removes from the cache the resources that the state machine no
+// longer knows, because they were removed or are no longer subscribed to.
 func (c *versionCache) snapshot(m *ads.Machine) *discoveryv3.DeltaDiscoveryResponse {
 	out := &discoveryv3.DeltaDiscoveryResponse{}
 	for t := range ads.TypeCount {
--- a/internal/xds/wire.go
+++ b/internal/xds/wire.go
@@ -15,8 +15,8 @@
 	"yokestall/internal/xds/ads"
 )
 
-// rawCodec passes gRPC's messages on as bytes: the time of receipt is taken before they are parsed, and this package
-// reports one that is malformed, which ends the stream.
+// rawCodec is a gRPC codec that leaves received messages unparsed. So the time of receipt is taken before a message is
+// parsed, and this package reports a malformed message, which ends the stream.
 type rawCodec struct{}
 
 var _ encoding.CodecV2 = rawCodec{}
@@ -41,13 +41,13 @@
 	if x.config.Variant == ads.Incremental {
 		return parseDeltaResponse(b)
 	}
-	return parseStateResponse(b)
+	return parseStateOfTheWorldResponse(b)
 }
 
 func parseDeltaResponse(b []byte) (*ads.Response, error) {
 	var m discoveryv3.DeltaDiscoveryResponse
 	if err := proto.Unmarshal(b, &m); err != nil {
-		return nil, fmt.Errorf("no DeltaDiscoveryResponse: %w", err)
+		return nil, fmt.Errorf("parse DeltaDiscoveryResponse: %w", err)
 	}
 	out := &ads.Response{
 		URL: m.GetTypeUrl(), Version: m.GetSystemVersionInfo(), Nonce: m.GetNonce(), Removed: m.GetRemovedResources(),
@@ -59,10 +59,10 @@
 	return out, nil
 }
 
-func parseStateResponse(b []byte) (*ads.Response, error) {
+func parseStateOfTheWorldResponse(b []byte) (*ads.Response, error) {
 	var m discoveryv3.DiscoveryResponse
 	if err := proto.Unmarshal(b, &m); err != nil {
-		return nil, fmt.Errorf("no DiscoveryResponse: %w", err)
+		return nil, fmt.Errorf("parse DiscoveryResponse: %w", err)
 	}
 	out := &ads.Response{URL: m.GetTypeUrl(), Version: m.GetVersionInfo(), Nonce: m.GetNonce()}
 	for _, a := range m.GetResources() {
@@ -71,7 +71,7 @@
 	return out, nil
 }
 
-// discoveryRequest returns the message of a request. The first one of a stream has the node.
+// discoveryRequest returns the protobuf message of a request. The first request of a stream carries the node.
 func (x *Client) discoveryRequest(r *ads.Request, first bool) proto.Message {
 	var node *corev3.Node
 	if first {
