--- a/internal/xds/ads/helpers_test.go
+++ b/internal/xds/ads/helpers_test.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// decode decodes the resources of these tests: "name=content", where the content "bad" is invalid.
+// decode decodes a resource of the form "name=content". It rejects the content "bad".
 func decode(_ Type, body *anypb.Any) (string, any, error) {
 	name, content, ok := strings.Cut(string(body.Value), "=")
 	if !ok {
@@ -19,7 +19,7 @@
 	return name, content, nil
 }
 
-// body returns the body of a resource.
+// body returns a resource body that decode accepts, unless content is "bad".
 func body(t Type, name, content string) *anypb.Any {
 	return &anypb.Any{TypeUrl: t.URL(), Value: []byte(name + "=" + content)}
 }
--- a/internal/xds/ads/machine_fuzz_test.go
+++ b/internal/xds/ads/machine_fuzz_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// FuzzMachine plays scripts of a control plane that may send anything. Whatever it sends, each usable response is
-// answered once, the others change nothing, and the limits hold.
+// FuzzMachine plays scripts of a control plane that may send any bytes. It checks that each usable response is answered
+// once, that other responses change nothing, and that the limits hold.
 func FuzzMachine(f *testing.F) {
 	f.Add(true, []byte("sa;o;r1a=1;r2a=bad,b=2;c;o;t"))
 	f.Add(false, []byte("sab;o;r1a=1;r1a=1;xa;t"))
@@ -29,14 +29,14 @@
 			playStep(t, m, now, step)
 			for kind := range TypeCount {
 				if _, versions := m.Versions(kind); len(versions) > MaxResources {
-					t.Fatalf("%d resources", len(versions))
+					t.Fatalf("got %d resources of one type, want at most MaxResources", len(versions))
 				}
 			}
 		}
 	})
 }
 
-// playStep plays a step of a script: its first byte says what happens, or of which type a response is.
+// playStep plays a step of a script. The first byte of the step selects the event, or the type of a received response.
 func playStep(t *testing.T, m *Machine, now time.Duration, step string) {
 	rest := step[1:]
 	switch step[0] {
@@ -53,7 +53,7 @@
 	}
 }
 
-// receiveAnything has the machine receive a response that is made of a step's bytes.
+// receiveAnything has the machine receive a response that is built from the bytes of a step.
 func receiveAnything(t *testing.T, m *Machine, step string) {
 	kind, rest := Type(int(step[0])%int(TypeCount)), step[1:]
 	r := &Response{
@@ -68,11 +68,11 @@
 			Body: &anypb.Any{TypeUrl: kind.URL(), Value: []byte(part)},
 		})
 	}
-	u, owed, err := m.Receive(r)
-	if err != nil && (len(owed) > 0 || !u.Empty()) {
-		t.Fatal("an ignored response changes something")
+	u, answers, err := m.Receive(r)
+	if err != nil && (len(answers) > 0 || !u.Empty()) {
+		t.Fatal("a response that was not usable gave an answer or an update")
 	}
-	if err == nil && (len(owed) != 1 || owed[0].Nonce != r.Nonce || len(owed[0].ErrorDetail) > maxErrorDetailBytes) {
-		t.Fatalf("owed %+v", owed)
+	if err == nil && (len(answers) != 1 || answers[0].Nonce != r.Nonce || len(answers[0].ErrorDetail) > maxErrorDetailBytes) {
+		t.Fatalf("got answers %+v, want one to the response's nonce, with a bounded error detail", answers)
 	}
 }
--- a/internal/xds/ads/messages.go
+++ b/internal/xds/ads/messages.go
@@ -2,16 +2,16 @@
 
 import "google.golang.org/protobuf/types/known/anypb"
 
-// Variant is the variant of the protocol.
+// Variant is a variant of the ADS protocol.
 type Variant int
 
-// The variants.
+// The variants of the protocol, each with its RPC.
 const (
 	StateOfTheWorld Variant = iota // StreamAggregatedResources
 	Incremental                    // DeltaAggregatedResources
 )
 
-// Resource is a resource of a response. Name and Version are set in the incremental variant only.
+// Resource is a resource in a response. Name and Version are set in the incremental variant only.
 type Resource struct {
 	Name, Version string
 	Body          *anypb.Any
@@ -21,46 +21,47 @@
 type Response struct {
 	URL, Version, Nonce string
 	Resources           []Resource
-	Removed             []string // incremental only
+	Removed             []string // names; incremental only
 }
 
 // Request is a DiscoveryRequest or a DeltaDiscoveryRequest.
 type Request struct {
 	Type  Type
 	Nonce string
-	// ErrorDetail is a NACK's text; "" in an ACK and in a request that answers no response.
+	// ErrorDetail is the error text of a NACK; "" in an ACK and in a request that answers no response.
 	ErrorDetail string
 
-	// State of the world only.
+	// The fields Version and Names are used in the state-of-the-world variant only.
 
 	Version string
 	Names   []string // nil for all
 
-	// Incremental only.
+	// The fields below are used in the incremental variant only.
 
 	Subscribe, Unsubscribe []string
 	InitialVersions        map[string]string // by resource name
 }
 
-// Decode decodes a resource into its name and the value that Update passes on. It returns the name with an error too,
-// as far as there is one.
+// Decode decodes a resource into its name and the value for ValidResource.Value. If the resource is invalid, Decode
+// returns an error, and also the name if it could be read.
 type Decode func(t Type, body *anypb.Any) (name string, value any, err error)
 
 // ValidResource is a resource that was accepted.
 type ValidResource struct {
 	Name, Version string
-	Value         any        // by Decode
+	Value         any        // returned by Decode
 	Body          *anypb.Any // as received
 }
 
-// Update is what a response, or a timeout, has changed.
+// Update lists the changes that a response or a timeout has made to the resources of one type.
 type Update struct {
 	Type     Type
 	Accepted []ValidResource
 	Removed  []string
-	// Missing are names that are subscribed to and, after Options.MissingTimeout, do not exist for the control plane.
+	// Missing are the names of requested resources that the control plane does not have: they have not come within
+	// Options.MissingTimeout, or a response that lists all resources of the type lacks them.
 	Missing []string
 }
 
-// Empty reports whether nothing changed.
+// Empty reports whether the update has no changes.
 func (u *Update) Empty() bool { return len(u.Accepted)+len(u.Removed)+len(u.Missing) == 0 }
--- a/internal/xds/ads/missing.go
+++ b/internal/xds/ads/missing.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A resource that is subscribed to and does not come within MissingTimeout does not exist for the control plane: a
-// state-of-the-world response of RDS and EDS has no way to say so.
+// A requested resource that has not come within Options.MissingTimeout counts as nonexistent. A timeout is needed
+// because a state-of-the-world response of RDS or EDS can't say that a resource does not exist.
 
-// awaitUnknown starts the timeout of those names that are not known.
-func (s *typeState) awaitUnknown(now time.Duration, names iter.Seq[string]) {
+// startMissingTimeouts starts a timeout for each of the names whose resource is not known.
+func (s *typeState) startMissingTimeouts(now time.Duration, names iter.Seq[string]) {
 	for name := range names {
 		if _, known := s.versions[name]; !known {
 			s.pendingSince[name] = now
@@ -18,7 +18,7 @@
 	}
 }
 
-// Tick returns the names that do not exist since their timeout has passed. Each is returned once.
+// Tick returns, as missing, the requested resources whose timeout has passed. Each timeout is reported once.
 func (m *Machine) Tick(now time.Duration) (out []Update) {
 	for t := range TypeCount {
 		s := &m.types[t]
@@ -37,7 +37,7 @@
 	return out
 }
 
-// NextTick returns the time at which Tick returns names; false if no timeout runs.
+// NextTick returns the time at which the next timeout passes, and false if no timeout is running.
 func (m *Machine) NextTick() (at time.Duration, ok bool) {
 	for t := range m.types {
 		for _, since := range m.types[t].pendingSince {
--- a/internal/xds/ads/model_test.go
+++ b/internal/xds/ads/model_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// machineTest is a machine beside the model of its control plane, and what the machine should have.
+// machineTest is a machine, the model of its control plane, and the expected state of the machine.
 type machineTest struct {
 	machine  *Machine
 	server   *serverModel
@@ -21,11 +21,11 @@
 	now      time.Duration
 
 	subscribed map[string]bool
-	accepted   map[string]string // content by resource, by the machine's updates
-	lastValid  map[string]string // the last valid content of each resource that was sent
+	accepted   map[string]string // content by resource name, as the machine's updates report it
+	lastValid  map[string]string // last valid content that the model sent, by resource name
 }
 
-// newMachineTest draws the variant, the type, and whether all resources of the type are subscribed to.
+// newMachineTest returns a test with a drawn variant and type, and for clusters a drawn choice of a wildcard.
 func newMachineTest(t *rapid.T) *machineTest {
 	c := &machineTest{
 		delta:      rapid.Bool().Draw(t, "delta"),
@@ -45,7 +45,7 @@
 	return c
 }
 
-// apply applies an update of the machine's.
+// apply applies an update that the machine returned to the accepted resources.
 func (c *machineTest) apply(u *Update) {
 	for _, resource := range u.Accepted {
 		c.accepted[resource.Name] = resource.Value.(string)
@@ -55,33 +55,33 @@
 	}
 }
 
-// deliver delivers the server's next response and checks the answer. It reports false if none is due.
+// deliver delivers the next response of the model and checks the answer. It reports false if no response is due.
 func (c *machineTest) deliver(t *rapid.T) bool {
 	r := c.server.nextResponse(c.kind)
 	if r == nil {
 		return false
 	}
 	invalid := c.recordValid(r)
-	u, owed, err := c.machine.Receive(r)
-	if err != nil || len(owed) != 1 || owed[0].Nonce != r.Nonce || owed[0].Type != c.kind {
-		t.Fatalf("%+v: owed %+v, %v", r, owed, err)
+	u, answers, err := c.machine.Receive(r)
+	if err != nil || len(answers) != 1 || answers[0].Nonce != r.Nonce || answers[0].Type != c.kind {
+		t.Fatalf("response %+v: got answers %+v, error %v; want one answer to the nonce", r, answers, err)
 	}
-	answer := owed[0]
+	answer := answers[0]
 	if (answer.ErrorDetail != "") != (invalid > 0) || strings.Count(answer.ErrorDetail, "is bad") != invalid {
-		t.Fatalf("%d invalid, the answer says %q", invalid, answer.ErrorDetail)
+		t.Fatalf("%d resources are invalid, got error detail %q", invalid, answer.ErrorDetail)
 	}
 	if !c.delta && invalid == 0 && answer.Version != r.Version {
-		t.Fatalf("an ACK of version %q for %q", answer.Version, r.Version)
+		t.Fatalf("got ACK of version %q, want %q", answer.Version, r.Version)
 	}
 	c.apply(&u)
 	if again, more, err := c.machine.Receive(r); err == nil || len(more) > 0 || !again.Empty() {
-		t.Fatal("a nonce that was answered is accepted again")
+		t.Fatal("a response with an answered nonce was accepted again")
 	}
 	c.server.receive(answer)
 	return true
 }
 
-// recordValid records the valid resources of a response and returns the number of the others.
+// recordValid records the valid resources of a response and returns the number of invalid ones.
 func (c *machineTest) recordValid(r *Response) (invalid int) {
 	for _, resource := range r.Resources {
 		name, content, _ := strings.Cut(string(resource.Body.Value), "=")
@@ -94,7 +94,7 @@
 	return invalid
 }
 
-// toggleSubscription subscribes to a resource, or ends the subscription.
+// toggleSubscription subscribes to a resource, or ends the subscription to it.
 func (c *machineTest) toggleSubscription(t *rapid.T, name string) {
 	if c.subscribed[name] {
 		delete(c.subscribed, name)
@@ -112,11 +112,11 @@
 	}
 }
 
-// request has the server receive a request. To the first one for a type it responds even without resources.
+// request has the model receive a request. The model answers the first request of a type even if it has no resources.
 func (c *machineTest) request(t *rapid.T, r Request) {
 	s := c.server
 	if s.subscribed == nil {
-		t.Fatalf("a request without a stream: %+v", r)
+		t.Fatalf("got request %+v before a stream was opened, want none", r)
 	}
 	if !s.requested && len(s.subscribed) == 0 && !s.wildcard && len(s.sent) == 0 {
 		s.requested = true
@@ -149,27 +149,26 @@
 	}
 }
 
-// check checks what the machine has of a resource once everything was delivered.
+// check checks the machine's state of a resource after all responses were delivered.
 func (c *machineTest) check(t *rapid.T, name string) {
 	content, exists := c.server.content[name]
 	subscribed := c.wildcard || c.subscribed[name]
 	got, present := c.accepted[name]
 	switch {
 	case !subscribed && present:
-		t.Fatalf("%s is present without a subscription", name)
+		t.Fatalf("%s is present, but not subscribed to", name)
 	case subscribed && exists && content != "bad" && got != content:
-		t.Fatalf("%s: has %q, the control plane %q", name, got, content)
+		t.Fatalf("%s: got content %q, want %q as in the control plane", name, got, content)
 	case subscribed && exists && content == "bad" && present && got != c.lastValid[name]:
-		t.Fatalf("%s: has %q, its last valid form is %q", name, got, c.lastValid[name])
+		t.Fatalf("%s: got content %q, want the last valid content %q", name, got, c.lastValid[name])
 	case subscribed && !exists && present && (c.delta || c.kind.listsAll()):
-		t.Fatalf("%s is present and was removed", name)
+		t.Fatalf("%s is present, but the control plane has removed it", name)
 	}
 }
 
-// TestFollowsTheControlPlane checks that, whatever the control plane changes, breaks and repeats, and whatever is
-// subscribed to, each response is answered once, by its nonce; that a NACK names the invalid resources and no others;
-// and that in the end the client has the resources of the control plane, but for invalid ones, of which it has the
-// last valid form.
+// TestFollowsTheControlPlane plays drawn changes of resources and subscriptions, broken streams and repeated responses.
+// It checks that each response is answered once, by its nonce; that a NACK names the invalid resources and no others;
+// and that in the end the client has the resources of the control plane, or the last valid form of invalid ones.
 func TestFollowsTheControlPlane(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newMachineTest(t)
@@ -178,7 +177,7 @@
 			c.now += time.Millisecond
 			c.step(t, rapid.SampledFrom(names).Draw(t, "name"))
 		}
-		c.server.put("last", "1") // what a broken stream has lost shows with the next change
+		c.server.put("last", "1") // changes that a broken stream has lost are sent with the next change
 		if !c.open {
 			c.openStream("p")
 		}
--- a/internal/xds/ads/nack.go
+++ b/internal/xds/ads/nack.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// errorDetail returns a NACK's error detail, bounded in errors and bytes; "" without errors.
+// errorDetail returns the error detail of a NACK, limited to maxErrorsInNACK errors and maxErrorDetailBytes; "" if there
+// are no errors.
 func errorDetail(errs []error) string {
 	if len(errs) == 0 {
 		return ""
@@ -13,7 +14,7 @@
 	var b strings.Builder
 	for i, err := range errs {
 		if i == maxErrorsInNACK {
-			fmt.Fprintf(&b, "; and %d more", len(errs)-i)
+			fmt.Fprintf(&b, "; and %d more errors", len(errs)-i)
 			break
 		}
 		if i > 0 {
--- a/internal/xds/ads/resourcetype.go
+++ b/internal/xds/ads/resourcetype.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Type is a type of resources, in the order in which they refer to one another.
+// Type is a resource type. The types are in the order of reference: a resource refers only to resources of later types.
 type Type int
 
 // The types that the machine follows.
@@ -28,18 +28,18 @@
 	Endpoint: "endpoints",
 }
 
-// URL returns the type's URL.
+// URL returns the type URL, as the protocol uses it.
 func (t Type) URL() string { return typeURLs[t] }
 
-// String returns the type's name in messages.
+// String returns the name of the type in log events and errors.
 func (t Type) String() string { return typeNames[t] }
 
-// TypeByURL returns the type with a URL, and whether there is one.
+// TypeByURL returns the type with a type URL, and whether the machine follows such a type.
 func TypeByURL(url string) (Type, bool) {
 	i := slices.Index(typeURLs[:], url)
 	return Type(i), i >= 0
 }
 
-// listsAll reports whether a state-of-the-world response has all resources of the type, so that one that is absent from
-// it has been removed (LDS and CDS only).
+// listsAll reports whether a state-of-the-world response lists all resources of the type, so that a resource that is
+// absent from the response has been removed (LDS and CDS only).
 func (t Type) listsAll() bool { return t == Listener || t == Cluster }
--- a/internal/xds/ads/response.go
+++ b/internal/xds/ads/response.go
@@ -8,37 +8,38 @@
 	"slices"
 )
 
-// Receive takes a response. It returns what has changed and the ACK or NACK that is due. The error is about a response
-// that can't be used, to which none is due.
+// Receive handles a response. It returns the changes and the ACK or NACK to send. If the response can't be used, Receive
+// returns an error and changes nothing, and no ACK or NACK is to be sent.
 func (m *Machine) Receive(r *Response) (u Update, answers []Request, err error) {
 	t, ok := TypeByURL(r.URL)
 	if !ok || !m.types[t].requested {
-		return u, nil, fmt.Errorf("a response of type %.200q, which was not asked for", r.URL)
+		return u, nil, fmt.Errorf("response of type %.200q, which was not requested", r.URL)
 	}
 	s := &m.types[t]
 	switch {
 	case !m.streamOpen:
-		return u, nil, errors.New("a response with no stream open")
+		return u, nil, errors.New("response received while no stream is open")
 	case r.Nonce == "":
-		return u, nil, fmt.Errorf("%v: a response with no nonce", t)
+		return u, nil, fmt.Errorf("%v: response has no nonce", t)
 	case slices.Contains(s.answeredNonces, r.Nonce):
-		return u, nil, fmt.Errorf("%v: nonce %.64q was answered before", t, r.Nonce)
+		return u, nil, fmt.Errorf("%v: response repeats nonce %.64q, which was answered before", t, r.Nonce)
 	}
 	m.responseReceived, s.lastServer = true, m.server
-	s.noteNonce(r.Nonce)
+	s.recordAnsweredNonce(r.Nonce)
 	u, errs := m.acceptResources(t, r)
 	answer := Request{Type: t, Nonce: r.Nonce, ErrorDetail: errorDetail(errs)}
 	if m.options.Variant == StateOfTheWorld {
 		if len(errs) == 0 {
 			s.acceptedVersion = r.Version
 		}
-		m.setState(&answer)
+		m.setStateOfTheWorldFields(&answer)
 	}
 	return u, []Request{answer}, nil
 }
 
-// noteNonce records that a nonce is answered.
-func (s *typeState) noteNonce(nonce string) {
+// recordAnsweredNonce records that the response with a nonce is answered. The oldest nonce is dropped if there are more
+// than maxAnsweredNonces.
+func (s *typeState) recordAnsweredNonce(nonce string) {
 	s.lastNonce = nonce
 	s.answeredNonces = append(s.answeredNonces, nonce)
 	if len(s.answeredNonces) > maxAnsweredNonces {
@@ -46,14 +47,14 @@
 	}
 }
 
-// acceptance is the acceptance of one response's resources.
+// acceptance is the state while the resources of one response are accepted or rejected.
 type acceptance struct {
 	machine  *Machine
-	state    *typeState // of the response's type
+	state    *typeState // the state of the response's type
 	response *Response
 	update   Update
-	seen     map[string]bool // names in the response
-	errs     []error         // of rejected resources
+	seen     map[string]bool // names of resources in the response
+	errs     []error         // errors of rejected resources
 }
 
 // acceptResources accepts or rejects the resources of a response, and applies its removals.
@@ -66,7 +67,7 @@
 		seen:     make(map[string]bool, len(r.Resources)),
 	}
 	for i := range r.Resources {
-		a.take(&r.Resources[i])
+		a.processResource(&r.Resources[i])
 	}
 	if t.listsAll() && m.options.Variant == StateOfTheWorld {
 		a.removeAbsent()
@@ -77,23 +78,24 @@
 	return a.update, a.errs
 }
 
-// take accepts or rejects a resource. One that is rejected counts as seen, so that its last valid form stays.
-func (a *acceptance) take(res *Resource) {
+// processResource accepts or rejects a resource. A rejected resource counts as seen, so that its last valid form is not
+// removed.
+func (a *acceptance) processResource(res *Resource) {
 	s, t := a.state, a.update.Type
 	if res.Body == nil || res.Body.TypeUrl != t.URL() {
-		a.reject(res.Name, fmt.Errorf("its type is %.200q", res.Body.GetTypeUrl()))
+		a.reject(res.Name, fmt.Errorf("the type URL is %.200q, which is not the type of the response", res.Body.GetTypeUrl()))
 		if res.Name != "" {
 			a.seen[res.Name] = true
 		}
 		return
 	}
 	hash := maphash.Bytes(a.machine.seed, res.Body.Value)
-	if a.takeUnchanged(res, hash) {
+	if a.acceptUnchanged(res, hash) {
 		return
 	}
 	name, value, err := a.machine.options.Decode(t, res.Body)
 	if name = cmp.Or(name, res.Name); name == "" || len(name) > MaxNameBytes {
-		a.reject(name, fmt.Errorf("a name has 1 to %d bytes", MaxNameBytes))
+		a.reject(name, fmt.Errorf("the name is not 1 to %d bytes long", MaxNameBytes))
 		return
 	}
 	duplicate := a.seen[name]
@@ -101,25 +103,25 @@
 	_, known := s.versions[name]
 	switch {
 	case duplicate:
-		a.reject(name, errors.New("stands there twice"))
+		a.reject(name, errors.New("the response has more than one resource of this name"))
 	case res.Name != "" && res.Name != name:
-		a.reject(res.Name, fmt.Errorf("the resource in it is named %q", name))
+		a.reject(res.Name, fmt.Errorf("the resource itself has the name %q", name))
 		a.seen[res.Name] = true
 	case !a.machine.subscribes(t, name):
 		return
 	case err != nil:
 		a.reject(name, err)
 	case !known && len(s.versions) >= MaxResources:
-		a.reject(name, fmt.Errorf("there are %d already", MaxResources))
+		a.reject(name, fmt.Errorf("the limit of %d resources of one type is reached", MaxResources))
 	default:
 		a.accept(ValidResource{Name: name, Version: a.version(res), Value: value, Body: res.Body}, hash)
 	}
 	delete(s.pendingSince, name)
 }
 
-// takeUnchanged reports whether a resource has the bytes that are in force; it is not decoded then. Control planes send
-// resources that have not changed with those that have.
-func (a *acceptance) takeUnchanged(res *Resource, hash uint64) bool {
+// acceptUnchanged accepts a resource whose bytes are in force already, without decoding it, and reports whether it did.
+// Control planes often send unchanged resources along with changed ones.
+func (a *acceptance) acceptUnchanged(res *Resource, hash uint64) bool {
 	name, found := a.state.nameByHash[hash]
 	if !found || a.seen[name] || res.Name != "" && res.Name != name {
 		return false
@@ -129,10 +131,10 @@
 	return true
 }
 
-// version returns the version of a resource: its own, or the response's.
+// version returns the version of a resource, or the version of the response if the resource has none.
 func (a *acceptance) version(res *Resource) string { return cmp.Or(res.Version, a.response.Version) }
 
-// accept puts a resource in force.
+// accept records the version and hash of an accepted resource, and adds the resource to the update.
 func (a *acceptance) accept(r ValidResource, hash uint64) {
 	s := a.state
 	delete(s.nameByHash, s.hashes[r.Name])
@@ -140,15 +142,15 @@
 	a.update.Accepted = append(a.update.Accepted, r)
 }
 
-// reject adds an error about a resource.
+// reject records why a resource is rejected.
 func (a *acceptance) reject(name string, err error) {
 	if name == "" {
-		name = "one with no name"
+		name = "resource without a name"
 	}
 	a.errs = append(a.errs, fmt.Errorf("%.*s: %w", MaxNameBytes, name, err))
 }
 
-// removeNamed removes the resources that an incremental response names.
+// removeNamed removes the resources that an incremental response lists as removed.
 func (a *acceptance) removeNamed() {
 	s := a.state
 	for _, name := range a.response.Removed {
@@ -159,7 +161,7 @@
 	}
 }
 
-// removeAbsent removes the resources that a response with all of them does not have.
+// removeAbsent removes the resources that are absent from a response that lists all resources of the type.
 func (a *acceptance) removeAbsent() {
 	for name := range a.state.versions {
 		if !a.seen[name] {
@@ -170,7 +172,8 @@
 	slices.Sort(a.update.Removed)
 }
 
-// reportAbsent reports the names that are subscribed to and not in a response with all resources: they do not exist.
+// reportAbsent reports as missing the requested resources that are absent from a response that lists all resources of
+// the type: the control plane does not have them.
 func (a *acceptance) reportAbsent() {
 	s := a.state
 	for name := range s.subscribed {
--- a/internal/xds/ads/servermodel_test.go
+++ b/internal/xds/ads/servermodel_test.go
@@ -7,20 +7,20 @@
 	"strconv"
 )
 
-// serverModel is a model of a control plane that has resources of one type and one stream. It sends what the client
-// does not have.
+// serverModel is a model of a control plane that has resources of one type and one stream. It sends the resources that
+// the client does not have.
 type serverModel struct {
 	delta     bool
-	content   map[string]string // by resource
-	version   map[string]int    // by resource
-	last      int               // version
+	content   map[string]string // by resource name
+	version   map[string]int    // by resource name
+	last      int               // the last version of any resource
 	lastNonce int
 
-	// Of the stream:
+	// The fields below are reset when a stream opens.
 
 	subscribed map[string]bool // nil before the first stream
 	wildcard   bool
-	sent       map[string]int // version by resource
+	sent       map[string]int // the version that the client has, by resource name
 	requested  bool           // a response is due even if nothing has changed
 }
 
@@ -37,7 +37,7 @@
 	delete(s.version, name)
 }
 
-// open starts a stream with its first requests.
+// open starts a stream and receives its first requests.
 func (s *serverModel) open(t Type, requests []Request) {
 	s.subscribed, s.sent = map[string]bool{}, map[string]int{}
 	s.wildcard, s.requested = false, false
@@ -84,7 +84,7 @@
 	}
 }
 
-// nextResponse returns the response that is due; nil if none is.
+// nextResponse returns the response that is due, or nil if no response is due.
 func (s *serverModel) nextResponse(t Type) *Response {
 	r := &Response{URL: t.URL()}
 	changed := s.requested && !s.delta && t.listsAll()
--- a/internal/xds/ads/subscription.go
+++ b/internal/xds/ads/subscription.go
@@ -6,25 +6,28 @@
 	"time"
 )
 
-// wildcardName subscribes to all resources of a type, in the incremental variant.
+// wildcardName is the name that subscribes to all resources of a type in the incremental variant.
 const wildcardName = "*"
 
-// foreignVersion is a version that no control plane has.
-const foreignVersion = "of another control plane"
+// unknownVersion is sent in place of a resource's version that another control plane has set. No control plane is
+// expected to use it as a version.
+const unknownVersion = "of another control plane"
 
 // initialRequest returns the first request of a type on a stream.
 //
-// A control plane that did not give the known versions may mean something else by the same version, and would then send
-// nothing. So it is sent no version, or in the incremental variant one that it can't have.
+// Another control plane than the one that set the accepted versions may use the same version for other content, and
+// would then not send that content. So initialRequest sends such a control plane no version, or unknownVersion for each
+// resource in the incremental variant.
 func (m *Machine) initialRequest(now time.Duration, t Type) Request {
 	s := &m.types[t]
 	s.requested = true
-	s.awaitUnknown(now, maps.Keys(s.subscribed))
+	s.startMissingTimeouts(now, maps.Keys(s.subscribed))
 	sameServer := s.lastServer == m.server
 	r := Request{Type: t}
 	if m.options.Variant == StateOfTheWorld {
 		r.Names = m.requestNames(t)
-		// Nor is the version sent while a name is not known: a control plane without a newer one would send nothing.
+		// The version is also omitted while a requested resource is unknown: a control plane without a newer version would
+		// send nothing.
 		if len(s.pendingSince) == 0 && sameServer {
 			r.Version = s.acceptedVersion
 		}
@@ -35,15 +38,15 @@
 		r.Subscribe = append([]string{wildcardName}, r.Subscribe...)
 	}
 	r.InitialVersions = maps.Clone(s.versions)
-	if !sameServer { // the names are sent so that the control plane reports those that it does not have
+	if !sameServer { // the names are sent so that the control plane reports resources that it does not have as removed
 		for name := range r.InitialVersions {
-			r.InitialVersions[name] = foreignVersion
+			r.InitialVersions[name] = unknownVersion
 		}
 	}
 	return r
 }
 
-// requestNames returns the names that requests of a type list, sorted; nil for all.
+// requestNames returns the names that a request of a type lists, sorted; nil for all resources of the type.
 func (m *Machine) requestNames(t Type) []string {
 	if m.options.Wildcard[t] {
 		return nil
@@ -56,8 +59,8 @@
 	return m.options.Wildcard[t] || m.types[t].subscribed[name]
 }
 
-// Subscribe sets the names of a type that are subscribed to. What is known of others is forgotten. It returns the
-// requests that are due and the names past MaxResources, which are left out.
+// Subscribe sets the names of a type that are subscribed to, and forgets the resources with other names. It returns the
+// requests to send, and the names over the limit of MaxResources, which are not subscribed to.
 func (m *Machine) Subscribe(now time.Duration, t Type, names []string) (out []Request, overLimit []string) {
 	if m.options.Wildcard[t] {
 		return nil, nil
@@ -76,11 +79,11 @@
 		}
 		return []Request{m.initialRequest(now, t)}, overLimit
 	}
-	s.awaitUnknown(now, slices.Values(added))
+	s.startMissingTimeouts(now, slices.Values(added))
 	return []Request{m.subscriptionRequest(t, added, removed)}, overLimit
 }
 
-// setSubscribed replaces the names that are subscribed to, and returns the difference.
+// setSubscribed replaces the names that are subscribed to, and returns the added and removed names.
 func (s *typeState) setSubscribed(names []string) (added, removed []string) {
 	next := map[string]bool{}
 	for _, name := range names {
@@ -98,7 +101,7 @@
 	return added, removed
 }
 
-// subscriptionRequest returns the request of a changed subscription.
+// subscriptionRequest returns the request that tells the control plane of a changed subscription.
 func (m *Machine) subscriptionRequest(t Type, added, removed []string) Request {
 	if m.options.Variant == Incremental {
 		slices.Sort(added)
@@ -106,12 +109,13 @@
 		return Request{Type: t, Subscribe: added, Unsubscribe: removed}
 	}
 	r := Request{Type: t, Nonce: m.types[t].lastNonce}
-	m.setState(&r)
+	m.setStateOfTheWorldFields(&r)
 	return r
 }
 
-// setState sets the accepted version and the names of a state-of-the-world request that is not a stream's first.
-func (m *Machine) setState(r *Request) {
+// setStateOfTheWorldFields sets the accepted version and the names of a state-of-the-world request that is not the
+// stream's first request of its type.
+func (m *Machine) setStateOfTheWorldFields(r *Request) {
 	r.Version, r.Names = m.types[r.Type].acceptedVersion, m.requestNames(r.Type)
 	if r.Names == nil && !m.options.Wildcard[r.Type] {
 		r.Names = []string{}
