--- a/internal/xds/state/clusters.go
+++ b/internal/xds/state/clusters.go
@@ -9,16 +9,17 @@
 	"yokestall/internal/xds/translate"
 )
 
-// clusterEntry is a cluster that the control plane has defined.
+// clusterEntry is a cluster that the control plane has defined, with the endpoints that it uses.
 type clusterEntry struct {
 	*translate.ClusterResource
-	assignment *translate.Assignment // the endpoints in use; nil if none have come
-	// assignedService is the EDS service name whose endpoints are in use; "" for none or static ones. It differs from
-	// EDSServiceName until the endpoints of that one have come.
+	assignment *translate.Assignment // the endpoints in use; nil if no endpoints have come
+	// assignedService is the EDS service name whose endpoints are in use; "" if the cluster has static endpoints or none.
+	// It differs from EDSServiceName until the endpoints of EDSServiceName have come.
 	assignedService string
 }
 
-// services returns the EDS service names that the cluster refers to, or uses the endpoints of. c may be nil.
+// services returns the EDS service names that the cluster refers to or whose endpoints it uses. A name can be returned
+// twice. c may be nil.
 func (c *clusterEntry) services() (names []string) {
 	if c == nil {
 		return nil
@@ -41,7 +42,8 @@
 	}
 }
 
-// applyEndpoints applies an update of endpoints. A cluster whose endpoints were removed, or do not exist, has none.
+// applyEndpoints applies an update of endpoints. Removed endpoints are replaced by an empty assignment. So are missing
+// endpoints that never came, unless every cluster that refers to them still uses those of another service name.
 func (s *State) applyEndpoints(now time.Time, u *ads.Update, c *Change) {
 	for _, r := range u.Accepted {
 		s.setEndpoints(now, r.Name, r.Value.(*translate.Assignment), c)
@@ -56,7 +58,8 @@
 	}
 }
 
-// setCluster adds or replaces a cluster. It uses the former one's endpoints until its own have come.
+// setCluster adds or replaces a cluster. The new version uses the endpoints of the former version until its own have
+// come.
 func (s *State) setCluster(now time.Time, definition *translate.ClusterResource, c *Change) {
 	old := s.clusters[definition.Name]
 	entry := &clusterEntry{ClusterResource: definition}
@@ -76,7 +79,7 @@
 	s.activate(entry, c)
 }
 
-// removeCluster removes a cluster, if it is there.
+// removeCluster removes a cluster, if it is defined.
 func (s *State) removeCluster(name string, c *Change) {
 	old := s.clusters[name]
 	if old == nil {
@@ -90,8 +93,8 @@
 	}
 }
 
-// replaceReferences updates users, as an entry replaces another one; either may be nil. Endpoints without users are
-// removed.
+// replaceReferences updates s.users for the replacement of the entry old by next; either may be nil. Endpoints to which
+// no cluster refers any more are removed.
 func (s *State) replaceReferences(old, next *clusterEntry) {
 	for _, service := range old.services() {
 		delete(s.users[service], old.Name)
@@ -112,11 +115,11 @@
 	}
 }
 
-// setEndpoints sets the endpoints of an EDS service name, and has the clusters that refer to it use them.
+// setEndpoints sets the endpoints of an EDS service name, and makes the clusters that refer to the name use them.
 func (s *State) setEndpoints(now time.Time, service string, a *translate.Assignment, c *Change) {
 	users := s.users[service]
 	if len(users) == 0 {
-		return // not subscribed to any more
+		return // the name is not subscribed to any more
 	}
 	before := s.endpoints[service]
 	if before != nil {
@@ -125,7 +128,7 @@
 	s.endpoints[service] = a
 	for _, name := range slices.Sorted(maps.Keys(users)) {
 		entry := s.clusters[name]
-		if entry.EDSServiceName != service { // it uses these until those of its present service name have come
+		if entry.EDSServiceName != service { // a former name, used until the endpoints of the current one come
 			entry.assignment = a
 			s.activate(entry, c)
 			continue
@@ -140,7 +143,8 @@
 	}
 }
 
-// usersHaveEndpoints reports whether each cluster that refers to an EDS service name has endpoints, of another one.
+// usersHaveEndpoints reports whether each cluster that refers to an EDS service name has endpoints, if only those of
+// another service name.
 func (s *State) usersHaveEndpoints(service string) bool {
 	for name := range s.users[service] {
 		if s.clusters[name].assignment == nil {
@@ -150,7 +154,8 @@
 	return true
 }
 
-// activate puts the present version of a cluster in force, if it has endpoints.
+// activate puts the current version of a cluster in force, if its endpoints have come. It adds the version to c.Clusters
+// even if the cluster is new; c.Full is set then as well.
 func (s *State) activate(entry *clusterEntry, c *Change) {
 	if entry.assignment == nil {
 		return
--- a/internal/xds/state/routes.go
+++ b/internal/xds/state/routes.go
@@ -27,8 +27,8 @@
 	return s.activateRoutes(len(u.Removed) > 0)
 }
 
-// activateRoutes puts the selected routes in force, and reports whether they changed. The present ones stay while those
-// of a listener have not come, unless route configurations were removed.
+// activateRoutes puts the selected routes in force, and reports whether they changed. The current routes stay in force
+// while the route configuration of a listener has not come, unless the update removed route configurations.
 func (s *State) activateRoutes(removed bool) bool {
 	next, pending := s.selectRoutes()
 	if next == s.activeRoutes || pending && !removed {
@@ -38,8 +38,8 @@
 	return true
 }
 
-// selectRoutes returns the routes that the options lead to; nil if there are none. pending reports that a listener
-// refers to a route configuration that is not there.
+// selectRoutes returns the routes that the options select; nil if there are none. pending reports that the listener
+// refers to a route configuration that has not come.
 func (s *State) selectRoutes() (routes *translate.Routes, pending bool) {
 	if s.options.Listener != "" {
 		l := s.listeners[s.options.Listener]
--- a/internal/xds/state/starttime.go
+++ b/internal/xds/state/starttime.go
@@ -7,11 +7,12 @@
 	"yokestall/internal/xds/translate"
 )
 
-// inferStartTimes sets the start times of the endpoints of a new version, where the control plane states none.
+// inferStartTimes sets the start times of the endpoints of a new version that have no start time from the control
+// plane.
 //
-// An endpoint that is new, or was not usable before, counts as started now: it may well have been, and one that warms
-// up must not get what the others can take. Where no usable endpoint stays, as in a replacement of all of them, the new
-// ones count as started long ago, as those of a first version do: no other endpoint could take their load.
+// An endpoint that is new, or was not usable before, counts as started now: it may have been, and an endpoint that is
+// warming up must not get as much load as the others. If no usable endpoint stays, as when all are replaced, the new
+// endpoints count as started long ago, as those of a first version do: no other endpoint could take their load.
 func inferStartTimes(now time.Time, old, next *translate.Assignment) {
 	anyStays := false
 	forEachEndpoint(old, next, func(before, e *cluster.Endpoint, _ bool) {
@@ -28,13 +29,13 @@
 	})
 }
 
-// sameEndpoint reports whether an endpoint was there before, under the same id and address. before may be nil.
+// sameEndpoint reports whether the endpoints before and e have the same id and address. before may be nil.
 func sameEndpoint(before, e *cluster.Endpoint) bool {
 	return before != nil && before.ID == e.ID && before.Address == e.Address
 }
 
-// forEachEndpoint calls visit with each endpoint of a version, the one of the same id in an older version (nil if there
-// is none), and whether its start time is stated. Both versions are sorted by id.
+// forEachEndpoint calls visit for each endpoint of next, with the endpoint of the same id in old (nil if there is none)
+// and whether the control plane states the start time. The endpoints of both versions have to be sorted by id.
 func forEachEndpoint(old, next *translate.Assignment, visit func(before, e *cluster.Endpoint, stated bool)) {
 	i := 0
 	for j := range next.Endpoints {
--- a/internal/xds/state/state.go
+++ b/internal/xds/state/state.go
@@ -10,32 +10,33 @@
 	"yokestall/internal/xds/translate"
 )
 
-// Options say which resources are followed.
+// Options select the resources that are followed.
 type Options struct {
-	Listener string // whose routes are used; "": those of Route are
-	Route    string // the route configuration that is used; "" without a listener: any, if there is only one
-	// RoutedClustersOnly follows only the clusters that routes refer to, and otherwise all.
+	Listener string // the listener whose routes are used; "" to use a route configuration without a listener
+	Route    string // the route configuration used if Listener is ""; if both are "", the only one received, if any
+	// RoutedClustersOnly limits the clusters that are followed to those that routes refer to. If false, all clusters are.
 	RoutedClustersOnly bool
 }
 
-// State is the resources and what follows from them. Its methods are for one caller at a time; the clusters and the
-// routes that they return are never changed.
+// State holds the resources, and the clusters and routes that follow from them. It is not safe for concurrent use. The
+// clusters and routes that its methods return are never changed.
 type State struct {
 	options   Options
 	listeners map[string]*translate.Listener
 	routes    map[string]*translate.Routes
 	clusters  map[string]*clusterEntry
 	endpoints map[string]*translate.Assignment // by EDS service name
-	// users are the clusters that refer to an EDS service name, or use its endpoints; never empty.
+	// users has, by EDS service name, the names of the clusters that refer to it or use its endpoints. A service name
+	// without such clusters has no entry.
 	users map[string]map[string]bool
 
-	activeRoutes   *translate.Routes          // nil if there are none
-	activeClusters map[string]*cluster.Config // those that have endpoints
-	// subscriptionsChanged reports whether the update that is applied changed the subscriptions.
+	activeRoutes   *translate.Routes          // nil if no routes are in force
+	activeClusters map[string]*cluster.Config // the clusters whose endpoints have come, by name
+	// subscriptionsChanged reports whether the update being applied may have changed the subscriptions.
 	subscriptionsChanged bool
 }
 
-// New returns a state without resources.
+// New returns a state that has no resources.
 func New(o Options) *State {
 	return &State{
 		options:        o,
@@ -48,9 +49,9 @@
 	}
 }
 
-// Change is what an update changed.
+// Change lists what an update has changed.
 type Change struct {
-	// Clusters are the new versions of clusters that were there before.
+	// Clusters are the new versions of clusters, including clusters that were not in force before.
 	Clusters []*cluster.Config
 	// Full reports that clusters were added or removed, or that routes changed: Routes and Clusters have to be read
 	// again.
@@ -59,10 +60,10 @@
 	SubscriptionsChanged bool
 }
 
-// Routes returns the routes in force; nil if there are none.
+// Routes returns the routes in force, or nil if there are none.
 func (s *State) Routes() *translate.Routes { return s.activeRoutes }
 
-// Clusters returns the clusters in force by name. A cluster whose endpoints have not come is not among them.
+// Clusters returns the clusters in force, by name. Clusters whose endpoints have not come are not in force.
 func (s *State) Clusters() map[string]*cluster.Config { return maps.Clone(s.activeClusters) }
 
 // Pending returns the names of the clusters whose endpoints have not come, sorted.
@@ -76,7 +77,7 @@
 	return names
 }
 
-// Apply applies an update that was received at now. Its cost grows with the update.
+// Apply applies an update that was received at now. The cost of Apply grows with the size of the update.
 func (s *State) Apply(now time.Time, u *ads.Update) (c Change) {
 	s.subscriptionsChanged = u.Type == ads.Listener || u.Type == ads.Route
 	switch u.Type {
--- a/internal/xds/state/subscriptions.go
+++ b/internal/xds/state/subscriptions.go
@@ -8,13 +8,14 @@
 	"yokestall/internal/xds/translate"
 )
 
-// Wildcard returns the types of which all resources are subscribed to.
+// Wildcard says for each type whether all its resources are subscribed to.
 func (o *Options) Wildcard() (all [ads.TypeCount]bool) {
 	all[ads.Cluster] = !o.RoutedClustersOnly
 	return all
 }
 
-// Subscriptions returns the names of a type that are subscribed to, sorted. Those of a wildcard are not complete.
+// Subscriptions returns the names of a type that are subscribed to, sorted. For a type with a wildcard, the names are
+// only a part of the resources that are subscribed to.
 func (s *State) Subscriptions(t ads.Type) []string {
 	names := map[string]bool{}
 	switch t {
@@ -43,7 +44,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// prune removes the resources that are no longer subscribed to: their changes would not be received.
+// prune removes route configurations and clusters that are no longer subscribed to, since their changes would not be
+// received.
 func (s *State) prune(c *Change) {
 	if s.options.Listener != "" || s.options.Route != "" {
 		subscribed := s.Subscriptions(ads.Route)
