--- a/internal/xds/translate/assignment.go
+++ b/internal/xds/translate/assignment.go
@@ -15,33 +15,33 @@
 	"yokestall/internal/cluster"
 )
 
-// The bounds of policy.overprovisioning_factor, in percent.
+// The allowed range of policy.overprovisioning_factor, in percent.
 const (
 	minOverprovisionPercent = 100
 	maxOverprovisionPercent = 100000
 )
 
-// Assignment is the used part of an endpoint.v3.ClusterLoadAssignment.
+// Assignment has the fields of an endpoint.v3.ClusterLoadAssignment that the program uses.
 type Assignment struct {
 	Name          string
-	Endpoints     []cluster.Endpoint // by id
-	Overprovision float64            // a factor, 1 or more; 0 if it is not given
+	Endpoints     []cluster.Endpoint // sorted by id
+	Overprovision float64            // a factor, 1 or more; 0 if none is given
 	Drops         []cluster.Drop
-	// StartStated says of each endpoint whether its start time is given, and not to be inferred.
+	// StartStated says for each endpoint whether the control plane states its start time; otherwise it is inferred.
 	StartStated []bool
 
-	locality []int32   // of each endpoint, an index into weights
-	weights  []float64 // of localities; 0 if it is not given
+	locality []int32   // the locality of each endpoint, an index into weights
+	weights  []float64 // the weight of each locality; 0 if none is given
 }
 
-// endpointRow is an endpoint with what the assignment has beside it.
+// endpointRow is an endpoint, and the elements that Assignment stores in separate slices for it.
 type endpointRow struct {
 	cluster.Endpoint
 	locality    int32
 	startStated bool
 }
 
-// assignment translates endpoints. defaultName is their name where they have none.
+// assignment translates a load assignment. defaultName is used if the load assignment has no name.
 func (o *Options) assignment(a *endpointv3.ClusterLoadAssignment, defaultName string) (*Assignment, error) {
 	if err := rejectFields(a.ProtoReflect(), rejectedInAssignment); err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 	return out, check.Check(nil)
 }
 
-// setEndpoints sets the endpoints, by id.
+// setEndpoints sorts rows by id, and sets the slices that have an element for each endpoint.
 func (a *Assignment) setEndpoints(rows []endpointRow) {
 	slices.SortFunc(rows, func(x, y endpointRow) int { return cmp.Compare(x.ID, y.ID) })
 	a.Endpoints = make([]cluster.Endpoint, len(rows))
@@ -77,7 +77,7 @@
 	}
 }
 
-// assignmentPolicy translates the overprovisioning factor and the drops.
+// assignmentPolicy translates the overprovisioning factor and the drops of a load assignment's policy.
 func assignmentPolicy(p *endpointv3.ClusterLoadAssignment_Policy, out *Assignment) error {
 	if f := p.GetOverprovisioningFactor(); f != nil {
 		if f.GetValue() < minOverprovisionPercent || f.GetValue() > maxOverprovisionPercent {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// fraction returns a type.v3.FractionalPercent as a number from 0 to 1.
+// fraction converts a type.v3.FractionalPercent to a number from 0 to 1. Larger values become 1.
 func fraction(p *typev3.FractionalPercent) (float64, error) {
 	denominator := 0.0
 	switch p.GetDenominator() {
@@ -112,30 +112,31 @@
 	return min(1, float64(p.GetNumerator())/denominator), nil
 }
 
-// locality appends the endpoints of the locality with an index to rows.
+// locality translates the endpoints of a locality and appends them to rows. index is the position of the locality in the
+// load assignment, from 0.
 func locality(rows []endpointRow, l *endpointv3.LocalityLbEndpoints, index int) ([]endpointRow, error) {
 	zone := zoneName(l.GetLocality())
-	withPlace := func(err error) error { return fmt.Errorf("endpoints %d (%s): %w", index+1, zone, err) }
+	withPosition := func(err error) error { return fmt.Errorf("endpoints %d (%s): %w", index+1, zone, err) }
 	if err := rejectFields(l.ProtoReflect(), rejectedInLocality); err != nil {
-		return nil, withPlace(err)
+		return nil, withPosition(err)
 	}
 	if l.GetPriority() > cluster.MaxPriority {
-		return nil, withPlace(fmt.Errorf("priority: %d is not from 0 to %d", l.GetPriority(), cluster.MaxPriority))
+		return nil, withPosition(fmt.Errorf("priority: %d is not from 0 to %d", l.GetPriority(), cluster.MaxPriority))
 	}
 	for j, e := range l.GetLbEndpoints() {
 		row, err := endpoint(e)
 		if err != nil {
-			return nil, withPlace(fmt.Errorf("lb_endpoints %d: %w", j+1, err))
+			return nil, withPosition(fmt.Errorf("lb_endpoints %d: %w", j+1, err))
 		}
 		row.Zone, row.Priority, row.locality = zone, int(l.GetPriority()), int32(index)
 		if rows = append(rows, row); len(rows) > cluster.MaxEndpoints {
-			return nil, fmt.Errorf("more than %d endpoints", cluster.MaxEndpoints)
+			return nil, fmt.Errorf("the load assignment has more than %d endpoints", cluster.MaxEndpoints)
 		}
 	}
 	return rows, nil
 }
 
-// zoneName returns the name of a locality: its zone, after the region if there are both.
+// zoneName returns the name of a locality: "region/zone" if it has both, otherwise the one that it has.
 func zoneName(l *corev3.Locality) string {
 	if l.GetRegion() == "" || l.GetZone() == "" {
 		return cmp.Or(l.GetZone(), l.GetRegion())
@@ -143,7 +144,7 @@
 	return l.GetRegion() + "/" + l.GetZone()
 }
 
-// endpoint translates an endpoint, without its locality.
+// endpoint translates an endpoint, except for the fields that its locality determines.
 func endpoint(e *endpointv3.LbEndpoint) (row endpointRow, err error) {
 	if err := rejectFields(e.ProtoReflect(), rejectedInEndpoint); err != nil {
 		return row, err
@@ -157,23 +158,23 @@
 	row.Weight = 1
 	if w := e.GetLoadBalancingWeight(); w != nil {
 		if row.Weight = float64(w.GetValue()); w.GetValue() == 0 {
-			return row, errors.New("load_balancing_weight: 0 is not from 1 up")
+			return row, errors.New("load_balancing_weight: 0 is less than 1")
 		}
 	}
 	return row, endpointMetadata(e.GetMetadata(), &row)
 }
 
-// address returns an endpoint's address as host:port.
+// address returns a socket address in the form host:port.
 func address(a *corev3.SocketAddress) (string, error) {
 	switch {
 	case a == nil:
-		return "", errors.New("endpoint.address: only socket_address is taken")
+		return "", errors.New("endpoint.address: only socket_address is supported")
 	case a.GetProtocol() != corev3.SocketAddress_TCP:
-		return "", errors.New("endpoint.address: only TCP is taken")
+		return "", errors.New("endpoint.address: only TCP is supported")
 	case a.GetNamedPort() != "" || a.GetResolverName() != "":
-		return "", errors.New("endpoint.address: named ports and resolvers are not taken")
+		return "", errors.New("endpoint.address: named ports and resolvers are not supported")
 	case net.ParseIP(a.GetAddress()) == nil:
-		return "", fmt.Errorf("endpoint.address: %.64q is no IP address", a.GetAddress())
+		return "", fmt.Errorf("endpoint.address: %.64q is not an IP address", a.GetAddress())
 	}
 	return net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))), nil
 }
@@ -193,7 +194,8 @@
 	return 0, fmt.Errorf("health_status: %d is unknown", status)
 }
 
-// endpointMetadata sets an endpoint's id (its address where none is given), cell and start time.
+// endpointMetadata sets the id, cell and start time of an endpoint from its metadata. The address is the id if the
+// metadata has none.
 func endpointMetadata(m *corev3.Metadata, row *endpointRow) error {
 	own, err := ownMetadata(m, "id", "cell", "started_ms")
 	if err != nil {
@@ -202,7 +204,7 @@
 	row.ID = row.Address
 	if v, ok := own["id"]; ok {
 		if row.ID = v.GetStringValue(); row.ID == "" {
-			return errors.New("metadata yokestall: id is no text")
+			return errors.New("metadata yokestall: id: not a string, or empty")
 		}
 	}
 	cell, _, err := integerField(own, "cell")
--- a/internal/xds/translate/cluster.go
+++ b/internal/xds/translate/cluster.go
@@ -18,21 +18,21 @@
 	maxConnectTimeout = time.Hour
 )
 
-// ClusterResource is the used part of a cluster.v3.Cluster.
+// ClusterResource has the fields of a cluster.v3.Cluster that the program uses.
 type ClusterResource struct {
 	Name string
-	// EDSServiceName is the name of its endpoints (EDS); "" where they come with it.
+	// EDSServiceName is the resource name of the cluster's endpoints in EDS; "" if the endpoints are static.
 	EDSServiceName string
-	// StaticAssignment is the endpoints that come with it; nil where they come by EDS.
+	// StaticAssignment has the endpoints that the cluster resource includes; nil if the endpoints come by EDS.
 	StaticAssignment *Assignment
 	Limits           cluster.Limits
-	// Transport is the protocol to its endpoints.
+	// Transport is the protocol that is used to the cluster's endpoints.
 	Transport cluster.Transport
-	// LocalityWeighted distributes the load over localities by their own weights (locality_weighted_lb_config).
+	// LocalityWeighted distributes the load over localities by their weights (locality_weighted_lb_config).
 	LocalityWeighted bool
 }
 
-// cluster translates a cluster.
+// cluster translates a cluster resource.
 func (o *Options) cluster(c *clusterv3.Cluster) (*ClusterResource, error) {
 	if err := rejectFields(c.ProtoReflect(), rejectedInCluster); err != nil {
 		return nil, err
@@ -52,11 +52,11 @@
 	return out, nil
 }
 
-// endpointSource translates where a cluster's endpoints come from.
+// endpointSource translates the source of a cluster's endpoints: EDS or a static load assignment.
 func (o *Options) endpointSource(c *clusterv3.Cluster, out *ClusterResource) error {
 	switch {
 	case c.GetClusterType() != nil:
-		return errors.New("cluster_type: custom clusters are not taken")
+		return errors.New("cluster_type: custom clusters are not supported")
 	case c.GetType() == clusterv3.Cluster_EDS:
 		eds := c.GetEdsClusterConfig()
 		if err := checkConfigSource("eds_cluster_config.eds_config", eds.GetEdsConfig()); err != nil {
@@ -75,21 +75,21 @@
 	return nil
 }
 
-// checkConfigSource checks that resources come from the control plane that is followed.
+// checkConfigSource returns an error if s refers to another source than the control plane that is followed.
 func checkConfigSource(field string, s *corev3.ConfigSource) error {
 	if s == nil || s.GetAds() != nil || s.GetSelf() != nil {
 		return nil
 	}
-	return fmt.Errorf("%s: only ads and self are taken", field)
+	return fmt.Errorf("%s: only ads and self are supported", field)
 }
 
-// translateLimits translates the connect timeout and the circuit breakers of the default priority, which all routes
-// have.
+// translateLimits translates the connect timeout and the circuit breakers. It uses the circuit breakers of the default
+// priority only, because all routes have that priority.
 func translateLimits(c *clusterv3.Cluster, b *cluster.Limits) error {
 	if d := c.GetConnectTimeout(); d != nil {
 		timeout := d.AsDuration()
 		if d.CheckValid() != nil || timeout <= 0 || timeout > maxConnectTimeout {
-			return fmt.Errorf("connect_timeout: %v is not above 0 and up to 1h", timeout)
+			return fmt.Errorf("connect_timeout: %v is not greater than 0 and at most 1h", timeout)
 		}
 		b.ConnectTimeout = max(timeout, minConnectTimeout)
 	}
@@ -99,7 +99,7 @@
 		}
 		if t.GetRetryBudget() != nil {
 			return fmt.Errorf("circuit_breakers.thresholds %d: retry_budget: "+
-				"the program has its own; max_retries is honoured", i+1)
+				"not supported, since the program has its own retry budget; max_retries is honoured", i+1)
 		}
 		b.MaxConnections = int(t.GetMaxConnections().GetValue())
 		b.MaxRequests = int(t.GetMaxRequests().GetValue())
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// Build returns the version of the cluster that has the endpoints.
+// Build returns the configuration of the cluster with the endpoints of a.
 func (c *ClusterResource) Build(a *Assignment) *cluster.Config {
 	out := &cluster.Config{
 		Name:       c.Name,
@@ -129,15 +129,16 @@
 	return out
 }
 
-// localityWeighted returns the endpoints with weights that distribute the load over localities by the localities'
-// weights, and within each by its endpoints'. The mean of the weights is 1. A locality without a weight gets no load
+// localityWeighted returns the endpoints with weights that distribute the load over the localities in proportion to the
+// localities' weights, and within a locality in proportion to its endpoints' weights. The mean of the returned weights
+// is 1, unless one is cut to cluster.MaxWeight. A locality without a weight gets no load
 // (LocalityLbEndpoints.load_balancing_weight).
 func (a *Assignment) localityWeighted() []cluster.Endpoint {
-	sums := make([]float64, len(a.weights)) // of the endpoints' weights, by locality
+	sums := make([]float64, len(a.weights)) // sum of the endpoints' weights, by locality
 	for i, e := range a.Endpoints {
 		sums[a.locality[i]] += e.Weight
 	}
-	total := 0.0 // of the localities' weights
+	total := 0.0 // sum of the weights of the localities that have endpoints
 	for i := range a.weights {
 		if sums[i] > 0 {
 			total += a.weights[i]
--- a/internal/xds/translate/decode_fuzz_test.go
+++ b/internal/xds/translate/decode_fuzz_test.go
@@ -9,25 +9,26 @@
 	"yokestall/internal/xds/ads"
 )
 
-// FuzzDecode: whatever the bytes are, a resource is taken or refused with a reason.
+// FuzzDecode checks that any bytes are either accepted or rejected with an error without a panic, and that an accepted
+// resource is valid for the program.
 func FuzzDecode(f *testing.F) {
 	for _, s := range subjects {
 		whole, _ := s.make()
 		f.Add(int(s.t), pack(whole()).Value)
 	}
 	f.Fuzz(func(t *testing.T, kind int, body []byte) {
-		which := ads.Type(uint(kind) % uint(ads.TypeCount))
-		name, value, err := options.Decode(which, &anypb.Any{TypeUrl: which.URL(), Value: body})
+		resourceType := ads.Type(uint(kind) % uint(ads.TypeCount))
+		name, value, err := options.Decode(resourceType, &anypb.Any{TypeUrl: resourceType.URL(), Value: body})
 		if err != nil {
-			if strings.Contains(err.Error(), "can't be read") {
-				t.Fatalf("a panic: %v", err)
+			if strings.Contains(err.Error(), "internal error while decoding the resource") {
+				t.Fatalf("Decode panicked: %v", err)
 			}
 			return
 		}
 		switch v := value.(type) {
 		case *ClusterResource:
 			if v.Name != name {
-				t.Fatalf("%q, %q", v.Name, name)
+				t.Fatalf("the resource has the name %q, but Decode returned the name %q", v.Name, name)
 			}
 			if v.StaticAssignment != nil {
 				if err := v.Build(v.StaticAssignment).Check(nil); err != nil {
--- a/internal/xds/translate/examples_test.go
+++ b/internal/xds/translate/examples_test.go
@@ -26,6 +26,7 @@
 
 var options = Options{Classes: []string{"read", "pay"}, DefaultClass: "read"}
 
+// pack returns a message in an Any.
 func pack(m proto.Message) *anypb.Any {
 	a, err := anypb.New(m)
 	if err != nil {
@@ -34,7 +35,8 @@
 	return a
 }
 
-func own(key string, v any) *corev3.Metadata {
+// metadataWith returns metadata with one key in the program's own namespace.
+func metadataWith(key string, v any) *corev3.Metadata {
 	value, err := structpb.NewValue(v)
 	if err != nil {
 		panic(err)
@@ -78,6 +80,7 @@
 	}
 }
 
+// baseRoute returns a valid route configuration with one route, which has the action.
 func baseRoute(action any) *routev3.RouteConfiguration {
 	r := &routev3.Route{Name: "r", Match: &routev3.RouteMatch{
 		PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/p"},
@@ -101,7 +104,7 @@
 	}
 }
 
-func weighted() *routev3.RouteAction {
+func weightedAction() *routev3.RouteAction {
 	clusters := &routev3.WeightedCluster{Clusters: []*routev3.WeightedCluster_ClusterWeight{
 		{Name: "a", Weight: wrapperspb.UInt32(1)}, {Name: "b", Weight: wrapperspb.UInt32(2)},
 	}}
@@ -110,13 +113,13 @@
 	}
 }
 
-func manager() *hcmv3.HttpConnectionManager {
+func connectionManager() *hcmv3.HttpConnectionManager {
 	return &hcmv3.HttpConnectionManager{
 		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{RouteConfigName: "main"}},
 	}
 }
 
-func listenerOf(m *hcmv3.HttpConnectionManager) *listenerv3.Listener {
+func listenerWith(m *hcmv3.HttpConnectionManager) *listenerv3.Listener {
 	return &listenerv3.Listener{Name: "l", ApiListener: &listenerv3.ApiListener{ApiListener: pack(m)}}
 }
 
@@ -138,13 +141,15 @@
 	})
 }
 
-// subject is a message of a valid resource; make gives the resource and the message in it.
+// subject is a message to test, in a valid resource of the type t. make returns the message as part, and as whole a
+// function that returns the resource with the changes that were made to part.
 type subject struct {
 	t    ads.Type
 	make func() (whole func() proto.Message, part proto.Message)
 }
 
-func of[M proto.Message](t ads.Type, base func() M, part func(M) proto.Message) subject {
+// newSubject returns the subject of a message in the resource that base returns.
+func newSubject[M proto.Message](t ads.Type, base func() M, part func(M) proto.Message) subject {
 	return subject{t, func() (func() proto.Message, proto.Message) {
 		b := base()
 		return func() proto.Message { return b }, part(b)
@@ -156,53 +161,53 @@
 	routes     = *routev3.RouteConfiguration
 )
 
-// ofRoute returns the subject of a message in a route configuration with an action.
-func ofRoute[A any](action func() A, part func(routes) proto.Message) subject {
-	return of(ads.Route, func() routes { return baseRoute(action()) }, part)
+// newRouteSubject returns the subject of a message in a route configuration whose route has an action.
+func newRouteSubject[A any](action func() A, part func(routes) proto.Message) subject {
+	return newSubject(ads.Route, func() routes { return baseRoute(action()) }, part)
 }
 
 func routeOf(c routes) *routev3.Route { return c.VirtualHosts[0].Routes[0] }
 
 var subjects = []subject{
-	of(ads.Cluster, baseCluster, func(c *clusterv3.Cluster) proto.Message { return c }),
-	of(ads.Cluster, baseCluster, func(c *clusterv3.Cluster) proto.Message { return c.EdsClusterConfig }),
-	of(ads.Cluster, baseCluster, func(c *clusterv3.Cluster) proto.Message { return c.CommonLbConfig }),
-	of(ads.Cluster, baseCluster, func(c *clusterv3.Cluster) proto.Message { return c.CircuitBreakers.Thresholds[0] }),
-	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a }),
-	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Policy }),
-	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Policy.DropOverloads[0] }),
-	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Endpoints[0] }),
-	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Endpoints[0].LbEndpoints[0] }),
-	of(ads.Endpoint, baseAssignment, func(a assignment) proto.Message {
+	newSubject(ads.Cluster, baseCluster, func(c *clusterv3.Cluster) proto.Message { return c }),
+	newSubject(ads.Cluster, baseCluster, func(c *clusterv3.Cluster) proto.Message { return c.EdsClusterConfig }),
+	newSubject(ads.Cluster, baseCluster, func(c *clusterv3.Cluster) proto.Message { return c.CommonLbConfig }),
+	newSubject(ads.Cluster, baseCluster, func(c *clusterv3.Cluster) proto.Message { return c.CircuitBreakers.Thresholds[0] }),
+	newSubject(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a }),
+	newSubject(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Policy }),
+	newSubject(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Policy.DropOverloads[0] }),
+	newSubject(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Endpoints[0] }),
+	newSubject(ads.Endpoint, baseAssignment, func(a assignment) proto.Message { return a.Endpoints[0].LbEndpoints[0] }),
+	newSubject(ads.Endpoint, baseAssignment, func(a assignment) proto.Message {
 		return a.Endpoints[0].LbEndpoints[0].GetEndpoint()
 	}),
-	ofRoute(plainAction, func(c routes) proto.Message { return c }),
-	ofRoute(plainAction, func(c routes) proto.Message { return c.VirtualHosts[0] }),
-	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c) }),
-	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c).Match }),
-	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c).Match.Headers[0] }),
-	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c).GetRoute() }),
-	ofRoute(plainAction, func(c routes) proto.Message { return routeOf(c).GetRoute().RetryPolicy }),
-	ofRoute(weighted, func(c routes) proto.Message { return routeOf(c).GetRoute().GetWeightedClusters() }),
-	ofRoute(weighted, func(c routes) proto.Message {
+	newRouteSubject(plainAction, func(c routes) proto.Message { return c }),
+	newRouteSubject(plainAction, func(c routes) proto.Message { return c.VirtualHosts[0] }),
+	newRouteSubject(plainAction, func(c routes) proto.Message { return routeOf(c) }),
+	newRouteSubject(plainAction, func(c routes) proto.Message { return routeOf(c).Match }),
+	newRouteSubject(plainAction, func(c routes) proto.Message { return routeOf(c).Match.Headers[0] }),
+	newRouteSubject(plainAction, func(c routes) proto.Message { return routeOf(c).GetRoute() }),
+	newRouteSubject(plainAction, func(c routes) proto.Message { return routeOf(c).GetRoute().RetryPolicy }),
+	newRouteSubject(weightedAction, func(c routes) proto.Message { return routeOf(c).GetRoute().GetWeightedClusters() }),
+	newRouteSubject(weightedAction, func(c routes) proto.Message {
 		return routeOf(c).GetRoute().GetWeightedClusters().Clusters[0]
 	}),
-	ofRoute(func() *routev3.RedirectAction { return &routev3.RedirectAction{} },
+	newRouteSubject(func() *routev3.RedirectAction { return &routev3.RedirectAction{} },
 		func(c routes) proto.Message { return routeOf(c).GetRedirect() }),
-	ofRoute(func() *routev3.DirectResponseAction { return &routev3.DirectResponseAction{Status: 404} },
+	newRouteSubject(func() *routev3.DirectResponseAction { return &routev3.DirectResponseAction{Status: 404} },
 		func(c routes) proto.Message { return routeOf(c).GetDirectResponse() }),
-	of(ads.Listener, func() *listenerv3.Listener { return listenerOf(manager()) },
+	newSubject(ads.Listener, func() *listenerv3.Listener { return listenerWith(connectionManager()) },
 		func(l *listenerv3.Listener) proto.Message { return l }),
 	{ads.Listener, func() (func() proto.Message, proto.Message) {
-		m := manager()
-		return func() proto.Message { return listenerOf(m) }, m
+		m := connectionManager()
+		return func() proto.Message { return listenerWith(m) }, m
 	}},
 }
 
-// examples set fields that a made-up value says nothing with.
+// examples has functions that set a field, for fields on which a value from setOrClear would have no visible effect.
 var examples = map[string]func(proto.Message){
 	"Cluster.typed_extension_protocol_options": func(m proto.Message) {
-		m.(*clusterv3.Cluster).TypedExtensionProtocolOptions = map[string]*anypb.Any{protocolOptions: explicitHTTP2()}
+		m.(*clusterv3.Cluster).TypedExtensionProtocolOptions = map[string]*anypb.Any{httpProtocolOptionsKey: explicitHTTP2()}
 	},
 	"Cluster.transport_socket": func(m proto.Message) {
 		m.(*clusterv3.Cluster).TransportSocket = &corev3.TransportSocket{Name: "tls", ConfigType: &corev3.TransportSocket_TypedConfig{
@@ -244,18 +249,18 @@
 		m.(*endpointv3.LbEndpoint).LoadBalancingWeight = wrapperspb.UInt32(3)
 	},
 	"LbEndpoint.metadata": func(m proto.Message) {
-		m.(*endpointv3.LbEndpoint).Metadata = own("id", "app-1")
+		m.(*endpointv3.LbEndpoint).Metadata = metadataWith("id", "app-1")
 	},
-	"RouteConfiguration.metadata": func(m proto.Message) { m.(routes).Metadata = own("class", "pay") },
+	"RouteConfiguration.metadata": func(m proto.Message) { m.(routes).Metadata = metadataWith("class", "pay") },
 	"VirtualHost.retry_policy": func(m proto.Message) {
 		v := m.(*routev3.VirtualHost)
 		v.Routes[0].GetRoute().RetryPolicy, v.RetryPolicy = nil, &routev3.RetryPolicy{RetryOn: "5xx", NumRetries: wrapperspb.UInt32(7)}
 	},
-	"VirtualHost.metadata": func(m proto.Message) { // typed
-		x := own("class", "pay").FilterMetadata[Namespace]
+	"VirtualHost.metadata": func(m proto.Message) { // uses typed_filter_metadata
+		x := metadataWith("class", "pay").FilterMetadata[Namespace]
 		m.(*routev3.VirtualHost).Metadata = &corev3.Metadata{TypedFilterMetadata: map[string]*anypb.Any{Namespace: pack(x)}}
 	},
-	"Route.metadata": func(m proto.Message) { m.(*routev3.Route).Metadata = own("class", "pay") },
+	"Route.metadata": func(m proto.Message) { m.(*routev3.Route).Metadata = metadataWith("class", "pay") },
 	"RouteMatch.path_match_policy": func(m proto.Message) {
 		m.(*routev3.RouteMatch).PathSpecifier = &routev3.RouteMatch_PathMatchPolicy{PathMatchPolicy: &corev3.TypedExtensionConfig{
 			TypedConfig: pack(&uriv3.UriTemplateMatchConfig{PathTemplate: "/a/{b}"}),
@@ -285,19 +290,19 @@
 	"Listener.filter_chains": func(m proto.Message) {
 		l := m.(*listenerv3.Listener)
 		l.ApiListener = nil
-		x := manager()
+		x := connectionManager()
 		x.GetRds().RouteConfigName = "other"
 		l.FilterChains = []*listenerv3.FilterChain{filterChain(x)}
 	},
 	"Listener.default_filter_chain": func(m proto.Message) {
-		x := manager()
+		x := connectionManager()
 		x.GetRds().RouteConfigName = "other"
 		m.(*listenerv3.Listener).DefaultFilterChain = filterChain(x)
 	},
 }
 
-// made sets a field to something, or clears it where it is set.
-func made(m protoreflect.Message, f protoreflect.FieldDescriptor) {
+// setOrClear sets a field to an arbitrary value, or clears the field if it is set.
+func setOrClear(m protoreflect.Message, f protoreflect.FieldDescriptor) {
 	scalar := func() protoreflect.Value {
 		switch f.Kind() {
 		case protoreflect.BoolKind:
--- a/internal/xds/translate/fieldtable_test.go
+++ b/internal/xds/translate/fieldtable_test.go
@@ -13,21 +13,21 @@
 
 var tableRow = regexp.MustCompile("^\\| ((?:`[a-z0-9_]+`(?:, )?)+) \\| (honoured|mapped|ignored|refused) \\|")
 
-// fieldPage is what docs/xds-fields.md says of each field, by message and field.
-type fieldPage map[string]map[string]string
+// fieldTable is the table of docs/xds-fields.md: the treatment of each field, by message and field name.
+type fieldTable map[string]map[string]string
 
-// readFieldPage reads the page and checks that it names no field twice.
-func readFieldPage(t *testing.T) fieldPage {
+// readFieldTable reads docs/xds-fields.md and checks that it lists no field twice.
+func readFieldTable(t *testing.T) fieldTable {
 	text, err := os.ReadFile("../../../docs/xds-fields.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	page := fieldPage{}
+	table := fieldTable{}
 	message := ""
 	for line := range strings.Lines(string(text)) {
 		if name, ok := strings.CutPrefix(line, "## "); ok {
 			message = strings.TrimSpace(name)
-			page[message] = map[string]string{}
+			table[message] = map[string]string{}
 		}
 		row := tableRow.FindStringSubmatch(line)
 		if row == nil {
@@ -35,53 +35,54 @@
 		}
 		for _, field := range strings.Split(row[1], ", ") {
 			field = strings.Trim(field, "`")
-			if page[message][field] != "" {
-				t.Errorf("%s.%s stands there twice", message, field)
+			if table[message][field] != "" {
+				t.Errorf("%s.%s is listed twice in docs/xds-fields.md", message, field)
 			}
-			page[message][field] = row[2]
+			table[message][field] = row[2]
 		}
 	}
-	return page
+	return table
 }
 
-// checkField checks what the page says of a field: whether the resource is as without the field, another one, or
-// rejected by the field's name. It reports whether the field has an example; otherwise its value is made up.
+// checkField sets or clears a field of a valid resource, and checks that the result is as the treatment says: unchanged
+// for "ignored", changed for "honoured" and "mapped", and an error that names the field for "refused". It reports
+// whether examples has a value for the field; otherwise the value comes from setOrClear.
 func (s *subject) checkField(t *testing.T, f protoreflect.FieldDescriptor, treatment string) (hasExample bool) {
 	whole, part := s.make()
 	baseName, base, err := options.Decode(s.t, pack(whole()))
 	if err != nil {
-		t.Fatalf("%s: the example is refused: %v", f.FullName(), err)
+		t.Fatalf("%s: the valid resource is rejected: %v", f.FullName(), err)
 	}
 	short := fmt.Sprintf("%s.%s", part.ProtoReflect().Descriptor().Name(), f.Name())
 	set, hasExample := examples[short]
 	if hasExample {
 		set(part)
 	} else {
-		made(part.ProtoReflect(), f)
+		setOrClear(part.ProtoReflect(), f)
 	}
 	name, got, err := options.Decode(s.t, pack(whole()))
 	same := err == nil && name == baseName && reflect.DeepEqual(got, base)
 	switch {
 	case treatment == "":
-		t.Errorf("%s is missing", f.FullName())
+		t.Errorf("%s is missing in docs/xds-fields.md", f.FullName())
 	case treatment == "ignored" && !same:
-		t.Errorf("%s is ignored, but: %v", short, err)
+		t.Errorf("%s is listed as ignored, but the result changes, or an error is returned: %v", short, err)
 	case treatment == "refused" && (err == nil || !strings.Contains(err.Error(), string(f.Name()))):
-		t.Errorf("%s is refused, but: %v", short, err)
+		t.Errorf("%s is listed as refused, but the error does not name it: %v", short, err)
 	case (treatment == "honoured" || treatment == "mapped") && same:
-		t.Errorf("%s is %s, but nothing changes", short, treatment)
+		t.Errorf("%s is listed as %s, but the result does not change", short, treatment)
 	}
 	return hasExample
 }
 
-// TestFieldTable checks that docs/xds-fields.md names each field once, and says of it what the code does.
+// TestFieldTable checks that docs/xds-fields.md lists each field once, with the treatment that the code gives it.
 func TestFieldTable(t *testing.T) {
-	page := readFieldPage(t)
+	table := readFieldTable(t)
 	used := 0
 	for _, s := range subjects {
 		_, part := s.make()
 		message := part.ProtoReflect().Descriptor()
-		rows := page[string(message.FullName())]
+		rows := table[string(message.FullName())]
 		for i := range message.Fields().Len() {
 			f := message.Fields().Get(i)
 			if s.checkField(t, f, rows[string(f.Name())]) {
@@ -90,11 +91,11 @@
 			delete(rows, string(f.Name()))
 		}
 		if len(rows) > 0 {
-			t.Errorf("%s has no %v", message.FullName(), rows)
+			t.Errorf("message %s has no fields %v, which docs/xds-fields.md lists", message.FullName(), rows)
 		}
-		delete(page, string(message.FullName()))
+		delete(table, string(message.FullName()))
 	}
-	if len(page) > 0 || used != len(examples) {
-		t.Errorf("messages that are not looked at: %v; %d of %d examples used", page, used, len(examples))
+	if len(table) > 0 || used != len(examples) {
+		t.Errorf("messages listed in docs/xds-fields.md but not tested: %v; %d of %d examples used", table, used, len(examples))
 	}
 }
--- a/internal/xds/translate/listener.go
+++ b/internal/xds/translate/listener.go
@@ -10,17 +10,18 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// Listener is the used part of a listener.v3.Listener: its routes.
+// Listener has the routes of a listener.v3.Listener. The program uses no other part of a listener resource.
 type Listener struct {
-	RouteName    string  // of the route configuration; "" where it is inline
-	InlineRoutes *Routes // nil where it has a name
+	RouteName    string  // the name of the route configuration; "" if the routes are inline
+	InlineRoutes *Routes // nil if the listener refers to a route configuration by name
 }
 
-// listener translates a listener. All its HTTP connection managers must have the same routes.
+// listener translates a listener. All HTTP connection managers of the listener must refer to the same route
+// configuration; inline routes are accepted only if there is a single manager.
 func (o *Options) listener(l *listenerv3.Listener) (*Listener, error) {
 	managers := connectionManagers(l)
 	if len(managers) == 0 {
-		return nil, errors.New("has no HTTP connection manager")
+		return nil, errors.New("the listener has no HTTP connection manager")
 	}
 	var out *Listener
 	for _, a := range managers {
@@ -29,14 +30,14 @@
 			return nil, err
 		}
 		if out != nil && (out.InlineRoutes != nil || next.InlineRoutes != nil || out.RouteName != next.RouteName) {
-			return nil, errors.New("has filter chains with different routes")
+			return nil, errors.New("the listener has HTTP connection managers with different or inline routes")
 		}
 		out = next
 	}
 	return out, nil
 }
 
-// connectionManagers returns the HTTP connection managers of a listener.
+// connectionManagers returns the HTTP connection managers of a listener: of the API listener and of all filter chains.
 func connectionManagers(l *listenerv3.Listener) (managers []*anypb.Any) {
 	if a := l.GetApiListener().GetApiListener(); a != nil {
 		managers = append(managers, a)
@@ -70,7 +71,7 @@
 			return nil, err
 		}
 		if m.GetRds().GetRouteConfigName() == "" {
-			return nil, errors.New("rds.route_config_name: is missing")
+			return nil, errors.New("rds.route_config_name: no name given")
 		}
 		return &Listener{RouteName: m.GetRds().GetRouteConfigName()}, nil
 	case m.GetRouteConfig() != nil:
@@ -80,5 +81,5 @@
 		}
 		return &Listener{InlineRoutes: routes}, nil
 	}
-	return nil, errors.New("HTTP connection manager: neither rds nor route_config")
+	return nil, errors.New("HTTP connection manager: neither rds nor route_config is set")
 }
--- a/internal/xds/translate/metadata.go
+++ b/internal/xds/translate/metadata.go
@@ -11,31 +11,31 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// Namespace is the program's own key in metadata.
+// Namespace is the key of the program's own part of a resource's metadata.
 const Namespace = "yokestall"
 
-// maxExactInteger is the number up to which all integers are exact in a JSON number.
+// maxExactInteger is the largest integer up to which every integer has an exact value as a JSON number (a float64).
 const maxExactInteger = 1 << 53
 
-// ownMetadata returns the program's own part of metadata: typed_filter_metadata (a google.protobuf.Struct) before
-// filter_metadata. Keys that are not known are errors.
+// ownMetadata returns the program's own part of the metadata. typed_filter_metadata (a google.protobuf.Struct) has
+// precedence over filter_metadata. A key that is not in known is an error.
 func ownMetadata(m *corev3.Metadata, known ...string) (map[string]*structpb.Value, error) {
 	own := m.GetFilterMetadata()[Namespace]
 	if a := m.GetTypedFilterMetadata()[Namespace]; a != nil {
 		own = &structpb.Struct{}
 		if !a.MessageIs(own) || a.UnmarshalTo(own) != nil {
-			return nil, fmt.Errorf("metadata %s: is no google.protobuf.Struct", Namespace)
+			return nil, fmt.Errorf("metadata %s: not a valid google.protobuf.Struct", Namespace)
 		}
 	}
 	for key := range own.GetFields() {
 		if !slices.Contains(known, key) {
-			return nil, fmt.Errorf("metadata %s: %.64s is no known key", Namespace, key)
+			return nil, fmt.Errorf("metadata %s: unknown key %.64s", Namespace, key)
 		}
 	}
 	return own.GetFields(), nil
 }
 
-// integerField returns an integer of 0 or more, and whether the field is there.
+// integerField returns an integer field from 0 to maxExactInteger, and whether the field is present.
 func integerField(fields map[string]*structpb.Value, key string) (n int64, found bool, err error) {
 	v, found := fields[key]
 	if !found {
@@ -49,9 +49,9 @@
 	return int64(number.NumberValue), true, nil
 }
 
-var errNotInteger = errors.New("is no whole number from 0 up")
+var errNotInteger = errors.New("not an integer from 0 to 2^53")
 
-// marshalFields returns some of the fields as a JSON object.
+// marshalFields returns the fields with the given keys as a JSON object. Absent fields are left out.
 func marshalFields(fields map[string]*structpb.Value, keys ...string) ([]byte, error) {
 	out := map[string]any{}
 	for _, key := range keys {
--- a/internal/xds/translate/route.go
+++ b/internal/xds/translate/route.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// maxDirectResponseBytes bounds the body of a direct response.
+	// maxDirectResponseBytes is the size of the largest body of a direct response that is accepted.
 	maxDirectResponseBytes = 4096
-	// defaultRetries is the number of retries of a retry policy that gives none.
+	// defaultRetries is the number of retries if a retry policy has no num_retries.
 	defaultRetries = 1
-	// maxRetries bounds the retries of a request.
+	// maxRetries bounds the number of retries of a request. A larger num_retries is reduced to it.
 	maxRetries = 15
 )
 
-// translateRoute translates a route. hostRetry is the retry policy of its virtual host, class the class that it has by
-// default.
+// translateRoute translates a route. hostRetry is the retry policy of the route's virtual host. class is the class of
+// the route if its metadata names none.
 func translateRoute(r *routev3.Route, hostRetry *routev3.RetryPolicy, class string) (out route.Route, err error) {
 	out.Name = r.GetName()
 	if err := rejectFields(r.ProtoReflect(), rejectedInRoute); err != nil {
@@ -44,7 +44,7 @@
 	case *routev3.Route_DirectResponse:
 		err = directResponse(a.DirectResponse, &out)
 	default:
-		err = errors.New("has no action")
+		err = errors.New("no supported action is set")
 	}
 	return out, err
 }
@@ -65,11 +65,11 @@
 			out.Clusters = append(out.Clusters, route.WeightedCluster{Cluster: w.GetName(), Weight: w.GetWeight().GetValue()})
 		}
 	default:
-		return errors.New("route: names no cluster")
+		return errors.New("route: no supported cluster specifier is set")
 	}
-	if d := a.GetTimeout(); d != nil { // 0 is no limit of the route's own
+	if d := a.GetTimeout(); d != nil { // 0 means that the route has no timeout of its own
 		if d.CheckValid() != nil || d.AsDuration() < 0 {
-			return errors.New("route: timeout: is no time")
+			return errors.New("route: timeout: not a valid duration of 0 or more")
 		}
 		out.Timeout = d.AsDuration()
 	}
@@ -79,8 +79,9 @@
 	return retryPolicy(hostRetry, out)
 }
 
-// retryPolicy translates a retry policy; nil is none. retry_on and the like say when Envoy would retry. Here the
-// class's idempotency does, and the policy limits the number; one that names no occasion allows none.
+// retryPolicy translates a retry policy. A nil policy sets nothing. In Envoy, retry_on and similar fields say which
+// requests are retried; here the idempotency of the route's class does, and the policy only limits the number of
+// retries. A policy with an empty retry_on allows no retries.
 func retryPolicy(p *routev3.RetryPolicy, out *route.Route) error {
 	if p == nil {
 		return nil
@@ -95,14 +96,14 @@
 	out.MaxAttempts = 1 + int(retries)
 	if d := p.GetPerTryTimeout(); d != nil {
 		if d.CheckValid() != nil || d.AsDuration() < 0 {
-			return errors.New("route: retry_policy: per_try_timeout: is no time")
+			return errors.New("route: retry_policy: per_try_timeout: not a valid duration of 0 or more")
 		}
 		out.PerTryTimeout = d.AsDuration()
 	}
 	return nil
 }
 
-// redirectStatus is the HTTP status of each response code of a redirect.
+// redirectStatus maps each response code of a redirect action to its HTTP status.
 var redirectStatus = map[routev3.RedirectAction_RedirectResponseCode]int{
 	routev3.RedirectAction_MOVED_PERMANENTLY:  301,
 	routev3.RedirectAction_FOUND:              302,
@@ -111,7 +112,7 @@
 	routev3.RedirectAction_PERMANENT_REDIRECT: 308,
 }
 
-// redirect translates a redirect.
+// redirect translates a redirect action.
 func redirect(r *routev3.RedirectAction, out *route.Route) error {
 	if err := rejectFields(r.ProtoReflect(), rejectedInRedirect); err != nil {
 		return fmt.Errorf("redirect: %w", err)
@@ -131,17 +132,17 @@
 	}
 	switch {
 	case a.Port > math.MaxUint16:
-		return fmt.Errorf("redirect: port_redirect: %d", a.Port)
+		return fmt.Errorf("redirect: port_redirect: %d is not from 0 to 65535", a.Port)
 	case a.Status == 0:
 		return fmt.Errorf("redirect: response_code: %d is unknown", r.GetResponseCode())
 	case a.Prefix != "" && out.Kind != route.PathPrefix:
-		return errors.New("redirect: prefix_rewrite: only with a prefix match")
+		return errors.New("redirect: prefix_rewrite: only supported with a prefix match")
 	}
 	out.DirectResponse = a
 	return nil
 }
 
-// directResponse translates a direct response.
+// directResponse translates a direct response action.
 func directResponse(d *routev3.DirectResponseAction, out *route.Route) error {
 	if err := rejectFields(d.ProtoReflect(), rejectedInDirectResponse); err != nil {
 		return fmt.Errorf("direct_response: %w", err)
@@ -154,11 +155,11 @@
 	case *corev3.DataSource_InlineBytes:
 		text = string(b.InlineBytes)
 	default:
-		return errors.New("direct_response.body: only inline bodies are taken")
+		return errors.New("direct_response.body: only inline bodies are supported")
 	}
 	switch {
 	case len(text) > maxDirectResponseBytes:
-		return fmt.Errorf("direct_response.body: over %d bytes", maxDirectResponseBytes)
+		return fmt.Errorf("direct_response.body: larger than the limit of %d bytes", maxDirectResponseBytes)
 	case d.GetStatus() < 200 || d.GetStatus() > 599:
 		return fmt.Errorf("direct_response.status: %d is not from 200 to 599", d.GetStatus())
 	}
--- a/internal/xds/translate/routematch.go
+++ b/internal/xds/translate/routematch.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// anyText matches any text, in a regular expression.
+	// anyText is a regular expression that matches any text.
 	anyText = "(?s:.*)"
-	// subPath matches the end of a path, or a further segment.
+	// subPath is a regular expression that matches nothing, or a slash and any text.
 	subPath = "(?s:/.*)?"
-	// ignoreCase begins a regular expression that ignores case.
+	// ignoreCase is the prefix that makes a regular expression ignore case.
 	ignoreCase = "(?i)"
 )
 
-// match translates what a route matches.
+// match translates the match conditions of a route.
 func match(m *routev3.RouteMatch, out *route.Route) error {
 	if err := rejectFields(m.ProtoReflect(), rejectedInRouteMatch); err != nil {
 		return err
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// matchPath translates the path that a route matches, into a regular expression where route has no kind for it.
+// matchPath translates the path match of a route. A match without a kind in package route becomes a regular expression.
 func matchPath(m *routev3.RouteMatch, out *route.Route) error {
 	foldCase := m.GetCaseSensitive() != nil && !m.GetCaseSensitive().GetValue()
 	setPattern := func(literal, rest string) {
@@ -59,7 +59,7 @@
 	case *routev3.RouteMatch_PathSeparatedPrefix:
 		prefix := p.PathSeparatedPrefix
 		if !strings.HasPrefix(prefix, "/") || strings.ContainsAny(prefix, "?#") || strings.HasSuffix(prefix, "/") {
-			return fmt.Errorf("path_separated_prefix: %.64q", prefix)
+			return fmt.Errorf("path_separated_prefix: %.64q has no leading slash, or has a trailing slash, ? or #", prefix)
 		}
 		setPattern(prefix, subPath)
 	case *routev3.RouteMatch_SafeRegex:
@@ -67,16 +67,16 @@
 	case *routev3.RouteMatch_PathMatchPolicy:
 		var t uriv3.UriTemplateMatchConfig
 		if a := p.PathMatchPolicy.GetTypedConfig(); !a.MessageIs(&t) || a.UnmarshalTo(&t) != nil {
-			return errors.New("path_match_policy: only uri_template is taken")
+			return errors.New("path_match_policy: only a valid uri_template is supported")
 		}
 		out.Kind, out.Path = route.PathTemplate, t.GetPathTemplate()
 	default:
-		return errors.New("has no path")
+		return errors.New("no supported path specifier is set")
 	}
 	return nil
 }
 
-// matchHeader translates a header matcher. Of the pseudo-header fields an exact :method is supported.
+// matchHeader translates a header matcher. The only pseudo-header match that is supported is one exact :method.
 func matchHeader(h *routev3.HeaderMatcher, out *route.Route) error {
 	if err := rejectFields(h.ProtoReflect(), rejectedInHeaderMatcher); err != nil {
 		return err
@@ -90,7 +90,7 @@
 		return nil
 	}
 	if c.Name != ":method" || c.Kind != route.HeaderExact || c.Invert || len(out.Methods) > 0 {
-		return errors.New("of the pseudo-headers only an exact :method is taken")
+		return errors.New("the only pseudo-header match that is supported is one exact :method")
 	}
 	out.Methods = []string{c.Value}
 	return nil
@@ -121,12 +121,12 @@
 	case *routev3.HeaderMatcher_StringMatch:
 		return stringCondition(m.StringMatch, c)
 	default:
-		return errors.New("the kind of match is unknown")
+		return errors.New("the header match specifier is unknown")
 	}
 	return nil
 }
 
-// stringCondition translates a string matcher; one that ignores case into a regular expression.
+// stringCondition translates a string matcher. A matcher that ignores case becomes a regular expression.
 func stringCondition(m *matcherv3.StringMatcher, c *route.HeaderMatcher) error {
 	foldCase := func(before, literal, after string) {
 		if m.GetIgnoreCase() {
@@ -149,7 +149,7 @@
 	case *matcherv3.StringMatcher_SafeRegex:
 		c.Kind, c.Value = route.HeaderRegex, p.SafeRegex.GetRegex()
 	default:
-		return errors.New("string_match: the kind of match is not taken")
+		return errors.New("string_match: the match pattern is not supported")
 	}
 	return nil
 }
--- a/internal/xds/translate/routes.go
+++ b/internal/xds/translate/routes.go
@@ -11,20 +11,20 @@
 	"yokestall/internal/route"
 )
 
-// Routes is the used part of a route.v3.RouteConfiguration.
+// Routes has the fields of a route.v3.RouteConfiguration that the program uses.
 type Routes struct {
 	Hosts   []route.VirtualHost
-	Classes []config.Class  // beside the program's own
-	Tenants []config.Tenant // in place of the program's own, if any
+	Classes []config.Class  // classes in addition to those of the program's settings file
+	Tenants []config.Tenant // if not empty, these replace the tenants of the program's settings file
 	Table   *route.Table
 }
 
-// routeTranslation is the translation of one route configuration.
+// routeTranslation is the state of the translation of one route configuration.
 type routeTranslation struct {
 	options *Options
 	out     Routes
-	classes []string // all that routes may name
-	count   int      // routes so far
+	classes []string // all classes that routes may name
+	count   int      // number of routes translated so far
 }
 
 // routes translates a route configuration.
@@ -54,7 +54,7 @@
 	return &t.out, err
 }
 
-// setClasses sets the classes and tenants by the metadata, a JSON object.
+// setClasses sets the classes and tenants from the metadata, which is a JSON object.
 func (t *routeTranslation) setClasses(metadata []byte) (err error) {
 	if t.out.Classes, t.out.Tenants, err = config.ParseClasses(metadata); err != nil {
 		return fmt.Errorf("metadata %s: %w", Namespace, err)
@@ -62,36 +62,36 @@
 	t.classes = slices.Clone(t.options.Classes)
 	for _, c := range t.out.Classes {
 		if slices.Contains(t.classes, c.Name) {
-			return fmt.Errorf("metadata %s: class %s is the program's own too", Namespace, c.Name)
+			return fmt.Errorf("metadata %s: class %s is also defined in the program's settings file", Namespace, c.Name)
 		}
 		t.classes = append(t.classes, c.Name)
 	}
 	return nil
 }
 
-// addVirtualHost translates a virtual host. number is its place, from 1; defaultClass is the class of routes that name
-// none.
+// addVirtualHost translates a virtual host. number is the position of the virtual host in the route configuration, from
+// 1. defaultClass is the class of routes for which neither the route nor the virtual host names one.
 func (t *routeTranslation) addVirtualHost(v *routev3.VirtualHost, number int, defaultClass string) error {
-	withPlace := func(err error) error { return fmt.Errorf("virtual_hosts %d (%.64s): %w", number, v.GetName(), err) }
+	withPosition := func(err error) error { return fmt.Errorf("virtual_hosts %d (%.64s): %w", number, v.GetName(), err) }
 	if err := rejectFields(v.ProtoReflect(), rejectedInVirtualHost); err != nil {
-		return withPlace(err)
+		return withPosition(err)
 	}
 	own, err := ownMetadata(v.GetMetadata(), "class")
 	if err != nil {
-		return withPlace(err)
+		return withPosition(err)
 	}
 	class := cmp.Or(own["class"].GetStringValue(), defaultClass)
 	host := route.VirtualHost{Name: v.GetName(), Domains: v.GetDomains()}
 	for j, r := range v.GetRoutes() {
 		if t.count++; t.count > route.MaxRoutes {
-			return fmt.Errorf("more than %d routes", route.MaxRoutes)
+			return fmt.Errorf("the route configuration has more than %d routes", route.MaxRoutes)
 		}
 		translated, err := translateRoute(r, v.GetRetryPolicy(), class)
 		if err == nil {
 			err = t.checkClass(&translated)
 		}
 		if err != nil {
-			return withPlace(fmt.Errorf("routes %d (%.64s): %w", j+1, r.GetName(), err))
+			return withPosition(fmt.Errorf("routes %d (%.64s): %w", j+1, r.GetName(), err))
 		}
 		host.Routes = append(host.Routes, translated)
 	}
@@ -99,13 +99,13 @@
 	return nil
 }
 
-// checkClass checks that the class of a route is known, unless the route answers by itself.
+// checkClass checks that the class of a route is known. Routes with a direct response need no class.
 func (t *routeTranslation) checkClass(r *route.Route) error {
 	switch {
 	case r.DirectResponse != nil || t.options.AllowUnknownClasses || slices.Contains(t.classes, r.Class):
 		return nil
 	case r.Class == "":
-		return fmt.Errorf("names no class: metadata %s: class", Namespace)
+		return fmt.Errorf("the route names no class and there is no default: metadata %s: class", Namespace)
 	}
 	return fmt.Errorf("class %q is not known", r.Class)
 }
--- a/internal/xds/translate/translate.go
+++ b/internal/xds/translate/translate.go
@@ -14,21 +14,22 @@
 	"yokestall/internal/xds/ads"
 )
 
-// Options are the settings that a translation depends on.
+// Options are the settings of the program that the translation depends on.
 type Options struct {
 	// Classes are the request classes of the program's own settings file.
 	Classes []string
-	// DefaultClass is the class of routes that name none; "": such routes are rejected.
+	// DefaultClass is the class of routes that name none. If it is "", such routes are rejected.
 	DefaultClass string
-	// AllowUnknownClasses accepts routes whatever class they name, to check them by themselves.
+	// AllowUnknownClasses accepts routes of any class or none, so that they can be checked without the settings file.
 	AllowUnknownClasses bool
 }
 
-// Decode decodes a resource into a *ClusterResource, *Assignment, *Routes or *Listener. It is an ads.Decode.
+// Decode decodes a resource into a *ClusterResource, *Assignment, *Routes or *Listener. The method has the type
+// ads.Decode.
 func (o *Options) Decode(t ads.Type, body *anypb.Any) (name string, value any, err error) {
-	defer func() { // a fault of this program must reject one resource and not end the process
+	defer func() { // a panic in this package must reject one resource, not end the process
 		if p := recover(); p != nil {
-			value, err = nil, fmt.Errorf("can't be read: %v", p)
+			value, err = nil, fmt.Errorf("internal error while decoding the resource: %v", p)
 		}
 	}()
 	switch t {
@@ -61,13 +62,13 @@
 		l, err := o.listener(&m)
 		return m.GetName(), l, err
 	}
-	return "", nil, fmt.Errorf("type %d is not taken", t)
+	return "", nil, fmt.Errorf("resource type %d is not supported", t)
 }
 
-// unmarshal parses the message in body.
+// unmarshal parses the value of body into m and ignores unknown fields. It does not check body's type URL.
 func unmarshal(body *anypb.Any, m proto.Message) error {
 	if err := (proto.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body.GetValue(), m); err != nil {
-		return errors.New("the bytes are no such message")
+		return errors.New("malformed protobuf message")
 	}
 	return nil
 }
--- a/internal/xds/translate/transport.go
+++ b/internal/xds/translate/transport.go
@@ -14,11 +14,11 @@
 	"yokestall/internal/cluster"
 )
 
-// protocolOptions is the key of upstreams.http.v3.HttpProtocolOptions in a cluster's
+// httpProtocolOptionsKey is the key of upstreams.http.v3.HttpProtocolOptions in a cluster's
 // typed_extension_protocol_options.
-const protocolOptions = "envoy.extensions.upstreams.http.v3.HttpProtocolOptions"
+const httpProtocolOptionsKey = "envoy.extensions.upstreams.http.v3.HttpProtocolOptions"
 
-// transport translates the protocol to a cluster's endpoints.
+// transport translates the protocol settings of a cluster: HTTP/2 and TLS to its endpoints.
 func transport(c *clusterv3.Cluster) (out cluster.Transport, err error) {
 	if out.HTTP2, err = usesHTTP2(c); err != nil {
 		return out, err
@@ -29,11 +29,12 @@
 	return out, err
 }
 
-// usesHTTP2 reports whether HTTP/2 is used, by the typed options before the deprecated field.
+// usesHTTP2 reports whether a cluster uses HTTP/2. An explicit protocol in the typed options has precedence over the
+// deprecated field.
 func usesHTTP2(c *clusterv3.Cluster) (bool, error) {
 	//lint:ignore SA1019 control planes in use still send the deprecated field
 	http2 := c.GetHttp2ProtocolOptions() != nil
-	a := c.GetTypedExtensionProtocolOptions()[protocolOptions]
+	a := c.GetTypedExtensionProtocolOptions()[httpProtocolOptionsKey]
 	if a == nil {
 		return http2, nil
 	}
@@ -51,20 +52,20 @@
 	return explicit.GetHttp2ProtocolOptions() != nil, nil
 }
 
-// upstreamTLS translates TLS to endpoints. Keys are not accepted from the control plane: secrets are named (SDS), and
-// must be entries of the program's own keys.
+// upstreamTLS translates the TLS settings for connections to endpoints. Keys are not accepted from the control plane:
+// a resource has to refer by SDS secret names to entries of the program's own keys.
 func upstreamTLS(socket *corev3.TransportSocket) (*cluster.TLS, error) {
 	var m tlsv3.UpstreamTlsContext
 	a := socket.GetTypedConfig()
 	if !a.MessageIs(&m) {
-		return nil, fmt.Errorf("transport_socket: %.64s: UpstreamTlsContext alone is taken", socket.GetName())
+		return nil, fmt.Errorf("transport_socket: %.64s: only UpstreamTlsContext is supported", socket.GetName())
 	}
 	if err := unmarshal(a, &m); err != nil {
 		return nil, fmt.Errorf("transport_socket: %w", err)
 	}
 	common := m.GetCommonTlsContext()
 	if hasInlineKeys(common) {
-		return nil, errors.New("transport_socket: keys that come inline are not taken; name entries of [keys] by SDS")
+		return nil, errors.New("transport_socket: inline keys and roots are not supported; name entries of [keys] by SDS")
 	}
 	t := &cluster.TLS{ServerName: m.GetSni()}
 	if list := common.GetTlsCertificateSdsSecretConfigs(); len(list) > 0 {
@@ -80,14 +81,14 @@
 	}
 	for _, pin := range validation.GetVerifyCertificateSpki() {
 		if sum, err := base64.StdEncoding.DecodeString(pin); err != nil || len(sum) != sha256.Size {
-			return nil, fmt.Errorf("transport_socket: verify_certificate_spki: %.64q is no SHA-256 in base 64", pin)
+			return nil, fmt.Errorf("transport_socket: verify_certificate_spki: %.64q is not a SHA-256 in base64", pin)
 		}
 		t.Pins = append(t.Pins, pin)
 	}
 	return t, nil
 }
 
-// hasInlineKeys reports whether certificates or roots come with the cluster.
+// hasInlineKeys reports whether the TLS context includes certificates or trusted roots inline.
 func hasInlineKeys(common *tlsv3.CommonTlsContext) bool {
 	roots := common.GetValidationContext().GetTrustedCa()
 	return len(common.GetTlsCertificates()) > 0 || len(roots.GetInlineBytes()) > 0 || roots.GetInlineString() != ""
--- a/internal/xds/translate/transport_test.go
+++ b/internal/xds/translate/transport_test.go
@@ -14,6 +14,7 @@
 	"yokestall/internal/cluster"
 )
 
+// TestTransport checks the translation of HTTP/2 and TLS settings, and the rejection of unsupported ones.
 func TestTransport(t *testing.T) {
 	pack := func(m proto.Message) *anypb.Any {
 		a, err := anypb.New(m)
@@ -50,10 +51,10 @@
 		says string
 	}{
 		{"nothing", &clusterv3.Cluster{}, cluster.Transport{}, ""},
-		//lint:ignore SA1019 the deprecated field is what is tested
+		//lint:ignore SA1019 the test case is about the deprecated field
 		{"HTTP/2, deprecated field", &clusterv3.Cluster{Http2ProtocolOptions: &corev3.Http2ProtocolOptions{}},
 			cluster.Transport{HTTP2: true}, ""},
-		{"HTTP/2", &clusterv3.Cluster{TypedExtensionProtocolOptions: map[string]*anypb.Any{protocolOptions: explicit}},
+		{"HTTP/2", &clusterv3.Cluster{TypedExtensionProtocolOptions: map[string]*anypb.Any{httpProtocolOptionsKey: explicit}},
 			cluster.Transport{HTTP2: true}, ""},
 		{"TLS",
 			&clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{Sni: "a.test", CommonTlsContext: named})},
@@ -67,15 +68,15 @@
 			&clusterv3.Cluster{TransportSocket: tls(&tlsv3.UpstreamTlsContext{CommonTlsContext: inlineKeys})},
 			cluster.Transport{}, "inline"},
 		{"another socket", &clusterv3.Cluster{TransportSocket: raw},
-			cluster.Transport{}, "UpstreamTlsContext alone"},
+			cluster.Transport{}, "only UpstreamTlsContext"},
 	} {
 		out, err := transport(tc.in)
 		if tc.says != "" {
 			if err == nil || !strings.Contains(err.Error(), tc.says) {
-				t.Errorf("%s: %v", tc.name, err)
+				t.Errorf("%s: got error %v, want %q in it", tc.name, err, tc.says)
 			}
 		} else if err != nil || !reflect.DeepEqual(out, tc.out) {
-			t.Errorf("%s: %+v, %v", tc.name, out, err)
+			t.Errorf("%s: got transport %+v, error %v; want %+v and no error", tc.name, out, err, tc.out)
 		}
 	}
 }
--- a/internal/xds/translate/unsupported.go
+++ b/internal/xds/translate/unsupported.go
@@ -7,12 +7,12 @@
 )
 
 // notSupported is the reason for which most fields are rejected.
-const notSupported = "is not carried out by this program"
+const notSupported = "is not supported by this program"
 
-// rejectedFields are fields of a message that are rejected, with the reason.
+// rejectedFields maps the names of a message's rejected fields to the reasons.
 type rejectedFields map[string]string
 
-// rejectFields returns an error if a message has a field that is rejected.
+// rejectFields returns an error that names a field if m has a field in rejected.
 func rejectFields(m protoreflect.Message, rejected rejectedFields) (err error) {
 	m.Range(func(f protoreflect.FieldDescriptor, _ protoreflect.Value) bool {
 		if reason, found := rejected[string(f.Name())]; found {
@@ -23,10 +23,10 @@
 	return err
 }
 
-// The fields that are rejected, by message; docs/xds-fields.md has the reasons.
+// The following maps are the rejected fields of each message; docs/xds-fields.md has the reasons in detail.
 var (
 	rejectedInCluster = rejectedFields{
-		"transport_socket_matches": "TLS by endpoint " + notSupported,
+		"transport_socket_matches": "TLS per endpoint " + notSupported,
 		"upstream_bind_config":     notSupported,
 		"filters":                  notSupported,
 		"lb_subset_config":         notSupported,
@@ -36,7 +36,7 @@
 		"load_balancer_endpoints":      notSupported,
 		"leds_cluster_locality_config": notSupported,
 	}
-	rejectedInEndpoint          = rejectedFields{"endpoint_name": "named endpoints: " + notSupported}
+	rejectedInEndpoint          = rejectedFields{"endpoint_name": "a named endpoint " + notSupported}
 	rejectedInConnectionManager = rejectedFields{"scoped_routes": notSupported}
 	rejectedInRouteConfig       = rejectedFields{
 		"vhds":                      notSupported,
