--- a/internal/xds/xdsfile/form.go
+++ b/internal/xds/xdsfile/form.go
@@ -10,7 +10,8 @@
 	"path"
 	"strings"
 
-	// Types that resources often contain: a message of an unknown type can't be parsed from JSON or YAML.
+	// These imports register message types that resources often contain. An Any with a message of an unregistered type
+	// can't be parsed from JSON or YAML.
 	_ "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/router/v3"
 	_ "github.com/envoyproxy/go-control-plane/envoy/extensions/load_balancing_policies/least_request/v3"
 	_ "github.com/envoyproxy/go-control-plane/envoy/extensions/load_balancing_policies/round_robin/v3"
@@ -26,15 +27,15 @@
 	"yokestall/internal/xds/ads"
 )
 
-// resources returns the resources of a file. checksum is the content of a binary file's checksum file.
+// resources parses the resources of a file. checksum is the content of the checksum file, which only a binary file needs.
 func resources(f config.File, checksum []byte) ([]*anypb.Any, error) {
 	if len(f.Text) > config.MaxFile {
-		return nil, fmt.Errorf("over %d bytes", config.MaxFile)
+		return nil, fmt.Errorf("larger than the limit of %d bytes", config.MaxFile)
 	}
 	switch path.Ext(f.Name) {
 	case ".pb":
 		if !matchesChecksum(f.Text, checksum) {
-			return nil, fmt.Errorf("is not whole: %s has to hold its SHA-256, as sha256sum writes it",
+			return nil, fmt.Errorf("is not whole: its SHA-256 is not in %s, which has to hold it as sha256sum writes it",
 				path.Base(f.Name)+ChecksumSuffix)
 		}
 		return parseBinary(f.Text)
@@ -51,36 +52,36 @@
 	return parseJSON(f.Text)
 }
 
-// matchesChecksum reports whether a file has the SHA-256 that a checksum file of sha256sum states.
+// matchesChecksum reports whether text has the SHA-256 that checksum states. checksum is the output of sha256sum.
 func matchesChecksum(text, checksum []byte) bool {
 	actual := sha256.Sum256(text)
 	stated, _, _ := strings.Cut(strings.TrimSpace(string(checksum)), " ")
 	return stated == hex.EncodeToString(actual[:])
 }
 
-// hasDocumentEnd reports whether the last line of a YAML file is "...", with its line break.
+// hasDocumentEnd reports whether the last line of a YAML file is "...", ended by a line break.
 func hasDocumentEnd(text []byte) bool {
 	trimmed := bytes.TrimRight(text, "\r\n")
 	return bytes.HasSuffix(trimmed, []byte("\n...")) && len(trimmed) < len(text)
 }
 
-// parseBinary returns the resources of a DiscoveryResponse, or a bare resource in an Any. The first field of an Any,
-// the type URL, can't be a response's version.
+// parseBinary returns the resources of a serialized DiscoveryResponse, or the single resource of a serialized Any. The
+// first field of both messages is a string: a supported type URL shows an Any, as it can't be a response's version.
 func parseBinary(text []byte) ([]*anypb.Any, error) {
-	var bare anypb.Any
-	if proto.Unmarshal(text, &bare) == nil {
-		if _, ok := ads.TypeByURL(bare.GetTypeUrl()); ok {
-			return []*anypb.Any{&bare}, nil
+	var single anypb.Any
+	if proto.Unmarshal(text, &single) == nil {
+		if _, ok := ads.TypeByURL(single.GetTypeUrl()); ok {
+			return []*anypb.Any{&single}, nil
 		}
 	}
 	var r discoveryv3.DiscoveryResponse
 	if err := proto.Unmarshal(text, &r); err != nil || len(r.GetResources()) == 0 {
-		return nil, errors.New("is neither a DiscoveryResponse with resources nor a resource in an Any")
+		return nil, errors.New("neither a DiscoveryResponse with resources nor an Any with a resource")
 	}
 	return r.GetResources(), nil
 }
 
-// parseJSON returns the resources of a DiscoveryResponse, or a bare resource.
+// parseJSON returns the resources of a DiscoveryResponse in JSON, or a single resource in JSON with its "@type".
 func parseJSON(text []byte) (list []*anypb.Any, err error) {
 	var shape struct {
 		Type      string            `json:"@type"`
@@ -93,7 +94,7 @@
 	if shape.Type != "" {
 		parts = []json.RawMessage{text}
 	} else if len(parts) == 0 {
-		return nil, errors.New(`has neither "@type" nor "resources"`)
+		return nil, errors.New(`the JSON object has neither "@type" nor "resources"`)
 	}
 	for i, part := range parts {
 		a := &anypb.Any{}
@@ -105,7 +106,7 @@
 	return list, nil
 }
 
-// withLine adds the line to a JSON syntax error.
+// withLine adds the line number to a JSON syntax error. Other errors are returned as they are.
 func withLine(err error, text []byte) error {
 	var syntaxError *json.SyntaxError
 	if !errors.As(err, &syntaxError) {
--- a/internal/xds/xdsfile/xdsfile.go
+++ b/internal/xds/xdsfile/xdsfile.go
@@ -1,13 +1,13 @@
-// Package xdsfile parses files in xDS form: a DiscoveryResponse or a bare resource, as JSON, YAML or binary protobuf.
-// It is pure: it is given their bytes. A set of files is accepted as a whole or not at all, and an incomplete file is
-// detected:
+// Package xdsfile parses files in xDS form: a DiscoveryResponse or a single resource, as JSON, YAML or binary protobuf.
+// The package is pure: its input is the content of files, and it does no I/O. A set of files is accepted as a whole or
+// not at all. An incomplete file is detected as follows:
 //
-//   - JSON that was truncated does not parse;
-//   - a YAML file's last line has to be "...", the end of its document;
-//   - beside a binary file NAME.pb stands NAME.pb.sha256, as sha256sum writes it.
+//   - truncated JSON does not parse;
+//   - the last line of a YAML file has to be "...", the end of the document;
+//   - a binary file NAME.pb needs a file NAME.pb.sha256 with its SHA-256, as sha256sum writes it.
 //
-// The way of a file: form.go turns its bytes into resources, decode.go has package translate decode them, and Parse has
-// package state derive the clusters and the routes from them.
+// Control flow for a set of files: form.go parses the bytes of each file into resources, decode.go has package translate
+// decode the resources, and Parse has package state derive the clusters and routes from them.
 package xdsfile
 
 import (
@@ -26,26 +26,27 @@
 	"yokestall/internal/xds/translate"
 )
 
-// ChecksumSuffix is the end of the name of the file that has a binary file's SHA-256.
+// ChecksumSuffix is appended to the name of a binary file to get the name of its checksum file.
 const ChecksumSuffix = ".sha256"
 
-// maxReportedNames bounds the clusters that an error names.
+// maxReportedNames bounds the number of clusters that one error names.
 const maxReportedNames = 5
 
 // Extensions are the file name extensions of files in xDS form.
 var Extensions = []string{".json", ".yaml", ".yml", ".pb"}
 
-// HasExtension reports whether a name is that of a file in xDS form.
+// HasExtension reports whether a file name has one of Extensions.
 func HasExtension(name string) bool { return slices.Contains(Extensions, path.Ext(name)) }
 
-// View is the clusters and the routes of a set of files.
+// View has the clusters and routes of a set of files.
 type View struct {
-	Clusters map[string]*cluster.Config
-	Routes   *translate.Routes // nil if there are none
+	Clusters map[string]*cluster.Config // by name
+	Routes   *translate.Routes          // nil if there are none
 }
 
-// Parse parses a set of files, with the checksums of the binary ones among them. The error joins a *cluster.Problem for
-// each resource that can't be used, or says which clusters have no endpoints.
+// Parse parses a set of files, which has to include the checksum files of the binary files. The error either joins a
+// *cluster.Problem for each resource or file that can't be used, or names the clusters that have no endpoints. Parse
+// ignores from.RoutedClustersOnly and keeps all clusters.
 func Parse(files []config.File, o translate.Options, from state.Options) (*View, error) {
 	d, err := decode(files, &o)
 	if err != nil {
@@ -58,7 +59,7 @@
 	}
 	if pending := s.Pending(); len(pending) > 0 {
 		names := strings.Join(pending[:min(len(pending), maxReportedNames)], ", ")
-		return nil, fmt.Errorf("cluster %s: no file has its endpoints", names)
+		return nil, fmt.Errorf("no file has the endpoints of cluster %s", names)
 	}
 	v := &View{Clusters: s.Clusters(), Routes: s.Routes()}
 	for name, c := range v.Clusters {
@@ -67,7 +68,8 @@
 	return v, nil
 }
 
-// Resources returns the resources of a file as messages of their own types, by name.
+// Resources returns the resources of a file as messages of their own types, by resource name. It does not support binary
+// files, since it gets no checksum.
 func Resources(f config.File) (map[string]proto.Message, error) {
 	list, err := resources(f, nil)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return out, nil
 }
 
-// resourceName returns a resource's name; "" if its type has none.
+// resourceName returns the name of a resource; "" if its message type has no name.
 func resourceName(m proto.Message) string {
 	switch m := m.(type) {
 	case interface{ GetName() string }:
@@ -95,8 +97,8 @@
 	return ""
 }
 
-// Check checks files by themselves: the classes that routes name, and the clusters and endpoints that resources refer
-// to, may be elsewhere.
+// Check validates the resources of files without the rest of the configuration: classes, clusters and endpoints that the
+// resources refer to need not be defined in the files.
 func Check(files []config.File) error {
 	_, err := decode(files, &translate.Options{AllowUnknownClasses: true})
 	return err
--- a/internal/xds/xdsfile/xdsfile_test.go
+++ b/internal/xds/xdsfile/xdsfile_test.go
@@ -17,12 +17,12 @@
 	"yokestall/internal/xds/translate"
 )
 
-// example is the set under deploy/xds.
-func example(t testing.TB) (files []config.File) {
+// exampleFiles returns the example files in deploy/xds.
+func exampleFiles(t testing.TB) (files []config.File) {
 	t.Helper()
 	names, err := filepath.Glob("../../../deploy/xds/*.yaml")
 	if err != nil || len(names) < 3 {
-		t.Fatalf("%v, %v", names, err)
+		t.Fatalf("got example files %v, error %v; want at least 3 files", names, err)
 	}
 	for _, name := range names {
 		text, err := os.ReadFile(name)
@@ -36,9 +36,10 @@
 
 var options = translate.Options{Classes: []string{"avail-read", "booking-push"}}
 
-// The example set comes to the same in each form; no part of a file is taken for the whole.
+// TestForms checks that the example files give the same content in YAML, JSON and binary form, compared by the length
+// of its text, and that no truncated file is accepted.
 func TestForms(t *testing.T) {
-	asYAML := example(t)
+	asYAML := exampleFiles(t)
 	var asJSON, asBinary []config.File
 	for _, f := range asYAML {
 		text, err := yaml.YAMLToJSON(f.Text)
@@ -54,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(list) == 1 { // bare
+		if len(list) == 1 { // a single resource in an Any
 			if b, err = proto.Marshal(list[0]); err != nil {
 				t.Fatal(err)
 			}
@@ -62,7 +63,7 @@
 		asBinary = append(asBinary, config.File{Name: f.Name + ".pb", Text: b},
 			config.File{Name: f.Name + ".pb.sha256", Text: fmt.Appendf(nil, "%x  %s.pb\n", sha256.Sum256(b), f.Name)})
 	}
-	shape := ""
+	reference := ""
 	for name, set := range map[string][]config.File{"yaml": asYAML, "json": asJSON, "binary": asBinary} {
 		v, err := Parse(set, options, state.Options{Listener: "ingress"})
 		if err != nil {
@@ -72,11 +73,11 @@
 		for _, c := range v.Clusters {
 			got += fmt.Sprint(c.Name, c.Endpoints)
 		}
-		if shape == "" {
-			shape = got
+		if reference == "" {
+			reference = got
 		}
-		if len(got) != len(shape) || v.Routes == nil || len(v.Clusters) != 1 {
-			t.Errorf("%s comes to %s, another form to %s", name, got, shape)
+		if len(got) != len(reference) || v.Routes == nil || len(v.Clusters) != 1 {
+			t.Errorf("form %s has the content %s, want %s as in another form, and one cluster", name, got, reference)
 		}
 		for i, f := range set {
 			if strings.HasSuffix(f.Name, ChecksumSuffix) {
@@ -86,16 +87,16 @@
 				cut := append([]config.File(nil), set...)
 				cut[i].Text = f.Text[:n]
 				if _, err := Parse(cut, options, state.Options{Listener: "ingress"}); err == nil {
-					t.Errorf("%s: the first %d of %d bytes of %s are taken", name, n, len(f.Text), f.Name)
+					t.Errorf("%s: the first %d of %d bytes of %s were accepted", name, n, len(f.Text), f.Name)
 				}
 			}
 		}
 	}
 }
 
-// What is wrong is named by file and resource.
+// TestFaults checks that errors name the file, the resource or the field that is wrong.
 func TestFaults(t *testing.T) {
-	good := example(t)
+	good := exampleFiles(t)
 	all := func(change func(f *config.File)) []config.File {
 		set := append([]config.File(nil), good...)
 		for i := range set {
@@ -115,16 +116,16 @@
 		"no end":        {replace("\n...\n", "\n"), `endpoints.yaml: is not whole`},
 		"twice": {
 			append(append([]config.File(nil), good...), config.File{Name: "more.yaml", Text: good[0].Text}),
-			"stands in",
+			"is already defined in",
 		},
-		"no endpoints": {good[:1], "no file has its endpoints"},
+		"no endpoints": {good[:1], "no file has the endpoints of cluster"},
 		"not JSON":     {[]config.File{{Name: "a.json", Text: []byte("{\n\"resources\": [\n}")}}, "a.json: line 3"},
 		"another type": {
 			[]config.File{{
 				Name: "a.json",
 				Text: []byte(`{"@type":"type.googleapis.com/google.protobuf.Duration","value":"1s"}`),
 			}},
-			"is not taken",
+			"is not supported",
 		},
 		"a wrong checksum": {
 			[]config.File{{Name: "a.pb", Text: []byte("x")}, {Name: "a.pb.sha256", Text: []byte("00  a.pb\n")}},
@@ -134,17 +135,17 @@
 	} {
 		_, err := Parse(c.files, options, state.Options{Listener: "ingress"})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
+			t.Errorf("%s: got error %v, want %q in it", name, err, c.want)
 		}
 	}
 	if err := Check(good[:1]); err != nil {
-		t.Errorf("a file by itself: %v", err)
+		t.Errorf("got error %v for a valid file without the others, want none", err)
 	}
 }
 
-// FuzzParse: any bytes are taken or refused, by all forms.
+// FuzzParse checks that any bytes, in any form, are accepted or rejected without a panic.
 func FuzzParse(f *testing.F) {
-	for _, x := range example(f) {
+	for _, x := range exampleFiles(f) {
 		f.Add(1, x.Text)
 	}
 	f.Add(0, []byte(`{"resources":[]}`))
