--- a/internal/xds/ads/messages.go
+++ b/internal/xds/ads/messages.go
@@ -34,12 +34,12 @@
 	// The fields Version and Names are used in the state-of-the-world variant only.
 
 	Version string
-	Names   []string // nil for all
+	Names   []string // resource names; nil for all resources of the type
 
 	// The fields below are used in the incremental variant only.
 
 	Subscribe, Unsubscribe []string
-	InitialVersions        map[string]string // by resource name
+	InitialVersions        map[string]string // versions of known resources, by resource name
 }
 
 // Decode decodes a resource into its name and the value for ValidResource.Value. If the resource is invalid, Decode
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -109,7 +109,7 @@
 }
 
 // TestFlaps checks that the client keeps following a control plane whose streams break often, that it opens a bounded
-// number of streams, and that each new stream states the versions of the resources that the client has.
+// number of streams, and that each later stream starts with the version of a resource that the client has.
 func TestFlaps(t *testing.T) {
 	p := startControlPlane(t, "a")
 	waitForCluster, _ := runClient(t, Config{Servers: []string{p.Addr()}, Variant: ads.Incremental})
--- a/internal/xds/config.go
+++ b/internal/xds/config.go
@@ -26,9 +26,9 @@
 type Config struct {
 	Servers     []string // host:port, in order of preference; 1 or more
 	Variant     ads.Variant
-	NodeID      string // node.id, by which the control plane identifies this program
-	NodeCluster string // node.cluster
-	Zone        string // node.locality.zone
+	NodeID      string // sent as node.id, by which the control plane identifies this program
+	NodeCluster string // sent as node.cluster
+	Zone        string // sent as node.locality.zone
 	State       state.Options
 	Translate   translate.Options
 	Failover    ads.FailoverOptions // defaultFailover if it is the zero value
