--- a/internal/downstream/h1server/clientconn.go
+++ b/internal/downstream/h1server/clientconn.go
@@ -9,26 +9,28 @@
 	"yokestall/internal/connlimit"
 )
 
-// clientConn is a client's connection with a place in the table. net/http reads from it.
+// clientConn is a client's connection that has a place in the table of client connections. net/http reads requests from
+// it.
 type clientConn struct {
 	net.Conn
 	conns   *clientConns
-	rawConn syscall.RawConn // nil if the connection has none
+	rawConn syscall.RawConn // nil if the connection does not implement syscall.Conn
 
-	// framing scans what is read. It is guarded by conns.mu, except for its counters.
+	// framing scans the bytes that Read returns. It is guarded by conns.mu, except for its counters, which are atomic.
 	framing framingScan
-	// requestLengths counts the requests so far that had a Content-Length. Only their handlers use it, one at a time.
+	// requestLengths counts the requests so far that had a Content-Length. It is used only with Options.Strict, by the
+	// handlers of the connection's requests, which run one at a time.
 	requestLengths int
 
-	entry *connlimit.Conn // in the table; guarded by conns.mu
-	http2 bool            // a request came over HTTP/2; guarded by conns.mu
+	entry *connlimit.Conn // the connection's entry in the table; guarded by conns.mu
+	http2 bool            // requests come over HTTP/2, known from the first one; guarded by conns.mu
 
 	// readMu guards readState. It may be locked under conns.mu; conns.mu is not locked under it.
 	readMu sync.Mutex
 	readState
 }
 
-// Read implements net.Conn. Bytes that were read from a connection that was closed meanwhile count as not read: the
+// Read implements net.Conn. If the connection was closed while the bytes were read, Read returns none of them: the
 // client sends the request again elsewhere, so it must not be served here too.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, readSocket, err := c.takeReadAhead(p)
@@ -61,7 +63,8 @@
 	return c.conns.close(c)
 }
 
-// CloseWrite ends the sending side: a client that still sends sees the end of its response.
+// CloseWrite closes the sending side of a TCP connection, so that a client that is still sending sees the end of its
+// response.
 func (c *clientConn) CloseWrite() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		return tcp.CloseWrite()
@@ -70,7 +73,8 @@
 }
 
 // beginRequest reports to the table that a request is complete. open is false if the connection was closed before: the
-// client sends the request again elsewhere. overflow reports that the client only gets a response with Retry-After.
+// client sends the request again elsewhere. overflow is true if the connection exceeds the limit on active connections,
+// so that its client only gets a response with Retry-After.
 func (c *clientConn) beginRequest(http2 bool) (open, overflow bool) {
 	cs := c.conns
 	cs.mu.Lock()
@@ -82,15 +86,15 @@
 	return !c.entry.Removed(), c.entry.Overflow()
 }
 
-// mustFreePlace reports whether the connection should end with its response, to make room for another client.
+// mustFreePlace reports whether the connection should be closed with its response to make room for another client.
 func (c *clientConn) mustFreePlace() bool {
 	c.conns.mu.Lock()
 	defer c.conns.mu.Unlock()
 	return c.conns.table.Saturated()
 }
 
-// resetUnlessComplete ends the connection with a reset where its response is not complete. It panics then with
-// http.ErrAbortHandler.
+// resetUnlessComplete resets the connection if its response is not complete: it makes the later close a TCP reset, and
+// panics with http.ErrAbortHandler.
 func (c *clientConn) resetUnlessComplete(complete bool) {
 	if complete {
 		return
@@ -101,9 +105,10 @@
 	panic(http.ErrAbortHandler)
 }
 
-// hasAmbiguousFraming reports whether a request has a transfer coding and the connection's bytes held a Content-Length
-// that belongs to no request so far: this one has both, or the length is in its body or behind it. It must be called
-// once for each request, in their order.
+// hasAmbiguousFraming reports whether a request has a transfer coding while the bytes of the connection held a
+// Content-Length that belongs to no request so far. Then this request has both fields, or the Content-Length is in its
+// body or in the bytes after it. hasAmbiguousFraming must be called once for each request of a connection, in their
+// order.
 func (c *clientConn) hasAmbiguousFraming(r *http.Request) bool {
 	if len(r.Header["Content-Length"]) > 0 {
 		c.requestLengths++
@@ -111,24 +116,24 @@
 	return len(r.TransferEncoding) > 0 && int(c.framing.contentLengths.Load()) > c.requestLengths
 }
 
-// sentTransferCoding reports whether the connection's bytes held a Transfer-Encoding.
+// sentTransferCoding reports whether the bytes of the connection held a Transfer-Encoding line.
 func (c *clientConn) sentTransferCoding() bool { return c.framing.transferEncodings.Load() > 0 }
 
-// clientConnOf returns the connection of a request; nil if it has no place in the table.
+// clientConnOf returns the connection on which a request came, or nil if the connection has no place in the table.
 func clientConnOf(r *http.Request) *clientConn {
 	nc, _ := r.Context().Value(connKey{}).(net.Conn)
 	return unwrapClientConn(nc)
 }
 
-// unwrapClientConn returns the clientConn below the layers on it; nil if there is none.
+// unwrapClientConn returns the clientConn that nc wraps, directly or through other layers, or nil if there is none.
 func unwrapClientConn(nc net.Conn) *clientConn {
 	for {
 		switch c := nc.(type) {
 		case *clientConn:
 			return c
-		case interface{ NetConn() net.Conn }: // TLS
+		case interface{ NetConn() net.Conn }: // a TLS connection
 			nc = c.NetConn()
-		case interface{ Raw() net.Conn }: // the PROXY protocol
+		case interface{ Raw() net.Conn }: // a connection that begins with a PROXY protocol header
 			nc = c.Raw()
 		default:
 			return nil
--- a/internal/downstream/h1server/clientconns.go
+++ b/internal/downstream/h1server/clientconns.go
@@ -1,6 +1,6 @@
 package h1server
 
-// The table of client connections: what package connlimit decides is carried out on the sockets here.
+// This file carries out on the sockets what package connlimit decides about the table of client connections.
 
 import (
 	"context"
@@ -17,29 +17,29 @@
 )
 
 const (
-	// unlimitedIdle is longer than any connection is idle.
+	// unlimitedIdle is a timeout that no connection reaches.
 	unlimitedIdle = time.Duration(math.MaxInt64)
-	// idleCheckInterval is how often lame duck mode and a drain to the successor look for idle connections.
+	// idleCheckInterval is how often lame duck mode and a drain to the successor look for idle connections to close.
 	idleCheckInterval = 50 * time.Millisecond
 )
 
-// clientConns are the connections of a server's clients.
+// clientConns holds the client connections of one server.
 type clientConns struct {
-	changed        chan struct{} // of capacity 1; holds a token after a connection ended or changed its phase
-	listenerClosed chan struct{}
-	closeListener  sync.Once
-	readAheadBytes atomic.Int64 // of all connections
+	changed        chan struct{} // capacity 1; holds a value after a connection was closed or changed its phase
+	listenerClosed chan struct{} // closed with the listener
+	closeListener  sync.Once     // closes listenerClosed
+	readAheadBytes atomic.Int64  // bytes read ahead on all connections, with those reserved for reads in progress
 
 	// mu guards the fields below.
 	mu           sync.Mutex
-	start        time.Time // the zero of the table's times
+	start        time.Time // time zero of the durations that the table is given
 	table        *connlimit.Table
 	draining     bool
 	lameDuck     adminstate.LameDuckMode
-	stopLameDuck context.CancelFunc // ends runLameDuck; set in lame duck mode
-	// idleHTTP2 are the HTTP/2 connections with no open stream. The table counts them as busy: closing one without a
-	// GOAWAY could cross a request (RFC 9113, 6.8). net/http's server closes them after keepAliveTimeout or when it
-	// shuts down.
+	stopLameDuck context.CancelFunc // ends runLameDuck; not nil once lame duck mode was entered
+	// idleHTTP2 holds the HTTP/2 connections that have no open stream. The table counts them as busy, because closing
+	// such a connection without a GOAWAY could lose a request that is on its way (RFC 9113, 6.8). net/http's server
+	// closes them after keepAliveTimeout or when it shuts down.
 	idleHTTP2 map[*clientConn]struct{}
 }
 
@@ -50,10 +50,11 @@
 	}
 }
 
-// now returns the time since the start. mu is locked.
+// now returns the time since cs.start. The caller holds mu.
 func (cs *clientConns) now() time.Duration { return time.Since(cs.start) }
 
-// admit gives a new connection a place, waiting for one if necessary. It returns nil if the listener is closed before.
+// admit gives a new connection a place in the table and waits for one if necessary. It returns nil if the listener is
+// closed while it waits.
 func (cs *clientConns) admit(nc net.Conn) *clientConn {
 	c := newClientConn(nc, cs)
 	cs.mu.Lock()
@@ -77,7 +78,8 @@
 	}
 }
 
-// awaitChange waits until a connection changes, at most for limit. It returns true if the listener is closed.
+// awaitChange waits until notifyChanged is called, the listener is closed or limit has passed. It reports whether the
+// listener is closed.
 func (cs *clientConns) awaitChange(limit time.Duration) (listenerClosed bool) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -90,7 +92,7 @@
 	return false
 }
 
-// notifyChanged wakes awaitChange and drain.
+// notifyChanged wakes the goroutine that waits in awaitChange or drain, or the next one to wait there.
 func (cs *clientConns) notifyChanged() {
 	select {
 	case cs.changed <- struct{}{}:
@@ -98,8 +100,9 @@
 	}
 }
 
-// bytesReceived reports to the table that bytes were received, and makes room for their sender. It returns false if
-// the connection is closed. mu is locked.
+// bytesReceived reports to the table that bytes were received on a connection. If they are the connection's first, it
+// closes other connections to make room, or this one if there is no room. It returns false if the connection is closed.
+// The caller holds mu.
 func (cs *clientConns) bytesReceived(c *clientConn) (open bool) {
 	if c.entry.Removed() {
 		return false
@@ -114,7 +117,8 @@
 	return !c.entry.Removed()
 }
 
-// closeVictims closes the connections that have to make room. mu is locked.
+// closeVictims closes the connections that the table selects to make room, except those with unread bytes. The caller
+// holds mu.
 func (cs *clientConns) closeVictims() {
 	for {
 		now := cs.now()
@@ -125,13 +129,14 @@
 		if c := victim.Owner.(*clientConn); c.stopReadingIfIdle() {
 			cs.close(c)
 		} else {
-			cs.table.ExtendGrace(now, victim) // a request that has arrived meanwhile would be lost
+			cs.table.ExtendGrace(now, victim) // closing it would lose a request that has just arrived
 		}
 	}
 }
 
-// closeExpired closes the connections that were idle for idleTimeout, or on which nothing was received for newTimeout,
-// except those with received bytes that were not read yet: these are served. mu is locked.
+// closeExpired closes the connections that have been idle for idleTimeout, and those on which nothing was received for
+// newTimeout. Connections with received bytes that were not read yet stay open, and their requests are served. The
+// caller holds mu.
 func (cs *clientConns) closeExpired(idleTimeout, newTimeout time.Duration) {
 	for now := cs.now(); ; {
 		entry := cs.table.NextExpired(now, idleTimeout, newTimeout)
@@ -142,8 +147,8 @@
 	}
 }
 
-// closeIfIdle closes a connection that the table takes for idle. If bytes were received that the table does not know
-// of, it reports them instead. mu is locked.
+// closeIfIdle closes a connection that is idle or new according to the table. If bytes were received of which the table
+// was not told, closeIfIdle reports them to the table instead. The caller holds mu.
 func (cs *clientConns) closeIfIdle(entry *connlimit.Conn) {
 	if c := entry.Owner.(*clientConn); c.stopReadingIfIdle() {
 		cs.close(c)
@@ -152,7 +157,7 @@
 	}
 }
 
-// close closes a connection, once. mu is locked.
+// close closes a connection and removes it from the table. Further calls have no effect. The caller holds mu.
 func (cs *clientConns) close(c *clientConn) error {
 	if c.entry.Removed() {
 		return nil
@@ -164,7 +169,8 @@
 	return c.Conn.Close()
 }
 
-// onStateChange is the ConnState hook of net/http's server. It follows which connections are between two requests.
+// onStateChange is the ConnState hook of net/http's server. It records which connections are idle between two requests,
+// and closes those that a drain, lame duck mode or the limits require to be closed.
 func (cs *clientConns) onStateChange(nc net.Conn, state http.ConnState) {
 	c := unwrapClientConn(nc)
 	if c == nil || state != http.StateIdle && state != http.StateActive {
@@ -207,8 +213,8 @@
 	}
 }
 
-// drainToSuccessor closes connections that were idle, or new, for idleTimeout, and waits until none is left or ctx
-// ends. All others end with their next response.
+// drainToSuccessor closes the connections that have been idle, or new, for idleTimeout, and returns when no connection
+// is left or ctx ends. The caller has all other connections closed with their next response.
 func (cs *clientConns) drainToSuccessor(ctx context.Context, idleTimeout time.Duration) {
 	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
@@ -228,7 +234,7 @@
 	}
 }
 
-// drain closes connections as they become idle, and waits until none is left but idle HTTP/2 connections, or ctx ends.
+// drain closes connections as they become idle. It returns when only idle HTTP/2 connections are left or ctx ends.
 func (cs *clientConns) drain(ctx context.Context) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -244,7 +250,7 @@
 	}
 }
 
-// newClientConn returns a connection without an entry in the table.
+// newClientConn returns a connection that has no entry in the table yet.
 func newClientConn(nc net.Conn, cs *clientConns) *clientConn {
 	c := &clientConn{Conn: nc, conns: cs}
 	if sc, ok := nc.(syscall.Conn); ok {
--- a/internal/downstream/h1server/disconnect.go
+++ b/internal/downstream/h1server/disconnect.go
@@ -1,8 +1,8 @@
 package h1server
 
-// Whether a client has disconnected while its request is open. Its inputs are the socket's next byte, what was read
-// ahead of net/http's Reads, and the kernel's state of the connection. No attempt may begin for a client 0.1 s after it
-// has disconnected.
+// This file detects that a client has disconnected while its request is open. It uses the next byte of the socket, the
+// bytes that were read ahead of net/http's Reads, and the kernel's state of the connection. No attempt may begin for a
+// client later than 0.1 s after the client has disconnected.
 
 import (
 	"context"
@@ -14,15 +14,17 @@
 
 const (
 	// disconnectCheckInterval is how often a connection with an open request is checked. It leaves half of the 0.1 s
-	// for delays of the machine.
+	// for scheduling delays of the machine.
 	disconnectCheckInterval = 50 * time.Millisecond
-	// dropCheckInterval is the interval once bytes were dropped, so that more of them can be.
+	// dropCheckInterval is the interval between checks once bytes were dropped. It is shorter because each check drops
+	// at most maxDropPerCheck bytes.
 	dropCheckInterval = 10 * time.Millisecond
 )
 
-// watch returns a context that ends when the client disconnects, within disconnectCheckInterval, and a function that
-// checks it immediately. stop ends the watch. With dropExcess no request may follow the open one before its response.
-func (c *clientConn) watch(
+// watchDisconnect returns a context that ends within disconnectCheckInterval after the client has disconnected, and a
+// function that checks for the disconnect immediately. stop ends the watch and the context. dropExcess says that no
+// request may follow the open one before its response, so that bytes beyond the read-ahead limits are dropped.
+func (c *clientConn) watchDisconnect(
 	parent context.Context, dropExcess bool,
 ) (ctx context.Context, disconnected func() bool, stop func()) {
 	ctx, cancel := context.WithCancel(parent)
@@ -53,28 +55,29 @@
 	return ctx, disconnected, stop
 }
 
-// checkDisconnected reports whether the client has ended its sending side, whatever it sent behind its request. It does
-// not wait. It also finds clients that disconnected while their requests were queued in the socket, as on a machine
-// that was stopped for a while.
+// checkDisconnected reports whether the client has closed its sending side or reset the connection, whatever it sent
+// after its request. It does not wait. It also detects clients that disconnected while their requests were queued in
+// the socket, for example while the machine was stopped.
 func (c *clientConn) checkDisconnected() bool {
-	ended, received := c.readToEnd()
+	ended, received := c.readAheadToEnd()
 	if received {
 		c.conns.mu.Lock()
 		defer c.conns.mu.Unlock()
-		c.conns.bytesReceived(c) // the connection is not idle after its response
+		c.conns.bytesReceived(c) // so that the connection is not idle after its response
 	}
 	return ended
 }
 
-// readToEnd reads ahead towards the client's end. ended reports that it was found, received that bytes were read.
-func (c *clientConn) readToEnd() (ended, received bool) {
+// readAheadToEnd reads ahead towards the end of the client's data. ended reports that the end was found or is known to
+// the kernel, received that bytes were read ahead.
+func (c *clientConn) readAheadToEnd() (ended, received bool) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	if c.ended || c.rawConn == nil {
 		return c.ended, false
 	}
 	more, before := false, len(c.readAhead)
-	c.rawConn.Control(func(fd uintptr) { // not RawConn.Read, which would wait for net/http's Read
+	c.rawConn.Control(func(fd uintptr) { // RawConn.Read would wait for net/http's Read
 		if c.inSocketRead {
 			ended, more = peekEnd(int(fd))
 		} else {
@@ -88,14 +91,15 @@
 	return ended, len(c.readAhead) > before
 }
 
-// streamDisconnected returns a function that reports whether the client of an HTTP/2 stream has reset it, as far as its
-// frames were read, or ended the connection. It does not wait.
+// streamDisconnected returns a function that reports whether the client has ended the connection or reset the HTTP/2
+// stream whose context is stream. It detects a reset only once the RST_STREAM frame was read. It does not wait.
 func (c *clientConn) streamDisconnected(stream context.Context) func() bool {
-	return func() bool { return stream.Err() != nil || c.hasEnded() }
+	return func() bool { return stream.Err() != nil || c.clientEnded() }
 }
 
-// hasEnded reports whether the client has ended the connection, whatever lies before its end. It reads nothing.
-func (c *clientConn) hasEnded() bool {
+// clientEnded reports whether the client has closed its sending side or reset the connection, also where unread bytes
+// precede the end. It reads nothing.
+func (c *clientConn) clientEnded() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	if c.ended || c.rawConn == nil {
@@ -109,15 +113,16 @@
 	return closed
 }
 
-// peekEnd reports whether a socket's next item is the end (MSG_PEEK, recv(2)), or a byte: more.
+// peekEnd looks at what a socket returns next without consuming it (MSG_PEEK, recv(2)). ended reports that it is the
+// end of the data or a reset, more that it is a byte.
 func peekEnd(fd int) (ended, more bool) {
 	var next [1]byte
 	n, _, err := syscall.Recvfrom(fd, next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET), n > 0
 }
 
-// closedByPeer reports whether the kernel knows that the other side has ended the connection (tcp(7), TCP_INFO), where
-// unread bytes hide the end. It returns false where the kernel does not say.
+// closedByPeer reports whether the kernel knows that the other side has ended the connection (tcp(7), TCP_INFO), even
+// where unread bytes precede the end. It returns false if the kernel does not provide the state.
 func closedByPeer(fd int) bool {
 	const closed, closeWait, lastAck, closing = 7, 8, 9, 11 // enum tcp_state of linux/tcp_states.h
 	var info [8]byte
--- a/internal/downstream/h1server/framingscan.go
+++ b/internal/downstream/h1server/framingscan.go
@@ -6,30 +6,31 @@
 )
 
 // framingScan finds the header lines that frame a message (RFC 9112, 6) in the bytes of a connection, since net/http
-// removes some of them. Lines of bodies that look like one count too: a scan may find too many, never too few.
+// removes some of them. It also counts lines of bodies that look like such header lines, so the counts may be too high
+// but never too low.
 type framingScan struct {
-	lineStart       [len("transfer-encoding") + 1]byte // of the line that is being read
-	lineStartLength int
+	lineStart       [len("transfer-encoding") + 1]byte // first bytes of the line that is being read
+	lineStartLength int                                // bytes used of lineStart
 
-	// Lines of all requests so far.
+	// Numbers of lines in all bytes of the connection so far.
 	contentLengths    atomic.Int32
 	transferEncodings atomic.Int32
 
-	// State of the request that is being read.
+	// The fields below describe the request that is being read.
 	headerLines    int
 	headerComplete bool
-	announcesBody  bool // its header so far has a framing field
+	announcesBody  bool // the header so far has a framing field
 }
 
-// completeWithoutBody reports whether the request that is being read is complete at the end of its header.
+// completeWithoutBody reports whether the header of the request that is being read is complete and announces no body.
 func (s *framingScan) completeWithoutBody() bool { return s.headerComplete && !s.announcesBody }
 
-// startRequest has the scan expect the next request's header.
+// startRequest makes the scan expect the header of the next request.
 func (s *framingScan) startRequest() {
 	s.headerLines, s.headerComplete, s.announcesBody = 0, false, false
 }
 
-// scan goes on with the next bytes of the connection.
+// scan processes the next bytes of the connection.
 func (s *framingScan) scan(p []byte) {
 	for len(p) > 0 {
 		end := bytes.IndexByte(p, '\n')
@@ -46,7 +47,7 @@
 	}
 }
 
-// endLine evaluates the line that has come to its end.
+// endLine evaluates the line that has just ended.
 func (s *framingScan) endLine() {
 	name, _, _ := bytes.Cut(s.lineStart[:s.lineStartLength], []byte(":"))
 	switch name = bytes.TrimRight(name, " \t\r"); {
--- a/internal/downstream/h1server/handler.go
+++ b/internal/downstream/h1server/handler.go
@@ -1,6 +1,6 @@
 package h1server
 
-// The way of one request through the server: ServeHTTP lists its steps.
+// This file handles one request. ServeHTTP lists the steps.
 
 import (
 	"context"
@@ -14,26 +14,26 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// writeGracePeriod is how long after its request's deadline a client may still read the response. A client that reads
-// nothing would otherwise hold its connection for good.
+// writeGracePeriod is how long after its request's deadline a client may still read the response. Without it, a client
+// that reads nothing would hold its connection forever.
 const writeGracePeriod = 500 * time.Millisecond
 
-// connKey is the key of a request's net.Conn in its context.
+// connKey is the key under which a request's context holds its net.Conn.
 type connKey struct{}
 
-// exchange is one request and its answer.
+// exchange is one request of a client and its answer.
 type exchange struct {
-	server  *Server
-	w       http.ResponseWriter
-	r       *http.Request
-	control *http.ResponseController
-	conn    *clientConn // nil if it has no place in the table of connections
-	to      ingress.Destination
-	request *engine.Request
-	payload *h1client.Request
+	server      *Server
+	w           http.ResponseWriter
+	r           *http.Request
+	control     *http.ResponseController
+	conn        *clientConn // nil if the connection has no place in the table
+	destination ingress.Destination
+	request     *engine.Request
+	payload     *h1client.Request
 
 	ctx       context.Context // ends when the client has disconnected or its upload has failed
-	endUpload func()          // waits for the upload's goroutine; does nothing when called again
+	endUpload func()          // ends the upload and waits for its goroutine; does nothing when called again
 }
 
 // ServeHTTP answers one request. It panics with http.ErrAbortHandler where the client's connection, or its HTTP/2
@@ -41,7 +41,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := clientConnOf(r)
 	s.limitConnection(w, r, conn)
-	if err := s.checkHead(r); err != nil {
+	if err := s.checkHeader(r); err != nil {
 		reject(w, r, err)
 		return
 	}
@@ -74,34 +74,35 @@
 	}
 	defer e.endUpload()
 	defer e.watchClient()()
-	answer, err := e.to.Cluster.Do(e.ctx, e.request)
+	answer, err := e.destination.Cluster.Do(e.ctx, e.request)
 	if conn != nil {
 		conn.allowNextRequest()
 	}
 	s.releaseID(id)
-	if e.rejectBrokenUpload(answer, err) {
+	if e.rejectFailedUpload(answer, err) {
 		return
 	}
 	e.respond(answer, err)
 }
 
-// limitConnection decides, ahead of anything else, whether the connection ends with the answer and until when the
-// request's bytes are read.
+// limitConnection decides whether the connection is closed after the answer and sets the deadline for reading the
+// request's body. It runs before all other steps.
 func (s *Server) limitConnection(w http.ResponseWriter, r *http.Request, conn *clientConn) {
 	if s.closingAfterResponses.Load() || s.lameDuck.Load() {
-		w.Header().Set("Connection", "close") // have clients move to other nodes
+		w.Header().Set("Connection", "close") // makes clients connect to other nodes
 	}
-	if r.ContentLength != 0 { // also for what net/http reads after a rejection
+	if r.ContentLength != 0 { // The deadline also bounds what net/http reads after a rejection.
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(readTimeout))
 	}
 	if s.options.Strict && (r.ProtoMinor == 0 || conn != nil && conn.hasAmbiguousFraming(r)) {
-		// A proxy before this node may see the end of this request elsewhere: what follows it is not served.
+		// A proxy in front of this node may see the end of this request in another place, so the bytes after the
+		// request are not served.
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// checkHead checks a request's framing, and applies Options.ForwardedHeaders.
-func (s *Server) checkHead(r *http.Request) error {
+// checkHeader checks a request's framing and announced length, and applies Options.ForwardedHeaders.
+func (s *Server) checkHeader(r *http.Request) error {
 	if err := s.checkFraming(r); err != nil {
 		return err
 	}
@@ -114,67 +115,70 @@
 	return nil
 }
 
-// newExchange routes and parses a request. The error is answered by reject.
+// newExchange routes and parses a request. Its error is for reject.
 func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, conn *clientConn) (*exchange, error) {
-	to, err := s.router.Route(r)
+	destination, err := s.router.Route(r)
 	if err != nil {
 		return nil, err
 	}
-	e := &exchange{server: s, w: w, r: r, control: http.NewResponseController(w), conn: conn, to: to}
-	if e.request, err = s.parse(r, &e.to, e.control); err != nil {
+	e := &exchange{server: s, w: w, r: r, control: http.NewResponseController(w), conn: conn, destination: destination}
+	if e.request, err = s.parse(r, &e.destination, e.control); err != nil {
 		return nil, err
 	}
 	e.payload = e.request.Payload.(*h1client.Request)
 	return e, nil
 }
 
-// admit reports the request to the table of connections. It returns false if the request was rejected: the connection
-// is beyond the limits and only gets a response with Retry-After, or the shutdown leaves no time.
+// admit reports the request to the table of connections. It rejects the request and returns false if the connection
+// exceeds the limits, so that it only gets a response with Retry-After, or if the shutdown leaves no time to serve the
+// request.
 func (e *exchange) admit() bool {
 	if e.conn == nil {
 		return true
 	}
 	if e.r.ProtoMajor == 1 && e.payload.Upload == nil && e.conn.checkDisconnected() {
-		panic(http.ErrAbortHandler) // the client has disconnected: nothing may be sent for it
+		panic(http.ErrAbortHandler) // no attempt may begin for a client that has disconnected
 	}
 	switch open, overflow := e.conn.beginRequest(e.r.ProtoMajor == 2); {
 	case !open:
-		panic(http.ErrAbortHandler) // the client sends it again elsewhere
+		panic(http.ErrAbortHandler) // the client sends the request again elsewhere
 	case overflow, e.server.rejecting.Load():
 		e.w.Header().Set("Connection", "close")
-		rejected := engine.Answer{Verdict: engine.Rejected, RetryAfter: e.to.MaxRetryAfter}
+		rejected := engine.Answer{Verdict: engine.Rejected, RetryAfter: e.destination.MaxRetryAfter}
 		writeAnswer(e.w, e.r.Method == http.MethodHead, rejected)
 		return false
 	}
 	return true
 }
 
-// startUpload starts to read a body that was not read yet.
+// startUpload starts to read a body that parse has not read, and waits until some of it is buffered. It also adjusts
+// the connection's read deadline.
 func (e *exchange) startUpload() error {
 	e.ctx, e.endUpload = e.r.Context(), func() {}
 	switch {
 	case e.payload.Upload == nil:
-		// net/http reads on to detect a disconnect. The passed deadline of the request's own bytes would look like one.
+		// net/http reads on to detect a disconnect, and would take the expired read deadline of the request for a
+		// disconnect.
 		e.control.SetReadDeadline(time.Time{})
 	case e.server.options.Strict:
 		e.control.EnableFullDuplex()
-		ctx, end, err := e.server.runPlatformUpload(e.r, e.control, &e.to, e.request)
+		ctx, end, err := e.server.runPlatformUpload(e.r, e.control, &e.destination, e.request)
 		if err != nil {
 			return err
 		}
 		e.ctx, e.endUpload = ctx, end
 	default:
-		e.control.EnableFullDuplex() // a response may begin before the body's end
-		patient := e.r.Header.Get("Expect") != ""
-		e.ctx, e.endUpload = runUpload(e.ctx, e.control, e.payload.Upload, patient, nil)
-		if !patient {
+		e.control.EnableFullDuplex() // a response may begin before the end of the body
+		onDemand := e.r.Header.Get("Expect") != ""
+		e.ctx, e.endUpload = runUpload(e.ctx, e.control, e.payload.Upload, onDemand, nil)
+		if !onDemand {
 			e.payload.Upload.AwaitBufferFor(h1client.UploadBufferTimeout)
 		}
 	}
 	return nil
 }
 
-// watchClient has the request end when its client disconnects. The function that it returns ends the watch.
+// watchClient makes the request end when its client disconnects. The function that it returns ends the watch.
 func (e *exchange) watchClient() (end func()) {
 	ctx := e.ctx
 	switch {
@@ -184,24 +188,25 @@
 		e.request.ClientDisconnected = e.conn.streamDisconnected(ctx)
 	default:
 		noPipelining := e.server.options.Strict && e.payload.Upload == nil
-		e.ctx, e.request.ClientDisconnected, end = e.conn.watch(ctx, noPipelining)
+		e.ctx, e.request.ClientDisconnected, end = e.conn.watchDisconnect(ctx, noPipelining)
 		return end
 	}
 	return func() {}
 }
 
-// rejectBrokenUpload answers a request whose body could not be read to its end, unless it was served all the same or
-// its client has disconnected; true if it did.
-func (e *exchange) rejectBrokenUpload(answer engine.Answer, err error) bool {
+// rejectFailedUpload rejects a request whose body could not be read to its end, unless the request was served
+// nevertheless or its client has disconnected. It reports whether it did. If an HTTP/1 body was not read to its end, it
+// has the connection closed after the answer.
+func (e *exchange) rejectFailedUpload(answer engine.Answer, err error) bool {
 	upload := e.payload.Upload
 	if upload == nil {
 		return false
 	}
 	if err != nil {
-		e.endUpload() // after that its error is known
+		e.endUpload() // the upload's error is final after this
 	}
 	uploadErr := upload.Err()
-	// net/http takes a passed read deadline for a disconnect; such a client is still connected.
+	// net/http takes an expired read deadline for a disconnect, but such a client is still connected.
 	connected := e.r.Context().Err() == nil || errors.Is(uploadErr, os.ErrDeadlineExceeded)
 	if connected && uploadErr != nil && (err != nil || answer.Verdict != engine.Served) {
 		closeAnswer(answer)
@@ -214,16 +219,16 @@
 	return false
 }
 
-// respond gives the client the final answer.
+// respond sends the client the final answer, or a rejection if err has one.
 func (e *exchange) respond(a engine.Answer, err error) {
 	var rejection *ingress.Rejection
 	switch {
 	case errors.As(err, &rejection) && e.r.Context().Err() == nil:
-		// Another request with its key is open, or was answered.
+		// Another request with the same idempotency key is open, or was answered.
 		reject(e.w, e.r, rejection)
 		return
 	case errors.Is(err, engine.ErrRetired) && e.r.Context().Err() == nil:
-		a = engine.Answer{Verdict: engine.Rejected, RetryAfter: e.to.MaxRetryAfter}
+		a = engine.Answer{Verdict: engine.Rejected, RetryAfter: e.destination.MaxRetryAfter}
 	case err != nil:
 		panic(http.ErrAbortHandler) // the client has disconnected
 	}
@@ -232,8 +237,8 @@
 		e.w.Header().Set("Connection", "close")
 	}
 	answer, ok := a.Value.(*h1client.Answer)
-	if ok && e.to.ResponseEdits != nil {
-		e.to.ResponseEdits.Apply(answer.Header)
+	if ok && e.destination.ResponseEdits != nil {
+		e.destination.ResponseEdits.Apply(answer.Header)
 	}
 	if ok && answer.Tunnel != nil {
 		e.server.tunnel(e.control, answer)
@@ -243,15 +248,15 @@
 	e.discardUpload(a)
 	switch {
 	case ok && answer.Stream != nil:
-		e.passStream(answer.Stream)
+		e.forwardStream(answer.Stream)
 	case ok:
 		writeTrailers(e.w, answer.Trailer)
 	}
 }
 
-// setWriteDeadline bounds the time that the client may take for its answer.
+// setWriteDeadline limits the time that the client may take to read its answer.
 func (e *exchange) setWriteDeadline() {
-	if e.payload.Upload != nil { // the request's deadline may be set only at the upload's end
+	if e.payload.Upload != nil { // the engine may set the request's deadline only when the upload ends
 		e.control.SetWriteDeadline(time.Now().Add(e.server.options.StallTimeout))
 		return
 	}
@@ -259,8 +264,8 @@
 	e.control.SetWriteDeadline(time.Now().Add(remaining + writeGracePeriod))
 }
 
-// discardUpload reads and drops the rest of a body whose response is complete, so that a reset does not lose the
-// response.
+// discardUpload reads and drops the rest of a body after the complete response was written. If the connection was
+// closed with unread bytes, TCP would reset it and the client could lose the response.
 func (e *exchange) discardUpload(a engine.Answer) {
 	upload := e.payload.Upload
 	if upload == nil || !e.server.options.Strict || upload.ReadToEnd() || isStream(a) {
@@ -271,10 +276,10 @@
 	}
 }
 
-// passStream forwards the rest of a response, and ends the connection or HTTP/2 stream where it breaks.
-func (e *exchange) passStream(s h1client.Stream) {
+// forwardStream forwards the rest of a response. If the stream breaks, it ends the connection or the HTTP/2 stream.
+func (e *exchange) forwardStream(s h1client.Stream) {
 	complete := e.server.copyStream(e.r.Context(), e.w, e.control, s)
-	if !e.r.ProtoAtLeast(1, 1) && e.conn != nil { // only a reset shows such a client that the response is incomplete
+	if !e.r.ProtoAtLeast(1, 1) && e.conn != nil { // only a reset shows a client of HTTP/1.0 that the response is incomplete
 		e.conn.resetUnlessComplete(complete)
 		return
 	}
--- a/internal/downstream/h1server/lifecycle.go
+++ b/internal/downstream/h1server/lifecycle.go
@@ -1,6 +1,7 @@
 package h1server
 
-// What clients are told about the process: readiness, draining, lame duck mode and the end of a shutdown.
+// This file holds the process states that clients notice: readiness, draining, lame duck mode and the end of a
+// shutdown.
 
 import (
 	"context"
@@ -9,24 +10,24 @@
 	"time"
 )
 
-// SetReady has health checks succeed: the endpoint list is known.
+// SetReady makes health checks succeed. It is to be called once the endpoint list is known.
 func (s *Server) SetReady() { s.ready.Store(true) }
 
 // IsReady reports whether SetReady was called.
 func (s *Server) IsReady() bool { return s.ready.Load() }
 
-// FailHealthChecks has health checks fail from now on. Requests are served all the same.
+// FailHealthChecks makes health checks fail from now on. Requests are still served.
 func (s *Server) FailHealthChecks() { s.failingHealthChecks.Store(true) }
 
-// CloseAfterResponses has each response end its connection, so that clients move to other nodes.
+// CloseAfterResponses makes each response close its connection from now on, so that clients move to other nodes.
 func (s *Server) CloseAfterResponses() { s.closingAfterResponses.Store(true) }
 
-// RejectNewRequests has requests that arrive from now on rejected: the shutdown leaves no time to serve them.
+// RejectNewRequests rejects all requests that arrive from now on, because the shutdown leaves no time to serve them.
 func (s *Server) RejectNewRequests() { s.rejecting.Store(true) }
 
-// EnterLameDuck moves clients to other nodes, until ExitLameDuck or the end of ctx: health checks fail, each response
-// ends its connection, and idle connections are closed after adminstate.LameDuckIdleDelay. Requests are served all the
-// same. It does not wait. In lame duck mode it does nothing.
+// EnterLameDuck moves clients to other nodes until ExitLameDuck is called or ctx ends: health checks fail, each
+// response closes its connection, and idle connections are closed after adminstate.LameDuckIdleDelay. Requests are
+// still served. EnterLameDuck does not wait, and has no effect in lame duck mode.
 func (s *Server) EnterLameDuck(ctx context.Context) {
 	cs := s.conns
 	cs.mu.Lock()
@@ -53,18 +54,18 @@
 	cs.stopLameDuck()
 }
 
-// DrainToSuccessor moves the clients to a successor, which accepts the new connections already: each response ends its
-// connection, and connections that were idle for idleTimeout are closed. Health checks still succeed, as they do at the
-// successor. It returns when no connection is left or ctx ends.
+// DrainToSuccessor moves the clients to a successor, which already accepts the new connections: each response closes
+// its connection, and connections that have been idle for idleTimeout are closed. Health checks still succeed, as they
+// do at the successor. DrainToSuccessor returns when no connection is left or ctx ends.
 func (s *Server) DrainToSuccessor(ctx context.Context, idleTimeout time.Duration) {
 	s.closingAfterResponses.Store(true)
 	s.conns.drainToSuccessor(ctx, idleTimeout)
 }
 
-// Drain closes connections as they become idle, until none is left but idle HTTP/2 connections, or ctx ends.
+// Drain closes connections as they become idle. It returns when only idle HTTP/2 connections are left or ctx ends.
 func (s *Server) Drain(ctx context.Context) { s.conns.drain(ctx) }
 
-// CloseIdleConnections closes the connections on which nothing was received, or nothing since a response.
+// CloseIdleConnections closes the connections on which nothing was received at all, or nothing since the last response.
 func (s *Server) CloseIdleConnections() {
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
--- a/internal/downstream/h1server/listener.go
+++ b/internal/downstream/h1server/listener.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// limitedListener gives the connections that it accepts a place in the table of client connections.
+// limitedListener gives each connection that it accepts a place in the table of client connections.
 type limitedListener struct {
 	net.Listener
 	conns *clientConns
--- a/internal/downstream/h1server/platformbody.go
+++ b/internal/downstream/h1server/platformbody.go
@@ -1,8 +1,9 @@
 package h1server
 
-// How request bodies of the platform's clients are taken (Options.Strict). A client may send slowly, so a request's
-// time begins with its last byte; until then a minimum rate applies. A body that fits into the buffer is forwarded once
-// it is complete, and can be sent again from its beginning; a larger one is forwarded while it arrives.
+// This file reads the request bodies of the platform's clients (Options.Strict). A client may send slowly, so the time
+// for a request begins with the last byte of its body, and until then a minimum rate applies. A body that fits into the
+// buffer is forwarded once it is complete, and can be sent again from its beginning. A larger body is forwarded while
+// it arrives.
 
 import (
 	"context"
@@ -16,40 +17,43 @@
 )
 
 const (
-	// maxPlatformBuffer is what a body may buffer where there is memory, in bytes.
+	// maxPlatformBuffer is the largest buffer of a body, in bytes. A body gets less if there is too little memory.
 	maxPlatformBuffer = 1 << 20
-	// minPlatformUploadRate is the least rate over a whole body after platformUploadGrace, in bytes per second. Clients
-	// may send at 64 kB/s.
+	// minPlatformUploadRate is the lowest average rate of a body, in bytes per second, not counting
+	// platformUploadGrace. Clients may send at 64 kB/s.
 	minPlatformUploadRate = 16 << 10
-	platformUploadGrace   = 5 * time.Second
+	// platformUploadGrace is added to the time that a body may take at minPlatformUploadRate.
+	platformUploadGrace = 5 * time.Second
 	// platformUploadStall is how long a body may pause.
 	platformUploadStall = 4 * time.Second
-	// bufferShrinkFactor divides the buffer that is tried next where there is too little memory.
+	// bufferShrinkFactor is the quotient of a buffer for which there is too little memory and the next smaller buffer
+	// that is tried.
 	bufferShrinkFactor = 16
 )
 
-// readPlatformBody reads a body that fits into the buffer, and makes an upload of any other.
-func (s *Server) readPlatformBody(r *http.Request, control *http.ResponseController, to *h1client.Request) error {
+// readPlatformBody reads a body whose known length fits into the buffer, and creates an upload for any other body.
+func (s *Server) readPlatformBody(r *http.Request, control *http.ResponseController, out *h1client.Request) error {
 	from := &pacedReader{
 		from: s.limitedBody(r), control: control,
 		stallTimeout: platformUploadStall, minRate: minPlatformUploadRate, gracePeriod: platformUploadGrace,
 	}
-	s.reservePlatformBuffer(r, to)
-	if r.ContentLength >= 0 && r.ContentLength <= to.ReservedBytes {
+	s.reservePlatformBuffer(r, out)
+	if r.ContentLength >= 0 && r.ContentLength <= out.ReservedBytes {
 		body, err := readKnownLength(from, r.ContentLength)
 		if err != nil {
-			s.releaseBuffer(to)
+			s.releaseBuffer(out)
 			return uploadError(err)
 		}
-		to.Body = body
+		out.Body = body
 		return nil
 	}
-	to.Upload, to.Length = h1client.NewUpload(from, int(to.ReservedBytes)), r.ContentLength
+	out.Upload, out.Length = h1client.NewUpload(from, int(out.ReservedBytes)), r.ContentLength
 	return nil
 }
 
-// reservePlatformBuffer reserves as much memory for a body as there is, minBodyBuffer at least.
-func (s *Server) reservePlatformBuffer(r *http.Request, to *h1client.Request) {
+// reservePlatformBuffer reserves memory for a body. Where the memory for its length, or for maxPlatformBuffer, is not
+// available, it tries smaller buffers, and reserves minBodyBuffer in any case.
+func (s *Server) reservePlatformBuffer(r *http.Request, out *h1client.Request) {
 	size := r.ContentLength
 	if size < 0 || size > maxPlatformBuffer {
 		size = maxPlatformBuffer
@@ -58,11 +62,11 @@
 		s.bufferedBytes.Add(-size)
 		size = max(size/bufferShrinkFactor, minBodyBuffer)
 	}
-	to.ReservedBytes = size
+	out.ReservedBytes = size
 }
 
-// readKnownLength reads a body of a known length. Its memory grows with what arrives: announcing a length costs a
-// client nothing. The error of a shorter body is io.ErrUnexpectedEOF.
+// readKnownLength reads a body of a known length. Its memory grows with the bytes that arrive, because announcing a
+// length costs a client nothing. If the body is shorter, the error is io.ErrUnexpectedEOF.
 func readKnownLength(from io.Reader, length int64) ([]byte, error) {
 	const initialCapacity = 64 << 10
 	body := make([]byte, 0, min(length, initialCapacity))
@@ -84,22 +88,22 @@
 	return body, nil
 }
 
-// bodyCompleter is a cluster that is notified when the last byte of a request has arrived.
+// bodyCompleter is a cluster that is notified when the last byte of a request body has arrived.
 type bodyCompleter interface {
 	BodyComplete(r *engine.Request, end time.Duration)
 }
 
 var _ bodyCompleter = (*engine.Cluster)(nil)
 
-// runPlatformUpload starts an upload and waits until it is complete or has filled its buffer. A complete one becomes
-// the payload's body. ctx and stop are those of runUpload. The error is a Rejection.
+// runPlatformUpload starts an upload and waits until it is complete or has filled its buffer. A complete upload is
+// replaced by the payload's Body. ctx and stop are those of runUpload. The error is an *ingress.Rejection.
 func (s *Server) runPlatformUpload(
-	r *http.Request, control *http.ResponseController, to *ingress.Destination, request *engine.Request,
+	r *http.Request, control *http.ResponseController, destination *ingress.Destination, request *engine.Request,
 ) (ctx context.Context, stop func(), err error) {
 	payload := request.Payload.(*h1client.Request)
 	upload := payload.Upload
 	var onComplete func()
-	if cluster, ok := to.Cluster.(bodyCompleter); ok {
+	if cluster, ok := destination.Cluster.(bodyCompleter); ok {
 		request.BodyIncomplete = true
 		onComplete = func() { cluster.BodyComplete(request, s.options.Clock.Now()+request.UploadTimeout) }
 	}
@@ -110,7 +114,7 @@
 		return nil, nil, uploadError(err)
 	}
 	if body, complete := upload.Complete(); complete {
-		stop() // onComplete is called before the request begins
+		stop() // stop waits for onComplete, so that it is called before the request begins
 		payload.Upload, payload.Body = nil, body
 		return r.Context(), func() {}, nil
 	}
--- a/internal/downstream/h1server/readahead.go
+++ b/internal/downstream/h1server/readahead.go
@@ -1,6 +1,6 @@
 package h1server
 
-// Reading a client's socket, by net/http's Read and ahead of it.
+// This file reads a client's socket, both for net/http's Read and ahead of it.
 
 import (
 	"errors"
@@ -13,37 +13,42 @@
 )
 
 const (
-	// maxReadAhead and maxTotalReadAhead limit the bytes that are read ahead of a connection, and of all connections of
-	// a server. What lies behind is dropped where no request may follow (Options.Strict). Otherwise it stays in the
-	// socket, and the kernel is queried for the end, which it knows of once the client's last byte has been received.
+	// maxReadAhead and maxTotalReadAhead limit the bytes that are read ahead of net/http on one connection, and on all
+	// connections of a server. Where no request may follow the open one (Options.Strict), the bytes beyond the limits
+	// are dropped. Otherwise they stay in the socket, and the kernel is queried for the end of the client's data, which
+	// it knows once the client's last byte has been received.
 	maxReadAhead      = 64 << 10
 	maxTotalReadAhead = 2 << 20
-	readAheadChunk    = 4 << 10
-	// maxDropPerCheck limits the bytes that one check drops, and so the work that a flood causes.
+	// readAheadChunk is the most bytes that are read ahead at once.
+	readAheadChunk = 4 << 10
+	// maxDropPerCheck limits the bytes that one check drops, and so the work that a client can cause by a flood of
+	// bytes.
 	maxDropPerCheck = 1 << 20
 )
 
-// readState is what a clientConn knows of its client's sending side: bytes that were read ahead, and the end.
+// readState is the state of reading a client's socket: the bytes that were read ahead, and the end of the client's
+// data.
 //
-// net/http detects a client's end by a Read beside the handler, which returns with the first byte that follows the
-// request; the end behind it goes unseen. So while a request is open the connection is read ahead, within limits.
+// net/http detects a disconnect by a Read that runs beside the handler. This Read returns with the first byte that
+// follows the request, so that net/http does not see the end of the data after that byte. Therefore the connection is
+// read ahead, within limits, while a request is open.
 type readState struct {
-	inSocketRead bool   // a Read of the socket is in progress: it sees the end, and nothing is read ahead
-	readAhead    []byte // read, and not returned by Read yet
-	ended        bool   // the client's end lies behind readAhead
-	dropExcess   bool   // no request may follow the open one: what exceeds the limits is dropped
-	dropped      bool   // bytes were dropped: nothing is returned behind readAhead
-
-	unreported   bool // bytes were read that the table does not know of
-	readingEnded bool // the connection is being closed: nothing more is read
-	target       []byte
+	inSocketRead bool   // a Read of the socket is in progress; it will see the end, so nothing is read ahead
+	readAhead    []byte // bytes that were read from the socket but not returned by Read yet
+	ended        bool   // the client's data ends after readAhead
+	dropExcess   bool   // no request may follow the open one, so bytes beyond the limits are dropped
+	dropped      bool   // bytes were dropped, so Read returns nothing after readAhead
+
+	unreported   bool                  // bytes were read that were not reported to the table yet
+	readingEnded bool                  // the connection is being closed, so nothing more is read
+	target       []byte                // buffer of the Read in progress
 	targetLength int                   // bytes that the Read in progress put into target
 	targetErr    error                 // error of the Read in progress
 	readFunc     func(fd uintptr) bool // readAvailable, allocated once
 }
 
-// takeReadAhead returns bytes that were read ahead. If there are none and the end was not seen, readSocket is true: the
-// caller may read the socket, and must call endSocketRead then.
+// takeReadAhead returns bytes that were read ahead. If there are none and the end of the data was not seen, readSocket
+// is true: the caller may read the socket, and must call endSocketRead afterwards.
 func (c *clientConn) takeReadAhead(p []byte) (n int, readSocket bool, err error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -63,8 +68,8 @@
 	return 0, true, nil
 }
 
-// readSocket reads the socket. Taking bytes from it and setting unreported is one step: whoever closes an idle
-// connection must not do so in between, or a request that was read would get no response.
+// readSocket reads the socket. It takes bytes from the socket and sets unreported under one lock: if the connection
+// could be closed as idle in between, a request that was read would get no response.
 func (c *clientConn) readSocket(p []byte) (int, error) {
 	if c.rawConn == nil || len(p) == 0 {
 		return c.Conn.Read(p)
@@ -72,7 +77,7 @@
 	c.readMu.Lock()
 	c.target = p
 	c.readMu.Unlock()
-	if err := c.rawConn.Read(c.readFunc); err != nil { // the deadline has passed, or the connection was closed
+	if err := c.rawConn.Read(c.readFunc); err != nil { // the read deadline has passed, or the connection was closed
 		var op *net.OpError
 		if errors.As(err, &op) {
 			op.Op = "read"
@@ -82,7 +87,8 @@
 	return c.targetLength, c.targetErr
 }
 
-// readAvailable reads into target what the socket has. It returns false if that is nothing (syscall.RawConn).
+// readAvailable reads the socket's available bytes into target. It returns false if there are none and the caller has
+// to wait (syscall.RawConn).
 func (c *clientConn) readAvailable(fd uintptr) bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -110,7 +116,7 @@
 	return true
 }
 
-// endSocketRead notes the end of a Read of the socket, which returned err.
+// endSocketRead records that a Read of the socket has returned err.
 func (c *clientConn) endSocketRead(err error) {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -120,15 +126,16 @@
 	}
 }
 
-// markReported notes that the table knows of the bytes that were read.
+// markReported records that the bytes that were read have been reported to the table.
 func (c *clientConn) markReported() {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	c.unreported = false
 }
 
-// stopReadingIfIdle reports whether nothing was received, neither a byte nor the end, that the table does not know of.
-// If so nothing more is read: what arrives now finds the connection closed, and its client sends it again elsewhere.
+// stopReadingIfIdle reports whether the connection is idle: neither bytes nor the end of the data were received without
+// being reported to the table. If it is idle, nothing more is read from it: a request that arrives later finds the
+// connection closed, and its client sends it again elsewhere.
 func (c *clientConn) stopReadingIfIdle() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -139,9 +146,10 @@
 	return true
 }
 
-// fillReadAhead reads what the socket has, within the limits. more reports that it may have more. Where excess bytes
-// are dropped, a first chunk is retained whatever the other connections use: net/http takes a Read beside the handler
-// that returns the end, and no byte, for the client's disconnect. readMu is locked.
+// fillReadAhead reads the socket's available bytes, within the limits. ended reports that the end of the data was
+// reached, more that the socket may have more bytes. Where excess bytes are dropped, one chunk is retained even if
+// maxTotalReadAhead is exceeded: otherwise net/http's Read beside the handler would return the end without a byte, and
+// net/http would take that for the client's disconnect. The caller holds readMu.
 func (c *clientConn) fillReadAhead(fd int) (ended, more bool) {
 	for droppedNow := 0; ; {
 		retain := c.reserveReadAhead()
@@ -168,7 +176,8 @@
 	}
 }
 
-// reserveReadAhead reserves memory for a chunk to be read ahead, if the limits allow it. readMu is locked.
+// reserveReadAhead reserves memory for reading one chunk ahead. It returns false if the limits do not allow it. The
+// caller holds readMu.
 func (c *clientConn) reserveReadAhead() bool {
 	if c.dropped || len(c.readAhead) >= maxReadAhead {
 		return false
@@ -181,7 +190,7 @@
 	return false
 }
 
-// discardReadAhead releases what was read ahead, once the connection is closed.
+// discardReadAhead releases the bytes that were read ahead on a connection that is closed.
 func (c *clientConn) discardReadAhead() {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -189,14 +198,15 @@
 	c.readAhead = nil
 }
 
-// allowNextRequest ends the dropping of excess bytes: the open request has its response, and the next may follow.
+// allowNextRequest ends the dropping of excess bytes: the answer of the open request is known, and the next request may
+// follow.
 func (c *clientConn) allowNextRequest() {
-	c.readMu.Lock() // a check in progress ends first
+	c.readMu.Lock() // waits for the end of a check in progress
 	defer c.readMu.Unlock()
 	c.dropExcess = false
 }
 
-// hasDropped reports whether bytes of the client were dropped: the connection must end with the response.
+// hasDropped reports whether bytes of the client were dropped. The connection must then be closed with the response.
 func (c *clientConn) hasDropped() bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
--- a/internal/downstream/h1server/response.go
+++ b/internal/downstream/h1server/response.go
@@ -1,6 +1,6 @@
 package h1server
 
-// How answers, streams and rejections are written to clients.
+// This file writes answers, streams and rejections to clients.
 
 import (
 	"context"
@@ -17,10 +17,12 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// copyBufferBytes is the memory of a stream or of one direction of a tunnel, besides that of the sockets.
+// copyBufferBytes is the memory of a stream, or of one direction of a tunnel, in addition to the buffers of the
+// sockets.
 const copyBufferBytes = 32 << 10
 
-// reject answers a request that is not forwarded. The rest of its body is not awaited: the connection ends.
+// reject answers a request that is not forwarded. It does not wait for the rest of the request's body: a connection on
+// which a body may follow is closed.
 func reject(w http.ResponseWriter, r *http.Request, err error) {
 	var rejection *ingress.Rejection
 	if !errors.As(err, &rejection) {
@@ -41,14 +43,14 @@
 	http.Error(w, rejection.Message, rejection.Status)
 }
 
-// writeAnswer writes the final answer, except for the rest of a stream. head says that the request is a HEAD.
-func writeAnswer(w http.ResponseWriter, head bool, a engine.Answer) {
+// writeAnswer writes the final answer, except for the body of a stream. isHead says that the request's method is HEAD.
+func writeAnswer(w http.ResponseWriter, isHead bool, a engine.Answer) {
 	h := w.Header()
 	status, body, length := http.StatusBadGateway, []byte(nil), int64(-1)
 	if a.Verdict == engine.Rejected {
 		status = http.StatusServiceUnavailable
 	}
-	if answer, ok := a.Value.(*h1client.Answer); ok { // served, or what an endpoint answered last
+	if answer, ok := a.Value.(*h1client.Answer); ok { // the request was served, or this is the last answer of an endpoint
 		status, body = answer.Status, answer.Body
 		maps.Copy(h, answer.Header)
 		if len(body) == 0 {
@@ -59,15 +61,15 @@
 		h.Set("Retry-After", ingress.FormatRetryAfter(a.RetryAfter))
 	}
 	switch stream := isStream(a); {
-	case (head || stream) && length >= 0:
+	case (isHead || stream) && length >= 0:
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
-	case !head && !stream && !hasTrailers(a): // trailers need chunks (RFC 9112, 7.1.2)
+	case !isHead && !stream && !hasTrailers(a): // trailers need the chunked transfer coding (RFC 9112, 7.1.2)
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	w.WriteHeader(status)
 	w.Write(body)
 	if hasTrailers(a) {
-		http.NewResponseController(w).Flush() // or net/http would set a Content-Length
+		http.NewResponseController(w).Flush() // otherwise net/http would set a Content-Length
 	}
 }
 
@@ -83,13 +85,13 @@
 	return ok && len(answer.Trailer) > 0
 }
 
-// copyStream forwards a stream through one buffer. Where the stream breaks it returns false: the caller must abort the
-// client's connection or HTTP/2 stream, so that the client does not take the part for the complete body.
+// copyStream forwards a stream through one buffer. If the stream breaks, it returns false: the caller must then abort
+// the client's connection or HTTP/2 stream, so that the client does not take a part of the body for the complete one.
 func (s *Server) copyStream(
 	ctx context.Context, w http.ResponseWriter, control *http.ResponseController, stream h1client.Stream,
 ) (complete bool) {
 	defer stream.Close()
-	defer context.AfterFunc(ctx, stream.Abort)() // the client disconnects while the endpoint pauses
+	defer context.AfterFunc(ctx, stream.Abort)() // ends a Read if the client disconnects while the endpoint pauses
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
 	for {
@@ -97,9 +99,9 @@
 		if n > 0 {
 			control.SetWriteDeadline(time.Now().Add(s.options.StallTimeout))
 			if _, err := w.Write((*buffer)[:n]); err != nil {
-				return false // the client has disconnected, or reads nothing
+				return false // the client has disconnected, or has read nothing for StallTimeout
 			}
-			if n < len(*buffer) { // the endpoint pauses
+			if n < len(*buffer) { // the endpoint has no more data for now
 				if err := control.Flush(); err != nil {
 					return false
 				}
@@ -115,17 +117,17 @@
 	}
 }
 
-// copyBuffers are the buffers of streams and tunnels.
+// copyBuffers holds the buffers of streams and tunnels that are not in use.
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferBytes); return &b }}
 
-// closeAnswer closes an answer that the client does not get.
+// closeAnswer closes an answer that is not sent to the client.
 func closeAnswer(a engine.Answer) {
 	if c, ok := a.Value.(io.Closer); ok {
 		c.Close()
 	}
 }
 
-// writeTrailers writes the trailers of an answer.
+// writeTrailers sets the trailers that net/http writes after the body.
 func writeTrailers(w http.ResponseWriter, fields http.Header) {
 	for name, values := range fields {
 		w.Header()[http.TrailerPrefix+name] = values
--- a/internal/downstream/h1server/server.go
+++ b/internal/downstream/h1server/server.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	// readTimeout is how long a client may take from its connection, or a request's first byte, to the request's last
-	// byte, except for uploads.
+	// readTimeout is how long a client may take to send a request, from the acceptance of its connection or from the
+	// request's first byte up to the request's last byte. It does not apply to uploads.
 	readTimeout = 2 * time.Second
-	// platformHeaderTimeout is the time for a request's header with Options.Strict. The platform's clients may take 2
-	// s, and a new connection is accepted some time after it was opened.
+	// platformHeaderTimeout is readTimeout's counterpart for the header of a request with Options.Strict. The
+	// platform's clients may take 2 s, and a new connection is accepted some time after the client has opened it.
 	platformHeaderTimeout = 2500 * time.Millisecond
 	// keepAliveTimeout is how long a connection may be idle between two requests.
 	keepAliveTimeout = 10 * time.Second
@@ -39,40 +39,42 @@
 // Options configure a Server.
 type Options struct {
 	Clock engine.Clock
-	// ConnectionLimits are numbers of client connections.
+	// ConnectionLimits limits the number of client connections.
 	ConnectionLimits connlimit.Limits
-	// Strict holds clients to the platform's protocol: each request needs an ID, a timeout and, where there are
-	// tenants, a tenant, and the method of its class; uploads need a minimum rate. Otherwise the server generates IDs,
-	// the class's deadline applies, and a request without a tenant counts for the first one.
+	// Strict holds clients to the platform's protocol: each request needs an ID, a timeout, a tenant if tenants are
+	// configured, and the method of its class; uploads need a minimum rate. Without Strict, the server generates
+	// missing IDs, the class's deadline applies to requests without a timeout, and a request without a tenant counts
+	// for the first tenant.
 	Strict bool
-	// Log gets the messages of net/http's server; nil: the default logger.
+	// Log receives the messages of net/http's server. If it is nil, the default logger is used.
 	Log *slog.Logger
-	// MaxBodyBytes limits a request's body; 0: any length.
+	// MaxBodyBytes limits the length of a request's body. 0 means no limit.
 	MaxBodyBytes int64
-	// BodyMemory is the memory for buffered request bodies, in bytes; 0: 64 MiB. Beyond it each upload still buffers
-	// up to minBodyBuffer.
+	// BodyMemory is the memory for buffered request bodies, in bytes. 0 means 64 MiB. When it is used up, each further
+	// upload still buffers up to minBodyBuffer.
 	BodyMemory int64
-	// StallTimeout is how long a client may leave a part of a stream unread, or let an upload pause; 0: 30 s. With
+	// StallTimeout is how long a client may leave a part of a stream unread, or pause an upload. 0 means 30 s. With
 	// Strict, platformUploadStall applies to uploads.
 	StallTimeout time.Duration
 
 	// The fields below have no effect with Strict.
 
-	TLS *tls.Config // nil: clear text
-	// MaxHeaderBytes limits a request's header; 0: 16 KiB.
+	TLS *tls.Config // nil: no TLS
+	// MaxHeaderBytes limits the size of a request's header. 0 means 16 KiB.
 	MaxHeaderBytes int
-	// ForwardedHeaders rewrites the header fields about the way of a request up to this node; nil: they stay. An error
-	// is answered by 400 with its text.
+	// ForwardedHeaders rewrites the header fields that describe a request's path to this node, such as Forwarded. If it
+	// is nil, the fields stay as they are. A request for which it returns an error is rejected with status 400 and the
+	// error's text.
 	ForwardedHeaders interface{ Apply(r *http.Request) error }
 }
 
-// Server serves clients. It is an http.Handler. Create it with New.
+// Server serves clients over HTTP. It implements http.Handler. Create it with New.
 type Server struct {
 	options Options
 	router  ingress.Router
 	conns   *clientConns
 
-	// States of lifecycle.go.
+	// The states below are set by the methods in lifecycle.go.
 	ready                 atomic.Bool
 	failingHealthChecks   atomic.Bool
 	closingAfterResponses atomic.Bool
@@ -82,20 +84,20 @@
 	requestCount  atomic.Int64
 	lastRequestAt atomic.Int64 // Unix nanoseconds; 0 before the first request
 
-	idPrefix string        // of generated request IDs, random for each process
+	idPrefix string        // prefix of generated request IDs, random for each Server
 	lastID   atomic.Uint64 // number of the last generated ID
 
-	bufferedBytes atomic.Int64 // reserved for request bodies
+	bufferedBytes atomic.Int64 // memory reserved for request bodies
 
 	// mu guards the fields below.
 	mu      sync.Mutex
-	tunnels map[io.Closer]struct{} // upstream sides of the open tunnels; nil after CloseTunnels
+	tunnels map[io.Closer]struct{} // connections to endpoints of the open tunnels; nil after CloseTunnels
 	openIDs map[string]struct{}    // IDs of the requests without a final answer
 }
 
 var _ http.Handler = (*Server)(nil)
 
-// New returns a server that is not ready yet.
+// New returns a server whose health checks fail until SetReady is called.
 func New(router ingress.Router, o Options) *Server {
 	if o.MaxHeaderBytes == 0 || o.Strict {
 		o.MaxHeaderBytes = defaultMaxHeaderBytes
@@ -113,7 +115,7 @@
 	}
 }
 
-// HTTPServer returns an HTTP server for the listeners that Listener returns. The caller closes it.
+// HTTPServer returns a net/http server that serves s on the listeners that Listener returns. The caller closes it.
 func (s *Server) HTTPServer() *http.Server {
 	log := s.options.Log
 	if log == nil {
@@ -123,7 +125,7 @@
 		ErrorLog:       slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 		Handler:        s,
 		MaxHeaderBytes: s.options.MaxHeaderBytes,
-		// A body has deadlines of its own, so that there is no ReadTimeout.
+		// There is no ReadTimeout because the handler sets its own deadlines for bodies.
 		ReadHeaderTimeout: readTimeout,
 		IdleTimeout:       keepAliveTimeout,
 		ConnState:         s.conns.onStateChange,
@@ -139,7 +141,8 @@
 	return srv
 }
 
-// Serve serves a listener until it is closed, over TLS where the options have it. srv comes from HTTPServer.
+// Serve serves a listener until it is closed, over TLS if the options have a TLS configuration. srv comes from
+// HTTPServer, l from Listener.
 func (s *Server) Serve(srv *http.Server, l net.Listener) error {
 	if srv.TLSConfig != nil {
 		return srv.ServeTLS(l, "", "")
@@ -150,7 +153,7 @@
 // RequestCount returns the number of requests that were admitted so far.
 func (s *Server) RequestCount() int64 { return s.requestCount.Load() }
 
-// LastRequestAt returns when the last request was admitted; the Unix epoch if there was none.
+// LastRequestAt returns when the last request was admitted, or the Unix epoch if there was none.
 func (s *Server) LastRequestAt() time.Time { return time.Unix(0, s.lastRequestAt.Load()) }
 
 // Connections returns the number of client connections.
@@ -169,7 +172,7 @@
 	s.conns.notifyChanged()
 }
 
-// claimID reserves an ID for a request. It returns false if an open request has it.
+// claimID reserves an ID for a request. It returns false if another open request has the same ID.
 func (s *Server) claimID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/h1server/tunnel.go
+++ b/internal/downstream/h1server/tunnel.go
@@ -10,11 +10,12 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// tunnelIdleTimeout is how long one direction of an upgraded connection may carry nothing.
+// tunnelIdleTimeout is how long one direction of an upgraded connection may transfer no data.
 const tunnelIdleTimeout = time.Hour
 
-// tunnel joins the client's and the endpoint's connection after an upgrade (RFC 9110, 7.8), until either side ends it.
-// The response that upgrades is final. When one side ends its sending, what the other one still sends is forwarded.
+// tunnel forwards data between the client and the endpoint after an upgrade (RFC 9110, 7.8), until both directions have
+// ended. The endpoint's response to the upgrade is the request's final answer. When one side ends its sending, the data
+// that the other side still sends is forwarded.
 func (s *Server) tunnel(control *http.ResponseController, a *h1client.Answer) {
 	defer a.Tunnel.Close()
 	client, buffered, err := control.Hijack()
@@ -27,10 +28,10 @@
 	}
 	defer s.unregisterTunnel(a.Tunnel)
 	client.SetDeadline(time.Time{})
-	head := &http.Response{StatusCode: a.Status, ProtoMajor: 1, ProtoMinor: 1, Header: a.Header}
+	response := &http.Response{StatusCode: a.Status, ProtoMajor: 1, ProtoMinor: 1, Header: a.Header}
 	a.Header.Set("Connection", "Upgrade")
 	a.Header.Set("Upgrade", a.Upgrade)
-	if err := head.Write(client); err != nil {
+	if err := response.Write(client); err != nil {
 		return
 	}
 	var directions sync.WaitGroup
@@ -39,10 +40,10 @@
 	directions.Wait()
 }
 
-// readDeadliner is a connection whose reads can be given a deadline.
+// readDeadliner is a connection that has a read deadline.
 type readDeadliner interface{ SetReadDeadline(time.Time) error }
 
-// copyTunnel copies one direction of a tunnel to its end. conn is the connection that from reads.
+// copyTunnel copies one direction of a tunnel until it ends. conn is the connection from which from reads.
 func (s *Server) copyTunnel(to io.Writer, from io.Reader, conn readDeadliner) {
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
@@ -64,8 +65,9 @@
 	}
 }
 
-// endDirection ends the sending to one side after err. Unless it is io.EOF, both connections are closed, so that the
-// other side sees the failure.
+// endDirection ends the direction of a tunnel that writes to to, after err. If err is io.EOF, it closes only the
+// sending side, provided that to supports this. Otherwise it closes both connections, so that the other side notices
+// the failure.
 func endDirection(to io.Writer, conn readDeadliner, err error) {
 	half, ok := to.(interface{ CloseWrite() error })
 	if err == io.EOF && ok && half.CloseWrite() == nil {
@@ -79,7 +81,7 @@
 	}
 }
 
-// registerTunnel notes the upstream side of a tunnel for CloseTunnels. It returns false after CloseTunnels.
+// registerTunnel records the endpoint's connection of a tunnel for CloseTunnels. It returns false after CloseTunnels.
 func (s *Server) registerTunnel(c io.Closer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +98,7 @@
 	delete(s.tunnels, c)
 }
 
-// CloseTunnels closes all upgraded connections, and those that are upgraded from now on.
+// CloseTunnels closes all tunnels. Connections that are upgraded later are closed at once.
 func (s *Server) CloseTunnels() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/h1server/upload.go
+++ b/internal/downstream/h1server/upload.go
@@ -13,17 +13,17 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// pacedReader reads a body that must not pause for longer than stallTimeout. If minRate is set, the body must also come
-// at that rate, over all of it after gracePeriod.
+// pacedReader reads a body that may not pause for longer than stallTimeout. If minRate is set, the average rate of the
+// body, not counting gracePeriod, may not fall below minRate either.
 type pacedReader struct {
 	from         io.Reader
 	control      *http.ResponseController
 	stallTimeout time.Duration
-	minRate      int64 // bytes per second; 0: any
+	minRate      int64 // bytes per second; 0: no minimum
 	gracePeriod  time.Duration
 
-	start    time.Time // of the first Read, where minRate is set
-	received int64     // bytes
+	start    time.Time // time of the first Read; set only if minRate is
+	received int64     // bytes read so far
 }
 
 // Read implements io.Reader.
@@ -48,17 +48,17 @@
 	return n, err
 }
 
-// runUpload starts to read an upload, in a goroutine. ctx ends when reading fails. onComplete, if not nil, is called
-// when the last byte has arrived. stop ends the upload and waits for the goroutine; it must be called before the
-// request's handler returns, and does nothing when called again.
+// runUpload starts a goroutine that reads an upload. With onDemand it reads only once an attempt needs the body. ctx
+// ends when reading fails. onComplete, if not nil, is called when the last byte has arrived. stop ends the upload and
+// waits for the goroutine. It must be called before the request's handler returns; further calls have no effect.
 func runUpload(
-	parent context.Context, control *http.ResponseController, u *h1client.Upload, patient bool, onComplete func(),
+	parent context.Context, control *http.ResponseController, u *h1client.Upload, onDemand bool, onComplete func(),
 ) (ctx context.Context, stop func()) {
 	ctx, cancel := context.WithCancel(parent)
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
-		u.Run(patient)
+		u.Run(onDemand)
 		switch {
 		case u.Err() != nil:
 			cancel()
@@ -69,14 +69,14 @@
 	return ctx, sync.OnceFunc(func() {
 		u.Close()
 		if !u.ReadToEnd() {
-			control.SetReadDeadline(time.Unix(1, 0)) // ends a Read that waits for the client
+			control.SetReadDeadline(time.Unix(1, 0)) // ends a Read that is waiting for the client
 		}
 		<-finished
 		cancel()
 	})
 }
 
-// uploadError returns the rejection for a body whose reading failed with err.
+// uploadError returns the rejection of a request whose body could not be read because of err.
 func uploadError(err error) *ingress.Rejection {
 	var tooLarge *http.MaxBytesError
 	switch {
