--- a/internal/downstream/h2server/guardedconn.go
+++ b/internal/downstream/h2server/guardedconn.go
@@ -12,7 +12,7 @@
 	"yokestall/internal/h2flood"
 )
 
-// guardedConn counts the frames of an HTTP/2 connection and ends it when it exceeds the flood limits.
+// guardedConn counts the frames of an HTTP/2 connection and ends the connection when it exceeds the flood limits.
 type guardedConn struct {
 	net.Conn
 	server *Server
@@ -23,18 +23,18 @@
 	flooded bool // a limit was exceeded
 }
 
-// newGuardedConn returns a connection that is counted from now on. prefaceRead says that the client's preface has been
-// read.
+// newGuardedConn returns a connection whose frames are counted from now on. prefaceRead says that the client's
+// connection preface has already been read.
 func (s *Server) newGuardedConn(nc net.Conn, prefaceRead bool) *guardedConn {
 	now := s.Clock.Now()
 	return &guardedConn{Conn: nc, server: s, guard: h2flood.New(s.FloodLimits, now, prefaceRead)}
 }
 
-// NetConn returns the connection that is counted.
+// NetConn returns the connection that g wraps.
 func (g *guardedConn) NetConn() net.Conn { return g.Conn }
 
-// Read implements net.Conn. A flood is a connection error: golang.org/x/net's server sends GOAWAY (ENHANCE_YOUR_CALM)
-// and closes.
+// Read implements net.Conn. When a flood limit is exceeded, it returns a connection error, for which golang.org/x/net's
+// server sends a GOAWAY (ENHANCE_YOUR_CALM) and closes the connection.
 func (g *guardedConn) Read(p []byte) (int, error) {
 	n, err := g.Conn.Read(p)
 	if n == 0 {
@@ -43,32 +43,32 @@
 	now := g.server.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.flooded || g.noteFlood(g.guard.Received(now, p[:n])) {
+	if g.flooded || g.recordFlood(g.guard.Received(now, p[:n])) {
 		return 0, http2.ConnectionError(http2.ErrCodeEnhanceYourCalm)
 	}
 	return n, err
 }
 
-// Write implements net.Conn. A limit that is exceeded by what the client caused the server to write ends the connection
-// at its next Read.
+// Write implements net.Conn. If a flood limit is exceeded by the frames that the client has caused the server to write,
+// the connection ends at its next Read.
 func (g *guardedConn) Write(p []byte) (int, error) {
 	n, err := g.Conn.Write(p)
 	now := g.server.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.flooded {
-		g.noteFlood(g.guard.Sent(now, p[:n]))
+		g.recordFlood(g.guard.Sent(now, p[:n]))
 	}
 	return n, err
 }
 
-// noteFlood counts and logs a flood, if err is one, and returns whether it is. mu is locked.
-func (g *guardedConn) noteFlood(err error) bool {
+// recordFlood counts and logs a flood and returns true, or returns false if err is nil. The caller holds mu.
+func (g *guardedConn) recordFlood(err error) bool {
 	if err == nil {
 		return false
 	}
 	g.flooded = true
-	g.server.flooded.Add(1)
+	g.server.floodedConns.Add(1)
 	g.server.Log.Warn("HTTP/2 connection closed", "client", g.RemoteAddr().String(), "err", err)
 	return true
 }
@@ -79,5 +79,6 @@
 	tls *tls.Conn
 }
 
-// ConnectionState returns the state of TLS, by which golang.org/x/net's server checks what was negotiated.
+// ConnectionState returns the state of the TLS connection. golang.org/x/net's server uses it to check the negotiated
+// TLS parameters.
 func (g guardedTLSConn) ConnectionState() tls.ConnectionState { return g.tls.ConnectionState() }
