--- a/internal/downstream/h1server/clientconn.go
+++ b/internal/downstream/h1server/clientconn.go
@@ -25,7 +25,8 @@
 	entry *connlimit.Conn // the connection's entry in the table; guarded by conns.mu
 	http2 bool            // requests come over HTTP/2, known from the first one; guarded by conns.mu
 
-	// readMu guards readState. It may be locked under conns.mu; conns.mu is not locked under it.
+	// readMu guards readState. It may be locked while conns.mu is held; conns.mu must not be locked while readMu is
+	// held.
 	readMu sync.Mutex
 	readState
 }
--- a/internal/downstream/h1server/clientconns_test.go
+++ b/internal/downstream/h1server/clientconns_test.go
@@ -10,8 +10,8 @@
 	"yokestall/internal/testutil"
 )
 
-// Bytes that are read from a connection that was closed meanwhile count as not read: its client sends the request again
-// elsewhere. Its place is released once.
+// Bytes that are read from a connection while it is being closed count as not read, because the client sends its
+// request again elsewhere. The connection's place is released only once.
 func TestReadAfterCloseReturnsNothing(t *testing.T) {
 	l := testutil.Listen(t)
 	conns := newClientConns(connlimit.Limits{Active: 1, New: 1})
@@ -28,34 +28,35 @@
 	}
 	c := nc.(*clientConn)
 	conns.mu.Lock()
-	conns.table.Remove(c.entry) // as by one that closes at the same time
+	conns.table.Remove(c.entry) // as if another goroutine closed the connection at the same time
 	conns.mu.Unlock()
 	io.WriteString(client, "GET")
 	if n, err := nc.Read(make([]byte, 10)); n != 0 || err == nil {
-		t.Errorf("read %d bytes, %v", n, err)
+		t.Errorf("Read of a closed connection returned %d bytes and error %v, want 0 bytes and an error", n, err)
 	}
 	if open, _ := c.beginRequest(false); open {
-		t.Error("a request of a closed connection would be served")
+		t.Error("beginRequest of a closed connection returned open, so the request would be served")
 	}
 	nc.Close()
 	if open := conns.table.Len(); open != 0 {
-		t.Errorf("%d places are taken", open)
+		t.Errorf("%d connections in the table after Close, want 0", open)
 	}
 	c.Conn.Close()
 }
 
-// A new connection whose bytes this node has not read yet is not closed to make room, and its bytes are read.
+// A new connection whose received bytes this node has not read yet is not closed to make room for another one, and its
+// bytes are read.
 func TestUnreadBytesProtectNewConnection(t *testing.T) {
 	l := testutil.Listen(t)
 	listener := limitedListener{l, newClientConns(connlimit.Limits{Active: 2, New: 1})}
 	defer listener.Close()
-	dial := func(say string) net.Conn {
+	dial := func(text string) net.Conn {
 		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { client.Close() })
-		io.WriteString(client, say)
+		io.WriteString(client, text)
 		nc, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -63,23 +64,23 @@
 		t.Cleanup(func() { nc.Close() })
 		return nc
 	}
-	spoken := dial("GET /read")
+	sender := dial("GET /read")
 	silent := dial("")
 	dial("")
-	if n, err := spoken.Read(make([]byte, 20)); n == 0 {
-		t.Errorf("the one that spoke was closed: %v", err)
+	if n, err := sender.Read(make([]byte, 20)); n == 0 {
+		t.Errorf("Read of the connection with unread bytes returned 0 bytes and error %v, want its bytes", err)
 	}
 	if !silent.(*clientConn).entry.Removed() {
-		t.Error("the silent one did not make room")
+		t.Error("the connection without bytes is still in the table, want it closed to make room")
 	}
 }
 
-// A complete request that was read does not lose its place for being slow, however late its handler runs; an incomplete
-// one does.
+// A connection from which a complete request was read keeps its place, however late the request's handler runs. A
+// connection with an incomplete request loses its place when other clients need it.
 func TestBufferedRequestRetainsPlace(t *testing.T) {
 	t.Parallel()
 	const get = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
-	for text, stays := range map[string]bool{
+	for text, keeps := range map[string]bool{
 		get: true, "\r\n" + get: true, get + "GET": true,
 		get[:len(get)-2]: false, "GET /x HTTP/1.1\r\n": false, "\r\n": false,
 		"POST /x HTTP/1.1\r\nContent-Length: 5\r\n\r\n":                        false,
@@ -88,30 +89,30 @@
 	} {
 		cs := newClientConns(connlimit.Limits{Active: 1, New: 4, Overflow: 1})
 		l := limitedListener{testutil.Listen(t), cs}
-		speak := func(text string) *clientConn {
-			there, err := net.Dial("tcp", l.Addr().String())
+		open := func(text string) *clientConn {
+			client, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { there.Close() })
-			io.WriteString(there, text)
+			t.Cleanup(func() { client.Close() })
+			io.WriteString(client, text)
 			c, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { c.Close() })
-			if _, err := io.ReadFull(c, make([]byte, len(text))); err != nil && stays {
-				t.Errorf("%q: %v", text, err)
+			if _, err := io.ReadFull(c, make([]byte, len(text))); err != nil && keeps {
+				t.Errorf("%q: reading it returned error %v", text, err)
 			}
 			return c.(*clientConn)
 		}
-		first := speak(text)
+		first := open(text)
 		cs.mu.Lock()
-		cs.start = cs.start.Add(-time.Second) // nobody got to it for a second
+		cs.start = cs.start.Add(-time.Second) // the handler has not run for a second
 		cs.mu.Unlock()
-		speak("GET /y")
-		if got := !first.entry.Removed(); got != stays {
-			t.Errorf("%q: stays %v, want %v", text, got, stays)
+		open("GET /y")
+		if got := !first.entry.Removed(); got != keeps {
+			t.Errorf("%q: the connection keeps its place: %v, want %v", text, got, keeps)
 		}
 	}
 }
--- a/internal/downstream/h1server/closeidle_test.go
+++ b/internal/downstream/h1server/closeidle_test.go
@@ -15,12 +15,12 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// At the end of a shutdown the connections without an open request are closed, and no others.
+// At the end of a shutdown, the connections without an open request are closed, and no others.
 func TestCloseIdleConnections(t *testing.T) {
 	t.Parallel()
-	h := newPendingCluster()
-	f := New(h, strictOptions(t))
-	addr := serve(t, f)
+	cluster := newPendingCluster()
+	server := New(cluster, strictOptions(t))
+	addr := serve(t, server)
 	dial := func(text string) net.Conn {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -31,25 +31,25 @@
 		return nc
 	}
 	busy := dial("GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-	testutil.Wait(t, h.received, "the request")
+	testutil.Wait(t, cluster.received, "the request")
 	silent := dial("")
-	testutil.Until(t, "both to be there", func() bool { return f.Connections() == 2 })
-	f.CloseIdleConnections()
+	testutil.Until(t, "both connections to be accepted", func() bool { return server.Connections() == 2 })
+	server.CloseIdleConnections()
 	silent.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
 	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the silent one: %v", err)
+		t.Errorf("reading the connection without a request returned error %v, want EOF", err)
 	}
-	if n := f.Connections(); n != 1 {
-		t.Errorf("%d connections are left", n)
+	if n := server.Connections(); n != 1 {
+		t.Errorf("%d connections are open, want 1, that of the open request", n)
 	}
 	busy.Close()
-	testutil.Wait(t, h.ended, "the request to be over")
+	testutil.Wait(t, cluster.ended, "the end of the request")
 }
 
-// Lame duck mode, a shutdown and a hot restart close idle connections, but none on which the next request has arrived:
-// that one is read and answered.
+// Lame duck mode, a shutdown and a hot restart close idle connections, except those on which the next request has
+// arrived: it is read and answered.
 func TestClosesOnlyIdleConnections(t *testing.T) {
-	for name, empty := range map[string]func(cs *clientConns){
+	for name, closeIdle := range map[string]func(cs *clientConns){
 		"emptied": func(cs *clientConns) {
 			cs.closeExpired(0, adminstate.LameDuckNotice)
 		},
@@ -61,7 +61,7 @@
 			conns := newClientConns(connlimit.Limits{Active: 8, New: 8})
 			listener := limitedListener{l, conns}
 			defer listener.Close()
-			accept := func(asked bool) (client net.Conn, c *clientConn) {
+			accept := func(hadRequest bool) (client net.Conn, c *clientConn) {
 				client, err := net.Dial("tcp", l.Addr().String())
 				if err != nil {
 					t.Fatal(err)
@@ -73,7 +73,7 @@
 				}
 				t.Cleanup(func() { nc.Close() })
 				c = nc.(*clientConn)
-				if asked { // and rests
+				if hadRequest { // the connection is idle after it
 					conns.mu.Lock()
 					conns.bytesReceived(c)
 					conns.table.RequestComplete(conns.now(), c.entry)
@@ -82,61 +82,62 @@
 				}
 				return client, c
 			}
-			_, resting := accept(true)
-			crossing, crossed := accept(true)
-			late, spoken := accept(false)
-			io.WriteString(crossing, "GET /read")
-			io.WriteString(late, "GET /read")
-			for _, c := range []*clientConn{crossed, spoken} { // until it is here
-				testutil.Until(t, "the bytes", func() bool { return !h1client.NothingToRead(c.Conn) })
+			_, idle := accept(true)
+			reusingClient, reused := accept(true)
+			newClient, fresh := accept(false)
+			io.WriteString(reusingClient, "GET /read")
+			io.WriteString(newClient, "GET /read")
+			for _, c := range []*clientConn{reused, fresh} {
+				testutil.Until(t, "the bytes to arrive", func() bool { return !h1client.NothingToRead(c.Conn) })
 			}
 			conns.mu.Lock()
-			empty(conns)
+			closeIdle(conns)
 			conns.mu.Unlock()
-			if !resting.entry.Removed() {
-				t.Error("one that rests stays")
+			if !idle.entry.Removed() {
+				t.Error("the idle connection is still open, want it closed")
 			}
-			for _, c := range []*clientConn{crossed, spoken} {
+			for _, c := range []*clientConn{reused, fresh} {
 				if n, err := c.Read(make([]byte, 20)); n != 9 {
-					t.Errorf("what had come was closed on: %d bytes, %v", n, err)
+					t.Errorf("Read of a connection with unread bytes returned %d bytes and error %v, want 9 bytes", n, err)
 				}
 			}
 		})
 	}
 }
 
-// A request that was read from its socket while its connection was being closed as idle, before the table knew of it,
-// gets its answer: the socket has nothing to read any more, and its client cannot know that it was not served.
+// A request that is read from its socket while its connection is being closed as idle, before the table knows of it,
+// gets its answer. The socket then has nothing more to read, so that the connection looks idle, and the client cannot
+// know that its request was not served.
 func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	t.Parallel()
-	for name, close := range map[string]func(cs *clientConns){
+	for name, closeIdle := range map[string]func(cs *clientConns){
 		"a stop":          func(cs *clientConns) { cs.closeExpired(0, unlimitedIdle) },
 		"the last moment": func(cs *clientConns) { cs.closeExpired(0, 0) },
 	} {
-		for _, again := range []bool{false, true} { // a first request, or a further one
+		for _, again := range []bool{false, true} { // the connection's first request, or its second
 			t.Run(fmt.Sprint(name, ", again ", again), func(t *testing.T) {
 				t.Parallel()
-				f := New(&countingCluster{}, strictOptions(t))
-				nc, err := net.Dial("tcp", serve(t, f))
+				server := New(&countingCluster{}, strictOptions(t))
+				nc, err := net.Dial("tcp", serve(t, server))
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer nc.Close()
 				nc.SetDeadline(time.Now().Add(testutil.WaitTimeout))
 				in := bufio.NewReader(nc)
-				ask := func(id string) {
+				send := func(id string) {
 					fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: %s\r\nX-Timeout-Ms: 5000\r\n\r\n", id)
 				}
-				answered := func() error {
+				readAnswer := func() error {
 					resp, err := http.ReadResponse(in, nil)
 					if err == nil {
 						resp.Body.Close()
 					}
 					return err
 				}
-				cs := f.conns
+				cs := server.conns
 				var c *clientConn
-				find := func() bool {
+				findIdle := func() bool {
 					cs.mu.Lock()
 					defer cs.mu.Unlock()
 					if e := cs.table.NextExpired(unlimitedIdle, 0, 0); e != nil {
@@ -145,23 +146,23 @@
 					return c != nil
 				}
 				if again {
-					ask("first")
-					if err := answered(); err != nil {
+					send("first")
+					if err := readAnswer(); err != nil {
 						t.Fatal(err)
 					}
 				}
-				testutil.Until(t, "the connection to rest", find)
-				cs.mu.Lock() // nobody can tell the table
-				ask("second")
+				testutil.Until(t, "the connection to be idle", findIdle)
+				cs.mu.Lock() // keeps Read from reporting the request to the table
+				send("second")
 				testutil.Until(t, "the request to be read", func() bool {
 					c.readMu.Lock()
 					defer c.readMu.Unlock()
 					return c.unreported
 				})
-				close(cs)
+				closeIdle(cs)
 				cs.mu.Unlock()
-				if err := answered(); err != nil {
-					t.Errorf("a request that was read got no answer: %v", err)
+				if err := readAnswer(); err != nil {
+					t.Errorf("reading the answer of a request that was read failed: %v", err)
 				}
 			})
 		}
--- a/internal/downstream/h1server/disconnect_test.go
+++ b/internal/downstream/h1server/disconnect_test.go
@@ -13,25 +13,25 @@
 	"yokestall/internal/testutil"
 )
 
-// A process that was stopped for a while finds requests in its sockets whose clients have disconnected: none is
-// forwarded. One whose client waits is.
+// A process that was stopped for a while finds requests in its sockets whose clients have disconnected. None of these
+// is forwarded; a request whose client is still connected is.
 func TestClientsDisconnectedBeforeRead(t *testing.T) {
 	for _, strict := range []bool{false, true} {
-		for _, behind := range []string{
+		for _, trailing := range []string{
 			"", "GET /x HTTP/1.1\r\nHost: a\r\n\r\n", "rubbish", strings.Repeat("rubbish", 3000),
 		} {
-			t.Run(fmt.Sprint("strict ", strict, " and ", len(behind), " bytes behind"), func(t *testing.T) {
-				testDisconnectedBeforeRead(t, strict, behind)
+			t.Run(fmt.Sprint("strict ", strict, " and ", len(trailing), " bytes behind"), func(t *testing.T) {
+				testDisconnectedBeforeRead(t, strict, trailing)
 			})
 		}
 	}
 }
 
-func testDisconnectedBeforeRead(t *testing.T, strict bool, behind string) {
+func testDisconnectedBeforeRead(t *testing.T, strict bool, trailing string) {
 	const clients = 64
-	c := &countingCluster{}
+	cluster := &countingCluster{}
 	limits := connlimit.Limits{Active: 2 * clients, New: 2 * clients}
-	f := New(c, Options{Clock: engine.NewClock(), ConnectionLimits: limits, Log: testutil.Log(t), Strict: strict})
+	server := New(cluster, Options{Clock: engine.NewClock(), ConnectionLimits: limits, Log: testutil.Log(t), Strict: strict})
 	l := testutil.Listen(t)
 	send := func() net.Conn {
 		nc, err := net.Dial("tcp", l.Addr().String())
@@ -41,36 +41,36 @@
 		fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: %p\r\nX-Timeout-Ms: 5000\r\n\r\n", nc)
 		return nc
 	}
-	for range clients { // they wait in the socket: nobody has accepted them
+	for range clients { // the requests wait in sockets that are not accepted yet
 		nc := send()
-		io.WriteString(nc, behind)
+		io.WriteString(nc, trailing)
 		nc.Close()
 	}
 	waiting := send()
 	defer waiting.Close()
-	srv := f.HTTPServer()
+	srv := server.HTTPServer()
 	served := make(chan error, 1)
-	go func() { served <- f.Serve(srv, f.Listener(l)) }()
+	go func() { served <- server.Serve(srv, server.Listener(l)) }()
 	defer func() {
 		srv.Close()
 		<-served
 	}()
 	waiting.SetReadDeadline(time.Now().Add(testutil.WaitTimeout))
-	if _, err := io.ReadFull(waiting, make([]byte, 12)); err != nil { // it came last, and was taken last
-		t.Fatal("one that waits:", err)
+	if _, err := io.ReadFull(waiting, make([]byte, 12)); err != nil { // its connection came last and is accepted last
+		t.Fatal("reading the answer of the client that is still connected:", err)
 	}
-	testutil.Until(t, "all connections to be over but one", func() bool { return f.Connections() <= 1 })
-	if n := c.requests.Load(); n != 1 {
-		t.Errorf("%d requests were handed on, one of them for a client that waits", n)
+	testutil.Until(t, "all connections but one to be closed", func() bool { return server.Connections() <= 1 })
+	if n := cluster.requests.Load(); n != 1 {
+		t.Errorf("%d requests were forwarded, want 1, that of the client that is still connected", n)
 	}
 }
 
-// A disconnect during a request is detected, whatever the client has sent behind the request, also more than is read
-// ahead. The check before a send detects it immediately.
+// A disconnect during a request is detected whatever the client has sent after the request, even if that is more than
+// is read ahead. The check before a send detects it as soon as the end of the connection has arrived.
 func TestDisconnectDuringRequest(t *testing.T) {
 	t.Parallel()
 	for _, strict := range []bool{true, false} {
-		for name, behind := range map[string]string{
+		for name, trailing := range map[string]string{
 			"nothing":           "",
 			"a request":         "GET /x HTTP/1.1\r\nHost: a\r\n\r\n",
 			"a byte":            "x",
@@ -81,29 +81,29 @@
 			for _, resets := range []bool{false, true} {
 				t.Run(fmt.Sprint(name, ", strict ", strict, ", resets ", resets), func(t *testing.T) {
 					t.Parallel()
-					h := newPendingCluster()
+					cluster := newPendingCluster()
 					o := strictOptions(t)
 					o.Strict = strict
-					f := New(h, o)
-					nc, err := net.Dial("tcp", serve(t, f))
+					server := New(cluster, o)
+					nc, err := net.Dial("tcp", serve(t, server))
 					if err != nil {
 						t.Fatal(err)
 					}
 					fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-					r := testutil.Wait(t, h.received, "the request")
-					io.WriteString(nc, behind)
+					r := testutil.Wait(t, cluster.received, "the request")
+					io.WriteString(nc, trailing)
 					if r.ClientDisconnected() {
-						t.Error("a client that waits has left")
+						t.Error("ClientDisconnected reports a disconnect of a client that is still connected")
 					}
 					if resets {
 						nc.(*net.TCPConn).SetLinger(0)
 					}
 					nc.Close()
-					testutil.Until(t, "a send to be barred", r.ClientDisconnected) // as soon as the end is here
-					testutil.Wait(t, h.ended, "the request to be given up")
-					testutil.Until(t, "the connection to be over", func() bool { return f.Connections() == 0 })
-					if n := f.conns.readAheadBytes.Load(); n != 0 {
-						t.Errorf("%d bytes are held of no connection", n)
+					testutil.Until(t, "ClientDisconnected to report the disconnect", r.ClientDisconnected)
+					testutil.Wait(t, cluster.ended, "the request to be abandoned")
+					testutil.Until(t, "the connection to be closed", func() bool { return server.Connections() == 0 })
+					if n := server.conns.readAheadBytes.Load(); n != 0 {
+						t.Errorf("%d bytes are counted as read ahead after the connection was closed, want 0", n)
 					}
 				})
 			}
@@ -111,30 +111,30 @@
 	}
 }
 
-// The watch alone, without checks before sends, ends the request of a client that has disconnected.
+// The watch ends the request of a client that has disconnected even if no check runs before a send.
 func TestWatchDetectsDisconnect(t *testing.T) {
 	t.Parallel()
-	h := newPendingCluster()
-	f := New(h, strictOptions(t))
-	nc, err := net.Dial("tcp", serve(t, f))
+	cluster := newPendingCluster()
+	server := New(cluster, strictOptions(t))
+	nc, err := net.Dial("tcp", serve(t, server))
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprint(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: i\r\nX-Timeout-Ms: 3000000\r\n\r\n")
-	testutil.Wait(t, h.received, "the request")
+	testutil.Wait(t, cluster.received, "the request")
 	io.WriteString(nc, "GET /x")
 	nc.Close()
-	testutil.Wait(t, h.ended, "the request to be given up")
+	testutil.Wait(t, cluster.ended, "the request to be abandoned")
 }
 
-// The watch detects a disconnect within 0.1 s: no attempt may begin for the client later. Of several tries the fastest
-// counts, less the machine's delay.
+// The watch detects a disconnect within 0.1 s: no attempt may begin for the client later. The fastest of several tries
+// counts, and the machine's scheduling delay is added to the bound.
 func TestWatchDetectsDisconnectInTime(t *testing.T) {
 	t.Parallel()
-	const tries, rule = 6, 100 * time.Millisecond
-	h := newPendingCluster()
-	f := New(h, strictOptions(t))
-	addr := serve(t, f)
+	const tries, allowed = 6, 100 * time.Millisecond
+	cluster := newPendingCluster()
+	server := New(cluster, strictOptions(t))
+	addr := serve(t, server)
 	shortest, lateness := time.Hour, testutil.Lateness(t)
 	for range tries {
 		nc, err := net.Dial("tcp", addr)
@@ -142,14 +142,14 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: %p\r\nX-Timeout-Ms: 3000000\r\n\r\n", nc)
-		testutil.Wait(t, h.received, "the request")
-		io.WriteString(nc, "GET /x") // else net/http sees the end by itself
+		testutil.Wait(t, cluster.received, "the request")
+		io.WriteString(nc, "GET /x") // otherwise net/http detects the disconnect by itself
 		nc.Close()
-		left := time.Now()
-		testutil.Wait(t, h.ended, "the request to be given up")
-		shortest = min(shortest, time.Since(left))
+		closedAt := time.Now()
+		testutil.Wait(t, cluster.ended, "the request to be abandoned")
+		shortest = min(shortest, time.Since(closedAt))
 	}
-	if bound := rule + lateness(); shortest > bound {
-		t.Errorf("given up %v after its client left, %v is the bound", shortest, bound)
+	if bound := allowed + lateness(); shortest > bound {
+		t.Errorf("the request was abandoned %v after its client had disconnected, want at most %v", shortest, bound)
 	}
 }
--- a/internal/downstream/h1server/framingscan.go
+++ b/internal/downstream/h1server/framingscan.go
@@ -12,7 +12,7 @@
 	lineStart       [len("transfer-encoding") + 1]byte // first bytes of the line that is being read
 	lineStartLength int                                // bytes used of lineStart
 
-	// Numbers of lines in all bytes of the connection so far.
+	// Numbers of Content-Length and Transfer-Encoding lines in all bytes of the connection so far.
 	contentLengths    atomic.Int32
 	transferEncodings atomic.Int32
 
--- a/internal/downstream/h1server/harness_test.go
+++ b/internal/downstream/h1server/harness_test.go
@@ -13,7 +13,7 @@
 	"yokestall/internal/testutil"
 )
 
-// countingCluster is a router and its cluster, which counts the requests.
+// countingCluster is a router and its only cluster. It counts the requests and rejects them.
 type countingCluster struct{ requests atomic.Int64 }
 
 // Route implements ingress.Router.
@@ -27,7 +27,7 @@
 	return engine.Answer{Verdict: engine.Rejected}, nil
 }
 
-// pendingCluster is a router and its cluster, which answers no request before its context ends.
+// pendingCluster is a router and its only cluster. It answers no request before the request's context ends.
 type pendingCluster struct{ received, ended chan *engine.Request }
 
 func newPendingCluster() *pendingCluster {
@@ -35,45 +35,45 @@
 }
 
 // Route implements ingress.Router.
-func (h *pendingCluster) Route(*http.Request) (ingress.Destination, error) {
-	return ingress.Destination{Cluster: h, Deadline: time.Hour, MaxAttempts: 1}, nil
+func (c *pendingCluster) Route(*http.Request) (ingress.Destination, error) {
+	return ingress.Destination{Cluster: c, Deadline: time.Hour, MaxAttempts: 1}, nil
 }
 
 // Do implements ingress.Handler.
-func (h *pendingCluster) Do(ctx context.Context, r *engine.Request) (engine.Answer, error) {
-	h.received <- r
+func (c *pendingCluster) Do(ctx context.Context, r *engine.Request) (engine.Answer, error) {
+	c.received <- r
 	<-ctx.Done()
-	h.ended <- r
+	c.ended <- r
 	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
-// routerFunc is a router.
+// routerFunc is a function that implements ingress.Router.
 type routerFunc func(*http.Request) (ingress.Destination, error)
 
 // Route implements ingress.Router.
-func (r routerFunc) Route(q *http.Request) (ingress.Destination, error) { return r(q) }
+func (f routerFunc) Route(r *http.Request) (ingress.Destination, error) { return f(r) }
 
-// clusterFunc is a cluster.
+// clusterFunc is a function that implements ingress.Handler.
 type clusterFunc func() engine.Answer
 
 // Do implements ingress.Handler.
-func (d clusterFunc) Do(context.Context, *engine.Request) (engine.Answer, error) { return d(), nil }
+func (f clusterFunc) Do(context.Context, *engine.Request) (engine.Answer, error) { return f(), nil }
 
-// fewConnections are limits for a few clients.
+// fewConnections are connection limits for tests with a few clients.
 var fewConnections = connlimit.Limits{Active: 4, New: 4}
 
-// strictOptions are options of a server for a few of the platform's clients.
+// strictOptions returns the options of a server for a few of the platform's clients.
 func strictOptions(t *testing.T) Options {
 	return Options{Clock: engine.NewClock(), ConnectionLimits: fewConnections, Log: testutil.Log(t), Strict: true}
 }
 
-// serve serves a server's listener until the end of the test.
-func serve(t *testing.T, f *Server) (addr string) {
+// serve runs a server on a listener of its own until the end of the test, and returns its address.
+func serve(t *testing.T, server *Server) (addr string) {
 	t.Helper()
 	l := testutil.Listen(t)
-	srv := f.HTTPServer()
+	srv := server.HTTPServer()
 	served := make(chan error, 1)
-	go func() { served <- f.Serve(srv, f.Listener(l)) }()
+	go func() { served <- server.Serve(srv, server.Listener(l)) }()
 	t.Cleanup(func() {
 		srv.Close()
 		<-served
--- a/internal/downstream/h1server/overflow_test.go
+++ b/internal/downstream/h1server/overflow_test.go
@@ -16,33 +16,35 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// gatedCluster is a router and its cluster, which answers when it is released. Any other answer is the server's own.
+// gatedCluster is a router and its only cluster. It answers its requests with status 200 once release is closed, so
+// that any other answer comes from the server itself.
 type gatedCluster struct {
 	started chan struct{}
 	release chan struct{}
 }
 
-func (h *gatedCluster) Route(*http.Request) (ingress.Destination, error) {
-	return ingress.Destination{Cluster: h, Deadline: testutil.WaitTimeout, MaxRetryAfter: 600 * time.Millisecond}, nil
+func (c *gatedCluster) Route(*http.Request) (ingress.Destination, error) {
+	return ingress.Destination{Cluster: c, Deadline: testutil.WaitTimeout, MaxRetryAfter: 600 * time.Millisecond}, nil
 }
 
-func (h *gatedCluster) Do(context.Context, *engine.Request) (engine.Answer, error) {
-	h.started <- struct{}{}
-	<-h.release
+func (c *gatedCluster) Do(context.Context, *engine.Request) (engine.Answer, error) {
+	c.started <- struct{}{}
+	<-c.release
 	return engine.Answer{Verdict: engine.Served, Value: &h1client.Answer{Status: 200, Body: []byte("done")}}, nil
 }
 
-// While all connections are busy, further clients get a response with Retry-After, and beyond those places their
-// connections are closed. The busy ones are served, and end with their response where they use the reserve.
+// While all connections are busy, further clients get a response with Retry-After, and beyond the limit on such clients
+// their connections are closed. The busy connections are served, and are closed with their response where they use the
+// reserve.
 func TestOverflowWhenAllConnectionsAreBusy(t *testing.T) {
-	const asked, reserve, over = 16, 2, 2
-	h := &gatedCluster{started: make(chan struct{}, 100), release: make(chan struct{})}
-	f := New(h, Options{
+	const active, reserve, overflow = 16, 2, 2
+	cluster := &gatedCluster{started: make(chan struct{}, 100), release: make(chan struct{})}
+	server := New(cluster, Options{
 		Clock: engine.NewClock(), Log: testutil.Log(t),
-		ConnectionLimits: connlimit.Limits{Active: asked, Reserve: reserve, New: 4, Overflow: over},
+		ConnectionLimits: connlimit.Limits{Active: active, Reserve: reserve, New: 4, Overflow: overflow},
 	})
 	l := testutil.Listen(t)
-	srv, listener, ended := f.HTTPServer(), f.Listener(l), make(chan error, 1)
+	srv, listener, ended := server.HTTPServer(), server.Listener(l), make(chan error, 1)
 	go func() { ended <- srv.Serve(listener) }()
 	defer func() { srv.Close(); listener.Close(); <-ended }()
 	dial := func() net.Conn {
@@ -56,34 +58,35 @@
 		return nc
 	}
 	var busy []net.Conn
-	for range asked {
+	for range active {
 		busy = append(busy, dial())
-		testutil.Wait(t, h.started, "a request to be at work")
+		testutil.Wait(t, cluster.started, "a request to reach the cluster")
 	}
-	for range over { // a connection that is told to end keeps its place a while
+	for range overflow { // a connection that is told to close keeps its place for a while
 		resp, err := http.ReadResponse(bufio.NewReader(dial()), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if resp.StatusCode != 503 || !resp.Close || resp.Header.Get("Retry-After") != "0.600" {
-			t.Errorf("over the places: status %d, close %v, headers %v", resp.StatusCode, resp.Close, resp.Header)
+			t.Errorf("client beyond Limits.Active got status %d, close %v, header %v; want 503, true, Retry-After 0.600",
+				resp.StatusCode, resp.Close, resp.Header)
 		}
 	}
-	close(h.release)
-	last := 0
+	close(cluster.release)
+	closing := 0
 	for _, nc := range busy {
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("one at work ended with %v, %v", resp, err)
+			t.Fatalf("busy connection got response %v and error %v, want status 200", resp, err)
 		}
 		if resp.Close {
-			last++
+			closing++
 		}
 	}
-	if last == 0 {
-		t.Error("nobody made room although the reserve was in use")
+	if closing == 0 {
+		t.Error("no busy connection is closed with its response although the reserve is in use")
 	}
-	if len(h.started) != 0 {
-		t.Errorf("%d of those over the places reached the cluster", len(h.started))
+	if len(cluster.started) != 0 {
+		t.Errorf("%d requests of clients beyond the limit reached the cluster, want 0", len(cluster.started))
 	}
 }
--- a/internal/downstream/h1server/platformbody_test.go
+++ b/internal/downstream/h1server/platformbody_test.go
@@ -10,11 +10,11 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// Bodies reserve no more than Options.BodyMemory together, except for the least that each needs, and release what they
+// All bodies together reserve no more than Options.BodyMemory plus minBodyBuffer for each body, and release what they
 // reserved.
 func TestBodyMemoryLimit(t *testing.T) {
-	const part = 4 << 20
-	f := New(nil, Options{Strict: true, BodyMemory: part, ConnectionLimits: connlimit.Limits{Active: 1, New: 1}})
+	const bodyMemory = 4 << 20
+	server := New(nil, Options{Strict: true, BodyMemory: bodyMemory, ConnectionLimits: connlimit.Limits{Active: 1, New: 1}})
 	var buffered []*h1client.Request
 	for i := range 200 {
 		length := int64(-1)
@@ -23,21 +23,21 @@
 		}
 		r := httptest.NewRequest(http.MethodPost, "/pay", http.NoBody)
 		r.ContentLength, r.Body = length, io.NopCloser(http.NoBody)
-		to := &h1client.Request{}
-		if err := f.readPlatformBody(r, http.NewResponseController(httptest.NewRecorder()), to); err != nil {
+		out := &h1client.Request{}
+		if err := server.readPlatformBody(r, http.NewResponseController(httptest.NewRecorder()), out); err != nil {
 			t.Fatal(err)
 		}
-		buffered = append(buffered, to)
-		most := int64(part + len(buffered)*minBodyBuffer)
-		if f.bufferedBytes.Load() > most || to.ReservedBytes < minBodyBuffer {
-			t.Fatalf("%d bodies have %d bytes, %d at most; the last one %d",
-				len(buffered), f.bufferedBytes.Load(), most, to.ReservedBytes)
+		buffered = append(buffered, out)
+		limit := int64(bodyMemory + len(buffered)*minBodyBuffer)
+		if server.bufferedBytes.Load() > limit || out.ReservedBytes < minBodyBuffer {
+			t.Fatalf("%d bodies reserve %d bytes, want at most %d; the last one reserves %d bytes, want at least minBodyBuffer",
+				len(buffered), server.bufferedBytes.Load(), limit, out.ReservedBytes)
 		}
 	}
-	for _, to := range buffered {
-		f.releaseBuffer(to)
+	for _, out := range buffered {
+		server.releaseBuffer(out)
 	}
-	if left := f.bufferedBytes.Load(); left != 0 {
-		t.Errorf("%d bytes are not given back", left)
+	if left := server.bufferedBytes.Load(); left != 0 {
+		t.Errorf("%d bytes are still reserved after all bodies were released, want 0", left)
 	}
 }
--- a/internal/downstream/h1server/server.go
+++ b/internal/downstream/h1server/server.go
@@ -142,7 +142,7 @@
 }
 
 // Serve serves a listener until it is closed, over TLS if the options have a TLS configuration. srv comes from
-// HTTPServer, l from Listener.
+// HTTPServer.
 func (s *Server) Serve(srv *http.Server, l net.Listener) error {
 	if srv.TLSConfig != nil {
 		return srv.ServeTLS(l, "", "")
--- a/internal/downstream/h1server/tunnel.go
+++ b/internal/downstream/h1server/tunnel.go
@@ -43,37 +43,37 @@
 // readDeadliner is a connection that has a read deadline.
 type readDeadliner interface{ SetReadDeadline(time.Time) error }
 
-// copyTunnel copies one direction of a tunnel until it ends. conn is the connection from which from reads.
-func (s *Server) copyTunnel(to io.Writer, from io.Reader, conn readDeadliner) {
+// copyTunnel copies one direction of a tunnel from src to dst until it ends. conn is the connection that src reads;
+// copyTunnel sets its read deadline.
+func (s *Server) copyTunnel(dst io.Writer, src io.Reader, conn readDeadliner) {
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
 	for {
 		conn.SetReadDeadline(time.Now().Add(tunnelIdleTimeout))
-		n, err := from.Read(*buffer)
+		n, err := src.Read(*buffer)
 		if n > 0 {
-			if c, ok := to.(net.Conn); ok {
+			if c, ok := dst.(net.Conn); ok {
 				c.SetWriteDeadline(time.Now().Add(s.options.StallTimeout))
 			}
-			if _, writeErr := to.Write((*buffer)[:n]); writeErr != nil {
+			if _, writeErr := dst.Write((*buffer)[:n]); writeErr != nil {
 				err = writeErr
 			}
 		}
 		if err != nil {
-			endDirection(to, conn, err)
+			endDirection(dst, conn, err)
 			return
 		}
 	}
 }
 
-// endDirection ends the direction of a tunnel that writes to to, after err. If err is io.EOF, it closes only the
-// sending side, provided that to supports this. Otherwise it closes both connections, so that the other side notices
-// the failure.
-func endDirection(to io.Writer, conn readDeadliner, err error) {
-	half, ok := to.(interface{ CloseWrite() error })
+// endDirection ends the direction of a tunnel from conn to dst after err. If err is io.EOF, it closes only the sending
+// side of dst, if dst supports this. Otherwise it closes both connections, so that the other side notices the failure.
+func endDirection(dst io.Writer, conn readDeadliner, err error) {
+	half, ok := dst.(interface{ CloseWrite() error })
 	if err == io.EOF && ok && half.CloseWrite() == nil {
 		return
 	}
-	if c, ok := to.(io.Closer); ok {
+	if c, ok := dst.(io.Closer); ok {
 		c.Close()
 	}
 	if c, ok := conn.(io.Closer); ok {
--- a/internal/downstream/h1server/upload.go
+++ b/internal/downstream/h1server/upload.go
@@ -43,7 +43,7 @@
 	n, err := p.from.Read(b)
 	p.received += int64(n)
 	if err == io.EOF {
-		p.control.SetReadDeadline(time.Time{}) // net/http reads on to detect a disconnect
+		p.control.SetReadDeadline(time.Time{}) // net/http reads on, without a deadline, to detect a disconnect
 	}
 	return n, err
 }
--- a/internal/downstream/h2server/bursts_test.go
+++ b/internal/downstream/h2server/bursts_test.go
@@ -16,17 +16,18 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// Load of TestQueuedStreamsDisconnectInBursts.
+// The constants below set the load of TestQueuedStreamsDisconnectInBursts.
 const (
-	waves       = 8
-	burst       = 100 // streams of one connection
-	resetsEvery = 2   // of so many waves one ends by RST_STREAM, the others by the end of the connection
-	// disconnectBound is the time after a disconnect at which no attempt may begin for the client.
+	bursts          = 8
+	streamsPerBurst = 100 // all on one connection
+	resetsEvery     = 2   // one of resetsEvery bursts ends with RST_STREAM, the others with the end of the connection
+	// disconnectBound is the time after a client's disconnect from which no attempt may begin for the client.
 	disconnectBound = 100 * time.Millisecond
 )
 
-// Hundreds of streams are reset in bursts, by RST_STREAM and by the end of their connection, while their requests are
-// queued for an endpoint that does not answer. Once it answers again, none is forwarded 0.1 s after its disconnect.
+// Hundreds of streams are ended in bursts, by RST_STREAM and by the end of their connection, while their requests are
+// queued for an endpoint that does not answer. Once it answers again, no request may be forwarded 0.1 s or more after
+// its client's disconnect.
 func TestQueuedStreamsDisconnectInBursts(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewGatedBackend(t)
@@ -37,37 +38,41 @@
 	router := &countingRouter{Handler: cluster}
 	addr := serve(t, router, clock)
 	lateness := testutil.Lateness(t)
-	for wave := range waves {
-		p := newPeer()
+	for burst := range bursts {
+		client := newTestClient()
 		ctx, reset := context.WithCancel(t.Context())
 		var ids []string
-		for i := range burst {
-			ids = append(ids, fmt.Sprint(wave, "-", i))
-			p.send(ctx, addr, ids[i])
+		for i := range streamsPerBurst {
+			ids = append(ids, fmt.Sprint(burst, "-", i))
+			client.send(ctx, addr, ids[i])
 		}
-		testutil.Until(t, "all to be there", func() bool { return router.requests.Load() == int64(wave+1)*burst })
-		if wave%resetsEvery == 0 {
+		testutil.Until(t, "all requests of the burst to arrive", func() bool {
+			return router.requests.Load() == int64(burst+1)*streamsPerBurst
+		})
+		if burst%resetsEvery == 0 {
 			b.Disconnect(ids, reset)
 		} else {
-			b.Disconnect(ids, func() { p.conn.Close() })
+			b.Disconnect(ids, func() { client.conn.Close() })
 		}
-		if wave%4 < 2 {
-			time.Sleep(disconnectBound + lateness()) // the time that the rule allows
+		if burst%4 < 2 {
+			time.Sleep(disconnectBound + lateness()) // the time in which attempts may still begin
 		}
 		b.Release()
 		reset()
-		p.open.Wait()
-		p.CloseIdleConnections()
+		client.open.Wait()
+		client.CloseIdleConnections()
 	}
 	bound := disconnectBound + lateness()
 	arrived, disconnected, late := b.Counts(bound)
-	if late > 0 || disconnected != waves*burst || arrived == disconnected {
-		t.Errorf("%d of %d were sent on %v after their clients had left, %d in all", late, disconnected, bound, arrived)
+	if late > 0 || disconnected != bursts*streamsPerBurst || arrived == disconnected {
+		t.Errorf("%d of %d requests, want 0 of %d, were forwarded more than %v after their clients had disconnected; "+
+			"%d were forwarded in all, want fewer than %d",
+			late, disconnected, bursts*streamsPerBurst, bound, arrived, disconnected)
 	}
-	t.Logf("%d streams, %d had been sent on, %d later than %v", disconnected, arrived, late, bound)
+	t.Logf("%d streams, %d forwarded, %d of them later than %v after the disconnect", disconnected, arrived, late, bound)
 }
 
-// countingRouter is a router to one cluster, which counts the requests.
+// countingRouter is a router to one cluster. It counts the requests.
 type countingRouter struct {
 	ingress.Handler
 	requests atomic.Int64
--- a/internal/downstream/h2server/disconnect_test.go
+++ b/internal/downstream/h2server/disconnect_test.go
@@ -11,13 +11,13 @@
 	"yokestall/internal/testutil"
 )
 
-// Over HTTP/2 a client that resets its stream, or closes its connection, ends its request: the frames of a connection
-// are read whatever its streams do.
+// A client that resets its HTTP/2 stream or closes its connection ends its request: the frames of a connection are read
+// independently of its streams.
 func TestDisconnectDuringRequest(t *testing.T) {
 	for _, closes := range []bool{false, true} {
-		h := &pendingCluster{make(chan struct{}, 1), make(chan struct{}, 1)}
-		addr := serve(t, h, engine.NewClock())
-		p := newPeer()
+		cluster := &pendingCluster{make(chan struct{}, 1), make(chan struct{}, 1)}
+		addr := serve(t, cluster, engine.NewClock())
+		client := newTestClient()
 		ctx, reset := context.WithCancel(t.Context())
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/x", nil)
 		if err != nil {
@@ -26,21 +26,21 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			if resp, err := p.RoundTrip(r); err == nil {
+			if resp, err := client.RoundTrip(r); err == nil {
 				resp.Body.Close()
-				t.Error("an answer")
+				t.Error("the request was answered, want an error")
 			}
 		}()
-		testutil.Wait(t, h.received, "the request")
+		testutil.Wait(t, cluster.received, "the request")
 		if closes {
-			p.conn.Close()
+			client.conn.Close()
 		} else {
 			reset()
 		}
-		testutil.Wait(t, h.ended, "the request to be given up")
-		testutil.Wait(t, ended, "the client")
+		testutil.Wait(t, cluster.ended, "the request to be abandoned")
+		testutil.Wait(t, ended, "the client's RoundTrip to return")
 		reset()
-		p.CloseIdleConnections()
+		client.CloseIdleConnections()
 	}
 }
 
@@ -49,27 +49,27 @@
 func TestStreamDisconnectedBeforeSend(t *testing.T) {
 	t.Parallel()
 	for _, closes := range []bool{false, true} {
-		c := &blockingCluster{make(chan *engine.Request, 1), make(chan struct{})}
-		addr := serve(t, c, engine.NewClock())
-		p := newPeer()
+		cluster := &blockingCluster{make(chan *engine.Request, 1), make(chan struct{})}
+		addr := serve(t, cluster, engine.NewClock())
+		client := newTestClient()
 		ctx, reset := context.WithCancel(t.Context())
-		p.send(ctx, addr, "i")
-		r := testutil.Wait(t, c.received, "the request")
+		client.send(ctx, addr, "i")
+		r := testutil.Wait(t, cluster.received, "the request")
 		if r.ClientDisconnected == nil {
-			t.Fatal("the check is missing")
+			t.Fatal("ClientDisconnected is nil")
 		}
 		if r.ClientDisconnected() {
-			t.Error("a client that waits has left")
+			t.Error("ClientDisconnected reports a disconnect of a client that is still connected")
 		}
 		if closes {
-			p.conn.Close()
+			client.conn.Close()
 		} else {
 			reset()
 		}
-		testutil.Until(t, "a send to be barred", r.ClientDisconnected)
-		close(c.release)
+		testutil.Until(t, "ClientDisconnected to report the disconnect", r.ClientDisconnected)
+		close(cluster.release)
 		reset()
-		p.open.Wait()
-		p.CloseIdleConnections()
+		client.open.Wait()
+		client.CloseIdleConnections()
 	}
 }
--- a/internal/downstream/h2server/harness_test.go
+++ b/internal/downstream/h2server/harness_test.go
@@ -23,11 +23,11 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// blockingCluster is a router and its cluster, which passes requests to the test, and answers none before the test
-// releases them.
+// blockingCluster is a router and its only cluster. It passes requests to the test, and answers none before the test
+// closes release.
 type blockingCluster struct {
 	received chan *engine.Request
-	release  chan struct{} // closed to release them
+	release  chan struct{} // closed by the test to have the requests answered
 }
 
 // Route implements ingress.Router.
@@ -42,19 +42,19 @@
 	return engine.Answer{}, engine.ErrClientDisconnected
 }
 
-// serve serves a listener over HTTP/2 until the end of the test.
+// serve runs a server with HTTP/2 on a listener of its own until the end of the test, and returns its address.
 func serve(t *testing.T, to ingress.Router, clock engine.Clock) (addr string) {
 	t.Helper()
-	f := h1server.New(to, h1server.Options{
+	server := h1server.New(to, h1server.Options{
 		Clock: clock, ConnectionLimits: connlimit.Limits{Active: 64, New: 64}, Log: testutil.Log(t),
 	})
 	l := testutil.Listen(t)
-	srv := f.HTTPServer()
+	srv := server.HTTPServer()
 	h2server.Attach(srv, h2server.Options{
 		MaxStreams: 200, StallTimeout: testutil.WaitTimeout, Clock: clock, Log: testutil.Log(t),
 	})
 	served := make(chan error, 1)
-	go func() { served <- f.Serve(srv, f.Listener(l)) }()
+	go func() { served <- server.Serve(srv, server.Listener(l)) }()
 	t.Cleanup(func() {
 		srv.Close()
 		<-served
@@ -62,47 +62,47 @@
 	return l.Addr().String()
 }
 
-// peer is a client with a connection over HTTP/2.
-type peer struct {
+// testClient is a client with one HTTP/2 connection.
+type testClient struct {
 	*http2.Transport
 	conn net.Conn
-	open sync.WaitGroup
+	open sync.WaitGroup // the requests without an answer
 }
 
-// newPeer returns a client that connects at its first request.
-func newPeer() *peer {
-	p := &peer{}
+// newTestClient returns a client that connects with its first request.
+func newTestClient() *testClient {
+	c := &testClient{}
 	dial := func(ctx context.Context, _, addr string, _ *tls.Config) (nc net.Conn, err error) {
-		p.conn, err = (&net.Dialer{}).DialContext(ctx, "tcp", addr)
-		return p.conn, err
+		c.conn, err = (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+		return c.conn, err
 	}
-	p.Transport = &http2.Transport{AllowHTTP: true, DialTLSContext: dial}
-	return p
+	c.Transport = &http2.Transport{AllowHTTP: true, DialTLSContext: dial}
+	return c
 }
 
-// send sends a request that ends with ctx, and does not wait.
-func (p *peer) send(ctx context.Context, addr, id string) {
+// send starts a request that ends with ctx. It does not wait for the answer.
+func (c *testClient) send(ctx context.Context, addr, id string) {
 	r, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/x", nil)
 	r.Header.Set("X-Request-Id", id)
-	p.open.Go(func() {
-		if resp, err := p.RoundTrip(r); err == nil {
+	c.open.Go(func() {
+		if resp, err := c.RoundTrip(r); err == nil {
 			resp.Body.Close()
 		}
 	})
 }
 
-// pendingCluster is a router and its cluster, which answers no request before its context ends.
+// pendingCluster is a router and its only cluster. It answers no request before the request's context ends.
 type pendingCluster struct{ received, ended chan struct{} }
 
 // Route implements ingress.Router.
-func (h *pendingCluster) Route(*http.Request) (ingress.Destination, error) {
-	return ingress.Destination{Cluster: h, Deadline: time.Hour, MaxAttempts: 1}, nil
+func (c *pendingCluster) Route(*http.Request) (ingress.Destination, error) {
+	return ingress.Destination{Cluster: c, Deadline: time.Hour, MaxAttempts: 1}, nil
 }
 
 // Do implements ingress.Handler.
-func (h *pendingCluster) Do(ctx context.Context, _ *engine.Request) (engine.Answer, error) {
-	h.received <- struct{}{}
+func (c *pendingCluster) Do(ctx context.Context, _ *engine.Request) (engine.Answer, error) {
+	c.received <- struct{}{}
 	<-ctx.Done()
-	h.ended <- struct{}{}
+	c.ended <- struct{}{}
 	return engine.Answer{}, engine.ErrClientDisconnected
 }
