--- a/internal/app/acceptor.go
+++ b/internal/app/acceptor.go
@@ -12,13 +12,13 @@
 	"yokestall/internal/gracefulclose"
 )
 
-// The backoff of an acceptor whose accept fails for want of descriptors or memory.
+// Backoff of an acceptor after a temporary error of accept, such as a lack of file descriptors or memory.
 const (
 	initialAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff     = time.Second
 )
 
-// temporaryAcceptErrors are the errors of accept(2) after which it may succeed.
+// temporaryAcceptErrors are the errors of accept(2) after which a later call may succeed.
 var temporaryAcceptErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EINTR,
 }
@@ -27,8 +27,8 @@
 	return slices.ContainsFunc(temporaryAcceptErrors, func(e error) bool { return errors.Is(err, e) })
 }
 
-// acceptor accepts the connections of a socket and hands them to the server that serves it at the time. A connection
-// that is accepted between two servers waits for the next one.
+// acceptor accepts the connections of a socket and passes them to the server that currently serves the socket. A
+// connection that is accepted while one server is replaced by another waits for the new server.
 type acceptor struct {
 	net.Listener
 	accepted  chan net.Conn
@@ -36,7 +36,8 @@
 	closeOnce sync.Once
 }
 
-// startAcceptor starts the acceptor of a socket. It ends when it is closed, or by a failure, which it reports.
+// startAcceptor starts the acceptor of a socket. The acceptor ends when it is closed or when accept fails permanently;
+// it reports such a failure to ls.
 func (ls *Listeners) startAcceptor(l net.Listener) *acceptor {
 	a := &acceptor{Listener: gracefulclose.WrapListener(l), accepted: make(chan net.Conn), closed: make(chan struct{})}
 	ls.background.Go(func() {
@@ -48,7 +49,7 @@
 	return a
 }
 
-// run accepts the connections of the socket until it fails for good, and returns that error.
+// run accepts the connections of the socket until accept fails with an error that is not temporary, which run returns.
 func (a *acceptor) run(l net.Listener, app *App) error {
 	for backoff := initialAcceptBackoff; ; {
 		nc, err := l.Accept()
@@ -73,19 +74,21 @@
 	}
 }
 
-// Close closes the socket once the connections that wait in it are accepted.
+// Close closes the socket once the connections in its backlog are accepted.
 func (a *acceptor) Close() error {
 	err := a.Listener.Close()
 	a.closeOnce.Do(func() { close(a.closed) })
 	return err
 }
 
-// newListener returns a listener with the acceptor's connections, for one server. Closing it leaves the socket open.
+// newListener returns a listener for one server, which gets the acceptor's connections. Closing this listener leaves the
+// socket open.
 func (a *acceptor) newListener() *serverListener {
 	return &serverListener{acceptor: a, closed: make(chan struct{})}
 }
 
-// serverListener is the listener of one of the servers that an acceptor has one after the other.
+// serverListener passes the connections of an acceptor to one server. The servers of a socket, one after the other, have
+// a serverListener each.
 type serverListener struct {
 	*acceptor
 	closed    chan struct{}
@@ -95,14 +98,14 @@
 // Accept implements net.Listener.
 func (l *serverListener) Accept() (net.Conn, error) {
 	select {
-	case <-l.closed: // checked first: from now on connections are the next server's
+	case <-l.closed: // checked first, since connections belong to the next server from now on
 		return nil, net.ErrClosed
 	default:
 	}
 	select {
 	case nc := <-l.accepted:
 		return nc, nil
-	case <-l.closed: // not the acceptor's closed: who closes the acceptor stops the server too
+	case <-l.closed: // l's own channel suffices: whoever closes the acceptor also stops the server
 		return nil, net.ErrClosed
 	}
 }
--- a/internal/app/agreedsource.go
+++ b/internal/app/agreedsource.go
@@ -10,30 +10,31 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// AgreedSource has an app apply the versions that its fleet agrees on. What they contain replaces the same parts of the
-// node's own file; the rest of that file is the node's.
+// AgreedSource applies the versions that the fleet agrees on to an App. The parts of the configuration that an agreed
+// version contains replace the same parts of the node's own file; all other parts come from the node's own file.
 type AgreedSource struct {
 	app    *App
-	parser files.Parser // caches what versions have in common
+	parser files.Parser // caches the parts that versions have in common
 
 	mu      sync.Mutex // guards the fields below, and the order in which versions are applied
 	own     *config.Program
-	current *consensus.EffectiveVersion // nil: no version was applied yet
+	current *consensus.EffectiveVersion // the version applied last; nil: none yet
 }
 
-// NewAgreedSource returns a source for an app that started with EmptySnapshot of its own file.
+// NewAgreedSource returns a source for an App that was started with EmptySnapshot of the node's own file.
 func NewAgreedSource(a *App, own *config.Program) *AgreedSource {
 	return &AgreedSource{app: a, own: own}
 }
 
-// EmptySnapshot returns the first version of an app that gets its routes and clusters from its fleet.
+// EmptySnapshot returns the first version for an App that gets its routes and clusters from the fleet: the node's own
+// file without hosts and routes, and no clusters.
 func EmptySnapshot(own *config.Program) *files.Configuration {
 	p := *own
 	p.Hosts, p.Table = nil, nil
 	return &files.Configuration{Program: &p, Version: &cluster.Version{Clusters: map[string]*cluster.Config{}}}
 }
 
-// Parse parses the files of a version. The error says why this node can't apply it.
+// Parse parses the files of a version. It fails if a file is invalid or the version conflicts with the node's own file.
 func (s *AgreedSource) Parse(list []config.File) (*consensus.Version, error) {
 	snapshot, err := s.parser.Unbundle(list)
 	if err != nil {
@@ -47,8 +48,8 @@
 	return &consensus.Version{Program: snapshot.Program, Clusters: snapshot.Version.Clusters}, nil
 }
 
-// Extend parses a version that consists of another one and changes of endpoint lists, at the cost of the changes. The
-// error says which change can't be applied.
+// Extend returns version v with changed endpoint lists. Only the changes are parsed. The error names the change that
+// can't be applied.
 func (s *AgreedSource) Extend(v *consensus.Version, changes []config.File) (*consensus.Version, error) {
 	clusters, err := s.parser.Change(v.Clusters, changes)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return &consensus.Version{Program: v.Program, Clusters: clusters}, nil
 }
 
-// Apply puts a version in force. After an error nothing has changed.
+// Apply puts an agreed version in force. If it fails, nothing has changed.
 func (s *AgreedSource) Apply(v consensus.EffectiveVersion) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,8 +69,8 @@
 	return nil
 }
 
-// SetOwnProgram puts another version of the node's own file in force. One that conflicts with the agreed version is
-// logged and ignored.
+// SetOwnProgram puts a new version of the node's own file in force. If the file conflicts with the agreed version, the
+// conflict is logged and the previous file stays in force.
 func (s *AgreedSource) SetOwnProgram(own *config.Program) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -16,43 +16,44 @@
 	"yokestall/internal/tlskeys"
 )
 
-// maxJoiners is the number of requests that may wait for the outcome of another one with their key.
+// maxJoiners is the number of requests that may wait for the outcome of another request with the same idempotency key.
 const maxJoiners = 64
 
-// App is the product program. Create it with New and end it with Close.
+// App is the running load balancer. Create it with New and end it with Close.
 type App struct {
 	Options
 	clock engine.Clock
-	ctx   context.Context // ends with Close
+	ctx   context.Context // canceled by Close
 	stop  context.CancelFunc
 
 	keyLog *keystore.Log        // nil: idempotency keys are not durable
 	dedup  *replay.Deduplicator // nil: requests with a key are not deduplicated
 
-	mu    sync.Mutex            // admits one change of state at a time
-	state atomic.Pointer[state] // never nil; changed with mu locked
+	mu    sync.Mutex            // serializes changes of state
+	state atomic.Pointer[state] // never nil; stored with mu locked
 
-	// background has the goroutines of the app and of its clusters, those without a place in state included.
+	// background counts the goroutines of the app and of its clusters, including clusters that are no longer in state.
 	background sync.WaitGroup
-	// undefinedClusters has the names of clusters that a request was rejected for, so that each is logged once a version.
+	// undefinedClusters has the names of undefined clusters for which a request was rejected. Each name is logged once
+	// per version.
 	undefinedClusters sync.Map
 }
 
-// Options are the parameters of an app that are not in its configuration files.
+// Options are the parameters of an App that are not in its configuration files.
 type Options struct {
-	Seed uint64 // of the random draws of the policy
+	Seed uint64 // seed of the policy's random number generator
 	Log  *slog.Logger
-	// OnSend is called when an attempt is sent, with its cluster, the endpoint (cluster.Endpoint.Key) and the time. It
-	// must not block. It may be nil.
+	// OnSend is called when an attempt is sent, with the attempt's cluster, its endpoint (cluster.Endpoint.Key) and the
+	// time. OnSend must not block; it may be nil.
 	OnSend func(cluster string, endpoint uint64, at time.Time)
 	// LeaseValid reports whether the node may act on the configuration that was applied last. It is called when a
-	// request is routed and before the first byte of each attempt. Nil: it always may.
+	// request is routed and before the first byte of each attempt. If it is nil, the node always may.
 	LeaseValid func() bool
 	Keys       *tlskeys.Store // nil: TLS is not available
-	Path       string         // of the program's file; relative paths in it start from its folder
+	Path       string         // path of the program's file; relative paths in that file start from its folder
 }
 
-// New starts an app with its first configuration version. The error says why that can't be applied, or the log of
+// New starts an App with its first configuration version. It fails if the version can't be applied or the log of
 // idempotency keys can't be opened.
 func New(first *files.Configuration, o Options) (*App, error) {
 	a := &App{Options: o, clock: engine.NewClock()}
@@ -70,7 +71,7 @@
 	return a, nil
 }
 
-// startDedup starts the deduplication of requests by their key, if the program has it.
+// startDedup starts the deduplication of requests by idempotency key, if the program's settings enable it.
 func (a *App) startDedup(p *config.Program) error {
 	settings := p.Repeats
 	if settings.Entries == 0 {
@@ -85,7 +86,8 @@
 	return a.openKeyLog(settings.Log)
 }
 
-// openKeyLog opens the log of idempotency keys and restores the keys in it. An empty path means none.
+// openKeyLog opens the log of idempotency keys and restores the keys in it. If the path is empty, there is no log, and
+// openKeyLog does nothing.
 func (a *App) openKeyLog(path string) error {
 	if path == "" {
 		return nil
@@ -98,10 +100,10 @@
 	return a.dedup.AttachLog(a.keyLog, known)
 }
 
-// Close ends all clusters and waits for their goroutines. Requests in flight are answered first.
+// Close answers the requests in flight at once, ends all clusters and waits for the goroutines of the App.
 func (a *App) Close() {
 	for _, c := range a.state.Load().clusters {
-		c.abandon()
+		c.abortRequests()
 	}
 	a.stop()
 	a.mu.Lock()
--- a/internal/app/apply.go
+++ b/internal/app/apply.go
@@ -10,23 +10,25 @@
 	"yokestall/internal/files"
 )
 
-// Apply puts a configuration version in force. When it returns, the engines have been updated, and from
-// engine.DefaultDrainSendGrace later nothing is sent to an endpoint that the version does not have, or has as not
-// serving. After an error nothing has changed.
+// Apply puts a configuration version in force. When it returns, the engines have been updated. Once
+// engine.DefaultDrainSendGrace has passed as well, nothing more is sent to an endpoint that the version lacks or marks as
+// not serving. If Apply fails, nothing has changed.
 func (a *App) Apply(s *files.Configuration) error { return a.ApplyAt(time.Now(), s) }
 
-// ApplyAt is Apply for a version that was delivered at an earlier time, from which the grace counts.
+// ApplyAt is like Apply, for a version that was delivered earlier. engine.DefaultDrainSendGrace counts from the time of
+// delivery.
 func (a *App) ApplyAt(delivered time.Time, s *files.Configuration) error {
 	return a.ApplyRejecting(delivered, s, nil)
 }
 
-// ApplyRejecting is ApplyAt with classes whose requests are rejected, each with the reason, until the next version.
-func (a *App) ApplyRejecting(delivered time.Time, s *files.Configuration, refusedClasses map[string]string) error {
+// ApplyRejecting is like ApplyAt, and rejects the requests of some classes until the next version. rejectedClasses has
+// the reason by the name of the class.
+func (a *App) ApplyRejecting(delivered time.Time, s *files.Configuration, rejectedClasses map[string]string) error {
 	deliveredAt := a.clock.Now() - time.Since(delivered)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	old := a.state.Load()
-	next, err := newState(old, s, refusedClasses)
+	next, err := newState(old, s, rejectedClasses)
 	if err != nil {
 		return err
 	}
@@ -51,8 +53,8 @@
 	return nil
 }
 
-// assignClusters gives the next state its clusters: those of the old one whose settings stay, and new ones, which are
-// idle. After an error nothing has changed.
+// assignClusters sets the clusters of the next state: clusters of the old state whose settings are unchanged, and new
+// clusters, which are idle. If it fails, the new clusters are discarded and those of the old state are unchanged.
 func (a *App) assignClusters(old, next *state) error {
 	var started []*managedCluster
 	for name, c := range next.version.Clusters {
@@ -73,14 +75,15 @@
 	return nil
 }
 
-// hasSettings reports whether the cluster can stay in a state, since all that it was started with is the same. Settings
-// are compared by identity: newSettings returns the previous ones where they are equal.
+// hasSettings reports whether the cluster was created with the policy settings and upstream settings of a state and with
+// this transport, so that the state can keep the cluster. Policy settings are compared by pointer, since newSettings
+// returns the previous pointer for equal settings.
 func (r *managedCluster) hasSettings(s *state, transport cluster.Transport) bool {
 	return r.settings == s.settings && r.upstream == s.program.Upstream && reflect.DeepEqual(r.transport, transport)
 }
 
-// warnUndefinedClusters logs the clusters that routes name and the version does not define, when the routes are new or
-// the cluster was defined before.
+// warnUndefinedClusters logs each cluster that routes name and the next state does not define, if the routes are new or
+// the old state defined the cluster.
 func (a *App) warnUndefinedClusters(old, next *state) {
 	newRoutes := old.program == nil || old.program.Table != next.program.Table
 	for _, name := range next.program.Table.Clusters() {
@@ -90,8 +93,9 @@
 	}
 }
 
-// ApplyClusters puts new versions of some clusters in force, at the cost of these alone. It reports false, with nothing
-// changed, if one of them is not defined yet or its transport is another.
+// ApplyClusters updates some clusters without building a new state, so that the cost does not depend on the number of
+// other clusters. It returns false and changes nothing if one of the clusters is not defined yet or its transport
+// differs.
 func (a *App) ApplyClusters(delivered time.Time, changed []*cluster.Config) bool {
 	deliveredAt := a.clock.Now() - time.Since(delivered)
 	a.mu.Lock()
@@ -108,15 +112,15 @@
 	return true
 }
 
-// validFrom returns, by class, the sequence from which decisions are valid in the next state. Earlier decisions become
-// invalid where the class is rejected or new, and where its idempotency, or the scope or window of its deduplication,
-// changed.
+// validFrom returns, by class, the sequence of the first state whose decisions are still valid in the next state.
+// Decisions of all earlier states become invalid if the class is rejected or new, or if its idempotency, its
+// deduplication scope or its deduplication window changed.
 func validFrom(old, next *state) map[string]uint64 {
 	out := map[string]uint64{}
 	for i := range next.program.Classes {
 		c := &next.program.Classes[i]
 		from := old.validFrom[c.Name]
-		if old.program != nil && (next.refusedClasses[c.Name] != "" || !hasSameGuarantees(old.program, c)) {
+		if old.program != nil && (next.rejectedClasses[c.Name] != "" || !hasSameGuarantees(old.program, c)) {
 			from = next.sequence
 		}
 		if from > 0 {
@@ -126,12 +130,13 @@
 	return out
 }
 
-// hasSameGuarantees reports whether a program has the class with the same idempotency, scope and window.
+// hasSameGuarantees reports whether a program has a class of this name with the same idempotency, deduplication scope and
+// deduplication window.
 func hasSameGuarantees(p *config.Program, c *config.Class) bool {
 	i := p.Class(c.Name)
 	if i < 0 {
 		return false
 	}
-	o := &p.Classes[i]
-	return o.Idempotency == c.Idempotency && o.DedupScope == c.DedupScope && o.DedupWindow == c.DedupWindow
+	known := &p.Classes[i]
+	return known.Idempotency == c.Idempotency && known.DedupScope == c.DedupScope && known.DedupWindow == c.DedupWindow
 }
--- a/internal/app/clusterrequest.go
+++ b/internal/app/clusterrequest.go
@@ -15,12 +15,12 @@
 	"yokestall/policy"
 )
 
-// maxMigrations bounds how often a request moves to its cluster's successor because the settings changed.
+// maxMigrations bounds how often a request migrates to its cluster's successor because the settings changed.
 const maxMigrations = 3
 
-// Do implements ingress.Handler. A request whose cluster is replaced under it, because the settings changed, migrates
-// to the successor if nothing of it has run, or it may run again. The error is engine.ErrRetired if no cluster takes
-// the request.
+// Do implements ingress.Handler. If the cluster is replaced during the request because the settings changed, the request
+// migrates to the successor, provided that no attempt of the request may have run or that the request may run again. The
+// error is engine.ErrRetired if no cluster accepts the request.
 func (r *managedCluster) Do(ctx context.Context, q *engine.Request) (engine.Answer, error) {
 	a, err := r.doOnce(ctx, q)
 	for range maxMigrations {
@@ -41,8 +41,8 @@
 	return a, err
 }
 
-// mayMigrate reports whether a request may be started at another cluster after this outcome: its client has received
-// nothing from an endpoint, and nothing of it has run, or it may run again.
+// mayMigrate reports whether a request may be started again at another cluster after this outcome: the client has
+// received nothing from an endpoint, and either no attempt may have run or the request may run again.
 func (r *managedCluster) mayMigrate(q *engine.Request, a engine.Answer, err error) bool {
 	switch {
 	case err != nil:
@@ -53,18 +53,18 @@
 	return !a.MayHaveRun || r.settings.Classes[q.Class].Idempotency == policy.Idempotent
 }
 
-// migrateRequest returns a request to another cluster as one to this cluster. It reports false if its body is not
-// complete or can't be sent from its beginning, or if its class or tenant is not the same here.
+// migrateRequest translates a request to another cluster into a request to this cluster. It returns false if the
+// request's body is incomplete or can't be sent from its beginning, or if this cluster lacks the class or the tenant.
 func (r *managedCluster) migrateRequest(from *managedCluster, q *engine.Request) (*engine.Request, bool) {
 	body, streaming := q.Payload.(engine.StreamingPayload)
 	if q.BodyIncomplete || streaming && (body.Consumed() || body.Streaming()) {
 		return nil, false
 	}
-	class := r.sameClass(&from.classes[q.Class])
+	class := r.correspondingClass(&from.classes[q.Class])
 	if class < 0 {
 		return nil, false
 	}
-	tenant := r.tenants.sameTenant(from.tenants, q.Tenant)
+	tenant := r.tenants.correspondingTenant(from.tenants, q.Tenant)
 	if tenant < 0 {
 		return nil, false
 	}
@@ -77,8 +77,9 @@
 	}, true
 }
 
-// sameClass returns the index of the class with this name and idempotency; below 0: there is none.
-func (r *managedCluster) sameClass(class *config.Class) int {
+// correspondingClass returns the index of the cluster's class with the same name and idempotency as class, or -1 if there
+// is none.
+func (r *managedCluster) correspondingClass(class *config.Class) int {
 	i := slices.IndexFunc(r.classes, func(c config.Class) bool { return c.Name == class.Name })
 	if i < 0 || r.classes[i].Idempotency != class.Idempotency {
 		return -1
@@ -86,9 +87,9 @@
 	return i
 }
 
-// doOnce rejects a request by the cluster's limits, or has a tier decide on it.
+// doOnce passes a request to the engine of a tier, or rejects the request if it exceeds the cluster's limits.
 func (r *managedCluster) doOnce(ctx context.Context, q *engine.Request) (engine.Answer, error) {
-	inFlight := r.inFlight.Add(1) // before active is read: see deactivate
+	inFlight := r.inFlight.Add(1) // must precede the read of r.active: see deactivate
 	defer r.endRequest()
 	t, err := r.activate()
 	if err != nil {
@@ -98,7 +99,7 @@
 		return engine.Answer{Verdict: engine.Rejected, RetryAfter: r.settings.Limits.MaxRetryAfter}, nil
 	}
 	a, err := t.pick().engine.Do(ctx, q)
-	if errors.Is(err, engine.ErrRetired) { // an update retired the tier before anything was sent
+	if errors.Is(err, engine.ErrRetired) { // an update retired the tier before it sent anything
 		if current := r.active.Load(); current != nil && current != t {
 			a, err = current.list[0].engine.Do(ctx, q)
 		}
@@ -111,13 +112,13 @@
 	return a, err
 }
 
-// exceeds reports whether a request is rejected by the cluster's limits: its limit of requests in flight, and the
-// shares that are dropped.
-func exceeds(b *cluster.Limits, inFlight int64) bool {
-	if b.MaxRequests > 0 && inFlight > int64(b.MaxRequests) {
+// exceeds reports whether a request is to be rejected by the limits of its cluster: because too many requests are in
+// flight, or because the request belongs to a randomly chosen share that is dropped.
+func exceeds(limits *cluster.Limits, inFlight int64) bool {
+	if limits.MaxRequests > 0 && inFlight > int64(limits.MaxRequests) {
 		return true
 	}
-	for _, d := range b.Drops {
+	for _, d := range limits.Drops {
 		if rand.Float64() < d.Fraction {
 			return true
 		}
@@ -125,13 +126,13 @@
 	return false
 }
 
-// endRequest counts a request out.
+// endRequest records the end of a request.
 func (r *managedCluster) endRequest() {
 	r.lastUsed.Store(int64(r.app.clock.Now()))
 	r.inFlight.Add(-1)
 }
 
-// pick returns the tier of a request by the tiers' health.
+// pick chooses the tier of a request at random, with probabilities that follow the health of the tiers.
 func (t *tiers) pick() *tier {
 	if len(t.list) <= 1 {
 		return t.list[0]
--- a/internal/app/extproc.go
+++ b/internal/app/extproc.go
@@ -11,7 +11,7 @@
 	"yokestall/internal/tlskeys"
 )
 
-// NewProcessor returns the external processing server, which other proxies ask where to send their requests.
+// NewProcessor returns the external processing server, which other proxies call to learn where to send their requests.
 func (a *App) NewProcessor(set config.ExtProc) *extproc.Server {
 	return extproc.New(extproc.Options{
 		Clock: a.clock, Router: a, Log: a.Log,
@@ -25,8 +25,8 @@
 	})
 }
 
-// ServeProcessor serves other proxies on a listener until ctx ends, and returns once requests in flight are answered.
-// The error says why the listener can't be served, or how it failed.
+// ServeProcessor serves other proxies on a listener until ctx ends, and returns once requests in flight are answered. It
+// fails if the listener can't be served or ends by itself.
 func (a *App) ServeProcessor(ctx context.Context, l net.Listener, s *extproc.Server, set config.ExtProc) error {
 	o := extproc.ListenOptions{
 		MaxConnections: set.Connections, MaxStreamsPerConnection: set.PerConn, MinDrainTimeout: set.Drain,
--- a/internal/app/idle.go
+++ b/internal/app/idle.go
@@ -6,11 +6,12 @@
 	"yokestall/internal/engine"
 )
 
-// idleChecksPerTimeout is how often clusters are checked within the time for which they stay active without requests.
+// idleChecksPerTimeout is the number of checks for idle clusters within the time for which a cluster stays active without
+// requests.
 const idleChecksPerTimeout = 4
 
-// activate returns the cluster's tiers and starts their engines if the cluster is idle. The error is engine.ErrRetired
-// if the cluster takes no more requests.
+// activate returns the cluster's tiers, and starts their engines if the cluster is idle. The error is engine.ErrRetired
+// if the cluster accepts no more requests.
 func (r *managedCluster) activate() (*tiers, error) {
 	if t := r.active.Load(); t != nil {
 		return t, nil
@@ -24,7 +25,7 @@
 		return nil, engine.ErrRetired
 	}
 	t := r.updateTiers(r.app.clock.Now())
-	if r.abandoned {
+	if r.aborted {
 		for _, t := range r.tiers {
 			t.engine.Abort()
 		}
@@ -32,8 +33,8 @@
 	return t, nil
 }
 
-// deactivate ends the engines of a cluster that had no request since a time on the clock and has no open stream. Their
-// snapshots are cached. It reports false if the cluster is in use, or idle already.
+// deactivate ends the engines of a cluster that has had no request since a time on the app's clock and has no open
+// stream, and caches the engines' snapshots. It returns false if the cluster is in use or already idle.
 func (r *managedCluster) deactivate(since time.Duration) bool {
 	if !r.unused(since) {
 		return false
@@ -45,8 +46,8 @@
 		return false
 	}
 	taken := r.takeSnapshots()
-	// A request counts itself as in flight before it reads active: it is either seen here, or finds the cluster idle
-	// and waits for r.mu to activate it.
+	// A request increments inFlight before it reads active. So a concurrent request is either counted by unused below, or
+	// finds the cluster idle and waits for r.mu to activate the cluster again.
 	r.active.Store(nil)
 	if !r.unused(since) {
 		r.active.Store(t)
@@ -60,13 +61,15 @@
 	return true
 }
 
-// unused reports whether the cluster had no request since a time on the clock and has no open stream.
+// unused reports whether the cluster has had no request since a time on the app's clock and has no open stream with
+// timeouts.
 func (r *managedCluster) unused(since time.Duration) bool {
 	return r.inFlight.Load() == 0 && time.Duration(r.lastUsed.Load()) < since && r.streams.count() == 0
 }
 
-// idleAfter returns how long the clusters of a state stay active without requests: at least until endpoints that were
-// warming up at the last request are warm, and late answers to that are no longer awaited.
+// idleAfter returns how long the clusters of a state stay active without requests. This is at least long enough for
+// endpoints that were warming up at the last request to complete their slow start, and for late answers to that request
+// to arrive.
 func (a *App) idleAfter(s *state) time.Duration {
 	after := max(s.program.ClusterIdle, s.settings.Rules.SlowStartWindow+s.settings.Rules.OverloadDuration)
 	if s.program.Repeats.Late {
@@ -77,8 +80,8 @@
 	return after
 }
 
-// deactivateIdle deactivates the clusters that have been without requests for long enough at a time on the clock, and
-// returns their number.
+// deactivateIdle deactivates the clusters that have had no requests for the time of idleAfter. now is the current time on
+// the app's clock. The result is the number of clusters that were deactivated.
 func (a *App) deactivateIdle(now time.Duration) (deactivated int) {
 	s := a.state.Load()
 	since := now - a.idleAfter(s)
@@ -90,7 +93,7 @@
 	return deactivated
 }
 
-// watchIdle deactivates idle clusters until the app ends.
+// watchIdle deactivates idle clusters periodically until the app is closed.
 func (a *App) watchIdle() {
 	for {
 		check := time.NewTimer(a.idleAfter(a.state.Load()) / idleChecksPerTimeout)
@@ -104,7 +107,7 @@
 	}
 }
 
-// ActiveClusters returns the number of clusters that have engines at present.
+// ActiveClusters returns the number of clusters that currently have running engines.
 func (a *App) ActiveClusters() (count int) {
 	for _, r := range a.state.Load().clusters {
 		if r.active.Load() != nil {
--- a/internal/app/listeners.go
+++ b/internal/app/listeners.go
@@ -9,15 +9,16 @@
 	"yokestall/internal/config"
 )
 
-// Listeners serves clients on the listeners of the configuration in force. A listener whose settings stay is not
-// touched; one that changes under the same address keeps its socket, so that no connection is refused in between.
+// Listeners serves clients on the listeners of the configuration in force. A change of the configuration does not affect
+// listeners whose settings are unchanged. A listener whose settings change under the same address keeps its socket, so
+// that no connection is refused meanwhile.
 type Listeners struct {
 	app        *App
-	failed     chan error     // of capacity 1: the first failure
-	background sync.WaitGroup // the acceptors and servers
+	failed     chan error     // has capacity 1 and holds the first failure until it is read
+	background sync.WaitGroup // counts the goroutines of acceptors and servers
 
 	mu   sync.Mutex                 // guards open
-	open map[string]*activeListener // by config.Listener.Address
+	open map[string]*activeListener // keyed by config.Listener.Address
 }
 
 // activeListener is an open listener and the server that serves it.
@@ -27,15 +28,16 @@
 	stopServer context.CancelFunc
 }
 
-// NewListeners returns Listeners with none open. The caller ends them with Close, before App.Close.
+// NewListeners returns Listeners without an open listener. The caller must call Close before App.Close.
 func (a *App) NewListeners() *Listeners {
 	return &Listeners{app: a, failed: make(chan error, 1), open: map[string]*activeListener{}}
 }
 
-// Failed receives the error of a listener that ended by itself.
+// Failed returns a channel that receives the error of a listener that ended by itself. While an error is unread, further
+// errors are dropped.
 func (ls *Listeners) Failed() <-chan error { return ls.failed }
 
-// Addr returns the address of the listener with a name; nil if there is none.
+// Addr returns the address of the listener with this name, or nil if there is none.
 func (ls *Listeners) Addr(name string) net.Addr {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -47,8 +49,9 @@
 	return nil
 }
 
-// Apply opens the listeners that are wanted and are not open, and closes those that are no longer wanted: these answer
-// the requests in flight. The error says which listener can't be opened; nothing has changed then.
+// Apply opens the wanted listeners that are not open, restarts the server of those whose settings changed, and closes the
+// listeners that are no longer wanted. A server that ends answers its requests in flight first. If a listener can't be
+// opened, the error names the listener and nothing has changed.
 func (ls *Listeners) Apply(wanted []config.Listener) error {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -63,16 +66,17 @@
 		switch {
 		case current == nil:
 			ls.start(settings, ls.startAcceptor(sockets[settings.Address]))
-		case current.settings != settings: // the next server takes over the socket and the connections that wait there
+		case current.settings != settings: // the new server takes over the socket and its pending connections
 			current.stopServer()
 			ls.start(settings, current.acceptor)
 		}
 	}
-	ls.closeWhere(func(address string) bool { return !isWanted[address] })
+	ls.closeMatching(func(address string) bool { return !isWanted[address] })
 	return nil
 }
 
-// openSockets opens the sockets of listeners that are not open yet, by their addresses; ls.mu is locked.
+// openSockets opens the sockets of the wanted listeners that are not open yet, and returns the sockets by address. The
+// caller holds ls.mu.
 func (ls *Listeners) openSockets(wanted []config.Listener) (map[string]net.Listener, error) {
 	sockets := map[string]net.Listener{}
 	for _, settings := range wanted {
@@ -91,7 +95,7 @@
 	return sockets, nil
 }
 
-// start serves the connections of an acceptor by these settings; ls.mu is locked.
+// start starts a server with these settings for the connections of an acceptor. The caller holds ls.mu.
 func (ls *Listeners) start(settings config.Listener, a *acceptor) {
 	ctx, stop := context.WithCancel(context.Background())
 	ls.open[settings.Address] = &activeListener{settings, a, stop}
@@ -102,12 +106,12 @@
 	})
 }
 
-// closeWhere closes the listeners at some addresses, each once the connections that wait in its socket are accepted;
-// ls.mu is locked.
-func (ls *Listeners) closeWhere(closes func(address string) bool) {
+// closeMatching closes the listeners whose address matches, each once the pending connections of its socket are accepted.
+// The caller holds ls.mu.
+func (ls *Listeners) closeMatching(matches func(address string) bool) {
 	var closed sync.WaitGroup
 	for address, l := range ls.open {
-		if closes(address) {
+		if matches(address) {
 			closed.Go(func() {
 				l.acceptor.Close()
 				l.stopServer()
@@ -118,7 +122,7 @@
 	closed.Wait()
 }
 
-// reportFailure passes the first failure on to Failed.
+// reportFailure sends the failure of a listener to the channel of Failed, unless an earlier failure is still unread.
 func (ls *Listeners) reportFailure(err error) {
 	select {
 	case ls.failed <- err:
@@ -126,10 +130,10 @@
 	}
 }
 
-// Close closes all listeners and returns once their requests in flight are answered.
+// Close closes all listeners, and returns once their requests in flight are answered.
 func (ls *Listeners) Close() {
 	ls.mu.Lock()
-	ls.closeWhere(func(string) bool { return true })
+	ls.closeMatching(func(string) bool { return true })
 	ls.mu.Unlock()
 	ls.background.Wait()
 }
--- a/internal/app/managedcluster.go
+++ b/internal/app/managedcluster.go
@@ -17,40 +17,42 @@
 	"yokestall/policy"
 )
 
-// errNoKeys is returned where TLS is configured and the program has no keys.
-var errNoKeys = errors.New("tls: the program has no [keys] folder")
+// errNoKeys is returned if TLS is configured for a listener or a cluster and the program has no keys.
+var errNoKeys = errors.New("tls: TLS is configured, but the program's file has no [keys] folder")
 
-// managedCluster is a cluster of the version in force. While requests come it is active: it has an engine for each of
-// its tiers, of which a request gets one by the tiers' health. Without requests it is idle and has none, so that what a
-// node spends follows the clusters that it uses and not those that exist (see activate and deactivate). It implements
-// ingress.Handler.
+// managedCluster is a cluster of the version in force. It implements ingress.Handler.
+//
+// A cluster that gets requests is active: it has an engine for each of its tiers, and each request is passed to the
+// engine of one tier, chosen by the health of the tiers. A cluster without requests is idle and has no engines, so that a
+// node's memory and CPU time depend on the clusters that it uses and not on all defined clusters. See activate and
+// deactivate.
 type managedCluster struct {
 	app       *App
 	name      string
-	settings  *policy.Settings // of the state that it was started for
+	settings  *policy.Settings // settings of the state for which the cluster was created
 	classes   []config.Class   // in the order of settings.Classes
 	tenants   *tenantTable
 	upstream  config.Upstream
 	transport cluster.Transport
-	tls       *tls.Config // nil: connections are clear text
+	tls       *tls.Config // nil: connections are in clear text
 	ctx       context.Context
 	stop      context.CancelFunc
 	streams   *streams
 
-	retired  atomic.Bool           // another cluster took its place, or none
+	retired  atomic.Bool           // the cluster was removed or replaced by a successor
 	active   atomic.Pointer[tiers] // nil: the cluster is idle
-	inFlight atomic.Int64          // requests within doOnce
-	lastUsed atomic.Int64          // when a request ended last, on the app's clock
+	inFlight atomic.Int64          // number of requests within doOnce
+	lastUsed atomic.Int64          // end of the last request, in nanoseconds on the app's clock
 
 	// mu guards the fields below, and changes of active.
 	mu        sync.Mutex
-	tiers     map[priority.Key]*tier // those whose engines run; empty if the cluster is idle
-	current   *cluster.Config        // of the last update; the engines have it if the cluster is active
-	abandoned bool                   // abandon was called
-	snapshots *snapshots             // of engines that have ended; nil: none
+	tiers     map[priority.Key]*tier // tiers with a running engine; empty if the cluster is idle
+	current   *cluster.Config        // configuration of the last update; in force in the engines of an active cluster
+	aborted   bool                   // abortRequests was called
+	snapshots *snapshots             // cached snapshots of engines that have ended; nil: none
 }
 
-// newManagedCluster returns a cluster of a state. It is idle.
+// newManagedCluster returns an idle cluster with the settings of a state.
 func (a *App) newManagedCluster(name string, s *state, transport cluster.Transport) (*managedCluster, error) {
 	r := &managedCluster{
 		app: a, name: name, settings: s.settings, classes: s.program.Classes, tenants: s.tenants,
@@ -69,8 +71,8 @@
 	return r, nil
 }
 
-// update brings the cluster to another version, which was delivered at a time on the app's clock. An idle cluster
-// applies it when it is activated.
+// update sets the cluster's configuration, which was delivered at a time on the app's clock. The engines of an idle
+// cluster get the configuration when the cluster is activated.
 func (r *managedCluster) update(deliveredAt time.Duration, c *cluster.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +85,8 @@
 	}
 }
 
-// retire ends the cluster once its requests in flight have ended. Its endpoints are removed as of a time on the clock.
+// retire removes the cluster's endpoints as of a time on the app's clock, and ends the cluster once its requests in flight
+// have ended.
 func (r *managedCluster) retire(deliveredAt time.Duration) {
 	r.retired.Store(true)
 	r.mu.Lock()
@@ -104,24 +107,24 @@
 	})
 }
 
-// retireTier removes a tier's endpoints and ends its engine once its requests have ended; r.mu is locked.
+// retireTier removes a tier's endpoints, and ends the tier's engine once its requests have ended. The caller holds r.mu.
 func (r *managedCluster) retireTier(deliveredAt time.Duration, t *tier) {
 	t.engine.UpdateEndpointsAt(deliveredAt, policy.FullUpdate, nil)
 	t.engine.Retire()
 	r.streams.drain(deliveredAt, t.endpoints())
 }
 
-// abandon answers the requests in flight at once, and those that still come.
-func (r *managedCluster) abandon() {
+// abortRequests makes the engines answer the requests in flight, and all later ones, at once.
+func (r *managedCluster) abortRequests() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.abandoned = true
+	r.aborted = true
 	for _, t := range r.tiers {
 		t.engine.Abort()
 	}
 }
 
-// wait waits for the end of all engines. The caller has canceled their context or a parent of it.
+// wait waits for the end of all engines. The caller must have canceled the engines' context or a parent of that context.
 func (r *managedCluster) wait() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +133,7 @@
 	}
 }
 
-// discard ends a cluster that no state has had.
+// discard ends a cluster that has never been part of a stored state.
 func (r *managedCluster) discard() {
 	r.stop()
 	r.wait()
--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -13,7 +13,8 @@
 	"yokestall/policy"
 )
 
-// Route implements ingress.Router. The error is an *ingress.Rejection: a rejected request, or a route's own response.
+// Route implements ingress.Router. The error is an *ingress.Rejection: the request is rejected, or its route has a direct
+// response.
 func (a *App) Route(r *http.Request) (ingress.Destination, error) {
 	s := a.state.Load()
 	match, err := s.matchRoute(r)
@@ -32,7 +33,7 @@
 	if a.LeaseValid != nil && !a.LeaseValid() {
 		return ingress.Destination{}, s.unavailable("the node's lease is over")
 	}
-	if reason := s.refusedClasses[c.Name]; reason != "" {
+	if reason := s.rejectedClasses[c.Name]; reason != "" {
 		return ingress.Destination{}, s.unavailable(reason)
 	}
 	out := s.destination(match.Route, c)
@@ -43,7 +44,7 @@
 	return out, nil
 }
 
-// matchRoute returns the route of a request and the cluster that it leads to.
+// matchRoute returns the route of a request and the route's cluster.
 func (s *state) matchRoute(r *http.Request) (route.Match, error) {
 	if s.program.Table == nil {
 		return route.Match{}, s.unavailable("no routes are known yet")
@@ -62,14 +63,15 @@
 	return m, nil
 }
 
-// unavailable rejects a request that may be retried later.
+// unavailable returns the rejection, with status 503 and Retry-After, of a request that the client may send again later.
 func (s *state) unavailable(reason string) *ingress.Rejection {
 	return &ingress.Rejection{
 		Status: http.StatusServiceUnavailable, Message: reason, RetryAfter: s.program.Limits.MaxRetryAfter,
 	}
 }
 
-// destination returns what a route and a class say of a request; the caller sets Cluster and Class.
+// destination returns the Destination of a request that has this route and class, without the fields Cluster and Class,
+// which the caller sets.
 func (s *state) destination(r *route.Route, c *config.Class) ingress.Destination {
 	out := ingress.Destination{
 		Idempotency: c.Idempotency, DedupWindow: c.DedupWindow, Deadline: requestDeadline(r, c),
@@ -87,7 +89,7 @@
 	return out
 }
 
-// requestDeadline returns the class's deadline, or the route's timeout where that is shorter.
+// requestDeadline returns the deadline of the class, or the timeout of the route if it is set and shorter.
 func requestDeadline(r *route.Route, c *config.Class) time.Duration {
 	if r.Timeout > 0 {
 		return min(c.Deadline, r.Timeout)
@@ -95,8 +97,8 @@
 	return c.Deadline
 }
 
-// dedupRouter returns the router of the HTTP servers: requests with an idempotency key go through the deduplication,
-// if the program has it.
+// dedupRouter returns the router of the HTTP servers. It deduplicates requests by idempotency key if the program's
+// settings enable deduplication.
 func (a *App) dedupRouter() ingress.Router {
 	if a.dedup == nil {
 		return a
@@ -104,6 +106,7 @@
 	return dedupRouter{a}
 }
 
+// dedupRouter routes the requests of classes that are idempotent by key through the deduplicator of an App.
 type dedupRouter struct{ *App }
 
 // Route implements ingress.Router.
@@ -115,22 +118,22 @@
 	return to, err
 }
 
-// directResponse returns a route's own response.
-func directResponse(r *route.Route, q *http.Request) *ingress.Rejection {
-	a := r.DirectResponse
-	out := &ingress.Rejection{Status: a.Status, Message: a.Body}
-	if a.Redirect {
+// directResponse returns the direct response or redirect of a route.
+func directResponse(r *route.Route, request *http.Request) *ingress.Rejection {
+	response := r.DirectResponse
+	out := &ingress.Rejection{Status: response.Status, Message: response.Body}
+	if response.Redirect {
 		scheme := "http"
-		if q.TLS != nil {
+		if request.TLS != nil {
 			scheme = "https"
 		}
-		out.Location = a.Location(r, scheme, q.Host, q.URL.EscapedPath(), q.URL.RawQuery)
+		out.Location = response.Location(r, scheme, request.Host, request.URL.EscapedPath(), request.URL.RawQuery)
 	}
 	return out
 }
 
-// affinityHash returns the hash that picks among the weighted clusters of a route. A client's retry must not go to
-// another cluster, so that the idempotency key comes before the request's own id.
+// affinityHash returns the hash that selects one of the weighted clusters of a route. A client's retry must go to the same
+// cluster as the first request, so the idempotency key, which a retry keeps, takes precedence over the request's id.
 func affinityHash(r *http.Request) uint64 {
 	h := fnv.New64a()
 	for _, name := range []string{"Idempotency-Key", "X-Request-Id"} {
--- a/internal/app/sender.go
+++ b/internal/app/sender.go
@@ -9,8 +9,8 @@
 	"yokestall/policy"
 )
 
-// sender sends a tier's attempts: over its upstream pool, or by the payload itself where another program sends the
-// request (external processing).
+// sender sends a tier's attempts. It uses the tier's upstream pool, or the payload's own Carry method if another program
+// sends the request (external processing).
 type sender struct {
 	pool upstreamPool
 
@@ -18,8 +18,8 @@
 	addresses map[policy.EndpointID]string
 }
 
-// selfSender is a payload that sends its attempts itself.
-type selfSender interface {
+// sendingPayload is a request payload that sends its attempts itself.
+type sendingPayload interface {
 	Carry(call *engine.Call, address string, timeRemaining time.Duration) engine.Result
 }
 
@@ -27,20 +27,20 @@
 func (s *sender) Exchange(
 	call *engine.Call, id policy.EndpointID, payload any, timeRemaining time.Duration,
 ) engine.Result {
-	p, ok := payload.(selfSender)
+	p, ok := payload.(sendingPayload)
 	if !ok {
 		return s.pool.Exchange(call, id, payload, timeRemaining)
 	}
 	s.mu.RLock()
 	address, known := s.addresses[id]
 	s.mu.RUnlock()
-	if !known { // the endpoint was removed meanwhile
+	if !known { // the endpoint was removed after the policy chose it
 		return engine.Result{Status: policy.NeverSent}
 	}
 	return p.Carry(call, address, timeRemaining)
 }
 
-// update applies changes of the endpoints.
+// update applies changed and removed endpoints to the addresses.
 func (s *sender) update(endpoints []h1client.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/app/sendpermission.go
+++ b/internal/app/sendpermission.go
@@ -8,8 +8,8 @@
 	"yokestall/internal/ingress"
 )
 
-// sendAllowed returns a function that reports, before each attempt of a request that was routed by a state, whether it
-// may still be sent: the node's lease is valid, and no later state has invalidated the class's decisions.
+// sendAllowed returns a function that reports whether an attempt of a request that was routed by state s may still be
+// sent: the node's lease is valid, and no later state has invalidated the class's decisions of state s.
 func (a *App) sendAllowed(s *state, class string) func() bool {
 	return func() bool {
 		current := a.state.Load()
@@ -17,11 +17,11 @@
 	}
 }
 
-// leaseCheckedCluster is a cluster whose requests check before each send that it is still allowed.
+// leaseCheckedCluster is a cluster that checks before each send of a request that the send is still allowed.
 type leaseCheckedCluster struct {
 	ingress.Handler
 	sendAllowed func() bool
-	retryAfter  time.Duration // for requests whose send is not allowed
+	retryAfter  time.Duration // Retry-After of requests whose send is not allowed
 }
 
 // Do implements ingress.Handler.
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -22,16 +22,19 @@
 )
 
 const (
-	// connectionDrainMargin is how long the shutdown of a listener waits for connections after the longest deadline.
+	// connectionDrainMargin is how long the shutdown of a listener waits for connections after the longest deadline or
+	// the drain timeout, whichever is longer.
 	connectionDrainMargin = 300 * time.Millisecond
-	// finalAnswerMargin is how long before the end of a shutdown the last answers are sent, whatever the deadlines.
+	// finalAnswerMargin is the time before the end of a shutdown by which the last answers are sent, whatever the
+	// deadlines are.
 	finalAnswerMargin = 50 * time.Millisecond
-	// proxyHeaderTimeout bounds the time in which a connection has to send its PROXY protocol header.
+	// proxyHeaderTimeout is the time within which a connection must send its PROXY protocol header.
 	proxyHeaderTimeout = 2 * time.Second
-	// reserveDivisor gives the part of a listener's connections that idle ones leave to other clients.
+	// reserveDivisor determines the reserve of a listener: 1/reserveDivisor of its maximum number of connections, which
+	// idle connections leave free for other clients.
 	reserveDivisor = 16
-	// overflowDivisor gives, as a part of a listener's connections, those beyond it that only get a response with
-	// Retry-After.
+	// overflowDivisor determines how many connections beyond the maximum a listener accepts only to answer them with
+	// Retry-After: 1/overflowDivisor of the maximum.
 	overflowDivisor = 16
 )
 
@@ -42,16 +45,16 @@
 	rules    *forwarded.Rules
 	h1       *h1server.Server
 	http     *http.Server
-	h2       *h2server.Server // nil: HTTP/1.1 alone
+	h2       *h2server.Server // nil: the listener serves only HTTP/1.1
 }
 
-// Serve serves clients on a listener by the settings of the first configured one. See ServeListener.
+// Serve is ServeListener with the settings of the first configured listener.
 func (a *App) Serve(ctx context.Context, l net.Listener) error {
 	return a.ServeListener(ctx, gracefulclose.WrapListener(l), a.state.Load().program.Listener)
 }
 
-// ServeListener serves clients on a listener until ctx ends, and returns once requests in flight are answered. The
-// error says why the listener can't be served, or how it failed.
+// ServeListener serves clients on a listener until ctx ends, and returns once requests in flight are answered. It fails if
+// the settings can't be applied or the listener ends by itself.
 func (a *App) ServeListener(ctx context.Context, l net.Listener, settings config.Listener) error {
 	s, err := a.newListenerServer(settings)
 	if err != nil {
@@ -85,13 +88,13 @@
 	return nil
 }
 
-// newListenerServer returns a server by a listener's settings.
+// newListenerServer returns a server with the settings of a listener.
 func (a *App) newListenerServer(settings config.Listener) (*listenerServer, error) {
-	trust, err := forwarded.ParseTrustedProxies(strings.Fields(settings.Trust))
+	trustedProxies, err := forwarded.ParseTrustedProxies(strings.Fields(settings.Trust))
 	if err != nil {
 		return nil, err
 	}
-	rules := &forwarded.Rules{TrustedProxies: trust, WriteForwarded: settings.Forwarded}
+	rules := &forwarded.Rules{TrustedProxies: trustedProxies, WriteForwarded: settings.Forwarded}
 	s := &listenerServer{app: a, settings: settings, rules: rules}
 	o := h1server.Options{
 		Clock: a.clock, Log: a.Log, MaxBodyBytes: settings.MaxBody, ForwardedHeaders: s.rules,
@@ -123,7 +126,7 @@
 	return s, nil
 }
 
-// protocols returns the protocols that TLS offers (RFC 7301), in order of preference.
+// protocols returns the protocols that the listener offers in the TLS handshake (ALPN, RFC 7301), in order of preference.
 func protocols(settings *config.Listener) []string {
 	if settings.HTTP2 == 0 {
 		return []string{"http/1.1"}
@@ -131,22 +134,26 @@
 	return []string{"h2", "http/1.1"}
 }
 
-// drain waits for the requests in flight, for the longest deadline and at least the time for streams.
+// drain waits until the requests in flight have ended, but no longer than the longest deadline of a class or the
+// listener's drain timeout, whichever is longer, plus connectionDrainMargin.
 func (s *listenerServer) drain() {
 	deadline := s.app.state.Load().longestDeadline()
 	timeout := max(deadline, s.settings.Drain) + connectionDrainMargin
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	// Requests from before this time have their whole deadline; later ones would be cut off with their connections.
+	// Requests that arrive before this time still have their whole deadline. Later requests are rejected, since the end of
+	// the drain would close their connections before their deadline.
 	defer time.AfterFunc(timeout-deadline-finalAnswerMargin, s.h1.RejectNewRequests).Stop()
-	// Connections without a request are closed before the end, when a request on them would get no answer.
+	// Connections without a request are closed shortly before the end, since a request that arrived on them at the end
+	// would get no answer.
 	defer time.AfterFunc(timeout-finalAnswerMargin, s.h1.CloseIdleConnections).Stop()
 	s.h1.Drain(ctx)
 	if s.h2 == nil {
 		return
 	}
-	// Idle HTTP/2 connections end by themselves after StartDrain, and Shutdown waits for them. It comes last: from here on
-	// net/http drops HTTP/1.1 requests that it has read, and no such connections are left unless the time is over.
+	// Idle HTTP/2 connections end by themselves after StartDrain, and Shutdown waits for them. Shutdown is called last,
+	// since after it net/http drops HTTP/1.1 requests that it has read. At this point HTTP/1.1 connections are only left
+	// if the drain timed out.
 	if ctx.Err() != nil {
 		ctx, cancel = context.WithTimeout(context.Background(), connectionDrainMargin)
 		defer cancel()
@@ -154,7 +161,7 @@
 	s.http.Shutdown(ctx)
 }
 
-// longestDeadline returns the longest deadline of the classes.
+// longestDeadline returns the longest deadline of all classes.
 func (s *state) longestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range s.program.Classes {
@@ -163,9 +170,10 @@
 	return longest
 }
 
-// proxyProtocolListener returns a listener whose trusted connections begin with a PROXY protocol header (version 1 or
-// 2), which has the client's address. From other connections a header is a malformed request; where headers are
-// required, other connections are rejected.
+// proxyProtocolListener returns a listener that accepts a PROXY protocol header (version 1 or 2), with the client's
+// address, at the start of connections from trusted proxies. If required is true, trusted proxies must send the header
+// and connections from other peers are rejected. Otherwise the header is optional, and a header from an untrusted peer is
+// read as a malformed request.
 func proxyProtocolListener(l net.Listener, rules *forwarded.Rules, required bool) net.Listener {
 	return &proxyproto.Listener{
 		Listener: l, ReadHeaderTimeout: proxyHeaderTimeout,
--- a/internal/app/snapshots.go
+++ b/internal/app/snapshots.go
@@ -10,17 +10,19 @@
 	"yokestall/policy"
 )
 
-// snapshotTimeout bounds the time that an engine may take for its snapshot; without one its successor starts anew.
+// snapshotTimeout bounds how long an engine may take to return its snapshot. If it takes longer, its successor starts
+// without a snapshot.
 const snapshotTimeout = 200 * time.Millisecond
 
-// snapshots is what the engines of a cluster had learnt when they ended.
+// snapshots holds what a cluster's engines have learned, such as the capacity and health of endpoints, as of takenAt.
 type snapshots struct {
 	takenAt time.Time
-	classes []config.Class // in the order of each snapshot's classes
+	classes []config.Class // in the order of the classes in each policy.Snapshot
 	tiers   map[priority.Key]policy.Snapshot
 }
 
-// takeSnapshots returns the snapshots of the engines that run, or the cached ones of an idle cluster; r.mu is locked.
+// takeSnapshots returns snapshots of the running engines, or the cached snapshots if the cluster is idle. The caller holds
+// r.mu.
 func (r *managedCluster) takeSnapshots() *snapshots {
 	if len(r.tiers) == 0 {
 		return r.snapshots
@@ -36,20 +38,20 @@
 	return s
 }
 
-// inheritSnapshots takes over the snapshots of a cluster with other settings: the capacity and health of endpoints
-// don't depend on them.
+// inheritSnapshots takes over the snapshots of the predecessor, which had other settings. The capacity and health of
+// endpoints do not depend on the settings.
 func (r *managedCluster) inheritSnapshots(from *managedCluster) {
 	from.mu.Lock()
 	taken := from.takeSnapshots()
 	from.mu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.active.Load() == nil { // an active cluster has learnt by itself
+	if r.active.Load() == nil { // the engines of an active cluster have newer state of their own
 		r.snapshots = taken
 	}
 }
 
-// restoreSnapshot has a tier that was just started begin with its cached snapshot, if there is one; r.mu is locked.
+// restoreSnapshot restores the cached snapshot of a tier that was just started, if there is one. The caller holds r.mu.
 func (r *managedCluster) restoreSnapshot(key priority.Key, t *tier) {
 	if r.snapshots == nil {
 		return
@@ -69,7 +71,7 @@
 }
 
 // reorderClasses returns the cached class snapshots in the order of the new classes, matched by name. A class without a
-// cached one has its initial snapshot.
+// cached snapshot gets its initial snapshot.
 func reorderClasses(
 	cached, initial []policy.ClassSnapshot, oldClasses, newClasses []config.Class,
 ) []policy.ClassSnapshot {
--- a/internal/app/source.go
+++ b/internal/app/source.go
@@ -13,23 +13,23 @@
 	"yokestall/internal/xds/translate"
 )
 
-// Source merges the configuration of the files and of a control plane, and has an app apply the result. Under the same
-// name the files take precedence.
+// Source merges the configuration of the files with that of a control plane and applies the result to an App. If both
+// define a cluster of the same name, the cluster of the files takes precedence.
 type Source struct {
 	app *App
 
 	mu       sync.Mutex // guards the fields below, and the order in which versions are applied
 	files    *files.Configuration
-	received bool // the control plane has delivered something; clusters and routes are its last delivery
-	clusters map[string]*cluster.Config
-	routes   *translate.Routes
+	received bool                       // whether the control plane has made a delivery
+	clusters map[string]*cluster.Config // clusters of the control plane's last delivery, by name
+	routes   *translate.Routes          // routes of the control plane's last delivery; nil: none
 }
 
-// NewSource returns a source for an app that has applied the first version of the files.
+// NewSource returns a Source for an App that has applied the first version of the files.
 func NewSource(a *App, first *files.Configuration) *Source { return &Source{app: a, files: first} }
 
-// XDSConfig returns the configuration of the xDS client for the program's file at path; nil if it names no control
-// plane. The file of the last good version is looked up beside the program's.
+// XDSConfig returns the configuration of the xDS client for the program's file at path, or nil if the file names no
+// control plane. The path of the cache file is relative to the folder of the program's file.
 func XDSConfig(p *config.Program, path string) *xds.Config {
 	if len(p.XDS.Servers) == 0 {
 		return nil
@@ -48,7 +48,7 @@
 	return c
 }
 
-// SetFiles puts another version of the files in force.
+// SetFiles puts a new version of the files in force.
 func (s *Source) SetFiles(next *files.Configuration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,8 +56,8 @@
 	s.applyMerged(time.Now())
 }
 
-// Deliver puts a control plane's delivery in force. A delivery that changes known clusters only is applied without
-// rebuilding the state, where the app can.
+// Deliver puts a control plane's delivery in force. A delivery that changes only known clusters is applied without
+// building a new state, if App.ApplyClusters can do so.
 func (s *Source) Deliver(d *xds.Delivery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,8 +78,8 @@
 	s.applyMerged(d.ReceivedAt)
 }
 
-// applyMerged has the app apply files and control plane together; s.mu is locked. A conflict is logged, and the
-// version in force stays.
+// applyMerged applies the merged configuration of the files and the control plane to the app. If it is rejected, the
+// error is logged and the version in force stays. The caller holds s.mu.
 func (s *Source) applyMerged(deliveredAt time.Time) {
 	next, err := s.merge()
 	if err != nil {
@@ -91,8 +91,9 @@
 	}
 }
 
-// merge returns files and control plane as one version; s.mu is locked. The error is that the control plane's routes
-// don't go with the files, such as one of a class that the program's file no longer has.
+// merge returns the configuration of the files and the control plane as one version. It fails if the control plane's
+// routes conflict with the files, for example because the program's file no longer has the class of a route. The caller
+// holds s.mu.
 func (s *Source) merge() (*files.Configuration, error) {
 	next := &files.Configuration{Program: s.files.Program, Version: s.files.Version}
 	if !s.received {
--- a/internal/app/state.go
+++ b/internal/app/state.go
@@ -11,25 +11,26 @@
 	"yokestall/policy"
 )
 
-// state is the configuration in force, as requests read it. It is immutable but for the state of its clusters.
+// state is the configuration in force, as requests read it. It is immutable, except that its clusters change internally
+// and ApplyClusters updates them.
 type state struct {
 	program  *config.Program
 	version  *cluster.Version
 	tenants  *tenantTable
-	settings *policy.Settings // of all clusters
+	settings *policy.Settings // the policy's settings, which all clusters share
 	clusters map[string]*managedCluster
-	// refusedClasses has, by class, the reason why its requests are rejected while this state is in force.
-	refusedClasses map[string]string
-	// sequence counts the states.
+	// rejectedClasses has, by class name, the reason why the class's requests are rejected while this state is in force.
+	rejectedClasses map[string]string
+	// sequence is the number of this state. It increases by 1 with each state.
 	sequence uint64
-	// validFrom has, by class, the sequence of the first state whose decisions are still valid; none: 0. Requests that
-	// were decided earlier send no more attempts.
+	// validFrom has, by class name, the sequence of the first state whose decisions are still valid. A missing entry means
+	// that the decisions of all states are. Requests that an earlier state routed send no more attempts.
 	validFrom map[string]uint64
 }
 
-// newState returns the state that follows another one, without clusters. Tenants and settings that are equal are
-// shared.
-func newState(old *state, s *files.Configuration, refusedClasses map[string]string) (*state, error) {
+// newState returns the state that follows the old state, without clusters. The new state shares the tenant table and the
+// settings of the old state if they are equal.
+func newState(old *state, s *files.Configuration, rejectedClasses map[string]string) (*state, error) {
 	tenants, err := newTenantTable(old.tenants, s.Program)
 	if err != nil {
 		return nil, err
@@ -40,18 +41,18 @@
 	}
 	next := &state{
 		program: s.Program, version: s.Version, tenants: tenants, settings: settings,
-		clusters: map[string]*managedCluster{}, refusedClasses: refusedClasses, sequence: old.sequence + 1,
+		clusters: map[string]*managedCluster{}, rejectedClasses: rejectedClasses, sequence: old.sequence + 1,
 	}
 	next.validFrom = validFrom(old, next)
 	return next, nil
 }
 
-// newSettings returns the policy's settings for a program: the previous ones where they are equal.
+// newSettings returns the policy's settings for a program, or the previous settings if they are equal. previous may be nil.
 func newSettings(previous *policy.Settings, p *config.Program, tenants *tenantTable) (*policy.Settings, error) {
 	s := policy.Defaults()
 	s.NodeCount, s.NodeIndex, s.Zone = p.Nodes, p.Node, zoneNumber(p.Zone)
 	s.Limits, s.Rules = p.Limits, p.Rules
-	s.Tick = 0 // events are handled as they come
+	s.Tick = 0 // events are handled immediately
 	for _, c := range p.Classes {
 		s.Classes = append(s.Classes, c.Class)
 	}
@@ -59,7 +60,7 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	// Quotas are compared by identity: comparing the token buckets would race with requests.
+	// Quotas are compared by pointer, since a comparison of the token buckets would race with requests.
 	if previous != nil && previous.Quotas == s.Quotas && equalExceptQuotas(*previous, s) {
 		return previous, nil
 	}
@@ -71,7 +72,7 @@
 	return reflect.DeepEqual(x, y)
 }
 
-// zoneNumber returns the policy's number of a zone, which is the same on every node.
+// zoneNumber returns the policy's number for a zone: a hash of the zone's name, so that every node uses the same number.
 func zoneNumber(name string) int {
 	h := fnv.New32a()
 	io.WriteString(h, name)
--- a/internal/app/streams.go
+++ b/internal/app/streams.go
@@ -11,13 +11,13 @@
 	"yokestall/policy"
 )
 
-// streams applies the stream timeouts of their classes to a cluster's streamed responses and tunnels.
+// streams enforces the stream timeouts of a cluster's streamed responses and tunnels, which their classes define.
 type streams struct {
 	clock engine.Clock
 
 	mu    sync.Mutex // guards the fields below
 	table *streamtimeout.Table
-	timer *time.Timer // runs expire when the next timeout of table is due
+	timer *time.Timer // calls expire when the next timeout of table is due
 }
 
 func newStreams(clock engine.Clock) *streams {
@@ -27,7 +27,8 @@
 	return s
 }
 
-// limit applies timeouts to an answer's stream or tunnel until it is closed. Other answers have none.
+// limit applies timeouts to the stream or tunnel of an answer until the stream or tunnel is closed. It ignores answers
+// that have neither.
 func (s *streams) limit(a engine.Answer, l streamtimeout.Limits) {
 	answer, ok := a.Value.(*h1client.Answer)
 	if !ok || answer.Stream == nil && answer.Tunnel == nil || l == (streamtimeout.Limits{}) {
@@ -46,21 +47,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.entry = s.table.Open(s.clock.Now(), uint64(a.From.Endpoint), l, abort)
-	// The engine learns of a drain before drain is called, so that one of the two applies it.
+	// The engine is informed of a drain before s.drain is called. So either this check finds the drain, or s.drain finds
+	// the stream in the table.
 	if since, draining := a.From.DrainingSince(); draining {
 		s.table.DrainEndpoint(since, uint64(a.From.Endpoint))
 	}
 	s.resetTimer()
 }
 
-// count returns the number of open streams with timeouts.
+// count returns the number of open streams and tunnels that have timeouts.
 func (s *streams) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Len()
 }
 
-// drain starts the drain timeouts of streams from endpoints that drain, or were removed, since a time on the clock.
+// drain starts the drain timeouts of the streams from endpoints that have been draining, or were removed, since a time on
+// the clock.
 func (s *streams) drain(since time.Duration, endpoints []policy.EndpointID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +73,7 @@
 	s.resetTimer()
 }
 
-// resetTimer sets the timer to the next timeout; s.mu is locked.
+// resetTimer sets the timer to the next timeout of the table, or stops the timer if there is none. The caller holds s.mu.
 func (s *streams) resetTimer() {
 	if at, ok := s.table.NextDue(); ok {
 		s.timer.Reset(max(0, at-s.clock.Now()))
@@ -79,8 +82,8 @@
 	}
 }
 
-// expire aborts the streams whose timeout has come. Their clients see an incomplete response: a clean end would pass
-// off a part as complete.
+// expire aborts the streams whose timeout is over. The streams are aborted, not closed, since a client would take a
+// truncated response that ends cleanly for a complete one.
 func (s *streams) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,19 +92,19 @@
 		if due == nil {
 			break
 		}
-		go due.Owner.(func())() // it may wait for the stream's own locks
+		go due.Owner.(func())() // the abort may wait for the stream's own locks
 	}
 	s.resetTimer()
 }
 
-// trackedStream is a stream's entry in the table.
+// trackedStream refers to the entry of a stream or tunnel in the table.
 type trackedStream struct {
 	streams *streams
 	entry   *streamtimeout.Stream // guarded by streams.mu
 	once    sync.Once
 }
 
-// remove ends the stream's timeouts. It may be called repeatedly.
+// remove removes the stream from the table, which ends its timeouts. Calls after the first have no effect.
 func (t *trackedStream) remove() {
 	t.once.Do(func() {
 		t.streams.mu.Lock()
@@ -111,7 +114,7 @@
 	})
 }
 
-// limitedStream is a response stream with timeouts.
+// limitedStream is a response stream whose timeouts end when it is closed.
 type limitedStream struct {
 	h1client.Stream
 	tracked *trackedStream
@@ -123,7 +126,7 @@
 	return s.Stream.Close()
 }
 
-// limitedTunnel is the connection of an upgraded request, with timeouts.
+// limitedTunnel is the connection of an upgraded request. Its timeouts end when it is closed.
 type limitedTunnel struct {
 	net.Conn
 	tracked *trackedStream
@@ -135,7 +138,7 @@
 	return t.Conn.Close()
 }
 
-// CloseWrite ends the direction to the endpoint.
+// CloseWrite closes the direction to the endpoint.
 func (t *limitedTunnel) CloseWrite() error {
 	return t.Conn.(interface{ CloseWrite() error }).CloseWrite()
 }
--- a/internal/app/tenants.go
+++ b/internal/app/tenants.go
@@ -7,21 +7,21 @@
 	"yokestall/policy"
 )
 
-// tenantTable is what requests read of a version's tenants: their indices by name and by certificate, and one table of
-// token buckets for all clusters. Versions with equal tenants share one, so that other changes cost nothing here. It is
-// immutable but for the buckets.
+// tenantTable holds the tenants of a version, as requests read them: the tenants' indices by name and by certificate, and
+// the token buckets of their quotas, which all clusters share. Versions with equal tenants share one tenantTable, so that
+// other changes do not rebuild it. A tenantTable is immutable except for the token buckets.
 type tenantTable struct {
 	list          []config.Tenant
-	nodes         int // of the fleet, among which quotas are divided
-	byName        map[string]int
-	byCertificate map[string]int // by names in client certificates
+	nodes         int            // number of nodes in the fleet, among which quotas are divided
+	byName        map[string]int // index of a tenant by its name
+	byCertificate map[string]int // index of a tenant by a name in its client certificates
 	quotas        *policy.Quotas
 }
 
-// newTenantTable returns the table of a program's tenants: the previous one where it still holds; previous may be nil.
-// What is left of a tenant's quota passes to the new table.
+// newTenantTable returns the table of a program's tenants. It returns the previous table if that matches the program;
+// otherwise the remaining quota of each tenant is carried over to the new table. previous may be nil.
 func newTenantTable(previous *tenantTable, p *config.Program) (*tenantTable, error) {
-	if previous != nil && previous.holds(p) {
+	if previous != nil && previous.matches(p) {
 		return previous, nil
 	}
 	t := &tenantTable{
@@ -47,9 +47,9 @@
 	return t, nil
 }
 
-// holds reports whether a program has the table's tenants. A list that is shared with the previous version is not
-// compared tenant by tenant.
-func (t *tenantTable) holds(p *config.Program) bool {
+// matches reports whether a program has the same tenants and number of nodes as the table. If the table shares the
+// program's list of tenants, the tenants are not compared one by one.
+func (t *tenantTable) matches(p *config.Program) bool {
 	if t.nodes != p.Nodes || len(t.list) != len(p.Tenants) {
 		return false
 	}
@@ -61,7 +61,7 @@
 	})
 }
 
-// index returns a tenant's index by its name; below 0: there is none.
+// index returns the index of the tenant with this name, or -1 if there is none.
 func (t *tenantTable) index(name string) int {
 	if i, ok := t.byName[name]; ok {
 		return i
@@ -69,9 +69,9 @@
 	return -1
 }
 
-// sameTenant returns the index of another table's tenant in this one; below 0: it has none of the name. An index that
-// the other table does not have, and every one where there are no tenants, gives 0.
-func (t *tenantTable) sameTenant(other *tenantTable, tenant int) int {
+// correspondingTenant returns the index in this table of the tenant that has an index in another table, or -1 if this
+// table has no tenant of that name. It returns 0 if this table has no tenants or if the other table lacks the index.
+func (t *tenantTable) correspondingTenant(other *tenantTable, tenant int) int {
 	if len(t.list) == 0 || tenant >= len(other.list) {
 		return 0
 	}
--- a/internal/app/tiers.go
+++ b/internal/app/tiers.go
@@ -13,26 +13,26 @@
 	"yokestall/policy"
 )
 
-// tierEventQueue is the number of events that may wait for a tier's engine before their senders wait. It is small
-// since a node may have hundreds of engines.
+// tierEventQueue is the number of events that a tier's engine queues before their senders block. It is small because a
+// node may have hundreds of engines.
 const tierEventQueue = 64
 
-// tiers is what requests read of an active cluster. It is immutable.
+// tiers holds the tiers and limits of an active cluster, as requests read them. It is immutable.
 type tiers struct {
 	plan   *priority.Plan
 	list   []*tier // in the order of plan.Tiers; at least one
 	limits cluster.Limits
 }
 
-// tier is the healthy or the degraded endpoints of one priority, with an engine and connections of its own.
+// tier is the set of healthy or of degraded endpoints of one priority, with an engine and upstream connections of its own.
 type tier struct {
 	engine  *engine.Cluster
 	pool    upstreamPool
 	sender  *sender
-	current *cluster.Config // the version that the engine has
+	current *cluster.Config // the configuration in force in the engine; nil: none yet
 }
 
-// upstreamPool carries a tier's attempts.
+// upstreamPool is a pool of upstream connections that sends the attempts of a tier.
 type upstreamPool interface {
 	engine.Exchanger
 	UpdateEndpoints(full bool, endpoints []h1client.Endpoint)
@@ -45,7 +45,7 @@
 	_ upstreamPool = (*h2client.Pool)(nil)
 )
 
-// tier returns the tier of a key and starts it if it does not run; r.mu is locked.
+// tier returns the tier with key k, and starts the tier if it is not running. The caller holds r.mu.
 func (r *managedCluster) tier(k priority.Key) (*tier, error) {
 	if t := r.tiers[k]; t != nil {
 		return t, nil
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	a.background.Go(func() { pool.EvictIdle(ctx) })
-	a.background.Go(func() { // the engine ends by retire or with the app
+	a.background.Go(func() { // the engine ends when it is retired or when the app is closed
 		<-e.Ended()
 		pool.UpdateEndpoints(true, nil)
 		stop()
@@ -70,7 +70,7 @@
 	return t, nil
 }
 
-// newPool returns a pool of upstream connections by the cluster's protocol.
+// newPool returns a pool of upstream connections for the cluster's protocol.
 func (r *managedCluster) newPool() upstreamPool {
 	o := h1client.Options{
 		EndpointIdleTimeout: r.upstream.Idle, ConnectTimeout: r.upstream.ConnectTimeout,
@@ -92,14 +92,14 @@
 	return o
 }
 
-// updateTiers brings the tiers to the cluster's current version, as of a time on the clock, and starts those that do
-// not run yet; r.mu is locked.
+// updateTiers applies the cluster's current configuration to its tiers, as of a time on the app's clock. Tiers that are
+// not running are started, and tiers that the configuration no longer has are retired. The caller holds r.mu.
 func (r *managedCluster) updateTiers(deliveredAt time.Duration) *tiers {
 	next := &tiers{plan: priority.New(r.current, r.slowStart()), limits: r.current.Limits}
 	used := map[*tier]bool{}
 	for i := range next.plan.Tiers {
 		t, err := r.tier(next.plan.Tiers[i].Key)
-		if err != nil { // the settings were checked when the version was applied
+		if err != nil { // impossible: the settings were checked when the version was applied
 			panic(fmt.Sprintf("cluster %s: %v", r.name, err))
 		}
 		used[t] = true
@@ -111,7 +111,7 @@
 		r.restoreSnapshot(next.plan.Tiers[i].Key, t)
 	}
 	r.snapshots = nil
-	// Requests see the new tiers before the others lose their endpoints, or some would be rejected in between.
+	// The new tiers are stored before the old ones lose their endpoints, since requests in between would be rejected.
 	r.active.Store(next)
 	for k, t := range r.tiers {
 		if !used[t] {
@@ -127,17 +127,17 @@
 	return priority.SlowStart{MinCapacity: rules.SlowStartMinCapacity, Window: rules.SlowStartWindow}
 }
 
-// applyLimits sets the limits of all tiers' pools and engines; r.mu is locked.
-func (r *managedCluster) applyLimits(b *cluster.Limits) {
+// applyLimits sets the limits of the pools and engines of all tiers. The caller holds r.mu.
+func (r *managedCluster) applyLimits(limits *cluster.Limits) {
 	connectTimeout, maxOpen := r.upstream.ConnectTimeout, r.upstream.Connections
-	if b.ConnectTimeout > 0 {
-		connectTimeout = b.ConnectTimeout
+	if limits.ConnectTimeout > 0 {
+		connectTimeout = limits.ConnectTimeout
 	}
-	if b.MaxConnections > 0 {
-		maxOpen = min(maxOpen, b.MaxConnections)
+	if limits.MaxConnections > 0 {
+		maxOpen = min(maxOpen, limits.MaxConnections)
 	}
 	for _, t := range r.tiers {
 		t.pool.SetLimits(connectTimeout, maxOpen)
-		t.engine.LimitRetries(b.MaxRetries)
+		t.engine.LimitRetries(limits.MaxRetries)
 	}
 }
--- a/internal/app/tierupdate.go
+++ b/internal/app/tierupdate.go
@@ -9,16 +9,16 @@
 	"yokestall/policy"
 )
 
-// tierUpdate is the difference of two versions of a tier, in the forms that the sender and the pool, the engine, and
-// the streams need.
+// tierUpdate is the difference between two configurations of a tier, in the forms that the sender and the pool, the
+// engine, and the streams need.
 type tierUpdate struct {
 	clock     engine.Clock
-	addresses []h1client.Endpoint // for the sender and the pool
-	endpoints []policy.Endpoint   // for the engine
-	draining  []policy.EndpointID // those that drain or were removed, for the streams
+	addresses []h1client.Endpoint // changed and removed endpoints, for the sender and the pool
+	endpoints []policy.Endpoint   // changed and removed endpoints, for the engine
+	draining  []policy.EndpointID // endpoints that drain or were removed, for the streams
 }
 
-// update brings the tier to another version, which was delivered at a time on the clock.
+// update applies a new configuration of the tier, which was delivered at a time on the clock.
 func (t *tier) update(clock engine.Clock, deliveredAt time.Duration, c *cluster.Config, streams *streams) {
 	d := cluster.Diff(t.current, c)
 	t.current = c
@@ -30,11 +30,11 @@
 	t.sender.update(u.addresses)
 	t.pool.UpdateEndpoints(false, u.addresses)
 	t.engine.UpdateEndpointsAt(deliveredAt, policy.DeltaUpdate, u.endpoints)
-	streams.drain(deliveredAt, u.draining) // after the engine: see streams.limit
+	streams.drain(deliveredAt, u.draining) // must follow the engine's update: see streams.limit
 }
 
-// addDifference adds removals before additions: an endpoint that was restarted at the same address is removed and added
-// under the same key.
+// addDifference adds the changes of a difference. Removals come before additions, since an endpoint that was restarted at
+// the same address is removed and added under the same key.
 func (u *tierUpdate) addDifference(d *cluster.Difference) {
 	for i := range d.Removed {
 		u.remove(&d.Removed[i])
@@ -54,7 +54,7 @@
 	}
 }
 
-// put adds an endpoint as it is now.
+// put adds the current form of an endpoint.
 func (u *tierUpdate) put(e *cluster.Endpoint) {
 	id := policy.EndpointID(e.Key())
 	u.addresses = append(u.addresses, h1client.Endpoint{ID: id, Address: e.Address, Incarnation: float64(e.StartedMs)})
@@ -76,7 +76,7 @@
 	u.draining = append(u.draining, id)
 }
 
-// endpoints returns all endpoints of the tier.
+// endpoints returns the IDs of all endpoints of the tier.
 func (t *tier) endpoints() (list []policy.EndpointID) {
 	if t.current != nil {
 		for i := range t.current.Endpoints {
