--- a/internal/app/agreedsource.go
+++ b/internal/app/agreedsource.go
@@ -36,16 +36,16 @@
 
 // Parse parses the files of a version. It fails if a file is invalid or the version conflicts with the node's own file.
 func (s *AgreedSource) Parse(list []config.File) (*consensus.Version, error) {
-	snapshot, err := s.parser.Unbundle(list)
+	parsed, err := s.parser.Unbundle(list)
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, err := s.own.Agreed(snapshot.Program); err != nil {
+	if _, err := s.own.Agreed(parsed.Program); err != nil {
 		return nil, err
 	}
-	return &consensus.Version{Program: snapshot.Program, Clusters: snapshot.Version.Clusters}, nil
+	return &consensus.Version{Program: parsed.Program, Clusters: parsed.Version.Clusters}, nil
 }
 
 // Extend returns version v with changed endpoint lists. Only the changes are parsed. The error names the change that
@@ -88,6 +88,6 @@
 	if err != nil {
 		return err
 	}
-	snapshot := &files.Configuration{Program: p, Version: &cluster.Version{Clusters: v.Clusters}}
-	return s.app.ApplyRejecting(time.Now(), snapshot, v.RefusedClasses)
+	configuration := &files.Configuration{Program: p, Version: &cluster.Version{Clusters: v.Clusters}}
+	return s.app.ApplyRejecting(time.Now(), configuration, v.RefusedClasses)
 }
--- a/internal/app/agreedsource_test.go
+++ b/internal/app/agreedsource_test.go
@@ -13,16 +13,16 @@
 	"yokestall/internal/testutil"
 )
 
-// A hundred changes of classes, limits and the number of nodes under load: no request fails, and what was learnt of a
-// server that fails is retained.
+// A hundred changes of classes, limits and the number of nodes are applied under load. No request must fail, and the
+// engines must retain that a failing server's breaker is open.
 func TestSettingsUnderLoad(t *testing.T) {
 	good, bad := testutil.StartAppServer(t, "good"), testutil.StartAppServer(t, "bad")
 	good.SetDelay(time.Millisecond)
 	bad.SetFailing(true)
-	list := rooms(endpointOf(good), endpointOf(bad))
+	list := roomsCluster(endpointOf(good), endpointOf(bad))
 	own := parse(t, program)
-	s := serve(t, snapshot(own, list))
-	for i := range 60 { // it learns
+	s := serve(t, newConfiguration(own, list))
+	for i := range 60 { // enough requests to open the failing server's breaker
 		s.get("/x", fmt.Sprint("learn-", i))
 	}
 	before := bad.Count()
@@ -49,28 +49,30 @@
 	source := NewAgreedSource(s.app, own)
 	for i := range 100 {
 		version := &consensus.Version{
-			Program: parse(t, changedProgram(i)), Clusters: snapshot(own, list).Version.Clusters,
+			Program: parse(t, changedProgram(i)), Clusters: newConfiguration(own, list).Version.Clusters,
 		}
 		if err := source.Apply(consensus.EffectiveVersion{Version: version}); err != nil {
 			t.Fatal(err)
 		}
 		n := sent.Load()
-		testutil.Until(t, "some requests under these settings", func() bool { return sent.Load() >= n+5 })
+		testutil.Until(t, "five requests under the changed settings", func() bool { return sent.Load() >= n+5 })
 	}
 	close(stop)
 	run.Wait()
 	if failed.Load() > 0 {
-		t.Errorf("%d of %d failed", failed.Load(), sent.Load())
+		t.Errorf("%d of %d requests failed, want none", failed.Load(), sent.Load())
 	}
-	// Without what was learnt, each of the 100 would have sent attempts until its breaker opened: three at least.
+	// Without snapshots, the engines of each of the 100 changes would have sent attempts to the failing server until its
+	// breaker opened: at least three attempts per change.
 	if more := bad.Count() - before; more > 150 {
-		t.Errorf("%d attempts at a server that was known to fail", more)
+		t.Errorf("%d attempts were sent to the failing server during the changes, want at most 150", more)
 	}
-	t.Logf("%d sent, %d failed; %d attempts at the bad server over 100 changes, %d while it was learnt",
+	t.Logf("%d requests sent, %d failed; attempts at the failing server: %d over 100 changes, %d before them",
 		sent.Load(), failed.Load(), bad.Count()-before, before)
 }
 
-// changedProgram returns program with another limit of attempts, a fleet and a further class before the others.
+// changedProgram returns program with another maximum number of attempts, another number of nodes and one more class
+// before the others.
 func changedProgram(i int) string {
 	const firstClass = "[[class]]\nname = \"read\""
 	added := fmt.Sprintf("[fleet]\nnodes = %d\n", 1+i%4) +
@@ -79,72 +81,76 @@
 	return strings.Replace(text, firstClass, added+firstClass, 1)
 }
 
-// The lease is checked when a request is decided and again right before it is sent: where it is lost in between,
-// nothing is sent, and the client gets Retry-After.
+// The lease is checked when a request is routed and again right before each send. If the lease is lost in between,
+// nothing must be sent, and the client must get Retry-After.
 func TestLeaseAtDecisionAndSend(t *testing.T) {
 	b := testutil.StartAppServer(t, "box")
 	var checks, validChecks atomic.Int64
 	validChecks.Store(1 << 40)
-	s := serveWith(t, snapshot(parse(t, program), rooms(endpointOf(b))), Options{
+	s := serveWith(t, newConfiguration(parse(t, program), roomsCluster(endpointOf(b))), Options{
 		Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return checks.Add(1) <= validChecks.Load() },
 	})
 	if status, _, _ := s.get("/x", "good"); status != http.StatusOK || b.Count() != 1 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("with a valid lease: status %d, want 200 and one request at the server", status)
 	}
-	each := checks.Load() // at the decision, and before the first byte
-	if each < 2 {
-		t.Errorf("checked %d times", each)
+	checksPerRequest := checks.Load() // when the request is routed, and before the first byte is sent
+	if checksPerRequest < 2 {
+		t.Errorf("the lease was checked %d times for a request, want at least 2", checksPerRequest)
 	}
-	for at := range each {
+	for at := range checksPerRequest {
 		checks.Store(0)
 		validChecks.Store(at)
 		began := time.Now()
 		for _, path := range []string{"/x", "/pay/x"} {
 			status, header, _ := s.get(path, "")
 			if status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" || b.Count() != 1 {
-				t.Errorf("%s, lost after %d checks: status %d, %v, %d came", path, at, status, header, b.Count())
+				t.Errorf("%s, lease lost after %d checks: status %d, header %v, %d requests at the server; "+
+					"want 503 with Retry-After and 1 request", path, at, status, header, b.Count())
 			}
 			checks.Store(0)
 		}
 		if took := time.Since(began); took > testutil.WaitTimeout/2 {
-			t.Errorf("answered after %v", took)
+			t.Errorf("both requests were answered after %v, want less than half of testutil.WaitTimeout", took)
 		}
 	}
 }
 
-// A request that was decided by rules of its class that no longer apply is not sent, although the lease is valid.
+// A request that was routed by a state whose decisions for its class are no longer valid must not be sent, although the
+// lease is valid.
 func TestDecidedByOldRules(t *testing.T) {
 	b := testutil.StartAppServer(t, "box")
 	own := parse(t, program)
 	o := Options{Seed: 1, Log: testutil.Log(t), LeaseValid: func() bool { return true }}
-	s := serveWith(t, snapshot(own, rooms(endpointOf(b))), o)
+	s := serveWith(t, newConfiguration(own, roomsCluster(endpointOf(b))), o)
 	old := s.app.state.Load()
 	read, pay := s.app.sendAllowed(old, "read"), s.app.sendAllowed(old, "pay")
 	apply := func(text string, rejected map[string]string) {
 		t.Helper()
-		if err := s.app.ApplyRejecting(time.Now(), snapshot(parse(t, text), rooms(endpointOf(b))), rejected); err != nil {
+		next := newConfiguration(parse(t, text), roomsCluster(endpointOf(b)))
+		if err := s.app.ApplyRejecting(time.Now(), next, rejected); err != nil {
 			t.Fatal(err)
 		}
 	}
 	apply(strings.Replace(program, "attempts = 3", "attempts = 2", 1), nil)
 	if !read() || !pay() {
-		t.Error("a change of limits ends what was decided before")
+		t.Error("after a change of limits, earlier decisions are no longer valid")
 	}
 	apply(program, map[string]string{"pay": "its routes change"})
 	if !read() || pay() {
-		t.Error("a class that is refused goes on, or another doesn't")
+		t.Errorf("after rejecting class pay: sends allowed for read %v, pay %v; want true, false", read(), pay())
 	}
 	status, header, body := s.get("/pay/x", "refused")
 	rejected := status == 503 && header.Get("Retry-After") != "" && strings.Contains(body, "its routes change")
 	if !rejected || b.Count() > 0 {
-		t.Errorf("status %d, %v, %q", status, header, body)
+		t.Errorf("rejected class: status %d, header %v, body %q; want 503 with Retry-After and the reason",
+			status, header, body)
 	}
 	apply(program, nil)
 	if pay() || !s.app.sendAllowed(s.app.state.Load(), "pay")() {
-		t.Error("what was decided before goes on, or new ones don't")
+		t.Error("once class pay is admitted again: earlier decisions are valid, or new ones are not")
 	}
 	apply(strings.Replace(program, "effect = \"safe\"", "effect = \"unsafe\"", 1), nil)
 	if read() {
-		t.Error("decided as safe, it is sent as unsafe")
+		t.Error("a request that was routed while its class was safe may be sent after the class became unsafe")
 	}
 }
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -7,15 +7,15 @@
 	"yokestall/internal/testutil"
 )
 
-// A request with nothing but a path is served: the front gives it an id.
+// A request without any header fields of the client's own is served, and the load balancer gives it a request id.
 func TestPlainRequest(t *testing.T) {
 	b := testutil.StartAppServer(t, "box-1")
-	s := serve(t, snapshot(parse(t, program), rooms(endpointOf(b))))
+	s := serve(t, newConfiguration(parse(t, program), roomsCluster(endpointOf(b))))
 	status, _, body := s.get("/hotels", "")
 	if status != 200 || !strings.HasPrefix(body, "box-1 served ") {
-		t.Errorf("status %d, body %q", status, body)
+		t.Errorf("status %d, body %q; want 200 and an answer of box-1", status, body)
 	}
 	if seen, _ := b.Seen(); len(seen) != 1 || seen[0].ID == "" {
-		t.Errorf("the box saw %+v", seen)
+		t.Errorf("the box saw %+v, want one request with an id", seen)
 	}
 }
--- a/internal/app/apply_test.go
+++ b/internal/app/apply_test.go
@@ -12,35 +12,35 @@
 	"yokestall/internal/testutil"
 )
 
-// A route to a cluster that nobody defines rejects its own requests and no others, and
-// serves them once the cluster is defined.
+// Requests on a route to an undefined cluster are rejected until the cluster is defined. Other routes are not affected.
 func TestUndefinedCluster(t *testing.T) {
 	b := testutil.StartAppServer(t, "box-1")
 	p := parse(t, program)
-	s := serve(t, snapshot(p, rooms(endpointOf(b))))
+	s := serve(t, newConfiguration(p, roomsCluster(endpointOf(b))))
 	status, header, _ := s.get("/lost/x", "")
 	if status != 503 || header.Get("Retry-After") != "0.600" {
-		t.Errorf("status %d, %v", status, header)
+		t.Errorf("undefined cluster: status %d, header %v; want 503 with Retry-After 0.600", status, header)
 	}
 	if status, _, _ := s.get("/x", ""); status != 200 {
-		t.Errorf("another route gets status %d", status)
+		t.Errorf("another route: status %d, want 200", status)
 	}
-	found := rooms(endpointOf(b))
+	found := roomsCluster(endpointOf(b))
 	found.Name = "undefined"
-	if err := s.app.Apply(snapshot(p, rooms(endpointOf(b)), found)); err != nil {
+	if err := s.app.Apply(newConfiguration(p, roomsCluster(endpointOf(b)), found)); err != nil {
 		t.Fatal(err)
 	}
 	if status, _, _ := s.get("/lost/x", ""); status != 200 {
-		t.Errorf("status %d once it is defined", status)
+		t.Errorf("once the cluster is defined: status %d, want 200", status)
 	}
 }
 
-// A cluster is removed, or a route changed, with requests open: those end, and new ones go where the version says.
+// A cluster is removed and its routes are changed while requests are in flight. Those requests must be completed by their
+// server, and new requests must go to the new cluster.
 func TestClusterRemovedWhileOpen(t *testing.T) {
 	slow, other := testutil.StartAppServer(t, "slow"), testutil.StartAppServer(t, "other")
 	slow.SetDelay(300 * time.Millisecond)
 	p := parse(t, program)
-	s := serve(t, snapshot(p, rooms(endpointOf(slow))))
+	s := serve(t, newConfiguration(p, roomsCluster(endpointOf(slow))))
 	answers := make(chan string, 8)
 	for i := range 4 {
 		go func() {
@@ -50,44 +50,43 @@
 	}
 	testutil.Until(t, "a request to reach the box", func() bool { return slow.Count() > 0 })
 	moved := parse(t, strings.ReplaceAll(program, `cluster = "rooms"`, `cluster = "suites"`))
-	suites := rooms(endpointOf(other))
+	suites := roomsCluster(endpointOf(other))
 	suites.Name = "suites"
-	if err := s.app.Apply(snapshot(moved, suites)); err != nil {
+	if err := s.app.Apply(newConfiguration(moved, suites)); err != nil {
 		t.Fatal(err)
 	}
 	if status, _, body := s.get("/pay/y", "new"); status != 200 || !strings.HasPrefix(body, "other") {
-		t.Errorf("a new request: status %d, %q", status, body)
+		t.Errorf("a new request: status %d, body %q; want 200 and an answer of other", status, body)
 	}
 	served := 0
-	for range 4 { // one that came later was served by the other
+	for range 4 { // a request that was routed after the change was served by the other box
 		if strings.HasPrefix(<-answers, "slow ") {
 			served++
 		}
 	}
 	if seen := slow.Count(); served != seen || served == 0 {
-		t.Errorf("%d of those open were served; %d had reached the box", served, seen)
+		t.Errorf("the removed cluster's box answered %d requests, want all %d that reached it, and at least one", served, seen)
 	}
 }
 
-// An endpoint under the same id at another address is another server at once.
+// When the address of an endpoint changes and its id stays, requests go to the new address at once.
 func TestEndpointMoves(t *testing.T) {
 	a, b := testutil.StartAppServer(t, "a"), testutil.StartAppServer(t, "b")
 	p := parse(t, program)
 	at := func(b *appbox.Server) cluster.Endpoint { return cluster.Endpoint{ID: "same", Address: b.Addr()} }
-	s := serve(t, snapshot(p, rooms(at(a))))
+	s := serve(t, newConfiguration(p, roomsCluster(at(a))))
 	for i := range 10 {
 		to := []*appbox.Server{a, b}[i%2]
-		if err := s.app.Apply(snapshot(p, rooms(at(to)))); err != nil {
+		if err := s.app.Apply(newConfiguration(p, roomsCluster(at(to)))); err != nil {
 			t.Fatal(err)
 		}
 		if status, _, body := s.get("/x", ""); status != 200 || !strings.HasPrefix(body, to.Name+" ") {
-			t.Errorf("version %d: status %d, %q", i, status, body)
+			t.Errorf("version %d: status %d, body %q; want 200 and an answer of %s", i, status, body, to.Name)
 		}
 	}
 }
 
-// A new endpoint at the address of one that was removed is another server, with nothing of
-// the former one's.
+// A new endpoint at the address of a removed endpoint is another endpoint: requests are attributed to its own id.
 func TestAddressReused(t *testing.T) {
 	b := testutil.StartAppServer(t, "b")
 	log := &sendLog{names: map[uint64]string{}}
@@ -95,38 +94,38 @@
 	named := func(id string) *files.Configuration {
 		e := cluster.Endpoint{ID: id, Address: b.Addr(), Weight: 1}
 		log.names[e.Key()] = id
-		return snapshot(p, rooms(e))
+		return newConfiguration(p, roomsCluster(e))
 	}
 	first, second := named("old"), named("new")
-	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t), OnSend: log.note})
+	s := serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t), OnSend: log.record})
 	for i, v := range []*files.Configuration{first, second} {
 		if err := s.app.Apply(v); err != nil {
 			t.Fatal(err)
 		}
 		if status, _, _ := s.get("/x", ""); status != 200 || log.list[i].server != []string{"old", "new"}[i] {
-			t.Errorf("status %d, sent to %v", status, log.list)
+			t.Errorf("version %d: status %d, sends %v; want 200 and a send to the version's own endpoint", i, status, log.list)
 		}
 	}
 }
 
-// A cluster's bounds: a request that is dropped by share, or is over the limit of open ones, is rejected at once, with
-// Retry-After, and reaches no server.
+// A request that belongs to a dropped share, or exceeds the cluster's limit of requests in flight, must be rejected at
+// once with Retry-After and must not reach a server.
 func TestBounds(t *testing.T) {
 	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
 	bounded := func(bounds cluster.Limits) *files.Configuration {
-		c := rooms(endpointOf(b))
+		c := roomsCluster(endpointOf(b))
 		c.Limits = bounds
-		return snapshot(p, c)
+		return newConfiguration(p, c)
 	}
 	s := serve(t, bounded(cluster.Limits{Drops: []cluster.Drop{{Category: "all", Fraction: 1}}}))
 	wantRejected := func(what string) {
 		t.Helper()
 		if status, header, _ := s.get("/x", ""); status != 503 || header.Get("Retry-After") != "0.600" {
-			t.Errorf("%s: status %d, %v", what, status, header)
+			t.Errorf("%s: status %d, header %v; want 503 with Retry-After 0.600", what, status, header)
 		}
 	}
-	wantRejected("dropped")
+	wantRejected("a dropped request")
 	if b.Count() != 0 {
 		t.Error("a dropped request reached a server")
 	}
@@ -139,17 +138,17 @@
 		status, _, _ := s.get("/x", "")
 		first <- status
 	}()
-	testutil.Until(t, "the first to reach the box", func() bool { return b.Count() > 0 })
-	wantRejected("the second one at once")
-	if status := testutil.Wait(t, first, "the first"); status != 200 {
-		t.Errorf("the first: status %d", status)
+	testutil.Until(t, "the first request to reach the box", func() bool { return b.Count() > 0 })
+	wantRejected("a second request in flight")
+	if status := testutil.Wait(t, first, "the answer to the first request"); status != 200 {
+		t.Errorf("the first request: status %d, want 200", status)
 	}
 	if status, _, _ := s.get("/x", ""); status != 200 {
-		t.Errorf("with none open: status %d", status)
+		t.Errorf("with no other request in flight: status %d, want 200", status)
 	}
 }
 
-// BenchmarkTake puts a version in force of which one server changed.
+// BenchmarkTake puts versions in force in which one endpoint of the cluster changed.
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -162,7 +161,7 @@
 					})
 				}
 				list[n/2].Weight = weight
-				return snapshot(p, rooms(list...))
+				return newConfiguration(p, roomsCluster(list...))
 			}
 			two := []*files.Configuration{version(1), version(2)}
 			a, err := New(two[0], Options{Seed: 1, Log: testutil.DiscardLogger})
--- a/internal/app/behaviours_messages_test.go
+++ b/internal/app/behaviours_messages_test.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/fake/webpeer"
 )
 
-// addBodySizes adds bodies of any size, with their length known or not.
+// addBodySizes adds behaviours of bodies of several sizes, with a known and an unknown length.
 func (l *behaviourList) addBodySizes() {
 	add := l.add
 	sizes := []int{0, 1, 1000, 64 << 10, 64<<10 + 1, 1 << 20}
@@ -19,7 +19,7 @@
 			add(fmt.Sprintf("answer of %d bytes, %s length", n, kind), "9112 6.3, 9113 8.1", func(c *cell) error {
 				resp, text, err := c.exchange("GET", "/x", fmt.Sprintf("%s %d", kind, n), nil, 0)
 				if err != nil || resp.StatusCode != 200 || !bytes.Equal(text, webpeer.Pattern(n)) {
-					return fmt.Errorf("%d bytes, %v", len(text), err)
+					return fmt.Errorf("%d bytes, error %v; want status 200 and %d bytes of the pattern", len(text), err, n)
 				}
 				return nil
 			})
@@ -31,11 +31,12 @@
 				before := c.peer.Completed.Load()
 				resp, _, err := c.exchange("POST", "/pay/x", "", io.NopCloser(bytes.NewReader(webpeer.Pattern(n))), length)
 				if err != nil || resp.StatusCode != 200 {
-					return fmt.Errorf("%v %v", resp, err)
+					return fmt.Errorf("answer %v, error %v; want status 200", resp, err)
 				}
 				want := patternSum(n)
 				if _, sum := c.peer.Last(); sum != want || c.peer.Completed.Load() != before+1 {
-					return fmt.Errorf("the server got another body, or %d requests", c.peer.Completed.Load()-before)
+					return fmt.Errorf("the server got a different body, or %d requests instead of 1",
+						c.peer.Completed.Load()-before)
 				}
 				return nil
 			})
@@ -43,7 +44,7 @@
 	}
 }
 
-// addRequestLines adds statuses, methods and targets.
+// addRequestLines adds behaviours of statuses, methods and request targets.
 func (l *behaviourList) addRequestLines() {
 	add := l.add
 	for _, status := range []int{200, 201, 204, 206, 301, 304, 400, 401, 404, 409, 418, 500, 503} {
@@ -54,10 +55,10 @@
 				want = ""
 			}
 			if err != nil || resp.StatusCode != status || string(text) != want {
-				return fmt.Errorf("%v, %q, %v", resp, text, err)
+				return fmt.Errorf("answer %v, body %q, error %v; want status %d and body %q", resp, text, err, status, want)
 			}
 			if resp.Header.Get("Location") != "/elsewhere" {
-				return fmt.Errorf("%v, %q, %v", resp, text, err)
+				return fmt.Errorf("answer %v, body %q, error %v; want Location: /elsewhere", resp, text, err)
 			}
 			return nil
 		})
@@ -66,10 +67,10 @@
 		add("method "+method, "9110 9", func(c *cell) error {
 			resp, text, err := c.exchange(method, "/x", "", nil, 0)
 			if err != nil || resp.StatusCode != 200 {
-				return fmt.Errorf("%v, %v", resp, err)
+				return fmt.Errorf("answer %v, error %v; want status 200", resp, err)
 			}
 			if seen, _ := c.peer.Last(); seen.Method != method || method == "HEAD" && len(text) > 0 {
-				return fmt.Errorf("the server saw %s", seen.Method)
+				return fmt.Errorf("the server saw method %s and the client a body of %d bytes", seen.Method, len(text))
 			}
 			return nil
 		})
@@ -91,7 +92,7 @@
 			}
 			resp.Body.Close()
 			if seen, _ := c.peer.Last(); seen.RequestURI != target {
-				return fmt.Errorf("the server saw %q", seen.RequestURI)
+				return fmt.Errorf("the server saw target %q, want %q", seen.RequestURI, target)
 			}
 			return nil
 		})
--- a/internal/app/behaviours_streams_test.go
+++ b/internal/app/behaviours_streams_test.go
@@ -13,7 +13,7 @@
 	"yokestall/internal/fake/webpeer"
 )
 
-// addStreams adds what happens while a message is not complete.
+// addStreams adds behaviours while a request or an answer is incomplete.
 func (l *behaviourList) addStreams() {
 	add := l.add
 	add("a stream that takes nothing holds up no other", "9113 5.2", func(c *cell) error {
@@ -27,7 +27,7 @@
 		for range 3 {
 			resp, text, err := c.exchange("GET", "/x", "known 100000", nil, 0)
 			if err != nil || resp.StatusCode != 200 || len(text) != 100_000 {
-				return fmt.Errorf("%v, %d bytes, %v", resp, len(text), err)
+				return fmt.Errorf("answer %v, %d bytes, error %v; want status 200 and 100000 bytes", resp, len(text), err)
 			}
 		}
 		return nil
@@ -62,37 +62,37 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != 200 || !continued {
-			return fmt.Errorf("status %d, continued %v", resp.StatusCode, continued)
+			return fmt.Errorf("status %d, 100 Continue received: %v; want 200, true", resp.StatusCode, continued)
 		}
 		return nil
 	})
 }
 
-// addEarlyAnswers adds answers before the end of the request.
+// addEarlyAnswers adds behaviours of answers that are sent before the end of the request.
 func (l *behaviourList) addEarlyAnswers() {
 	add := l.add
 	add("a body over the listener's bound is 413", "9110 15.5.14", func(c *cell) error {
 		before := c.peer.Completed.Load()
 		resp, _, err := c.exchange("POST", "/pay/x", "", io.NopCloser(io.LimitReader(zeros{}, 17<<20)), -1)
 		if err == nil && resp.StatusCode != 413 {
-			return fmt.Errorf("status %d", resp.StatusCode)
+			return fmt.Errorf("status %d, want 413", resp.StatusCode)
 		}
 		if c.peer.Completed.Load() != before {
-			return errors.New("the server took a part for a complete request")
+			return errors.New("the server took a truncated request for a complete one")
 		}
 		return nil
 	})
 	add("an answer before the request's end", "9110 7.5", func(c *cell) error {
 		resp, _, err := c.exchange("POST", "/pay/x", "early", io.NopCloser(io.LimitReader(zeros{}, 8<<20)), -1)
-		// 502: a server that resets the connection may destroy its own answer
+		// 502 is allowed, since a server that resets the connection may destroy its own answer.
 		if err == nil && resp.StatusCode != 413 && resp.StatusCode != 502 {
-			return fmt.Errorf("status %d", resp.StatusCode)
+			return fmt.Errorf("status %d, want 413 or 502", resp.StatusCode)
 		}
 		return nil
 	})
 }
 
-// addDuplex adds a request and its answer that go on at once.
+// addDuplex adds a behaviour of a request and an answer that are sent at the same time.
 func (l *behaviourList) addDuplex() {
 	add := l.add
 	add("both ways at once", "9110 7.5, 9113 5", func(c *cell) error {
@@ -120,13 +120,13 @@
 			}
 			echo := make([]byte, len(message))
 			if _, err := io.ReadFull(g.resp.Body, echo); err != nil || string(echo) != message {
-				return fmt.Errorf("%q, %v", echo, err)
+				return fmt.Errorf("echo %q, error %v; want %q", echo, err, message)
 			}
 		}
 		to.Close()
 		rest, err := io.ReadAll(g.resp.Body)
 		if err != nil || len(rest) > 0 {
-			return fmt.Errorf("%q, %v", rest, err)
+			return fmt.Errorf("after the end of the request: %q, error %v; want the end of the answer", rest, err)
 		}
 		return nil
 	})
--- a/internal/app/behaviours_test.go
+++ b/internal/app/behaviours_test.go
@@ -8,22 +8,22 @@
 	"yokestall/internal/fake/webpeer"
 )
 
-// behaviour is one line of the matrix.
+// behaviour is one line of the matrix of TestMatrix: a check that must hold for each pair of protocols.
 type behaviour struct {
 	name   string
-	source string              // the section of the RFC that asks for it
-	check  func(c *cell) error // nil: the cell behaves so
+	source string              // RFC and section that require the behaviour, or another source
+	check  func(c *cell) error // returns nil if the behaviour holds in the cell
 }
 
-// behaviourList is the lines of the matrix in their order.
+// behaviourList is the list of the matrix's lines, in order.
 type behaviourList []behaviour
 
-// add adds a line.
+// add appends a line to the matrix.
 func (l *behaviourList) add(name, source string, check func(c *cell) error) {
 	*l = append(*l, behaviour{name, source, check})
 }
 
-// behaviours returns what every pair of sides has in common. Files named behaviours have the lines by concern.
+// behaviours returns all lines of the matrix. They are defined by topic in the files behaviours_*_test.go.
 func behaviours() []behaviour {
 	var l behaviourList
 	l.addBodySizes()
@@ -38,16 +38,17 @@
 	return l
 }
 
-// patternSum returns what a peer reports of a body of n bytes of webpeer.Pattern: its SHA-256 in hexadecimal.
+// patternSum returns the SHA-256 checksum, in hexadecimal, that a peer reports for a body of n bytes of webpeer.Pattern.
 func patternSum(n int) string { return fmt.Sprintf("%x", sha256.Sum256(webpeer.Pattern(n))) }
 
-// atEnd is a reader without content, which is called when all before it has been read.
-type atEnd func()
+// eofCallback is an empty reader that calls a function when it is read. At the end of an io.MultiReader, the call comes
+// once all readers before it are exhausted.
+type eofCallback func()
 
 // Read implements io.Reader.
-func (do atEnd) Read([]byte) (int, error) { do(); return 0, io.EOF }
+func (callback eofCallback) Read([]byte) (int, error) { callback(); return 0, io.EOF }
 
-// zeros is a reader of zero bytes without an end.
+// zeros is an endless reader of zero bytes.
 type zeros struct{}
 
 // Read implements io.Reader.
--- a/internal/app/bounds_test.go
+++ b/internal/app/bounds_test.go
@@ -15,9 +15,9 @@
 	"yokestall/internal/testutil"
 )
 
-// A listener's bounds on heads and on clients that stall, on a socket of both versions: a head over the bound gets
-// 431, an upload that stalls 408, and a client that reads nothing of its stream loses its connection, which ends the
-// stream at its server.
+// The limits of a listener that serves HTTP/1.1 and HTTP/2: a request head over the limit is answered with 431, an upload
+// that stalls with 408, and a client that reads nothing of its stream loses its connection, which ends the stream at the
+// server.
 func TestListenerBounds(t *testing.T) {
 	over := make(chan struct{}, 1)
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -29,26 +29,26 @@
 		}
 	})
 	listener := config.Listener{HTTP2: 10, MaxHead: 1 << 10, Stall: 100 * time.Millisecond}
-	c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, listener, b.Addr())
+	c := newCellWithServers(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, listener, b.Addr())
 	largeHead := "GET /x HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("v", 8<<10) + "\r\n\r\n"
 	if got := exchangeRaw(t, c.addr, largeHead, "\r\n"); !strings.Contains(got, "431") {
-		t.Errorf("a head of 8 KiB: %q", got)
+		t.Errorf("a head of 8 KiB: answer %q, want status 431", got)
 	}
 	const stalledUpload = "POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhe"
 	if got := exchangeRaw(t, c.addr, stalledUpload, "\r\n"); !strings.Contains(got, "408") {
-		t.Errorf("an upload that stops: %q", got)
+		t.Errorf("an upload that stalls: answer %q, want status 408", got)
 	}
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n") // and takes nothing
+	io.WriteString(nc, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n") // the client reads nothing of the answer
 	testutil.Wait(t, over, "the stream to end at its server")
 }
 
-// A client that renegotiates (TLS 1.2) is ended with an alert, and the next one is served. Go's client can't
-// begin a renegotiation, so OpenSSL's does where it is installed; it is ended if it waits.
+// A client that renegotiates (TLS 1.2) gets an alert and loses its connection, and the next client is served. Go's client
+// can't start a renegotiation, so the test uses OpenSSL's client and is skipped where that is not installed.
 func TestRenegotiation(t *testing.T) {
 	openssl, err := exec.LookPath("openssl")
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	b := testutil.StartAppServer(t, "b")
 	keys, authority := matrixKeys(t)
-	c := newCellTo(t, webpeer.Protocol{TLS: true}, webpeer.Protocol{}, keys, authority, config.Listener{}, b.Addr())
+	c := newCellWithServers(t, webpeer.Protocol{TLS: true}, webpeer.Protocol{}, keys, authority, config.Listener{}, b.Addr())
 	ctx, cancel := context.WithTimeout(t.Context(), testutil.WaitTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, openssl, "s_client", "-connect", c.addr, "-tls1_2")
@@ -64,19 +64,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer in.Close() // its end would end the client by itself
+	defer in.Close() // closed late, since the end of its input would end the client
 	var out strings.Builder
 	cmd.Stdout, cmd.Stderr = &out, &out
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(in, "R\n") // its command to renegotiate
+	io.WriteString(in, "R\n") // the client's command to renegotiate
 	cmd.Wait()
 	text := out.String()
 	if ctx.Err() != nil || !strings.Contains(text, "RENEGOTIATING") || !strings.Contains(text, "alert") {
-		t.Errorf("%v: %s", ctx.Err(), text)
+		t.Errorf("context error %v, client's output %s; want a renegotiation that ends with an alert", ctx.Err(), text)
 	}
 	if resp, _, err := c.exchange("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
-		t.Errorf("the next client: %v, %v", resp, err)
+		t.Errorf("the next client: answer %v, error %v; want status 200", resp, err)
 	}
 }
--- a/internal/app/cell_test.go
+++ b/internal/app/cell_test.go
@@ -15,19 +15,19 @@
 	"yokestall/internal/tlskeys"
 )
 
-// cell is one pair of sides, with the program between them.
+// cell is one column of the matrix of TestMatrix: a client, an App and servers, with the protocols of both sides.
 type cell struct {
-	front, back webpeer.Protocol
-	addr, url   string // of the program
-	listeners   *Listeners
-	client      *http.Client
-	peer        *webpeer.Peer // nil: the servers are others
-	app         *App
+	downstream, upstream webpeer.Protocol
+	addr, url            string // address and URL of the App's listener
+	listeners            *Listeners
+	client               *http.Client
+	peer                 *webpeer.Peer // has the servers of the cell; nil: the servers were started elsewhere
+	app                  *App
 }
 
-// matrixProgram has a latency objective that no busy machine misses, and answers have their full weight up to the
-// deadline: a request is sent, and retried, where an answer would come in time by the latencies learnt so far. What the
-// matrix checks does not depend on time.
+// matrixProgram has a latency objective that is met even on a busy machine, and answers keep their full weight up to the
+// deadline. The policy sends or retries a request only if its answer is expected in time according to the latencies
+// learned so far. With these settings the checks of the matrix do not depend on latencies.
 const matrixProgram = `[files]
 clusters = "clusters"
 max_removed_share = 1
@@ -59,66 +59,66 @@
 cluster = "rooms"
 `
 
-// newCell returns a cell with two servers of its own.
+// newCell returns a cell with two servers of a webpeer.Peer.
 func newCell(
-	t testing.TB, front, back webpeer.Protocol, keys *tlskeys.Store, authority *keymaker.Authority,
+	t testing.TB, downstream, upstream webpeer.Protocol, keys *tlskeys.Store, authority *keymaker.Authority,
 ) *cell {
 	t.Helper()
-	p, err := webpeer.Start(back, keys.ServerConfig(tlskeys.ClientAuth{}, back.ALPN()), 2)
+	p, err := webpeer.Start(upstream, keys.ServerConfig(tlskeys.ClientAuth{}, upstream.ALPN()), 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Down)
-	c := newCellTo(t, front, back, keys, authority, config.Listener{HTTP2: 128}, p.Addrs...)
+	c := newCellWithServers(t, downstream, upstream, keys, authority, config.Listener{HTTP2: 128}, p.Addrs...)
 	c.peer = p
 	return c
 }
 
-// newCellTo returns a cell with other servers, and with a listener's bounds where they differ. keys and authority may
-// be nil where neither side has TLS.
-func newCellTo(
-	t testing.TB, front, back webpeer.Protocol, keys *tlskeys.Store, authority *keymaker.Authority,
+// newCellWithServers returns a cell whose servers have these addresses, and whose listener has the limits of listener.
+// keys and authority may be nil if neither side uses TLS.
+func newCellWithServers(
+	t testing.TB, downstream, upstream webpeer.Protocol, keys *tlskeys.Store, authority *keymaker.Authority,
 	listener config.Listener, addrs ...string,
 ) *cell {
 	t.Helper()
-	c := &cell{front: front, back: back}
+	c := &cell{downstream: downstream, upstream: upstream}
 	p := parse(t, matrixProgram)
-	logs := testutil.DiscardLogger // a fuzz target has no log of its own
+	logs := testutil.DiscardLogger // for fuzz targets, which can't use testutil.Log
 	if _, fuzz := t.(*testing.F); !fuzz {
 		logs = testutil.Log(t)
 	}
-	c.app = newApp(t, snapshot(p, cellCluster(back, addrs)), Options{Seed: 1, Log: logs, Keys: keys})
-	listener.TLS, listener.Address = front.TLS, "127.0.0.1:0"
+	c.app = newApp(t, newConfiguration(p, cellCluster(upstream, addrs)), Options{Seed: 1, Log: logs, Keys: keys})
+	listener.TLS, listener.Address = downstream.TLS, "127.0.0.1:0"
 	listener.Connections, listener.NewConnections, listener.MaxBody = 1024, 256, p.Listener.MaxBody
 	c.listeners = openListeners(t, c.app, listener)
 	c.addr = c.listeners.Addr("").String()
 	c.url = "http://" + c.addr
-	if front.TLS {
+	if downstream.TLS {
 		c.url = "https://" + c.addr
 	}
-	c.client = newCellClient(t, front, authority)
+	c.client = newCellClient(t, downstream, authority)
 	return c
 }
 
-// cellCluster returns the cluster rooms with servers that speak a protocol.
-func cellCluster(back webpeer.Protocol, addrs []string) *cluster.Config {
+// cellCluster returns the cluster rooms with servers at these addresses, which speak the upstream protocol.
+func cellCluster(upstream webpeer.Protocol, addrs []string) *cluster.Config {
 	var list []cluster.Endpoint
 	for i, a := range addrs {
 		list = append(list, cluster.Endpoint{ID: fmt.Sprint(i), Address: a, Weight: 1})
 	}
-	c := rooms(list...)
-	c.Transport.HTTP2 = back.HTTP2
-	c.Limits.ConnectTimeout = testutil.WaitTimeout // longer than any busy machine takes
-	if back.TLS {
+	c := roomsCluster(list...)
+	c.Transport.HTTP2 = upstream.HTTP2
+	c.Limits.ConnectTimeout = testutil.WaitTimeout // long enough for a busy machine
+	if upstream.TLS {
 		c.Transport.TLS = &cluster.TLS{Roots: "ca", ServerName: "peer.test"}
 	}
 	return c
 }
 
-// newCellClient returns a client that speaks a protocol and follows no redirects.
-func newCellClient(t testing.TB, front webpeer.Protocol, authority *keymaker.Authority) *http.Client {
+// newCellClient returns a client that speaks the downstream protocol and follows no redirects.
+func newCellClient(t testing.TB, downstream webpeer.Protocol, authority *keymaker.Authority) *http.Client {
 	transport := &http.Transport{
-		Protocols:             front.HTTPProtocols(),
+		Protocols:             downstream.HTTPProtocols(),
 		MaxIdleConnsPerHost:   16,
 		DisableCompression:    true,
 		ExpectContinueTimeout: testutil.WaitTimeout,
@@ -131,10 +131,10 @@
 	return &http.Client{Timeout: testutil.WaitTimeout, Transport: transport, CheckRedirect: noRedirects}
 }
 
-// exchange sends a request and returns the complete answer. do is what the server is to do (webpeer); length is the
-// body's, -1 if unknown; fields are names and values in turn.
+// exchange sends a request and returns the complete answer. action is the action of the server (see webpeer), length is
+// the length of the body or -1 if unknown, and fields are alternating names and values of header fields.
 func (c *cell) exchange(
-	method, path, do string, body io.Reader, length int64, fields ...string,
+	method, path, action string, body io.Reader, length int64, fields ...string,
 ) (*http.Response, []byte, error) {
 	r, err := http.NewRequest(method, c.url+path, body)
 	if err != nil {
@@ -143,7 +143,7 @@
 	if body != nil {
 		r.ContentLength = length
 	}
-	r.Header.Set("X-Do", do)
+	r.Header.Set("X-Do", action)
 	for i := 0; i+1 < len(fields); i += 2 {
 		r.Header.Add(fields[i], fields[i+1])
 	}
@@ -159,7 +159,7 @@
 	return resp, text, err
 }
 
-// matrixKeys makes keys for both sides.
+// matrixKeys returns TLS keys for the listener and for the servers, and the authority that issued their certificates.
 func matrixKeys(t testing.TB) (*tlskeys.Store, *keymaker.Authority) {
 	t.Helper()
 	authority, err := keymaker.New("test")
--- a/internal/app/configuration_test.go
+++ b/internal/app/configuration_test.go
@@ -9,7 +9,7 @@
 	"yokestall/internal/files"
 )
 
-// program is a program's file with three routes; the cluster of /lost/ is not defined.
+// program is a program's file with three routes. The cluster of the route /lost/ is not defined.
 const program = `[listen]
 address = "127.0.0.1:0"
 [files]
@@ -42,7 +42,7 @@
 cluster = "rooms"
 `
 
-// parse reads a program's file.
+// parse parses a program's file.
 func parse(t testing.TB, text string) *config.Program {
 	t.Helper()
 	p, err := config.ParseProgram("yokestall.toml", []byte(text))
@@ -52,8 +52,8 @@
 	return p
 }
 
-// rooms returns the cluster rooms with endpoints.
-func rooms(list ...cluster.Endpoint) *cluster.Config {
+// roomsCluster returns the cluster rooms with these endpoints.
+func roomsCluster(list ...cluster.Endpoint) *cluster.Config {
 	c := &cluster.Config{Name: "rooms", Endpoints: list, ShrinkTo: -1, AllowEmpty: len(list) == 0}
 	if err := c.Check(nil); err != nil {
 		panic(err)
@@ -66,8 +66,8 @@
 	return cluster.Endpoint{ID: b.Name, Address: b.Addr(), Weight: 1}
 }
 
-// snapshot returns a version of the files with clusters.
-func snapshot(p *config.Program, list ...*cluster.Config) *files.Configuration {
+// newConfiguration returns a configuration version with a program's file and clusters.
+func newConfiguration(p *config.Program, list ...*cluster.Config) *files.Configuration {
 	v := &cluster.Version{Clusters: map[string]*cluster.Config{}}
 	for _, c := range list {
 		v.Clusters[c.Name] = c
--- a/internal/app/dedup_test.go
+++ b/internal/app/dedup_test.go
@@ -17,25 +17,26 @@
 	"yokestall/internal/testutil"
 )
 
-// A repeat gets the first answer, marked as replayed; another request under the same key is rejected.
+// A repeated request with the same idempotency key gets the first answer, marked as replayed. A different request with
+// the same key is rejected.
 func TestRepeatOverHTTP(t *testing.T) {
 	server := cluster.Endpoint{ID: "s-0", Address: testutil.NewBackend(t, testutil.OK).Addr()}
-	s := serve(t, snapshot(parse(t, strings.Replace(pushProgram, "ENTRIES", "10", 1)), rooms(server)))
+	s := serve(t, newConfiguration(parse(t, strings.Replace(pushProgram, "ENTRIES", "10", 1)), roomsCluster(server)))
 	status, header, first := s.push("k", "x", testutil.WaitTimeout)
 	if status != http.StatusOK || header.Get(replay.ReplayedHeader) != "" {
-		t.Fatalf("status %d, %s", status, header)
+		t.Fatalf("first request: status %d, header %s; want 200, not replayed", status, header)
 	}
 	status, header, second := s.push("k", "x", testutil.WaitTimeout)
 	if status != http.StatusOK || header.Get(replay.ReplayedHeader) != "true" || second != first {
-		t.Errorf("again: status %d, %s, %q", status, header, second)
+		t.Errorf("repeated request: status %d, header %s, body %q; want 200, replayed, %q", status, header, second, first)
 	}
 	if status, _, _ := s.push("k", "y", testutil.WaitTimeout); status != http.StatusUnprocessableEntity {
-		t.Errorf("another body: status %d", status)
+		t.Errorf("another body under the same key: status %d, want 422", status)
 	}
 }
 
-// A client disconnects before its push is answered: with late on, its repeat gets the answer that came afterwards; else
-// the answer says that the push may have run. Nothing is sent twice.
+// A client disconnects before its push is answered. With the setting late, a repeat gets the answer that arrived after the
+// disconnect; without it, a repeat gets status 409, since the push may have run. The push must not be sent twice.
 func TestLateAnswers(t *testing.T) {
 	for late, want := range map[string]int{"true": http.StatusOK, "false": http.StatusConflict} {
 		t.Run("late "+late, func(t *testing.T) {
@@ -50,17 +51,17 @@
 			t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 			text := strings.Replace(pushProgram, "ENTRIES", "10\nlate = "+late, 1)
 			endpoint := cluster.Endpoint{ID: "s", Address: server.Listener.Addr().String()}
-			s := serve(t, snapshot(parse(t, text), rooms(endpoint)))
+			s := serve(t, newConfiguration(parse(t, text), roomsCluster(endpoint)))
 			ctx, disconnect := context.WithCancel(context.Background())
 			var first sync.WaitGroup
 			first.Go(func() { s.pushWithContext(ctx, "k", "x") })
-			testutil.Wait(t, begun, "the push at its server")
+			testutil.Wait(t, begun, "the push to reach its server")
 			disconnect()
 			first.Wait()
 			var status int
 			var body string
-			testutil.Until(t, "the first to be over", func() bool {
-				// it joins the first until that one's disconnect is seen
+			testutil.Until(t, "the first push to end", func() bool {
+				// This push joins the first one until the program has noticed that the first client disconnected.
 				status, _, body = s.push("k", "x", 20*time.Millisecond)
 				return status == http.StatusConflict
 			})
@@ -74,13 +75,13 @@
 				status, _, body = s.push("k", "x", testutil.WaitTimeout)
 			}
 			if status != want || want == http.StatusOK && body != "done at last" || runs.Load() != 1 {
-				t.Errorf("status %d, %q, %d runs; want status %d", status, body, runs.Load(), want)
+				t.Errorf("status %d, body %q, %d runs; want status %d and 1 run", status, body, runs.Load(), want)
 			}
 		})
 	}
 }
 
-// The program restarts with its log: what was answered before does not run again.
+// After a restart with the log of idempotency keys, a push that was answered before the restart must not run again.
 func TestKeysOutliveTheProgram(t *testing.T) {
 	var runs atomic.Int64
 	backend := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -93,13 +94,13 @@
 	for i, want := range []int{http.StatusOK, http.StatusConflict} {
 		t.Run(strconv.Itoa(i), func(t *testing.T) {
 			o := Options{Seed: 1, Log: testutil.Log(t), Path: folder + "/yokestall.toml"}
-			s := serveWith(t, snapshot(parse(t, text), rooms(server)), o)
+			s := serveWith(t, newConfiguration(parse(t, text), roomsCluster(server)), o)
 			if status, _, _ := s.push("k", "x", testutil.WaitTimeout); status != want {
 				t.Errorf("status %d, want %d", status, want)
 			}
 		})
 	}
 	if n := runs.Load(); n != 1 {
-		t.Errorf("%d runs", n)
+		t.Errorf("the push ran %d times, want once", n)
 	}
 }
--- a/internal/app/drain_test.go
+++ b/internal/app/drain_test.go
@@ -16,7 +16,7 @@
 	"yokestall/internal/testutil"
 )
 
-// Clients of HTTP/2 that have a stream open get GOAWAY as soon as the listener ends, not when their stream does.
+// An HTTP/2 client with an open stream gets GOAWAY as soon as its listener closes, and not only when the stream ends.
 func TestGoAwayAtListenerEnd(t *testing.T) {
 	release := make(chan struct{})
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -24,7 +24,7 @@
 		w.Write(bytes.Repeat([]byte("x"), 1000))
 	})
 	listener := config.Listener{HTTP2: 10, Drain: testutil.WaitTimeout}
-	c := newCellTo(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, listener, b.Addr())
+	c := newCellWithServers(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, listener, b.Addr())
 	nc, f, err := rawpeer.OpenHTTP2(c.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -33,40 +33,40 @@
 	f.WriteSettingsAck()
 	f.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, EndHeaders: true, EndStream: true,
 		BlockFragment: rawpeer.Fields(":method", "GET", ":scheme", "http", ":authority", "a", ":path", "/x")})
-	testutil.Wait(t, b.Requests, "the request")
+	testutil.Wait(t, b.Requests, "the request to reach its server")
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.listeners.Close() }()
 	var goneAway, complete bool
 	for got := 0; !complete; {
 		frame, err := f.ReadFrame()
 		if err != nil {
-			t.Fatalf("GOAWAY %v, %d bytes: %v", goneAway, got, err)
+			t.Fatalf("GOAWAY received: %v, %d bytes of the answer, connection error: %v", goneAway, got, err)
 		}
 		switch frame := frame.(type) {
 		case *http2.GoAwayFrame:
 			if goneAway = true; frame.ErrCode != http2.ErrCodeNo || frame.LastStreamID < 1 {
-				t.Errorf("%v", frame)
+				t.Errorf("got %v, want code NO_ERROR and the stream accepted", frame)
 			}
-			close(release) // only now: GOAWAY came while the stream was open
+			close(release) // released only here, so that GOAWAY must arrive while the stream is open
 		case *http2.DataFrame:
 			got += len(frame.Data())
 			complete = frame.StreamEnded()
 			if complete && got != 1000 {
-				t.Errorf("%d bytes", got)
+				t.Errorf("the answer has %d bytes, want 1000", got)
 			}
 		}
 	}
-	testutil.Wait(t, ended, "the listener's end")
+	testutil.Wait(t, ended, "the listener to close")
 	if _, err := net.Dial("tcp", c.addr); err == nil {
-		t.Error("the listener still takes connections")
+		t.Error("the closed listener still accepts connections")
 	}
 	if !goneAway {
-		t.Error("no GOAWAY")
+		t.Error("the client got no GOAWAY")
 	}
 }
 
-// The listener's end with streams open on one HTTP/2 connection: each gets its complete answer, the client gets GOAWAY,
-// and no request is rejected that had been accepted.
+// A listener closes while one HTTP/2 connection has many open streams. Every request that was accepted must get its
+// complete answer.
 func TestDrainWithStreams(t *testing.T) {
 	const streams = 1000
 	release := make(chan struct{})
@@ -76,11 +76,12 @@
 		}
 		w.Write(webpeer.Pattern(3000))
 	})
-	c := newCellTo(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: streams}, b.Addr())
+	listener := config.Listener{HTTP2: streams}
+	c := newCellWithServers(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, listener, b.Addr())
 	if _, _, err := c.exchange("GET", "/x", "", nil, 0); err != nil { // opens the connection
 		t.Fatal(err)
 	}
-	testutil.Wait(t, b.Requests, "the first")
+	testutil.Wait(t, b.Requests, "the first request to reach its server")
 	var run sync.WaitGroup
 	var complete atomic.Int64
 	for range streams {
@@ -88,15 +89,15 @@
 			resp, text, err := c.exchange("POST", "/x", "", nil, 0)
 			if err == nil && resp.StatusCode == 200 && bytes.Equal(text, webpeer.Pattern(3000)) {
 				complete.Add(1)
-			} else if err == nil && resp.StatusCode != 503 { // the policy may reject what it can't place
-				t.Errorf("%v", resp)
+			} else if err == nil && resp.StatusCode != 503 { // the policy may reject requests over the capacity
+				t.Errorf("answer %v with %d bytes, want a complete answer or status 503", resp, len(text))
 			}
 		})
 	}
-	testutil.Wait(t, b.Requests, "the first to be out")
+	testutil.Wait(t, b.Requests, "the first stream's request to reach its server")
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.listeners.Close() }()
-	testutil.Until(t, "the listener to be gone", func() bool {
+	testutil.Until(t, "the listener to refuse connections", func() bool {
 		nc, err := net.Dial("tcp", c.addr)
 		if err == nil {
 			nc.Close()
@@ -105,12 +106,12 @@
 	})
 	close(release)
 	run.Wait()
-	testutil.Wait(t, ended, "the end")
-	// Some came too late, behind the GOAWAY: they were not accepted. What was accepted is answered.
+	testutil.Wait(t, ended, "the listener to close")
+	// Requests that arrived after the GOAWAY were not accepted. All that reached the server must be answered.
 	if n := int64(len(b.Requests)) + 1; complete.Load() < n {
-		t.Errorf("%d reached the server, %d whole answers came back", n, complete.Load())
+		t.Errorf("%d requests reached the server, only %d got a complete answer", n, complete.Load())
 	}
 	if _, _, err := c.exchange("GET", "/x", "", nil, 0); err == nil {
-		t.Error("the listener still serves")
+		t.Error("the closed listener still serves requests")
 	}
 }
--- a/internal/app/edge_test.go
+++ b/internal/app/edge_test.go
@@ -44,10 +44,10 @@
 response = { set = { strict-transport-security = "max-age=60" }, remove = ["server"] }
 `
 
-// edge is an app with keys, before a server that answers with the fields that it saw.
+// edge is an App with TLS keys whose server answers with header fields of the request that it received.
 type edge struct {
 	app       *App
-	listener  config.Listener // of edgeProgram
+	listener  config.Listener // the listener of edgeProgram
 	authority *keymaker.Authority
 	keyFolder string
 }
@@ -70,14 +70,15 @@
 	}
 	p := parse(t, edgeProgram)
 	e.listener = p.Listener
-	c := rooms()
+	c := roomsCluster()
 	c.AllowEmpty, c.Endpoints = false, append(c.Endpoints, endpointOf(testutil.StartAppServer(t, "unused")))
 	c.Endpoints[0].Address = testutil.NewBackend(t, answerWithFields).Addr()
-	e.app = newApp(t, snapshot(p, c), Options{Seed: 1, Log: testutil.Log(t), Keys: keys})
+	e.app = newApp(t, newConfiguration(p, c), Options{Seed: 1, Log: testutil.Log(t), Keys: keys})
 	return e
 }
 
-// answerWithFields answers with the fields of the request that the edge may change, or upgrades to an echo.
+// answerWithFields answers with the header fields of the request that the App may change. If the request asks for an
+// upgrade to echo, it upgrades the connection and echoes the bytes that it receives.
 func answerWithFields(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("Upgrade") == "echo" {
 		nc, rw, _ := http.NewResponseController(w).Hijack()
@@ -92,7 +93,7 @@
 		h.Get("X-Forwarded-For"), h.Get("X-Forwarded-Proto"), h.Get("X-Added"), h.Get("X-Secret"))
 }
 
-// listen opens a listener that is changed from the program's and returns its address.
+// listen opens a listener with the settings of edgeProgram, modified by change, and returns its address.
 func (e *edge) listen(t *testing.T, change func(*config.Listener)) (addr string) {
 	t.Helper()
 	l := e.listener
@@ -100,15 +101,16 @@
 	return openListeners(t, e.app, l).Addr("").String()
 }
 
-// trust returns a change of a listener that trusts PROXY lines from a network.
-func trust(network, proxy string) func(*config.Listener) {
+// trustProxies returns a change of a listener to trust proxies in a network. proxy is the value of its setting Proxy.
+func trustProxies(network, proxy string) func(*config.Listener) {
 	return func(l *config.Listener) { l.Trust, l.Proxy = network, proxy }
 }
 
-// requireClientKeys is a change of a listener to TLS with client certificates.
-func requireClientKeys(l *config.Listener) { l.TLS, l.ClientRoots = true, "ca" }
+// acceptClientCertificates is a change of a listener to TLS that accepts client certificates issued by the root "ca".
+// Clients without a certificate are accepted too.
+func acceptClientCertificates(l *config.Listener) { l.TLS, l.ClientRoots = true, "ca" }
 
-// Requests of TestEdge, and lines of the PROXY protocol before them.
+// Requests of TestEdge, and PROXY protocol headers that precede them.
 const (
 	secretGet     = "GET /x HTTP/1.1\r\nHost: a\r\nX-Secret: s\r\nConnection: close\r\n\r\n"
 	redirectedGet = "GET /old?q=1 HTTP/1.1\r\nHost: a.test\r\nConnection: close\r\n\r\n"
@@ -123,15 +125,15 @@
 	proxyAddr = "\x0a\x00\x00\x05" + "\x7f\x00\x00\x01" + "\x10\x00\x00\x50" // 10.0.0.5 to 127.0.0.1
 )
 
-// What the edge does with a connection and with fields, by listener: raw bytes in, what comes
-// back and what the server saw.
+// Raw bytes are sent to listeners with different settings. The test checks the answer, which includes header fields that
+// the server saw: edits of header fields, redirects, the PROXY protocol, TLS and upgrades.
 func TestEdge(t *testing.T) {
 	e := newEdge(t)
 	plain := e.listen(t, func(*config.Listener) {})
-	proxied := e.listen(t, trust("127.0.0.0/8", "optional"))
-	required := e.listen(t, trust("127.0.0.0/8", "required"))
-	strangers := e.listen(t, trust("10.0.0.0/8", "required"))
-	secure := e.listen(t, requireClientKeys)
+	proxied := e.listen(t, trustProxies("127.0.0.0/8", "optional"))
+	required := e.listen(t, trustProxies("127.0.0.0/8", "required"))
+	untrusted := e.listen(t, trustProxies("10.0.0.0/8", "required"))
+	secure := e.listen(t, acceptClientCertificates)
 	for _, tc := range []struct{ name, addr, in, until, out string }{
 		{"fields are edited", plain, secretGet, "", "added=by the route secret="},
 		{"an answer's field is set", plain, secretGet, "", "Strict-Transport-Security: max-age=60"},
@@ -143,8 +145,8 @@
 		{"no PROXY where it is optional", proxied, secretGet, "", "for=127.0.0.1 "},
 		{"no PROXY where it is required", required, secretGet, "", ""},
 		{"PROXY malformed", required, badProxy + secretGet, "", ""},
-		{"PROXY from a stranger", strangers, proxyV1 + secretGet, "", ""},
-		{"PROXY where it is not spoken", plain, proxyV1 + secretGet, "", "400"},
+		{"PROXY from an untrusted peer", untrusted, proxyV1 + secretGet, "", ""},
+		{"PROXY where it is not enabled", plain, proxyV1 + secretGet, "", "400"},
 		{"clear text to TLS", secure, secretGet, "", "HTTP request to an HTTPS server"},
 		{"TLS to clear text", plain, tlsHello, "", "400"},
 		{"an upgrade", plain, upgrade, "hello ping", "101 Switching Protocols"},
@@ -153,15 +155,16 @@
 		got := exchangeRaw(t, tc.addr, tc.in, tc.until)
 		served := strings.Contains(got, "200 OK")
 		if tc.out == "" && served || !strings.Contains(got, tc.out) || strings.Contains(got, "inside") {
-			t.Errorf("%s: %q", tc.name, got)
+			t.Errorf("%s: answer %q, want %q in it (empty: not served)", tc.name, got, tc.out)
 		}
 	}
 }
 
-// A client's certificate names its tenant; no field can.
+// The tenant of a client with a certificate follows from the certificate, whatever the client's header field says. Without
+// a certificate the field names the tenant, and an unknown tenant is rejected.
 func TestTenantByCertificate(t *testing.T) {
 	e := newEdge(t)
-	secure := e.listen(t, requireClientKeys)
+	secure := e.listen(t, acceptClientCertificates)
 	for _, tc := range []struct {
 		certificate bool
 		field, want string
@@ -171,13 +174,13 @@
 		{false, "X-Tenant-Id: first\r\n", "200"},
 	} {
 		if got := e.statusLine(t, secure, tc.certificate, tc.field); !strings.Contains(got, tc.want) {
-			t.Errorf("certificate %v, %q: %q", tc.certificate, tc.field, got)
+			t.Errorf("certificate %v, field %q: status line %q, want %s", tc.certificate, tc.field, got, tc.want)
 		}
 	}
 }
 
-// statusLine sends a request with a field over TLS, with the client's certificate or without, and returns the status
-// line of the answer.
+// statusLine sends a request with a header field over TLS and returns the status line of the answer. certificate says
+// whether the client presents its certificate.
 func (e *edge) statusLine(t *testing.T, addr string, certificate bool, field string) string {
 	t.Helper()
 	settings := &tls.Config{RootCAs: e.authority.Pool(), ServerName: "front.test"}
--- a/internal/app/floods_test.go
+++ b/internal/app/floods_test.go
@@ -12,10 +12,10 @@
 	"yokestall/internal/testutil"
 )
 
-// flood is a way to flood a connection over HTTP/2.
+// flood is a way to flood an HTTP/2 connection with frames.
 type flood struct {
 	name string
-	// send sends the frame with an index from 0.
+	// send sends the frame with index i; the first frame has index 0.
 	send func(f *http2.Framer, i int) error
 }
 
@@ -56,15 +56,15 @@
 	}
 }
 
-// A client that floods a connection over HTTP/2 gets GOAWAY with ENHANCE_YOUR_CALM and loses the connection; a client
-// beside it is served.
+// A client that floods an HTTP/2 connection gets GOAWAY with ENHANCE_YOUR_CALM or loses the connection without it.
+// Another client is served meanwhile.
 func TestFloodsEndConnections(t *testing.T) {
 	const maxFrames, otherClientAt = 2000, 50
 	b := testutil.StartAppServer(t, "b")
 	for _, tc := range floods() {
 		t.Run(tc.name, func(t *testing.T) {
 			listener := config.Listener{HTTP2: 1000, Resets: 20, Controls: 20, Pieces: 8}
-			c := newCellTo(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, listener, b.Addr())
+			c := newCellWithServers(t, webpeer.Protocol{HTTP2: true}, webpeer.Protocol{}, nil, nil, listener, b.Addr())
 			nc, f, err := rawpeer.OpenHTTP2(c.addr)
 			if err != nil {
 				t.Fatal(err)
@@ -76,13 +76,13 @@
 			for ; sent < maxFrames && tc.send(f, sent) == nil; sent++ {
 				if sent == otherClientAt {
 					if resp, _, err := c.exchange("GET", "/x", "", nil, 0); err != nil || resp.StatusCode != 200 {
-						t.Errorf("a usual client: %v, %v", resp, err)
+						t.Errorf("another client: answer %v, error %v; want status 200", resp, err)
 					}
 				}
 			}
-			code := testutil.Wait(t, goAway, "the end")
+			code := testutil.Wait(t, goAway, "the connection to end")
 			if code != http2.ErrCodeEnhanceYourCalm && sent == maxFrames {
-				t.Errorf("after %d frames: %v", sent, code)
+				t.Errorf("after %d frames: code %v, want ENHANCE_YOUR_CALM", sent, code)
 			}
 		})
 	}
--- a/internal/app/http_test.go
+++ b/internal/app/http_test.go
@@ -18,16 +18,16 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// serveBackend serves with one server, which has a handler.
-func serveBackend(t testing.TB, handle http.HandlerFunc) *serving {
+// serveBackend starts a testApp whose cluster has one server with this handler.
+func serveBackend(t testing.TB, handle http.HandlerFunc) *testApp {
 	t.Helper()
 	b := testutil.NewBackend(t, handle)
 	e := cluster.Endpoint{ID: "b", Address: b.Addr(), Weight: 1}
-	return serve(t, snapshot(parse(t, program), rooms(e)))
+	return serve(t, newConfiguration(parse(t, program), roomsCluster(e)))
 }
 
-// do makes a request and reads its answer.
-func (s *serving) do(method, path, body string) (*http.Response, string) {
+// do sends a request and returns the complete answer. It fails the test if there is none.
+func (s *testApp) do(method, path, body string) (*http.Response, string) {
 	s.t.Helper()
 	r, err := http.NewRequest(method, s.url+path, strings.NewReader(body))
 	if err != nil {
@@ -45,7 +45,7 @@
 	return resp, string(text)
 }
 
-// Where no attempt is left the client gets the last answer of a server, whatever the class.
+// If no attempt is left, the client gets the answer of the last attempt, whatever the class of the request.
 func TestLastAnswerIsForwarded(t *testing.T) {
 	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Cause", "disk")
@@ -55,12 +55,14 @@
 	for _, c := range []struct{ method, path string }{{"GET", "/x"}, {"POST", "/pay/x"}} {
 		resp, body := s.do(c.method, c.path, "")
 		if resp.StatusCode != 507 || resp.Header.Get("X-Cause") != "disk" || body != "no room on "+c.path {
-			t.Errorf("%s: status %d, %v, %q", c.path, resp.StatusCode, resp.Header, body)
+			t.Errorf("%s: status %d, header %v, body %q; want the server's answer with status 507",
+				c.path, resp.StatusCode, resp.Header, body)
 		}
 	}
 }
 
-// HEAD is carried (RFC 9110, 9.3.2): the answer's head with the length that GET would have.
+// The answer to HEAD (RFC 9110, section 9.3.2) is forwarded without a body and with the Content-Length that the server
+// gave. The upstream connection can be reused afterwards.
 func TestHead(t *testing.T) {
 	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/length" {
@@ -69,17 +71,18 @@
 		w.Header().Set("X-Method", r.Method)
 	})
 	for path, length := range map[string]int64{"/length": 3000000, "/none": -1} {
-		for range 3 { // the connection is of use afterwards
+		for range 3 { // repeated, so that the connection is reused
 			resp, body := s.do(http.MethodHead, path, "")
 			if resp.StatusCode != 200 || resp.ContentLength != length || resp.Header.Get("X-Method") != "HEAD" || body != "" {
-				t.Errorf("%s: status %d, length %d, %v, %q", path, resp.StatusCode, resp.ContentLength, resp.Header, body)
+				t.Errorf("%s: status %d, length %d, header %v, body %q; want 200, length %d, no body",
+					path, resp.StatusCode, resp.ContentLength, resp.Header, body, length)
 			}
 		}
 	}
 }
 
-// Answers of any size are forwarded unchanged, in both framings, over connections that are reused; small ones right
-// after large ones too.
+// Answers of several sizes, with Content-Length and in chunks, are forwarded unchanged over connections that are reused,
+// also a small answer directly after a large one.
 func TestAnswersOfAnySize(t *testing.T) {
 	bytes := make([]byte, 3<<20)
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -109,19 +112,19 @@
 			requests++
 			resp, body := s.do("GET", fmt.Sprintf("%s?n=%d", path, n), "")
 			if resp.StatusCode != 200 || body != string(bytes[:n]) {
-				t.Errorf("%s of %d bytes: status %d, %d bytes", path, n, resp.StatusCode, len(body))
+				t.Errorf("%s of %d bytes: status %d, %d bytes; want 200 and the same bytes", path, n, resp.StatusCode, len(body))
 			}
 		}
 	}
 	used := 0
 	conns.Range(func(any, any) bool { used++; return true })
 	if used > requests/2 {
-		t.Errorf("%d connections for %d requests", used, requests)
+		t.Errorf("%d connections for %d requests, want at most half as many", used, requests)
 	}
 }
 
-// A stream that breaks is broken for the client too, wherever it breaks and however it is
-// framed; it never ends as if it were complete. There is no retry.
+// If a server breaks off its response stream, at any place and with either framing, the client must see an incomplete
+// response, and the request is not retried.
 func TestBrokenStreams(t *testing.T) {
 	var requests atomic.Int64
 	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -139,19 +142,20 @@
 			before := requests.Load()
 			resp, err := s.client.Get(fmt.Sprintf("%s%s?n=%d", s.url, path, n))
 			if err != nil {
-				continue // not even the head came through whole: it is broken all right
+				continue // the client did not get a complete head, so the response is incomplete
 			}
 			text, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err == nil || len(text) > n || requests.Load() != before+1 {
-				t.Errorf("%s broken after %d: %d bytes, %v, %d requests", path, n, len(text), err, requests.Load()-before)
+				t.Errorf("%s broken off after %d bytes: client got %d bytes, error %v, %d requests; want an error and 1 request",
+					path, n, len(text), err, requests.Load()-before)
 			}
 		}
 	}
 }
 
-// Events are forwarded as they are sent, and a client that disconnects ends the stream at its server. A request beside
-// the stream is served.
+// Events of a stream are forwarded when they are sent, another request is served while the stream is open, and the stream
+// ends at its server when the client disconnects.
 func TestEventStream(t *testing.T) {
 	events, left := make(chan string), make(chan struct{})
 	s := serveBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -181,25 +185,25 @@
 			events <- want
 		}
 		if line, err := lines.ReadString('\n'); line != "data: "+want+"\n" || err != nil {
-			t.Fatalf("%q, %v", line, err)
+			t.Fatalf("line %q, error %v; want the event %q", line, err, want)
 		}
 		lines.ReadString('\n')
 	}
 	if resp, _ := s.do("GET", "/x", ""); resp.StatusCode != 200 {
-		t.Errorf("beside a stream: status %d", resp.StatusCode)
+		t.Errorf("request while a stream is open: status %d, want 200", resp.StatusCode)
 	}
 	resp.Body.Close()
 	testutil.Wait(t, left, "the stream to end at its server")
 }
 
-// A client that reads nothing stops its server: what is buffered between them is bounded.
+// If a client reads nothing, its server must be blocked from writing: the number of bytes buffered between them is bounded.
 func TestBackPressure(t *testing.T) {
 	var written atomic.Int64
 	over := make(chan struct{})
 	s := serveBackend(t, func(w http.ResponseWriter, _ *http.Request) {
 		defer close(over)
 		part := make([]byte, 64<<10)
-		for range 1 << 14 { // 1 GB
+		for range 1 << 14 { // 1 GiB in total
 			n, err := w.Write(part)
 			if written.Add(int64(n)); err != nil {
 				return
@@ -211,15 +215,15 @@
 		t.Fatal(err)
 	}
 	last := int64(-1)
-	testutil.Until(t, "the server to be stopped", func() bool {
+	testutil.Until(t, "the server to be blocked", func() bool {
 		now := written.Load()
 		still := now == last
 		last = now
 		time.Sleep(50 * time.Millisecond)
 		return still
 	})
-	if last > 64<<20 { // socket buffers on loopback, of four sockets
-		t.Errorf("%d bytes on their way to a client that takes none", last)
+	if last > 64<<20 { // leaves room for the loopback socket buffers of four sockets
+		t.Errorf("%d bytes are buffered for a client that reads nothing, want at most %d", last, 64<<20)
 	}
 	resp.Body.Close()
 	testutil.Wait(t, over, "the stream to end at its server")
--- a/internal/app/idle_test.go
+++ b/internal/app/idle_test.go
@@ -16,45 +16,45 @@
 	"yokestall/internal/testutil"
 )
 
-// idleNow returns a time at which each cluster that is not in use has been idle for long enough.
-func (a *App) idleNow() time.Duration {
+// afterIdleTimeout returns a time on the app's clock at which each cluster that is not in use now can be deactivated.
+func (a *App) afterIdleTimeout() time.Duration {
 	return a.clock.Now() + a.idleAfter(a.state.Load()) + time.Second
 }
 
-// Clusters without requests cost no goroutines: a cluster is active from its first request on, and no longer once it
-// has been idle.
+// A cluster without requests must have no engines and thus no goroutines. It becomes active with its first request, and is
+// deactivated when it has been idle.
 func TestClustersAreActiveWhileUsed(t *testing.T) {
 	const count = 200
 	server := testutil.StartAppServer(t, "b")
 	before := runtime.NumGoroutine()
-	s := serve(t, servicesSnapshot(t, count, server))
+	s := serve(t, servicesConfiguration(t, count, server))
 	if n := runtime.NumGoroutine() - before; n > count/4 {
-		t.Errorf("%d goroutines more for %d clusters without requests", n, count)
+		t.Errorf("%d more goroutines for %d clusters without requests, want at most %d", n, count, count/4)
 	}
 	for i := range 3 {
 		if got := s.requestStatus(i); got != http.StatusOK {
-			t.Fatalf("service %d: status %d", i, got)
+			t.Fatalf("service %d: status %d, want 200", i, got)
 		}
 	}
 	if n := s.app.ActiveClusters(); n != 3 {
-		t.Errorf("%d clusters are active after requests to 3", n)
+		t.Errorf("%d clusters are active after requests to 3 clusters, want 3", n)
 	}
 	if n := s.app.deactivateIdle(s.app.clock.Now()); n != 0 {
-		t.Errorf("%d clusters were deactivated right after a request", n)
+		t.Errorf("%d clusters were deactivated right after a request, want none", n)
 	}
-	if n := s.app.deactivateIdle(s.app.idleNow()); n != 3 || s.app.ActiveClusters() != 0 {
-		t.Errorf("%d clusters were deactivated of 3 without requests; %d are active", n, s.app.ActiveClusters())
+	if n := s.app.deactivateIdle(s.app.afterIdleTimeout()); n != 3 || s.app.ActiveClusters() != 0 {
+		t.Errorf("%d idle clusters were deactivated, %d are active; want 3 and 0", n, s.app.ActiveClusters())
 	}
 	if got := s.requestStatus(1); got != http.StatusOK || s.app.ActiveClusters() != 1 {
-		t.Errorf("status %d of a service that was idle; %d are active", got, s.app.ActiveClusters())
+		t.Errorf("request to an idle cluster: status %d, %d active clusters; want 200 and 1", got, s.app.ActiveClusters())
 	}
 }
 
-// A request may arrive at any moment of a check whether its cluster is idle: all are answered while the cluster is
-// deactivated over and over.
+// Requests that arrive at any moment of the deactivation of their cluster must be served. The test deactivates the cluster
+// repeatedly while two clients send requests.
 func TestRequestsDuringDeactivation(t *testing.T) {
 	server := testutil.StartAppServer(t, "b")
-	s := serve(t, servicesSnapshot(t, 1, server))
+	s := serve(t, servicesConfiguration(t, 1, server))
 	const clients, times = 2, 15
 	var notServed atomic.Int64
 	var done atomic.Bool
@@ -72,9 +72,9 @@
 	}
 	go func() { running.Wait(); close(answered) }()
 	requests, deactivated := 0, 0
-	for range answered { // the other client's request is anywhere on its way
+	for range answered { // one client got an answer; the other client's request may be in any phase
 		requests++
-		deactivated += s.app.deactivateIdle(s.app.idleNow())
+		deactivated += s.app.deactivateIdle(s.app.afterIdleTimeout())
 		done.Store(deactivated >= times)
 	}
 	if n := notServed.Load(); n > 0 {
@@ -82,18 +82,19 @@
 	}
 }
 
-// The same without sockets, for the race between a check for idleness and a request alone: a request that begins at any
-// moment of a check has engines that last until its end.
+// A request that begins at any moment of the deactivation of its cluster must get engines that run until its end. Unlike
+// TestRequestsDuringDeactivation, this test uses no sockets and calls activate directly, so that only the race between
+// activate and deactivate is tested.
 func TestDeactivationRace(t *testing.T) {
 	const requests = 2000
-	s := serve(t, servicesSnapshot(t, 1, testutil.StartAppServer(t, "b")))
+	s := serve(t, servicesConfiguration(t, 1, testutil.StartAppServer(t, "b")))
 	r := s.app.state.Load().clusters["s0"]
-	checks := make(chan struct{}, 1) // the next request begins beside the check at the last one's end
+	checks := make(chan struct{}, 1) // buffered: the next request begins while the check at the last request's end runs
 	go func() {
 		defer close(checks)
 		for i := range requests {
 			for range i % 8 {
-				runtime.Gosched() // a check is at another place each time
+				runtime.Gosched() // varies the place in deactivate at which the request begins
 			}
 			r.inFlight.Add(1)
 			tiers, err := r.activate()
@@ -101,12 +102,12 @@
 				t.Error(err)
 				return
 			}
-			for range 4 { // the check that may have begun before the request is over then
+			for range 4 { // waits until a check that began before the request has ended
 				checks <- struct{}{}
 			}
 			select {
 			case <-tiers.list[0].engine.Ended():
-				t.Errorf("request %d: its engine ended under it", i)
+				t.Errorf("request %d: the engine ended during the request", i)
 				return
 			default:
 			}
@@ -116,20 +117,21 @@
 	}()
 	deactivated := 0
 	for range checks {
-		deactivated += s.app.deactivateIdle(s.app.idleNow())
+		deactivated += s.app.deactivateIdle(s.app.afterIdleTimeout())
 	}
 	if !t.Failed() && deactivated < requests/10 {
-		t.Errorf("the cluster was deactivated %d times over %d requests", deactivated, requests)
+		t.Errorf("the cluster was deactivated %d times over %d requests, want at least %d", deactivated, requests, requests/10)
 	}
 }
 
-// An update applies to a cluster without engines too: a server that was drained meanwhile gets no request.
+// An update of an idle cluster must apply when the cluster becomes active again: a server that was marked as draining
+// while the cluster was idle gets no request.
 func TestUpdateWhileIdle(t *testing.T) {
 	stays, leaves := testutil.StartAppServer(t, "stays"), testutil.StartAppServer(t, "leaves")
-	first := servicesSnapshot(t, 1, stays, leaves)
+	first := servicesConfiguration(t, 1, stays, leaves)
 	s := serve(t, first)
 	s.requestStatus(0)
-	if s.app.deactivateIdle(s.app.idleNow()) != 1 {
+	if s.app.deactivateIdle(s.app.afterIdleTimeout()) != 1 {
 		t.Fatal("the cluster is still active")
 	}
 	next := serviceConfig(0, stays, leaves)
@@ -139,7 +141,7 @@
 		}
 	}
 	if !s.app.ApplyClusters(time.Now(), []*cluster.Config{next}) {
-		t.Fatal("the version was not taken")
+		t.Fatal("ApplyClusters did not apply the version")
 	}
 	if s.app.ActiveClusters() != 0 {
 		t.Error("an update activated a cluster without requests")
@@ -147,15 +149,15 @@
 	before := leaves.Count()
 	for range 40 {
 		if got := s.requestStatus(0); got != http.StatusOK {
-			t.Fatalf("status %d", got)
+			t.Fatalf("status %d, want 200", got)
 		}
 	}
 	if n := leaves.Count() - before; n != 0 {
-		t.Errorf("%d of 40 requests went to a server that drains", n)
+		t.Errorf("%d of 40 requests went to the draining server, want none", n)
 	}
 }
 
-// A cluster with an open stream that its class bounds stays active, so that a drain still reaches the stream.
+// A cluster with an open stream that has a timeout must stay active, so that a drain still applies to the stream.
 func TestStreamsKeepClustersActive(t *testing.T) {
 	started, end := make(chan struct{}), make(chan struct{})
 	server := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -169,7 +171,7 @@
 		}
 	})
 	endpoint := cluster.Endpoint{ID: "b", Address: server.Addr(), Weight: 1}
-	s := serve(t, snapshot(parse(t, streamText("stream = \"1h\"\n")), rooms(endpoint)))
+	s := serve(t, newConfiguration(parse(t, programWithStreamSetting("stream = \"1h\"\n")), roomsCluster(endpoint)))
 	ctx, disconnect := context.WithCancel(t.Context())
 	defer disconnect()
 	r, _ := http.NewRequestWithContext(ctx, http.MethodGet, s.url+"/", nil)
@@ -177,27 +179,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testutil.Wait(t, started, "the stream")
+	testutil.Wait(t, started, "the stream to start")
 	rooms := s.app.state.Load().clusters["rooms"]
-	testutil.Until(t, "the request's end", func() bool { return rooms.inFlight.Load() == 0 })
-	if n := s.app.deactivateIdle(s.app.idleNow()); n != 0 {
+	testutil.Until(t, "the request to end", func() bool { return rooms.inFlight.Load() == 0 })
+	if n := s.app.deactivateIdle(s.app.afterIdleTimeout()); n != 0 {
 		t.Error("a cluster with an open stream was deactivated")
 	}
 	close(end)
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	testutil.Until(t, "the cluster to be deactivated", func() bool { return s.app.deactivateIdle(s.app.idleNow()) == 1 })
+	testutil.Until(t, "the cluster to be deactivated", func() bool { return s.app.deactivateIdle(s.app.afterIdleTimeout()) == 1 })
 }
 
-// A cluster stays active until the slow start of servers that were new at its last request is over, and late answers
-// are no longer awaited.
+// A cluster stays active without requests for the configured time, and at least until the slow start of servers that were
+// new at its last request is over and late answers can no longer arrive.
 func TestIdleAfterFollowsSettings(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(p *config.Program)
 		want   time.Duration
 	}{
-		"nothing longer":   {func(p *config.Program) { p.Rules.SlowStartWindow = 0 }, 2 * time.Minute},
-		"as the file says": {func(p *config.Program) { p.ClusterIdle = time.Hour }, time.Hour},
+		"default": {func(p *config.Program) { p.Rules.SlowStartWindow = 0 }, 2 * time.Minute},
+		"setting": {func(p *config.Program) { p.ClusterIdle = time.Hour }, time.Hour},
 		"slow start": {func(p *config.Program) {
 			p.Rules.SlowStartWindow, p.Rules.OverloadDuration = time.Hour, time.Second
 		}, time.Hour + time.Second},
@@ -208,7 +210,7 @@
 		p := *parse(t, program)
 		p.Classes = append([]config.Class(nil), p.Classes...)
 		c.change(&p)
-		s := serve(t, snapshot(&p, rooms(endpointOf(testutil.StartAppServer(t, "b")))))
+		s := serve(t, newConfiguration(&p, roomsCluster(endpointOf(testutil.StartAppServer(t, "b")))))
 		if got := s.app.idleAfter(s.app.state.Load()); got != c.want {
 			t.Errorf("%s: idle after %v, want %v", name, got, c.want)
 		}
--- a/internal/app/leaks_test.go
+++ b/internal/app/leaks_test.go
@@ -13,10 +13,11 @@
 	"yokestall/internal/testutil"
 )
 
-// A version leaves no memory behind: after many changes of settings the heap has the size that it had after few.
+// Replaced versions must not leak memory: after 200 further changes of settings, the heap has about the size that it had
+// after 20.
 func TestChangesLeaveNothing(t *testing.T) {
 	const count = 100
-	first := servicesSnapshot(t, count, testutil.StartAppServer(t, "b"))
+	first := servicesConfiguration(t, count, testutil.StartAppServer(t, "b"))
 	s := serve(t, first)
 	change := func(times int) (heap uint64) {
 		for i := range times {
@@ -25,9 +26,9 @@
 			if err := s.app.Apply(&files.Configuration{Program: &p, Version: first.Version}); err != nil {
 				t.Fatal(err)
 			}
-			s.requestStatus(i % count) // so that engines are among what is replaced
+			s.requestStatus(i % count) // activates a cluster, so that running engines are replaced too
 		}
-		s.app.deactivateIdle(s.app.idleNow())
+		s.app.deactivateIdle(s.app.afterIdleTimeout())
 		runtime.GC()
 		runtime.GC()
 		var m runtime.MemStats
@@ -36,18 +37,19 @@
 	}
 	few := change(20)
 	many := change(200)
-	if grown := int64(many) - int64(few); grown > 200*count*16 { // 16 bytes for each cluster of each version
-		t.Errorf("200 changes of settings left %d bytes, %d for each cluster of each", grown, grown/200/count)
+	if grown := int64(many) - int64(few); grown > 200*count*16 { // 16 bytes per cluster and version
+		t.Errorf("the heap grew by %d bytes over 200 changes of settings, %d per cluster and change; want at most 16",
+			grown, grown/200/count)
 	}
 }
 
-// A thousand versions, some of which start every cluster anew, leave no memory,
-// goroutine or descriptor behind.
+// A thousand versions must not leak memory, goroutines or file descriptors. Every tenth version has other settings, so that
+// its cluster and that of the next version are replaced.
 func TestThousandVersions(t *testing.T) {
 	b := testutil.StartAppServer(t, "box-1")
 	p := parse(t, program)
 	other := parse(t, strings.Replace(program, "attempts = 3", "attempts = 2", 1))
-	s := serve(t, snapshot(p, rooms(endpointOf(b))))
+	s := serve(t, newConfiguration(p, roomsCluster(endpointOf(b))))
 	apply := func(n int) {
 		for i := range n {
 			extra := cluster.Endpoint{
@@ -57,12 +59,12 @@
 			if i%10 == 5 {
 				next = other
 			}
-			if err := s.app.Apply(snapshot(next, rooms(endpointOf(b), extra))); err != nil {
+			if err := s.app.Apply(newConfiguration(next, roomsCluster(endpointOf(b), extra))); err != nil {
 				t.Fatal(err)
 			}
 			if i%50 == 0 {
 				if status, _, _ := s.get("/x", ""); status != 200 {
-					t.Fatalf("version %d: status %d", i, status)
+					t.Fatalf("version %d: status %d, want 200", i, status)
 				}
 			}
 		}
@@ -83,10 +85,10 @@
 	g0, d0, h0 := runtime.NumGoroutine(), descriptors(), heap()
 	apply(1000)
 	s.client.CloseIdleConnections()
-	testutil.Until(t, "goroutines and descriptors to be as few as before", func() bool {
+	testutil.Until(t, "goroutines and descriptors to be as few as before, within 10 each", func() bool {
 		return runtime.NumGoroutine() <= g0+10 && descriptors() <= d0+10
 	})
 	if h1 := heap(); h1 > h0+4<<20 {
-		t.Errorf("heap %d to %d bytes", h0, h1)
+		t.Errorf("the heap grew from %d to %d bytes, want at most 4 MiB more", h0, h1)
 	}
 }
--- a/internal/app/listeners_test.go
+++ b/internal/app/listeners_test.go
@@ -14,7 +14,8 @@
 	"yokestall/internal/testutil"
 )
 
-// exchangeRaw sends bytes and returns what comes back until the end, or until a text has come.
+// exchangeRaw sends text over a new connection. It returns the bytes received until the connection ends, or until they
+// contain the text until, if that is not empty.
 func exchangeRaw(t testing.TB, addr, text, until string) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -35,7 +36,7 @@
 	}
 }
 
-// getRequest is a request after which the connection ends.
+// getRequest is a request after whose answer the server closes the connection.
 const getRequest = "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 
 // rawGet sends getRequest and returns the answer.
@@ -44,7 +45,8 @@
 	return exchangeRaw(t, addr, getRequest, "")
 }
 
-// freeAddress returns an address at which nothing listens; the caller listens on it at once.
+// freeAddress returns an address at which nothing listens. The caller should listen on it at once, before another process
+// does.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	l := testutil.Listen(t)
@@ -52,8 +54,8 @@
 	return l.Addr().String()
 }
 
-// accepts reports whether something listens on an address.
-func accepts(addr string) bool {
+// isListening reports whether a connection to addr can be opened.
+func isListening(addr string) bool {
 	nc, err := net.Dial("tcp", addr)
 	if err == nil {
 		nc.Close()
@@ -61,8 +63,9 @@
 	return err == nil
 }
 
-// getWithoutPause sends getRequest over and over until stop is called, and checks each answer. sent counts them.
-func getWithoutPause(t *testing.T, addr, want string) (sent *atomic.Int64, stop func()) {
+// sendContinuously sends getRequest repeatedly until stop is called, and checks that each answer contains want. sent is
+// the number of answers so far.
+func sendContinuously(t *testing.T, addr, want string) (sent *atomic.Int64, stop func()) {
 	t.Helper()
 	stopping, done := make(chan struct{}), make(chan struct{})
 	sent = &atomic.Int64{}
@@ -75,7 +78,7 @@
 			default:
 			}
 			if got := rawGet(t, addr); !strings.Contains(got, want) {
-				t.Errorf("while the listener changes: %q", got)
+				t.Errorf("while the listener changes: answer %q, want %q in it", got, want)
 			}
 			sent.Add(1)
 		}
@@ -86,12 +89,13 @@
 	}
 }
 
-// Listeners are added, changed under clients that stay, and removed; one that can't be opened changes nothing.
+// Listeners are added, changed while clients send requests, and removed. A listener that can't be opened must leave the
+// others unchanged.
 func TestListenersComeAndGo(t *testing.T) {
 	const want = "b served"
 	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
-	a := newApp(t, snapshot(p, rooms(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t)})
+	a := newApp(t, newConfiguration(p, roomsCluster(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	listeners := openListeners(t, a)
 	apply := func(list ...config.Listener) error { return listeners.Apply(list) }
 	one := p.Listener
@@ -107,10 +111,10 @@
 	taken := two
 	taken.Name, taken.Address = "taken", b.Addr()
 	if err := apply(taken); err == nil || !strings.Contains(rawGet(t, one.Address), want) {
-		t.Errorf("an address that is taken: %v", err)
+		t.Errorf("an address in use: error %v, want an error and the other listener unchanged", err)
 	}
-	// Another bound on bodies, while clients send without a pause: none is rejected.
-	sent, stop := getWithoutPause(t, one.Address, want)
+	// The limit of bodies changes while clients send requests continuously. No request may be rejected.
+	sent, stop := sendContinuously(t, one.Address, want)
 	for i := range 10 {
 		n := sent.Load()
 		testutil.Until(t, "another request", func() bool { return sent.Load() > n })
@@ -122,21 +126,21 @@
 	stop()
 	got := exchangeRaw(t, one.Address, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 25\r\n\r\n", "")
 	if !strings.Contains(got, "413") {
-		t.Errorf("a bound of %d: %q", one.MaxBody, got)
+		t.Errorf("a body of 25 bytes with a limit of %d: answer %q, want status 413", one.MaxBody, got)
 	}
 	if err := apply(two); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "the first to be closed", func() bool { return !accepts(one.Address) })
+	testutil.Until(t, "the first listener to be closed", func() bool { return !isListening(one.Address) })
 	if !strings.Contains(rawGet(t, two.Address), want) {
-		t.Error("the other one is closed too")
+		t.Error("the second listener does not serve requests after the first was removed")
 	}
 }
 
-// failingListener is a listener whose first calls of Accept fail for lack of descriptors.
+// failingListener is a listener whose first calls of Accept fail because of a lack of file descriptors.
 type failingListener struct {
 	net.Listener
-	failures atomic.Int64 // that remain
+	failures atomic.Int64 // number of calls that still fail
 }
 
 // Accept implements net.Listener.
@@ -147,16 +151,16 @@
 	return l.Listener.Accept()
 }
 
-// A listener goes on after a lack of descriptors.
+// An acceptor must continue after accept failed because of a lack of file descriptors.
 func TestAcceptGoesOn(t *testing.T) {
 	b := testutil.StartAppServer(t, "b")
 	p := parse(t, program)
-	a := newApp(t, snapshot(p, rooms(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t)})
+	a := newApp(t, newConfiguration(p, roomsCluster(endpointOf(b))), Options{Seed: 1, Log: testutil.Log(t)})
 	listeners := openListeners(t, a)
 	l := &failingListener{Listener: testutil.Listen(t)}
 	l.failures.Store(3)
 	listeners.start(p.Listener, listeners.startAcceptor(l))
 	if got := rawGet(t, l.Addr().String()); !strings.Contains(got, "b served") {
-		t.Errorf("%q", got)
+		t.Errorf("answer %q, want %q in it", got, "b served")
 	}
 }
--- a/internal/app/matrix_test.go
+++ b/internal/app/matrix_test.go
@@ -17,8 +17,8 @@
 	"yokestall/internal/testutil"
 )
 
-// Latencies such as a busy machine's leave time for a retry: what the matrix checks of servers that break does not
-// depend on the latencies learnt before.
+// The retries that the matrix checks must not depend on the latencies learned before: after answers that took 600 ms, as
+// on a busy machine, requests to servers that break the connection are still retried.
 func TestMatrixWhateverWasLearnt(t *testing.T) {
 	t.Parallel()
 	const slow, takes = 4, 600 * time.Millisecond
@@ -35,31 +35,31 @@
 		}
 	}
 	a, b := testutil.NewBackend(t, serve), testutil.NewBackend(t, serve)
-	c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{}, a.Addr(), b.Addr())
+	c := newCellWithServers(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{}, a.Addr(), b.Addr())
 	for range slow {
 		if resp, _, err := c.exchange("GET", "/x", "slow", nil, 0); err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("a slow one: %v, %v", resp, err)
+			t.Fatalf("a slow request: answer %v, error %v; want status 200", resp, err)
 		}
 	}
 	for range 3 {
 		resp, text, err := c.exchange("GET", "/x", "break-once", nil, 0)
 		if err != nil || string(text) != "second" {
-			t.Errorf("a safe request: %v, %q, %v", resp, text, err)
+			t.Errorf("a safe request: answer %v, body %q, error %v; want the body of the second attempt", resp, text, err)
 		}
 		resp, text, err = c.exchange("POST", "/x", "break-once", io.NopCloser(bytes.NewReader(webpeer.Pattern(50_000))), -1)
 		if err != nil || string(text) != "second" {
-			t.Errorf("a short upload: %v, %q, %v", resp, text, err)
+			t.Errorf("a short upload: answer %v, body %q, error %v; want the body of the second attempt", resp, text, err)
 		}
 	}
 }
 
-// TestMatrix checks every behaviour over every pair of sides. With YOKESTALL_WRITE=1 it writes
-// the table into docs/http.md; else it checks that the table there is this one.
+// TestMatrix checks every behaviour for every pair of downstream and upstream protocols. It also checks that the table in
+// docs/http.md lists these behaviours. With YOKESTALL_WRITE=1 it writes the table instead.
 func TestMatrix(t *testing.T) {
 	keys, authority := matrixKeys(t)
-	list, wires := behaviours(), webpeer.AllProtocols()
-	for _, front := range wires {
-		for _, back := range wires {
+	list, protocolList := behaviours(), webpeer.AllProtocols()
+	for _, front := range protocolList {
+		for _, back := range protocolList {
 			t.Run(front.String()+"/"+back.String(), func(t *testing.T) {
 				t.Parallel()
 				c := newCell(t, front, back, keys, authority)
@@ -76,16 +76,17 @@
 			})
 		}
 	}
-	checkMatrixTable(t, list, wires)
+	checkMatrixTable(t, list, protocolList)
 }
 
-// checkMatrixTable compares the table in docs/http.md with the behaviours, or writes it with YOKESTALL_WRITE=1.
-func checkMatrixTable(t *testing.T, list []behaviour, wires []webpeer.Protocol) {
+// checkMatrixTable compares the table in docs/http.md with the behaviours. With YOKESTALL_WRITE=1 it writes the table
+// instead.
+func checkMatrixTable(t *testing.T, list []behaviour, protocolList []webpeer.Protocol) {
 	t.Helper()
 	const begin, end = "<!-- matrix -->\n", "<!-- end of matrix -->\n"
 	var table strings.Builder
 	fmt.Fprintf(&table, "%d behaviours, each over %d pairs of sides (%v from clients and to servers).\n\n",
-		len(list), len(wires)*len(wires), wires)
+		len(list), len(protocolList)*len(protocolList), protocolList)
 	table.WriteString("| behaviour | asked for by (RFC, section) |\n| --- | --- |\n")
 	for _, b := range list {
 		fmt.Fprintf(&table, "| %s | %s |\n", b.name, b.source)
@@ -98,13 +99,14 @@
 	head, rest, ok := strings.Cut(string(text), begin)
 	old, tail, ok2 := strings.Cut(rest, end)
 	if !ok || !ok2 {
-		t.Fatal("docs/http.md has no place for the table")
+		t.Fatalf("docs/http.md lacks the markers of the table, %q and %q", begin, end)
 	}
 	if os.Getenv("YOKESTALL_WRITE") != "" {
 		if err := os.WriteFile(path, []byte(head+begin+table.String()+end+tail), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	} else if old != table.String() {
-		t.Error("the table in docs/http.md is another one: YOKESTALL_WRITE=1 go test ./internal/app -run TestMatrix")
+		t.Error("the table in docs/http.md is out of date; update it with " +
+			"YOKESTALL_WRITE=1 go test ./internal/app -run TestMatrix")
 	}
 }
--- a/internal/app/sends_test.go
+++ b/internal/app/sends_test.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// removalGrace is how long after its removal an endpoint may still get requests.
+// removalGrace is the time after the removal of an endpoint in which requests may still be sent to it.
 const removalGrace = 500 * time.Millisecond
 
-// memberships has, for each server, the times in which a version in force had it.
+// memberships records for each server the periods in which a version in force contained it.
 type memberships struct {
 	mu       sync.Mutex
 	byServer map[string][]membership
 	inForce  map[string]bool
 }
 
-// membership is a time in which versions had a server; end is zero while it lasts.
+// membership is a period in which the versions in force contained a server. end is zero while the period lasts.
 type membership struct{ start, end time.Time }
 
-// apply notes a version. Its servers may get requests from start on; those that it lacks are removed at end.
-func (m *memberships) apply(servers []string, start, end time.Time) {
+// update records a new version in force. Its servers may get requests from start on. Servers of the previous version that
+// it lacks count as removed at end.
+func (m *memberships) update(servers []string, start, end time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.byServer == nil {
@@ -40,17 +41,17 @@
 	m.inForce = next
 }
 
-// allow reports whether a version had a server at a time, or within a grace before.
-func (m *memberships) allow(server string, at time.Time, grace time.Duration) bool {
+// contains reports whether a version in force contained a server at a time, or at most grace before it.
+func (m *memberships) contains(server string, at time.Time, grace time.Duration) bool {
 	return slices.ContainsFunc(m.byServer[server], func(x membership) bool {
 		return !at.Before(x.start) && (x.end.IsZero() || at.Before(x.end.Add(grace)))
 	})
 }
 
-// sendLog is a log of the requests that were sent, for Options.OnSend.
+// sendLog records the attempts that were sent. Its method record is used as Options.OnSend.
 type sendLog struct {
 	mu    sync.Mutex
-	names map[uint64]string // of servers, by their keys
+	names map[uint64]string // names of the servers, by cluster.Endpoint.Key
 	list  []send
 }
 
@@ -59,18 +60,18 @@
 	at     time.Time
 }
 
-// note adds a request.
-func (l *sendLog) note(_ string, server uint64, at time.Time) {
+// record adds an attempt that was sent.
+func (l *sendLog) record(_ string, server uint64, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list = append(l.list, send{l.names[server], at})
 }
 
-// astray counts the requests to servers that no version had at their time, or within a grace before. The time is that
-// of the send: on a busy machine a box may see it much later.
-func (l *sendLog) astray(m *memberships, grace time.Duration) (n int) {
+// countMisrouted returns the number of attempts to servers that no version in force contained at the time of the send, or
+// at most grace before it. It uses the time of the send, since on a busy machine a box may see the request much later.
+func (l *sendLog) countMisrouted(m *memberships, grace time.Duration) (n int) {
 	for _, x := range l.list {
-		if !m.allow(x.server, x.at, grace) {
+		if !m.contains(x.server, x.at, grace) {
 			n++
 		}
 	}
--- a/internal/app/services_test.go
+++ b/internal/app/services_test.go
@@ -12,9 +12,9 @@
 	"yokestall/internal/files"
 )
 
-// servicesSnapshot returns a program with a route to each of a number of clusters, which are called services here, and
-// the clusters, all with the same servers.
-func servicesSnapshot(t testing.TB, count int, servers ...*appbox.Server) *files.Configuration {
+// servicesConfiguration returns a configuration version with a number of clusters and a host with a route for each. The
+// clusters are called services and are named s0, s1 and so on. All have the same servers.
+func servicesConfiguration(t testing.TB, count int, servers ...*appbox.Server) *files.Configuration {
 	t.Helper()
 	text := strings.Builder{}
 	text.WriteString(program)
@@ -26,22 +26,22 @@
 	for i := range count {
 		list = append(list, serviceConfig(i, servers...))
 	}
-	return snapshot(parse(t, text.String()), list...)
+	return newConfiguration(parse(t, text.String()), list...)
 }
 
-// serviceConfig returns the cluster of a service.
+// serviceConfig returns the cluster of the service with index i.
 func serviceConfig(i int, servers ...*appbox.Server) *cluster.Config {
 	var endpoints []cluster.Endpoint
 	for _, b := range servers {
 		endpoints = append(endpoints, endpointOf(b))
 	}
-	c := rooms(endpoints...)
+	c := roomsCluster(endpoints...)
 	c.Name = fmt.Sprint("s", i)
 	return c
 }
 
-// requestStatus sends a request to a service and returns the status of the answer; 0 if there is none.
-func (s *serving) requestStatus(service int) int {
+// requestStatus sends a request to a service and returns the status of the answer, or 0 if there is none.
+func (s *testApp) requestStatus(service int) int {
 	r, err := http.NewRequest(http.MethodGet, s.url+"/", nil)
 	if err != nil {
 		s.t.Fatal(err)
--- a/internal/app/serving_test.go
+++ b/internal/app/serving_test.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/testutil"
 )
 
-// newApp returns an app, which is closed at the end of the test.
+// newApp returns an App that is closed at the end of the test.
 func newApp(t testing.TB, first *files.Configuration, o Options) *App {
 	t.Helper()
 	a, err := New(first, o)
@@ -25,7 +25,7 @@
 	return a
 }
 
-// openListeners opens listeners of an app. They are closed at the end of the test, before the app.
+// openListeners opens listeners of an App. They are closed at the end of the test, before the App.
 func openListeners(t testing.TB, a *App, list ...config.Listener) *Listeners {
 	t.Helper()
 	listeners := a.NewListeners()
@@ -36,23 +36,23 @@
 	return listeners
 }
 
-// serving is an app with a listener and a client.
-type serving struct {
-	t      testing.TB
-	app    *App
-	url    string
-	client *http.Client
-	leave  func() // ends the client of a control plane
+// testApp is an App that serves on a listener, and a client of that listener.
+type testApp struct {
+	t       testing.TB
+	app     *App
+	url     string
+	client  *http.Client
+	stopXDS func() // stops the xDS client; nil: there is none
 }
 
-// serve serves by a snapshot until the end of the test.
-func serve(t testing.TB, first *files.Configuration) *serving {
+// serve starts a testApp with a first configuration version. It serves until the end of the test.
+func serve(t testing.TB, first *files.Configuration) *testApp {
 	t.Helper()
 	return serveWith(t, first, Options{Seed: 1, Log: testutil.Log(t)})
 }
 
-// serveWith is serve with options.
-func serveWith(t testing.TB, first *files.Configuration, o Options) *serving {
+// serveWith is like serve, with options of the App.
+func serveWith(t testing.TB, first *files.Configuration, o Options) *testApp {
 	t.Helper()
 	a := newApp(t, first, o)
 	l := testutil.Listen(t)
@@ -69,7 +69,7 @@
 		stop()
 		run.Wait()
 	})
-	return &serving{
+	return &testApp{
 		t:      t,
 		app:    a,
 		url:    "http://" + l.Addr().String(),
@@ -77,8 +77,9 @@
 	}
 }
 
-// get sends a request with an id, or none, and returns its answer: a POST to paths below /pay/, else a GET.
-func (s *serving) get(path, id string) (status int, header http.Header, body string) {
+// get sends a request with this request id, or without one if id is empty, and returns the answer. The method is POST for
+// paths below /pay/ and GET for others.
+func (s *testApp) get(path, id string) (status int, header http.Header, body string) {
 	s.t.Helper()
 	method := http.MethodGet
 	if strings.HasPrefix(path, "/pay/") {
@@ -99,13 +100,13 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		s.t.Errorf("no complete answer: %v", err)
+		s.t.Errorf("incomplete answer: %v", err)
 	}
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-// becomes waits until a path is answered by a status.
-func (s *serving) becomes(path string, status int) {
+// waitForStatus sends requests for a path until one is answered with this status.
+func (s *testApp) waitForStatus(path string, status int) {
 	s.t.Helper()
 	testutil.Until(s.t, fmt.Sprintf("%s to be answered by %d", path, status), func() bool {
 		got, _, _ := s.get(path, "")
--- a/internal/app/smuggling_test.go
+++ b/internal/app/smuggling_test.go
@@ -17,14 +17,15 @@
 	"yokestall/internal/testutil"
 )
 
-// Parts of smuggledMessages.
+// Common parts of smuggledMessages.
 const (
 	postHead  = "POST /x HTTP/1.1\r\nHost: a\r\n"
 	hiddenGet = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
 )
 
-// smuggledMessages are messages whose ends, names or targets two readers could see differently (RFC 9112, 11.2). Many
-// end in a request for /hidden that only a server that was misled would see.
+// smuggledMessages are messages whose end, field names or target two recipients could interpret differently (request
+// smuggling, RFC 9112, section 11.2). Many end with a request for /hidden, which a server only sees if its interpretation
+// differs from the load balancer's.
 var smuggledMessages = []string{
 	postHead + "Content-Length: 5\r\nContent-Length: 60\r\n\r\n" + hiddenGet,
 	postHead + "Content-Length: 4, 60\r\n\r\n" + hiddenGet,
@@ -55,20 +56,21 @@
 	"GET x HTTP/1.1\r\nHost: a\r\n\r\n",
 }
 
-// okAnswer is the answer of startTappedServer.
+// okAnswer is the answer of the server of startTappedServer.
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"
 
-// startTappedServer starts a server that answers with okAnswer, and returns a tap on the bytes that it receives.
+// startTappedServer starts a server that answers with okAnswer. It returns the server's address and a tap that records
+// the bytes that the server receives.
 func startTappedServer(t testing.TB) (addr string, tap *rawpeer.Tap) {
 	tap = &rawpeer.Tap{}
 	return startRawServer(t, okAnswer, false, 1, tap).Addrs[0], tap
 }
 
-// Nothing that is hidden in a message reaches a server, over either version; and what is
-// forwarded has one length alone.
+// A request that is hidden in a message over HTTP/1.1 or HTTP/2 must not reach a server as a request of its own, and a
+// forwarded request must have either Content-Length or Transfer-Encoding, not both.
 func TestSmuggling(t *testing.T) {
 	addr, tap := startTappedServer(t)
-	c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10}, addr)
+	c := newCellWithServers(t, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10}, addr)
 	for _, text := range smuggledMessages {
 		checkSmuggledMessage(t, c, tap, text)
 	}
@@ -77,7 +79,7 @@
 	}
 }
 
-// checkSmuggledMessage sends a message over HTTP/1.1 and checks what reaches the server.
+// checkSmuggledMessage sends a message over HTTP/1.1 and checks the bytes that reach the server.
 func checkSmuggledMessage(t *testing.T, c *cell, tap *rawpeer.Tap, text string) {
 	t.Helper()
 	nc, err := net.Dial("tcp", c.addr)
@@ -91,7 +93,7 @@
 	nc.Close()
 	seen := tap.Drain()
 	if strings.Contains(seen, "hidden") && !strings.Contains(seen, "Content-Length: ") {
-		t.Errorf("%q reached the server as %q", text, seen)
+		t.Errorf("message %q reached the server as %q, with the hidden request outside a body", text, seen)
 	}
 	status := string(answer[:min(12, len(answer))])
 	rejected := strings.HasPrefix(status, "HTTP/1.1 4") || strings.HasPrefix(status, "HTTP/1.1 5")
@@ -101,16 +103,16 @@
 	requests := strings.Count(seen, "HTTP/1.1\r\n")
 	twoLengths := strings.Contains(strings.ToLower(seen), "transfer-encoding") && strings.Contains(seen, "Content-Length")
 	if requests > 1 || twoLengths {
-		t.Errorf("%q reached the server as %q", text, seen)
+		t.Errorf("message %q reached the server as %q; want one request with one kind of length", text, seen)
 	}
 }
 
-// smuggledStream is a request over HTTP/2 that would be another one in HTTP/1.1.
+// smuggledStream is an HTTP/2 request that would be a different request, or several, if translated to HTTP/1.1 as it is.
 type smuggledStream struct {
 	name   string
-	fields []string // names and values in turn
+	fields []string // alternating names and values
 	body   string
-	// forwarded reports that the request may be served, without what is smuggled.
+	// forwarded says that the request may be forwarded without its smuggled part.
 	forwarded bool
 }
 
@@ -141,12 +143,12 @@
 		{name: "two paths", fields: with(":path", "/hidden")},
 		{name: "a pseudo-field behind others", fields: append([]string{"x", "y"}, post...)},
 		{name: "an unknown pseudo-field", fields: with(":hidden", "1")},
-		{name: "a host beside the authority", fields: with("host", "hidden"), forwarded: true}, // the authority is forwarded
+		{name: "a host beside the authority", fields: with("host", "hidden"), forwarded: true}, // forwarded with :authority
 		{name: "no path", fields: post[:len(post)-2]},
 	}
 }
 
-// checkSmuggledStream sends a request over HTTP/2 and checks its status and what reaches the server.
+// checkSmuggledStream sends a request over HTTP/2 and checks the status and the bytes that reach the server.
 func checkSmuggledStream(t *testing.T, c *cell, tap *rawpeer.Tap, tc smuggledStream) {
 	t.Helper()
 	nc, f, err := rawpeer.OpenHTTP2(c.addr)
@@ -164,11 +166,13 @@
 	seen := tap.Drain()
 	served := status == "200" && !tc.forwarded
 	if served || strings.Contains(seen, "/hidden HTTP") || strings.Contains(seen, "Host: hidden") {
-		t.Errorf("%s: status %s, the server saw %q", tc.name, status, seen)
+		t.Errorf("%s: status %s, the server saw %q; want the request rejected or served without its smuggled part",
+			tc.name, status, seen)
 	}
 }
 
-// streamStatus reads frames until a stream has an end or a status, which it returns.
+// streamStatus reads frames until the status of an answer. It returns the status, or "reset" if the stream is reset or
+// GOAWAY comes first, or "closed" if the connection ends first.
 func streamStatus(f *http2.Framer) (status string) {
 	for status == "" {
 		frame, err := f.ReadFrame()
@@ -186,15 +190,15 @@
 	return status
 }
 
-// FuzzClient: whatever bytes a client sends, the listener goes on, and a server sees complete requests with one length
-// alone.
+// FuzzClient sends arbitrary bytes to a listener. The listener must continue to accept connections, and a request that
+// reaches the server must not have both Content-Length and Transfer-Encoding.
 func FuzzClient(f *testing.F) {
 	for _, text := range smuggledMessages {
 		f.Add([]byte(text))
 	}
 	f.Add([]byte(http2.ClientPreface + "\x00\x00\x00\x04\x00\x00\x00\x00\x00"))
 	addr, tap := startTappedServer(f)
-	c := newCellTo(f, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10}, addr)
+	c := newCellWithServers(f, webpeer.Protocol{}, webpeer.Protocol{}, nil, nil, config.Listener{HTTP2: 10}, addr)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		nc, err := net.Dial("tcp", c.addr)
 		if err != nil {
@@ -207,7 +211,7 @@
 		nc.Close()
 		for _, head := range bytes.SplitAfter([]byte(tap.Drain()), []byte("\r\n\r\n")) {
 			if bytes.Contains(head, []byte("Transfer-Encoding")) && bytes.Contains(head, []byte("Content-Length")) {
-				t.Errorf("two lengths: %q", head)
+				t.Errorf("the server got a head with both Transfer-Encoding and Content-Length: %q", head)
 			}
 		}
 	})
--- a/internal/app/stop_test.go
+++ b/internal/app/stop_test.go
@@ -15,23 +15,23 @@
 	"yokestall/internal/testutil"
 )
 
-// A client that has said nothing so far, and asks when a stop leaves its request no time, is told to come
-// back at once: nothing of it is taken, to be cut off at the stop's end.
+// A client that connected before a graceful shutdown may send its first request when too little time for the deadline of
+// the request is left. Such a request must not be sent to a server, since the end of the shutdown would cut it off.
 func TestStopTakesNothingThatItCantAnswer(t *testing.T) {
 	t.Parallel()
-	var sent sync.Map // ids that reached the server
+	var sent sync.Map // ids of the requests that reached a server
 	hangs := func(nc net.Conn) {
 		if r, err := http.ReadRequest(bufio.NewReader(nc)); err == nil {
 			sent.Store(r.Header.Get("X-Request-Id"), true)
-			nc.Read(make([]byte, 1)) // only the deadline answers
+			nc.Read(make([]byte, 1)) // gives no answer, so that the request ends at its deadline
 		}
 	}
-	var servers []cluster.Endpoint // as many as requests: the module has room for each
+	var servers []cluster.Endpoint // as many as requests, so that the policy admits each request
 	for i := range 3 {
 		servers = append(servers, cluster.Endpoint{ID: fmt.Sprint(i), Address: testutil.Accept(t, hangs), Weight: 1})
 	}
 	text := strings.ReplaceAll(strings.ReplaceAll(program, `"5s"`, `"1s"`), "[files]", "http2_streams = 0\n[files]")
-	a, err := New(snapshot(parse(t, text), rooms(servers...)), Options{Seed: 1, Log: testutil.Log(t)})
+	a, err := New(newConfiguration(parse(t, text), roomsCluster(servers...)), Options{Seed: 1, Log: testutil.Log(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	served := make(chan error, 1)
 	go func() { served <- a.Serve(ctx, l) }()
 	var clients []net.Conn
-	for range 3 { // each is there before the stop
+	for range 3 { // all connect before the shutdown
 		nc, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -51,19 +51,19 @@
 		clients = append(clients, nc)
 	}
 	stop()
-	for i, nc := range clients { // one after the other: the second when the first one's deadline is over
+	for i, nc := range clients { // each client sends its request once the previous request is answered or cut off
 		fmt.Fprintf(nc, "GET /x HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\n\r\n", i)
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err == nil {
 			resp.Body.Close()
-		} else if _, was := sent.Load(fmt.Sprint("r", i)); was {
-			t.Errorf("request %d was sent on and got no answer: %v", i, err)
+		} else if _, reached := sent.Load(fmt.Sprint("r", i)); reached {
+			t.Errorf("request %d was sent to a server and got no answer: %v", i, err)
 		}
 	}
-	if _, was := sent.Load("r0"); !was {
-		t.Error("the first request was not sent on")
+	if _, reached := sent.Load("r0"); !reached {
+		t.Error("the first request was not sent to a server, want it sent")
 	}
-	if err := testutil.Wait(t, served, "the stop"); err != nil {
-		t.Error(err)
+	if err := testutil.Wait(t, served, "the shutdown to end"); err != nil {
+		t.Errorf("Serve: %v", err)
 	}
 }
--- a/internal/app/streams.go
+++ b/internal/app/streams.go
@@ -27,8 +27,8 @@
 	return s
 }
 
-// limit applies timeouts to the stream or tunnel of an answer until the stream or tunnel is closed. It ignores answers
-// that have neither.
+// limit applies timeouts to the stream or tunnel of an answer until the stream or tunnel is closed. It does nothing if the
+// answer has neither, or if l has no timeouts.
 func (s *streams) limit(a engine.Answer, l streamtimeout.Limits) {
 	answer, ok := a.Value.(*h1client.Answer)
 	if !ok || answer.Stream == nil && answer.Tunnel == nil || l == (streamtimeout.Limits{}) {
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -12,22 +12,22 @@
 	"yokestall/internal/testutil"
 )
 
-// streamText returns program with a setting of streams for its first class.
-func streamText(setting string) string {
+// programWithStreamSetting returns program with an additional setting, for example a stream timeout, of its first class.
+func programWithStreamSetting(setting string) string {
 	return strings.Replace(program, "effect = \"safe\"\n", "effect = \"safe\"\n"+setting, 1)
 }
 
-// streamCase is a class with a bound on streams, or without one, and what happens while a stream is open.
+// streamCase is a class with or without a stream timeout, and an update that is applied while a stream is open.
 type streamCase struct {
 	name    string
-	setting string          // of the class
-	update  *cluster.Config // nil: none
-	ends    bool            // whether the stream does
+	setting string          // setting of the class; empty: none
+	update  *cluster.Config // cluster to apply while the stream is open; nil: none
+	wantEnd bool            // whether the stream must end
 }
 
-// Streams of a class that has bounds end by them, in a way that their clients can tell; others and
-// those of classes without bounds go on. A drain that comes between a stream's head and its place
-// in the table counts like one before or after.
+// A stream must end by the timeouts of its class, as an incomplete response. A stream without a timeout, or whose endpoint
+// does not drain, must stay open. A drain that is applied after the head of a stream has arrived and before the stream is
+// in the table must end the stream too.
 func TestStreamsEnd(t *testing.T) {
 	started := make(chan struct{}, 100)
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -47,21 +47,22 @@
 	}
 	const drainBound = "stream_drain = \"50ms\"\n"
 	for _, tc := range []streamCase{
-		{name: "whole", setting: "stream = \"50ms\"\n", ends: true},
-		{name: "progress", setting: "progress = \"50ms\"\n", ends: true},
-		{name: "drains", setting: drainBound, update: rooms(draining(server), other), ends: true},
-		{name: "is gone", setting: drainBound, update: rooms(other), ends: true},
-		{name: "another drains", setting: drainBound, update: rooms(server, draining(other))},
-		{name: "no bound", update: rooms(other)},
+		{name: "whole", setting: "stream = \"50ms\"\n", wantEnd: true},
+		{name: "progress", setting: "progress = \"50ms\"\n", wantEnd: true},
+		{name: "drains", setting: drainBound, update: roomsCluster(draining(server), other), wantEnd: true},
+		{name: "is gone", setting: drainBound, update: roomsCluster(other), wantEnd: true},
+		{name: "another drains", setting: drainBound, update: roomsCluster(server, draining(other))},
+		{name: "no bound", update: roomsCluster(other)},
 	} {
 		t.Run(tc.name, func(t *testing.T) { checkStreamEnd(t, tc, server, started) })
 	}
 }
 
-// checkStreamEnd opens a stream at a server and checks whether it ends. started gets a token once the stream is open.
+// checkStreamEnd opens a stream from a server, applies the update of the case and checks whether the stream ends. started
+// receives a value once the stream is open.
 func checkStreamEnd(t *testing.T, tc streamCase, server cluster.Endpoint, started <-chan struct{}) {
-	p := parse(t, streamText(tc.setting))
-	s := serve(t, snapshot(p, rooms(server)))
+	p := parse(t, programWithStreamSetting(tc.setting))
+	s := serve(t, newConfiguration(p, roomsCluster(server)))
 	resp, err := s.client.Get(s.url + "/events")
 	if err != nil {
 		t.Fatal(err)
@@ -69,37 +70,37 @@
 	defer resp.Body.Close()
 	in := bufio.NewReader(resp.Body)
 	if line, err := in.ReadString('\n'); line != "event\n" {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("first line %q, error %v; want the event", line, err)
 	}
-	testutil.Wait(t, started, "the stream")
+	testutil.Wait(t, started, "the stream to open")
 	if tc.update != nil {
-		if err := s.app.Apply(snapshot(p, tc.update)); err != nil {
+		if err := s.app.Apply(newConfiguration(p, tc.update)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ended := make(chan error, 1)
 	go func() { _, err := in.ReadByte(); ended <- err }()
-	if tc.ends {
-		if err := testutil.Wait(t, ended, "the stream's end"); err == nil || err == io.EOF {
-			t.Errorf("the client takes a part for the whole: %v", err)
+	if tc.wantEnd {
+		if err := testutil.Wait(t, ended, "the stream to end"); err == nil || err == io.EOF {
+			t.Errorf("the stream ended with error %v, want the error of an incomplete response", err)
 		}
 		return
 	}
-	for range 20 { // longer than any bound of a case
+	for range 20 { // at least 100 ms, longer than the timeout of any case
 		if status, _, _ := s.get("/quick", ""); status != 200 {
-			t.Errorf("status %d", status)
+			t.Errorf("request while the stream is open: status %d, want 200", status)
 		}
-		time.Sleep(5 * time.Millisecond) // a pace
+		time.Sleep(5 * time.Millisecond)
 	}
 	select {
 	case err := <-ended:
-		t.Errorf("it ended: %v", err)
+		t.Errorf("the stream ended with error %v, want it open", err)
 	default:
 	}
 }
 
-// A drain is applied while the attempt is in flight: the stream that its answer becomes ends by the same bound as one
-// that was open.
+// A drain is applied while an attempt is in flight, before the head of its answer. The stream of that answer must end by
+// the drain timeout like a stream that was already open.
 func TestDrainBeforeTheHead(t *testing.T) {
 	release := make(chan struct{})
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
@@ -107,8 +108,8 @@
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
-	p := parse(t, streamText("stream_drain = \"50ms\"\n"))
-	s := serve(t, snapshot(p, rooms(cluster.Endpoint{ID: "b", Address: b.Addr(), Weight: 1})))
+	p := parse(t, programWithStreamSetting("stream_drain = \"50ms\"\n"))
+	s := serve(t, newConfiguration(p, roomsCluster(cluster.Endpoint{ID: "b", Address: b.Addr(), Weight: 1})))
 	ended := make(chan error, 1)
 	go func() {
 		resp, err := s.client.Get(s.url + "/events")
@@ -118,13 +119,13 @@
 		}
 		ended <- err
 	}()
-	testutil.Wait(t, b.Requests, "the request")
-	err := s.app.Apply(snapshot(p, rooms(endpointOf(testutil.StartAppServer(t, "other")))))
+	testutil.Wait(t, b.Requests, "the request to reach its server")
+	err := s.app.Apply(newConfiguration(p, roomsCluster(endpointOf(testutil.StartAppServer(t, "other")))))
 	close(release)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := testutil.Wait(t, ended, "the stream's end"); err == nil {
-		t.Error("the client takes a part for the whole")
+	if err := testutil.Wait(t, ended, "the stream to end"); err == nil {
+		t.Error("the stream ended without an error, want the error of an incomplete response")
 	}
 }
--- a/internal/app/truncatedanswers_test.go
+++ b/internal/app/truncatedanswers_test.go
@@ -15,8 +15,9 @@
 // completeBody is the body of every answer of TestServerDiesAtEachByte.
 const completeBody = "whole answer"
 
-// A server that dies at each byte of its answer, for each class: what the client takes for
-// complete is complete, an unsafe request is executed once, a safe one within its attempts.
+// A server closes its connection after each possible number of bytes of its answer. An answer that is complete for the
+// client must be the server's complete answer. A request of an unsafe class must be executed at most once, and one of a
+// safe class at most as often as its attempts allow.
 func TestServerDiesAtEachByte(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -41,11 +42,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			const lanes = 8 // each with servers of its own
+			const lanes = 8 // number of concurrent clients, each with servers of its own
 			var run sync.WaitGroup
 			for lane := range lanes {
 				s := startRawServer(t, tc.answer, tc.http2, 4, nil)
-				c := newCellTo(t, webpeer.Protocol{}, webpeer.Protocol{HTTP2: tc.http2}, nil, nil, config.Listener{}, s.Addrs...)
+				upstream := webpeer.Protocol{HTTP2: tc.http2}
+				c := newCellWithServers(t, webpeer.Protocol{}, upstream, nil, nil, config.Listener{}, s.Addrs...)
 				run.Go(func() {
 					for cut := lane; cut <= len(tc.answer); cut += lanes {
 						for _, path := range []string{"/x", "/pay/x"} {
@@ -59,7 +61,7 @@
 	}
 }
 
-// answerFrames returns the frames of an answer over HTTP/2, with trailers.
+// answerFrames returns the frames of an HTTP/2 answer with trailers.
 func answerFrames() string {
 	var frames bytes.Buffer
 	f := http2.NewFramer(&frames, nil)
@@ -74,8 +76,8 @@
 	return frames.String()
 }
 
-// checkTruncatedAnswer sends a request to a server that dies after so many bytes of its answer. uncut reports that
-// these are all.
+// checkTruncatedAnswer sends a request to a server that closes the connection after cut bytes of its answer. uncut says
+// that these are all bytes of the answer.
 func checkTruncatedAnswer(t *testing.T, c *cell, s *rawpeer.Server, path string, cut int, uncut bool) {
 	t.Helper()
 	s.AnswerBytes.Store(int64(cut))
@@ -85,22 +87,22 @@
 	complete := err == nil && resp.StatusCode == 200
 	switch {
 	case complete && string(text) != completeBody:
-		t.Errorf("cut at %d: %q passes for the whole", cut, text)
+		t.Errorf("cut at %d: the client takes %q for the complete answer", cut, text)
 	case !complete && uncut:
-		t.Errorf("the whole answer is not passed on: %v %v", resp, err)
+		t.Errorf("the complete answer was not forwarded: answer %v, error %v", resp, err)
 	case !complete && err == nil && resp.StatusCode != 502 && resp.StatusCode != 503:
-		t.Errorf("cut at %d: status %d", cut, resp.StatusCode)
+		t.Errorf("cut at %d: status %d, want 502 or 503", cut, resp.StatusCode)
 	case path == "/pay/x" && executed > 1, executed > 3:
-		t.Errorf("cut at %d: %s executed %d times", cut, path, executed)
+		t.Errorf("cut at %d: %s was executed %d times, want at most 1 for /pay/x and at most 3 for others", cut, path, executed)
 	}
 }
 
-// startRawServer starts a server that answers each request with the same bytes, until the end of the test. tap may be
-// nil.
+// startRawServer starts a server at a number of addresses, which answers each request with the bytes of answer until the
+// end of the test. tap records what the server receives; it may be nil.
 func startRawServer(
-	t testing.TB, answer string, overHTTP2 bool, places int, tap *rawpeer.Tap,
+	t testing.TB, answer string, overHTTP2 bool, addresses int, tap *rawpeer.Tap,
 ) *rawpeer.Server {
-	s, err := rawpeer.Start([]byte(answer), overHTTP2, places, tap)
+	s, err := rawpeer.Start([]byte(answer), overHTTP2, addresses, tap)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/versionstorm_test.go
+++ b/internal/app/versionstorm_test.go
@@ -18,19 +18,19 @@
 	"yokestall/internal/testutil"
 )
 
-// Load of the storms.
+// Load of TestVersionStorm and TestXDSStorm.
 const (
 	stormBoxes          = 6
-	stormClients        = 8 // of TestVersionStorm
+	stormClients        = 8 // number of clients of TestVersionStorm
 	defaultStormWrites  = 1000
-	stormWritePause     = 7 * time.Millisecond // at most, after a write, in steps of a millisecond
-	stormAwayTime       = time.Second          // of one box after the other, so that a request astray shows
-	stormTruncatedBytes = 30                   // at most, of a file that is cut off at its end
+	stormWritePause     = 7 * time.Millisecond // maximum random pause after a write, in steps of 1 ms
+	stormAwayTime       = time.Second          // time for which each box in turn is removed; exceeds removalGrace
+	stormTruncatedBytes = 30                   // maximum number of bytes cut off at the end of a truncated file
 )
 
-// Torn, empty, malformed and swapped versions under traffic: each request goes to a
-// server of a complete, valid version that was current at its send, within 500 ms.
-// YOKESTALL_VERSIONS sets how many are written (1,000).
+// Truncated, empty, malformed and replaced files of a cluster are written under traffic. Each attempt must be sent to a
+// server of a complete, valid version that was in force at the send or at most 500 ms earlier. The environment variable
+// YOKESTALL_VERSIONS sets the number of files that are written; the default is 1000.
 func TestVersionStorm(t *testing.T) {
 	versions := defaultStormWrites
 	if v := os.Getenv("YOKESTALL_VERSIONS"); v != "" {
@@ -41,7 +41,7 @@
 	var tasks sync.WaitGroup
 	tasks.Go(func() { s.watcher.Run(ctx, s.apply) })
 	for i := range stormClients {
-		tasks.Go(func() { s.load(ctx, i) })
+		tasks.Go(func() { s.sendRequests(ctx, i) })
 	}
 	s.writeVersions(versions)
 	stop()
@@ -49,30 +49,30 @@
 	s.check(versions)
 }
 
-// versionStorm is an app that follows the file of one cluster.
+// versionStorm is a testApp that follows the file of one cluster, with the servers and the results of TestVersionStorm.
 type versionStorm struct {
-	*serving
+	*testApp
 	t       *testing.T
 	boxes   []*appbox.Server
-	decoy   *appbox.Server // in no complete, valid version
-	file    string         // of the cluster
+	decoy   *appbox.Server // box that is only in incomplete or invalid versions
+	file    string         // path of the cluster's file
 	watcher *files.Watcher
 	random  *rand.Rand
 	inForce memberships
 	sends   *sendLog
-	applied int // versions
+	applied int // number of versions that were applied
 
 	requests, served, notServed atomic.Int64
 }
 
-// newVersionStorm serves by a first version with all boxes.
+// newVersionStorm starts a versionStorm with a first version that contains all boxes except the decoy.
 func newVersionStorm(t *testing.T) *versionStorm {
 	t.Helper()
 	s := &versionStorm{t: t, random: rand.New(rand.NewPCG(1, 2)), sends: &sendLog{names: map[uint64]string{}}}
 	for i := range stormBoxes {
 		s.boxes = append(s.boxes, testutil.StartAppServer(t, fmt.Sprintf("box-%d", i)))
 	}
-	s.decoy = testutil.StartAppServer(t, "bait")
+	s.decoy = testutil.StartAppServer(t, "decoy")
 	root := t.TempDir()
 	path, folder := filepath.Join(root, "yokestall.toml"), filepath.Join(root, "clusters")
 	if err := os.Mkdir(folder, 0o755); err != nil {
@@ -82,8 +82,8 @@
 	if err := os.WriteFile(path, []byte(program), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	s.swap(roomsFile(s.boxes))
-	watcher, first, err := files.Open(path, testutil.DiscardLogger) // thousands of lines
+	s.replaceFile(roomsFile(s.boxes))
+	watcher, first, err := files.Open(path, testutil.DiscardLogger) // the watcher would log thousands of lines
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,14 +92,14 @@
 		e := endpointOf(b)
 		s.sends.names[e.Key()] = b.Name
 	}
-	s.serving = serveWith(t, first, Options{Seed: 1, Log: testutil.DiscardLogger, OnSend: s.sends.note})
+	s.testApp = serveWith(t, first, Options{Seed: 1, Log: testutil.DiscardLogger, OnSend: s.sends.record})
 	now := time.Now()
-	s.inForce.apply(endpointIDs(first.Version), now, now)
+	s.inForce.update(endpointIDs(first.Version), now, now)
 	s.applied = 1
 	return s
 }
 
-// roomsFile returns the file of the cluster rooms with boxes.
+// roomsFile returns the content of the file of the cluster rooms with these boxes.
 func roomsFile(members []*appbox.Server) string {
 	var b strings.Builder
 	b.WriteString("[cluster]\nname = \"rooms\"\n\n")
@@ -110,7 +110,7 @@
 	return b.String()
 }
 
-// endpointIDs returns the endpoints of the cluster rooms.
+// endpointIDs returns the IDs of the endpoints of the cluster rooms.
 func endpointIDs(v *cluster.Version) (ids []string) {
 	for _, e := range v.Clusters["rooms"].Endpoints {
 		ids = append(ids, e.ID)
@@ -118,15 +118,15 @@
 	return ids
 }
 
-// write writes the file in place, so that a part of it can be read.
-func (s *versionStorm) write(text string) {
+// writeInPlace overwrites the cluster's file, so that a reader may see a part of the new content.
+func (s *versionStorm) writeInPlace(text string) {
 	if err := os.WriteFile(s.file, []byte(text), 0o644); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// swap replaces the file by another one.
-func (s *versionStorm) swap(text string) {
+// replaceFile replaces the cluster's file atomically.
+func (s *versionStorm) replaceFile(text string) {
 	if err := os.WriteFile(s.file+".new", []byte(text), 0o644); err != nil {
 		s.t.Fatal(err)
 	}
@@ -137,16 +137,16 @@
 
 // apply applies a version of the files.
 func (s *versionStorm) apply(v *files.Configuration) {
-	before := time.Now() // a server may get requests as soon as the app has the version
+	before := time.Now() // a new server may get requests as soon as Apply has begun
 	if err := s.app.Apply(v); err != nil {
 		s.t.Error(err)
 	}
 	s.applied++
-	s.inForce.apply(endpointIDs(v.Version), before, time.Now()) // one that it lacks is removed once Apply returned
+	s.inForce.update(endpointIDs(v.Version), before, time.Now()) // servers are removed once Apply has returned
 }
 
-// load sends requests until ctx ends.
-func (s *versionStorm) load(ctx context.Context, client int) {
+// sendRequests sends the requests of one client until ctx ends.
+func (s *versionStorm) sendRequests(ctx context.Context, client int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		s.requests.Add(1)
 		path := []string{"/x", "/pay/x"}[n%2]
@@ -158,7 +158,8 @@
 	}
 }
 
-// writeVersions writes files, of which each valid one lacks one box for a second at a time.
+// writeVersions writes count files with pauses. All valid files of a period of stormAwayTime lack the same box; in the next
+// period they lack the next box.
 func (s *versionStorm) writeVersions(count int) {
 	start := time.Now()
 	for range count {
@@ -171,37 +172,37 @@
 	}
 }
 
-// writeVersion writes a valid file with boxes, or one that is invalid and has the bait.
+// writeVersion writes a valid file with these boxes, or an incomplete or invalid file that includes the decoy or is empty.
 func (s *versionStorm) writeVersion(members []*appbox.Server) {
 	good := roomsFile(members)
 	bad := roomsFile(append(members, s.decoy))
 	switch s.random.IntN(8) {
 	case 0, 1, 2:
-		s.swap(good)
-	case 3: // a part of it, then a complete one
-		s.write(bad[:s.random.IntN(len(bad))])
+		s.replaceFile(good)
+	case 3: // a part of a file, then a complete valid file
+		s.writeInPlace(bad[:s.random.IntN(len(bad))])
 		time.Sleep(time.Millisecond)
-		s.swap(good)
+		s.replaceFile(good)
 	case 4:
-		s.write("")
+		s.writeInPlace("")
 	case 5:
-		s.write(roomsFile(append(members, s.decoy, s.decoy)))
+		s.writeInPlace(roomsFile(append(members, s.decoy, s.decoy)))
 	case 6:
-		s.write(strings.Replace(bad, "address", "adress", 1))
+		s.writeInPlace(strings.Replace(bad, "address", "adress", 1))
 	case 7:
-		s.write(bad[:len(bad)-1-s.random.IntN(stormTruncatedBytes)])
+		s.writeInPlace(bad[:len(bad)-1-s.random.IntN(stormTruncatedBytes)])
 	}
 }
 
-// check checks where the requests went.
+// check checks the servers to which attempts were sent and the outcomes of the requests.
 func (s *versionStorm) check(written int) {
 	s.t.Helper()
 	executions := map[string]int{}
-	astray, reached := s.sends.astray(&s.inForce, removalGrace), 0
+	misrouted, reached := s.sends.countMisrouted(&s.inForce, removalGrace), 0
 	for _, b := range s.boxes {
 		seen, lost := b.Seen()
 		if lost > 0 {
-			s.t.Errorf("%s has no record of %d", b.Name, lost)
+			s.t.Errorf("%s has no record of %d requests that it received", b.Name, lost)
 		}
 		reached += len(seen)
 		for _, x := range seen {
@@ -215,15 +216,17 @@
 		}
 	}
 	sent, requests, served, notServed := len(s.sends.list), s.requests.Load(), s.served.Load(), s.notServed.Load()
-	if astray != 0 || s.decoy.Count() != 0 {
-		s.t.Errorf("%d of %d requests went astray, %d to a server of no valid version", astray, sent, s.decoy.Count())
+	if misrouted != 0 || s.decoy.Count() != 0 {
+		s.t.Errorf("%d of %d attempts were sent to a server outside the versions in force, and %d reached the decoy; want none",
+			misrouted, sent, s.decoy.Count())
 	}
 	if reached > sent {
-		s.t.Errorf("%d requests reached a box, %d sends are known", reached, sent)
+		s.t.Errorf("%d attempts reached a box, but only %d were recorded when they were sent", reached, sent)
 	}
 	if requests != served+notServed || served == 0 {
-		s.t.Errorf("%d requests, %d served, %d otherwise", requests, served, notServed)
+		s.t.Errorf("%d requests, %d served, %d not served; want some served and the sum to match", requests, served, notServed)
 	}
-	s.t.Logf("%d written, %d applied; %d requests, %d served, %d otherwise; %d reached a server, %d ids more than once",
+	s.t.Logf("%d files written, %d versions applied; %d requests, %d served, %d not served; "+
+		"%d attempts reached a box, %d request ids more than once",
 		written, s.applied, requests, served, notServed, reached, twice)
 }
--- a/internal/app/xds_test.go
+++ b/internal/app/xds_test.go
@@ -18,45 +18,46 @@
 	"yokestall/internal/xds"
 )
 
-// xdsRun is a program that follows a control plane, with the boxes of its clusters.
+// xdsRun is a testApp that follows a control plane, with the boxes of its clusters.
 type xdsRun struct {
-	*serving
+	*testApp
 	t            *testing.T
 	variant      string
 	controlPlane *controlplane.Server
-	a, b         *appbox.Server // of the cluster rooms, and of others
+	a, b         *appbox.Server // the boxes of the clusters
 	cacheFile    string
 	logs         *testutil.Logs
 }
 
-// start starts the program with the cache file of the run.
+// start starts an App and its xDS client with the cache file of the run.
 func (r *xdsRun) start() {
 	useCache := func(c *xds.Config) { c.CacheFile = r.cacheFile }
-	r.serving, r.logs = follow(r.t, xdsProgram(r.t, r.controlPlane.Addr(), r.variant, ""), Options{}, useCache, nil)
+	first := xdsProgram(r.t, r.controlPlane.Addr(), r.variant, "")
+	r.testApp, r.logs = serveWithControlPlane(r.t, first, Options{}, useCache, nil)
 }
 
-// set changes resources of the control plane.
-func (r *xdsRun) set(named map[string]proto.Message) {
+// setResources changes resources of the control plane.
+func (r *xdsRun) setResources(named map[string]proto.Message) {
 	r.t.Helper()
-	set(r.t, r.controlPlane, named)
+	setResources(r.t, r.controlPlane, named)
 }
 
-// assign has a cluster's only endpoint be a box.
+// assign makes a box the only endpoint of a cluster.
 func (r *xdsRun) assign(cluster string, b *appbox.Server) {
 	r.t.Helper()
-	r.set(map[string]proto.Message{cluster: loadAssignment(cluster, healthy, []*appbox.Server{b})})
+	r.setResources(map[string]proto.Message{cluster: loadAssignment(cluster, healthy, []*appbox.Server{b})})
 }
 
-// wantStatus checks the status of one request.
+// wantStatus sends one request and checks the status of its answer. when describes the situation.
 func (r *xdsRun) wantStatus(path string, want int, when string) {
 	r.t.Helper()
 	if status, _, _ := r.get(path, ""); status != want {
-		r.t.Errorf("%s: status %d", when, status)
+		r.t.Errorf("%s: status %d, want %d", when, status, want)
 	}
 }
 
-// servedBy waits until a box answers.
-func (r *xdsRun) servedBy(b *appbox.Server, what string) {
+// waitForServer sends requests until a box answers one of them.
+func (r *xdsRun) waitForServer(b *appbox.Server, what string) {
 	r.t.Helper()
 	testutil.Until(r.t, what, func() bool {
 		_, _, body := r.get("/x", "")
@@ -64,9 +65,9 @@
 	})
 }
 
-// A configuration from its first version on: no control plane reachable, all there, a route to a cluster that nobody
-// defines, one bad resource among a hundred that was good before, a cluster removed with a request open, a control
-// plane that dies, misbehaves and comes back with an older version.
+// An App follows a control plane through a sequence of faults: no control plane at the start, a route to an undefined
+// cluster, an invalid update of one cluster among a hundred, removal of a cluster with a request in flight, protocol
+// errors of the control plane, a control plane that is down, and one that returns with an older version.
 func TestXDSRecovery(t *testing.T) {
 	for _, variant := range bothVariants {
 		t.Run(variant, func(t *testing.T) {
@@ -89,18 +90,18 @@
 	}
 }
 
-// checkStart starts without a control plane, which then comes.
+// checkStart starts the App without a control plane. Requests are rejected until the control plane is up.
 func (r *xdsRun) checkStart() {
 	r.controlPlane.Down()
 	r.start()
 	if status, header, _ := r.get("/x", ""); status != 503 || header.Get("Retry-After") == "" {
-		r.t.Errorf("before any version: status %d, %v", status, header)
+		r.t.Errorf("before the first version: status %d, header %v; want 503 with Retry-After", status, header)
 	}
-	r.set(map[string]proto.Message{
+	r.setResources(map[string]proto.Message{
 		"ingress": ingressRoutes(r.t),
 		"main": mainRoutes(
-			toCluster("/lost/", "lost", "read"), toCluster("/c-99/", "c-99", "read"),
-			toCluster("/pay/", "rooms", "pay"), toCluster("/", "rooms", "read"),
+			routeToCluster("/lost/", "lost", "read"), routeToCluster("/c-99/", "c-99", "read"),
+			routeToCluster("/pay/", "rooms", "pay"), routeToCluster("/", "rooms", "read"),
 		),
 		"rooms": edsCluster("rooms"),
 	})
@@ -108,19 +109,20 @@
 	if err := r.controlPlane.Up(); err != nil {
 		r.t.Fatal(err)
 	}
-	r.becomes("/x", 200)
+	r.waitForStatus("/x", 200)
 }
 
-// checkUndefinedCluster has a route to a cluster that is defined later.
+// checkUndefinedCluster checks that requests to an undefined cluster are rejected until the cluster is defined.
 func (r *xdsRun) checkUndefinedCluster() {
-	r.wantStatus("/lost/x", 503, "an undefined cluster")
+	r.wantStatus("/lost/x", 503, "with an undefined cluster")
 	r.logs.Wait("request rejected, cluster not defined")
-	r.set(map[string]proto.Message{"lost": edsCluster("lost")})
+	r.setResources(map[string]proto.Message{"lost": edsCluster("lost")})
 	r.assign("lost", r.b)
-	r.becomes("/lost/x", 200)
+	r.waitForStatus("/lost/x", 200)
 }
 
-// checkRejectedResource sends a hundred good clusters and one that is rejected, which was good before.
+// checkRejectedResource delivers a hundred valid clusters and an invalid update of another cluster. The valid clusters must
+// be accepted, the other cluster must keep its last valid form, and the NACK must name the fault.
 func (r *xdsRun) checkRejectedResource() {
 	hundred := map[string]proto.Message{}
 	for i := range 100 {
@@ -130,20 +132,20 @@
 		Name:                 "lost",
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_LOGICAL_DNS},
 	}
-	r.set(hundred)
+	r.setResources(hundred)
 	r.logs.Wait("lost: type: LOGICAL_DNS is neither EDS nor STATIC")
 	r.assign("c-99", r.b)
-	r.becomes("/c-99/x", 200) // the others were accepted
-	r.wantStatus("/lost/x", 200, "the last good form")
+	r.waitForStatus("/c-99/x", 200) // the valid clusters were accepted
+	r.wantStatus("/lost/x", 200, "with the last valid form of the cluster")
 	testutil.Until(r.t, "a NACK that names the fault", func() bool {
 		return slices.ContainsFunc(r.controlPlane.Acks(), func(a controlplane.Ack) bool {
 			return strings.Contains(a.Error, "LOGICAL_DNS")
 		})
 	})
-	r.set(map[string]proto.Message{"lost": edsCluster("lost")}) // good again
+	r.setResources(map[string]proto.Message{"lost": edsCluster("lost")}) // valid again
 }
 
-// checkRemovalWhileOpen removes a cluster with a request open, and defines it again.
+// checkRemovalWhileOpen removes a cluster with a request in flight, which must be served, and defines the cluster again.
 func (r *xdsRun) checkRemovalWhileOpen() {
 	r.a.SetDelay(200 * time.Millisecond)
 	open := make(chan int, 1)
@@ -153,17 +155,18 @@
 		open <- status
 	}()
 	testutil.Until(r.t, "the request to reach the box", func() bool { return r.a.Count() > count })
-	r.controlPlane.RemoveResources(message(r.t, edsCluster("rooms")).TypeUrl, "rooms")
-	r.becomes("/x", 503)
-	if status := testutil.Wait(r.t, open, "the open request"); status != 200 {
-		r.t.Errorf("open while its cluster was removed: status %d", status)
+	r.controlPlane.RemoveResources(packAny(r.t, edsCluster("rooms")).TypeUrl, "rooms")
+	r.waitForStatus("/x", 503)
+	if status := testutil.Wait(r.t, open, "the answer to the request in flight"); status != 200 {
+		r.t.Errorf("request in flight while its cluster was removed: status %d, want 200", status)
 	}
 	r.a.SetDelay(0)
-	r.set(map[string]proto.Message{"rooms": edsCluster("rooms")})
-	r.becomes("/x", 200)
+	r.setResources(map[string]proto.Message{"rooms": edsCluster("rooms")})
+	r.waitForStatus("/x", 200)
 }
 
-// checkMisbehaviour has the control plane misbehave in each way. The stream is broken after it as by a restart.
+// checkMisbehaviour makes the control plane commit each fault. The last version must stay in force meanwhile, and the App
+// must recover once the xDS stream is broken, as by a restart of the control plane.
 func (r *xdsRun) checkMisbehaviour() {
 	for fault := controlplane.WrongNonce; fault <= controlplane.InvalidBodies; fault++ {
 		r.controlPlane.QueueFaults(fault)
@@ -172,49 +175,51 @@
 		r.wantStatus("/x", 200, fmt.Sprintf("fault %d", fault))
 		testutil.Until(r.t, "the fault to happen", func() bool { return r.controlPlane.PendingFaults() == 0 })
 		r.controlPlane.BreakStreams()
-		r.servedBy(to, fmt.Sprintf("recovery from fault %d", fault))
+		r.waitForServer(to, fmt.Sprintf("recovery from fault %d", fault))
 	}
 }
 
-// checkRestartFromCache ends the control plane: its last version stays, also for a program that starts meanwhile.
+// checkRestartFromCache stops the control plane. Its last version must stay in force, also in an App that starts while the
+// control plane is down.
 func (r *xdsRun) checkRestartFromCache() {
 	r.controlPlane.Down()
 	r.wantStatus("/x", 200, "with the control plane down")
-	r.leave()
+	r.stopXDS()
 	r.start()
-	r.becomes("/x", 200)
+	r.waitForStatus("/x", 200)
 	r.logs.Wait("starting from the cached control plane version")
 }
 
-// checkOlderVersion restores the control plane from a backup: its version is older, and it applies.
+// checkOlderVersion restarts the control plane with an older version, as after a restore from a backup. That version must
+// be put in force.
 func (r *xdsRun) checkOlderVersion() {
-	url := message(r.t, loadAssignment("rooms", healthy)).TypeUrl
+	url := packAny(r.t, loadAssignment("rooms", healthy)).TypeUrl
 	r.controlPlane.SetVersion(url, 1)
 	r.assign("rooms", r.b)
 	r.controlPlane.SetVersion(url, 1)
 	if err := r.controlPlane.Up(); err != nil {
 		r.t.Fatal(err)
 	}
-	r.servedBy(r.b, "the older version to be in force")
+	r.waitForServer(r.b, "the older version to be in force")
 }
 
-// All endpoints of a priority are unhealthy: the next one serves; those of all priorities are: requests are rejected at
-// once, with Retry-After.
+// If all endpoints of a priority are unhealthy, requests go to the next priority. If no priority has a usable endpoint,
+// requests are rejected at once with Retry-After.
 func TestXDSFailover(t *testing.T) {
 	a, b := testutil.StartAppServer(t, "a"), testutil.StartAppServer(t, "b")
 	p := startControlPlane(t)
-	set(t, p, map[string]proto.Message{
+	setResources(t, p, map[string]proto.Message{
 		"ingress": ingressRoutes(t),
-		"main":    mainRoutes(toCluster("/", "rooms", "read")),
+		"main":    mainRoutes(routeToCluster("/", "rooms", "read")),
 		"rooms":   edsCluster("rooms"),
 	})
 	both := func(first, second corev3.HealthStatus) {
 		x := loadAssignment("rooms", first, []*appbox.Server{a}, nil)
 		x.Endpoints[1].LbEndpoints = loadAssignment("rooms", second, []*appbox.Server{b}).Endpoints[0].LbEndpoints
-		set(t, p, map[string]proto.Message{"rooms": x})
+		setResources(t, p, map[string]proto.Message{"rooms": x})
 	}
 	both(healthy, healthy)
-	s, _ := follow(t, xdsProgram(t, p.Addr(), "incremental", ""), Options{}, nil, nil)
+	s, _ := serveWithControlPlane(t, xdsProgram(t, p.Addr(), "incremental", ""), Options{}, nil, nil)
 	served := func(by string) {
 		t.Helper()
 		testutil.Until(t, "an answer by "+by, func() bool {
@@ -230,7 +235,7 @@
 		served("b")
 	}
 	if a.Count() != count {
-		t.Error("sent to an unhealthy server")
+		t.Errorf("%d requests were sent to an unhealthy server, want none", a.Count()-count)
 	}
 	both(corev3.HealthStatus_TIMEOUT, corev3.HealthStatus_DRAINING)
 	testutil.Until(t, "a rejection at once", func() bool {
--- a/internal/app/xdsbench_test.go
+++ b/internal/app/xdsbench_test.go
@@ -18,12 +18,12 @@
 	"yokestall/internal/xds"
 )
 
-// benchClusterSize is the number of endpoints of a cluster of BenchmarkXDS.
+// benchClusterSize is the number of endpoints of each cluster of BenchmarkXDS.
 const benchClusterSize = 100
 
-// BenchmarkXDS pushes one changed endpoint at a time, in clusters of 100, and reports how
-// long it takes from delivery (the last byte read) to in force, at what part of a core for
-// 100 changes a second, and how many bytes an endpoint takes.
+// BenchmarkXDS changes one endpoint at a time, in clusters of 100 endpoints. It reports quantiles of the time from the
+// delivery of a change (its last byte is read) until the change is in force, the share of a core that 100 changes per
+// second take, and the memory in bytes per endpoint.
 func BenchmarkXDS(b *testing.B) {
 	for _, variant := range bothVariants {
 		for _, n := range []int{100, 1000, 10000} {
@@ -37,7 +37,7 @@
 	p := startControlPlane(b)
 	setBenchClusters(b, p, clusters)
 	before := heapBytes()
-	updates := make(chan time.Duration, 1000) // from delivery to in force
+	updates := make(chan time.Duration, 1000) // times from delivery until the change is in force
 	ready := make(chan struct{})
 	var once sync.Once
 	applied := func(d *xds.Delivery) {
@@ -52,7 +52,7 @@
 		default:
 		}
 	}
-	follow(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.DiscardLogger}, nil, applied)
+	serveWithControlPlane(b, xdsProgram(b, p.Addr(), variant, ""), Options{Seed: 1, Log: testutil.DiscardLogger}, nil, applied)
 	testutil.Wait(b, ready, "all clusters")
 	perEndpoint := (heapBytes() - before) / float64(endpoints)
 	for len(updates) > 0 {
@@ -61,14 +61,14 @@
 	var times []time.Duration
 	for i := 0; b.Loop(); i++ {
 		c := i % clusters
-		set(b, p, map[string]proto.Message{benchClusterName(c): benchAssignment(c, uint32(2+i%1000))})
+		setResources(b, p, map[string]proto.Message{benchClusterName(c): benchAssignment(c, uint32(2+i%1000))})
 		times = append(times, testutil.Wait(b, updates, "a delivery"))
 	}
 	reportTimes(b, times)
 	b.ReportMetric(perEndpoint, "B/endpoint")
 }
 
-// setBenchClusters sets clusters with their endpoints, each with a route.
+// setBenchClusters sets clusters with endpoints, and a route to each cluster, at the control plane.
 func setBenchClusters(b *testing.B, p *controlplane.Server, clusters int) {
 	b.Helper()
 	var routes []*routev3.Route
@@ -76,17 +76,18 @@
 	assignments := map[string]proto.Message{}
 	for c := range clusters {
 		name := benchClusterName(c)
-		routes = append(routes, toCluster("/"+name, name, "read"))
+		routes = append(routes, routeToCluster("/"+name, name, "read"))
 		resources[name], assignments[name] = edsCluster(name), benchAssignment(c, 1)
 	}
 	resources["main"] = mainRoutes(routes...)
-	set(b, p, resources)
-	set(b, p, assignments)
+	setResources(b, p, resources)
+	setResources(b, p, assignments)
 }
 
 func benchClusterName(c int) string { return fmt.Sprintf("c-%03d", c) }
 
-// benchAssignment is the endpoints of a cluster, the first of which has a weight other than 1.
+// benchAssignment returns the assignment of a cluster's endpoints. The first endpoint has the weight firstWeight, the
+// others have the weight 1.
 func benchAssignment(c int, firstWeight uint32) *endpointv3.ClusterLoadAssignment {
 	a := loadAssignment(benchClusterName(c), healthy, nil)
 	weight := firstWeight
@@ -99,7 +100,7 @@
 	return a
 }
 
-// heapBytes returns the size of the live heap.
+// heapBytes returns the size of the live heap in bytes, after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -108,7 +109,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// reportTimes reports quantiles of times and the share of a core that 100 of them a second take.
+// reportTimes reports the 50th and 99th percentile of times, and the share of a core that 100 changes per second take at
+// their mean.
 func reportTimes(b *testing.B, times []time.Duration) {
 	sum := time.Duration(0)
 	for _, d := range times {
--- a/internal/app/xdsresources_test.go
+++ b/internal/app/xdsresources_test.go
@@ -18,8 +18,8 @@
 	"yokestall/internal/fake/appbox"
 )
 
-// message packs a resource.
-func message(t testing.TB, m proto.Message) *anypb.Any {
+// packAny packs a resource into an Any message.
+func packAny(t testing.TB, m proto.Message) *anypb.Any {
 	a, err := anypb.New(m)
 	if err != nil {
 		t.Fatal(err)
@@ -27,19 +27,19 @@
 	return a
 }
 
-// ingressRoutes is the listener "ingress", which has the routes "main".
+// ingressRoutes returns the listener "ingress", which uses the route configuration "main".
 func ingressRoutes(t testing.TB) proto.Message {
 	manager := &hcmv3.HttpConnectionManager{
 		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{RouteConfigName: "main"}},
 	}
 	return &listenerv3.Listener{
 		Name:        "ingress",
-		ApiListener: &listenerv3.ApiListener{ApiListener: message(t, manager)},
+		ApiListener: &listenerv3.ApiListener{ApiListener: packAny(t, manager)},
 	}
 }
 
-// toCluster is a route by prefix, with a class in its metadata.
-func toCluster(prefix, cluster, class string) *routev3.Route {
+// routeToCluster returns a route by path prefix to a cluster, with a class in the route's metadata.
+func routeToCluster(prefix, cluster, class string) *routev3.Route {
 	action := &routev3.RouteAction{ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: cluster}}
 	metadata := &structpb.Struct{Fields: map[string]*structpb.Value{"class": structpb.NewStringValue(class)}}
 	return &routev3.Route{
@@ -50,18 +50,18 @@
 	}
 }
 
-// mainRoutes is the routes "main" of all hosts.
+// mainRoutes returns the route configuration "main", whose only virtual host matches all domains.
 func mainRoutes(routes ...*routev3.Route) proto.Message {
 	all := &routev3.VirtualHost{Name: "all", Domains: []string{"*"}, Routes: routes}
 	return &routev3.RouteConfiguration{Name: "main", VirtualHosts: []*routev3.VirtualHost{all}}
 }
 
-// edsCluster is a cluster whose endpoints the control plane assigns.
+// edsCluster returns a cluster whose endpoints are discovered by EDS.
 func edsCluster(name string) proto.Message {
 	return &clusterv3.Cluster{Name: name, ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS}}
 }
 
-// lbEndpoint is an endpoint of an assignment.
+// lbEndpoint returns an endpoint of an assignment, with an address and a health status.
 func lbEndpoint(addr string, h corev3.HealthStatus) *endpointv3.LbEndpoint {
 	host, text, _ := net.SplitHostPort(addr)
 	port, _ := strconv.Atoi(text)
@@ -76,7 +76,8 @@
 	}
 }
 
-// loadAssignment is an assignment whose boxes have the priorities of their lists.
+// loadAssignment returns the assignment of a cluster whose endpoints are the boxes of byPriority. The index of a list in
+// byPriority is the priority of its boxes. All endpoints have the health status h.
 func loadAssignment(
 	cluster string, h corev3.HealthStatus, byPriority ...[]*appbox.Server,
 ) *endpointv3.ClusterLoadAssignment {
--- a/internal/app/xdsserving_test.go
+++ b/internal/app/xdsserving_test.go
@@ -17,15 +17,16 @@
 	"yokestall/internal/xds/ads"
 )
 
-// xdsProgram is a program that follows a control plane at an address by its listener "ingress".
+// xdsProgram returns a configuration version that follows a control plane at an address. Its routes come from the xDS
+// listener "ingress". more is appended to the section [xds] of the program's file.
 func xdsProgram(t testing.TB, addr, variant, more string) *files.Configuration {
 	text := program[:strings.Index(program, "[[host]]")] +
 		fmt.Sprintf("[xds]\nservers = [%q]\nvariant = %q\n", addr, variant) +
 		"node_id = \"test\"\nlistener = \"ingress\"\nclass = \"read\"\n" + more
-	return snapshot(parse(t, text))
+	return newConfiguration(parse(t, text))
 }
 
-// bothVariants are the variants of the protocol.
+// bothVariants are the values of the setting variant: the two variants of the xDS protocol.
 var bothVariants = []string{"incremental", "state-of-the-world"}
 
 // startControlPlane starts a control plane without resources.
@@ -38,19 +39,19 @@
 	return p
 }
 
-// set sets resources by their names.
-func set(t testing.TB, p *controlplane.Server, named map[string]proto.Message) {
+// setResources sets resources of a control plane by name.
+func setResources(t testing.TB, p *controlplane.Server, named map[string]proto.Message) {
 	t.Helper()
 	if err := p.SetResources(named); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// follow serves by a control plane. change may change the client's configuration; applied is called with each delivery
-// once the app has applied it; both may be nil.
-func follow(
+// serveWithControlPlane starts a testApp that follows a control plane, and returns its logs. change may modify the
+// configuration of the xDS client. applied is called with each delivery once it has been applied. Both may be nil.
+func serveWithControlPlane(
 	t testing.TB, first *files.Configuration, o Options, change func(*xds.Config), applied func(*xds.Delivery),
-) (*serving, *testutil.Logs) {
+) (*testApp, *testutil.Logs) {
 	t.Helper()
 	logs := testutil.NewLogs(t)
 	if o.Log == nil {
@@ -78,7 +79,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() { client.Run(ctx, deliver) })
-	s.leave = func() { stop(); run.Wait() }
-	t.Cleanup(s.leave)
+	s.stopXDS = func() { stop(); run.Wait() }
+	t.Cleanup(s.stopXDS)
 	return s, logs
 }
--- a/internal/app/xdsstorm_test.go
+++ b/internal/app/xdsstorm_test.go
@@ -24,12 +24,13 @@
 	defaultXDSChanges = 200
 	xdsStreamBreaks   = 50
 	xdsStormClients   = 6
-	xdsChangePause    = 40 * time.Millisecond // at most, after a change, in steps of a millisecond
+	xdsChangePause    = 40 * time.Millisecond // maximum random pause after a change, in steps of 1 ms
 )
 
-// A thousand changes (200 without YOKESTALL_CHANGES) under steady traffic and through 50
-// stream breaks, in both variants: each send is compared with what was delivered at its
-// time. The control plane takes endpoints away also while the stream is down.
+// A control plane changes an assignment many times under steady traffic, and breaks the xDS stream about 50 times, in both
+// variants of the protocol. Endpoints are also removed while the stream is down. Each attempt must be sent to an endpoint
+// of the delivery in force at the send or at most removalGrace earlier. The environment variable YOKESTALL_CHANGES sets
+// the number of changes, which must be at least 50; the default is 200.
 func TestXDSStorm(t *testing.T) {
 	changes := defaultXDSChanges
 	if v := os.Getenv("YOKESTALL_CHANGES"); v != "" {
@@ -42,7 +43,7 @@
 			ctx, stop := context.WithCancel(t.Context())
 			var clients sync.WaitGroup
 			for i := range xdsStormClients {
-				clients.Go(func() { s.load(ctx, i) })
+				clients.Go(func() { s.sendRequests(ctx, i) })
 			}
 			s.change(changes)
 			stop()
@@ -52,9 +53,9 @@
 	}
 }
 
-// xdsStorm is an app that follows a control plane.
+// xdsStorm is a testApp that follows a control plane, with the servers and the results of TestXDSStorm.
 type xdsStorm struct {
-	*serving
+	*testApp
 	t            *testing.T
 	controlPlane *controlplane.Server
 	boxes        []*appbox.Server
@@ -63,7 +64,7 @@
 	deliveries   int
 }
 
-// newXDSStorm serves by a first version with all boxes.
+// newXDSStorm starts an xdsStorm with a first version that contains all boxes.
 func newXDSStorm(t *testing.T, variant string) *xdsStorm {
 	t.Helper()
 	s := &xdsStorm{t: t, sends: &sendLog{names: map[uint64]string{}}}
@@ -75,19 +76,19 @@
 		s.boxes = append(s.boxes, b)
 	}
 	s.controlPlane = startControlPlane(t)
-	set(t, s.controlPlane, map[string]proto.Message{
+	setResources(t, s.controlPlane, map[string]proto.Message{
 		"ingress": ingressRoutes(t),
-		"main":    mainRoutes(toCluster("/pay/", "rooms", "pay"), toCluster("/", "rooms", "read")),
+		"main":    mainRoutes(routeToCluster("/pay/", "rooms", "pay"), routeToCluster("/", "rooms", "read")),
 		"rooms":   edsCluster("rooms"),
 	})
-	set(t, s.controlPlane, map[string]proto.Message{"rooms": loadAssignment("rooms", healthy, s.boxes)})
-	o := Options{Seed: 1, Log: testutil.DiscardLogger, OnSend: s.sends.note}
-	s.serving, _ = follow(t, xdsProgram(t, s.controlPlane.Addr(), variant, ""), o, nil, s.applied)
-	s.becomes("/x", 200)
+	setResources(t, s.controlPlane, map[string]proto.Message{"rooms": loadAssignment("rooms", healthy, s.boxes)})
+	o := Options{Seed: 1, Log: testutil.DiscardLogger, OnSend: s.sends.record}
+	s.testApp, _ = serveWithControlPlane(t, xdsProgram(t, s.controlPlane.Addr(), variant, ""), o, nil, s.applied)
+	s.waitForStatus("/x", 200)
 	return s
 }
 
-// applied notes a delivery that the app has applied.
+// applied records a delivery that has been applied.
 func (s *xdsStorm) applied(d *xds.Delivery) {
 	s.deliveries++
 	c := d.View.Clusters()["rooms"]
@@ -100,17 +101,18 @@
 			ids = append(ids, c.Endpoints[i].Address)
 		}
 	}
-	s.inForce.apply(ids, d.ReceivedAt, d.ReceivedAt)
+	s.inForce.update(ids, d.ReceivedAt, d.ReceivedAt)
 }
 
-// load sends requests until ctx ends.
-func (s *xdsStorm) load(ctx context.Context, client int) {
+// sendRequests sends the requests of one client until ctx ends.
+func (s *xdsStorm) sendRequests(ctx context.Context, client int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		s.get([]string{"/x", "/pay/x"}[n%2], fmt.Sprintf("r-%d-%d", client, n))
 	}
 }
 
-// change changes the assignment, each time without one box, and breaks the stream now and then.
+// change changes the assignment count times and breaks the xDS stream now and then. Each assignment lacks one box or marks
+// it as draining.
 func (s *xdsStorm) change(count int) {
 	random := rand.New(rand.NewPCG(1, 2))
 	start := time.Now()
@@ -119,25 +121,26 @@
 		members := append(slices.Clone(s.boxes[:away]), s.boxes[away+1:]...)
 		random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 		assignment := loadAssignment("rooms", healthy, members[:1+random.IntN(len(members))])
-		if i%3 == 0 { // the box is not left out but draining
+		if i%3 == 0 { // the box is marked as draining instead of left out
 			first := assignment.Endpoints[0]
 			first.LbEndpoints = append(first.LbEndpoints, lbEndpoint(s.boxes[away].Addr(), corev3.HealthStatus_DRAINING))
 		}
 		if i%(count/xdsStreamBreaks) == 0 {
 			s.controlPlane.BreakStreams()
 		}
-		set(s.t, s.controlPlane, map[string]proto.Message{"rooms": assignment})
+		setResources(s.t, s.controlPlane, map[string]proto.Message{"rooms": assignment})
 		time.Sleep(time.Duration(random.IntN(int(xdsChangePause/time.Millisecond))) * time.Millisecond)
 	}
 }
 
-// check checks where the requests went.
+// check checks the endpoints to which attempts were sent.
 func (s *xdsStorm) check(changes int) {
 	s.t.Helper()
 	opened, _ := s.controlPlane.Streams()
 	sent := len(s.sends.list)
-	if n := s.sends.astray(&s.inForce, removalGrace); n != 0 || sent == 0 || opened < 20 {
-		s.t.Errorf("%d of %d sends went astray; %d streams", n, sent, opened)
+	if n := s.sends.countMisrouted(&s.inForce, removalGrace); n != 0 || sent == 0 || opened < 20 {
+		s.t.Errorf("%d of %d attempts were sent to an endpoint outside the deliveries in force, over %d xDS streams; "+
+			"want none, some attempts and at least 20 streams", n, sent, opened)
 	}
-	s.t.Logf("%d changes, %d deliveries, %d streams, %d sends", changes, s.deliveries, opened, sent)
+	s.t.Logf("%d changes, %d deliveries, %d xDS streams, %d attempts sent", changes, s.deliveries, opened, sent)
 }
