--- a/internal/app/clusterrequest.go
+++ b/internal/app/clusterrequest.go
@@ -19,8 +19,8 @@
 const maxMigrations = 3
 
 // Do implements ingress.Handler. If the cluster is replaced during the request because the settings changed, the request
-// migrates to the successor, provided that no attempt of the request may have run or that the request may run again. The
-// error is engine.ErrRetired if no cluster accepts the request.
+// migrates to the successor, provided that no attempt can have run or that the request's class is idempotent. The error is
+// engine.ErrRetired if no cluster accepts the request.
 func (r *managedCluster) Do(ctx context.Context, q *engine.Request) (engine.Answer, error) {
 	a, err := r.doOnce(ctx, q)
 	for range maxMigrations {
@@ -42,7 +42,7 @@
 }
 
 // mayMigrate reports whether a request may be started again at another cluster after this outcome: the client has
-// received nothing from an endpoint, and either no attempt may have run or the request may run again.
+// received nothing from an endpoint, and either no attempt can have run or the request's class is idempotent.
 func (r *managedCluster) mayMigrate(q *engine.Request, a engine.Answer, err error) bool {
 	switch {
 	case err != nil:
--- a/internal/app/streams_test.go
+++ b/internal/app/streams_test.go
@@ -25,9 +25,9 @@
 	wantEnd bool            // whether the stream must end
 }
 
-// A stream must end by the timeouts of its class, as an incomplete response. A stream without a timeout, or whose endpoint
-// does not drain, must stay open. A drain that is applied after the head of a stream has arrived and before the stream is
-// in the table must end the stream too.
+// A stream must end by the timeouts of its class, as an incomplete response. A stream without a timeout must stay open, and
+// so must a stream that only has a drain timeout while its endpoint does not drain. A drain that is applied after the head
+// of a stream has arrived and before the stream is in the table must end the stream too.
 func TestStreamsEnd(t *testing.T) {
 	started := make(chan struct{}, 100)
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
