--- a/internal/downstream/extproc/forward.go
+++ b/internal/downstream/extproc/forward.go
@@ -11,7 +11,7 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// forward sends the request to an endpoint and the response to the caller.
+// forward sends the request to an endpoint and returns the response to the caller.
 func (p *processingStream) forward() error {
 	p.server.Stats.Forwarded.Add(1)
 	out := p.upstreamRequest()
@@ -49,7 +49,7 @@
 	return p.sendAnswer(a, answer)
 }
 
-// upstreamRequest returns the request that is sent to an endpoint, without its body.
+// upstreamRequest returns the request to send to an endpoint, without its body.
 func (p *processingStream) upstreamRequest() *h1client.Request {
 	r := p.request
 	out := &h1client.Request{
@@ -67,7 +67,7 @@
 	return out
 }
 
-// engineRequest returns what the engine decides on.
+// engineRequest returns the request for the engine, with payload as the data that its attempts send.
 func (p *processingStream) engineRequest(payload any) *engine.Request {
 	return &engine.Request{
 		Class:         p.destination.Class,
@@ -80,8 +80,8 @@
 	}
 }
 
-// endUnanswered ends a request that the engine returned an error for: the caller disconnected, or the cluster was
-// removed before the request ran.
+// endUnanswered ends a request for which the engine returned an error: the caller disconnected, or the cluster was
+// removed before the request ran. Only in the second case the caller gets an answer (503).
 func (p *processingStream) endUnanswered(a admission, err error) error {
 	if errors.Is(err, engine.ErrRetired) && p.rpc.Context().Err() == nil {
 		p.server.complete(a, idempotency.Rejected, nil, p.destination.MaxRetryAfter)
--- a/internal/downstream/extproc/headers.go
+++ b/internal/downstream/extproc/headers.go
@@ -11,13 +11,13 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// headers are a message's header fields, with the pseudo-header fields (RFC 9113, 8.3) apart.
+// headers holds the header fields of a message. The pseudo-header fields (RFC 9113, 8.3) are separate from the others.
 type headers struct {
 	method, path, authority, scheme, status string
-	fields                                  http.Header // by canonical name
+	fields                                  http.Header // keyed by canonical name
 }
 
-// headersTooLargeError is about headers over their bound, in bytes.
+// headersTooLargeError reports that the header fields exceed a limit. Its value is the limit in bytes.
 type headersTooLargeError int
 
 // Error implements error.
@@ -25,7 +25,8 @@
 	return fmt.Sprintf("the header fields are over %d bytes", int(e))
 }
 
-// parseHeaders parses headers of at most maxBytes of names and values.
+// parseHeaders parses the headers of a message. It returns a headersTooLargeError if their names and values have more
+// than maxBytes bytes in total.
 func parseHeaders(m *corev3.HeaderMap, maxBytes int) (*headers, error) {
 	h := &headers{fields: make(http.Header, len(m.GetHeaders()))}
 	size := 0
@@ -45,41 +46,41 @@
 	return h, nil
 }
 
-// fieldValue returns a field's value, which comes as text or as raw bytes (core.v3.HeaderValue); both at once are an
-// error.
+// fieldValue returns the value of a field, which is sent either as text or as raw bytes (core.v3.HeaderValue). Setting
+// both is an error.
 func fieldValue(f *corev3.HeaderValue) (string, error) {
 	raw := f.GetRawValue()
 	switch {
 	case len(raw) == 0:
 		return f.GetValue(), nil
 	case f.GetValue() != "":
-		return "", fmt.Errorf("field %.64q: value and raw_value are both set", f.GetKey())
+		return "", fmt.Errorf("header field %.64q: value and raw_value are both set, want at most one", f.GetKey())
 	}
 	return string(raw), nil
 }
 
-// add adds a field.
+// add validates a field and adds it. A pseudo-header field may be added only once.
 func (h *headers) add(name, value string) error {
 	if !httpguts.ValidHeaderFieldValue(value) {
-		return fmt.Errorf("field %.64q: its value has control characters", name)
+		return fmt.Errorf("header field %.64q: value contains control characters", name)
 	}
 	if strings.HasPrefix(name, ":") {
 		pseudo := h.pseudoField(name)
 		if pseudo == nil || *pseudo != "" {
-			return fmt.Errorf("field %.64q is not known, or comes twice", name)
+			return fmt.Errorf("pseudo-header field %.64q is unknown or occurs twice", name)
 		}
 		*pseudo = value
 		return nil
 	}
 	if !httpguts.ValidHeaderFieldName(name) {
-		return fmt.Errorf("field name %.64q is malformed", name)
+		return fmt.Errorf("header field name %.64q is malformed", name)
 	}
 	name = http.CanonicalHeaderKey(name)
 	h.fields[name] = append(h.fields[name], value)
 	return nil
 }
 
-// pseudoField returns where a pseudo-header field is stored; nil if there is none of the name.
+// pseudoField returns a pointer to the value of the pseudo-header field of this name, nil if the name is unknown.
 func (h *headers) pseudoField(name string) *string {
 	switch name {
 	case ":method":
@@ -96,17 +97,18 @@
 	return nil
 }
 
-// newRequest returns the request that routes are matched with. It shares the fields, without Host.
+// newRequest returns the request that is matched against routes. The request shares h.fields, from which newRequest
+// removes Host.
 func (h *headers) newRequest() (*http.Request, error) {
 	if h.authority == "" && len(h.fields["Host"]) == 1 {
 		h.authority = h.fields["Host"][0]
 	}
 	delete(h.fields, "Host")
 	switch {
-	case h.method == "" || !httpguts.ValidHeaderFieldName(h.method): // both are tokens (RFC 9110, 5.6.2)
+	case h.method == "" || !httpguts.ValidHeaderFieldName(h.method): // a token (RFC 9110, 5.6.2), like a field name
 		return nil, fmt.Errorf(":method %.64q is missing or malformed", h.method)
 	case h.status != "":
-		return nil, errors.New("a request has no :status")
+		return nil, errors.New(":status is present, but not allowed in a request")
 	case h.authority != "" && !httpguts.ValidHostHeader(h.authority):
 		return nil, fmt.Errorf(":authority %.64q is malformed", h.authority)
 	case !strings.HasPrefix(h.path, "/") || strings.ContainsAny(h.path, " \t#"):
--- a/internal/downstream/extproc/idempotency.go
+++ b/internal/downstream/extproc/idempotency.go
@@ -10,26 +10,28 @@
 	"yokestall/policy"
 )
 
-// execution is a request in flight under an idempotency key. Requests under the same key may join it.
+// execution is an admitted request in flight that is idempotent by key or not idempotent. Requests with the same key may
+// join it, that is, wait for its response.
 type execution struct {
-	done chan struct{} // closed at its end
+	done chan struct{} // closed when the execution has ended
 
 	// The fields below are set before done is closed.
 
 	completion idempotency.Completion
-	response   *h1client.Answer // for those that joined; nil if there is none that can be shared
-	retryAfter time.Duration    // of a rejection
+	response   *h1client.Answer // the response for joined requests; nil if there is none that can be shared
+	retryAfter time.Duration    // if the request was rejected
 }
 
-// admission is what the idempotency store decided on a request.
+// admission is the idempotency store's decision on a request.
 type admission struct {
-	entry     *idempotency.Entry // of the request; nil if its class needs none
-	execution *execution         // that the request is, or joins
+	entry     *idempotency.Entry // the request's entry in the store; nil if its class is idempotent
+	execution *execution         // the request's own execution, or the one that it joins
 }
 
-// admit decides whether the request may run; handled reports that it was answered. A request whose effect may not
-// happen twice is identified by its key, or by its id where it has none. body is part of its fingerprint. mayJoin says
-// that it may wait for an earlier one's response.
+// admit decides whether the request may run. handled reports that the request was answered instead. Requests of an
+// idempotent class always may run. A request that is idempotent by key is identified by its idempotency key, one that
+// is not idempotent by its request id. body is part of the request's fingerprint. mayJoin says that the request may wait
+// for the response to an earlier request with the same key; a request that is not idempotent never does.
 func (p *processingStream) admit(body []byte, mayJoin bool) (a admission, handled bool, err error) {
 	if p.destination.Idempotency == policy.Idempotent {
 		return admission{}, false, nil
@@ -58,7 +60,7 @@
 	return a, true, p.answerDuplicate(verdict, entry, a.execution, retryAfter)
 }
 
-// answerDuplicate answers a request that may not run, by the store's verdict.
+// answerDuplicate answers a request that may not run, according to the store's verdict.
 func (p *processingStream) answerDuplicate(
 	verdict idempotency.Verdict, entry *idempotency.Entry, e *execution, retryAfter time.Duration,
 ) error {
@@ -81,7 +83,7 @@
 }
 
 // complete reports the end of an admitted request to the store and to the requests that joined it. response is nil if
-// it can't be shared. Only the first call for an admission counts.
+// there is none that can be shared. Only the first call for an admission has an effect.
 func (s *Server) complete(
 	a admission, completion idempotency.Completion, response *h1client.Answer, retryAfter time.Duration,
 ) {
@@ -105,7 +107,8 @@
 	close(e.done)
 }
 
-// awaitExecution waits for the end of the execution that the request joined, until its own deadline, and answers by it.
+// awaitExecution waits until the execution that the request joined ends, and answers the request by its completion. If
+// the request's own deadline comes first, the answer is a failure (502).
 func (p *processingStream) awaitExecution(entry *idempotency.Entry, e *execution) error {
 	p.server.Stats.Duplicates.Add(1)
 	timer := time.NewTimer(p.deadline - p.server.Clock.Now())
@@ -135,7 +138,7 @@
 	s.store.RemoveJoiner(entry)
 }
 
-// sendReplay answers with the response to an earlier request under the same key.
+// sendReplay answers with the response to an earlier request with the same idempotency key or request id.
 func (p *processingStream) sendReplay(response *h1client.Answer) error {
 	p.server.Stats.Served.Add(1)
 	fields := response.Header.Clone()
--- a/internal/downstream/extproc/mutation.go
+++ b/internal/downstream/extproc/mutation.go
@@ -11,7 +11,8 @@
 	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 )
 
-// setHeaders returns options that replace the values of fields, ordered by name.
+// setHeaders returns options that set the given fields, ordered by name. The first value of a field replaces the values
+// that the message has; the others are appended.
 func setHeaders(fields http.Header) []*corev3.HeaderValueOption {
 	options := make([]*corev3.HeaderValueOption, 0, len(fields))
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
@@ -30,7 +31,7 @@
 	return options
 }
 
-// headerMap returns fields as a message's headers, after the status if there is one (not 0).
+// headerMap returns fields in the form of a message's headers. If status is not 0, :status is the first of them.
 func headerMap(status int, fields http.Header) *corev3.HeaderMap {
 	m := &corev3.HeaderMap{}
 	if status > 0 {
@@ -42,7 +43,7 @@
 	return m
 }
 
-// headerMutation returns the mutation from before to after. Fields that are the same in both are not in it.
+// headerMutation returns the mutation that changes the fields before into after. Unchanged fields are left out.
 func headerMutation(before, after http.Header) *pb.HeaderMutation {
 	out := &pb.HeaderMutation{}
 	changed := http.Header{}
--- a/internal/downstream/extproc/stream_test.go
+++ b/internal/downstream/extproc/stream_test.go
@@ -53,7 +53,7 @@
 			`:path "" is missing`, 0},
 		{"no method", []*pb.ProcessingRequest{bare(path)}, `:method "" is missing`, 0},
 		{"a path twice", []*pb.ProcessingRequest{bare(path, &corev3.HeaderValue{Key: ":path", Value: "/y"})},
-			"comes twice", 0},
+			`":path" is unknown or occurs twice`, 0},
 		{"text and bytes", []*pb.ProcessingRequest{
 			bare(&corev3.HeaderValue{Key: "x", Value: "a", RawValue: []byte("b")}),
 		}, "both set", 0},
