--- a/internal/downstream/extproc/pick.go
+++ b/internal/downstream/extproc/pick.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// EndpointHeader names the picked endpoint, as host:port, in the request that the caller sends; so does the member
-	// of the same name in the dynamic metadata of the namespace MetadataNamespace.
+	// EndpointHeader is the request header field that names the picked endpoint to the caller, as host:port. The member
+	// of the same name in the dynamic metadata of MetadataNamespace has the same value.
 	EndpointHeader = "x-gateway-destination-endpoint"
 	// MetadataNamespace is the namespace of the dynamic metadata that names the picked endpoint.
 	MetadataNamespace = "envoy.lb"
-	// attemptHeader is the caller's count of its attempts, from 1.
+	// attemptHeader is the request header field with the number of the caller's attempt, counted from 1.
 	attemptHeader = "X-Envoy-Attempt-Count"
 )
 
@@ -39,14 +39,14 @@
 	}
 	p.server.Stats.EndpointsPicked.Add(1)
 	if err := p.send(p.endpointReply(e.address)); err != nil {
-		r.reportOutcome(e, policy.Cancelled) // the caller may have got it
+		r.reportOutcome(e, policy.Cancelled) // the caller may have received the reply and sent the attempt
 		return err
 	}
 	return p.receiveOutcome(r, e)
 }
 
-// findOrBeginPick returns the request that the stream belongs to, and begins it if it is the first one. handled reports
-// that the stream was answered.
+// findOrBeginPick returns the request that the stream belongs to. If no request with the stream's tenant and id is in
+// flight, the stream is the first one of a new request. handled reports that the stream was answered instead.
 func (p *processingStream) findOrBeginPick() (r *pickRequest, handled bool, err error) {
 	key := pickKey{p.attributes.Tenant, p.attributes.ID}
 	attempt, _ := strconv.Atoi(ingress.SingleValue(p.request.Header[attemptHeader]))
@@ -64,7 +64,8 @@
 	return r, false, nil
 }
 
-// beginPick begins a request, of which the stream is the first.
+// beginPick begins a request whose first stream this is. reportsRetries says that the caller counts its attempts
+// (attemptHeader) and so opens a stream for each of its retries.
 func (p *processingStream) beginPick(key pickKey, reportsRetries bool) (r *pickRequest, handled bool, err error) {
 	a, handled, err := p.admit(nil, false)
 	if handled || err != nil {
@@ -81,10 +82,10 @@
 		reportsRetries: reportsRetries,
 		endpoints:      make(chan *pickedEndpoint),
 		done:           make(chan struct{}),
-		waiting:        1,
+		waitingStreams: 1,
 	}
 	s.mu.Lock()
-	if s.picks[key] != nil { // another stream has begun it meanwhile
+	if s.picks[key] != nil { // another stream has begun a request with this key since findOrBeginPick
 		s.mu.Unlock()
 		cancel()
 		s.complete(a, idempotency.Rejected, nil, 0)
@@ -96,7 +97,7 @@
 	return r, false, nil
 }
 
-// awaitEndpoint waits for the endpoint of an attempt. It returns nil if there is none: the final answer was sent, or
+// awaitEndpoint waits for the endpoint of an attempt. It returns a nil endpoint if the final answer was sent instead or
 // the caller disconnected.
 func (p *processingStream) awaitEndpoint(r *pickRequest) (*pickedEndpoint, error) {
 	for {
@@ -118,23 +119,26 @@
 	}
 }
 
-// beginAttempt reports whether the caller may be sent to an endpoint: not once the endpoint drains, since the caller's
-// send comes after this and counts as one to a draining endpoint; nor after the request's deadline, which the engine
-// may not have noticed yet; nor if the caller has disconnected. Otherwise the attempt is never sent.
+// beginAttempt reports whether the endpoint may be named to the caller. If it returns false, the attempt is never sent.
+// It returns false
+//
+//   - once the endpoint drains, because the caller's send comes after this call and would go to a draining endpoint,
+//   - after the request's deadline, which the engine may not have noticed yet, and
+//   - if the caller has disconnected.
 func (p *processingStream) beginAttempt(r *pickRequest, e *pickedEndpoint) bool {
 	r.mu.Lock()
 	remaining := p.deadline - p.server.Clock.Now()
 	if remaining <= 0 || p.rpc.Context().Err() != nil {
 		e.call.Revoke()
 	}
-	if !e.call.BeginSendUnlessDraining(p.deadline) { // the caller sends at some time until then
+	if !e.call.BeginSendUnlessDraining(p.deadline) { // the caller may send until the deadline
 		r.mu.Unlock()
 		e.outcome <- policy.NeverSent
 		return false
 	}
-	r.named++
-	r.pending = true
-	r.waiting--
+	r.namedEndpoints++
+	r.attemptPending = true
+	r.waitingStreams--
 	r.mu.Unlock()
 	if p.server.OnEndpointPicked != nil {
 		p.server.OnEndpointPicked(p.attributes.ID, e.address, remaining)
@@ -142,7 +146,7 @@
 	return true
 }
 
-// sendPickAnswer sends a request's final answer to a stream that waited for an endpoint.
+// sendPickAnswer sends the final answer of the request to a stream that waited for an endpoint.
 func (p *processingStream) sendPickAnswer(r *pickRequest) error {
 	switch {
 	case errors.Is(r.err, engine.ErrRetired):
@@ -155,7 +159,7 @@
 	return p.sendFailure()
 }
 
-// endpointReply returns the reply that names an endpoint. Its header replaces one that the client sent.
+// endpointReply returns the reply that names an endpoint. Its header field replaces any of that name from the client.
 func (p *processingStream) endpointReply(address string) *pb.ProcessingResponse {
 	r := p.state.ContinueReply(p.message, RequestHeaders)
 	r.GetRequestHeaders().Response.HeaderMutation = p.endpointMutation(address)
@@ -167,7 +171,7 @@
 	switch p.state.RequestMode {
 	case modeNone, modeUnknown, modeDuplex, modeGRPC:
 	default:
-		if p.server.AllowModeOverride { // a pick needs no bodies
+		if p.server.AllowModeOverride { // the processor needs no bodies for a pick
 			r.ModeOverride = &filterv3.ProcessingMode{
 				RequestBodyMode:    modeNone,
 				ResponseBodyMode:   modeNone,
@@ -178,7 +182,8 @@
 	return r
 }
 
-// endpointMutation returns the mutation of the request headers that names an endpoint and applies the route's changes.
+// endpointMutation returns the mutation of the request headers that names an endpoint, applies the route's header edits
+// and adds x-request-id if the request has none.
 func (p *processingStream) endpointMutation(address string) *pb.HeaderMutation {
 	before, mutation := p.request.Header, &pb.HeaderMutation{}
 	if p.destination.RequestEdits != nil {
--- a/internal/downstream/extproc/pick_test.go
+++ b/internal/downstream/extproc/pick_test.go
@@ -29,11 +29,11 @@
 	clock := engine.NewClock()
 	for turn := range 50 { // which of the two is seen first is drawn anew each time
 		r := &pickRequest{
-			server:    &Server{},
-			cancel:    func() {},
-			endpoints: make(chan *pickedEndpoint, 1),
-			done:      make(chan struct{}),
-			waiting:   1,
+			server:         &Server{},
+			cancel:         func() {},
+			endpoints:      make(chan *pickedEndpoint, 1),
+			done:           make(chan struct{}),
+			waitingStreams: 1,
 		}
 		r.endpoints <- &pickedEndpoint{
 			call: engine.NewCall(t.Context()), address: "127.0.0.1:1", outcome: make(chan policy.Status, 1),
--- a/internal/downstream/extproc/pickoutcome.go
+++ b/internal/downstream/extproc/pickoutcome.go
@@ -13,11 +13,11 @@
 	"yokestall/policy"
 )
 
-// servedHeader is the dynamic metadata by which a caller reports the endpoint that it used.
-const servedHeader = "x-gateway-destination-endpoint-served"
+// servedEndpointKey is the member of the dynamic metadata in which a caller reports the endpoint that it used.
+const servedEndpointKey = "x-gateway-destination-endpoint-served"
 
-// receiveOutcome continues the messages that follow the request headers, and reports the attempt's outcome as soon as
-// it is known.
+// receiveOutcome replies to each message that follows the request headers so that the exchange continues, and reports
+// the attempt's outcome as soon as it is known.
 func (p *processingStream) receiveOutcome(r *pickRequest, e *pickedEndpoint) error {
 	for {
 		phase, _, err := p.recv()
@@ -36,9 +36,9 @@
 				return err
 			}
 			r.reportOutcome(e, status)
-			p.applyResponseChanges(reply)
+			p.applyResponseEdits(reply)
 		case ResponseBody, ResponseTrailers:
-			r.reportOutcome(e, policy.OK) // the headers were not sent (response_header_mode SKIP)
+			r.reportOutcome(e, policy.OK) // no effect unless the headers were skipped (response_header_mode SKIP)
 		}
 		if err := p.send(reply); err != nil {
 			return err
@@ -46,8 +46,9 @@
 	}
 }
 
-// outcomeOfStreamEnd returns the outcome of an attempt whose stream ended without a response; it may have run. If the
-// caller ended the stream in order, it is a failure of the endpoint; otherwise it says nothing of it.
+// outcomeOfStreamEnd returns the outcome of an attempt whose stream ended without a response. Such an attempt may have
+// run. If the caller closed the stream in order (io.EOF), the attempt counts as a failure of the endpoint; after any
+// other error it doesn't count for or against the endpoint.
 func outcomeOfStreamEnd(err error) policy.Status {
 	if errors.Is(err, io.EOF) {
 		return policy.Reset
@@ -55,21 +56,22 @@
 	return policy.Cancelled
 }
 
-// applyResponseChanges adds the route's changes of the response headers to the reply to them.
-func (p *processingStream) applyResponseChanges(reply *pb.ProcessingResponse) {
+// applyResponseEdits adds the route's response header edits to the reply to the response headers.
+func (p *processingStream) applyResponseEdits(reply *pb.ProcessingResponse) {
 	if p.destination.ResponseEdits == nil {
 		return
 	}
 	h, err := parseHeaders(p.message.GetResponseHeaders().GetHeaders(), p.server.MaxHeaderBytes)
 	if err != nil {
-		return // impossible: outcome has parsed them
+		return // not reached: outcome has parsed the same headers before
 	}
 	after := h.fields.Clone()
 	p.destination.ResponseEdits.Apply(after)
 	reply.GetResponseHeaders().Response.HeaderMutation = headerMutation(h.fields, after)
 }
 
-// outcome returns the attempt's outcome by the response headers.
+// outcome returns the attempt's outcome, derived from the response headers. If the caller reports that it used another
+// endpoint than the picked one, the outcome doesn't count for or against the picked endpoint.
 func (p *processingStream) outcome(e *pickedEndpoint) (policy.Status, error) {
 	h, err := parseHeaders(p.message.GetResponseHeaders().GetHeaders(), p.server.MaxHeaderBytes)
 	if err != nil {
@@ -77,20 +79,21 @@
 	}
 	code, err := strconv.Atoi(h.status)
 	if err != nil || code < 100 || code > 599 {
-		return 0, errors.New("response_headers: :status is missing or malformed")
+		return 0, errors.New("response_headers: :status is missing or malformed, want a number from 100 to 599")
 	}
 	used, details := reportedUpstream(p.message)
 	if used != "" && used != e.address {
 		p.server.Stats.EndpointMismatches.Add(1)
 		p.server.Log.Warn("caller used another endpoint than the selected one",
 			"given", e.address, "sent", used, "request", p.attributes.ID)
-		return policy.Cancelled, nil // says nothing of the picked endpoint
+		return policy.Cancelled, nil // not an outcome of the picked endpoint
 	}
 	return Outcome(code, h.fields, details), nil
 }
 
-// reportedUpstream returns the endpoint that the caller used and Envoy's response code details, as far as the caller is
-// configured to report them (request_attributes, response_attributes; metadata of MetadataNamespace).
+// reportedUpstream returns the address of the endpoint that the caller used and Envoy's response code details. Each is
+// "" unless the caller is configured to report it (request_attributes, response_attributes, or metadata of
+// MetadataNamespace).
 func reportedUpstream(msg *pb.ProcessingRequest) (address, details string) {
 	for _, attributes := range msg.GetAttributes() {
 		fields := attributes.GetFields()
@@ -102,20 +105,22 @@
 		}
 	}
 	if m := msg.GetMetadataContext().GetFilterMetadata()[MetadataNamespace]; m != nil {
-		if v := m.GetFields()[servedHeader].GetStringValue(); v != "" {
+		if v := m.GetFields()[servedEndpointKey].GetStringValue(); v != "" {
 			address = v
 		}
 	}
 	return address, details
 }
 
-// Outcome returns the outcome of an attempt that the caller sent, by the response's status code and headers and by
-// Envoy's response.code_details. details is "" where it is not reported: then a 503 of the caller's own passes for the
-// endpoint's, which may have run all the same.
+// Outcome returns the outcome of an attempt that the caller sent, derived from the response's status code and headers
+// and from Envoy's response.code_details. If the caller doesn't report them, details is "", and a 503 that the caller
+// generated itself can't be told from a 503 of the endpoint, after which the request may have run.
+//
+// The details that determine the outcome, and whether the attempt may have run:
 //
 //	no connection         upstream_reset_before_response_started{connection_failure...},
 //	                      the same with connection_timeout or overflow                   never sent
-//	a reset               upstream_reset_before_response_started{...}                    may have run
+//	reset                 upstream_reset_before_response_started{...}                    may have run
 //	the caller's timeout  response_timeout, upstream_per_try_timeout,
 //	                      max_duration_timeout                                           may have run
 //	no endpoint           no_healthy_upstream, cluster_not_found, maintenance_mode,
@@ -128,7 +133,7 @@
 		return policy.Reset
 	case isTimeout(details):
 		return policy.Timeout
-	case isUnsent(details):
+	case isNeverSent(details):
 		return policy.ConnectFailed
 	case code >= 500:
 		return h1client.FailureStatus(&http.Response{StatusCode: code, Header: h})
@@ -136,7 +141,7 @@
 	return policy.OK
 }
 
-// isConnectFailure reports whether the caller had no connection to the endpoint.
+// isConnectFailure reports whether the caller failed to get a connection to the endpoint.
 func isConnectFailure(details string) bool {
 	return strings.HasPrefix(details, "upstream_reset_before_response_started{") &&
 		(strings.Contains(details, "connection_failure") ||
@@ -144,15 +149,16 @@
 			strings.Contains(details, "overflow"))
 }
 
-// isTimeout reports whether a timeout of the caller's ended the attempt.
+// isTimeout reports whether one of the caller's timeouts ended the attempt.
 func isTimeout(details string) bool {
 	return strings.HasSuffix(details, "response_timeout") ||
 		strings.HasSuffix(details, "per_try_timeout") ||
 		strings.HasSuffix(details, "max_duration_timeout")
 }
 
-// isUnsent reports whether the caller had no endpoint to send to.
-func isUnsent(details string) bool {
+// isNeverSent reports whether the caller did not send the attempt, because it had no endpoint, was in maintenance mode or
+// had reached one of its limits (overflow).
+func isNeverSent(details string) bool {
 	switch details {
 	case "no_healthy_upstream", "cluster_not_found", "maintenance_mode":
 		return true
--- a/internal/downstream/extproc/pickoutcome_test.go
+++ b/internal/downstream/extproc/pickoutcome_test.go
@@ -10,18 +10,18 @@
 // that outcome: an attempt that was not sent must not become one that may have run.
 func TestOnlyTheFirstOutcomeOfAnAttemptCounts(t *testing.T) {
 	t.Parallel()
-	r := &pickRequest{pending: true}
+	r := &pickRequest{attemptPending: true}
 	first := &pickedEndpoint{outcome: make(chan policy.Status, 1)}
 	r.reportOutcome(first, policy.ConnectFailed)
 	if got := <-first.outcome; got != policy.ConnectFailed {
 		t.Errorf("the attempt's outcome: %v", got)
 	}
-	r.pending = true // the next endpoint is named
+	r.attemptPending = true // the next endpoint is named
 	r.reportOutcome(first, policy.Reset)
-	if r.mayRun {
+	if r.mayHaveRun {
 		t.Error("the request may have run, though its attempt was not sent")
 	}
-	if !r.pending {
+	if !r.attemptPending {
 		t.Error("the next attempt counts as ended")
 	}
 	select {
--- a/internal/downstream/extproc/pickrequest.go
+++ b/internal/downstream/extproc/pickrequest.go
@@ -11,44 +11,44 @@
 	"yokestall/policy"
 )
 
-// pickKey identifies a request of a caller's while it is in flight.
+// pickKey identifies a caller's request while it is in flight.
 type pickKey struct {
 	tenant int
-	id     string
+	id     string // the request id
 }
 
-// pickRequest is a request whose attempts the caller sends, over all streams on which it requests an endpoint: its
-// first, and one for each of its own retries. For the engine it is one request, and each send of the caller's an
-// attempt. It is the payload that the engine has carried.
+// pickRequest is a request whose attempts the caller sends. It spans all streams on which the caller requests an
+// endpoint for it: the first stream, and one for each of the caller's own retries. For the engine it is one request, of
+// which each send by the caller is an attempt. pickRequest is the engine's payload of that request.
 type pickRequest struct {
 	server    *Server
 	key       pickKey
 	admission admission
 	cancel    context.CancelFunc
-	// reportsRetries says that the caller opens a stream for each retry of its own. Otherwise a request has one
-	// attempt: no stream would come for another endpoint.
+	// reportsRetries says that the caller opens a stream for each of its own retries. Otherwise an attempt that was sent
+	// is the request's last one, because no stream would be opened for another endpoint.
 	reportsRetries bool
-	endpoints      chan *pickedEndpoint // from the engine's attempt to a stream that waits
+	endpoints      chan *pickedEndpoint // passes an attempt's endpoint from Carry to a waiting stream
 
-	done   chan struct{} // closed with the engine's answer
-	answer engine.Answer // set before done is closed, as is err
-	err    error
+	done   chan struct{} // closed once the engine has answered
+	answer engine.Answer // the engine's answer; set before done is closed
+	err    error         // the engine's error; set before done is closed
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	waiting int  // streams that wait for an endpoint
-	named   int  // endpoints that were named to the caller
-	mayRun  bool // an attempt that has ended may have run
-	pending bool // an endpoint was named, and the attempt's outcome is not known yet
+	mu             sync.Mutex
+	waitingStreams int  // number of streams that wait for an endpoint
+	namedEndpoints int  // number of endpoints that were named to the caller
+	mayHaveRun     bool // set once an ended attempt may have run
+	attemptPending bool // set while the latest named endpoint's attempt has no outcome yet
 }
 
-// pickedEndpoint is an endpoint that the engine chose for an attempt.
+// pickedEndpoint is an endpoint that the engine picked for an attempt.
 type pickedEndpoint struct {
 	call    *engine.Call
 	address string
-	outcome chan policy.Status // of capacity 1; takes the attempt's outcome
+	outcome chan policy.Status // receives the attempt's outcome; has capacity 1
 
-	reported bool // an outcome was reported; guarded by the request's mu
+	reported bool // set once an outcome was reported; guarded by pickRequest.mu
 }
 
 var (
@@ -56,17 +56,18 @@
 	_ engine.SelfTimedPayload = (*pickRequest)(nil)
 )
 
-// Streaming implements engine.StreamingPayload: a caller sends one attempt at a time.
+// Streaming implements engine.StreamingPayload. It returns true because a caller sends one attempt at a time.
 func (*pickRequest) Streaming() bool { return true }
 
-// Consumed implements engine.StreamingPayload.
+// Consumed implements engine.StreamingPayload. It returns false because the payload stays with the caller.
 func (*pickRequest) Consumed() bool { return false }
 
-// SelfTimed implements engine.SelfTimedPayload: a caller has timeouts of its own.
+// SelfTimed implements engine.SelfTimedPayload, because a caller has timeouts of its own.
 func (*pickRequest) SelfTimed() {}
 
-// Carry is an attempt: the endpoint is named to the caller, and what the caller reports is its outcome. An attempt that
-// no stream requests within RetryStreamTimeout has not been sent, and is the last of the request.
+// Carry makes an attempt: it passes the endpoint to a stream, which names it to the caller, and returns the outcome that
+// the caller reports. If no stream takes the endpoint within RetryStreamTimeout, the attempt was never sent, and it is
+// the request's last one.
 func (r *pickRequest) Carry(call *engine.Call, address string, _ time.Duration) engine.Result {
 	e := &pickedEndpoint{call: call, address: address, outcome: make(chan policy.Status, 1)}
 	stopped := make(chan struct{})
@@ -79,17 +80,17 @@
 		return engine.Result{Status: status, Final: status != policy.NeverSent && !r.reportsRetries}
 	case <-stopped: // the request's deadline has passed
 		r.mu.Lock()
-		r.pending, r.mayRun = false, true
+		r.attemptPending, r.mayHaveRun = false, true
 		r.mu.Unlock()
 		r.server.Stats.UnreportedOutcomes.Add(1)
 		return engine.Result{Status: policy.Cancelled}
 	}
 }
 
-// offer waits for a stream that takes the endpoint. If none does, it returns the attempt's result.
+// offer waits for a stream that takes the endpoint. If none takes it, offer returns the attempt's result.
 func (r *pickRequest) offer(e *pickedEndpoint, stopped <-chan struct{}) (result engine.Result, taken bool) {
 	select {
-	case r.endpoints <- e: // a stream waits already, as a rule
+	case r.endpoints <- e: // the usual case: a stream is already waiting
 		return engine.Result{}, true
 	default:
 	}
@@ -105,7 +106,7 @@
 	}
 }
 
-// reportOutcome ends the attempt at an endpoint. Only the first call for it counts.
+// reportOutcome ends the attempt at an endpoint. Only the first call for each pickedEndpoint has an effect.
 func (r *pickRequest) reportOutcome(e *pickedEndpoint, status policy.Status) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,43 +115,45 @@
 	}
 	e.reported = true
 	e.outcome <- status
-	r.pending = false
+	r.attemptPending = false
 	sent := status != policy.ConnectFailed && status != policy.Rejected && status != policy.NeverSent
-	r.mayRun = r.mayRun || sent
+	r.mayHaveRun = r.mayHaveRun || sent
 }
 
-// addStream adds a stream that waits for an endpoint, and reports whether it may: for a retry of the caller's, but not
-// for a second request under the same id while the first is in flight. attempt is the caller's count, 0 if unknown.
+// addStream adds a stream that waits for an endpoint if the stream is for a retry by the caller, and reports whether it
+// is. A stream for a second request with the same id is not added while the first request is in flight. attempt is the
+// number of the caller's attempt, 0 if unknown.
 func (r *pickRequest) addStream(attempt int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	isRetry := !r.pending && r.waiting == 0 || attempt > r.named
+	isRetry := !r.attemptPending && r.waitingStreams == 0 || attempt > r.namedEndpoints
 	if isRetry {
-		r.waiting++
+		r.waitingStreams++
 	}
 	return isRetry
 }
 
-// removeStream removes a stream that waited. It reports whether the request has neither another stream nor an attempt.
+// removeStream removes a waiting stream. It reports whether the request is abandoned: it has neither another waiting
+// stream nor an attempt without an outcome.
 func (r *pickRequest) removeStream() (abandoned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.waiting--
-	return r.waiting == 0 && !r.pending
+	r.waitingStreams--
+	return r.waitingStreams == 0 && !r.attemptPending
 }
 
-// run has the engine decide on the request until its answer.
+// run passes the request to the engine, waits for the engine's answer and ends the request.
 func (r *pickRequest) run(ctx context.Context, c ingress.Handler, q *engine.Request) {
 	defer r.cancel()
 	answer, err := c.Do(ctx, q)
 	r.mu.Lock()
-	mayHaveRun := r.mayRun || r.pending // Carry may not have noticed yet that the deadline has passed
+	mayHaveRun := r.mayHaveRun || r.attemptPending // pending: Carry may not have noticed yet that the deadline has passed
 	r.mu.Unlock()
 	switch {
 	case err == nil && answer.Verdict == engine.Served:
 		r.server.complete(r.admission, idempotency.Answered, nil, 0)
 		r.server.Stats.Served.Add(1)
-	case !mayHaveRun: // of a request that may have run a rejection would be a promise, though no stream may wait for it
+	case !mayHaveRun: // a rejection promises that the request has not run, even if no stream waits for the answer
 		r.server.complete(r.admission, idempotency.Rejected, nil, answer.RetryAfter)
 	default:
 		r.server.complete(r.admission, idempotency.Indeterminate, nil, 0)
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	if p.state.ObserveOnly { // replies are ignored, so there is nothing to decide
-		return p.drain()
+		return p.discardMessages()
 	}
 	err := p.readRequest()
 	var rejection *ingress.Rejection
@@ -150,8 +150,8 @@
 	}
 }
 
-// drain receives until the stream's end.
-func (p *processingStream) drain() error {
+// discardMessages receives until the stream's end.
+func (p *processingStream) discardMessages() error {
 	for {
 		if _, _, err := p.recv(); err != nil {
 			return err
