--- a/internal/downstream/extproc/requestbody.go
+++ b/internal/downstream/extproc/requestbody.go
@@ -14,15 +14,16 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// uploadReplayBytes is how much of a streamed body is buffered so that a retry can send it.
+// uploadReplayBytes is the number of bytes of a streamed body that are buffered so that a retry can send them again.
 const uploadReplayBytes = h1client.MaxBody
 
-// errBodyNotBuffered ends a stream whose caller continues the request before it has sent the complete body.
+// errBodyNotBuffered ends a stream on which another message arrives in place of the complete body, or of the trailers
+// that follow it.
 var errBodyNotBuffered = errors.New(
-	"the request goes on before its body is through: a carried one's caller has to buffer it (request_body_mode)")
+	"the caller continued the request before it sent the complete body; set request_body_mode to BUFFERED")
 
-// receiveBody receives the body in one message, while the caller holds the request back. handled reports that the
-// request was answered.
+// receiveBody replies to the request headers and receives the body in one message. The caller holds the request back
+// meanwhile. handled reports that the request was answered.
 func (p *processingStream) receiveBody(out *h1client.Request, delivery BodyDelivery) (handled bool, err error) {
 	reply := p.state.ContinueReply(p.message, RequestHeaders)
 	if delivery == OverrideBodyMode {
@@ -55,8 +56,8 @@
 	}
 }
 
-// takeBody sets the request's body by the latest message. last says that no trailers follow it. handled reports that
-// the request was answered.
+// takeBody sets the request's body from the latest message. last says that no trailers follow the body. handled reports
+// that the request was answered.
 func (p *processingStream) takeBody(out *h1client.Request, last bool) (handled bool, err error) {
 	body := p.message.GetRequestBody().GetBody()
 	if !p.reserveBuffer(len(body)) {
@@ -71,14 +72,14 @@
 			Status: http.StatusRequestEntityTooLarge, Message: "the body is over the caller's buffer",
 		})
 	}
-	if err := p.send(p.state.ContinueReply(p.message, RequestBody)); err != nil { // the trailers follow
+	if err := p.send(p.state.ContinueReply(p.message, RequestBody)); err != nil { // the reply makes the caller send the trailers
 		return true, err
 	}
 	return false, nil
 }
 
-// receiveUpload has the body received in parts and sent while they come. disconnect is called where the caller breaks
-// the stream off. stop has to be called before the stream's end.
+// receiveUpload starts to receive the body in parts, which are sent to the endpoint as they arrive. disconnect is called
+// if the stream ends with an error. stop must be called before the stream ends.
 func (p *processingStream) receiveUpload(out *h1client.Request, disconnect func()) (stop func()) {
 	reader, writer := io.Pipe()
 	out.Upload, out.Length = h1client.NewUpload(reader, uploadReplayBytes), -1
@@ -94,7 +95,7 @@
 	}
 }
 
-// copyBody writes the parts of the body as they are received, until the stream's end.
+// copyBody receives messages until the stream ends and writes the parts of the body to writer.
 func (p *processingStream) copyBody(writer *io.PipeWriter, disconnect func()) {
 	framed := p.state.RequestMode == modeGRPC
 	for {
@@ -108,7 +109,7 @@
 		}
 		if phase == RequestBody {
 			if err := writeBody(writer, p.message.GetRequestBody(), framed); err != nil {
-				return // the request has ended
+				return // the reader was closed: the request has ended
 			}
 		}
 		if last && (phase == RequestBody || phase == RequestTrailers) {
@@ -117,8 +118,8 @@
 	}
 }
 
-// writeBody writes a part of a body. In the mode GRPC each part is a message, which is written with gRPC's prefix
-// ("gRPC over HTTP2", Length-Prefixed-Message).
+// writeBody writes a part of a body. framed says that the body mode is GRPC: each part is a gRPC message, which is
+// written with gRPC's five-byte prefix ("gRPC over HTTP2", Length-Prefixed-Message).
 func writeBody(w io.Writer, b *pb.HttpBody, framed bool) error {
 	if framed {
 		if b.GetEndOfStreamWithoutMessage() {
--- a/internal/downstream/extproc/response.go
+++ b/internal/downstream/extproc/response.go
@@ -17,14 +17,14 @@
 	"yokestall/internal/upstream/h1client"
 )
 
-// responseChunkBytes is the most of a streamed response that one message has.
+// responseChunkBytes is the maximum length of the part of a streamed response's body in one message.
 const responseChunkBytes = 32 << 10
 
 var (
-	// errResponseAborted ends a stream whose response broke off after its headers were sent.
-	errResponseAborted = status.Error(codes.Unavailable, "the server's answer broke off")
-	// errResponseTooLarge is about a response that is over the bound of one message.
-	errResponseTooLarge = errors.New("extproc: the answer is longer than the caller can be given")
+	// errResponseAborted ends a stream whose response failed after its headers were sent to the caller.
+	errResponseAborted = status.Error(codes.Unavailable, "the endpoint's response ended before it was complete")
+	// errResponseTooLarge reports that a response can't be buffered in order to be sent in one message.
+	errResponseTooLarge = errors.New("extproc: endpoint's response exceeds the limit of one message or the free buffer space")
 )
 
 // sendAnswer sends the engine's final answer to the caller.
@@ -47,7 +47,8 @@
 	return p.sendServed(a, response)
 }
 
-// completeRejected sends an answer to a request that has not run. response is the endpoint's, if it rejected the request.
+// completeRejected sends the answer to a request that has not run. response is the response of the endpoint that
+// rejected the request; it is nil if no endpoint did.
 func (p *processingStream) completeRejected(a admission, answer engine.Answer, response *h1client.Answer) error {
 	p.server.complete(a, idempotency.Rejected, nil, answer.RetryAfter)
 	if response == nil {
@@ -60,7 +61,8 @@
 	return p.sendResponse(response)
 }
 
-// sendServed sends an endpoint's response to a request that has run, as a stream where the caller takes one.
+// sendServed sends an endpoint's response to a request that has run. A streamed response is streamed to a caller that
+// allows it, and buffered for any other caller.
 func (p *processingStream) sendServed(a admission, response *h1client.Answer) error {
 	if response.Stream != nil && p.state.AllowsStreamedResponse() {
 		p.server.complete(a, idempotency.Answered, nil, 0)
@@ -78,7 +80,7 @@
 	return p.sendResponse(response)
 }
 
-// sendResponse sends an endpoint's response in one message.
+// sendResponse sends an endpoint's response in one message, with the gRPC status from the response's trailers.
 func (p *processingStream) sendResponse(response *h1client.Answer) error {
 	r := immediateResponse(response.Status, response.Header, response.Body, detailsForwarded)
 	if s := ingress.SingleValue(response.Trailer["Grpc-Status"]); s != "" {
@@ -89,8 +91,8 @@
 	return p.send(r)
 }
 
-// bufferResponse reads a streamed response to its end. The error is errResponseTooLarge where it is over
-// MaxResponseBytes, or where the buffers have no capacity for so many.
+// bufferResponse reads a streamed response to its end. The error is errResponseTooLarge if the response's body exceeds
+// MaxResponseBytes or the server's buffers have fewer than MaxResponseBytes left.
 func (p *processingStream) bufferResponse(response *h1client.Answer) error {
 	s := response.Stream
 	defer s.Close()
@@ -110,8 +112,8 @@
 	return nil
 }
 
-// streamResponse sends a response while it comes (service.ext_proc.v3.StreamedImmediateResponse). One that breaks off
-// ends the stream with an error: the caller must not take the part for the complete response.
+// streamResponse sends a response to the caller as it arrives (service.ext_proc.v3.StreamedImmediateResponse). If the
+// response fails part way, the stream ends with an error, so that the caller doesn't take the part for the whole.
 func (p *processingStream) streamResponse(response *h1client.Answer) error {
 	s := response.Stream
 	defer s.Close()
@@ -124,7 +126,7 @@
 		return err
 	}
 	for {
-		chunk := make([]byte, responseChunkBytes) // the message retains it
+		chunk := make([]byte, responseChunkBytes) // allocated for each message, which retains its chunk
 		n, err := s.Read(chunk)
 		last := err == io.EOF
 		trailer := http.Header(nil)
--- a/internal/downstream/extproc/serve.go
+++ b/internal/downstream/extproc/serve.go
@@ -20,29 +20,31 @@
 )
 
 const (
-	// handshakeTimeout bounds the handshakes of a connection.
+	// handshakeTimeout limits the duration of a new connection's handshakes.
 	handshakeTimeout = 5 * time.Second
-	// minPingInterval is the interval of keep-alive pings below which a caller loses its connection.
+	// minPingInterval is the minimum interval between a caller's keep-alive pings. The server closes the connection of a
+	// caller that pings more often.
 	minPingInterval = 10 * time.Second
-	// pingInterval is the idle time after which the server pings a caller.
+	// pingInterval is the idle time of a connection after which the server pings the caller.
 	pingInterval = 30 * time.Second
-	// pingTimeout is the time in which a ping must be acknowledged.
+	// pingTimeout is the time within which a caller must acknowledge a ping.
 	pingTimeout = 30 * time.Second
-	// stopMargin is added to the time for which requests may finish during a graceful shutdown.
+	// stopMargin is added to the time that a graceful shutdown gives to open streams.
 	stopMargin = 300 * time.Millisecond
 )
 
 // ListenOptions are the settings of a listener.
 type ListenOptions struct {
-	MaxConnections          int         // 1 or more; the others wait to be accepted
-	MaxStreamsPerConnection int         // 1 or more
-	TLS                     *tls.Config // nil: clear text
-	MinDrainTimeout         time.Duration
+	MaxConnections          int           // 1 or more; further connections wait to be accepted
+	MaxStreamsPerConnection int           // 1 or more
+	TLS                     *tls.Config   // nil: connections are not encrypted
+	MinDrainTimeout         time.Duration // minimum time for open streams to finish in a graceful shutdown
 }
 
-// Serve serves callers on a listener until ctx ends. Then it has them move to other processors (GOAWAY), reports that
-// it is not serving (grpc.health.v1), lets open streams finish within the longest timeout that a request had, or
-// MinDrainTimeout if that is longer, and ends the rest.
+// Serve serves callers on a listener until ctx ends. Then it shuts down gracefully: it reports that it is not serving
+// (grpc.health.v1), makes callers move to other processors (GOAWAY), and lets open streams finish. They have the longest
+// timeout that any request had, or MinDrainTimeout if that is longer, plus stopMargin. Streams that are open after that
+// are ended.
 func (s *Server) Serve(ctx context.Context, l net.Listener, o ListenOptions) error {
 	srv := s.newGRPCServer(o)
 	pb.RegisterExternalProcessorServer(srv, s)
@@ -57,7 +59,7 @@
 	case <-ctx.Done():
 	}
 	healthServer.Shutdown()
-	gracefulclose.WaitForBacklog() // the server drops what it accepts from here on
+	gracefulclose.WaitForBacklog() // the gRPC server drops connections that it accepts after this
 	stopGracefully(srv, max(o.MinDrainTimeout, time.Duration(s.maxTimeout.Load()))+stopMargin)
 	if err := <-ended; err != nil && !errors.Is(err, grpc.ErrServerStopped) {
 		return err
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// newGRPCServer returns a gRPC server with the limits of the options.
+// newGRPCServer returns a gRPC server with the limits of s and o.
 func (s *Server) newGRPCServer(o ListenOptions) *grpc.Server {
 	options := []grpc.ServerOption{
 		grpc.MaxConcurrentStreams(uint32(o.MaxStreamsPerConnection)),
@@ -84,7 +86,7 @@
 	return grpc.NewServer(options...)
 }
 
-// stopGracefully stops a gRPC server once its streams have ended, or after the timeout.
+// stopGracefully stops a gRPC server once its streams have ended, or when the timeout has passed.
 func stopGracefully(srv *grpc.Server, timeout time.Duration) {
 	stopped := make(chan struct{})
 	go func() {
--- a/internal/downstream/extproc/server.go
+++ b/internal/downstream/extproc/server.go
@@ -17,25 +17,25 @@
 	"yokestall/internal/idempotency"
 )
 
-// Server is an external processor. Create it with New; Serve has it listen.
+// Server is an external processor. New creates a Server; Serve accepts connections for it.
 type Server struct {
 	pb.UnimplementedExternalProcessorServer
 	Options
 	Stats         Stats
 	openStreams   atomic.Int64
-	bufferedBytes atomic.Int64 // reserved, at most MaxBufferedBytes
-	lastID        atomic.Uint64
-	idPrefix      string       // of the ids of requests that come without one
-	maxTimeout    atomic.Int64 // ns, the longest that a request has had
+	bufferedBytes atomic.Int64  // reserved by all streams, at most MaxBufferedBytes
+	lastID        atomic.Uint64 // number of the last generated request id
+	idPrefix      string        // prefix of generated request ids, for requests without an id
+	maxTimeout    atomic.Int64  // longest timeout of any request so far, in nanoseconds
 
 	// mu guards the fields below.
 	mu         sync.Mutex
 	store      *idempotency.Store
-	executions map[*idempotency.Entry]*execution // those in flight
-	picks      map[pickKey]*pickRequest          // those in flight
+	executions map[*idempotency.Entry]*execution // executions in flight
+	picks      map[pickKey]*pickRequest          // requests in flight whose attempts the caller sends
 }
 
-// New returns a server that does not listen yet.
+// New returns a Server that does not accept connections yet.
 func New(o Options) *Server {
 	if o.RetryStreamTimeout == 0 {
 		o.RetryStreamTimeout = defaultRetryStreamTimeout
@@ -49,7 +49,8 @@
 	}
 }
 
-// InFlight returns the number of open streams and of requests in flight.
+// InFlight returns the sum of the open streams, the pick requests in flight and the executions in flight. It is 0 if and
+// only if nothing is in flight; a request may be counted more than once.
 func (s *Server) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,12 +58,12 @@
 }
 
 // Process handles one stream of a caller (service.ext_proc.v3.ExternalProcessor). A message that is malformed or out of
-// order ends it with InvalidArgument.
+// order ends the stream with the status InvalidArgument.
 func (s *Server) Process(rpc grpc.BidiStreamingServer[pb.ProcessingRequest, pb.ProcessingResponse]) error {
 	if s.openStreams.Add(1) > int64(s.MaxStreams) {
 		s.openStreams.Add(-1)
 		s.Stats.StreamsRejected.Add(1)
-		return status.Error(codes.ResourceExhausted, "too many streams")
+		return status.Error(codes.ResourceExhausted, "too many open streams: the server's limit is reached")
 	}
 	defer s.openStreams.Add(-1)
 	p := &processingStream{server: s, rpc: rpc, state: NewStreamState(), arrivedAt: s.Clock.Now()}
@@ -72,7 +73,7 @@
 	return s.statusOf(rpc.Context(), p.run())
 }
 
-// statusOf returns the status that a stream ends with, nil for OK. err is what its handling returned.
+// statusOf returns the status with which a stream ends, nil for OK. err is the result of handling the stream.
 func (s *Server) statusOf(ctx context.Context, err error) error {
 	switch {
 	case err == nil, errors.Is(err, io.EOF):
--- a/internal/downstream/extproc/stream.go
+++ b/internal/downstream/extproc/stream.go
@@ -14,34 +14,35 @@
 )
 
 const (
-	// responseMargin is the time between the final answer and the end of the caller's time.
+	// responseMargin is how long before the request's timeout the final answer is due, so that it reaches the caller in
+	// time.
 	responseMargin = 10 * time.Millisecond
-	// expectedTimeoutHeader is Envoy's own timeout of the request, in milliseconds.
+	// expectedTimeoutHeader is the header field with Envoy's own timeout of the request, in milliseconds.
 	expectedTimeoutHeader = "X-Envoy-Expected-Rq-Timeout-Ms"
 )
 
-// processingStream is one stream: a request of a caller's and its response, in phases.
+// processingStream is one processing stream: a caller's request and its response, in phases.
 type processingStream struct {
 	server        *Server
 	rpc           grpc.BidiStreamingServer[pb.ProcessingRequest, pb.ProcessingResponse]
 	state         *StreamState
 	timer         *streamTimer
-	arrivedAt     time.Duration
-	bufferedBytes int64 // reserved of Server.bufferedBytes
+	arrivedAt     time.Duration // time on Server.Clock at which the stream was opened
+	bufferedBytes int64         // this stream's part of Server.bufferedBytes
 
-	message     *pb.ProcessingRequest // the latest
+	message     *pb.ProcessingRequest // latest message received
 	request     *http.Request
 	destination ingress.Destination
 	attributes  ingress.Attributes
-	deadline    time.Duration // on the clock, of the final answer
+	deadline    time.Duration // time on Server.Clock by which the final answer is due
 }
 
-// run handles the stream until its end.
+// run handles the stream until it ends.
 func (p *processingStream) run() error {
 	if _, _, err := p.recvWithin(p.server.FirstMessageTimeout); err != nil {
 		return err
 	}
-	if p.state.ObserveOnly { // replies are ignored, so there is nothing to decide
+	if p.state.ObserveOnly { // the caller ignores replies, so no decision is made
 		return p.discardMessages()
 	}
 	err := p.readRequest()
@@ -59,8 +60,8 @@
 	return p.forward()
 }
 
-// readRequest sets request, destination and terms from the request headers. The error is an *ingress.Rejection where
-// the request is to be answered by it.
+// readRequest sets request, destination and attributes from the request headers. The error is an *ingress.Rejection if
+// the request must be answered with it.
 func (p *processingStream) readRequest() error {
 	h, err := parseHeaders(p.message.GetRequestHeaders().GetHeaders(), p.server.MaxHeaderBytes)
 	if err == nil {
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// setDeadline sets the deadline by the request's own timeout, the caller's timeout of the request and the deadline of
-// the gRPC call.
+// setDeadline sets the deadline and the timeout in attributes, from the shortest of the timeout in attributes, the
+// caller's timeout of the request (expectedTimeoutHeader) and the time left until the gRPC call's deadline.
 func (p *processingStream) setDeadline() {
 	timeout := ingress.SingleValue(p.request.Header[expectedTimeoutHeader])
 	if ms, err := strconv.ParseUint(timeout, 10, 31); err == nil && ms > 0 {
@@ -99,7 +100,7 @@
 	p.server.recordTimeout(p.attributes.Timeout)
 }
 
-// recordTimeout raises maxTimeout to a request's timeout.
+// recordTimeout raises maxTimeout to the given timeout if that is longer.
 func (s *Server) recordTimeout(timeout time.Duration) {
 	for {
 		longest := s.maxTimeout.Load()
@@ -109,7 +110,7 @@
 	}
 }
 
-// recv receives a message and checks its order. last reports that its direction has ended with it.
+// recv receives the next message and checks the order of messages. last reports that the message ends its direction.
 func (p *processingStream) recv() (phase Phase, last bool, err error) {
 	if p.message, err = p.rpc.Recv(); err != nil {
 		return NoPhase, false, err
@@ -117,7 +118,7 @@
 	return p.state.Step(p.message)
 }
 
-// recvWithin is recv that ends the stream where no message comes within the timeout.
+// recvWithin is recv with a timeout: if no message arrives within it, the stream ends.
 func (p *processingStream) recvWithin(timeout time.Duration) (Phase, bool, error) {
 	p.timer.start(timeout)
 	phase, last, err := p.recv()
@@ -125,15 +126,15 @@
 	return phase, last, err
 }
 
-// received is what recv returned.
+// received holds the results of recv.
 type received struct {
 	phase Phase
 	last  bool
 	err   error
 }
 
-// recvBy is recv until the deadline. A timeout leaves the stream open, since the request still gets its final answer,
-// but no more can be received from it.
+// recvBy is recv with a deadline, a time on Server.Clock. If no message arrives by then, timedOut is true. The stream
+// stays open for the final answer, but must not be received from again.
 func (p *processingStream) recvBy(deadline time.Duration) (r received, timedOut bool) {
 	results := make(chan received, 1)
 	go func() { // ends with the stream
@@ -150,7 +151,7 @@
 	}
 }
 
-// discardMessages receives until the stream's end.
+// discardMessages receives and ignores messages until the stream ends.
 func (p *processingStream) discardMessages() error {
 	for {
 		if _, _, err := p.recv(); err != nil {
@@ -159,7 +160,8 @@
 	}
 }
 
-// send sends a reply; nil is none.
+// send sends a reply; it does nothing if r is nil. The stream ends if the caller does not read the reply within
+// sendTimeout.
 func (p *processingStream) send(r *pb.ProcessingResponse) error {
 	if r == nil {
 		return nil
@@ -170,8 +172,8 @@
 	return err
 }
 
-// reserveBuffer reserves n bytes of the server's buffers until the stream's end, and reports whether there were as
-// many left.
+// reserveBuffer reserves n bytes of Server.MaxBufferedBytes until the stream ends. It reports whether n bytes were left;
+// otherwise it reserves none.
 func (p *processingStream) reserveBuffer(n int) bool {
 	if p.server.bufferedBytes.Add(int64(n)) > p.server.MaxBufferedBytes {
 		p.server.bufferedBytes.Add(-int64(n))
--- a/internal/downstream/extproc/stream_test.go
+++ b/internal/downstream/extproc/stream_test.go
@@ -40,14 +40,14 @@
 		says string // in the error; or
 		code int    // of the answer
 	}{
-		{"response first", []*pb.ProcessingRequest{answered("200")}, "response_headers ahead of request_headers", 0},
-		{"nothing in it", []*pb.ProcessingRequest{{}}, "the first one has to be request_headers", 0},
+		{"response first", []*pb.ProcessingRequest{answered("200")}, "response_headers received before request_headers", 0},
+		{"nothing in it", []*pb.ProcessingRequest{{}}, "the first message must be request_headers", 0},
 		{"headers twice", []*pb.ProcessingRequest{head(false, "/pick/x"), head(false, "/pick/x")},
-			"message 2: request_headers twice", 0},
+			"message 2: request_headers received twice", 0},
 		{"a body after the end", []*pb.ProcessingRequest{head(true, "/pick/x"), body},
-			"message 2: request_body behind the end", 0},
+			"message 2: request_body received after end_of_stream or trailers", 0},
 		{"observability that changes", []*pb.ProcessingRequest{head(true, "/pick/x"), observed},
-			"observability_mode changes", 0},
+			"observability_mode differs from that of the first message", 0},
 		{"no status", []*pb.ProcessingRequest{head(true, "/pick/x"), answered("")}, ":status is missing", 0},
 		{"no path", []*pb.ProcessingRequest{bare(&corev3.HeaderValue{Key: ":method", Value: "GET"})},
 			`:path "" is missing`, 0},
--- a/internal/downstream/extproc/streamstate.go
+++ b/internal/downstream/extproc/streamstate.go
@@ -7,12 +7,12 @@
 	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 )
 
-// Phase is the phase of the exchange that a message belongs to.
+// Phase is the phase of the exchange to which a message belongs.
 type Phase uint8
 
-// The phases, by ProcessingRequest.request.
+// The phases, one for each field of ProcessingRequest.request that is replied to.
 const (
-	NoPhase Phase = iota // a window update, or a field of a later version: no reply is due
+	NoPhase Phase = iota // a window update, or a field of a later protocol version; gets no reply
 	RequestHeaders
 	RequestBody
 	RequestTrailers
@@ -31,7 +31,7 @@
 	ResponseTrailers: "response_trailers",
 }
 
-// String returns the name of the message's field.
+// String returns the name of the phase's field in ProcessingRequest.
 func (p Phase) String() string { return phaseNames[p] }
 
 // Short names of the body modes.
@@ -45,51 +45,53 @@
 	modeUnknown  = filterv3.ProcessingMode_BodySendMode(-1) // the caller sent no protocol_config
 )
 
-// maxMessages bounds the messages of a stream; one more ends it.
+// maxMessages is the maximum number of messages on a stream. The next message ends the stream with an error.
 const maxMessages = 1 << 32
 
-// direction is the state of a stream's requests or responses.
+// direction is the state of one direction of a stream: of its request messages or of its response messages.
 type direction struct {
-	started bool // a message has come
-	ended   bool // with end_of_stream, or trailers
+	started bool // a message was received
+	ended   bool // the latest message had end_of_stream, or was trailers
 }
 
-// StreamState checks the order of a stream's messages. It is pure: it knows no stream and no time, and a message that
-// breaks the order is an error that says where.
+// StreamState checks the order of a stream's messages. It is pure: it uses neither the stream nor a clock. For a message
+// out of order it returns an error that gives the message's number.
 //
-//	request_headers, (request_body)*, [request_trailers], beside it from some point on
+// The messages of the two directions may be interleaved. The order in each direction is:
+//
+//	request_headers, (request_body)*, [request_trailers]
 //	[response_headers], (response_body)*, [response_trailers]
 //
-// The first message is request_headers: without it there is nothing to decide on. A direction that has had its
-// end_of_stream, or trailers, has no more messages. Response headers may be left out by the caller's settings
-// (response_header_mode), and come at any time, since a response may begin before its request's end.
+// The first message of a stream must be request_headers, on which the decision depends. After a message with
+// end_of_stream, or trailers, a direction has no more messages. Response headers are absent if the caller's settings skip
+// them (response_header_mode). They may come at any time, because a response may begin before the request has ended.
 type StreamState struct {
-	// ObserveOnly is the caller's observability_mode: nothing is replied to.
+	// ObserveOnly is the caller's observability_mode, in which messages get no reply.
 	ObserveOnly bool
-	// RequestMode and ResponseMode are the body modes by protocol_config.
+	// RequestMode and ResponseMode are the body modes that the caller sent in protocol_config.
 	RequestMode, ResponseMode filterv3.ProcessingMode_BodySendMode
-	// EarlyBody is send_body_without_waiting_for_header_response.
+	// EarlyBody is the caller's send_body_without_waiting_for_header_response.
 	EarlyBody bool
 
 	request, response direction
 	messages          uint64
 }
 
-// NewStreamState returns the state of a stream without messages.
+// NewStreamState returns the state of a stream before its first message.
 func NewStreamState() *StreamState {
 	return &StreamState{RequestMode: modeUnknown, ResponseMode: modeUnknown}
 }
 
-// Step takes the next message. last reports that its direction has ended with it.
+// Step checks the next message and updates the state. last reports that the message ends its direction.
 func (s *StreamState) Step(msg *pb.ProcessingRequest) (phase Phase, last bool, err error) {
 	s.messages++
 	if s.messages > maxMessages {
-		return NoPhase, false, s.violation("over %d messages", maxMessages)
+		return NoPhase, false, s.violation("stream has more than %d messages", maxMessages)
 	}
 	phase, last = classify(msg)
 	if phase == NoPhase {
 		if msg.GetClientWindowUpdate() == nil && s.messages == 1 {
-			return NoPhase, false, s.violation("the first one has to be request_headers (request_header_mode SEND)")
+			return NoPhase, false, s.violation("the first message must be request_headers (request_header_mode SEND)")
 		}
 		return NoPhase, false, nil
 	}
@@ -107,7 +109,7 @@
 	return phase, last, nil
 }
 
-// classify returns a message's phase, and whether its direction ends with it.
+// classify returns a message's phase. last reports that the message ends its direction.
 func classify(msg *pb.ProcessingRequest) (phase Phase, last bool) {
 	switch r := msg.GetRequest().(type) {
 	case *pb.ProcessingRequest_RequestHeaders:
@@ -126,27 +128,27 @@
 	return NoPhase, false
 }
 
-// checkOrder returns an error if a message may not come now.
+// checkOrder returns an error if the message is out of order. phase is the message's phase, d its direction.
 func (s *StreamState) checkOrder(msg *pb.ProcessingRequest, phase Phase, d *direction) error {
 	switch {
 	case s.messages == 1 && phase != RequestHeaders:
-		return s.violation("%v ahead of request_headers (request_header_mode has to be SEND)", phase)
+		return s.violation("%v received before request_headers (request_header_mode must be SEND)", phase)
 	case s.messages > 1 && s.ObserveOnly != msg.GetObservabilityMode():
-		return s.violation("observability_mode changes")
+		return s.violation("observability_mode differs from that of the first message")
 	case d.ended:
-		return s.violation("%v behind the end", phase)
+		return s.violation("%v received after end_of_stream or trailers", phase)
 	case (phase == RequestHeaders || phase == ResponseHeaders) && d.started:
-		return s.violation("%v twice", phase)
+		return s.violation("%v received twice", phase)
 	}
 	return nil
 }
 
-// violation returns an error about the present message.
+// violation returns an error about the latest message, with the message's number on the stream, counted from 1.
 func (s *StreamState) violation(format string, args ...any) error {
 	return fmt.Errorf("message %d: %s", s.messages, fmt.Sprintf(format, args...))
 }
 
-// readProtocolConfig sets the modes by the first message.
+// readProtocolConfig sets the modes from the first message.
 func (s *StreamState) readProtocolConfig(msg *pb.ProcessingRequest) {
 	s.ObserveOnly = msg.GetObservabilityMode()
 	if c := msg.GetProtocolConfig(); c != nil {
@@ -155,8 +157,8 @@
 	}
 }
 
-// ContinueReply returns the reply by which a message continues unchanged; nil if none is due. In the body modes in
-// which the processor returns the body (FULL_DUPLEX_STREAMED, GRPC), the reply contains it.
+// ContinueReply returns the reply that lets the caller pass the message on unchanged, nil if the message gets no reply. In
+// the body modes FULL_DUPLEX_STREAMED and GRPC, in which the processor returns the body, the reply contains the body.
 func (s *StreamState) ContinueReply(msg *pb.ProcessingRequest, phase Phase) *pb.ProcessingResponse {
 	if s.ObserveOnly {
 		return nil
@@ -189,7 +191,7 @@
 	return out
 }
 
-// continueBody returns the reply by which a body continues unchanged.
+// continueBody returns the reply that lets the caller pass a part of a body on unchanged.
 func continueBody(b *pb.HttpBody, mode filterv3.ProcessingMode_BodySendMode) *pb.BodyResponse {
 	r := &pb.CommonResponse{}
 	if mode == modeDuplex || mode == modeGRPC {
--- a/internal/downstream/extproc/streamtimer.go
+++ b/internal/downstream/extproc/streamtimer.go
@@ -10,28 +10,29 @@
 	"google.golang.org/grpc/tap"
 )
 
-// sendTimeout is the time for which a caller may leave a message unread.
+// sendTimeout is the time within which a caller must read a reply.
 const sendTimeout = 30 * time.Second
 
-// errStreamTimeout ends a stream whose caller has not sent, or not read, a message in time.
-var errStreamTimeout = status.Error(codes.DeadlineExceeded, "no message came in time, or none was taken")
+// errStreamTimeout ends a stream whose caller did not send, or did not read, a message in time.
+var errStreamTimeout = status.Error(codes.DeadlineExceeded, "the caller did not send a message, or read a reply, in time")
 
-// streamTimer ends a stream whose caller neither sends nor reads. A Recv or Send of the gRPC library ends with the
-// stream's context alone, so the timer is made where that context is (Server.tap).
+// streamTimer ends a stream whose caller neither sends nor reads. A Recv or Send of the gRPC library ends only with the
+// stream's context, so the timer is created with that context (Server.tap).
 type streamTimer struct {
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 }
 
-// streamTimerKey is the key of the streamTimer in a stream's context.
+// streamTimerKey is the context key of a stream's streamTimer.
 type streamTimerKey struct{}
 
-// start ends the stream after a timeout, unless stop is called before.
+// start starts the timer, which ends the stream after the timeout unless stop is called first.
 func (t *streamTimer) start(timeout time.Duration) { t.timer.Reset(timeout) }
 
 func (t *streamTimer) stop() { t.timer.Stop() }
 
-// tap implements tap.ServerInHandle.
+// tap is the tap.ServerInHandle of the gRPC server. It gives each Process call a streamTimer that ends the stream after
+// FirstMessageTimeout unless it is stopped or started again.
 func (s *Server) tap(ctx context.Context, info *tap.Info) (context.Context, error) {
 	if info.FullMethodName != pb.ExternalProcessor_Process_FullMethodName {
 		return ctx, nil
@@ -42,8 +43,8 @@
 	return timeoutContext{context.WithValue(ctx, streamTimerKey{}, t)}, nil
 }
 
-// timeoutContext reports DeadlineExceeded where a streamTimer ended it. The library derives the status that the caller
-// gets from the context, whatever the handler returns.
+// timeoutContext is a context whose Err is DeadlineExceeded if a streamTimer canceled it. The gRPC library derives the
+// status that the caller gets from the context's error, whatever the handler returns.
 type timeoutContext struct{ context.Context }
 
 // Err implements context.Context.
