--- a/internal/downstream/extproc/fields_test.go
+++ b/internal/downstream/extproc/fields_test.go
@@ -11,9 +11,9 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// uses says what becomes of each field of the protocol: read or written, and how; "not used" where
-// it is neither.
-var uses = map[string]string{
+// fieldUses describes, for each field of the protocol, how the package reads or writes it; "not used" if it does
+// neither. The texts are the second column of docs/extproc-fields.md.
+var fieldUses = map[string]string{
 	"ProcessingRequest.request_headers":      "read; has to be the first message",
 	"ProcessingRequest.response_headers":     "read; pick: the attempt's outcome",
 	"ProcessingRequest.request_body":         "read; carry: the request's body. Pick: passed",
@@ -84,8 +84,8 @@
 	"StreamedImmediateResponse.trailers_response":                         "written",
 }
 
-// TestFieldTable holds docs/extproc-fields.md to the protocol as it is published: each field of each
-// message has its line. YOKESTALL_WRITE=1 writes the page.
+// TestFieldTable checks that fieldUses has a line for each field of each message of the published protocol, and
+// that docs/extproc-fields.md contains that table. With YOKESTALL_WRITE=1 it writes the page instead.
 func TestFieldTable(t *testing.T) {
 	var page strings.Builder
 	page.WriteString("# The external processor: every field of the protocol\n\nMessages of `envoy.service.ext_proc.v3`. " +
@@ -101,21 +101,21 @@
 		for i := range d.Fields().Len() {
 			name := fmt.Sprintf("%s.%s", d.Name(), d.Fields().Get(i).Name())
 			known[name] = true
-			if uses[name] == "" {
-				t.Errorf("%s has no line", name)
+			if fieldUses[name] == "" {
+				t.Errorf("protocol field %s has no line in fieldUses", name)
 			}
-			fmt.Fprintf(&page, "| `%s` | %s |\n", name, uses[name])
+			fmt.Fprintf(&page, "| `%s` | %s |\n", name, fieldUses[name])
 		}
 	}
-	for name := range uses {
+	for name := range fieldUses {
 		if !known[name] {
-			t.Errorf("%s is no field", name)
+			t.Errorf("fieldUses has a line for %s, which is not a field of the protocol", name)
 		}
 	}
-	// Oneofs that a later version may add to have no default here: they are fields too.
+	// A later protocol version may add a message to the oneof ProcessingRequest.request; Phase must then get a value for it.
 	oneofs := (&pb.ProcessingRequest{}).ProtoReflect().Descriptor().Oneofs()
 	if n := oneofs.ByName(protoreflect.Name("request")).Fields().Len(); n != len(phaseNames)-1 {
-		t.Errorf("%d kinds of messages; the package knows %d", n, len(phaseNames)-1)
+		t.Errorf("ProcessingRequest.request has %d kinds of messages, want %d, as many as there are phases", n, len(phaseNames)-1)
 	}
 	const path = "../../../docs/extproc-fields.md"
 	if os.Getenv("YOKESTALL_WRITE") != "" {
@@ -123,6 +123,7 @@
 			t.Fatal(err)
 		}
 	} else if text, err := os.ReadFile(path); err != nil || string(text) != page.String() {
-		t.Errorf("the page is another one (%v): YOKESTALL_WRITE=1 go test ./internal/downstream/extproc -run TestFieldTable", err)
+		t.Errorf("docs/extproc-fields.md differs from fieldUses (read error: %v); to rewrite the page, run "+
+			"YOKESTALL_WRITE=1 go test ./internal/downstream/extproc -run TestFieldTable", err)
 	}
 }
--- a/internal/downstream/extproc/pick_test.go
+++ b/internal/downstream/extproc/pick_test.go
@@ -12,22 +12,22 @@
 	"yokestall/policy"
 )
 
-// ended is a stream whose caller has gone.
-type ended struct {
+// disconnectedStream is a stream whose caller has disconnected.
+type disconnectedStream struct {
 	grpc.BidiStreamingServer[pb.ProcessingRequest, pb.ProcessingResponse]
 	ctx context.Context
 }
 
-func (e ended) Context() context.Context { return e.ctx }
+func (s disconnectedStream) Context() context.Context { return s.ctx }
 
-// A caller that has disconnected is named no endpoint, also where one is picked at that moment; the attempt is never
-// sent.
+// No endpoint is named to a caller that has disconnected, even if an endpoint is picked at the same moment. The attempt
+// is never sent.
 func TestNothingIsNamedToACallerThatHasGone(t *testing.T) {
 	t.Parallel()
-	gone, leave := context.WithCancel(t.Context())
-	leave()
+	disconnected, disconnect := context.WithCancel(t.Context())
+	disconnect()
 	clock := engine.NewClock()
-	for turn := range 50 { // which of the two is seen first is drawn anew each time
+	for round := range 50 { // awaitEndpoint selects the endpoint or the disconnect at random
 		r := &pickRequest{
 			server:         &Server{},
 			cancel:         func() {},
@@ -38,10 +38,10 @@
 		r.endpoints <- &pickedEndpoint{
 			call: engine.NewCall(t.Context()), address: "127.0.0.1:1", outcome: make(chan policy.Status, 1),
 		}
-		p := &processingStream{server: r.server, rpc: ended{ctx: gone}, deadline: clock.Now() + time.Hour}
+		p := &processingStream{server: r.server, rpc: disconnectedStream{ctx: disconnected}, deadline: clock.Now() + time.Hour}
 		p.server.Clock = clock
 		if got, err := p.awaitEndpoint(r); got != nil || err == nil {
-			t.Fatalf("turn %d: named %v, %v", turn, got, err)
+			t.Fatalf("round %d: awaitEndpoint returned endpoint %v, error %v; want no endpoint and an error", round, got, err)
 		}
 	}
 }
--- a/internal/downstream/extproc/requestbody_test.go
+++ b/internal/downstream/extproc/requestbody_test.go
@@ -15,7 +15,8 @@
 	"yokestall/internal/testutil"
 )
 
-// Forwarding and picking, in every body mode; the caller's own header fields stay.
+// TestModes checks forwarding and picking in each body mode, without a body and with bodies of two lengths. Header fields
+// of the caller reach the endpoint. Forwarding a body that the caller doesn't send to the processor is answered with 501.
 func TestModes(t *testing.T) {
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -23,7 +24,7 @@
 		w.WriteHeader(201)
 		fmt.Fprintf(w, "%s %s %d %s", r.Method, r.URL, len(body), r.Header.Get("X-Own"))
 	})
-	r := start(t, []string{b.Addr()})
+	r := startProcessor(t, []string{b.Addr()})
 	for _, mode := range []filterv3.ProcessingMode_BodySendMode{
 		filterv3.ProcessingMode_NONE, filterv3.ProcessingMode_BUFFERED, filterv3.ProcessingMode_BUFFERED_PARTIAL,
 		filterv3.ProcessingMode_STREAMED, filterv3.ProcessingMode_FULL_DUPLEX_STREAMED,
@@ -40,31 +41,33 @@
 				bypassing := mode == filterv3.ProcessingMode_NONE || mode == filterv3.ProcessingMode_STREAMED
 				if way == "" && n > 0 && bypassing {
 					if out.Status != 501 {
-						t.Errorf("%v%s: a body that can't be had: %+v", mode, way, out)
+						t.Errorf("%v%s: body that bypasses the processor: %+v, want status 501", mode, way, out)
 					}
 					continue
 				}
 				want := fmt.Sprintf("POST %s/x?q=1 %d mine", way, n)
 				if out.Status != 201 || string(out.Body) != want ||
 					len(out.Header["X-Two"]) != 2 || out.ByProcessor != (way == "") {
-					t.Errorf("%v%s, %d bytes: %+v, %q", mode, way, n, out, out.Body)
+					t.Errorf("%v%s, %d bytes: %+v with body %q, want status 201, body %q, 2 values of X-Two, ByProcessor %v",
+						mode, way, n, out, out.Body, want, way == "")
 				}
 			}
 		}
 	}
-	r.quiet()
+	r.awaitIdle()
 }
 
-// bodyCase is a request body that comes in parts.
+// bodyCase is a request body that the caller sends in parts.
 type bodyCase struct {
 	name   string
 	config *pb.ProtocolConfiguration
 	parts  []*pb.ProcessingRequest
-	want   string // at the endpoint, where the processor forwards it
+	want   string // the body that the endpoint gets if the processor forwards the request
 }
 
-// bodyCases are gRPC messages, which get gRPC's prefix for the endpoint, and parts that are STREAMED without waiting
-// for the reply to the headers, or come in full duplex; with trailers, or an end of their own.
+// bodyCases returns bodies that are sent in parts: gRPC messages, which the endpoint gets with gRPC's prefix, parts in
+// the mode STREAMED that don't wait for the reply to the headers, parts in full duplex, and a buffered body. They end
+// with trailers or with end_of_stream.
 func bodyCases() []bodyCase {
 	part := func(body string, end bool) *pb.ProcessingRequest {
 		return bodyPart(&pb.HttpBody{Body: []byte(body), EndOfStream: end})
@@ -116,22 +119,22 @@
 	return &pb.ProcessingRequest{Request: &pb.ProcessingRequest_RequestBody{RequestBody: body}}
 }
 
-// openBody opens a stream and sends the request headers of a body that follows.
+// openBody opens a stream and sends request headers that a body follows.
 func (r *rig) openBody(path string, config *pb.ProtocolConfiguration) callerStream {
 	s := r.open(r.t.Context())
-	first := head(false, path)
+	first := requestHeaders(false, path)
 	first.ProtocolConfig = config
 	s.Send(first)
 	return s
 }
 
-// TestBodyParts checks that the endpoint gets a body that comes in parts.
+// TestBodyParts checks that the endpoint gets a body that the caller sends in parts.
 func TestBodyParts(t *testing.T) {
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%q", body)
 	})
-	r := start(t, []string{b.Addr()})
+	r := startProcessor(t, []string{b.Addr()})
 	for _, tc := range bodyCases() {
 		t.Run(tc.name, func(t *testing.T) {
 			s := r.openBody("/x", tc.config)
@@ -149,44 +152,44 @@
 			want, got := fmt.Sprintf("%q", tc.want), string(last.GetImmediateResponse().GetBody())
 			streamed := string(last.GetStreamedImmediateResponse().GetBodyResponse().GetBody())
 			if got != want && streamed != want {
-				t.Errorf("the endpoint got %s, not %q", got, tc.want)
+				t.Errorf("the endpoint got body %s (in a streamed response: %s), want %q", got, streamed, tc.want)
 			}
 		})
 	}
-	r.quiet()
+	r.awaitIdle()
 }
 
-// TestBodyPartsOfPick checks that with a pick each part is continued by a reply of its kind.
+// TestBodyPartsOfPick checks that each part of a picked request's body gets a reply of its kind.
 func TestBodyPartsOfPick(t *testing.T) {
-	_, addrs := boxes(t, 1)
-	r := start(t, addrs)
+	_, addrs := startBoxes(t, 1)
+	r := startProcessor(t, addrs)
 	for _, tc := range bodyCases() {
 		t.Run(tc.name, func(t *testing.T) {
 			s := r.openBody("/pick/x", tc.config)
-			if reply, err := s.Recv(); err != nil || named(reply) == "" {
-				t.Fatalf("%v, %v", reply, err)
+			if reply, err := s.Recv(); err != nil || namedEndpoint(reply) == "" {
+				t.Fatalf("reply to the request headers: %v, error %v; want an endpoint", reply, err)
 			}
 			for _, m := range tc.parts {
 				s.Send(m)
 				reply, err := s.Recv()
 				if err != nil || (m.GetRequestBody() != nil) != (reply.GetRequestBody() != nil) ||
 					(m.GetRequestTrailers() != nil) != (reply.GetRequestTrailers() != nil) {
-					t.Errorf("%v gets %v, %v", m, reply, err)
+					t.Errorf("message %v got the reply %v, error %v; want a reply of the same kind", m, reply, err)
 				}
 			}
-			s.Send(answered("200"))
+			s.Send(responseHeaders("200"))
 			s.Recv()
 			s.CloseSend()
 		})
 	}
-	r.quiet()
+	r.awaitIdle()
 }
 
-// Where the caller applies mode_override, it is requested to buffer a body that it would not have sent; with a pick it
-// is requested to send no bodies.
+// For a caller that applies mode_override, the reply to the headers sets it: to BUFFERED if the request is forwarded and
+// its body would bypass the processor, to NONE if an endpoint is picked.
 func TestModeOverride(t *testing.T) {
-	_, addrs := boxes(t, 1)
-	r := start(t, addrs, "report =", "mode_override = true\nreport =")
+	_, addrs := startBoxes(t, 1)
+	r := startProcessor(t, addrs, "report =", "mode_override = true\nreport =")
 	for _, tc := range []struct {
 		path string
 		mode filterv3.ProcessingMode_BodySendMode
@@ -196,42 +199,42 @@
 		{"/pick/x", filterv3.ProcessingMode_STREAMED, filterv3.ProcessingMode_NONE},
 	} {
 		s := r.open(t.Context())
-		msg := head(false, tc.path)
+		msg := requestHeaders(false, tc.path)
 		msg.ProtocolConfig = &pb.ProtocolConfiguration{RequestBodyMode: tc.mode}
 		s.Send(msg)
 		reply, err := s.Recv()
 		if err != nil || reply.GetModeOverride() == nil || reply.GetModeOverride().RequestBodyMode != tc.want {
-			t.Fatalf("%s: %v, %v", tc.path, reply, err)
+			t.Fatalf("%s: reply to the request headers: %v, error %v; want mode_override %v", tc.path, reply, err, tc.want)
 		}
 		if tc.want == filterv3.ProcessingMode_BUFFERED {
 			s.Send(bodyPart(&pb.HttpBody{Body: []byte("body"), EndOfStream: true}))
 			reply, err = s.Recv()
 			if err != nil || !strings.Contains(string(reply.GetImmediateResponse().GetBody()), "(4 bytes)") {
-				t.Errorf("%v, %v", reply, err)
+				t.Errorf("%s: reply to the body: %v, error %v; want an answer that contains \"(4 bytes)\"", tc.path, reply, err)
 			}
 		} else {
-			s.Send(answered("200"))
+			s.Send(responseHeaders("200"))
 			s.Recv()
 		}
 		s.CloseSend()
 	}
-	r.quiet()
+	r.awaitIdle()
 }
 
-// A body that does not come: the request is answered at its deadline, and the stream has no error.
+// If the body never arrives, the request is answered with 503 at its deadline, and the stream ends without an error.
 func TestBodyNeverComes(t *testing.T) {
-	b, addrs := boxes(t, 1)
-	r := start(t, addrs)
+	b, addrs := startBoxes(t, 1)
+	r := startProcessor(t, addrs)
 	s := r.open(t.Context())
-	s.Send(head(false, "/pay/x", "x-timeout-ms", "60"))
+	s.Send(requestHeaders(false, "/pay/x", "x-timeout-ms", "60"))
 	if reply, err := s.Recv(); err != nil || reply.GetRequestHeaders() == nil {
-		t.Fatalf("%v, %v", reply, err)
+		t.Fatalf("reply to the request headers: %v, error %v; want a headers reply", reply, err)
 	}
 	if reply, err := s.Recv(); err != nil || reply.GetImmediateResponse().GetStatus().GetCode() != 503 {
-		t.Errorf("%v, %v", reply, err)
+		t.Errorf("reply at the deadline: %v, error %v; want status 503", reply, err)
 	}
-	r.quiet()
+	r.awaitIdle()
 	if b[0].Count() != 0 {
-		t.Error("it reached a server")
+		t.Error("the request reached an endpoint before its body was complete")
 	}
 }
--- a/internal/downstream/extproc/response_test.go
+++ b/internal/downstream/extproc/response_test.go
@@ -11,8 +11,8 @@
 	"yokestall/internal/testutil"
 )
 
-// Long responses: streamed where the caller's body mode allows it, with an error if they break off; 502 where they are
-// over the limit of one message.
+// A response that exceeds the limit of one message is streamed if the caller's body mode allows it; the stream ends with
+// an error if the response fails part way. If the body mode doesn't allow it, the answer is 502.
 func TestLongAnswers(t *testing.T) {
 	b := testutil.NewBackend(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Write(bytes.Repeat([]byte("x"), 3_000_000))
@@ -21,7 +21,7 @@
 			panic(http.ErrAbortHandler)
 		}
 	})
-	r := start(t, []string{b.Addr()})
+	r := startProcessor(t, []string{b.Addr()})
 	for _, tc := range []struct {
 		path   string
 		mode   filterv3.ProcessingMode_BodySendMode
@@ -38,7 +38,8 @@
 		p.Close()
 		complete := len(out.Body) == 3_000_000
 		if out.Status != tc.status || out.Truncated != tc.broken || !tc.broken && tc.status == 200 && !complete {
-			t.Errorf("%+v: status %d, broken %v, %d bytes, %v", tc, out.Status, out.Truncated, len(out.Body), out.Err)
+			t.Errorf("case %+v: got status %d, truncated %v, %d bytes of 3000000, error %v",
+				tc, out.Status, out.Truncated, len(out.Body), out.Err)
 		}
 	}
 }
--- a/internal/downstream/extproc/rig_test.go
+++ b/internal/downstream/extproc/rig_test.go
@@ -30,7 +30,7 @@
 // callerStream is the caller's side of a processing stream.
 type callerStream = grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse]
 
-// rig is a processor before endpoints.
+// rig is a processor in front of endpoints, with a client connection to it.
 type rig struct {
 	t       testing.TB
 	program *config.Program
@@ -38,15 +38,17 @@
 	server  *extproc.Server
 	conn    *grpc.ClientConn
 	stop    context.CancelFunc
-	ended   chan error
+	ended   chan error // receives the result of ServeProcessor
 }
 
-// start runs a processor before endpoints, with changes to the rig's settings file, old and new text in turn.
-func start(t testing.TB, addrs []string, changes ...string) *rig {
-	return startWith(t, nil, insecure.NewCredentials(), addrs, changes...)
+// startProcessor runs a processor in front of endpoints with the settings callers.Program. changes are pairs of an old
+// and a new text that are replaced in the settings.
+func startProcessor(t testing.TB, addrs []string, changes ...string) *rig {
+	return startProcessorWith(t, nil, insecure.NewCredentials(), addrs, changes...)
 }
 
-func startWith(
+// startProcessorWith is startProcessor with a key store for the server and credentials for the connection to it.
+func startProcessorWith(
 	t testing.TB, keys *tlskeys.Store, creds credentials.TransportCredentials, addrs []string, changes ...string,
 ) *rig {
 	t.Helper()
@@ -76,6 +78,7 @@
 	return r
 }
 
+// version returns a configuration with one cluster, which has the given endpoints.
 func (r *rig) version(addrs []string) *files.Configuration {
 	c := &cluster.Config{Name: "rooms", ShrinkTo: -1, AllowEmpty: len(addrs) == 0}
 	for i, a := range addrs {
@@ -95,8 +98,9 @@
 	return s
 }
 
-// head returns the request headers; fields are names and values in turn.
-func head(end bool, path string, fields ...string) *pb.ProcessingRequest {
+// requestHeaders returns a request_headers message of a POST request; end sets its end_of_stream. fields are additional
+// header fields, as pairs of name and value.
+func requestHeaders(end bool, path string, fields ...string) *pb.ProcessingRequest {
 	m := &corev3.HeaderMap{Headers: []*corev3.HeaderValue{
 		{Key: ":method", RawValue: []byte("POST")},
 		{Key: ":authority", Value: "a"},
@@ -111,29 +115,29 @@
 	}}
 }
 
-// answered returns the response headers with a status code, and the end of the response.
-func answered(code string) *pb.ProcessingRequest {
+// responseHeaders returns a response_headers message with the status code and end_of_stream.
+func responseHeaders(code string) *pb.ProcessingRequest {
 	status := &corev3.HeaderValue{Key: ":status", RawValue: []byte(code)}
 	return &pb.ProcessingRequest{Request: &pb.ProcessingRequest_ResponseHeaders{ResponseHeaders: &pb.HttpHeaders{
 		Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{status}}, EndOfStream: true,
 	}}}
 }
 
-// named returns the endpoint that a reply names; "" if it names none.
-func named(r *pb.ProcessingResponse) string {
+// namedEndpoint returns the endpoint that a reply names, "" if the reply names none.
+func namedEndpoint(r *pb.ProcessingResponse) string {
 	h := http.Header{}
 	proxy.ApplyMutation(h, r.GetRequestHeaders().GetResponse().GetHeaderMutation())
 	return h.Get(extproc.EndpointHeader)
 }
 
-// quiet waits until no stream and no request is in flight.
-func (r *rig) quiet() {
+// awaitIdle waits until no stream and no request is in flight.
+func (r *rig) awaitIdle() {
 	r.t.Helper()
 	testutil.Until(r.t, "the end of all streams and requests", func() bool { return r.server.InFlight() == 0 })
 }
 
-// boxes starts n endpoints.
-func boxes(t testing.TB, n int) (list []*appbox.Server, addrs []string) {
+// startBoxes starts n endpoints and returns them with their addresses.
+func startBoxes(t testing.TB, n int) (list []*appbox.Server, addrs []string) {
 	for i := range n {
 		b := testutil.StartAppServer(t, fmt.Sprintf("box-%d", i))
 		list, addrs = append(list, b), append(addrs, b.Addr())
--- a/internal/downstream/extproc/serve_test.go
+++ b/internal/downstream/extproc/serve_test.go
@@ -17,21 +17,21 @@
 	"yokestall/internal/tlskeys"
 )
 
-// Graceful shutdown with streams open: the health service reports it, and open streams finish. An observer's stream has
-// no replies.
+// In a graceful shutdown with open streams, the health service reports NOT_SERVING and the streams finish. The test also
+// checks that a stream in observability mode gets no replies and that gRPC reflection lists the service.
 func TestEndWithStreamsOpen(t *testing.T) {
 	hold := make(chan struct{})
-	let := sync.OnceFunc(func() { close(hold) })
+	release := sync.OnceFunc(func() { close(hold) })
 	b := testutil.NewBackend(t, func(http.ResponseWriter, *http.Request) { <-hold })
-	t.Cleanup(let)
-	r := start(t, []string{b.Addr()})
-	watched := r.open(t.Context())
-	m := head(true, "/pay/x")
+	t.Cleanup(release)
+	r := startProcessor(t, []string{b.Addr()})
+	observed := r.open(t.Context())
+	m := requestHeaders(true, "/pay/x")
 	m.ObservabilityMode = true
-	watched.Send(m)
-	watched.CloseSend()
-	if reply, err := watched.Recv(); err != io.EOF {
-		t.Errorf("an observer gets %v, %v", reply, err)
+	observed.Send(m)
+	observed.CloseSend()
+	if reply, err := observed.Recv(); err != io.EOF {
+		t.Errorf("stream in observability mode got reply %v, error %v; want io.EOF", reply, err)
 	}
 	services, err := reflectionpb.NewServerReflectionClient(r.conn).ServerReflectionInfo(t.Context())
 	if err != nil {
@@ -42,7 +42,7 @@
 	})
 	reply, err := services.Recv()
 	if err != nil || !strings.Contains(reply.String(), "envoy.service.ext_proc.v3.ExternalProcessor") {
-		t.Errorf("reflection: %v, %v", reply, err)
+		t.Errorf("reflection lists %v, error %v; want envoy.service.ext_proc.v3.ExternalProcessor", reply, err)
 	}
 	services.CloseSend()
 	health, err := healthpb.NewHealthClient(r.conn).Watch(t.Context(), &healthpb.HealthCheckRequest{})
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if h, err := health.Recv(); err != nil || h.Status != healthpb.HealthCheckResponse_SERVING {
-		t.Fatalf("%v, %v", h, err)
+		t.Fatalf("health before the shutdown: %v, error %v; want SERVING", h, err)
 	}
 	p := &proxy.Proxy{Conn: r.conn}
 	defer p.Close()
@@ -60,28 +60,28 @@
 			got <- p.Do(t.Context(), proxy.Request{Method: "GET", Path: path, Timeout: testutil.WaitTimeout})
 		}()
 		if path == "/pay/x" {
-			testutil.Wait(t, b.Requests, "the request at its server")
+			testutil.Wait(t, b.Requests, "the forwarded request at its endpoint")
 		}
 	}
-	testutil.Until(t, "both to be open", func() bool {
+	testutil.Until(t, "both requests to be in flight", func() bool {
 		return r.server.Stats.Forwarded.Load()+r.server.Stats.Picked.Load() == 2
 	})
-	if err := r.app.Apply(r.version([]string{b.Addr()})); err != nil { // a new configuration too
+	if err := r.app.Apply(r.version([]string{b.Addr()})); err != nil { // a new configuration must not end open streams either
 		t.Fatal(err)
 	}
 	r.stop()
 	if h, err := health.Recv(); err == nil && h.Status != healthpb.HealthCheckResponse_NOT_SERVING {
-		t.Errorf("%v", h)
+		t.Errorf("health during the shutdown: %v, want NOT_SERVING", h)
 	}
-	let()
+	release()
 	for range 2 {
-		if out := testutil.Wait(t, got, "an open one's answer"); out.Status != 200 {
-			t.Errorf("%+v", out)
+		if out := testutil.Wait(t, got, "the answer to a request that was in flight at the shutdown"); out.Status != 200 {
+			t.Errorf("request that was in flight at the shutdown: %+v, want status 200", out)
 		}
 	}
 }
 
-// Mutual TLS with keys from files.
+// With mutual TLS and keys from files, a caller is served only if it presents a certificate.
 func TestTLS(t *testing.T) {
 	authority, err := keymaker.New("test")
 	if err != nil {
@@ -95,20 +95,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, addrs := boxes(t, 1)
+	_, addrs := startBoxes(t, 1)
 	change := []string{"[extproc]",
 		"[keys]\nfolder = \"keys\"\n[extproc]\ntls = true\nclient_roots = \"ca\"\nclient_required = true"}
-	for _, shows := range []bool{true, false} {
+	for _, withCertificate := range []bool{true, false} {
 		set := keys.ClientConfig(tlskeys.ServerAuth{ServerName: "front.test", Roots: "ca"})
-		if shows {
+		if withCertificate {
 			set = keys.ClientConfig(tlskeys.ServerAuth{ServerName: "front.test", Roots: "ca", Certificate: "front.test"})
 		}
-		r := startWith(t, keys, credentials.NewTLS(set), addrs, change...)
+		r := startProcessorWith(t, keys, credentials.NewTLS(set), addrs, change...)
 		p := &proxy.Proxy{Conn: r.conn}
 		out := p.Do(t.Context(), proxy.Request{Method: "GET", Path: "/x", Timeout: testutil.WaitTimeout})
 		p.Close()
-		if shows != (out.Status == 200) {
-			t.Errorf("a certificate shown %v: %+v", shows, out)
+		if withCertificate != (out.Status == 200) {
+			t.Errorf("client certificate presented: %v; got %+v, want status 200 only with a certificate", withCertificate, out)
 		}
 	}
 }
--- a/internal/downstream/extproc/streamstate_test.go
+++ b/internal/downstream/extproc/streamstate_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// letters of messages: H, B, T of requests, h, b, t of responses; E, e, X, x: heads and bodies with
-// end_of_stream.
+// message returns the message that a letter stands for: H headers, B a body and T trailers of a request, E headers and X
+// a body of a request with end_of_stream. The lower-case letters stand for the same messages of a response.
 func message(letter byte) *pb.ProcessingRequest {
 	ends := letter == 'E' || letter == 'e' || letter == 'X' || letter == 'x'
 	r := &pb.ProcessingRequest{}
@@ -35,14 +35,14 @@
 }
 
 var (
-	requests  = regexp.MustCompile(`^(E|HB*[XT]?)$`)
-	responses = regexp.MustCompile(`^(h?b*[xt]?|e)$`)
-	lower     = regexp.MustCompile(`[a-z]`)
-	upper     = regexp.MustCompile(`[A-Z]`)
+	requestOrder  = regexp.MustCompile(`^(E|HB*[XT]?)$`)
+	responseOrder = regexp.MustCompile(`^(h?b*[xt]?|e)$`)
+	lower         = regexp.MustCompile(`[a-z]`)
+	upper         = regexp.MustCompile(`[A-Z]`)
 )
 
-// TestOrder compares StreamState with the protocol's order as two expressions, on drawn sequences;
-// what it lets pass gets the reply of its kind.
+// TestOrder compares StreamState, on random sequences of messages, with the protocol's order, which is given as one
+// regular expression for each direction. Each message that StreamState accepts gets a reply of its kind.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mode := filterv3.ProcessingMode_BodySendMode(rapid.IntRange(0, 5).Draw(t, "mode"))
@@ -55,17 +55,17 @@
 			}
 			kind, end, err := m.Step(msg)
 			sent += string(letter)
-			allowed := requests.MatchString(lower.ReplaceAllString(sent, "")) &&
-				responses.MatchString(upper.ReplaceAllString(sent, "")) &&
+			allowed := requestOrder.MatchString(lower.ReplaceAllString(sent, "")) &&
+				responseOrder.MatchString(upper.ReplaceAllString(sent, "")) &&
 				(sent[0] == 'H' || sent[0] == 'E')
 			if (err == nil) != allowed {
-				t.Fatalf("%s: %v, allowed %v", sent, err, allowed)
+				t.Fatalf("sequence %s: Step returned error %v; sequence allowed: %v", sent, err, allowed)
 			}
 			if err != nil {
 				return
 			}
 			if want := strings.ContainsRune("EeXxTt", rune(letter)); end != want {
-				t.Fatalf("%s: end %v", sent, end)
+				t.Fatalf("sequence %s: Step reports last = %v, want %v", sent, end, want)
 			}
 			reply := m.ContinueReply(msg, kind)
 			body := reply.GetRequestBody().GetResponse()
@@ -75,19 +75,20 @@
 			duplex := mode == filterv3.ProcessingMode_FULL_DUPLEX_STREAMED || mode == filterv3.ProcessingMode_GRPC
 			isBody := kind == RequestBody || kind == ResponseBody
 			if isBody && duplex != (body.GetBodyMutation().GetStreamedResponse() != nil) {
-				t.Fatalf("%s: a body in mode %v gets %v", sent, mode, reply)
+				t.Fatalf("sequence %s: reply to a body in mode %v: %v, with a streamed body wanted: %v", sent, mode, reply, duplex)
 			}
 			if got := [...]bool{false,
 				reply.GetRequestHeaders() != nil, reply.GetRequestBody() != nil, reply.GetRequestTrailers() != nil,
 				reply.GetResponseHeaders() != nil, reply.GetResponseBody() != nil, reply.GetResponseTrailers() != nil}; !got[kind] {
-				t.Fatalf("%v gets %v", kind, reply)
+				t.Fatalf("sequence %s: reply to %v: %v, want a reply of the same kind", sent, kind, reply)
 			}
 		}
 	})
 }
 
-// FuzzMachine: whatever messages come, each as its length and its bytes, StreamState and the parser of
-// headers give a verdict, and what they let pass has names and values that may go on.
+// FuzzMachine passes arbitrary messages to StreamState and to the parser of headers. In the input, each message follows
+// its length in two bytes. No message may cause a panic. A message that belongs to a phase gets a reply unless the caller
+// only observes. A request that is accepted has a method, a path that begins with "/" and a URL.
 func FuzzMachine(f *testing.F) {
 	add := func(letters string) {
 		var all []byte
@@ -117,14 +118,14 @@
 				return
 			}
 			if m.ObserveOnly != (m.ContinueReply(msg, kind) == nil) && kind != NoPhase {
-				t.Fatalf("%v observed %v", kind, m.ObserveOnly)
+				t.Fatalf("message of phase %v: ObserveOnly is %v, want a reply if and only if it is false", kind, m.ObserveOnly)
 			}
 			h, err := parseHeaders(msg.GetRequestHeaders().GetHeaders(), 1<<16)
 			if err != nil {
 				continue
 			}
 			if r, err := h.newRequest(); err == nil && (r.Method == "" || r.RequestURI[0] != '/' || r.URL == nil) {
-				t.Fatalf("%+v", r)
+				t.Fatalf("accepted request %+v, want a method, a path that begins with \"/\" and a URL", r)
 			}
 		}
 	})
