--- a/internal/downstream/extproc/idempotency.go
+++ b/internal/downstream/extproc/idempotency.go
@@ -30,8 +30,9 @@
 
 // admit decides whether the request may run. handled reports that the request was answered instead. Requests of an
 // idempotent class always may run. A request that is idempotent by key is identified by its idempotency key, one that
-// is not idempotent by its request id. body is part of the request's fingerprint. mayJoin says that the request may wait
-// for the response to an earlier request with the same key; a request that is not idempotent never does.
+// is not idempotent by its request id. body is part of the request's fingerprint; it is nil for a streamed body and for
+// a pick. mayJoin says that the request may wait for the response to an earlier request with the same key; a request
+// that is not idempotent never does.
 func (p *processingStream) admit(body []byte, mayJoin bool) (a admission, handled bool, err error) {
 	if p.destination.Idempotency == policy.Idempotent {
 		return admission{}, false, nil
--- a/internal/downstream/extproc/pickrequest.go
+++ b/internal/downstream/extproc/pickrequest.go
@@ -147,7 +147,7 @@
 	defer r.cancel()
 	answer, err := c.Do(ctx, q)
 	r.mu.Lock()
-	mayHaveRun := r.mayHaveRun || r.attemptPending // pending: Carry may not have noticed yet that the deadline has passed
+	mayHaveRun := r.mayHaveRun || r.attemptPending // Carry may not have noticed yet that the deadline has passed
 	r.mu.Unlock()
 	switch {
 	case err == nil && answer.Verdict == engine.Served:
--- a/internal/downstream/extproc/streamstate.go
+++ b/internal/downstream/extproc/streamstate.go
@@ -62,9 +62,10 @@
 //	request_headers, (request_body)*, [request_trailers]
 //	[response_headers], (response_body)*, [response_trailers]
 //
-// The first message of a stream must be request_headers, on which the decision depends. After a message with
-// end_of_stream, or trailers, a direction has no more messages. Response headers are absent if the caller's settings skip
-// them (response_header_mode). They may come at any time, because a response may begin before the request has ended.
+// The first message of a stream must be request_headers, on which the decision depends; Step returns no error for a
+// client_window_update in its place. After a message with end_of_stream, or trailers, a direction has no more messages.
+// Response headers are absent if the caller's settings skip them (response_header_mode). They may come at any time,
+// because a response may begin before the request has ended.
 type StreamState struct {
 	// ObserveOnly is the caller's observability_mode, in which messages get no reply.
 	ObserveOnly bool
