--- a/internal/connlimit/doc.go
+++ b/internal/connlimit/doc.go
@@ -8,7 +8,8 @@
 // limit of their own. New connections have a limit of their own too, so that a flood of connections that send nothing
 // does not displace clients that send requests.
 //
-// Where a gateway in front of this node grants each client a limited number of connections, a client whose connections
-// are all in use never reaches this node, and it is too late to close an idle connection then. A reserve is therefore
-// kept free in advance: as soon as the active connections extend into the reserve, an idle connection is closed.
+// A gateway in front of this node may limit the connections of all clients to this node together. Once they are in use,
+// the gateway rejects new clients. These never reach this node, so this node can't close an idle connection to make room
+// for them. A reserve is therefore kept free in advance: as soon as the active connections extend into the reserve, an
+// idle connection is closed.
 package connlimit
--- a/internal/connlimit/limits.go
+++ b/internal/connlimit/limits.go
@@ -32,10 +32,12 @@
 // overflow connections. maxActive is the upper limit of active connections. An eleventh of total, and at least 1, is for
 // overflow connections. Active is reduced below maxActive where fewer than a sixth of total, or fewer than 2, would be
 // left for new connections. New is the rest of total. Reserve is a sixteenth of Active, and at least 1. The error is
-// ErrTooFew if total is below 8 or maxActive is below 4.
+// ErrTooFew if total is below 8 or maxActive is below 4; its text assumes that the caller derived both from the limit of
+// open files.
 func Split(total, maxActive int) (Limits, error) {
 	if total < minTotal || maxActive < minMaxActive {
-		return Limits{}, fmt.Errorf("%w: got %d connections in total and at most %d active, need at least %d and %d",
+		return Limits{}, fmt.Errorf(
+			"%w: the limit of open files allows %d connections in total and %d active, need at least %d in total and %d active",
 			ErrTooFew, total, maxActive, minTotal, minMaxActive)
 	}
 	overflow := max(1, total/11)
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -9,9 +9,10 @@
 	// PartialGrace is how long a connection on which only a part of a request was received is kept when its place is
 	// needed for another connection.
 	PartialGrace = 150 * time.Millisecond
-	// reusedIdleFactor is how many times as long as a connection with one request a connection with several requests
-	// may be idle before it is closed first. It is a ratio rather than an absolute preference, so that a client that
-	// no longer sends requests loses its connection eventually.
+	// reusedIdleFactor is a ratio of idle times: a connection with several requests is closed before a connection with
+	// one request only if it has been idle for more than reusedIdleFactor times as long. The rule is a ratio
+	// rather than an absolute preference, so that a client that no longer sends requests loses its connection
+	// eventually.
 	reusedIdleFactor = 8
 )
 
--- a/internal/keepalive/sizing.go
+++ b/internal/keepalive/sizing.go
@@ -30,8 +30,8 @@
 	return float64(max(1, f.Nodes)) * float64(max(1, f.UsedEndpoints)) / float64(max(1, f.Endpoints, f.UsedEndpoints))
 }
 
-// Prices are the connection prices that a site sets, as fractions of the value of all service. A price of 0 or less for
-// open connections means that they cost nothing.
+// Prices are the connection prices that a site sets, as shares of the total weight of all requests. A price of 0 or less
+// for open connections means that they cost nothing.
 type Prices struct {
 	// Handshake is the price if each request opens a new connection.
 	Handshake float64
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -32,7 +32,7 @@
 	MinCapacity      float64       // lowest capacity at the start, as a share of the warm capacity, 0 to 1
 	Window           time.Duration // age from which an endpoint is warm
 	OverloadMultiple float64       // multiple of its current capacity that overloads a warming endpoint
-	OverloadDuration time.Duration // time for which OverloadMultiple must be sent to overload the endpoint
+	OverloadDuration time.Duration // time after which work sent at OverloadMultiple times the capacity overloads an endpoint
 }
 
 // CapacityShare returns a lower bound of the endpoint's current capacity as a share of its warm capacity, 0
@@ -66,7 +66,7 @@
 	deferred       bool          // Defer was called
 	creditedAt     time.Duration // time up to which fixedCredit was accrued
 	fixedCredit    float64       // credit from the fixed rate; negative for a debt
-	maxFixedCredit float64       // upper bound of fixedCredit, and of a debt before the work that caused it
+	maxFixedCredit float64       // upper bound of fixedCredit; RecordSent limits a debt to it plus the work just sent
 	earnedCredit   float64       // credit from completed work; at least 0
 	completedRate  float64       // completed work per second, as of completedAt
 	completedAt    time.Duration // time of the last completed work
@@ -86,8 +86,9 @@
 
 // Allows reports whether the given work, in seconds, may be sent now. fixedRate is the result of
 // Rules.FixedRate; inFlight is the work that this node has in flight at the endpoint. Since an endpoint may
-// be slower than other endpoints, the fixed rate counts only while the work in flight stays within half of
-// the margin between the completed rate and overload.
+// be slower than other endpoints, the fixed credit counts only while the work in flight is at most the
+// given work plus half of (OverloadMultiple - 1) times the work that the endpoint completes in
+// OverloadDuration at its recent rate.
 func (b *Budget) Allows(r *Rules, now time.Duration, fixedRate, work, inFlight float64) bool {
 	b.maxFixedCredit = fixedRate * r.OverloadDuration.Seconds() * creditShare
 	b.fixedCredit = min(b.fixedCredit+fixedRate*(now-b.creditedAt).Seconds(), b.maxFixedCredit)
