--- a/internal/engine/attempts.go
+++ b/internal/engine/attempts.go
@@ -12,7 +12,7 @@
 	Call
 	request          *Request
 	index            int           // position in Request.attempts; retries and hedged requests have 1 and above
-	startedAt        time.Duration // time on the Clock of the Balancer's decision, or of the upload's last byte if later
+	startedAt        time.Duration // time on the Clock of the Balancer's decision or, if later, of the last body byte's arrival
 	reported         bool          // the outcome was reported to the Balancer
 	awaitsLateAnswer bool          // the exchange goes on after the outcome, for Request.OnLateAnswer
 	countsAsRetry    bool          // the attempt is counted in Cluster.retriesInFlight
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -15,7 +15,7 @@
 
 	// The fields up to mu are set before the attempt starts and do not change afterwards.
 	endpoint           policy.EndpointID
-	drain              *endpointDrain // drain state of the endpoint; for nil, see standalone and attempt.endpointReady
+	drain              *endpointDrain // drain state of the endpoint; nil for a standalone call or if the endpoint was not ready
 	clock              Clock
 	onSend             func(endpoint policy.EndpointID, at time.Duration) // Options.OnSend
 	sendAllowed        func() bool                                        // Request.SendAllowed
--- a/internal/engine/clock.go
+++ b/internal/engine/clock.go
@@ -3,7 +3,7 @@
 import "time"
 
 // clockOffset is the time that a new Clock shows. It keeps the start time of an endpoint that started within the hour
-// before this process positive, because the Balancer takes start times of 0 and less as "long ago".
+// before this process positive, because the Balancer takes a start time of 0 or less as unknown, and the endpoint as warm.
 const clockOffset = time.Hour
 
 // Clock is the monotonic time base that requests and clusters share. Times on it are durations since the clock's zero,
--- a/internal/engine/cluster.go
+++ b/internal/engine/cluster.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// DefaultDrainSendGrace is the default of Options.DrainSendGrace. The service allows 500 ms from the notice of a
-	// drain to the last send; the other 100 ms allow for clock and socket delays.
+	// DefaultDrainSendGrace is the default of Options.DrainSendGrace. Nothing new may be sent to an endpoint later than
+	// 500 ms after the notice that it drains; the other 100 ms allow for clock and socket delays.
 	DefaultDrainSendGrace = 400 * time.Millisecond
 	// DefaultEventQueue is the default of Options.EventQueue.
 	DefaultEventQueue = 1024
--- a/internal/engine/dedupwindow_test.go
+++ b/internal/engine/dedupwindow_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// A retry that another party sends later is not sent if the deduplication window ends before the latest time of that send.
+// A retry whose request another process sends later is not allowed if the deduplication window ends before the latest time
+// of that send.
 func TestRetrySentByAnotherParty(t *testing.T) {
 	window := settings().Classes[idempotentByKey].DedupWindow
 	for delay, sent := range map[time.Duration]bool{window / 2: true, 2 * window: false} {
--- a/internal/engine/sendgate.go
+++ b/internal/engine/sendgate.go
@@ -29,15 +29,17 @@
 
 // BeginSend reports whether the call may be sent. It returns true at most once. It returns false
 //
-//   - after the request's final answer,
+//   - after the request has ended, by its final answer or because its client disconnected,
+//   - after the outcome of the attempt was reported, for example its timeout,
 //   - later than Options.DrainSendGrace after the notice that the endpoint drains or was removed,
 //   - if Request.SendAllowed returns false or Request.ClientDisconnected returns true, and
 //   - for a request that is idempotent by key, after the deduplication window of an earlier attempt.
 func (c *Call) BeginSend() bool { return c.begin(0) }
 
-// BeginSendUnlessDraining is BeginSend for a call that another party sends, no later than sentBy, a time on the Clock. It
-// returns false as soon as the engine was notified of the endpoint's drain, so that the whole Options.DrainSendGrace is
-// left to that party, and also for a retry if a deduplication window of the request ends by sentBy.
+// BeginSendUnlessDraining is BeginSend for a call whose request another process sends, such as the caller of an endpoint
+// pick, at the latest at sentBy, a time on the Clock. It returns false as soon as the engine was notified of the
+// endpoint's drain, so that the whole Options.DrainSendGrace is left to that process, and also for a retry if a
+// deduplication window of the request ends by sentBy.
 func (c *Call) BeginSendUnlessDraining(sentBy time.Duration) bool {
 	if !c.standalone() {
 		if _, draining := c.drain.since(); draining {
--- a/internal/engine/sendgate_test.go
+++ b/internal/engine/sendgate_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// A call that another party sends must not begin after the notice of a drain: Options.DrainSendGrace is left to that
-// party.
+// A call whose request another process sends must not begin after the notice of a drain: Options.DrainSendGrace is left
+// to that process.
 func TestBeginSendUnlessDraining(t *testing.T) {
 	for _, drains := range []bool{false, true} {
 		began := make(chan bool, 4)
@@ -93,7 +93,7 @@
 }
 
 // No attempt is sent once Request.ClientDisconnected returns true, even before the loop has handled the disconnection.
-// This holds for the first attempt, for later attempts, and for attempts that another party sends.
+// This holds for the first attempt, for later attempts, and for attempts whose request another process sends.
 func TestNoSendAfterClientDisconnected(t *testing.T) {
 	t.Parallel()
 	for name, sentBefore := range map[string]int32{"the first": 0, "the second": 1, "the third": 2} {
