--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,11 +6,12 @@
 )
 
 // Admission control decides which requests wait for capacity, in which order they are sent, and which are
-// shed. A request that cannot be sent at once waits in a queue that is ordered by weight per expected work.
-// The inputs are weights, expected latencies, deadlines and the requests in flight. Load is shed early: a
-// request that can probably no longer be answered within its objective is given up while the client can
-// still try elsewhere. The waiting time of a queued request is estimated from the number of requests ahead
-// of it and the rate at which answers free capacity (Little's law, 1961).
+// shed. A request that cannot be sent at once waits in a queue that is ordered by the request's weight
+// divided by the mean latency of its class (class.queueCost). The inputs are weights, expected latencies,
+// deadlines and the requests in flight. Load is shed early: a request that can probably no longer be
+// answered within its objective is given up while the client can still try elsewhere. The waiting time of a
+// queued request is estimated from the number of requests ahead of it and the rate at which answers free
+// capacity (Little's law, 1961).
 
 const (
 	// shedMargin is the multiple of the expected latency that must be left before the objective deadline
@@ -18,19 +19,20 @@
 	shedMargin = 2
 	// shedMarginUnknown replaces shedMargin for a class with fewer than minLatencySamples answers.
 	shedMarginUnknown = 1
-	// shedMarginManyNodes replaces shedMargin among many nodes, where this node does not see the queues of
-	// the others.
+	// shedMarginManyNodes replaces shedMargin among many nodes (Balancer.manyNodes), where this node does
+	// not see the queues of the others.
 	shedMarginManyNodes = 2.5
-	// unsettledPaceFactor divides the expected time between answers while the concurrency limit still grows,
-	// and among many nodes, where the requests in flight may exceed the limit by chance.
-	unsettledPaceFactor = 2
+	// unsettledDivisor divides the expected time between answers until endpoints are saturated for the
+	// first time, because the concurrency limit still grows quickly, and always among many nodes, where the
+	// requests in flight may exceed the limit by chance.
+	unsettledDivisor = 2
 	// retryAfterDivisor determines the Retry-After of a rejection: the latency objective divided by
 	// retryAfterDivisor.
 	retryAfterDivisor = 2
 )
 
-// precedes reports whether the request is sent before another one. The request with the higher weight per
-// expected work comes first; at equal values the one with the earlier objective deadline does.
+// precedes reports whether the request is sent before another one. The request with the higher weight
+// divided by class.queueCost comes first; at equal values the one with the earlier objective deadline does.
 func (r *request) precedes(other *request) bool {
 	x, y := r.weight/r.class.queueCost, other.weight/other.class.queueCost
 	return x > y || (x == y && r.objectiveDeadline < other.objectiveDeadline)
@@ -84,14 +86,15 @@
 // shed gives up the queued requests that may no longer be sent or can probably not be answered within their
 // objective.
 func (b *Balancer) shed(now time.Duration) {
-	wait, pace := 0.0, b.nanosPerAnswer()
+	wait, perAnswer := 0.0, b.nanosPerAnswer()
 	b.queue = slices.DeleteFunc(b.queue, func(r *request) bool {
 		need := b.requiredMargin(r) * float64(b.expectedLatency(r))
-		if r.class.latencySamples >= minLatencySamples { // with fewer samples the wait is a guess as well
+		// While the class's mean latency is a guess, the wait behind other requests is not counted.
+		if r.class.latencySamples >= minLatencySamples {
 			need += wait
 		}
 		if r.done || now+time.Duration(need) <= r.objectiveDeadline && !r.barredFrom(now) {
-			wait += pace
+			wait += perAnswer
 			return false // dispatch drops the requests that are done
 		}
 		r.queued = false
@@ -114,11 +117,11 @@
 
 // nanosPerAnswer returns the expected time from one answer to the next, in nanoseconds.
 func (b *Balancer) nanosPerAnswer() float64 {
-	pace := b.typicalLatency / max(1, float64(b.concurrency.inFlight)) * float64(time.Second)
+	perAnswer := b.typicalLatency / max(1, float64(b.concurrency.inFlight)) * float64(time.Second)
 	if !b.concurrency.saturated || b.manyNodes() {
-		pace /= unsettledPaceFactor
+		perAnswer /= unsettledDivisor
 	}
-	return pace
+	return perAnswer
 }
 
 // giveUp ends a request without an answer from an endpoint. The request is rejected if a rejection may
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -26,7 +26,7 @@
 	slowStartRules slowstart.Rules
 	budgetShare    float64      // share of the node's slow-start budgets that this Balancer may use, 0 to 1
 	workRate       decayingRate // work sent, in seconds per second
-	warmWorkRate   float64      // work per second that an endpoint got from all nodes while most were warm
+	warmWorkRate   float64      // an endpoint's work per second from all nodes while most endpoints were warm
 	candidates     []*endpoint  // buffer of pick, reused by each call
 	lateCandidates []*endpoint  // buffer of pick, reused by each call
 
@@ -138,7 +138,8 @@
 	b.cancelAttempts(r, a)
 }
 
-// ClientDisconnected ends a request whose client has disconnected and that needs no answer.
+// ClientDisconnected ends a request that needs no answer from the Balancer: its client has disconnected, or
+// the host has answered it.
 func (b *Balancer) ClientDisconnected(_ time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil {
 		b.finish(r)
--- a/policy/circuitbreaker.go
+++ b/policy/circuitbreaker.go
@@ -10,7 +10,7 @@
 // outlier detection). Its inputs are the times of failures, the outcomes in the window of scoring.go, and
 // the number of ejected endpoints. A run of consecutive failures within failureWindow opens the breaker,
 // unless the endpoint's baseline failure rate explains the run. An open breaker turns half-open after a
-// time that doubles with each failed trial request. A half-open breaker admits one trial request: an answer
+// time that doubles with each failed trial request. A half-open breaker admits one trial request: a success
 // closes the breaker, a failure opens it again. Failures that may be due to slowness alone open no breaker
 // if more than half of the subset would then be ejected: when all endpoints are slow together, ejecting
 // them would reject all requests.
@@ -32,7 +32,7 @@
 	// maxOpenDuration is the upper bound of the time for which a breaker stays open, before jitter.
 	maxOpenDuration = 30 * time.Second
 	// slowAnswerFactor is the multiple of the unloaded latency above which an answer counts as a failure
-	// among many nodes.
+	// among many nodes (Balancer.manyNodes).
 	slowAnswerFactor = 5.0
 )
 
@@ -86,8 +86,8 @@
 	}
 }
 
-// recordSuccess ends the run of failures. It closes the breaker if the attempt was the trial request. An
-// answer to an attempt that was sent before the breaker opened shows that the endpoint is alive, so the
+// recordSuccess ends the run of failures. It closes the breaker if the attempt was the trial request. The
+// success of an attempt that was sent before the breaker opened shows that the endpoint is alive, so the
 // breaker turns half-open at once.
 func (c *breaker) recordSuccess(now time.Duration, a *attempt) {
 	c.failures = c.failures[:0]
--- a/policy/concurrencylimit.go
+++ b/policy/concurrencylimit.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// The concurrency limit bounds the requests that this node may have in flight. The capacity of the
-// endpoints is not announced, but queueing at the endpoints shows as latency inflation: requests take
-// longer than unloaded requests. The limit is per endpoint, over all nodes that share the endpoint, and is
-// adjusted with each answer, as in TCP Vegas and Netflix's concurrency-limits. The inputs are
-// latencyInflation (a logarithm), typicalLatency (seconds), the requests in flight, the queue and the nodes
-// per endpoint. The limit grows while requests wait for capacity and the inflation is at most
-// targetInflation. The limit shrinks while the inflation is higher, but not far below the last good limit,
-// since a fleet that is slow as a whole looks the same as a saturated fleet. Among many nodes, bursts of
-// this node's own requests say little about the endpoints. There the mean number of requests in flight is
-// bounded, and the limit may fall below one request per endpoint, so that saturated endpoints recover.
+// The concurrency limit bounds the requests in flight. The capacity of the endpoints is not announced, but
+// queueing at the endpoints shows as latency inflation: requests take longer than unloaded requests. The
+// limit counts the requests per endpoint from all nodes that share the endpoint; each node keeps to its
+// part of the limit (withinConcurrencyLimit). The limit is adjusted with each answer, as in TCP Vegas and
+// Netflix's concurrency-limits. The inputs are latencyInflation (a logarithm), typicalLatency (seconds),
+// the requests in flight, the queue and the nodes per endpoint. The limit grows while requests wait for
+// capacity and the inflation is at most targetInflation. The limit shrinks while the inflation is higher,
+// but not far below the last good limit, since a fleet that is slow as a whole looks the same as a
+// saturated fleet. Among many nodes (Balancer.manyNodes), bursts of this node's own requests say little
+// about the endpoints. There the mean number of requests in flight is bounded, and the limit may fall below
+// one request per endpoint, so that saturated endpoints recover.
 
 const (
 	// targetInflation is the value of ln(latency / unloaded latency) above which endpoints count as
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -7,10 +7,14 @@
 // events with the same seed give the same actions. A Balancer is not safe for concurrent use. Only Quotas
 // may be shared between Balancers.
 //
+// Some rules differ among many nodes, that is, if Settings.NodeCount is above maxInformativeNodes
+// (Balancer.manyNodes, subset.go). The requests of one node then say little about the load of the endpoints.
+//
 // # Processing of a request
 //
 //	Balancer.Request   balancer.go        sets deadlines (request.go) and weight (quotas.go)
-//	enqueue            admission.go       queues it, in the order of weight per expected work
+//	enqueue            admission.go       queues it, in the order of weight divided by
+//	                                      the class's mean latency (class.queueCost)
 //	dispatch           admission.go       sends while there is capacity, gives up if every breaker is open
 //	refresh            scoring.go         updates subset (subset.go), breakers (circuitbreaker.go), scores
 //	pick               selection.go       picks a half-open endpoint or the better of two random candidates
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -24,7 +24,7 @@
 	inFlight         []*attempt    // this node's attempts in flight to the current process, oldest first
 	incompleteBodies int           // number of attempts in inFlight whose request body is incomplete
 	sentSinceStart   bool          // an attempt was sent to the endpoint since its start
-	lastAnswerAt     time.Duration // time of the last success; 0 if there was none
+	lastSuccessAt    time.Duration // time of the last success; 0 if there was none
 
 	breaker               breaker
 	consecutiveRejections int           // number of rejections since the last success
--- a/policy/hedging.go
+++ b/policy/hedging.go
@@ -4,11 +4,10 @@
 
 // Hedging determines when an attempt in flight is unresponsive, and sends a hedged request to another
 // endpoint (Dean and Barroso, The Tail at Scale, 2013). An attempt is unresponsive if it has had no answer
-// for unresponsiveFactor times the expected latency and its endpoint has not answered any request since the
-// attempt was sent. The inputs are the time since the send, the expected latency and the time of the
-// endpoint's last answer. An unresponsive attempt counts as a failure of the endpoint, long before a
-// timeout would, and no longer counts against the concurrency limit; otherwise hanging endpoints would stop
-// all sends.
+// for unresponsiveFactor times the expected latency and its endpoint has had no success since the attempt
+// was sent. The inputs are the time since the send, the expected latency and the time of the endpoint's
+// last success. An unresponsive attempt counts as a failure of the endpoint, long before a timeout would,
+// and no longer counts against the concurrency limit; otherwise hanging endpoints would stop all sends.
 
 // unresponsiveFactor is the multiple of the expected latency after which an attempt is unresponsive.
 const unresponsiveFactor = 4.0
@@ -35,14 +34,14 @@
 }
 
 // isUnresponsive reports whether the attempt has been in flight for longer than unresponsiveFactor times
-// the expected latency and its endpoint has answered nothing since the send. An attempt that is already
+// the expected latency and its endpoint has had no success since the send. An attempt that is already
 // excluded from load is not reported again.
 func (a *attempt) isUnresponsive(now, expected time.Duration) bool {
 	if !a.inFlight || a.excludedFromLoad {
 		return false
 	}
 	age := float64(now - a.sentAt)
-	return age > unresponsiveFactor*float64(expected) && a.endpoint.lastAnswerAt < a.sentAt
+	return age > unresponsiveFactor*float64(expected) && a.endpoint.lastSuccessAt < a.sentAt
 }
 
 // excludeFromLoad stops counting an attempt in flight against the concurrency limit. It is used for
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -84,7 +84,7 @@
 	p := h.recordFinalAnswer(id)
 	for _, a := range p.attempts {
 		if !a.neverRan && p.class.Idempotency != Idempotent {
-			h.t.Errorf("%v: request %d is not idempotent and was rejected though it may have run", h.now, id)
+			h.t.Errorf("%v: request %d, whose class is NotIdempotent or IdempotentByKey, was rejected though it may have run", h.now, id)
 		}
 	}
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -4,20 +4,20 @@
 
 // The outcome of an attempt updates the score, the breaker, the latency estimates and the slow-start budget
 // of its endpoint. The inputs are the status and the latency of the attempt, and the endpoint's recent
-// answers and rejections. An error response, a broken connection and a refused connection are failures. An
-// endpoint that answered recently and now refuses connections has reached its connection limit but is not
-// down, so the refused connection counts as a rejection. A rejection lowers the score, since a full
+// successes and rejections. An error response, a broken connection and a refused connection are failures.
+// An endpoint that had a success recently and now refuses connections has reached its connection limit but
+// is not down, so the refused connection counts as a rejection. A rejection lowers the score, since a full
 // endpoint would otherwise look idle and attract requests, but does not count towards opening the breaker.
 // A second consecutive rejection also pauses the endpoint, since a full endpoint that rejects every request
 // always has capacity by the node's own count. A single rejection does not pause it: if many endpoints
 // rejected a few requests each, all would pause at once.
 
 const (
-	// presumedAliveDuration is the time after an answer during which a refused connection counts as a
-	// rejection.
+	// presumedAliveDuration is the time after a success of the endpoint during which a refused connection
+	// counts as a rejection.
 	presumedAliveDuration = time.Second
-	// maxPresumedAliveRejections is the number of rejections since the last answer from which a refused
-	// connection counts as a failure even within presumedAliveDuration.
+	// maxPresumedAliveRejections is a number of rejections since the endpoint's last success. Once it is
+	// reached, a refused connection counts as a failure even within presumedAliveDuration.
 	maxPresumedAliveRejections = 3
 	// maxPauseDoublings is the maximum number of times that the pause after rejections is doubled. The first
 	// pause lasts one typical latency.
@@ -42,7 +42,8 @@
 		e.outcomes.record(now, false, latency)
 		b.recordFailure(now, a, failureReported)
 	case Timeout:
-		// A shorter wait shows only that the client's deadline was short, not that the endpoint was slow.
+		// A wait of at most unresponsiveFactor times the mean latency shows only that the deadline was short,
+		// not that the endpoint was slow.
 		if !a.excludedFromLoad && latency > b.health.meanLatency*unresponsiveFactor {
 			e.outcomes.record(now, false, latency)
 			b.recordFailure(now, a, failureBySlowness)
@@ -55,10 +56,10 @@
 }
 
 // effectiveStatus returns the status that counts for the endpoint. It is the given status, except that a
-// refused connection within presumedAliveDuration of an answer counts as a rejection. After
-// maxPresumedAliveRejections consecutive rejections it counts as a refused connection again.
+// refused connection within presumedAliveDuration of a success counts as a rejection. After
+// maxPresumedAliveRejections consecutive rejections a refused connection counts as a failure again.
 func (e *endpoint) effectiveStatus(now time.Duration, status Status) Status {
-	if status == ConnectFailed && e.lastAnswerAt > 0 && now-e.lastAnswerAt < presumedAliveDuration &&
+	if status == ConnectFailed && e.lastSuccessAt > 0 && now-e.lastSuccessAt < presumedAliveDuration &&
 		e.consecutiveRejections < maxPresumedAliveRejections {
 		return Rejected
 	}
@@ -66,9 +67,9 @@
 }
 
 // recordAnswer updates the endpoint's state and the node's estimates after an answer. seconds is the
-// latency of the answer; latency is the same as a multiple of the unloaded latency. Among many nodes an
-// answer that took more than slowAnswerFactor times the unloaded latency counts as a failure: the endpoint
-// is saturated by other nodes' requests, and an open breaker lets it recover.
+// latency of the answer; latency is the same as a multiple of the unloaded latency. Among many nodes
+// (Balancer.manyNodes) an answer that took more than slowAnswerFactor times the unloaded latency counts as
+// a failure: the endpoint is saturated by other nodes' requests, and an open breaker lets it recover.
 func (b *Balancer) recordAnswer(now time.Duration, r *request, a *attempt, seconds, latency float64) {
 	e := a.endpoint
 	e.outcomes.record(now, true, latency)
@@ -85,7 +86,7 @@
 // recordSuccess records that the endpoint is alive and accepts requests. It ends a pause after rejections.
 func (e *endpoint) recordSuccess(now time.Duration, a *attempt) {
 	e.consecutiveRejections, e.pausedUntil = 0, 0
-	e.lastAnswerAt = now
+	e.lastSuccessAt = now
 	e.breaker.recordSuccess(now, a)
 }
 
--- a/policy/outcomes_test.go
+++ b/policy/outcomes_test.go
@@ -56,13 +56,13 @@
 // An endpoint that still answers on its open connections is only full.
 func TestRefusedConnectionsAfterAnAnswerAreRejections(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		answer time.Duration // time from an answer to each refused connection; 0 means no recent answer
-		opens  bool          // whether the breaker opens
+		name         string
+		sinceSuccess time.Duration // time from a success to each refused connection; 0 means no recent success
+		opens        bool          // whether the breaker opens
 	}{
-		{"no answer", 0, true},
-		{"recent answer", presumedAliveDuration / 2, false},
-		{"earlier answer", 2 * presumedAliveDuration, true},
+		{"no success", 0, true},
+		{"recent success", presumedAliveDuration / 2, false},
+		{"earlier success", 2 * presumedAliveDuration, true},
 	} {
 		r := newRig(t, testSettings(), 3)
 		r.serve(60, 0, 20*ms)
@@ -70,8 +70,8 @@
 		e := r.b.subset.members[0]
 		q := &request{class: &r.b.classes[0]}
 		for range failuresToOpen {
-			if tc.answer > 0 {
-				e.lastAnswerAt = r.now - tc.answer
+			if tc.sinceSuccess > 0 {
+				e.lastSuccessAt = r.now - tc.sinceSuccess
 			}
 			a := &attempt{endpoint: e, request: q, sentAt: r.now}
 			r.b.recordOutcome(r.now, q, a, Outcome{Status: ConnectFailed})
@@ -83,7 +83,7 @@
 }
 
 // Guards against treating an endpoint that is down as only full. An endpoint that refuses connections soon
-// after an answer may have reached its connection limit, but if it then answers nothing its breaker must
+// after a success may have reached its connection limit, but if it then answers nothing its breaker must
 // open.
 func TestRefusedConnectionsOfADeadServer(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
@@ -91,7 +91,7 @@
 	e := r.b.endpoints[1]
 	for n := 0; e.breaker.state == breakerClosed; n++ {
 		if n > maxPresumedAliveRejections+failuresToOpen {
-			t.Fatalf("%d connections refused up to %v after the last answer, want the breaker open", n, r.now-e.lastAnswerAt)
+			t.Fatalf("%d connections refused up to %v after the last success, want the breaker open", n, r.now-e.lastSuccessAt)
 		}
 		q := &request{class: &r.b.classes[0], Request: Request{Class: 0}}
 		r.b.recordOutcome(r.now, q, &attempt{endpoint: e, request: q, sentAt: r.now}, Outcome{Status: ConnectFailed})
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -18,7 +18,7 @@
 	r.update(UpdateFailed)
 	r.advance(set.Rules.MaxPollInterval / 2)
 	if r.h.polls != 3 {
-		t.Fatal("there was no further poll after a failed one, or more than one")
+		t.Fatal("the number of polls is not 3: the first one, and one after each of the two failed polls")
 	}
 	if len(r.b.ready) != 3 {
 		t.Fatal("a failed poll changed the endpoint list")
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -14,10 +14,10 @@
 // quotaStripes is the number of locks that the buckets of a Quotas share.
 const quotaStripes = 64
 
-// Quotas holds a node's part of its tenants' quotas. Each tenant with a limit has a token bucket for the
-// requests of one second, or for 1 request if the rate is lower. The Balancers of a node may share one
-// Quotas if their times come from the same clock. A Quotas is safe for concurrent use. Its size depends
-// only on the number of tenants, not on what clients send.
+// Quotas holds a node's part of its tenants' quotas. Each tenant with a limit has a token bucket that
+// holds the tokens of one second, but at least 1. The Balancers of a node may share one Quotas if their
+// times come from the same clock. A Quotas is safe for concurrent use. Its size depends only on the number
+// of tenants, not on what clients send.
 type Quotas struct {
 	tenants []Tenant // not modified
 	nodes   float64
@@ -32,8 +32,8 @@
 }
 
 // NewQuotas returns the Quotas of one node. nodes is the number of nodes that share the quotas. Each bucket
-// begins with the tokens of one second. The slice of tenants is not copied and must not change. An invalid
-// quota results in a *SettingError.
+// begins with the tokens of one second, which may be less than 1. The slice of tenants is not copied
+// and must not change. An invalid quota results in a *SettingError.
 func NewQuotas(tenants []Tenant, nodes int) (*Quotas, error) {
 	q := &Quotas{tenants: tenants, nodes: float64(nodes), buckets: make([]bucket, len(tenants))}
 	for i, t := range tenants {
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// Checks that Restore keeps the rest of each tenant's quota, and that new tenants begin with full buckets.
+// Checks that Restore keeps the rest of each tenant's quota, and that new tenants begin with the tokens of
+// one second.
 func TestQuotasRestore(t *testing.T) {
 	now := time.Hour
 	before, _ := NewQuotas([]Tenant{{QuotaPerS: 3}, {QuotaPerS: 3}}, 1)
--- a/policy/request.go
+++ b/policy/request.go
@@ -73,8 +73,8 @@
 
 // setDeadlines sets the deadline and the objective deadline of a request. Since events are delivered up to
 // one tick late, the final answer is due one tick before the client gives up; Rules.AnswerGrace reduces
-// that margin. A request whose body is incomplete must only be sent within its latency objective; its
-// deadline is MaxBodyDuration.
+// that margin. While the request's body is incomplete, its objective deadline limits the time until the
+// request is sent, not the time until its answer, and its deadline is MaxBodyDuration from now.
 func (b *Balancer) setDeadlines(now time.Duration, r *request, timeRemaining time.Duration) {
 	c := r.class
 	if r.BodyIncomplete {
--- a/policy/scoring.go
+++ b/policy/scoring.go
@@ -3,12 +3,13 @@
 import "time"
 
 // The score of an endpoint rates its recent behaviour from 0 to 1; higher is better. It is a weighted sum
-// of the endpoint's success rate and of its latency relative to the highest latency in the subset. Both
-// come from the endpoint's recent outcomes and from the subset's means, which count as priorOutcomes
-// outcomes (a Bayesian average), so that an endpoint without outcomes has the means. The inputs are the
-// last maxOutcomes outcomes of each endpoint. Their latencies are multiples of the unloaded latency of the
-// request, so that classes are comparable. Outcomes expire after outcomeMaxAge, so that an endpoint that
-// was avoided for its low score is tried again.
+// of the endpoint's success rate and of 1 minus its relative latency, which is its latency divided by the
+// highest latency among the subset's endpoints with a closed breaker, or by its own if that is higher. The
+// success rate and the latency come from the endpoint's recent outcomes and from the subset's means, which
+// count as priorOutcomes outcomes (a Bayesian average), so that an endpoint without outcomes has the means.
+// The inputs are the last maxOutcomes outcomes of each endpoint. Their latencies are multiples of the
+// unloaded latency of the request, so that classes are comparable. Outcomes expire after outcomeMaxAge, so
+// that an endpoint that was avoided for its low score is tried again.
 
 const (
 	// maxOutcomes is the maximum number of outcomes on which an endpoint's score is based.
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -9,8 +9,9 @@
 // candidate, since it is the request's last chance. The inputs are the scores (0 to 1), this node's
 // requests in flight, the limits of concurrencylimit.go and slowstart.go, and the time to the objective
 // deadline. The candidates are the endpoints of the subset that have a closed breaker and capacity and that
-// pass maySend. Endpoints whose capacity in slow start is too low to answer within the objective are
-// candidates only if every endpoint that passes is in that state.
+// pass maySend. An endpoint that is not expected to answer before the objective deadline
+// (answersInTime), for example because of slow start, is a candidate only if no endpoint that has a closed
+// breaker and passes maySend is expected to, not even one without capacity.
 
 const (
 	// scoreTie is the difference between two scores up to which the number of requests in flight decides.
@@ -103,8 +104,8 @@
 
 // unusedCandidate returns a candidate that started at least firstRequestAfter ago and was sent nothing
 // since, or nil if there is none. On a node with little traffic random selection may miss such an endpoint
-// for a long time. Among many nodes the result is always nil: random selection suffices there, and all
-// nodes would otherwise select the endpoint at the same time.
+// for a long time. Among many nodes (Balancer.manyNodes) the result is always nil: random selection
+// suffices there, and all nodes would otherwise select the endpoint at the same time.
 func (b *Balancer) unusedCandidate(now time.Duration) *endpoint {
 	if b.manyNodes() {
 		return nil
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -58,12 +58,15 @@
 	SlowStartMinCapacity float64       // lowest capacity at the start as a share of the warm one, 0 to 1
 	SlowStartWindow      time.Duration // age from which an endpoint is warm
 	OverloadMultiple     float64       // multiple of its capacity that overloads a warming endpoint
-	OverloadDuration     time.Duration // time for which OverloadMultiple must be sent to overload it
-	MaxPollInterval      time.Duration // the longest time between two polls, with PollEndpoints
-	AnswerGrace          time.Duration // time after the deadline in which a final answer still counts
+	// OverloadDuration is the time after which work sent at OverloadMultiple times the capacity overloads a
+	// warming endpoint.
+	OverloadDuration time.Duration
+	MaxPollInterval  time.Duration // the longest time between two polls, with PollEndpoints
+	AnswerGrace      time.Duration // time after the deadline in which a final answer still counts
 }
 
-// Costs are costs in units of the weight of the whole service, if the event occurred once for each request.
+// Costs are the costs of events. Each is the share of the total weight of all requests that would be lost if
+// the event occurred once for each request.
 type Costs struct {
 	NewConnection float64 // cost of a new connection to an endpoint
 	WastedWork    float64 // cost of a request's work whose answer is not used
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -12,7 +12,8 @@
 // latency. The node's fixed rate is based on the work that endpoints got while most of them were warm. A
 // node that started while most endpoints were warming has not seen such work and assumes minWarmWorkRate.
 //
-// One node may send an endpoint work up to either credit of slowstart.Budget, in terms of slowstart.Rules:
+// A node may send an endpoint work if either credit of slowstart.Budget allows it. The credits accrue as
+// follows, in terms of slowstart.Rules:
 //
 //	fixed   Rules.FixedRate(budgetShare * warmWorkRate / nodesPerEndpoint, capacityShare), per second
 //	earned  Rules.GrowthFactor() * the work that the endpoint has completed for this node
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -38,10 +38,10 @@
 	WorkHintSamples float64 `json:"Hinted"`   // number of samples in MeanWorkHint
 }
 
-// EndpointSnapshot is the learned state of an endpoint since one of its starts.
+// EndpointSnapshot is the learned state of an endpoint since its latest start.
 type EndpointSnapshot struct {
 	ID                  EndpointID       `json:"Server"`
-	StartedAt           time.Duration    `json:"Started"`  // Endpoint.StartedAt of the start
+	StartedAt           time.Duration    `json:"Started"`  // Endpoint.StartedAt at the time of the snapshot
 	BreakerOpen         bool             `json:"Open"`     // the breaker is open or half-open
 	HalfOpenIn          time.Duration    `json:"ReopenIn"` // time until an open breaker turns half-open
 	OpenDuration        time.Duration    `json:"OpenFor"`  // duration of the current or next open period
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -89,7 +89,7 @@
 	withoutSnapshot, successor := newRig(t, testSettings(), 4), newRig(t, testSettings(), 4)
 	successor.b.Restore(predecessor.now, snapshot, 0)
 	if b, h := sentToBad(withoutSnapshot), sentToBad(successor); h > 0 || b == 0 {
-		t.Errorf("%d sends to the bad endpoint, %d without a snapshot", h, b)
+		t.Errorf("%d sends to the failing endpoint after Restore, want 0; %d without a snapshot, want at least 1", h, b)
 	}
 }
 
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -12,7 +12,8 @@
 // handle no traffic or less of it.
 
 const (
-	// minSubsetSize is the minimum number of warm endpoints in a subset whose breaker is not open.
+	// minSubsetSize is the minimum total capacity of a subset's endpoints without an open breaker, in warm
+	// endpoints.
 	minSubsetSize = 4
 	// subsetRequestInterval is the time in which each endpoint of the subset gets one request, and after
 	// which a subset may shrink.
@@ -27,7 +28,7 @@
 	members          []*endpoint   // Ready endpoints, in the order of the ring
 	nodesPerEndpoint float64       // average number of nodes whose subsets contain an endpoint; at least 1
 	arrivals         decayingRate  // requests per second
-	size             int           // wanted number of warm endpoints without an open breaker, at chosenAt
+	size             int           // wanted capacity, in warm endpoints without an open breaker, at chosenAt
 	chosenAt         time.Duration // time at which the members were chosen
 	stale            bool          // the endpoints or their breakers have changed since chosenAt
 }
