--- a/internal/adminapi/command.go
+++ b/internal/adminapi/command.go
@@ -49,7 +49,7 @@
 	}
 	c, known := commands[string(fields[0])]
 	if !known {
-		return Command{}, fmt.Errorf("unknown call %s", strconv.Quote(string(fields[0])))
+		return Command{}, fmt.Errorf("unknown command %s", strconv.Quote(string(fields[0])))
 	}
 	return c.withArguments(string(fields[0]), fields[1:])
 }
@@ -63,9 +63,9 @@
 	}
 	switch got := len(arguments); {
 	case got < want:
-		return Command{}, fmt.Errorf("%s wants a server's id", name)
+		return Command{}, fmt.Errorf("%s needs a server's id", name)
 	case got > want:
-		return Command{}, fmt.Errorf("%s: %d words too many", name, got-want)
+		return Command{}, fmt.Errorf("%s: too many arguments (%d extra)", name, got-want)
 	}
 	if want == 0 {
 		return c, nil
--- a/internal/adminapi/connection.go
+++ b/internal/adminapi/connection.go
@@ -21,7 +21,7 @@
 	if err != nil && !errors.As(err, &malformed) {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			c.SetDeadline(time.Now().Add(lingerTimeout))
-			io.WriteString(c, "-ERR the line did not come to its end in time\n")
+			io.WriteString(c, "-ERR no complete line within 5 s\n")
 		}
 		return
 	}
--- a/internal/adminapi/line.go
+++ b/internal/adminapi/line.go
@@ -12,9 +12,9 @@
 
 // The errors of readLine for malformed lines. The operator gets their texts in the response.
 var (
-	errSeveralLines     = &malformedLineError{"more than one line came"}
+	errSeveralLines     = &malformedLineError{"bytes follow the line; send only one line per connection"}
 	errLineTooLong      = &malformedLineError{"the line is too long"}
-	errUnterminatedLine = &malformedLineError{"the line has no end"}
+	errUnterminatedLine = &malformedLineError{"the line does not end with a line feed"}
 )
 
 // malformedLineError is the error for a line that was received in time but can't be a command. The operator
@@ -25,8 +25,8 @@
 func (e *malformedLineError) Error() string { return e.text }
 
 // readLine reads one line that ends with LF or CR LF, and returns it without its line end. It returns a
-// *malformedLineError if the line is too long or has no end, or if bytes after the line were read along with
-// it, and otherwise an error of the reader.
+// *malformedLineError if the line is too long, if the input ends within the line, or if bytes after the line
+// were read along with it, and otherwise an error of the reader.
 func readLine(r io.Reader) ([]byte, error) {
 	buffer := make([]byte, 0, MaxCommandBytes)
 	for {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -2,8 +2,9 @@
 // command line and gets one response line. A Handler executes the commands.
 //
 // The admin API has its own connection slots, buffers and descriptors, and shares only the processor with
-// clients' requests. When all slots are taken, a new connection evicts a connection that has not completed
-// its command.
+// clients' requests. When all slots are taken, a new connection evicts one whose command is not being
+// executed, preferably one that already has its response. If commands are being executed or answered on all
+// connections, the new connection is closed.
 package adminapi
 
 import (
@@ -23,7 +24,8 @@
 	MaxDescriptors = MaxConnections + 2
 	// CommandTimeout bounds the execution of a command. Operators wait one second for the response.
 	CommandTimeout = 800 * time.Millisecond
-	// readTimeout bounds the time from accepting a connection to the end of its command.
+	// readTimeout bounds the time from accepting a connection to the end of its command. The response to a
+	// command that is not complete by then states this time too.
 	readTimeout = 5 * time.Second
 	// acceptRetryDelay is the delay after a failed accept, such as one for lack of descriptors.
 	acceptRetryDelay = 10 * time.Millisecond
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -94,16 +94,16 @@
 		{"REJOIN\n", "+OK done\n", &Command{Operation: adminstate.Rejoin}},
 		{"DETACH nobody\n", "-ERR two?lines\n", &Command{Operation: adminstate.Detach, InstanceID: "nobody"}},
 		{"\n", "-ERR the line is empty\n", nil},
-		{"HELLO\n", "-ERR unknown call \"HELLO\"\n", nil},
-		{"ping\n", "-ERR unknown call \"ping\"\n", nil},
-		{"DETACH\n", "-ERR DETACH wants a server's id\n", nil},
-		{"PING now\n", "-ERR PING: 1 words too many\n", nil},
-		{"DETACH a b\n", "-ERR DETACH: 1 words too many\n", nil},
+		{"HELLO\n", "-ERR unknown command \"HELLO\"\n", nil},
+		{"ping\n", "-ERR unknown command \"ping\"\n", nil},
+		{"DETACH\n", "-ERR DETACH needs a server's id\n", nil},
+		{"PING now\n", "-ERR PING: too many arguments (1 extra)\n", nil},
+		{"DETACH a b\n", "-ERR DETACH: too many arguments (1 extra)\n", nil},
 		{"DETACH " + strings.Repeat("x", 200) + "\n", "-ERR the id is longer than 128 bytes\n", nil},
 		{strings.Repeat("x", 5000) + "\n", "-ERR the line is too long\n", nil},
 		{"PING\x00\n", "-ERR byte 5 of the line is not printable ASCII\n", nil},
-		{"DETACH s-1\nDETACH s-2\n", "-ERR more than one line came\n", nil},
-		{"DETACH s-1", "-ERR the line has no end\n", nil}, // must not be executed: a truncated id may be the id of another instance
+		{"DETACH s-1\nDETACH s-2\n", "-ERR bytes follow the line; send only one line per connection\n", nil},
+		{"DETACH s-1", "-ERR the line does not end with a line feed\n", nil}, // must not be executed: a truncated id may be the id of another instance
 	} {
 		if got := exchange(t, addr, c.text); got != c.response {
 			t.Errorf("%.40q: got response %q, want %q", c.text, got, c.response)
--- a/internal/adminapi/slots.go
+++ b/internal/adminapi/slots.go
@@ -9,8 +9,8 @@
 // slots are the MaxConnections slots for open connections. In the zero value all slots are free.
 type slots struct {
 	mu sync.Mutex // guards the fields below and the connections' fields
-	// evictable has the *connection values whose command is not being executed, in the order in which
-	// they are evicted.
+	// evictable has the *connection values whose command is not being executed or answered, in the order
+	// in which they are evicted.
 	evictable list.List
 	open      map[*connection]struct{}
 }
@@ -18,12 +18,13 @@
 // connection is an open connection with a slot. Its fields are guarded by slots.mu.
 type connection struct {
 	net.Conn
-	position *list.Element // element of slots.evictable; nil while the connection's command is executed
+	position *list.Element // element of slots.evictable; nil while the command is executed and answered
 	released bool          // whether the connection no longer has a slot
 }
 
 // acquire gives a connection a slot. If no slot is free, it evicts the first evictable connection. It returns
-// nil if all slots belong to connections whose commands are being executed, each for CommandTimeout at most.
+// nil if all slots belong to connections whose commands are being executed or answered, each for twice
+// CommandTimeout at most.
 func (s *slots) acquire(conn net.Conn) *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +73,8 @@
 	}
 }
 
-// beginExecution exempts a connection from eviction while its command is executed. It returns false if the
-// connection was evicted already.
+// beginExecution exempts a connection from eviction until endExecution, while its command is executed and
+// answered. It returns false if the connection was evicted already.
 func (s *slots) beginExecution(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
