--- a/internal/adminstate/state.go
+++ b/internal/adminstate/state.go
@@ -26,7 +26,7 @@
 
 // ErrTooManyOverrides is returned by State.Validate for a further Detach when MaxOverrides instances are
 // detached. Operators see its text.
-var ErrTooManyOverrides = fmt.Errorf("%d servers are out or just back, which is the most", MaxOverrides)
+var ErrTooManyOverrides = fmt.Errorf("%d servers are out of service, which is the maximum: ATTACH one first", MaxOverrides)
 
 // override is the administrative state of one instance.
 type override struct {
--- a/internal/adminstate/state_test.go
+++ b/internal/adminstate/state_test.go
@@ -153,7 +153,7 @@
 	const ms = time.Millisecond
 	var m LameDuckMode
 	if !m.Ready() || m.ClosesIdle(time.Hour) {
-		t.Error("the zero LameDuckMode is not ready or closes idle connections, want neither")
+		t.Error("the zero LameDuckMode is not ready or closes idle connections, want it ready and idle connections kept open")
 	}
 	m.Enter(10 * time.Second)
 	m.Enter(12 * time.Second) // must not restart the delay
@@ -166,6 +166,6 @@
 	}
 	m.Exit()
 	if !m.Ready() || m.ClosesIdle(time.Hour) {
-		t.Error("after Exit the mode is not ready or closes idle connections, want neither")
+		t.Error("after Exit the mode is not ready or closes idle connections, want it ready and idle connections kept open")
 	}
 }
