--- a/internal/hotrestart/adminrecord.go
+++ b/internal/hotrestart/adminrecord.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		if err == nil {
-			copies[i], err = parseRecord(data, f.nodeName)
+			copies[i], err = parseRecord(data, f.nodeIdentity)
 		}
 		if err != nil {
 			damage = errors.Join(damage, fmt.Errorf("%s: %w", name, err))
@@ -49,8 +49,8 @@
 	return entries
 }
 
-// takeUndelivered returns those changes of the entries that were not delivered to the AdminState yet, and
-// marks them as delivered. The caller holds f.mu, or f is not shared yet.
+// takeUndelivered returns those changes of the entries that were neither passed to the AdminState nor returned
+// by Join yet, and advances deliveredSeq past them. The caller holds f.mu, or f is not shared yet.
 func (f *Folder) takeUndelivered(entries []recordEntry) []adminstate.Change {
 	var changes []adminstate.Change
 	for _, e := range entries {
@@ -66,7 +66,7 @@
 // readRecord; a copy that differs from the entries is first replaced. After an error of an append,
 // appendToRecord removes the entry from both copies again. The caller holds the folder's lock.
 func (f *Folder) appendToRecord(entries []recordEntry, damage error, e recordEntry) error {
-	record := formatRecord(f.nodeName, entries)
+	record := formatRecord(f.nodeIdentity, entries)
 	if err := f.repairCopies(record, damage); err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 	if err := f.applyUndelivered(entries, state); err != nil {
 		return err
 	}
-	record := formatRecord(f.nodeName, f.minimalEntries(state))
+	record := formatRecord(f.nodeIdentity, f.minimalEntries(state))
 	for _, name := range recordNames {
 		if err := replaceFile(f.path(name), record); err != nil {
 			return err
--- a/internal/hotrestart/commit.go
+++ b/internal/hotrestart/commit.go
@@ -17,7 +17,7 @@
 // process, but another process of the node did not publish in time that it applied the change.
 // Operators see its text.
 var ErrPeerUnresponsive = errors.New(
-	"done in this process and on record, but the node's other process does not answer; call again")
+	"the change is recorded and in force in this process, but not confirmed by another process of the node; repeat the command")
 
 // AdminState is the administrative state of this process; adminstate.State has similar methods. The
 // methods are called with the folder locked.
@@ -34,7 +34,8 @@
 
 // Commit makes a change in all processes of the node. Under the folder's lock it first applies the changes
 // that other processes have added to the record, and then validates the change, adds it to the record and
-// applies it in this process. When Commit returns nil, the change is in force in every live process.
+// applies it in this process. When Commit returns nil, the change is in force in every live process; a process
+// that has just joined the folder applies it before it serves.
 //
 // After an error of AdminState.Validate the change was not made. After ErrPeerUnresponsive the change is in
 // the record and in force in this process. Other errors leave open which of the two holds: the change was
@@ -116,8 +117,8 @@
 	return f.applyUndelivered(entries, state)
 }
 
-// applyUndelivered applies those changes of the entries that were not delivered to the AdminState yet, and
-// publishes the new AppliedSeq. The caller holds f.mu.
+// applyUndelivered applies those changes of the entries that were neither passed to the AdminState nor returned
+// by Join yet, and publishes the new AppliedSeq. The caller holds f.mu.
 func (f *Folder) applyUndelivered(entries []recordEntry, state AdminState) error {
 	before := f.deliveredSeq
 	for _, c := range f.takeUndelivered(entries) {
--- a/internal/hotrestart/folder.go
+++ b/internal/hotrestart/folder.go
@@ -54,10 +54,10 @@
 // Folder is this process's membership in the shared folder. Join creates a Folder, Close ends the
 // membership. The methods are safe for concurrent use.
 type Folder struct {
-	dir      string
-	nodeName string
-	log      *slog.Logger
-	lockFile *os.File // its file lock is the folder's lock
+	dir          string
+	nodeIdentity string
+	log          *slog.Logger
+	lockFile     *os.File // its file lock is the folder's lock
 
 	appendLine func(path string, line []byte) error // appendToFile, except in tests
 
@@ -65,16 +65,20 @@
 	mu           sync.Mutex
 	presenceFile *os.File // locked while this process is a member; nil afterwards
 	self         Presence
-	deliveredSeq uint64 // the record's entries up to this sequence number were delivered to the AdminState
+	// deliveredSeq is the sequence number up to which the record's entries were passed to the AdminState or
+	// returned by Join.
+	deliveredSeq uint64
 }
 
 // Join joins the folder below dir as a process of the node, and returns the administrative changes in the
-// record. Join logs a damaged record and does not fail for it. Operators see the text of the error.
-func Join(dir, nodeName string, log *slog.Logger) (*Folder, []adminstate.Change, error) {
+// record, which the caller has to apply before the process serves. nodeIdentity is the node's name and listen
+// address; a record with another identity is ignored. Join logs a damaged record and does not fail for it.
+// Operators see the text of the error.
+func Join(dir, nodeIdentity string, log *slog.Logger) (*Folder, []adminstate.Change, error) {
 	if dir == "" {
 		return nil, nil, errNoFolder
 	}
-	f := &Folder{dir: filepath.Join(dir, folderName), nodeName: nodeName, log: log, appendLine: appendToFile}
+	f := &Folder{dir: filepath.Join(dir, folderName), nodeIdentity: nodeIdentity, log: log, appendLine: appendToFile}
 	if err := f.openLock(); err != nil {
 		return nil, nil, fmt.Errorf("shared folder of the node's processes: %w", err)
 	}
--- a/internal/hotrestart/presence.go
+++ b/internal/hotrestart/presence.go
@@ -20,9 +20,11 @@
 
 // Presence is what a process publishes to the other processes of the node.
 type Presence struct {
-	Number     uint64 // the process's number, greater than those of its predecessors
-	Phase      ProcessPhase
-	AppliedSeq uint64 // the record's entries up to this sequence number are in force in the process
+	Number uint64 // the process's number, greater than those of its predecessors
+	Phase  ProcessPhase
+	// AppliedSeq is the sequence number up to which the record's entries are in force in the process, or
+	// were returned by Join to be applied before the process serves.
+	AppliedSeq uint64
 	// Descriptors is the number of the node's descriptors that other processes must leave to this one.
 	// Without peers it is the number of descriptors that the process has open, capped by the process's
 	// limit; with peers it is that limit.
--- a/internal/hotrestart/recordformat.go
+++ b/internal/hotrestart/recordformat.go
@@ -17,7 +17,8 @@
 const (
 	// recordVersion is the version of the record's format.
 	recordVersion = "1"
-	// recordHeader is the start of the first line of a record. The quoted name of the node follows.
+	// recordHeader is the start of the first line of a record. The quoted identity of the node follows: its
+	// name and its listen address.
 	recordHeader = "yokestall-record " + recordVersion + " "
 )
 
@@ -31,9 +32,9 @@
 var (
 	// errDamaged is returned for data with a wrong checksum or format.
 	errDamaged = errors.New("damaged")
-	// errForeignRecord is returned for a record of another node, or of an unsupported version.
-	// Operators see its text.
-	errForeignRecord = errors.New("record of another node or of an unsupported version")
+	// errForeignRecord is returned for a record whose header line is damaged or truncated, or has another
+	// node identity or an unsupported version. Operators see its text.
+	errForeignRecord = errors.New("header of the record is damaged, or has another node name, listen address or version")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -104,12 +105,12 @@
 
 // parseRecord parses a copy of the record. It skips damaged entries; the error then wraps errDamaged and
 // names the line of the last one. For errForeignRecord there are no entries.
-func parseRecord(data []byte, nodeName string) ([]recordEntry, error) {
+func parseRecord(data []byte, nodeIdentity string) ([]recordEntry, error) {
 	if len(data) == 0 {
 		return nil, nil
 	}
 	header, rest, terminated := bytes.Cut(data, []byte("\n"))
-	if !terminated || string(header) != recordHeader+strconv.Quote(nodeName) {
+	if !terminated || string(header) != recordHeader+strconv.Quote(nodeIdentity) {
 		return nil, errForeignRecord
 	}
 	var entries []recordEntry
@@ -128,8 +129,8 @@
 }
 
 // formatRecord returns the content of a copy of the record with these entries.
-func formatRecord(nodeName string, entries []recordEntry) []byte {
-	b := append([]byte(recordHeader), strconv.Quote(nodeName)+"\n"...)
+func formatRecord(nodeIdentity string, entries []recordEntry) []byte {
+	b := append([]byte(recordHeader), strconv.Quote(nodeIdentity)+"\n"...)
 	for _, e := range entries {
 		b = appendEntry(b, e)
 	}
