--- a/internal/hotrestart/snapshot/encoding.go
+++ b/internal/hotrestart/snapshot/encoding.go
@@ -41,7 +41,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Encode returns the encoding of a snapshot: a header line with the version and a checksum, and the snapshot
-// as JSON. It sets s.Version.
+// as JSON. The encoded snapshot has the version of this format, whatever s.Version is.
 func Encode(s Snapshot) ([]byte, error) {
 	s.Version = version
 	body, err := json.Marshal(s)
--- a/internal/hotrestart/snapshot/snapshot.go
+++ b/internal/hotrestart/snapshot/snapshot.go
@@ -14,13 +14,14 @@
 // Snapshot is the learnt state that a process passes to its successor. Start times are wall times, since
 // the processes' monotonic clocks differ.
 type Snapshot struct {
-	Version   int    `json:"version"` // set by Encode
+	Version   int    `json:"version"` // version of the format; Encode writes its own, whatever the field says
 	Node      string `json:"node"`    // name of the node
 	TakenAtMs int64  `json:"takenMs"` // Unix milliseconds
 	// Classes are the names of the sender's classes, in the order of Policy.Classes.
 	Classes []string `json:"classes"`
-	// Generation is the version of the endpoint list, ListReceived says whether the sender received the
-	// list from discovery, and Instances are the instances in the list.
+	// Generation is the version of the endpoint list, and Instances are the instances in the list.
+	// ListReceived says whether the sender had a list to continue from: one that it received from
+	// discovery, or an initial list with instances.
 	Generation   uint64               `json:"generation"`
 	ListReceived bool                 `json:"listed"`
 	Instances    []discovery.Instance `json:"list"`
--- a/internal/hotrestart/snapshot/validate.go
+++ b/internal/hotrestart/snapshot/validate.go
@@ -46,11 +46,12 @@
 	return fmt.Sprintf("snapshot has %d endpoints, maximum %d: further endpoints dropped", e.Count, MaxEndpoints)
 }
 
-// EndpointRangeError says that an endpoint was dropped, since a value of it is out of range.
+// EndpointRangeError says that an endpoint was dropped, since one of its values is out of range or its outcome
+// summaries are not in order.
 type EndpointRangeError struct{ ID policy.EndpointID }
 
 // Error implements error.
-func (e *EndpointRangeError) Error() string { return fmt.Sprintf("endpoint %d is out of range", e.ID) }
+func (e *EndpointRangeError) Error() string { return fmt.Sprintf("invalid value of endpoint %d", e.ID) }
 
 // dropInvalid drops the parts of the snapshot that are out of range or do not fit the receiver's classes,
 // and returns an error for each dropped part. If the classes or the load are invalid, dropInvalid drops
