--- a/internal/discovery/instance.go
+++ b/internal/discovery/instance.go
@@ -141,6 +141,8 @@
 	return nil
 }
 
+// outOfRange returns the error for a number below 0 or above its maximum. The text names no maximum: it is maxWeight for
+// weight, maxCell for cell, and maxClockSkew after the node's present time for startedAtMs.
 func outOfRange(field string, value any) *FieldError {
 	return &FieldError{field, fmt.Sprintf("is negative or too large: %v", value)}
 }
--- a/internal/discovery/polltiming.go
+++ b/internal/discovery/polltiming.go
@@ -55,7 +55,8 @@
 // Timing for an agent on the node's machine. The agent responds at once, so a slow response means that the machine is
 // busy.
 const (
-	// agentIntervalDivisor divides the drain grace into the interval on which the timing is based.
+	// agentIntervalDivisor sets the interval on which the timing is based: the drain grace divided by this number, limited
+	// to the range from minAgentInterval to maxAgentInterval.
 	agentIntervalDivisor = 4
 	minAgentInterval     = 10 * time.Millisecond
 	maxAgentInterval     = 250 * time.Millisecond
--- a/internal/discovery/polltiming_test.go
+++ b/internal/discovery/polltiming_test.go
@@ -79,7 +79,7 @@
 	timing := PolledTiming()
 	poll, timeout := timing.StartPoll(timing.LongPollWait)
 	if limit := timing.LongPollWait + deliveryAllowance; poll.NextHedge() > limit-800*time.Millisecond || timeout <= limit {
-		t.Errorf("hedged call due after %v, long poll times out after %v; want 0.8 s before the protocol's limit and after it",
+		t.Errorf("hedged call due after %v, long poll times out after %v; want the hedged call at least 0.8 s before the protocol's limit, and the timeout after that limit",
 			poll.NextHedge(), timeout)
 	}
 	if poll.NextHedge() > changeDeadline-300*time.Millisecond {
--- a/internal/discovery/resync.go
+++ b/internal/discovery/resync.go
@@ -13,8 +13,9 @@
 
 // ResyncInterval returns the minimum interval between two requests for the full list. It is chosen so that the list costs
 // no more than maxResyncCostShare of the value of the requests that the node handles in that interval, but does not
-// exceed maxInterval. price is the cost of a hundred instances, in requests; if it is 0, the result is 0. instances is
-// the length of the list, and requestsPerSecond the rate of the node's own requests.
+// exceed maxInterval. price is the cost of each 100 instances in the list; the unit is the value of one served request. If
+// price is 0, the result is 0. instances is the length of the list, and requestsPerSecond the rate of the node's own
+// requests.
 func ResyncInterval(price float64, instances int, requestsPerSecond float64, maxInterval time.Duration) time.Duration {
 	if price <= 0 || instances <= 0 {
 		return 0
