--- a/internal/node/adminhandler.go
+++ b/internal/node/adminhandler.go
@@ -14,10 +14,11 @@
 	"yokestall/internal/hotrestart"
 )
 
-// The errors that PING returns from a process that does not accept clients. The admin API sends their texts to operators.
+// The errors that PING returns from a process that is not ready or not serving. The admin API sends their texts to
+// operators. A process that is not ready may already serve clients by its initial list, or without any list.
 var (
-	errNoEndpointList = errors.New("not ready: the process has no endpoint list yet and accepts no clients")
-	errNotServing     = errors.New("not serving: another process of the node accepts the clients")
+	errNotReady   = errors.New("not ready: no usable response from the discovery service yet")
+	errNotServing = errors.New("not serving: another process of the node accepts the clients")
 )
 
 // adminHandler executes operators' commands.
@@ -47,10 +48,10 @@
 	return a.status(), nil
 }
 
-// ping returns the node's status if this process accepts clients, and otherwise an error that says why it does not.
+// ping returns the node's status if this process is ready and serving, and otherwise an error that says which it is not.
 func (a *adminHandler) ping() (string, error) {
 	if !a.httpServer.IsReady() {
-		return "", errNoEndpointList
+		return "", errNotReady
 	}
 	if !a.restart.serving() {
 		return "", errNotServing
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -18,11 +18,13 @@
 	// endpoint may send an unsolicited response some milliseconds after a response; since a response does not name its
 	// request, the node would take it for the response to the next request on that connection.
 	unsolicitedResponsePeriod = 20 * time.Millisecond
-	// drainSendGraceDivisor divides the drain grace into the part, a fifth, that is left for sends decided before the
-	// node learns of the drain. Learning of the drain may take three quarters (discovery.PushedTiming). The remaining
-	// twentieth is the margin for processing the update and for the transmission of the request to the endpoint.
+	// drainSendGraceDivisor sets the part of the drain grace that is left for sends decided before the node learns of the
+	// drain: the drain grace divided by this number, a fifth. Learning of the drain may take three quarters
+	// (discovery.PushedTiming). The remaining twentieth is the margin for processing the update and for the transmission
+	// of the request to the endpoint.
 	drainSendGraceDivisor = 5
-	// bodyMemoryDivisor divides the node's memory limit into the part that request bodies may occupy.
+	// bodyMemoryDivisor sets the part of the node's memory limit that request bodies may occupy: the limit divided by this
+	// number, a quarter.
 	bodyMemoryDivisor = 4
 )
 
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -18,16 +18,16 @@
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
 	n, _ := startReady(t, b)
-	const clientTime = time.Second // the deadline; long enough for a busy machine to respond after the last byte
+	const deadline = time.Second // the request's deadline; long enough for a busy machine to respond after the last byte
 	for name, size := range map[string]int{"buffered": 40 << 10, "streamed": 3 << 20} {
 		t.Run(name, func(t *testing.T) {
 			nc := (&testNode{t: t, addr: n.addr}).dial()
 			fmt.Fprintf(nc, "POST /pay HTTP/1.1\r\nHost: x\r\nX-Request-ID: slow-%d\r\n", size)
-			fmt.Fprintf(nc, "X-Tenant-Id: acme\r\nX-Timeout-Ms: %d\r\n", clientTime.Milliseconds())
+			fmt.Fprintf(nc, "X-Tenant-Id: acme\r\nX-Timeout-Ms: %d\r\n", deadline.Milliseconds())
 			fmt.Fprintf(nc, "Content-Length: %d\r\n\r\n", size)
 			body := testutil.Bytes(size)
 			for part := range 10 {
-				time.Sleep(clientTime / 5) // twice clientTime in all
+				time.Sleep(deadline / 5) // the body takes twice the deadline in all
 				nc.Write(body[part*size/10 : (part+1)*size/10])
 			}
 			resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
--- a/internal/node/command.go
+++ b/internal/node/command.go
@@ -17,8 +17,8 @@
 	// memoryLimitTenths is the part of the memory limit that the Go runtime may use, in tenths. The rest is left to
 	// the kernel's buffers for sockets and files.
 	memoryLimitTenths = 7
-	// gcPercent is low for a program that allocates little garbage: with a higher value, which lets the heap grow
-	// severalfold between collections, the heap would grow for minutes.
+	// gcPercent is Go's default. A higher value, which is common for programs that allocate little garbage, would let
+	// the heap grow severalfold between collections, and so for minutes.
 	gcPercent = 100
 )
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -40,7 +40,7 @@
 	ConnIdle        time.Duration  // time after which endpoints close an idle connection
 	ConnectTimeout  time.Duration
 	IdlePrices      keepalive.Prices
-	ListPrice       float64      // cost of polling an endpoint list, in requests per 100 instances
+	ListPrice       float64      // cost of each 100 instances in a polled list; the unit is the value of one served request
 	ClientShare     float64      // share of all descriptors for client connections with a request, from 0.1 to 1
 	Log             *slog.Logger // nil selects slog.Default
 
--- a/internal/node/configfile.go
+++ b/internal/node/configfile.go
@@ -58,8 +58,8 @@
 	Prices struct {
 		Connection float64 `json:"Connection"`
 		Handshake  float64 `json:"Handshake"`
-		// List is the cost of polling an endpoint list, in requests per 100 instances. The same key outside "Deductions"
-		// is the discovery mode (simulator.ParseSettings).
+		// List is the cost of each 100 instances in a polled endpoint list; the unit is the value of one served request.
+		// The same key outside "Deductions" is the discovery mode (simulator.ParseSettings).
 		List float64 `json:"RegistryMode"`
 	} `json:"Deductions"`
 }
@@ -125,7 +125,8 @@
 }
 
 // setNames maps the names of classes, tenants and zones to their indices. Names of classes and tenants must be unique and
-// not empty, and a class name must be a valid path segment.
+// not empty, and a class name must be a valid path segment. The error for an empty tenant name also has a second index,
+// which is always 0 and means nothing.
 func (c *Config) setNames(s *nodeSettings) error {
 	c.Classes, c.Tenants, c.Zones = map[string]int{}, map[string]int{}, map[string]int{}
 	for i, class := range s.Classes {
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -20,7 +20,7 @@
 )
 
 // errTooFewDescriptors is returned if a descriptor limit leaves fewer than minConnections connections.
-var errTooFewDescriptors = errors.New("limits: too few descriptors for the connections to endpoints and from clients")
+var errTooFewDescriptors = errors.New("too few descriptors for the connections to endpoints and from clients")
 
 // splitDescriptors divides a number of descriptors into a limit of connections to endpoints and the limits of connections
 // from clients. It subtracts the descriptors that the process itself and the admin API need.
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// A node whose lists are polled at the policy's request gets its list and serves.
+// A node that polls a shared discovery service at the policy's request gets its list and serves.
 func TestPolledList(t *testing.T) {
 	t.Parallel()
 	b := testutil.NewBackend(t, testutil.OK)
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -8,7 +8,8 @@
 // to a process at its start. Its JSON form is that of the discovery protocol.
 type endpointList struct {
 	Generation uint64 `json:"generation"`
-	// Full reports that the list came from the discovery service, so that a delta update to Generation applies to it.
+	// Full reports that the process had a list to continue from: one that the discovery service returned, or an initial
+	// list with instances. Only the snapshot for a successor uses it; its value in a configuration file is ignored.
 	Full      bool                 `json:"reset"`
 	Instances []discovery.Instance `json:"instances"`
 }
--- a/internal/node/endpointupdates.go
+++ b/internal/node/endpointupdates.go
@@ -25,8 +25,8 @@
 // applyResponse applies a response to the list and publishes the result. If the source is no longer followed, it returns
 // false and leaves the list unchanged.
 //
-// After an incomplete response the full list is requested with a delay. Long polls continue until then, since an entry of
-// the list may remain unusable permanently.
+// After an incomplete response the full list is requested with a delay. The delay grows, since an entry of the list may stay
+// unusable and each full list would be incomplete too. Long polls continue meanwhile.
 func (w *endpointWatcher) applyResponse(source *discoverySource, response *discovery.Response) (followed bool) {
 	var resyncDelay time.Duration
 	if response.Incomplete != nil {
--- a/internal/node/endpointwatcher.go
+++ b/internal/node/endpointwatcher.go
@@ -30,17 +30,17 @@
 type endpointWatcher struct {
 	sink      endpointSink
 	zoneIndex map[string]int // zone number of the policy by zone name
-	// polled reports that polls load a shared discovery service, so that the policy decides when to poll. Otherwise an
-	// agent on this machine, to which the lists are pushed, is polled.
-	polled        bool
-	timing        discovery.PollTiming
-	pollRequested chan struct{} // has capacity 1 and holds a token from the policy's request until the poll
-	newAddress    <-chan string // receives the latest discovery address
+	// sharedDiscovery reports that polls go to a discovery service that all nodes share, so that the policy decides when
+	// to poll. Otherwise they go to the agent on this machine.
+	sharedDiscovery bool
+	timing          discovery.PollTiming
+	pollRequested   chan struct{} // has capacity 1 and holds a token from the policy's request until the poll
+	newAddress      <-chan string // receives the latest discovery address
 	// initialized is closed once the node has a list to serve by, or has stopped waiting for a list.
 	initialized  chan struct{}
 	clock        engine.Clock
 	log          *slog.Logger
-	listPrice    float64      // cost of polling an endpoint list, in requests per 100 instances
+	listPrice    float64      // cost of each 100 instances in a polled list; the unit is the value of one served request
 	requestCount func() int64 // number of requests since countingSince; nil if requests are not counted
 	// countingSince is the wall time at which the watcher was created.
 	countingSince time.Time
@@ -75,18 +75,18 @@
 ) *endpointWatcher {
 	timing := configuredTiming(cfg)
 	return &endpointWatcher{
-		zoneIndex:     cfg.Zones,
-		polled:        cfg.Policy.PollEndpoints,
-		timing:        timing,
-		pollRequested: make(chan struct{}, 1),
-		newAddress:    newAddress,
-		initialized:   make(chan struct{}),
-		clock:         clock,
-		log:           log,
-		listPrice:     cfg.ListPrice,
-		countingSince: time.Now(),
-		resyncBackoff: discovery.Backoff{Initial: initialResyncDelay, Max: maxResyncDelay},
-		source:        newDiscoverySource(cfg.Discovery, timing),
+		zoneIndex:       cfg.Zones,
+		sharedDiscovery: cfg.Policy.PollEndpoints,
+		timing:          timing,
+		pollRequested:   make(chan struct{}, 1),
+		newAddress:      newAddress,
+		initialized:     make(chan struct{}),
+		clock:           clock,
+		log:             log,
+		listPrice:       cfg.ListPrice,
+		countingSince:   time.Now(),
+		resyncBackoff:   discovery.Backoff{Initial: initialResyncDelay, Max: maxResyncDelay},
+		source:          newDiscoverySource(cfg.Discovery, timing),
 	}
 }
 
@@ -101,7 +101,8 @@
 	return discovery.PushedTiming(cfg.DrainGrace)
 }
 
-// requestPoll makes the next poll of a polled list start now instead of after the retry interval. The policy calls it.
+// requestPoll makes the next poll of a shared discovery service start now instead of after the retry interval. The policy
+// calls it.
 func (w *endpointWatcher) requestPoll() {
 	select {
 	case w.pollRequested <- struct{}{}:
@@ -112,9 +113,9 @@
 // run starts with the initial list and follows the discovery service until ctx is done. It calls ready, possibly repeatedly
 // and concurrently, once the node has a list to serve by.
 //
-// If the list is polled, the policy requests the first poll, and the initial list is used until the response. If an agent
-// has the list, the agent's list applies from the start of the process, and the initial list is used only if the agent
-// does not respond in time.
+// With a shared discovery service, the policy requests the first poll, and the initial list is used until the response. With
+// an agent on this machine, the process waits for the agent's list, and uses the initial list only if no response arrives
+// within InitialListTimeout.
 func (w *endpointWatcher) run(ctx context.Context, initial endpointList, ready func()) {
 	w.ready = ready
 	w.mu.Lock()
@@ -124,7 +125,7 @@
 	w.mu.Unlock()
 	var loops sync.WaitGroup
 	defer loops.Wait()
-	if w.polled {
+	if w.sharedDiscovery {
 		w.useInitialList(ready)
 		w.startPollLoop(ctx, &loops, source, false)
 	} else {
@@ -138,8 +139,8 @@
 }
 
 // useInitialList publishes the list that the process was started with and calls onUse, if that list is not empty. If it is
-// empty and lists are polled, the policy is made to request the first poll. From then on the node no longer waits for a
-// list. useInitialList does nothing after the first response.
+// empty and the discovery service is shared, the policy is made to request the first poll. From then on the node no longer
+// waits for a list. useInitialList does nothing after the first response.
 func (w *endpointWatcher) useInitialList(onUse func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -150,7 +151,7 @@
 	case len(w.initialList) > 0:
 		w.publishInitialList()
 		onUse()
-	case w.polled:
+	case w.sharedDiscovery:
 		w.requestFirstPoll()
 	}
 	w.markInitialized()
--- a/internal/node/endpointwatcher_test.go
+++ b/internal/node/endpointwatcher_test.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// An unresponsive long poll is hedged, with pushed and with polled lists, since by the protocol a change counts as known to
-// the node whether or not the node received it.
+// An unresponsive long poll is hedged, with an agent and with a shared discovery service, since by the protocol a change
+// counts as known to the node whether or not the node received it.
 func TestUnresponsiveLongPoll(t *testing.T) {
 	t.Parallel()
 	for _, mode := range []string{"pushed", "on_request"} {
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -87,7 +87,7 @@
 	return cfg
 }
 
-// testNode is a testNode node.
+// testNode is a node that runs in the test's process, or the node at addr if only t and addr are set.
 type testNode struct {
 	t    *testing.T
 	node *Node
--- a/internal/node/hedgedpoll.go
+++ b/internal/node/hedgedpoll.go
@@ -57,9 +57,9 @@
 }
 
 // nextRequest returns what the next poll of a source requests, and how long the service may wait for a change. The poll
-// requests the full list if the source has returned no list yet, or if a resync is due. After a failure the poll does not
-// wait for a change, since a call that waits does not show whether the service can be reached. Neither does it wait before
-// the first list has been published.
+// requests the full list if the source has no list to continue from (neither one that it returned nor, for the first source,
+// the initial list), or if a resync is due. After a failure the poll does not wait for a change, since a call that waits does
+// not show whether the service can be reached. Neither does it wait before the first list has been published.
 func (w *endpointWatcher) nextRequest(
 	source *discoverySource, afterFailure bool,
 ) (request listRequest, wait time.Duration) {
--- a/internal/node/pollloop.go
+++ b/internal/node/pollloop.go
@@ -24,7 +24,7 @@
 	source  *discoverySource
 	// immediate reports that the next poll starts without waiting for schedule.
 	immediate  bool
-	schedule   retrySchedule     // schedules the polls after failures of the current source of a polled list
+	schedule   retrySchedule     // schedules the polls after failures of the current source of a shared service
 	backoff    discovery.Backoff // schedules the polls after all other failures
 	lastFailed bool              // whether the last poll failed
 	warnedAt   time.Time         // when a failed poll was last logged
@@ -81,12 +81,12 @@
 	}
 }
 
-// handleFailure decides when the next poll starts. If the list is polled and the source is the current one, the schedule
-// decides. Otherwise the poll starts after a backoff, for which handleFailure waits.
+// handleFailure decides when the next poll starts. If the discovery service is shared and the source is the current one, the
+// schedule decides. Otherwise the poll starts after a backoff, for which handleFailure waits.
 func (l *pollLoop) handleFailure(ctx context.Context, err error) {
 	l.warn(err)
 	l.source.client.CloseIdleConnections() // they may have failed like the connection of the poll
-	if l.watcher.polled && l.watcher.isCurrent(l.source) {
+	if l.watcher.sharedDiscovery && l.watcher.isCurrent(l.source) {
 		l.immediate = false
 		if l.schedule.pollFailed() {
 			l.watcher.sink.UpdateEndpoints(policy.UpdateFailed, nil)
--- a/internal/node/retryschedule.go
+++ b/internal/node/retryschedule.go
@@ -1,14 +1,17 @@
-// This file schedules the next poll of a polled list after a failed poll.
+// This file schedules the next poll of a shared discovery service after a failed poll.
 //
 // Three delays apply after failed polls, each of them jittered:
 //
-//   - The policy's backoff (policy/polling.go) applies to the current source of a polled list. Its mean is 0.5 s, doubles
-//     with each failure, and grows to 0.5 s more than a quarter of Rules.MaxPollInterval.
+//   - The policy's backoff (policy/polling.go) applies to the current source of a shared discovery service. Its mean begins
+//     at 0.5 s and doubles with each failure, up to Rules.MaxPollInterval/4 + 0.5 s.
 //   - The retry interval of this file (discovery.PollTiming.RetryInterval) applies to the same source. It is 0.75 s to
-//     1.5 s and does not grow. The poll starts when the shorter of the two delays ends.
-//   - discovery.Backoff applies to pushed lists, and to a source of a polled list that is not the current one yet
-//     (pollLoop). For pushed lists it begins at 5 ms and grows to a quarter of the drain grace, limited to the range from
-//     10 ms to 250 ms. For polled lists it begins at 250 ms and grows to 1 s. Jitter subtracts up to half of the delay.
+//     1.5 s and does not grow.
+//   - discovery.Backoff applies to the agent on this machine, and to a source of a shared service that is not the current
+//     one yet (pollLoop). For the agent it begins at 5 ms and grows to a quarter of the drain grace, limited to the range
+//     from 10 ms to 250 ms. For a shared service it begins at 250 ms and grows to 1 s. Jitter subtracts up to half of the
+//     delay.
+//
+// Where the policy's backoff and the retry interval both apply, the poll starts when the shorter of these two delays ends.
 
 package node
 
@@ -18,8 +21,8 @@
 	"time"
 )
 
-// retrySchedule decides when a polled list is polled again after a failure: when the policy requests the poll after its
-// growing backoff, and at the latest after retryInterval, which does not grow.
+// retrySchedule decides when a shared discovery service is polled again after a failure: when the policy requests the poll
+// after its growing backoff, and at the latest after retryInterval, which does not grow.
 type retrySchedule struct {
 	pollRequested <-chan struct{}
 	retryInterval func(draw float64) time.Duration
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// arrivalPeriod is how long after SIGTERM the platform's routing may still send connections to a node. It is also how
-	// long no request must have arrived for the shutdown to end early.
+	// arrivalPeriod is how long after SIGTERM the platform's routing may still send connections to a node. If no request
+	// arrives for this long, the node stops accepting requests early.
 	arrivalPeriod = 500 * time.Millisecond
 	// shutdownAfterDeadline is how long a shutdown may last beyond the longest deadline. The platform's supervisor kills
-	// the node 0.7 s after the longest deadline, of which it counts at most maxCountedDeadline, so that a shutdown ends
-	// 0.2 s before the kill.
+	// the node 0.7 s after the longest deadline, where a deadline above maxCountedDeadline counts as maxCountedDeadline,
+	// so that a shutdown ends 0.2 s before the kill.
 	shutdownAfterDeadline = 500 * time.Millisecond
 	maxCountedDeadline    = 3 * time.Second
 	// closingPeriod is the last part of a shutdown, in which no request is accepted. abortPeriod is the last part of
 	// closingPeriod; requests that are still in flight at its start are answered without a further attempt.
 	closingPeriod = 300 * time.Millisecond
 	abortPeriod   = 50 * time.Millisecond
-	// idleDivisor divides the duration of a shutdown into the time for which a client connection may be idle if the
-	// process has a successor. That time is longer than the pause between most clients' requests, and short enough that
-	// all connections end before the shutdown does.
+	// idleDivisor sets how long a client connection may be idle if the process has a successor: the duration of the
+	// shutdown divided by this number. That time is longer than the pause between most clients' requests, and short
+	// enough that all connections end before the shutdown does.
 	idleDivisor = 3
 )
 
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -85,8 +85,10 @@
 	t.Parallel()
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
-		checks [][2]time.Duration // the time since the previous check, and the time of the check
-		met    int                // index of the check at which the listener may be closed; -1 if there is none
+		// checks has, for each check, the time since the previous check and the time of the check. The time -1 stands
+		// for a check at 520 ms after a request at 515 ms.
+		checks [][2]time.Duration
+		met    int // index of the check at which the listener may be closed; -1 if there is none
 	}{
 		"in time": {[][2]time.Duration{
 			{10 * ms, 490 * ms}, {10 * ms, 500 * ms}, {10 * ms, 510 * ms}, {10 * ms, 520 * ms},
