--- a/internal/cli/fleet_commands_test.go
+++ b/internal/cli/fleet_commands_test.go
@@ -105,13 +105,13 @@
 	want("a node acts on its rules for 285ms", false, "check", path)
 	want("0 of 1 voters answer", true, "fleet", "status", "-c", path)
 	want("a is a voter of the fleet f", false, "fleet", "init", "-c", path)
-	if _, err := run(t, "fleet", "init", "-c", path); !failsWith(err, "is a voter's already") {
+	if _, err := run(t, "fleet", "init", "-c", path); !failsWith(err, "the store already belongs to a voter") {
 		t.Errorf("init twice: %v", err)
 	}
 	stop := startVoter(t, path)
 	defer stop()
 	want("version 1 is in force", false, "fleet", "publish", "-c", path, "--base", "0", path)
-	want("not the present one: 1, not 0", true, "fleet", "publish", "-c", path, "--base", "0", path)
+	want("not the active version: the active version is 1, the base is 0", true, "fleet", "publish", "-c", path, "--base", "0", path)
 	other := filepath.Join(filepath.Dir(path), "other.toml")
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -120,9 +120,9 @@
 	if err := os.WriteFile(other, bytes.Replace(text, []byte("safe"), []byte("unsafe"), 1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	want("CONTRADICTS effect of a class: read", true, "fleet", "diff", path, other)
+	want("CONTRADICTS idempotency of a class: read", true, "fleet", "diff", path, other)
 	want("version 2 is in force", false, "fleet", "publish", "-c", path, "--base", "present", other)
-	want("effect of a class: read: unsafe to safe", true, "fleet", "publish", "-c", path, "--base", "1", path)
+	want("idempotency of a class: read: unsafe to safe", true, "fleet", "publish", "-c", path, "--base", "1", path)
 	want("version 3 is in force", false, "fleet", "rollback", "-c", path, "--base", "2", "1")
 	want("2 from 1, by a, id", false, "fleet", "history", "-c", path)
 	want(`"in_force": true`, false, "fleet", "publish", "-c", path, "--base", "3", "--json", path)
@@ -131,7 +131,7 @@
 		text, want string
 		fails      bool
 	}{
-		{"cluster = \"rooms\"\nservers = [\"s-1\", \"s-2\"]\nat_once = 2\n", "floor: with the 1. wave out 0 of 2", true},
+		{"cluster = \"rooms\"\nservers = [\"s-1\", \"s-2\"]\nat_once = 2\n", "floor: taking wave 1 out leaves 0 of the 2", true},
 		{"cluster = \"rooms\"\nservers = [\"s-1\", \"s-2\"]\n", "wave 1 of 2", false},
 	} {
 		if err := os.WriteFile(release, []byte(tc.text), 0o600); err != nil {
--- a/internal/cli/fleet_diff_test.go
+++ b/internal/cli/fleet_diff_test.go
@@ -36,7 +36,7 @@
 		t.Errorf("attempts: %q, %v", out, err)
 	}
 	out, err = run(t, "fleet", "diff", same, write(`window = "6s"`, `window = "9s"`))
-	if !reports(out, err, "", "CONTRADICTS window of a keyed class: booking-push: 6s to 9s (rule 2") {
+	if !reports(out, err, "", "CONTRADICTS deduplication window of a class: booking-push: 6s to 9s (rule 2") {
 		t.Errorf("window: %q, %v", out, err)
 	}
 	bad := write("attempts = 3", "attempts = 0")
--- a/internal/cli/release_file_test.go
+++ b/internal/cli/release_file_test.go
@@ -6,7 +6,7 @@
 func TestReleaseFile(t *testing.T) {
 	for _, tc := range []struct{ text, want string }{
 		{"cluster = \"a\"\n", "waves: 0"},
-		{"cluster = \"a\"\nservers = [\"x\", \"x\"]\n", "another's"},
+		{"cluster = \"a\"\nservers = [\"x\", \"x\"]\n", "listed more than once"},
 		{"cluster = \"a\"\nservers = [\"x\"]\nat_once = 0\n", "at_once: 0 is below 1"},
 		{"servers = [\"x\"]\n", "id and cluster"},
 		{"cluster = \"a\"\nservers = [\"x\"]\ndrain = \"2h\"\n", "drain: 2h0m0s"},
--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -15,8 +15,9 @@
 
 // A voter that starts on an older copy of its disk has lost votes that it cast and log entries that it acknowledged, so
 // it must not vote. Each voter counts its starts on its own disk, and records the latest start that it has seen of every
-// other voter. Before a voter votes, at least half of the other voters have to admit its start. A voter stays a follower
-// if any other voter has seen a later start of it.
+// other voter. Before a voter votes, at least half of the other voters have to admit its start. A voter
+// does not vote, or stops voting, if any other voter has seen a later start of it, or a start of the same number from
+// another copy of the disk.
 
 // helloTimeout is the timeout of one call that asks another voter for admission.
 const helloTimeout = time.Second
@@ -35,7 +36,7 @@
 
 func (e *staleDiskError) Error() string {
 	return fmt.Sprintf(
-		"%s: an old copy of this voter's disk: this is start %d, but another voter has recorded a different start, number %d",
+		"%s: an old copy of this voter's disk, not voting: start %d here, a voter saw start %d of another copy; use the latest",
 		e.dir, e.own, e.latest)
 }
 
--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -98,14 +98,14 @@
 		n.Log.Error("combined version is laxer than one of its parts, refusing all classes",
 			"versions", active.String(), "err", err)
 		for _, c := range stricter.Program.Classes {
-			stricter.RefusedClasses[c.Name] = "the rules change"
+			stricter.RefusedClasses[c.Name] = "the active and the pending version could not be combined safely"
 		}
 	}
 	return stricter, true
 }
 
-// bindToLease limits a program that acts on no version, or on the disconnected policy, to the lease of the versions that
-// it is about to apply: MayServe then depends on that lease before Apply is called. It returns what the program has
+// bindToLease makes MayServe depend on the lease for the versions that are about to be applied, if the program has acted
+// on no version or by the disconnected policy so far. It has to be called before Apply. It returns what the program has
 // acted on so far.
 func (n *Node) bindToLease(active consensus.ActiveVersions) *appliedVersions {
 	n.leaseMu.Lock()
--- a/internal/fleet/agent/change_test.go
+++ b/internal/fleet/agent/change_test.go
@@ -73,7 +73,7 @@
 				base = p.Number
 				break
 			}
-			if !p.Retry && !strings.Contains(p.Error, "not the present one") {
+			if !p.Retry && !strings.Contains(p.Error, "base is not the active version") {
 				t.Fatalf("change %d from version %d: reply %+v, want a published version, a stale base or Retry", i, base, p)
 			}
 		}
--- a/internal/fleet/agent/publish_test.go
+++ b/internal/fleet/agent/publish_test.go
@@ -37,7 +37,7 @@
 		t.Fatal("version 2 is refused, want it in force")
 	}
 	late := f.publish("three", 1, versionWithEffect("unsafe"))
-	if late.Number != 0 || !strings.Contains(late.Error, "not the present one") || late.ActiveVersion != 2 {
+	if late.Number != 0 || !strings.Contains(late.Error, "base is not the active version") || late.ActiveVersion != 2 {
 		t.Errorf("publish with a stale base: reply %+v, want an error and the active version 2", late)
 	}
 	if again := f.publish("one", 0, versionWithEffect("safe")); again.Number != 1 {
--- a/internal/fleet/agent/release.go
+++ b/internal/fleet/agent/release.go
@@ -150,7 +150,7 @@
 			}
 		}
 		if left := serving - len(wave); float64(left) < r.Floor*float64(serving) {
-			return fmt.Errorf("floor: with the %d. wave out %d of %d endpoints would be in use; the floor is %.0f %%",
+			return fmt.Errorf("floor: taking wave %d out leaves %d of the %d endpoints that are in use now; the floor is %.0f %%",
 				i+1, left, serving, 100*r.Floor)
 		}
 	}
--- a/internal/fleet/agent/release_test.go
+++ b/internal/fleet/agent/release_test.go
@@ -59,9 +59,9 @@
 		change func(r *consensus.Release)
 		want   string
 	}{
-		{func(r *consensus.Release) { r.Floor = 0.9 }, "floor: with the 1. wave out 4 of 6"},
+		{func(r *consensus.Release) { r.Floor = 0.9 }, "floor: taking wave 1 out leaves 4 of the 6"},
 		{func(r *consensus.Release) { r.Waves = [][]string{{"s-none"}} }, "s-none, which is not in use"},
-		{func(r *consensus.Release) { r.Waves = [][]string{{"s-00001"}, {"s-00001"}} }, "another's"},
+		{func(r *consensus.Release) { r.Waves = [][]string{{"s-00001"}, {"s-00001"}} }, "listed more than once"},
 		{func(r *consensus.Release) { r.Cluster = "suites" }, "has no cluster suites"},
 	} {
 		invalid := r
@@ -108,7 +108,7 @@
 		t.Errorf("versions %v, want %v", ids, want)
 	}
 	v := f.nodes[3].node
-	testutil.Until(t, "the follower to cache the last version", func() bool {
+	testutil.Until(t, "the non-voter to cache the last version", func() bool {
 		v.versionsMu.Lock()
 		defer v.versionsMu.Unlock()
 		return v.versions[s.LogStatus.ActiveVersion] != nil
--- a/internal/fleet/agent/releaserunner.go
+++ b/internal/fleet/agent/releaserunner.go
@@ -160,7 +160,7 @@
 	}
 	left, all := countServing(c)-len(changed.Endpoints), len(c.Endpoints)
 	if p.Phase == consensus.TakingOut && float64(left) < p.Floor*float64(all) {
-		return nil, fmt.Errorf("with the %d. wave out %d of %d endpoints would be in use; the floor is %.0f %%",
+		return nil, fmt.Errorf("floor: taking wave %d out leaves %d of all %d endpoints in use; the floor is %.0f %%",
 			p.Wave+1, left, all, 100*p.Floor)
 	}
 	return &config.File{Name: p.PublishID(), Text: config.FormatChange(&changed)}, nil
--- a/internal/fleet/agent/voterfailure_test.go
+++ b/internal/fleet/agent/voterfailure_test.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/testutil"
 )
 
-// A publisher gets the result of its publish even if the leader is killed meanwhile. A follower that reaches no voter
+// A publisher gets the result of its publish even if the leader is killed meanwhile. A non-voter that reaches no voter
 // applies the disconnected policy, also after its own restart.
 func TestVotersDie(t *testing.T) {
 	f := newTestFleet(t, 3, 1)
@@ -53,7 +53,7 @@
 	f.waitForEffect(3, "unsafe")
 }
 
-// A voter whose disk fails stops voting and reports the error in its status. The node continues as a follower, and the
+// A voter whose disk fails stops voting and reports the error in its status. The node continues as a non-voter, and the
 // other voters still are a quorum.
 func TestDiskFails(t *testing.T) {
 	f := newTestFleet(t, 3, 0)
@@ -71,14 +71,14 @@
 	testutil.Until(t, "the voter to report its failed disk", func() bool {
 		a := f.client.Status(f.context())[1]
 		return a.Status != nil && !a.Status.Voter &&
-			strings.Contains(a.Status.VotingError, "nothing is written after a failure")
+			strings.Contains(a.Status.VotingError, "no more writes until the node is restarted")
 	})
 	f.publish("three", 2, versionWithEffect("safe"))
 	f.waitForEffect(1, "safe")
 }
 
 // A voter that starts on an old copy of its disk does not vote, and reports the reason in its status. The node continues
-// as a follower, and the other voters still are a quorum.
+// as a non-voter, and the other voters still are a quorum.
 func TestOldCopyOfADisk(t *testing.T) {
 	f := newTestFleet(t, 3, 0)
 	f.publish("one", 0, versionWithEffect("safe"))
--- a/internal/fleet/consensus/release.go
+++ b/internal/fleet/consensus/release.go
@@ -12,7 +12,7 @@
 	ID      string        `json:"id"`
 	Cluster string        `json:"cluster"`
 	Waves   [][]string    `json:"waves"` // endpoint ids by wave; an id is in one wave only
-	Floor   float64       `json:"floor"` // share of the cluster's endpoints that has to be in use at any time, 0 to 1
+	Floor   float64       `json:"floor"` // smallest share of endpoints that taking out a wave may leave in use, 0 to 1
 	Drain   time.Duration `json:"drain"` // time for a wave's last requests to finish after it is taken out of use
 	Restart time.Duration `json:"away"`  // time for the restart of a wave after it is drained
 	Warm    time.Duration `json:"warm"`  // time between a wave's return to use and the start of the next wave
@@ -56,7 +56,7 @@
 		}
 		for _, id := range wave {
 			if seen[id] || id == "" || len(id) > MaxName {
-				return fmt.Errorf("waves: endpoint id in wave %d is empty, too long or another's too: %q", i+1, id)
+				return fmt.Errorf("waves: wave %d: endpoint id is empty, too long or listed more than once: %q", i+1, id)
 			}
 			seen[id] = true
 		}
@@ -92,7 +92,8 @@
 	Phase  WavePhase `json:"phase"`
 	Paused bool      `json:"paused,omitempty"`
 	Result string    `json:"ended,omitempty"` // "done", or why the release was stopped; empty while the release goes on
-	// StopReason says why the release is to end as soon as the current wave is back in use; empty if it is not to.
+	// StopReason says why the release is to end once the current wave has been put back into use and has warmed; empty if
+	// the release is not to end early.
 	StopReason string `json:"stops,omitempty"`
 }
 
@@ -158,7 +159,8 @@
 	}
 }
 
-// stopAfterWave drops the waves after the current one, so that the release ends once the current wave is back in use.
+// stopAfterWave drops the waves after the current one, so that the release ends once the current wave has been put back
+// into use and has warmed.
 func (p *ReleaseProgress) stopAfterWave(u *ReleaseUpdate) {
 	p.StopReason, p.Paused = u.result(), false
 	p.Waves = slices.Clone(p.Waves[:p.Wave+1])
--- a/internal/fleet/consensus/state.go
+++ b/internal/fleet/consensus/state.go
@@ -68,7 +68,7 @@
 
 // The errors of CheckProposal.
 var (
-	ErrStaleBase      = errors.New("the version's base is not the present one")
+	ErrStaleBase      = errors.New("the version's base is not the active version")
 	ErrVersionPending = errors.New("another version is pending")
 )
 
@@ -78,7 +78,7 @@
 	case s.PendingVersion != 0:
 		return fmt.Errorf("%w: %d", ErrVersionPending, s.PendingVersion)
 	case m.Base != s.ActiveVersion:
-		return fmt.Errorf("%w: %d, not %d", ErrStaleBase, s.ActiveVersion, m.Base)
+		return fmt.Errorf("%w: the active version is %d, the base is %d", ErrStaleBase, s.ActiveVersion, m.Base)
 	}
 	return nil
 }
--- a/internal/fleet/consensus/strictcheck.go
+++ b/internal/fleet/consensus/strictcheck.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// laxerEndpoint returns an error for an endpoint that is in use in a, and that in b is out of use, at another place or
-// started later.
+// laxerEndpoint returns an error for an endpoint that is in use in a, and that in b is out of use, has another address,
+// zone or cell, or was started later.
 func laxerEndpoint(a EffectiveVersion, b *Version) (err error) {
 	for name, c := range a.Clusters {
 		if c == b.Clusters[name] {
@@ -81,7 +81,8 @@
 				return
 			}
 			if !servesAt(other, e) || e.StartedMs < other.StartedMs {
-				err = fmt.Errorf("endpoint %s/%s: in use, but out of use, at another place or started later in the other version",
+				err = fmt.Errorf(
+					"endpoint %s/%s: in use; in the other version out of use, started later or at another address, zone or cell",
 					name, e.ID)
 			}
 		})
--- a/internal/fleet/store/encoding.go
+++ b/internal/fleet/store/encoding.go
@@ -23,7 +23,7 @@
 // returns an error that names the value by what.
 func verifyChecksum(what string, value []byte) ([]byte, error) {
 	if len(value) < 4 || binary.BigEndian.Uint32(value) != crc32.Checksum(value[4:], castagnoli) {
-		return nil, fmt.Errorf("%s is damaged: its checksum does not match", what)
+		return nil, fmt.Errorf("%s: the stored value is missing or damaged: its checksum does not match", what)
 	}
 	return bytes.Clone(value[4:]), nil
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -108,7 +108,7 @@
 	}
 	var refused *refusedError
 	if err = s.runTransaction(s.db.Update, do); err != nil && !errors.As(err, &refused) {
-		s.failed = fmt.Errorf("%s: nothing is written after a failure: %w", s.path, err)
+		s.failed = fmt.Errorf("%s: a write failed, no more writes until the node is restarted: %w", s.path, err)
 		return s.failed
 	}
 	return err
--- a/internal/fleet/store/voterlog.go
+++ b/internal/fleet/store/voterlog.go
@@ -32,7 +32,7 @@
 	return s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if meta.Get(keyIdentity) != nil {
-			return &refusedError{s.path + ": is a voter's already"}
+			return &refusedError{s.path + ": the store already belongs to a voter"}
 		}
 		text, err := json.Marshal(id)
 		if err != nil {
