--- a/internal/fleet/agent/client.go
+++ b/internal/fleet/agent/client.go
@@ -93,6 +93,7 @@
 	var lastError string
 	for _, a := range c.Status(ctx) {
 		if a.Status == nil || !a.Status.Voter {
+			// a.Error is empty if the node answered, but does not vote at present.
 			lastError = fmt.Sprint(a.Voter, ": ", a.Error)
 			continue
 		}
--- a/internal/fleet/agent/fleet_test.go
+++ b/internal/fleet/agent/fleet_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// testFleet is a fleet within the test process. Its first nodes are the voters, the others are followers.
+// testFleet is a fleet within the test process. Its first nodes are the voters, the others are non-voters.
 type testFleet struct {
 	t         testing.TB
 	dir       string // parent directory of the nodes' stores
@@ -50,7 +50,7 @@
 // testNode is a node of a testFleet. It also stands for the program that acts on the versions.
 type testNode struct {
 	name         string
-	address      string             // address on which the node serves; "": the node is a follower
+	address      string             // address on which the node serves; "": the node is a non-voter
 	stop         context.CancelFunc // nil: the node is not running
 	running      sync.WaitGroup
 	node         *Node
--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -68,7 +68,7 @@
 	Hooks
 }
 
-// Node is a node of a fleet: a voter of the log, or a follower that only applies versions. Open creates a Node.
+// Node is a node of a fleet: a voter of the log, or a non-voter that only applies versions. Open creates a Node.
 //
 // The goroutines in background end when ctx is canceled, and Run waits for them. Several locks are always taken in this
 // order: leaseMu, versionsMu, mu. No other lock of the node is held together with parseMu.
@@ -81,15 +81,15 @@
 	background  sync.WaitGroup              // the goroutines that Run waits for
 	uploads     chan struct{}               // semaphore: has one element for each content upload in progress
 	outbox      map[uint64]chan *pb.Message // queues of raft messages, by id of the voter; the map is constant once Run has begun
-	ownStart    store.VoterStart            // this start of the voter, zero on a follower; constant after Open
+	ownStart    store.VoterStart            // this start of the voter, zero on a non-voter; constant after Open
 
 	// conns are the connections to the other voters, by id. They include a connection to this node itself if the
 	// configuration names it as a voter but its store is not initialized. Constant after Open.
 	conns map[uint64]*Conn
 
 	mu            sync.Mutex           // guards unadmitted to recentContent
-	unadmitted    *consensus.Voter     // the voter until the other voters admit it; nil on a follower
-	voter         *consensus.Voter     // the voter once it is admitted; nil on a follower
+	unadmitted    *consensus.Voter     // the voter until the other voters admit it; nil on a non-voter
+	voter         *consensus.Voter     // the voter once it is admitted; nil on a non-voter
 	votingError   error                // why this node has stopped voting
 	stateChanged  chan struct{}        // closed, and replaced, when the voter's state changes
 	recentContent map[string]time.Time // storage time, by hash, of content that no version may refer to yet
@@ -143,7 +143,7 @@
 }
 
 // Open opens a node. The node is a voter if the configuration names it as one and its store was initialized by Init;
-// otherwise it is a follower.
+// otherwise it is a non-voter.
 func Open(c Config) (*Node, error) {
 	if c.Clock == nil {
 		c.Clock = BootTime
@@ -191,7 +191,7 @@
 }
 
 // loadVoter loads this node's voter from the store, and counts a start of it. If the store was not initialized by Init,
-// the node remains a follower.
+// the node remains a non-voter.
 func (n *Node) loadVoter(own uint64) error {
 	id, disk, err := n.store.Voter()
 	if errors.Is(err, store.ErrNotInitialized) {
--- a/internal/fleet/agent/publish.go
+++ b/internal/fleet/agent/publish.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		return rejectedPublish(state, err.Error(), false), nil
 	}
-	// Parsing is expensive, so a version is rejected before it while another version is pending. A version with a stale
-	// base is parsed, since the reply shows its differences.
+	// While another version is pending, a version is rejected without being parsed, since parsing is expensive. A version
+	// with a stale base is parsed, since the reply shows its differences.
 	if err := state.CheckProposal(m); errors.Is(err, consensus.ErrVersionPending) {
 		return rejectedPublish(state, err.Error(), true), nil
 	}
--- a/internal/fleet/agent/tasks.go
+++ b/internal/fleet/agent/tasks.go
@@ -10,8 +10,8 @@
 // ReleaseTask is the singleton task that carries out releases.
 const ReleaseTask = "release"
 
-// singletonTasks returns the tasks that one node at a time runs for the fleet. Only voters own tasks, since every node
-// has a connection to each voter anyway.
+// singletonTasks returns the tasks that one node at a time runs for the fleet. Only voters may own them
+// (EligibleOwners in loadVoter): every node is connected to each voter, and so can reach the owner.
 func singletonTasks() []string { return []string{ReleaseTask} }
 
 // ownership records the tasks that the log assigns to this process. Owns also checks the lease.
--- a/internal/fleet/agent/voter.go
+++ b/internal/fleet/agent/voter.go
@@ -11,7 +11,8 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// errNotVoter is returned by a node that does not vote at present, for calls that only a voter serves.
+// errNotVoter is returned by a node that does not vote at present, for calls that only a voter serves. A node that votes
+// returns it for a raft message that is addressed to another voter, or that does not come from another voter of the fleet.
 var errNotVoter = status.Error(codes.FailedPrecondition, "this node is not a voter at present")
 
 // runVoter waits until other voters have admitted this node's voter, and starts the goroutines that run it.
@@ -120,7 +121,7 @@
 	n.stateChanged = make(chan struct{})
 }
 
-// stopVoting makes the node a follower until the process is restarted; n.mu is held.
+// stopVoting makes the node a non-voter until the process is restarted; n.mu is held.
 func (n *Node) stopVoting(err error) {
 	n.votingError, n.voter, n.unadmitted = err, nil, nil
 	n.Log.Error("voting stopped", "err", err)
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -35,10 +35,11 @@
 	ConfirmedOwnership uint64 `json:"set"`       // the node no longer owns tasks by ownership revisions before this one
 }
 
-// Grant is a voter's promise for a lease's duration from the request on. Unless the node confirms, the voter
-// acknowledges no epoch after MaxEpoch, and confirms no end of an ownership that the node's process loses after
-// OwnershipRevision. So a grant covers each epoch that is at least MaxEpoch, and each ownership revision that is at
-// least OwnershipRevision. A node may act on the epochs and ownership revisions that the grants of a quorum cover.
+// Grant is a voter's promise for a lease's duration from the request on. While the lease lasts, the voter acknowledges no
+// epoch after MaxEpoch unless the node has confirmed that it no longer acts on earlier ones, and confirms no end of an
+// ownership that the node's process loses after OwnershipRevision unless the process has confirmed the loss. So MaxEpoch
+// and OwnershipRevision are the smallest epoch and the smallest ownership revision that the grant covers. A node may act
+// on the epochs and ownership revisions that the grants of a quorum cover.
 type Grant struct {
 	VoterID           uint64    `json:"voter"`
 	Sequence          uint64    `json:"seq"`
@@ -121,6 +122,8 @@
 	}
 	end := requested + l.config.HolderTerm()
 	l.epochGrants.add(g.VoterID, activeGrant{g.MaxEpoch, end}, l.logStatus.Epoch)
+	// Of epochs, add also retains the grants for the one before the current epoch, on which the node may still act. Of
+	// ownership revisions, which are log indexes, the +1 makes it retain the grants from the confirmed revision on.
 	l.ownershipGrants.add(g.VoterID, activeGrant{g.OwnershipRevision, end}, l.ownershipRevision+1)
 }
 
@@ -203,8 +206,9 @@
 // covers reports whether a grant covers a revision: see Grant.
 func (g activeGrant) covers(revision uint64) bool { return g.revision <= revision }
 
-// add records a voter's grant. A grant for a revision that the voter has granted before only extends that grant; a grant
-// for another revision also removes the voter's grants for revisions below current-1.
+// add records a voter's grant. A grant for a revision that the voter has granted before only extends that grant. A grant
+// for another revision also removes the voter's grants for revisions below current-1. current is the latest epoch in the
+// log that the node has heard of, or the ownership revision that it has confirmed plus 1.
 func (g voterGrants) add(voter uint64, grant activeGrant, current uint64) {
 	list := g[voter]
 	if i := slices.IndexFunc(list, func(other activeGrant) bool { return other.revision == grant.revision }); i >= 0 {
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -20,8 +20,9 @@
 // acknowledges nothing until every lease that it may have granted before has expired. Times are on the voter's own
 // clock.
 type LeaseTable struct {
-	config     LeaseConfig
-	quietUntil time.Duration              // before, no epoch is acknowledged and no end of an ownership confirmed
+	config LeaseConfig
+	// Until quietUntil, the voter acknowledges no epoch, confirms no end of an ownership and assigns no tasks.
+	quietUntil time.Duration
 	holders    map[process]*processLeases // MaxHolders at most
 }
 
@@ -116,7 +117,8 @@
 	return len(waitingFor) == 0, slices.Compact(waitingFor)
 }
 
-// FormerOwnerEnded reports whether the former owner of a task can no longer act as its owner by leases of this voter.
+// FormerOwnerEnded reports whether the owner of a task that is being moved can no longer act as its owner by leases of
+// this voter.
 func (t *LeaseTable) FormerOwnerEnded(now time.Duration, task TaskOwnership) bool {
 	if now < t.quietUntil {
 		return false
--- a/internal/fleet/consensus/simchecks_test.go
+++ b/internal/fleet/consensus/simchecks_test.go
@@ -121,7 +121,8 @@
 }
 
 // checkContradictions checks that the versions that a node acts on don't contradict those of any other node. The check
-// compares epochs alone, since versions that do not contradict each other share an epoch.
+// compares epochs and version numbers, not the versions' content, since versions that do not contradict each other share
+// an epoch.
 func (s *fleetSim) checkContradictions(n *simNode) {
 	a := s.activeVersions(n)
 	if a.Version == 0 {
@@ -135,8 +136,8 @@
 	}
 }
 
-// compatible reports whether a node may act on a while another one acts on b. a and b are compatible if
-// compatible(a, b) or compatible(b, a) is true.
+// compatible reports whether a node may act on a while another one acts on b, as far as a's side shows it. Callers must
+// also try compatible(b, a): a and b are compatible if either call returns true.
 func compatible(a, b ActiveVersions) bool {
 	switch {
 	case a.Version == b.Version, a.Epoch == b.Epoch:
--- a/internal/fleet/consensus/simnode_test.go
+++ b/internal/fleet/consensus/simnode_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// simNode is a node of the simulation: a voter, or a follower without one.
+// simNode is a node of the simulation: a voter, or a follower, which here is a node that does not vote.
 type simNode struct {
 	id          uint64
 	name        string
--- a/internal/fleet/consensus/splits_test.go
+++ b/internal/fleet/consensus/splits_test.go
@@ -77,7 +77,7 @@
 				versions += s.versions
 			}
 			if versions < int(seeds) {
-				t.Errorf("%d versions in %d seeds, want at least one in each seed", versions, seeds)
+				t.Errorf("%d versions in %d seeds together; want at least as many versions as seeds", versions, seeds)
 			}
 			t.Logf("%d versions", versions)
 		})
--- a/internal/fleet/consensus/state_test.go
+++ b/internal/fleet/consensus/state_test.go
@@ -148,7 +148,8 @@
 	bound := s.leaseConfig.ActivationBound()
 	if s.versions != 2 || s.longestActivation == 0 || s.longestActivation > bound ||
 		s.longestActivation < s.leaseConfig.HolderTerm()/2 {
-		t.Errorf("%d versions, the last active after %v; want 2, and at most %v", s.versions, s.longestActivation, bound)
+		t.Errorf("%d versions, the longest activation took %v; want 2 versions, from half of HolderTerm to %v",
+			s.versions, s.longestActivation, bound)
 	}
 	onSecond := 0
 	for _, n := range s.nodes {
--- a/internal/fleet/consensus/stricter.go
+++ b/internal/fleet/consensus/stricter.go
@@ -53,8 +53,8 @@
 	return out
 }
 
-// stricterCluster returns a cluster with only those endpoints in use that both versions have in use at the same place.
-// to is nil if the second version lacks the cluster.
+// stricterCluster returns a cluster with only those endpoints in use that both versions have in use at the same address,
+// zone and cell. to is nil if the second version lacks the cluster.
 func stricterCluster(from, to *cluster.Config) *cluster.Config {
 	if from == to {
 		return from
--- a/internal/fleet/consensus/taskassignment.go
+++ b/internal/fleet/consensus/taskassignment.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// proposeOwnershipEnds proposes an OwnershipEnd for each task that is being moved and whose former owner can no longer
-// act as its owner by leases of this voter.
+// proposeOwnershipEnds proposes an OwnershipEnd for each task that is being moved and whose owner can no longer act as its
+// owner by leases of this voter.
 func (v *Voter) proposeOwnershipEnds(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(v.state.Tasks)) {
 		task := v.state.Tasks[name]
--- a/internal/fleet/consensus/tasks.go
+++ b/internal/fleet/consensus/tasks.go
@@ -9,8 +9,8 @@
 // MaxTasks is the largest number of singleton tasks of a fleet.
 const MaxTasks = 1024
 
-// maxOwnershipRevisions is the number of ownership revisions in the state from which on the revisions of processes
-// without tasks are dropped.
+// maxOwnershipRevisions is how many ownership revisions the state may have before it drops those of processes without
+// tasks. It also bounds Voter.recentProposals.
 const maxOwnershipRevisions = 4 * MaxTasks
 
 // TaskOwnership says which node runs a singleton task.
@@ -25,7 +25,7 @@
 	EndConfirmedBy  []uint64 `json:"freed,omitempty"` // voters that have confirmed the end of the ownership, ascending
 }
 
-// isOwner reports whether a process owns the task, or is the former owner while the task is being moved.
+// isOwner reports whether a process owns the task. A task that is being moved still has its earlier owner.
 func (t TaskOwnership) isOwner(node, incarnation string) bool {
 	return t.Owner == node && t.Incarnation == incarnation
 }
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// OwnershipEnd is a voter's confirmation that the former owner of a task can no longer act as its owner by leases of
-// this voter.
+// OwnershipEnd is a voter's confirmation that the owner of a task that is being moved can no longer act as its owner by
+// leases of this voter.
 type OwnershipEnd struct {
 	Task          string `json:"work"`
 	TransferIndex uint64 `json:"asked"`
@@ -96,8 +96,8 @@
 	s.OwnershipRevisions[processKey(task.Owner, task.Incarnation)] = index
 }
 
-// confirmOwnershipEnd records a voter's confirmation that the former ownership of a task that is being moved has ended.
-// The confirmations of a majority make the next owner the owner.
+// confirmOwnershipEnd records a voter's confirmation that the owner of a task that is being moved can no longer act as its
+// owner. The confirmations of a majority make the next owner the owner.
 func (s *State) confirmOwnershipEnd(index uint64, end *OwnershipEnd, voters int) {
 	task, known := s.Tasks[end.Task]
 	if !known || task.TransferIndex == 0 || task.TransferIndex != end.TransferIndex {
--- a/internal/fleet/lease/disconnected.go
+++ b/internal/fleet/lease/disconnected.go
@@ -14,7 +14,7 @@
 // The actions, the strictest first.
 const (
 	Refuse    DisconnectedAction = iota // refuse all requests
-	Cautious                            // serve only what no later version could contradict, and refuse the rest
+	Cautious                            // serve less, so contradicting a later version is less likely: see DisconnectedPolicy
 	ServeLast                           // act on the last known version, which a later version may contradict
 )
 
--- a/internal/fleet/ownership/allocator.go
+++ b/internal/fleet/ownership/allocator.go
@@ -102,8 +102,8 @@
 	if reply.Granted == 0 {
 		return
 	}
-	// The pool's ends are as early as they are for the slowest allowed clock. On that clock, at least this much true time
-	// is left.
+	// Both the end and this conversion assume that the owner's clock is the slowest allowed. On any allowed clock, the
+	// share stays released for at least this much true time.
 	reply.Duration = time.Duration(float64(end-now) / (1 - a.config.MaxClockDrift))
 	n.granted = append(n.granted, capacityLease{reply.Granted, end})
 }
--- a/internal/fleet/ownership/holder.go
+++ b/internal/fleet/ownership/holder.go
@@ -23,17 +23,17 @@
 	fleetDemand  float64                  // demand of all nodes by the latest reply, in requests per second
 }
 
-// NewHolder creates the holder of a process that has just been started. An earlier process of the node may have released
-// all of the node's own share, so the whole budget counts as released for ReleaseDuration.
+// NewHolder creates the holder of a process that has just been started. The share that an earlier process
+// of the node had and released is unknown, so the whole budget counts as released for ReleaseDuration.
 func NewHolder(now time.Duration, config LeaseConfig) *Holder {
 	earlier := capacityLease{1, now + config.onFastestClock(config.ReleaseDuration)}
 	return &Holder{config: config, requestedAt: map[uint64]time.Duration{}, released: []capacityLease{earlier}}
 }
 
 // Usable returns the fraction of the budget that the node may use from now until the given time, at which Usable has to
-// be called again. own is the node's share without any lease. own may change with a version, at all nodes together: a
-// node never releases more than its share was, and a node that is added can use nothing until the leases of the smaller
-// fleet have ended.
+// be called again. own is the node's share without any lease. own may change with a version, if it changes at all nodes
+// together. The budget is still kept: a node never releases more than its share was, and a holder that has just been
+// started may use nothing of its own share for ReleaseDuration, until the leases of the smaller fleet have ended.
 func (h *Holder) Usable(now, until time.Duration, own float64) float64 {
 	remaining := own
 	for _, l := range h.released {
