--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -11,7 +11,7 @@
 	"yokestall/internal/fleet/lease"
 )
 
-// newCheckCommand makes `check`.
+// newCheckCommand returns the `check` command.
 func newCheckCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use: "check FILE...",
@@ -23,7 +23,7 @@
 	}
 }
 
-// checkFiles checks all files and prints what it finds; ErrReported if one is rejected.
+// checkFiles checks all files and prints their warnings and errors. It returns ErrReported if a file is rejected.
 func checkFiles(out io.Writer, paths []string) error {
 	rejected := false
 	for _, path := range paths {
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// printLeaseBounds prints what the lease of a fleet's node means for the versions that it acts on.
+// printLeaseBounds prints the two bounds that a node's lease settings imply: the longest time until a version
+// that contradicts another is in force, and how long a node acts on a version without hearing from a majority of the voters.
 func printLeaseBounds(out io.Writer, path string, c lease.Config) {
 	fmt.Fprintf(out, "%s: a version that contradicts is in force, and acted on by no one else than by all, "+
 		"%v after it is taken up at the latest;\n"+
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -10,10 +10,11 @@
 	"yokestall/internal/node"
 )
 
-// ErrReported ends a command whose findings are printed already: exit code 1, no more text.
+// ErrReported is returned by a command that has already printed its findings. The program then exits with code 1 and
+// prints no further text.
 var ErrReported = errors.New("reported")
 
-// New makes the command tree; what it prints goes to out, its log to logs.
+// New returns the root command with all subcommands. The commands print to out and write their log to logs.
 func New(out, logs io.Writer) *cobra.Command {
 	log := slog.New(slog.NewTextHandler(logs, nil))
 	root := &cobra.Command{
@@ -36,7 +37,8 @@
 	return root
 }
 
-// newNodeCommand makes `node`: yokestall-node within the product program, for machines that have that alone.
+// newNodeCommand returns the `node` command, which runs the same code as the program yokestall-node. It serves machines
+// on which only the program yokestall is installed.
 func newNodeCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "node",
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// run executes a command line and returns what it prints.
+// run executes a command line and returns its standard output and its error.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -18,12 +18,12 @@
 	return out.String(), err
 }
 
-// failsWith reports whether err is an error whose text contains a text.
+// failsWith reports whether err is not nil and its text contains text.
 func failsWith(err error, text string) bool {
 	return err != nil && strings.Contains(err.Error(), text)
 }
 
-// reports reports whether a command ended with ErrReported after an output that begins with prefix and contains text.
-func reports(out string, err error, prefix, text string) bool {
+// reportsFinding reports whether a command returned ErrReported and its output begins with prefix and contains text.
+func reportsFinding(out string, err error, prefix, text string) bool {
 	return errors.Is(err, ErrReported) && strings.HasPrefix(out, prefix) && strings.Contains(out, text)
 }
--- a/internal/cli/cli_usage_test.go
+++ b/internal/cli/cli_usage_test.go
@@ -12,8 +12,8 @@
 	"yokestall/internal/testutil/golden"
 )
 
-// The usage text of each command, hidden ones included, stays: scripts and operators' pages depend on it.
-// YOKESTALL_WRITE=1 writes the file anew.
+// The usage text of every command, hidden commands included, equals the golden file, since scripts and the operators'
+// documentation depend on it. YOKESTALL_WRITE=1 regenerates the golden file.
 func TestGoldenUsage(t *testing.T) {
 	const path = "testdata/golden/usage.txt"
 	var usage bytes.Buffer
@@ -26,11 +26,11 @@
 		}
 	}
 	if want := golden.Read(t, path); !bytes.Equal(usage.Bytes(), want) {
-		t.Errorf("usage\n%s\nwant\n%s", usage.Bytes(), want)
+		t.Errorf("usage text\n%s\nwant\n%s", usage.Bytes(), want)
 	}
 }
 
-// writeUsage writes the help text of a command and of all below it.
+// writeUsage writes the help text of a command and of all its subcommands, recursively.
 func writeUsage(t *testing.T, to *bytes.Buffer, c *cobra.Command) {
 	t.Helper()
 	fmt.Fprintf(to, "===== %s (hidden: %v)\n", c.CommandPath(), c.Hidden)
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -14,13 +14,13 @@
 
 // demoFlags are the flags of `demo`.
 type demoFlags struct {
-	options demo.Options
-	fleet   bool
-	upkeep  bool
-	verbose bool
+	options     demo.Options
+	fleet       bool
+	maintenance bool
+	verbose     bool
 }
 
-// newDemoCommand makes `demo`.
+// newDemoCommand returns the `demo` command.
 func newDemoCommand(out io.Writer, log *slog.Logger) *cobra.Command {
 	f := &demoFlags{options: demo.Options{
 		Out: out, Log: slog.New(slog.DiscardHandler), Endpoints: 4, Clients: 12, Phase: 2 * time.Second,
@@ -40,7 +40,7 @@
 	return c
 }
 
-// add adds the flags to the command.
+// add registers the flags with a command.
 func (f *demoFlags) add(c *cobra.Command) {
 	flags, o := c.Flags(), &f.options
 	flags.BoolVar(&o.KeepServing, "keep", false, "serve on afterwards, until interrupted")
@@ -49,43 +49,45 @@
 		"have a stand-in proxy in front ask the program about each request")
 	flags.BoolVar(&o.TLS, "tls", false, "have clients speak HTTP/2 over TLS, with keys that are replaced meanwhile")
 	flags.BoolVar(&f.fleet, "fleet", false, "have five nodes agree on versions while one of them is cut off")
-	flags.BoolVar(&f.upkeep, "upkeep", false,
+	flags.BoolVar(&f.maintenance, "upkeep", false,
 		"take a server out and back, drain the node, and replace its process, under load")
 	flags.BoolVarP(&f.verbose, "verbose", "v", false, "show the program's log too")
 }
 
-// run shows the demo that the flags choose; ErrReported if a rule was broken.
+// run runs the demo that the flags select. It returns ErrReported if the demo found violations.
 func (f *demoFlags) run(ctx context.Context) error {
 	switch {
-	case f.upkeep:
-		return runUpkeepDemo(ctx, f.options)
+	case f.maintenance:
+		return runMaintenanceDemo(ctx, f.options)
 	case f.fleet:
-		broken, err := demo.Fleet(ctx, demo.FleetOptions{Out: f.options.Out, LeaseDuration: time.Second})
-		return reportBroken(broken, err)
+		violations, err := demo.Fleet(ctx, demo.FleetOptions{Out: f.options.Out, LeaseDuration: time.Second})
+		return reportViolations(violations, err)
 	default:
 		r, err := demo.Run(ctx, f.options)
 		if err != nil {
 			return err
 		}
-		return reportBroken(r.Violations, nil)
+		return reportViolations(r.Violations, nil)
 	}
 }
 
-// runUpkeepDemo shows a node in daily operation. The node is this program itself.
-func runUpkeepDemo(ctx context.Context, o demo.Options) error {
+// runMaintenanceDemo runs the demo of maintenance on a node under load. The node runs as a process of this program's own
+// executable.
+func runMaintenanceDemo(ctx context.Context, o demo.Options) error {
 	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	broken, err := demo.Maintenance(ctx, demo.MaintenanceOptions{
+	violations, err := demo.Maintenance(ctx, demo.MaintenanceOptions{
 		Out: o.Out, NodeCommand: []string{executable, "node"}, Clients: o.Clients, Phase: o.Phase / 2,
 	})
-	return reportBroken(broken, err)
+	return reportViolations(violations, err)
 }
 
-// reportBroken returns err, or ErrReported if rules were broken: the demo has printed them.
-func reportBroken[T any](broken []T, err error) error {
-	if err == nil && len(broken) > 0 {
+// reportViolations returns err if it is not nil, else ErrReported if there are violations, which the demo has already
+// printed.
+func reportViolations[T any](violations []T, err error) error {
+	if err == nil && len(violations) > 0 {
 		return ErrReported
 	}
 	return err
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,9 +1,13 @@
-// Package cli is the product program's command line: one file a subcommand, named after it.
+// Package cli implements the command line of the program yokestall. Each subcommand has a file of its own, which is named
+// after the subcommand.
 //
-//   - cli.go makes the command tree; exit code 1 is any error, ErrReported one without further text.
-//   - serve.go runs the program by its files, server.go holds the running program; check.go and demo.go.
-//   - fleet.go has what the subcommands of `fleet` share: fleet_*.go. fleet_member.go is a program's part in a fleet.
-//   - release.go and release_file.go are `release` and the file that it reads.
-//   - lab.go has what the subcommands of `lab` share: lab_*.go.
-//   - keys.go and memory.go apply the settings of keys and of the memory limit.
+//   - cli.go builds the command tree. Any error makes the program exit with code 1; ErrReported is an error for which
+//     the program prints no further text.
+//   - serve.go implements `serve`, which runs the program with its configuration files; server.go holds the running
+//     program. check.go and demo.go implement `check` and `demo`.
+//   - fleet.go has the code that the subcommands of `fleet` in fleet_*.go share. fleet_member.go runs a node as a member
+//     of a fleet.
+//   - release.go implements `release`; release_file.go parses the file that `release` reads.
+//   - lab.go has the code that the subcommands of `lab` in lab_*.go share.
+//   - keys.go opens the configured TLS keys; memory.go applies the configured memory limit.
 package cli
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -14,7 +14,7 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// newFleetCommand makes `fleet` and its subcommands.
+// newFleetCommand returns the `fleet` command and its subcommands.
 func newFleetCommand(out io.Writer, log *slog.Logger) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "fleet",
@@ -35,15 +35,15 @@
 	return c
 }
 
-// fleetCommands is what the commands that call a fleet's voters share.
+// fleetCommands holds the output, the log and the flags that the commands that call a fleet's voters share.
 type fleetCommands struct {
 	out    io.Writer
 	log    *slog.Logger
-	config string // path of a node's file
-	json   bool   // print JSON in place of text
+	config string // path of the configuration file of a node
+	json   bool   // print JSON instead of text
 }
 
-// addFlags adds the flags that a command and its subcommands share.
+// addFlags registers the flags that a command shares with its subcommands.
 func (f *fleetCommands) addFlags(c *cobra.Command) {
 	flags := c.PersistentFlags()
 	flags.StringVarP(&f.config, "config", "c", "",
@@ -51,17 +51,17 @@
 	flags.BoolVar(&f.json, "json", false, "print JSON")
 }
 
-// agentConfig returns the configuration of the node whose file the flags name.
+// agentConfig returns the agent configuration of the node whose configuration file is given by -c.
 func (f *fleetCommands) agentConfig() (agent.Config, error) {
 	if f.config == "" {
-		return agent.Config{}, errors.New("-c FILE is missing: the file of a node of the fleet")
+		return agent.Config{}, errors.New("flag -c is missing: the configuration file of a node of the fleet is required")
 	}
 	s, err := files.Load(f.config)
 	if err != nil {
 		return agent.Config{}, err
 	}
 	if !s.Program.Agree.On() {
-		return agent.Config{}, fmt.Errorf("%s: has no [fleet.agree]", f.config)
+		return agent.Config{}, fmt.Errorf("%s: the section [fleet.agree] is missing, so this is no node of a fleet", f.config)
 	}
 	keys, err := openKeys(s.Program, f.config, f.log)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return fleetConfig(s.Program, f.config, keys, f.log), nil
 }
 
-// withClient calls do with a client of the fleet.
+// withClient calls do with a client of the fleet's voters, and closes the client afterwards.
 func (f *fleetCommands) withClient(do func(c *agent.Client) error) error {
 	config, err := f.agentConfig()
 	if err != nil {
@@ -84,7 +84,7 @@
 	return do(c)
 }
 
-// newQueryCommand makes a command without arguments that asks the fleet for something and prints it.
+// newQueryCommand returns a command without arguments that runs query, which asks the fleet and prints the answer.
 func (f *fleetCommands) newQueryCommand(
 	use, short string, query func(ctx context.Context, c *agent.Client) error,
 ) *cobra.Command {
@@ -98,7 +98,7 @@
 	}
 }
 
-// print prints v as JSON if the flags ask for it; else printText prints it.
+// print prints v as indented JSON if --json is set, and calls printText otherwise.
 func (f *fleetCommands) print(v any, printText func()) error {
 	if !f.json {
 		printText()
--- a/internal/cli/fleet_commands_test.go
+++ b/internal/cli/fleet_commands_test.go
@@ -13,8 +13,8 @@
 	"yokestall/internal/testutil"
 )
 
-// voterFile is the file of the one voter of a fleet; the verb is its address, twice.
-const voterFile = `[listen]
+// voterConfig is the configuration file of the only voter of a fleet. The verb, used twice, is the voter's address.
+const voterConfig = `[listen]
 address = "127.0.0.1:0"
 [files]
 clusters = "clusters"
@@ -35,7 +35,7 @@
 cluster = "rooms"
 `
 
-// voterCluster is the cluster file of the voter's program.
+// voterCluster is the cluster file that voterConfig refers to.
 const voterCluster = `[cluster]
 name = "rooms"
 [[endpoint]]
@@ -48,8 +48,8 @@
 endpoints = 2
 `
 
-// writeVoter writes the files of the one voter of a fleet and returns the path of the program's.
-func writeVoter(t *testing.T) string {
+// writeVoterFiles writes the files of the only voter of a fleet and returns the path of the configuration file.
+func writeVoterFiles(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 	path := filepath.Join(dir, "node.toml")
 	for name, text := range map[string]string{
-		path: fmt.Sprintf(voterFile, address),
+		path: fmt.Sprintf(voterConfig, address),
 		filepath.Join(dir, "clusters", "rooms.toml"): voterCluster,
 	} {
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -73,7 +73,8 @@
 	return path
 }
 
-// startVoter serves until stop is called, which checks that it ends without an error. It returns once the voter leads.
+// startVoter starts a voter and returns once the voter is the leader. stop ends the voter and checks that it returned no
+// error.
 func startVoter(t *testing.T, path string) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -81,7 +82,7 @@
 	go func() { served <- Serve(ctx, path, testutil.Log(t), nil) }()
 	stop = func() {
 		cancel()
-		if err := testutil.Wait(t, served, "the end"); err != nil {
+		if err := testutil.Wait(t, served, "the voter to stop"); err != nil {
 			t.Error(err)
 		}
 	}
@@ -92,21 +93,22 @@
 	return stop
 }
 
-// A fleet of one from nothing, through the commands of its operators' page.
+// A fleet with one voter is initialized and operated with the commands of the operators' documentation: init, publish,
+// rollback, release and the status commands. Wrong uses of the commands are rejected.
 func TestFleetCommands(t *testing.T) {
-	path := writeVoter(t)
+	path := writeVoterFiles(t)
 	want := func(text string, fails bool, args ...string) {
 		t.Helper()
 		out, err := run(t, args...)
 		if !strings.Contains(out, text) || (err != nil) != fails {
-			t.Errorf("%v: %q, %v; want %q, failing %v", args, out, err, text, fails)
+			t.Errorf("%v: output %q, error %v; want output with %q, and an error: %v", args, out, err, text, fails)
 		}
 	}
 	want("a node acts on its rules for 285ms", false, "check", path)
 	want("0 of 1 voters answer", true, "fleet", "status", "-c", path)
 	want("a is a voter of the fleet f", false, "fleet", "init", "-c", path)
 	if _, err := run(t, "fleet", "init", "-c", path); !failsWith(err, "is a voter's already") {
-		t.Errorf("init twice: %v", err)
+		t.Errorf("second init: error %v; want that the store is a voter's already", err)
 	}
 	stop := startVoter(t, path)
 	defer stop()
--- a/internal/cli/fleet_diff.go
+++ b/internal/cli/fleet_diff.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// newFleetDiffCommand makes `fleet diff`, which calls no fleet.
+// newFleetDiffCommand returns the `fleet diff` command. It compares files only and connects to no fleet.
 func newFleetDiffCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use:   "diff OLD NEW",
@@ -23,7 +23,7 @@
 	}
 }
 
-// printDifferences prints a line a difference of two programs' files; ErrReported if the two contradict.
+// printDifferences prints one line for each difference of two configurations. It returns ErrReported if they contradict.
 func printDifferences(out io.Writer, oldPath, newPath string) error {
 	oldVersion, err := loadVersion(oldPath)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// loadVersion reads a program's file and those that it names.
+// loadVersion reads a configuration file and the files that it refers to.
 func loadVersion(path string) (*consensus.Version, error) {
 	s, err := files.Load(path)
 	if err != nil {
--- a/internal/cli/fleet_diff_test.go
+++ b/internal/cli/fleet_diff_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A change that contradicts exits with 1 and says why; one that does not is listed; a bad file is named.
+// fleet diff fails and prints the reason if the two configurations contradict, lists differences that don't contradict,
+// and names a file that is invalid.
 func TestFleetDiff(t *testing.T) {
 	example := filepath.Join("..", "..", "deploy", "yokestall.toml")
 	text, err := os.ReadFile(example)
@@ -29,18 +30,18 @@
 	}
 	same := write("", "")
 	if out, err := run(t, "fleet", "diff", same, write("", "")); err != nil || out != "" {
-		t.Errorf("no difference: %q, %v", out, err)
+		t.Errorf("diff of equal files: output %q, error %v; want neither", out, err)
 	}
 	out, err := run(t, "fleet", "diff", same, write("attempts = 3", "attempts = 2"))
 	if err != nil || !strings.HasPrefix(out, "differs     attempts") {
-		t.Errorf("attempts: %q, %v", out, err)
+		t.Errorf("diff of attempts: output %q, error %v; want a difference and no error", out, err)
 	}
 	out, err = run(t, "fleet", "diff", same, write(`window = "6s"`, `window = "9s"`))
-	if !reports(out, err, "", "CONTRADICTS window of a keyed class: booking-push: 6s to 9s (rule 2") {
-		t.Errorf("window: %q, %v", out, err)
+	if !reportsFinding(out, err, "", "CONTRADICTS window of a keyed class: booking-push: 6s to 9s (rule 2") {
+		t.Errorf("diff of window: output %q, error %v; want a contradiction and ErrReported", out, err)
 	}
 	bad := write("attempts = 3", "attempts = 0")
 	if _, err := run(t, "fleet", "diff", same, bad); !failsWith(err, bad+":") {
-		t.Errorf("a bad file: %v", err)
+		t.Errorf("diff with an invalid file: error %v; want one that begins with the file's path", err)
 	}
 }
--- a/internal/cli/fleet_history.go
+++ b/internal/cli/fleet_history.go
@@ -9,12 +9,12 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// newHistoryCommand makes `fleet history`.
+// newHistoryCommand returns the `fleet history` command.
 func (f *fleetCommands) newHistoryCommand() *cobra.Command {
 	return f.newQueryCommand("history", "List the latest versions", f.printHistory)
 }
 
-// printHistory prints a line a version.
+// printHistory prints one line for each of the latest versions, with the version's state.
 func (f *fleetCommands) printHistory(ctx context.Context, c *agent.Client) error {
 	s, err := c.LatestStatus(ctx)
 	if err != nil {
--- a/internal/cli/fleet_init.go
+++ b/internal/cli/fleet_init.go
@@ -9,7 +9,7 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// newInitCommand makes `fleet init`.
+// newInitCommand returns the `fleet init` command.
 func (f *fleetCommands) newInitCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "init",
@@ -22,7 +22,7 @@
 	}
 }
 
-// initVoter makes the store of the node, which has to be one of the voters.
+// initVoter initializes the store of the node as that of a voter. The node must be one of the configured voters.
 func (f *fleetCommands) initVoter() error {
 	config, err := f.agentConfig()
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 	isVoter := slices.ContainsFunc(config.Voters, func(v agent.VoterAddress) bool { return v.Name == config.Name })
 	if !isVoter {
-		return fmt.Errorf("%s: voters: %s is not among them, and needs no init", f.config, config.Name)
+		return fmt.Errorf("%s: voters: node %s is not one of them; only a voter's store is initialized", f.config, config.Name)
 	}
 	if err := agent.Init(config); err != nil {
 		return err
--- a/internal/cli/fleet_member.go
+++ b/internal/cli/fleet_member.go
@@ -13,7 +13,8 @@
 	"yokestall/internal/tlskeys"
 )
 
-// fleetConfig returns the node's configuration from the program's file at a path. keys may be nil: no TLS.
+// fleetConfig returns the agent configuration of the node that the configuration file at path describes. Relative paths
+// in p are relative to that file. Without keys (nil) the node's connections use no TLS.
 func fleetConfig(p *config.Program, path string, keys *tlskeys.Store, log *slog.Logger) agent.Config {
 	a := &p.Agree
 	c := agent.Config{
@@ -34,14 +35,15 @@
 	return c
 }
 
-// fleetMember is a program's part in a fleet: the node that has its app act on what the fleet agrees on.
+// fleetMember is the membership of this program in a fleet: a node that has the app act on the fleet's agreed versions.
 type fleetMember struct {
 	node     *agent.Node
-	listener net.Listener // for the other nodes' calls; nil: it takes none
+	listener net.Listener // accepts the other nodes' calls; nil: no calls are accepted
 	source   *app.AgreedSource
 }
 
-// openFleetMember makes an app that acts on what the fleet agrees on, and opens its node, which does not run yet.
+// openFleetMember creates an app that acts on the fleet's agreed versions, and opens its node. The node does not run
+// until run is called.
 func openFleetMember(p *config.Program, o app.Options, options serveOptions) (*app.App, *fleetMember, error) {
 	m := &fleetMember{}
 	o.LeaseValid = func() bool { return m.node.MayServe() }
@@ -63,7 +65,7 @@
 	return a, m, nil
 }
 
-// open opens the node and its listener; an empty address is none.
+// open opens the node, and a listener on the address unless the address is empty.
 func (m *fleetMember) open(c agent.Config, address string) error {
 	var err error
 	if m.node, err = agent.Open(c); err != nil {
@@ -79,7 +81,7 @@
 	return nil
 }
 
-// run has the node take part until ctx ends. It goes on without its RPC server if that one fails.
+// run runs the node until ctx ends. If the node's RPC server fails, run logs the error and the node goes on without it.
 func (m *fleetMember) run(ctx context.Context, log *slog.Logger) {
 	served := make(chan struct{})
 	go func() {
--- a/internal/cli/fleet_owners.go
+++ b/internal/cli/fleet_owners.go
@@ -9,14 +9,14 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// newOwnersCommand makes `fleet owners`.
+// newOwnersCommand returns the `fleet owners` command.
 func (f *fleetCommands) newOwnersCommand() *cobra.Command {
 	return f.newQueryCommand("owners",
 		"Say which node does each work on behalf of the fleet, by which token, and for how long its lease lasts",
 		f.printOwners)
 }
 
-// printOwners prints a line a task of the fleet.
+// printOwners prints one line for each task of the fleet.
 func (f *fleetCommands) printOwners(ctx context.Context, c *agent.Client) error {
 	s, err := c.LatestStatus(ctx)
 	if err != nil {
@@ -33,7 +33,8 @@
 	})
 }
 
-// addActiveLeases replaces the tasks whose owner is the voter of a status: only the owner itself knows its lease.
+// addActiveLeases replaces each task that is owned by the voter with status s by that voter's own entry, since only the
+// owner knows how long its lease lasts. A voter that did not answer has no status (nil).
 func addActiveLeases(tasks []agent.TaskStatus, s *agent.Status) {
 	if s == nil {
 		return
--- a/internal/cli/fleet_publish.go
+++ b/internal/cli/fleet_publish.go
@@ -11,7 +11,7 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// newPublishCommand makes `fleet publish`.
+// newPublishCommand returns the `fleet publish` command.
 func (f *fleetCommands) newPublishCommand() *cobra.Command {
 	var flags submitFlags
 	change := false
@@ -42,7 +42,7 @@
 	return c
 }
 
-// publishFiles reads a program's file with its cluster files, to be published as a version.
+// publishFiles reads a configuration file with its cluster files, and returns a function that publishes them as a version.
 func publishFiles(path string) (proposeFunc, error) {
 	list, err := files.Bundle(path)
 	if err != nil {
@@ -53,7 +53,8 @@
 	}, nil
 }
 
-// publishChange reads a change of one cluster's list, to be published as a version.
+// publishChange reads a file with a change of one cluster's endpoint list, and returns a function that publishes the
+// change as a version.
 func publishChange(path string) (proposeFunc, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/cli/fleet_rollback.go
+++ b/internal/cli/fleet_rollback.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// newRollbackCommand makes `fleet rollback`.
+// newRollbackCommand returns the `fleet rollback` command.
 func (f *fleetCommands) newRollbackCommand() *cobra.Command {
 	var flags submitFlags
 	c := &cobra.Command{
@@ -20,7 +20,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			number, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil {
-				return fmt.Errorf("%q is no version's number", args[0])
+				return fmt.Errorf("%q is not a version number: an unsigned decimal integer is required", args[0])
 			}
 			return f.submit(cmd.Context(), flags, rollbackTo(number))
 		},
@@ -29,7 +29,7 @@
 	return c
 }
 
-// rollbackTo proposes an earlier version again.
+// rollbackTo returns a function that proposes an earlier version again, as a new version.
 func rollbackTo(number uint64) proposeFunc {
 	return func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error) {
 		return c.Rollback(ctx, id, base, number)
--- a/internal/cli/fleet_status.go
+++ b/internal/cli/fleet_status.go
@@ -10,14 +10,14 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// newStatusCommand makes `fleet status`.
+// newStatusCommand returns the `fleet status` command.
 func (f *fleetCommands) newStatusCommand() *cobra.Command {
 	return f.newQueryCommand("status",
 		"Say how each voter sees the fleet: leader, version in force, version that waits, and for whom",
 		f.printStatus)
 }
 
-// printStatus prints the status of each voter; ErrReported without a majority.
+// printStatus prints the status of each voter. It returns ErrReported unless a majority of the voters answer as voters.
 func (f *fleetCommands) printStatus(ctx context.Context, c *agent.Client) error {
 	list := c.Status(ctx)
 	voting := 0
@@ -54,7 +54,7 @@
 	}
 }
 
-// printVotingStatus prints the line of a voter that votes.
+// printVotingStatus prints the line of a voter that votes: its versions, leader, lease and the lease holders.
 func (f *fleetCommands) printVotingStatus(voter string, s *agent.Status) {
 	leader := s.Leader
 	if leader == "" {
--- a/internal/cli/fleet_submit.go
+++ b/internal/cli/fleet_submit.go
@@ -12,20 +12,20 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// submitTimeout is the default of --wait.
+// submitTimeout is the default of --wait, the time to wait until a proposed version is in force.
 const submitTimeout = 30 * time.Second
 
-// baseInForce is the value of --base for whatever version is in force.
+// baseInForce is the value of --base that selects the version in force at the time of the command.
 const baseInForce = "present"
 
 // submitFlags are the flags of the commands that propose a version.
 type submitFlags struct {
-	base string // number of the version that it was made from, or baseInForce
-	id   string // "": a new one
-	wait time.Duration
+	base string        // number of the version that the proposal is based on, or baseInForce
+	id   string        // identifies the proposal across tries; "": a new ID is generated
+	wait time.Duration // longest wait until the version is in force; 0: the command does not wait
 }
 
-// add adds the flags to a command.
+// add registers the flags with a command.
 func (s *submitFlags) add(c *cobra.Command) {
 	flags := c.Flags()
 	flags.StringVar(&s.base, "base", "",
@@ -35,33 +35,34 @@
 	c.MarkFlagRequired("base")
 }
 
-// baseVersion returns the number that --base means.
+// baseVersion returns the version number that --base selects. It asks the fleet if --base is baseInForce.
 func (s *submitFlags) baseVersion(ctx context.Context, c *agent.Client) (uint64, error) {
 	if s.base != baseInForce {
 		number, err := strconv.ParseUint(s.base, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("--base: %w", err)
+			return 0, fmt.Errorf("--base: neither a version number nor \"present\": %w", err)
 		}
 		return number, nil
 	}
 	status, err := c.LatestStatus(ctx)
 	if err != nil {
-		return 0, fmt.Errorf("--base: %w", err)
+		return 0, fmt.Errorf("--base: the version in force can't be read: %w", err)
 	}
 	return status.LogStatus.ActiveVersion, nil
 }
 
-// proposeFunc proposes a version under an id, made from a base.
+// proposeFunc proposes a version that is based on version base. The id identifies the proposal if it is sent again.
 type proposeFunc func(ctx context.Context, c *agent.Client, id string, base uint64) (*agent.PublishReply, error)
 
-// publishResult is what a proposal prints as JSON.
+// publishResult is the JSON output of the commands that propose a version.
 type publishResult struct {
 	ID string `json:"id"`
 	*agent.PublishReply
-	*agent.PublishOutcome // nil: not waited for
+	*agent.PublishOutcome // nil: the command did not wait for the version
 }
 
-// submit proposes a version, waits for it and prints the result; ErrReported if it is not taken up, or not in force.
+// submit proposes a version, waits until it is in force as --wait says, and prints the result. It returns ErrReported if
+// the fleet does not accept the proposal, or if the wait ends without the version in force.
 func (f *fleetCommands) submit(ctx context.Context, flags submitFlags, propose proposeFunc) error {
 	return f.withClient(func(c *agent.Client) error {
 		base, err := flags.baseVersion(ctx, c)
@@ -91,7 +92,8 @@
 	})
 }
 
-// awaitVersion waits until a version is in force or refused, or the time is over, and prints its progress.
+// awaitVersion waits until a version is in force or refused, but no longer than wait. It prints which nodes the version
+// waits for, unless --json is set.
 func (f *fleetCommands) awaitVersion(
 	ctx context.Context, c *agent.Client, number uint64, wait time.Duration,
 ) *agent.PublishOutcome {
--- a/internal/cli/fleet_submit_test.go
+++ b/internal/cli/fleet_submit_test.go
@@ -9,7 +9,8 @@
 	"yokestall/internal/testutil/golden"
 )
 
-// The other JSON output of the fleet commands is that of types of package agent, which has golden files for them.
+// The JSON output of the commands that propose a version equals the golden file. The other fleet commands print types of
+// package agent, which has golden files of its own.
 func TestGoldenPublishOutput(t *testing.T) {
 	want := publishResult{
 		ID: "id-a",
--- a/internal/cli/fleet_voters.go
+++ b/internal/cli/fleet_voters.go
@@ -9,12 +9,12 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// newVotersCommand makes `fleet voters`.
+// newVotersCommand returns the `fleet voters` command.
 func (f *fleetCommands) newVotersCommand() *cobra.Command {
 	return f.newQueryCommand("voters", "List the voters and whether each votes", f.printVoters)
 }
 
-// printVoters prints a line a voter.
+// printVoters prints one line for each voter, with its role.
 func (f *fleetCommands) printVoters(ctx context.Context, c *agent.Client) error {
 	list := c.Status(ctx)
 	return f.print(list, func() {
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -8,7 +8,7 @@
 	"yokestall/internal/tlskeys"
 )
 
-// openKeys opens the keys that the program's file at a path names; nil if it names none.
+// openKeys opens the TLS keys that the configuration file at path refers to. It returns nil if the file has no keys.
 func openKeys(p *config.Program, path string, log *slog.Logger) (*tlskeys.Store, error) {
 	if p.Keys.Folder == "" {
 		return nil, nil
--- a/internal/cli/lab_scale_test.go
+++ b/internal/cli/lab_scale_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A page that differs from its files is reported by its line, with exit code 1; one that doesn't passes; a page and a
-// plan are not accepted together.
+// --check passes a page whose figures equal those of the files, and reports a different figure with its line. A page
+// together with a plan, and a plan that does not exist, are rejected.
 func TestScaleCheck(t *testing.T) {
 	dir := t.TempDir()
 	page := filepath.Join(dir, "PAGE.md")
@@ -26,12 +26,12 @@
 	write(page, "# Page\n1,900 nodes<!-- fig: plan:nodes -->\n")
 	out, err := run(t, "lab", "scale", "--check", page)
 	if err != nil || !strings.HasSuffix(out, "its figures are those of the files\n") {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("check of an equal page: output %q, error %v; want no error", out, err)
 	}
 	write(page, "# Page\n1,800 nodes<!-- fig: plan:nodes -->\n")
 	out, err = run(t, "lab", "scale", "--check", page)
-	if !reports(out, err, page+":2: the page has 1,800, and plan:nodes is 1900", "") {
-		t.Errorf("%q, %v", out, err)
+	if !reportsFinding(out, err, page+":2: the page has 1,800, and plan:nodes is 1900", "") {
+		t.Errorf("check of a different page: output %q, error %v; want line 2 and both figures", out, err)
 	}
 	if _, err := run(t, "lab", "scale", "--check", page, "plan.toml"); err == nil || errors.Is(err, ErrReported) {
 		t.Error(err)
--- a/internal/cli/memory.go
+++ b/internal/cli/memory.go
@@ -2,19 +2,20 @@
 
 import "runtime/debug"
 
-// memoryLimit sets the Go runtime's soft limit of memory by the program's file: as the heap nears it, garbage is
-// collected more often. Where the file has no limit, the one that the process was started with holds (GOMEMLIMIT).
+// memoryLimit sets the Go runtime's soft memory limit to the one in the configuration file. The garbage collector runs
+// more often as the heap approaches the limit. If the file has no limit, the limit with which the process was started
+// (GOMEMLIMIT) applies.
 type memoryLimit struct {
-	started int64 // bytes, as the process was started
+	initial int64 // limit in bytes with which the process was started
 }
 
-// newMemoryLimit reads the limit that holds, without changing it.
-func newMemoryLimit() memoryLimit { return memoryLimit{started: debug.SetMemoryLimit(-1)} }
+// newMemoryLimit reads the runtime's current limit, without changing it.
+func newMemoryLimit() memoryLimit { return memoryLimit{initial: debug.SetMemoryLimit(-1)} }
 
-// set puts a limit in force; 0: the one of the start.
+// set sets the limit to a number of bytes; 0 restores the limit with which the process was started.
 func (l memoryLimit) set(bytes int64) {
 	if bytes == 0 {
-		bytes = l.started
+		bytes = l.initial
 	}
 	debug.SetMemoryLimit(bytes)
 }
--- a/internal/cli/memory_test.go
+++ b/internal/cli/memory_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The file's limit goes before the one of the start, which holds again once the file has none.
+// The limit in the file takes precedence over the limit with which the process was started. The latter applies again once
+// the file has no limit.
 func TestMemoryLimit(t *testing.T) {
 	const start, own = 3 << 30, 1 << 30
 	before := debug.SetMemoryLimit(start)
@@ -14,7 +15,7 @@
 	for _, c := range []struct{ set, want int64 }{{0, start}, {own, own}, {0, start}} {
 		l.set(c.set)
 		if got := debug.SetMemoryLimit(-1); got != c.want {
-			t.Errorf("with %d in the file the limit is %d, want %d", c.set, got, c.want)
+			t.Errorf("limit %d in the file: the runtime's limit is %d, want %d", c.set, got, c.want)
 		}
 	}
 }
--- a/internal/cli/release.go
+++ b/internal/cli/release.go
@@ -12,7 +12,7 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// newReleaseCommand makes `release` and its subcommands.
+// newReleaseCommand returns the `release` command and its subcommands.
 func newReleaseCommand(out io.Writer, log *slog.Logger) *cobra.Command {
 	f := &fleetCommands{out: out, log: log}
 	id := ""
@@ -37,7 +37,8 @@
 	return c
 }
 
-// newReleaseActionCommand makes a subcommand that sends one action; "" asks for the status alone.
+// newReleaseActionCommand returns a subcommand that sends one action to the fleet. The empty action only asks for the
+// status.
 func (f *fleetCommands) newReleaseActionCommand(
 	use, short string, action consensus.ReleaseAction,
 ) *cobra.Command {
@@ -51,7 +52,7 @@
 	}
 }
 
-// newAbortCommand makes `release abort`.
+// newAbortCommand returns the `release abort` command.
 func (f *fleetCommands) newAbortCommand() *cobra.Command {
 	reason := ""
 	c := &cobra.Command{
@@ -66,7 +67,7 @@
 	return c
 }
 
-// startRelease starts the release of a file; an empty id is replaced by a new one.
+// startRelease starts the release that a file describes. If id is empty, the release gets a new ID.
 func (f *fleetCommands) startRelease(cmd *cobra.Command, path, id string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,7 +83,8 @@
 	return f.controlRelease(cmd, agent.ReleaseCommand{Start: r})
 }
 
-// controlRelease sends a command to the fleet and prints the release's progress; ErrReported if it is refused.
+// controlRelease sends a command to the fleet and prints the release's progress. It returns ErrReported if the fleet
+// refuses the command.
 func (f *fleetCommands) controlRelease(cmd *cobra.Command, command agent.ReleaseCommand) error {
 	return f.withClient(func(c *agent.Client) error {
 		reply, err := c.ControlRelease(cmd.Context(), command)
@@ -99,7 +101,7 @@
 	})
 }
 
-// printRelease prints a reply as text.
+// printRelease prints the error and the progress of a reply as text.
 func (f *fleetCommands) printRelease(reply *agent.ReleaseReply) {
 	if reply.Error != "" {
 		fmt.Fprintln(f.out, reply.Error)
--- a/internal/cli/release_file.go
+++ b/internal/cli/release_file.go
@@ -10,13 +10,13 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// Defaults of a release's file.
+// Defaults of the settings in a release's file.
 const (
-	defaultAtOnce       = 1   // servers of a wave
-	defaultReleaseFloor = 0.5 // share of the servers that stay in use
+	defaultAtOnce       = 1   // servers in each wave
+	defaultReleaseFloor = 0.5 // share of the cluster's servers that must stay in use
 )
 
-// releaseFile is a release as operators write it.
+// releaseFile is the TOML form of a release, which operators write.
 type releaseFile struct {
 	Cluster string          `toml:"cluster"`
 	Servers []string        `toml:"servers"`
@@ -28,7 +28,8 @@
 	Warm    config.Duration `toml:"warm"`
 }
 
-// parseRelease reads a release's file. An error is a *cluster.Problem, or one that says line and key.
+// parseRelease parses the file of a release; name is the file's name in errors. An invalid TOML text gives an error with
+// line and key, an invalid release a *cluster.Problem.
 func parseRelease(name string, text []byte) (*consensus.Release, error) {
 	f := releaseFile{AtOnce: defaultAtOnce, Floor: defaultReleaseFloor}
 	if err := config.Decode(name, text, &f); err != nil {
@@ -38,7 +39,7 @@
 		return &cluster.Problem{Source: name, Field: field, Text: text}
 	}
 	if len(f.Waves) > 0 && len(f.Servers) > 0 {
-		return nil, problem("waves", "waves, or servers and at_once")
+		return nil, problem("waves", "waves and servers exclude each other: give either waves, or servers and at_once")
 	}
 	if f.AtOnce < 1 {
 		return nil, problem("at_once", fmt.Sprintf("%d is below 1", f.AtOnce))
--- a/internal/cli/release_file_test.go
+++ b/internal/cli/release_file_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The error of a release that can't be names its file.
+// The error for an invalid release names the file and the invalid setting.
 func TestReleaseFile(t *testing.T) {
 	for _, tc := range []struct{ text, want string }{
 		{"cluster = \"a\"\n", "waves: 0"},
@@ -15,7 +15,7 @@
 	} {
 		_, err := parseRelease("r.toml", []byte(tc.text))
 		if !failsWith(err, tc.want) || !failsWith(err, "r.toml") {
-			t.Errorf("%q: %v", tc.text, err)
+			t.Errorf("parseRelease(%q): error %v; want the file's name and the setting", tc.text, err)
 		}
 	}
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -12,7 +12,7 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// newServeCommand makes `serve`.
+// newServeCommand returns the `serve` command.
 func newServeCommand(log *slog.Logger) *cobra.Command {
 	var path string
 	c := &cobra.Command{
@@ -28,20 +28,20 @@
 	return c
 }
 
-// Serve runs the program by its files until ctx ends. ready, if given, is called with
-// the address once it listens.
+// Serve runs the program with the configuration file at path until ctx ends. If ready is not nil, Serve calls it with the
+// address of the first listener once the program listens.
 func Serve(ctx context.Context, path string, log *slog.Logger, ready func(net.Addr)) error {
 	return serve(ctx, path, log, serveOptions{ready: ready})
 }
 
-// serveOptions are what the lab changes of a program that serves; the zero value is the program as it is.
+// serveOptions are the lab's changes to a serving program. The zero value changes nothing.
 type serveOptions struct {
-	ready func(net.Addr)       // called with the first listener's address once it listens; nil: not
-	clock func() time.Duration // for the leases of [fleet.agree]; nil: the machine's
-	hooks *agent.Hooks         // into the node's part of the fleet; nil: none
+	ready func(net.Addr)       // called with the first listener's address once it listens; nil: no call
+	clock func() time.Duration // clock for the leases of [fleet.agree]; nil: the machine's clock
+	hooks *agent.Hooks         // hooks of the fleet agent; nil: no hooks
 }
 
-// serve is Serve with the lab's options.
+// serve does the work of Serve, with options for the lab.
 func serve(ctx context.Context, path string, log *slog.Logger, options serveOptions) error {
 	watcher, first, err := files.Open(path, log)
 	if err != nil {
--- a/internal/cli/serve_test.go
+++ b/internal/cli/serve_test.go
@@ -12,7 +12,7 @@
 	"yokestall/internal/testutil"
 )
 
-// The example is served as it stands, but for the port.
+// The program serves the example configuration unchanged, except for the port, and reports that it is ready.
 func TestServe(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"yokestall.toml", "clusters/rooms.toml"} {
@@ -35,7 +35,7 @@
 	case addr := <-listening:
 		resp, err := http.Get("http://" + addr.String() + "/health/ready")
 		if err != nil || resp.StatusCode != 200 {
-			t.Errorf("%v, %v", resp, err)
+			t.Errorf("GET /health/ready: response %v, error %v; want status 200", resp, err)
 		} else {
 			resp.Body.Close()
 		}
--- a/internal/cli/server.go
+++ b/internal/cli/server.go
@@ -17,23 +17,24 @@
 	"yokestall/internal/xds"
 )
 
-// restartNeeded is the log event of a setting that changed and takes effect at the next start alone.
+// restartNeeded is the log event for a changed setting that takes effect only when the program is restarted.
 const restartNeeded = "changed settings need a restart"
 
-// server is the running program: an app, and the tasks that keep it up to date.
+// server is the running program: an app, and the goroutines that keep the app's configuration up to date.
 type server struct {
-	path      string               // of the program's file
-	first     *files.Configuration // the version that it was started with
+	path      string               // path of the configuration file
+	first     *files.Configuration // the configuration with which the program was started
 	memory    memoryLimit
-	keys      *tlskeys.Store // nil: the file names none
+	keys      *tlskeys.Store // nil: the configuration has no keys
 	app       *app.App
-	member    *fleetMember // nil: no [fleet.agree]
+	member    *fleetMember // nil: the configuration has no section [fleet.agree]
 	listeners *app.Listeners
 	log       *slog.Logger
-	tasks     sync.WaitGroup // those that end with the program's context
+	tasks     sync.WaitGroup // goroutines that end with the program's context
 }
 
-// newServer makes the app, which does not listen yet.
+// newServer returns a server with its app, and with its fleet member if the configuration has one. The app does not
+// listen yet.
 func newServer(
 	path string, first *files.Configuration, memory memoryLimit, log *slog.Logger, options serveOptions,
 ) (*server, error) {
@@ -55,7 +56,8 @@
 	return s, nil
 }
 
-// startProcessor serves the external processor, if the file has one. Its end is sent to the channel.
+// startProcessor starts to serve the external processor, if one is configured. When the processor ends, its error is sent
+// to the channel ended.
 func (s *server) startProcessor(ctx context.Context) (ended <-chan error, err error) {
 	result := make(chan error, 1)
 	settings := s.first.Program.ExtProc
@@ -72,7 +74,8 @@
 	return result, nil
 }
 
-// followConfiguration starts the tasks that apply changes of files, keys and the control plane's resources.
+// followConfiguration starts the goroutines that apply changes of the configuration files, the keys and the control
+// plane's resources.
 func (s *server) followConfiguration(ctx context.Context, watcher *files.Watcher) {
 	source := app.NewSource(s.app, s.first)
 	if c := app.XDSConfig(s.first.Program, s.path); c != nil {
@@ -88,7 +91,8 @@
 	}
 }
 
-// applyFiles applies a new version of the files.
+// applyFiles applies a new version of the configuration files. It logs changed settings that need a restart. If the
+// listeners can't be updated, the current listeners are kept.
 func (s *server) applyFiles(source *app.Source, next *files.Configuration) {
 	s.memory.set(next.Program.MemoryLimit)
 	if s.member != nil {
@@ -102,7 +106,8 @@
 	}
 }
 
-// warnOfRestart logs the settings that differ from those of the start and that only a start applies.
+// warnOfRestart logs each group of settings that differs from the one with which the program was started and that takes
+// effect only when the program is restarted.
 func (s *server) warnOfRestart(next *config.Program) {
 	first := s.first.Program
 	if !reflect.DeepEqual(next.Agree, first.Agree) {
@@ -123,7 +128,8 @@
 // sameName reports whether two classes have the same name.
 func sameName(a, b config.Class) bool { return a.Name == b.Name }
 
-// wait returns at the end of ctx, or with the error of a listener or of the external processor.
+// wait blocks until ctx ends, or until a listener or the external processor fails. It returns the error of
+// the listener or processor, and nil at the end of ctx.
 func (s *server) wait(ctx context.Context, processorEnded <-chan error) error {
 	select {
 	case <-ctx.Done():
