--- a/internal/cli/lab.go
+++ b/internal/cli/lab.go
@@ -10,10 +10,10 @@
 	"yokestall/internal/lab"
 )
 
-// defaultSeeds is the default of --seeds.
+// defaultSeeds is the default of --seeds, the number of seeds with which an experiment is run.
 const defaultSeeds = 4
 
-// newLabCommand makes `lab` and its subcommands.
+// newLabCommand returns the `lab` command and its subcommands.
 func newLabCommand(out io.Writer) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "lab",
@@ -36,7 +36,7 @@
 	return c
 }
 
-// loadExperiment reads an experiment's file.
+// loadExperiment reads the file of an experiment.
 func loadExperiment(path string) (*lab.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -45,20 +45,22 @@
 	return lab.Parse(path, text)
 }
 
-// requireAll plays the days of all files; ErrReported if one does not pass, which has been printed.
-func requireAll(paths []string, play func(path string) (passed bool, err error)) error {
-	passed, err := allPass(paths, play)
+// runAll calls run with the path of each experiment. It returns ErrReported if an experiment does not pass; run has then
+// printed why.
+func runAll(paths []string, run func(path string) (passed bool, err error)) error {
+	passed, err := allPass(paths, run)
 	if err == nil && !passed {
 		err = ErrReported
 	}
 	return err
 }
 
-// allPass calls play with each item of a list, past those that do not pass; the first error ends it.
-func allPass[T any](list []T, play func(T) (passed bool, err error)) (bool, error) {
+// allPass calls run with each item of a list and reports whether all items pass. It goes on after an item that does not
+// pass, and ends at the first error.
+func allPass[T any](list []T, run func(T) (passed bool, err error)) (bool, error) {
 	all := true
 	for _, item := range list {
-		passed, err := play(item)
+		passed, err := run(item)
 		if err != nil {
 			return false, err
 		}
@@ -67,23 +69,24 @@
 	return all, nil
 }
 
-// printBeside prints a day's outcome in real time beside that in virtual time, and what the former broke. void says
-// that the load generator was late. It reports whether the outcome in real time passes.
-func printBeside[T any](
-	out io.Writer, e *lab.Experiment, virtual, realTime *lab.Outcome, broken []T, void bool,
+// printSideBySide prints an experiment's outcomes in virtual time and in real time side by side, and the violations in
+// real time. void says that the load generator ran late, so that the outcome in real time means nothing. printSideBySide
+// reports whether the outcome in real time passes.
+func printSideBySide[T any](
+	out io.Writer, e *lab.Experiment, virtual, realTime *lab.Outcome, violations []T, void bool,
 ) (passed bool) {
 	fmt.Fprintln(out, e.Summary())
 	lab.WriteTable(out, []*lab.Outcome{virtual, realTime})
-	printBroken(out, broken)
+	printViolations(out, violations)
 	if void {
 		fmt.Fprintln(out, "VOID: the load generator was late itself")
 	}
-	return len(broken) == 0 && !void
+	return len(violations) == 0 && !void
 }
 
-// printBroken prints a line a rule that was broken.
-func printBroken[T any](out io.Writer, broken []T) {
-	for _, b := range broken {
+// printViolations prints one line for each violation.
+func printViolations[T any](out io.Writer, violations []T) {
+	for _, b := range violations {
 		fmt.Fprintln(out, "NOT HELD:", b)
 	}
 }
--- a/internal/cli/lab_compare.go
+++ b/internal/cli/lab_compare.go
@@ -10,20 +10,21 @@
 	"yokestall/internal/lab"
 )
 
-// newLabCompareCommand makes `lab compare`; seeds is the flag of `lab`.
+// newLabCompareCommand returns the `lab compare` command; seeds is the value of the flag --seeds of `lab`.
 func newLabCompareCommand(out io.Writer, seeds *int) *cobra.Command {
 	return &cobra.Command{
 		Use:   "compare A B",
 		Short: "Play two days on the same seeds, and say whether the second gives more service than the first",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, paths []string) error {
-			return compareDays(out, paths, max(2, *seeds))
+			return compareExperiments(out, paths, max(2, *seeds))
 		},
 	}
 }
 
-// compareDays plays the days of two files and prints the service of the second over the first.
-func compareDays(out io.Writer, paths []string, seeds int) error {
+// compareExperiments runs the experiments of two files on the same seeds and prints the service of the second relative to
+// that of the first.
+func compareExperiments(out io.Writer, paths []string, seeds int) error {
 	var outcomes []*lab.Outcome
 	for _, path := range paths {
 		e, err := loadExperiment(path)
--- a/internal/cli/lab_fleet.go
+++ b/internal/cli/lab_fleet.go
@@ -14,13 +14,13 @@
 	"yokestall/internal/lab/sockets"
 )
 
-// faultFlags are the flags of `lab fleet`.
+// faultFlags are the flags of `lab fleet`, which replace the faults of an experiment's file by random faults.
 type faultFlags struct {
-	count int // faults that are drawn; 0: the file's
-	seed  uint64
+	count int    // number of random faults; 0: the file's faults are kept
+	seed  uint64 // seed of the random faults
 }
 
-// newLabFleetCommand makes `lab fleet`.
+// newLabFleetCommand returns the `lab fleet` command.
 func newLabFleetCommand(out io.Writer) *cobra.Command {
 	var f faultFlags
 	c := &cobra.Command{
@@ -28,7 +28,7 @@
 		Short: "Play days with a real process of the program for each node, and the file's faults of processes and links",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
-			return requireAll(paths, func(path string) (bool, error) { return playFleet(c.Context(), out, path, f) })
+			return runAll(paths, func(path string) (bool, error) { return runWithProcesses(c.Context(), out, path, f) })
 		},
 	}
 	c.Flags().IntVar(&f.count, "draw", 0, "draw `N` faults in place of the file's, and print them")
@@ -36,8 +36,9 @@
 	return c
 }
 
-// playFleet plays one day with real processes; passed: no rule was broken, and the load generator was not late.
-func playFleet(ctx context.Context, out io.Writer, path string, f faultFlags) (passed bool, err error) {
+// runWithProcesses runs one experiment in virtual time without faults, and with real processes and faults. passed says
+// that the run with processes had no violations and that the load generator was not late.
+func runWithProcesses(ctx context.Context, out io.Writer, path string, f faultFlags) (passed bool, err error) {
 	e, err := loadExperiment(path)
 	if err != nil {
 		return false, err
@@ -65,5 +66,5 @@
 	if err != nil {
 		return false, err
 	}
-	return printBeside(out, e, virtual, processes, found, void), nil
+	return printSideBySide(out, e, virtual, processes, found, void), nil
 }
--- a/internal/cli/lab_hollow.go
+++ b/internal/cli/lab_hollow.go
@@ -13,7 +13,8 @@
 	"yokestall/internal/lab/scale"
 )
 
-// newLabHollowCommand makes `lab hollow`: hollow nodes under the command of the process that started this one.
+// newLabHollowCommand returns the hidden `lab hollow` command. Its process runs hollow nodes, which are nodes without
+// traffic, and carries out the commands of the process that started it.
 func newLabHollowCommand() *cobra.Command {
 	path := ""
 	var at scale.Placement
@@ -23,7 +24,7 @@
 		Args:   cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if at.First < 0 || at.Count < 1 || at.Offset < 0 || at.Regions < 1 || at.Zones < 1 {
-				return errors.New("--first, --count, --before, --regions, --zones: no such nodes")
+				return errors.New("--first and --before must be at least 0, and --count, --regions and --zones at least 1")
 			}
 			return runHollow(cmd.Context(), path, at, slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)))
 		},
@@ -38,7 +39,7 @@
 	return c
 }
 
-// runHollow runs hollow nodes until the commands on standard input end.
+// runHollow runs hollow nodes until standard input, from which it reads commands, is closed.
 func runHollow(ctx context.Context, path string, at scale.Placement, log *slog.Logger) error {
 	snapshot, err := files.Load(path)
 	if err != nil {
@@ -46,7 +47,7 @@
 	}
 	p := snapshot.Program
 	if !p.Agree.On() {
-		return fmt.Errorf("%s: has no [fleet.agree]", path)
+		return fmt.Errorf("%s: the section [fleet.agree] is missing, so this is no node of a fleet", path)
 	}
 	keys, err := openKeys(p, path, log)
 	if err != nil {
--- a/internal/cli/lab_list.go
+++ b/internal/cli/lab_list.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// newLabListCommand makes `lab list`.
+// newLabListCommand returns the `lab list` command.
 func newLabListCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use:   "list [FOLDER]",
@@ -21,16 +21,16 @@
 			if len(args) > 0 {
 				folder = args[0]
 			}
-			return listDays(out, folder)
+			return listExperiments(out, folder)
 		},
 	}
 }
 
-// listDays prints a line a day.
-func listDays(out io.Writer, folder string) error {
+// listExperiments prints one line for each experiment of a folder. It skips plans of `lab scale`.
+func listExperiments(out io.Writer, folder string) error {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.toml"))
 	if err != nil || len(paths) == 0 {
-		return errors.Join(fmt.Errorf("%s: no days", folder), err)
+		return errors.Join(fmt.Errorf("%s: no experiment files (*.toml) found", folder), err)
 	}
 	for _, path := range paths {
 		if isScalePlan(path) {
@@ -45,5 +45,5 @@
 	return nil
 }
 
-// isScalePlan reports whether a file of the lab is a plan of `lab scale` rather than a day.
+// isScalePlan reports whether a file of the lab is, by its name, a plan of `lab scale` and not an experiment.
 func isScalePlan(path string) bool { return strings.HasPrefix(filepath.Base(path), "scale-") }
--- a/internal/cli/lab_process.go
+++ b/internal/cli/lab_process.go
@@ -15,19 +15,20 @@
 	"yokestall/internal/lab/process"
 )
 
-// processRunLimit is the default of --limit.
+// processRunLimit is the default of --limit, the time limit for all sizes together.
 const processRunLimit = 30 * time.Minute
 
-// processRun is `lab process` with its flags.
+// processRun holds the flags of `lab process`.
 type processRun struct {
-	out    io.Writer
-	write  string        // folder that files are only written to; "": the sizes are measured
-	report string        // path of the file for the report; "": none
-	sizes  []string      // names of the plan's sizes; none: all
-	limit  time.Duration // of all sizes together
+	out        io.Writer
+	writeDir   string        // folder for the files of each size, without measuring; "": the sizes are measured
+	reportPath string        // path of the JSON report; "": no report is written
+	sizes      []string      // names of the plan's sizes to use; empty: all sizes
+	limit      time.Duration // time limit for all sizes together
 }
 
-// newLabProcessCommand makes `lab process`: one process of the program, measured at sizes that a file gives.
+// newLabProcessCommand returns the `lab process` command, which measures one process of the program at the sizes that a
+// plan file gives.
 func newLabProcessCommand(out io.Writer) *cobra.Command {
 	r := &processRun{out: out}
 	c := &cobra.Command{
@@ -45,16 +46,16 @@
 	return c
 }
 
-// addFlags adds the flags to the command.
+// addFlags registers the flags with the command.
 func (r *processRun) addFlags(c *cobra.Command) {
 	flags := c.Flags()
-	flags.StringVar(&r.write, "write", "", "only write the files of each size below this `folder`")
-	flags.StringVar(&r.report, "out", "", "write the figures to this `file`, as JSON")
+	flags.StringVar(&r.writeDir, "write", "", "only write the files of each size below this `folder`")
+	flags.StringVar(&r.reportPath, "out", "", "write the figures to this `file`, as JSON")
 	flags.StringSliceVar(&r.sizes, "size", nil, "only these sizes of the file, by `name`")
 	flags.DurationVar(&r.limit, "limit", processRunLimit, "end after so long, with what has been measured")
 }
 
-// run reads a plan and measures its sizes, or writes their files alone.
+// run reads a plan and measures its sizes. With --write it only writes the files of each size.
 func (r *processRun) run(ctx context.Context, path string) error {
 	plan, err := process.ReadPlan(path)
 	if err != nil {
@@ -63,18 +64,18 @@
 	if err := plan.Select(r.sizes); err != nil {
 		return err
 	}
-	if r.write != "" {
+	if r.writeDir != "" {
 		return r.writeSizes(plan)
 	}
 	return r.measure(ctx, plan, path)
 }
 
-// writeSizes writes the files of each size to a folder of its name, and for a size with more tenants than the program
-// accepts, a second folder with the number that is measured with.
+// writeSizes writes the files of each size to a folder that is named after the size. A size with more tenants than the
+// program accepts gets a second folder, with its fallback tenants.
 func (r *processRun) writeSizes(plan *process.Plan) error {
 	for _, size := range plan.WithFallbacks() {
 		g := process.Generator{Size: size, Seed: plan.Seed, Place: process.DefaultPlace()}
-		dir := filepath.Join(r.write, size.Name)
+		dir := filepath.Join(r.writeDir, size.Name)
 		if err := g.Write(dir); err != nil {
 			return err
 		}
@@ -84,7 +85,8 @@
 	return nil
 }
 
-// measure measures a plan. What was measured before an error is written too.
+// measure measures the sizes of a plan and writes the report. If the measurement fails, the report has the figures that
+// were measured before the error.
 func (r *processRun) measure(ctx context.Context, plan *process.Plan, path string) error {
 	ctx, cancel := context.WithTimeout(ctx, r.limit)
 	defer cancel()
@@ -105,12 +107,12 @@
 	if len(r.sizes) > 0 {
 		figures.Command += " --size " + strings.Join(r.sizes, ",")
 	}
-	if r.report == "" {
+	if r.reportPath == "" {
 		return err
 	}
 	text, encodeErr := figures.JSON()
 	if encodeErr != nil {
 		return errors.Join(err, encodeErr)
 	}
-	return errors.Join(err, os.WriteFile(r.report, text, 0o644))
+	return errors.Join(err, os.WriteFile(r.reportPath, text, 0o644))
 }
--- a/internal/cli/lab_real.go
+++ b/internal/cli/lab_real.go
@@ -13,20 +13,21 @@
 	"yokestall/internal/lab/sockets"
 )
 
-// newLabRealCommand makes `lab real`.
+// newLabRealCommand returns the `lab real` command.
 func newLabRealCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use:   "real FILE...",
 		Short: "Play days on sockets too, in real time, beside the same days in virtual time",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
-			return requireAll(paths, func(path string) (bool, error) { return playReal(c.Context(), out, path) })
+			return runAll(paths, func(path string) (bool, error) { return runInRealTime(c.Context(), out, path) })
 		},
 	}
 }
 
-// playReal plays one day on sockets; passed: it holds what its file states, and the load generator was not late.
-func playReal(ctx context.Context, out io.Writer, path string) (passed bool, err error) {
+// runInRealTime runs one experiment in virtual time, and in real time on sockets. passed says that the run in real time
+// had no violations and that the load generator was not late.
+func runInRealTime(ctx context.Context, out io.Writer, path string) (passed bool, err error) {
 	e, err := loadExperiment(path)
 	if err != nil {
 		return false, err
@@ -39,7 +40,7 @@
 	if err != nil {
 		return false, err
 	}
-	passed = printBeside(out, e, virtual, realTime, realTime.Violations(), void)
+	passed = printSideBySide(out, e, virtual, realTime, realTime.Violations(), void)
 	fmt.Fprintln(out)
 	return passed, nil
 }
--- a/internal/cli/lab_run.go
+++ b/internal/cli/lab_run.go
@@ -13,17 +13,17 @@
 	"yokestall/internal/lab"
 )
 
-// labRun is `lab run` with its flags.
+// labRun holds the flags of `lab run`.
 type labRun struct {
-	out   io.Writer
-	seeds *int // the flag of `lab`
-	peers bool
-	deal  time.Duration // for which nodes lend; 0: no fleet with an owner
-	sheet string        // path of the CSV file; "": none
-	sizes labSizes
+	out           io.Writer
+	seeds         *int          // value of the flag --seeds of `lab`
+	otherDeciders bool          // the experiment is also run with the deciders that the program is compared with
+	leaseRelease  time.Duration // how long nodes lease out slow start budget in a further run, with an owner; 0: no such run
+	csvPath       string        // path of the CSV file; "": no file is written
+	sizes         sizeLists
 }
 
-// newLabRunCommand makes `lab run`.
+// newLabRunCommand returns the `lab run` command.
 func newLabRunCommand(out io.Writer, seeds *int) *cobra.Command {
 	r := &labRun{out: out, seeds: seeds}
 	c := &cobra.Command{
@@ -31,34 +31,34 @@
 		Short: "Play days; exits with 1 where one does not hold what its file states",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, paths []string) error {
-			return requireAll(paths, r.playAtSizes)
+			return runAll(paths, r.runAtSizes)
 		},
 	}
 	r.addFlags(c)
 	return c
 }
 
-// addFlags adds the flags to the command.
+// addFlags registers the flags with the command.
 func (r *labRun) addFlags(c *cobra.Command) {
 	flags := c.Flags()
-	flags.DurationVar(&r.deal, "deal", 0,
+	flags.DurationVar(&r.leaseRelease, "deal", 0,
 		"beside a fleet whose cold budget an owner deals out by demand, where nodes lend for so long")
-	flags.BoolVar(&r.peers, "peers", false, "beside other ways to choose")
-	flags.StringVar(&r.sheet, "csv", "", "write the service of each second to a `file`")
+	flags.BoolVar(&r.otherDeciders, "peers", false, "beside other ways to choose")
+	flags.StringVar(&r.csvPath, "csv", "", "write the service of each second to a `file`")
 	flags.IntSliceVar(&r.sizes.nodes, "nodes", []int{0}, "with so many nodes, each in turn (0: as the file says)")
 	flags.IntSliceVar(&r.sizes.servers, "servers", []int{0}, "with so many servers, and rates that grow with them")
 	flags.Float64SliceVar(&r.sizes.loads, "load", []float64{0},
 		"with rates that ask for this share of the fleet's capacity")
 }
 
-// labSizes are what a day is played at, each with each; 0: as the file says.
-type labSizes struct {
+// sizeLists are the sizes at which an experiment is run, in all combinations. 0 stands for the file's own number.
+type sizeLists struct {
 	nodes, servers []int
 	loads          []float64
 }
 
-// all returns all combinations.
-func (s *labSizes) all() (list []lab.Size) {
+// combinations returns all combinations of the loads, servers and nodes.
+func (s *sizeLists) combinations() (list []lab.Size) {
 	for _, load := range s.loads {
 		for _, servers := range s.servers {
 			for _, nodes := range s.nodes {
@@ -69,13 +69,14 @@
 	return list
 }
 
-// playAtSizes plays one day at all sizes.
-func (r *labRun) playAtSizes(path string) (passed bool, err error) {
-	return allPass(r.sizes.all(), func(size lab.Size) (bool, error) { return r.play(path, size) })
+// runAtSizes runs one experiment at all sizes and reports whether all runs pass.
+func (r *labRun) runAtSizes(path string) (passed bool, err error) {
+	return allPass(r.sizes.combinations(), func(size lab.Size) (bool, error) { return r.runAtSize(path, size) })
 }
 
-// play plays one day and prints it; passed: it holds what its file states.
-func (r *labRun) play(path string, size lab.Size) (passed bool, err error) {
+// runAtSize runs one experiment at one size and prints the outcomes. passed says that the program's outcome is as the
+// experiment expects.
+func (r *labRun) runAtSize(path string, size lab.Size) (passed bool, err error) {
 	e, err := experimentAt(path, size)
 	if err != nil {
 		return false, err
@@ -88,19 +89,19 @@
 	fmt.Fprintln(r.out, e.Summary())
 	lab.WriteTable(r.out, outcomes)
 	r.printComparison(e, outcomes)
-	broken := e.Failures(program)
-	printBroken(r.out, broken)
-	if r.sheet != "" {
-		if err := writeSheet(r.sheet, outcomes); err != nil {
+	failures := e.Failures(program)
+	printViolations(r.out, failures)
+	if r.csvPath != "" {
+		if err := writeCSV(r.csvPath, outcomes); err != nil {
 			return false, err
 		}
 	}
 	fmt.Fprintf(r.out, "digest %s\n\n", program.Digest())
-	return len(broken) == 0, nil
+	return len(failures) == 0, nil
 }
 
-// experimentAt reads a day. At a size other than its file's it states no service, which is for the file's size; its
-// rules stay.
+// experimentAt reads an experiment and changes its size. At another size than the file's the experiment has no minimum
+// service, since the file's minimum applies to the file's size only; the experiment's rules stay.
 func experimentAt(path string, size lab.Size) (*lab.Experiment, error) {
 	e, err := loadExperiment(path)
 	if err != nil || size == (lab.Size{}) {
@@ -113,21 +114,22 @@
 	return e, nil
 }
 
-// outcomes plays a day by the program, which is the first, and by the ways that the flags name.
+// outcomes runs an experiment with the program and with the other deciders that the flags select. The first outcome is
+// the program's.
 func (r *labRun) outcomes(e *lab.Experiment) ([]*lab.Outcome, error) {
 	seeds := max(1, *r.seeds)
 	var list []*lab.Outcome
-	for _, way := range lab.Deciders(r.peers) {
-		o, err := lab.Run(e, way.Name, way.Make, seeds)
+	for _, decider := range lab.Deciders(r.otherDeciders) {
+		o, err := lab.Run(e, decider.Name, decider.Make, seeds)
 		if err != nil {
 			return nil, err
 		}
 		list = append(list, o)
 	}
-	if r.deal > 0 {
-		dealt := *e
-		dealt.Day.LeaseReleaseDuration = r.deal
-		o, err := lab.Run(&dealt, "dealt", fleetsim.NewBalancer, seeds)
+	if r.leaseRelease > 0 {
+		withOwner := *e
+		withOwner.Day.LeaseReleaseDuration = r.leaseRelease
+		o, err := lab.Run(&withOwner, "dealt", fleetsim.NewBalancer, seeds)
 		if err != nil {
 			return nil, err
 		}
@@ -136,7 +138,8 @@
 	return list, nil
 }
 
-// printComparison prints the program's service over that of the other ways, and how soon it has recovered.
+// printComparison prints the program's service relative to that of the other deciders, and the program's recovery times
+// relative to the oracle. Comparisons of service need more than one seed.
 func (r *labRun) printComparison(e *lab.Experiment, outcomes []*lab.Outcome) {
 	program, others := outcomes[0], outcomes[1:]
 	if *r.seeds > 1 {
@@ -145,7 +148,7 @@
 		}
 	}
 	at, ok := e.FirstRestart()
-	if !ok || !r.peers {
+	if !ok || !r.otherDeciders {
 		return
 	}
 	for _, o := range outcomes {
@@ -157,8 +160,8 @@
 	}
 }
 
-// writeSheet writes the service of each second to a CSV file.
-func writeSheet(path string, outcomes []*lab.Outcome) error {
+// writeCSV writes the service in each second of the outcomes to a CSV file.
+func writeCSV(path string, outcomes []*lab.Outcome) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
--- a/internal/cli/lab_scale.go
+++ b/internal/cli/lab_scale.go
@@ -14,16 +14,16 @@
 	"yokestall/internal/lab/scale"
 )
 
-// scaleRun is `lab scale` with its flags.
+// scaleRun holds the flags of `lab scale` and the writers that it prints to.
 type scaleRun struct {
-	out      io.Writer
-	progress io.Writer
-	figures  string // path of the file for the figures; "": none
-	stores   string // folder for the nodes' stores; "": the system's for temporary files
-	page     string // a page of figures, which is only checked
+	out         io.Writer
+	progress    io.Writer
+	figuresPath string // path of the JSON file for the figures; "": no file is written
+	storesDir   string // folder for the nodes' stores; "": the system's folder for temporary files
+	pagePath    string // path of a page of figures to check without a run; "": a plan is run
 }
 
-// newLabScaleCommand makes `lab scale`: fleets of hollow nodes, and what control costs.
+// newLabScaleCommand returns the `lab scale` command, which measures the cost of control in fleets of hollow nodes.
 func newLabScaleCommand(out io.Writer) *cobra.Command {
 	r := &scaleRun{out: out}
 	c := &cobra.Command{
@@ -36,7 +36,7 @@
 			"the folder capacity beside it say.",
 		Args: r.checkArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if r.page != "" {
+			if r.pagePath != "" {
 				return r.checkPage()
 			}
 			r.progress = cmd.ErrOrStderr()
@@ -44,33 +44,34 @@
 		},
 	}
 	flags := c.Flags()
-	flags.StringVar(&r.figures, "out", "", "the `file` for the figures; without one only a summary is printed")
-	flags.StringVar(&r.stores, "dir", "", "(the system's for temporary files) a `folder` for the nodes' stores; "+
+	flags.StringVar(&r.figuresPath, "out", "", "the `file` for the figures; without one only a summary is printed")
+	flags.StringVar(&r.storesDir, "dir", "", "(the system's for temporary files) a `folder` for the nodes' stores; "+
 		"on one disk the writes of a thousand nodes wait for each other")
-	flags.StringVar(&r.page, "check", "", "a `page` of figures")
+	flags.StringVar(&r.pagePath, "check", "", "a `page` of figures")
 	return c
 }
 
-// checkArgs demands a plan, or a page alone.
+// checkArgs accepts one plan, or no argument together with --check.
 func (r *scaleRun) checkArgs(cmd *cobra.Command, args []string) error {
-	if r.page != "" {
+	if r.pagePath != "" {
 		return cobra.NoArgs(cmd, args)
 	}
 	return cobra.ExactArgs(1)(cmd, args)
 }
 
-// checkPage prints where a page of figures differs from the files of measured runs; ErrReported if it does.
+// checkPage prints where a page of figures differs from the files of measured runs. It returns ErrReported if the page
+// differs or can't be checked.
 func (r *scaleRun) checkPage() error {
-	err := capacity.CheckFile(r.page)
+	err := capacity.CheckFile(r.pagePath)
 	if err == nil {
-		fmt.Fprintf(r.out, "%s: its figures are those of the files\n", r.page)
+		fmt.Fprintf(r.out, "%s: its figures are those of the files\n", r.pagePath)
 		return nil
 	}
 	fmt.Fprintln(r.out, err)
 	return ErrReported
 }
 
-// run measures a plan, and prints and writes the figures.
+// run runs a plan, prints its figures and writes them to the file of --out.
 func (r *scaleRun) run(ctx context.Context, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -80,29 +81,30 @@
 	if err != nil {
 		return err
 	}
-	figures, err := r.play(ctx, plan)
+	figures, err := r.runPlan(ctx, plan)
 	if err != nil {
 		return err
 	}
 	figures.Plan = filepath.ToSlash(path)
 	figures.Command = "yokestall lab scale " + figures.Plan
-	if r.stores != "" {
-		figures.Command += " --dir " + r.stores
+	if r.storesDir != "" {
+		figures.Command += " --dir " + r.storesDir
 	}
 	figures.Print(r.out)
-	if r.figures == "" {
+	if r.figuresPath == "" {
 		return nil
 	}
-	return figures.Write(r.figures)
+	return figures.Write(r.figuresPath)
 }
 
-// play runs a plan with this program itself as the command of its processes. Their stores are removed afterwards.
-func (r *scaleRun) play(ctx context.Context, plan *scale.Plan) (*scale.Figures, error) {
+// runPlan runs a plan and returns its figures. The plan's processes run this program's own executable. Their stores are
+// removed afterwards.
+func (r *scaleRun) runPlan(ctx context.Context, plan *scale.Plan) (*scale.Figures, error) {
 	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	dir, err := os.MkdirTemp(r.stores, "yokestall-scale-")
+	dir, err := os.MkdirTemp(r.storesDir, "yokestall-scale-")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/cli/lab_serve.go
+++ b/internal/cli/lab_serve.go
@@ -17,21 +17,21 @@
 	"yokestall/internal/lab/scale"
 )
 
-// Bounds of --rate.
+// Bounds of --rate, the rate of the clock for leases relative to true time.
 const (
 	minClockRate = 0.5
 	maxClockRate = 2
 )
 
-// labServe is `lab serve` with its flags: serve with a clock that is fast or slow, or controlled by the lab.
+// labServe holds the flags of `lab serve`, which serves with a fast or slow clock, or under control of the lab.
 type labServe struct {
-	path       string
-	clockRate  float64 // of the leases' clock, to true time
-	controlled bool
+	path       string  // path of the configuration file
+	clockRate  float64 // rate of the clock for leases relative to true time; 1: true time
+	controlled bool    // commands are read from standard input
 	placement  placement
 }
 
-// newLabServeCommand makes `lab serve`, for the lab's processes.
+// newLabServeCommand returns the hidden `lab serve` command, which the lab's processes run.
 func newLabServeCommand() *cobra.Command {
 	var s labServe
 	c := &cobra.Command{
@@ -50,10 +50,10 @@
 	return c
 }
 
-// run serves until ctx ends, or the commands of a controlled process do.
+// run serves until ctx ends. A controlled process also ends when its standard input is closed.
 func (s *labServe) run(ctx context.Context, log *slog.Logger) error {
 	if s.clockRate < minClockRate || s.clockRate > maxClockRate {
-		return errors.New("--rate: from 0.5 to 2")
+		return errors.New("--rate is outside the allowed range from 0.5 to 2")
 	}
 	start := agent.BootTime()
 	clock := func() time.Duration {
@@ -65,24 +65,25 @@
 	return serve(ctx, s.path, log, serveOptions{clock: clock})
 }
 
-// placement says where a process of a run stands.
+// placement is the region and zone of a process of a run.
 type placement struct {
-	region  int // from 0
-	regions int // over which the voters are spread
-	zone    int // from 0
+	region  int // region of the process, from 0
+	regions int // number of regions over which the voters are spread, at least 1
+	zone    int // zone of the process, from 0
 }
 
-// addFlags adds the flags to a command.
+// addFlags registers the flags with a command.
 func (p *placement) addFlags(c *cobra.Command) {
 	c.Flags().IntVar(&p.region, "region", 0, "in which the process stands, from 0")
 	c.Flags().IntVar(&p.regions, "regions", 1, "over which the voters are spread")
 	c.Flags().IntVar(&p.zone, "zone", 0, "in which the process stands, from 0")
 }
 
-// valid reports whether the region is one of the regions.
+// valid reports whether the process's region is one of the regions. It does not check the zone.
 func (p *placement) valid() bool { return p.regions >= 1 && p.region >= 0 && p.region < p.regions }
 
-// serveControlled serves under the command of the process that started this one, by standard input and output.
+// serveControlled serves and carries out the commands of the process that started this one. Commands come on standard
+// input, replies go to standard output.
 func serveControlled(
 	ctx context.Context, path string, log *slog.Logger, at placement, clock func() time.Duration,
 ) error {
@@ -92,7 +93,7 @@
 	}
 	node := fleetConfig(snapshot.Program, path, nil, log)
 	if node.Fleet == "" || !at.valid() {
-		return fmt.Errorf("%s: a node of a fleet is controlled, in one of its regions", path)
+		return fmt.Errorf("%s: --controlled needs a section [fleet.agree], and a --region from 0 to below --regions", path)
 	}
 	meter, states := scale.NewMeter(node.Voters, at.regions), scale.NewStates()
 	states.Register(node.Name, at.region, at.zone)
@@ -115,8 +116,8 @@
 	return <-controlled
 }
 
-// exitAfter returns what ends a process whose commands have ended: by stop, or if that takes longer than
-// scale.ExitTimeout by an exit with code 1.
+// exitAfter returns a function that ends this process after the process that controls it has disconnected. The function
+// calls stop for a graceful shutdown. If that takes longer than scale.ExitTimeout, the process exits with code 1.
 func exitAfter(stop context.CancelFunc) func() {
 	return func() {
 		stop()
--- a/internal/cli/lab_versions.go
+++ b/internal/cli/lab_versions.go
@@ -16,15 +16,16 @@
 // versionsApplyTimeout is how long a node of `lab versions` may take to apply a version.
 const versionsApplyTimeout = 250 * time.Millisecond
 
-// versionsRun is `lab versions` with its flags.
+// versionsRun holds the flags of `lab versions`.
 type versionsRun struct {
 	out       io.Writer
 	options   versions.Experiment
 	firstSeed uint64
-	seeds     int
+	seeds     int // number of seeds, from firstSeed on
 }
 
-// newLabVersionsCommand makes `lab versions`: processes that agree on versions while parts of them fail.
+// newLabVersionsCommand returns the `lab versions` command, which runs processes that agree on versions while faults
+// happen to some of the processes and their links.
 func newLabVersionsCommand(out io.Writer) *cobra.Command {
 	r := &versionsRun{
 		out:     out,
@@ -44,7 +45,7 @@
 	return c
 }
 
-// addFlags adds the flags to the command.
+// addFlags registers the flags with the command.
 func (r *versionsRun) addFlags(c *cobra.Command) {
 	flags, o := c.Flags(), &r.options
 	flags.IntVar(&r.seeds, "seeds", 3, "how `many`")
@@ -64,7 +65,8 @@
 	flags.BoolVar(&o.SkewClocks, "clocks", true, "give the processes clocks that are fast and slow by that much")
 }
 
-// run plays all seeds; ErrReported if one does not pass. The processes run this program itself.
+// run runs the experiment with each seed and returns ErrReported if a seed does not pass. The processes run this
+// program's own executable.
 func (r *versionsRun) run(ctx context.Context) error {
 	executable, err := os.Executable()
 	if err != nil {
@@ -73,7 +75,7 @@
 	allPassed := true
 	for i := range r.seeds {
 		seed := r.firstSeed + uint64(i)
-		passed, err := r.play(ctx, seed, executable)
+		passed, err := r.runSeed(ctx, seed, executable)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
@@ -85,8 +87,9 @@
 	return nil
 }
 
-// play plays one seed and prints its outcome; passed: the bound was kept and no rule was broken.
-func (r *versionsRun) play(ctx context.Context, seed uint64, executable string) (passed bool, err error) {
+// runSeed runs the experiment with one seed and prints the outcome. passed says that no contradiction lasted longer than
+// the bound and that there are no findings. A seed that does not pass is printed with its script of faults.
+func (r *versionsRun) runSeed(ctx context.Context, seed uint64, executable string) (passed bool, err error) {
 	options := r.options
 	options.Seed = seed
 	dir, err := os.MkdirTemp("", "yokestall-versions-")
@@ -109,7 +112,7 @@
 	return passed, nil
 }
 
-// printVersions prints the line of one seed.
+// printVersions prints the outcome of one seed in one line.
 func printVersions(out io.Writer, seed uint64, o *versions.Outcome) {
 	fmt.Fprintf(out, "seed %d: %d versions, in force after %v (half) %v (99 %%); contradiction %v of %v (%d attempts); ",
 		seed, o.Published, quantile(o.ActivationTimes, 0.5), quantile(o.ActivationTimes, 0.99),
@@ -119,7 +122,8 @@
 	fmt.Fprintf(out, "%d asked, %d served, %d refused, %d failed\n", o.Asked, o.Served, o.Rejected, o.Failed)
 }
 
-// quantile returns a quantile of ascending times in full milliseconds; 0 without times.
+// quantile returns a quantile of times, which are in ascending order, rounded to milliseconds. It returns 0 if there are
+// no times.
 func quantile(times []time.Duration, q float64) time.Duration {
 	if len(times) == 0 {
 		return 0
