--- a/cmd/yokestall/fleet_test.go
+++ b/cmd/yokestall/fleet_test.go
@@ -13,8 +13,8 @@
 	"yokestall/internal/testutil"
 )
 
-// shortPowerLoss is the day power-at-once in a few seconds on sockets: five processes, and servers that are all without
-// power for a time.
+// shortPowerLoss returns the experiment power-at-once, shortened to 5 s so that it can run on sockets. It has five
+// processes, and six servers that all lose power for one second.
 func shortPowerLoss(t *testing.T, seed uint64) *lab.Experiment {
 	const name = "../../deploy/lab/power-at-once.toml"
 	text, err := os.ReadFile(name)
@@ -39,25 +39,27 @@
 	return e
 }
 
-// playFleet plays a day with real processes; each request has one outcome, and no rule is broken.
-func playFleet(t *testing.T, e *lab.Experiment) (o *lab.Outcome, void bool) {
-	itself, env := testutil.SelfCommand()
+// runWithProcesses runs an experiment with real processes. It checks that requests were sent, that each request has one
+// outcome, and that there are no findings. void says that the load generator ran late.
+func runWithProcesses(t *testing.T, e *lab.Experiment) (o *lab.Outcome, void bool) {
+	command, env := testutil.SelfCommand()
 	dir := t.TempDir()
-	o, found, void, err := sockets.RunProcesses(t.Context(), e, dir, itself, env)
+	o, findings, void, err := sockets.RunProcesses(t.Context(), e, dir, command, env)
 	if err != nil {
 		t.Fatal(err)
 	}
 	asked, answered, _ := o.Counts()
 	if asked == 0 || asked != answered || o.Seeds[0].Attempts == 0 {
-		t.Errorf("%d asked, %d answered, %d sent", asked, answered, o.Seeds[0].Attempts)
+		t.Errorf("%d requests, %d outcomes, %d attempts; want an outcome for each request, and attempts",
+			asked, answered, o.Seeds[0].Attempts)
 	}
-	if void { // the machine was late: findings that depend on times say nothing
-		t.Log("the load generator was late itself")
-		found = slices.DeleteFunc(found, func(f fleet.Finding) bool { return f.Timing })
+	if void { // the machine ran late, so findings that depend on times are void
+		t.Log("the load generator ran late: findings that depend on times are ignored")
+		findings = slices.DeleteFunc(findings, func(f fleet.Finding) bool { return f.Timing })
 	}
-	if len(found) > 0 || o.Seeds[0].DuplicateEffects > 0 {
-		t.Errorf("rules broken: %v", found)
-		for _, f := range found {
+	if len(findings) > 0 || o.Seeds[0].DuplicateEffects > 0 {
+		t.Errorf("got findings, want none: %v", findings)
+		for _, f := range findings {
 			t.Logf("%v: %+v", f, f.History)
 		}
 		for _, f := range e.Faults {
@@ -68,8 +70,8 @@
 	return o, void
 }
 
-// Five processes are stopped, killed, cut off and delayed by drawn scripts while all servers lose power: no request
-// that is not idempotent runs twice, none is forwarded after its deadline, and no server that warms up is overloaded.
+// Random faults pause, kill, cut off and delay five processes while all servers lose power. No request that is not
+// idempotent runs twice, no request is forwarded after its deadline, and no server that is warming up is overloaded.
 func TestProcessesUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -78,13 +80,14 @@
 		t.Run("", func(t *testing.T) {
 			e := shortPowerLoss(t, seed+1)
 			e.Faults = fleet.RandomFaults(seed, 6, e.Day.Nodes, e.Day.Servers, e.Day.Length)
-			playFleet(t, e)
+			runWithProcesses(t, e)
 		})
 	}
 }
 
-// A process that was stopped with requests in flight forwards none when it continues after their deadlines, once their
-// clients have disconnected; a fleet that is killed with its servers serves again when both are back.
+// A process is paused with requests in flight and continues after their deadlines, when their clients have disconnected.
+// It must not forward these requests. Also, all processes are killed together with their servers, and the fleet must
+// serve again once processes and servers are back.
 func TestStoppedAndKilledTogether(t *testing.T) {
 	e := shortPowerLoss(t, 9)
 	e.Day.Faults = e.Day.Faults[:1]
@@ -94,18 +97,19 @@
 		{From: 300 * time.Millisecond, To: 800 * time.Millisecond, Kind: fleet.Pause, Nodes: []int{0, 1}},
 		{From: 2800 * time.Millisecond, To: 4900 * time.Millisecond, Kind: fleet.Pause, Nodes: []int{2}},
 	}
-	o, void := playFleet(t, e)
+	o, void := runWithProcesses(t, e)
 	asked, _, served := o.Counts()
 	if served < asked/3 && !void {
-		t.Errorf("%d of %d served in time", served, asked)
+		t.Errorf("%d of %d requests served in time; want at least a third", served, asked)
 	}
 }
 
-// A process that gets no endpoint list goes on sending to a server that the lists of all others have as draining, for
-// as long as it gets none. Agreed versions are to shorten this time; when they do, this test has to demand it.
+// A process that gets no endpoint update goes on sending to servers that are draining in the endpoint lists of all other
+// processes, until it is notified. Agreed versions are meant to shorten this time; once they do, this test has to require
+// the shorter time.
 func TestNodesNotifiedDifferently(t *testing.T) {
 	e := shortPowerLoss(t, 5)
-	// Four of six, since at a rate as low as this one a node may never have tried some server.
+	// Four of the six servers drain, since at this low rate a node may never have sent a request to one particular server.
 	const drained, notified = 1500 * time.Millisecond, 4 * time.Second
 	e.Day.Faults = []fleetsim.Fault{
 		{From: drained - e.Day.ListDelay, To: 4900 * time.Millisecond, First: 1, Last: 4, Drain: true},
@@ -125,10 +129,11 @@
 		}
 	}
 	if void {
-		t.Skip("the load generator was late itself")
+		t.Skip("the load generator ran late: the measured times are void")
 	}
 	if longest < notified-drained-time.Second || longest > notified-drained+time.Second {
-		t.Errorf("%v after the list, of %v without it: %d findings", longest, notified-drained, len(found))
+		t.Errorf("last attempt at a draining server %v after the update; want %v, give or take 1 s: %d findings",
+			longest, notified-drained, len(found))
 	}
-	t.Logf("two nodes acted on contradicting lists for %v, %v after one of them was notified", longest, notified-drained)
+	t.Logf("two nodes acted on contradicting lists for %v; the late node was notified after %v", longest, notified-drained)
 }
--- a/cmd/yokestall/kill_test.go
+++ b/cmd/yokestall/kill_test.go
@@ -21,10 +21,11 @@
 
 var (
 	kills   = flag.Int("kills", 4, "how often TestKillsAmongPushes kills the program")
-	between = flag.Duration("between", 300*time.Millisecond, "and how long it runs between two kills")
+	between = flag.Duration("between", 300*time.Millisecond,
+		"how long the program runs between two kills in TestKillsAmongPushes")
 )
 
-const killsProgram = `[listen]
+const killsConfig = `[listen]
 address = "ADDRESS"
 [files]
 clusters = "clusters"
@@ -47,29 +48,29 @@
 cluster = "rooms"
 `
 
-// killTest is the program under load, with the endpoints that it sends to.
+// killTest is a run of the program under load, with the endpoints that the program sends to.
 type killTest struct {
-	dir     string // of its files
-	address string // that it listens on after each start
+	dir     string // folder of the program's files
+	address string // address that the program listens on after each start
 	boxes   []*appbox.Server
 	client  *http.Client
 	program *exec.Cmd
 }
 
-// Load of TestKillsAmongPushes.
+// Load parameters of TestKillsAmongPushes.
 const (
-	killWorkers     = 24                    // clients at once
-	killAttempts    = 12                    // of a client with one key
-	killEndpoints   = 3                     // of the cluster
-	killWork        = 5 * time.Millisecond  // of a request at its endpoint, within which a kill may come
-	killClientPause = 10 * time.Millisecond // of a client between two attempts
+	killWorkers     = 24                    // number of concurrent clients
+	killAttempts    = 12                    // most attempts of a client with one key
+	killEndpoints   = 3                     // endpoints of the cluster
+	killWork        = 5 * time.Millisecond  // time that an endpoint works on a request, so that kills happen during requests
+	killClientPause = 10 * time.Millisecond // pause of a client between two attempts
 )
 
-// newKillTest starts endpoints, which don't drop repeats, and writes the program's files. log is the line of the
-// settings that has the log of keys, or is empty.
+// newKillTest starts the endpoints, which execute a repeated request again, and writes the program's files. log is the
+// settings line that turns on the log of idempotency keys; if it is empty, the program has no such log.
 func newKillTest(t *testing.T, log string) *killTest {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0") // a free port, which the program listens on after each start
+	l, err := net.Listen("tcp", "127.0.0.1:0") // reserves a free port, which the program listens on after each start
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +87,7 @@
 		t.Fatal(err)
 	}
 	for name, text := range map[string]string{
-		"yokestall.toml":      strings.NewReplacer("ADDRESS", k.address, "LOG", log).Replace(killsProgram),
+		"yokestall.toml":      strings.NewReplacer("ADDRESS", k.address, "LOG", log).Replace(killsConfig),
 		"clusters/rooms.toml": list + fmt.Sprintf("[end]\nendpoints = %d\n", killEndpoints),
 	} {
 		if err := os.WriteFile(filepath.Join(k.dir, name), []byte(text), 0o600); err != nil {
@@ -114,13 +115,13 @@
 	})
 }
 
-// kill kills the program and waits for its end.
+// kill kills the program and waits until the process has ended.
 func (k *killTest) kill() {
 	k.program.Process.Kill()
 	k.program.Wait()
 }
 
-// push sends one request under an idempotency key and returns its status; 0: no complete response.
+// push sends one request with an idempotency key and returns the response's status, or 0 if no complete response came.
 func (k *killTest) push(ctx context.Context, t *testing.T, key string) (status int) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.address+"/push", strings.NewReader("x"))
 	if err != nil {
@@ -128,7 +129,7 @@
 		return 0
 	}
 	r.Host = "rooms.example"
-	r.GetBody = nil // net/http must not send it again by itself
+	r.GetBody = nil // keeps net/http from retrying the request on its own
 	r.Header.Set("Idempotency-Key", key)
 	resp, err := k.client.Do(r)
 	if err != nil {
@@ -141,8 +142,8 @@
 	return resp.StatusCode
 }
 
-// pushUntil pushes under one key after the other until ctx ends. Each key is repeated until its outcome is known, or
-// that it can't be.
+// pushUntil sends requests with one key after the other until ctx ends. It repeats the request of a key, up to
+// killAttempts times, until the response is 200, which gives the outcome, or 409, which rejects the key.
 func (k *killTest) pushUntil(ctx context.Context, t *testing.T, worker int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		for range killAttempts {
@@ -155,7 +156,7 @@
 	}
 }
 
-// executions returns how many keys ran at the endpoints, and how many of them more than once.
+// executions returns how many keys the endpoints executed, and how many of those keys they executed more than once.
 func (k *killTest) executions() (ran, twice int) {
 	byKey := map[string]int{}
 	for _, b := range k.boxes {
@@ -169,8 +170,8 @@
 	return len(byKey), twice
 }
 
-// killsAmongPushes has clients push under load while the program is killed and started again, and returns how many
-// keys ran, and how many of them more than once.
+// killsAmongPushes kills the program and starts it again while clients send requests. It returns how many keys the
+// endpoints executed, and how many of those keys they executed more than once.
 func killsAmongPushes(t *testing.T, log string) (ran, twice int) {
 	k := newKillTest(t, log)
 	k.start(t)
@@ -185,7 +186,7 @@
 		clients.Go(func() { k.pushUntil(ctx, t, worker) })
 	}
 	for range *kills {
-		time.Sleep(*between) // the pace under test
+		time.Sleep(*between) // the pace of kills is a parameter of the test, not a wait for an event
 		k.kill()
 		k.start(t)
 	}
@@ -195,17 +196,18 @@
 	return k.executions()
 }
 
-// The program is killed over and over among pushes whose clients send them again until they know
-// their outcome: with the log on none runs twice. Without it some do, which shows that the check can fail.
+// The program is killed repeatedly while clients send requests with idempotency keys, and send each request again until
+// its outcome is known. With the log of keys no request runs twice. Without the log some do, which shows that the check
+// can fail.
 func TestKillsAmongPushes(t *testing.T) {
 	ran, twice := killsAmongPushes(t, `log = "keys"`)
-	t.Logf("%d kills: %d keys ran, %d of them more than once", *kills, ran, twice)
+	t.Logf("with the log of keys: %d kills, %d keys executed, %d of them more than once", *kills, ran, twice)
 	if twice > 0 || ran < 50 {
-		t.Errorf("%d of %d keys ran more than once", twice, ran)
+		t.Errorf("with the log of keys: %d of %d keys executed more than once; want none of at least 50", twice, ran)
 	}
 	ran, twice = killsAmongPushes(t, "")
-	t.Logf("without the log: %d keys ran, %d of them more than once", ran, twice)
+	t.Logf("without the log of keys: %d keys executed, %d of them more than once", ran, twice)
 	if twice == 0 {
-		t.Error("without the log none ran twice: the check proves nothing")
+		t.Error("without the log of keys: no key executed more than once; want some, else the check with the log proves nothing")
 	}
 }
--- a/cmd/yokestall/main.go
+++ b/cmd/yokestall/main.go
@@ -1,4 +1,5 @@
-// Command yokestall is the product program. Package cli has its subcommands. Exit codes: 0, or 1 after any error.
+// Command yokestall is a load balancer and traffic processor for large fleets. Package cli implements its subcommands. It
+// exits with 0 on success and with 1 after any error.
 package main
 
 import (
--- a/cmd/yokestall/main_test.go
+++ b/cmd/yokestall/main_test.go
@@ -8,13 +8,13 @@
 	"yokestall/internal/testutil"
 )
 
-// TestMain runs the program itself in processes that the tests start.
+// TestMain runs the program instead of the tests in processes that were started with testutil.SelfCommand.
 func TestMain(m *testing.M) { testutil.MainOr(m, main) }
 
-// logTail is how much of a log showLogs shows, in bytes.
+// logTail is how many bytes at the end of a log showLogs shows.
 const logTail = 3000
 
-// showLogs logs the ends of the logs of a run's processes, each in its own folder.
+// showLogs logs the end of each log file of a run's processes. Each process has its own folder in dir.
 func showLogs(t *testing.T, dir string) {
 	t.Helper()
 	logs, _ := filepath.Glob(filepath.Join(dir, "*", "log"))
--- a/cmd/yokestall/process_test.go
+++ b/cmd/yokestall/process_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// process is a process of the system. A later one with its number differs in the start time.
+// process identifies a process of the operating system. The start time tells it from a later process with the same PID.
 type process struct {
 	pid       int
-	startTime string // in clock ticks since the boot
+	startTime string // in clock ticks since boot, as in /proc/PID/stat
 }
 
-// childrenOf returns the processes whose parent is another one.
+// childrenOf returns the processes whose parent process has the PID parent.
 func childrenOf(t *testing.T, parent int) (list []process) {
 	t.Helper()
 	paths, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -31,14 +31,14 @@
 	return list
 }
 
-// Fields of what statOf returns.
+// Indexes of fields in the result of statOf.
 const (
 	stateField  = 0
 	parentField = 1
 	startField  = 19
 )
 
-// statOf returns the fields of /proc/PID/stat that follow the name; nil: there is no such process.
+// statOf returns the fields of /proc/PID/stat that follow the process's name, or nil if there is no such process.
 func statOf(pid int) []string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// runs reports whether the process has not ended; a zombie has.
+// runs reports whether the process is still running. A zombie counts as ended.
 func (p process) runs() bool {
 	fields := statOf(p.pid)
 	return fields != nil && fields[startField] == p.startTime && fields[stateField] != "Z"
--- a/cmd/yokestall/scale_test.go
+++ b/cmd/yokestall/scale_test.go
@@ -15,9 +15,10 @@
 	"yokestall/internal/testutil"
 )
 
-// A fleet of hollow nodes stays within bounds of traffic, whatever the machine's speed: what a node sends while nothing
-// changes does not grow with the fleet, a change of a list costs the change, a node that restarts with its store does
-// not fetch the list again, and a region without a majority of the voters has no lease until it reaches the others.
+// The control traffic of a fleet of hollow nodes stays within bounds that don't depend on the machine's speed. A node's
+// traffic while nothing changes does not grow with the fleet, a change of an endpoint list costs only the size of the
+// change, and a node that restarts with its store does not fetch the list again. A region without a majority of the
+// voters has no lease until it reaches the other regions.
 func TestControlOfHollowNodes(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -39,24 +40,25 @@
 		t.Fatal(err)
 	}
 	if len(f.Late) > 0 {
-		t.Errorf("not notified: %+v", f.Late)
+		t.Errorf("got late nodes, want none: %+v", f.Late)
 	}
 	checkControlBounds(t, plan, f)
 	for _, p := range f.Series["apart.region1.alone"].Points {
 		if p.Value < p.At/2 {
-			t.Errorf("%v nodes of %v are cut off and act alone", p.Value, p.At)
+			t.Errorf("region 1 cut off: %v nodes of %v act alone; want at least half", p.Value, p.At)
 		}
 	}
 }
 
-// checkControlBounds checks the figures of each size of a plan against their bounds.
+// checkControlBounds checks that each measured series has a point for each size of the plan, within the series' bounds.
 func checkControlBounds(t *testing.T, plan *scale.Plan, f *scale.Figures) {
 	t.Helper()
-	// Polls a second: twice the lease's renewals, since a slow machine polls again after a lease that it lost.
+	// Most polls a second of a node: twice the lease's renewals, since a node on a slow machine polls again after it has
+	// lost a lease.
 	polls := 2 * float64(plan.Voters) / plan.Lease.RenewInterval().Seconds()
 	const (
-		pollBytes = 250.0    // of a poll and its answer, with the headers of RPC
-		listBytes = 60 << 10 // of the list that the plan has, at least
+		pollBytes = 250.0    // most bytes of a poll or its answer, with the RPC headers
+		listBytes = 60 << 10 // least bytes of the plan's endpoint list
 	)
 	for _, bound := range []struct {
 		key         string
@@ -68,7 +70,7 @@
 		{"idle.node.out", 1, polls * pollBytes},
 		{"idle.serve.sent", 1, polls},
 		{"idle.serve.out", 1, polls * pollBytes},
-		{"list.node.in", 1, listBytes / 2}, // of two changes
+		{"list.node.in", 1, listBytes / 2}, // for two changes of the list
 		{"list.serve.in", 1, listBytes / 2},
 		{"return_kept.node.in", 1, listBytes / 2},
 		{"return_empty.node.in", listBytes, 1 << 30},
@@ -77,7 +79,7 @@
 	} {
 		s := f.Series[bound.key]
 		if s == nil || len(s.Points) != len(plan.Sizes) {
-			t.Errorf("%s: %+v", bound.key, s)
+			t.Errorf("series %s: got %+v, want a point for each size", bound.key, s)
 			continue
 		}
 		for _, p := range s.Points {
@@ -89,7 +91,7 @@
 	}
 }
 
-// No process of a run outlives the one that started it when that one is killed.
+// When the process that started a run is killed, all processes of the run end.
 func TestKilledRunLeavesNothing(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -111,12 +113,12 @@
 		lines.Scan()
 		firstLine <- lines.Text()
 	}()
-	if line := testutil.Wait(t, firstLine, "the first version"); !strings.Contains(line, "first version") {
-		t.Fatalf("%q", line)
+	if line := testutil.Wait(t, firstLine, "the first line of progress"); !strings.Contains(line, "first version") {
+		t.Fatalf("first line of progress: got %q, want one with \"first version\"", line)
 	}
 	children := childrenOf(t, c.Process.Pid)
 	if len(children) < 4 {
-		t.Fatalf("%d processes, and the plan has more", len(children))
+		t.Fatalf("the run started %d processes, want at least 4", len(children))
 	}
 	c.Process.Signal(syscall.SIGKILL)
 	c.Wait()
@@ -125,7 +127,7 @@
 	}
 }
 
-// The command rejects a file that is no plan with its line, and ends.
+// `lab scale` rejects a file that is not a plan, names the line of the invalid setting, and exits.
 func TestScaleRejectsBadFiles(t *testing.T) {
 	command, env := testutil.SelfCommand()
 	path := filepath.Join(t.TempDir(), "bad.toml")
@@ -137,6 +139,6 @@
 	c.WaitDelay = time.Second
 	text, err := c.CombinedOutput()
 	if err == nil || !strings.Contains(string(text), path+":3: nodes: is no known key") {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("lab scale with an invalid plan: error %v, output %s; want line 3 as the invalid one", err, text)
 	}
 }
--- a/cmd/yokestall/versions_test.go
+++ b/cmd/yokestall/versions_test.go
@@ -11,7 +11,8 @@
 	"yokestall/internal/testutil"
 )
 
-// shortVersions is a run that is short enough for a test, with a lease that ends in the middle of most faults.
+// shortVersions returns an experiment that is short enough for a test. Its lease is so short that it expires during most
+// faults.
 func shortVersions(seed uint64) versions.Experiment {
 	return versions.Experiment{
 		Seed:       seed,
@@ -29,20 +30,21 @@
 	}
 }
 
-// Five processes that agree on versions, each of which contradicts the one before, while they are stopped, killed and
-// cut off from each other: no two act on versions that contradict for longer than the bound, and no server that a
-// version takes out of service gets requests by it.
+// Five processes agree on versions, each of which contradicts the one before, while processes are paused, killed and cut
+// off from each other. No two processes act on contradicting versions for longer than the bound, and a process that acts
+// on a version sends no requests to a server that this version takes out of service.
 func TestVersionsUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
 	}
 	for seed := range uint64(3) {
-		t.Run("", func(t *testing.T) { playVersions(t, shortVersions(seed+1)) })
+		t.Run("", func(t *testing.T) { runVersions(t, shortVersions(seed+1)) })
 	}
 }
 
-// All processes lose power at one moment, twice, and come back one by one, one of them on an emptied disk: what was
-// acknowledged is there, and those that come back first act on nothing that later ones contradict.
+// All processes lose power at the same moment, twice, and come back one by one, one of them with an empty disk. All
+// acknowledged versions must still be there, and the processes that come back first must not act on a version that
+// contradicts the versions of later ones.
 func TestVersionsThroughPowerLoss(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -50,12 +52,12 @@
 	for seed := range uint64(2) {
 		v := shortVersions(seed + 1)
 		v.PowerLoss = true
-		t.Run("", func(t *testing.T) { playVersions(t, v) })
+		t.Run("", func(t *testing.T) { runVersions(t, v) })
 	}
 }
 
-// A release goes on while its owners are stopped, killed and cut off: each step is one version, and no owner acts by
-// a token that a later one has replaced.
+// A release continues while its owners are paused, killed and cut off. Each step of the release is one version, and no
+// owner acts with a token that a later token has replaced.
 func TestReleaseUnderFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -63,12 +65,13 @@
 	for seed := range uint64(2) {
 		v := shortVersions(seed + 1)
 		v.Release, v.Servers = true, 8
-		t.Run("", func(t *testing.T) { playVersions(t, v) })
+		t.Run("", func(t *testing.T) { runVersions(t, v) })
 	}
 }
 
-// Processes of the former version of the program vote on versions, and act on them, beside processes of this one, while
-// they are killed, stopped and cut off: each version is agreed on and in force in all, by valid leases.
+// Processes of a former build of the program and of the present one form a fleet, vote on versions and act on them,
+// while processes are killed, paused and cut off. All processes agree on each version, and the version comes into force
+// in all of them under valid leases.
 func TestVersionsBetweenPrograms(t *testing.T) {
 	if testing.Short() {
 		t.Skip("real time")
@@ -76,7 +79,7 @@
 	former := testutil.BuildFormer(t, "cmd/yokestall")
 	for _, c := range []struct {
 		name  string
-		nodes []int // of the former version; the first three vote
+		nodes []int // nodes that run the former build; nodes 0 to 2 vote
 	}{
 		{"former voters and present followers", []int{0, 1, 2}},
 		{"present voters and former followers", []int{3, 4}},
@@ -88,27 +91,28 @@
 			for _, node := range c.nodes {
 				v.Programs[node] = []string{former}
 			}
-			playVersions(t, v)
+			runVersions(t, v)
 		})
 	}
 }
 
-// playVersions plays a run with real processes; no rule is broken, and the bound of contradiction is kept.
-func playVersions(t *testing.T, v versions.Experiment) {
-	itself, env := testutil.SelfCommand()
+// runVersions runs an experiment with real processes. It checks that no contradiction lasts longer than the bound, that
+// there are no findings except those that depend on times, and that at least a quarter of the requests are served.
+func runVersions(t *testing.T, v versions.Experiment) {
+	command, env := testutil.SelfCommand()
 	dir := t.TempDir()
-	o, err := versions.Play(t.Context(), v, dir, itself, env)
+	o, err := versions.Play(t.Context(), v, dir, command, env)
 	if err != nil {
 		showLogs(t, dir)
 		t.Fatal(err)
 	}
 	if o.Longest > o.Bound {
-		t.Errorf("two acted on versions that contradict for %v, and the bound is %v: %+v after the first of %d",
+		t.Errorf("two processes acted on contradicting versions for %v, want at most %v: attempt %+v after the first one of version %d",
 			o.Longest, o.Bound, o.Worst, o.NewerVersion)
 	}
-	found := slices.DeleteFunc(o.Findings, func(f fleet.Finding) bool { return f.Timing })
-	if len(found) > 0 || o.Served < o.Asked/4 {
-		t.Errorf("%d of %d served; rules broken: %v", o.Served, o.Asked, found)
+	findings := slices.DeleteFunc(o.Findings, func(f fleet.Finding) bool { return f.Timing })
+	if len(findings) > 0 || o.Served < o.Asked/4 {
+		t.Errorf("%d of %d requests served, want at least a quarter; got findings, want none: %v", o.Served, o.Asked, findings)
 	}
 	if t.Failed() {
 		t.Log(o.Script)
@@ -116,6 +120,7 @@
 	}
 	t.Logf("%d versions, in force after %v at half of them and %v at most; contradiction %v (%d attempts) of %v; "+
 		"%d owners; %d asked, %d served, %d refused, %d failed; %d late at servers that were out",
-		o.Published, o.ActivationTimes[len(o.ActivationTimes)/2], o.ActivationTimes[len(o.ActivationTimes)-1], o.Longest, o.Count, o.Bound,
+		o.Published, o.ActivationTimes[len(o.ActivationTimes)/2], o.ActivationTimes[len(o.ActivationTimes)-1],
+		o.Longest, o.Count, o.Bound,
 		o.Owners, o.Asked, o.Served, o.Rejected, o.Failed, len(o.Findings))
 }
