--- a/internal/cli/lab_hollow.go
+++ b/internal/cli/lab_hollow.go
@@ -63,5 +63,5 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	c := &scale.CommandServer{Meter: meter, States: states, Nodes: hollow}
-	return c.Serve(ctx, os.Stdin, os.Stdout, exitAfter(stop))
+	return c.Serve(ctx, os.Stdin, os.Stdout, exitOnDisconnect(stop))
 }
--- a/internal/cli/lab_run.go
+++ b/internal/cli/lab_run.go
@@ -18,7 +18,7 @@
 	out           io.Writer
 	seeds         *int          // value of the flag --seeds of `lab`
 	otherDeciders bool          // the experiment is also run with the deciders that the program is compared with
-	leaseRelease  time.Duration // how long nodes lease out slow start budget in a further run, with an owner; 0: no such run
+	leaseRelease  time.Duration // how long nodes lease slow start budget to others in an extra run; 0: no such run
 	csvPath       string        // path of the CSV file; "": no file is written
 	sizes         sizeLists
 }
--- a/internal/cli/lab_serve.go
+++ b/internal/cli/lab_serve.go
@@ -107,7 +107,7 @@
 	startControl := func(net.Addr) {
 		go func() {
 			c := &scale.CommandServer{Meter: meter, States: states}
-			controlled <- c.Serve(ctx, os.Stdin, os.Stdout, exitAfter(stop))
+			controlled <- c.Serve(ctx, os.Stdin, os.Stdout, exitOnDisconnect(stop))
 		}()
 	}
 	if err := serve(ctx, path, log, serveOptions{ready: startControl, clock: clock, hooks: &hooks}); err != nil {
@@ -116,9 +116,9 @@
 	return <-controlled
 }
 
-// exitAfter returns a function that ends this process after the process that controls it has disconnected. The function
-// calls stop for a graceful shutdown. If that takes longer than scale.ExitTimeout, the process exits with code 1.
-func exitAfter(stop context.CancelFunc) func() {
+// exitOnDisconnect returns a function that ends this process once the process that controls it has disconnected. The
+// function calls stop for a graceful shutdown. If that takes longer than scale.ExitTimeout, the process exits with code 1.
+func exitOnDisconnect(stop context.CancelFunc) func() {
 	return func() {
 		stop()
 		time.AfterFunc(scale.ExitTimeout, func() { os.Exit(1) })
