--- a/internal/lab/classparser.go
+++ b/internal/lab/classparser.go
@@ -9,17 +9,17 @@
 	"yokestall/policy"
 )
 
-// effects are the names of idempotency in files.
+// effects maps the values of the key effect to idempotency.
 var effects = map[string]policy.Idempotency{
 	"safe":   policy.Idempotent,
 	"keyed":  policy.IdempotentByKey,
 	"unsafe": policy.NotIdempotent,
 }
 
-// setClasses sets the classes of requests. A class without a weight has 1.
+// setClasses checks and sets the classes of requests.
 func (p *parser) setClasses() {
 	if count := len(p.file.Classes); count == 0 || count > config.MaxClasses {
-		p.section("class").problem("", "%d classes; 1 to %d", count, config.MaxClasses)
+		p.section("class").problem("", "file has %d classes; a file must have from 1 to %d", count, config.MaxClasses)
 	}
 	for i := range p.file.Classes {
 		c := &p.file.Classes[i]
@@ -36,7 +36,7 @@
 		s.problem("effect", "%q is none of safe, keyed, unsafe", c.Effect)
 	}
 	if idempotency == policy.IdempotentByKey && c.DedupWindow.Duration <= 0 {
-		s.problem("window", "a keyed class needs one")
+		s.problem("window", "a class with effect keyed needs a window greater than 0")
 	}
 	s.checkDuration("deadline", c.Deadline, 20*time.Millisecond, time.Hour)
 	s.checkDuration("aim", c.LatencyObjective, 0, max(0, c.Deadline.Duration))
@@ -48,7 +48,7 @@
 	s.checkNumber("late_worth", c.LateWeight, 0, 1)
 }
 
-// class translates a class.
+// class translates a class. A priority weight of 0 becomes 1.
 func (c *classSection) class() fleetsim.Class {
 	weight := c.PriorityWeight
 	if weight == 0 {
--- a/internal/lab/comparison.go
+++ b/internal/lab/comparison.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	bootstrapDraws = 4000
-	// The seed of the bootstrap's random numbers.
+	bootstrapDraws = 4000 // resampled means
+	// The fixed seed of the bootstrap's random numbers makes comparisons repeatable.
 	bootstrapSeed, bootstrapSequence = 1, 2
 )
 
-// Difference is how much more service one outcome has than another one, seed by seed: the mean, and the bounds of its
-// 95 % confidence interval.
+// Difference is the difference in service between two outcomes, paired by seed: its mean, and the bounds of the 95 %
+// confidence interval of the mean.
 type Difference struct{ Mean, Low, High float64 }
 
-// Significant tells whether the interval leaves zero out.
+// Significant reports whether the confidence interval excludes zero.
 func (d Difference) Significant() bool { return d.Low > 0 || d.High < 0 }
 
-// String describes the difference in a line.
+// String describes the difference in one line.
 func (d Difference) String() string {
 	if !d.Significant() {
-		return fmt.Sprintf("no difference seen (%+.4f, from %+.4f to %+.4f)", d.Mean, d.Low, d.High)
+		return fmt.Sprintf("no significant difference (%+.4f, from %+.4f to %+.4f)", d.Mean, d.Low, d.High)
 	}
 	return fmt.Sprintf("%+.4f (from %+.4f to %+.4f)", d.Mean, d.Low, d.High)
 }
 
-// Compare returns how much more service b has than a. Both are of the same seeds, which are paired; the interval is by
-// bootstrap over the pairs (Efron, 1979).
+// Compare returns the service of b minus that of a. Both outcomes have the same seeds, which are paired. The confidence
+// interval is computed by bootstrap over the pairs (Efron, 1979).
 func Compare(a, b *Outcome) Difference {
 	differences := make([]float64, len(a.Seeds))
 	mean := 0.0
--- a/internal/lab/comparison_test.go
+++ b/internal/lab/comparison_test.go
@@ -6,13 +6,13 @@
 	"yokestall/internal/fleetsim"
 )
 
-// A comparison sees a difference that is there, and none where there is none.
+// Compare finds a significant difference between the program and random selection, and none between two equal runs.
 func TestCompare(t *testing.T) {
 	e, _ := readExperiment(t, "one-slow.toml")
 	e.Day.Length /= 5
-	run := func(with fleetsim.DeciderFactory, seed uint64) *Outcome {
+	run := func(makeDecider fleetsim.DeciderFactory, seed uint64) *Outcome {
 		e.Seed = seed
-		o, err := Run(e, "", with, 8)
+		o, err := Run(e, "", makeDecider, 8)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -21,9 +21,9 @@
 	e.Day.Faults[0].From = 0
 	program, random := run(fleetsim.NewBalancer, 1), run(fleetsim.Baselines["random"], 1)
 	if d := Compare(random, program); !d.Significant() || d.Mean < 0 {
-		t.Errorf("program over random: %v", d)
+		t.Errorf("program over random: got %v, want a significant gain", d)
 	}
 	if d := Compare(program, run(fleetsim.NewBalancer, 1)); d.Significant() {
-		t.Errorf("over itself: %v", d)
+		t.Errorf("program over itself: got %v, want no significant difference", d)
 	}
 }
--- a/internal/lab/dayparser.go
+++ b/internal/lab/dayparser.go
@@ -41,7 +41,7 @@
 	s.checkDuration("window", k.DedupWindow, 0, time.Hour)
 }
 
-// checkLimitsAndClients checks the policy's limits, the clients and what is expected.
+// checkLimitsAndClients checks the policy's limits, the clients, the share of node 0 and the expected service.
 func (p *parser) checkLimitsAndClients() {
 	f := &p.file
 	limits, clients := p.section("limits"), p.section("clients")
@@ -55,7 +55,7 @@
 	p.section("expect").checkNumber("service", f.Expect.MinService, 0, 1)
 }
 
-// setDay sets what a day has once.
+// setDay sets the values of the scenario that are not in lists, except for the policy's settings.
 func (p *parser) setDay() {
 	f := &p.file
 	p.experiment.Day = fleetsim.Scenario{
@@ -91,7 +91,7 @@
 	}
 }
 
-// setSettings sets the policy's settings: its limits, and how servers warm up and are overloaded, as the model has it.
+// setSettings sets the policy's limits, and its rules for slow start and overload, which agree with the server model.
 func (p *parser) setSettings() {
 	limits, k := &p.file.Limits, &p.file.Server
 	s := &p.experiment.Day.Settings
@@ -112,27 +112,27 @@
 	}
 }
 
-// setLoad sets the load's curve, whose points are in the order of their times.
+// setLoad sets the load curve, and reports points whose times do not increase.
 func (p *parser) setLoad() {
 	last := time.Duration(-1)
 	for i, point := range p.file.Load {
 		s := p.sectionAt("load", i)
 		s.checkNumber("value", point.Value, 0, 1000)
 		if point.At.Duration <= last {
-			s.problem("at", "%v is not behind the one before", point.At)
+			s.problem("at", "%v is not after the time of the previous point", point.At)
 		}
 		last = point.At.Duration
 		p.experiment.Day.Load = append(p.experiment.Day.Load, model.Point{At: last, Value: point.Value})
 	}
 }
 
-// checkRequests reports a day with too many requests.
+// checkRequests reports a day that could have more than MaxRequests requests at the peak of its load curve.
 func (p *parser) checkRequests() {
 	requests := 0.0
 	for _, c := range p.file.Classes {
 		requests += c.Rate * p.file.Length.Seconds()
 	}
 	if requests *= p.experiment.Day.Load.Max(); requests > MaxRequests {
-		p.section("class").problem("rate", "%.0f requests in all; %d at most", requests, MaxRequests)
+		p.section("class").problem("rate", "the classes have %.0f requests in total; the maximum is %d", requests, MaxRequests)
 	}
 }
--- a/internal/lab/experimentfile.go
+++ b/internal/lab/experimentfile.go
@@ -6,7 +6,7 @@
 	"yokestall/internal/config"
 )
 
-// experimentFile is an experiment's file.
+// experimentFile holds the keys of an experiment file.
 type experimentFile struct {
 	Name           string          `toml:"name"`
 	Description    string          `toml:"says"`
@@ -40,7 +40,7 @@
 	DedupWindow          config.Duration `toml:"window"`
 }
 
-// limitsSection is the policy's limits.
+// limitsSection holds the policy's limits.
 type limitsSection struct {
 	Attempts      int             `toml:"attempts"`
 	AllowHedging  bool            `toml:"second_copies"`
@@ -63,7 +63,7 @@
 	Rate             float64         `toml:"rate"`
 }
 
-// clientsSection is what clients do with a rejection.
+// clientsSection describes how clients retry.
 type clientsSection struct {
 	Retries         int             `toml:"retries"`
 	Backoff         config.Duration `toml:"wait"`
@@ -71,13 +71,13 @@
 	AlignTo         config.Duration `toml:"align"`
 }
 
-// loadSection is a point of the load's curve.
+// loadSection is a point of the load curve.
 type loadSection struct {
 	At    config.Duration `toml:"at"`
 	Value float64         `toml:"value"`
 }
 
-// serverFault is a fault of some servers or, with Nodes, of some nodes, in the model.
+// serverFault is a simulated fault of some servers or, if Nodes is set, of some nodes.
 type serverFault struct {
 	From            config.Duration `toml:"from"`
 	To              config.Duration `toml:"to"`
@@ -94,7 +94,7 @@
 	BufferReplies   bool            `toml:"holds"`
 }
 
-// processFault is a fault of processes and their links, on sockets.
+// processFault is a fault of processes and their links, which is played on sockets only.
 type processFault struct {
 	From    config.Duration `toml:"from"`
 	To      config.Duration `toml:"to"`
@@ -105,12 +105,12 @@
 	Rate    int             `toml:"rate"`
 }
 
-// expectSection is what the experiment's outcome has to reach.
+// expectSection holds the bounds that the experiment's outcome has to meet.
 type expectSection struct {
 	MinService float64 `toml:"service"`
 }
 
-// defaultFile returns the values of keys that a file does not have.
+// defaultFile returns the defaults of the keys that a file leaves out.
 func defaultFile() experimentFile {
 	return experimentFile{
 		Seed:         1,
--- a/internal/lab/faultparser.go
+++ b/internal/lab/faultparser.go
@@ -8,7 +8,7 @@
 	"yokestall/internal/model"
 )
 
-// setServerFaults sets the faults of servers and nodes.
+// setServerFaults checks and sets the simulated faults of servers and nodes.
 func (p *parser) setServerFaults() {
 	for i := range p.file.ServerFaults {
 		fault := &p.file.ServerFaults[i]
@@ -17,34 +17,34 @@
 	}
 }
 
-// checkServerFault checks the fault at an index.
+// checkServerFault checks the simulated fault at an index.
 func (p *parser) checkServerFault(index int, t *serverFault) {
 	f, s := &p.file, p.sectionAt("trouble", index)
 	if t.To.Duration <= t.From.Duration || t.From.Duration < 0 || t.From.Duration >= f.Length.Duration {
-		s.problem("to", "from %v to %v is no time of the day", t.From, t.To)
+		s.problem("to", "from %v to %v: a fault must begin within the day and end after its beginning", t.From, t.To)
 	}
-	count, what := f.Servers, "servers"
+	count, noun := f.Servers, "servers"
 	if t.Nodes {
-		count, what = f.Nodes, "nodes"
+		count, noun = f.Nodes, "nodes"
 	}
 	if t.First < 0 || t.Last < t.First || t.Last >= count {
-		s.problem("last", "%s %d to %d are not among the %d, from 0", what, t.First, t.Last, count)
+		s.problem("last", "%s %d to %d are not among the %d, which are numbered from 0", noun, t.First, t.Last, count)
 	}
 	if t.kinds() != 1 {
-		s.problem("", "one of down, drain, nodes, holds, or slow, silent and fail is wanted")
+		s.problem("", "exactly one kind of fault must be set: down, drain, nodes, holds, or any of slow, silent and fail")
 	}
 	if t.RestoreSnapshot && !t.Nodes {
-		s.problem("knows", "it is of nodes alone")
+		s.problem("knows", "allowed only for a fault of nodes")
 	}
 	if t.RestartSpeed != 0 && !t.Down && !t.Drain {
-		s.problem("smaller", "it is of servers that are down or drain")
+		s.problem("smaller", "allowed only for servers that are down or drain")
 	}
 	s.checkNumber("smaller", t.RestartSpeed, 0, 1)
 	s.checkNumber("slow", t.Slow, 0, 1e4)
 	s.checkNumber("fail", t.Fail, 0, 1)
 }
 
-// kinds returns how many kinds of fault it is; slow, silent and failing servers are one kind.
+// kinds returns how many kinds of fault are set; slow, silent and fail together count as one kind.
 func (t *serverFault) kinds() int {
 	impaired := t.Slow != 0 || t.Unresponsive || t.Fail != 0
 	count := 0
@@ -56,7 +56,7 @@
 	return count
 }
 
-// simulatedFault translates a fault.
+// simulatedFault translates a fault of servers or nodes.
 func (t *serverFault) simulatedFault() fleetsim.Fault {
 	return fleetsim.Fault{
 		From:            t.From.Duration,
@@ -73,7 +73,7 @@
 	}
 }
 
-// setProcessFaults sets the faults of processes and links.
+// setProcessFaults checks and sets the faults of processes and links.
 func (p *parser) setProcessFaults() {
 	f := &p.file
 	for i := range f.ProcessFaults {
@@ -86,7 +86,7 @@
 	}
 }
 
-// fault translates a fault.
+// fault translates a fault of processes and links.
 func (t *processFault) fault() fleet.Fault {
 	return fleet.Fault{
 		From:    t.From.Duration,
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// readExperiment reads an experiment of the library, and gives its text too.
+// readExperiment reads an experiment from deploy/lab and returns it with the text of its file.
 func readExperiment(t testing.TB, name string) (*Experiment, []byte) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "lab", name))
--- a/internal/lab/outcome.go
+++ b/internal/lab/outcome.go
@@ -8,16 +8,16 @@
 	"yokestall/internal/fleetsim"
 )
 
-// digestBytes is how many bytes of a hash a digest shows.
+// digestBytes is the number of bytes of the hash that a digest shows.
 const digestBytes = 6
 
-// Outcome is the result of an experiment with one decider.
+// Outcome holds the results of an experiment with one decider, one for each seed.
 type Outcome struct {
 	Name  string
-	Seeds []*fleetsim.Result // at least one
+	Seeds []*fleetsim.Result // by index of the seed; at least one
 }
 
-// Service returns the mean over the seeds.
+// Service returns the mean service over the seeds.
 func (o *Outcome) Service() float64 {
 	sum := 0.0
 	for _, r := range o.Seeds {
@@ -26,7 +26,7 @@
 	return sum / float64(len(o.Seeds))
 }
 
-// Violations returns the rules that were broken in any seed, with the seed.
+// Violations returns the rules that were violated in any seed, each with the index of the seed, sorted.
 func (o *Outcome) Violations() []string {
 	var list []string
 	for i, r := range o.Seeds {
@@ -38,8 +38,8 @@
 	return list
 }
 
-// Counts returns how many requests there were, how many of them have an answer, and how many of those are within the
-// latency objective.
+// Counts returns the numbers of requests, of final answers, and of answers within the latency objective, over all seeds
+// and classes. Rejections and failures count as final answers.
 func (o *Outcome) Counts() (requests, answers, inObjective int64) {
 	for _, r := range o.Seeds {
 		for _, t := range r.Classes {
@@ -51,7 +51,8 @@
 	return requests, answers, inObjective
 }
 
-// Digest returns a short hash of the results: it is the same for the same day with the same seeds.
+// Digest returns a short hash of the results. Two runs of the same day with the same seeds and decider have the same
+// digest.
 func (o *Outcome) Digest() string {
 	h := sha256.New()
 	for _, r := range o.Seeds {
--- a/internal/lab/parser.go
+++ b/internal/lab/parser.go
@@ -7,21 +7,23 @@
 	"yokestall/internal/config"
 )
 
-// parser checks an experiment's file and translates it, a section a method. An experiment of a file with problems is
-// not used.
+// parser checks an experiment file and translates it; each section has a method. Parse discards the experiment if the
+// file has problems.
 type parser struct {
 	file       experimentFile
 	experiment *Experiment
 	report     reportFunc
 }
 
-// reportFunc adds a problem of a key of a table. index is the table's, from 0, or noIndex; key "" is the whole table.
+// reportFunc records a problem of a key of a table. index counts the tables of that name from 0, and is noIndex for a
+// table that a file has once; key "" stands for the whole table.
 type reportFunc func(table string, index int, key, format string, args ...any)
 
-// noIndex is the index of a table that a file has once.
+// noIndex is the index of a table that occurs only once in a file.
 const noIndex = -1
 
-// Parse parses an experiment. name is the file's in messages. The error joins a *cluster.Problem for each problem.
+// Parse parses an experiment file. name is the file's name in messages. The error joins a *cluster.Problem for each
+// problem.
 func Parse(name string, text []byte) (*Experiment, error) {
 	f := defaultFile()
 	if err := config.Decode(name, text, &f); err != nil {
@@ -54,32 +56,32 @@
 	return p.experiment, nil
 }
 
-// section is a table of the file whose keys are checked.
+// section checks the keys of one table of the file.
 type section struct {
 	report reportFunc
 	table  string
 	index  int
 }
 
-// section returns the table of a name that a file has once; "": the keys before all tables.
+// section returns the section of a table that occurs only once in a file; "" stands for the keys before all tables.
 func (p *parser) section(table string) section { return section{p.report, table, noIndex} }
 
-// sectionAt returns one of the tables of a name.
+// sectionAt returns the section of the table at an index, from 0, among the tables of the same name.
 func (p *parser) sectionAt(table string, index int) section { return section{p.report, table, index} }
 
-// problem reports a problem of a key.
+// problem reports a problem of a key of the section.
 func (s section) problem(key, format string, args ...any) {
 	s.report(s.table, s.index, key, format, args...)
 }
 
-// checkNumber reports a number that is not between two bounds.
+// checkNumber reports a number that is NaN, less than least or greater than most.
 func (s section) checkNumber(key string, v, least, most float64) {
 	if math.IsNaN(v) || v < least || v > most {
 		s.problem(key, "%v is not from %v to %v", v, least, most)
 	}
 }
 
-// checkDuration reports a duration that is not between two bounds.
+// checkDuration reports a duration that is less than least or greater than most.
 func (s section) checkDuration(key string, d config.Duration, least, most time.Duration) {
 	if d.Duration < least || d.Duration > most {
 		s.problem(key, "%v is not from %v to %v", d, least, most)
--- a/internal/lab/recovery.go
+++ b/internal/lab/recovery.go
@@ -5,12 +5,12 @@
 const (
 	// recoveryStep is the time between two entries of fleetsim.Result.WeightByTenth.
 	recoveryStep = 100 * time.Millisecond
-	// recoveryWindow is over how many steps outcomes are compared.
+	// recoveryWindow is the number of steps over which earned weights are summed and compared.
 	recoveryWindow = 5
 )
 
-// RecoveryTimes returns, for each of some shares, how long after a moment o first earned that share of what the oracle
-// earned, over half a second and all seeds; negative: never.
+// RecoveryTimes returns, for each share, the time from the given time of the day until o first earned that share of the
+// oracle's weight, over half a second and all seeds. It is negative if o never did.
 func RecoveryTimes(o, oracle *Outcome, from time.Duration, shares ...float64) []time.Duration {
 	var list []time.Duration
 	for _, share := range shares {
@@ -19,7 +19,7 @@
 	return list
 }
 
-// recoveryTime returns the time for one share.
+// recoveryTime returns the recovery time for one share; see RecoveryTimes.
 func (o *Outcome) recoveryTime(oracle *Outcome, from time.Duration, share float64) time.Duration {
 	first := int(from / recoveryStep)
 	last := len(o.Seeds[0].WeightByTenth) - 1 - recoveryWindow
@@ -32,7 +32,7 @@
 	return -1
 }
 
-// earnedInWindow returns the weight that was earned in the window from a step on, the sum over all seeds.
+// earnedInWindow returns the weight earned in the window that begins at a step, summed over all seeds.
 func (o *Outcome) earnedInWindow(step int) float64 {
 	earned := 0.0
 	for _, r := range o.Seeds {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -9,13 +9,13 @@
 	"yokestall/internal/fleetsim"
 )
 
-// Decider is a way to decide, with the name that tables give it.
+// Decider makes the deciders of a simulation. Name is its name in tables.
 type Decider struct {
 	Name string
 	Make fleetsim.DeciderFactory
 }
 
-// Deciders returns the program and, with peers, the deciders that it is compared with, by name.
+// Deciders returns the program and, if peers is set, the baselines after it, in the order of their names.
 func Deciders(peers bool) []Decider {
 	list := []Decider{{"program", fleetsim.NewBalancer}}
 	if !peers {
@@ -28,8 +28,9 @@
 	return list
 }
 
-// Run plays an experiment with one decider, over so many seeds from the experiment's own on, on all cores. The outcome
-// doesn't depend on the number of cores. name is the outcome's. The error is that of the first seed that has one.
+// Run simulates an experiment with one decider once for each of a number of consecutive seeds, beginning with the
+// experiment's own seed, on all cores. The outcome has the given name and doesn't depend on the number of cores. The
+// error is that of the first seed that failed.
 func Run(e *Experiment, name string, makeDecider fleetsim.DeciderFactory, seeds int) (*Outcome, error) {
 	o := &Outcome{Name: name, Seeds: make([]*fleetsim.Result, seeds)}
 	errs := make([]error, seeds)
--- a/internal/lab/run_test.go
+++ b/internal/lab/run_test.go
@@ -11,11 +11,11 @@
 	"yokestall/internal/fleetsim"
 )
 
-// Every day of the library holds what it states.
+// Every experiment in deploy/lab reaches its expected service without violations.
 func TestLibrary(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/lab/*.toml")
 	if err != nil || len(files) < 10 {
-		t.Fatalf("%d days, %v", len(files), err)
+		t.Fatalf("got %d experiment files and error %v, want at least 10 files", len(files), err)
 	}
 	for _, path := range files {
 		if strings.HasPrefix(filepath.Base(path), "scale-") {
@@ -28,14 +28,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if faults := e.Failures(o); len(faults) > 0 {
-				t.Errorf("%v", faults)
+			if failures := e.Failures(o); len(failures) > 0 {
+				t.Errorf("got failures %v, want none", failures)
 			}
 		})
 	}
 }
 
-// The same seeds give the same digest on one core and on all, and another seed another one.
+// The digest of a run does not depend on the number of cores, and differs between seeds.
 func TestDeterminism(t *testing.T) {
 	e, _ := readExperiment(t, "half-gone.toml")
 	digest := func(seed uint64) string {
@@ -51,11 +51,12 @@
 	one := digest(1)
 	runtime.GOMAXPROCS(before)
 	if all != one || digest(5) == all {
-		t.Errorf("%s on all cores, %s on one", all, one)
+		t.Errorf("got digest %s on all cores and %s on one, want equal ones, and another one for another seed", all, one)
 	}
 }
 
-// The check on cold servers bites: round robin pushes some over where the program does not.
+// Round robin overloads servers that warm up where the program does not. This guards against a check for overloaded
+// servers that never fires.
 func TestRoundRobinPushesOver(t *testing.T) {
 	e, _ := readExperiment(t, "cold-fleet.toml")
 	for i := range e.Day.Classes {
@@ -71,36 +72,36 @@
 			t.Fatal(err)
 		}
 		if overloaded := o.Seeds[0].OverloadedServers; (overloaded > 0) != (name != "program") {
-			t.Errorf("%s: %d were overloaded", name, overloaded)
+			t.Errorf("%s: got %d overloaded servers, want none for the program and some for round robin", name, overloaded)
 		}
 	}
 }
 
-// Nodes that lost power with their servers and start with what they knew are better off than blind ones where
-// the fleet is the same, and hardly worse off where all of it was replaced by smaller machines. Nobody is
-// pushed over either way.
+// After a power loss of nodes and servers, nodes that restore their snapshot earn more service than nodes that start
+// without one if the servers are the same, and hardly less if all servers were replaced by smaller ones. In neither case
+// is a rule violated.
 func TestKnowledgeThroughAPowerLoss(t *testing.T) {
 	for day, least := range map[string]float64{"power-nodes-too.toml": 0.005, "power-smaller.toml": -0.01} {
 		t.Run(day, func(t *testing.T) {
 			t.Parallel()
 			e, _ := readExperiment(t, day)
 			service := map[bool]float64{}
-			for _, knows := range []bool{false, true} {
+			for _, restore := range []bool{false, true} {
 				e.Day.Faults = slices.Clone(e.Day.Faults)
 				for i := range e.Day.Faults {
-					e.Day.Faults[i].RestoreSnapshot = knows && e.Day.Faults[i].Nodes
+					e.Day.Faults[i].RestoreSnapshot = restore && e.Day.Faults[i].Nodes
 				}
 				o, err := Run(e, "program", fleetsim.NewBalancer, 4)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if broken := o.Violations(); len(broken) > 0 {
-					t.Errorf("knows %v: %v", knows, broken)
+				if violations := o.Violations(); len(violations) > 0 {
+					t.Errorf("snapshot restored %v: got violations %v, want none", restore, violations)
 				}
-				service[knows] = o.Service()
+				service[restore] = o.Service()
 			}
 			if gain := service[true] - service[false]; gain < least {
-				t.Errorf("service %.4f with knowledge and %.4f without: %+.4f, at least %+.4f is wanted",
+				t.Errorf("service %.4f with a restored snapshot and %.4f without: got a gain of %+.4f, want at least %+.4f",
 					service[true], service[false], gain, least)
 			}
 		})
--- a/internal/lab/size.go
+++ b/internal/lab/size.go
@@ -7,15 +7,17 @@
 	"yokestall/internal/fleetsim"
 )
 
-// Size is what an experiment is played at in place of what its file has; zero leaves a thing as it is.
+// Size overrides the number of nodes, the number of servers and the load of an experiment's file. A field of 0 leaves
+// the file's value.
 type Size struct {
 	Nodes   int
 	Servers int
-	Load    float64 // share of the fleet's capacity that is asked for on average
+	Load    float64 // average work of the requests as a share of the servers' capacity; see Experiment.Load
 }
 
-// AtSize returns the experiment at another size. Faults keep their share of the nodes and servers. Rates grow with the
-// servers, so that the load stays, unless the size has a load. The error says which bound of a day the size exceeds.
+// AtSize returns the experiment at another size. Each fault keeps its share of the nodes or servers. The classes' rates
+// are scaled with the number of servers, so that the load stays the same, or to size.Load if that is set. The error says
+// which bound of a day is exceeded.
 func (e *Experiment) AtSize(size Size) (*Experiment, error) {
 	resized := *e
 	d := &resized.Day
@@ -42,8 +44,8 @@
 	return &resized, nil
 }
 
-// scaleFaults changes the indexes of faults of nodes, or of servers, from one number of them to another. Each fault has
-// at least one.
+// scaleFaults scales the indexes of the faults of nodes, or of servers, from one number of nodes or servers to another.
+// Each fault still affects at least one node or server.
 func scaleFaults(faults []fleetsim.Fault, ofNodes bool, from, to int) {
 	for i := range faults {
 		t := &faults[i]
@@ -55,7 +57,7 @@
 	}
 }
 
-// checkSize reports a bound of a day that the experiment exceeds.
+// checkSize returns an error if the experiment exceeds a bound of a day.
 func (e *Experiment) checkSize() error {
 	d := &e.Day
 	requests := 0.0
@@ -68,7 +70,7 @@
 	case d.Servers < 1 || d.Servers > MaxServers:
 		return fmt.Errorf("%d servers are not from 1 to %d", d.Servers, MaxServers)
 	case requests > MaxRequests:
-		return fmt.Errorf("%.0f requests in all; %d at most", requests, MaxRequests)
+		return fmt.Errorf("the day has %.0f requests in total; the maximum is %d", requests, MaxRequests)
 	}
 	return nil
 }
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -11,19 +11,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// tableHead is the first line of a table.
-const tableHead = "\tservice\tp50 ms\tp99 ms\tlate %\trefused %\tfailed %\tcopies %\tbusiest\tfell over\trules"
+// tableHead is the header line of the table.
+const tableHead = "\tservice\tp50 ms\tp99 ms\tlate %\trejected %\tfailed %\textra attempts %\tbusiest\toverloaded\trules"
 
 // totals are the counts of an outcome, over all seeds and classes.
 type totals struct {
 	requests, late, rejected, failed int64
 	extraAttempts                    int64 // retries and hedged requests
-	overloadedServers                int64 // that were warming up
+	overloadedServers                int64 // number of overloads of servers that were warming up
 	latencies                        *hdrhistogram.Histogram
-	maxServerShare                   float64 // the busiest server's attempts over the mean, in the worst seed
+	maxServerShare                   float64 // attempts at the busiest server over the mean of all servers, in the worst seed
 }
 
-// totals adds up an outcome.
+// totals adds up the results of an outcome.
 func (o *Outcome) totals() totals {
 	t := totals{latencies: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
 	for _, r := range o.Seeds {
@@ -46,12 +46,12 @@
 	return fmt.Sprintf("%.2f", 100*float64(count)/float64(max(1, t.requests)))
 }
 
-// milliseconds formats a percentile of the latencies.
+// milliseconds formats a percentile of the latencies in milliseconds.
 func (t *totals) milliseconds(percentile float64) string {
 	return fmt.Sprintf("%.1f", float64(t.latencies.ValueAtQuantile(percentile))/1000)
 }
 
-// WriteTable writes a line for each outcome.
+// WriteTable writes a table with a line for each outcome.
 func WriteTable(out io.Writer, list []*Outcome) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, tableHead)
@@ -65,16 +65,16 @@
 	w.Flush()
 }
 
-// rulesCell says whether an outcome kept the rules.
+// rulesCell formats the number of violations of an outcome; "kept" if it has none.
 func rulesCell(o *Outcome) string {
 	if count := len(o.Violations()); count > 0 {
-		return fmt.Sprintf("broken in %d", count)
+		return fmt.Sprintf("%d violations", count)
 	}
 	return "kept"
 }
 
-// WriteCSV writes the service of each second, a column for each outcome, means over the seeds. There is at least one
-// outcome, and all are of the same day.
+// WriteCSV writes a line for each second, with a column for each outcome that holds the mean service over the seeds.
+// There is at least one outcome, and all outcomes are of the same day.
 func WriteCSV(out io.Writer, list []*Outcome) error {
 	w := csv.NewWriter(out)
 	head := []string{"second"}
@@ -93,7 +93,7 @@
 	return w.Error()
 }
 
-// serviceInSecond returns the service of one second, the mean over the seeds.
+// serviceInSecond returns the mean service over the seeds in one second.
 func (o *Outcome) serviceInSecond(second int) float64 {
 	sum := 0.0
 	for _, r := range o.Seeds {
