--- a/internal/lab/sockets/client.go
+++ b/internal/lab/sockets/client.go
@@ -13,16 +13,16 @@
 	"yokestall/policy"
 )
 
-// clientRequest is what a client draws for a request before its first attempt.
+// clientRequest holds the values that a client draws for a request before its first attempt.
 type clientRequest struct {
 	class int
 	id    string // "cCLASS-NUMBER"; each attempt has a suffix ".ATTEMPT"
 	work  time.Duration
-	// heedsRetryAfter tells that the client waits for as long as a rejection advises, if that is longer than its own wait.
+	// heedsRetryAfter means that the client waits for the time in Retry-After if that is longer than its own backoff.
 	heedsRetryAfter bool
 }
 
-// request is request number n of a class, which was due at a time: its attempts until one is final.
+// request makes request number n of a class, which was due at a time, with the client's retries, and counts its answer.
 func (r *run) request(ctx context.Context, class, n int, due time.Time) {
 	q := r.newRequest(class, n, due)
 	clients := &r.experiment.Day.Clients
@@ -45,7 +45,7 @@
 	}
 }
 
-// newRequest draws a request, and counts it.
+// newRequest draws a request of a class and counts it as requested.
 func (r *run) newRequest(class, n int, due time.Time) clientRequest {
 	c := &r.experiment.Day.Classes[class]
 	r.mu.Lock()
@@ -64,7 +64,7 @@
 	return q
 }
 
-// mayRetry tells whether a client may retry a request of a class after a status.
+// mayRetry reports whether a client may retry a request of a class after a status; 0: there was no answer.
 func (r *run) mayRetry(class, status int) bool {
 	idempotency := r.experiment.Day.Classes[class].Idempotency
 	switch status {
@@ -76,12 +76,13 @@
 	return idempotency != policy.NotIdempotent
 }
 
-// secondOf returns the second of a time; what is due after the experiment counts for its last second.
+// secondOf returns the weights of the second in which a time lies. Times after the last second count for that second.
 func (r *run) secondOf(due time.Time) *weightInSecond {
 	return &r.seconds[min(int(due.Sub(r.began)/time.Second), len(r.seconds)-1)]
 }
 
-// countAnswer counts a final answer of a request that was due in a second.
+// countAnswer counts the final status of a request of a class, 0 for no answer. took is the time since the request was due
+// in the given second.
 func (r *run) countAnswer(class, status int, took time.Duration, second *weightInSecond) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// countSuccess counts an answer with a result, and returns its weight.
+// countSuccess counts an answer with status 200 as late or within the latency objective, and returns its earned weight.
 func countSuccess(tally *fleetsim.ClassResult, c *fleetsim.Class, took time.Duration) float64 {
 	weight := c.PriorityWeight
 	if c.LatencyObjective > 0 && took > c.LatencyObjective {
@@ -110,7 +111,8 @@
 	return weight
 }
 
-// attempt makes one attempt. It returns the answer's status, 0 for none, and its Retry-After.
+// attempt makes one attempt of a request, numbered from 0. It returns the answer's status, 0 if there is no complete
+// answer, and its Retry-After.
 func (r *run) attempt(ctx context.Context, q *clientRequest, number int) (status int, retryAfter time.Duration) {
 	id := fmt.Sprintf("%s.%d", q.id, number)
 	ctx, url, finish := r.deployment.startAttempt(ctx, q.class, id)
--- a/internal/lab/sockets/faults.go
+++ b/internal/lab/sockets/faults.go
@@ -9,7 +9,8 @@
 	"yokestall/internal/model"
 )
 
-// faultStep is one moment of a fault: it begins or ends, or the endpoint list says so, somewhat later.
+// faultStep is one step of a fault: the fault begins or ends or, if publish is set, the endpoint list that shows this is
+// published.
 type faultStep struct {
 	at      time.Duration
 	fault   *fleetsim.Fault
@@ -17,7 +18,7 @@
 	publish bool
 }
 
-// faultSteps returns the steps of the experiment's faults of servers, by time. Faults of nodes are not among them.
+// faultSteps returns the steps of the experiment's faults of servers, ordered by time. Faults of nodes are left out.
 func (r *run) faultSteps() []faultStep {
 	day := &r.experiment.Day
 	var steps []faultStep
@@ -37,7 +38,7 @@
 	return steps
 }
 
-// playFaults plays the experiment's faults of servers at their times, until ctx ends. That ctx ended is no error.
+// playFaults plays the experiment's faults of servers at their times, until ctx ends. The end of ctx is not an error.
 func (r *run) playFaults(ctx context.Context) error {
 	for _, step := range r.faultSteps() {
 		select {
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// playStep plays one step, for all servers of its fault.
+// playStep plays one step for all servers of its fault.
 func (r *run) playStep(step faultStep) error {
 	if step.publish {
 		if err := r.deployment.publish(); err != nil {
@@ -61,21 +62,21 @@
 		r.notePublishedDrains()
 		return nil
 	}
-	for place := step.fault.First; place <= step.fault.Last; place++ {
+	for slot := step.fault.First; slot <= step.fault.Last; slot++ {
 		play := r.beginFault
 		if step.ends {
 			play = r.endFault
 		}
-		if err := play(step.fault, place); err != nil {
+		if err := play(step.fault, slot); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// beginFault begins a fault of the server in a place.
-func (r *run) beginFault(fault *fleetsim.Fault, place int) error {
-	s := r.serverAt(place)
+// beginFault begins a fault of the server in a slot.
+func (r *run) beginFault(fault *fleetsim.Fault, slot int) error {
+	s := r.serverAt(slot)
 	switch {
 	case fault.Down:
 		s.box.Down()
@@ -87,9 +88,10 @@
 	return nil
 }
 
-// endFault ends a fault of the server in a place: one that was down starts again, one that drained is replaced.
-func (r *run) endFault(fault *fleetsim.Fault, place int) error {
-	s := r.serverAt(place)
+// endFault ends a fault of the server in a slot. A server that was down starts again; a server that drained is replaced
+// by a new one.
+func (r *run) endFault(fault *fleetsim.Fault, slot int) error {
+	s := r.serverAt(slot)
 	switch {
 	case fault.Down:
 		if err := s.box.Up(); err != nil {
@@ -98,10 +100,10 @@
 		r.setStarted(s)
 	case fault.Drain:
 		s.box.Down()
-		if err := r.startServer(place, true); err != nil {
+		if err := r.startServer(slot, true); err != nil {
 			return err
 		}
-		r.deployment.serverReplaced(place)
+		r.deployment.serverReplaced(slot)
 	default:
 		s.box.SetFault(model.Fault{})
 	}
--- a/internal/lab/sockets/inprocess.go
+++ b/internal/lab/sockets/inprocess.go
@@ -18,12 +18,12 @@
 	"yokestall/internal/loadgen"
 )
 
-// drainGrace is for how long after the publication of a server's drain requests may still go to it.
+// drainGrace is the time after the publication of a server's drain in which attempts may still be sent to the server.
 const drainGrace = 500 * time.Millisecond
 
-// RunInProcess plays an experiment of one node on sockets: the program itself, servers that take their service times
-// from the model, and the load generator. void tells that the generator was late itself, so that the outcome says
-// nothing.
+// RunInProcess plays an experiment of one node on sockets: the program in this process, modelled servers, which take
+// their service times from the model, and the load generator. void means that the load generator was late, so that the
+// outcome is not valid.
 func RunInProcess(ctx context.Context, e *lab.Experiment, log *slog.Logger) (o *lab.Outcome, void bool, err error) {
 	if err := checkInProcess(e); err != nil {
 		return nil, false, err
@@ -56,20 +56,20 @@
 	return &lab.Outcome{Name: "on sockets", Seeds: []*fleetsim.Result{r.result}}, report.Invalid, ctx.Err()
 }
 
-// checkInProcess reports what of an experiment can't be played in this process.
+// checkInProcess returns an error if an experiment can't be played in this process.
 func checkInProcess(e *lab.Experiment) error {
 	day := &e.Day
 	if day.Servers > MaxServers || day.Nodes != 1 {
-		return fmt.Errorf("%s: %d servers and %d nodes; on sockets %d at most, and one node",
+		return fmt.Errorf("%s: %d servers and %d nodes; the maximum on sockets is %d servers and one node",
 			e.Name, day.Servers, day.Nodes, MaxServers)
 	}
 	if slices.ContainsFunc(day.Faults, func(t fleetsim.Fault) bool { return t.Nodes }) {
-		return fmt.Errorf("%s: nodes die: lab fleet plays that", e.Name)
+		return fmt.Errorf("%s: faults of nodes can't be played in one process; use lab fleet", e.Name)
 	}
 	return checkFaults(e)
 }
 
-// inProcess is the program in this process.
+// inProcess is the deployment of the program in this process.
 type inProcess struct {
 	run     *run
 	app     *app.App
@@ -77,7 +77,7 @@
 	url     string
 }
 
-// start starts the program on a free port of 127.0.0.1. stop ends it, and waits until it has ended.
+// start starts the program on a free port of 127.0.0.1. stop ends the program and waits until it has ended.
 func (p *inProcess) start(log *slog.Logger) (stop func(), err error) {
 	e := p.run.experiment
 	if p.program, err = config.ParseProgram("lab", []byte(programFile(e, "127.0.0.1:0", 0))); err != nil {
@@ -103,7 +103,7 @@
 	}, nil
 }
 
-// snapshot returns the program's configuration with the present endpoints.
+// snapshot returns the program's configuration with the run's present endpoints.
 func (p *inProcess) snapshot() *files.Configuration {
 	c := &cluster.Config{Name: clusterName, ShrinkTo: -1, Endpoints: p.run.endpoints()}
 	return &files.Configuration{
@@ -112,13 +112,14 @@
 	}
 }
 
-// countSend counts an attempt at an endpoint, and whether it came after the grace of a published drain.
+// countSend counts an attempt that is sent to an endpoint, also as an attempt after drain if drainGrace has passed since
+// the endpoint's drain was published.
 func (p *inProcess) countSend(_ string, endpointKey uint64, at time.Time) {
 	r := p.run
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.Attempts++
-	s := r.places[r.placeByKey[endpointKey]]
+	s := r.slots[r.slotByKey[endpointKey]]
 	if s.endpoint.Key() == endpointKey && !s.drainPublishedAt.IsZero() && at.After(s.drainPublishedAt.Add(drainGrace)) {
 		r.result.AttemptsAfterDrain++
 	}
@@ -127,13 +128,13 @@
 // publish implements deployment.
 func (p *inProcess) publish() error { return p.app.Apply(p.snapshot()) }
 
-// drainPublished implements deployment: countSend goes by the run's own note.
+// drainPublished implements deployment. It does nothing, because countSend reads the run's own record of drains.
 func (p *inProcess) drainPublished(int) {}
 
-// serverReplaced implements deployment: the new server's address is published.
+// serverReplaced implements deployment. It does nothing, because publish makes the new server's address known.
 func (p *inProcess) serverReplaced(int) {}
 
-// startAttempt implements deployment.
+// startAttempt implements deployment. All attempts go to the one program.
 func (p *inProcess) startAttempt(ctx context.Context, _ int, _ string) (context.Context, string, func(int)) {
 	return ctx, p.url, func(int) {}
 }
--- a/internal/lab/sockets/processes.go
+++ b/internal/lab/sockets/processes.go
@@ -16,12 +16,12 @@
 	"yokestall/internal/loadgen"
 )
 
-// MaxProcesses is how many processes of the program an experiment may have on sockets.
+// MaxProcesses is the maximum number of processes of the program in an experiment on sockets.
 const MaxProcesses = 16
 
-// RunProcesses plays an experiment on sockets with a process of the program for each node, started by a command, each
-// behind links of its own, while the experiment's faults of processes, links and servers happen. The findings are
-// judged from what clients and servers recorded. void is as RunInProcess has it.
+// RunProcesses plays an experiment on sockets with a process of the program for each node, and with the experiment's
+// faults of processes, links and servers. The command starts a process; each process reaches the servers by its own
+// links. The findings are the violations in the events that clients and servers recorded. For void see RunInProcess.
 func RunProcesses(ctx context.Context, e *lab.Experiment, dir string, command, env []string) (
 	o *lab.Outcome, findings []fleet.Finding, void bool, err error,
 ) {
@@ -54,31 +54,31 @@
 	return o, fleet.CheckRequests(events, p.rules()), report.Invalid, ctx.Err()
 }
 
-// checkProcesses reports what of an experiment can't be played with processes.
+// checkProcesses returns an error if an experiment can't be played with processes.
 func checkProcesses(e *lab.Experiment) error {
 	day := &e.Day
 	if day.Servers > MaxServers || day.Nodes > MaxProcesses {
-		return fmt.Errorf("%s: %d servers and %d nodes; on sockets %d and %d at most",
+		return fmt.Errorf("%s: %d servers and %d nodes; the maximum on sockets is %d servers and %d nodes",
 			e.Name, day.Servers, day.Nodes, MaxServers, MaxProcesses)
 	}
 	return checkFaults(e)
 }
 
-// processes are the program as real processes.
+// processes is the deployment of the program as a process for each node.
 type processes struct {
 	run    *run
 	rig    *fleet.Rig
 	script []fleet.Fault
 
-	mu sync.Mutex // guards deaf and the writing of endpoint lists
-	// deaf are the processes that get no endpoint lists for the time being, by index.
-	deaf map[int]bool
+	mu sync.Mutex // guards updatesBlocked, and is held while endpoint lists are written
+	// updatesBlocked tells by index which processes get no endpoint lists at present.
+	updatesBlocked map[int]bool
 }
 
-// newProcesses makes a rig for a run, in folders below dir.
+// newProcesses makes a rig for a run. The processes' folders are below dir.
 func newProcesses(r *run, dir string, command, env []string) (*processes, error) {
 	var addresses []string
-	for _, s := range r.places {
+	for _, s := range r.slots {
 		addresses = append(addresses, s.box.Addr)
 	}
 	e := r.experiment
@@ -86,13 +86,13 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &processes{run: r, rig: rig, script: faultScript(e), deaf: map[int]bool{}}
-	rig.SetUpdatesBlocked = p.setDeaf
+	p := &processes{run: r, rig: rig, script: faultScript(e), updatesBlocked: map[int]bool{}}
+	rig.SetUpdatesBlocked = p.setUpdatesBlocked
 	return p, nil
 }
 
-// faultScript returns the experiment's faults of processes and links, with the deaths of nodes that are played in
-// virtual time too.
+// faultScript returns the experiment's faults of processes and links, and a kill of processes for each simulated fault
+// of nodes.
 func faultScript(e *lab.Experiment) []fleet.Fault {
 	script := slices.Clone(e.Faults)
 	for _, t := range e.Day.Faults {
@@ -108,7 +108,7 @@
 	return script
 }
 
-// start writes the configuration of the processes and starts them.
+// start writes the configuration of all processes and starts the processes.
 func (p *processes) start(ctx context.Context) error {
 	for i, process := range p.rig.Processes {
 		if err := process.WriteConfig(programFile(p.run.experiment, process.Addr, i)); err != nil {
@@ -121,13 +121,13 @@
 	return p.rig.Start(ctx)
 }
 
-// play plays the load and all faults, to the end of both.
+// play plays the load and all faults, and returns when both have ended.
 func (p *processes) play(ctx context.Context) (*loadgen.Report, error) {
 	r := p.run
 	plan := r.loadPlan()
 	r.began = time.Now()
 	p.rig.Record.Begin(r.began)
-	for _, s := range r.places {
+	for _, s := range r.slots {
 		p.watch(s)
 	}
 	faultsContext, cancelFaults := context.WithCancel(ctx)
@@ -144,21 +144,22 @@
 	return report, scriptErr
 }
 
-// setDeaf has a process get no endpoint lists, or again the present one.
-func (p *processes) setDeaf(process int, deaf bool) error {
+// setUpdatesBlocked withholds endpoint lists from a process, or publishes the present one to it again.
+func (p *processes) setUpdatesBlocked(process int, blocked bool) error {
 	p.mu.Lock()
-	p.deaf[process] = deaf
+	p.updatesBlocked[process] = blocked
 	p.mu.Unlock()
 	return p.publish()
 }
 
-// publish implements deployment: it writes the endpoint list of each process, with the addresses of its own links.
+// publish implements deployment. It writes the endpoint list of each process, with the addresses of the process's own
+// links. Processes in updatesBlocked keep the list that they have.
 func (p *processes) publish() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	endpoints := p.run.endpoints()
 	for i, process := range p.rig.Processes {
-		if p.deaf[i] {
+		if p.updatesBlocked[i] {
 			continue
 		}
 		path := process.ClusterFile(clusterName)
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// clusterFile returns the cluster's file for endpoints that are reached by links.
+// clusterFile returns the text of the cluster's file, in which each endpoint has the address of its link.
 func clusterFile(endpoints []cluster.Endpoint, links []*fleet.Relay) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[cluster]\nname = %q\n", clusterName)
@@ -185,7 +186,7 @@
 	return b.String()
 }
 
-// replaceFile writes a file in one step, so that nobody reads a part of it.
+// replaceFile replaces a file by a rename, so that no reader sees a part of the text.
 func replaceFile(path, text string) error {
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		return err
@@ -193,22 +194,22 @@
 	return os.Rename(path+".new", path)
 }
 
-// drainPublished implements deployment.
+// drainPublished implements deployment. It records the drain for the check of the run.
 func (p *processes) drainPublished(serial int) {
 	p.rig.Record.Add(fleet.Event{Kind: fleet.DrainAnnounced, Party: serial})
 }
 
-// serverReplaced implements deployment: it leads the links of the place to the new server.
-func (p *processes) serverReplaced(place int) {
-	s := p.run.serverAt(place)
+// serverReplaced implements deployment. It directs the links of the slot to the new server.
+func (p *processes) serverReplaced(slot int) {
+	s := p.run.serverAt(slot)
 	p.watch(s)
 	for _, links := range p.rig.ServerLinks {
-		links[place].SetTarget(s.box.Addr)
+		links[slot].SetTarget(s.box.Addr)
 	}
 }
 
-// startAttempt implements deployment: it picks a process. The attempt ends at its deadline, since a process that is
-// stopped answers nobody.
+// startAttempt implements deployment. It selects a process at random. The attempt ends at its deadline, because a process
+// that is paused does not answer.
 func (p *processes) startAttempt(ctx context.Context, class int, id string) (context.Context, string, func(int)) {
 	r := p.run
 	r.mu.Lock()
--- a/internal/lab/sockets/programfile.go
+++ b/internal/lab/sockets/programfile.go
@@ -9,15 +9,15 @@
 	"yokestall/policy"
 )
 
-// effects are the names of idempotency in the program's file.
+// effects maps idempotency to the values of the key effect in the program's file.
 var effects = map[policy.Idempotency]string{
 	policy.Idempotent:      "safe",
 	policy.IdempotentByKey: "keyed",
 	policy.NotIdempotent:   "unsafe",
 }
 
-// programFile returns the program's own file for an experiment: a listener at an address, and a class and a route for
-// each class of the experiment, by its index.
+// programFile returns the text of the program's configuration file for an experiment. The file has a listener at an
+// address, and a class and a route for each class of the experiment, which are named by the class's index.
 func programFile(e *lab.Experiment, address string, node int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[listen]\naddress = %q\nconnections = %d\nsilent = 1024\n", address, 2*maxOpenRequests)
@@ -43,7 +43,7 @@
 	fmt.Fprintf(b, "max_retry_after = %q\n", limits.MaxRetryAfter)
 }
 
-// writeServerRules writes how servers warm up and are overloaded, as keys of the table that was begun.
+// writeServerRules writes the keys of slow start and overload into the table that is open, which is [fleet].
 func writeServerRules(b *strings.Builder, rules *policy.Rules) {
 	fmt.Fprintf(b, "cold_from = %v\ncold_for = %q\n", rules.SlowStartMinCapacity, rules.SlowStartWindow)
 	fmt.Fprintf(b, "fall_multiple = %v\nfall_for = %q\n", rules.OverloadMultiple, rules.OverloadDuration)
--- a/internal/lab/sockets/record.go
+++ b/internal/lab/sockets/record.go
@@ -9,10 +9,10 @@
 	"yokestall/policy"
 )
 
-// observationSlack is how much later than a process's decision a server may see its effect, on a busy machine.
+// observationSlack is the maximum time from a process's decision until a server sees its effect, on a busy machine.
 const observationSlack = 400 * time.Millisecond
 
-// rules are what the run's record is judged by.
+// rules returns the rules by which the run's record is checked.
 func (p *processes) rules() fleet.Rules {
 	rules := fleet.Rules{DrainGrace: drainGrace, Slack: observationSlack}
 	for _, c := range p.run.experiment.Day.Classes {
@@ -22,7 +22,7 @@
 	return rules
 }
 
-// countArrivals returns how many attempts came to servers.
+// countArrivals returns the number of attempts that arrived at servers.
 func countArrivals(events []fleet.Event) int64 {
 	arrivals := int64(0)
 	for _, e := range events {
@@ -33,16 +33,16 @@
 	return arrivals
 }
 
-// observations are the record's names of what servers observe.
+// observations maps the events of a modelled server to the kinds of the record's events.
 var observations = map[modelbox.Event]fleet.EventKind{
 	modelbox.Arrived:    fleet.AttemptArrived,
 	modelbox.Completed:  fleet.EffectApplied,
 	modelbox.Overloaded: fleet.ServerOverloaded,
 }
 
-// watch records what a server observes.
+// watch adds the events of a server to the record from now on.
 func (p *processes) watch(s *server) {
-	s.box.Watch(func(seen modelbox.Event, requestID string) {
-		p.rig.Record.Add(fleet.Event{Kind: observations[seen], Party: s.serial, ID: requestID})
+	s.box.Watch(func(event modelbox.Event, requestID string) {
+		p.rig.Record.Add(fleet.Event{Kind: observations[event], Party: s.serial, ID: requestID})
 	})
 }
--- a/internal/lab/sockets/result.go
+++ b/internal/lab/sockets/result.go
@@ -7,8 +7,8 @@
 	"yokestall/policy"
 )
 
-// finish completes the result once all attempts have been counted: what the servers saw, and the share of the weight
-// earned in each second.
+// finish completes the result after all attempts have been counted. It adds the effects and overloads that the servers
+// counted, the number of extra attempts and the service of each second.
 func (r *run) finish() {
 	effects := r.countEffects()
 	for request, count := range effects {
@@ -30,8 +30,8 @@
 	}
 }
 
-// countEffects returns how often each request took effect, by its id without the attempt, and counts the servers that
-// were overloaded.
+// countEffects returns the number of effects of each request, by the request's id without the suffix of the attempt. It
+// adds the servers' overloads to the result.
 func (r *run) countEffects() map[string]int {
 	byRequest := map[string]int{}
 	for _, s := range r.servers {
@@ -45,7 +45,7 @@
 	return byRequest
 }
 
-// isNotIdempotent tells whether a request, by its id, is of a class that is not idempotent.
+// isNotIdempotent reports whether the request with an id is of a class that is not idempotent.
 func (r *run) isNotIdempotent(request string) bool {
 	class, _, _ := strings.Cut(strings.TrimPrefix(request, "c"), "-")
 	i, err := strconv.Atoi(class)
--- a/internal/lab/sockets/run.go
+++ b/internal/lab/sockets/run.go
@@ -16,58 +16,60 @@
 	"yokestall/internal/loadgen"
 )
 
-// MaxServers is how many servers an experiment may have on sockets.
+// MaxServers is the maximum number of servers in an experiment on sockets.
 const MaxServers = 64
 
 const (
-	// maxGeneratorLateness is how late the load generator may be before a run is void; see loadgen.Plan.Late.
+	// maxGeneratorLateness is the lateness of the load generator above which a run is void; see
+	// loadgen.Plan.MaxLateness.
 	maxGeneratorLateness = 20 * time.Millisecond
-	// maxOpenRequests is how many clients' requests may be open at once.
+	// maxOpenRequests is the maximum number of requests that the clients have open at once.
 	maxOpenRequests = 4096
-	// clientSeedOffset keeps the clients' random numbers, a sequence for each class, apart from others of the same seed.
+	// clientSeedOffset is the number of the first class's random sequence. It keeps the clients' sequences, one for each
+	// class, apart from other sequences of the same seed.
 	clientSeedOffset = 100
 )
 
-// deployment is the program under test. Its methods are safe for concurrent use.
+// deployment is the program under test as it is deployed in a run. Its methods are safe for concurrent use.
 type deployment interface {
 	// publish makes the run's present endpoints known to the program.
 	publish() error
-	// drainPublished is called once for each server, with its serial number, after its drain was published.
+	// drainPublished is called once for each server that drains, with its serial number, after the drain was published.
 	drainPublished(serial int)
-	// serverReplaced is called after another server has taken the place at an index.
-	serverReplaced(index int)
+	// serverReplaced is called after a new server has taken a slot.
+	serverReplaced(slot int)
 	// startAttempt prepares an attempt of a class with a request id. It returns the context and the base URL for the
-	// attempt, and a function that the caller calls with the final HTTP status; 0: there was no answer.
+	// attempt, and a function that the caller calls once with the HTTP status, or with 0 if there was no answer.
 	startAttempt(ctx context.Context, class int, id string) (attemptContext context.Context, url string, finish func(int))
 }
 
-// run is an experiment while it is played.
+// run is the state of an experiment that is being played.
 type run struct {
 	experiment *lab.Experiment
 	deployment deployment
 	transport  *http.Transport
 	began      time.Time
 
-	mu         sync.Mutex // guards what follows
-	places     []*server
-	servers    []*modelbox.Server // all that were started, with those that were replaced
+	mu         sync.Mutex         // guards the fields below
+	slots      []*server          // the present server of each slot
+	servers    []*modelbox.Server // all servers that were started, including replaced ones
 	lastSerial int
-	placeByKey map[uint64]int // by endpoint key
-	random     []*rand.Rand   // by class
+	slotByKey  map[uint64]int // slots by endpoint key
+	random     []*rand.Rand   // the clients' random numbers, by class
 	result     *fleetsim.Result
 	seconds    []weightInSecond
 }
 
-// weightInSecond is the priority weight of the requests that were due in a second.
+// weightInSecond is the priority weight of the requests that were due in one second, and the part of it that was earned.
 type weightInSecond struct{ earned, offered float64 }
 
-// newRun starts the experiment's servers. The caller calls close, even after an error.
+// newRun makes a run and starts the experiment's servers. The caller calls close, also after an error.
 func newRun(e *lab.Experiment) (*run, error) {
 	r := &run{
 		experiment: e,
 		transport:  &http.Transport{MaxIdleConnsPerHost: maxOpenRequests},
 		result:     &fleetsim.Result{},
-		placeByKey: map[uint64]int{},
+		slotByKey:  map[uint64]int{},
 	}
 	for i := range e.Day.Servers {
 		if err := r.startServer(i, false); err != nil {
@@ -77,14 +79,15 @@
 	return r, nil
 }
 
-// close ends all servers.
+// close stops all servers.
 func (r *run) close() {
 	for _, s := range r.servers {
 		s.Close()
 	}
 }
 
-// loadPlan returns the experiment's load, and makes what the clients of each class need.
+// loadPlan returns the experiment's load for the load generator, and sets up the random numbers and the results of each
+// class.
 func (r *run) loadPlan() loadgen.Plan {
 	day := &r.experiment.Day
 	r.seconds = make([]weightInSecond, int(day.Length/time.Second)+1)
@@ -108,11 +111,11 @@
 	return plan
 }
 
-// checkFaults reports a fault that can be played in virtual time alone.
+// checkFaults returns an error for the first fault that can be played in virtual time only.
 func checkFaults(e *lab.Experiment) error {
 	for i, t := range e.Day.Faults {
 		if t.RestoreSnapshot || t.RestartSpeed > 0 || t.BufferReplies {
-			return fmt.Errorf("%s: trouble %d: knows, smaller and holds are of virtual time", e.Name, i+1)
+			return fmt.Errorf("%s: trouble %d: knows, smaller and holds are allowed in virtual time only", e.Name, i+1)
 		}
 	}
 	return nil
--- a/internal/lab/sockets/servers.go
+++ b/internal/lab/sockets/servers.go
@@ -11,17 +11,18 @@
 // clusterName is the name of the one cluster.
 const clusterName = "rooms"
 
-// server is the server in a place, and its entry in the endpoint list. The run's mutex guards the entry.
+// server is a modelled server with its entry in the endpoint list. A slot is a position in the endpoint list; when a
+// server has drained, a new server takes its slot. The run's mutex guards endpoint and drainPublishedAt.
 type server struct {
-	serial           int // from 1, over all places
+	serial           int // number in the order of starts, from 1, over all slots
 	box              *modelbox.Server
 	endpoint         cluster.Endpoint
-	drainPublishedAt time.Time // zero: it was not
+	drainPublishedAt time.Time // zero if no drain was published
 }
 
-// startServer puts a new server into a place; cold: it has just started, and warms up.
-func (r *run) startServer(place int, cold bool) error {
-	box, err := modelbox.Start(&r.experiment.Day.ServerKind, r.experiment.Seed+uint64(place))
+// startServer starts a new server in a slot. If cold is set, the server warms up, and the endpoint list has its start time.
+func (r *run) startServer(slot int, cold bool) error {
+	box, err := modelbox.Start(&r.experiment.Day.ServerKind, r.experiment.Seed+uint64(slot))
 	if err != nil {
 		return err
 	}
@@ -40,52 +41,53 @@
 		s.endpoint.StartedMs = time.Now().UnixMilli()
 	}
 	r.servers = append(r.servers, box)
-	if place < len(r.places) {
-		r.places[place] = s
+	if slot < len(r.slots) {
+		r.slots[slot] = s
 	} else {
-		r.places = append(r.places, s)
+		r.slots = append(r.slots, s)
 	}
-	r.placeByKey[s.endpoint.Key()] = place
+	r.slotByKey[s.endpoint.Key()] = slot
 	return nil
 }
 
-// serverAt returns the server that is in a place now.
-func (r *run) serverAt(place int) *server {
+// serverAt returns the present server of a slot.
+func (r *run) serverAt(slot int) *server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.places[place]
+	return r.slots[slot]
 }
 
-// endpoints returns the present endpoints, by place.
+// endpoints returns the present endpoints in the order of their slots.
 func (r *run) endpoints() []cluster.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := make([]cluster.Endpoint, len(r.places))
-	for i, s := range r.places {
+	list := make([]cluster.Endpoint, len(r.slots))
+	for i, s := range r.slots {
 		list[i] = s.endpoint
 	}
 	return list
 }
 
-// setStarted records that a server has started again.
+// setStarted sets the start time of a server that has started again.
 func (r *run) setStarted(s *server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.endpoint.StartedMs = time.Now().UnixMilli()
 }
 
-// setDraining records that a server drains.
+// setDraining marks a server as draining in the endpoint list.
 func (r *run) setDraining(s *server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.endpoint.Health = cluster.Draining
 }
 
-// notePublishedDrains notes the servers whose drain has now been published.
+// notePublishedDrains records the present time as that of the publication of all drains not yet recorded, and notifies
+// the deployment of each.
 func (r *run) notePublishedDrains() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.places {
+	for _, s := range r.slots {
 		if s.endpoint.Health == cluster.Draining && s.drainPublishedAt.IsZero() {
 			s.drainPublishedAt = time.Now()
 			r.deployment.drainPublished(s.serial)
--- a/internal/lab/sockets/sockets_test.go
+++ b/internal/lab/sockets/sockets_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { testutil.Main(m) }
 
-// readExperiment reads an experiment of the library.
+// readExperiment reads an experiment from deploy/lab.
 func readExperiment(t *testing.T, name string) *lab.Experiment {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "lab", name))
@@ -27,8 +27,8 @@
 	return e
 }
 
-// A day on sockets, in short: the program, stand-ins by the model and the load generator, with a server that
-// dies; the rules hold and each request has one final answer.
+// A short day on sockets with modelled servers, one of which goes down and one drains, violates no rule, and each request
+// has a final answer. RunInProcess rejects an experiment with two nodes.
 func TestRunInProcess(t *testing.T) {
 	e := readExperiment(t, "half-gone.toml")
 	e.Day.Length, e.Day.Servers = 2*time.Second, 4
@@ -43,12 +43,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked, answered, _ := o.Counts()
-	if broken := o.Violations(); len(broken) > 0 || asked == 0 || asked != answered || o.Seeds[0].Attempts == 0 {
-		t.Errorf("%d asked, %d answered, %v (void %v)", asked, answered, broken, void)
+	requests, answers, _ := o.Counts()
+	if violations := o.Violations(); len(violations) > 0 || requests == 0 || requests != answers || o.Seeds[0].Attempts == 0 {
+		t.Errorf("got %d requests, %d answers, %d attempts and violations %v (void %v), want an answer to each request, "+
+			"attempts and no violations", requests, answers, o.Seeds[0].Attempts, violations, void)
 	}
 	e.Day.Nodes = 2
 	if _, _, err := RunInProcess(t.Context(), e, testutil.DiscardLogger); err == nil {
-		t.Error("two nodes on sockets")
+		t.Error("RunInProcess with two nodes: got no error")
 	}
 }
