--- a/internal/lab/versions/configuration.go
+++ b/internal/lab/versions/configuration.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	configurationName = "lab"   // of the configuration that the processes agree on
-	clusterName       = "rooms" // of the one cluster
+	configurationName = "lab"   // name of the configuration that the processes agree on
+	clusterName       = "rooms" // name of the only cluster
 )
 
-// class is a class of requests: its route is "/NAME".
+// class is a class of requests. Its route has the prefix "/NAME".
 type class struct {
 	name       string
 	idempotent bool
 	keyed      bool   // idempotent by key
-	effect     string // in the program's file
+	effect     string // the keys of effect, scope and window in the program's file
 }
 
-// classes are the classes of a run, by index in the record's events.
+// classes holds the classes of a run, by their index in the record's events.
 var classes = []class{
 	{name: "read", idempotent: true, effect: "effect = \"safe\""},
 	{name: "push", keyed: true, effect: "effect = \"keyed\"\nscope = \"all\"\nwindow = \"6s\""},
 	{name: "order", effect: "effect = \"unsafe\""},
 }
 
-// nodeName returns the name by which a node votes.
+// nodeName returns the name of a node in the agreement.
 func nodeName(node int) string { return fmt.Sprint("n", node) }
 
-// programFile returns a node's own program file, for ownFileStamp, or that of the version with a stamp.
+// programFile returns the text of a program file. For ownFileStamp this is the node's own file; for another stamp it is
+// the program file of the version with that stamp.
 func (r *run) programFile(node, stamp int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[listen]\naddress = %q\n", r.rig.Processes[node].Addr)
@@ -51,7 +52,7 @@
 	return b.String()
 }
 
-// writeAgreement writes how a node takes part in the agreement. It reaches other voters by the rig's links.
+// writeAgreement writes the table [fleet.agree] of a node. The node reaches the other voters by the rig's links.
 func (r *run) writeAgreement(b *strings.Builder, node int) {
 	fmt.Fprintf(b, "[fleet.agree]\nname = %q\nnode = %q\n", configurationName, nodeName(node))
 	fmt.Fprintf(b, "listen = %q\n", r.voterAddresses[node])
@@ -67,7 +68,7 @@
 	b.WriteString("]\n")
 }
 
-// versionFiles returns the files of the version with a stamp.
+// versionFiles returns the configuration files of the version with a stamp.
 func (r *run) versionFiles(stamp int) []config.File {
 	return []config.File{
 		{Name: files.ProgramPart, Text: []byte(r.programFile(0, stamp))},
@@ -75,7 +76,7 @@
 	}
 }
 
-// clusterFile returns the cluster's file of the version with a stamp.
+// clusterFile returns the text of the cluster's file in the version with a stamp.
 func (r *run) clusterFile(stamp int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[cluster]\nname = %q\n", clusterName)
@@ -91,8 +92,9 @@
 	return b.String()
 }
 
-// serverID returns the id of a server in the cluster's file.
+// serverID returns the endpoint id of a server, given by its index.
 func serverID(server int) string { return fmt.Sprint("s-", server) }
 
-// isDraining tells whether the version with a stamp has a server draining.
+// isDraining reports whether a server is draining in the version with a stamp. This is the server whose index is the stamp
+// modulo the number of servers; in an experiment with a release it is none.
 func (r *run) isDraining(stamp, server int) bool { return !r.Release && stamp%r.Servers == server }
--- a/internal/lab/versions/doc.go
+++ b/internal/lab/versions/doc.go
@@ -1,13 +1,13 @@
-// Package versions has real processes of the program agree on versions of their configuration while they are stopped,
-// killed and cut off from each other. Unless a release is played, every version contradicts every other one, so that
-// servers see when two processes act on different versions.
+// Package versions plays experiments in which real processes of the program agree on versions of their configuration while
+// the processes are paused, killed and partitioned. Unless the experiment plays a release, every version contradicts every
+// other version, so that the servers see when two processes act on different versions.
 //
 //   - versions.go: Experiment, Outcome and Play
 //   - run.go: the state of a run, its processes and servers
-//   - configuration.go: the processes' own files, and those of a version
-//   - publish.go: versions, one after the other, and that none that was acknowledged is lost
-//   - release.go: a release in place of versions
+//   - configuration.go: the processes' own configuration files, and the files of a version
+//   - publish.go: publishes versions one after the other, and checks that no acknowledged version is lost
+//   - release.go: plays a release instead of publishing versions
 //   - load.go: requests to all processes
-//   - ownership.go: which voter owns the releases
-//   - judge.go: the outcome, from the run's record
+//   - ownership.go: polls of the voters for the owner of the release task
+//   - judge.go: the outcome, with the checks of the run's record
 package versions
--- a/internal/lab/versions/load.go
+++ b/internal/lab/versions/load.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	maxOpenRequests = 512
-	loadSequence    = 40 // of random numbers of the run's seed
+	maxOpenRequests = 512 // over all processes
+	loadSequence    = 40  // number of the load's random sequence for the run's seed
 	requestTimeout  = time.Second
 )
 
-// load sends requests to all processes, at the experiment's rate, until ctx ends.
+// load sends requests to processes selected at random, at the experiment's rate, until ctx ends. It then waits for the
+// requests that are open.
 func (r *run) load(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.Seed, loadSequence))
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / r.Rate))
@@ -40,7 +41,7 @@
 				r.request(node, classIndex, fmt.Sprint("r", i))
 				<-open
 			})
-		default: // too many wait for processes that are stopped
+		default: // all open requests wait, for example for paused processes: skip this request
 		}
 	}
 }
@@ -52,7 +53,7 @@
 	if err != nil {
 		return
 	}
-	r.asked.Add(1)
+	r.requested.Add(1)
 	r.rig.Record.Add(fleet.Event{Kind: fleet.RequestSent, Party: node, ID: id, Class: classIndex})
 	response, err := r.client.Do(request)
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// newRequest makes a request of a class to a process.
+// newRequest makes a request of a class, with an id, to a process.
 func (r *run) newRequest(node int, c *class, id string) (*http.Request, error) {
 	method := http.MethodPost
 	if c.idempotent {
@@ -93,7 +94,7 @@
 	return request, nil
 }
 
-// setLastStamp records the stamp of a process's answer.
+// setLastStamp records the stamp of a process's answer and signals answered.
 func (r *run) setLastStamp(node, stamp int) {
 	r.mu.Lock()
 	r.lastStamp[node] = stamp
--- a/internal/lab/versions/ownership.go
+++ b/internal/lab/versions/ownership.go
@@ -11,12 +11,13 @@
 
 const (
 	ownershipPollInterval = 20 * time.Millisecond
-	// ownershipPollTimeout is long enough for an answer of a process that was stopped, and goes on.
+	// ownershipPollTimeout is long enough for the answer of a process that was paused during the poll and then resumed.
 	ownershipPollTimeout = 4 * time.Second
-	maxOwnershipPolls    = 64 // open at once, for each voter
+	maxOwnershipPolls    = 64 // polls of each voter that are open at once
 )
 
-// pollOwnership polls whether a voter owns the releases, until ctx ends, and records the answers of an owner.
+// pollOwnership polls a voter for its ownership of the release task until ctx ends. While maxOwnershipPolls polls are
+// open, it skips polls.
 func (r *run) pollOwnership(ctx context.Context, voter int) {
 	ticker := time.NewTicker(ownershipPollInterval)
 	defer ticker.Stop()
@@ -41,13 +42,13 @@
 	}
 }
 
-// pollOwner asks a voter once.
+// pollOwner polls a voter once, and records the answer if the voter owns the release task.
 func (r *run) pollOwner(ctx context.Context, voter int) {
 	ctx, cancel := context.WithTimeout(ctx, ownershipPollTimeout)
 	defer cancel()
-	askedAt := r.rig.Record.Since()
+	sentAt := r.rig.Record.Since()
 	token, err := r.agent.OwnershipToken(ctx, voter, agent.ReleaseTask)
 	if err == nil && token > 0 {
-		r.rig.Record.Add(fleet.Event{Kind: fleet.OwnerAnswered, Party: voter, Reference: askedAt, Version: int(token)})
+		r.rig.Record.Add(fleet.Event{Kind: fleet.OwnerAnswered, Party: voter, Reference: sentAt, Version: int(token)})
 	}
 }
--- a/internal/lab/versions/publish.go
+++ b/internal/lab/versions/publish.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	activationTimeout  = 20 * time.Second // for one version to come into force
-	convergenceTimeout = 10 * time.Second // for all processes to act on the last version once the faults are over
+	activationTimeout  = 20 * time.Second // maximum time for one version to come into force
+	convergenceTimeout = 10 * time.Second // maximum time from the end of the faults until all processes act on the last version
 )
 
-// publishAll publishes all versions but the first, or plays a release. It returns the stamp of the last version.
+// publishAll publishes all versions except the first, or plays a release. began is the beginning of the faults. It returns
+// the stamp of the last version.
 func (r *run) publishAll(ctx context.Context, began time.Time) (lastStamp int, err error) {
 	if r.Release {
 		return 1, r.playRelease(ctx)
@@ -33,7 +34,8 @@
 	return max(1, r.Count), nil
 }
 
-// publish publishes the version with a stamp and returns the time until it was in force.
+// publish publishes the version with a stamp, with retries until voters accept it, and returns the time until the version
+// was in force.
 func (r *run) publish(ctx context.Context, stamp int) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, activationTimeout)
 	defer cancel()
@@ -45,20 +47,20 @@
 			r.acknowledged[number] = id
 			outcome, err := r.agent.WaitForVersion(ctx, number, func(agent.PublishOutcome) {})
 			if err != nil || !outcome.InForce {
-				return 0, fmt.Errorf("version %d: %+v: %w", stamp, outcome, err)
+				return 0, fmt.Errorf("version %d was accepted but is not in force: %+v: %w", stamp, outcome, err)
 			}
 			return time.Since(began), nil
 		}
 		select {
 		case <-ctx.Done():
-			return 0, fmt.Errorf("version %d is not taken up: %w", stamp, err)
-		case <-time.After(retryDelay): // the voters elect a leader
+			return 0, fmt.Errorf("version %d was not accepted by the voters: %w", stamp, err)
+		case <-time.After(retryDelay): // for example, while the voters elect a leader
 		}
 	}
 }
 
-// tryPublish publishes the version with a stamp on top of the one in force. It returns the number that the version got,
-// 0 if it was not accepted.
+// tryPublish makes one call to publish the version with a stamp, based on the version that is in force. It returns the
+// number of the published version, or 0 if the version was not accepted.
 func (r *run) tryPublish(ctx context.Context, id string, stamp int) (number uint64, err error) {
 	status, err := r.agent.LatestStatus(ctx)
 	if err != nil {
@@ -71,7 +73,8 @@
 	return reply.Number, nil
 }
 
-// awaitConvergence waits until each process has served by the version with a stamp what is not safe.
+// awaitConvergence waits until the last successful answer of each process to a request of a class other than read has the
+// given stamp.
 func (r *run) awaitConvergence(ctx context.Context, stamp int) error {
 	ctx, cancel := context.WithTimeout(ctx, convergenceTimeout)
 	defer cancel()
@@ -83,12 +86,13 @@
 		select {
 		case <-r.answered:
 		case <-ctx.Done():
-			return fmt.Errorf("not on version %d, %v after all was well:%s", stamp, convergenceTimeout, behind)
+			return fmt.Errorf("processes not on version %d %v after the faults had ended, with their last versions:%s",
+				stamp, convergenceTimeout, behind)
 		}
 	}
 }
 
-// nodesBehind lists the processes whose last answer has another stamp; "": none.
+// nodesBehind lists the processes whose last recorded answer has another stamp, each with that stamp; "" if there is none.
 func (r *run) nodesBehind(stamp int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,8 +105,8 @@
 	return list
 }
 
-// checkHistory reports an acknowledged version that the voters' history has lost or replaced. Versions from before the
-// history's first are not checked.
+// checkHistory returns an error if the voters' history has lost or replaced an acknowledged version. Acknowledged versions
+// older than the history's first version are not checked.
 func (r *run) checkHistory(ctx context.Context) error {
 	status, err := r.agent.LatestStatus(ctx)
 	if err != nil {
@@ -110,13 +114,13 @@
 	}
 	for _, m := range status.History {
 		if id, acknowledged := r.acknowledged[m.Number]; acknowledged && id != m.ID {
-			return fmt.Errorf("version %d was acknowledged as %s and is %s", m.Number, id, m.ID)
+			return fmt.Errorf("version %d was acknowledged with id %s but has id %s in the history", m.Number, id, m.ID)
 		}
 		delete(r.acknowledged, m.Number)
 	}
 	for number := range r.acknowledged {
 		if len(status.History) > 0 && number >= status.History[0].Number {
-			return fmt.Errorf("version %d was acknowledged and is gone", number)
+			return fmt.Errorf("version %d was acknowledged but is missing from the history", number)
 		}
 	}
 	return nil
--- a/internal/lab/versions/release.go
+++ b/internal/lab/versions/release.go
@@ -12,11 +12,12 @@
 
 const (
 	releaseID    = "lab"
-	releaseFloor = 0.5                    // share of the servers in use
-	releasePause = 100 * time.Millisecond // for draining, restart and warming up, each
+	releaseFloor = 0.5                    // minimum share of the servers in use
+	releasePause = 100 * time.Millisecond // time for each of draining, restart and warming up
 )
 
-// newRelease returns a release that takes each server out of service and back, and the ids of its versions in order.
+// newRelease returns a release with a wave for each server, and the ids of the release's versions in order: for each wave
+// one that takes the server out of use and one that puts it back.
 func (r *run) newRelease() (release consensus.Release, ids []string) {
 	release = consensus.Release{
 		ID:      releaseID,
@@ -36,18 +37,18 @@
 	return release, ids
 }
 
-// playRelease plays a release to its end, and checks that each of its steps was one version.
+// playRelease plays a release to its end, and checks that each step of the release was exactly one version.
 func (r *run) playRelease(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.Length+2*activationTimeout)
 	defer cancel()
 	release, ids := r.newRelease()
 	began := time.Now()
 	command := agent.ReleaseCommand{Start: &release}
-	active := 1 // how many versions of the history are in force; the first is none of the release
+	active := 1 // number of the history's versions that have come into force; the first is not of the release
 	for {
 		reply, err := r.agent.ControlRelease(ctx, command)
 		if err == nil && reply.Error == "" {
-			command = agent.ReleaseCommand{} // it has started; this asks for its progress
+			command = agent.ReleaseCommand{} // the release has started; the empty command asks for its progress
 		}
 		if status, err := r.agent.LatestStatus(ctx); err == nil {
 			active = r.recordSteps(status, active)
@@ -58,19 +59,19 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("the release is not over: %+v: %w", reply, ctx.Err())
+			return fmt.Errorf("release has not ended in time: %+v: %w", reply, ctx.Err())
 		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// hasEnded tells whether a reply says that the release has ended.
+// hasEnded reports whether a reply, which may be nil, says that the release has ended.
 func hasEnded(reply *agent.ReleaseReply) bool {
 	return reply != nil && reply.Progress != nil && reply.Progress.Ended()
 }
 
-// recordSteps records the versions that have come into force since so many were, and returns how many are now. A wave
-// has two: its server is out of service, and back.
+// recordSteps records the versions of the history that have come into force after the first active ones, and returns the
+// new number of active versions. A wave has two versions: one takes its server out of use, the next puts it back.
 func (r *run) recordSteps(status *agent.Status, active int) int {
 	history := status.History
 	for active < len(history) && history[active].Number <= status.LogStatus.ActiveVersion {
@@ -82,15 +83,17 @@
 	return active
 }
 
-// checkSteps checks that a release is done, and that the history has exactly its versions after the first.
+// checkSteps returns an error unless a release is done and the history consists of one version and then exactly the
+// release's versions, given by their ids.
 func checkSteps(progress *consensus.ReleaseProgress, history []consensus.Manifest, ids []string) error {
 	want := 1 + len(ids)
 	if progress.Result != consensus.ReleaseDone || len(history) != want {
-		return fmt.Errorf("the release ended by %q with %d versions of %d", progress.Result, len(history), want)
+		return fmt.Errorf("release ended with the result %q and a history of %d versions; want %d",
+			progress.Result, len(history), want)
 	}
 	for i, id := range ids {
 		if history[i+1].ID != id {
-			return fmt.Errorf("step %d is %s, not %s", i, history[i+1].ID, id)
+			return fmt.Errorf("step %d of the release has version id %s; want %s", i, history[i+1].ID, id)
 		}
 	}
 	return nil
--- a/internal/lab/versions/run.go
+++ b/internal/lab/versions/run.go
@@ -21,41 +21,41 @@
 const (
 	clientTimeout       = 2 * time.Second
 	maxIdleConnsPerNode = 64
-	retryDelay          = 20 * time.Millisecond // between two calls to voters
+	retryDelay          = 20 * time.Millisecond // between two calls to voters that are retried or polled
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
-	stampHeader          = "X-Rules" // the stamp of the version that an attempt was decided by
+	stampHeader          = "X-Rules" // stamp of the version by which a process sent an attempt
 	requestIDHeader      = "X-Request-Id"
 	timeoutHeader        = "X-Timeout-Ms"
 	idempotencyKeyHeader = "Idempotency-Key"
 )
 
-// ownFileStamp is the stamp of a process's own file, which is of no version.
+// ownFileStamp is the stamp in a process's own file, which belongs to no version.
 const ownFileStamp = 0
 
-// run is an experiment while it is played.
+// run is the state of an experiment that is being played.
 type run struct {
 	Experiment
 	rig             *fleet.Rig
 	servers         []*http.Server
 	serverAddresses []string
-	// voterAddresses are the voters' own addresses, by node; "" for other nodes.
+	// voterAddresses holds the voters' listening addresses, by node; "" for nodes that are not voters.
 	voterAddresses []string
 	client         *http.Client
 	agent          *agent.Client
 	outcome        Outcome
-	acknowledged   map[uint64]string // ids of versions, by number
+	acknowledged   map[uint64]string // ids of acknowledged versions, by version number
 
-	asked, served, rejected, failed atomic.Int64
+	requested, served, rejected, failed atomic.Int64
 
-	answered  chan struct{} // an answer with a stamp has come
+	answered  chan struct{} // signals a change of lastStamp
 	mu        sync.Mutex    // guards lastStamp
-	lastStamp map[int]int   // by process: the stamp of its last answer to what is not safe
+	lastStamp map[int]int   // stamp of the last successful answer to a request of a class other than read, by process
 }
 
-// newRun makes the processes, which are not started, and starts the servers. The caller calls close.
+// newRun makes the processes without starting them, and starts the servers. The caller closes the run.
 func newRun(e Experiment, dir string, command, env []string) (*run, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerNode}
 	r := &run{
@@ -82,7 +82,7 @@
 	return r, nil
 }
 
-// close ends all processes and servers.
+// close stops all processes and servers.
 func (r *run) close() {
 	r.rig.Close()
 	for _, s := range r.servers {
@@ -91,7 +91,8 @@
 	r.client.CloseIdleConnections()
 }
 
-// serveCommand returns the command by which a node serves: with its clock's rate where clocks are skewed.
+// serveCommand returns the command that starts a node. If the experiment skews clocks, the command sets the rate of the
+// node's clock.
 func (r *run) serveCommand(node int, command []string) []string {
 	program := r.program(node, command)
 	if !r.SkewClocks {
@@ -102,7 +103,7 @@
 	return slices.Concat(program, []string{"lab", "serve", fmt.Sprint("--rate=", rate), "-c"})
 }
 
-// startServer starts a server that records what comes, and answers with the request's stamp.
+// startServer starts a server that records each attempt and answers with the attempt's stamp.
 func (r *run) startServer(index int) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// configure writes each process's own file, and makes the voters' stores.
+// configure writes each process's own configuration file and initializes the voters' stores.
 func (r *run) configure(ctx context.Context, command, env []string) error {
 	if err := r.reserveVoterAddresses(); err != nil {
 		return err
@@ -144,7 +145,8 @@
 	return nil
 }
 
-// reserveVoterAddresses finds a free port for each voter, on its process's own host.
+// reserveVoterAddresses finds a free port for each voter on the address of its process. The port is closed again, for the
+// process to listen on.
 func (r *run) reserveVoterAddresses() error {
 	r.voterAddresses = make([]string, r.Nodes)
 	for i, p := range r.rig.Processes[:r.Voters] {
@@ -162,18 +164,18 @@
 	return nil
 }
 
-// initStore makes the store of a voter with a configuration file.
+// initStore initializes a voter's store by the command fleet init with the voter's configuration file.
 func initStore(ctx context.Context, program, env []string, configPath string) error {
 	arguments := slices.Concat(program[1:], []string{"fleet", "init", "-c", configPath})
 	command := exec.CommandContext(ctx, program[0], arguments...)
 	command.Env = append(os.Environ(), env...)
 	if output, err := command.CombinedOutput(); err != nil {
-		return fmt.Errorf("fleet init: %w: %s", err, output)
+		return fmt.Errorf("initializing the voter's store by fleet init failed: %w: %s", err, output)
 	}
 	return nil
 }
 
-// voters returns the voters, by node.
+// voters returns the names and addresses of the voters, by node.
 func (r *run) voters() []agent.VoterAddress {
 	var list []agent.VoterAddress
 	for i := range r.Voters {
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -11,25 +11,25 @@
 	"yokestall/internal/fleet/lease"
 )
 
-// Experiment is a run of real processes. Each version bears a number, its stamp, which its attempts carry to the
-// servers, and has another server draining.
+// Experiment describes a run of real processes that agree on versions. Each version has a stamp, a number that attempts
+// by this version carry to the servers. In each version another server is draining, unless a release is played.
 type Experiment struct {
 	Seed          uint64
-	Nodes, Voters int // the first Voters of the nodes vote
+	Nodes, Voters int // the first Voters nodes are the voters
 	Servers       int
-	Count         int           // versions to publish, evenly over the length, or as fast as they come into force
-	Length        time.Duration // of the faults; the run goes on until all is published, and some time after
-	Faults        int           // how many are drawn
-	Release       bool          // instead of versions, a release takes each server out of service and back
-	PowerLoss     bool          // instead of drawn faults, all processes lose power twice, and start again one by one
+	Count         int           // versions to publish, evenly over Length, or as fast as they come into force
+	Length        time.Duration // period of the faults; the run lasts until all processes act on the last version
+	Faults        int           // number of random faults
+	Release       bool          // instead of publishing versions, plays a release of all servers
+	PowerLoss     bool          // all processes lose power twice and start again one by one, instead of random faults
 	Lease         lease.Config
-	Rate          float64 // requests a second, over all processes
-	SkewClocks    bool    // the processes' clocks for leases are fast and slow in turn, by as much as the lease allows
-	// Programs are commands that start a node's program, by node, where that is another than Play is given.
+	Rate          float64 // requests per second, over all processes
+	SkewClocks    bool    // the clocks for leases are fast, slow and exact in turn by node, by Lease.MaxClockDrift
+	// Programs holds, by node, the commands of nodes that run another program than the command passed to Play.
 	Programs map[int][]string
 }
 
-// program returns the command that starts a node's program.
+// program returns the command that starts a node's program; command is the default.
 func (e *Experiment) program(node int, command []string) []string {
 	if own, ok := e.Programs[node]; ok {
 		return own
@@ -40,20 +40,22 @@
 // Outcome is the result of an experiment.
 type Outcome struct {
 	Script    []fleet.Fault
-	Bound     time.Duration // of a contradiction
+	Bound     time.Duration // maximum for Contradiction.Longest
 	Published int
-	// ActivationTimes are the times from a version's publication to its being in force, ascending.
+	// ActivationTimes holds the times from the publication of a version until the version was in force, ascending and
+	// without the first version. For a release it holds only the duration of the release.
 	ActivationTimes []time.Duration
 	Asked, Served, Rejected,
-	Failed int // requests
+	Failed int // numbers of requests
 	fleet.Contradiction
-	Owners   int             // of the releases, one after the other
-	Answers  int             // of owners; one order explains them unless Findings says otherwise
-	NoOwner  time.Duration   // longest time from the last answer of one owner to the first of the next
-	Findings []fleet.Finding // rules that were broken
+	Owners   int             // successive owners of the release task
+	Answers  int             // answers of owners; they are linearizable unless Findings has a finding
+	NoOwner  time.Duration   // longest time from the last answer of an owner to the first answer of the next owner
+	Findings []fleet.Finding // violated rules
 }
 
-// Play plays an experiment in a folder, with processes that a command starts.
+// Play plays an experiment. dir is the folder for the files of the processes; command, with env added to the environment,
+// starts a process.
 func Play(ctx context.Context, e Experiment, dir string, command, env []string) (*Outcome, error) {
 	r, err := newRun(e, dir, command, env)
 	if err != nil {
@@ -73,12 +75,12 @@
 	if err := r.play(ctx); err != nil {
 		return nil, err
 	}
-	r.judge()
+	r.completeOutcome()
 	return &r.outcome, nil
 }
 
-// play publishes under load while the script's faults befall the processes. Once the faults are over it waits until all
-// processes act on the last version.
+// play publishes versions or plays a release, under load and with the script's faults. After the faults have ended it waits
+// until all processes act on the last version, and checks the voters' history.
 func (r *run) play(ctx context.Context) error {
 	if _, err := r.publish(ctx, 1); err != nil {
 		return err
@@ -107,7 +109,7 @@
 	return err
 }
 
-// drawScript draws the faults.
+// drawScript draws the run's faults from its seed.
 func (r *run) drawScript() []fleet.Fault {
 	if r.PowerLoss {
 		return fleet.RandomPowerLoss(r.Seed, r.Nodes, r.Voters, r.Length)
