--- a/internal/lab/ctxtime/ctxtime.go
+++ b/internal/lab/ctxtime/ctxtime.go
@@ -1,4 +1,4 @@
-// Package ctxtime waits for a duration under a context.
+// Package ctxtime provides waits that end with a context.
 package ctxtime
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep returns nil after d, or ctx's error as soon as ctx ends.
+// Sleep waits for the duration d and returns nil, or returns ctx's error as soon as ctx ends.
 func Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
