--- a/internal/lab/classparser.go
+++ b/internal/lab/classparser.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// checkClass checks the class at an index.
+// checkClass checks the class of requests at an index.
 func (p *parser) checkClass(index int, c *classSection) {
 	s := p.sectionAt("class", index)
 	idempotency, known := effects[c.Effect]
--- a/internal/lab/dayparser.go
+++ b/internal/lab/dayparser.go
@@ -8,7 +8,7 @@
 	"yokestall/policy"
 )
 
-// Bounds of a day.
+// The limits of a day: its requests in total, its nodes and its servers.
 const (
 	MaxRequests = 50_000_000
 	MaxNodes    = 1000
@@ -25,7 +25,7 @@
 	s.checkNumber("servers", float64(f.Servers), 1, MaxServers)
 }
 
-// checkServer checks the model of a server.
+// checkServer checks the keys of the server model.
 func (p *parser) checkServer() {
 	k, s := &p.file.Server, p.section("kind")
 	s.checkNumber("cores", float64(k.Cores), 1, 1024)
@@ -76,7 +76,7 @@
 	}
 }
 
-// kind translates the model of a server.
+// kind translates the keys of the server model.
 func (k *serverSection) kind() model.ServerSpec {
 	return model.ServerSpec{
 		Cores:                k.Cores,
--- a/internal/lab/doc.go
+++ b/internal/lab/doc.go
@@ -9,5 +9,5 @@
 //   - run.go: Run, and the deciders
 //   - outcome.go, table.go: the outcome of a run, and its table and CSV output
 //   - comparison.go: the difference in service between two outcomes
-//   - recovery.go: the time to recover from a power loss
+//   - recovery.go: the times until the service recovers after servers restart
 package lab
--- a/internal/lab/experimentfile.go
+++ b/internal/lab/experimentfile.go
@@ -27,7 +27,7 @@
 	Expect         expectSection   `toml:"expect"`
 }
 
-// serverSection is the model of a server.
+// serverSection describes the model of the servers.
 type serverSection struct {
 	Cores                int             `toml:"cores"`
 	Speed                float64         `toml:"speed"`
@@ -48,7 +48,7 @@
 	MaxRetryAfter config.Duration `toml:"max_retry_after"`
 }
 
-// classSection is a class of requests.
+// classSection describes a class of requests.
 type classSection struct {
 	Name             string          `toml:"name"`
 	Effect           string          `toml:"effect"`
--- a/internal/lab/sockets/inprocess.go
+++ b/internal/lab/sockets/inprocess.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// publish implements deployment.
+// publish implements deployment. It applies a configuration with the present endpoints to the program.
 func (p *inProcess) publish() error { return p.app.Apply(p.snapshot()) }
 
 // drainPublished implements deployment. It does nothing, because countSend reads the run's own record of drains.
--- a/internal/lab/sockets/run.go
+++ b/internal/lab/sockets/run.go
@@ -38,8 +38,8 @@
 	drainPublished(serial int)
 	// serverReplaced is called after a new server has taken a slot.
 	serverReplaced(slot int)
-	// startAttempt prepares an attempt of a class with a request id. It returns the context and the base URL for the
-	// attempt, and a function that the caller calls once with the HTTP status, or with 0 if there was no answer.
+	// startAttempt prepares an attempt at a request of a class, with the attempt's id. It returns the context and the base URL
+	// for the attempt, and a function that the caller calls once with the HTTP status, or with 0 if there was no answer.
 	startAttempt(ctx context.Context, class int, id string) (attemptContext context.Context, url string, finish func(int))
 }
 
--- a/internal/lab/sockets/servers.go
+++ b/internal/lab/sockets/servers.go
@@ -8,7 +8,7 @@
 	"yokestall/internal/fake/modelbox"
 )
 
-// clusterName is the name of the one cluster.
+// clusterName is the name of the only cluster.
 const clusterName = "rooms"
 
 // server is a modelled server with its entry in the endpoint list. A slot is a position in the endpoint list; when a
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -14,7 +14,7 @@
 // tableHead is the header line of the table.
 const tableHead = "\tservice\tp50 ms\tp99 ms\tlate %\trejected %\tfailed %\textra attempts %\tbusiest\toverloaded\trules"
 
-// totals are the counts of an outcome, over all seeds and classes.
+// totals holds the sums of an outcome over all seeds and classes.
 type totals struct {
 	requests, late, rejected, failed int64
 	extraAttempts                    int64 // retries and hedged requests
