--- a/internal/lab/process/bad_test.go
+++ b/internal/lab/process/bad_test.go
@@ -38,19 +38,23 @@
 		"[[class]]\nname = \"r\"\neffect = \"safe\"\ndeadline = \"1s\"\n"
 	hostHead      = "[[host]]\n"
 	catchAllRoute = "[[host.route]]\nprefix = \"/\"\nclass = \"r\"\ncluster = \"c\"\n"
+
+	// Sizes in bytes of files with the shortest form of ten million tenants and with a million routes.
+	tenantsFileSize = 10_000_000 * int64(len("[[tenant]]\nname=\"1\"\n"))
+	routesFileSize  = 1_000_000 * int64(len(catchAllRoute))
 )
 
 var badInputs = []badInput{
 	// Their shortest forms have over 200 MB; nothing of such a file is read, so that it may be empty on the disk.
 	{
 		"ten million tenants",
-		sparse(10_000_000 * int64(len("[[tenant]]\nname=\"1\"\n"))),
-		fmt.Sprintf("bytes; %d at most", config.MaxFile),
+		sparse(tenantsFileSize),
+		fmt.Sprintf("has %d bytes, and at most %d are allowed", tenantsFileSize, config.MaxFile),
 	},
 	{
 		"a million routes",
-		sparse(1_000_000 * int64(len(catchAllRoute))),
-		fmt.Sprintf("bytes; %d at most", config.MaxFile),
+		sparse(routesFileSize),
+		fmt.Sprintf("has %d bytes, and at most %d are allowed", routesFileSize, config.MaxFile),
 	},
 	{
 		"150,000 servers",
