--- a/internal/lab/process/bad_test.go
+++ b/internal/lab/process/bad_test.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// maxRejectionMemory bounds the bytes that a check uses to reject files: 64 times the largest file that is read.
+	// maxRejectionMemory is the maximum resident memory in bytes that a `yokestall check` may use to reject files: 64 times the
+	// size of the largest file that is read.
 	maxRejectionMemory = 64 * config.MaxFile
-	// maxRejectionLines bounds the errors that a check prints.
+	// maxRejectionLines is the maximum number of lines, one for each error, that a `yokestall check` may print.
 	maxRejectionLines = 100
 )
 
-// badInput is configuration far beyond the program's bounds.
+// badInput is a configuration that exceeds the program's bounds by far, or has many errors.
 type badInput struct {
 	name  string
 	write func(dir string) (path string, err error)
-	want  string // in the output, beside the file's name
+	want  string // text that the output of `yokestall check` contains in addition to the file's path
 }
 
 const (
@@ -45,7 +46,8 @@
 )
 
 var badInputs = []badInput{
-	// Their shortest forms have over 200 MB; nothing of such a file is read, so that it may be empty on the disk.
+	// The shortest forms of these two files have 200 MB and 54 MB. The program reads nothing of a file with more than
+	// config.MaxFile bytes, so that the files may be sparse.
 	{
 		"ten million tenants",
 		sparse(tenantsFileSize),
@@ -73,13 +75,14 @@
 	},
 }
 
-// fullInputs are as large as a file may be. They are for the benchmark: under the race detector they are too slow.
-var fullInputs = []badInput{
+// largestInputs have files of about the maximum size that is read. Only the benchmark uses them, because they are too slow under
+// the race detector.
+var largestInputs = []badInput{
 	{"as many tenants as a file holds", manyTenants(500_000, "tenant-%06d"), "tenants"},
 	{"as many routes as a file holds", manyRoutes(290_000), "routes"},
 }
 
-// sparse writes a file of a length without content.
+// sparse returns a function that writes a sparse file with a length in bytes and without content.
 func sparse(length int64) func(string) (string, error) {
 	return func(dir string) (string, error) {
 		path := filepath.Join(dir, "yokestall.toml")
@@ -87,7 +90,7 @@
 	}
 }
 
-// write writes a file by parts.
+// write writes a file through a buffer. parts writes its content.
 func write(path string, parts func(w io.Writer)) (string, error) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -98,6 +101,7 @@
 	return path, errors.Join(b.Flush(), f.Close())
 }
 
+// manyServers returns a function that writes a cluster file with count endpoints.
 func manyServers(count int) func(string) (string, error) {
 	return func(dir string) (string, error) {
 		return write(filepath.Join(dir, "service.toml"), func(w io.Writer) {
@@ -112,7 +116,8 @@
 	}
 }
 
-// manyTenants writes a program's file with tenants whose names are name, formatted with their numbers if it has a verb.
+// manyTenants returns a function that writes a main configuration file with count tenants. If name has a format verb, it is
+// formatted with each tenant's number; otherwise all tenants have the same name.
 func manyTenants(count int, name string) func(string) (string, error) {
 	return func(dir string) (string, error) {
 		return write(filepath.Join(dir, "yokestall.toml"), func(w io.Writer) {
@@ -129,6 +134,7 @@
 	}
 }
 
+// manyRoutes returns a function that writes a main configuration file with count routes of one host.
 func manyRoutes(count int) func(string) (string, error) {
 	return func(dir string) (string, error) {
 		if err := os.MkdirAll(filepath.Join(dir, "clusters"), 0o700); err != nil {
@@ -143,55 +149,59 @@
 	}
 }
 
-// checkRejected runs the program's check of bad input, and checks its output, memory and lines against the bounds.
-func checkRejected(t testing.TB, in badInput, itself, env []string) process.CheckResult {
+// checkRejected runs `yokestall check` on a bad input. It fails the test if the input is accepted, if the output lacks the
+// expected text, or if the command uses more memory or prints more lines than allowed.
+func checkRejected(t testing.TB, in badInput, command, env []string) process.CheckResult {
 	t.Helper()
 	path, err := in.write(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := process.Check(t.Context(), itself, env, path)
+	v, err := process.Check(t.Context(), command, env, path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if v.Accepted || !strings.HasPrefix(v.Output, path) || !strings.Contains(v.Output, in.want) {
-		t.Errorf("%s: taken %v, %q", in.name, v.Accepted, v.Output)
+		t.Errorf("%s: accepted %v, output %q; want a rejection that begins with the path and contains the expected text",
+			in.name, v.Accepted, v.Output)
 	}
 	if v.Peak > maxRejectionMemory {
-		t.Errorf("%s: %d MB resident; %d at most", in.name, v.Peak>>20, maxRejectionMemory>>20)
+		t.Errorf("%s: peak of %d MB resident memory, want at most %d MB", in.name, v.Peak>>20, maxRejectionMemory>>20)
 	}
 	if v.Lines > maxRejectionLines {
-		t.Errorf("%s: %d errors at a time; %d at most", in.name, v.Lines, maxRejectionLines)
+		t.Errorf("%s: %d lines of output, want at most %d", in.name, v.Lines, maxRejectionLines)
 	}
 	return v
 }
 
-// Input that is far too large is rejected by the file's name and the bound, in memory that is bounded by what is read.
+// A configuration that is far too large is rejected with an error that has the file's path and the bound. The memory that the
+// rejection uses is bounded by the maximum size of a file that is read.
 func TestRejectionsAreBounded(t *testing.T) {
-	itself, env := testutil.SelfCommand()
+	command, env := testutil.SelfCommand()
 	for _, in := range badInputs {
 		t.Run(in.name, func(t *testing.T) {
-			v := checkRejected(t, in, itself, env)
+			v := checkRejected(t, in, command, env)
 			t.Logf("%v of CPU, %d MB resident: %s", v.CPU, v.Peak>>20, v.Output[strings.LastIndexByte(v.Output, '/')+1:])
 		})
 	}
 }
 
-// The errors of a file are bounded however many it has, and finding the line of each doesn't scan the complete file
-// again.
+// The number of errors that are reported for a file is bounded, however many errors the file has. The search for the line of an
+// error doesn't scan the complete file again.
 func TestReportedErrorsAreBounded(t *testing.T) {
-	itself, env := testutil.SelfCommand()
+	command, env := testutil.SelfCommand()
 	in := badInput{"300 tenants of one name", manyTenants(300, "the-same"), "the-same is another one's too"}
-	checkRejected(t, in, itself, env)
+	checkRejected(t, in, command, env)
 }
 
-// BenchmarkBadInput measures the time and memory in which bad input is rejected, also input with many errors.
+// BenchmarkBadInput measures the CPU time and memory that `yokestall check` uses to reject bad inputs, including inputs with
+// many errors.
 func BenchmarkBadInput(b *testing.B) {
-	itself, env := testutil.SelfCommand()
-	list := slices.Concat(badInputs, fullInputs)
-	for _, faults := range []int{1000, 2000, 4000} {
-		name := fmt.Sprintf("%d tenants of one name", faults)
-		list = append(list, badInput{name, manyTenants(faults, "the-same"), "another one's too"})
+	command, env := testutil.SelfCommand()
+	list := slices.Concat(badInputs, largestInputs)
+	for _, tenants := range []int{1000, 2000, 4000} {
+		name := fmt.Sprintf("%d tenants of one name", tenants)
+		list = append(list, badInput{name, manyTenants(tenants, "the-same"), "another one's too"})
 	}
 	for _, in := range list {
 		b.Run(in.name, func(b *testing.B) {
@@ -201,8 +211,8 @@
 			}
 			var v process.CheckResult
 			for b.Loop() {
-				if v, err = process.Check(b.Context(), itself, env, path); err != nil || v.Accepted {
-					b.Fatalf("%+v, %v", v, err)
+				if v, err = process.Check(b.Context(), command, env, path); err != nil || v.Accepted {
+					b.Fatalf("result %+v, error %v; want a rejection without an error", v, err)
 				}
 			}
 			b.ReportMetric(v.CPU.Seconds(), "cpu-s")
--- a/internal/lab/process/check.go
+++ b/internal/lab/process/check.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	peakSampleInterval = time.Millisecond // of a check's memory
-	maxOutputBytes     = 4096             // of what a check prints
+	peakSampleInterval = time.Millisecond // between two samples of the memory of a `yokestall check`
+	maxOutputBytes     = 4096             // length to which the output of a `yokestall check` is cut
 )
 
-// CheckResult is the result of `yokestall check`, and what the command used.
+// CheckResult is the result of a run of `yokestall check`, with the CPU time, the wall time and the memory that it used.
 type CheckResult struct {
 	Accepted bool
-	Output   string // its first maxOutputBytes
-	Lines    int    // of its complete output
+	Output   string // the first maxOutputBytes of standard output and standard error, without surrounding white space
+	Lines    int    // number of lines of the complete output
 	CPU      time.Duration
 	Wall     time.Duration
-	// Peak is the maximum of the resident memory in bytes, by samples peakSampleInterval apart: what the system reports
-	// at a child's end may be its parent's, from between fork and exec.
+	// Peak is the maximum of the resident memory in bytes. It is sampled every peakSampleInterval, because the maximum that
+	// the system reports when a child process ends may be that of the parent process, from the time between fork and exec.
 	Peak int64
 }
 
-// Check runs the program's check of a file. An exit code other than 0 and 1 is an error.
+// Check runs `yokestall check` on the file at path. The program is started as command, with env added to the environment.
+// Exit code 0 means that the file is accepted, 1 that it is rejected; every other exit code is an error.
 func Check(ctx context.Context, command, env []string, path string) (CheckResult, error) {
 	cmd := exec.CommandContext(ctx, command[0], append(command[1:len(command):len(command)], "check", path)...)
 	cmd.Env = append(os.Environ(), env...)
@@ -62,7 +63,7 @@
 	return v, nil
 }
 
-// peakUntil samples the peak of a process's memory until the process has ended.
+// peakUntil samples the memory of a process until ended is closed, and returns the maximum in bytes.
 func peakUntil(pid int, ended <-chan struct{}) (peak int64) {
 	tick := time.NewTicker(peakSampleInterval)
 	defer tick.Stop()
--- a/internal/lab/process/generate.go
+++ b/internal/lab/process/generate.go
@@ -11,28 +11,28 @@
 	"yokestall/internal/config"
 )
 
-// Place is the addresses of a generated configuration: of the process and of its fake servers.
+// Place has the addresses in a generated configuration: of the process and of its fake servers.
 type Place struct {
-	Listen string
-	// Server returns the address of server j, the same for each service: services share the fake servers.
+	Listen string // address of the process's listener
+	// Server returns the address of server j. It is the same for each service, because all services share the fake servers.
 	Server func(j int) string
 }
 
-// DefaultPlace returns loopback addresses, for files that are checked and not served by.
+// DefaultPlace returns loopback addresses for files that are only checked, so that no process listens on the addresses.
 func DefaultPlace() Place {
 	return Place{Listen: "127.0.0.1:8080", Server: func(j int) string {
 		return fmt.Sprintf("127.%d.%d.%d:9001", 1+j/62500, j/250%250, 1+j%250)
 	}}
 }
 
-// Generator writes the files of one size. It is pure: the same size, seed and place give the same bytes.
+// Generator generates the configuration files of one size. The same size, seed and place give the same bytes.
 type Generator struct {
 	Size  Size
 	Seed  uint64
 	Place Place
 }
 
-// routeKind is the form of a generated route.
+// routeKind is the way in which a generated route matches requests.
 type routeKind int
 
 const (
@@ -40,29 +40,29 @@
 	prefixRoute
 	exactRoute
 	regexRoute
-	writeRoute    // a template for POST alone, of class "write"
-	catchAllRoute // the last route of a host: everything else
+	writeRoute    // a template route for POST requests only, of class "write"
+	catchAllRoute // the last route of a host, which matches all other requests
 )
 
-// routeKindCycle are the kinds of a host's routes in turn.
+// routeKindCycle has the kinds of a host's routes, which repeat in this order.
 var routeKindCycle = [...]routeKind{
 	templateRoute, prefixRoute, templateRoute, exactRoute, prefixRoute,
 	templateRoute, regexRoute, prefixRoute, writeRoute, templateRoute,
 }
 
-// quotaSigma is the sigma of the tenants' quotas, which are log-normal: a few are large, most are small.
+// quotaSigma is the sigma of the log-normal distribution of the tenants' quotas: a few quotas are large, most are small.
 const quotaSigma = 1.5
 
-// ServiceName names service i, its cluster and its host.
+// ServiceName returns the name of service i, which its cluster and its host have too.
 func ServiceName(i int) string { return fmt.Sprintf("service-%04d", i) }
 
-// TenantName names tenant i.
+// TenantName returns the name of tenant i.
 func TenantName(i int) string { return fmt.Sprintf("tenant-%07d", i) }
 
-// hostName is the domain of service i.
+// hostName returns the domain of service i.
 func hostName(i int) string { return ServiceName(i) + ".example.org" }
 
-// routeCount returns how many routes service i has. Services differ by one route at most.
+// routeCount returns how many routes service i has. The numbers of two services differ by at most one.
 func (g *Generator) routeCount(i int) int {
 	n := g.Size.Routes / g.Size.Services
 	if i < g.Size.Routes%g.Size.Services {
@@ -71,7 +71,7 @@
 	return n
 }
 
-// kind returns the form of route j of service i.
+// kind returns the kind of route j of service i.
 func (g *Generator) kind(i, j int) routeKind {
 	if j == g.routeCount(i)-1 {
 		return catchAllRoute
@@ -79,30 +79,30 @@
 	return routeKindCycle[j%len(routeKindCycle)]
 }
 
-// Settings are the values that changes of a configuration replace.
+// Settings has the values of a generated configuration that a measurement changes.
 type Settings struct {
-	Version int // the answer of the version route, which shows that a change is in force
-	// Step is added to the first tenant's quota, or to max_retry_after if the program's file has no tenants: a change of
-	// settings.
+	Version int // part of the version route's direct response, which shows which settings are in force
+	// Step is added to the first tenant's quota, or to max_retry_after in milliseconds if the program's file has no tenants.
+	// Another value is a change of settings.
 	Step int
-	// Text is a part of the answer of one route: a change of a route alone.
+	// Text is part of the direct response of the route "text". Another value is a change of this route alone.
 	Text int
 }
 
-// VersionHost is the host whose version route answers the Settings.Version in force.
+// VersionHost is the domain of the host whose version route answers with the Settings.Version in force.
 const VersionHost = "version.example.org"
 
-// VersionText is the answer of the version route.
+// VersionText returns the body of the version route's direct response.
 func VersionText(s Settings) string { return fmt.Sprintf("version %d", s.Version) }
 
-// Program returns the program's own file.
+// Program returns the program's main configuration file.
 func (g *Generator) Program(s Settings) []byte {
 	var b bytes.Buffer
 	g.WriteProgram(&b, s)
 	return b.Bytes()
 }
 
-// classesConfig are the classes of generated routes: reads, and writes with an idempotency key.
+// classesConfig has the classes of the generated routes: idempotent reads, and writes that are idempotent by key.
 const classesConfig = `[[class]]
 name = "read"
 effect = "safe"
@@ -121,7 +121,8 @@
 
 `
 
-// WriteProgram writes the program's own file. Errors are left to the writer, as bufio.Writer returns them from Flush.
+// WriteProgram writes the program's main configuration file. It ignores the writer's errors: the caller gets them from the
+// writer, for example from Flush of a bufio.Writer.
 func (g *Generator) WriteProgram(b io.Writer, s Settings) {
 	fmt.Fprintf(b, "[listen]\naddress = %q\n\n[files]\nclusters = \"clusters\"\n", g.Place.Listen)
 	if g.Size.TenantsFile {
@@ -143,7 +144,7 @@
 }
 
 func (g *Generator) writeLimits(b io.Writer, s Settings) {
-	maxRetryAfter := 600 // milliseconds
+	maxRetryAfter := 600 // in milliseconds
 	if g.Size.Tenants == 0 || g.Size.TenantsFile {
 		maxRetryAfter += s.Step
 	}
@@ -151,7 +152,7 @@
 	fmt.Fprintf(b, "max_retry_after = \"%dms\"\n\n", maxRetryAfter)
 }
 
-// writeVersionHost writes the host whose routes answer the version and the text of the settings.
+// writeVersionHost writes the host with the two routes whose direct responses have the Version and the Text of s.
 func writeVersionHost(b io.Writer, s Settings) {
 	fmt.Fprintf(b, "\n[[host]]\nname = \"version\"\ndomains = [%q]\n", VersionHost)
 	fmt.Fprintf(b, "[[host.route]]\nname = \"version\"\npath = \"/version\"\n")
@@ -160,13 +161,13 @@
 	fmt.Fprintf(b, "answer = { status = 200, text = \"text %d\" }\n", s.Text)
 }
 
-// WriteTenants writes the tenants' file, for a size with TenantsFile.
+// WriteTenants writes the tenants' file of a size with Size.TenantsFile. It ignores the writer's errors, as WriteProgram does.
 func (g *Generator) WriteTenants(b io.Writer) {
 	g.writeTenants(b, 0)
 	fmt.Fprintf(b, "\n[end]\ntenants = %d\n", g.Size.Tenants)
 }
 
-// writeTenants writes all tenants. step is added to the first one's quota.
+// writeTenants writes all tenants. step is added to the first tenant's quota.
 func (g *Generator) writeTenants(b io.Writer, step int) {
 	rng := rand.New(rand.NewPCG(g.Seed, 1))
 	for i := range g.Size.Tenants {
@@ -203,8 +204,8 @@
 	}
 }
 
-// Cluster returns the file of the cluster of service i. change is added to the weight of its first server: a change of
-// one cluster's list.
+// Cluster returns the cluster file of service i. change is added to the weight of its first server, so that another value is a
+// change of this cluster's endpoint list.
 func (g *Generator) Cluster(i, change int) []byte {
 	const zones, cells = 3, 2
 	c := &cluster.Config{Name: ServiceName(i)}
--- a/internal/lab/process/load.go
+++ b/internal/lab/process/load.go
@@ -18,30 +18,31 @@
 )
 
 const (
-	maxGeneratorDelay = 5 * time.Millisecond // a load is void beyond, see loadgen.Plan.Late
-	maxLoadErrors     = 5                    // of a load's errors, those that its report has
-	maxAddedLatency   = int64(time.Minute / time.Microsecond)
-	latencyDigits     = 3 // significant, of the histogram of latencies
+	maxGeneratorDelay = 5 * time.Millisecond                  // maximum lateness of a valid load, see loadgen.Plan.MaxLateness
+	maxLoadErrors     = 5                                     // maximum number of errors in LoadResult.Errors
+	maxAddedLatency   = int64(time.Minute / time.Microsecond) // in microseconds; larger latencies count as this one
+	latencyDigits     = 3                                     // significant digits of the histogram of latencies
 )
 
-// Load is the result of requests over a period.
-type Load struct {
-	Requested, Answered int64         // requests
-	Statuses            map[int]int64 // answers by status
-	Errors              []string      // of the first requests without an answer
-	// AddedLatency has for each answer of status 200 the client's latency less the server's own time, in microseconds.
+// LoadResult is the result of sending requests at a rate over a period.
+type LoadResult struct {
+	Requested, Answered int64         // numbers of requests that were sent, and of those that got a complete response
+	Statuses            map[int]int64 // number of responses by status code
+	Errors              []string      // errors of the first maxLoadErrors requests that failed
+	// AddedLatency has, for each response with status 200, the latency at the client minus the server's own time, in
+	// microseconds.
 	AddedLatency *hdrhistogram.Histogram
-	Connections  int64         // that the servers accepted
-	CPU          time.Duration // of the process
-	Wall         time.Duration
-	Void         bool // the load generator was late, so that the latencies are unreliable
+	Connections  int64         // new connections that the servers accepted
+	CPU          time.Duration // CPU time of the process during the load; 0 for a direct load
+	Wall         time.Duration // wall time of the load
+	Invalid      bool          // the load generator was late, so that the latencies are unreliable
 }
 
-// requestFunc makes request n of a load, from 0.
+// requestFunc returns request n of a load. n begins at 0.
 type requestFunc func(n int) (*http.Request, error)
 
-// RunLoad sends the process requests at a rate, in requests a second, to the first inUse services.
-func (s *ServeProcess) RunLoad(ctx context.Context, rate float64, inUse int, length time.Duration) (*Load, error) {
+// RunLoad sends requests for the first inUse services to the process, at a rate in requests per second.
+func (s *ServeProcess) RunLoad(ctx context.Context, rate float64, inUse int, length time.Duration) (*LoadResult, error) {
 	before, err := s.Usage()
 	if err != nil {
 		return nil, err
@@ -54,8 +55,9 @@
 	return l, errors.Join(err, ctx.Err())
 }
 
-// RunDirectLoad sends requests to the fake servers without the process: its added latency is the load generator's own.
-func (s *ServeProcess) RunDirectLoad(ctx context.Context, rate float64, length time.Duration) (*Load, error) {
+// RunDirectLoad sends requests directly to the fake servers, at a rate in requests per second. The added latency is that of the
+// load generator itself.
+func (s *ServeProcess) RunDirectLoad(ctx context.Context, rate float64, length time.Duration) (*LoadResult, error) {
 	client := newClient("")
 	defer client.CloseIdleConnections()
 	l := s.runLoad(ctx, client, rate, length, func(n int) (*http.Request, error) {
@@ -65,14 +67,14 @@
 	return l, ctx.Err()
 }
 
-// runLoad sends the requests of next at a rate and waits for their answers.
+// runLoad sends the requests that next returns at a rate in requests per second, and waits for their responses.
 func (s *ServeProcess) runLoad(
 	ctx context.Context, client *http.Client, rate float64, length time.Duration, next requestFunc,
-) *Load {
-	l := &Load{Statuses: map[int]int64{}, AddedLatency: hdrhistogram.New(1, maxAddedLatency, latencyDigits)}
+) *LoadResult {
+	l := &LoadResult{Statuses: map[int]int64{}, AddedLatency: hdrhistogram.New(1, maxAddedLatency, latencyDigits)}
 	var mu sync.Mutex // guards l
 	send := func(_ context.Context, n int, _ time.Time) {
-		status, added, err := do(client, n, next)
+		status, added, err := doRequest(client, n, next)
 		mu.Lock()
 		defer mu.Unlock()
 		l.record(status, added, err)
@@ -83,13 +85,13 @@
 		Duration: length, MaxInFlight: maxOpenRequests, Seed: s.Generator.Seed, MaxLateness: maxGeneratorDelay,
 		Streams: []loadgen.Stream{{Rate: rate, Curve: model.Curve{}, Do: send}},
 	})
-	l.Wall, l.Requested, l.Void = time.Since(began), report.Requests[0], report.Invalid
+	l.Wall, l.Requested, l.Invalid = time.Since(began), report.Requests[0], report.Invalid
 	l.Connections = s.connections() - connections
 	return l
 }
 
-// record adds the outcome of a request.
-func (l *Load) record(status int, added time.Duration, err error) {
+// record adds the outcome of one request to the result.
+func (l *LoadResult) record(status int, added time.Duration, err error) {
 	if err != nil {
 		if len(l.Errors) < maxLoadErrors {
 			l.Errors = append(l.Errors, err.Error())
@@ -103,9 +105,9 @@
 	}
 }
 
-// do sends request n. For an answer of status 200 it returns the latency beyond the server's own time; an answer that
-// doesn't give that time is an error.
-func do(client *http.Client, n int, next requestFunc) (status int, added time.Duration, err error) {
+// doRequest sends request n. For a response with status 200 it returns the latency minus the server's own time, which the
+// response has in the header appbox.ResponseTimeHeader; such a response without a valid time is an error.
+func doRequest(client *http.Client, n int, next requestFunc) (status int, added time.Duration, err error) {
 	request, err := next(n)
 	if err != nil {
 		return 0, 0, err
@@ -125,12 +127,12 @@
 	}
 	own, err := strconv.ParseInt(response.Header.Get(appbox.ResponseTimeHeader), 10, 64)
 	if err != nil {
-		return 0, 0, fmt.Errorf("an answer without the server's own time: %w", err)
+		return 0, 0, fmt.Errorf("response with status 200 has no valid time of the server: %w", err)
 	}
 	return response.StatusCode, took - time.Duration(own), nil
 }
 
-// connections returns how many connections all servers have accepted so far.
+// connections returns how many connections all fake servers together have accepted so far.
 func (s *ServeProcess) connections() (sum int64) {
 	for _, b := range s.Servers {
 		sum += b.Connections()
--- a/internal/lab/process/machine.go
+++ b/internal/lab/process/machine.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// Machine is the machine of a run.
+// Machine describes the machine that a run was measured on.
 type Machine struct {
 	Cores    int     `json:"cores"`
 	MemoryMB int64   `json:"memory_mb"`
 	System   string  `json:"system"`
 	Go       string  `json:"go"`
-	Load     float64 `json:"load_1m"` // the load average over a minute at the run's start
+	Load     float64 `json:"load_1m"` // load average over the last minute at the run's start
 }
 
-// machine describes this machine; what can't be read is 0.
+// machine describes this machine. Memory and load average are 0 if they can't be read.
 func machine() Machine {
 	m := Machine{Cores: runtime.NumCPU(), System: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()}
 	if text, err := os.ReadFile("/proc/meminfo"); err == nil {
@@ -45,8 +45,8 @@
 	return strconv.ParseFloat(first, 64)
 }
 
-// revision returns the commit that the program was built from, as the Go command stamps it, and whether the tree had
-// changes.
+// revision returns the commit that the program was built from, as the go command records it in the executable, or "unknown". It
+// adds " with changes" if the working tree had uncommitted changes.
 func revision() string {
 	commit, changed := "unknown", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/internal/lab/process/measure.go
+++ b/internal/lab/process/measure.go
@@ -11,9 +11,9 @@
 	"yokestall/internal/lab/ctxtime"
 )
 
-// Measure measures a plan's sizes one after the other, each with processes of its own that command starts, in folders
-// below dir. Figures are printed to out as they are measured. With an error the report has what was measured until
-// then.
+// Measure measures the sizes of a plan one after the other. For each size it starts new processes as command, with env added to
+// the environment, and writes their files to a folder below dir. It prints each figure to out when it is measured. If it
+// returns an error, the report has the figures that were measured before the error.
 func Measure(ctx context.Context, p *Plan, dir string, command, env []string, out io.Writer) (*Report, error) {
 	r := &Report{Commit: revision(), Began: time.Now().UTC().Format(time.RFC3339), Seed: p.Seed, Machine: machine()}
 	err := r.measureSizes(ctx, p, dir, command, env, out)
@@ -43,18 +43,18 @@
 
 // measurement is the run of one size.
 type measurement struct {
-	plan    *Plan
-	size    Size
-	dir     string
-	command []string
-	env     []string
-	report  *Report
-	out     io.Writer
-	served  *ServeProcess // nil before measureStart
-	restCPU float64       // CPU time a second at rest, in seconds
+	plan         *Plan
+	size         Size
+	dir          string
+	command      []string
+	env          []string
+	report       *Report
+	out          io.Writer
+	serveProcess *ServeProcess // nil before measureStart
+	idleCPU      float64       // CPU time a second at rest, in seconds
 }
 
-// run measures the size, with fewer tenants if the program rejects as many as it has.
+// run measures the size. If the program rejects the size, run measures it with the plan's FallbackTenants.
 func (m *measurement) run(ctx context.Context) error {
 	ok, err := m.findAcceptedSize(ctx)
 	if err != nil || !ok {
@@ -62,16 +62,16 @@
 	}
 	m.report.Sizes = append(m.report.Sizes, m.size)
 	if load, err := loadAverage(); err == nil {
-		m.note("the machine's load average as it began: %.1f", load)
+		m.note("load average of the machine at the start of the size: %.1f", load)
 	}
 	defer func() {
-		if m.served != nil {
-			m.served.Close()
+		if m.serveProcess != nil {
+			m.serveProcess.Close()
 		}
 	}()
 	steps := []func(context.Context) error{
 		m.measureStart,
-		m.measureRest,
+		m.measureIdle,
 		m.measureLoad,
 		m.changeSettings,
 		m.changeRoutes,
@@ -86,8 +86,9 @@
 	return nil
 }
 
-// findAcceptedSize checks the size, and if the program rejects it the one with the plan's FallbackTenants, which is the
-// size to measure then. false: there is none to measure.
+// findAcceptedSize runs `yokestall check` on the size. If the program rejects the size, findAcceptedSize reduces its tenants to
+// the plan's FallbackTenants and checks it again. It returns false if the size is not to be measured: it is rejected, and has
+// OnlyIfAccepted set or no more tenants than FallbackTenants.
 func (m *measurement) findAcceptedSize(ctx context.Context) (bool, error) {
 	accepted, err := m.measureCheck(ctx, "check")
 	if err != nil || accepted {
@@ -95,19 +96,20 @@
 	}
 	fallback, ok := m.plan.Fallback(m.size)
 	if m.size.OnlyIfAccepted || !ok {
-		m.note("not measured further: the program does not take it")
+		m.note("not measured further: the program rejects the configuration of this size")
 		return false, nil
 	}
-	m.note("measured on with %d tenants, %d of the plan's", fallback.Tenants, m.size.Tenants)
+	m.note("measured further with %d tenants in place of the plan's %d", fallback.Tenants, m.size.Tenants)
 	m.size.Tenants = fallback.Tenants
 	if accepted, err = m.measureCheck(ctx, "check_fewer_tenants"); err != nil || !accepted {
-		return false, fmt.Errorf("with %d tenants: taken %v, %w", fallback.Tenants, accepted, err)
+		return false, fmt.Errorf("check with %d tenants: accepted %v, %w", fallback.Tenants, accepted, err)
 	}
 	return true, nil
 }
 
-// measureCheck runs the program's check of the size's files, and returns whether it accepts them.
-func (m *measurement) measureCheck(ctx context.Context, what string) (bool, error) {
+// measureCheck runs `yokestall check` on the size's files, and returns whether the program accepts them. The keys of its
+// figures begin with name.
+func (m *measurement) measureCheck(ctx context.Context, name string) (bool, error) {
 	g := Generator{Size: m.size, Seed: m.plan.Seed, Place: DefaultPlace()}
 	dir := filepath.Join(m.dir, "checked")
 	if err := g.Write(dir); err != nil {
@@ -121,24 +123,24 @@
 	if result.Accepted {
 		accepted = 1
 	} else {
-		m.note("check refuses %d tenants, %d routes: %s",
+		m.note("configuration with %d tenants and %d routes rejected: %s",
 			m.size.Tenants, m.size.Routes, withoutFolder(result.Output, dir))
 	}
-	m.addFigure(what+".taken", accepted, "of 1")
-	m.addFigure(what+".cpu", result.CPU.Seconds(), "s")
-	m.addFigure(what+".wall", result.Wall.Seconds(), "s")
-	m.addMemory(what+".peak", result.Peak)
+	m.addFigure(name+".taken", accepted, "of 1")
+	m.addFigure(name+".cpu", result.CPU.Seconds(), "s")
+	m.addFigure(name+".wall", result.Wall.Seconds(), "s")
+	m.addMemory(name+".peak", result.Peak)
 	return result.Accepted, os.RemoveAll(dir)
 }
 
-// measureStart starts the process and measures what it has used when it serves.
+// measureStart starts the process, and measures the CPU time, wall time and memory that it has used when it is ready to serve.
 func (m *measurement) measureStart(ctx context.Context) error {
 	began := time.Now()
 	s, err := StartServe(ctx, m.size, m.plan.Seed, m.plan.ServerDelay.Duration, m.dir, m.command, m.env)
 	if err != nil {
 		return err
 	}
-	m.served = s
+	m.serveProcess = s
 	u, err := s.Usage()
 	if err != nil {
 		return err
@@ -150,46 +152,47 @@
 	return nil
 }
 
-// measureRest measures the process while it gets no requests.
-func (m *measurement) measureRest(ctx context.Context) error {
+// measureIdle measures the memory and the CPU time of the process while it gets no requests.
+func (m *measurement) measureIdle(ctx context.Context) error {
 	if err := m.measureMemory(ctx, "rest.memory"); err != nil {
 		return err
 	}
-	before, err := m.served.Usage()
+	before, err := m.serveProcess.Usage()
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	if err := ctxtime.Sleep(ctx, m.plan.RestDuration.Duration); err != nil {
+	if err := ctxtime.Sleep(ctx, m.plan.IdleDuration.Duration); err != nil {
 		return err
 	}
-	after, err := m.served.Usage()
+	after, err := m.serveProcess.Usage()
 	if err != nil {
 		return err
 	}
-	m.restCPU = (after.CPU - before.CPU).Seconds() / time.Since(began).Seconds()
-	m.addFigure("rest.cpu", 100*m.restCPU, "% of a core")
+	m.idleCPU = (after.CPU - before.CPU).Seconds() / time.Since(began).Seconds()
+	m.addFigure("rest.cpu", 100*m.idleCPU, "% of a core")
 	return nil
 }
 
-// measureMemory waits until the process's memory has settled and measures it.
-func (m *measurement) measureMemory(ctx context.Context, what string) error {
-	rss, ok, err := AwaitSettledMemory(ctx, m.served.process.PID(), m.plan.SettleWindow.Duration)
+// measureMemory waits until the process's memory has settled, and adds it as the figure with this name. If the memory does not
+// settle, a note says so.
+func (m *measurement) measureMemory(ctx context.Context, name string) error {
+	rss, ok, err := AwaitSettledMemory(ctx, m.serveProcess.process.PID(), m.plan.SettleWindow.Duration)
 	if err != nil {
 		return err
 	}
 	if !ok {
-		m.note("%s had not settled after %v", what, maxSettleWindows*m.plan.SettleWindow.Duration)
+		m.note("%s: memory had not settled after %v", name, maxSettleWindows*m.plan.SettleWindow.Duration)
 	}
-	m.addMemory(what, rss)
+	m.addMemory(name, rss)
 	return nil
 }
 
-// measureLoad measures the process under each rate, over each number of services in use, and for each rate the latency
-// of the load generator without the process.
+// measureLoad measures the process at each rate of the plan with each number of services in use. For each rate it first
+// measures the latency of the load generator without the process.
 func (m *measurement) measureLoad(ctx context.Context) error {
 	for _, rate := range m.plan.Rates {
-		direct, err := m.served.RunDirectLoad(ctx, rate, m.plan.LoadDuration.Duration)
+		direct, err := m.serveProcess.RunDirectLoad(ctx, rate, m.plan.LoadDuration.Duration)
 		if err != nil {
 			return err
 		}
@@ -200,7 +203,7 @@
 			if all {
 				services, name = m.size.Services, fmt.Sprintf("load.%g.services_all", rate)
 			}
-			l, err := m.served.RunLoad(ctx, rate, services, m.plan.LoadDuration.Duration)
+			l, err := m.serveProcess.RunLoad(ctx, rate, services, m.plan.LoadDuration.Duration)
 			if err != nil {
 				return err
 			}
@@ -211,9 +214,9 @@
 	return m.measureMemory(ctx, "load.memory")
 }
 
-// measurePeak adds the maximum of the process's memory over all steps.
+// measurePeak adds the maximum of the process's resident memory since its start.
 func (m *measurement) measurePeak(context.Context) error {
-	u, err := m.served.Usage()
+	u, err := m.serveProcess.Usage()
 	if err == nil {
 		m.addMemory("end.peak", u.Peak)
 	}
--- a/internal/lab/process/process_test.go
+++ b/internal/lab/process/process_test.go
@@ -14,38 +14,38 @@
 	"yokestall/internal/route"
 )
 
-// tiny is a size whose tests are fast.
+// tiny is a size that is small enough for fast tests.
 var tiny = Size{Name: "tiny", Services: 7, Servers: 3, Routes: 100, Tenants: 40, Nodes: 10}
 
-// The same size, seed and place give the same bytes, another seed others.
+// The same size, seed and place give the same files and requests. Another seed gives another main configuration file.
 func TestGeneratorRepeats(t *testing.T) {
 	g := Generator{Size: tiny, Seed: 1, Place: DefaultPlace()}
 	program, cluster, request := g.Program(Settings{}), g.Cluster(3, 0), g.Request(17, 7)
 	if !bytes.Equal(program, g.Program(Settings{})) || !bytes.Equal(cluster, g.Cluster(3, 0)) ||
 		request != g.Request(17, 7) {
-		t.Error("twice the same is not the same")
+		t.Error("the same generator gives different files or requests the second time")
 	}
 	g.Seed = 2
 	if bytes.Equal(program, g.Program(Settings{})) {
-		t.Error("another seed gives the same program")
+		t.Error("seeds 1 and 2 give the same main configuration file")
 	}
 }
 
-// The program accepts what is generated, with as many services, servers, routes and tenants as the size says, and each
-// request of the load is routed to the cluster of its service.
+// The program accepts the generated files. They have the numbers of services, servers, routes and tenants that the size has, and
+// each request of the load is routed to the cluster of its service.
 func TestGeneratedIsAccepted(t *testing.T) {
 	withTenantsFile := tiny
 	withTenantsFile.TenantsFile, withTenantsFile.MemoryMB = true, 64
 	oneFile, twoFiles := checkGenerated(t, tiny), checkGenerated(t, withTenantsFile)
 	if oneFile.MemoryLimit != 0 || twoFiles.MemoryLimit != 64<<20 {
-		t.Errorf("limits of memory %d and %d", oneFile.MemoryLimit, twoFiles.MemoryLimit)
+		t.Errorf("memory limits %d and %d, want 0 and %d", oneFile.MemoryLimit, twoFiles.MemoryLimit, 64<<20)
 	}
 	if !reflect.DeepEqual(oneFile.Tenants, twoFiles.Tenants) {
-		t.Error("the tenants in a file of their own are others")
+		t.Error("the tenants in a separate file differ from those in the main configuration file")
 	}
 }
 
-// checkGenerated writes the files of a size, and returns the program that they give.
+// checkGenerated writes the files of a size, loads and checks them, and returns the loaded program.
 func checkGenerated(t *testing.T, size Size) *config.Program {
 	t.Helper()
 	g := Generator{Size: size, Seed: 1, Place: DefaultPlace()}
@@ -70,7 +70,7 @@
 	clusters, tenants := len(s.Version.Clusters), len(s.Program.Tenants)
 	if clusters != size.Services || servers != size.Services*size.Servers || routes != size.Routes ||
 		tenants != size.Tenants {
-		t.Errorf("%d clusters, %d servers, %d routes, %d tenants", clusters, servers, routes, tenants)
+		t.Errorf("%d clusters, %d servers, %d routes, %d tenants; want those of %+v", clusters, servers, routes, tenants, size)
 	}
 	for n := range 1000 {
 		checkRequest(t, s.Program, g.Request(n, size.Services))
@@ -78,17 +78,19 @@
 	return s.Program
 }
 
-// checkRequest checks that a request is routed to its service's cluster, and has a key if its class needs one.
+// checkRequest checks that a request is routed to its service's cluster, and has an idempotency key exactly if its class is
+// "write".
 func checkRequest(t *testing.T, p *config.Program, r Request) {
 	t.Helper()
 	q := route.Request{Host: r.Host, Path: r.Path, Method: r.Method}
 	m, ok := p.Table.Lookup(&q)
 	if !ok || m.Cluster != ServiceName(r.Service) || (m.Route.Class == "write") != (r.Key != "") {
-		t.Fatalf("%+v leads to %q of class %q", r, m.Cluster, m.Route.Class)
+		t.Fatalf("request %+v: found a route %v, to cluster %q with class %q; want cluster %q, and class write only with a key",
+			r, ok, m.Cluster, m.Route.Class, ServiceName(r.Service))
 	}
 }
 
-// A change alters the value that it names, and nothing else.
+// A change of one value of Settings alters one line of the main configuration file.
 func TestChangesAlterOneThing(t *testing.T) {
 	g := Generator{Size: tiny, Seed: 1, Place: DefaultPlace()}
 	before := strings.Split(string(g.Program(Settings{})), "\n")
@@ -100,19 +102,20 @@
 			}
 		}
 		if changed != 1 || len(after) != len(before) {
-			t.Errorf("a change of %s alters %d lines", name, changed)
+			t.Errorf("a change of %s alters %d of %d lines and gives %d lines; want 1 altered line",
+				name, changed, len(before), len(after))
 		}
 	}
 	if bytes.Equal(g.Cluster(0, 0), g.Cluster(0, 1)) {
-		t.Error("a change of a list alters nothing")
+		t.Error("a change of an endpoint list doesn't alter the cluster file")
 	}
 }
 
-// Errors of a plan name its line, and the plans of the repository have none.
+// Errors of a plan have the number of the faulty line. The plans of the repository have no errors.
 func TestPlans(t *testing.T) {
 	paths, err := filepath.Glob("../../../deploy/lab/process/*.toml")
 	if err != nil || len(paths) < 3 {
-		t.Fatalf("%v, %v", paths, err)
+		t.Fatalf("found plans %v, error %v; want at least 3 plans", paths, err)
 	}
 	for _, path := range paths {
 		if _, err := ReadPlan(path); err != nil {
@@ -125,24 +128,24 @@
 		"":               "nothing would be measured",
 		good + "speed=1": "p:7: size.speed: is no known key",
 		strings.Replace(good, "routes = 2", "routes = 1", 1): "p:5: size 1: routes: 1 is not from 2 to",
-		good + good:                 "p:8: size 2: name: wants a name of its own",
+		good + good:                 "p:8: size 2: name: must be set and differ from the names of the other sizes",
 		"rest = \"1h\"\n" + good:    "rest: 1h0m0s is not from 0",
-		"changes = [1, 1]\n" + good: "changes: 1 does not go up from 1",
-		good + badSlope:             "\"nodes\" is none of services, routes, tenants",
+		"changes = [1, 1]\n" + good: "changes: 1 is not greater than the total before it, 1",
+		good + badSlope:             "\"nodes\" is not one of services, routes and tenants",
 	} {
 		if _, err := ParsePlan("p", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, not %q", text, err, want)
+			t.Errorf("plan %q: error %v, want one that contains %q", text, err, want)
 		}
 	}
 }
 
-// CPU time and memory are read from /proc, and a file without them is an error.
+// CPU time and memory are parsed from the files in /proc. A file without them is an error.
 func TestUsageIsRead(t *testing.T) {
 	stat := "7 (a) name (b)) S 1 7 7 0 -1 0 0 0 0 0 250 50 0 0 20 0 9 0 1 1 1\n"
 	status := "Name:\ta\nVmHWM:\t    2048 kB\nVmRSS:\t    1024 kB\n"
 	u, err := parseUsage(stat, status)
 	if want := (Usage{CPU: 3 * time.Second, RSS: 1 << 20, Peak: 2 << 20}); err != nil || u != want {
-		t.Errorf("%+v, %v", u, err)
+		t.Errorf("usage %+v, error %v; want %+v", u, err, want)
 	}
 	for _, bad := range [][2]string{
 		{"7 (a) S 1", status},
@@ -150,28 +153,30 @@
 		{strings.Replace(stat, "250", "x", 1), status},
 	} {
 		if _, err := parseUsage(bad[0], bad[1]); err == nil {
-			t.Errorf("%q gives no error", bad)
+			t.Errorf("no error for stat and status %q", bad)
 		}
 	}
 }
 
-// A line and its residual are those of least squares; points at one x have no line.
+// A fit is the line of least squares with its residual. There is no fit if all points have the same x.
 func TestFit(t *testing.T) {
 	f, ok := fit([]float64{1, 2, 3, 4}, []float64{3, 5, 7, 9})
 	if !ok || math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.Intercept-1) > 1e-9 || f.Residual > 1e-9 || f.Points != 4 {
-		t.Errorf("%+v, %v", f, ok)
+		t.Errorf("fit %+v, found %v; want slope 2, intercept 1, residual 0, 4 points", f, ok)
 	}
-	// Off by +1, -2, +1 from y = x: the line stays, and the residual is the root of 6 over 1.
+	// The points differ from y = x by +1, -2 and +1. The fitted line is y = x, and the residual is the root of 6 divided by 1,
+	// the number of points minus 2.
 	f, _ = fit([]float64{1, 2, 3}, []float64{2, 0, 4})
 	if math.Abs(f.Slope-1) > 1e-9 || math.Abs(f.Intercept) > 1e-9 || math.Abs(f.Residual-math.Sqrt(6)) > 1e-9 {
-		t.Errorf("%+v", f)
+		t.Errorf("fit %+v, want slope 1, intercept 0, residual %v", f, math.Sqrt(6))
 	}
 	if _, ok := fit([]float64{1, 1, 1}, []float64{1, 2, 3}); ok {
-		t.Error("a line through points at one place")
+		t.Error("points with the same x have a fit")
 	}
 }
 
-// A slope has the figures that its sizes share and that are no wall times, over the sizes as they were measured.
+// A slope is fitted to the figures that at least three of its sizes have and that are not wall times, over the measured sizes.
+// Sizes that were not measured, and a slope without a fit, have a note each.
 func TestSlopesOfAReport(t *testing.T) {
 	r := Report{}
 	for i, name := range []string{"a", "b", "c"} {
@@ -185,10 +190,10 @@
 	r.slope(Slope{Name: "by", Dimension: "services", Sizes: []string{"a", "b", "c"}})
 	want := Fit{Key: "by.memory", Dimension: "services", Slope: 2, Intercept: 80, Points: 3, Unit: "MB"}
 	if len(r.Slopes) != 1 || r.Slopes[0] != want || len(r.Notes) != 0 {
-		t.Errorf("%+v, %v", r.Slopes, r.Notes)
+		t.Errorf("slopes %+v, notes %q; want only the slope %+v", r.Slopes, r.Notes, want)
 	}
 	r.slope(Slope{Name: "none", Dimension: "tenants", Sizes: []string{"a", "b", "c", "d"}})
 	if len(r.Slopes) != 1 || len(r.Notes) != 2 {
-		t.Errorf("%+v, %v", r.Slopes, r.Notes)
+		t.Errorf("slopes %+v, notes %q; want the slope by.memory alone, and two notes", r.Slopes, r.Notes)
 	}
 }
--- a/internal/lab/process/read.go
+++ b/internal/lab/process/read.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// ReadReport reads a report's file. A field that a report doesn't have is an error.
+// ReadReport reads the report in the file at path. A field in the file that Report doesn't have is an error.
 func ReadReport(path string) (*Report, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/process/real_test.go
+++ b/internal/lab/process/real_test.go
@@ -21,7 +21,7 @@
 	"yokestall/internal/testutil"
 )
 
-// program is the product's program, for tests that start processes of it.
+// program runs the program under test in processes that the tests start.
 func program() {
 	if err := cli.New(os.Stdout, os.Stderr).ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -31,8 +31,8 @@
 
 func TestMain(m *testing.M) { testutil.MainOr(m, program) }
 
-// maxCounterError bounds the difference in MB of two of the system's figures on the same memory: it counts pages on
-// each CPU, and adds the counts up in batches.
+// maxCounterError is the maximum difference in MB between two of the kernel's figures of the same memory. The kernel counts
+// pages on each CPU and adds up the counts in batches.
 const maxCounterError = 2
 
 const tinyPlan = `
@@ -57,58 +57,61 @@
 nodes = 10
 `
 
-// In a complete run of a real process, requests are answered, changes are in force, and each figure has its unit.
+// In a complete run of a real process, requests are answered, changes come into force, and each figure has a valid value and a
+// unit.
 func TestMeasure(t *testing.T) {
 	plan, err := process.ParsePlan("tiny", []byte(tinyPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
-	itself, env := testutil.SelfCommand()
-	r, err := process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
+	command, env := testutil.SelfCommand()
+	r, err := process.Measure(t.Context(), plan, t.TempDir(), command, env, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	seen := map[string]bool{}
 	for _, f := range r.Figures {
-		// The CPU time at rest, which that of a request is without, is inexact after so short a rest.
+		// The CPU time per request may be negative: the CPU time of the idle process is subtracted, and the plan's short idle
+		// period measures it inexactly.
 		negative := f.Value < 0 && !strings.HasSuffix(f.Key, ".cpu_per_request")
 		invalid := negative || math.IsNaN(f.Value) || math.IsInf(f.Value, 0)
 		if f.Unit == "" || invalid || seen[f.Key] || !strings.HasPrefix(f.Key, "tiny.") {
-			t.Errorf("%+v", f)
+			t.Errorf("figure %+v: want a unit, a finite value that is not negative, and a unique key that begins with tiny", f)
 		}
 		seen[f.Key] = true
 	}
-	value := func(what string) float64 {
-		f, ok := r.Value("tiny." + what)
+	value := func(name string) float64 {
+		f, ok := r.Value("tiny." + name)
 		if !ok {
-			t.Errorf("no figure %s", what)
+			t.Errorf("the report has no figure tiny.%s", name)
 		}
 		return f.Value
 	}
 	if value("check.taken") != 1 || value("load.200.services_2.asked") < 1 || value("load.200.services_all.served") < 1 {
-		t.Errorf("%+v, %v", r.Figures, r.Notes)
+		t.Errorf("figures %+v, notes %q; want an accepted check, requested services_2 and served services_all", r.Figures, r.Notes)
 	}
 	for _, memory := range []string{
 		"ready.memory", "rest.memory", "load.memory", "settings.1.memory", "settings.3.memory", "route.1.memory",
 		"list.2.memory",
 	} {
 		if v := value(memory); v <= 0 || v > value("end.peak")+maxCounterError {
-			t.Errorf("%s is %v MB, the most was %v", memory, v, value("end.peak"))
+			t.Errorf("%s is %v MB, want more than 0 and at most the peak of %v MB", memory, v, value("end.peak"))
 		}
 	}
 	for _, change := range []string{"settings.of_1", "settings.of_2", "route.of_1", "list.of_2"} {
 		if value(change+".in_force_p50") <= 0 {
-			t.Errorf("%s took no time", change)
+			t.Errorf("%s.in_force_p50 is not positive", change)
 		}
 	}
 	for _, n := range r.Notes {
-		if strings.Contains(n, "context") || strings.Contains(n, "refuse") {
-			t.Error(n)
+		if strings.Contains(n, "context") || strings.Contains(n, "refuse") || strings.Contains(n, "rejected") {
+			t.Errorf("note on a cancelled context, a refused connection or a rejected configuration: %s", n)
 		}
 	}
 }
 
-// A size whose tenants are rejected has a note, and is measured with fewer, or not at all with OnlyIfAccepted.
+// A size whose number of tenants is rejected has notes, and is measured with FallbackTenants. With OnlyIfAccepted, it is not
+// measured.
 func TestRejectedTenants(t *testing.T) {
 	text := strings.NewReplacer(
 		"tenants = 40\nnodes", "tenants = 20000000\nnodes",
@@ -119,23 +122,23 @@
 		t.Fatal(err)
 	}
 	plan.Sizes[0].Tenants = config.MaxTenants + 1
-	itself, env := testutil.SelfCommand()
-	r, err := process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
+	command, env := testutil.SelfCommand()
+	r, err := process.Measure(t.Context(), plan, t.TempDir(), command, env, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f, _ := r.Value("tiny.check.taken")
 	if f.Value != 0 || len(r.Sizes) != 1 || r.Sizes[0].Tenants != 40 || len(r.Notes) < 2 {
-		t.Errorf("%+v, %+v, %v", f, r.Sizes, r.Notes)
+		t.Errorf("figure %+v, sizes %+v, notes %q; want value 0, one size with 40 tenants, at least 2 notes", f, r.Sizes, r.Notes)
 	}
 	plan.Sizes[0].OnlyIfAccepted = true
-	r, err = process.Measure(t.Context(), plan, t.TempDir(), itself, env, io.Discard)
+	r, err = process.Measure(t.Context(), plan, t.TempDir(), command, env, io.Discard)
 	if err != nil || len(r.Sizes) != 0 {
-		t.Errorf("%+v, %v", r.Sizes, err)
+		t.Errorf("with OnlyIfAccepted: measured sizes %+v, error %v; want none", r.Sizes, err)
 	}
 }
 
-// inProcess is the program within the test's own process, whose heap objects can be counted.
+// inProcess is the program under test running in the test's own process, so that the test can count its heap objects.
 type inProcess struct {
 	t         *testing.T
 	dir, addr string
@@ -144,8 +147,10 @@
 	requests  int
 }
 
+// startInProcess starts the program with a configuration of a size. The program ends with the test.
 func startInProcess(t *testing.T, size process.Size) *inProcess {
-	var servers []string // that store nothing of their requests, or it would count
+	// Addresses of the servers. They store nothing of their requests, because the test would count those heap objects too.
+	var servers []string
 	for range size.Servers {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			io.WriteString(w, "served")
@@ -179,7 +184,7 @@
 
 func (s *inProcess) path() string { return filepath.Join(s.dir, "served", "yokestall.toml") }
 
-// change replaces the settings, waits until the new ones are in force, and sends some requests.
+// change replaces the settings, waits until the new settings are in force, and sends one request for each service.
 func (s *inProcess) change() {
 	s.settings.Version++
 	s.settings.Step++
@@ -200,7 +205,7 @@
 	}
 }
 
-// get sends a request over a connection of its own, and returns the answer's text.
+// get sends a request over a new connection, and returns the response body without surrounding white space.
 func (s *inProcess) get(a process.Request) string {
 	q, err := http.NewRequest(a.Method, "http://"+s.addr+a.Path, nil)
 	if err != nil {
@@ -225,18 +230,18 @@
 	return strings.TrimSpace(string(text))
 }
 
-// liveObjects returns the heap objects and goroutines after a garbage collection.
+// liveObjects returns the numbers of heap objects and goroutines after a garbage collection.
 func liveObjects() (objects uint64, goroutines int) {
 	var m runtime.MemStats
 	runtime.GC()
-	runtime.GC() // frees what finalizers of the first released
+	runtime.GC() // Frees the objects that finalizers released after the first collection.
 	runtime.ReadMemStats(&m)
 	return m.HeapObjects, runtime.NumGoroutine()
 }
 
-// A version's objects are freed when another replaces it: after 100 changes the program has about as many objects and
-// goroutines as after 10. The bound is a tenth, so that ten leaked objects of each of the 90 changes between are found,
-// or two of each cluster.
+// The objects of a version are freed when another version replaces it: after 100 changes the program has about as many heap
+// objects and goroutines as after 10. The number of objects may grow by less than a tenth, so that the test finds ten leaked
+// objects for each of the 90 changes, or two for each cluster and change.
 func TestChangesDontLeak(t *testing.T) {
 	const few, many = 10, 100
 	s := startInProcess(t, process.Size{Services: 7, Servers: 3, Routes: 100, Tenants: 40, Nodes: 10})
@@ -250,7 +255,7 @@
 	var nowObjects uint64
 	var nowGoroutines int
 	defer func() {
-		t.Logf("after %d changes %d objects and %d goroutines, after %d %d and %d",
+		t.Logf("after %d changes: %d objects, %d goroutines; after %d changes: %d objects, %d goroutines",
 			few, objects, goroutines, many, nowObjects, nowGoroutines)
 	}()
 	testutil.Until(t, "the objects of earlier versions to be freed", func() bool {
--- a/internal/lab/process/replacefiles.go
+++ b/internal/lab/process/replacefiles.go
@@ -13,7 +13,8 @@
 	"yokestall/internal/lab/ctxtime"
 )
 
-// ChangeSettings replaces the program's file by one with other settings, and returns once they are in force.
+// ChangeSettings replaces the main configuration file by one with the next Settings.Version and Settings.Step, and returns once
+// they are in force.
 func (s *ServeProcess) ChangeSettings(ctx context.Context) error {
 	next := s.settings
 	next.Version++
@@ -21,8 +22,8 @@
 	return s.change(ctx, next)
 }
 
-// ChangeRoute replaces the program's file by one in which a route answers another text, and returns once that is
-// in force.
+// ChangeRoute replaces the main configuration file by one with the next Settings.Version and Settings.Text, and returns once
+// they are in force.
 func (s *ServeProcess) ChangeRoute(ctx context.Context) error {
 	next := s.settings
 	next.Version++
@@ -30,7 +31,7 @@
 	return s.change(ctx, next)
 }
 
-// change replaces the program's file by one with these settings, and returns once they are in force.
+// change replaces the main configuration file by one with the settings next, and returns once they are in force.
 func (s *ServeProcess) change(ctx context.Context, next Settings) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -44,8 +45,8 @@
 	return s.awaitResponse(ctx, "/version", VersionText(next))
 }
 
-// ChangeList replaces one cluster's file by one whose first server has another weight, and returns once the
-// process has accepted it.
+// ChangeList replaces the cluster file of a service by one whose first server has a weight that depends on change, and returns
+// once the process has accepted it.
 func (s *ServeProcess) ChangeList(ctx context.Context, service, change int) error {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -55,8 +56,8 @@
 	return s.awaitAccepted(ctx)
 }
 
-// replace replaces a file atomically. The new file is written outside the folders that the program watches, so that one
-// change is one event there.
+// replace replaces the file with this name, relative to the process's folder, atomically. It writes the new file outside the
+// folders that the program watches, so that the program gets one file event for each change.
 func (s *ServeProcess) replace(name string, text []byte) error {
 	written := filepath.Join(s.dir, "next")
 	if err := os.WriteFile(written, text, 0o600); err != nil {
@@ -65,8 +66,8 @@
 	return os.Rename(written, filepath.Join(s.process.Dir, name))
 }
 
-// awaitAccepted waits until the process logs the next version of its files, which it does before the version is in
-// force.
+// awaitAccepted waits until the process logs the number of the next version of its files. The process logs it before the
+// version is in force.
 func (s *ServeProcess) awaitAccepted(ctx context.Context) error {
 	want := []byte(fmt.Sprintf("version=%d ", s.acceptedVersions+1))
 	for {
@@ -75,19 +76,19 @@
 			return err
 		}
 		if bytes.Contains(text, []byte("are not taken")) {
-			return fmt.Errorf("a change is refused: %s", text)
+			return fmt.Errorf("process rejected the changed files: %s", text)
 		}
 		if bytes.Contains(text, want) {
 			s.acceptedVersions++
 			return nil
 		}
 		if err := ctxtime.Sleep(ctx, logPollInterval); err != nil {
-			return fmt.Errorf("version %d of the files: %w", s.acceptedVersions+1, err)
+			return fmt.Errorf("process has not logged version %d of its files: %w", s.acceptedVersions+1, err)
 		}
 	}
 }
 
-// newLogLines returns the complete lines that the process has logged since the last call.
+// newLogLines returns the complete lines that the process has logged since the previous call.
 func (s *ServeProcess) newLogLines() ([]byte, error) {
 	f, err := os.Open(s.process.Log)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return text, err
 }
 
-// awaitResponse polls the version host until its answer is want.
+// awaitResponse sends requests for path to the version host until the response body is want.
 func (s *ServeProcess) awaitResponse(ctx context.Context, path, want string) error {
 	for {
 		text, err := s.get(ctx, path)
@@ -108,12 +109,12 @@
 			return nil
 		}
 		if sleepErr := ctxtime.Sleep(ctx, versionPollInterval); sleepErr != nil {
-			return errors.Join(fmt.Errorf("%s answers %q, not %q", path, text, want), err, sleepErr)
+			return errors.Join(fmt.Errorf("path %s of the version host: response %q, want %q", path, text, want), err, sleepErr)
 		}
 	}
 }
 
-// get returns the version host's answer.
+// get requests path from the version host, and returns the response body without surrounding white space.
 func (s *ServeProcess) get(ctx context.Context, path string) (string, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+VersionHost+path, nil)
 	if err != nil {
--- a/internal/lab/process/report.go
+++ b/internal/lab/process/report.go
@@ -7,25 +7,25 @@
 
 // Figure is one measured value.
 type Figure struct {
-	Key   string  `json:"key"` // the size's name, a dot, and what was measured
+	Key   string  `json:"key"` // name of the size, a dot, and the name of the figure
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
 }
 
-// Report is the result of a run, as its file has it.
+// Report is the result of a run, in the form of the report's JSON file.
 type Report struct {
-	Command string   `json:"command"` // that made the run
-	Commit  string   `json:"commit"`  // of the program
-	Began   string   `json:"began"`   // RFC 3339, UTC
-	Seed    uint64   `json:"seed"`
+	Command string   `json:"command"` // command line that started the run
+	Commit  string   `json:"commit"`  // commit of the program, see revision
+	Began   string   `json:"began"`   // start of the run, RFC 3339 in UTC
+	Seed    uint64   `json:"seed"`    // seed of the plan
 	Machine Machine  `json:"machine"`
-	Sizes   []Size   `json:"sizes"` // as measured
+	Sizes   []Size   `json:"sizes"` // measured sizes, with FallbackTenants if the program rejected their own number
 	Figures []Figure `json:"figures"`
 	Slopes  []Fit    `json:"slopes"`
-	Notes   []string `json:"notes"` // what was rejected, is unreliable, or could not be measured
+	Notes   []string `json:"notes"` // notes on rejected configurations, invalid latencies and figures that are missing
 }
 
-// Value returns the figure of a key; false: there is none.
+// Value returns the figure with this key. It returns false if the report doesn't have the figure.
 func (r *Report) Value(key string) (Figure, bool) {
 	for _, f := range r.Figures {
 		if f.Key == key {
--- a/internal/lab/process/request.go
+++ b/internal/lab/process/request.go
@@ -9,13 +9,13 @@
 
 // Request is a request of the load.
 type Request struct {
-	Service            int // that it is for
+	Service            int // number of the service whose host gets the request
 	Method, Host, Path string
-	Tenant             string // "": the size has none
-	Key                string // idempotency key; "": none
+	Tenant             string // name of the tenant; "" if the size has no tenants
+	Key                string // idempotency key; "" if the request has none
 }
 
-// Request returns request n of the load, over the first inUse services in turn.
+// Request returns request n of the load. Successive requests are for the first inUse services in turn.
 func (g *Generator) Request(n, inUse int) Request {
 	rng := rand.New(rand.NewPCG(g.Seed, uint64(n)<<8|2))
 	i := n % inUse
@@ -43,7 +43,7 @@
 	return r
 }
 
-// request makes the HTTP request, whose URL has the service's host.
+// request returns the HTTP request. Its URL has the service's host, which newClient's client doesn't connect to.
 func (r Request) request(ctx context.Context) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Host+r.Path, nil)
 	if err != nil {
--- a/internal/lab/process/served.go
+++ b/internal/lab/process/served.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	maxRunningServers   = 64 // fake servers, which all services share
+	maxRunningServers   = 64 // maximum number of fake servers, which all services share
 	logPollInterval     = 2 * time.Millisecond
 	versionPollInterval = 10 * time.Millisecond
-	changeTimeout       = 2 * time.Minute // until a change is in force
-	maxLogBytes         = 1 << 30         // of the process's log, that are read at once
+	changeTimeout       = 2 * time.Minute // maximum time until a change is in force
+	maxLogBytes         = 1 << 30         // maximum number of bytes of the process's log that are read at once
 	connectTimeout      = 5 * time.Second
 	requestTimeout      = 10 * time.Second
-	idleTimeout         = time.Minute // of the load's connections
-	maxOpenRequests     = 4096        // of the load, at once
+	idleTimeout         = time.Minute // time after which the client closes an idle connection
+	maxOpenRequests     = 4096        // maximum number of requests of a load in flight
 )
 
-// ServeProcess is a process of the program before fake servers, which follows files that can be replaced. Create it
-// with StartServe.
+// ServeProcess is a process that runs `yokestall serve` in front of fake servers, with configuration files that can be
+// replaced. Create it with StartServe.
 type ServeProcess struct {
 	Generator Generator
 	Servers   []*appbox.Server
 
 	dir              string
 	process          *fleet.Process
-	client           *http.Client // connects to the process, whatever the request's host is
-	settings         Settings     // in force
-	acceptedVersions int          // versions of the files that the process has logged as accepted
-	logOffset        int64        // bytes of the log that have been read
+	client           *http.Client // connects to the process for every host of a request
+	settings         Settings     // settings in force
+	acceptedVersions int          // number of versions of the files that the process has logged as accepted
+	logOffset        int64        // number of bytes of the log that have been read
 }
 
-// StartServe starts fake servers with a delay, writes the files of a size below dir and starts a process by them. The
-// process serves when StartServe returns.
+// StartServe starts fake servers that delay their responses by serverDelay, writes the files of a size below dir, and starts a
+// process with these files. When StartServe returns, the process is ready to serve.
 func StartServe(
 	ctx context.Context, size Size, seed uint64, serverDelay time.Duration, dir string, command, env []string,
 ) (s *ServeProcess, err error) {
 	if size.Servers > maxRunningServers {
-		return nil, fmt.Errorf("%s: %d servers of a service; %d at most where they are served",
+		return nil, fmt.Errorf("size %s: %d servers per service, at most %d are allowed for a process that serves",
 			size.Name, size.Servers, maxRunningServers)
 	}
 	s = &ServeProcess{dir: dir, acceptedVersions: 1}
@@ -65,7 +65,7 @@
 	if s.process, err = fleet.NewProcess(filepath.Join(dir, "served"), command, env); err != nil {
 		return nil, err
 	}
-	s.process.Log = filepath.Join(dir, "log") // not in the folder that the program watches
+	s.process.Log = filepath.Join(dir, "log") // outside the folder that the program watches
 	s.client = newClient(s.process.Addr)
 	s.Generator = Generator{Size: size, Seed: seed, Place: Place{
 		Listen: s.process.Addr, Server: func(j int) string { return s.Servers[j].Addr() },
@@ -79,7 +79,7 @@
 	return s, s.awaitResponse(ctx, "/version", VersionText(s.settings))
 }
 
-// newClient returns a client that connects to addr whatever a request's host is; "": to the request's host.
+// newClient returns a client that connects to addr for every request. If addr is "", it connects to the request's host.
 func newClient(addr string) *http.Client {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	dial := func(ctx context.Context, network, host string) (net.Conn, error) {
@@ -97,7 +97,7 @@
 	return &http.Client{Transport: t, Timeout: requestTimeout}
 }
 
-// Close ends the process and the servers.
+// Close kills the process and stops the fake servers.
 func (s *ServeProcess) Close() {
 	if s.process != nil {
 		s.process.Kill()
@@ -110,5 +110,5 @@
 	}
 }
 
-// Usage returns what the process has used so far.
+// Usage returns the CPU time and memory that the process has used since its start.
 func (s *ServeProcess) Usage() (Usage, error) { return ReadUsage(s.process.PID()) }
--- a/internal/lab/process/slope.go
+++ b/internal/lab/process/slope.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// Fit is a straight line through figures of several sizes, by least squares.
+// Fit is a straight line that was fitted to a figure of several sizes by least squares.
 type Fit struct {
-	Key       string  `json:"key"` // the slope's name, a dot, and what was measured
-	Dimension string  `json:"per"` // of the sizes
-	Slope     float64 `json:"slope"`
+	Key       string  `json:"key"`   // name of the slope, a dot, and the name of the figure
+	Dimension string  `json:"per"`   // dimension of the sizes: services, routes or tenants
+	Slope     float64 `json:"slope"` // in the figure's unit per service, route or tenant
 	Intercept float64 `json:"intercept"`
 	Residual  float64 `json:"residual"` // standard error of the regression, in the figure's unit
 	Points    int     `json:"points"`
-	Unit      string  `json:"unit"` // of the figure
+	Unit      string  `json:"unit"` // unit of the figure
 }
 
-// minFitPoints is the least number of points of a line: through two points every line fits without a residual.
+// minFitPoints is the minimum number of points for a fit: a line through two points never has a residual.
 const minFitPoints = 3
 
-// fit fits a line by least squares; false: there are fewer than minFitPoints, or all have the same x.
+// fit fits a line by least squares. It returns false if there are fewer than minFitPoints points, or if all have the same x.
 func fit(x, y []float64) (f Fit, ok bool) {
 	n := float64(len(x))
 	if len(x) < minFitPoints {
@@ -30,7 +30,7 @@
 		meanX += x[i] / n
 		meanY += y[i] / n
 	}
-	var xx, xy float64 // variance and covariance, times n
+	var xx, xy float64 // variance of x, and covariance of x and y, both multiplied by n
 	for i := range x {
 		xx += (x[i] - meanX) * (x[i] - meanX)
 		xy += (x[i] - meanX) * (y[i] - meanY)
@@ -50,18 +50,19 @@
 	return f, true
 }
 
-// isWallTime reports whether a figure is a wall time, which depends on the machine's other work more than on the size.
-func isWallTime(what string) bool {
+// isWallTime reports whether a figure, by its name, is a wall time. Wall times depend more on the machine's other work than on
+// the size.
+func isWallTime(name string) bool {
 	for _, part := range []string{".wall", ".in_force_", ".added_"} {
-		if strings.Contains(what, part) {
+		if strings.Contains(name, part) {
 			return true
 		}
 	}
 	return false
 }
 
-// slope fits a line over the slope's dimension for each figure of its measured sizes that is no wall time. A figure has
-// to be there at minFitPoints sizes, the first of them among these.
+// slope adds a fit over the slope's dimension for each figure of its measured sizes that is not a wall time. A figure is fitted
+// only if the first measured size has it, and at least minFitPoints sizes in all.
 func (r *Report) slope(s Slope) {
 	sizes := r.measured(s.Sizes)
 	if len(sizes) < len(s.Sizes) {
@@ -72,23 +73,23 @@
 	}
 	fitted := 0
 	for _, first := range r.Figures {
-		what, ok := strings.CutPrefix(first.Key, sizes[0].Name+".")
-		if !ok || isWallTime(what) {
+		name, ok := strings.CutPrefix(first.Key, sizes[0].Name+".")
+		if !ok || isWallTime(name) {
 			continue
 		}
-		x, y := r.points(sizes, s.Dimension, what)
+		x, y := r.points(sizes, s.Dimension, name)
 		if f, ok := fit(x, y); ok {
-			f.Key, f.Dimension, f.Unit = s.Name+"."+what, s.Dimension, first.Unit
+			f.Key, f.Dimension, f.Unit = s.Name+"."+name, s.Dimension, first.Unit
 			r.Slopes = append(r.Slopes, f)
 			fitted++
 		}
 	}
 	if fitted == 0 {
-		r.note("slope %s: nothing to fit: fewer than three sizes that differ in %s were measured", s.Name, s.Dimension)
+		r.note("slope %s: no figure fitted, fewer than three sizes that differ in %s were measured", s.Name, s.Dimension)
 	}
 }
 
-// measured returns the measured sizes of these names, in the order of the names.
+// measured returns the measured sizes with these names, in the order of the names.
 func (r *Report) measured(names []string) (sizes []Size) {
 	for _, name := range names {
 		for _, size := range r.Sizes {
@@ -100,7 +101,7 @@
 	return sizes
 }
 
-// points returns the sizes' dimension and figure, for the sizes that have the figure.
+// points returns the dimension (x) and the figure (y) of each size that has the figure.
 func (r *Report) points(sizes []Size, dimension, figure string) (x, y []float64) {
 	for _, size := range sizes {
 		if f, ok := r.Value(size.Name + "." + figure); ok {
--- a/internal/lab/process/usage.go
+++ b/internal/lab/process/usage.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// clockTick is the unit of times in /proc/PID/stat: USER_HZ is 100 on every architecture that Go runs on.
+// clockTick is the unit of the times in /proc/PID/stat. USER_HZ is 100 on every architecture that Go supports.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used, by /proc.
+// Usage is the CPU time and memory of a process, as /proc reports them.
 type Usage struct {
-	CPU  time.Duration // user and system time, of all its threads
-	RSS  int64         // bytes resident now
-	Peak int64         // the maximum so far
+	CPU  time.Duration // user and system time of all threads since the process's start
+	RSS  int64         // resident memory in bytes
+	Peak int64         // maximum of the resident memory in bytes since the process's start
 }
 
-// ReadUsage returns what a process has used so far.
+// ReadUsage returns the CPU time and memory that a process has used since its start.
 func ReadUsage(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -33,17 +33,18 @@
 	return parseUsage(string(stat), string(status))
 }
 
-// parseUsage reads the content of /proc/PID/stat and /proc/PID/status (proc(5)).
+// parseUsage parses the content of /proc/PID/stat and /proc/PID/status, see proc(5).
 func parseUsage(stat, status string) (u Usage, err error) {
-	const userTime, systemTime = 11, 12 // fields behind the command's name, which is in brackets and may hold anything
+	// Indexes of the fields after the command's name. The name is in parentheses and may contain spaces and parentheses.
+	const userTime, systemTime = 11, 12
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= systemTime {
-		return u, fmt.Errorf("stat of a process: %d fields", len(fields))
+		return u, fmt.Errorf("/proc/PID/stat: only %d fields after the command's name", len(fields))
 	}
 	for _, i := range []int{userTime, systemTime} {
 		ticks, err := strconv.ParseInt(fields[i], 10, 64)
 		if err != nil {
-			return u, fmt.Errorf("stat of a process: %w", err)
+			return u, fmt.Errorf("/proc/PID/stat: CPU time: %w", err)
 		}
 		u.CPU += time.Duration(ticks) * clockTick
 	}
@@ -54,7 +55,8 @@
 	return u, err
 }
 
-// statusBytes returns the bytes of a line of /proc/PID/status that is in kB.
+// statusBytes returns the value in bytes of the line that begins with name. status is the content of /proc/PID/status or
+// /proc/meminfo, and the line's value is in kB.
 func statusBytes(status, name string) (int64, error) {
 	for line := range strings.Lines(status) {
 		if rest, ok := strings.CutPrefix(line, name); ok {
@@ -62,18 +64,18 @@
 			return kB << 10, err
 		}
 	}
-	return 0, fmt.Errorf("status of a process: no %s", name)
+	return 0, fmt.Errorf("/proc/PID/status has no line %s", name)
 }
 
-// Memory has settled once the medians of two consecutive windows of samples differ by less than a fraction.
+// Memory has settled when the medians of two consecutive windows of samples differ by less than a fraction of the earlier one.
 const (
-	settleSamples    = 16 // of a window
-	settleTolerance  = 0.02
-	maxSettleWindows = 15
+	settleSamples    = 16   // samples in a window
+	settleTolerance  = 0.02 // fraction of the earlier median
+	maxSettleWindows = 15   // windows after which AwaitSettledMemory stops waiting
 )
 
-// AwaitSettledMemory waits until a process's resident memory settles from one window to the next, and returns the
-// median of the last window, in bytes. ok is false if it has not settled within maxSettleWindows.
+// AwaitSettledMemory waits until a process's resident memory settles from one window of samples to the next, and returns the
+// median of the last window in bytes. ok is false if the memory has not settled within maxSettleWindows windows.
 func AwaitSettledMemory(ctx context.Context, pid int, window time.Duration) (rss int64, ok bool, err error) {
 	tick := time.NewTicker(max(time.Millisecond, window/settleSamples))
 	defer tick.Stop()
@@ -107,7 +109,7 @@
 	return max(d, -d) < settleTolerance*float64(before)
 }
 
-// median returns the upper median. list has at least one element.
+// median returns the upper median of a list that is not empty.
 func median(list []int64) int64 {
 	sorted := slices.Sorted(slices.Values(list))
 	return sorted[len(sorted)/2]
--- a/internal/lab/process/write.go
+++ b/internal/lab/process/write.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// The names of the files below a folder, as `yokestall serve` reads them.
+// Names of the files and of the folder that Generator.Write writes, and that `yokestall serve` reads.
 const (
 	programFile    = "yokestall.toml"
 	tenantsFile    = "tenants.toml"
 	clustersFolder = "clusters"
 )
 
-// Write writes all files of the first version below a folder.
+// Write writes all configuration files of the first version below a folder.
 func (g *Generator) Write(dir string) error {
 	if err := os.MkdirAll(filepath.Join(dir, clustersFolder), 0o700); err != nil {
 		return err
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// writeFile writes a file through a buffer, so that a long file is never in memory completely.
+// writeFile writes a file through a buffer, so that a large file is never completely in memory.
 func writeFile(path string, write func(b io.Writer)) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -49,10 +49,10 @@
 	return errors.Join(b.Flush(), f.Close())
 }
 
-// withoutFolder removes the folder's path from messages that go into a report.
+// withoutFolder removes the path of a folder from a message, for messages that go into a report.
 func withoutFolder(text, dir string) string {
 	return strings.ReplaceAll(text, dir+string(filepath.Separator), "")
 }
 
-// clusterFile is the path of service i's cluster file below the folder.
+// clusterFile returns the path of the cluster file of service i, relative to the folder of the configuration.
 func clusterFile(i int) string { return filepath.Join(clustersFolder, ServiceName(i)+".toml") }
