--- a/internal/testutil/backend.go
+++ b/internal/testutil/backend.go
@@ -10,16 +10,16 @@
 	"yokestall/internal/fake/appbox"
 )
 
-// requestsCapacity is how many requests of a Backend a test may leave unread before handlers block.
+// requestsCapacity is the capacity of Backend.Requests. The handlers block when the test has not received as many requests.
 const requestsCapacity = 1000
 
-// Backend is an HTTP server that passes the requests it receives on to the test.
+// Backend is an HTTP server that sends the requests it receives to the test.
 type Backend struct {
 	*httptest.Server
-	Requests chan *http.Request // complete requests; a handler blocks while requestsCapacity of them are unread
+	Requests chan *http.Request // requests with complete bodies; a handler blocks while the channel is full
 }
 
-// NewBackend starts a server that calls handle once a request's body was read. It ends with the test.
+// NewBackend starts a server that calls handle after it has read the complete body of a request. The server ends with the test.
 func NewBackend(t testing.TB, handle http.HandlerFunc) *Backend {
 	b := &Backend{Requests: make(chan *http.Request, requestsCapacity)}
 	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,7 +38,7 @@
 // Addr returns the address that the server listens on.
 func (b *Backend) Addr() string { return b.Listener.Addr().String() }
 
-// OK answers 200 with the body "done".
+// OK is a handler that answers with status 200 and the body "done".
 func OK(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "done") }
 
 // StartAppServer starts a fake application server that ends with the test.
--- a/internal/testutil/bodies.go
+++ b/internal/testutil/bodies.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pattern reads Size bytes that depend on their offset and on Number, so that lost, moved or foreign parts of a body
-// show.
+// Pattern is a reader of Size bytes that depend on their offset and on Number, so that a test detects parts of a body that are
+// lost, moved or from another body.
 type Pattern struct {
 	Number, Size int
 	offset       int
@@ -26,22 +26,22 @@
 	return len(b), nil
 }
 
-// Bytes returns the size bytes of the Pattern with number 0.
+// Bytes returns size bytes of the Pattern with Number 0.
 func Bytes(size int) []byte {
 	b := make([]byte, size)
 	io.ReadFull(&Pattern{Size: size}, b)
 	return b
 }
 
-// SlowReader reads at most Rate bytes a second on average; with a Rate of 0 there is no limit.
+// SlowReader reads from Reader at an average of at most Rate bytes per second.
 type SlowReader struct {
 	io.Reader
-	Rate  int // in bytes per second
-	start time.Time
-	count int // bytes read since start
+	Rate  int       // in bytes per second; 0: no limit
+	start time.Time // time of the first read
+	count int       // number of bytes read since start
 }
 
-// maxSlowRead bounds the bytes of one read of a SlowReader, so that its pauses are short.
+// maxSlowRead is the maximum number of bytes in one read of a SlowReader. It keeps the pauses of the reader short.
 const maxSlowRead = 16 << 10
 
 // Read implements io.Reader.
--- a/internal/testutil/enginetest/enginetest.go
+++ b/internal/testutil/enginetest/enginetest.go
@@ -1,4 +1,4 @@
-// Package enginetest runs the engine of a cluster for tests of the sides before it.
+// Package enginetest runs the engine of a cluster for tests of the packages that send requests to it.
 package enginetest
 
 import (
@@ -11,8 +11,8 @@
 	"yokestall/policy"
 )
 
-// OneEndpoint returns the engine of a cluster with one endpoint at an address, and the pool of connections to it. It
-// has one class, whose requests are idempotent, and cancels attempts. The engine ends with the test.
+// OneEndpoint returns the engine of a cluster with one endpoint at addr, and the pool of connections to the endpoint. The
+// cluster has one class, whose requests are idempotent, and the engine may cancel attempts. The engine ends with the test.
 func OneEndpoint(
 	t testing.TB, addr string, clock engine.Clock, o h1client.Options,
 ) (*engine.Cluster, *h1client.Pool) {
--- a/internal/testutil/former.go
+++ b/internal/testutil/former.go
@@ -13,26 +13,26 @@
 	"testing"
 )
 
-// FormerCommit is the commit of this repository whose programs must work beside the present ones: it is the last
-// one before the identifiers of stored and transmitted types were renamed.
+// FormerCommit is the commit of this repository whose programs must work together with the present programs. It is the last
+// commit before the identifiers of stored and transmitted types were renamed.
 const FormerCommit = "6b4008b69baaa1175dedf420050aaa573edc3ee6"
 
-// formerSources are the parts of the repository that the build of a program needs.
+// formerSources has the files and folders of the repository that the build of a program needs.
 var formerSources = []string{"go.mod", "go.sum", "cmd", "deploy", "internal", "policy"}
 
-// BuildFormer builds a program of FormerCommit, for example "cmd/yokestall", and returns the path of the
-// executable, which is removed with the test. The sources come from the repository that the test runs in; if it
-// lacks the commit, the test fails. A test that needs a program several times builds it once and runs sub-tests.
+// BuildFormer builds a program of FormerCommit, for example "cmd/yokestall", and returns the path of the executable, which is
+// removed when the test ends. The sources come from the Git repository that the test runs in. The test fails if the repository
+// doesn't have the commit. A test that needs a program several times should build it once and use subtests.
 func BuildFormer(t testing.TB, program string) string {
 	t.Helper()
 	root, err := output("", "git", "rev-parse", "--show-toplevel")
 	if err != nil {
-		t.Fatalf("the sources of the former program come from the git repository: %v", err)
+		t.Fatalf("finding the Git repository, which has the sources of the former program: %v", err)
 	}
 	top := strings.TrimSpace(string(root))
 	if _, err := output(top, "git", "rev-parse", "--verify", FormerCommit+"^{commit}"); err != nil {
-		t.Fatalf("commit %s, whose programs must work beside the present ones, is not in this clone "+
-			"(a shallow one can be completed by git fetch --unshallow): %v", FormerCommit, err)
+		t.Fatalf("commit %s, whose programs must work together with the present ones, is not in this clone "+
+			"(git fetch --unshallow completes a shallow clone): %v", FormerCommit, err)
 	}
 	archive, err := output(top, "git", append([]string{"archive", "--format=tar", FormerCommit}, formerSources...)...)
 	if err != nil {
@@ -41,17 +41,18 @@
 	dir := t.TempDir()
 	sources, executable := filepath.Join(dir, "sources"), filepath.Join(dir, filepath.Base(program))
 	if err := extract(archive, sources); err != nil {
-		t.Fatalf("the archive of commit %s: %v", FormerCommit, err)
+		t.Fatalf("extracting the archive of commit %s: %v", FormerCommit, err)
 	}
-	// With -trimpath the build cache has the packages of earlier runs, although their folder is another one.
+	// With -trimpath the build uses the packages in the build cache from earlier runs, which had other folders.
 	build := []string{"build", "-trimpath", "-buildvcs=false", "-o", executable, "./" + program}
 	if _, err := output(sources, "go", build...); err != nil {
-		t.Fatalf("the build of %s at commit %s: %v", program, FormerCommit, err)
+		t.Fatalf("building %s at commit %s: %v", program, FormerCommit, err)
 	}
 	return executable
 }
 
-// output runs a command in a folder and returns its standard output. An error contains the standard error.
+// output runs a command in a folder and returns its standard output. If the command fails, the error contains its standard
+// error.
 func output(dir, name string, args ...string) ([]byte, error) {
 	command := exec.Command(name, args...)
 	command.Dir = dir
@@ -77,7 +78,7 @@
 			return err
 		}
 		if !filepath.IsLocal(header.Name) {
-			return fmt.Errorf("%q leads out of the folder", header.Name)
+			return fmt.Errorf("archive contains %q, a path that leads out of the folder", header.Name)
 		}
 		path := filepath.Join(dir, header.Name)
 		switch header.Typeflag {
@@ -92,7 +93,7 @@
 	}
 }
 
-// extractFile writes a file and the folders above it.
+// extractFile writes content to the file at path, and creates the folders above it.
 func extractFile(content io.Reader, path string) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
--- a/internal/testutil/gatedbackend.go
+++ b/internal/testutil/gatedbackend.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// GatedBackend is a server that answers no request while its gate is closed, for tests of clients that disconnect
-// meanwhile. It records when requests arrived, by their X-Request-Id.
+// GatedBackend is a server that answers no request while its gate is closed. It is for tests in which clients disconnect before
+// their requests are answered. It records the times at which requests arrive and clients disconnect, by X-Request-Id.
 type GatedBackend struct {
 	*Backend
 	mu           sync.Mutex
-	gate         chan struct{} // closed while the gate is open
-	arrived      map[string]time.Time
-	disconnected map[string]time.Time
+	gate         chan struct{}        // closed while the gate is open
+	arrived      map[string]time.Time // times at which requests arrived, by X-Request-Id
+	disconnected map[string]time.Time // times at which clients had disconnected, by the X-Request-Id of their requests
 }
 
 // NewGatedBackend starts a server whose gate is closed.
@@ -26,7 +26,7 @@
 	return b
 }
 
-// handle answers once the gate is open, or not at all where the client disconnects before.
+// handle answers a request once the gate is open. It doesn't answer if the client disconnects before.
 func (b *GatedBackend) handle(w http.ResponseWriter, r *http.Request) {
 	b.mu.Lock()
 	b.arrived[r.Header.Get("X-Request-Id")] = time.Now()
@@ -39,7 +39,8 @@
 	}
 }
 
-// Disconnect calls disconnect, which ends the clients of requests with ids, and records the time.
+// Disconnect calls disconnect, which disconnects the clients of the requests with these ids, and then records the time for each
+// id.
 func (b *GatedBackend) Disconnect(ids []string, disconnect func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,21 +50,21 @@
 	}
 }
 
-// OpenGate lets requests continue until CloseGate.
+// OpenGate opens the gate until CloseGate is called. The gate must be closed.
 func (b *GatedBackend) OpenGate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(b.gate)
 }
 
-// CloseGate lets later requests wait. The gate must be open.
+// CloseGate closes the gate, so that requests that arrive later wait. The gate must be open.
 func (b *GatedBackend) CloseGate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.gate = make(chan struct{})
 }
 
-// Release lets the requests that wait continue, and no later ones. The gate must be closed.
+// Release answers the requests that wait, but none that arrive later. The gate must be closed.
 func (b *GatedBackend) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,7 +72,7 @@
 	b.gate = make(chan struct{})
 }
 
-// Counts returns how many requests arrived, how many of their clients disconnected, and how many requests arrived more
+// Counts returns how many requests arrived, how many clients of requests were disconnected, and how many requests arrived more
 // than bound after their client had disconnected.
 func (b *GatedBackend) Counts(bound time.Duration) (arrived, disconnected, late int) {
 	b.mu.Lock()
--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares values with golden files: forms that the program has stored or sent, which later versions
-// have to read.
+// Package golden compares values with golden files. The files have data in the form in which the program has stored or sent
+// it, and which later versions of the program must still read.
 package golden
 
 import (
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// Lines compares a file of one JSON value per line with the values that the lines hold. Each line is decoded strictly
-// and compared with its value, and the value is encoded and compared with the line byte for byte. No field of a value
-// may be its zero value.
+// Lines compares a file that has one JSON value on each line with the values in want. It decodes each line with Strict and
+// compares the result with the line's value, and it encodes the value and compares the bytes with the line. No field of a value
+// may have its zero value.
 func Lines(t *testing.T, path string, want ...any) {
 	t.Helper()
 	lines := bytes.Split(bytes.TrimSuffix(Read(t, path), []byte("\n")), []byte("\n"))
@@ -46,28 +46,29 @@
 	return data
 }
 
-// Strict decodes JSON and fails on a field that the type doesn't have.
+// Strict decodes JSON into the value that to points to. The test fails if the JSON has a field that the value's type doesn't
+// have.
 func Strict(t *testing.T, data []byte, to any) {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(to); err != nil {
-		t.Fatalf("%v in %s", err, data)
+		t.Fatalf("decoding JSON: %v in %s", err, data)
 	}
 }
 
-// NonZero fails if a field of a value that JSON has is its zero value, so that a new field has to be added to the
-// golden file.
+// NonZero fails the test if a field of a value that is encoded in JSON has its zero value. A new field therefore has to be added
+// to the golden file.
 func NonZero(t *testing.T, v any) {
 	t.Helper()
 	checkNonZero(t, reflect.TypeOf(v).String(), reflect.ValueOf(v))
 }
 
-// checkNonZero fails for each zero value within a value.
+// checkNonZero fails the test for each zero value within v. path names v in the failure message.
 func checkNonZero(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
-		t.Errorf("%s is not set", path)
+		t.Errorf("%s has its zero value", path)
 		return
 	}
 	switch v.Kind() {
--- a/internal/testutil/lateness.go
+++ b/internal/testutil/lateness.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// latenessInterval is the time between two ticks of Lateness.
+// latenessInterval is the time between two ticks of the goroutine of Lateness.
 const latenessInterval = 5 * time.Millisecond
 
-// Lateness measures from now on how late the machine runs a goroutine that is due. The function that it returns gives
-// the largest delay so far. A test whose verdict depends on when something was done checks it before it fails.
+// Lateness starts to measure how late the machine runs a goroutine that is due. The function that it returns returns the
+// largest delay since the start. A test that fails if an event is late should check this delay first, because the event may be
+// late only because the machine was.
 func Lateness(t testing.TB) func() time.Duration {
 	var worst atomic.Int64
 	stop := make(chan struct{})
--- a/internal/testutil/listen.go
+++ b/internal/testutil/listen.go
@@ -18,8 +18,8 @@
 	return l
 }
 
-// RefusingAddr returns an address that refuses connections until the test ends. Its port is bound and not listened
-// on, so that no other process can take it meanwhile.
+// RefusingAddr returns an address that refuses connections until the test ends. A socket is bound to the port without listening
+// on it, so that no other process can use the port in the meantime.
 func RefusingAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 }
 
-// IsTimeout reports whether an error says that a connection's deadline has passed.
+// IsTimeout reports whether err is a net.Error of a timeout, for example because a connection's deadline has passed.
 func IsTimeout(err error) bool {
 	netErr, ok := err.(net.Error)
 	return ok && netErr.Timeout()
--- a/internal/testutil/logs.go
+++ b/internal/testutil/logs.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Logs is the log of a program under test. Its lines go to the test's own output, which the test shows only if it
-// fails. Its methods are safe for concurrent use.
+// Logs is the log of a program under test. It writes its lines to the test's own log too, which go test shows only if the test
+// fails. The methods of Logs are safe for concurrent use.
 type Logs struct {
 	t testing.TB
 
 	mu      sync.Mutex
-	text    bytes.Buffer
-	changed chan struct{} // closed at the next line
-	ended   bool          // the test has ended: t must not be used
+	text    bytes.Buffer  // all lines
+	changed chan struct{} // closed and replaced when the next line is written
+	ended   bool          // whether the test has ended, so that t must not be used
 }
 
-// NewLogs returns an empty log that writes to t until the test ends.
+// NewLogs returns an empty log whose lines go to t's log until the test ends.
 func NewLogs(t testing.TB) *Logs {
 	l := &Logs{t: t, changed: make(chan struct{})}
 	t.Cleanup(func() {
@@ -31,13 +31,13 @@
 	return l
 }
 
-// DiscardLogger is a logger for tests that would log thousands of lines.
+// DiscardLogger is a logger without output, for tests that would log thousands of lines.
 var DiscardLogger = slog.New(slog.DiscardHandler)
 
-// Log returns a logger whose lines go to the test's own output.
+// Log returns a logger whose lines go to the test's own log.
 func Log(t testing.TB) *slog.Logger { return NewLogs(t).Logger() }
 
-// Logger returns a logger that writes to the log.
+// Logger returns a logger that writes to l.
 func (l *Logs) Logger() *slog.Logger { return slog.New(slog.NewTextHandler(l, nil)) }
 
 // Write implements io.Writer.
@@ -60,7 +60,7 @@
 	return l.text.String()
 }
 
-// Wait returns the first line that contains a text. The test fails if none comes within WaitTimeout.
+// Wait returns the first line that contains text. The test fails if the log has no such line within WaitTimeout.
 func (l *Logs) Wait(text string) string {
 	l.t.Helper()
 	timeout := time.After(WaitTimeout)
@@ -76,7 +76,7 @@
 		select {
 		case <-changed:
 		case <-timeout:
-			l.t.Fatalf("%q never stands in the log:\n%s", text, all)
+			l.t.Fatalf("timed out waiting for a log line with %q; the log is:\n%s", text, all)
 		}
 	}
 }
--- a/internal/testutil/main.go
+++ b/internal/testutil/main.go
@@ -9,25 +9,25 @@
 	"go.uber.org/goleak"
 )
 
-// leakChecks is how often goroutines are looked for before those that are left count as leaked: net/http waits
-// 500 ms after some closes.
+// leakChecks is the number of searches for goroutines after the tests. Goroutines that are still running at the last search
+// count as leaked. One search is not enough, because net/http waits 500 ms after it closes some connections.
 const leakChecks = 6
 
-// Main runs a package's tests and ends the process with their exit code. It is 1 too if the tests pass and leave
-// goroutines behind.
+// Main runs a package's tests and ends the process with their exit code. The exit code is also 1 if the tests pass and goroutines
+// have leaked.
 func Main(m *testing.M) {
 	code := m.Run()
 	http.DefaultClient.CloseIdleConnections()
 	if code == 0 {
 		if err := findLeaks(); err != nil {
-			fmt.Fprintln(os.Stderr, "goroutines are left:", err)
+			fmt.Fprintln(os.Stderr, "goroutines have leaked:", err)
 			code = 1
 		}
 	}
 	os.Exit(code)
 }
 
-// findLeaks reports the goroutines that are left at the last of leakChecks checks.
+// findLeaks returns an error with the goroutines that are still running at the last of leakChecks searches.
 func findLeaks() (err error) {
 	for range leakChecks {
 		if err = goleak.Find(); err == nil {
@@ -37,14 +37,15 @@
 	return err
 }
 
-// asProgram is the environment variable that makes a test's executable run the program under test.
+// asProgram is the name of the environment variable that makes a test's executable run the program under test.
 const asProgram = "YOKESTALL_TEST_AS_PROGRAM"
 
-// SelfCommand returns the command, and its additional environment, that runs the test's own executable as the
-// program that the package's TestMain passes to MainOr.
+// SelfCommand returns the command and the additional environment with which a test starts its own executable as the program
+// that the package's TestMain passes to MainOr.
 func SelfCommand() (command, env []string) { return []string{os.Args[0]}, []string{asProgram + "=1"} }
 
-// MainOr calls program, and exits with 0 after it, in a process that was started by SelfCommand; else it calls Main.
+// MainOr calls program and then exits with code 0 in a process that was started with SelfCommand. In other processes it calls
+// Main.
 func MainOr(m *testing.M, program func()) {
 	if os.Getenv(asProgram) != "" {
 		program()
--- a/internal/testutil/tcpserver.go
+++ b/internal/testutil/tcpserver.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Accept listens on loopback, handles each connection on a goroutine of its own and closes it then. Connections end
-// with the test, at the latest after WaitTimeout.
+// Accept starts a server on a loopback address. It calls handle for each connection in a new goroutine, and closes the
+// connection when handle returns. Connections are closed when the test ends, and their reads and writes fail after WaitTimeout.
 func Accept(t testing.TB, handle func(nc net.Conn)) (addr string) {
 	l := Listen(t)
 	var open sync.Map
 	go func() {
 		for {
 			nc, err := l.Accept()
-			if err != nil { // the test has ended
+			if err != nil { // The test has ended and the listener is closed.
 				open.Range(func(nc, _ any) bool {
 					nc.(net.Conn).Close()
 					return true
@@ -37,11 +37,11 @@
 	return l.Addr().String()
 }
 
-// scriptConns is how many connections of a Script a test may leave unread before the server blocks.
+// scriptConns is the capacity of the channel of connections that Script returns. The server blocks while the channel is full.
 const scriptConns = 100
 
-// Script starts a server that reads a request and writes the answer as it is given. It then closes the connection
-// if closes is set, or else reads the next request. It sends each connection to conns when it accepts it.
+// Script starts a server that reads a request and then writes answer, byte for byte. If closes is set, the server then closes
+// the connection; otherwise it reads the next request. The server sends each accepted connection to conns.
 func Script(t testing.TB, answer string, closes bool) (addr string, conns chan net.Conn) {
 	conns = make(chan net.Conn, scriptConns)
 	return Accept(t, func(nc net.Conn) {
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// WaitTimeout is how long a test waits for what must happen. It bounds the time of a failure: no test passes by
-// waiting it out.
+// WaitTimeout is the maximum time for which a test waits for an event that must occur. It only bounds the time until a failure:
+// no test passes because the time has elapsed.
 const WaitTimeout = 30 * time.Second
 
-// Wait returns the next value of a channel. The test fails if none comes within WaitTimeout.
+// Wait returns the next value of a channel. The test fails if it receives no value within WaitTimeout. what names the awaited
+// event in the failure message.
 func Wait[T any](t testing.TB, c <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(WaitTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
@@ -24,12 +25,13 @@
 // pollInterval is the time between two checks of a condition.
 const pollInterval = 2 * time.Millisecond
 
-// Until polls a condition that no event announces. The test fails if it does not hold within WaitTimeout.
+// Until polls a condition until it holds, for conditions that no event signals. The test fails if the condition doesn't hold
+// within WaitTimeout. what names the condition in the failure message.
 func Until(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(WaitTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
