--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -14,19 +14,20 @@
 
 const root = "../.."
 
-// codeSpan matches text in backquotes.
+// codeSpan matches text in backquotes on one line. Its first group is the text.
 var codeSpan = regexp.MustCompile("`([^`\n]+)`")
 
-// declarationName matches pkg.Name, pkg.Type.Member and path/pkg.Type.Member.
+// declarationName matches pkg.Name, pkg.Type.Member and path/pkg.Type.Member, also with () at the end. Its groups are the
+// package's path, the first name and the member's name.
 var declarationName = regexp.MustCompile(`^((?:[a-z][a-z0-9]*/)*[a-z][a-z0-9]*)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?(?:\(\))?$`)
 
-// packagePath matches the folder of a package.
+// packagePath matches the folder of a package, relative to the repository's root.
 var packagePath = regexp.MustCompile(`^(?:cmd|internal|policy)(?:/[a-z0-9-]+)*$`)
 
-// declarations are the names that one package declares: "Name" and "Type.Member".
+// declarations is the set of names that one package declares. The names have the forms "Name" and "Type.Member".
 type declarations map[string]bool
 
-// parsePackages reads all packages of the repository, by their folders relative to its root.
+// parsePackages returns the declarations of all packages of the repository, by the packages' folders relative to its root.
 func parsePackages(t *testing.T) map[string]declarations {
 	t.Helper()
 	packages := map[string]declarations{}
@@ -63,7 +64,7 @@
 	return packages
 }
 
-// add takes up what one declaration names.
+// add adds the names that one declaration declares.
 func (d declarations) add(decl ast.Decl) {
 	switch decl := decl.(type) {
 	case *ast.FuncDecl:
@@ -79,7 +80,7 @@
 	}
 }
 
-// addSpec takes up a type with its fields or methods, or constants and variables.
+// addSpec adds the names of constants or variables, or the name of a type and those of its fields or methods.
 func (d declarations) addSpec(spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -97,7 +98,7 @@
 	}
 }
 
-// addFields takes up the fields of a struct or the methods of an interface.
+// addFields adds the names of the fields of a struct type or the methods of an interface type.
 func (d declarations) addFields(typ string, fields *ast.FieldList) {
 	for _, field := range fields.List {
 		for _, name := range field.Names {
@@ -106,7 +107,7 @@
 	}
 }
 
-// typeName is the name of a receiver's type.
+// typeName returns the name of a receiver's type, or "" if the expression has an unknown form.
 func typeName(expr ast.Expr) string {
 	switch expr := expr.(type) {
 	case *ast.StarExpr:
@@ -119,8 +120,8 @@
 	return ""
 }
 
-// find gives the packages whose folder ends with a path.
-func find(packages map[string]declarations, path string) (found []declarations) {
+// findPackages returns the declarations of the packages whose folder ends with a path.
+func findPackages(packages map[string]declarations, path string) (found []declarations) {
 	for folder, d := range packages {
 		if folder == path || strings.HasSuffix(folder, "/"+path) {
 			found = append(found, d)
@@ -129,14 +130,15 @@
 	return found
 }
 
-// missingNames gives the declarations and packages in a text that don't exist, and how many names it has in all.
+// missingNames returns the declarations and packages that a text names and that don't exist, and the number of all declarations
+// and packages that the text names.
 func missingNames(packages map[string]declarations, text string) (missing []string, checked int) {
 	for _, span := range codeSpan.FindAllStringSubmatch(text, -1) {
 		name := span[1]
 		switch {
 		case packagePath.MatchString(name):
 			checked++
-			if len(find(packages, name)) == 0 && !isFolder(name) {
+			if len(findPackages(packages, name)) == 0 && !isFolder(name) {
 				missing = append(missing, name)
 			}
 		case isFileName(name):
@@ -150,7 +152,7 @@
 	return missing, checked
 }
 
-// isFileName reports whether a name is that of a file, which looks like a declaration.
+// isFileName reports whether a name is that of a file. Such a name matches declarationName too.
 func isFileName(name string) bool {
 	switch filepath.Ext(name) {
 	case ".go", ".md", ".toml", ".txt", ".json":
@@ -159,14 +161,14 @@
 	return false
 }
 
-// declared reports whether a package whose path ends with that of the name declares it.
+// declared reports whether a package whose folder ends with the package path in name has the declaration that name names.
 func declared(packages map[string]declarations, name string) bool {
 	parts := declarationName.FindStringSubmatch(name)
 	member := parts[2]
 	if parts[3] != "" {
 		member += "." + parts[3]
 	}
-	for _, d := range find(packages, parts[1]) {
+	for _, d := range findPackages(packages, parts[1]) {
 		if d[member] {
 			return true
 		}
@@ -174,7 +176,8 @@
 	return false
 }
 
-// isFolder reports whether the repository has a folder with packages below it.
+// isFolder reports whether the repository has a folder at a path relative to its root. A folder without Go files may have
+// packages below it.
 func isFolder(path string) bool {
 	info, err := os.Stat(filepath.Join(root, path))
 	return err == nil && info.IsDir()
@@ -187,14 +190,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The last section of the glossary lists former names beside today's.
-		today, _, _ := strings.Cut(string(text), "\n## Packages\n")
-		missing, checked := missingNames(packages, today)
+		// The last section of the glossary lists former names together with the present names.
+		present, _, _ := strings.Cut(string(text), "\n## Packages\n")
+		missing, checked := missingNames(packages, present)
 		for _, name := range missing {
 			t.Errorf("%s: %s does not exist", page, name)
 		}
 		if checked < least {
-			t.Errorf("%s: %d names were checked; want at least %d", page, checked, least)
+			t.Errorf("%s: checked %d names, want at least %d", page, checked, least)
 		}
 	}
 }
@@ -207,7 +210,7 @@
 	} {
 		missing, checked := missingNames(packages, "see `"+name+"`")
 		if checked != 1 || (len(missing) == 0) != exists {
-			t.Errorf("%s: missing %v of %d names; exists: %v", name, missing, checked, exists)
+			t.Errorf("%s: missing names %v of %d checked names, want 1 checked name that exists: %v", name, missing, checked, exists)
 		}
 	}
 }
--- a/internal/docscheck/logevents_test.go
+++ b/internal/docscheck/logevents_test.go
@@ -17,7 +17,7 @@
 
 const logEventsPage = "docs/log-events.md"
 
-// logEventsHead stands above the table of the page.
+// logEventsHead is the text of the page up to the first row of its table.
 const logEventsHead = `# Log events
 
 The log lines of the programs that serve, for searching: events are fixed strings, values are attributes. Attributes whose name ends with a unit
@@ -29,16 +29,17 @@
 | --- | --- | --- | --- | --- |
 `
 
-// unlogged are folders of programs that don't serve: rigs, labs and demos.
-var unlogged = regexp.MustCompile(`^internal/(fake|lab|demo|stress|flakecheck|testutil|compare|loadgen)(/|$)`)
+// foldersWithoutLogEvents matches the folders of programs that don't serve, such as test rigs, labs and demos. Their log lines are
+// not on the page.
+var foldersWithoutLogEvents = regexp.MustCompile(`^internal/(fake|lab|demo|stress|flakecheck|testutil|compare|loadgen)(/|$)`)
 
-// logEvent is one log line of the programs, wherever it is written.
+// logEvent is a log line with one text and level, from all places in the source that write it.
 type logEvent struct {
 	text, level          string
 	packages, attributes []string
 }
 
-// row gives the event's line of the page, but for its meaning.
+// row returns the event's row of the table without the last column, its meaning.
 func (e *logEvent) row() string {
 	attributes := "-"
 	if len(e.attributes) > 0 {
@@ -47,8 +48,8 @@
 	return fmt.Sprintf("| `%s` | %s | %s | %s |", e.text, e.level, strings.Join(e.packages, ", "), attributes)
 }
 
-// note adds a place that writes the event.
-func (e *logEvent) note(folder string, attributes []string) {
+// addUse adds the package and the attributes of a place in the source that writes the event.
+func (e *logEvent) addUse(folder string, attributes []string) {
 	if !slices.Contains(e.packages, folder) {
 		e.packages = append(e.packages, folder)
 	}
@@ -59,7 +60,7 @@
 	}
 }
 
-// stringConstants gives the string constants that a file declares outside functions.
+// stringConstants returns the values of the string constants that a file declares outside functions, by name.
 func stringConstants(file *ast.File) map[string]string {
 	constants := map[string]string{}
 	for _, d := range file.Decls {
@@ -81,7 +82,7 @@
 	return constants
 }
 
-// literal gives the text of a string literal or of a named constant.
+// literal returns the text of a string literal or of one of the constants. It returns false for other expressions.
 func literal(expr ast.Expr, constants map[string]string) (string, bool) {
 	switch expr := expr.(type) {
 	case *ast.BasicLit:
@@ -96,7 +97,7 @@
 	return "", false
 }
 
-// isLogger reports whether a method is called on a logger, by the name of the last part of its receiver.
+// isLogger reports whether the receiver of a method call is a logger. It decides by the name of the receiver or its field.
 func isLogger(receiver ast.Expr) bool {
 	name := ""
 	switch receiver := receiver.(type) {
@@ -109,7 +110,7 @@
 	return name == "log" || name == "slog" || name == "logger"
 }
 
-// addCall takes up a call if it writes a log line.
+// addCall adds a call to the events if the call writes a log line with a constant text.
 func addCall(events map[string]*logEvent, call *ast.CallExpr, folder string, constants map[string]string) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || !isLogger(method.X) {
@@ -133,10 +134,10 @@
 	if events[key] == nil {
 		events[key] = &logEvent{text: text, level: strings.ToLower(level)}
 	}
-	events[key].note(folder, attributes)
+	events[key].addUse(folder, attributes)
 }
 
-// logEvents finds the log lines of the programs that serve, sorted by their text.
+// logEvents returns the log events of the programs that serve, sorted by text and level.
 func logEvents(t *testing.T) []*logEvent {
 	t.Helper()
 	events := map[string]*logEvent{}
@@ -149,7 +150,7 @@
 			return nil
 		}
 		folder, err := filepath.Rel(root, filepath.Dir(path))
-		if err != nil || unlogged.MatchString(folder) {
+		if err != nil || foldersWithoutLogEvents.MatchString(folder) {
 			return err
 		}
 		file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
@@ -178,7 +179,8 @@
 	return list
 }
 
-// meanings gives the hand-written last column of the page, by event and level.
+// meanings returns the last column of the page, which is written by hand. The keys are the first two columns, joined as they are
+// in the page: the event and the level.
 func meanings(page string) map[string]string {
 	found := map[string]string{}
 	for line := range strings.SplitSeq(page, "\n") {
@@ -212,6 +214,7 @@
 			t.Fatal(err)
 		}
 	case page.String() != string(before):
-		t.Errorf("%s is another one: YOKESTALL_WRITE=1 go test ./internal/docscheck -run TestLogEvents", logEventsPage)
+		t.Errorf("%s differs from the source; to update the page: YOKESTALL_WRITE=1 go test ./internal/docscheck -run TestLogEvents",
+			logEventsPage)
 	}
 }
--- a/internal/docscheck/paths_test.go
+++ b/internal/docscheck/paths_test.go
@@ -8,26 +8,27 @@
 	"testing"
 )
 
-// pathSpan matches a path of the repository at the start of a text in backquotes.
+// pathSpan matches a path of the repository at the start of a text in backquotes. Its first group is the path.
 var pathSpan = regexp.MustCompile("`((?:internal|cmd|policy|deploy|docs|scripts)/[\\w./-]*\\w)[`:*]")
 
-// testCommand matches a command that runs tests, on one line.
+// testCommand matches a go test command up to the end of the line, a backquote or a shell operator.
 var testCommand = regexp.MustCompile("go test [^`&|#\n]*")
 
-// runFlag and packageArgument match the two parts of such a command that are checked.
+// runFlag and packageArgument match the parts of a go test command that are checked: the -run flag and the packages' paths.
 var (
 	runFlag         = regexp.MustCompile(`-run '?([^'\s]+)'?`)
 	packageArgument = regexp.MustCompile(`\./[\w/-]+`)
 )
 
-// noTest is the pattern of commands that run benchmarks or fuzz targets alone.
-const noTest = "xxx"
+// noTestPattern is the value of -run in commands that run only benchmarks or fuzz targets. No test has this name.
+const noTestPattern = "xxx"
 
-// testFunction matches the declaration of a test, a fuzz target or an example.
+// testFunction matches the declaration of a test, a fuzz target or an example. Its first group is the function's name.
 var testFunction = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Example)\w*)\(`)
 
-// pages gives the text of README and of each page under docs, but for the former names in the glossary.
-func pages(t *testing.T) map[string]string {
+// readPages returns the texts of README.md and of the pages in docs, by file name. The glossary is without its last section, which
+// lists former names.
+func readPages(t *testing.T) map[string]string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
 	if err != nil {
@@ -50,7 +51,7 @@
 
 func TestPagesNameExistingPaths(t *testing.T) {
 	checked := 0
-	for page, text := range pages(t) {
+	for page, text := range readPages(t) {
 		for _, span := range pathSpan.FindAllStringSubmatch(text, -1) {
 			checked++
 			if _, err := os.Stat(filepath.Join(root, span[1])); err != nil {
@@ -59,23 +60,23 @@
 		}
 	}
 	if checked < 100 {
-		t.Errorf("%d paths were checked; want at least 100", checked)
+		t.Errorf("checked %d paths, want at least 100", checked)
 	}
 }
 
 func TestPagesNameExistingTests(t *testing.T) {
 	checked := 0
-	for page, text := range pages(t) {
+	for page, text := range readPages(t) {
 		for _, command := range testCommand.FindAllString(text, -1) {
 			run, folders := runFlag.FindStringSubmatch(command), packageArgument.FindAllString(command, -1)
-			if run == nil || run[1] == noTest || len(folders) == 0 {
+			if run == nil || run[1] == noTestPattern || len(folders) == 0 {
 				continue
 			}
 			checked++
 			name, _, _ := strings.Cut(run[1], "/")
 			pattern, err := regexp.Compile(name)
 			if err != nil {
-				t.Errorf("%s: %s: %v", page, command, err)
+				t.Errorf("%s: %s: the value of -run is not a regular expression: %v", page, command, err)
 				continue
 			}
 			declared := false
@@ -83,16 +84,16 @@
 				declared = declared || declaresTest(t, folder, pattern)
 			}
 			if !declared {
-				t.Errorf("%s: %s matches no test", page, command)
+				t.Errorf("%s: %s matches no test of its packages", page, command)
 			}
 		}
 	}
 	if checked < 20 {
-		t.Errorf("%d commands were checked; want at least 20", checked)
+		t.Errorf("checked %d commands, want at least 20", checked)
 	}
 }
 
-// declaresTest reports whether a package declares a test whose name a pattern matches.
+// declaresTest reports whether the package in a folder declares a test whose name matches a pattern.
 func declaresTest(t *testing.T, folder string, pattern *regexp.Regexp) bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(root, folder, "*_test.go"))
