--- a/internal/flakecheck/load.go
+++ b/internal/flakecheck/load.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// startLoad keeps n goroutines busy until stop is called.
+// startLoad starts n goroutines that use CPU time until stop is called.
 func startLoad(n int) (stop func()) {
 	var stopped atomic.Bool
 	for range n {
--- a/internal/flakecheck/main.go
+++ b/internal/flakecheck/main.go
@@ -1,11 +1,11 @@
-// Command flakecheck runs the project's tests many times on a machine that is kept busy, and
-// reports which of them ever fail:
+// Command flakecheck runs the project's tests in several rounds on a machine that it keeps busy, and reports the results of each
+// test, to find tests that fail only sometimes:
 //
-//	scripts/steady [-run REGEXP] [-neighbours N] [-seed N] [TIMES] [PACKAGE...]
+//	scripts/steady [-run REGEXP] [-neighbours N] [-seed N] [ROUNDS [PACKAGE...]]
 //
-// Each round is under the race detector and shuffled by a printed seed, with GOMAXPROCS 1,
-// 2 and 4 in turn, beside one busy goroutine a core. Exit codes: 1 if a test failed, 2 if the
-// arguments are wrong or the tests could not be run.
+// Each round runs the tests under the race detector, in an order that is shuffled with a printed seed, and with GOMAXPROCS 1, 2
+// or 4 in turn. At the same time, N goroutines use CPU time, by default one for each core. Exit codes: 0 if no test failed, 1 if
+// a test failed, 2 if the arguments are wrong or the tests could not be run.
 //
 // run.go runs a round of tests, table.go counts their results, load.go keeps the machine busy.
 package main
@@ -19,34 +19,34 @@
 	"time"
 )
 
-// Exit codes beside 0.
+// Exit codes other than 0.
 const (
 	exitTestFailed = 1
 	exitNotRun     = 2
 )
 
-// defaultRounds is how often the tests run if the arguments do not say it.
+// defaultRounds is the number of rounds if the arguments don't have one.
 const defaultRounds = 10
 
-// maxDefaultSeed bounds the seed of the first round's order if the flags have none.
+// maxDefaultSeed is the exclusive upper bound of the first round's seed if the flags don't have one.
 const maxDefaultSeed = 1e6
 
-// procsByRound are the values of GOMAXPROCS that the rounds use in turn.
+// procsByRound has the values of GOMAXPROCS that the rounds use in turn.
 var procsByRound = []int{1, 2, 4}
 
 func main() {
 	run := flag.String("run", "", "only tests that match this `regexp`")
-	neighbours := flag.Int("neighbours", runtime.NumCPU(), "busy neighbours")
+	loadGoroutines := flag.Int("neighbours", runtime.NumCPU(), "number of goroutines that keep the machine busy during the tests")
 	firstSeed := flag.Int64("seed", time.Now().UnixNano()%maxDefaultSeed,
-		"seed of the first turn's order; each turn adds 1")
+		"seed of the test order in the first round; each following round adds 1")
 	flag.Parse()
 	rounds, packages, err := parseArguments(flag.Args())
 	if err != nil {
 		exitWith(err)
 	}
-	stopLoad := startLoad(*neighbours)
+	stopLoad := startLoad(*loadGoroutines)
 	defer stopLoad()
-	results := table{}
+	results := resultTable{}
 	for i := range rounds {
 		start := time.Now()
 		r := round{
@@ -58,7 +58,7 @@
 		if err := r.test(results, os.Stdout); err != nil {
 			exitWith(err)
 		}
-		fmt.Printf("turn %d of %d: GOMAXPROCS=%d -shuffle=%d, %.0f s, %d failures so far\n",
+		fmt.Printf("round %d of %d: GOMAXPROCS=%d -shuffle=%d, %.0f s, %d failures so far\n",
 			i+1, rounds, r.procs, r.seed, time.Since(start).Seconds(), results.failed())
 	}
 	fmt.Println()
@@ -68,12 +68,12 @@
 	}
 }
 
-// parseArguments returns the number of rounds and the packages, or the defaults of those that are missing.
+// parseArguments returns the number of rounds and the packages. Missing arguments have the defaults defaultRounds and ./... .
 func parseArguments(args []string) (rounds int, packages []string, err error) {
 	rounds, packages = defaultRounds, []string{"./..."}
 	if len(args) > 0 {
 		if rounds, err = strconv.Atoi(args[0]); err != nil || rounds < 1 {
-			return 0, nil, fmt.Errorf("%q is no number of turns", args[0])
+			return 0, nil, fmt.Errorf("number of rounds: %q is not a positive integer", args[0])
 		}
 	}
 	if len(args) > 1 {
@@ -82,7 +82,7 @@
 	return rounds, packages, nil
 }
 
-// exitWith prints why the tests were not run and exits.
+// exitWith prints err, the reason why the tests were not run, and exits with exitNotRun.
 func exitWith(err error) {
 	fmt.Fprintln(os.Stderr, "steady:", err)
 	os.Exit(exitNotRun)
--- a/internal/flakecheck/table.go
+++ b/internal/flakecheck/table.go
@@ -9,21 +9,22 @@
 	"text/tabwriter"
 )
 
-// tally is the results of one test, or of a package where the test is "".
-type tally struct {
+// testResults counts the results of one test or package over all rounds.
+type testResults struct {
 	pkg     string
-	test    string
+	test    string // "" for the package itself
 	passed  int
 	failed  int
 	skipped int
-	slowest float64 // seconds
+	slowest float64 // longest time of one run, in seconds
 }
 
-// table counts the results of tests by package and name. Subtests count for their test.
-type table map[string]*tally
+// resultTable has the results of the tests and packages, by event.key. It has no results of subtests: a test fails if one of its
+// subtests fails.
+type resultTable map[string]*testResults
 
-// add counts an event if it is the result of a test.
-func (t table) add(e event) {
+// add counts an event if it is the result of a test or package.
+func (t resultTable) add(e event) {
 	isResult := e.Action == "pass" || e.Action == "fail" || e.Action == "skip"
 	isSubtest := strings.Contains(e.Test, "/")
 	if !isResult || isSubtest {
@@ -31,7 +32,7 @@
 	}
 	x := t[e.key()]
 	if x == nil {
-		x = &tally{pkg: e.Package, test: e.Test}
+		x = &testResults{pkg: e.Package, test: e.Test}
 		t[e.key()] = x
 	}
 	switch e.Action {
@@ -45,23 +46,24 @@
 	x.slowest = max(x.slowest, e.Elapsed)
 }
 
-// failed returns the number of failures.
-func (t table) failed() (n int) {
+// failed returns the number of failures of all tests and packages.
+func (t resultTable) failed() (n int) {
 	for _, x := range t {
 		n += x.failed
 	}
 	return n
 }
 
-// print prints a line a test: those that failed first, then the slowest.
-func (t table) print(out io.Writer) {
-	var rows []*tally
+// print prints one line for each test and each package that failed. The lines are sorted by the number of failures and then by
+// the longest time, in descending order.
+func (t resultTable) print(out io.Writer) {
+	var rows []*testResults
 	for _, x := range t {
 		if x.test != "" || x.failed > 0 {
 			rows = append(rows, x)
 		}
 	}
-	slices.SortFunc(rows, func(a, b *tally) int {
+	slices.SortFunc(rows, func(a, b *testResults) int {
 		return cmp.Or(
 			cmp.Compare(b.failed, a.failed),
 			cmp.Compare(b.slowest, a.slowest),
