--- a/internal/knownred/declared.go
+++ b/internal/knownred/declared.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// testDeclaration matches the declaration of a test function; its first group is the name.
+// testDeclaration matches the declaration of a test function. Its first group is the function's name.
 var testDeclaration = regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 
-// declaredTests returns, for each test function below a folder, the folders of the packages that declare it.
+// declaredTests returns the folders, relative to root, of the packages below root that declare a test function, by the
+// function's name.
 func declaredTests(root string) (map[string][]string, error) {
 	tests := map[string][]string{}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
--- a/internal/knownred/declared_test.go
+++ b/internal/knownred/declared_test.go
@@ -10,6 +10,6 @@
 		t.Fatal(err)
 	}
 	if folders := tests["TestDeclaredTests"]; len(folders) != 1 || folders[0] != "internal/knownred" {
-		t.Errorf("declared in %v", folders)
+		t.Errorf("TestDeclaredTests is declared in %v, want only internal/knownred", folders)
 	}
 }
--- a/internal/knownred/entry.go
+++ b/internal/knownred/entry.go
@@ -8,16 +8,16 @@
 
 // entry is one test that is known to fail.
 type entry struct {
-	folder string // of its package, relative to the root
-	test   string // name of the function, with /subtest where only that fails
-	seen   string
-	issue  string
+	folder string // folder of the test's package, relative to the repository's root
+	test   string // name of the test function, followed by /subtest if only a subtest fails
+	seen   string // description of the failure
+	issue  string // number of the issue
 }
 
-// requiredKeys are the keys that each entry has.
+// requiredKeys has the keys that each entry must have.
 var requiredKeys = []string{"test", "command", "seen", "issue"}
 
-// parseEntries reads the entries; the error names the first one that is wrong.
+// parseEntries parses the text of the list. The error is about the first entry that is wrong.
 func parseEntries(text string) ([]entry, error) {
 	var entries []entry
 	for _, block := range strings.Split(strings.TrimSpace(text), "\n\n") {
@@ -37,7 +37,7 @@
 	return entries, nil
 }
 
-// parseFields reads the lines of a block by key; none if it has only comments.
+// parseFields parses the lines of a block into values by key. The result is empty if the block has only comments.
 func parseFields(block string) (map[string]string, error) {
 	fields := map[string]string{}
 	for _, line := range strings.Split(block, "\n") {
@@ -46,14 +46,14 @@
 		}
 		key, value, ok := strings.Cut(line, ": ")
 		if !ok {
-			return nil, fmt.Errorf("line %q is not of the form key: value", line)
+			return nil, fmt.Errorf("line %q does not have the form key: value", line)
 		}
 		fields[key] = strings.TrimSpace(value)
 	}
 	return fields, nil
 }
 
-// newEntry makes an entry of its fields; the error says which key is missing or wrong.
+// newEntry returns the entry with these fields. The error says which key is missing or wrong.
 func newEntry(fields map[string]string) (entry, error) {
 	for _, key := range requiredKeys {
 		if fields[key] == "" {
@@ -62,7 +62,7 @@
 	}
 	folder, test, ok := strings.Cut(fields["test"], " ")
 	if !ok || strings.ContainsAny(test, " \t") {
-		return entry{}, fmt.Errorf("test %q is not of the form FOLDER TestName/subtest, as go test prints it",
+		return entry{}, fmt.Errorf("test %q does not have the form FOLDER TestName/subtest, with the name as go test prints it",
 			fields["test"])
 	}
 	return entry{folder: filepath.Clean(folder), test: test, seen: fields["seen"], issue: fields["issue"]}, nil
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred reads the list of tests that are known to fail, KNOWN-RED.txt, checks it against the source and
-// prints the pattern for go test's -skip that passes over exactly these tests. Exit codes: 0, or 1 if the list is
-// wrong.
+// Command knownred reads KNOWN-RED.txt, the list of tests that are known to fail. It checks that the tests exist, and prints the
+// pattern for the flag -skip of go test that skips exactly these tests. The exit code is 1 if the list is wrong or can't be
+// checked.
 //
 // An entry is a block of lines "key: value"; blank lines separate entries, and lines that begin with # are comments:
 //
@@ -9,7 +9,7 @@
 //	seen: what was observed, with the seed where there is one
 //	issue: 51
 //
-// entry.go reads the entries; declared.go finds the tests in the source; pattern.go makes the pattern.
+// entry.go parses the entries, declared.go finds the tests in the source, and pattern.go builds the pattern.
 package main
 
 import (
@@ -25,8 +25,8 @@
 	}
 }
 
-// run prints the pattern to standard output and the entries to standard error. The working directory is the
-// repository's root.
+// run prints the pattern to standard output and the entries to standard error. The working directory must be the repository's
+// root.
 func run(args []string) error {
 	if len(args) != 1 {
 		return errors.New("usage: knownred KNOWN-RED.txt, from the root of the repository")
@@ -48,7 +48,7 @@
 		return err
 	}
 	for _, e := range entries {
-		fmt.Fprintf(os.Stderr, "known to fail, passed over: %s %s (issue %s): %s\n",
+		fmt.Fprintf(os.Stderr, "known to fail, skipped: %s %s (issue %s): %s\n",
 			e.folder, e.test, e.issue, e.seen)
 	}
 	fmt.Println(pattern)
--- a/internal/knownred/pattern.go
+++ b/internal/knownred/pattern.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// skipPattern returns the pattern for -skip. go test applies one pattern to all packages, so a name that another
-// package declares too is an error, as is one that its package does not declare. tests has the folders that declare a
-// test function, by its name.
+// skipPattern returns the pattern for -skip that matches the tests of all entries. tests has the folders of the packages that
+// declare a test function, by the function's name. It is an error if an entry's package doesn't declare its test, or if another
+// package declares a test with the same name, because go test applies the pattern to all packages.
 func skipPattern(entries []entry, tests map[string][]string) (string, error) {
 	var patterns []string
 	for _, e := range entries {
@@ -16,18 +16,18 @@
 		folders := tests[name]
 		switch {
 		case len(folders) == 0:
-			return "", fmt.Errorf("no test is called %s", name)
+			return "", fmt.Errorf("no package declares a test %s", name)
 		case len(folders) > 1:
-			return "", fmt.Errorf("%s is declared in %s: give it a name of its own", name, strings.Join(folders, ", "))
+			return "", fmt.Errorf("test %s is declared in %s, its name must be unique", name, strings.Join(folders, ", "))
 		case folders[0] != e.folder:
-			return "", fmt.Errorf("%s is declared in %s, not in %s", name, folders[0], e.folder)
+			return "", fmt.Errorf("test %s is declared in %s, not in %s", name, folders[0], e.folder)
 		}
 		patterns = append(patterns, exactPattern(e.test))
 	}
 	return strings.Join(patterns, "|"), nil
 }
 
-// exactPattern returns the pattern that matches a test, or a subtest, by its full name alone.
+// exactPattern returns the pattern that matches only the test or subtest with this full name.
 func exactPattern(test string) string {
 	var elements []string
 	for _, element := range strings.Split(test, "/") {
