--- a/internal/lab/process/measure.go
+++ b/internal/lab/process/measure.go
@@ -107,8 +107,8 @@
 	return true, nil
 }
 
-// measureCheck runs `yokestall check` on the size's files, and returns whether the program accepts them. The keys of its
-// figures begin with name.
+// measureCheck runs `yokestall check` on the size's files, and returns whether the program accepts them. The names of its figures
+// begin with name.
 func (m *measurement) measureCheck(ctx context.Context, name string) (bool, error) {
 	g := Generator{Size: m.size, Seed: m.plan.Seed, Place: DefaultPlace()}
 	dir := filepath.Join(m.dir, "checked")
--- a/internal/testutil/lateness.go
+++ b/internal/testutil/lateness.go
@@ -10,8 +10,8 @@
 // latenessInterval is the time between two ticks of the goroutine of Lateness.
 const latenessInterval = 5 * time.Millisecond
 
-// Lateness starts to measure how late the machine runs a goroutine that is due. The function that it returns returns the
-// largest delay since the start. A test that fails if an event is late should check this delay first, because the event may be
+// Lateness starts to measure how late the machine runs a goroutine that is due. The returned function gives the largest delay
+// since the start. A test that fails if an event is late should check this delay first, because the event may be
 // late only because the machine was.
 func Lateness(t testing.TB) func() time.Duration {
 	var worst atomic.Int64
