--- a/internal/connlimit/harness_test.go
+++ b/internal/connlimit/harness_test.go
@@ -53,7 +53,7 @@
 func (s *server) receive(c *Conn) {
 	if s.table.BytesReceived(s.now, c) {
 		s.closeExcess()
-		if !s.table.AssignPlace(c) {
+		if !s.table.AssignSlot(c) {
 			s.close(c)
 		}
 	}
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -77,10 +77,10 @@
 	return false
 }
 
-// AssignPlace assigns a place to a connection on which the first bytes were received. If Limits.Active is exceeded, the
-// connection becomes an overflow connection. AssignPlace returns false if that exceeds Limits.Overflow; the caller then
+// AssignSlot assigns a place to a connection on which the first bytes were received. If Limits.Active is exceeded, the
+// connection becomes an overflow connection. AssignSlot returns false if that exceeds Limits.Overflow; the caller then
 // has to close the connection and call Remove.
-func (t *Table) AssignPlace(c *Conn) bool {
+func (t *Table) AssignSlot(c *Conn) bool {
 	if c.phase != phasePartial || c.overflow || t.active <= t.limits.Active {
 		return true
 	}
--- a/internal/downstream/h1server/clientconns.go
+++ b/internal/downstream/h1server/clientconns.go
@@ -109,7 +109,7 @@
 	}
 	if cs.table.BytesReceived(cs.now(), c.entry) {
 		cs.closeVictims()
-		if !cs.table.AssignPlace(c.entry) {
+		if !cs.table.AssignSlot(c.entry) {
 			cs.close(c)
 		}
 	}
