--- a/internal/lab/scale/concurrent.go
+++ b/internal/lab/scale/concurrent.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// forEach calls do for all items at once, with each one's index, and returns the joined errors once all are done.
+// forEach calls do concurrently for all items, with the index of each item. When all calls have returned, it returns
+// their errors, joined.
 func forEach[T any](items []T, do func(i int, item T) error) error {
 	errs := make([]error, len(items))
 	var all sync.WaitGroup
--- a/internal/lab/scale/conn.go
+++ b/internal/lab/scale/conn.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn counts what it carries. One to another region carries nothing either way during a partition, and neither end
-// gets an error, as with a network that drops all packets.
+// conn is a connection that counts its bytes and packets. During a partition, a connection that crosses regions carries
+// nothing in either direction and neither end gets an error, as on a network that drops all packets.
 type conn struct {
 	net.Conn
 	meter       *Meter
@@ -18,14 +18,15 @@
 	closed      chan struct{}
 }
 
-// wrap returns a connection that counter counts, and that a partition blocks if it crosses regions.
+// wrap returns c as a connection whose traffic counter counts. A partition blocks the connection if crossRegion is set.
 func (m *Meter) wrap(c net.Conn, counter *trafficCounter, crossRegion bool) *conn {
 	counted := &conn{Conn: c, meter: m, traffic: counter, crossRegion: crossRegion, closed: make(chan struct{})}
 	counter.add(counted)
 	return counted
 }
 
-// packets returns how many TCP segments the kernel has received and sent; 0 if that is not known.
+// packets returns how many TCP segments the kernel has received and sent on the connection, or zeros if the counts are
+// not available.
 func (c *conn) packets() (in, out int64) {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -43,7 +44,8 @@
 	return in, out
 }
 
-// awaitHealed blocks a connection that crosses regions during a partition, until it is closed.
+// awaitHealed returns nil for a connection within a region. On a connection that crosses regions it waits while there is
+// a partition, and returns net.ErrClosed if the connection is closed first.
 func (c *conn) awaitHealed() error {
 	if !c.crossRegion {
 		return nil
--- a/internal/lab/scale/content.go
+++ b/internal/lab/scale/content.go
@@ -8,32 +8,32 @@
 	"yokestall/internal/files"
 )
 
-// class is a class of requests, with its keys in the configuration beside the name and the deadline.
+// class is a class of requests in the configuration. keys is the TOML text of its keys other than name and deadline.
 type class struct{ name, keys string }
 
-// classes are those of every version: one of each effect. %d is settings.dedupWindow.
+// classes are the classes of every version, one for each effect. The verb %d stands for settings.dedupWindow.
 var classes = []class{
 	{"read", "effect = \"safe\"\n"},
 	{"push", "effect = \"keyed\"\nscope = \"all\"\nwindow = \"%ds\"\n"},
 	{"order", "effect = \"unsafe\"\n"},
 }
 
-// settings are the values in which versions differ.
+// settings are the values in which versions of the configuration differ.
 type settings struct {
-	attempts    int // versions that differ in it don't contradict each other
-	dedupWindow int // seconds, of the keyed class; versions that differ in it contradict each other
+	attempts    int // versions that differ only in attempts don't contradict each other
+	dedupWindow int // deduplication window of the keyed class, in seconds; versions that differ in it contradict each other
 }
 
-// The two values that versions have in turn.
+// Successive versions alternate between the two values of a setting.
 var (
 	attemptValues     = [...]int{2, 3}
 	dedupWindowValues = [...]int{6, 7} // seconds
 )
 
-// firstSettings are those of the first version.
+// firstSettings are the settings of the first version.
 var firstSettings = settings{attempts: attemptValues[0], dedupWindow: dedupWindowValues[0]}
 
-// next returns the settings of the following version.
+// next returns the settings of the following version. The two versions contradict each other if contradicts is set.
 func (s settings) next(contradicts bool) settings {
 	if contradicts {
 		s.dedupWindow = dedupWindowValues[0] + dedupWindowValues[1] - s.dedupWindow
@@ -43,14 +43,14 @@
 	return s
 }
 
-// baseConfig is the part of a node's file that precedes [fleet.agree].
+// baseConfig returns the part of a node's configuration file that precedes [fleet.agree].
 func baseConfig(address string, nodes, node int) string {
 	return fmt.Sprintf("[listen]\naddress = %q\n", address) +
 		"[files]\nclusters = \"clusters\"\n" +
 		fmt.Sprintf("[fleet]\nnodes = %d\nnode = %d\n", nodes, node)
 }
 
-// policyConfig is the part of a file with the limits, classes, tenants and routes.
+// policyConfig returns the part of a configuration file with the limits, classes, tenants and routes.
 func (c Content) policyConfig(s settings) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[limits]\nattempts = %d\n", s.attempts)
@@ -74,7 +74,7 @@
 
 func clusterName(i int) string { return fmt.Sprintf("cluster-%04d", i) }
 
-// clusterFile is the file with all endpoints of a cluster.
+// clusterFile returns the file with all endpoints of a cluster.
 func (c Content) clusterFile(cluster int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[cluster]\nname = %q\n", clusterName(cluster))
@@ -87,7 +87,7 @@
 	return b.String()
 }
 
-// endpointTable is an endpoint in a cluster's file. No request is ever sent to it.
+// endpointTable returns the table of an endpoint in a cluster's file. No request is ever sent to the endpoint.
 func endpointTable(i, weight int) string {
 	const zones = 6
 	address := fmt.Sprintf("127.%d.%d.%d:9", 100+i>>16, i>>8&255, i&255)
@@ -95,7 +95,7 @@
 		fmt.Sprintf("zone = \"zone-%d\"\nweight = %d\nhealth = \"healthy\"\n", i%zones, weight)
 }
 
-// bundle is all files of a version.
+// bundle returns all files of a version.
 func (c Content) bundle(nodes int, s settings) []config.File {
 	program := baseConfig("127.0.0.1:0", nodes, 0) + c.policyConfig(s)
 	list := []config.File{{Name: files.ProgramPart, Text: []byte(program)}}
@@ -106,8 +106,8 @@
 	return list
 }
 
-// deltaFile is a delta update of the first cluster: its first endpoint gets another weight. Consecutive numbers give
-// different weights.
+// deltaFile returns a delta update of the first cluster that changes the weight of its first endpoint. Consecutive
+// numbers give different weights.
 func (c Content) deltaFile(number int) config.File {
 	const weights = 7
 	text := fmt.Sprintf("[cluster]\nname = %q\nchange = true\n", clusterName(0)) +
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -12,14 +12,14 @@
 // Op is an operation that a process of a run carries out.
 type Op string
 
-// The operations. Those that stop or start nodes are for processes with hollow nodes.
+// The operations. OpRestart, OpStop and OpStart are only for processes with hollow nodes.
 const (
-	OpReport    Op = "report"  // return what the process has used
-	OpStates    Op = "states"  // return what its nodes act on
-	OpAwait     Op = "await"   // likewise, once all act on a version or after Timeout
-	OpPartition Op = "apart"   // begin a partition from the other regions
-	OpHeal      Op = "join"    // end it
-	OpRestart   Op = "restart" // restart Nodes
+	OpReport    Op = "report"  // return the resources that the process has used
+	OpStates    Op = "states"  // return the states of the process's nodes
+	OpAwait     Op = "await"   // return the states once all nodes act on Version, or after Timeout
+	OpPartition Op = "apart"   // begin a partition between the regions
+	OpHeal      Op = "join"    // end the partition
+	OpRestart   Op = "restart" // restart the nodes in Nodes
 	OpStop      Op = "stop"    // stop all nodes
 	OpStart     Op = "start"   // start all nodes that are stopped
 )
@@ -27,14 +27,14 @@
 // Command is an operation for a process of a run: a line of JSON on its standard input.
 type Command struct {
 	Op          Op            `json:"op"`
-	Version     uint64        `json:"number,omitempty"` // of await
-	Timeout     time.Duration `json:"for,omitempty"`    // of await
-	Nodes       []string      `json:"nodes,omitempty"`  // of restart
-	EmptyStores bool          `json:"empty,omitempty"`  // of restart and start: remove the nodes' stores before
+	Version     uint64        `json:"number,omitempty"` // OpAwait: the version to wait for
+	Timeout     time.Duration `json:"for,omitempty"`    // OpAwait: how long to wait
+	Nodes       []string      `json:"nodes,omitempty"`  // OpRestart: names of the nodes
+	EmptyStores bool          `json:"empty,omitempty"`  // OpRestart, OpStart: remove the nodes' stores before the start
 }
 
-// Reply is the reply to a command, or without content the sign that a process is ready: a line of JSON on its standard
-// output.
+// Reply is a process's reply to a command: a line of JSON on its standard output. An empty reply signals that the
+// process is ready.
 type Reply struct {
 	Error  string  `json:"error,omitempty"`
 	Report *Report `json:"report,omitempty"`
@@ -52,15 +52,15 @@
 type CommandServer struct {
 	Meter  *Meter
 	States *States
-	Nodes  NodeController // nil: the process is one complete node
+	Nodes  NodeController // nil if the process is one complete node
 }
 
-// ExitTimeout bounds the graceful shutdown of a process after the one that started it has ended.
+// ExitTimeout bounds the graceful shutdown of a process after its parent process has ended.
 const ExitTimeout = 5 * time.Second
 
-// Serve sends an empty reply once, as the sign that the process is ready, and then the reply to each command, until ctx
-// ends or in does. The process that sends commands has the other end of in: however that process ends, in ends, and
-// disconnected is called at once. The error is that of in or out, other than io.EOF.
+// Serve writes an empty reply to signal that the process is ready, and then replies to each command until ctx or in
+// ends. The other end of in belongs to the process that sends commands. When that process ends for any reason, in ends
+// too, and disconnected is called at once. Serve returns an error of in or out, except io.EOF.
 func (c *CommandServer) Serve(ctx context.Context, in io.Reader, out io.Writer, disconnected func()) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -88,7 +88,8 @@
 	}
 }
 
-// readCommands sends the commands of in to a channel until ctx ends, or in fails or ends: then it returns that error.
+// readCommands sends the commands of in to a channel until ctx ends. If in fails or ends before, it returns the error of
+// reading, which is io.EOF at the end of in.
 func readCommands(ctx context.Context, in io.Reader, commands chan<- Command) error {
 	d := json.NewDecoder(in)
 	for {
@@ -104,14 +105,15 @@
 	}
 }
 
-// readError returns the error by which reading commands has ended; nil: it has not, or at the input's regular end.
+// readError returns the error that ended the reading of commands. It returns nil if reading has not ended, or if it ended
+// with io.EOF.
 func readError(failed <-chan error) error {
 	select {
 	case err := <-failed:
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		return fmt.Errorf("commands: %w", err)
+		return fmt.Errorf("reading commands from the input: %w", err)
 	default:
 		return nil
 	}
@@ -124,8 +126,8 @@
 	return r
 }
 
-// execute carries out a command and puts its results into r. Without Nodes it knows the operations of any process
-// alone.
+// execute carries out a command and stores its results in r. If Nodes is nil, execute accepts only the operations that
+// every process supports.
 func (c *CommandServer) execute(ctx context.Context, command Command, r *Reply) error {
 	switch command.Op {
 	case OpReport:
@@ -150,7 +152,7 @@
 		return nil
 	}
 	if c.Nodes == nil {
-		return errors.New("is of hollow nodes alone")
+		return errors.New("operation is supported only by processes with hollow nodes")
 	}
 	return c.control(ctx, command)
 }
@@ -166,5 +168,5 @@
 	case OpStart:
 		return c.Nodes.Start(ctx, command.EmptyStores)
 	}
-	return errors.New("no such operation")
+	return errors.New("unknown operation")
 }
--- a/internal/lab/scale/control_test.go
+++ b/internal/lab/scale/control_test.go
@@ -10,8 +10,8 @@
 	"yokestall/internal/testutil"
 )
 
-// A process replies to commands, rejects those that it can't carry out, and ends with its input, also while a command
-// waits.
+// CommandServer replies to commands, rejects commands that it can't carry out, and returns when its input ends, even
+// while a command waits.
 func TestCommandServer(t *testing.T) {
 	s := NewStates()
 	s.Register("a", 0, 0)
@@ -28,25 +28,25 @@
 		}
 		return r
 	}
-	read() // the sign that it is ready
+	read() // the empty reply that signals readiness
 	for _, rejected := range []struct {
 		command Command
 		want    string
-	}{{Command{Op: OpStop}, "stop: is of hollow nodes alone"}, {Command{Op: "dance"}, "dance: "}} {
+	}{{Command{Op: OpStop}, "stop: operation is supported only by processes with hollow nodes"}, {Command{Op: "dance"}, "dance: "}} {
 		e.Encode(rejected.command)
 		if r := read(); !strings.Contains(r.Error, rejected.want) {
-			t.Errorf("%+v", r)
+			t.Errorf("got reply %+v, want an error with %q", r, rejected.want)
 		}
 	}
 	e.Encode(Command{Op: OpReport})
 	if r := read(); r.Error != "" || r.Report.Nodes != 1 || r.Report.CPU <= 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("got reply %+v, want a report with 1 node and its CPU time", r)
 	}
 	e.Encode(Command{Op: OpAwait, Version: 9, Timeout: time.Hour})
 	commands.Close()
-	testutil.Wait(t, disconnected, "the call at the end of the input")
-	read() // the states at the end
-	if err := testutil.Wait(t, ended, "the end"); err != nil {
-		t.Error(err)
+	testutil.Wait(t, disconnected, "the call of disconnected at the end of the input")
+	read() // the reply to OpAwait, sent when the input ends
+	if err := testutil.Wait(t, ended, "the return of Serve"); err != nil {
+		t.Errorf("Serve returned %v, want nil", err)
 	}
 }
--- a/internal/lab/scale/convergence.go
+++ b/internal/lab/scale/convergence.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// timesByRole are nodes' times in milliseconds, by the role of their processes.
+// timesByRole holds times of nodes in milliseconds, by the role of the nodes' processes.
 type timesByRole map[Role][]float64
 
-// awaitRecovery waits until all nodes act on the last version, and adds the times from began of the nodes that began
-// to act on it since.
+// awaitRecovery waits until all nodes act on the last version, or the step's Timeout is over. It adds figures of the time
+// from began to the last change of state of each node that acts on the version by then.
 func (p *player) awaitRecovery(ctx context.Context, s Step, began time.Duration) error {
 	states, err := p.awaitVersion(ctx, p.version, s.Timeout)
 	if err != nil {
@@ -37,10 +37,10 @@
 	return list
 }
 
-// maxLateNames bounds the nodes that LateNodes names.
+// maxLateNames is the maximum number of nodes that LateNodes.Nodes lists.
 const maxLateNames = 8
 
-// recordLate adds the nodes that don't act on the last version to the figures.
+// recordLate adds an entry to Figures.Late if there are nodes that don't act on the last version.
 func (p *player) recordLate(s Step, states [][]State) {
 	list := lateNodes(states, p.version)
 	if len(list) == 0 {
@@ -56,8 +56,8 @@
 	p.figures.Late = append(p.figures.Late, late)
 }
 
-// addTimes adds the time from began to a moment of each node that acts on the last version. A node whose moment is
-// before began adds nothing. states are by process, in the order of members.
+// addTimes adds, for each node that acts on the last version, the time from began to the moment that the function moment
+// returns. A node adds nothing if that moment is not after began. states are by process, in the order of members.
 func (p *player) addTimes(to timesByRole, states [][]State, began time.Duration, moment func(*State) time.Duration) {
 	for i, list := range states {
 		role := p.members[i].role
@@ -69,13 +69,14 @@
 	}
 }
 
-// percentiles are the quantiles whose times are figures.
+// percentiles are the quantiles of times that become figures, with the names in the figures' keys.
 var percentiles = []struct {
 	name     string
 	quantile float64
 }{{"p50", 0.5}, {"p99", 0.99}, {"worst", 1}}
 
-// addPercentiles adds the percentiles of times to the figures, by role.
+// addPercentiles adds the percentiles of times to the figures, by role. what is the part of the figures' keys that names
+// the times.
 func (p *player) addPercentiles(s Step, what string, times timesByRole) {
 	for role, list := range times {
 		slices.Sort(list)
--- a/internal/lab/scale/convergence_test.go
+++ b/internal/lab/scale/convergence_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A percentile is the time that its fraction of the nodes did not exceed.
+// A percentile is the smallest time that the percentile's fraction of the nodes did not exceed.
 func TestPercentiles(t *testing.T) {
 	p := &player{rig: &rig{size: 200}, figures: &Figures{Series: map[string]*Series{}}}
 	var list []float64
@@ -18,7 +18,7 @@
 		"list.serve.in_force_p99":  7,
 	} {
 		if got := p.figures.Series[key].Points[0].Value; got != want {
-			t.Errorf("%s is %v, not %v", key, got, want)
+			t.Errorf("%s: got %v, want %v", key, got, want)
 		}
 	}
 }
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -12,44 +12,46 @@
 	"strconv"
 )
 
-// Series is a figure at each size of a run. Mean, Max and Fit follow from Points, see Finish.
+// Series is the values of one figure at the sizes of a run. Finish calculates Mean, Max and Fit from Points.
 type Series struct {
 	Unit     string  `json:"unit"`
-	SizeUnit string  `json:"per,omitempty"` // what Point.At counts; "": hollow nodes
+	SizeUnit string  `json:"per,omitempty"` // what Point.At counts; "" means hollow nodes
 	Points   []Point `json:"points"`
 	Mean     float64 `json:"mean"`
 	Max      float64 `json:"most"`
-	Fit      *Fit    `json:"fit,omitempty"` // nil with less than two sizes
+	Fit      *Fit    `json:"fit,omitempty"` // nil if the points have fewer than two sizes
 }
 
-// Machine is the machine of a run.
+// Machine describes the machine of a run.
 type Machine struct {
 	Cores    int    `json:"cores"`
 	MemoryMB int64  `json:"memory_mb"`
 	System   string `json:"system"`
 	Go       string `json:"go"`
-	// StoreFileSystem is the kind of file system of the nodes' stores. All nodes share it: on a disk their writes queue,
-	// in memory (tmpfs) they cost nothing; a node with a disk of its own is between the two.
+	// StoreFileSystem is the type of the file system of the nodes' stores, which all nodes of a run share. On a shared
+	// disk the nodes' writes queue, and in memory (tmpfs) writes cost nothing. The cost for a node with its own disk is
+	// between the two.
 	StoreFileSystem string `json:"stores,omitempty"`
-	// LoadAverages are the machine's load averages over the minute before each size: other processes ran beside the run.
+	// LoadAverages are the machine's load averages over the minute before each size. They show the load of other processes,
+	// which may run on the machine during the run.
 	LoadAverages []float64 `json:"load"`
 }
 
-// LateNodes are the nodes that did not act on a version within a step's Timeout.
+// LateNodes records the nodes that did not act on a version within a step's Timeout.
 type LateNodes struct {
 	Step     string   `json:"step"`
 	Size     int      `json:"size"`
 	Count    int      `json:"count"`
-	Nodes    []string `json:"nodes"` // the first few, by name
-	ByRegion []int    `json:"by_region"`
+	Nodes    []string `json:"nodes"`     // names of the first nodes, at most maxLateNames
+	ByRegion []int    `json:"by_region"` // number of late nodes, by region
 }
 
-// Figures are the results of a run, or named numbers for a page, as their file has them.
+// Figures is the content of a file of figures: the results of a run, or named numbers that a page uses.
 type Figures struct {
 	Name           string      `json:"name"`
 	Description    string      `json:"says,omitempty"`
 	Command        string      `json:"command"`
-	Plan           string      `json:"plan"` // path of its file
+	Plan           string      `json:"plan"` // path of the plan's file
 	Seed           uint64      `json:"seed"`
 	Sizes          []int       `json:"sizes"`
 	Voters         int         `json:"voters"`
@@ -61,15 +63,15 @@
 	Renew          string      `json:"renew"`
 	Content        Content     `json:"content"`
 	Machine        Machine     `json:"machine"`
-	CounterNotes   string      `json:"counts"` // what the quantities count
+	CounterNotes   string      `json:"counts"` // description of the quantities, for readers of the file
 	Late           []LateNodes `json:"untold,omitempty"`
-	// Numbers are the named numbers of a file that is no run's.
+	// Numbers are the named numbers of a file that was not written by a run.
 	Numbers map[string]float64 `json:"numbers,omitempty"`
-	// Series are by figure: STEP.ROLE.QUANTITY.
+	// Series maps the key of a figure, STEP.ROLE.QUANTITY, to its series.
 	Series map[string]*Series `json:"series,omitempty"`
 }
 
-// counterNotes describes the quantities in a file of figures.
+// counterNotes describes, in each file of figures, what the quantities count.
 const counterNotes = "bytes: what the program reads and writes on its sockets, " +
 	"with HTTP/2's frames and, with TLS, its records and handshakes; " +
 	"without headers of TCP and IP. packets: TCP's segments, acknowledgements among them, by the kernel's count. " +
@@ -78,7 +80,7 @@
 	"cpu: user and system time of a process by getrusage; " +
 	"of a hollow node, its process's divided by the nodes in it"
 
-// add adds a point to the series of a key, which it makes if there is none.
+// add adds a point to the series of a key, and creates the series if it does not exist. at is the size.
 func (f *Figures) add(key, unit string, at, value float64) {
 	s := f.Series[key]
 	if s == nil {
@@ -88,15 +90,15 @@
 	s.Points = append(s.Points, Point{at, value})
 }
 
-// finish finishes all series.
+// finish calls Finish for all series.
 func (f *Figures) finish() {
 	for _, s := range f.Series {
 		s.Finish()
 	}
 }
 
-// Finish rounds the points, and sets Mean, Max and Fit from the rounded points, so that they can be checked against
-// the points in a file. There has to be a point.
+// Finish rounds the points and calculates Mean, Max and Fit from the rounded points, so that a reader of the file can
+// check them against its points. The series must have a point.
 func (s *Series) Finish() {
 	total := 0.0
 	for i := range s.Points {
@@ -136,8 +138,8 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// ReadFigures reads a file of figures. An unknown field, and a mean, maximum or fit that does not follow from its
-// points, are errors that begin with the path and the line.
+// ReadFigures reads a file of figures. It returns an error for an unknown field, and for a series whose mean, maximum or
+// fit does not follow from its points. These errors begin with the path and the line.
 func ReadFigures(path string) (*Figures, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -159,25 +161,26 @@
 	return f, errors.Join(found...)
 }
 
-// lineAt returns the line, from 1, of an offset in a text.
+// lineAt returns the line number, from 1, of a byte offset in a text.
 func lineAt(text []byte, offset int) int {
 	return 1 + bytes.Count(text[:max(0, min(offset, len(text)))], []byte("\n"))
 }
 
-// approximatelyEqual reports whether two values differ by no more than rounding does in a series of this scale.
+// approximatelyEqual reports whether two values differ by no more than rounding can cause. scale is the magnitude of the
+// values in the series.
 func approximatelyEqual(a, b, scale float64) bool {
 	return math.Abs(a-b) <= 1e-4*max(math.Abs(a), math.Abs(b))+1e-9*scale
 }
 
-// check returns an error if Mean, Max or Fit does not follow from the points.
+// check returns an error if the series has no points, or if Mean, Max or Fit does not follow from the points.
 func (s *Series) check() error {
 	if len(s.Points) == 0 {
-		return errors.New("it has no points")
+		return errors.New("the series has no points")
 	}
 	want := &Series{Points: slices.Clone(s.Points)}
 	want.Finish()
 	if (s.Fit == nil) != (want.Fit == nil) {
-		return errors.New("a line wants two sizes")
+		return errors.New("the fit must be present if the points have two or more sizes, and absent otherwise")
 	}
 	has, wanted := s.derived(), want.derived()
 	for i, d := range has {
@@ -188,13 +191,13 @@
 	return nil
 }
 
-// derived is a value that follows from a series' points.
+// derived is a named value that follows from the points of a series.
 type derived struct {
 	name  string
 	value float64
 }
 
-// derived returns the figures that Finish sets, in the order of the file.
+// derived returns the values that Finish calculates, under their names in the file and in the file's order.
 func (s *Series) derived() []derived {
 	list := []derived{{"mean", s.Mean}, {"most", s.Max}}
 	if f := s.Fit; f != nil {
--- a/internal/lab/scale/golden_test.go
+++ b/internal/lab/scale/golden_test.go
@@ -8,6 +8,7 @@
 	"yokestall/internal/testutil/golden"
 )
 
+// A file with every field of Figures set is decoded into these values.
 func TestGoldenFiguresDecode(t *testing.T) {
 	golden.Lines(t, "testdata/golden/figures.json", Figures{
 		Name: "run-a", Description: "text-a", Command: "command-a", Plan: "plan-a", Seed: 1, Sizes: []int{10, 20},
@@ -27,7 +28,7 @@
 	})
 }
 
-// A published file of figures is decoded strictly, and written again byte for byte.
+// A published file of figures is decoded with no unknown field, and Write reproduces the file byte for byte.
 func TestGoldenPublishedFigures(t *testing.T) {
 	const published = "../../../docs/capacity/fleet_tls.json"
 	f, err := ReadFigures(published)
@@ -36,25 +37,25 @@
 	}
 	if f.Name != "fleet_tls" || f.Lease != "1.5s" || f.Renew != "356.25ms" || f.Machine.MemoryMB != 24150 ||
 		len(f.Series) != 449 {
-		t.Errorf("%s: lease %s, renewed each %s, %d MB, %d series",
+		t.Errorf("got figures %s with lease %s, renew interval %s, memory %d MB, %d series; want fleet_tls, 1.5s, 356.25ms, 24150, 449",
 			f.Name, f.Lease, f.Renew, f.Machine.MemoryMB, len(f.Series))
 	}
 	if u := f.Late[3]; u.Step != "apart_settings" || u.Size != 400 || u.Count != 223 || u.ByRegion[1] != 202 {
-		t.Errorf("%+v", u)
+		t.Errorf("got late nodes %+v, want 223 in step apart_settings at size 400, 202 of them in region 1", u)
 	}
 	s := f.Series["idle.node.process_memory"]
 	if s.Unit != "MB" || s.SizeUnit != "nodes in the process" || s.Points[1] != (Point{At: 100, Value: 148.06}) ||
 		s.Mean != 206.94 || s.Max != 273.89 {
-		t.Errorf("%+v", s)
+		t.Errorf("got series %+v, want MB by nodes in the process, 148.06 at 100, mean 206.94 and maximum 273.89", s)
 	}
 	if want := (Fit{Slope: 1.1352, Intercept: 36.662, Residual: 6.0174, Relative: 0.029078, R2: 0.99302}); *s.Fit != want {
-		t.Errorf("%+v; want %+v", *s.Fit, want)
+		t.Errorf("got fit %+v, want %+v", *s.Fit, want)
 	}
 	path := filepath.Join(t.TempDir(), "figures.json")
 	if err := f.Write(path); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(golden.Read(t, path), golden.Read(t, published)) {
-		t.Errorf("%s is written otherwise than it is", published)
+		t.Errorf("the output of Write differs from the file %s that was read", published)
 	}
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -12,18 +12,19 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// Placement is the hollow nodes that a process has, and the regions and zones over which all of a run's are spread.
+// Placement gives the hollow nodes of a process, and the numbers of regions and zones over which the hollow nodes of the
+// whole run are spread.
 type Placement struct {
-	First, Count   int // by number among all hollow nodes, from 0
-	Offset         int // nodes of the fleet that are not hollow
+	First, Count   int // the first node's number among all hollow nodes, from 0, and how many nodes follow from it
+	Offset         int // how many nodes of the fleet are not hollow; their node numbers come first
 	Regions, Zones int
 }
 
-// nodeName names hollow node i.
+// nodeName returns the name of hollow node i, from 0.
 func nodeName(i int) string { return fmt.Sprintf("h%05d", i) }
 
-// HollowNodes are nodes without traffic: each runs a node's own agent, reads, checks and stores each version, and has
-// no engine that would apply it. Create it with NewHollow.
+// HollowNodes are the hollow nodes of a process. A hollow node carries no requests: it runs the agent of a real node, and
+// reads, checks and stores each version, but has no engine that would apply the version. Create HollowNodes with NewHollow.
 type HollowNodes struct {
 	nodes  map[string]*hollowNode
 	states *States
@@ -33,12 +34,12 @@
 	config       agent.Config
 	region, zone int
 
-	stop  context.CancelFunc // nil: it is stopped
-	ended chan struct{}      // closed once its agent has ended
+	stop  context.CancelFunc // nil while the node is stopped
+	ended chan struct{}      // closed when the node's agent has ended
 }
 
-// NewHollow makes nodes without starting them. Each has the configuration of base and own, but for a name, a number
-// and a store of its own.
+// NewHollow creates nodes without starting them. Each node has the configuration of base and own, except for its own
+// name, number, store and hooks. The nodes' traffic is counted by meter, and their active versions are recorded in states.
 func NewHollow(base agent.Config, own *config.Program, at Placement, meter *Meter, states *States) *HollowNodes {
 	h := &HollowNodes{nodes: map[string]*hollowNode{}, states: states}
 	for i := at.First; i < at.First+at.Count; i++ {
@@ -63,7 +64,8 @@
 	return h
 }
 
-// start starts a node and registers it in states; a node that runs is left alone. emptyStore removes its store before.
+// start registers a stopped node in states and starts it. It does nothing if the node already runs. If emptyStore is set,
+// start removes the node's store first.
 func (h *HollowNodes) start(ctx context.Context, name string, emptyStore bool) error {
 	n := h.nodes[name]
 	if n.stop != nil {
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// shutDown stops a node and waits until it has ended.
+// shutDown stops the node, if it runs, and waits until its agent has ended.
 func (n *hollowNode) shutDown() {
 	if n.stop == nil {
 		return
@@ -106,12 +108,12 @@
 	return list
 }
 
-// Start starts all nodes that are stopped, at once. emptyStores removes their stores before.
+// Start starts all stopped nodes concurrently. If emptyStores is set, it removes the nodes' stores first.
 func (h *HollowNodes) Start(ctx context.Context, emptyStores bool) error {
 	return forEach(h.names(), func(_ int, name string) error { return h.start(ctx, name, emptyStores) })
 }
 
-// Stop stops all nodes.
+// Stop stops all nodes concurrently and waits until their agents have ended.
 func (h *HollowNodes) Stop() {
 	forEach(h.names(), func(_ int, name string) error {
 		h.nodes[name].shutDown()
@@ -119,11 +121,12 @@
 	})
 }
 
-// Restart stops nodes and starts them again, all at once. It fails before it stops any if a name is unknown.
+// Restart stops the named nodes and starts them again, concurrently. If emptyStores is set, it removes the nodes' stores
+// in between. If a name is unknown, Restart returns an error and stops no node.
 func (h *HollowNodes) Restart(ctx context.Context, names []string, emptyStores bool) error {
 	for _, name := range names {
 		if h.nodes[name] == nil {
-			return fmt.Errorf("there is no node %s", name)
+			return fmt.Errorf("no hollow node %s in this process", name)
 		}
 	}
 	return forEach(names, func(_ int, name string) error {
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// machineMemory returns the machine's memory in bytes.
+// machineMemory returns the size of the machine's memory in bytes.
 func machineMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -18,13 +18,13 @@
 	}
 	fields := strings.Fields(string(text))
 	if len(fields) < 2 {
-		return 0, errors.New("/proc/meminfo: says nothing")
+		return 0, errors.New("/proc/meminfo: no memory size in the first line")
 	}
 	kb, err := strconv.ParseInt(fields[1], 10, 64)
 	return kb << 10, err
 }
 
-// fileSystemNames are those of the kinds that are known, by statfs's f_type.
+// fileSystemNames maps the f_type of statfs to the name of the file system's type.
 var fileSystemNames = map[int64]string{
 	unix.TMPFS_MAGIC:           "tmpfs",
 	unix.EXT4_SUPER_MAGIC:      "ext4",
@@ -33,7 +33,8 @@
 	unix.OVERLAYFS_SUPER_MAGIC: "overlay",
 }
 
-// fileSystem returns the name of the kind of file system that a folder is on, or its number if it is unknown.
+// fileSystem returns the name of the type of the file system that holds a folder, or the type's number in hexadecimal if
+// its name is not known.
 func fileSystem(dir string) (string, error) {
 	var fs unix.Statfs_t
 	if err := unix.Statfs(dir, &fs); err != nil {
@@ -45,7 +46,7 @@
 	return fmt.Sprintf("%#x", fs.Type), nil
 }
 
-// loadAverage returns the machine's load average over a minute; 0: it is not known.
+// loadAverage returns the machine's load average over the last minute, or 0 if it can't be read.
 func loadAverage() float64 {
 	text, _ := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(text), " ")
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -5,30 +5,31 @@
 	"strings"
 )
 
-// usage is how much of each quantity a process uses in a period.
+// usage is the amount of each quantity that a process uses in a period.
 type usage struct {
-	seconds float64
-	used    [len(quantities)]float64
+	seconds float64                  // length of the period
+	used    [len(quantities)]float64 // by index in quantities
 }
 
-// quantity is a resource whose use is measured.
+// quantity is a resource whose use is measured, such as CPU time or bytes sent.
 type quantity struct {
-	name, unit string // parts of figures' keys and units
+	name, unit string // parts of the figures' keys and of their units
 	detail     detail
-	value      func(r *Report) float64 // since the process's start
+	value      func(r *Report) float64 // amount used since the process's start
 }
 
-// detail selects the figures of a quantity. Each value includes those before it.
+// detail selects which figures a quantity has. Each value includes the figures of the values before it.
 type detail uint8
 
 const (
-	basic        detail = iota // the mean by role
-	withExtra                  // the mean in excess of the idle rate
-	withVoterMax               // the maximum over voters
+	basic        detail = iota // the mean over the nodes of each role
+	withExtra                  // also the mean in excess of the idle rate
+	withVoterMax               // also the maximum over the voters
 )
 
-// quantities are those of a run, in the order of their figures. "in" and "out" are bytes on sockets, "peers_" those of
-// connections that the process made, and "wire" adds the packets' headers.
+// quantities are the quantities that a run measures, in the order of their figures. "in" and "out" are the bytes on all
+// sockets, "peers_in" and "peers_out" the bytes on connections that the process made. "wire" is the bytes in both
+// directions with the packets' headers.
 var quantities = [...]quantity{
 	{"cpu", "ms", withVoterMax, func(r *Report) float64 { return milliseconds(r.CPU) }},
 	{"in", "B", withVoterMax, func(r *Report) float64 { return float64(r.Dialed.In + r.Accepted.In) }},
@@ -57,7 +58,7 @@
 	return u
 }
 
-// perSecond returns the mean use of one second.
+// perSecond returns the mean use per second.
 func (u usage) perSecond() usage {
 	for i := range u.used {
 		u.used[i] /= u.seconds
@@ -66,7 +67,7 @@
 	return u
 }
 
-// above returns the use in excess of a rate, which is the use of one second.
+// above returns the use in excess of a rate. rate is a use per second.
 func (u usage) above(rate usage) usage {
 	for i := range u.used {
 		u.used[i] -= rate.used[i] * u.seconds
@@ -74,8 +75,9 @@
 	return u
 }
 
-// measure adds a step's figures: of an idle step the use per second, of others the use over the step and its excess
-// over the last idle step's rate. A partition, and its end, have no such excess: the idle rate is not expected then.
+// measure adds the figures of a step. An idle step has figures of the use per second. Other steps have figures of the use
+// over the step, and of its excess over the rate of the last idle step. The steps that begin and end a partition have no
+// figures of the excess, because the idle rate is not expected in them.
 func (p *player) measure(s Step, before, after []Report) {
 	var all []usage
 	for i := range after {
@@ -102,13 +104,13 @@
 }
 
 const (
-	extraPrefix = "extra_" // of quantities in excess of the idle rate
-	peersPrefix = "peers_" // of quantities of traffic between voters
+	extraPrefix = "extra_" // begins the names of quantities in excess of the idle rate
+	peersPrefix = "peers_" // begins the names of quantities of traffic on connections that a voter made to its peers
 )
 
-// addUsage adds the figures of processes' use: the mean over the nodes of each role, and for some quantities the
-// maximum over voters. Only voters have figures of traffic with peers: other nodes dial nobody else, and are dialed by
-// none.
+// addUsage adds the figures of the processes' use: the mean over the nodes of each role, and for some quantities the
+// maximum over the voters. Only voters have figures of traffic with peers, because other nodes connect only to voters and
+// accept no connections, so that such figures would equal their total traffic.
 func (p *player) addUsage(step, prefix, unitSuffix string, all []usage) {
 	for _, role := range []Role{VoterRole, ServeRole, NodeRole} {
 		for i, q := range quantities {
@@ -131,7 +133,8 @@
 	}
 }
 
-// sumOver returns the sum and the maximum of a quantity over the processes of a role, and how many nodes they have.
+// sumOver returns the sum and the maximum of a quantity over the processes of a role, and the number of nodes in these
+// processes. quantity is an index in quantities.
 func (p *player) sumOver(role Role, quantity int, all []usage) (total, most float64, nodes int) {
 	most = math.Inf(-1)
 	for i, m := range p.members {
@@ -146,8 +149,8 @@
 	return total, most, nodes
 }
 
-// addMemory adds the figures of resident memory at a step's end, in MB. That of hollow nodes is by process, against
-// the nodes in the process, so that the slope is the memory of one node.
+// addMemory adds the figures of resident memory at the end of a step, in MB. The figure for hollow nodes has a point for
+// each process, at the number of nodes in the process, so that its slope is the memory of one node.
 func (p *player) addMemory(s Step, reports []Report) {
 	byRole := map[Role][]float64{}
 	const megabyte = 1 << 20
--- a/internal/lab/scale/meter.go
+++ b/internal/lab/scale/meter.go
@@ -11,19 +11,19 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// Meter counts a process's control traffic, and simulates a partition between its region and others. Create it with
-// NewMeter.
+// Meter counts the control traffic of a process, and can simulate a partition between regions. Create it with NewMeter.
 type Meter struct {
 	dialed, accepted trafficCounter
 	sent, received   atomic.Int64
-	regions          map[string]int // by a voter's address
+	regions          map[string]int // region of each voter, by the voter's address
 
 	mu          sync.Mutex
 	partitioned bool
-	healed      chan struct{} // closed while there is no partition
+	healed      chan struct{} // closed while there is no partition; replaced when one begins
 }
 
-// NewMeter makes a meter for a process of a fleet whose voters are spread over regions in turn.
+// NewMeter returns a meter for a process of a fleet whose voters are assigned to regions round-robin. regions is the
+// number of regions.
 func NewMeter(voters []agent.VoterAddress, regions int) *Meter {
 	m := &Meter{regions: map[string]int{}, healed: make(chan struct{})}
 	close(m.healed)
@@ -33,13 +33,13 @@
 	return m
 }
 
-// Hooks returns the hooks by which the traffic of a node in a region is counted.
+// Hooks returns agent hooks through which the meter counts the traffic of a node in a region.
 func (m *Meter) Hooks(region int) agent.Hooks {
 	return agent.Hooks{Dial: m.Dialer(region), Listen: m.Listener, Stats: (*messageCounter)(m)}
 }
 
-// SetPartitioned begins or ends a partition between the regions. What is sent during a partition arrives after it,
-// unless the connection is closed before.
+// SetPartitioned begins or ends a partition between the regions. Data sent to another region during the partition arrives
+// after its end, unless the connection is closed before.
 func (m *Meter) SetPartitioned(partitioned bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,7 +54,8 @@
 	}
 }
 
-// Dialer returns a function that connects a node of a region to voters. During a partition it waits for its end.
+// Dialer returns a function that connects a node of a region to voters. During a partition, a connection to another
+// region is made only after the partition's end.
 func (m *Meter) Dialer(region int) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		crossRegion := m.regions[address] != region
@@ -72,7 +73,7 @@
 	}
 }
 
-// awaitHealed returns nil as soon as there is no partition, and net.ErrClosed if closed is closed before.
+// awaitHealed waits until there is no partition and returns nil, or returns net.ErrClosed if closed is closed first.
 func (m *Meter) awaitHealed(closed <-chan struct{}) error {
 	m.mu.Lock()
 	healed := m.healed
@@ -90,7 +91,7 @@
 	}
 }
 
-// Listener returns a listener whose connections are counted.
+// Listener returns a listener that accepts connections from l and counts their traffic.
 func (m *Meter) Listener(l net.Listener) net.Listener { return &listener{l, m} }
 
 type listener struct {
@@ -107,7 +108,7 @@
 	return l.meter.wrap(c, &l.meter.accepted, false), nil
 }
 
-// messageCounter counts the messages of RPCs, as a stats.Handler of gRPC.
+// messageCounter is the meter as a stats.Handler of gRPC, which counts the messages of RPCs.
 type messageCounter Meter
 
 // HandleRPC implements stats.Handler.
--- a/internal/lab/scale/meter_test.go
+++ b/internal/lab/scale/meter_test.go
@@ -12,9 +12,9 @@
 	"yokestall/internal/testutil"
 )
 
-// pair is a connection over loopback whose two ends are counted; the first dials from a region, the second listens in
-// region 0.
-func pair(t *testing.T, region int) (m *Meter, near, far net.Conn) {
+// connPair returns a meter and the two ends of a loopback connection whose traffic the meter counts at both ends. near is
+// dialed from the given region, and far is accepted in region 0.
+func connPair(t *testing.T, region int) (m *Meter, near, far net.Conn) {
 	l := testutil.Listen(t)
 	m = NewMeter([]agent.VoterAddress{{Name: "v0", Address: l.Addr().String()}}, 2)
 	accepted := make(chan net.Conn)
@@ -37,9 +37,9 @@
 	return m, near, far
 }
 
-// Each byte is counted at both ends, and a connection's packets still count after it is closed.
+// The meter counts each byte at both ends of a connection, and retains a connection's packet counts after it is closed.
 func TestMeterCounts(t *testing.T) {
-	m, near, far := pair(t, 0)
+	m, near, far := connPair(t, 0)
 	io.WriteString(near, "12345")
 	if _, err := io.ReadFull(far, make([]byte, 5)); err != nil {
 		t.Fatal(err)
@@ -54,24 +54,24 @@
 	}
 	if r.Dialed.In != 3 || r.Dialed.Out != 5 || r.Accepted.In != 5 || r.Accepted.Out != 3 ||
 		r.Dialed.Connections != 1 || r.Accepted.Connections != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("got report %+v, want 5 bytes from the dialing end, 3 bytes back and one connection at each end", r)
 	}
 	if r.Dialed.PacketsIn < 2 || r.Dialed.PacketsOut < 2 || r.CPU <= 0 || r.Memory < 1<<20 {
-		t.Errorf("%+v", r)
+		t.Errorf("got report %+v, want 2 packets or more each way, CPU time and 1 MB of memory or more", r)
 	}
 	near.Close()
 	far.Close()
 	after, _ := m.Report()
 	if after.Dialed.PacketsIn < r.Dialed.PacketsIn || after.Accepted.PacketsOut < r.Accepted.PacketsOut ||
 		after.Dialed.Out != 5 {
-		t.Errorf("%+v after %+v", after, r)
+		t.Errorf("got report %+v after the close, want the counts of the report before it, %+v", after, r)
 	}
 }
 
-// During a partition a connection to another region carries nothing, and none is made; what waited arrives after it. A
-// connection that is closed meanwhile does not wait.
+// During a partition, connections to another region carry nothing and no connection to it is made. Data that was held back
+// arrives after the partition. Closing a connection during a partition ends a write that waits on it.
 func TestMeterPartition(t *testing.T) {
-	m, near, far := pair(t, 1)
+	m, near, far := connPair(t, 1)
 	m.SetPartitioned(true)
 	m.SetPartitioned(true)
 	written := make(chan error, 1)
@@ -83,23 +83,23 @@
 	ctx, stop := context.WithTimeout(t.Context(), time.Millisecond)
 	defer stop()
 	if _, err := m.Dialer(1)(ctx, far.LocalAddr().String()); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a connection during a partition: %v", err)
+		t.Errorf("dialing during a partition: got error %v, want %v", err, context.DeadlineExceeded)
 	}
 	select {
 	case err := <-written:
-		t.Errorf("written during a partition: %v", err)
+		t.Errorf("a write returned during a partition, with error %v", err)
 	default:
 	}
 	m.SetPartitioned(false)
-	if err := testutil.Wait(t, written, "the write"); err != nil {
-		t.Error(err)
+	if err := testutil.Wait(t, written, "the end of the write"); err != nil {
+		t.Errorf("a write that ended after the partition: got error %v, want none", err)
 	}
 	b := make([]byte, 4)
 	if _, err := io.ReadFull(far, b); err != nil || string(b) != "late" {
-		t.Errorf("%q, %v", b, err)
+		t.Errorf("the accepting end read %q (error %v), want \"late\"", b, err)
 	}
 	if _, err := io.ReadFull(near, b); err != nil || string(b) != "wait" {
-		t.Errorf("%q, %v", b, err)
+		t.Errorf("the dialing end read %q (error %v), want \"wait\"", b, err)
 	}
 	m.SetPartitioned(true)
 	go func() {
@@ -107,7 +107,7 @@
 		written <- err
 	}()
 	near.Close()
-	if err := testutil.Wait(t, written, "the end"); !errors.Is(err, net.ErrClosed) {
-		t.Error(err)
+	if err := testutil.Wait(t, written, "the end of the write"); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("a write on a connection that was closed: got error %v, want %v", err, net.ErrClosed)
 	}
 }
