--- a/internal/lab/scale/control_test.go
+++ b/internal/lab/scale/control_test.go
@@ -17,10 +17,10 @@
 	s.Register("a", 0, 0)
 	c := &CommandServer{Meter: NewMeter(nil, 1), States: s}
 	in, commands := io.Pipe()
-	answers, out := io.Pipe()
+	replies, out := io.Pipe()
 	ended, disconnected := make(chan error, 1), make(chan struct{})
 	go func() { ended <- c.Serve(t.Context(), in, out, func() { close(disconnected) }) }()
-	e, d := json.NewEncoder(commands), json.NewDecoder(answers)
+	e, d := json.NewEncoder(commands), json.NewDecoder(replies)
 	read := func() (r Reply) {
 		t.Helper()
 		if err := d.Decode(&r); err != nil {
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -110,7 +110,7 @@
 
 // addUsage adds the figures of the processes' use: the mean over the nodes of each role, and for some quantities the
 // maximum over the voters. Only voters have figures of traffic with peers, because other nodes connect only to voters and
-// accept no connections, so that such figures would equal their total traffic.
+// accept no control connections, so that such figures would equal their total traffic.
 func (p *player) addUsage(step, prefix, unitSuffix string, all []usage) {
 	for _, role := range []Role{VoterRole, ServeRole, NodeRole} {
 		for i, q := range quantities {
--- a/internal/lab/scale/planfile.go
+++ b/internal/lab/scale/planfile.go
@@ -9,7 +9,7 @@
 	"yokestall/internal/fleet/lease"
 )
 
-// planFile is a plan as its file has it.
+// planFile is the content of a plan's file.
 type planFile struct {
 	Name            string          `toml:"name"`
 	Description     string          `toml:"says"`
@@ -29,7 +29,7 @@
 	Steps           []stepFile      `toml:"step"`
 }
 
-// stepFile is a step as a plan's file has it.
+// stepFile is a step in a plan's file.
 type stepFile struct {
 	Name        string          `toml:"name"`
 	Kind        string          `toml:"kind"`
@@ -42,7 +42,7 @@
 	Timeout     config.Duration `toml:"wait"`
 }
 
-// defaultPlan returns a plan's file with the values of keys that a file may leave out.
+// defaultPlan returns a planFile with the default values of the keys that a file may omit.
 func defaultPlan() planFile {
 	return planFile{
 		Seed: 1, NodesPerProcess: 200, Voters: 3, Regions: 1, Zones: 1,
@@ -54,10 +54,10 @@
 	}
 }
 
-// defaultStepTimeout is a step's Timeout where its file has none.
+// defaultStepTimeout is the Timeout of a step for which the file has no wait key.
 const defaultStepTimeout = 10 * time.Second
 
-// Parse reads a plan's file. Its errors begin with name and a line number.
+// Parse reads a plan from the text of its file. name is the file's name; errors begin with it and a line number.
 func Parse(name string, text []byte) (*Plan, error) {
 	f := defaultPlan()
 	if err := config.Decode(name, text, &f); err != nil {
@@ -71,7 +71,7 @@
 	for i := range f.Steps {
 		s := c.step(&f, i)
 		if names[s.Name] {
-			report("step", i, "name", "%q is there twice: name steps of one kind", s.Name)
+			report("step", i, "name", "%q is the name of another step too; give steps of the same kind different names", s.Name)
 		}
 		names[s.Name] = true
 		p.Steps = append(p.Steps, s)
@@ -91,7 +91,7 @@
 	}
 }
 
-// checker reports the values of a plan's file that are out of bounds.
+// checker checks the values in a plan's file, and reports those that are invalid.
 type checker struct {
 	report func(table string, index int, key, format string, args ...any)
 }
@@ -108,15 +108,15 @@
 	}
 }
 
-// plan checks all but the steps.
+// plan checks the whole file except the steps.
 func (c *checker) plan(f *planFile) {
 	if !isKeyPart(f.Name) {
-		c.report("", -1, "name", "%q: lower-case letters, digits and _ make a name", f.Name)
+		c.report("", -1, "name", "%q is not made of lower-case letters, digits and _, or begins with a digit", f.Name)
 	}
 	c.sizes(f)
 	c.number("", -1, "per_process", float64(f.NodesPerProcess), 1, MaxNodes)
 	if f.Voters != 1 && f.Voters != 3 && f.Voters != 5 && f.Voters != 7 {
-		c.report("", -1, "voters", "%d; 1, 3, 5 or 7 vote", f.Voters)
+		c.report("", -1, "voters", "%d is not 1, 3, 5 or 7", f.Voters)
 	}
 	c.number("", -1, "serves", float64(f.ServeProcesses), 0, 64)
 	c.number("", -1, "regions", float64(f.Regions), 1, 8)
@@ -128,18 +128,18 @@
 	c.content(&f.Content)
 	c.processes(f)
 	if len(f.Steps) == 0 || len(f.Steps) > maxSteps {
-		c.report("", -1, "step", "%d steps; from 1 to %d", len(f.Steps), maxSteps)
+		c.report("", -1, "step", "there are %d steps; from 1 to %d are allowed", len(f.Steps), maxSteps)
 	}
 }
 
 func (c *checker) sizes(f *planFile) {
 	if len(f.Sizes) == 0 || len(f.Sizes) > maxSizes {
-		c.report("", -1, "sizes", "%d; from 1 to %d", len(f.Sizes), maxSizes)
+		c.report("", -1, "sizes", "there are %d sizes; from 1 to %d are allowed", len(f.Sizes), maxSizes)
 	}
 	for i, n := range f.Sizes {
 		c.number("", -1, "sizes", float64(n), 1, MaxNodes)
 		if i > 0 && n <= f.Sizes[i-1] {
-			c.report("", -1, "sizes", "%d does not come after %d: they ascend", n, f.Sizes[i-1])
+			c.report("", -1, "sizes", "%d is not greater than the preceding size %d", n, f.Sizes[i-1])
 		}
 	}
 }
@@ -157,11 +157,11 @@
 	}
 	n := f.Voters + f.ServeProcesses + processCount(f.Sizes[len(f.Sizes)-1], f.NodesPerProcess)
 	if n > MaxProcesses {
-		c.report("", -1, "per_process", "%d processes at the largest size; %d at most", n, MaxProcesses)
+		c.report("", -1, "per_process", "the largest size needs %d processes; at most %d are allowed", n, MaxProcesses)
 	}
 }
 
-// step checks a step, and returns it with its defaults.
+// step checks step i and returns it with default values for omitted keys.
 func (c *checker) step(f *planFile, i int) Step {
 	in := &f.Steps[i]
 	s := Step{
@@ -178,17 +178,17 @@
 		s.Zone = *in.Zone
 	}
 	if !slices.Contains(kinds, s.Kind) {
-		c.report("step", i, "kind", "%q is none of %v", in.Kind, kinds)
+		c.report("step", i, "kind", "%q is none of the kinds %v", in.Kind, kinds)
 		return s
 	}
 	if !isKeyPart(s.Name) {
-		c.report("step", i, "name", "%q: lower-case letters, digits and _ make a name", s.Name)
+		c.report("step", i, "name", "%q is not made of lower-case letters, digits and _, or begins with a digit", s.Name)
 	}
 	c.duration("step", i, "wait", config.Duration{Duration: s.Timeout}, time.Millisecond, 10*time.Minute)
 	if s.Kind == KindIdle || s.Kind == KindPartition {
 		c.duration("step", i, "length", in.Duration, 100*time.Millisecond, time.Hour)
 	} else if s.Duration != 0 {
-		c.report("step", i, "length", "is of idle and apart alone")
+		c.report("step", i, "length", "is allowed only in steps of kind idle or apart")
 	}
 	if s.Kind == KindSettings || s.Kind == KindList {
 		if s.Count == 0 {
@@ -196,35 +196,35 @@
 		}
 		c.number("step", i, "count", float64(s.Count), 1, maxChanges)
 	} else if s.Count != 0 {
-		c.report("step", i, "count", "is of settings and list alone")
+		c.report("step", i, "count", "is allowed only in steps of kind settings or list")
 	}
 	if s.Contradicts && s.Kind != KindSettings {
-		c.report("step", i, "contradicts", "is of settings alone")
+		c.report("step", i, "contradicts", "is allowed only in steps of kind settings")
 	}
 	c.restart(f, i, &s)
 	c.stores(f, i, &s)
 	if (s.Kind == KindPartition || s.Kind == KindHeal) && f.Regions < 2 {
-		c.report("step", i, "kind", "%s: there is one region", s.Kind)
+		c.report("step", i, "kind", "%s is allowed only with two or more regions", s.Kind)
 	}
 	return s
 }
 
-// restart checks which nodes a step restarts.
+// restart checks the share and the zone of a step, which select the nodes that it restarts.
 func (c *checker) restart(f *planFile, i int, s *Step) {
 	in := &f.Steps[i]
 	switch {
 	case s.Kind != KindRestart && (s.Fraction != 0 || in.Zone != nil):
-		c.report("step", i, "share", "share and zone are of restart alone")
+		c.report("step", i, "share", "share and zone are allowed only in steps of kind restart")
 	case s.Kind == KindRestart && in.Zone == nil:
 		c.number("step", i, "share", s.Fraction, 0.0001, 1)
 	case s.Kind == KindRestart && s.Fraction != 0:
-		c.report("step", i, "zone", "a share or a zone is restarted, not both")
+		c.report("step", i, "zone", "share and zone exclude each other: a step restarts one or the other, not both")
 	case s.Kind == KindRestart:
 		c.number("step", i, "zone", float64(s.Zone), 0, float64(f.Zones-1))
 	}
 }
 
-// stores checks whether a step's nodes start with their stores, and sets EmptyStores if they don't.
+// stores checks the stores key of a step, and sets EmptyStores if the nodes are to start without their stores.
 func (c *checker) stores(f *planFile, i int, s *Step) {
 	in := &f.Steps[i]
 	switch {
@@ -232,13 +232,14 @@
 	case in.Stores != "empty":
 		c.report("step", i, "stores", "%q is neither kept nor empty", in.Stores)
 	case s.Kind != KindRestart && s.Kind != KindRestartAll:
-		c.report("step", i, "stores", "is of restart and return alone")
+		c.report("step", i, "stores", "is allowed only in steps of kind restart or return")
 	default:
 		s.EmptyStores = true
 	}
 }
 
-// isKeyPart reports whether a word may be a part of a figure's key.
+// isKeyPart reports whether a word may be part of a figure's key: lower-case letters, digits and "_", not beginning with
+// a digit.
 func isKeyPart(word string) bool {
 	for i, r := range word {
 		if !(r == '_' || r >= 'a' && r <= 'z' || i > 0 && r >= '0' && r <= '9') {
--- a/internal/lab/scale/play.go
+++ b/internal/lab/scale/play.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	startTimeout         = 5 * time.Minute // until all nodes act on the first version
-	publishTimeout       = time.Minute     // until the voters accept a version
+	startTimeout         = 5 * time.Minute // maximum wait until all nodes act on the first version
+	publishTimeout       = time.Minute     // maximum wait until the voters accept a version
 	publishRetryInterval = 20 * time.Millisecond
 )
 
-// Options are the surroundings of a run.
+// Options are the options of a run that its plan does not set.
 type Options struct {
-	Dir      string   // for the processes' folders
-	Command  []string // that starts the program
-	Env      []string // beside the environment of this process
-	Progress func(format string, args ...any)
+	Dir      string                           // folder in which the processes' folders are created
+	Command  []string                         // command that starts the program, to which arguments are appended
+	Env      []string                         // added to the environment of this process
+	Progress func(format string, args ...any) // called with a message after the first version and after each step
 }
 
-// Play runs a plan at all its sizes. A run that exceeds the plan's Timeout, or whose processes take more than half of
-// the machine's memory, fails without figures.
+// Play runs a plan at all its sizes and returns the figures. It returns an error and no figures if the run exceeds the
+// plan's Timeout, or if its processes use more than half of the machine's memory.
 func Play(ctx context.Context, plan *Plan, o Options) (*Figures, error) {
-	cause := fmt.Errorf("the run is not over within its limit of %v", plan.Timeout)
+	cause := fmt.Errorf("the run did not finish within its limit of %v", plan.Timeout)
 	ctx, stop := context.WithTimeoutCause(ctx, plan.Timeout, cause)
 	defer stop()
 	f := newFigures(plan)
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	if _, err := files.Unbundle(plan.Content.bundle(2, firstSettings)); err != nil {
-		return nil, fmt.Errorf("%s: content: a node would refuse it: %w", plan.Name, err)
+		return nil, fmt.Errorf("%s: content: a node would reject the configuration: %w", plan.Name, err)
 	}
 	for _, size := range plan.Sizes {
 		f.Machine.LoadAverages = append(f.Machine.LoadAverages, loadAverage())
@@ -59,7 +59,7 @@
 	return f, nil
 }
 
-// newFigures returns figures without series, with what is known of a run before its start.
+// newFigures returns figures without series, with the properties of a run that are known before its start.
 func newFigures(plan *Plan) *Figures {
 	return &Figures{
 		Name: plan.Name, Description: plan.Description, Seed: plan.Seed, Sizes: plan.Sizes,
@@ -77,14 +77,16 @@
 	*rig
 	progress    func(format string, args ...any)
 	figures     *Figures
-	memoryLimit int64 // bytes, of all processes together
+	memoryLimit int64 // maximum resident memory of all processes together, in bytes
 	rng         *rand.Rand
-	settings    settings // of the version that was published last
-	changes     int      // published so far, beside the first version
-	version     uint64   // number of the version that was published last
-	idleRates   []usage  // by process: a second's usage in the last idle step; nil before the first one
+	settings    settings // settings of the last published version
+	changes     int      // number of versions published after the first version
+	version     uint64   // number of the last published version
+	idleRates   []usage  // use per second of each process in the last idle step; nil before the first idle step
 }
 
+// playSize starts a fleet of the given size, runs all steps of the plan on it, and adds their figures to f. memoryLimit is
+// in bytes.
 func playSize(ctx context.Context, plan *Plan, size int, memoryLimit int64, o Options, f *Figures) error {
 	dir := filepath.Join(o.Dir, fmt.Sprint("size-", size))
 	r, err := newRig(ctx, plan, size, dir, o.Command, o.Env)
@@ -122,18 +124,19 @@
 		return err
 	}
 	if late := lateNodes(states, p.version); len(late) > 0 {
-		return fmt.Errorf("%d nodes, %s among them, do not act on the first version within %v",
+		return fmt.Errorf("%d nodes, such as %s, do not act on the first version within %v",
 			len(late), late[0].Node, startTimeout)
 	}
 	took := time.Since(began).Round(time.Millisecond)
-	p.progress("%d nodes: all act on the first version %v after it was asked for", p.size, took)
+	p.progress("%d nodes: all act on the first version %v after the first request to publish it", p.size, took)
 	return nil
 }
 
-// publishFunc asks the voters for a new version, under an id that is the same in each attempt.
+// publishFunc asks the voters to publish a version. id identifies the publication and is the same in each attempt.
 type publishFunc func(ctx context.Context, id string) (*agent.PublishReply, error)
 
-// publish repeats a request for a version until the voters accept it, and returns when it was sent first, since boot.
+// publish repeats a request to publish a version until the voters accept it. began is the time of the first attempt, since
+// the machine's boot.
 func (p *player) publish(ctx context.Context, request publishFunc) (began time.Duration, err error) {
 	ctx, stop := context.WithTimeout(ctx, publishTimeout)
 	defer stop()
@@ -146,19 +149,19 @@
 			p.version = reply.Number
 			return began, nil
 		case err == nil && !reply.Retry:
-			return 0, fmt.Errorf("nothing is published: %s", reply.Error)
+			return 0, fmt.Errorf("the version was rejected: %s", reply.Error)
 		case err == nil:
 			err = errors.New(reply.Error)
 		}
 		select {
 		case <-ctx.Done():
-			return 0, fmt.Errorf("it is not taken up within %v: %w", publishTimeout, err)
-		case <-time.After(publishRetryInterval): // the voters elect a leader, or another version is pending
+			return 0, fmt.Errorf("the voters did not accept the version within %v: %w", publishTimeout, err)
+		case <-time.After(publishRetryInterval): // until the voters have a leader and no other version is pending
 		}
 	}
 }
 
-// step runs a step and measures it.
+// step runs a step and adds its figures. It returns an error if the processes use more than memoryLimit afterwards.
 func (p *player) step(ctx context.Context, s Step) error {
 	before, err := p.reports(ctx)
 	if err != nil {
@@ -176,11 +179,11 @@
 		total += r.Memory
 	}
 	if total > p.memoryLimit {
-		return fmt.Errorf("all processes have %d MB, and half of the machine's memory is %d: choose smaller sizes",
+		return fmt.Errorf("all processes use %d MB; at most %d MB, half of the machine's memory, are allowed: use smaller sizes",
 			total>>20, p.memoryLimit>>20)
 	}
 	p.measure(s, before, after)
 	took := (after[0].At - before[0].At).Round(time.Millisecond)
-	p.progress("%d nodes: step %s, %v, all processes have %d MB", p.size, s.Name, took, total>>20)
+	p.progress("%d nodes: step %s took %v, all processes together use %d MB of memory", p.size, s.Name, took, total>>20)
 	return nil
 }
--- a/internal/lab/scale/print.go
+++ b/internal/lab/scale/print.go
@@ -8,9 +8,10 @@
 	"text/tabwriter"
 )
 
-// Print writes a summary: a table of all series, and the late nodes.
+// Print writes a summary of the figures: the properties of the run, a table of all series, and the late nodes of each
+// step.
 func (f *Figures) Print(out io.Writer) {
-	fmt.Fprintf(out, "%s: sizes %v, %d voters, %d serve processes, TLS %v, a lease of %s\n",
+	fmt.Fprintf(out, "%s: sizes %v, %d voters, %d serve processes, TLS %v, lease %s\n",
 		f.Name, f.Sizes, f.Voters, f.ServeProcesses, f.TLS, f.Lease)
 	t := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\tunit\tat each size\tslope\tintercept\tresidual\tR2")
@@ -29,7 +30,7 @@
 	}
 	t.Flush()
 	for _, late := range f.Late {
-		fmt.Fprintf(out, "NOT TOLD at %d nodes, step %s: %d, by region %v, such as %v\n",
+		fmt.Fprintf(out, "LATE NODES at %d nodes, step %s: %d, by region %v, such as %v\n",
 			late.Size, late.Step, late.Count, late.ByRegion, late.Nodes)
 	}
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -10,19 +10,19 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// Report is what a process has used since it started.
+// Report is the resources that a process has used since it started.
 type Report struct {
-	At       time.Duration `json:"at"`       // since the machine's boot
+	At       time.Duration `json:"at"`       // time of the report, since the machine's boot
 	CPU      time.Duration `json:"cpu"`      // user and system time of the process
-	Memory   int64         `json:"memory"`   // bytes resident now
-	Dialed   Traffic       `json:"dialed"`   // over connections that the process made
-	Accepted Traffic       `json:"accepted"` // over connections that were made to it
-	Sent     int64         `json:"sent"`     // messages of RPCs, as is Received
-	Received int64         `json:"received"`
-	Nodes    int           `json:"nodes"` // in the process
+	Memory   int64         `json:"memory"`   // resident memory at the time of the report, in bytes
+	Dialed   Traffic       `json:"dialed"`   // traffic on connections that the process made
+	Accepted Traffic       `json:"accepted"` // traffic on connections that the process accepted
+	Sent     int64         `json:"sent"`     // messages of RPCs that the process sent
+	Received int64         `json:"received"` // messages of RPCs that the process received
+	Nodes    int           `json:"nodes"`    // number of nodes in the process
 }
 
-// Report returns what the process has used. Nodes is 0: the meter doesn't know them.
+// Report returns the resources that the process has used. Nodes is 0, because the meter doesn't know the process's nodes.
 func (m *Meter) Report() (Report, error) {
 	cpu, err := cpuTime()
 	if err != nil {
@@ -47,7 +47,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
 
-// residentMemory returns the bytes of this process's memory that are resident.
+// residentMemory returns the resident memory of this process in bytes.
 func residentMemory() (int64, error) {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -10,21 +10,21 @@
 	"yokestall/internal/fleet/agent"
 )
 
-// rig is the running processes of a fleet at one size. Create it with newRig, and end it with close.
+// rig is a fleet of one size with its running processes. Create it with newRig, and end its processes with close.
 type rig struct {
 	plan    *Plan
-	size    int    // hollow nodes
-	dir     string // of the processes' folders
-	command []string
-	env     []string // beside the environment of this process
+	size    int      // number of hollow nodes
+	dir     string   // folder of the processes' folders
+	command []string // command that starts the program
+	env     []string // added to the environment of this process
 	members members
 	voters  []agent.VoterAddress
-	meter   *Meter // of the operator, who is in region 0
-	keys    string // the folder of the run's keys; "": clear text
-	client  *agent.Client
+	meter   *Meter        // meter of the operator's client, which is in region 0
+	keys    string        // folder of the run's TLS keys; "" if the run does not use TLS
+	client  *agent.Client // client that publishes versions
 }
 
-// newRig starts the processes of a plan at a size, with their folders below dir.
+// newRig starts the processes of a plan at a size. The processes' folders are created in dir.
 func newRig(ctx context.Context, plan *Plan, size int, dir string, command, env []string) (*rig, error) {
 	r := &rig{plan: plan, size: size, dir: dir, command: command[:len(command):len(command)], env: env}
 	if err := r.setUp(ctx); err != nil {
@@ -34,7 +34,8 @@
 	return r, nil
 }
 
-// setUp makes the processes and starts them, voters first.
+// setUp creates the processes with their files, connects the operator's client, and starts the processes: first the
+// voters, then the serve processes, then the processes with hollow nodes.
 func (r *rig) setUp(ctx context.Context) error {
 	if err := r.addProcesses(); err != nil {
 		return err
@@ -54,13 +55,13 @@
 	return nil
 }
 
-// nodeCount returns how many nodes the fleet has.
+// nodeCount returns the number of nodes in the fleet, including the voters.
 func (r *rig) nodeCount() int { return r.plan.Voters + r.plan.ServeProcesses + r.size }
 
-// processCount returns how many processes a number of hollow nodes needs.
+// processCount returns the number of processes that a number of hollow nodes needs.
 func processCount(nodes, perProcess int) int { return (nodes + perProcess - 1) / perProcess }
 
-// addProcesses makes the processes without starting them. Hollow nodes are spread evenly over theirs.
+// addProcesses adds all processes without starting them. The hollow nodes are spread evenly over their processes.
 func (r *rig) addProcesses() error {
 	p := r.plan
 	for i := range p.Voters {
@@ -87,7 +88,8 @@
 	return nil
 }
 
-// arguments returns those of the command that runs hollow nodes; the path of their file follows.
+// arguments returns the arguments of the command that runs the hollow nodes. The path of the nodes' configuration file is
+// to follow them.
 func (at Placement) arguments() []string {
 	return []string{
 		"lab", "hollow",
@@ -100,7 +102,8 @@
 	}
 }
 
-// serveArguments returns those of the command that runs a complete node; the path of its file follows.
+// serveArguments returns the arguments of the command that runs complete node i of a role. The path of the node's
+// configuration file is to follow them.
 func (r *rig) serveArguments(i int) []string {
 	return []string{
 		"lab", "serve", "--controlled",
@@ -121,7 +124,7 @@
 	return nil
 }
 
-// close ends all processes.
+// close closes the operator's client and kills all processes.
 func (r *rig) close() {
 	if r.client != nil {
 		r.client.Close()
@@ -131,7 +134,7 @@
 	}
 }
 
-// reports returns what each process has used, in the order of members.
+// reports returns the report of each process, in the order of members.
 func (r *rig) reports(ctx context.Context) ([]Report, error) {
 	replies, err := r.members.call(ctx, toAll(Command{Op: OpReport}))
 	if err != nil {
@@ -144,8 +147,8 @@
 	return list, nil
 }
 
-// awaitVersion waits until all nodes act on a version, or timeout, and returns all nodes' states by process, in the
-// order of members.
+// awaitVersion waits until all nodes act on a version or timeout is over. It returns the states of all nodes by process,
+// in the order of members.
 func (r *rig) awaitVersion(ctx context.Context, version uint64, timeout time.Duration) ([][]State, error) {
 	replies, err := r.members.call(ctx, toAll(Command{Op: OpAwait, Version: version, Timeout: timeout}))
 	if err != nil {
@@ -158,7 +161,7 @@
 	return list, nil
 }
 
-// setPartitioned separates the regions, or ends that.
+// setPartitioned begins or ends a partition between the regions, in all processes and for the operator's client.
 func (r *rig) setPartitioned(ctx context.Context, partitioned bool) error {
 	c := Command{Op: OpHeal}
 	if partitioned {
--- a/internal/lab/scale/rigfiles.go
+++ b/internal/lab/scale/rigfiles.go
@@ -18,14 +18,14 @@
 	"yokestall/internal/tlskeys"
 )
 
-// Names in the files of a run.
+// Names in the configuration and key files of a run.
 const (
-	fleetName = "scale"
-	rootsName = "ca"   // of the certificate authority
-	pairName  = "node" // of the certificate and key that all processes share
+	fleetName   = "scale"
+	rootsName   = "ca"   // name of the certificate authority
+	keyPairName = "node" // name of the certificate and key that all processes share
 )
 
-// writeFiles writes the processes' files, and initializes the voters' stores.
+// writeFiles chooses the voters' addresses, writes the files of all processes, and initializes the voters' stores.
 func (r *rig) writeFiles(ctx context.Context) error {
 	for _, m := range r.members.withRole(VoterRole) {
 		address, err := freeAddress(m.proc.Addr)
@@ -56,17 +56,18 @@
 	return nil
 }
 
-// initStore runs the program's command that makes a voter's store.
+// initStore initializes a voter's store with the program's command fleet init.
 func (r *rig) initStore(ctx context.Context, m *member) error {
 	c := exec.CommandContext(ctx, r.command[0], append(r.command[1:], "fleet", "init", "-c", m.proc.Config())...)
 	c.Env = append(os.Environ(), r.env...)
 	if text, err := c.CombinedOutput(); err != nil {
-		return fmt.Errorf("fleet init: %w: %s", err, text)
+		return fmt.Errorf("initializing a voter's store with fleet init: %w: %s", err, text)
 	}
 	return nil
 }
 
-// freeAddress returns a free port on the host of taken, an address on which nobody listens yet, other than taken.
+// freeAddress returns an address with a free port on the host of taken, other than taken itself. No process may listen on
+// taken yet.
 func freeAddress(taken string) (string, error) {
 	host, _, err := net.SplitHostPort(taken)
 	if err != nil {
@@ -85,13 +86,14 @@
 	return l.Addr().String(), nil
 }
 
-// makeKeys writes a certificate authority and a key for the names of all voters, in r.keys.
+// makeKeys sets r.keys, and writes to that folder a certificate authority and a certificate with its key for the hosts of
+// all voters.
 func (r *rig) makeKeys() error {
 	authority, err := keymaker.New("the run's authority")
 	if err != nil {
 		return err
 	}
-	names := []string{pairName}
+	names := []string{keyPairName}
 	for _, v := range r.voters {
 		host, _, err := net.SplitHostPort(v.Address)
 		if err != nil {
@@ -103,10 +105,10 @@
 	if err := os.MkdirAll(r.keys, 0o700); err != nil {
 		return err
 	}
-	return authority.Write(r.keys, pairName, names...)
+	return authority.Write(r.keys, keyPairName, names...)
 }
 
-// programFile returns the configuration of a process's nodes. number is the process's place among members.
+// programFile returns the configuration file of a process's nodes. number is the process's index in members.
 func (r *rig) programFile(m *member, number int) string {
 	l := &r.plan.Lease
 	var b strings.Builder
@@ -117,7 +119,7 @@
 	fmt.Fprintf(&b, "[fleet.agree]\nname = %q\nnode = %q\n", fleetName, m.name)
 	fmt.Fprintf(&b, "lease = %q\ndrift = %v\ntake = %q\n", l.Duration, l.MaxClockDrift, l.ApplyTimeout)
 	if r.keys != "" {
-		fmt.Fprintf(&b, "roots = %q\ncertificate = %q\n", rootsName, pairName)
+		fmt.Fprintf(&b, "roots = %q\ncertificate = %q\n", rootsName, keyPairName)
 	}
 	b.WriteString("voters = [")
 	for _, v := range r.voters {
@@ -131,15 +133,15 @@
 	return b.String()
 }
 
-// connectOperator makes the client that publishes versions.
+// connectOperator creates the operator's client, which publishes versions.
 func (r *rig) connectOperator() error {
 	var tlsConfig *tls.Config
 	if r.keys != "" {
-		keys, err := tlskeys.Open(r.keys, pairName, slog.New(slog.DiscardHandler))
+		keys, err := tlskeys.Open(r.keys, keyPairName, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return err
 		}
-		tlsConfig = keys.ClientConfig(tlskeys.ServerAuth{Roots: rootsName, Certificate: pairName})
+		tlsConfig = keys.ClientConfig(tlskeys.ServerAuth{Roots: rootsName, Certificate: keyPairName})
 	}
 	r.meter = NewMeter(r.voters, r.plan.Regions)
 	var err error
--- a/internal/lab/scale/slope.go
+++ b/internal/lab/scale/slope.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// Point is the value of a figure at a size.
+// Point is the value of a figure at one size.
 type Point struct {
-	At    float64 `json:"at"` // the size, in Series.SizeUnit
+	At    float64 `json:"at"` // size, in units of Series.SizeUnit
 	Value float64 `json:"value"`
 }
 
-// Fit is the straight line through points by least squares.
+// Fit is the straight line fitted to points by least squares.
 type Fit struct {
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
-	// Residual is the root of the mean square of the points' distances from the line, in the figure's unit, and
-	// Relative is its ratio to the points' mean.
+	// Residual is the root mean square of the points' distances from the line, in the figure's unit. Relative is the ratio
+	// of Residual to the absolute value of the points' mean, or 0 if the mean is 0.
 	Residual float64 `json:"residual"`
 	Relative float64 `json:"relative"`
-	// R2 is the fraction of the points' variance that the line explains; 0 where they don't vary.
+	// R2 is the fraction of the variance of the points' values that the line explains; 0 if the values don't vary.
 	R2 float64 `json:"r2"`
 }
 
-// FitLine fits a line; nil: the points are at less than two sizes.
+// FitLine fits a line to points by least squares. It returns nil if the points have fewer than two sizes.
 func FitLine(points []Point) *Fit {
 	n := float64(len(points))
 	var meanAt, mean float64
@@ -28,7 +28,7 @@
 		meanAt += p.At / n
 		mean += p.Value / n
 	}
-	var varianceAt, variance, covariance float64 // times n
+	var varianceAt, variance, covariance float64 // multiplied by the number of points
 	for _, p := range points {
 		varianceAt += (p.At - meanAt) * (p.At - meanAt)
 		variance += (p.Value - mean) * (p.Value - mean)
@@ -54,10 +54,10 @@
 	return f
 }
 
-// digits is how many significant digits a figure has in a file.
+// digits is the number of significant digits of a figure in a file.
 const digits = 5
 
-// round rounds a figure to its significant digits.
+// round rounds a figure to the number of significant digits in a file.
 func round(v float64) float64 {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return v
--- a/internal/lab/scale/states.go
+++ b/internal/lab/scale/states.go
@@ -11,36 +11,37 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// State is the version that a node acts on. Times are since the machine's boot.
+// State describes the version that a node acts on. Its times are since the machine's boot.
 type State struct {
 	Node         string        `json:"node"`
 	Region       int           `json:"region"`
 	Zone         int           `json:"zone"`
-	Version      uint64        `json:"number"` // 0: none
-	Complete     bool          `json:"whole"`  // false: it acts on the stricter of this version and a pending one
-	Disconnected bool          `json:"alone"`  // its lease has expired
-	ChangedAt    time.Duration `json:"at"`     // the last change of this state
-	AppliedAt    time.Duration `json:"took"`   // the first complete use of Version under a lease since the node's start
+	Version      uint64        `json:"number"` // version number; 0 if the node acts on no version
+	Complete     bool          `json:"whole"`  // false if the node acts on a stricter combination with a pending version
+	Disconnected bool          `json:"alone"`  // the node's lease has expired
+	ChangedAt    time.Duration `json:"at"`     // time of the last change of this state
+	AppliedAt    time.Duration `json:"took"`   // time of the first complete use of Version under a lease since the node's start
 }
 
-// ActsOn reports whether the node acts on a version, or a later one, completely and under a lease.
+// ActsOn reports whether the node acts on a version or a later version, under a lease and not in a stricter combination
+// with a pending version.
 func (s *State) ActsOn(version uint64) bool {
 	return s.Complete && !s.Disconnected && s.Version >= version
 }
 
-// States are the states of the nodes of a process. Create it with NewStates.
+// States holds the states of a process's nodes. It is safe for concurrent use. Create it with NewStates.
 type States struct {
 	mu      sync.Mutex
-	nodes   map[string]*State
-	changed chan struct{} // closed and replaced at each change
+	nodes   map[string]*State // by the node's name
+	changed chan struct{}     // closed and replaced at each change
 }
 
-// NewStates returns the states of no nodes.
+// NewStates returns States without any node.
 func NewStates() *States {
 	return &States{nodes: map[string]*State{}, changed: make(chan struct{})}
 }
 
-// Register adds a node that acts on no version yet, or resets it to that.
+// Register adds a node that acts on no version. If the node is registered already, Register resets its state to that.
 func (s *States) Register(node string, region, zone int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +49,7 @@
 	s.notify()
 }
 
-// Record sets what a registered node acts on from now on.
+// Record sets the versions that a registered node acts on from now on. disconnected says that the node's lease has expired.
 func (s *States) Record(node string, versions consensus.ActiveVersions, disconnected bool) {
 	now := agent.BootTime()
 	s.mu.Lock()
@@ -65,14 +66,14 @@
 	s.notify()
 }
 
-// notify wakes all that wait for a change. The caller has locked s.mu.
+// notify wakes all callers that wait for a change. The caller of notify must hold s.mu.
 func (s *States) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Snapshot returns the states in the order of the nodes' names, whether all nodes act on a version, and a channel that
-// is closed at the next change.
+// is closed at the next change of a state.
 func (s *States) Snapshot(version uint64) (list []State, all bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,7 @@
 	return list, all, s.changed
 }
 
-// Await waits until all nodes act on a version or a later one, or ctx ends, and returns their states.
+// Await waits until all nodes act on a version or a later version, or until ctx ends, and returns the nodes' states.
 func (s *States) Await(ctx context.Context, version uint64) []State {
 	for {
 		list, all, changed := s.Snapshot(version)
--- a/internal/lab/scale/steps.go
+++ b/internal/lab/scale/steps.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/lab/ctxtime"
 )
 
-// execute does what a step of this kind does.
+// execute carries out a step according to its kind.
 func (p *player) execute(ctx context.Context, s Step) error {
 	switch s.Kind {
 	case KindIdle:
@@ -29,30 +29,31 @@
 	return nil
 }
 
-// publishChanges publishes a step's versions one after the other, each as soon as all nodes act on the one before or
-// the step's Timeout is over.
+// publishChanges publishes the versions of a step one after the other. It publishes the next version when all nodes act
+// on the last one, or when the step's Timeout is over. It adds figures of the time until the voters accept a version, and
+// of the time until nodes act on it.
 func (p *player) publishChanges(ctx context.Context, s Step) error {
-	var published []float64
-	inForce := timesByRole{}
+	var publishTimes []float64
+	applyTimes := timesByRole{}
 	for range s.Count {
 		began, err := p.publishChange(ctx, s)
 		if err != nil {
 			return err
 		}
-		published = append(published, milliseconds(agent.BootTime()-began))
+		publishTimes = append(publishTimes, milliseconds(agent.BootTime()-began))
 		states, err := p.awaitVersion(ctx, p.version, s.Timeout)
 		if err != nil {
 			return err
 		}
 		p.recordLate(s, states)
-		p.addTimes(inForce, states, began, func(n *State) time.Duration { return n.AppliedAt })
+		p.addTimes(applyTimes, states, began, func(n *State) time.Duration { return n.AppliedAt })
 	}
-	p.figures.add(s.Name+".operator.published", "ms", float64(p.size), mean(published))
-	p.addPercentiles(s, "in_force", inForce)
+	p.figures.add(s.Name+".operator.published", "ms", float64(p.size), mean(publishTimes))
+	p.addPercentiles(s, "in_force", applyTimes)
 	return nil
 }
 
-// publishChange publishes the next version of a step, and returns when it was sent first, since boot.
+// publishChange publishes the next version of a step. began is the time of the first attempt, since the machine's boot.
 func (p *player) publishChange(ctx context.Context, s Step) (began time.Duration, err error) {
 	base, next := p.version, p.settings.next(s.Contradicts)
 	began, err = p.publish(ctx, func(ctx context.Context, id string) (*agent.PublishReply, error) {
@@ -71,7 +72,8 @@
 	return began, nil
 }
 
-// restart restarts some hollow nodes at once and waits until all nodes act on the last version again.
+// restart restarts the hollow nodes that chooseNodes selects, concurrently, and waits until all nodes act on the last
+// version again.
 func (p *player) restart(ctx context.Context, s Step) error {
 	chosen := p.chooseNodes(s)
 	first := 0
@@ -96,7 +98,8 @@
 	return p.awaitRecovery(ctx, s, began)
 }
 
-// chooseNodes draws the hollow nodes that a step restarts: all of its zone, or a fraction of all.
+// chooseNodes returns the names of the hollow nodes that a step restarts: all nodes of the step's zone, or a random
+// selection with the step's fraction of all nodes, rounded up.
 func (p *player) chooseNodes(s Step) map[string]bool {
 	chosen := map[string]bool{}
 	count := int(math.Ceil(s.Fraction * float64(p.size)))
@@ -108,8 +111,8 @@
 	return chosen
 }
 
-// partitionRegions separates the regions for the step's Duration, and counts the leases at its end. The regions stay
-// separated.
+// partitionRegions begins a partition between the regions, and after the step's Duration adds figures of the nodes with
+// and without a lease in each region. The partition continues after the step.
 func (p *player) partitionRegions(ctx context.Context, s Step) error {
 	if err := p.setPartitioned(ctx, true); err != nil {
 		return err
@@ -149,7 +152,7 @@
 	return p.awaitRecovery(ctx, s, began)
 }
 
-// restartAll stops all hollow nodes, starts them at once and waits until all nodes act on the last version.
+// restartAll stops all hollow nodes, starts them concurrently, and waits until all nodes act on the last version.
 func (p *player) restartAll(ctx context.Context, s Step) error {
 	hollow := p.members.withRole(NodeRole)
 	if _, err := hollow.call(ctx, toAll(Command{Op: OpStop})); err != nil {
--- a/internal/lab/scale/traffic.go
+++ b/internal/lab/scale/traffic.go
@@ -5,35 +5,35 @@
 	"sync/atomic"
 )
 
-// Traffic is what connections have carried. Bytes are those that the program reads and writes on its sockets:
-// messages with gRPC's and HTTP/2's frames and, with TLS, its records and handshakes. Packets are TCP's segments by
-// the kernel's count, acknowledgements among them.
+// Traffic is the traffic that connections have carried. Bytes are counted where the program reads and writes its sockets,
+// and include the frames of gRPC and HTTP/2 and, with TLS, its records and handshakes. Packets are TCP segments as the
+// kernel counts them, including acknowledgements.
 type Traffic struct {
-	In          int64 `json:"in"` // bytes
-	Out         int64 `json:"out"`
+	In          int64 `json:"in"`  // bytes received
+	Out         int64 `json:"out"` // bytes sent
 	PacketsIn   int64 `json:"packets_in"`
 	PacketsOut  int64 `json:"packets_out"`
-	Connections int64 `json:"connections"` // that were made so far
+	Connections int64 `json:"connections"` // number of connections made so far
 }
 
 func (t *Traffic) packets() int64 { return t.PacketsIn + t.PacketsOut }
 
-// packetHeaderBytes are the bytes of a packet's headers: IPv4, TCP and TCP's timestamps.
+// packetHeaderBytes is the size of a packet's headers: IPv4, TCP, and the TCP option for timestamps.
 const packetHeaderBytes = 20 + 20 + 12
 
-// wireBytes returns the bytes in both directions, with the packets' headers.
+// wireBytes returns the bytes in both directions, including the packets' headers.
 func (t *Traffic) wireBytes() int64 { return t.In + t.Out + packetHeaderBytes*t.packets() }
 
-// trafficCounter counts what connections carry. The zero value is ready to use.
+// trafficCounter counts the traffic of connections. The zero value is ready to use.
 type trafficCounter struct {
 	in, out, connections atomic.Int64
 
 	mu                    sync.Mutex
 	open                  map[*conn]struct{}
-	packetsIn, packetsOut int64 // of connections that are closed
+	packetsIn, packetsOut int64 // packets of connections that are closed
 }
 
-// total returns what all connections have carried so far.
+// total returns the traffic that all connections, open and closed, have carried so far.
 func (t *trafficCounter) total() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +57,7 @@
 	t.open[c] = struct{}{}
 }
 
-// remove drops a connection that is about to be closed, and retains the count of its packets.
+// remove removes a connection that is about to be closed, and adds its packets to the totals of closed connections.
 func (t *trafficCounter) remove(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
