--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -12,7 +12,8 @@
 	"yokestall/internal/lab/scale"
 )
 
-// testFiles are a run's figures with a line of 2 a node from 10, and the plan.
+// testFiles writes files of figures and returns them as read, with their folder: a run in which the CPU time of a voter is
+// 10 ms/s and 2 ms/s for each node, a file of named numbers, and a report on a process.
 func testFiles(t *testing.T) (Files, string) {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "capacity")
@@ -43,7 +44,7 @@
 	return read, folder
 }
 
-// writeReport writes a report on a process.
+// writeReport writes a report on a process to a file.
 func writeReport(t *testing.T, path string) {
 	t.Helper()
 	report := &process.Report{
@@ -64,7 +65,7 @@
 	}
 }
 
-// A page whose figures follow from the files is good.
+// Check accepts a page whose figures all follow from the files.
 func TestGoodPage(t *testing.T) {
 	all, _ := testFiles(t)
 	page := `# Capacity
@@ -83,7 +84,7 @@
 	}
 }
 
-// A figure that was changed on the page is found, with its line.
+// Check reports a figure that was changed on the page, with its line, and accepts a figure with other decimals.
 func TestChangedFigureOnPage(t *testing.T) {
 	all, _ := testFiles(t)
 	for number, good := range map[string]bool{
@@ -92,12 +93,13 @@
 		page := fmt.Sprintf("# Capacity\n\n%s ms/s<!-- fig: run:idle.voter.cpu.slope -->\n", number)
 		err := Check("page.md", page, all)
 		if (err == nil) != good || err != nil && !strings.HasPrefix(err.Error(), "page.md:3: the page has "+number) {
-			t.Errorf("%s: %v", number, err)
+			t.Errorf("number %s on the page: got error %v, want accepted: %v", number, err, good)
 		}
 	}
 }
 
-// A figure that was changed in a file is found: on the page, or as one that does not follow from the file's points.
+// CheckFile reports a figure that was changed in a file, because the page's figure or the file's derived figures no longer
+// follow from it.
 func TestChangedFigureInFile(t *testing.T) {
 	page := "251 MB<!-- fig: one_process:plan.rest.memory -->, 225<!-- fig: run:untold.apart.n400 -->\n" +
 		"2 ms/s<!-- fig: run:idle.voter.cpu.slope -->, 410<!-- fig: run:idle.voter.cpu.n200 -->, " +
@@ -107,14 +109,14 @@
 		{"run.json", `"slope":2`, `"slope":2.1`, "slope is 2.1, and its points give 2"},
 		{"run.json", `"intercept":10`, `"intercept":12`, "intercept is 12"},
 		{"run.json", `"mean":385`, `"mean":380`, "mean is 380"},
-		{"plan.json", `1900`, `1901`, "page.md:2: the page has 1,900, and plan:nodes is 1901"},
+		{"plan.json", `1900`, `1901`, "page.md:2: the page has 1,900, but plan:nodes is 1901"},
 		{"run.json", `"seed"`, `"sed"`, `unknown field "sed"`},
-		{"run.json", `"count": 225`, `"count": 22`, "page.md:1: the page has 225, and run:untold.apart.n400 is 22"},
-		{"one-process.json", `250.609375`, `240.5`, "page.md:1: the page has 251, and one_process:plan.rest.memory is 240.5"},
+		{"run.json", `"count": 225`, `"count": 22`, "page.md:1: the page has 225, but run:untold.apart.n400 is 22"},
+		{"one-process.json", `250.609375`, `240.5`, "page.md:1: the page has 251, but one_process:plan.rest.memory is 240.5"},
 		{"one-process.json", `"seed"`, `"sed"`, `one-process.json: json: unknown field "sed"`},
 		{
 			"one-process.json", `plan.load.121.services_4.cpu`, `plan.rest.memory`,
-			"another figure is called plan.rest.memory too",
+			"another figure has the name plan.rest.memory in marks too",
 		},
 		{"one-process.json", `"seed": 7`, `"seed": `, "one-process.json:"},
 	} {
@@ -124,7 +126,7 @@
 			t.Fatal(err)
 		}
 		if err := CheckFile(path); err != nil {
-			t.Fatal("before the change: ", err)
+			t.Fatal("the page is rejected before the change: ", err)
 		}
 		name := filepath.Join(folder, change.file)
 		text, err := os.ReadFile(name)
@@ -133,54 +135,54 @@
 		}
 		changed := strings.Replace(string(text), change.old, change.new, 1)
 		if changed == string(text) {
-			t.Fatalf("%s has no %s", change.file, change.old)
+			t.Fatalf("the file %s has no text %s to change", change.file, change.old)
 		}
 		if err := os.WriteFile(name, []byte(changed), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := CheckFile(path); err == nil || !strings.Contains(err.Error(), change.want) {
-			t.Errorf("%s to %s: %v", change.old, change.new, err)
+			t.Errorf("%s changed to %s: got error %v, want one with %q", change.old, change.new, err, change.want)
 		}
 	}
 }
 
-// What is wrong with a page is said with its place.
+// Check rejects invalid pages with an error that says what is wrong.
 func TestBadPages(t *testing.T) {
 	all, _ := testFiles(t)
 	for _, bad := range []struct{ page, want string }{
-		{"nothing", "page.md: has no figure"},
-		{"\n2<!-- fig: run:idle.voter.cpu.slope\n-->", `page.md:2: a mark has no "-->"`},
-		{"| 2 | ms<!-- fig: run:voters -->", "page.md:1: no number stands before"},
-		{"2<!-- fig: 2 --> and<!-- fig: 2 -->", "no number stands before"},
+		{"nothing", "page.md: the page has no figure"},
+		{"\n2<!-- fig: run:idle.voter.cpu.slope\n-->", `page.md:2: the mark has no closing "-->"`},
+		{"| 2 | ms<!-- fig: run:voters -->", "page.md:1: the mark \"run:voters\" has no number before it"},
+		{"2<!-- fig: 2 --> and<!-- fig: 2 -->", "the mark \"2\" has no number before it"},
 		{"2<!-- fig: run:idle.voter.cpu -->", "run.json has no series idle.voter"},
-		{"2<!-- fig: run:idle.voter.cpu.slop -->", "there is no field slop"},
-		{"2<!-- fig: run:idle.voter.cpu.n70 -->", "it was not measured at 70"},
-		{"2<!-- fig: run:idle.node.in.slope -->", "there is no line"},
-		{"2<!-- fig: run:idle.node.in.at(3) -->", "there is no line"},
+		{"2<!-- fig: run:idle.voter.cpu.slop -->", "a series has no field slop"},
+		{"2<!-- fig: run:idle.voter.cpu.n70 -->", "the series has no point at size 70"},
+		{"2<!-- fig: run:idle.node.in.slope -->", "the series has no fitted line"},
+		{"2<!-- fig: run:idle.node.in.at(3) -->", "the series has no fitted line"},
 		{"2<!-- fig: other:voters -->", "there is no file of figures other.json"},
 		{"2<!-- fig: run:words -->", "run.json has no words"},
-		{"2<!-- fig: run:untold.apart.n40 -->", "run.json has no nodes that were late in step apart at 40"},
+		{"2<!-- fig: run:untold.apart.n40 -->", "run.json has no late nodes in step apart at size 40"},
 		{"2<!-- fig: run:untold.apart -->", "is not untold.STEP.nSIZE"},
 		{"2<!-- fig: one_process:plan.rest.cpu -->", "one-process.json has no plan.rest.cpu"},
 		{"2<!-- fig: one_process:words -->", "one-process.json has no words"},
 		{"2<!-- fig: one_process:plan.rest.memory.at(3) -->", "one-process.json has no series plan.rest.memory"},
 		{"2<!-- fig: voters -->", "is not FILE:NAME"},
-		{"2<!-- fig: 1 + -->", "ends too soon"},
+		{"2<!-- fig: 1 + -->", "the formula ends where a number"},
 		{"2<!-- fig: (1 + 1 -->", "parenthesis is missing"},
 		{"2<!-- fig: 1 1 -->", "is not expected here"},
 		{"2<!-- fig: 1 % 1 -->", "is not expected here"},
-		{"2<!-- fig: 1.2.3 -->", "is no number"},
-		{"2<!-- fig: 2 to 0 -->", "a step above 0"},
+		{"2<!-- fig: 1.2.3 -->", "is not a valid number"},
+		{"2<!-- fig: 2 to 0 -->", "a finite number above 0"},
 		{"2<!-- fig: 2 / (3 - run:voters) -->", "division by zero"},
 		{"2<!-- fig: " + strings.Repeat("(", 100) + " -->", "nested too deep"},
 	} {
 		if err := Check("page.md", bad.page, all); err == nil || !strings.Contains(err.Error(), bad.want) {
-			t.Errorf("%q: %v", bad.page, err)
+			t.Errorf("page %q: got error %v, want one with %q", bad.page, err, bad.want)
 		}
 	}
 }
 
-// The repository's own files of figures are good, and so is its page, once there is one.
+// The repository's files of figures are valid, and its page follows from them if the page exists.
 func TestOwnPage(t *testing.T) {
 	const folder, page = "../../../docs/capacity", "../../../docs/CAPACITY.md"
 	if _, err := ReadFiles(folder); err != nil {
--- a/internal/lab/capacity/content_test.go
+++ b/internal/lab/capacity/content_test.go
@@ -11,8 +11,8 @@
 	"yokestall/internal/lab/process"
 )
 
-// The bytes of the configuration in docs/capacity/content.json are those that the generator of `yokestall lab
-// process` writes.
+// The sizes of the configuration in docs/capacity/content.json equal those of the files that the generator of
+// `yokestall lab process` writes.
 func TestContentSizes(t *testing.T) {
 	const folder = "../../../docs/capacity"
 	all, err := ReadFiles(folder)
@@ -58,7 +58,7 @@
 	} {
 		got, err := Figure{"content", name}.Value(all)
 		if err != nil || got != float64(want) {
-			t.Errorf("content.json has %s %v (%v), and the generator writes %d", name, got, err, want)
+			t.Errorf("%s: got %v (error %v) from content.json, want the generator's size %d", name, got, err, want)
 		}
 	}
 }
--- a/internal/lab/capacity/expression.go
+++ b/internal/lab/capacity/expression.go
@@ -2,36 +2,37 @@
 
 import "errors"
 
-// Expression is what a figure on a page is calculated by.
+// Expression calculates a figure on a page.
 type Expression interface {
-	// Value calculates it from files of figures.
+	// Value calculates the figure from files of figures.
 	Value(files Files) (float64, error)
 }
 
-// Formula is an expression, and the step that its value is rounded to; 0: as many decimals as the page shows.
+// Formula is the content of a mark: an expression, and the step to whose multiples its value is rounded. If Step is 0, the
+// value is rounded to as many decimals as the number on the page has.
 type Formula struct {
 	Expression
 	Step float64
 }
 
-// Number is a number in an expression.
+// Number is a literal number in an expression.
 type Number float64
 
 // Value returns the number.
 func (n Number) Value(Files) (float64, error) { return float64(n), nil }
 
-// Operator combines two expressions: +, -, * or /.
+// Operator is an arithmetic operator: +, -, * or /.
 type Operator byte
 
-// Operation is two expressions, combined.
+// Operation combines two expressions by an operator.
 type Operation struct {
 	Operator    Operator
 	Left, Right Expression
 }
 
-var errZero = errors.New("division by zero")
+var errDivisionByZero = errors.New("division by zero")
 
-// Value calculates both sides and combines them. The error is a side's, or a division by zero.
+// Value calculates both operands and combines them. It returns an error if an operand has one, or on division by zero.
 func (o Operation) Value(files Files) (float64, error) {
 	left, err := o.Left.Value(files)
 	if err != nil {
@@ -50,17 +51,17 @@
 		return left * right, nil
 	}
 	if right == 0 {
-		return 0, errZero
+		return 0, errDivisionByZero
 	}
 	return left / right, nil
 }
 
-// Figure is a figure of a file, by its name there.
+// Figure is a reference to a figure by its name in a file.
 type Figure struct {
 	File, Name string
 }
 
-// Value returns the file's figure.
+// Value returns the figure's value in the file.
 func (g Figure) Value(files Files) (float64, error) {
 	f, err := files.file(g.File)
 	if err != nil {
@@ -69,13 +70,13 @@
 	return f.Value(g.Name)
 }
 
-// Line is the value of a series' line at a size.
+// Line is a reference to the value, at a size, of the line fitted to a series.
 type Line struct {
 	Series Figure
 	Size   Expression
 }
 
-// Value returns the line's value.
+// Value returns the value of the fitted line at the size.
 func (l Line) Value(files Files) (float64, error) {
 	f, err := files.file(l.Series.File)
 	if err != nil {
--- a/internal/lab/capacity/files.go
+++ b/internal/lab/capacity/files.go
@@ -13,17 +13,19 @@
 
 // File is a file of figures.
 type File interface {
-	// Value returns a figure by its name. The error names the file and what it does not have.
+	// Value returns the figure with the given name. The error names the file and what the file lacks.
 	Value(name string) (float64, error)
-	// LineAt returns the value at a size of the line through a series' points. The error is as that of Value.
+	// LineAt returns the value, at a size, of the line fitted to a series. The error names the file and what the file
+	// lacks.
 	LineAt(series string, size float64) (float64, error)
 }
 
-// Files are files of figures, by their names without the folder and ".json", with "_" for each "-".
+// Files maps names in marks to files of figures. A file's name in marks is its base name without ".json", with "_" in
+// place of each "-".
 type Files map[string]File
 
-// ReadFiles reads all files of figures of a folder, at least one. The error names the file that can't be read or whose
-// figures don't follow from its points.
+// ReadFiles reads all files of figures in a folder. It returns an error if there is none, if a file can't be read or its
+// figures don't follow from its points, or if two files have the same name in marks. The error names the file or folder.
 func ReadFiles(folder string) (Files, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
@@ -40,17 +42,17 @@
 		}
 		name := markName(strings.TrimSuffix(filepath.Base(path), ".json"))
 		if files[name] != nil {
-			return nil, fmt.Errorf("%s: another file is called %s too", path, name)
+			return nil, fmt.Errorf("%s: another file has the name %s in marks too", path, name)
 		}
 		files[name] = f
 	}
 	return files, nil
 }
 
-// markName returns a name as marks have it, where a minus always subtracts.
+// markName returns a name as it is written in marks, with "_" in place of each "-", because "-" always subtracts there.
 func markName(name string) string { return strings.ReplaceAll(name, "-", "_") }
 
-// readFile reads a file of either kind: only a report on a process has "figures".
+// readFile reads a file of either kind. A file with the key "figures" is a report written by `yokestall lab process`.
 func readFile(path string) (File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +75,7 @@
 	return fleetFile{path, f}, err
 }
 
-// file returns a file by its name in marks.
+// file returns the file with the given name in marks.
 func (files Files) file(name string) (File, error) {
 	f := files[name]
 	if f == nil {
--- a/internal/lab/capacity/fleetfile.go
+++ b/internal/lab/capacity/fleetfile.go
@@ -10,13 +10,13 @@
 	"yokestall/internal/lab/scale"
 )
 
-// lateNodesPrefix begins the names of counts of nodes that did not act in time.
+// lateNodesPrefix is the prefix of figures' names that count the late nodes of a step.
 const lateNodesPrefix = "untold."
 
-// errNoLine is of a series that has points of less than two sizes.
-var errNoLine = errors.New("there is no line through its points")
+// errNoLine is the error for a series without a fitted line, because its points have fewer than two sizes.
+var errNoLine = errors.New("the series has no fitted line: its points have fewer than two sizes")
 
-// fleetFile is what `yokestall lab scale` has written, or a file of named numbers.
+// fleetFile is a file of figures written by `yokestall lab scale`, or a file of named numbers.
 type fleetFile struct {
 	path    string
 	figures *scale.Figures
@@ -60,10 +60,10 @@
 	return s.Fit.Slope*size + s.Fit.Intercept, nil
 }
 
-// fileName returns the file's name for messages.
+// fileName returns the file's base name, for messages.
 func (f fleetFile) fileName() string { return filepath.Base(f.path) }
 
-// series returns a series by its key.
+// series returns the series with the given key.
 func (f fleetFile) series(key string) (*scale.Series, error) {
 	s := f.figures.Series[key]
 	if s == nil {
@@ -72,26 +72,28 @@
 	return s, nil
 }
 
-// lateNodes returns how many nodes a step's last wait left behind at a size, by STEP.nSIZE.
+// lateNodes returns the number of nodes that did not act on a version within the timeout, for a name of the form
+// STEP.nSIZE. A step that waits several times can have several entries for a size; the last entry counts.
 func (f fleetFile) lateNodes(name string) (float64, error) {
 	step, size, found := strings.Cut(name, ".n")
 	at, err := strconv.Atoi(size)
 	if !found || err != nil {
 		return 0, fmt.Errorf("%s%s is not %sSTEP.nSIZE", lateNodesPrefix, name, lateNodesPrefix)
 	}
-	count := -1 // of the last entry of the step and size
+	count := -1 // count of the last entry for the step and size; -1 if there is none
 	for _, u := range f.figures.Late {
 		if u.Step == step && u.Size == at {
 			count = u.Count
 		}
 	}
 	if count < 0 {
-		return 0, fmt.Errorf("%s has no nodes that were late in step %s at %d", f.fileName(), step, at)
+		return 0, fmt.Errorf("%s has no late nodes in step %s at size %d", f.fileName(), step, at)
 	}
 	return float64(count), nil
 }
 
-// property returns a property of a run; false: it is not known, or no run has written the file.
+// property returns a property of a run by its name. It returns false if there is no property of that name, or if the file
+// has no series and so was not written by a run.
 func property(f *scale.Figures, name string) (float64, bool) {
 	properties := map[string]float64{
 		"voters":    float64(f.Voters),
@@ -110,7 +112,7 @@
 	return v, known && len(f.Series) > 0
 }
 
-// seriesField returns a field of a series.
+// seriesField returns a field of a series by its name in marks.
 func seriesField(s *scale.Series, field string) (float64, error) {
 	switch field {
 	case "mean":
@@ -135,12 +137,12 @@
 	}
 	v, known := fields[field]
 	if !known {
-		return 0, fmt.Errorf("there is no field %s", field)
+		return 0, fmt.Errorf("a series has no field %s", field)
 	}
 	return v, nil
 }
 
-// valueAt returns the mean of the points at a size.
+// valueAt returns the mean value of a series' points at a size.
 func valueAt(s *scale.Series, size float64) (float64, error) {
 	total, count := 0.0, 0
 	for _, p := range s.Points {
@@ -150,7 +152,7 @@
 		}
 	}
 	if count == 0 {
-		return 0, fmt.Errorf("it was not measured at %v", size)
+		return 0, fmt.Errorf("the series has no point at size %v", size)
 	}
 	return total / float64(count), nil
 }
--- a/internal/lab/capacity/parser.go
+++ b/internal/lab/capacity/parser.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// signs are the tokens of one character.
+	// signs are the tokens that consist of one character.
 	signs = "+-*/()"
-	// nameCharacters are what names and numbers are made of.
+	// nameCharacters are the characters of names and numbers.
 	nameCharacters = "abcdefghijklmnopqrstuvwxyz0123456789_.:"
-	// maxDepth is how deep operands may be nested.
+	// maxDepth is the maximum depth of nested operands.
 	maxDepth = 32
 )
 
-// ParseFormula parses a formula.
+// ParseFormula parses the formula of a mark: an expression, and optionally "to STEP".
 func ParseFormula(text string) (*Formula, error) {
 	p := &parser{rest: text}
 	p.advance()
@@ -29,7 +29,7 @@
 	if p.token == "to" {
 		p.advance()
 		if f.Step, err = strconv.ParseFloat(p.token, 64); err != nil || f.Step <= 0 || math.IsInf(f.Step, 0) {
-			return nil, fmt.Errorf("to %q: a step above 0 is wanted", p.token)
+			return nil, fmt.Errorf("to %q: the step must be a finite number above 0", p.token)
 		}
 		p.advance()
 	}
@@ -41,12 +41,13 @@
 
 // parser parses an expression by recursive descent.
 type parser struct {
-	token string // the next one; "": the end
-	rest  string // of the text, after the token
-	depth int
+	token string // the next token; "" at the end of the text
+	rest  string // the text after the token
+	depth int    // depth of nested operands
 }
 
-// advance reads the next token: a sign, or a name or number.
+// advance reads the next token: a sign, a name or a number. Any other character is a token too, which operand and
+// ParseFormula reject.
 func (p *parser) advance() {
 	p.rest = strings.TrimLeft(p.rest, " \t")
 	end := 0
@@ -59,13 +60,13 @@
 	p.token, p.rest = p.rest[:end], p.rest[end:]
 }
 
-// sum parses products that are added and subtracted.
+// sum parses products that are combined by + and -.
 func (p *parser) sum() (Expression, error) { return p.operations("+-", p.product) }
 
-// product parses operands that are multiplied and divided.
+// product parses operands that are combined by * and /.
 func (p *parser) product() (Expression, error) { return p.operations("*/", p.operand) }
 
-// operations parses operands between operators of one precedence, from left to right.
+// operations parses operands that are combined by operators of one precedence, from left to right.
 func (p *parser) operations(operators string, operand func() (Expression, error)) (Expression, error) {
 	left, err := operand()
 	for err == nil && p.token != "" && strings.Contains(operators, p.token) {
@@ -79,16 +80,16 @@
 	return left, err
 }
 
-// operand parses a number, a figure, an operand with a minus, or an expression in parentheses.
+// operand parses a number, a figure, an operand after a minus sign, or an expression in parentheses.
 func (p *parser) operand() (Expression, error) {
 	if p.depth++; p.depth > maxDepth {
-		return nil, errors.New("is nested too deep")
+		return nil, errors.New("the formula is nested too deep")
 	}
 	defer func() { p.depth-- }()
 	token := p.token
 	switch {
 	case token == "":
-		return nil, errors.New("ends too soon")
+		return nil, errors.New("the formula ends where a number, a figure or a parenthesis is expected")
 	case token == "-":
 		p.advance()
 		e, err := p.operand()
@@ -103,14 +104,14 @@
 	if token[0] >= '0' && token[0] <= '9' {
 		v, err := strconv.ParseFloat(token, 64)
 		if err != nil {
-			return nil, fmt.Errorf("%q is no number", token)
+			return nil, fmt.Errorf("%q is not a valid number", token)
 		}
 		return Number(v), nil
 	}
 	return p.figure(token)
 }
 
-// parenthesis parses an expression up to its closing sign, after the opening one.
+// parenthesis parses an expression and the closing parenthesis, after the opening parenthesis.
 func (p *parser) parenthesis() (Expression, error) {
 	e, err := p.sum()
 	if err != nil {
@@ -123,7 +124,8 @@
 	return e, nil
 }
 
-// figure parses what a name, the token before the next, begins: a figure, or a line's value at a size.
+// figure parses a figure, or the value of a fitted line at a size. token is the name with which it begins; p.token is the
+// token after the name.
 func (p *parser) figure(token string) (Expression, error) {
 	file, name, found := strings.Cut(token, ":")
 	if !found || file == "" || name == "" || strings.ContainsAny(name, ":") || strings.Contains(file, ".") {
--- a/internal/lab/capacity/processfile.go
+++ b/internal/lab/capacity/processfile.go
@@ -8,19 +8,20 @@
 	"yokestall/internal/lab/process"
 )
 
-// processFile is what `yokestall lab process` has written.
+// processFile is a file of figures written by `yokestall lab process`.
 type processFile struct {
 	path   string
-	values map[string]float64 // figures and dimensions of sizes, by name
+	values map[string]float64 // figures, dimensions of sizes and properties of the run, by their names in marks
 }
 
-// newProcessFile names what a report has. The error is of names that are the same in marks.
+// newProcessFile collects the values of a report under their names in marks. It returns an error if two values have the
+// same name.
 func newProcessFile(path string, r *process.Report) (processFile, error) {
 	f := processFile{path: path, values: map[string]float64{}}
 	add := func(name string, value float64) error {
 		name = markName(name)
 		if _, taken := f.values[name]; taken {
-			return fmt.Errorf("%s: another figure is called %s too", path, name)
+			return fmt.Errorf("%s: another figure has the name %s in marks too", path, name)
 		}
 		f.values[name] = value
 		return nil
@@ -59,7 +60,8 @@
 	return 0, fmt.Errorf("%s has no %s", filepath.Base(f.path), name)
 }
 
-// LineAt implements File: a report has no series, and a page calculates lines from figures.
+// LineAt implements File. It always returns an error, because a report on a process has no series: a page calculates
+// lines from the report's figures instead.
 func (f processFile) LineAt(series string, _ float64) (float64, error) {
-	return 0, fmt.Errorf("%s has no series %s: there are no lines in a report on a process", filepath.Base(f.path), series)
+	return 0, fmt.Errorf("%s has no series %s: a report on a process has no fitted lines", filepath.Base(f.path), series)
 }
