--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -106,7 +106,7 @@
 		"385<!-- fig: run:idle.voter.cpu.mean -->, 1,900<!-- fig: plan:nodes -->\n"
 	for _, change := range []struct{ file, old, new, want string }{
 		{"run.json", `"value":410`, `"value":430`, "run.json:"},
-		{"run.json", `"slope":2`, `"slope":2.1`, "slope is 2.1, and its points give 2"},
+		{"run.json", `"slope":2`, `"slope":2.1`, "slope is 2.1, but the points give 2"},
 		{"run.json", `"intercept":10`, `"intercept":12`, "intercept is 12"},
 		{"run.json", `"mean":385`, `"mean":380`, "mean is 380"},
 		{"plan.json", `1900`, `1901`, "page.md:2: the page has 1,900, but plan:nodes is 1901"},
--- a/internal/lab/scale/figures.go
+++ b/internal/lab/scale/figures.go
@@ -185,7 +185,7 @@
 	has, wanted := s.derived(), want.derived()
 	for i, d := range has {
 		if !approximatelyEqual(d.value, wanted[i].value, math.Abs(s.Max)) {
-			return fmt.Errorf("%s is %v, and its points give %v", d.name, d.value, wanted[i].value)
+			return fmt.Errorf("%s is %v, but the points give %v", d.name, d.value, wanted[i].value)
 		}
 	}
 	return nil
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -15,7 +15,7 @@
 // Placement gives the hollow nodes of a process, and the numbers of regions and zones over which the hollow nodes of the
 // whole run are spread.
 type Placement struct {
-	First, Count   int // the first node's number among all hollow nodes, from 0, and how many nodes follow from it
+	First, Count   int // number of the first node among all hollow nodes, from 0, and the count of nodes
 	Offset         int // how many nodes of the fleet are not hollow; their node numbers come first
 	Regions, Zones int
 }
--- a/internal/lab/scale/states.go
+++ b/internal/lab/scale/states.go
@@ -17,8 +17,8 @@
 	Region       int           `json:"region"`
 	Zone         int           `json:"zone"`
 	Version      uint64        `json:"number"` // version number; 0 if the node acts on no version
-	Complete     bool          `json:"whole"`  // false if the node acts on a stricter combination with a pending version
-	Disconnected bool          `json:"alone"`  // the node's lease has expired
+	Complete     bool          `json:"whole"`  // whether the node acts on Version alone, without a pending version
+	Disconnected bool          `json:"alone"`  // whether the node's lease has expired
 	ChangedAt    time.Duration `json:"at"`     // time of the last change of this state
 	AppliedAt    time.Duration `json:"took"`   // time of the first complete use of Version under a lease since the node's start
 }
