--- a/internal/app/state.go
+++ b/internal/app/state.go
@@ -49,7 +49,7 @@
 
 // newSettings returns the policy's settings for a program, or the previous settings if they are equal. previous may be nil.
 func newSettings(previous *policy.Settings, p *config.Program, tenants *tenantTable) (*policy.Settings, error) {
-	s := policy.Defaults()
+	s := policy.DefaultSettings()
 	s.NodeCount, s.NodeIndex, s.Zone = p.Nodes, p.Node, zoneNumber(p.Zone)
 	s.Limits, s.Rules = p.Limits, p.Rules
 	s.Tick = 0 // events are handled immediately
--- a/internal/config/parseprogram.go
+++ b/internal/config/parseprogram.go
@@ -47,7 +47,7 @@
 
 // defaultProgramFile returns a programFile with the values of keys that the file may omit.
 func defaultProgramFile() *programFile {
-	f, rules := &programFile{}, policy.Defaults().Rules
+	f, rules := &programFile{}, policy.DefaultSettings().Rules
 	f.Keys.Poll.Duration = time.Second
 	f.Upstream.Connections, f.Upstream.Idle.Duration = 512, 15*time.Second
 	f.Upstream.ConnectTimeout.Duration = 250 * time.Millisecond
@@ -79,7 +79,7 @@
 		Rules: policy.Rules{
 			SlowStartMinCapacity: f.Fleet.ColdFrom, SlowStartWindow: f.Fleet.ColdFor.Duration,
 			OverloadMultiple: f.Fleet.FallMultiple, OverloadDuration: f.Fleet.FallFor.Duration,
-			MaxPollInterval: policy.Defaults().Rules.MaxPollInterval,
+			MaxPollInterval: policy.DefaultSettings().Rules.MaxPollInterval,
 		},
 		Nodes: f.Fleet.Nodes, Node: f.Fleet.Node, Zone: f.Fleet.Zone,
 	}
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -19,7 +19,7 @@
 )
 
 func settings() policy.Settings {
-	s := policy.Defaults()
+	s := policy.DefaultSettings()
 	s.Classes = []policy.Class{
 		{Idempotency: policy.Idempotent},
 		{Idempotency: policy.IdempotentByKey, DedupScope: policy.ScopeAll, DedupWindow: 20 * time.Second},
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -35,7 +35,7 @@
 			SlowStartMinCapacity: between(0.1, 0.4),
 			SlowStartWindow:      seconds(5, 10),
 		},
-		Settings:       policy.Defaults(),
+		Settings:       policy.DefaultSettings(),
 		Clients:        Clients{Retries: 1, Backoff: 50 * ms, HonorRetryAfter: 0.8},
 		FirstNodeShare: []float64{0, 0.2, 0.5}[rng.IntN(3)],
 		Load: model.Curve{
--- a/internal/lab/dayparser.go
+++ b/internal/lab/dayparser.go
@@ -72,7 +72,7 @@
 			AlignTo:         f.Clients.AlignTo.Duration,
 		},
 		FirstNodeShare: f.FirstNodeShare,
-		Settings:       policy.Defaults(),
+		Settings:       policy.DefaultSettings(),
 	}
 }
 
--- a/internal/node/detach_histories_test.go
+++ b/internal/node/detach_histories_test.go
@@ -69,7 +69,7 @@
 		h.endpoints = &endpointWatcher{
 			sink: h, zoneIndex: map[string]int{}, source: &discoverySource{}, initialized: make(chan struct{}),
 		}
-		settings := policy.Defaults()
+		settings := policy.DefaultSettings()
 		settings.Classes = []policy.Class{{
 			Deadline: 2 * time.Second, LatencyObjective: time.Second, PriorityWeight: 1, Idempotency: policy.Idempotent,
 		}}
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -101,7 +101,7 @@
 // the values of policy.Defaults. A class without the key "Effect" is not idempotent. The error names the key, except
 // for malformed JSON and for a time that is out of range.
 func ParseSettings(text []byte) (policy.Settings, error) {
-	s := policy.Defaults()
+	s := policy.DefaultSettings()
 	var m settingsMessage
 	if err := json.Unmarshal(text, &m); err != nil {
 		return s, fmt.Errorf("settings: %w", err)
--- a/internal/testutil/enginetest/enginetest.go
+++ b/internal/testutil/enginetest/enginetest.go
@@ -17,7 +17,7 @@
 	t testing.TB, addr string, clock engine.Clock, o h1client.Options,
 ) (*engine.Cluster, *h1client.Pool) {
 	t.Helper()
-	settings := policy.Defaults()
+	settings := policy.DefaultSettings()
 	settings.Limits.AllowCancel = true
 	settings.Classes = []policy.Class{{
 		Deadline: time.Hour, LatencyObjective: time.Minute, PriorityWeight: 1, Idempotency: policy.Idempotent,
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -25,7 +25,7 @@
 // A request is answered, one is retried at another endpoint and answered, and one is rejected because no
 // endpoint is left.
 func Example() {
-	settings := policy.Defaults()
+	settings := policy.DefaultSettings()
 	settings.Classes = []policy.Class{{
 		Deadline: 2 * time.Second, LatencyObjective: 500 * time.Millisecond,
 		PriorityWeight: 1, Idempotency: policy.Idempotent,
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -72,7 +72,7 @@
 // testSettings returns settings with three classes: idempotent, idempotent by key and not idempotent, in
 // this order.
 func testSettings() Settings {
-	s := Defaults()
+	s := DefaultSettings()
 	class := Class{Deadline: 2 * time.Second, LatencyObjective: 800 * ms, PriorityWeight: 1}
 	keyed, nonIdempotent := class, class
 	keyed.Idempotency, keyed.DedupScope, keyed.DedupWindow = IdempotentByKey, ScopeCell, time.Second
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -89,9 +89,9 @@
 	Costs           Costs
 }
 
-// Defaults returns the default settings: one attempt, no hedging, no cancelling, and the most cautious
+// DefaultSettings returns the default settings: one attempt, no hedging, no cancelling, and the most cautious
 // parameters of slow start. They have no classes, so they do not pass Check.
-func Defaults() Settings {
+func DefaultSettings() Settings {
 	return Settings{
 		NodeCount:       1,
 		OverQuotaWeight: 1,
