--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -174,6 +174,6 @@
 			}
 			certificateNames[name] = true
 		}
-		p.Tenants = append(p.Tenants, Tenant{t.Name, t.Certificates, policy.Tenant{QuotaPerS: t.QuotaPerS}})
+		p.Tenants = append(p.Tenants, Tenant{t.Name, t.Certificates, policy.Tenant{QuotaPerSecond: t.QuotaPerS}})
 	}
 }
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -11,7 +11,7 @@
 // rejected without the line and the key that are wrong.
 func TestParseTenants(t *testing.T) {
 	list, err := ParseTenants(File{"t.toml", []byte(tenantsText)})
-	if err != nil || len(list) != 2 || list[0].Name != "a" || list[0].QuotaPerS != 20 || list[1].Certificates[0] != "b.example.org" {
+	if err != nil || len(list) != 2 || list[0].Name != "a" || list[0].QuotaPerSecond != 20 || list[1].Certificates[0] != "b.example.org" {
 		t.Fatalf("got %+v, error %v; want the tenants a and b of tenantsText", list, err)
 	}
 	if list, err := ParseTenants(File{"t.toml", []byte("[end]\ntenants = 0\n")}); err != nil || len(list) != 0 {
--- a/internal/files/golden_test.go
+++ b/internal/files/golden_test.go
@@ -44,7 +44,7 @@
 	if c := s.Program.Classes; len(c) != 1 || c[0].Name != "class-a" || c[0].Deadline != 2*time.Second {
 		t.Errorf("classes are %+v, want class-a with a deadline of 2 s", c)
 	}
-	if l := s.Program.Tenants; len(l) != 1 || l[0].Name != "tenant-a" || l[0].QuotaPerS != 21 {
+	if l := s.Program.Tenants; len(l) != 1 || l[0].Name != "tenant-a" || l[0].QuotaPerSecond != 21 {
 		t.Errorf("tenants are %+v, want tenant-a with a quota of 21 per second", l)
 	}
 	list := s.Version.Clusters["rooms"].Endpoints
--- a/internal/files/tenants_test.go
+++ b/internal/files/tenants_test.go
@@ -34,7 +34,7 @@
 	f, name, text := newTenantsFixture(t, 5)
 	r := watchManually(f)
 	first := r.w.current.Program
-	if len(first.Tenants) != 5 || first.Tenants[0].QuotaPerS != 20 {
+	if len(first.Tenants) != 5 || first.Tenants[0].QuotaPerSecond != 20 {
 		t.Fatalf("tenants are %+v, want 5 with a quota of 20 for the first", first.Tenants)
 	}
 	change := func(name, text string) *Configuration {
@@ -58,7 +58,7 @@
 	if s := change(f.roomsFile(), clusterText("", 1, 2, 3, 5)); s.Program != before {
 		t.Error("after a change of an endpoint list the program is not the same value")
 	}
-	if s := change(name, tenantsFile(6, 30)); len(s.Program.Tenants) != 6 || s.Program.Tenants[0].QuotaPerS != 30 || s.Program.Table != before.Table {
+	if s := change(name, tenantsFile(6, 30)); len(s.Program.Tenants) != 6 || s.Program.Tenants[0].QuotaPerSecond != 30 || s.Program.Table != before.Table {
 		t.Error("after a change of the tenants the routes are not the same value, or the tenants are unchanged")
 	}
 	awaitClockTick(t)
@@ -67,7 +67,7 @@
 		t.Error("an incomplete tenants file is accepted")
 	}
 	f.writeFile(name, tenantsFile(6, 40))
-	if s := r.poll(); s == nil || s.Program.Tenants[0].QuotaPerS != 40 {
+	if s := r.poll(); s == nil || s.Program.Tenants[0].QuotaPerSecond != 40 {
 		t.Error("the complete tenants file is not accepted")
 	}
 	r.settle()
@@ -85,7 +85,7 @@
 	f, name, text := newTenantsFixture(t, 5)
 	f.watch()
 	f.replaceFile(name, tenantsFile(5, 30))
-	if s := f.awaitVersion(); s.Program.Tenants[0].QuotaPerS != 30 {
+	if s := f.awaitVersion(); s.Program.Tenants[0].QuotaPerSecond != 30 {
 		t.Errorf("the first tenant is %+v, want a quota of 30", s.Program.Tenants[0])
 	}
 	f.writeFile(name, tenantsFile(5, -1))
@@ -94,7 +94,7 @@
 		t.Errorf("Check of a negative quota returned error %v, want the logged one", err)
 	}
 	f.writeFile(name, tenantsFile(5, 7))
-	if s := f.awaitVersion(); s.Program.Tenants[0].QuotaPerS != 7 {
+	if s := f.awaitVersion(); s.Program.Tenants[0].QuotaPerSecond != 7 {
 		t.Errorf("the first tenant is %+v, want a quota of 7", s.Program.Tenants[0])
 	}
 	if _, _, err := Check(name); err != nil {
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -30,7 +30,7 @@
 			{Deadline: 1402 * ms, LatencyObjective: 582 * ms, ObjectiveWorkFactor: 5.25, LateWeight: 0.52, PriorityWeight: 3.25, Idempotency: policy.Idempotent, DedupScope: policy.ScopeAll, DedupWindow: 5002 * ms},
 			{Deadline: 1403 * ms, LatencyObjective: 583 * ms, ObjectiveWorkFactor: 6.25, LateWeight: 0.53, PriorityWeight: 4.25, Idempotency: policy.NotIdempotent, DedupScope: policy.ScopeCell, DedupWindow: 5003 * ms},
 		},
-		Tenants:         []policy.Tenant{{QuotaPerS: 84.5}, {QuotaPerS: 85.5}},
+		Tenants:         []policy.Tenant{{QuotaPerSecond: 84.5}, {QuotaPerSecond: 85.5}},
 		OverQuotaWeight: 0.05, WeightPerWork: true, PollEndpoints: true, Tick: 7 * ms,
 		Limits: policy.Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true, MaxRetryAfter: 605 * ms},
 		Rules:  policy.Rules{SlowStartMinCapacity: 0.32, SlowStartWindow: 8801 * ms, OverloadMultiple: 3.5, OverloadDuration: 1002 * ms, MaxPollInterval: 9003 * ms, AnswerGrace: 104 * ms},
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -127,7 +127,7 @@
 		s.Classes = append(s.Classes, class)
 	}
 	for _, t := range m.Tenants {
-		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: t.QuotaPerS})
+		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerSecond: t.QuotaPerS})
 	}
 	if math.IsNaN(s.OverQuotaWeight) {
 		return s, fmt.Errorf("settings: OverShareWorth: the value is not a number")
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -26,7 +26,7 @@
 	c := s.Classes[0]
 	if s.NodeCount != 2 || s.Zone != 1 || !s.WeightPerWork || !s.PollEndpoints ||
 		s.OverQuotaWeight != 0.05 ||
-		s.Tenants[0].QuotaPerS != 84 || c.Idempotency != policy.IdempotentByKey || c.DedupScope != policy.ScopeZone ||
+		s.Tenants[0].QuotaPerSecond != 84 || c.Idempotency != policy.IdempotentByKey || c.DedupScope != policy.ScopeZone ||
 		c.DedupWindow != 5*time.Second || c.LatencyObjective != 580*time.Millisecond || c.LateWeight != 0.5 ||
 		!c.Stream || c.ObjectiveWorkFactor != 4 ||
 		s.Limits != (policy.Limits{
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -99,7 +99,7 @@
 // Guards against a tenant whose requests beyond its quota take the capacity of other tenants.
 func TestOverQuotaTrafficWaitsBehindTheRest(t *testing.T) {
 	set := testSettings()
-	set.Tenants = []Tenant{{QuotaPerS: 2}, {QuotaPerS: 100}}
+	set.Tenants = []Tenant{{QuotaPerSecond: 2}, {QuotaPerSecond: 100}}
 	set.OverQuotaWeight = 0.05
 	r := newRig(t, set, 1)
 	request := func(tenant int) RequestID {
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -159,7 +159,7 @@
 func runScript(t *testing.T, seed uint64) []string {
 	set := testSettings()
 	set.Classes[0].LateWeight = 0.5
-	set.Tenants = []Tenant{{QuotaPerS: 50}}
+	set.Tenants = []Tenant{{QuotaPerSecond: 50}}
 	h := &invariantHost{fakeHost: newFakeHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
 		requests: map[RequestID]*trackedRequest{}, finalAnswers: map[RequestID]int{}, endpoints: map[EndpointID]Endpoint{}}
 	b, err := New(set, seed, h)
--- a/policy/quotas.go
+++ b/policy/quotas.go
@@ -37,8 +37,8 @@
 func NewQuotas(tenants []Tenant, nodes int) (*Quotas, error) {
 	q := &Quotas{tenants: tenants, nodes: float64(nodes), buckets: make([]bucket, len(tenants))}
 	for i, t := range tenants {
-		if !finiteNonNegative(t.QuotaPerS) {
-			return nil, &SettingError{Field: fmt.Sprintf("Tenants[%d].QuotaPerS", i), Value: t.QuotaPerS}
+		if !finiteNonNegative(t.QuotaPerSecond) {
+			return nil, &SettingError{Field: fmt.Sprintf("Tenants[%d].QuotaPerS", i), Value: t.QuotaPerSecond}
 		}
 		q.buckets[i].tokens = q.perSecond(i)
 	}
@@ -46,7 +46,7 @@
 }
 
 // perSecond returns the rate of a tenant's bucket at this node, in requests per second; 0 means no limit.
-func (q *Quotas) perSecond(tenant int) float64 { return q.tenants[tenant].QuotaPerS / q.nodes }
+func (q *Quotas) perSecond(tenant int) float64 { return q.tenants[tenant].QuotaPerSecond / q.nodes }
 
 // take takes a token for a request and reports whether the request is within its tenant's quota. A request
 // of an unknown tenant is always within its quota.
--- a/policy/quotas_test.go
+++ b/policy/quotas_test.go
@@ -35,8 +35,8 @@
 		tenants := make([]Tenant, 5)
 		model := make([]modelBucket, len(tenants))
 		for i := range tenants {
-			tenants[i].QuotaPerS = float64(i) * float64(rng.IntN(50))
-			rate := tenants[i].QuotaPerS / float64(nodes)
+			tenants[i].QuotaPerSecond = float64(i) * float64(rng.IntN(50))
+			rate := tenants[i].QuotaPerSecond / float64(nodes)
 			model[i] = modelBucket{rate: rate, tokens: rate}
 		}
 		quotas, err := NewQuotas(tenants, nodes)
@@ -49,7 +49,7 @@
 			tenant := rng.IntN(len(tenants))
 			if got, want := quotas.take(now, tenant), model[tenant].take(now); got != want {
 				t.Fatalf("seed %d, step %d, tenant %d with quota %v: within its quota %v, want %v",
-					seed, step, tenant, tenants[tenant].QuotaPerS, got, want)
+					seed, step, tenant, tenants[tenant].QuotaPerSecond, got, want)
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 // each tenant's quota.
 func TestBalancersShareQuotas(t *testing.T) {
 	const quota, clusters = 10, 5
-	quotas, err := NewQuotas([]Tenant{{QuotaPerS: quota}}, 1)
+	quotas, err := NewQuotas([]Tenant{{QuotaPerSecond: quota}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,11 +91,11 @@
 // one second.
 func TestQuotasRestore(t *testing.T) {
 	now := time.Hour
-	before, _ := NewQuotas([]Tenant{{QuotaPerS: 3}, {QuotaPerS: 3}}, 1)
+	before, _ := NewQuotas([]Tenant{{QuotaPerSecond: 3}, {QuotaPerSecond: 3}}, 1)
 	for range 3 {
 		before.take(now, 1)
 	}
-	after, _ := NewQuotas([]Tenant{{QuotaPerS: 3}, {QuotaPerS: 3}}, 1)
+	after, _ := NewQuotas([]Tenant{{QuotaPerSecond: 3}, {QuotaPerSecond: 3}}, 1)
 	after.Restore(before, func(tenant int) int { return map[int]int{0: 1, 1: -1}[tenant] })
 	if after.take(now, 0) {
 		t.Error("a quota that was used up has tokens after Restore")
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -42,7 +42,7 @@
 
 // Tenant is a client or group of clients with a common quota.
 type Tenant struct {
-	QuotaPerS float64 // requests per second over all nodes; 0 means no limit
+	QuotaPerSecond float64 // requests per second over all nodes; 0 means no limit
 }
 
 // Limits are the operator's limits on attempts and answers.
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -25,7 +25,7 @@
 		{"Classes[0].Idempotency", func(s *Settings) { s.Classes[0].Idempotency = 9 }},
 		{"Classes[0].DedupScope", func(s *Settings) { s.Classes[0].DedupScope = 9 }},
 		{"Classes[0].DedupWindow", func(s *Settings) { s.Classes[0].DedupWindow = -1 }},
-		{"Tenants[0].QuotaPerS", func(s *Settings) { s.Tenants = []Tenant{{QuotaPerS: -1}} }},
+		{"Tenants[0].QuotaPerS", func(s *Settings) { s.Tenants = []Tenant{{QuotaPerSecond: -1}} }},
 		{"OverQuotaWeight", func(s *Settings) { s.OverQuotaWeight = nan }},
 		{"Limits.MaxAttempts", func(s *Settings) { s.Limits.MaxAttempts = 0 }},
 		{"Limits.MaxRetryAfter", func(s *Settings) { s.Limits.MaxRetryAfter = -1 }},
