--- a/internal/keepalive/sizing.go
+++ b/internal/keepalive/sizing.go
@@ -17,8 +17,8 @@
 	minIdleTimeout = time.Second
 )
 
-// Fleet is the size and the load of the load balancer's nodes, as far as this node can observe them.
-type Fleet struct {
+// FleetLoad is the size and the load of the load balancer's nodes, as far as this node can observe them.
+type FleetLoad struct {
 	Nodes             int     // number of nodes
 	Endpoints         int     // number of endpoints on the endpoint list
 	UsedEndpoints     int     // number of listed endpoints that this node has used recently
@@ -26,7 +26,7 @@
 }
 
 // nodesPerEndpoint returns how many nodes use an endpoint on average, since a node may use only some of the endpoints.
-func (f Fleet) nodesPerEndpoint() float64 {
+func (f FleetLoad) nodesPerEndpoint() float64 {
 	return float64(max(1, f.Nodes)) * float64(max(1, f.UsedEndpoints)) / float64(max(1, f.Endpoints, f.UsedEndpoints))
 }
 
@@ -40,7 +40,7 @@
 }
 
 // MaxIdle returns this node's share of the idle connections to one endpoint, from 1 to MaxIdlePerNode.
-func MaxIdle(f Fleet) int {
+func MaxIdle(f FleetLoad) int {
 	part := MaxIdlePerEndpoint / max(1, f.nodesPerEndpoint())
 	return min(MaxIdlePerNode, max(1, int(part)))
 }
@@ -49,7 +49,7 @@
 // connection idle for a time t costs the price of an open connection for t, and replacing it costs the price of a
 // handshake. The timeout is the t at which the two costs are equal, because opening a new connection is cheaper beyond
 // it.
-func IdleTimeout(f Fleet, p Prices, limit time.Duration) time.Duration {
+func IdleTimeout(f FleetLoad, p Prices, limit time.Duration) time.Duration {
 	if p.Connection <= 0 || f.RequestsPerSecond <= 0 {
 		return limit
 	}
--- a/internal/keepalive/sizing_test.go
+++ b/internal/keepalive/sizing_test.go
@@ -11,7 +11,7 @@
 // nodes than that. A node alone holds at most MaxIdlePerNode.
 func TestMaxIdleIsAShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := Fleet{Nodes: rapid.IntRange(1, 1000).Draw(t, "nodes"), Endpoints: rapid.IntRange(1, 300).Draw(t, "endpoints")}
+		f := FleetLoad{Nodes: rapid.IntRange(1, 1000).Draw(t, "nodes"), Endpoints: rapid.IntRange(1, 300).Draw(t, "endpoints")}
 		f.UsedEndpoints = rapid.IntRange(1, f.Endpoints).Draw(t, "used")
 		nodesEach := float64(f.Nodes) * float64(f.UsedEndpoints) / float64(f.Endpoints)
 		idle := MaxIdle(f)
@@ -20,14 +20,14 @@
 		}
 	})
 	for _, c := range []struct {
-		f    Fleet
+		f    FleetLoad
 		want int
 	}{
-		{Fleet{Nodes: 1, Endpoints: 9, UsedEndpoints: 9}, 32},
-		{Fleet{Nodes: 2, Endpoints: 9, UsedEndpoints: 9}, 32},
-		{Fleet{Nodes: 80, Endpoints: 60, UsedEndpoints: 9}, 10},
-		{Fleet{Nodes: 300, Endpoints: 200, UsedEndpoints: 200}, 1},
-		{Fleet{}, 32},
+		{FleetLoad{Nodes: 1, Endpoints: 9, UsedEndpoints: 9}, 32},
+		{FleetLoad{Nodes: 2, Endpoints: 9, UsedEndpoints: 9}, 32},
+		{FleetLoad{Nodes: 80, Endpoints: 60, UsedEndpoints: 9}, 10},
+		{FleetLoad{Nodes: 300, Endpoints: 200, UsedEndpoints: 200}, 1},
+		{FleetLoad{}, 32},
 	} {
 		if got := MaxIdle(c.f); got != c.want {
 			t.Errorf("MaxIdle(%+v): got %d, want %d", c.f, got, c.want)
@@ -37,7 +37,7 @@
 
 // IdleTimeout is the time at which keeping a connection and opening a new one cost the same, within its bounds.
 func TestIdleTimeoutHeedsPrices(t *testing.T) {
-	f := Fleet{Nodes: 80, Endpoints: 60, UsedEndpoints: 9, RequestsPerSecond: 400}
+	f := FleetLoad{Nodes: 80, Endpoints: 60, UsedEndpoints: 9, RequestsPerSecond: 400}
 	for _, c := range []struct {
 		p    Prices
 		want time.Duration
--- a/internal/upstream/h1client/idleconns.go
+++ b/internal/upstream/h1client/idleconns.go
@@ -68,7 +68,7 @@
 // updateIdleLimits computes maxIdlePerEndpoint and idleTimeout from this node's use of the endpoints since limitsUpdatedAt.
 // p.mu must be locked.
 func (p *Pool) updateIdleLimits(now time.Time) {
-	f := keepalive.Fleet{Nodes: p.nodeCount, Endpoints: len(p.endpoints)}
+	f := keepalive.FleetLoad{Nodes: p.nodeCount, Endpoints: len(p.endpoints)}
 	for _, e := range p.endpoints {
 		if e.used || len(e.idle) > 0 {
 			f.UsedEndpoints++
--- a/internal/upstream/h1client/pool.go
+++ b/internal/upstream/h1client/pool.go
@@ -88,7 +88,7 @@
 		anyStatus: o.AnyStatus, streamLargeBodies: o.StreamLargeBodies, tls: o.TLS,
 		connectTimeout: o.ConnectTimeout, maxConnections: o.MaxConnections,
 		endpoints:          map[policy.EndpointID]*endpoint{},
-		maxIdlePerEndpoint: keepalive.MaxIdle(keepalive.Fleet{Nodes: o.NodeCount}),
+		maxIdlePerEndpoint: keepalive.MaxIdle(keepalive.FleetLoad{Nodes: o.NodeCount}),
 		idleTimeout:        maxIdleTime, limitsUpdatedAt: time.Now(),
 	}
 	if o.ReuseDelay > 0 {
