--- a/internal/cli/fleet_diff.go
+++ b/internal/cli/fleet_diff.go
@@ -36,7 +36,7 @@
 	differences, rules := consensus.Differences(oldVersion, newVersion), consensus.Table()
 	for _, d := range differences {
 		if d.Contradicts {
-			fmt.Fprintf(out, "CONTRADICTS %v (%s)\n", d, rules[d.Kind].Why)
+			fmt.Fprintf(out, "CONTRADICTS %v (%s)\n", d, rules[d.Kind].Reason)
 		} else {
 			fmt.Fprintf(out, "differs     %v\n", d)
 		}
--- a/internal/fleet/consensus/contradict.go
+++ b/internal/fleet/consensus/contradict.go
@@ -43,7 +43,7 @@
 	Kind        Kind
 	Description string
 	Contradicts bool
-	Why         string
+	Reason         string
 }
 
 // Table returns, for each kind of difference, whether two versions that differ in it contradict each other, and why.
--- a/internal/fleet/consensus/contradict_test.go
+++ b/internal/fleet/consensus/contradict_test.go
@@ -190,7 +190,7 @@
 		if r.Contradicts {
 			word = "**yes**"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s |\n", r.Description, word, r.Why)
+		fmt.Fprintf(&b, "| %s | %s | %s |\n", r.Description, word, r.Reason)
 	}
 	if len(Table()) != int(kindCount) || !strings.Contains(string(text), b.String()) {
 		t.Errorf("docs/agree.md does not contain the rows of Table:\n%s", b.String())
