--- a/internal/cli/fleet_diff.go
+++ b/internal/cli/fleet_diff.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	differences, rules := consensus.Differences(oldVersion, newVersion), consensus.Table()
+	differences, rules := consensus.Differences(oldVersion, newVersion), consensus.DifferenceTable()
 	for _, d := range differences {
 		if d.Contradicts {
 			fmt.Fprintf(out, "CONTRADICTS %v (%s)\n", d, rules[d.Kind].Reason)
--- a/internal/fleet/consensus/contradict.go
+++ b/internal/fleet/consensus/contradict.go
@@ -46,9 +46,9 @@
 	Reason         string
 }
 
-// Table returns, for each kind of difference, whether two versions that differ in it contradict each other, and why.
+// DifferenceTable returns, for each kind of difference, whether two versions that differ in it contradict each other, and why.
 // docs/agree.md shows the same rows.
-func Table() []TableRow {
+func DifferenceTable() []TableRow {
 	return []TableRow{
 		{ClassIdempotency, "idempotency of a class", true,
 			"rule 2: one node repeats a request that, by the other node's version, must not be repeated"},
--- a/internal/fleet/consensus/contradict_test.go
+++ b/internal/fleet/consensus/contradict_test.go
@@ -117,13 +117,13 @@
 			list []Difference
 			want Kind
 		}{{Differences(from, to), tc.want}, {Differences(to, from), tc.reverseWant}} {
-			if len(dir.list) == 0 || dir.list[0].Kind != dir.want || Contradicts(dir.list) != Table()[dir.want].Contradicts {
-				t.Errorf("%q to %q: %v, want %q", tc.old, tc.new, dir.list, Table()[dir.want].Description)
+			if len(dir.list) == 0 || dir.list[0].Kind != dir.want || Contradicts(dir.list) != DifferenceTable()[dir.want].Contradicts {
+				t.Errorf("%q to %q: %v, want %q", tc.old, tc.new, dir.list, DifferenceTable()[dir.want].Description)
 			}
 			found[dir.want] = true
 		}
 	}
-	for _, row := range Table() {
+	for _, row := range DifferenceTable() {
 		if !found[row.Kind] {
 			t.Errorf("no test case for the kind of difference %q", row.Description)
 		}
@@ -168,7 +168,7 @@
 	for _, tc := range changeCases { // versions that differ in one kind alone
 		a := version(t, programText, clusterText)
 		b := version(t, strings.Replace(programText, tc.old, tc.new, 1), strings.Replace(clusterText, tc.old, tc.new, 1))
-		if row := Table()[tc.want]; row.Contradicts && CheckNotLaxer(EffectiveVersion{Version: a}, b) == nil &&
+		if row := DifferenceTable()[tc.want]; row.Contradicts && CheckNotLaxer(EffectiveVersion{Version: a}, b) == nil &&
 			CheckNotLaxer(EffectiveVersion{Version: b}, a) == nil {
 			t.Errorf("%s: versions contradict, but neither is laxer than the other", row.Description)
 		}
@@ -182,7 +182,7 @@
 		t.Fatal(err)
 	}
 	var b strings.Builder
-	for i, r := range Table() {
+	for i, r := range DifferenceTable() {
 		if int(r.Kind) != i || i >= int(kindCount) {
 			t.Fatalf("row %d has kind %d, want the row's own number, below the number of kinds", i, r.Kind)
 		}
@@ -192,7 +192,7 @@
 		}
 		fmt.Fprintf(&b, "| %s | %s | %s |\n", r.Description, word, r.Reason)
 	}
-	if len(Table()) != int(kindCount) || !strings.Contains(string(text), b.String()) {
+	if len(DifferenceTable()) != int(kindCount) || !strings.Contains(string(text), b.String()) {
 		t.Errorf("docs/agree.md does not contain the rows of Table:\n%s", b.String())
 	}
 }
--- a/internal/fleet/consensus/differences.go
+++ b/internal/fleet/consensus/differences.go
@@ -23,7 +23,7 @@
 
 // String formats the difference for operators.
 func (d Difference) String() string {
-	s := fmt.Sprintf("%s: %s", Table()[d.Kind].Description, d.Name)
+	s := fmt.Sprintf("%s: %s", DifferenceTable()[d.Kind].Description, d.Name)
 	if d.From != "" || d.To != "" {
 		s += fmt.Sprintf(": %s to %s", d.From, d.To)
 	}
@@ -39,7 +39,7 @@
 // sorted by kind and then by name. The order of the versions matters: taking an endpoint out of use contradicts, putting
 // one back doesn't.
 func Differences(from, to *Version) []Difference {
-	d := &differ{table: Table()}
+	d := &differ{table: DifferenceTable()}
 	if from.Program != to.Program {
 		d.compareClasses(from.Program, to.Program)
 		d.compareFleet(from.Program, to.Program)
