--- a/internal/fleet/agent/content.go
+++ b/internal/fleet/agent/content.go
@@ -84,9 +84,9 @@
 
 // serveMissing returns those of the hashes whose content is not in this node's store.
 func (n *Node) serveMissing(_ context.Context, in *ContentHashes) (*ContentHashes, error) {
-	if len(in.Hashes) > consensus.MaxFiles {
+	if len(in.Hashes) > consensus.MaxPartsPerVersion {
 		return nil, status.Errorf(codes.InvalidArgument,
-			"the request has %d content hashes; at most %d are allowed", len(in.Hashes), consensus.MaxFiles)
+			"the request has %d content hashes; at most %d are allowed", len(in.Hashes), consensus.MaxPartsPerVersion)
 	}
 	missing := &ContentHashes{}
 	for _, h := range in.Hashes {
--- a/internal/fleet/agent/publish_test.go
+++ b/internal/fleet/agent/publish_test.go
@@ -95,11 +95,11 @@
 	f := newTestFleet(t, 1, 0)
 	f.publish("one", 0, versionWithEffect("safe"))
 	many := versionWithEffect("safe")
-	for i := range consensus.MaxFiles {
+	for i := range consensus.MaxPartsPerVersion {
 		many = append(many, config.File{Name: fmt.Sprint("f", i)})
 	}
 	if _, err := f.client.Publish(f.context(), "many", 1, many); err == nil {
-		t.Errorf("a version with over %d files was accepted", consensus.MaxFiles)
+		t.Errorf("a version with over %d files was accepted", consensus.MaxPartsPerVersion)
 	}
 	big := append(versionWithEffect("safe"), config.File{Name: "big.toml", Text: make([]byte, config.MaxFile+1)})
 	if _, err := f.client.Publish(f.context(), "big", 1, big); err == nil {
--- a/internal/fleet/consensus/entry.go
+++ b/internal/fleet/consensus/entry.go
@@ -9,7 +9,7 @@
 // The limits of the log's entries and of its history.
 const (
 	MaxHistory      = 256     // versions that a rollback can name
-	MaxFiles        = 1100    // parts of a version
+	MaxPartsPerVersion        = 1100    // parts of a version
 	maxHistoryParts = 16384   // parts of all versions in the history together, so that a snapshot fits a message
 	MaxName         = 255     // bytes of the name of a part, a node, a task or a cluster, or of an id
 	MaxEntryBytes   = 1 << 20 // bytes of an encoded entry, which refers to file contents only by hash
@@ -109,8 +109,8 @@
 	if m.ID == "" || len(m.ID) > MaxName || len(m.Proposer) > MaxName {
 		return fmt.Errorf("version id must have 1 to %d bytes, and its proposer's name at most as many", MaxName)
 	}
-	if n := len(m.Parts); n == 0 || n > MaxFiles {
-		return fmt.Errorf("version has %d files, 1 to %d are allowed", n, MaxFiles)
+	if n := len(m.Parts); n == 0 || n > MaxPartsPerVersion {
+		return fmt.Errorf("version has %d files, 1 to %d are allowed", n, MaxPartsPerVersion)
 	}
 	seen := map[string]bool{}
 	for _, p := range m.Parts {
--- a/internal/fleet/consensus/state_test.go
+++ b/internal/fleet/consensus/state_test.go
@@ -84,7 +84,7 @@
 	for i := range uint64(3 * MaxHistory) {
 		parts := 1
 		if i > 2*MaxHistory {
-			parts = MaxFiles
+			parts = MaxPartsPerVersion
 		}
 		s.addVersion(manifest(fmt.Sprint(i), s.ActiveVersion, i%3 == 0, parts))
 		if s.PendingVersion != 0 {
@@ -94,7 +94,7 @@
 		for _, m := range s.History {
 			total += len(m.Parts)
 		}
-		if len(s.History) > MaxHistory || total > maxHistoryParts+(maxVersionsPerEpoch+1)*MaxFiles ||
+		if len(s.History) > MaxHistory || total > maxHistoryParts+(maxVersionsPerEpoch+1)*MaxPartsPerVersion ||
 			s.Version(s.ActiveVersion) == nil {
 			t.Fatalf("history of %d versions with %d parts exceeds its limits, or lacks the active version %d",
 				len(s.History), total, s.ActiveVersion)
