--- a/internal/fleet/agent/admit.go
+++ b/internal/fleet/agent/admit.go
@@ -44,7 +44,7 @@
 // same start number with another nonce.
 func (n *Node) serveHello(_ context.Context, start *store.VoterStart) (*AdmissionReply, error) {
 	if !slices.ContainsFunc(n.Voters, func(v VoterAddress) bool { return v.Name == start.Name }) {
-		name := start.Name[:min(len(start.Name), consensus.MaxName)]
+		name := start.Name[:min(len(start.Name), consensus.MaxNameBytes)]
 		return nil, status.Errorf(codes.InvalidArgument, "%q is not a voter of this fleet", name)
 	}
 	admitted, latest, err := n.store.RecordStart(*start)
--- a/internal/fleet/agent/leaseserver.go
+++ b/internal/fleet/agent/leaseserver.go
@@ -80,9 +80,9 @@
 
 // checkLeaseRequest validates the lengths of the names in a lease request.
 func checkLeaseRequest(request consensus.LeaseRequest) error {
-	if request.Node == "" || len(request.Node) > consensus.MaxName || len(request.Incarnation) > consensus.MaxName {
+	if request.Node == "" || len(request.Node) > consensus.MaxNameBytes || len(request.Incarnation) > consensus.MaxNameBytes {
 		return status.Errorf(codes.InvalidArgument,
-			"lease request: the node's name must have 1 to %d bytes, and its incarnation no more than that", consensus.MaxName)
+			"lease request: the node's name must have 1 to %d bytes, and its incarnation no more than that", consensus.MaxNameBytes)
 	}
 	return nil
 }
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -81,7 +81,7 @@
 
 // serveRefusal proposes a node's refusal of a pending version.
 func (n *Node) serveRefusal(_ context.Context, in *consensus.Refusal) (*struct{}, error) {
-	if len(in.Node) > consensus.MaxName || len(in.Reason) > maxReason {
+	if len(in.Node) > consensus.MaxNameBytes || len(in.Reason) > maxReason {
 		return nil, status.Error(codes.InvalidArgument, "the refusal's node name or reason is too long")
 	}
 	if !n.isVoter() {
--- a/internal/fleet/consensus/entry.go
+++ b/internal/fleet/consensus/entry.go
@@ -11,7 +11,7 @@
 	MaxHistory      = 256     // versions that a rollback can name
 	MaxPartsPerVersion        = 1100    // parts of a version
 	maxHistoryParts = 16384   // parts of all versions in the history together, so that a snapshot fits a message
-	MaxName         = 255     // bytes of the name of a part, a node, a task or a cluster, or of an id
+	MaxNameBytes         = 255     // bytes of the name of a part, a node, a task or a cluster, or of an id
 	MaxEntryBytes   = 1 << 20 // bytes of an encoded entry, which refers to file contents only by hash
 	// maxVersionsPerEpoch is how many versions may share an epoch. Each new version is compared with all of them, since
 	// "does not contradict" is not transitive.
@@ -106,16 +106,16 @@
 
 // Check validates a manifest.
 func (m *Manifest) Check() error {
-	if m.ID == "" || len(m.ID) > MaxName || len(m.Proposer) > MaxName {
-		return fmt.Errorf("version id must have 1 to %d bytes, and its proposer's name at most as many", MaxName)
+	if m.ID == "" || len(m.ID) > MaxNameBytes || len(m.Proposer) > MaxNameBytes {
+		return fmt.Errorf("version id must have 1 to %d bytes, and its proposer's name at most as many", MaxNameBytes)
 	}
 	if n := len(m.Parts); n == 0 || n > MaxPartsPerVersion {
 		return fmt.Errorf("version has %d files, 1 to %d are allowed", n, MaxPartsPerVersion)
 	}
 	seen := map[string]bool{}
 	for _, p := range m.Parts {
-		if p.Name == "" || len(p.Name) > MaxName || seen[p.Name] {
-			return fmt.Errorf("file %q of the version: name must be unique and have 1 to %d bytes", p.Name, MaxName)
+		if p.Name == "" || len(p.Name) > MaxNameBytes || seen[p.Name] {
+			return fmt.Errorf("file %q of the version: name must be unique and have 1 to %d bytes", p.Name, MaxNameBytes)
 		}
 		if len(p.Hash) != 64 || p.Size < 0 {
 			return fmt.Errorf("file %q of the version: hash has %d digits, must have 64; size is %d bytes, must not be negative",
--- a/internal/fleet/consensus/release.go
+++ b/internal/fleet/consensus/release.go
@@ -27,8 +27,8 @@
 
 // Check validates a release by itself, without the cluster that it is for.
 func (r *Release) Check() error {
-	if r.ID == "" || len(r.ID) > MaxName || r.Cluster == "" || len(r.Cluster) > MaxName {
-		return fmt.Errorf("id and cluster: must have 1 to %d bytes each", MaxName)
+	if r.ID == "" || len(r.ID) > MaxNameBytes || r.Cluster == "" || len(r.Cluster) > MaxNameBytes {
+		return fmt.Errorf("id and cluster: must have 1 to %d bytes each", MaxNameBytes)
 	}
 	if n := len(r.Waves); n == 0 || n > MaxWaves {
 		return fmt.Errorf("waves: %d given, 1 to %d are allowed", n, MaxWaves)
@@ -55,7 +55,7 @@
 			return fmt.Errorf("waves: wave %d is empty", i+1)
 		}
 		for _, id := range wave {
-			if seen[id] || id == "" || len(id) > MaxName {
+			if seen[id] || id == "" || len(id) > MaxNameBytes {
 				return fmt.Errorf("waves: wave %d: endpoint id is empty, too long or listed more than once: %q", i+1, id)
 			}
 			seen[id] = true
