--- a/internal/fleet/agent/clientpublish.go
+++ b/internal/fleet/agent/clientpublish.go
@@ -25,7 +25,7 @@
 	for _, f := range list {
 		h := hash(f.Text)
 		content[h] = f.Text
-		request.Parts = append(request.Parts, consensus.Part{Name: f.Name, Hash: h, Size: len(f.Text)})
+		request.Parts = append(request.Parts, consensus.Part{Name: f.Name, Hash: h, SizeBytes: len(f.Text)})
 	}
 	return c.publish(ctx, request, content)
 }
@@ -50,7 +50,7 @@
 		return c.Publish(ctx, id, base, list)
 	}
 	h := hash(change.Text)
-	part := consensus.Part{Name: files.ChangePart(patch.Name, changes), Hash: h, Size: len(change.Text)}
+	part := consensus.Part{Name: files.ChangePart(patch.Name, changes), Hash: h, SizeBytes: len(change.Text)}
 	request := PublishRequest{ID: id, Base: base, Extends: true, Parts: []consensus.Part{part}}
 	return c.publish(ctx, request, map[string][]byte{h: change.Text})
 }
--- a/internal/fleet/agent/conn.go
+++ b/internal/fleet/agent/conn.go
@@ -115,7 +115,7 @@
 // Fetch returns a part's content, in chunks from the node, after verifying its hash.
 func (c *Conn) Fetch(ctx context.Context, part consensus.Part) ([]byte, error) {
 	var data []byte
-	for len(data) < part.Size {
+	for len(data) < part.SizeBytes {
 		out := &wrapperspb.BytesValue{}
 		raw, err := encodeMessage(FetchRequest{part.Hash, len(data)})
 		if err != nil {
@@ -125,7 +125,7 @@
 			return nil, err
 		}
 		if len(out.GetValue()) == 0 {
-			return nil, fmt.Errorf("%s: content truncated: got %d of %d bytes", part.Name, len(data), part.Size)
+			return nil, fmt.Errorf("%s: content truncated: got %d of %d bytes", part.Name, len(data), part.SizeBytes)
 		}
 		data = append(data, out.GetValue()...)
 	}
--- a/internal/fleet/agent/content.go
+++ b/internal/fleet/agent/content.go
@@ -33,9 +33,9 @@
 // fetchContent returns a part's content from the store. If the content is not in the store or can't be read, it is
 // fetched from another voter and stored.
 func (n *Node) fetchContent(ctx context.Context, p consensus.Part) ([]byte, error) {
-	if p.Size > config.MaxFile {
+	if p.SizeBytes > config.MaxFile {
 		return nil, &invalidVersionError{
-			fmt.Errorf("%s: the file has %d bytes; at most %d are allowed", p.Name, p.Size, config.MaxFile)}
+			fmt.Errorf("%s: the file has %d bytes; at most %d are allowed", p.Name, p.SizeBytes, config.MaxFile)}
 	}
 	data, err := n.store.Get(p.Hash)
 	if data != nil {
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -12,7 +12,7 @@
 
 // goldenParts returns parts with all fields set.
 func goldenParts() []consensus.Part {
-	return []consensus.Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), Size: 12}, {Name: "b.toml", Hash: strings.Repeat("b2", 32), Size: 13}}
+	return []consensus.Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), SizeBytes: 12}, {Name: "b.toml", Hash: strings.Repeat("b2", 32), SizeBytes: 13}}
 }
 
 // goldenRelease returns a release with all fields set.
--- a/internal/fleet/consensus/entry.go
+++ b/internal/fleet/consensus/entry.go
@@ -22,7 +22,7 @@
 type Part struct {
 	Name string `json:"name"`
 	Hash string `json:"hash"` // SHA-256, hexadecimal
-	Size int    `json:"size"` // bytes
+	SizeBytes int    `json:"size"` // bytes
 }
 
 // Manifest describes a version in the log: the names and hashes of its files, without their content.
@@ -117,9 +117,9 @@
 		if p.Name == "" || len(p.Name) > MaxNameBytes || seen[p.Name] {
 			return fmt.Errorf("file %q of the version: name must be unique and have 1 to %d bytes", p.Name, MaxNameBytes)
 		}
-		if len(p.Hash) != 64 || p.Size < 0 {
+		if len(p.Hash) != 64 || p.SizeBytes < 0 {
 			return fmt.Errorf("file %q of the version: hash has %d digits, must have 64; size is %d bytes, must not be negative",
-				p.Name, len(p.Hash), p.Size)
+				p.Name, len(p.Hash), p.SizeBytes)
 		}
 		seen[p.Name] = true
 	}
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -15,7 +15,7 @@
 func goldenManifest() Manifest {
 	return Manifest{
 		Number: 11, Base: 10, ID: "id-a", Proposer: "node-a", Contradicts: true,
-		Parts:   []Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), Size: 12}, {Name: "b.toml", Hash: strings.Repeat("b2", 32), Size: 13}},
+		Parts:   []Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), SizeBytes: 12}, {Name: "b.toml", Hash: strings.Repeat("b2", 32), SizeBytes: 13}},
 		Extends: true, OwnParts: 1, RefusalReason: "node-b: too large",
 	}
 }
--- a/internal/fleet/consensus/state.go
+++ b/internal/fleet/consensus/state.go
@@ -202,7 +202,7 @@
 	out := map[string]int{}
 	for i := range s.History {
 		for _, p := range s.History[i].Parts {
-			out[p.Hash] = p.Size
+			out[p.Hash] = p.SizeBytes
 		}
 	}
 	return out
--- a/internal/fleet/consensus/state_test.go
+++ b/internal/fleet/consensus/state_test.go
@@ -12,7 +12,7 @@
 func manifest(id string, base uint64, contradicts bool, parts int) *Manifest {
 	m := &Manifest{ID: id, Base: base, Contradicts: contradicts}
 	for i := range parts {
-		m.Parts = append(m.Parts, Part{Name: fmt.Sprint("f", i), Hash: fmt.Sprintf("%064d", i), Size: 1})
+		m.Parts = append(m.Parts, Part{Name: fmt.Sprint("f", i), Hash: fmt.Sprintf("%064d", i), SizeBytes: 1})
 	}
 	return m
 }
--- a/internal/fleet/store/golden_test.go
+++ b/internal/fleet/store/golden_test.go
@@ -44,7 +44,7 @@
 func goldenVersion() *consensus.Manifest {
 	return &consensus.Manifest{
 		Number: 11, Base: 10, ID: "id-a", Proposer: "node-a", Contradicts: true,
-		Parts:   []consensus.Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), Size: 12}},
+		Parts:   []consensus.Part{{Name: "a.toml", Hash: strings.Repeat("a1", 32), SizeBytes: 12}},
 		Extends: true, OwnParts: 1, RefusalReason: "node-b: too large",
 	}
 }
