--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -46,7 +46,7 @@
 		FetchRequest{Hash: "hash-a", Offset: 2},
 		LeaseReply{
 			Grant: &consensus.Grant{
-				VoterID: 3, Sequence: 4, MaxEpoch: 5, OwnershipRevision: 6,
+				VoterID: 3, Sequence: 4, MinCoveredEpoch: 5, OwnershipRevision: 6,
 				LogStatus: consensus.LogStatus{Index: 7, Epoch: 8, ActiveVersion: 9, PendingVersion: 10},
 			},
 			LogStatus: &consensus.LogStatus{Index: 11, Epoch: 12, ActiveVersion: 13, PendingVersion: 14},
--- a/internal/fleet/consensus/golden_test.go
+++ b/internal/fleet/consensus/golden_test.go
@@ -87,7 +87,7 @@
 	golden.Lines(t, "testdata/golden/lease.jsonl",
 		LeaseRequest{Node: "node-a", Incarnation: "incarnation-a", Sequence: 31, ConfirmedEpoch: 32, ConfirmedOwnership: 33},
 		Grant{
-			VoterID: 34, Sequence: 35, MaxEpoch: 36, OwnershipRevision: 37,
+			VoterID: 34, Sequence: 35, MinCoveredEpoch: 36, OwnershipRevision: 37,
 			LogStatus: LogStatus{Index: 38, Epoch: 39, ActiveVersion: 40, PendingVersion: 41},
 		},
 		ActiveVersions{Epoch: 42, Version: 43, PendingVersion: 44},
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -43,7 +43,7 @@
 type Grant struct {
 	VoterID           uint64    `json:"voter"`
 	Sequence          uint64    `json:"seq"`
-	MaxEpoch          uint64    `json:"upto"`
+	MinCoveredEpoch          uint64    `json:"upto"`
 	OwnershipRevision uint64    `json:"set"`
 	LogStatus         LogStatus `json:"facts"`
 }
@@ -121,7 +121,7 @@
 		return
 	}
 	end := requested + l.config.HolderTerm()
-	l.epochGrants.add(g.VoterID, activeGrant{g.MaxEpoch, end}, l.logStatus.Epoch)
+	l.epochGrants.add(g.VoterID, activeGrant{g.MinCoveredEpoch, end}, l.logStatus.Epoch)
 	// Of epochs, add also retains the grants for the one before the current epoch, on which the node may still act. Of
 	// ownership revisions, which are log indexes, the +1 makes it retain the grants from the confirmed revision on.
 	l.ownershipGrants.add(g.VoterID, activeGrant{g.OwnershipRevision, end}, l.ownershipRevision+1)
--- a/internal/fleet/consensus/leasetable.go
+++ b/internal/fleet/consensus/leasetable.go
@@ -62,7 +62,7 @@
 	leases.ownership.extend(s.OwnershipRevision(request.Node, request.Incarnation), request.ConfirmedOwnership, end)
 	return Grant{
 		VoterID: voter, Sequence: request.Sequence, LogStatus: s.LogStatus(),
-		MaxEpoch: leases.epochs.revision, OwnershipRevision: leases.ownership.revision,
+		MinCoveredEpoch: leases.epochs.revision, OwnershipRevision: leases.ownership.revision,
 	}, nil
 }
 
