--- a/internal/app/agreedsource.go
+++ b/internal/app/agreedsource.go
@@ -89,5 +89,5 @@
 		return err
 	}
 	configuration := &files.Configuration{Program: p, Version: &cluster.Version{Clusters: v.Clusters}}
-	return s.app.ApplyRejecting(time.Now(), configuration, v.RefusedClasses)
+	return s.app.ApplyRejecting(time.Now(), configuration, v.RejectedClasses)
 }
--- a/internal/demo/fleetnode.go
+++ b/internal/demo/fleetnode.go
@@ -75,7 +75,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.window = class.DedupWindow.String()
-	if v.RefusedClasses[class.Name] != "" {
+	if v.RejectedClasses[class.Name] != "" {
 		n.window = keyedRefused
 	}
 	return nil
--- a/internal/fleet/agent/apply.go
+++ b/internal/fleet/agent/apply.go
@@ -98,7 +98,7 @@
 		n.Log.Error("combined version is laxer than one of its parts, refusing all classes",
 			"versions", active.String(), "err", err)
 		for _, c := range stricter.Program.Classes {
-			stricter.RefusedClasses[c.Name] = "the active and the pending version could not be combined safely"
+			stricter.RejectedClasses[c.Name] = "the active and the pending version could not be combined safely"
 		}
 	}
 	return stricter, true
--- a/internal/fleet/agent/fleet_test.go
+++ b/internal/fleet/agent/fleet_test.go
@@ -167,7 +167,7 @@
 	defer n.mu.Unlock()
 	class := v.Program.Classes[0]
 	effect := []string{"safe", "keyed", "unsafe"}[class.Idempotency]
-	if v.RefusedClasses[class.Name] != "" {
+	if v.RejectedClasses[class.Name] != "" {
 		effect = "-"
 	}
 	n.effects = append(n.effects, effect)
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -16,7 +16,7 @@
 	p := *last.Program
 	p.Classes = slices.Clone(p.Classes)
 	out := EffectiveVersion{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
-	maps.Copy(out.RefusedClasses, last.RefusedClasses) // still no choice of rules is safe for these classes
+	maps.Copy(out.RejectedClasses, last.RejectedClasses) // still no choice of rules is safe for these classes
 	if rules.Effects == lease.Cautious {
 		p.Limits.MaxAttempts, p.Limits.AllowHedging = 1, false
 	}
@@ -28,9 +28,9 @@
 		}
 		switch {
 		case rules.Effects == lease.Refuse, rules.Servers == lease.Refuse, rules.Routes == lease.Refuse:
-			out.RefusedClasses[c.Name] = "the node has no lease from the fleet's voters"
+			out.RejectedClasses[c.Name] = "the node has no lease from the fleet's voters"
 		case !safe && (rules.Routes == lease.Cautious || rules.Servers == lease.Cautious):
-			out.RefusedClasses[c.Name] = "the node has no lease, and the class's routes or endpoints may have changed"
+			out.RejectedClasses[c.Name] = "the node has no lease, and the class's routes or endpoints may have changed"
 		}
 	}
 	if rules.Servers != lease.ServeLast {
--- a/internal/fleet/consensus/disconnected_test.go
+++ b/internal/fleet/consensus/disconnected_test.go
@@ -23,7 +23,7 @@
 			t.Fatalf("limits %+v, want one attempt and no hedging", a.Program.Limits)
 		}
 		for _, c := range last.Program.Classes {
-			if c.Idempotency != policy.Idempotent && a.RefusedClasses[c.Name] == "" {
+			if c.Idempotency != policy.Idempotent && a.RejectedClasses[c.Name] == "" {
 				t.Fatalf("class %s is served without a lease, want it refused", c.Name)
 			}
 		}
@@ -45,11 +45,11 @@
 	serveLast := lease.DisconnectedPolicy{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}
 	a := DisconnectedVersion(EffectiveVersion{Version: last}, serveLast, now)
 	if CheckNotLaxer(a, last) != nil || CheckNotLaxer(EffectiveVersion{Version: last}, a.Version) != nil ||
-		len(a.RefusedClasses) > 0 {
-		t.Errorf("serve-last: differs from the last version, refused classes %v, want none", a.RefusedClasses)
+		len(a.RejectedClasses) > 0 {
+		t.Errorf("serve-last: differs from the last version, refused classes %v, want none", a.RejectedClasses)
 	}
 	between := EffectiveVersion{last, map[string]string{"push": "its routes change"}}
-	if a := DisconnectedVersion(between, serveLast, now); a.RefusedClasses["push"] == "" {
+	if a := DisconnectedVersion(between, serveLast, now); a.RejectedClasses["push"] == "" {
 		t.Error("class refused by the stricter combination is served without a lease, want it refused")
 	}
 	for _, r := range []lease.DisconnectedPolicy{
@@ -57,8 +57,8 @@
 		{Effects: lease.ServeLast, Routes: lease.Refuse, Servers: lease.ServeLast},
 		{Effects: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.Refuse},
 	} {
-		if a := DisconnectedVersion(EffectiveVersion{Version: last}, r, now); len(a.RefusedClasses) != 2 {
-			t.Errorf("%+v: refused classes %v, want both", r, a.RefusedClasses)
+		if a := DisconnectedVersion(EffectiveVersion{Version: last}, r, now); len(a.RejectedClasses) != 2 {
+			t.Errorf("%+v: refused classes %v, want both", r, a.RejectedClasses)
 		}
 	}
 	if _, err := lease.ParseDisconnectedAction("brave"); err == nil {
--- a/internal/fleet/consensus/strictcheck.go
+++ b/internal/fleet/consensus/strictcheck.go
@@ -25,7 +25,7 @@
 	for i := range a.Program.Classes {
 		x := &a.Program.Classes[i]
 		at := b.Program.Class(x.Name)
-		if at < 0 || a.RefusedClasses[x.Name] != "" {
+		if at < 0 || a.RejectedClasses[x.Name] != "" {
 			continue
 		}
 		y := &b.Program.Classes[at]
@@ -46,7 +46,7 @@
 func laxerRoute(a EffectiveVersion, b *Version) (err error) {
 	differingRoutes(a.Program, b.Program, func(host string, routes, _ []route.Route, _ int) {
 		for _, r := range routes {
-			if isNotIdempotent(b.Program, r.Class) && a.RefusedClasses[r.Class] == "" {
+			if isNotIdempotent(b.Program, r.Class) && a.RejectedClasses[r.Class] == "" {
 				err = fmt.Errorf("host %s: route %s of class %s may lead elsewhere in the other version", host, r.Name, r.Class)
 			}
 		}
--- a/internal/fleet/consensus/stricter.go
+++ b/internal/fleet/consensus/stricter.go
@@ -13,7 +13,7 @@
 // choice of rules is safe for them.
 type EffectiveVersion struct {
 	*Version
-	RefusedClasses map[string]string // reason of the refusal, by class name
+	RejectedClasses map[string]string // reason of the refusal, by class name
 }
 
 // Stricter returns the stricter combination of two versions that contradict each other: it takes the stricter rule of
@@ -45,7 +45,7 @@
 	a.OverloadMultiple = min(a.OverloadMultiple, b.OverloadMultiple)
 	a.OverloadDuration = min(a.OverloadDuration, b.OverloadDuration)
 	for name := range classesWithChangedRoutes(from.Program, to.Program) {
-		out.RefusedClasses[name] = "its routes differ between the active and the pending version"
+		out.RejectedClasses[name] = "its routes differ between the active and the pending version"
 	}
 	for name, c := range from.Clusters {
 		out.Clusters[name] = stricterCluster(c, to.Clusters[name])
