--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -143,7 +143,7 @@
 		key, word string
 		to        *lease.DisconnectedAction
 	}{
-		{"effects", f.Alone.Effects, &a.Disconnected.Effects},
+		{"effects", f.Alone.Effects, &a.Disconnected.Idempotency},
 		{"routes", f.Alone.Routes, &a.Disconnected.Routes},
 		{"lists", f.Alone.Lists, &a.Disconnected.Servers},
 	} {
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -17,17 +17,17 @@
 	p.Classes = slices.Clone(p.Classes)
 	out := EffectiveVersion{&Version{Program: &p, Clusters: last.Clusters}, map[string]string{}}
 	maps.Copy(out.RejectedClasses, last.RejectedClasses) // still no choice of rules is safe for these classes
-	if rules.Effects == lease.Cautious {
+	if rules.Idempotency == lease.Cautious {
 		p.Limits.MaxAttempts, p.Limits.AllowHedging = 1, false
 	}
 	for i := range p.Classes {
 		c := &p.Classes[i]
 		safe := c.Idempotency == policy.Idempotent
-		if rules.Effects == lease.Cautious {
+		if rules.Idempotency == lease.Cautious {
 			c.Idempotency = policy.NotIdempotent
 		}
 		switch {
-		case rules.Effects == lease.Refuse, rules.Servers == lease.Refuse, rules.Routes == lease.Refuse:
+		case rules.Idempotency == lease.Refuse, rules.Servers == lease.Refuse, rules.Routes == lease.Refuse:
 			out.RejectedClasses[c.Name] = "the node has no lease from the fleet's voters"
 		case !safe && (rules.Routes == lease.Cautious || rules.Servers == lease.Cautious):
 			out.RejectedClasses[c.Name] = "the node has no lease, and the class's routes or endpoints may have changed"
--- a/internal/fleet/lease/disconnected.go
+++ b/internal/fleet/lease/disconnected.go
@@ -33,9 +33,9 @@
 // DisconnectedPolicy is what a node does after its lease has expired, by kind of rule. If any of the actions is Refuse,
 // the node refuses all requests.
 type DisconnectedPolicy struct {
-	// Effects is the action for the idempotency of classes. Under Cautious, each request gets one attempt, without hedged
+	// Idempotency is the action for the idempotency of classes. Under Cautious, each request gets one attempt, without hedged
 	// requests and retries.
-	Effects DisconnectedAction
+	Idempotency DisconnectedAction
 	// Routes is the action for the routes of classes that are not idempotent, or only by key. Under Cautious, the requests
 	// of these classes are refused.
 	Routes DisconnectedAction
