--- a/internal/config/agree.go
+++ b/internal/config/agree.go
@@ -145,7 +145,7 @@
 	}{
 		{"effects", f.Alone.Effects, &a.Disconnected.Idempotency},
 		{"routes", f.Alone.Routes, &a.Disconnected.Routes},
-		{"lists", f.Alone.Lists, &a.Disconnected.Servers},
+		{"lists", f.Alone.Lists, &a.Disconnected.Endpoints},
 	} {
 		var err error
 		if *k.to, err = lease.ParseDisconnectedAction(k.word); err != nil {
--- a/internal/config/agree_test.go
+++ b/internal/config/agree_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	a := p.Agree
-	if !a.On() || len(a.Voters) != 3 || a.Folder != "agree" || a.Disconnected != (lease.DisconnectedPolicy{Idempotency: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious}) || a.Lease.ActivationBound() > 2*time.Second {
+	if !a.On() || len(a.Voters) != 3 || a.Folder != "agree" || a.Disconnected != (lease.DisconnectedPolicy{Idempotency: lease.Cautious, Routes: lease.Cautious, Endpoints: lease.Cautious}) || a.Lease.ActivationBound() > 2*time.Second {
 		t.Errorf("got %+v, activation bound %v; want three voters, the documented defaults and a bound of at most 2s", a, a.Lease.ActivationBound())
 	}
 	if plain, err := ParseProgram("n.toml", []byte(strings.Replace(fleetProgram, fleetProgram[strings.Index(fleetProgram, "[fleet.agree]"):strings.Index(fleetProgram, "[[class]]")], "", 1))); err != nil || plain.Agree.On() {
--- a/internal/demo/fleetnode.go
+++ b/internal/demo/fleetnode.go
@@ -34,7 +34,7 @@
 		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: leases,
 		Log: slog.New(slog.DiscardHandler),
 		Disconnected: lease.DisconnectedPolicy{
-			Idempotency: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious,
+			Idempotency: lease.Cautious, Routes: lease.Cautious, Endpoints: lease.Cautious,
 		},
 		Parse: parseVersion,
 		Apply: n.apply,
--- a/internal/fleet/agent/fleet_test.go
+++ b/internal/fleet/agent/fleet_test.go
@@ -127,7 +127,7 @@
 	c := Config{
 		Fleet: "f", Name: n.name, Dir: filepath.Join(f.dir, n.name), Voters: f.voters, Lease: testLeaseConfig,
 		Log:          slog.New(slog.DiscardHandler),
-		Disconnected: lease.DisconnectedPolicy{Idempotency: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious},
+		Disconnected: lease.DisconnectedPolicy{Idempotency: lease.Cautious, Routes: lease.Cautious, Endpoints: lease.Cautious},
 		Parse:        n.parse, Extend: n.extend, Apply: n.apply,
 	}
 	if len(f.keys) > 0 {
--- a/internal/fleet/consensus/disconnected.go
+++ b/internal/fleet/consensus/disconnected.go
@@ -27,13 +27,13 @@
 			c.Idempotency = policy.NotIdempotent
 		}
 		switch {
-		case rules.Idempotency == lease.Refuse, rules.Servers == lease.Refuse, rules.Routes == lease.Refuse:
+		case rules.Idempotency == lease.Refuse, rules.Endpoints == lease.Refuse, rules.Routes == lease.Refuse:
 			out.RejectedClasses[c.Name] = "the node has no lease from the fleet's voters"
-		case !safe && (rules.Routes == lease.Cautious || rules.Servers == lease.Cautious):
+		case !safe && (rules.Routes == lease.Cautious || rules.Endpoints == lease.Cautious):
 			out.RejectedClasses[c.Name] = "the node has no lease, and the class's routes or endpoints may have changed"
 		}
 	}
-	if rules.Servers != lease.ServeLast {
+	if rules.Endpoints != lease.ServeLast {
 		out.Clusters = map[string]*cluster.Config{}
 		for name, c := range last.Clusters {
 			out.Clusters[name] = drainWarmingEndpoints(c, p.Rules.SlowStartWindow, now)
--- a/internal/fleet/consensus/disconnected_test.go
+++ b/internal/fleet/consensus/disconnected_test.go
@@ -18,7 +18,7 @@
 	for range 300 {
 		last, next := randomVersion(t, rng), randomVersion(t, rng)
 		a := DisconnectedVersion(EffectiveVersion{Version: last},
-			lease.DisconnectedPolicy{Idempotency: lease.Cautious, Routes: lease.Cautious, Servers: lease.Cautious}, now)
+			lease.DisconnectedPolicy{Idempotency: lease.Cautious, Routes: lease.Cautious, Endpoints: lease.Cautious}, now)
 		if a.Program.Limits.MaxAttempts != 1 || a.Program.Limits.AllowHedging {
 			t.Fatalf("limits %+v, want one attempt and no hedging", a.Program.Limits)
 		}
@@ -42,7 +42,7 @@
 		}
 	}
 	last := version(t, programText, clusterText)
-	serveLast := lease.DisconnectedPolicy{Idempotency: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.ServeLast}
+	serveLast := lease.DisconnectedPolicy{Idempotency: lease.ServeLast, Routes: lease.ServeLast, Endpoints: lease.ServeLast}
 	a := DisconnectedVersion(EffectiveVersion{Version: last}, serveLast, now)
 	if CheckNotLaxer(a, last) != nil || CheckNotLaxer(EffectiveVersion{Version: last}, a.Version) != nil ||
 		len(a.RejectedClasses) > 0 {
@@ -53,9 +53,9 @@
 		t.Error("class refused by the stricter combination is served without a lease, want it refused")
 	}
 	for _, r := range []lease.DisconnectedPolicy{
-		{Idempotency: lease.Refuse, Routes: lease.ServeLast, Servers: lease.ServeLast},
-		{Idempotency: lease.ServeLast, Routes: lease.Refuse, Servers: lease.ServeLast},
-		{Idempotency: lease.ServeLast, Routes: lease.ServeLast, Servers: lease.Refuse},
+		{Idempotency: lease.Refuse, Routes: lease.ServeLast, Endpoints: lease.ServeLast},
+		{Idempotency: lease.ServeLast, Routes: lease.Refuse, Endpoints: lease.ServeLast},
+		{Idempotency: lease.ServeLast, Routes: lease.ServeLast, Endpoints: lease.Refuse},
 	} {
 		if a := DisconnectedVersion(EffectiveVersion{Version: last}, r, now); len(a.RejectedClasses) != 2 {
 			t.Errorf("%+v: refused classes %v, want both", r, a.RejectedClasses)
--- a/internal/fleet/lease/disconnected.go
+++ b/internal/fleet/lease/disconnected.go
@@ -39,9 +39,9 @@
 	// Routes is the action for the routes of classes that are not idempotent, or only by key. Under Cautious, the requests
 	// of these classes are refused.
 	Routes DisconnectedAction
-	// Servers is the action for the endpoint lists. Under Cautious, only idempotent requests are served, and none by
+	// Endpoints is the action for the endpoint lists. Under Cautious, only idempotent requests are served, and none by
 	// endpoints that may still be warming up.
-	Servers DisconnectedAction
+	Endpoints DisconnectedAction
 	// MaxDuration is how long the node serves by this policy, counted from when the policy is applied; 0: without limit.
 	MaxDuration time.Duration
 }
