--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -35,7 +35,7 @@
 	return max(1, h.Sum64()) // in raft, id 0 stands for no voter
 }
 
-func hash(data []byte) string { return store.Hash(data) }
+func hash(data []byte) string { return store.ContentHash(data) }
 
 // voterIDs returns the ids of voters in ascending order.
 func voterIDs(voters []VoterAddress) (ids []uint64) {
--- a/internal/fleet/store/content.go
+++ b/internal/fleet/store/content.go
@@ -13,8 +13,8 @@
 // Store.Put refuses its content.
 const MaxContent = 1 << 30
 
-// Hash returns the key of content: its SHA-256 hash in hexadecimal.
-func Hash(data []byte) string {
+// ContentHash returns the key of content: its SHA-256 hash in hexadecimal.
+func ContentHash(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
@@ -22,7 +22,7 @@
 // Put stores content under its Hash. The content is durable once Put returns nil. Put refuses content that would exceed
 // MaxContent; later writes still succeed.
 func (s *Store) Put(data []byte) error {
-	name := []byte(Hash(data))
+	name := []byte(ContentHash(data))
 	added := int64(0)
 	err := s.update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketContent)
@@ -51,7 +51,7 @@
 		data = bytes.Clone(tx.Bucket(bucketContent).Get([]byte(hash)))
 		return nil
 	})
-	if err == nil && data != nil && Hash(data) != hash {
+	if err == nil && data != nil && ContentHash(data) != hash {
 		return nil, s.update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketContent).Delete([]byte(hash)) })
 	}
 	return data, err
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -139,14 +139,14 @@
 	if s.size != int64(len(a)+len(b)) {
 		t.Errorf("got a size of %d bytes, want that of a and b, each counted once", s.size)
 	}
-	if err := s.Sweep(map[string]int{Hash(a): 1}); err != nil {
+	if err := s.Sweep(map[string]int{ContentHash(a): 1}); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := s.Get(Hash(b)); got != nil || err != nil || s.size != 1 {
+	if got, err := s.Get(ContentHash(b)); got != nil || err != nil || s.size != 1 {
 		t.Errorf("content b after Sweep: got %d bytes, error %v, store size %d; want 0 bytes, no error, size 1", len(got), err, s.size)
 	}
-	s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketContent).Put([]byte(Hash(a)), []byte("x")) })
-	if got, err := s.Get(Hash(a)); got != nil || err != nil {
+	s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketContent).Put([]byte(ContentHash(a)), []byte("x")) })
+	if got, err := s.Get(ContentHash(a)); got != nil || err != nil {
 		t.Errorf("damaged content: got %q, error %v; want neither", got, err)
 	}
 	s.size = MaxContent
--- a/internal/lab/capacity/content_test.go
+++ b/internal/lab/capacity/content_test.go
@@ -36,7 +36,7 @@
 	}
 	manifest := consensus.Manifest{Number: 1000, Base: 999, ID: strings.Repeat("f", 32), Proposer: "voter-0"}
 	add := func(name string, text []byte) {
-		manifest.Parts = append(manifest.Parts, consensus.Part{Name: name, Hash: store.Hash(text), SizeBytes: len(text)})
+		manifest.Parts = append(manifest.Parts, consensus.Part{Name: name, Hash: store.ContentHash(text), SizeBytes: len(text)})
 	}
 	add(files.ProgramPart, generator(size.Routes, 0).Program(process.Settings{}))
 	add(files.TenantsPart, whole.Program(process.Settings{}))
