--- a/internal/fleet/agent/node.go
+++ b/internal/fleet/agent/node.go
@@ -139,7 +139,7 @@
 		return err
 	}
 	defer s.Close()
-	return s.Init(store.Identity{Fleet: c.Fleet, Name: c.Name, ID: voterID(c.Name), Voters: voterIDs(c.Voters)})
+	return s.Init(store.VoterIdentity{Fleet: c.Fleet, Name: c.Name, ID: voterID(c.Name), Voters: voterIDs(c.Voters)})
 }
 
 // Open opens a node. The node is a voter if the configuration names it as one and its store was initialized by Init;
--- a/internal/fleet/store/golden_test.go
+++ b/internal/fleet/store/golden_test.go
@@ -25,8 +25,8 @@
 )
 
 // goldenIdentity returns the identity in the golden store.
-func goldenIdentity() Identity {
-	return Identity{Fleet: "fleet-a", Name: "voter-a", ID: 3, Voters: []uint64{3, 4, 5}}
+func goldenIdentity() VoterIdentity {
+	return VoterIdentity{Fleet: "fleet-a", Name: "voter-a", ID: 3, Voters: []uint64{3, 4, 5}}
 }
 
 // goldenWork returns the hard state and the entries in the golden store.
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -22,7 +22,7 @@
 
 func hardState(term, commit uint64) *pb.HardState { return &pb.HardState{Term: &term, Commit: &commit} }
 
-var testIdentity = Identity{Fleet: "f", Name: "a", ID: 1, Voters: []uint64{1, 2, 3}}
+var testIdentity = VoterIdentity{Fleet: "f", Name: "a", ID: 1, Voters: []uint64{1, 2, 3}}
 
 // initStore returns an open store that is initialized for testIdentity.
 func initStore(t *testing.T, dir string) *Store {
--- a/internal/fleet/store/voterlog.go
+++ b/internal/fleet/store/voterlog.go
@@ -14,8 +14,8 @@
 	"yokestall/internal/fleet/consensus"
 )
 
-// Identity identifies the voter that a store belongs to. Store.Init writes the identity once.
-type Identity struct {
+// VoterIdentity identifies the voter that a store belongs to. Store.Init writes the identity once.
+type VoterIdentity struct {
 	Fleet  string   `json:"fleet"`
 	Name   string   `json:"name"`   // the voter's name
 	ID     uint64   `json:"id"`     // the voter's id in the Raft log
@@ -27,7 +27,7 @@
 var ErrNotInitialized = errors.New("the store was not initialized by `yokestall fleet init`")
 
 // Init initializes the store for a voter of a new fleet. Init fails if the store belongs to a voter already.
-func (s *Store) Init(id Identity) error {
+func (s *Store) Init(id VoterIdentity) error {
 	initial := consensus.InitialDiskState(id.Voters)
 	return s.update(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -51,7 +51,7 @@
 // Voter returns the identity of the voter that the store belongs to, and the voter's hard state, snapshot and entries.
 // If the store belongs to no voter, the error wraps ErrNotInitialized; any other error means that the store is damaged
 // or could not be read.
-func (s *Store) Voter() (id Identity, disk consensus.DiskState, err error) {
+func (s *Store) Voter() (id VoterIdentity, disk consensus.DiskState, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		value := meta.Get(keyIdentity)
