--- a/internal/adminstate/lameduck.go
+++ b/internal/adminstate/lameduck.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// LameDuckNotice is how long new connections still arrive after the node has become unready. The
+	// UnreadyPropagationDelay is how long new connections still arrive after the node has become unready. The
 	// platform's front end polls readiness every 0.1 s and stops sending connections 0.2 s after an
 	// unready response; the rest of the time is a margin.
-	LameDuckNotice = 600 * time.Millisecond
+	UnreadyPropagationDelay = 600 * time.Millisecond
 	// LameDuckIdleDelay is how long idle connections stay open after the node has become unready. By
 	// the end of the delay, their clients have received a response that announces the close, so few
 	// clients send a request on a connection while the node closes it.
--- a/internal/adminstate/state_test.go
+++ b/internal/adminstate/state_test.go
@@ -161,7 +161,7 @@
 	if m.Ready() || m.ClosesIdle(end-ms) || !m.ClosesIdle(end) {
 		t.Error("the mode is ready, or closes idle connections earlier or later than LameDuckIdleDelay after the first Enter")
 	}
-	if LameDuckIdleDelay+LameDuckNotice > 2*time.Second {
+	if LameDuckIdleDelay+UnreadyPropagationDelay > 2*time.Second {
 		t.Error("LameDuckIdleDelay and LameDuckNotice together exceed the 2 s after which the node must get no more requests")
 	}
 	m.Exit()
--- a/internal/downstream/h1server/clientconns.go
+++ b/internal/downstream/h1server/clientconns.go
@@ -202,7 +202,7 @@
 	for {
 		cs.mu.Lock()
 		if cs.lameDuck.ClosesIdle(cs.now()) {
-			cs.closeExpired(0, adminstate.LameDuckNotice)
+			cs.closeExpired(0, adminstate.UnreadyPropagationDelay)
 		}
 		cs.mu.Unlock()
 		select {
--- a/internal/downstream/h1server/closeidle_test.go
+++ b/internal/downstream/h1server/closeidle_test.go
@@ -51,7 +51,7 @@
 func TestClosesOnlyIdleConnections(t *testing.T) {
 	for name, closeIdle := range map[string]func(cs *clientConns){
 		"emptied": func(cs *clientConns) {
-			cs.closeExpired(0, adminstate.LameDuckNotice)
+			cs.closeExpired(0, adminstate.UnreadyPropagationDelay)
 		},
 		"stopping":     func(cs *clientConns) { cs.closeExpired(0, unlimitedIdle) },
 		"handing over": func(cs *clientConns) { cs.closeExpired(0, 0) },
