--- a/internal/adminstate/change.go
+++ b/internal/adminstate/change.go
@@ -35,5 +35,5 @@
 type Change struct {
 	Operation  Operation
 	InstanceID string // instance of a Detach or Attach; "" for other operations
-	AtMs       int64  // when the change was requested, Unix milliseconds
+	RequestedAtMs       int64  // when the change was requested, Unix milliseconds
 }
--- a/internal/adminstate/state.go
+++ b/internal/adminstate/state.go
@@ -107,9 +107,9 @@
 	case Detach:
 		s.detach(c.InstanceID)
 	case Attach:
-		s.reattach(c.InstanceID, c.AtMs)
+		s.reattach(c.InstanceID, c.RequestedAtMs)
 	case LameDuck, Rejoin:
-		s.lameDuck, s.lameDuckSinceMs = c.Operation == LameDuck, c.AtMs
+		s.lameDuck, s.lameDuckSinceMs = c.Operation == LameDuck, c.RequestedAtMs
 	}
 	s.version++
 	return true
@@ -165,7 +165,7 @@
 	}
 	slices.SortStableFunc(all, func(x, y Change) int { return cmp.Compare(x.InstanceID, y.InstanceID) })
 	if s.lameDuck {
-		all = append(all, Change{Operation: LameDuck, AtMs: s.lameDuckSinceMs})
+		all = append(all, Change{Operation: LameDuck, RequestedAtMs: s.lameDuckSinceMs})
 	}
 	return all
 }
--- a/internal/adminstate/state_test.go
+++ b/internal/adminstate/state_test.go
@@ -29,7 +29,7 @@
 func (m *model) reattachedMs(id string) int64 {
 	for i := len(m.changes) - 1; i >= 0; i-- {
 		if c := m.changes[i]; c.InstanceID == id && c.Operation == Attach && (&model{m.changes[:i]}).detached(id) {
-			return c.AtMs
+			return c.RequestedAtMs
 		}
 	}
 	return 0
@@ -61,7 +61,7 @@
 			case 0: // the instance restarts, and the endpoint list has its new start
 				started[id] = float64(now)
 			default:
-				c := Change{Operation: op, AtMs: now}
+				c := Change{Operation: op, RequestedAtMs: now}
 				if op.TargetsInstance() {
 					c.InstanceID = id
 				}
@@ -117,7 +117,7 @@
 			t.Errorf("%v of an unknown id: got error %v, want ErrUnknownInstance", op, err)
 		}
 	}
-	s.Apply(Change{Operation: Detach, InstanceID: "x", AtMs: 1})
+	s.Apply(Change{Operation: Detach, InstanceID: "x", RequestedAtMs: 1})
 	if err := s.Validate(Change{Operation: Attach, InstanceID: "x"}, noneListed); err != nil {
 		t.Errorf("Attach of a detached instance that has left the list: got error %v, want none", err)
 	}
--- a/internal/hotrestart/adminrecord_test.go
+++ b/internal/hotrestart/adminrecord_test.go
@@ -121,7 +121,7 @@
 		if i/5%2 == 1 {
 			op = adminstate.Attach
 		}
-		change := adminstate.Change{Operation: op, InstanceID: fmt.Sprint("s", i%5), AtMs: int64(i + 2)}
+		change := adminstate.Change{Operation: op, InstanceID: fmt.Sprint("s", i%5), RequestedAtMs: int64(i + 2)}
 		all = append(all, recordEntry{uint64(i + 1), change})
 	}
 	path := filepath.Join(dir, folderName, recordNames[0])
@@ -156,8 +156,8 @@
 
 func FuzzRecord(f *testing.F) {
 	record := formatRecord("n0", []recordEntry{
-		{1, adminstate.Change{Operation: adminstate.Detach, InstanceID: "s1", AtMs: 5}},
-		{2, adminstate.Change{Operation: adminstate.LameDuck, AtMs: 6}},
+		{1, adminstate.Change{Operation: adminstate.Detach, InstanceID: "s1", RequestedAtMs: 5}},
+		{2, adminstate.Change{Operation: adminstate.LameDuck, RequestedAtMs: 6}},
 	})
 	f.Add(record)
 	f.Add(record[:len(record)-3])
--- a/internal/hotrestart/commit_test.go
+++ b/internal/hotrestart/commit_test.go
@@ -84,13 +84,13 @@
 				os.WriteFile(path, text, 0o600)
 				// A commit repairs the damaged copy, so that a later step may damage the other one.
 				lastChangeMs++
-				p.commitHere(context.Background(), adminstate.Change{Operation: adminstate.LameDuck, AtMs: lastChangeMs}, p)
-				p.commitHere(context.Background(), adminstate.Change{Operation: adminstate.Rejoin, AtMs: lastChangeMs}, p)
+				p.commitHere(context.Background(), adminstate.Change{Operation: adminstate.LameDuck, RequestedAtMs: lastChangeMs}, p)
+				p.commitHere(context.Background(), adminstate.Change{Operation: adminstate.Rejoin, RequestedAtMs: lastChangeMs}, p)
 			default:
 				id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "id")
 				op := rapid.SampledFrom([]adminstate.Operation{adminstate.Detach, adminstate.Attach}).Draw(rt, "op")
 				lastChangeMs++
-				change := adminstate.Change{Operation: op, InstanceID: id, AtMs: lastChangeMs}
+				change := adminstate.Change{Operation: op, InstanceID: id, RequestedAtMs: lastChangeMs}
 				if _, err := p.commitHere(context.Background(), change, p); err != nil {
 					rt.Fatalf("commitHere of %v %s: got error %v, want none", op, id, err)
 				}
--- a/internal/hotrestart/folder_test.go
+++ b/internal/hotrestart/folder_test.go
@@ -12,7 +12,7 @@
 // A process joins a folder that has a record of another node or version or an unreadable one, files of dead
 // processes, and unknown files.
 func TestJoinWithLeftovers(t *testing.T) {
-	foreign := []recordEntry{{1, adminstate.Change{Operation: adminstate.Detach, InstanceID: "s1", AtMs: 1}}}
+	foreign := []recordEntry{{1, adminstate.Change{Operation: adminstate.Detach, InstanceID: "s1", RequestedAtMs: 1}}}
 	for name, text := range map[string]string{
 		"another node": string(formatRecord("n9", foreign)),
 		"a version":    "yokestall-record 2 \"n0\"\n",
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -21,10 +21,10 @@
 // goldenEntries returns the entries in the golden record: one for each operation.
 func goldenEntries() []recordEntry {
 	return []recordEntry{
-		{seq: 3, change: adminstate.Change{Operation: adminstate.Detach, InstanceID: "server 1", AtMs: 1_700_000_000_101}},
-		{seq: 4, change: adminstate.Change{Operation: adminstate.Attach, InstanceID: "s\u00e9rver\"2", AtMs: 1_700_000_000_202}},
-		{seq: 5, change: adminstate.Change{Operation: adminstate.LameDuck, AtMs: 1_700_000_000_303}},
-		{seq: 6, change: adminstate.Change{Operation: adminstate.Rejoin, AtMs: 1_700_000_000_404}},
+		{seq: 3, change: adminstate.Change{Operation: adminstate.Detach, InstanceID: "server 1", RequestedAtMs: 1_700_000_000_101}},
+		{seq: 4, change: adminstate.Change{Operation: adminstate.Attach, InstanceID: "s\u00e9rver\"2", RequestedAtMs: 1_700_000_000_202}},
+		{seq: 5, change: adminstate.Change{Operation: adminstate.LameDuck, RequestedAtMs: 1_700_000_000_303}},
+		{seq: 6, change: adminstate.Change{Operation: adminstate.Rejoin, RequestedAtMs: 1_700_000_000_404}},
 	}
 }
 
--- a/internal/hotrestart/harness_test.go
+++ b/internal/hotrestart/harness_test.go
@@ -67,5 +67,5 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	lastChangeMs++
-	return p.Commit(ctx, adminstate.Change{Operation: op, InstanceID: id, AtMs: lastChangeMs}, p)
+	return p.Commit(ctx, adminstate.Change{Operation: op, InstanceID: id, RequestedAtMs: lastChangeMs}, p)
 }
--- a/internal/hotrestart/recordformat.go
+++ b/internal/hotrestart/recordformat.go
@@ -54,7 +54,7 @@
 	b = append(b, ' ')
 	b = append(b, e.change.Operation.String()...)
 	b = append(b, ' ')
-	b = strconv.AppendInt(b, e.change.AtMs, 10)
+	b = strconv.AppendInt(b, e.change.RequestedAtMs, 10)
 	b = append(b, ' ')
 	b = strconv.AppendQuoteToASCII(b, e.change.InstanceID)
 	return fmt.Appendf(b, " %08x\n", crc32.Checksum(b[start:], castagnoli))
@@ -76,7 +76,7 @@
 	var errSeq, errTime, errID error
 	e.seq, errSeq = strconv.ParseUint(fields[0], 10, 64)
 	e.change.Operation, knownOperation = operations[fields[1]]
-	e.change.AtMs, errTime = strconv.ParseInt(fields[2], 10, 64)
+	e.change.RequestedAtMs, errTime = strconv.ParseInt(fields[2], 10, 64)
 	e.change.InstanceID, errID = strconv.Unquote(fields[3])
 	if errSeq != nil || errTime != nil || errID != nil || !knownOperation || !e.valid() {
 		return recordEntry{}, errDamaged
--- a/internal/node/adminhandler.go
+++ b/internal/node/adminhandler.go
@@ -40,7 +40,7 @@
 	if c.Ping {
 		return a.ping()
 	}
-	change := adminstate.Change{Operation: c.Operation, InstanceID: c.InstanceID, AtMs: time.Now().UnixMilli()}
+	change := adminstate.Change{Operation: c.Operation, InstanceID: c.InstanceID, RequestedAtMs: time.Now().UnixMilli()}
 	if err := a.commit(ctx, change); err != nil {
 		return "", fmt.Errorf("%s %s: %w", c.Operation, c.InstanceID, err)
 	}
--- a/internal/node/detach_histories_test.go
+++ b/internal/node/detach_histories_test.go
@@ -96,7 +96,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 3).Draw(t, "server")
 			change := adminstate.Change{
-				Operation: adminstate.Detach, InstanceID: fmt.Sprint("s-", i), AtMs: time.Now().UnixMilli(),
+				Operation: adminstate.Detach, InstanceID: fmt.Sprint("s-", i), RequestedAtMs: time.Now().UnixMilli(),
 			}
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0:
