--- a/internal/adminstate/change.go
+++ b/internal/adminstate/change.go
@@ -33,7 +33,7 @@
 
 // Change is one change of the administrative state that an operator requested.
 type Change struct {
-	Operation  Operation
-	InstanceID string // instance of a Detach or Attach; "" for other operations
-	RequestedAtMs       int64  // when the change was requested, Unix milliseconds
+	Operation     Operation
+	InstanceID    string // instance of a Detach or Attach; "" for other operations
+	RequestedAtMs int64  // when the change was requested, Unix milliseconds
 }
--- a/internal/fleet/consensus/contradict.go
+++ b/internal/fleet/consensus/contradict.go
@@ -43,7 +43,7 @@
 	Kind        Kind
 	Description string
 	Contradicts bool
-	Reason         string
+	Reason      string
 }
 
 // DifferenceTable returns, for each kind of difference, whether two versions that differ in it contradict each other, and why.
--- a/internal/fleet/consensus/entry.go
+++ b/internal/fleet/consensus/entry.go
@@ -8,11 +8,11 @@
 
 // The limits of the log's entries and of its history.
 const (
-	MaxHistory      = 256     // versions that a rollback can name
-	MaxPartsPerVersion        = 1100    // parts of a version
-	maxHistoryParts = 16384   // parts of all versions in the history together, so that a snapshot fits a message
-	MaxNameBytes         = 255     // bytes of the name of a part, a node, a task or a cluster, or of an id
-	MaxEntryBytes   = 1 << 20 // bytes of an encoded entry, which refers to file contents only by hash
+	MaxHistory         = 256     // versions that a rollback can name
+	MaxPartsPerVersion = 1100    // parts of a version
+	maxHistoryParts    = 16384   // parts of all versions in the history together, so that a snapshot fits a message
+	MaxNameBytes       = 255     // bytes of the name of a part, a node, a task or a cluster, or of an id
+	MaxEntryBytes      = 1 << 20 // bytes of an encoded entry, which refers to file contents only by hash
 	// maxVersionsPerEpoch is how many versions may share an epoch. Each new version is compared with all of them, since
 	// "does not contradict" is not transitive.
 	maxVersionsPerEpoch = 16
@@ -20,8 +20,8 @@
 
 // Part is a file of a version. A part refers to its content by hash, so that only changed files are sent.
 type Part struct {
-	Name string `json:"name"`
-	Hash string `json:"hash"` // SHA-256, hexadecimal
+	Name      string `json:"name"`
+	Hash      string `json:"hash"` // SHA-256, hexadecimal
 	SizeBytes int    `json:"size"` // bytes
 }
 
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -43,7 +43,7 @@
 type Grant struct {
 	VoterID           uint64    `json:"voter"`
 	Sequence          uint64    `json:"seq"`
-	MinCoveredEpoch          uint64    `json:"upto"`
+	MinCoveredEpoch   uint64    `json:"upto"`
 	OwnershipRevision uint64    `json:"set"`
 	LogStatus         LogStatus `json:"facts"`
 }
