--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -13,7 +13,8 @@
 type Config struct {
 	Name      string
 	Endpoints []Endpoint // sorted by id
-	// AllowEmpty says that the cluster has no endpoints on purpose. Check accepts no endpoints then, and rejects any.
+	// AllowEmpty says that the cluster has no endpoints on purpose. Check then requires the list of endpoints to be empty;
+	// otherwise it requires at least one endpoint.
 	AllowEmpty bool
 	// ShrinkTo is the number of endpoints that the version has on purpose: if the number is right, CheckRemovals accepts
 	// any number of removals. With ShrinkUnspecified, CheckRemovals limits the removals.
--- a/internal/cluster/removals.go
+++ b/internal/cluster/removals.go
@@ -42,7 +42,8 @@
 		return nil
 	}
 	p := &Problem{Source: before.Source}
-	p.Text = fmt.Sprintf("cluster %s: %d of %d servers would go at once, more than %g of them",
+	p.Text = fmt.Sprintf(
+		"cluster %s: %d of %d serving endpoints would be removed or drained at once, more than max_removed_share = %g allows",
 		name, lost, servingBefore, maxShare)
 	if after == nil {
 		p.Text += "; to remove a cluster, first say no_servers = \"on purpose\" in [cluster]"
--- a/internal/cluster/removals_test.go
+++ b/internal/cluster/removals_test.go
@@ -31,7 +31,7 @@
 		"first":              {nil, versionOf(nil), ""},
 		"same":               {versionOf(ten), versionOf(ten), ""},
 		"half":               {versionOf(ten), versionOf(ten[5:]), ""},
-		"more than half":     {versionOf(ten), versionOf(ten[6:]), "6 of 10 servers would go at once"},
+		"more than half":     {versionOf(ten), versionOf(ten[6:]), "6 of 10 serving endpoints would be removed or drained at once"},
 		"more, meant":        {versionOf(ten), version(shrunk), ""},
 		"all, meant":         {versionOf(ten), version(empty), ""},
 		"drained":            {versionOf(ten), versionOf(drained), "6 of 10"},
--- a/internal/files/rejected_test.go
+++ b/internal/files/rejected_test.go
@@ -19,7 +19,7 @@
 		"half a file":   {func(f *fixture) { f.writeFile(f.roomsFile(), clusterText("", 1, 2)[:60]) }, "is not whole"},
 		"empty":         {func(f *fixture) { f.writeFile(f.roomsFile(), "") }, "rooms.toml:1: is not whole"},
 		"no servers":    {func(f *fixture) { f.writeFile(f.roomsFile(), clusterText("")) }, "names no servers"},
-		"too many gone": {func(f *fixture) { f.writeFile(f.roomsFile(), clusterText("", 1)) }, "3 of 4 servers would go at once"},
+		"too many gone": {func(f *fixture) { f.writeFile(f.roomsFile(), clusterText("", 1)) }, "3 of 4 serving endpoints would be removed or drained at once"},
 		"a folder": {func(f *fixture) {
 			os.Remove(f.roomsFile())
 			os.Mkdir(f.roomsFile(), 0o755)
