--- a/internal/config/clusterfile.go
+++ b/internal/config/clusterfile.go
@@ -50,8 +50,8 @@
 	} `toml:"end"`
 }
 
-// IsCluster reports whether a text has tables of a cluster file and none of the program's own file. A caller that parses the
-// text accordingly reports the problems of a faulty file as those of its kind.
+// IsCluster reports whether a text has tables of a cluster file and none of the program's own file. It lets
+// a caller choose the parser for a file of unknown kind, so that a faulty cluster file is reported as such.
 func IsCluster(text []byte) bool { return clusterTableRE.Match(text) && !programTableRE.Match(text) }
 
 // ParseCluster parses a cluster file. The file must end with a closing entry that has the number of endpoints:
--- a/internal/config/clusters.go
+++ b/internal/config/clusters.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if first := clusters[c.Name]; first != nil {
-			text := fmt.Sprintf("cluster %s is %s's too", c.Name, first.Source)
+			text := fmt.Sprintf("cluster %s is already defined in %s", c.Name, first.Source)
 			found = append(found, &cluster.Problem{Source: name, Text: text})
 			continue
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -127,7 +127,7 @@
 		})
 	}
 	if _, err := ParseClusters([]File{{"a.toml", []byte(good)}, {"b.toml", []byte(good)}}); err == nil ||
-		!strings.Contains(err.Error(), "b.toml: cluster rooms is a.toml's too") {
+		!strings.Contains(err.Error(), "b.toml: cluster rooms is already defined in a.toml") {
 		t.Errorf("two files with the same cluster: got error %v, want one that names both files", err)
 	}
 	if _, err := ParseClusters(make([]File, MaxFiles+1)); err == nil {
--- a/internal/config/listeners.go
+++ b/internal/config/listeners.go
@@ -31,7 +31,7 @@
 	MaxHead           int           // limit of a request head, in bytes
 	Stall             time.Duration // how long a client may stop reading a stream or sending an upload
 	Resets            int           // limit of RST_STREAM frames per second of an HTTP/2 connection; 0: no limit
-	Controls          int           // limit of frames per second without a request of an HTTP/2 connection; 0: no limit
+	Controls          int           // limit of control frames (h2flood.Limits) per second of an HTTP/2 connection; 0: no limit
 	Pieces            int           // limit of CONTINUATION frames of an HTTP/2 request head; 0: no limit
 }
 
@@ -84,8 +84,8 @@
 	p.Listener = p.Listeners[0]
 }
 
-// readListener reads a listener, checks it and appends it to p.Listeners. i is its index among the tables of this name, -1 if
-// the name has one table. keys is the directory of the TLS keys; "": TLS is not available.
+// readListener reads a listener, checks it and appends it to p.Listeners. i is the index of a [[listener]] table, or -1 for
+// [listen]. keys is the directory of the TLS keys; "": TLS is not available.
 func (p *Program) readListener(table string, i int, f *listenerFile, keys string, report reporter) {
 	l := Listener{
 		Name: f.Name, Address: f.Address, Connections: 1024, NewConnections: 256, HTTP2: 128,
--- a/internal/config/parseprogram.go
+++ b/internal/config/parseprogram.go
@@ -23,7 +23,7 @@
 	p.readClasses(&f.classFile, report)
 	p.readTenants(&f.tenantTables, report)
 	if f.Files.Tenants != "" && len(f.Tenant) > 0 {
-		const text = "%s is to have the tenants, and %s has [[tenant]] too: one of them"
+		const text = "%s is to have the tenants, but %s has [[tenant]] tables too: only one of them may define tenants"
 		report("files", -1, "tenants", text, f.Files.Tenants, name)
 	}
 	p.readXDS(f, report)
--- a/internal/config/survey.go
+++ b/internal/config/survey.go
@@ -40,10 +40,10 @@
 	}
 )
 
-// survey checks a file before it is decoded into the type of to. It returns the limit that the file exceeds, or the first
-// maxProblems unknown keys if there are more of them. Decoding alone would be too expensive for such files: it holds the whole
-// file in memory, and searches for the line of each unknown key from the beginning of the file. Up to maxProblems unknown keys,
-// and syntax errors, are left to decoding.
+// survey checks a file before it is decoded into the type of to. It returns the limit that the file exceeds, or, if
+// the file has over maxProblems unknown keys, the first maxProblems of them. Decoding alone would be too expensive for such
+// files: it holds the whole file in memory, and searches for the line of each unknown key from the beginning of the file. Up to
+// maxProblems unknown keys, and syntax errors, are left to decoding.
 func survey(name string, text []byte, to any, limits tableLimits) error {
 	if err := checkExpressionSizes(name, text); err != nil {
 		return err
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -57,7 +57,7 @@
 	good := string(readExample(t, "yokestall.toml"))
 	text := strings.Replace(good, "[files]\n", "[files]\ntenants = \"many.toml\"\n", 1)
 	_, err := ParseProgram("x.toml", []byte(text))
-	if err == nil || !strings.Contains(err.Error(), "files: tenants: many.toml is to have the tenants, and x.toml has [[tenant]] too") {
+	if err == nil || !strings.Contains(err.Error(), "files: tenants: many.toml is to have the tenants, but x.toml has [[tenant]] tables too") {
 		t.Errorf("tenants in both files: got error %v, want one that names both files", err)
 	}
 	text = strings.Replace(text, "[[tenant]]\nname = \"umurage-hotels\"\nquota_per_s = 80", "", 1)
--- a/internal/files/bundle_test.go
+++ b/internal/files/bundle_test.go
@@ -44,7 +44,7 @@
 		list []config.File
 		want string
 	}{
-		{append(list, change, again), "not in the list"}, {list[1:], "yokestall.toml: is missing from the version"}, {append(list, config.File{Name: "b.toml", Text: []byte(roomsList)}), "is rooms.toml's too"},
+		{append(list, change, again), "not in the list"}, {list[1:], "yokestall.toml: is missing from the version"}, {append(list, config.File{Name: "b.toml", Text: []byte(roomsList)}), "is already defined in rooms.toml"},
 		{append(list, config.File{Name: "other+0001", Text: []byte(strings.Replace(roomsChange, "rooms", "suites", 1))}), "changes the cluster suites, which the version does not have"},
 		{[]config.File{{Name: ProgramPart, Text: []byte(bundledProgram[:strings.Index(bundledProgram, "[[host]]")] + "[xds]\nfolder = \"x\"\n")}}, "can't follow a control plane"},
 		{append(list, config.File{Name: "big.toml", Text: make([]byte, maxTotalBytes)}), "big.toml: the files of the version have over 67108864 bytes together"},
--- a/internal/files/tenants_test.go
+++ b/internal/files/tenants_test.go
@@ -101,7 +101,7 @@
 		t.Errorf("Check of a valid tenants file: %v", err)
 	}
 	f.writeFile(f.path, text+tenantsText(1, 20))
-	f.awaitLog("files: tenants: tenants.toml is to have the tenants, and " + f.path + " has [[tenant]] too")
+	f.awaitLog("files: tenants: tenants.toml is to have the tenants, but " + f.path + " has [[tenant]] tables too")
 	f.writeFile(f.path, text)
 	must(t, os.Remove(name))
 	f.awaitLog("tenants.toml: no such file or directory")
