--- a/internal/tlskeys/store.go
+++ b/internal/tlskeys/store.go
@@ -40,9 +40,9 @@
 // Changes returns how many sets have come into force, including the first one unless that is empty.
 func (s *Store) Changes() uint64 { return s.changes.Load() }
 
-// Reload reads the directory once and puts the complete entries in force; for a faulty entry the earlier one stays. It returns
-// the errors of the faulty files, and logs those that were not logged since the set in force was loaded. If the directory can't
-// be read, the set in force stays.
+// Reload reads the directory once and puts the complete entries in force; for a faulty entry the earlier one stays, except
+// as described at Update. Reload returns the errors of the faulty files, and logs those that were not logged since the set in
+// force was loaded. If the directory can't be read, the set in force stays.
 func (s *Store) Reload(now time.Time) []error {
 	files, err := readFolder(s.folder)
 	if err != nil {
--- a/internal/tlskeys/update.go
+++ b/internal/tlskeys/update.go
@@ -12,9 +12,10 @@
 )
 
 // Update returns the set of a directory's files, and an error for each faulty file, which begins with the file's name. For a
-// faulty entry the set has the entry of old, if there is one. A file over MaxFileBytes, however, counts as missing: its root
-// bundle or ticket keys are not taken from old, nor is a pair of which both files are too long. defaultPair is the name of the
-// pair for clients that name no server or an unknown one; "": the first pair by name.
+// faulty entry the set has the entry of old, if there is one. Exception: a file over MaxFileBytes counts as missing. A root
+// bundle or ticket keys in such a file are dropped, and so is a pair if both its files are too long; if only one of them is,
+// the old pair stays. defaultPair is the name of the pair for clients that name no server or an unknown one; "": the first pair
+// by name.
 func Update(old *Set, files []File, defaultPair string, now time.Time) (*Set, []error) {
 	u := &updater{
 		old: old, now: now, contents: map[string][]byte{},
