--- a/internal/forwarded/trust.go
+++ b/internal/forwarded/trust.go
@@ -44,9 +44,9 @@
 	return r.TrustedProxies != nil && a.IsValid() && r.TrustedProxies.Contains(a.Unmap())
 }
 
-// Client returns the address of the client. Client goes back from the peer through X-Forwarded-For to the first address
-// that does not belong to a trusted proxy. At the end of the list, or at an entry that is not an address, it returns the
-// last address that it has read.
+// Client returns the address of the client. Client begins with the address of the peer, goes through X-Forwarded-For from
+// its last entry to its first, and stops at the first address that isn't a trusted proxy's. If all are trusted proxies'
+// addresses, or if it reaches an entry that is not an address, it returns the address that it read before stopping.
 func (r *Rules) Client(q *http.Request) netip.Addr {
 	client := ParseAddr(q.RemoteAddr)
 	hops := strings.Split(strings.Join(q.Header["X-Forwarded-For"], ","), ",")
--- a/internal/h2flood/guard.go
+++ b/internal/h2flood/guard.go
@@ -44,12 +44,14 @@
 
 // Guard counts the frames of one connection, in both directions. Create it with New. A Guard is not safe for concurrent use.
 type Guard struct {
-	limits             Limits
-	received, sent     frameScanner
-	resets             tokenBucket
-	controlFrames      tokenBucket
-	continuations      int // number of CONTINUATION frames in the current field block
-	windowUpdateCredit int // bytes sent to the client for which no WINDOW_UPDATE frame has been received
+	limits         Limits
+	received, sent frameScanner
+	resets         tokenBucket
+	controlFrames  tokenBucket
+	continuations  int // number of CONTINUATION frames in the current field block
+	// windowUpdateCredit is the number of bytes sent to the client, up to about maxWindowUpdateCredit, less
+	// bytesPerWindowUpdate for each uncounted WINDOW_UPDATE frame.
+	windowUpdateCredit int
 }
 
 // New returns a Guard for a connection. Its first bytes are those at the start of the connection or, if prefaceRead is set,
--- a/internal/ingress/attributes.go
+++ b/internal/ingress/attributes.go
@@ -77,8 +77,8 @@
 }
 
 // ParseGRPCTimeout parses the timeout of a gRPC call (gRPC over HTTP2, "Timeout"): one to eight digits and a unit. A timeout
-// above maxGRPCTimeout is lowered to the largest multiple of its unit that is not. The result is false if the text is
-// malformed.
+// above maxGRPCTimeout is lowered to the largest multiple of its unit that does not exceed maxGRPCTimeout. The result is
+// false if the text is malformed.
 func ParseGRPCTimeout(text string) (time.Duration, bool) {
 	if len(text) < 2 || len(text) > maxGRPCTimeoutDigits+1 {
 		return 0, false
