--- a/internal/priority/plan.go
+++ b/internal/priority/plan.go
@@ -39,12 +39,12 @@
 // Tier is the healthy or the degraded part of a priority.
 type Tier struct {
 	Key
-	// Cluster has the tier's endpoints. Endpoints that get no new requests belong to the healthy part of their priority, so
-	// that users of that part see them drain.
+	// Cluster has the tier's endpoints. Draining and unhealthy endpoints belong to the healthy tier, so that the code
+	// that uses the tier still sees them.
 	Cluster *cluster.Config
 
 	priorityEndpoints int             // number of endpoints of the priority, whatever their health
-	warmEndpoints     int             // number of endpoints of the tier that serve and have no slow start
+	withoutSlowStart  int             // serving endpoints whose start time is unknown, or all of them if slow start is off
 	startTimes        []time.Duration // of the tier's other serving endpoints, since the Unix epoch, ascending
 }
 
@@ -109,13 +109,13 @@
 	return tiers
 }
 
-// countEndpoints sets warmEndpoints and startTimes from the tier's endpoints.
+// countEndpoints sets withoutSlowStart and startTimes from the tier's endpoints.
 func (t *Tier) countEndpoints(slowStart SlowStart) {
 	for i := range t.Cluster.Endpoints {
 		switch e := &t.Cluster.Endpoints[i]; {
 		case !e.Serves():
 		case e.StartedMs == 0 || slowStart.Window <= 0:
-			t.warmEndpoints++
+			t.withoutSlowStart++
 		default:
 			t.startTimes = append(t.startTimes, time.Duration(e.StartedMs)*time.Millisecond)
 		}
--- a/internal/priority/shares.go
+++ b/internal/priority/shares.go
@@ -15,8 +15,9 @@
 // Shares returns the fraction of the requests that each tier gets. The shares add up to 1. Shares returns nil if no tier can
 // serve requests. now is the time since the Unix epoch. The caller must not change the result, which is cached.
 //
-// As in Envoy (priority levels, degraded endpoints), the capacity of a tier is its fraction of the priority's endpoints
-// times the overprovisioning factor, at most 1. Requests beyond a tier's capacity go to the next tier. If all capacities add
+// As in Envoy (priority levels, degraded endpoints), the capacity of a tier is its number of effective endpoints (in
+// which an endpoint in slow start counts for less than 1) divided by the number of the priority's endpoints, times the
+// overprovisioning factor, at most 1. Requests beyond a tier's capacity go to the next tier. If all capacities add
 // up to less than 1, each tier's share is larger than its capacity, in proportion to it.
 func (p *Plan) Shares(now time.Duration) []float64 {
 	if last := p.lastShares.Load(); last != nil && now >= last.calculatedAt && now-last.calculatedAt < sharesLifetime {
@@ -34,7 +35,7 @@
 	for i := range p.Tiers {
 		t := &p.Tiers[i]
 		if t.priorityEndpoints > 0 {
-			capacities[i] = min(1, p.overprovisioning*t.capacity(now, p.slowStart)/float64(t.priorityEndpoints))
+			capacities[i] = min(1, p.overprovisioning*t.effectiveEndpoints(now, p.slowStart)/float64(t.priorityEndpoints))
 		}
 		total += capacities[i]
 	}
@@ -50,9 +51,10 @@
 	return shares
 }
 
-// capacity returns the tier's capacity as a number of endpoints at full capacity.
-func (t *Tier) capacity(now time.Duration, slowStart SlowStart) float64 {
-	sum := float64(t.warmEndpoints)
+// effectiveEndpoints returns the sum of the capacities of the tier's serving endpoints, where an endpoint at full capacity
+// counts as 1.
+func (t *Tier) effectiveEndpoints(now time.Duration, slowStart SlowStart) float64 {
+	sum := float64(t.withoutSlowStart)
 	for _, start := range t.startTimes {
 		sum += slowStart.capacityAt(now - start)
 	}
--- a/internal/priority/shares_test.go
+++ b/internal/priority/shares_test.go
@@ -121,7 +121,7 @@
 		}
 		sum := 0.0
 		for i, s := range shares {
-			if sum += s; s > 0 && p.Tiers[i].capacity(now, p.slowStart) == 0 {
+			if sum += s; s > 0 && p.Tiers[i].effectiveEndpoints(now, p.slowStart) == 0 {
 				t.Fatalf("tier %d: got share %v, want 0 because it can't serve", i, s)
 			}
 		}
