--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -98,8 +98,8 @@
 }
 
 // ParseSettings parses an instance's settings (JSON). Unknown keys are ignored, and settings whose keys are absent have
-// the values of policy.Defaults. A class without the key "Effect" is not idempotent. The error names the key, except
-// for malformed JSON and for a time that is out of range.
+// the values of policy.DefaultSettings, except as noted at setLimits. A class without the key "Effect" is not idempotent.
+// The error names the key, except for malformed JSON and for a time that is out of range.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	s := policy.DefaultSettings()
 	var m settingsMessage
@@ -117,7 +117,8 @@
 	m.setRules(&s.Rules)
 	var ok bool
 	if s.PollEndpoints, ok = pollsByMode[m.DiscoveryMode]; !ok {
-		return s, fmt.Errorf("settings: RegistryMode: unknown mode %q, want \"pushed\", \"on_request\" or none", m.DiscoveryMode)
+		return s, fmt.Errorf("settings: RegistryMode: unknown mode %q, want \"pushed\" or \"on_request\", or leave the key out",
+			m.DiscoveryMode)
 	}
 	for i := range m.Classes {
 		class, err := m.Classes[i].class(fmt.Sprintf("settings: Classes[%d]", i))
@@ -135,8 +136,8 @@
 	return s, nil
 }
 
-// setLimits copies the limits to the policy's. MaxAttempts keeps its default if its key is absent, and MaxRetryAfter keeps
-// its default unless Retry-After is allowed.
+// setLimits copies the limits to the policy's. MaxAttempts keeps its default if its key is absent. MaxRetryAfter
+// keeps its default if Retry-After is not allowed; if Retry-After is allowed, an absent key means 0.
 func (m *settingsMessage) setLimits(to *policy.Limits) {
 	setIfGiven(&to.MaxAttempts, m.Limits.MaxAttempts)
 	to.AllowCancel, to.AllowHedging = m.Limits.AllowCancel, m.Limits.AllowHedging
@@ -170,11 +171,11 @@
 	setIfGiven(&c.PriorityWeight, m.PriorityWeight)
 	var ok bool
 	if c.Idempotency, ok = idempotencies[m.Idempotency]; !ok {
-		return c, fmt.Errorf("%s.Effect: unknown effect %q, want \"pure\", \"token\", \"side_effect\" or none",
+		return c, fmt.Errorf("%s.Effect: unknown effect %q, want \"pure\", \"token\" or \"side_effect\", or leave the key out",
 			path, m.Idempotency)
 	}
 	if c.DedupScope, ok = scopes[m.DedupScope]; !ok {
-		return c, fmt.Errorf("%s.DedupScope: unknown scope %q, want \"all\", \"zone\", \"cell\" or none", path, m.DedupScope)
+		return c, fmt.Errorf("%s.DedupScope: unknown scope %q, want \"all\", \"zone\" or \"cell\", or leave the key out", path, m.DedupScope)
 	}
 	return c, nil
 }
