--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -175,7 +175,8 @@
 			path, m.Idempotency)
 	}
 	if c.DedupScope, ok = scopes[m.DedupScope]; !ok {
-		return c, fmt.Errorf("%s.DedupScope: unknown scope %q, want \"all\", \"zone\" or \"cell\", or leave the key out", path, m.DedupScope)
+		return c, fmt.Errorf("%s.DedupScope: unknown scope %q, want \"all\", \"zone\" or \"cell\", or leave the key out",
+			path, m.DedupScope)
 	}
 	return c, nil
 }
