--- a/internal/fake/fleet/config.go
+++ b/internal/fake/fleet/config.go
@@ -5,15 +5,16 @@
 	"path/filepath"
 )
 
-// clustersFolder is the folder of cluster files, relative to a process's configuration file.
+// clustersFolder is the folder of cluster files, relative to the folder of a process's configuration file.
 const clustersFolder = "clusters"
 
-// ServeCommand returns the command that has a program serve, without the configuration's path.
+// ServeCommand returns the command line that runs program as a server, up to and including the flag -c. The caller
+// appends the path of the configuration file.
 func ServeCommand(program []string) []string {
 	return append(program[:len(program):len(program)], "serve", "-c")
 }
 
-// ClusterFile returns the path of a cluster's file, below the folder that WriteConfig creates.
+// ClusterFile returns the path of a cluster's file in the clusters folder, which WriteConfig creates.
 func (p *Process) ClusterFile(cluster string) string {
 	return filepath.Join(p.Dir, clustersFolder, cluster+".toml")
 }
--- a/internal/fake/fleet/fault_test.go
+++ b/internal/fake/fleet/fault_test.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// The same seed draws the same script, another seed another one, and each fault of a script can be applied.
+// RandomFaults draws the same script from the same seed and another script from another seed, and all faults are valid.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(200) {
 		script := RandomFaults(seed, 8, 5, 12, time.Minute)
 		again, other := RandomFaults(seed, 8, 5, 12, time.Minute), RandomFaults(seed+1, 8, 5, 12, time.Minute)
 		if !reflect.DeepEqual(script, again) || reflect.DeepEqual(script, other) {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("seed %d: got %v, then %v, and with the next seed %v; want the first two equal and the third different",
+				seed, script, again, other)
 		}
 		for _, f := range script {
 			if err := f.Check(5, 12, time.Minute); err != nil {
-				t.Fatalf("seed %d: %v: %v", seed, f, err)
+				t.Fatalf("seed %d: drew an invalid fault %v: %v", seed, f, err)
 			}
 		}
 	}
 }
 
-// A fault that can't be applied is named by its key in files.
+// The error of an invalid fault begins with the key of the invalid value in experiment files.
 func TestFaultCheck(t *testing.T) {
 	for _, tc := range []struct {
 		f    Fault
@@ -39,7 +40,7 @@
 		{Fault{To: 1, Kind: Throttle, Nodes: []int{0}}, "rate: "},
 	} {
 		if err := tc.f.Check(5, 12, time.Minute); err == nil || !strings.HasPrefix(err.Error(), tc.want) {
-			t.Errorf("%v: %v, want %s", tc.f, err, tc.want)
+			t.Errorf("%v: got error %v, want one that begins with %q", tc.f, err, tc.want)
 		}
 	}
 }
--- a/internal/fake/fleet/faultscript.go
+++ b/internal/fake/fleet/faultscript.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// faultScript is a script that is being applied to a rig.
+// faultScript is the state of a fault script while it is applied to a rig.
 type faultScript struct {
 	rig    *Rig
 	script []Fault
 	active map[*Fault]bool
-	starts sync.WaitGroup // of processes that start again
-	errs   chan error     // of those starts
+	starts sync.WaitGroup // running restarts of processes
+	errs   chan error     // errors of failed restarts
 }
 
-// faultStep is the begin or the end of a fault.
+// faultStep is the start or the end of a fault.
 type faultStep struct {
 	at    time.Duration
 	fault *Fault
 	ends  bool
 }
 
-// ApplyFaults applies a script from its begin on. It returns when the last fault has ended, with the first error of a
-// process, or when ctx ends, with its error.
+// ApplyFaults applies a fault script whose times count from began. It returns when the last fault has ended and all
+// processes have restarted, with the first error of a restart; at the first error of another step; or when ctx ends,
+// with the error of ctx.
 func (r *Rig) ApplyFaults(ctx context.Context, began time.Time, script []Fault) error {
 	steps := stepsOf(script)
 	a := &faultScript{
@@ -51,7 +52,7 @@
 	return <-a.errs
 }
 
-// stepsOf returns a script's steps by time.
+// stepsOf returns the starts and ends of a script's faults in order of time.
 func stepsOf(script []Fault) (steps []faultStep) {
 	for i := range script {
 		f := &script[i]
@@ -100,7 +101,7 @@
 			return err
 		}
 	}
-	a.starts.Go(func() { // the script goes on meanwhile
+	a.starts.Go(func() { // the script continues while the process starts
 		if err := p.Start(ctx); err != nil {
 			a.errs <- err
 		}
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// hasToBeDead reports whether an active fault kills a process.
+// hasToBeDead reports whether an active Kill or KillAndErase fault includes the process.
 func (a *faultScript) hasToBeDead(node int) bool {
 	for i := range a.script {
 		f := &a.script[i]
@@ -119,7 +120,7 @@
 	return false
 }
 
-// setServerLinks sets a process's links to servers by all active faults.
+// setServerLinks sets the links of a process to servers to the combined state of all active faults.
 func (a *faultScript) setServerLinks(node int) {
 	for server, l := range a.rig.ServerLinks[node] {
 		var link Link
@@ -132,7 +133,7 @@
 	}
 }
 
-// setPeerLinks sets the links between processes by all active faults.
+// setPeerLinks sets the links between processes to the combined state of all active faults.
 func (a *faultScript) setPeerLinks() {
 	for i, links := range a.rig.PeerLinks {
 		for j, l := range links {
@@ -143,8 +144,8 @@
 	}
 }
 
-// peerLink is the state of the link from process i to process j. A fault of the links from i to j is one of the links
-// from j to i too, seen from the other end.
+// peerLink returns the state of the link from process i to process j. A fault of the link from i to j also affects the
+// link from j to i, with its directions swapped.
 func (a *faultScript) peerLink(i, j int) (link Link) {
 	for k := range a.script {
 		f := &a.script[k]
--- a/internal/fake/fleet/finding.go
+++ b/internal/fake/fleet/finding.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Finding is a broken rule.
+// Finding is a violation of a rule that a check found.
 type Finding struct {
 	Rule  string
 	At    time.Duration
 	ID    string
 	Party int
-	// Timing reports that the finding rests on the times of events. It is void if the machine was late itself.
+	// Timing reports that the finding depends on the times of events. Such a finding is void if the machine was
+	// overloaded and delayed the events.
 	Timing  bool
-	History []Event // of all tries of its request; only of the first findings
+	History []Event // the events of all tries of the request; only the first findings have them
 }
 
-// String returns the finding in a line.
+// String returns the finding in one line.
 func (f Finding) String() string {
-	return fmt.Sprintf("%v: %s (try %s, %d)", f.At.Round(time.Millisecond), f.Rule, f.ID, f.Party)
+	return fmt.Sprintf("%v: %s (try %s, process or server %d)", f.At.Round(time.Millisecond), f.Rule, f.ID, f.Party)
 }
 
-// finding is a finding at an event.
+// finding returns a finding at an event.
 func finding(e *Event, rule string) Finding {
 	return Finding{Rule: rule, At: e.At, ID: e.ID, Party: e.Party}
 }
 
-// timingFinding is a finding at an event that rests on its time.
+// timingFinding returns a finding that depends on the time of its event.
 func timingFinding(e *Event, rule string) Finding {
 	f := finding(e, rule)
 	f.Timing = true
--- a/internal/fake/fleet/ownercheck.go
+++ b/internal/fake/fleet/ownercheck.go
@@ -7,21 +7,23 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// orderSearchTimeout bounds the search of CheckOwnerOrder. A history of owners leaves it hardly any choice.
+// orderSearchTimeout bounds the search of CheckOwnerOrder. The search is normally far shorter, since the rising tokens
+// of owners leave few possible orders.
 const orderSearchTimeout = 30 * time.Second
 
 // CheckOwnerTokens checks the answers of owners, in order of time: a process that was asked after an answer with a
-// higher token had come may not answer as the owner. It returns how many owners there were, one after the other, and
-// the longest time between the last answer of one and the first of the next.
+// higher token had arrived must not answer as the owner. It returns the number of successive owners, and the longest
+// time between the last answer of one owner and the first answer of the next one.
 func CheckOwnerTokens(events []Event) (owners int, longest time.Duration, found []Finding) {
 	highest := 0
-	var firstAt, lastAt time.Duration // of the answers with the highest token, and of all
+	var firstAt, lastAt time.Duration // the first answer with the highest token so far, and the last accepted answer
 	for i := range events {
 		e := &events[i]
 		switch {
 		case e.Kind != OwnerAnswered:
 		case e.Version < highest && e.Reference > firstAt:
-			rule := fmt.Sprintf("an owner by token %d, asked %v after one by %d had answered",
+			rule := fmt.Sprintf(
+				"a process answered as the owner with token %d, asked %v after an owner with token %d had answered",
 				e.Version, e.Reference-firstAt, highest)
 			found = append(found, Finding{Rule: rule, At: e.At, Party: e.Party})
 		case e.Version > highest:
@@ -36,14 +38,14 @@
 	return owners, longest, found
 }
 
-// ownership is who owns a singleton task, with which fencing token.
+// ownership is the owner of a singleton task and its fencing token.
 type ownership struct {
 	process int
 	token   int
 }
 
-// ownershipModel is the sequential specification of an ownership: who answers as the owner either is the last one, with
-// the same token, or a new one with a higher token.
+// ownershipModel is the sequential specification of an ownership: the process that answers as the owner is either the
+// previous owner with the same token, or any process with a higher token.
 var ownershipModel = porcupine.Model{
 	Init: func() any { return ownership{} },
 	Step: func(state, _, output any) (bool, any) {
@@ -52,13 +54,13 @@
 	},
 	DescribeOperation: func(_, output any) string {
 		o := output.(ownership)
-		return fmt.Sprintf("n%d by %d", o.process, o.token)
+		return fmt.Sprintf("process %d with token %d", o.process, o.token)
 	},
 }
 
 // CheckOwnerOrder checks that the answers of owners are linearizable (Herlihy and Wing, 1990): there is one order in
-// which each answer falls between its question and itself, and follows the one before by ownershipModel. It returns how
-// many answers there were, and a finding if there is no such order or none was found in time.
+// which each answer takes effect between its query and its arrival, and ownershipModel allows each answer after the
+// previous one. It returns the number of answers, and a finding if there is no such order or the search timed out.
 func CheckOwnerOrder(events []Event) (answers int, found []Finding) {
 	var history []porcupine.Operation
 	for _, e := range events {
@@ -73,7 +75,7 @@
 	}
 	verdict := porcupine.CheckOperationsTimeout(ownershipModel, history, orderSearchTimeout)
 	if verdict != porcupine.Ok {
-		const rule = "%d answers of owners: an order in which each follows the one before is %s"
+		const rule = "the %d answers of owners are not shown to be linearizable: the result of the search for an order is %s"
 		found = append(found, Finding{Rule: fmt.Sprintf(rule, len(history), verdict)})
 	}
 	return len(history), found
--- a/internal/fake/fleet/ownercheck_test.go
+++ b/internal/fake/fleet/ownercheck_test.go
@@ -9,8 +9,8 @@
 	return Event{Kind: OwnerAnswered, Party: process, Version: token, Reference: asked, At: answered}
 }
 
-// CheckOwnerOrder accepts answers that have an order, however they overlap, and finds each way in which an old owner
-// answers.
+// CheckOwnerOrder accepts linearizable answers, also overlapping ones, and reports answers of a former owner and of two
+// owners with the same token.
 func TestCheckOwnerOrder(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -35,7 +35,7 @@
 	} {
 		answers, found := CheckOwnerOrder(tc.events)
 		if (len(found) > 0) != tc.broken || answers == 0 {
-			t.Errorf("%s: %d answers, found %v, want a finding: %v", tc.name, answers, found, tc.broken)
+			t.Errorf("%s: got %d answers and findings %v, want answers and a finding: %v", tc.name, answers, found, tc.broken)
 		}
 	}
 }
--- a/internal/fake/fleet/parent_linux.go
+++ b/internal/fake/fleet/parent_linux.go
@@ -5,7 +5,8 @@
 	"syscall"
 )
 
-// EndWithParent lets the kernel kill a process that is about to start when the program that starts it ends, in any way.
+// EndWithParent sets up cmd, which must not have been started, so that the kernel kills the process when its parent
+// ends for any reason.
 func EndWithParent(cmd *exec.Cmd) {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/fake/fleet/parent_linux_test.go
+++ b/internal/fake/fleet/parent_linux_test.go
@@ -10,12 +10,12 @@
 	"yokestall/internal/testutil"
 )
 
-// A process does not outlive the program that started it, even one that is killed.
+// A process does not outlive the program that started it, even if that program is killed.
 func TestEndsWithParent(t *testing.T) {
 	command, env := testutil.SelfCommand()
 	cmd := exec.Command(command[0], asParent, t.TempDir())
 	cmd.Env = append(os.Environ(), env...)
-	if _, err := cmd.StdinPipe(); err != nil { // it ends when this closes
+	if _, err := cmd.StdinPipe(); err != nil { // the parent ends when its standard input closes
 		t.Fatal(err)
 	}
 	out, write, err := os.Pipe()
@@ -33,11 +33,11 @@
 	cmd.Process.Kill()
 	cmd.Wait()
 	if err != nil || line != "started\n" {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("got line %q and error %v from the parent, want \"started\\n\"", line, err)
 	}
 	ended := make(chan error, 1)
 	go func() {
-		_, err := io.Copy(io.Discard, lines) // until nobody holds it open for writing
+		_, err := io.Copy(io.Discard, lines) // ends when no process holds the pipe open for writing
 		ended <- err
 	}()
 	if err := testutil.Wait(t, ended, "the process to end with its parent"); err != nil {
--- a/internal/fake/fleet/parent_other.go
+++ b/internal/fake/fleet/parent_other.go
@@ -4,5 +4,5 @@
 
 import "os/exec"
 
-// EndWithParent does nothing: this system has no signal at a parent's death.
+// EndWithParent does nothing on systems other than Linux, which lack a signal to children on the death of a parent.
 func EndWithParent(*exec.Cmd) {}
--- a/internal/fake/fleet/parent_test.go
+++ b/internal/fake/fleet/parent_test.go
@@ -7,10 +7,10 @@
 	"os"
 )
 
-// asParent, as the first argument, makes the test program start a process in the folder of the next argument, and wait.
+// asParent, as the first argument, makes the test program run parent with the folder of the second argument.
 const asParent = "parent"
 
-// parent starts a process that keeps this one's output open, prints that, and waits for its own end.
+// parent starts a process that inherits standard output, prints "started", and waits until standard input closes.
 func parent(dir string) {
 	p, err := NewProcess(dir, []string{os.Args[0]}, nil)
 	if err == nil {
--- a/internal/fake/fleet/process.go
+++ b/internal/fake/fleet/process.go
@@ -14,22 +14,25 @@
 	"time"
 )
 
-// Process is a real process of the program, with a folder and an address that outlive it. Create it with NewProcess;
-// its methods are safe for concurrent use.
+// Process is a process of the program that can be started and killed repeatedly, and keeps its folder and its address.
+// Create it with NewProcess. Its methods are safe for concurrent use, except Pipes.
 type Process struct {
 	Dir, Addr string
-	// Command starts it, without the path of its configuration. It is not changed while it runs.
+	// Command is the command line that starts the process, without the path of its configuration. Command must not
+	// change while the process runs.
 	Command []string
-	// Log is the file that its output is appended to: Dir/log, unless it is set before Start. The program watches the
-	// folder of its configuration, so that a log in that folder makes it read its files after each line.
+	// Log is the file that the output of the process is appended to: Dir/log, unless the caller sets another before
+	// Start. The program watches the folder of its configuration, so a log in that folder makes the program read its
+	// configuration files again after each log line.
 	Log string
-	// Piped connects its standard input and output to Pipes. Start doesn't wait until it listens then: it says itself
-	// when it is ready. It is not changed while it runs.
+	// Piped connects the standard input and output of the process to Pipes. Start then does not wait until the process
+	// listens, since a piped process announces on its output that it is ready. Piped must not change while the process
+	// runs.
 	Piped bool
 	env   []string
 
 	mu     sync.Mutex
-	cmd    *exec.Cmd // nil: it doesn't run
+	cmd    *exec.Cmd // nil if the process does not run
 	ended  chan struct{}
 	paused bool
 	in     io.WriteCloser
@@ -38,7 +41,7 @@
 
 const (
 	configName   = "yokestall.toml"
-	clustersName = "clusters" // the folder of the clusters' configurations
+	clustersName = "clusters" // the folder of the cluster files
 	logName      = "log"
 
 	startDialTimeout = time.Second
@@ -46,9 +49,9 @@
 	maxLogInError    = 2000 // bytes
 )
 
-// NewProcess makes a process that has not been started. Its port was free a moment ago, and is free while it is dead:
-// it has an address of 127.0.0.0/8 of its own, since otherwise another rig's process could get the port, and with it
-// this one's clients.
+// NewProcess returns a process that has not been started, with a free port on a random address in 127.0.0.0/8. With a
+// shared address such as 127.0.0.1, a process of another rig could get the port while this process is dead, and with
+// the port the clients of this process.
 func NewProcess(dir string, command, env []string) (*Process, error) {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254)))
 	if err != nil {
@@ -59,10 +62,10 @@
 	return p, os.MkdirAll(dir, 0o700)
 }
 
-// Config is the path of its configuration.
+// Config returns the path of the configuration file.
 func (p *Process) Config() string { return filepath.Join(p.Dir, configName) }
 
-// PID is the ID of the process that runs, 0 if none does.
+// PID returns the operating system's ID of the running process, or 0 if the process does not run.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,12 +75,13 @@
 	return p.cmd.Process.Pid
 }
 
-// Start starts the process and waits until it listens. The process ends with the program that started it.
+// Start starts the process and, unless it is Piped, waits until it listens. On Linux the process is killed when the
+// program that started it ends.
 func (p *Process) Start(ctx context.Context) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return fmt.Errorf("%s runs already", p.Dir)
+		return fmt.Errorf("process in %s is already running", p.Dir)
 	}
 	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -88,7 +92,7 @@
 	cmd.Env, cmd.Stdout, cmd.Stderr = append(os.Environ(), p.env...), log, log
 	EndWithParent(cmd)
 	if err := p.launch(cmd); err != nil {
-		return fmt.Errorf("%s: %w", p.Dir, err)
+		return fmt.Errorf("starting the process in %s: %w", p.Dir, err)
 	}
 	ended := make(chan struct{})
 	p.cmd, p.ended, p.paused = cmd, ended, false
@@ -102,7 +106,7 @@
 	return p.waitUntilListening(ctx)
 }
 
-// waitUntilListening waits until the process that was started listens, or ends; p.mu is locked.
+// waitUntilListening waits until the started process accepts a connection, ends, or ctx ends. The caller holds p.mu.
 func (p *Process) waitUntilListening(ctx context.Context) error {
 	for {
 		if nc, err := net.DialTimeout("tcp", p.Addr, startDialTimeout); err == nil {
@@ -113,7 +117,8 @@
 		case <-p.ended:
 			p.cmd = nil
 			text, _ := os.ReadFile(p.Log)
-			return fmt.Errorf("%s ended as it started: %s", p.Dir, text[max(0, len(text)-maxLogInError):])
+			return fmt.Errorf("process in %s ended before it listened; the end of its log: %s",
+				p.Dir, text[max(0, len(text)-maxLogInError):])
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(startPollPeriod):
@@ -121,7 +126,7 @@
 	}
 }
 
-// launch starts a command, with pipes if the process is piped.
+// launch starts cmd, with pipes if the process is Piped.
 func (p *Process) launch(cmd *exec.Cmd) error {
 	if !p.Piped {
 		return cmd.Start()
@@ -130,11 +135,11 @@
 	if err != nil {
 		return err
 	}
-	out, answers, err := os.Pipe() // cmd.Wait would close a StdoutPipe that is still read
+	out, answers, err := os.Pipe() // not cmd.StdoutPipe: cmd.Wait would close it while it is read
 	if err != nil {
 		return err
 	}
-	defer answers.Close() // the process has its own
+	defer answers.Close() // the child process holds a duplicate
 	cmd.Stdout = answers
 	if err := cmd.Start(); err != nil {
 		out.Close()
@@ -144,10 +149,10 @@
 	return nil
 }
 
-// Pipes returns the standard input and output of a piped process that was started.
+// Pipes returns the standard input and output of a Piped process that has been started.
 func (p *Process) Pipes() (in io.WriteCloser, out io.Reader) { return p.in, p.out }
 
-// Kill kills the process, paused or not, and waits for its end.
+// Kill kills the process, paused or not, and waits until it has ended. It does nothing if the process does not run.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,7 +167,7 @@
 	p.cmd = nil
 }
 
-// SetPaused stops the process by a signal, or continues it. It does nothing to one that doesn't run.
+// SetPaused pauses the process by SIGSTOP, or continues it by SIGCONT. It does nothing if the process does not run.
 func (p *Process) SetPaused(paused bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,7 +181,8 @@
 	return p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// EraseState removes all files but the configuration and the log. The process must not run.
+// EraseState removes all files of the process's folder except the configuration, the cluster files and the log. The
+// process must not run.
 func (p *Process) EraseState() error {
 	entries, err := os.ReadDir(p.Dir)
 	if err != nil {
--- a/internal/fake/fleet/randomfaults.go
+++ b/internal/fake/fleet/randomfaults.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// parameterRange is what the parameters of random faults are drawn from.
+// parameterRange bounds the parameters of random faults.
 type parameterRange struct {
 	maxLatency int64 // milliseconds
 	minRate    int   // bytes per second
-	rates      int   // number of rates from minRate up
+	rates      int   // number of possible rates, counted upwards from minRate
 }
 
-// RandomFaults draws a script of so many faults that begin within a length, the same from the same seed. It has all
-// kinds but BlockUpdates: a node without updates may go on sending to servers that drain. The last process is never
-// paused or dead, so that some requests meet each fault.
+// RandomFaults draws a script of count faults that start within length. The same seed gives the same script. The script
+// has no BlockUpdates faults, since a node without updates may legitimately send to servers that are draining. With more
+// than one process, the last one is never paused or killed, so that some requests are sent during each fault.
 func RandomFaults(seed uint64, count, nodes, servers int, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 23))
 	kinds := append([]FaultKind{Pause, Kill, KillAndErase}, linkFaults...)
@@ -40,20 +40,20 @@
 	return sortByStart(script)
 }
 
-// randomFault draws a fault of one of the kinds that begins within a length. It lasts for a twentieth of the length and
-// up to maxDuration more.
+// randomFault draws a fault of one of the kinds that starts within length and lasts for a twentieth of length plus up to
+// maxDuration.
 func randomFault(rng *rand.Rand, kinds []FaultKind, length, maxDuration time.Duration) Fault {
 	from := randomDuration(rng, length*3/4) + length/20
 	to := from + length/20 + randomDuration(rng, maxDuration)
 	return Fault{From: from, To: to, Kind: kinds[rng.IntN(len(kinds))]}
 }
 
-// randomDuration draws a duration below a bound, in whole milliseconds.
+// randomDuration draws a duration from 0 to below bound, in whole milliseconds.
 func randomDuration(rng *rand.Rand, bound time.Duration) time.Duration {
 	return time.Duration(rng.Int64N(int64(bound))).Truncate(time.Millisecond)
 }
 
-// drawParameters draws the parameters of a fault's kind.
+// drawParameters draws the latency of a Delay fault or the rate of a Throttle fault.
 func (f *Fault) drawParameters(rng *rand.Rand, from parameterRange) {
 	switch f.Kind {
 	case Delay:
@@ -68,9 +68,10 @@
 	return script
 }
 
-// RandomPeerFaults draws a script of faults of processes and of the links between them; the first voters processes
-// vote. At most a minority of the voters is paused or dead at once; dropped links may part any process from any. In
-// each script one process is cut off from all others for a third of the time, and another one is paused for as long.
+// RandomPeerFaults draws a script of faults of processes and of the links between them. The processes with an index
+// below voters vote. At most one voter is paused or killed, so that a majority of three or more stays up; dropped links
+// may partition any processes. In each script, one process is cut off from all others for a third of the length; if not
+// all processes vote, a process that does not vote is paused for as long.
 func RandomPeerFaults(seed uint64, count, nodes, voters int, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 39))
 	kinds := []FaultKind{
@@ -78,7 +79,7 @@
 	}
 	parameters := parameterRange{maxLatency: 500, minRate: 1000, rates: 50_000}
 	script := randomIsolation(rng, nodes, voters, length)
-	down := 0 // the only voter that may be paused or dead
+	down := 0 // the only voter that may be paused or killed
 	if voters > 2 {
 		down = rng.IntN(voters)
 	}
@@ -102,8 +103,8 @@
 	return sortByStart(script)
 }
 
-// randomIsolation draws a process that is cut off from all others and, if not all processes vote, a non-voter that is
-// paused, each for a third of the length.
+// randomIsolation draws a fault that cuts one process off from all others and, if not all processes vote, a fault that
+// pauses a process that does not vote. Each lasts for a third of length.
 func randomIsolation(rng *rand.Rand, nodes, voters int, length time.Duration) (script []Fault) {
 	node := rng.IntN(nodes)
 	for _, kind := range []FaultKind{Drop, Pause} {
@@ -125,8 +126,8 @@
 	return script
 }
 
-// RandomPowerLoss draws a script in which all processes lose power at one moment, twice, and come back one by one. One
-// process at a time may come back with an erased folder, if not all vote, and never a voter.
+// RandomPowerLoss draws a script in which all processes are killed at the same moment, twice, and restart at different
+// times. If not all processes vote, one process that does not vote restarts with an erased folder each time.
 func RandomPowerLoss(seed uint64, nodes, voters int, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 41))
 	var script []Fault
--- a/internal/fake/fleet/record.go
+++ b/internal/fake/fleet/record.go
@@ -12,40 +12,41 @@
 
 // The kinds of events.
 const (
-	RequestSent      EventKind = iota // a client sent a try of Class to a process
-	RequestAnswered                   // a process gave a try its final answer, Status; 0: the client got none
-	AttemptArrived                    // an attempt of a try came to a server
-	EffectApplied                     // and had its effect there
-	ServerOverloaded                  // a server fell over while it warmed up
-	DrainAnnounced                    // all processes got a server's drain, or its end if Ended
+	RequestSent      EventKind = iota // a client sent a try of a request of Class to a process
+	RequestAnswered                   // a client got the final answer of a try, with Status; 0 if it got none
+	AttemptArrived                    // an attempt of a try arrived at a server
+	EffectApplied                     // an attempt of a try had its effect at a server
+	ServerOverloaded                  // a server was overloaded while it was warming up
+	DrainAnnounced                    // all processes were notified that a server drains, or no longer does if Ended
 	OwnerAnswered                     // a process answered as the owner of a singleton task
-	FaultChanged                      // a fault of a process, of the kind ID, began, or ended if Ended
+	FaultChanged                      // a fault of a process started, or ended if Ended; ID is the fault's kind
 )
 
-// Event is something that happened.
+// Event is a recorded event of a run. A client sends a request in one or more tries, and a process sends each try to
+// servers in one or more attempts.
 type Event struct {
-	At        time.Duration // on the monotonic clock, since the record began
+	At        time.Duration // monotonic time since the start of the record
 	Kind      EventKind
-	Party     int    // the process, or the server
-	ID        string // of the try: its request's, a point, and its number in the request
+	Party     int    // the index of the process or of the server
+	ID        string // of a try: the ID of its request, ".", and the number of the try
 	Class     int
-	Reference time.Duration // RequestSent: the client's deadline; OwnerAnswered: when the process was asked
+	Reference time.Duration // RequestSent: the client's deadline; OwnerAnswered: the time at which the process was asked
 	Status    int
 	Ended     bool
-	Version   int // AttemptArrived: of the rules it was decided by, 0: none; OwnerAnswered: the fencing token
+	Version   int // AttemptArrived: the version that the process applied, 0: none; OwnerAnswered: the fencing token
 }
 
-// Record collects events. Its zero value is ready; its methods are safe for concurrent use.
+// Record collects events. Its zero value needs only a call of Begin. Its other methods are safe for concurrent use.
 type Record struct {
 	mu     sync.Mutex
 	zero   time.Time
 	events []Event
 }
 
-// Begin sets the time that events count from. It is called once, before any other method.
+// Begin sets the start of the record. It must be called once, before any other method.
 func (r *Record) Begin(at time.Time) { r.zero = at }
 
-// Add adds an event that happens now.
+// Add adds an event and sets its time to now.
 func (r *Record) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,10 +54,10 @@
 	r.events = append(r.events, e)
 }
 
-// Since is the present time on the record's clock.
+// Since returns the time since the start of the record.
 func (r *Record) Since() time.Duration { return time.Since(r.zero) }
 
-// Events returns all events by time.
+// Events returns a copy of all events in order of time.
 func (r *Record) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/fleet/relay.go
+++ b/internal/fake/fleet/relay.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	maxRelayConns    = 4096     // both sides' connections of a relay; further ones are reset
-	relayBufferBytes = 16 << 10 // of each direction of a connection
+	maxRelayConns    = 4096     // client and target connections of a relay together; further ones are reset
+	relayBufferBytes = 16 << 10 // read buffer of each direction of a connection
 	relayDialTimeout = time.Second
 )
 
-// Relay carries TCP connections to a target, as its link lets it. Create it with NewRelay; its methods are safe for
-// concurrent use.
+// Relay forwards TCP connections to a target, subject to the faults of its Link. Create it with NewRelay. Its methods
+// are safe for concurrent use.
 type Relay struct {
-	Addr     string // where it listens
+	Addr     string // the address that the relay listens on
 	listener net.Listener
 
 	mu      sync.Mutex
@@ -29,11 +29,11 @@
 	running sync.WaitGroup
 }
 
-// NewRelay starts a relay on a free port of 127.0.0.1. Its error is the listener's.
+// NewRelay starts a relay on a free port of 127.0.0.1. It fails only if it can't listen.
 func NewRelay(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("relay to %s: %w", target, err)
+		return nil, fmt.Errorf("listening as a relay to %s: %w", target, err)
 	}
 	r := &Relay{
 		Addr:     l.Addr().String(),
@@ -46,7 +46,8 @@
 	return r, nil
 }
 
-// SetLink changes the link. Connections that lost bytes can't go on, and are reset when the loss ends.
+// SetLink changes the state of the link. When a fault that discards bytes ends, all connections are reset, since their
+// streams may have gaps.
 func (r *Relay) SetLink(l Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +70,7 @@
 	r.target = addr
 }
 
-// Close ends the relay and its connections.
+// Close closes the relay, resets its connections and waits until its goroutines have ended.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	if !r.closed {
@@ -82,7 +83,7 @@
 	r.running.Wait()
 }
 
-// resetConns resets all connections; r.mu is locked.
+// resetConns resets all connections. The caller holds r.mu.
 func (r *Relay) resetConns() {
 	for c := range r.conns {
 		reset(c)
@@ -103,7 +104,7 @@
 			return
 		}
 		if err != nil {
-			continue // a connection that ended before it was accepted
+			continue // the connection ended before it was accepted
 		}
 		if !r.register(c) {
 			reset(c)
@@ -113,7 +114,8 @@
 	}
 }
 
-// register adds a connection, and reports whether the relay's state allows it.
+// register adds a connection to the relay's connections. It returns false if the relay is closed, the link resets
+// connections or maxRelayConns is reached.
 func (r *Relay) register(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,7 +133,7 @@
 	reset(c)
 }
 
-// serve carries a client's connection until it ends.
+// serve forwards a client's connection until it ends.
 func (r *Relay) serve(client net.Conn) {
 	defer r.closeConn(client)
 	if !r.waitForHandshake() {
@@ -155,8 +157,8 @@
 	both.Wait()
 }
 
-// waitForHandshake waits until a handshake with the target can succeed: a link that forwards nothing delays it too. It
-// returns false if the connection has to end.
+// waitForHandshake waits until the link neither discards nor buffers bytes, since such a link would also hold up the TCP
+// handshake with the target. It returns false if the connection has to end.
 func (r *Relay) waitForHandshake() bool {
 	for {
 		l, changed, closed := r.state()
@@ -176,7 +178,7 @@
 	return r.link, r.changed, r.closed
 }
 
-// copy carries one direction of a connection until either end closes.
+// copy forwards one direction of a connection until either end closes.
 func (r *Relay) copy(to, from net.Conn, outbound bool) {
 	buffer := make([]byte, relayBufferBytes)
 	for {
@@ -189,12 +191,12 @@
 		}
 	}
 	if t, ok := to.(*net.TCPConn); ok && t.CloseWrite() == nil {
-		return // the other direction may have more
+		return // the other direction may still carry data
 	}
 	to.Close()
 }
 
-// forward forwards a piece as the link lets it. It returns false if the connection has to end.
+// forward forwards, delays or discards a piece according to the link. It returns false if the connection has to end.
 func (r *Relay) forward(to net.Conn, piece []byte, outbound bool) bool {
 	for {
 		l, changed, closed := r.state()
@@ -203,7 +205,7 @@
 		case closed || l.Reset:
 			return false
 		case outbound && l.DropOutbound || !outbound && l.DropInbound:
-			return true // lost
+			return true // the piece is discarded
 		case l.Buffer:
 			<-changed
 			continue
@@ -215,7 +217,7 @@
 	}
 }
 
-// sleepUnless waits for a duration. It returns false at once when changed is closed.
+// sleepUnless waits for d and returns true, or returns false as soon as changed is closed.
 func sleepUnless(changed <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/fake/fleet/requestcheck.go
+++ b/internal/fake/fleet/requestcheck.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// maxHistories is how many findings get the history of their requests.
+// maxHistories is the number of findings that get the history of their request.
 const maxHistories = 20
 
-// Rules are what CheckRequests checks by.
+// Rules are the parameters of CheckRequests.
 type Rules struct {
-	NotIdempotent []bool        // by class: at most one effect over all tries of a request
-	DrainGrace    time.Duration // after DrainAnnounced, in which attempts may still come
-	Slack         time.Duration // between what a process did and what others saw of it
-	// LinksDelay reports that links may have delivered late what was sent in time, so that an attempt after its
-	// deadline or at a server that drains is no fault of the process that sent it.
+	NotIdempotent []bool        // by class: whether all tries of a request together may have at most one effect
+	DrainGrace    time.Duration // how long after DrainAnnounced attempts may still arrive
+	Slack         time.Duration // allowance for the time between an action of a process and its observation
+	// LinksDelay reports that links may have delivered late what was sent in time. An attempt after its deadline or at
+	// a server that is draining is then not the fault of the process that sent it, and CheckRequests allows it.
 	LinksDelay bool
 }
 
-// requestCheck is the state of CheckRequests.
+// requestCheck is the state of a CheckRequests call.
 type requestCheck struct {
 	rules   Rules
 	tries   map[string]*clientTry
-	effects map[string]int        // by request
-	drains  map[int]time.Duration // when a server's drain was announced
+	effects map[string]int        // number of effects by request ID, of classes that are not idempotent
+	drains  map[int]time.Duration // time of the drain's announcement by draining server
 	found   []Finding
 }
 
-// clientTry is a client's try of a request.
+// clientTry is one sending of a request by a client.
 type clientTry struct {
 	class    int
 	deadline time.Duration
 	answers  int
 }
 
-// CheckRequests checks events, in order of time, and returns the rules that were broken: a second final answer of a
-// try, an attempt after its client's deadline, an effect that happened twice, an attempt at a server after its drain's
-// grace, a server that was overloaded while it warmed up.
+// CheckRequests checks events, in order of time, and returns the violations: a second final answer to a try, an answer
+// to or an attempt of a try that no client sent, an attempt after the client's deadline, a second effect of a request
+// that is not idempotent, an attempt at a draining server after DrainGrace, and a server that was overloaded while it
+// was warming up.
 func CheckRequests(events []Event, rules Rules) []Finding {
 	c := &requestCheck{
 		rules:   rules,
@@ -58,9 +59,9 @@
 		c.tries[e.ID] = &clientTry{class: e.Class, deadline: e.Reference}
 	case RequestAnswered:
 		if t == nil {
-			c.add(finding(e, "an answer to what nobody asked"))
+			c.add(finding(e, "a final answer to a try that no client sent"))
 		} else if t.answers++; t.answers > 1 {
-			c.add(finding(e, "a second final answer"))
+			c.add(finding(e, "a second final answer to a try"))
 		}
 	case AttemptArrived:
 		c.checkAttempt(e, t)
@@ -70,10 +71,10 @@
 		}
 		request := requestOf(e.ID)
 		if c.effects[request]++; c.effects[request] > 1 {
-			c.add(finding(e, "an effect that happened twice"))
+			c.add(finding(e, "a second effect of a request that is not idempotent"))
 		}
 	case ServerOverloaded:
-		c.add(timingFinding(e, "a cold server pushed over"))
+		c.add(timingFinding(e, "a server overloaded while it was warming up"))
 	case DrainAnnounced:
 		if e.Ended {
 			delete(c.drains, e.Party)
@@ -85,14 +86,14 @@
 
 func (c *requestCheck) checkAttempt(e *Event, t *clientTry) {
 	if t == nil {
-		c.add(finding(e, "an attempt of what nobody asked"))
+		c.add(finding(e, "an attempt of a try that no client sent"))
 		return
 	}
 	if c.rules.LinksDelay {
 		return
 	}
 	if e.At > t.deadline+c.rules.Slack {
-		c.add(timingFinding(e, "an attempt after its client's time"))
+		c.add(timingFinding(e, "an attempt after its client's deadline"))
 	}
 	if at, ok := c.drains[e.Party]; ok && e.At > at+c.rules.DrainGrace+c.rules.Slack {
 		c.add(timingFinding(e, "an attempt at a server that drains"))
@@ -101,7 +102,7 @@
 
 func (c *requestCheck) add(f Finding) { c.found = append(c.found, f) }
 
-// addHistories adds the histories of their requests to the first findings.
+// addHistories sets History of the first maxHistories findings.
 func addHistories(found []Finding, events []Event) {
 	for i := range found[:min(len(found), maxHistories)] {
 		for _, e := range events {
@@ -112,7 +113,7 @@
 	}
 }
 
-// requestOf is the ID of a try's request.
+// requestOf returns the ID of the request that the try with the given ID belongs to.
 func requestOf(id string) string {
 	if i := strings.LastIndexByte(id, '.'); i >= 0 {
 		return id[:i]
--- a/internal/fake/fleet/requestcheck_test.go
+++ b/internal/fake/fleet/requestcheck_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// CheckRequests finds each broken rule, and nothing in a history without faults.
+// CheckRequests reports one violation of each rule, and none in a history without violations.
 func TestCheckRequests(t *testing.T) {
 	good := []Event{
 		{At: 1, Kind: RequestSent, ID: "a.0", Class: 1, Reference: 100},
@@ -19,17 +19,17 @@
 	}
 	rules := Rules{NotIdempotent: []bool{false, true}, DrainGrace: 10, Slack: 1}
 	if found := CheckRequests(good, rules); len(found) > 0 {
-		t.Fatalf("a good history: %v", found)
+		t.Fatalf("findings in a history without violations: %v, want none", found)
 	}
 	for _, tc := range []struct {
 		want string
 		more []Event
 	}{
-		{"a second final answer", []Event{{At: 50, Kind: RequestAnswered, ID: "a.0"}}},
-		{"an answer to what nobody asked", []Event{{At: 50, Kind: RequestAnswered, ID: "c.0"}}},
-		{"an attempt of what nobody asked", []Event{{At: 50, Kind: AttemptArrived, ID: "c.0"}}},
-		{"an attempt after its client's time", []Event{{At: 102, Kind: AttemptArrived, ID: "a.0"}}},
-		{"an effect that happened twice", []Event{
+		{"a second final answer to a try", []Event{{At: 50, Kind: RequestAnswered, ID: "a.0"}}},
+		{"a final answer to a try that no client sent", []Event{{At: 50, Kind: RequestAnswered, ID: "c.0"}}},
+		{"an attempt of a try that no client sent", []Event{{At: 50, Kind: AttemptArrived, ID: "c.0"}}},
+		{"an attempt after its client's deadline", []Event{{At: 102, Kind: AttemptArrived, ID: "a.0"}}},
+		{"a second effect of a request that is not idempotent", []Event{
 			{At: 50, Kind: RequestSent, ID: "a.1", Class: 1, Reference: 100},
 			{At: 51, Kind: EffectApplied, ID: "a.1"},
 		}},
@@ -38,11 +38,11 @@
 			{At: 55, Kind: DrainAnnounced, Party: 2},
 			{At: 62, Kind: AttemptArrived, ID: "a.0", Party: 2},
 		}},
-		{"a cold server pushed over", []Event{{At: 50, Kind: ServerOverloaded}}},
+		{"a server overloaded while it was warming up", []Event{{At: 50, Kind: ServerOverloaded}}},
 	} {
 		found := CheckRequests(append(good[:len(good):len(good)], tc.more...), rules)
 		if len(found) != 1 || found[0].Rule != tc.want || found[0].ID != "" && len(found[0].History) == 0 {
-			t.Errorf("%v, want %q", found, tc.want)
+			t.Errorf("got findings %v, want one: %q, with its request's history", found, tc.want)
 		}
 	}
 }
--- a/internal/fake/fleet/rig.go
+++ b/internal/fake/fleet/rig.go
@@ -9,18 +9,21 @@
 	"sync"
 )
 
-// Rig is processes before servers, each behind links of its own. Create it with NewRig.
+// Rig is a set of processes, with a relay for each link from a process to a server or to another process. Create it
+// with NewRig.
 type Rig struct {
 	Processes   []*Process
-	ServerLinks [][]*Relay // by process and server
-	PeerLinks   [][]*Relay // by process and the process that it calls; nil where there is none
+	ServerLinks [][]*Relay // indexed by process and by server
+	PeerLinks   [][]*Relay // indexed by calling and called process; nil where there is no link
 	Record      Record
-	// SetUpdatesBlocked is called when a BlockUpdates fault of a process begins or ends; nil: such faults do nothing.
+	// SetUpdatesBlocked is called when a BlockUpdates fault of a process starts or ends. If SetUpdatesBlocked is nil,
+	// such faults do nothing.
 	SetUpdatesBlocked func(process int, blocked bool) error
 }
 
-// NewRig makes a rig of processes that have not been started, in folders below dir, before servers at these addresses.
-// command starts one, with its configuration's path as the last argument.
+// NewRig returns a rig of processes that have not been started, with their folders below dir and a link from each
+// process to each of the servers, which are given by address. Each process is started with command and the path of its
+// configuration as the last argument.
 func NewRig(dir string, nodes int, servers []string, command, env []string) (*Rig, error) {
 	r := &Rig{}
 	for i := range nodes {
@@ -31,7 +34,8 @@
 	return r, nil
 }
 
-// addProcess adds a process with links to the servers. After an error the rig has those that were made.
+// addProcess adds a process with links to the servers. After an error the rig keeps the process and the links that were
+// made, so that Close releases them.
 func (r *Rig) addProcess(dir string, servers, command, env []string) error {
 	p, err := NewProcess(dir, command, env)
 	if err != nil {
@@ -50,8 +54,8 @@
 	return nil
 }
 
-// ConnectPeers puts a link between each process and each other one that is called, at these addresses by process; "":
-// it is not called.
+// ConnectPeers makes a link from each process to each other process that can be called. addresses has the address of
+// each process by index, or "" for a process that is not called.
 func (r *Rig) ConnectPeers(addresses []string) error {
 	for i := range r.Processes {
 		links := make([]*Relay, len(addresses))
@@ -69,7 +73,7 @@
 	return nil
 }
 
-// Start starts all processes at once, and waits until they listen.
+// Start starts all processes in parallel and waits as Process.Start does. It returns all errors joined.
 func (r *Rig) Start(ctx context.Context) error {
 	errs := make([]error, len(r.Processes))
 	var all sync.WaitGroup
@@ -80,7 +84,7 @@
 	return errors.Join(errs...)
 }
 
-// Close kills all processes and closes all links. It returns nil.
+// Close kills all processes and closes all links. It always returns nil.
 func (r *Rig) Close() error {
 	for _, p := range r.Processes {
 		p.Kill()
--- a/internal/fake/fleet/rig_test.go
+++ b/internal/fake/fleet/rig_test.go
@@ -11,8 +11,8 @@
 	"yokestall/internal/testutil"
 )
 
-// child is the program of these tests' processes: it listens where its configuration says and counts its starts in
-// its folder.
+// child is the program of the processes in these tests. It listens on the address that is the content of its
+// configuration file, and appends an "x" to the file "starts" in its folder at each start.
 func child() {
 	if len(os.Args) > 2 && os.Args[1] == asParent {
 		parent(os.Args[2])
@@ -35,7 +35,7 @@
 
 func TestMain(m *testing.M) { testutil.MainOr(m, child) }
 
-// Processes are killed, erased and paused by the script, and all run again at its end.
+// ApplyFaults kills, erases and pauses processes as its script says, and all processes run again when it returns.
 func TestApplyFaults(t *testing.T) {
 	itself, env := testutil.SelfCommand()
 	rig, err := NewRig(t.TempDir(), 3, nil, itself, env)
@@ -52,20 +52,20 @@
 		t.Fatal(err)
 	}
 	if err := rig.Processes[0].Start(t.Context()); err == nil {
-		t.Error("started twice")
+		t.Error("starting a running process: got no error, want one")
 	}
 	began := time.Now()
 	rig.Record.Begin(began)
 	ms := time.Millisecond
 	script := []Fault{
 		{From: 10 * ms, To: 60 * ms, Kind: Kill, Nodes: []int{0}},
-		{From: 20 * ms, To: 90 * ms, Kind: Kill, Nodes: []int{0}}, // overlaps: dead until the later one ends
+		{From: 20 * ms, To: 90 * ms, Kind: Kill, Nodes: []int{0}}, // overlaps the first Kill: process 0 is dead until 90 ms
 		{From: 10 * ms, To: 60 * ms, Kind: KillAndErase, Nodes: []int{1}},
 		{From: 10 * ms, To: 300 * ms, Kind: Pause, Nodes: []int{2}},
 	}
 	paused := make(chan error, 1)
 	go func() {
-		for rig.Record.Since() < 100*ms { // the third is paused from before this until long after it
+		for rig.Record.Since() < 100*ms { // process 2 is paused from 10 ms to 300 ms
 			time.Sleep(ms)
 		}
 		c := http.Client{Timeout: 50 * ms, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	if err := <-paused; err == nil {
-		t.Error("a paused process answered")
+		t.Error("a paused process answered a request, want an error")
 	}
 	for i, starts := range []string{"xx", "x", "x"} {
 		p := rig.Processes[i]
@@ -87,15 +87,15 @@
 		}
 		resp.Body.Close()
 		if text, err := os.ReadFile(p.Dir + "/starts"); string(text) != starts {
-			t.Errorf("process %d: started %q, %v; want %q", i, text, err, starts)
+			t.Errorf("process %d: got file of starts %q, %v; want %q", i, text, err, starts)
 		}
 	}
 	if n := len(rig.Record.Events()); n != 8 {
-		t.Errorf("%d events", n)
+		t.Errorf("got %d events, want 8: the start and the end of each fault", n)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if err := rig.ApplyFaults(ctx, time.Now(), script); err == nil {
-		t.Error("a script goes on after its context ended")
+		t.Error("ApplyFaults with a cancelled context: got no error, want one")
 	}
 }
--- a/internal/fake/fleet/versioncheck.go
+++ b/internal/fake/fleet/versioncheck.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// VersionRules are what CheckVersions checks by. Each version of the rules contradicts each other one on all classes
-// that are not idempotent.
+// VersionRules are the parameters of CheckVersions. CheckVersions assumes that any two versions contradict each other on
+// all classes that are not idempotent.
 type VersionRules struct {
-	Idempotent    []bool                         // by class
-	NotIdempotent []bool                         // by class: at most one attempt of a try
-	Removed       func(version, server int) bool // whether a server is not in a version
-	Grace         time.Duration                  // after a server's removal, in which attempts may still come
-	Slack         time.Duration                  // between what a process did and what others saw of it
+	Idempotent    []bool                         // by class: whether the class is idempotent
+	NotIdempotent []bool                         // by class: whether a try may have at most one attempt
+	Removed       func(version, server int) bool // whether a version lacks a server
+	Grace         time.Duration                  // how long after a server's removal attempts may still arrive
+	Slack         time.Duration                  // allowance between an action of a process and its observation
 }
 
-// Contradiction is how long two processes acted on versions that contradict each other, as servers saw it.
+// Contradiction is the time for which processes acted on versions that contradict each other, as observed by servers.
 type Contradiction struct {
-	Longest      time.Duration
-	Count        int   // attempts by a version after the first one by a newer version
-	Worst        Event // the attempt of Longest
-	NewerVersion int   // whose first attempt Worst came after
+	Longest      time.Duration // the longest time from the first attempt under a newer version to one under an older
+	Count        int           // the number of attempts under a version after the first one under a newer version
+	Worst        Event         // the late attempt that Longest was measured at
+	NewerVersion int           // the version whose first attempt Worst followed
 }
 
-// versionCheck is the state of CheckVersions.
+// versionCheck is the state of a CheckVersions call.
 type versionCheck struct {
 	rules         VersionRules
-	class         map[string]int // by try
-	process       map[string]int // by try
-	attempts      map[string]int // by try
-	firstUses     map[versionUse]time.Duration
-	firstAttempts map[int]time.Duration // by version, of classes that are not idempotent
-	newest        int
-	removals      map[int]time.Duration // by server, when all processes got it
+	class         map[string]int               // class by try ID
+	process       map[string]int               // process by try ID
+	attempts      map[string]int               // number of attempts by try ID
+	firstUses     map[versionUse]time.Duration // time of the first attempt of a process under a version
+	firstAttempts map[int]time.Duration        // time of the first attempt by version; without idempotent classes
+	newest        int                          // highest version of an attempt so far
+	removals      map[int]time.Duration        // time at which all processes were notified, by removed server
 	contradiction Contradiction
 	found         []Finding
 }
 
-// versionUse is the use of a version by a process.
+// versionUse is a process and a version that it applied.
 type versionUse struct{ process, version int }
 
-// CheckVersions checks events, in order of time. It returns how long attempts by a version went on after the first one
-// by a newer version, and the rules that were broken.
+// CheckVersions checks events, in order of time. It returns how long attempts under a version continued after the first
+// attempt under a newer version, and the violations.
 func CheckVersions(events []Event, rules VersionRules) (Contradiction, []Finding) {
 	c := &versionCheck{
 		rules:         rules,
@@ -71,34 +71,35 @@
 func (c *versionCheck) checkAttempt(e *Event) {
 	class, known := c.class[e.ID]
 	if !known || e.Version == 0 {
-		c.add(finding(e, "an attempt of what nobody asked, or by no rules"))
+		c.add(finding(e, "an attempt of a try that no client sent, or without a version"))
 		return
 	}
 	if c.attempts[e.ID]++; c.rules.NotIdempotent[class] && c.attempts[e.ID] > 1 {
-		c.add(finding(e, "an effect that happened twice"))
+		c.add(finding(e, "a second attempt of a try that is not idempotent"))
 	}
 	use := versionUse{c.process[e.ID], e.Version}
 	if _, known := c.firstUses[use]; !known {
 		c.firstUses[use] = e.At
 	}
 	if c.rules.Removed(e.Version, e.Party) && c.isLate(e, c.firstUses[use]) {
-		c.add(timingFinding(e, fmt.Sprintf("an attempt at a server that version %d has out", e.Version)))
+		c.add(timingFinding(e, fmt.Sprintf("an attempt at a server that version %d has removed", e.Version)))
 	}
-	if c.rules.Idempotent[class] { // a process that is cut off may go on with these
+	if c.rules.Idempotent[class] { // a disconnected process may continue to serve idempotent classes
 		return
 	}
 	if at, removed := c.removals[e.Party]; removed && c.isLate(e, at) {
-		c.add(timingFinding(e, "an attempt at a server that is out"))
+		c.add(timingFinding(e, "an attempt at a server that was removed"))
 	}
 	c.measureContradiction(e)
 }
 
-// isLate reports whether an attempt came after the grace of a removal.
+// isLate reports whether an attempt arrived after the end of Grace, which starts at removedAt, and Slack.
 func (c *versionCheck) isLate(e *Event, removedAt time.Duration) bool {
 	return e.At > removedAt+c.rules.Grace+c.rules.Slack
 }
 
-// measureContradiction compares an attempt with the first one by the next version that has any.
+// measureContradiction compares the time of an attempt with that of the first attempt under the next newer version that
+// has had an attempt.
 func (c *versionCheck) measureContradiction(e *Event) {
 	if _, known := c.firstAttempts[e.Version]; !known {
 		c.firstAttempts[e.Version] = e.At
