--- a/internal/fake/appbox/appbox.go
+++ b/internal/fake/appbox/appbox.go
@@ -1,8 +1,8 @@
-// Package appbox is a fake of an application server behind the load balancer, for demos and tests: an HTTP server on
-// loopback that can be slow, fail, crash and come back at the same address, and that records what reached it.
+// Package appbox is a fake application server behind the load balancer, for demos and tests: an HTTP server on loopback
+// that can delay or fail its responses, stop and restart at the same address, and that records the requests it received.
 //
-//   - appbox.go: the server's start and end, and its settings
-//   - requests.go: how it answers and what it records
+//   - appbox.go: start and stop of the server, and its settings
+//   - requests.go: responses and the record of requests
 package appbox
 
 import (
@@ -19,17 +19,17 @@
 type Server struct {
 	Name string
 
-	delay       atomic.Int64 // of each answer, in nanoseconds
-	connections atomic.Int64 // accepted so far
+	delay       atomic.Int64 // delay of each response in nanoseconds
+	connections atomic.Int64 // number of connections accepted so far
 	failing     atomic.Bool
 
 	// mu guards the fields below.
 	mu         sync.Mutex
-	addr       string        // with port 0 until the first Up
+	addr       string        // the listen address; its port is 0 until the first Up
 	httpServer *http.Server  // nil while the server is down
 	stopped    chan struct{} // closed when httpServer has ended
-	requests   []Request     // at most maxRequests
-	unrecorded int           // requests beyond maxRequests, and listeners that failed
+	requests   []Request     // the first maxRequests complete requests
+	unrecorded int           // number of requests beyond maxRequests, plus one for each listener that failed
 }
 
 // Start starts a server on a free port of 127.0.0.1.
@@ -45,13 +45,13 @@
 	return s.addr
 }
 
-// Connections returns how many connections the server has accepted so far.
+// Connections returns the number of connections that the server has accepted so far.
 func (s *Server) Connections() int64 { return s.connections.Load() }
 
-// SetDelay sets how long each answer takes from now on.
+// SetDelay sets the delay of each response to requests that arrive from now on.
 func (s *Server) SetDelay(d time.Duration) { s.delay.Store(int64(d)) }
 
-// SetFailing sets whether each answer from now on is a 500.
+// SetFailing sets whether the server answers each request with status 500 from now on.
 func (s *Server) SetFailing(on bool) { s.failing.Store(on) }
 
 // Up starts the server, at its former address if it had one. It does nothing while the server is up.
@@ -63,7 +63,7 @@
 	}
 	listener, err := net.Listen("tcp", s.addr)
 	if err != nil {
-		return fmt.Errorf("box %s: %w", s.Name, err)
+		return fmt.Errorf("starting application server %s: %w", s.Name, err)
 	}
 	s.addr = listener.Addr().String()
 	s.httpServer = &http.Server{Handler: s, ConnState: s.countConnection}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// serve runs an HTTP server until it is closed, and closes stopped then.
+// serve runs an HTTP server until it is closed or fails, and then closes stopped.
 func (s *Server) serve(httpServer *http.Server, listener net.Listener, stopped chan<- struct{}) {
 	defer close(stopped)
 	if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -82,14 +82,15 @@
 	}
 }
 
-// countConnection counts a connection that is new.
+// countConnection is the ConnState hook that counts new connections.
 func (s *Server) countConnection(_ net.Conn, state http.ConnState) {
 	if state == http.StateNew {
 		s.connections.Add(1)
 	}
 }
 
-// Down ends the server at once: connections break, and new ones are refused.
+// Down stops the server at once: open connections are closed, and new ones are refused. It does nothing while the
+// server is down.
 func (s *Server) Down() {
 	s.mu.Lock()
 	httpServer, stopped := s.httpServer, s.stopped
--- a/internal/fake/appbox/requests.go
+++ b/internal/fake/appbox/requests.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// maxRequests is how many requests a server records; later ones are only counted.
+	// maxRequests is the number of requests that a server records. Later requests are only counted.
 	maxRequests = 1 << 20
 
-	// maxBody is how many bytes of a request's body are read.
+	// maxBody is the number of bytes of a request body that are read.
 	maxBody = 1 << 20
 )
 
-// ResponseTimeHeader is the field of an answer with the time that the server took for it, in nanoseconds, from the
-// complete request to the answer's first byte.
+// ResponseTimeHeader is the response header with the time from the complete request to the first byte of the response,
+// in nanoseconds.
 const ResponseTimeHeader = "X-Box-Time-Ns"
 
-// Request is a complete request that reached a server.
+// Request is a complete request that a server received.
 type Request struct {
-	ID  string    // X-Request-ID
-	Key string    // Idempotency-Key
-	At  time.Time // when it was complete
+	ID  string    // value of the header X-Request-ID
+	Key string    // value of the header Idempotency-Key
+	At  time.Time // time at which the request was complete
 }
 
-// ServeHTTP answers a request with the server's name and the request's id.
+// ServeHTTP answers a request, after the delay that is set, with the server's name and the request's ID, or with status
+// 500 if the server is set to fail.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
-		return // the request is not complete
+		return // an incomplete request is not recorded
 	}
 	request := Request{ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), At: time.Now()}
 	s.record(request)
@@ -52,7 +53,7 @@
 	fmt.Fprintf(w, "%s served %s (%d bytes)\n", s.Name, request.ID, len(body))
 }
 
-// record adds a request to the recorded ones.
+// record records a request, or only counts it once maxRequests are recorded.
 func (s *Server) record(request Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,14 +64,16 @@
 	}
 }
 
-// Seen returns the requests that have reached the server so far, and how many more could not be recorded.
+// Seen returns a copy of the recorded requests, and the number of requests that were not recorded. A failure of the
+// listener counts as one unrecorded request.
 func (s *Server) Seen() (requests []Request, unrecorded int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.requests), s.unrecorded
 }
 
-// Count returns how many requests have reached the server.
+// Count returns the number of complete requests that the server has received, recorded or not. A failure of the listener
+// counts as one more.
 func (s *Server) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/controlplane/controlplane.go
+++ b/internal/fake/controlplane/controlplane.go
@@ -1,11 +1,11 @@
-// Package controlplane is a stand-in for a control plane that speaks Envoy's aggregated discovery service on loopback,
-// in its state-of-the-world and its incremental variant. It serves the resources that it is given, records every ACK
-// and NACK, and misbehaves on request. It follows "xDS REST and gRPC protocol" in Envoy's documentation, and shares no
+// Package controlplane is a fake control plane that speaks Envoy's aggregated discovery service on loopback, in its
+// state-of-the-world and its incremental variant. It serves the resources that the caller sets, records ACKs and NACKs,
+// and injects faults into responses. It follows "xDS REST and gRPC protocol" in Envoy's documentation, and shares no
 // code with the client.
 //
-//   - controlplane.go: the server: its start and end, its resources, what it recorded
-//   - stream.go: a client's stream, and what it subscribes to
-//   - response.go: responses, and faults of them
+//   - controlplane.go: start and stop of the server, its resources and its records
+//   - stream.go: the streams of clients and their subscriptions
+//   - response.go: responses and their faults
 package controlplane
 
 import (
@@ -26,47 +26,47 @@
 )
 
 const (
-	maxAcks         = 1 << 16 // that are recorded
-	maxMessageBytes = 256 << 20
+	maxAcks         = 1 << 16   // number of ACKs and NACKs that are recorded; later ones are ignored
+	maxMessageBytes = 256 << 20 // size of a response
 )
 
-// Ack is an ACK or, with an Error, a NACK.
+// Ack is an ACK, or a NACK if Error is not empty.
 type Ack struct {
 	URL, Nonce, Error string
 	At                time.Time
 }
 
-// Server is a control plane. Create it with Start; its methods are safe for concurrent use.
+// Server is a fake control plane. Create it with Start. Its methods are safe for concurrent use.
 type Server struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
 
 	mu      sync.Mutex
 	addr    string
-	server  *grpc.Server // nil while it is down
-	ended   chan struct{}
-	types   map[string]*resourceType // by URL
+	server  *grpc.Server             // nil while the control plane is down
+	ended   chan struct{}            // closed when server has ended
+	types   map[string]*resourceType // by type URL
 	changed chan struct{}            // closed when resources change
-	faults  []Fault                  // of the responses to come
-	nonces  int                      // responses so far
+	faults  []Fault                  // faults of the next responses, in order
+	nonces  int                      // number of nonces assigned so far
 
-	streams map[int]context.CancelCauseFunc // that are open, by number
-	opened  int                             // streams so far
+	streams map[int]context.CancelCauseFunc // cancel functions of the open streams, by stream number
+	opened  int                             // number of streams opened so far
 	acks    []Ack
-	initial []map[string]string // initial_resource_versions of the streams' first requests of a type
+	initial []map[string]string // initial_resource_versions of the first request of each type on each stream
 }
 
-// resourceType is the resources of one type.
+// resourceType holds the resources of one type.
 type resourceType struct {
 	version   int
 	resources map[string]resource // by name
 }
 
 type resource struct {
-	version int // of its type, when it was set
+	version int // version of the type at which the resource was set
 	body    *anypb.Any
 }
 
-// Start starts a control plane without resources on a free port of 127.0.0.1. Its error is the listener's.
+// Start starts a control plane without resources on a free port of 127.0.0.1. It fails only if it can't listen.
 func Start() (*Server, error) {
 	p := &Server{
 		addr:    "127.0.0.1:0",
@@ -77,14 +77,15 @@
 	return p, p.Up()
 }
 
-// Addr is where it listens, the same after Down and Up.
+// Addr returns the address that the control plane listens on. It stays the same after Down and Up.
 func (p *Server) Addr() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addr
 }
 
-// Up starts the control plane at its address. It does nothing if it runs. Its error is the listener's.
+// Up starts the control plane at its address. It does nothing while the control plane runs, and fails only if it can't
+// listen.
 func (p *Server) Up() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +94,7 @@
 	}
 	l, err := net.Listen("tcp", p.addr)
 	if err != nil {
-		return fmt.Errorf("control plane: %w", err)
+		return fmt.Errorf("starting the fake control plane: %w", err)
 	}
 	p.addr = l.Addr().String()
 	s, ended := grpc.NewServer(grpc.MaxSendMsgSize(maxMessageBytes)), make(chan struct{})
@@ -101,12 +102,12 @@
 	p.server, p.ended = s, ended
 	go func() {
 		defer close(ended)
-		s.Serve(l) // it ends only by Down
+		s.Serve(l) // returns after Down
 	}()
 	return nil
 }
 
-// Down ends the control plane at once: streams break, connections are refused.
+// Down stops the control plane at once: streams break, and new connections are refused.
 func (p *Server) Down() {
 	p.mu.Lock()
 	s, ended := p.server, p.ended
@@ -123,11 +124,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, cancel := range p.streams {
-		cancel(status.Error(codes.Unavailable, "broken on request"))
+		cancel(status.Error(codes.Unavailable, "stream ended by BreakStreams of the fake control plane"))
 	}
 }
 
-// SetResources sets resources by name, and sends those that changed. Its error is the encoder's.
+// SetResources sets resources by name, and sends those that changed to subscribed streams. It fails only if a resource
+// can't be encoded.
 func (p *Server) SetResources(named map[string]proto.Message) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +145,7 @@
 	return nil
 }
 
-// SetBody sets a resource to a body that may be invalid, and sends it.
+// SetBody sets a resource to a body that may be invalid, and sends the resource to subscribed streams if it changed.
 func (p *Server) SetBody(name string, body *anypb.Any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,8 +154,8 @@
 	p.publish(touched)
 }
 
-// put sets a resource, and adds its type to touched if it changed; p.mu is locked. All changes with one touched have
-// one version of the type.
+// put sets a resource and, if the resource changed, adds its type to touched. All changes of a type that are made with
+// the same touched map get the same version of the type. The caller holds p.mu.
 func (p *Server) put(name string, body *anypb.Any, touched map[string]bool) {
 	t := p.typeOf(body.TypeUrl)
 	if old, ok := t.resources[name]; ok && proto.Equal(old.body, body) {
@@ -166,7 +168,7 @@
 	t.resources[name] = resource{t.version, body}
 }
 
-// typeOf returns the resources of a type; p.mu is locked.
+// typeOf returns the resources of the type with the given URL, which it creates if needed. The caller holds p.mu.
 func (p *Server) typeOf(url string) *resourceType {
 	t := p.types[url]
 	if t == nil {
@@ -176,7 +178,7 @@
 	return t
 }
 
-// RemoveResources removes resources of a type.
+// RemoveResources removes resources of a type, raises the type's version and wakes up the streams.
 func (p *Server) RemoveResources(url string, names ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,14 +190,14 @@
 	p.publish(map[string]bool{url: true})
 }
 
-// SetVersion sets the version of a type, which may be an earlier one, as after a restore from a backup.
+// SetVersion sets the version of a type. It may be lower than the current one, as after a restore from a backup.
 func (p *Server) SetVersion(url string, version int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.typeOf(url).version = version
 }
 
-// publish wakes up all streams if types were touched; p.mu is locked.
+// publish wakes up all streams if touched is not empty. The caller holds p.mu.
 func (p *Server) publish(touched map[string]bool) {
 	if len(touched) > 0 {
 		close(p.changed)
@@ -203,22 +205,22 @@
 	}
 }
 
-// Acks returns the ACKs and NACKs so far.
+// Acks returns a copy of the recorded ACKs and NACKs.
 func (p *Server) Acks() []Ack {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.acks)
 }
 
-// Streams returns how many streams were opened so far, and how many are open.
+// Streams returns the number of streams that were opened so far, and the number of those that are open.
 func (p *Server) Streams() (opened, open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened, len(p.streams)
 }
 
-// InitialVersions returns the initial_resource_versions of the streams' first requests of a type, in their order, of
-// the incremental variant.
+// InitialVersions returns, in order of arrival, the initial_resource_versions of the first request of each type on each
+// stream of the incremental variant.
 func (p *Server) InitialVersions() []map[string]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/controlplane/response.go
+++ b/internal/fake/controlplane/response.go
@@ -13,47 +13,47 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// URLs of types that matter here.
+// URLs of the types that this package treats specially. nodeURL is the wrong type of the fault WrongType.
 const (
 	clusterURL  = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 	listenerURL = "type.googleapis.com/envoy.config.listener.v3.Listener"
 	nodeURL     = "type.googleapis.com/envoy.config.core.v3.Node"
 )
 
-// Fault is a fault of one response.
+// Fault is a fault that is injected into one response.
 type Fault int
 
 // The faults of responses.
 const (
 	None               Fault = iota
-	WrongNonce               // the nonce of the response before
-	NoNonce                  // an empty nonce
-	Reset                    // the stream breaks in place of the response
-	StopSending              // no response on this stream from now on
-	DuplicateResources       // each resource twice
-	WrongType                // the URL of another type
-	OmitHalf                 // every second resource alone; a later response has the others
-	InvalidBodies            // bodies that can't be decoded
+	WrongNonce               // the response has the nonce of the previous response
+	NoNonce                  // the response has an empty nonce
+	Reset                    // the stream ends with an error instead of the response
+	StopSending              // the stream sends no further response
+	DuplicateResources       // the response has each resource twice
+	WrongType                // the response has the URL of another type
+	OmitHalf                 // the response has every second resource only; a later response has the others
+	InvalidBodies            // the response has resource bodies that can't be decoded
 )
 
 // errStopSending is the error of a response with the fault StopSending.
-var errStopSending = errors.New("silent on request")
+var errStopSending = errors.New("stream stopped sending by an injected fault")
 
-// QueueFaults queues faults: each response to come takes one, in their order.
+// QueueFaults queues faults. Each following response takes one fault, in order.
 func (p *Server) QueueFaults(faults ...Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = append(p.faults, faults...)
 }
 
-// PendingFaults is how many queued faults no response has taken yet.
+// PendingFaults returns the number of queued faults that no response has taken yet.
 func (p *Server) PendingFaults() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.faults)
 }
 
-// nextFault takes the fault of the next response; p.mu is locked.
+// nextFault removes and returns the fault of the next response, or None. The caller holds p.mu.
 func (p *Server) nextFault() Fault {
 	if len(p.faults) == 0 {
 		return None
@@ -63,11 +63,12 @@
 	return fault
 }
 
-// isComplete reports whether a state-of-the-world response has all resources of a type, so that others are removed.
+// isComplete reports whether a state-of-the-world response for a type lists all resources, so that the client removes
+// those that are missing.
 func isComplete(url string) bool { return url == clusterURL || url == listenerURL }
 
-// response makes the response that is due for a subscription, or nil. It returns errStopSending, or the stream's error,
-// if a fault says so.
+// response returns the response that is due for a subscription, or nil if none is. The fault StopSending makes it return
+// errStopSending, and the fault Reset the error that ends the stream.
 func (p *Server) response(url string, s *subscription, delta bool) (proto.Message, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,7 @@
 	case StopSending:
 		return nil, errStopSending
 	case Reset:
-		return nil, status.Error(codes.Unavailable, "reset on request")
+		return nil, status.Error(codes.Unavailable, "stream ended by an injected fault")
 	}
 	if complete {
 		changed = t.subscribed(s)
@@ -119,7 +120,7 @@
 	return m, nil
 }
 
-// nextNonce returns the nonce of a response after one with the nonce last; p.mu is locked.
+// nextNonce returns the nonce of the response that follows a response with the nonce last. The caller holds p.mu.
 func (p *Server) nextNonce(last string, fault Fault) string {
 	p.nonces++
 	switch fault {
@@ -141,14 +142,14 @@
 	return names
 }
 
-// changedSince returns the names of the resources of which a subscription has no or another version.
+// changedSince returns the sorted names of the subscribed resources that were sent in another version or not at all.
 func (t *resourceType) changedSince(s *subscription) []string {
 	return slices.DeleteFunc(t.subscribed(s), func(name string) bool {
 		return s.sent[name] == t.resources[name].version
 	})
 }
 
-// removedSince returns the names of the resources that a subscription has and that no longer exist, sorted.
+// removedSince returns the sorted names of the resources that were sent for a subscription and no longer exist.
 func (t *resourceType) removedSince(s *subscription) (names []string) {
 	for name := range s.sent {
 		if _, exists := t.resources[name]; !exists {
@@ -167,7 +168,7 @@
 	return half
 }
 
-// encode returns resources in the form of the incremental variant.
+// encode returns resources as messages of the incremental variant, with the fault applied to their bodies or number.
 func (t *resourceType) encode(names []string, fault Fault) (list []*discoveryv3.Resource) {
 	for _, name := range names {
 		r := t.resources[name]
--- a/internal/fake/controlplane/stream.go
+++ b/internal/fake/controlplane/stream.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	wildcard  = "*" // in a subscription: all resources of a type
-	noVersion = -1  // the version of a type of which nothing was sent
+	wildcard  = "*" // the name that subscribes to all resources of a type
+	noVersion = -1  // the last version of a subscription before its first response
 )
 
-// request is what a client's request says, in either variant.
+// request has the fields of a client's request that the server uses, in either variant.
 type request struct {
 	url, nonce, errorDetail string
 	version                 string            // state of the world: version_info
-	names                   []string          // state of the world: of all resources subscribed to
-	subscribe, unsubscribe  []string          // incremental
+	names                   []string          // state of the world: resource_names, the complete subscription
+	subscribe, unsubscribe  []string          // incremental: names to add to and to remove from the subscription
 	initial                 map[string]string // incremental: initial_resource_versions
 }
 
-// stream is a client's stream, in either variant.
+// stream is an open stream of a client, in either variant.
 type stream struct {
 	server        *Server
-	delta         bool // incremental
+	delta         bool // whether the stream uses the incremental variant
 	receive       func() (*request, error)
 	send          func(proto.Message) error
-	subscriptions map[string]*subscription // by type
+	subscriptions map[string]*subscription // by type URL
 }
 
-// subscription is what a stream subscribes to of a type, and what was sent of it.
+// subscription is a stream's subscription to resources of one type, with the versions that were sent.
 type subscription struct {
 	names       map[string]bool
-	all         bool
-	nonce       string         // of the last response
-	sent        map[string]int // versions of resources, by name
-	lastVersion int            // of the type in the last response, or noVersion
+	all         bool           // whether the subscription includes all resources of the type
+	nonce       string         // nonce of the last response
+	sent        map[string]int // version of each resource that was sent, by name
+	lastVersion int            // version of the type in the last response, or noVersion
 }
 
 func (s *subscription) includes(name string) bool { return s.all || s.names[name] }
@@ -89,7 +89,7 @@
 	return (&stream{server: p, delta: true, receive: receive, send: send}).serve(s.Context())
 }
 
-// serve answers requests, and sends changes, until the stream ends.
+// serve handles requests and sends changed resources until the stream ends.
 func (s *stream) serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -116,7 +116,7 @@
 	}
 }
 
-// open counts a stream as open until its result is called.
+// open registers a stream as open. The caller must call the result when the stream ends.
 func (p *Server) open(cancel context.CancelCauseFunc) (closed func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +137,7 @@
 	return p.changed
 }
 
-// receiveAll receives requests until the stream ends.
+// receiveAll sends the requests of the stream to the channel requests until the stream ends, and then cancels the stream.
 func (s *stream) receiveAll(ctx context.Context, cancel context.CancelCauseFunc, requests chan<- *request) {
 	for {
 		r, err := s.receive()
@@ -153,7 +153,8 @@
 	}
 }
 
-// sendChanges sends what is due of each type that is subscribed to. It returns errStopSending if a fault says so.
+// sendChanges sends the responses that are due, for each subscribed type. The fault StopSending makes it return
+// errStopSending.
 func (s *stream) sendChanges() error {
 	for _, url := range slices.Sorted(maps.Keys(s.subscriptions)) {
 		m, err := s.server.response(url, s.subscriptions[url], s.delta)
@@ -170,14 +171,14 @@
 	return nil
 }
 
-// handle updates the subscriptions by a request.
+// handle updates the subscriptions according to a request and records an ACK or a NACK.
 func (s *stream) handle(r *request) {
 	x := s.subscriptions[r.url]
 	if x == nil {
 		x = s.server.newSubscription(r, s.delta)
 		s.subscriptions[r.url] = x
 	} else if r.nonce != "" {
-		if r.nonce != x.nonce { // stale: it crossed a later response
+		if r.nonce != x.nonce { // the request is stale: the client sent it before it got the latest response
 			return
 		}
 		s.server.recordAck(r)
@@ -189,7 +190,7 @@
 	}
 }
 
-// newSubscription makes a subscription by the first request of a type.
+// newSubscription returns the subscription that the first request of a type on a stream opens.
 func (p *Server) newSubscription(r *request, delta bool) *subscription {
 	x := &subscription{names: map[string]bool{}, sent: map[string]int{}, lastVersion: noVersion}
 	x.all = !delta && len(r.names) == 0
@@ -202,7 +203,7 @@
 		x.sent[name] = parseVersion(version, 0)
 	}
 	t := p.typeOf(r.url)
-	// A client that names the present version has all its resources.
+	// A client that names the current version of the type has all resources of that version.
 	if !delta && r.version != "" && parseVersion(r.version, noVersion) == t.version {
 		x.lastVersion = t.version
 		for name, resource := range t.resources {
@@ -212,7 +213,7 @@
 	return x
 }
 
-// parseVersion returns the number that a version begins with, or a default.
+// parseVersion returns the number that text begins with, or otherwise if there is none.
 func parseVersion(text string, otherwise int) int {
 	fmt.Sscanf(text, "%d", &otherwise)
 	return otherwise
@@ -226,7 +227,7 @@
 	}
 }
 
-// replace replaces the names, and forgets what was sent of others.
+// replace replaces the subscribed names, and deletes the sent versions of resources that are no longer included.
 func (s *subscription) replace(names []string) {
 	s.names = map[string]bool{}
 	for _, n := range names {
@@ -239,7 +240,7 @@
 	}
 }
 
-// update adds and removes names.
+// update adds names to the subscription and removes names from it, together with their sent versions.
 func (s *subscription) update(subscribe, unsubscribe []string) {
 	for _, n := range subscribe {
 		if n == wildcard {
--- a/internal/fake/keymaker/keymaker.go
+++ b/internal/fake/keymaker/keymaker.go
@@ -1,5 +1,5 @@
-// Package keymaker is a fake certificate authority for tests and demos. It issues certificates that nobody else trusts,
-// and writes them to files as an operator would.
+// Package keymaker is a fake certificate authority for tests and demos. It issues certificates that only its own root
+// verifies, and writes them to files in the layout that an operator uses.
 package keymaker
 
 import (
@@ -17,26 +17,27 @@
 )
 
 const (
-	// clockMargin is how long before its issue a certificate is valid, for clocks that differ.
+	// clockMargin is how long before its issue a certificate becomes valid, to allow for clocks that differ.
 	clockMargin = time.Hour
 
-	// authorityLifetime is how long an authority's own certificate is valid.
+	// authorityLifetime is how long an authority's own certificate is valid after its issue.
 	authorityLifetime = 24 * time.Hour
 
-	// writtenLifetime is how long the certificates of Write are valid, less than the authority's.
+	// writtenLifetime is how long certificates from Write are valid after their issue. It is shorter than
+	// authorityLifetime, so that they expire before the authority.
 	writtenLifetime = 23 * time.Hour
 )
 
 // Authority signs certificates. It is not safe for concurrent use.
 type Authority struct {
-	PEM []byte // its certificate
+	PEM []byte // the authority's own certificate in PEM
 
 	cert       *x509.Certificate
 	key        *ecdsa.PrivateKey
 	lastSerial int64
 }
 
-// New returns an authority that is valid for a day.
+// New returns an authority with the given common name and a new self-signed certificate that is valid for 24 hours.
 func New(name string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -61,15 +62,16 @@
 	return a, err
 }
 
-// Pool returns a pool with this authority alone.
+// Pool returns a certificate pool that contains only this authority.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return pool
 }
 
-// Issue returns a certificate with its chain, and its key, both in PEM, that is valid from one time until another. The
-// names are DNS names and IP addresses, at least one, of which the first is the subject's common name.
+// Issue returns a new certificate with its chain, and its private key, both in PEM. The parameters from and until bound
+// its validity. names are its DNS names and IP addresses; there must be at least one, and the first is also the common
+// name of the subject.
 func (a *Authority) Issue(from, until time.Time, names ...string) (cert, key []byte, err error) {
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -103,13 +105,13 @@
 	return cert, encodePEM("PRIVATE KEY", pkcs8), nil
 }
 
-// encodePEM returns a block in PEM.
+// encodePEM returns a PEM block of the given type.
 func encodePEM(blockType string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 }
 
-// Write issues a certificate for names that is valid for 23 hours. It writes it and its key to a folder, as NAME.crt
-// and NAME.key, and the authority's certificate as ca.ca.
+// Write issues a certificate for names that is valid for 23 hours. It writes the certificate and its key to the files
+// NAME.crt and NAME.key of a folder, and the authority's certificate to ca.ca.
 func (a *Authority) Write(folder, name string, names ...string) error {
 	now := time.Now()
 	cert, key, err := a.Issue(now.Add(-clockMargin), now.Add(writtenLifetime), names...)
--- a/internal/fake/modelbox/events.go
+++ b/internal/fake/modelbox/events.go
@@ -2,26 +2,26 @@
 
 import "net/http"
 
-// Event is something that happens to a request at a server.
+// Event is an event in the processing of a request by a server.
 type Event uint8
 
 const (
-	// Arrived is a request that reached the server.
+	// Arrived means that the server received the request.
 	Arrived Event = iota
-	// Completed is a request that took effect.
+	// Completed means that the request had its effect.
 	Completed
-	// Overloaded is a request that made the server stop for overload.
+	// Overloaded means that the request overloaded the server, which stopped.
 	Overloaded
 )
 
-// Watch notifies a function of each event with the request's id. It replaces an earlier function.
+// Watch registers a function that is called with each event and the request's ID. It replaces the previous function.
 func (s *Server) Watch(observer func(event Event, requestID string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observer = observer
 }
 
-// notify notifies the observer of a request's event. mu must not be locked.
+// notify calls the observer, if there is one, with an event of a request. The caller must not hold s.mu.
 func (s *Server) notify(event Event, r *http.Request) {
 	s.mu.Lock()
 	observer := s.observer
@@ -31,5 +31,5 @@
 	}
 }
 
-// requestID returns a request's id.
+// requestID returns the value of the request's header X-Request-Id.
 func requestID(r *http.Request) string { return r.Header.Get("X-Request-Id") }
--- a/internal/fake/modelbox/jobs.go
+++ b/internal/fake/modelbox/jobs.go
@@ -9,14 +9,14 @@
 	"yokestall/internal/model"
 )
 
-// WorkHeader is the field of a request with its job's work in microseconds.
+// WorkHeader is the request header with the work of the request's job in microseconds.
 const WorkHeader = "X-Work-Us"
 
-// ServeHTTP gives a request to the model as a job and answers as the model says.
+// ServeHTTP passes a request to the model as a job and answers according to the outcome.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	microseconds, err := strconv.ParseInt(r.Header.Get(WorkHeader), 10, 40)
 	if err != nil || microseconds <= 0 {
-		http.Error(w, "no work", http.StatusBadRequest)
+		http.Error(w, "header X-Work-Us: want a positive number of microseconds", http.StatusBadRequest)
 		return
 	}
 	s.notify(Arrived, r)
@@ -28,7 +28,7 @@
 	case model.Failed:
 		http.Error(w, "failed", http.StatusInternalServerError)
 	case model.Duplicate:
-		fmt.Fprintln(w, "seen before")
+		fmt.Fprintln(w, "duplicate of an earlier request")
 	case model.Unreachable:
 		panic(http.ErrAbortHandler)
 	case model.Overloaded:
@@ -39,8 +39,8 @@
 	}
 }
 
-// arrive gives a job to the model. The channel is for an accepted one: it gets true when the job was served and false
-// when it was lost.
+// arrive passes a job to the model. If the outcome is model.Accepted, the channel receives true when the job was served
+// or false when it was lost.
 func (s *Server) arrive(work time.Duration, key string) (model.Outcome, <-chan bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +59,9 @@
 	return outcome, served
 }
 
-// answerAccepted waits for a job's end and answers. A lost job's connection breaks, and that of a server with the
-// fault of being unresponsive stays without an answer until the client closes it.
+// answerAccepted waits for the end of an accepted job and answers its request. If the job was lost, the connection is
+// aborted. If the server has the fault Unresponsive, the request gets no response, and the connection is aborted when
+// the client disconnects.
 func (s *Server) answerAccepted(w http.ResponseWriter, r *http.Request, served <-chan bool) {
 	if !<-served {
 		panic(http.ErrAbortHandler)
@@ -77,7 +78,7 @@
 	fmt.Fprintln(w, "done")
 }
 
-// completeJobs ends the jobs that the model has served by now.
+// completeJobs ends the jobs that the model has completed so far, and sets the timer for the next one.
 func (s *Server) completeJobs() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,14 +92,14 @@
 	s.armTimer()
 }
 
-// failJobs ends jobs that the model has lost. mu must be locked.
+// failJobs ends jobs that the model has lost. The caller holds s.mu.
 func (s *Server) failJobs(lost []model.Job) {
 	for _, job := range lost {
 		s.endJob(job, false)
 	}
 }
 
-// endJob sends a job's end to the request that waits for it. mu must be locked.
+// endJob notifies the request that waits for a job whether the job was served. The caller holds s.mu.
 func (s *Server) endJob(job model.Job, served bool) {
 	if waiting := s.waiting[job.ID]; waiting != nil {
 		delete(s.waiting, job.ID)
@@ -106,7 +107,7 @@
 	}
 }
 
-// armTimer sets the timer to the next job's completion. mu must be locked.
+// armTimer sets the timer to the completion of the next job, if there is one. The caller holds s.mu.
 func (s *Server) armTimer() {
 	if at, ok := s.model.NextCompletion(); ok {
 		s.timer.Reset(max(0, at-s.now()))
--- a/internal/fake/modelbox/modelbox.go
+++ b/internal/fake/modelbox/modelbox.go
@@ -1,9 +1,9 @@
-// Package modelbox is a fake server that behaves under load as internal/model says: an HTTP server on loopback whose
-// jobs are queued, served and rejected by the model, in real time.
+// Package modelbox is a fake server that behaves under load like a modelled server of internal/model: an HTTP server on
+// loopback that passes each request to the model as a job, which the model queues, serves or rejects in real time.
 //
-//   - modelbox.go: the server's start and end, and its fault
-//   - jobs.go: how requests become jobs and get their answers
-//   - events.go: what an observer is notified of
+//   - modelbox.go: start and stop of the server, and its fault
+//   - jobs.go: the jobs and responses of requests
+//   - events.go: the events that an observer receives
 package modelbox
 
 import (
@@ -21,9 +21,9 @@
 
 // Server is a fake server. Create it with Start; its methods are safe for concurrent use.
 type Server struct {
-	Addr string // the same after Down and Up
+	Addr string // the address that the server listens on; it stays the same after Down and Up
 
-	start time.Time // zero of the model's clock
+	start time.Time // time at which the model's clock was zero
 
 	// mu guards the fields below.
 	mu         sync.Mutex
@@ -31,15 +31,15 @@
 	stopped    chan struct{} // closed when httpServer has ended
 	model      *model.Server
 	rng        *rand.Rand
-	lastID     uint64               // of a job
-	waiting    map[uint64]chan bool // by job: true is sent when it was served, false when it was lost
-	timer      *time.Timer          // of the next job's completion
-	effects    map[string]int       // by request id
-	overloads  int
-	observer   func(Event, string) // nil: there is none
+	lastID     uint64               // ID of the latest job
+	waiting    map[uint64]chan bool // by job ID; receives true when the job was served, false when it was lost
+	timer      *time.Timer          // fires at the completion of the next job
+	effects    map[string]int       // number of effects by request ID
+	overloads  int                  // number of times that the server stopped because of overload
+	observer   func(Event, string)  // nil if there is no observer
 }
 
-// Start starts a server on a free port of 127.0.0.1, without slow start.
+// Start starts a server on a free port of 127.0.0.1. The server does not warm up after this first start.
 func Start(spec *model.ServerSpec, seed uint64) (*Server, error) {
 	s := &Server{
 		Addr:    "127.0.0.1:0",
@@ -53,7 +53,7 @@
 	return s, s.listen()
 }
 
-// listen starts the HTTP server at Addr and sets that to the address it got.
+// listen starts the HTTP server at Addr and sets Addr to the listener's actual address.
 func (s *Server) listen() error {
 	listener, err := net.Listen("tcp", s.Addr)
 	if err != nil {
@@ -70,13 +70,13 @@
 	return nil
 }
 
-// Close ends the server for good.
+// Close stops the server and its timer. The server can't be used afterwards.
 func (s *Server) Close() {
 	s.Down()
 	s.timer.Stop()
 }
 
-// Down makes the server lose all its jobs: connections break, and new ones are refused.
+// Down stops the server at once: all its jobs are lost, open connections are closed, and new ones are refused.
 func (s *Server) Down() {
 	s.mu.Lock()
 	s.failJobs(s.model.Stop())
@@ -89,7 +89,8 @@
 	}
 }
 
-// Up starts the server again at its address. It warms up as the model says.
+// Up restarts the model, which then warms up as its specification says, and the HTTP server at its address if it is
+// down.
 func (s *Server) Up() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,14 +104,15 @@
 // now returns the time on the model's clock.
 func (s *Server) now() time.Duration { return time.Since(s.start) }
 
-// SetFault sets the server's fault; the zero value ends it.
+// SetFault replaces the server's fault. The zero value means no fault.
 func (s *Server) SetFault(fault model.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.model.Fault = fault
 }
 
-// Effects returns how often each request, by its id, took effect, and how often the server stopped for overload.
+// Effects returns the number of effects of each request, by request ID, and how often the server stopped because of
+// overload.
 func (s *Server) Effects() (effects map[string]int, overloads int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
