--- a/internal/fake/platform/client.go
+++ b/internal/fake/platform/client.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// request is each request, as a format for its id.
+// request is the format of every request; its argument is the request ID.
 const request = "POST /pay HTTP/1.1\r\n" +
 	"Host: x\r\n" +
 	"X-Request-ID: %s\r\n" +
@@ -19,10 +19,10 @@
 	"\r\n" +
 	"hi"
 
-// client is one of the clients.
+// client is an HTTP/1.1 client that sends one request at a time and reuses its connection.
 type client struct {
 	addr string
-	conn net.Conn // nil: the next request opens one
+	conn net.Conn // nil if the next request has to open a connection
 	in   *bufio.Reader
 }
 
@@ -34,7 +34,8 @@
 	}
 }
 
-// send sends an unsafe request. If it fails on a connection that was used before, it is sent once more on a new one.
+// send sends a request that is not idempotent. If the request fails on a reused connection, send sends the request once
+// more on a new connection.
 func (c *client) send(id string) (status int, resent bool, err error) {
 	reused := c.conn != nil
 	status, err = c.attempt(id)
@@ -45,7 +46,7 @@
 	return status, false, err
 }
 
-// attempt sends a request once and reads the complete answer.
+// attempt sends a request once and reads the complete response. After an error the connection is closed.
 func (c *client) attempt(id string) (status int, err error) {
 	if c.conn == nil {
 		if err := c.connect(); err != nil {
@@ -67,7 +68,7 @@
 	return resp.StatusCode, nil
 }
 
-// connect opens a connection.
+// connect opens a connection to the node.
 func (c *client) connect() error {
 	conn, err := net.DialTimeout("tcp", c.addr, timeout)
 	if err != nil {
--- a/internal/fake/platform/clients.go
+++ b/internal/fake/platform/clients.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// failurePause is how long a client waits after a request without an answer, so that the load stays steady.
+// failurePause is how long a client waits after a request without a complete response, so that fast failures do not
+// raise the load.
 const failurePause = 5 * time.Millisecond
 
-// Clients send one request after another, each on a connection that it reuses. A client whose connection ended while
-// it sent a request sends it once more on a new one, as the platform's clients do. The counters are safe to read while
-// they run.
+// Clients is a group of clients, each of which sends one request after another on a connection that it reuses. A request
+// that fails on a reused connection is sent once more on a new one, as the platform's clients do. The counters may be
+// read while the clients run.
 type Clients struct {
-	Served, Rejected, Failed atomic.Int64
-	Resent                   atomic.Int64 // requests that were sent once more
+	Served, Rejected, Failed atomic.Int64 // numbers of responses with status 200, with 503 and with others
+	Resent                   atomic.Int64 // number of requests that were sent once more
 
 	stop context.CancelFunc
 	all  sync.WaitGroup
 
 	mu   sync.Mutex
-	lost []string // requests without a complete answer, with the error; guarded by mu
+	lost []string // ID and error of each request without a complete response; guarded by mu
 }
 
-// Drive starts a number of clients that pause after each answer. They end with ctx.
+// Drive starts the given number of clients, which pause after each request. The clients end when ctx does.
 func Drive(ctx context.Context, addr string, clients int, pause time.Duration) *Clients {
 	ctx, stop := context.WithCancel(ctx)
 	c := &Clients{stop: stop}
@@ -36,7 +37,7 @@
 	return c
 }
 
-// run is the client with an index.
+// run runs the client with the given index until ctx ends.
 func (c *Clients) run(ctx context.Context, addr string, index int, pause time.Duration) {
 	one := client{addr: addr}
 	defer one.close()
@@ -51,13 +52,14 @@
 	}
 }
 
-// Stop ends the clients, each after the answer to its request, and returns the requests that were lost.
+// Stop ends the clients, each after its request in flight, and returns the ID and error of each request that got no
+// complete response.
 func (c *Clients) Stop() (lost []string) {
 	c.stop()
 	return c.Wait()
 }
 
-// Wait waits until all clients have ended and returns the requests that were lost.
+// Wait waits until all clients have ended, and returns the ID and error of each request that got no complete response.
 func (c *Clients) Wait() (lost []string) {
 	c.all.Wait()
 	c.stop()
--- a/internal/fake/platform/launch.go
+++ b/internal/fake/platform/launch.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// readyPollInterval is the time between two PINGs to a process that starts.
+// readyPollInterval is the time between two PING commands to a starting process.
 const readyPollInterval = 2 * time.Millisecond
 
-// Start starts a process of the node, in addition to those that run, and waits until it answers PING with +OK.
+// Start starts a process of the node, in addition to the running ones, and waits until it answers PING with +OK.
 func (p *Platform) Start() (*Node, error) {
 	node, err := p.Launch()
 	if err != nil {
@@ -23,14 +23,14 @@
 	deadline := time.Now().Add(timeout)
 	for !strings.HasPrefix(node.Call("PING"), "+OK") {
 		if time.Now().After(deadline) {
-			return nil, errors.New("platform: the node does not say yes")
+			return nil, errors.New("platform: the node process did not answer PING with +OK within 30 s")
 		}
 		time.Sleep(readyPollInterval)
 	}
 	return node, nil
 }
 
-// Launch starts a process of the node and waits only until it listens for operators.
+// Launch starts a process of the node and waits only until the process logs the address of its admin API.
 func (p *Platform) Launch() (*Node, error) {
 	config, err := p.writeConfig()
 	if err != nil {
@@ -57,13 +57,14 @@
 	case node.adminAddr = <-adminAddr:
 		return node, nil
 	case <-node.Ended:
-		return nil, fmt.Errorf("platform: the node ended at once: %w; it said %q", node.Err, node.lastLine())
+		return nil, fmt.Errorf("platform: the node process ended at its start: %w; last line of its log: %q",
+			node.Err, node.lastLine())
 	case <-time.After(timeout):
-		return nil, errors.New("platform: the node does not start")
+		return nil, errors.New("platform: the node process did not log the address of its admin API within 30 s")
 	}
 }
 
-// writeConfig writes the configuration of the next process and returns the file's path.
+// writeConfig writes the configuration file of the next process and returns its path.
 func (p *Platform) writeConfig() (path string, err error) {
 	config, err := json.Marshal(map[string]any{
 		"name":      "n0",
--- a/internal/fake/platform/node.go
+++ b/internal/fake/platform/node.go
@@ -13,18 +13,18 @@
 	"yokestall/internal/adminapi"
 )
 
-// Node is a process of the node.
+// Node is a started process of the platform's node.
 type Node struct {
 	*exec.Cmd
 	Ended     chan struct{} // closed when the process has ended
 	Err       error         // its exit error, valid once Ended is closed
-	adminAddr string        // where it listens for operators
+	adminAddr string        // address of the admin API
 
 	mu    sync.Mutex
-	lines []string // of the log, at most the last maxLogLines; guarded by mu
+	lines []string // the last lines of the log, at most maxLogLines; guarded by mu
 }
 
-// Call sends an operator's call and returns the answer, or the text of the error.
+// Call sends a command to the admin API and returns the response, or the text of the error.
 func (n *Node) Call(text string) string {
 	answer, err := adminapi.Send(n.adminAddr, text, timeout)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return answer
 }
 
-// Stop sends the process SIGTERM and waits for its end. It returns its exit error.
+// Stop sends SIGTERM to the process, waits for its end and returns its exit error.
 func (n *Node) Stop() error {
 	if err := n.Process.Signal(syscall.SIGTERM); err != nil {
 		return fmt.Errorf("platform: %w", err)
@@ -41,13 +41,14 @@
 	return n.WaitEnded()
 }
 
-// WaitEnded waits for the end of a process that was asked to end, and returns its exit error.
+// WaitEnded waits until the process has ended and returns its exit error. It fails if the process does not end within
+// timeout.
 func (n *Node) WaitEnded() error {
 	select {
 	case <-n.Ended:
 		return n.Err
 	case <-time.After(timeout):
-		return errors.New("platform: the process does not end")
+		return errors.New("platform: the node process did not end within 30 s")
 	}
 }
 
@@ -57,7 +58,7 @@
 	<-n.Ended
 }
 
-// PeakMB returns the largest resident memory that the process has had, in MB; 0 if the system does not report it.
+// PeakMB returns the peak resident memory of the process in MiB, or 0 if the system does not report it.
 func (n *Node) PeakMB() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", n.Process.Pid))
 	if err != nil {
--- a/internal/fake/platform/nodelog.go
+++ b/internal/fake/platform/nodelog.go
@@ -7,15 +7,16 @@
 	"slices"
 )
 
-// maxLogLines bounds the lines that are retained of a process's log.
+// maxLogLines is the number of lines of a process's log that are retained.
 const maxLogLines = 10_000
 
-// operatorsLine matches the line by which a process logs the operators' address. Its text differs between versions
-// of the program, which run side by side here: they share the subject and an attribute that is an address.
+// operatorsLine matches the line in which a process logs the address of its admin API. The text of that line differs
+// between versions of the program, which run side by side here. All of them mention operators or the admin API before
+// the attributes and have an attribute with a loopback address.
 var operatorsLine = regexp.MustCompile(`^[^=]*\b(?:operators|admin)\b.*\b\w+=(127\.0\.0\.1:\d+)`)
 
-// followLog reads the process's log to its end, sends the operators' address once it is there, and waits for the
-// process.
+// followLog reads the process's log to its end, sends the address of the admin API to adminAddr when the log has it,
+// then waits for the process, sets Err and closes Ended.
 func (n *Node) followLog(log io.Reader, adminAddr chan<- string) {
 	found := false
 	for lines := bufio.NewScanner(log); lines.Scan(); {
@@ -30,7 +31,7 @@
 	close(n.Ended)
 }
 
-// appendLine adds a line to the retained ones.
+// appendLine retains a line of the log, and drops the oldest retained line if there are maxLogLines.
 func (n *Node) appendLine(line string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -40,14 +41,14 @@
 	n.lines = append(n.lines, line)
 }
 
-// Log returns the lines that the process has logged so far, at most the last 10,000.
+// Log returns a copy of the last lines that the process has logged, at most 10,000.
 func (n *Node) Log() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.lines)
 }
 
-// lastLine returns the last line of the process's log, or an empty text.
+// lastLine returns the last line of the process's log, or "" if there is none.
 func (n *Node) lastLine() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -1,12 +1,12 @@
-// Package platform is a fake of what runs the platform's nodes on one machine: it holds the clients' listening socket,
-// the list of servers and the folder that a node's processes share, and starts real processes of the node, several at
-// once if it is asked to.
+// Package platform is a fake of the platform that runs a node on one machine. It holds the listening socket for clients,
+// the endpoint list and the folder that the node's processes share, and starts real processes of the node, of which
+// several can run at once.
 //
-//   - platform.go: the platform and its servers
-//   - socket.go: the clients' socket
-//   - launch.go: the start of a process
-//   - node.go: a process; nodelog.go: its log
-//   - clients.go: the clients; client.go: one of them
+//   - platform.go: the platform and its application servers
+//   - socket.go: the listening socket for clients
+//   - launch.go: start of a node process
+//   - node.go, nodelog.go: a node process and its log
+//   - clients.go, client.go: a group of clients and a single client
 package platform
 
 import (
@@ -19,37 +19,37 @@
 	"yokestall/internal/fake/registrar"
 )
 
-// timeout bounds how long a process may take to answer an operator, to start or to end.
+// timeout bounds a command to the admin API, the start and the end of a process, and an attempt of a client.
 const timeout = 30 * time.Second
 
-// Options are a platform's node and its limits.
+// Options configure a platform, its node and its application servers.
 type Options struct {
-	Command    []string // of the node
-	Env        []string // of the node, in addition to what the platform sets
-	PassSocket bool     // the platform holds the clients' socket; else each process listens by itself
-	Settings   string   // of the node, in JSON
-	MemoryMB   int      // the node's limit
-	Sockets    int      // the node's limit
+	Command    []string // command line of a node process
+	Env        []string // complete environment of a node process, except the variables that the platform adds
+	PassSocket bool     // whether the platform passes its listening socket on; otherwise each process listens itself
+	Settings   string   // settings of the node in JSON
+	MemoryMB   int      // memory limit of the node
+	Sockets    int      // socket limit of the node
 
-	// Servers are on the list after Boxes servers of the platform's own.
+	// Servers are added to the endpoint list after the platform's own AppServers servers.
 	Servers       []discovery.Instance
-	AppServers    int
-	ResponseDelay time.Duration // of a server of the platform's own
+	AppServers    int           // number of application servers that the platform starts
+	ResponseDelay time.Duration // response delay of the platform's own application servers
 }
 
 // Platform runs the processes of one node. Create it with New. Its methods are not safe for concurrent use.
 type Platform struct {
-	Addr       string           // where clients connect
-	AppServers []*appbox.Server // the platform's own servers
+	Addr       string           // the address that clients connect to
+	AppServers []*appbox.Server // the platform's own application servers
 
 	options Options
 	list    *registrar.Registrar
 	dir     string
-	socket  *os.File // the clients' one; nil without Options.PassSocket
+	socket  *os.File // listening socket for clients; nil without Options.PassSocket
 	nodes   []*Node
 }
 
-// New returns a platform without processes.
+// New returns a platform whose application servers and endpoint list are running, without node processes.
 func New(o Options) (*Platform, error) {
 	p := &Platform{options: o}
 	err := p.setUp()
@@ -60,7 +60,8 @@
 	return p, nil
 }
 
-// setUp makes the folder and starts the servers, their list and the clients' socket.
+// setUp creates the shared folder, starts the application servers and the endpoint list, and opens the socket for
+// clients.
 func (p *Platform) setUp() (err error) {
 	if p.dir, err = os.MkdirTemp("", "yokestall-platform-"); err != nil {
 		return err
@@ -75,7 +76,7 @@
 	return p.openSocket()
 }
 
-// startServers starts the platform's own servers and returns their entries of the list.
+// startServers starts the platform's own application servers and returns their entries of the endpoint list.
 func (p *Platform) startServers() (instances []discovery.Instance, err error) {
 	for i := range p.options.AppServers {
 		box, err := appbox.Start(fmt.Sprint("box-", i))
@@ -91,10 +92,10 @@
 	return instances, nil
 }
 
-// UseCommand replaces Options.Command and Options.Env for the processes that are started from now on.
+// UseCommand replaces Options.Command and Options.Env for node processes that are started from now on.
 func (p *Platform) UseCommand(command, env []string) { p.options.Command, p.options.Env = command, env }
 
-// Close kills the processes that still run and ends everything else.
+// Close kills the running processes, stops the servers and the endpoint list, and removes the shared folder.
 func (p *Platform) Close() {
 	for _, node := range p.nodes {
 		node.Kill()
@@ -111,10 +112,10 @@
 	}
 }
 
-// Received returns how many requests have reached a server, by its index in Boxes.
+// Received returns the number of requests that the application server with index i in AppServers has received.
 func (p *Platform) Received(i int) int { return p.AppServers[i].Count() }
 
-// Duplicates returns how many requests, by their id, have reached the servers more than once.
+// Duplicates returns the number of request IDs that the application servers together have received more than once.
 func (p *Platform) Duplicates() (n int) {
 	received := map[string]int{}
 	for _, box := range p.AppServers {
--- a/internal/fake/platform/socket.go
+++ b/internal/fake/platform/socket.go
@@ -7,13 +7,14 @@
 	"syscall"
 )
 
-// openSocket chooses the clients' address. With Options.PassSocket its socket stays open to be passed to processes.
+// openSocket chooses a free address for clients. With Options.PassSocket, the platform keeps the listening socket open
+// and passes it to processes.
 func (p *Platform) openSocket() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	defer listener.Close() // the copy stays open
+	defer listener.Close() // p.socket is a duplicate that stays open
 	p.Addr = listener.Addr().String()
 	if !p.options.PassSocket {
 		return nil
@@ -29,9 +30,9 @@
 	return errors.Join(err, copyErr)
 }
 
-// copySocket returns a file of a copy of a descriptor, which is blocking. When os/exec passes a file on it makes its
-// descriptor blocking, and with it the socket for every process that has it; it leaves a file alone that is blocking
-// when it is made.
+// copySocket returns a file for a duplicate of the descriptor fd, and makes the socket blocking. When os/exec passes a
+// non-blocking file to a process, it makes the descriptor blocking, and thereby the socket in every process that shares
+// the socket. It does not change a file that was blocking when it was created.
 func copySocket(fd uintptr) (*os.File, error) {
 	copied, err := syscall.Dup(int(fd))
 	if err != nil {
@@ -41,8 +42,8 @@
 	return os.NewFile(uintptr(copied), "clients"), err
 }
 
-// ReleaseSocket closes the platform's copy of the clients' socket. Connections that wait in its queue end with the
-// last process that has it.
+// ReleaseSocket closes the platform's descriptor of the listening socket for clients. Connections in the accept queue
+// then end with the last process that holds the socket.
 func (p *Platform) ReleaseSocket() {
 	if p.socket != nil {
 		p.socket.Close()
--- a/internal/fake/rawpeer/client.go
+++ b/internal/fake/rawpeer/client.go
@@ -10,7 +10,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Fields returns a field block (RFC 7541) of names and values by turns.
+// Fields returns a field block (RFC 7541). Its arguments are names and values in turn.
 func Fields(namesAndValues ...string) []byte {
 	var block bytes.Buffer
 	encoder := hpack.NewEncoder(&block)
@@ -20,8 +20,8 @@
 	return block.Bytes()
 }
 
-// OpenHTTP2 opens a connection and sends its preface and settings (RFC 9113, 3.4). The framer writes invalid frames
-// too.
+// OpenHTTP2 opens a connection and sends the connection preface with empty settings (RFC 9113, 3.4). The returned framer
+// also writes invalid frames.
 func OpenHTTP2(addr string) (net.Conn, *http2.Framer, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/fake/rawpeer/server.go
+++ b/internal/fake/rawpeer/server.go
@@ -12,22 +12,22 @@
 	"golang.org/x/net/http2"
 )
 
-// Server reads one request of each connection, answers with the first bytes of an answer and closes the connection.
-// Create it with Start.
+// Server reads one request on each connection, sends the first AnswerBytes bytes of a fixed response and closes the
+// connection. Create it with Start.
 type Server struct {
 	Addrs       []string
-	AnswerBytes atomic.Int64 // how many bytes of the answer are sent
-	Executed    atomic.Int64 // requests that were received to the last byte
+	AnswerBytes atomic.Int64 // number of bytes of the response that are sent
+	Executed    atomic.Int64 // number of requests that were received completely
 
 	answer      []byte
 	readRequest func(io.Reader, io.Writer) bool
-	tap         *Tap // nil: there is none
+	tap         *Tap // nil if received bytes are not recorded
 	listeners   []net.Listener
 	accepting   sync.WaitGroup
 }
 
-// Start starts a server on a number of addresses of 127.0.0.1. Its answer is sent as it is given, and completely until
-// AnswerBytes is set. What the server receives is written to tap, unless that is nil.
+// Start starts a server on the given number of free ports of 127.0.0.1. The bytes of answer are sent unchanged, and
+// completely unless AnswerBytes is set. The bytes that the server receives are written to tap, unless tap is nil.
 func Start(answer []byte, overHTTP2 bool, addresses int, tap *Tap) (*Server, error) {
 	s := &Server{answer: answer, readRequest: readHTTP1, tap: tap}
 	s.AnswerBytes.Store(int64(len(answer)))
@@ -47,7 +47,7 @@
 	return s, nil
 }
 
-// accept serves the connections of a listener until that is closed.
+// accept accepts and serves the connections of a listener until the listener is closed.
 func (s *Server) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -58,7 +58,7 @@
 	}
 }
 
-// serve serves a connection.
+// serve reads one request from a connection, answers it if it is complete, and closes the connection.
 func (s *Server) serve(conn net.Conn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(connTimeout))
@@ -72,7 +72,7 @@
 	}
 }
 
-// Down closes the listeners. Connections end after their answer.
+// Down closes the listeners. Open connections end after their response.
 func (s *Server) Down() {
 	for _, listener := range s.listeners {
 		listener.Close()
@@ -80,7 +80,7 @@
 	s.accepting.Wait()
 }
 
-// readHTTP1 reads a request and reports whether it is complete.
+// readHTTP1 reads an HTTP/1.1 request and reports whether it is complete.
 func readHTTP1(r io.Reader, _ io.Writer) bool {
 	request, err := http.ReadRequest(bufio.NewReader(r))
 	if err != nil {
@@ -90,8 +90,8 @@
 	return err == nil
 }
 
-// readHTTP2 reads a connection's preface and its first request, and reports whether that is complete. It writes this
-// side's settings.
+// readHTTP2 reads the HTTP/2 connection preface and frames up to the first end of a stream. It reports whether it read
+// that end. It sends empty settings and acknowledges the client's settings.
 func readHTTP2(r io.Reader, w io.Writer) bool {
 	if _, err := io.ReadFull(r, make([]byte, len(http2.ClientPreface))); err != nil {
 		return false
--- a/internal/fake/rawpeer/tap.go
+++ b/internal/fake/rawpeer/tap.go
@@ -5,16 +5,17 @@
 	"sync"
 )
 
-// maxTapped is how many bytes a Tap records, give or take one write, until it is drained.
+// maxTapped is the number of recorded bytes from which on a Tap ignores writes until it is drained. The last recorded
+// write may exceed it.
 const maxTapped = 1 << 20
 
-// Tap records what a server receives. Its methods are safe for concurrent use.
+// Tap records the bytes that a server receives. Its methods are safe for concurrent use.
 type Tap struct {
 	mu       sync.Mutex
 	received bytes.Buffer
 }
 
-// Write implements io.Writer. Bytes beyond maxTapped are not recorded.
+// Write implements io.Writer. It discards p if at least maxTapped bytes are recorded.
 func (t *Tap) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -24,7 +25,7 @@
 	return len(p), nil
 }
 
-// Drain returns what was recorded since the last call.
+// Drain returns the bytes that were recorded since the last call.
 func (t *Tap) Drain() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
