--- a/internal/fake/proxy/exchange.go
+++ b/internal/fake/proxy/exchange.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	pickHeader        = "X-Gateway-Destination-Endpoint" // in which the processor names the endpoint
-	duplexPieceLength = 1000                             // bytes of a body in full duplex mode
+	pickHeader        = "X-Gateway-Destination-Endpoint" // request header that the processor sets to the picked endpoint
+	duplexPieceLength = 1000                             // bytes of a body piece in full duplex mode
 )
 
-// exchange is one stream to the processor, about one attempt of a request.
+// exchange is one stream to the processor, for one attempt of a request.
 type exchange struct {
 	proxy   *Proxy
 	ctx     context.Context
@@ -36,7 +36,7 @@
 	return &exchange{proxy: p, ctx: ctx, cancel: cancel, stream: stream, request: q}, nil
 }
 
-// run runs the exchange, and sets its result. retry reports that the proxy may retry the request.
+// run runs the exchange and sets its result. retry reports whether the proxy may retry the request.
 func (x *exchange) run(attempt int) (retry bool, err error) {
 	if err := x.sendHeaders(attempt); err != nil {
 		return false, err
@@ -70,12 +70,12 @@
 				return false, err
 			}
 		default:
-			return false, fmt.Errorf("a reply that is not due: %T", r)
+			return false, fmt.Errorf("unexpected message from the processor: got %T, want a headers or immediate response", r)
 		}
 	}
 }
 
-// changedHeader returns the request's header with the processor's changes.
+// changedHeader returns a copy of the request's headers with the processor's mutation applied.
 func (x *exchange) changedHeader(r *pb.HeadersResponse) http.Header {
 	header := x.request.Header.Clone()
 	if header == nil {
@@ -85,8 +85,8 @@
 	return header
 }
 
-// forwardPicked forwards the request to the endpoint that was picked, with the body that the processor returns if it
-// gets the body in full duplex mode (bodySent is not nil).
+// forwardPicked forwards the request to the picked endpoint. In full duplex mode (bodySent is not nil), it forwards the
+// body that the processor returns.
 func (x *exchange) forwardPicked(header http.Header, server string, bodySent <-chan struct{}) (retry bool, err error) {
 	x.result.Servers = append(x.result.Servers, server)
 	if bodySent != nil {
@@ -98,14 +98,14 @@
 	return x.forward(header, server)
 }
 
-// disconnect ends the stream as the proxy does when its client disconnects.
+// disconnect cancels the stream, as a proxy does when its client disconnects.
 func (x *exchange) disconnect() error {
 	x.cancel()
 	x.stream.Recv()
 	return context.Canceled
 }
 
-// sendHeaders sends the processor the request's headers.
+// sendHeaders sends the request's headers to the processor.
 func (x *exchange) sendHeaders(attempt int) error {
 	q := &x.request
 	header := headerMap{}
@@ -124,29 +124,31 @@
 	})
 }
 
-// sendBufferedBody sends the processor the body at once, after it has picked no endpoint by the headers alone.
+// sendBufferedBody sends the whole body to the processor, which has not picked an endpoint from the headers alone. It
+// fails if the request has no body.
 func (x *exchange) sendBufferedBody() error {
-	if len(x.request.Body) == 0 { // a proxy would use a cluster of its own
-		return errors.New("the processor named no server")
+	if len(x.request.Body) == 0 { // a real proxy would use a cluster from its own configuration
+		return errors.New("the processor picked no endpoint for a request without a body")
 	}
 	err := x.sendBody(x.request.Body, len(x.request.Body))
-	if err == io.EOF { // answered meanwhile: Recv returns the answer or the error
+	if err == io.EOF { // the processor has ended the stream: Recv returns its response or the error
 		return nil
 	}
 	return err
 }
 
-// startBody sends the processor the body in the background. Nothing else may be sent before sent is closed.
+// startBody sends the body to the processor in the background. The caller must not send on the stream until sent is
+// closed.
 func (x *exchange) startBody() (sent <-chan struct{}) {
 	done, body := make(chan struct{}), x.request.Body
-	go func() { // ends with the exchange
+	go func() { // ends at the latest with the exchange
 		defer close(done)
 		x.sendBody(body, duplexPieceLength)
 	}()
 	return done
 }
 
-// sendBody sends the processor a body in pieces of a length.
+// sendBody sends a body to the processor in pieces of at most length bytes.
 func (x *exchange) sendBody(body []byte, length int) error {
 	for len(body) > 0 {
 		n := min(length, len(body))
@@ -161,7 +163,7 @@
 	return nil
 }
 
-// receiveBody receives the body that the processor returns in place of the one it got.
+// receiveBody receives the body that the processor returns in place of the request's body.
 func (x *exchange) receiveBody() (body []byte, err error) {
 	for {
 		r, err := x.stream.Recv()
@@ -170,7 +172,7 @@
 		}
 		piece := r.GetRequestBody().GetResponse().GetBodyMutation().GetStreamedResponse()
 		if piece == nil {
-			return nil, fmt.Errorf("a reply that is not due: %v", r)
+			return nil, fmt.Errorf("unexpected message from the processor: got %v, want a piece of the request body", r)
 		}
 		if body = append(body, piece.Body...); piece.EndOfStream {
 			return body, nil
@@ -178,7 +180,7 @@
 	}
 }
 
-// takeImmediateResponse sets the result to the processor's response.
+// takeImmediateResponse sets the result to the processor's immediate response.
 func (x *exchange) takeImmediateResponse(r *pb.ImmediateResponse) {
 	x.result = Result{
 		ByProcessor: true,
@@ -190,7 +192,8 @@
 	ApplyMutation(x.result.Header, r.GetHeaders())
 }
 
-// receiveStreamedResponse receives the processor's response in pieces into the result.
+// receiveStreamedResponse receives the pieces of the processor's streamed response and sets the result to them. If the
+// stream ends early, the result is marked as truncated.
 func (x *exchange) receiveStreamedResponse(first *pb.StreamedImmediateResponse) error {
 	x.result = Result{ByProcessor: true, Header: http.Header{}}
 	for _, f := range first.GetHeadersResponse().GetHeaders().GetHeaders() {
--- a/internal/fake/proxy/headers.go
+++ b/internal/fake/proxy/headers.go
@@ -8,7 +8,7 @@
 	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 )
 
-// headerMap is headers in the form of the protocol.
+// headerMap is a list of headers in the representation of the external processing protocol.
 type headerMap []*corev3.HeaderValue
 
 func (m *headerMap) add(name, value string) {
@@ -25,7 +25,7 @@
 
 func (m headerMap) proto() *corev3.HeaderMap { return &corev3.HeaderMap{Headers: m} }
 
-// ApplyMutation changes headers by a processor's mutation (service.ext_proc.v3.HeaderMutation).
+// ApplyMutation applies a processor's mutation (envoy.service.ext_proc.v3.HeaderMutation) to headers.
 func ApplyMutation(h http.Header, m *pb.HeaderMutation) {
 	for _, name := range m.GetRemoveHeaders() {
 		h.Del(name)
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -1,10 +1,10 @@
-// Package proxy is a stand-in for a proxy that asks an external processor (envoy.service.ext_proc.v3) about each of its
-// requests, as the protocol prescribes, and misbehaves on request. It speaks HTTP to its clients and its upstreams.
+// Package proxy is a fake proxy that consults an external processor (envoy.service.ext_proc.v3) for each request, as the
+// protocol prescribes, and can inject faults. It speaks HTTP to its clients and its upstreams.
 //
 //   - proxy.go: the proxy and its retries
 //   - exchange.go: one stream to the processor
 //   - upstream.go: the request to the endpoint that the processor picked, and the report of its response
-//   - headers.go: header maps, and the processor's changes of headers
+//   - headers.go: header maps, and the processor's header mutations
 package proxy
 
 import (
@@ -18,30 +18,30 @@
 	"google.golang.org/grpc"
 )
 
-// defaultTimeout is of client requests without X-Timeout-Ms.
+// defaultTimeout is the timeout of client requests without a valid header X-Timeout-Ms.
 const defaultTimeout = 30 * time.Second
 
-// Fault is a fault of a proxy or of its client.
+// Fault is a fault of the proxy or of its client in one request.
 type Fault string
 
 // The faults.
 const (
 	None                     Fault = ""
-	DisconnectBeforeDecision Fault = "leaves before the decision"
-	DisconnectAfterDecision  Fault = "leaves after the decision"
-	NoResponseHeaders        Fault = "never tells what came of it"
-	OtherServer              Fault = "sends to another server"
-	HalfCloseStream          Fault = "ends the exchange without a response"
+	DisconnectBeforeDecision Fault = "client disconnects before the decision"
+	DisconnectAfterDecision  Fault = "client disconnects after the decision"
+	NoResponseHeaders        Fault = "proxy never reports the response headers"
+	OtherServer              Fault = "proxy sends to another server than the picked one"
+	HalfCloseStream          Fault = "proxy half-closes the stream without sending the request"
 )
 
-// Proxy is a proxy with an external processor. Its fields are set before the first Do; its methods are safe for
-// concurrent use.
+// Proxy is a fake proxy with an external processor. Its fields must be set before the first call of Do or ServeHTTP. Its
+// methods are safe for concurrent use.
 type Proxy struct {
-	Conn        grpc.ClientConnInterface             // to the processor
-	BodyMode    filterv3.ProcessingMode_BodySendMode // of request bodies
-	Retries     int                                  // of its own at most, each on a stream of its own
+	Conn        grpc.ClientConnInterface             // connection to the processor
+	BodyMode    filterv3.ProcessingMode_BodySendMode // how request bodies are sent to the processor
+	Retries     int                                  // maximum number of retries of a request, each on a new stream
 	OtherServer string                               // the address that the fault OtherServer sends to
-	// OnSend is called before each request to an upstream, with its address; nil: not at all.
+	// OnSend, if not nil, is called before each request to an upstream with the upstream's address.
 	OnSend func(address string, at time.Time)
 
 	upstream http.Transport
@@ -52,25 +52,25 @@
 	Method, Path string
 	Header       http.Header
 	Body         []byte
-	Timeout      time.Duration // of the request with its retries, and so of each stream
+	Timeout      time.Duration // bounds the request with all its retries
 	Fault        Fault
 }
 
-// Result is what the client of a request gets.
+// Result is the response to a client's request, or the reason why there is none.
 type Result struct {
-	Status      int // 0: none, since the client or the exchange ended before
+	Status      int // 0 if there is no response, since the client or the exchange ended first
 	Header      http.Header
 	Body        []byte
-	ByProcessor bool     // the processor gave the response, or forwarded it
-	Truncated   bool     // the body ended with an error
-	Servers     []string // the endpoints that were picked, in order
+	ByProcessor bool     // whether the response came from the processor instead of an upstream of the proxy
+	Truncated   bool     // whether the body ended with an error
+	Servers     []string // addresses of the picked endpoints, in order of the attempts
 	Err         error
 }
 
 // Close closes the idle connections to upstreams.
 func (p *Proxy) Close() { p.upstream.CloseIdleConnections() }
 
-// ServeHTTP answers a client's request. It breaks the connection if there is no complete response.
+// ServeHTTP answers a client's request. It aborts the connection if there is no complete response.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -91,7 +91,8 @@
 	w.Write(result.Body)
 }
 
-// Do answers a client's request.
+// Do processes a client's request with up to Retries retries, and returns the result of the last attempt with the
+// endpoints of all attempts.
 func (p *Proxy) Do(ctx context.Context, q Request) (result Result) {
 	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
@@ -106,7 +107,8 @@
 	}
 }
 
-// attempt asks the processor about a request, and answers it. retry reports that the proxy may retry it.
+// attempt makes one attempt of a request on a new stream to the processor. retry reports whether the proxy may retry the
+// request.
 func (p *Proxy) attempt(ctx context.Context, q Request, attempt int) (result Result, retry bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/fake/proxy/upstream.go
+++ b/internal/fake/proxy/upstream.go
@@ -13,15 +13,15 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// Values of the attribute response.code_details, as Envoy sets them.
+// Values that Envoy gives the attribute response.code_details.
 const (
 	detailsUpstream   = "via_upstream"
 	detailsConnection = "upstream_reset_before_response_started{connection_failure}"
 	detailsReset      = "upstream_reset_before_response_started{connection_termination}"
 )
 
-// forward sends the request to the endpoint that was picked, and reports its response to the processor. retry reports
-// that the proxy may retry the request.
+// forward sends the request to the picked endpoint and reports the response to the processor, unless the request's fault
+// prevents it. retry reports whether the proxy may retry the request.
 func (x *exchange) forward(header http.Header, server string) (retry bool, err error) {
 	switch x.request.Fault {
 	case DisconnectAfterDecision:
@@ -47,8 +47,8 @@
 	return x.result.Status >= http.StatusInternalServerError, nil
 }
 
-// roundTrip sends the request to a server, and sets the result to its response, or to an error of the proxy. Its error
-// is of the request itself.
+// roundTrip sends the request to a server, and sets the result to the server's response, or to status 503 if the server
+// did not respond. It returns an error only if the request is invalid.
 func (x *exchange) roundTrip(header http.Header, server string) (details string, err error) {
 	q := &x.request
 	r, err := http.NewRequestWithContext(x.ctx, q.Method, "http://"+server+q.Path, bytes.NewReader(q.Body))
@@ -59,7 +59,7 @@
 	if len(q.Body) == 0 {
 		r.Body = http.NoBody
 	}
-	r.GetBody = nil // the transport must not retry
+	r.GetBody = nil // without GetBody the transport does not retry the request
 	if x.proxy.OnSend != nil {
 		x.proxy.OnSend(server, time.Now())
 	}
@@ -79,7 +79,8 @@
 	return detailsUpstream, nil
 }
 
-// reportResponse reports the response to the processor, and applies what it changes in the headers.
+// reportResponse reports the response headers to the processor, applies the processor's mutation to them, and ends the
+// stream.
 func (x *exchange) reportResponse(server, details string) error {
 	header := headerMap{}
 	header.add(":status", strconv.Itoa(x.result.Status))
--- a/internal/fake/webpeer/instructions.go
+++ b/internal/fake/webpeer/instructions.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// echoPart is how many bytes of a body are returned at a time.
+	// echoPart is the largest number of bytes of a body that are echoed at a time.
 	echoPart = 4 << 10
 
-	// unknownPart is how many bytes of an answer of unknown length are sent at a time.
+	// unknownPart is the largest number of bytes of a response without a declared length that are sent at a time.
 	unknownPart = 10_000
 
-	// brokenLength is the declared length of an answer that breaks off.
+	// brokenLength is the declared length in bytes of a response that is aborted in its body.
 	brokenLength = "1000000"
 )
 
-// exchange is a request with its instruction, the text "NAME ARGUMENT" of its X-Do field.
+// exchange is a request and its response, with the instruction "NAME ARGUMENT" from the request header X-Do.
 type exchange struct {
 	http.ResponseWriter
 	request  *http.Request
 	control  *http.ResponseController
 	argument string
-	number   int   // argument as a number; 0 if it is none
-	count    int64 // of completed requests, with this one
+	number   int   // the argument as a number; 0 if it is not a number
+	count    int64 // number of completed requests so far, with this one
 }
 
-// instructions are those that are carried out once the request's body was read.
+// instructions has the instructions that are carried out after the request body has been read, by name.
 var instructions = map[string]func(*exchange){
 	"status":     (*exchange).status,
 	"known":      (*exchange).knownLength,
@@ -43,7 +43,8 @@
 	"break-once": (*exchange).breakOnce,
 }
 
-// ServeHTTP implements http.Handler. Without a known instruction it answers with the method and the request's target.
+// ServeHTTP implements http.Handler. It answers a request without a known instruction with the request's method and
+// target.
 func (p *Peer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.Started.Add(1)
 	name, argument, _ := strings.Cut(r.Header.Get("X-Do"), " ")
@@ -69,13 +70,13 @@
 	fmt.Fprintf(w, "%s %s", r.Method, r.URL.RequestURI())
 }
 
-// answerEarly answers before the body was read, and closes the connection.
+// answerEarly answers with status 413 without reading the request body, and asks for the connection to be closed.
 func (x *exchange) answerEarly() {
 	x.Header().Set("Connection", "close")
 	http.Error(x, "enough", http.StatusRequestEntityTooLarge)
 }
 
-// echo returns the body while it is received.
+// echo sends the request body back while it is being received.
 func (x *exchange) echo() {
 	x.control.EnableFullDuplex()
 	part := make([]byte, echoPart)
@@ -89,7 +90,7 @@
 	}
 }
 
-// status answers with a status.
+// status answers with the status code in the argument.
 func (x *exchange) status() {
 	x.Header().Set("Location", "/elsewhere")
 	x.WriteHeader(x.number)
@@ -98,13 +99,13 @@
 	}
 }
 
-// knownLength answers with a number of bytes that is declared.
+// knownLength answers with a body of the given length and declares the length.
 func (x *exchange) knownLength() {
 	x.Header().Set("Content-Length", x.argument)
 	x.Write(Pattern(x.number))
 }
 
-// unknownLength answers with a number of bytes that is not declared, in parts.
+// unknownLength answers with a body of the given length in parts, without declaring the length.
 func (x *exchange) unknownLength() {
 	for left := Pattern(x.number); ; {
 		n := min(len(left), unknownPart)
@@ -116,7 +117,7 @@
 	}
 }
 
-// trailer answers with a number of bytes and a trailer.
+// trailer answers with a body of the given length and the trailer field X-Sum.
 func (x *exchange) trailer() {
 	x.Header().Set("Trailer", "X-Sum")
 	x.Write(Pattern(x.number))
@@ -124,14 +125,14 @@
 	x.Header().Set("X-Sum", "42")
 }
 
-// fields answers with fields that stand several times, and one with a value of a number of bytes.
+// fields answers with repeated header fields, and with the field X-Long, whose value has the given length.
 func (x *exchange) fields() {
 	x.Header()["X-Many"] = []string{"a", "b", "c, d"}
 	x.Header()["Set-Cookie"] = []string{"a=1; Path=/", "b=2"}
 	x.Header().Set("X-Long", strings.Repeat("v", x.number))
 }
 
-// hopByHop answers with a field for the client and, over HTTP/1.1, hop-by-hop fields.
+// hopByHop answers with an end-to-end header field and, over HTTP/1.1, with hop-by-hop fields.
 func (x *exchange) hopByHop() {
 	if x.request.ProtoMajor == 1 {
 		x.Header().Set("Keep-Alive", "timeout=7")
@@ -140,15 +141,15 @@
 	x.Header().Set("X-End", "to end")
 }
 
-// event answers with the first event of a stream that ends with the request.
+// event sends the first event of an event stream, and keeps the response open until the request is cancelled.
 func (x *exchange) event() {
 	io.WriteString(x, "data: first\n\n")
 	x.control.Flush()
 	<-x.request.Context().Done()
 }
 
-// breakOff breaks the connection or stream off: with an argument after that number of bytes of a longer body, else
-// before the answer.
+// breakOff aborts the connection (HTTP/1.1) or stream (HTTP/2): with an argument, after that number of bytes of a longer
+// body; without one, before the response.
 func (x *exchange) breakOff() {
 	if x.argument != "" {
 		x.Header().Set("Content-Length", brokenLength)
@@ -158,7 +159,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// breakOnce breaks the connection or stream off for every other request.
+// breakOnce aborts the connection or stream if the number of completed requests is odd, and otherwise answers "second".
 func (x *exchange) breakOnce() {
 	if x.count%2 == 1 {
 		panic(http.ErrAbortHandler)
--- a/internal/fake/webpeer/protocol.go
+++ b/internal/fake/webpeer/protocol.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Protocol is what a side speaks. The zero value is HTTP/1.1 in clear text.
+// Protocol is an HTTP version with or without TLS. The zero value is HTTP/1.1 in clear text.
 type Protocol struct{ HTTP2, TLS bool }
 
 // AllProtocols returns HTTP/1.1 in clear text and over TLS, then HTTP/2 in clear text and over TLS.
@@ -22,7 +22,7 @@
 	return name
 }
 
-// HTTPProtocols returns the set of this protocol alone.
+// HTTPProtocols returns the set that contains only this protocol.
 func (p Protocol) HTTPProtocols() *http.Protocols {
 	set := new(http.Protocols)
 	set.SetHTTP1(!p.HTTP2)
@@ -31,7 +31,7 @@
 	return set
 }
 
-// ALPN returns the protocol's name in TLS (RFC 7301).
+// ALPN returns the protocol's identifier in TLS ALPN (RFC 7301).
 func (p Protocol) ALPN() string {
 	if p.HTTP2 {
 		return "h2"
--- a/internal/fake/webpeer/webpeer.go
+++ b/internal/fake/webpeer/webpeer.go
@@ -1,10 +1,10 @@
-// Package webpeer is a fake server that answers each request as its X-Do field instructs, over HTTP/1.1 or HTTP/2, with
-// or without TLS, and counts the requests. It listens on several addresses at once, so that there is another endpoint
-// for a retry.
+// Package webpeer is a fake server that answers each request according to the instruction in its header X-Do, over
+// HTTP/1.1 or HTTP/2, with or without TLS, and records the requests. It can listen on several addresses, so that a retry
+// has another endpoint.
 //
-//   - webpeer.go: the server and what it recorded
-//   - instructions.go: the instructions and how each is carried out
-//   - protocol.go: what a side speaks
+//   - webpeer.go: the server and its record of requests
+//   - instructions.go: the instructions
+//   - protocol.go: the protocol of a connection
 package webpeer
 
 import (
@@ -18,20 +18,20 @@
 	"sync/atomic"
 )
 
-// Peer is the server. Create it with Start; its methods are safe for concurrent use.
+// Peer is a fake server. Create it with Start. Its methods are safe for concurrent use.
 type Peer struct {
 	Addrs     []string
-	Started   atomic.Int64 // requests whose header was received
-	Completed atomic.Int64 // requests that were received to the last byte, without those that say early or echo
+	Started   atomic.Int64 // number of requests whose headers were received
+	Completed atomic.Int64 // number of requests that were received completely, except "early" and "echo" instructions
 
 	server *http.Server
 
 	mu       sync.Mutex
-	requests []*http.Request // the completed ones
-	sums     []string        // SHA-256 of their bodies, in hexadecimal digits
+	requests []*http.Request // completed requests
+	sums     []string        // SHA-256 of the body of each completed request in hexadecimal digits
 }
 
-// Start starts a server on a number of addresses of 127.0.0.1. keys are used if the protocol has TLS.
+// Start starts a server on the given number of free ports of 127.0.0.1. keys is used only if the protocol has TLS.
 func Start(protocol Protocol, keys *tls.Config, addresses int) (*Peer, error) {
 	p := &Peer{}
 	p.server = &http.Server{
@@ -56,7 +56,8 @@
 // Down closes the server and its connections.
 func (p *Peer) Down() { p.server.Close() }
 
-// Last returns the latest completed request, nil if there is none, and the SHA-256 of its body in hexadecimal digits.
+// Last returns the latest completed request and the SHA-256 of its body in hexadecimal digits, or nil and "" if there is
+// none.
 func (p *Peer) Last() (*http.Request, string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +67,7 @@
 	return p.requests[len(p.requests)-1], p.sums[len(p.sums)-1]
 }
 
-// Executed returns how often each request, by its id, was completed whose path has a prefix.
+// Executed returns the number of completed requests for each request ID, of requests whose path begins with prefix.
 func (p *Peer) Executed(prefix string) map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +80,7 @@
 	return executed
 }
 
-// record adds a completed request and returns their number.
+// record records a completed request and returns the number of completed requests.
 func (p *Peer) record(r *http.Request, sum string) int64 {
 	p.mu.Lock()
 	p.requests = append(p.requests, r)
@@ -88,7 +89,7 @@
 	return p.Completed.Add(1)
 }
 
-// Pattern returns a body of n bytes in which parts differ, so that lost and moved ones show.
+// Pattern returns a body of n bytes whose parts differ, so that lost or moved parts are detected.
 func Pattern(n int) []byte {
 	body := make([]byte, n)
 	for i := range body {
