--- a/internal/fake/controlplane/controlplane.go
+++ b/internal/fake/controlplane/controlplane.go
@@ -139,7 +139,7 @@
 		if err != nil {
 			return err
 		}
-		p.put(name, body, touched)
+		p.setResource(name, body, touched)
 	}
 	p.publish(touched)
 	return nil
@@ -150,13 +150,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	touched := map[string]bool{}
-	p.put(name, body, touched)
+	p.setResource(name, body, touched)
 	p.publish(touched)
 }
 
-// put sets a resource and, if the resource changed, adds its type to touched. All changes of a type that are made with
+// setResource sets a resource and, if the resource changed, adds its type to touched. All changes of a type that are made with
 // the same touched map get the same version of the type. The caller holds p.mu.
-func (p *Server) put(name string, body *anypb.Any, touched map[string]bool) {
+func (p *Server) setResource(name string, body *anypb.Any, touched map[string]bool) {
 	t := p.typeOf(body.TypeUrl)
 	if old, ok := t.resources[name]; ok && proto.Equal(old.body, body) {
 		return
--- a/internal/fake/controlplane/stream.go
+++ b/internal/fake/controlplane/stream.go
@@ -93,7 +93,7 @@
 func (s *stream) serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer s.server.open(cancel)()
+	defer s.server.registerStream(cancel)()
 	requests := make(chan *request)
 	go s.receiveAll(ctx, cancel, requests)
 	s.subscriptions = map[string]*subscription{}
@@ -116,8 +116,8 @@
 	}
 }
 
-// open registers a stream as open. The caller must call the result when the stream ends.
-func (p *Server) open(cancel context.CancelCauseFunc) (closed func()) {
+// registerStream registers a stream as registerStream. The caller must call the result when the stream ends.
+func (p *Server) registerStream(cancel context.CancelCauseFunc) (closed func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.opened++
--- a/internal/fake/fleet/faultscript.go
+++ b/internal/fake/fleet/faultscript.go
@@ -27,7 +27,7 @@
 // processes have restarted, with the first error of a restart; at the first error of another step; or when ctx ends,
 // with the error of ctx.
 func (r *Rig) ApplyFaults(ctx context.Context, began time.Time, script []Fault) error {
-	steps := stepsOf(script)
+	steps := sortedSteps(script)
 	a := &faultScript{
 		rig:    r,
 		script: script,
@@ -52,8 +52,8 @@
 	return <-a.errs
 }
 
-// stepsOf returns the starts and ends of a script's faults in order of time.
-func stepsOf(script []Fault) (steps []faultStep) {
+// sortedSteps returns the starts and ends of a script's faults in order of time.
+func sortedSteps(script []Fault) (steps []faultStep) {
 	for i := range script {
 		f := &script[i]
 		steps = append(steps, faultStep{f.From, f, false}, faultStep{f.To, f, true})
@@ -93,7 +93,7 @@
 		p.Kill()
 		return nil
 	}
-	if a.hasToBeDead(node) {
+	if a.isKilled(node) {
 		return nil
 	}
 	if s.fault.Kind == KillAndErase {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// hasToBeDead reports whether an active Kill or KillAndErase fault includes the process.
-func (a *faultScript) hasToBeDead(node int) bool {
+// isKilled reports whether an active Kill or KillAndErase fault includes the process.
+func (a *faultScript) isKilled(node int) bool {
 	for i := range a.script {
 		f := &a.script[i]
 		if a.active[f] && (f.Kind == Kill || f.Kind == KillAndErase) && slices.Contains(f.Nodes, node) {
--- a/internal/fake/fleet/process.go
+++ b/internal/fake/fleet/process.go
@@ -135,12 +135,12 @@
 	if err != nil {
 		return err
 	}
-	out, answers, err := os.Pipe() // not cmd.StdoutPipe: cmd.Wait would close it while it is read
+	out, outWriter, err := os.Pipe() // not cmd.StdoutPipe: cmd.Wait would close it while it is read
 	if err != nil {
 		return err
 	}
-	defer answers.Close() // the child process holds a duplicate
-	cmd.Stdout = answers
+	defer outWriter.Close() // the child process holds a duplicate
+	cmd.Stdout = outWriter
 	if err := cmd.Start(); err != nil {
 		out.Close()
 		return err
--- a/internal/fake/fleet/relay.go
+++ b/internal/fake/fleet/relay.go
@@ -209,7 +209,7 @@
 		case l.Buffer:
 			<-changed
 			continue
-		case wait > 0 && !sleepUnless(changed, wait):
+		case wait > 0 && !sleepUnlessClosed(changed, wait):
 			continue
 		}
 		_, err := to.Write(piece)
@@ -217,8 +217,8 @@
 	}
 }
 
-// sleepUnless waits for d and returns true, or returns false as soon as changed is closed.
-func sleepUnless(changed <-chan struct{}, d time.Duration) bool {
+// sleepUnlessClosed waits for d and returns true, or returns false as soon as changed is closed.
+func sleepUnlessClosed(changed <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/fake/fleet/requestcheck.go
+++ b/internal/fake/fleet/requestcheck.go
@@ -69,7 +69,7 @@
 		if t == nil || !c.rules.NotIdempotent[t.class] {
 			return
 		}
-		request := requestOf(e.ID)
+		request := requestID(e.ID)
 		if c.effects[request]++; c.effects[request] > 1 {
 			c.add(finding(e, "a second effect of a request that is not idempotent"))
 		}
@@ -106,15 +106,15 @@
 func addHistories(found []Finding, events []Event) {
 	for i := range found[:min(len(found), maxHistories)] {
 		for _, e := range events {
-			if e.ID != "" && requestOf(e.ID) == requestOf(found[i].ID) {
+			if e.ID != "" && requestID(e.ID) == requestID(found[i].ID) {
 				found[i].History = append(found[i].History, e)
 			}
 		}
 	}
 }
 
-// requestOf returns the ID of the request that the try with the given ID belongs to.
-func requestOf(id string) string {
+// requestID returns the ID of the request that the try with the given ID belongs to.
+func requestID(id string) string {
 	if i := strings.LastIndexByte(id, '.'); i >= 0 {
 		return id[:i]
 	}
--- a/internal/fake/keymaker/keymaker.go
+++ b/internal/fake/keymaker/keymaker.go
@@ -73,7 +73,7 @@
 // its validity. names are its DNS names and IP addresses; there must be at least one, and the first is also the common
 // name of the subject.
 func (a *Authority) Issue(from, until time.Time, names ...string) (cert, key []byte, err error) {
-	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -93,11 +93,11 @@
 			template.DNSNames = append(template.DNSNames, name)
 		}
 	}
-	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &private.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &privateKey.PublicKey, a.key)
 	if err != nil {
 		return nil, nil, err
 	}
-	pkcs8, err := x509.MarshalPKCS8PrivateKey(private)
+	pkcs8, err := x509.MarshalPKCS8PrivateKey(privateKey)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/fake/modelbox/jobs.go
+++ b/internal/fake/modelbox/jobs.go
@@ -20,7 +20,7 @@
 		return
 	}
 	s.notify(Arrived, r)
-	outcome, served := s.arrive(time.Duration(microseconds)*time.Microsecond, r.Header.Get("Idempotency-Key"))
+	outcome, served := s.submitJob(time.Duration(microseconds)*time.Microsecond, r.Header.Get("Idempotency-Key"))
 	switch outcome {
 	case model.Rejected:
 		w.Header().Set("X-Not-Processed", "1")
@@ -39,9 +39,9 @@
 	}
 }
 
-// arrive passes a job to the model. If the outcome is model.Accepted, the channel receives true when the job was served
+// submitJob passes a job to the model. If the outcome is model.Accepted, the channel receives true when the job was served
 // or false when it was lost.
-func (s *Server) arrive(work time.Duration, key string) (model.Outcome, <-chan bool) {
+func (s *Server) submitJob(work time.Duration, key string) (model.Outcome, <-chan bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastID++
--- a/internal/fake/platform/client.go
+++ b/internal/fake/platform/client.go
@@ -21,9 +21,9 @@
 
 // client is an HTTP/1.1 client that sends one request at a time and reuses its connection.
 type client struct {
-	addr string
-	conn net.Conn // nil if the next request has to open a connection
-	in   *bufio.Reader
+	addr   string
+	conn   net.Conn // nil if the next request has to open a connection
+	reader *bufio.Reader
 }
 
 // close closes the connection, if there is one.
@@ -55,7 +55,7 @@
 	}
 	c.conn.SetDeadline(time.Now().Add(timeout))
 	fmt.Fprintf(c.conn, request, id)
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
@@ -74,6 +74,6 @@
 	if err != nil {
 		return err
 	}
-	c.conn, c.in = conn, bufio.NewReader(conn)
+	c.conn, c.reader = conn, bufio.NewReader(conn)
 	return nil
 }
--- a/internal/fake/platform/clients.go
+++ b/internal/fake/platform/clients.go
@@ -20,8 +20,8 @@
 	Served, Rejected, Failed atomic.Int64 // numbers of responses with status 200, with 503 and with others
 	Resent                   atomic.Int64 // number of requests that were sent once more
 
-	stop context.CancelFunc
-	all  sync.WaitGroup
+	stop    context.CancelFunc
+	running sync.WaitGroup
 
 	mu   sync.Mutex
 	lost []string // ID and error of each request without a complete response; guarded by mu
@@ -32,18 +32,18 @@
 	ctx, stop := context.WithCancel(ctx)
 	c := &Clients{stop: stop}
 	for i := range clients {
-		c.all.Go(func() { c.run(ctx, addr, i, pause) })
+		c.running.Go(func() { c.run(ctx, addr, i, pause) })
 	}
 	return c
 }
 
 // run runs the client with the given index until ctx ends.
 func (c *Clients) run(ctx context.Context, addr string, index int, pause time.Duration) {
-	one := client{addr: addr}
-	defer one.close()
+	cl := client{addr: addr}
+	defer cl.close()
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("c%d-%d", index, n)
-		status, resent, err := one.send(id)
+		status, resent, err := cl.send(id)
 		c.record(id, status, resent, err)
 		if err != nil {
 			time.Sleep(failurePause)
@@ -61,7 +61,7 @@
 
 // Wait waits until all clients have ended, and returns the ID and error of each request that got no complete response.
 func (c *Clients) Wait() (lost []string) {
-	c.all.Wait()
+	c.running.Wait()
 	c.stop()
 	return c.lost
 }
--- a/internal/fake/platform/socket.go
+++ b/internal/fake/platform/socket.go
@@ -23,17 +23,17 @@
 	if err != nil {
 		return err
 	}
-	var copyErr error
+	var dupErr error
 	err = raw.Control(func(fd uintptr) {
-		p.socket, copyErr = copySocket(fd)
+		p.socket, dupErr = duplicateSocket(fd)
 	})
-	return errors.Join(err, copyErr)
+	return errors.Join(err, dupErr)
 }
 
-// copySocket returns a file for a duplicate of the descriptor fd, and makes the socket blocking. When os/exec passes a
+// duplicateSocket returns a file for a duplicate of the descriptor fd, and makes the socket blocking. When os/exec passes a
 // non-blocking file to a process, it makes the descriptor blocking, and thereby the socket in every process that shares
 // the socket. It does not change a file that was blocking when it was created.
-func copySocket(fd uintptr) (*os.File, error) {
+func duplicateSocket(fd uintptr) (*os.File, error) {
 	copied, err := syscall.Dup(int(fd))
 	if err != nil {
 		return nil, err
--- a/internal/fake/proxy/exchange.go
+++ b/internal/fake/proxy/exchange.go
@@ -56,12 +56,12 @@
 		}
 		switch r := reply.Response.(type) {
 		case *pb.ProcessingResponse_ImmediateResponse:
-			x.takeImmediateResponse(r.ImmediateResponse)
+			x.setImmediateResponse(r.ImmediateResponse)
 			return false, nil
 		case *pb.ProcessingResponse_StreamedImmediateResponse:
 			return false, x.receiveStreamedResponse(r.StreamedImmediateResponse)
 		case *pb.ProcessingResponse_RequestHeaders:
-			header := x.changedHeader(r.RequestHeaders)
+			header := x.mutatedHeader(r.RequestHeaders)
 			server := header.Get(pickHeader)
 			if server != "" {
 				return x.forwardPicked(header, server, bodySent)
@@ -75,8 +75,8 @@
 	}
 }
 
-// changedHeader returns a copy of the request's headers with the processor's mutation applied.
-func (x *exchange) changedHeader(r *pb.HeadersResponse) http.Header {
+// mutatedHeader returns a copy of the request's headers with the processor's mutation applied.
+func (x *exchange) mutatedHeader(r *pb.HeadersResponse) http.Header {
 	header := x.request.Header.Clone()
 	if header == nil {
 		header = http.Header{}
@@ -180,8 +180,8 @@
 	}
 }
 
-// takeImmediateResponse sets the result to the processor's immediate response.
-func (x *exchange) takeImmediateResponse(r *pb.ImmediateResponse) {
+// setImmediateResponse sets the result to the processor's immediate response.
+func (x *exchange) setImmediateResponse(r *pb.ImmediateResponse) {
 	x.result = Result{
 		ByProcessor: true,
 		Status:      int(r.GetStatus().GetCode()),
--- a/internal/fake/webpeer/instructions.go
+++ b/internal/fake/webpeer/instructions.go
@@ -23,11 +23,11 @@
 // exchange is a request and its response, with the instruction "NAME ARGUMENT" from the request header X-Do.
 type exchange struct {
 	http.ResponseWriter
-	request  *http.Request
-	control  *http.ResponseController
-	argument string
-	number   int   // the argument as a number; 0 if it is not a number
-	count    int64 // number of completed requests so far, with this one
+	request    *http.Request
+	controller *http.ResponseController
+	argument   string
+	number     int   // the argument as a number; 0 if it is not a number
+	count      int64 // number of completed requests so far, with this one
 }
 
 // instructions has the instructions that are carried out after the request body has been read, by name.
@@ -48,7 +48,7 @@
 func (p *Peer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.Started.Add(1)
 	name, argument, _ := strings.Cut(r.Header.Get("X-Do"), " ")
-	x := &exchange{ResponseWriter: w, request: r, control: http.NewResponseController(w), argument: argument}
+	x := &exchange{ResponseWriter: w, request: r, controller: http.NewResponseController(w), argument: argument}
 	x.number, _ = strconv.Atoi(argument)
 	switch name {
 	case "early":
@@ -63,8 +63,8 @@
 		return
 	}
 	x.count = p.record(r, fmt.Sprintf("%x", sum.Sum(nil)))
-	if carryOut := instructions[name]; carryOut != nil {
-		carryOut(x)
+	if instruction := instructions[name]; instruction != nil {
+		instruction(x)
 		return
 	}
 	fmt.Fprintf(w, "%s %s", r.Method, r.URL.RequestURI())
@@ -78,12 +78,12 @@
 
 // echo sends the request body back while it is being received.
 func (x *exchange) echo() {
-	x.control.EnableFullDuplex()
+	x.controller.EnableFullDuplex()
 	part := make([]byte, echoPart)
 	for {
 		n, err := x.request.Body.Read(part)
 		x.Write(part[:n])
-		x.control.Flush()
+		x.controller.Flush()
 		if err != nil {
 			return
 		}
@@ -110,7 +110,7 @@
 	for left := Pattern(x.number); ; {
 		n := min(len(left), unknownPart)
 		x.Write(left[:n])
-		x.control.Flush()
+		x.controller.Flush()
 		if left = left[n:]; len(left) == 0 {
 			return
 		}
@@ -121,7 +121,7 @@
 func (x *exchange) trailer() {
 	x.Header().Set("Trailer", "X-Sum")
 	x.Write(Pattern(x.number))
-	x.control.Flush()
+	x.controller.Flush()
 	x.Header().Set("X-Sum", "42")
 }
 
@@ -144,7 +144,7 @@
 // event sends the first event of an event stream, and keeps the response open until the request is cancelled.
 func (x *exchange) event() {
 	io.WriteString(x, "data: first\n\n")
-	x.control.Flush()
+	x.controller.Flush()
 	<-x.request.Context().Done()
 }
 
@@ -154,7 +154,7 @@
 	if x.argument != "" {
 		x.Header().Set("Content-Length", brokenLength)
 		x.Write(Pattern(x.number))
-		x.control.Flush()
+		x.controller.Flush()
 	}
 	panic(http.ErrAbortHandler)
 }
