--- a/internal/fake/fleet/fault.go
+++ b/internal/fake/fleet/fault.go
@@ -40,7 +40,7 @@
 	linkFaults    = []FaultKind{Drop, DropOutbound, DropInbound, ResetLinks, Delay, Throttle, Buffer}
 )
 
-// Fault is a fault of processes or of their links that lasts from From to To.
+// Fault is a fault of processes or of their links. It starts at From and ends at To.
 type Fault struct {
 	From, To time.Duration // times since the start of the run
 	Kind     FaultKind
--- a/internal/fake/fleet/parent_other.go
+++ b/internal/fake/fleet/parent_other.go
@@ -4,5 +4,6 @@
 
 import "os/exec"
 
-// EndWithParent does nothing on systems other than Linux, which lack a signal to children on the death of a parent.
+// EndWithParent does nothing on systems other than Linux, where no signal at the death of a parent is set up.
+// A process may then outlive the program that started it.
 func EndWithParent(*exec.Cmd) {}
