--- a/internal/fake/platform/client.go
+++ b/internal/fake/platform/client.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// request is each request, as a format for its id.
+// request is the format of every request; its argument is the request ID.
 const request = "POST /pay HTTP/1.1\r\n" +
 	"Host: x\r\n" +
 	"X-Request-ID: %s\r\n" +
@@ -19,11 +19,11 @@
 	"\r\n" +
 	"hi"
 
-// client is one of the clients.
+// client is an HTTP/1.1 client that sends one request at a time and reuses its connection.
 type client struct {
-	addr string
-	conn net.Conn // nil: the next request opens one
-	in   *bufio.Reader
+	addr   string
+	conn   net.Conn // nil if the next request has to open a connection
+	reader *bufio.Reader
 }
 
 // close closes the connection, if there is one.
@@ -34,7 +34,8 @@
 	}
 }
 
-// send sends an unsafe request. If it fails on a connection that was used before, it is sent once more on a new one.
+// send sends a request that is not idempotent. If the request fails on a reused connection, send sends the request once
+// more on a new connection.
 func (c *client) send(id string) (status int, resent bool, err error) {
 	reused := c.conn != nil
 	status, err = c.attempt(id)
@@ -45,7 +46,7 @@
 	return status, false, err
 }
 
-// attempt sends a request once and reads the complete answer.
+// attempt sends a request once and reads the complete response. After an error the connection is closed.
 func (c *client) attempt(id string) (status int, err error) {
 	if c.conn == nil {
 		if err := c.connect(); err != nil {
@@ -54,7 +55,7 @@
 	}
 	c.conn.SetDeadline(time.Now().Add(timeout))
 	fmt.Fprintf(c.conn, request, id)
-	resp, err := http.ReadResponse(c.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
 	}
@@ -67,12 +68,12 @@
 	return resp.StatusCode, nil
 }
 
-// connect opens a connection.
+// connect opens a connection to the node.
 func (c *client) connect() error {
 	conn, err := net.DialTimeout("tcp", c.addr, timeout)
 	if err != nil {
 		return err
 	}
-	c.conn, c.in = conn, bufio.NewReader(conn)
+	c.conn, c.reader = conn, bufio.NewReader(conn)
 	return nil
 }
--- a/internal/fake/webpeer/instructions.go
+++ b/internal/fake/webpeer/instructions.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// echoPart is how many bytes of a body are returned at a time.
+	// echoPart is the largest number of bytes of a body that are echoed at a time.
 	echoPart = 4 << 10
 
-	// unknownPart is how many bytes of an answer of unknown length are sent at a time.
+	// unknownPart is the largest number of bytes of a response without a declared length that are sent at a time.
 	unknownPart = 10_000
 
-	// brokenLength is the declared length of an answer that breaks off.
+	// brokenLength is the declared length in bytes of a response that is aborted in its body.
 	brokenLength = "1000000"
 )
 
-// exchange is a request with its instruction, the text "NAME ARGUMENT" of its X-Do field.
+// exchange is a request and its response, with the instruction "NAME ARGUMENT" from the request header X-Do.
 type exchange struct {
 	http.ResponseWriter
-	request  *http.Request
-	control  *http.ResponseController
-	argument string
-	number   int   // argument as a number; 0 if it is none
-	count    int64 // of completed requests, with this one
+	request    *http.Request
+	controller *http.ResponseController
+	argument   string
+	number     int   // the argument as a number; 0 if it is not a number
+	count      int64 // number of completed requests so far, with this one
 }
 
-// instructions are those that are carried out once the request's body was read.
+// instructions has the instructions that are carried out after the request body has been read, by name.
 var instructions = map[string]func(*exchange){
 	"status":     (*exchange).status,
 	"known":      (*exchange).knownLength,
@@ -43,11 +43,12 @@
 	"break-once": (*exchange).breakOnce,
 }
 
-// ServeHTTP implements http.Handler. Without a known instruction it answers with the method and the request's target.
+// ServeHTTP implements http.Handler. It answers a request without a known instruction with the request's method and
+// target.
 func (p *Peer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.Started.Add(1)
 	name, argument, _ := strings.Cut(r.Header.Get("X-Do"), " ")
-	x := &exchange{ResponseWriter: w, request: r, control: http.NewResponseController(w), argument: argument}
+	x := &exchange{ResponseWriter: w, request: r, controller: http.NewResponseController(w), argument: argument}
 	x.number, _ = strconv.Atoi(argument)
 	switch name {
 	case "early":
@@ -62,34 +63,34 @@
 		return
 	}
 	x.count = p.record(r, fmt.Sprintf("%x", sum.Sum(nil)))
-	if carryOut := instructions[name]; carryOut != nil {
-		carryOut(x)
+	if instruction := instructions[name]; instruction != nil {
+		instruction(x)
 		return
 	}
 	fmt.Fprintf(w, "%s %s", r.Method, r.URL.RequestURI())
 }
 
-// answerEarly answers before the body was read, and closes the connection.
+// answerEarly answers with status 413 without reading the request body, and asks for the connection to be closed.
 func (x *exchange) answerEarly() {
 	x.Header().Set("Connection", "close")
 	http.Error(x, "enough", http.StatusRequestEntityTooLarge)
 }
 
-// echo returns the body while it is received.
+// echo sends the request body back while it is being received.
 func (x *exchange) echo() {
-	x.control.EnableFullDuplex()
+	x.controller.EnableFullDuplex()
 	part := make([]byte, echoPart)
 	for {
 		n, err := x.request.Body.Read(part)
 		x.Write(part[:n])
-		x.control.Flush()
+		x.controller.Flush()
 		if err != nil {
 			return
 		}
 	}
 }
 
-// status answers with a status.
+// status answers with the status code in the argument.
 func (x *exchange) status() {
 	x.Header().Set("Location", "/elsewhere")
 	x.WriteHeader(x.number)
@@ -98,40 +99,40 @@
 	}
 }
 
-// knownLength answers with a number of bytes that is declared.
+// knownLength answers with a body of the given length and declares the length.
 func (x *exchange) knownLength() {
 	x.Header().Set("Content-Length", x.argument)
 	x.Write(Pattern(x.number))
 }
 
-// unknownLength answers with a number of bytes that is not declared, in parts.
+// unknownLength answers with a body of the given length in parts, without declaring the length.
 func (x *exchange) unknownLength() {
 	for left := Pattern(x.number); ; {
 		n := min(len(left), unknownPart)
 		x.Write(left[:n])
-		x.control.Flush()
+		x.controller.Flush()
 		if left = left[n:]; len(left) == 0 {
 			return
 		}
 	}
 }
 
-// trailer answers with a number of bytes and a trailer.
+// trailer answers with a body of the given length and the trailer field X-Sum.
 func (x *exchange) trailer() {
 	x.Header().Set("Trailer", "X-Sum")
 	x.Write(Pattern(x.number))
-	x.control.Flush()
+	x.controller.Flush()
 	x.Header().Set("X-Sum", "42")
 }
 
-// fields answers with fields that stand several times, and one with a value of a number of bytes.
+// fields answers with repeated header fields, and with the field X-Long, whose value has the given length.
 func (x *exchange) fields() {
 	x.Header()["X-Many"] = []string{"a", "b", "c, d"}
 	x.Header()["Set-Cookie"] = []string{"a=1; Path=/", "b=2"}
 	x.Header().Set("X-Long", strings.Repeat("v", x.number))
 }
 
-// hopByHop answers with a field for the client and, over HTTP/1.1, hop-by-hop fields.
+// hopByHop answers with an end-to-end header field and, over HTTP/1.1, with hop-by-hop fields.
 func (x *exchange) hopByHop() {
 	if x.request.ProtoMajor == 1 {
 		x.Header().Set("Keep-Alive", "timeout=7")
@@ -140,25 +141,25 @@
 	x.Header().Set("X-End", "to end")
 }
 
-// event answers with the first event of a stream that ends with the request.
+// event sends the first event of an event stream, and keeps the response open until the request is cancelled.
 func (x *exchange) event() {
 	io.WriteString(x, "data: first\n\n")
-	x.control.Flush()
+	x.controller.Flush()
 	<-x.request.Context().Done()
 }
 
-// breakOff breaks the connection or stream off: with an argument after that number of bytes of a longer body, else
-// before the answer.
+// breakOff aborts the connection (HTTP/1.1) or stream (HTTP/2): with an argument, after that number of bytes of a longer
+// body; without one, before the response.
 func (x *exchange) breakOff() {
 	if x.argument != "" {
 		x.Header().Set("Content-Length", brokenLength)
 		x.Write(Pattern(x.number))
-		x.control.Flush()
+		x.controller.Flush()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// breakOnce breaks the connection or stream off for every other request.
+// breakOnce aborts the connection or stream if the number of completed requests is odd, and otherwise answers "second".
 func (x *exchange) breakOnce() {
 	if x.count%2 == 1 {
 		panic(http.ErrAbortHandler)
