--- a/internal/idempotency/replay/deduplicator.go
+++ b/internal/idempotency/replay/deduplicator.go
@@ -28,22 +28,22 @@
 
 	// The fields acceptLate and log are set before the first request.
 	acceptLate bool // an answer after the final answer of its request completes the key
-	log        Log  // nil means that keys are lost when the process ends
+	log        KeyLog  // nil means that keys are lost when the process ends
 
 	mu      sync.Mutex // guards store, running, and execution.clientDisconnected
 	store   *idempotency.Store
 	running map[*idempotency.Entry]*execution // by the store's entry, for keys whose first request runs
 }
 
-// Log records keys so that they are known after a restart of the process.
-type Log interface {
+// KeyLog records keys so that they are known after a restart of the process.
+type KeyLog interface {
 	// RecordStart records that the request under the key has started. It returns nil once the record is durable.
 	RecordStart(key idempotency.Key, fingerprint idempotency.Fingerprint, expiresAt time.Time) error
 	// RecordCompletion records how the request under the key ended. The record need not be durable when the call returns.
 	RecordCompletion(key idempotency.Key, how idempotency.Completion)
 }
 
-var _ Log = (*keystore.Log)(nil)
+var _ KeyLog = (*keystore.Log)(nil)
 
 // New returns a Deduplicator without keys.
 func New(l idempotency.Limits, clock engine.Clock) *Deduplicator {
@@ -57,7 +57,7 @@
 // AttachLog restores the keys of a log and lets the Deduplicator record starts and completions in it. It must be called
 // before the first request. It returns an error if the store has no capacity for all keys, because the request of a key
 // that is not restored could run again.
-func (d *Deduplicator) AttachLog(log Log, known []keystore.KnownKey) error {
+func (d *Deduplicator) AttachLog(log KeyLog, known []keystore.KnownKey) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.log = log
