--- a/internal/app/router.go
+++ b/internal/app/router.go
@@ -113,7 +113,7 @@
 func (r dedupRouter) Route(q *http.Request) (ingress.Destination, error) {
 	to, err := r.App.Route(q)
 	if err == nil && to.Idempotency == policy.IdempotentByKey {
-		to.Cluster = r.dedup.Cluster(to.Cluster, to.DedupWindow, to.MaxRetryAfter)
+		to.Cluster = r.dedup.WrapCluster(to.Cluster, to.DedupWindow, to.MaxRetryAfter)
 	}
 	return to, err
 }
--- a/internal/idempotency/replay/bench_test.go
+++ b/internal/idempotency/replay/bench_test.go
@@ -44,7 +44,7 @@
 						b.Fatal(err)
 					}
 				}
-				cluster = d.Cluster(cluster, 50*time.Millisecond, time.Second)
+				cluster = d.WrapCluster(cluster, 50*time.Millisecond, time.Second)
 			}
 			var last atomic.Int64
 			b.ReportAllocs()
--- a/internal/idempotency/replay/crash_test.go
+++ b/internal/idempotency/replay/crash_test.go
@@ -28,7 +28,7 @@
 		if err := d.AttachLog(log, known); err != nil {
 			t.Fatal(err)
 		}
-		return d.Cluster(s, time.Hour, 0), log
+		return d.WrapCluster(s, time.Hour, 0), log
 	}
 	running := make(chan struct{})
 	s := &stubCluster{run: func(ctx context.Context, n int64) (engine.Answer, error) {
--- a/internal/idempotency/replay/deduplicator.go
+++ b/internal/idempotency/replay/deduplicator.go
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// Cluster returns a handler that deduplicates requests with an idempotency key and forwards the others to inner. window is
+// WrapCluster returns a handler that deduplicates requests with an idempotency key and forwards the others to inner. window is
 // the length of a key's deduplication window, which begins at the start of the first request. minRetryAfter is the minimum
 // Retry-After of a request that is rejected because the store is full or because its start can't be recorded.
-func (d *Deduplicator) Cluster(inner ingress.Handler, window, minRetryAfter time.Duration) ingress.Handler {
+func (d *Deduplicator) WrapCluster(inner ingress.Handler, window, minRetryAfter time.Duration) ingress.Handler {
 	return &cluster{Deduplicator: d, inner: inner, window: window, minRetryAfter: minRetryAfter}
 }
 
--- a/internal/idempotency/replay/deduplicator_test.go
+++ b/internal/idempotency/replay/deduplicator_test.go
@@ -111,7 +111,7 @@
 		}
 		return tc.first, tc.err
 	}
-	c := New(limits(), clock).Cluster(s, testWindow, 0)
+	c := New(limits(), clock).WrapCluster(s, testWindow, 0)
 	var wg sync.WaitGroup
 	wg.Go(func() { c.Do(t.Context(), keyedRequest(clock, "k", "x")) })
 	time.Sleep(tc.after)
--- a/internal/idempotency/replay/histories_test.go
+++ b/internal/idempotency/replay/histories_test.go
@@ -47,7 +47,7 @@
 			key := fmt.Sprint("k", h.draw(historyKeys))
 			var c ingress.Handler = h.cluster(key)
 			if deduplicated {
-				c = d.Cluster(c, testWindow, 0)
+				c = d.WrapCluster(c, testWindow, 0)
 			}
 			clientTimeout := time.Duration(50+h.draw(400)) * time.Millisecond
 			wg.Go(func() {
--- a/internal/idempotency/replay/joiners_test.go
+++ b/internal/idempotency/replay/joiners_test.go
@@ -28,7 +28,7 @@
 						return engine.Answer{}, engine.ErrClientDisconnected
 					}
 				}}
-				c := New(limits(), clock).Cluster(s, testWindow, 0)
+				c := New(limits(), clock).WrapCluster(s, testWindow, 0)
 				ctx, disconnect := context.WithCancel(t.Context())
 				other, disconnectOther := context.WithCancel(t.Context())
 				var wg sync.WaitGroup
@@ -72,7 +72,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			clock, release := engine.NewClock(), make(chan struct{})
 			s := &stubCluster{run: func(context.Context, int64) (engine.Answer, error) { <-release; return servedAnswer("a"), nil }}
-			c := New(limits(), clock).Cluster(s, testWindow, 0)
+			c := New(limits(), clock).WrapCluster(s, testWindow, 0)
 			disconnected := false
 			r := keyedRequest(clock, "k", "x")
 			r.ClientDisconnected = func() bool { return disconnected }
@@ -104,7 +104,7 @@
 			time.Sleep(800 * time.Millisecond)
 			return servedAnswer("a"), nil
 		}}
-		c := New(limits(), clock).Cluster(s, testWindow, 0)
+		c := New(limits(), clock).WrapCluster(s, testWindow, 0)
 		var wg sync.WaitGroup
 		for i := range 4 {
 			wg.Go(func() {
