--- a/internal/app/agreedsource.go
+++ b/internal/app/agreedsource.go
@@ -26,9 +26,9 @@
 	return &AgreedSource{app: a, own: own}
 }
 
-// EmptySnapshot returns the first version for an App that gets its routes and clusters from the fleet: the node's own
+// EmptyConfiguration returns the first version for an App that gets its routes and clusters from the fleet: the node's own
 // file without hosts and routes, and no clusters.
-func EmptySnapshot(own *config.Program) *files.Configuration {
+func EmptyConfiguration(own *config.Program) *files.Configuration {
 	p := *own
 	p.Hosts, p.Table = nil, nil
 	return &files.Configuration{Program: &p, Version: &cluster.Version{Clusters: map[string]*cluster.Config{}}}
--- a/internal/cli/fleet_member.go
+++ b/internal/cli/fleet_member.go
@@ -52,7 +52,7 @@
 	if options.hooks != nil {
 		c.Hooks = *options.hooks
 	}
-	a, err := app.New(app.EmptySnapshot(p), o)
+	a, err := app.New(app.EmptyConfiguration(p), o)
 	if err != nil {
 		return nil, nil, err
 	}
