--- a/internal/hotrestart/snapshot/golden_test.go
+++ b/internal/hotrestart/snapshot/golden_test.go
@@ -19,7 +19,7 @@
 func goldenSnapshot() Snapshot {
 	return Snapshot{
 		Version: 1, Node: "node-a", TakenAtMs: 1_700_000_000_123, Classes: []string{"read", "push"},
-		Generation: 41, ListReceived: true,
+		Generation: 41, HasList: true,
 		Instances: []discovery.Instance{
 			{InstanceID: "server-1", HostPort: "10.0.0.1:8001", Zone: "east", Cell: 2, Lifecycle: "Ready", Weight: 1.25, StartedAtMs: 1_699_999_990_001},
 			{InstanceID: "server-2", HostPort: "10.0.0.2:8002", Zone: "west", Cell: 3, Lifecycle: "Draining", Weight: 2.5, StartedAtMs: 1_699_999_980_002},
--- a/internal/hotrestart/snapshot/snapshot.go
+++ b/internal/hotrestart/snapshot/snapshot.go
@@ -23,7 +23,7 @@
 	// ListReceived says whether the sender had a list to continue from: one that it received from
 	// discovery, or an initial list with instances.
 	Generation   uint64               `json:"generation"`
-	ListReceived bool                 `json:"listed"`
+	HasList bool                 `json:"listed"`
 	Instances    []discovery.Instance `json:"list"`
 	Policy       PolicyState          `json:"module"`
 }
--- a/internal/hotrestart/snapshot/snapshot_test.go
+++ b/internal/hotrestart/snapshot/snapshot_test.go
@@ -20,7 +20,7 @@
 func sample() Snapshot {
 	return Snapshot{
 		Node: "n0", TakenAtMs: takenAt.UnixMilli(), Classes: []string{"read", "push"},
-		Generation: 41, ListReceived: true,
+		Generation: 41, HasList: true,
 		Instances: []discovery.Instance{{InstanceID: "s-1", HostPort: "h:1", Lifecycle: "Ready", Weight: 1}},
 		Policy: PolicyState{
 			Classes: []policy.ClassSnapshot{
--- a/internal/node/snapshotexchange.go
+++ b/internal/node/snapshotexchange.go
@@ -24,7 +24,7 @@
 
 // initialList returns the snapshot's endpoint list, or the configured list if the snapshot's list can't be used.
 func (s *receivedSnapshot) initialList(configured endpointList) endpointList {
-	if !s.ListReceived || len(s.Instances) == 0 || len(s.Instances) > discovery.MaxInstances {
+	if !s.HasList || len(s.Instances) == 0 || len(s.Instances) > discovery.MaxInstances {
 		return configured
 	}
 	return endpointList{Generation: s.Generation, Full: true, Instances: s.Instances}
@@ -97,7 +97,7 @@
 	list := r.node.endpoints.currentList()
 	data, err := snapshot.Encode(snapshot.Snapshot{
 		Node: r.cfg.Name, TakenAtMs: time.Now().UnixMilli(), Classes: r.cfg.classNames(),
-		Generation: list.Generation, ListReceived: list.Full, Instances: list.Instances,
+		Generation: list.Generation, HasList: list.Full, Instances: list.Instances,
 		Policy: snapshot.FromPolicy(state, r.node.clock),
 	})
 	if err != nil {
