--- a/internal/config/clusterfile.go
+++ b/internal/config/clusterfile.go
@@ -108,8 +108,8 @@
 
 // parseCluster parses a cluster file, which may be a change. It also returns the decoded file.
 func parseCluster(file File) (*cluster.Config, *clusterFile, error) {
-	if len(file.Text) > MaxFile {
-		return nil, nil, &cluster.Problem{Source: file.Name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
+	if len(file.Text) > MaxFileBytes {
+		return nil, nil, &cluster.Problem{Source: file.Name, Text: fmt.Sprintf("over %d bytes", MaxFileBytes)}
 	}
 	if !clusterEndRE.Match(lastBytes(file.Text)) {
 		const text = `is not whole: the last lines have to be "[end]" and "endpoints = N"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -117,7 +117,7 @@
 		"NUL":               {replaced("app-2", "app-\x00"), "rooms.toml:20"},
 		"shrink":            {replaced("# shrink_to", "shrink_to"), "shrink_to: says 1 servers, 2 are named"},
 		"shrink below 0":    {replaced("# shrink_to = 1", "shrink_to = -1"), "shrink_to: is negative"},
-		"large":             {strings.Repeat("#", MaxFile) + good, "over 16777216 bytes"},
+		"large":             {strings.Repeat("#", MaxFileBytes) + good, "over 16777216 bytes"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ParseCluster(File{"rooms.toml", []byte(c.text)})
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -29,8 +29,8 @@
 
 // decode implements Decode. It also limits the number of tables and list values in the file.
 func decode(name string, text []byte, to any, limits tableLimits) error {
-	if len(text) > MaxFile {
-		return &cluster.Problem{Source: name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
+	if len(text) > MaxFileBytes {
+		return &cluster.Problem{Source: name, Text: fmt.Sprintf("over %d bytes", MaxFileBytes)}
 	}
 	if !utf8.Valid(text) {
 		return &cluster.Problem{Source: name, Line: lineOfInvalidUTF8(text), Text: "is not UTF-8"}
--- a/internal/config/program.go
+++ b/internal/config/program.go
@@ -11,7 +11,7 @@
 
 // The limits of configuration files.
 const (
-	MaxFile    = 16 << 20 // bytes of a file
+	MaxFileBytes    = 16 << 20 // bytes of a file
 	MaxFiles   = 1000     // cluster files of a version
 	MaxClasses = 64
 	MaxTenants = 250_000
--- a/internal/config/survey_test.go
+++ b/internal/config/survey_test.go
@@ -95,7 +95,7 @@
 		}, parseProgramText, "over 1000000 commas and braces", few},
 		"parts of a key": {func() string { return baseProgram + strings.Repeat("a.", 4_000_000) + "a = 1\n" }, parseProgramText, "x.toml:14: a key has over 1000 parts", few},
 		"lists in lists": {func() string { return "a = " + strings.Repeat("[", 4_000_000) }, parseProgramText, "x.toml:1: arrays and inline tables are nested", 64 << 20},
-		"bytes":          {func() string { return strings.Repeat("#", MaxFile+1) }, parseProgramText, "x.toml: over 16777216 bytes", 24 << 20},
+		"bytes":          {func() string { return strings.Repeat("#", MaxFileBytes+1) }, parseProgramText, "x.toml: over 16777216 bytes", 24 << 20},
 		"unknown keys":   {func() string { return baseProgram + manyTenants(140_000, "qouta_per_s = 20\n") }, parseProgramText, "x.toml:16: tenant.qouta_per_s: is no known key\n", few},
 		"unknown keys in lists": {func() string {
 			return baseProgram + "[[host]]\n" + repeat(20_000, func(int) string { return "[[host.route]]\nrequest = { st = {} }\n" })
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -30,8 +30,8 @@
 //
 // Errors are cluster.Problems with their lines.
 func ParseTenants(file File) ([]Tenant, error) {
-	if len(file.Text) > MaxFile {
-		return nil, &cluster.Problem{Source: file.Name, Text: fmt.Sprintf("over %d bytes", MaxFile)}
+	if len(file.Text) > MaxFileBytes {
+		return nil, &cluster.Problem{Source: file.Name, Text: fmt.Sprintf("over %d bytes", MaxFileBytes)}
 	}
 	if !tenantsEndRE.Match(lastBytes(file.Text)) {
 		const text = `is not whole: the last lines have to be "[end]" and "tenants = N"`
--- a/internal/files/fileread.go
+++ b/internal/files/fileread.go
@@ -72,12 +72,12 @@
 		return nil, &cluster.Problem{Source: name, Text: withoutPath(err)}
 	}
 	defer f.Close()
-	text := bytes.NewBuffer(make([]byte, 0, min(size, config.MaxFile)+bytes.MinRead))
-	if _, err := text.ReadFrom(io.LimitReader(f, config.MaxFile+1)); err != nil {
+	text := bytes.NewBuffer(make([]byte, 0, min(size, config.MaxFileBytes)+bytes.MinRead))
+	if _, err := text.ReadFrom(io.LimitReader(f, config.MaxFileBytes+1)); err != nil {
 		return nil, &cluster.Problem{Source: name, Text: withoutPath(err)}
 	}
-	if text.Len() > config.MaxFile {
-		return nil, &cluster.Problem{Source: name, Text: fmt.Sprintf("has over %d bytes", config.MaxFile)}
+	if text.Len() > config.MaxFileBytes {
+		return nil, &cluster.Problem{Source: name, Text: fmt.Sprintf("has over %d bytes", config.MaxFileBytes)}
 	}
 	return text.Bytes(), nil
 }
--- a/internal/files/stamp.go
+++ b/internal/files/stamp.go
@@ -62,9 +62,9 @@
 		return &cluster.Problem{Source: name, Text: "is a folder, not a regular file"}
 	case kind != syscall.S_IFREG:
 		return &cluster.Problem{Source: name, Text: "is not a regular file"}
-	case s.size > config.MaxFile:
+	case s.size > config.MaxFileBytes:
 		return &cluster.Problem{Source: name,
-			Text: fmt.Sprintf("has %d bytes, and at most %d are allowed", s.size, config.MaxFile)}
+			Text: fmt.Sprintf("has %d bytes, and at most %d are allowed", s.size, config.MaxFileBytes)}
 	}
 	return nil
 }
--- a/internal/fleet/agent/content.go
+++ b/internal/fleet/agent/content.go
@@ -33,9 +33,9 @@
 // fetchContent returns a part's content from the store. If the content is not in the store or can't be read, it is
 // fetched from another voter and stored.
 func (n *Node) fetchContent(ctx context.Context, p consensus.Part) ([]byte, error) {
-	if p.SizeBytes > config.MaxFile {
+	if p.SizeBytes > config.MaxFileBytes {
 		return nil, &invalidVersionError{
-			fmt.Errorf("%s: the file has %d bytes; at most %d are allowed", p.Name, p.SizeBytes, config.MaxFile)}
+			fmt.Errorf("%s: the file has %d bytes; at most %d are allowed", p.Name, p.SizeBytes, config.MaxFileBytes)}
 	}
 	data, err := n.store.Get(p.Hash)
 	if data != nil {
@@ -131,8 +131,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(data)+len(in.GetValue()) > config.MaxFile {
-			return nil, status.Errorf(codes.InvalidArgument, "the uploaded file exceeds the limit of %d bytes", config.MaxFile)
+		if len(data)+len(in.GetValue()) > config.MaxFileBytes {
+			return nil, status.Errorf(codes.InvalidArgument, "the uploaded file exceeds the limit of %d bytes", config.MaxFileBytes)
 		}
 		data = append(data, in.GetValue()...)
 	}
--- a/internal/fleet/agent/publish_test.go
+++ b/internal/fleet/agent/publish_test.go
@@ -101,9 +101,9 @@
 	if _, err := f.client.Publish(f.context(), "many", 1, many); err == nil {
 		t.Errorf("a version with over %d files was accepted", consensus.MaxPartsPerVersion)
 	}
-	big := append(versionWithEffect("safe"), config.File{Name: "big.toml", Text: make([]byte, config.MaxFile+1)})
+	big := append(versionWithEffect("safe"), config.File{Name: "big.toml", Text: make([]byte, config.MaxFileBytes+1)})
 	if _, err := f.client.Publish(f.context(), "big", 1, big); err == nil {
-		t.Errorf("a file of %d bytes was accepted; at most %d are allowed", config.MaxFile+1, config.MaxFile)
+		t.Errorf("a file of %d bytes was accepted; at most %d are allowed", config.MaxFileBytes+1, config.MaxFileBytes)
 	}
 	var publishers sync.WaitGroup
 	numbersReceived := make(chan uint64, 200)
--- a/internal/lab/process/bad_test.go
+++ b/internal/lab/process/bad_test.go
@@ -21,7 +21,7 @@
 const (
 	// maxRejectionMemory is the maximum resident memory in bytes that a `yokestall check` may use to reject files: 64 times the
 	// size of the largest file that is read.
-	maxRejectionMemory = 64 * config.MaxFile
+	maxRejectionMemory = 64 * config.MaxFileBytes
 	// maxRejectionLines is the maximum number of lines, one for each error, that a `yokestall check` may print.
 	maxRejectionLines = 100
 )
@@ -51,12 +51,12 @@
 	{
 		"ten million tenants",
 		sparse(tenantsFileSize),
-		fmt.Sprintf("has %d bytes, and at most %d are allowed", tenantsFileSize, config.MaxFile),
+		fmt.Sprintf("has %d bytes, and at most %d are allowed", tenantsFileSize, config.MaxFileBytes),
 	},
 	{
 		"a million routes",
 		sparse(routesFileSize),
-		fmt.Sprintf("has %d bytes, and at most %d are allowed", routesFileSize, config.MaxFile),
+		fmt.Sprintf("has %d bytes, and at most %d are allowed", routesFileSize, config.MaxFileBytes),
 	},
 	{
 		"150,000 servers",
--- a/internal/xds/xdsfile/form.go
+++ b/internal/xds/xdsfile/form.go
@@ -29,8 +29,8 @@
 
 // resources parses the resources of a file. checksum is the content of the checksum file, which only a binary file needs.
 func resources(f config.File, checksum []byte) ([]*anypb.Any, error) {
-	if len(f.Text) > config.MaxFile {
-		return nil, fmt.Errorf("larger than the limit of %d bytes", config.MaxFile)
+	if len(f.Text) > config.MaxFileBytes {
+		return nil, fmt.Errorf("larger than the limit of %d bytes", config.MaxFileBytes)
 	}
 	switch path.Ext(f.Name) {
 	case ".pb":
