--- a/internal/config/program.go
+++ b/internal/config/program.go
@@ -11,11 +11,11 @@
 
 // The limits of configuration files.
 const (
-	MaxFileBytes    = 16 << 20 // bytes of a file
-	MaxFiles   = 1000     // cluster files of a version
-	MaxClasses = 64
-	MaxTenants = 250_000
-	MaxServers = 100_000 // endpoints of all clusters of a version
+	MaxFileBytes = 16 << 20 // bytes of a file
+	MaxFiles     = 1000     // cluster files of a version
+	MaxClasses   = 64
+	MaxTenants   = 250_000
+	MaxServers   = 100_000 // endpoints of all clusters of a version
 )
 
 // The range of the soft memory limit, in MiB. Below the minimum the garbage collector would run continuously.
--- a/internal/hotrestart/snapshot/snapshot.go
+++ b/internal/hotrestart/snapshot/snapshot.go
@@ -22,10 +22,10 @@
 	// Generation is the version of the endpoint list, and Instances are the instances in the list.
 	// ListReceived says whether the sender had a list to continue from: one that it received from
 	// discovery, or an initial list with instances.
-	Generation   uint64               `json:"generation"`
-	HasList bool                 `json:"listed"`
-	Instances    []discovery.Instance `json:"list"`
-	Policy       PolicyState          `json:"module"`
+	Generation uint64               `json:"generation"`
+	HasList    bool                 `json:"listed"`
+	Instances  []discovery.Instance `json:"list"`
+	Policy     PolicyState          `json:"module"`
 }
 
 // PolicyState is a policy.Snapshot in which the endpoints' start times are wall times.
--- a/internal/idempotency/replay/deduplicator.go
+++ b/internal/idempotency/replay/deduplicator.go
@@ -27,8 +27,8 @@
 	clock engine.Clock
 
 	// The fields acceptLate and log are set before the first request.
-	acceptLate bool // an answer after the final answer of its request completes the key
-	log        KeyLog  // nil means that keys are lost when the process ends
+	acceptLate bool   // an answer after the final answer of its request completes the key
+	log        KeyLog // nil means that keys are lost when the process ends
 
 	mu      sync.Mutex // guards store, running, and execution.clientDisconnected
 	store   *idempotency.Store
