--- a/internal/adminstate/state_test.go
+++ b/internal/adminstate/state_test.go
@@ -162,7 +162,7 @@
 		t.Error("the mode is ready, or closes idle connections earlier or later than LameDuckIdleDelay after the first Enter")
 	}
 	if LameDuckIdleDelay+UnreadyPropagationDelay > 2*time.Second {
-		t.Error("LameDuckIdleDelay and LameDuckNotice together exceed the 2 s after which the node must get no more requests")
+		t.Error("LameDuckIdleDelay and UnreadyPropagationDelay together exceed the 2 s after which the node must get no more requests")
 	}
 	m.Exit()
 	if !m.Ready() || m.ClosesIdle(time.Hour) {
--- a/internal/app/agreedsource.go
+++ b/internal/app/agreedsource.go
@@ -21,7 +21,7 @@
 	current *consensus.EffectiveVersion // the version applied last; nil: none yet
 }
 
-// NewAgreedSource returns a source for an App that was started with EmptySnapshot of the node's own file.
+// NewAgreedSource returns a source for an App that was started with EmptyConfiguration of the node's own file.
 func NewAgreedSource(a *App, own *config.Program) *AgreedSource {
 	return &AgreedSource{app: a, own: own}
 }
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -62,7 +62,7 @@
 }
 
 // BytesReceived records that bytes were received on a connection, and reports whether they are the connection's first. If
-// they are, the caller closes the connections that NextToClose returns, and then calls AssignPlace.
+// they are, the caller closes the connections that NextToClose returns, and then calls AssignSlot.
 func (t *Table) BytesReceived(now time.Duration, c *Conn) (first bool) {
 	switch c.phase {
 	case phaseNew:
--- a/internal/fleet/consensus/state.go
+++ b/internal/fleet/consensus/state.go
@@ -26,7 +26,7 @@
 	Release *ReleaseProgress `json:"release,omitempty"` // latest release; nil: there has been none
 }
 
-// LeaseEpoch returns the Grant.MaxEpoch of a lease that is granted now.
+// LeaseEpoch returns the Grant.MinCoveredEpoch of a lease that is granted now.
 func (s *State) LeaseEpoch() uint64 {
 	if s.PendingVersion != 0 {
 		return s.Epoch + 1
--- a/internal/hotrestart/snapshot/snapshot.go
+++ b/internal/hotrestart/snapshot/snapshot.go
@@ -20,7 +20,7 @@
 	// Classes are the names of the sender's classes, in the order of Policy.Classes.
 	Classes []string `json:"classes"`
 	// Generation is the version of the endpoint list, and Instances are the instances in the list.
-	// ListReceived says whether the sender had a list to continue from: one that it received from
+	// HasList says whether the sender had a list to continue from: one that it received from
 	// discovery, or an initial list with instances.
 	Generation uint64               `json:"generation"`
 	HasList    bool                 `json:"listed"`
--- a/internal/lab/process/bad_test.go
+++ b/internal/lab/process/bad_test.go
@@ -47,7 +47,7 @@
 
 var badInputs = []badInput{
 	// The shortest forms of these two files have 200 MB and 54 MB. The program reads nothing of a file with more than
-	// config.MaxFile bytes, so that the files may be sparse.
+	// config.MaxFileBytes bytes, so that the files may be sparse.
 	{
 		"ten million tenants",
 		sparse(tenantsFileSize),
