--- a/internal/app/acceptor.go
+++ b/internal/app/acceptor.go
@@ -105,7 +105,9 @@
 	select {
 	case nc := <-l.accepted:
 		return nc, nil
-	case <-l.closed: // l's own channel suffices: whoever closes the acceptor also stops the server
+	// Closing the acceptor does not end this call. closeMatching also stops the server, which closes l. After a permanent
+	// accept error, the server waits here until it is stopped.
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
--- a/internal/app/agreedsource.go
+++ b/internal/app/agreedsource.go
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// SetOwnProgram puts a new version of the node's own file in force. If the file conflicts with the agreed version, the
-// conflict is logged and the previous file stays in force.
+// SetOwnProgram puts a new version of the node's own file in force. If the new file can't be applied with the agreed
+// version, the error is logged and the previous file stays in force.
 func (s *AgreedSource) SetOwnProgram(own *config.Program) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/app/apply.go
+++ b/internal/app/apply.go
@@ -10,9 +10,9 @@
 	"yokestall/internal/files"
 )
 
-// Apply puts a configuration version in force. When it returns, the engines have been updated. Once
-// engine.DefaultDrainSendGrace has passed as well, nothing more is sent to an endpoint that the version lacks or marks as
-// not serving. If Apply fails, nothing has changed.
+// Apply puts a configuration version in force. When it returns, the engines have been updated. When it has returned and
+// engine.DefaultDrainSendGrace has passed since the call, nothing more is sent to an endpoint that the version lacks or
+// marks as not serving. If Apply fails, nothing has changed.
 func (a *App) Apply(s *files.Configuration) error { return a.ApplyAt(time.Now(), s) }
 
 // ApplyAt is like Apply, for a version that was delivered earlier. engine.DefaultDrainSendGrace counts from the time of
@@ -112,8 +112,8 @@
 	return true
 }
 
-// validFrom returns, by class, the sequence of the first state whose decisions are still valid in the next state.
-// Decisions of all earlier states become invalid if the class is rejected or new, or if its idempotency, its
+// validFrom returns, by class, the sequence of the first state whose routed requests may still send attempts in the next
+// state. The requests of all earlier states may not if the class is rejected or new, or if its idempotency, its
 // deduplication scope or its deduplication window changed.
 func validFrom(old, next *state) map[string]uint64 {
 	out := map[string]uint64{}
--- a/internal/app/sendpermission.go
+++ b/internal/app/sendpermission.go
@@ -9,7 +9,7 @@
 )
 
 // sendAllowed returns a function that reports whether an attempt of a request that was routed by state s may still be
-// sent: the node's lease is valid, and no later state has invalidated the class's decisions of state s.
+// sent: the node's lease is valid, and s is not older than the current state's validFrom for the class.
 func (a *App) sendAllowed(s *state, class string) func() bool {
 	return func() bool {
 		current := a.state.Load()
--- a/internal/app/server.go
+++ b/internal/app/server.go
@@ -25,13 +25,13 @@
 	// connectionDrainMargin is how long the shutdown of a listener waits for connections after the longest deadline or
 	// the drain timeout, whichever is longer.
 	connectionDrainMargin = 300 * time.Millisecond
-	// finalAnswerMargin is the time before the end of a shutdown by which the last answers are sent, whatever the
-	// deadlines are.
+	// finalAnswerMargin is how long before the end of a drain idle connections are closed and the latest deadline of an
+	// accepted request expires, so that its answer can still be sent.
 	finalAnswerMargin = 50 * time.Millisecond
 	// proxyHeaderTimeout is the time within which a connection must send its PROXY protocol header.
 	proxyHeaderTimeout = 2 * time.Second
-	// reserveDivisor determines the reserve of a listener: 1/reserveDivisor of its maximum number of connections, which
-	// idle connections leave free for other clients.
+	// reserveDivisor determines the reserve of a listener, the number of connections that idle connections must leave free
+	// for other clients. The reserve is 1/reserveDivisor of the listener's maximum number of connections.
 	reserveDivisor = 16
 	// overflowDivisor determines how many connections beyond the maximum a listener accepts only to answer them with
 	// Retry-After: 1/overflowDivisor of the maximum.
--- a/internal/app/state.go
+++ b/internal/app/state.go
@@ -23,8 +23,8 @@
 	rejectedClasses map[string]string
 	// sequence is the number of this state. It increases by 1 with each state.
 	sequence uint64
-	// validFrom has, by class name, the sequence of the first state whose decisions are still valid. A missing entry means
-	// that the decisions of all states are. Requests that an earlier state routed send no more attempts.
+	// validFrom has, by class name, the sequence of the first state whose routed requests may still send attempts. Without
+	// an entry, the requests of all states may. validFrom has an effect only if App.LeaseValid is set; see sendAllowed.
 	validFrom map[string]uint64
 }
 
--- a/internal/app/tenants.go
+++ b/internal/app/tenants.go
@@ -70,7 +70,8 @@
 }
 
 // correspondingTenant returns the index in this table of the tenant that has an index in another table, or -1 if this
-// table has no tenant of that name. It returns 0 if this table has no tenants or if the other table lacks the index.
+// table has no tenant of that name. It returns 0 if this table has no tenants or if the other table lacks the index; the
+// caller then migrates the request as one of tenant 0.
 func (t *tenantTable) correspondingTenant(other *tenantTable, tenant int) int {
 	if len(t.list) == 0 || tenant >= len(other.list) {
 		return 0
--- a/internal/downstream/h1server/clientconn.go
+++ b/internal/downstream/h1server/clientconn.go
@@ -73,9 +73,10 @@
 	return nil
 }
 
-// beginRequest reports to the table that a request is complete. open is false if the connection was closed before: the
-// client sends the request again elsewhere. overflow is true if the connection exceeds the limit on active connections,
-// so that its client only gets a response with Retry-After.
+// beginRequest reports to the table that a request was received, except for the rest of its body if the body is an
+// upload. open is false if the connection was closed before: the client sends the request again elsewhere. overflow is
+// true if the connection exceeds the limit on active connections, so that its client only gets a response with
+// Retry-After.
 func (c *clientConn) beginRequest(http2 bool) (open, overflow bool) {
 	cs := c.conns
 	cs.mu.Lock()
@@ -106,10 +107,10 @@
 	panic(http.ErrAbortHandler)
 }
 
-// hasAmbiguousFraming reports whether a request has a transfer coding while the bytes of the connection held a
-// Content-Length that belongs to no request so far. Then this request has both fields, or the Content-Length is in its
-// body or in the bytes after it. hasAmbiguousFraming must be called once for each request of a connection, in their
-// order.
+// hasAmbiguousFraming reports whether a request has a transfer coding and the connection's bytes so far had more
+// Content-Length lines than requests with a Content-Length. The surplus line may be in this request's header, from which
+// net/http has removed it, but also in a body or in the bytes after this request. hasAmbiguousFraming must be called
+// once for each request of a connection, in their order.
 func (c *clientConn) hasAmbiguousFraming(r *http.Request) bool {
 	if len(r.Header["Content-Length"]) > 0 {
 		c.requestLengths++
--- a/internal/downstream/h1server/clientconns.go
+++ b/internal/downstream/h1server/clientconns.go
@@ -134,9 +134,9 @@
 	}
 }
 
-// closeExpired closes the connections that have been idle for idleTimeout, and those on which nothing was received for
-// newTimeout. Connections with received bytes that were not read yet stay open, and their requests are served. The
-// caller holds mu.
+// closeExpired closes the connections that have been idle for idleTimeout, and those that were accepted newTimeout ago
+// or earlier and on which nothing has been received yet. Connections with received bytes that were not read yet stay
+// open, and their requests are served. The caller holds mu.
 func (cs *clientConns) closeExpired(idleTimeout, newTimeout time.Duration) {
 	for now := cs.now(); ; {
 		entry := cs.table.NextExpired(now, idleTimeout, newTimeout)
--- a/internal/downstream/h1server/disconnect.go
+++ b/internal/downstream/h1server/disconnect.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// disconnectCheckInterval is how often a connection with an open request is checked. It leaves half of the 0.1 s
-	// for scheduling delays of the machine.
+	// disconnectCheckInterval is how often a connection with an open request is checked. It is half of the 0.1 s after a
+	// disconnect in which an attempt may still begin. The other half is for scheduling delays of the machine.
 	disconnectCheckInterval = 50 * time.Millisecond
 	// dropCheckInterval is the interval between checks once bytes were dropped. It is shorter because each check drops
 	// at most maxDropPerCheck bytes.
--- a/internal/downstream/h1server/handler.go
+++ b/internal/downstream/h1server/handler.go
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// newExchange routes and parses a request. Its error is for reject.
+// newExchange routes and parses a request. If it fails, the caller passes the error to reject, which answers the request.
 func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, conn *clientConn) (*exchange, error) {
 	destination, err := s.router.Route(r)
 	if err != nil {
--- a/internal/downstream/h1server/overflow_test.go
+++ b/internal/downstream/h1server/overflow_test.go
@@ -62,7 +62,7 @@
 		busy = append(busy, dial())
 		testutil.Wait(t, cluster.started, "a request to reach the cluster")
 	}
-	for range overflow { // a connection that is told to close keeps its place for a while
+	for range overflow { // no more clients, since each rejected connection keeps its place until it is closed
 		resp, err := http.ReadResponse(bufio.NewReader(dial()), nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/downstream/h1server/platformbody.go
+++ b/internal/downstream/h1server/platformbody.go
@@ -52,7 +52,8 @@
 }
 
 // reservePlatformBuffer reserves memory for a body. Where the memory for its length, or for maxPlatformBuffer, is not
-// available, it tries smaller buffers, and reserves minBodyBuffer in any case.
+// available, it tries smaller buffers. It goes no lower than minBodyBuffer, or than the body's length if that is less,
+// and reserves that much even if no memory is left.
 func (s *Server) reservePlatformBuffer(r *http.Request, out *h1client.Request) {
 	size := r.ContentLength
 	if size < 0 || size > maxPlatformBuffer {
--- a/internal/downstream/h1server/request.go
+++ b/internal/downstream/h1server/request.go
@@ -18,11 +18,14 @@
 // this node and of the response back.
 const responseMargin = 10 * time.Millisecond
 
-// checkFraming rejects bodies that exceed Options.MaxBodyBytes, and messages whose end this node and a proxy in front
-// of it might see in different places (request smuggling, RFC 9112, 11.2). Where a message has both Transfer-Encoding
-// and Content-Length, net/http uses Transfer-Encoding and drops Content-Length, and the reverse in HTTP/1.0. The
-// request to the endpoint is framed anew. With Strict, framingScan finds both fields in the connection's bytes, and
-// limitConnection makes such a request the last one that is served on its connection.
+// checkFraming rejects a request whose Content-Length exceeds Options.MaxBodyBytes. With Strict, it also rejects an
+// HTTP/1.0 request on a connection whose bytes so far held a Transfer-Encoding line.
+//
+// A request with both Transfer-Encoding and Content-Length, whose end this node and a proxy in front of it might see in
+// different places (request smuggling, RFC 9112, 11.2), is not rejected in HTTP/1.1. net/http uses Transfer-Encoding and
+// drops Content-Length, and the reverse in HTTP/1.0. The request to the endpoint is framed anew. With Strict,
+// framingScan finds both fields in the connection's bytes, and limitConnection has the connection closed after the
+// response.
 func (s *Server) checkFraming(r *http.Request) error {
 	conn := clientConnOf(r)
 	if s.options.Strict && !r.ProtoAtLeast(1, 1) && conn != nil && conn.sentTransferCoding() {
--- a/internal/files/bundle.go
+++ b/internal/files/bundle.go
@@ -17,7 +17,7 @@
 	TenantsPart = "tenants"
 )
 
-// Bundle reads the configuration whose program's file is at path as the files of a version that a fleet can agree on:
+// Bundle returns the files of the configuration whose program's file is at path, as a version that a fleet can agree on:
 // the program's file, the tenants file if there is one, and the cluster files. It returns an error if a file can't be
 // read or Unbundle rejects the files.
 func Bundle(path string) ([]config.File, error) {
--- a/internal/files/record.go
+++ b/internal/files/record.go
@@ -29,10 +29,10 @@
 	lastRead  time.Time // when the content was last read; zero: it has to be read whatever the stamp is
 }
 
-// upToDate reports whether the last read is still valid, given the present stamp. For stampSettleTime after a stamp was
-// first seen, a further write may leave the stamp unchanged (git's index calls such an entry "racily clean"), so that the
-// content is read again until a read after that time. After fullReadInterval a read is no longer valid in any case. The file
-// system's clock is not compared with the machine's clock, since the two may differ.
+// upToDate reports whether the last read is still valid, given the present stamp. A read is not valid if it was made less
+// than stampSettleTime after its stamp was first seen, since a later write may have left the stamp unchanged (git's index
+// calls such an entry "racily clean"). Every read becomes invalid after fullReadInterval. The file system's clock is not
+// compared with the machine's clock, since the two may differ.
 func (s *readState) upToDate(present stamp, at time.Time) bool {
 	switch {
 	case s.lastRead.IsZero() || s.stamp != present:
--- a/internal/upstream/h1client/answer.go
+++ b/internal/upstream/h1client/answer.go
@@ -143,7 +143,8 @@
 	switch {
 	case err != nil:
 		return engine.Result{Status: c.readFailure()}, false
-	case len(body) > MaxBody && !p.anyStatus: // with anyStatus, readBuffered exceeds MaxBody by less than one piece
+	// With anyStatus, a complete body may exceed MaxBody by up to the 4 KiB that readBuffered reads at a time.
+	case len(body) > MaxBody && !p.anyStatus:
 		return engine.Result{Status: policy.ErrorResponse}, false
 	case !noBody && !p.bodyEndConfirmed(c, resp):
 		return engine.Result{Status: policy.Reset}, false
@@ -165,7 +166,8 @@
 
 // bodyEndConfirmed reports whether the body that was read is known to be complete: because it has a length or chunks, or
 // because the end of the connection delimits it. With anyStatus, the end of the connection delimits every body without
-// length and chunks; with streamLargeBodies, only that of an answer for which lacksFraming is false.
+// length and chunks; with streamLargeBodies, it does so only for an HTTP/1.0 answer or one that announced the close (see
+// lacksFraming).
 func (p *Pool) bodyEndConfirmed(c *conn, resp *http.Response) bool {
 	switch {
 	case resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0:
--- a/internal/upstream/h1client/dial.go
+++ b/internal/upstream/h1client/dial.go
@@ -16,7 +16,7 @@
 	c, e, status := p.acquire(id)
 	if c != nil || status != policy.OK {
 		if c != nil {
-			time.Sleep(p.reuseDelay - time.Since(c.idleSince)) // this wait is shorter than the handshake of a new connection
+			time.Sleep(p.reuseDelay - time.Since(c.idleSince)) // waits for the rest of reuseDelay; see takeIdle
 		}
 		return c, status
 	}
--- a/internal/upstream/h1client/upload.go
+++ b/internal/upstream/h1client/upload.go
@@ -13,8 +13,8 @@
 	uploadReadBytes = 16 << 10
 	// forwardBufferBytes is the maximum size of the buffer of an upload that can't be sent again from its beginning.
 	forwardBufferBytes = 64 << 10
-	// UploadBufferTimeout is how long a request whose body has an unknown length waits for the end of the body before it
-	// is forwarded. The timeout suffices for a body that the client sends together with the header.
+	// UploadBufferTimeout is how long a caller of AwaitBufferFor waits for an Upload to end or to fill its buffer before
+	// the caller forwards it. The timeout suffices for a body that the client sends together with the header.
 	UploadBufferTimeout = 10 * time.Millisecond
 )
 
@@ -111,7 +111,9 @@
 
 // AwaitBufferFor waits until the body has ended or failed, its buffer is full, or the timeout has expired.
 func (u *Upload) AwaitBufferFor(timeout time.Duration) {
-	expired := false // set by the timer: a clock read slightly early would show time left and the wait would never end
+	// expired is set by the timer, not computed from the clock: if the clock showed time left when the timer fires, nothing
+	// would wake the wait again.
+	expired := false
 	timer := time.AfterFunc(timeout, func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
@@ -201,7 +203,8 @@
 		case u.err != nil:
 			return 0, u.err
 		case len(u.buffer) == u.limit || u.owner == r: // the body does not fit the buffer: r is or becomes the owner
-			if u.owner != r && cap(u.buffer) > forwardBufferBytes { // only resending needs so much
+			// When r becomes the owner, the body can't be sent again from its beginning, so a smaller buffer suffices.
+			if u.owner != r && cap(u.buffer) > forwardBufferBytes {
 				u.buffer, u.limit = nil, min(u.limit, forwardBufferBytes)
 			}
 			u.owner = r
