--- a/internal/downstream/h1server/request.go
+++ b/internal/downstream/h1server/request.go
@@ -22,7 +22,7 @@
 // HTTP/1.0 request on a connection whose bytes so far held a Transfer-Encoding line.
 //
 // A request with both Transfer-Encoding and Content-Length, whose end this node and a proxy in front of it might see in
-// different places (request smuggling, RFC 9112, 11.2), is not rejected in HTTP/1.1. net/http uses Transfer-Encoding and
+// different places (request smuggling, RFC 9112, 11.2), is otherwise not rejected. net/http uses Transfer-Encoding and
 // drops Content-Length, and the reverse in HTTP/1.0. The request to the endpoint is framed anew. With Strict,
 // framingScan finds both fields in the connection's bytes, and limitConnection has the connection closed after the
 // response.
