--- a/internal/upstream/h1client/upload.go
+++ b/internal/upstream/h1client/upload.go
@@ -13,8 +13,8 @@
 	uploadReadBytes = 16 << 10
 	// forwardBufferBytes is the maximum size of the buffer of an upload that can't be sent again from its beginning.
 	forwardBufferBytes = 64 << 10
-	// UploadBufferTimeout is how long, at most, a caller of AwaitBufferFor waits for an Upload to end or to fill its buffer before
-	// the caller forwards it. The timeout suffices for a body that is sent together with the header.
+	// UploadBufferTimeout is how long, at most, a caller of AwaitBufferFor waits for an Upload to end or to fill its buffer
+	// before the caller forwards it. The timeout suffices for a body that is sent together with the header.
 	UploadBufferTimeout = 10 * time.Millisecond
 )
 
