--- a/internal/stress/badpeers/deployment.go
+++ b/internal/stress/badpeers/deployment.go
@@ -15,36 +15,37 @@
 	"yokestall/internal/tlskeys"
 )
 
-// Names in the certificates of the load balancer and of the server.
+// Host names in the certificates of the load balancer and of the server.
 const (
 	frontName  = "front.test"
 	serverName = "peer.test"
 )
 
 const (
-	// serverAddresses is how many addresses, and so endpoints, the server has.
+	// serverAddresses is the number of addresses of the server. Each address is an endpoint.
 	serverAddresses = 2
 
-	// noneDraining makes snapshot return one in which no endpoint drains.
+	// noneDraining is the argument of snapshot for a configuration in which no endpoint is draining.
 	noneDraining = -1
 
-	// maxIdlePerHost is how many idle connections the clients' transport keeps.
+	// maxIdlePerHost is the maximum number of idle connections that the transport of the clients keeps.
 	maxIdlePerHost = 64
 )
 
-// deployment is a load balancer between clients and a server that each speak one protocol.
+// deployment is a load balancer between clients and a server. The clients use one protocol, the server another or the
+// same one.
 type deployment struct {
-	front, back webpeer.Protocol // of the clients and of the server
+	front, back webpeer.Protocol // protocols of the clients and of the server
 	program     *config.Program
 	app         *app.App
 	listeners   *app.Listeners
 	server      *webpeer.Peer
-	cluster     cluster.Config // without endpoints
-	addr        string         // of the load balancer
+	cluster     cluster.Config // configuration without the endpoints, which snapshot adds
+	addr        string         // address of the load balancer
 	transport   *http.Transport
 }
 
-// deploy starts a load balancer with its server; close ends both.
+// deploy starts a server and a load balancer in front of that server. The method close stops both.
 func (r *rig) deploy(front, back webpeer.Protocol) (d *deployment, err error) {
 	d = &deployment{front: front, back: back}
 	keys := r.keys.ServerConfig(tlskeys.ClientAuth{}, back.ALPN())
@@ -78,7 +79,7 @@
 	return d, nil
 }
 
-// close ends the load balancer and its server.
+// close stops the load balancer and its server.
 func (d *deployment) close() {
 	d.transport.CloseIdleConnections()
 	d.listeners.Close()
@@ -89,7 +90,8 @@
 // String returns both protocols, for example "http1 to http2+tls".
 func (d *deployment) String() string { return d.front.String() + " to " + d.back.String() }
 
-// snapshot returns a configuration in which one endpoint, by its index, drains, or none with noneDraining.
+// snapshot returns a configuration in which the endpoint with the index draining is draining, or no endpoint if
+// draining is noneDraining.
 func (d *deployment) snapshot(draining int) *files.Configuration {
 	c := d.cluster
 	c.Endpoints = nil
@@ -106,7 +108,7 @@
 	}
 }
 
-// send sends a request through the load balancer. The server does what the instruction says (see webpeer).
+// send sends a request through the load balancer. The instruction tells the server how to answer (see package webpeer).
 func (d *deployment) send(ctx context.Context, path, instruction string, body io.Reader) (*http.Response, error) {
 	scheme := "http"
 	if d.front.TLS {
@@ -114,7 +116,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, scheme+"://"+d.addr+path, body)
 	if err != nil {
-		panic(err) // all parts but the port are constant
+		panic(err) // cannot happen: the URL is constant except for the port and a valid path
 	}
 	request.Header.Set("X-Do", instruction)
 	return d.transport.RoundTrip(request)
--- a/internal/stress/badpeers/idle.go
+++ b/internal/stress/badpeers/idle.go
@@ -11,11 +11,12 @@
 	"yokestall/internal/fake/webpeer"
 )
 
-// maxIdleMemory is how many bytes an idle connection may use, with its client's end if that is in this process.
+// maxIdleMemory is the maximum memory in bytes for each idle connection. It includes the client end of the connection if
+// the client is in this process.
 const maxIdleMemory = 200 << 10
 
-// idleConnections opens connections over HTTP/2 that send nothing after their preface. A client that comes after them
-// has to be served.
+// idleConnections opens HTTP/2 connections that send nothing after the connection preface. The load balancer must still
+// serve a client that connects after them.
 func (r *rig) idleConnections(ctx context.Context) (string, error) {
 	d, err := r.deploy(webpeer.Protocol{HTTP2: true}, webpeer.Protocol{})
 	if err != nil {
@@ -36,18 +37,19 @@
 	runtime.GC()
 	each := (liveMemory() - before) / int64(r.Connections)
 	if each > maxIdleMemory {
-		r.report("%d bytes an idle connection, %d at most", each, maxIdleMemory)
+		r.report("each idle connection uses %d bytes of memory, limit %d", each, maxIdleMemory)
 	}
 	resp, err := d.send(ctx, "/x", "", nil)
 	if err != nil || resp.StatusCode != http.StatusOK {
-		r.report("a client that comes after them: %v, %v", resp, err)
+		r.report("client that connected after the idle connections was not served: response %v, error %v", resp, err)
 	} else {
 		resp.Body.Close()
 	}
-	return fmt.Sprintf("%d of them, %d bytes each, %d descriptors", r.Connections, each, openDescriptors()), nil
+	return fmt.Sprintf("%d open, %d bytes of memory each, %d file descriptors", r.Connections, each, openDescriptors()), nil
 }
 
-// OpenIdle opens n connections over HTTP/2 that send nothing after their preface. closeAll closes them.
+// OpenIdle opens n HTTP/2 connections to addr that send nothing after the connection preface. closeAll closes the
+// connections.
 func OpenIdle(addr string, n int) (closeAll func() error, err error) {
 	var conns []io.Closer
 	closeAll = func() error {
@@ -60,7 +62,7 @@
 		conn, framer, err := rawpeer.OpenHTTP2(addr)
 		if err == nil {
 			conns = append(conns, conn)
-			_, err = framer.ReadFrame() // the server's settings
+			_, err = framer.ReadFrame() // the SETTINGS frame of the server
 		}
 		if err != nil {
 			closeAll()
--- a/internal/stress/badpeers/mixedfaults.go
+++ b/internal/stress/badpeers/mixedfaults.go
@@ -16,59 +16,60 @@
 )
 
 const (
-	// mixedWorkers is how many clients send at once to each deployment.
+	// mixedWorkers is the number of clients that send requests concurrently to each deployment.
 	mixedWorkers = 8
 
-	// drainInterval is the time between two changes of the endpoint that drains.
+	// drainInterval is the time between two changes of which endpoint is draining.
 	drainInterval = 20 * time.Millisecond
 )
 
-// protocolPair is a protocol of the clients and one of the server.
+// protocolPair holds the protocol of the clients and the protocol of the server.
 type protocolPair struct{ front, back webpeer.Protocol }
 
-// protocolPairs returns pairs that cover each protocol on each side.
+// protocolPairs returns pairs that cover each protocol for the clients and each protocol for the server.
 func protocolPairs() []protocolPair {
 	all := webpeer.AllProtocols()
 	return []protocolPair{{all[0], all[0]}, {all[3], all[3]}, {all[2], all[1]}, {all[1], all[2]}}
 }
 
-// outcomes counts requests by what came of them.
+// outcomes counts requests by outcome. The field answered counts every request whose call returned.
 type outcomes struct{ answered, complete, truncated, rejected atomic.Int64 }
 
-// mixedFaults sends requests of all sizes while a tenth of the answers break off and endpoints drain and return. Each
-// request must have one answer, which is complete or visibly truncated, and no unsafe request may be executed twice.
+// mixedFaults sends requests of many sizes while the server fails or truncates about a tenth of the answers and the
+// endpoints are drained and restored. Each request must have one answer, which is complete, an error or visibly
+// truncated, and no request that is not idempotent may be executed twice.
 func (r *rig) mixedFaults(ctx context.Context) (string, error) {
 	pairs := protocolPairs()
-	each := r.Requests / len(pairs) / mixedWorkers
+	requestsPerWorker := r.Requests / len(pairs) / mixedWorkers
 	var counts outcomes
-	var all sync.WaitGroup
+	var deployments sync.WaitGroup
 	for i, pair := range pairs {
 		d, err := r.deploy(pair.front, pair.back)
 		if err != nil {
 			return "", err
 		}
-		all.Go(func() {
+		deployments.Go(func() {
 			defer d.close()
-			r.mixedFaultsOver(ctx, d, uint64(i), each, &counts)
+			r.mixedFaultsOver(ctx, d, uint64(i), requestsPerWorker, &counts)
 		})
 	}
-	all.Wait()
-	if n := int64(each * len(pairs) * mixedWorkers); counts.answered.Load() != n {
-		r.report("%d requests, %d answers", n, counts.answered.Load())
+	deployments.Wait()
+	if n := int64(requestsPerWorker * len(pairs) * mixedWorkers); counts.answered.Load() != n {
+		r.report("sent %d requests, got %d answers", n, counts.answered.Load())
 	}
-	return fmt.Sprintf("%d answers: %d whole, %d visibly cut or failed, %d refused",
+	return fmt.Sprintf("%d answers: %d complete, %d visibly truncated or failed, %d rejected",
 		counts.answered.Load(), counts.complete.Load(), counts.truncated.Load(), counts.rejected.Load()), nil
 }
 
-// mixedFaultsOver plays the scenario over one deployment, with as many requests of each worker as each says.
-func (r *rig) mixedFaultsOver(ctx context.Context, d *deployment, seed uint64, each int, counts *outcomes) {
+// mixedFaultsOver runs the scenario over one deployment. Each worker sends requestsPerWorker requests.
+func (r *rig) mixedFaultsOver(ctx context.Context, d *deployment, seed uint64, requestsPerWorker int, counts *outcomes) {
 	draining, stopDraining := context.WithCancel(ctx)
 	var drains, workers sync.WaitGroup
 	drains.Go(func() { r.drainInTurn(draining, d) })
 	for worker := range mixedWorkers {
 		rng := rand.New(rand.NewPCG(seed, uint64(worker)))
 		workers.Go(func() {
-			for range each {
+			for range requestsPerWorker {
 				if err := d.sendRandom(ctx, rng, r.Largest, counts); err != nil {
 					r.report("%s: %v", d, err)
 				}
@@ -80,12 +81,13 @@
 	drains.Wait()
 	for id, n := range d.server.Executed("/pay/") {
 		if n > 1 {
-			r.report("%s was executed %d times", id, n)
+			r.report("request %s, which is not idempotent, was executed %d times", id, n)
 		}
 	}
 }
 
-// drainInTurn makes no endpoint drain, then each of them, over and over until ctx ends.
+// drainInTurn applies versions in which first no endpoint and then each endpoint in turn drains. It repeats this until
+// ctx ends.
 func (r *rig) drainInTurn(ctx context.Context, d *deployment) {
 	for i := 0; ; i++ {
 		select {
@@ -95,21 +97,21 @@
 		}
 		draining := i%(serverAddresses+1) + noneDraining
 		if err := d.app.Apply(d.snapshot(draining)); err != nil {
-			r.report("a version is not taken: %v", err)
+			r.report("load balancer rejected a version: %v", err)
 		}
 	}
 }
 
-// mixedRequest is a request of the scenario.
+// mixedRequest is a request of the mixed faults scenario.
 type mixedRequest struct {
 	path, instruction string
 	body              []byte
-	answerSize        int  // of a complete answer, in bytes
-	fault             bool // the server breaks the answer off or fails
+	answerSize        int  // size of the body of a complete answer, in bytes
+	fault             bool // whether the server truncates the answer or answers with an error
 }
 
-// randomRequest draws a request. Most bodies are small: sizes are uniform on a logarithmic scale, and one answer of
-// 200 has at least a megabyte. largest bounds an answer's size in bytes.
+// randomRequest returns a random request. Most bodies are small: their sizes are drawn on a logarithmic scale, and one
+// answer in 200 has at least 1 MiB, if largest allows it. largest is the maximum size of an answer in bytes.
 func randomRequest(rng *rand.Rand, largest int) mixedRequest {
 	q := mixedRequest{path: "/x", answerSize: min(largest, 1<<rng.IntN(17))}
 	if rng.IntN(200) == 0 {
@@ -127,7 +129,7 @@
 	return q
 }
 
-// sendRandom sends a random request and counts its outcome. The error says what is wrong with it.
+// sendRandom sends a random request and counts its outcome. The error describes an answer that breaks a rule.
 func (d *deployment) sendRandom(ctx context.Context, rng *rand.Rand, largest int, counts *outcomes) error {
 	q := randomRequest(rng, largest)
 	var conn httptrace.GotConnInfo
@@ -138,7 +140,7 @@
 	counts.answered.Add(1)
 	if err != nil {
 		if !q.fault {
-			return fmt.Errorf("%s %s, body of %d, on a connection reused %v, idle %v for %v: %w",
+			return fmt.Errorf("request %s %s with a body of %d bytes failed (connection reused: %v, was idle: %v, for %v): %w",
 				q.path, q.instruction, len(q.body), conn.Reused, conn.WasIdle, conn.IdleTime, err)
 		}
 		counts.truncated.Add(1)
@@ -148,7 +150,7 @@
 	return q.checkAnswer(resp, counts)
 }
 
-// checkAnswer reads an answer and counts it. The error says what is wrong with it.
+// checkAnswer reads an answer and counts its outcome. The error describes an answer that breaks a rule.
 func (q *mixedRequest) checkAnswer(resp *http.Response, counts *outcomes) error {
 	text, err := io.ReadAll(resp.Body)
 	status := resp.StatusCode
@@ -156,13 +158,13 @@
 	case err == nil && status == http.StatusOK && !q.fault && bytes.Equal(text, webpeer.Pattern(q.answerSize)):
 		counts.complete.Add(1)
 	case err == nil && status == http.StatusOK:
-		return fmt.Errorf("%s %s: %d bytes pass for the whole", q.path, q.instruction, len(text))
+		return fmt.Errorf("request %s %s: a wrong body of %d bytes was delivered as complete", q.path, q.instruction, len(text))
 	case err == nil && status == http.StatusServiceUnavailable:
 		counts.rejected.Add(1)
 	case q.fault || err == nil && status == http.StatusBadGateway:
 		counts.truncated.Add(1)
 	default:
-		return fmt.Errorf("%s %s: status %d, %v", q.path, q.instruction, status, err)
+		return fmt.Errorf("request %s %s: unexpected status %d or read error: %v", q.path, q.instruction, status, err)
 	}
 	return nil
 }
--- a/internal/stress/badpeers/program.go
+++ b/internal/stress/badpeers/program.go
@@ -1,9 +1,10 @@
 package badpeers
 
-// streamsPerConnection is http2_streams of program.
+// streamsPerConnection is the limit on streams of an HTTP/2 connection, the value of http2_streams in program.
 const streamsPerConnection = 100
 
-// program is the load balancer's configuration in TOML: a class that may be retried and one that must not be.
+// program is the configuration of the load balancer in TOML. It has a class whose requests may be retried and a class
+// whose requests must not be retried.
 const program = `[listen]
 address = "127.0.0.1:0"
 connections = 20000
--- a/internal/stress/badpeers/resets.go
+++ b/internal/stress/badpeers/resets.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// resetClients is how many connections reset streams at once.
+	// resetClients is the number of connections that reset streams concurrently.
 	resetClients = 4
 
-	// yieldInterval is the number of resets after which a client yields the processor.
+	// yieldInterval is the number of resets after which a client yields the CPU to other goroutines.
 	yieldInterval = 64
 
-	// maxResetGoroutines bounds the goroutines of the process. A stream has its handler, its attempt and little more;
-	// a connection has a few, and so has the rest of the process.
+	// maxResetGoroutines is the maximum number of goroutines of the process. It allows 3 for a stream (its handler,
+	// its attempt and one more), 20 for a connection and 200 for the rest of the process.
 	maxResetGoroutines = resetClients*(3*streamsPerConnection+20) + 200
 )
 
-// rapidReset opens streams and resets them at once, as fast as it can, over a few connections that are opened again
-// when the load balancer closes them (CVE-2023-44487), while a normal client sends requests.
+// rapidReset opens streams and resets them immediately, at full speed, over resetClients connections (CVE-2023-44487),
+// while a normal client sends requests. A connection that the load balancer closes is opened again.
 func (r *rig) rapidReset(ctx context.Context) (string, error) {
 	d, err := r.deploy(webpeer.Protocol{HTTP2: true}, webpeer.Protocol{})
 	if err != nil {
@@ -50,26 +50,27 @@
 	normal := r.sendUntil(ctx, d, ended)
 	clients.Wait()
 	if normal.served == 0 {
-		r.report("no usual request was served")
+		r.report("no request of the normal client was served")
 	}
 	if normal.goroutines > maxResetGoroutines {
-		r.report("%d goroutines, %d at most", normal.goroutines, maxResetGoroutines)
+		r.report("process has %d goroutines, limit %d", normal.goroutines, maxResetGoroutines)
 	}
 	slices.Sort(normal.latencies)
 	n := len(normal.latencies)
 	p99 := normal.latencies[n*99/100].Round(time.Microsecond)
-	return fmt.Sprintf("%d resets over %d connections; %d of %d usual requests served, p99 %v; %d goroutines",
+	return fmt.Sprintf("%d resets over %d connections; %d of %d normal requests served, p99 %v; %d goroutines",
 		attack.resets.Load(), attack.closed.Load(), normal.served, n, p99, normal.goroutines), nil
 }
 
-// normalClient is what a client measured that does nothing wrong.
+// normalClient holds what a well-behaved client measured during the attack.
 type normalClient struct {
 	latencies  []time.Duration
 	served     int
-	goroutines int // the most in the process
+	goroutines int // largest number of goroutines of the process
 }
 
-// sendUntil sends one request after another until ended is closed, and one more after that.
+// sendUntil sends one request after another until ended is closed, and then a last one. It stops early if a request
+// fails.
 func (r *rig) sendUntil(ctx context.Context, d *deployment, ended <-chan struct{}) (normal normalClient) {
 	for last := false; !last; {
 		select {
@@ -80,7 +81,7 @@
 		start := time.Now()
 		resp, err := d.send(ctx, "/x", "", nil)
 		if err != nil {
-			r.report("a usual client: %v", err)
+			r.report("request of the normal client failed: %v", err)
 			break
 		}
 		resp.Body.Close()
@@ -93,14 +94,14 @@
 	return normal
 }
 
-// resetAttack is the clients that reset streams.
+// resetAttack is the state that the clients that reset streams share.
 type resetAttack struct {
 	addr           string
-	limit          int64 // of resets; clients that run at once may exceed it by one each
+	limit          int64 // number of resets to make; each concurrent client may exceed the limit by one
 	resets, closed atomic.Int64
 }
 
-// run resets streams, over a new connection whenever one is closed, until the limit is reached.
+// run resets streams until the limit is reached. It opens a new connection whenever the previous one is closed.
 func (a *resetAttack) run(ctx context.Context) {
 	for a.resets.Load() < a.limit && ctx.Err() == nil {
 		conn, framer, err := rawpeer.OpenHTTP2(a.addr)
@@ -124,12 +125,12 @@
 			return
 		}
 		if a.resets.Add(1)%yieldInterval == 0 {
-			runtime.Gosched() // on one core the others need their turn
+			runtime.Gosched() // lets the other goroutines run on a single core
 		}
 	}
 }
 
-// openAndReset opens a stream and resets it.
+// openAndReset opens the stream id with the header block head and resets the stream.
 func openAndReset(framer *http2.Framer, id uint32, head []byte) error {
 	open := http2.HeadersFrameParam{StreamID: id, BlockFragment: head, EndHeaders: true, EndStream: true}
 	if err := framer.WriteHeaders(open); err != nil {
--- a/internal/stress/badpeers/rig.go
+++ b/internal/stress/badpeers/rig.go
@@ -1,15 +1,15 @@
-// Package badpeers is a rig that puts the load balancer between clients and servers that attack it, or are many, or
-// send much, and checks what comes of it, over every protocol that both sides speak. All of it runs in one process, on
-// loopback, and ends by itself.
+// Package badpeers is a stress test rig that runs the load balancer against faulty servers, clients that attack it,
+// large numbers of connections and large amounts of data, and checks the results. Its scenarios cover every protocol of
+// clients and servers. The rig runs on loopback, by default in a single process, and ends by itself.
 //
 //	go run ./internal/stress/badpeers/run [-requests N] [-connections N] [-megabytes N] [-resets N]
 //
 // The files:
 //
-//   - rig.go: one run from start to end
-//   - deployment.go: a load balancer with its server; program.go: its configuration
-//   - mixedfaults.go, throughput.go, idle.go, resets.go: a scenario each
-//   - usage.go: the process's memory and descriptors
+//   - rig.go: a run from start to end
+//   - deployment.go: a load balancer with its server; program.go: the configuration of the load balancer
+//   - mixedfaults.go, throughput.go, idle.go, resets.go: one scenario in each file
+//   - usage.go: the memory and file descriptors that the process uses
 package badpeers
 
 import (
@@ -28,44 +28,44 @@
 // maxFindings is the number of findings after which a run discards further ones.
 const maxFindings = 20
 
-// Options are the size of each scenario, which is left out at 0, and where the output goes.
+// Options set the size of each scenario and the destination of the output. A scenario with size 0 is left out.
 type Options struct {
-	Requests    int   // of all sizes, a tenth of them broken off by servers
-	Connections int   // idle ones over HTTP/2
-	Megabytes   int64 // through each pair of sides, each way
-	Resets      int   // streams that are opened and reset at full speed
-	Largest     int   // bytes of the largest body of Requests, 1 or more
+	Requests    int   // number of requests with mixed faults; the server fails about a tenth of them
+	Connections int   // number of idle HTTP/2 connections
+	Megabytes   int64 // megabytes (MiB) sent in each direction over each protocol
+	Resets      int   // number of streams that are opened and reset at full speed
+	Largest     int   // largest response body in bytes of the requests with mixed faults, at least 1
 	Out         io.Writer
 	Log         *slog.Logger
 
-	// OpenIdle opens the idle connections, for example in another process, which has descriptors of its own.
-	// closeAll closes them. nil: the function OpenIdle, in this process.
+	// OpenIdle opens n idle connections to addr, for example in another process with file descriptors of its own.
+	// closeAll closes these connections. If OpenIdle is nil, the function OpenIdle opens them in this process.
 	OpenIdle func(addr string, n int) (closeAll func() error, err error)
 }
 
-// Finding is a rule that was broken.
+// Finding describes a violation of a rule in a scenario.
 type Finding struct{ Scenario, What string }
 
 // rig is the state of a run.
 type rig struct {
 	Options
-	folder    string // of the keys
+	folder    string // directory of the keys and certificates
 	authority *keymaker.Authority
 	keys      *tlskeys.Store
 
 	mu       sync.Mutex
-	findings []Finding // at most maxFindings; guarded by mu while a scenario runs
+	findings []Finding // at most maxFindings entries; guarded by mu while a scenario runs
 }
 
 // scenario is a part of a run.
 type scenario struct {
 	name    string
 	enabled bool
-	play    func(context.Context) (summary string, err error)
+	run     func(context.Context) (summary string, err error)
 }
 
-// Run plays the scenarios one after another and prints a line for each, with its findings. The error is one of the
-// rig itself.
+// Run runs the scenarios one after another and prints a line for each, followed by its findings. The error reports a
+// failure of the rig itself, not a finding.
 func Run(ctx context.Context, o Options) ([]Finding, error) {
 	folder, err := os.MkdirTemp("", "yokestall-abuse-")
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	for _, s := range []scenario{
 		{"mixed faults", o.Requests > 0, r.mixedFaults},
-		// Before those that leave memory that is free but not returned to the system.
+		// The throughput scenario runs before the scenarios that leave memory free but not returned to the system.
 		{"bytes through", o.Megabytes > 0, r.throughput},
 		{"idle connections", o.Connections > 0, r.idleConnections},
 		{"rapid reset", o.Resets > 0, r.rapidReset},
@@ -86,16 +86,17 @@
 		if !s.enabled {
 			continue
 		}
-		if err := r.playScenario(ctx, s); err != nil {
+		if err := r.runScenario(ctx, s); err != nil {
 			return r.findings, fmt.Errorf("%s: %w", s.name, err)
 		}
 	}
 	return r.findings, nil
 }
 
-// makeKeys makes an authority and the certificates of both sides, and opens the load balancer's.
+// makeKeys creates a certificate authority and the certificates of the load balancer and of the server, and opens the
+// key store of the load balancer.
 func (r *rig) makeKeys() (err error) {
-	if r.authority, err = keymaker.New("the rig's authority"); err != nil {
+	if r.authority, err = keymaker.New("certificate authority of the rig"); err != nil {
 		return err
 	}
 	for _, name := range []string{frontName, serverName} {
@@ -107,10 +108,10 @@
 	return err
 }
 
-// playScenario plays a scenario and prints its summary and findings.
-func (r *rig) playScenario(ctx context.Context, s scenario) error {
+// runScenario runs a scenario and prints its summary and findings.
+func (r *rig) runScenario(ctx context.Context, s scenario) error {
 	start, before := time.Now(), len(r.findings)
-	summary, err := s.play(ctx)
+	summary, err := s.run(ctx)
 	if err != nil {
 		return err
 	}
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// report adds a finding, unless there are maxFindings.
+// report adds a finding. It discards the finding if the run has maxFindings already.
 func (r *rig) report(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/stress/badpeers/run/idle.go
+++ b/internal/stress/badpeers/run/idle.go
@@ -11,11 +11,12 @@
 	"yokestall/internal/stress/badpeers"
 )
 
-// idleCommand is the first argument of the process that opens idle connections; an address and a number follow it.
+// idleCommand is the first argument of the process that opens idle connections. The address of the load balancer and the
+// number of connections follow as further arguments.
 const idleCommand = "crowd"
 
-// openIdle opens idle connections in a process of its own, which has descriptors of its own. That process ends with
-// its standard input, and so with this one.
+// openIdle opens idle connections in a child process, which has file descriptors of its own. The child process ends when
+// its standard input is closed, and so at the latest when this process ends.
 func openIdle(addr string, n int) (closeAll func() error, err error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -38,14 +39,15 @@
 		stdin.Close()
 		return command.Wait()
 	}
-	if _, err := bufio.NewReader(stdout).ReadString('\n'); err != nil { // a line comes once all are open
+	if _, err := bufio.NewReader(stdout).ReadString('\n'); err != nil { // printed once all are open
 		closeAll()
-		return nil, fmt.Errorf("the clients' process: %w", err)
+		return nil, fmt.Errorf("process with the idle connections ended before all connections were open: %w", err)
 	}
 	return closeAll, nil
 }
 
-// serveIdle is that process: it opens the connections, prints a line and closes them at the end of its input.
+// serveIdle runs in the child process. It opens the idle connections, prints a line, and closes the connections at the
+// end of the standard input.
 func serveIdle(addr, count string) error {
 	n, err := strconv.Atoi(count)
 	if err != nil {
--- a/internal/stress/badpeers/run/main.go
+++ b/internal/stress/badpeers/run/main.go
@@ -1,4 +1,5 @@
-// Command run plays the rig of internal/stress/badpeers and exits with 1 if a rule was broken.
+// Command run plays the rig of internal/stress/badpeers and exits with status 1 if a rule was violated
+// or the rig failed.
 package main
 
 import (
@@ -21,12 +22,12 @@
 		return
 	}
 	options := badpeers.Options{Out: os.Stdout, Log: slog.New(slog.DiscardHandler), OpenIdle: openIdle}
-	flag.IntVar(&options.Requests, "requests", 20_000, "mixed faults: `N` requests; 0: not at all")
-	flag.IntVar(&options.Largest, "largest", 100<<20, "bytes of their largest body")
+	flag.IntVar(&options.Requests, "requests", 20_000, "number `N` of requests with mixed faults; 0 skips this scenario")
+	flag.IntVar(&options.Largest, "largest", 100<<20, "maximum size in bytes of the response body of a request with mixed faults")
 	flag.IntVar(&options.Connections, "connections", 1000,
-		"idle HTTP/2 connections; each takes a descriptor here and one in the clients' process")
-	flag.Int64Var(&options.Megabytes, "megabytes", 1024, "through each way in which sides speak, each way")
-	flag.IntVar(&options.Resets, "resets", 200_000, "streams opened and reset")
+		"number of idle HTTP/2 connections; each uses a file descriptor in this process and one in the child process")
+	flag.Int64Var(&options.Megabytes, "megabytes", 1024, "megabytes to transfer in each direction over each protocol")
+	flag.IntVar(&options.Resets, "resets", 200_000, "number of streams to open and reset")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
--- a/internal/stress/badpeers/throughput.go
+++ b/internal/stress/badpeers/throughput.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// maxThroughputMemory is how many bytes the process may use, with clients and servers, whatever the number of
-	// bytes that pass through it.
+	// maxThroughputMemory is the maximum memory in bytes that the process may use, including clients and servers.
+	// The limit does not depend on the number of bytes transferred.
 	maxThroughputMemory = 20 << 20
 
-	// throughputRequest is the largest body of a request in bytes.
+	// throughputRequest is the maximum size of a request body in bytes.
 	throughputRequest = 256 << 20
 
 	// memoryInterval is the number of received bytes between two samples of the memory.
 	memoryInterval = 16 << 20
 
-	// slowClients is how many clients read slowly, and how many send slowly too.
+	// slowClients is the number of clients that only read slowly, and also of those that both send and read slowly.
 	slowClients = 4
 
-	// slowInterval is the time between two bytes of a slow client.
+	// slowInterval is the time between two bytes that a slow client reads or sends.
 	slowInterval = 10 * time.Millisecond
 )
 
-// throughput sends bytes both ways at once, over each protocol on both sides, beside clients that read slowly and
-// others that both send and read slowly.
+// throughput transfers data in both directions at once, over each protocol, while other clients read slowly or both
+// send and read slowly.
 func (r *rig) throughput(ctx context.Context) (string, error) {
 	peak := int64(0)
 	collectGarbage()
@@ -42,13 +42,13 @@
 		peak = max(peak, used)
 	}
 	if peak > maxThroughputMemory {
-		r.report("%d bytes held, %d at most", peak, maxThroughputMemory)
+		r.report("process used %d bytes of memory, limit %d", peak, maxThroughputMemory)
 	}
-	return fmt.Sprintf("%d MB each way over each of %d sides, at most %d MB held, clients and servers included",
+	return fmt.Sprintf("%d MB each way over each of %d protocols, at most %d MB of memory used, including clients and servers",
 		r.Megabytes, len(webpeer.AllProtocols()), peak>>20), nil
 }
 
-// throughputOver plays the scenario over one protocol and returns the largest memory in bytes.
+// throughputOver runs the scenario over one protocol and returns the peak memory in bytes.
 func (r *rig) throughputOver(ctx context.Context, protocol webpeer.Protocol) (peak int64, err error) {
 	d, err := r.deploy(protocol, protocol)
 	if err != nil {
@@ -71,21 +71,21 @@
 		n := min(left, throughputRequest)
 		resp, err := d.send(ctx, "/x", "echo", io.NopCloser(io.LimitReader(zeros{}, n)))
 		if err != nil {
-			r.report("%v: %v", protocol, err)
+			r.report("%v: echo request failed: %v", protocol, err)
 			break
 		}
 		received, used, err := readSampling(resp.Body)
 		peak = max(peak, used)
 		resp.Body.Close()
 		if err != io.EOF || received != n {
-			r.report("%v: %d of %d bytes came back: %v", protocol, received, n, err)
+			r.report("%v: received %d of %d bytes of the echo: %v", protocol, received, n, err)
 		}
 	}
 	return peak, nil
 }
 
-// readSampling reads a body to its end. It returns the number of bytes, the largest memory sample and the error that
-// ended the body, io.EOF for a complete one.
+// readSampling reads a body to its end and samples the memory meanwhile. It returns the number of bytes read, the
+// largest memory sample and the error that ended the body, which is io.EOF if the body is complete.
 func readSampling(body io.Reader) (received, peak int64, err error) {
 	buffer := make([]byte, 64<<10)
 	for err == nil {
@@ -118,17 +118,17 @@
 	return nil
 }
 
-// echoSlowly sends a body byte by byte, and reads it as the server returns it, until ctx ends.
+// echoSlowly sends a body byte by byte until ctx ends, and reads what the server returns.
 func (d *deployment) echoSlowly(ctx context.Context) {
 	resp, err := d.send(ctx, "/x", "echo", io.NopCloser(slowBody{ctx}))
 	if err != nil {
-		return // ctx ended before the server's first byte
+		return // The request failed, for example because ctx ended before the first byte of the answer.
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
 }
 
-// slowBody is a body that comes byte by byte until its context ends.
+// slowBody is a request body that yields a byte every slowInterval until its context ends.
 type slowBody struct{ ctx context.Context }
 
 // Read implements io.Reader.
@@ -142,7 +142,7 @@
 	}
 }
 
-// zeros is an endless body.
+// zeros is an endless request body of zero bytes.
 type zeros struct{}
 
 // Read implements io.Reader.
@@ -151,7 +151,7 @@
 	return len(p), nil
 }
 
-// collectGarbage runs the collector twice: the second run frees what earlier scenarios left in pools.
+// collectGarbage runs the garbage collector twice. The second run frees what earlier scenarios left in sync.Pools.
 func collectGarbage() {
 	runtime.GC()
 	runtime.GC()
--- a/internal/stress/badpeers/usage.go
+++ b/internal/stress/badpeers/usage.go
@@ -5,7 +5,8 @@
 	"runtime/metrics"
 )
 
-// liveMemory returns the bytes that the process used at the latest garbage collection, with the stacks.
+// liveMemory returns the memory in bytes of the heap objects that were live at the latest garbage collection, plus that
+// of the goroutine stacks.
 func liveMemory() int64 {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}, {Name: "/memory/classes/heap/stacks:bytes"}}
 	metrics.Read(sample)
