--- a/internal/stress/callers/bench.go
+++ b/internal/stress/callers/bench.go
@@ -13,25 +13,27 @@
 )
 
 const (
-	// growthRounds is how many more rounds show whether memory grows with the number of exchanges.
+	// growthRounds is the number of additional rounds that show whether memory grows with the number of exchanges.
 	growthRounds = 10
 
-	// growthStreams is how many streams are open at once in those rounds, and after the idle streams.
+	// growthStreams is the number of concurrent streams in the additional rounds and in the round after the idle
+	// streams.
 	growthStreams = 64
 
-	// idleStreams is how many streams are opened that never send a message, more than maxBenchStreams.
+	// idleStreams is the number of streams that never send a message. It is larger than maxBenchStreams.
 	idleStreams = 10_000
 
-	// exchangesAfterIdle is how many exchanges check that the processor still serves others.
+	// exchangesAfterIdle is the number of exchanges, after the idle streams, that check that the processor still
+	// serves requests.
 	exchangesAfterIdle = 1000
 )
 
-// concurrencies are the numbers of streams at once that are compared.
+// concurrencies are the numbers of concurrent streams for which the processors are compared.
 var concurrencies = []int{1, 64, 1000}
 
-// Bench compares the processor in pick mode with one that answers CONTINUE at once, on the same gRPC library. Each is
-// in a process of its own, driven from this one by turns. CPU time is that of these processes alone. One more round
-// than the given ones warms up.
+// Bench compares the external processor in pick mode with an empty processor that answers CONTINUE immediately. Both use
+// the same gRPC library, and each runs in a child process of its own. This process sends load to them in turn. The CPU
+// time is that of the child processes alone. An additional first round is a warm-up that is not measured.
 func Bench(ctx context.Context, out io.Writer, exchanges, rounds int) error {
 	pick, err := startProcess(processorPick)
 	if err != nil {
@@ -59,14 +61,15 @@
 	return measureIdleStreams(ctx, out, pick)
 }
 
-// comparison is what the rounds with one number of streams measured: of each round the CPU time of an exchange in
-// microseconds, and the ratios of the processor's figures to the empty processor's.
+// comparison holds the measurements of the rounds with one number of streams. For each round, it has the CPU time of an
+// exchange in microseconds, and the ratios of the figures of the pick processor to those of the empty processor.
 type comparison struct {
 	cpu                                     []float64
 	cpuRatio, rateRatio, p50Ratio, p99Ratio []float64
 }
 
-// compare drives both processes for some rounds, which start with each of them by turns.
+// compare sends load to both processes for one warm-up round and the given number of rounds. The process that comes
+// first alternates from round to round.
 func compare(ctx context.Context, pick, empty *process, streams, exchanges, rounds int) (c comparison, err error) {
 	processes := [2]*process{pick, empty}
 	for round := range rounds + 1 {
@@ -77,14 +80,14 @@
 				return c, err
 			}
 		}
-		if round > 0 { // the first one warms up
+		if round > 0 { // round 0 is the warm-up
 			c.add(figures[0], figures[1])
 		}
 	}
 	return c, nil
 }
 
-// add adds a round.
+// add adds the figures of a round.
 func (c *comparison) add(pick, empty figures) {
 	c.cpu = append(c.cpu, pick.cpu)
 	c.cpuRatio = append(c.cpuRatio, pick.cpu/empty.cpu)
@@ -93,20 +96,20 @@
 	c.p99Ratio = append(c.p99Ratio, pick.p99/empty.p99)
 }
 
-// print writes a line of the table.
+// print writes the comparison for the given number of streams as a line of the table.
 func (c *comparison) print(out io.Writer, streams int) {
 	fmt.Fprintf(out, "%-8d %12.0f %15s %28s %11s %10s\n",
 		streams, median(c.cpu), spread(c.cpuRatio), spread(c.rateRatio), spread(c.p50Ratio), spread(c.p99Ratio))
 }
 
-// measureGrowth prints the process's resident memory after the exchanges that were done and after growthRounds more
-// rounds.
+// measureGrowth prints the resident memory of the process before and after growthRounds additional rounds. done is the
+// number of exchanges that the process has already handled.
 func measureGrowth(ctx context.Context, out io.Writer, p *process, done, exchanges int) error {
 	kb, err := p.memoryKB()
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "resident after %d exchanges: %d KB\n", done, kb)
+	fmt.Fprintf(out, "resident memory after %d exchanges: %d KB\n", done, kb)
 	for range growthRounds {
 		if _, err := p.drive(ctx, growthStreams, exchanges); err != nil {
 			return err
@@ -115,12 +118,13 @@
 	if kb, err = p.memoryKB(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "and after %d more: %d KB\n", growthRounds*exchanges, kb)
+	fmt.Fprintf(out, "resident memory after %d more exchanges: %d KB\n", growthRounds*exchanges, kb)
 	return nil
 }
 
-// measureIdleStreams opens idleStreams streams that never send a message. It prints the memory that each takes
-// and how they end, and checks that those beyond maxBenchStreams are rejected and the others time out.
+// measureIdleStreams opens idleStreams streams that never send a message. It prints the memory for each admitted stream
+// and the status codes with which the streams end. It checks that maxBenchStreams streams time out and that the others
+// are rejected.
 func measureIdleStreams(ctx context.Context, out io.Writer, p *process) error {
 	before, err := p.memoryKB()
 	if err != nil {
@@ -132,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	if err := p.checkHealth(ctx); err != nil { // is answered only after the streams were accepted
+	if err := p.checkHealth(ctx); err != nil { // answered only after the streams were accepted
 		return err
 	}
 	after, err := p.memoryKB()
@@ -144,13 +148,13 @@
 		_, err := stream.Recv()
 		ends[status.Code(err)]++
 	}
-	fmt.Fprintf(out, "%d streams that say nothing, at %.1f KB for each that is let in: %v\n",
+	fmt.Fprintf(out, "%d idle streams, %.1f KB for each admitted stream, ended with: %v\n",
 		idleStreams, float64(after-before)/maxBenchStreams, ends)
 	if ends[codes.DeadlineExceeded] != maxBenchStreams || ends[codes.ResourceExhausted] != idleStreams-maxBenchStreams {
-		return fmt.Errorf("%d should be let in, and ended for their silence", maxBenchStreams)
+		return fmt.Errorf("want %d streams to end with DeadlineExceeded and all others with ResourceExhausted", maxBenchStreams)
 	}
 	_, err = p.drive(ctx, growthStreams, exchangesAfterIdle)
-	fmt.Fprintln(out, "usual exchanges go on")
+	fmt.Fprintln(out, "exchanges after the idle streams done")
 	return err
 }
 
@@ -168,16 +172,16 @@
 	return streams, nil
 }
 
-// exchangeStream is a client's end of a stream.
+// exchangeStream is the client end of a stream.
 type exchangeStream = grpc.BidiStreamingClient[pb.ProcessingRequest, pb.ProcessingResponse]
 
-// median returns the middle one of the sorted values, the upper one of two.
+// median returns the median of values, or the larger of the two middle values if their number is even.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
 
-// spread returns the median of values with the least and the largest one.
+// spread formats the median, the minimum and the maximum of values.
 func spread(values []float64) string {
 	return fmt.Sprintf("%.2f (%.2f-%.2f)", median(values), slices.Min(values), slices.Max(values))
 }
--- a/internal/stress/callers/benchexchange.go
+++ b/internal/stress/callers/benchexchange.go
@@ -10,7 +10,8 @@
 	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 )
 
-// exchange asks about the n-th request and reports its response. It fails if the processor rejects the request.
+// exchange sends the headers of the n-th request and of its response to the processor on a new stream. It fails if the
+// processor rejects the request.
 func exchange(ctx context.Context, client pb.ExternalProcessorClient, n int64) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -27,19 +28,19 @@
 			return err
 		}
 		if answer.GetImmediateResponse() != nil {
-			return fmt.Errorf("refused: %v", answer)
+			return fmt.Errorf("processor rejected the request: %v", answer)
 		}
 	}
 	if err := stream.CloseSend(); err != nil {
 		return err
 	}
 	if _, err := stream.Recv(); err != io.EOF {
-		return fmt.Errorf("the end: %w", err)
+		return fmt.Errorf("stream did not end with EOF: %w", err)
 	}
 	return nil
 }
 
-// requestMessage has the headers of the n-th request.
+// requestMessage returns the message with the headers of the n-th request.
 func requestMessage(n int64) *pb.ProcessingRequest {
 	return &pb.ProcessingRequest{Request: &pb.ProcessingRequest_RequestHeaders{RequestHeaders: headers(
 		":method", "GET",
@@ -52,7 +53,7 @@
 	)}}
 }
 
-// responseMessage has the headers of each response.
+// responseMessage returns the message with the headers of a response, which are always the same.
 func responseMessage() *pb.ProcessingRequest {
 	return &pb.ProcessingRequest{Request: &pb.ProcessingRequest_ResponseHeaders{ResponseHeaders: headers(
 		":status", "200",
@@ -60,7 +61,7 @@
 	)}}
 }
 
-// headers returns headers, given as names and values by turns, of a message without a body.
+// headers returns the headers of a message without a body. namesAndValues alternates between names and values.
 func headers(namesAndValues ...string) *pb.HttpHeaders {
 	fields := &corev3.HeaderMap{}
 	for i := 0; i < len(namesAndValues); i += 2 {
--- a/internal/stress/callers/benchload.go
+++ b/internal/stress/callers/benchload.go
@@ -10,14 +10,14 @@
 	pb "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 )
 
-// figures are the results of one round of load on a process.
+// figures are the measurements of one round of load on a process.
 type figures struct {
-	cpu      float64 // microseconds of the process for an exchange
+	cpu      float64 // CPU time of the process for each exchange in microseconds
 	rate     float64 // exchanges per second
-	p50, p99 float64 // seconds of an exchange
+	p50, p99 float64 // percentiles of the latency of an exchange in seconds
 }
 
-// drive makes a number of exchanges over as many streams at once and measures them.
+// drive runs the given number of exchanges with the given number of concurrent streams and returns measurements.
 func (p *process) drive(ctx context.Context, streams, exchanges int) (figures, error) {
 	before, err := p.cpuTicks()
 	if err != nil {
@@ -39,8 +39,8 @@
 	}, err
 }
 
-// exchangeAll makes a number of exchanges over as many streams at once and returns their latencies in seconds. A
-// stream that fails ends its share of the load; the error is one of those.
+// exchangeAll runs the given number of exchanges with the given number of concurrent streams and returns their latencies
+// in seconds. A goroutine whose exchange fails starts no further exchanges. The error is one of these failures.
 func (p *process) exchangeAll(ctx context.Context, streams, exchanges int) ([]float64, error) {
 	client := pb.NewExternalProcessorClient(p.conn)
 	latencies := make([]float64, exchanges)
--- a/internal/stress/callers/benchprocess.go
+++ b/internal/stress/callers/benchprocess.go
@@ -15,17 +15,17 @@
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 )
 
-// microsecondsPerTick is the unit of CPU time in /proc/PID/stat (proc(5)), in microseconds.
+// microsecondsPerTick is the length in microseconds of a clock tick, the unit of CPU time in /proc/PID/stat (proc(5)).
 const microsecondsPerTick = 1e4
 
-// process is a process with a processor, started by Bench.
+// process is a child process of Bench that runs a processor.
 type process struct {
 	command *exec.Cmd
-	stdin   io.Closer // the process ends when it is closed
+	stdin   io.Closer // closing stdin ends the process
 	conn    *grpc.ClientConn
 }
 
-// startProcess starts this executable as a process with a kind of processor and connects to it.
+// startProcess starts this executable as a child process that runs the given kind of processor, and connects to it.
 func startProcess(kind string) (*process, error) {
 	executable, err := os.Executable()
 	if err != nil {
@@ -45,26 +45,26 @@
 	}
 	addr, err := bufio.NewReader(stdout).ReadString('\n')
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", kind, err)
+		return nil, fmt.Errorf("%s processor printed no address: %w", kind, err)
 	}
 	p.conn, err = grpc.NewClient(strings.TrimSpace(addr), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	return p, err
 }
 
-// stop ends the process and waits for its end.
+// stop ends the process and waits until it has exited.
 func (p *process) stop() {
 	p.conn.Close()
 	p.stdin.Close()
 	p.command.Wait()
 }
 
-// checkHealth calls the health service, which is answered whatever the processor's streams do.
+// checkHealth calls the gRPC health service of the process, which answers whatever the state of the streams.
 func (p *process) checkHealth(ctx context.Context) error {
 	_, err := healthpb.NewHealthClient(p.conn).Check(ctx, &healthpb.HealthCheckRequest{})
 	return err
 }
 
-// cpuTicks returns the CPU time that the process has used, user and system, in ticks of microsecondsPerTick.
+// cpuTicks returns the CPU time that the process has used, in user and system mode, in clock ticks (microsecondsPerTick).
 func (p *process) cpuTicks() (float64, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
 	if err != nil {
@@ -80,7 +80,7 @@
 	return user + system, err
 }
 
-// memoryKB returns the process's resident memory in KB.
+// memoryKB returns the resident memory of the process in KB.
 func (p *process) memoryKB() (int, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	if err != nil {
--- a/internal/stress/callers/benchserver.go
+++ b/internal/stress/callers/benchserver.go
@@ -21,24 +21,25 @@
 
 // Kinds of processors that Bench compares.
 const (
-	processorPick  = "pick"  // the load balancer's, which picks endpoints
-	processorEmpty = "empty" // one that answers CONTINUE at once
+	processorPick  = "pick"  // external processor of the load balancer in pick mode
+	processorEmpty = "empty" // processor that answers CONTINUE immediately
 )
 
 const (
-	// maxBenchStreams is the limit on open streams of the pick processor.
+	// maxBenchStreams is the maximum number of open streams of the pick processor.
 	maxBenchStreams = 4096
 
-	// maxEmptyStreams is the limit on streams of a connection to the empty processor.
+	// maxEmptyStreams is the maximum number of concurrent streams of a connection to the empty processor.
 	maxEmptyStreams = 5000
 
-	// benchEndpoints is how many endpoints the pick processor picks from.
+	// benchEndpoints is the number of endpoints from which the pick processor picks.
 	benchEndpoints = 10
 )
 
-// ServeBench runs a process of Bench with a kind of processor. It prints its address and ends with its standard input.
+// ServeBench runs the given kind of processor in a child process of Bench. It prints the address of the processor and
+// returns when the standard input is closed.
 func ServeBench(kind string) error {
-	runtime.GOMAXPROCS(1) // the figures are for one core
+	runtime.GOMAXPROCS(1) // measures the processor on a single core
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -70,7 +71,7 @@
 	}
 	c := &cluster.Config{Name: "rooms", ShrinkTo: cluster.ShrinkUnspecified}
 	for i := range benchEndpoints {
-		address := fmt.Sprintf("127.0.0.1:%d", i+1) // nothing is sent there
+		address := fmt.Sprintf("127.0.0.1:%d", i+1) // never dialed: no request is sent to the endpoints
 		c.Endpoints = append(c.Endpoints, cluster.Endpoint{ID: fmt.Sprint(i), Address: address, Weight: 1})
 	}
 	snapshot := &files.Configuration{
@@ -85,12 +86,12 @@
 	return nil
 }
 
-// emptyProcessor answers CONTINUE at once.
+// emptyProcessor is an external processor that answers CONTINUE immediately.
 type emptyProcessor struct {
 	pb.UnimplementedExternalProcessorServer
 }
 
-// Process implements the service.
+// Process implements pb.ExternalProcessorServer.
 func (emptyProcessor) Process(stream grpc.BidiStreamingServer[pb.ProcessingRequest, pb.ProcessingResponse]) error {
 	for {
 		message, err := stream.Recv()
--- a/internal/stress/callers/check.go
+++ b/internal/stress/callers/check.go
@@ -13,18 +13,19 @@
 	// maxFindings is the number of findings after which a run discards further ones.
 	maxFindings = 20
 
-	// maxDrainDelay is how long after the notification of a drain a request may still be sent to the server.
+	// maxDrainDelay is the maximum time between the notification that a server is draining and the last request that
+	// is sent to this server.
 	maxDrainDelay = 500 * time.Millisecond
 
-	// closeTimeout is how long streams and requests may stay open after the last answer: a decision on a retry
-	// waits a while for its caller.
+	// closeTimeout is the maximum time for which streams and requests may stay open after the last answer. They may
+	// stay open because a retry decision waits for some time for its caller.
 	closeTimeout = 30 * time.Second
 
-	// closePollInterval is the time between two checks of what is open.
+	// closePollInterval is the time between two checks for open streams and requests.
 	closePollInterval = 10 * time.Millisecond
 )
 
-// report adds a finding, unless there are maxFindings.
+// report adds a finding. It discards the finding if the run has maxFindings already.
 func (r *rig) report(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,8 +34,9 @@
 	}
 }
 
-// checkSend reports a request that is sent, or an endpoint that is picked, more than maxDrainDelay into a drain. key
-// is the endpoint's.
+// checkSend reports a finding if a request was sent to an endpoint, or the endpoint was picked, more than maxDrainDelay
+// after the load balancer was notified that the endpoint is draining. key is the key of the endpoint, and at is the time
+// of the attempt or of the pick.
 func (r *rig) checkSend(_ string, key uint64, at time.Time) {
 	for i, server := range r.servers {
 		endpoint := cluster.Endpoint{ID: server.Name, Address: server.Addr()}
@@ -45,21 +47,22 @@
 		since := r.drainingSince[i]
 		r.mu.Unlock()
 		if !since.IsZero() && at.After(since.Add(maxDrainDelay)) {
-			r.report("%s was sent to %v after its drain was told", server.Name, at.Sub(since))
+			r.report("server %s was sent a request or was picked %v after its drain notification", server.Name, at.Sub(since))
 		}
 	}
 }
 
-// check checks after a run what the servers received, and that nothing stays open.
+// check checks, after a run, that the servers received no request contrary to the rules and that no stream or request
+// stays open.
 func (r *rig) check(processor *extproc.Server) {
 	received := r.receivedRequests()
 	for id, n := range received {
 		if strings.HasPrefix(id, kindPay+"-") && n > 1 {
-			r.report("%s (unsafe) reached a server %d times", id, n)
+			r.report("request %s (unsafe) reached a server %d times", id, n)
 		}
 		key, isDuplicate := strings.CutSuffix(id, duplicateSuffix)
 		if isDuplicate && received[key] > 0 && !r.retryAllowed[key] {
-			r.report("%s reached a server beside its key's first request", id)
+			r.report("duplicate %s reached a server in addition to the first request with the same idempotency key", id)
 		}
 	}
 	open := processor.InFlight()
@@ -68,20 +71,20 @@
 		open = processor.InFlight()
 	}
 	if open != 0 {
-		r.report("%d streams, or requests, are open at the end", open)
+		r.report("%d streams or requests are still open after the run", open)
 	}
 }
 
-// receivedRequests returns how often each request, by its id, reached a server of the cluster.
+// receivedRequests returns, by request ID, how often each request reached a server of the cluster.
 func (r *rig) receivedRequests() map[string]int {
 	received := map[string]int{}
 	for _, server := range r.servers {
 		seen, lost := server.Seen()
 		if lost > 0 {
-			r.report("%s kept no record of %d", server.Name, lost)
+			r.report("server %s discarded the records of %d requests", server.Name, lost)
 		}
 		if server == r.wrongServer {
-			continue // its requests are the proxies' fault
+			continue // faulty proxies send requests here, not the load balancer
 		}
 		for _, request := range seen {
 			received[request.ID]++
--- a/internal/stress/callers/program.go
+++ b/internal/stress/callers/program.go
@@ -1,7 +1,8 @@
 package callers
 
-// Program is the rig's configuration in TOML: for a class of each effect a route on which the proxy carries the request
-// itself to the endpoint that the processor picks, and one on which the processor forwards it.
+// Program is the configuration of the load balancer in TOML. For each effect (safe, keyed, unsafe) it has a class with
+// two routes: on one the proxy sends the request to the endpoint that the processor picks, on the other the processor
+// forwards the request.
 const Program = `[listen]
 address = "127.0.0.1:0"
 [files]
--- a/internal/stress/callers/requests.go
+++ b/internal/stress/callers/requests.go
@@ -18,26 +18,27 @@
 )
 
 const (
-	// callerTimeout is longer than every class's deadline: whether an answer is in time is checked where it is
-	// given, and does not depend on how fast this process is.
+	// callerTimeout is the timeout of a caller. It is longer than the deadline of every class, so that the result does
+	// not depend on the speed of this process. The rig checks deadlines where the processor picks an endpoint.
 	callerTimeout = 30 * time.Second
 
-	// neverReportTimeout ends the stream of a caller that never reports an outcome.
+	// neverReportTimeout is the time after which a caller that never reports an outcome ends its stream.
 	neverReportTimeout = 50 * time.Millisecond
 
-	// maxBody is the size of the largest request body in bytes.
+	// maxBody is the maximum size of a request body in bytes.
 	maxBody = 3000
 
-	// duplicateSuffix ends the id of a request that has another one's idempotency key and an id of its own.
+	// duplicateSuffix is the suffix of the ID of a duplicate that shares only the idempotency key with the original
+	// request. The ID without the suffix is that of the original request.
 	duplicateSuffix = ".2"
 )
 
-// requestKind is a kind of request. Requests' ids start with their kind.
+// requestKind is a kind of request. The ID of a request begins with the name of its kind.
 type requestKind struct {
 	path, name string
 }
 
-// requestKinds has a kind for each effect: safe, idempotent with a key, and unsafe.
+// requestKinds has a kind for each effect: safe, keyed (idempotent by key) and unsafe (not idempotent).
 var requestKinds = []requestKind{{"/", kindRead}, {"/push/", kindPush}, {"/pay/", kindPay}}
 
 // Names of request kinds.
@@ -47,7 +48,7 @@
 	kindPay  = "pay"
 )
 
-// proxyFaults are the faults that a proxy draws from.
+// proxyFaults are the faults from which the rig chooses at random for a tenth of the requests.
 var proxyFaults = []proxy.Fault{
 	proxy.DisconnectBeforeDecision,
 	proxy.DisconnectAfterDecision,
@@ -90,7 +91,8 @@
 	return ctx.Err()
 }
 
-// send sends the n-th request, in a fifth of the cases with a duplicate beside it, and records the outcomes.
+// send sends the n-th request and records the outcome. In a fifth of the cases, it also tries to create a duplicate and
+// sends that concurrently.
 func (r *rig) send(ctx context.Context, rng *rand.Rand, proxies []*proxy.Proxy, n int64) {
 	p := proxies[rng.IntN(len(proxies))]
 	request, kind := randomRequest(rng, p.BodyMode, n)
@@ -104,7 +106,7 @@
 	duplicates.Wait()
 }
 
-// randomRequest returns the n-th request and the name of its kind.
+// randomRequest returns a random request with the number n in its ID, and the name of its kind.
 func randomRequest(rng *rand.Rand, mode filterv3.ProcessingMode_BodySendMode, n int64) (proxy.Request, string) {
 	kind := requestKinds[rng.IntN(len(requestKinds))]
 	path := kind.path
@@ -123,7 +125,7 @@
 	if kind.name == kindPush {
 		request.Header.Set("Idempotency-Key", id)
 	}
-	if rng.IntN(10) == 0 { // a deadline so short that the caller, which waits longer, sees what comes after it
+	if rng.IntN(10) == 0 { // a short deadline, which expires while the caller still waits
 		request.Header.Set("X-Timeout-Ms", fmt.Sprint(11+rng.IntN(10)))
 	}
 	if rng.IntN(10) == 0 {
@@ -135,8 +137,8 @@
 	return request, kind.name
 }
 
-// randomDuplicate returns a duplicate of a request: one with the same id or, if it has an idempotency key, one with
-// the same key and another id. Of safe requests only half have a duplicate.
+// randomDuplicate returns a duplicate of a request. The duplicate has the same ID or, for half of the requests with an
+// idempotency key, the same key and another ID. ok is false for half of the safe requests, which get no duplicate.
 func randomDuplicate(rng *rand.Rand, request proxy.Request, kind string) (duplicate proxy.Request, ok bool) {
 	duplicate = request
 	duplicate.Header = request.Header.Clone()
@@ -148,10 +150,10 @@
 	return duplicate, kind != kindRead || rng.IntN(2) == 0
 }
 
-// recordOutcome counts a request's final answer and checks that it is the request's own.
+// recordOutcome counts the final answer to a request and checks that the answer belongs to this request.
 func (r *rig) recordOutcome(result proxy.Result, request proxy.Request) {
-	// A Retry-After counts with any status, which may be a server's own answer. A caller that disconnected may have
-	// been sent one too.
+	// A Retry-After header allows a retry whatever the status, because the answer may come from a server. A caller that
+	// disconnected may have been sent this header too.
 	if result.Header.Get("Retry-After") != "" || result.Status == 0 {
 		r.mu.Lock()
 		r.retryAllowed[request.Header.Get("Idempotency-Key")] = true
@@ -160,7 +162,7 @@
 	id := request.Header.Get("X-Request-Id")
 	switch {
 	case result.Status == 0 && request.Fault == proxy.None:
-		r.report("%s %s: no final answer: %v", id, request.Path, result.Err)
+		r.report("request %s %s got no final answer: %v", id, request.Path, result.Err)
 	case result.Status == 0, request.Fault != proxy.None && result.Err != nil:
 		r.disconnected.Add(1)
 	case result.Status == http.StatusConflict:
@@ -171,7 +173,7 @@
 		r.served.Add(1)
 		original, _, _ := strings.Cut(id, ".")
 		if request.Fault != proxy.OtherServer && !strings.Contains(string(result.Body), " served "+original) {
-			r.report("%s got another one's answer: %q", id, result.Body)
+			r.report("request %s got the answer to another request: %q", id, result.Body)
 		}
 	default:
 		r.failed.Add(1)
--- a/internal/stress/callers/rig.go
+++ b/internal/stress/callers/rig.go
@@ -1,26 +1,26 @@
-// Package callers is a rig that puts the external processor between proxies that misbehave and servers that crash and
-// drain, and checks the outcome of each request against what the servers received. All of it runs in one process, on
-// loopback, and ends by itself.
+// Package callers is a stress test rig that runs the external processor between faulty proxies and servers that crash
+// and drain, and checks the outcome of each request against the requests that the servers received. A run takes place in
+// a single process, on loopback, and ends by itself.
 //
 //	go run ./internal/stress/callers/run [-requests N]
 //
-// It also compares the cost of the processor with that of one that does nothing:
+// The package also compares the cost of the external processor with that of an empty processor, which answers CONTINUE:
 //
 //	go run ./internal/stress/callers/run -bench N
 //
 // The rig:
 //
-//   - rig.go: one run from start to end; program.go: its configuration
+//   - rig.go: a run from start to end; program.go: the configuration of the load balancer
 //   - faults.go: servers that drain and crash
 //   - requests.go: the callers and what they send
-//   - check.go: the rules that a run must not break
+//   - check.go: the rules that a run must not violate
 //
 // The comparison:
 //
-//   - bench.go: its rounds and what it prints
+//   - bench.go: the rounds of the comparison and the output
 //   - benchload.go: the load of a round; benchexchange.go: one exchange
-//   - benchprocess.go: a processor's process, seen from the comparison
-//   - benchserver.go: the program that runs in such a process
+//   - benchprocess.go: control and measurement of a child process that runs a processor
+//   - benchserver.go: the code that runs in such a child process
 package callers
 
 import (
@@ -41,26 +41,26 @@
 	"yokestall/internal/files"
 )
 
-// The cluster's servers. The first ones drain in turn, the others crash in turn.
+// Numbers of servers in the cluster. The first drainingServers of them drain in turn, the others crash in turn.
 const (
 	drainingServers = 3
 	crashingServers = 3
 	clusterServers  = drainingServers + crashingServers
 )
 
-// noneDraining makes snapshot return one in which no server drains.
+// noneDraining is the argument of snapshot for a configuration in which no server is draining.
 const noneDraining = -1
 
-// Options are the size of a run and where its output goes.
+// Options set the size of a run and the destination of the output.
 type Options struct {
 	Requests int
-	Callers  int // at once, 1 or more
+	Callers  int // number of concurrent callers, at least 1
 	Out      io.Writer
 	Log      *slog.Logger
 }
 
-// Run plays a run and prints its counts and findings. Findings are the rules that were broken; the error is one of
-// the rig itself.
+// Run sends o.Requests requests while servers drain and crash, and prints counts of the outcomes and the findings. A
+// finding describes a violated rule. The error reports a failure of the rig itself.
 func Run(ctx context.Context, o Options) (findings []string, err error) {
 	r := &rig{Options: o, retryAllowed: map[string]bool{}}
 	defer r.close()
@@ -76,7 +76,7 @@
 	var background sync.WaitGroup
 	background.Go(func() {
 		if err := r.app.ServeProcessor(running, listener, processor, r.program.ExtProc); err != nil {
-			r.report("the processor ended: %v", err)
+			r.report("external processor failed: %v", err)
 		}
 	})
 	r.injectFaults(running, &background)
@@ -97,21 +97,21 @@
 	Options
 	program     *config.Program
 	app         *app.App
-	servers     []*appbox.Server // those of the cluster, and wrongServer last
-	wrongServer *appbox.Server   // where a misbehaving proxy sends: in no snapshot
+	servers     []*appbox.Server // the servers of the cluster, followed by wrongServer
+	wrongServer *appbox.Server   // server outside the cluster, to which faulty proxies send requests
 
-	// Requests by their outcome.
+	// Counts of requests by outcome.
 	served, rejected, failed, conflicts, disconnected atomic.Int64
 
 	// mu guards the fields below.
 	mu       sync.Mutex
-	findings []string // at most maxFindings
+	findings []string // at most maxFindings entries
 
-	// retryAllowed has the idempotency keys of requests whose answer allows a retry, or that got none.
+	// retryAllowed contains the idempotency key of each request that got no answer or an answer that allows a retry.
 	retryAllowed map[string]bool
 
-	// drainingSince is when the load balancer was notified that a server drains, by the index in servers; zero for
-	// one that does not drain.
+	// drainingSince holds, by index in servers, the time at which the load balancer was notified that the server is
+	// draining. The time is zero for a server that is not draining.
 	drainingSince [clusterServers + 1]time.Time
 }
 
@@ -133,7 +133,7 @@
 	return err
 }
 
-// close ends what start has started.
+// close stops the load balancer and the servers that start has started.
 func (r *rig) close() {
 	if r.app != nil {
 		r.app.Close()
@@ -143,18 +143,20 @@
 	}
 }
 
-// newProcessor returns the processor under test. It reports endpoints that are picked after a request's deadline.
+// newProcessor returns the processor under test. The rig reports each endpoint that the processor picks after the
+// deadline of the request.
 func (r *rig) newProcessor() *extproc.Server {
 	processor := r.app.NewProcessor(r.program.ExtProc)
 	processor.OnEndpointPicked = func(id, address string, left time.Duration) {
 		if left <= 0 {
-			r.report("%s was named %s %v after its time was up", id, address, -left)
+			r.report("request %s: endpoint %s was picked %v after the deadline", id, address, -left)
 		}
 	}
 	return processor
 }
 
-// snapshot returns a configuration in which one server, by its index, drains, or none with noneDraining.
+// snapshot returns a configuration in which the server with the index draining is draining, or no server if draining is
+// noneDraining.
 func (r *rig) snapshot(draining int) *files.Configuration {
 	c := &cluster.Config{Name: "rooms", ShrinkTo: cluster.ShrinkUnspecified}
 	for i, server := range r.servers {
@@ -176,11 +178,11 @@
 // print writes the counts and findings of a run.
 func (r *rig) print(s *extproc.Stats, took time.Duration) {
 	fmt.Fprintf(r.Out, "%d requests in %.1f s: ", r.Requests, took.Seconds())
-	fmt.Fprintf(r.Out, "%d answered by servers, %d refused, %d failed, %d conflicts, %d whose caller left\n",
+	fmt.Fprintf(r.Out, "%d answered by servers, %d rejected, %d failed, %d conflicts, %d with a client disconnected\n",
 		r.served.Load(), r.rejected.Load(), r.failed.Load(), r.conflicts.Load(), r.disconnected.Load())
-	fmt.Fprintf(r.Out, "%d carried, %d picked with %d servers named; ",
+	fmt.Fprintf(r.Out, "%d forwarded, %d in pick mode with %d endpoints picked; ",
 		s.Forwarded.Load(), s.Picked.Load(), s.EndpointsPicked.Load())
-	fmt.Fprintf(r.Out, "%d repeats answered, %d strays, %d never told\n",
+	fmt.Fprintf(r.Out, "%d duplicates answered, %d endpoint mismatches, %d outcomes never reported\n",
 		s.Duplicates.Load(), s.EndpointMismatches.Load(), s.UnreportedOutcomes.Load())
 	for _, finding := range r.findings {
 		fmt.Fprintln(r.Out, "broken:", finding)
