--- a/internal/fleetsim/baselines.go
+++ b/internal/fleetsim/baselines.go
@@ -7,8 +7,9 @@
 	"yokestall/policy"
 )
 
-// Baselines are other ways to decide, to compare the balancer with, by their printed names. Each retries, on another
-// endpoint, what failed and may be repeated by its class. None but the oracle, which can't exist, sheds load.
+// Baselines are the deciders with which the balancer is compared, by their printed names. Each picks an endpoint anew for
+// every retry. It retries a failed request only if the request was not executed or its class allows the repetition. Only
+// the oracle, which cannot exist in reality, sheds load.
 var Baselines = map[string]DeciderFactory{
 	"oracle":      NewOracle,
 	"random":      newBaseline(func(b *baseline) int { return b.rng.IntN(len(b.ready)) }),
@@ -17,22 +18,22 @@
 	"two choices": newBaseline((*baseline).betterOfTwo),
 }
 
-// Weights of the moving average of latencies.
+// Weights of the old average and of a new sample in the moving average of latencies.
 const (
 	latencyWeightOld = 0.8
 	latencyWeightNew = 0.2
 )
 
-// baseline is a Decider that picks endpoints by a function and has no other rules.
+// baseline is a Decider that picks endpoints with a function. Otherwise it only retries.
 type baseline struct {
 	settings policy.Settings
 	host     policy.Host
 	rng      *rand.Rand
-	pick     func(*baseline) int // index in ready
+	pick     func(*baseline) int // returns an index in ready
 	ready    readyEndpoints
 	inFlight map[policy.EndpointID]int
-	latency  map[policy.EndpointID]float64 // moving average, seconds
-	turn     int                           // of round robin
+	latency  map[policy.EndpointID]float64 // moving average in seconds
+	turn     int                           // number of picks by round robin
 	requests map[policy.RequestID]*baselineRequest
 }
 
@@ -40,7 +41,7 @@
 	class      int
 	attempts   int
 	mayHaveRun bool
-	endpoint   policy.EndpointID // of the last attempt
+	endpoint   policy.EndpointID // endpoint of the last attempt
 }
 
 func newBaseline(pick func(*baseline) int) DeciderFactory {
@@ -63,8 +64,8 @@
 	return b.turn % len(b.ready)
 }
 
-// leastInFlight picks the endpoint with the fewest requests in flight, as nginx's least_conn, and Envoy's LEAST_REQUEST
-// over all endpoints.
+// leastInFlight picks the endpoint with the fewest requests in flight, like least_conn of nginx and like LEAST_REQUEST of
+// Envoy over all endpoints.
 func (b *baseline) leastInFlight() int {
 	best, first := 0, b.rng.IntN(len(b.ready))
 	for i := range b.ready {
@@ -76,7 +77,7 @@
 	return best
 }
 
-// betterOfTwo picks the cheaper of two random endpoints (Mitzenmacher, 2001; Finagle's peak EWMA).
+// betterOfTwo picks the endpoint with the lower cost out of two random ones (Mitzenmacher, 2001; peak EWMA in Finagle).
 func (b *baseline) betterOfTwo() int {
 	first, second := b.rng.IntN(len(b.ready)), b.rng.IntN(len(b.ready))
 	if b.cost(second) < b.cost(first) {
@@ -85,11 +86,11 @@
 	return first
 }
 
-// cost is requests in flight times latency.
+// cost returns the product of requests in flight, plus 1, and average latency, plus 1 ms, of the endpoint ready[i].
 func (b *baseline) cost(i int) float64 {
-	const least = 1e-3 // seconds
+	const minLatency = 1e-3 // seconds
 	id := b.ready[i]
-	return float64(1+b.inFlight[id]) * (least + b.latency[id])
+	return float64(1+b.inFlight[id]) * (minLatency + b.latency[id])
 }
 
 // Request implements Decider.
@@ -149,7 +150,7 @@
 	b.ready.update(kind, entries)
 }
 
-// readyEndpoints are the endpoints that requests may go to.
+// readyEndpoints are the endpoints to which requests may be sent.
 type readyEndpoints []policy.EndpointID
 
 func (r *readyEndpoints) update(kind policy.UpdateKind, entries []policy.Endpoint) {
@@ -163,7 +164,7 @@
 	}
 }
 
-// mayHaveRun reports whether an attempt with this status may have had an effect.
+// mayHaveRun reports whether an attempt with this status may have been executed by the server.
 func mayHaveRun(status policy.Status) bool {
 	return status != policy.Rejected && status != policy.ConnectFailed && status != policy.NeverSent
 }
--- a/internal/fleetsim/client.go
+++ b/internal/fleetsim/client.go
@@ -8,14 +8,14 @@
 	"yokestall/policy"
 )
 
-// clientRequest is a client's request, over all its tries.
+// clientRequest is the request of a client, including its retries by the client.
 type clientRequest struct {
 	class          int
 	startedAt      time.Duration
 	work           time.Duration
 	idempotencyKey string
 	retriesLeft    int
-	effects        int // times that servers completed it
+	effects        int // number of times that servers completed the request
 	finished       bool
 }
 
@@ -28,7 +28,7 @@
 	}
 }
 
-// handleArrival begins a client's request, and schedules the next one of its class.
+// handleArrival starts a request of a client and schedules the next arrival of the class.
 func (s *simulation) handleArrival(class int) {
 	s.scheduleArrival(class)
 	c := &s.scenario.Classes[class]
@@ -49,7 +49,7 @@
 	s.schedule(s.now, func() { s.sendToNode(r) })
 }
 
-// sendToNode sends a client's request, or its retry, to a node that is up.
+// sendToNode sends the request of a client, or a retry, to a node that is up.
 func (s *simulation) sendToNode(r *clientRequest) {
 	if n := s.pickNode(); n != nil {
 		n.receive(r)
@@ -58,7 +58,7 @@
 	}
 }
 
-// pickNode returns the node that a client connects to, or nil if none is up.
+// pickNode returns the node to which a client connects, or nil if no node is up.
 func (s *simulation) pickNode() *node {
 	if share := s.scenario.FirstNodeShare; share > 0 && s.rng.Float64() < share && !s.nodes[0].down {
 		return s.nodes[0]
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// connectionLost handles a try that ended without an answer: whether it had an effect is unknown.
+// connectionLost handles a try of a client that ended without an answer. The client retries only if its retries are not
+// exhausted and the class is idempotent, because the request may have been executed.
 func (s *simulation) connectionLost(r *clientRequest) {
 	if r.finished {
 		return
@@ -85,7 +86,7 @@
 	s.result.Classes[r.class].Failed++
 }
 
-// scheduleRetry schedules a client's next try.
+// scheduleRetry schedules the next try of a client, after its backoff or, if the client honors it, after retryAfter.
 func (s *simulation) scheduleRetry(r *clientRequest, retryAfter time.Duration) {
 	c := &s.scenario.Clients
 	r.retriesLeft--
--- a/internal/fleetsim/decider.go
+++ b/internal/fleetsim/decider.go
@@ -6,7 +6,7 @@
 	"yokestall/policy"
 )
 
-// Decider decides for one node; *policy.Balancer is one.
+// Decider makes the decisions of a node, through its policy.Host. *policy.Balancer implements Decider.
 type Decider interface {
 	Request(now time.Duration, q policy.Request)
 	Outcome(now time.Duration, o policy.Outcome)
@@ -15,10 +15,10 @@
 	UpdateEndpoints(now time.Duration, kind policy.UpdateKind, entries []policy.Endpoint)
 }
 
-// DeciderFactory makes the decider of a node that starts. Its errors are of the settings.
+// DeciderFactory creates the decider of a node that starts. It fails if the settings are invalid.
 type DeciderFactory func(set policy.Settings, seed uint64, host policy.Host) (Decider, error)
 
-// NewBalancer makes a policy.Balancer.
+// NewBalancer is the DeciderFactory of policy.Balancer.
 func NewBalancer(set policy.Settings, seed uint64, host policy.Host) (Decider, error) {
 	return policy.New(set, seed, host)
 }
@@ -29,7 +29,7 @@
 	Restore(now time.Duration, k policy.Snapshot, age time.Duration)
 }
 
-// slowStartShareSetter is a Decider that takes its share of the slow start budgets.
+// slowStartShareSetter is a Decider whose share of the slow start budgets can be set.
 type slowStartShareSetter interface{ SetSlowStartShare(part float64) }
 
 var (
--- a/internal/fleetsim/eventqueue.go
+++ b/internal/fleetsim/eventqueue.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a virtual time.
 type event struct {
 	at  time.Duration
-	seq uint64 // orders events of the same time
+	seq uint64 // order among events with the same time
 	run func()
 }
 
-// eventQueue is a heap of events, the earliest first. Of events at one time, that scheduled first comes first.
+// eventQueue is a heap of events with the earliest first. Events with the same time are in the order of scheduling.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -30,24 +30,24 @@
 func (q *eventQueue) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
-	(*q)[last] = event{} // frees what run refers to
+	(*q)[last] = event{} // lets the garbage collector free the closure run
 	*q = (*q)[:last]
 	return e
 }
 
-// schedule runs a function at a virtual time.
+// schedule adds an event that runs a function at the given virtual time.
 func (s *simulation) schedule(at time.Duration, run func()) {
 	heap.Push(&s.queue, event{at: at, seq: s.nextSeq(), run: run})
 }
 
-// nextSeq returns a number that is larger than all before.
+// nextSeq returns a sequence number that is larger than all previous ones.
 func (s *simulation) nextSeq() uint64 {
 	s.lastSeq++
 	return s.lastSeq
 }
 
-// networkDelay draws the delay of a message.
+// networkDelay returns the random one-way delay of a message.
 func (s *simulation) networkDelay() time.Duration {
-	least := s.scenario.NetworkDelay
-	return least + time.Duration(s.rng.Int64N(int64(least)/2+1))
+	minDelay := s.scenario.NetworkDelay
+	return minDelay + time.Duration(s.rng.Int64N(int64(minDelay)/2+1))
 }
--- a/internal/fleetsim/fault.go
+++ b/internal/fleetsim/fault.go
@@ -30,7 +30,7 @@
 func (s *simulation) endFault(f *Fault) {
 	if f.Nodes {
 		for _, n := range s.nodes[f.First : f.Last+1] {
-			n.start() // can't fail: it has started with the same settings before
+			n.start() // cannot fail: the node has started with the same settings before
 			if f.RestoreSnapshot {
 				n.restoreSnapshot()
 			}
@@ -52,7 +52,7 @@
 	s.scheduleEndpointList()
 }
 
-// replaceServer puts a server that has just started into the place of one that drained.
+// replaceServer replaces a server that has drained by a new server, which starts now.
 func (s *simulation) replaceServer(m *fleetServer, speed float64) {
 	s.resetConnections(m, m.Stop())
 	s.lastEndpointID++
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -9,22 +9,22 @@
 	"yokestall/policy"
 )
 
-// node hosts a Decider. It is part of its simulation, and uses the simulation's clock, queue and random numbers.
+// node is the host of a Decider. It uses the clock, event queue and random numbers of its simulation.
 type node struct {
 	*simulation
 	settings      policy.Settings
 	decider       Decider
-	deferred      []func() // calls of the decider that its own calls of the host led to
-	incarnation   uint64   // starts so far
+	deferred      []func() // calls to the decider that result from its own calls to the host
+	incarnation   uint64   // number of starts so far
 	down          bool
 	requests      map[policy.RequestID]*nodeRequest
 	lastRequestID policy.RequestID
 	lease         leaseClient
-	snapshot      *policy.Snapshot // taken at stoppedAt; nil: none
+	snapshot      *policy.Snapshot // snapshot taken at stoppedAt, nil if there is none
 	stoppedAt     time.Duration
 }
 
-// start starts a node, which knows nothing but the endpoint list.
+// start starts a node with a new decider, which initially knows only the endpoint list.
 func (n *node) start() error {
 	n.incarnation++
 	n.down, n.requests, n.deferred = false, map[policy.RequestID]*nodeRequest{}, nil
@@ -39,14 +39,15 @@
 	return nil
 }
 
-// restoreSnapshot restores, in a node that has started, what it had learnt when it was killed.
+// restoreSnapshot restores, in a node that has just started, the snapshot that was taken when the node was killed.
 func (n *node) restoreSnapshot() {
 	if d, ok := n.decider.(snapshotter); ok && n.snapshot != nil {
 		n.callDecider(func() { d.Restore(n.now, *n.snapshot, n.now-n.stoppedAt) })
 	}
 }
 
-// kill ends a node. Its clients' connections break; its attempts go on at the servers, and nobody takes their replies.
+// kill ends a node and takes a snapshot. The connections of the clients are lost. The attempts of the node continue at the
+// servers, and their replies are discarded.
 func (n *node) kill() {
 	if d, ok := n.decider.(snapshotter); ok {
 		snapshot := d.Snapshot(n.now)
@@ -64,8 +65,8 @@
 	}
 }
 
-// callDecider calls the decider, and then makes the calls that were deferred meanwhile: a decider is not called from
-// within its own call of the host.
+// callDecider calls the decider and then makes the calls that were deferred in the meantime. Calls are deferred because a
+// decider must not be called from within its own call to the host.
 func (n *node) callDecider(call func()) {
 	call()
 	for len(n.deferred) > 0 {
@@ -75,7 +76,7 @@
 	}
 }
 
-// scheduleHere runs a function at a time, unless the node was killed meanwhile, whether or not it has restarted.
+// scheduleHere runs a function at the given time, unless the node is killed before, even if it has restarted since.
 func (n *node) scheduleHere(at time.Duration, run func()) {
 	incarnation := n.incarnation
 	n.schedule(at, func() {
@@ -85,7 +86,7 @@
 	})
 }
 
-// sendEndpointList sends the present endpoint list to all nodes.
+// sendEndpointList sends the current endpoint list to all nodes that are up.
 func (s *simulation) sendEndpointList() {
 	entries := s.endpointList()
 	for _, m := range s.servers {
--- a/internal/fleetsim/oracle.go
+++ b/internal/fleetsim/oracle.go
@@ -7,19 +7,20 @@
 	"yokestall/policy"
 )
 
-// oracleObjectiveShare is the share of its latency objective that a request may be predicted to take: the prediction
-// is by the class's mean work.
+// oracleObjectiveShare is the maximum predicted latency of a request, as a share of its latency objective. The rest is a
+// reserve, because the prediction uses the mean work of the class.
 const oracleObjectiveShare = 0.4
 
-// serverObserver is a host that knows the servers' true state.
+// serverObserver is a host that knows the actual state of the servers.
 type serverObserver interface {
-	// predictLatency predicts the latency of an attempt that is sent now. ok is false if it can't be sent.
+	// predictLatency predicts the latency of an attempt that is sent now. ok is false if the server is unknown, faulty or
+	// has no capacity for the attempt.
 	predictLatency(endpoint policy.EndpointID, class int) (latency time.Duration, ok bool)
 }
 
 var _ serverObserver = (*node)(nil)
 
-// oracle is a Decider that knows the servers' true state.
+// oracle is a Decider that knows the actual state of the servers.
 type oracle struct {
 	settings policy.Settings
 	host     policy.Host
@@ -37,9 +38,10 @@
 	mayHaveRun   bool
 }
 
-// NewOracle makes a Decider that knows the servers' true state, present speed and capacity, which no real node does: a
-// bound for what any choice of servers can reach. It sends to the server that is to answer first, never to one that it
-// would overload, and rejects at once what none can answer in time. Its host is the simulation's.
+// NewOracle creates a Decider that knows the actual state, speed and capacity of the servers, which no real node does. The
+// results of this decider are a bound for every choice of servers. It sends a request to the server with the shortest
+// predicted latency, never to a server that the request would overload, and immediately rejects a request that no server
+// can answer in time. The host must be a node of the simulation.
 func NewOracle(set policy.Settings, seed uint64, host policy.Host) (Decider, error) {
 	return &oracle{
 		settings: set,
@@ -58,7 +60,7 @@
 		objective = c.Deadline
 	}
 	share := oracleObjectiveShare
-	for i := range o.settings.Classes { // leaves capacity to a class of a higher priority weight
+	for i := range o.settings.Classes { // reserves capacity for a class with a higher priority weight
 		if o.settings.Classes[i].PriorityWeight > c.PriorityWeight {
 			share = oracleObjectiveShare / 2
 		}
@@ -85,7 +87,7 @@
 	o.host.Send(r.id, o.ready[best], 0)
 }
 
-// finish ends a request without a server's answer. retryLater reports whether a later try may find capacity.
+// finish ends a request without an answer from a server. retryLater says whether a later retry may find capacity.
 func (o *oracle) finish(r *oracleRequest, retryLater bool) {
 	delete(o.requests, r.id)
 	if r.mayHaveRun && o.settings.Classes[r.class].Idempotency != policy.Idempotent {
@@ -136,7 +138,7 @@
 	if !m.HasCapacityFor(n.now, work+m.workInTransit) || m.Fault.Unresponsive || m.Fault.FailureRate > 0 {
 		return 0, false
 	}
-	const delays = 4 // of the network, for the way there and back, with a reserve
+	const delays = 4 // network delays to add: 2 for the round trip and 2 as a reserve
 	share := m.CapacityShare(n.now)
 	service := time.Duration(float64(work) * max(1, m.Fault.Slowdown) / (k.Speed * share))
 	inTransit := time.Duration(float64(m.workInTransit) / (float64(k.Cores) * k.Speed * share))
--- a/internal/fleetsim/request.go
+++ b/internal/fleetsim/request.go
@@ -6,29 +6,29 @@
 	"yokestall/policy"
 )
 
-// drainGrace is how long after a node got a server's drain in its list it may still send to the server.
+// drainGrace is the time for which nodes may still send attempts to a server after the endpoint list announced its drain.
 const drainGrace = 500 * time.Millisecond
 
-// nodeRequest is one try of a client's request, at a node.
+// nodeRequest is one try of a client, as a request at a node.
 type nodeRequest struct {
 	id       policy.RequestID
 	node     *node
 	client   *clientRequest
 	deadline time.Duration
 	attempts []attempt
-	inFlight int  // attempts without an outcome
-	answered bool // the client got its answer
+	inFlight int  // number of attempts without an outcome
+	answered bool // the client got an answer
 	lost     bool // the node was killed
 }
 
-// attempt is one attempt of a request.
+// attempt is an attempt that a node made for a request.
 type attempt struct {
-	serverIndex int // -1: the node named an endpoint that there is not
+	serverIndex int // -1 if the decider picked an endpoint that does not exist
 	sentAt      time.Duration
-	reported    bool // the decider got its outcome
+	reported    bool // the decider got the outcome
 }
 
-// receive begins a client's try at the node.
+// receive starts a try of a client as a request at the node.
 func (n *node) receive(client *clientRequest) {
 	n.lease.requestCount++
 	deadline := n.scenario.Classes[client.class].Deadline
@@ -95,18 +95,18 @@
 	})
 }
 
-// RequestPoll implements policy.Host. It does nothing: lists are pushed here.
+// RequestPoll implements policy.Host. It does nothing, because the simulation pushes endpoint lists.
 func (n *node) RequestPoll() {}
 
-// answerByDecider gives the final answer that the decider chose.
+// answerByDecider gives the client the rejection or failure that the decider chose.
 func (n *node) answerByDecider(id policy.RequestID, rejected bool, retryAfter time.Duration) {
 	if r := n.requests[id]; r != nil && !r.answered {
 		n.answerError(r, rejected, retryAfter)
-		n.deferred = append(n.deferred, func() { n.forgetIfDone(r) })
+		n.deferred = append(n.deferred, func() { n.removeIfDone(r) })
 	}
 }
 
-// answerError gives the client a final answer that is no server's.
+// answerError gives the client an error as the final answer of the node, or lets the client retry.
 func (n *node) answerError(r *nodeRequest, rejected bool, retryAfter time.Duration) {
 	r.answered = true
 	client := r.client
@@ -127,7 +127,7 @@
 	}
 }
 
-// answerOK gives the client a server's answer, and counts its weight.
+// answerOK gives the client the answer from a server and counts the earned weight.
 func (n *node) answerOK(r *nodeRequest) {
 	r.answered = true
 	client := r.client
@@ -144,7 +144,7 @@
 	}
 }
 
-// reportOutcome reports how an attempt ended to the decider. It does nothing after the first report of an attempt.
+// reportOutcome reports the outcome of an attempt to the decider. It ignores all but the first outcome of an attempt.
 func (n *node) reportOutcome(r *nodeRequest, index int, status policy.Status) {
 	a := &r.attempts[index]
 	if a.reported || r.lost {
@@ -166,7 +166,7 @@
 		o.Endpoint = n.servers[a.serverIndex].id
 	}
 	n.callDecider(func() { n.decider.Outcome(n.now, o) })
-	n.forgetIfDone(r)
+	n.removeIfDone(r)
 }
 
 // expire ends a request at its deadline.
@@ -181,11 +181,11 @@
 		n.answerError(r, false, 0)
 		n.callDecider(func() { n.decider.ClientDisconnected(n.now, r.id) })
 	}
-	n.forgetIfDone(r)
+	n.removeIfDone(r)
 }
 
-// forgetIfDone forgets a request that is answered and has no attempt in flight.
-func (n *node) forgetIfDone(r *nodeRequest) {
+// removeIfDone removes a request that is answered and has no attempt in flight.
+func (n *node) removeIfDone(r *nodeRequest) {
 	if r.answered && r.inFlight == 0 {
 		delete(n.requests, r.id)
 	}
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -7,36 +7,37 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// tenth is the step of Result.WeightByTenth.
+// tenth is the time between two entries of Result.WeightByTenth.
 const tenth = 100 * time.Millisecond
 
 // Result is the result of a simulation.
 type Result struct {
 	Classes            []ClassResult
 	Attempts           int64
-	ExtraAttempts      int64 // retries and hedged requests
-	AttemptsAfterDrain int64 // sent more than 500 ms after the nodes got a server's drain
-	DuplicateEffects   int64 // requests that are not idempotent and had their effect twice
-	OverloadedServers  int64 // servers that were overloaded while they warmed up
-	ExtraAnswers       int64 // final answers after a request's first
+	ExtraAttempts      int64 // retries and hedged requests by nodes
+	AttemptsAfterDrain int64 // attempts sent more than 500 ms after the nodes were notified that the server drains
+	DuplicateEffects   int64 // requests that are not idempotent and were executed twice or more
+	OverloadedServers  int64 // times that a server was overloaded while warming up
+	ExtraAnswers       int64 // final answers after the first one to a request
 	Events             int64
-	MaxServerShare     float64 // attempts at the busiest server, over the mean of all
-	// ServiceBySecond is, for each second, the share of the weight requested in it that was earned at any time.
+	MaxServerShare     float64 // attempts at the busiest server, divided by the mean over all servers
+	// ServiceBySecond has, for each second, the share of the weight of the requests of that second that was earned, at
+	// whatever time. The share is 1 for a second without requests.
 	ServiceBySecond []float64
-	// WeightByTenth is the weight that was earned in each tenth of a second.
+	// WeightByTenth has the weight that was earned in each tenth of a second.
 	WeightByTenth []float64
 }
 
 // ClassResult counts the requests of a class.
 type ClassResult struct {
 	Requests        int64
-	WithinObjective int64 // answers within the latency objective
-	Late            int64 // answers after it
+	WithinObjective int64 // answers from servers within the latency objective
+	Late            int64 // answers from servers after the latency objective
 	Rejected        int64
 	Failed          int64
 	EarnedWeight    float64
 	RequestedWeight float64
-	// Latencies are of answers, in microseconds from the client's first try.
+	// Latencies are those of the answers from servers, in microseconds from the first try of the client.
 	Latencies *hdrhistogram.Histogram
 }
 
@@ -49,7 +50,7 @@
 	return r
 }
 
-// addOK counts a server's answer, and returns the weight that it earned.
+// addOK counts an answer from a server and returns the weight that the answer earned.
 func (r *ClassResult) addOK(c *Class, latency time.Duration) (earned float64) {
 	r.Latencies.RecordValue(max(1, latency.Microseconds()))
 	earned = c.PriorityWeight
@@ -63,26 +64,26 @@
 	return earned
 }
 
-// Service is the share of the requested weight that was earned.
+// Service returns the share of the requested weight that was earned.
 func (r *Result) Service() float64 {
 	earned, requested := 0.0, 0.0
 	for _, c := range r.Classes {
 		earned, requested = earned+c.EarnedWeight, requested+c.RequestedWeight
 	}
-	const least = 1e-9 // for a result without requests
-	return earned / max(requested, least)
+	const minRequested = 1e-9 // avoids a division by zero without requests
+	return earned / max(requested, minRequested)
 }
 
-// Violations returns the rules that were broken, each with its count.
+// Violations returns a description, with the count, of each rule that was violated.
 func (r *Result) Violations() (list []string) {
 	for _, v := range []struct {
 		count int64
 		what  string
 	}{
-		{r.AttemptsAfterDrain, "sends to drained servers"},
-		{r.DuplicateEffects, "effects that happened twice"},
-		{r.OverloadedServers, "cold servers pushed over"},
-		{r.ExtraAnswers, "answers beyond one"},
+		{r.AttemptsAfterDrain, "attempts sent to servers after their drain"},
+		{r.DuplicateEffects, "requests executed twice although not idempotent"},
+		{r.OverloadedServers, "overloads of servers that were warming up"},
+		{r.ExtraAnswers, "final answers after the first one"},
 	} {
 		if v.count > 0 {
 			list = append(list, fmt.Sprintf("%d %s", v.count, v.what))
--- a/internal/fleetsim/server.go
+++ b/internal/fleetsim/server.go
@@ -7,31 +7,31 @@
 	"yokestall/policy"
 )
 
-// noCompletion is the time of a completion that is not scheduled.
+// noCompletion is the value of fleetServer.nextCompletion if no completion is scheduled.
 const noCompletion = -1
 
-// fleetServer is a server's place in the fleet.
+// fleetServer is a modelled server together with its endpoint and its jobs in the fleet.
 type fleetServer struct {
 	*model.Server
 	id               policy.EndpointID
 	state            policy.EndpointState
-	startedAt        time.Duration // as in the endpoint list; 0: before the simulation
-	drainAnnouncedAt time.Duration // when the nodes got its drain in their lists; 0: they have not
-	nextCompletion   time.Duration // when its next completion is scheduled, or noCompletion
+	startedAt        time.Duration // start time in the endpoint list; 0 if the server started before the simulation
+	drainAnnouncedAt time.Duration // time at which the endpoint list announced the drain; 0 if it did not
+	nextCompletion   time.Duration // time of the next scheduled completion, or noCompletion
 	attempts         int64
-	workInTransit    time.Duration // of attempts that have not arrived
+	workInTransit    time.Duration // work of attempts that have not arrived yet
 	jobs             map[uint64]*delivery
 	lastJobID        uint64
 	buffersReplies   bool
 	bufferedReplies  []*delivery
 }
 
-// delivery is an attempt on its way to a server, in work there, or with a reply that is buffered.
+// delivery is an attempt that is in transit to a server, is being processed there or has a buffered reply.
 type delivery struct {
 	request  *nodeRequest
 	attempt  int
 	server   *fleetServer
-	endpoint policy.EndpointID // that the node sent to
+	endpoint policy.EndpointID // endpoint to which the node sent the attempt
 }
 
 func (s *simulation) addServer() {
@@ -45,7 +45,7 @@
 	})
 }
 
-// serverIndex returns the index of the server with an ID, or -1.
+// serverIndex returns the index of the server with the given endpoint ID, or -1 if there is none.
 func (s *simulation) serverIndex(id policy.EndpointID) int {
 	for i, m := range s.servers {
 		if m.id == id {
@@ -55,7 +55,7 @@
 	return -1
 }
 
-// endpointList returns the servers as nodes get them.
+// endpointList returns the endpoint list that nodes receive.
 func (s *simulation) endpointList() (entries []policy.Endpoint) {
 	for _, m := range s.servers {
 		if m.state != policy.Removed {
@@ -65,18 +65,18 @@
 	return entries
 }
 
-// arriveAtServer handles an attempt at its server.
+// arriveAtServer handles the arrival of an attempt at its server.
 func (s *simulation) arriveAtServer(d *delivery) {
 	m, client := d.server, d.request.client
 	m.workInTransit -= client.work
-	if d.endpoint != m.id { // replaced meanwhile
+	if d.endpoint != m.id { // the server was replaced while the attempt was in transit
 		s.sendReply(d, policy.ConnectFailed)
 		return
 	}
 	m.lastJobID++
 	job := model.Job{ID: m.lastJobID, Work: client.work, Key: client.idempotencyKey}
-	fate, lost := m.Arrive(s.now, job, s.rng)
-	switch fate {
+	outcome, lost := m.Arrive(s.now, job, s.rng)
+	switch outcome {
 	case model.Accepted:
 		m.jobs[job.ID] = d
 	case model.Rejected:
@@ -95,7 +95,7 @@
 	s.scheduleCompletion(m)
 }
 
-// resetConnections resets the connections of buffered replies and of jobs that a server lost.
+// resetConnections resets the connections of all buffered replies and of the lost jobs of a server.
 func (s *simulation) resetConnections(m *fleetServer, lost []model.Job) {
 	for _, d := range m.bufferedReplies {
 		s.sendReply(d, policy.Reset)
@@ -115,7 +115,7 @@
 	s.schedule(s.now+s.networkDelay(), func() { r.node.reportOutcome(r, index, status) })
 }
 
-// scheduleCompletion schedules the end of a server's next job, unless an earlier completion is scheduled.
+// scheduleCompletion schedules the next completion of a job at a server, unless an earlier completion is scheduled.
 func (s *simulation) scheduleCompletion(m *fleetServer) {
 	at, ok := m.NextCompletion()
 	if ok && (m.nextCompletion == noCompletion || at < m.nextCompletion) {
@@ -124,7 +124,7 @@
 	}
 }
 
-// completeJobs takes the jobs that have ended from a server, and sends or buffers their replies.
+// completeJobs removes the completed jobs from a server and sends or buffers their replies.
 func (s *simulation) completeJobs(m *fleetServer) {
 	m.nextCompletion = noCompletion
 	for {
@@ -155,8 +155,8 @@
 	}
 }
 
-// restartServer starts a server, which warms up. speed is its share of its kind's; 0: its kind
-// and ID stay as they are.
+// restartServer starts a server, which then warms up. speed is the new speed as a share of that of
+// Scenario.ServerKind; the server then gets a new endpoint ID. With speed 0, speed and ID stay as they are.
 func (s *simulation) restartServer(m *fleetServer, speed float64) {
 	if speed > 0 {
 		kind := s.scenario.ServerKind
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -9,7 +9,8 @@
 	"yokestall/policy"
 )
 
-// drainPeriod is how long after Scenario.Length the simulation goes on, beside the time that clients may take.
+// drainPeriod is the time for which the simulation continues after Scenario.Length, in addition to the longest time that
+// clients may need for their retries.
 const drainPeriod = time.Minute
 
 // simulation is the state of one run.
@@ -24,15 +25,15 @@
 	nodes          []*node
 	servers        []*fleetServer
 	lastEndpointID policy.EndpointID
-	leases         *ownership.Allocator // nil: there are no leases
+	leases         *ownership.Allocator // nil if there are no leases
 	result         *Result
-	weightBySecond []weight // by the time of the clients' first tries
+	weightBySecond []weight // indexed by the second in which the client sent its first try
 }
 
-// weight is the priority weight of requests, and what was earned of it.
+// weight is the sum of the priority weights of requests, and the part of that sum that was earned by answers.
 type weight struct{ earned, requested float64 }
 
-// Play simulates a scenario. Its errors are those of newDecider.
+// Play simulates a scenario. It fails only if newDecider fails.
 func Play(scenario *Scenario, seed uint64, newDecider DeciderFactory) (*Result, error) {
 	s := &simulation{
 		scenario:       scenario,
@@ -81,7 +82,8 @@
 	return nil
 }
 
-// run runs events until none is left. Deciders may set timers for ever, so that it ends at a time too.
+// run runs events until no event is left or the end time is reached. The end time is needed because deciders may set
+// timers indefinitely.
 func (s *simulation) run() {
 	longest := time.Duration(0)
 	for _, c := range s.scenario.Classes {
@@ -99,7 +101,7 @@
 	}
 }
 
-// finish sets the results that need the complete run.
+// finish computes the results that depend on the complete run.
 func (s *simulation) finish() {
 	total, most := int64(0), int64(0)
 	for _, m := range s.servers {
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -13,13 +13,13 @@
 
 const ms = time.Millisecond
 
-// randomScenario draws a scenario in which servers start and restart under a burst of load. Drawn are how unevenly the
-// nodes are used, the load, and how much a server bears while it warms up.
+// randomScenario returns a random scenario in which servers restart under a burst of load. The distribution of requests
+// over the nodes, the load and the capacity of a server that is warming up are random.
 func randomScenario(nodes int, seed uint64) *Scenario {
 	rng := rand.New(rand.NewPCG(seed, 48))
-	between := func(least, most float64) float64 { return least + (most-least)*rng.Float64() }
-	seconds := func(least, most float64) time.Duration {
-		return time.Duration(between(least, most) * float64(time.Second))
+	between := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
+	seconds := func(low, high float64) time.Duration {
+		return time.Duration(between(low, high) * float64(time.Second))
 	}
 	s := &Scenario{
 		Length:       11 * time.Second,
@@ -56,7 +56,7 @@
 	return s
 }
 
-// readAndPayClasses is nine reads to one payment, at a rate of all.
+// readAndPayClasses returns two classes with nine reads for each payment. rate is the total rate in requests per second.
 func readAndPayClasses(work time.Duration, rate float64) []Class {
 	read := policy.Class{
 		Deadline:         1400 * ms,
@@ -77,7 +77,8 @@
 	}
 }
 
-// randomRestarts draws how many servers are down for a time, while the others drain, and whether nodes restart too.
+// randomRestarts returns random faults: some servers are down and restart, the others drain, and in half of the cases
+// some nodes are killed and restart too.
 func randomRestarts(rng *rand.Rand, nodes, servers int) []Fault {
 	down := 1 + rng.IntN(servers)
 	faults := []Fault{{From: 2500 * ms, To: 3500 * ms, Last: down - 1, Down: true}}
@@ -91,8 +92,9 @@
 	return faults
 }
 
-// With twenty and with thirty nodes that are unevenly used, a server that warms up never gets more than the rule allows
-// from the nodes that have its start in their lists. Without a budget it does.
+// With 20 and with 30 nodes that get uneven shares of the requests, a server that is warming up must not get more work than
+// slowStartRule allows from the nodes that have its start in their endpoint lists. With round robin, which has no slow
+// start budget, servers get more than that, which shows that the test can detect a violation.
 func TestColdServersUnderManyNodes(t *testing.T) {
 	t.Parallel()
 	var seeds []uint64
@@ -100,7 +102,7 @@
 		seeds = append(seeds, seed)
 	}
 	if raceEnabled {
-		seeds = []uint64{18, 67, 186} // on which servers fall over without the nodes' budgets
+		seeds = []uint64{18, 67, 186} // seeds with which servers are overloaded if the nodes have no budgets
 	}
 	for _, nodes := range []int{20, 30} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -110,22 +112,22 @@
 	}
 	t.Run("without budget", func(t *testing.T) {
 		t.Parallel()
-		fell := 0
+		violations := 0
 		for seed := range uint64(4) {
 			scenario := randomScenario(20, seed)
 			rule := newSlowStartRule(scenario)
 			if _, err := Play(scenario, seed, rule.observe(Baselines["round robin"])); err != nil {
 				t.Fatal(err)
 			}
-			fell += len(rule.broken)
+			violations += len(rule.violations)
 		}
-		if fell == 0 {
-			t.Error("round robin overloads no server: the test proves nothing")
+		if violations == 0 {
+			t.Error("round robin overloaded no server: the test cannot detect a violation")
 		}
 	})
 }
 
-// checkSlowStarts checks the rule in a random scenario for each seed.
+// checkSlowStarts checks slowStartRule in a random scenario for each seed.
 func checkSlowStarts(t *testing.T, nodes int, seeds []uint64) {
 	const parallel = 2
 	var mu sync.Mutex
@@ -144,15 +146,15 @@
 			if err != nil {
 				t.Error(err)
 			}
-			for _, b := range rule.broken {
-				t.Errorf("seed %d: %s", seed, b)
+			for _, violation := range rule.violations {
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 			count, maxLoad = count+rule.count, max(maxLoad, rule.maxLoad)
 		})
 	}
 	all.Wait()
 	if count < len(seeds) {
-		t.Errorf("%d starts got requests in %d scenarios", count, len(seeds))
+		t.Errorf("got %d server starts with requests in %d scenarios, want at least as many starts as scenarios", count, len(seeds))
 	}
-	t.Logf("%d scenarios, %d starts; at most %.2f of what a server falls over at", len(seeds), count, maxLoad)
+	t.Logf("%d scenarios, %d server starts; maximum load %.2f of the load that overloads a server", len(seeds), count, maxLoad)
 }
--- a/internal/fleetsim/slowstartlease.go
+++ b/internal/fleetsim/slowstartlease.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	updatesPerRenewal = 4   // updates of a node's share for each lease request: leases end in between
-	demandSmoothing   = 0.5 // weight of the earlier demand in the moving average
+	updatesPerRenewal = 4   // updates of the share of a node for each lease request, because leases end in between
+	demandSmoothing   = 0.5 // weight of the previous demand in the moving average
 )
 
-// leaseClient is a node's side of the leases of slow start budgets.
+// leaseClient is the state of a node as a holder of slow start budget leases.
 type leaseClient struct {
 	holder            *ownership.Holder
-	requestCount      int64   // of clients, since the node's start
+	requestCount      int64   // requests from clients since the start of the node
 	requestsAtRenewal int64   // requestCount at the last lease request
 	demand            float64 // requests per second
-	updates           uint64  // of the node's share
+	updates           uint64  // number of updates of the share of the node
 }
 
 func (s *simulation) leaseConfig() ownership.LeaseConfig {
 	return ownership.LeaseConfig{ReleaseDuration: s.scenario.LeaseReleaseDuration, MaxClockDrift: 0.01}
 }
 
-// startLeases starts the leases of a node that has started.
+// startLeases starts the updates of the share and the lease requests of a node, if the scenario has leases.
 func (n *node) startLeases() {
 	if n.scenario.LeaseReleaseDuration > 0 {
 		n.lease = leaseClient{holder: ownership.NewHolder(n.now, n.leaseConfig())}
@@ -32,7 +32,7 @@
 	}
 }
 
-// updateShare sets the decider's share, and sends a lease request with each updatesPerRenewal-th update.
+// updateShare sets the slow start share of the decider and sends a lease request with every updatesPerRenewal-th update.
 func (n *node) updateShare() {
 	step := n.leaseConfig().RenewInterval() / updatesPerRenewal
 	ownShare := 1 / float64(n.scenario.Nodes)
@@ -48,7 +48,7 @@
 	}
 }
 
-// renewLease sends the allocator a lease request by the present demand.
+// renewLease sends the allocator a lease request based on the current demand.
 func (n *node) renewLease(ownShare float64) {
 	l := &n.lease
 	interval := n.leaseConfig().RenewInterval()
--- a/internal/fleetsim/slowstartrule_test.go
+++ b/internal/fleetsim/slowstartrule_test.go
@@ -8,16 +8,17 @@
 	"yokestall/policy"
 )
 
-// slowStartRule checks what servers that warm up get from all nodes together. With N requests of mean work allowed by
-// the settings in Rules.OverloadDuration, a server falls over at more than N + 2 x root of N + 2. The rule is broken at
-// a server's first fall of which over two thirds came from nodes that had its start in their lists.
+// slowStartRule checks the work that servers that are warming up get from all nodes together. If the settings allow N
+// requests of mean work in Rules.OverloadDuration, a server is overloaded by more than N + 2*sqrt(N) + 2. The rule is
+// violated if, at the first overload after a start, over two thirds of the work came from nodes that had this start in
+// their endpoint lists.
 type slowStartRule struct {
-	scenario *Scenario
-	meanWork float64 // seconds
-	starts   map[serverStart]*slowStartLoad
-	count    int     // starts that got requests while the server warmed up
-	maxLoad  float64 // of a server in Rules.OverloadDuration, as a share of what it falls over at
-	broken   []string
+	scenario   *Scenario
+	meanWork   float64 // seconds
+	starts     map[serverStart]*slowStartLoad
+	count      int     // number of starts after which the server got requests while warming up
+	maxLoad    float64 // maximum load in Rules.OverloadDuration, as a share of the load that overloads a server
+	violations []string
 }
 
 // serverStart is one start of a server.
@@ -26,16 +27,16 @@
 	at     time.Duration
 }
 
-// slowStartLoad is what a server got since one start.
+// slowStartLoad is the recent load on a server after a start.
 type slowStartLoad struct {
-	window []slowStartAttempt // of the last Rules.OverloadDuration
-	fell   bool
+	window     []slowStartAttempt // attempts in the last Rules.OverloadDuration
+	overloaded bool
 }
 
 type slowStartAttempt struct {
 	at       time.Duration
 	work     float64 // in requests of mean work
-	informed bool    // its node had the start in its list
+	informed bool    // the node had the start of the server in its endpoint list
 }
 
 func newSlowStartRule(scenario *Scenario) *slowStartRule {
@@ -47,15 +48,15 @@
 	return &slowStartRule{scenario: scenario, meanWork: work / rate, starts: map[serverStart]*slowStartLoad{}}
 }
 
-// allowed is how many requests of mean work the settings allow in Rules.OverloadDuration to a server with this share of
-// its capacity.
+// allowed returns the number of requests of mean work that the settings allow in Rules.OverloadDuration for a server with
+// this share of its capacity.
 func (r *slowStartRule) allowed(share float64) float64 {
 	k, rules := &r.scenario.ServerKind, &r.scenario.Settings.Rules
 	multiple, duration := rules.OverloadMultiple, rules.OverloadDuration.Seconds()
 	return multiple * float64(k.Cores) * k.Speed * share * duration / r.meanWork
 }
 
-// addAttempt checks an attempt that is sent to a server.
+// addAttempt adds an attempt that is sent to a server and checks the rule. It ignores servers that are not warming up.
 func (r *slowStartRule) addAttempt(now time.Duration, m *fleetServer, work time.Duration, informed bool) {
 	share := m.CapacityShare(now)
 	if !m.Running() || share >= 1 || m.startedAt == 0 {
@@ -76,18 +77,18 @@
 	if byInformed {
 		r.maxLoad = max(r.maxLoad, got/bound)
 	}
-	if got <= bound || load.fell {
+	if got <= bound || load.overloaded {
 		return
 	}
-	load.fell = true
+	load.overloaded = true
 	if byInformed {
-		r.broken = append(r.broken, fmt.Sprintf(
-			"server %d fell over %v after its start: %.1f requests, %.1f allowed, %.0f %% by nodes that had its start",
+		r.violations = append(r.violations, fmt.Sprintf(
+			"server %d was overloaded %v after its start: got %.1f requests, limit %.1f, %.0f %% from nodes that knew the start",
 			m.id, now-m.startedAt, got, bound, 100*fromInformed/got))
 	}
 }
 
-// add adds an attempt, and removes those that are older than a duration.
+// add adds an attempt and removes attempts that are older than the given duration.
 func (l *slowStartLoad) add(a slowStartAttempt, duration time.Duration) {
 	l.window = append(l.window, a)
 	for l.window[0].at <= a.at-duration {
@@ -95,7 +96,7 @@
 	}
 }
 
-// sum returns the work of all attempts, and that of informed nodes.
+// sum returns the work of all attempts and the work of the attempts from informed nodes.
 func (l *slowStartLoad) sum() (all, informed float64) {
 	for _, a := range l.window {
 		all += a.work
@@ -106,15 +107,15 @@
 	return all, informed
 }
 
-// observedDecider is a Decider, and the Host between it and its node, that shows a rule each attempt.
+// observedDecider wraps a Decider and the Host of its node, and passes each attempt to a rule.
 type observedDecider struct {
 	Decider
 	policy.Host
 	rule   *slowStartRule
-	starts map[policy.EndpointID]time.Duration // as in the node's list
+	starts map[policy.EndpointID]time.Duration // start times of the servers in the endpoint list of the node
 }
 
-// observe makes deciders whose attempts the rule checks.
+// observe returns a factory of deciders whose attempts the rule checks.
 func (r *slowStartRule) observe(newDecider DeciderFactory) DeciderFactory {
 	return func(set policy.Settings, seed uint64, host policy.Host) (Decider, error) {
 		d := &observedDecider{Host: host, rule: r, starts: map[policy.EndpointID]time.Duration{}}
