--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -154,7 +154,8 @@
 	}
 	all.Wait()
 	if count < len(seeds) {
-		t.Errorf("got %d server starts with requests in %d scenarios, want at least as many starts as scenarios", count, len(seeds))
+		t.Errorf("got %d server starts with requests in %d scenarios, want at least as many starts as scenarios",
+			count, len(seeds))
 	}
 	t.Logf("%d scenarios, %d server starts; maximum load %.2f of the load that overloads a server", len(seeds), count, maxLoad)
 }
--- a/internal/model/doc.go
+++ b/internal/model/doc.go
@@ -1,11 +1,11 @@
-// Package model models the servers and the clients of a fleet. It is pure: time, as an offset from any start, and
-// random numbers are passed in. A simulation drives it on virtual time; test doubles on sockets take their service
-// times from it.
+// Package model models the servers and the clients of a fleet. The package has no clock and no source of random numbers:
+// callers pass in the time, as an offset from an arbitrary start, and a random number generator. Simulations use the model
+// in virtual time. Test doubles on sockets take their service times from the model.
 //
-//   - spec.go: what a server is like, and what may be wrong with it
+//   - spec.go: the properties and the faults of a server
 //   - server.go: a server that accepts and serves jobs
-//   - forecast.go: what a server could do with a further job
-//   - jobs.go: jobs, their outcomes and the order in which they end
-//   - workmeter.go: the work that a server was sent of late
+//   - forecast.go: predictions of the wait of a further job and of free capacity
+//   - jobs.go: jobs, their outcomes and the order of their completions
+//   - workmeter.go: the work that a server was sent recently
 //   - workload.go: distributions, curves and arrivals
 package model
--- a/internal/model/forecast.go
+++ b/internal/model/forecast.go
@@ -3,13 +3,14 @@
 import "time"
 
 const (
-	// overloadMargin is the part of OverloadMultiple up to which HasCapacityFor sends work.
+	// overloadMargin is the share of OverloadMultiple up to which HasCapacityFor reports capacity.
 	overloadMargin = 0.9
-	// minOverloadSeconds replaces a shorter OverloadDuration, in seconds, as a divisor.
+	// minOverloadSeconds is the minimum OverloadDuration, in seconds, that is used as a divisor.
 	minOverloadSeconds = 1e-3
 )
 
-// ExpectedWait returns how long a job that arrived now would wait for a core, by the present jobs and speed.
+// ExpectedWait returns the expected time for which a job that arrived now would wait for a core. The prediction uses the
+// current jobs and the current speed.
 func (s *Server) ExpectedWait(now time.Duration) time.Duration {
 	k := s.spec
 	if len(s.serving) < k.Cores {
@@ -24,7 +25,7 @@
 	return max(0, s.serving[0].endsAt-now) + time.Duration(float64(queuedWork)*slowdown/capacity)
 }
 
-// HasCapacityFor reports whether the server could accept more work now without being overloaded.
+// HasCapacityFor reports whether the server can accept the given work now without being overloaded.
 func (s *Server) HasCapacityFor(now, work time.Duration) bool {
 	k := s.spec
 	if s.stopped || len(s.serving) >= k.Cores && s.queued() >= k.MaxQueued {
--- a/internal/model/jobs.go
+++ b/internal/model/jobs.go
@@ -5,31 +5,31 @@
 // Job is a request at a server.
 type Job struct {
 	ID   uint64
-	Work time.Duration // on one core of speed 1
-	Key  string        // by which a repeat is dropped; "": none
+	Work time.Duration // service time on one core of speed 1
+	Key  string        // key by which duplicates are detected; empty if the job has no key
 }
 
-// Outcome is what happens to a job on its arrival.
+// Outcome is the result of the arrival of a job.
 type Outcome uint8
 
-// The outcomes of an arrival.
+// Outcomes of an arrival.
 const (
 	Accepted    Outcome = iota
-	Rejected            // the queue is full; no effect
-	Failed              // an error at once; no effect
-	Duplicate           // its key was accepted before; it is answered without a further effect
+	Rejected            // the queue is full, and the job is not executed
+	Failed              // the job fails immediately and is not executed
+	Duplicate           // a job with the same key was accepted before; this job is answered but not executed
 	Unreachable         // the server is stopped
 	Overloaded          // the job overloads the server, which stops
 )
 
-// servedJob is a job that has a core.
+// servedJob is a job that is being served by a core.
 type servedJob struct {
 	Job
 	endsAt   time.Duration
-	sequence uint64 // orders jobs that end at the same time
+	sequence uint64 // order among jobs that end at the same time
 }
 
-// servedJobs is a heap, the first to end first.
+// servedJobs is a heap of jobs, with the job that ends first at the top.
 type servedJobs []servedJob
 
 // Len implements heap.Interface.
--- a/internal/model/server.go
+++ b/internal/model/server.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// longAgo is the start of a server that is warm from the beginning.
+	// longAgo is the start time of a server that is warm from the beginning.
 	longAgo time.Duration = math.MinInt64 / 2
-	// minCompaction is the least number of jobs taken from the queue before its memory is released.
+	// minCompaction is the number of jobs that must have been taken from the queue before their memory is released.
 	minCompaction = 64
 )
 
@@ -21,15 +21,15 @@
 	startedAt  time.Duration
 	stopped    bool
 	overloaded bool
-	sequence   uint64 // of the latest job that got a core
+	sequence   uint64 // sequence number of the latest job that got a core
 	serving    servedJobs
-	queue      []Job // jobs that wait, from queueHead on
+	queue      []Job // waiting jobs, beginning at index queueHead
 	queueHead  int
-	acceptedAt map[string]time.Duration // by key
+	acceptedAt map[string]time.Duration // time of acceptance by key of the job
 	recentWork workMeter                // work that arrived over OverloadDuration
 }
 
-// NewServer returns a server that is warm.
+// NewServer returns a running server that is warm.
 func NewServer(spec *ServerSpec) *Server {
 	return &Server{
 		spec: spec, startedAt: longAgo,
@@ -37,7 +37,7 @@
 	}
 }
 
-// Stop stops the server and returns the jobs that it loses.
+// Stop stops the server and returns the lost jobs, both served and waiting.
 func (s *Server) Stop() (lost []Job) {
 	for i := range s.serving {
 		lost = append(lost, s.serving[i].Job)
@@ -47,7 +47,7 @@
 	return lost
 }
 
-// Start starts the server at SlowStartMinCapacity.
+// Start starts the server, which begins to warm up at SlowStartMinCapacity.
 func (s *Server) Start(now time.Duration) {
 	s.stopped, s.overloaded, s.startedAt = false, false, now
 	clear(s.acceptedAt)
@@ -60,13 +60,13 @@
 // Running reports whether the server is not stopped.
 func (s *Server) Running() bool { return !s.stopped }
 
-// JobCount returns how many jobs are served or wait.
+// JobCount returns the number of jobs that are being served or waiting.
 func (s *Server) JobCount() int { return len(s.serving) + s.queued() }
 
-// queued returns how many jobs wait.
+// queued returns the number of waiting jobs.
 func (s *Server) queued() int { return len(s.queue) - s.queueHead }
 
-// CapacityShare returns the fraction of its speed that the server has.
+// CapacityShare returns the share of its full speed that the server has now, which is 1 unless it is warming up.
 func (s *Server) CapacityShare(now time.Duration) float64 {
 	k := s.spec
 	if k.SlowStartWindow <= 0 || s.startedAt == longAgo || now-s.startedAt >= k.SlowStartWindow {
@@ -75,7 +75,7 @@
 	return k.SlowStartMinCapacity + (1-k.SlowStartMinCapacity)*float64(now-s.startedAt)/float64(k.SlowStartWindow)
 }
 
-// Arrive has a job arrive. If it overloads the server, lost are the jobs that the server had.
+// Arrive handles the arrival of a job. If the job overloads the server, lost has the jobs that the server loses.
 func (s *Server) Arrive(now time.Duration, j Job, rng *rand.Rand) (outcome Outcome, lost []Job) {
 	if s.stopped {
 		return Unreachable, nil
@@ -105,7 +105,8 @@
 	return Accepted, nil
 }
 
-// exceedsOverloadMultiple reports whether the server was sent more work than it bears while it warms up.
+// exceedsOverloadMultiple reports whether the server, while warming up, was sent more than OverloadMultiple times its
+// capacity. It returns false during the first OverloadDuration after a start.
 func (s *Server) exceedsOverloadMultiple(now time.Duration) bool {
 	k := s.spec
 	share := s.CapacityShare(now)
@@ -116,10 +117,10 @@
 	return s.recentWork.rate(now) > k.OverloadMultiple*capacity
 }
 
-// deduplicates reports whether repeats of a job are dropped.
+// deduplicates reports whether the server drops duplicates of a job.
 func (s *Server) deduplicates(j Job) bool { return j.Key != "" && s.spec.DedupWindow > 0 }
 
-// isDuplicate reports whether a job repeats one that was accepted within DedupWindow.
+// isDuplicate reports whether a job with the same key was accepted within DedupWindow.
 func (s *Server) isDuplicate(now time.Duration, j Job) bool {
 	if !s.deduplicates(j) {
 		return false
@@ -128,7 +129,7 @@
 	return accepted && now-at < s.spec.DedupWindow
 }
 
-// serve gives a job a core.
+// serve starts the service of a job on a free core.
 func (s *Server) serve(now time.Duration, j Job) {
 	k := s.spec
 	duration := float64(j.Work) / (k.Speed * s.CapacityShare(now)) *
@@ -140,7 +141,7 @@
 	heap.Push(&s.serving, servedJob{j, now + max(1, time.Duration(duration)), s.sequence})
 }
 
-// NextCompletion returns when the next job's service ends; false if none is served.
+// NextCompletion returns the time at which the service of the next job ends, or false if no job is being served.
 func (s *Server) NextCompletion() (time.Duration, bool) {
 	if len(s.serving) == 0 {
 		return 0, false
@@ -148,8 +149,8 @@
 	return s.serving[0].endsAt, true
 }
 
-// PopCompleted removes and returns a job whose service has ended; false if there is none. The caller decides by
-// Fault.Unresponsive whether the job is answered.
+// PopCompleted removes and returns a job whose service has ended, or returns false if there is none. The caller must check
+// Fault.Unresponsive to decide whether to answer the job.
 func (s *Server) PopCompleted(now time.Duration) (Job, bool) {
 	if len(s.serving) == 0 || s.serving[0].endsAt > now {
 		return Job{}, false
--- a/internal/model/spec.go
+++ b/internal/model/spec.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// ServerSpec describes servers that are alike.
+// ServerSpec describes the properties that a group of servers has in common.
 type ServerSpec struct {
-	Cores     int     // jobs that are served at once, 1 or more
-	Speed     float64 // of a core, above 0; a job takes its work divided by this
-	MaxQueued int     // jobs that wait for a core; further ones are rejected
-	// SlowdownPerQueued is the fraction by which a job's service is longer for each job per core that waits when it
-	// begins.
+	Cores     int     // number of jobs served concurrently, at least 1
+	Speed     float64 // speed of a core, above 0; the service time of a job is its work divided by the speed
+	MaxQueued int     // maximum number of jobs waiting for a core; further jobs are rejected
+	// SlowdownPerQueued is the fraction by which the service time of a job increases for each waiting job per core. The
+	// waiting jobs are counted when the service begins.
 	SlowdownPerQueued float64
-	// A server starts with SlowStartMinCapacity of its speed, from above 0 to 1, which grows linearly to all of it over
-	// SlowStartWindow. If it is sent more than OverloadMultiple of its capacity, over OverloadDuration, meanwhile, it
-	// is overloaded: it loses its jobs and stops. An OverloadMultiple of 0 never overloads it.
+	// SlowStartMinCapacity is the share of its speed, above 0 and at most 1, with which a server starts. The share grows
+	// linearly to 1 over SlowStartWindow. If, while warming up, a server is sent more work than OverloadMultiple times its
+	// capacity, averaged over OverloadDuration, the server is overloaded: it loses its jobs and stops. With an
+	// OverloadMultiple of 0, a server is never overloaded.
 	SlowStartMinCapacity float64
 	SlowStartWindow      time.Duration
 	OverloadMultiple     float64
 	OverloadDuration     time.Duration
-	// DedupWindow is for how long a server drops jobs whose key it has accepted; 0: it drops none.
+	// DedupWindow is the time for which a server drops further jobs with a key that it has accepted. With 0, a server
+	// drops no jobs.
 	DedupWindow time.Duration
 }
 
-// Fault is what is wrong with a server for a time. The zero value is nothing.
+// Fault describes a temporary fault of a server. The zero value is no fault.
 type Fault struct {
-	Slowdown     float64 // the factor by which service takes longer; 0: 1
-	Unresponsive bool    // jobs are served, but not answered: the caller of PopCompleted sees to it
-	FailureRate  float64 // fraction of the jobs that fail at once, 0 to 1
+	Slowdown     float64 // factor by which the service time is multiplied; 0 means 1
+	Unresponsive bool    // jobs are served but not answered; the caller of PopCompleted must implement this
+	FailureRate  float64 // fraction of the jobs that fail immediately, 0 to 1
 }
--- a/internal/model/workload.go
+++ b/internal/model/workload.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// tailFactor is how much larger draws of a Spread's tail are.
+// tailFactor is the factor by which values in the tail of a Spread are multiplied.
 const tailFactor = 10
 
-// Spread is a distribution of factors: lognormal with a mean of 1, apart from its tail.
+// Spread is a distribution of random factors. It is lognormal with a mean of 1, not counting the tail.
 type Spread struct {
 	CV float64 // coefficient of variation
-	// TailProbability is the fraction of draws that are ten times as large.
+	// TailProbability is the fraction of factors that are multiplied by 10 (tailFactor).
 	TailProbability float64
-	// Exponential draws from an exponential distribution with a mean of 1 instead; the other fields don't count.
+	// Exponential selects an exponential distribution with a mean of 1. The other fields are then ignored.
 	Exponential bool
 }
 
-// Draw returns a factor.
+// Draw returns a random factor.
 func (s Spread) Draw(rng *rand.Rand) float64 {
 	if s.Exponential {
 		return rng.ExpFloat64()
 	}
-	variance := math.Log(1 + s.CV*s.CV) // of the factor's logarithm
+	variance := math.Log(1 + s.CV*s.CV) // variance of the logarithm of the factor
 	factor := math.Exp(rng.NormFloat64()*math.Sqrt(variance) - variance/2)
 	if s.TailProbability > 0 && rng.Float64() < s.TailProbability {
 		factor *= tailFactor
@@ -37,11 +37,11 @@
 	Value float64
 }
 
-// Curve is linear between its points, whose times increase. Before the first and after the last it is constant. An
-// empty one is 1.
+// Curve is a function of time that is linear between its points, whose times must increase. The curve is constant before
+// the first and after the last point. An empty curve has the value 1 everywhere.
 type Curve []Point
 
-// Value returns the curve's value at a time.
+// Value returns the value of the curve at the given time.
 func (c Curve) Value(at time.Duration) float64 {
 	if len(c) == 0 {
 		return 1
@@ -59,7 +59,7 @@
 	return c[len(c)-1].Value
 }
 
-// Max returns the curve's highest value.
+// Max returns the highest value of the curve.
 func (c Curve) Max() float64 {
 	if len(c) == 0 {
 		return 1
@@ -71,8 +71,9 @@
 	return highest
 }
 
-// NextArrival draws the next arrival of a Poisson process with a rate per second times the curve, by thinning (Lewis
-// and Shedler, 1979). It returns false if there is none before end.
+// NextArrival returns the random time of the next arrival in a Poisson process. The arrival rate, per second, is rate times
+// the value of the curve. NextArrival uses thinning (Lewis and Shedler, 1979). It returns false if there is no arrival
+// before end.
 func NextArrival(now, end time.Duration, rate float64, c Curve, rng *rand.Rand) (time.Duration, bool) {
 	highest := rate * c.Max()
 	if highest <= 0 {
--- a/internal/model/workload_test.go
+++ b/internal/model/workload_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Arrivals follow their curve: as many in each tenth as its integral, within 5 standard errors.
+// Arrivals must follow their curve. In each tenth of the period, the number of arrivals must match the integral of the
+// curve within 5 standard errors.
 func TestArrivals(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	c := Curve{{0, 1}, {50 * time.Second, 3}, {100 * time.Second, 0}}
@@ -19,7 +20,7 @@
 	for i, got := range count {
 		want := 1000 * c.Value(time.Duration(i)*10*time.Second+5*time.Second)
 		if math.Abs(got-want) > 5*math.Sqrt(want) {
-			t.Errorf("tenth %d: %v arrivals, want %v", i, got, want)
+			t.Errorf("tenth %d of the period: got %v arrivals, want %v", i, got, want)
 		}
 	}
 }
--- a/internal/model/workmeter.go
+++ b/internal/model/workmeter.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// meterParts is how many parts of its span a workMeter counts separately.
+// meterParts is the number of equal parts of the span for which a workMeter counts work separately.
 const meterParts = 10
 
-// workMeter sums work over the latest span, in parts of it.
+// workMeter sums the work of the most recent span. The span is a sliding window that advances in parts.
 type workMeter struct {
-	span  time.Duration // 0: nothing is ever dropped
+	span  time.Duration // length of the window; with 0, work is never removed
 	parts [meterParts]time.Duration
-	last  int64 // the number of the latest part; it is at last % meterParts
+	last  int64 // number of the latest part, which is stored at index last % meterParts
 }
 
-// advance clears the parts that are older than the span.
+// advance clears the parts that are older than the span and makes the current part the latest one.
 func (m *workMeter) advance(now time.Duration) {
 	if m.span <= 0 {
 		return
@@ -24,13 +24,13 @@
 	m.last = max(m.last, part)
 }
 
-// add adds work.
+// add adds work that arrives now.
 func (m *workMeter) add(now, work time.Duration) {
 	m.advance(now)
 	m.parts[m.last%meterParts] += work
 }
 
-// rate returns the work per time over the span, in cores of speed 1.
+// rate returns the work of the span divided by its length, as a number of cores of speed 1.
 func (m *workMeter) rate(now time.Duration) float64 {
 	m.advance(now)
 	sum := time.Duration(0)
