--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,8 +1,8 @@
-// Package loadgen sends requests at times that are fixed ahead, whatever the responses do (an open loop). A latency
-// counts from the time at which the request was due. So a server that stalls can't hide it by holding the generator
-// back (coordinated omission: Tene, 2013).
+// Package loadgen is an open-loop load generator. It sends requests at times that do not depend on the responses, and
+// measures the latency of a request from the time at which the request was due. A server that stalls therefore cannot hide
+// the stall by delaying the generator (coordinated omission; Tene, 2013).
 //
-// loadgen.go has the plan of a run and its report, run.go the run.
+// The file loadgen.go has the plan and the report of a run, and run.go the execution.
 package loadgen
 
 import (
@@ -15,17 +15,17 @@
 	"yokestall/internal/model"
 )
 
-// Stream is one class of arrivals.
+// Stream is a sequence of requests of one class.
 type Stream struct {
-	Rate         float64 // requests a second, before the curve
+	Rate         float64 // requests per second where the curve is 1
 	Curve        model.Curve
-	EvenlySpaced bool // else a Poisson process
-	// Do sends request n of the stream, which was to be sent at due, and returns when the request has ended.
+	EvenlySpaced bool // whether requests are evenly spaced; otherwise, they are a Poisson process
+	// Do sends request n of the stream, which is due at the time due, and returns when the request has ended.
 	Do func(ctx context.Context, n int, due time.Time)
 }
 
-// nextDue returns when the next request after one at a time is due, as offsets from the run's start. It returns false
-// if none is due before end.
+// nextDue returns the time at which the next request is due after a request at the time at. Times are offsets from the
+// start of the run. nextDue returns false if no further request is due before end.
 func (s *Stream) nextDue(at, end time.Duration, rng *rand.Rand) (time.Duration, bool) {
 	if !s.EvenlySpaced {
 		return model.NextArrival(at, end, s.Rate, s.Curve, rng)
@@ -42,27 +42,29 @@
 type Plan struct {
 	Duration time.Duration
 	Streams  []Stream
-	// MaxInFlight bounds the requests in flight. What is due beyond waits, and the wait counts as latency.
+	// MaxInFlight is the maximum number of requests in flight over all streams, at least 1. A request that is due while
+	// this many are in flight waits, and the wait counts as latency.
 	MaxInFlight int
 	Seed        uint64
-	// MaxLateness bounds the generator's own lateness at the 99th percentile, over the requests that found capacity at
-	// once. A run beyond is invalid.
+	// MaxLateness is the maximum 99th percentile of the lateness of the generator itself. The lateness is measured over
+	// the requests that did not wait because of MaxInFlight. A run with a larger lateness is invalid.
 	MaxLateness time.Duration
 }
 
-// Report is the result of a run. Histograms are in microseconds.
+// Report is the result of a run. All histograms are in microseconds.
 type Report struct {
-	Requests []int64 // sent, by stream
-	// LatencyFromDue is what clients would see, by stream.
+	Requests []int64 // number of sent requests, by stream
+	// LatencyFromDue is the latency from the due time, by stream. It is the latency that clients would see.
 	LatencyFromDue []*hdrhistogram.Histogram
-	// LatencyFromSend leaves out the wait for capacity, by stream: it is what a closed loop would measure.
+	// LatencyFromSend is the latency from the time of sending, by stream. It is the latency that a closed-loop generator
+	// would measure, because it leaves out the wait for capacity.
 	LatencyFromSend []*hdrhistogram.Histogram
-	Lateness        *hdrhistogram.Histogram // of the generator itself
-	Invalid         bool                    // the generator was late: see Plan.MaxLateness
+	Lateness        *hdrhistogram.Histogram // lateness of the generator itself
+	Invalid         bool                    // whether the generator was later than Plan.MaxLateness allows
 }
 
 const (
-	maxRecorded       = time.Hour // longer times are recorded as this
+	maxRecorded       = time.Hour // longer times are recorded as maxRecorded
 	significantDigits = 3
 )
 
@@ -79,7 +81,7 @@
 	return hdrhistogram.New(1, maxRecorded.Microseconds(), significantDigits)
 }
 
-// record adds a time to a histogram.
+// record adds a duration to a histogram, rounded up to 1 µs and limited to maxRecorded.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	h.RecordValue(min(max(1, d.Microseconds()), maxRecorded.Microseconds()))
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// latenessQuantile is the percentile of the generator's lateness that Plan.MaxLateness bounds.
+// latenessQuantile is the percentile of the lateness of the generator that Plan.MaxLateness limits.
 const latenessQuantile = 99
 
-// Run runs a plan until its end, or until ctx ends. When it returns, all its requests have ended.
+// Run runs a plan until its end or until ctx ends. When Run returns, all requests have ended.
 func Run(ctx context.Context, p Plan) *Report {
 	r := &run{
 		plan: p, slots: make(chan struct{}, p.MaxInFlight),
@@ -26,17 +26,17 @@
 	return r.report
 }
 
-// run is a plan in execution.
+// run is the state of the execution of a plan.
 type run struct {
 	plan  Plan
-	slots chan struct{} // one for each request in flight
+	slots chan struct{} // has an element for each request in flight
 	began time.Time
 
 	mu     sync.Mutex
-	report *Report // mu guards its contents
+	report *Report // mu guards the contents of the report
 }
 
-// runStream sends a stream's requests, and returns when all of them have ended.
+// runStream sends the requests of a stream and returns when all of them have ended.
 func (r *run) runStream(ctx context.Context, index int) {
 	s := &r.plan.Streams[index]
 	rng := rand.New(rand.NewPCG(r.plan.Seed, uint64(index)))
@@ -64,7 +64,7 @@
 	}
 }
 
-// waitUntil waits until a time, and returns false if ctx has ended before.
+// waitUntil waits until the given time. It returns false if ctx ends before.
 func waitUntil(ctx context.Context, until time.Time, timer *time.Timer) bool {
 	wait := time.Until(until)
 	if wait <= 0 {
@@ -79,8 +79,8 @@
 	}
 }
 
-// acquireSlot waits until another request may be in flight. It returns whether it had to wait, and false if ctx has
-// ended before.
+// acquireSlot waits until another request may be in flight. waited reports whether acquireSlot had to wait. ok is false if
+// ctx ended before.
 func (r *run) acquireSlot(ctx context.Context) (waited, ok bool) {
 	select {
 	case r.slots <- struct{}{}:
@@ -95,7 +95,7 @@
 	}
 }
 
-// countSent counts a request, and the generator's lateness unless the request waited for those in flight.
+// countSent counts a sent request. It records the lateness of the generator unless the request waited for a slot.
 func (r *run) countSent(stream int, lateness time.Duration, waited bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
