--- a/internal/compare/load_test.go
+++ b/internal/compare/load_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// sizeHeader names the header with the size of the response's body that a request asks for, in bytes.
+// sizeHeader is the name of the request header with the requested size of the response body in bytes.
 const sizeHeader = "X-Size"
 
-// serveSize responds with a body of the size that the request asks for.
+// serveSize responds with a body of the size in the request header sizeHeader.
 func serveSize(w http.ResponseWriter, r *http.Request) {
 	size, _ := strconv.Atoi(r.Header.Get(sizeHeader))
 	w.Header().Set("Content-Length", strconv.Itoa(size))
@@ -28,18 +28,18 @@
 	}
 }
 
-// bodyBlock is what bodies consist of.
+// bodyBlock is the block of bytes that response bodies repeat.
 var bodyBlock = make([]byte, copyBuffer)
 
-// load is a load on a proxy.
+// load describes a load on a proxy.
 type load struct {
-	size     int // of responses' bodies, in bytes
-	clients  int // that send one request after another
-	requests int // of all clients together
+	size     int // size of each response body in bytes
+	clients  int // number of concurrent clients; each sends one request after another
+	requests int // total number of requests of all clients
 }
 
-// run puts the load on the proxy at an address, and returns responses a second and the 99th percentile of their times.
-// A failed request fails the test.
+// run sends the load to the proxy at an address. It returns the responses per second and the 99th percentile of the
+// latency. A failed request fails the test.
 func (l load) run(tb testing.TB, s *setup, addr string) (perSecond float64, p99 time.Duration) {
 	transport := s.newTransport()
 	defer transport.CloseIdleConnections()
@@ -69,7 +69,7 @@
 	return float64(len(times)) / time.Since(began).Seconds(), times[len(times)*99/100]
 }
 
-// get requests a body of a size and checks the response.
+// get requests a body of the given size in bytes and checks the status and the size of the response.
 func get(transport *http.Transport, target string, size int) error {
 	r, err := http.NewRequest(http.MethodGet, target, nil)
 	if err != nil {
@@ -83,7 +83,8 @@
 	defer resp.Body.Close()
 	received, err := io.Copy(io.Discard, resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK || received != int64(size) {
-		return fmt.Errorf("status %d, %d bytes, %v", resp.StatusCode, received, err)
+		return fmt.Errorf("got status %d, a body of %d bytes and error %v, want status 200 and a body of the requested size",
+			resp.StatusCode, received, err)
 	}
 	return nil
 }
--- a/internal/compare/proxies_test.go
+++ b/internal/compare/proxies_test.go
@@ -1,10 +1,10 @@
-// Package compare has the benchmarks that compare the program's HTTP listener with other proxies, on the same servers
-// and the same load.
+// Package compare has benchmarks that compare the HTTP listener of the load balancer with other proxies, with the same
+// servers and the same load.
 //
-//   - proxies_test.go: the program, net/http's reverse proxy and a TCP relay, with clients and servers that cost little
-//   - rawserver_test.go, rawclient_test.go, relay_test.go: those servers and clients, and the relay
-//   - sides_test.go: the program and the reverse proxy over each HTTP version, with and without TLS
-//   - setup_test.go: their start in one configuration; load_test.go: the load on them
+//   - proxies_test.go: benchmark of the load balancer, httputil.ReverseProxy and a TCP relay, with cheap clients and servers
+//   - rawserver_test.go, rawclient_test.go, relay_test.go: the cheap servers and clients, and the TCP relay
+//   - sides_test.go: benchmark of the load balancer and the reverse proxy over each HTTP version, with and without TLS
+//   - setup_test.go: start of servers and proxies; load_test.go: the load for sides_test.go
 package compare
 
 import (
@@ -16,14 +16,14 @@
 	"time"
 )
 
-// rawServers is how many servers are behind each proxy of BenchmarkProxies.
+// rawServers is the number of servers behind each proxy in BenchmarkProxies.
 const rawServers = 4
 
-// warmUpRequests is how many requests each connection sends before the measurement, so that connections are open and
-// the program has its estimates.
+// warmUpRequests is the mean number of requests that each connection sends before the measurement, so that connections are
+// open and the load balancer has its latency estimates.
 const warmUpRequests = 20
 
-// proxies are the proxies that are compared. start returns the address of one in front of servers.
+// proxies are the compared proxies. The function start starts a proxy in front of servers and returns its address.
 var proxies = []struct {
 	name  string
 	start func(tb testing.TB, addrs []string) string
@@ -33,8 +33,8 @@
 	{"relay", startRelay},
 }
 
-// BenchmarkProxies reports requests a second, and the median and the 99th percentile of their times, by connections.
-// Load, proxy and servers share the cores: compare figures within one run only.
+// BenchmarkProxies reports the requests per second and the median and 99th percentile of the latency, by proxy and number
+// of connections. Clients, proxy and servers share the CPU cores, so only figures of the same run can be compared.
 func BenchmarkProxies(b *testing.B) {
 	for _, conns := range []int{1, 16, 128} {
 		for _, proxy := range proxies {
@@ -49,7 +49,7 @@
 	}
 }
 
-// benchmarkProxy measures the proxy at an address over so many connections.
+// benchmarkProxy measures the proxy at an address with the given number of connections.
 func benchmarkProxy(b *testing.B, addr string, conns int) {
 	var clients []*rawClient
 	for range conns {
@@ -63,7 +63,7 @@
 	times, failed := sendAll(b, clients, addr, int64(b.N))
 	b.StopTimer()
 	if failed > 0 {
-		b.Logf("%d of %d failed", failed, b.N)
+		b.Logf("%d of %d requests failed", failed, b.N)
 	}
 	slices.Sort(times)
 	quantileUs := func(q float64) float64 {
@@ -74,12 +74,12 @@
 	b.ReportMetric(quantileUs(0.99), "p99-us")
 }
 
-// sendAll sends n requests over the clients' connections, and returns their times and how many failed. After a failure
-// the client has a new connection.
+// sendAll sends n requests over the connections of the clients. It returns the latencies and the number of failed requests.
+// A client opens a new connection after a failure.
 func sendAll(tb testing.TB, clients []*rawClient, addr string, n int64) (times []time.Duration, failed int) {
 	var remaining atomic.Int64
 	remaining.Store(n)
-	var mu sync.Mutex // guards the results
+	var mu sync.Mutex // guards times and failed
 	var running sync.WaitGroup
 	for _, c := range clients {
 		running.Go(func() {
@@ -103,14 +103,14 @@
 	return times, failed
 }
 
-// All proxies carry the same requests to the same answers.
+// All proxies must forward the requests of the benchmark and return the answers of the servers.
 func TestSameAnswers(t *testing.T) {
 	addrs := []string{startRawServer(t), startRawServer(t)}
 	for _, proxy := range proxies {
 		c := dialRaw(t, proxy.start(t, addrs))
 		for range 20 {
 			if err := c.send(); err != nil {
-				t.Errorf("%s: %v", proxy.name, err)
+				t.Errorf("request through proxy %s failed: %v", proxy.name, err)
 				break
 			}
 		}
--- a/internal/compare/rawclient_test.go
+++ b/internal/compare/rawclient_test.go
@@ -25,7 +25,7 @@
 	return &rawClient{conn, bufio.NewReader(conn)}
 }
 
-// send sends a request and reads its response, which must be a raw server's.
+// send sends a request and reads the response, which must have status 200 and the length of the response of a raw server.
 func (c *rawClient) send() error {
 	if _, err := c.Write(rawRequest); err != nil {
 		return err
@@ -35,7 +35,7 @@
 		return err
 	}
 	if !bytes.HasPrefix(line, []byte("HTTP/1.1 200")) {
-		return fmt.Errorf("answer %q", line)
+		return fmt.Errorf("got status line %q, want status 200", line)
 	}
 	if err := skipHead(c.in); err != nil {
 		return err
--- a/internal/compare/rawserver_test.go
+++ b/internal/compare/rawserver_test.go
@@ -10,13 +10,13 @@
 	"yokestall/internal/testutil"
 )
 
-// responseBody is how long the body of a raw server's response is, in bytes.
+// responseBody is the size in bytes of the response body of a raw server.
 const responseBody = 256
 
 const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 256\r\n\r\n"
 
-// startRawServer starts a server that costs as little as possible: it answers each request's head with the same bytes.
-// It returns its address.
+// startRawServer starts a server that uses as little CPU time as possible and returns its address. The server answers each
+// request head with the same bytes.
 func startRawServer(tb testing.TB) string {
 	l := testutil.Listen(tb)
 	var conns sync.Map
@@ -45,7 +45,7 @@
 	return l.Addr().String()
 }
 
-// serveRaw answers each head on a connection until it ends.
+// serveRaw answers each request head on a connection until the connection ends.
 func serveRaw(conn net.Conn, response []byte) {
 	in := bufio.NewReader(conn)
 	for {
@@ -58,7 +58,7 @@
 	}
 }
 
-// skipHead reads up to the empty line that ends a head.
+// skipHead reads a message head up to and including the empty line at its end.
 func skipHead(in *bufio.Reader) error {
 	for {
 		line, err := in.ReadSlice('\n')
--- a/internal/compare/relay_test.go
+++ b/internal/compare/relay_test.go
@@ -7,10 +7,11 @@
 	"yokestall/internal/testutil"
 )
 
-// relayBufferBytes is the size of a relay's buffer for each direction of a connection.
+// relayBufferBytes is the size of the buffer of the relay for each direction of a connection.
 const relayBufferBytes = 4 << 10
 
-// startRelay starts a proxy that copies bytes without reading HTTP: the least that a proxy can cost.
+// startRelay starts a TCP proxy that copies bytes without parsing HTTP, and returns its address. The costs of the relay are
+// a lower bound for the costs of a proxy.
 func startRelay(tb testing.TB, addrs []string) string {
 	l := testutil.Listen(tb)
 	go func() {
@@ -31,8 +32,8 @@
 	return l.Addr().String()
 }
 
-// relay copies until either connection ends, and closes both. It doesn't use io.Copy, which would splice in the kernel
-// without reading.
+// relay copies bytes until either connection ends, and closes both. It does not use io.Copy, because that would splice the
+// data in the kernel without reading it.
 func relay(to, from net.Conn) {
 	defer to.Close()
 	defer from.Close()
--- a/internal/compare/setup_test.go
+++ b/internal/compare/setup_test.go
@@ -21,7 +21,7 @@
 	"yokestall/internal/tlskeys"
 )
 
-// The limits of both proxies, large enough not to count.
+// Limits and buffer sizes of both proxies. The limits are large enough not to affect the results.
 const (
 	maxIdleConns        = 4096
 	maxIdleConnsPerHost = 1024
@@ -33,8 +33,8 @@
 // tlsServerName is the name in the certificate of all servers and proxies.
 const tlsServerName = "side.test"
 
-// setup is the HTTP version of both sides of a proxy, and whether they use TLS. The zero value is HTTP/1.1 in clear
-// text.
+// setup holds the HTTP version that a proxy uses with clients and servers, and whether these connections use TLS. The zero
+// value is HTTP/1.1 without TLS.
 type setup struct {
 	webpeer.Protocol
 	keys      *tlskeys.Store
@@ -97,7 +97,7 @@
 cluster = "c"
 `
 
-// startProgram starts the program in front of servers and returns its address.
+// startProgram starts the load balancer in front of servers and returns its address.
 func (s *setup) startProgram(tb testing.TB, addrs []string) string {
 	program, err := config.ParseProgram("compare.toml", []byte(programSettings))
 	if err != nil {
@@ -123,7 +123,7 @@
 	return l.Addr().String()
 }
 
-// cluster returns a cluster of servers.
+// cluster returns the configuration of a cluster of servers.
 func (s *setup) cluster(name string, addrs []string) *cluster.Config {
 	c := &cluster.Config{Name: name, ShrinkTo: cluster.ShrinkUnspecified}
 	c.Transport.HTTP2 = s.HTTP2
@@ -136,7 +136,7 @@
 	return c
 }
 
-// startReverseProxy starts net/http's reverse proxy in front of servers and returns its address.
+// startReverseProxy starts an httputil.ReverseProxy in front of servers and returns its address.
 func (s *setup) startReverseProxy(tb testing.TB, addrs []string) string {
 	var next atomic.Uint32
 	transport := s.newTransport()
@@ -150,7 +150,7 @@
 	})
 }
 
-// bufferPool is the reverse proxy's pool of buffers.
+// bufferPool is the buffer pool of the reverse proxy.
 type bufferPool struct{ pool sync.Pool }
 
 // Get implements httputil.BufferPool.
--- a/internal/compare/sides_test.go
+++ b/internal/compare/sides_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// sideServers is how many servers are behind both proxies of BenchmarkSides.
+	// sideServers is the number of servers behind both proxies in BenchmarkSides.
 	sideServers = 2
-	// sideRuns is how often each of them has the load, in turns, whatever b.N. The median is reported.
+	// sideRuns is the number of times that the load is sent to each proxy, in turn. It does not depend on b.N.
 	sideRuns = 5
 )
 
-// BenchmarkSides compares the program with the reverse proxy, in turns within one run, over each HTTP version with and
-// without TLS. Its figures are ratios of the program's to the reverse proxy's: above 1 is better for the rate, below 1
-// for the 99th percentile.
+// BenchmarkSides compares the load balancer with the reverse proxy over each HTTP version, with and without TLS. Both get
+// the load in turn within one run. The reported metrics are the medians, and for the rate also the extremes, of the ratios
+// of the load balancer to the reverse proxy. A ratio above 1 is better for the rate, and below 1 for the 99th percentile.
 func BenchmarkSides(b *testing.B) {
 	authority, err := keymaker.New("test")
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// benchmarkSides compares the two proxies under a load.
+// benchmarkSides compares the load balancer and the reverse proxy under a load.
 func benchmarkSides(b *testing.B, s *setup, l load) {
 	var addrs []string
 	for range sideServers {
