--- a/internal/demo/clients.go
+++ b/internal/demo/clients.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// clientTimeout is how long a client waits for an answer, as it tells the program.
+	// clientTimeout is the timeout that a client sends with its requests. Later answers count as late.
 	clientTimeout = 1500 * time.Millisecond
-	// clientPause is between an answer and the client's next request.
+	// clientPause is the time between an answer and the next request of the client.
 	clientPause = 10 * time.Millisecond
 )
 
-// Of each requestCycle requests of a client, the one with the number bookingNumber is a booking and the one with
-// paymentNumber a payment. The others are reads.
+// Sequence of requests of a client. Of each requestCycle requests, number bookingNumber is a booking, number paymentNumber
+// is a payment, and the others are reads.
 const (
 	requestCycle  = 4
 	bookingNumber = 1
 	paymentNumber = 3
 )
 
-// idFormat is the format of a request's id: the client and the number of its request.
+// idFormat is the format of request IDs. It contains the number of the client and the number of the request.
 const idFormat = "demo-%d-%d"
 
 // counters count requests and their final answers.
@@ -53,7 +53,7 @@
 	}
 }
 
-// newRequest returns request n of a client.
+// newRequest returns the request with number n of a client.
 func (d *demo) newRequest(client, n int) (*http.Request, error) {
 	method, path, body := http.MethodGet, "/hotels/7/rooms", ""
 	switch n % requestCycle {
@@ -75,7 +75,7 @@
 	return r, nil
 }
 
-// isPayment reports whether an id is a payment's.
+// isPayment reports whether a request ID is that of a payment.
 func isPayment(id string) bool {
 	var client, n int
 	_, err := fmt.Sscanf(id, idFormat, &client, &n)
--- a/internal/demo/endpointlist.go
+++ b/internal/demo/endpointlist.go
@@ -17,13 +17,13 @@
 	"yokestall/internal/xds/xdsfile"
 )
 
-// healthDraining is the health of an endpoint that drains, in a cluster file.
+// healthDraining is the value of health for a draining endpoint in a cluster file.
 const healthDraining = "draining"
 
-// writeEndpoints gives the program a version of the endpoint list, by its cluster file or by the control plane. health
-// is by endpoint name; those that are not in it are healthy.
+// writeEndpoints gives the load balancer a new version of the endpoint list, by its cluster file or by the control plane.
+// health has the health of endpoints by name. Endpoints that are not in health are healthy.
 func (d *demo) writeEndpoints(health map[string]string) error {
-	for len(d.versions) > 0 { // the next signal may be this version's
+	for len(d.versions) > 0 { // removes signals of earlier versions
 		<-d.versions
 	}
 	if d.plane != nil {
@@ -51,7 +51,7 @@
 	return os.Rename(name+".new", name)
 }
 
-// publishXDS has the control plane send the example set with the demo's endpoints in it.
+// publishXDS makes the control plane send the example xDS resources with the endpoints of the demo.
 func (d *demo) publishXDS(health map[string]string) error {
 	names, err := fs.Glob(deploy.XDS, "xds/*.yaml")
 	if err != nil {
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// placeEndpoints replaces the example's endpoints by the demo's, by their ids. It returns an error unless all of the
-// demo's endpoints have a place.
+// placeEndpoints replaces the addresses and the health of the example endpoints by those of the demo endpoints with the
+// same IDs. It returns an error if a demo endpoint is not in the example.
 func (d *demo) placeEndpoints(a *endpointv3.ClusterLoadAssignment, health map[string]string) error {
 	placed := 0
 	for _, locality := range a.Endpoints {
@@ -101,12 +101,12 @@
 		}
 	}
 	if placed != len(d.endpoints) {
-		return fmt.Errorf("has places for %d of %d boxes", placed, len(d.endpoints))
+		return fmt.Errorf("example lists only %d of the %d endpoints of the demo", placed, len(d.endpoints))
 	}
 	return nil
 }
 
-// endpointNamed returns the endpoint with a name, nil if there is none.
+// endpointNamed returns the endpoint with the given name, or nil if there is none.
 func (d *demo) endpointNamed(name string) *appbox.Server {
 	for _, e := range d.endpoints {
 		if e.Name == name {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// setAddress sets an endpoint's address, host:port.
+// setAddress sets the address of an endpoint. The address has the form host:port.
 func setAddress(e *endpointv3.LbEndpoint, address string) error {
 	host, text, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -26,23 +26,23 @@
 const (
 	fleetNodes  = 5
 	fleetVoters = 3
-	// fleetTimeout bounds the wait for each step's effect.
+	// fleetTimeout is the maximum wait for the effect of each step.
 	fleetTimeout = 10 * time.Second
-	// fleetPollInterval is between two looks at the nodes.
+	// fleetPollInterval is the time between two checks of the state of the nodes.
 	fleetPollInterval = 20 * time.Millisecond
-	// maxClockDrift is the fraction by which the nodes' clocks may differ in speed.
+	// maxClockDrift is the maximum fraction by which the speeds of the clocks of the nodes may differ.
 	maxClockDrift = 0.05
 	applyTimeout  = 50 * time.Millisecond
 )
 
-// The indexes of the node that is cut off, and of one that doesn't vote either but is not cut off.
+// Indexes of the node that is partitioned from the others, and of a node that stays connected. Neither is a voter.
 const (
-	cutOffNode    = 4
-	connectedNode = 3
+	partitionedNode = 4
+	connectedNode   = 3
 )
 
-// Fleet shows five nodes, three of which vote, that agree on versions while one of them is cut off. It returns what
-// did not come out as it should.
+// Fleet shows how five nodes, three of which are voters, agree on versions while one node is partitioned from the others.
+// violations describes each step that did not have the expected effect.
 func Fleet(ctx context.Context, o FleetOptions) (violations []string, err error) {
 	dir, err := os.MkdirTemp("", "yokestall-demo-")
 	if err != nil {
@@ -56,21 +56,21 @@
 	if err := d.start(dir, leases); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(o.Out, "five nodes; a, b and c vote; a lease lasts %v, "+
-		"so a version that contradicts is in force after %v at the latest\n\n",
+	fmt.Fprintf(o.Out, "five nodes, of which a, b and c are voters; the lease duration is %v, "+
+		"so a contradicting version is in force after at most %v\n\n",
 		leases.Duration, leases.ActivationBound().Round(time.Millisecond))
 	d.run()
 	return d.violations, nil
 }
 
-// fleetDemo is a run of the demo.
+// fleetDemo is the state of a run of the fleet demo.
 type fleetDemo struct {
-	ctx        context.Context // of the run
+	ctx        context.Context // context of the run
 	stop       func()          // ends ctx
-	running    sync.WaitGroup  // the nodes
+	running    sync.WaitGroup  // goroutines of the nodes
 	out        io.Writer
 	nodes      []*fleetNode
-	client     *agent.Client // nil before start has created it
+	client     *agent.Client // nil until start has created the client
 	violations []string
 }
 
@@ -93,7 +93,7 @@
 	return err
 }
 
-// listen creates the nodes, and listeners for those that vote.
+// listen creates the nodes and the listeners of the voters.
 func (d *fleetDemo) listen() (voters []agent.VoterAddress, err error) {
 	for i := range fleetNodes {
 		n := &fleetNode{name: string(rune('a' + i))}
@@ -109,7 +109,7 @@
 	return voters, nil
 }
 
-// close ends what start has started.
+// close stops the client and the nodes that start has started.
 func (d *fleetDemo) close() (err error) {
 	if d.client != nil {
 		d.client.Close()
@@ -122,32 +122,32 @@
 	return err
 }
 
-// run publishes versions and shows which node acts on which, before, while and after one of them is cut off.
+// run publishes versions and shows which node uses which version before, during and after the partition of a node.
 func (d *fleetDemo) run() {
-	d.publish("keys are dropped for 6 s", "6s")
+	d.publish("deduplication window of 6 s", "6s")
 	d.awaitAll("6s")
-	d.publish("keys are dropped for 2 s: "+
-		"nodes that still count on 6 s would send again what the servers have forgotten", "2s")
+	d.publish("deduplication window of 2 s: "+
+		"nodes that still use 6 s could retry requests that servers no longer recognize as duplicates", "2s")
 	d.awaitAll("2s")
-	fmt.Fprintln(d.out, "\ne is cut off from all others")
-	d.nodes[cutOffNode].setLinks(fleet.Link{DropInbound: true, DropOutbound: true})
-	d.publish("keys are dropped for 9 s; e hears nothing of it", "9s")
-	d.awaitNode(cutOffNode,
-		"e is alone: it refuses what carries keys, since their window may have changed", keyedRefused)
-	d.awaitNode(connectedNode, "d, which is not cut off, acts on the new one", "9s")
-	fmt.Fprintln(d.out, "\nthe link is back")
-	d.nodes[cutOffNode].setLinks(fleet.Link{})
+	fmt.Fprintln(d.out, "\ne is partitioned from all other nodes")
+	d.nodes[partitionedNode].setLinks(fleet.Link{DropInbound: true, DropOutbound: true})
+	d.publish("deduplication window of 9 s, which e does not receive", "9s")
+	d.awaitNode(partitionedNode,
+		"e is disconnected and rejects requests with idempotency keys, since the window may have changed", keyedRefused)
+	d.awaitNode(connectedNode, "d, which is connected, uses the new version", "9s")
+	fmt.Fprintln(d.out, "\nthe partition is healed")
+	d.nodes[partitionedNode].setLinks(fleet.Link{})
 	d.awaitAll("9s")
 }
 
-// violation adds and prints what did not come out as it should.
-func (d *fleetDemo) violation(format string, args ...any) {
+// addViolation adds and prints a violation: a step that did not have the expected effect.
+func (d *fleetDemo) addViolation(format string, args ...any) {
 	v := fmt.Sprintf(format, args...)
 	d.violations = append(d.violations, v)
-	fmt.Fprintln(d.out, "NOT SO:", v)
+	fmt.Fprintln(d.out, "VIOLATION:", v)
 }
 
-// versionFiles returns the files of a version with a deduplication window.
+// versionFiles returns the files of a version with the given deduplication window.
 func versionFiles(window string) []config.File {
 	program := "[listen]\naddress = \"127.0.0.1:0\"\n[files]\nclusters = \"c\"\n[fleet]\nnodes = 5\n" +
 		"[[class]]\nname = \"push\"\neffect = \"keyed\"\nscope = \"all\"\nwindow = \"" + window + "\"\n" +
@@ -159,14 +159,14 @@
 	}
 }
 
-// publish publishes a version with a deduplication window, and prints how long it took to be in force.
+// publish publishes a version with the given deduplication window and prints the time until the version is in force.
 func (d *fleetDemo) publish(description, window string) {
 	ctx, stop := context.WithTimeout(d.ctx, fleetTimeout)
 	defer stop()
 	began, id := time.Now(), agent.NewID()
 	number, ok := d.propose(ctx, id, versionFiles(window))
 	if !ok {
-		d.violation("%s: not in force", description)
+		d.addViolation("version not in force: %s", description)
 		return
 	}
 	waited := ""
@@ -176,14 +176,14 @@
 		}
 	})
 	if err != nil || !outcome.InForce {
-		d.violation("%s: not in force", description)
+		d.addViolation("version not in force: %s", description)
 		return
 	}
-	fmt.Fprintf(d.out, "version %d, %s: in force after %v%s\n",
+	fmt.Fprintf(d.out, "version %d (%s) is in force after %v%s\n",
 		number, description, time.Since(began).Round(time.Millisecond), waited)
 }
 
-// propose publishes files until they have a version's number; false: ctx has ended before.
+// propose publishes files, with retries, until they have a version number. ok is false if ctx ended before.
 func (d *fleetDemo) propose(ctx context.Context, id string, list []config.File) (number uint64, ok bool) {
 	for ctx.Err() == nil {
 		status, err := d.client.LatestStatus(ctx)
@@ -193,33 +193,33 @@
 				return reply.Number, true
 			}
 		}
-		d.pause()
+		d.sleep()
 	}
 	return 0, false
 }
 
-// pause waits until the nodes are to be looked at again.
-func (d *fleetDemo) pause() {
+// sleep waits for fleetPollInterval or until the run ends.
+func (d *fleetDemo) sleep() {
 	select {
 	case <-time.After(fleetPollInterval):
 	case <-d.ctx.Done():
 	}
 }
 
-// awaitNode waits until the node with an index acts on a window.
+// awaitNode waits until the node with the given index uses the given deduplication window.
 func (d *fleetDemo) awaitNode(index int, description, window string) {
 	n := d.nodes[index]
 	d.await(description, func() string {
 		if active := n.activeWindow(); active != window {
-			return fmt.Sprintf(" %s acts on %q", n.name, active)
+			return fmt.Sprintf(" %s uses %q", n.name, active)
 		}
 		return ""
 	})
 }
 
-// awaitAll waits until all nodes act on a window.
+// awaitAll waits until all nodes use the given deduplication window.
 func (d *fleetDemo) awaitAll(window string) {
-	d.await("all act on it", func() (behind string) {
+	d.await("all nodes use this version", func() (behind string) {
 		for _, n := range d.nodes {
 			if active := n.activeWindow(); active != window {
 				behind += fmt.Sprintf(" %s: %q", n.name, active)
@@ -229,7 +229,8 @@
 	})
 }
 
-// await waits until a difference from what is described is "", and prints the description.
+// await waits until the function difference returns "", which means that the described state is reached, and then prints
+// the description. After fleetTimeout, it adds a violation instead.
 func (d *fleetDemo) await(description string, difference func() string) {
 	deadline := time.Now().Add(fleetTimeout)
 	for {
@@ -239,9 +240,9 @@
 			return
 		}
 		if time.Now().After(deadline) || d.ctx.Err() != nil {
-			d.violation("%s:%s", description, text)
+			d.addViolation("%s:%s", description, text)
 			return
 		}
-		d.pause()
+		d.sleep()
 	}
 }
--- a/internal/demo/fleetnode.go
+++ b/internal/demo/fleetnode.go
@@ -14,21 +14,21 @@
 	"yokestall/internal/fleet/lease"
 )
 
-// keyedRefused is a fleetNode's window while it refuses requests with keys.
+// keyedRefused is the value of fleetNode.window while the node rejects requests with idempotency keys.
 const keyedRefused = "-"
 
 // fleetNode is a node of the fleet demo.
 type fleetNode struct {
 	name     string
 	node     *agent.Node    // nil before open
-	links    []*fleet.Relay // to the voters
-	listener net.Listener   // nil: the node doesn't vote
+	links    []*fleet.Relay // links to the voters
+	listener net.Listener   // nil if the node is not a voter
 
 	mu     sync.Mutex
-	window string // the deduplication window that is in force; keyedRefused: none
+	window string // deduplication window in force, or keyedRefused
 }
 
-// open opens a node with a link to each voter but itself.
+// open opens the node with a link to each other voter.
 func (n *fleetNode) open(dir string, leases lease.Config, voters []agent.VoterAddress) error {
 	c := agent.Config{
 		Fleet: "demo", Name: n.name, Dir: filepath.Join(dir, n.name), Lease: leases,
@@ -69,7 +69,7 @@
 	return &consensus.Version{Program: s.Program, Clusters: s.Version.Clusters}, nil
 }
 
-// apply puts a version in force.
+// apply puts a version in force at the node.
 func (n *fleetNode) apply(v consensus.EffectiveVersion) error {
 	class := &v.Program.Classes[0]
 	n.mu.Lock()
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// activeWindow returns the deduplication window that the node acts on now; "": it may not serve.
+// activeWindow returns the deduplication window that the node uses now, or "" if the node may not serve.
 func (n *fleetNode) activeWindow() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/demo/maintenance.go
+++ b/internal/demo/maintenance.go
@@ -14,19 +14,20 @@
 // MaintenanceOptions are the options of Maintenance.
 type MaintenanceOptions struct {
 	Out         io.Writer
-	NodeCommand []string // runs the platform's node
-	NodeEnv     []string // for it
+	NodeCommand []string // command that runs a node of the platform
+	NodeEnv     []string // additional environment of NodeCommand
 	Clients     int
 	Phase       time.Duration // length of each step
 }
 
 const (
-	// maintenancePause is between an answer and a client's next request, and the time in which an endpoint answers.
+	// maintenancePause is the time between an answer and the next request of a client. It is also the time that an
+	// endpoint takes to answer.
 	maintenancePause = 5 * time.Millisecond
-	// nodeMemoryMB and nodeSockets are what the platform lets the node use.
+	// nodeMemoryMB and nodeSockets are the limits of the platform on the memory in MB and on the sockets of a node.
 	nodeMemoryMB = 64
 	nodeSockets  = 384
-	// maintainedEndpoints is how many endpoints there are; detachedEndpoint is the index of the one that is taken out.
+	// maintainedEndpoints is the number of endpoints. detachedEndpoint is the index of the endpoint that is detached.
 	maintainedEndpoints = 3
 	detachedEndpoint    = 1
 )
@@ -36,9 +37,9 @@
 	"Limits": {"MaxAttempts": 3, "MaxRetryAfterMs": 600, "RetryAfter": true, "Cancel": true}, "Zones": ["a"],
 	"Contract": {"ColdFrom": 0.4, "ColdMs": 2000, "FallMultiple": 3, "FallMs": 1000, "DrainGraceMs": 500}}`
 
-// Maintenance shows a node in daily operation under load: an endpoint is detached, restarted and attached; the node
-// goes into lame duck mode and returns; its process is replaced by another beside it. It returns the rules that were
-// broken.
+// Maintenance shows the maintenance of a node under load. An endpoint is detached, restarted and attached. Meanwhile, the
+// process of the node is replaced by a successor that runs beside it. Finally, the node enters and leaves lame duck mode.
+// violations describes the violated rules.
 func Maintenance(ctx context.Context, o MaintenanceOptions) (violations []string, err error) {
 	m := &maintenance{MaintenanceOptions: o}
 	if m.Platform, err = platform.New(platform.Options{
@@ -57,12 +58,12 @@
 	err = m.run(ctx, node)
 	stop()
 	for _, request := range clients.Wait() {
-		m.violation("no answer to %s", request)
+		m.addViolation("request %s got no answer", request)
 	}
 	if n := clients.Failed.Load(); n > 0 {
-		m.violation("%d requests failed", n)
+		m.addViolation("%d requests failed", n)
 	}
-	fmt.Fprintf(o.Out, "\n%d served, %d refused, %d failed, %d sent again; rules broken: %d\n", clients.Served.Load(),
+	fmt.Fprintf(o.Out, "\n%d served, %d refused, %d failed, %d sent again; rules violated: %d\n", clients.Served.Load(),
 		clients.Rejected.Load(), clients.Failed.Load(), clients.Resent.Load(), len(m.violations))
 	for _, v := range m.violations {
 		fmt.Fprintln(o.Out, "  ", v)
@@ -70,20 +71,20 @@
 	return m.violations, err
 }
 
-// maintenance is a run of the demo.
+// maintenance is the state of a run of the maintenance demo.
 type maintenance struct {
 	MaintenanceOptions
 	*platform.Platform
 	violations []string
 }
 
-// run runs the steps.
+// run runs the steps of the demo.
 func (m *maintenance) run(ctx context.Context, node *platform.Node) error {
-	m.step(ctx, "all serve")
+	m.step(ctx, "all endpoints serve")
 	m.command(node, "DETACH box-1")
-	time.Sleep(drainGrace) // attempts that were decided before may still arrive
+	time.Sleep(drainGrace) // attempts from before the detachment may still arrive
 	atDetach := m.deliveries()[detachedEndpoint]
-	m.step(ctx, "box-1 is out")
+	m.step(ctx, "box-1 is detached")
 	endpoint := m.AppServers[detachedEndpoint]
 	endpoint.Down()
 	if err := endpoint.Up(); err != nil {
@@ -94,34 +95,34 @@
 		return err
 	}
 	fmt.Fprintln(m.Out,
-		"another process beside the first, which is told to stop (box-1 is restarted meanwhile)")
+		"a second process starts beside the first, which is told to stop (box-1 has been restarted)")
 	if err := node.Stop(); err != nil {
-		m.violation("the first process: %v", err)
+		m.addViolation("stopping the first process failed: %v", err)
 	}
 	m.step(ctx, "the second process serves")
 	if n := m.deliveries()[detachedEndpoint] - atDetach; n > 0 {
-		m.violation("%d requests reached box-1 while it was out", n)
+		m.addViolation("%d requests reached box-1 while it was detached", n)
 	}
 	m.command(successor, "ATTACH box-1")
-	m.step(ctx, "box-1 is back, cold")
+	m.step(ctx, "box-1 is attached and warms up")
 	if m.deliveries()[detachedEndpoint] == atDetach {
-		m.violation("nothing reached box-1 after its return")
+		m.addViolation("no request reached box-1 after it was attached")
 	}
 	m.command(successor, "LAMEDUCK")
 	m.checkReadiness(http.StatusServiceUnavailable)
-	m.step(ctx, "drained; who asks is served")
+	m.step(ctx, "lame duck mode, still serving")
 	m.command(successor, "REJOIN")
 	m.checkReadiness(http.StatusOK)
-	m.step(ctx, "back at work")
+	m.step(ctx, "lame duck mode is over")
 	return ctx.Err()
 }
 
-// violation adds a rule that was broken.
-func (m *maintenance) violation(format string, args ...any) {
+// addViolation adds a violated rule.
+func (m *maintenance) addViolation(format string, args ...any) {
 	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
-// deliveries returns how many requests have reached each endpoint.
+// deliveries returns the number of requests that have reached each endpoint, by index.
 func (m *maintenance) deliveries() (n [maintainedEndpoints]int) {
 	for i := range n {
 		n[i] = m.Received(i)
@@ -129,7 +130,7 @@
 	return n
 }
 
-// step waits while the load goes on, and prints what reached the endpoints meanwhile.
+// step waits for Phase while the load continues, and prints the number of requests that reached each endpoint.
 func (m *maintenance) step(ctx context.Context, title string) {
 	before := m.deliveries()
 	select {
@@ -141,26 +142,26 @@
 		title, now[0]-before[0], now[1]-before[1], now[2]-before[2])
 }
 
-// command sends an operator's command, which must succeed.
+// command sends an operator command to a node. A command that fails is a violation.
 func (m *maintenance) command(n *platform.Node, text string) {
 	began := time.Now()
 	answer := n.Call(text)
 	fmt.Fprintf(m.Out, "%-16s %s  (%v)\n", text, answer, time.Since(began).Round(100*time.Microsecond))
 	if !strings.HasPrefix(answer, "+OK") {
-		m.violation("%s: %s", text, answer)
+		m.addViolation("command %s failed: %s", text, answer)
 	}
 }
 
-// checkReadiness checks the status of the node's readiness check.
+// checkReadiness checks that the readiness check of the node returns the wanted HTTP status.
 func (m *maintenance) checkReadiness(want int) {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Get("http://" + m.Addr + "/health/ready")
 	if err != nil {
-		m.violation("readiness: %v", err)
+		m.addViolation("readiness check failed: %v", err)
 		return
 	}
 	resp.Body.Close()
 	if resp.StatusCode != want {
-		m.violation("readiness is %d, want %d", resp.StatusCode, want)
+		m.addViolation("readiness check returned status %d, want %d", resp.StatusCode, want)
 	}
 }
--- a/internal/demo/maintenance_test.go
+++ b/internal/demo/maintenance_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// No rule is broken while a node is maintained.
+// No rule may be violated during the maintenance of a node.
 func TestMaintenance(t *testing.T) {
 	var out bytes.Buffer
 	command, env := testutil.SelfCommand()
@@ -28,6 +28,6 @@
 		Out: &out, NodeCommand: command, NodeEnv: env, Clients: 6, Phase: 400 * time.Millisecond,
 	})
 	if err != nil || len(violations) > 0 {
-		t.Errorf("%v\n%s", err, out.String())
+		t.Errorf("got error %v, want none and no violations\n%s", err, out.String())
 	}
 }
--- a/internal/demo/phases.go
+++ b/internal/demo/phases.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// slowDelay is the time in which the slow endpoint answers.
+	// slowDelay is the time that the slow endpoint takes to answer.
 	slowDelay = 400 * time.Millisecond
-	// versionTimeout bounds the wait until the program has taken a version of its endpoint list.
+	// versionTimeout is the maximum wait until the load balancer has applied a version of its endpoint list.
 	versionTimeout = 10 * time.Second
-	// rowsPerPhase is how many lines of figures a phase prints.
+	// rowsPerPhase is the number of lines of figures that a phase prints.
 	rowsPerPhase = 2
 )
 
-// phase is a part of the demo that begins with a fault, or with its end.
+// phase is a part of the demo. Most phases begin with a fault or with the end of a fault.
 type phase struct {
 	title string
-	begin func(ctx context.Context) error // nil: nothing happens
+	begin func(ctx context.Context) error // starts or ends the fault; nil if nothing changes
 }
 
-// phases returns the phases in order.
+// phases returns the phases in the order in which they run.
 func (d *demo) phases() []phase {
 	slow, draining, dying := d.endpoints[0], d.endpoints[1], d.endpoints[2]
 	return []phase{
-		{"all is well", nil},
+		{"no faults", nil},
 		{slow.Name + " answers in 400 ms", func(context.Context) error {
 			slow.SetDelay(slowDelay)
 			return nil
 		}},
-		{draining.Name + " drains, by its line in the file", func(ctx context.Context) error {
+		{draining.Name + " drains, as set in the file", func(ctx context.Context) error {
 			slow.SetDelay(responseDelay)
 			return d.drain(ctx, draining.Name)
 		}},
@@ -44,7 +44,7 @@
 	}
 }
 
-// runPhases runs the phases under load and prints their figures. The clients have ended when it returns.
+// runPhases runs the phases under load and prints their figures. The clients have ended when runPhases returns.
 func (d *demo) runPhases(ctx context.Context) error {
 	transport := &http.Transport{MaxIdleConnsPerHost: d.Clients}
 	if d.keys != nil {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// runPhase begins a phase and prints its figures.
+// runPhase begins a phase, waits for its length and prints its figures.
 func (d *demo) runPhase(ctx context.Context, p phase) error {
 	if p.begin != nil {
 		if err := p.begin(ctx); err != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// drain marks an endpoint as draining and waits until the program has taken the version that says so.
+// drain marks an endpoint as draining and waits until the load balancer has applied a new version.
 func (d *demo) drain(ctx context.Context, name string) error {
 	if err := d.writeEndpoints(map[string]string{name: healthDraining}); err != nil {
 		return err
@@ -94,7 +94,7 @@
 	select {
 	case <-d.versions:
 	case <-time.After(versionTimeout):
-		return errors.New("the program took no new version of its files in 10 s")
+		return errors.New("load balancer applied no new version of its endpoint list within 10 s")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/internal/demo/program.go
+++ b/internal/demo/program.go
@@ -14,11 +14,11 @@
 	"yokestall/internal/xds"
 )
 
-// controlPlaneTimeout bounds the wait for the control plane's first version.
+// controlPlaneTimeout is the maximum wait for the first version from the control plane.
 const controlPlaneTimeout = 10 * time.Second
 
-// startProgram starts the program on the files, and waits for a version of the control plane if there is one. served
-// receives the error with which the program has ended.
+// startProgram starts the load balancer with the configuration files. If there is a control plane, it waits for the first
+// version from that. The channel served receives the result of the load balancer when it ends.
 func (d *demo) startProgram(ctx context.Context, options app.Options) (served <-chan error, err error) {
 	watcher, first, err := files.Open(d.settingsFile(), d.Log)
 	if err != nil {
@@ -45,10 +45,10 @@
 	parts.Go(func() {
 		watcher.Run(running, func(v *files.Configuration) {
 			source.SetFiles(v)
-			d.noteVersion()
+			d.signalVersion()
 		})
 	})
-	fmt.Fprintf(d.Out, "%d app boxes behind %s; the files are in %s\n", d.Endpoints, d.url, d.folder)
+	fmt.Fprintf(d.Out, "%d endpoints (app boxes) behind %s; the configuration files are in %s\n", d.Endpoints, d.url, d.folder)
 	if c := app.XDSConfig(first.Program, d.settingsFile()); c != nil {
 		client := xds.New(*c, d.Log)
 		complete := make(chan struct{})
@@ -60,8 +60,8 @@
 	return ended, nil
 }
 
-// listen returns the program's listener and sets the URL that clients send to, which is a proxy's in front of the
-// program with Options.ExtProc.
+// listen returns the listener of the load balancer and sets the URL to which clients send requests. With Options.ExtProc,
+// the URL is that of a proxy in front of the load balancer.
 func (d *demo) listen(processor config.ExtProc) (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,35 +79,35 @@
 	return l, nil
 }
 
-// noteVersion signals that the program has taken a version.
-func (d *demo) noteVersion() {
+// signalVersion signals that the load balancer has applied a version.
+func (d *demo) signalVersion() {
 	select {
 	case d.versions <- struct{}{}:
 	default:
 	}
 }
 
-// followControlPlane passes on what the control plane sends until ctx ends, and closes complete once there are routes
-// and clusters.
+// followControlPlane passes versions from the control plane to source until ctx ends. It closes the channel complete once
+// there are routes and clusters.
 func (d *demo) followControlPlane(
 	ctx context.Context, client *xds.Client, source *app.Source, complete chan<- struct{},
 ) {
 	var once sync.Once
 	client.Run(ctx, func(delivery *xds.Delivery) {
 		source.Deliver(delivery)
-		d.noteVersion()
+		d.signalVersion()
 		if delivery.View.Routes() != nil && len(delivery.View.Clusters()) > 0 {
 			once.Do(func() { close(complete) })
 		}
 	})
 }
 
-// awaitControlPlane waits for the control plane's first version.
+// awaitControlPlane waits for the first complete version from the control plane.
 func (d *demo) awaitControlPlane(ctx context.Context, complete <-chan struct{}) error {
 	select {
 	case <-complete:
 	case <-time.After(controlPlaneTimeout):
-		return errors.New("no version came from the control plane in 10 s")
+		return errors.New("control plane sent no complete version within 10 s")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/internal/demo/proxy.go
+++ b/internal/demo/proxy.go
@@ -16,8 +16,8 @@
 	"yokestall/internal/fake/proxy"
 )
 
-// startProxy starts the program's external processor and a proxy that asks it, to which clients send from then on.
-// Both run in goroutines, which end with close.
+// startProxy starts the external processor of the load balancer and a proxy that uses it. It sets the URL of the clients to
+// that of the proxy. The processor and the proxy run in goroutines that close ends.
 func (d *demo) startProxy(settings config.ExtProc) error {
 	processorListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/demo/rules.go
+++ b/internal/demo/rules.go
@@ -8,12 +8,12 @@
 	"yokestall/internal/fake/appbox"
 )
 
-// drainGrace is how long after a drain was notified requests may still be sent to the endpoint.
+// drainGrace is the time for which requests may still be sent to an endpoint after the drain notification.
 const drainGrace = 500 * time.Millisecond
 
-// noteSend counts an attempt that was sent to a draining endpoint too late. What counts is when it was sent: on a busy
-// machine the endpoint may receive it later.
-func (d *demo) noteSend(_ string, endpointKey uint64, at time.Time) {
+// recordSend counts an attempt that was sent to a draining endpoint after drainGrace. It uses the time of sending, because
+// on a busy machine the endpoint may receive the attempt later.
+func (d *demo) recordSend(_ string, endpointKey uint64, at time.Time) {
 	for _, b := range d.endpoints {
 		e := clusterEndpoint(b)
 		if e.Key() != endpointKey {
@@ -27,26 +27,26 @@
 	}
 }
 
-// clusterEndpoint returns an endpoint of the demo as the program has it.
+// clusterEndpoint returns the load balancer configuration of an endpoint of the demo.
 func clusterEndpoint(b *appbox.Server) cluster.Endpoint {
 	return cluster.Endpoint{ID: b.Name, Address: b.Addr()}
 }
 
-// violation adds a rule that was broken to the result.
-func (d *demo) violation(format string, args ...any) {
+// addViolation adds a violated rule to the result.
+func (d *demo) addViolation(format string, args ...any) {
 	d.result.Violations = append(d.result.Violations, fmt.Sprintf(format, args...))
 }
 
-// checkRules fills the result: it compares the final answers with what the endpoints saw.
+// checkRules fills the result. It compares the final answers with the requests that the endpoints received.
 func (d *demo) checkRules() {
 	r, c := &d.result, &d.counters
 	r.Requests, r.Late = c.requests.Load(), c.late.Load()
 	r.Served, r.Rejected, r.Failed = c.served.Load(), c.rejected.Load(), c.failed.Load()
 	if answers := r.Served + r.Rejected + r.Failed; answers != r.Requests {
-		d.violation("%d requests, %d final answers", r.Requests, answers)
+		d.addViolation("%d requests, %d final answers", r.Requests, answers)
 	}
 	if r.Late > 0 {
-		d.violation("%d answers came after the client's time was up", r.Late)
+		d.addViolation("%d answers came after the timeout of the client", r.Late)
 	}
 	deliveries := d.deliveriesByRequest()
 	repeatedPayments := 0
@@ -58,27 +58,27 @@
 		}
 	}
 	if repeatedPayments > 0 {
-		d.violation("%d payments (unsafe) reached a box twice", repeatedPayments)
+		d.addViolation("%d payments (not idempotent) reached an endpoint more than once", repeatedPayments)
 	}
 	if int64(len(deliveries)) < r.Served {
-		d.violation("%d served, but only %d requests reached a box", r.Served, len(deliveries))
+		d.addViolation("%d served, but only %d requests reached an endpoint", r.Served, len(deliveries))
 	}
 }
 
-// deliveriesByRequest returns how often each request reached an endpoint, by its id. It adds violations of endpoints
-// that lost records or were sent requests while they drained.
+// deliveriesByRequest returns, by request ID, how often each request reached an endpoint. It adds violations for endpoints
+// that discarded records of requests or that were sent requests after drainGrace.
 func (d *demo) deliveriesByRequest() map[string]int {
 	deliveries := map[string]int{}
 	for _, e := range d.endpoints {
 		seen, lost := e.Seen()
 		if lost > 0 {
-			d.violation("%s kept no record of %d requests", e.Name, lost)
+			d.addViolation("%s discarded the records of %d requests", e.Name, lost)
 		}
 		for _, request := range seen {
 			deliveries[request.ID]++
 		}
 		if n := d.lateSends[e.Name]; n > 0 {
-			d.violation("%s was sent %d requests over 500 ms after its drain was told", e.Name, n)
+			d.addViolation("%s was sent %d requests more than 500 ms after its drain notification", e.Name, n)
 		}
 	}
 	return deliveries
--- a/internal/demo/rules_test.go
+++ b/internal/demo/rules_test.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/testutil"
 )
 
-// Each rule that is broken is found.
+// Each violated rule must be found.
 func TestCheckRulesFindsViolations(t *testing.T) {
 	d := newDemo(Options{Out: &bytes.Buffer{}})
 	box := testutil.StartAppServer(t, "box-1")
@@ -18,8 +18,8 @@
 	drainedAt := time.Now()
 	d.drainedAt[box.Name] = drainedAt
 	e := clusterEndpoint(box)
-	d.noteSend("rooms", e.Key(), drainedAt.Add(drainGrace))
-	d.noteSend("rooms", e.Key(), drainedAt.Add(drainGrace+1))
+	d.recordSend("rooms", e.Key(), drainedAt.Add(drainGrace))
+	d.recordSend("rooms", e.Key(), drainedAt.Add(drainGrace+1))
 	d.counters.requests.Store(3)
 	d.counters.served.Store(2)
 	d.counters.late.Store(1)
@@ -30,7 +30,7 @@
 		"3 requests, 2 final answers", "1 answers came after", "only 0 requests reached", "box-1 was sent 1 requests",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not found: %s", want, text)
+			t.Errorf("violation %q not found in: %s", want, text)
 		}
 	}
 }
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// defaultLatenessTolerance is Options.LatenessTolerance where that is 0.
+	// defaultLatenessTolerance replaces an Options.LatenessTolerance of 0.
 	defaultLatenessTolerance = 50 * time.Millisecond
-	// responseDelay is the time in which an endpoint answers.
+	// responseDelay is the time that an endpoint takes to answer.
 	responseDelay = 5 * time.Millisecond
-	// maxPendingVersions bounds the signals of versions that nobody waits for.
+	// maxPendingVersions is the maximum number of version signals that are buffered until the demo waits for a version.
 	maxPendingVersions = 1024
 )
 
-// Run runs the demo. The error says what kept it from running; rules that were broken are in the result.
+// Run runs the demo. The error reports a failure of the demo itself. Violated rules are in the result.
 //
-// The program, its file watcher and its control plane client run in goroutines, which end before Run returns.
+// The load balancer, its file watcher and its control plane client run in goroutines, which end before Run returns.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	d := newDemo(o)
 	defer d.close()
@@ -49,25 +49,25 @@
 	return &d.result, d.keepServing(ctx, served)
 }
 
-// demo is a run.
+// demo is the state of a run.
 type demo struct {
 	Options
-	closers []func() // called in reverse order at the end
+	closers []func() // functions that close calls in reverse order
 
 	folder    string
 	endpoints []*appbox.Server
 	app       *app.App
-	url       string // that clients send to
+	url       string // URL to which clients send requests
 
-	processor *extproc.Server      // nil: clients send to the program itself
-	plane     *controlplane.Server // nil: the program reads its clusters from files
-	keys      *keyRotation         // nil: clear text
+	processor *extproc.Server      // nil if clients send to the load balancer directly
+	plane     *controlplane.Server // nil if the load balancer reads its clusters from files
+	keys      *keyRotation         // nil if clients connect without TLS
 
-	versions chan struct{} // a signal for each version that the program has taken
+	versions chan struct{} // receives a signal for each version that the load balancer has applied
 
 	mu        sync.Mutex           // guards drainedAt and lateSends while clients run
-	drainedAt map[string]time.Time // by endpoint: when the program had taken the version with its drain
-	lateSends map[string]int       // by endpoint: sends over drainGrace after its drain
+	drainedAt map[string]time.Time // by endpoint name: time when the load balancer had applied the version with the drain
+	lateSends map[string]int       // by endpoint name: number of attempts sent later than drainGrace after the drain
 
 	counters counters
 	result   Result
@@ -83,17 +83,17 @@
 	}
 }
 
-// onClose has close call a function. The functions are called in reverse order.
+// onClose registers a function that close calls. The functions are called in reverse order of registration.
 func (d *demo) onClose(f func()) { d.closers = append(d.closers, f) }
 
-// close ends what the demo has started.
+// close stops everything that the demo has started.
 func (d *demo) close() {
 	for i := len(d.closers) - 1; i >= 0; i-- {
 		d.closers[i]()
 	}
 }
 
-// startEndpoints creates the demo's folder and starts the endpoints.
+// startEndpoints creates the directory of the demo and starts the endpoints.
 func (d *demo) startEndpoints() error {
 	folder, err := os.MkdirTemp("", "yokestall-demo-")
 	if err != nil {
@@ -113,17 +113,17 @@
 	return nil
 }
 
-// keepServing leaves the program running until ctx ends, with Options.KeepServing. It returns the error with which the
-// program ended by itself.
+// keepServing leaves the load balancer running until ctx ends if Options.KeepServing is set. It returns the error if the
+// load balancer ends by itself.
 func (d *demo) keepServing(ctx context.Context, served <-chan error) error {
 	if !d.KeepServing || ctx.Err() != nil {
-		fmt.Fprintln(d.Out, "\nTo leave it running: yokestall demo --keep; "+
-			"it prints the curl lines to send requests with.")
+		fmt.Fprintln(d.Out, "\nTo leave the load balancer running, use yokestall demo --keep, "+
+			"which prints example curl commands.")
 		return nil
 	}
-	fmt.Fprintf(d.Out, "\nServing on until interrupted. Try\n    curl -i %s/hotels/7/rooms\n"+
+	fmt.Fprintf(d.Out, "\nServing until interrupted. Try\n    curl -i %s/hotels/7/rooms\n"+
 		"    curl -i -H 'Idempotency-Key: k1' -d '{}' %s/hotels/7/bookings\n"+
-		"and change the weights or the health of a box in\n    %s\n",
+		"and change the weight or the health of an endpoint in\n    %s\n",
 		d.url, d.url, d.clusterFile())
 	select {
 	case <-ctx.Done():
--- a/internal/demo/run_test.go
+++ b/internal/demo/run_test.go
@@ -10,7 +10,7 @@
 	"yokestall/internal/testutil"
 )
 
-// Every phase is shown, the rules are kept, and the demo ends by itself.
+// Every phase must be shown, no rule may be violated, and the demo must end by itself.
 func TestDemo(t *testing.T) {
 	for _, name := range []string{"files", "xds", "tls", "extproc"} {
 		t.Run(name, func(t *testing.T) {
@@ -19,26 +19,26 @@
 			r, err := Run(t.Context(), Options{
 				Out: &out, Log: testutil.Log(t), Endpoints: 4, Clients: 6, Phase: 300 * time.Millisecond,
 				XDS: name == "xds", TLS: name == "tls", ExtProc: name == "extproc",
-				LatenessTolerance: testutil.WaitTimeout, // the engine's tests check deadlines, on its own clock
+				LatenessTolerance: testutil.WaitTimeout, // tests of the decision engine check deadlines in virtual time
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if len(r.Violations) > 0 || r.Served == 0 || r.Deliveries == 0 {
-				t.Errorf("%+v\n%s", r, out.String())
+				t.Errorf("got result %+v, want no violations and some requests served and delivered\n%s", r, out.String())
 			}
 			shown := out.String()
 			contains := func(text string) bool { return strings.Contains(shown, text) }
 			if name == "tls" && (!contains("answers over HTTP/2 and TLS") || contains(" 0 answers over")) {
-				t.Errorf("not over HTTP/2 and TLS:\n%s", shown)
+				t.Errorf("no answers over HTTP/2 and TLS:\n%s", shown)
 			}
 			if name == "extproc" && (!contains("asked the program about each") ||
 				contains(" 0 requests carried") || contains(" 0 picked")) {
-				t.Errorf("not asked about both ways:\n%s", shown)
+				t.Errorf("the external processor was not used both for forwarded and for picked requests:\n%s", shown)
 			}
 			for _, text := range []string{"box-2 drains", "box-3 dies", "is back", "Rules kept", "demo --keep"} {
 				if !contains(text) {
-					t.Errorf("%q is not shown in\n%s", text, shown)
+					t.Errorf("output does not contain %q:\n%s", text, shown)
 				}
 			}
 		})
@@ -52,6 +52,6 @@
 		Out: &bytes.Buffer{}, Log: testutil.Log(t), Endpoints: 3, Clients: 1, Phase: time.Second,
 	})
 	if err == nil {
-		t.Error("an interrupted demo gives no error")
+		t.Error("got no error from an interrupted demo")
 	}
 }
--- a/internal/demo/settings.go
+++ b/internal/demo/settings.go
@@ -10,11 +10,11 @@
 	"yokestall/internal/fake/controlplane"
 )
 
-// clusterName is the name of the demo's cluster.
+// clusterName is the name of the cluster of the demo.
 const clusterName = "rooms"
 
-// baseSettings are the program's settings with files and with a control plane.
-const baseSettings = `# Written by the demo; serve takes it as it is.
+// baseSettings are the settings of the load balancer that are the same with files and with a control plane.
+const baseSettings = `# Written by yokestall demo. yokestall serve accepts this file unchanged.
 [listen]
 address = "127.0.0.1:0"
 connections = 256
@@ -47,7 +47,7 @@
 
 `
 
-// routeSettings follow baseSettings where routes don't come from a control plane.
+// routeSettings are the settings that follow baseSettings if the routes do not come from a control plane.
 const routeSettings = `[[class]]
 name = "payment"
 effect = "unsafe"
@@ -82,10 +82,10 @@
 
 func (d *demo) clusterFile() string { return filepath.Join(d.folder, "clusters", clusterName+".toml") }
 
-// writeSettings writes the settings file and the first endpoint list, and returns the program's options. It starts the
-// control plane and makes the TLS keys where the demo's options say so.
+// writeSettings writes the settings file and the first endpoint list, and returns the options of the load balancer. It
+// starts the control plane if Options.XDS is set, and creates the TLS keys if Options.TLS is set.
 func (d *demo) writeSettings() (options app.Options, err error) {
-	options = app.Options{Seed: 1, Log: d.Log, OnSend: d.noteSend}
+	options = app.Options{Seed: 1, Log: d.Log, OnSend: d.recordSend}
 	if err := os.Mkdir(filepath.Dir(d.clusterFile()), 0o755); err != nil {
 		return options, err
 	}
@@ -107,7 +107,7 @@
 	return options, d.writeEndpoints(nil)
 }
 
-// settings returns the program's settings.
+// settings returns the contents of the settings file of the load balancer.
 func (d *demo) settings() string {
 	text := baseSettings
 	if d.XDS {
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// The widths of the table's columns, in characters.
+// Widths of the columns of the table in characters.
 const (
 	titleWidth    = 42
 	endpointWidth = 8
 	outcomeWidth  = 7
 )
 
-// printHeader prints the line above a phase's figures.
+// printHeader prints the header line above the figures of a phase.
 func (d *demo) printHeader(title string) {
 	var b strings.Builder
 	for _, e := range d.endpoints {
@@ -21,13 +21,13 @@
 	fmt.Fprintf(d.Out, "%-*s %s   served refused failed\n", titleWidth, title, b.String())
 }
 
-// figures are the counts of a row.
+// figures are the counts from which a row of the table is computed.
 type figures struct {
-	requests []int64 // by endpoint
+	requests []int64 // number of received requests, by endpoint
 	outcomes [3]int64
 }
 
-// figures returns the counts so far.
+// figures returns the counts since the start of the demo.
 func (d *demo) figures() (f figures) {
 	for _, e := range d.endpoints {
 		f.requests = append(f.requests, int64(e.Count()))
@@ -37,7 +37,7 @@
 	return f
 }
 
-// printRow prints the counts since the ones before.
+// printRow prints the difference between the current counts and the earlier ones.
 func (d *demo) printRow(before figures) {
 	now := d.figures()
 	var b strings.Builder
@@ -51,29 +51,29 @@
 	fmt.Fprintf(d.Out, "%-*s %s\n", titleWidth, "", b.String())
 }
 
-// printSummary prints the result.
+// printSummary prints the result and the violated rules.
 func (d *demo) printSummary() {
 	r := &d.result
-	fmt.Fprintf(d.Out, "\n%d requests: %d served, %d refused (safe to try again), %d failed; %d late.\n",
+	fmt.Fprintf(d.Out, "\n%d requests: %d served, %d refused (safe to retry), %d failed; %d late.\n",
 		r.Requests, r.Served, r.Rejected, r.Failed, r.Late)
-	fmt.Fprintf(d.Out, "%d reached a box, %d of them copies that their class allows.\n", r.Deliveries, r.Repeats)
+	fmt.Fprintf(d.Out, "%d attempts reached an endpoint, %d of them repeats that their class allows.\n", r.Deliveries, r.Repeats)
 	if len(r.Violations) == 0 {
 		fmt.Fprintln(d.Out,
-			"Rules kept: one answer each, in time; no payment twice; nothing to the drained box after 500 ms.")
+			"Rules kept: one answer in time for each request; no payment twice; no request to the drained box after 500 ms.")
 	}
 	for _, violation := range r.Violations {
 		fmt.Fprintln(d.Out, "RULE BROKEN:", violation)
 	}
 }
 
-// printOptionSummary prints what the external processor and the TLS keys did.
+// printOptionSummary prints the counts of the external processor and of the TLS key replacement, if they are used.
 func (d *demo) printOptionSummary() {
 	if p := d.processor; p != nil {
-		fmt.Fprintf(d.Out, "a proxy in front asked the program about each: %d requests carried, %d picked\n",
+		fmt.Fprintf(d.Out, "a proxy in front asked the program about each request: %d requests carried, %d picked\n",
 			p.Stats.Forwarded.Load(), p.Stats.Picked.Load())
 	}
 	if k := d.keys; k != nil {
-		fmt.Fprintf(d.Out, "%d answers over HTTP/2 and TLS; the keys were replaced %d times meanwhile\n",
+		fmt.Fprintf(d.Out, "%d answers over HTTP/2 and TLS; the keys were replaced %d times during the demo\n",
 			k.http2Answers.Load(), k.store.Changes()-1)
 	}
 }
--- a/internal/demo/tls.go
+++ b/internal/demo/tls.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// tlsServerName is the name in the demo's certificates.
+	// tlsServerName is the server name in the certificates of the demo.
 	tlsServerName = "demo.test"
-	// rotationInterval is between two replacements of the key.
+	// rotationInterval is the time between two replacements of the key.
 	rotationInterval = 250 * time.Millisecond
-	// certificateMargin is how long before and after its making a certificate is valid.
+	// certificateMargin is the time for which a certificate is valid before and after its creation.
 	certificateMargin = time.Hour
 )
 
-// keyRotation replaces the key of the demo's listener again and again.
+// keyRotation repeatedly replaces the TLS certificate and key of the listener of the demo.
 type keyRotation struct {
 	folder       string
 	authority    *keymaker.Authority
 	store        *tlskeys.Store
-	http2Answers atomic.Int64 // that came over HTTP/2
+	http2Answers atomic.Int64 // number of answers over HTTP/2
 }
 
 func newKeyRotation(folder string, log *slog.Logger) (*keyRotation, error) {
@@ -36,7 +36,7 @@
 		return nil, err
 	}
 	var err error
-	if r.authority, err = keymaker.New("the demo's authority"); err != nil {
+	if r.authority, err = keymaker.New("certificate authority of the demo"); err != nil {
 		return nil, err
 	}
 	if err := r.authority.Write(r.folder, "demo", tlsServerName); err != nil {
@@ -46,7 +46,7 @@
 	return r, err
 }
 
-// run writes a new pair every rotationInterval until ctx ends.
+// run writes a new certificate and key every rotationInterval until ctx ends.
 func (r *keyRotation) run(ctx context.Context) {
 	ticker := time.NewTicker(rotationInterval)
 	defer ticker.Stop()
@@ -60,8 +60,8 @@
 	}
 }
 
-// replace writes a new certificate and then its key. Between the two, and after an error, the store has the former pair
-// in force.
+// replace writes a new certificate and then its key. Between the two writes, and after an error, the store continues to use
+// the previous pair.
 func (r *keyRotation) replace() {
 	now := time.Now()
 	cert, key, err := r.authority.Issue(now.Add(-certificateMargin), now.Add(certificateMargin), tlsServerName)
@@ -73,7 +73,7 @@
 	}
 }
 
-// clientConfig returns the configuration of the demo's clients.
+// clientConfig returns the TLS configuration of the clients of the demo.
 func (r *keyRotation) clientConfig() *tls.Config {
 	return &tls.Config{RootCAs: r.authority.Pool(), ServerName: tlsServerName}
 }
