--- a/internal/fleet/agent/content.go
+++ b/internal/fleet/agent/content.go
@@ -132,7 +132,8 @@
 			return nil, err
 		}
 		if len(data)+len(in.GetValue()) > config.MaxFileBytes {
-			return nil, status.Errorf(codes.InvalidArgument, "the uploaded file exceeds the limit of %d bytes", config.MaxFileBytes)
+			return nil, status.Errorf(codes.InvalidArgument,
+				"the uploaded file exceeds the limit of %d bytes", config.MaxFileBytes)
 		}
 		data = append(data, in.GetValue()...)
 	}
--- a/internal/fleet/agent/leaseserver.go
+++ b/internal/fleet/agent/leaseserver.go
@@ -82,7 +82,8 @@
 func checkLeaseRequest(request consensus.LeaseRequest) error {
 	if request.Node == "" || len(request.Node) > consensus.MaxNameBytes || len(request.Incarnation) > consensus.MaxNameBytes {
 		return status.Errorf(codes.InvalidArgument,
-			"lease request: the node's name must have 1 to %d bytes, and its incarnation no more than that", consensus.MaxNameBytes)
+			"lease request: the node's name must have 1 to %d bytes, and its incarnation no more than that",
+			consensus.MaxNameBytes)
 	}
 	return nil
 }
--- a/internal/fleet/consensus/lease.go
+++ b/internal/fleet/consensus/lease.go
@@ -35,11 +35,12 @@
 	ConfirmedOwnership uint64 `json:"set"`       // the node no longer owns tasks by ownership revisions before this one
 }
 
-// Grant is a voter's promise for a lease's duration from the request on. While the lease lasts, the voter acknowledges no
-// epoch after MinCoveredEpoch unless the node has confirmed that it no longer acts on earlier ones, and confirms no end of an
-// ownership that the node's process loses after OwnershipRevision unless the process has confirmed the loss. So MaxEpoch
-// and OwnershipRevision are the smallest epoch and the smallest ownership revision that the grant covers. A node may act
-// on the epochs and ownership revisions that the grants of a quorum cover.
+// Grant is a voter's promise for a lease's duration from the request on. While the lease lasts, the voter
+// acknowledges no epoch after MinCoveredEpoch unless the node has confirmed that it no longer acts on earlier ones,
+// and confirms no end of an ownership that the node's process loses after OwnershipRevision unless the process has
+// confirmed the loss. So MinCoveredEpoch and OwnershipRevision are the smallest epoch and the smallest ownership
+// revision that the grant covers. A node may act on the epochs and ownership revisions that the grants of a quorum
+// cover.
 type Grant struct {
 	VoterID           uint64    `json:"voter"`
 	Sequence          uint64    `json:"seq"`
--- a/internal/fleet/consensus/tasks.go
+++ b/internal/fleet/consensus/tasks.go
@@ -40,7 +40,8 @@
 
 // check validates the names in an assignment.
 func (a *TaskAssignment) check() error {
-	if a.Task == "" || a.Node == "" || len(a.Task) > MaxNameBytes || len(a.Node) > MaxNameBytes || len(a.Incarnation) > MaxNameBytes {
+	if a.Task == "" || a.Node == "" ||
+		len(a.Task) > MaxNameBytes || len(a.Node) > MaxNameBytes || len(a.Incarnation) > MaxNameBytes {
 		return fmt.Errorf("task assignment: task and node must have 1 to %d bytes, incarnation at most as many", MaxNameBytes)
 	}
 	return nil
