--- a/cmd/yokestall-node/upgrade_test.go
+++ b/cmd/yokestall-node/upgrade_test.go
@@ -107,7 +107,7 @@
 	// While the predecessor is unresponsive, the successor serves, and rejects operators' changes with that cause.
 	next.Process.Signal(syscall.SIGSTOP)
 	last := r.startNode()
-	expectAnswer(t, last.Call("DETACH box-1"), "other process does not answer")
+	expectAnswer(t, last.Call("DETACH box-1"), "not confirmed by another process of the node")
 	next.Process.Signal(syscall.SIGCONT)
 	r.stopNode(next)
 	expectAnswer(t, last.Call("DETACH box-1"), "+OK")
--- a/internal/cli/lab_scale_test.go
+++ b/internal/cli/lab_scale_test.go
@@ -30,7 +30,7 @@
 	}
 	write(page, "# Page\n1,800 nodes<!-- fig: plan:nodes -->\n")
 	out, err = run(t, "lab", "scale", "--check", page)
-	if !reportsFinding(out, err, page+":2: the page has 1,800, and plan:nodes is 1900", "") {
+	if !reportsFinding(out, err, page+":2: the page has 1,800, but plan:nodes is 1900", "") {
 		t.Errorf("check of a different page: output %q, error %v; want line 2 and both figures", out, err)
 	}
 	if _, err := run(t, "lab", "scale", "--check", page, "plan.toml"); err == nil || errors.Is(err, ErrReported) {
